--- a/api.go
+++ b/api.go
@@ -13,7 +13,7 @@
 import (
 	"time"
 
-	"brookferry/internal/residency/gate"
+	"martenbeam/internal/residency/gate"
 )
 
 // Effect says what repeating a request does.
--- a/bench_test.go
+++ b/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // BenchmarkStep plays a request, its outcome and now and then an error and a
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -10,8 +10,8 @@
 	"runtime/debug"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/wire"
 )
 
 func main() {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/wire"
 )
 
 const open = `{"msg":"OpenInstance","Agent":3,"RandomSeed":5,"Facts":{"Balancers":1,"Me":0,"TickMs":5,` +
--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -7,11 +7,11 @@
 	"log/slog"
 	"os"
 
-	"brookferry/internal/agent"
-	"brookferry/internal/config"
-	"brookferry/internal/logging"
-	"brookferry/internal/membership"
-	"brookferry/internal/settings"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/config"
+	"martenbeam/internal/logging"
+	"martenbeam/internal/membership"
+	"martenbeam/internal/settings"
 )
 
 type agentCmd struct {
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -14,8 +14,8 @@
 	"sync"
 	"syscall"
 
-	"brookferry/internal/lab"
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/scenario"
 )
 
 type compareCmd struct {
--- a/cmd/martenbeam/hub.go
+++ b/cmd/martenbeam/hub.go
@@ -6,9 +6,9 @@
 	"os/signal"
 	"syscall"
 
-	"brookferry/internal/config"
-	"brookferry/internal/hubd"
-	"brookferry/internal/membership"
+	"martenbeam/internal/config"
+	"martenbeam/internal/hubd"
+	"martenbeam/internal/membership"
 )
 
 type hubCmd struct {
--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab"
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/scenario"
 )
 
 type labCmd struct {
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"testing"
 
-	"brookferry/internal/lab"
+	"martenbeam/internal/lab"
 )
 
 // TestMain lets the test binary stand in for the program: agents are started from it too.
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab"
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/scenario"
 )
 
 type upCmd struct {
--- a/cmd/vetchhaven/accept_test.go
+++ b/cmd/vetchhaven/accept_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // errnosOfAccept are those that accept(2) names for a moment, network errors of a connection among them.
--- a/cmd/vetchhaven/bounds_test.go
+++ b/cmd/vetchhaven/bounds_test.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"testing"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // openFiles are what the descriptors of a process are of, and whether they may be written.
--- a/cmd/vetchhaven/clients_test.go
+++ b/cmd/vetchhaven/clients_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // errnosOfConnections are those that reads and writes of a TCP connection may return while the other side still has it.
--- a/cmd/vetchhaven/deadline_test.go
+++ b/cmd/vetchhaven/deadline_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // What an attempt tells its backend is at most what its client has left, with 0.15 s of slack: for first attempts, retries and
--- a/cmd/vetchhaven/faults_test.go
+++ b/cmd/vetchhaven/faults_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // faulty is the program with the hooks of package inject, built once.
--- a/cmd/vetchhaven/firstlist_test.go
+++ b/cmd/vetchhaven/firstlist_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // Where lists are pushed, what discovery has counts from the first moment of a new process: a backend that drains by it gets
--- a/cmd/vetchhaven/folder_test.go
+++ b/cmd/vetchhaven/folder_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // awaitCall waits until a call is answered with yes.
--- a/cmd/vetchhaven/growth_test.go
+++ b/cmd/vetchhaven/growth_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 var growthFor = flag.Duration("growth.for", 6*time.Second, "how long agents of two sizes of a fleet are called")
--- a/cmd/vetchhaven/log_test.go
+++ b/cmd/vetchhaven/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // again kills the program and starts it with another log, of which this process keeps no end for writing.
--- a/cmd/vetchhaven/main.go
+++ b/cmd/vetchhaven/main.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"os"
 
-	"brookferry/internal/agent"
-	"brookferry/internal/logging"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/logging"
 )
 
 func main() {
--- a/cmd/vetchhaven/quiet_test.go
+++ b/cmd/vetchhaven/quiet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 var quietFor = flag.Duration("quiet.for", 3*time.Second, "how long nothing happens before trouble begins")
--- a/cmd/vetchhaven/reload_test.go
+++ b/cmd/vetchhaven/reload_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // After SIGHUP what the new discovery tells counts 4 s later: also where the configuration can't be read at that moment, or is
--- a/cmd/vetchhaven/repeat_test.go
+++ b/cmd/vetchhaven/repeat_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // arrivals are when attempts came to backends, by request.
--- a/cmd/vetchhaven/shutdown_test.go
+++ b/cmd/vetchhaven/shutdown_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // shutdownClient sends request after request on a connection for as long as the agent keeps it open, and on a further one where
--- a/cmd/vetchhaven/upload_test.go
+++ b/cmd/vetchhaven/upload_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // A backend starts a request with its last byte: what it answers before that answers nothing that was asked, whether the rest of
--- a/cmd/vetchhaven/wall_test.go
+++ b/cmd/vetchhaven/wall_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab/inject"
 )
 
 // tell has another list hold.
--- a/crowd_test.go
+++ b/crowd_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // crowd is a fleet of agents without a word between them, on told time. Every attempt is answered after the same time.
--- a/example_test.go
+++ b/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // One balancer through a first attempt, a failure, a retry and an answer. The
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,11 +16,11 @@
 	"sync"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/agent/listening"
-	"brookferry/internal/agent/operations"
-	"brookferry/internal/fleet/source"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/listening"
+	"martenbeam/internal/agent/operations"
+	"martenbeam/internal/fleet/source"
 )
 
 // Agent is one agent, ready to run.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -20,9 +20,9 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/wire"
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/wire"
 )
 
 // onTheWay is what a backend is told less than an attempt has left: a request takes a moment to come there, after one to come
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/residency/gate"
 )
 
 // A backend may answer twice, the second time some milliseconds after the first. On a connection that rests that is seen,
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/tcpinfo"
+	"martenbeam/internal/tcpinfo"
 )
 
 // Conn is a connection of a client, under net/http's. A task of its own is the only one that reads the socket, ahead of the server:
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/goleak"
 
-	"brookferry/internal/agent/listening"
+	"martenbeam/internal/agent/listening"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/wire"
 )
 
 // Config is what an agent is told at its start.
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
 )
 
 func toLine(t *testing.T, version int64, servers ...member) string {
--- a/internal/agent/discovery/follow.go
+++ b/internal/agent/discovery/follow.go
@@ -13,8 +13,8 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"brookferry"
-	"brookferry/internal/fleet/source"
+	brookferry "martenbeam"
+	"martenbeam/internal/fleet/source"
 )
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever was refused, failed, hung or given up
--- a/internal/agent/discovery/follow_test.go
+++ b/internal/agent/discovery/follow_test.go
@@ -18,7 +18,7 @@
 
 	"pgregory.net/rapid"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // catalog is discovery in memory. It tells its versions to whoever watches, as its state says.
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // Members is a list of backends, or what has changed of it, as discovery writes it.
--- a/internal/agent/discovery/started.go
+++ b/internal/agent/discovery/started.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"brookferry/internal/systime"
+	"martenbeam/internal/systime"
 )
 
 // Discovery gives the start times of backends by the wall clock of their machines, and any machine's wall clock may be
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"brookferry/internal/fleet/source"
+	"martenbeam/internal/fleet/source"
 )
 
 // maxValue bounds one value of the stream, in bytes: a longer one is no list.
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // catalog is discovery: it hands each watch to the test, which writes to it line by line.
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"log/slog"
 
-	"brookferry"
-	"brookferry/internal/fleet/source"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/fleet/source"
+	"martenbeam/internal/residency/gate"
 )
 
 // Fleet is what an agent shares with its fleet. The platform's agents have none.
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"brookferry/internal/agent/clientconn"
-	"brookferry/internal/residency/gate"
+	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/residency/gate"
 )
 
 // front takes clients' requests and gives them the loop's answers.
--- a/internal/agent/front_test.go
+++ b/internal/agent/front_test.go
@@ -14,8 +14,8 @@
 	"testing/synctest"
 	"time"
 
-	"brookferry/internal/agent/clientconn"
-	"brookferry/internal/wire"
+	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/wire"
 )
 
 // pipeListener hands the front connections that live in memory, so that its time-outs can run on
--- a/internal/agent/handover/record.go
+++ b/internal/agent/handover/record.go
@@ -6,9 +6,9 @@
 	"maps"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/systime"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/systime"
 )
 
 // Record is the content of the file by which the processes of an agent know of each other. Times that count are given
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
 )
 
 const (
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/systime"
+	brookferry "martenbeam"
+	"martenbeam/internal/systime"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/agent/handover"
-	"brookferry/internal/agent/operations"
+	"martenbeam/internal/agent/handover"
+	"martenbeam/internal/agent/operations"
 )
 
 // descriptor is a further descriptor of a socket, as a process inherits it.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/residency/gate"
 )
 
 // clock is the agent's monotonic clock. It does not start at zero, so that backends that started
--- a/internal/agent/operated_test.go
+++ b/internal/agent/operated_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/operations"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/operations"
 )
 
 // withDoor is a configuration whose agent has an operators' door.
--- a/internal/agent/operations/server.go
+++ b/internal/agent/operations/server.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/agent/clientconn"
-	"brookferry/internal/agent/handover"
-	"brookferry/internal/agent/listening"
-	"brookferry/internal/systime"
+	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/agent/handover"
+	"martenbeam/internal/agent/listening"
+	"martenbeam/internal/systime"
 )
 
 // Agent is what the calls are about.
--- a/internal/agent/operations/server_test.go
+++ b/internal/agent/operations/server_test.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/goleak"
 
-	"brookferry/internal/agent/clientconn"
+	"martenbeam/internal/agent/clientconn"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -8,8 +8,8 @@
 	"net/netip"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/listening"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/listening"
 )
 
 const maxDatagram = 256 // the protocol's limit; a longer one is not sent
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/wire"
 )
 
 // probe examines a backend: with its load report where probes bring one.
--- a/internal/agent/rare_backends_test.go
+++ b/internal/agent/rare_backends_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/residency/gate"
 )
 
 // handBackend is a backend of which the test holds each connection.
--- a/internal/agent/rare_front_test.go
+++ b/internal/agent/rare_front_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/agent/clientconn"
+	"martenbeam/internal/agent/clientconn"
 )
 
 // The tests in this file and in rare_backends_test.go force an order of events that is rare: what docs/findings/rare.md
--- a/internal/agent/rare_stop_test.go
+++ b/internal/agent/rare_stop_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/agent/clientconn"
-	"brookferry/internal/agent/handover"
+	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/agent/handover"
 )
 
 // stopping is an agent that has been told to stop, and still accepts until accept is closed.
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/wire"
+	brookferry "martenbeam"
+	"martenbeam/internal/wire"
 )
 
 // inputError is an answer to a request that can't be taken. Its status says 'failed', never
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // Ticket 8488: some backends drop idle connections long before the settings' time and say
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -14,7 +14,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"brookferry/internal/agent/listening"
+	"martenbeam/internal/agent/listening"
 )
 
 // Serve runs the agent that a source describes until SIGTERM.
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // pattern is n bytes, none like those before.
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -5,11 +5,11 @@
 	"runtime/debug"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/agent/handover"
-	"brookferry/internal/agent/listening"
-	"brookferry/internal/systime"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/handover"
+	"martenbeam/internal/agent/listening"
+	"martenbeam/internal/systime"
 )
 
 const (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"time"
 
-	"brookferry/internal/strict"
+	"martenbeam/internal/strict"
 )
 
 // Default is every key with its default and what it means.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"brookferry/internal/agent"
+	"martenbeam/internal/agent"
 )
 
 const class = `
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"brookferry/internal/residency"
-	"brookferry/internal/strict"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/strict"
 )
 
 // Fleet is what an agent shares with others.
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"brookferry/internal/residency"
-	"brookferry/internal/strict"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/strict"
 )
 
 // DefaultHub is every key of a hub's configuration with its default and what it means.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"brookferry/internal/strict"
+	"martenbeam/internal/strict"
 )
 
 // MaxSettings bounds a text of settings, in bytes.
--- a/internal/fleet/distance/distance_test.go
+++ b/internal/fleet/distance/distance_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/member"
 )
 
 // field is a fleet of probers in memory: ways between sites are what the test says.
--- a/internal/fleet/distance/matrix.go
+++ b/internal/fleet/distance/matrix.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/member"
 )
 
 // Estimate is what the fleet knows of a pair of sites.
--- a/internal/fleet/distance/prober.go
+++ b/internal/fleet/distance/prober.go
@@ -17,8 +17,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/member"
 )
 
 const (
--- a/internal/fleet/distance/row.go
+++ b/internal/fleet/distance/row.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet/fact"
 )
 
 // Row is what a matrix says of a site, as the body that an observer there would tell, and the age of the oldest word that it
--- a/internal/fleet/fact/trace.go
+++ b/internal/fleet/fact/trace.go
@@ -5,7 +5,7 @@
 	"io"
 	"sync"
 
-	"brookferry/internal/systime"
+	"martenbeam/internal/systime"
 )
 
 // Trace writes a line for each fact used or told, and what else is to be checked from outside, with the time since the machine's start.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,13 +23,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/distance"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/incarnation"
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/fleet/start"
-	"brookferry/internal/fleet/texts"
-	"brookferry/internal/residency"
+	"martenbeam/internal/fleet/distance"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/incarnation"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/start"
+	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/residency"
 )
 
 // Config is a process's place in its fleet.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/fleet/source"
-	"brookferry/internal/residency"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/source"
+	"martenbeam/internal/residency"
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
--- a/internal/fleet/hub/admit.go
+++ b/internal/fleet/hub/admit.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/hub/frame"
 )
 
 const (
--- a/internal/fleet/hub/behind.go
+++ b/internal/fleet/hub/behind.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/texts"
 )
 
 const (
--- a/internal/fleet/hub/hub_test.go
+++ b/internal/fleet/hub/hub_test.go
@@ -16,10 +16,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/texts"
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
--- a/internal/fleet/hub/names.go
+++ b/internal/fleet/hub/names.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/member"
 )
 
 const (
--- a/internal/fleet/hub/parts_test.go
+++ b/internal/fleet/hub/parts_test.go
@@ -15,10 +15,10 @@
 	"testing/synctest"
 	"time"
 
-	"brookferry/internal/fleet/distance"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/distance"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/member"
 )
 
 // world is hubs and agents on told time: real servers and stores, and ways between them that can be cut.
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"brookferry/internal/fleet/distance"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/fleet/distance"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/texts"
 )
 
 // Fleet is the hubs' own, as far as a hub needs it.
--- a/internal/fleet/hub/stream.go
+++ b/internal/fleet/hub/stream.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/start"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/start"
 )
 
 const (
--- a/internal/fleet/hub/sum.go
+++ b/internal/fleet/hub/sum.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/start"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/start"
 )
 
 const (
--- a/internal/fleet/hub/tell.go
+++ b/internal/fleet/hub/tell.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"time"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub/frame"
 )
 
 // firstSeq sets what agents are told apart from what hubs tell each other of the same subjects.
--- a/internal/fleet/hubs.go
+++ b/internal/fleet/hubs.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"brookferry/internal/fleet/distance"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/distance"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/member"
 )
 
 // What a hub needs of the fleet that it is in; see hub.Fleet.
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"sync"
 
-	"brookferry/internal/systime"
-	"brookferry/internal/versioned"
+	"martenbeam/internal/systime"
+	"martenbeam/internal/versioned"
 )
 
 // Folder is where numbers are kept: the first of some folders that is given, else one beside the system's temporary files,
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/systime"
-	"brookferry/internal/versioned"
+	"martenbeam/internal/systime"
+	"martenbeam/internal/versioned"
 )
 
 // Each number is above the one before, whatever the clock shows; what was kept and can't be read, or a folder that can't be
--- a/internal/fleet/known.go
+++ b/internal/fleet/known.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/member"
 )
 
 // Members are those that are there, this one included, by name.
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/texts"
-	"brookferry/internal/residency"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/residency"
 )
 
 const (
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/fleet/source"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/source"
 )
 
 const (
--- a/internal/fleet/spoke/act.go
+++ b/internal/fleet/spoke/act.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"brookferry/internal/fleet/distance"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
+	"martenbeam/internal/fleet/distance"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub"
 )
 
 const (
--- a/internal/fleet/spoke/choice.go
+++ b/internal/fleet/spoke/choice.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/member"
 )
 
 // Hub is one that an agent may attach to.
--- a/internal/fleet/spoke/flat.go
+++ b/internal/fleet/spoke/flat.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
 )
 
 const (
--- a/internal/fleet/spoke/hard_test.go
+++ b/internal/fleet/spoke/hard_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/texts"
-	"brookferry/internal/residency"
-	"brookferry/internal/settings"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
 )
 
 // hollow is an agent that is nothing but its place in the fleet.
--- a/internal/fleet/spoke/hardhub_test.go
+++ b/internal/fleet/spoke/hardhub_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/residency"
-	"brookferry/internal/settings"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
 )
 
 // TestMain lets the test binary stand in for a hub's process.
--- a/internal/fleet/spoke/hardwatch_test.go
+++ b/internal/fleet/spoke/hardwatch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet/fact"
 )
 
 const (
--- a/internal/fleet/spoke/hub_test.go
+++ b/internal/fleet/spoke/hub_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/hub"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/hub"
 )
 
 // realHub runs a hub as it is, and returns its address and what ends it.
--- a/internal/fleet/spoke/lists.go
+++ b/internal/fleet/spoke/lists.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"brookferry/internal/fleet/source"
+	"martenbeam/internal/fleet/source"
 )
 
 const (
--- a/internal/fleet/spoke/spoke.go
+++ b/internal/fleet/spoke/spoke.go
@@ -16,14 +16,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/fleet/incarnation"
-	"brookferry/internal/fleet/start"
-	"brookferry/internal/fleet/texts"
-	"brookferry/internal/residency"
-	"brookferry/internal/settings"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/incarnation"
+	"martenbeam/internal/fleet/start"
+	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
 )
 
 // Config is an agent's place in its fleet.
--- a/internal/fleet/spoke/spoke_test.go
+++ b/internal/fleet/spoke/spoke_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/fleet/texts"
-	"brookferry/internal/residency"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/residency"
 )
 
 // run runs a task, and returns what ends it and waits for that.
--- a/internal/fleet/spoke/standin_test.go
+++ b/internal/fleet/spoke/standin_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/texts"
 )
 
 const (
--- a/internal/fleet/spoke/stream.go
+++ b/internal/fleet/spoke/stream.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub/frame"
 )
 
 const (
--- a/internal/fleet/spoke/texts.go
+++ b/internal/fleet/spoke/texts.go
@@ -6,12 +6,12 @@
 	"strings"
 	"time"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/texts"
-	"brookferry/internal/residency"
-	"brookferry/internal/settings"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
 )
 
 // All agents of a hub hear of a new text at once, and ask for it within this time.
--- a/internal/fleet/start/pacer.go
+++ b/internal/fleet/start/pacer.go
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet/fact"
 )
 
 const (
--- a/internal/fleet/start/pacer_test.go
+++ b/internal/fleet/start/pacer_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet/fact"
 )
 
 // service is a list service of fixed capacity: calls wait in turn, and fail when they would wait too long.
--- a/internal/fleet/start/sum.go
+++ b/internal/fleet/start/sum.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet/fact"
 )
 
 // Subject is what those who called the list service tell of.
--- a/internal/fleet/texts/texts.go
+++ b/internal/fleet/texts/texts.go
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/fact"
+	"martenbeam/internal/fleet/fact"
 )
 
 const (
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -10,14 +10,14 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/config"
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/fleet/incarnation"
-	"brookferry/internal/residency"
-	"brookferry/internal/settings"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/config"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/incarnation"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
 )
 
 const connectWithin = 250 * time.Millisecond // to the list service
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/config"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/config"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/texts"
 )
 
 const patience = 30 * time.Second
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -15,11 +15,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/rng"
-	"brookferry/internal/lab/world"
-	"brookferry/internal/tcpinfo"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/rng"
+	"martenbeam/internal/lab/world"
+	"martenbeam/internal/tcpinfo"
 )
 
 // host is a backend: its machine, and a listener for each agent.
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/rng"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/rng"
 )
 
 // play is one client's request: all its tries together.
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"brookferry/internal/lab/rng"
+	"martenbeam/internal/lab/rng"
 )
 
 // Measure is one figure of a report by which versions are compared.
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/scenario"
 )
 
 // members is a list of backends as discovery writes it.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/lab/world"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/lab/world"
 )
 
 // schedule puts the scenario's faults on the agenda. The lock is held.
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab/link"
+	"martenbeam/internal/lab/link"
 )
 
 // fleetPort is where agents and hubs hear their fleet, and where the lab hears for them.
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"brookferry/internal/lab/link"
+	"martenbeam/internal/lab/link"
 )
 
 // hub is one hub's process.
--- a/internal/lab/hubs_test.go
+++ b/internal/lab/hubs_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab/scenario"
 )
 
 // Real agents that hold to real hubs keep every rule while a hub is killed, cut off or stopped for longer than it may be
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -22,11 +22,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/rng"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/systime"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/rng"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/systime"
 )
 
 // Options say what to play.
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,9 +19,9 @@
 
 	"go.uber.org/goleak"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/lab/world"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/lab/world"
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
@@ -501,16 +501,16 @@
 
 // The platform's agent has nothing of the lab in it.
 func TestPlatformAgentHasNoLab(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "brookferry/cmd/vetchhaven").Output()
+	out, err := exec.Command("go", "list", "-deps", "martenbeam/cmd/vetchhaven").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range strings.Fields(string(out)) {
-		if strings.HasPrefix(p, "brookferry/internal/lab") || strings.Contains(p, "/kong") || strings.Contains(p, "hdrhistogram") {
+		if strings.HasPrefix(p, "martenbeam/internal/lab") || strings.Contains(p, "/kong") || strings.Contains(p, "hdrhistogram") {
 			t.Errorf("it is linked with %s", p)
 		}
 	}
-	if !strings.Contains(string(out), "brookferry/internal/agent") {
+	if !strings.Contains(string(out), "martenbeam/internal/agent") {
 		t.Error("it is not linked with the agent")
 	}
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"brookferry/internal/lab/rng"
+	"martenbeam/internal/lab/rng"
 )
 
 // Role is a kind of party.
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab/rng"
+	"martenbeam/internal/lab/rng"
 )
 
 var a, b, c = Party{Agent, 0}, Party{Agent, 1}, Party{Backend, 0}
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -19,8 +19,8 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab/inject"
-	"brookferry/internal/lab/rng"
+	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/rng"
 )
 
 // process is one process that the lab runs: an agent's or a hub's.
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"brookferry/internal/lab/link"
+	"martenbeam/internal/lab/link"
 )
 
 const mostDatagram = 2048
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/world"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/world"
 )
 
 // Schema is the version of Report's form.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"brookferry/internal/lab/link"
-	"brookferry/internal/strict"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/strict"
 )
 
 // Scenario is one day in the lab.
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/rng"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/lab/world"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/rng"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/lab/world"
 )
 
 // class is a class of requests. Its times are those of a day on which work is not scaled.
--- a/internal/lab/settled.go
+++ b/internal/lab/settled.go
@@ -14,8 +14,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/scenario"
 )
 
 // Settings of all agents are judged from outside: each agent and each hub logs a line when a version is in force there, and
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -12,10 +12,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/residency"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/residency"
 )
 
 // What agents of a fleet share is judged from outside: each writes a line for every fact that it saw or used and for
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"brookferry/internal/lab/check"
+	"martenbeam/internal/lab/check"
 )
 
 // policy is a residency policy in a test scenario: all are bound, at first to two zones, later to one of them.
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -8,10 +8,10 @@
 	"os"
 	"time"
 
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/link"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/lab/world"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/lab/world"
 )
 
 // What goes towards backends that cannot be reached. Over a connection that stands an attempt is read, and waits in
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab/inject"
-	"brookferry/internal/lab/scenario"
+	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/scenario"
 )
 
 // signalEvery is how far apart signals in series are.
--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/lab"
-	"brookferry/internal/lab/inject"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/strict"
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/strict"
 )
 
 // A process that starts after its machine's clock was set back is the later one of its name all the same: the others take what
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -9,10 +9,10 @@
 	"syscall"
 	"time"
 
-	"brookferry/internal/lab/inject"
-	"brookferry/internal/lab/rng"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/strict"
+	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/rng"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/strict"
 )
 
 const (
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -9,8 +9,8 @@
 	"sync"
 	"testing"
 
-	"brookferry/internal/lab"
-	"brookferry/internal/lab/inject"
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/inject"
 )
 
 var (
--- a/internal/lab/standin_test.go
+++ b/internal/lab/standin_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	product "brookferry/internal/agent"
-	"brookferry/internal/membership"
-	"brookferry/internal/systime"
+	product "martenbeam/internal/agent"
+	"martenbeam/internal/membership"
+	"martenbeam/internal/systime"
 )
 
 // TestMain lets the test binary stand in for an agent's program: the real agent, or one that is broken in a
--- a/internal/lab/standinhub_test.go
+++ b/internal/lab/standinhub_test.go
@@ -19,8 +19,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"brookferry/internal/config"
-	"brookferry/internal/hubd"
+	"martenbeam/internal/config"
+	"martenbeam/internal/hubd"
 )
 
 // realHub is a hub as its command runs it.
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"brookferry/internal/agent"
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/spoke"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/spoke"
 )
 
 // hubbed is an agent's place in a fleet with hubs, by zone. Its flat place, if it knows any others, is the one to go back to.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,16 +11,16 @@
 	"sync"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent"
-	"brookferry/internal/config"
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/incarnation"
-	"brookferry/internal/fleet/source"
-	"brookferry/internal/fleet/spoke"
-	"brookferry/internal/residency"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/config"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/incarnation"
+	"martenbeam/internal/fleet/source"
+	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/residency/gate"
 )
 
 // Shares reads what an agent shares with its fleet out of its configuration.
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -7,9 +7,9 @@
 
 	"github.com/BurntSushi/toml"
 
-	"brookferry/internal/agent"
-	"brookferry/internal/config"
-	"brookferry/internal/settings"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/config"
+	"martenbeam/internal/settings"
 )
 
 // File is an agent that a file configures. Where there are hubs their settings are laid over it: from the start those that
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -7,10 +7,10 @@
 	"path/filepath"
 	"testing"
 
-	"brookferry"
-	"brookferry/internal/agent"
-	"brookferry/internal/config"
-	"brookferry/internal/settings"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/config"
+	"martenbeam/internal/settings"
 )
 
 const file = `discovery = "127.0.0.1:1"
--- a/internal/residency/file.go
+++ b/internal/residency/file.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"os"
 
-	"brookferry/internal/versioned"
+	"martenbeam/internal/versioned"
 )
 
 // ReadFile reads a policy's file, and its text.
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/residency/gate"
+	"martenbeam/internal/residency/gate"
 )
 
 // Holder keeps the policy that is in force at one agent, and answers for it. Its methods may be called from any task.
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -10,8 +10,8 @@
 	"maps"
 	"slices"
 
-	"brookferry/internal/strict"
-	"brookferry/internal/versioned"
+	"martenbeam/internal/strict"
+	"martenbeam/internal/versioned"
 )
 
 // Bounds of a policy.
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"brookferry/internal/residency/gate"
+	"martenbeam/internal/residency/gate"
 )
 
 var zones = []string{"riga-a", "riga-b", "liepaja", "nowhere"}
--- a/internal/scale/callway/lists.go
+++ b/internal/scale/callway/lists.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/agent/discovery"
+	"martenbeam/internal/agent/discovery"
 )
 
 // Lists is a list service: the whole list first, then each change, and an empty line while there is none.
--- a/internal/scale/callway/process.go
+++ b/internal/scale/callway/process.go
@@ -51,7 +51,7 @@
 // Build builds the program into a folder and returns the command that starts an agent.
 func Build(dir string) ([]string, error) {
 	program := filepath.Join(dir, "martenbeam")
-	cmd := exec.Command("go", "build", "-buildvcs=false", "-o", program, "brookferry/cmd/martenbeam")
+	cmd := exec.Command("go", "build", "-buildvcs=false", "-o", program, "martenbeam/cmd/martenbeam")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("%w: %s", err, out)
 	}
--- a/internal/scale/callway/traced.go
+++ b/internal/scale/callway/traced.go
@@ -10,9 +10,9 @@
 	"runtime/trace"
 	"time"
 
-	"brookferry/internal/agent"
-	"brookferry/internal/config"
-	"brookferry/internal/membership"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/config"
+	"martenbeam/internal/membership"
 )
 
 // tracedEnv names the folder in which a program that ends up in ServeTraced leaves what it recorded.
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/scale/hollow"
 )
 
 // changeWithin is how long a change is waited for.
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/scale/hollow"
 )
 
 // zones are seven in two regions, the first four in the first.
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -13,13 +13,13 @@
 	"sync/atomic"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/fleet/source"
-	"brookferry/internal/fleet/spoke"
-	"brookferry/internal/residency"
+	brookferry "martenbeam"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/source"
+	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/residency"
 )
 
 // Mode is how the agents of a fleet are joined.
--- a/internal/scale/hollow/hubs.go
+++ b/internal/scale/hollow/hubs.go
@@ -6,9 +6,9 @@
 	"net"
 	"strings"
 
-	"brookferry/internal/fleet"
-	"brookferry/internal/fleet/spoke"
-	"brookferry/internal/settings"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/settings"
 )
 
 // attach has the agent have a hub.
--- a/internal/scale/hollow/wire.go
+++ b/internal/scale/hollow/wire.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/member"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/member"
 )
 
 // Part is what bytes between agents are about.
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet/spoke"
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/scale/hollow"
 )
 
 // built is the program, built once for all tests.
@@ -29,7 +29,7 @@
 
 var build = sync.OnceValues(func() (string, error) {
 	program := filepath.Join(scratch, "martenbeam")
-	if text, err := exec.Command("go", "build", "-o", program, "brookferry/cmd/martenbeam").CombinedOutput(); err != nil {
+	if text, err := exec.Command("go", "build", "-o", program, "martenbeam/cmd/martenbeam").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, text)
 	}
 	return program, nil
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/google/pprof/profile"
 
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/scale/hollow"
 )
 
 // processor is the time that this process has used.
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/scale/hollow"
 )
 
 func realTable(t *testing.T) {
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/scale/hollow"
 )
 
 // rolled is how many agents are restarted one after another, and pace how far apart.
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"brookferry/internal/scale/hollow"
+	"martenbeam/internal/scale/hollow"
 )
 
 var (
@@ -360,7 +360,7 @@
 
 // A stack is attributed to what asked for the work, not to who does it in the end.
 func TestPartOf(t *testing.T) {
-	const p = "brookferry/internal/"
+	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
 		"facts":     {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/fact.Encode", p + "fleet/fact.(*Store).Gossip", "github.com/hashicorp/memberlist.(*Memberlist).gossip"},
 		"distances": {"runtime.mallocgc", p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).measure", p + "fleet.(*Fleet).tick"},
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"brookferry/internal/config"
+	"martenbeam/internal/config"
 )
 
 // Agent is what settings mean to an agent: they are laid over its own file. Its Check and Apply are a holder's. Of all keys
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -4,7 +4,7 @@
 	"context"
 	"log/slog"
 
-	"brookferry/internal/versioned"
+	"martenbeam/internal/versioned"
 )
 
 const keptName = "settings.json"
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"brookferry/internal/config"
-	"brookferry/internal/versioned"
+	"martenbeam/internal/config"
+	"martenbeam/internal/versioned"
 )
 
 // Settings are one text, as read.
--- a/internal/settings/kind.go
+++ b/internal/settings/kind.go
@@ -1,8 +1,8 @@
 package settings
 
 import (
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/texts"
 )
 
 // Kind is the settings of a holder, as a text that goes round a fleet.
--- a/internal/systime/systime_test.go
+++ b/internal/systime/systime_test.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		if !imports(file, "time") && !imports(file, "brookferry/internal/systime") {
+		if !imports(file, "time") && !imports(file, "martenbeam/internal/systime") {
 			return nil
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // facts mirrors the settings object of the wire, in the wire's own names.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // Open tells that an instance starts with no state.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 const ms = time.Millisecond
--- a/near_test.go
+++ b/near_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // Where crossing has a price an agent stays near as long as that is no slower: in its zone, then in its region.
--- a/operations_test.go
+++ b/operations_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // call makes an operator's call and returns whether it was taken.
--- a/order_test.go
+++ b/order_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // auditor checks the four rules from events and actions alone. It models no
--- a/rare_test.go
+++ b/rare_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/residency/gate"
 )
 
 // The other customer's calm day: backends that hold as many connections as they may turn new ones away. That says nothing of
--- a/residency_test.go
+++ b/residency_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"brookferry"
-	"brookferry/internal/residency/gate"
+	brookferry "martenbeam"
+	"martenbeam/internal/residency/gate"
 )
 
 // No action of the module sends a request where the table in force does not permit it: first attempts, repeats, second
--- a/state.go
+++ b/state.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"brookferry/internal/residency/gate"
+	"martenbeam/internal/residency/gate"
 )
 
 // The records that the module keeps, and helpers that count. Nothing is decided here.
--- a/zones_test.go
+++ b/zones_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"brookferry"
+	brookferry "martenbeam"
 )
 
 // The same cases every time; -rapid.seed=0 draws others.
