--- a/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package brookferry decides, for one client process, where each
+// Package balancer decides, for one client process, where each
 // request goes, when it is tried again, and when it is
 // refused. It performs no I/O: the embedding agent owns the clock, the timers
 // and the connections, passes on what happened as events, and carries out the
@@ -8,7 +8,7 @@
 // own monotonic clock, whose zero is of no matter; they must not run backwards.
 // Its memory is bounded by the requests and attempts that are open, the timers
 // that are pending and the backends that are listed or have attempts out.
-package brookferry
+package balancer
 
 import (
 	"time"
--- a/attempts.go
+++ b/balancer/attempts.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // The records of requests and their attempts. Nothing is decided here.
 
--- a/brookferry.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // This is the decision module: every choice an agent makes on requests is in the files that `policy` of the
 // deploy file names. Reading order: here, where events come in (Step) and where attempts start and requests end,
--- a/brookferry_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 const ms = time.Millisecond
@@ -24,15 +24,15 @@
 	keyedCell
 )
 
-func settings() brookferry.Settings {
-	class := func(e brookferry.Effect, g brookferry.Group) brookferry.Class {
-		return brookferry.Class{Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: e, Group: g, Window: 300 * ms}
+func settings() balancer.Settings {
+	class := func(e balancer.Effect, g balancer.Group) balancer.Class {
+		return balancer.Class{Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: e, Group: g, Window: 300 * ms}
 	}
-	return brookferry.Settings{
+	return balancer.Settings{
 		Balancers: 1, MaxAttempts: 4, Tick: 5 * ms,
-		Classes: []brookferry.Class{
-			class(brookferry.Safe, 0), class(brookferry.Unsafe, 0), class(brookferry.Keyed, brookferry.GroupAll),
-			class(brookferry.Keyed, brookferry.GroupZone), class(brookferry.Keyed, brookferry.GroupCell),
+		Classes: []balancer.Class{
+			class(balancer.Safe, 0), class(balancer.Unsafe, 0), class(balancer.Keyed, balancer.GroupAll),
+			class(balancer.Keyed, balancer.GroupZone), class(balancer.Keyed, balancer.GroupCell),
 		},
 		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, ColdShare: 0.2, RampTime: 10 * time.Second,
 		FallMultiple: 2.5, FallWindow: time.Second, AskWithin: 10 * time.Second,
@@ -41,10 +41,10 @@
 }
 
 // backends makes n backends named a, b, c ...; two per zone and cell.
-func backends(n int) []brookferry.Backend {
-	var list []brookferry.Backend
+func backends(n int) []balancer.Backend {
+	var list []balancer.Backend
 	for i := range n {
-		list = append(list, brookferry.Backend{ID: string(rune('a' + i)), Zone: i / 2, Cell: i / 2})
+		list = append(list, balancer.Backend{ID: string(rune('a' + i)), Zone: i / 2, Cell: i / 2})
 	}
 	return list
 }
@@ -52,27 +52,27 @@
 // rig drives one balancer and keeps what it does.
 type rig struct {
 	t       *testing.T
-	b       *brookferry.Balancer
+	b       *balancer.Balancer
 	now     time.Duration
 	sent    map[string][]string // backends of each request's attempts
-	timers  []brookferry.TimerFired
+	timers  []balancer.TimerFired
 	due     []time.Duration
-	actions []brookferry.Action // of the last step
-	audit   *auditor            // of the rules; may be nil
+	actions []balancer.Action // of the last step
+	audit   *auditor          // of the rules; may be nil
 }
 
-func newRig(t *testing.T, s brookferry.Settings, seed uint64, list []brookferry.Backend) *rig {
+func newRig(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Backend) *rig {
 	t.Helper()
-	b, err := brookferry.New(s, seed)
+	b, err := balancer.New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-	r.step(brookferry.List{Kind: brookferry.ListCached, Backends: list})
+	r.step(balancer.List{Kind: balancer.ListCached, Backends: list})
 	return r
 }
 
-func (r *rig) step(events ...brookferry.Event) []brookferry.Action {
+func (r *rig) step(events ...balancer.Event) []balancer.Action {
 	r.actions = r.b.Step(r.now, events)
 	if r.audit != nil {
 		r.audit.now = r.now
@@ -85,10 +85,10 @@
 			r.audit.action(a)
 		}
 		switch a := a.(type) {
-		case brookferry.Send:
+		case balancer.Send:
 			r.sent[a.Request] = append(r.sent[a.Request], a.Backend)
-		case brookferry.SetTimer:
-			r.timers = append(r.timers, brookferry.TimerFired{Token: a.Token})
+		case balancer.SetTimer:
+			r.timers = append(r.timers, balancer.TimerFired{Token: a.Token})
 			r.due = append(r.due, r.now+a.After)
 		}
 	}
@@ -96,8 +96,8 @@
 }
 
 // advance moves the clock and fires the timers on the way; it returns all actions.
-func (r *rig) advance(d time.Duration) []brookferry.Action {
-	var all []brookferry.Action
+func (r *rig) advance(d time.Duration) []balancer.Action {
+	var all []balancer.Action
 	end := r.now + d
 	for {
 		next := -1
@@ -119,19 +119,19 @@
 	return all
 }
 
-func (r *rig) request(id string, class int) []brookferry.Action {
-	return r.step(brookferry.Request{ID: id, Class: class, Left: 2000 * ms})
+func (r *rig) request(id string, class int) []balancer.Action {
+	return r.step(balancer.Request{ID: id, Class: class, Left: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
-func (r *rig) outcome(id string, res brookferry.Result, latency time.Duration) []brookferry.Action {
+func (r *rig) outcome(id string, res balancer.Result, latency time.Duration) []balancer.Action {
 	r.t.Helper()
 	n := len(r.sent[id]) - 1
 	if n < 0 {
 		r.t.Fatalf("%s: nothing was sent", id)
 	}
-	return r.step(brookferry.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
-		Latency: latency, Done: res == brookferry.OK})
+	return r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
+		Latency: latency, Done: res == balancer.OK})
 }
 
 // serve sends n requests one after the other and answers each at once.
@@ -142,22 +142,22 @@
 		id := fmt.Sprintf("serve-%d", len(r.sent))
 		r.request(id, class)
 		r.now += latency
-		r.outcome(id, brookferry.OK, latency)
+		r.outcome(id, balancer.OK, latency)
 		counts[r.sent[id][0]]++
 	}
 	return counts
 }
 
 // final names the final answer for a request among the actions, or "".
-func final(id string, actions []brookferry.Action) string {
+func final(id string, actions []balancer.Action) string {
 	found := ""
 	for _, a := range actions {
 		switch a := a.(type) {
-		case brookferry.Refuse:
+		case balancer.Refuse:
 			if a.Request == id {
 				found += "refuse"
 			}
-		case brookferry.Fail:
+		case balancer.Fail:
 			if a.Request == id {
 				found += "fail"
 			}
@@ -169,26 +169,26 @@
 func TestNewRejectsSettings(t *testing.T) {
 	tests := []struct {
 		name string
-		edit func(*brookferry.Settings)
+		edit func(*balancer.Settings)
 		want string
 	}{
-		{"no classes", func(s *brookferry.Settings) { s.Classes = nil }, "Classes: none"},
-		{"no balancers", func(s *brookferry.Settings) { s.Balancers = 0 }, "Balancers: 0"},
-		{"own number outside the count", func(s *brookferry.Settings) { s.Self = 1 }, "Self: 1"},
-		{"negative number", func(s *brookferry.Settings) { s.Self = -1 }, "Self: -1"},
-		{"attempt limit below zero", func(s *brookferry.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
-		{"drain grace below zero", func(s *brookferry.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
-		{"cold share above one", func(s *brookferry.Settings) { s.ColdShare = 1.5 }, "ColdShare: 1.5"},
-		{"unknown effect", func(s *brookferry.Settings) { s.Classes[2].Effect = 9 }, "Classes[2].Effect: 9"},
-		{"unknown group", func(s *brookferry.Settings) { s.Classes[1].Group = 7 }, "Classes[1].Group: 7"},
-		{"no aim", func(s *brookferry.Settings) { s.Classes[0].Aim = 0 }, "Classes[0].Aim: 0s"},
-		{"window below zero", func(s *brookferry.Settings) { s.Classes[3].Window = -ms }, "Classes[3].Window: -1ms"},
+		{"no classes", func(s *balancer.Settings) { s.Classes = nil }, "Classes: none"},
+		{"no balancers", func(s *balancer.Settings) { s.Balancers = 0 }, "Balancers: 0"},
+		{"own number outside the count", func(s *balancer.Settings) { s.Self = 1 }, "Self: 1"},
+		{"negative number", func(s *balancer.Settings) { s.Self = -1 }, "Self: -1"},
+		{"attempt limit below zero", func(s *balancer.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
+		{"drain grace below zero", func(s *balancer.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
+		{"cold share above one", func(s *balancer.Settings) { s.ColdShare = 1.5 }, "ColdShare: 1.5"},
+		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Effect = 9 }, "Classes[2].Effect: 9"},
+		{"unknown group", func(s *balancer.Settings) { s.Classes[1].Group = 7 }, "Classes[1].Group: 7"},
+		{"no aim", func(s *balancer.Settings) { s.Classes[0].Aim = 0 }, "Classes[0].Aim: 0s"},
+		{"window below zero", func(s *balancer.Settings) { s.Classes[3].Window = -ms }, "Classes[3].Window: -1ms"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
 			tt.edit(&s)
-			if _, err := brookferry.New(s, 1); err == nil || !strings.Contains(err.Error(), tt.want) {
+			if _, err := balancer.New(s, 1); err == nil || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("error %v, want one with %q", err, tt.want)
 			}
 		})
@@ -200,28 +200,28 @@
 	const retry = "retry"
 	tests := []struct {
 		class  int
-		result brookferry.Result
+		result balancer.Result
 		want   string
 	}{
-		{safe, brookferry.Errored, retry},
-		{safe, brookferry.TimedOut, retry},
-		{safe, brookferry.Reset, retry},
-		{safe, brookferry.Full, retry},
-		{safe, brookferry.ConnectFailed, retry},
-		{safe, brookferry.NotSent, "refuse"},
-		{unsafe, brookferry.Errored, "fail"},
-		{unsafe, brookferry.TimedOut, "fail"},
-		{unsafe, brookferry.Reset, "fail"},
-		{unsafe, brookferry.Cancelled, "fail"},
-		{unsafe, brookferry.Full, retry},
-		{unsafe, brookferry.ConnectFailed, retry},
-		{unsafe, brookferry.NotSent, "refuse"},
-		{keyedAll, brookferry.Errored, retry},
-		{keyedAll, brookferry.Full, retry},
-		{keyedZone, brookferry.Errored, retry},
-		{keyedZone, brookferry.ConnectFailed, retry},
-		{keyedCell, brookferry.TimedOut, retry},
-		{keyedCell, brookferry.Reset, retry},
+		{safe, balancer.Errored, retry},
+		{safe, balancer.TimedOut, retry},
+		{safe, balancer.Reset, retry},
+		{safe, balancer.Full, retry},
+		{safe, balancer.ConnectFailed, retry},
+		{safe, balancer.NotSent, "refuse"},
+		{unsafe, balancer.Errored, "fail"},
+		{unsafe, balancer.TimedOut, "fail"},
+		{unsafe, balancer.Reset, "fail"},
+		{unsafe, balancer.Cancelled, "fail"},
+		{unsafe, balancer.Full, retry},
+		{unsafe, balancer.ConnectFailed, retry},
+		{unsafe, balancer.NotSent, "refuse"},
+		{keyedAll, balancer.Errored, retry},
+		{keyedAll, balancer.Full, retry},
+		{keyedZone, balancer.Errored, retry},
+		{keyedZone, balancer.ConnectFailed, retry},
+		{keyedCell, balancer.TimedOut, retry},
+		{keyedCell, balancer.Reset, retry},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("class %d result %d", tt.class, tt.result), func(t *testing.T) {
@@ -264,7 +264,7 @@
 			r := newRig(t, settings(), seed, backends(6))
 			r.request("q", class)
 			r.now += 5 * ms
-			r.outcome("q", brookferry.Errored, 5*ms)
+			r.outcome("q", balancer.Errored, 5*ms)
 			r.advance(200 * ms)
 			if s := r.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
 				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
@@ -275,7 +275,7 @@
 		r := newRig(t, settings(), 1, backends(6))
 		r.request("q", keyedAll)
 		r.now += 300 * ms
-		acts := r.outcome("q", brookferry.Errored, 300*ms)
+		acts := r.outcome("q", balancer.Errored, 300*ms)
 		if final("q", acts) != "fail" {
 			t.Errorf("after the window: %v, want a failure", acts)
 		}
@@ -284,7 +284,7 @@
 		r := newRig(t, settings(), 1, backends(6))
 		r.request("q", keyedZone)
 		r.now += 400 * ms
-		r.outcome("q", brookferry.ConnectFailed, 400*ms)
+		r.outcome("q", balancer.ConnectFailed, 400*ms)
 		r.advance(200 * ms)
 		if len(r.sent["q"]) != 2 {
 			t.Errorf("attempts %v: one that never ran should not bind the request", r.sent["q"])
@@ -297,13 +297,13 @@
 	s.MaxAttempts = 3
 	r := newRig(t, s, 3, backends(6))
 	r.request("q", safe)
-	var all []brookferry.Action
+	var all []balancer.Action
 	for range 6 {
 		if final("q", all) != "" {
 			break
 		}
 		r.now += ms
-		all = append(all, r.outcome("q", brookferry.Errored, ms)...)
+		all = append(all, r.outcome("q", balancer.Errored, ms)...)
 		all = append(all, r.advance(150*ms)...)
 	}
 	if len(r.sent["q"]) != 3 || final("q", all) != "fail" {
@@ -318,7 +318,7 @@
 	s.MaxAttempts = 2
 	// spend fails n requests and returns how many were retried. The retry is
 	// served, unless it must not refill the bucket.
-	spend := func(r *rig, n int, res brookferry.Result) (retried int) {
+	spend := func(r *rig, n int, res balancer.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(r.sent))
 			r.request(id, safe)
@@ -331,7 +331,7 @@
 			if len(r.sent[id]) == 2 {
 				retried++
 				r.now += ms
-				r.outcome(id, brookferry.Errored, ms)
+				r.outcome(id, balancer.Errored, ms)
 			}
 			r.advance(30 * time.Second) // lets ejections pass
 		}
@@ -339,16 +339,16 @@
 	}
 	tests := []struct {
 		name  string
-		res   brookferry.Result
+		res   balancer.Result
 		serve int // between emptying and trying again
 		first int
 		then  int
 	}{
-		{"errors cost 5", brookferry.Errored, 4, 20, 0},
-		{"five served bring one back", brookferry.Errored, 5, 20, 1},
-		{"time-outs cost 10", brookferry.TimedOut, 9, 10, 0},
-		{"ten served bring one back after a time-out", brookferry.TimedOut, 10, 10, 1},
-		{"the cap holds", brookferry.Errored, 500, 20, 20},
+		{"errors cost 5", balancer.Errored, 4, 20, 0},
+		{"five served bring one back", balancer.Errored, 5, 20, 1},
+		{"time-outs cost 10", balancer.TimedOut, 9, 10, 0},
+		{"ten served bring one back after a time-out", balancer.TimedOut, 10, 10, 1},
+		{"the cap holds", balancer.Errored, 500, 20, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -377,7 +377,7 @@
 		r := newRig(t, s, seed, backends(8))
 		r.request("q", safe)
 		for n := range 6 {
-			r.outcome("q", brookferry.Full, 0)
+			r.outcome("q", balancer.Full, 0)
 			failed := r.now
 			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
 				r.advance(ms / 4)
@@ -405,7 +405,7 @@
 	r := newRig(t, settings(), 1, backends(4))
 	r.request("q", safe)
 	r.now += 2000 * ms
-	if acts := r.outcome("q", brookferry.TimedOut, 2000*ms); final("q", acts) != "fail" {
+	if acts := r.outcome("q", balancer.TimedOut, 2000*ms); final("q", acts) != "fail" {
 		t.Errorf("at the deadline: %v, want the final answer at once", acts)
 	}
 }
@@ -454,7 +454,7 @@
 		for i := range 8 {
 			r.request(fmt.Sprint("q", i), safe)
 		}
-		r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "new"}}})
+		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "new"}}})
 		rush := 0
 		for i := range 4 {
 			id := fmt.Sprint("n", i)
@@ -491,7 +491,7 @@
 				}
 			}
 			r.now += lat
-			r.outcome(id, brookferry.OK, lat)
+			r.outcome(id, balancer.OK, lat)
 		}
 		if late > 40 {
 			t.Errorf("a backend four times slower still got %d of 300", late)
@@ -506,9 +506,9 @@
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
 		r.request(id, unsafe)
-		res, lat := brookferry.OK, 30*ms
+		res, lat := balancer.OK, 30*ms
 		if r.sent[id][0] == "a" {
-			res, lat = brookferry.Errored, ms
+			res, lat = balancer.Errored, ms
 			bad++
 		}
 		r.now += lat
@@ -534,10 +534,10 @@
 		r.request(id, 0)
 		r.now += 20 * ms
 		if r.sent[id][0] == "a" {
-			r.outcome(id, brookferry.Errored, 20*ms)
+			r.outcome(id, balancer.Errored, 20*ms)
 			break
 		}
-		r.outcome(id, brookferry.OK, 20*ms)
+		r.outcome(id, balancer.OK, 20*ms)
 	}
 	r.advance(5 * time.Second)
 	if counts := r.serve(200, 0, 30*ms); counts["a"] == 0 {
@@ -565,9 +565,9 @@
 			to := r.sent[id][answered[k]]
 			answered[k]++
 			if at[to]++; at[to]%12 == 0 || bad && to == "a" && at[to]%3 > 0 {
-				r.outcome(id, []brookferry.Result{brookferry.Reset, brookferry.ConnectFailed}[at[to]/12%2], ms)
+				r.outcome(id, []balancer.Result{balancer.Reset, balancer.ConnectFailed}[at[to]/12%2], ms)
 			} else {
-				r.outcome(id, brookferry.OK, 40*ms)
+				r.outcome(id, balancer.OK, 40*ms)
 			}
 			if i >= 2000 {
 				counts[to]++
@@ -597,10 +597,10 @@
 			r.request(id, unsafe)
 			r.now += ms
 			if r.sent[id][0] == "a" {
-				r.outcome(id, brookferry.Reset, ms)
+				r.outcome(id, balancer.Reset, ms)
 				n--
 			} else {
-				r.outcome(id, brookferry.OK, 20*ms)
+				r.outcome(id, balancer.OK, 20*ms)
 			}
 		}
 		if got := r.serve(20, unsafe, ms)["a"]; (got == 0) != ejected {
@@ -628,7 +628,7 @@
 			t.Fatalf("request %d was not sent", i)
 		}
 		r.now += ms
-		r.outcome(id, brookferry.Errored, ms)
+		r.outcome(id, balancer.Errored, ms)
 	}
 }
 
@@ -643,7 +643,7 @@
 		id := fmt.Sprint("hang", i)
 		if r.sent[id][0] != "a" {
 			r.now += 10 * ms
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 		}
 	}
 	r.now += 300 * ms
@@ -657,17 +657,17 @@
 }
 
 func TestDrainAndGone(t *testing.T) {
-	for _, state := range []brookferry.BackendState{brookferry.Draining, brookferry.Gone} {
+	for _, state := range []balancer.BackendState{balancer.Draining, balancer.Gone} {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(brookferry.List{Kind: brookferry.ListDelta,
-			Backends: []brookferry.Backend{{ID: "a", State: state}}})
+		r.step(balancer.List{Kind: balancer.ListDelta,
+			Backends: []balancer.Backend{{ID: "a", State: state}}})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("state %d: %d requests went there", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(brookferry.List{Kind: brookferry.ListFull, Backends: backends(3)[1:]})
+		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(3)[1:]})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
 			t.Errorf("%d requests went there", n)
 		}
@@ -678,9 +678,9 @@
 			r.request("q", safe)
 			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
 			r.now += ms
-			r.outcome("q", brookferry.Errored, ms)
-			r.step(brookferry.List{Kind: brookferry.ListDelta,
-				Backends: []brookferry.Backend{{ID: other, State: brookferry.Draining}}})
+			r.outcome("q", balancer.Errored, ms)
+			r.step(balancer.List{Kind: balancer.ListDelta,
+				Backends: []balancer.Backend{{ID: other, State: balancer.Draining}}})
 			r.advance(time.Second)
 			for _, b := range r.sent["q"][1:] {
 				if b == other {
@@ -692,10 +692,10 @@
 	t.Run("back with the same id", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(2))
 		r.serve(50, safe, 20*ms)
-		r.step(brookferry.List{Kind: brookferry.ListDelta,
-			Backends: []brookferry.Backend{{ID: "a", State: brookferry.Gone}}})
-		r.step(brookferry.List{Kind: brookferry.ListDelta,
-			Backends: []brookferry.Backend{{ID: "a", Started: r.now}}})
+		r.step(balancer.List{Kind: balancer.ListDelta,
+			Backends: []balancer.Backend{{ID: "a", State: balancer.Gone}}})
+		r.step(balancer.List{Kind: balancer.ListDelta,
+			Backends: []balancer.Backend{{ID: "a", Started: r.now}}})
 		r.serve(400, safe, 20*ms)
 		r.advance(10 * time.Second)
 		if n := r.serve(200, safe, 20*ms)["a"]; n < 50 {
@@ -738,7 +738,7 @@
 				latency = max(20*ms, time.Duration(float64(20*ms)*float64(10*time.Second)/float64(r.now-time.Hour+2*time.Second)))
 			}
 			r.now += latency
-			r.outcome(id, brookferry.OK, latency)
+			r.outcome(id, balancer.OK, latency)
 		}
 		return got
 	}
@@ -768,7 +768,7 @@
 				latency = cold
 			}
 			r.now += 100 * ms // both plays last as long
-			r.outcome(id, brookferry.OK, latency)
+			r.outcome(id, balancer.OK, latency)
 		}
 		for i := range 100 { // and nothing is answered; a cold one takes up its part by and by
 			r.now += 20 * ms
@@ -798,7 +798,7 @@
 		for i := range 150 {
 			if len(r.sent[id(i)]) > 0 && !answered[id(i)] {
 				answered[id(i)], going = true, true
-				r.outcome(id(i), brookferry.OK, latency)
+				r.outcome(id(i), balancer.OK, latency)
 			}
 		}
 	}
@@ -851,7 +851,7 @@
 			for i := range 6 {
 				list[i].Started = r.now
 			}
-			r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: list})
+			r.step(balancer.List{Kind: balancer.ListDelta, Backends: list})
 			for range n {
 				id := fmt.Sprint("q", len(r.sent))
 				r.request(id, safe)
@@ -860,7 +860,7 @@
 					latency = cold
 				}
 				r.now += 100 * ms
-				r.outcome(id, brookferry.OK, latency)
+				r.outcome(id, balancer.OK, latency)
 			}
 		}
 		serve(before, 40*ms)
@@ -893,8 +893,8 @@
 		if !early[id] {
 			counts[r.sent[id][0]]++
 		}
-		for _, a := range r.outcome(id, brookferry.OK, latency) {
-			if a, ok := a.(brookferry.Send); ok {
+		for _, a := range r.outcome(id, balancer.OK, latency) {
+			if a, ok := a.(balancer.Send); ok {
 				out = append(out, a.Request)
 			}
 		}
@@ -928,7 +928,7 @@
 	}
 	drive(400)
 	list[0].Started = r.now
-	r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: list[:1]})
+	r.step(balancer.List{Kind: balancer.ListDelta, Backends: list[:1]})
 	clear(counts)
 	for _, id := range out {
 		early[id] = true
@@ -953,7 +953,7 @@
 			id := fmt.Sprint("q", i)
 			r.request(id, safe)
 			for _, a := range r.advance(500 * ms) {
-				if a, ok := a.(brookferry.Refuse); ok && a.Request == id {
+				if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 					told[a.RetryAfter] = true
 					if shown != (a.RetryAfter >= 200*ms) || a.RetryAfter > 450*ms {
 						t.Errorf("shown %v: told %v", shown, a.RetryAfter)
@@ -970,7 +970,7 @@
 // Ticket 397: where every backend is cold, as after a power cut, what they serve sets their budgets.
 // By what warm ones served alone they got nothing more once that had faded.
 func TestColdFleetServes(t *testing.T) {
-	var list []brookferry.Backend
+	var list []balancer.Backend
 	for _, n := range backends(5) {
 		n.Started = time.Hour
 		list = append(list, n)
@@ -985,7 +985,7 @@
 		for k := max(0, i-50); k <= i; k++ { // held ones go out later than they came
 			if id := fmt.Sprint("q", k); len(r.sent[id]) == 1 && !answered[k] {
 				answered[k] = true
-				r.outcome(id, brookferry.OK, 20*ms)
+				r.outcome(id, balancer.OK, 20*ms)
 				if i >= 500 {
 					served++
 				}
@@ -1002,15 +1002,15 @@
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(brookferry.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
+		r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
 		r.now += 20 * ms
-		r.outcome(id, brookferry.OK, 20*ms)
+		r.outcome(id, balancer.OK, 20*ms)
 	}
 	for i := range 100 {
 		send(fmt.Sprint("w", i), 20*ms)
 	}
-	r.step(brookferry.List{Kind: brookferry.ListDelta,
-		Backends: []brookferry.Backend{{ID: "cold", Started: r.now}}})
+	r.step(balancer.List{Kind: balancer.ListDelta,
+		Backends: []balancer.Backend{{ID: "cold", Started: r.now}}})
 	got := 0
 	for i := range 100 {
 		send(fmt.Sprint("l", i), 20*ms)
@@ -1030,7 +1030,7 @@
 
 // shareAfter drives a balancer with three backends until a is sent n requests at once, ends these
 // with res and in one tick, and returns how many of 200 requests a gets after a while.
-func shareAfter(t *testing.T, n int, res brookferry.Result) int {
+func shareAfter(t *testing.T, n int, res balancer.Result) int {
 	t.Helper()
 	r := newRig(t, settings(), 3, backends(3))
 	r.serve(60, safe, 20*ms)
@@ -1048,13 +1048,13 @@
 	}
 	for i := range len(r.sent) {
 		if id := fmt.Sprint("d", i); len(r.sent[id]) > 0 && r.sent[id][0] != "a" {
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 		}
 	}
 	r.advance(2 * time.Second)
 	for _, id := range out { // those that were sent again
 		if len(r.sent[id]) > 1 {
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 		}
 	}
 	return r.serve(200, safe, 20*ms)["a"]
@@ -1064,8 +1064,8 @@
 // connections, or breaks all that is out there at once.
 func TestRevivalIsCold(t *testing.T) {
 	for name, seen := range map[string]int{
-		"refused":        shareAfter(t, 1, brookferry.ConnectFailed),
-		"all broke once": shareAfter(t, 3, brookferry.Reset),
+		"refused":        shareAfter(t, 1, balancer.ConnectFailed),
+		"all broke once": shareAfter(t, 3, balancer.Reset),
 	} {
 		if seen == 0 || seen > 35 {
 			t.Errorf("%s: after its return it got %d of 200, want a cold backend's share", name, seen)
@@ -1076,7 +1076,7 @@
 // Ticket 397: one attempt that breaks, or whose answer can't be read, is no sign of a restart.
 // Backends taken for cold, one after the other, left no capacity within seconds.
 func TestOneBrokenAnswerIsNoRestart(t *testing.T) {
-	if seen := shareAfter(t, 1, brookferry.Reset); seen < 45 {
+	if seen := shareAfter(t, 1, balancer.Reset); seen < 45 {
 		t.Errorf("after one broken answer it got %d of 200, want about a third", seen)
 	}
 }
@@ -1095,7 +1095,7 @@
 		r := newRig(t, settings(), 1, nil)
 		r.request("q", safe)
 		r.now += 50 * ms
-		r.step(brookferry.List{Kind: brookferry.ListFull, Backends: backends(2)})
+		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
 		if len(r.sent["q"]) != 1 {
 			t.Error("the waiting request was not sent")
 		}
@@ -1112,10 +1112,10 @@
 		id := fmt.Sprint("s", i)
 		r.request(id, safe)
 		r.now += 350 * ms
-		r.outcome(id, brookferry.OK, 350*ms)
+		r.outcome(id, balancer.OK, 350*ms)
 	}
 	out := 0
-	var all []brookferry.Action
+	var all []balancer.Action
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
 		all = append(all, r.request(id, safe)...)
@@ -1124,7 +1124,7 @@
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := r.step(brookferry.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
+	repeat := r.step(balancer.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
 	if final("again", repeat) != "refuse" {
 		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
 	}
@@ -1158,7 +1158,7 @@
 // Incident ia38185: the limit follows the list down.
 func TestLimitFollowsTheList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
-	r.step(brookferry.List{Kind: brookferry.ListFull, Backends: backends(2)})
+	r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
@@ -1182,9 +1182,9 @@
 		r.now += ms
 		if b := r.sent[id][0]; b < "g" { // a to f
 			dead[b] = true
-			r.outcome(id, brookferry.ConnectFailed, ms)
+			r.outcome(id, balancer.ConnectFailed, ms)
 		} else {
-			r.outcome(id, brookferry.OK, ms)
+			r.outcome(id, balancer.OK, ms)
 		}
 	}
 	r.advance(50 * ms)
@@ -1221,11 +1221,11 @@
 	r.now += 20 * ms
 	for i := range 18 {
 		if id := fmt.Sprint("h", i); len(r.sent[id]) == 1 && r.sent[id][0] != "a" {
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 		}
 	}
 	r.now += 100 * ms
-	r.outcome(hung[0], brookferry.TimedOut, 120*ms)
+	r.outcome(hung[0], balancer.TimedOut, 120*ms)
 	n := 0
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
@@ -1265,11 +1265,11 @@
 				}
 				answered = true
 			}
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 		}
 		r.now += 60 * ms
 		for _, id := range hang {
-			r.outcome(id, brookferry.TimedOut, 80*ms)
+			r.outcome(id, balancer.TimedOut, 80*ms)
 		}
 		r.now += 20 * ms
 	}
@@ -1287,7 +1287,7 @@
 	for i := 4; i < 20; i++ {
 		grown[i].Started = r.now
 	}
-	r.step(brookferry.List{Kind: brookferry.ListFull, Backends: grown})
+	r.step(balancer.List{Kind: balancer.ListFull, Backends: grown})
 	warm := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
@@ -1326,7 +1326,7 @@
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
 				// answers in runs, so that twenty in a row can all be slow
-				r.outcome(queue[0], brookferry.OK, seq[(i/25)%10]*ms)
+				r.outcome(queue[0], balancer.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
@@ -1365,7 +1365,7 @@
 			for range 30 {
 				r.serve(1, safe, 20*ms)
 				for _, a := range r.advance(20 * ms) {
-					if _, ok := a.(brookferry.TellPeer); ok {
+					if _, ok := a.(balancer.TellPeer); ok {
 						told++
 					}
 				}
@@ -1373,7 +1373,7 @@
 					continue
 				}
 				for _, from := range []int{-1, 0, 1, 2, 3, 4} {
-					r.step(brookferry.PeerMessage{From: from, Data: tt.data})
+					r.step(balancer.PeerMessage{From: from, Data: tt.data})
 				}
 			}
 			if tt.peers != (told > 0) || told > 4*3 {
@@ -1403,12 +1403,12 @@
 		for range n {
 			r.serve(1, safe, 20*ms)
 			for _, a := range r.advance(0) {
-				if a, ok := a.(brookferry.TellPeer); ok {
+				if a, ok := a.(balancer.TellPeer); ok {
 					told = a.Data
 				}
 			}
 			if heard != nil {
-				r.step(brookferry.PeerMessage{From: 1 - self, Data: heard})
+				r.step(balancer.PeerMessage{From: 1 - self, Data: heard})
 			}
 		}
 		return r, told
@@ -1435,9 +1435,9 @@
 		r := newRig(t, s, 1, backends(4))
 		told := map[int]int{}
 		total := 0
-		count := func(acts []brookferry.Action) {
+		count := func(acts []balancer.Action) {
 			for _, a := range acts {
-				if a, ok := a.(brookferry.TellPeer); ok {
+				if a, ok := a.(balancer.TellPeer); ok {
 					told[a.To]++
 					total++
 				}
@@ -1446,7 +1446,7 @@
 		for i := range 100 { // a request every tenth of a period
 			id := fmt.Sprint("q", i)
 			count(r.request(id, safe))
-			count(r.outcome(id, brookferry.OK, 20*ms))
+			count(r.outcome(id, balancer.OK, 20*ms))
 			count(r.advance(s.Classes[0].Aim / 10))
 		}
 		if most := 11 * min(n-1, 8); total > most || n > 1 && total < 10 {
@@ -1469,9 +1469,9 @@
 		counts := map[string]int{}
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
-			r.step(brookferry.Request{ID: id, Class: safe, Left: 2000 * ms, Key: key})
+			r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Key: key})
 			r.now += 20 * ms
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 			counts[r.sent[id][0]]++
 		}
 		return counts
@@ -1512,7 +1512,7 @@
 	used := map[string]bool{}
 	for i := range 8 { // nothing is answered
 		id := fmt.Sprint("q", i)
-		r.step(brookferry.Request{ID: id, Class: safe, Left: 2000 * ms, Key: 99})
+		r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Key: 99})
 		used[r.sent[id][0]] = true
 	}
 	if len(used) != 8 {
@@ -1530,9 +1530,9 @@
 			id := fmt.Sprint("q", round, "-", i)
 			if r.request(id, safe); len(r.sent[id]) > 0 {
 				n++
-				defer r.outcome(id, brookferry.OK, 20*ms)
+				defer r.outcome(id, balancer.OK, 20*ms)
 			} else {
-				r.step(brookferry.Abandoned{Request: id})
+				r.step(balancer.Abandoned{Request: id})
 			}
 		}
 		return n
@@ -1541,7 +1541,7 @@
 	for range 40 {
 		r.serve(1, safe, 20*ms)
 		for from := 1; from < 4; from++ {
-			r.step(brookferry.PeerMessage{From: from, Data: own})
+			r.step(balancer.PeerMessage{From: from, Data: own})
 		}
 		r.advance(50 * ms)
 	}
@@ -1562,9 +1562,9 @@
 		s.Balancers = balancers
 		r := newRig(t, s, 1, backends(20))
 		var out []string // in flight, oldest first
-		sends := func(actions []brookferry.Action) {
+		sends := func(actions []balancer.Action) {
 			for _, a := range actions {
-				if a, ok := a.(brookferry.Send); ok {
+				if a, ok := a.(balancer.Send); ok {
 					out = append(out, a.Request)
 				}
 			}
@@ -1573,7 +1573,7 @@
 			sends(r.request(fmt.Sprint("q", i), safe))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
-			sends(r.outcome(out[0], brookferry.OK, 20*ms))
+			sends(r.outcome(out[0], balancer.OK, 20*ms))
 			out = out[1:]
 			sends(r.request(fmt.Sprint("more", i), safe))
 		}
@@ -1588,8 +1588,8 @@
 // does not wait for room, where a first try does.
 func TestPatienceTellsLateTries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
-	submit := func(id string, left time.Duration) []brookferry.Action {
-		return r.step(brookferry.Request{ID: id, Class: safe, Left: left})
+	submit := func(id string, left time.Duration) []balancer.Action {
+		return r.step(balancer.Request{ID: id, Class: safe, Left: left})
 	}
 	for i := range 20 { // the usual patience, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -1605,9 +1605,9 @@
 func TestSubscribe(t *testing.T) {
 	s := settings()
 	s.Subscribe = true
-	asks := func(acts []brookferry.Action) (n int) {
+	asks := func(acts []balancer.Action) (n int) {
 		for _, a := range acts {
-			if _, ok := a.(brookferry.Subscribe); ok {
+			if _, ok := a.(balancer.Subscribe); ok {
 				n++
 			}
 		}
@@ -1621,12 +1621,12 @@
 			t.Fatalf("asked %d times at the start, want once", n)
 		}
 		for range 8 { // every failure is followed by one more try, in time
-			r.step(brookferry.List{Kind: brookferry.ListFailed})
+			r.step(balancer.List{Kind: balancer.ListFailed})
 			if n := asks(r.advance(s.AskWithin / 2)); n != 1 {
 				t.Fatalf("asked %d times after a failure, want once", n)
 			}
 		}
-		r.step(brookferry.List{Kind: brookferry.ListFull, Backends: backends(2)})
+		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
 		if n := asks(r.advance(time.Minute)); n != 0 {
 			t.Errorf("asked %d times while subscribed", n)
 		}
@@ -1635,7 +1635,7 @@
 		t.Errorf("10 agents ask after only %d different waits", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	if n := asks(append(r.step(brookferry.List{Kind: brookferry.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+	if n := asks(append(r.step(balancer.List{Kind: balancer.ListFailed}), r.advance(time.Minute)...)); n != 0 {
 		t.Error("asked although the list comes unasked")
 	}
 }
@@ -1647,14 +1647,14 @@
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
 		for i := range 100 {
-			list := brookferry.List{Kind: brookferry.ListKind(i % 2)} // changes and whole lists in turn
+			list := balancer.List{Kind: balancer.ListKind(i % 2)} // changes and whole lists in turn
 			for k := range 20 {
 				id := fmt.Sprintf("%03d-%03d-%02d-%s", n, i, k, strings.Repeat("x", 1000))
-				list.Backends = append(list.Backends, brookferry.Backend{ID: id, State: brookferry.BackendState(2 * (k % 2))})
+				list.Backends = append(list.Backends, balancer.Backend{ID: id, State: balancer.BackendState(2 * (k % 2))})
 			}
 			r.step(list)
 		}
-		r.step(brookferry.List{Kind: brookferry.ListFull})
+		r.step(balancer.List{Kind: balancer.ListFull})
 	}
 	replace(0)
 	runtime.GC()
@@ -1675,21 +1675,21 @@
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("done", safe)
 	r.now += 10 * ms
-	r.outcome("done", brookferry.OK, 10*ms)
+	r.outcome("done", balancer.OK, 10*ms)
 	r.request("open", unsafe)
-	stray := []brookferry.Event{
-		brookferry.Outcome{Request: "never", Result: brookferry.Errored},
-		brookferry.Outcome{Request: "done", Result: brookferry.Errored},
-		brookferry.Outcome{Request: "open", Attempt: 7, Result: brookferry.Errored},
-		brookferry.Outcome{Request: "open", Attempt: -1, Result: brookferry.Errored},
-		brookferry.TimerFired{Token: 99}, brookferry.TimerFired{Token: 0}, brookferry.TimerFired{Token: -5},
-		brookferry.Abandoned{Request: "never"}, brookferry.Abandoned{Request: "done"},
-		brookferry.StreamStarted{Request: "never"},
-		brookferry.ProbeResult{Backend: "zz"},
-		brookferry.PeerMessage{From: 44, Data: []byte{1}},
-		brookferry.Request{ID: "bad", Class: 17, Left: time.Second},
-		brookferry.Request{ID: "bad", Class: -1, Left: time.Second},
-		brookferry.Request{ID: "open", Class: safe, Left: time.Second},
+	stray := []balancer.Event{
+		balancer.Outcome{Request: "never", Result: balancer.Errored},
+		balancer.Outcome{Request: "done", Result: balancer.Errored},
+		balancer.Outcome{Request: "open", Attempt: 7, Result: balancer.Errored},
+		balancer.Outcome{Request: "open", Attempt: -1, Result: balancer.Errored},
+		balancer.TimerFired{Token: 99}, balancer.TimerFired{Token: 0}, balancer.TimerFired{Token: -5},
+		balancer.Abandoned{Request: "never"}, balancer.Abandoned{Request: "done"},
+		balancer.StreamStarted{Request: "never"},
+		balancer.ProbeResult{Backend: "zz"},
+		balancer.PeerMessage{From: 44, Data: []byte{1}},
+		balancer.Request{ID: "bad", Class: 17, Left: time.Second},
+		balancer.Request{ID: "bad", Class: -1, Left: time.Second},
+		balancer.Request{ID: "open", Class: safe, Left: time.Second},
 	}
 	for _, e := range stray {
 		if acts := r.step(e); len(acts) != 0 {
@@ -1697,10 +1697,10 @@
 		}
 	}
 	r.now += 10 * ms
-	if acts := r.outcome("open", brookferry.Errored, 10*ms); final("open", acts) != "fail" {
+	if acts := r.outcome("open", balancer.Errored, 10*ms); final("open", acts) != "fail" {
 		t.Errorf("the open request: %v, want its one failure", acts)
 	}
-	if acts := r.outcome("open", brookferry.Errored, 10*ms); len(acts) != 0 {
+	if acts := r.outcome("open", balancer.Errored, 10*ms); len(acts) != 0 {
 		t.Errorf("a repeated outcome: %v, want no action", acts)
 	}
 }
@@ -1709,9 +1709,9 @@
 func TestAbandoned(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
-	r.step(brookferry.Abandoned{Request: "q"})
+	r.step(balancer.Abandoned{Request: "q"})
 	r.now += 10 * ms
-	acts := r.outcome("q", brookferry.Errored, 10*ms)
+	acts := r.outcome("q", balancer.Errored, 10*ms)
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 {
 		t.Errorf("after the client left: %v", acts)
@@ -1722,9 +1722,9 @@
 func TestStream(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
-	r.step(brookferry.StreamStarted{Request: "q"})
+	r.step(balancer.StreamStarted{Request: "q"})
 	r.now += 10 * ms
-	acts := r.step(brookferry.Outcome{Request: "q", Backend: r.sent["q"][0], Result: brookferry.Reset, Done: true})
+	acts := r.step(balancer.Outcome{Request: "q", Backend: r.sent["q"][0], Result: balancer.Reset, Done: true})
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 || len(r.sent["q"]) != 1 {
 		t.Errorf("after a broken stream: %v", acts)
@@ -1740,7 +1740,7 @@
 			log = append(log, fmt.Sprint(r.request(id, i%5)))
 			r.now += 3 * ms
 			if i%3 != 0 && len(r.sent[id]) > 0 {
-				log = append(log, fmt.Sprint(r.outcome(id, brookferry.Result(i%6), 3*ms)))
+				log = append(log, fmt.Sprint(r.outcome(id, balancer.Result(i%6), 3*ms)))
 			}
 			log = append(log, fmt.Sprint(r.advance(2*ms)))
 		}
@@ -1755,7 +1755,7 @@
 }
 
 // thinSettings make an even part of the in-flight limit smaller than one attempt.
-func thinSettings() brookferry.Settings {
+func thinSettings() balancer.Settings {
 	s := settings()
 	s.Balancers, s.Peers = 100, true
 	return s
@@ -1772,7 +1772,7 @@
 			r.request(id, safe)
 			r.advance(latency)
 			if len(r.sent[id]) > 0 {
-				r.outcome(id, brookferry.OK, latency)
+				r.outcome(id, balancer.OK, latency)
 				if i >= 100 {
 					sent++
 				}
@@ -1794,13 +1794,13 @@
 func TestReleaseLeavesTheLimitCounted(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Peers = 80, true
-	var list []brookferry.Backend
+	var list []balancer.Backend
 	for i := range 60 {
-		list = append(list, brookferry.Backend{ID: fmt.Sprint("b", i)})
+		list = append(list, balancer.Backend{ID: fmt.Sprint("b", i)})
 	}
 	r := newRig(t, s, 1, list)
 	r.serve(200, safe, 40*ms)
-	r.step(brookferry.List{Kind: brookferry.ListFull, Backends: list[:27]})
+	r.step(balancer.List{Kind: balancer.ListFull, Backends: list[:27]})
 	sent := 0
 	for i := range 20 { // and nothing is answered
 		id := fmt.Sprint("q", i)
@@ -1816,7 +1816,7 @@
 // had meanwhile moved later never got another timer, and no answer.
 func TestHeldRequestKeepsATimer(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
-	var acts []brookferry.Action
+	var acts []balancer.Action
 	for i := range 40 {
 		acts = append(acts, r.request(fmt.Sprint("q", i), safe)...)
 	}
@@ -1824,7 +1824,7 @@
 		r.now += ms
 		for i := range 40 {
 			if id := fmt.Sprint("q", i); len(r.sent[id]) == 1 {
-				acts = append(acts, r.outcome(id, brookferry.OK, 5*ms)...)
+				acts = append(acts, r.outcome(id, balancer.OK, 5*ms)...)
 				r.sent[id] = append(r.sent[id], "done")
 				break
 			}
@@ -1853,16 +1853,16 @@
 		}
 		switch teller.sent[id][0] {
 		case "a":
-			acts = append(acts, teller.outcome(id, brookferry.Errored, 10*ms)...)
+			acts = append(acts, teller.outcome(id, balancer.Errored, 10*ms)...)
 		case "b":
 			teller.now += 200 * ms
-			acts = append(acts, teller.outcome(id, brookferry.OK, 200*ms)...)
+			acts = append(acts, teller.outcome(id, balancer.OK, 200*ms)...)
 		default:
 			teller.now += 20 * ms
-			acts = append(acts, teller.outcome(id, brookferry.OK, 20*ms)...)
+			acts = append(acts, teller.outcome(id, balancer.OK, 20*ms)...)
 		}
 		for _, a := range acts {
-			if a, ok := a.(brookferry.TellPeer); ok {
+			if a, ok := a.(balancer.TellPeer); ok {
 				data = append(data, a.Data)
 			}
 		}
@@ -1875,7 +1875,7 @@
 			r.now = teller.now
 			for range repeat {
 				for _, d := range data {
-					r.step(brookferry.PeerMessage{From: 0, Data: d})
+					r.step(balancer.PeerMessage{From: 0, Data: d})
 				}
 			}
 			r.request("q", safe)
@@ -1902,7 +1902,7 @@
 		id := fmt.Sprint("warm", i)
 		r.request(id, safe)
 		r.advance(20 * ms)
-		r.outcome(id, brookferry.OK, 20*ms)
+		r.outcome(id, balancer.OK, 20*ms)
 	}
 	sent := 0
 	for i := range 60 { // nothing is answered any more
@@ -1925,8 +1925,8 @@
 	for seed := range uint64(200) {
 		r := newRig(t, settings(), seed, backends(2))
 		r.serve(40, safe, 20*ms)
-		r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{
-			{ID: "a", Started: r.now}, {ID: "b", State: brookferry.Draining}}})
+		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{
+			{ID: "a", Started: r.now}, {ID: "b", State: balancer.Draining}}})
 		r.now += 5 * ms
 		r.request("q", safe)
 		sent += len(r.sent["q"])
@@ -1951,7 +1951,7 @@
 			r.request(id, safe)
 			r.advance(30 * ms)
 			if len(r.sent[id]) > 0 {
-				r.outcome(id, brookferry.OK, 30*ms)
+				r.outcome(id, balancer.OK, 30*ms)
 				used[r.sent[id][0]]++
 			}
 			r.advance(370 * ms)
@@ -1963,7 +1963,7 @@
 			firsts[id]++
 		}
 		for id := range used { // all of these die
-			r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: id, State: brookferry.Gone}}})
+			r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: id, State: balancer.Gone}}})
 		}
 		r.request("next", safe)
 		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
@@ -1994,7 +1994,7 @@
 			latency = 20 * ms
 		}
 		r.now += latency
-		r.outcome(id, brookferry.OK, latency)
+		r.outcome(id, balancer.OK, latency)
 		if i >= 200 && kind == class {
 			suits[class]++
 		}
@@ -2016,7 +2016,7 @@
 		r.serve(20, safe, 20*ms)
 		r.request("q", safe)
 		full := r.sent["q"][0]
-		r.outcome("q", brookferry.Full, ms)
+		r.outcome("q", balancer.Full, ms)
 		r.advance(2 * time.Second)
 		r.request("next", safe)
 		if r.sent["next"][0] == full {
@@ -2039,7 +2039,7 @@
 		id := fmt.Sprint("q", i)
 		r.request(id, safe)
 		if len(r.sent[id]) > 0 {
-			r.outcome(id, brookferry.Full, ms)
+			r.outcome(id, balancer.Full, ms)
 		}
 		r.advance(400 * ms)
 		if i >= 60 {
@@ -2066,7 +2066,7 @@
 				latency = 235 * ms
 			}
 			r.advance(latency)
-			r.outcome(id, brookferry.OK, latency)
+			r.outcome(id, balancer.OK, latency)
 		}
 		r.advance(100 * ms)
 		if i >= 400 {
@@ -2091,7 +2091,7 @@
 		r := newRig(t, s, 1, backends(4))
 		r.request("x", keyedAll)
 		r.now += row.failed
-		acts := append(r.outcome("x", brookferry.Errored, row.failed), r.advance(100*ms)...)
+		acts := append(r.outcome("x", balancer.Errored, row.failed), r.advance(100*ms)...)
 		if n := len(r.sent["x"]); n != row.sends {
 			t.Errorf("failed after %v: %d sends, want %d", row.failed, n, row.sends)
 		}
--- a/bench_test.go
+++ b/balancer/bench_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // BenchmarkStep plays a request, its outcome and now and then an error and a
 // retry. State must not grow with the requests played: see the heap metric.
 func BenchmarkStep(b *testing.B) {
-	lb, err := brookferry.New(settings(), 1)
+	lb, err := balancer.New(settings(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []brookferry.Event{brookferry.List{Kind: brookferry.ListFull, Backends: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: backends(14)}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -32,25 +32,25 @@
 }
 
 // playOne plays request i to its end.
-func playOne(lb *brookferry.Balancer, now *time.Duration, i int) {
+func playOne(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []brookferry.Event{brookferry.Request{ID: id, Class: safe, Left: time.Second}}
+	events := []balancer.Event{balancer.Request{ID: id, Class: safe, Left: time.Second}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
 		for _, a := range acts {
 			switch a := a.(type) {
-			case brookferry.Send:
+			case balancer.Send:
 				*now += 2 * ms
-				o := brookferry.Outcome{Request: id, Attempt: n, Backend: a.Backend, Latency: 2 * ms, Done: true}
+				o := balancer.Outcome{Request: id, Attempt: n, Backend: a.Backend, Latency: 2 * ms, Done: true}
 				if n == 0 && i%50 == 0 {
-					o.Result, o.Done = brookferry.Errored, false
+					o.Result, o.Done = balancer.Errored, false
 				}
 				n++
 				events = append(events, o)
-			case brookferry.SetTimer:
+			case balancer.SetTimer:
 				*now += a.After
-				events = append(events, brookferry.TimerFired{Token: a.Token})
+				events = append(events, balancer.TimerFired{Token: a.Token})
 			}
 		}
 	}
@@ -58,12 +58,12 @@
 
 // Memory and allocations per request stay bounded over a long run.
 func TestStateIsBounded(t *testing.T) {
-	lb, err := brookferry.New(settings(), 1)
+	lb, err := balancer.New(settings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []brookferry.Event{brookferry.List{Kind: brookferry.ListFull, Backends: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: backends(14)}})
 	heap := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
 			playOne(lb, &now, i)
@@ -86,15 +86,15 @@
 }
 
 // largeFleet makes a balancer of one of so many agents, over so many backends.
-func largeFleet(tb testing.TB, agents, backends int, now time.Duration) *brookferry.Balancer {
+func largeFleet(tb testing.TB, agents, backends int, now time.Duration) *balancer.Balancer {
 	tb.Helper()
 	s := settings()
 	s.Balancers = agents
-	lb, err := brookferry.New(s, 1)
+	lb, err := balancer.New(s, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	lb.Step(now, []brookferry.Event{brookferry.List{Kind: brookferry.ListFull, Backends: many(backends)}})
+	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: many(backends)}})
 	return lb
 }
 
@@ -117,7 +117,7 @@
 	const rounds, requests, most = 20, 100, 4
 	nowUsual, nowLarge := time.Hour, time.Hour
 	usual, large := largeFleet(t, 300, 200, nowUsual), largeFleet(t, 900, 3200, nowLarge)
-	took := func(lb *brookferry.Balancer, now *time.Duration, round int) time.Duration {
+	took := func(lb *balancer.Balancer, now *time.Duration, round int) time.Duration {
 		began := time.Now()
 		for i := range requests {
 			*now += 23 * ms
@@ -136,9 +136,9 @@
 }
 
 // many makes n backends in three zones.
-func many(n int) (list []brookferry.Backend) {
+func many(n int) (list []balancer.Backend) {
 	for i := range n {
-		list = append(list, brookferry.Backend{ID: fmt.Sprint("s", i), Zone: i % 3, Cell: i / 4})
+		list = append(list, balancer.Backend{ID: fmt.Sprint("s", i), Zone: i % 3, Cell: i / 4})
 	}
 	return list
 }
--- a/cold.go
+++ b/balancer/cold.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // How much a backend gets that has just started: no more, by all agents together, than it surely bears.
 
--- a/crowd_test.go
+++ b/balancer/crowd_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // crowd is a fleet of agents without a word between them, on told time. Every attempt is answered after the same time.
@@ -32,7 +32,7 @@
 	rig         *rig
 	id          string
 	n           int // of the attempt
-	result      brookferry.Result
+	result      balancer.Result
 }
 
 // sent is an attempt that went out, with its work against the mean.
@@ -41,7 +41,7 @@
 	work float64
 }
 
-func newCrowd(t *testing.T, s brookferry.Settings, agents int, seed uint64, list []brookferry.Backend) *crowd {
+func newCrowd(t *testing.T, s balancer.Settings, agents int, seed uint64, list []balancer.Backend) *crowd {
 	c := &crowd{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, sends: map[string][]sent{}, out: map[string]int{}}
 	s.Balancers = agents
 	for i := range agents {
@@ -61,20 +61,20 @@
 			c.answers = c.answers[1:]
 			to := a.rig.sent[a.id][a.n]
 			c.out[to]--
-			c.step(a.rig, func() []brookferry.Action {
-				return a.rig.step(brookferry.Outcome{Request: a.id, Attempt: a.n, Backend: to, Result: a.result, Latency: a.latency,
-					Done: a.result == brookferry.OK})
+			c.step(a.rig, func() []balancer.Action {
+				return a.rig.step(balancer.Outcome{Request: a.id, Attempt: a.n, Backend: to, Result: a.result, Latency: a.latency,
+					Done: a.result == balancer.OK})
 			}, latency)
 		}
 		for next <= c.now {
 			next += time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second))
 			c.n++
 			id, r := fmt.Sprint(c.n), c.rigs[c.agent()]
-			c.step(r, func() []brookferry.Action { return r.request(id, safe) }, latency)
+			c.step(r, func() []balancer.Action { return r.request(id, safe) }, latency)
 		}
 		for _, r := range c.rigs {
 			if len(r.due) > 0 {
-				c.step(r, func() []brookferry.Action { return r.advance(c.now - r.now) }, latency)
+				c.step(r, func() []balancer.Action { return r.advance(c.now - r.now) }, latency)
 			}
 		}
 		if each != nil {
@@ -103,42 +103,42 @@
 }
 
 // release has backends start now, and tells every agent.
-func (c *crowd) release(list []brookferry.Backend) time.Duration {
-	var news []brookferry.Backend
+func (c *crowd) release(list []balancer.Backend) time.Duration {
+	var news []balancer.Backend
 	for _, b := range list {
 		b.Started = c.now
 		news = append(news, b)
 	}
 	for _, r := range c.rigs {
 		r.now = max(r.now, c.now)
-		r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: news})
+		r.step(balancer.List{Kind: balancer.ListDelta, Backends: news})
 	}
 	return c.now
 }
 
 // step lets an agent act now, and books what it sends.
-func (c *crowd) step(r *rig, do func() []brookferry.Action, latency time.Duration) {
+func (c *crowd) step(r *rig, do func() []balancer.Action, latency time.Duration) {
 	r.now = max(r.now, c.now-5*ms)
 	if len(r.due) == 0 {
 		r.now = c.now
 	}
 	for _, a := range do() {
 		switch a := a.(type) {
-		case brookferry.Send:
+		case balancer.Send:
 			work := 1.0
 			if c.uneven > 0 {
 				work = math.Exp(c.uneven*c.rng.NormFloat64() - c.uneven*c.uneven/2)
 			}
-			due := answerDue{latency: time.Duration(work * float64(latency)), rig: r, id: a.Request, n: len(r.sent[a.Request]) - 1, result: brookferry.OK}
+			due := answerDue{latency: time.Duration(work * float64(latency)), rig: r, id: a.Request, n: len(r.sent[a.Request]) - 1, result: balancer.OK}
 			if c.rng.Float64() < c.fail {
-				due.latency, due.result = ms, brookferry.Full
+				due.latency, due.result = ms, balancer.Full
 			}
 			due.at = c.now + due.latency
 			c.sends[a.Backend] = append(c.sends[a.Backend], sent{c.now, work})
 			c.out[a.Backend]++
 			i, _ := slices.BinarySearchFunc(c.answers, due, func(x, y answerDue) int { return cmp.Compare(x.at, y.at+1) })
 			c.answers = slices.Insert(c.answers, i, due)
-		case brookferry.Refuse:
+		case balancer.Refuse:
 			c.refused++
 		}
 	}
@@ -181,7 +181,7 @@
 					}
 					for _, r := range c.rigs {
 						r.now = now
-						r.step(brookferry.List{Kind: brookferry.ListFull, Backends: list})
+						r.step(balancer.List{Kind: balancer.ListFull, Backends: list})
 					}
 					c.skew()
 				}
--- a/demand.go
+++ b/balancer/demand.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // What clients ask for, here and at peers. Nothing is decided here.
 
--- a/distance.go
+++ b/balancer/distance.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // How far zones are, as the agents measured it: what that counts for beside what a backend needs.
 
--- a/example_test.go
+++ b/balancer/example_test.go
@@ -1,20 +1,20 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"fmt"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // One balancer through a first attempt, a failure, a retry and an answer. The
 // agent owns the clock, the timers and the connections.
 func Example() {
-	b, err := brookferry.New(brookferry.Settings{
+	b, err := balancer.New(balancer.Settings{
 		Balancers:   1,
 		MaxAttempts: 3,
-		Classes: []brookferry.Class{
-			{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: brookferry.Safe},
+		Classes: []balancer.Class{
+			{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balancer.Safe},
 		},
 	}, 42)
 	if err != nil {
@@ -24,35 +24,35 @@
 	now := time.Duration(0)
 	var backend string
 	var timer int64
-	step := func(events ...brookferry.Event) {
+	step := func(events ...balancer.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
-			case brookferry.Send: // start the attempt; pass its Outcome on later
+			case balancer.Send: // start the attempt; pass its Outcome on later
 				fmt.Println("send", a.Request)
 				backend = a.Backend
-			case brookferry.SetTimer: // pass TimerFired on when it is due
+			case balancer.SetTimer: // pass TimerFired on when it is due
 				fmt.Println("set a timer")
 				timer = a.Token
-			case brookferry.Refuse:
+			case balancer.Refuse:
 				fmt.Println("refuse", a.Request)
-			case brookferry.Fail:
+			case balancer.Fail:
 				fmt.Println("fail", a.Request)
 			}
 		}
 	}
-	step(brookferry.List{Kind: brookferry.ListFull, Backends: []brookferry.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
-	step(brookferry.Request{ID: "r1", Class: 0, Left: time.Second})
+	step(balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
+	step(balancer.Request{ID: "r1", Class: 0, Left: time.Second})
 
 	first := backend
 	now += 3 * time.Millisecond
-	step(brookferry.Outcome{Request: "r1", Attempt: 0, Backend: backend, Result: brookferry.Errored, Latency: 3 * time.Millisecond})
+	step(balancer.Outcome{Request: "r1", Attempt: 0, Backend: backend, Result: balancer.Errored, Latency: 3 * time.Millisecond})
 
 	now += 7 * time.Millisecond
-	step(brookferry.TimerFired{Token: timer})
+	step(balancer.TimerFired{Token: timer})
 	fmt.Println("on another backend:", backend != first)
 
 	now += 20 * time.Millisecond
-	step(brookferry.Outcome{Request: "r1", Attempt: 1, Backend: backend, Latency: 20 * time.Millisecond, Done: true})
+	step(balancer.Outcome{Request: "r1", Attempt: 1, Backend: backend, Latency: 20 * time.Millisecond, Done: true})
 	// Output:
 	// send r1
 	// set a timer
--- a/health.go
+++ b/balancer/health.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // What outcomes and notes tell of a backend: how slow it is, whether it is ejected, whether it is silent.
 
--- a/limits.go
+++ b/balancer/limits.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // What may be in flight: the limit that follows the delay, each agent's part of it, and who waits, leaves
 // or is refused while it binds.
--- a/limits_test.go
+++ b/balancer/limits_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"os"
@@ -12,7 +12,7 @@
 // by what it decides. The others of this package say of themselves that they decide nothing, or hold its interface.
 func TestPolicyLimits(t *testing.T) {
 	const most, least, longest = 240, 10, 130
-	deploy, err := os.ReadFile("deploy/balancer.toml")
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,11 @@
 	}
 	policy := map[string]bool{}
 	for name := range strings.SplitSeq(list, ",") {
-		name = strings.Trim(name, ` "`)
+		name, inside := strings.CutPrefix(strings.Trim(name, ` "`), "balancer/")
+		if !inside {
+			t.Errorf("%s is named as policy, outside the decision module", name)
+			continue
+		}
 		policy[name] = true
 		if lines := countLines(t, name, longest); lines < least || lines > most {
 			t.Errorf("%s: %d lines that are not blank, %d at most", name, lines, most)
--- a/list.go
+++ b/balancer/list.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // The records that follow the list of backends. Nothing is decided here.
 
--- a/near_test.go
+++ b/balancer/near_test.go
@@ -1,23 +1,23 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // Where crossing has a price an agent stays near as long as that is no slower: in its zone, then in its region.
 func TestNearFirst(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(s *brookferry.Settings)
+		change func(s *balancer.Settings)
 		slow   map[int]time.Duration
 		ok     func(own, near, far float64) bool
 	}{
-		"no price":    {func(s *brookferry.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
-		"a price":     {func(s *brookferry.Settings) { s.CrossZonePrice = 0.03 }, nil, func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
-		"a slow zone": {func(s *brookferry.Settings) { s.CrossZonePrice = 0.03 }, map[int]time.Duration{0: 8 * ms}, func(own, near, far float64) bool { return own < 0.45 }},
-		"regions": {func(s *brookferry.Settings) {
+		"no price":    {func(s *balancer.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
+		"a price":     {func(s *balancer.Settings) { s.CrossZonePrice = 0.03 }, nil, func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
+		"a slow zone": {func(s *balancer.Settings) { s.CrossZonePrice = 0.03 }, map[int]time.Duration{0: 8 * ms}, func(own, near, far float64) bool { return own < 0.45 }},
+		"regions": {func(s *balancer.Settings) {
 			s.CrossZonePrice, s.CrossRegionPrice, s.Regions = 0.03, 0.12, []int{0, 0, 1}
 		}, nil, func(own, near, far float64) bool { return own > 0.6 && far < near/2 && far > 0 }},
 	} {
--- a/operations.go
+++ b/balancer/operations.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // The decisions on operators' calls: which backends are out of use, and how one
 // comes back.
--- a/operations_test.go
+++ b/balancer/operations_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"fmt"
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // call makes an operator's call and returns whether it was taken.
-func (r *rig) call(e brookferry.Event) bool {
+func (r *rig) call(e balancer.Event) bool {
 	r.t.Helper()
 	taken, answers := false, 0
 	for _, a := range r.step(e) {
-		if a, ok := a.(brookferry.Answer); ok {
+		if a, ok := a.(balancer.Answer); ok {
 			taken = a.Taken
 			answers++
 		}
@@ -32,18 +32,18 @@
 	list := backends(3)
 	started := slices.Clone(list)
 	started[0].Started = time.Hour + 100*ms
-	for name, told := range map[string][]brookferry.List{
+	for name, told := range map[string][]balancer.List{
 		"no list":       nil,
-		"full list":     {{Kind: brookferry.ListFull, Backends: list}},
-		"delta":         {{Kind: brookferry.ListDelta, Backends: list[:1]}},
-		"cached list":   {{Kind: brookferry.ListCached, Backends: list}},
-		"a restart":     {{Kind: brookferry.ListDelta, Backends: started}},
-		"gone and back": {{Kind: brookferry.ListFull, Backends: list[1:]}, {Kind: brookferry.ListFull, Backends: list}},
+		"full list":     {{Kind: balancer.ListFull, Backends: list}},
+		"delta":         {{Kind: balancer.ListDelta, Backends: list[:1]}},
+		"cached list":   {{Kind: balancer.ListCached, Backends: list}},
+		"a restart":     {{Kind: balancer.ListDelta, Backends: started}},
+		"gone and back": {{Kind: balancer.ListFull, Backends: list[1:]}, {Kind: balancer.ListFull, Backends: list}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, settings(), 1, list)
 			r.serve(20, safe, 10*ms)
-			if !r.call(brookferry.Detach{Call: 1, Backend: "a"}) || !r.call(brookferry.Detach{Call: 2, Backend: "a"}) {
+			if !r.call(balancer.Detach{Call: 1, Backend: "a"}) || !r.call(balancer.Detach{Call: 2, Backend: "a"}) {
 				t.Fatal("not taken")
 			}
 			for _, l := range told {
@@ -52,7 +52,7 @@
 			if n := r.serve(60, safe, 10*ms)["a"]; n > 0 {
 				t.Errorf("%d requests went to the detached backend", n)
 			}
-			if !r.call(brookferry.Attach{Call: 3, Backend: "a"}) {
+			if !r.call(balancer.Attach{Call: 3, Backend: "a"}) {
 				t.Fatal("the call back was not taken")
 			}
 			r.now += settings().RampTime
@@ -69,14 +69,14 @@
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
 	other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
-	r.call(brookferry.Detach{Call: 1, Backend: other})
-	r.outcome("q", brookferry.Errored, 10*ms)
+	r.call(balancer.Detach{Call: 1, Backend: other})
+	r.outcome("q", balancer.Errored, 10*ms)
 	r.advance(400 * ms)
 	if slices.Contains(r.sent["q"], other) {
 		t.Errorf("attempts %v, though %s is detached", r.sent["q"], other)
 	}
 	for _, id := range []string{"a", "b"} {
-		r.call(brookferry.Detach{Call: 2, Backend: id})
+		r.call(balancer.Detach{Call: 2, Backend: id})
 	}
 	all := r.request("last", safe)
 	if all = append(all, r.advance(400*ms)...); len(r.sent["last"]) > 0 || final("last", all) != "refuse" {
@@ -87,15 +87,15 @@
 // An id that nobody has is owed a no; one that left the list while it was detached is known.
 func TestCallsForUnknownBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
-	if r.call(brookferry.Detach{Call: 1, Backend: "z"}) || r.call(brookferry.Attach{Call: 2, Backend: "z"}) {
+	if r.call(balancer.Detach{Call: 1, Backend: "z"}) || r.call(balancer.Attach{Call: 2, Backend: "z"}) {
 		t.Error("a call for an id that nobody has was taken")
 	}
-	if !r.call(brookferry.Attach{Call: 3, Backend: "a"}) {
+	if !r.call(balancer.Attach{Call: 3, Backend: "a"}) {
 		t.Error("the call back of a backend in use was not taken")
 	}
-	r.call(brookferry.Detach{Call: 4, Backend: "a"})
-	r.step(brookferry.List{Kind: brookferry.ListFull, Backends: backends(2)[1:]})
-	if !r.call(brookferry.Attach{Call: 5, Backend: "a"}) {
+	r.call(balancer.Detach{Call: 4, Backend: "a"})
+	r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)[1:]})
+	if !r.call(balancer.Attach{Call: 5, Backend: "a"}) {
 		t.Error("the call back of a detached backend that has left the list was not taken")
 	}
 }
@@ -103,16 +103,16 @@
 // What another process of the agent was told holds here, also before the list names the backend.
 func TestCarriedCallsHold(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2)[1:])
-	if !r.call(brookferry.Detach{Call: 1, Backend: "a", Carried: true}) {
+	if !r.call(balancer.Detach{Call: 1, Backend: "a", Carried: true}) {
 		t.Fatal("not taken")
 	}
-	r.step(brookferry.List{Kind: brookferry.ListFull, Backends: backends(2)})
+	r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
 	if n := r.serve(60, safe, 10*ms)["a"]; n > 0 {
 		t.Errorf("%d requests went to the detached backend", n)
 	}
 	// Called back elsewhere a while ago: it is as far from warm as that tells.
 	at := r.now - settings().RampTime
-	r.call(brookferry.Attach{Call: 2, Backend: "a", Carried: true, At: at})
+	r.call(balancer.Attach{Call: 2, Backend: "a", Carried: true, At: at})
 	if n := r.serve(90, safe, 10*ms)["a"]; n < 20 {
 		t.Errorf("%d of 90 requests went to a backend that has had time to get warm", n)
 	}
@@ -126,8 +126,8 @@
 		r := newRig(t, s, 1, backends(4))
 		r.serve(200, safe, 10*ms)
 		if attach {
-			r.call(brookferry.Detach{Call: 1, Backend: "a"})
-			r.call(brookferry.Attach{Call: 2, Backend: "a"})
+			r.call(balancer.Detach{Call: 1, Backend: "a"})
+			r.call(balancer.Attach{Call: 2, Backend: "a"})
 		}
 		return r.serve(200, safe, 10*ms)["a"]
 	}
@@ -138,15 +138,15 @@
 	for i := 0; len(r.sent) < 400; i++ { // "a" fails all it gets, and is ejected for longer and longer
 		id := fmt.Sprint("f", i)
 		r.request(id, unsafe)
-		result := brookferry.OK
+		result := balancer.OK
 		if r.sent[id][0] == "a" {
-			result = brookferry.Errored
+			result = balancer.Errored
 		}
 		r.now += 10 * ms
 		r.outcome(id, result, 10*ms)
 	}
-	r.call(brookferry.Detach{Call: 1, Backend: "a"})
-	r.call(brookferry.Attach{Call: 2, Backend: "a"})
+	r.call(balancer.Detach{Call: 1, Backend: "a"})
+	r.call(balancer.Attach{Call: 2, Backend: "a"})
 	r.now += settings().RampTime
 	if n := r.serve(60, unsafe, 10*ms)["a"]; n < 15 {
 		t.Errorf("%d of 60 requests went to a backend that was restarted since it failed", n)
@@ -163,9 +163,9 @@
 		r := newRig(t, s, seed, backends(20))
 		ask := func() string {
 			id := fmt.Sprint("q", len(r.sent))
-			r.step(brookferry.Request{ID: id, Class: unsafe, Left: 2000 * ms, Key: 7})
+			r.step(balancer.Request{ID: id, Class: unsafe, Left: 2000 * ms, Key: 7})
 			r.now += 20 * ms
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 			r.advance(230 * ms)
 			return r.sent[id][0]
 		}
@@ -183,9 +183,9 @@
 				far = b.ID
 			}
 		}
-		r.call(brookferry.Detach{Call: 1, Backend: far})
+		r.call(balancer.Detach{Call: 1, Backend: far})
 		r.advance(time.Second)
-		r.call(brookferry.Attach{Call: 2, Backend: far})
+		r.call(balancer.Attach{Call: 2, Backend: far})
 		from, found := r.now, false
 		for r.now < from+4*time.Second && !found {
 			found = ask() == far
@@ -203,12 +203,12 @@
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		older.request(id, safe)
-		older.outcome(id, brookferry.Errored, 10*ms)
+		older.outcome(id, balancer.Errored, 10*ms)
 	}
 	left := older.b.Snapshot().Tokens
 	for told, want := range map[float64]float64{left: left, -1: 100, 1e9: 100, math.NaN(): 100} {
 		r := newRig(t, settings(), 1, backends(2))
-		r.step(brookferry.Restore{Snapshot: brookferry.Snapshot{Tokens: told}})
+		r.step(balancer.Restore{Snapshot: balancer.Snapshot{Tokens: told}})
 		if got := r.b.Snapshot().Tokens; got != want {
 			t.Errorf("told %v: %v tokens, want %v", told, got, want)
 		}
@@ -225,7 +225,7 @@
 	r.serve(20, safe, 10*ms)
 	for i := range 40 { // far past the limit of one backend
 		id := fmt.Sprint("large", i)
-		r.step(brookferry.Request{ID: id, Class: unsafe, Left: 2000 * ms, Coming: true})
+		r.step(balancer.Request{ID: id, Class: unsafe, Left: 2000 * ms, Coming: true})
 		if len(r.sent[id]) != 1 {
 			t.Fatalf("the %dth large body was not sent", i)
 		}
@@ -235,13 +235,13 @@
 		t.Errorf("%d of 20 requests served beside bodies on their way", n)
 	}
 	for i := range 40 {
-		r.step(brookferry.BodyWhole{Request: fmt.Sprint("large", i)})
+		r.step(balancer.BodyWhole{Request: fmt.Sprint("large", i)})
 	}
 	if r.request("late", safe); len(r.sent["late"]) > 0 {
 		t.Error("sent past the limit: bodies that are whole don't count")
 	}
 	for i := range 40 {
-		r.outcome(fmt.Sprint("large", i), brookferry.OK, 10*ms)
+		r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms)
 	}
 	if n := r.serve(20, safe, 10*ms)["a"]; n != 20 {
 		t.Errorf("%d of 20 requests served afterwards", n)
@@ -250,10 +250,10 @@
 
 // Of a body of which a part is gone nothing can be sent again; if it never ran the client may try.
 func TestSpentBodyIsNotRetried(t *testing.T) {
-	for result, want := range map[brookferry.Result]string{brookferry.ConnectFailed: "refuse", brookferry.Reset: "fail"} {
+	for result, want := range map[balancer.Result]string{balancer.ConnectFailed: "refuse", balancer.Reset: "fail"} {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(brookferry.Request{ID: "q", Class: safe, Left: 2000 * ms, Coming: true})
-		r.step(brookferry.BodySpent{Request: "q"})
+		r.step(balancer.Request{ID: "q", Class: safe, Left: 2000 * ms, Coming: true})
+		r.step(balancer.BodySpent{Request: "q"})
 		all := r.outcome("q", result, 10*ms)
 		all = append(all, r.advance(2000*ms)...)
 		if len(r.sent["q"]) != 1 || final("q", all) != want {
@@ -272,14 +272,14 @@
 		if len(r.sent[id]) != 1 {
 			t.Fatalf("the %dth was not sent", i)
 		}
-		r.step(brookferry.StreamStarted{Request: id, Attempt: 0})
+		r.step(balancer.StreamStarted{Request: id, Attempt: 0})
 	}
 	r.advance(5 * time.Second)
 	if n := r.serve(20, safe, 10*ms)["a"]; n != 20 {
 		t.Errorf("%d of 20 requests served beside answers on their way", n)
 	}
 	for i := range 40 {
-		if all := r.outcome(fmt.Sprint("large", i), brookferry.OK, 10*ms); len(all) > 0 {
+		if all := r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms); len(all) > 0 {
 			t.Errorf("%v after an answer that has gone on", all)
 		}
 	}
@@ -298,7 +298,7 @@
 // hear tells it of its peers that their clients ask for nothing.
 func (r *rig) hear() {
 	for i := range 19 {
-		r.step(brookferry.PeerMessage{From: i + 1, Data: make([]byte, 8)})
+		r.step(balancer.PeerMessage{From: i + 1, Data: make([]byte, 8)})
 	}
 }
 
@@ -312,15 +312,15 @@
 		r.advance(20 * ms)
 		if len(r.sent[id]) > 0 && r.sent[id][0] == "z" {
 			n++
-			r.outcome(id, brookferry.OK, 20*ms)
+			r.outcome(id, balancer.OK, 20*ms)
 		}
 		r.advance(30 * ms)
 	}
 	return n
 }
 
-func coldOne(started time.Duration) brookferry.List {
-	return brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "z", Started: started}}}
+func coldOne(started time.Duration) balancer.List {
+	return balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "z", Started: started}}}
 }
 
 // A day of operations (upgrade+hand): while most was refused, what was served told little of what a
@@ -346,10 +346,10 @@
 		older.serve(10, safe, 10*ms)
 	}
 	told := older.b.Snapshot()
-	got := func(l *brookferry.Snapshot) int {
+	got := func(l *balancer.Snapshot) int {
 		r := busy(t, 2)
 		if l != nil {
-			r.step(brookferry.Restore{Snapshot: *l})
+			r.step(balancer.Restore{Snapshot: *l})
 			if again := r.b.Snapshot(); again.Delay != l.Delay || again.PerBack != l.PerBack || math.Abs(again.Asked/l.Asked-1) > 0.1 {
 				t.Errorf("handed on %+v, gone on from %+v", *l, again)
 			}
@@ -361,14 +361,14 @@
 	if with < 2*without || with < 8 {
 		t.Errorf("%d requests in 2 s to an idle cold backend, %d with nothing handed on", with, without)
 	}
-	for name, l := range map[string]brookferry.Snapshot{
+	for name, l := range map[string]balancer.Snapshot{
 		"nothing":       {},
 		"other classes": {PerBack: 6, Latency: []float64{1}},
 		"no numbers":    {PerBack: math.NaN(), Delay: math.Inf(1), Best: math.NaN(), Asked: -1, Latency: told.Latency, Peers: told.Peers},
 		"huge":          {PerBack: 1e300, Best: 1e300, Asked: 1e300, Latency: told.Latency, Peers: told.Peers},
 	} {
 		r := busy(t, 2)
-		r.step(brookferry.Restore{Snapshot: l})
+		r.step(balancer.Restore{Snapshot: l})
 		if n := r.serve(60, safe, 10*ms); len(n) != 4 {
 			t.Errorf("%s: served by %v", name, n)
 		}
@@ -385,10 +385,10 @@
 	busy := newRig(t, s, 2, backends(4))
 	s.Self = 2
 	third := newRig(t, s, 3, backends(4))
-	tell := func(from int, actions []brookferry.Action) (n int) {
+	tell := func(from int, actions []balancer.Action) (n int) {
 		for _, a := range actions {
-			if a, ok := a.(brookferry.TellPeer); ok && a.To == 0 {
-				quiet.step(brookferry.PeerMessage{From: from, Data: a.Data})
+			if a, ok := a.(balancer.TellPeer); ok && a.To == 0 {
+				quiet.step(balancer.PeerMessage{From: from, Data: a.Data})
 				n++
 			}
 		}
@@ -411,23 +411,23 @@
 	room := func(name string) (n int) {
 		for i := range 40 {
 			id := fmt.Sprint(name, i)
-			quiet.step(brookferry.Request{ID: id, Class: unsafe, Left: 2000 * ms, Repeat: true}) // no demand of its own
+			quiet.step(balancer.Request{ID: id, Class: unsafe, Left: 2000 * ms, Repeat: true}) // no demand of its own
 			n += len(quiet.sent[id])
 		}
 		for i := range n {
-			quiet.outcome(fmt.Sprint(name, i), brookferry.OK, 10*ms)
+			quiet.outcome(fmt.Sprint(name, i), balancer.OK, 10*ms)
 		}
 		return n
 	}
 	before := room("before")
-	if told := tell(1, busy.step(brookferry.Emptying{On: true})); told != 1 {
+	if told := tell(1, busy.step(balancer.Emptying{On: true})); told != 1 {
 		t.Fatalf("told %d times", told)
 	}
 	emptied := room("emptied")
-	if again := busy.step(brookferry.Emptying{On: true}); len(again) > 0 {
+	if again := busy.step(balancer.Emptying{On: true}); len(again) > 0 {
 		t.Errorf("a second call: %v", again)
 	}
-	tell(1, busy.step(brookferry.Emptying{On: false}))
+	tell(1, busy.step(balancer.Emptying{On: false}))
 	after := room("after")
 	// All of the limit is 24 or a little more: of that, first hardly any, then nearly half.
 	if before > 5 || emptied < 10 || emptied > 14 || after > before+1 {
--- a/order_test.go
+++ b/balancer/order_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"encoding/binary"
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // auditor checks the four rules from events and actions alone. It models no
 // backend: it only remembers what the balancer was told and what it did.
 type auditor struct {
-	s        brookferry.Settings
+	s        balancer.Settings
 	now      time.Duration
 	requests map[string]*audited
 	backends map[string]*auditedBackend
@@ -22,7 +22,7 @@
 }
 
 type audited struct {
-	class    brookferry.Class
+	class    balancer.Class
 	deadline time.Duration
 	sends    []auditedSend
 	ended    bool
@@ -38,13 +38,13 @@
 }
 
 type auditedBackend struct {
-	brookferry.Backend
+	balancer.Backend
 	offAt   time.Duration // when it was told to drain or to be gone
 	started time.Duration // when it was told to have started; 0: warm
 	sends   []time.Duration
 }
 
-func newAuditor(s brookferry.Settings) *auditor {
+func newAuditor(s balancer.Settings) *auditor {
 	return &auditor{s: s, requests: map[string]*audited{}, backends: map[string]*auditedBackend{}}
 }
 
@@ -52,13 +52,13 @@
 	a.faults = append(a.faults, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
-func (a *auditor) event(e brookferry.Event) {
+func (a *auditor) event(e balancer.Event) {
 	switch e := e.(type) {
-	case brookferry.Request:
+	case balancer.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
 			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Left}
 		}
-	case brookferry.Outcome:
+	case balancer.Outcome:
 		r := a.requests[e.Request]
 		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].out {
 			return
@@ -66,16 +66,16 @@
 		r.sends[e.Attempt].out = false
 		r.sends[e.Attempt].risky = !e.Result.NeverRan()
 		r.ended = r.ended || e.Done
-	case brookferry.StreamStarted:
+	case balancer.StreamStarted:
 		if r := a.requests[e.Request]; r != nil {
 			r.stream = true
 		}
-	case brookferry.Abandoned:
+	case balancer.Abandoned:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
 			r.ended, r.left = true, a.now
 		}
-	case brookferry.List:
-		if e.Kind == brookferry.ListFailed {
+	case balancer.List:
+		if e.Kind == balancer.ListFailed {
 			return
 		}
 		listed := map[string]bool{}
@@ -89,47 +89,47 @@
 			if n.Started > b.Started {
 				b.started, b.sends = n.Started, nil
 			}
-			if n.State == brookferry.Up {
+			if n.State == balancer.Up {
 				b.offAt = 0
-			} else if b.Backend.State == brookferry.Up || b.offAt == 0 {
+			} else if b.Backend.State == balancer.Up || b.offAt == 0 {
 				b.offAt = a.now
 			}
 			b.Backend = n
 		}
-		if e.Kind != brookferry.ListDelta {
+		if e.Kind != balancer.ListDelta {
 			for id, b := range a.backends {
 				if !listed[id] && b.offAt == 0 {
 					b.offAt = a.now
-					b.State = brookferry.Gone
+					b.State = balancer.Gone
 				}
 			}
 		}
 	}
 }
 
-func (a *auditor) action(act brookferry.Action) {
+func (a *auditor) action(act balancer.Action) {
 	switch act := act.(type) {
-	case brookferry.Send:
+	case balancer.Send:
 		a.send(act)
-	case brookferry.Refuse:
+	case balancer.Refuse:
 		r := a.final(act.Request)
 		if r == nil {
 			return
 		}
 		for _, s := range r.sends {
-			free := r.class.Effect == brookferry.Safe ||
-				r.class.Effect == brookferry.Keyed && r.class.Group == brookferry.GroupAll
+			free := r.class.Effect == balancer.Safe ||
+				r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupAll
 			if (s.risky || s.out) && !free {
 				a.fault("%s refused though an attempt may have run", act.Request)
 			}
 		}
-	case brookferry.Fail:
+	case balancer.Fail:
 		a.final(act.Request)
-	case brookferry.SetTimer:
+	case balancer.SetTimer:
 		if act.After < 0 {
 			a.fault("a timer in the past: %v", act.After)
 		}
-	case brookferry.TellPeer:
+	case balancer.TellPeer:
 		if !a.s.Peers || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
 			a.fault("%d bytes to peer %d", len(act.Data), act.To)
 		}
@@ -151,7 +151,7 @@
 	return r
 }
 
-func (a *auditor) send(act brookferry.Send) {
+func (a *auditor) send(act balancer.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
 		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
@@ -179,12 +179,12 @@
 	if anchor != nil {
 		from := a.backends[anchor.backend]
 		switch {
-		case r.class.Effect == brookferry.Unsafe:
+		case r.class.Effect == balancer.Unsafe:
 			a.fault("%s is unsafe and may have run, sent again", act.Request)
-		case r.class.Effect == brookferry.Keyed && a.now-anchor.at > r.class.Window:
+		case r.class.Effect == balancer.Keyed && a.now-anchor.at > r.class.Window:
 			a.fault("%s sent again after its window", act.Request)
-		case r.class.Effect == brookferry.Keyed && r.class.Group == brookferry.GroupZone && from.Zone != b.Zone,
-			r.class.Effect == brookferry.Keyed && r.class.Group == brookferry.GroupCell && from.Cell != b.Cell:
+		case r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupZone && from.Zone != b.Zone,
+			r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupCell && from.Cell != b.Cell:
 			a.fault("%s sent again outside its group", act.Request)
 		}
 	}
@@ -257,7 +257,7 @@
 	for i := range s.Classes {
 		s.Classes[i].Window = time.Duration(rng.IntN(100)) * ms
 	}
-	b, err := brookferry.New(s, seed)
+	b, err := balancer.New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,17 +268,17 @@
 		token int64
 	}
 	var timers []timer
-	var open []brookferry.Outcome // attempts that are out
+	var open []balancer.Outcome // attempts that are out
 	due := map[string]time.Duration{}
 	pool := backends(8)
 	next := 0
 	for range steps {
 		a.now += time.Duration(rng.IntN(30)) * ms / 4
-		var events []brookferry.Event
+		var events []balancer.Event
 		keep := timers[:0]
 		for _, tm := range timers {
 			if tm.at <= a.now {
-				events = append(events, brookferry.TimerFired{Token: tm.token})
+				events = append(events, balancer.TimerFired{Token: tm.token})
 			} else {
 				keep = append(keep, tm)
 			}
@@ -289,7 +289,7 @@
 			id := fmt.Sprint("q", next)
 			left := time.Duration(1+rng.IntN(1500)) * ms
 			due[id] = a.now + left
-			events = append(events, brookferry.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
+			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0})
 		}
 		// Every attempt ends by its request's time; some early, with any result.
@@ -297,15 +297,15 @@
 		for _, o := range open {
 			switch {
 			case due[o.Request] <= a.now:
-				o.Result = brookferry.TimedOut
+				o.Result = balancer.TimedOut
 			case rng.IntN(8) == 0:
-				o.Result = brookferry.Result(rng.IntN(8))
+				o.Result = balancer.Result(rng.IntN(8))
 			default:
 				rest = append(rest, o)
 				continue
 			}
 			o.Latency = time.Duration(rng.IntN(900)) * ms
-			o.Done = o.Result == brookferry.OK || a.requests[o.Request].ended
+			o.Done = o.Result == balancer.OK || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
 				events = append(events, o) // told twice
@@ -315,30 +315,30 @@
 		switch rng.IntN(25) {
 		case 0:
 			n := &pool[rng.IntN(len(pool))]
-			n.State = brookferry.BackendState(rng.IntN(3))
+			n.State = balancer.BackendState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				n.State, n.Started = brookferry.Up, a.now
+				n.State, n.Started = balancer.Up, a.now
 			}
-			events = append(events, brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{*n}})
+			events = append(events, balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{*n}})
 		case 1:
-			var full []brookferry.Backend // up to none at all
+			var full []balancer.Backend // up to none at all
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
-				n.State = brookferry.Up
+				n.State = balancer.Up
 				full = append(full, n)
 			}
-			events = append(events, brookferry.List{Kind: brookferry.ListKind(1 + rng.IntN(2)), Backends: full})
+			events = append(events, balancer.List{Kind: balancer.ListKind(1 + rng.IntN(2)), Backends: full})
 		case 2:
-			events = append(events, brookferry.List{Kind: brookferry.ListFailed})
+			events = append(events, balancer.List{Kind: balancer.ListFailed})
 		case 3:
 			if next > 0 {
-				events = append(events, brookferry.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
+				events = append(events, balancer.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
 			}
 		case 4:
-			events = append(events, brookferry.TimerFired{Token: rng.Int64N(1 << 20)},
-				brookferry.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
-				brookferry.ProbeResult{Backend: "x"}, brookferry.PeerMessage{From: 70})
+			events = append(events, balancer.TimerFired{Token: rng.Int64N(1 << 20)},
+				balancer.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
+				balancer.ProbeResult{Backend: "x"}, balancer.PeerMessage{From: 70})
 		case 5:
-			events = append(events, brookferry.PeerMessage{From: rng.IntN(12) - 1,
+			events = append(events, balancer.PeerMessage{From: rng.IntN(12) - 1,
 				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
 		}
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
@@ -348,10 +348,10 @@
 		for _, act := range b.Step(a.now, events) {
 			a.action(act)
 			switch act := act.(type) {
-			case brookferry.SetTimer:
+			case balancer.SetTimer:
 				timers = append(timers, timer{a.now + act.After, act.Token})
-			case brookferry.Send:
-				open = append(open, brookferry.Outcome{Request: act.Request, Backend: act.Backend,
+			case balancer.Send:
+				open = append(open, balancer.Outcome{Request: act.Request, Backend: act.Backend,
 					Attempt: len(a.requests[act.Request].sends) - 1})
 			}
 		}
@@ -380,14 +380,14 @@
 
 // Each check of the auditor must be able to fail: these recorded actions are bad.
 func TestAuditorRejects(t *testing.T) {
-	send := func(b string) brookferry.Action { return brookferry.Send{Request: "q", Backend: b} }
-	ended := func(n int, res brookferry.Result) brookferry.Event {
-		return brookferry.Outcome{Request: "q", Attempt: n, Result: res, Done: res == brookferry.OK}
+	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Backend: b} }
+	ended := func(n int, res balancer.Result) balancer.Event {
+		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.OK}
 	}
-	refuse, fail := brookferry.Refuse{Request: "q"}, brookferry.Fail{Request: "q"}
-	off := brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "a", State: brookferry.Draining}}}
-	empty := brookferry.List{Kind: brookferry.ListFull}
-	cold := brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "a", Started: time.Hour}}}
+	refuse, fail := balancer.Refuse{Request: "q"}, balancer.Fail{Request: "q"}
+	off := balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
+	empty := balancer.List{Kind: balancer.ListFull}
+	cold := balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
@@ -396,40 +396,40 @@
 	}{
 		{"no answer", safe, []any{2021 * ms}, "got no answer in time"},
 		{"two answers", safe, []any{fail, fail}, "answered twice"},
-		{"answer after being served", safe, []any{send("a"), ended(0, brookferry.OK), refuse}, "answered twice"},
+		{"answer after being served", safe, []any{send("a"), ended(0, balancer.OK), refuse}, "answered twice"},
 		{"late answer", safe, []any{2020*ms + 1, fail}, "answered late"},
 		{"send after the answer", safe, []any{fail, send("a")}, "sent after its end"},
 		{"unknown backend", safe, []any{send("zz")}, "never told"},
-		{"past the limit", safe, []any{send("a"), ended(0, brookferry.Errored), send("b"), ended(1, brookferry.Errored),
-			send("a"), ended(2, brookferry.Errored), send("b"), ended(3, brookferry.Errored), send("a")}, "past the attempt limit"},
+		{"past the limit", safe, []any{send("a"), ended(0, balancer.Errored), send("b"), ended(1, balancer.Errored),
+			send("a"), ended(2, balancer.Errored), send("b"), ended(3, balancer.Errored), send("a")}, "past the attempt limit"},
 		{"second copy", safe, []any{send("a"), send("b")}, "two attempts out"},
-		{"unsafe repeated", unsafe, []any{send("a"), ended(0, brookferry.TimedOut), send("b")}, "is unsafe"},
-		{"unsafe refused", unsafe, []any{send("a"), ended(0, brookferry.Reset), refuse}, "refused though"},
+		{"unsafe repeated", unsafe, []any{send("a"), ended(0, balancer.TimedOut), send("b")}, "is unsafe"},
+		{"unsafe refused", unsafe, []any{send("a"), ended(0, balancer.Reset), refuse}, "refused though"},
 		{"unsafe refused while out", unsafe, []any{send("a"), refuse}, "refused though"},
-		{"zone refused", keyedZone, []any{send("a"), ended(0, brookferry.Errored), refuse}, "refused though"},
-		{"outside the zone", keyedZone, []any{send("a"), ended(0, brookferry.Errored), send("c")}, "outside its group"},
-		{"outside the cell", keyedCell, []any{send("a"), ended(0, brookferry.Errored), send("d")}, "outside its group"},
-		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, brookferry.Errored), send("b")}, "after its window"},
+		{"zone refused", keyedZone, []any{send("a"), ended(0, balancer.Errored), refuse}, "refused though"},
+		{"outside the zone", keyedZone, []any{send("a"), ended(0, balancer.Errored), send("c")}, "outside its group"},
+		{"outside the cell", keyedCell, []any{send("a"), ended(0, balancer.Errored), send("d")}, "outside its group"},
+		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")}, "after its window"},
 		{"drained", safe, []any{off, 501 * ms, send("a")}, "drain or be gone"},
 		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
-		{"cold", safe, []any{cold, send("a"), ended(0, brookferry.Full), send("a"), ended(1, brookferry.Full),
-			send("a"), ended(2, brookferry.Full), send("a")}, "is cold"},
-		{"message where none is allowed", safe, []any{brookferry.TellPeer{To: 1, Data: []byte{1}}}, "bytes to peer"},
-		{"timer in the past", safe, []any{brookferry.SetTimer{After: -1}}, "timer in the past"},
+		{"cold", safe, []any{cold, send("a"), ended(0, balancer.Full), send("a"), ended(1, balancer.Full),
+			send("a"), ended(2, balancer.Full), send("a")}, "is cold"},
+		{"message where none is allowed", safe, []any{balancer.TellPeer{To: 1, Data: []byte{1}}}, "bytes to peer"},
+		{"timer in the past", safe, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := newAuditor(settings())
 			a.now = time.Hour
-			a.event(brookferry.List{Kind: brookferry.ListFull, Backends: backends(4)})
-			a.event(brookferry.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
+			a.event(balancer.List{Kind: balancer.ListFull, Backends: backends(4)})
+			a.event(balancer.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
 			for _, p := range tt.play {
 				switch p := p.(type) {
 				case time.Duration:
 					a.now += p
-				case brookferry.Event:
+				case balancer.Event:
 					a.event(p)
-				case brookferry.Action:
+				case balancer.Action:
 					a.action(p)
 				}
 			}
--- a/peers.go
+++ b/balancer/peers.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // What agents tell each other, and whom.
 
--- a/picking.go
+++ b/balancer/picking.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // Which backend a request goes to: idle ones first, the nearest and fastest among them, never the one
 // that just failed it.
--- a/rare_test.go
+++ b/balancer/rare_test.go
@@ -1,11 +1,11 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/residency/gate"
 )
 
@@ -22,7 +22,7 @@
 		for n := range 60 {
 			id := fmt.Sprint("turned", n)
 			r.request(id, safe)
-			r.step(brookferry.Outcome{Request: id, Backend: r.sent[id][0], Result: brookferry.Full, Latency: ms, New: fresh})
+			r.step(balancer.Outcome{Request: id, Backend: r.sent[id][0], Result: balancer.Full, Latency: ms, New: fresh})
 			r.advance(100 * ms)
 		}
 		return r.rush("after", 20*ms), len(r.serve(100, safe, 20*ms))
@@ -55,8 +55,8 @@
 			moved := list[first]
 			moved.Cell, moved.Zone = (moved.Cell+1)%3, (moved.Zone+1)%3
 			r.now += 20 * ms
-			r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{moved}})
-			r.outcome("q", brookferry.Reset, 20*ms)
+			r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{moved}})
+			r.outcome("q", balancer.Reset, 20*ms)
 			r.advance(200 * ms)
 			for _, id := range r.sent["q"][1:] {
 				if b := list[id[0]-'a']; b.Cell != list[first].Cell || b.ID == moved.ID {
@@ -74,10 +74,10 @@
 	}
 }
 
-func firstSend(t *testing.T, actions []brookferry.Action) brookferry.Send {
+func firstSend(t *testing.T, actions []balancer.Action) balancer.Send {
 	t.Helper()
 	for _, a := range actions {
-		if a, ok := a.(brookferry.Send); ok {
+		if a, ok := a.(balancer.Send); ok {
 			return a
 		}
 	}
@@ -97,8 +97,8 @@
 			list[i].Started = time.Hour // cold: none takes more than a request now and then
 		}
 		r := newRig(t, s, 5, list)
-		r.step(brookferry.Residency{Table: &gate.Table{Rules: [][]bool{nil, {true, false, false}}, Bound: []bool{false, true}}},
-			brookferry.Request{ID: "bound", Class: safe, Left: 2000 * ms, Rule: 1})
+		r.step(balancer.Residency{Table: &gate.Table{Rules: [][]bool{nil, {true, false, false}}, Bound: []bool{false, true}}},
+			balancer.Request{ID: "bound", Class: safe, Left: 2000 * ms, Rule: 1})
 		for n := range held {
 			r.request(fmt.Sprint("q", n), safe)
 		}
--- a/residency.go
+++ b/balancer/residency.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // Where a request may be served, by the residency policy in force, and who makes way for those who may not go elsewhere.
 
--- a/residency_test.go
+++ b/balancer/residency_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/residency/gate"
 )
 
@@ -28,27 +28,27 @@
 		}
 		table := &gate.Table{Rules: make([][]bool, rules), Bound: make([]bool, rules)}
 		rule, answered := map[string]int{}, map[string]bool{}
-		check := func(actions []brookferry.Action) {
+		check := func(actions []balancer.Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
-				case brookferry.Send:
+				case balancer.Send:
 					if !table.Permits(rule[a.Request], zone[a.Backend]) {
 						d.Fatalf("%s of rule %d went to %s in zone %d: %v", a.Request, rule[a.Request], a.Backend, zone[a.Backend], table)
 					}
-				case brookferry.Refuse:
+				case balancer.Refuse:
 					answered[a.Request] = true
-				case brookferry.Fail:
+				case balancer.Fail:
 					answered[a.Request] = true
 				}
 			}
 		}
-		check(r.step(brookferry.Residency{Table: table}))
+		check(r.step(balancer.Residency{Table: table}))
 		for i := range rapid.IntRange(20, 150).Draw(d, "events") {
 			switch rapid.IntRange(0, 9).Draw(d, "event") {
 			default:
 				id := fmt.Sprint("q", i)
 				rule[id] = rapid.IntRange(0, rules+1).Draw(d, "rule") // one more than the table has
-				check(r.step(brookferry.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"), Left: 2000 * ms, Rule: rule[id]}))
+				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"), Left: 2000 * ms, Rule: rule[id]}))
 			case 4, 5, 6: // an attempt ends somehow
 				ids := make([]string, 0, len(r.sent))
 				for id := range r.sent {
@@ -59,9 +59,9 @@
 				if slices.Sort(ids); len(ids) > 0 {
 					id := rapid.SampledFrom(ids).Draw(d, "id")
 					n := len(r.sent[id]) - 1
-					res := brookferry.Result(rapid.IntRange(0, 5).Draw(d, "result"))
-					answered[id] = answered[id] || res == brookferry.OK
-					check(r.step(brookferry.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res, Latency: 50 * ms, Done: res == brookferry.OK}))
+					res := balancer.Result(rapid.IntRange(0, 5).Draw(d, "result"))
+					answered[id] = answered[id] || res == balancer.OK
+					check(r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res, Latency: 50 * ms, Done: res == balancer.OK}))
 				}
 			case 7:
 				check(r.advance(time.Duration(rapid.IntRange(1, 900).Draw(d, "ms")) * ms))
@@ -71,16 +71,16 @@
 					table.Bound[n] = rapid.Bool().Draw(d, "bound")
 					table.Rules[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
 				}
-				check(r.step(brookferry.Residency{Table: table}))
+				check(r.step(balancer.Residency{Table: table}))
 			case 9: // a backend in another zone, or out of use and back
 				b := rapid.SampledFrom(list).Draw(d, "backend")
 				b.Zone = rapid.IntRange(-1, zones).Draw(d, "zone")
-				b.State = brookferry.BackendState(rapid.IntRange(0, 1).Draw(d, "state"))
+				b.State = balancer.BackendState(rapid.IntRange(0, 1).Draw(d, "state"))
 				zone[b.ID] = b.Zone
-				check(r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{b}}))
+				check(r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{b}}))
 				if rapid.Bool().Draw(d, "called") {
-					check(r.step(brookferry.Detach{Call: int64(i), Backend: b.ID}))
-					check(r.step(brookferry.Attach{Call: int64(i), Backend: b.ID}))
+					check(r.step(balancer.Detach{Call: int64(i), Backend: b.ID}))
+					check(r.step(balancer.Attach{Call: int64(i), Backend: b.ID}))
 				}
 			}
 		}
@@ -93,8 +93,8 @@
 	})
 }
 
-func bind(zones ...bool) brookferry.Residency {
-	return brookferry.Residency{Table: &gate.Table{Gen: 1, Rules: [][]bool{nil, zones}, Bound: []bool{false, true}}}
+func bind(zones ...bool) balancer.Residency {
+	return balancer.Residency{Table: &gate.Table{Gen: 1, Rules: [][]bool{nil, zones}, Bound: []bool{false, true}}}
 }
 
 // A bound request without a backend where it may be served is refused at once, and the client is told why.
@@ -104,22 +104,22 @@
 		"zone drained": func(r *rig) {
 			r.step(bind(false, true, false))
 			for _, b := range backends(6)[2:4] {
-				b.State = brookferry.Draining
-				r.step(brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{b}})
+				b.State = balancer.Draining
+				r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{b}})
 			}
 		},
 		"no policy": func(*rig) {},
 	} {
 		r := newRig(t, settings(), 1, backends(6))
 		prepare(r)
-		actions := r.step(brookferry.Request{ID: "q", Class: safe, Left: 2000 * ms, Rule: 1})
+		actions := r.step(balancer.Request{ID: "q", Class: safe, Left: 2000 * ms, Rule: 1})
 		if len(actions) != 1 {
 			t.Fatalf("%s: %v", name, actions)
 		}
-		if a, ok := actions[0].(brookferry.Refuse); !ok || !a.Residency {
+		if a, ok := actions[0].(balancer.Refuse); !ok || !a.Residency {
 			t.Errorf("%s: %+v", name, actions[0])
 		}
-		if a := r.step(brookferry.Request{ID: "free", Class: safe, Left: 2000 * ms}); len(r.sent["free"]) != 1 {
+		if a := r.step(balancer.Request{ID: "free", Class: safe, Left: 2000 * ms}); len(r.sent["free"]) != 1 {
 			t.Errorf("%s: a request that is not bound: %v", name, a)
 		}
 	}
@@ -134,12 +134,12 @@
 		for i := range 600 {
 			r.advance(5 * ms)
 			id := fmt.Sprint("f", i)
-			r.step(brookferry.Request{ID: id, Class: safe, Left: 2000 * ms})
+			r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms})
 			open = append(open, id)
 			if i%4 == 0 {
 				id = fmt.Sprint("b", i)
-				for _, a := range r.step(brookferry.Request{ID: id, Class: safe, Left: 2000 * ms, Rule: rule}) {
-					if a, ok := a.(brookferry.Refuse); ok && a.Request == id {
+				for _, a := range r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Rule: rule}) {
+					if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 						refused++
 					}
 				}
@@ -150,7 +150,7 @@
 					if i > 300 && id[0] == 'f' && r.sent[id][0] < "c" {
 						in++
 					}
-					r.outcome(id, brookferry.OK, 80*ms)
+					r.outcome(id, balancer.OK, 80*ms)
 				}
 				open = open[1:]
 			}
@@ -166,7 +166,7 @@
 
 // A zone that is known to be far gets what the near ones have no idle backend for, and is near again once it is not known.
 func TestFarZonesComeLast(t *testing.T) {
-	far := brookferry.Distances{Trip: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
+	far := balancer.Distances{Trip: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
 	count := func(r *rig) (n int) {
 		for i := range 90 {
 			r.now += 20 * ms
@@ -175,7 +175,7 @@
 			if r.sent[id][0] >= "e" {
 				n++
 			}
-			r.outcome(id, brookferry.OK, 50*ms)
+			r.outcome(id, balancer.OK, 50*ms)
 		}
 		return n
 	}
@@ -202,7 +202,7 @@
 	for range 20 {
 		r.step(far)
 	}
-	r.step(brookferry.Distances{Trip: make([]time.Duration, 3), Loss: make([]float64, 3)})
+	r.step(balancer.Distances{Trip: make([]time.Duration, 3), Loss: make([]float64, 3)})
 	if n := count(r); n < 15 {
 		t.Errorf("%d of 90 went to a zone of which nothing is known any more, want about a third", n)
 	}
@@ -215,7 +215,7 @@
 		s.Balancers, s.Peers = 10, true
 		r := newRig(t, s, 3, backends(6))
 		if part > 0 {
-			r.step(brookferry.Part{Of: part})
+			r.step(balancer.Part{Of: part})
 		}
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
--- a/retries.go
+++ b/balancer/retries.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // Whether a failed attempt is followed by another, when, and where to.
 
--- a/settings.go
+++ b/balancer/settings.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 // check names the first setting that makes no sense. It decides nothing.
 func (s *Settings) check() error {
 	bad := func(field string, v any) error {
-		return fmt.Errorf("brookferry: settings: %s: %v makes no sense", field, v)
+		return fmt.Errorf("balancer: settings: %s: %v makes no sense", field, v)
 	}
 	switch {
 	case len(s.Classes) == 0:
--- a/zone.go
+++ b/balancer/zone.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // What is known of each zone. Nothing is decided here.
 
--- a/zones.go
+++ b/balancer/zones.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 // Whether a zone as a whole is left, and how it is used again. A zone that is lost or cut off says nothing: learned
 // backend by backend, each takes an attempt for as long as its client waits, and these fill the limit while the
--- a/zones_test.go
+++ b/balancer/zones_test.go
@@ -1,4 +1,4 @@
-package brookferry_test
+package balancer_test
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // The same cases every time; -rapid.seed=0 draws others.
@@ -20,7 +20,7 @@
 // silent.
 type zoned struct {
 	*rig
-	list   []brookferry.Backend
+	list   []balancer.Backend
 	silent map[int]bool
 	due    map[string]time.Duration // by request: when its answer comes
 	ends   map[string]time.Duration // and when its client stops waiting
@@ -33,19 +33,19 @@
 	told   [][]byte              // what peers were told
 	slow   map[int]time.Duration // what answers of a zone take besides
 	class  func(n int) int       // of the n-th request; nil: all safe
-	of     brookferry.Settings
+	of     balancer.Settings
 }
 
 // zoneTurn is a turn of a zone, and when it came.
 type zoneTurn struct {
-	brookferry.ZoneTurn
+	balancer.ZoneTurn
 	at time.Duration
 }
 
-func newZoned(t *testing.T, seed uint64, change ...func(s *brookferry.Settings)) *zoned {
+func newZoned(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoned {
 	z := &zoned{silent: map[int]bool{}, due: map[string]time.Duration{}, ends: map[string]time.Duration{}, first: map[int]int{}}
 	for i := range 9 {
-		z.list = append(z.list, brookferry.Backend{ID: string(rune('a' + i)), Zone: i % 3, Cell: i % 3})
+		z.list = append(z.list, balancer.Backend{ID: string(rune('a' + i)), Zone: i % 3, Cell: i % 3})
 	}
 	s := settings()
 	s.MayProbe, s.Balancers = true, 1
@@ -60,10 +60,10 @@
 func (z *zoned) zone(id string) int { return int(id[0]-'a') % 3 }
 
 // note takes what the balancer wants done.
-func (z *zoned) note(actions []brookferry.Action) {
+func (z *zoned) note(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case brookferry.Send:
+		case balancer.Send:
 			if len(z.sent[a.Request]) == 1 {
 				z.first[z.zone(a.Backend)]++
 			}
@@ -71,11 +71,11 @@
 			if z.silent[z.zone(a.Backend)] || z.mute[a.Backend] {
 				z.due[a.Request] = min(z.now+time.Second, z.ends[a.Request]) // no attempt outlasts its client
 			}
-		case brookferry.TellPeer:
+		case balancer.TellPeer:
 			z.told = append(z.told, a.Data)
-		case brookferry.ZoneTurn:
+		case balancer.ZoneTurn:
 			z.turns = append(z.turns, zoneTurn{a, z.now})
-		case brookferry.Probe:
+		case balancer.Probe:
 			z.probes = append(z.probes, a.Backend)
 			z.probed++
 		}
@@ -97,19 +97,19 @@
 			delete(z.due, id)
 			to := z.sent[id][len(z.sent[id])-1]
 			if z.silent[z.zone(to)] || z.mute[to] {
-				z.note(z.outcome(id, brookferry.TimedOut, time.Second))
+				z.note(z.outcome(id, balancer.TimedOut, time.Second))
 			} else {
-				z.note(z.outcome(id, brookferry.OK, 20*ms+z.slow[z.zone(to)]))
+				z.note(z.outcome(id, balancer.OK, 20*ms+z.slow[z.zone(to)]))
 			}
 		}
 		probes := z.probes
 		z.probes = nil
 		for _, id := range probes {
-			result := brookferry.OK
+			result := balancer.OK
 			if z.silent[z.zone(id)] {
-				result = brookferry.TimedOut
+				result = balancer.TimedOut
 			}
-			z.note(z.step(brookferry.ProbeResult{Backend: id, Result: result, Latency: ms}))
+			z.note(z.step(balancer.ProbeResult{Backend: id, Result: result, Latency: ms}))
 		}
 		z.n++
 		id := fmt.Sprint("z", z.n)
@@ -185,7 +185,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		z := newZoned(t, rapid.Uint64().Draw(rt, "seed"))
 		z.audit = newAuditor(z.of)
-		z.audit.event(brookferry.List{Kind: brookferry.ListFull, Backends: z.list})
+		z.audit.event(balancer.List{Kind: balancer.ListFull, Backends: z.list})
 		z.class = func(n int) int { return n % 5 }
 		z.run(500 * ms)
 		for range rapid.IntRange(1, 6).Draw(rt, "turns") {
@@ -242,11 +242,11 @@
 		"three, of a zone that there is not":      {from: []int{1, 2, 3}, lost: 1 << 12},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newZoned(t, 3, func(s *brookferry.Settings) { s.Balancers, s.Peers = 4, true })
+			z := newZoned(t, 3, func(s *balancer.Settings) { s.Balancers, s.Peers = 4, true })
 			z.run(time.Second)
 			if !c.loud { // it hears from the others alone
 				for _, id := range []string{"b", "e", "h"} {
-					z.step(brookferry.Detach{Backend: id})
+					z.step(balancer.Detach{Backend: id})
 				}
 			}
 			z.run(100 * ms) // what was out has been answered
@@ -254,7 +254,7 @@
 				if !c.burst {
 					z.run(max(c.every, 50*ms))
 				}
-				z.note(z.step(brookferry.PeerMessage{From: from, Data: word(c.lost)}))
+				z.note(z.step(balancer.PeerMessage{From: from, Data: word(c.lost)}))
 			}
 			left := len(z.turns) > 0 && z.turns[0].Zone == 1 && z.turns[0].Told
 			if left != c.want || !left && len(z.turns) > 0 {
@@ -266,7 +266,7 @@
 
 // Who leaves a zone for what it saw tells peers at once, and no longer than that is news.
 func TestLossIsTold(t *testing.T) {
-	z := newZoned(t, 3, func(s *brookferry.Settings) { s.Balancers, s.Peers = 4, true })
+	z := newZoned(t, 3, func(s *balancer.Settings) { s.Balancers, s.Peers = 4, true })
 	z.run(time.Second)
 	z.silent[1] = true
 	for len(z.turns) == 0 && z.now < 2*time.Hour {
@@ -297,7 +297,7 @@
 	const probe, request = 0.72, 84.0 // ms of work: the dearest probe beside the cheapest request of the operators' site
 	probed, perZone := 0, 3
 	for n := range uint64(agents) {
-		z := newZoned(t, n+1, func(s *brookferry.Settings) { s.Balancers = agents })
+		z := newZoned(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
 		z.run(time.Second)
 		z.silent[2] = true
 		z.run(span)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter plays brookferry balancers on the bench's wire: batches of
+// Command adapter plays balancers on the bench's wire: batches of
 // events on standard input, one reply per batch on standard output.
 package main
 
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/wire"
 )
 
@@ -22,9 +22,9 @@
 	}
 }
 
-// stepper is what an instance does; in service a *brookferry.Balancer.
+// stepper is what an instance does; in service a *balancer.Balancer.
 type stepper interface {
-	Step(now time.Duration, events []brookferry.Event) []brookferry.Action
+	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
 
 // run answers batches until the input ends.
@@ -52,7 +52,7 @@
 // stop within the batch ends the step before it.
 func answer(batch *wire.Batch, instances map[int]stepper, w *wire.Writer) error {
 	var order []int
-	pending := map[int][]brookferry.Event{}
+	pending := map[int][]balancer.Event{}
 	flush := func(agent int) error {
 		events := pending[agent]
 		if len(events) == 0 {
@@ -76,7 +76,7 @@
 			if err := flush(e.Agent); err != nil {
 				return err
 			}
-			b, err := brookferry.New(e.Open.Settings, e.Open.Seed)
+			b, err := balancer.New(e.Open.Settings, e.Open.Seed)
 			if err != nil {
 				return fmt.Errorf("line %d: OpenInstance: %w", e.Line, err)
 			}
@@ -99,7 +99,7 @@
 }
 
 // step turns a panic of the decision code into its text.
-func step(b stepper, now time.Duration, events []brookferry.Event) (acts []brookferry.Action, fault string) {
+func step(b stepper, now time.Duration, events []balancer.Event) (acts []balancer.Action, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			fault = fmt.Sprint("panic: ", p)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/wire"
 )
 
@@ -85,8 +85,8 @@
 func TestPanicIsBroken(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
-	b := &wire.Batch{Events: []wire.Event{{Agent: 2, Event: brookferry.Request{ID: "x"}}}}
-	broken := map[int]stepper{2: stepFunc(func(time.Duration, []brookferry.Event) []brookferry.Action { panic("no such thing") })}
+	b := &wire.Batch{Events: []wire.Event{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
+	broken := map[int]stepper{2: stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })}
 	if err := answer(b, broken, w); err != nil {
 		t.Fatal(err)
 	}
@@ -99,6 +99,6 @@
 	}
 }
 
-type stepFunc func(time.Duration, []brookferry.Event) []brookferry.Action
+type stepFunc func(time.Duration, []balancer.Event) []balancer.Action
 
-func (f stepFunc) Step(now time.Duration, e []brookferry.Event) []brookferry.Action { return f(now, e) }
+func (f stepFunc) Step(now time.Duration, e []balancer.Event) []balancer.Action { return f(now, e) }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/agent/listening"
 	"martenbeam/internal/agent/operations"
@@ -128,7 +128,7 @@
 	if a.cfg.Known != nil && len(a.cfg.Known.Servers) > 0 {
 		a.loop.take(a.discovery.Known(a.cfg.Known))
 	} else {
-		a.loop.take(discovery.Update{List: brookferry.List{Kind: brookferry.ListCached}}) // the module asks after it
+		a.loop.take(discovery.Update{List: balancer.List{Kind: balancer.ListCached}}) // the module asks after it
 	}
 	known := len(a.backends.listed) // from here on the loop owns the list
 	running.Go(func() { a.loop.run(ctx) })
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/wire"
 )
@@ -265,7 +265,7 @@
 }
 
 // attemptAt makes one attempt at a backend, with no agent around it.
-func attemptAt(t *testing.T, b *backends, ctx context.Context, body string) (brookferry.Result, *answer, brookferry.Load) {
+func attemptAt(t *testing.T, b *backends, ctx context.Context, body string) (balancer.Result, *answer, balancer.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
@@ -280,7 +280,7 @@
 	b := newBackends(testConfig(t, setup{}), quiet)
 	t.Cleanup(b.close)
 	b.settle = 0 // what comes on a connection that rests is another test's
-	b.update(discovery.Update{List: brookferry.List{Kind: brookferry.ListFull, Backends: []brookferry.Backend{{ID: "s"}}},
+	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
@@ -290,31 +290,31 @@
 func TestOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
 		answer string
-		want   brookferry.Result
+		want   balancer.Result
 	}{
-		"served":               {ok200, brookferry.OK},
-		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", brookferry.OK},
-		"ended by its close":   {"HTTP/1.1 200 OK\r\n\r\nhello", brookferry.OK},
-		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", brookferry.Errored},
-		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", brookferry.Full},
-		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", brookferry.Full},
-		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", brookferry.Errored},
-		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", brookferry.Errored},
-		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", brookferry.Errored},
-		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", brookferry.Errored},
-		"closed unanswered":    {"", brookferry.Reset},
-		"broken in the header": {"HTTP/1.1 200 OK\r\nTRUNCATED", brookferry.Reset},
-		"truncated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", brookferry.Reset},
-		"truncated chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", brookferry.Reset},
-		"no length, nothing":   {"HTTP/1.1 200 OK\r\n\r\n", brookferry.Reset},
-		"no HTTP":              {"TRUNCATED\r\n\r\n", brookferry.Reset},
+		"served":               {ok200, balancer.OK},
+		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balancer.OK},
+		"ended by its close":   {"HTTP/1.1 200 OK\r\n\r\nhello", balancer.OK},
+		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"closed unanswered":    {"", balancer.Reset},
+		"broken in the header": {"HTTP/1.1 200 OK\r\nTRUNCATED", balancer.Reset},
+		"truncated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", balancer.Reset},
+		"truncated chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", balancer.Reset},
+		"no length, nothing":   {"HTTP/1.1 200 OK\r\n\r\n", balancer.Reset},
+		"no HTTP":              {"TRUNCATED\r\n\r\n", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serveRaw(t, func(int) string { return row.answer })
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
 			result, a, _ := attemptAt(t, poolFor(t, s.addr), ctx, "body")
-			if result != row.want || (a != nil) != (row.want == brookferry.OK) {
+			if result != row.want || (a != nil) != (row.want == balancer.OK) {
 				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
 			}
 			if a != nil && string(a.body) != "hello" {
@@ -326,7 +326,7 @@
 
 func TestOutcomeConnectionRefused(t *testing.T) {
 	b := poolFor(t, deadAddr(t))
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != brookferry.ConnectFailed {
+	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != balancer.ConnectFailed {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 {
@@ -343,7 +343,7 @@
 	b := poolFor(t, s.addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(errTimedOut) }()
-	if result, _, _ := attemptAt(t, b, ctx, ""); result != brookferry.TimedOut {
+	if result, _, _ := attemptAt(t, b, ctx, ""); result != balancer.TimedOut {
 		t.Errorf("result %v", result)
 	}
 	if b.open != 0 || len(b.idle["s"]) != 0 {
@@ -357,7 +357,7 @@
 	s := serveRaw(t, func(int) string { <-hold; return "" })
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(errCancelled) }()
-	if result, _, _ := attemptAt(t, poolFor(t, s.addr), ctx, ""); result != brookferry.Cancelled {
+	if result, _, _ := attemptAt(t, poolFor(t, s.addr), ctx, ""); result != balancer.Cancelled {
 		t.Errorf("result %v", result)
 	}
 }
@@ -402,7 +402,7 @@
 			}
 			return c, err
 		}
-		if result, _, _ := attemptAt(t, b, context.Background(), strings.Repeat("x", 20000)); result != brookferry.ConnectFailed {
+		if result, _, _ := attemptAt(t, b, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
 			t.Errorf("broken after %d bytes: result %v", room, result)
 		}
 	}
@@ -436,11 +436,11 @@
 		}
 		return c, err
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != brookferry.OK {
+	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != balancer.OK {
 		t.Fatalf("first: %v", result)
 	}
 	dead.Store(true)
-	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != brookferry.OK || dials != 2 {
+	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != balancer.OK || dials != 2 {
 		t.Errorf("second: %v after %d dials", result, dials)
 	}
 	if n := len(s.seen); n != 2 {
@@ -461,7 +461,7 @@
 	over := make(chan struct{})
 	close(over)
 	r, _, _ := b.attempt(context.Background(), over, "s", &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
-	if r != brookferry.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].since != since {
+	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].since != since {
 		t.Errorf("result %v, %d idle", r, len(b.idle["s"]))
 	}
 }
@@ -473,13 +473,13 @@
 func TestNothingIsResentOnAStaleConnection(t *testing.T) {
 	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	b := poolFor(t, s.addr)
-	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != brookferry.OK {
+	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != balancer.OK {
 		t.Fatalf("first: %v", result)
 	}
 	if len(b.idle["s"]) != 1 {
 		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != brookferry.Reset {
+	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != balancer.Reset {
 		t.Fatalf("second: %v", result)
 	}
 	if n := len(s.seen); n != 2 {
@@ -515,12 +515,12 @@
 		return ok200
 	})
 	b := poolFor(t, s.addr)
-	b.update(discovery.Update{List: brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "t"}}},
+	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": s.addr}})
 	b.most = 1
 	attemptAt(t, b, context.Background(), "")
 	<-s.seen
-	done := make(chan brookferry.Result)
+	done := make(chan balancer.Result)
 	go func() {
 		r, _, _ := b.attempt(context.Background(), nil, "t", &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
 		done <- r
@@ -529,11 +529,11 @@
 	if len(b.idle["s"]) != 0 {
 		t.Error("no idle connection made room")
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), ""); r != brookferry.ConnectFailed {
+	if r, _, _ := attemptAt(t, b, context.Background(), ""); r != balancer.ConnectFailed {
 		t.Errorf("past the limit: %v", r)
 	}
 	close(hold)
-	if r := receive(t, "result", done); r != brookferry.OK {
+	if r := receive(t, "result", done); r != balancer.OK {
 		t.Errorf("held attempt: %v", r)
 	}
 }
@@ -544,7 +544,7 @@
 	two := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, one.addr)
 	attemptAt(t, b, context.Background(), "")
-	b.update(discovery.Update{List: brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "s"}}},
+	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.open != 0 {
 		t.Errorf("%d connections to the old address are open", b.open)
@@ -559,16 +559,16 @@
 	hold := make(chan struct{})
 	one := serveRaw(t, func(int) string { <-hold; return ok200 })
 	b := poolFor(t, one.addr)
-	done := make(chan brookferry.Result, 1)
+	done := make(chan balancer.Result, 1)
 	go func() {
 		r, _, _ := b.attempt(context.Background(), nil, "s", &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request", one.seen)
-	b.update(discovery.Update{List: brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{{ID: "s"}}},
+	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": deadAddr(t)}})
 	close(hold)
-	if r := receive(t, "result", done); r != brookferry.OK || b.open != 0 {
+	if r := receive(t, "result", done); r != balancer.OK || b.open != 0 {
 		t.Errorf("result %v, %d connections kept", r, b.open)
 	}
 }
@@ -584,11 +584,11 @@
 }
 
 func TestProbe(t *testing.T) {
-	for status, want := range map[string]brookferry.Result{"200 OK": brookferry.OK, "503 X": brookferry.Errored} {
+	for status, want := range map[string]balancer.Result{"200 OK": balancer.OK, "503 X": balancer.Errored} {
 		s := serveRaw(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
 		b := poolFor(t, s.addr)
 		b.cfg.Site.LoadProbed = true
-		if p := b.probe("s"); p.Result != want || p.Result == brookferry.OK && p.Load.Queue != 3 {
+		if p := b.probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
 			t.Errorf("%s: %+v", status, p)
 		}
 	}
@@ -729,7 +729,7 @@
 	if len(l.requests) != 0 || len(r.reply) != 0 {
 		t.Errorf("%d requests, %d more answers", len(l.requests), len(r.reply))
 	}
-	if want := (brookferry.Abandoned{Request: "1"}); !slices.Contains(l.pending, brookferry.Event(want)) {
+	if want := (balancer.Abandoned{Request: "1"}); !slices.Contains(l.pending, balancer.Event(want)) {
 		t.Error("the module was not told")
 	}
 }
@@ -783,10 +783,10 @@
 		return c, err
 	}
 	m := &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}}
-	if r, _, _ := b.attempt(context.Background(), over, "s", m); r != brookferry.NotSent {
+	if r, _, _ := b.attempt(context.Background(), over, "s", m); r != balancer.NotSent {
 		t.Errorf("result %v", r)
 	}
-	if r, _, _ := b.attempt(context.Background(), nil, "s", m); r != brookferry.OK || len(s.seen) != 1 {
+	if r, _, _ := b.attempt(context.Background(), nil, "s", m); r != balancer.OK || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
 	}
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/wire"
 )
 
@@ -69,13 +69,13 @@
 
 // attempt sends m to a backend once and waits until ctx ends at the latest, for an answer that is
 // not large.
-func (b *backends) attempt(ctx context.Context, over <-chan struct{}, id string, m *message) (brookferry.Result, *answer, brookferry.Load) {
+func (b *backends) attempt(ctx context.Context, over <-chan struct{}, id string, m *message) (balancer.Result, *answer, balancer.Load) {
 	return b.try(&try{ctx: ctx, over: over, id: id, m: m, start: time.Now()})
 }
 
 // try makes an attempt. The result follows the protocol's table of outcomes; where it is not certain
 // that nothing ran, it says so. One with a large answer ends once that has gone on.
-func (b *backends) try(t *try) (brookferry.Result, *answer, brookferry.Load) {
+func (b *backends) try(t *try) (balancer.Result, *answer, balancer.Load) {
 	for {
 		c, addr, err := b.take(t.id)
 		if err == nil && c == nil {
@@ -86,9 +86,9 @@
 				b.log.Warn("attempt not sent", "error", err, "backend", t.id)
 			}
 			if errors.Is(context.Cause(t.ctx), errCancelled) {
-				return brookferry.Cancelled, nil, wire.Load(nil)
+				return balancer.Cancelled, nil, wire.Load(nil)
 			}
-			return brookferry.ConnectFailed, nil, wire.Load(nil)
+			return balancer.ConnectFailed, nil, wire.Load(nil)
 		}
 		if err := b.clear(t); err != nil { // while the connection was being opened: nothing has run
 			b.give(t.id, c, true)
@@ -99,18 +99,18 @@
 		result, answer, load := b.send(t, c)
 		// A kept connection that had died before the request was written whole tells nothing of
 		// whether the backend can be reached, and nothing has run: the attempt is still to be made.
-		if result != brookferry.ConnectFailed || !reused || t.m.spent() {
+		if result != balancer.ConnectFailed || !reused || t.m.spent() {
 			return result, answer, load
 		}
 	}
 }
 
 // held is the result of an attempt of which nothing was written, for a reason that is not the backend's.
-func held(err error) brookferry.Result {
+func held(err error) balancer.Result {
 	if errors.Is(err, errOver) || errors.Is(err, errTooLate) {
-		return brookferry.NotSent // nothing more is to be made of the request
+		return balancer.NotSent // nothing more is to be made of the request
 	}
-	return brookferry.ConnectFailed
+	return balancer.ConnectFailed
 }
 
 // large reports whether a body is too large to be held whole.
@@ -120,7 +120,7 @@
 func (m *message) spent() bool { return m.large() && m.upload.begun.Load() }
 
 // send writes the request on a connection, once, and waits for the answer.
-func (b *backends) send(t *try, c *conn) (brookferry.Result, *answer, brookferry.Load) {
+func (b *backends) send(t *try, c *conn) (balancer.Result, *answer, balancer.Load) {
 	none, m := wire.Load(nil), t.m
 	u := *m.url
 	u.Scheme, u.Host = "http", c.addr
@@ -153,10 +153,10 @@
 	resp, err := c.RoundTrip(req)
 	if err != nil {
 		result := b.broken(t, c, large)
-		if reason := c.net.refused(); result == brookferry.ConnectFailed && reason != nil && !errors.Is(reason, errStray) && !errors.Is(reason, errPeerClosed) {
+		if reason := c.net.refused(); result == balancer.ConnectFailed && reason != nil && !errors.Is(reason, errStray) && !errors.Is(reason, errPeerClosed) {
 			return held(reason), nil, none
 		}
-		b.learn(c, result == brookferry.Reset || result == brookferry.ConnectFailed)
+		b.learn(c, result == balancer.Reset || result == balancer.ConnectFailed)
 		return result, nil, none
 	}
 	b.learn(c, false)
@@ -181,7 +181,7 @@
 	b.give(t.id, c, !resp.Close && len(answer.body) <= maxBody)
 	switch {
 	case resp.StatusCode == http.StatusOK && len(answer.body) <= maxBody:
-		return brookferry.OK, answer, load
+		return balancer.OK, answer, load
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
 		if t.fresh { // backends hold few connections: one of this agent's that rests is another's want
@@ -189,9 +189,9 @@
 			b.evict()
 			b.mu.Unlock()
 		}
-		return brookferry.Full, nil, load
+		return balancer.Full, nil, load
 	}
-	return brookferry.Errored, nil, load
+	return balancer.Errored, nil, load
 }
 
 // read takes an answer whole, or the first bytes of one that is large.
@@ -231,7 +231,7 @@
 }
 
 // pass hands on a large answer and waits until it has gone on or can't.
-func (b *backends) pass(t *try, c *conn, resp *http.Response, a *answer) brookferry.Result {
+func (b *backends) pass(t *try, c *conn, resp *http.Response, a *answer) balancer.Result {
 	defer a.rest.free()
 	t.took = t.latency()
 	boundKernel(c.net.Conn)
@@ -247,14 +247,14 @@
 		c.net.rest(!resp.Close)
 		c.since = time.Now()
 		b.give(t.id, c, !resp.Close)
-		return brookferry.OK
+		return balancer.OK
 	}
 	c.net.Close()
 	b.give(t.id, c, false)
 	if errors.Is(a.rest.err, errEnded) {
-		return brookferry.Cancelled
+		return balancer.Cancelled
 	}
-	return brookferry.Reset
+	return balancer.Reset
 }
 
 // endless reports whether an answer ends with its connection alone. That is a form like any other (RFC
@@ -264,17 +264,17 @@
 }
 
 // broken tells how an attempt ended that brought no whole answer, and closes its connection.
-func (b *backends) broken(t *try, c *conn, large *body) brookferry.Result {
+func (b *backends) broken(t *try, c *conn, large *body) balancer.Result {
 	cause := context.Cause(t.ctx)
 	neverRan := c.net.neverWhole() || large != nil && !large.done.Load()
 	b.give(t.id, c, false)
 	switch {
 	case errors.Is(cause, errCancelled):
-		return brookferry.Cancelled
+		return balancer.Cancelled
 	case cause != nil:
-		return brookferry.TimedOut
+		return balancer.TimedOut
 	case neverRan:
-		return brookferry.ConnectFailed
+		return balancer.ConnectFailed
 	}
-	return brookferry.Reset
+	return balancer.Reset
 }
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/residency/gate"
 )
@@ -115,7 +115,7 @@
 func (b *backends) update(e discovery.Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e.List.Kind != brookferry.ListDelta && e.List.Kind != brookferry.ListFailed {
+	if e.List.Kind != balancer.ListDelta && e.List.Kind != balancer.ListFailed {
 		for id := range b.listed {
 			if _, listed := e.Addrs[id]; !listed {
 				b.forget(id)
@@ -128,7 +128,7 @@
 			b.forget(m.ID)
 			continue
 		}
-		now := listing{addr: addr, zone: m.Zone, cell: m.Cell, draining: m.State != brookferry.Up}
+		now := listing{addr: addr, zone: m.Zone, cell: m.Cell, draining: m.State != balancer.Up}
 		if old := b.listed[m.ID]; old == nil || *old != now {
 			b.listed[m.ID] = &now
 			if old != nil && (old.addr != addr || now.draining) {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/wire"
 )
@@ -34,7 +34,7 @@
 	Known      *discovery.Members // the list of backends as last stored; may be absent
 	Join       Join               // nil: there is no fleet
 
-	Settings brookferry.Settings
+	Settings balancer.Settings
 	Site     wire.Site
 }
 
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 )
 
@@ -141,7 +141,7 @@
 	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
 		t.Fatal(err)
 	}
-	if m, ok := receive(t, "message", got).(brookferry.PeerMessage); !ok || m.From != 1 || string(m.Data) != "yes" {
+	if m, ok := receive(t, "message", got).(balancer.PeerMessage); !ok || m.From != 1 || string(m.Data) != "yes" {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/agent/discovery/follow.go
+++ b/internal/agent/discovery/follow.go
@@ -13,7 +13,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/fleet/source"
 )
 
@@ -139,7 +139,7 @@
 func (f *Follower) Known(m *Members) Update {
 	f.version = m.Version
 	f.whole.merge(m, true)
-	return f.cfg.Update(m, brookferry.ListCached, 0)
+	return f.cfg.Update(m, balancer.ListCached, 0)
 }
 
 // Run watches until ctx ends.
@@ -380,9 +380,9 @@
 		f.passOn(w, m, was)
 	}
 	w.listed = true
-	kind := brookferry.ListDelta
+	kind := balancer.ListDelta
 	if m.Full {
-		kind = brookferry.ListFull
+		kind = balancer.ListFull
 	}
 	within := time.Duration(0)
 	if f.listing { // else what was told before may be old
@@ -440,5 +440,5 @@
 	if f.fails == 1 || f.fails%20 == 0 { // not a line for every try while it is down
 		f.cfg.Log.Warn("discovery watch ended", "error", err, "failures", f.fails)
 	}
-	f.cfg.Post(Update{List: brookferry.List{Kind: brookferry.ListFailed}})
+	f.cfg.Post(Update{List: balancer.List{Kind: balancer.ListFailed}})
 }
--- a/internal/agent/discovery/follow_test.go
+++ b/internal/agent/discovery/follow_test.go
@@ -18,7 +18,7 @@
 
 	"pgregory.net/rapid"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // catalog is discovery in memory. It tells its versions to whoever watches, as its state says.
@@ -152,7 +152,7 @@
 		defer g.mu.Unlock()
 		g.posts, g.at = append(g.posts, u), append(g.at, time.Now())
 		switch {
-		case u.List.Kind == brookferry.ListFailed && asked && g.part >= 0:
+		case u.List.Kind == balancer.ListFailed && asked && g.part >= 0:
 			g.failedNow()
 		case len(u.List.Backends) > 0:
 			g.version, g.fails = u.List.Backends[0].Weight, 0
@@ -166,7 +166,7 @@
 	return g
 }
 
-func (g *following) kinds() (list []brookferry.ListKind) {
+func (g *following) kinds() (list []balancer.ListKind) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.posts {
@@ -208,7 +208,7 @@
 					}
 				}
 				time.Sleep(time.Minute) // empty lines are signs of life
-				if slices.Contains(g.kinds(), brookferry.ListFailed) || len(c.calls) != 1 {
+				if slices.Contains(g.kinds(), balancer.ListFailed) || len(c.calls) != 1 {
 					t.Errorf("%d calls: %s", len(c.calls), g.log.String())
 				}
 			})
@@ -226,7 +226,7 @@
 				time.Sleep(time.Millisecond)
 				c.set(func() { c.form = good })
 				time.Sleep(time.Second)
-				if g.told() != 42 || !slices.Contains(c.calls, "0") || !slices.Contains(g.kinds(), brookferry.ListFailed) {
+				if g.told() != 42 || !slices.Contains(c.calls, "0") || !slices.Contains(g.kinds(), balancer.ListFailed) {
 					t.Errorf("told %d, calls %v, %s", g.told(), c.calls, g.log.String())
 				}
 			})
@@ -243,7 +243,7 @@
 		c.set(func() { c.refuses = true })
 		g.Subscribe()
 		time.Sleep(time.Minute)
-		if k := g.kinds(); len(c.calls) != 0 || len(k) != 1 || k[0] != brookferry.ListFailed {
+		if k := g.kinds(); len(c.calls) != 0 || len(k) != 1 || k[0] != balancer.ListFailed {
 			t.Errorf("%d calls, posts %v", len(c.calls), k)
 		}
 		c.set(func() { c.refuses = false })
@@ -253,7 +253,7 @@
 		time.Sleep(time.Minute)
 		c.set(func() { c.hung = true }) // a call may wait: it is not made twice
 		time.Sleep(silence + time.Millisecond)
-		if k := g.kinds(); len(c.calls) != 1 || len(k) != 3 || k[1] != brookferry.ListDelta || k[2] != brookferry.ListFailed {
+		if k := g.kinds(); len(c.calls) != 1 || len(k) != 3 || k[1] != balancer.ListDelta || k[2] != balancer.ListFailed {
 			t.Errorf("%d calls, posts %v", len(c.calls), k)
 		}
 	})
@@ -278,7 +278,7 @@
 					c.set(func() { c.hung, c.version = false, 7 })
 					g.Move("10.0.0.2:1")
 					synctest.Wait()
-					if got := c.calls[len(c.calls)-1]; got != "0" || g.told() != 7 || slices.Contains(g.kinds(), brookferry.ListFailed) {
+					if got := c.calls[len(c.calls)-1]; got != "0" || g.told() != 7 || slices.Contains(g.kinds(), balancer.ListFailed) {
 						t.Errorf("since %s, told %d, posts %v", got, g.told(), g.kinds())
 					}
 					time.Sleep(time.Minute)
@@ -492,7 +492,7 @@
 		synctest.Wait()
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if last := g.posts[len(g.posts)-1]; last.List.Kind != brookferry.ListFull || len(last.List.Backends) != 0 || len(last.Addrs) != 0 {
+		if last := g.posts[len(g.posts)-1]; last.List.Kind != balancer.ListFull || len(last.List.Backends) != 0 || len(last.Addrs) != 0 {
 			t.Errorf("%+v", last)
 		}
 	})
@@ -524,9 +524,9 @@
 		{ID: "", Addr: "127.0.0.1:9", State: "ready"},
 		{ID: "what", Addr: "127.0.0.1:9", State: "asleep"},
 		{ID: "off", State: "gone"},
-	}}, brookferry.ListFull, 0)
-	want := []brookferry.Backend{{ID: "new", Cell: 3, Weight: 2, Started: time.Hour - 3*time.Second}, {ID: "old", Zone: -1, Kind: -1},
-		{ID: "off", State: brookferry.Gone, Zone: -1, Kind: -1}}
+	}}, balancer.ListFull, 0)
+	want := []balancer.Backend{{ID: "new", Cell: 3, Weight: 2, Started: time.Hour - 3*time.Second}, {ID: "old", Zone: -1, Kind: -1},
+		{ID: "off", State: balancer.Gone, Zone: -1, Kind: -1}}
 	if !slices.Equal(u.List.Backends, want) || len(u.Addrs) != 2 {
 		t.Errorf("%+v", u)
 	}
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // Members is a list of backends, or what has changed of it, as discovery writes it.
@@ -36,11 +36,11 @@
 
 // Update is one message of discovery in the module's terms, with the addresses that go with it.
 type Update struct {
-	List  brookferry.List
+	List  balancer.List
 	Addrs map[string]string // by id; gone backends have none
 }
 
-var states = map[string]brookferry.BackendState{"ready": brookferry.Up, "draining": brookferry.Draining, "gone": brookferry.Gone}
+var states = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Gone}
 
 // Translator puts lists into the module's terms.
 type Translator struct {
@@ -53,29 +53,29 @@
 
 // Update translates a list. An entry that makes no sense is left out and logged: the others still count. What the list tells
 // anew has happened within a span; 0: that is not known.
-func (t *Translator) Update(m *Members, kind brookferry.ListKind, within time.Duration) Update {
-	u := Update{List: brookferry.List{Kind: kind}, Addrs: map[string]string{}}
+func (t *Translator) Update(m *Members, kind balancer.ListKind, within time.Duration) Update {
+	u := Update{List: balancer.List{Kind: kind}, Addrs: map[string]string{}}
 	for _, s := range m.Servers {
 		state, ok := states[s.State]
 		if !ok || s.ID == "" {
 			t.Log.Warn("list entry left out", "id", s.ID, "state", s.State)
 			continue
 		}
-		if state != brookferry.Gone {
+		if state != balancer.Gone {
 			if _, err := netip.ParseAddrPort(s.Addr); err != nil {
 				t.Log.Warn("list entry left out", "id", s.ID, "error", err)
 				continue
 			}
 			u.Addrs[s.ID] = s.Addr
 		}
-		b := brookferry.Backend{ID: s.ID, State: state, Zone: slices.Index(t.Zones, s.Zone),
+		b := balancer.Backend{ID: s.ID, State: state, Zone: slices.Index(t.Zones, s.Zone),
 			Kind: slices.Index(t.Kinds, s.Kind), Cell: s.Cell, Weight: s.Weight}
-		if state != brookferry.Gone {
+		if state != balancer.Gone {
 			b.Started = t.starts.at(s.ID, s.Started, t.clocks, within)
 		}
 		u.List.Backends = append(u.List.Backends, b)
 	}
-	if kind != brookferry.ListDelta {
+	if kind != balancer.ListDelta {
 		t.starts.forget(u.Addrs)
 	}
 	return u
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // catalog is discovery: it hands each watch to the test, which writes to it line by line.
@@ -220,7 +220,7 @@
 					done := a.backends.startAt("x", &try{at: a.backends.standing("x")})
 					readRequest(t, bufio.NewReader(up))
 					write(t, up, say("again"))
-					receive(t, "result", done).is(t, brookferry.OK, "again")
+					receive(t, "result", done).is(t, balancer.OK, "again")
 					return
 				}
 				for range 10 {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"log/slog"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/fleet/source"
 	"martenbeam/internal/residency/gate"
 )
@@ -21,7 +21,7 @@
 
 // Join makes what an agent shares, before it runs. post takes what the fleet tells the decision module; it may wait, but
 // never for long. follow has the running agent watch discovery elsewhere, as after SIGHUP.
-type Join func(cfg *Config, log *slog.Logger, post func(brookferry.Event), follow func(discovery string)) (Fleet, gate.Keeper, error)
+type Join func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Keeper, error)
 
 // join has the agent share what its configuration says.
 func (a *Agent) join() error {
@@ -29,7 +29,7 @@
 		return nil
 	}
 	var err error
-	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, func(e brookferry.Event) { a.loop.post(e) }, a.Follow); err != nil {
+	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, func(e balancer.Event) { a.loop.post(e) }, a.Follow); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	a.backends.residency = a.loop.residency
@@ -50,7 +50,7 @@
 	}
 	if t := l.residency.Table(); t.Gen != l.resides {
 		l.resides = t.Gen
-		l.pending = append([]brookferry.Event{brookferry.Residency{Table: t}}, l.pending...)
+		l.pending = append([]balancer.Event{balancer.Residency{Table: t}}, l.pending...)
 	}
 }
 
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 )
 
@@ -257,7 +257,7 @@
 
 // Save records what the decision module has learned, and that this process is there. Once a younger one has started it is
 // that one's to say.
-func (s *Store) Save(snapshot brookferry.Snapshot) error {
+func (s *Store) Save(snapshot balancer.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.begun || s.followed() {
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/systime"
 )
 
@@ -93,7 +93,7 @@
 	}
 	keep(younger, "", true)
 	keep(younger, "s", false)
-	if err := older.Save(brookferry.Snapshot{}); err != nil {
+	if err := older.Save(balancer.Snapshot{}); err != nil {
 		t.Fatal(err)
 	} // reads and writes the record in between
 	if got := told(older); got != "s false true" {
@@ -130,7 +130,7 @@
 		if !older.SuccessorEnded() || older.Followed() {
 			t.Fatalf("round %d: its end is not seen", round)
 		}
-		older.Save(brookferry.Snapshot{Tokens: float64(round + 1)})
+		older.Save(balancer.Snapshot{Tokens: float64(round + 1)})
 		if l := older.Known().Snapshot; l == nil || l.Tokens != float64(round+1) {
 			t.Fatalf("round %d: the older one no longer records: %+v", round, l)
 		}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/residency/gate"
 )
@@ -74,7 +74,7 @@
 	}
 	ended struct { // an attempt
 		*request
-		outcome brookferry.Outcome
+		outcome balancer.Outcome
 		answer  *answer
 	}
 )
@@ -85,11 +85,11 @@
 	cfg      *Config
 	log      *slog.Logger
 	clock    clock
-	balancer *brookferry.Balancer
+	balancer *balancer.Balancer
 	backends *backends
 	peers    *peers
-	watch    func()                    // asks discovery for a watch
-	handOn   func(brookferry.Snapshot) // to the next process, now and then; may be nil
+	watch    func()                  // asks discovery for a watch
+	handOn   func(balancer.Snapshot) // to the next process, now and then; may be nil
 
 	residency gate.Keeper // nil: no policy
 	resides   int         // the table that the module has heard of
@@ -104,7 +104,7 @@
 	margin   time.Duration
 	requests map[string]*request
 	timers   timerHeap
-	pending  []brookferry.Event
+	pending  []balancer.Event
 	probing  map[string]bool // one probe of a backend at a time
 	counts   counts
 	callID   int64
@@ -114,7 +114,7 @@
 type counts struct{ requests, served, refused, failed, gone, attempts, late, cut int }
 
 func newLoop(cfg *Config, ck clock, b *backends, log *slog.Logger) (*loop, error) {
-	balancer, err := brookferry.New(cfg.Settings, cfg.Seed)
+	balancer, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -165,15 +165,15 @@
 	}
 	l.callID++
 	l.asked[l.callID] = c
-	e := brookferry.Event(brookferry.Attach{Call: l.callID, Backend: c.backend, Carried: c.carried, At: c.at})
+	e := balancer.Event(balancer.Attach{Call: l.callID, Backend: c.backend, Carried: c.carried, At: c.at})
 	if c.detach {
-		e = brookferry.Detach{Call: l.callID, Backend: c.backend, Carried: c.carried}
+		e = balancer.Detach{Call: l.callID, Backend: c.backend, Carried: c.carried}
 	}
 	l.pending = slices.Insert(l.pending, 0, e)
 }
 
 // answer ends a call as the module says. What the backends are told of it holds before the yes.
-func (l *loop) answer(a brookferry.Answer) {
+func (l *loop) answer(a balancer.Answer) {
 	c := l.asked[a.Call]
 	if c == nil {
 		l.log.Error("an answer to no call", "call", a.Call)
@@ -234,7 +234,7 @@
 		}
 		if on := l.lame.Load(); on != l.toldLame {
 			l.toldLame = on
-			l.pending = append(l.pending, brookferry.Emptying{On: on})
+			l.pending = append(l.pending, balancer.Emptying{On: on})
 		}
 		now := l.clock.now()
 		if now < last+l.cfg.Settings.Tick {
@@ -242,7 +242,7 @@
 		}
 		l.drain()
 		for len(l.timers) > 0 && l.timers[0].at <= now {
-			l.pending = append(l.pending, brookferry.TimerFired{Token: heap.Pop(&l.timers).(timer).token})
+			l.pending = append(l.pending, balancer.TimerFired{Token: heap.Pop(&l.timers).(timer).token})
 		}
 		if len(l.pending) == 0 {
 			continue
@@ -253,7 +253,7 @@
 		l.pending = nil
 		for i, e := range events {
 			// Its time has run on since it came in. It may be gone already: its client may be.
-			if e, ok := e.(brookferry.Request); ok && l.requests[e.ID] != nil {
+			if e, ok := e.(balancer.Request); ok && l.requests[e.ID] != nil {
 				e.Left = l.clock.at(l.requests[e.ID].deadline) - l.margin - now
 				events[i] = e
 			}
@@ -293,14 +293,14 @@
 		}
 		l.counts.requests++
 		l.requests[e.id] = e.request
-		l.pending = append(l.pending, brookferry.Request{ID: e.id, Class: e.class, Work: e.work,
+		l.pending = append(l.pending, balancer.Request{ID: e.id, Class: e.class, Work: e.work,
 			Repeat: e.repeat, Key: e.key, Rule: e.rule, Coming: e.message.large()})
 	case whole:
 		e.deadline = e.message.upload.at.Add(e.left)
 		for _, x := range e.times {
 			x.arm(e.deadline.Add(-l.margin))
 		}
-		l.pending = append(l.pending, brookferry.BodyWhole{Request: e.id})
+		l.pending = append(l.pending, balancer.BodyWhole{Request: e.id})
 	case began:
 		if e.done {
 			e.answer.rest.end(errEnded)
@@ -308,20 +308,20 @@
 		}
 		l.counts.served++
 		l.finish(e.request, reply{served: e.answer})
-		l.pending = append(l.pending, brookferry.StreamStarted{Request: e.id, Attempt: e.attempt})
+		l.pending = append(l.pending, balancer.StreamStarted{Request: e.id, Attempt: e.attempt})
 	case ended:
 		e.open--
-		e.timedOut = e.timedOut || e.outcome.Result == brookferry.TimedOut
-		if e.outcome.Result == brookferry.OK && !e.done {
+		e.timedOut = e.timedOut || e.outcome.Result == balancer.TimedOut
+		if e.outcome.Result == balancer.OK && !e.done {
 			l.finish(e.request, reply{served: e.answer})
 			l.counts.served++
 		}
 		e.outcome.Done = e.done
-		if e.answer != nil && e.answer.rest != nil && e.outcome.Result != brookferry.OK {
+		if e.answer != nil && e.answer.rest != nil && e.outcome.Result != balancer.OK {
 			l.counts.cut++
 		}
 		if !e.done && e.message.spent() {
-			l.pending = append(l.pending, brookferry.BodySpent{Request: e.id})
+			l.pending = append(l.pending, balancer.BodySpent{Request: e.id})
 		}
 		l.pending = append(l.pending, e.outcome)
 		l.forget(e.request)
@@ -334,7 +334,7 @@
 					cancel(errCancelled)
 				}
 			}
-			l.pending = append(l.pending, brookferry.Abandoned{Request: e.id})
+			l.pending = append(l.pending, balancer.Abandoned{Request: e.id})
 			l.forget(e.request)
 		}
 	case overdue:
@@ -345,7 +345,7 @@
 				"left_on_arrival", e.left)
 			l.counts.late++
 			l.finish(e.request, reply{timedOut: true})
-			l.pending = append(l.pending, brookferry.Abandoned{Request: e.id})
+			l.pending = append(l.pending, balancer.Abandoned{Request: e.id})
 			l.forget(e.request)
 		}
 	case discovery.Update:
@@ -354,11 +354,11 @@
 		if len(e.List.Backends) > 0 {
 			l.ready.Store(true)
 		}
-	case brookferry.ProbeResult:
+	case balancer.ProbeResult:
 		delete(l.probing, e.Backend)
 		l.pending = append(l.pending, e)
-	case brookferry.PeerMessage, brookferry.Part, brookferry.Distances:
-		l.pending = append(l.pending, e.(brookferry.Event))
+	case balancer.PeerMessage, balancer.Part, balancer.Distances:
+		l.pending = append(l.pending, e.(balancer.Event))
 	}
 }
 
@@ -377,46 +377,46 @@
 }
 
 // carryOut does one action of the module.
-func (l *loop) carryOut(a brookferry.Action, now time.Duration) {
+func (l *loop) carryOut(a balancer.Action, now time.Duration) {
 	switch a := a.(type) {
-	case brookferry.Send:
+	case balancer.Send:
 		l.send(a)
-	case brookferry.Cancel:
+	case balancer.Cancel:
 		if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.cancels) && l.cfg.Settings.MayCancel {
 			r.cancels[a.Attempt](errCancelled)
 		}
-	case brookferry.Refuse:
+	case balancer.Refuse:
 		if r := l.requests[a.Request]; r != nil && !r.done {
 			l.counts.refused++
 			l.finish(r, reply{refused: true, retryAfter: a.RetryAfter, residency: a.Residency})
 			l.forget(r)
 		}
-	case brookferry.Fail:
+	case balancer.Fail:
 		if r := l.requests[a.Request]; r != nil && !r.done {
 			l.counts.failed++
 			l.finish(r, reply{timedOut: r.timedOut})
 			l.forget(r)
 		}
-	case brookferry.SetTimer:
+	case balancer.SetTimer:
 		heap.Push(&l.timers, timer{now + a.After, a.Token})
-	case brookferry.Probe:
+	case balancer.Probe:
 		if l.cfg.Settings.MayProbe && !l.probing[a.Backend] {
 			l.probing[a.Backend] = true
 			go func() { l.post(l.backends.probe(a.Backend)) }()
 		}
-	case brookferry.TellPeer:
+	case balancer.TellPeer:
 		if l.peers != nil {
 			l.peers.tell(a.To, a.Data)
 		}
-	case brookferry.Subscribe:
+	case balancer.Subscribe:
 		l.watch()
-	case brookferry.ZoneTurn:
+	case balancer.ZoneTurn:
 		name := strconv.Itoa(a.Zone)
 		if zones := l.cfg.Site.Zones; a.Zone >= 0 && a.Zone < len(zones) {
 			name = zones[a.Zone]
 		}
 		l.log.Warn("zone", "zone", name, "left", a.Left, "told", a.Told)
-	case brookferry.Answer:
+	case balancer.Answer:
 		l.answer(a)
 	default:
 		l.log.Error("unknown action", "action", a)
@@ -425,11 +425,11 @@
 
 // send starts an attempt. Its goroutine ends by the client's deadline, or with a large body or answer
 // that comes in time; there are no more of them than MaxAttempts for each request that is open.
-func (l *loop) send(a brookferry.Send) {
+func (l *loop) send(a balancer.Send) {
 	r := l.requests[a.Request]
 	if r == nil || r.done { // after a final answer nothing more is sent
-		l.pending = append(l.pending, brookferry.Outcome{Request: a.Request, Backend: a.Backend,
-			Result: brookferry.NotSent, Done: true})
+		l.pending = append(l.pending, balancer.Outcome{Request: a.Request, Backend: a.Backend,
+			Result: balancer.NotSent, Done: true})
 		return
 	}
 	start := time.Now()
@@ -465,7 +465,7 @@
 		if t.took == 0 {
 			t.took = t.latency()
 		}
-		l.post(ended{r, brookferry.Outcome{Request: r.id, Attempt: n, Backend: a.Backend, Result: result,
+		l.post(ended{r, balancer.Outcome{Request: r.id, Attempt: n, Backend: a.Backend, Result: result,
 			Latency: t.took, New: t.fresh, Load: load}, ans})
 	}()
 }
--- a/internal/agent/operated_test.go
+++ b/internal/agent/operated_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/operations"
 )
 
@@ -144,7 +144,7 @@
 func TestNothingIsWrittenToADetachedBackend(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, s.addr)
-	if r, _, _ := attemptAt(t, b, context.Background(), "one"); r != brookferry.OK {
+	if r, _, _ := attemptAt(t, b, context.Background(), "one"); r != balancer.OK {
 		t.Fatal(r)
 	}
 	b.detach("s", true)
@@ -158,15 +158,15 @@
 		b.detach("s", true)
 		return c, err
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), "two"); r != brookferry.ConnectFailed || b.open != 0 {
+	if r, _, _ := attemptAt(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("result %v, %d connections open", r, b.open)
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), "three"); r != brookferry.ConnectFailed || len(s.seen) != 1 {
+	if r, _, _ := attemptAt(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
 	}
 	b.detach("s", false)
 	b.transport.DialContext = dial
-	if r, _, _ := attemptAt(t, b, context.Background(), "four"); r != brookferry.OK {
+	if r, _, _ := attemptAt(t, b, context.Background(), "four"); r != balancer.OK {
 		t.Errorf("after the call back: %v", r)
 	}
 }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/listening"
 )
 
@@ -125,7 +125,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if number, known := p.numbers[from]; known && n <= maxDatagram {
-			post(brookferry.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
+			post(balancer.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -10,12 +10,12 @@
 	"strings"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/wire"
 )
 
 // probe examines a backend: with its load report where probes bring one.
-func (b *backends) probe(id string) brookferry.ProbeResult {
+func (b *backends) probe(id string) balancer.ProbeResult {
 	start := time.Now()
 	m := &message{method: http.MethodGet, url: &url.URL{Path: "/ping"}, header: http.Header{}}
 	if b.cfg.Site.LoadProbed {
@@ -28,14 +28,14 @@
 	if a != nil && b.cfg.Site.LoadProbed {
 		load = parseLoad(string(a.body))
 	}
-	return brookferry.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
+	return balancer.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
 }
 
 // loadNames maps the names of load values on sockets to those of the settings.
 var loadNames = map[string]string{"queue": "backlog", "eps": "errors_per_s", "latency_ms": "recent_ms"}
 
 // parseLoad reads a load report such as "TEXT inflight=7, queue=2". What it can't read is left out.
-func parseLoad(text string) brookferry.Load {
+func parseLoad(text string) balancer.Load {
 	usage := map[string]float64{}
 	text = strings.TrimSpace(text)
 	text = strings.TrimPrefix(strings.TrimPrefix(text, "Endpoint-Load-Metrics:"), " ")
--- a/internal/agent/rare_backends_test.go
+++ b/internal/agent/rare_backends_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/residency/gate"
 )
@@ -58,7 +58,7 @@
 }
 
 type result struct {
-	brookferry.Result
+	balancer.Result
 	answer *answer
 }
 
@@ -77,9 +77,9 @@
 	return done
 }
 
-func (r result) is(t *testing.T, want brookferry.Result, body string) {
+func (r result) is(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
-	if r.Result != want || (r.answer != nil) != (want == brookferry.OK) || r.answer != nil && string(r.answer.body) != body {
+	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.body) != body {
 		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
 	}
 }
@@ -119,7 +119,7 @@
 					sent = ""
 				}
 				write(t, c, say("first")+sent)
-				receive(t, "first answer", first).is(t, brookferry.OK, "first")
+				receive(t, "first answer", first).is(t, balancer.OK, "first")
 				asked := 0
 				keeper.moment = func() {
 					if asked++; asked == at {
@@ -138,7 +138,7 @@
 				other := receive(t, "second connection", s.conns)
 				readRequest(t, bufio.NewReader(other))
 				write(t, other, say("second"))
-				receive(t, "second answer", second).is(t, brookferry.OK, "second")
+				receive(t, "second answer", second).is(t, balancer.OK, "second")
 				if _, err := http.ReadRequest(in); err == nil {
 					t.Error("the request went out on the first connection too")
 				}
@@ -156,7 +156,7 @@
 	serve := func(c net.Conn, in *bufio.Reader, done <-chan result, text string) {
 		readRequest(t, in)
 		write(t, c, text)
-		receive(t, "answer", done).is(t, brookferry.OK, "hello")
+		receive(t, "answer", done).is(t, balancer.OK, "hello")
 	}
 	done := b.start(&try{})
 	one := receive(t, "connection", s.conns)
@@ -170,7 +170,7 @@
 	inTwo := bufio.NewReader(two)
 	serve(two, inTwo, second, say("hello"))
 	write(t, one, say("hello"))
-	receive(t, "answer", first).is(t, brookferry.OK, "hello")
+	receive(t, "answer", first).is(t, balancer.OK, "hello")
 	b.mu.Lock()
 	b.idle["s"][0].since = time.Now().Add(-b.settle)
 	rested := b.idle["s"][0].net.LocalAddr().String()
@@ -200,8 +200,8 @@
 	const never = "HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	full, other := newHandBackend(t), newHandBackend(t)
 	b := poolFor(t, full.addr)
-	told(b, brookferry.Backend{ID: "other"}, other.addr)
-	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want brookferry.Result, fresh bool) (net.Conn, *bufio.Reader) {
+	told(b, balancer.Backend{ID: "other"}, other.addr)
+	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result, fresh bool) (net.Conn, *bufio.Reader) {
 		tr := &try{}
 		done := b.startAt(id, tr)
 		conn, in := c()
@@ -218,16 +218,16 @@
 			return c, bufio.NewReader(c)
 		}
 	}
-	c, in := try("s", at(full), say("hello"), brookferry.OK, true)
-	try("other", at(other), say("hello"), brookferry.OK, true)
-	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, brookferry.Full, false) // a queue
+	c, in := try("s", at(full), say("hello"), balancer.OK, true)
+	try("other", at(other), say("hello"), balancer.OK, true)
+	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Full, false) // a queue
 	if len(b.idle["other"]) != 1 {
 		t.Error("a connection was given up for a full queue")
 	}
 	b.mu.Lock()
 	b.dropIdle("s")
 	b.mu.Unlock()
-	try("s", at(full), never, brookferry.Full, true)
+	try("s", at(full), never, balancer.Full, true)
 	if b.mu.Lock(); len(b.idle["other"]) != 0 {
 		t.Error("no connection was given up")
 	}
@@ -244,7 +244,7 @@
 	c := receive(t, "connection", s.conns)
 	readRequest(t, bufio.NewReader(c))
 	write(t, c, say("first"))
-	receive(t, "first answer", first).is(t, brookferry.OK, "first")
+	receive(t, "first answer", first).is(t, balancer.OK, "first")
 	asked := 0
 	keeper.moment = func() {
 		if asked++; asked == 2 {
@@ -255,7 +255,7 @@
 	other := receive(t, "second connection", s.conns)
 	readRequest(t, bufio.NewReader(other))
 	write(t, other, say("second"))
-	receive(t, "second answer", second).is(t, brookferry.OK, "second")
+	receive(t, "second answer", second).is(t, balancer.OK, "second")
 }
 
 // slowDial has each dial wait, until it is released.
@@ -271,8 +271,8 @@
 	return dialling, release
 }
 
-func told(b *backends, m brookferry.Backend, addr string) {
-	u := discovery.Update{List: brookferry.List{Kind: brookferry.ListDelta, Backends: []brookferry.Backend{m}}, Addrs: map[string]string{}}
+func told(b *backends, m balancer.Backend, addr string) {
+	u := discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
 	if addr != "" {
 		u.Addrs[m.ID] = addr
 	}
@@ -285,25 +285,25 @@
 func TestToldBeforeTheFirstByte(t *testing.T) {
 	for name, row := range map[string]struct {
 		event func(b *backends, tr *try, over chan struct{}, addr string)
-		want  brookferry.Result
+		want  balancer.Result
 		kept  int // connections that may serve others
 	}{
 		"drains": {func(b *backends, _ *try, _ chan struct{}, addr string) {
-			told(b, brookferry.Backend{ID: "s", State: brookferry.Draining}, addr)
-		}, brookferry.ConnectFailed, 0},
+			told(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
+		}, balancer.ConnectFailed, 0},
 		"is gone": {func(b *backends, _ *try, _ chan struct{}, _ string) {
-			told(b, brookferry.Backend{ID: "s", State: brookferry.Gone}, "")
-		}, brookferry.ConnectFailed, 0},
+			told(b, balancer.Backend{ID: "s", State: balancer.Gone}, "")
+		}, balancer.ConnectFailed, 0},
 		"has moved": {func(b *backends, _ *try, _ chan struct{}, _ string) {
-			told(b, brookferry.Backend{ID: "s"}, "127.0.0.1:1")
-		}, brookferry.ConnectFailed, 0},
+			told(b, balancer.Backend{ID: "s"}, "127.0.0.1:1")
+		}, balancer.ConnectFailed, 0},
 		"is in another pod": {func(b *backends, _ *try, _ chan struct{}, addr string) {
-			told(b, brookferry.Backend{ID: "s", Cell: 7}, addr)
-		}, brookferry.ConnectFailed, 1},
-		"was detached": {func(b *backends, _ *try, _ chan struct{}, _ string) { b.detach("s", true) }, brookferry.ConnectFailed, 0},
-		"is over":      {func(_ *backends, _ *try, over chan struct{}, _ string) { close(over) }, brookferry.NotSent, 1},
-		"window over":  {func(_ *backends, tr *try, _ chan struct{}, _ string) { tr.last = time.Now() }, brookferry.NotSent, 1},
-		"nothing":      {func(*backends, *try, chan struct{}, string) {}, brookferry.OK, 1},
+			told(b, balancer.Backend{ID: "s", Cell: 7}, addr)
+		}, balancer.ConnectFailed, 1},
+		"was detached": {func(b *backends, _ *try, _ chan struct{}, _ string) { b.detach("s", true) }, balancer.ConnectFailed, 0},
+		"is over":      {func(_ *backends, _ *try, over chan struct{}, _ string) { close(over) }, balancer.NotSent, 1},
+		"window over":  {func(_ *backends, tr *try, _ chan struct{}, _ string) { tr.last = time.Now() }, balancer.NotSent, 1},
+		"nothing":      {func(*backends, *try, chan struct{}, string) {}, balancer.OK, 1},
 	} {
 		t.Run(name+" while dialled", func(t *testing.T) {
 			s := newHandBackend(t)
@@ -336,9 +336,9 @@
 	}
 }
 
-func toldBefore(t *testing.T, b *backends, s *handBackend, done <-chan result, want brookferry.Result, kept int) {
+func toldBefore(t *testing.T, b *backends, s *handBackend, done <-chan result, want balancer.Result, kept int) {
 	t.Helper()
-	if want == brookferry.OK {
+	if want == balancer.OK {
 		c := receive(t, "connection", s.conns)
 		readRequest(t, bufio.NewReader(c))
 		write(t, c, say("hello"))
@@ -348,7 +348,7 @@
 		t.Errorf("%d connections kept, %d open", len(b.idle["s"]), b.open)
 	}
 	b.mu.Unlock()
-	if want != brookferry.OK {
+	if want != balancer.OK {
 		c := receive(t, "connection", s.conns)
 		b.close()
 		if n, _ := c.Read(make([]byte, 1)); n != 0 {
@@ -372,7 +372,7 @@
 		}
 		return c, err
 	}
-	receive(t, "result", b.start(tr)).is(t, brookferry.ConnectFailed, "")
+	receive(t, "result", b.start(tr)).is(t, balancer.ConnectFailed, "")
 }
 
 // stuckConn takes the first part of a request, and then waits for its deadline.
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/wire"
 )
 
@@ -50,7 +50,7 @@
 	}
 	settings := f.cfg.Settings.Classes[class]
 	method := http.MethodPost
-	if settings.Effect == brookferry.Safe {
+	if settings.Effect == balancer.Safe {
 		method = http.MethodGet
 	}
 	if hr.Method != method {
@@ -69,7 +69,7 @@
 	if r.id == "" {
 		return nil, bad("X-Trace-Id: missing")
 	}
-	if settings.Effect == brookferry.Keyed && h.Get("Idempotency-Key") == "" {
+	if settings.Effect == balancer.Keyed && h.Get("Idempotency-Key") == "" {
 		return nil, bad("Idempotency-Key: missing")
 	}
 	wait := settings.Deadline
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // Ticket 8488: some backends drop idle connections long before the settings' time and say
@@ -15,7 +15,7 @@
 	answers := make(chan string, 100)
 	s := serveRaw(t, func(int) string { return <-answers })
 	b := poolFor(t, s.addr)
-	attempt := func(idle time.Duration, answer string) (brookferry.Result, *conn) {
+	attempt := func(idle time.Duration, answer string) (balancer.Result, *conn) {
 		t.Helper()
 		var old *conn
 		if idle > 0 {
@@ -29,10 +29,10 @@
 	const old, young = 20 * time.Second, time.Second
 	lost := 0
 	for ; lost < 20; lost++ {
-		if result, _ := attempt(0, ok200); result != brookferry.OK {
+		if result, _ := attempt(0, ok200); result != balancer.OK {
 			t.Fatalf("on a new connection: %v", result)
 		}
-		if result, c := attempt(young, ok200); result != brookferry.OK || b.idle["s"][0] != c {
+		if result, c := attempt(young, ok200); result != balancer.OK || b.idle["s"][0] != c {
 			t.Fatalf("the young connection was not used, or %v", result)
 		}
 		b.mu.Lock()
@@ -41,14 +41,14 @@
 		if doubtful {
 			break
 		}
-		if result, _ := attempt(old, ""); result != brookferry.Reset {
+		if result, _ := attempt(old, ""); result != balancer.Reset {
 			t.Fatalf("on the old connection: %v", result)
 		}
 	}
 	if lost < 2 || lost > 5 {
 		t.Errorf("%d requests lost before old connections were doubted", lost)
 	}
-	if result, c := attempt(old, ok200); result != brookferry.OK || c.Err() == nil || b.idle["s"][0] == c {
+	if result, c := attempt(old, ok200); result != balancer.OK || c.Err() == nil || b.idle["s"][0] == c {
 		t.Errorf("an old connection was used again, or %v", result)
 	}
 	b.reuse.fade(10 * reuseHalving)
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // pattern is n bytes, none like those before.
@@ -473,7 +473,7 @@
 		return true
 	}
 	result, a, _ := b.try(tr)
-	if result != brookferry.OK || a.rest == nil || tr.took != told || tr.took >= time.Since(tr.start) {
+	if result != balancer.OK || a.rest == nil || tr.took != told || tr.took >= time.Since(tr.start) {
 		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.took, time.Since(tr.start))
 	}
 	if len(b.idle["s"]) != 1 {
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/agent/handover"
 	"martenbeam/internal/agent/listening"
@@ -25,14 +25,14 @@
 // successor is this process's part in the replacing of one process of an agent by another.
 type successor struct {
 	*handover.Store
-	snapshots chan brookferry.Snapshot // of the loop, the latest
+	snapshots chan balancer.Snapshot // of the loop, the latest
 	started   time.Time
 	halved    bool // another process may have the other half of the limits
 	followed  bool
 }
 
 // offer keeps what the module would hand on now, in place of what it would have before.
-func (s *successor) offer(snapshot brookferry.Snapshot) {
+func (s *successor) offer(snapshot balancer.Snapshot) {
 	select {
 	case <-s.snapshots:
 	default:
@@ -43,7 +43,7 @@
 // prepareHandover finds out whether an older process of this agent is there. While it is, the two share out what one may use,
 // and so they do as long as that is not known.
 func (a *Agent) prepareHandover(ctx context.Context) {
-	s := &successor{Store: handover.New(a.cfg.Scratch, a.log), snapshots: make(chan brookferry.Snapshot, 1), started: time.Now()}
+	s := &successor{Store: handover.New(a.cfg.Scratch, a.log), snapshots: make(chan balancer.Snapshot, 1), started: time.Now()}
 	a.successor = s
 	ctx, cancel := context.WithTimeout(ctx, placeWithin)
 	defer cancel()
@@ -98,7 +98,7 @@
 	a.log.Info("handover", "turn", a.successor.Turn(), "alone", a.successor.Alone(), "calls", len(calls), "lame", lame,
 		"list", r.List != nil)
 	if r.Snapshot != nil {
-		a.loop.pending = append(a.loop.pending, brookferry.Restore{Snapshot: *r.Snapshot})
+		a.loop.pending = append(a.loop.pending, balancer.Restore{Snapshot: *r.Snapshot})
 	}
 	for _, c := range calls {
 		carried := a.carried(c)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent"
 	"martenbeam/internal/config"
 	"martenbeam/internal/fleet"
@@ -34,7 +34,7 @@
 	if s.Fleet == nil && s.Residency == nil {
 		return nil, nil
 	}
-	return func(cfg *agent.Config, log *slog.Logger, post func(brookferry.Event), follow func(discovery string)) (agent.Fleet, gate.Keeper, error) {
+	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (agent.Fleet, gate.Keeper, error) {
 		t := &shared{log: log}
 		keeper, err := t.holdPolicy(s.Residency, cfg.Site.Zones)
 		switch {
@@ -89,7 +89,7 @@
 }
 
 // joinFleet has the agent be in its fleet: by way of a hub, if there are hubs.
-func (t *shared) joinFleet(f *config.SharedFleet, g *given, cfg *agent.Config, post func(brookferry.Event), follow func(discovery string)) (err error) {
+func (t *shared) joinFleet(f *config.SharedFleet, g *given, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
 	if f.Trace != "" {
 		if t.trace, err = os.OpenFile(f.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
@@ -108,8 +108,8 @@
 		c.Trace = t.trace
 	}
 	told := fleet.Told{
-		Part:      func(part float64) { post(brookferry.Part{Of: part}) },
-		Distances: func(trip []time.Duration, loss []float64) { post(brookferry.Distances{Trip: trip, Loss: loss}) },
+		Part:      func(part float64) { post(balancer.Part{Of: part}) },
+		Distances: func(trip []time.Duration, loss []float64) { post(balancer.Distances{Trip: trip, Loss: loss}) },
 	}
 	if len(f.Hubs) == 0 {
 		t.Fleet, err = fleet.New(c, zones, told)
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent"
 	"martenbeam/internal/config"
 	"martenbeam/internal/settings"
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		moved := func(addr string) { t.Errorf("%s: discovery moves to %s before the agent runs", name, addr) }
-		if _, _, err := cfg.Join(cfg, log, func(brookferry.Event) {}, moved); err != nil {
+		if _, _, err := cfg.Join(cfg, log, func(balancer.Event) {}, moved); err != nil {
 			t.Fatal(err)
 		}
 		if cfg.Discovery != "127.0.0.1:9" || cfg.Settings.MaxAttempts != c.most {
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/fleet"
 	"martenbeam/internal/fleet/member"
@@ -164,7 +164,7 @@
 		Translator: discovery.Translator{Zones: a.spec.Zones, At: func(t time.Time) time.Duration { return t.Sub(born) }, Log: log},
 		Addr:       a.spec.Service, Asked: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.place,
 		Post: func(u discovery.Update) {
-			if u.List.Kind != brookferry.ListFailed {
+			if u.List.Kind != balancer.ListFailed {
 				fails = 0
 				a.acted(List, a.list.Load())
 				return
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // facts mirrors the settings object of the wire, in the wire's own names.
@@ -56,10 +56,10 @@
 }
 
 // ParseSettings translates the settings object. Unknown keys are ignored.
-func ParseSettings(raw []byte) (brookferry.Settings, Site, error) {
+func ParseSettings(raw []byte) (balancer.Settings, Site, error) {
 	var f facts
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return brookferry.Settings{}, Site{}, err
+		return balancer.Settings{}, Site{}, err
 	}
 	s, err := f.settings()
 	site := Site{Zones: f.Dcs, Kinds: f.Kinds, IdleClose: duration(f.PolicyLimits.IdleCloseMs),
@@ -71,8 +71,8 @@
 	return s, site, err
 }
 
-func (f *facts) settings() (brookferry.Settings, error) {
-	s := brookferry.Settings{
+func (f *facts) settings() (balancer.Settings, error) {
+	s := balancer.Settings{
 		Balancers:      f.Balancers,
 		Self:           f.Me,
 		Zone:           f.Zone,
@@ -100,11 +100,11 @@
 		CrossZonePrice: f.Prices.CrossZone, CrossRegionPrice: f.Prices.CrossRegion, Regions: f.Regions,
 		WarmKeys: f.FamilyInfo.WarmKeys,
 	}
-	effects := map[string]brookferry.Effect{
-		"repeatable": brookferry.Safe, "by_key": brookferry.Keyed, "once": brookferry.Unsafe}
-	groups := map[string]brookferry.Group{
-		"": brookferry.GroupAll, "all": brookferry.GroupAll,
-		"zone": brookferry.GroupZone, "cell": brookferry.GroupCell}
+	effects := map[string]balancer.Effect{
+		"repeatable": balancer.Safe, "by_key": balancer.Keyed, "once": balancer.Unsafe}
+	groups := map[string]balancer.Group{
+		"": balancer.GroupAll, "all": balancer.GroupAll,
+		"zone": balancer.GroupZone, "cell": balancer.GroupCell}
 	for i, p := range f.Profiles {
 		effect, ok := effects[p.Semantics]
 		if !ok {
@@ -114,7 +114,7 @@
 		if !ok {
 			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
 		}
-		s.Classes = append(s.Classes, brookferry.Class{
+		s.Classes = append(s.Classes, balancer.Class{
 			Aim: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
 			Worth: p.Worth, LateWorth: p.LateValue,
 			Effect: effect, Group: group, Window: duration(p.WindowMs),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the bench's JSON lines and brookferry's
+// Package wire translates between the bench's JSON lines and balancer's
 // events and actions. It decides nothing.
 package wire
 
@@ -15,13 +15,13 @@
 	"strconv"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 // Open tells that an instance starts with no state.
 type Open struct {
 	Seed     uint64
-	Settings brookferry.Settings
+	Settings balancer.Settings
 }
 
 // Event is one event of a batch, with the instance it belongs to. Exactly one
@@ -31,7 +31,7 @@
 	Agent  int
 	Open   *Open
 	Retire bool
-	Event  brookferry.Event
+	Event  balancer.Event
 }
 
 // Batch holds what happened at one instant.
@@ -44,13 +44,13 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]brookferry.Backend
+	lists map[int][]balancer.Backend
 	open  map[int]int // number of classes of each open instance
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]brookferry.Backend{}, open: map[int]int{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balancer.Backend{}, open: map[int]int{}}
 }
 
 type entry struct {
@@ -106,19 +106,19 @@
 	bitRepeat    = 2
 )
 
-var results = map[string]brookferry.Result{
-	"pass": brookferry.OK, "fault": brookferry.Errored, "no_room": brookferry.Full,
-	"too_slow": brookferry.TimedOut, "no_route": brookferry.ConnectFailed, "cut": brookferry.Reset,
-	"undone": brookferry.Cancelled, "stale_send": brookferry.NotSent,
+var results = map[string]balancer.Result{
+	"pass": balancer.OK, "fault": balancer.Errored, "no_room": balancer.Full,
+	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
+	"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
 }
 
-var listKinds = map[string]brookferry.ListKind{
-	"diff": brookferry.ListDelta, "snapshot": brookferry.ListFull,
-	"disk": brookferry.ListCached, "error": brookferry.ListFailed,
+var listKinds = map[string]balancer.ListKind{
+	"diff": balancer.ListDelta, "snapshot": balancer.ListFull,
+	"disk": balancer.ListCached, "error": balancer.ListFailed,
 }
 
-var states = map[string]brookferry.BackendState{
-	"on": brookferry.Up, "fading": brookferry.Draining, "off": brookferry.Gone,
+var states = map[string]balancer.BackendState{
+	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Gone,
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between batches.
@@ -194,7 +194,7 @@
 		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
-		q := brookferry.Request{ID: *m.Job, Class: *m.TierClass, Left: duration(*m.GraceMs),
+		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, Left: duration(*m.GraceMs),
 			Repeat: m.StateBits&bitRepeat != 0, Key: Key(m.Item)}
 		if m.StateBits&bitHintValid != 0 {
 			q.Work = duration(m.WorkHintMs)
@@ -208,7 +208,7 @@
 		if !ok {
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
-		e.Event = brookferry.Outcome{Request: *m.Job, Attempt: *m.SendNo, Backend: *m.Backend, Result: res,
+		e.Event = balancer.Outcome{Request: *m.Job, Attempt: *m.SendNo, Backend: *m.Backend, Result: res,
 			Latency: duration(*m.WaitTimeMs), Done: m.Ended, Load: Load(m.Usage)}
 	case "ProbeDone":
 		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
@@ -218,23 +218,23 @@
 		if !ok {
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
-		e.Event = brookferry.ProbeResult{Backend: *m.Backend, Result: res,
+		e.Event = balancer.ProbeResult{Backend: *m.Backend, Result: res,
 			Latency: duration(*m.WaitTimeMs), Load: Load(m.Usage)}
 	case "Streaming":
 		if m.Job == nil || m.SendNo == nil {
 			return errors.New("missing Job or SendNo")
 		}
-		e.Event = brookferry.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}
+		e.Event = balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}
 	case "Expired":
 		if m.Job == nil {
 			return errors.New("missing Job")
 		}
-		e.Event = brookferry.Abandoned{Request: *m.Job}
+		e.Event = balancer.Abandoned{Request: *m.Job}
 	case "Reminder":
 		if m.Cookie == nil {
 			return errors.New("missing Cookie")
 		}
-		e.Event = brookferry.TimerFired{Token: *m.Cookie}
+		e.Event = balancer.TimerFired{Token: *m.Cookie}
 	case "Peer":
 		if m.From == nil || m.Text == nil {
 			return errors.New("missing From or Msg")
@@ -243,7 +243,7 @@
 		if err != nil {
 			return fmt.Errorf("Msg: %w", err) //lint:ignore ST1005 begins with the name of a field
 		}
-		e.Event = brookferry.PeerMessage{From: *m.From, Data: data}
+		e.Event = balancer.PeerMessage{From: *m.From, Data: data}
 	default:
 		return errors.New("unknown message")
 	}
@@ -271,7 +271,7 @@
 	if m.Sheet == nil || m.Items == nil {
 		return errors.New("missing Sheet or Items")
 	}
-	list := make([]brookferry.Backend, 0, len(*m.Items))
+	list := make([]balancer.Backend, 0, len(*m.Items))
 	for _, it := range *m.Items {
 		state, ok := states[it.Availability]
 		if !ok {
@@ -280,14 +280,14 @@
 		if it.Backend == "" {
 			return errors.New("missing Backend")
 		}
-		list = append(list, brookferry.Backend{ID: it.Backend, State: state, Zone: it.Dc, Cell: it.Block,
+		list = append(list, balancer.Backend{ID: it.Backend, State: state, Zone: it.Dc, Cell: it.Block,
 			Kind: it.Sku, Weight: it.Rating, Started: duration(it.LaunchedMs)})
 	}
 	r.lists[*m.Sheet] = list
 	return nil
 }
 
-func (r *Reader) view(m *message) (brookferry.Event, error) {
+func (r *Reader) view(m *message) (balancer.Event, error) {
 	if m.How == nil {
 		return nil, errors.New("missing How")
 	}
@@ -295,8 +295,8 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown How %q", *m.How)
 	}
-	if kind == brookferry.ListFailed {
-		return brookferry.List{Kind: kind}, nil
+	if kind == balancer.ListFailed {
+		return balancer.List{Kind: kind}, nil
 	}
 	if m.Sheet == nil {
 		return nil, errors.New("missing Sheet")
@@ -305,12 +305,12 @@
 	if !ok {
 		return nil, fmt.Errorf("Sheet %d was never defined", *m.Sheet) //lint:ignore ST1005 begins with the name of a field
 	}
-	return brookferry.List{Kind: kind, Backends: list}, nil
+	return balancer.List{Kind: kind, Backends: list}, nil
 }
 
 // Load translates a load report. What it does not hold is marked as not reported.
-func Load(usage map[string]float64) brookferry.Load {
-	l := brookferry.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
+func Load(usage map[string]float64) balancer.Load {
+	l := balancer.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
 	if v, ok := usage["backlog"]; ok {
 		l.Queue = v
 	}
@@ -336,32 +336,32 @@
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
 // Actions writes the actions of one instance.
-func (w *Writer) Actions(agent int, actions []brookferry.Action) error {
+func (w *Writer) Actions(agent int, actions []balancer.Action) error {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case brookferry.Send:
+		case balancer.Send:
 			w.begin("Try", agent).str("Job", a.Request).str("Backend", a.Backend)
 			if a.Timeout > 0 {
 				w.ms("PatienceMs", a.Timeout)
 			}
-		case brookferry.Cancel:
+		case balancer.Cancel:
 			w.begin("Cancel", agent).str("Job", a.Request).num("SendNo", int64(a.Attempt))
-		case brookferry.Refuse:
+		case balancer.Refuse:
 			w.begin("SayNo", agent).str("Job", a.Request)
 			if a.RetryAfter > 0 {
 				w.ms("WaitMs", a.RetryAfter)
 			}
-		case brookferry.Fail:
+		case balancer.Fail:
 			w.begin("DropRequest", agent).str("Job", a.Request)
-		case brookferry.SetTimer:
+		case balancer.SetTimer:
 			w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
-		case brookferry.Probe:
+		case balancer.Probe:
 			w.begin("Test", agent).str("Backend", a.Backend)
-		case brookferry.TellPeer:
+		case balancer.TellPeer:
 			w.begin("WritePeer", agent).num("Whom", int64(a.To)).str("Msg", hex.EncodeToString(a.Data))
-		case brookferry.ZoneTurn:
+		case balancer.ZoneTurn:
 			w.begin("Trace", agent).str("Msg", turn(a))
-		case brookferry.Subscribe:
+		case balancer.Subscribe:
 			w.begin("KeepInformed", agent)
 			w.buf = append(w.buf, `,"Enable":true`...)
 		default:
@@ -374,7 +374,7 @@
 }
 
 // turn words a line of the report.
-func turn(t brookferry.ZoneTurn) string {
+func turn(t balancer.ZoneTurn) string {
 	switch {
 	case !t.Left:
 		return fmt.Sprintf("zone %d is used again", t.Zone)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	brookferry "martenbeam"
+	"martenbeam/balancer"
 )
 
 const ms = time.Millisecond
@@ -23,35 +23,35 @@
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
-	entries := []brookferry.Backend{
+	entries := []balancer.Backend{
 		{ID: "10.0.0.1:80", Weight: 1.5, Cell: 2, Started: 900 * ms, Kind: 1, Zone: 1},
-		{ID: "10.0.0.2:80", State: brookferry.Draining}, {ID: "10.0.0.3:80", State: brookferry.Gone}}
+		{ID: "10.0.0.2:80", State: balancer.Draining}, {ID: "10.0.0.3:80", State: balancer.Gone}}
 	tests := []struct {
 		line string
-		want brookferry.Event
+		want balancer.Event
 	}{
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":3}`,
-			brookferry.Request{ID: "d0", Class: 1, Left: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true}},
+			balancer.Request{ID: "d0", Class: 1, Left: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
-			brookferry.Request{ID: "d0", Left: 240 * ms}},
+			balancer.Request{ID: "d0", Left: 240 * ms}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"Item":"91f03b7c55d20a64"}`,
-			brookferry.Request{ID: "d0", Left: 240 * ms, Key: Key("91f03b7c55d20a64")}},
+			balancer.Request{ID: "d0", Left: 240 * ms, Key: Key("91f03b7c55d20a64")}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5}}`,
-			brookferry.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
-				Load: brookferry.Load{Valid: true, Queue: 4, Service: 7 * ms, ErrorsPerSec: 0.5}}},
+			balancer.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
+				Load: balancer.Load{Valid: true, Queue: 4, Service: 7 * ms, ErrorsPerSec: 0.5}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
-			brookferry.Outcome{Request: "d0", Backend: "b", Result: brookferry.NotSent, Load: Load(nil)}},
-		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, brookferry.Abandoned{Request: "d0"}},
-		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, brookferry.TimerFired{Token: 1<<63 - 1}},
+			balancer.Outcome{Request: "d0", Backend: "b", Result: balancer.NotSent, Load: Load(nil)}},
+		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balancer.Abandoned{Request: "d0"}},
+		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balancer.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
-			brookferry.StreamStarted{Request: "d0", Attempt: 1}},
+			balancer.StreamStarted{Request: "d0", Attempt: 1}},
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
-			brookferry.PeerMessage{From: 2, Data: []byte("hi 7")}},
+			balancer.PeerMessage{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
-			brookferry.ProbeResult{Backend: "b", Result: brookferry.ConnectFailed, Latency: 2 * ms, Load: Load(nil)}},
-		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, brookferry.List{Kind: brookferry.ListFailed}},
+			balancer.ProbeResult{Backend: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, Load: Load(nil)}},
+		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.List{Kind: balancer.ListFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
-			brookferry.List{Kind: brookferry.ListDelta, Backends: entries}},
+			balancer.List{Kind: balancer.ListDelta, Backends: entries}},
 	}
 	for _, tt := range tests {
 		b, err := NewReader(strings.NewReader(frame(tt.line))).Next()
@@ -81,10 +81,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := brookferry.Settings{
+	want := balancer.Settings{
 		Balancers: 3, Self: 1, Zone: 2, ByWork: true, Subscribe: true, Tick: 5 * ms,
-		Classes: []brookferry.Class{{Aim: 400 * ms, Deadline: 1500 * ms, Worth: 3, LateWorth: 0.25,
-			Effect: brookferry.Keyed, Group: brookferry.GroupCell, Window: 3 * time.Second}},
+		Classes: []balancer.Class{{Aim: 400 * ms, Deadline: 1500 * ms, Worth: 3, LateWorth: 0.25,
+			Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 3 * time.Second}},
 		MaxAttempts: 4, SecondCopies: true, Peers: true, MaxRetryAfter: 1500 * ms,
 		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, AskWithin: 10 * time.Second, ColdShare: 0.16,
 		RampTime: 20 * time.Second, FallMultiple: 2.5, FallWindow: time.Second,
@@ -122,27 +122,27 @@
 
 func TestActions(t *testing.T) {
 	tests := []struct {
-		action brookferry.Action
+		action balancer.Action
 		want   string
 	}{
-		{brookferry.Send{Request: "d0", Backend: "b", Timeout: 80500 * time.Microsecond},
+		{balancer.Send{Request: "d0", Backend: "b", Timeout: 80500 * time.Microsecond},
 			`{"msg":"Try","Agent":4,"Job":"d0","Backend":"b","PatienceMs":80.5}`},
-		{brookferry.Send{Request: "d0", Backend: "b"}, `{"msg":"Try","Agent":4,"Job":"d0","Backend":"b"}`},
-		{brookferry.Cancel{Request: "d0", Attempt: 2}, `{"msg":"Cancel","Agent":4,"Job":"d0","SendNo":2}`},
-		{brookferry.Refuse{Request: "d0", RetryAfter: 5 * ms}, `{"msg":"SayNo","Agent":4,"Job":"d0","WaitMs":5}`},
-		{brookferry.Refuse{Request: "d0"}, `{"msg":"SayNo","Agent":4,"Job":"d0"}`},
-		{brookferry.Fail{Request: `q"\`}, `{"msg":"DropRequest","Agent":4,"Job":"q\"\\"}`},
-		{brookferry.SetTimer{After: ms / 4, Token: 9}, `{"msg":"SetTimer","Agent":4,"SpanMs":0.25,"Cookie":9}`},
-		{brookferry.Probe{Backend: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
-		{brookferry.ZoneTurn{Zone: 1, Left: true, Told: true}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is left, as others told"}`},
-		{brookferry.ZoneTurn{Zone: 1}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is used again"}`},
-		{brookferry.TellPeer{To: 2, Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
-		{brookferry.Subscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":true}`},
+		{balancer.Send{Request: "d0", Backend: "b"}, `{"msg":"Try","Agent":4,"Job":"d0","Backend":"b"}`},
+		{balancer.Cancel{Request: "d0", Attempt: 2}, `{"msg":"Cancel","Agent":4,"Job":"d0","SendNo":2}`},
+		{balancer.Refuse{Request: "d0", RetryAfter: 5 * ms}, `{"msg":"SayNo","Agent":4,"Job":"d0","WaitMs":5}`},
+		{balancer.Refuse{Request: "d0"}, `{"msg":"SayNo","Agent":4,"Job":"d0"}`},
+		{balancer.Fail{Request: `q"\`}, `{"msg":"DropRequest","Agent":4,"Job":"q\"\\"}`},
+		{balancer.SetTimer{After: ms / 4, Token: 9}, `{"msg":"SetTimer","Agent":4,"SpanMs":0.25,"Cookie":9}`},
+		{balancer.Probe{Backend: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
+		{balancer.ZoneTurn{Zone: 1, Left: true, Told: true}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is left, as others told"}`},
+		{balancer.ZoneTurn{Zone: 1}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is used again"}`},
+		{balancer.TellPeer{To: 2, Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
+		{balancer.Subscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":true}`},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
 		w := NewWriter(&out)
-		if err := w.Actions(4, []brookferry.Action{tt.action}); err != nil {
+		if err := w.Actions(4, []balancer.Action{tt.action}); err != nil {
 			t.Fatal(err)
 		}
 		if err := w.End(); err != nil {
