--- a/cmd/vetchhaven/faults_test.go
+++ b/cmd/agent/faults_test.go
@@ -23,12 +23,12 @@
 
 // faulty is the program with the hooks of package inject, built once.
 var faulty = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "vetchhaven-faulty-")
+	dir, err := os.MkdirTemp("", "agent-faulty-")
 	if err != nil {
 		return "", err
 	}
 	faultyDir.Store(&dir)
-	return inject.Build(context.Background(), "../..", "./cmd/vetchhaven", dir)
+	return inject.Build(context.Background(), "../..", "./cmd/agent", dir)
 })
 
 var faultyDir atomic.Pointer[string]
--- a/cmd/vetchhaven/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command vetchhaven is one agent: it serves the clients of one process until SIGTERM.
+// Command agent is one agent: it serves the clients of one process until SIGTERM.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	log := logging.New(os.Stderr, slog.NewTextHandler, nil)
 	err := agent.Serve(log.Logger, agent.Platform(os.Getenv))
 	if err != nil {
-		log.Error("vetchhaven", "error", err)
+		log.Error("agent failed", "error", err)
 	}
 	log.Close()
 	if err != nil {
--- a/internal/lab/inject/inject.go
+++ b/internal/lab/inject/inject.go
@@ -124,7 +124,7 @@
 
 var errUnknownToolchain = errors.New("the standard library is not the one that this package knows")
 
-// Build builds a program of the module at root, such as "./cmd/vetchhaven", with the hooks, and returns its path in dir.
+// Build builds a program of the module at root, such as "./cmd/agent", with the hooks, and returns its path in dir.
 func Build(ctx context.Context, root, program, dir string) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
--- a/internal/lab/inject/inject_test.go
+++ b/internal/lab/inject/inject_test.go
@@ -13,7 +13,7 @@
 // A program that is built here fails as planned, and as long as planned.
 func TestPlannedFailure(t *testing.T) {
 	dir := t.TempDir()
-	program, err := Build(t.Context(), "../../..", "./cmd/vetchhaven", dir)
+	program, err := Build(t.Context(), "../../..", "./cmd/agent", dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -501,7 +501,7 @@
 
 // The platform's agent has nothing of the lab in it.
 func TestPlatformAgentHasNoLab(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "martenbeam/cmd/vetchhaven").Output()
+	out, err := exec.Command("go", "list", "-deps", "martenbeam/cmd/agent").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -24,7 +24,7 @@
 
 // Agents keep every rule through what seeds draw. A seed that fails is played again by its number.
 func TestSoak(t *testing.T) {
-	program, err := inject.Build(t.Context(), *root, "./cmd/vetchhaven", t.TempDir())
+	program, err := inject.Build(t.Context(), *root, "./cmd/agent", t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
