--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // errnosOfAccept are those that accept(2) names for a moment, network errors of a connection among them.
@@ -21,11 +21,11 @@
 // can't be watched.
 func TestAcceptThatFails(t *testing.T) {
 	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for _, errno := range errnosOfAccept {
 		for _, times := range []int{1, 3} {
-			d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: inject.Accept, Errno: errno, Times: times}}})
+			d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: errno, Times: times}}})
 			if status, err := request(alone, d.addr, "/get/x"); status != 200 {
 				t.Fatalf("%d x %v: %d, %v", times, errno, status, err)
 			}
@@ -36,7 +36,7 @@
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 		for _, times := range []int{1, 3} {
-			d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: inject.EpollAdd, Errno: errno, Times: times}}})
+			d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.EpollAdd, Errno: errno, Times: times}}})
 			// A client whose connection is closed unread sends the request once more.
 			await(t, fmt.Sprintf("an answer after %d x epoll_ctl %v", times, errno), patience, func() bool {
 				status, _ := request(alone, d.addr, "/get/x")
@@ -44,7 +44,7 @@
 			})
 		}
 	}
-	d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: inject.Accept, Errno: syscall.ENOBUFS}}})
+	d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
 	answered := make(chan error, 1)
 	go func() {
 		status, err := request(alone, d.addr, "/get/x")
@@ -54,7 +54,7 @@
 		answered <- err
 	}()
 	time.Sleep(2 * time.Second)
-	d.apply(t, inject.Plan{})
+	d.apply(t, faultinject.Plan{})
 	if err := <-answered; err != nil {
 		t.Errorf("a request through 2 s of failing accepts: %v", err)
 	}
@@ -68,21 +68,21 @@
 func TestStartThroughFailures(t *testing.T) {
 	backend := newStandIn(t)
 	discovery := newCatalog(t, ready("s", backend))
-	for _, failure := range []inject.Failure{
-		{Call: inject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 3},
-		{Call: inject.Read, Path: "config.json", Errno: syscall.EIO, Times: 1},
-		{Call: inject.Socket, Errno: syscall.ENOBUFS, Times: 3},
-		{Call: inject.Socket, Errno: syscall.ENFILE, Times: 1},
-		{Call: inject.Bind, Errno: syscall.EADDRNOTAVAIL, Times: 3},
-		{Call: inject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
-		{Call: inject.Listen, Errno: syscall.EADDRINUSE, Times: 3},
-		{Call: inject.Option, Errno: syscall.ENOBUFS, Times: 3},
-		{Call: inject.Name, Errno: syscall.ENOBUFS, Times: 2},
-		{Call: inject.EpollAdd, Errno: syscall.ENOMEM, Times: 3},
+	for _, failure := range []faultinject.Failure{
+		{Call: faultinject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 3},
+		{Call: faultinject.Read, Path: "config.json", Errno: syscall.EIO, Times: 1},
+		{Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3},
+		{Call: faultinject.Socket, Errno: syscall.ENFILE, Times: 1},
+		{Call: faultinject.Bind, Errno: syscall.EADDRNOTAVAIL, Times: 3},
+		{Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
+		{Call: faultinject.Listen, Errno: syscall.EADDRINUSE, Times: 3},
+		{Call: faultinject.Option, Errno: syscall.ENOBUFS, Times: 3},
+		{Call: faultinject.Name, Errno: syscall.ENOBUFS, Times: 2},
+		{Call: faultinject.EpollAdd, Errno: syscall.ENOMEM, Times: 3},
 	} {
 		t.Run(fmt.Sprint(failure.Call, " ", failure.Errno, " ", failure.Path), func(t *testing.T) {
 			t.Parallel()
-			d := deploy(t, discovery.addr, inject.Plan{Failures: []inject.Failure{failure}}, nil, "", withPeers(freeAddr(t), freeAddr(t))...)
+			d := deploy(t, discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{failure}}, nil, "", withPeers(freeAddr(t), freeAddr(t))...)
 			awaitAnswer(t, d, 10*time.Second)
 		})
 	}
@@ -108,18 +108,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "", withPeers(own, peer.LocalAddr().String())...)
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "", withPeers(own, peer.LocalAddr().String())...)
 	awaitReady(t, d.addr)
-	for _, call := range []string{inject.Receive, inject.Send, inject.Option, inject.Name, inject.Descriptor} {
+	for _, call := range []string{faultinject.Receive, faultinject.Send, faultinject.Option, faultinject.Name, faultinject.Descriptor} {
 		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.EPERM} {
 			for _, times := range []int{1, 3} {
-				d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: call, Errno: errno, Times: times}}})
+				d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: errno, Times: times}}})
 				if status, err := request(alone, d.addr, "/get/x"); status != 200 {
 					t.Errorf("%d x %s %v: %d, %v", times, call, errno, status, err)
 				}
 			}
 		}
-		d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: call, Errno: syscall.ENOBUFS}}})
+		d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: syscall.ENOBUFS}}})
 		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that something is there to be read
 			t.Fatal(err)
 		}
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"testing"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // openFiles are what the descriptors of a process are of, and whether they may be written.
@@ -81,7 +81,7 @@
 // The program listens at the addresses that it is given and at no other, starts no process, and has no file open for writing but
 // its log and what is in its scratch folder.
 func TestListensAndWritesWhereItMay(t *testing.T) {
-	d := deploy(t, newCatalog(t, ready("s", newStandIn(t))).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", newStandIn(t))).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for range 20 {
 		if status, err := request(alone, d.addr, "/get/x"); status != 200 {
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // errnosOfConnections are those that reads and writes of a TCP connection may return while the other side still has it.
@@ -24,10 +24,10 @@
 func TestConnectionThatFailsForAMoment(t *testing.T) {
 	backend := newStandIn(t)
 	backend.took = 100 * time.Millisecond
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for _, errno := range errnosOfConnections {
-		for _, call := range []string{inject.Read, inject.Write} {
+		for _, call := range []string{faultinject.Read, faultinject.Write} {
 			for _, times := range []int{1, 3} {
 				name := fmt.Sprintf("%d x %s %v", times, call, errno)
 				c, err := net.Dial("tcp", d.addr)
@@ -40,8 +40,8 @@
 					t.Fatal(err)
 				}
 				await(t, "the attempt", patience, func() bool { return backend.seen.Load() > before })
-				d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(), Errno: errno, Times: times}}})
-				if call == inject.Read { // so that something is read
+				d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(), Errno: errno, Times: times}}})
+				if call == faultinject.Read { // so that something is read
 					if _, err := io.WriteString(c, "G"); err != nil {
 						t.Fatal(err)
 					}
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := freeAddr(t) // refuses: the request waits for a retry
-			d := deploy(t, newCatalog(t, listed{ID: "s", Addr: backend, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, inject.Plan{}, nil, "")
+			d := deploy(t, newCatalog(t, listed{ID: "s", Addr: backend, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			var begun atomic.Int64
 			late := lateness(t)
@@ -102,7 +102,7 @@
 // served a request before, of the first byte of this one.
 func TestRequestThatStopsAnywhere(t *testing.T) {
 	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	whole := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("x", 30)
 	chunked := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n12345678\r\n0\r\n\r\n"
@@ -157,7 +157,7 @@
 // A client that goes on sending a byte now and then is owed the same: of a body that is small, or of a header.
 func TestRequestThatDrips(t *testing.T) {
 	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	late := lateness(t)
 	var clients sync.WaitGroup
@@ -191,7 +191,7 @@
 func TestHardlyAnyTimeLeft(t *testing.T) {
 	mute := newStandIn(t)
 	mute.took = time.Hour
-	d := deploy(t, newCatalog(t, ready("s", mute)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", mute)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	late := lateness(t)
 	for _, left := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // What an attempt tells its backend is at most what its client has left, with 0.15 s of slack: for first attempts, retries and
@@ -53,7 +53,7 @@
 		})
 		list = append(list, listed{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 	}
-	d := deploy(t, newCatalog(t, list...).addr, inject.Plan{}, nil, "", `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
+	d := deploy(t, newCatalog(t, list...).addr, faultinject.Plan{}, nil, "", `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
 	awaitReady(t, d.addr)
 	var clients sync.WaitGroup
 	end := time.Now().Add(6 * time.Second)
@@ -97,9 +97,9 @@
 func TestDeadlineOfARequestThatWaitedInTheQueue(t *testing.T) {
 	stated, late := make(chan string, 1), lateness(t)
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
-	d := deploy(t, newCatalog(t, listed{ID: "s", Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, listed{ID: "s", Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: inject.Accept, Errno: syscall.ENOBUFS}}})
+	d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
 	answered := make(chan int, 1)
 	sent := time.Now()
 	go func() {
@@ -107,7 +107,7 @@
 		answered <- status
 	}()
 	time.Sleep(time.Second)
-	d.apply(t, inject.Plan{})
+	d.apply(t, faultinject.Plan{})
 	left := 5*time.Second - time.Since(sent)
 	if status := <-answered; status != 200 {
 		t.Fatalf("status %d", status)
--- a/cmd/agent/faults_test.go
+++ b/cmd/agent/faults_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // faulty is the program with the hooks of package inject, built once.
@@ -28,7 +28,7 @@
 		return "", err
 	}
 	faultyDir.Store(&dir)
-	return inject.Build(context.Background(), "../..", "./cmd/agent", dir)
+	return faultinject.Build(context.Background(), "../..", "./cmd/agent", dir)
 })
 
 var faultyDir atomic.Pointer[string]
@@ -114,7 +114,7 @@
 
 // deployed is a running program that faults can be injected into.
 type deployed struct {
-	inject.Control
+	faultinject.Control
 	cmd        *exec.Cmd
 	addr, door string
 	config     string // its path
@@ -130,14 +130,14 @@
 
 // deploy starts the program with a plan in force. A listener and a folder make it replaceable.
 // Edits are pairs of texts that are replaced in its configuration.
-func deploy(t *testing.T, discovery string, plan inject.Plan, ln *net.TCPListener, dir string, edits ...string) *deployed {
+func deploy(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, dir string, edits ...string) *deployed {
 	t.Helper()
 	program, err := faulty()
 	if err != nil {
 		t.Fatal(err)
 	}
 	own := t.TempDir()
-	d := &deployed{Control: inject.Control{Path: filepath.Join(own, "INJECT.json")}, addr: freeAddr(t), door: freeAddr(t),
+	d := &deployed{Control: faultinject.Control{Path: filepath.Join(own, "INJECT.json")}, addr: freeAddr(t), door: freeAddr(t),
 		config: filepath.Join(own, "config.json")}
 	if ln != nil {
 		d.addr = ln.Addr().String()
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	d.cmd = exec.Command(program)
-	d.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+d.config, "PROXY_MGMT="+d.door, inject.ControlVariable+"="+d.Path, "TMPDIR="+own)
+	d.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+d.config, "PROXY_MGMT="+d.door, faultinject.ControlVariable+"="+d.Path, "TMPDIR="+own)
 	if ln != nil {
 		f, err := ln.File()
 		if err != nil {
@@ -184,7 +184,7 @@
 }
 
 // apply puts a plan in force.
-func (d *deployed) apply(t *testing.T, p inject.Plan) {
+func (d *deployed) apply(t *testing.T, p faultinject.Plan) {
 	t.Helper()
 	if err := d.Apply(p); err != nil {
 		t.Fatal(err)
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // Where lists are pushed, what discovery has counts from the first moment of a new process: a backend that drains by it gets
@@ -18,16 +18,16 @@
 	if _, err := faulty(); err != nil { // built before anything is timed
 		t.Fatal(err)
 	}
-	for name, failure := range map[string]inject.Failure{
+	for name, failure := range map[string]faultinject.Failure{
 		"nothing fails":          {},
-		"a connect":              {Call: inject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
-		"three connects":         {Call: inject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
-		"three sockets":          {Call: inject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // those that it listens at are there
-		"a read of a socket":     {Call: inject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
-		"a write to a socket":    {Call: inject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
-		"connects are refused":   {Call: inject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
-		"connects are aborted":   {Call: inject.Connect, Errno: syscall.ECONNABORTED, Times: 3},
-		"connects are timed out": {Call: inject.Connect, Errno: syscall.ETIMEDOUT, Times: 2},
+		"a connect":              {Call: faultinject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
+		"three connects":         {Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
+		"three sockets":          {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // those that it listens at are there
+		"a read of a socket":     {Call: faultinject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
+		"a write to a socket":    {Call: faultinject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
+		"connects are refused":   {Call: faultinject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
+		"connects are aborted":   {Call: faultinject.Connect, Errno: syscall.ECONNABORTED, Times: 3},
+		"connects are timed out": {Call: faultinject.Connect, Errno: syscall.ETIMEDOUT, Times: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -41,9 +41,9 @@
 			good := newStandIn(t)
 			now := []listed{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "draining", Weight: 1}, ready("t", good)}
 			known := fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},"settings":`, drains)
-			plan := inject.Plan{}
+			plan := faultinject.Plan{}
 			if failure.Call != "" {
-				plan.Failures = []inject.Failure{failure}
+				plan.Failures = []faultinject.Failure{failure}
 			}
 			discovery := newCatalog(t, now...)
 			began = time.Now()
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // awaitCall waits until a call is answered with yes.
@@ -35,7 +35,7 @@
 	older     *deployed
 }
 
-func newReplaced(t *testing.T, plan inject.Plan) *replaced {
+func newReplaced(t *testing.T, plan faultinject.Plan) *replaced {
 	t.Helper()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // upgrade replaces the process as the platform does, and reports how many of 30 requests reach backend one afterwards.
-func (r *replaced) upgrade(t *testing.T, plan inject.Plan) (reached int64) {
+func (r *replaced) upgrade(t *testing.T, plan faultinject.Plan) (reached int64) {
 	t.Helper()
 	younger := deploy(t, r.discovery.addr, plan, r.ln, r.dir)
 	younger.awaitCall(t, 6*time.Second, "/_ready", "")
@@ -78,27 +78,27 @@
 
 // What operators have been told yes to holds over an upgrade, whatever the folder did before.
 func TestDetachOverAFailingFolder(t *testing.T) {
-	at := func(call, path string, errno syscall.Errno, times int) inject.Plan {
-		return inject.Plan{Failures: []inject.Failure{{Call: call, Path: path, Errno: errno, Times: times}}}
+	at := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
+		return faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: path, Errno: errno, Times: times}}}
 	}
 	for name, c := range map[string]struct {
-		start, during, younger inject.Plan
+		start, during, younger faultinject.Plan
 	}{
-		"first write fails once":             {start: at(inject.Write, "handover.json", syscall.EIO, 1)},
-		"first write fails thrice":           {start: at(inject.Write, "handover.json", syscall.ENOSPC, 3)},
-		"first open of the lock fails":       {start: at(inject.Open, "owner", syscall.ENFILE, 1)},
-		"first lock fails":                   {start: at(inject.Lock, "owner", syscall.ENOLCK, 2)},
-		"rename fails once":                  {during: at(inject.Rename, "handover.json", syscall.EIO, 1)},
-		"writes fail for 3 s":                {during: at(inject.Write, "handover.json", syscall.EIO, 0)},
-		"opens fail for 3 s":                 {during: at(inject.Open, "handover.json", syscall.ENOSPC, 0)},
-		"locks fail for 3 s":                 {during: at(inject.Lock, "lock", syscall.ENOLCK, 0)},
-		"the successor's first read":         {younger: at(inject.Read, "handover.json", syscall.EIO, 1)},
-		"the successor's first three":        {younger: at(inject.Open, "handover.json", syscall.ENFILE, 3)},
-		"the successor's reads for long":     {younger: at(inject.Read, "handover.json", syscall.EIO, 40)},
-		"the successor's first write":        {younger: at(inject.Write, "handover.json", syscall.ENOSPC, 1)},
-		"the successor's owner":              {younger: at(inject.Open, "owner", syscall.EIO, 2)},
-		"the successor's writes throughout":  {younger: at(inject.Write, "handover.json", syscall.ENOSPC, 0)},
-		"the successor's renames throughout": {younger: at(inject.Rename, "handover.json", syscall.EIO, 0)},
+		"first write fails once":             {start: at(faultinject.Write, "handover.json", syscall.EIO, 1)},
+		"first write fails thrice":           {start: at(faultinject.Write, "handover.json", syscall.ENOSPC, 3)},
+		"first open of the lock fails":       {start: at(faultinject.Open, "owner", syscall.ENFILE, 1)},
+		"first lock fails":                   {start: at(faultinject.Lock, "owner", syscall.ENOLCK, 2)},
+		"rename fails once":                  {during: at(faultinject.Rename, "handover.json", syscall.EIO, 1)},
+		"writes fail for 3 s":                {during: at(faultinject.Write, "handover.json", syscall.EIO, 0)},
+		"opens fail for 3 s":                 {during: at(faultinject.Open, "handover.json", syscall.ENOSPC, 0)},
+		"locks fail for 3 s":                 {during: at(faultinject.Lock, "lock", syscall.ENOLCK, 0)},
+		"the successor's first read":         {younger: at(faultinject.Read, "handover.json", syscall.EIO, 1)},
+		"the successor's first three":        {younger: at(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
+		"the successor's reads for long":     {younger: at(faultinject.Read, "handover.json", syscall.EIO, 40)},
+		"the successor's first write":        {younger: at(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
+		"the successor's owner":              {younger: at(faultinject.Open, "owner", syscall.EIO, 2)},
+		"the successor's writes throughout":  {younger: at(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
+		"the successor's renames throughout": {younger: at(faultinject.Rename, "handover.json", syscall.EIO, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -114,7 +114,7 @@
 			}
 			if c.during.Failures != nil && c.during.Failures[0].Times == 0 {
 				time.Sleep(3*time.Second - took)
-				r.older.apply(t, inject.Plan{})
+				r.older.apply(t, faultinject.Plan{})
 				time.Sleep(time.Second) // nobody calls again: it is recorded by itself
 			}
 			if n := r.upgrade(t, c.younger); n > 0 {
@@ -127,8 +127,8 @@
 // A call that can't be recorded as long as it may take is answered with no.
 func TestNoYesThatCannotBeKept(t *testing.T) {
 	late := lateness(t)
-	r := newReplaced(t, inject.Plan{})
-	fails := inject.Plan{Failures: []inject.Failure{{Call: inject.Write, Path: "handover.json", Errno: syscall.EIO}}}
+	r := newReplaced(t, faultinject.Plan{})
+	fails := faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO}}}
 	r.older.apply(t, fails)
 	for _, path := range []string{"/_backends/detach", "/_lameduck/on", "/_lameduck/off"} {
 		if status, took := r.older.call(t, path, detachOne); status != 503 || took > time.Second+late() {
@@ -143,7 +143,7 @@
 func TestUpgradesInSeries(t *testing.T) {
 	first := freeAddr(t) // where discovery was when the platform started the agent, as the variable says
 	t.Setenv("PROXY_DISCOVERY", "")
-	r := newReplaced(t, inject.Plan{})
+	r := newReplaced(t, faultinject.Plan{})
 	text, err := os.ReadFile(r.older.config)
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 	for round, trouble := range []func(){
 		func() {},
 		func() { // a successor that is killed at once
-			d := deploy(t, r.discovery.addr, inject.Plan{}, r.ln, r.dir)
+			d := deploy(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 			d.awaitCall(t, 6*time.Second, "/_ready", "")
 			d.signal(t, syscall.SIGKILL)
 			_ = d.cmd.Wait()
@@ -170,10 +170,10 @@
 			r.older.signal(t, syscall.SIGHUP)
 			r.discovery = moved
 		},
-		func() { r.older.apply(t, inject.Plan{Wall: -time.Hour}) },
+		func() { r.older.apply(t, faultinject.Plan{Wall: -time.Hour}) },
 	} {
 		trouble()
-		if n := r.upgrade(t, inject.Plan{}); n > 0 {
+		if n := r.upgrade(t, faultinject.Plan{}); n > 0 {
 			t.Fatalf("round %d: %d of 30 requests reach the detached backend", round, n)
 		}
 	}
@@ -196,8 +196,8 @@
 // An agent that is drained says so at once and goes on saying so while the call can't be recorded, and its successor is drained
 // once it could be.
 func TestDrainOverAFailingFolder(t *testing.T) {
-	r := newReplaced(t, inject.Plan{})
-	r.older.apply(t, inject.Plan{Failures: []inject.Failure{{Call: inject.Write, Path: "handover.json", Errno: syscall.ENOSPC}}})
+	r := newReplaced(t, faultinject.Plan{})
+	r.older.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.ENOSPC}}})
 	health := func(d *deployed) int {
 		status, err := request(alone, d.addr, "/_health")
 		if err != nil {
@@ -213,9 +213,9 @@
 			t.Fatalf("health says %d after the call", status)
 		}
 	}
-	r.older.apply(t, inject.Plan{})
+	r.older.apply(t, faultinject.Plan{})
 	time.Sleep(500 * time.Millisecond)
-	younger := deploy(t, r.discovery.addr, inject.Plan{}, r.ln, r.dir)
+	younger := deploy(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 	younger.awaitCall(t, 6*time.Second, "/_ready", "")
 	r.older.signal(t, syscall.SIGTERM)
 	if err := r.older.cmd.Wait(); err != nil {
@@ -228,25 +228,25 @@
 
 // A process that is killed between any two calls by which it records leaves a record that holds all that it had said yes to.
 func TestKillBetweenTwoCallsOfARecording(t *testing.T) {
-	for _, at := range []inject.Failure{
-		{Call: inject.Open, Path: "lock"},
-		{Call: inject.Lock, Path: "lock"},
-		{Call: inject.Open, Path: "handover.json"}, // to be read
-		{Call: inject.Read, Path: "handover.json"},
-		{Call: inject.Open, Path: "handover.json.new"},
-		{Call: inject.Write, Path: "handover.json.new"},
-		{Call: inject.Rename, Path: "handover.json"},
+	for _, at := range []faultinject.Failure{
+		{Call: faultinject.Open, Path: "lock"},
+		{Call: faultinject.Lock, Path: "lock"},
+		{Call: faultinject.Open, Path: "handover.json"}, // to be read
+		{Call: faultinject.Read, Path: "handover.json"},
+		{Call: faultinject.Open, Path: "handover.json.new"},
+		{Call: faultinject.Write, Path: "handover.json.new"},
+		{Call: faultinject.Rename, Path: "handover.json"},
 	} {
 		for _, younger := range []bool{false, true} { // in the recording of a call; or in the successor's first one
 			t.Run(fmt.Sprint(at.Call, " ", at.Path, " ", younger), func(t *testing.T) {
 				t.Parallel()
-				r := newReplaced(t, inject.Plan{})
+				r := newReplaced(t, faultinject.Plan{})
 				if status, _ := r.older.call(t, "/_backends/detach", detachOne); status != 200 {
 					t.Fatalf("status %d", status)
 				}
 				kill := at
 				kill.Kill, kill.Times = true, 1
-				plan := inject.Plan{Failures: []inject.Failure{kill}}
+				plan := faultinject.Plan{Failures: []faultinject.Failure{kill}}
 				if younger {
 					d := deploy(t, r.discovery.addr, plan, r.ln, r.dir)
 					_ = d.cmd.Wait()
@@ -254,10 +254,10 @@
 					r.older.apply(t, plan)
 					_, _ = r.older.call(t, "/_backends/detach", `{"target":"two"}`) // no answer, or the save's kill came first
 					_ = r.older.cmd.Wait()
-					r.older = deploy(t, r.discovery.addr, inject.Plan{}, r.ln, r.dir)
+					r.older = deploy(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 					r.older.awaitCall(t, 6*time.Second, "/_ready", "")
 				}
-				if n := r.upgrade(t, inject.Plan{}); n > 0 {
+				if n := r.upgrade(t, faultinject.Plan{}); n > 0 {
 					t.Errorf("%d of 30 requests reach the detached backend", n)
 				}
 			})
@@ -268,12 +268,12 @@
 // A successor that can't read what the older process recorded takes no clients before it can, for a while.
 func TestSuccessorThatCannotReadForLong(t *testing.T) {
 	late := lateness(t)
-	r := newReplaced(t, inject.Plan{})
+	r := newReplaced(t, faultinject.Plan{})
 	if status, _ := r.older.call(t, "/_backends/detach", detachOne); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	began := time.Now()
-	younger := deploy(t, r.discovery.addr, inject.Plan{Failures: []inject.Failure{{Call: inject.Read, Path: "handover.json", Errno: syscall.EIO}}}, r.ln, r.dir)
+	younger := deploy(t, r.discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read, Path: "handover.json", Errno: syscall.EIO}}}, r.ln, r.dir)
 	for time.Since(began) < 3*time.Second {
 		status, took := younger.call(t, "/_ready", "")
 		if status == 200 {
@@ -284,7 +284,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	younger.apply(t, inject.Plan{})
+	younger.apply(t, faultinject.Plan{})
 	younger.awaitCall(t, time.Until(began.Add(6*time.Second)), "/_ready", "")
 	r.older.signal(t, syscall.SIGTERM)
 	if err := r.older.cmd.Wait(); err != nil {
@@ -298,19 +298,19 @@
 // A call to the older of two processes holds in the younger, though the older can't write for a while, or the younger's read
 // fails once.
 func TestCallBesideASuccessor(t *testing.T) {
-	for name, c := range map[string]struct{ older, younger inject.Plan }{
-		"older can't write":       {older: inject.Plan{Failures: []inject.Failure{{Call: inject.Write, Path: "handover.json", Errno: syscall.EIO}}}},
-		"younger can't read once": {younger: inject.Plan{Failures: []inject.Failure{{Call: inject.Read, Path: "handover.json", Errno: syscall.EIO, Times: 1}}}},
+	for name, c := range map[string]struct{ older, younger faultinject.Plan }{
+		"older can't write":       {older: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO}}}},
+		"younger can't read once": {younger: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read, Path: "handover.json", Errno: syscall.EIO, Times: 1}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newReplaced(t, inject.Plan{})
-			younger := deploy(t, r.discovery.addr, inject.Plan{}, r.ln, r.dir)
+			r := newReplaced(t, faultinject.Plan{})
+			younger := deploy(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 			younger.awaitCall(t, 6*time.Second, "/_ready", "")
 			r.older.apply(t, c.older)
 			younger.apply(t, c.younger)
 			_, _ = r.older.call(t, "/_backends/detach", detachOne)
-			r.older.apply(t, inject.Plan{})
+			r.older.apply(t, faultinject.Plan{})
 			time.Sleep(200 * time.Millisecond)
 			r.older.signal(t, syscall.SIGTERM)
 			if err := r.older.cmd.Wait(); err != nil {
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 var growthFor = flag.Duration("growth.for", 6*time.Second, "how long agents of two sizes of a fleet are called")
@@ -100,7 +100,7 @@
 		list = append(list, listed{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m", State: "ready", Weight: 1})
 	}
 	discovery := newChanges(t, list)
-	d := deploy(t, discovery.addr, inject.Plan{}, nil, "", `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
+	d := deploy(t, discovery.addr, faultinject.Plan{}, nil, "", `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
 		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, load.aim.Milliseconds(), 3*load.aim.Milliseconds()))
 	awaitReady(t, d.addr)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: patience}
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // again kills the program and starts it with another log, of which this process keeps no end for writing.
@@ -31,7 +31,7 @@
 // A log that nobody reads any more, or whose disk is full, ends nothing.
 func TestLogThatCannotBeWritten(t *testing.T) {
 	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -49,7 +49,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.apply(t, inject.Plan{Failures: []inject.Failure{{Call: inject.Write, Path: "pipe:", Errno: syscall.ENOSPC}}})
+	d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "pipe:", Errno: syscall.ENOSPC}}})
 	awaitAnswer(t, d, patience)
 	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 // Whoever reads the log may stay and read nothing: the agent starts, serves and ends all the same.
 func TestLogThatIsNotRead(t *testing.T) {
 	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	read, write, err := os.Pipe()
 	if err != nil {
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 var quietFor = flag.Duration("quiet.for", 3*time.Second, "how long nothing happens before trouble begins")
@@ -37,7 +37,7 @@
 		{ID: "u", Addr: hanging, Zone: "a", Kind: "m", State: "ready", Weight: 1},
 		{ID: "v", Addr: forgotten, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
 	discovery := newCatalog(t, list...)
-	d := deploy(t, discovery.addr, inject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`, `"AimMs":500,"DeadlineMs":1000`)
+	d := deploy(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`, `"AimMs":500,"DeadlineMs":1000`)
 	awaitReady(t, d.addr)
 	for range 60 { // connections rest at all of them
 		if status, err := request(alone, d.addr, "/get/x"); status != http.StatusOK {
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -11,28 +11,28 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // After SIGHUP what the new discovery tells counts 4 s later: also where the configuration can't be read at that moment, or is
 // half written, and where signals come in series.
 func TestReloadThatFails(t *testing.T) {
 	old, fresh := newStandIn(t), newStandIn(t)
-	for name, failures := range map[string][]inject.Failure{
-		"open ENFILE":   {{Call: inject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 1}},
-		"open EMFILE":   {{Call: inject.Open, Path: "config.json", Errno: syscall.EMFILE, Times: 3}},
-		"open EINTR":    {{Call: inject.Open, Path: "config.json", Errno: syscall.EINTR, Times: 1}},
-		"read EIO":      {{Call: inject.Read, Path: "config.json", Errno: syscall.EIO, Times: 1}},
-		"read 3 EIO":    {{Call: inject.Read, Path: "config.json", Errno: syscall.EIO, Times: 3}},
-		"open 2 s":      {{Call: inject.Open, Path: "config.json", Errno: syscall.ENFILE}},
+	for name, failures := range map[string][]faultinject.Failure{
+		"open ENFILE":   {{Call: faultinject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 1}},
+		"open EMFILE":   {{Call: faultinject.Open, Path: "config.json", Errno: syscall.EMFILE, Times: 3}},
+		"open EINTR":    {{Call: faultinject.Open, Path: "config.json", Errno: syscall.EINTR, Times: 1}},
+		"read EIO":      {{Call: faultinject.Read, Path: "config.json", Errno: syscall.EIO, Times: 1}},
+		"read 3 EIO":    {{Call: faultinject.Read, Path: "config.json", Errno: syscall.EIO, Times: 3}},
+		"open 2 s":      {{Call: faultinject.Open, Path: "config.json", Errno: syscall.ENFILE}},
 		"half written":  nil,
-		"twice, ENFILE": {{Call: inject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 1}},
+		"twice, ENFILE": {{Call: faultinject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			before := newCatalog(t, ready("old", old))
 			after := newCatalog(t, listed{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, ready("new", fresh))
-			d := deploy(t, before.addr, inject.Plan{}, nil, "")
+			d := deploy(t, before.addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			text := fmt.Appendf(nil, faultsConfig, d.addr, after.addr)
 			first := text
@@ -42,7 +42,7 @@
 			if err := os.WriteFile(d.config, first, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			d.apply(t, inject.Plan{Failures: failures})
+			d.apply(t, faultinject.Plan{Failures: failures})
 			d.signal(t, syscall.SIGHUP)
 			told := time.Now()
 			if strings.HasPrefix(name, "twice") {
@@ -50,7 +50,7 @@
 			}
 			if failures == nil || failures[0].Times == 0 {
 				time.Sleep(2 * time.Second)
-				d.apply(t, inject.Plan{})
+				d.apply(t, faultinject.Plan{})
 			}
 			if err := os.WriteFile(d.config, text, 0o600); err != nil {
 				t.Fatal(err)
@@ -98,7 +98,7 @@
 						<-r.Context().Done()
 					})
 					before := newCatalog(t, ready("old", old))
-					d := deploy(t, before.addr, inject.Plan{}, nil, "", "automatic", mode)
+					d := deploy(t, before.addr, faultinject.Plan{}, nil, "", "automatic", mode)
 					awaitReady(t, d.addr)
 					for _, to := range []string{freeAddr(t), after} { // the first of two configurations in a row names nobody
 						if err := os.WriteFile(d.config, []byte(strings.Replace(fmt.Sprintf(faultsConfig, d.addr, to), "automatic", mode, 1)), 0o600); err != nil {
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // arrivals are when attempts came to backends, by request.
@@ -98,7 +98,7 @@
 				})
 				list = append(list, listed{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 			}
-			d := deploy(t, newCatalog(t, list...).addr, inject.Plan{}, nil, "", `{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
+			d := deploy(t, newCatalog(t, list...).addr, faultinject.Plan{}, nil, "", `{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`) // a repeat may take that to come, and its window has to hold then
 			awaitReady(t, d.addr)
 			done := make(chan struct{})
@@ -167,7 +167,7 @@
 				old := []listed{{ID: "a", Addr: turning, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
 				good := newStandIn(t)
 				discovery := newCatalog(t, old...)
-				d := deploy(t, discovery.addr, inject.Plan{}, nil, "")
+				d := deploy(t, discovery.addr, faultinject.Plan{}, nil, "")
 				awaitReady(t, d.addr)
 				stop := time.AfterFunc(time.Second, func() {
 					now := []listed{ready("b", good)}
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // shutdownClient sends request after request on a connection for as long as the agent keeps it open, and on a further one where
@@ -86,8 +86,8 @@
 		signals  []syscall.Signal // 60 ms apart, the first at once
 		crowd    int
 		step     time.Duration
-		fails    inject.Failure // from the last signal on
-		untilEnd bool           // SIGTERM comes again each millisecond: the last may end the program, once nothing is open
+		fails    faultinject.Failure // from the last signal on
+		untilEnd bool                // SIGTERM comes again each millisecond: the last may end the program, once nothing is open
 	}{
 		"250 ms":                      {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}},
 		"250 ms, hanging":             {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}},
@@ -98,11 +98,11 @@
 		"a crowd":                     {deadline: 300 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, crowd: 100},
 		"a crowd, hanging":            {deadline: 300 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
 		"the clock an hour back":      {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, step: -time.Hour},
-		"accepts fail":                {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: inject.Failure{Call: inject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
-		"accepts fail throughout":     {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, fails: inject.Failure{Call: inject.Accept, Errno: syscall.ENFILE}},
-		"writes fail":                 {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: inject.Failure{Call: inject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
-		"reads fail":                  {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, fails: inject.Failure{Call: inject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
-		"no sockets":                  {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: inject.Failure{Call: inject.Socket, Errno: syscall.ENFILE}},
+		"accepts fail":                {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
+		"accepts fail throughout":     {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENFILE}},
+		"writes fail":                 {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
+		"reads fail":                  {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
+		"no sockets":                  {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Socket, Errno: syscall.ENFILE}},
 		"the clock two seconds ahead": {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, step: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 			if backend.took = 5 * time.Millisecond; c.hang {
 				backend.took = time.Hour
 			}
-			d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "", `"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
+			d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "", `"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
 				`"AimMs":5000`, fmt.Sprintf(`"AimMs":%d`, c.deadline.Milliseconds()), `"sockets":1024`, `"sockets":128`)
 			awaitReady(t, d.addr)
 			late := lateness(t)
@@ -137,10 +137,10 @@
 				time.Sleep(60 * time.Millisecond)
 			}
 			if c.step != 0 {
-				d.apply(t, inject.Plan{Wall: c.step})
+				d.apply(t, faultinject.Plan{Wall: c.step})
 			}
 			if c.fails.Call != "" {
-				d.apply(t, inject.Plan{Failures: []inject.Failure{c.fails}})
+				d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- d.cmd.Wait() }()
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // A backend starts a request with its last byte: what it answers before that answers nothing that was asked, whether the rest of
@@ -42,7 +42,7 @@
 				_, _ = io.Copy(io.Discard, r.Body)
 			})
 			list := listed{ID: "s", Addr: early, Zone: "a", Kind: "m", State: "ready", Weight: 1}
-			d := deploy(t, newCatalog(t, list).addr, inject.Plan{}, nil, "")
+			d := deploy(t, newCatalog(t, list).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			conn, err := net.Dial("tcp", d.addr)
 			if err != nil {
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 // tell has another list hold.
@@ -48,13 +48,13 @@
 			t.Parallel()
 			backend := newStandIn(t)
 			backend.took = 300 * time.Millisecond
-			d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+			d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			c := halfRequest(t, d.addr)
 			d.signal(t, syscall.SIGTERM)
 			await(t, "the stop", patience, func() bool { return strings.Contains(d.lines(t), "msg=stopping") })
 			for _, step := range steps {
-				d.apply(t, inject.Plan{Wall: step})
+				d.apply(t, faultinject.Plan{Wall: step})
 			}
 			if _, err := fmt.Fprintf(c, "\r\n"); err != nil {
 				t.Fatal(err)
@@ -78,13 +78,13 @@
 			t.Parallel()
 			backend := newStandIn(t)
 			backend.took = time.Hour
-			d := deploy(t, newCatalog(t, ready("s", backend)).addr, inject.Plan{}, nil, "")
+			d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			c := halfRequest(t, d.addr)
 			d.signal(t, syscall.SIGTERM)
 			kill := time.Now().Add(3700 * time.Millisecond) // the longest deadline counts as 3 s at most
 			await(t, "the stop", patience, func() bool { return strings.Contains(d.lines(t), "msg=stopping") })
-			d.apply(t, inject.Plan{Wall: step})
+			d.apply(t, faultinject.Plan{Wall: step})
 			time.Sleep(time.Second)
 			if _, err := fmt.Fprintf(c, "\r\n"); err != nil {
 				t.Fatal(err)
@@ -145,7 +145,7 @@
 			one.took, two.took = served, served
 			cold := ready("two", two)
 			cold.Started = time.Now().UnixMilli()
-			d := deploy(t, newCatalog(t, ready("one", one), cold).addr, inject.Plan{Wall: off}, nil, "")
+			d := deploy(t, newCatalog(t, ready("one", one), cold).addr, faultinject.Plan{Wall: off}, nil, "")
 			awaitReady(t, d.addr)
 			all := paced(t, d.addr, 200)
 			spared(t, two.seen.Load(), all)
@@ -176,10 +176,10 @@
 			warm, again := ready("one", one), ready("two", two)
 			again.Started = time.Now().Add(-30 * time.Minute).UnixMilli()
 			discovery := newCatalog(t, warm, again)
-			d := deploy(t, discovery.addr, inject.Plan{Wall: c.start}, nil, "")
+			d := deploy(t, discovery.addr, faultinject.Plan{Wall: c.start}, nil, "")
 			awaitReady(t, d.addr)
 			paced(t, d.addr, 40)
-			d.apply(t, inject.Plan{Wall: c.step})
+			d.apply(t, faultinject.Plan{Wall: c.step})
 			again.Started = time.Now().Add(c.stamp).UnixMilli()
 			discovery.tell(warm, again)
 			time.Sleep(300 * time.Millisecond) // the list is heard
@@ -219,11 +219,11 @@
 					}
 				}
 			})
-			d := deploy(t, discovery, inject.Plan{}, nil, "")
+			d := deploy(t, discovery, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			step := func() {
 				for _, step := range steps {
-					d.apply(t, inject.Plan{Wall: step})
+					d.apply(t, faultinject.Plan{Wall: step})
 				}
 			}
 			req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
@@ -248,7 +248,7 @@
 			mu.Lock()
 			list = []listed{{ID: "s", Addr: hanging.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, ready("t", good)}
 			mu.Unlock()
-			d.apply(t, inject.Plan{})
+			d.apply(t, faultinject.Plan{})
 			mute.Store(watches.Load())
 			silent := time.Now()
 			time.Sleep(time.Second)
--- a/internal/agent/operations/server.go
+++ b/internal/agent/admin/server.go
@@ -1,5 +1,5 @@
-// Package operations is where operators call an agent: over HTTP, at an address of its own.
-package operations
+// Package admin is where operators call an agent: over HTTP, at an address of its own.
+package admin
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	"martenbeam/internal/agent/clientconn"
 	"martenbeam/internal/agent/handover"
-	"martenbeam/internal/agent/listening"
-	"martenbeam/internal/systime"
+	"martenbeam/internal/agent/listener"
+	"martenbeam/internal/bootclock"
 )
 
 // Agent is what the calls are about.
@@ -54,11 +54,11 @@
 // ctx ends.
 func New(ctx context.Context, addr string, most int, agent Agent, log *slog.Logger) (*Server, error) {
 	s := &Server{log: log, agent: agent, waiting: clientconn.NewWaiting(), Within: AnswerWithin}
-	ln, err := listening.TCP(ctx, addr)
+	ln, err := listener.TCP(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	limited := listening.Limit(ln, most)
+	limited := listener.Limit(ln, most)
 	limited.Failed = func(err error) { log.Warn("accepting operators' calls fails", "error", err) }
 	limited.Full = s.waiting.MakeRoom // who calls and says nothing must not keep out those who would
 	s.listener = limited
@@ -190,7 +190,7 @@
 	if s.Record == nil {
 		return true
 	}
-	c.At = systime.SinceBoot()
+	c.At = bootclock.SinceBoot()
 	err := s.Record(ctx, c)
 	if err != nil {
 		s.log.Error("a call is not recorded for a successor yet", "backend", c.Backend, "out", c.Out, "error", err)
--- a/internal/agent/operations/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -1,4 +1,4 @@
-package operations
+package admin
 
 import (
 	"bufio"
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/admin"
 	"martenbeam/internal/agent/discovery"
-	"martenbeam/internal/agent/listening"
-	"martenbeam/internal/agent/operations"
+	"martenbeam/internal/agent/listener"
 	"martenbeam/internal/fleet/source"
 )
 
@@ -31,10 +31,10 @@
 	front      *front
 	backends   *backends
 	discovery  *discovery.Follower
-	operations *operations.Server // nil: operators can't call
-	successor  *successor         // nil: no process of this agent replaces another
-	fleet      Fleet              // nil: it has no fleet
-	listener   *listening.Limited
+	operations *admin.Server // nil: operators can't call
+	successor  *successor    // nil: no process of this agent replaces another
+	fleet      Fleet         // nil: it has no fleet
+	listener   *listener.Limited
 	closed     bool                    // the listener; stop's
 	stopIn     time.Duration           // after a SIGTERM the last answers are out
 	accept     func() <-chan time.Time // ends the time in which a stopping agent takes connections
@@ -72,7 +72,7 @@
 	a.front = newFront(cfg, a.loop, log)
 	a.front.residency = a.loop.residency
 	if cfg.Mgmt != "" {
-		if a.operations, err = operations.New(ctx, cfg.Mgmt, operationsSockets, operated{a.loop, a.front}, log); err != nil {
+		if a.operations, err = admin.New(ctx, cfg.Mgmt, operationsSockets, operated{a.loop, a.front}, log); err != nil {
 			return nil, err
 		}
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a.listener = listening.Limit(ln, acceptSockets(cfg.shareable()))
+	a.listener = listener.Limit(ln, acceptSockets(cfg.shareable()))
 	a.listener.Full, a.listener.Failed = a.front.waiting.MakeRoom, func(err error) { log.Warn("accepting clients fails", "error", err) }
 	if cfg.ListenFD > 0 {
 		a.prepareHandover(ctx)
@@ -91,9 +91,9 @@
 // listen returns where clients connect.
 func (a *Agent) listen(ctx context.Context) (*net.TCPListener, error) {
 	if a.cfg.ListenFD > 0 {
-		return listening.Inherited(ctx, a.cfg.ListenFD)
+		return listener.Inherited(ctx, a.cfg.ListenFD)
 	}
-	ln, err := listening.TCP(ctx, a.cfg.Listen)
+	ln, err := listener.TCP(ctx, a.cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/goleak"
 
-	"martenbeam/internal/agent/listening"
+	"martenbeam/internal/agent/listener"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	defer near.Close()
-	c, err := listening.Limit(ln.(*net.TCPListener), 1).Accept()
+	c, err := listener.Limit(ln.(*net.TCPListener), 1).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/discovery/started.go
+++ b/internal/agent/discovery/started.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"martenbeam/internal/systime"
+	"martenbeam/internal/bootclock"
 )
 
 // Discovery gives the start times of backends by the wall clock of their machines, and any machine's wall clock may be
@@ -35,7 +35,7 @@
 	wallAt func(wall time.Time) time.Duration // a wall time, by what the two showed at the process's start
 }
 
-func (t *Translator) clocks() clocks { return clocks{t.At(time.Now()), systime.Wall(), t.At} }
+func (t *Translator) clocks() clocks { return clocks{t.At(time.Now()), bootclock.Wall(), t.At} }
 
 // at is when a backend started by the agent's clock; 0: long ago. What a list tells anew has happened within a span; 0: that
 // is not known.
@@ -100,7 +100,7 @@
 	if err != nil {
 		return
 	}
-	if s.off = theirs.Sub(systime.Wall()); s.off.Abs() <= clocksAgree {
+	if s.off = theirs.Sub(bootclock.Wall()); s.off.Abs() <= clocksAgree {
 		s.off = 0
 	}
 }
--- a/internal/agent/handover/record.go
+++ b/internal/agent/handover/record.go
@@ -8,7 +8,7 @@
 
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
-	"martenbeam/internal/systime"
+	"martenbeam/internal/bootclock"
 )
 
 // Record is the content of the file by which the processes of an agent know of each other. Times that count are given
@@ -59,7 +59,7 @@
 	wall time.Time
 }
 
-func readClocks() now { return now{systime.SinceBoot(), systime.Wall()} }
+func readClocks() now { return now{bootclock.SinceBoot(), bootclock.Wall()} }
 
 // at is a time of a record, as time since the machine's start; none of the record lies ahead.
 func (n now) at(us, unixMilli int64) time.Duration {
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"martenbeam/balancer"
-	"martenbeam/internal/systime"
+	"martenbeam/internal/bootclock"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -69,7 +69,7 @@
 	if !older.Alone() || younger.Alone() {
 		t.Errorf("alone: %v and %v", older.Alone(), younger.Alone())
 	}
-	at := systime.SinceBoot()
+	at := bootclock.SinceBoot()
 	keep := func(h *Store, backend string, out bool) {
 		at += time.Millisecond
 		if err := h.Keep(t.Context(), Call{Backend: backend, Out: out, At: at}); err != nil {
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := older.Keep(t.Context(), Call{Backend: "s", Out: true, At: systime.SinceBoot()}); err != nil {
+	if err := older.Keep(t.Context(), Call{Backend: "s", Out: true, At: bootclock.SinceBoot()}); err != nil {
 		t.Fatal(err)
 	}
 	older.Close()
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"martenbeam/internal/agent/admin"
 	"martenbeam/internal/agent/handover"
-	"martenbeam/internal/agent/operations"
 )
 
 // descriptor is a further descriptor of a socket, as a process inherits it.
@@ -212,7 +212,7 @@
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
-	a.operations.Within = operations.AnswerWithin
+	a.operations.Within = admin.AnswerWithin
 	if resp := knock(t, a, put("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
--- a/internal/agent/listening/listening_test.go
+++ b/internal/agent/listener/listener_test.go
@@ -1,4 +1,4 @@
-package listening
+package listener
 
 import (
 	"context"
--- a/internal/agent/listening/open.go
+++ b/internal/agent/listener/open.go
@@ -1,6 +1,6 @@
-// Package listening opens the sockets at which an agent is reached, through what may fail for a moment, and bounds how
+// Package listener opens the sockets at which an agent is reached, through what may fail for a moment, and bounds how
 // many connections they hand out.
-package listening
+package listener
 
 import (
 	"context"
--- a/internal/agent/operated_test.go
+++ b/internal/agent/operated_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"martenbeam/balancer"
-	"martenbeam/internal/agent/operations"
+	"martenbeam/internal/agent/admin"
 )
 
 // withDoor is a configuration whose agent has an operators' door.
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), operations.AnswerWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), admin.AnswerWithin)
 		defer cancel()
 		c := &call{backend: "s", detach: true, carried: true}
 		if taken, err := l.call(ctx, c); taken || err == nil {
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"martenbeam/balancer"
-	"martenbeam/internal/agent/listening"
+	"martenbeam/internal/agent/listener"
 )
 
 const maxDatagram = 256 // the protocol's limit; a longer one is not sent
@@ -52,7 +52,7 @@
 	if cfg.ListenFD > 0 { // an older process may hold it: bind waits, and clients are served meanwhile
 		return p, nil
 	}
-	if p.conn, err = listening.Retry(ctx, nil, func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.local) }); err != nil {
+	if p.conn, err = listener.Retry(ctx, nil, func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.local) }); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	return p, nil
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -14,7 +14,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"martenbeam/internal/agent/listening"
+	"martenbeam/internal/agent/listener"
 )
 
 // Serve runs the agent that a source describes until SIGTERM.
@@ -25,7 +25,7 @@
 	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more loses its lines, and no more than that
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	cfg, err := listening.Retry(stop, nil, source.Load)
+	cfg, err := listener.Retry(stop, nil, source.Load)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -8,8 +8,8 @@
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/agent/handover"
-	"martenbeam/internal/agent/listening"
-	"martenbeam/internal/systime"
+	"martenbeam/internal/agent/listener"
+	"martenbeam/internal/bootclock"
 )
 
 const (
@@ -47,7 +47,7 @@
 	a.successor = s
 	ctx, cancel := context.WithTimeout(ctx, placeWithin)
 	defer cancel()
-	_, err := listening.Retry(ctx, nil, func() (struct{}, error) { return struct{}{}, s.Begin() })
+	_, err := listener.Retry(ctx, nil, func() (struct{}, error) { return struct{}{}, s.Begin() })
 	if err != nil {
 		a.log.Error("nothing can be recorded for a successor yet", "error", err)
 	}
@@ -111,7 +111,7 @@
 func (a *Agent) carried(c handover.Call) *call {
 	carried := &call{ctx: context.Background(), backend: c.Backend, detach: c.Out, carried: true}
 	if !c.Out {
-		carried.at = a.loop.clock.now() - (systime.SinceBoot() - c.At)
+		carried.at = a.loop.clock.now() - (bootclock.SinceBoot() - c.At)
 	}
 	return carried
 }
--- a/internal/systime/systime.go
+++ b/internal/bootclock/bootclock.go
@@ -1,7 +1,7 @@
-// Package systime reads the clocks of the machine that time.Now's monotonic reading does not stand for. The wall clock may be
+// Package bootclock reads the clocks of the machine that time.Now's monotonic reading does not stand for. The wall clock may be
 // stepped at any time, by any span, so nothing that a process measures by itself may rest on it: a test of this package
 // names the files that use it, each with its reason.
-package systime
+package bootclock
 
 import (
 	"syscall"
--- a/internal/systime/systime_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -1,4 +1,4 @@
-package systime
+package bootclock
 
 import (
 	"go/ast"
@@ -13,12 +13,12 @@
 
 // wallTime are the files that have to do with the wall clock's time, each with its reason.
 var wallTime = map[string]string{
-	"internal/systime/systime.go":               "reads it",
+	"internal/bootclock/bootclock.go":           "reads it",
 	"internal/agent/discovery/started.go":       "discovery gives start times of backends as Unix times; read by every clock that may be right, and bounded",
 	"internal/agent/handover/record.go":         "versions of the program before this one read and write Unix times; used only where theirs stand alone",
 	"internal/fleet/incarnation/incarnation.go": "orders the processes of one name over a restart of the machine, and beside versions that had the clock alone; kept above the one before",
-	"internal/fleet/spoke/door.go":              "a deadline that is past at any time",
-	"internal/fleet/spoke/stream.go":            "the same",
+	"internal/fleet/hubclient/door.go":          "a deadline that is past at any time",
+	"internal/fleet/hubclient/stream.go":        "the same",
 }
 
 // inWallTime are the functions and methods that take a time out of the wall clock, or put one in.
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		if !imports(file, "time") && !imports(file, "martenbeam/internal/systime") {
+		if !imports(file, "time") && !imports(file, "martenbeam/internal/bootclock") {
 			return nil
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"time"
 
-	"martenbeam/internal/strict"
+	"martenbeam/internal/strictconfig"
 )
 
 // Default is every key with its default and what it means.
@@ -50,27 +50,27 @@
 		State string `toml:"state"`
 	} `toml:"settings"`
 	Attempts struct {
-		Most           int             `toml:"most"`
-		ConnectTimeout strict.Duration `toml:"connect_timeout"`
-		IdleClose      strict.Duration `toml:"idle_close"`
-		From           string          `toml:"from"`
-		SecondCopies   bool            `toml:"second_copies"`
-		Cancel         bool            `toml:"cancel"`
-		Probes         bool            `toml:"probes"`
-		Tick           strict.Duration `toml:"tick"`
+		Most           int                   `toml:"most"`
+		ConnectTimeout strictconfig.Duration `toml:"connect_timeout"`
+		IdleClose      strictconfig.Duration `toml:"idle_close"`
+		From           string                `toml:"from"`
+		SecondCopies   bool                  `toml:"second_copies"`
+		Cancel         bool                  `toml:"cancel"`
+		Probes         bool                  `toml:"probes"`
+		Tick           strictconfig.Duration `toml:"tick"`
 	} `toml:"attempts"`
 	Refusals struct {
-		RetryAfter     bool            `toml:"retry_after"`
-		MostRetryAfter strict.Duration `toml:"most_retry_after"`
-		Grace          strict.Duration `toml:"grace"`
+		RetryAfter     bool                  `toml:"retry_after"`
+		MostRetryAfter strictconfig.Duration `toml:"most_retry_after"`
+		Grace          strictconfig.Duration `toml:"grace"`
 	} `toml:"refusals"`
 	Backends struct {
-		DrainGrace   strict.Duration `toml:"drain_grace"`
-		ColdFrom     float64         `toml:"cold_from"`
-		Ramp         strict.Duration `toml:"ramp"`
-		FallMultiple float64         `toml:"fall_multiple"`
-		FallWindow   strict.Duration `toml:"fall_window"`
-		WarmKeys     bool            `toml:"warm_keys"`
+		DrainGrace   strictconfig.Duration `toml:"drain_grace"`
+		ColdFrom     float64               `toml:"cold_from"`
+		Ramp         strictconfig.Duration `toml:"ramp"`
+		FallMultiple float64               `toml:"fall_multiple"`
+		FallWindow   strictconfig.Duration `toml:"fall_window"`
+		WarmKeys     bool                  `toml:"warm_keys"`
 	} `toml:"backends"`
 	Prices struct {
 		CrossZone   float64 `toml:"cross_zone"`
@@ -126,13 +126,13 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name     string          `toml:"name"`
-	Effect   string          `toml:"effect"`
-	Group    string          `toml:"group"`
-	Window   strict.Duration `toml:"window"`
-	Aim      strict.Duration `toml:"aim"`
-	Deadline strict.Duration `toml:"deadline"`
-	Worth    float64         `toml:"worth"`
+	Name     string                `toml:"name"`
+	Effect   string                `toml:"effect"`
+	Group    string                `toml:"group"`
+	Window   strictconfig.Duration `toml:"window"`
+	Aim      strictconfig.Duration `toml:"aim"`
+	Deadline strictconfig.Duration `toml:"deadline"`
+	Worth    float64               `toml:"worth"`
 }
 
 // What the words of a class are called on the platform's wire.
@@ -158,10 +158,10 @@
 
 func parseWith(file, text string, over *Settings) (*Config, error) {
 	c := &Config{}
-	if err := strict.Decode("default.toml", Default, c); err != nil {
+	if err := strictconfig.Decode("default.toml", Default, c); err != nil {
 		panic(err) // it is part of the program
 	}
-	if err := strict.Decode(file, text, c); err != nil {
+	if err := strictconfig.Decode(file, text, c); err != nil {
 		return nil, err
 	}
 	if over != nil {
@@ -178,7 +178,7 @@
 	if c.over != nil && c.over.sets(key) {
 		return c.over.wrong(key, format, args...)
 	}
-	return strict.At(c.file, c.text, key, format, args...)
+	return strictconfig.At(c.file, c.text, key, format, args...)
 }
 
 func (c *Config) address(key, value string, needed bool) error {
@@ -218,14 +218,14 @@
 			return c.wrong(r.key, "%v is not between %v and %v", r.value, r.low, r.up)
 		}
 	}
-	const longest = strict.Duration(24 * time.Hour)
-	least := strict.Duration(time.Millisecond)
+	const longest = strictconfig.Duration(24 * time.Hour)
+	least := strictconfig.Duration(time.Millisecond)
 	for _, r := range []struct {
 		key            string
-		value, low, up strict.Duration
+		value, low, up strictconfig.Duration
 	}{
 		{"attempts.connect_timeout", c.Attempts.ConnectTimeout, least, longest}, {"attempts.idle_close", c.Attempts.IdleClose, least, longest},
-		{"attempts.tick", c.Attempts.Tick, 0, strict.Duration(time.Second)}, {"refusals.grace", c.Refusals.Grace, 0, strict.Duration(time.Second)},
+		{"attempts.tick", c.Attempts.Tick, 0, strictconfig.Duration(time.Second)}, {"refusals.grace", c.Refusals.Grace, 0, strictconfig.Duration(time.Second)},
 		{"refusals.most_retry_after", c.Refusals.MostRetryAfter, 0, longest}, {"backends.drain_grace", c.Backends.DrainGrace, 0, longest},
 		{"backends.ramp", c.Backends.Ramp, 0, longest}, {"backends.fall_window", c.Backends.FallWindow, 0, longest},
 	} {
@@ -273,7 +273,7 @@
 
 // Platform is the same configuration in the platform's form.
 func (c *Config) Platform() ([]byte, error) {
-	ms := func(d strict.Duration) float64 { return d.D().Seconds() * 1e3 }
+	ms := func(d strictconfig.Duration) float64 { return d.D().Seconds() * 1e3 }
 	var profiles []map[string]any
 	for _, k := range c.Classes {
 		profiles = append(profiles, map[string]any{"Name": k.Name, "AimMs": ms(k.Aim), "DeadlineMs": ms(k.Deadline), "Worth": k.Worth,
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"martenbeam/internal/residency"
-	"martenbeam/internal/strict"
+	"martenbeam/internal/strictconfig"
 )
 
 // Fleet is what an agent shares with others.
@@ -23,21 +23,21 @@
 	Matrix    bool              `toml:"matrix"`
 	Trace     string            `toml:"trace"`
 	MaxAge    struct {
-		Service   strict.Duration `toml:"service"`
-		Distance  strict.Duration `toml:"distance"`
-		Residency strict.Duration `toml:"residency"`
-		Gone      strict.Duration `toml:"gone"`
-		Settings  strict.Duration `toml:"settings"`
-		Census    strict.Duration `toml:"census"`
+		Service   strictconfig.Duration `toml:"service"`
+		Distance  strictconfig.Duration `toml:"distance"`
+		Residency strictconfig.Duration `toml:"residency"`
+		Gone      strictconfig.Duration `toml:"gone"`
+		Settings  strictconfig.Duration `toml:"settings"`
+		Census    strictconfig.Duration `toml:"census"`
 	} `toml:"max_age"`
 }
 
 // Residency is the policy that holds, and where it comes from.
 type Residency struct {
-	On     bool            `toml:"on"`
-	Policy string          `toml:"policy"`
-	Bound  strict.Duration `toml:"bound"`
-	State  string          `toml:"state"`
+	On     bool                  `toml:"on"`
+	Policy string                `toml:"policy"`
+	Bound  strictconfig.Duration `toml:"bound"`
+	State  string                `toml:"state"`
 }
 
 // askWithin is how long an agent may go without asking for the list, where lists are asked for.
@@ -73,10 +73,10 @@
 	if err := c.checkHubs(); err != nil {
 		return err
 	}
-	for key, d := range map[string]strict.Duration{"fleet.max_age.service": f.MaxAge.Service, "fleet.max_age.distance": f.MaxAge.Distance,
+	for key, d := range map[string]strictconfig.Duration{"fleet.max_age.service": f.MaxAge.Service, "fleet.max_age.distance": f.MaxAge.Distance,
 		"fleet.max_age.residency": f.MaxAge.Residency, "fleet.max_age.gone": f.MaxAge.Gone,
 		"fleet.max_age.settings": f.MaxAge.Settings, "fleet.max_age.census": f.MaxAge.Census, "residency.bound": r.Bound} {
-		if d < strict.Duration(100*time.Millisecond) || d > strict.Duration(time.Hour) {
+		if d < strictconfig.Duration(100*time.Millisecond) || d > strictconfig.Duration(time.Hour) {
 			return c.wrong(key, "%v is not between 100ms and 1h", d.D())
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 func (c *Config) shared() (f *SharedFleet, r *SharedResidency) {
-	ms := func(d strict.Duration) float64 { return d.D().Seconds() * 1e3 }
+	ms := func(d strictconfig.Duration) float64 { return d.D().Seconds() * 1e3 }
 	if c.Fleet.Listen != "" {
 		a := &c.Fleet.MaxAge
 		f = &SharedFleet{c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Seeds, c.Fleet.Hubs, c.Settings.State, c.Fleet.Label, c.Fleet.Most, c.Fleet.Lists, c.Fleet.ListRate,
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"martenbeam/internal/residency"
-	"martenbeam/internal/strict"
+	"martenbeam/internal/strictconfig"
 )
 
 // DefaultHub is every key of a hub's configuration with its default and what it means.
@@ -35,11 +35,11 @@
 		State string `toml:"state"`
 	} `toml:"settings"`
 	Residency struct {
-		File  string          `toml:"file"`
-		State string          `toml:"state"`
-		Bound strict.Duration `toml:"bound"`
+		File  string                `toml:"file"`
+		State string                `toml:"state"`
+		Bound strictconfig.Duration `toml:"bound"`
 	} `toml:"residency"`
-	MaxAge map[string]strict.Duration `toml:"max_age"`
+	MaxAge map[string]strictconfig.Duration `toml:"max_age"`
 
 	file, text string
 }
@@ -56,11 +56,11 @@
 // ParseHub checks a hub's configuration. file names it in errors.
 func ParseHub(file, text string) (*Hub, error) {
 	h := &Hub{}
-	if err := strict.Decode("hub.toml", DefaultHub, h); err != nil {
+	if err := strictconfig.Decode("hub.toml", DefaultHub, h); err != nil {
 		panic(err) // it is part of the program
 	}
 	kinds := len(h.MaxAge)
-	if err := strict.Decode(file, text, h); err != nil {
+	if err := strictconfig.Decode(file, text, h); err != nil {
 		return nil, err
 	}
 	h.file, h.text = file, text
@@ -71,7 +71,7 @@
 }
 
 func (h *Hub) wrong(key, format string, args ...any) error {
-	return strict.At(h.file, h.text, key, format, args...)
+	return strictconfig.At(h.file, h.text, key, format, args...)
 }
 
 func (h *Hub) check() error {
@@ -103,12 +103,12 @@
 }
 
 func (h *Hub) checkSpans() error {
-	spans := map[string]strict.Duration{"residency.bound": h.Residency.Bound}
+	spans := map[string]strictconfig.Duration{"residency.bound": h.Residency.Bound}
 	for kind, d := range h.MaxAge {
 		spans["max_age."+kind] = d
 	}
 	for key, d := range spans {
-		if d < strict.Duration(100*time.Millisecond) || d > strict.Duration(time.Hour) {
+		if d < strictconfig.Duration(100*time.Millisecond) || d > strictconfig.Duration(time.Hour) {
 			return h.wrong(key, "%v is not between 100ms and 1h", d.D())
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"martenbeam/internal/strict"
+	"martenbeam/internal/strictconfig"
 )
 
 // MaxSettings bounds a text of settings, in bytes.
@@ -66,7 +66,7 @@
 		*Config
 		Version int64 `toml:"version"`
 	}{Config: c}
-	err := strict.Decode(s.file, s.Text, &v)
+	err := strictconfig.Decode(s.file, s.Text, &v)
 	s.Version = v.Version
 	return err
 }
@@ -98,9 +98,9 @@
 
 // wrong names the line of the key, or of the table that it stands in or is missing from.
 func (s *Settings) wrong(key, format string, args ...any) error {
-	e := &strict.Error{File: s.file, Key: key, Text: fmt.Sprintf(format, args...)}
+	e := &strictconfig.Error{File: s.file, Key: key, Text: fmt.Sprintf(format, args...)}
 	for at := key; at != "" && e.Line == 0; {
-		e.Line = strict.Line(s.Text, at)
+		e.Line = strictconfig.Line(s.Text, at)
 		at = at[:max(0, strings.LastIndexAny(at, ".["))]
 	}
 	return e
--- a/internal/fleet/texts/texts.go
+++ b/internal/fleet/documents/documents.go
@@ -1,6 +1,6 @@
-// Package texts has a text with a version come to a whole fleet: who holds it tells its version and digest as a fact, and
+// Package documents has a text with a version come to a whole fleet: who holds it tells its version and digest as a fact, and
 // who does not know the digest asks for the text over HTTP. The policy of residency and the agents' settings are such texts.
-package texts
+package documents
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 // Kind is one kind of text at one process.
 type Kind struct {
-	Fact    fact.Kind
+	Fact    gossip.Kind
 	Subject string // of the fact that tells of it
 	Path    string // where texts are asked for, by digest
 	Most    int    // bytes
@@ -76,7 +76,7 @@
 }
 
 // Follow heeds what a source holds: a text that is not known here is asked for by a task of its own.
-func (k *Kind) Follow(ctx context.Context, w fact.Fact, ask func() Asked) {
+func (k *Kind) Follow(ctx context.Context, w gossip.Fact, ask func() Asked) {
 	s, ok := ParseStanding(w.Body)
 	if !ok {
 		return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,12 +23,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/distance"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/incarnation"
+	"martenbeam/internal/fleet/latency"
 	"martenbeam/internal/fleet/member"
-	"martenbeam/internal/fleet/start"
-	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/fleet/startup"
 	"martenbeam/internal/residency"
 )
 
@@ -40,7 +40,7 @@
 	Label               string
 	Most                int  // most processes that the fleet has
 	Await               bool // Listen may be held by an older process of this agent
-	Bounds              fact.Bounds
+	Bounds              gossip.Bounds
 	Relayed             bool               // lists come by way of a few members of a site
 	ListRate            float64            // calls a second that the list service is taken to bear at first
 	Matrix              bool               // round trips are measured, and told
@@ -50,7 +50,7 @@
 
 	Residency *residency.Holder // nil: none
 	Source    bool              // of the residency policy
-	Settings  *texts.Kind       // that this process holds for others; nil: none
+	Settings  *documents.Kind   // that this process holds for others; nil: none
 
 	Hub   bool         // this process is a hub, and no agent
 	Calls http.Handler // of HTTP on the fleet's address, but for texts and lists; nil: none
@@ -71,10 +71,10 @@
 	cfg    Config
 	told   Told
 	zones  []string
-	facts  *fact.Store
+	facts  *gossip.Store
 	list   *member.List
-	prober *distance.Prober
-	pacer  *start.Pacer
+	prober *latency.Prober
+	pacer  *startup.Pacer
 	relay  *relay
 	turn   chan struct{} // who is there has changed, at most one waiting
 	born   time.Time
@@ -86,7 +86,7 @@
 	part    float64
 	trips   []time.Duration
 	losses  []float64
-	matrix  distance.Matrix
+	matrix  latency.Matrix
 	madeOf  *member.View // the matrix was, and of facts that have changed so often
 	changes uint64
 	made    int
@@ -106,14 +106,14 @@
 		}
 	}
 	if cfg.Bounds == nil {
-		cfg.Bounds = fact.DefaultBounds
+		cfg.Bounds = gossip.DefaultBounds
 	}
 	if cfg.Calls == nil {
 		cfg.Calls = http.NotFoundHandler()
 	}
 	f := &Fleet{cfg: cfg, texts: cfg.shared(), told: told, zones: zones, turn: make(chan struct{}, 1), born: cmp.Or(cfg.Since, time.Now()), part: -1}
 	number := cfg.Incarnations.Next()
-	f.facts = fact.New(cfg.Name, number, cfg.Bounds, f.traceUse)
+	f.facts = gossip.New(cfg.Name, number, cfg.Bounds, f.traceUse)
 	f.relay = newRelay(f)
 	f.list, err = member.New(member.Config{Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label, Most: cfg.Most, Await: cfg.Await, Door: cfg.Door,
 		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Started: number, Hub: cfg.Hub}, Log: cfg.Log,
@@ -141,8 +141,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f.prober = distance.New(distance.Config{Self: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.list.View, Write: f.list.Write, Facts: f.facts})
-	f.pacer = start.New(start.Config{Rate: cfg.ListRate, Met: func() bool { return f.list.Met() > 0 }, Facts: f.facts})
+	f.prober = latency.New(latency.Config{Self: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.list.View, Write: f.list.Write, Facts: f.facts})
+	f.pacer = startup.New(startup.Config{Rate: cfg.ListRate, Met: func() bool { return f.list.Met() > 0 }, Facts: f.facts})
 	return f, nil
 }
 
@@ -190,7 +190,7 @@
 
 // tick keeps ages, and what follows from who is there and what is known.
 func (f *Fleet) tick(ctx context.Context) {
-	tick := time.NewTicker(fact.TickEvery)
+	tick := time.NewTicker(gossip.TickEvery)
 	defer tick.Stop()
 	summary := time.NewTicker(summaryEvery)
 	defer summary.Stop()
@@ -212,7 +212,7 @@
 		f.reckon()
 		if f.cfg.Matrix && due {
 			f.measure()
-			_, until := f.facts.Changes(fact.Distance)
+			_, until := f.facts.Changes(gossip.Distance)
 			past.Reset(max(time.Millisecond, time.Until(until)))
 		}
 	}
@@ -221,14 +221,14 @@
 // measure tells the agent how far the sites are, where that has changed. The matrix stands until a row says something
 // else or goes past its bound, or who is there changes.
 func (f *Fleet) measure() {
-	changes, _ := f.facts.Changes(fact.Distance)
+	changes, _ := f.facts.Changes(gossip.Distance)
 	view := f.list.View()
 	f.mu.Lock()
 	stands, m := f.madeOf == view && f.changes == changes, f.matrix
 	f.mu.Unlock()
-	var rows []fact.Fact
+	var rows []gossip.Fact
 	if !stands || f.cfg.Trace != nil { // a matrix that stands is a use of its rows, which a trace has to show
-		rows = f.facts.Now(fact.Distance)
+		rows = f.facts.Now(gossip.Distance)
 	}
 	if f.cfg.Trace != nil {
 		defer func() { f.trace(map[string]any{"matrix": matrixLine(m)}) }()
@@ -236,7 +236,7 @@
 	if stands {
 		return
 	}
-	m = distance.Make(rows, view)
+	m = latency.Make(rows, view)
 	trips, losses := make([]time.Duration, len(f.zones)), make([]float64, len(f.zones))
 	for i, zone := range f.zones {
 		if e, known := m.Of(f.cfg.Site, zone); known {
@@ -254,7 +254,7 @@
 	}
 }
 
-func matrixLine(m distance.Matrix) map[string]float64 {
+func matrixLine(m latency.Matrix) map[string]float64 {
 	line := map[string]float64{}
 	for p, e := range m {
 		line[p.A+" "+p.B] = float64(e.Trip.Microseconds())
@@ -278,7 +278,7 @@
 func (f *Fleet) reckon() {
 	view := f.list.View()
 	gone, me := map[string]bool{}, false
-	for _, g := range f.facts.Now(fact.Gone) {
+	for _, g := range f.facts.Now(gossip.Gone) {
 		var names []string
 		if cbor.Unmarshal(g.Body, &names) != nil {
 			continue
@@ -296,7 +296,7 @@
 	if f.met.IsZero() && f.list.Met() > 0 {
 		f.met = now
 	}
-	sure := now.Sub(f.born) >= f.cfg.Bounds[fact.Gone] || !f.met.IsZero() && now.Sub(f.met) >= metFor && !me
+	sure := now.Sub(f.born) >= f.cfg.Bounds[gossip.Gone] || !f.met.IsZero() && now.Sub(f.met) >= metFor && !me
 	part := thin / float64(f.cfg.Most)
 	if sure {
 		part = 1 / float64(max(1, view.Agents(), f.cfg.Most-len(gone)))
@@ -341,7 +341,7 @@
 			if err != nil {
 				panic(err) // they are names alone
 			}
-			f.facts.Tell(fact.Gone, strconv.Itoa(i), body)
+			f.facts.Tell(gossip.Gone, strconv.Itoa(i), body)
 		}
 	}
 }
@@ -361,10 +361,10 @@
 }
 
 // traceUse writes a fact's use, or that it was told, with the time on the wall: for who checks ages from outside.
-func (f *Fleet) traceUse(u fact.Use) {
-	fact.Trace{W: f.cfg.Trace}.Use(u)
+func (f *Fleet) traceUse(u gossip.Use) {
+	gossip.Trace{W: f.cfg.Trace}.Use(u)
 }
 
 func (f *Fleet) trace(line map[string]any) {
-	fact.Trace{W: f.cfg.Trace}.Line(line)
+	gossip.Trace{W: f.cfg.Trace}.Line(line)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/member"
 	"martenbeam/internal/fleet/source"
 	"martenbeam/internal/residency"
@@ -163,16 +163,16 @@
 		}
 		for i, step := range []struct{ us, made, known int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
 			if step.us > 0 {
-				f.facts.Tell(fact.Distance, "a", row(step.us))
+				f.facts.Tell(gossip.Distance, "a", row(step.us))
 			}
 			for n := 0; n < 12 || step.us == 0 && n < 40; n++ {
-				time.Sleep(fact.TickEvery)
+				time.Sleep(gossip.TickEvery)
 				trace.Reset()
 				f.facts.Tick()
 				f.measure()
 				for line := range bytes.Lines(trace.Bytes()) {
 					var use struct{ Age int64 }
-					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > fact.DefaultBounds[fact.Distance] {
+					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultBounds[gossip.Distance] {
 						t.Errorf("step %d: %s", i, line)
 					}
 				}
@@ -377,8 +377,8 @@
 			s.Close()
 		}
 	}
-	list[0].facts.Tell(fact.Service, "x", nil)
-	waitFor(t, "a fact at the other", func() bool { return len(list[1].facts.Now(fact.Service)) > 0 })
+	list[0].facts.Tell(gossip.Service, "x", nil)
+	waitFor(t, "a fact at the other", func() bool { return len(list[1].facts.Now(gossip.Service)) > 0 })
 	if list[1].list.View().Len() != 2 || list[0].list.View().At(0).Phase != member.Starting {
 		t.Error("a member is lost")
 	}
--- a/internal/fleet/fact/aged.go
+++ b/internal/fleet/gossip/aged.go
@@ -1,4 +1,4 @@
-package fact
+package gossip
 
 import (
 	"slices"
--- a/internal/fleet/fact/export_test.go
+++ b/internal/fleet/gossip/export_test.go
@@ -1,4 +1,4 @@
-package fact
+package gossip
 
 import "github.com/fxamacker/cbor/v2"
 
--- a/internal/fleet/fact/store.go
+++ b/internal/fleet/gossip/store.go
@@ -1,9 +1,9 @@
-// Package fact keeps what the processes of a fleet know together: facts, each with its observer and its age.
+// Package gossip keeps what the processes of a fleet know together: facts, each with its observer and its age.
 //
 // An age is a sum of monotonic spans: the observer's since it saw, each keeper's since it heard, and what each message
 // took on the way at the most (transit.go). No wall clock is read. Nothing is used past its bound, and a
 // process that was stopped drops what it held.
-package fact
+package gossip
 
 import (
 	"bytes"
--- a/internal/fleet/fact/trace.go
+++ b/internal/fleet/gossip/trace.go
@@ -1,11 +1,11 @@
-package fact
+package gossip
 
 import (
 	"encoding/json"
 	"io"
 	"sync"
 
-	"martenbeam/internal/systime"
+	"martenbeam/internal/bootclock"
 )
 
 // Trace writes a line for each fact used or told, and what else is to be checked from outside, with the time since the machine's start.
@@ -31,7 +31,7 @@
 	if t.W == nil {
 		return
 	}
-	line["at"] = systime.SinceBoot().Microseconds()
+	line["at"] = bootclock.SinceBoot().Microseconds()
 	data, err := json.Marshal(line)
 	if err != nil {
 		panic(err) // it holds names and numbers alone
--- a/internal/fleet/hub/behind.go
+++ b/internal/fleet/hub/behind.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"martenbeam/internal/fleet/documents"
 	"martenbeam/internal/fleet/hub/frame"
-	"martenbeam/internal/fleet/texts"
 )
 
 const (
@@ -41,7 +41,7 @@
 }
 
 // latest are the settings that this hub holds.
-func (s *Server) latest() (st texts.Standing) {
+func (s *Server) latest() (st documents.Standing) {
 	if s.cfg.Settings != nil {
 		st = s.cfg.Settings.State()
 	}
@@ -49,12 +49,12 @@
 }
 
 // has reports whether an agent that stands so has the settings. Of several texts that have one version the first is in force.
-func has(st texts.Standing, a frame.Standing) bool {
+func has(st documents.Standing, a frame.Standing) bool {
 	return a.Version > st.Version || a.Version == st.Version && (len(st.Digests) == 0 || a.Digest == st.Digests[0])
 }
 
 // here is the report on this hub's agents, and on those that are lost and were not found dead.
-func (s *Server) here(st texts.Standing, now time.Time) Report {
+func (s *Server) here(st documents.Standing, now time.Time) Report {
 	r := Report{Version: st.Version, Behind: []Behind{}}
 	if len(st.Digests) > 0 {
 		r.Digest = st.Digests[0]
@@ -97,7 +97,7 @@
 	query := q.URL.Query()
 	var r Report
 	if v, err := strconv.ParseInt(query.Get("version"), 10, 64); err == nil {
-		r = s.here(texts.Standing{Version: v, Digests: query["digest"]}, now)
+		r = s.here(documents.Standing{Version: v, Digests: query["digest"]}, now)
 	} else {
 		r = s.here(st, now)
 		s.askOthers(q, st, &r)
@@ -107,7 +107,7 @@
 	_ = json.NewEncoder(w).Encode(r) // the other side sees that it is cut off
 }
 
-func (s *Server) askOthers(q *http.Request, st texts.Standing, r *Report) {
+func (s *Server) askOthers(q *http.Request, st documents.Standing, r *Report) {
 	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(st.Version, 10)}, "digest": st.Digests}.Encode()
 	hubs := s.fleet.Hubs()
 	answers, errs := make([]Report, len(hubs)), make([]error, len(hubs))
@@ -141,7 +141,7 @@
 }
 
 // mark notes whether an agent is behind, and returns since when.
-func (x *stream) mark(st texts.Standing, now time.Time) time.Time {
+func (x *stream) mark(st documents.Standing, now time.Time) time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if has(st, x.state.Settings) {
--- a/internal/fleet/hub/dead.go
+++ b/internal/fleet/hub/dead.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/member"
 )
 
@@ -72,7 +72,7 @@
 // many facts it took.
 func (s *Server) tellGone(told int) (n int) {
 	now := time.Now()
-	for list := s.roll.certain(s.fresh(fact.Gone), now); len(list) > 0; n++ {
+	for list := s.roll.certain(s.fresh(gossip.Gone), now); len(list) > 0; n++ {
 		names, size, oldest := []string{}, 0, now
 		for len(list) > 0 && len(names) < mostGone && size+len(list[0].name) <= goneBytes {
 			if list[0].seen.Before(oldest) {
@@ -93,5 +93,5 @@
 	if err != nil {
 		panic(err) // they are names alone
 	}
-	s.fleet.Facts().TellAged(fact.Gone, "agents "+strconv.Itoa(i), body, age)
+	s.fleet.Facts().TellAged(gossip.Gone, "agents "+strconv.Itoa(i), body, age)
 }
--- a/internal/fleet/hub/hub_test.go
+++ b/internal/fleet/hub/hub_test.go
@@ -17,9 +17,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
-	"martenbeam/internal/fleet/texts"
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
@@ -82,7 +82,7 @@
 // agent attaches as the other side does, and keeps what it is told.
 type attached struct {
 	conn  net.Conn
-	facts *fact.Store
+	facts *gossip.Store
 	over  chan struct{}
 	stop  sync.Once
 
@@ -127,7 +127,7 @@
 func attach(t *testing.T, o *one, h frame.Hello, st *frame.State) *attached {
 	t.Helper()
 	h.Label = t.Name()
-	a := &attached{facts: fact.New(h.Name, h.Incarnation, fact.DefaultBounds, nil), over: make(chan struct{})}
+	a := &attached{facts: gossip.New(h.Name, h.Incarnation, gossip.DefaultBounds, nil), over: make(chan struct{})}
 	conn, r, err := dial(o.fleet.Addr(), h.Label)
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 		}
 	}()
 	go func() {
-		tick := time.NewTicker(fact.TickEvery)
+		tick := time.NewTicker(gossip.TickEvery)
 		defer tick.Stop()
 		for n := uint32(0); ; n++ {
 			a.facts.Tick()
@@ -194,7 +194,7 @@
 func (a *attached) isSure() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.sure }
 
 func (a *attached) census() (c Census) {
-	for _, f := range a.facts.Now(fact.Census) {
+	for _, f := range a.facts.Now(gossip.Census) {
 		c, _ = ParseCensus(f.Body)
 	}
 	return c
@@ -257,9 +257,9 @@
 	waitFor(t, "a hub that counts the dead", func() bool { return list[0].awakeFor(time.Now()) > list[0].gone() })
 	const old = 1500 * time.Millisecond
 	at := time.Now().Add(-old)
-	list[0].fleet.Facts().TellAged(fact.Gone, "aged", []byte{0x81, 0x61, 'z'}, old)
+	list[0].fleet.Facts().TellAged(gossip.Gone, "aged", []byte{0x81, 0x61, 'z'}, old)
 	waitFor(t, "a census with it", func() bool {
-		for _, f := range a.facts.Now(fact.Census) {
+		for _, f := range a.facts.Now(gossip.Census) {
 			if c, err := ParseCensus(f.Body); err == nil && c.Gone == 1 {
 				if time.Since(at) > f.Age {
 					t.Errorf("the census is %v old, and rests on a word of %v ago", f.Age, time.Since(at))
@@ -278,7 +278,7 @@
 	a := attach(t, o, frame.Hello{Name: "a", Incarnation: 1}, serving)
 	waitFor(t, "a census", func() bool { return a.census().Attached == 1 })
 	for o.awakeFor(time.Now()) < 2*time.Second {
-		o.fleet.Facts().Tell(fact.Gone, "x", []byte{0x81, 0x61, 'z'})
+		o.fleet.Facts().Tell(gossip.Gone, "x", []byte{0x81, 0x61, 'z'})
 		if c := a.census(); c.Gone != 0 || a.isSure() {
 			if o.awakeFor(time.Now()) < 3*time.Second {
 				t.Fatalf("%+v, sure %v", c, a.isSure())
@@ -459,15 +459,15 @@
 	return k.version, k.text, k.version > 0
 }
 
-func (k *keeper) kind() *texts.Kind {
-	return &texts.Kind{Fact: fact.Settings, Subject: "settings", Path: "/settings/", Most: 1 << 10, Holder: k, Digest: func(text string) string { return "of " + text },
-		State: func() texts.Standing {
+func (k *keeper) kind() *documents.Kind {
+	return &documents.Kind{Fact: gossip.Settings, Subject: "settings", Path: "/settings/", Most: 1 << 10, Holder: k, Digest: func(text string) string { return "of " + text },
+		State: func() documents.Standing {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			if k.version == 0 {
-				return texts.Standing{}
+				return documents.Standing{}
 			}
-			return texts.Standing{Version: k.version, Digests: []string{"of " + k.text}}
+			return documents.Standing{Version: k.version, Digests: []string{"of " + k.text}}
 		}}
 }
 
@@ -485,8 +485,8 @@
 	b := attach(t, list[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{Settings: frame.Standing{Version: 1, Why: "a key is unknown"}})
 	told := func(x *attached, v int64) func() bool {
 		return func() bool {
-			for _, f := range x.facts.Now(fact.Settings) {
-				if s, ok := texts.ParseStanding(f.Body); ok && s.Version == v {
+			for _, f := range x.facts.Now(gossip.Settings) {
+				if s, ok := documents.ParseStanding(f.Body); ok && s.Version == v {
 					return true
 				}
 			}
--- a/internal/fleet/hub/parts_test.go
+++ b/internal/fleet/hub/parts_test.go
@@ -15,9 +15,9 @@
 	"testing/synctest"
 	"time"
 
-	"martenbeam/internal/fleet/distance"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/latency"
 	"martenbeam/internal/fleet/member"
 )
 
@@ -41,7 +41,7 @@
 	w     *world
 	n     int
 	srv   *Server // nil: none
-	facts *fact.Store
+	facts *gossip.Store
 	conns chan net.Conn
 	end   func()
 	begun uint64
@@ -53,7 +53,7 @@
 	n       int
 	inc     uint64
 	born    time.Time
-	facts   *fact.Store
+	facts   *gossip.Store
 	sure    bool
 	dead    bool
 	streams []net.Conn
@@ -79,11 +79,11 @@
 	return list
 }
 
-func (p *place) Facts() *fact.Store       { return p.facts }
+func (p *place) Facts() *gossip.Store     { return p.facts }
 func (p *place) Hubs() []member.Member    { return p.others(true) }
 func (p *place) Missing() []member.Member { return p.others(false) }
 func (p *place) Flat() map[string]bool    { return nil }
-func (p *place) Matrix() distance.Matrix  { return nil }
+func (p *place) Matrix() latency.Matrix   { return nil }
 
 func (p *place) Dead(_ context.Context, m member.Member, _ time.Duration) bool {
 	p.w.mu.Lock()
@@ -134,7 +134,7 @@
 	p.begun++
 	name := fmt.Sprint("hub", p.n)
 	ctx, cancel := context.WithCancel(context.Background())
-	p.facts = fact.New(name, p.begun, fact.DefaultBounds, nil)
+	p.facts = gossip.New(name, p.begun, gossip.DefaultBounds, nil)
 	p.conns = make(chan net.Conn, 64)
 	srv := New(Config{Name: name, Incarnation: p.begun, Most: p.w.most, AdmitRate: 1000, Log: slog.New(slog.DiscardHandler)})
 	server := &http.Server{Handler: srv}
@@ -176,7 +176,7 @@
 // spawn starts a process of a name.
 func (w *world) spawn(n int) {
 	w.count++
-	x := &proc{w: w, n: n, inc: w.count, born: time.Now(), facts: fact.New(fmt.Sprint("agent", n), w.count, fact.DefaultBounds, nil)}
+	x := &proc{w: w, n: n, inc: w.count, born: time.Now(), facts: gossip.New(fmt.Sprint("agent", n), w.count, gossip.DefaultBounds, nil)}
 	w.mu.Lock()
 	w.agents[n] = x
 	w.alive = append(w.alive, x)
@@ -276,7 +276,7 @@
 		return 0.1 / float64(x.w.most)
 	}
 	users, known := x.w.most, false
-	for _, f := range x.facts.Now(fact.Census) {
+	for _, f := range x.facts.Now(gossip.Census) {
 		if c, err := ParseCensus(f.Body); err == nil {
 			n := max(1, x.w.most-int(c.Gone), int(c.Attached))
 			if !known {
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -12,21 +12,21 @@
 	"sync/atomic"
 	"time"
 
-	"martenbeam/internal/fleet/distance"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/latency"
 	"martenbeam/internal/fleet/member"
-	"martenbeam/internal/fleet/texts"
 )
 
 // Fleet is the hubs' own, as far as a hub needs it.
 type Fleet interface {
-	Facts() *fact.Store
+	Facts() *gossip.Store
 	Hubs() []member.Member    // others that are there
 	Missing() []member.Member // others that are not, and may be
 	Flat() map[string]bool    // agents that are members themselves
 	Dead(ctx context.Context, m member.Member, within time.Duration) bool
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
-	Matrix() distance.Matrix
+	Matrix() latency.Matrix
 }
 
 // Config is what a Server needs.
@@ -35,9 +35,9 @@
 	Incarnation          uint64
 	Most                 int     // most agents that the fleet has
 	AdmitRate            float64 // agents a second that are taken in
-	Bounds               fact.Bounds
-	Settings             *texts.Kind // nil: none
-	Policy               *texts.Kind // nil: none
+	Bounds               gossip.Bounds
+	Settings             *documents.Kind // nil: none
+	Policy               *documents.Kind // nil: none
 	PolicyAge            func() (age time.Duration, ok bool)
 	Log                  *slog.Logger
 	Trace                io.Writer // a line for each fact told to agents; nil: none
@@ -47,7 +47,7 @@
 type Server struct {
 	cfg   Config
 	fleet Fleet
-	door  *fact.Store // what agents tell; only sums of it leave the hub
+	door  *gossip.Store // what agents tell; only sums of it leave the hub
 	roll  *roll
 	teller
 	admission
@@ -76,13 +76,13 @@
 // New returns a hub that is to be run in a fleet.
 func New(cfg Config) *Server {
 	if cfg.Bounds == nil {
-		cfg.Bounds = fact.DefaultBounds
+		cfg.Bounds = gossip.DefaultBounds
 	}
 	if cfg.AdmitRate <= 0 {
 		cfg.AdmitRate = admitRate
 	}
 	now := time.Now()
-	return &Server{cfg: cfg, door: fact.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil), roll: newRoll(), admission: admission{rate: cfg.AdmitRate, tokens: max(1, cfg.AdmitRate/10), at: now},
+	return &Server{cfg: cfg, door: gossip.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil), roll: newRoll(), admission: admission{rate: cfg.AdmitRate, tokens: max(1, cfg.AdmitRate/10), at: now},
 		born: now, awake: now, named: map[string]time.Time{}, words: map[string]uint32{}, refuse: map[string]time.Time{}}
 }
 
@@ -127,7 +127,7 @@
 }
 
 // gone is the bound of a word that a process is dead.
-func (s *Server) gone() time.Duration { return s.cfg.Bounds[fact.Gone] }
+func (s *Server) gone() time.Duration { return s.cfg.Bounds[gossip.Gone] }
 
 // awakeFor is how long the hub has run without a stop: what was told before may not have been heard.
 func (s *Server) awakeFor(now time.Time) time.Duration {
--- a/internal/fleet/hub/stream.go
+++ b/internal/fleet/hub/stream.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
-	"martenbeam/internal/fleet/start"
+	"martenbeam/internal/fleet/startup"
 )
 
 const (
@@ -94,7 +94,7 @@
 
 // read takes frames until the stream is over, and reports whether the agent said goodbye. Who writes more than is taken
 // waits on the socket, at nobody else's cost.
-func (s *stream) read(door *fact.Store) (bye bool, err error) {
+func (s *stream) read(door *gossip.Store) (bye bool, err error) {
 	tokens, at := frameBurst, time.Now()
 	for {
 		now := time.Now()
@@ -124,7 +124,7 @@
 	}
 }
 
-func (s *stream) take(f *frame.Frame, door *fact.Store) error {
+func (s *stream) take(f *frame.Frame, door *gossip.Store) error {
 	if f.Hello != nil || f.Welcome != nil || f.Busy != nil || f.Echo != nil {
 		return errNonsense
 	}
@@ -136,7 +136,7 @@
 	if len(f.Facts) == 0 {
 		return nil
 	}
-	m, err := fact.Decode(f.Facts)
+	m, err := gossip.Decode(f.Facts)
 	if err != nil {
 		return err
 	}
@@ -145,12 +145,12 @@
 	}
 	own := m.Facts[:0]
 	for _, w := range m.Facts { // nobody speaks for others, and a later program may know more kinds
-		if w.Kind == fact.Service && w.Observer == s.name && w.Subject == start.Subject {
+		if w.Kind == gossip.Service && w.Observer == s.name && w.Subject == startup.Subject {
 			own = append(own, w)
 		}
 	}
 	m.Facts = own
-	data, err := fact.Encode(m)
+	data, err := gossip.Encode(m)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/hub/sum.go
+++ b/internal/fleet/hub/sum.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
-	"martenbeam/internal/fleet/start"
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/startup"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // sumUp tells agents and other hubs what is known, each second, and agents at once what has changed.
 func (s *Server) sumUp(ctx context.Context) {
-	tick := time.NewTicker(fact.TickEvery)
+	tick := time.NewTicker(gossip.TickEvery)
 	defer tick.Stop()
 	ticked, told, logged := time.Now(), time.Time{}, time.Now()
 	var late []string
@@ -70,9 +70,9 @@
 // tellHubs tells the other hubs what this one's agents come to.
 func (s *Server) tellHubs() {
 	facts := s.fleet.Facts()
-	facts.Tell(fact.Census, s.cfg.Name, s.own().MarshalBody())
-	for _, w := range start.Sum(s.door.Now(fact.Service)) {
-		facts.TellAged(fact.Service, "agents "+w.Subject, w.Body, w.Age)
+	facts.Tell(gossip.Census, s.cfg.Name, s.own().MarshalBody())
+	for _, w := range startup.Sum(s.door.Now(gossip.Service)) {
+		facts.TellAged(gossip.Service, "agents "+w.Subject, w.Body, w.Age)
 	}
 }
 
@@ -88,33 +88,33 @@
 }
 
 // known is what all agents are told alike.
-func (s *Server) known(now time.Time) []fact.Fact {
-	words := start.Sum(s.fleet.Facts().Now(fact.Service))
+func (s *Server) known(now time.Time) []gossip.Fact {
+	words := startup.Sum(s.fleet.Facts().Now(gossip.Service))
 	c, age := s.census(now)
-	words = append(words, fact.Fact{Kind: fact.Census, Subject: FleetCensus, Age: age, Body: c.MarshalBody()})
+	words = append(words, gossip.Fact{Kind: gossip.Census, Subject: FleetCensus, Age: age, Body: c.MarshalBody()})
 	if k := s.cfg.Settings; k != nil {
 		if st := k.State(); st.Version > 0 {
-			words = append(words, fact.Fact{Kind: k.Fact, Subject: k.Subject, Body: st.Body()})
+			words = append(words, gossip.Fact{Kind: k.Fact, Subject: k.Subject, Body: st.Body()})
 		}
 	}
 	if k := s.cfg.Policy; k != nil {
-		if age, ok := s.cfg.PolicyAge(); ok && age <= s.cfg.Bounds[fact.Residency] {
-			words = append(words, fact.Fact{Kind: k.Fact, Subject: k.Subject, Age: age, Body: k.State().Body()})
+		if age, ok := s.cfg.PolicyAge(); ok && age <= s.cfg.Bounds[gossip.Residency] {
+			words = append(words, gossip.Fact{Kind: k.Fact, Subject: k.Subject, Age: age, Body: k.State().Body()})
 		}
 	}
 	return words
 }
 
 // rows are what is known of round trips from each site that agents are of.
-func (s *Server) rows() map[string]fact.Fact {
+func (s *Server) rows() map[string]gossip.Fact {
 	m := s.fleet.Matrix()
-	rows := map[string]fact.Fact{}
+	rows := map[string]gossip.Fact{}
 	for _, x := range s.roll.streams() {
 		if _, done := rows[x.site]; done || x.site == "" {
 			continue
 		}
-		if body, age := m.Row(x.site, s.fresh(fact.Distance)); body != nil {
-			rows[x.site] = fact.Fact{Kind: fact.Distance, Subject: x.site, Age: age, Body: body}
+		if body, age := m.Row(x.site, s.fresh(gossip.Distance)); body != nil {
+			rows[x.site] = gossip.Fact{Kind: gossip.Distance, Subject: x.site, Age: age, Body: body}
 		}
 	}
 	return rows
@@ -128,7 +128,7 @@
 func (s *Server) census(now time.Time) (c Census, age time.Duration) {
 	c = s.own()
 	heard := map[string]time.Duration{}
-	for _, f := range s.fleet.Facts().Now(fact.Census) {
+	for _, f := range s.fleet.Facts().Now(gossip.Census) {
 		o, err := ParseCensus(f.Body)
 		if err != nil || f.Subject != f.Observer || f.Observer == s.cfg.Name {
 			continue
@@ -136,7 +136,7 @@
 		s.mu.Lock()
 		s.words[f.Observer] = o.Attached
 		s.mu.Unlock()
-		if f.Age <= s.fresh(fact.Census) {
+		if f.Age <= s.fresh(gossip.Census) {
 			c.Attached, c.Starting, age = c.Attached+o.Attached, c.Starting+o.Starting, max(age, f.Age)
 			heard[f.Observer] = f.Age
 		}
@@ -151,7 +151,7 @@
 }
 
 // fresh is how old a word may be that a sum is made of: what is told has to hold for a while.
-func (s *Server) fresh(k fact.Kind) time.Duration { return s.cfg.Bounds[k] * 2 / 3 }
+func (s *Server) fresh(k gossip.Kind) time.Duration { return s.cfg.Bounds[k] * 2 / 3 }
 
 // dead counts the names that are dead for certain, and says how old the oldest word is. A hub that has just begun, or was
 // stopped, has not heard of everyone who lives: it says none.
@@ -161,7 +161,7 @@
 		hubs[m.Name] = true
 	}
 	names, seen := map[string]time.Duration{}, map[string]time.Time{}
-	for _, f := range s.fleet.Facts().Now(fact.Gone) {
+	for _, f := range s.fleet.Facts().Now(gossip.Gone) {
 		var list []string
 		if cbor.Unmarshal(f.Body, &list) != nil {
 			continue
@@ -170,7 +170,7 @@
 			if at := now.Add(-f.Age); at.After(seen[name]) {
 				seen[name] = at
 			}
-			if f.Age > s.fresh(fact.Gone) || hubs[name] || flat[name] || s.roll.present(name, s.gone(), now) {
+			if f.Age > s.fresh(gossip.Gone) || hubs[name] || flat[name] || s.roll.present(name, s.gone(), now) {
 				continue
 			}
 			if age, known := names[name]; !known || f.Age < age {
--- a/internal/fleet/hub/tell.go
+++ b/internal/fleet/hub/tell.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
 )
 
@@ -14,14 +14,14 @@
 // teller writes what a hub tells its agents: facts of its own, in the form of messages between members.
 type teller struct {
 	seq  uint64
-	last map[fact.Kind][]byte // bodies, as last told
+	last map[gossip.Kind][]byte // bodies, as last told
 }
 
 // news reports whether anything of these has changed that agents have to hear of at once, and keeps them.
-func (t *teller) news(words []fact.Fact) bool {
-	last := map[fact.Kind][]byte{}
+func (t *teller) news(words []gossip.Fact) bool {
+	last := map[gossip.Kind][]byte{}
 	for _, w := range words {
-		if w.Kind != fact.Service {
+		if w.Kind != gossip.Service {
 			last[w.Kind] = w.Body
 		}
 	}
@@ -34,15 +34,15 @@
 }
 
 // message encodes a frame of facts, each with an age of now.
-func (s *Server) message(words []fact.Fact, now time.Time) []byte {
-	m := fact.Message{Version: fact.Version, Sender: s.cfg.Name, Incarnation: s.cfg.Incarnation, Clock: now.Sub(s.born)}
+func (s *Server) message(words []gossip.Fact, now time.Time) []byte {
+	m := gossip.Message{Version: gossip.Version, Sender: s.cfg.Name, Incarnation: s.cfg.Incarnation, Clock: now.Sub(s.born)}
 	for _, w := range words {
 		s.seq++
 		w.Observer, w.Incarnation, w.Seq = s.cfg.Name, s.cfg.Incarnation, firstSeq+s.seq
 		m.Facts = append(m.Facts, w)
-		fact.Trace{W: s.cfg.Trace}.Use(fact.Use{Fact: w, Told: true, Now: w.Age})
+		gossip.Trace{W: s.cfg.Trace}.Use(gossip.Use{Fact: w, Told: true, Now: w.Age})
 	}
-	data, err := fact.Encode(&m)
+	data, err := gossip.Encode(&m)
 	if err == nil {
 		data, err = frame.Encode(&frame.Frame{Facts: data})
 	}
@@ -53,7 +53,7 @@
 }
 
 // tell has every agent told, by one encoding for each site.
-func (s *Server) tell(words []fact.Fact, rows map[string]fact.Fact, now time.Time) {
+func (s *Server) tell(words []gossip.Fact, rows map[string]gossip.Fact, now time.Time) {
 	frames := map[string][]byte{}
 	for _, x := range s.roll.streams() {
 		row, known := rows[x.site]
--- a/internal/fleet/spoke/act.go
+++ b/internal/fleet/hubclient/act.go
@@ -1,13 +1,13 @@
-package spoke
+package hubclient
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"martenbeam/internal/fleet/distance"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/latency"
 )
 
 const (
@@ -17,7 +17,7 @@
 
 // act keeps ages, and does what follows from what is known, until ctx ends.
 func (s *Spoke) act(ctx context.Context) {
-	tick := time.NewTicker(fact.TickEvery)
+	tick := time.NewTicker(gossip.TickEvery)
 	defer tick.Stop()
 	summary := time.NewTicker(summaryEvery)
 	defer summary.Stop()
@@ -41,7 +41,7 @@
 
 // census is who there is, as hubs tell it: of several, what leaves this agent the least.
 func (s *Spoke) census() (c hub.Census, fresh bool) {
-	for _, f := range s.facts.Now(fact.Census) {
+	for _, f := range s.facts.Now(gossip.Census) {
 		x, err := hub.ParseCensus(f.Body)
 		if err != nil || f.Subject != hub.FleetCensus {
 			continue
@@ -60,7 +60,7 @@
 	c, fresh := s.census()
 	most := s.cfg.Most
 	part := thin / float64(most)
-	if s.sure.Load() || time.Since(s.born) >= s.cfg.Bounds[fact.Census] {
+	if s.sure.Load() || time.Since(s.born) >= s.cfg.Bounds[gossip.Census] {
 		users := most
 		if fresh {
 			users = max(1, most-int(c.Gone), int(c.Attached))
@@ -80,7 +80,7 @@
 	if same {
 		return
 	}
-	fact.Trace{W: s.cfg.Trace}.Line(map[string]any{"part": part})
+	gossip.Trace{W: s.cfg.Trace}.Line(map[string]any{"part": part})
 	if s.told.Part != nil {
 		s.told.Part(part)
 	}
@@ -103,13 +103,13 @@
 }
 
 // row is how far the zones are from this agent's, as told last.
-func (s *Spoke) row() (row map[string]distance.Estimate, known bool) {
+func (s *Spoke) row() (row map[string]latency.Estimate, known bool) {
 	var age time.Duration
-	for _, f := range s.facts.Now(fact.Distance) {
+	for _, f := range s.facts.Now(gossip.Distance) {
 		if f.Subject != s.cfg.Site || known && f.Age >= age {
 			continue
 		}
-		if r, err := distance.ReadRow(f.Body); err == nil {
+		if r, err := latency.ReadRow(f.Body); err == nil {
 			row, known, age = r, true, f.Age
 		}
 	}
--- a/internal/fleet/spoke/spoke.go
+++ b/internal/fleet/hubclient/client.go
@@ -1,6 +1,6 @@
-// Package spoke is an agent's side of its fleet where the fleet has hubs: one stream to one hub, and what follows from the
+// Package hubclient is an agent's side of its fleet where the fleet has hubs: one stream to one hub, and what follows from the
 // hub's words. An agent serves on without any of it, and without hubs it goes back to the flat fleet.
-package spoke
+package hubclient
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 	"github.com/cespare/xxhash/v2"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
 	"martenbeam/internal/fleet/incarnation"
-	"martenbeam/internal/fleet/start"
-	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/fleet/startup"
 	"martenbeam/internal/residency"
 	"martenbeam/internal/settings"
 )
@@ -35,7 +35,7 @@
 	Most                        int                // most agents that the fleet has
 	Await                       bool               // Listen may be held by an older process of this agent
 	Incarnations                incarnation.Source // numbers the processes of the name
-	Bounds                      fact.Bounds
+	Bounds                      gossip.Bounds
 	Relayed                     bool              // lists come by way of the hub
 	ListRate                    float64           // calls a second that the list service is taken to bear at first
 	Residency                   *residency.Holder // nil: none
@@ -61,9 +61,9 @@
 	choose      *chooser
 	incarnation uint64
 	born        time.Time
-	facts       *fact.Store
-	pacer       *start.Pacer
-	texts       []*texts.Kind // that it follows
+	facts       *gossip.Store
+	pacer       *startup.Pacer
+	texts       []*documents.Kind // that it follows
 	dial        Dial
 	door        *door
 	flat        atomic.Pointer[fleet.Fleet] // nil: it does not run
@@ -102,7 +102,7 @@
 		return nil, errors.New("fleet.hubs: none")
 	}
 	if cfg.Bounds == nil {
-		cfg.Bounds = fact.DefaultBounds
+		cfg.Bounds = gossip.DefaultBounds
 	}
 	now := time.Now()
 	s := &Spoke{cfg: cfg, told: told, zones: zones, hubs: order(cfg.Name, cfg.Site, cfg.Region, cfg.Hubs), born: now, lost: now,
@@ -113,8 +113,8 @@
 		s.dial = d.DialContext
 	}
 	s.choose = newChooser(len(s.hubs), xxhash.Sum64String(cfg.Name)^s.incarnation)
-	s.facts = fact.New(cfg.Name, s.incarnation, cfg.Bounds, fact.Trace{W: cfg.Trace}.Use)
-	s.pacer = start.New(start.Config{Rate: cfg.ListRate, Met: s.met, Facts: s.facts})
+	s.facts = gossip.New(cfg.Name, s.incarnation, cfg.Bounds, gossip.Trace{W: cfg.Trace}.Use)
+	s.pacer = startup.New(startup.Config{Rate: cfg.ListRate, Met: s.met, Facts: s.facts})
 	s.follow()
 	if s.door, err = newDoor(listen, cfg.Await); err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
--- a/internal/fleet/spoke/spoke_test.go
+++ b/internal/fleet/hubclient/client_test.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"time"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
-	"martenbeam/internal/fleet/texts"
 	"martenbeam/internal/residency"
 )
 
@@ -129,7 +129,7 @@
 	way := newCable(t, a.addr)
 	x := newAgent(t, func(c *Config) {
 		c.Hubs[0].Addr = way.addr
-		c.Bounds = fact.Bounds{fact.Census: 700 * time.Millisecond}
+		c.Bounds = gossip.Bounds{gossip.Census: 700 * time.Millisecond}
 	}, a)
 	await(t, "an even part", x.has(1./10))
 	await(t, "a state that came back", func() bool { return x.stream.lastEchoed() })
@@ -190,15 +190,15 @@
 		t.Fatal(err)
 	}
 	a, b := newStandin(t, "a"), newStandin(t, "b")
-	a.policy = texts.Standing{Version: 3, Digests: []string{residency.Digest(text("3"))}}
-	b.policy, b.trip = texts.Standing{Version: 2, Digests: []string{"older"}}, 7000
+	a.policy = documents.Standing{Version: 3, Digests: []string{residency.Digest(text("3"))}}
+	b.policy, b.trip = documents.Standing{Version: 2, Digests: []string{"older"}}, 7000
 	x := newAgent(t, func(c *Config) { c.Residency = h }, a, b)
 	await(t, "the stream to a", x.at("a"))
 	await(t, "a's word", func() bool { return !h.State().Stale })
 	a.kill()
 	await(t, "b's word", x.trip(7*time.Millisecond))
 	b.mu.Lock()
-	b.policy = texts.Standing{Version: 4, Digests: []string{"newer"}}
+	b.policy = documents.Standing{Version: 4, Digests: []string{"newer"}}
 	b.mu.Unlock()
 	asked := func(digest string) (n int) {
 		b.mu.Lock()
--- a/internal/fleet/spoke/texts.go
+++ b/internal/fleet/hubclient/documents.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"time"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
-	"martenbeam/internal/fleet/texts"
 	"martenbeam/internal/residency"
 	"martenbeam/internal/settings"
 )
@@ -69,10 +69,10 @@
 		s.texts = append(s.texts, k)
 	}
 	if h := s.cfg.Settings; h != nil {
-		s.texts = append(s.texts, &texts.Kind{Fact: fact.Settings, Path: "/settings/", Most: settings.MaxText, Holder: h, Digest: settings.Digest, Wants: h.Wants,
-			State: func() texts.Standing {
+		s.texts = append(s.texts, &documents.Kind{Fact: gossip.Settings, Path: "/settings/", Most: settings.MaxText, Holder: h, Digest: settings.Digest, Wants: h.Wants,
+			State: func() documents.Standing {
 				st := h.State()
-				return texts.Standing{Version: st.Version, Digests: st.Digests}
+				return documents.Standing{Version: st.Version, Digests: st.Digests}
 			}, Spread: spread})
 	}
 }
@@ -86,8 +86,8 @@
 	}
 }
 
-func (s *Spoke) whom() texts.Asked {
-	a := texts.Asked{Dial: s.dial}
+func (s *Spoke) whom() documents.Asked {
+	a := documents.Asked{Dial: s.dial}
 	if addr := s.hub(); addr != "" {
 		a.Addrs = []string{addr}
 	}
--- a/internal/fleet/spoke/flat.go
+++ b/internal/fleet/hubclient/flat.go
@@ -1,11 +1,11 @@
-package spoke
+package hubclient
 
 import (
 	"context"
 	"time"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 const (
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		tick := time.NewTicker(fact.TickEvery)
+		tick := time.NewTicker(gossip.TickEvery)
 		defer tick.Stop()
 		for holds() && ctx.Err() == nil {
 			select {
--- a/internal/fleet/spoke/hard_test.go
+++ b/internal/fleet/hubclient/hard_test.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	"time"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
 	"martenbeam/internal/fleet/hub/frame"
-	"martenbeam/internal/fleet/texts"
 	"martenbeam/internal/residency"
 	"martenbeam/internal/settings"
 )
@@ -292,12 +292,12 @@
 				break
 			}
 			x := said{time.Now(), -1, -1, f.Sure}
-			if m, err := fact.Decode(f.Facts); len(f.Facts) > 0 && err == nil {
+			if m, err := gossip.Decode(f.Facts); len(f.Facts) > 0 && err == nil {
 				for _, w := range m.Facts {
-					if s, ok := texts.ParseStanding(w.Body); w.Kind == fact.Settings && ok {
+					if s, ok := documents.ParseStanding(w.Body); w.Kind == gossip.Settings && ok {
 						x.settings = s.Version
 					}
-					if c, err := hub.ParseCensus(w.Body); w.Kind == fact.Census && err == nil {
+					if c, err := hub.ParseCensus(w.Body); w.Kind == gossip.Census && err == nil {
 						x.gone = int(c.Gone)
 					}
 				}
--- a/internal/fleet/spoke/hardwatch_test.go
+++ b/internal/fleet/hubclient/hardwatch_test.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 const (
@@ -50,7 +50,7 @@
 func newWatch() *watch {
 	w := &watch{bounds: map[string]time.Duration{}, stop: make(chan struct{}), done: make(chan struct{}), alive: map[string]func() Known{}, newest: map[string][2]int64{},
 		seen: map[factID]int64{}}
-	for k, d := range fact.DefaultBounds {
+	for k, d := range gossip.DefaultBounds {
 		w.bounds[k.String()] = d
 	}
 	go w.run()
--- a/internal/fleet/spoke/hub_test.go
+++ b/internal/fleet/hubclient/hub_test.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"context"
--- a/internal/fleet/spoke/standin_test.go
+++ b/internal/fleet/hubclient/standin_test.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
 	"martenbeam/internal/fleet/hub/frame"
-	"martenbeam/internal/fleet/texts"
 )
 
 const (
@@ -39,7 +39,7 @@
 	mu      sync.Mutex
 	census  hub.Census
 	trip    uint32 // us to zone b
-	policy  texts.Standing
+	policy  documents.Standing
 	asked   []string // digests
 	server  *http.Server
 	conns   map[net.Conn]bool
@@ -155,19 +155,19 @@
 func (h *standin) facts() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	m := fact.Message{Version: 1, Sender: h.name, Incarnation: 1, Clock: time.Since(h.born)}
-	add := func(k fact.Kind, subject string, body []byte) {
-		m.Facts = append(m.Facts, fact.Fact{Kind: k, Subject: subject, Observer: h.name, Incarnation: 1, Seq: h.seq.Add(1), Body: body})
+	m := gossip.Message{Version: 1, Sender: h.name, Incarnation: 1, Clock: time.Since(h.born)}
+	add := func(k gossip.Kind, subject string, body []byte) {
+		m.Facts = append(m.Facts, gossip.Fact{Kind: k, Subject: subject, Observer: h.name, Incarnation: 1, Seq: h.seq.Add(1), Body: body})
 	}
 	if !h.mute.Load() && !h.old {
-		add(fact.Census, hub.FleetCensus, h.census.MarshalBody())
+		add(gossip.Census, hub.FleetCensus, h.census.MarshalBody())
 		row, _ := cbor.Marshal(map[int]any{1: []map[int]any{{1: "b", 2: h.trip, 3: 0, 4: 0, 5: 9}}})
-		add(fact.Distance, "a", row)
+		add(gossip.Distance, "a", row)
 	}
 	if h.policy.Version > 0 {
-		add(fact.Residency, "policy", h.policy.Body())
+		add(gossip.Residency, "policy", h.policy.Body())
 	}
-	data, _ := fact.Encode(&m)
+	data, _ := gossip.Encode(&m)
 	return data
 }
 
@@ -240,7 +240,7 @@
 
 func newAgent(t *testing.T, change func(*Config), hubs ...*standin) *agent {
 	t.Helper()
-	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", Most: 10, Bounds: fact.DefaultBounds, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", Most: 10, Bounds: gossip.DefaultBounds, Log: slog.New(slog.DiscardHandler)}
 	for i, h := range hubs {
 		cfg.Hubs = append(cfg.Hubs, Hub{string(rune('a' + i)), "r", h.addr})
 	}
--- a/internal/fleet/spoke/stream.go
+++ b/internal/fleet/hubclient/stream.go
@@ -1,4 +1,4 @@
-package spoke
+package hubclient
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
 )
 
@@ -203,7 +203,7 @@
 
 // write tells how this agent stands, and what it saw, each second and when that changes, until the stream ends.
 func (x *stream) write() error {
-	tick := time.NewTicker(fact.TickEvery)
+	tick := time.NewTicker(gossip.TickEvery)
 	defer tick.Stop()
 	var last state
 	var at time.Time
--- a/internal/fleet/hubs.go
+++ b/internal/fleet/hubs.go
@@ -4,15 +4,15 @@
 	"context"
 	"time"
 
-	"martenbeam/internal/fleet/distance"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/latency"
 	"martenbeam/internal/fleet/member"
 )
 
 // What a hub needs of the fleet that it is in; see hub.Fleet.
 
 // Facts are what is known here.
-func (f *Fleet) Facts() *fact.Store { return f.facts }
+func (f *Fleet) Facts() *gossip.Store { return f.facts }
 
 // Hubs are the other hubs that are there.
 func (f *Fleet) Hubs() (list []member.Member) {
@@ -44,6 +44,6 @@
 }
 
 // Matrix is how far the sites are from each other, as known now.
-func (f *Fleet) Matrix() distance.Matrix {
-	return distance.Make(f.facts.Now(fact.Distance), f.list.View())
+func (f *Fleet) Matrix() latency.Matrix {
+	return latency.Make(f.facts.Now(gossip.Distance), f.list.View())
 }
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"sync"
 
-	"martenbeam/internal/systime"
-	"martenbeam/internal/versioned"
+	"martenbeam/internal/bootclock"
+	"martenbeam/internal/versionedfile"
 )
 
 // Folder is where numbers are kept: the first of some folders that is given, else one beside the system's temporary files,
@@ -33,17 +33,17 @@
 // Next is the number of a process, or of one of its parts, that starts now. Without a folder, or where that can't be used, it
 // is as late as the clock says.
 func (s Source) Next() uint64 {
-	now := systime.Wall().UnixMilli()
+	now := bootclock.Wall().UnixMilli()
 	if s.Dir == "" {
 		return uint64(now)
 	}
 	one.Lock()
 	defer one.Unlock()
 	file := "incarnation-" + url.PathEscape(s.Name)
-	before, _, err := versioned.Load(s.Dir, file)
+	before, _, err := versionedfile.Load(s.Dir, file)
 	next := max(now, before+1)
 	if err == nil {
-		err = versioned.Keep(s.Dir, file)(next, nil)
+		err = versionedfile.Keep(s.Dir, file)(next, nil)
 	}
 	if err != nil && s.Log != nil {
 		s.Log.Warn("processes of this name are told apart by the clock alone", "error", err)
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/systime"
-	"martenbeam/internal/versioned"
+	"martenbeam/internal/bootclock"
+	"martenbeam/internal/versionedfile"
 )
 
 // Each number is above the one before, whatever the clock shows; what was kept and can't be read, or a folder that can't be
@@ -15,8 +15,8 @@
 func TestNext(t *testing.T) {
 	dir := t.TempDir()
 	s := Source{Dir: dir, Name: "n/0"}
-	ahead := systime.Wall().Add(time.Hour).UnixMilli() // as if the clock had been set back since
-	if err := versioned.Keep(dir, "incarnation-n%2F0")(ahead, nil); err != nil {
+	ahead := bootclock.Wall().Add(time.Hour).UnixMilli() // as if the clock had been set back since
+	if err := versionedfile.Keep(dir, "incarnation-n%2F0")(ahead, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
@@ -31,7 +31,7 @@
 	if err := os.WriteFile(torn, []byte(`{"format":1,"ver`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	now := uint64(systime.Wall().UnixMilli())
+	now := uint64(bootclock.Wall().UnixMilli())
 	for name, s := range map[string]Source{"torn": {Dir: dir, Name: "n2"}, "no folder": {Name: "n3"}, "no folder to be had": {Dir: torn, Name: "n4"}} {
 		if got := s.Next(); got < now || got > now+uint64(time.Minute.Milliseconds()) {
 			t.Errorf("%s: %d at %d", name, got, now)
--- a/internal/fleet/distance/distance_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -1,4 +1,4 @@
-package distance
+package latency
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/member"
 )
 
@@ -23,7 +23,7 @@
 	members []member.Member
 	who     *member.View
 	probers map[netip.AddrPort]*Prober
-	stores  []*fact.Store
+	stores  []*gossip.Store
 	bytes   map[string]int // by member
 	lies    map[string]time.Duration
 	tasks   sync.WaitGroup
@@ -42,12 +42,12 @@
 	f.who = member.NewView(f.members...)
 	view := func() *member.View { return f.who }
 	for _, m := range f.members {
-		store := fact.New(m.Name, 1, fact.DefaultBounds, nil)
+		store := gossip.New(m.Name, 1, gossip.DefaultBounds, nil)
 		p := New(Config{Self: m.Name, Site: m.Site, Label: "x", View: view, Facts: store, Write: f.writer(m)})
 		f.probers[m.Addr], f.stores = p, append(f.stores, store)
 		f.tasks.Go(func() {
 			for ctx.Err() == nil {
-				time.Sleep(fact.TickEvery)
+				time.Sleep(gossip.TickEvery)
 				store.Tick()
 			}
 		})
@@ -106,7 +106,7 @@
 }
 
 // seen is what a member makes of the matrix now.
-func (f *field) seen(i int) Matrix { return Make(f.stores[i].Now(fact.Distance), f.who) }
+func (f *field) seen(i int) Matrix { return Make(f.stores[i].Now(gossip.Distance), f.who) }
 
 func even(from, to string) (time.Duration, bool) {
 	if from == to {
@@ -210,22 +210,22 @@
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
 	one := entry{Site: "b", Micros: 1000, Count: 3}
 	for name, c := range map[string]struct {
-		f    fact.Fact
+		f    gossip.Fact
 		want int
 	}{
-		"sound":         {fact.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{one}})}, 1},
-		"another site":  {fact.Fact{Subject: "b", Observer: "a0", Body: body(row{[]entry{one}})}, 0},
-		"not a member":  {fact.Fact{Subject: "a", Observer: "z", Body: body(row{[]entry{one}})}, 0},
-		"twice":         {fact.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{one, one}})}, 1},
-		"no site":       {fact.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Micros: 1, Count: 1}}})}, 0},
-		"loss over 100": {fact.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Site: "b", Loss: 200}}})}, 0},
-		"a minute":      {fact.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Site: "b", Micros: 60e6, Count: 1}}})}, 0},
-		"no row":        {fact.Fact{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
+		"sound":         {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{one}})}, 1},
+		"another site":  {gossip.Fact{Subject: "b", Observer: "a0", Body: body(row{[]entry{one}})}, 0},
+		"not a member":  {gossip.Fact{Subject: "a", Observer: "z", Body: body(row{[]entry{one}})}, 0},
+		"twice":         {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{one, one}})}, 1},
+		"no site":       {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Micros: 1, Count: 1}}})}, 0},
+		"loss over 100": {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Site: "b", Loss: 200}}})}, 0},
+		"a minute":      {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Site: "b", Micros: 60e6, Count: 1}}})}, 0},
+		"no row":        {gossip.Fact{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
-		if got := Make([]fact.Fact{c.f}, alive); len(got) != c.want {
+		if got := Make([]gossip.Fact{c.f}, alive); len(got) != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
-		if e, known := Make([]fact.Fact{c.f}, alive).Of("b", "a"); known && e.Observers != 1 {
+		if e, known := Make([]gossip.Fact{c.f}, alive).Of("b", "a"); known && e.Observers != 1 {
 			t.Errorf("%s: %d observers", name, e.Observers)
 		}
 	}
--- a/internal/fleet/distance/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -1,10 +1,10 @@
-package distance
+package latency
 
 import (
 	"slices"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/member"
 )
 
@@ -38,14 +38,14 @@
 
 // Make makes a matrix of rows. Each observer has one word on a pair, and the third lowest of their words counts. A row counts only from an observer of that site; whose site is
 // not known here says nothing.
-func Make(rows []fact.Fact, who *member.View) Matrix {
+func Make(rows []gossip.Fact, who *member.View) Matrix {
 	type word struct {
 		entry
 		age time.Duration
 	}
 	words := map[Pair][]word{}
 	for _, f := range rows {
-		r, err := fact.Read(f, decodeRow)
+		r, err := gossip.Read(f, decodeRow)
 		if m, there := who.Named(f.Observer); err != nil || f.Subject == "" || !there || m.Site != f.Subject {
 			continue
 		}
--- a/internal/fleet/distance/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -1,9 +1,9 @@
-// Package distance measures round trips between sites from inside the fleet, and makes a matrix of what all of them
+// Package latency measures round trips between sites from inside the fleet, and makes a matrix of what all of them
 // measured that no few false ones can move.
 //
 // A site is a zone of the list. Of each, a few members observe: chosen by rendezvous, the same at every member, so that
 // every pair of sites is measured at a rate that does not grow with the fleet.
-package distance
+package latency
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/member"
 )
 
@@ -38,7 +38,7 @@
 	Self, Site, Label string
 	View              func() *member.View
 	Write             func(data []byte, to netip.AddrPort) (time.Time, error)
-	Facts             *fact.Store
+	Facts             *gossip.Store
 }
 
 // Prober asks others for round trips, answers them, and tells what it measured.
@@ -232,7 +232,7 @@
 	if err != nil {
 		panic(err) // it holds numbers and names alone
 	}
-	p.cfg.Facts.Tell(fact.Distance, p.cfg.Site, body)
+	p.cfg.Facts.Tell(gossip.Distance, p.cfg.Site, body)
 }
 
 // quantile is rounded down: of two the lower.
--- a/internal/fleet/distance/read.go
+++ b/internal/fleet/latency/read.go
@@ -1,4 +1,4 @@
-package distance
+package latency
 
 import "time"
 
--- a/internal/fleet/distance/row.go
+++ b/internal/fleet/latency/row.go
@@ -1,4 +1,4 @@
-package distance
+package latency
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 // Row is what a matrix says of a site, as the body that an observer there would tell, and the age of the oldest word that it
@@ -32,7 +32,7 @@
 	slices.SortFunc(r.Entries, func(a, b entry) int { return strings.Compare(a.Site, b.Site) })
 	r.Entries = r.Entries[:min(len(r.Entries), mostSites)]
 	body, err := cbor.Marshal(r)
-	if err != nil || len(body) > fact.MaxBody {
+	if err != nil || len(body) > gossip.MaxBody {
 		return nil, 0
 	}
 	return body, age
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
-	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/residency"
 )
 
@@ -17,18 +17,18 @@
 )
 
 // Policy is the residency policy of a holder, as a text that goes round a fleet.
-func Policy(h *residency.Holder) *texts.Kind {
-	return &texts.Kind{Fact: fact.Residency, Subject: "policy", Path: "/residency/", Most: residency.MaxText, Holder: h, Digest: residency.Digest, Confirm: h.Confirm,
-		State: func() texts.Standing {
+func Policy(h *residency.Holder) *documents.Kind {
+	return &documents.Kind{Fact: gossip.Residency, Subject: "policy", Path: "/residency/", Most: residency.MaxText, Holder: h, Digest: residency.Digest, Confirm: h.Confirm,
+		State: func() documents.Standing {
 			st := h.State()
-			return texts.Standing{Version: st.Version, Digests: st.Digests}
+			return documents.Standing{Version: st.Version, Digests: st.Digests}
 		}}
 }
 
 // shared is a text that this process shares. A policy is told by its sources alone, by whose word it ages; settings are told
 // by whoever has them.
 type shared struct {
-	*texts.Kind
+	*documents.Kind
 	tells bool
 }
 
@@ -58,7 +58,7 @@
 			}
 			for _, w := range f.facts.Now(k.Fact) {
 				if w.Observer != f.cfg.Name {
-					k.Follow(ctx, w, func() texts.Asked { return f.askFor(w.Observer) })
+					k.Follow(ctx, w, func() documents.Asked { return f.askFor(w.Observer) })
 				}
 			}
 		}
@@ -66,8 +66,8 @@
 }
 
 // askFor is whom to ask for a text of a source: the source, then others.
-func (f *Fleet) askFor(source string) texts.Asked {
-	a, view := texts.Asked{Dial: f.list.Dial}, f.list.View()
+func (f *Fleet) askFor(source string) documents.Asked {
+	a, view := documents.Asked{Dial: f.list.Dial}, f.list.View()
 	if m, there := view.Named(source); there {
 		a.Addrs = append(a.Addrs, m.Addr.String())
 	}
--- a/internal/fleet/start/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -1,9 +1,9 @@
-// Package start has hundreds of processes that start at once ask a list service in turns.
+// Package startup has hundreds of processes that start at once ask a list service in turns.
 //
 // Nobody hands out turns: each draws its own from a window that follows from how many are seen to start and from what
 // the service bears, which whoever called tells the others. Without any word from them the same code spares the service
 // by a window of its own.
-package start
+package startup
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 const (
@@ -37,9 +37,9 @@
 
 // Config is what a Pacer needs.
 type Config struct {
-	Rate  float64     // calls a second that the service is taken to bear at first, from all
-	Met   func() bool // anyone has been met
-	Facts *fact.Store // nil: there are no others
+	Rate  float64       // calls a second that the service is taken to bear at first, from all
+	Met   func() bool   // anyone has been met
+	Facts *gossip.Store // nil: there are no others
 }
 
 // load is what one caller saw of the service, as a fact's body.
@@ -79,8 +79,8 @@
 		return rate, refused, 0
 	}
 	var rates []float64
-	for _, f := range p.cfg.Facts.Now(fact.Service) {
-		l, err := fact.Read(f, readLoad)
+	for _, f := range p.cfg.Facts.Now(gossip.Service) {
+		l, err := gossip.Read(f, readLoad)
 		if err != nil || !(l.Rate > 0) {
 			continue
 		}
@@ -173,5 +173,5 @@
 	if err != nil {
 		panic(err) // it holds numbers alone
 	}
-	p.cfg.Facts.Tell(fact.Service, subject, body)
+	p.cfg.Facts.Tell(gossip.Service, subject, body)
 }
--- a/internal/fleet/start/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -1,4 +1,4 @@
-package start
+package startup
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 // service is a list service of fixed capacity: calls wait in turn, and fail when they would wait too long.
@@ -62,7 +62,7 @@
 			s.dark = s.began.Add(10 * time.Second)
 		}
 		turns := make(chan func(), n) // one at a time: the service and the counts are shared
-		var stores []*fact.Store
+		var stores []*gossip.Store
 		var waiting atomic.Int64
 		waiting.Store(int64(n))
 		done := make(chan struct{}, n)
@@ -70,7 +70,7 @@
 			starters := func() int { return 1 }
 			cfg := Config{Rate: 17, Met: func() bool { return false }}
 			if fleet {
-				store := fact.New(fmt.Sprint(i), 1, fact.DefaultBounds, nil)
+				store := gossip.New(fmt.Sprint(i), 1, gossip.DefaultBounds, nil)
 				stores = append(stores, store)
 				starters = func() int { return max(1, int(waiting.Load())) }
 				cfg = Config{Rate: 17, Met: func() bool { return time.Since(s.began) > 200*time.Millisecond }, Facts: store}
--- a/internal/fleet/start/sum.go
+++ b/internal/fleet/startup/sum.go
@@ -1,4 +1,4 @@
-package start
+package startup
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 )
 
 // Subject is what those who called the list service tell of.
@@ -14,7 +14,7 @@
 
 // Sum sums up words on the load of the list service as words of the same form: the middle rate and the highest version, as
 // old as the oldest word that counts, and the youngest refusal, which holds others back by its age, as a word beside it.
-func Sum(words []fact.Fact) (sums []fact.Fact) {
+func Sum(words []gossip.Fact) (sums []gossip.Fact) {
 	var rates []float64
 	var all, refused load
 	oldest, youngest := time.Duration(0), time.Duration(-1)
@@ -34,17 +34,17 @@
 	}
 	slices.Sort(rates)
 	all.Rate = rates[len(rates)/2]
-	sums = []fact.Fact{sumOf(subject, all, oldest)}
+	sums = []gossip.Fact{sumOf(subject, all, oldest)}
 	if youngest >= 0 {
 		sums = append(sums, sumOf(subject+" refused", refused, youngest))
 	}
 	return sums
 }
 
-func sumOf(subject string, l load, age time.Duration) fact.Fact {
+func sumOf(subject string, l load, age time.Duration) gossip.Fact {
 	body, err := cbor.Marshal(l)
 	if err != nil {
 		panic(err) // it holds numbers alone
 	}
-	return fact.Fact{Kind: fact.Service, Subject: subject, Age: age, Body: body}
+	return gossip.Fact{Kind: gossip.Service, Subject: subject, Age: age, Body: body}
 }
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/config"
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
 	"martenbeam/internal/fleet/incarnation"
 	"martenbeam/internal/residency"
@@ -47,8 +47,8 @@
 		}
 		trace = h.trace
 	}
-	bounds := fact.Bounds{}
-	for kind, d := range fact.DefaultBounds {
+	bounds := gossip.Bounds{}
+	for kind, d := range gossip.DefaultBounds {
 		bounds[kind] = d
 		if said, ok := cfg.MaxAge[kind.String()]; ok {
 			bounds[kind] = said.D()
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"martenbeam/internal/config"
-	"martenbeam/internal/fleet/fact"
-	"martenbeam/internal/fleet/texts"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
 )
 
 const patience = 30 * time.Second
@@ -120,8 +120,8 @@
 	if v := again.settings.State().Version; v != 5 {
 		t.Errorf("version %d was kept", v)
 	}
-	for _, w := range two.fleet.Facts().Now(fact.Settings) {
-		if s, ok := texts.ParseStanding(w.Body); !ok || s.Version > 5 {
+	for _, w := range two.fleet.Facts().Now(gossip.Settings) {
+		if s, ok := documents.ParseStanding(w.Body); !ok || s.Version > 5 {
 			t.Errorf("told: %+v", s)
 		}
 	}
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -16,9 +16,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/rng"
-	"martenbeam/internal/lab/world"
 	"martenbeam/internal/tcpinfo"
 )
 
@@ -26,7 +26,7 @@
 type host struct {
 	lab    *Lab
 	n      int
-	m      *world.Machine
+	m      *model.Machine
 	server *http.Server
 	gates  []*gate // by agent
 	down   bool    // its process has ended
@@ -38,7 +38,7 @@
 	opened map[time.Duration]int // connections, by second
 }
 
-func (h *host) party() link.Party { return link.Party{Role: link.Backend, N: h.n} }
+func (h *host) party() netfault.Party { return netfault.Party{Role: netfault.Backend, N: h.n} }
 
 // backendConn is a connection from one agent.
 type backendConn struct {
@@ -98,7 +98,7 @@
 	if l.fleet == nil {
 		return nil
 	}
-	if e := l.fleet.mine[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]; e != nil && e.Role == link.Member {
+	if e := l.fleet.mine[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]; e != nil && e.Role == netfault.Member {
 		return l.agents[e.N]
 	}
 	return nil
@@ -214,7 +214,7 @@
 	}
 }
 
-func (a *attempt) party() link.Party { return link.Party{Role: link.Agent, N: a.agent} }
+func (a *attempt) party() netfault.Party { return netfault.Party{Role: netfault.Agent, N: a.agent} }
 
 func fingerprint(method, uri, key string, body []byte) uint64 {
 	d := xxhash.New()
@@ -231,7 +231,7 @@
 	l.attempts[a.number] = a
 	fresh := !a.conn.used
 	a.conn.used = true
-	if l.net.Fault(a.party(), h.party(), link.TCP).Cut || h.m.State == world.Silent {
+	if l.net.Fault(a.party(), h.party(), netfault.TCP).Cut || h.m.State == model.Silent {
 		if !probe {
 			l.check.Note(now, a.id, "network", fmt.Sprintf("the attempt to %s does not get through", h.m.ID))
 		}
@@ -242,7 +242,7 @@
 		delete(l.attempts, a.number)
 		return
 	}
-	d := l.net.Way(a.party(), h.party(), link.TCP, a.id+"/"+h.m.ID)[0]
+	d := l.net.Way(a.party(), h.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
 	if fresh { // a handshake: one round trip more, and work
 		d += 2 * l.way(a.party(), h.party())
 	}
@@ -255,7 +255,7 @@
 		l.at(now+d, func(now time.Duration) {
 			load := h.m.Report()
 			l.attempt++ // its work has a number of its own: the answer doesn't wait for it
-			l.ended(h, h.m.Arrive(now, world.Job{Attempt: l.attempt, Work: h.m.ProbeWork, Agent: a.agent, Draw: 1}))
+			l.ended(h, h.m.Arrive(now, model.Job{Attempt: l.attempt, Work: h.m.ProbeWork, Agent: a.agent, Draw: 1}))
 			l.answer(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
 				load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
 		})
@@ -265,7 +265,7 @@
 		})
 	default:
 		draw := l.rng.Stream("attempt/" + a.id + "/" + h.m.ID)
-		job := world.Job{Attempt: a.number, Agent: a.agent, Draw: draw.Float64(), Shake: fresh,
+		job := model.Job{Attempt: a.number, Agent: a.agent, Draw: draw.Float64(), Shake: fresh,
 			Informs: l.check.Knows(a.agent, h.m.ID, h.m.Started)}
 		if p := l.playing(a); p != nil {
 			job.Work, job.Key = time.Duration(float64(p.work)*rng.Lognormal(draw, 1, 0.3)), p.key
@@ -310,7 +310,7 @@
 }
 
 // ended answers the attempts that a machine is done with. The lock is held.
-func (l *Lab) ended(h *host, done []world.Done) {
+func (l *Lab) ended(h *host, done []model.Done) {
 	for _, d := range done {
 		a := l.attempts[d.Attempt]
 		if a == nil {
@@ -321,18 +321,18 @@
 			what += fmt.Sprintf(" after %v in the waiting room", d.Waited.Round(100*time.Microsecond))
 		}
 		switch d.Result {
-		case world.Lost, world.Dropped: // nothing comes back
+		case model.Lost, model.Dropped: // nothing comes back
 			l.check.Note(d.At, a.id, h.m.ID, what)
 			delete(l.attempts, d.Attempt)
-		case world.Turned:
+		case model.Turned:
 			l.answer(d.At, a, answer{http.StatusServiceUnavailable, true, "full"}, what)
-		case world.Failed:
+		case model.Failed:
 			l.answer(d.At, a, answer{http.StatusInternalServerError, false, "failed"}, what)
-		case world.Served:
+		case model.Served:
 			l.answer(d.At, a, answer{http.StatusOK, false, served(a.id, h.m.ID)}, what)
 		}
 	}
-	if h.m.State == world.Fallen && !h.down {
+	if h.m.State == model.Fallen && !h.down {
 		h.down = true
 		l.check.Fell(h.m.Fell, h.m.ID, h.m.Informed)
 		l.fallen++
@@ -350,13 +350,13 @@
 // answer takes what a machine answers back over the network. The lock is held.
 func (l *Lab) answer(now time.Duration, a *attempt, ans answer, what string) {
 	h := a.host
-	if l.net.Fault(h.party(), a.party(), link.TCP).Cut || h.m.State == world.Silent {
+	if l.net.Fault(h.party(), a.party(), netfault.TCP).Cut || h.m.State == model.Silent {
 		l.check.Note(now, a.id, "network", "the answer of "+h.m.ID+" ("+what+") does not get through")
 		l.park(h.party(), a.party(), func(now time.Duration) { l.answer(now, a, ans, what) })
 		return
 	}
 	delete(l.attempts, a.number)
-	d := l.net.Way(h.party(), a.party(), link.TCP, a.id+"/"+h.m.ID)[0]
+	d := l.net.Way(h.party(), a.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
 	l.check.Reply(now, a.id, h.m.ID, what, ans.never)
 	l.at(now+d, func(time.Duration) {
 		select {
@@ -368,7 +368,7 @@
 }
 
 // park keeps a message until its way may be free again. The lock is held.
-func (l *Lab) park(from, to link.Party, send func(now time.Duration)) {
+func (l *Lab) park(from, to netfault.Party, send func(now time.Duration)) {
 	l.parked = append(l.parked, parked{from, to, send})
 }
 
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/rng"
 )
 
@@ -256,7 +256,7 @@
 // try sends a request once and returns how it ended, and how long the client is to stay away.
 func (l *Lab) try(p *play, id string) (check.Answer, time.Duration) {
 	a := p.agent
-	me, agent := party(link.Client, a.n), party(link.Agent, a.n)
+	me, agent := party(netfault.Client, a.n), party(netfault.Agent, a.n)
 	l.mu.Lock()
 	now := l.now()
 	l.check.Open(now, &check.Request{ID: id, First: p.first, Try: p.tries, Agent: a.n, Class: p.class, Sent: now, GiveUp: p.patience,
@@ -265,7 +265,7 @@
 	shut, refused := l.net.Shut(me, agent), l.net.Refused(me, agent)
 	var way time.Duration
 	if !shut {
-		way = l.net.Way(me, agent, link.TCP, id)[0]
+		way = l.net.Way(me, agent, netfault.TCP, id)[0]
 	}
 	l.mu.Unlock()
 	answer, wait := check.Unreachable, time.Duration(0)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
 )
 
@@ -68,12 +68,12 @@
 		d.changes = append(d.changes, change{host: h, state: "ready", started: h.m.Started, learned: -time.Hour})
 	}
 	for n := range l.agents {
-		if err := d.open(l.block.world(n), party(link.Agent, n), n); err != nil {
+		if err := d.open(l.block.world(n), party(netfault.Agent, n), n); err != nil {
 			return nil, err
 		}
 	}
 	for n := range l.hubs {
-		if err := d.open(l.block.hubLink(n), party(link.Hub, n), len(l.agents)+n); err != nil {
+		if err := d.open(l.block.hubLink(n), party(netfault.Hub, n), len(l.agents)+n); err != nil {
 			return nil, err
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // open opens the copy of a caller, which has a number among all of them.
-func (d *discovery) open(ip string, caller link.Party, n int) error {
+func (d *discovery) open(ip string, caller netfault.Party, n int) error {
 	g, err := newGate(ip, func(c net.Conn) net.Conn { return c })
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 // ones after a while. The lab's lock is held.
 func (d *discovery) move(n int, now time.Duration) error {
 	gate, server := d.gates[n], d.servers[n]
-	if err := d.open(d.lab.block.world(n), party(link.Agent, n), n); err != nil {
+	if err := d.open(d.lab.block.world(n), party(netfault.Agent, n), n); err != nil {
 		return err
 	}
 	last := len(d.gates) - 1
@@ -137,7 +137,7 @@
 	}
 }
 
-func party(role link.Role, n int) link.Party { return link.Party{Role: role, N: n} }
+func party(role netfault.Role, n int) netfault.Party { return netfault.Party{Role: role, N: n} }
 
 // learn has discovery learn of a change after its time. The lab's lock is held.
 func (d *discovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
@@ -260,7 +260,7 @@
 }
 
 // serve answers one caller's call.
-func (d *discovery) serve(w http.ResponseWriter, r *http.Request, caller link.Party, n int) {
+func (d *discovery) serve(w http.ResponseWriter, r *http.Request, caller netfault.Party, n int) {
 	l := d.lab
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
@@ -285,7 +285,7 @@
 	for {
 		l.mu.Lock()
 		now := l.now()
-		mute := d.silent || l.net.Fault(party(link.Discovery, n), caller, link.TCP).Cut
+		mute := d.silent || l.net.Fault(party(netfault.Discovery, n), caller, netfault.TCP).Cut
 		if epoch == -1 && !mute {
 			epoch = d.epoch
 		}
--- a/internal/lab/inject/inject.go
+++ b/internal/lab/faultinject/faultinject.go
@@ -1,9 +1,9 @@
-// Package inject builds a program of this module whose wall clock can be stepped and whose system calls can be made to
+// Package faultinject builds a program of this module whose wall clock can be stepped and whose system calls can be made to
 // fail, for tests. The program's own sources stay as they are: a build overlay adds hooks to a few functions of the
 // standard library, and to the program a goroutine that follows a control file.
 //
 // What it can't reach: calls that the runtime makes by itself, but for epoll_ctl, and calls from C.
-package inject
+package faultinject
 
 import (
 	"context"
--- a/internal/lab/inject/inject_test.go
+++ b/internal/lab/faultinject/faultinject_test.go
@@ -1,4 +1,4 @@
-package inject
+package faultinject
 
 import (
 	"bytes"
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/lab/world"
 )
 
 // schedule puts the scenario's faults on the agenda. The lock is held.
@@ -56,7 +56,7 @@
 
 func (l *Lab) pickAgents(fault int, text string) (list []*agent) {
 	set, _ := scenario.ParseSet(text) // checked with the scenario
-	for _, n := range l.pick(fault, set, len(l.agents), func(n int) int { return l.zone(party(link.Agent, n)) }) {
+	for _, n := range l.pick(fault, set, len(l.agents), func(n int) int { return l.zone(party(netfault.Agent, n)) }) {
 		list = append(list, l.agents[n])
 	}
 	return list
@@ -65,7 +65,7 @@
 // pickHubs picks among the hubs.
 func (l *Lab) pickHubs(fault int, text string) (list []*hub) {
 	set, _ := scenario.ParseSet(text) // checked with the scenario
-	for _, n := range l.pick(fault, set, len(l.hubs), func(n int) int { return l.zone(party(link.Hub, n)) }) {
+	for _, n := range l.pick(fault, set, len(l.hubs), func(n int) int { return l.zone(party(netfault.Hub, n)) }) {
 		list = append(list, l.hubs[n])
 	}
 	return list
@@ -90,7 +90,7 @@
 	set, _ := scenario.ParseSet(text)
 	var use []*host
 	for _, h := range l.hosts {
-		if !h.down && h.m.State == world.Up {
+		if !h.down && h.m.State == model.Up {
 			use = append(use, h)
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // rules puts rules on the network, and takes them off after the fault's span. The lock is held.
-func (l *Lab) rules(f *scenario.Fault, now time.Duration, rules ...link.Rule) {
+func (l *Lab) rules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
 		numbers = append(numbers, l.net.Add(r))
@@ -186,20 +186,20 @@
 		end = time.Hour
 	}
 	for _, a := range l.agents {
-		me, it := party(link.Client, a.n), party(link.Agent, a.n)
-		for _, d := range []link.Fault{l.net.Fault(me, it, link.TCP), l.net.Fault(it, me, link.TCP)} {
-			if d != (link.Fault{}) {
+		me, it := party(netfault.Client, a.n), party(netfault.Agent, a.n)
+		for _, d := range []netfault.Fault{l.net.Fault(me, it, netfault.TCP), l.net.Fault(it, me, netfault.TCP)} {
+			if d != (netfault.Fault{}) {
 				l.check.Excuse(a.n, now, end)
 				break
 			}
 		}
-		disc := party(link.Discovery, a.n)
+		disc := party(netfault.Discovery, a.n)
 		if l.net.Shut(it, disc) {
 			l.disc.upset = end
 		}
 	}
 	for _, h := range l.hubs {
-		if l.net.Shut(party(link.Hub, h.n), party(link.Discovery, len(l.agents)+h.n)) {
+		if l.net.Shut(party(netfault.Hub, h.n), party(netfault.Discovery, len(l.agents)+h.n)) {
 			l.disc.upset = end
 		}
 	}
@@ -216,37 +216,37 @@
 
 // linkFault puts one rule on links. The lock is held.
 func (l *Lab) linkFault(i int, f *scenario.Fault, now time.Duration) {
-	in := func(text string) func(link.Party) bool {
+	in := func(text string) func(netfault.Party) bool {
 		set, _ := scenario.ParseSet(text)
 		role, n := set.Role(), len(l.agents)
 		switch role {
-		case link.Backend:
+		case netfault.Backend:
 			n = len(l.hosts)
-		case link.Hub:
+		case netfault.Hub:
 			n = len(l.hubs)
-		case link.Discovery:
+		case netfault.Discovery:
 			n += len(l.hubs) // each has its own copy
 		}
 		picked := map[int]bool{}
 		for _, k := range l.pick(i, set, n, func(k int) int { return l.zone(party(role, k)) }) {
 			picked[k] = true
 		}
-		return func(p link.Party) bool {
-			return (p.Role == role || role == link.Agent && p.Role == link.Member) && picked[p.N]
+		return func(p netfault.Party) bool {
+			return (p.Role == role || role == netfault.Agent && p.Role == netfault.Member) && picked[p.N]
 		}
 	}
-	protocols := map[string]link.Protocol{"": link.TCP | link.UDP, "tcp": link.TCP, "udp": link.UDP}[f.Protocol]
-	r := link.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: link.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
+	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
+	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
 		Delay: f.Delay.D(), Jitter: f.Jitter.D(), Lose: f.Lose, Duplicate: f.Duplicate, Reorder: f.Reorder}}
-	rules := []link.Rule{r}
+	rules := []netfault.Rule{r}
 	if f.Both {
-		rules = append(rules, link.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
+		rules = append(rules, netfault.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
 	}
 	l.rules(f, now, rules...)
 	if f.Reset {
 		for _, h := range l.hosts {
 			h.reset(func(agent int) bool {
-				return l.net.Fault(party(link.Agent, agent), h.party(), link.TCP).Reset || l.net.Fault(h.party(), party(link.Agent, agent), link.TCP).Reset
+				return l.net.Fault(party(netfault.Agent, agent), h.party(), netfault.TCP).Reset || l.net.Fault(h.party(), party(netfault.Agent, agent), netfault.TCP).Reset
 			})
 		}
 	}
@@ -260,17 +260,17 @@
 	}
 	var jobs []job
 	for _, a := range l.agents {
-		me := party(link.Agent, a.n)
+		me := party(netfault.Agent, a.n)
 		for _, h := range l.hosts {
 			if !h.down && h.gates != nil {
-				jobs = append(jobs, job{h.gates[a.n], h.m.State == world.Silent || l.net.Shut(me, h.party())})
+				jobs = append(jobs, job{h.gates[a.n], h.m.State == model.Silent || l.net.Shut(me, h.party())})
 			}
 		}
-		jobs = append(jobs, job{l.disc.gates[a.n], l.net.Shut(me, party(link.Discovery, a.n))})
+		jobs = append(jobs, job{l.disc.gates[a.n], l.net.Shut(me, party(netfault.Discovery, a.n))})
 	}
 	for _, h := range l.hubs {
 		if n := len(l.agents) + h.n; n < len(l.disc.gates) {
-			jobs = append(jobs, job{l.disc.gates[n], l.net.Shut(party(link.Hub, h.n), party(link.Discovery, n))})
+			jobs = append(jobs, job{l.disc.gates[n], l.net.Shut(party(netfault.Hub, h.n), party(netfault.Discovery, n))})
 		}
 	}
 	l.running.Go(func() {
@@ -286,12 +286,12 @@
 // beyond. The lock is held.
 func (l *Lab) border(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Who)
-	inside := func(p link.Party) bool { return p.Role != link.Client && slices.Contains(set.Zones, l.zone(p)) }
-	outside := func(p link.Party) bool { return p.Role != link.Client && !inside(p) }
-	in := link.Rule{From: outside, To: inside, Protocols: link.TCP | link.UDP, Fault: link.Fault{Cut: true}}
-	rules := []link.Rule{in}
+	inside := func(p netfault.Party) bool { return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p)) }
+	outside := func(p netfault.Party) bool { return p.Role != netfault.Client && !inside(p) }
+	in := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
+	rules := []netfault.Rule{in}
 	if f.What == scenario.ZoneCut {
-		rules = append(rules, link.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
+		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
 	}
 	l.rules(f, now, rules...)
 }
@@ -303,7 +303,7 @@
 	for _, h := range l.hosts {
 		if set.Has(h.n, h.m.Zone) && !h.down {
 			lost = append(lost, h)
-			l.ended(h, h.m.Leave(now, world.Silent))
+			l.ended(h, h.m.Leave(now, model.Silent))
 			l.disc.learn(now, h, "gone", l.Scenario.Lists.SilentS)
 		}
 	}
@@ -329,12 +329,12 @@
 	down.What, down.After, down.Restart = scenario.Kill, f.For, "empty"
 	var list []*process
 	for _, h := range l.hubs {
-		if set.Has(h.n, l.zone(party(link.Hub, h.n))) {
+		if set.Has(h.n, l.zone(party(netfault.Hub, h.n))) {
 			list = append(list, &h.process)
 		}
 	}
 	for _, a := range l.agents {
-		if set.Has(a.n, l.zone(party(link.Agent, a.n))) {
+		if set.Has(a.n, l.zone(party(netfault.Agent, a.n))) {
 			list = append(list, &a.process)
 		}
 	}
@@ -353,14 +353,14 @@
 
 // drain has a backend finish its work and end; another may come in its place. The lock is held.
 func (l *Lab) drain(h *host, now time.Duration, replace bool) {
-	if h.down || h.m.State != world.Up {
+	if h.down || h.m.State != model.Up {
 		return
 	}
 	const drainFor = 5 * time.Second // longer than it takes until everyone is told
 	l.ended(h, h.m.Drain(now))
 	l.disc.learn(now, h, "draining", l.Scenario.Lists.NoticeS)
 	l.at(now+drainFor, func(now time.Duration) {
-		l.ended(h, h.m.Leave(now, world.Gone))
+		l.ended(h, h.m.Leave(now, model.Gone))
 		l.refuse(h)
 		l.disc.learn(now, h, "gone", l.Scenario.Lists.NoticeS)
 	})
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 )
 
 // fleetPort is where agents and hubs hear their fleet, and where the lab hears for them.
@@ -34,7 +34,7 @@
 
 // fleetEnd is one process as its fleet meets it, and its link.
 type fleetEnd struct {
-	link.Party
+	netfault.Party
 	name string // in draws
 	at   netip.AddrPort
 	udp  *net.UDPConn
@@ -49,12 +49,12 @@
 func newFleetLinks(l *Lab) (*fleetLinks, error) {
 	f := &fleetLinks{lab: l, mine: map[netip.Addr]*fleetEnd{}, conns: map[net.Conn]bool{}, took: map[wayKey][]time.Duration{}}
 	for _, a := range l.agents {
-		if err := f.open(party(link.Member, a.n), fmt.Sprint(a.n), l.block.agent(a.n), l.block.world(a.n)); err != nil {
+		if err := f.open(party(netfault.Member, a.n), fmt.Sprint(a.n), l.block.agent(a.n), l.block.world(a.n)); err != nil {
 			return nil, err
 		}
 	}
 	for _, h := range l.hubs {
-		if err := f.open(party(link.Hub, h.n), h.name, l.block.hub(h.n), l.block.hubLink(h.n)); err != nil {
+		if err := f.open(party(netfault.Hub, h.n), h.name, l.block.hub(h.n), l.block.hubLink(h.n)); err != nil {
 			return nil, err
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // open opens the link of a process that calls from one address and is reached at another.
-func (f *fleetLinks) open(p link.Party, name, at, reached string) error {
+func (f *fleetLinks) open(p netfault.Party, name, at, reached string) error {
 	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
@@ -97,11 +97,11 @@
 func (f *fleetLinks) count(from, to *fleetEnd, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if from.Role == link.Member || to.Role == link.Member {
+	if from.Role == netfault.Member || to.Role == netfault.Member {
 		f.bytes += n
 	}
 	for _, e := range []*fleetEnd{from, to} {
-		if e.Role == link.Hub {
+		if e.Role == netfault.Hub {
 			f.hubs += n
 		}
 	}
@@ -131,7 +131,7 @@
 		f.count(from, to, size)
 		l.mu.Lock()
 		now := l.now()
-		for _, d := range l.net.Way(from.Party, to.Party, link.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
+		for _, d := range l.net.Way(from.Party, to.Party, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
 			l.at(now+d, func(time.Duration) {
 				_, _ = from.udp.WriteToUDPAddrPort(data, to.at) // a receiver that is gone misses it
 				f.note(wayKey{l.zone(from.Party), l.zone(to.Party), int(now / time.Second)}, time.Since(came))
@@ -198,10 +198,10 @@
 }
 
 // fault is what the network does to the way from one end to another now, and how long it takes.
-func (f *fleetLinks) fault(from, to *fleetEnd) (link.Fault, time.Duration) {
+func (f *fleetLinks) fault(from, to *fleetEnd) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
-	x := f.lab.net.Fault(from.Party, to.Party, link.TCP)
+	x := f.lab.net.Fault(from.Party, to.Party, netfault.TCP)
 	return x, f.lab.way(from.Party, to.Party) + x.Delay
 }
 
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 )
 
 // hub is one hub's process.
@@ -79,7 +79,7 @@
 	}
 	zones := l.Scenario.Fleet.Zones
 	line("name", h.name)
-	line("zone", zones[l.zone(party(link.Hub, h.n))])
+	line("zone", zones[l.zone(party(netfault.Hub, h.n))])
 	line("label", l.label())
 	line("listen", l.hubAddr(h.n))
 	line("advertise", l.hubLink(h.n))
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -22,11 +22,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"martenbeam/internal/bootclock"
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/rng"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/systime"
 )
 
 // Options say what to play.
@@ -58,7 +58,7 @@
 	agenda    agenda
 	seq       uint64
 	poke      chan struct{}
-	net       *link.Net
+	net       *netfault.Net
 	check     *check.Checker
 	tally     *check.Tally
 	late      *hdrhistogram.Histogram // us
@@ -100,7 +100,7 @@
 
 // parked is a message that waits at its sender until its way is free.
 type parked struct {
-	from, to link.Party
+	from, to netfault.Party
 	send     func(now time.Duration)
 }
 
@@ -221,7 +221,7 @@
 		late: hdrhistogram.New(1, maxLate, 3), attempts: map[uint64]*attempt{}, pods: map[podKey]bool{}, starter: make(chan func()),
 		tally: check.NewTally(s.Settle.D()), recorder: newRecorder(o.Events)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.net = link.New(l.way, s.World.Jitter, l.rng)
+	l.net = netfault.New(l.way, s.World.Jitter, l.rng)
 	if err := l.furnish(); err != nil {
 		l.Close()
 		return nil, err
@@ -257,7 +257,7 @@
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return err
 	}
-	l.base, l.boot = time.Now(), systime.SinceBoot()
+	l.base, l.boot = time.Now(), bootclock.SinceBoot()
 	l.machines()
 	l.classes()
 	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, Answer: answerSlack, Slack: socketSlack,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,8 +20,8 @@
 	"go.uber.org/goleak"
 
 	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/model"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/lab/world"
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
@@ -286,7 +286,7 @@
 	h := l.hosts[0]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h.m.Leave(0, world.Silent)
+	h.m.Leave(0, model.Silent)
 	l.disc.learn(0, h, "gone", scenario.Range{5, 5})
 	h.m.Start(time.Second)
 	l.disc.learn(time.Second, h, "ready", scenario.Range{0.5, 0.5})
--- a/internal/lab/world/world.go
+++ b/internal/lab/model/model.go
@@ -1,10 +1,10 @@
-// Package world models the machines that agents send to: cores shared by the requests in work, slots
+// Package model models the machines that agents send to: cores shared by the requests in work, slots
 // and a waiting room, cold starts that ramp and fall over, slow-down when crowded, warmth by key.
 //
 // It is pure: it is told the time, owns no clock, socket or goroutine, and draws what it needs from
 // numbers that belong to the request. Times are spans since the lab's start. Work is told in time on
 // one core of speed 1.
-package world
+package model
 
 import (
 	"container/heap"
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/model/model_test.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import (
 	"flag"
--- a/internal/lab/link/link.go
+++ b/internal/lab/netfault/netfault.go
@@ -1,8 +1,8 @@
-// Package link says what the network does to a message between two parties, by rules that come and go.
+// Package netfault says what the network does to a message between two parties, by rules that come and go.
 //
 // It is pure: it is told what is sent, and draws from numbers that belong to the message. Rules act on one
 // direction each: what a fault does to A's words to B says nothing of B's words to A.
-package link
+package netfault
 
 import (
 	"time"
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -1,4 +1,4 @@
-package link
+package netfault
 
 import (
 	"fmt"
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 	"martenbeam/internal/lab/rng"
 )
 
@@ -33,12 +33,12 @@
 	// The lab's lock guards these.
 	cmd      *exec.Cmd
 	starts   int
-	control  inject.Control // of a program that package inject has built
-	plan     inject.Plan    // in force there
-	up       bool           // answers as ready
-	since    time.Duration  // up since
-	expected bool           // its end was asked for
-	ended    chan struct{}  // closed once the present process has ended
+	control  faultinject.Control // of a program that package inject has built
+	plan     faultinject.Plan    // in force there
+	up       bool                // answers as ready
+	since    time.Duration       // up since
+	expected bool                // its end was asked for
+	ended    chan struct{}       // closed once the present process has ended
 	usage    Usage
 }
 
@@ -135,7 +135,7 @@
 		return err
 	}
 	return a.launch(l.Agent, append([]string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + a.configFile(), "PROXY_NAME=" + a.name, "PROXY_LISTEN=" + a.listen,
-		"PROXY_DISCOVERY=" + l.disc.addr(a.n), inject.ControlVariable + "=" + a.control.Path}, l.Env...))
+		"PROXY_DISCOVERY=" + l.disc.addr(a.n), faultinject.ControlVariable + "=" + a.control.Path}, l.Env...))
 }
 
 func (a *agent) configFile() string { return filepath.Join(a.dir, "config.json") }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
-	"martenbeam/internal/lab/world"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
 )
 
 // Schema is the version of Report's form.
@@ -200,11 +200,11 @@
 		for _, a := range l.agents {
 			if a.up {
 				v.Agents++
-				v.Zones[l.zone(party(link.Agent, a.n))].Agents++
+				v.Zones[l.zone(party(netfault.Agent, a.n))].Agents++
 			}
 		}
 		for _, h := range l.hosts {
-			if h.m.State == world.Up && !h.down {
+			if h.m.State == model.Up && !h.down {
 				v.Backends++
 				z := &v.Zones[h.m.Zone]
 				z.Backends++
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -11,25 +11,25 @@
 	"strings"
 	"time"
 
-	"martenbeam/internal/lab/link"
-	"martenbeam/internal/strict"
+	"martenbeam/internal/lab/netfault"
+	"martenbeam/internal/strictconfig"
 )
 
 // Scenario is one day in the lab.
 type Scenario struct {
-	Name   string          `toml:"name"`
-	About  string          `toml:"about"`
-	For    strict.Duration `toml:"for"`
-	Settle strict.Duration `toml:"settle"` // nothing before counts
-	Fleet  Fleet           `toml:"fleet"`
-	Load   Load            `toml:"load"`
-	World  World           `toml:"world"`
-	Lists  Lists           `toml:"lists"`
-	Limits Limits          `toml:"limits"`
-	Shared Shared          `toml:"shared"`
-	Faults []Fault         `toml:"fault"`
-
-	Again strict.Duration `toml:"-"` // the schedule begins anew after so long; 0: never
+	Name   string                `toml:"name"`
+	About  string                `toml:"about"`
+	For    strictconfig.Duration `toml:"for"`
+	Settle strictconfig.Duration `toml:"settle"` // nothing before counts
+	Fleet  Fleet                 `toml:"fleet"`
+	Load   Load                  `toml:"load"`
+	World  World                 `toml:"world"`
+	Lists  Lists                 `toml:"lists"`
+	Limits Limits                `toml:"limits"`
+	Shared Shared                `toml:"shared"`
+	Faults []Fault               `toml:"fault"`
+
+	Again strictconfig.Duration `toml:"-"` // the schedule begins anew after so long; 0: never
 
 	file, text string
 }
@@ -63,26 +63,26 @@
 
 // World is what machines are like.
 type World struct {
-	SlotsPerCore Range           `toml:"slots_per_core"`
-	RoomPerCore  Range           `toml:"room_per_core"` // requests that wait
-	Thrash       Range           `toml:"thrash"`
-	ThrashAt     Range           `toml:"thrash_at"`
-	ColdFrom     Range           `toml:"cold_from"`
-	RampS        Range           `toml:"ramp_s"`
-	FallMultiple float64         `toml:"fall_multiple"`
-	FallWindow   strict.Duration `toml:"fall_window"`
-	Choke        bool            `toml:"choke"`
-	ErrorRate    Range           `toml:"error_rate"`
-	KeyGain      Range           `toml:"key_gain"`
-	KeyForS      Range           `toml:"key_for_s"`
-	KeysPerCore  int             `toml:"keys_per_core"`
-	Conns        Range           `toml:"conns"`
-	HandshakeMs  Range           `toml:"handshake_ms"`
-	SameMs       Range           `toml:"same_ms"` // one way within a zone
-	CrossMs      Range           `toml:"cross_ms"`
-	FarMs        Range           `toml:"far_ms"` // between regions
-	PeerMs       Range           `toml:"peer_ms"`
-	Jitter       float64         `toml:"jitter"`
+	SlotsPerCore Range                 `toml:"slots_per_core"`
+	RoomPerCore  Range                 `toml:"room_per_core"` // requests that wait
+	Thrash       Range                 `toml:"thrash"`
+	ThrashAt     Range                 `toml:"thrash_at"`
+	ColdFrom     Range                 `toml:"cold_from"`
+	RampS        Range                 `toml:"ramp_s"`
+	FallMultiple float64               `toml:"fall_multiple"`
+	FallWindow   strictconfig.Duration `toml:"fall_window"`
+	Choke        bool                  `toml:"choke"`
+	ErrorRate    Range                 `toml:"error_rate"`
+	KeyGain      Range                 `toml:"key_gain"`
+	KeyForS      Range                 `toml:"key_for_s"`
+	KeysPerCore  int                   `toml:"keys_per_core"`
+	Conns        Range                 `toml:"conns"`
+	HandshakeMs  Range                 `toml:"handshake_ms"`
+	SameMs       Range                 `toml:"same_ms"` // one way within a zone
+	CrossMs      Range                 `toml:"cross_ms"`
+	FarMs        Range                 `toml:"far_ms"` // between regions
+	PeerMs       Range                 `toml:"peer_ms"`
+	Jitter       float64               `toml:"jitter"`
 }
 
 // Lists is how discovery tells of changes.
@@ -104,15 +104,15 @@
 	On      bool `toml:"on"`      // they have a fleet
 	Relayed bool `toml:"relayed"` // and lists come by way of a few of them: a backend has one address for all then, and the
 	// network can't keep a single agent from it
-	Matrix  bool            `toml:"matrix"`  // and round trips are measured, and steer
-	Policy  string          `toml:"policy"`  // the residency policy at the start; "": none
-	Bound   strict.Duration `toml:"bound"`   // in which a tightening has to hold
-	Sources int             `toml:"sources"` // agents that are given the policy, the first ones; where there are hubs, hubs
-
-	Hubs          int             `toml:"hubs"`           // processes between the agents, hub i in zone i; 0: a flat fleet
-	Flat          bool            `toml:"flat"`           // agents that find no hub have a flat fleet to fall back to
-	Settings      string          `toml:"settings"`       // of all agents at the start, given to hubs; "": none
-	SettingsBound strict.Duration `toml:"settings_bound"` // in which a change is in force at every agent that a hub can reach
+	Matrix  bool                  `toml:"matrix"`  // and round trips are measured, and steer
+	Policy  string                `toml:"policy"`  // the residency policy at the start; "": none
+	Bound   strictconfig.Duration `toml:"bound"`   // in which a tightening has to hold
+	Sources int                   `toml:"sources"` // agents that are given the policy, the first ones; where there are hubs, hubs
+
+	Hubs          int                   `toml:"hubs"`           // processes between the agents, hub i in zone i; 0: a flat fleet
+	Flat          bool                  `toml:"flat"`           // agents that find no hub have a flat fleet to fall back to
+	Settings      string                `toml:"settings"`       // of all agents at the start, given to hubs; "": none
+	SettingsBound strictconfig.Duration `toml:"settings_bound"` // in which a change is in force at every agent that a hub can reach
 }
 
 // Limits are what an agent is told that it may use.
@@ -125,36 +125,36 @@
 
 // Fault is one entry of the schedule.
 type Fault struct {
-	At   strict.Duration `toml:"at"`
-	For  strict.Duration `toml:"for"` // 0: to the end, or at once
-	What string          `toml:"what"`
-	Who  string          `toml:"who"` // a set of parties, see Parse
-	From string          `toml:"from"`
-	To   string          `toml:"to"`
-	Both bool            `toml:"both"` // also the other direction
-
-	Protocol  string          `toml:"protocol"` // "tcp", "udp"; "": both
-	Delay     strict.Duration `toml:"delay"`
-	Jitter    strict.Duration `toml:"jitter"`
-	Lose      float64         `toml:"lose"`
-	Duplicate float64         `toml:"duplicate"`
-	Reorder   float64         `toml:"reorder"`
-	Cut       bool            `toml:"cut"`
-	Refuse    bool            `toml:"refuse"`
-	Reset     bool            `toml:"reset"`
-
-	Size    float64         `toml:"size"`    // of a burst, of failures, of what a neighbour takes
-	On      strict.Duration `toml:"on"`      // a neighbour's time on, and off
-	After   strict.Duration `toml:"after"`   // a restart's delay
-	Restart string          `toml:"restart"` // "empty", "kept", "never"
-	Steps   int             `toml:"steps"`   // in so many equal parts over For
-	Text    string          `toml:"text"`    // a policy, or settings
-	Series  int             `toml:"series"`  // further signals of a term: SIGHUP and SIGTERM in turn
-	Step    strict.Duration `toml:"step"`    // of the wall clock, in whole seconds; back after For
-	Call    string          `toml:"call"`    // the system call that fails, as package inject names it
-	Errno   int             `toml:"errno"`   // with what
-	Path    string          `toml:"path"`    // on files whose name holds this; "": any
-	Times   int             `toml:"times"`   // so often; 0: for all of For
+	At   strictconfig.Duration `toml:"at"`
+	For  strictconfig.Duration `toml:"for"` // 0: to the end, or at once
+	What string                `toml:"what"`
+	Who  string                `toml:"who"` // a set of parties, see Parse
+	From string                `toml:"from"`
+	To   string                `toml:"to"`
+	Both bool                  `toml:"both"` // also the other direction
+
+	Protocol  string                `toml:"protocol"` // "tcp", "udp"; "": both
+	Delay     strictconfig.Duration `toml:"delay"`
+	Jitter    strictconfig.Duration `toml:"jitter"`
+	Lose      float64               `toml:"lose"`
+	Duplicate float64               `toml:"duplicate"`
+	Reorder   float64               `toml:"reorder"`
+	Cut       bool                  `toml:"cut"`
+	Refuse    bool                  `toml:"refuse"`
+	Reset     bool                  `toml:"reset"`
+
+	Size    float64               `toml:"size"`    // of a burst, of failures, of what a neighbour takes
+	On      strictconfig.Duration `toml:"on"`      // a neighbour's time on, and off
+	After   strictconfig.Duration `toml:"after"`   // a restart's delay
+	Restart string                `toml:"restart"` // "empty", "kept", "never"
+	Steps   int                   `toml:"steps"`   // in so many equal parts over For
+	Text    string                `toml:"text"`    // a policy, or settings
+	Series  int                   `toml:"series"`  // further signals of a term: SIGHUP and SIGTERM in turn
+	Step    strictconfig.Duration `toml:"step"`    // of the wall clock, in whole seconds; back after For
+	Call    string                `toml:"call"`    // the system call that fails, as package inject names it
+	Errno   int                   `toml:"errno"`   // with what
+	Path    string                `toml:"path"`    // on files whose name holds this; "": any
+	Times   int                   `toml:"times"`   // so often; 0: for all of For
 }
 
 // What a schedule may hold.
@@ -191,17 +191,17 @@
 // Default is a calm day: what a scenario does not say.
 func Default() Scenario {
 	return Scenario{
-		For: strict.Duration(30 * time.Second), Settle: strict.Duration(3 * time.Second),
+		For: strictconfig.Duration(30 * time.Second), Settle: strictconfig.Duration(3 * time.Second),
 		Fleet: Fleet{Agents: 24, Backends: 24, Zones: []string{"riga-ziepniekkalns", "riga-purvciems", "marupe"}, Pod: 6},
 		Load: Load{Rate: 500, Of: 0.75, Skew: 0.8, Keys: 1200, KeySkew: 0.8, Retries: 1, Patience: 0.9, Impatient: 0.01, Honour: 0.9,
 			OverShare: 0.2},
 		World: World{SlotsPerCore: Range{2, 6}, RoomPerCore: Range{220, 600}, Thrash: Range{0.3, 0.55},
 			ThrashAt: Range{4.1, 6.8}, ColdFrom: Range{0.12, 0.35}, RampS: Range{10, 20}, FallMultiple: 3,
-			FallWindow: strict.Duration(2 * time.Second), Choke: true, ErrorRate: Range{0, 0.002}, KeyGain: Range{0.3, 0.6},
+			FallWindow: strictconfig.Duration(2 * time.Second), Choke: true, ErrorRate: Range{0, 0.002}, KeyGain: Range{0.3, 0.6},
 			KeyForS: Range{3, 8}, KeysPerCore: 15, Conns: Range{400, 520}, HandshakeMs: Range{0.2, 0.5}, SameMs: Range{0.1, 0.26},
 			CrossMs: Range{0.78, 1.4}, FarMs: Range{4, 9}, PeerMs: Range{1.4, 6}, Jitter: 0.25},
 		Lists:  Lists{NoticeS: Range{0.5, 2}, SilentS: Range{4.3, 6}, AddS: Range{0.44, 1.5}, Rate: 50, QueueS: 2, Change: 0.2, Known: "now"},
-		Shared: Shared{Bound: strict.Duration(3 * time.Second), Sources: 1, SettingsBound: strict.Duration(14 * time.Second)},
+		Shared: Shared{Bound: strictconfig.Duration(3 * time.Second), Sources: 1, SettingsBound: strictconfig.Duration(14 * time.Second)},
 		Limits: Limits{Cores: 1, MemoryMB: 128, Sockets: 768, LateMs: 20},
 	}
 }
@@ -241,7 +241,7 @@
 
 func parse(file, text string) (*Scenario, error) {
 	s := Default()
-	if err := strict.Decode(file, text, &s); err != nil {
+	if err := strictconfig.Decode(file, text, &s); err != nil {
 		return nil, err
 	}
 	s.file, s.text = file, text
@@ -252,7 +252,7 @@
 }
 
 func (s *Scenario) wrong(key, format string, args ...any) error {
-	return strict.At(s.file, s.text, key, format, args...)
+	return strictconfig.At(s.file, s.text, key, format, args...)
 }
 
 // Most of what one lab plays.
@@ -450,8 +450,8 @@
 }
 
 // Role is the party of a link that a set speaks of.
-func (s Set) Role() link.Role {
-	return map[string]link.Role{"agents": link.Agent, "hubs": link.Hub, "backends": link.Backend, "clients": link.Client, "discovery": link.Discovery}[s.Kind]
+func (s Set) Role() netfault.Role {
+	return map[string]netfault.Role{"agents": netfault.Agent, "hubs": netfault.Hub, "backends": netfault.Backend, "clients": netfault.Client, "discovery": netfault.Discovery}[s.Kind]
 }
 
 // Has reports whether a party of a zone is in the set, Share aside.
@@ -544,13 +544,13 @@
 // Stretch changes a run's length; the schedule keeps its place in it.
 func (s *Scenario) Stretch(to time.Duration) {
 	by := float64(to) / float64(s.For)
-	scale := func(d *strict.Duration) { *d = strict.Duration(float64(*d) * by) }
+	scale := func(d *strictconfig.Duration) { *d = strictconfig.Duration(float64(*d) * by) }
 	for i := range s.Faults {
 		scale(&s.Faults[i].At)
 		scale(&s.Faults[i].For)
 	}
 	scale(&s.Settle)
-	s.For = strict.Duration(to)
+	s.For = strictconfig.Duration(to)
 }
 
 // Endless lets a scenario run for a time, 0 for as long as a lab may; its schedule is played over and over.
@@ -558,5 +558,5 @@
 	if length <= 0 {
 		length = 1000 * time.Hour
 	}
-	s.Again, s.For = s.For, strict.Duration(length)
+	s.Again, s.For = s.For, strictconfig.Duration(length)
 }
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/rng"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/lab/world"
 )
 
 // class is a class of requests. Its times are those of a day on which work is not scaled.
@@ -82,7 +82,7 @@
 		}
 	}
 	speed := in(machineKinds[kind].speed)
-	spec := world.Spec{ID: fmt.Sprintf("s-%08x", uint32(l.rng.Hash("id/"+strconv.Itoa(n)))), Zone: zone,
+	spec := model.Spec{ID: fmt.Sprintf("s-%08x", uint32(l.rng.Hash("id/"+strconv.Itoa(n)))), Zone: zone,
 		Cell: zone*1000 + mates/l.Scenario.Fleet.Pod, Kind: kind, Cores: cores, Speed: speed,
 		Slots: int(math.Round(cores * in(w.SlotsPerCore))), Room: int(cores * in(w.RoomPerCore)), Thrash: in(w.Thrash),
 		ThrashAt: in(w.ThrashAt), ColdFrom: in(w.ColdFrom), Ramp: seconds(in(w.RampS)), FallMultiple: w.FallMultiple,
@@ -95,7 +95,7 @@
 		spec.ChokeAt, spec.ChokeOver, spec.ChokeSlower = 7, seconds(1.5+choke[1]), 2+1.1*choke[2]
 		spec.ChokeRest, spec.ChokeMost = seconds(2.4+2.5*choke[3]), seconds(16+15*choke[3])
 	}
-	h := &host{lab: l, n: n, m: world.New(spec, started), conns: map[*backendConn]bool{}, opened: map[time.Duration]int{}}
+	h := &host{lab: l, n: n, m: model.New(spec, started), conns: map[*backendConn]bool{}, opened: map[time.Duration]int{}}
 	l.hosts = append(l.hosts, h)
 	return h
 }
@@ -146,11 +146,11 @@
 }
 
 // zone is where a party is; discovery is nowhere.
-func (l *Lab) zone(p link.Party) int {
+func (l *Lab) zone(p netfault.Party) int {
 	switch p.Role {
-	case link.Backend:
+	case netfault.Backend:
 		return l.hosts[p.N].m.Zone
-	case link.Discovery:
+	case netfault.Discovery:
 		return -1
 	}
 	return p.N % len(l.Scenario.Fleet.Zones)
@@ -165,12 +165,12 @@
 }
 
 // way is the ordinary one-way time between two parties.
-func (l *Lab) way(from, to link.Party) time.Duration {
+func (l *Lab) way(from, to netfault.Party) time.Duration {
 	r := l.Scenario.World.CrossMs
 	switch {
-	case from.Role == link.Client || to.Role == link.Client || from.Role == link.Discovery || to.Role == link.Discovery:
+	case from.Role == netfault.Client || to.Role == netfault.Client || from.Role == netfault.Discovery || to.Role == netfault.Discovery:
 		return 0 // on the same machine
-	case from.Role == link.Agent && to.Role == link.Agent:
+	case from.Role == netfault.Agent && to.Role == netfault.Agent:
 		r = l.Scenario.World.PeerMs
 	case l.zone(from) == l.zone(to): // members of a fleet as well: they are as far from each other as from backends
 		r = l.Scenario.World.SameMs
--- a/internal/lab/settled.go
+++ b/internal/lab/settled.go
@@ -14,7 +14,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
 )
 
@@ -93,17 +93,17 @@
 	}
 	l.at(at, func(now time.Duration) {
 		r := reach{at: now}
-		open := func(a, b link.Party) bool { return !l.net.Shut(a, b) }
+		open := func(a, b netfault.Party) bool { return !l.net.Shut(a, b) }
 		for _, h := range l.hubs {
 			r.hubs = append(r.hubs, h.up)
 			for _, other := range l.hubs {
-				r.ways = append(r.ways, open(party(link.Hub, h.n), party(link.Hub, other.n)))
+				r.ways = append(r.ways, open(party(netfault.Hub, h.n), party(netfault.Hub, other.n)))
 			}
 		}
 		for _, a := range l.agents {
 			r.agents = append(r.agents, a.up)
 			for _, h := range l.hubs {
-				r.streams = append(r.streams, open(party(link.Member, a.n), party(link.Hub, h.n)))
+				r.streams = append(r.streams, open(party(netfault.Member, a.n), party(netfault.Hub, h.n)))
 			}
 		}
 		if n := len(l.reach); n == 0 || !l.reach[n-1].same(&r) {
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
 	"martenbeam/internal/residency"
 )
@@ -56,7 +56,7 @@
 	if len(l.hubs) > 0 {
 		hubs := map[string]string{}
 		for _, h := range l.hubs {
-			hubs[l.Scenario.Fleet.Zones[l.zone(party(link.Hub, h.n))]] = l.hubLink(h.n)
+			hubs[l.Scenario.Fleet.Zones[l.zone(party(netfault.Hub, h.n))]] = l.hubLink(h.n)
 		}
 		fleet["hubs"], fleet["settings_state"] = hubs, filepath.Join(a.dir, "settings")
 		if !s.Flat {
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/link"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/lab/world"
 )
 
 // What goes towards backends that cannot be reached. Over a connection that stands an attempt is read, and waits in
@@ -22,8 +22,8 @@
 
 // shut reports whether a backend can't be reached by an agent, or can't answer it. The lock is held.
 func (l *Lab) shut(agent int, h *host) bool {
-	me := party(link.Agent, agent)
-	return h.m.State == world.Silent || l.net.Fault(me, h.party(), link.TCP).Cut || l.net.Fault(h.party(), me, link.TCP).Cut
+	me := party(netfault.Agent, agent)
+	return h.m.State == model.Silent || l.net.Fault(me, h.party(), netfault.TCP).Cut || l.net.Fault(h.party(), me, netfault.TCP).Cut
 }
 
 // zoneFault reports whether a fault keeps agents from whole zones for a while.
@@ -173,7 +173,7 @@
 func (l *Lab) used(now time.Duration) float64 {
 	work, all := 0.0, 0.0
 	for _, h := range l.hosts {
-		if h.m.State == world.Up && !h.down {
+		if h.m.State == model.Up && !h.down {
 			p := h.m.Present(now)
 			all += p
 			work += p * h.m.Report().Util
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 	"martenbeam/internal/lab/scenario"
 )
 
@@ -66,7 +66,7 @@
 
 // inject has agents suffer what a program that package inject has built can. The lock is held.
 func (l *Lab) inject(i int, f *scenario.Fault, now time.Duration) {
-	failure := inject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Times}
+	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Times}
 	for _, a := range l.pickAgents(i, f.Who) {
 		if a.plan.Wall = a.plan.Wall + f.Step.D(); f.What == scenario.Fail {
 			a.plan.Failures = append(a.plan.Failures, failure)
--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -9,26 +9,26 @@
 	"time"
 
 	"martenbeam/internal/lab"
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/strict"
+	"martenbeam/internal/strictconfig"
 )
 
 // A process that starts after its machine's clock was set back is the later one of its name all the same: the others take what
 // it tells within the time that a fact takes to get round, not only once those of the process before are too old.
 func TestRestartAfterTheClockWasSetBack(t *testing.T) {
 	const getsRound = 1500 * time.Millisecond // a fact is told each second
-	program, err := inject.Build(t.Context(), "../../..", "./cmd/martenbeam", t.TempDir())
+	program, err := faultinject.Build(t.Context(), "../../..", "./cmd/martenbeam", t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := scenario.Default()
-	s.Name, s.For, s.Settle = "set-back", strict.Duration(10*time.Second), strict.Duration(time.Second)
+	s.Name, s.For, s.Settle = "set-back", strictconfig.Duration(10*time.Second), strictconfig.Duration(time.Second)
 	s.Fleet.Agents, s.Fleet.Backends, s.Load.Rate, s.Load.Of = 3, 6, 60, 0.2
 	s.Shared.On, s.Shared.Matrix, s.Limits.LateMs = true, true, 60000
 	s.Faults = []scenario.Fault{
-		{What: scenario.Wall, Who: "agents n=0", At: strict.Duration(4 * time.Second), Step: strict.Duration(-time.Hour)},
-		{What: scenario.Kill, Who: "agents n=0", At: strict.Duration(5 * time.Second), Restart: "kept"},
+		{What: scenario.Wall, Who: "agents n=0", At: strictconfig.Duration(4 * time.Second), Step: strictconfig.Duration(-time.Hour)},
+		{What: scenario.Kill, Who: "agents n=0", At: strictconfig.Duration(5 * time.Second), Restart: "kept"},
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -9,10 +9,10 @@
 	"syscall"
 	"time"
 
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 	"martenbeam/internal/lab/rng"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/strict"
+	"martenbeam/internal/strictconfig"
 )
 
 const (
@@ -34,15 +34,15 @@
 	func(r *rand.Rand) scenario.Fault { return scenario.Fault{What: scenario.Reload, Who: "agents"} },
 	func(r *rand.Rand) scenario.Fault {
 		return scenario.Fault{What: scenario.Wall, Who: someAgents(r), For: span(r, 200, 3000),
-			Step: strict.Duration(pick(r, 2*time.Second, -2*time.Second, time.Hour, -time.Hour))}
+			Step: strictconfig.Duration(pick(r, 2*time.Second, -2*time.Second, time.Hour, -time.Hour))}
 	},
-	failure(inject.Accept, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM, syscall.ECONNABORTED, syscall.ENFILE),
-	failure(inject.Connect, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR),
-	failure(inject.Socket, syscall.ENOBUFS, syscall.ENFILE, syscall.EMFILE),
-	failure(inject.Write, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINTR),
-	failure(inject.Read, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EIO),
+	failure(faultinject.Accept, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM, syscall.ECONNABORTED, syscall.ENFILE),
+	failure(faultinject.Connect, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR),
+	failure(faultinject.Socket, syscall.ENOBUFS, syscall.ENFILE, syscall.EMFILE),
+	failure(faultinject.Write, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINTR),
+	failure(faultinject.Read, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EIO),
 	func(r *rand.Rand) scenario.Fault { // of the configuration, in the moment of a SIGHUP
-		return scenario.Fault{What: scenario.Fail, Who: "agents", Call: pick(r, inject.Open, inject.Read), Path: "config.json",
+		return scenario.Fault{What: scenario.Fail, Who: "agents", Call: pick(r, faultinject.Open, faultinject.Read), Path: "config.json",
 			Errno: int(pick(r, syscall.ENFILE, syscall.EIO, syscall.EINTR)), Times: 1 + r.IntN(3), For: span(r, 500, 2000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
@@ -64,7 +64,7 @@
 		return scenario.Fault{What: scenario.Link, From: "agents", To: share(r, "backends"), Both: true, Reset: true, Lose: 0.2, For: span(r, 300, 2000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Stop, Who: someAgents(r), For: strict.Duration(150 * time.Millisecond)}
+		return scenario.Fault{What: scenario.Stop, Who: someAgents(r), For: strictconfig.Duration(150 * time.Millisecond)}
 	},
 }
 
@@ -84,8 +84,8 @@
 
 func pick[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
 
-func span(r *rand.Rand, least, most int) strict.Duration {
-	return strict.Duration(time.Duration(least+r.IntN(most-least+1)) * time.Millisecond)
+func span(r *rand.Rand, least, most int) strictconfig.Duration {
+	return strictconfig.Duration(time.Duration(least+r.IntN(most-least+1)) * time.Millisecond)
 }
 
 func someAgents(r *rand.Rand) string { return pick(r, "agents", "agents n=0", "agents share=0.5") }
@@ -98,7 +98,7 @@
 func Draw(seed uint64) (*scenario.Scenario, error) {
 	r := rng.New(seed).Stream("soak")
 	s := scenario.Default()
-	s.Name, s.For, s.Settle = fmt.Sprintf("soak-%d", seed), strict.Duration(length), strict.Duration(time.Second)
+	s.Name, s.For, s.Settle = fmt.Sprintf("soak-%d", seed), strictconfig.Duration(length), strictconfig.Duration(time.Second)
 	s.Fleet.Agents, s.Fleet.Backends, s.Fleet.Pod = 2+r.IntN(4), 6+r.IntN(5), 2+r.IntN(3)
 	s.Load.Rate, s.Load.Of = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // work, and with it deadlines, go by both
 	s.Load.Impatient, s.Load.Retries = 0.1*r.Float64(), r.IntN(3)
@@ -107,10 +107,10 @@
 	s.Limits.Sockets, s.Limits.Cores, s.Limits.LateMs = pick(r, 128, 256, 768), pick(r, 0.5, 1.0), 60
 	for range fewest + r.IntN(most-fewest+1) {
 		f := pick(r, draws...)(r)
-		f.At = strict.Duration(firstFault + time.Duration(r.Int64N(int64(lastFault-firstFault))))
+		f.At = strictconfig.Duration(firstFault + time.Duration(r.Int64N(int64(lastFault-firstFault))))
 		s.Faults = append(s.Faults, f)
 		if f.What == scenario.Fail && f.Path != "" || f.What == scenario.Reload && r.IntN(2) == 0 { // two in a row
-			again := scenario.Fault{What: scenario.Reload, Who: "agents", At: f.At + strict.Duration(50*time.Millisecond)}
+			again := scenario.Fault{What: scenario.Reload, Who: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
 			s.Faults = append(s.Faults, again)
 		}
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"martenbeam/internal/lab"
-	"martenbeam/internal/lab/inject"
+	"martenbeam/internal/lab/faultinject"
 )
 
 var (
@@ -24,7 +24,7 @@
 
 // Agents keep every rule through what seeds draw. A seed that fails is played again by its number.
 func TestSoak(t *testing.T) {
-	program, err := inject.Build(t.Context(), *root, "./cmd/agent", t.TempDir())
+	program, err := faultinject.Build(t.Context(), *root, "./cmd/agent", t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/standin_test.go
+++ b/internal/lab/standin_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	product "martenbeam/internal/agent"
+	"martenbeam/internal/bootclock"
 	"martenbeam/internal/membership"
-	"martenbeam/internal/systime"
 )
 
 // TestMain lets the test binary stand in for an agent's program: the real agent, or one that is broken in a
@@ -131,7 +131,7 @@
 
 // trace writes what an agent shares: that it used what was told 4 s before, or took half of the limit, as its mode says.
 func (a *brokenAgent) trace(file string) {
-	born := systime.SinceBoot()
+	born := bootclock.SinceBoot()
 	fact := func(what string, at time.Duration) string {
 		return fmt.Sprintf(`{"at":%d,"what":%q,"kind":"distance","observer":"x","subject":"y","incarnation":1,"seq":1}`+"\n", at.Microseconds(), what)
 	}
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -10,21 +10,21 @@
 
 	"martenbeam/internal/agent"
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/fleet/hubclient"
 )
 
 // hubbed is an agent's place in a fleet with hubs, by zone. Its flat place, if it knows any others, is the one to go back to.
-func hubbed(c fleet.Config, hubs map[string]string, cfg *agent.Config) spoke.Config {
+func hubbed(c fleet.Config, hubs map[string]string, cfg *agent.Config) hubclient.Config {
 	region := func(zone string) string {
 		if i := slices.Index(cfg.Site.Zones, zone); i >= 0 && i < len(cfg.Settings.Regions) {
 			return strconv.Itoa(cfg.Settings.Regions[i])
 		}
 		return ""
 	}
-	h := spoke.Config{Name: c.Name, Site: c.Site, Region: region(c.Site), Version: c.Version, Label: c.Label, Listen: c.Listen, Advertise: c.Advertise,
+	h := hubclient.Config{Name: c.Name, Site: c.Site, Region: region(c.Site), Version: c.Version, Label: c.Label, Listen: c.Listen, Advertise: c.Advertise,
 		Most: c.Most, Await: c.Await, Incarnations: c.Incarnations, Bounds: c.Bounds, Relayed: c.Relayed, ListRate: c.ListRate, Residency: c.Residency, Log: c.Log, Trace: c.Trace}
 	for zone, addr := range hubs {
-		h.Hubs = append(h.Hubs, spoke.Hub{Zone: zone, Region: region(zone), Addr: addr})
+		h.Hubs = append(h.Hubs, hubclient.Hub{Zone: zone, Region: region(zone), Addr: addr})
 	}
 	if len(c.Seeds) > 0 {
 		h.Flat = func(door *net.TCPListener, began time.Time, told fleet.Told) (*fleet.Fleet, error) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -15,10 +15,10 @@
 	"martenbeam/internal/agent"
 	"martenbeam/internal/config"
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/fact"
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/hubclient"
 	"martenbeam/internal/fleet/incarnation"
 	"martenbeam/internal/fleet/source"
-	"martenbeam/internal/fleet/spoke"
 	"martenbeam/internal/residency"
 	"martenbeam/internal/residency/gate"
 )
@@ -122,14 +122,14 @@
 		g.moves.set(follow)
 		h.Settings = g.holder
 	}
-	t.Fleet, err = spoke.New(h, zones, told)
+	t.Fleet, err = hubclient.New(h, zones, told)
 	return err
 }
 
 // bounds are how old facts may be when they are used.
-func bounds(f *config.SharedFleet) fact.Bounds {
-	b := fact.Bounds{}
-	for kind, d := range fact.DefaultBounds {
+func bounds(f *config.SharedFleet) gossip.Bounds {
+	b := gossip.Bounds{}
+	for kind, d := range gossip.DefaultBounds {
 		b[kind] = d
 		if ms, said := f.MaxAgeMs[kind.String()]; said {
 			b[kind] = time.Duration(ms * float64(time.Millisecond))
--- a/internal/residency/file.go
+++ b/internal/residency/file.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"os"
 
-	"martenbeam/internal/versioned"
+	"martenbeam/internal/versionedfile"
 )
 
 // ReadFile reads a policy's file, and its text.
@@ -22,12 +22,12 @@
 
 // Keep returns what keeps versions in a folder, synced before they are in force: an older version never comes back.
 func Keep(dir string) func(version int64, texts []string) error {
-	return versioned.Keep(dir, keptName)
+	return versionedfile.Keep(dir, keptName)
 }
 
 // Load takes what was kept in a folder. What is there and can't be read permits nothing to anyone until a policy comes.
 func (h *Holder) Load(dir string) error {
-	version, texts, err := versioned.Load(dir, keptName)
+	version, texts, err := versionedfile.Load(dir, keptName)
 	if err != nil || version == 0 {
 		return err
 	}
@@ -43,7 +43,7 @@
 // Follow takes a policy's file whenever it changes, until ctx ends. One that goes away or can't be read changes nothing:
 // what was given last holds until a higher version is given.
 func (h *Holder) Follow(ctx context.Context, file string, log *slog.Logger) {
-	versioned.Follow(ctx, file, func(text string, err error) {
+	versionedfile.Follow(ctx, file, func(text string, err error) {
 		var p *Policy
 		if err == nil {
 			p, err = Parse(file, text)
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -10,8 +10,8 @@
 	"maps"
 	"slices"
 
-	"martenbeam/internal/strict"
-	"martenbeam/internal/versioned"
+	"martenbeam/internal/strictconfig"
+	"martenbeam/internal/versionedfile"
 )
 
 // Bounds of a policy.
@@ -54,14 +54,16 @@
 		return nil, fmt.Errorf("%s: %d bytes, at most %d", file, len(text), MaxText)
 	}
 	p := &Policy{text: text}
-	if err := strict.Decode(file, text, p); err != nil {
+	if err := strictconfig.Decode(file, text, p); err != nil {
 		return nil, err
 	}
 	return p, p.check(file)
 }
 
 func (p *Policy) check(file string) error {
-	wrong := func(key, format string, args ...any) error { return strict.At(file, p.text, key, format, args...) }
+	wrong := func(key, format string, args ...any) error {
+		return strictconfig.At(file, p.text, key, format, args...)
+	}
 	switch {
 	case p.Version < 1:
 		return wrong("version", "%d is not a number from 1: each change has a higher one", p.Version)
@@ -149,4 +151,4 @@
 }
 
 // Digest tells texts apart.
-func Digest(text string) string { return versioned.Digest(text) }
+func Digest(text string) string { return versionedfile.Digest(text) }
