--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -16,9 +16,9 @@
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/hubclient"
 	"martenbeam/internal/fleet/member"
 	"martenbeam/internal/fleet/source"
-	"martenbeam/internal/fleet/spoke"
 	"martenbeam/internal/residency"
 )
 
@@ -46,10 +46,10 @@
 	Mode       Mode
 	Name, Zone string
 	Zones      []string
-	Listen     string      // "": any port of loopback
-	Seeds      []string    // of a flat fleet
-	Hubs       []spoke.Hub // of a fleet with hubs
-	Region     string      // with hubs: an agent whose own hub is away prefers those of its region
+	Listen     string          // "": any port of loopback
+	Seeds      []string        // of a flat fleet
+	Hubs       []hubclient.Hub // of a fleet with hubs
+	Region     string          // with hubs: an agent whose own hub is away prefers those of its region
 	Label      string
 	Most       int
 	Matrix     bool
@@ -72,8 +72,8 @@
 	spec     Spec
 	wire     *wire
 	place    place
-	fleet    *fleet.Fleet // nil: it has a hub
-	spoke    *spoke.Spoke // nil: the fleet is flat
+	fleet    *fleet.Fleet     // nil: it has a hub
+	spoke    *hubclient.Spoke // nil: the fleet is flat
 	holder   *residency.Holder
 	follower *discovery.Follower
 	end      context.CancelFunc
--- a/internal/scale/hollow/hubs.go
+++ b/internal/scale/hollow/hubs.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"martenbeam/internal/fleet"
-	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/fleet/hubclient"
 	"martenbeam/internal/settings"
 )
 
@@ -19,7 +19,7 @@
 		a.acted(Settings, x.Version)
 		return nil, nil
 	}})
-	a.spoke, err = spoke.New(spoke.Config{Name: s.Name, Site: s.Zone, Region: s.Region, Version: "hollow", Label: s.Label, Listen: s.Listen, Hubs: s.Hubs,
+	a.spoke, err = hubclient.New(hubclient.Config{Name: s.Name, Site: s.Zone, Region: s.Region, Version: "hollow", Label: s.Label, Listen: s.Listen, Hubs: s.Hubs,
 		Most: s.Most, Await: !strings.HasSuffix(s.Listen, ":0"), Relayed: true, ListRate: listRate, Residency: a.holder, Settings: held, Log: log,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return a.wire.Dial(ctx, &net.Dialer{KeepAlive: -1}, addr)
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/fleet/spoke"
+	"martenbeam/internal/fleet/hubclient"
 	"martenbeam/internal/scale/hollow"
 )
 
@@ -151,10 +151,10 @@
 }
 
 // known are the hubs that agents know: all, or the first alone.
-func (h *hubs) known(one bool) (list []spoke.Hub) {
+func (h *hubs) known(one bool) (list []hubclient.Hub) {
 	for i, addr := range h.addrs {
 		if i == 0 || !one {
-			list = append(list, spoke.Hub{Zone: zones[i], Region: zones[i][:1], Addr: addr})
+			list = append(list, hubclient.Hub{Zone: zones[i], Region: zones[i][:1], Addr: addr})
 		}
 	}
 	return list
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -190,13 +190,13 @@
 	in   []string
 }{
 	{"harness", []string{"internal/scale.", "net/http.(*conn).serve;internal/scale"}},
-	{"distances", []string{"internal/fleet/distance.", "fleet.(*Fleet).measure"}},
-	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/start.", "fleet.(*Fleet).Next", "fleet.(*Fleet).Listed"}},
+	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).measure"}},
+	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/startup.", "fleet.(*Fleet).Next", "fleet.(*Fleet).Listed"}},
 	{"settings", []string{"internal/settings.", "spoke.settingsStanding"}},
-	{"hub stream", []string{"internal/fleet/spoke.(*stream)", "internal/fleet/hub/frame."}},
+	{"hub stream", []string{"internal/fleet/hubclient.(*stream)", "internal/fleet/hub/frame."}},
 	{"policy", []string{"fleet.(*Fleet).shareResidency", "fleet.(*Fleet).fetchPolicy", "fleet.(*Fleet).getPolicy", "internal/fleet.(*relay).policy", "internal/residency."}},
-	{"facts", []string{"internal/fleet/fact."}},
-	{"parts", []string{"fleet.(*Fleet).reckon", "fleet.(*Fleet).bury", "fleet.(*Fleet).summarize", "fleet.(*Fleet).tick", "internal/fleet/spoke.(*Spoke).act"}},
+	{"facts", []string{"internal/fleet/gossip."}},
+	{"parts", []string{"fleet.(*Fleet).reckon", "fleet.(*Fleet).bury", "fleet.(*Fleet).summarize", "fleet.(*Fleet).tick", "internal/fleet/hubclient.(*Spoke).act"}},
 	{"members", []string{"hashicorp/memberlist", "internal/fleet/member."}},
 	{"streams", []string{"net/http."}},
 	{"collector", []string{"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcStart"}},
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -4,21 +4,21 @@
 	"context"
 	"log/slog"
 
-	"martenbeam/internal/versioned"
+	"martenbeam/internal/versionedfile"
 )
 
 const keptName = "settings.json"
 
 // Keep returns what keeps versions in a folder, synced before they are in force: an older version never comes back.
 func Keep(dir string) func(version int64, texts []string) error {
-	return versioned.Keep(dir, keptName)
+	return versionedfile.Keep(dir, keptName)
 }
 
 // Load takes what was kept in a folder. What is there and can't be read is an error: the process starts without settings,
 // and takes the first that come. What can be read and not be used, since the agent's own file is another now, is not in
 // force, and still no lower version is taken.
 func (h *Holder) Load(dir string) error {
-	version, texts, err := versioned.Load(dir, keptName)
+	version, texts, err := versionedfile.Load(dir, keptName)
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 // Follow takes the file in which settings are given whenever it changes, until ctx ends. One that goes away or can't be
 // read changes nothing: what was given last stays in force until a higher version is given.
 func (h *Holder) Follow(ctx context.Context, file string, log *slog.Logger) {
-	versioned.Follow(ctx, file, func(text string, err error) {
+	versionedfile.Follow(ctx, file, func(text string, err error) {
 		if err != nil {
 			log.Error("settings: the file can't be read: what was given last stays", "error", err)
 			return
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"martenbeam/internal/config"
-	"martenbeam/internal/versioned"
+	"martenbeam/internal/versionedfile"
 )
 
 // Settings are one text, as read.
@@ -31,7 +31,7 @@
 func Parse(file, text string) (*Settings, error) { return config.ParseSettings(file, text) }
 
 // Digest tells texts apart.
-func Digest(text string) string { return versioned.Digest(text) }
+func Digest(text string) string { return versionedfile.Digest(text) }
 
 // Config says what settings mean to their holder. Each function may be nil, and is not called twice at a time.
 type Config struct {
--- a/internal/strict/strict.go
+++ b/internal/strictconfig/strictconfig.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files and says what is wrong with one in a line that names file, line and key.
-package strict
+// Package strictconfig reads TOML files and says what is wrong with one in a line that names file, line and key.
+package strictconfig
 
 import (
 	"errors"
--- a/internal/versioned/versioned.go
+++ b/internal/versionedfile/versionedfile.go
@@ -1,5 +1,5 @@
-// Package versioned keeps texts that have versions over restarts, and follows the file in which they are given.
-package versioned
+// Package versionedfile keeps texts that have versions over restarts, and follows the file in which they are given.
+package versionedfile
 
 import (
 	"context"
