--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -15,14 +15,14 @@
 )
 
 type agentCmd struct {
-	Config string `help:"Configuration, a TOML file (see config print). Default: what the platform's PROXY_ variables say." env:"MARTENBEAM_CONFIG" placeholder:"FILE"`
+	Config string `name:"config" help:"Configuration, a TOML file (see config print). Default: what the platform's PROXY_ variables say." env:"MARTENBEAM_CONFIG" placeholder:"FILE"`
 	logFlags
 }
 
 // logFlags say how a process logs.
 type logFlags struct {
-	LogLevel  string `help:"Least level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
-	LogFormat string `help:"Form of the log: text or json." enum:"text,json" default:"text"`
+	LogLevel  string `name:"log-level" help:"Least level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
+	LogFormat string `name:"log-format" help:"Form of the log: text or json." enum:"text,json" default:"text"`
 }
 
 // logger writes to w as the flags say. It is to be closed.
@@ -55,16 +55,16 @@
 }
 
 type configCmd struct {
-	Check checkCmd `cmd:"" help:"Say whether a configuration can be used. Exit 0 if it can, 2 if not."`
-	Print printCmd `cmd:"" help:"Print every key with its default and what it means."`
+	Check checkCmd `name:"check" cmd:"" help:"Say whether a configuration can be used. Exit 0 if it can, 2 if not."`
+	Print printCmd `name:"print" cmd:"" help:"Print every key with its default and what it means."`
 }
 
 type checkCmd struct {
-	File string `arg:"" optional:"" help:"A TOML file."`
+	File string `name:"file" arg:"" optional:"" help:"A TOML file."`
 
-	Settings string `help:"Check settings of all agents instead (docs/settings.md)." placeholder:"FILE"`
-	With     string `help:"The agent's file over which the settings are laid." placeholder:"FILE"`
-	Hub      string `help:"Check a hub's configuration instead (docs/hub.md)." placeholder:"FILE"`
+	Settings string `name:"settings" help:"Check settings of all agents instead (docs/settings.md)." placeholder:"FILE"`
+	With     string `name:"with" help:"The agent's file over which the settings are laid." placeholder:"FILE"`
+	Hub      string `name:"hub" help:"Check a hub's configuration instead (docs/hub.md)." placeholder:"FILE"`
 }
 
 func (c *checkCmd) Run(o *output) error {
@@ -109,7 +109,7 @@
 }
 
 type printCmd struct {
-	Hub bool `help:"Of a hub's configuration."`
+	Hub bool `name:"hub" help:"Of a hub's configuration."`
 }
 
 func (c *printCmd) Run(o *output) error {
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -19,17 +19,17 @@
 )
 
 type compareCmd struct {
-	Scenario string  `arg:"" help:"A built-in scenario's name, or a .toml file."`
-	A        string  `help:"The agent's program to compare with. Default: this program's agent, which makes sense with --apart." placeholder:"PATH"`
-	Apart    bool    `help:"The agents of A share nothing, those of B what the scenario says."`
-	Hubs     int     `help:"The agents of B hold to so many hubs, those of A are a flat fleet. 0: both as the scenario says." placeholder:"N"`
-	B        string  `help:"The other one; the difference is B less A. Default: this program's agent." placeholder:"PATH"`
-	Seeds    string  `help:"Seeds, such as 1-5 or 1,4,9. Both versions play each." default:"1-5"`
-	Parallel int     `help:"Pairs played at a time. More than the processors bear shows as void runs." default:"1"`
+	Scenario string  `name:"scenario" arg:"" help:"A built-in scenario's name, or a .toml file."`
+	A        string  `name:"a" help:"The agent's program to compare with. Default: this program's agent, which makes sense with --apart." placeholder:"PATH"`
+	Apart    bool    `name:"apart" help:"The agents of A share nothing, those of B what the scenario says."`
+	Hubs     int     `name:"hubs" help:"The agents of B hold to so many hubs, those of A are a flat fleet. 0: both as the scenario says." placeholder:"N"`
+	B        string  `name:"b" help:"The other one; the difference is B less A. Default: this program's agent." placeholder:"PATH"`
+	Seeds    string  `name:"seeds" help:"Seeds, such as 1-5 or 1,4,9. Both versions play each." default:"1-5"`
+	Parallel int     `name:"parallel" help:"Pairs played at a time. More than the processors bear shows as void runs." default:"1"`
 	JSON     string  `name:"json" help:"Write pairs and differences to FILE." placeholder:"FILE"`
-	Agents   int     `help:"Agents. 0: as the scenario says." placeholder:"N"`
-	Backends int     `help:"Backends. 0: as the scenario says." placeholder:"N"`
-	Rate     float64 `help:"Requests a second. 0: as the scenario says." placeholder:"R"`
+	Agents   int     `name:"agents" help:"Agents. 0: as the scenario says." placeholder:"N"`
+	Backends int     `name:"backends" help:"Backends. 0: as the scenario says." placeholder:"N"`
+	Rate     float64 `name:"rate" help:"Requests a second. 0: as the scenario says." placeholder:"R"`
 }
 
 // seeds reads "1-5" or "1,4,9".
--- a/cmd/martenbeam/hub.go
+++ b/cmd/martenbeam/hub.go
@@ -12,7 +12,7 @@
 )
 
 type hubCmd struct {
-	Config string `help:"Configuration, a TOML file (see config print --hub)." required:"" placeholder:"FILE"`
+	Config string `name:"config" help:"Configuration, a TOML file (see config print --hub)." required:"" placeholder:"FILE"`
 	logFlags
 }
 
--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -20,10 +20,10 @@
 )
 
 type labCmd struct {
-	List    listCmd    `cmd:"" help:"List the built-in scenarios."`
-	Run     runCmd     `cmd:"" help:"Play one scenario and judge it. Exit 0 kept, 3 broken, 4 crashed, 5 void."`
-	Compare compareCmd `cmd:"" help:"Play seeds with two versions of the agent, and tell the difference."`
-	Trace   traceCmd   `cmd:"" help:"Follow one request through everyone who handled it."`
+	List    listCmd    `name:"list" cmd:"" help:"List the built-in scenarios."`
+	Run     runCmd     `name:"run" cmd:"" help:"Play one scenario and judge it. Exit 0 kept, 3 broken, 4 crashed, 5 void."`
+	Compare compareCmd `name:"compare" cmd:"" help:"Play seeds with two versions of the agent, and tell the difference."`
+	Trace   traceCmd   `name:"trace" cmd:"" help:"Follow one request through everyone who handled it."`
 }
 
 type listCmd struct{}
@@ -41,14 +41,14 @@
 
 // fleetFlags change a scenario's size.
 type fleetFlags struct {
-	Agents   int           `help:"Agents, each a process. 0: as the scenario says." placeholder:"N"`
-	Backends int           `help:"Backends. 0: as the scenario says." placeholder:"N"`
-	Rate     float64       `help:"Requests a second over all agents. 0: as the scenario says." placeholder:"R"`
-	For      time.Duration `help:"How long clients send, such as 20s. 0: as the scenario says." placeholder:"D"`
-	Apart    bool          `help:"The agents share nothing: no fleet, no policy."`
-	Hubs     int           `help:"Hubs, each a process; 0: a flat fleet, -1: as the scenario says." default:"-1" placeholder:"N"`
-	AgentBin string        `help:"Another agent's program, started as the platform does. Default: this one." placeholder:"PATH"`
-	Dir      string        `help:"Where agents have their files; kept. Default: a temporary folder, removed." placeholder:"DIR"`
+	Agents   int           `name:"agents" help:"Agents, each a process. 0: as the scenario says." placeholder:"N"`
+	Backends int           `name:"backends" help:"Backends. 0: as the scenario says." placeholder:"N"`
+	Rate     float64       `name:"rate" help:"Requests a second over all agents. 0: as the scenario says." placeholder:"R"`
+	For      time.Duration `name:"for" help:"How long clients send, such as 20s. 0: as the scenario says." placeholder:"D"`
+	Apart    bool          `name:"apart" help:"The agents share nothing: no fleet, no policy."`
+	Hubs     int           `name:"hubs" help:"Hubs, each a process; 0: a flat fleet, -1: as the scenario says." default:"-1" placeholder:"N"`
+	AgentBin string        `name:"agent-bin" help:"Another agent's program, started as the platform does. Default: this one." placeholder:"PATH"`
+	Dir      string        `name:"dir" help:"Where agents have their files; kept. Default: a temporary folder, removed." placeholder:"DIR"`
 }
 
 // apply takes the flags into a scenario. Faults move with a changed length.
@@ -106,11 +106,11 @@
 }
 
 type runCmd struct {
-	Scenario string `arg:"" help:"A built-in scenario's name, or a .toml file."`
-	Seed     uint64 `help:"Decides arrivals, draws and fault times." default:"1"`
+	Scenario string `name:"scenario" arg:"" help:"A built-in scenario's name, or a .toml file."`
+	Seed     uint64 `name:"seed" help:"Decides arrivals, draws and fault times." default:"1"`
 	JSON     string `name:"json" help:"Write the report to FILE." placeholder:"FILE"`
-	Events   string `help:"Write every request's history to FILE, for lab trace." placeholder:"FILE"`
-	Quiet    bool   `short:"q" help:"No line a second."`
+	Events   string `name:"events" help:"Write every request's history to FILE, for lab trace." placeholder:"FILE"`
+	Quiet    bool   `name:"quiet" short:"q" help:"No line a second."`
 	fleetFlags
 }
 
@@ -245,7 +245,7 @@
 }
 
 type traceCmd struct {
-	File string `arg:"" help:"What lab run --events wrote." type:"existingfile"`
+	File string `name:"file" arg:"" help:"What lab run --events wrote." type:"existingfile"`
 	ID   string `arg:"" name:"request-id" help:"The id of a try, or of a client's first try."`
 }
 
--- a/cmd/martenbeam/main.go
+++ b/cmd/martenbeam/main.go
@@ -29,11 +29,11 @@
 func (e codeError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
 type cli struct {
-	Up     upCmd     `cmd:"" help:"Start a whole fleet on this machine and watch it: agents, backends, discovery and clients."`
-	Lab    labCmd    `cmd:"" help:"Play scenarios with faults on a fleet of real processes, and compare versions."`
-	Agent  agentCmd  `cmd:"" help:"Run one agent."`
-	Hub    hubCmd    `cmd:"" help:"Run one hub, which agents attach to (docs/hub.md)."`
-	Config configCmd `cmd:"" help:"Check a configuration, or print the defaults."`
+	Up     upCmd     `name:"up" cmd:"" help:"Start a whole fleet on this machine and watch it: agents, backends, discovery and clients."`
+	Lab    labCmd    `name:"lab" cmd:"" help:"Play scenarios with faults on a fleet of real processes, and compare versions."`
+	Agent  agentCmd  `name:"agent" cmd:"" help:"Run one agent."`
+	Hub    hubCmd    `name:"hub" cmd:"" help:"Run one hub, which agents attach to (docs/hub.md)."`
+	Config configCmd `name:"config" cmd:"" help:"Check a configuration, or print the defaults."`
 }
 
 const about = `A client-side load balancer and the tools to see it at work.
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -17,13 +17,13 @@
 )
 
 type upCmd struct {
-	Agents   int           `help:"Agents, each a process." default:"4" placeholder:"N"`
-	Backends int           `help:"Backends, over three zones." default:"12" placeholder:"N"`
-	Rate     float64       `help:"Requests a second over all agents." default:"200" placeholder:"R"`
-	For      time.Duration `help:"How long, such as 30s. 0: until Ctrl-C." placeholder:"D"`
-	Seed     uint64        `help:"Decides arrivals and draws." default:"1"`
-	Play     string        `help:"Play a scenario's faults, over and over. Default: none." placeholder:"NAME"`
-	AgentBin string        `help:"Another agent's program." placeholder:"PATH"`
+	Agents   int           `name:"agents" help:"Agents, each a process." default:"4" placeholder:"N"`
+	Backends int           `name:"backends" help:"Backends, over three zones." default:"12" placeholder:"N"`
+	Rate     float64       `name:"rate" help:"Requests a second over all agents." default:"200" placeholder:"R"`
+	For      time.Duration `name:"for" help:"How long, such as 30s. 0: until Ctrl-C." placeholder:"D"`
+	Seed     uint64        `name:"seed" help:"Decides arrivals and draws." default:"1"`
+	Play     string        `name:"play" help:"Play a scenario's faults, over and over. Default: none." placeholder:"NAME"`
+	AgentBin string        `name:"agent-bin" help:"Another agent's program." placeholder:"PATH"`
 }
 
 func (c *upCmd) Run(o *output) error {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -96,18 +96,21 @@
 
 func parseConfig(raw []byte, getenv func(string) string) (*Config, error) {
 	var f struct {
-		Name, Listen, Discovery, Seed string
-		Limits                        struct {
-			Cores    float64
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int
-		}
-		Mgmt       string
-		DialFrom   string `json:"dial_from"`
-		PeerListen string `json:"peer_listen"`
-		Peers      []string
-		Known      *discovery.Members
-		Settings   json.RawMessage
+		Name      string `json:"Name"`
+		Listen    string `json:"Listen"`
+		Discovery string `json:"Discovery"`
+		Seed      string `json:"Seed"`
+		Limits    struct {
+			Cores    float64 `json:"Cores"`
+			MemoryMB int     `json:"memory_mb"`
+			Sockets  int     `json:"Sockets"`
+		} `json:"Limits"`
+		Mgmt       string             `json:"Mgmt"`
+		DialFrom   string             `json:"dial_from"`
+		PeerListen string             `json:"peer_listen"`
+		Peers      []string           `json:"Peers"`
+		Known      *discovery.Members `json:"Known"`
+		Settings   json.RawMessage    `json:"Settings"`
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
--- a/internal/agent/operations/server.go
+++ b/internal/agent/operations/server.go
@@ -164,7 +164,9 @@
 
 // move takes a call about a backend to the module, and says what it said.
 func (s *Server) move(w http.ResponseWriter, ctx context.Context, body []byte, detach bool) {
-	var told struct{ Target *string }
+	var told struct {
+		Target *string `json:"Target"`
+	}
 	if err := json.Unmarshal(body, &told); err != nil || told.Target == nil || *told.Target == "" {
 		http.Error(w, `the call's body must be {"target":"ID"}`, http.StatusBadRequest)
 		return
--- a/internal/scale/callway/drive.go
+++ b/internal/scale/callway/drive.go
@@ -94,12 +94,12 @@
 
 // Cell is one agent in a window: its list, and the calls through it.
 type Cell struct {
-	List   int     // backends
-	Rate   float64 // calls a second through the agent, and as many directly
-	Tick   string  // the agent's attempts.tick
-	Even   bool    `json:",omitempty"` // calls come evenly; else each at random, as from many callers
-	Agents int     `json:",omitempty"` // so many agents, each called at this rate, count as one; 0: one
-	Turns  string  `json:",omitempty"` // how a change of the list is told each second: "", "entries" or "whole"
+	List   int     `json:"List"`             // backends
+	Rate   float64 `json:"Rate"`             // calls a second through the agent, and as many directly
+	Tick   string  `json:"Tick"`             // the agent's attempts.tick
+	Even   bool    `json:"Even,omitempty"`   // calls come evenly; else each at random, as from many callers
+	Agents int     `json:"Agents,omitempty"` // so many agents, each called at this rate, count as one; 0: one
+	Turns  string  `json:"Turns,omitempty"`  // how a change of the list is told each second: "", "entries" or "whole"
 }
 
 // lane is a cell's agent at work.
--- a/internal/scale/callway/process.go
+++ b/internal/scale/callway/process.go
@@ -103,7 +103,10 @@
 func (p *Process) follow(log io.Reader, serving chan<- string) {
 	defer close(p.read)
 	for lines := bufio.NewScanner(log); lines.Scan(); {
-		var l struct{ Msg, Listen string }
+		var l struct {
+			Msg    string `json:"Msg"`
+			Listen string `json:"Listen"`
+		}
 		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Msg == "serving" {
 			serving <- l.Listen
 		}
--- a/internal/scale/callway/report.go
+++ b/internal/scale/callway/report.go
@@ -13,48 +13,64 @@
 
 // Spread is quantiles of latencies, in ms.
 type Spread struct {
-	N                       int
-	P50, P99, P999, Most    float64
-	FreshShare, In99, Out99 float64 // share of calls on a new connection to the backend; p99 of either half of the way
+	N          int     `json:"N"`
+	P50        float64 `json:"P50"`
+	P99        float64 `json:"P99"`
+	P999       float64 `json:"P999"`
+	Most       float64 `json:"Most"`
+	FreshShare float64 `json:"FreshShare"` // share of calls on a new connection to the backend
+	In99       float64 `json:"In99"`       // p99 of the way to the backend
+	Out99      float64 `json:"Out99"`      // p99 of the way back
 }
 
 // Row is what one cell showed in one run.
 type Row struct {
-	Window string
+	Window string `json:"Window"`
 	Cell
-	Direct, Through                      Spread
-	After, Rest, AfterDirect, RestDirect Spread `json:",omitzero"`
-	Changes                              int    `json:",omitempty"`
-	Failed, FailedDirect                 int
-	Why                                  string  `json:",omitempty"`
-	LateP99                              float64 // of the caller itself
-	ResidentMB, CPUms                    float64 // of one agent, the latter for each second
-	Slowest                              Slowest
+	Direct       Spread  `json:"Direct"`
+	Through      Spread  `json:"Through"`
+	After        Spread  `json:"After,omitzero"`
+	Rest         Spread  `json:"Rest,omitzero"`
+	AfterDirect  Spread  `json:"AfterDirect,omitzero"`
+	RestDirect   Spread  `json:"RestDirect,omitzero"`
+	Changes      int     `json:"Changes,omitempty"`
+	Failed       int     `json:"Failed"`
+	FailedDirect int     `json:"FailedDirect"`
+	Why          string  `json:"Why,omitempty"`
+	LateP99      float64 `json:"LateP99"`    // of the caller itself
+	ResidentMB   float64 `json:"ResidentMB"` // of one agent
+	CPUms        float64 `json:"CPUms"`      // of one agent, for each second
+	Slowest      Slowest `json:"Slowest"`
 }
 
 // Slowest is what the slowest hundredth of the calls through the agent spent, in ms, in the mean: on the way to the backend's handler, and
 // back from there; and the share that went on a new connection.
-type Slowest struct{ In, Out, FreshShare float64 }
+type Slowest struct {
+	In         float64 `json:"In"`
+	Out        float64 `json:"Out"`
+	FreshShare float64 `json:"FreshShare"`
+}
 
 // IdleRow is what an agent uses that nobody calls.
 type IdleRow struct {
-	List              int
-	ResidentMB, CPUms float64 // the latter for each second
+	List       int     `json:"List"`
+	ResidentMB float64 `json:"ResidentMB"`
+	CPUms      float64 `json:"CPUms"` // for each second
 }
 
 // Result is every run.
 type Result struct {
-	How  string
-	Runs []Run
+	How  string `json:"How"`
+	Runs []Run  `json:"Runs"`
 }
 
 // Run is one of them.
 type Run struct {
-	At   time.Time
-	Rows []Row
-	Idle []IdleRow
+	At   time.Time `json:"At"`
+	Rows []Row     `json:"Rows"`
+	Idle []IdleRow `json:"Idle"`
 	// Stolen is the share of the cores' time that the system's host gave to others meanwhile; 0 may be: not measured.
-	Stolen float64
+	Stolen float64 `json:"Stolen"`
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,39 +10,61 @@
 
 // facts mirrors the settings object of the wire, in the wire's own names.
 type facts struct {
-	Balancers int
-	Me        int
-	Zone      int
-	CountedBy string
+	Balancers int    `json:"Balancers"`
+	Me        int    `json:"Me"`
+	Zone      int    `json:"Zone"`
+	CountedBy string `json:"CountedBy"`
 	Profiles  []struct {
-		Name       string
-		AimMs      float64
-		DeadlineMs float64
-		Worth      float64
-		LateValue  float64
-		Semantics  string
-		Group      string
-		WindowMs   float64
-	}
-	MembershipMode string
-	TickMs         float64
+		Name       string  `json:"Name"`
+		AimMs      float64 `json:"AimMs"`
+		DeadlineMs float64 `json:"DeadlineMs"`
+		Worth      float64 `json:"Worth"`
+		LateValue  float64 `json:"LateValue"`
+		Semantics  string  `json:"Semantics"`
+		Group      string  `json:"Group"`
+		WindowMs   float64 `json:"WindowMs"`
+	} `json:"Profiles"`
+	MembershipMode string  `json:"MembershipMode"`
+	TickMs         float64 `json:"TickMs"`
 	PolicyLimits   struct {
-		TryLimit                                          int
-		SecondCopies, MayProbe, Cancel, RetryAfter, Peers bool
-		MaxRetryAfterMs, ConnectTimeoutMs                 float64
-		IdleCloseMs, MaxOpen                              float64
-	}
+		TryLimit         int     `json:"TryLimit"`
+		SecondCopies     bool    `json:"SecondCopies"`
+		MayProbe         bool    `json:"MayProbe"`
+		Cancel           bool    `json:"Cancel"`
+		RetryAfter       bool    `json:"RetryAfter"`
+		Peers            bool    `json:"Peers"`
+		MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
+		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
+		IdleCloseMs      float64 `json:"IdleCloseMs"`
+		MaxOpen          float64 `json:"MaxOpen"`
+	} `json:"PolicyLimits"`
 	Contract struct {
-		DrainGraceMs, GraceToAnswerMs, AskWithinMs float64
-		ColdFrom, RampTimeMs, FallMultiple, FallMs float64
-	}
-	FamilyInfo struct{ WarmKeys bool }
-	Goal       struct{ Whole, WorstWindow, WorstClass float64 }
-	Prices     struct{ CrossZone, CrossRegion float64 }
-	Regions    []int // of the zones in Dcs; not on the platform
-	Dcs        []string
-	Kinds      []string
-	Report     struct{ Source string }
+		DrainGraceMs    float64 `json:"DrainGraceMs"`
+		GraceToAnswerMs float64 `json:"GraceToAnswerMs"`
+		AskWithinMs     float64 `json:"AskWithinMs"`
+		ColdFrom        float64 `json:"ColdFrom"`
+		RampTimeMs      float64 `json:"RampTimeMs"`
+		FallMultiple    float64 `json:"FallMultiple"`
+		FallMs          float64 `json:"FallMs"`
+	} `json:"Contract"`
+	FamilyInfo struct {
+		WarmKeys bool `json:"WarmKeys"`
+	} `json:"FamilyInfo"`
+	Goal struct {
+		Whole       float64 `json:"Whole"`
+		WorstWindow float64 `json:"WorstWindow"`
+		WorstClass  float64 `json:"WorstClass"`
+	} `json:"Goal"`
+	Prices struct {
+		CrossZone   float64 `json:"CrossZone"`
+		CrossRegion float64 `json:"CrossRegion"`
+	} `json:"Prices"`
+	Regions []int    `json:"Regions"` // of the zones in Dcs; not on the platform
+	Dcs     []string `json:"Dcs"`
+	Kinds   []string `json:"Kinds"`
+	Report  struct {
+		Source string `json:"Source"`
+	} `json:"Report"`
 }
 
 // Site is what an agent on sockets needs of the settings object besides what the module takes.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -54,41 +54,41 @@
 }
 
 type entry struct {
-	Backend      string
-	Availability string
-	Rating       float64
-	Block        int
-	LaunchedMs   float64
-	Sku          int
-	Dc           int
+	Backend      string  `json:"Backend"`
+	Availability string  `json:"Availability"`
+	Rating       float64 `json:"Rating"`
+	Block        int     `json:"Block"`
+	LaunchedMs   float64 `json:"LaunchedMs"`
+	Sku          int     `json:"Sku"`
+	Dc           int     `json:"Dc"`
 }
 
 // message holds the fields of every message; pointers mark those that some
 // message must carry.
 type message struct {
-	Kind       string `json:"msg"`
-	ClockMs    *float64
-	Agent      *int
-	RandomSeed *uint64
-	Facts      json.RawMessage
-	Sheet      *int
-	Items      *[]entry
-	How        *string
-	Job        *string
-	TierClass  *int
-	GraceMs    *float64
-	WorkHintMs float64
-	StateBits  int
-	Item       string
-	Outcome    *string
-	WaitTimeMs *float64
-	Backend    *string
-	SendNo     *int
-	Ended      bool
-	Usage      map[string]float64
-	Cookie     *int64
-	From       *int
-	Text       *string `json:"Msg"`
+	Kind       string             `json:"msg"`
+	ClockMs    *float64           `json:"ClockMs"`
+	Agent      *int               `json:"Agent"`
+	RandomSeed *uint64            `json:"RandomSeed"`
+	Facts      json.RawMessage    `json:"Facts"`
+	Sheet      *int               `json:"Sheet"`
+	Items      *[]entry           `json:"Items"`
+	How        *string            `json:"How"`
+	Job        *string            `json:"Job"`
+	TierClass  *int               `json:"TierClass"`
+	GraceMs    *float64           `json:"GraceMs"`
+	WorkHintMs float64            `json:"WorkHintMs"`
+	StateBits  int                `json:"StateBits"`
+	Item       string             `json:"Item"`
+	Outcome    *string            `json:"Outcome"`
+	WaitTimeMs *float64           `json:"WaitTimeMs"`
+	Backend    *string            `json:"Backend"`
+	SendNo     *int               `json:"SendNo"`
+	Ended      bool               `json:"Ended"`
+	Usage      map[string]float64 `json:"Usage"`
+	Cookie     *int64             `json:"Cookie"`
+	From       *int               `json:"From"`
+	Text       *string            `json:"Msg"`
 }
 
 // Key hashes what a request concerns, the same everywhere; 0 where that is unknown.
