--- /dev/null
+++ b/cmd/martenbeam/forms_test.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"brookferry/internal/lab"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew; refused where CI is set")
+
+// golden compares text with a file in testdata.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
+	if *update {
+		if os.Getenv("CI") != "" {
+			t.Fatal("-update is refused where CI is set")
+		}
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s has changed.\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// The whole of each command's help: names of commands, flags and arguments, with their defaults.
+func TestHelpOfEachCommandIsPinned(t *testing.T) {
+	for _, command := range []string{"", "up", "lab", "lab list", "lab run", "lab compare", "lab trace", "agent", "hub", "config", "config check", "config print"} {
+		var out, errs bytes.Buffer
+		if code := run(append(strings.Fields(command), "--help"), &out, &errs); code != 0 || errs.Len() > 0 {
+			t.Errorf("%q: exit %d, %s", command, code, errs.String())
+		}
+		golden(t, "help"+strings.ReplaceAll(" "+command, " ", "-")+".txt", out.Bytes())
+	}
+}
+
+// What the commands print of defaults and scenarios, and the form of a comparison's file.
+func TestPrintedTextsArePinned(t *testing.T) {
+	for _, command := range []string{"config print", "config print --hub", "lab list"} {
+		var out, errs bytes.Buffer
+		if code := run(strings.Fields(command), &out, &errs); code != 0 || errs.Len() > 0 {
+			t.Errorf("%q: exit %d, %s", command, code, errs.String())
+		}
+		golden(t, "print-"+strings.ReplaceAll(strings.ReplaceAll(command, " --", "-"), " ", "-")+".txt", out.Bytes())
+	}
+	c := comparison{1, "calm", []lab.Pair{{Seed: 2}}, finite([]lab.Difference{
+		{Measure: "m3", A: 4, B: 5, Mean: 6, Low: 7, High: 8, Each: []float64{9}, Verdict: "v10"},
+		{Measure: "m11", A: 12, B: 13, Mean: 14, Low: math.Inf(-1), High: math.Inf(1), Each: []float64{15}, Verdict: "v16"}})}
+	text, err := json.MarshalIndent(c, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "comparison.json", append(text, '\n'))
+}
--- /dev/null
+++ b/internal/forms/config_test.go
@@ -0,0 +1,189 @@
+package forms
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"brookferry"
+	"brookferry/internal/agent"
+	"brookferry/internal/agent/discovery"
+	"brookferry/internal/config"
+	"brookferry/internal/wire"
+)
+
+// Configurations: the files that people write, and the platform's form.
+
+// The keys of each file, and the defaults as `config print` shows them.
+func TestConfigurationsKeepTheirKeys(t *testing.T) {
+	goldenKeys[config.Config](t, "agent-keys.txt")
+	goldenKeys[config.Hub](t, "hub-keys.txt")
+	golden(t, "agent-defaults.toml", []byte(config.Default))
+	golden(t, "hub-defaults.toml", []byte(config.DefaultHub))
+}
+
+// A complete file of an agent means the same in the platform's form.
+func TestAgentFileMeansTheSameOnThePlatform(t *testing.T) {
+	c, err := config.Parse("agent.toml", string(stored(t, "agent.toml")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := c.Platform()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var v any
+	if err := json.Unmarshal(raw, &v); err != nil {
+		t.Fatal(err)
+	}
+	goldenJSON(t, "agent-platform.json", v)
+	shared, err := config.ReadShared(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenJSON(t, "agent-shared.json", shared)
+}
+
+// A complete file of a hub is read, and no key of it is unknown.
+func TestHubFileIsRead(t *testing.T) {
+	h, err := config.ParseHub("hub.toml", string(stored(t, "hub.toml")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if h.Name != "hub1" || h.Label != "l2" || h.Listen != "127.0.0.1:3" || h.Advertise != "127.0.0.1:4" || h.Most != 6 || h.ListRate != 7.5 ||
+		h.AdmitRate != 8.5 || h.Trace != "trace9" || h.Settings.File != "testdata/settings.toml" || h.Settings.State != "state11" ||
+		h.Residency.File != "testdata/policy.toml" || h.Residency.State != "state13" || h.Residency.Bound.D() != 14*time.Second ||
+		h.MaxAge["gone"].D() != 18*time.Second {
+		t.Errorf("%+v", h)
+	}
+	if _, err := config.ParseHub("hub.toml", "lable = \"x\"\n"); err == nil || !strings.Contains(err.Error(), "hub.toml:1: lable: unknown key") {
+		t.Errorf("an unknown key: %v", err)
+	}
+}
+
+// The platform's configuration is read key by key.
+func TestPlatformConfigurationKeepsItsKeys(t *testing.T) {
+	c, err := load(stored(t, "platform.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Settings, c.Site = brookferry.Settings{}, wire.Site{}
+	equal(t, "configuration", *c, agent.Config{Name: "agent-1", Listen: "127.0.0.1:2", Discovery: "127.0.0.1:3", Mgmt: "127.0.0.1:4", Seed: 0x5, Cores: 6.5,
+		MemoryMB: 77, Sockets: 888, DialFrom: "127.0.0.9", PeerListen: "127.0.0.1:10", Peers: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"},
+		Known: &discovery.Members{Version: 14, Full: true, Servers: []discovery.Member{
+			{ID: "b15", Addr: "127.0.0.1:16", Zone: "a", Kind: "k", Cell: 17, State: "ready", Weight: 18.5, Started: 19}}}})
+}
+
+func load(raw []byte) (*agent.Config, error) {
+	return agent.Source{Name: "test", Getenv: func(string) string { return "" }, Read: func() ([]byte, error) { return raw, nil }}.Load()
+}
+
+// Each key of the platform's configuration, the settings' included, changes what is read when its value changes, or can't
+// be read then. A key that has another name now would be passed over.
+func TestNoKeyOfThePlatformIsPassedOver(t *testing.T) {
+	raw := stored(t, "platform.json")
+	before, err := load(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var leaves []string
+	var walk func(v any, path string, set func(any))
+	walk = func(v any, path string, set func(any)) {
+		switch v := v.(type) {
+		case map[string]any:
+			for key, child := range v {
+				walk(child, path+"."+key, func(x any) { v[key] = x })
+			}
+			return
+		case []any:
+			for i, child := range v {
+				walk(child, fmt.Sprintf("%s[%d]", path, i), func(x any) { v[i] = x })
+			}
+			return
+		}
+		leaves = append(leaves, path)
+	}
+	var doc any
+	if err := json.Unmarshal(raw, &doc); err != nil {
+		t.Fatal(err)
+	}
+	walk(doc, "", nil)
+	for _, leaf := range leaves {
+		var doc any
+		if err := json.Unmarshal(raw, &doc); err != nil {
+			t.Fatal(err)
+		}
+		change(doc, "", leaf)
+		text, err := json.Marshal(doc)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if after, err := load(text); err == nil && reflect.DeepEqual(before, after) {
+			t.Errorf("%s: another value makes no difference", leaf)
+		}
+	}
+	if len(leaves) < 70 {
+		t.Errorf("%d keys", len(leaves))
+	}
+}
+
+// change gives the leaf of a document another value of its kind.
+func change(v any, path, leaf string) {
+	other := func(x any) any {
+		switch x := x.(type) {
+		case bool:
+			return !x
+		case float64:
+			return x + 1
+		case string:
+			return x + "x"
+		}
+		return x
+	}
+	switch v := v.(type) {
+	case map[string]any:
+		for key, child := range v {
+			if path+"."+key == leaf {
+				v[key] = other(child)
+			} else {
+				change(child, path+"."+key, leaf)
+			}
+		}
+	case []any:
+		for i, child := range v {
+			if at := fmt.Sprintf("%s[%d]", path, i); at == leaf {
+				v[i] = other(child)
+			} else {
+				change(child, at, leaf)
+			}
+		}
+	}
+}
+
+// The settings of the start message mean the same.
+func TestSettingsOfTheStartMessageKeepTheirMeaning(t *testing.T) {
+	var doc struct {
+		Settings json.RawMessage `json:"settings"`
+	}
+	if err := json.Unmarshal(stored(t, "platform.json"), &doc); err != nil {
+		t.Fatal(err)
+	}
+	s, site, err := wire.ParseSettings(doc.Settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const ms = time.Millisecond
+	equal(t, "settings", s, brookferry.Settings{Balancers: 3, Self: 2, Zone: 1, ByWork: true, Subscribe: true, Tick: 21 * ms,
+		Classes: []brookferry.Class{
+			{Aim: 22 * ms, Deadline: 23 * ms, Worth: 24.5, LateWorth: 0.25, Effect: brookferry.Safe, Group: brookferry.GroupAll, Window: 26 * ms},
+			{Aim: 27 * ms, Deadline: 28 * ms, Worth: 29.5, LateWorth: 0.3, Effect: brookferry.Keyed, Group: brookferry.GroupZone, Window: 31 * ms},
+			{Aim: 32 * ms, Deadline: 33 * ms, Worth: 34.5, LateWorth: 0.35, Effect: brookferry.Unsafe, Group: brookferry.GroupCell, Window: 36 * ms}},
+		MaxAttempts: 37, SecondCopies: true, MayProbe: true, MayCancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 38 * ms, ConnectTimeout: 39 * ms,
+		DrainGrace: 42 * ms, AnswerGrace: 43 * ms, AskWithin: 44 * ms, ColdShare: 0.45, RampTime: 46 * ms, FallMultiple: 4.7, FallWindow: 48 * ms,
+		GoalWhole: 0.49, GoalWindow: 0.5, GoalClass: 0.51, CrossZonePrice: 0.52, Regions: []int{0, 0}, CrossRegionPrice: 0.53, WarmKeys: true})
+	equal(t, "site", site, wire.Site{Classes: []string{"c1", "c2", "c3"}, Zones: []string{"a", "b"}, Kinds: []string{"k", "l"}, IdleClose: 40 * ms,
+		MaxOpen: 41, LoadInline: true})
+}
--- /dev/null
+++ b/internal/forms/lab_test.go
@@ -0,0 +1,74 @@
+package forms
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+
+	"brookferry/internal/lab"
+	"brookferry/internal/lab/check"
+	"brookferry/internal/lab/inject"
+	"brookferry/internal/lab/scenario"
+	"brookferry/internal/scale/callway"
+)
+
+// What the lab and the measurements write, and the scenarios that the lab reads.
+
+// The report of a run, and of a comparison.
+func TestReportsKeepTheirForm(t *testing.T) {
+	goldenJSON(t, "report.json", filled[lab.Report]())
+	goldenJSON(t, "pair.json", lab.Pair{Seed: 1})
+	goldenJSON(t, "difference.json", filled[lab.Difference]())
+	goldenJSON(t, "callway.json", filled[callway.Result]())
+	if lab.Schema != 1 {
+		t.Errorf("schema %d", lab.Schema)
+	}
+	equal(t, "verdicts", []string{lab.Kept, lab.Broken, lab.Crashed, lab.Void}, []string{"kept", "broken", "crashed", "void"})
+	var measures []string
+	for _, m := range lab.Measures {
+		measures = append(measures, m.Name)
+	}
+	golden(t, "measures.txt", []byte(strings.Join(measures, "\n")+"\n"))
+}
+
+// The history of a request, as `lab run --events` writes it and `lab trace` reads it.
+func TestRequestHistoryKeepsItsForm(t *testing.T) {
+	q := check.Request{ID: "r1", First: "r2", Try: 3, Agent: 4, Class: 5, Sent: 6, GiveUp: 7, History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
+	goldenJSON(t, "request.json", q)
+	var got check.Request
+	if err := json.Unmarshal(stored(t, "request.json"), &got); err != nil {
+		t.Fatal(err)
+	}
+	equal(t, "read back", got, q)
+	equal(t, "rules", []string{check.RuleAnswer, check.RuleDuplicate, check.RuleDrain, check.RuleCold, check.RuleUnsent, check.RuleGone, check.RuleDeadline,
+		check.RuleResidency}, []string{"answer", "duplicate", "drain", "cold", "unsent", "gone", "deadline", "residency"})
+	var answers []string
+	for a := check.Served; a <= check.Foreign; a++ {
+		answers = append(answers, a.String())
+	}
+	golden(t, "answers.txt", []byte(strings.Join(answers, "\n")+"\n"))
+}
+
+// The plan by which the lab makes system calls of a program fail.
+func TestInjectedPlanKeepsItsForm(t *testing.T) {
+	goldenJSON(t, "inject-plan.json", filled[inject.Plan]())
+}
+
+// The keys of a scenario, the built-in ones and the kinds of fault.
+func TestScenariosKeepTheirNames(t *testing.T) {
+	goldenKeys[scenario.Scenario](t, "scenario-keys.txt")
+	golden(t, "scenarios.txt", []byte(strings.Join(scenario.Names(), "\n")+"\n"))
+	equal(t, "kinds of fault", []string{scenario.Link, scenario.Kill, scenario.Term, scenario.Stop, scenario.ZoneLost, scenario.ZoneCut, scenario.ZoneDeaf,
+		scenario.Replace, scenario.Drain, scenario.Bad, scenario.Slow, scenario.Neighbour, scenario.Burst, scenario.ListSilent, scenario.ListAway,
+		scenario.ListRewind, scenario.Power, scenario.Policy, scenario.Settings, scenario.Reload, scenario.Wall, scenario.Fail, scenario.Crowd},
+		[]string{"link", "kill", "term", "stop", "zone-lost", "zone-cut", "zone-deaf", "replace", "drain", "bad", "slow", "neighbour", "burst",
+			"list-silent", "list-away", "list-rewind", "power", "policy", "settings", "reload", "wall", "fail", "crowd"})
+	for _, name := range scenario.Names() {
+		s, err := scenario.Read(name)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+		} else if s.Name != name {
+			t.Errorf("%s is called %s", name, s.Name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/forms/stored_test.go
@@ -0,0 +1,169 @@
+package forms
+
+import (
+	"bytes"
+	"encoding/json"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"brookferry"
+	"brookferry/internal/agent/discovery"
+	"brookferry/internal/agent/handover"
+	"brookferry/internal/residency"
+	"brookferry/internal/settings"
+	"brookferry/internal/versioned"
+)
+
+// What a process stores for a later one. The files named stored-... are read as the later process would.
+
+const (
+	settingsText = "version = 3\ndiscovery = \"127.0.0.1:7\"\nattempts.most = 4\n"
+	policyText   = "version = 6\nwhen_stale = \"refuse\"\n[regions]\nnorth = [\"a\"]\nsouth = [\"b\", \"c\"]\n" +
+		"[tenant.t1]\npermitted = [\"north\"]\nwhen_stale = \"serve\"\n[tenant.t1.class.bulk]\npermitted = [\"south\"]\n[others]\npermitted = [\"*\"]\n"
+)
+
+// handoverRecord is what stored-handover.json holds.
+func handoverRecord() handover.Record {
+	return handover.Record{Format: 1, Turn: 2, Saved: 1700000000003,
+		Detached: map[string]int64{"b1": 1700000000004}, Attached: map[string]int64{"b2": 1700000000005},
+		SavedAt: 6_000_006, DetachedAt: map[string]int64{"b1": 7_000_007}, AttachedAt: map[string]int64{"b2": 8_000_008},
+		Lame: true, LameAt: 9_000_009, From: "127.0.0.1:10",
+		List: &discovery.Members{Version: 11, Full: true, Servers: []discovery.Member{
+			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, Started: 15}}},
+		Snapshot: &brookferry.Snapshot{Tokens: 16.5, PerBack: 17.5, Delay: 0.185, Best: 0.195, Asked: 20.5, Moved: 21.5,
+			Peers: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
+}
+
+// A record of an agent's processes is written with the same keys, and one stored earlier is read.
+func TestHandoverRecordKeepsItsForm(t *testing.T) {
+	r := handoverRecord()
+	text, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "stored-handover.json", text)
+
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "handover.json"), stored(t, "stored-handover.json"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s := handover.New(dir, slog.New(slog.DiscardHandler))
+	calls, lame, ok := s.Look()
+	if !ok || !lame {
+		t.Fatalf("read %v, lame duck %v", ok, lame)
+	}
+	equal(t, "the record", s.Known(), r)
+	for _, c := range calls {
+		switch want := (handover.Call{Backend: "b1", Out: true, At: 7_000_007 * time.Microsecond}); {
+		case c.Backend == "b1" && c != want:
+			t.Errorf("got %+v, want %+v", c, want)
+		case c.Backend == "b2" && c != (handover.Call{Backend: "b2", At: 8_000_008 * time.Microsecond}):
+			t.Errorf("got %+v", c)
+		}
+	}
+	if len(calls) != 2 {
+		t.Errorf("calls %+v", calls)
+	}
+	if err := s.Begin(); err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	equal(t, "files", names, []string{"handover.json", "lock", "owner"})
+}
+
+// Settings are kept as before, and kept ones come into force.
+func TestKeptSettingsKeepTheirForm(t *testing.T) {
+	dir := t.TempDir()
+	if err := settings.Keep(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "stored-settings.json", read(t, dir, "settings.json"))
+
+	dir = put(t, "settings.json", "stored-settings.json")
+	h := settings.NewHolder(settings.Config{})
+	if err := h.Load(dir); err != nil {
+		t.Fatal(err)
+	}
+	if v := h.State().Version; v != 3 {
+		t.Errorf("version %d", v)
+	}
+	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText, versioned.Digest("version = 3\n"): "version = 3\n"} {
+		if v, text, ok := h.Text(digest); v != 3 || text != want || !ok {
+			t.Errorf("%s: version %d, %q, %v", digest, v, text, ok)
+		}
+	}
+	if err := h.Take(2, "version = 2\n"); err == nil {
+		t.Error("a lower version was taken")
+	}
+	equal(t, "digest", settings.Digest(settingsText), "da4d8bc885a122dd")
+}
+
+// A residency policy is kept as before, and a kept one comes into force.
+func TestKeptPolicyKeepsItsForm(t *testing.T) {
+	dir := t.TempDir()
+	if err := residency.Keep(dir)(6, []string{policyText}); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "stored-policy.json", read(t, dir, "policy.json"))
+
+	dir = put(t, "policy.json", "stored-policy.json")
+	h := residency.NewHolder([]string{"a", "b", "c"}, time.Minute, true, slog.New(slog.DiscardHandler), nil)
+	if err := h.Load(dir); err != nil {
+		t.Fatal(err)
+	}
+	if v, text, ok := h.Text(residency.Digest(policyText)); v != 6 || text != policyText || !ok {
+		t.Errorf("version %d, %q, %v", v, text, ok)
+	}
+	tenant, bulk, other := h.Rule("t1", "web"), h.Rule("t1", "bulk"), h.Rule("t2", "web")
+	table := h.Table()
+	equal(t, "zones of the tenant", table.Rules[tenant], []bool{true, false, false})
+	equal(t, "zones of its class", table.Rules[bulk], []bool{false, true, true})
+	equal(t, "zones of others", table.Rules[other], []bool(nil))
+}
+
+// The texts of settings and of a policy have the same keys.
+func TestTextsKeepTheirKeys(t *testing.T) {
+	goldenKeys[residency.Policy](t, "policy-keys.txt")
+	p, err := residency.Parse("policy", policyText)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if p.Version != 6 || p.WhenStale != "refuse" || len(p.Regions) != 2 || p.Tenants["t1"].WhenStale != "serve" ||
+		p.Tenants["t1"].Classes["bulk"].Permitted[0] != "south" || p.Others.Permitted[0] != "*" {
+		t.Errorf("%+v", p)
+	}
+	s, err := settings.Parse("settings", settingsText)
+	if err != nil || s.Version != 3 || s.Text != settingsText {
+		t.Errorf("%+v, %v", s, err)
+	}
+}
+
+func read(t *testing.T, dir, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(dir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.Clone(text)
+}
+
+// put returns a folder that holds a file of testdata under a name.
+func put(t *testing.T, name, from string) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, name), stored(t, from), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
