--- a/message_forms_test.go
+++ b/balancer/message_forms_test.go
@@ -1,4 +1,4 @@
-package brookferry
+package balancer
 
 import (
 	"encoding/hex"
--- a/cmd/martenbeam/forms_test.go
+++ b/cmd/martenbeam/forms_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"brookferry/internal/lab"
+	"martenbeam/internal/lab"
 )
 
 var update = flag.Bool("update", false, "write the files in testdata anew; refused where CI is set")
--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/config"
-	"brookferry/internal/wire"
+	"martenbeam/balancer"
+	"martenbeam/internal/agent"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/config"
+	"martenbeam/internal/wire"
 )
 
 // Configurations: the files that people write, and the platform's form.
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings, c.Site = brookferry.Settings{}, wire.Site{}
+	c.Settings, c.Site = balancer.Settings{}, wire.Site{}
 	equal(t, "configuration", *c, agent.Config{Name: "agent-1", Listen: "127.0.0.1:2", Discovery: "127.0.0.1:3", Mgmt: "127.0.0.1:4", Seed: 0x5, Cores: 6.5,
 		MemoryMB: 77, Sockets: 888, DialFrom: "127.0.0.9", PeerListen: "127.0.0.1:10", Peers: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"},
 		Known: &discovery.Members{Version: 14, Full: true, Servers: []discovery.Member{
@@ -176,11 +176,11 @@
 		t.Fatal(err)
 	}
 	const ms = time.Millisecond
-	equal(t, "settings", s, brookferry.Settings{Balancers: 3, Self: 2, Zone: 1, ByWork: true, Subscribe: true, Tick: 21 * ms,
-		Classes: []brookferry.Class{
-			{Aim: 22 * ms, Deadline: 23 * ms, Worth: 24.5, LateWorth: 0.25, Effect: brookferry.Safe, Group: brookferry.GroupAll, Window: 26 * ms},
-			{Aim: 27 * ms, Deadline: 28 * ms, Worth: 29.5, LateWorth: 0.3, Effect: brookferry.Keyed, Group: brookferry.GroupZone, Window: 31 * ms},
-			{Aim: 32 * ms, Deadline: 33 * ms, Worth: 34.5, LateWorth: 0.35, Effect: brookferry.Unsafe, Group: brookferry.GroupCell, Window: 36 * ms}},
+	equal(t, "settings", s, balancer.Settings{Balancers: 3, Self: 2, Zone: 1, ByWork: true, Subscribe: true, Tick: 21 * ms,
+		Classes: []balancer.Class{
+			{Aim: 22 * ms, Deadline: 23 * ms, Worth: 24.5, LateWorth: 0.25, Effect: balancer.Safe, Group: balancer.GroupAll, Window: 26 * ms},
+			{Aim: 27 * ms, Deadline: 28 * ms, Worth: 29.5, LateWorth: 0.3, Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 31 * ms},
+			{Aim: 32 * ms, Deadline: 33 * ms, Worth: 34.5, LateWorth: 0.35, Effect: balancer.Unsafe, Group: balancer.GroupCell, Window: 36 * ms}},
 		MaxAttempts: 37, SecondCopies: true, MayProbe: true, MayCancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 38 * ms, ConnectTimeout: 39 * ms,
 		DrainGrace: 42 * ms, AnswerGrace: 43 * ms, AskWithin: 44 * ms, ColdShare: 0.45, RampTime: 46 * ms, FallMultiple: 4.7, FallWindow: 48 * ms,
 		GoalWhole: 0.49, GoalWindow: 0.5, GoalClass: 0.51, CrossZonePrice: 0.52, Regions: []int{0, 0}, CrossRegionPrice: 0.53, WarmKeys: true})
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -11,13 +11,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"brookferry/internal/fleet/distance"
-	"brookferry/internal/fleet/fact"
-	"brookferry/internal/fleet/hub"
-	"brookferry/internal/fleet/hub/frame"
-	"brookferry/internal/fleet/member"
-	"brookferry/internal/fleet/start"
-	"brookferry/internal/fleet/texts"
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/latency"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/startup"
 )
 
 // What processes of a fleet write to each other.
@@ -57,36 +57,36 @@
 
 // A message of facts with one of each kind, and the bodies that have a form of their own.
 func TestGossipedFactsKeepTheirBytes(t *testing.T) {
-	standing := texts.Standing{Version: 7, Digests: []string{"d1", "d2"}}
+	standing := documents.Standing{Version: 7, Digests: []string{"d1", "d2"}}
 	census := hub.Census{Attached: 30, Starting: 20, Gone: 10}
 	names, err := cbor.Marshal([]string{"n1", "n2"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := filled[fact.Message]()
+	m := filled[gossip.Message]()
 	m.Facts = nil
 	for i, f := range []struct {
-		kind fact.Kind
+		kind gossip.Kind
 		body []byte
 	}{
-		{fact.Service, storedHex(t, "body-service.hex")}, {fact.Distance, storedHex(t, "body-distance.hex")}, {fact.Residency, standing.Body()},
-		{fact.Gone, names}, {fact.Settings, standing.Body()}, {fact.Census, census.MarshalBody()},
+		{gossip.Service, storedHex(t, "body-service.hex")}, {gossip.Distance, storedHex(t, "body-distance.hex")}, {gossip.Residency, standing.Body()},
+		{gossip.Gone, names}, {gossip.Settings, standing.Body()}, {gossip.Census, census.MarshalBody()},
 	} {
-		one := *filled[fact.Fact]()
+		one := *filled[gossip.Fact]()
 		one.Kind, one.Body, one.Seq = f.kind, f.body, uint64(100+i)
 		m.Facts = append(m.Facts, one)
 	}
-	data, err := fact.Encode(m)
+	data, err := gossip.Encode(m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenHex(t, "facts.hex", data)
-	got, err := fact.Decode(storedHex(t, "facts.hex"))
+	got, err := gossip.Decode(storedHex(t, "facts.hex"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	equal(t, "read back", got, m)
-	if s, ok := texts.ParseStanding(got.Facts[2].Body); !ok {
+	if s, ok := documents.ParseStanding(got.Facts[2].Body); !ok {
 		t.Error("the standing can't be read")
 	} else {
 		equal(t, "standing", s, standing)
@@ -97,7 +97,7 @@
 	}
 	equal(t, "census", c, census)
 	var kinds []string
-	for k := fact.Service; k <= fact.Census; k++ {
+	for k := gossip.Service; k <= gossip.Census; k++ {
 		kinds = append(kinds, k.String())
 	}
 	equal(t, "kinds", kinds, []string{"service", "distance", "residency", "gone", "settings", "census"})
@@ -105,10 +105,10 @@
 
 // The load of the list service, as one who called it tells it and as a hub sums it up.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
-	facts := fact.New("n1", 5, fact.DefaultBounds, nil)
-	p := start.New(start.Config{Rate: 40, Met: func() bool { return true }, Facts: facts})
+	facts := gossip.New("n1", 5, gossip.DefaultBounds, nil)
+	p := startup.New(startup.Config{Rate: 40, Met: func() bool { return true }, Facts: facts})
 	p.Answered(time.Millisecond, true, 9)
-	told := facts.Now(fact.Service)
+	told := facts.Now(gossip.Service)
 	if len(told) != 1 {
 		t.Fatalf("%d facts", len(told))
 	}
@@ -116,7 +116,7 @@
 	told[0].Body = storedHex(t, "body-service.hex")
 	var sums [][]byte
 	var subjects []string
-	for _, s := range start.Sum(told) {
+	for _, s := range startup.Sum(told) {
 		sums, subjects = append(sums, s.Body), append(subjects, s.Subject)
 	}
 	equal(t, "subjects", subjects, []string{"lists", "lists refused"})
@@ -125,9 +125,9 @@
 
 // A row of round trips.
 func TestDistanceRowKeepsItsBytes(t *testing.T) {
-	m := distance.Matrix{
-		distance.Pair{A: "a", B: "b"}: {Trip: 1500 * time.Microsecond, Spread: 300 * time.Microsecond, Loss: 0.25, Observers: 5, Age: time.Second},
-		distance.Pair{A: "a", B: "c"}: {Trip: 2500 * time.Microsecond, Spread: 400 * time.Microsecond, Loss: 0.5, Observers: 4, Age: 2 * time.Second},
+	m := latency.Matrix{
+		latency.Pair{A: "a", B: "b"}: {Trip: 1500 * time.Microsecond, Spread: 300 * time.Microsecond, Loss: 0.25, Observers: 5, Age: time.Second},
+		latency.Pair{A: "a", B: "c"}: {Trip: 2500 * time.Microsecond, Spread: 400 * time.Microsecond, Loss: 0.5, Observers: 4, Age: 2 * time.Second},
 	}
 	body, age := m.Row("a", time.Minute)
 	goldenHex(t, "body-distance.hex", body)
@@ -141,7 +141,7 @@
 		sent = bytes.Clone(data)
 		return time.Now(), nil
 	}
-	p := distance.New(distance.Config{Self: "n1", Site: "a", Label: "fleet", Write: write})
+	p := latency.New(latency.Config{Self: "n1", Site: "a", Label: "fleet", Write: write})
 	ask := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
 	ask = append(ask, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
 	p.Heard(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // dwelt for longer than the field holds
@@ -164,7 +164,7 @@
 
 // The text that a process hands out, and what a hub reports of settings.
 func TestTextsAndReportsOverHTTPKeepTheirForm(t *testing.T) {
-	k := &texts.Kind{Holder: holder{}}
+	k := &documents.Kind{Holder: holder{}}
 	w := httptest.NewRecorder()
 	k.Serve(w, "d1")
 	golden(t, "text.json", w.Body.Bytes())
@@ -184,11 +184,11 @@
 // A line of a fleet's trace, but for the time.
 func TestTraceLinesKeepTheirForm(t *testing.T) {
 	var b bytes.Buffer
-	trace := fact.Trace{W: &b}
-	f := *filled[fact.Fact]()
-	f.Kind = fact.Census
-	trace.Use(fact.Use{Fact: f, Told: true, Now: 1500 * time.Microsecond})
-	trace.Use(fact.Use{Fact: f, Now: 2500 * time.Microsecond})
+	trace := gossip.Trace{W: &b}
+	f := *filled[gossip.Fact]()
+	f.Kind = gossip.Census
+	trace.Use(gossip.Use{Fact: f, Told: true, Now: 1500 * time.Microsecond})
+	trace.Use(gossip.Use{Fact: f, Now: 2500 * time.Microsecond})
 	var out []byte
 	for line := range bytes.Lines(b.Bytes()) {
 		var v map[string]any
@@ -210,7 +210,7 @@
 
 // The kinds of fact have bounds, each of them.
 func TestFactsHaveBounds(t *testing.T) {
-	if n := reflect.ValueOf(fact.DefaultBounds).Len(); n != 6 {
+	if n := reflect.ValueOf(gossip.DefaultBounds).Len(); n != 6 {
 		t.Errorf("%d bounds", n)
 	}
 }
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -5,11 +5,11 @@
 	"strings"
 	"testing"
 
-	"brookferry/internal/lab"
-	"brookferry/internal/lab/check"
-	"brookferry/internal/lab/inject"
-	"brookferry/internal/lab/scenario"
-	"brookferry/internal/scale/callway"
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/faultinject"
+	"martenbeam/internal/lab/scenario"
+	"martenbeam/internal/scale/callway"
 )
 
 // What the lab and the measurements write, and the scenarios that the lab reads.
@@ -51,7 +51,7 @@
 
 // The plan by which the lab makes system calls of a program fail.
 func TestInjectedPlanKeepsItsForm(t *testing.T) {
-	goldenJSON(t, "inject-plan.json", filled[inject.Plan]())
+	goldenJSON(t, "inject-plan.json", filled[faultinject.Plan]())
 }
 
 // The keys of a scenario, the built-in ones and the kinds of fault.
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/wire"
+	"martenbeam/balancer"
+	"martenbeam/internal/wire"
 )
 
 // What the decision module has written for it by package wire, and what it writes itself.
@@ -22,25 +22,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := []brookferry.Backend{
-		{ID: "b1", State: brookferry.Up, Weight: 2.5, Cell: 3, Started: 4 * ms, Kind: 5, Zone: 6},
-		{ID: "b2", State: brookferry.Draining, Weight: 7.5, Cell: 8, Started: 9 * ms, Kind: 10, Zone: 11},
-		{ID: "b3", State: brookferry.Gone, Weight: 12.5, Cell: 13, Started: 14 * ms, Kind: 15, Zone: 16}}
-	load := brookferry.Load{Valid: true, Queue: 17, Service: 18 * ms, ErrorsPerSec: 19}
-	events := []brookferry.Event{
-		brookferry.List{Kind: brookferry.ListDelta, Backends: list},
-		brookferry.List{Kind: brookferry.ListFull, Backends: list},
-		brookferry.List{Kind: brookferry.ListCached, Backends: list},
-		brookferry.List{Kind: brookferry.ListFailed},
-		brookferry.Request{ID: "r1", Class: 1, Left: 20 * ms, Work: 21 * ms, Repeat: true, Key: wire.Key("item22")},
-	}
-	for i, result := range []brookferry.Result{brookferry.OK, brookferry.Errored, brookferry.Full, brookferry.TimedOut, brookferry.ConnectFailed,
-		brookferry.Reset, brookferry.Cancelled, brookferry.NotSent} {
-		events = append(events, brookferry.Outcome{Request: "r1", Attempt: 23 + i, Backend: "b1", Result: result, Latency: 24 * ms, Done: true, Load: load})
-	}
-	events = append(events, brookferry.ProbeResult{Backend: "b2", Result: brookferry.OK, Latency: 25 * ms, Load: load},
-		brookferry.StreamStarted{Request: "r1", Attempt: 26}, brookferry.Abandoned{Request: "r1"}, brookferry.TimerFired{Token: 27},
-		brookferry.PeerMessage{From: 28, Data: []byte{29, 30}})
+	list := []balancer.Backend{
+		{ID: "b1", State: balancer.Up, Weight: 2.5, Cell: 3, Started: 4 * ms, Kind: 5, Zone: 6},
+		{ID: "b2", State: balancer.Draining, Weight: 7.5, Cell: 8, Started: 9 * ms, Kind: 10, Zone: 11},
+		{ID: "b3", State: balancer.Gone, Weight: 12.5, Cell: 13, Started: 14 * ms, Kind: 15, Zone: 16}}
+	load := balancer.Load{Valid: true, Queue: 17, Service: 18 * ms, ErrorsPerSec: 19}
+	events := []balancer.Event{
+		balancer.List{Kind: balancer.ListDelta, Backends: list},
+		balancer.List{Kind: balancer.ListFull, Backends: list},
+		balancer.List{Kind: balancer.ListCached, Backends: list},
+		balancer.List{Kind: balancer.ListFailed},
+		balancer.Request{ID: "r1", Class: 1, Left: 20 * ms, Work: 21 * ms, Repeat: true, Key: wire.Key("item22")},
+	}
+	for i, result := range []balancer.Result{balancer.OK, balancer.Errored, balancer.Full, balancer.TimedOut, balancer.ConnectFailed,
+		balancer.Reset, balancer.Cancelled, balancer.NotSent} {
+		events = append(events, balancer.Outcome{Request: "r1", Attempt: 23 + i, Backend: "b1", Result: result, Latency: 24 * ms, Done: true, Load: load})
+	}
+	events = append(events, balancer.ProbeResult{Backend: "b2", Result: balancer.OK, Latency: 25 * ms, Load: load},
+		balancer.StreamStarted{Request: "r1", Attempt: 26}, balancer.Abandoned{Request: "r1"}, balancer.TimerFired{Token: 27},
+		balancer.PeerMessage{From: 28, Data: []byte{29, 30}})
 	if b.Now != 1500250*time.Microsecond || len(b.Events) != len(events)+2 {
 		t.Fatalf("at %v, %d events", b.Now, len(b.Events))
 	}
@@ -61,13 +61,13 @@
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
 	const ms = time.Millisecond
-	if err := w.Actions(7, []brookferry.Action{
-		brookferry.Send{Request: "r1", Backend: "b2", Timeout: 3 * ms, Before: 4 * ms}, brookferry.Send{Request: "r5", Backend: "b6"},
-		brookferry.Cancel{Request: "r7", Attempt: 8}, brookferry.Refuse{Request: "r9", RetryAfter: 10500 * time.Microsecond, Residency: true},
-		brookferry.Refuse{Request: "r11"}, brookferry.Fail{Request: "r12 \"é\""}, brookferry.SetTimer{After: 13 * ms, Token: 14},
-		brookferry.Probe{Backend: "b15"}, brookferry.TellPeer{To: 16, Data: []byte{17, 18}},
-		brookferry.ZoneTurn{Zone: 19}, brookferry.ZoneTurn{Zone: 20, Left: true}, brookferry.ZoneTurn{Zone: 21, Left: true, Told: true},
-		brookferry.Subscribe{}}); err != nil {
+	if err := w.Actions(7, []balancer.Action{
+		balancer.Send{Request: "r1", Backend: "b2", Timeout: 3 * ms, Before: 4 * ms}, balancer.Send{Request: "r5", Backend: "b6"},
+		balancer.Cancel{Request: "r7", Attempt: 8}, balancer.Refuse{Request: "r9", RetryAfter: 10500 * time.Microsecond, Residency: true},
+		balancer.Refuse{Request: "r11"}, balancer.Fail{Request: "r12 \"é\""}, balancer.SetTimer{After: 13 * ms, Token: 14},
+		balancer.Probe{Backend: "b15"}, balancer.TellPeer{To: 16, Data: []byte{17, 18}},
+		balancer.ZoneTurn{Zone: 19}, balancer.ZoneTurn{Zone: 20, Left: true}, balancer.ZoneTurn{Zone: 21, Left: true, Told: true},
+		balancer.Subscribe{}}); err != nil {
 		t.Fatal(err)
 	}
 	w.Broken(7, "panic: 22")
@@ -79,69 +79,69 @@
 
 // balancer returns one of many agents with two zones and a fixed seed, in a state that requests have shaped, with the
 // messages that it has sent to its peers.
-func balancer(t *testing.T, self int, heard [][]byte) (b *brookferry.Balancer, told [][]byte) {
+func newBalancer(t *testing.T, self int, heard [][]byte) (b *balancer.Balancer, told [][]byte) {
 	t.Helper()
 	const ms = time.Millisecond
-	s := brookferry.Settings{Balancers: 40, Self: self, Classes: []brookferry.Class{{Aim: 100 * ms, Deadline: 1000 * ms, Worth: 1, LateWorth: 0.2}},
+	s := balancer.Settings{Balancers: 40, Self: self, Classes: []balancer.Class{{Aim: 100 * ms, Deadline: 1000 * ms, Worth: 1, LateWorth: 0.2}},
 		MaxAttempts: 3, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 50 * ms, ColdShare: 0.2, RampTime: time.Second,
 		FallMultiple: 3, FallWindow: time.Second, GoalWhole: 1, CrossZonePrice: 0.03}
-	b, err := brookferry.New(s, 5)
+	b, err := balancer.New(s, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
 	timers := map[int64]time.Duration{}
-	var list []brookferry.Backend
+	var list []balancer.Backend
 	for i := range 6 {
-		list = append(list, brookferry.Backend{ID: fmt.Sprint("b", i), Zone: i / 3, Weight: 1})
+		list = append(list, balancer.Backend{ID: fmt.Sprint("b", i), Zone: i / 3, Weight: 1})
 	}
 	requests := 0
-	var step func(events ...brookferry.Event)
-	step = func(events ...brookferry.Event) {
-		var answers []brookferry.Event
+	var step func(events ...balancer.Event)
+	step = func(events ...balancer.Event) {
+		var answers []balancer.Event
 		for _, a := range b.Step(now, events) {
 			switch a := a.(type) {
-			case brookferry.Send:
-				result, latency := brookferry.OK, 20*ms+time.Duration(requests%7)*ms
+			case balancer.Send:
+				result, latency := balancer.OK, 20*ms+time.Duration(requests%7)*ms
 				if a.Backend == "b1" || a.Backend >= "b3" && requests%9 == 0 {
-					result = brookferry.Errored
+					result = balancer.Errored
 				}
-				answers = append(answers, brookferry.Outcome{Request: a.Request, Backend: a.Backend, Result: result, Latency: latency, Done: result == brookferry.OK,
-					Load: brookferry.Load{Queue: -1, Service: -1, ErrorsPerSec: -1}})
-			case brookferry.SetTimer:
+				answers = append(answers, balancer.Outcome{Request: a.Request, Backend: a.Backend, Result: result, Latency: latency, Done: result == balancer.OK,
+					Load: balancer.Load{Queue: -1, Service: -1, ErrorsPerSec: -1}})
+			case balancer.SetTimer:
 				timers[a.Token] = now + a.After
-			case brookferry.TellPeer:
+			case balancer.TellPeer:
 				told = append(told, append([]byte{byte(a.To)}, a.Data...))
 			}
 		}
 		if len(answers) > 0 {
 			now += 20 * ms
 			for i := range answers {
-				o := answers[i].(brookferry.Outcome)
+				o := answers[i].(balancer.Outcome)
 				o.Done = true // a failed attempt ends its request here: further ones would have numbers of their own
 				answers[i] = o
 			}
 			step(answers...)
 		}
 	}
-	step(brookferry.List{Kind: brookferry.ListFull, Backends: list})
+	step(balancer.List{Kind: balancer.ListFull, Backends: list})
 	for range 60 {
 		requests++
 		if requests == 50 { // not long before the end, since what peers say of themselves holds for a while alone
 			for _, data := range heard {
-				step(brookferry.PeerMessage{From: 0, Data: data[1:]})
+				step(balancer.PeerMessage{From: 0, Data: data[1:]})
 			}
 		}
-		step(brookferry.Request{ID: fmt.Sprint("r", requests), Left: time.Second})
+		step(balancer.Request{ID: fmt.Sprint("r", requests), Left: time.Second})
 		now += 3 * ms
 		for token := int64(1); token <= int64(len(timers)); token++ {
 			if at, pending := timers[token]; pending && at <= now {
 				timers[token] = time.Hour * 1e6
-				step(brookferry.TimerFired{Token: token})
+				step(balancer.TimerFired{Token: token})
 			}
 		}
 		if requests == 40 {
-			step(brookferry.Emptying{On: true})
+			step(balancer.Emptying{On: true})
 		}
 	}
 	return b, told
@@ -150,7 +150,7 @@
 // The messages of agents to their peers: what one agent sends is read by another, and shapes what it knows. A change of what
 // the module decides changes these too.
 func TestPeerMessagesKeepTheirBytes(t *testing.T) {
-	b, told := balancer(t, 0, nil)
+	b, told := newBalancer(t, 0, nil)
 	if len(told) < 3 {
 		t.Fatalf("%d messages", len(told))
 	}
@@ -161,7 +161,7 @@
 	golden(t, "peer-messages.txt", []byte(text.String()))
 	goldenJSON(t, "snapshot-sender.json", b.Snapshot())
 
-	b, _ = balancer(t, 1, told[:len(told)/2]) // later ones say that the sender's clients are elsewhere
+	b, _ = newBalancer(t, 1, told[:len(told)/2]) // later ones say that the sender's clients are elsewhere
 	s := b.Snapshot()
 	goldenJSON(t, "snapshot-receiver.json", s)
 	if s.Peers[0] <= 0 {
@@ -171,16 +171,16 @@
 
 // The snapshot that one process of an agent leaves to the next has the same keys, and one that was stored is taken over.
 func TestSnapshotKeepsItsKeys(t *testing.T) {
-	goldenJSON(t, "snapshot-keys.json", filled[brookferry.Snapshot]())
-	var s brookferry.Snapshot
+	goldenJSON(t, "snapshot-keys.json", filled[balancer.Snapshot]())
+	var s balancer.Snapshot
 	if err := json.Unmarshal(stored(t, "snapshot-receiver.json"), &s); err != nil {
 		t.Fatal(err)
 	}
-	b, err := brookferry.New(brookferry.Settings{Balancers: 40, Self: 1, Classes: []brookferry.Class{{Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 40, Self: 1, Classes: []balancer.Class{{Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(time.Hour, []brookferry.Event{brookferry.Restore{Snapshot: s}})
+	b.Step(time.Hour, []balancer.Event{balancer.Restore{Snapshot: s}})
 	got := b.Snapshot()
 	equal(t, "restored", []any{got.Tokens, got.PerBack, got.Delay, got.Latency, got.Peers[0]}, []any{s.Tokens, s.PerBack, s.Delay, s.Latency, s.Peers[0]})
 }
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"brookferry"
-	"brookferry/internal/agent/discovery"
-	"brookferry/internal/agent/handover"
-	"brookferry/internal/residency"
-	"brookferry/internal/settings"
-	"brookferry/internal/versioned"
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/handover"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
+	"martenbeam/internal/versionedfile"
 )
 
 // What a process stores for a later one. The files named stored-... are read as the later process would.
@@ -33,7 +33,7 @@
 		Lame: true, LameAt: 9_000_009, From: "127.0.0.1:10",
 		List: &discovery.Members{Version: 11, Full: true, Servers: []discovery.Member{
 			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, Started: 15}}},
-		Snapshot: &brookferry.Snapshot{Tokens: 16.5, PerBack: 17.5, Delay: 0.185, Best: 0.195, Asked: 20.5, Moved: 21.5,
+		Snapshot: &balancer.Snapshot{Tokens: 16.5, PerBack: 17.5, Delay: 0.185, Best: 0.195, Asked: 20.5, Moved: 21.5,
 			Peers: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
@@ -98,7 +98,7 @@
 	if v := h.State().Version; v != 3 {
 		t.Errorf("version %d", v)
 	}
-	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText, versioned.Digest("version = 3\n"): "version = 3\n"} {
+	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText, versionedfile.Digest("version = 3\n"): "version = 3\n"} {
 		if v, text, ok := h.Text(digest); v != 3 || text != want || !ok {
 			t.Errorf("%s: version %d, %q, %v", digest, v, text, ok)
 		}
