--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -24,53 +24,53 @@
 	// Ready reports whether clients are taken.
 	Ready() bool
 	// Move has a backend detached, or attached again, and reports whether it has it. It fails once ctx ends.
-	Move(ctx context.Context, backend string, detach bool) (taken bool, err error)
+	SetDisabled(ctx context.Context, backend string, detach bool) (taken bool, err error)
 	// Drain empties the agent of clients, or takes them again.
-	Drain(on bool)
+	SetLameDuck(on bool)
 }
 
 // Server answers operators' calls: one a connection, a 2xx answer is yes, a 4xx or 5xx no.
 type Server struct {
-	Record func(context.Context, handover.Call) error // where a successor finds a call; may be nil. Set before Run
-	Within time.Duration                              // an answer is given
-
-	log      *slog.Logger
-	agent    Agent
-	listener net.Listener
-	server   *http.Server
-	waiting  *clientconn.Waiting
-	readers  sync.WaitGroup // of connections: each ends with its socket
+	Record        func(context.Context, handover.Call) error // where a successor finds a call; may be nil. Set before Run
+	AnswerTimeout time.Duration                              // an answer is given
+
+	log       *slog.Logger
+	agent     Agent
+	listener  net.Listener
+	server    *http.Server
+	idleConns *clientconn.IdleConns
+	readers   sync.WaitGroup // of connections: each ends with its socket
 }
 
 const (
-	callTimeout = 5 * time.Second // for a call to come whole
-	maxCall     = 4 << 10         // bytes of a call's body
+	readTimeout     = 5 * time.Second // for a call to come whole
+	maxRequestBytes = 4 << 10         // bytes of a call's body
 
-	// AnswerWithin leaves of the second in which an answer is due the moment that recording a call may take past it.
-	AnswerWithin = 600 * time.Millisecond
+	// DefaultAnswerTimeout leaves of the second in which an answer is due the moment that recording a call may take past it.
+	DefaultAnswerTimeout = 600 * time.Millisecond
 )
 
 // New listens at an address, for at most so many calls at once. It waits for an address that another process still has, until
 // ctx ends.
-func New(ctx context.Context, addr string, most int, agent Agent, log *slog.Logger) (*Server, error) {
-	s := &Server{log: log, agent: agent, waiting: clientconn.NewWaiting(), Within: AnswerWithin}
-	ln, err := listener.TCP(ctx, addr)
+func New(ctx context.Context, addr string, maxConns int, agent Agent, log *slog.Logger) (*Server, error) {
+	s := &Server{log: log, agent: agent, idleConns: clientconn.NewIdleConns(), AnswerTimeout: DefaultAnswerTimeout}
+	ln, err := listener.ListenTCP(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	limited := listener.Limit(ln, most)
-	limited.Failed = func(err error) { log.Warn("accepting operators' calls fails", "error", err) }
-	limited.Full = s.waiting.MakeRoom // who calls and says nothing must not keep out those who would
+	limited := listener.Limit(ln, maxConns)
+	limited.OnAcceptError = func(err error) { log.Warn("accepting operators' calls fails", "error", err) }
+	limited.OnFull = s.idleConns.EvictIdle // who calls and says nothing must not keep out those who would
 	s.listener = limited
 	s.server = &http.Server{
 		Handler:        s,
-		ReadTimeout:    callTimeout,
-		WriteTimeout:   callTimeout + 2*AnswerWithin,
-		MaxHeaderBytes: maxCall,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   readTimeout + 2*DefaultAnswerTimeout,
+		MaxHeaderBytes: maxRequestBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
-		ConnState:      s.waiting.Track,
+		ConnState:      s.idleConns.Track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, callerKey{}, c)
+			return context.WithValue(ctx, connKey{}, c)
 		},
 	}
 	s.server.SetKeepAlivesEnabled(false)
@@ -80,7 +80,7 @@
 // Addr is where operators call.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-type callerKey struct{}
+type connKey struct{}
 
 // Run answers calls until ctx ends, and then those that have come whole.
 func (s *Server) Run(ctx context.Context) {
@@ -88,7 +88,7 @@
 	go func() {
 		defer close(closed)
 		<-ctx.Done()
-		bound, cancel := context.WithTimeout(context.Background(), s.Within)
+		bound, cancel := context.WithTimeout(context.Background(), s.AnswerTimeout)
 		defer cancel()
 		if s.server.Shutdown(bound) != nil { // callers who say nothing are not waited for
 			s.server.Close()
@@ -102,7 +102,7 @@
 }
 
 // calls are the paths that may be called, with their methods.
-var calls = map[string]string{
+var methodByPath = map[string]string{
 	"/_ready":           http.MethodGet,
 	"/_backends/detach": http.MethodPut,
 	"/_backends/attach": http.MethodPut,
@@ -111,20 +111,20 @@
 }
 
 // ServeHTTP answers one call. It acts once the call has come whole.
-func (s *Server) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	method, known := calls[hr.URL.Path]
+func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	method, known := methodByPath[request.URL.Path]
 	if !known {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
-	if hr.Method != method {
+	if request.Method != method {
 		w.Header().Set("Allow", method)
 		http.Error(w, "this call takes "+method, http.StatusMethodNotAllowed)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, hr.Body, maxCall))
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxRequestBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		http.Error(w, "the call is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -132,79 +132,79 @@
 		http.Error(w, "the call can't be read", http.StatusBadRequest)
 		return
 	}
-	if c, ok := hr.Context().Value(callerKey{}).(net.Conn); ok && !s.waiting.Claim(c) {
+	if c, ok := request.Context().Value(connKey{}).(net.Conn); ok && !s.idleConns.Claim(c) {
 		panic(http.ErrAbortHandler) // closed to make room before it was whole
 	}
-	switch hr.URL.Path {
+	switch request.URL.Path {
 	case "/_ready":
 		if !s.agent.Ready() {
 			http.Error(w, "takes no clients", http.StatusServiceUnavailable)
 			return
 		}
 	case "/_lameduck/on", "/_lameduck/off":
-		on := hr.URL.Path == "/_lameduck/on"
-		ctx, cancel := context.WithTimeout(hr.Context(), s.Within)
+		on := request.URL.Path == "/_lameduck/on"
+		ctx, cancel := context.WithTimeout(request.Context(), s.AnswerTimeout)
 		defer cancel()
-		recorded := s.keep(ctx, handover.Call{Out: on}) // first: what the record lacks is taken back here
-		s.agent.Drain(on)
+		recorded := s.record(ctx, handover.Call{Out: on}) // first: what the record lacks is taken back here
+		s.agent.SetLameDuck(on)
 		s.log.Info("lame duck", "on", on)
-		s.answer(w, recorded)
+		s.respond(w, recorded)
 		return
 	default:
-		s.move(w, hr.Context(), body, hr.URL.Path == "/_backends/detach")
+		s.setDisabled(w, request.Context(), body, request.URL.Path == "/_backends/detach")
 		return
 	}
-	s.yes(w)
+	s.respondOK(w)
 }
 
-func (s *Server) yes(w http.ResponseWriter) {
+func (s *Server) respondOK(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = io.WriteString(w, "yes\n") // a caller that is gone needs no answer
 }
 
-// move takes a call about a backend to the module, and says what it said.
-func (s *Server) move(w http.ResponseWriter, ctx context.Context, body []byte, detach bool) {
-	var told struct {
+// setDisabled takes a call about a backend to the module, and says what it said.
+func (s *Server) setDisabled(w http.ResponseWriter, ctx context.Context, body []byte, disable bool) {
+	var call struct {
 		Target *string `json:"Target"`
 	}
-	if err := json.Unmarshal(body, &told); err != nil || told.Target == nil || *told.Target == "" {
+	if err := json.Unmarshal(body, &call); err != nil || call.Target == nil || *call.Target == "" {
 		http.Error(w, `the call's body must be {"target":"ID"}`, http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.Within)
+	ctx, cancel := context.WithTimeout(ctx, s.AnswerTimeout)
 	defer cancel()
-	taken, err := s.agent.Move(ctx, *told.Target, detach)
+	found, err := s.agent.SetDisabled(ctx, *call.Target, disable)
 	switch {
 	case err != nil:
-		s.log.Warn("a call found no answer in time", "backend", *told.Target, "detach", detach, "error", err)
+		s.log.Warn("a call found no answer in time", "backend", *call.Target, "detach", disable, "error", err)
 		http.Error(w, "no answer in time, call again", http.StatusServiceUnavailable)
-	case !taken:
-		s.log.Info("a call for a backend that nobody has", "backend", *told.Target, "detach", detach)
+	case !found:
+		s.log.Info("a call for a backend that nobody has", "backend", *call.Target, "detach", disable)
 		http.Error(w, "no backend has this id", http.StatusNotFound)
 	default:
-		s.log.Info("backend called", "backend", *told.Target, "detached", detach)
-		s.answer(w, s.keep(ctx, handover.Call{Backend: *told.Target, Out: detach}))
+		s.log.Info("backend called", "backend", *call.Target, "detached", disable)
+		s.respond(w, s.record(ctx, handover.Call{Backend: *call.Target, Out: disable}))
 	}
 }
 
-// keep records a call that holds here for a successor, and reports whether it could by ctx's end.
-func (s *Server) keep(ctx context.Context, c handover.Call) bool {
+// record records a call that holds here for a successor, and reports whether it could by ctx's end.
+func (s *Server) record(ctx context.Context, call handover.Call) bool {
 	if s.Record == nil {
 		return true
 	}
-	c.At = bootclock.SinceBoot()
-	err := s.Record(ctx, c)
+	call.At = bootclock.SinceBoot()
+	err := s.Record(ctx, call)
 	if err != nil {
-		s.log.Error("a call is not recorded for a successor yet", "backend", c.Backend, "out", c.Out, "error", err)
+		s.log.Error("a call is not recorded for a successor yet", "backend", call.Backend, "out", call.Out, "error", err)
 	}
 	return err == nil
 }
 
-// answer says yes to a call that holds over an upgrade, and no to one that could not be recorded in time. That one goes on to
+// respond says yes to a call that holds over an upgrade, and no to one that could not be recorded in time. That one goes on to
 // hold here, and is recorded as soon as it can be.
-func (s *Server) answer(w http.ResponseWriter, recorded bool) {
+func (s *Server) respond(w http.ResponseWriter, recorded bool) {
 	if recorded {
-		s.yes(w)
+		s.respondOK(w)
 		return
 	}
 	http.Error(w, "the call holds in this process, but can't be recorded for the next one: call again", http.StatusServiceUnavailable)
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -18,20 +18,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// operated is an agent that is ready, and has no backend.
-type operated struct{}
+// fakeAgent is an agent that is ready, and has no backend.
+type fakeAgent struct{}
 
-func (operated) Ready() bool { return true }
-func (operated) Move(context.Context, string, bool) (bool, error) {
+func (fakeAgent) Ready() bool { return true }
+func (fakeAgent) SetDisabled(context.Context, string, bool) (bool, error) {
 	return false, errors.New("no backend")
 }
-func (operated) Drain(bool) {}
+func (fakeAgent) SetLameDuck(bool) {}
 
 // A call that has come whole is not closed to make room for others, however late the server gets to it.
-func TestCallThatHasComeKeepsItsPlace(t *testing.T) {
-	s, err := New(t.Context(), "127.0.0.1:0", 1, operated{}, slog.New(slog.DiscardHandler))
+func TestCompleteCallIsNotEvicted(t *testing.T) {
+	s, err := New(t.Context(), "127.0.0.1:0", 1, fakeAgent{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,20 +48,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.waiting.Track(conn, http.StateNew)
-	for end := time.Now().Add(patience); !conn.(*clientconn.Conn).Asked(); time.Sleep(time.Millisecond) {
+	s.idleConns.Track(conn, http.StateNew)
+	for end := time.Now().Add(testTimeout); !conn.(*clientconn.Conn).MayHaveRequest(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the call was not read")
 		}
 	}
-	time.Sleep(2 * clientconn.LeastWait) // it has waited for long enough to give way
-	s.waiting.MakeRoom()
-	if !s.waiting.Claim(conn) {
+	time.Sleep(2 * clientconn.MinIdleTime) // it has waited for long enough to give way
+	s.idleConns.EvictIdle()
+	if !s.idleConns.Claim(conn) {
 		t.Error("closed to make room")
 	}
 	served := make(chan error, 1)
 	once := &oneConn{conn: conn, done: make(chan struct{})}
-	s.waiting.Track(conn, http.StateNew)
+	s.idleConns.Track(conn, http.StateNew)
 	go func() { served <- s.server.Serve(once) }()
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%+v, %v", resp, err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,7 +30,7 @@
 	loop       *loop
 	front      *front
 	backends   *backends
-	discovery  *discovery.Follower
+	discovery  *discovery.Watcher
 	operations *admin.Server // nil: operators can't call
 	successor  *successor    // nil: no process of this agent replaces another
 	fleet      Fleet         // nil: it has no fleet
@@ -60,9 +60,9 @@
 	}
 	a.discovery = discovery.New(discovery.Config{
 		Sources:    sources,
-		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, At: ck.at, Log: log},
-		Addr:       cfg.Discovery, Asked: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
-		Post: func(u discovery.Update) { a.loop.post(u) }})
+		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, AgentTime: ck.at, Log: log},
+		Addr:       cfg.Discovery, Polled: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
+		Deliver: func(u discovery.Update) { a.loop.post(u) }})
 	a.loop.watch = a.discovery.Subscribe
 	if cfg.Settings.Peers {
 		if a.loop.peers, err = newPeers(ctx, cfg, log); err != nil {
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	a.listener = listener.Limit(ln, acceptSockets(cfg.shareable()))
-	a.listener.Full, a.listener.Failed = a.front.waiting.MakeRoom, func(err error) { log.Warn("accepting clients fails", "error", err) }
+	a.listener.OnFull, a.listener.OnAcceptError = a.front.waiting.EvictIdle, func(err error) { log.Warn("accepting clients fails", "error", err) }
 	if cfg.ListenFD > 0 {
 		a.prepareHandover(ctx)
 	}
@@ -93,7 +93,7 @@
 	if a.cfg.ListenFD > 0 {
 		return listener.Inherited(ctx, a.cfg.ListenFD)
 	}
-	ln, err := listener.TCP(ctx, a.cfg.Listen)
+	ln, err := listener.ListenTCP(ctx, a.cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -106,7 +106,7 @@
 // Follow has the agent watch discovery at another address.
 func (a *Agent) Follow(addr string) {
 	a.log.Info("discovery has moved", "address", addr)
-	a.discovery.Move(addr)
+	a.discovery.SetAddr(addr)
 }
 
 // Run serves until stop ends, then finishes what was taken and returns.
@@ -125,10 +125,10 @@
 	if a.successor != nil {
 		a.inherit(stop)
 	}
-	if a.cfg.Known != nil && len(a.cfg.Known.Servers) > 0 {
-		a.loop.take(a.discovery.Known(a.cfg.Known))
+	if a.cfg.Known != nil && len(a.cfg.Known.Endpoints) > 0 {
+		a.loop.take(a.discovery.Restore(a.cfg.Known))
 	} else {
-		a.loop.take(discovery.Update{List: balancer.List{Kind: balancer.ListCached}}) // the module asks after it
+		a.loop.take(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListCached}}) // the module asks after it
 	}
 	known := len(a.backends.listed) // from here on the loop owns the list
 	running.Go(func() { a.loop.run(ctx) })
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -29,8 +29,8 @@
 const patience = 30 * time.Second
 
 type (
-	member  = discovery.Member
-	members = discovery.Members
+	member  = discovery.Endpoint
+	members = discovery.EndpointList
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -69,7 +69,7 @@
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    members{Version: 41, Full: true, Servers: s.servers},
+		"known":    members{Version: 41, Full: true, Endpoints: s.servers},
 		"settings": json.RawMessage(fmt.Sprintf(settings, s.mode, s.deadline)),
 	})
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{Agent: a, base: "http://" + a.Addr().String(), stop: cancel, done: make(chan error, 1)}
-	a.discovery.Silence, a.discovery.Hang = 2*patience, 2*patience                        // a slow machine is no dead discovery
+	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*patience, 2*patience        // a slow machine is no dead discovery
 	a.front.server.ReadHeaderTimeout, a.front.server.IdleTimeout = 2*patience, 2*patience // nor a rude client
 	a.front.body, a.front.gap = 2*patience, 2*patience
 	a.accept = func() <-chan time.Time { return accept }
@@ -280,7 +280,7 @@
 	b := newBackends(testConfig(t, setup{}), quiet)
 	t.Cleanup(b.close)
 	b.settle = 0 // what comes on a connection that rests is another test's
-	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "s"}}},
+	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
@@ -515,7 +515,7 @@
 		return ok200
 	})
 	b := poolFor(t, s.addr)
-	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "t"}}},
+	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": s.addr}})
 	b.most = 1
 	attemptAt(t, b, context.Background(), "")
@@ -544,7 +544,7 @@
 	two := serveRaw(t, func(int) string { return ok200 })
 	b := poolFor(t, one.addr)
 	attemptAt(t, b, context.Background(), "")
-	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
+	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.open != 0 {
 		t.Errorf("%d connections to the old address are open", b.open)
@@ -565,7 +565,7 @@
 		done <- r
 	}()
 	receive(t, "request", one.seen)
-	b.update(discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
+	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": deadAddr(t)}})
 	close(hold)
 	if r := receive(t, "result", done); r != balancer.OK || b.open != 0 {
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -115,14 +115,14 @@
 func (b *backends) update(e discovery.Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e.List.Kind != balancer.ListDelta && e.List.Kind != balancer.ListFailed {
+	if e.Endpoints.Kind != balancer.ListDelta && e.Endpoints.Kind != balancer.ListFailed {
 		for id := range b.listed {
 			if _, listed := e.Addrs[id]; !listed {
 				b.forget(id)
 			}
 		}
 	}
-	for _, m := range e.List.Backends {
+	for _, m := range e.Endpoints.Backends {
 		addr, ok := e.Addrs[m.ID]
 		if !ok {
 			b.forget(m.ID)
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -19,33 +19,33 @@
 // more than that.
 type Conn struct {
 	net.Conn
-	since time.Time       // it was accepted
-	gone  context.Context // ends with the client's side of the connection, or with this one
-	left  context.CancelFunc
-
-	mu       sync.Mutex
-	changed  sync.Cond
-	ahead    []byte // read, and not yet taken by the server
-	err      error  // after that
-	ended    bool   // the task has read the last
-	closing  bool   // this side has closed: what still comes is dropped
-	awaiting bool   // the server owes an answer: what comes now belongs to no request that it has
-	flooded  bool   // more came then than is kept
-	written  bool   // an answer, or part of one
-	until    time.Time
-	timer    *time.Timer
-	first    time.Time // the first byte of the present request came; zero: none has
-	came     time.Time // the latest byte that was kept
-	done     int       // requests that have their answer
+	acceptedAt time.Time       // it was accepted
+	ctx        context.Context // ends with the client's side of the connection, or with this one
+	cancelCtx  context.CancelFunc
+
+	mu              sync.Mutex
+	changed         sync.Cond
+	readAhead       []byte // read, and not yet taken by the server
+	readErr         error  // after that
+	readDone        bool   // the task has read the last
+	closing         bool   // this side has closed: what still comes is dropped
+	responsePending bool   // the server owes an answer: what comes now belongs to no request that it has
+	overflowed      bool   // more came then than is kept
+	written         bool   // an answer, or part of one
+	readDeadline    time.Time
+	deadlineTimer   *time.Timer
+	firstByteAt     time.Time // the first byte of the present request came; zero: none has
+	lastByteAt      time.Time // the latest byte that was kept
+	responses       int       // requests that have their answer
 	framing
 }
 
 const (
-	readPart  = 4 << 10  // bytes read at once, and kept unless an answer is owed
-	aheadMost = 16 << 10 // and kept then: clients send one request at a time
+	readBufferSize = 4 << 10  // bytes read at once, and kept unless an answer is owed
+	maxReadAhead   = 16 << 10 // and kept then: clients send one request at a time
 	// A connection is closed over bytes that came and were not read by a reset, which takes the last answer with it. So
 	// this side ends its sending, and drops what comes until the client closes, as net/http does after an unread body.
-	lingerMost = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 )
 
 // Listener hands out clients' connections, each with the task that reads it.
@@ -60,100 +60,100 @@
 		return nil, err
 	}
 	c := New(socket)
-	l.Tasks.Go(c.receive)
+	l.Tasks.Go(c.readLoop)
 	return c, nil
 }
 
 // New returns a connection over a socket, which is to be received from.
 func New(socket net.Conn) *Conn {
-	c := &Conn{Conn: socket, since: time.Now()}
-	c.gone, c.left = context.WithCancel(context.Background())
+	c := &Conn{Conn: socket, acceptedAt: time.Now()}
+	c.ctx, c.cancelCtx = context.WithCancel(context.Background())
 	c.changed.L = &c.mu
 	return c
 }
 
-// receive reads the socket until its end.
-func (c *Conn) receive() {
-	p := make([]byte, readPart)
-	var failing failures
+// readLoop reads the socket until its end.
+func (c *Conn) readLoop() {
+	buffer := make([]byte, readBufferSize)
+	var retry ioRetry
 	for {
-		n, err := c.Conn.Read(p)
-		if n == 0 && failing.passing(err) {
+		n, err := c.Conn.Read(buffer)
+		if n == 0 && retry.shouldRetry(err) {
 			continue
 		}
-		if !c.keep(p[:n], err) {
+		if !c.store(buffer[:n], err) {
 			return
 		}
 	}
 }
 
-// keep takes what was read, and waits for room. It reports false after the last.
-func (c *Conn) keep(p []byte, err error) bool {
+// store takes what was read, and waits for room. It reports false after the last.
+func (c *Conn) store(p []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(p) > 0 && !c.closing && !c.flooded {
-		if c.flooded = c.awaiting && len(c.ahead)+len(p) > aheadMost; !c.flooded {
-			c.ahead = append(c.ahead, p...)
-			c.came = time.Now().Add(-c.waited())
-			c.begin()
+	if len(p) > 0 && !c.closing && !c.overflowed {
+		if c.overflowed = c.responsePending && len(c.readAhead)+len(p) > maxReadAhead; !c.overflowed {
+			c.readAhead = append(c.readAhead, p...)
+			c.lastByteAt = time.Now().Add(-c.queuedBeforeAccept())
+			c.markRequestStart()
 		}
 	}
 	if err != nil {
-		c.ended = true
-		c.end(err)
+		c.readDone = true
+		c.stopReading(err)
 		if c.closing {
 			c.Conn.Close()
 		}
 		return false
 	}
 	c.changed.Broadcast()
-	for len(c.ahead) >= readPart && !c.closing && !c.awaiting {
-		c.awaitRoom()
+	for len(c.readAhead) >= readBufferSize && !c.closing && !c.responsePending {
+		c.waitForSpace()
 	}
 	return true
 }
 
-// hangUpEvery is how often it is looked whether a client has gone of whom bytes lie unread.
-const hangUpEvery = 25 * time.Millisecond
+// hangUpCheckInterval is how often it is looked whether a client has gone of whom bytes lie unread.
+const hangUpCheckInterval = 25 * time.Millisecond
 
-// awaitRoom waits for a change, and looks now and then whether the client has gone: while the task reads nothing, nothing
+// waitForSpace waits for a change, and looks now and then whether the client has gone: while the task reads nothing, nothing
 // tells of that. The lock is held.
-func (c *Conn) awaitRoom() {
-	look := time.AfterFunc(hangUpEvery, func() {
+func (c *Conn) waitForSpace() {
+	check := time.AfterFunc(hangUpCheckInterval, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.changed.Broadcast()
 	})
-	defer look.Stop()
+	defer check.Stop()
 	c.changed.Wait()
 	if tcpinfo.HungUp(c.Conn) {
-		c.left()
+		c.cancelCtx()
 	}
 }
 
-// waited is how long the latest bytes lay in the kernel before their connection was accepted, as far as that can be told. The
+// queuedBeforeAccept is how long the latest bytes lay in the kernel before their connection was accepted, as far as that can be told. The
 // lock is held.
-func (c *Conn) waited() time.Duration {
+func (c *Conn) queuedBeforeAccept() time.Duration {
 	q, ok := c.Conn.(interface{ Queued() time.Duration })
-	if !ok || !c.came.IsZero() || q.Queued() == 0 {
+	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
 		return 0
 	}
 	return min(q.Queued(), tcpinfo.SinceReceived(c.Conn))
 }
 
-// begin notes when a request began to come. The lock is held.
-func (c *Conn) begin() {
-	if !c.awaiting && c.first.IsZero() {
-		c.first = time.Now()
+// markRequestStart notes when a request began to come. The lock is held.
+func (c *Conn) markRequestStart() {
+	if !c.responsePending && c.firstByteAt.IsZero() {
+		c.firstByteAt = time.Now()
 	}
 }
 
-// end has nothing more of the client taken. The lock is held.
-func (c *Conn) end(err error) {
-	if c.err == nil {
-		c.err = err
+// stopReading has nothing more of the client taken. The lock is held.
+func (c *Conn) stopReading(err error) {
+	if c.readErr == nil {
+		c.readErr = err
 	}
-	c.left()
+	c.cancelCtx()
 	c.changed.Broadcast()
 }
 
@@ -163,45 +163,45 @@
 	defer c.mu.Unlock()
 	for {
 		switch {
-		case !c.until.IsZero() && !time.Now().Before(c.until):
+		case !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
-		case c.err != nil && (len(c.ahead) == 0 || c.awaiting || c.done > 0 || c.closing):
-			return 0, c.err
-		case len(c.ahead) > 0:
-			n := copy(p, c.ahead)
-			if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-				c.ahead = nil
+		case c.readErr != nil && (len(c.readAhead) == 0 || c.responsePending || c.responses > 0 || c.closing):
+			return 0, c.readErr
+		case len(c.readAhead) > 0:
+			n := copy(p, c.readAhead)
+			if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+				c.readAhead = nil
 			}
-			c.follow(p[:n])
+			c.observe(p[:n])
 			c.changed.Broadcast()
 			return n, nil
-		case c.flooded:
-			return 0, errFlooded
+		case c.overflowed:
+			return 0, errOverflowed
 		}
 		c.changed.Wait()
 	}
 }
 
-var errFlooded = errors.New("the client sends more than one request at a time")
+var errOverflowed = errors.New("the client sends more than one request at a time")
 
 // SetReadDeadline bounds the server's reads, not those of the task.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
+	c.readDeadline = t
 	switch {
 	case t.IsZero():
-		if c.timer != nil {
-			c.timer.Stop()
+		if c.deadlineTimer != nil {
+			c.deadlineTimer.Stop()
 		}
-	case c.timer == nil:
-		c.timer = time.AfterFunc(time.Until(t), func() {
+	case c.deadlineTimer == nil:
+		c.deadlineTimer = time.AfterFunc(time.Until(t), func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.changed.Broadcast()
 		})
 	default:
-		c.timer.Reset(time.Until(t))
+		c.deadlineTimer.Reset(time.Until(t))
 	}
 	c.changed.Broadcast()
 	return nil
@@ -215,10 +215,10 @@
 	c.mu.Lock()
 	c.written = true
 	c.mu.Unlock()
-	var failing failures
+	var retry ioRetry
 	for written := 0; ; {
 		n, err := c.Conn.Write(p[written:])
-		if written += n; !failing.passing(err) {
+		if written += n; !retry.shouldRetry(err) {
 			return written, err
 		}
 	}
@@ -228,130 +228,132 @@
 // closes the socket.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	linger := c.lingers()
-	c.shut()
+	linger := c.shouldLinger()
+	c.markClosing()
 	c.mu.Unlock()
-	return c.release(linger)
+	return c.closeSocket(linger)
 }
 
-// lingers reports whether the other side may not have read an answer yet. The lock is held.
-func (c *Conn) lingers() bool { return c.written && !c.ended && !c.closing }
+// shouldLinger reports whether the other side may not have read an answer yet. The lock is held.
+func (c *Conn) shouldLinger() bool { return c.written && !c.readDone && !c.closing }
 
-// release closes the socket, or has the task close it.
-func (c *Conn) release(linger bool) error {
+// closeSocket closes the socket, or has the task close it.
+func (c *Conn) closeSocket(linger bool) error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); linger && ok && half.CloseWrite() == nil &&
-		c.Conn.SetReadDeadline(time.Now().Add(lingerMost)) == nil {
+		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 		return nil
 	}
 	return c.Conn.Close()
 }
 
-// abortUnlessAsked closes the connection at once, unless a whole request may have come. It reports whether it has.
-func (c *Conn) abortUnlessAsked() bool {
+// abortUnlessRequested closes the connection at once, unless a whole request may have come. It reports whether it has.
+func (c *Conn) abortUnlessRequested() bool {
 	c.mu.Lock()
-	if c.mayBeWhole() {
+	if c.mayHaveRequest() {
 		c.mu.Unlock()
 		return false
 	}
-	c.shut()
+	c.markClosing()
 	c.mu.Unlock()
 	c.Conn.Close()
 	return true
 }
 
-// closeUnlessReading ends the connection, unless part of a request has come. It reports whether it has.
-func (c *Conn) closeUnlessReading() bool {
+// closeUnlessInRequest ends the connection, unless part of a request has come. It reports whether it has.
+func (c *Conn) closeUnlessInRequest() bool {
 	c.mu.Lock()
-	if c.partRead() {
+	if c.requestInProgress() {
 		c.mu.Unlock()
 		return false
 	}
-	linger := c.lingers()
-	c.shut()
+	linger := c.shouldLinger()
+	c.markClosing()
 	c.mu.Unlock()
-	_ = c.release(linger) // closed by its client already if it fails
+	_ = c.closeSocket(linger) // closed by its client already if it fails
 	return true
 }
 
-// shut has this side closed. The lock is held.
-func (c *Conn) shut() {
+// markClosing has this side closed. The lock is held.
+func (c *Conn) markClosing() {
 	c.closing = true
-	c.end(net.ErrClosed)
-	if c.timer != nil {
-		c.timer.Stop()
+	c.stopReading(net.ErrClosed)
+	if c.deadlineTimer != nil {
+		c.deadlineTimer.Stop()
 	}
 }
 
-// Gone ends with the client's side of the connection, or with this one.
-func (c *Conn) Gone() context.Context { return c.gone }
+// Context ends with the client's side of the connection, or with this one.
+func (c *Conn) Context() context.Context { return c.ctx }
 
 // Ambiguous reports whether a request gave both a Content-Length and a Transfer-Encoding: where it ends is in doubt.
 func (c *Conn) Ambiguous() bool { return c.ambiguous.Load() }
 
-// Await says that the present request has come whole.
-func (c *Conn) Await() {
+// MarkRequestComplete says that the present request has come whole.
+func (c *Conn) MarkRequestComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaiting = true
+	c.responsePending = true
 	c.changed.Broadcast()
 }
 
-// Rest says that the present request has its answer.
-func (c *Conn) Rest() {
+// MarkResponseComplete says that the present request has its answer.
+func (c *Conn) MarkResponseComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaiting, c.first = false, time.Time{}
-	c.done++
-	if len(c.ahead) > 0 {
-		c.begin()
+	c.responsePending, c.firstByteAt = false, time.Time{}
+	c.responses++
+	if len(c.readAhead) > 0 {
+		c.markRequestStart()
 	}
 }
 
-// Over reports whether the connection ends with the present answer, since what came behind it was not kept.
-func (c *Conn) Over() bool {
+// Overflowed reports whether the connection ends with the present answer, since what came behind it was not kept.
+func (c *Conn) Overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.flooded
+	return c.overflowed
 }
 
-// Reading reports whether part of a request has come that has no answer.
-func (c *Conn) Reading() bool {
+// RequestInProgress reports whether part of a request has come that has no answer.
+func (c *Conn) RequestInProgress() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.partRead()
+	return c.requestInProgress()
 }
 
-// partRead is reading. The lock is held.
-func (c *Conn) partRead() bool { return c.mayBeWhole() || c.inside }
+// requestInProgress is reading. The lock is held.
+func (c *Conn) requestInProgress() bool { return c.mayHaveRequest() || c.inRequest }
 
-// Asked reports whether a whole request may have come that has no answer.
-func (c *Conn) Asked() bool {
+// MayHaveRequest reports whether a whole request may have come that has no answer.
+func (c *Conn) MayHaveRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.mayBeWhole()
+	return c.mayHaveRequest()
 }
 
-// mayBeWhole is asked: of what the server has not been handed nothing is known. The lock is held.
-func (c *Conn) mayBeWhole() bool { return len(c.ahead) > 0 || c.whole > c.done || unread(c.Conn) }
+// mayHaveRequest is asked: of what the server has not been handed nothing is known. The lock is held.
+func (c *Conn) mayHaveRequest() bool {
+	return len(c.readAhead) > 0 || c.requests > c.responses || hasUnreadBytes(c.Conn)
+}
 
-// LastByte is when the latest byte came of what was read.
-func (c *Conn) LastByte() time.Time {
+// LastByteAt is when the latest byte came of what was read.
+func (c *Conn) LastByteAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came
+	return c.lastByteAt
 }
 
-// RequestSince is when the present request began to come: the first one with its connection.
-func (c *Conn) RequestSince() time.Time {
+// RequestStartedAt is when the present request began to come: the first one with its connection.
+func (c *Conn) RequestStartedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.done == 0:
-		return c.since
-	case c.first.IsZero():
+	case c.responses == 0:
+		return c.acceptedAt
+	case c.firstByteAt.IsZero():
 		return time.Now() // it came with the one before
 	}
-	return c.first
+	return c.firstByteAt
 }
 
 // CloseWrite lets net/http end its sending before it closes, so that a reset does not overtake a
@@ -363,8 +365,8 @@
 	return nil
 }
 
-// unread reports whether bytes lie on a connection that nobody has read.
-func unread(c net.Conn) bool {
+// hasUnreadBytes reports whether bytes lie on a connection that nobody has read.
+func hasUnreadBytes(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -11,73 +11,73 @@
 // sent the request may have meant the first: what stands inside that body would then pass for a
 // request of its own (RFC 9112, 6.3 and 11.2).
 type framing struct {
-	ambiguous       atomic.Bool
-	line            []byte // the present header line, as far as names and lengths go
-	length, chunked bool   // the present header has such a field
-	size            int64  // of its body
-	skip            int64  // bytes of body before the next header
-	blind           bool   // nothing that follows is taken for a request
-	begun           bool   // the present header has a line
-	inside          bool   // a request, of which some bytes have come
-	whole           int    // requests that have come whole; one whose body comes in chunks with its header
+	ambiguous                             atomic.Bool
+	headerLine                            []byte // the present header line, as far as names and lengths go
+	hasContentLength, hasTransferEncoding bool   // the present header has such a field
+	contentLength                         int64  // of its body
+	bodyRemaining                         int64  // bytes of body before the next header
+	untracked                             bool   // nothing that follows is taken for a request
+	headerStarted                         bool   // the present header has a line
+	inRequest                             bool   // a request, of which some bytes have come
+	requests                              int    // requests that have come whole; one whose body comes in chunks with its header
 }
 
-// longestField is as much of a header line as tells its name and a length.
-const longestField = 64
+// maxHeaderPrefix is as much of a header line as tells its name and a length.
+const maxHeaderPrefix = 64
 
-// follow takes what was read: header lines, each up to its line feed, and the bodies between.
-func (c *framing) follow(p []byte) {
-	for len(p) > 0 && !c.blind {
-		if c.skip > 0 {
-			n := min(c.skip, int64(len(p)))
-			c.skip -= n
+// observe takes what was read: header lines, each up to its line feed, and the bodies between.
+func (f *framing) observe(p []byte) {
+	for len(p) > 0 && !f.untracked {
+		if f.bodyRemaining > 0 {
+			n := min(f.bodyRemaining, int64(len(p)))
+			f.bodyRemaining -= n
 			p = p[n:]
-			c.complete()
+			f.finishBody()
 			continue
 		}
-		c.inside = true
-		part, rest, whole := bytes.Cut(p, []byte("\n"))
-		c.line = append(c.line, part[:min(len(part), longestField-len(c.line))]...)
-		if p = rest; whole {
-			c.field(bytes.TrimSuffix(c.line, []byte("\r")))
-			c.line = c.line[:0]
+		f.inRequest = true
+		part, rest, lineComplete := bytes.Cut(p, []byte("\n"))
+		f.headerLine = append(f.headerLine, part[:min(len(part), maxHeaderPrefix-len(f.headerLine))]...)
+		if p = rest; lineComplete {
+			f.headerField(bytes.TrimSuffix(f.headerLine, []byte("\r")))
+			f.headerLine = f.headerLine[:0]
 		}
 	}
 }
 
-// field takes a header line; an empty one ends the header.
-func (c *framing) field(line []byte) {
+// headerField takes a header line; an empty one ends the header.
+func (f *framing) headerField(line []byte) {
 	if len(line) > 0 {
-		c.begun = true
+		f.headerStarted = true
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch name = bytes.TrimSpace(name); {
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			c.chunked = true
+			f.hasTransferEncoding = true
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			c.length = true
+			f.hasContentLength = true
 			// net/http itself answers a length that is none, and closes.
-			c.size, _ = strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
+			f.contentLength, _ = strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		}
 		return
 	}
-	if c.inside = c.begun; !c.begun { // an empty line before a request is none of it
+	if f.inRequest = f.headerStarted; !f.headerStarted { // an empty line before a request is none of it
 		return
 	}
-	if c.begun = false; c.chunked { // the front closes the connection after it: a body in chunks is not followed
-		c.blind = true
-		c.ambiguous.Store(c.length)
+	if f.headerStarted = false; f.hasTransferEncoding { // the front closes the connection after it: a body in chunks is not followed
+		f.untracked = true
+		f.ambiguous.Store(f.hasContentLength)
 	}
-	c.skip, c.size, c.length = c.size, 0, false
-	if c.chunked {
-		c.skip = 0
+	f.bodyRemaining, f.contentLength, f.hasContentLength = f.contentLength, 0, false
+	if f.hasTransferEncoding {
+		f.bodyRemaining = 0
 	}
-	c.complete()
+	f.finishBody()
 }
 
-// complete notes the end of a request.
-func (c *framing) complete() {
-	if c.skip == 0 {
-		c.inside = false
-		c.whole++
+// finishBody notes the end of a request.
+func (f *framing) finishBody() {
+	if f.bodyRemaining == 0 {
+		f.inRequest = false
+		f.requests++
 	}
 }
--- a/internal/agent/clientconn/waiting.go
+++ b/internal/agent/clientconn/waiting.go
@@ -9,62 +9,62 @@
 	"time"
 )
 
-// Waiting knows the connections that have no whole request open. Whoever takes one out owns it: the request that
+// IdleConns knows the connections that have no whole request open. Whoever takes one out owns it: the request that
 // has come whole on it, or who closes it.
-type Waiting struct {
-	mu      sync.Mutex
-	waiting map[net.Conn]waitingIn
+type IdleConns struct {
+	mu    sync.Mutex
+	conns map[net.Conn]idleConn
 }
 
-// waitingIn is a connection that waits for a request.
-type waitingIn struct {
-	since time.Time
-	first bool // none has come whole yet
+// idleConn is a connection that waits for a request.
+type idleConn struct {
+	idleAt             time.Time
+	beforeFirstRequest bool // none has come whole yet
 }
 
-// LeastWait: while more want to connect than there are slots, a connection that has waited for so long
+// MinIdleTime: while more want to connect than there are slots, a connection that has waited for so long
 // gives way: proper clients send their request at once.
-const LeastWait = 150 * time.Millisecond
+const MinIdleTime = 150 * time.Millisecond
 
-// NewWaiting knows none.
-func NewWaiting() *Waiting { return &Waiting{waiting: map[net.Conn]waitingIn{}} }
+// NewIdleConns knows none.
+func NewIdleConns() *IdleConns { return &IdleConns{conns: map[net.Conn]idleConn{}} }
 
 // Track follows a connection's state as net/http tells it.
-func (l *Waiting) Track(c net.Conn, s http.ConnState) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	switch s {
+func (ic *IdleConns) Track(c net.Conn, state http.ConnState) {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	switch state {
 	case http.StateNew:
-		l.waiting[c] = waitingIn{since: time.Now(), first: true}
+		ic.conns[c] = idleConn{idleAt: time.Now(), beforeFirstRequest: true}
 	case http.StateIdle:
-		l.waiting[c] = waitingIn{since: time.Now()}
+		ic.conns[c] = idleConn{idleAt: time.Now()}
 	case http.StateClosed:
-		delete(l.waiting, c)
+		delete(ic.conns, c)
 	}
 }
 
 // Claim takes a connection for the request that has come whole on it. It reports false where the connection
 // has been closed: its client is told nothing, and nothing of it may be sent on.
-func (l *Waiting) Claim(c net.Conn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_, open := l.waiting[c]
-	delete(l.waiting, c)
+func (ic *IdleConns) Claim(c net.Conn) bool {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	_, open := ic.conns[c]
+	delete(ic.conns, c)
 	return open
 }
 
-// MakeRoom closes one connection of those that have waited for a while: the one that has waited
+// EvictIdle closes one connection of those that have waited for a while: the one that has waited
 // longest for its first whole request, or, where all have sent one, the one idle longest. Whoever
 // connects and sends nothing must not keep out those who would.
-func (l *Waiting) MakeRoom() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (ic *IdleConns) EvictIdle() {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
 	var oldest net.Conn
-	for c, w := range l.waiting {
-		if r, ok := c.(*Conn); time.Since(w.since) < LeastWait || ok && r.Asked() {
+	for c, idle := range ic.conns {
+		if clientConn, ok := c.(*Conn); time.Since(idle.idleAt) < MinIdleTime || ok && clientConn.MayHaveRequest() {
 			continue
 		}
-		if o := l.waiting[oldest]; oldest == nil || w.first && !o.first || w.first == o.first && w.since.Before(o.since) {
+		if oldestIdle := ic.conns[oldest]; oldest == nil || idle.beforeFirstRequest && !oldestIdle.beforeFirstRequest || idle.beforeFirstRequest == oldestIdle.beforeFirstRequest && idle.idleAt.Before(oldestIdle.idleAt) {
 			oldest = c
 		}
 	}
@@ -73,34 +73,34 @@
 	}
 	if c, ok := oldest.(*Conn); !ok {
 		oldest.Close()
-	} else if !c.abortUnlessAsked() { // its descriptor is wanted now
+	} else if !c.abortUnlessRequested() { // its descriptor is wanted now
 		return // a request has come in this moment
 	}
-	delete(l.waiting, oldest)
+	delete(ic.conns, oldest)
 }
 
 // CloseIdle closes the connections on which nothing has come for so long, and nothing lies unread:
 // a client whose request crosses a close is turned back unheard. Those that never had a request are given their own time;
 // below 0 they are left.
-func (l *Waiting) CloseIdle(idle, silent time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c, w := range l.waiting {
-		if w.first && (silent < 0 || time.Since(w.since) < silent) || !w.first && time.Since(w.since) < idle {
+func (ic *IdleConns) CloseIdle(idleTimeout, firstRequestTimeout time.Duration) {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	for c, idle := range ic.conns {
+		if idle.beforeFirstRequest && (firstRequestTimeout < 0 || time.Since(idle.idleAt) < firstRequestTimeout) || !idle.beforeFirstRequest && time.Since(idle.idleAt) < idleTimeout {
 			continue
 		}
-		if r, ok := c.(*Conn); !ok {
+		if clientConn, ok := c.(*Conn); !ok {
 			c.Close()
-		} else if !r.closeUnlessReading() {
+		} else if !clientConn.closeUnlessInRequest() {
 			continue // net/http tells of a request only once its header is whole
 		}
-		delete(l.waiting, c)
+		delete(ic.conns, c)
 	}
 }
 
 // Conns are the connections that wait.
-func (l *Waiting) Conns() []net.Conn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Collect(maps.Keys(l.waiting))
+func (ic *IdleConns) Conns() []net.Conn {
+	ic.mu.Lock()
+	defer ic.mu.Unlock()
+	return slices.Collect(maps.Keys(ic.conns))
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -30,9 +30,9 @@
 	Sockets    int    // file descriptors that the process may hold
 	DialFrom   string // the address from which backends are called; "": the system's choice
 	PeerListen string
-	Peers      []string           // addresses by agent number
-	Known      *discovery.Members // the list of backends as last stored; may be absent
-	Join       Join               // nil: there is no fleet
+	Peers      []string                // addresses by agent number
+	Known      *discovery.EndpointList // the list of backends as last stored; may be absent
+	Join       Join                    // nil: there is no fleet
 
 	Settings balancer.Settings
 	Site     wire.Site
@@ -105,12 +105,12 @@
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"Sockets"`
 		} `json:"Limits"`
-		Mgmt       string             `json:"Mgmt"`
-		DialFrom   string             `json:"dial_from"`
-		PeerListen string             `json:"peer_listen"`
-		Peers      []string           `json:"Peers"`
-		Known      *discovery.Members `json:"Known"`
-		Settings   json.RawMessage    `json:"Settings"`
+		Mgmt       string                  `json:"Mgmt"`
+		DialFrom   string                  `json:"dial_from"`
+		PeerListen string                  `json:"peer_listen"`
+		Peers      []string                `json:"Peers"`
+		Known      *discovery.EndpointList `json:"Known"`
+		Settings   json.RawMessage         `json:"Settings"`
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	// The module spreads its calls for lists over parts of this time.
-	c.Settings.AskWithin = min(c.Settings.AskWithin, discovery.ToldWithin)
+	c.Settings.AskWithin = min(c.Settings.AskWithin, discovery.PropagationDeadline)
 	for i, name := range c.Site.Classes {
 		if name == "" {
 			return nil, fmt.Errorf("settings: Profiles[%d].Name: missing", i)
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -17,7 +17,7 @@
 
 func toLine(t *testing.T, version int64, servers ...member) string {
 	t.Helper()
-	return lineOf(t, members{Version: version, Servers: servers})
+	return lineOf(t, members{Version: version, Endpoints: servers})
 }
 
 func lineOf(t *testing.T, list members) string {
@@ -148,7 +148,7 @@
 
 // A change counts as told after 6 s at the latest, whatever the settings say of calls for lists.
 func TestCallsForListsAreSpreadOverNoMoreThanTheChangesTime(t *testing.T) {
-	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.ToldWithin} {
+	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
 		text := strings.Replace(fmt.Sprintf(settings, "subscribe", 1000), `"AskWithinMs": 1000`, `"AskWithinMs": `+asked, 1)
 		raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
 			"settings": json.RawMessage(text)})
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -13,95 +13,95 @@
 	"martenbeam/balancer"
 )
 
-// Members is a list of backends, or what has changed of it, as discovery writes it.
-type Members struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Member `json:"servers"`
+// EndpointList is a list of backends, or what has changed of it, as discovery writes it.
+type EndpointList struct {
+	Version   int64      `json:"version"`
+	Full      bool       `json:"full"`
+	Endpoints []Endpoint `json:"servers"`
 }
 
-// Member is one backend of a list.
-type Member struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time; 0: long ago
+// Endpoint is one backend of a list.
+type Endpoint struct {
+	ID        string  `json:"id"`
+	Addr      string  `json:"addr"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	State     string  `json:"state"`
+	Weight    float64 `json:"weight"`
+	StartedAt int64   `json:"started_ms"` // Unix time; 0: long ago
 }
 
-var errNoList = errors.New("a value that names no servers")
+var errNoEndpoints = errors.New("a value that names no servers")
 
 // Update is one message of discovery in the module's terms, with the addresses that go with it.
 type Update struct {
-	List  balancer.List
-	Addrs map[string]string // by id; gone backends have none
+	Endpoints balancer.List
+	Addrs     map[string]string // by id; gone backends have none
 }
 
-var states = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Gone}
+var backendStates = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Gone}
 
 // Translator puts lists into the module's terms.
 type Translator struct {
 	Zones, Kinds []string
-	At           func(time.Time) time.Duration // the agent's clock
+	AgentTime    func(time.Time) time.Duration // the agent's clock
 	Log          *slog.Logger
 
-	starts startTimes
+	startTimes startTimes
 }
 
-// Update translates a list. An entry that makes no sense is left out and logged: the others still count. What the list tells
+// Translate translates a list. An entry that makes no sense is left out and logged: the others still count. What the list tells
 // anew has happened within a span; 0: that is not known.
-func (t *Translator) Update(m *Members, kind balancer.ListKind, within time.Duration) Update {
-	u := Update{List: balancer.List{Kind: kind}, Addrs: map[string]string{}}
-	for _, s := range m.Servers {
-		state, ok := states[s.State]
-		if !ok || s.ID == "" {
-			t.Log.Warn("list entry left out", "id", s.ID, "state", s.State)
+func (t *Translator) Translate(list *EndpointList, kind balancer.ListKind, maxAge time.Duration) Update {
+	update := Update{Endpoints: balancer.List{Kind: kind}, Addrs: map[string]string{}}
+	for _, endpoint := range list.Endpoints {
+		state, ok := backendStates[endpoint.State]
+		if !ok || endpoint.ID == "" {
+			t.Log.Warn("list entry left out", "id", endpoint.ID, "state", endpoint.State)
 			continue
 		}
 		if state != balancer.Gone {
-			if _, err := netip.ParseAddrPort(s.Addr); err != nil {
-				t.Log.Warn("list entry left out", "id", s.ID, "error", err)
+			if _, err := netip.ParseAddrPort(endpoint.Addr); err != nil {
+				t.Log.Warn("list entry left out", "id", endpoint.ID, "error", err)
 				continue
 			}
-			u.Addrs[s.ID] = s.Addr
+			update.Addrs[endpoint.ID] = endpoint.Addr
 		}
-		b := balancer.Backend{ID: s.ID, State: state, Zone: slices.Index(t.Zones, s.Zone),
-			Kind: slices.Index(t.Kinds, s.Kind), Cell: s.Cell, Weight: s.Weight}
+		backend := balancer.Backend{ID: endpoint.ID, State: state, Zone: slices.Index(t.Zones, endpoint.Zone),
+			Kind: slices.Index(t.Kinds, endpoint.Kind), Cell: endpoint.Cell, Weight: endpoint.Weight}
 		if state != balancer.Gone {
-			b.Started = t.starts.at(s.ID, s.Started, t.clocks, within)
+			backend.Started = t.startTimes.resolve(endpoint.ID, endpoint.StartedAt, t.readClocks, maxAge)
 		}
-		u.List.Backends = append(u.List.Backends, b)
+		update.Endpoints.Backends = append(update.Endpoints.Backends, backend)
 	}
 	if kind != balancer.ListDelta {
-		t.starts.forget(u.Addrs)
+		t.startTimes.evictUnlisted(update.Addrs)
 	}
-	return u
+	return update
 }
 
-// whole is the list as told by now.
-type whole map[string]Member
+// endpointSet is the list as told by now.
+type endpointSet map[string]Endpoint
 
 // merge takes m in.
-func (w *whole) merge(m *Members, full bool) {
-	if full || *w == nil {
-		*w = whole{}
+func (s *endpointSet) merge(list *EndpointList, complete bool) {
+	if complete || *s == nil {
+		*s = endpointSet{}
 	}
-	for _, s := range m.Servers {
-		if s.State == "gone" {
-			delete(*w, s.ID)
+	for _, endpoint := range list.Endpoints {
+		if endpoint.State == "gone" {
+			delete(*s, endpoint.ID)
 		} else {
-			(*w)[s.ID] = s
+			(*s)[endpoint.ID] = endpoint
 		}
 	}
 }
 
-func (w whole) members(version int64) *Members {
-	list := &Members{Version: version, Full: true}
-	for _, id := range slices.Sorted(maps.Keys(w)) {
-		list.Servers = append(list.Servers, w[id])
+func (s endpointSet) list(version int64) *EndpointList {
+	list := &EndpointList{Version: version, Full: true}
+	for _, id := range slices.Sorted(maps.Keys(s)) {
+		list.Endpoints = append(list.Endpoints, s[id])
 	}
 	return list
 }
--- a/internal/agent/discovery/started_test.go
+++ b/internal/agent/discovery/started_test.go
@@ -6,7 +6,7 @@
 )
 
 // The latest reading that is not ahead counts; what is told anew is recent, and another start of a backend is a later one.
-func TestStartTimes(t *testing.T) {
+func TestStartTimeIsTheLatestPlausibleReading(t *testing.T) {
 	const now, second = 2 * time.Hour, time.Second
 	wall := time.UnixMilli(1e12)
 	unix := func(ago time.Duration) int64 { return wall.Add(-ago).UnixMilli() }
@@ -32,16 +32,16 @@
 		"before the agent's clock began": {told: unix(3 * time.Hour), want: 0},
 	} {
 		// What the wall showed at the process's start goes by the unstepped clock.
-		read := clocks{now: now, wall: wall, wallAt: func(at time.Time) time.Duration { return now - wall.Add(-c.step).Sub(at) }}
-		s := startTimes{off: c.off}
+		readings := clockReadings{now: now, wall: wall, agentTime: func(at time.Time) time.Duration { return now - wall.Add(-c.step).Sub(at) }}
+		s := startTimes{wallOffset: c.off}
 		if c.before > 0 {
-			s.known = map[string]start{"b": {unix(c.before), now - c.before}}
+			s.known = map[string]processStart{"b": {unix(c.before), now - c.before}}
 		}
-		got := s.at("b", c.told, func() clocks { return read }, c.within)
+		got := s.resolve("b", c.told, func() clockReadings { return readings }, c.within)
 		if got != c.want {
 			t.Errorf("%s: %v before now, want %v", name, now-got, now-c.want)
 		}
-		if again := s.at("b", c.told, nil, c.within); c.told > 0 && again != got {
+		if again := s.resolve("b", c.told, nil, c.within); c.told > 0 && again != got {
 			t.Errorf("%s: the same start is another a moment later", name)
 		}
 	}
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -14,84 +14,86 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// maxValue bounds one value of the stream, in bytes: a longer one is no list.
-const maxValue = 4 << 20
+// maxValueBytes bounds one value of the stream, in bytes: a longer one is no list.
+const maxValueBytes = 4 << 20
 
 var (
 	errSilent  = errors.New("silent")
 	errEnded   = errors.New("ended by discovery")
-	errTooLong = fmt.Errorf("a value of more than %d bytes", maxValue)
+	errTooLong = fmt.Errorf("a value of more than %d bytes", maxValueBytes)
 )
 
-// watch is one connection to discovery. Its task runs until the connection ends.
-type watch struct {
-	addr  string // of discovery, as it was when the watch was begun
-	since int64
-	drop  context.CancelFunc
-	via   source.Source // set by its task before it tells anything
-	began time.Time     // the same; when it was opened
-	date  string        // the same; of the head of discovery's answer
+// watchStream is one connection to discovery. Its task runs until the connection ends.
+type watchStream struct {
+	addr         string // of discovery, as it was when the watch was begun
+	sinceVersion int64
+	cancel       context.CancelFunc
+	source       source.Source // set by its task before it tells anything
+	openedAt     time.Time     // the same; when it was opened
+	dateHeader   string        // the same; of the head of discovery's answer
 
 	// The supervisor's.
-	asked   bool      // it has been opened: before, it waits for its turn
-	alive   time.Time // its latest sign of life; zero: none
-	came    time.Time // the first
-	overdue bool      // its time is up, and it is known: what it still says counts, but nothing rests on it
-	listed  bool      // a list has come
+	requested    bool      // it has been opened: before, it waits for its turn
+	lastAliveAt  time.Time // its latest sign of life; zero: none
+	firstAliveAt time.Time // the first
+	overdue      bool      // its time is up, and it is known: what it still says counts, but nothing rests on it
+	receivedList bool      // a list has come
 }
 
-// news is what a watch's task tells the supervisor.
-type news struct {
-	from   *watch
-	opened bool     // the call goes out
-	list   *Members // nil: a sign of life, or with err the end
-	err    error
-	bad    bool // what came makes no sense
+// watchEvent is what a watch's task tells the supervisor.
+type watchEvent struct {
+	stream    *watchStream
+	requested bool          // the call goes out
+	list      *EndpointList // nil: a sign of life, or with err the end
+	err       error
+	malformed bool // what came makes no sense
 }
 
-// signs is the stream of a watch's bytes. An empty line between values is a sign of life, and so is a whole value; the
-// bytes of one that never ends are none. What is read may not run further ahead of the last whole value than maxValue.
-type signs struct {
-	in    io.Reader
-	alive func()
-	read  int64
-	whole int64 // up to the end of the last value
-	blank bool  // nothing but white space has come since
+// livenessReader is the stream of a watch's bytes. An empty line between values is a sign of life, and so is a whole value; the
+// bytes of one that never ends are none. What is read may not run further ahead of the last whole value than maxValueBytes.
+type livenessReader struct {
+	source    io.Reader
+	onAlive   func()
+	bytesRead int64
+	valueEnd  int64 // up to the end of the last value
+	blank     bool  // nothing but white space has come since
 }
 
-func (s *signs) Read(p []byte) (int, error) {
-	if s.read-s.whole > maxValue {
+func (r *livenessReader) Read(p []byte) (int, error) {
+	if r.bytesRead-r.valueEnd > maxValueBytes {
 		return 0, errTooLong
 	}
-	n, err := s.in.Read(p[:min(len(p), 64<<10)])
-	s.read += int64(n)
-	if s.blank = s.blank && isBlank(p[:n]); s.blank && n > 0 {
-		s.alive()
+	n, err := r.source.Read(p[:min(len(p), 64<<10)])
+	r.bytesRead += int64(n)
+	if r.blank = r.blank && isBlank(p[:n]); r.blank && n > 0 {
+		r.onAlive()
 	}
 	return n, err
 }
 
-// ended notes the end of a value, at an offset, with what has been read behind it.
-func (s *signs) ended(at int64, behind []byte) { s.whole, s.blank = at, isBlank(behind) }
+// valueEnded notes the end of a value, at an offset, with what has been read behind it.
+func (r *livenessReader) valueEnded(offset int64, buffered []byte) {
+	r.valueEnd, r.blank = offset, isBlank(buffered)
+}
 
 func isBlank(p []byte) bool { return len(bytes.Trim(p, " \t\r\n")) == 0 }
 
 // run follows changes until the connection ends, and tells of each in turn, and of the end. tell may wait.
-func (w *watch) run(ctx context.Context, client *http.Client, heard func(), tell func(news)) {
-	tell(news{from: w, opened: true})
-	err := w.follow(ctx, client, func() { heard(); tell(news{from: w}) }, func(m *Members) { heard(); tell(news{from: w, list: m}) })
+func (s *watchStream) run(ctx context.Context, client *http.Client, onAlive func(), emit func(watchEvent)) {
+	emit(watchEvent{stream: s, requested: true})
+	err := s.read(ctx, client, func() { onAlive(); emit(watchEvent{stream: s}) }, func(list *EndpointList) { onAlive(); emit(watchEvent{stream: s, list: list}) })
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	tell(news{from: w, err: err, bad: errors.As(err, &syntax) || errors.As(err, &kind) ||
-		errors.Is(err, errNoList) || errors.Is(err, errTooLong)})
+	var mismatch *json.UnmarshalTypeError
+	emit(watchEvent{stream: s, err: err, malformed: errors.As(err, &syntax) || errors.As(err, &mismatch) ||
+		errors.Is(err, errNoEndpoints) || errors.Is(err, errTooLong)})
 }
 
-func (w *watch) follow(ctx context.Context, client *http.Client, alive func(), tell func(*Members)) error {
-	addr := w.addr
-	if w.via.Relayed {
-		addr = w.via.Addr
+func (s *watchStream) read(ctx context.Context, client *http.Client, onAlive func(), onList func(*EndpointList)) error {
+	addr := s.addr
+	if s.source.Relayed {
+		addr = s.source.Addr
 	}
-	url := "http://" + addr + "/catalog/members?follow=1&since=" + strconv.FormatInt(w.since, 10)
+	url := "http://" + addr + "/catalog/members?follow=1&since=" + strconv.FormatInt(s.sinceVersion, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -101,24 +103,24 @@
 		return err
 	}
 	defer resp.Body.Close()
-	w.date = resp.Header.Get("Date")
+	s.dateHeader = resp.Header.Get("Date")
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
-	in := &signs{in: resp.Body, alive: alive, blank: true}
-	values := json.NewDecoder(in)
+	reader := &livenessReader{source: resp.Body, onAlive: onAlive, blank: true}
+	values := json.NewDecoder(reader)
 	for {
-		var m Members
-		if err := values.Decode(&m); errors.Is(err, io.EOF) {
+		var list EndpointList
+		if err := values.Decode(&list); errors.Is(err, io.EOF) {
 			return errEnded
 		} else if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		if m.Servers == nil {
-			return errNoList
+		if list.Endpoints == nil {
+			return errNoEndpoints
 		}
-		behind, _ := io.ReadAll(values.Buffered()) // of memory: never fails
-		in.ended(values.InputOffset(), behind)
-		tell(&m)
+		buffered, _ := io.ReadAll(values.Buffered()) // of memory: never fails
+		reader.valueEnded(values.InputOffset(), buffered)
+		onList(&list)
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -172,7 +172,7 @@
 				if state != "" {
 					list = append(list, named)
 				}
-				whole := lineOf(t, members{Version: 7, Full: true, Servers: list})
+				whole := lineOf(t, members{Version: 7, Full: true, Endpoints: list})
 				drain := func() { // so long that what follows is read at once
 					old.say(t, strings.Repeat(" ", 1<<14)+toLine(t, 42, drains, y.member("y")))
 					receive(t, "drain", took)
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -29,7 +29,7 @@
 
 	residency gate.Keeper // nil: no policy
 
-	waiting *clientconn.Waiting
+	waiting *clientconn.IdleConns
 
 	mu      sync.Mutex
 	conns   int
@@ -48,7 +48,7 @@
 
 func newFront(cfg *Config, l *loop, log *slog.Logger) *front {
 	f := &front{cfg: cfg, loop: l, classes: map[string]int{},
-		body: bodyTimeout, gap: bodyGap, waiting: clientconn.NewWaiting()}
+		body: bodyTimeout, gap: bodyGap, waiting: clientconn.NewIdleConns()}
 	f.allow(clientSockets(cfg.shareable()))
 	for i, name := range cfg.Site.Classes {
 		f.classes[name] = i
@@ -68,7 +68,7 @@
 				return ctx
 			}
 			ctx, end := context.WithCancel(context.WithValue(ctx, clientKey{}, client))
-			context.AfterFunc(client.Gone(), end)
+			context.AfterFunc(client.Context(), end)
 			return ctx
 		},
 	}
@@ -94,7 +94,7 @@
 // lastByte is when a request's latest byte came.
 func lastByte(hr *http.Request) time.Time {
 	if c := clientOf(hr); c != nil {
-		return c.LastByte()
+		return c.LastByteAt()
 	}
 	return time.Now()
 }
@@ -107,7 +107,7 @@
 // track counts connections as they come and go.
 func (f *front) track(c net.Conn, s http.ConnState) {
 	if c, ok := c.(*clientconn.Conn); ok && s == http.StateIdle {
-		c.Rest() // before it may be closed as idle
+		c.MarkResponseComplete() // before it may be closed as idle
 	}
 	f.waiting.Track(c, s)
 	f.mu.Lock()
@@ -209,7 +209,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	// Also where it came with others, and the client has gone since: the request's own context ends a moment later.
-	if client != nil && client.Gone().Err() != nil {
+	if client != nil && client.Context().Err() != nil {
 		f.answer(w, hr, reply{})
 		return
 	}
@@ -223,11 +223,11 @@
 	u := r.message.upload
 	if u == nil {
 		if client != nil {
-			client.Await()
+			client.MarkRequestComplete()
 		}
 		a := f.wait(hr, r)
 		f.closeAfterReply(w)
-		if client != nil && client.Over() {
+		if client != nil && client.Overflowed() {
 			w.Header().Set("Connection", "close")
 		}
 		f.answer(w, hr, a)
@@ -268,7 +268,7 @@
 // anywhere; a peer that never sends a whole request is sent away 3 s after it has connected.
 func (f *front) bodyTime(hr *http.Request) time.Duration {
 	if c := clientOf(hr); c != nil {
-		return f.body - time.Since(c.RequestSince())
+		return f.body - time.Since(c.RequestStartedAt())
 	}
 	return f.body
 }
--- a/internal/agent/front_test.go
+++ b/internal/agent/front_test.go
@@ -237,24 +237,24 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		f.waiting.MakeRoom()
+		f.waiting.EvictIdle()
 		if synctest.Wait(); !open(slow) || !open(idle) {
 			t.Fatal("closed one that has only just come")
 		}
-		time.Sleep(clientconn.LeastWait)
+		time.Sleep(clientconn.MinIdleTime)
 		fresh := dial()
 		synctest.Wait()
-		f.waiting.MakeRoom()
+		f.waiting.EvictIdle()
 		if synctest.Wait(); open(slow) || !open(idle) || !open(busy) || !open(fresh) {
 			t.Error("not the unfinished one was closed")
 		}
-		f.waiting.MakeRoom()
+		f.waiting.EvictIdle()
 		if synctest.Wait(); open(idle) || !open(busy) || !open(fresh) {
 			t.Error("not the idle one was closed, though another had only just come")
 		}
-		time.Sleep(clientconn.LeastWait)
-		f.waiting.MakeRoom()
-		f.waiting.MakeRoom()
+		time.Sleep(clientconn.MinIdleTime)
+		f.waiting.EvictIdle()
+		f.waiting.EvictIdle()
 		if synctest.Wait(); open(fresh) || !open(busy) {
 			t.Error("not the silent one was closed, or one with a request open")
 		}
--- a/internal/agent/handover/record.go
+++ b/internal/agent/handover/record.go
@@ -15,19 +15,19 @@
 // twice: in microseconds since the machine's start, and, as versions of this program before had it, in Unix milliseconds.
 // Those are used where the first are missing: a process of such a version has written the record.
 type Record struct {
-	Format     int                `json:"format"`
-	Turn       int64              `json:"turn"`     // of the youngest process
-	Saved      int64              `json:"saved"`    // when the process that serves last wrote, Unix ms
-	Detached   map[string]int64   `json:"detached"` // backends, with when they were detached, Unix ms
-	Attached   map[string]int64   `json:"attached"` // and those attached again since
-	SavedAt    int64              `json:"saved_us,omitempty"`
-	DetachedAt map[string]int64   `json:"detached_us,omitempty"`
-	AttachedAt map[string]int64   `json:"attached_us,omitempty"`
-	Lame       bool               `json:"lame"`
-	LameAt     int64              `json:"lame_us,omitempty"`
-	From       string             `json:"from"` // the address of discovery, that told the list
-	List       *discovery.Members `json:"list"`
-	Snapshot   *balancer.Snapshot `json:"legacy"`
+	Format     int                     `json:"format"`
+	Turn       int64                   `json:"turn"`     // of the youngest process
+	Saved      int64                   `json:"saved"`    // when the process that serves last wrote, Unix ms
+	Detached   map[string]int64        `json:"detached"` // backends, with when they were detached, Unix ms
+	Attached   map[string]int64        `json:"attached"` // and those attached again since
+	SavedAt    int64                   `json:"saved_us,omitempty"`
+	DetachedAt map[string]int64        `json:"detached_us,omitempty"`
+	AttachedAt map[string]int64        `json:"attached_us,omitempty"`
+	Lame       bool                    `json:"lame"`
+	LameAt     int64                   `json:"lame_us,omitempty"`
+	From       string                  `json:"from"` // the address of discovery, that told the list
+	List       *discovery.EndpointList `json:"list"`
+	Snapshot   *balancer.Snapshot      `json:"legacy"`
 }
 
 const (
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -272,7 +272,7 @@
 }
 
 // SaveList records the list as discovery at an address has told it by now.
-func (s *Store) SaveList(from string, list *discovery.Members) error {
+func (s *Store) SaveList(from string, list *discovery.EndpointList) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.change(context.Background(), func(r *Record) {
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -52,7 +52,7 @@
 	servers := []member{one.member("one"), two.member("two")}
 	ln, dir := listen(t), t.TempDir()
 	older := start(t, upgradable(t, ln, dir, setup{servers: servers}))
-	older.operations.Within = patience
+	older.operations.AnswerTimeout = patience
 	waitFor(t, "the older one to take clients", older.front.taking.Load)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -80,7 +80,7 @@
 	before := len(one.seen)
 
 	younger := start(t, upgradable(t, ln, dir, setup{servers: servers}))
-	younger.operations.Within = patience
+	younger.operations.AnswerTimeout = patience
 	waitFor(t, "the younger one to take clients", younger.front.taking.Load)
 	if resp := knock(t, younger, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("not ready: %+v", resp)
@@ -208,11 +208,11 @@
 	s := serveRaw(t, func(int) string { return ok200 })
 	ln := listen(t)
 	a := start(t, upgradable(t, ln, filepath.Join(t.TempDir(), "none"), setup{servers: []member{s.member("s")}}))
-	a.operations.Within = patience
+	a.operations.AnswerTimeout = patience
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
-	a.operations.Within = admin.AnswerWithin
+	a.operations.AnswerTimeout = admin.DefaultAnswerTimeout
 	if resp := knock(t, a, put("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
@@ -254,7 +254,7 @@
 			c, ln, dir := serveCatalog(t), listen(t), t.TempDir()
 			set := setup{discovery: c.addr, servers: []member{one.member("one"), two.member("two")}}
 			older := start(t, upgradable(t, ln, dir, set))
-			older.operations.Within = patience
+			older.operations.AnswerTimeout = patience
 			watch := receive(t, "watch", c.watch)
 			now := make(chan time.Time)
 			close(now)
@@ -265,7 +265,7 @@
 					}
 					return
 				}
-				watch.lines <- lineOf(t, members{Version: 42, Full: true, Servers: []member{two.member("two")}})
+				watch.lines <- lineOf(t, members{Version: 42, Full: true, Endpoints: []member{two.member("two")}})
 				waitFor(t, "the list in the record", func() bool {
 					list := older.successor.Known().List
 					return list != nil && list.Version == 42
--- a/internal/agent/listener/listener_test.go
+++ b/internal/agent/listener/listener_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
@@ -33,23 +33,23 @@
 	t.Helper()
 	select {
 	case x = <-from:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s: nothing came", what)
 	}
 	return x
 }
 
 // The listener takes no connection past its limit until another is closed.
-func TestLimitListener(t *testing.T) {
+func TestLimitedListenerWaitsForAFreeSlot(t *testing.T) {
 	l := Limit(listen(t), 1)
-	asked := make(chan struct{}, 1)
-	l.Full = func() {
+	full := make(chan struct{}, 1)
+	l.OnFull = func() {
 		select {
-		case asked <- struct{}{}:
+		case full <- struct{}{}:
 		default:
 		}
 	}
-	got := make(chan net.Conn, 2)
+	accepted := make(chan net.Conn, 2)
 	ended := make(chan error, 1)
 	go func() {
 		for {
@@ -58,7 +58,7 @@
 				ended <- err
 				return
 			}
-			got <- c
+			accepted <- c
 		}
 	}()
 	for range 2 {
@@ -68,14 +68,14 @@
 		}
 		defer c.Close()
 	}
-	one := receive(t, "first connection", got)
-	receive(t, "call for room", asked)
-	if l.InUse() != 1 || len(got) != 0 {
-		t.Errorf("%d connections past the limit", len(got))
+	first := receive(t, "first connection", accepted)
+	receive(t, "call for room", full)
+	if l.InUse() != 1 || len(accepted) != 0 {
+		t.Errorf("%d connections past the limit", len(accepted))
 	}
-	one.Close()
-	one.Close() // gives back its slot only once
-	receive(t, "second connection", got)
+	first.Close()
+	first.Close() // gives back its slot only once
+	receive(t, "second connection", accepted)
 	l.Close()
 	if err := receive(t, "end", ended); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%v", err)
@@ -83,20 +83,20 @@
 }
 
 // The address may still be another process's: a restarted one waits for it, and ends when it is told to.
-func TestAddressOfTheProcessBefore(t *testing.T) {
+func TestListenTCPWaitsForAddressInUse(t *testing.T) {
 	old := listen(t)
 	type listened struct {
 		ln  *net.TCPListener
 		err error
 	}
-	done, again := make(chan listened, 1), make(chan time.Time)
-	go func() { ln, err := tcp(t.Context(), old.Addr().String(), again); done <- listened{ln, err} }()
-	again <- time.Now() // the first try has failed
-	again <- time.Now() // the second
+	done, retryTicks := make(chan listened, 1), make(chan time.Time)
+	go func() { ln, err := listenTCP(t.Context(), old.Addr().String(), retryTicks); done <- listened{ln, err} }()
+	retryTicks <- time.Now() // the first try has failed
+	retryTicks <- time.Now() // the second
 	old.Close()
 	var l listened
 	select {
-	case again <- time.Now():
+	case retryTicks <- time.Now():
 		l = receive(t, "listener", done)
 	case l = <-done: // the second try came after the close
 	}
@@ -106,13 +106,13 @@
 	defer l.ln.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := tcp(ctx, l.ln.Addr().String(), again); !errors.Is(err, syscall.EADDRINUSE) {
+	if _, err := listenTCP(ctx, l.ln.Addr().String(), retryTicks); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("an address that is never free: %v", err)
 	}
 }
 
-// descriptor is a further descriptor of a socket, as a process inherits it.
-func descriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
+// dupDescriptor is a further descriptor of a socket, as a process inherits it.
+func dupDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
 	if err != nil {
@@ -136,9 +136,9 @@
 }
 
 // The inherited descriptor is the clients' listener, or the program does not start.
-func TestInheritedListener(t *testing.T) {
+func TestInheritedTakesOnlyListeningTCPSockets(t *testing.T) {
 	ln := listen(t)
-	got, err := Inherited(t.Context(), descriptor(t, ln))
+	got, err := Inherited(t.Context(), dupDescriptor(t, ln))
 	if err != nil || got.Addr().String() != ln.Addr().String() {
 		t.Fatalf("%v, %v", got, err)
 	}
@@ -167,8 +167,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, fd := range map[string]int{"a connection": descriptor(t, c.(*net.TCPConn)),
-		"UDP": descriptor(t, udp.(*net.UDPConn)), "a file": fd, "nothing": 1 << 20} {
+	for name, fd := range map[string]int{"a connection": dupDescriptor(t, c.(*net.TCPConn)),
+		"UDP": dupDescriptor(t, udp.(*net.UDPConn)), "a file": fd, "nothing": 1 << 20} {
 		if _, err := Inherited(t.Context(), fd); err == nil || !strings.Contains(err.Error(), "PROXY_FD") {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/agent/listener/open.go
+++ b/internal/agent/listener/open.go
@@ -14,57 +14,59 @@
 )
 
 const (
-	openWithin = 8 * time.Second // a restarted process is to be ready within 10 s
-	openEvery  = 20 * time.Millisecond
+	openTimeout       = 8 * time.Second // a restarted process is to be ready within 10 s
+	openRetryInterval = 20 * time.Millisecond
 )
 
 // passing are the errors of system calls that may be over a moment later: shortages of the machine, addresses that are
 // still another process's, and a disk that fails. Others mean that what was asked for can't be had.
-var passing = []syscall.Errno{
+var transientErrnos = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOLCK,
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.ECONNABORTED, syscall.EPROTO, syscall.ETIMEDOUT, syscall.EIO,
 }
 
-// Passes reports whether what failed may do so for a moment only.
-func Passes(err error) bool {
+// IsTransient reports whether what failed may do so for a moment only.
+func IsTransient(err error) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(passing, errno)
+	return errors.As(err, &errno) && slices.Contains(transientErrnos, errno)
 }
 
 // Retry does something again and again until it succeeds, fails for good, or has failed for as long as a start may take.
-// A try follows each time that again tells; nil: every openEvery.
-func Retry[T any](ctx context.Context, again <-chan time.Time, do func() (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, openWithin)
+// A try follows each time that again tells; nil: every openRetryInterval.
+func Retry[T any](ctx context.Context, retryTicks <-chan time.Time, attempt func() (T, error)) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
-	if again == nil {
-		tick := time.NewTicker(openEvery)
-		defer tick.Stop()
-		again = tick.C
+	if retryTicks == nil {
+		ticker := time.NewTicker(openRetryInterval)
+		defer ticker.Stop()
+		retryTicks = ticker.C
 	}
 	for {
-		result, err := do()
-		if !Passes(err) {
+		result, err := attempt()
+		if !IsTransient(err) {
 			return result, err
 		}
 		select {
-		case <-again:
+		case <-retryTicks:
 		case <-ctx.Done():
 			return result, err
 		}
 	}
 }
 
-// TCP listens at an address. The process before this one may still drain there: it is waited for.
-func TCP(ctx context.Context, text string) (*net.TCPListener, error) { return tcp(ctx, text, nil) }
+// ListenTCP listens at an address. The process before this one may still drain there: it is waited for.
+func ListenTCP(ctx context.Context, address string) (*net.TCPListener, error) {
+	return listenTCP(ctx, address, nil)
+}
 
-func tcp(ctx context.Context, text string, again <-chan time.Time) (*net.TCPListener, error) {
-	addr, err := net.ResolveTCPAddr("tcp", text)
+func listenTCP(ctx context.Context, address string, retryTicks <-chan time.Time) (*net.TCPListener, error) {
+	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return Retry(ctx, again, func() (*net.TCPListener, error) { return net.ListenTCP("tcp", addr) })
+	return Retry(ctx, retryTicks, func() (*net.TCPListener, error) { return net.ListenTCP("tcp", addr) })
 }
 
 // Inherited is the listening socket that the platform holds and every process inherits as a descriptor, which is closed:
@@ -75,7 +77,7 @@
 		return nil, fmt.Errorf("PROXY_FD: %d is no file descriptor", fd)
 	}
 	defer file.Close()
-	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	acceptsConns, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_FD: descriptor %d: %w", fd, err)
 	}
@@ -83,10 +85,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_FD: descriptor %d: %w", fd, err)
 	}
-	tcp, ok := ln.(*net.TCPListener)
-	if !ok || listening == 0 {
+	tcpListener, ok := ln.(*net.TCPListener)
+	if !ok || acceptsConns == 0 {
 		ln.Close()
 		return nil, fmt.Errorf("PROXY_FD: descriptor %d is no listening TCP socket", fd)
 	}
-	return tcp, nil
+	return tcpListener, nil
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -350,8 +350,8 @@
 		}
 	case discovery.Update:
 		l.backends.update(e)
-		l.pending = append(l.pending, e.List)
-		if len(e.List.Backends) > 0 {
+		l.pending = append(l.pending, e.Endpoints)
+		if len(e.Endpoints.Backends) > 0 {
 			l.ready.Store(true)
 		}
 	case balancer.ProbeResult:
--- a/internal/agent/operated.go
+++ b/internal/agent/operated.go
@@ -10,8 +10,8 @@
 
 func (o operated) Ready() bool { return o.front.taking.Load() }
 
-func (o operated) Move(ctx context.Context, backend string, detach bool) (bool, error) {
+func (o operated) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
 	return o.loop.call(ctx, &call{backend: backend, detach: detach})
 }
 
-func (o operated) Drain(on bool) { o.front.setLame(on) }
+func (o operated) SetLameDuck(on bool) { o.front.setLame(on) }
--- a/internal/agent/operated_test.go
+++ b/internal/agent/operated_test.go
@@ -57,7 +57,7 @@
 func TestCalls(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, withDoor(t, setup{servers: []member{s.member("s")}}))
-	a.operations.Within = patience // a slow machine is no loop that hangs
+	a.operations.AnswerTimeout = patience // a slow machine is no loop that hangs
 	for _, row := range []struct {
 		text string
 		want int
@@ -97,7 +97,7 @@
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	s := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, withDoor(t, setup{servers: []member{s.member("s")}}))
-	a.operations.Within = patience
+	a.operations.AnswerTimeout = patience
 	half := put("/_lameduck/on", "{}")
 	for i := range 3 * operationsSockets {
 		c, err := net.Dial("tcp", a.operations.Addr().String())
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), admin.AnswerWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), admin.DefaultAnswerTimeout)
 		defer cancel()
 		c := &call{backend: "s", detach: true, carried: true}
 		if taken, err := l.call(ctx, c); taken || err == nil {
@@ -180,7 +180,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.loop.take(a.discovery.Known(a.cfg.Known))
+		a.loop.take(a.discovery.Restore(a.cfg.Known))
 		ctx, end := context.WithTimeout(t.Context(), patience)
 		ready, taken := make(chan struct{}), make(chan bool)
 		go func() {
@@ -206,7 +206,7 @@
 	one := serveRaw(t, func(int) string { return ok200 })
 	two := serveRaw(t, func(int) string { return ok200 })
 	a := start(t, withDoor(t, setup{servers: []member{one.member("one"), two.member("two")}}))
-	a.operations.Within = patience
+	a.operations.AnswerTimeout = patience
 	knock(t, a, put("/_backends/detach", `{"target":"one"}`))
 	for range 20 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
--- a/internal/agent/rare_backends_test.go
+++ b/internal/agent/rare_backends_test.go
@@ -272,7 +272,7 @@
 }
 
 func told(b *backends, m balancer.Backend, addr string) {
-	u := discovery.Update{List: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
+	u := discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
 	if addr != "" {
 		u.Addrs[m.ID] = addr
 	}
--- a/internal/agent/rare_front_test.go
+++ b/internal/agent/rare_front_test.go
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	// The order that hurts: the end is known before the server has read the request.
-	receive(t, "end", c.(*clientconn.Conn).Gone().Done())
+	receive(t, "end", c.(*clientconn.Conn).Context().Done())
 	ln.conns <- c
 	served := make(chan error, 1)
 	go func() { served <- f.server.Serve(ln) }()
@@ -179,7 +179,7 @@
 		waitFor(t, "half of the request", func() bool {
 			for _, c := range f.waiting.Conns() {
 				c := c.(*clientconn.Conn)
-				return c.Reading() && !c.Asked() // the server has all that came, and some is to come
+				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that came, and some is to come
 			}
 			return false
 		})
@@ -188,7 +188,7 @@
 			t.Error("closed as idle")
 		}
 		waitFor(t, "the connection's end", func() bool {
-			f.waiting.MakeRoom() // once it has waited for long enough
+			f.waiting.EvictIdle() // once it has waited for long enough
 			return f.nobody()
 		})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode < 400 {
--- a/internal/agent/rare_stop_test.go
+++ b/internal/agent/rare_stop_test.go
@@ -105,7 +105,7 @@
 // idle reports whether no connection has part of a request.
 func (s *stopping) idle() bool {
 	for _, c := range s.front.waiting.Conns() {
-		if c.(*clientconn.Conn).Reading() {
+		if c.(*clientconn.Conn).RequestInProgress() {
 			return false
 		}
 	}
@@ -126,7 +126,7 @@
 	first := a.dial(t)
 	write(t, first, get("/get/x", ""))
 	receive(t, "first request", s.seen)
-	waitFor(t, "the wait for a descriptor", a.listener.Waiting)
+	waitFor(t, "the wait for a descriptor", a.listener.Backlogged)
 	queued := a.dial(t)
 	write(t, queued, get("/get/x", ""))
 	a.stopNow(t)
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.operations.Within = patience
+	a.operations.AnswerTimeout = patience
 	entered, release := make(chan struct{}), make(chan struct{})
 	a.operations.Record = func(context.Context, handover.Call) error { close(entered); <-release; return nil }
 	now := make(chan time.Time)
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -41,7 +41,7 @@
 			f.waiting.CloseIdle(0, silent)
 		}
 		over := time.Now().After(end)
-		if accepted && (over || !a.listener.Waiting()) {
+		if accepted && (over || !a.listener.Backlogged()) {
 			a.shut(served)
 		}
 		if open := f.open.Load(); over && !late && open > 0 {
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func (a *Agent) recordList(from string, list *discovery.Members) {
+func (a *Agent) recordList(from string, list *discovery.EndpointList) {
 	if err := a.successor.SaveList(from, list); err != nil {
 		a.log.Warn("the list is not recorded for a successor", "error", err)
 	}
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -31,8 +31,8 @@
 		Detached: map[string]int64{"b1": 1700000000004}, Attached: map[string]int64{"b2": 1700000000005},
 		SavedAt: 6_000_006, DetachedAt: map[string]int64{"b1": 7_000_007}, AttachedAt: map[string]int64{"b2": 8_000_008},
 		Lame: true, LameAt: 9_000_009, From: "127.0.0.1:10",
-		List: &discovery.Members{Version: 11, Full: true, Servers: []discovery.Member{
-			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, Started: 15}}},
+		List: &discovery.EndpointList{Version: 11, Full: true, Endpoints: []discovery.Endpoint{
+			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, StartedAt: 15}}},
 		Snapshot: &balancer.Snapshot{Tokens: 16.5, PerBack: 17.5, Delay: 0.185, Best: 0.195, Asked: 20.5, Moved: 21.5,
 			Peers: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -122,8 +122,8 @@
 }
 
 // lists follows the list service, for those who follow here. What it says matters to them alone.
-func (h *Hub) lists() *discovery.Follower {
+func (h *Hub) lists() *discovery.Watcher {
 	began := time.Now()
-	return discovery.New(discovery.Config{Addr: h.cfg.Discovery, ConnectTimeout: connectWithin, Sources: h.fleet, Post: func(discovery.Update) {},
-		Translator: discovery.Translator{Zones: h.cfg.Zones.Names, Log: slog.New(slog.DiscardHandler), At: func(t time.Time) time.Duration { return t.Sub(began) }}})
+	return discovery.New(discovery.Config{Addr: h.cfg.Discovery, ConnectTimeout: connectWithin, Sources: h.fleet, Deliver: func(discovery.Update) {},
+		Translator: discovery.Translator{Zones: h.cfg.Zones.Names, Log: slog.New(slog.DiscardHandler), AgentTime: func(t time.Time) time.Duration { return t.Sub(began) }}})
 }
--- a/internal/scale/callway/lists.go
+++ b/internal/scale/callway/lists.go
@@ -23,9 +23,9 @@
 	serving sync.WaitGroup
 
 	mu      sync.Mutex
-	members []discovery.Member
-	tells   []discovery.Members // version v is tells[v-firstVersion-1]
-	changed chan struct{}       // closed at each change
+	members []discovery.Endpoint
+	tells   []discovery.EndpointList // version v is tells[v-firstVersion-1]
+	changed chan struct{}            // closed at each change
 	closed  bool
 	out     int // the backend that drains; below 0: none
 }
@@ -41,7 +41,7 @@
 func NewLists(addrs []string) (*Lists, error) {
 	l := &Lists{changed: make(chan struct{}), out: -1}
 	for i, addr := range addrs {
-		l.members = append(l.members, discovery.Member{ID: fmt.Sprintf("b-%04d", i), Addr: addr, Zone: zoneName, Kind: kindName, Cell: i / 4, State: "ready", Weight: 1})
+		l.members = append(l.members, discovery.Endpoint{ID: fmt.Sprintf("b-%04d", i), Addr: addr, Zone: zoneName, Kind: kindName, Cell: i / 4, State: "ready", Weight: 1})
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -73,17 +73,17 @@
 func (l *Lists) Change(whole bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := discovery.Members{Version: firstVersion + int64(len(l.tells)) + 1, Full: whole}
+	m := discovery.EndpointList{Version: firstVersion + int64(len(l.tells)) + 1, Full: whole}
 	was := l.out
 	l.out = (l.out + 1) % len(l.members)
 	for i, state := range map[int]string{was: "ready", l.out: "draining"} {
 		if i >= 0 {
 			l.members[i].State = state
-			m.Servers = append(m.Servers, l.members[i])
+			m.Endpoints = append(m.Endpoints, l.members[i])
 		}
 	}
 	if whole {
-		m.Servers = append([]discovery.Member(nil), l.members...)
+		m.Endpoints = append([]discovery.Endpoint(nil), l.members...)
 	}
 	l.tells = append(l.tells, m)
 	l.stir()
@@ -103,9 +103,9 @@
 			return
 		}
 		latest := firstVersion + int64(len(l.tells))
-		var tell []discovery.Members
+		var tell []discovery.EndpointList
 		if told < firstVersion || told > latest {
-			tell = []discovery.Members{{Version: latest, Full: true, Servers: append([]discovery.Member{}, l.members...)}}
+			tell = []discovery.EndpointList{{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, l.members...)}}
 		} else {
 			tell = l.tells[told-firstVersion:]
 		}
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -67,8 +67,8 @@
 	return s
 }
 
-func backend(i int) discovery.Member {
-	return discovery.Member{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
+func backend(i int) discovery.Endpoint {
+	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
 }
 
 // change changes one backend, and says when and to which version.
@@ -92,16 +92,16 @@
 		s.mu.Unlock()
 		line := []byte{}
 		if at != version {
-			m := discovery.Members{Version: version, Full: at < firstList}
+			m := discovery.EndpointList{Version: version, Full: at < firstList}
 			if m.Full {
 				for i := range backends {
-					m.Servers = append(m.Servers, backend(i))
+					m.Endpoints = append(m.Endpoints, backend(i))
 				}
 			} else {
 				for v := at; v < version; v++ {
 					b := backend(int(v % backends))
 					b.Weight = float64(1 + v%8)
-					m.Servers = append(m.Servers, b)
+					m.Endpoints = append(m.Endpoints, b)
 				}
 			}
 			line, _ = json.Marshal(m) // names and numbers alone
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -75,7 +75,7 @@
 	fleet    *fleet.Fleet     // nil: it has a hub
 	spoke    *hubclient.Spoke // nil: the fleet is flat
 	holder   *residency.Holder
-	follower *discovery.Follower
+	follower *discovery.Watcher
 	end      context.CancelFunc
 	tasks    sync.WaitGroup
 	part     atomic.Uint64 // bits of a float64
@@ -161,10 +161,10 @@
 func (a *Agent) follow(ctx context.Context, log *slog.Logger) {
 	born, fails := time.Now(), 0
 	a.follower = discovery.New(discovery.Config{
-		Translator: discovery.Translator{Zones: a.spec.Zones, At: func(t time.Time) time.Duration { return t.Sub(born) }, Log: log},
-		Addr:       a.spec.Service, Asked: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.place,
-		Post: func(u discovery.Update) {
-			if u.List.Kind != balancer.ListFailed {
+		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: func(t time.Time) time.Duration { return t.Sub(born) }, Log: log},
+		Addr:       a.spec.Service, Polled: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.place,
+		Deliver: func(u discovery.Update) {
+			if u.Endpoints.Kind != balancer.ListFailed {
 				fails = 0
 				a.acted(List, a.list.Load())
 				return
@@ -173,7 +173,7 @@
 			fails++
 			time.AfterFunc(wait, a.follower.Subscribe)
 		}})
-	a.follower.Record = func(_ string, m *discovery.Members) { a.list.Store(m.Version) }
+	a.follower.Record = func(_ string, m *discovery.EndpointList) { a.list.Store(m.Version) }
 	a.follower.Subscribe()
 	a.tasks.Go(func() { a.follower.Run(ctx) })
 }
