--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -11,7 +11,7 @@
 
 func main() {
 	log := logging.New(os.Stderr, slog.NewTextHandler, nil)
-	err := agent.Serve(log.Logger, agent.Platform(os.Getenv))
+	err := agent.Serve(log.Logger, agent.PlatformSource(os.Getenv))
 	if err != nil {
 		log.Error("agent failed", "error", err)
 	}
--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -41,7 +41,7 @@
 func (c *agentCmd) Run(o *output) error {
 	log := c.logger(o.stderr)
 	defer log.Close()
-	source := agent.Platform(os.Getenv)
+	source := agent.PlatformSource(os.Getenv)
 	source.Join = membership.Shares
 	if c.Config != "" {
 		var err error
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,33 +25,33 @@
 
 // Agent is one agent, ready to run.
 type Agent struct {
-	cfg        *Config
-	log        *slog.Logger
-	loop       *loop
-	front      *front
-	backends   *backends
-	discovery  *discovery.Watcher
-	operations *admin.Server // nil: operators can't call
-	successor  *successor    // nil: no process of this agent replaces another
-	fleet      Fleet         // nil: it has no fleet
-	listener   *listener.Limited
-	closed     bool                    // the listener; stop's
-	stopIn     time.Duration           // after a SIGTERM the last answers are out
-	accept     func() <-chan time.Time // ends the time in which a stopping agent takes connections
+	cfg            *Config
+	log            *slog.Logger
+	loop           *eventLoop
+	frontend       *frontend
+	pool           *upstreamPool
+	discovery      *discovery.Watcher
+	admin          *admin.Server // nil: operators can't call
+	hotRestart     *hotRestart   // nil: no process of this agent replaces another
+	fleet          Fleet         // nil: it has no fleet
+	listener       *listener.Limited
+	listenerClosed bool                    // the listener; stop's
+	drainTimeout   time.Duration           // after a SIGTERM the last answers are out
+	acceptWindow   func() <-chan time.Time // ends the time in which a stopping agent takes connections
 }
 
 // New listens and sets up an agent. Clients are served once Run is called. It waits for an address that another process
 // still has, until ctx ends.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, backends: newBackends(cfg, log),
-		accept: func() <-chan time.Time { return time.After(acceptAfterStop) },
-		stopIn: min(cfg.longest(), longestKept) + stopSlack}
-	ck := newClock()
+	a := &Agent{cfg: cfg, log: log, pool: newUpstreamPool(cfg, log),
+		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
+		drainTimeout: min(cfg.maxDeadline(), maxDrainDeadline) + drainSlack}
+	clk := newClock()
 	var err error
-	if a.loop, err = newLoop(cfg, ck, a.backends, log); err != nil {
+	if a.loop, err = newEventLoop(cfg, clk, a.pool, log); err != nil {
 		return nil, err
 	}
-	if err = a.join(); err != nil {
+	if err = a.joinFleet(); err != nil {
 		return nil, err
 	}
 	var sources source.Sources
@@ -60,36 +60,36 @@
 	}
 	a.discovery = discovery.New(discovery.Config{
 		Sources:    sources,
-		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, AgentTime: ck.at, Log: log},
+		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, AgentTime: clk.at, Log: log},
 		Addr:       cfg.Discovery, Polled: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
 		Deliver: func(u discovery.Update) { a.loop.post(u) }})
-	a.loop.watch = a.discovery.Subscribe
+	a.loop.subscribe = a.discovery.Subscribe
 	if cfg.Settings.Peers {
-		if a.loop.peers, err = newPeers(ctx, cfg, log); err != nil {
+		if a.loop.peers, err = newPeerTransport(ctx, cfg, log); err != nil {
 			return nil, err
 		}
 	}
-	a.front = newFront(cfg, a.loop, log)
-	a.front.residency = a.loop.residency
-	if cfg.Mgmt != "" {
-		if a.operations, err = admin.New(ctx, cfg.Mgmt, operationsSockets, operated{a.loop, a.front}, log); err != nil {
+	a.frontend = newFrontend(cfg, a.loop, log)
+	a.frontend.residency = a.loop.residency
+	if cfg.AdminAddr != "" {
+		if a.admin, err = admin.New(ctx, cfg.AdminAddr, maxAdminConns, adminControl{a.loop, a.frontend}, log); err != nil {
 			return nil, err
 		}
 	}
-	ln, err := a.listen(ctx)
+	ln, err := a.openListener(ctx)
 	if err != nil {
 		return nil, err
 	}
-	a.listener = listener.Limit(ln, acceptSockets(cfg.shareable()))
-	a.listener.OnFull, a.listener.OnAcceptError = a.front.waiting.EvictIdle, func(err error) { log.Warn("accepting clients fails", "error", err) }
+	a.listener = listener.Limit(ln, maxAcceptedConns(cfg.shareableDescriptors()))
+	a.listener.OnFull, a.listener.OnAcceptError = a.frontend.idleConns.EvictIdle, func(err error) { log.Warn("accepting clients fails", "error", err) }
 	if cfg.ListenFD > 0 {
 		a.prepareHandover(ctx)
 	}
 	return a, nil
 }
 
-// listen returns where clients connect.
-func (a *Agent) listen(ctx context.Context) (*net.TCPListener, error) {
+// openListener returns where clients connect.
+func (a *Agent) openListener(ctx context.Context) (*net.TCPListener, error) {
 	if a.cfg.ListenFD > 0 {
 		return listener.Inherited(ctx, a.cfg.ListenFD)
 	}
@@ -103,8 +103,8 @@
 // Addr is where clients connect.
 func (a *Agent) Addr() net.Addr { return a.listener.Addr() }
 
-// Follow has the agent watch discovery at another address.
-func (a *Agent) Follow(addr string) {
+// SetDiscoveryAddr has the agent watch discovery at another address.
+func (a *Agent) SetDiscoveryAddr(addr string) {
 	a.log.Info("discovery has moved", "address", addr)
 	a.discovery.SetAddr(addr)
 }
@@ -112,58 +112,58 @@
 // Run serves until stop ends, then finishes what was taken and returns.
 func (a *Agent) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background()) // everything goes on through the drain
-	defer a.backends.close()
-	if a.successor != nil {
-		defer a.successor.Close() // a younger process is alone then; nothing here looks at its locks any more
+	defer a.pool.close()
+	if a.hotRestart != nil {
+		defer a.hotRestart.Close() // a younger process is alone then; nothing here looks at its locks any more
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	if a.operations != nil { // before what may wait: a call has its answer, if only a no
-		running.Go(func() { a.operations.Run(ctx) })
+	if a.admin != nil { // before what may wait: a call has its answer, if only a no
+		running.Go(func() { a.admin.Run(ctx) })
 	}
-	if a.successor != nil {
-		a.inherit(stop)
+	if a.hotRestart != nil {
+		a.restoreState(stop)
 	}
-	if a.cfg.Known != nil && len(a.cfg.Known.Endpoints) > 0 {
-		a.loop.take(a.discovery.Restore(a.cfg.Known))
+	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
+		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
 	} else {
-		a.loop.take(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListCached}}) // the module asks after it
+		a.loop.apply(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListCached}}) // the module asks after it
 	}
-	known := len(a.backends.listed) // from here on the loop owns the list
+	endpointCount := len(a.pool.endpoints) // from here on the loop owns the list
 	running.Go(func() { a.loop.run(ctx) })
 	running.Go(func() { a.discovery.Run(ctx) })
-	running.Go(func() { a.backends.reap(ctx) })
+	running.Go(func() { a.pool.closeExpired(ctx) })
 	if a.fleet != nil {
-		running.Go(func() { a.stayInFleet(ctx) })
+		running.Go(func() { a.runFleet(ctx) })
 	}
-	heard, deaf := context.WithCancel(ctx)
-	defer deaf()
+	peersCtx, stopPeers := context.WithCancel(ctx)
+	defer stopPeers()
 	if a.loop.peers != nil {
-		running.Go(func() { a.loop.peers.run(heard, a.loop.post) })
+		running.Go(func() { a.loop.peers.run(peersCtx, a.loop.post) })
 	}
-	if a.operations != nil || a.successor != nil {
-		running.Go(func() { a.front.empty(ctx) })
+	if a.admin != nil || a.hotRestart != nil {
+		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
 	}
-	if a.successor != nil {
-		running.Go(func() { a.share(ctx) })
-		a.awaitList(stop)
+	if a.hotRestart != nil {
+		running.Go(func() { a.runHotRestart(ctx) })
+		a.awaitEndpoints(stop)
 	}
-	a.front.taking.Store(true)
+	a.frontend.accepting.Store(true)
 	served := make(chan error, 1)
-	go func() { served <- a.front.serve(a.listener) }()
+	go func() { served <- a.frontend.serve(a.listener) }()
 	if a.fleet != nil && !a.cfg.Settings.Subscribe {
 		a.fleet.Ready()
 	}
-	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", known)
+	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", endpointCount)
 	select {
 	case err := <-served:
 		return fmt.Errorf("listen: %w", err)
 	case <-stop.Done():
 	}
-	if a.successor != nil {
-		deaf() // the peers' address is the successor's
+	if a.hotRestart != nil {
+		stopPeers() // the peers' address is the successor's
 	}
-	a.stop(served)
+	a.drain(served)
 	return nil // a stop that was asked for is no failure
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -26,14 +26,14 @@
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 type (
-	member  = discovery.Endpoint
-	members = discovery.EndpointList
+	discoveryMember = discovery.Endpoint
+	discoveryList   = discovery.EndpointList
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // settings has one class of each effect and deadlines long enough for a slow machine.
 const settings = `{
@@ -48,14 +48,14 @@
  "Contract": {"AskWithinMs": 1000, "DrainGraceMs": 1000, "GraceToAnswerMs": 20, "ColdFrom": 0.5, "RampTimeMs": 1000, "FallMultiple": 3, "FallMs": 1000},
  "Goal": {"Whole": 1}, "Report": {"Source": "inline"}}`
 
-type setup struct {
+type testSetup struct {
 	mode      string // of discovery; "" is automatic
 	deadline  int    // of all classes, ms; 0: 60 s
 	discovery string
-	servers   []member
+	servers   []discoveryMember
 }
 
-func testConfig(t *testing.T, s setup) *Config {
+func testConfig(t *testing.T, s testSetup) *Config {
 	t.Helper()
 	if s.mode == "" {
 		s.mode = "automatic"
@@ -64,12 +64,12 @@
 		s.deadline = 60000
 	}
 	if s.discovery == "" {
-		s.discovery = deadAddr(t)
+		s.discovery = unusedAddr(t)
 	}
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":    members{Version: 41, Full: true, Endpoints: s.servers},
+		"known":    discoveryList{Version: 41, Full: true, Endpoints: s.servers},
 		"settings": json.RawMessage(fmt.Sprintf(settings, s.mode, s.deadline)),
 	})
 	if err != nil {
@@ -82,8 +82,8 @@
 	return cfg
 }
 
-// deadAddr is an address at which nothing listens.
-func deadAddr(t *testing.T) string {
+// unusedAddr is an address at which nothing listens.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
 	ln.Close()
@@ -100,48 +100,48 @@
 	return ln
 }
 
-// running is an agent under test.
-type running struct {
+// testAgent is an agent under test.
+type testAgent struct {
 	*Agent
-	base string
-	stop context.CancelFunc
-	done chan error
+	baseURL string
+	stop    context.CancelFunc
+	ended   chan error
 }
 
-func start(t *testing.T, cfg *Config) *running {
+func startAgent(t *testing.T, cfg *Config) *testAgent {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
-	return startUntil(t, cfg, now)
+	return startWithAcceptWindow(t, cfg, now)
 }
 
-// startUntil runs an agent that, once stopped, takes connections until accept is closed.
-func startUntil(t *testing.T, cfg *Config, accept <-chan time.Time) *running {
+// startWithAcceptWindow runs an agent that, once stopped, takes connections until accept is closed.
+func startWithAcceptWindow(t *testing.T, cfg *Config, accept <-chan time.Time) *testAgent {
 	t.Helper()
-	return startAfter(t, cfg, accept, func(*running) {})
+	return startWithHook(t, cfg, accept, func(*testAgent) {})
 }
 
-// startAfter runs an agent once something was done between its set-up and its start.
-func startAfter(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*running)) *running {
+// startWithHook runs an agent once something was done between its set-up and its start.
+func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
 	t.Helper()
-	a, err := New(t.Context(), cfg, quiet)
+	a, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Agent: a, base: "http://" + a.Addr().String(), stop: cancel, done: make(chan error, 1)}
-	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*patience, 2*patience        // a slow machine is no dead discovery
-	a.front.server.ReadHeaderTimeout, a.front.server.IdleTimeout = 2*patience, 2*patience // nor a rude client
-	a.front.body, a.front.gap = 2*patience, 2*patience
-	a.accept = func() <-chan time.Time { return accept }
-	a.stopIn = 2 * patience
+	r := &testAgent{Agent: a, baseURL: "http://" + a.Addr().String(), stop: cancel, ended: make(chan error, 1)}
+	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout              // a slow machine is no dead discovery
+	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout // nor a rude client
+	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
+	a.acceptWindow = func() <-chan time.Time { return accept }
+	a.drainTimeout = 2 * testTimeout
 	before(r)
-	go func() { r.done <- a.Run(ctx); close(r.done) }()
+	go func() { r.ended <- a.Run(ctx); close(r.ended) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case <-r.done:
-		case <-time.After(2 * patience):
+		case <-r.ended:
+		case <-time.After(2 * testTimeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -168,8 +168,8 @@
 	return fmt.Sprintf("%016x", ids.n)
 }
 
-func (r *running) request(ctx context.Context, method, path, body string, headers ...string) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, method, r.base+path, strings.NewReader(body))
+func (a *testAgent) request(ctx context.Context, method, path, body string, headers ...string) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, method, a.baseURL+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -182,10 +182,10 @@
 	return req, nil
 }
 
-func (r *running) do(method, path, body string, headers ...string) exchange {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (a *testAgent) do(method, path, body string, headers ...string) exchange {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	req, err := r.request(ctx, method, path, body, headers...)
+	req, err := a.request(ctx, method, path, body, headers...)
 	if err != nil {
 		return exchange{err: err}
 	}
@@ -199,18 +199,18 @@
 	return exchange{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// backend is a server that answers with handle and counts what reached it.
-type backend struct {
+// fakeBackend is a server that answers with handle and counts what reached it.
+type fakeBackend struct {
 	addr string
 	seen chan string // the id of each request that came whole
 }
 
-// serveRaw runs a backend that reads each request whole and writes what answer says, byte for
+// startRawBackend runs a backend that reads each request whole and writes what answer says, byte for
 // byte. An empty answer closes the connection, as does one that ends with it.
-func serveRaw(t *testing.T, answer func(n int) string) *backend {
+func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &backend{addr: ln.Addr().String(), seen: make(chan string, 100)}
+	b := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
 	var mu sync.Mutex
 	n := 0
 	go func() {
@@ -247,8 +247,8 @@
 	return b
 }
 
-func (b *backend) member(id string) member {
-	return member{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+func (b *fakeBackend) member(id string) discoveryMember {
+	return discoveryMember{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
@@ -258,36 +258,36 @@
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
 }
 
-// attemptAt makes one attempt at a backend, with no agent around it.
-func attemptAt(t *testing.T, b *backends, ctx context.Context, body string) (balancer.Result, *answer, balancer.Load) {
+// attemptOn makes one attempt at a backend, with no agent around it.
+func attemptOn(t *testing.T, b *upstreamPool, ctx context.Context, body string) (balancer.Result, *response, balancer.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b.attempt(ctx, nil, "s", &message{method: http.MethodPost, url: req.URL, body: []byte(body),
+	return b.executeBuffered(ctx, nil, "s", &upstreamRequest{method: http.MethodPost, url: req.URL, body: []byte(body),
 		header: http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}})
 }
 
-func poolFor(t *testing.T, addr string) *backends {
+func poolWithBackend(t *testing.T, addr string) *upstreamPool {
 	t.Helper()
-	b := newBackends(testConfig(t, setup{}), quiet)
+	b := newUpstreamPool(testConfig(t, testSetup{}), discardLog)
 	t.Cleanup(b.close)
-	b.settle = 0 // what comes on a connection that rests is another test's
-	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "s"}}},
+	b.settleTime = 0 // what comes on a connection that rests is another test's
+	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
 
 // Each row of the protocol's table of outcomes. What is taken for 'never ran' may be sent again
 // or refused, so a wrong row can do an effect twice.
-func TestOutcomeTable(t *testing.T) {
+func TestAttemptResultFollowsOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
 		answer string
 		want   balancer.Result
@@ -310,10 +310,10 @@
 		"no HTTP":              {"TRUNCATED\r\n\r\n", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serveRaw(t, func(int) string { return row.answer })
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			s := startRawBackend(t, func(int) string { return row.answer })
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			result, a, _ := attemptAt(t, poolFor(t, s.addr), ctx, "body")
+			result, a, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, "body")
 			if result != row.want || (a != nil) != (row.want == balancer.OK) {
 				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
 			}
@@ -324,63 +324,63 @@
 	}
 }
 
-func TestOutcomeConnectionRefused(t *testing.T) {
-	b := poolFor(t, deadAddr(t))
-	if result, _, _ := attemptAt(t, b, context.Background(), ""); result != balancer.ConnectFailed {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	b := poolWithBackend(t, unusedAddr(t))
+	if result, _, _ := attemptOn(t, b, context.Background(), ""); result != balancer.ConnectFailed {
 		t.Errorf("result %v", result)
 	}
-	if b.open != 0 {
-		t.Errorf("%d connections counted as open", b.open)
+	if b.openConns != 0 {
+		t.Errorf("%d connections counted as open", b.openConns)
 	}
 }
 
 // A backend that takes the request and says nothing: the attempt ends when the agent stops
 // waiting, may have run, and its connection is not used again.
-func TestOutcomeTimedOut(t *testing.T) {
+func TestTimedOutAttemptDropsItsConnection(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	s := serveRaw(t, func(int) string { <-hold; return "" })
-	b := poolFor(t, s.addr)
+	s := startRawBackend(t, func(int) string { <-hold; return "" })
+	b := poolWithBackend(t, s.addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(errTimedOut) }()
-	if result, _, _ := attemptAt(t, b, ctx, ""); result != balancer.TimedOut {
+	if result, _, _ := attemptOn(t, b, ctx, ""); result != balancer.TimedOut {
 		t.Errorf("result %v", result)
 	}
-	if b.open != 0 || len(b.idle["s"]) != 0 {
-		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", b.open, len(b.idle["s"]))
+	if b.openConns != 0 || len(b.idle["s"]) != 0 {
+		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", b.openConns, len(b.idle["s"]))
 	}
 }
 
-func TestOutcomeCancelled(t *testing.T) {
+func TestCancelledAttemptIsReportedCancelled(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	s := serveRaw(t, func(int) string { <-hold; return "" })
+	s := startRawBackend(t, func(int) string { <-hold; return "" })
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-s.seen; cancel(errCancelled) }()
-	if result, _, _ := attemptAt(t, poolFor(t, s.addr), ctx, ""); result != balancer.Cancelled {
+	if result, _, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, ""); result != balancer.Cancelled {
 		t.Errorf("result %v", result)
 	}
 }
 
-// shortConn breaks after so many bytes of the request.
-type shortConn struct {
+// limitedWriteConn breaks after so many bytes of the request.
+type limitedWriteConn struct {
 	net.Conn
-	room int
+	remaining int
 }
 
-func (c *shortConn) Write(p []byte) (int, error) {
-	if len(p) <= c.room {
-		c.room -= len(p)
+func (c *limitedWriteConn) Write(p []byte) (int, error) {
+	if len(p) <= c.remaining {
+		c.remaining -= len(p)
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:c.room])
-	c.room = 0
+	n, _ := c.Conn.Write(p[:c.remaining])
+	c.remaining = 0
 	return n, errors.New("broken pipe")
 }
 
 // A connection that breaks before the request's last byte is written proves that nothing ran;
 // one byte later it proves nothing.
-func TestOutcomeBrokenWrite(t *testing.T) {
+func TestIncompleteWriteIsConnectFailed(t *testing.T) {
 	ln := listen(t)
 	go func() {
 		for {
@@ -392,17 +392,17 @@
 		}
 	}()
 	for _, room := range []int{0, 10, 6000} {
-		b := poolFor(t, ln.Addr().String())
+		b := poolWithBackend(t, ln.Addr().String())
 		dial := b.transport.DialContext
 		b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(ctx, network, addr)
 			if err == nil {
-				counted := c.(*backendConn)
-				counted.Conn = &shortConn{counted.Conn, room}
+				counted := c.(*trackedConn)
+				counted.Conn = &limitedWriteConn{counted.Conn, room}
 			}
 			return c, err
 		}
-		if result, _, _ := attemptAt(t, b, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
+		if result, _, _ := attemptOn(t, b, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
 			t.Errorf("broken after %d bytes: result %v", room, result)
 		}
 	}
@@ -423,45 +423,45 @@
 
 // Ticket 8488: a kept connection that turns out dead before the request is written whole is no
 // failed connect. The attempt goes out on a new one, once.
-func TestDeadKeptConnectionIsNoFailedConnect(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	b := poolFor(t, s.addr)
+func TestDeadIdleConnectionIsReplacedByNewOne(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
 	var dead atomic.Bool
 	dial, dials := b.transport.DialContext, 0
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if dials++; err == nil && dials == 1 {
-			counted := c.(*backendConn)
+			counted := c.(*trackedConn)
 			counted.Conn = dyingConn{counted.Conn, &dead}
 		}
 		return c, err
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != balancer.OK {
+	if result, _, _ := attemptOn(t, b, context.Background(), "one"); result != balancer.OK {
 		t.Fatalf("first: %v", result)
 	}
 	dead.Store(true)
-	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != balancer.OK || dials != 2 {
+	if result, _, _ := attemptOn(t, b, context.Background(), "two"); result != balancer.OK || dials != 2 {
 		t.Errorf("second: %v after %d dials", result, dials)
 	}
 	if n := len(s.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, 2 were asked for", n)
 	}
-	if b.open != 1 {
-		t.Errorf("%d connections counted as open", b.open)
+	if b.openConns != 1 {
+		t.Errorf("%d connections counted as open", b.openConns)
 	}
 }
 
 // A request that ended before anything was sent leaves its connection as old as it was: the
 // backend has seen nothing on it since.
-func TestUnusedConnectionKeepsItsAge(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	b := poolFor(t, s.addr)
-	attemptAt(t, b, context.Background(), "")
-	since := b.idle["s"][0].since
+func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	attemptOn(t, b, context.Background(), "")
+	since := b.idle["s"][0].idleSince
 	over := make(chan struct{})
 	close(over)
-	r, _, _ := b.attempt(context.Background(), over, "s", &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
-	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].since != since {
+	r, _, _ := b.executeBuffered(context.Background(), over, "s", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].idleSince != since {
 		t.Errorf("result %v, %d idle", r, len(b.idle["s"]))
 	}
 }
@@ -470,16 +470,16 @@
 // dead, also a POST that carries Idempotency-Key. That would be an attempt the module never
 // asked for. Here the first request leaves a connection, which the backend closes without an
 // answer to the second.
-func TestNothingIsResentOnAStaleConnection(t *testing.T) {
-	s := serveRaw(t, func(n int) string { return []string{ok200, "", ok200}[n] })
-	b := poolFor(t, s.addr)
-	if result, _, _ := attemptAt(t, b, context.Background(), "one"); result != balancer.OK {
+func TestStaleConnectionCausesNoImplicitResend(t *testing.T) {
+	s := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
+	b := poolWithBackend(t, s.addr)
+	if result, _, _ := attemptOn(t, b, context.Background(), "one"); result != balancer.OK {
 		t.Fatalf("first: %v", result)
 	}
 	if len(b.idle["s"]) != 1 {
 		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
 	}
-	if result, _, _ := attemptAt(t, b, context.Background(), "two"); result != balancer.Reset {
+	if result, _, _ := attemptOn(t, b, context.Background(), "two"); result != balancer.Reset {
 		t.Fatalf("second: %v", result)
 	}
 	if n := len(s.seen); n != 2 {
@@ -489,47 +489,47 @@
 
 // A connection that has stood idle for nearly as long as backends allow is not used again: the
 // request would cross the close.
-func TestIdleConnectionIsDropped(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	b := poolFor(t, s.addr)
-	attemptAt(t, b, context.Background(), "")
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	attemptOn(t, b, context.Background(), "")
 	old := b.idle["s"][0]
-	old.since = time.Now().Add(-b.keepIdle)
-	attemptAt(t, b, context.Background(), "")
-	if b.idle["s"][0] == old || b.open != 1 {
+	old.idleSince = time.Now().Add(-b.idleTimeout)
+	attemptOn(t, b, context.Background(), "")
+	if b.idle["s"][0] == old || b.openConns != 1 {
 		t.Error("the old connection was used")
 	}
-	if b.keepIdle >= b.cfg.Site.IdleClose {
-		t.Errorf("idle connections are kept for %v, backends close at %v", b.keepIdle, b.cfg.Site.IdleClose)
+	if b.idleTimeout >= b.cfg.Site.IdleClose {
+		t.Errorf("idle connections are kept for %v, backends close at %v", b.idleTimeout, b.cfg.Site.IdleClose)
 	}
 }
 
 // Under the descriptor limit the connection idle longest makes room; with none idle the attempt
 // fails unsent.
-func TestConnectionLimit(t *testing.T) {
+func TestConnectionLimitEvictsIdleConnection(t *testing.T) {
 	hold := make(chan struct{})
-	s := serveRaw(t, func(n int) string {
+	s := startRawBackend(t, func(n int) string {
 		if n == 1 {
 			<-hold
 		}
 		return ok200
 	})
-	b := poolFor(t, s.addr)
-	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "t"}}},
+	b := poolWithBackend(t, s.addr)
+	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": s.addr}})
-	b.most = 1
-	attemptAt(t, b, context.Background(), "")
+	b.maxConns = 1
+	attemptOn(t, b, context.Background(), "")
 	<-s.seen
 	done := make(chan balancer.Result)
 	go func() {
-		r, _, _ := b.attempt(context.Background(), nil, "t", &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+		r, _, _ := b.executeBuffered(context.Background(), nil, "t", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request to t", s.seen)
 	if len(b.idle["s"]) != 0 {
 		t.Error("no idle connection made room")
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), ""); r != balancer.ConnectFailed {
+	if r, _, _ := attemptOn(t, b, context.Background(), ""); r != balancer.ConnectFailed {
 		t.Errorf("past the limit: %v", r)
 	}
 	close(hold)
@@ -539,54 +539,54 @@
 }
 
 // A new address under an old id is another process: the old connections go.
-func TestMovedBackend(t *testing.T) {
-	one := serveRaw(t, func(int) string { return ok200 })
-	two := serveRaw(t, func(int) string { return ok200 })
-	b := poolFor(t, one.addr)
-	attemptAt(t, b, context.Background(), "")
-	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
+func TestAddressChangeClosesIdleConnections(t *testing.T) {
+	one := startRawBackend(t, func(int) string { return ok200 })
+	two := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, one.addr)
+	attemptOn(t, b, context.Background(), "")
+	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
-	if b.open != 0 {
-		t.Errorf("%d connections to the old address are open", b.open)
+	if b.openConns != 0 {
+		t.Errorf("%d connections to the old address are open", b.openConns)
 	}
-	if attemptAt(t, b, context.Background(), ""); len(one.seen) != 1 || len(two.seen) != 1 {
+	if attemptOn(t, b, context.Background(), ""); len(one.seen) != 1 || len(two.seen) != 1 {
 		t.Errorf("%d requests to the old address, %d to the new", len(one.seen), len(two.seen))
 	}
 }
 
 // A connection that was in use while its backend moved leads to the old process: it is not kept.
-func TestMovedWhileInUse(t *testing.T) {
+func TestConnectionInUseIsClosedAfterAddressChange(t *testing.T) {
 	hold := make(chan struct{})
-	one := serveRaw(t, func(int) string { <-hold; return ok200 })
-	b := poolFor(t, one.addr)
+	one := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	b := poolWithBackend(t, one.addr)
 	done := make(chan balancer.Result, 1)
 	go func() {
-		r, _, _ := b.attempt(context.Background(), nil, "s", &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+		r, _, _ := b.executeBuffered(context.Background(), nil, "s", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request", one.seen)
-	b.update(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
-		Addrs: map[string]string{"s": deadAddr(t)}})
+	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
+		Addrs: map[string]string{"s": unusedAddr(t)}})
 	close(hold)
-	if r := receive(t, "result", done); r != balancer.OK || b.open != 0 {
-		t.Errorf("result %v, %d connections kept", r, b.open)
+	if r := receive(t, "result", done); r != balancer.OK || b.openConns != 0 {
+		t.Errorf("result %v, %d connections kept", r, b.openConns)
 	}
 }
 
-func TestLoadReport(t *testing.T) {
-	s := serveRaw(t, func(int) string {
+func TestLoadReportIsParsedFromResponseHeader(t *testing.T) {
+	s := startRawBackend(t, func(int) string {
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
 	})
-	_, _, load := attemptAt(t, poolFor(t, s.addr), context.Background(), "")
+	_, _, load := attemptOn(t, poolWithBackend(t, s.addr), context.Background(), "")
 	if want := wire.Load(map[string]float64{"backlog": 2, "errors_per_s": 0.5}); load != want {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestProbeReportsResultAndLoad(t *testing.T) {
 	for status, want := range map[string]balancer.Result{"200 OK": balancer.OK, "503 X": balancer.Errored} {
-		s := serveRaw(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
-		b := poolFor(t, s.addr)
+		s := startRawBackend(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
+		b := poolWithBackend(t, s.addr)
 		b.cfg.Site.LoadProbed = true
 		if p := b.probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
 			t.Errorf("%s: %+v", status, p)
@@ -596,7 +596,7 @@
 
 // ---- The whole agent ----
 
-func TestServesUnchanged(t *testing.T) {
+func TestRequestAndResponsePassUnchanged(t *testing.T) {
 	ln := listen(t)
 	got := make(chan *http.Request, 1)
 	body := make(chan string, 1)
@@ -609,8 +609,8 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	b := &backend{addr: ln.Addr().String()}
-	a := start(t, testConfig(t, setup{servers: []member{b.member("s")}}))
+	b := &fakeBackend{addr: ln.Addr().String()}
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{b.member("s")}}))
 	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1", "Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
 		t.Fatalf("answer %+v", x)
@@ -631,10 +631,10 @@
 
 // A truncated 200 of a backend is never passed on as a whole one. A request that may not be
 // repeated fails; a safe one is tried again by the module.
-func TestTruncatedAnswer(t *testing.T) {
+func TestTruncatedResponseIsNeverServed(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
-	s := serveRaw(t, func(n int) string { return []string{cut, cut, ok200}[n] })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+	s := startRawBackend(t, func(n int) string { return []string{cut, cut, ok200}[n] })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway || strings.Contains(x.body, "TRUNCATED") {
 		t.Errorf("unsafe: %+v", x)
 	}
@@ -644,9 +644,9 @@
 }
 
 // An unsafe request that may have run is neither sent again nor refused.
-func TestUnsafeRequestIsNotRepeated(t *testing.T) {
-	s := serveRaw(t, func(int) string { return "" })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return "" })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway {
 		t.Errorf("%+v", x)
 	}
@@ -656,24 +656,24 @@
 }
 
 // What never ran may be refused.
-func TestRefusal(t *testing.T) {
-	cfg := testConfig(t, setup{servers: []member{{ID: "s", Addr: deadAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
-	a := start(t, cfg)
+func TestUnreachableBackendGivesRejection(t *testing.T) {
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
+	a := startAgent(t, cfg)
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", x)
 	}
 }
 
-func TestRetryAfter(t *testing.T) {
-	cfg := testConfig(t, setup{})
+func TestRetryAfterHeaderIsCappedAndOptional(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
 	for _, row := range []struct {
 		shown bool
 		after time.Duration
 		want  string
 	}{{true, 250 * time.Millisecond, "0.250"}, {true, time.Minute, "1.500"}, {true, 0, ""}, {false, time.Second, ""}} {
 		cfg.Settings.RetryAfter = row.shown
-		w := newRecorder()
-		(&front{cfg: cfg}).answer(w, nil, reply{refused: true, retryAfter: row.after})
+		w := newStatusRecorder()
+		(&frontend{cfg: cfg}).writeReply(w, nil, reply{rejected: true, retryAfter: row.after})
 		if w.status != 503 || w.header.Get("Retry-After") != row.want {
 			t.Errorf("%+v: %d %q", row, w.status, w.header.Get("Retry-After"))
 		}
@@ -682,47 +682,47 @@
 
 // A request whose backend is silent is answered before its client stops waiting, and says that
 // it failed.
-func TestDeadline(t *testing.T) {
+func TestSilentBackendGivesGatewayTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	s := serveRaw(t, func(int) string { <-hold; return "" })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+	s := startRawBackend(t, func(int) string { <-hold; return "" })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", "2"); x.status != http.StatusGatewayTimeout {
 		t.Errorf("%+v", x)
 	}
 }
 
 // A backend is told of less than the client waits, by what a request takes on its way: no delay of a busy machine can make it more.
-func TestToldOfLessThanIsLeft(t *testing.T) {
+func TestBackendDeadlineIsShorterThanClients(t *testing.T) {
 	told := make(chan string, 1)
 	ln := listen(t)
 	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { told <- r.Header.Get("X-Expires-In") })}
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
-	a := start(t, testConfig(t, setup{servers: []member{{ID: "s", Addr: ln.Addr().String(), State: "ready"}}}))
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), State: "ready"}}}))
 	const wait = 20.
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(wait)); x.status != http.StatusOK {
 		t.Fatalf("%+v", x)
 	}
-	most := wait - (onTheWay + a.cfg.Settings.Tick).Seconds()
+	most := wait - (transitAllowance + a.cfg.Settings.Tick).Seconds()
 	if s, err := strconv.ParseFloat(<-told, 64); err != nil || s <= 0 || s > most {
 		t.Errorf("told of %v s of %v, at most %v may be: %v", s, wait, most, err)
 	}
 }
 
 // Where the module says nothing, the loop itself keeps the promise of one final answer.
-func TestSilentModule(t *testing.T) {
-	cfg := testConfig(t, setup{})
-	l, err := newLoop(cfg, newClock(), newBackends(cfg, quiet), quiet)
+func TestLoopAnswersWhenBalancerDoesNot(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newRequest("1", 0)
 	r.deadline = time.Now()
-	l.take(arrived{r})
-	l.take(overdue{r})
-	l.take(overdue{r}) // once only
-	l.take(clientGone{r})
+	l.apply(requestArrived{r})
+	l.apply(deadlinePassed{r})
+	l.apply(deadlinePassed{r}) // once only
+	l.apply(clientDisconnected{r})
 	if a := receive(t, "final answer", r.reply); !a.timedOut {
 		t.Errorf("%+v", a)
 	}
@@ -736,11 +736,11 @@
 
 // A client's last try may have less time left than a step is away. The module answers it all the
 // same, with a refusal, since nothing ran; the loop once failed it first, at the deadline itself.
-func TestTryWithHardlyAnyTimeLeft(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	cfg := testConfig(t, setup{servers: []member{s.member("s")}})
-	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*patience
-	a := start(t, cfg)
+func TestExpiredRequestIsRejectedNotFailed(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
+	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testTimeout
+	a := startAgent(t, cfg)
 	for range 3 { // the first may meet a step that is due
 		if x := a.do("GET", "/get/x", "", "X-Expires-In", "0.000001"); x.status != http.StatusServiceUnavailable {
 			t.Errorf("%+v", x)
@@ -749,22 +749,22 @@
 }
 
 // A request may be gone before the step that would have told the module how long it has left.
-func TestGoneBeforeItsFirstStep(t *testing.T) {
-	cfg := testConfig(t, setup{})
-	l, err := newLoop(cfg, newClock(), newBackends(cfg, quiet), quiet)
+func TestRequestCancelledBeforeFirstStep(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newRequest("1", 0)
 	r.deadline = time.Now().Add(time.Minute)
-	l.take(arrived{r})
-	l.take(clientGone{r})
+	l.apply(requestArrived{r})
+	l.apply(clientDisconnected{r})
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { l.run(ctx); close(done) }()
 	next := newRequest("2", 0)
 	next.deadline = time.Now().Add(time.Second)
-	l.post(arrived{next})
+	l.post(requestArrived{next})
 	receive(t, "answer to the next request", next.reply)
 	cancel()
 	receive(t, "end of the loop", done)
@@ -772,9 +772,9 @@
 
 // A request may end while a connection is being opened for it, as when its client hangs up.
 // Nothing is sent for it then; the connection serves the next one.
-func TestNothingIsSentAfterTheEnd(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	b := poolFor(t, s.addr)
+func TestNothingIsSentForAnsweredRequest(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
 	over := make(chan struct{})
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -782,21 +782,21 @@
 		close(over)
 		return c, err
 	}
-	m := &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}}
-	if r, _, _ := b.attempt(context.Background(), over, "s", m); r != balancer.NotSent {
+	m := &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}}
+	if r, _, _ := b.executeBuffered(context.Background(), over, "s", m); r != balancer.NotSent {
 		t.Errorf("result %v", r)
 	}
-	if r, _, _ := b.attempt(context.Background(), nil, "s", m); r != balancer.OK || len(s.seen) != 1 {
+	if r, _, _ := b.executeBuffered(context.Background(), nil, "s", m); r != balancer.OK || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
 	}
 }
 
 // A client that hangs up is told to the module as Abandoned, and its request ends; the attempt's
 // outcome still comes.
-func TestHangUp(t *testing.T) {
+func TestClientDisconnectAbandonsRequest(t *testing.T) {
 	hold := make(chan struct{})
-	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := a.request(ctx, "GET", "/get/x", "")
 	if err != nil {
@@ -809,17 +809,17 @@
 	if err := receive(t, "end of the client", gone); err == nil {
 		t.Error("the client got an answer")
 	}
-	waitFor(t, "request to be given up", func() bool { return a.front.open.Load() == 0 })
+	eventually(t, "request to be given up", func() bool { return a.frontend.openRequests.Load() == 0 })
 	close(hold)
 	if x := a.do("GET", "/get/y", ""); x.status != 200 {
 		t.Errorf("next request: %+v", x)
 	}
 }
 
-// waitFor polls what has no channel to wait on.
-func waitFor(t *testing.T, what string, ok func() bool) {
+// eventually polls what has no channel to wait on.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
@@ -828,9 +828,9 @@
 
 // Bad input gets a plain answer that says 'failed', and reaches no backend. A 429 or 503 would
 // say that another try is harmless.
-func TestBadInput(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+func TestInvalidRequestIsAnsweredWithError(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	for name, row := range map[string]struct {
 		method, path, body string
 		headers            []string
@@ -855,7 +855,7 @@
 	for name, text := range map[string]string{
 		"garbage": "\x00\x01\x02\r\n\r\n",
 		// The operators' page: bodies of up to 32 MB occur. Before, one past 64 KiB was turned away.
-		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc", largest+1),
+		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc", maxStreamBytes+1),
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
 		"no host":     "GET /get/x HTTP/1.1\r\nX-Trace-Id: 2\r\n\r\n",
@@ -882,10 +882,10 @@
 }
 
 // Two open requests with one id can't be told apart in the module's answers.
-func TestDuplicateID(t *testing.T) {
+func TestDuplicateOpenRequestIDIsConflict(t *testing.T) {
 	hold := make(chan struct{})
-	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	receive(t, "first request", s.seen)
@@ -900,16 +900,16 @@
 
 // SIGTERM with a request in flight: it is answered, connections between requests are closed,
 // and Run ends without an error.
-func TestStopFinishesWhatWasTaken(t *testing.T) {
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	hold := make(chan struct{})
-	s := serveRaw(t, func(n int) string {
+	s := startRawBackend(t, func(n int) string {
 		if n > 0 {
 			<-hold
 		}
 		return ok200
 	})
 	accept := make(chan time.Time)
-	a := startUntil(t, testConfig(t, setup{servers: []member{s.member("s")}}), accept)
+	a := startWithAcceptWindow(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}), accept)
 	idle, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -934,7 +934,7 @@
 	go func() { inFlight <- a.do("GET", "/get/x", "") }()
 	receive(t, "request in flight", s.seen)
 	a.stop()
-	if err := idle.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := idle.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
@@ -950,17 +950,17 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	if err := receive(t, "end of the agent", a.done); err != nil {
+	if err := receive(t, "end of the agent", a.ended); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
 // A connection that never sends anything must not hold up a planned restart, which closes such
 // ones after a while. Those that have sent a request are left alone.
-func TestSilentConnectionsAreClosed(t *testing.T) {
+func TestSilentConnectionsAreClosedWhenIdle(t *testing.T) {
 	hold := make(chan struct{})
-	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	busy := make(chan exchange, 1)
 	go func() { busy <- a.do("GET", "/get/x", "") }()
 	receive(t, "request", s.seen)
@@ -969,13 +969,13 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	waitFor(t, "one silent connection", func() bool {
-		a.front.mu.Lock()
-		defer a.front.mu.Unlock()
-		return len(a.front.waiting.Conns()) == 1 && a.front.conns == 2
+	eventually(t, "one silent connection", func() bool {
+		a.frontend.mu.Lock()
+		defer a.frontend.mu.Unlock()
+		return len(a.frontend.idleConns.Conns()) == 1 && a.frontend.connCount == 2
 	})
-	a.front.waiting.CloseIdle(0, 0)
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	a.frontend.idleConns.CloseIdle(0, 0)
+	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -989,12 +989,12 @@
 
 // Past its part of the descriptors the agent holds no more requests and keeps no more
 // connections; a refusal there is true, since nothing ran.
-func TestCrowdedFront(t *testing.T) {
+func TestRequestsOverLimitAreRejected(t *testing.T) {
 	hold := make(chan struct{})
-	s := serveRaw(t, func(int) string { <-hold; return ok200 })
-	cfg := testConfig(t, setup{servers: []member{s.member("s")}})
+	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
 	cfg.Site.MaxOpen = 1
-	a := start(t, cfg)
+	a := startAgent(t, cfg)
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "") }()
 	receive(t, "first request", s.seen)
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -16,14 +16,14 @@
 	"martenbeam/internal/wire"
 )
 
-// onTheWay is what a backend is told less than an attempt has left: a request takes a moment to come there, after one to come
+// transitAllowance is what a backend is told less than an attempt has left: a request takes a moment to come there, after one to come
 // here, and may tell no more than its client has.
-const onTheWay = 10 * time.Millisecond
+const transitAllowance = 10 * time.Millisecond
 
-const maxBody = 64 << 10 // bodies and answers up to this are held whole, and can be sent again
+const maxBufferedBody = 64 << 10 // bodies and answers up to this are held whole, and can be sent again
 
-// message is a client's request as it goes on to backends: the same for every attempt.
-type message struct {
+// upstreamRequest is a client's request as it goes on to backends: the same for every attempt.
+type upstreamRequest struct {
 	method string
 	host   string
 	url    *url.URL // path and query only
@@ -32,242 +32,242 @@
 	upload *upload // what comes after body; nil: nothing
 }
 
-// answer is a backend's 200 answer.
-type answer struct {
+// response is a backend's 200 answer.
+type response struct {
 	header http.Header
 	body   []byte
-	rest   *stream // what comes after body; nil: nothing
+	stream *responseStream // what comes after body; nil: nothing
 }
 
-// try is one attempt.
-type try struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc // of ctx
-	over   <-chan struct{}         // the request has ended: nothing more is sent for it
-	quit   <-chan struct{}         // nobody takes a large answer any more
-	id     string                  // of the backend
-	at     *listing                // what the list said of it when this was decided; nil: whatever it says
-	last   time.Time               // nothing is written after; zero: no bound
-	rule   int                     // of residency; 0: none
-	m      *message
-	start  time.Time
-	until  time.Time // as the backend is told; zero: as ctx says
-	took   time.Duration
-	fresh  bool // its connection was opened for it
+// attempt is one attempt.
+type attempt struct {
+	ctx           context.Context
+	cancel        context.CancelCauseFunc // of ctx
+	requestDone   <-chan struct{}         // the request has ended: nothing more is sent for it
+	shutdown      <-chan struct{}         // nobody takes a large answer any more
+	backendID     string                  // of the backend
+	endpoint      *endpoint               // what the list said of it when this was decided; nil: whatever it says
+	writeBy       time.Time               // nothing is written after; zero: no bound
+	residencyRule int                     // of residency; 0: none
+	request       *upstreamRequest
+	start         time.Time
+	deadline      time.Time // as the backend is told; zero: as ctx says
+	latency       time.Duration
+	newConn       bool // its connection was opened for it
 	// began hands on a large answer, of which the first bytes are there, and reports false where its
 	// time is over. nil: there are no large answers.
-	began func(*answer, time.Duration) bool
+	onStreamStart func(*response, time.Duration) bool
 }
 
-// latency is how long the backend has had all of the request.
-func (t *try) latency() time.Duration {
-	if u := t.m.upload; u != nil && u.complete() && u.at.After(t.start) {
-		return time.Since(u.at)
+// elapsed is how long the backend has had all of the request.
+func (a *attempt) elapsed() time.Duration {
+	if u := a.request.upload; u != nil && u.complete() && u.completedAt.After(a.start) {
+		return time.Since(u.completedAt)
 	}
-	return time.Since(t.start)
+	return time.Since(a.start)
 }
 
-// attempt sends m to a backend once and waits until ctx ends at the latest, for an answer that is
+// executeBuffered sends m to a backend once and waits until ctx ends at the latest, for an answer that is
 // not large.
-func (b *backends) attempt(ctx context.Context, over <-chan struct{}, id string, m *message) (balancer.Result, *answer, balancer.Load) {
-	return b.try(&try{ctx: ctx, over: over, id: id, m: m, start: time.Now()})
+func (p *upstreamPool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string, request *upstreamRequest) (balancer.Result, *response, balancer.Load) {
+	return p.execute(&attempt{ctx: ctx, requestDone: requestDone, backendID: id, request: request, start: time.Now()})
 }
 
-// try makes an attempt. The result follows the protocol's table of outcomes; where it is not certain
+// execute makes an attempt. The result follows the protocol's table of outcomes; where it is not certain
 // that nothing ran, it says so. One with a large answer ends once that has gone on.
-func (b *backends) try(t *try) (balancer.Result, *answer, balancer.Load) {
+func (p *upstreamPool) execute(att *attempt) (balancer.Result, *response, balancer.Load) {
 	for {
-		c, addr, err := b.take(t.id)
-		if err == nil && c == nil {
-			c, err = b.dial(t.ctx, addr)
+		conn, addr, err := p.acquire(att.backendID)
+		if err == nil && conn == nil {
+			conn, err = p.dial(att.ctx, addr)
 		}
 		if err != nil {
-			if errors.Is(err, errNoSocket) {
-				b.log.Warn("attempt not sent", "error", err, "backend", t.id)
+			if errors.Is(err, errNoDescriptor) {
+				p.log.Warn("attempt not sent", "error", err, "backend", att.backendID)
 			}
-			if errors.Is(context.Cause(t.ctx), errCancelled) {
+			if errors.Is(context.Cause(att.ctx), errCancelled) {
 				return balancer.Cancelled, nil, wire.Load(nil)
 			}
 			return balancer.ConnectFailed, nil, wire.Load(nil)
 		}
-		if err := b.clear(t); err != nil { // while the connection was being opened: nothing has run
-			b.give(t.id, c, true)
-			return held(err), nil, wire.Load(nil)
+		if err := p.checkSendable(att); err != nil { // while the connection was being opened: nothing has run
+			p.release(att.backendID, conn, true)
+			return unsentResult(err), nil, wire.Load(nil)
 		}
-		reused := c.idle > 0
-		t.fresh = !reused
-		result, answer, load := b.send(t, c)
+		reused := conn.idleFor > 0
+		att.newConn = !reused
+		result, resp, load := p.roundTrip(att, conn)
 		// A kept connection that had died before the request was written whole tells nothing of
 		// whether the backend can be reached, and nothing has run: the attempt is still to be made.
-		if result != balancer.ConnectFailed || !reused || t.m.spent() {
-			return result, answer, load
+		if result != balancer.ConnectFailed || !reused || att.request.consumed() {
+			return result, resp, load
 		}
 	}
 }
 
-// held is the result of an attempt of which nothing was written, for a reason that is not the backend's.
-func held(err error) balancer.Result {
-	if errors.Is(err, errOver) || errors.Is(err, errTooLate) {
+// unsentResult is the result of an attempt of which nothing was written, for a reason that is not the backend's.
+func unsentResult(err error) balancer.Result {
+	if errors.Is(err, errAlreadyAnswered) || errors.Is(err, errRetryWindowOver) {
 		return balancer.NotSent // nothing more is to be made of the request
 	}
 	return balancer.ConnectFailed
 }
 
-// large reports whether a body is too large to be held whole.
-func (m *message) large() bool { return m != nil && m.upload != nil }
+// isLarge reports whether a body is too large to be held whole.
+func (r *upstreamRequest) isLarge() bool { return r != nil && r.upload != nil }
 
-// spent reports whether part of a body is gone, so that no other attempt can be made.
-func (m *message) spent() bool { return m.large() && m.upload.begun.Load() }
+// consumed reports whether part of a body is gone, so that no other attempt can be made.
+func (r *upstreamRequest) consumed() bool { return r.isLarge() && r.upload.streamStarted.Load() }
 
-// send writes the request on a connection, once, and waits for the answer.
-func (b *backends) send(t *try, c *conn) (balancer.Result, *answer, balancer.Load) {
-	none, m := wire.Load(nil), t.m
-	u := *m.url
-	u.Scheme, u.Host = "http", c.addr
-	req := (&http.Request{Method: m.method, URL: &u, Header: m.header.Clone(), Host: m.host,
-		ProtoMajor: 1, ProtoMinor: 1, Body: http.NoBody}).WithContext(t.ctx)
-	var large *body
+// roundTrip writes the request on a connection, once, and waits for the answer.
+func (p *upstreamPool) roundTrip(att *attempt, conn *pooledConn) (balancer.Result, *response, balancer.Load) {
+	noLoad, request := wire.Load(nil), att.request
+	target := *request.url
+	target.Scheme, target.Host = "http", conn.addr
+	req := (&http.Request{Method: request.method, URL: &target, Header: request.header.Clone(), Host: request.host,
+		ProtoMajor: 1, ProtoMinor: 1, Body: http.NoBody}).WithContext(att.ctx)
+	var body *requestBody
 	switch {
-	case m.upload != nil:
-		large = m.upload.body(m.body)
-		req.Body, req.ContentLength = large, m.upload.length
-		boundKernel(c.net.Conn)
-	case len(m.body) > 0:
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.body)), int64(len(m.body))
+	case request.upload != nil:
+		body = request.upload.newBody(request.body)
+		req.Body, req.ContentLength = body, request.upload.length
+		limitKernelBuffers(conn.tracked.Conn)
+	case len(request.body) > 0:
+		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(request.body)), int64(len(request.body))
 	}
-	var handed func() bool
-	if large != nil {
-		handed = large.done.Load
+	var lastByteNext func() bool
+	if body != nil {
+		lastByteNext = body.consumed.Load
 	}
-	c.net.begin(func() error { return b.clear(t) }, t.last, handed)
-	until, ok := t.until, !t.until.IsZero()
+	conn.tracked.startRequest(func() error { return p.checkSendable(att) }, att.writeBy, lastByteNext)
+	deadline, ok := att.deadline, !att.deadline.IsZero()
 	if !ok {
-		until, ok = t.ctx.Deadline()
+		deadline, ok = att.ctx.Deadline()
 	}
 	if ok {
-		left := max(0, time.Until(until)-onTheWay).Truncate(time.Millisecond)
-		req.Header.Set("X-Expires-In", strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
+		remaining := max(0, time.Until(deadline)-transitAllowance).Truncate(time.Millisecond)
+		req.Header.Set("X-Expires-In", strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64))
 	}
 	// ClientConn has no pool behind it and sends a request only once; Transport.RoundTrip would
 	// send it again by itself on a stale connection, unasked and uncounted.
-	resp, err := c.RoundTrip(req)
+	httpResp, err := conn.RoundTrip(req)
 	if err != nil {
-		result := b.broken(t, c, large)
-		if reason := c.net.refused(); result == balancer.ConnectFailed && reason != nil && !errors.Is(reason, errStray) && !errors.Is(reason, errPeerClosed) {
-			return held(reason), nil, none
+		result := p.failedResult(att, conn, body)
+		if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil && !errors.Is(reason, errUnsolicitedBytes) && !errors.Is(reason, errClosedWhileIdle) {
+			return unsentResult(reason), nil, noLoad
 		}
-		b.learn(c, result == balancer.Reset || result == balancer.ConnectFailed)
-		return result, nil, none
+		p.recordReuse(conn, result == balancer.Reset || result == balancer.ConnectFailed)
+		return result, nil, noLoad
 	}
-	b.learn(c, false)
-	defer resp.Body.Close()
-	over := make(chan struct{})
-	defer close(over)
-	answer, err := b.read(t, resp, over)
-	early := large != nil && resp.StatusCode == http.StatusOK && (!large.done.Load() || c.net.answeredEarly()) // a backend starts with the last byte
-	if err != nil || early || endless(resp) && len(answer.body) == 0 {
-		return b.broken(t, c, large), nil, none
+	p.recordReuse(conn, false)
+	defer httpResp.Body.Close()
+	done := make(chan struct{})
+	defer close(done)
+	resp, err := p.readResponse(att, httpResp, done)
+	early := body != nil && httpResp.StatusCode == http.StatusOK && (!body.consumed.Load() || conn.tracked.respondedEarly()) // a backend starts with the last byte
+	if err != nil || early || endsWithConnection(httpResp) && len(resp.body) == 0 {
+		return p.failedResult(att, conn, body), nil, noLoad
 	}
-	load := none
-	if text := resp.Header.Get("Endpoint-Load-Metrics"); text != "" && b.cfg.Site.LoadInline {
+	load := noLoad
+	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.Site.LoadInline {
 		load = parseLoad(text)
 	}
-	if answer.rest != nil {
-		return b.pass(t, c, resp, answer), answer, load
+	if resp.stream != nil {
+		return p.awaitStream(att, conn, httpResp, resp), resp, load
 	}
-	resp.Body.Close()
-	c.net.rest(!resp.Close && len(answer.body) <= maxBody)
-	c.since = time.Now()
-	b.give(t.id, c, !resp.Close && len(answer.body) <= maxBody)
+	httpResp.Body.Close()
+	conn.tracked.awaitIdle(!httpResp.Close && len(resp.body) <= maxBufferedBody)
+	conn.idleSince = time.Now()
+	p.release(att.backendID, conn, !httpResp.Close && len(resp.body) <= maxBufferedBody)
 	switch {
-	case resp.StatusCode == http.StatusOK && len(answer.body) <= maxBody:
-		return balancer.OK, answer, load
-	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Never-Ran") == "1":
-		if t.fresh { // backends hold few connections: one of this agent's that rests is another's want
-			b.mu.Lock()
-			b.evict()
-			b.mu.Unlock()
+	case httpResp.StatusCode == http.StatusOK && len(resp.body) <= maxBufferedBody:
+		return balancer.OK, resp, load
+	case (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
+		httpResp.Header.Get("X-Never-Ran") == "1":
+		if att.newConn { // backends hold few connections: one of this agent's that rests is another's want
+			p.mu.Lock()
+			p.evictOldest()
+			p.mu.Unlock()
 		}
 		return balancer.Full, nil, load
 	}
 	return balancer.Errored, nil, load
 }
 
-// read takes an answer whole, or the first bytes of one that is large.
-func (b *backends) read(t *try, resp *http.Response, over <-chan struct{}) (*answer, error) {
-	a := &answer{header: resp.Header}
-	small := resp.ContentLength >= 0 && resp.ContentLength <= maxBody
-	if small || resp.StatusCode != http.StatusOK || t.began == nil {
+// readResponse takes an answer whole, or the first bytes of one that is large.
+func (p *upstreamPool) readResponse(att *attempt, httpResp *http.Response, done <-chan struct{}) (*response, error) {
+	resp := &response{header: httpResp.Header}
+	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= maxBufferedBody
+	if small || httpResp.StatusCode != http.StatusOK || att.onStreamStart == nil {
 		var err error
-		a.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-		return a, err
+		resp.body, err = io.ReadAll(io.LimitReader(httpResp.Body, maxBufferedBody+1))
+		return resp, err
 	}
-	if resp.ContentLength > largest {
+	if httpResp.ContentLength > maxStreamBytes {
 		return nil, errTooLarge
 	}
-	buf, free := b.buffers.get()
-	s := &stream{length: resp.ContentLength, in: resp.Body, cancel: t.cancel, ended: make(chan struct{}), free: free}
-	if resp.ContentLength < 0 {
-		g := gather(resp.Body, buf, over)
-		held, more, err := g.upTo(maxBody, gatherFor)
-		if a.body = held; err == nil && more {
-			s.in, a.rest = g, s
+	buf, free := p.bufferBudget.get()
+	stream := &responseStream{length: httpResp.ContentLength, source: httpResp.Body, cancel: att.cancel, done: make(chan struct{}), free: free}
+	if httpResp.ContentLength < 0 {
+		buffered := bufferResponse(httpResp.Body, buf, done)
+		body, more, err := buffered.readUpTo(maxBufferedBody, bufferingTimeout)
+		if resp.body = body; err == nil && more {
+			stream.source, resp.stream = buffered, stream
 		} else {
 			free()
 		}
-		return a, err
+		return resp, err
 	}
 	n, err := 0, error(nil)
 	for n == 0 && err == nil {
-		n, err = resp.Body.Read(buf)
+		n, err = httpResp.Body.Read(buf)
 	}
 	if n == 0 {
 		free()
 		return nil, err
 	}
-	a.body, a.rest = buf[:n], s // an error comes again with the next read
-	return a, nil
+	resp.body, resp.stream = buf[:n], stream // an error comes again with the next read
+	return resp, nil
 }
 
-// pass hands on a large answer and waits until it has gone on or can't.
-func (b *backends) pass(t *try, c *conn, resp *http.Response, a *answer) balancer.Result {
-	defer a.rest.free()
-	t.took = t.latency()
-	boundKernel(c.net.Conn)
-	if !t.began(a, t.took) {
-		return b.broken(t, c, nil)
+// awaitStream hands on a large answer and waits until it has gone on or can't.
+func (p *upstreamPool) awaitStream(att *attempt, conn *pooledConn, httpResp *http.Response, resp *response) balancer.Result {
+	defer resp.stream.free()
+	att.latency = att.elapsed()
+	limitKernelBuffers(conn.tracked.Conn)
+	if !att.onStreamStart(resp, att.latency) {
+		return p.failedResult(att, conn, nil)
 	}
 	select {
-	case <-a.rest.ended:
-	case <-t.quit:
-		a.rest.end(errEnded)
+	case <-resp.stream.done:
+	case <-att.shutdown:
+		resp.stream.finish(errRequestEnded)
 	}
-	if a.rest.err == nil {
-		c.net.rest(!resp.Close)
-		c.since = time.Now()
-		b.give(t.id, c, !resp.Close)
+	if resp.stream.err == nil {
+		conn.tracked.awaitIdle(!httpResp.Close)
+		conn.idleSince = time.Now()
+		p.release(att.backendID, conn, !httpResp.Close)
 		return balancer.OK
 	}
-	c.net.Close()
-	b.give(t.id, c, false)
-	if errors.Is(a.rest.err, errEnded) {
+	conn.tracked.Close()
+	p.release(att.backendID, conn, false)
+	if errors.Is(resp.stream.err, errRequestEnded) {
 		return balancer.Cancelled
 	}
 	return balancer.Reset
 }
 
-// endless reports whether an answer ends with its connection alone. That is a form like any other (RFC
+// endsWithConnection reports whether an answer ends with its connection alone. That is a form like any other (RFC
 // 9112, 6.3), but one that brings nothing can't be told from a connection that died.
-func endless(resp *http.Response) bool {
+func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// broken tells how an attempt ended that brought no whole answer, and closes its connection.
-func (b *backends) broken(t *try, c *conn, large *body) balancer.Result {
-	cause := context.Cause(t.ctx)
-	neverRan := c.net.neverWhole() || large != nil && !large.done.Load()
-	b.give(t.id, c, false)
+// failedResult tells how an attempt ended that brought no whole answer, and closes its connection.
+func (p *upstreamPool) failedResult(att *attempt, conn *pooledConn, body *requestBody) balancer.Result {
+	cause := context.Cause(att.ctx)
+	neverRan := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
+	p.release(att.backendID, conn, false)
 	switch {
 	case errors.Is(cause, errCancelled):
 		return balancer.Cancelled
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -20,61 +20,61 @@
 // for so long goes before one that has not; where bytes came of late that no request had asked for, no other is used: it
 // would be one more connection for each backend, and 6% more latency under load, where none ever come.
 const (
-	secondAnswer = 20 * time.Millisecond
-	straysCount  = reuseHalving // for so long after the latest
+	settleTime        = 20 * time.Millisecond
+	unsolicitedMemory = reuseHalfLife // for so long after the latest
 )
 
 var (
-	errTimedOut  = errors.New("timed out")
-	errCancelled = errors.New("cancelled")
-	errNoSocket  = errors.New("no file descriptor left for another connection")
-	errMoved     = errors.New("the list has changed for the backend")
-	errOver      = errors.New("the request has its answer")
-	errForbidden = errors.New("the residency policy does not permit it")
-	errTooLarge  = errors.New("the answer is too large")
-	errDetached  = errors.New("operators have detached the backend")
+	errTimedOut           = errors.New("timed out")
+	errCancelled          = errors.New("cancelled")
+	errNoDescriptor       = errors.New("no file descriptor left for another connection")
+	errEndpointChanged    = errors.New("the list has changed for the backend")
+	errAlreadyAnswered    = errors.New("the request has its answer")
+	errResidencyForbidden = errors.New("the residency policy does not permit it")
+	errTooLarge           = errors.New("the answer is too large")
+	errBackendDisabled    = errors.New("operators have detached the backend")
 )
 
-// backends holds the connections to all backends. It makes exactly the attempts it is told to:
+// upstreamPool holds the connections to all backends. It makes exactly the attempts it is told to:
 // each is one request written at most once on one connection.
-type backends struct {
-	cfg       *Config
-	log       *slog.Logger
-	transport *http.Transport
-	buffers   *buffers
-	keepIdle  time.Duration
-	most      int // connections at once
+type upstreamPool struct {
+	cfg          *Config
+	log          *slog.Logger
+	transport    *http.Transport
+	bufferBudget *bufferBudget
+	idleTimeout  time.Duration
+	maxConns     int // connections at once
 
-	mu     sync.Mutex
-	listed map[string]*listing // by backend id
-	held   map[string]bool     // nothing is written to these: operators have detached them
-	idle   map[string][]*conn  // by backend id, the latest used last
-	open   int                 // idle, in use or being dialled
-	reuse  reuse
-	settle time.Duration // a connection rests for so long, if it can be, before it is used again
-	strays time.Time     // when the latest bytes were found that no request had asked for
-	closed bool          // no connection is kept
+	mu              sync.Mutex
+	endpoints       map[string]*endpoint     // by backend id
+	disabled        map[string]bool          // nothing is written to these: operators have detached them
+	idle            map[string][]*pooledConn // by backend id, the latest used last
+	openConns       int                      // idle, in use or being dialled
+	reuseStats      reuseStats
+	settleTime      time.Duration // a connection rests for so long, if it can be, before it is used again
+	lastUnsolicited time.Time     // when the latest bytes were found that no request had asked for
+	closed          bool          // no connection is kept
 
 	residency gate.Keeper // nil: no policy
 }
 
-// conn is one connection. It carries one request at a time.
-type conn struct {
+// pooledConn is one connection. It carries one request at a time.
+type pooledConn struct {
 	*http.ClientConn
-	net   *backendConn
-	addr  string
-	since time.Time     // idle since then
-	idle  time.Duration // before its present use; 0: new
+	tracked   *trackedConn
+	addr      string
+	idleSince time.Time     // idle since then
+	idleFor   time.Duration // before its present use; 0: new
 }
 
-func newBackends(cfg *Config, log *slog.Logger) *backends {
-	b := &backends{cfg: cfg, log: log, buffers: newBuffers(cfg.MemoryMB), most: backendSockets(cfg.shareable()),
+func newUpstreamPool(cfg *Config, log *slog.Logger) *upstreamPool {
+	p := &upstreamPool{cfg: cfg, log: log, bufferBudget: newBufferBudget(cfg.MemoryMB), maxConns: maxUpstreamConns(cfg.shareableDescriptors()),
 		// Backends may close an idle connection at IdleClose; a request that crosses that is lost
 		// as a reset that may have run. A quarter of the time is far more than any network takes.
-		keepIdle: cfg.Site.IdleClose * 3 / 4,
-		settle:   secondAnswer,
-		listed:   map[string]*listing{}, held: map[string]bool{}, idle: map[string][]*conn{}}
-	b.transport = &http.Transport{
+		idleTimeout: cfg.Site.IdleClose * 3 / 4,
+		settleTime:  settleTime,
+		endpoints:   map[string]*endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
+	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeader,
 		// The dialled connection goes into the context's slot, which tells what was written on it.
@@ -87,232 +87,232 @@
 			if err != nil {
 				return nil, err
 			}
-			conn := newBackendConn(c)
-			if slot, ok := ctx.Value(slotKey{}).(*dialSlot); ok {
+			conn := newTrackedConn(c)
+			if slot, ok := ctx.Value(dialSlotKey{}).(*dialSlot); ok {
 				slot.conn = conn
 			}
 			return conn, nil
 		},
 	}
-	return b
+	return p
 }
 
 type (
-	slotKey  struct{}
-	dialSlot struct{ conn *backendConn }
+	dialSlotKey struct{}
+	dialSlot    struct{ conn *trackedConn }
 )
 
-// listing is what the list says of a backend, as far as it binds an attempt that is decided and not yet written. A change
+// endpoint is what the list says of a backend, as far as it binds an attempt that is decided and not yet written. A change
 // makes a new one.
-type listing struct {
+type endpoint struct {
 	addr       string
 	zone, cell int
 	draining   bool
 }
 
-// update takes a change of the list. Connections that rest at a backend that is gone, drains or has moved are
+// applyUpdate takes a change of the list. Connections that rest at a backend that is gone, drains or has moved are
 // closed: under its new address another process answers, and one that drains wants nothing new.
-func (b *backends) update(e discovery.Update) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e.Endpoints.Kind != balancer.ListDelta && e.Endpoints.Kind != balancer.ListFailed {
-		for id := range b.listed {
-			if _, listed := e.Addrs[id]; !listed {
-				b.forget(id)
+func (p *upstreamPool) applyUpdate(update discovery.Update) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if update.Endpoints.Kind != balancer.ListDelta && update.Endpoints.Kind != balancer.ListFailed {
+		for id := range p.endpoints {
+			if _, listed := update.Addrs[id]; !listed {
+				p.removeEndpoint(id)
 			}
 		}
 	}
-	for _, m := range e.Endpoints.Backends {
-		addr, ok := e.Addrs[m.ID]
+	for _, backend := range update.Endpoints.Backends {
+		addr, ok := update.Addrs[backend.ID]
 		if !ok {
-			b.forget(m.ID)
+			p.removeEndpoint(backend.ID)
 			continue
 		}
-		now := listing{addr: addr, zone: m.Zone, cell: m.Cell, draining: m.State != balancer.Up}
-		if old := b.listed[m.ID]; old == nil || *old != now {
-			b.listed[m.ID] = &now
-			if old != nil && (old.addr != addr || now.draining) {
-				b.dropIdle(m.ID)
+		current := endpoint{addr: addr, zone: backend.Zone, cell: backend.Cell, draining: backend.State != balancer.Up}
+		if previous := p.endpoints[backend.ID]; previous == nil || *previous != current {
+			p.endpoints[backend.ID] = &current
+			if previous != nil && (previous.addr != addr || current.draining) {
+				p.closeIdle(backend.ID)
 			}
 		}
 	}
 }
 
-// detach has nothing written to a backend any more, or again. Its kept connections are dropped
+// setDisabled has nothing written to a backend any more, or again. Its kept connections are dropped
 // both times: operators restart it in between.
-func (b *backends) detach(id string, on bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if on {
-		b.held[id] = true
+func (p *upstreamPool) setDisabled(id string, disabled bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if disabled {
+		p.disabled[id] = true
 	} else {
-		delete(b.held, id)
+		delete(p.disabled, id)
 	}
-	b.dropIdle(id)
+	p.closeIdle(id)
 }
 
-// forget drops a backend's address and its idle connections. The lock is held.
-func (b *backends) forget(id string) {
-	delete(b.listed, id)
-	b.dropIdle(id)
+// removeEndpoint drops a backend's address and its idle connections. The lock is held.
+func (p *upstreamPool) removeEndpoint(id string) {
+	delete(p.endpoints, id)
+	p.closeIdle(id)
 }
 
-// dropIdle closes a backend's idle connections. The lock is held.
-func (b *backends) dropIdle(id string) {
-	for _, c := range b.idle[id] {
-		b.drop(c)
+// closeIdle closes a backend's idle connections. The lock is held.
+func (p *upstreamPool) closeIdle(id string) {
+	for _, c := range p.idle[id] {
+		p.discard(c)
 	}
-	delete(b.idle, id)
+	delete(p.idle, id)
 }
 
-// drop closes a connection. The lock is held; closing a socket does not block.
-func (b *backends) drop(c *conn) {
-	b.open--
-	if c.net.strayed() {
-		b.strays = time.Now()
+// discard closes a connection. The lock is held; closing a socket does not block.
+func (p *upstreamPool) discard(conn *pooledConn) {
+	p.openConns--
+	if conn.tracked.hasUnsolicited() {
+		p.lastUnsolicited = time.Now()
 	}
-	c.Close()
+	conn.Close()
 }
 
-// take returns an idle connection to a backend, or the address at which to dial one.
-func (b *backends) take(id string) (*conn, string, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at := b.listed[id]
+// acquire returns an idle connection to a backend, or the address at which to dial one.
+func (p *upstreamPool) acquire(id string) (*pooledConn, string, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	endpoint := p.endpoints[id]
 	switch {
-	case at == nil:
-		return nil, "", errMoved
-	case b.held[id]:
-		return nil, "", errDetached
+	case endpoint == nil:
+		return nil, "", errEndpointChanged
+	case p.disabled[id]:
+		return nil, "", errBackendDisabled
 	}
-	b.idle[id] = slices.DeleteFunc(b.idle[id], func(c *conn) bool {
-		usable := b.usable(c)
+	p.idle[id] = slices.DeleteFunc(p.idle[id], func(conn *pooledConn) bool {
+		usable := p.isUsable(conn)
 		if !usable {
-			b.drop(c)
+			p.discard(conn)
 		}
 		return !usable
 	})
-	if i := b.rested(b.idle[id]); i >= 0 {
-		c := b.idle[id][i]
-		b.idle[id] = slices.Delete(b.idle[id], i, i+1)
-		c.idle = max(1, time.Since(c.since))
-		return c, at.addr, nil
+	if i := p.pickIdle(p.idle[id]); i >= 0 {
+		conn := p.idle[id][i]
+		p.idle[id] = slices.Delete(p.idle[id], i, i+1)
+		conn.idleFor = max(1, time.Since(conn.idleSince))
+		return conn, endpoint.addr, nil
 	}
-	if b.open >= b.most && !b.evict() {
-		return nil, "", errNoSocket
+	if p.openConns >= p.maxConns && !p.evictOldest() {
+		return nil, "", errNoDescriptor
 	}
-	b.open++
-	return nil, at.addr, nil
+	p.openConns++
+	return nil, endpoint.addr, nil
 }
 
-// rested returns which of a backend's idle connections is to be used: the latest that has rested, else the latest; below 0:
+// pickIdle returns which of a backend's idle connections is to be used: the latest that has rested, else the latest; below 0:
 // none. The lock is held.
-func (b *backends) rested(idle []*conn) int {
+func (p *upstreamPool) pickIdle(idle []*pooledConn) int {
 	for i := len(idle) - 1; i >= 0; i-- {
-		if time.Since(idle[i].since) >= b.settle {
+		if time.Since(idle[i].idleSince) >= p.settleTime {
 			return i
 		}
 	}
-	if time.Since(b.strays) < straysCount {
+	if time.Since(p.lastUnsolicited) < unsolicitedMemory {
 		return -1
 	}
 	return len(idle) - 1
 }
 
-// usable reports whether an idle connection may carry a request. The lock is held.
-func (b *backends) usable(c *conn) bool {
-	idle := time.Since(c.since)
-	return c.Err() == nil && idle < b.keepIdle && !b.reuse.doubtful(idle)
+// isUsable reports whether an idle connection may carry a request. The lock is held.
+func (p *upstreamPool) isUsable(c *pooledConn) bool {
+	idle := time.Since(c.idleSince)
+	return c.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
 }
 
-// standing is what the list says of a backend now; nil: nothing.
-func (b *backends) standing(id string) *listing {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.listed[id]
+// endpoint is what the list says of a backend now; nil: nothing.
+func (p *upstreamPool) endpoint(id string) *endpoint {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.endpoints[id]
 }
 
-// clear reports why an attempt that was decided may not be written now: a request that has its answer, or a backend that
+// checkSendable reports why an attempt that was decided may not be written now: a request that has its answer, or a backend that
 // the list or operators have taken out since, or moved to where a repeat is none. nil: it may.
-func (b *backends) clear(t *try) error {
+func (p *upstreamPool) checkSendable(att *attempt) error {
 	select {
-	case <-t.over:
-		return errOver
+	case <-att.requestDone:
+		return errAlreadyAnswered
 	default:
 	}
-	b.mu.Lock()
-	held, at := b.held[t.id], b.listed[t.id]
-	b.mu.Unlock()
+	p.mu.Lock()
+	disabled, endpoint := p.disabled[att.backendID], p.endpoints[att.backendID]
+	p.mu.Unlock()
 	switch {
-	case held:
-		return errDetached
-	case at == nil || t.at != nil && t.at != at:
-		return errMoved
-	case !t.last.IsZero() && !time.Now().Before(t.last):
-		return errTooLate
-	case !b.permitted(t.rule, t.id):
-		return errForbidden
+	case disabled:
+		return errBackendDisabled
+	case endpoint == nil || att.endpoint != nil && att.endpoint != endpoint:
+		return errEndpointChanged
+	case !att.writeBy.IsZero() && !time.Now().Before(att.writeBy):
+		return errRetryWindowOver
+	case !p.residencyPermits(att.residencyRule, att.backendID):
+		return errResidencyForbidden
 	}
 	return nil
 }
 
-// learn takes whether the connection broke under its request before any answer.
-func (b *backends) learn(c *conn, broken bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.reuse.learn(c.idle, broken)
+// recordReuse takes whether the connection broke under its request before any answer.
+func (p *upstreamPool) recordReuse(c *pooledConn, broken bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reuseStats.record(c.idleFor, broken)
 }
 
-// allow changes how many connections may be open at once. Idle ones past it are closed.
-func (b *backends) allow(most int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.most = most
-	for b.open > b.most && b.evict() {
+// setLimit changes how many connections may be open at once. Idle ones past it are closed.
+func (p *upstreamPool) setLimit(limit int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxConns = limit
+	for p.openConns > p.maxConns && p.evictOldest() {
 	}
 }
 
-// evict closes the connection that has been idle longest, whosever it is.
-func (b *backends) evict() bool {
+// evictOldest closes the connection that has been idle longest, whosever it is.
+func (p *upstreamPool) evictOldest() bool {
 	var oldest string
-	for id, list := range b.idle {
-		if len(list) > 0 && (oldest == "" || list[0].since.Before(b.idle[oldest][0].since)) {
+	for id, list := range p.idle {
+		if len(list) > 0 && (oldest == "" || list[0].idleSince.Before(p.idle[oldest][0].idleSince)) {
 			oldest = id
 		}
 	}
 	if oldest == "" {
 		return false
 	}
-	b.drop(b.idle[oldest][0])
-	b.idle[oldest] = b.idle[oldest][1:]
+	p.discard(p.idle[oldest][0])
+	p.idle[oldest] = p.idle[oldest][1:]
 	return true
 }
 
-// give puts a connection back, or closes it where it is no longer of use.
-func (b *backends) give(id string, c *conn, reusable bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if at := b.listed[id]; !reusable || b.closed || c.Err() != nil || at == nil || at.addr != c.addr || at.draining || b.held[id] {
-		b.drop(c)
+// release puts a connection back, or closes it where it is no longer of use.
+func (p *upstreamPool) release(id string, conn *pooledConn, reusable bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if endpoint := p.endpoints[id]; !reusable || p.closed || conn.Err() != nil || endpoint == nil || endpoint.addr != conn.addr || endpoint.draining || p.disabled[id] {
+		p.discard(conn)
 		return
 	}
-	b.idle[id] = append(b.idle[id], c)
+	p.idle[id] = append(p.idle[id], conn)
 }
 
 // close ends the connections that rest, and has no other kept.
-func (b *backends) close() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.closed = true
-	for id := range b.idle {
-		b.dropIdle(id)
+func (p *upstreamPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	for id := range p.idle {
+		p.closeIdle(id)
 	}
 }
 
-// reap closes what has been idle for too long, until ctx ends.
-func (b *backends) reap(ctx context.Context) {
-	every := max(b.keepIdle/8, time.Millisecond)
-	tick := time.NewTicker(every)
+// closeExpired closes what has been idle for too long, until ctx ends.
+func (p *upstreamPool) closeExpired(ctx context.Context) {
+	interval := max(p.idleTimeout/8, time.Millisecond)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -320,35 +320,35 @@
 			return
 		case <-tick.C:
 		}
-		b.mu.Lock()
-		b.reuse.fade(every)
-		for id, list := range b.idle {
+		p.mu.Lock()
+		p.reuseStats.decay(interval)
+		for id, list := range p.idle {
 			kept := list[:0]
 			for _, c := range list {
-				if b.usable(c) {
+				if p.isUsable(c) {
 					kept = append(kept, c)
 				} else {
-					b.drop(c)
+					p.discard(c)
 				}
 			}
 			clear(list[len(kept):])
-			b.idle[id] = kept
+			p.idle[id] = kept
 		}
-		b.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
 // dial opens a connection within the connect time-out and ctx. Its place is already counted.
-func (b *backends) dial(ctx context.Context, addr string) (*conn, error) {
+func (p *upstreamPool) dial(ctx context.Context, addr string) (*pooledConn, error) {
 	slot := &dialSlot{}
-	ctx, cancel := context.WithTimeout(context.WithValue(ctx, slotKey{}, slot), b.cfg.Settings.ConnectTimeout)
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.Settings.ConnectTimeout)
 	defer cancel()
-	cc, err := b.transport.NewClientConn(ctx, "http", addr)
+	clientConn, err := p.transport.NewClientConn(ctx, "http", addr)
 	if err != nil {
-		b.mu.Lock()
-		b.open--
-		b.mu.Unlock()
+		p.mu.Lock()
+		p.openConns--
+		p.mu.Unlock()
 		return nil, err
 	}
-	return &conn{ClientConn: cc, net: slot.conn, addr: addr, since: time.Now()}, nil
+	return &pooledConn{ClientConn: clientConn, tracked: slot.conn, addr: addr, idleSince: time.Now()}, nil
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -18,21 +18,21 @@
 
 // Config is what an agent is told at its start.
 type Config struct {
-	Name       string
-	Listen     string // where clients connect
-	Discovery  string
-	Mgmt       string // where operators call; "": nowhere
-	ListenFD   int    // the listening socket that the platform holds; 0: none, listen by yourself
-	Scratch    string // where the processes of an agent find what they hand on
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int    // file descriptors that the process may hold
-	DialFrom   string // the address from which backends are called; "": the system's choice
-	PeerListen string
-	Peers      []string                // addresses by agent number
-	Known      *discovery.EndpointList // the list of backends as last stored; may be absent
-	Join       Join                    // nil: there is no fleet
+	Name            string
+	Listen          string // where clients connect
+	Discovery       string
+	AdminAddr       string // where operators call; "": nowhere
+	ListenFD        int    // the listening socket that the platform holds; 0: none, listen by yourself
+	HandoverDir     string // where the processes of an agent find what they hand on
+	Seed            uint64
+	Cores           float64
+	MemoryMB        int
+	MaxDescriptors  int    // file descriptors that the process may hold
+	DialFrom        string // the address from which backends are called; "": the system's choice
+	PeerListen      string
+	Peers           []string                // addresses by agent number
+	CachedEndpoints *discovery.EndpointList // the list of backends as last stored; may be absent
+	Join            JoinFunc                // nil: there is no fleet
 
 	Settings balancer.Settings
 	Site     wire.Site
@@ -41,13 +41,13 @@
 // Source is where a configuration comes from. It is read at the start, and again after a SIGHUP.
 type Source struct {
 	Name   string
-	Read   func() ([]byte, error)         // in the platform's form
-	Getenv func(string) string            // its PROXY_ variables, where set, go before what the text says
-	Join   func(raw []byte) (Join, error) // what the agent shares, by the same text; nil: nothing
+	Read   func() ([]byte, error)             // in the platform's form
+	Getenv func(string) string                // its PROXY_ variables, where set, go before what the text says
+	Join   func(raw []byte) (JoinFunc, error) // what the agent shares, by the same text; nil: nothing
 }
 
-// Platform is the file that PROXY_CONFIG names.
-func Platform(getenv func(string) string) Source {
+// PlatformSource is the file that PROXY_CONFIG names.
+func PlatformSource(getenv func(string) string) Source {
 	path := getenv("PROXY_CONFIG")
 	return Source{Name: path, Getenv: getenv, Read: func() ([]byte, error) {
 		if path == "" {
@@ -77,9 +77,9 @@
 	return c, nil
 }
 
-// Discovery reads the configuration again after it has been replaced, and returns where discovery is
+// ReloadDiscovery reads the configuration again after it has been replaced, and returns where discovery is
 // by now. There the file goes before the variable, which says what held when the program started.
-func (s Source) Discovery() (string, error) {
+func (s Source) ReloadDiscovery() (string, error) {
 	getenv := s.Getenv
 	s.Getenv = func(name string) string {
 		if name == "PROXY_DISCOVERY" {
@@ -95,7 +95,7 @@
 }
 
 func parseConfig(raw []byte, getenv func(string) string) (*Config, error) {
-	var f struct {
+	var parsed struct {
 		Name      string `json:"Name"`
 		Listen    string `json:"Listen"`
 		Discovery string `json:"Discovery"`
@@ -112,15 +112,15 @@
 		Known      *discovery.EndpointList `json:"Known"`
 		Settings   json.RawMessage         `json:"Settings"`
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &parsed); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Mgmt: f.Mgmt, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		DialFrom: f.DialFrom, PeerListen: f.PeerListen, Peers: f.Peers, Known: f.Known}
+	c := &Config{Name: parsed.Name, Listen: parsed.Listen, Discovery: parsed.Discovery, AdminAddr: parsed.Mgmt, Cores: parsed.Limits.Cores,
+		MemoryMB: parsed.Limits.MemoryMB, MaxDescriptors: parsed.Limits.Sockets,
+		DialFrom: parsed.DialFrom, PeerListen: parsed.PeerListen, Peers: parsed.Peers, CachedEndpoints: parsed.Known}
 	for name, field := range map[string]*string{
 		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery,
-		"PROXY_MGMT": &c.Mgmt} {
+		"PROXY_MGMT": &c.AdminAddr} {
 		// A process that replaces another is started with the first one's variables: where discovery has moved since, the file,
 		// which is replaced then, says so.
 		if name == "PROXY_DISCOVERY" && getenv("PROXY_FD") != "" && *field != "" {
@@ -131,26 +131,26 @@
 		}
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of up to 16 digits", f.Seed)
+	if c.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of up to 16 digits", parsed.Seed)
 	}
-	if err := checkAddr("listen", c.Listen); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return nil, err
 	}
-	if err := checkAddr("discovery", c.Discovery); err != nil {
+	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return nil, err
 	}
 	if text := getenv("PROXY_FD"); text != "" {
 		if c.ListenFD, err = strconv.Atoi(text); err != nil || c.ListenFD < 3 {
 			return nil, fmt.Errorf("PROXY_FD: %q is no descriptor that a process inherits", text)
 		}
-		c.Scratch = cmp.Or(getenv("TMPDIR"), os.TempDir())
+		c.HandoverDir = cmp.Or(getenv("TMPDIR"), os.TempDir())
 	}
 	if c.DialFrom != "" && net.ParseIP(c.DialFrom) == nil {
 		return nil, fmt.Errorf("dial_from: %q is not an IP address", c.DialFrom)
 	}
-	if c.Mgmt != "" {
-		if err := checkAddr("mgmt", c.Mgmt); err != nil {
+	if c.AdminAddr != "" {
+		if err := checkAddress("mgmt", c.AdminAddr); err != nil {
 			return nil, err
 		}
 	}
@@ -159,12 +159,12 @@
 		return nil, fmt.Errorf("limits.cores: %v is negative", c.Cores)
 	case c.MemoryMB < 0:
 		return nil, fmt.Errorf("limits.memory_mb: %v is negative", c.MemoryMB)
-	case c.Sockets < 0 || c.Sockets > 0 && c.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.Sockets, leastSockets)
-	case len(f.Settings) == 0:
+	case c.MaxDescriptors < 0 || c.MaxDescriptors > 0 && c.MaxDescriptors < minDescriptors:
+		return nil, fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.MaxDescriptors, minDescriptors)
+	case len(parsed.Settings) == 0:
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, c.Site, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	// The module spreads its calls for lists over parts of this time.
@@ -181,14 +181,14 @@
 		return nil, errors.New("settings: PolicyLimits.IdleCloseMs: must be positive")
 	}
 	if c.Settings.Peers {
-		if err := checkAddr("peer_listen", c.PeerListen); err != nil {
+		if err := checkAddress("peer_listen", c.PeerListen); err != nil {
 			return nil, err
 		}
 		if len(c.Peers) != c.Settings.Balancers {
 			return nil, fmt.Errorf("peers: %d addresses for %d agents", len(c.Peers), c.Settings.Balancers)
 		}
 		for i, p := range c.Peers {
-			if err := checkAddr(fmt.Sprintf("peers[%d]", i), p); err != nil {
+			if err := checkAddress(fmt.Sprintf("peers[%d]", i), p); err != nil {
 				return nil, err
 			}
 		}
@@ -196,7 +196,7 @@
 	return c, nil
 }
 
-func checkAddr(field, addr string) error {
+func checkAddress(field, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: missing", field)
 	}
@@ -210,10 +210,10 @@
 	return nil
 }
 
-// halved is what one of two processes of this agent may use.
-func (c *Config) halved() *Config {
+// halfLimits is what one of two processes of this agent may use.
+func (c *Config) halfLimits() *Config {
 	half := *c
-	half.Sockets = cmp.Or(c.Sockets, defaultSockets) / 2
+	half.MaxDescriptors = cmp.Or(c.MaxDescriptors, defaultDescriptors) / 2
 	half.MemoryMB = c.MemoryMB / 2
 	return &half
 }
@@ -225,17 +225,17 @@
 	}
 }
 
-// shareable is how many descriptors are shared out once the operators' door has its own.
-func (c *Config) shareable() int {
-	limit := cmp.Or(c.Sockets, defaultSockets)
-	if c.Mgmt != "" {
-		limit -= operationsSockets + 1
+// shareableDescriptors is how many descriptors are shared out once the operators' door has its own.
+func (c *Config) shareableDescriptors() int {
+	limit := cmp.Or(c.MaxDescriptors, defaultDescriptors)
+	if c.AdminAddr != "" {
+		limit -= maxAdminConns + 1
 	}
 	return limit
 }
 
-// longest is the longest time that any client waits.
-func (c *Config) longest() time.Duration {
+// maxDeadline is the longest time that any client waits.
+func (c *Config) maxDeadline() time.Duration {
 	var d time.Duration
 	for _, class := range c.Settings.Classes {
 		d = max(d, class.Deadline)
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -15,12 +15,12 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-func toLine(t *testing.T, version int64, servers ...member) string {
+func deltaLine(t *testing.T, version int64, servers ...discoveryMember) string {
 	t.Helper()
-	return lineOf(t, members{Version: version, Endpoints: servers})
+	return listLine(t, discoveryList{Version: version, Endpoints: servers})
 }
 
-func lineOf(t *testing.T, list members) string {
+func listLine(t *testing.T, list discoveryList) string {
 	t.Helper()
 	raw, err := json.Marshal(list)
 	if err != nil {
@@ -29,19 +29,19 @@
 	return string(raw)
 }
 
-// recorder is a ResponseWriter that keeps the status.
-type recorder struct {
+// statusRecorder is a ResponseWriter that keeps the status.
+type statusRecorder struct {
 	header http.Header
 	status int
 }
 
-func newRecorder() *recorder                    { return &recorder{header: http.Header{}} }
-func (r *recorder) Header() http.Header         { return r.header }
-func (r *recorder) WriteHeader(status int)      { r.status = status }
-func (r *recorder) Write(p []byte) (int, error) { return len(p), nil }
+func newStatusRecorder() *statusRecorder              { return &statusRecorder{header: http.Header{}} }
+func (r *statusRecorder) Header() http.Header         { return r.header }
+func (r *statusRecorder) WriteHeader(status int)      { r.status = status }
+func (r *statusRecorder) Write(p []byte) (int, error) { return len(p), nil }
 
 // A start-up error names the field that is wrong.
-func TestBadConfig(t *testing.T) {
+func TestConfigErrorNamesTheField(t *testing.T) {
 	base := map[string]string{"listen": `"127.0.0.1:0"`, "discovery": `"127.0.0.1:1"`, "seed": `"1f"`,
 		"limits": `{}`, "settings": fmt.Sprintf(settings, "automatic", 1000)}
 	build := func(field, value string) []byte {
@@ -90,14 +90,14 @@
 	}
 }
 
-func TestLoadConfig(t *testing.T) {
+func TestLoadConfigAppliesEnvironment(t *testing.T) {
 	env := map[string]string{}
 	getenv := func(name string) string { return env[name] }
-	if _, err := Platform(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
+	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Errorf("no file named: %v", err)
 	}
 	env["PROXY_CONFIG"] = filepath.Join(t.TempDir(), "config.json")
-	if _, err := Platform(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
+	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
 	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`, fmt.Sprintf(settings, "subscribe", 1000))
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	env["PROXY_LISTEN"] = "127.0.0.1:3"
-	cfg, err := Platform(getenv).Load()
+	cfg, err := PlatformSource(getenv).Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,8 +115,8 @@
 }
 
 // The module's peer messages travel as datagrams, with the sender known by its address.
-func TestPeers(t *testing.T) {
-	cfg := testConfig(t, setup{})
+func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
 	cfg.PeerListen = "127.0.0.1:0"
 	other, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -124,15 +124,15 @@
 	}
 	defer other.Close()
 	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
-	p, err := newPeers(t.Context(), cfg, quiet)
+	p, err := newPeerTransport(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := make(chan any, 1)
 	go p.run(t.Context(), func(e any) { got <- e })
-	p.tell(1, []byte("hi"))
-	p.tell(5, []byte("nobody"))
-	p.tell(1, make([]byte, maxDatagram+1))
+	p.send(1, []byte("hi"))
+	p.send(5, []byte("nobody"))
+	p.send(1, make([]byte, maxDatagram+1))
 	buf := make([]byte, 512)
 	n, _, err := other.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != "hi" {
@@ -147,7 +147,7 @@
 }
 
 // A change counts as told after 6 s at the latest, whatever the settings say of calls for lists.
-func TestCallsForListsAreSpreadOverNoMoreThanTheChangesTime(t *testing.T) {
+func TestPollIntervalIsCappedByPropagationDeadline(t *testing.T) {
 	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
 		text := strings.Replace(fmt.Sprintf(settings, "subscribe", 1000), `"AskWithinMs": 1000`, `"AskWithinMs": `+asked, 1)
 		raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -13,29 +13,29 @@
 	"martenbeam/balancer"
 )
 
-// catalog is discovery: it hands each watch to the test, which writes to it line by line.
-type catalog struct {
+// fakeDiscovery is discovery: it hands each watch to the test, which writes to it line by line.
+type fakeDiscovery struct {
 	addr  string
-	watch chan *watcher
+	watch chan *fakeWatch
 }
 
-type watcher struct {
-	since string
-	lines chan string // closed: the watch ends
-	fail  chan struct{}
-	gone  chan struct{} // closed with its connection
+type fakeWatch struct {
+	since        string
+	lines        chan string // closed: the watch ends
+	fail         chan struct{}
+	disconnected chan struct{} // closed with its connection
 }
 
-func serveCatalog(t *testing.T) *catalog {
+func startFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	ln := listen(t)
-	c := &catalog{addr: ln.Addr().String(), watch: make(chan *watcher, 10)}
+	c := &fakeDiscovery{addr: ln.Addr().String(), watch: make(chan *fakeWatch, 10)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
 			t.Errorf("discovery was asked for %s", r.URL)
 		}
-		me := &watcher{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}), gone: make(chan struct{})}
-		defer close(me.gone)
+		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}), disconnected: make(chan struct{})}
+		defer close(me.disconnected)
 		c.watch <- me
 		for {
 			select {
@@ -62,11 +62,11 @@
 
 // An agent that starts while discovery is down serves by its stored list, follows discovery once
 // it is back, and sends nothing new to a backend that then drains.
-func TestDiscoveryDownAndBack(t *testing.T) {
-	one := serveRaw(t, func(int) string { return ok200 })
-	two := serveRaw(t, func(int) string { return ok200 })
-	c := serveCatalog(t)
-	a := start(t, testConfig(t, setup{mode: "subscribe", discovery: c.addr, servers: []member{one.member("one")}}))
+func TestCachedEndpointsServeUntilDiscoveryReturns(t *testing.T) {
+	one := startRawBackend(t, func(int) string { return ok200 })
+	two := startRawBackend(t, func(int) string { return ok200 })
+	c := startFakeDiscovery(t)
+	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: c.addr, servers: []discoveryMember{one.member("one")}}))
 	close(receive(t, "watch", c.watch).fail)
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
 		t.Errorf("health %+v", x)
@@ -77,11 +77,11 @@
 	w := receive(t, "second watch", c.watch)
 	drained := one.member("one")
 	drained.State = "draining"
-	w.lines <- toLine(t, 42, drained, two.member("two"))
-	waitFor(t, "the change", func() bool {
-		a.backends.mu.Lock()
-		defer a.backends.mu.Unlock()
-		return a.backends.listed["two"] != nil
+	w.lines <- deltaLine(t, 42, drained, two.member("two"))
+	eventually(t, "the change", func() bool {
+		a.pool.mu.Lock()
+		defer a.pool.mu.Unlock()
+		return a.pool.endpoints["two"] != nil
 	})
 	before := len(one.seen)
 	for range 20 {
@@ -96,30 +96,30 @@
 }
 
 // With no list at all an agent is not ready, and becomes so with the first one.
-func TestNotReadyWithoutBackends(t *testing.T) {
-	c := serveCatalog(t)
-	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, setup{mode: "subscribe", discovery: c.addr}))
+func TestAgentIsNotReadyWithoutBackends(t *testing.T) {
+	c := startFakeDiscovery(t)
+	s := startRawBackend(t, func(int) string { return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: c.addr}))
 	w := receive(t, "watch", c.watch)
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
 		t.Errorf("health %+v", x)
 	}
-	w.lines <- toLine(t, 1, s.member("s"))
-	waitFor(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
+	w.lines <- deltaLine(t, 1, s.member("s"))
+	eventually(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
 }
 
-// say has the watch tell a line.
-func (w *watcher) say(t *testing.T, line string) {
+// sendLine has the watch tell a line.
+func (w *fakeWatch) sendLine(t *testing.T, line string) {
 	t.Helper()
 	select {
 	case w.lines <- line:
-	case <-w.gone:
+	case <-w.disconnected:
 		t.Fatal("the watch is gone")
 	}
 }
 
-// watching counts the tasks that read from discovery, and those of them that wait for the follower to take what they read.
-func watching() (all, waiting int) {
+// countWatchGoroutines counts the tasks that read from discovery, and those of them that wait for the follower to take what they read.
+func countWatchGoroutines() (all, waiting int) {
 	stacks := make([]byte, 1<<20)
 	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
 		if bytes.Contains(task, []byte("discovery.(*watch).run")) {
@@ -137,48 +137,48 @@
 // Whether the new whole list leaves it out or says that it drains, and whichever list is told first, nothing goes to it any
 // more, and the request goes elsewhere; what the old address said and nobody has taken by then does not count. Named as ready
 // the backend is used again.
-func TestReloadAmidDrains(t *testing.T) {
+func TestDiscoveryReloadDuringDrain(t *testing.T) {
 	for _, state := range []string{"", "draining", "ready"} { // in the new whole list; "": it is not named
 		for _, order := range []string{"drain, move, list", "move, drain, list", "move, list, old word"} {
 			t.Run(fmt.Sprintf("%q: %s", state, order), func(t *testing.T) {
-				x, y := newHandBackend(t), serveRaw(t, func(int) string { return ok200 })
-				before, after := serveCatalog(t), serveCatalog(t)
+				x, y := startManualBackend(t), startRawBackend(t, func(int) string { return ok200 })
+				before, after := startFakeDiscovery(t), startFakeDiscovery(t)
 				var dialling, release chan struct{}
 				took, goOn := make(chan int64, 100), make(chan struct{})
 				now := make(chan time.Time)
 				close(now)
-				a := startAfter(t, testConfig(t, setup{discovery: before.addr, servers: []member{x.member("x")}}), now, func(a *running) {
-					dialling, release = slowDial(a.backends)
-					a.discovery.Record = func(_ string, list *members) { // called by the follower, which takes nothing meanwhile
+				a := startWithHook(t, testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}}), now, func(a *testAgent) {
+					dialling, release = blockDials(a.pool)
+					a.discovery.Record = func(_ string, list *discoveryList) { // called by the follower, which takes nothing meanwhile
 						if took <- list.Version; order == "move, list, old word" && list.Version == 42 {
 							<-goOn
 						}
 					}
 				})
 				holds := func(state string) bool {
-					a.backends.mu.Lock()
-					defer a.backends.mu.Unlock()
-					at := a.backends.listed["x"]
-					return a.backends.listed["y"] != nil && (at != nil) == (state != "") && (at == nil || at.draining == (state == "draining"))
+					a.pool.mu.Lock()
+					defer a.pool.mu.Unlock()
+					at := a.pool.endpoints["x"]
+					return a.pool.endpoints["y"] != nil && (at != nil) == (state != "") && (at == nil || at.draining == (state == "draining"))
 				}
 				old := receive(t, "watch", before.watch)
-				old.say(t, toLine(t, 41, x.member("x")))
+				old.sendLine(t, deltaLine(t, 41, x.member("x")))
 				receive(t, "first list", took)
 				answer := make(chan exchange, 1)
 				go func() { answer <- a.do("GET", "/get/x", "") }()
 				receive(t, "dial", dialling)
-				drains, named, list := x.member("x"), x.member("x"), []member{y.member("y")}
+				drains, named, list := x.member("x"), x.member("x"), []discoveryMember{y.member("y")}
 				drains.State, named.State = "draining", state
 				if state != "" {
 					list = append(list, named)
 				}
-				whole := lineOf(t, members{Version: 7, Full: true, Endpoints: list})
+				whole := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
 				drain := func() { // so long that what follows is read at once
-					old.say(t, strings.Repeat(" ", 1<<14)+toLine(t, 42, drains, y.member("y")))
+					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, drains, y.member("y")))
 					receive(t, "drain", took)
 				}
-				move := func() *watcher {
-					a.Follow(after.addr)
+				move := func() *fakeWatch {
+					a.SetDiscoveryAddr(after.addr)
 					w := receive(t, "watch at the new address", after.watch)
 					if w.since != "0" {
 						t.Errorf("asks for what follows %s of another discovery", w.since)
@@ -188,39 +188,39 @@
 				switch order {
 				case "drain, move, list":
 					drain()
-					waitFor(t, "the drain", func() bool { return holds("draining") })
-					move().say(t, whole)
+					eventually(t, "the drain", func() bool { return holds("draining") })
+					move().sendLine(t, whole)
 				case "move, drain, list":
 					w := move()
 					drain()
-					waitFor(t, "the drain", func() bool { return holds("draining") })
-					w.say(t, whole)
+					eventually(t, "the drain", func() bool { return holds("draining") })
+					w.sendLine(t, whole)
 				default:
 					w := move()
 					drain()
-					w.say(t, whole)
-					waitFor(t, "the new list to be read", func() bool { _, waiting := watching(); return waiting == 1 })
+					w.sendLine(t, whole)
+					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
 					late := ""
 					for v := range int64(30) { // each has an even chance to be told though its watch has been dropped
-						late += toLine(t, 43+v, x.member("x"))
+						late += deltaLine(t, 43+v, x.member("x"))
 					}
-					old.say(t, late)
-					waitFor(t, "the old one's words to be read", func() bool { _, waiting := watching(); return waiting == 2 })
+					old.sendLine(t, late)
+					eventually(t, "the old one's words to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 2 })
 					close(goOn)
 				}
-				receive(t, "end of the old watch", old.gone)
-				waitFor(t, "the end of its task", func() bool { all, _ := watching(); return all <= 1 })
+				receive(t, "end of the old watch", old.disconnected)
+				eventually(t, "the end of its task", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
 				if e := receive(t, "answer", answer); e.status != 200 || len(y.seen) != 1 { // booked after the lists
 					t.Errorf("%+v, %d requests at the other backend", e, len(y.seen))
 				}
-				waitFor(t, "the new list", func() bool { return holds(state) })
+				eventually(t, "the new list", func() bool { return holds(state) })
 				up := receive(t, "connection", x.conns)
 				if state == "ready" {
-					done := a.backends.startAt("x", &try{at: a.backends.standing("x")})
+					done := a.pool.startAt("x", &attempt{endpoint: a.pool.endpoint("x")})
 					readRequest(t, bufio.NewReader(up))
-					write(t, up, say("again"))
-					receive(t, "result", done).is(t, balancer.OK, "again")
+					writeText(t, up, okResponse("again"))
+					receive(t, "result", done).expect(t, balancer.OK, "again")
 					return
 				}
 				for range 10 {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -19,53 +19,53 @@
 	Ready()
 }
 
-// Join makes what an agent shares, before it runs. post takes what the fleet tells the decision module; it may wait, but
+// JoinFunc makes what an agent shares, before it runs. post takes what the fleet tells the decision module; it may wait, but
 // never for long. follow has the running agent watch discovery elsewhere, as after SIGHUP.
-type Join func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Keeper, error)
+type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Keeper, error)
 
-// join has the agent share what its configuration says.
-func (a *Agent) join() error {
+// joinFleet has the agent share what its configuration says.
+func (a *Agent) joinFleet() error {
 	if a.cfg.Join == nil {
 		return nil
 	}
 	var err error
-	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, func(e balancer.Event) { a.loop.post(e) }, a.Follow); err != nil {
+	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, func(e balancer.Event) { a.loop.post(e) }, a.SetDiscoveryAddr); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	a.backends.residency = a.loop.residency
+	a.pool.residency = a.loop.residency
 	return nil
 }
 
-// stayInFleet stays in the fleet until ctx ends.
-func (a *Agent) stayInFleet(ctx context.Context) {
+// runFleet stays in the fleet until ctx ends.
+func (a *Agent) runFleet(ctx context.Context) {
 	if err := a.fleet.Run(ctx); err != nil {
 		a.log.Error("the fleet is left, the agent serves alone", "error", err)
 	}
 }
 
-// reside has the module hear of a policy before what came after it.
-func (l *loop) reside() {
+// prependPolicyUpdate has the module hear of a policy before what came after it.
+func (l *eventLoop) prependPolicyUpdate() {
 	if l.residency == nil {
 		return
 	}
-	if t := l.residency.Table(); t.Gen != l.resides {
-		l.resides = t.Gen
+	if t := l.residency.Table(); t.Gen != l.policyGeneration {
+		l.policyGeneration = t.Gen
 		l.pending = append([]balancer.Event{balancer.Residency{Table: t}}, l.pending...)
 	}
 }
 
-// permitted is the check in front of the network, independent of the module's: whether a request may go to a backend.
-func (b *backends) permitted(rule int, id string) bool {
-	if b.residency == nil || rule == 0 {
+// residencyPermits is the check in front of the network, independent of the module's: whether a request may go to a backend.
+func (p *upstreamPool) residencyPermits(rule int, id string) bool {
+	if p.residency == nil || rule == 0 {
 		return true
 	}
 	zone := -1
-	if at := b.standing(id); at != nil {
-		zone = at.zone
+	if endpoint := p.endpoint(id); endpoint != nil {
+		zone = endpoint.zone
 	}
-	if b.residency.Table().Permits(rule, zone) {
+	if p.residency.Table().Permits(rule, zone) {
 		return true
 	}
-	b.residency.Refused(rule, zone)
+	p.residency.Refused(rule, zone)
 	return false
 }
--- a/internal/agent/front_test.go
+++ b/internal/agent/front_test.go
@@ -36,14 +36,14 @@
 func (l *pipeListener) Close() error   { close(l.done); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// frontAt runs a front with no module behind it on synctest's clock, and returns what dials it.
-func frontAt(t *testing.T, cfg *Config) (*front, func() net.Conn) {
+// startPipeFrontend runs a front with no module behind it on synctest's clock, and returns what dials it.
+func startPipeFrontend(t *testing.T, cfg *Config) (*frontend, func() net.Conn) {
 	t.Helper()
-	l, err := newLoop(cfg, newClock(), newBackends(cfg, quiet), quiet)
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFront(cfg, l, quiet)
+	f := newFrontend(cfg, l, discardLog)
 	ln := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	served := make(chan error, 1)
 	go func() { served <- f.serve(ln) }()
@@ -56,8 +56,8 @@
 	}
 }
 
-// endOf returns when the far side closed the connection, and the status it gave before, or 0.
-func endOf(c net.Conn) (status int, at time.Time) {
+// readUntilClosed returns when the far side closed the connection, and the status it gave before, or 0.
+func readUntilClosed(c net.Conn) (status int, at time.Time) {
 	in := bufio.NewReader(c)
 	if resp, err := http.ReadResponse(in, nil); err == nil {
 		status = resp.StatusCode
@@ -69,7 +69,7 @@
 
 // A peer that sends no whole request is owed an error or a close within 3 s of connecting; until
 // then it holds a descriptor that clients need.
-func TestUnfinishedRequestIsSentAway(t *testing.T) {
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	const within = 3 * time.Second
 	for name, text := range map[string]string{
 		"nothing":       "",
@@ -82,11 +82,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, dial := frontAt(t, testConfig(t, setup{}))
+				_, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
 				began := time.Now()
 				c := dial()
 				go func() { _, _ = io.WriteString(c, text) }()
-				if status, at := endOf(c); at.Sub(began) > within || status == 200 || status == 429 || status == 503 {
+				if status, at := readUntilClosed(c); at.Sub(began) > within || status == 200 || status == 429 || status == 503 {
 					t.Errorf("status %d, closed after %v", status, at.Sub(began))
 				}
 			})
@@ -94,8 +94,8 @@
 	}
 }
 
-// askFor sends a request and reads its answer, which must be so.
-func askFor(t *testing.T, c net.Conn, path string, status int) {
+// expectStatus sends a request and reads its answer, which must be so.
+func expectStatus(t *testing.T, c net.Conn, path string, status int) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", path, newID()); err != nil {
 		t.Fatal(err)
@@ -109,9 +109,9 @@
 	}
 }
 
-// refuseAll stands in for the module behind a front: it refuses what comes, but for the class
+// rejectAll stands in for the module behind a front: it refuses what comes, but for the class
 // "pay", which it never answers.
-func refuseAll(t *testing.T, f *front) {
+func rejectAll(t *testing.T, f *frontend) {
 	f.loop.ready.Store(true)
 	done := make(chan struct{})
 	go func() {
@@ -119,8 +119,8 @@
 		for {
 			select {
 			case e := <-f.loop.events:
-				if e, ok := e.(arrived); ok && f.cfg.Site.Classes[e.class] != "pay" {
-					e.reply <- reply{refused: true}
+				if e, ok := e.(requestArrived); ok && f.cfg.Site.Classes[e.class] != "pay" {
+					e.reply <- reply{rejected: true}
 				}
 			case <-f.loop.stopped:
 				return
@@ -134,12 +134,12 @@
 // soon after, or idle ones shut out everybody else.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, dial := frontAt(t, testConfig(t, setup{}))
-		refuseAll(t, f)
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
 		c := dial()
-		askFor(t, c, "/get/x", 503)
+		expectStatus(t, c, "/get/x", 503)
 		idle := time.Now()
-		_, at := endOf(c)
+		_, at := readUntilClosed(c)
 		if kept := at.Sub(idle); kept < 2*time.Second || kept > 3*time.Second {
 			t.Errorf("closed after %v", kept)
 		}
@@ -147,14 +147,14 @@
 }
 
 // Whoever asks after the agent's health keeps no connection.
-func TestHealthCheckKeepsNoConnection(t *testing.T) {
+func TestHealthCheckClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, dial := frontAt(t, testConfig(t, setup{}))
-		refuseAll(t, f)
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
 		began := time.Now()
 		c := dial()
-		askFor(t, c, "/_health", 200)
-		if _, at := endOf(c); at.Sub(began) > time.Second {
+		expectStatus(t, c, "/_health", 200)
+		if _, at := readUntilClosed(c); at.Sub(began) > time.Second {
 			t.Errorf("closed after %v", at.Sub(began))
 		}
 	})
@@ -162,10 +162,10 @@
 
 // What stands inside a request's body, by either way to tell where the body ends, is never taken
 // for a request of its own.
-func TestRequestInsideABody(t *testing.T) {
+func TestRequestInsideBodyIsNotExecuted(t *testing.T) {
 	const inner = "POST /pay/inner HTTP/1.1\r\nHost: a\r\nX-Trace-Id: inner%d\r\nContent-Length: 0\r\n\r\n"
-	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+	s := startRawBackend(t, func(int) string { return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	for i, row := range []struct {
 		head, before string
 		served       bool // the outer request
@@ -182,7 +182,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+			if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			body := row.before + fmt.Sprintf(inner, i)
@@ -216,10 +216,10 @@
 
 // While others want to connect, the connection that has waited longest for its first request gives
 // way, then the one idle longest; never one with a request open, nor one that has only just come.
-func TestMakeRoom(t *testing.T) {
+func TestIdleEvictionOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, dial := frontAt(t, testConfig(t, setup{}))
-		refuseAll(t, f)
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
 		open := func(c net.Conn) bool {
 			err := c.SetReadDeadline(time.Now().Add(time.Nanosecond))
 			if err == nil {
@@ -228,7 +228,7 @@
 			return errors.Is(err, os.ErrDeadlineExceeded)
 		}
 		idle := dial()
-		askFor(t, idle, "/get/x", 503)
+		expectStatus(t, idle, "/get/x", 503)
 		busy, slow := dial(), dial()
 		if _, err := io.WriteString(busy, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"); err != nil {
 			t.Fatal(err)
@@ -237,24 +237,24 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		f.waiting.EvictIdle()
+		f.idleConns.EvictIdle()
 		if synctest.Wait(); !open(slow) || !open(idle) {
 			t.Fatal("closed one that has only just come")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		fresh := dial()
 		synctest.Wait()
-		f.waiting.EvictIdle()
+		f.idleConns.EvictIdle()
 		if synctest.Wait(); open(slow) || !open(idle) || !open(busy) || !open(fresh) {
 			t.Error("not the unfinished one was closed")
 		}
-		f.waiting.EvictIdle()
+		f.idleConns.EvictIdle()
 		if synctest.Wait(); open(idle) || !open(busy) || !open(fresh) {
 			t.Error("not the idle one was closed, though another had only just come")
 		}
 		time.Sleep(clientconn.MinIdleTime)
-		f.waiting.EvictIdle()
-		f.waiting.EvictIdle()
+		f.idleConns.EvictIdle()
+		f.idleConns.EvictIdle()
 		if synctest.Wait(); open(fresh) || !open(busy) {
 			t.Error("not the silent one was closed, or one with a request open")
 		}
@@ -262,20 +262,20 @@
 }
 
 // The module is told what a request concerns, where its cookie says so.
-func TestCookieIsTheKey(t *testing.T) {
-	f := newFront(testConfig(t, setup{}), nil, quiet)
+func TestSessionCookieSetsTheKey(t *testing.T) {
+	f := newFrontend(testConfig(t, testSetup{}), nil, discardLog)
 	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.Key("7f3a"), "a=b; sid=7f3a": wire.Key("7f3a")} {
 		hr := httptest.NewRequest(http.MethodGet, "/get/x", nil)
 		hr.Header.Set("X-Trace-Id", "t1")
 		if cookie != "" {
 			hr.Header.Set("Cookie", cookie)
 		}
-		r, err := f.parse(httptest.NewRecorder(), hr)
+		r, err := f.parseRequest(httptest.NewRecorder(), hr)
 		if err != nil {
 			t.Fatal(err.text)
 		}
-		if r.key != want || cookie != "" && r.message.header.Get("Cookie") != cookie {
-			t.Errorf("cookie %q: key %x, want %x; passed on: %v", cookie, r.key, want, r.message.header)
+		if r.key != want || cookie != "" && r.upstream.header.Get("Cookie") != cookie {
+			t.Errorf("cookie %q: key %x, want %x; passed on: %v", cookie, r.key, want, r.upstream.header)
 		}
 	}
 }
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -20,40 +20,40 @@
 	"martenbeam/internal/agent/handover"
 )
 
-// descriptor is a further descriptor of a socket, as a process inherits it.
-func descriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
+// inheritedDescriptor is a further descriptor of a socket, as a process inherits it.
+func inheritedDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep, err := dup(f)
+	keep, err := duplicateDescriptor(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return keep
 }
 
-// upgradable is a configuration of one of the processes of an agent: they share a listener and a
+// hotRestartConfig is a configuration of one of the processes of an agent: they share a listener and a
 // directory.
-func upgradable(t *testing.T, ln net.Listener, dir string, s setup) *Config {
+func hotRestartConfig(t *testing.T, ln net.Listener, dir string, s testSetup) *Config {
 	t.Helper()
-	cfg := withDoor(t, s)
-	cfg.ListenFD, cfg.Scratch = descriptor(t, ln.(*net.TCPListener)), dir
+	cfg := withAdmin(t, s)
+	cfg.ListenFD, cfg.HandoverDir = inheritedDescriptor(t, ln.(*net.TCPListener)), dir
 	t.Cleanup(func() { debug.SetMemoryLimit(math.MaxInt64) })
 	return cfg
 }
 
 // One process takes the clients over from another that serves: what the older one was told holds, no
 // request is turned back, and the older one ends.
-func TestUpgrade(t *testing.T) {
-	one := serveRaw(t, func(int) string { return ok200 })
-	two := serveRaw(t, func(int) string { return ok200 })
-	servers := []member{one.member("one"), two.member("two")}
+func TestHotRestartHandsOverClients(t *testing.T) {
+	one := startRawBackend(t, func(int) string { return ok200 })
+	two := startRawBackend(t, func(int) string { return ok200 })
+	servers := []discoveryMember{one.member("one"), two.member("two")}
 	ln, dir := listen(t), t.TempDir()
-	older := start(t, upgradable(t, ln, dir, setup{servers: servers}))
-	older.operations.AnswerTimeout = patience
-	waitFor(t, "the older one to take clients", older.front.taking.Load)
+	older := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
+	older.admin.AnswerTimeout = testTimeout
+	eventually(t, "the older one to take clients", older.frontend.accepting.Load)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -76,24 +76,24 @@
 	if resp := ask(); resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%+v", resp)
 	}
-	knock(t, older, put("/_backends/detach", `{"target":"one"}`))
+	callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`))
 	before := len(one.seen)
 
-	younger := start(t, upgradable(t, ln, dir, setup{servers: servers}))
-	younger.operations.AnswerTimeout = patience
-	waitFor(t, "the younger one to take clients", younger.front.taking.Load)
-	if resp := knock(t, younger, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
+	younger := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
+	younger.admin.AnswerTimeout = testTimeout
+	eventually(t, "the younger one to take clients", younger.frontend.accepting.Load)
+	if resp := callAdmin(t, younger, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("not ready: %+v", resp)
 	}
 	older.stop()
-	waitFor(t, "the older one to stop accepting", func() bool { return older.front.stopAt.Load() != 0 })
-	if resp := knock(t, older, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 503 {
+	eventually(t, "the older one to stop accepting", func() bool { return older.frontend.drainDeadline.Load() != 0 })
+	if resp := callAdmin(t, older, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 503 {
 		t.Errorf("the older one says it is ready: %+v", resp)
 	}
 	if resp := ask(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a request on a kept connection: %+v", resp)
 	}
-	if err := receive(t, "end of the older one", older.done); err != nil {
+	if err := receive(t, "end of the older one", older.ended); err != nil {
 		t.Error(err)
 	}
 	for range 20 {
@@ -104,22 +104,22 @@
 	if n := len(one.seen); n != before {
 		t.Errorf("%d requests reached a backend that is detached", n-before)
 	}
-	half := backendSockets(younger.cfg.halved().shareable())
-	waitFor(t, "the younger one to use the whole limits", func() bool {
-		younger.backends.mu.Lock()
-		defer younger.backends.mu.Unlock()
-		return younger.backends.most > half
+	half := maxUpstreamConns(younger.cfg.halfLimits().shareableDescriptors())
+	eventually(t, "the younger one to use the whole limits", func() bool {
+		younger.pool.mu.Lock()
+		defer younger.pool.mu.Unlock()
+		return younger.pool.maxConns > half
 	})
 }
 
 // Two processes together stay within what one may hold.
-func TestTwoProcessesShareTheDescriptors(t *testing.T) {
+func TestTwoProcessesStayWithinDescriptorLimit(t *testing.T) {
 	for _, limit := range []int{256, 384, 512, 1024} {
 		for _, mgmt := range []string{"", "127.0.0.1:1"} {
-			half := (&Config{Sockets: limit, MemoryMB: 64, Mgmt: mgmt}).halved()
-			sum := 2 * (ownSockets + acceptSockets(half.shareable()) + backendSockets(half.shareable()))
+			half := (&Config{MaxDescriptors: limit, MemoryMB: 64, AdminAddr: mgmt}).halfLimits()
+			sum := 2 * (reservedDescriptors + maxAcceptedConns(half.shareableDescriptors()) + maxUpstreamConns(half.shareableDescriptors()))
 			if mgmt != "" {
-				sum += 2 * (operationsSockets + 1)
+				sum += 2 * (maxAdminConns + 1)
 			}
 			if sum > limit || half.MemoryMB != 32 {
 				t.Errorf("%d descriptors in two processes, %d are there; %d MB each of 64", sum, limit, half.MemoryMB)
@@ -129,8 +129,8 @@
 }
 
 // While the older process holds the peers' address the younger waits for it.
-func TestPeersAddressIsTakenOver(t *testing.T) {
-	cfg := testConfig(t, setup{})
+func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
 	held, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -138,11 +138,11 @@
 	cfg.PeerListen = held.LocalAddr().String()
 	over, cancel := context.WithCancel(t.Context())
 	cancel() // nobody waits for the address
-	if _, err := newPeers(over, cfg, quiet); err == nil {
+	if _, err := newPeerTransport(over, cfg, discardLog); err == nil {
 		t.Error("with no handover a held address is no error")
 	}
 	cfg.ListenFD = 4
-	p, err := newPeers(t.Context(), cfg, quiet)
+	p, err := newPeerTransport(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,8 +161,8 @@
 	}
 }
 
-// dup returns a descriptor that is nobody's yet, and closes f.
-func dup(f *os.File) (int, error) {
+// duplicateDescriptor returns a descriptor that is nobody's yet, and closes f.
+func duplicateDescriptor(f *os.File) (int, error) {
 	defer f.Close()
 	fd, err := syscall.Dup(int(f.Fd()))
 	if err == nil {
@@ -173,73 +173,73 @@
 
 // What a process that leaves cuts off itself is lost, what the platform's kill ends is excused: it goes on
 // with a large answer past the time at which it may be killed.
-func TestLeavingProcessFinishesALargeAnswer(t *testing.T) {
+func TestDrainingProcessFinishesLargeResponse(t *testing.T) {
 	hold := make(chan struct{})
-	text := pattern(4 * maxBody)
-	s := handled(t, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, text[:maxBody+1])
+	text := pattern(4 * maxBufferedBody)
+	s := startHTTPBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, text[:maxBufferedBody+1])
 		_ = http.NewResponseController(w).Flush()
 		<-hold
-		_, _ = io.WriteString(w, text[maxBody+1:])
+		_, _ = io.WriteString(w, text[maxBufferedBody+1:])
 	})
 	ln := listen(t)
-	a := start(t, upgradable(t, ln, t.TempDir(), setup{servers: []member{s}}))
-	a.stopIn = 0
-	waitFor(t, "clients to be taken", a.front.taking.Load)
-	c := connect(t, a)
+	a := startAgent(t, hotRestartConfig(t, ln, t.TempDir(), testSetup{servers: []discoveryMember{s}}))
+	a.drainTimeout = 0
+	eventually(t, "clients to be taken", a.frontend.accepting.Load)
+	c := dialRawClient(t, a)
 	c.send(fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()))
-	resp := c.answer()
+	resp := c.readResponse()
 	a.stop()
-	waitFor(t, "the process to leave", func() bool {
-		return a.front.stopAt.Load() != 0 && a.listener.TCPListener.SetDeadline(time.Time{}) != nil
+	eventually(t, "the process to leave", func() bool {
+		return a.frontend.drainDeadline.Load() != 0 && a.listener.TCPListener.SetDeadline(time.Time{}) != nil
 	})
 	close(hold)
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != text {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	if err := receive(t, "end of the process", a.done); err != nil {
+	if err := receive(t, "end of the process", a.ended); err != nil {
 		t.Error(err)
 	}
 }
 
 // An agent whose directory can't be written to serves all the same. It heeds operators' calls and does not say yes, which
 // would have to hold over an upgrade.
-func TestNowhereToHandOn(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
+func TestUnwritableHandoverDirStillServes(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
 	ln := listen(t)
-	a := start(t, upgradable(t, ln, filepath.Join(t.TempDir(), "none"), setup{servers: []member{s.member("s")}}))
-	a.operations.AnswerTimeout = patience
+	a := startAgent(t, hotRestartConfig(t, ln, filepath.Join(t.TempDir(), "none"), testSetup{servers: []discoveryMember{s.member("s")}}))
+	a.admin.AnswerTimeout = testTimeout
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
-	a.operations.AnswerTimeout = admin.DefaultAnswerTimeout
-	if resp := knock(t, a, put("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
+	a.admin.AnswerTimeout = admin.DefaultAnswerTimeout
+	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
-	if err := a.backends.clear(&try{id: "s"}); !errors.Is(err, errDetached) {
+	if err := a.pool.checkSendable(&attempt{backendID: "s"}); !errors.Is(err, errBackendDisabled) {
 		t.Errorf("a backend that was called out: %v", err)
 	}
 }
 
 // The same with processes that serve: the older one's share of the limits comes back.
-func TestOlderProcessGoesOnAlone(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
+func TestOlderProcessRegainsLimitsWhenSuccessorEnds(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
 	ln, dir := listen(t), t.TempDir()
-	older := start(t, upgradable(t, ln, dir, setup{servers: []member{s.member("s")}}))
-	waitFor(t, "clients to be taken", older.front.taking.Load)
+	older := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: []discoveryMember{s.member("s")}}))
+	eventually(t, "clients to be taken", older.frontend.accepting.Load)
 	most := func() int {
-		older.backends.mu.Lock()
-		defer older.backends.mu.Unlock()
-		return older.backends.most
+		older.pool.mu.Lock()
+		defer older.pool.mu.Unlock()
+		return older.pool.maxConns
 	}
 	whole := most()
-	younger := handover.New(dir, quiet)
+	younger := handover.New(dir, discardLog)
 	if err := younger.Begin(); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the older one to keep to half", func() bool { return most() < whole })
+	eventually(t, "the older one to keep to half", func() bool { return most() < whole })
 	younger.Close()
-	waitFor(t, "the older one to use all", func() bool { return most() == whole })
+	eventually(t, "the older one to use all", func() bool { return most() == whole })
 	if x := older.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
@@ -247,36 +247,36 @@
 
 // What the older process takes between the two first reads of its successor holds there from its first request on, though
 // discovery tells it nothing: a list, and an operators' call.
-func TestWhatIsRecordedBetweenTheFirstReads(t *testing.T) {
+func TestRecordChangedBetweenFirstReadsIsApplied(t *testing.T) {
 	for _, call := range []bool{false, true} {
 		t.Run(fmt.Sprint("call ", call), func(t *testing.T) {
-			one, two := serveRaw(t, func(int) string { return ok200 }), serveRaw(t, func(int) string { return ok200 })
-			c, ln, dir := serveCatalog(t), listen(t), t.TempDir()
-			set := setup{discovery: c.addr, servers: []member{one.member("one"), two.member("two")}}
-			older := start(t, upgradable(t, ln, dir, set))
-			older.operations.AnswerTimeout = patience
+			one, two := startRawBackend(t, func(int) string { return ok200 }), startRawBackend(t, func(int) string { return ok200 })
+			c, ln, dir := startFakeDiscovery(t), listen(t), t.TempDir()
+			set := testSetup{discovery: c.addr, servers: []discoveryMember{one.member("one"), two.member("two")}}
+			older := startAgent(t, hotRestartConfig(t, ln, dir, set))
+			older.admin.AnswerTimeout = testTimeout
 			watch := receive(t, "watch", c.watch)
 			now := make(chan time.Time)
 			close(now)
-			younger := startAfter(t, upgradable(t, ln, dir, set), now, func(younger *running) { // has read the record once
+			younger := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(younger *testAgent) { // has read the record once
 				if call {
-					if resp := knock(t, older, put("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
+					if resp := callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
 						t.Fatalf("%+v", resp)
 					}
 					return
 				}
-				watch.lines <- lineOf(t, members{Version: 42, Full: true, Endpoints: []member{two.member("two")}})
-				waitFor(t, "the list in the record", func() bool {
-					list := older.successor.Known().List
+				watch.lines <- listLine(t, discoveryList{Version: 42, Full: true, Endpoints: []discoveryMember{two.member("two")}})
+				eventually(t, "the list in the record", func() bool {
+					list := older.hotRestart.Known().List
 					return list != nil && list.Version == 42
 				})
 			})
 			if w := receive(t, "watch of the younger", c.watch); !call && w.since != "42" {
 				t.Errorf("the younger one asks for what follows %s", w.since)
 			}
-			waitFor(t, "the younger one to take clients", younger.front.taking.Load)
+			eventually(t, "the younger one to take clients", younger.frontend.accepting.Load)
 			older.stop()
-			if err := receive(t, "end of the older one", older.done); err != nil {
+			if err := receive(t, "end of the older one", older.ended); err != nil {
 				t.Error(err)
 			}
 			for range 20 {
--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -13,7 +13,7 @@
 )
 
 // Every attribute of a log line stands in docs/logs.md, and every one there is in use.
-func TestLogAttributes(t *testing.T) {
+func TestLogAttributesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/logs.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -17,44 +17,44 @@
 
 // clock is the agent's monotonic clock. It does not start at zero, so that backends that started
 // before the agent have a time too.
-type clock struct{ base time.Time }
+type clock struct{ epoch time.Time }
 
 const clockOffset = time.Hour
 
 func newClock() clock                        { return clock{time.Now()} }
 func (c clock) now() time.Duration           { return c.at(time.Now()) }
-func (c clock) at(t time.Time) time.Duration { return t.Sub(c.base) + clockOffset }
+func (c clock) at(t time.Time) time.Duration { return t.Sub(c.epoch) + clockOffset }
 
 // request is a client's request from when it was taken until its attempts are in. Only the loop
 // touches it after it was posted.
 type request struct {
-	id       string
-	class    int
-	message  *message
-	deadline time.Time     // the client stops waiting
-	left     time.Duration // until then, as the client told it
-	work     time.Duration
-	repeat   bool
-	key      uint64        // a hash of what it concerns; 0: unknown
-	rule     int           // of residency; 0: none
-	reply    chan reply    // of one, so that the loop never waits
-	over     chan struct{} // closed with the final answer
-
-	done     bool // has its final answer, or its client is gone
-	open     int  // attempts out
-	cancels  []context.CancelCauseFunc
-	times    []*expiry // of these attempts
-	timedOut bool      // an attempt did
+	id            string
+	class         int
+	upstream      *upstreamRequest
+	deadline      time.Time     // the client stops waiting
+	timeout       time.Duration // until then, as the client told it
+	sizeHint      time.Duration
+	clientRetry   bool
+	key           uint64        // a hash of what it concerns; 0: unknown
+	residencyRule int           // of residency; 0: none
+	reply         chan reply    // of one, so that the loop never waits
+	done          chan struct{} // closed with the final answer
+
+	finished        bool // has its final answer, or its client is gone
+	openAttempts    int  // attempts out
+	cancels         []context.CancelCauseFunc
+	attemptTimers   []*attemptTimer // of these attempts
+	attemptTimedOut bool            // an attempt did
 }
 
 func newRequest(id string, class int) *request {
-	return &request{id: id, class: class, reply: make(chan reply, 1), over: make(chan struct{})}
+	return &request{id: id, class: class, reply: make(chan reply, 1), done: make(chan struct{})}
 }
 
 // reply is a final answer. Exactly one field is set, or none: failed.
 type reply struct {
-	served     *answer
-	refused    bool
+	response   *response
+	rejected   bool
 	retryAfter time.Duration
 	residency  bool // refused, since nowhere that is permitted a backend is up
 	timedOut   bool // failed, for want of time
@@ -63,210 +63,210 @@
 
 // What is posted to the loop, besides discovery.Update and the module's own ProbeResult and PeerMessage.
 type (
-	arrived    struct{ *request }
-	clientGone struct{ *request } // closed, reset, or withdrew
-	overdue    struct{ *request } // its time and half the grace are up and no answer is there
-	whole      struct{ *request } // its large body has come to the last byte
-	began      struct {           // the answer of an attempt is large, and its first bytes are here
+	requestArrived     struct{ *request }
+	clientDisconnected struct{ *request } // closed, reset, or withdrew
+	deadlinePassed     struct{ *request } // its time and half the grace are up and no answer is there
+	bodyComplete       struct{ *request } // its large body has come to the last byte
+	responseStarted    struct {           // the answer of an attempt is large, and its first bytes are here
 		*request
-		attempt int
-		answer  *answer
+		attempt  int
+		response *response
 	}
-	ended struct { // an attempt
+	attemptEnded struct { // an attempt
 		*request
-		outcome balancer.Outcome
-		answer  *answer
+		outcome  balancer.Outcome
+		response *response
 	}
 )
 
-// loop owns the balancer, the clock, the timers and the table of open requests. Everything else
+// eventLoop owns the balancer, the clock, the timers and the table of open requests. Everything else
 // posts events to it; it never waits for any of them.
-type loop struct {
-	cfg      *Config
-	log      *slog.Logger
-	clock    clock
-	balancer *balancer.Balancer
-	backends *backends
-	peers    *peers
-	watch    func()                  // asks discovery for a watch
-	handOn   func(balancer.Snapshot) // to the next process, now and then; may be nil
-
-	residency gate.Keeper // nil: no policy
-	resides   int         // the table that the module has heard of
-
-	events   chan any
-	calls    chan *call // of operators, ahead of the events
-	asked    map[int64]*call
-	stopped  chan struct{}
-	ready    atomic.Bool
-	lame     atomic.Bool // operators empty the agent ...
-	toldLame bool        // ... as the module has heard
-	margin   time.Duration
-	requests map[string]*request
-	timers   timerHeap
-	pending  []balancer.Event
-	probing  map[string]bool // one probe of a backend at a time
-	counts   counts
-	callID   int64
+type eventLoop struct {
+	cfg          *Config
+	log          *slog.Logger
+	clock        clock
+	balancer     *balancer.Balancer
+	pool         *upstreamPool
+	peers        *peerTransport
+	subscribe    func()                  // asks discovery for a watch
+	saveSnapshot func(balancer.Snapshot) // to the next process, now and then; may be nil
+
+	residency        gate.Keeper // nil: no policy
+	policyGeneration int         // the table that the module has heard of
+
+	events           chan any
+	calls            chan *adminCall // of operators, ahead of the events
+	openCalls        map[int64]*adminCall
+	stopped          chan struct{}
+	ready            atomic.Bool
+	lameDuck         atomic.Bool // operators empty the agent ...
+	reportedLameDuck bool        // ... as the module has heard
+	margin           time.Duration
+	requests         map[string]*request
+	timers           timerHeap
+	pending          []balancer.Event
+	probing          map[string]bool // one probe of a backend at a time
+	counts           counts
+	lastCallID       int64
 }
 
 // counts are what the agent did since its last line about it.
-type counts struct{ requests, served, refused, failed, gone, attempts, late, cut int }
+type counts struct{ requests, served, rejected, failed, disconnected, attempts, overdue, truncated int }
 
-func newLoop(cfg *Config, ck clock, b *backends, log *slog.Logger) (*loop, error) {
+func newEventLoop(cfg *Config, clk clock, pool *upstreamPool, log *slog.Logger) (*eventLoop, error) {
 	balancer, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	return &loop{cfg: cfg, log: log, clock: ck, balancer: balancer, backends: b, watch: func() {},
-		events: make(chan any, 1024), calls: make(chan *call), asked: map[int64]*call{}, stopped: make(chan struct{}),
+	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: balancer, pool: pool, subscribe: func() {},
+		events: make(chan any, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{}, stopped: make(chan struct{}),
 		// An attempt that waits for the client's deadline ends one tick before it: its time-out
 		// reaches the module in time for the client to hear the final answer.
 		margin:   cfg.Settings.Tick,
 		requests: map[string]*request{}, probing: map[string]bool{}}, nil
 }
 
-// call is an operator's word on a backend, on its way to the module.
-type call struct {
-	ctx     context.Context // the caller has had another answer once it ends
-	backend string
-	detach  bool
-	carried bool          // another process of this agent took it
-	at      time.Duration // when; 0: now
-	taken   chan bool     // of one, so that the loop never waits
+// adminCall is an operator's word on a backend, on its way to the module.
+type adminCall struct {
+	ctx        context.Context // the caller has had another answer once it ends
+	backend    string
+	detach     bool
+	replicated bool          // another process of this agent took it
+	madeAt     time.Duration // when; 0: now
+	accepted   chan bool     // of one, so that the loop never waits
 }
 
-var errNoLoop = errors.New("the loop has ended")
+var errLoopStopped = errors.New("the loop has ended")
 
-// call puts a call to the module, and reports whether it has taken it.
-func (l *loop) call(ctx context.Context, c *call) (bool, error) {
-	c.ctx, c.taken = ctx, make(chan bool, 1)
+// submitCall puts a call to the module, and reports whether it has taken it.
+func (l *eventLoop) submitCall(ctx context.Context, call *adminCall) (bool, error) {
+	call.ctx, call.accepted = ctx, make(chan bool, 1)
 	select {
-	case l.calls <- c:
+	case l.calls <- call:
 	case <-l.stopped:
-		return false, errNoLoop
+		return false, errLoopStopped
 	case <-ctx.Done():
 		return false, context.Cause(ctx)
 	}
 	select {
-	case taken := <-c.taken:
-		return taken, nil
+	case accepted := <-call.accepted:
+		return accepted, nil
 	case <-l.stopped:
-		return false, errNoLoop
+		return false, errLoopStopped
 	case <-ctx.Done():
 		return false, context.Cause(ctx)
 	}
 }
 
-// takeCall keeps a call for the next step, before what else is waiting for it.
-func (l *loop) takeCall(c *call) {
-	if c.ctx.Err() != nil {
+// enqueueCall keeps a call for the next step, before what else is waiting for it.
+func (l *eventLoop) enqueueCall(call *adminCall) {
+	if call.ctx.Err() != nil {
 		return
 	}
-	l.callID++
-	l.asked[l.callID] = c
-	e := balancer.Event(balancer.Attach{Call: l.callID, Backend: c.backend, Carried: c.carried, At: c.at})
-	if c.detach {
-		e = balancer.Detach{Call: l.callID, Backend: c.backend, Carried: c.carried}
+	l.lastCallID++
+	l.openCalls[l.lastCallID] = call
+	event := balancer.Event(balancer.Attach{Call: l.lastCallID, Backend: call.backend, Carried: call.replicated, At: call.madeAt})
+	if call.detach {
+		event = balancer.Detach{Call: l.lastCallID, Backend: call.backend, Carried: call.replicated}
 	}
-	l.pending = slices.Insert(l.pending, 0, e)
+	l.pending = slices.Insert(l.pending, 0, event)
 }
 
-// answer ends a call as the module says. What the backends are told of it holds before the yes.
-func (l *loop) answer(a balancer.Answer) {
-	c := l.asked[a.Call]
-	if c == nil {
-		l.log.Error("an answer to no call", "call", a.Call)
+// completeCall ends a call as the module says. What the backends are told of it holds before the yes.
+func (l *eventLoop) completeCall(answer balancer.Answer) {
+	call := l.openCalls[answer.Call]
+	if call == nil {
+		l.log.Error("an answer to no call", "call", answer.Call)
 		return
 	}
-	delete(l.asked, a.Call)
-	if a.Taken {
-		l.backends.detach(c.backend, c.detach)
+	delete(l.openCalls, answer.Call)
+	if answer.Taken {
+		l.pool.setDisabled(call.backend, call.detach)
 	}
-	c.taken <- a.Taken
+	call.accepted <- answer.Taken
 }
 
 // post hands an event to the loop. After the loop has stopped it goes nowhere.
-func (l *loop) post(e any) {
+func (l *eventLoop) post(event any) {
 	select {
-	case l.events <- e:
+	case l.events <- event:
 	case <-l.stopped:
 	}
 }
 
-const summaryEvery = 10 * time.Second
+const summaryInterval = 10 * time.Second
 
 // run steps the balancer with what has come in, no oftener than the tick, until ctx ends.
-func (l *loop) run(ctx context.Context) {
-	defer l.end()
-	var last time.Duration
-	var calls chan *call // none before the module has the list: it would say that nobody has the backend
+func (l *eventLoop) run(ctx context.Context) {
+	defer l.stop()
+	var lastStep time.Duration
+	var calls chan *adminCall // none before the module has the list: it would say that nobody has the backend
 	wake := time.NewTimer(0)
-	summary := time.NewTicker(summaryEvery)
+	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	var save <-chan time.Time
-	if l.handOn != nil {
-		tick := time.NewTicker(saveEvery)
+	var saveTick <-chan time.Time
+	if l.saveSnapshot != nil {
+		tick := time.NewTicker(snapshotInterval)
 		defer tick.Stop()
-		save = tick.C
+		saveTick = tick.C
 	}
 	for {
 		if len(l.pending) > 0 {
-			wake.Reset(last + l.cfg.Settings.Tick - l.clock.now())
+			wake.Reset(lastStep + l.cfg.Settings.Tick - l.clock.now())
 		} else if len(l.timers) > 0 {
-			wake.Reset(max(l.timers[0].at, last+l.cfg.Settings.Tick) - l.clock.now())
+			wake.Reset(max(l.timers[0].at, lastStep+l.cfg.Settings.Tick) - l.clock.now())
 		} else {
 			wake.Stop()
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-calls:
-			l.takeCall(c)
-		case e := <-l.events:
-			l.take(e)
-			l.drain()
+		case call := <-calls:
+			l.enqueueCall(call)
+		case event := <-l.events:
+			l.apply(event)
+			l.applyPosted()
 		case <-wake.C:
 		case <-summary.C:
-			l.summarize()
-		case <-save:
-			l.handOn(l.balancer.Snapshot())
+			l.logSummary()
+		case <-saveTick:
+			l.saveSnapshot(l.balancer.Snapshot())
 		}
-		if on := l.lame.Load(); on != l.toldLame {
-			l.toldLame = on
+		if on := l.lameDuck.Load(); on != l.reportedLameDuck {
+			l.reportedLameDuck = on
 			l.pending = append(l.pending, balancer.Emptying{On: on})
 		}
 		now := l.clock.now()
-		if now < last+l.cfg.Settings.Tick {
+		if now < lastStep+l.cfg.Settings.Tick {
 			continue
 		}
-		l.drain()
+		l.applyPosted()
 		for len(l.timers) > 0 && l.timers[0].at <= now {
 			l.pending = append(l.pending, balancer.TimerFired{Token: heap.Pop(&l.timers).(timer).token})
 		}
 		if len(l.pending) == 0 {
 			continue
 		}
-		l.reside()
-		last = now
+		l.prependPolicyUpdate()
+		lastStep = now
 		events := l.pending
 		l.pending = nil
-		for i, e := range events {
+		for i, event := range events {
 			// Its time has run on since it came in. It may be gone already: its client may be.
-			if e, ok := e.(balancer.Request); ok && l.requests[e.ID] != nil {
-				e.Left = l.clock.at(l.requests[e.ID].deadline) - l.margin - now
-				events[i] = e
+			if event, ok := event.(balancer.Request); ok && l.requests[event.ID] != nil {
+				event.Left = l.clock.at(l.requests[event.ID].deadline) - l.margin - now
+				events[i] = event
 			}
 		}
-		for _, a := range l.balancer.Step(now, events) {
-			l.carryOut(a, now)
+		for _, action := range l.balancer.Step(now, events) {
+			l.perform(action, now)
 		}
 		calls = l.calls
 	}
 }
 
-// end withdraws what is still out: nobody waits for it.
-func (l *loop) end() {
+// stop withdraws what is still out: nobody waits for it.
+func (l *eventLoop) stop() {
 	close(l.stopped)
 	for _, r := range l.requests {
 		for _, cancel := range r.cancels {
@@ -275,204 +275,204 @@
 	}
 }
 
-// drain takes what else has come in.
-func (l *loop) drain() {
+// applyPosted takes what else has come in.
+func (l *eventLoop) applyPosted() {
 	for range len(l.events) {
-		l.take(<-l.events)
+		l.apply(<-l.events)
 	}
 }
 
-// take books one event and keeps it for the next step. A served request is answered here: the
+// apply books one event and keeps it for the next step. A served request is answered here: the
 // client need not wait for the step.
-func (l *loop) take(e any) {
-	switch e := e.(type) {
-	case arrived:
-		if l.requests[e.id] != nil {
-			e.reply <- reply{duplicate: true} // not for the table: the id belongs to the other one
+func (l *eventLoop) apply(event any) {
+	switch event := event.(type) {
+	case requestArrived:
+		if l.requests[event.id] != nil {
+			event.reply <- reply{duplicate: true} // not for the table: the id belongs to the other one
 			return
 		}
 		l.counts.requests++
-		l.requests[e.id] = e.request
-		l.pending = append(l.pending, balancer.Request{ID: e.id, Class: e.class, Work: e.work,
-			Repeat: e.repeat, Key: e.key, Rule: e.rule, Coming: e.message.large()})
-	case whole:
-		e.deadline = e.message.upload.at.Add(e.left)
-		for _, x := range e.times {
-			x.arm(e.deadline.Add(-l.margin))
+		l.requests[event.id] = event.request
+		l.pending = append(l.pending, balancer.Request{ID: event.id, Class: event.class, Work: event.sizeHint,
+			Repeat: event.clientRetry, Key: event.key, Rule: event.residencyRule, Coming: event.upstream.isLarge()})
+	case bodyComplete:
+		event.deadline = event.upstream.upload.completedAt.Add(event.timeout)
+		for _, timer := range event.attemptTimers {
+			timer.arm(event.deadline.Add(-l.margin))
 		}
-		l.pending = append(l.pending, balancer.BodyWhole{Request: e.id})
-	case began:
-		if e.done {
-			e.answer.rest.end(errEnded)
+		l.pending = append(l.pending, balancer.BodyWhole{Request: event.id})
+	case responseStarted:
+		if event.finished {
+			event.response.stream.finish(errRequestEnded)
 			return
 		}
 		l.counts.served++
-		l.finish(e.request, reply{served: e.answer})
-		l.pending = append(l.pending, balancer.StreamStarted{Request: e.id, Attempt: e.attempt})
-	case ended:
-		e.open--
-		e.timedOut = e.timedOut || e.outcome.Result == balancer.TimedOut
-		if e.outcome.Result == balancer.OK && !e.done {
-			l.finish(e.request, reply{served: e.answer})
+		l.respond(event.request, reply{response: event.response})
+		l.pending = append(l.pending, balancer.StreamStarted{Request: event.id, Attempt: event.attempt})
+	case attemptEnded:
+		event.openAttempts--
+		event.attemptTimedOut = event.attemptTimedOut || event.outcome.Result == balancer.TimedOut
+		if event.outcome.Result == balancer.OK && !event.finished {
+			l.respond(event.request, reply{response: event.response})
 			l.counts.served++
 		}
-		e.outcome.Done = e.done
-		if e.answer != nil && e.answer.rest != nil && e.outcome.Result != balancer.OK {
-			l.counts.cut++
+		event.outcome.Done = event.finished
+		if event.response != nil && event.response.stream != nil && event.outcome.Result != balancer.OK {
+			l.counts.truncated++
 		}
-		if !e.done && e.message.spent() {
-			l.pending = append(l.pending, balancer.BodySpent{Request: e.id})
+		if !event.finished && event.upstream.consumed() {
+			l.pending = append(l.pending, balancer.BodySpent{Request: event.id})
 		}
-		l.pending = append(l.pending, e.outcome)
-		l.forget(e.request)
-	case clientGone:
-		if !e.done {
-			l.counts.gone++
-			l.finish(e.request, reply{})
-			if e.message.large() && !e.message.upload.complete() { // it can't go on: that is no backend's fault
-				for _, cancel := range e.cancels {
+		l.pending = append(l.pending, event.outcome)
+		l.removeIfDone(event.request)
+	case clientDisconnected:
+		if !event.finished {
+			l.counts.disconnected++
+			l.respond(event.request, reply{})
+			if event.upstream.isLarge() && !event.upstream.upload.complete() { // it can't go on: that is no backend's fault
+				for _, cancel := range event.cancels {
 					cancel(errCancelled)
 				}
 			}
-			l.pending = append(l.pending, balancer.Abandoned{Request: e.id})
-			l.forget(e.request)
+			l.pending = append(l.pending, balancer.Abandoned{Request: event.id})
+			l.removeIfDone(event.request)
 		}
-	case overdue:
+	case deadlinePassed:
 		// The module answers every request before its deadline. This keeps the promise to the
 		// client where it does not, and says so.
-		if !e.done {
-			l.log.Error("no final answer by the deadline", "request", e.id, "attempts", len(e.cancels), "open", e.open,
-				"left_on_arrival", e.left)
-			l.counts.late++
-			l.finish(e.request, reply{timedOut: true})
-			l.pending = append(l.pending, balancer.Abandoned{Request: e.id})
-			l.forget(e.request)
+		if !event.finished {
+			l.log.Error("no final answer by the deadline", "request", event.id, "attempts", len(event.cancels), "open", event.openAttempts,
+				"left_on_arrival", event.timeout)
+			l.counts.overdue++
+			l.respond(event.request, reply{timedOut: true})
+			l.pending = append(l.pending, balancer.Abandoned{Request: event.id})
+			l.removeIfDone(event.request)
 		}
 	case discovery.Update:
-		l.backends.update(e)
-		l.pending = append(l.pending, e.Endpoints)
-		if len(e.Endpoints.Backends) > 0 {
+		l.pool.applyUpdate(event)
+		l.pending = append(l.pending, event.Endpoints)
+		if len(event.Endpoints.Backends) > 0 {
 			l.ready.Store(true)
 		}
 	case balancer.ProbeResult:
-		delete(l.probing, e.Backend)
-		l.pending = append(l.pending, e)
+		delete(l.probing, event.Backend)
+		l.pending = append(l.pending, event)
 	case balancer.PeerMessage, balancer.Part, balancer.Distances:
-		l.pending = append(l.pending, e.(balancer.Event))
+		l.pending = append(l.pending, event.(balancer.Event))
 	}
 }
 
-// finish gives a request its final answer, once.
-func (l *loop) finish(r *request, a reply) {
-	r.done = true
-	close(r.over)
-	r.reply <- a
+// respond gives a request its final answer, once.
+func (l *eventLoop) respond(r *request, answer reply) {
+	r.finished = true
+	close(r.done)
+	r.reply <- answer
 }
 
-// forget drops a request that is done with and has nothing out. Until then its id stays taken.
-func (l *loop) forget(r *request) {
-	if r.done && r.open == 0 {
+// removeIfDone drops a request that is done with and has nothing out. Until then its id stays taken.
+func (l *eventLoop) removeIfDone(r *request) {
+	if r.finished && r.openAttempts == 0 {
 		delete(l.requests, r.id)
 	}
 }
 
-// carryOut does one action of the module.
-func (l *loop) carryOut(a balancer.Action, now time.Duration) {
-	switch a := a.(type) {
+// perform does one action of the module.
+func (l *eventLoop) perform(action balancer.Action, now time.Duration) {
+	switch action := action.(type) {
 	case balancer.Send:
-		l.send(a)
+		l.startAttempt(action)
 	case balancer.Cancel:
-		if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.cancels) && l.cfg.Settings.MayCancel {
-			r.cancels[a.Attempt](errCancelled)
+		if r := l.requests[action.Request]; r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.MayCancel {
+			r.cancels[action.Attempt](errCancelled)
 		}
 	case balancer.Refuse:
-		if r := l.requests[a.Request]; r != nil && !r.done {
-			l.counts.refused++
-			l.finish(r, reply{refused: true, retryAfter: a.RetryAfter, residency: a.Residency})
-			l.forget(r)
+		if r := l.requests[action.Request]; r != nil && !r.finished {
+			l.counts.rejected++
+			l.respond(r, reply{rejected: true, retryAfter: action.RetryAfter, residency: action.Residency})
+			l.removeIfDone(r)
 		}
 	case balancer.Fail:
-		if r := l.requests[a.Request]; r != nil && !r.done {
+		if r := l.requests[action.Request]; r != nil && !r.finished {
 			l.counts.failed++
-			l.finish(r, reply{timedOut: r.timedOut})
-			l.forget(r)
+			l.respond(r, reply{timedOut: r.attemptTimedOut})
+			l.removeIfDone(r)
 		}
 	case balancer.SetTimer:
-		heap.Push(&l.timers, timer{now + a.After, a.Token})
+		heap.Push(&l.timers, timer{now + action.After, action.Token})
 	case balancer.Probe:
-		if l.cfg.Settings.MayProbe && !l.probing[a.Backend] {
-			l.probing[a.Backend] = true
-			go func() { l.post(l.backends.probe(a.Backend)) }()
+		if l.cfg.Settings.MayProbe && !l.probing[action.Backend] {
+			l.probing[action.Backend] = true
+			go func() { l.post(l.pool.probe(action.Backend)) }()
 		}
 	case balancer.TellPeer:
 		if l.peers != nil {
-			l.peers.tell(a.To, a.Data)
+			l.peers.send(action.To, action.Data)
 		}
 	case balancer.Subscribe:
-		l.watch()
+		l.subscribe()
 	case balancer.ZoneTurn:
-		name := strconv.Itoa(a.Zone)
-		if zones := l.cfg.Site.Zones; a.Zone >= 0 && a.Zone < len(zones) {
-			name = zones[a.Zone]
+		name := strconv.Itoa(action.Zone)
+		if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
+			name = zones[action.Zone]
 		}
-		l.log.Warn("zone", "zone", name, "left", a.Left, "told", a.Told)
+		l.log.Warn("zone", "zone", name, "left", action.Left, "told", action.Told)
 	case balancer.Answer:
-		l.answer(a)
+		l.completeCall(action)
 	default:
-		l.log.Error("unknown action", "action", a)
+		l.log.Error("unknown action", "action", action)
 	}
 }
 
-// send starts an attempt. Its goroutine ends by the client's deadline, or with a large body or answer
+// startAttempt starts an attempt. Its goroutine ends by the client's deadline, or with a large body or answer
 // that comes in time; there are no more of them than MaxAttempts for each request that is open.
-func (l *loop) send(a balancer.Send) {
-	r := l.requests[a.Request]
-	if r == nil || r.done { // after a final answer nothing more is sent
-		l.pending = append(l.pending, balancer.Outcome{Request: a.Request, Backend: a.Backend,
+func (l *eventLoop) startAttempt(action balancer.Send) {
+	r := l.requests[action.Request]
+	if r == nil || r.finished { // after a final answer nothing more is sent
+		l.pending = append(l.pending, balancer.Outcome{Request: action.Request, Backend: action.Backend,
 			Result: balancer.NotSent, Done: true})
 		return
 	}
 	start := time.Now()
-	until := r.deadline.Add(-l.margin)
-	if a.Timeout > 0 && start.Add(a.Timeout).Before(until) {
-		until = start.Add(a.Timeout)
+	deadline := r.deadline.Add(-l.margin)
+	if action.Timeout > 0 && start.Add(action.Timeout).Before(deadline) {
+		deadline = start.Add(action.Timeout)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	n, x := len(r.cancels), &expiry{cancel: cancel}
-	r.cancels, r.times = append(r.cancels, cancel), append(r.times, x)
-	if !r.message.large() || r.message.upload.complete() {
-		x.arm(until)
+	index, timer := len(r.cancels), &attemptTimer{cancel: cancel}
+	r.cancels, r.attemptTimers = append(r.cancels, cancel), append(r.attemptTimers, timer)
+	if !r.upstream.isLarge() || r.upstream.upload.complete() {
+		timer.arm(deadline)
 	}
-	r.open++
+	r.openAttempts++
 	l.counts.attempts++
-	at, last := l.backends.standing(a.Backend), time.Time{}
-	if a.Before > 0 {
-		last = l.clock.base.Add(a.Before - clockOffset)
+	endpoint, writeBy := l.pool.endpoint(action.Backend), time.Time{}
+	if action.Before > 0 {
+		writeBy = l.clock.epoch.Add(action.Before - clockOffset)
 	}
 	go func() {
-		t := &try{ctx: ctx, cancel: cancel, over: r.over, quit: l.stopped, id: a.Backend, at: at, last: last, m: r.message,
-			rule: r.rule, start: start, until: until}
-		t.began = func(ans *answer, took time.Duration) bool {
-			if !x.begin() {
+		att := &attempt{ctx: ctx, cancel: cancel, requestDone: r.done, shutdown: l.stopped, backendID: action.Backend, endpoint: endpoint, writeBy: writeBy, request: r.upstream,
+			residencyRule: r.residencyRule, start: start, deadline: deadline}
+		att.onStreamStart = func(resp *response, latency time.Duration) bool {
+			if !timer.disarm() {
 				return false
 			}
-			l.post(began{r, n, ans})
+			l.post(responseStarted{r, index, resp})
 			return true
 		}
-		result, ans, load := l.backends.try(t)
-		x.begin()
+		result, resp, load := l.pool.execute(att)
+		timer.disarm()
 		cancel(nil)
-		if t.took == 0 {
-			t.took = t.latency()
+		if att.latency == 0 {
+			att.latency = att.elapsed()
 		}
-		l.post(ended{r, balancer.Outcome{Request: r.id, Attempt: n, Backend: a.Backend, Result: result,
-			Latency: t.took, New: t.fresh, Load: load}, ans})
+		l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: action.Backend, Result: result,
+			Latency: att.latency, New: att.newConn, Load: load}, resp})
 	}()
 }
 
-func (l *loop) summarize() {
-	l.log.Info("summary", "requests", l.counts.requests, "served", l.counts.served, "refused", l.counts.refused,
-		"failed", l.counts.failed, "gone", l.counts.gone, "attempts", l.counts.attempts, "late", l.counts.late, "cut", l.counts.cut,
+func (l *eventLoop) logSummary() {
+	l.log.Info("summary", "requests", l.counts.requests, "served", l.counts.served, "refused", l.counts.rejected,
+		"failed", l.counts.failed, "gone", l.counts.disconnected, "attempts", l.counts.attempts, "late", l.counts.overdue, "cut", l.counts.truncated,
 		"open", len(l.requests))
 	l.counts = counts{}
 }
--- a/internal/agent/operated.go
+++ b/internal/agent/operated.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// operated is the agent as operators' calls see it.
-type operated struct {
-	loop  *loop
-	front *front
+// adminControl is the agent as operators' calls see it.
+type adminControl struct {
+	loop     *eventLoop
+	frontend *frontend
 }
 
-func (o operated) Ready() bool { return o.front.taking.Load() }
+func (o adminControl) Ready() bool { return o.frontend.accepting.Load() }
 
-func (o operated) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
-	return o.loop.call(ctx, &call{backend: backend, detach: detach})
+func (o adminControl) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
+	return o.loop.submitCall(ctx, &adminCall{backend: backend, detach: detach})
 }
 
-func (o operated) SetLameDuck(on bool) { o.front.setLame(on) }
+func (o adminControl) SetLameDuck(on bool) { o.frontend.setLameDuck(on) }
--- a/internal/agent/operated_test.go
+++ b/internal/agent/operated_test.go
@@ -17,22 +17,22 @@
 	"martenbeam/internal/agent/admin"
 )
 
-// withDoor is a configuration whose agent has an operators' door.
-func withDoor(t *testing.T, s setup) *Config {
+// withAdmin is a configuration whose agent has an operators' door.
+func withAdmin(t *testing.T, s testSetup) *Config {
 	cfg := testConfig(t, s)
-	cfg.Mgmt = "127.0.0.1:0"
+	cfg.AdminAddr = "127.0.0.1:0"
 	return cfg
 }
 
-// knock makes a call as it stands and returns the status and the headers.
-func knock(t *testing.T, a *running, text string) *http.Response {
+// callAdmin makes a call as it stands and returns the status and the headers.
+func callAdmin(t *testing.T, a *testAgent, text string) *http.Response {
 	t.Helper()
-	c, err := net.Dial("tcp", a.operations.Addr().String())
+	c, err := net.Dial("tcp", a.admin.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(c, text); err != nil {
@@ -49,41 +49,41 @@
 	return resp
 }
 
-func put(path, body string) string {
+func putRequest(path, body string) string {
 	return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
 // Yes is a 2xx; whatever can't be meant is a 4xx, and nothing else.
-func TestCalls(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, withDoor(t, setup{servers: []member{s.member("s")}}))
-	a.operations.AnswerTimeout = patience // a slow machine is no loop that hangs
+func TestAdminCallStatusCodes(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
+	a.admin.AnswerTimeout = testTimeout // a slow machine is no loop that hangs
 	for _, row := range []struct {
 		text string
 		want int
 	}{
 		{"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", 200},
-		{put("/_backends/detach", `{"target":"s"}`), 200},
-		{put("/_backends/detach", `{"target":"s"}`), 200},
+		{putRequest("/_backends/detach", `{"target":"s"}`), 200},
+		{putRequest("/_backends/detach", `{"target":"s"}`), 200},
 		{"PUT /_backends/attach HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{\"target\r\n6\r\n\":\"s\"}\r\n0\r\n\r\n", 200},
-		{put("/_lameduck/on", ""), 200},
-		{put("/_lameduck/off", "{}"), 200},
-		{put("/_backends/detach", `{"target":"nobody"}`), 404},
-		{put("/_backends/attach", `{"target":"nobody"}`), 404},
-		{put("/_backends/detach", `{"target":""}`), 400},
-		{put("/_backends/detach", `{"target":7}`), 400},
-		{put("/_backends/detach", `{}`), 400},
-		{put("/_backends/detach", `null`), 400},
-		{put("/_backends/detach", `{"target":"s"`), 400},
-		{put("/_backends/detach", ""), 400},
-		{put("/_backends/detach", strings.Repeat(" ", 4<<10+1)), 413},
-		{put("/_backends", `{"target":"s"}`), 404},
-		{put("//_lameduck/on", ""), 404},
+		{putRequest("/_lameduck/on", ""), 200},
+		{putRequest("/_lameduck/off", "{}"), 200},
+		{putRequest("/_backends/detach", `{"target":"nobody"}`), 404},
+		{putRequest("/_backends/attach", `{"target":"nobody"}`), 404},
+		{putRequest("/_backends/detach", `{"target":""}`), 400},
+		{putRequest("/_backends/detach", `{"target":7}`), 400},
+		{putRequest("/_backends/detach", `{}`), 400},
+		{putRequest("/_backends/detach", `null`), 400},
+		{putRequest("/_backends/detach", `{"target":"s"`), 400},
+		{putRequest("/_backends/detach", ""), 400},
+		{putRequest("/_backends/detach", strings.Repeat(" ", 4<<10+1)), 413},
+		{putRequest("/_backends", `{"target":"s"}`), 404},
+		{putRequest("//_lameduck/on", ""), 404},
 		{"GET /_lameduck/on HTTP/1.1\r\nHost: a\r\n\r\n", 405},
-		{put("/_ready", ""), 405},
+		{putRequest("/_ready", ""), 405},
 		{"garbage\r\n\r\n", 400},
 	} {
-		resp := knock(t, a, row.text)
+		resp := callAdmin(t, a, row.text)
 		if resp.StatusCode != row.want || row.want == 405 && resp.Header.Get("Allow") == "" {
 			t.Errorf("%q: %+v, want %d", row.text, resp, row.want)
 		}
@@ -94,13 +94,13 @@
 }
 
 // Half a call does nothing, and callers that say nothing keep nobody out.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, withDoor(t, setup{servers: []member{s.member("s")}}))
-	a.operations.AnswerTimeout = patience
-	half := put("/_lameduck/on", "{}")
-	for i := range 3 * operationsSockets {
-		c, err := net.Dial("tcp", a.operations.Addr().String())
+func TestSilentAdminConnectionsBlockNoCall(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
+	a.admin.AnswerTimeout = testTimeout
+	half := putRequest("/_lameduck/on", "{}")
+	for i := range 3 * maxAdminConns {
+		c, err := net.Dial("tcp", a.admin.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,29 +111,29 @@
 			}
 		}
 	}
-	if resp := knock(t, a, put("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 200 {
+	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
-	if a.loop.lame.Load() {
+	if a.loop.lameDuck.Load() {
 		t.Error("half a call was acted upon")
 	}
 }
 
 // A call that the module can't take in time is a no, and does not take effect afterwards.
-func TestCallInVain(t *testing.T) {
+func TestTimedOutAdminCallHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := testConfig(t, setup{})
-		l, err := newLoop(cfg, newClock(), newBackends(cfg, quiet), quiet)
+		cfg := testConfig(t, testSetup{})
+		l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), admin.DefaultAnswerTimeout)
 		defer cancel()
-		c := &call{backend: "s", detach: true, carried: true}
-		if taken, err := l.call(ctx, c); taken || err == nil {
+		c := &adminCall{backend: "s", detach: true, replicated: true}
+		if taken, err := l.submitCall(ctx, c); taken || err == nil {
 			t.Errorf("taken %v, %v", taken, err)
 		}
-		if l.takeCall(c); len(l.pending) > 0 {
+		if l.enqueueCall(c); len(l.pending) > 0 {
 			t.Error("it takes effect after its no")
 		}
 	})
@@ -141,51 +141,51 @@
 
 // What is being dialled when a backend is detached is not sent: nothing has run. Kept connections
 // to it go, and what is out may finish.
-func TestNothingIsWrittenToADetachedBackend(t *testing.T) {
-	s := serveRaw(t, func(int) string { return ok200 })
-	b := poolFor(t, s.addr)
-	if r, _, _ := attemptAt(t, b, context.Background(), "one"); r != balancer.OK {
+func TestDisabledBackendReceivesNothing(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	if r, _, _ := attemptOn(t, b, context.Background(), "one"); r != balancer.OK {
 		t.Fatal(r)
 	}
-	b.detach("s", true)
-	if b.open != 0 {
-		t.Errorf("%d connections to the detached backend are kept", b.open)
+	b.setDisabled("s", true)
+	if b.openConns != 0 {
+		t.Errorf("%d connections to the detached backend are kept", b.openConns)
 	}
-	b.detach("s", false)
+	b.setDisabled("s", false)
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		b.detach("s", true)
+		b.setDisabled("s", true)
 		return c, err
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("result %v, %d connections open", r, b.open)
+	if r, _, _ := attemptOn(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.openConns != 0 {
+		t.Errorf("result %v, %d connections open", r, b.openConns)
 	}
-	if r, _, _ := attemptAt(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
+	if r, _, _ := attemptOn(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
 	}
-	b.detach("s", false)
+	b.setDisabled("s", false)
 	b.transport.DialContext = dial
-	if r, _, _ := attemptAt(t, b, context.Background(), "four"); r != balancer.OK {
+	if r, _, _ := attemptOn(t, b, context.Background(), "four"); r != balancer.OK {
 		t.Errorf("after the call back: %v", r)
 	}
 }
 
 // A call that is there before the module's first step is for a backend that the agent knows. Which of two that are ready the
 // loop takes first is chance, so it is tried often.
-func TestDetachBeforeTheFirstStep(t *testing.T) {
+func TestDetachBeforeFirstStepKnowsTheBackend(t *testing.T) {
 	for range 20 {
-		one := serveRaw(t, func(int) string { return ok200 })
-		a, err := New(t.Context(), testConfig(t, setup{servers: []member{one.member("one")}}), quiet)
+		one := startRawBackend(t, func(int) string { return ok200 })
+		a, err := New(t.Context(), testConfig(t, testSetup{servers: []discoveryMember{one.member("one")}}), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.loop.take(a.discovery.Restore(a.cfg.Known))
-		ctx, end := context.WithTimeout(t.Context(), patience)
+		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
+		ctx, end := context.WithTimeout(t.Context(), testTimeout)
 		ready, taken := make(chan struct{}), make(chan bool)
 		go func() {
 			close(ready)
-			ok, _ := a.loop.call(ctx, &call{backend: "one", detach: true})
+			ok, _ := a.loop.submitCall(ctx, &adminCall{backend: "one", detach: true})
 			taken <- ok
 		}()
 		<-ready
@@ -197,17 +197,17 @@
 		end()
 		<-a.loop.stopped
 		a.listener.Close()
-		a.backends.close()
+		a.pool.close()
 	}
 }
 
 // Yes to detach means that nothing goes there any more; the call back ends it.
-func TestDetachOverTheDoor(t *testing.T) {
-	one := serveRaw(t, func(int) string { return ok200 })
-	two := serveRaw(t, func(int) string { return ok200 })
-	a := start(t, withDoor(t, setup{servers: []member{one.member("one"), two.member("two")}}))
-	a.operations.AnswerTimeout = patience
-	knock(t, a, put("/_backends/detach", `{"target":"one"}`))
+func TestDetachAndAttachOverAdminListener(t *testing.T) {
+	one := startRawBackend(t, func(int) string { return ok200 })
+	two := startRawBackend(t, func(int) string { return ok200 })
+	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{one.member("one"), two.member("two")}}))
+	a.admin.AnswerTimeout = testTimeout
+	callAdmin(t, a, putRequest("/_backends/detach", `{"target":"one"}`))
 	for range 20 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
 			t.Fatalf("%+v", x)
@@ -216,7 +216,7 @@
 	if len(one.seen) != 0 {
 		t.Errorf("%d requests reached the detached backend", len(one.seen))
 	}
-	knock(t, a, put("/_backends/attach", `{"target":"one"}`))
+	callAdmin(t, a, putRequest("/_backends/attach", `{"target":"one"}`))
 	for tries := 0; len(one.seen) == 0; tries++ {
 		if tries > 80 {
 			t.Fatal("the backend was called back and is not used")
@@ -230,46 +230,46 @@
 
 // A lame duck says no to whoever asks after its health, serves what comes, ends each connection with
 // its answer, and closes those that stay idle; afterwards all is as it was.
-func TestLameDuck(t *testing.T) {
+func TestLameDuckClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, dial := frontAt(t, testConfig(t, setup{}))
-		refuseAll(t, f)
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
-		go func() { f.empty(ctx); close(ended) }()
+		go func() { f.closeIdleWhileDraining(ctx); close(ended) }()
 		defer func() { cancel(); <-ended }()
 		idle, used := dial(), dial()
-		askFor(t, idle, "/get/x", 503)
-		askFor(t, used, "/get/x", 503)
-		f.setLame(true)
+		expectStatus(t, idle, "/get/x", 503)
+		expectStatus(t, used, "/get/x", 503)
+		f.setLameDuck(true)
 		on := time.Now()
-		askFor(t, dial(), "/_health", 503)
-		askFor(t, used, "/get/x", 503)
-		if _, at := endOf(used); at.Sub(on) > emptyIdle/2 {
+		expectStatus(t, dial(), "/_health", 503)
+		expectStatus(t, used, "/get/x", 503)
+		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
 			t.Errorf("a connection ended %v after its answer", at.Sub(on))
 		}
-		askFor(t, dial(), "/get/x", 503) // the front goes on sending for a while
-		if _, at := endOf(idle); at.Sub(on) < emptyIdle || at.Sub(on) > 2*time.Second {
+		expectStatus(t, dial(), "/get/x", 503) // the front goes on sending for a while
+		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
 			t.Errorf("the idle connection was closed after %v", at.Sub(on))
 		}
-		f.setLame(false)
-		askFor(t, dial(), "/_health", 200)
+		f.setLameDuck(false)
+		expectStatus(t, dial(), "/_health", 200)
 		kept := dial()
-		askFor(t, kept, "/get/x", 503)
-		time.Sleep(2 * emptyIdle)
-		askFor(t, kept, "/get/x", 503)
+		expectStatus(t, kept, "/get/x", 503)
+		time.Sleep(2 * drainIdleTimeout)
+		expectStatus(t, kept, "/get/x", 503)
 	})
 }
 
 // The door's descriptors are nobody else's, and with no door nothing is set aside.
-func TestDoorHasItsOwnDescriptors(t *testing.T) {
-	cfg := testConfig(t, setup{})
-	cfg.Sockets = 256
-	if n := cfg.shareable(); n != 256 {
+func TestAdminListenerHasItsOwnDescriptors(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	cfg.MaxDescriptors = 256
+	if n := cfg.shareableDescriptors(); n != 256 {
 		t.Errorf("%d descriptors to share out with no door", n)
 	}
-	cfg.Mgmt = "127.0.0.1:0"
-	if n := sharedSockets(cfg.shareable()) + ownSockets + operationsSockets + 1; n != 256 {
+	cfg.AdminAddr = "127.0.0.1:0"
+	if n := sharedDescriptors(cfg.shareableDescriptors()) + reservedDescriptors + maxAdminConns + 1; n != 256 {
 		t.Errorf("%d descriptors in all parts together, 256 are there", n)
 	}
 }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -14,14 +14,14 @@
 
 const maxDatagram = 256 // the protocol's limit; a longer one is not sent
 
-// peers exchanges datagrams with the other agents of the tier.
-type peers struct {
-	conn    *net.UDPConn // nil while the address can't be had
-	local   *net.UDPAddr
-	addrs   []netip.AddrPort
-	numbers map[netip.AddrPort]int
-	out     chan datagram
-	log     *slog.Logger
+// peerTransport exchanges datagrams with the other agents of the tier.
+type peerTransport struct {
+	conn        *net.UDPConn // nil while the address can't be had
+	localAddr   *net.UDPAddr
+	addrs       []netip.AddrPort
+	agentByAddr map[netip.AddrPort]int
+	sendQueue   chan datagram
+	log         *slog.Logger
 }
 
 type datagram struct {
@@ -29,44 +29,44 @@
 	data []byte
 }
 
-// bindEvery is how often, while an older process holds the address.
-const bindEvery = 50 * time.Millisecond
+// bindInterval is how often, while an older process holds the address.
+const bindInterval = 50 * time.Millisecond
 
-// hearAgain is how long nothing is read after a read that failed.
-const hearAgain = time.Millisecond
+// readRetryDelay is how long nothing is read after a read that failed.
+const readRetryDelay = time.Millisecond
 
-func newPeers(ctx context.Context, cfg *Config, log *slog.Logger) (*peers, error) {
-	p := &peers{numbers: map[netip.AddrPort]int{}, out: make(chan datagram, 64), log: log}
+func newPeerTransport(ctx context.Context, cfg *Config, log *slog.Logger) (*peerTransport, error) {
+	p := &peerTransport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
 	for i, text := range cfg.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
 		p.addrs = append(p.addrs, addr)
-		p.numbers[addr] = i
+		p.agentByAddr[addr] = i
 	}
 	var err error
-	if p.local, err = net.ResolveUDPAddr("udp", cfg.PeerListen); err != nil {
+	if p.localAddr, err = net.ResolveUDPAddr("udp", cfg.PeerListen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	if cfg.ListenFD > 0 { // an older process may hold it: bind waits, and clients are served meanwhile
 		return p, nil
 	}
-	if p.conn, err = listener.Retry(ctx, nil, func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.local) }); err != nil {
+	if p.conn, err = listener.Retry(ctx, nil, func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	return p, nil
 }
 
 // bind waits for the address. It reports false once ctx ends.
-func (p *peers) bind(ctx context.Context) bool {
-	tick := time.NewTicker(bindEvery)
+func (p *peerTransport) bind(ctx context.Context) bool {
+	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
 	for p.conn == nil {
 		if ctx.Err() != nil {
 			return false
 		}
-		if c, err := net.ListenUDP("udp", p.local); err == nil {
+		if c, err := net.ListenUDP("udp", p.localAddr); err == nil {
 			p.conn = c
 			p.log.Info("peers are heard")
 			break
@@ -79,20 +79,20 @@
 	return true
 }
 
-// tell queues a message. Datagrams may be lost, so one that finds the queue full is.
-func (p *peers) tell(to int, data []byte) {
+// send queues a message. Datagrams may be lost, so one that finds the queue full is.
+func (p *peerTransport) send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
 		return
 	}
 	select {
-	case p.out <- datagram{to, data}:
+	case p.sendQueue <- datagram{to, data}:
 	default:
 	}
 }
 
 // run sends and receives until ctx ends.
-func (p *peers) run(ctx context.Context, post func(any)) {
+func (p *peerTransport) run(ctx context.Context, post func(any)) {
 	if !p.bind(ctx) {
 		return
 	}
@@ -101,9 +101,9 @@
 	go func() {
 		for {
 			select {
-			case d := <-p.out:
-				if _, err := p.conn.WriteToUDPAddrPort(d.data, p.addrs[d.to]); err != nil && ctx.Err() == nil {
-					p.log.Debug("peer message lost", "to", d.to, "error", err)
+			case datagram := <-p.sendQueue:
+				if _, err := p.conn.WriteToUDPAddrPort(datagram.data, p.addrs[datagram.to]); err != nil && ctx.Err() == nil {
+					p.log.Debug("peer message lost", "to", datagram.to, "error", err)
 				}
 			case <-ctx.Done():
 				return
@@ -118,14 +118,14 @@
 		}
 		if err != nil { // an earlier datagram's ICMP error, or a shortage: the socket itself is fine
 			select {
-			case <-time.After(hearAgain):
+			case <-time.After(readRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if number, known := p.numbers[from]; known && n <= maxDatagram {
-			post(balancer.PeerMessage{From: number, Data: append([]byte(nil), buf[:n]...)})
+		if sender, known := p.agentByAddr[from]; known && n <= maxDatagram {
+			post(balancer.PeerMessage{From: sender, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -15,18 +15,18 @@
 )
 
 // probe examines a backend: with its load report where probes bring one.
-func (b *backends) probe(id string) balancer.ProbeResult {
+func (p *upstreamPool) probe(id string) balancer.ProbeResult {
 	start := time.Now()
-	m := &message{method: http.MethodGet, url: &url.URL{Path: "/ping"}, header: http.Header{}}
-	if b.cfg.Site.LoadProbed {
-		m.url.Path = "/_load"
+	request := &upstreamRequest{method: http.MethodGet, url: &url.URL{Path: "/ping"}, header: http.Header{}}
+	if p.cfg.Site.LoadProbed {
+		request.url.Path = "/_load"
 	}
 	// The settings name no time-out for probes; one that takes longer than a connect may is no use.
-	ctx, cancel := context.WithTimeoutCause(context.Background(), b.cfg.Settings.ConnectTimeout, errTimedOut)
+	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, errTimedOut)
 	defer cancel()
-	result, a, load := b.attempt(ctx, nil, id, m)
-	if a != nil && b.cfg.Site.LoadProbed {
-		load = parseLoad(string(a.body))
+	result, resp, load := p.executeBuffered(ctx, nil, id, request)
+	if resp != nil && p.cfg.Site.LoadProbed {
+		load = parseLoad(string(resp.body))
 	}
 	return balancer.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
 }
