--- a/internal/agent/rare_backends_test.go
+++ b/internal/agent/rare_backends_test.go
@@ -17,16 +17,16 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// handBackend is a backend of which the test holds each connection.
-type handBackend struct {
+// manualBackend is a backend of which the test holds each connection.
+type manualBackend struct {
 	addr  string
 	conns chan net.Conn
 }
 
-func newHandBackend(t *testing.T) *handBackend {
+func startManualBackend(t *testing.T) *manualBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &handBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
+	b := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -40,8 +40,8 @@
 	return b
 }
 
-func (b *handBackend) member(id string) member {
-	return member{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+func (b *manualBackend) member(id string) discoveryMember {
+	return discoveryMember{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
 // readRequest reads one request whole, and returns its id.
@@ -57,60 +57,60 @@
 	return req.Header.Get("X-Trace-Id")
 }
 
-type result struct {
+type attemptResult struct {
 	balancer.Result
-	answer *answer
+	answer *response
 }
 
-func (b *backends) start(tr *try) <-chan result { return b.startAt("s", tr) }
+func (p *upstreamPool) start(tr *attempt) <-chan attemptResult { return p.startAt("s", tr) }
 
-func (b *backends) startAt(id string, tr *try) <-chan result {
-	done := make(chan result, 1)
-	tr.id, tr.start = id, time.Now()
+func (p *upstreamPool) startAt(id string, tr *attempt) <-chan attemptResult {
+	done := make(chan attemptResult, 1)
+	tr.backendID, tr.start = id, time.Now()
 	if tr.ctx == nil {
 		tr.ctx = context.Background()
 	}
-	if tr.m == nil {
-		tr.m = &message{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{"X-Trace-Id": {newID()}}}
+	if tr.request == nil {
+		tr.request = &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{"X-Trace-Id": {newID()}}}
 	}
-	go func() { r, a, _ := b.try(tr); done <- result{r, a} }()
+	go func() { r, a, _ := p.execute(tr); done <- attemptResult{r, a} }()
 	return done
 }
 
-func (r result) is(t *testing.T, want balancer.Result, body string) {
+func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
 	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.body) != body {
 		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
 	}
 }
 
-func say(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// momentKeeper is a residency policy that permits everything, and is asked right before a request's first byte: the moment
+// hookedGate is a residency policy that permits everything, and is asked right before a request's first byte: the moment
 // to do something in.
-type momentKeeper struct{ moment func() }
+type hookedGate struct{ hook func() }
 
-func (k *momentKeeper) Rule(string, string) int { return 1 }
-func (k *momentKeeper) Refused(int, int)        {}
-func (k *momentKeeper) Table() *gate.Table {
-	k.moment()
+func (k *hookedGate) Rule(string, string) int { return 1 }
+func (k *hookedGate) Refused(int, int)        {}
+func (k *hookedGate) Table() *gate.Table {
+	k.hook()
 	return &gate.Table{Rules: [][]bool{nil, nil}, Bound: []bool{false, false}}
 }
 
 // What comes on a connection before a request is written is no answer to it, whenever it comes: it is not served, the
 // backend is not blamed, and the request goes out once, on another connection.
-func TestStrayBytesAnswerNothing(t *testing.T) {
-	for name, stray := range map[string]string{"a whole answer": say("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
+func TestUnsolicitedBytesAreNoResponse(t *testing.T) {
+	for name, stray := range map[string]string{"a whole answer": okResponse("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
 		// The check comes twice for a request: before it is handed to net/http, and before its first byte.
 		for when, at := range map[string]int{"with the first answer": -1, "while resting": 0, "between taking and handing over": 1, "between handing over and writing": 2} {
 			t.Run(name+" "+when, func(t *testing.T) {
-				s := newHandBackend(t)
-				b := poolFor(t, s.addr)
-				keeper := &momentKeeper{moment: func() {}}
+				s := startManualBackend(t)
+				b := poolWithBackend(t, s.addr)
+				keeper := &hookedGate{hook: func() {}}
 				b.residency = keeper
-				first := b.start(&try{})
+				first := b.start(&attempt{})
 				c := receive(t, "connection", s.conns)
 				in := bufio.NewReader(c)
 				readRequest(t, in)
@@ -118,27 +118,27 @@
 				if at >= 0 {
 					sent = ""
 				}
-				write(t, c, say("first")+sent)
-				receive(t, "first answer", first).is(t, balancer.OK, "first")
+				writeText(t, c, okResponse("first")+sent)
+				receive(t, "first answer", first).expect(t, balancer.OK, "first")
 				asked := 0
-				keeper.moment = func() {
+				keeper.hook = func() {
 					if asked++; asked == at {
-						write(t, c, stray)
+						writeText(t, c, stray)
 					}
 				}
 				if at == 0 {
-					write(t, c, stray)
-					waitFor(t, "the stray bytes to be seen", func() bool {
+					writeText(t, c, stray)
+					eventually(t, "the stray bytes to be seen", func() bool {
 						b.mu.Lock()
 						defer b.mu.Unlock()
 						return len(b.idle["s"]) == 1 && b.idle["s"][0].Err() != nil
 					})
 				}
-				second := b.start(&try{rule: 1})
+				second := b.start(&attempt{residencyRule: 1})
 				other := receive(t, "second connection", s.conns)
 				readRequest(t, bufio.NewReader(other))
-				write(t, other, say("second"))
-				receive(t, "second answer", second).is(t, balancer.OK, "second")
+				writeText(t, other, okResponse("second"))
+				receive(t, "second answer", second).expect(t, balancer.OK, "second")
 				if _, err := http.ReadRequest(in); err == nil {
 					t.Error("the request went out on the first connection too")
 				}
@@ -149,83 +149,83 @@
 
 // A connection that has rested goes before one that has not, and once bytes came that nobody had asked for, with an answer or
 // after it, no other is used again before a second answer had its time to come.
-func TestConnectionRestsAfterAnAnswer(t *testing.T) {
-	s := newHandBackend(t)
-	b := poolFor(t, s.addr)
-	b.settle, b.keepIdle = 2*patience, 8*patience
-	serve := func(c net.Conn, in *bufio.Reader, done <-chan result, text string) {
+func TestSettledConnectionIsPreferred(t *testing.T) {
+	s := startManualBackend(t)
+	b := poolWithBackend(t, s.addr)
+	b.settleTime, b.idleTimeout = 2*testTimeout, 8*testTimeout
+	serve := func(c net.Conn, in *bufio.Reader, done <-chan attemptResult, text string) {
 		readRequest(t, in)
-		write(t, c, text)
-		receive(t, "answer", done).is(t, balancer.OK, "hello")
+		writeText(t, c, text)
+		receive(t, "answer", done).expect(t, balancer.OK, "hello")
 	}
-	done := b.start(&try{})
+	done := b.start(&attempt{})
 	one := receive(t, "connection", s.conns)
 	inOne := bufio.NewReader(one)
-	serve(one, inOne, done, say("hello"))
-	serve(one, inOne, b.start(&try{}), say("hello")) // it is the only one, and nothing is known against it
-	first := b.start(&try{})
+	serve(one, inOne, done, okResponse("hello"))
+	serve(one, inOne, b.start(&attempt{}), okResponse("hello")) // it is the only one, and nothing is known against it
+	first := b.start(&attempt{})
 	readRequest(t, inOne)
-	second := b.start(&try{})
+	second := b.start(&attempt{})
 	two := receive(t, "second connection", s.conns)
 	inTwo := bufio.NewReader(two)
-	serve(two, inTwo, second, say("hello"))
-	write(t, one, say("hello"))
-	receive(t, "answer", first).is(t, balancer.OK, "hello")
+	serve(two, inTwo, second, okResponse("hello"))
+	writeText(t, one, okResponse("hello"))
+	receive(t, "answer", first).expect(t, balancer.OK, "hello")
 	b.mu.Lock()
-	b.idle["s"][0].since = time.Now().Add(-b.settle)
-	rested := b.idle["s"][0].net.LocalAddr().String()
+	b.idle["s"][0].idleSince = time.Now().Add(-b.settleTime)
+	rested := b.idle["s"][0].tracked.LocalAddr().String()
 	b.mu.Unlock()
 	c, in, other, inOther := one, inOne, two, inTwo
 	if one.RemoteAddr().String() != rested {
 		c, in, other, inOther = two, inTwo, one, inOne
 	}
-	serve(c, in, b.start(&try{}), say("hello"))
-	serve(c, in, b.start(&try{}), say("hello")) // the latest, where none has rested
-	serve(c, in, b.start(&try{}), say("hello")+"more")
-	done = b.start(&try{})
+	serve(c, in, b.start(&attempt{}), okResponse("hello"))
+	serve(c, in, b.start(&attempt{}), okResponse("hello")) // the latest, where none has rested
+	serve(c, in, b.start(&attempt{}), okResponse("hello")+"more")
+	done = b.start(&attempt{})
 	three := receive(t, "third connection", s.conns)
-	serve(three, bufio.NewReader(three), done, say("hello"))
+	serve(three, bufio.NewReader(three), done, okResponse("hello"))
 	b.mu.Lock()
 	for _, c := range b.idle["s"] {
-		c.since = time.Now().Add(-b.settle)
+		c.idleSince = time.Now().Add(-b.settleTime)
 	}
-	b.idle["s"][1].since = time.Now()
+	b.idle["s"][1].idleSince = time.Now()
 	b.mu.Unlock()
-	serve(other, inOther, b.start(&try{}), say("hello")) // rested by now
+	serve(other, inOther, b.start(&attempt{}), okResponse("hello")) // rested by now
 }
 
 // A new connection that is turned away says that its backend holds as many as it may: the module is told that it was new, and
 // the agent gives up the one of its own that rested longest.
-func TestNewConnectionTurnedAway(t *testing.T) {
+func TestRejectedNewConnectionEvictsIdleOne(t *testing.T) {
 	const never = "HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-	full, other := newHandBackend(t), newHandBackend(t)
-	b := poolFor(t, full.addr)
-	told(b, balancer.Backend{ID: "other"}, other.addr)
+	full, other := startManualBackend(t), startManualBackend(t)
+	b := poolWithBackend(t, full.addr)
+	applyDelta(b, balancer.Backend{ID: "other"}, other.addr)
 	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result, fresh bool) (net.Conn, *bufio.Reader) {
-		tr := &try{}
+		tr := &attempt{}
 		done := b.startAt(id, tr)
 		conn, in := c()
 		readRequest(t, in)
-		write(t, conn, text)
-		if r := receive(t, "result", done); r.Result != want || tr.fresh != fresh {
-			t.Errorf("%s: result %v, new connection: %v", id, r.Result, tr.fresh)
+		writeText(t, conn, text)
+		if r := receive(t, "result", done); r.Result != want || tr.newConn != fresh {
+			t.Errorf("%s: result %v, new connection: %v", id, r.Result, tr.newConn)
 		}
 		return conn, in
 	}
-	at := func(h *handBackend) func() (net.Conn, *bufio.Reader) {
+	at := func(h *manualBackend) func() (net.Conn, *bufio.Reader) {
 		return func() (net.Conn, *bufio.Reader) {
 			c := receive(t, "connection", h.conns)
 			return c, bufio.NewReader(c)
 		}
 	}
-	c, in := try("s", at(full), say("hello"), balancer.OK, true)
-	try("other", at(other), say("hello"), balancer.OK, true)
+	c, in := try("s", at(full), okResponse("hello"), balancer.OK, true)
+	try("other", at(other), okResponse("hello"), balancer.OK, true)
 	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Full, false) // a queue
 	if len(b.idle["other"]) != 1 {
 		t.Error("a connection was given up for a full queue")
 	}
 	b.mu.Lock()
-	b.dropIdle("s")
+	b.closeIdle("s")
 	b.mu.Unlock()
 	try("s", at(full), never, balancer.Full, true)
 	if b.mu.Lock(); len(b.idle["other"]) != 0 {
@@ -235,31 +235,31 @@
 }
 
 // A connection that its backend closed in the moment of the write carries nothing, and blames nobody.
-func TestClosedInTheMomentOfTheWrite(t *testing.T) {
-	s := newHandBackend(t)
-	b := poolFor(t, s.addr)
-	keeper := &momentKeeper{moment: func() {}}
+func TestConnectionClosedBeforeWriteIsReplaced(t *testing.T) {
+	s := startManualBackend(t)
+	b := poolWithBackend(t, s.addr)
+	keeper := &hookedGate{hook: func() {}}
 	b.residency = keeper
-	first := b.start(&try{})
+	first := b.start(&attempt{})
 	c := receive(t, "connection", s.conns)
 	readRequest(t, bufio.NewReader(c))
-	write(t, c, say("first"))
-	receive(t, "first answer", first).is(t, balancer.OK, "first")
+	writeText(t, c, okResponse("first"))
+	receive(t, "first answer", first).expect(t, balancer.OK, "first")
 	asked := 0
-	keeper.moment = func() {
+	keeper.hook = func() {
 		if asked++; asked == 2 {
 			c.Close()
 		}
 	}
-	second := b.start(&try{rule: 1})
+	second := b.start(&attempt{residencyRule: 1})
 	other := receive(t, "second connection", s.conns)
 	readRequest(t, bufio.NewReader(other))
-	write(t, other, say("second"))
-	receive(t, "second answer", second).is(t, balancer.OK, "second")
+	writeText(t, other, okResponse("second"))
+	receive(t, "second answer", second).expect(t, balancer.OK, "second")
 }
 
-// slowDial has each dial wait, until it is released.
-func slowDial(b *backends) (dialling chan struct{}, release chan struct{}) {
+// blockDials has each dial wait, until it is released.
+func blockDials(b *upstreamPool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -271,81 +271,81 @@
 	return dialling, release
 }
 
-func told(b *backends, m balancer.Backend, addr string) {
+func applyDelta(b *upstreamPool, m balancer.Backend, addr string) {
 	u := discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
 	if addr != "" {
 		u.Addrs[m.ID] = addr
 	}
-	b.update(u)
+	b.applyUpdate(u)
 }
 
 // What is told while a connection comes up, or in the last moment before the first byte, holds: nothing goes to a backend
 // that drains, is gone, has moved, is in another pod, or was detached; nothing for a request that is over, and no repeat past
 // its window. Nothing has run, and the request may go elsewhere where there is more to be made of it.
-func TestToldBeforeTheFirstByte(t *testing.T) {
+func TestUpdateBeforeFirstByteStopsTheAttempt(t *testing.T) {
 	for name, row := range map[string]struct {
-		event func(b *backends, tr *try, over chan struct{}, addr string)
+		event func(b *upstreamPool, tr *attempt, over chan struct{}, addr string)
 		want  balancer.Result
 		kept  int // connections that may serve others
 	}{
-		"drains": {func(b *backends, _ *try, _ chan struct{}, addr string) {
-			told(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
+		"drains": {func(b *upstreamPool, _ *attempt, _ chan struct{}, addr string) {
+			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
 		}, balancer.ConnectFailed, 0},
-		"is gone": {func(b *backends, _ *try, _ chan struct{}, _ string) {
-			told(b, balancer.Backend{ID: "s", State: balancer.Gone}, "")
+		"is gone": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) {
+			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Gone}, "")
 		}, balancer.ConnectFailed, 0},
-		"has moved": {func(b *backends, _ *try, _ chan struct{}, _ string) {
-			told(b, balancer.Backend{ID: "s"}, "127.0.0.1:1")
+		"has moved": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) {
+			applyDelta(b, balancer.Backend{ID: "s"}, "127.0.0.1:1")
 		}, balancer.ConnectFailed, 0},
-		"is in another pod": {func(b *backends, _ *try, _ chan struct{}, addr string) {
-			told(b, balancer.Backend{ID: "s", Cell: 7}, addr)
+		"is in another pod": {func(b *upstreamPool, _ *attempt, _ chan struct{}, addr string) {
+			applyDelta(b, balancer.Backend{ID: "s", Cell: 7}, addr)
 		}, balancer.ConnectFailed, 1},
-		"was detached": {func(b *backends, _ *try, _ chan struct{}, _ string) { b.detach("s", true) }, balancer.ConnectFailed, 0},
-		"is over":      {func(_ *backends, _ *try, over chan struct{}, _ string) { close(over) }, balancer.NotSent, 1},
-		"window over":  {func(_ *backends, tr *try, _ chan struct{}, _ string) { tr.last = time.Now() }, balancer.NotSent, 1},
-		"nothing":      {func(*backends, *try, chan struct{}, string) {}, balancer.OK, 1},
+		"was detached": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) { b.setDisabled("s", true) }, balancer.ConnectFailed, 0},
+		"is over":      {func(_ *upstreamPool, _ *attempt, over chan struct{}, _ string) { close(over) }, balancer.NotSent, 1},
+		"window over":  {func(_ *upstreamPool, tr *attempt, _ chan struct{}, _ string) { tr.writeBy = time.Now() }, balancer.NotSent, 1},
+		"nothing":      {func(*upstreamPool, *attempt, chan struct{}, string) {}, balancer.OK, 1},
 	} {
 		t.Run(name+" while dialled", func(t *testing.T) {
-			s := newHandBackend(t)
-			b := poolFor(t, s.addr)
-			dialling, release := slowDial(b)
+			s := startManualBackend(t)
+			b := poolWithBackend(t, s.addr)
+			dialling, release := blockDials(b)
 			over := make(chan struct{})
-			tr := &try{over: over, at: b.standing("s")}
+			tr := &attempt{requestDone: over, endpoint: b.endpoint("s")}
 			done := b.start(tr)
 			receive(t, "dial", dialling)
 			row.event(b, tr, over, s.addr)
 			close(release)
-			toldBefore(t, b, s, done, row.want, row.kept)
+			expectNotWritten(t, b, s, done, row.want, row.kept)
 		})
 		if name == "window over" || name == "nothing" {
-			continue // that bound is handed over with the request: TestRepeatEndsWithItsWindow
+			continue // that bound is handed over with the request: TestRetryWriteEndsWithItsWindow
 		}
 		t.Run(name+" in the last moment", func(t *testing.T) {
-			s := newHandBackend(t)
-			b := poolFor(t, s.addr)
+			s := startManualBackend(t)
+			b := poolWithBackend(t, s.addr)
 			over := make(chan struct{})
-			tr := &try{over: over, at: b.standing("s"), rule: 1}
+			tr := &attempt{requestDone: over, endpoint: b.endpoint("s"), residencyRule: 1}
 			asked := 0
-			b.residency = &momentKeeper{moment: func() {
+			b.residency = &hookedGate{hook: func() {
 				if asked++; asked == 1 { // the first of two checks passes with this
 					row.event(b, tr, over, s.addr)
 				}
 			}}
-			toldBefore(t, b, s, b.start(tr), row.want, 0)
+			expectNotWritten(t, b, s, b.start(tr), row.want, 0)
 		})
 	}
 }
 
-func toldBefore(t *testing.T, b *backends, s *handBackend, done <-chan result, want balancer.Result, kept int) {
+func expectNotWritten(t *testing.T, b *upstreamPool, s *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
 	t.Helper()
 	if want == balancer.OK {
 		c := receive(t, "connection", s.conns)
 		readRequest(t, bufio.NewReader(c))
-		write(t, c, say("hello"))
+		writeText(t, c, okResponse("hello"))
 	}
-	receive(t, "result", done).is(t, want, "hello")
-	if b.mu.Lock(); len(b.idle["s"]) != kept || b.open != kept {
-		t.Errorf("%d connections kept, %d open", len(b.idle["s"]), b.open)
+	receive(t, "result", done).expect(t, want, "hello")
+	if b.mu.Lock(); len(b.idle["s"]) != kept || b.openConns != kept {
+		t.Errorf("%d connections kept, %d open", len(b.idle["s"]), b.openConns)
 	}
 	b.mu.Unlock()
 	if want != balancer.OK {
@@ -358,43 +358,43 @@
 }
 
 // A repeat that its backend does not read is given up when the window is over, and has not run.
-func TestRepeatEndsWithItsWindow(t *testing.T) {
-	s := newHandBackend(t)
-	b := poolFor(t, s.addr)
-	tr := &try{last: time.Now().Add(100 * time.Millisecond),
-		m: &message{method: "POST", url: &url.URL{Path: "/put/x"}, header: http.Header{}, body: make([]byte, maxBody)}}
+func TestRetryWriteEndsWithItsWindow(t *testing.T) {
+	s := startManualBackend(t)
+	b := poolWithBackend(t, s.addr)
+	tr := &attempt{writeBy: time.Now().Add(100 * time.Millisecond),
+		request: &upstreamRequest{method: "POST", url: &url.URL{Path: "/put/x"}, header: http.Header{}, body: make([]byte, maxBufferedBody)}}
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil { // the kernel would take all of it
-			conn := c.(*backendConn)
-			conn.Conn = stuckConn{conn.Conn, make(chan time.Time, 4)}
+			conn := c.(*trackedConn)
+			conn.Conn = blockedWriteConn{conn.Conn, make(chan time.Time, 4)}
 		}
 		return c, err
 	}
-	receive(t, "result", b.start(tr)).is(t, balancer.ConnectFailed, "")
+	receive(t, "result", b.start(tr)).expect(t, balancer.ConnectFailed, "")
 }
 
-// stuckConn takes the first part of a request, and then waits for its deadline.
-type stuckConn struct {
+// blockedWriteConn takes the first part of a request, and then waits for its deadline.
+type blockedWriteConn struct {
 	net.Conn
 	deadline chan time.Time
 }
 
-func (c stuckConn) SetWriteDeadline(t time.Time) error { c.deadline <- t; return nil }
-func (c stuckConn) Write(p []byte) (int, error) {
+func (c blockedWriteConn) SetWriteDeadline(t time.Time) error { c.deadline <- t; return nil }
+func (c blockedWriteConn) Write(p []byte) (int, error) {
 	select {
 	case at := <-c.deadline:
 		time.Sleep(time.Until(at)) // as a socket that takes no more
 		return len(p) / 2, context.DeadlineExceeded
-	case <-time.After(2 * patience):
+	case <-time.After(2 * testTimeout):
 		return len(p), nil // no deadline was set
 	}
 }
 
 // An answer that never ends is no answer: its client is told within its time, or, where part of it was passed on by then, can
 // tell once its backend has been waited for too long. Each is bounded in what it holds.
-func TestAnswersWithoutEnd(t *testing.T) {
+func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, row := range map[string]struct {
 		start, more string // more comes again and again
 		passed      bool   // part of it is passed on
@@ -414,8 +414,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newHandBackend(t)
-			a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+			s := startManualBackend(t)
+			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 			over := make(chan struct{})
 			defer close(over)
 			go func() {
@@ -445,10 +445,10 @@
 			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
 				t.Errorf("%+v", x)
 			}
-			waitFor(t, "the attempt's end", func() bool {
-				a.backends.mu.Lock()
-				defer a.backends.mu.Unlock()
-				return a.backends.open == len(a.backends.idle["s"])
+			eventually(t, "the attempt's end", func() bool {
+				a.pool.mu.Lock()
+				defer a.pool.mu.Unlock()
+				return a.pool.openConns == len(a.pool.idle["s"])
 			})
 		})
 	}
@@ -456,18 +456,18 @@
 
 // Seed 15 of the short days, zone+brink: a long answer of unknown length, of which little had come by its client's deadline, was
 // cut off while its backend still gave. Its first bytes are timed, and the rest goes on for as long as it comes.
-func TestLongAnswerGoesOnPastTheDeadline(t *testing.T) {
-	s := newHandBackend(t)
-	a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
-	c := connect(t, a)
-	c.send(get("/get/x", "X-Expires-In: 0.3\r\n"))
+func TestStreamingResponseContinuesPastDeadline(t *testing.T) {
+	s := startManualBackend(t)
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
+	c := dialRawClient(t, a)
+	c.send(getRequest("/get/x", "X-Expires-In: 0.3\r\n"))
 	at := time.Now()
 	b := receive(t, "connection", s.conns)
 	readRequest(t, bufio.NewReader(b))
-	write(t, b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlong\r\n")
-	resp := c.answer()
+	writeText(t, b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlong\r\n")
+	resp := c.readResponse()
 	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline is past: it is the backend that waits for it
-	write(t, b, "7\r\n answer\r\n0\r\n\r\n")
+	writeText(t, b, "7\r\n answer\r\n0\r\n\r\n")
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "long answer" {
 		t.Errorf("%d %q, %v", resp.StatusCode, body, err)
 	}
--- a/internal/agent/rare_front_test.go
+++ b/internal/agent/rare_front_test.go
@@ -18,16 +18,16 @@
 // The tests in this file and in rare_backends_test.go force an order of events that is rare: what docs/findings/rare.md
 // lists. None waits for chance.
 
-// socketFront runs a front on real sockets with no module behind it. What the front posts comes to the test.
-func socketFront(t *testing.T) (f *front, dial func() *net.TCPConn, posts <-chan any) {
+// startSocketFrontend runs a front on real sockets with no module behind it. What the front posts comes to the test.
+func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan any) {
 	t.Helper()
-	cfg := testConfig(t, setup{})
-	l, err := newLoop(cfg, newClock(), newBackends(cfg, quiet), quiet)
+	cfg := testConfig(t, testSetup{})
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = newFront(cfg, l, quiet)
-	f.server.ReadHeaderTimeout, f.server.IdleTimeout, f.body, f.gap = 2*patience, 2*patience, 2*patience, 2*patience
+	f = newFrontend(cfg, l, discardLog)
+	f.server.ReadHeaderTimeout, f.server.IdleTimeout, f.bodyTimeout, f.maxBodyGap = 2*testTimeout, 2*testTimeout, 2*testTimeout, 2*testTimeout
 	ln := listen(t)
 	served := make(chan error, 1)
 	go func() { served <- f.serve(ln) }()
@@ -36,8 +36,8 @@
 		f.server.Close()
 		<-served
 		f.readers.Wait()
-		if f.conns != 0 || f.open.Load() != 0 || len(f.waiting.Conns()) != 0 {
-			t.Errorf("left: %d connections, %d requests, %d waiting", f.conns, f.open.Load(), len(f.waiting.Conns()))
+		if f.connCount != 0 || f.openRequests.Load() != 0 || len(f.idleConns.Conns()) != 0 {
+			t.Errorf("left: %d connections, %d requests, %d waiting", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
 		}
 	})
 	return f, func() *net.TCPConn {
@@ -50,19 +50,19 @@
 	}, l.events
 }
 
-func get(path, more string) string {
+func getRequest(path, more string) string {
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n%s\r\n", path, newID(), more)
 }
 
-func write(t *testing.T, c net.Conn, text string) {
+func writeText(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// post returns the next event that the front posted, which must be of this kind.
-func post[T any](t *testing.T, posts <-chan any) T {
+// nextEvent returns the next event that the front posted, which must be of this kind.
+func nextEvent[T any](t *testing.T, posts <-chan any) T {
 	t.Helper()
 	e, ok := receive(t, "event", posts).(T)
 	if !ok {
@@ -71,32 +71,32 @@
 	return e
 }
 
-func (f *front) nobody() bool { return !f.anyone() }
+func (f *frontend) noConnections() bool { return !f.hasConnections() }
 
 // A client that has gone is known to have, whatever it sent behind its request, and however it went. A byte behind a
 // request ended net/http's watch.
-func TestClientThatHasGoneIsNoticed(t *testing.T) {
+func TestClientDisconnectIsDetected(t *testing.T) {
 	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
-		"requests": get("/get/x", "") + get("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
+		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
 		for how, leave := range map[string]func(*net.TCPConn) error{
 			"closes":      func(c *net.TCPConn) error { return c.Close() },
 			"half-closes": func(c *net.TCPConn) error { return c.CloseWrite() },
 			"resets":      func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
-				f, dial, posts := socketFront(t)
+				f, dial, posts := startSocketFrontend(t)
 				c := dial()
-				write(t, c, get("/get/x", ""))
-				r := post[arrived](t, posts).request
-				write(t, c, behind) // a connection's bytes keep their order: its end comes after
+				writeText(t, c, getRequest("/get/x", ""))
+				r := nextEvent[requestArrived](t, posts).request
+				writeText(t, c, behind) // a connection's bytes keep their order: its end comes after
 				if err := leave(c); err != nil {
 					t.Fatal(err)
 				}
-				if gone := post[clientGone](t, posts).request; gone != r {
+				if gone := nextEvent[clientDisconnected](t, posts).request; gone != r {
 					t.Error("another request's client is said to have gone")
 				}
 				r.reply <- reply{}
-				waitFor(t, "the connection's end", f.nobody)
+				eventually(t, "the connection's end", f.noConnections)
 				if len(posts) != 0 {
 					t.Errorf("posted after the client had gone: %T", <-posts)
 				}
@@ -106,32 +106,32 @@
 }
 
 // Of a client that sends several requests at once and goes, none after the first is sent on.
-func TestNothingBehindTheFirstIsSentOn(t *testing.T) {
-	f, dial, posts := socketFront(t)
+func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
+	f, dial, posts := startSocketFrontend(t)
 	c := dial()
-	write(t, c, get("/get/x", "")+get("/get/x", "")+get("/get/x", ""))
-	r := post[arrived](t, posts).request
+	writeText(t, c, getRequest("/get/x", "")+getRequest("/get/x", "")+getRequest("/get/x", ""))
+	r := nextEvent[requestArrived](t, posts).request
 	c.Close()
-	post[clientGone](t, posts)
-	r.reply <- reply{refused: true}
-	waitFor(t, "the connection's end", f.nobody)
+	nextEvent[clientDisconnected](t, posts)
+	r.reply <- reply{rejected: true}
+	eventually(t, "the connection's end", f.noConnections)
 	if len(posts) != 0 {
 		t.Errorf("posted: %T", <-posts)
 	}
 }
 
 // A request that comes with its client's end is owed nothing, and is not sent on.
-func TestRequestThatComesWithTheEnd(t *testing.T) {
-	cfg := testConfig(t, setup{})
-	l, err := newLoop(cfg, newClock(), newBackends(cfg, quiet), quiet)
+func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFront(cfg, l, quiet)
+	f := newFrontend(cfg, l, discardLog)
 	near, far := net.Pipe()
 	defer near.Close()
 	ln := &pipeListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
-	ln.conns <- &lastWords{Conn: far, text: get("/get/x", "")}
+	ln.conns <- &finalDataConn{Conn: far, text: getRequest("/get/x", "")}
 	var tasks sync.WaitGroup
 	c, err := clientconn.Listener{Listener: ln, Tasks: &tasks}.Accept()
 	if err != nil {
@@ -155,13 +155,13 @@
 	tasks.Wait()
 }
 
-// lastWords is a socket that gives all that comes with the end behind it.
-type lastWords struct {
+// finalDataConn is a socket that gives all that comes with the end behind it.
+type finalDataConn struct {
 	net.Conn
 	text string
 }
 
-func (c *lastWords) Read(p []byte) (n int, err error) {
+func (c *finalDataConn) Read(p []byte) (n int, err error) {
 	n = copy(p, c.text)
 	if c.text = c.text[n:]; c.text == "" {
 		err = io.EOF
@@ -171,25 +171,25 @@
 
 // What has come of a request keeps its connection from being closed as idle, wherever it lies: unread, read ahead, or with
 // the server. A connection that was closed all the same sends nothing on.
-func TestCloseAndRequestCross(t *testing.T) {
+func TestPartialRequestKeepsConnectionFromIdleClose(t *testing.T) {
 	t.Run("closed before its body is whole", func(t *testing.T) {
-		f, dial, posts := socketFront(t)
+		f, dial, posts := startSocketFrontend(t)
 		c := dial()
-		write(t, c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 5\r\n\r\nab")
-		waitFor(t, "half of the request", func() bool {
-			for _, c := range f.waiting.Conns() {
+		writeText(t, c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 5\r\n\r\nab")
+		eventually(t, "half of the request", func() bool {
+			for _, c := range f.idleConns.Conns() {
 				c := c.(*clientconn.Conn)
 				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that came, and some is to come
 			}
 			return false
 		})
-		f.waiting.CloseIdle(0, 0) // leaves it
-		if len(f.waiting.Conns()) != 1 {
+		f.idleConns.CloseIdle(0, 0) // leaves it
+		if len(f.idleConns.Conns()) != 1 {
 			t.Error("closed as idle")
 		}
-		waitFor(t, "the connection's end", func() bool {
-			f.waiting.EvictIdle() // once it has waited for long enough
-			return f.nobody()
+		eventually(t, "the connection's end", func() bool {
+			f.idleConns.EvictIdle() // once it has waited for long enough
+			return f.noConnections()
 		})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode < 400 {
 			t.Errorf("it was answered: %d", resp.StatusCode) // an error or a close is owed, as it comes
@@ -202,18 +202,18 @@
 
 // A last answer is there whole for a client that has sent more behind its request: closed over unread bytes the connection
 // would be reset, and the answer go with it.
-func TestLastAnswerOutlivesWhatCameBehind(t *testing.T) {
-	for name, behind := range map[string]string{"a byte": "G", "a request": get("/get/x", ""), "more than is kept": strings.Repeat("x", 1<<20)} {
+func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
+	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 1<<20)} {
 		t.Run(name, func(t *testing.T) {
-			f, dial, posts := socketFront(t)
-			f.stopBy(time.Now().Add(patience)) // each answer ends its connection
+			f, dial, posts := startSocketFrontend(t)
+			f.drainBy(time.Now().Add(testTimeout)) // each answer ends its connection
 			c := dial()
-			write(t, c, get("/get/x", ""))
-			r := post[arrived](t, posts).request
-			write(t, c, behind)
-			r.reply <- reply{served: &answer{header: http.Header{}, body: []byte("hello")}}
-			waitFor(t, "the answer to be out", f.nobody)
-			if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+			writeText(t, c, getRequest("/get/x", ""))
+			r := nextEvent[requestArrived](t, posts).request
+			writeText(t, c, behind)
+			r.reply <- reply{response: &response{header: http.Header{}, body: []byte("hello")}}
+			eventually(t, "the answer to be out", f.noConnections)
+			if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			in := bufio.NewReader(c)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -24,27 +24,27 @@
 	text   string
 }
 
-func bad(text string) *inputError { return &inputError{http.StatusBadRequest, text} }
+func badRequest(text string) *inputError { return &inputError{http.StatusBadRequest, text} }
 
 // hopHeaders end at the agent (RFC 9110, 7.6.1), or are set anew.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "X-Expires-In"}
 
 // checkFraming tells requests whose end is in doubt.
-func checkFraming(hr *http.Request) *inputError {
-	if c := clientOf(hr); c != nil && c.Ambiguous() {
-		return bad("both Content-Length and Transfer-Encoding")
+func checkFraming(httpReq *http.Request) *inputError {
+	if c := clientConnOf(httpReq); c != nil && c.Ambiguous() {
+		return badRequest("both Content-Length and Transfer-Encoding")
 	}
-	if !hr.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, whatever body that announces
+	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, whatever body that announces
 		return &inputError{http.StatusHTTPVersionNotSupported, "this takes HTTP/1.1"}
 	}
 	return nil
 }
 
-// parse reads a request whole and checks it.
-func (f *front) parse(w http.ResponseWriter, hr *http.Request) (*request, *inputError) {
-	first, _, _ := strings.Cut(strings.TrimPrefix(hr.URL.Path, "/"), "/")
-	class, ok := f.classes[first]
+// parseRequest reads a request whole and checks it.
+func (f *frontend) parseRequest(w http.ResponseWriter, httpReq *http.Request) (*request, *inputError) {
+	className, _, _ := strings.Cut(strings.TrimPrefix(httpReq.URL.Path, "/"), "/")
+	class, ok := f.classIndex[className]
 	if !ok {
 		return nil, &inputError{http.StatusNotFound, "no such class of requests"}
 	}
@@ -53,100 +53,100 @@
 	if settings.Effect == balancer.Safe {
 		method = http.MethodGet
 	}
-	if hr.Method != method {
+	if httpReq.Method != method {
 		w.Header().Set("Allow", method)
 		return nil, &inputError{http.StatusMethodNotAllowed, "this class takes " + method}
 	}
-	h := hr.Header
-	r := newRequest(h.Get("X-Trace-Id"), class)
-	r.repeat = h.Get("X-Second-Try") == "1"
-	if c, err := hr.Cookie("sid"); err == nil {
+	header := httpReq.Header
+	r := newRequest(header.Get("X-Trace-Id"), class)
+	r.clientRetry = header.Get("X-Second-Try") == "1"
+	if c, err := httpReq.Cookie("sid"); err == nil {
 		r.key = wire.Key(c.Value)
 	}
-	if k := f.residency; k != nil {
-		r.rule = k.Rule(h.Get("X-Customer"), first)
+	if gatekeeper := f.residency; gatekeeper != nil {
+		r.residencyRule = gatekeeper.Rule(header.Get("X-Customer"), className)
 	}
 	if r.id == "" {
-		return nil, bad("X-Trace-Id: missing")
+		return nil, badRequest("X-Trace-Id: missing")
 	}
-	if settings.Effect == balancer.Keyed && h.Get("Idempotency-Key") == "" {
-		return nil, bad("Idempotency-Key: missing")
+	if settings.Effect == balancer.Keyed && header.Get("Idempotency-Key") == "" {
+		return nil, badRequest("Idempotency-Key: missing")
 	}
-	wait := settings.Deadline
-	if text := h.Get("X-Expires-In"); text != "" {
-		s, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(s > 0) || math.IsInf(s, 0) {
-			return nil, bad("X-Expires-In: not a number of seconds above 0")
+	timeout := settings.Deadline
+	if text := header.Get("X-Expires-In"); text != "" {
+		seconds, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
+			return nil, badRequest("X-Expires-In: not a number of seconds above 0")
 		}
-		wait = min(wait, time.Duration(min(s, wait.Seconds())*float64(time.Second)))
+		timeout = min(timeout, time.Duration(min(seconds, timeout.Seconds())*float64(time.Second)))
 	}
-	if text := h.Get("X-Size-Hint"); text != "" {
-		us, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(us >= 0) || us > math.MaxInt32 {
-			return nil, bad("X-Size-Hint: not a number of microseconds")
+	if text := header.Get("X-Size-Hint"); text != "" {
+		micros, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(micros >= 0) || micros > math.MaxInt32 {
+			return nil, badRequest("X-Size-Hint: not a number of microseconds")
 		}
-		r.work = time.Duration(us * float64(time.Microsecond))
+		r.sizeHint = time.Duration(micros * float64(time.Microsecond))
 	}
-	body, more, fail := f.readBody(w, hr)
-	if fail != nil {
-		return nil, fail
+	body, more, failure := f.readBody(w, httpReq)
+	if failure != nil {
+		return nil, failure
 	}
-	if end := time.Duration(f.stopAt.Load()); end != 0 { // it has to be answered before the platform kills
-		wait = max(0, min(wait, end-f.loop.clock.now()))
+	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // it has to be answered before the platform kills
+		timeout = max(0, min(timeout, deadline-f.loop.clock.now()))
 	}
 	// A client's time runs from when its request was sent, which ends with the last byte.
-	r.deadline, r.left = lastByte(hr).Add(wait), wait
-	u := url.URL{Path: hr.URL.Path, RawPath: hr.URL.RawPath, RawQuery: hr.URL.RawQuery, ForceQuery: hr.URL.ForceQuery}
-	header := h.Clone()
-	for _, connection := range h["Connection"] {
+	r.deadline, r.timeout = lastByteAt(httpReq).Add(timeout), timeout
+	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery, ForceQuery: httpReq.URL.ForceQuery}
+	forwarded := header.Clone()
+	for _, connection := range header["Connection"] {
 		for name := range strings.SplitSeq(connection, ",") {
-			header.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopHeaders {
-		header.Del(name)
+		forwarded.Del(name)
 	}
-	if _, set := header["User-Agent"]; !set {
-		header["User-Agent"] = nil // keeps net/http from adding its own
+	if _, set := forwarded["User-Agent"]; !set {
+		forwarded["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	r.message = &message{method: method, host: hr.Host, url: &u, header: header, body: body}
+	r.upstream = &upstreamRequest{method: method, host: httpReq.Host, url: &target, header: forwarded, body: body}
 	if more {
-		r.message.upload = newUpload(hr.ContentLength)
+		r.upstream.upload = newUpload(httpReq.ContentLength)
 	}
 	return r, nil
 }
 
 // readBody reads a body, or the first bytes of one that is large: more tells that there are others.
-func (f *front) readBody(w http.ResponseWriter, hr *http.Request) (body []byte, more bool, fail *inputError) {
-	if hr.ContentLength == 0 {
+func (f *frontend) readBody(w http.ResponseWriter, httpReq *http.Request) (body []byte, more bool, failure *inputError) {
+	if httpReq.ContentLength == 0 {
 		return nil, false, nil
 	}
-	if hr.ContentLength > largest {
-		return nil, false, badBody(&http.MaxBytesError{Limit: largest})
+	if httpReq.ContentLength > maxStreamBytes {
+		return nil, false, bodyError(&http.MaxBytesError{Limit: maxStreamBytes})
 	}
-	if hr.ContentLength > maxBody {
-		if c := clientOf(hr); c != nil {
-			boundKernel(c.Conn)
+	if httpReq.ContentLength > maxBufferedBody {
+		if c := clientConnOf(httpReq); c != nil {
+			limitKernelBuffers(c.Conn)
 		}
 	}
-	p := &paced{r: hr.Body, rc: http.NewResponseController(w), slack: f.bodyTime(hr), most: f.gap}
-	body, err := io.ReadAll(io.LimitReader(p, maxBody+1))
-	if more = len(body) > maxBody; err == nil && !more { // a deadline that runs on would pass for a hang-up
-		err = p.rc.SetReadDeadline(time.Time{})
+	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w), allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
+	body, err := io.ReadAll(io.LimitReader(paced, maxBufferedBody+1))
+	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline that runs on would pass for a hang-up
+		err = paced.control.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
-		return nil, false, badBody(err)
+		return nil, false, bodyError(err)
 	}
 	return body, more, nil
 }
 
-func badBody(err error) *inputError {
-	var large *http.MaxBytesError
+func bodyError(err error) *inputError {
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return &inputError{http.StatusRequestEntityTooLarge, "the body is larger than 32 MiB"}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &inputError{http.StatusRequestTimeout, "the body comes too slowly"}
 	}
-	return bad("the body can't be read")
+	return badRequest("the body can't be read")
 }
--- a/internal/agent/reuse.go
+++ b/internal/agent/reuse.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// reuse learns for how long idle connections to backends can be trusted. A backend, or what lies
+// reuseStats learns for how long idle connections to backends can be trusted. A backend, or what lies
 // between, may drop one well before the time in the settings and say nothing: the request that
 // finds out is a reset that may have run. Connections are counted by the time they had been idle,
 // in powers of two, and new ones apart.
-type reuse struct {
-	tried, broke [idleClasses]float64 // decayed counts, by idleClass
+type reuseStats struct {
+	uses, breaks [idleBuckets]float64 // decayed counts, by idleBucket
 }
 
 const (
-	idleClasses  = 24
-	reuseLeast   = 3.0              // breaks before a class is doubted: one can be chance
-	reuseExcess  = 0.15             // and so much more often than twice what new ones break
-	reuseHalving = 30 * time.Second // of the counts: what was dropped once may be kept later
+	idleBuckets     = 24
+	minBreaks       = 3.0              // breaks before a class is doubted: one can be chance
+	breakRateMargin = 0.15             // and so much more often than twice what new ones break
+	reuseHalfLife   = 30 * time.Second // of the counts: what was dropped once may be kept later
 )
 
-// idleClass is 0 for a new connection, else it grows with the logarithm of the time idle.
-func idleClass(idle time.Duration) int {
+// idleBucket is 0 for a new connection, else it grows with the logarithm of the time idle.
+func idleBucket(idle time.Duration) int {
 	if idle <= 0 {
 		return 0
 	}
-	return min(1+bits.Len64(uint64(idle/time.Millisecond)), idleClasses-1)
+	return min(1+bits.Len64(uint64(idle/time.Millisecond)), idleBuckets-1)
 }
 
-// learn takes how a request on a connection ended that had been idle for so long.
-func (r *reuse) learn(idle time.Duration, broken bool) {
-	k := idleClass(idle)
-	r.tried[k]++
+// record takes how a request on a connection ended that had been idle for so long.
+func (r *reuseStats) record(idle time.Duration, broken bool) {
+	k := idleBucket(idle)
+	r.uses[k]++
 	if broken {
-		r.broke[k]++
+		r.breaks[k]++
 	}
 }
 
-// doubtful reports whether connections that were idle for so long, or less, are often found
+// unreliable reports whether connections that were idle for so long, or less, are often found
 // broken.
-func (r *reuse) doubtful(idle time.Duration) bool {
-	most := reuseExcess + 2*r.broke[0]/max(1, r.tried[0])
-	for k := 1; k <= idleClass(idle); k++ {
-		if r.broke[k] >= reuseLeast && r.broke[k] > most*r.tried[k] {
+func (r *reuseStats) unreliable(idle time.Duration) bool {
+	maxBreakRate := breakRateMargin + 2*r.breaks[0]/max(1, r.uses[0])
+	for k := 1; k <= idleBucket(idle); k++ {
+		if r.breaks[k] >= minBreaks && r.breaks[k] > maxBreakRate*r.uses[k] {
 			return true
 		}
 	}
 	return false
 }
 
-// fade lets a while pass over what was learned.
-func (r *reuse) fade(d time.Duration) {
-	f := math.Exp2(-float64(d) / float64(reuseHalving))
-	for k := range r.tried {
-		r.tried[k] *= f
-		r.broke[k] *= f
+// decay lets a while pass over what was learned.
+func (r *reuseStats) decay(d time.Duration) {
+	f := math.Exp2(-float64(d) / float64(reuseHalfLife))
+	for k := range r.uses {
+		r.uses[k] *= f
+		r.breaks[k] *= f
 	}
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -20,8 +20,8 @@
 // Serve runs the agent that a source describes until SIGTERM.
 func Serve(log *slog.Logger, source Source) error {
 	// From the first moment to the program's last: unheeded it would end the program with a signal.
-	replaced := make(chan os.Signal, 1)
-	signal.Notify(replaced, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more loses its lines, and no more than that
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -41,7 +41,7 @@
 	}
 	var reloading sync.WaitGroup
 	done := make(chan struct{})
-	reloading.Go(func() { reload(a, log, source, replaced, done) })
+	reloading.Go(func() { reloadOnHangup(a, log, source, hangups, done) })
 	defer reloading.Wait()
 	defer close(done)
 	return a.Run(stop)
@@ -49,33 +49,33 @@
 
 // Waits after a replaced configuration could not be read, doubled from the first to the most: discovery's new address counts
 // 4 s after the signal.
-const reloadFirst, reloadMost = 20 * time.Millisecond, 250 * time.Millisecond
+const initialReloadBackoff, maxReloadBackoff = 20 * time.Millisecond, 250 * time.Millisecond
 
-// reload takes over a replaced configuration at each SIGHUP: of what is in it, discovery's address alone may change while the
+// reloadOnHangup takes over a replaced configuration at each SIGHUP: of what is in it, discovery's address alone may change while the
 // program runs. One that can't be read changes nothing, and is read again until it can be: it may still be being written, or
 // the system be short of something for a moment.
-func reload(a *Agent, log *slog.Logger, source Source, replaced <-chan os.Signal, done <-chan struct{}) {
-	var again <-chan time.Time // nil: the latest signal has been heeded
-	waits := backoff.ExponentialBackOff{InitialInterval: reloadFirst, Multiplier: 2, MaxInterval: reloadMost}
+func reloadOnHangup(a *Agent, log *slog.Logger, source Source, hangups <-chan os.Signal, done <-chan struct{}) {
+	var retry <-chan time.Time // nil: the latest signal has been heeded
+	delays := backoff.ExponentialBackOff{InitialInterval: initialReloadBackoff, Multiplier: 2, MaxInterval: maxReloadBackoff}
 	for {
-		fresh := false
+		signalled := false
 		select {
-		case <-replaced:
-			fresh = true
-			waits.Reset()
-		case <-again:
+		case <-hangups:
+			signalled = true
+			delays.Reset()
+		case <-retry:
 		case <-done:
 			return
 		}
-		again = nil
-		discovery, err := source.Discovery()
+		retry = nil
+		discovery, err := source.ReloadDiscovery()
 		if err == nil {
-			a.Follow(discovery)
+			a.SetDiscoveryAddr(discovery)
 			continue
 		}
-		if fresh {
+		if signalled {
 			log.Error("the replaced configuration is not used, it will be read again", "error", err)
 		}
-		again = time.After(waits.NextBackOff())
+		retry = time.After(delays.NextBackOff())
 	}
 }
--- a/internal/agent/sockets.go
+++ b/internal/agent/sockets.go
@@ -5,25 +5,25 @@
 // request at a time, and a request seldom has more than one attempt out, so the parts are equal.
 // A tenth is left to clients past their part, which are refused and sent away.
 const (
-	leastSockets      = 64
-	ownSockets        = 24
-	defaultSockets    = 1024
-	leastShared       = 8  // even where two processes share a small limit
-	operationsSockets = 12 // calls of operators at once, where they have a door
+	minDescriptors       = 64
+	reservedDescriptors  = 24
+	defaultDescriptors   = 1024
+	minSharedDescriptors = 8  // even where two processes share a small limit
+	maxAdminConns        = 12 // calls of operators at once, where they have a door
 )
 
-func sharedSockets(limit int) int {
+func sharedDescriptors(limit int) int {
 	if limit == 0 {
-		limit = defaultSockets
+		limit = defaultDescriptors
 	}
-	return max(leastShared, limit-ownSockets)
+	return max(minSharedDescriptors, limit-reservedDescriptors)
 }
 
-// clientSockets is how many client connections are kept and requests held.
-func clientSockets(limit int) int { return sharedSockets(limit) * 45 / 100 }
+// maxClientConns is how many client connections are kept and requests held.
+func maxClientConns(limit int) int { return sharedDescriptors(limit) * 45 / 100 }
 
-// backendSockets is how many connections to backends are open at once.
-func backendSockets(limit int) int { return sharedSockets(limit) * 45 / 100 }
+// maxUpstreamConns is how many connections to backends are open at once.
+func maxUpstreamConns(limit int) int { return sharedDescriptors(limit) * 45 / 100 }
 
-// acceptSockets is how many client connections are accepted at once.
-func acceptSockets(limit int) int { return sharedSockets(limit) - backendSockets(limit) }
+// maxAcceptedConns is how many client connections are accepted at once.
+func maxAcceptedConns(limit int) int { return sharedDescriptors(limit) - maxUpstreamConns(limit) }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -5,48 +5,48 @@
 // A planned restart begins with a SIGTERM, of which clients are told up to 0.4 s late. The platform kills 0.7 s after the
 // longest deadline, at 3 s of that at the most.
 const (
-	acceptAfterStop = 450 * time.Millisecond // new connections are taken for so long at least
-	silentAfterStop = 250 * time.Millisecond // without a byte, before a new connection is closed then
-	longestKept     = 3 * time.Second        // of the longest deadline
-	stopSlack       = 600 * time.Millisecond // after it, the last answers are out
-	stopEvery       = 5 * time.Millisecond
+	acceptWindowAfterStop = 450 * time.Millisecond // new connections are taken for so long at least
+	silentConnTimeout     = 250 * time.Millisecond // without a byte, before a new connection is closed then
+	maxDrainDeadline      = 3 * time.Second        // of the longest deadline
+	drainSlack            = 600 * time.Millisecond // after it, the last answers are out
+	drainPollInterval     = 5 * time.Millisecond
 )
 
-// stop answers what was taken and returns once nobody is left. Each answer ends its connection, and one that rests is
+// drain answers what was taken and returns once nobody is left. Each answer ends its connection, and one that rests is
 // closed: a client whose request crosses that comes anew, and is still accepted. What comes within the platform's last
 // moments gets its answer before them. Nothing is cut off here: what the platform's kill ends is excused, what the process
 // itself ends is lost.
 //
 // With a successor the socket is shared, and what connects from now on is the successor's.
-func (a *Agent) stop(served <-chan error) {
+func (a *Agent) drain(served <-chan error) {
 	a.log.Info("stopping")
-	f, began, end := a.front, time.Now(), time.Now().Add(a.stopIn)
-	f.taking.Store(false)
-	f.stopBy(end)
-	accepting, accepted, rest, silent := a.accept(), false, time.Duration(0), time.Duration(-1)
-	if a.successor != nil {
+	f, startedAt, deadline := a.frontend, time.Now(), time.Now().Add(a.drainTimeout)
+	f.accepting.Store(false)
+	f.drainBy(deadline)
+	acceptWindow, windowOver, idleGrace, silentTimeout := a.acceptWindow(), false, time.Duration(0), time.Duration(-1)
+	if a.hotRestart != nil {
 		// Nobody who is turned back there could come anew to this process: each may send once more.
-		accepted, rest, silent = true, emptyIdle, silentAfterStop
-		a.shut(served)
+		windowOver, idleGrace, silentTimeout = true, drainIdleTimeout, silentConnTimeout
+		a.closeListener(served)
 	}
-	tick := time.NewTicker(stopEvery)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	for late := false; !accepted || !a.closed || f.anyone(); <-tick.C {
+	for logged := false; !windowOver || !a.listenerClosed || f.hasConnections(); <-tick.C {
 		select {
-		case <-accepting:
-			accepted, silent = true, silentAfterStop
+		case <-acceptWindow:
+			windowOver, silentTimeout = true, silentConnTimeout
 		default:
 		}
-		if time.Since(began) >= rest {
-			f.waiting.CloseIdle(0, silent)
+		if time.Since(startedAt) >= idleGrace {
+			f.idleConns.CloseIdle(0, silentTimeout)
 		}
-		over := time.Now().After(end)
-		if accepted && (over || !a.listener.Backlogged()) {
-			a.shut(served)
+		pastDeadline := time.Now().After(deadline)
+		if windowOver && (pastDeadline || !a.listener.Backlogged()) {
+			a.closeListener(served)
 		}
-		if open := f.open.Load(); over && !late && open > 0 {
-			late = true
-			a.log.Warn("still answering", "open", open)
+		if openRequests := f.openRequests.Load(); pastDeadline && !logged && openRequests > 0 {
+			logged = true
+			a.log.Warn("still answering", "open", openRequests)
 		}
 	}
 	f.readers.Wait() // until clients have read the last answers
@@ -56,13 +56,13 @@
 	a.log.Info("stopped")
 }
 
-// shut ends accepting. What is in the kernel's queue when a listener closes is reset: as long as the queue waits for a
+// closeListener ends accepting. What is in the kernel's queue when a listener closes is reset: as long as the queue waits for a
 // descriptor the listener stays open.
-func (a *Agent) shut(served <-chan error) {
-	if a.closed {
+func (a *Agent) closeListener(served <-chan error) {
+	if a.listenerClosed {
 		return
 	}
-	a.closed = true
+	a.listenerClosed = true
 	if err := a.listener.Close(); err != nil {
 		a.log.Warn("closing", "error", err)
 	}
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -11,94 +11,94 @@
 	"time"
 )
 
-// Bodies and answers larger than maxBody pass through: they are never held whole.
+// Bodies and answers larger than maxBufferedBody pass through: they are never held whole.
 const (
-	largest     = 32 << 20                // bytes of a body or an answer; a body past it is turned away
-	streamPart  = 32 << 10                // passed on at once, while the budget lasts
-	leastPart   = 4 << 10                 // and after that
-	kernelPart  = 256 << 10               // what the kernel holds of a stream on either side
-	gatherFor   = 50 * time.Millisecond   // an answer of unknown length is held back while it may turn out small
-	streamStall = 10 * time.Second        // without a byte of a stream, before it is given up
-	clientStall = 1500 * time.Millisecond // without a byte of a client's body: nobody may send it slower than leastPace
-	leastPace   = 48 << 10                // bytes a second; clients send 64 kB
-	leastGiven  = 1 << 10                 // bytes a second of an answer, far below what any backend sends
+	maxStreamBytes     = 32 << 20                // bytes of a body or an answer; a body past it is turned away
+	streamBufferSize   = 32 << 10                // passed on at once, while the budget lasts
+	minBufferSize      = 4 << 10                 // and after that
+	kernelBufferSize   = 256 << 10               // what the kernel holds of a stream on either side
+	bufferingTimeout   = 50 * time.Millisecond   // an answer of unknown length is held back while it may turn out small
+	streamStallTimeout = 10 * time.Second        // without a byte of a stream, before it is given up
+	clientStallTimeout = 1500 * time.Millisecond // without a byte of a client's body: nobody may send it slower than minClientRate
+	minClientRate      = 48 << 10                // bytes a second; clients send 64 kB
+	minUpstreamRate    = 1 << 10                 // bytes a second of an answer, far below what any backend sends
 )
 
 var (
-	errStalled = errors.New("no byte has passed for too long")
-	errEnded   = errors.New("the request has ended")
+	errStalled      = errors.New("no byte has passed for too long")
+	errRequestEnded = errors.New("the request has ended")
 )
 
-// buffers is the budget for what passes through.
-type buffers struct{ left atomic.Int64 }
+// bufferBudget is the budget for what passes through.
+type bufferBudget struct{ remaining atomic.Int64 }
 
-// newBuffers gives streams an eighth of the memory.
-func newBuffers(memoryMB int) *buffers {
-	b := &buffers{}
+// newBufferBudget gives streams an eighth of the memory.
+func newBufferBudget(memoryMB int) *bufferBudget {
+	b := &bufferBudget{}
 	if memoryMB == 0 {
 		memoryMB = 64
 	}
-	b.left.Store(int64(memoryMB) << 20 / 8)
+	b.remaining.Store(int64(memoryMB) << 20 / 8)
 	return b
 }
 
 // get returns a buffer, and what gives it back. There is always one: past the budget it is small.
-func (b *buffers) get() ([]byte, func()) {
-	size := int64(streamPart)
-	if b.left.Add(-size) < 0 {
-		b.left.Add(size)
-		return make([]byte, leastPart), func() {}
+func (b *bufferBudget) get() ([]byte, func()) {
+	size := int64(streamBufferSize)
+	if b.remaining.Add(-size) < 0 {
+		b.remaining.Add(size)
+		return make([]byte, minBufferSize), func() {}
 	}
-	return make([]byte, size), func() { b.left.Add(size) }
+	return make([]byte, size), func() { b.remaining.Add(size) }
 }
 
-// paced reads a client's body and gives up one that is slower than any proper client. Only the time
+// minThroughputReader reads a client's body and gives up one that is slower than any proper client. Only the time
 // spent waiting for the client counts.
-type paced struct {
-	r     io.Reader
-	rc    *http.ResponseController
-	slack time.Duration
-	most  time.Duration // for the next byte
-	spent time.Duration
-	got   int64
+type minThroughputReader struct {
+	source    io.Reader
+	control   *http.ResponseController
+	allowance time.Duration
+	maxGap    time.Duration // for the next byte
+	waited    time.Duration
+	received  int64
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	began := time.Now()
-	left := p.slack + time.Duration(p.got)*time.Second/leastPace - p.spent
-	if err := p.rc.SetReadDeadline(began.Add(min(left, p.most))); err != nil {
+func (r *minThroughputReader) Read(b []byte) (int, error) {
+	readStart := time.Now()
+	remaining := r.allowance + time.Duration(r.received)*time.Second/minClientRate - r.waited
+	if err := r.control.SetReadDeadline(readStart.Add(min(remaining, r.maxGap))); err != nil {
 		return 0, err
 	}
-	n, err := p.r.Read(b)
-	p.spent += time.Since(began)
-	if p.got += int64(n); p.got > largest {
-		return 0, &http.MaxBytesError{Limit: largest}
+	n, err := r.source.Read(b)
+	r.waited += time.Since(readStart)
+	if r.received += int64(n); r.received > maxStreamBytes {
+		return 0, &http.MaxBytesError{Limit: maxStreamBytes}
 	}
 	return n, err
 }
 
 // upload is what is left of a large body, on its way from its client to one backend.
 type upload struct {
-	length int64 // of the whole body; -1: unknown
-	out    *io.PipeWriter
-	in     *io.PipeReader
-	begun  atomic.Bool   // an attempt has asked for more than what is held: it can't be sent again
-	whole  chan struct{} // closed once its last byte has come
-	at     time.Time     // when; may be read once whole is closed
-	failed chan struct{} // closed where it never will
-	err    error         // why; may be read once failed is closed
+	length        int64 // of the whole body; -1: unknown
+	pipeWriter    *io.PipeWriter
+	pipeReader    *io.PipeReader
+	streamStarted atomic.Bool   // an attempt has asked for more than what is held: it can't be sent again
+	completed     chan struct{} // closed once its last byte has come
+	completedAt   time.Time     // when; may be read once whole is closed
+	failed        chan struct{} // closed where it never will
+	err           error         // why; may be read once failed is closed
 }
 
 func newUpload(length int64) *upload {
-	u := &upload{length: length, whole: make(chan struct{}), failed: make(chan struct{})}
-	u.in, u.out = io.Pipe()
+	u := &upload{length: length, completed: make(chan struct{}), failed: make(chan struct{})}
+	u.pipeReader, u.pipeWriter = io.Pipe()
 	return u
 }
 
 // complete reports whether the last byte has come.
 func (u *upload) complete() bool {
 	select {
-	case <-u.whole:
+	case <-u.completed:
 		return true
 	default:
 		return false
@@ -107,37 +107,37 @@
 
 // pump reads from the client and hands on, no faster than the attempt takes it. A client that fails is
 // told to the front alone: the attempt is withdrawn by the loop, since the backend is not to blame.
-func (u *upload) pump(body *paced, b *buffers) {
+func (u *upload) pump(body *minThroughputReader, b *bufferBudget) {
 	buf, free := b.get()
 	defer free()
 	for {
 		n, err := body.Read(buf)
 		if errors.Is(err, io.EOF) {
-			if err := body.rc.SetReadDeadline(time.Time{}); err != nil { // left running it would pass for a hang-up
+			if err := body.control.SetReadDeadline(time.Time{}); err != nil { // left running it would pass for a hang-up
 				u.fail(err)
 				return
 			}
-			u.at = time.Now()
-			close(u.whole)
+			u.completedAt = time.Now()
+			close(u.completed)
 		} else if err != nil {
 			u.fail(err)
 			return
 		}
-		if n > 0 && !u.hand(buf[:n]) {
+		if n > 0 && !u.forward(buf[:n]) {
 			return
 		}
 		if err != nil {
-			u.out.Close()
+			u.pipeWriter.Close()
 			return
 		}
 	}
 }
 
-// hand waits until the attempt has taken p.
-func (u *upload) hand(p []byte) bool {
-	stalled := time.AfterFunc(streamStall, func() { u.stop(errStalled) })
+// forward waits until the attempt has taken p.
+func (u *upload) forward(p []byte) bool {
+	stalled := time.AfterFunc(streamStallTimeout, func() { u.stop(errStalled) })
 	defer stalled.Stop()
-	_, err := u.out.Write(p)
+	_, err := u.pipeWriter.Write(p)
 	return err == nil
 }
 
@@ -148,197 +148,199 @@
 
 // stop ends what reads and what writes it.
 func (u *upload) stop(err error) {
-	u.out.CloseWithError(err)
-	u.in.CloseWithError(err)
+	u.pipeWriter.CloseWithError(err)
+	u.pipeReader.CloseWithError(err)
 }
 
-// body is a large body as one attempt reads it.
-type body struct {
-	held []byte
-	u    *upload
-	left int64       // bytes that are still to be read; below 0: unknown
-	done atomic.Bool // the last byte was handed out
+// requestBody is a large body as one attempt reads it.
+type requestBody struct {
+	buffered  []byte
+	upload    *upload
+	remaining int64       // bytes that are still to be read; below 0: unknown
+	consumed  atomic.Bool // the last byte was handed out
 }
 
-func (u *upload) body(held []byte) *body { return &body{held: held, u: u, left: u.length} }
+func (u *upload) newBody(buffered []byte) *requestBody {
+	return &requestBody{buffered: buffered, upload: u, remaining: u.length}
+}
 
-func (b *body) Read(p []byte) (n int, err error) {
-	if len(b.held) > 0 {
-		n = copy(p, b.held)
-		b.held = b.held[n:]
+func (b *requestBody) Read(p []byte) (n int, err error) {
+	if len(b.buffered) > 0 {
+		n = copy(p, b.buffered)
+		b.buffered = b.buffered[n:]
 	} else {
-		b.u.begun.Store(true)
-		n, err = b.u.in.Read(p)
+		b.upload.streamStarted.Store(true)
+		n, err = b.upload.pipeReader.Read(p)
 	}
-	if b.left -= int64(n); b.left == 0 || errors.Is(err, io.EOF) {
-		b.done.Store(true)
+	if b.remaining -= int64(n); b.remaining == 0 || errors.Is(err, io.EOF) {
+		b.consumed.Store(true)
 	}
 	return n, err
 }
 
-func (b *body) Close() error { return nil } // the upload outlives an attempt that never began it
+func (b *requestBody) Close() error { return nil } // the upload outlives an attempt that never began it
 
-// expiry ends an attempt at its time, unless its answer has begun by then.
-type expiry struct {
+// attemptTimer ends an attempt at its time, unless its answer has begun by then.
+type attemptTimer struct {
 	cancel context.CancelCauseFunc
 
-	mu    sync.Mutex
-	timer *time.Timer
-	begun bool
-	over  bool
+	mu              sync.Mutex
+	timer           *time.Timer
+	responseStarted bool
+	expired         bool
 }
 
-func (e *expiry) arm(at time.Time) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if !e.begun && e.timer == nil {
-		e.timer = time.AfterFunc(time.Until(at), func() {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			if !e.begun {
-				e.over = true
-				e.cancel(errTimedOut)
+func (t *attemptTimer) arm(at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.responseStarted && t.timer == nil {
+		t.timer = time.AfterFunc(time.Until(at), func() {
+			t.mu.Lock()
+			defer t.mu.Unlock()
+			if !t.responseStarted {
+				t.expired = true
+				t.cancel(errTimedOut)
 			}
 		})
 	}
 }
 
-// begin reports whether the answer has begun in time. After that no time ends it.
-func (e *expiry) begin() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.timer != nil {
-		e.timer.Stop()
+// disarm reports whether the answer has begun in time. After that no time ends it.
+func (t *attemptTimer) disarm() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	e.begun = !e.over
-	return e.begun
+	t.responseStarted = !t.expired
+	return t.responseStarted
 }
 
-// stream is what is left of a large answer, on its way from its backend to the client.
-type stream struct {
+// responseStream is what is left of a large answer, on its way from its backend to the client.
+type responseStream struct {
 	length int64 // of the whole answer; -1: unknown
-	in     io.Reader
+	source io.Reader
 	cancel context.CancelCauseFunc // of the attempt
 	free   func()                  // gives back the buffer
 	once   sync.Once
-	ended  chan struct{}
-	err    error // the backend broke it off, or errEnded: nobody wants the rest; may be read once ended is closed
+	done   chan struct{}
+	err    error // the backend broke it off, or errRequestEnded: nobody wants the rest; may be read once ended is closed
 }
 
-func (s *stream) end(err error) {
+func (s *responseStream) finish(err error) {
 	s.once.Do(func() {
 		s.err = err
-		close(s.ended)
+		close(s.done)
 	})
 }
 
-// slow reports whether a backend sends its answer slower than any would, after it was waited for so long, with so many bytes:
+// isTooSlow reports whether a backend sends its answer slower than any would, after it was waited for so long, with so many bytes:
 // one that drips for good never ends. The client's deadline is no bound: of a long answer its first bytes are timed, and what
 // its backend still gives must not be cut off.
-func slow(waited time.Duration, passed int64) bool {
-	return waited > streamStall+time.Duration(passed)*time.Second/leastGiven
+func isTooSlow(waited time.Duration, received int64) bool {
+	return waited > streamStallTimeout+time.Duration(received)*time.Second/minUpstreamRate
 }
 
-// chunk is one read of an answer of unknown length.
-type chunk struct {
-	p   []byte
-	err error
+// readResult is one read of an answer of unknown length.
+type readResult struct {
+	data []byte
+	err  error
 }
 
-// gathered reads an answer whose length is not known, in a goroutine of its own, so that what has come
+// bufferedResponse reads an answer whose length is not known, in a goroutine of its own, so that what has come
 // can go on while more is awaited. The goroutine ends with the answer, or once its body is closed.
-type gathered struct {
-	chunks chan chunk
-	next   chan struct{} // the last chunk is used up
-	over   <-chan struct{}
-	rest   chunk
+type bufferedResponse struct {
+	results  chan readResult
+	consumed chan struct{} // the last chunk is used up
+	done     <-chan struct{}
+	unread   readResult
 }
 
-func gather(r io.Reader, buf []byte, over <-chan struct{}) *gathered {
-	g := &gathered{chunks: make(chan chunk), next: make(chan struct{}), over: over}
+func bufferResponse(r io.Reader, buf []byte, done <-chan struct{}) *bufferedResponse {
+	b := &bufferedResponse{results: make(chan readResult), consumed: make(chan struct{}), done: done}
 	go func() {
 		for {
 			n, err := r.Read(buf)
 			select {
-			case g.chunks <- chunk{buf[:n], err}:
-			case <-over:
+			case b.results <- readResult{buf[:n], err}:
+			case <-done:
 				return
 			}
 			if err != nil {
 				return
 			}
 			select {
-			case <-g.next:
-			case <-over:
+			case <-b.consumed:
+			case <-done:
 				return
 			}
 		}
 	}()
-	return g
+	return b
 }
 
-// upTo returns what comes until there are most bytes, the answer ends, or the time is up. More tells
+// readUpTo returns what comes until there are most bytes, the answer ends, or the time is up. More tells
 // that it has not ended.
-func (g *gathered) upTo(most int, within time.Duration) (held []byte, more bool, err error) {
-	end := time.NewTimer(within)
-	defer end.Stop()
-	for len(held) <= most {
+func (b *bufferedResponse) readUpTo(limit int, timeout time.Duration) (buffered []byte, more bool, err error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for len(buffered) <= limit {
 		select {
-		case c := <-g.chunks:
-			held = append(held, c.p...)
-			if errors.Is(c.err, io.EOF) {
-				return held, false, nil
+		case result := <-b.results:
+			buffered = append(buffered, result.data...)
+			if errors.Is(result.err, io.EOF) {
+				return buffered, false, nil
 			}
-			if c.err != nil {
-				return held, false, c.err
+			if result.err != nil {
+				return buffered, false, result.err
 			}
 			select {
-			case g.next <- struct{}{}:
-			case <-g.over:
-				return held, false, errEnded
+			case b.consumed <- struct{}{}:
+			case <-b.done:
+				return buffered, false, errRequestEnded
 			}
-		case <-end.C:
-			if len(held) > 0 {
-				return held, true, nil
+		case <-timer.C:
+			if len(buffered) > 0 {
+				return buffered, true, nil
 			}
-			end.Reset(within) // no byte yet: nothing could go on
-		case <-g.over:
-			return held, false, errEnded
+			timer.Reset(timeout) // no byte yet: nothing could go on
+		case <-b.done:
+			return buffered, false, errRequestEnded
 		}
 	}
-	return held, true, nil
+	return buffered, true, nil
 }
 
-func (g *gathered) Read(p []byte) (int, error) {
-	if len(g.rest.p) == 0 && g.rest.err == nil {
+func (b *bufferedResponse) Read(p []byte) (int, error) {
+	if len(b.unread.data) == 0 && b.unread.err == nil {
 		select {
-		case g.rest = <-g.chunks:
-		case <-g.over:
-			return 0, errEnded
+		case b.unread = <-b.results:
+		case <-b.done:
+			return 0, errRequestEnded
 		}
 	}
-	n := copy(p, g.rest.p)
-	if g.rest.p = g.rest.p[n:]; len(g.rest.p) > 0 {
+	n := copy(p, b.unread.data)
+	if b.unread.data = b.unread.data[n:]; len(b.unread.data) > 0 {
 		return n, nil
 	}
-	if g.rest.err == nil {
+	if b.unread.err == nil {
 		select {
-		case g.next <- struct{}{}:
-		case <-g.over:
-			return n, errEnded
+		case b.consumed <- struct{}{}:
+		case <-b.done:
+			return n, errRequestEnded
 		}
 	}
-	return n, g.rest.err
+	return n, b.unread.err
 }
 
-// boundKernel keeps the kernel from holding megabytes of a stream on a connection.
-func boundKernel(c net.Conn) {
+// limitKernelBuffers keeps the kernel from holding megabytes of a stream on a connection.
+func limitKernelBuffers(c net.Conn) {
 	if t, ok := c.(interface {
 		SetReadBuffer(int) error
 		SetWriteBuffer(int) error
 	}); ok {
 		// One that is refused leaves the kernel's own bound.
-		_ = t.SetReadBuffer(kernelPart)
-		_ = t.SetWriteBuffer(kernelPart)
+		_ = t.SetReadBuffer(kernelBufferSize)
+		_ = t.SetWriteBuffer(kernelBufferSize)
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -26,46 +26,46 @@
 	return text.String()[:n]
 }
 
-func sum(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+func digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 
-// handled is a backend that serves by handle.
-func handled(t *testing.T, handle http.HandlerFunc) member {
+// startHTTPBackend is a backend that serves by handle.
+func startHTTPBackend(t *testing.T, handle http.HandlerFunc) discoveryMember {
 	t.Helper()
 	ln := listen(t)
 	server := &http.Server{Handler: handle}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	return member{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+	return discoveryMember{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
-// client is a client's connection, in pieces.
-type client struct {
+// rawClient is a client's connection, in pieces.
+type rawClient struct {
 	t *testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-func connect(t *testing.T, a *running) *client {
+func dialRawClient(t *testing.T, a *testAgent) *rawClient {
 	t.Helper()
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(2 * patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(2 * testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	return &client{t, c, bufio.NewReader(c)}
+	return &rawClient{t, c, bufio.NewReader(c)}
 }
 
-func (c *client) send(text string) {
+func (c *rawClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *client) answer() *http.Response {
+func (c *rawClient) readResponse() *http.Response {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -74,12 +74,12 @@
 	return resp
 }
 
-func head(path, more string) string {
+func postHeader(path, more string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n", path, newID(), more)
 }
 
-// inChunks is a body in chunks, with extensions and a trailer.
-func inChunks(parts ...string) string {
+// chunkedBody is a body in chunks, with extensions and a trailer.
+func chunkedBody(parts ...string) string {
 	text := ""
 	for _, p := range parts {
 		text += fmt.Sprintf("%x;name=\"a;b\"\r\n%s\r\n", len(p), p)
@@ -88,38 +88,38 @@
 }
 
 // A large body goes on to the backend as it comes, unchanged, in whatever form it is written.
-func TestLargeBodyPassesThrough(t *testing.T) {
+func TestLargeBodyIsStreamed(t *testing.T) {
 	began := make(chan bool, 10)
-	s := handled(t, func(w http.ResponseWriter, hr *http.Request) {
-		text := make([]byte, maxBody)
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+		text := make([]byte, maxBufferedBody)
 		_, err := io.ReadFull(hr.Body, text)
 		began <- err == nil
 		rest, err := io.ReadAll(hr.Body)
 		if err != nil {
 			return
 		}
-		fmt.Fprint(w, hr.ContentLength, sum(string(text)+string(rest)))
+		fmt.Fprint(w, hr.ContentLength, digest(string(text)+string(rest)))
 	})
-	a := start(t, testConfig(t, setup{servers: []member{s}}))
-	text := pattern(5*maxBody + 7)
-	first, rest := text[:2*maxBody], text[2*maxBody:]
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
+	text := pattern(5*maxBufferedBody + 7)
+	first, rest := text[:2*maxBufferedBody], text[2*maxBufferedBody:]
 	for name, row := range map[string]struct {
 		head, first, rest string
 		length            int
 	}{
 		"length": {fmt.Sprintf("Content-Length: %d\r\n", len(text)), first, rest, len(text)},
-		"chunks": {"Transfer-Encoding: chunked\r\n", strings.TrimSuffix(inChunks(first), "0;last\r\nX-Trailer: 1\r\n\r\n"), inChunks(rest[:1], rest[1:]), -1},
+		"chunks": {"Transfer-Encoding: chunked\r\n", strings.TrimSuffix(chunkedBody(first), "0;last\r\nX-Trailer: 1\r\n\r\n"), chunkedBody(rest[:1], rest[1:]), -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := connect(t, a)
-			c.send(head("/pay/x", row.head) + row.first)
+			c := dialRawClient(t, a)
+			c.send(postHeader("/pay/x", row.head) + row.first)
 			if !receive(t, "first part at the backend", began) { // the rest has not been written yet
 				t.Fatal("it came short")
 			}
 			c.send(row.rest)
-			resp := c.answer()
+			resp := c.readResponse()
 			got, err := io.ReadAll(resp.Body)
-			if want := fmt.Sprint(row.length, sum(text)); err != nil || resp.StatusCode != 200 || string(got) != want {
+			if want := fmt.Sprint(row.length, digest(text)); err != nil || resp.StatusCode != 200 || string(got) != want {
 				t.Errorf("%d %q %v, want %q", resp.StatusCode, got, err, want)
 			}
 		})
@@ -127,8 +127,8 @@
 }
 
 // A large answer goes on with its first bytes, unchanged, in whatever form the backend writes it.
-func TestLargeAnswerPassesThrough(t *testing.T) {
-	text := pattern(6*maxBody + 3)
+func TestLargeResponseIsStreamed(t *testing.T) {
+	text := pattern(6*maxBufferedBody + 3)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n", len(text)),
 		"chunks": "Transfer-Encoding: chunked\r\n",
@@ -161,10 +161,10 @@
 					_, _ = io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 				}
 			}()
-			a := start(t, testConfig(t, setup{servers: []member{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
-			c := connect(t, a)
+			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
+			c := dialRawClient(t, a)
 			c.send(fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()))
-			resp := c.answer()
+			resp := c.readResponse()
 			got := make([]byte, 100)
 			if _, err := io.ReadFull(resp.Body, got); err != nil || resp.StatusCode != 200 || resp.Header.Get("X-Form") != "kept" {
 				t.Fatal(resp, err)
@@ -180,22 +180,22 @@
 
 // An answer that breaks off after it has begun ends so that the client can tell, and the backend's
 // connection is not used again.
-func TestLargeAnswerThatBreaksOff(t *testing.T) {
+func TestTruncatedLargeResponseIsDetectable(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nTRUNCATED" + pattern(70000),
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf4240\r\nTRUNCATED" + pattern(300000),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serveRaw(t, func(int) string { return text })
-			a := start(t, testConfig(t, setup{servers: []member{s.member("s")}}))
+			s := startRawBackend(t, func(int) string { return text })
+			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 			x := a.do("GET", "/get/x", "")
 			if x.status != 200 || !errors.Is(x.err, io.ErrUnexpectedEOF) {
 				t.Errorf("status %d, %v", x.status, x.err)
 			}
-			waitFor(t, "the connection to be dropped", func() bool {
-				a.backends.mu.Lock()
-				defer a.backends.mu.Unlock()
-				return a.backends.open == 0
+			eventually(t, "the connection to be dropped", func() bool {
+				a.pool.mu.Lock()
+				defer a.pool.mu.Unlock()
+				return a.pool.openConns == 0
 			})
 			if len(s.seen) != 1 {
 				t.Errorf("%d attempts of a request whose answer had begun", len(s.seen))
@@ -205,32 +205,32 @@
 }
 
 // A client that does not read its large answer holds up nobody else.
-func TestSlowReaderHoldsItsOwnConnectionAlone(t *testing.T) {
+func TestSlowReaderBlocksNoOtherClient(t *testing.T) {
 	text := pattern(8 << 20) // more than any kernel holds on the way
-	s := handled(t, func(w http.ResponseWriter, hr *http.Request) {
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/large" {
 			_, _ = io.WriteString(w, text)
 			return
 		}
 		fmt.Fprint(w, "small")
 	})
-	a := start(t, testConfig(t, setup{servers: []member{s}}))
-	slow := connect(t, a)
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
+	slow := dialRawClient(t, a)
 	slow.send(fmt.Sprintf("GET /get/large HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()))
-	resp := slow.answer()
+	resp := slow.readResponse()
 	for range 50 {
 		if x := a.do("GET", "/get/small", ""); x.status != 200 || x.body != "small" {
 			t.Fatalf("%+v", x)
 		}
 	}
-	if got, err := io.ReadAll(resp.Body); err != nil || sum(string(got)) != sum(text) {
+	if got, err := io.ReadAll(resp.Body); err != nil || digest(string(got)) != digest(text) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 }
 
 // A body of which a part is gone is never sent again. Where its last byte was not written nothing has
 // run, and the client may try again; where a connection failed before, the attempt is made elsewhere.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
+func TestConsumedBodyIsNotRetried(t *testing.T) {
 	came := make(chan struct{}, 10)
 	ln := listen(t)
 	go func() {
@@ -241,33 +241,33 @@
 			}
 			hr, err := http.ReadRequest(bufio.NewReader(c))
 			if err == nil {
-				_, _ = io.CopyN(io.Discard, hr.Body, 2*maxBody)
+				_, _ = io.CopyN(io.Discard, hr.Body, 2*maxBufferedBody)
 				came <- struct{}{}
 			}
 			c.Close() // with the rest unread: a reset
 		}
 	}()
-	text := pattern(64 * maxBody)
-	a := start(t, testConfig(t, setup{servers: []member{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
-	c := connect(t, a)
+	text := pattern(64 * maxBufferedBody)
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
+	c := dialRawClient(t, a)
 	go func() {
-		_, _ = io.WriteString(c, head("/put/x", fmt.Sprintf("Content-Length: %d\r\n", len(text)))+text)
+		_, _ = io.WriteString(c, postHeader("/put/x", fmt.Sprintf("Content-Length: %d\r\n", len(text)))+text)
 	}()
-	if resp := c.answer(); resp.StatusCode != 503 {
+	if resp := c.readResponse(); resp.StatusCode != 503 {
 		t.Errorf("status %d for a body that broke off on its way", resp.StatusCode)
 	}
 	if len(came) != 1 {
 		t.Errorf("%d attempts", len(came))
 	}
 
-	s := handled(t, func(w http.ResponseWriter, hr *http.Request) {
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		got, _ := io.ReadAll(hr.Body)
-		fmt.Fprint(w, sum(string(got)))
+		fmt.Fprint(w, digest(string(got)))
 	})
-	dead := member{ID: "dead", Addr: deadAddr(t), Zone: "a", Kind: "m1", State: "ready"}
-	b := start(t, testConfig(t, setup{servers: []member{dead, s}}))
+	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
+	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
 	for range 10 { // some of these find the dead one first
-		if x := b.do("POST", "/pay/x", text[:3*maxBody]); x.status != 200 || x.body != sum(text[:3*maxBody]) {
+		if x := b.do("POST", "/pay/x", text[:3*maxBufferedBody]); x.status != 200 || x.body != digest(text[:3*maxBufferedBody]) {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -275,27 +275,27 @@
 
 // A client that breaks off within its large body is gone: the backend never gets the last byte, and is
 // not blamed.
-func TestClientThatBreaksOff(t *testing.T) {
+func TestClientAbortDuringUploadIsNotBackendsFault(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan error, 1)
-	s := handled(t, func(w http.ResponseWriter, hr *http.Request) {
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/x" {
 			fmt.Fprint(w, "served")
 			return
 		}
-		_, _ = io.CopyN(io.Discard, hr.Body, maxBody)
+		_, _ = io.CopyN(io.Discard, hr.Body, maxBufferedBody)
 		close(began)
 		_, err := io.Copy(io.Discard, hr.Body)
 		ended <- err
 	})
-	a := start(t, testConfig(t, setup{servers: []member{s}}))
-	c := connect(t, a)
-	c.send(head("/pay/x", "Content-Length: 300000\r\n") + pattern(2*maxBody))
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
+	c := dialRawClient(t, a)
+	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*maxBufferedBody))
 	receive(t, "first part", began)
 	c.Close()
 	if err := receive(t, "end at the backend", ended); err == nil {
 		t.Error("the backend took it for whole")
 	}
-	waitFor(t, "the request to end", func() bool { return a.front.open.Load() == 0 })
+	eventually(t, "the request to end", func() bool { return a.frontend.openRequests.Load() == 0 })
 	for range 5 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
 			t.Errorf("afterwards: %+v", x)
@@ -304,30 +304,30 @@
 }
 
 // All forms of a request are taken, and what follows one on its connection.
-func TestFormsOfRequests(t *testing.T) {
-	s := handled(t, func(w http.ResponseWriter, hr *http.Request) {
+func TestPipelinedAndChunkedRequestsAreServed(t *testing.T) {
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		got, _ := io.ReadAll(hr.Body)
 		fmt.Fprint(w, hr.URL, " ", string(got))
 	})
-	a := start(t, testConfig(t, setup{servers: []member{s}}))
-	c := connect(t, a)
-	c.send(head("http://app.svc/put/a?b=c", "Content-Length: 3\r\n") + "one" + head("/put/b", "Content-Length: 3\r\n") + "two" +
-		head("/put/c", "Transfer-Encoding: chunked\r\n") + inChunks("th", "ree"))
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
+	c := dialRawClient(t, a)
+	c.send(postHeader("http://app.svc/put/a?b=c", "Content-Length: 3\r\n") + "one" + postHeader("/put/b", "Content-Length: 3\r\n") + "two" +
+		postHeader("/put/c", "Transfer-Encoding: chunked\r\n") + chunkedBody("th", "ree"))
 	for _, want := range []string{"/put/a?b=c one", "/put/b two", "/put/c three"} {
-		resp := c.answer()
+		resp := c.readResponse()
 		if got, err := io.ReadAll(resp.Body); err != nil || string(got) != want {
 			t.Errorf("%q %v, want %q", got, err, want)
 		}
 	}
-	c = connect(t, a)
-	for _, part := range strings.SplitAfter(head("/put/d", "Expect: 100-continue\r\nContent-Length: 3\r\n"), "") {
+	c = dialRawClient(t, a)
+	for _, part := range strings.SplitAfter(postHeader("/put/d", "Expect: 100-continue\r\nContent-Length: 3\r\n"), "") {
 		c.send(part)
 	}
-	if resp := c.answer(); resp.StatusCode != 100 {
+	if resp := c.readResponse(); resp.StatusCode != 100 {
 		t.Fatal(resp)
 	}
 	c.send("ask")
-	resp := c.answer()
+	resp := c.readResponse()
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "/put/d ask" {
 		t.Errorf("%q %v", got, err)
 	}
@@ -335,13 +335,13 @@
 
 // A client may take 2 s for a header and send its body at 64 kB a second; one that stops is sent away,
 // and the time in which nobody takes what it sends is not its own.
-func TestPaceOfBodies(t *testing.T) {
-	const total = 5 * maxBody
-	upload := func(t *testing.T, f *front, dial func() net.Conn, stop int) (status int, took time.Duration) {
+func TestSlowUploadIsServedAndStalledOneEnds(t *testing.T) {
+	const total = 5 * maxBufferedBody
+	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
 		c := dial()
 		began := time.Now()
 		go func() {
-			text := head("/pay/x", fmt.Sprintf("Content-Length: %d\r\n", total))
+			text := postHeader("/pay/x", fmt.Sprintf("Content-Length: %d\r\n", total))
 			time.Sleep(2 * time.Second)
 			_, _ = io.WriteString(c, text)
 			for sent := 0; sent < stop; sent += 8000 {
@@ -349,12 +349,12 @@
 				_, _ = io.WriteString(c, pattern(min(8000, total-sent)))
 			}
 		}()
-		status, at := endOf(c)
+		status, at := readUntilClosed(c)
 		return status, at.Sub(began)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f, dial := frontAt(t, testConfig(t, setup{}))
-		takeUploads(t, f, 3*time.Second)
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectUploads(t, f, 3*time.Second)
 		if status, took := upload(t, f, dial, total); status != 503 { // the module's word here: it was taken whole
 			t.Errorf("a slow one: status %d after %v", status, took)
 		}
@@ -364,9 +364,9 @@
 	})
 }
 
-// takeUploads stands in for the module and an attempt behind a front: it waits for a while, reads a
+// rejectUploads stands in for the module and an attempt behind a front: it waits for a while, reads a
 // large body to its end and refuses.
-func takeUploads(t *testing.T, f *front, wait time.Duration) {
+func rejectUploads(t *testing.T, f *frontend, wait time.Duration) {
 	f.loop.ready.Store(true)
 	var ends []chan struct{}
 	done := make(chan struct{})
@@ -376,17 +376,17 @@
 			select {
 			case e := <-f.loop.events:
 				switch e := e.(type) {
-				case arrived:
+				case requestArrived:
 					end := make(chan struct{})
 					ends = append(ends, end)
 					go func() {
 						defer close(end)
 						time.Sleep(wait)
-						if _, err := io.Copy(io.Discard, e.message.upload.body(e.message.body)); err == nil {
-							e.reply <- reply{refused: true}
+						if _, err := io.Copy(io.Discard, e.upstream.upload.newBody(e.upstream.body)); err == nil {
+							e.reply <- reply{rejected: true}
 						}
 					}()
-				case clientGone:
+				case clientDisconnected:
 					e.reply <- reply{}
 				}
 			case <-f.loop.stopped:
@@ -404,38 +404,38 @@
 }
 
 // Past the budget streams go on in small buffers, and what is given back counts again.
-func TestBuffersKeepToTheirBudget(t *testing.T) {
-	b := newBuffers(1) // MB
+func TestBufferSizeFollowsBudget(t *testing.T) {
+	b := newBufferBudget(1) // MB
 	var free []func()
-	for range 1 << 20 / 8 / streamPart {
+	for range 1 << 20 / 8 / streamBufferSize {
 		buf, give := b.get()
-		if len(buf) != streamPart {
+		if len(buf) != streamBufferSize {
 			t.Fatalf("%d bytes within the budget", len(buf))
 		}
 		free = append(free, give)
 	}
-	if buf, give := b.get(); len(buf) != leastPart {
+	if buf, give := b.get(); len(buf) != minBufferSize {
 		t.Errorf("%d bytes past the budget", len(buf))
 	} else {
 		give()
 	}
 	free[0]()
-	if buf, _ := b.get(); len(buf) != streamPart {
+	if buf, _ := b.get(); len(buf) != streamBufferSize {
 		t.Errorf("%d bytes after one was given back", len(buf))
 	}
 }
 
 // An attempt's time ends with the first bytes of its answer, and not before.
-func TestExpiry(t *testing.T) {
+func TestAttemptTimerStopsOnceResponseStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, inTime := range []bool{true, false} {
 			ctx, cancel := context.WithCancelCause(context.Background())
-			x := &expiry{cancel: cancel}
+			x := &attemptTimer{cancel: cancel}
 			x.arm(time.Now().Add(time.Second))
 			if !inTime {
 				time.Sleep(2 * time.Second)
 			}
-			if x.begin() != inTime {
+			if x.disarm() != inTime {
 				t.Errorf("in time: %v", !inTime)
 			}
 			time.Sleep(2 * time.Second)
@@ -448,33 +448,33 @@
 }
 
 // What an attempt with a large answer is reported as: its latency is that of the first bytes.
-func TestLargeAnswerIsReported(t *testing.T) {
+func TestLargeResponseLatencyIsFirstByte(t *testing.T) {
 	hold := make(chan struct{})
-	s := handled(t, func(w http.ResponseWriter, hr *http.Request) {
-		_, _ = io.WriteString(w, pattern(2*maxBody))
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+		_, _ = io.WriteString(w, pattern(2*maxBufferedBody))
 		_ = http.NewResponseController(w).Flush()
 		<-hold
 	})
-	b := poolFor(t, s.Addr)
+	b := poolWithBackend(t, s.Addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	u, _ := http.NewRequest("GET", "/get/x", nil)
-	tr := &try{ctx: ctx, cancel: cancel, id: "s", start: time.Now(), m: &message{method: "GET", url: u.URL, header: http.Header{}}}
+	tr := &attempt{ctx: ctx, cancel: cancel, backendID: "s", start: time.Now(), request: &upstreamRequest{method: "GET", url: u.URL, header: http.Header{}}}
 	var told time.Duration
-	tr.began = func(a *answer, took time.Duration) bool {
+	tr.onStreamStart = func(a *response, took time.Duration) bool {
 		told = took
 		go func() {
-			_, err := io.CopyN(io.Discard, a.rest.in, 2*maxBody-int64(len(a.body)))
+			_, err := io.CopyN(io.Discard, a.stream.source, 2*maxBufferedBody-int64(len(a.body)))
 			close(hold)
 			if err == nil {
-				_, err = io.Copy(io.Discard, a.rest.in)
+				_, err = io.Copy(io.Discard, a.stream.source)
 			}
-			a.rest.end(err)
+			a.stream.finish(err)
 		}()
 		return true
 	}
-	result, a, _ := b.try(tr)
-	if result != balancer.OK || a.rest == nil || tr.took != told || tr.took >= time.Since(tr.start) {
-		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.took, time.Since(tr.start))
+	result, a, _ := b.execute(tr)
+	if result != balancer.OK || a.stream == nil || tr.latency != told || tr.latency >= time.Since(tr.start) {
+		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.latency, time.Since(tr.start))
 	}
 	if len(b.idle["s"]) != 1 {
 		t.Error("the connection is not kept")
@@ -482,38 +482,38 @@
 }
 
 // A connection on which a header has begun to come is not idle, though nothing lies unread on it.
-func TestHalfAHeaderIsNotIdle(t *testing.T) {
+func TestPartialHeaderIsNotIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, dial := frontAt(t, testConfig(t, setup{}))
-		refuseAll(t, f)
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
 		c := dial()
 		text := fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID())
 		if _, err := io.WriteString(c, text[:20]); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(emptyIdle)
-		f.waiting.CloseIdle(emptyIdle, emptyIdle)
+		time.Sleep(drainIdleTimeout)
+		f.idleConns.CloseIdle(drainIdleTimeout, drainIdleTimeout)
 		if _, err := io.WriteString(c, text[20:]); err != nil {
 			t.Fatal(err)
 		}
-		if status, _ := endOf(c); status != 503 {
+		if status, _ := readUntilClosed(c); status != 503 {
 			t.Errorf("status %d", status)
 		}
 	})
 }
 
-// goneWriter is the answer's way to a client that takes what comes until it is gone.
-type goneWriter struct{ *recorder }
+// disconnectedWriter is the answer's way to a client that takes what comes until it is gone.
+type disconnectedWriter struct{ *statusRecorder }
 
-func (goneWriter) SetWriteDeadline(time.Time) error { return nil }
-func (goneWriter) Flush()                           {}
+func (disconnectedWriter) SetWriteDeadline(time.Time) error { return nil }
+func (disconnectedWriter) Flush()                           {}
 
 // A client that leaves within its large answer ends it; its backend is not blamed.
-func TestClientThatLeavesALargeAnswer(t *testing.T) {
-	f := newFront(testConfig(t, setup{}), &loop{backends: poolFor(t, "127.0.0.1:1")}, quiet)
+func TestClientDisconnectDuringStreamIsNotBackendsFault(t *testing.T) {
+	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: poolWithBackend(t, "127.0.0.1:1")}, discardLog)
 	in, out := io.Pipe()
 	defer out.Close()
-	s := &stream{length: -1, in: in, cancel: func(err error) { in.CloseWithError(err) }, ended: make(chan struct{})}
+	s := &responseStream{length: -1, source: in, cancel: func(err error) { in.CloseWithError(err) }, done: make(chan struct{})}
 	ctx, leave := context.WithCancel(context.Background())
 	hr, err := http.NewRequestWithContext(ctx, "GET", "/get/x", nil)
 	if err != nil {
@@ -521,11 +521,11 @@
 	}
 	go func() {
 		defer func() { _ = recover() }() // net/http's: the connection is closed
-		f.relay(goneWriter{newRecorder()}, hr, &answer{body: []byte("first"), rest: s})
+		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &response{body: []byte("first"), stream: s})
 	}()
 	leave()
-	receive(t, "end of the answer", s.ended)
-	if !errors.Is(s.err, errEnded) {
+	receive(t, "end of the answer", s.done)
+	if !errors.Is(s.err, errRequestEnded) {
 		t.Errorf("the backend is told to have ended it: %v", s.err)
 	}
 }
--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -71,9 +71,9 @@
 		t.Fatal(err)
 	}
 	c.Settings, c.Site = balancer.Settings{}, wire.Site{}
-	equal(t, "configuration", *c, agent.Config{Name: "agent-1", Listen: "127.0.0.1:2", Discovery: "127.0.0.1:3", Mgmt: "127.0.0.1:4", Seed: 0x5, Cores: 6.5,
-		MemoryMB: 77, Sockets: 888, DialFrom: "127.0.0.9", PeerListen: "127.0.0.1:10", Peers: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"},
-		Known: &discovery.EndpointList{Version: 14, Full: true, Endpoints: []discovery.Endpoint{
+	equal(t, "configuration", *c, agent.Config{Name: "agent-1", Listen: "127.0.0.1:2", Discovery: "127.0.0.1:3", AdminAddr: "127.0.0.1:4", Seed: 0x5, Cores: 6.5,
+		MemoryMB: 77, MaxDescriptors: 888, DialFrom: "127.0.0.9", PeerListen: "127.0.0.1:10", Peers: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"},
+		CachedEndpoints: &discovery.EndpointList{Version: 14, Full: true, Endpoints: []discovery.Endpoint{
 			{ID: "b15", Addr: "127.0.0.1:16", Zone: "a", Kind: "k", Cell: 17, State: "ready", Weight: 18.5, StartedAt: 19}}}})
 }
 
--- a/internal/lab/standin_test.go
+++ b/internal/lab/standin_test.go
@@ -36,7 +36,7 @@
 	case "":
 		os.Exit(m.Run())
 	case "real":
-		source := product.Platform(os.Getenv)
+		source := product.PlatformSource(os.Getenv)
 		source.Join = membership.Shares
 		if err := product.Serve(slog.New(slog.NewTextHandler(os.Stderr, nil)), source); err != nil {
 			fmt.Fprintln(os.Stderr, err)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -24,9 +24,9 @@
 )
 
 // Shares reads what an agent shares with its fleet out of its configuration.
-func Shares(raw []byte) (agent.Join, error) { return shares(raw, nil) }
+func Shares(raw []byte) (agent.JoinFunc, error) { return shares(raw, nil) }
 
-func shares(raw []byte, g *given) (agent.Join, error) {
+func shares(raw []byte, g *given) (agent.JoinFunc, error) {
 	s, err := config.ReadShared(raw)
 	if err != nil {
 		return nil, err
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -26,7 +26,7 @@
 		over := settings.NewAgent(file, m.move)
 		h := holder(settings.Config{Check: over.Check, Apply: over.Apply, Log: log}, own.Settings.State)
 		read = over.Read
-		source.Join = func(raw []byte) (agent.Join, error) { return shares(raw, &given{h, m}) }
+		source.Join = func(raw []byte) (agent.JoinFunc, error) { return shares(raw, &given{h, m}) }
 	}
 	source.Read = func() ([]byte, error) {
 		c, err := read()
