--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -13,221 +13,221 @@
 )
 
 const (
-	smooth       = 0.1 // weight of a new sample in a running mean, about the last 20 samples
-	priorSamples = 2.0 // answers that the mean of all counts for in a backend's slowness at the start
-	comeBack     = 1.0 // longest aims, give or take half, after which a refused client may find room
+	smoothing            = 0.1 // weight of a new sample in a running mean, about the last 20 samples
+	priorSamples         = 2.0 // answers that the mean of all counts for in a backend's slowness at the start
+	retryAfterObjectives = 1.0 // longest aims, give or take half, after which a refused client may find room
 )
 
 // Step takes what has happened by now, in order, and returns what to do.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
-	b.measure()
-	if b.s.Peers && b.tellToken == 0 {
-		b.born = b.now
-		b.tellToken = b.alarm(time.Duration(b.rng.Float64() * float64(b.period)))
+	b.recomputeCapacity()
+	if b.settings.GossipAllowed && b.gossipTimer == 0 {
+		b.startedAt = b.now
+		b.gossipTimer = b.setTimer(time.Duration(b.rng.Float64() * float64(b.maxObjective)))
 	}
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case Request:
-			b.onRequest(e)
+			b.onRequest(event)
 		case Outcome:
-			b.onOutcome(e)
+			b.onOutcome(event)
 		case TimerFired:
-			b.onTimer(e.Token)
-		case List:
-			b.onList(e)
-			b.measure()
-		case PeerMessage:
-			b.onPeer(e)
+			b.onTimer(event.Token)
+		case EndpointUpdate:
+			b.onEndpointUpdate(event)
+			b.recomputeCapacity()
+		case GossipReceived:
+			b.onGossip(event)
 		case ProbeResult:
-			b.onProbe(e)
+			b.onProbe(event)
 		case Abandoned:
-			if r := b.requests[e.Request]; r != nil {
-				b.close(r)
+			if req := b.requests[event.Request]; req != nil {
+				b.close(req)
 			}
-		case Part:
-			b.mine = e.Of
-			b.reckon()
-		case Distances:
-			b.onDistances(e)
+		case Quota:
+			b.assignedQuota = event.Share
+			b.recomputeQuota()
+		case ZoneLatencies:
+			b.onZoneLatencies(event)
 		case Residency:
-			b.resident = e.Table
+			b.residencyTable = event.Table
 		default:
-			b.onOperations(e)
+			b.onOtherEvent(event)
 		}
 	}
-	b.releaseHeld()
+	b.admitQueued()
 	return b.actions
 }
 
-func (b *Balancer) onRequest(e Request) {
-	if e.Class < 0 || e.Class >= len(b.classes) || b.requests[e.ID] != nil {
+func (b *Balancer) onRequest(event Request) {
+	if event.Class < 0 || event.Class >= len(b.classes) || b.requests[event.ID] != nil {
 		return
 	}
-	c := &b.classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, aim: b.now + min(c.Aim, e.Left),
-		deadline: b.now + e.Left, repeat: e.Repeat, rule: e.Rule, key: e.Key, came: b.now, coming: e.Coming}
+	class := &b.classes[event.Class]
+	req := &request{id: event.ID, class: event.Class, objectiveAt: b.now + min(class.LatencyObjective, event.TimeRemaining),
+		deadline: b.now + event.TimeRemaining, clientRetry: event.ClientRetry, residencyRule: event.ResidencyRule, affinityKey: event.AffinityKey, timedFrom: b.now, streaming: event.Streaming}
 	// A client gives its tries a usual patience, its last one all that is left of its deadline.
 	// A try with any other patience therefore tells how long ago the client began.
-	if c.patience == 0 {
-		c.patience = e.Left
+	if class.usualTimeout == 0 {
+		class.usualTimeout = event.TimeRemaining
 	}
-	off := e.Left - c.patience
-	if off > 2*b.s.Tick || off < -2*b.s.Tick {
-		r.repeat = true
-		r.aim -= max(0, c.Deadline-e.Left)
+	offset := event.TimeRemaining - class.usualTimeout
+	if offset > 2*b.settings.Tick || offset < -2*b.settings.Tick {
+		req.clientRetry = true
+		req.objectiveAt -= max(0, class.Deadline-event.TimeRemaining)
 	}
-	if !e.Repeat {
-		c.patience += min(max(off, -b.s.Tick/4), b.s.Tick/4) // towards the median
+	if !event.ClientRetry {
+		class.usualTimeout += min(max(offset, -b.settings.Tick/4), b.settings.Tick/4) // towards the median
 	}
-	if r.work = float64(e.Work); r.work > 0 {
-		c.work = blend(c.work, r.work)
+	if req.work = float64(event.Work); req.work > 0 {
+		class.meanWork = ewma(class.meanWork, req.work)
 	}
 	for i := range b.classes { // decay by arrivals: the last few hundred requests count
-		b.classes[i].arrived *= 1 - smooth/20
-		b.classes[i].answered *= 1 - smooth/20
+		b.classes[i].arrivals *= 1 - smoothing/20
+		b.classes[i].metObjective *= 1 - smoothing/20
 	}
-	c.arrived++
-	if b.lastAt > 0 {
-		b.gap = blend(b.gap, float64(b.now-b.lastAt))
+	class.arrivals++
+	if b.lastArrivalAt > 0 {
+		b.meanInterarrival = ewma(b.meanInterarrival, float64(b.now-b.lastArrivalAt))
 	}
-	b.lastAt = b.now
-	b.requests[e.ID] = r
-	if !r.repeat {
-		b.demand.add(b.now, b.expected(r))
-		b.earn(r)
+	b.lastArrivalAt = b.now
+	b.requests[event.ID] = req
+	if !req.clientRetry {
+		b.demand.add(b.now, b.expectedLatency(req))
+		b.accrueCredit(req)
 	}
-	b.hold(r)
+	b.enqueue(req)
 }
 
-func (b *Balancer) onOutcome(e Outcome) {
-	r := b.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
+func (b *Balancer) onOutcome(event Outcome) {
+	req := b.requests[event.Request]
+	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) || !req.attempts[event.Attempt].open {
 		return
 	}
-	a := r.attempts[e.Attempt]
+	a := req.attempts[event.Attempt]
 	a.open = false
-	r.open--
-	b.leave(a)
-	if e.Result.NeverRan() {
-		if r.risky--; r.risky == 0 {
-			r.anchor = nil
+	req.openAttempts--
+	b.vacate(a)
+	if event.Result.NeverRan() {
+		if req.possiblyExecuted--; req.possiblyExecuted == 0 {
+			req.scopeAttempt = nil
 		}
 	}
-	c := &b.classes[r.class]
-	b.observe(r, a, e)
-	if b.outcomes++; b.notesOn() && b.outcomes%passEvery == 0 {
-		b.message(b.notes, 1+b.rng.IntN(b.s.Balancers-1))
+	class := &b.classes[req.class]
+	b.recordOutcome(req, a, event)
+	if b.outcomes++; b.gossipsObservations() && b.outcomes%outcomesPerGossip == 0 {
+		b.sendGossip(b.observations, 1+b.rng.IntN(b.settings.Balancers-1))
 	}
-	if e.Result == OK && !r.ended {
-		b.tokens = min(bucketCap, b.tokens+successRefill)
-		if b.now <= r.aim {
-			c.answered++
+	if event.Result == OK && !req.ended {
+		b.tokens = min(maxRetryTokens, b.tokens+successRefill)
+		if b.now <= req.objectiveAt {
+			class.metObjective++
 		}
 	}
-	if e.Done || e.Result == OK || r.ended {
-		b.close(r)
+	if event.Done || event.Result == OK || req.ended {
+		b.close(req)
 		return
 	}
-	r.failed = a.b
-	if r.open == 0 && !r.waiting && !r.holding {
-		b.retry(r, e.Result)
+	req.lastFailed = a.backend
+	if req.openAttempts == 0 && !req.inBackoff && !req.queued {
+		b.retry(req, event.Result)
 	}
 }
 
 func (b *Balancer) onTimer(token int64) {
-	a, r := b.watched[token], b.timers[token]
-	delete(b.watched, token)
-	delete(b.timers, token)
+	a, req := b.overdueTimers[token], b.requestTimers[token]
+	delete(b.overdueTimers, token)
+	delete(b.requestTimers, token)
 	switch {
 	case token == 0:
-	case token == b.askToken:
-		b.askToken = 0
+	case token == b.pollTimer:
+		b.pollTimer = 0
 		b.actions = append(b.actions, Subscribe{})
-	case token == b.tellToken:
-		b.tell()
+	case token == b.gossipTimer:
+		b.gossip()
 	case a != nil:
-		b.overdue(a)
-	case b.zoneOf(token) != nil:
-		b.probeZone(b.zoneOf(token))
-	case r != nil && !r.ended && token == r.timer:
-		r.timer = 0 // a held one may be due later by now: it must get another, or it is lost
-		if r.waiting {
-			r.waiting = false
-			b.hold(r)
+		b.onOverdue(a)
+	case b.zoneByProbeTimer(token) != nil:
+		b.probeZone(b.zoneByProbeTimer(token))
+	case req != nil && !req.ended && token == req.timer:
+		req.timer = 0 // a held one may be due later by now: it must get another, or it is lost
+		if req.inBackoff {
+			req.inBackoff = false
+			b.enqueue(req)
 		}
 	}
 }
 
-func (b *Balancer) onList(e List) {
-	if e.Kind == ListFailed {
-		if !b.s.Subscribe {
+func (b *Balancer) onEndpointUpdate(event EndpointUpdate) {
+	if event.Kind == UpdateFailed {
+		if !b.settings.Subscribe {
 			return
 		}
 		// Asked again after an exponential, fully jittered wait.
-		b.askFails++
-		unit := float64(b.s.AskWithin) / 64
-		b.askToken = b.alarm(time.Duration(b.rng.Float64() * unit * math.Exp2(float64(min(b.askFails, 4)))))
+		b.pollFailures++
+		unit := float64(b.settings.PollInterval) / 64
+		b.pollTimer = b.setTimer(time.Duration(b.rng.Float64() * unit * math.Exp2(float64(min(b.pollFailures, 4)))))
 		return
 	}
-	if e.Kind == ListCached && b.s.Subscribe {
+	if event.Kind == UpdateCached && b.settings.Subscribe {
 		// Spread in time, since all agents may start at once.
-		b.askToken = b.alarm(time.Duration(b.rng.Float64() * float64(b.s.AskWithin) / 64))
+		b.pollTimer = b.setTimer(time.Duration(b.rng.Float64() * float64(b.settings.PollInterval) / 64))
 	} else {
-		b.askFails = 0
+		b.pollFailures = 0
 	}
-	b.merge(e)
+	b.mergeEndpoints(event)
 }
 
 // send starts an attempt. Nothing else does; the rules are checked here last.
-func (b *Balancer) send(r *request, t *backend) {
-	if t.State != Up || !b.mayRepeat(r, t) || b.now >= r.deadline {
-		b.finish(r)
+func (b *Balancer) send(req *request, backend *backendState) {
+	if backend.State != Up || !b.mayAttempt(req, backend) || b.now >= req.deadline {
+		b.finish(req)
 		return
 	}
-	if b.binds(r) && (len(t.out) > 0 || b.zone(t).pace > slowPace) {
-		b.reserve(r)
+	if b.residencyBound(req) && (len(backend.outstanding) > 0 || b.zone(backend).latencyRatio > crowdedLatencyRatio) {
+		b.reserveZones(req)
 	}
-	a := &attempt{b: t, zone: t.Zone, cell: t.Cell, sent: b.now, before: b.before(r), cost: max(b.expected(r), 1), open: true}
-	r.attempts = append(r.attempts, a)
-	r.open++
-	if r.risky++; r.anchor == nil {
-		r.anchor = a
+	a := &attempt{backend: backend, zone: backend.Zone, cell: backend.Cell, sentAt: b.now, sendDeadline: b.sendDeadline(req), expected: max(b.expectedLatency(req), 1), open: true}
+	req.attempts = append(req.attempts, a)
+	req.openAttempts++
+	if req.possiblyExecuted++; req.scopeAttempt == nil {
+		req.scopeAttempt = a
 	}
-	b.enter(r, a)
-	b.credit -= a.cost
-	z := b.zone(t)
+	b.occupy(req, a)
+	b.credit -= a.expected
+	z := b.zone(backend)
 	z.canary = false
-	if b.thin() || len(b.zones) > 1 {
-		aim := float64(b.classes[r.class].Aim)
-		b.watched[b.alarm(time.Duration(min(aim, max(overdueAt*aim, overdueCost*a.cost))))] = a
+	if b.sparseQuota() || len(b.zones) > 1 {
+		objective := float64(b.classes[req.class].LatencyObjective)
+		b.overdueTimers[b.setTimer(time.Duration(min(objective, max(overdueObjectives*objective, overdueLatencies*a.expected))))] = a
 	}
-	t.budget -= b.expected(r) / b.classes[r.class].latency // tells while it is cold
-	b.actions = append(b.actions, Send{Request: r.id, Backend: t.ID, Before: a.before})
+	backend.slowStartBudget -= b.expectedLatency(req) / b.classes[req.class].latency // tells while it is cold
+	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
 }
 
 // finish gives a request its final answer. Nothing else does. It is a refusal
 // where no attempt may have run, which lets any client try again; else a failure.
-func (b *Balancer) finish(r *request) {
-	if r.ended {
+func (b *Balancer) finish(req *request) {
+	if req.ended {
 		return
 	}
-	var answer Action = Fail{Request: r.id}
-	if r.risky == 0 {
-		wait := time.Duration(comeBack * (0.5 + b.rng.Float64()) * float64(b.period))
-		answer = Refuse{Request: r.id, RetryAfter: b.s.advice(wait), Residency: !b.homes(r)}
+	var answer Action = Fail{Request: req.id}
+	if req.possiblyExecuted == 0 {
+		wait := time.Duration(retryAfterObjectives * (0.5 + b.rng.Float64()) * float64(b.maxObjective))
+		answer = Refuse{Request: req.id, RetryAfter: b.settings.retryAfter(wait), NoPermittedZone: !b.hasPermittedBackend(req)}
 	}
 	b.actions = append(b.actions, answer)
-	b.close(r)
+	b.close(req)
 }
 
 // close forgets a request once it has ended and its attempts are in.
-func (b *Balancer) close(r *request) {
-	r.ended = true
-	if r.holding {
-		b.unhold(r)
+func (b *Balancer) close(req *request) {
+	req.ended = true
+	if req.queued {
+		b.dequeue(req)
 	}
-	if r.open == 0 {
-		delete(b.requests, r.id)
+	if req.openAttempts == 0 {
+		delete(b.requests, req.id)
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -17,26 +17,26 @@
 
 // Classes of the test settings, by position.
 const (
-	safe = iota
-	unsafe
-	keyedAll
-	keyedZone
-	keyedCell
+	idempotent = iota
+	nonIdempotent
+	scopeAll
+	scopeZone
+	scopeCell
 )
 
 func settings() balancer.Settings {
-	class := func(e balancer.Effect, g balancer.Group) balancer.Class {
-		return balancer.Class{Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: e, Group: g, Window: 300 * ms}
+	class := func(e balancer.Idempotency, g balancer.IdempotencyScope) balancer.Class {
+		return balancer.Class{LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: e, Scope: g, DedupWindow: 300 * ms}
 	}
 	return balancer.Settings{
 		Balancers: 1, MaxAttempts: 4, Tick: 5 * ms,
 		Classes: []balancer.Class{
-			class(balancer.Safe, 0), class(balancer.Unsafe, 0), class(balancer.Keyed, balancer.GroupAll),
-			class(balancer.Keyed, balancer.GroupZone), class(balancer.Keyed, balancer.GroupCell),
+			class(balancer.Idempotent, 0), class(balancer.NonIdempotent, 0), class(balancer.IdempotencyKey, balancer.ScopeAll),
+			class(balancer.IdempotencyKey, balancer.ScopeZone), class(balancer.IdempotencyKey, balancer.ScopeCell),
 		},
-		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, ColdShare: 0.2, RampTime: 10 * time.Second,
-		FallMultiple: 2.5, FallWindow: time.Second, AskWithin: 10 * time.Second,
-		GoalWhole: 0.6, GoalWindow: 0.2, GoalClass: 0.2,
+		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, InitialCapacity: 0.2, SlowStartWindow: 10 * time.Second,
+		OverloadMultiple: 2.5, OverloadWindow: time.Second, PollInterval: 10 * time.Second,
+		GoalOverall: 0.6, GoalWorstWindow: 0.2, GoalWorstClass: 0.2,
 	}
 }
 
@@ -51,14 +51,14 @@
 
 // rig drives one balancer and keeps what it does.
 type rig struct {
-	t       *testing.T
-	b       *balancer.Balancer
-	now     time.Duration
-	sent    map[string][]string // backends of each request's attempts
-	timers  []balancer.TimerFired
-	due     []time.Duration
-	actions []balancer.Action // of the last step
-	audit   *auditor          // of the rules; may be nil
+	t        *testing.T
+	b        *balancer.Balancer
+	now      time.Duration
+	sent     map[string][]string // backends of each request's attempts
+	timers   []balancer.TimerFired
+	timersAt []time.Duration
+	actions  []balancer.Action // of the last step
+	audit    *auditor          // of the rules; may be nil
 }
 
 func newRig(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Backend) *rig {
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Hour, sent: map[string][]string{}}
-	r.step(balancer.List{Kind: balancer.ListCached, Backends: list})
+	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateCached, Backends: list})
 	return r
 }
 
@@ -89,7 +89,7 @@
 			r.sent[a.Request] = append(r.sent[a.Request], a.Backend)
 		case balancer.SetTimer:
 			r.timers = append(r.timers, balancer.TimerFired{Token: a.Token})
-			r.due = append(r.due, r.now+a.After)
+			r.timersAt = append(r.timersAt, r.now+a.After)
 		}
 	}
 	return r.actions
@@ -101,8 +101,8 @@
 	end := r.now + d
 	for {
 		next := -1
-		for i, at := range r.due {
-			if at <= end && (next < 0 || at < r.due[next]) {
+		for i, at := range r.timersAt {
+			if at <= end && (next < 0 || at < r.timersAt[next]) {
 				next = i
 			}
 		}
@@ -110,9 +110,9 @@
 			break
 		}
 		token := r.timers[next]
-		r.now = max(r.now, r.due[next])
+		r.now = max(r.now, r.timersAt[next])
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
-		r.due = append(r.due[:next], r.due[next+1:]...)
+		r.timersAt = append(r.timersAt[:next], r.timersAt[next+1:]...)
 		all = append(all, r.step(token)...)
 	}
 	r.now = end
@@ -120,7 +120,7 @@
 }
 
 func (r *rig) request(id string, class int) []balancer.Action {
-	return r.step(balancer.Request{ID: id, Class: class, Left: 2000 * ms})
+	return r.step(balancer.Request{ID: id, Class: class, TimeRemaining: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
@@ -178,11 +178,11 @@
 		{"negative number", func(s *balancer.Settings) { s.Self = -1 }, "Self: -1"},
 		{"attempt limit below zero", func(s *balancer.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
 		{"drain grace below zero", func(s *balancer.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
-		{"cold share above one", func(s *balancer.Settings) { s.ColdShare = 1.5 }, "ColdShare: 1.5"},
-		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Effect = 9 }, "Classes[2].Effect: 9"},
-		{"unknown group", func(s *balancer.Settings) { s.Classes[1].Group = 7 }, "Classes[1].Group: 7"},
-		{"no aim", func(s *balancer.Settings) { s.Classes[0].Aim = 0 }, "Classes[0].Aim: 0s"},
-		{"window below zero", func(s *balancer.Settings) { s.Classes[3].Window = -ms }, "Classes[3].Window: -1ms"},
+		{"cold share above one", func(s *balancer.Settings) { s.InitialCapacity = 1.5 }, "ColdShare: 1.5"},
+		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Idempotency = 9 }, "Classes[2].Effect: 9"},
+		{"unknown group", func(s *balancer.Settings) { s.Classes[1].Scope = 7 }, "Classes[1].Group: 7"},
+		{"no aim", func(s *balancer.Settings) { s.Classes[0].LatencyObjective = 0 }, "Classes[0].Aim: 0s"},
+		{"window below zero", func(s *balancer.Settings) { s.Classes[3].DedupWindow = -ms }, "Classes[3].Window: -1ms"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -196,32 +196,32 @@
 }
 
 // What an outcome lets each kind of class do: retry on another backend, or end.
-func TestOutcomes(t *testing.T) {
+func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
 		class  int
 		result balancer.Result
 		want   string
 	}{
-		{safe, balancer.Errored, retry},
-		{safe, balancer.TimedOut, retry},
-		{safe, balancer.Reset, retry},
-		{safe, balancer.Full, retry},
-		{safe, balancer.ConnectFailed, retry},
-		{safe, balancer.NotSent, "refuse"},
-		{unsafe, balancer.Errored, "fail"},
-		{unsafe, balancer.TimedOut, "fail"},
-		{unsafe, balancer.Reset, "fail"},
-		{unsafe, balancer.Cancelled, "fail"},
-		{unsafe, balancer.Full, retry},
-		{unsafe, balancer.ConnectFailed, retry},
-		{unsafe, balancer.NotSent, "refuse"},
-		{keyedAll, balancer.Errored, retry},
-		{keyedAll, balancer.Full, retry},
-		{keyedZone, balancer.Errored, retry},
-		{keyedZone, balancer.ConnectFailed, retry},
-		{keyedCell, balancer.TimedOut, retry},
-		{keyedCell, balancer.Reset, retry},
+		{idempotent, balancer.Errored, retry},
+		{idempotent, balancer.TimedOut, retry},
+		{idempotent, balancer.Reset, retry},
+		{idempotent, balancer.Rejected, retry},
+		{idempotent, balancer.ConnectFailed, retry},
+		{idempotent, balancer.NotSent, "refuse"},
+		{nonIdempotent, balancer.Errored, "fail"},
+		{nonIdempotent, balancer.TimedOut, "fail"},
+		{nonIdempotent, balancer.Reset, "fail"},
+		{nonIdempotent, balancer.Cancelled, "fail"},
+		{nonIdempotent, balancer.Rejected, retry},
+		{nonIdempotent, balancer.ConnectFailed, retry},
+		{nonIdempotent, balancer.NotSent, "refuse"},
+		{scopeAll, balancer.Errored, retry},
+		{scopeAll, balancer.Rejected, retry},
+		{scopeZone, balancer.Errored, retry},
+		{scopeZone, balancer.ConnectFailed, retry},
+		{scopeCell, balancer.TimedOut, retry},
+		{scopeCell, balancer.Reset, retry},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("class %d result %d", tt.class, tt.result), func(t *testing.T) {
@@ -245,22 +245,22 @@
 }
 
 // A backend of a kind that the settings don't name is used like any other.
-func TestKindThatIsNotNamed(t *testing.T) {
+func TestBackendOfUnknownKindIsUsed(t *testing.T) {
 	list := backends(2)
 	for i := range list {
 		list[i].Kind = -1
 	}
 	r := newRig(t, settings(), 1, list)
-	if counts := r.serve(20, safe, 50*ms); counts["a"] == 0 || counts["b"] == 0 {
+	if counts := r.serve(20, idempotent, 50*ms); counts["a"] == 0 || counts["b"] == 0 {
 		t.Errorf("served by %v", counts)
 	}
 }
 
 // A keyed request that may have run goes only to its group and within its window.
-func TestKeyedGroup(t *testing.T) {
+func TestKeyedRequestStaysInScopeAndWindow(t *testing.T) {
 	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
 	for seed := uint64(0); seed < 40; seed++ {
-		for _, class := range []int{keyedZone, keyedCell} {
+		for _, class := range []int{scopeZone, scopeCell} {
 			r := newRig(t, settings(), seed, backends(6))
 			r.request("q", class)
 			r.now += 5 * ms
@@ -273,7 +273,7 @@
 	}
 	t.Run("window", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(6))
-		r.request("q", keyedAll)
+		r.request("q", scopeAll)
 		r.now += 300 * ms
 		acts := r.outcome("q", balancer.Errored, 300*ms)
 		if final("q", acts) != "fail" {
@@ -282,7 +282,7 @@
 	})
 	t.Run("never ran", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(6))
-		r.request("q", keyedZone)
+		r.request("q", scopeZone)
 		r.now += 400 * ms
 		r.outcome("q", balancer.ConnectFailed, 400*ms)
 		r.advance(200 * ms)
@@ -292,11 +292,11 @@
 	})
 }
 
-func TestAttemptLimit(t *testing.T) {
+func TestAttemptsStopAtTheLimit(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 3
 	r := newRig(t, s, 3, backends(6))
-	r.request("q", safe)
+	r.request("q", idempotent)
 	var all []balancer.Action
 	for range 6 {
 		if final("q", all) != "" {
@@ -313,7 +313,7 @@
 
 // The bucket holds 100: 20 retries at 5, or 10 after time-outs. First attempts
 // go out when it is empty; served requests bring one token each, up to the cap.
-func TestRetryBucket(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
 	// spend fails n requests and returns how many were retried. The retry is
@@ -321,7 +321,7 @@
 	spend := func(r *rig, n int, res balancer.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(r.sent))
-			r.request(id, safe)
+			r.request(id, idempotent)
 			if len(r.sent[id]) != 1 {
 				t.Fatalf("first attempt of %s did not go out", id)
 			}
@@ -356,7 +356,7 @@
 			if got := spend(r, 30, tt.res); got != tt.first {
 				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
 			}
-			r.serve(tt.serve, safe, 20*ms)
+			r.serve(tt.serve, idempotent, 20*ms)
 			r.advance(30 * time.Second)
 			if got := spend(r, 30, tt.res); got != tt.then {
 				t.Errorf("then funded %d retries, want %d", got, tt.then)
@@ -367,19 +367,19 @@
 
 // Waits are full jitter: between 0 and a unit (a share of the aim) that doubles
 // with each retry up to a ceiling.
-func TestBackoff(t *testing.T) {
+func TestBackoffIsFullJitterUpToTheCeiling(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
-	unit := s.Classes[safe].Aim / 32
+	unit := s.Classes[idempotent].LatencyObjective / 32
 	longest := make([]time.Duration, 6)
 	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
 	for seed := uint64(0); seed < 300; seed++ {
 		r := newRig(t, s, seed, backends(8))
-		r.request("q", safe)
+		r.request("q", idempotent)
 		for n := range 6 {
-			r.outcome("q", balancer.Full, 0)
+			r.outcome("q", balancer.Rejected, 0)
 			failed := r.now
-			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
+			for len(r.sent["q"]) == n+1 && len(r.timersAt) > 0 {
 				r.advance(ms / 4)
 			}
 			if len(r.sent["q"]) != n+2 {
@@ -401,19 +401,19 @@
 }
 
 // A retry whose wait would outlast the time left is not made.
-func TestBackoffWithinTimeLeft(t *testing.T) {
+func TestRetryThatWouldMissTheDeadlineIsNotMade(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
-	r.request("q", safe)
+	r.request("q", idempotent)
 	r.now += 2000 * ms
 	if acts := r.outcome("q", balancer.TimedOut, 2000*ms); final("q", acts) != "fail" {
 		t.Errorf("at the deadline: %v, want the final answer at once", acts)
 	}
 }
 
-func TestPicking(t *testing.T) {
+func TestPickPrefersIdleNearFastBackends(t *testing.T) {
 	t.Run("idle ones at random", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
-		counts := r.serve(400, safe, 50*ms)
+		counts := r.serve(400, idempotent, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
 			if counts[id] < 60 || counts[id] > 140 {
 				t.Errorf("%s got %d of 400, want about 100", id, counts[id])
@@ -422,11 +422,11 @@
 	})
 	t.Run("idle before busy", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
-		r.serve(80, safe, 50*ms)
+		r.serve(80, idempotent, 50*ms)
 		used := map[string]bool{}
 		for i := range 4 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			used[r.sent[id][0]] = true
 		}
 		if len(used) != 4 {
@@ -435,11 +435,11 @@
 	})
 	t.Run("fewest in flight", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
-		r.serve(80, safe, 50*ms)
+		r.serve(80, idempotent, 50*ms)
 		counts := map[string]int{}
 		for i := range 12 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			counts[r.sent[id][0]]++
 		}
 		for id, n := range counts {
@@ -450,15 +450,15 @@
 	})
 	t.Run("a new one counts at the mean", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
-		r.serve(80, safe, 50*ms)
+		r.serve(80, idempotent, 50*ms)
 		for i := range 8 {
-			r.request(fmt.Sprint("q", i), safe)
+			r.request(fmt.Sprint("q", i), idempotent)
 		}
-		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "new"}}})
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "new"}}})
 		rush := 0
 		for i := range 4 {
 			id := fmt.Sprint("n", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			if r.sent[id][0] == "new" {
 				rush++
 			}
@@ -469,10 +469,10 @@
 	})
 	t.Run("own zone where crossing is priced", func(t *testing.T) {
 		s := settings()
-		s.CrossZonePrice = 0.02
+		s.CrossZoneCost = 0.02
 		r := newRig(t, s, 2, backends(4))
-		r.now += s.RampTime + 1 // nothing has been crowded for long
-		counts := r.serve(400, safe, 50*ms)
+		r.now += s.SlowStartWindow + 1 // nothing has been crowded for long
+		counts := r.serve(400, idempotent, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
 			t.Errorf("own zone got %d of 400, want most but not all", own)
 		}
@@ -482,7 +482,7 @@
 		late := 0
 		for i := range 600 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			lat := 40 * ms
 			if r.sent[id][0] == "a" {
 				lat = 160 * ms
@@ -500,12 +500,12 @@
 }
 
 // A backend that fails fast is always idle; it must not draw the traffic.
-func TestFastFailureIsEjected(t *testing.T) {
+func TestBackendThatFailsFastIsEjected(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(6))
 	bad := 0
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
-		r.request(id, unsafe)
+		r.request(id, nonIdempotent)
 		res, lat := balancer.OK, 30*ms
 		if r.sent[id][0] == "a" {
 			res, lat = balancer.Errored, ms
@@ -519,15 +519,15 @@
 	}
 	// Once it works again it comes back, first with requests that may be repeated.
 	r.advance(20 * time.Second)
-	if counts := r.serve(400, safe, 30*ms); counts["a"] < 20 {
+	if counts := r.serve(400, idempotent, 30*ms); counts["a"] < 20 {
 		t.Errorf("after healing it got %d of 400", counts["a"])
 	}
 }
 
 // With no repeatable class at all an ejected backend must still come back.
-func TestEjectionEndsWithoutRepeatableClass(t *testing.T) {
+func TestEjectionEndsWithoutIdempotentClass(t *testing.T) {
 	s := settings()
-	s.Classes = s.Classes[unsafe : unsafe+1]
+	s.Classes = s.Classes[nonIdempotent : nonIdempotent+1]
 	r := newRig(t, s, 4, backends(3))
 	for i := 0; ; i++ {
 		id := fmt.Sprint("q", i)
@@ -545,17 +545,17 @@
 	}
 }
 
-// noisy drives a fleet of ten with 40 requests in flight, on which one attempt in twelve fails to
+// playWithBaselineFailures drives a fleet of ten with 40 requests in flight, on which one attempt in twelve fails to
 // connect or breaks and, if bad, two in three at backend a. It returns the sends of the last half,
 // by backend and in all.
-func noisy(t *testing.T, bad bool) (counts map[string]int, total int) {
+func playWithBaselineFailures(t *testing.T, bad bool) (counts map[string]int, total int) {
 	t.Helper()
 	r := newRig(t, settings(), 5, backends(10))
 	counts = map[string]int{}
 	at := map[string]int{}
 	var answered [4000]int
 	for i := range answered {
-		r.request(fmt.Sprint("q", i), unsafe)
+		r.request(fmt.Sprint("q", i), nonIdempotent)
 		r.advance(ms)
 		for k := max(0, i-500); k < i-40; k++ {
 			id := fmt.Sprint("q", k)
@@ -580,21 +580,21 @@
 
 // Ticket 8488: where some attempts break everywhere, one that does tells nothing of its backend.
 // Each ejected or taken for dead in its turn leaves the rest to carry all.
-func TestUsualFailuresEjectNobody(t *testing.T) {
-	if _, total := noisy(t, false); total < 1950 {
+func TestBaselineFailuresEjectNobody(t *testing.T) {
+	if _, total := playWithBaselineFailures(t, false); total < 1950 {
 		t.Errorf("%d of 2000 requests were sent", total)
 	}
 }
 
 // A lone break ejects nobody, also before the agent has learned what is usual: with as many
 // backends out as broke in the first seconds, a tenth was refused. Two in a row do.
-func TestLoneBreakEjectsNobody(t *testing.T) {
+func TestSingleResetEjectsNobody(t *testing.T) {
 	for n, ejected := range map[int]bool{1: false, 2: true} {
 		r := newRig(t, settings(), 1, backends(3))
-		r.serve(30, unsafe, 20*ms)
+		r.serve(30, nonIdempotent, 20*ms)
 		for i := 0; n > 0; i++ {
 			id := fmt.Sprint("b", i)
-			r.request(id, unsafe)
+			r.request(id, nonIdempotent)
 			r.now += ms
 			if r.sent[id][0] == "a" {
 				r.outcome(id, balancer.Reset, ms)
@@ -603,27 +603,27 @@
 				r.outcome(id, balancer.OK, 20*ms)
 			}
 		}
-		if got := r.serve(20, unsafe, ms)["a"]; (got == 0) != ejected {
+		if got := r.serve(20, nonIdempotent, ms)["a"]; (got == 0) != ejected {
 			t.Errorf("it got %d of 20, ejected wanted: %v", got, ejected)
 		}
 	}
 }
 
 // What fails far more than the others is still avoided.
-func TestWorseThanUsualIsEjected(t *testing.T) {
-	if counts, total := noisy(t, true); counts["a"] > total/25 {
+func TestBackendWorseThanBaselineIsEjected(t *testing.T) {
+	if counts, total := playWithBaselineFailures(t, true); counts["a"] > total/25 {
 		t.Errorf("the failing backend got %d of %d", counts["a"], total)
 	}
 }
 
 // When every backend is ejected, first attempts go out all the same.
-func TestAllEjected(t *testing.T) {
+func TestFirstAttemptGoesOutWhenAllAreEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, 4, backends(2))
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		if len(r.sent[id]) != 1 {
 			t.Fatalf("request %d was not sent", i)
 		}
@@ -633,11 +633,11 @@
 }
 
 // A stalled backend shows in the wait of its oldest attempt, before any answer.
-func TestStallIsAvoided(t *testing.T) {
+func TestStalledBackendIsAvoided(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(3))
-	r.serve(60, safe, 20*ms)
+	r.serve(60, idempotent, 20*ms)
 	for i := range 3 { // one on each
-		r.request(fmt.Sprint("hang", i), safe)
+		r.request(fmt.Sprint("hang", i), idempotent)
 	}
 	for i := range 3 {
 		id := fmt.Sprint("hang", i)
@@ -649,37 +649,37 @@
 	r.now += 300 * ms
 	for i := range 6 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		if r.sent[id][0] == "a" {
 			t.Errorf("request %d went to the stalled backend", i)
 		}
 	}
 }
 
-func TestDrainAndGone(t *testing.T) {
-	for _, state := range []balancer.BackendState{balancer.Draining, balancer.Gone} {
+func TestDrainingAndRemovedBackendsGetNothing(t *testing.T) {
+	for _, state := range []balancer.BackendState{balancer.Draining, balancer.Removed} {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(balancer.List{Kind: balancer.ListDelta,
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 			Backends: []balancer.Backend{{ID: "a", State: state}}})
-		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
+		if n := r.serve(100, idempotent, 20*ms)["a"]; n > 0 {
 			t.Errorf("state %d: %d requests went there", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(3))
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(3)[1:]})
-		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(3)[1:]})
+		if n := r.serve(100, idempotent, 20*ms)["a"]; n > 0 {
 			t.Errorf("%d requests went there", n)
 		}
 	})
 	t.Run("while waiting out a backoff", func(t *testing.T) {
 		for seed := uint64(0); seed < 20; seed++ {
 			r := newRig(t, settings(), seed, backends(2))
-			r.request("q", safe)
+			r.request("q", idempotent)
 			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
 			r.now += ms
 			r.outcome("q", balancer.Errored, ms)
-			r.step(balancer.List{Kind: balancer.ListDelta,
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 				Backends: []balancer.Backend{{ID: other, State: balancer.Draining}}})
 			r.advance(time.Second)
 			for _, b := range r.sent["q"][1:] {
@@ -691,25 +691,25 @@
 	})
 	t.Run("back with the same id", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(2))
-		r.serve(50, safe, 20*ms)
-		r.step(balancer.List{Kind: balancer.ListDelta,
-			Backends: []balancer.Backend{{ID: "a", State: balancer.Gone}}})
-		r.step(balancer.List{Kind: balancer.ListDelta,
+		r.serve(50, idempotent, 20*ms)
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
+			Backends: []balancer.Backend{{ID: "a", State: balancer.Removed}}})
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 			Backends: []balancer.Backend{{ID: "a", Started: r.now}}})
-		r.serve(400, safe, 20*ms)
+		r.serve(400, idempotent, 20*ms)
 		r.advance(10 * time.Second)
-		if n := r.serve(200, safe, 20*ms)["a"]; n < 50 {
+		if n := r.serve(200, idempotent, 20*ms)["a"]; n < 50 {
 			t.Errorf("warm again it got %d of 200", n)
 		}
 	})
 }
 
 // A cold backend gets no more than its warmth times what a warm one serves.
-func TestColdShare(t *testing.T) {
+func TestSlowStartLimitsShare(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour // the rig's clock starts here
 	r := newRig(t, settings(), 9, list)
-	counts := r.serve(200, safe, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
+	counts := r.serve(200, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (200 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
 		t.Errorf("the cold backend got %d against %d for a warm one", counts["a"], warm)
 	}
@@ -717,21 +717,21 @@
 		t.Error("the cold backend got nothing")
 	}
 	r.advance(10 * time.Second)
-	if n := r.serve(200, safe, 20*ms)["a"]; n < 25 {
+	if n := r.serve(200, idempotent, 20*ms)["a"]; n < 25 {
 		t.Errorf("once warm it got %d of 200", n)
 	}
 }
 
 // join+vast: what a backend was slow by while cold was held against it, besides its warmth, and an
 // agent that met it seldom left it idle long after it was warm.
-func TestColdSlownessIsForgotten(t *testing.T) {
+func TestSlowStartLatencyIsForgotten(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour
 	r := newRig(t, settings(), 9, list)
 	serve := func(n int) (got int) {
 		for range n {
 			id := fmt.Sprint("q", len(r.sent))
-			r.request(id, safe)
+			r.request(id, idempotent)
 			latency := 20 * ms
 			if r.sent[id][0] == "a" {
 				got++
@@ -751,18 +751,18 @@
 
 // join+vast: 36 of 60 backends were warm after half of the stated time, and the agents refused what
 // those could have served. The answers of cold ones tell how warm they are.
-func TestAnswersTellWarmth(t *testing.T) {
+func TestAnswersTeachWarmth(t *testing.T) {
 	play := func(cold time.Duration) (sent int) {
 		list := backends(8)
 		for i := range 6 {
 			list[i].Started = time.Hour
 		}
 		s := settings()
-		s.RampTime = time.Minute
+		s.SlowStartWindow = time.Minute
 		r := newRig(t, s, 9, list)
 		for i := range 200 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			latency := 40 * ms
 			if r.sent[id][0] < "g" {
 				latency = cold
@@ -773,7 +773,7 @@
 		for i := range 100 { // and nothing is answered; a cold one takes up its part by and by
 			r.now += 20 * ms
 			id := fmt.Sprint("all", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			sent += len(r.sent[id])
 		}
 		return sent
@@ -783,13 +783,13 @@
 	}
 }
 
-// rush sends 150 requests at once and answers what goes out, and what was held and goes out later,
+// burst sends 150 requests at once and answers what goes out, and what was held and goes out later,
 // after a latency each. It returns how many went out at first.
-func (r *rig) rush(name string, latency time.Duration) (out int) {
+func (r *rig) burst(name string, latency time.Duration) (out int) {
 	answered := map[string]bool{}
 	id := func(i int) string { return fmt.Sprint(name, "-", i) }
 	for i := range 150 {
-		r.request(id(i), safe)
+		r.request(id(i), idempotent)
 		out += len(r.sent[id(i)])
 	}
 	for going := true; going; {
@@ -807,14 +807,14 @@
 
 // join+vast: backends jam within two seconds, and by a tenth a round the limit fell by half in three.
 // It is cut by how far the delay has passed the aimed one.
-func TestLimitFallsWithAJam(t *testing.T) {
+func TestLimitFallsWithOverload(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	full, jammed := 0, 0
 	for n := range 6 {
-		full = r.rush(fmt.Sprint("calm", n), 60*ms)
+		full = r.burst(fmt.Sprint("calm", n), 60*ms)
 	}
 	for n := range 4 {
-		jammed = r.rush(fmt.Sprint("jam", n), 360*ms)
+		jammed = r.burst(fmt.Sprint("jam", n), 360*ms)
 	}
 	if full < 40 || jammed > full*2/3 {
 		t.Errorf("%d in flight before a jam, %d after three slow rounds", full, jammed)
@@ -823,12 +823,12 @@
 
 // join+vast: the limit grew at full speed until the delay, which is seen late, had passed the aimed
 // one, and by then the backends were jammed. It grows by what is left to the aimed delay.
-func TestLimitGrowsByWhatIsLeft(t *testing.T) {
+func TestLimitGrowsSlowerNearTheTarget(t *testing.T) {
 	grown := func(latency time.Duration) int {
 		r := newRig(t, settings(), 1, backends(10))
 		first, last := 0, 0
 		for n := range 5 {
-			if last = r.rush(fmt.Sprint(n), latency); n == 0 {
+			if last = r.burst(fmt.Sprint(n), latency); n == 0 {
 				first = last
 			}
 		}
@@ -845,16 +845,16 @@
 	play := func(before int) (sent int) {
 		list := backends(8)
 		s := settings()
-		s.RampTime = 10 * time.Minute
+		s.SlowStartWindow = 10 * time.Minute
 		r := newRig(t, s, 9, list)
 		serve := func(n int, cold time.Duration) {
 			for i := range 6 {
 				list[i].Started = r.now
 			}
-			r.step(balancer.List{Kind: balancer.ListDelta, Backends: list})
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: list})
 			for range n {
 				id := fmt.Sprint("q", len(r.sent))
-				r.request(id, safe)
+				r.request(id, idempotent)
 				latency := 40 * ms
 				if r.sent[id][0] < "g" {
 					latency = cold
@@ -868,7 +868,7 @@
 		for i := range 100 { // and nothing is answered; a cold one takes up its part by and by
 			r.now += 20 * ms
 			id := fmt.Sprint("all", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			sent += len(r.sent[id])
 		}
 		return sent
@@ -880,7 +880,7 @@
 
 // Incidents i37feae and i28e3f7: under overload a cold backend gets more than its sure share of
 // what a warm one serves, and stays well below the stated multiple of it.
-func TestColdShareUnderOverload(t *testing.T) {
+func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := backends(5)
 	for i := range list {
 		list[i].Zone = 0 // answers here come one at a time: a zone of two would be silent for long, and left
@@ -915,7 +915,7 @@
 			}
 			for range 2 {
 				id := fmt.Sprint("q", len(r.sent), "-", r.now)
-				if r.request(id, safe); len(r.sent[id]) > 0 {
+				if r.request(id, idempotent); len(r.sent[id]) > 0 {
 					out = append(out, id)
 				}
 			}
@@ -923,12 +923,12 @@
 	}
 	for i := range 30 {
 		id := fmt.Sprint("first", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		out = append(out, id)
 	}
 	drive(400)
 	list[0].Started = r.now
-	r.step(balancer.List{Kind: balancer.ListDelta, Backends: list[:1]})
+	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: list[:1]})
 	clear(counts)
 	for _, id := range out {
 		early[id] = true
@@ -943,7 +943,7 @@
 
 // A refused client is told when to come back, within what it heeds and where it is shown that,
 // and not all of them at the same time.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, shown := range []bool{true, false} {
 		s := settings()
 		s.RetryAfter, s.MaxRetryAfter = shown, 450*ms
@@ -951,7 +951,7 @@
 		told := map[time.Duration]bool{}
 		for i := range 20 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			for _, a := range r.advance(500 * ms) {
 				if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 					told[a.RetryAfter] = true
@@ -969,18 +969,18 @@
 
 // Ticket 397: where every backend is cold, as after a power cut, what they serve sets their budgets.
 // By what warm ones served alone they got nothing more once that had faded.
-func TestColdFleetServes(t *testing.T) {
+func TestFleetInSlowStartServes(t *testing.T) {
 	var list []balancer.Backend
 	for _, n := range backends(5) {
 		n.Started = time.Hour
 		list = append(list, n)
 	}
 	s := settings()
-	s.RampTime = time.Minute
+	s.SlowStartWindow = time.Minute
 	r := newRig(t, s, 1, list)
 	served, answered := 0, make([]bool, 1000)
 	for i := range answered { // 20 s, in which the backends warm up by a quarter
-		r.request(fmt.Sprint("q", i), safe)
+		r.request(fmt.Sprint("q", i), idempotent)
 		r.advance(20 * ms)
 		for k := max(0, i-50); k <= i; k++ { // held ones go out later than they came
 			if id := fmt.Sprint("q", k); len(r.sent[id]) == 1 && !answered[k] {
@@ -998,18 +998,18 @@
 }
 
 // A heavy request alone could push a cold backend over.
-func TestColdGetsNoHeavyRequest(t *testing.T) {
+func TestSlowStartGetsNoExpensiveRequest(t *testing.T) {
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
+		r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, Work: work})
 		r.now += 20 * ms
 		r.outcome(id, balancer.OK, 20*ms)
 	}
 	for i := range 100 {
 		send(fmt.Sprint("w", i), 20*ms)
 	}
-	r.step(balancer.List{Kind: balancer.ListDelta,
+	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 		Backends: []balancer.Backend{{ID: "cold", Started: r.now}}})
 	got := 0
 	for i := range 100 {
@@ -1028,16 +1028,16 @@
 	}
 }
 
-// shareAfter drives a balancer with three backends until a is sent n requests at once, ends these
+// shareAfterFailures drives a balancer with three backends until a is sent n requests at once, ends these
 // with res and in one tick, and returns how many of 200 requests a gets after a while.
-func shareAfter(t *testing.T, n int, res balancer.Result) int {
+func shareAfterFailures(t *testing.T, n int, res balancer.Result) int {
 	t.Helper()
 	r := newRig(t, settings(), 3, backends(3))
-	r.serve(60, safe, 20*ms)
+	r.serve(60, idempotent, 20*ms)
 	var out []string
 	for i := 0; len(out) < n; i++ {
 		id := fmt.Sprint("d", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		if r.sent[id][0] == "a" {
 			out = append(out, id)
 		}
@@ -1057,15 +1057,15 @@
 			r.outcome(id, balancer.OK, 20*ms)
 		}
 	}
-	return r.serve(200, safe, 20*ms)["a"]
+	return r.serve(200, idempotent, 20*ms)["a"]
 }
 
 // A backend that comes back before the list tells counts as cold. One that died refuses
 // connections, or breaks all that is out there at once.
-func TestRevivalIsCold(t *testing.T) {
+func TestRestartedBackendIsInSlowStart(t *testing.T) {
 	for name, seen := range map[string]int{
-		"refused":        shareAfter(t, 1, balancer.ConnectFailed),
-		"all broke once": shareAfter(t, 3, balancer.Reset),
+		"refused":        shareAfterFailures(t, 1, balancer.ConnectFailed),
+		"all broke once": shareAfterFailures(t, 3, balancer.Reset),
 	} {
 		if seen == 0 || seen > 35 {
 			t.Errorf("%s: after its return it got %d of 200, want a cold backend's share", name, seen)
@@ -1075,15 +1075,15 @@
 
 // Ticket 397: one attempt that breaks, or whose answer can't be read, is no sign of a restart.
 // Backends taken for cold, one after the other, left no capacity within seconds.
-func TestOneBrokenAnswerIsNoRestart(t *testing.T) {
-	if seen := shareAfter(t, 1, balancer.Reset); seen < 45 {
+func TestSingleResetIsNoRestart(t *testing.T) {
+	if seen := shareAfterFailures(t, 1, balancer.Reset); seen < 45 {
 		t.Errorf("after one broken answer it got %d of 200, want about a third", seen)
 	}
 }
 
 // A list that is empty at the start: requests wait, and are refused in time.
-func TestNoBackend(t *testing.T) {
-	for _, class := range []int{safe, unsafe, keyedZone} {
+func TestRequestsWithoutBackendAreRefusedInTime(t *testing.T) {
+	for _, class := range []int{idempotent, nonIdempotent, scopeZone} {
 		r := newRig(t, settings(), 1, nil)
 		acts := r.request("q", class)
 		acts = append(acts, r.advance(399*ms)...)
@@ -1093,9 +1093,9 @@
 	}
 	t.Run("list comes in time", func(t *testing.T) {
 		r := newRig(t, settings(), 1, nil)
-		r.request("q", safe)
+		r.request("q", idempotent)
 		r.now += 50 * ms
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 		if len(r.sent["q"]) != 1 {
 			t.Error("the waiting request was not sent")
 		}
@@ -1104,13 +1104,13 @@
 
 // Latency above the aimed delay cuts what is kept in flight; what does not fit
 // waits and is refused, and a client's repeat is refused first.
-func TestInFlightLimit(t *testing.T) {
+func TestInFlightLimitHolds(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
 	r := newRig(t, s, 1, backends(2))
 	for i := range 200 { // slow answers
 		id := fmt.Sprint("s", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		r.now += 350 * ms
 		r.outcome(id, balancer.OK, 350*ms)
 	}
@@ -1118,13 +1118,13 @@
 	var all []balancer.Action
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
-		all = append(all, r.request(id, safe)...)
+		all = append(all, r.request(id, idempotent)...)
 		out += len(r.sent[id])
 	}
 	if want := 4 * 2 / 2; out != want {
 		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
 	}
-	repeat := r.step(balancer.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
+	repeat := r.step(balancer.Request{ID: "again", Class: idempotent, TimeRemaining: 2000 * ms, ClientRetry: true})
 	if final("again", repeat) != "refuse" {
 		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
 	}
@@ -1138,14 +1138,14 @@
 }
 
 // Incident i6c6372: with many agents each one's share must shrink, also on idle backends.
-func TestLimitIsSharedOut(t *testing.T) {
+func TestLimitIsSharedAmongAgents(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := settings()
 		s.Balancers = balancers
 		r := newRig(t, s, 1, backends(10))
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			n += len(r.sent[id])
 		}
 		return n
@@ -1156,13 +1156,13 @@
 }
 
 // Incident ia38185: the limit follows the list down.
-func TestLimitFollowsTheList(t *testing.T) {
+func TestLimitFollowsTheEndpointList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
-	r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
+	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		n += len(r.sent[id])
 	}
 	if n > 12 {
@@ -1172,13 +1172,13 @@
 
 // Incidents idacc77 and i574e74: what dead backends carried must not land on the
 // living while the list still names the dead.
-func TestLimitLeavesOutTheDead(t *testing.T) {
+func TestLimitExcludesDeadBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
-	r.serve(50, safe, 5*ms)
+	r.serve(50, idempotent, 5*ms)
 	dead := map[string]bool{}
 	for i := 0; len(dead) < 6 && i < 500; i++ {
 		id := fmt.Sprint("d", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		r.now += ms
 		if b := r.sent[id][0]; b < "g" { // a to f
 			dead[b] = true
@@ -1191,7 +1191,7 @@
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		n += len(r.sent[id])
 	}
 	if n > 28 { // six for each of four, and a few for what the outcomes taught
@@ -1201,16 +1201,16 @@
 
 // Incident ieb2a7b: attempts that hang at a backend which answers nothing must not
 // use up the room of the others once it is ejected.
-func TestHangingAttemptsUseNoRoom(t *testing.T) {
+func TestHangingAttemptsUseNoCapacity(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, 1, backends(3))
-	r.serve(60, safe, 20*ms)
+	r.serve(60, idempotent, 20*ms)
 	r.now += ms
 	var hung []string
 	for i := range 18 {
 		id := fmt.Sprint("h", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		if len(r.sent[id]) == 1 && r.sent[id][0] == "a" {
 			hung = append(hung, id)
 		}
@@ -1229,7 +1229,7 @@
 	n := 0
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		for _, b := range r.sent[id] {
 			if n++; b == "a" {
 				t.Errorf("%s went to the backend that answers nothing", id)
@@ -1243,17 +1243,17 @@
 
 // A time-out says at least how slow a backend is: one that answers only its light
 // requests must not keep the good name that these give it.
-func TestTimeOutsTeachSlowness(t *testing.T) {
+func TestTimeoutsRaiseLatencyRatio(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, 3, backends(3))
-	r.serve(60, safe, 20*ms)
+	r.serve(60, idempotent, 20*ms)
 	got := 0
 	for round := range 60 {
 		var hang []string
 		answered := false
 		for i := range 6 {
-			r.request(fmt.Sprint("q", round, "-", i), safe)
+			r.request(fmt.Sprint("q", round, "-", i), idempotent)
 		}
 		r.now += 20 * ms
 		for i := range 6 {
@@ -1280,18 +1280,18 @@
 
 // Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
 // not land on the warm ones, nor all on one.
-func TestGrowthDoesNotLoadWarmOnes(t *testing.T) {
+func TestFleetGrowthDoesNotLoadWarmBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
-	r.serve(100, safe, 50*ms)
+	r.serve(100, idempotent, 50*ms)
 	grown := backends(20)
 	for i := 4; i < 20; i++ {
 		grown[i].Started = r.now
 	}
-	r.step(balancer.List{Kind: balancer.ListFull, Backends: grown})
+	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: grown})
 	warm := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		for _, b := range r.sent[id] {
 			if b < "e" {
 				warm[b]++
@@ -1310,7 +1310,7 @@
 
 // Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
 // well within the aim in the mean but vary a lot.
-func TestBusyAgentIsNotCutByChance(t *testing.T) {
+func TestLimitOfBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
 	r := newRig(t, s, 1, backends(30))
@@ -1318,7 +1318,7 @@
 	refused, queue := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
-		if final(id, r.request(id, safe)) != "" {
+		if final(id, r.request(id, idempotent)) != "" {
 			refused++
 		}
 		queue = append(queue, id)
@@ -1359,13 +1359,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
-			s.Balancers, s.Self, s.Peers = 4, 2, tt.peers
+			s.Balancers, s.Self, s.GossipAllowed = 4, 2, tt.peers
 			r := newRig(t, s, 1, backends(10))
 			told := 0
 			for range 30 {
-				r.serve(1, safe, 20*ms)
+				r.serve(1, idempotent, 20*ms)
 				for _, a := range r.advance(20 * ms) {
-					if _, ok := a.(balancer.TellPeer); ok {
+					if _, ok := a.(balancer.SendGossip); ok {
 						told++
 					}
 				}
@@ -1373,7 +1373,7 @@
 					continue
 				}
 				for _, from := range []int{-1, 0, 1, 2, 3, 4} {
-					r.step(balancer.PeerMessage{From: from, Data: tt.data})
+					r.step(balancer.GossipReceived{From: from, Data: tt.data})
 				}
 			}
 			if tt.peers != (told > 0) || told > 4*3 {
@@ -1382,7 +1382,7 @@
 			n := 0
 			for i := range 100 {
 				id := fmt.Sprint("q", i)
-				r.request(id, safe)
+				r.request(id, idempotent)
 				n += len(r.sent[id])
 			}
 			if !tt.want(n) {
@@ -1394,21 +1394,21 @@
 
 // An agent that was restarted has seen little of what its clients ask for. Beside a peer with as
 // much traffic it must not reckon itself quiet and refuse at a small part of the limit.
-func TestRestartedAgentKeepsItsShare(t *testing.T) {
+func TestRestartedAgentKeepsItsQuota(t *testing.T) {
 	s := settings()
-	s.Balancers, s.Peers = 2, true
+	s.Balancers, s.GossipAllowed = 2, true
 	drive := func(self, n int, heard []byte) (r *rig, told []byte) {
 		s.Self = self
 		r = newRig(t, s, 1, backends(10))
 		for range n {
-			r.serve(1, safe, 20*ms)
+			r.serve(1, idempotent, 20*ms)
 			for _, a := range r.advance(0) {
-				if a, ok := a.(balancer.TellPeer); ok {
+				if a, ok := a.(balancer.SendGossip); ok {
 					told = a.Data
 				}
 			}
 			if heard != nil {
-				r.step(balancer.PeerMessage{From: 1 - self, Data: heard})
+				r.step(balancer.GossipReceived{From: 1 - self, Data: heard})
 			}
 		}
 		return r, told
@@ -1418,7 +1418,7 @@
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		n += len(r.sent[id])
 	}
 	if n < 24 || n > 40 {
@@ -1428,16 +1428,16 @@
 
 // Incident ie43f64: with every agent telling every other, messages grew with the square of
 // their number. However many agents there are, one tells few of them, and not always the same.
-func TestTellsAreFew(t *testing.T) {
+func TestGossipFanoutIsBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 50, 2000} {
 		s := settings()
-		s.Balancers, s.Self, s.Peers = n, n/2, true
+		s.Balancers, s.Self, s.GossipAllowed = n, n/2, true
 		r := newRig(t, s, 1, backends(4))
 		told := map[int]int{}
 		total := 0
 		count := func(acts []balancer.Action) {
 			for _, a := range acts {
-				if a, ok := a.(balancer.TellPeer); ok {
+				if a, ok := a.(balancer.SendGossip); ok {
 					told[a.To]++
 					total++
 				}
@@ -1445,9 +1445,9 @@
 		}
 		for i := range 100 { // a request every tenth of a period
 			id := fmt.Sprint("q", i)
-			count(r.request(id, safe))
+			count(r.request(id, idempotent))
 			count(r.outcome(id, balancer.OK, 20*ms))
-			count(r.advance(s.Classes[0].Aim / 10))
+			count(r.advance(s.Classes[0].LatencyObjective / 10))
 		}
 		if most := 11 * min(n-1, 8); total > most || n > 1 && total < 10 {
 			t.Errorf("%d agents: %d messages in ten periods, want up to %d", n, total, most)
@@ -1461,15 +1461,15 @@
 // zone+vast: 80 agents spread each key over 60 backends, and nearly all of the work that a backend
 // saves on a key it met lately was lost. Any two agents prefer the same few idle ones for a key,
 // other keys have others, and one in use or ejected gives way as ever.
-func TestKeysMeetAgain(t *testing.T) {
+func TestKeyAffinityPrefersTheSameBackends(t *testing.T) {
 	play := func(warm bool, seed, key uint64) map[string]int {
 		s := settings()
-		s.WarmKeys, s.Balancers, s.Self = warm, 20, int(seed)
+		s.KeyAffinity, s.Balancers, s.Self = warm, 20, int(seed)
 		r := newRig(t, s, seed, backends(20))
 		counts := map[string]int{}
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
-			r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Key: key})
+			r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, AffinityKey: key})
 			r.now += 20 * ms
 			r.outcome(id, balancer.OK, 20*ms)
 			counts[r.sent[id][0]]++
@@ -1506,13 +1506,13 @@
 	}
 
 	s := settings()
-	s.WarmKeys = true
+	s.KeyAffinity = true
 	r := newRig(t, s, 1, backends(8))
-	r.serve(100, safe, 20*ms)
+	r.serve(100, idempotent, 20*ms)
 	used := map[string]bool{}
 	for i := range 8 { // nothing is answered
 		id := fmt.Sprint("q", i)
-		r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Key: 99})
+		r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, AffinityKey: 99})
 		used[r.sent[id][0]] = true
 	}
 	if len(used) != 8 {
@@ -1521,14 +1521,14 @@
 }
 
 // Incident i952f82: agents that stop leave their share of the limit to those that get their traffic.
-func TestStoppedPeersLeaveTheirShare(t *testing.T) {
+func TestStoppedPeersLeaveTheirQuota(t *testing.T) {
 	s := settings()
-	s.Balancers, s.Peers = 4, true
+	s.Balancers, s.GossipAllowed = 4, true
 	r := newRig(t, s, 1, backends(10))
 	inFlight := func(round int) (n int) {
 		for i := range 100 {
 			id := fmt.Sprint("q", round, "-", i)
-			if r.request(id, safe); len(r.sent[id]) > 0 {
+			if r.request(id, idempotent); len(r.sent[id]) > 0 {
 				n++
 				defer r.outcome(id, balancer.OK, 20*ms)
 			} else {
@@ -1539,15 +1539,15 @@
 	}
 	own := binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(float32(100*ms)))<<32)
 	for range 40 {
-		r.serve(1, safe, 20*ms)
+		r.serve(1, idempotent, 20*ms)
 		for from := 1; from < 4; from++ {
-			r.step(balancer.PeerMessage{From: from, Data: own})
+			r.step(balancer.GossipReceived{From: from, Data: own})
 		}
 		r.advance(50 * ms)
 	}
 	before := inFlight(0)
 	for range 60 { // three seconds without a word: over four tells
-		r.serve(1, safe, 20*ms)
+		r.serve(1, idempotent, 20*ms)
 		r.advance(50 * ms)
 	}
 	if after := inFlight(1); before > 40 || after < 55 {
@@ -1570,12 +1570,12 @@
 			}
 		}
 		for i := range 1000 { // what exceeds the limit is held
-			sends(r.request(fmt.Sprint("q", i), safe))
+			sends(r.request(fmt.Sprint("q", i), idempotent))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
 			sends(r.outcome(out[0], balancer.OK, 20*ms))
 			out = out[1:]
-			sends(r.request(fmt.Sprint("more", i), safe))
+			sends(r.request(fmt.Sprint("more", i), idempotent))
 		}
 		return len(out) * balancers
 	}
@@ -1586,10 +1586,10 @@
 
 // A try whose patience is cut short by the client's deadline is a late one: it
 // does not wait for room, where a first try does.
-func TestPatienceTellsLateTries(t *testing.T) {
+func TestShortTimeoutMarksClientRetry(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []balancer.Action {
-		return r.step(balancer.Request{ID: id, Class: safe, Left: left})
+		return r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: left})
 	}
 	for i := range 20 { // the usual patience, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -1602,7 +1602,7 @@
 	}
 }
 
-func TestSubscribe(t *testing.T) {
+func TestSubscribeIsRetriedWithBackoff(t *testing.T) {
 	s := settings()
 	s.Subscribe = true
 	asks := func(acts []balancer.Action) (n int) {
@@ -1616,17 +1616,17 @@
 	delays := map[time.Duration]bool{}
 	for seed := uint64(0); seed < 10; seed++ {
 		r := newRig(t, s, seed, backends(2))
-		delays[r.due[0]-r.now] = true
-		if n := asks(r.advance(s.AskWithin / 10)); n != 1 {
+		delays[r.timersAt[0]-r.now] = true
+		if n := asks(r.advance(s.PollInterval / 10)); n != 1 {
 			t.Fatalf("asked %d times at the start, want once", n)
 		}
 		for range 8 { // every failure is followed by one more try, in time
-			r.step(balancer.List{Kind: balancer.ListFailed})
-			if n := asks(r.advance(s.AskWithin / 2)); n != 1 {
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
+			if n := asks(r.advance(s.PollInterval / 2)); n != 1 {
 				t.Fatalf("asked %d times after a failure, want once", n)
 			}
 		}
-		r.step(balancer.List{Kind: balancer.ListFull, Backends: backends(2)})
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 		if n := asks(r.advance(time.Minute)); n != 0 {
 			t.Errorf("asked %d times while subscribed", n)
 		}
@@ -1635,26 +1635,26 @@
 		t.Errorf("10 agents ask after only %d different waits", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	if n := asks(append(r.step(balancer.List{Kind: balancer.ListFailed}), r.advance(time.Minute)...)); n != 0 {
+	if n := asks(append(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed}), r.advance(time.Minute)...)); n != 0 {
 		t.Error("asked although the list comes unasked")
 	}
 }
 
 // A fleet replaced again and again leaves nothing behind: what a step costs, and what is kept, follows
 // the backends that are listed, not those that ever were.
-func TestGoneBackendsAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreForgotten(t *testing.T) {
 	var before, after runtime.MemStats
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
 		for i := range 100 {
-			list := balancer.List{Kind: balancer.ListKind(i % 2)} // changes and whole lists in turn
+			list := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // changes and whole lists in turn
 			for k := range 20 {
 				id := fmt.Sprintf("%03d-%03d-%02d-%s", n, i, k, strings.Repeat("x", 1000))
 				list.Backends = append(list.Backends, balancer.Backend{ID: id, State: balancer.BackendState(2 * (k % 2))})
 			}
 			r.step(list)
 		}
-		r.step(balancer.List{Kind: balancer.ListFull})
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull})
 	}
 	replace(0)
 	runtime.GC()
@@ -1671,12 +1671,12 @@
 }
 
 // Events about things unknown, late or repeated do nothing.
-func TestStrayEvents(t *testing.T) {
+func TestUnknownEventsDoNothing(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
-	r.request("done", safe)
+	r.request("done", idempotent)
 	r.now += 10 * ms
 	r.outcome("done", balancer.OK, 10*ms)
-	r.request("open", unsafe)
+	r.request("open", nonIdempotent)
 	stray := []balancer.Event{
 		balancer.Outcome{Request: "never", Result: balancer.Errored},
 		balancer.Outcome{Request: "done", Result: balancer.Errored},
@@ -1684,12 +1684,12 @@
 		balancer.Outcome{Request: "open", Attempt: -1, Result: balancer.Errored},
 		balancer.TimerFired{Token: 99}, balancer.TimerFired{Token: 0}, balancer.TimerFired{Token: -5},
 		balancer.Abandoned{Request: "never"}, balancer.Abandoned{Request: "done"},
-		balancer.StreamStarted{Request: "never"},
+		balancer.ResponseStarted{Request: "never"},
 		balancer.ProbeResult{Backend: "zz"},
-		balancer.PeerMessage{From: 44, Data: []byte{1}},
-		balancer.Request{ID: "bad", Class: 17, Left: time.Second},
-		balancer.Request{ID: "bad", Class: -1, Left: time.Second},
-		balancer.Request{ID: "open", Class: safe, Left: time.Second},
+		balancer.GossipReceived{From: 44, Data: []byte{1}},
+		balancer.Request{ID: "bad", Class: 17, TimeRemaining: time.Second},
+		balancer.Request{ID: "bad", Class: -1, TimeRemaining: time.Second},
+		balancer.Request{ID: "open", Class: idempotent, TimeRemaining: time.Second},
 	}
 	for _, e := range stray {
 		if acts := r.step(e); len(acts) != 0 {
@@ -1706,9 +1706,9 @@
 }
 
 // An abandoned request gets nothing more, though its attempt is still counted.
-func TestAbandoned(t *testing.T) {
+func TestAbandonedRequestGetsNothingMore(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
-	r.request("q", safe)
+	r.request("q", idempotent)
 	r.step(balancer.Abandoned{Request: "q"})
 	r.now += 10 * ms
 	acts := r.outcome("q", balancer.Errored, 10*ms)
@@ -1719,10 +1719,10 @@
 }
 
 // Once an answer has begun to stream the request is the client's.
-func TestStream(t *testing.T) {
+func TestStartedResponseEndsRetries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
-	r.request("q", safe)
-	r.step(balancer.StreamStarted{Request: "q"})
+	r.request("q", idempotent)
+	r.step(balancer.ResponseStarted{Request: "q"})
 	r.now += 10 * ms
 	acts := r.step(balancer.Outcome{Request: "q", Backend: r.sent["q"][0], Result: balancer.Reset, Done: true})
 	acts = append(acts, r.advance(3*time.Second)...)
@@ -1732,7 +1732,7 @@
 }
 
 // The same seed and events give the same actions.
-func TestDeterminism(t *testing.T) {
+func TestSameSeedGivesSameActions(t *testing.T) {
 	play := func(seed uint64) (log []string) {
 		r := newRig(t, settings(), seed, backends(6))
 		for i := range 400 {
@@ -1754,22 +1754,22 @@
 	}
 }
 
-// thinSettings make an even part of the in-flight limit smaller than one attempt.
-func thinSettings() balancer.Settings {
+// sparseSettings make an even part of the in-flight limit smaller than one attempt.
+func sparseSettings() balancer.Settings {
 	s := settings()
-	s.Balancers, s.Peers = 100, true
+	s.Balancers, s.GossipAllowed = 100, true
 	return s
 }
 
 // Incident ie43f64, dallas big-1: hundreds of agents with one attempt each in flight crowd the
 // servers. A thin agent admits less of what it is asked as the delay passes the aimed share,
 // and all of it while there is no queue, however much that is.
-func TestThinAgentAdmitsByDelay(t *testing.T) {
+func TestSparseQuotaAdmitsByLatency(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
-		r := newRig(t, thinSettings(), 1, backends(8))
+		r := newRig(t, sparseSettings(), 1, backends(8))
 		for i := range 300 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			r.advance(latency)
 			if len(r.sent[id]) > 0 {
 				r.outcome(id, balancer.OK, latency)
@@ -1791,20 +1791,20 @@
 // join+vast: 80 agents turned from counting to credit when a release had taken half of 60 backends,
 // and their credit, saved up in quiet times, jammed the rest. Where each may have an attempt or
 // more in flight, the limit is counted however the list changes.
-func TestReleaseLeavesTheLimitCounted(t *testing.T) {
+func TestRollingReleaseKeepsTheCountedLimit(t *testing.T) {
 	s := settings()
-	s.Balancers, s.Peers = 80, true
+	s.Balancers, s.GossipAllowed = 80, true
 	var list []balancer.Backend
 	for i := range 60 {
 		list = append(list, balancer.Backend{ID: fmt.Sprint("b", i)})
 	}
 	r := newRig(t, s, 1, list)
-	r.serve(200, safe, 40*ms)
-	r.step(balancer.List{Kind: balancer.ListFull, Backends: list[:27]})
+	r.serve(200, idempotent, 40*ms)
+	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list[:27]})
 	sent := 0
 	for i := range 20 { // and nothing is answered
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		sent += len(r.sent[id])
 	}
 	if sent < 1 || sent > 4 {
@@ -1814,11 +1814,11 @@
 
 // Lost requests on satx-returns: a held request whose timer fired while its time to give up
 // had meanwhile moved later never got another timer, and no answer.
-func TestHeldRequestKeepsATimer(t *testing.T) {
+func TestQueuedRequestKeepsATimer(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	var acts []balancer.Action
 	for i := range 40 {
-		acts = append(acts, r.request(fmt.Sprint("q", i), safe)...)
+		acts = append(acts, r.request(fmt.Sprint("q", i), idempotent)...)
 	}
 	for range 10 { // fast answers: less time is needed for one, so the rest may wait longer
 		r.now += ms
@@ -1841,13 +1841,13 @@
 // Dallas big-1: a thin agent meets a dead server so seldom that it learns of it too late. What
 // one agent saw, another knows from its message, the failure of a server as well as its speed,
 // and the same note told again changes nothing.
-func TestNotesTravel(t *testing.T) {
-	s := thinSettings()
+func TestObservationsReachPeers(t *testing.T) {
+	s := sparseSettings()
 	teller := newRig(t, s, 1, backends(4))
 	var data [][]byte
 	for i := range 60 { // a fails at once, b is slow, the others are quick
 		id := fmt.Sprint("q", i)
-		acts := teller.request(id, unsafe)
+		acts := teller.request(id, nonIdempotent)
 		if len(teller.sent[id]) == 0 {
 			continue
 		}
@@ -1862,7 +1862,7 @@
 			acts = append(acts, teller.outcome(id, balancer.OK, 20*ms)...)
 		}
 		for _, a := range acts {
-			if a, ok := a.(balancer.TellPeer); ok {
+			if a, ok := a.(balancer.SendGossip); ok {
 				data = append(data, a.Data)
 			}
 		}
@@ -1875,10 +1875,10 @@
 			r.now = teller.now
 			for range repeat {
 				for _, d := range data {
-					r.step(balancer.PeerMessage{From: 0, Data: d})
+					r.step(balancer.GossipReceived{From: 0, Data: d})
 				}
 			}
-			r.request("q", safe)
+			r.request("q", idempotent)
 			counts[r.sent["q"][0]]++
 		}
 		return counts
@@ -1894,20 +1894,20 @@
 
 // Dallas rough-1: in a crowded fleet answers come after the clients' patience. An attempt that
 // is out for most of its aim counts as late at once, and less is admitted before it ends.
-func TestOverdueCountsAtOnce(t *testing.T) {
-	s := thinSettings()
+func TestOverdueAttemptCountsBeforeItEnds(t *testing.T) {
+	s := sparseSettings()
 	s.Balancers = 1000
 	r := newRig(t, s, 1, backends(90))
 	for i := range 30 {
 		id := fmt.Sprint("warm", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		r.advance(20 * ms)
 		r.outcome(id, balancer.OK, 20*ms)
 	}
 	sent := 0
 	for i := range 60 { // nothing is answered any more
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		r.advance(60 * ms)
 		if i >= 30 {
 			sent += len(r.sent[id])
@@ -1920,15 +1920,15 @@
 
 // Dallas rules-3: each of 150 agents sent a cold server one request at once, and together they
 // pushed it over. Only a part of them may do so right after its start.
-func TestManyAgentsSpareAColdBackend(t *testing.T) {
+func TestManyAgentsSpareABackendInSlowStart(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
 		r := newRig(t, settings(), seed, backends(2))
-		r.serve(40, safe, 20*ms)
-		r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{
+		r.serve(40, idempotent, 20*ms)
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{
 			{ID: "a", Started: r.now}, {ID: "b", State: balancer.Draining}}})
 		r.now += 5 * ms
-		r.request("q", safe)
+		r.request("q", idempotent)
 		sent += len(r.sent["q"])
 	}
 	if sent > 60 {
@@ -1938,7 +1938,7 @@
 
 // Satx big-1: a quiet agent spread over every server hears of each once a day. It keeps to a few
 // of an order of its own, other agents to others, and turns to further ones when those fail.
-func TestQuietAgentKeepsToAFew(t *testing.T) {
+func TestQuietAgentUsesASubset(t *testing.T) {
 	s := settings()
 	s.Balancers = 500
 	firsts := map[string]int{}
@@ -1948,7 +1948,7 @@
 		used := map[string]int{}
 		for i := range 80 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			r.advance(30 * ms)
 			if len(r.sent[id]) > 0 {
 				r.outcome(id, balancer.OK, 30*ms)
@@ -1963,9 +1963,9 @@
 			firsts[id]++
 		}
 		for id := range used { // all of these die
-			r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: id, State: balancer.Gone}}})
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: id, State: balancer.Removed}}})
 		}
-		r.request("next", safe)
+		r.request("next", idempotent)
 		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
 			t.Errorf("agent %d found no further server", self)
 		}
@@ -1977,7 +1977,7 @@
 
 // Satx rough-1: kinds of machine suit classes differently. What is learned of a kind's fit to a
 // class holds for servers of that kind that the agent has hardly met.
-func TestKindsSuitClasses(t *testing.T) {
+func TestLatencyRatioIsLearnedByKindAndClass(t *testing.T) {
 	list := backends(20)
 	for i := range list {
 		list[i].Kind = i % 2
@@ -2004,21 +2004,21 @@
 	}
 	stray := backends(2) // kinds no list should hold do no harm
 	stray[0].Kind = -3
-	newRig(t, settings(), 1, stray).serve(10, safe, 10*ms)
+	newRig(t, settings(), 1, stray).serve(10, idempotent, 10*ms)
 }
 
 // Satx rough-2: a server that turns an attempt away is crowded for longer than one latency, and
 // drew as many as before right after it.
-func TestFullServerIsChosenLess(t *testing.T) {
+func TestRejectingBackendIsChosenLess(t *testing.T) {
 	hits := 0
 	for seed := range uint64(100) {
 		r := newRig(t, settings(), seed, backends(4))
-		r.serve(20, safe, 20*ms)
-		r.request("q", safe)
+		r.serve(20, idempotent, 20*ms)
+		r.request("q", idempotent)
 		full := r.sent["q"][0]
-		r.outcome("q", balancer.Full, ms)
+		r.outcome("q", balancer.Rejected, ms)
 		r.advance(2 * time.Second)
-		r.request("next", safe)
+		r.request("next", idempotent)
 		if r.sent["next"][0] == full {
 			hits++
 		}
@@ -2030,16 +2030,16 @@
 
 // Incident i8cbe41: without peers nothing limited 893 thin agents, and every waiting room stayed
 // full. One that meets full servers only admits less, though no peer tells it anything.
-func TestThinAgentAloneAdmitsLess(t *testing.T) {
-	s := thinSettings()
-	s.Peers, s.MaxAttempts = false, 1
+func TestSparseQuotaWithoutPeersAdmitsLess(t *testing.T) {
+	s := sparseSettings()
+	s.GossipAllowed, s.MaxAttempts = false, 1
 	r := newRig(t, s, 1, backends(15))
 	sent := 0
 	for i := range 120 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		if len(r.sent[id]) > 0 {
-			r.outcome(id, balancer.Full, ms)
+			r.outcome(id, balancer.Rejected, ms)
 		}
 		r.advance(400 * ms)
 		if i >= 60 {
@@ -2054,12 +2054,12 @@
 // Houston big-1: with a busy neighbour on a third of the servers the mean delay passed the aimed
 // share, and 40 in 100 requests were refused though the rest had room. What a server known to be
 // slow takes says little of the rest.
-func TestSlowServersDoNotShedLoad(t *testing.T) {
-	r := newRig(t, thinSettings(), 1, backends(8))
+func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
+	r := newRig(t, sparseSettings(), 1, backends(8))
 	sent := 0
 	for i := range 600 {
 		id := fmt.Sprint("q", i)
-		r.request(id, safe)
+		r.request(id, idempotent)
 		if len(r.sent[id]) > 0 {
 			latency := 110 * ms
 			if r.sent[id][0] < "e" {
@@ -2081,7 +2081,7 @@
 // A repeat may have to wait for its connection, for the connect time-out at most. It must reach
 // the backend while that still remembers the first: on sockets, one sent at the window's last
 // instant could run twice if its connection had to be opened first.
-func TestRepeatReachesTheBackendWithinTheWindow(t *testing.T) {
+func TestRetryReachesBackendInDedupWindow(t *testing.T) {
 	for _, row := range []struct {
 		failed time.Duration
 		sends  int
@@ -2089,7 +2089,7 @@
 		s := settings()
 		s.ConnectTimeout = 100 * ms // the window is 300 ms
 		r := newRig(t, s, 1, backends(4))
-		r.request("x", keyedAll)
+		r.request("x", scopeAll)
 		r.now += row.failed
 		acts := append(r.outcome("x", balancer.Errored, row.failed), r.advance(100*ms)...)
 		if n := len(r.sent["x"]); n != row.sends {
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -17,7 +17,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(14)}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -34,7 +34,7 @@
 // playOne plays request i to its end.
 func playOne(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []balancer.Event{balancer.Request{ID: id, Class: safe, Left: time.Second}}
+	events := []balancer.Event{balancer.Request{ID: id, Class: idempotent, TimeRemaining: time.Second}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: backends(14)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(14)}})
 	heap := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
 			playOne(lb, &now, i)
@@ -94,7 +94,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	lb.Step(now, []balancer.Event{balancer.List{Kind: balancer.ListFull, Backends: many(backends)}})
+	lb.Step(now, []balancer.Event{balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backendsInThreeZones(backends)}})
 	return lb
 }
 
@@ -135,8 +135,8 @@
 	}
 }
 
-// many makes n backends in three zones.
-func many(n int) (list []balancer.Backend) {
+// backendsInThreeZones makes n backends in three zones.
+func backendsInThreeZones(n int) (list []balancer.Backend) {
 	for i := range n {
 		list = append(list, balancer.Backend{ID: fmt.Sprint("s", i), Zone: i % 3, Cell: i / 4})
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -14,7 +14,7 @@
 		Balancers:   1,
 		MaxAttempts: 3,
 		Classes: []balancer.Class{
-			{Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: balancer.Safe},
+			{LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
 		},
 	}, 42)
 	if err != nil {
@@ -40,8 +40,8 @@
 			}
 		}
 	}
-	step(balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
-	step(balancer.Request{ID: "r1", Class: 0, Left: time.Second})
+	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
+	step(balancer.Request{ID: "r1", Class: 0, TimeRemaining: time.Second})
 
 	first := backend
 	now += 3 * time.Millisecond
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -8,41 +8,41 @@
 	"slices"
 )
 
-// merge takes a list over into the records: what is new, what has started again, what is gone.
-func (b *Balancer) merge(e List) {
+// mergeEndpoints takes a list over into the records: what is new, what has started again, what is gone.
+func (b *Balancer) mergeEndpoints(update EndpointUpdate) {
 	listed := map[string]bool{}
-	for _, n := range b.heed(e.Backends) {
-		listed[n.ID] = true
-		t := b.byID[n.ID]
-		if t == nil {
-			t = &backend{Backend: n, key: keyOf(n.ID), slow: 1, rank: keyOf(fmt.Sprint(n.ID, b.s.Self))}
-			b.byID[n.ID], b.byKey[t.key] = t, t
-			b.backends, b.unsettled = append(b.backends, t), append(b.unsettled, t)
-			if n.Started > 0 {
-				b.start(t, n.Started)
+	for _, entry := range b.applyOverrides(update.Backends) {
+		listed[entry.ID] = true
+		backend := b.byID[entry.ID]
+		if backend == nil {
+			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID), latencyRatio: 1, subsetRank: gossipKey(fmt.Sprint(entry.ID, b.settings.Self))}
+			b.byID[entry.ID], b.byGossipKey[backend.gossipKey] = backend, backend
+			b.backends, b.unstable = append(b.backends, backend), append(b.unstable, backend)
+			if entry.Started > 0 {
+				b.beginSlowStart(backend, entry.Started)
 			}
 			continue
 		}
-		b.unsettle(t)
-		if n.Started > t.Started {
-			b.start(t, max(n.Started, t.warmFrom))
-			t.strikes, t.ejected, t.down = 0, 0, false
+		b.markUnstable(backend)
+		if entry.Started > backend.Started {
+			b.beginSlowStart(backend, max(entry.Started, backend.slowStartAt))
+			backend.failureScore, backend.ejectedUntil, backend.presumedDead = 0, 0, false
 		}
-		t.Backend = n
+		backend.Backend = entry
 	}
-	slices.SortStableFunc(b.backends, func(x, y *backend) int { return cmp.Compare(x.rank, y.rank) })
+	slices.SortStableFunc(b.backends, func(x, y *backendState) int { return cmp.Compare(x.subsetRank, y.subsetRank) })
 	// One that is gone is kept no longer than its attempts are out: fleets are replaced again and again.
-	b.backends = slices.DeleteFunc(b.backends, func(t *backend) bool {
-		if e.Kind != ListDelta && !listed[t.ID] {
-			b.unsettle(t)
-			t.State = Gone
+	b.backends = slices.DeleteFunc(b.backends, func(backend *backendState) bool {
+		if update.Kind != UpdateDelta && !listed[backend.ID] {
+			b.markUnstable(backend)
+			backend.State = Removed
 		}
-		over := t.State == Gone && len(t.out) == 0
-		if over {
-			delete(b.byID, t.ID)
-			delete(b.byKey, t.key)
+		forget := backend.State == Removed && len(backend.outstanding) == 0
+		if forget {
+			delete(b.byID, backend.ID)
+			delete(b.byGossipKey, backend.gossipKey)
 		}
-		return over
+		return forget
 	})
-	b.unsettled = slices.DeleteFunc(b.unsettled, func(t *backend) bool { return b.byID[t.ID] != t })
+	b.unstable = slices.DeleteFunc(b.unstable, func(backend *backendState) bool { return b.byID[backend.ID] != backend })
 }
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -6,87 +6,87 @@
 	"time"
 )
 
-// What agents tell each other, and how it is put into at most messageMost bytes. Nothing
+// What agents tell each other, and how it is put into at most maxMessageSize bytes. Nothing
 // is decided here.
 
 const (
-	messageMost = 256  // bytes
-	messageHead = 8    // bytes before the notes
-	noteSize    = 5    // bytes: key 3, value 1, age 1
-	noteStep    = 31.0 // steps of a value: 8 times the expected latency fits below noteLate
-	noteLate    = 254  // the value of an attempt found overdue
-	noteFailed  = 255  // the value of one that failed
-	awayMark    = 1    // in the byte after the notes: this agent's clients were sent elsewhere
-	lostZones   = 16   // zones that a message can name as lost, in the bytes after that
-	noteAge     = 32   // steps of age in a unit; a note dies of age after eight units
+	maxMessageSize  = 256  // bytes
+	headerSize      = 8    // bytes before the notes
+	observationSize = 5    // bytes: key 3, value 1, age 1
+	ratioSteps      = 31.0 // steps of a value: 8 times the expected latency fits below valueLate
+	valueLate       = 254  // the value of an attempt found overdue
+	valueFailed     = 255  // the value of one that failed
+	drainedFlag     = 1    // in the byte after the notes: this agent's clients were sent elsewhere
+	maxLossZones    = 16   // zones that a message can name as lost, in the bytes after that
+	ageSteps        = 32   // steps of age in a unit; a note dies of age after eight units
 )
 
-// note is one outcome at a backend: its latency as a multiple of the expected in steps of
-// 1/noteStep, or noteLate or noteFailed.
-type note struct {
-	key   uint32
-	value byte
-	at    time.Duration
+// observation is one outcome at a backend: its latency as a multiple of the expected in steps of
+// 1/ratioSteps, or valueLate or valueFailed.
+type observation struct {
+	key        uint32
+	value      byte
+	observedAt time.Duration
 }
 
-// statusMessage is what an agent tells its peers of itself and of what it saw.
-type statusMessage struct {
-	demand, delay float64
-	notes         []note
-	away          bool   // the demand is of clients whom operators have sent elsewhere
-	lost          uint16 // zones that the sender found lost by what it saw itself, a bit each
+// gossipMessage is what an agent tells its peers of itself and of what it saw.
+type gossipMessage struct {
+	demand, latencyRatio float64
+	observations         []observation
+	drained              bool   // the demand is of clients whom operators have sent elsewhere
+	lostZones            uint16 // zones that the sender found lost by what it saw itself, a bit each
 }
 
 // encode writes the header and as many notes as fit, those of bad news first and the newest
 // first. Ages are rounded up, so that no note grows younger on its way.
-func (m statusMessage) encode(now, unit time.Duration) []byte {
-	data := binary.BigEndian.AppendUint32(make([]byte, 0, messageMost), math.Float32bits(float32(m.demand)))
-	data = binary.BigEndian.AppendUint32(data, math.Float32bits(float32(m.delay)))
-	for _, bad := range []bool{true, false} {
-		for i := len(m.notes) - 1; i >= 0 && len(data)+noteSize < messageMost; i-- {
-			n := m.notes[i]
-			age := (now-n.at)*noteAge/unit + 1
-			if age <= math.MaxUint8 && (n.value == noteFailed) == bad {
-				data = binary.BigEndian.AppendUint32(data, n.key<<8|uint32(n.value))
+func (m gossipMessage) encode(now, unit time.Duration) []byte {
+	data := binary.BigEndian.AppendUint32(make([]byte, 0, maxMessageSize), math.Float32bits(float32(m.demand)))
+	data = binary.BigEndian.AppendUint32(data, math.Float32bits(float32(m.latencyRatio)))
+	for _, failed := range []bool{true, false} {
+		for i := len(m.observations) - 1; i >= 0 && len(data)+observationSize < maxMessageSize; i-- {
+			entry := m.observations[i]
+			age := (now-entry.observedAt)*ageSteps/unit + 1
+			if age <= math.MaxUint8 && (entry.value == valueFailed) == failed {
+				data = binary.BigEndian.AppendUint32(data, entry.key<<8|uint32(entry.value))
 				data = append(data, byte(age))
 			}
 		}
 	}
-	if m.away || m.lost != 0 { // less than a note: who doesn't know it passes over it
-		marks := byte(0)
-		if m.away {
-			marks = awayMark
+	if m.drained || m.lostZones != 0 { // less than a note: who doesn't know it passes over it
+		flags := byte(0)
+		if m.drained {
+			flags = drainedFlag
 		}
-		data = append(data, marks)
+		data = append(data, flags)
 	}
-	if m.lost != 0 {
-		data = binary.BigEndian.AppendUint16(data, m.lost)
+	if m.lostZones != 0 {
+		data = binary.BigEndian.AppendUint16(data, m.lostZones)
 	}
 	return data
 }
 
 // decode reads a message. It reports false where the header is short or holds no numbers.
-func decode(data []byte, now, unit time.Duration) (m statusMessage, ok bool) {
-	if len(data) < messageHead {
+func decode(data []byte, now, unit time.Duration) (m gossipMessage, ok bool) {
+	if len(data) < headerSize {
 		return m, false
 	}
 	m.demand = float64(math.Float32frombits(binary.BigEndian.Uint32(data)))
-	m.delay = float64(math.Float32frombits(binary.BigEndian.Uint32(data[4:])))
-	for data = data[messageHead:]; len(data) >= noteSize; data = data[noteSize:] {
-		m.notes = append(m.notes, note{key: binary.BigEndian.Uint32(data) >> 8, value: data[3],
-			at: now - time.Duration(data[4])*unit/noteAge})
+	m.latencyRatio = float64(math.Float32frombits(binary.BigEndian.Uint32(data[4:])))
+	for data = data[headerSize:]; len(data) >= observationSize; data = data[observationSize:] {
+		m.observations = append(m.observations, observation{key: binary.BigEndian.Uint32(data) >> 8, value: data[3],
+			observedAt: now - time.Duration(data[4])*unit/ageSteps})
 	}
 	if len(data) == 1 || len(data) == 3 {
-		m.away = data[0] == awayMark
+		m.drained = data[0] == drainedFlag
 	}
 	if len(data) == 3 {
-		m.lost = binary.BigEndian.Uint16(data[1:])
+		m.lostZones = binary.BigEndian.Uint16(data[1:])
 	}
-	return m, m.demand >= 0 && m.demand <= math.MaxFloat32 && m.delay >= 0 && m.delay <= math.MaxFloat32
+	return m, m.demand >= 0 && m.demand <= math.MaxFloat32 && m.latencyRatio >= 0 && m.latencyRatio <= math.MaxFloat32
 }
 
-// keyOf is a short hash (FNV-1a) of a backend's id; two that share one share their notes.
-func keyOf(id string) uint32 {
+// gossipKey is a short hash (FNV-1a) of a backend's id; two that share one share their notes.
+func gossipKey(id string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(id) {
 		h = (h ^ uint32(id[i])) * 16777619
@@ -96,26 +96,26 @@
 	return (h ^ h>>16) >> 8
 }
 
-// write keeps a note for peers. Departure: a thin agent meets each backend too seldom to know
+// recordObservation keeps a note for peers. Departure: a thin agent meets each backend too seldom to know
 // its speed or its death by itself. Where agents may exchange messages it passes on what it saw
 // and what it was told, for a few aims: one message to one of them for every few outcomes.
-func (b *Balancer) write(n note) {
-	if t := b.byKey[n.key]; t != nil {
-		t.notedAt = n.at
+func (b *Balancer) recordObservation(n observation) {
+	if backend := b.byGossipKey[n.key]; backend != nil {
+		backend.observedAt = n.observedAt
 	}
-	b.notes = append(b.notes[max(0, len(b.notes)+1-notesKept):], n)
+	b.observations = append(b.observations[max(0, len(b.observations)+1-maxObservations):], n)
 }
 
-func (b *Balancer) message(notes []note, step int) {
-	data := b.status(notes).encode(b.now, b.period)
-	b.actions = append(b.actions, TellPeer{To: (b.s.Self + step) % b.s.Balancers, Data: data})
+func (b *Balancer) sendGossip(notes []observation, step int) {
+	data := b.gossipStatus(notes).encode(b.now, b.maxObjective)
+	b.actions = append(b.actions, SendGossip{To: (b.settings.Self + step) % b.settings.Balancers, Data: data})
 }
 
-// status is what peers are told.
-func (b *Balancer) status(notes []note) statusMessage {
-	m := statusMessage{demand: b.asked(), delay: b.delay, notes: notes, lost: b.seenLost()}
-	if b.calls.moved > 0 {
-		m.demand, m.away = b.calls.moved, true
+// gossipStatus is what peers are told.
+func (b *Balancer) gossipStatus(notes []observation) gossipMessage {
+	m := gossipMessage{demand: b.steadyDemand(), latencyRatio: b.latencyRatio, observations: notes, lostZones: b.recentlyLostZones()}
+	if b.overrides.drainedDemand > 0 {
+		m.demand, m.drained = b.overrides.drainedDemand, true
 	}
 	return m
 }
--- a/balancer/near_test.go
+++ b/balancer/near_test.go
@@ -8,22 +8,22 @@
 )
 
 // Where crossing has a price an agent stays near as long as that is no slower: in its zone, then in its region.
-func TestNearFirst(t *testing.T) {
+func TestNearZonesArePreferred(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *balancer.Settings)
 		slow   map[int]time.Duration
 		ok     func(own, near, far float64) bool
 	}{
 		"no price":    {func(s *balancer.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
-		"a price":     {func(s *balancer.Settings) { s.CrossZonePrice = 0.03 }, nil, func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
-		"a slow zone": {func(s *balancer.Settings) { s.CrossZonePrice = 0.03 }, map[int]time.Duration{0: 8 * ms}, func(own, near, far float64) bool { return own < 0.45 }},
+		"a price":     {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, nil, func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
+		"a slow zone": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, map[int]time.Duration{0: 8 * ms}, func(own, near, far float64) bool { return own < 0.45 }},
 		"regions": {func(s *balancer.Settings) {
-			s.CrossZonePrice, s.CrossRegionPrice, s.Regions = 0.03, 0.12, []int{0, 0, 1}
+			s.CrossZoneCost, s.CrossRegionCost, s.Regions = 0.03, 0.12, []int{0, 0, 1}
 		}, nil, func(own, near, far float64) bool { return own > 0.6 && far < near/2 && far > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newZoned(t, 4, c.change)
-			z.slow = c.slow
+			z := newZoneRig(t, 4, c.change)
+			z.extraLatency = c.slow
 			z.run(3 * time.Second)
 			clear(z.first)
 			z.run(20 * time.Second)
--- a/balancer/operations.go
+++ b/balancer/operations.go
@@ -8,124 +8,124 @@
 )
 
 const (
-	backWithin = 3 * time.Second // a backend that was called back is used by then: operators expect it within 5 s
-	backTries  = 5 * time.Second // and for so long the first request that may go there does
+	reinstateDelay      = 3 * time.Second // a backend that was called back is used by then: operators expect it within 5 s
+	reinstatePreference = 5 * time.Second // and for so long the first request that may go there does
 )
 
-// onOperations takes the events that operators cause, and those of large answers.
-func (b *Balancer) onOperations(e Event) {
-	switch e := e.(type) {
-	case Detach:
-		b.onDetach(e)
-	case Attach:
-		b.onAttach(e)
-	case Emptying:
-		b.onEmptying(e)
+// onOtherEvent takes the events that operators cause, and those of large answers.
+func (b *Balancer) onOtherEvent(event Event) {
+	switch event := event.(type) {
+	case Disable:
+		b.onDisable(event)
+	case Enable:
+		b.onEnable(event)
+	case Drain:
+		b.onDrain(event)
 	case Restore:
-		b.onRestore(e)
-	case BodyWhole:
-		b.onBodyWhole(e)
-	case BodySpent:
-		if r := b.requests[e.Request]; r != nil {
-			r.stream = true
+		b.onRestore(event)
+	case BodyComplete:
+		b.onBodyComplete(event)
+	case BodyConsumed:
+		if req := b.requests[event.Request]; req != nil {
+			req.committed = true
 		}
-	case StreamStarted:
-		b.onStream(e)
+	case ResponseStarted:
+		b.onResponseStarted(event)
 	}
 }
 
-func (b *Balancer) onDetach(e Detach) {
-	taken := e.Carried || b.has(e.Backend)
-	if _, out := b.calls.detached[e.Backend]; taken && !out {
-		if b.calls.detached == nil {
-			b.calls.detached = map[string]BackendState{}
+func (b *Balancer) onDisable(event Disable) {
+	accepted := event.Inherited || b.knowsBackend(event.Backend)
+	if _, disabled := b.overrides.disabled[event.Backend]; accepted && !disabled {
+		if b.overrides.disabled == nil {
+			b.overrides.disabled = map[string]BackendState{}
 		}
-		b.calls.detached[e.Backend] = Up
-		if t := b.byID[e.Backend]; t != nil {
-			b.calls.detached[e.Backend] = t.State
-			b.unsettle(t)
-			t.State = max(t.State, Draining) // no new attempt; what is out may finish
+		b.overrides.disabled[event.Backend] = Up
+		if backend := b.byID[event.Backend]; backend != nil {
+			b.overrides.disabled[event.Backend] = backend.State
+			b.markUnstable(backend)
+			backend.State = max(backend.State, Draining) // no new attempt; what is out may finish
 		}
-		b.measure()
+		b.recomputeCapacity()
 	}
-	b.actions = append(b.actions, Answer{Call: e.Call, Taken: taken})
+	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
 }
 
-func (b *Balancer) onAttach(e Attach) {
-	taken := e.Carried || b.has(e.Backend)
-	if state, out := b.calls.detached[e.Backend]; out {
-		delete(b.calls.detached, e.Backend)
-		b.comeBack(e.Backend, state, e.At)
-	} else if e.Carried && e.At > b.calls.returned[e.Backend] {
-		b.comeBack(e.Backend, Up, e.At)
+func (b *Balancer) onEnable(event Enable) {
+	accepted := event.Inherited || b.knowsBackend(event.Backend)
+	if state, disabled := b.overrides.disabled[event.Backend]; disabled {
+		delete(b.overrides.disabled, event.Backend)
+		b.reinstate(event.Backend, state, event.At)
+	} else if event.Inherited && event.At > b.overrides.reenabledAt[event.Backend] {
+		b.reinstate(event.Backend, Up, event.At)
 	}
-	b.actions = append(b.actions, Answer{Call: e.Call, Taken: taken})
+	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
 }
 
-// comeBack has a backend in use again, in the state that the list tells. Operators restart it while
+// reinstate has a backend in use again, in the state that the list tells. Operators restart it while
 // it is out, and the list may tell of that late or never: it counts as started now, and nothing that
 // was learned of the process before is held against it.
-func (b *Balancer) comeBack(id string, state BackendState, at time.Duration) {
+func (b *Balancer) reinstate(id string, state BackendState, at time.Duration) {
 	if at == 0 {
 		at = b.now
 	}
-	if b.calls.returned == nil {
-		b.calls.returned = map[string]time.Duration{}
+	if b.overrides.reenabledAt == nil {
+		b.overrides.reenabledAt = map[string]time.Duration{}
 	}
-	b.calls.returned[id] = at
-	t := b.byID[id]
-	if t == nil {
+	b.overrides.reenabledAt[id] = at
+	backend := b.byID[id]
+	if backend == nil {
 		return
 	}
-	if t.State != Gone {
-		t.State = state
+	if backend.State != Removed {
+		backend.State = state
 	}
-	t.Started = max(t.Started, at)
-	b.start(t, max(t.Started, t.warmFrom))
-	t.strikes, t.ejected, t.struckAt, t.fullTill = 0, 0, 0, 0
-	t.down, t.silent, t.row, t.fails = false, 0, 0, 0
+	backend.Started = max(backend.Started, at)
+	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
+	backend.failureScore, backend.ejectedUntil, backend.ejectedAt, backend.rejectingUntil = 0, 0, 0, 0
+	backend.presumedDead, backend.consecutiveTimeouts, backend.consecutiveFailures, backend.failureRate = false, 0, 0, 0
 	// Its budget begins below nothing, so that agents called at once don't all send at once. With little
 	// traffic it would take longer to fill than operators wait.
-	t.budget = max(t.budget, -b.coldRate(t)*float64(backWithin)*b.rng.Float64())
-	b.measure()
+	backend.slowStartBudget = max(backend.slowStartBudget, -b.slowStartRate(backend)*float64(reinstateDelay)*b.rng.Float64())
+	b.recomputeCapacity()
 }
 
-// heed puts a list under the operators' calls: a detached backend drains, whatever the list says, and
+// applyOverrides puts a list under the operators' calls: a detached backend drains, whatever the list says, and
 // one that was called back started no earlier than then.
-func (b *Balancer) heed(list []Backend) []Backend {
-	heeded := append([]Backend(nil), list...)
-	for i := range heeded {
-		n := &heeded[i]
-		if _, out := b.calls.detached[n.ID]; out {
-			b.calls.detached[n.ID] = n.State
-			n.State = max(n.State, Draining)
+func (b *Balancer) applyOverrides(list []Backend) []Backend {
+	effective := append([]Backend(nil), list...)
+	for i := range effective {
+		backend := &effective[i]
+		if _, disabled := b.overrides.disabled[backend.ID]; disabled {
+			b.overrides.disabled[backend.ID] = backend.State
+			backend.State = max(backend.State, Draining)
 		}
-		if at, back := b.calls.returned[n.ID]; back {
-			n.Started = max(n.Started, at)
+		if at, reenabled := b.overrides.reenabledAt[backend.ID]; reenabled {
+			backend.Started = max(backend.Started, at)
 		}
 	}
-	for id, at := range b.calls.returned {
-		if b.now-at > b.s.RampTime {
-			delete(b.calls.returned, id)
+	for id, at := range b.overrides.reenabledAt {
+		if b.now-at > b.settings.SlowStartWindow {
+			delete(b.overrides.reenabledAt, id)
 		}
 	}
-	return heeded
+	return effective
 }
 
-// onEmptying tells peers at once. Departure: what agents learn of each other's demand follows it by
+// onDrain tells peers at once. Departure: what agents learn of each other's demand follows it by
 // seconds, in which the one that the clients go to refuses them by its old share of the limit, and the
 // one that they come back to does again.
-func (b *Balancer) onEmptying(e Emptying) {
+func (b *Balancer) onDrain(event Drain) {
 	switch {
-	case e.On && b.calls.moved == 0:
-		b.calls.moved = max(b.asked(), 1)
-	case !e.On && b.calls.moved > 0:
-		b.demand.total = max(b.demand.sum(b.now), b.calls.moved)
-		b.calls.moved = 0
+	case event.On && b.overrides.drainedDemand == 0:
+		b.overrides.drainedDemand = max(b.steadyDemand(), 1)
+	case !event.On && b.overrides.drainedDemand > 0:
+		b.demand.total = max(b.demand.value(b.now), b.overrides.drainedDemand)
+		b.overrides.drainedDemand = 0
 	default:
 		return
 	}
-	if b.s.Peers {
-		b.tell()
+	if b.settings.GossipAllowed {
+		b.gossip()
 	}
 }
--- a/balancer/order_test.go
+++ b/balancer/order_test.go
@@ -22,26 +22,26 @@
 }
 
 type audited struct {
-	class    balancer.Class
-	deadline time.Duration
-	sends    []auditedSend
-	ended    bool
-	left     time.Duration // when the client was told to have left; answers of that step do no harm
-	stream   bool
+	class       balancer.Class
+	deadline    time.Duration
+	sends       []auditedSend
+	ended       bool
+	abandonedAt time.Duration // when the client was told to have left; answers of that step do no harm
+	stream      bool
 }
 
 type auditedSend struct {
-	backend string
-	at      time.Duration
-	out     bool
-	risky   bool // may have run
+	backend          string
+	at               time.Duration
+	out              bool
+	possiblyExecuted bool // may have run
 }
 
 type auditedBackend struct {
 	balancer.Backend
-	offAt   time.Duration // when it was told to drain or to be gone
-	started time.Duration // when it was told to have started; 0: warm
-	sends   []time.Duration
+	unavailableAt time.Duration // when it was told to drain or to be gone
+	started       time.Duration // when it was told to have started; 0: warm
+	sends         []time.Duration
 }
 
 func newAuditor(s balancer.Settings) *auditor {
@@ -56,7 +56,7 @@
 	switch e := e.(type) {
 	case balancer.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Left}
+			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.TimeRemaining}
 		}
 	case balancer.Outcome:
 		r := a.requests[e.Request]
@@ -64,18 +64,18 @@
 			return
 		}
 		r.sends[e.Attempt].out = false
-		r.sends[e.Attempt].risky = !e.Result.NeverRan()
+		r.sends[e.Attempt].possiblyExecuted = !e.Result.NeverRan()
 		r.ended = r.ended || e.Done
-	case balancer.StreamStarted:
+	case balancer.ResponseStarted:
 		if r := a.requests[e.Request]; r != nil {
 			r.stream = true
 		}
 	case balancer.Abandoned:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
-			r.ended, r.left = true, a.now
+			r.ended, r.abandonedAt = true, a.now
 		}
-	case balancer.List:
-		if e.Kind == balancer.ListFailed {
+	case balancer.EndpointUpdate:
+		if e.Kind == balancer.UpdateFailed {
 			return
 		}
 		listed := map[string]bool{}
@@ -90,17 +90,17 @@
 				b.started, b.sends = n.Started, nil
 			}
 			if n.State == balancer.Up {
-				b.offAt = 0
-			} else if b.Backend.State == balancer.Up || b.offAt == 0 {
-				b.offAt = a.now
+				b.unavailableAt = 0
+			} else if b.Backend.State == balancer.Up || b.unavailableAt == 0 {
+				b.unavailableAt = a.now
 			}
 			b.Backend = n
 		}
-		if e.Kind != balancer.ListDelta {
+		if e.Kind != balancer.UpdateDelta {
 			for id, b := range a.backends {
-				if !listed[id] && b.offAt == 0 {
-					b.offAt = a.now
-					b.State = balancer.Gone
+				if !listed[id] && b.unavailableAt == 0 {
+					b.unavailableAt = a.now
+					b.State = balancer.Removed
 				}
 			}
 		}
@@ -117,9 +117,9 @@
 			return
 		}
 		for _, s := range r.sends {
-			free := r.class.Effect == balancer.Safe ||
-				r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupAll
-			if (s.risky || s.out) && !free {
+			free := r.class.Idempotency == balancer.Idempotent ||
+				r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeAll
+			if (s.possiblyExecuted || s.out) && !free {
 				a.fault("%s refused though an attempt may have run", act.Request)
 			}
 		}
@@ -129,8 +129,8 @@
 		if act.After < 0 {
 			a.fault("a timer in the past: %v", act.After)
 		}
-	case balancer.TellPeer:
-		if !a.s.Peers || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
+	case balancer.SendGossip:
+		if !a.s.GossipAllowed || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
 			a.fault("%d bytes to peer %d", len(act.Data), act.To)
 		}
 	}
@@ -142,12 +142,12 @@
 	case r == nil:
 		a.fault("answer for the unknown request %s", id)
 		return nil
-	case r.ended && r.left != a.now:
+	case r.ended && r.abandonedAt != a.now:
 		a.fault("%s answered twice", id)
 	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
 		a.fault("%s answered late", id)
 	}
-	r.ended, r.left = true, 0
+	r.ended, r.abandonedAt = true, 0
 	return r
 }
 
@@ -157,51 +157,51 @@
 		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
 		return
 	}
-	if r.ended && r.left != a.now {
+	if r.ended && r.abandonedAt != a.now {
 		a.fault("%s sent after its end", act.Request)
 	}
 	if len(r.sends) >= max(1, a.s.MaxAttempts) {
 		a.fault("%s sent past the attempt limit", act.Request)
 	}
-	if b.offAt > 0 && a.now > b.offAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.offAt)
+	if b.unavailableAt > 0 && a.now > b.unavailableAt+a.s.DrainGrace {
+		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.unavailableAt)
 	}
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !a.s.SecondCopies {
+		if s.out && !a.s.HedgingAllowed {
 			a.fault("%s has two attempts out", act.Request)
 		}
-		if anchor == nil && (s.out || s.risky) {
+		if anchor == nil && (s.out || s.possiblyExecuted) {
 			anchor = s
 		}
 	}
 	if anchor != nil {
 		from := a.backends[anchor.backend]
 		switch {
-		case r.class.Effect == balancer.Unsafe:
+		case r.class.Idempotency == balancer.NonIdempotent:
 			a.fault("%s is unsafe and may have run, sent again", act.Request)
-		case r.class.Effect == balancer.Keyed && a.now-anchor.at > r.class.Window:
+		case r.class.Idempotency == balancer.IdempotencyKey && a.now-anchor.at > r.class.DedupWindow:
 			a.fault("%s sent again after its window", act.Request)
-		case r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupZone && from.Zone != b.Zone,
-			r.class.Effect == balancer.Keyed && r.class.Group == balancer.GroupCell && from.Cell != b.Cell:
+		case r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeZone && from.Zone != b.Zone,
+			r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeCell && from.Cell != b.Cell:
 			a.fault("%s sent again outside its group", act.Request)
 		}
 	}
 	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
 	b.sends = append(b.sends, a.now)
-	a.cold(b)
+	a.checkSlowStart(b)
 }
 
-// cold checks this agent's part of a cold backend's load. What a backend can do
+// checkSlowStart checks this agent's part of a cold backend's load. What a backend can do
 // is not told; what the busiest other was sent in the same span, a cold one's over its
 // warmth, bounds what a balancer may hold to be its own measure, and the stated multiple of
 // the cold share of that, with the slack of a few light requests, bounds the cold one.
-func (a *auditor) cold(b *auditedBackend) {
-	if b.started == 0 || a.now-b.started >= a.s.RampTime || a.s.RampTime == 0 {
+func (a *auditor) checkSlowStart(b *auditedBackend) {
+	if b.started == 0 || a.now-b.started >= a.s.SlowStartWindow || a.s.SlowStartWindow == 0 {
 		return
 	}
-	span := max(a.s.FallWindow, 1)
+	span := max(a.s.OverloadWindow, 1)
 	count := func(b *auditedBackend, span time.Duration) (n int) {
 		for _, at := range b.sends {
 			if a.now-at < span {
@@ -211,10 +211,10 @@
 		return n
 	}
 	warmth := func(b *auditedBackend) float64 {
-		if b.started == 0 || a.now-b.started >= a.s.RampTime {
+		if b.started == 0 || a.now-b.started >= a.s.SlowStartWindow {
 			return 1
 		}
-		return a.s.ColdShare + (1-a.s.ColdShare)*max(0, float64(a.now-b.started)/float64(a.s.RampTime))
+		return a.s.InitialCapacity + (1-a.s.InitialCapacity)*max(0, float64(a.now-b.started)/float64(a.s.SlowStartWindow))
 	}
 	most := 0.0
 	for _, o := range a.backends {
@@ -222,14 +222,14 @@
 			most = max(most, float64(count(o, 3*span))/warmth(o))
 		}
 	}
-	if got := count(b, span); float64(got) > a.s.FallMultiple*warmth(b)*most+3 {
+	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth(b)*most+3 {
 		a.fault("%s is cold (%v) and got %d sends in %v, the busiest other, once warm, %.1f in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
 }
 
-// overdue checks that nothing accepted is without its answer past its time.
-func (a *auditor) overdue() {
+// checkUnanswered checks that nothing accepted is without its answer past its time.
+func (a *auditor) checkUnanswered() {
 	for id, r := range a.requests {
 		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
 			a.fault("%s got no answer in time", id)
@@ -238,24 +238,24 @@
 	}
 }
 
-// hostile feeds a balancer a legal but unkind order of events and audits it.
-func hostile(t *testing.T, seed uint64, steps int) *auditor {
+// playHostile feeds a balancer a legal but unkind order of events and audits it.
+func playHostile(t *testing.T, seed uint64, steps int) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
 	s.Balancers = 1 + rng.IntN(30)
 	s.Self = rng.IntN(s.Balancers)
 	s.Subscribe = rng.IntN(2) == 0
-	s.SecondCopies = rng.IntN(2) == 0
-	s.Peers = rng.IntN(2) == 0
+	s.HedgingAllowed = rng.IntN(2) == 0
+	s.GossipAllowed = rng.IntN(2) == 0
 	s.MaxAttempts = rng.IntN(6)
-	s.CrossZonePrice = float64(rng.IntN(2)) * 0.02
+	s.CrossZoneCost = float64(rng.IntN(2)) * 0.02
 	if rng.IntN(4) == 0 {
-		s.RampTime, s.FallWindow, s.AskWithin, s.Tick = 0, 0, 0, 0
+		s.SlowStartWindow, s.OverloadWindow, s.PollInterval, s.Tick = 0, 0, 0, 0
 	}
 	s.Classes = s.Classes[:1+rng.IntN(len(s.Classes))]
 	for i := range s.Classes {
-		s.Classes[i].Window = time.Duration(rng.IntN(100)) * ms
+		s.Classes[i].DedupWindow = time.Duration(rng.IntN(100)) * ms
 	}
 	b, err := balancer.New(s, seed)
 	if err != nil {
@@ -289,8 +289,8 @@
 			id := fmt.Sprint("q", next)
 			left := time.Duration(1+rng.IntN(1500)) * ms
 			due[id] = a.now + left
-			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
-				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0})
+			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeRemaining: left,
+				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0})
 		}
 		// Every attempt ends by its request's time; some early, with any result.
 		rest := open[:0]
@@ -319,16 +319,16 @@
 			if rng.IntN(2) == 0 {
 				n.State, n.Started = balancer.Up, a.now
 			}
-			events = append(events, balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{*n}})
+			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{*n}})
 		case 1:
 			var full []balancer.Backend // up to none at all
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = balancer.Up
 				full = append(full, n)
 			}
-			events = append(events, balancer.List{Kind: balancer.ListKind(1 + rng.IntN(2)), Backends: full})
+			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateKind(1 + rng.IntN(2)), Backends: full})
 		case 2:
-			events = append(events, balancer.List{Kind: balancer.ListFailed})
+			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 		case 3:
 			if next > 0 {
 				events = append(events, balancer.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
@@ -336,9 +336,9 @@
 		case 4:
 			events = append(events, balancer.TimerFired{Token: rng.Int64N(1 << 20)},
 				balancer.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
-				balancer.ProbeResult{Backend: "x"}, balancer.PeerMessage{From: 70})
+				balancer.ProbeResult{Backend: "x"}, balancer.GossipReceived{From: 70})
 		case 5:
-			events = append(events, balancer.PeerMessage{From: rng.IntN(12) - 1,
+			events = append(events, balancer.GossipReceived{From: rng.IntN(12) - 1,
 				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
 		}
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
@@ -355,14 +355,14 @@
 					Attempt: len(a.requests[act.Request].sends) - 1})
 			}
 		}
-		a.overdue()
+		a.checkUnanswered()
 	}
 	return a
 }
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := hostile(t, seed, 600)
+		a := playHostile(t, seed, 600)
 		if len(a.faults) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
@@ -372,7 +372,7 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := hostile(t, seed, 400); len(a.faults) > 0 {
+		if a := playHostile(t, seed, 400); len(a.faults) > 0 {
 			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
 	})
@@ -385,44 +385,44 @@
 		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.OK}
 	}
 	refuse, fail := balancer.Refuse{Request: "q"}, balancer.Fail{Request: "q"}
-	off := balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
-	empty := balancer.List{Kind: balancer.ListFull}
-	cold := balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
+	off := balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
+	empty := balancer.EndpointUpdate{Kind: balancer.UpdateFull}
+	cold := balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
 		play  []any // events, actions, and durations that pass
 		want  string
 	}{
-		{"no answer", safe, []any{2021 * ms}, "got no answer in time"},
-		{"two answers", safe, []any{fail, fail}, "answered twice"},
-		{"answer after being served", safe, []any{send("a"), ended(0, balancer.OK), refuse}, "answered twice"},
-		{"late answer", safe, []any{2020*ms + 1, fail}, "answered late"},
-		{"send after the answer", safe, []any{fail, send("a")}, "sent after its end"},
-		{"unknown backend", safe, []any{send("zz")}, "never told"},
-		{"past the limit", safe, []any{send("a"), ended(0, balancer.Errored), send("b"), ended(1, balancer.Errored),
+		{"no answer", idempotent, []any{2021 * ms}, "got no answer in time"},
+		{"two answers", idempotent, []any{fail, fail}, "answered twice"},
+		{"answer after being served", idempotent, []any{send("a"), ended(0, balancer.OK), refuse}, "answered twice"},
+		{"late answer", idempotent, []any{2020*ms + 1, fail}, "answered late"},
+		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its end"},
+		{"unknown backend", idempotent, []any{send("zz")}, "never told"},
+		{"past the limit", idempotent, []any{send("a"), ended(0, balancer.Errored), send("b"), ended(1, balancer.Errored),
 			send("a"), ended(2, balancer.Errored), send("b"), ended(3, balancer.Errored), send("a")}, "past the attempt limit"},
-		{"second copy", safe, []any{send("a"), send("b")}, "two attempts out"},
-		{"unsafe repeated", unsafe, []any{send("a"), ended(0, balancer.TimedOut), send("b")}, "is unsafe"},
-		{"unsafe refused", unsafe, []any{send("a"), ended(0, balancer.Reset), refuse}, "refused though"},
-		{"unsafe refused while out", unsafe, []any{send("a"), refuse}, "refused though"},
-		{"zone refused", keyedZone, []any{send("a"), ended(0, balancer.Errored), refuse}, "refused though"},
-		{"outside the zone", keyedZone, []any{send("a"), ended(0, balancer.Errored), send("c")}, "outside its group"},
-		{"outside the cell", keyedCell, []any{send("a"), ended(0, balancer.Errored), send("d")}, "outside its group"},
-		{"after the window", keyedAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")}, "after its window"},
-		{"drained", safe, []any{off, 501 * ms, send("a")}, "drain or be gone"},
-		{"gone from the list", safe, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
-		{"cold", safe, []any{cold, send("a"), ended(0, balancer.Full), send("a"), ended(1, balancer.Full),
-			send("a"), ended(2, balancer.Full), send("a")}, "is cold"},
-		{"message where none is allowed", safe, []any{balancer.TellPeer{To: 1, Data: []byte{1}}}, "bytes to peer"},
-		{"timer in the past", safe, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
+		{"second copy", idempotent, []any{send("a"), send("b")}, "two attempts out"},
+		{"unsafe repeated", nonIdempotent, []any{send("a"), ended(0, balancer.TimedOut), send("b")}, "is unsafe"},
+		{"unsafe refused", nonIdempotent, []any{send("a"), ended(0, balancer.Reset), refuse}, "refused though"},
+		{"unsafe refused while out", nonIdempotent, []any{send("a"), refuse}, "refused though"},
+		{"zone refused", scopeZone, []any{send("a"), ended(0, balancer.Errored), refuse}, "refused though"},
+		{"outside the zone", scopeZone, []any{send("a"), ended(0, balancer.Errored), send("c")}, "outside its group"},
+		{"outside the cell", scopeCell, []any{send("a"), ended(0, balancer.Errored), send("d")}, "outside its group"},
+		{"after the window", scopeAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")}, "after its window"},
+		{"drained", idempotent, []any{off, 501 * ms, send("a")}, "drain or be gone"},
+		{"gone from the list", idempotent, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
+		{"cold", idempotent, []any{cold, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
+			send("a"), ended(2, balancer.Rejected), send("a")}, "is cold"},
+		{"message where none is allowed", idempotent, []any{balancer.SendGossip{To: 1, Data: []byte{1}}}, "bytes to peer"},
+		{"timer in the past", idempotent, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			a := newAuditor(settings())
 			a.now = time.Hour
-			a.event(balancer.List{Kind: balancer.ListFull, Backends: backends(4)})
-			a.event(balancer.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
+			a.event(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(4)})
+			a.event(balancer.Request{ID: "q", Class: tt.class, TimeRemaining: 2000 * ms})
 			for _, p := range tt.play {
 				switch p := p.(type) {
 				case time.Duration:
@@ -433,7 +433,7 @@
 					a.action(p)
 				}
 			}
-			a.overdue()
+			a.checkUnanswered()
 			if got := strings.Join(a.faults, "; "); !strings.Contains(got, tt.want) {
 				t.Errorf("faults %q, want one with %q", got, tt.want)
 			}
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -3,45 +3,45 @@
 // What agents tell each other, and whom.
 
 const (
-	tellFan    = 8   // peers told each time: all at a small site, as many at random at a large one
-	tellMissed = 4.0 // a peer that misses so many tells has stopped; one never heard counts as a mean one
-	passEvery  = 2   // outcomes for each message with notes: half the price of one a request
-	notesKept  = 96  // about two messages' worth
+	gossipFanout      = 8   // peers told each time: all at a small site, as many at random at a large one
+	peerExpiry        = 4.0 // a peer that misses so many tells has stopped; one never heard counts as a mean one
+	outcomesPerGossip = 2   // outcomes for each message with notes: half the price of one a request
+	maxObservations   = 96  // about two messages' worth
 )
 
-// onPeer takes what another agent tells: the work that its clients ask for, the delay it
+// onGossip takes what another agent tells: the work that its clients ask for, the delay it
 // sees, and notes. Departure: by head count a busy agent would refuse at a limit that quiet
 // ones do not use. Acts where agents may exchange messages and their traffic differs.
-func (b *Balancer) onPeer(e PeerMessage) {
-	m, ok := decode(e.Data, b.now, b.period)
-	if !ok || e.From < 0 || e.From >= len(b.peers) || e.From == b.s.Self {
+func (b *Balancer) onGossip(event GossipReceived) {
+	message, ok := decode(event.Data, b.now, b.maxObjective)
+	if !ok || event.From < 0 || event.From >= len(b.peers) || event.From == b.settings.Self {
 		return
 	}
-	b.onPeerDemand(&b.peers[e.From], m)
-	b.onLossReport(e.From, m.lost)
-	if b.notesOn() {
-		b.delay = blend(b.delay, min(m.delay, 1)) // what a quiet agent sees itself comes too late
-		for _, n := range m.notes {
-			b.read(n)
+	b.onPeerDemand(&b.peers[event.From], message)
+	b.onLossReport(event.From, message.lostZones)
+	if b.gossipsObservations() {
+		b.latencyRatio = ewma(b.latencyRatio, min(message.latencyRatio, 1)) // what a quiet agent sees itself comes too late
+		for _, entry := range message.observations {
+			b.applyObservation(entry)
 		}
 	}
 }
 
-// tell tells peers this agent's demand, and reckons its share anew. Where there are more peers
-// than tellFan, a sample of them is told, and those heard lately stand for the rest: telling
+// gossip tells peers this agent's demand, and reckons its share anew. Where there are more peers
+// than gossipFanout, a sample of them is told, and those heard lately stand for the rest: telling
 // all costs messages with the square of the number of agents.
-func (b *Balancer) tell() {
-	b.tellToken = b.alarm(b.period)
-	if !b.notesOn() {
-		b.spread()
+func (b *Balancer) gossip() {
+	b.gossipTimer = b.setTimer(b.maxObjective)
+	if !b.gossipsObservations() {
+		b.gossipToSample()
 	}
-	b.reckon()
+	b.recomputeQuota()
 }
 
-// spread tells a sample of the peers.
-func (b *Balancer) spread() {
-	from, others := b.rng.IntN(b.s.Balancers), b.s.Balancers-1
-	for i := 1; i <= min(tellFan, others); i++ {
-		b.message(nil, 1+(from+i)%others)
+// gossipToSample tells a sample of the peers.
+func (b *Balancer) gossipToSample() {
+	from, others := b.rng.IntN(b.settings.Balancers), b.settings.Balancers-1
+	for i := 1; i <= min(gossipFanout, others); i++ {
+		b.sendGossip(nil, 1+(from+i)%others)
 	}
 }
--- a/balancer/rare_test.go
+++ b/balancer/rare_test.go
@@ -11,21 +11,21 @@
 
 // The other customer's calm day: backends that hold as many connections as they may turn new ones away. That says nothing of
 // queues: the limit stays, and the agent keeps to fewer backends, of which it has connections.
-func TestConnectionsTurnedAwayAreNoCrowd(t *testing.T) {
+func TestRejectedConnectionsAreNoOverload(t *testing.T) {
 	rush := func(fresh bool) (out int, met int) {
 		s := settings()
 		s.MaxAttempts = 1
 		r := newRig(t, s, 1, backends(8))
 		for n := range 1 {
-			r.rush(fmt.Sprint("calm", n), 20*ms)
+			r.burst(fmt.Sprint("calm", n), 20*ms)
 		}
 		for n := range 60 {
 			id := fmt.Sprint("turned", n)
-			r.request(id, safe)
-			r.step(balancer.Outcome{Request: id, Backend: r.sent[id][0], Result: balancer.Full, Latency: ms, New: fresh})
+			r.request(id, idempotent)
+			r.step(balancer.Outcome{Request: id, Backend: r.sent[id][0], Result: balancer.Rejected, Latency: ms, NewConnection: fresh})
 			r.advance(100 * ms)
 		}
-		return r.rush("after", 20*ms), len(r.serve(100, safe, 20*ms))
+		return r.burst("after", 20*ms), len(r.serve(100, idempotent, 20*ms))
 	}
 	queues, all := rush(false)
 	caps, few := rush(true)
@@ -39,8 +39,8 @@
 
 // A repeat belongs to the pod and the zone in which the attempt before it ran, also where a list has moved that backend since;
 // and its last byte must be out while the window holds, of which the agent is told.
-func TestRepeatsKeepToWhereTheFirstRan(t *testing.T) {
-	for _, class := range []int{keyedCell, keyedZone} {
+func TestRetriesStayWhereTheFirstAttemptRan(t *testing.T) {
+	for _, class := range []int{scopeCell, scopeZone} {
 		repeats := 0
 		for seed := range uint64(30) {
 			s := settings()
@@ -48,22 +48,22 @@
 			list := backends(6)
 			r := newRig(t, s, seed, list)
 			began := r.now
-			if a := r.request("q", class); firstSend(t, a).Before != 0 {
+			if a := r.request("q", class); firstSend(t, a).SendDeadline != 0 {
 				t.Fatal("a first attempt is bound")
 			}
 			first := r.sent["q"][0][0] - 'a'
 			moved := list[first]
 			moved.Cell, moved.Zone = (moved.Cell+1)%3, (moved.Zone+1)%3
 			r.now += 20 * ms
-			r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{moved}})
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{moved}})
 			r.outcome("q", balancer.Reset, 20*ms)
 			r.advance(200 * ms)
 			for _, id := range r.sent["q"][1:] {
 				if b := list[id[0]-'a']; b.Cell != list[first].Cell || b.ID == moved.ID {
 					t.Fatalf("class %d, seed %d: repeated at %s after %s, which has moved", class, seed, id, moved.ID)
 				}
-				if send := firstSend(t, r.actions); send.Before != began+s.Classes[class].Window {
-					t.Fatalf("class %d: bound to %v, %v after the first", class, send.Before, send.Before-began)
+				if send := firstSend(t, r.actions); send.SendDeadline != began+s.Classes[class].DedupWindow {
+					t.Fatalf("class %d: bound to %v, %v after the first", class, send.SendDeadline, send.SendDeadline-began)
 				}
 				repeats++
 			}
@@ -88,19 +88,19 @@
 // The busiest agent of a release spent its processor on looking for a backend for each held request in each step, and heard of
 // drains a second late. Where there is none for one there is none for others like it: ten times as many held requests take no
 // more looks. Each look allocates here what keeps a request out of the zone of one that is bound to it.
-func TestHeldRequestsLookOnce(t *testing.T) {
+func TestQueuedRequestsArePickedForOnce(t *testing.T) {
 	looks := func(held int) float64 {
 		s := settings()
-		s.FallMultiple, s.ColdShare, s.RampTime = 1, 0.01, time.Hour
+		s.OverloadMultiple, s.InitialCapacity, s.SlowStartWindow = 1, 0.01, time.Hour
 		list := backends(6)
 		for i := range list {
 			list[i].Started = time.Hour // cold: none takes more than a request now and then
 		}
 		r := newRig(t, s, 5, list)
 		r.step(balancer.Residency{Table: &gate.Table{Rules: [][]bool{nil, {true, false, false}}, Bound: []bool{false, true}}},
-			balancer.Request{ID: "bound", Class: safe, Left: 2000 * ms, Rule: 1})
+			balancer.Request{ID: "bound", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
 		for n := range held {
-			r.request(fmt.Sprint("q", n), safe)
+			r.request(fmt.Sprint("q", n), idempotent)
 		}
 		if len(r.sent) > 5 {
 			t.Fatalf("%d were sent: too little is held", len(r.sent))
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	slowPace   = 1.2   // answers of a zone that take so many times the mean say that it is crowded
-	boundFirst = 100.0 // value of a bound request against another of its class while it waits for room
-	tightFor   = 2.0   // longest aims for which others keep out of the zones of a bound one that found none
+	crowdedLatencyRatio   = 1.2   // answers of a zone that take so many times the mean say that it is crowded
+	boundValueFactor      = 100.0 // value of a bound request against another of its class while it waits for room
+	reservationObjectives = 2.0   // longest aims for which others keep out of the zones of a bound one that found none
 )
 
-// permits is the gate that every send passes: mayRepeat asks it, for first attempts, repeats and second copies alike.
-func (b *Balancer) permits(r *request, zone int) bool {
-	return r.rule == 0 || b.resident != nil && b.resident.Permits(r.rule, zone)
+// permits is the gate that every send passes: mayAttempt asks it, for first attempts, repeats and second copies alike.
+func (b *Balancer) permits(req *request, zone int) bool {
+	return req.residencyRule == 0 || b.residencyTable != nil && b.residencyTable.Permits(req.residencyRule, zone)
 }
 
-// binds reports whether a request may not go just anywhere.
-func (b *Balancer) binds(r *request) bool {
-	return r.rule != 0 && (b.resident == nil || r.rule >= len(b.resident.Rules) || b.resident.Bound[r.rule])
+// residencyBound reports whether a request may not go just anywhere.
+func (b *Balancer) residencyBound(req *request) bool {
+	return req.residencyRule != 0 && (b.residencyTable == nil || req.residencyRule >= len(b.residencyTable.Rules) || b.residencyTable.Bound[req.residencyRule])
 }
 
-// homes reports whether a backend that is up may serve a request. One without any is refused at once.
-func (b *Balancer) homes(r *request) bool {
-	return !b.binds(r) || slices.ContainsFunc(b.backends, func(t *backend) bool { return t.State == Up && b.permits(r, t.Zone) })
+// hasPermittedBackend reports whether a backend that is up may serve a request. One without any is refused at once.
+func (b *Balancer) hasPermittedBackend(req *request) bool {
+	return !b.residencyBound(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool { return backend.State == Up && b.permits(req, backend.Zone) })
 }
 
-// reserve has others keep out of the zones of a bound request that waits for them, or finds them busy or slow.
-func (b *Balancer) reserve(r *request) {
+// reserveZones has others keep out of the zones of a bound request that waits for them, or finds them busy or slow.
+func (b *Balancer) reserveZones(req *request) {
 	for i, z := range b.zones {
-		if b.permits(r, i) {
-			z.tight = b.now + time.Duration(tightFor*float64(b.period))
+		if b.permits(req, i) {
+			z.reservedUntil = b.now + time.Duration(reservationObjectives*float64(b.maxObjective))
 		}
 	}
 }
 
-// aside says which zones a request that may go elsewhere keeps out of; nil: none, or it may go nowhere else.
-func (b *Balancer) aside(r *request) []bool {
-	aside, room := []bool(nil), false
+// reservedZones says which zones a request that may go elsewhere keeps out of; nil: none, or it may go nowhere else.
+func (b *Balancer) reservedZones(req *request) []bool {
+	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
-		if room = room || z.up > 0 && b.now >= z.tight && !z.left; b.now < z.tight && !b.binds(r) {
-			if aside == nil {
-				aside = make([]bool, len(b.zones))
+		if open = open || z.up > 0 && b.now >= z.reservedUntil && !z.failedOver; b.now < z.reservedUntil && !b.residencyBound(req) {
+			if reserved == nil {
+				reserved = make([]bool, len(b.zones))
 			}
-			aside[i] = true
+			reserved[i] = true
 		}
 	}
-	if !room {
+	if !open {
 		return nil
 	}
-	return aside
+	return reserved
 }
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -15,11 +15,11 @@
 // No action of the module sends a request where the table in force does not permit it: first attempts, repeats, second
 // copies, what was held while the policy changed, what goes to a backend that was called back or has moved to another
 // zone. Nothing is owed an answer for ever, either.
-func TestNothingIsSentOutside(t *testing.T) {
+func TestNothingIsSentOutsidePermittedZones(t *testing.T) {
 	const zones, rules = 3, 4
 	rapid.Check(t, func(d *rapid.T) {
 		s := settings()
-		s.SecondCopies, s.Peers, s.Balancers = true, true, 3
+		s.HedgingAllowed, s.GossipAllowed, s.Balancers = true, true, 3
 		list := backends(2 * zones)
 		r := newRig(t, s, rapid.Uint64().Draw(d, "seed"), list)
 		zone := map[string]int{}
@@ -48,7 +48,7 @@
 			default:
 				id := fmt.Sprint("q", i)
 				rule[id] = rapid.IntRange(0, rules+1).Draw(d, "rule") // one more than the table has
-				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"), Left: 2000 * ms, Rule: rule[id]}))
+				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"), TimeRemaining: 2000 * ms, ResidencyRule: rule[id]}))
 			case 4, 5, 6: // an attempt ends somehow
 				ids := make([]string, 0, len(r.sent))
 				for id := range r.sent {
@@ -77,10 +77,10 @@
 				b.Zone = rapid.IntRange(-1, zones).Draw(d, "zone")
 				b.State = balancer.BackendState(rapid.IntRange(0, 1).Draw(d, "state"))
 				zone[b.ID] = b.Zone
-				check(r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{b}}))
+				check(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{b}}))
 				if rapid.Bool().Draw(d, "called") {
-					check(r.step(balancer.Detach{Call: int64(i), Backend: b.ID}))
-					check(r.step(balancer.Attach{Call: int64(i), Backend: b.ID}))
+					check(r.step(balancer.Disable{Call: int64(i), Backend: b.ID}))
+					check(r.step(balancer.Enable{Call: int64(i), Backend: b.ID}))
 				}
 			}
 		}
@@ -93,52 +93,52 @@
 	})
 }
 
-func bind(zones ...bool) balancer.Residency {
+func residencyOf(zones ...bool) balancer.Residency {
 	return balancer.Residency{Table: &gate.Table{Gen: 1, Rules: [][]bool{nil, zones}, Bound: []bool{false, true}}}
 }
 
 // A bound request without a backend where it may be served is refused at once, and the client is told why.
-func TestNoHomeIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutPermittedBackendIsRefused(t *testing.T) {
 	for name, prepare := range map[string]func(r *rig){
-		"zone without backends": func(r *rig) { r.step(bind(false, false, false)) },
+		"zone without backends": func(r *rig) { r.step(residencyOf(false, false, false)) },
 		"zone drained": func(r *rig) {
-			r.step(bind(false, true, false))
+			r.step(residencyOf(false, true, false))
 			for _, b := range backends(6)[2:4] {
 				b.State = balancer.Draining
-				r.step(balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{b}})
+				r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{b}})
 			}
 		},
 		"no policy": func(*rig) {},
 	} {
 		r := newRig(t, settings(), 1, backends(6))
 		prepare(r)
-		actions := r.step(balancer.Request{ID: "q", Class: safe, Left: 2000 * ms, Rule: 1})
+		actions := r.step(balancer.Request{ID: "q", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
 		if len(actions) != 1 {
 			t.Fatalf("%s: %v", name, actions)
 		}
-		if a, ok := actions[0].(balancer.Refuse); !ok || !a.Residency {
+		if a, ok := actions[0].(balancer.Refuse); !ok || !a.NoPermittedZone {
 			t.Errorf("%s: %+v", name, actions[0])
 		}
-		if a := r.step(balancer.Request{ID: "free", Class: safe, Left: 2000 * ms}); len(r.sent["free"]) != 1 {
+		if a := r.step(balancer.Request{ID: "free", Class: idempotent, TimeRemaining: 2000 * ms}); len(r.sent["free"]) != 1 {
 			t.Errorf("%s: a request that is not bound: %v", name, a)
 		}
 	}
 }
 
 // Where a bound tenant's zone is crowded, those who may go elsewhere make way before it is refused.
-func TestBoundGoFirstInTheirRegion(t *testing.T) {
+func TestBoundRequestsGoFirstInTheirRegion(t *testing.T) {
 	play := func(rule int) (in, refused int) {
 		r := newRig(t, settings(), 5, backends(6))
-		r.step(bind(true, false, false))
+		r.step(residencyOf(true, false, false))
 		var open []string
 		for i := range 600 {
 			r.advance(5 * ms)
 			id := fmt.Sprint("f", i)
-			r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms})
+			r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms})
 			open = append(open, id)
 			if i%4 == 0 {
 				id = fmt.Sprint("b", i)
-				for _, a := range r.step(balancer.Request{ID: id, Class: safe, Left: 2000 * ms, Rule: rule}) {
+				for _, a := range r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: rule}) {
 					if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 						refused++
 					}
@@ -165,13 +165,13 @@
 }
 
 // A zone that is known to be far gets what the near ones have no idle backend for, and is near again once it is not known.
-func TestFarZonesComeLast(t *testing.T) {
-	far := balancer.Distances{Trip: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
+func TestFarZonesAreUsedLast(t *testing.T) {
+	far := balancer.ZoneLatencies{RTT: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
 	count := func(r *rig) (n int) {
 		for i := range 90 {
 			r.now += 20 * ms
 			id := fmt.Sprint("q", i, "-", r.now)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			if r.sent[id][0] >= "e" {
 				n++
 			}
@@ -187,7 +187,7 @@
 		t.Errorf("%d of 90 went to the far zone while others were idle", n)
 	}
 	for i := range 24 { // and all are busy
-		r.request(fmt.Sprint("busy", i), safe)
+		r.request(fmt.Sprint("busy", i), idempotent)
 	}
 	there := 0
 	for _, at := range r.sent {
@@ -202,24 +202,24 @@
 	for range 20 {
 		r.step(far)
 	}
-	r.step(balancer.Distances{Trip: make([]time.Duration, 3), Loss: make([]float64, 3)})
+	r.step(balancer.ZoneLatencies{RTT: make([]time.Duration, 3), Loss: make([]float64, 3)})
 	if n := count(r); n < 15 {
 		t.Errorf("%d of 90 went to a zone of which nothing is known any more, want about a third", n)
 	}
 }
 
 // The fleet's word on who is there sets this agent's part of the limit.
-func TestPartOfTheLimit(t *testing.T) {
+func TestAssignedQuotaSetsTheLimit(t *testing.T) {
 	out := func(part float64) (n int) {
 		s := settings()
-		s.Balancers, s.Peers = 10, true
+		s.Balancers, s.GossipAllowed = 10, true
 		r := newRig(t, s, 3, backends(6))
 		if part > 0 {
-			r.step(balancer.Part{Of: part})
+			r.step(balancer.Quota{Share: part})
 		}
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
-			r.request(id, safe)
+			r.request(id, idempotent)
 			n += len(r.sent[id])
 		}
 		return n
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -19,40 +19,40 @@
 		return bad("Self", s.Self)
 	case s.MaxAttempts < 0:
 		return bad("MaxAttempts", s.MaxAttempts)
-	case !(s.ColdShare >= 0 && s.ColdShare <= 1):
-		return bad("ColdShare", s.ColdShare)
-	case !(s.FallMultiple >= 0):
-		return bad("FallMultiple", s.FallMultiple)
-	case !(s.CrossZonePrice >= 0 && s.CrossRegionPrice >= 0):
-		return bad("CrossZonePrice", []float64{s.CrossZonePrice, s.CrossRegionPrice})
-	case !(s.GoalWhole >= 0 && s.GoalWindow >= 0 && s.GoalClass >= 0):
-		return bad("Goal", []float64{s.GoalWhole, s.GoalWindow, s.GoalClass})
+	case !(s.InitialCapacity >= 0 && s.InitialCapacity <= 1):
+		return bad("ColdShare", s.InitialCapacity)
+	case !(s.OverloadMultiple >= 0):
+		return bad("FallMultiple", s.OverloadMultiple)
+	case !(s.CrossZoneCost >= 0 && s.CrossRegionCost >= 0):
+		return bad("CrossZonePrice", []float64{s.CrossZoneCost, s.CrossRegionCost})
+	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalWorstClass >= 0):
+		return bad("Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass})
 	}
 	for _, f := range []struct {
 		name string
 		d    time.Duration
 	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.AskWithin},
-		{"RampTime", s.RampTime}, {"FallWindow", s.FallWindow}} {
+		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.PollInterval},
+		{"RampTime", s.SlowStartWindow}, {"FallWindow", s.OverloadWindow}} {
 		if f.d < 0 {
 			return bad(f.name, f.d)
 		}
 	}
-	for i, c := range s.Classes {
+	for i, class := range s.Classes {
 		at := func(field string) string { return fmt.Sprintf("Classes[%d].%s", i, field) }
 		switch {
-		case c.Aim <= 0:
-			return bad(at("Aim"), c.Aim)
-		case c.Deadline <= 0:
-			return bad(at("Deadline"), c.Deadline)
-		case !(c.Worth >= 0):
-			return bad(at("Worth"), c.Worth)
-		case c.Effect > Unsafe:
-			return bad(at("Effect"), c.Effect)
-		case c.Group > GroupCell:
-			return bad(at("Group"), c.Group)
-		case c.Window < 0:
-			return bad(at("Window"), c.Window)
+		case class.LatencyObjective <= 0:
+			return bad(at("Aim"), class.LatencyObjective)
+		case class.Deadline <= 0:
+			return bad(at("Deadline"), class.Deadline)
+		case !(class.PriorityWeight >= 0):
+			return bad(at("Worth"), class.PriorityWeight)
+		case class.Idempotency > NonIdempotent:
+			return bad(at("Effect"), class.Idempotency)
+		case class.Scope > ScopeCell:
+			return bad(at("Group"), class.Scope)
+		case class.DedupWindow < 0:
+			return bad(at("Window"), class.DedupWindow)
 		}
 	}
 	return nil
--- a/balancer/sums.go
+++ b/balancer/sums.go
@@ -4,107 +4,107 @@
 
 // What there is to use, summed up anew in each step. Nothing is decided here.
 
-// sums are what there is to use. Most backends of a large fleet are warm, up and in use from one step to the next: these are
+// capacityTotals are what there is to use. Most backends of a large fleet are warm, up and in use from one step to the next: these are
 // settled, and counted by zone as they settle; only the others are looked at in each step.
-type sums struct {
-	up        int        // backends that the list says are up
-	capacity  float64    // their number, each counted by its warmth; ejected ones and those that are down are left out
-	warm      float64    // of it, what is warm already
-	warmOut   int        // attempts in flight there
-	stuck     int        // attempts in flight at backends that are not counted in capacity
-	unsettled []*backend // in the order in which they came to be
+type capacityTotals struct {
+	up                   int             // backends that the list says are up
+	capacity             float64         // their number, each counted by its warmth; ejected ones and those that are down are left out
+	warmCapacity         float64         // of it, what is warm already
+	warmOutstanding      int             // attempts in flight there
+	uncountedOutstanding int             // attempts in flight at backends that are not counted in capacity
+	unstable             []*backendState // in the order in which they came to be
 }
 
-// measure sums up what the backends that are up, and not ejected or down, can do.
-func (b *Balancer) measure() {
-	b.up, b.capacity, b.stuck, b.warm, b.warmOut = 0, 0, 0, 0, 0
-	b.allOpen = true
+// recomputeCapacity sums up what the backends that are up, and not ejected or down, can do.
+func (b *Balancer) recomputeCapacity() {
+	b.up, b.capacity, b.uncountedOutstanding, b.warmCapacity, b.warmOutstanding = 0, 0, 0, 0, 0
+	b.allZonesOpen = true
 	for _, z := range b.zones {
-		part := b.part(z)
-		z.up = z.settled
-		b.allOpen = b.allOpen && part == 1
-		b.up += z.settled
-		b.count(z.settled, z.settledOut, 1, part, true)
+		share := b.trafficShare(z)
+		z.up = z.stableBackends
+		b.allZonesOpen = b.allZonesOpen && share == 1
+		b.up += z.stableBackends
+		b.addCapacity(z.stableBackends, z.stableOutstanding, 1, share, true)
 	}
-	waiting := b.unsettled[:0]
-	for _, t := range b.unsettled {
-		warmth, z := b.warmth(t), b.zone(t)
-		used := t.State == Up && !t.down && b.now >= t.ejected
-		if t.State == Up {
+	unstable := b.unstable[:0]
+	for _, backend := range b.unstable {
+		warmth, z := b.warmth(backend), b.zone(backend)
+		used := backend.State == Up && !backend.presumedDead && b.now >= backend.ejectedUntil
+		if backend.State == Up {
 			b.up++
 			z.up++
 		}
-		part := 0.0
+		share := 0.0
 		if used {
-			part = b.part(z)
+			share = b.trafficShare(z)
 		}
-		if b.count(1, len(t.out), warmth, part, !t.cold); !used || t.cold {
-			waiting = append(waiting, t)
+		if b.addCapacity(1, len(backend.outstanding), warmth, share, !backend.warmingUp); !used || backend.warmingUp {
+			unstable = append(unstable, backend)
 		} else {
-			t.settled = true
-			z.settled++
-			z.settledOut += len(t.out)
+			backend.stable = true
+			z.stableBackends++
+			z.stableOutstanding += len(backend.outstanding)
 		}
 	}
-	clear(b.unsettled[len(waiting):])
-	b.unsettled = waiting
-	b.remember()
+	clear(b.unstable[len(unstable):])
+	b.unstable = unstable
+	b.trackPeakThroughput()
 }
 
-// count adds so many backends of a warmth, with attempts out, whose zone has a part of its usual traffic.
-func (b *Balancer) count(n, out int, warmth, part float64, warm bool) {
-	if part == 0 {
-		b.stuck += out
+// addCapacity adds so many backends of a warmth, with attempts out, whose zone has a part of its usual traffic.
+func (b *Balancer) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
+	if share == 0 {
+		b.uncountedOutstanding += outstanding
 		return
 	}
-	b.capacity += float64(n) * warmth * part
+	b.capacity += float64(backends) * warmth * share
 	if warm {
-		b.warm += float64(n) * part
-		b.warmOut += out
+		b.warmCapacity += float64(backends) * share
+		b.warmOutstanding += outstanding
 	}
 }
 
-// unsettle has a backend looked at in each step again: before its state, or its zone, changes.
-func (b *Balancer) unsettle(t *backend) {
-	if !t.settled {
+// markUnstable has a backend looked at in each step again: before its state, or its zone, changes.
+func (b *Balancer) markUnstable(backend *backendState) {
+	if !backend.stable {
 		return
 	}
-	t.settled = false
-	z := b.zone(t)
-	z.settled--
-	z.settledOut -= len(t.out)
-	b.unsettled = append(b.unsettled, t)
+	backend.stable = false
+	z := b.zone(backend)
+	z.stableBackends--
+	z.stableOutstanding -= len(backend.outstanding)
+	b.unstable = append(b.unstable, backend)
 }
 
-// book takes that an attempt is out at a backend, or is no more.
-func (b *Balancer) book(a *attempt, out bool) {
-	t, n := a.b, 1
-	if a.at = out; out {
-		t.out = append(t.out, a)
+// setOutstanding takes that an attempt is out at a backend, or is no more.
+func (b *Balancer) setOutstanding(a *attempt, out bool) {
+	backend, delta := a.backend, 1
+	if a.occupying = out; out {
+		backend.outstanding = append(backend.outstanding, a)
 	} else {
-		t.out = without(t.out, a)
-		n = -1
+		backend.outstanding = without(backend.outstanding, a)
+		delta = -1
 	}
-	b.inFlight += n
-	if t.settled {
-		b.zone(t).settledOut += n
+	b.inFlight += delta
+	if backend.stable {
+		b.zone(backend).stableOutstanding += delta
 	}
 }
 
-// value is what a unit of work spent on a class now adds to the operator's goal.
-func (b *Balancer) value(class int) float64 {
-	total, worst, low := 0.0, -1, math.Inf(1)
+// marginalValue is what a unit of work spent on a class now adds to the operator's goal.
+func (b *Balancer) marginalValue(class int) float64 {
+	total, worst, lowestShare := 0.0, -1, math.Inf(1)
 	for i := range b.classes {
-		c := &b.classes[i]
-		total += c.arrived * c.Worth * b.unit(c)
-		if share := (c.answered + 1) / (c.arrived + 1); share < low {
-			worst, low = i, share
+		state := &b.classes[i]
+		total += state.arrivals * state.PriorityWeight * b.weightUnit(state)
+		if share := (state.metObjective + 1) / (state.arrivals + 1); share < lowestShare {
+			worst, lowestShare = i, share
 		}
 	}
-	c := &b.classes[class]
-	v := (b.s.GoalWhole + b.s.GoalWindow) * c.Worth * b.unit(c) / c.latency / max(total, 1e-9)
+	state := &b.classes[class]
+	value := (b.settings.GoalOverall + b.settings.GoalWorstWindow) * state.PriorityWeight * b.weightUnit(state) / state.latency / max(total, 1e-9)
 	if class == worst {
-		v += b.s.GoalClass / (max(c.arrived, 1) * c.latency)
+		value += b.settings.GoalWorstClass / (max(state.arrivals, 1) * state.latency)
 	}
-	return v
+	return value
 }
--- a/balancer/sums_test.go
+++ b/balancer/sums_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// afresh counts all backends, whatever was counted before.
-func (b *Balancer) afresh() (s sums) {
+// countAfresh counts all backends, whatever was counted before.
+func (b *Balancer) countAfresh() (s capacityTotals) {
 	for _, t := range b.backends {
 		z := b.zone(t)
 		if t.State == Up {
 			s.up++
 		}
-		if part := b.part(z); t.State != Up || t.down || b.now < t.ejected || part == 0 {
-			s.stuck += len(t.out)
-		} else if s.capacity += b.warmth(t) * part; !t.cold {
-			s.warm += part
-			s.warmOut += len(t.out)
+		if part := b.trafficShare(z); t.State != Up || t.presumedDead || b.now < t.ejectedUntil || part == 0 {
+			s.uncountedOutstanding += len(t.outstanding)
+		} else if s.capacity += b.warmth(t) * part; !t.warmingUp {
+			s.warmCapacity += part
+			s.warmOutstanding += len(t.outstanding)
 		}
 	}
 	return s
@@ -28,68 +28,68 @@
 
 const ms = time.Millisecond
 
-func countedSettings() Settings {
-	return Settings{Balancers: 3, MaxAttempts: 4, Tick: ms, ConnectTimeout: 100 * ms, DrainGrace: 500 * ms, ColdShare: 0.2,
-		RampTime: 2 * time.Second, FallMultiple: 2.5, FallWindow: time.Second, AskWithin: time.Second, GoalWhole: 1,
-		Classes: []Class{{Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}}}
+func totalsSettings() Settings {
+	return Settings{Balancers: 3, MaxAttempts: 4, Tick: ms, ConnectTimeout: 100 * ms, DrainGrace: 500 * ms, InitialCapacity: 0.2,
+		SlowStartWindow: 2 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second, PollInterval: time.Second, GoalOverall: 1,
+		Classes: []Class{{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
 
-// check holds what was counted as it changed against counting all.
-func (b *Balancer) check(t *testing.T, what string) {
+// checkTotals holds what was counted as it changed against counting all.
+func (b *Balancer) checkTotals(t *testing.T, what string) {
 	t.Helper()
-	b.measure()
-	got, want := b.sums, b.afresh()
-	if got.up != want.up || got.stuck != want.stuck || got.warmOut != want.warmOut ||
-		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warm-want.warm) > 1e-6 {
+	b.recomputeCapacity()
+	got, want := b.capacityTotals, b.countAfresh()
+	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding || got.warmOutstanding != want.warmOutstanding ||
+		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warmCapacity-want.warmCapacity) > 1e-6 {
 		t.Fatalf("%s: %+v, want %+v", what, got, want)
 	}
 	up := 0
 	for _, z := range b.zones {
 		up += z.up
 	}
-	if up != want.up || len(got.unsettled) > len(b.backends) {
-		t.Fatalf("%s: %d up by zones, want %d; %d looked at of %d", what, up, want.up, len(got.unsettled), len(b.backends))
+	if up != want.up || len(got.unstable) > len(b.backends) {
+		t.Fatalf("%s: %d up by zones, want %d; %d looked at of %d", what, up, want.up, len(got.unstable), len(b.backends))
 	}
 }
 
 // An attempt that was sent before its backend was ejected may tell after that time that it is down.
-func TestSumsFollowALateEnd(t *testing.T) {
-	alone := countedSettings()
+func TestTotalsFollowALateOutcome(t *testing.T) {
+	alone := totalsSettings()
 	alone.Balancers = 1
 	b, err := New(alone, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	b.Step(now, []Event{List{Kind: ListFull, Backends: []Backend{{ID: "s"}}}, Request{ID: "a", Left: time.Minute},
-		Request{ID: "b", Left: time.Minute}, Request{ID: "c", Left: time.Minute}})
+	b.Step(now, []Event{EndpointUpdate{Kind: UpdateFull, Backends: []Backend{{ID: "s"}}}, Request{ID: "a", TimeRemaining: time.Minute},
+		Request{ID: "b", TimeRemaining: time.Minute}, Request{ID: "c", TimeRemaining: time.Minute}})
 	broke := func(id string) {
 		now += 10 * ms
 		b.Step(now, []Event{Outcome{Request: id, Backend: "s", Result: Reset, Latency: 10 * ms}})
-		b.check(t, id)
+		b.checkTotals(t, id)
 	}
 	broke("a")
 	broke("b")
-	if s := b.byID["s"]; s.ejected <= now || s.down {
-		t.Fatalf("after two: ejected %v, down %v", s.ejected > now, s.down)
+	if s := b.byID["s"]; s.ejectedUntil <= now || s.presumedDead {
+		t.Fatalf("after two: ejected %v, down %v", s.ejectedUntil > now, s.presumedDead)
 	}
-	now = b.byID["s"].ejected
+	now = b.byID["s"].ejectedUntil
 	b.Step(now, nil)
-	if !b.byID["s"].settled {
+	if !b.byID["s"].stable {
 		t.Fatal("it is looked at in each step still")
 	}
-	if broke("c"); !b.byID["s"].down {
+	if broke("c"); !b.byID["s"].presumedDead {
 		t.Fatal("it is not down after three")
 	}
 }
 
 // What is counted as it changes is what counting all anew would find, after any events.
-func TestSumsFollowEveryChange(t *testing.T) {
+func TestTotalsFollowEveryChange(t *testing.T) {
 	left := 0 // steps in which a zone was left, or came back
-	results := []Result{OK, OK, OK, OK, Errored, Reset, ConnectFailed, TimedOut, Full}
+	results := []Result{OK, OK, OK, OK, Errored, Reset, ConnectFailed, TimedOut, Rejected}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, err := New(countedSettings(), seed)
+		b, err := New(totalsSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,16 +105,16 @@
 		}
 		for step := range 3000 {
 			now += time.Duration(rng.IntN(20)) * ms
-			events := []Event{Request{ID: fmt.Sprint(step), Left: 2 * time.Second}}
+			events := []Event{Request{ID: fmt.Sprint(step), TimeRemaining: 2 * time.Second}}
 			switch rng.IntN(30) {
 			case 0:
-				events = append(events, List{Kind: ListDelta, Backends: some(4)})
+				events = append(events, EndpointUpdate{Kind: UpdateDelta, Backends: some(4)})
 			case 1:
-				events = append(events, List{Kind: ListFull, Backends: some(60)})
+				events = append(events, EndpointUpdate{Kind: UpdateFull, Backends: some(60)})
 			case 2:
-				events = append(events, Detach{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40))})
+				events = append(events, Disable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40))})
 			case 3:
-				events = append(events, Attach{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)), Carried: rng.IntN(2) == 0, At: now})
+				events = append(events, Enable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)), Inherited: rng.IntN(2) == 0, At: now})
 			}
 			for len(out) > 0 && rng.IntN(3) > 0 {
 				i := rng.IntN(len(out))
@@ -133,7 +133,7 @@
 					out = append(out, s)
 				}
 			}
-			if b.check(t, fmt.Sprintf("seed %d, step %d", seed, step)); !b.allOpen {
+			if b.checkTotals(t, fmt.Sprintf("seed %d, step %d", seed, step)); !b.allZonesOpen {
 				left++
 			}
 		}
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -11,126 +11,126 @@
 )
 
 const (
-	zoneMute  = 0.9  // share of attempts that a lost zone leaves without an answer of any kind
-	zoneUsual = 0.05 // and that one in order does, at least; else what the other zones do by now
+	lostSilenceRate    = 0.9  // share of attempts that a lost zone leaves without an answer of any kind
+	minBaselineSilence = 0.05 // and that one in order does, at least; else what the other zones do by now
 	// Log odds at which a zone is left (Wald): one spell in a thousand is taken for a loss that is none, one loss in a
 	// hundred is missed at first. Three silent backends at once, or two that stay silent, come to that; one never does.
-	zoneSure   = 6.9
-	zoneHits   = 2    // probes in a row that must be answered before it is used again
-	zoneRest   = 0.5  // longest aims for which it is left at least, doubled like the rest
-	zoneEach   = 50.0 // agents that may probe once in the longest aim; more of them probe as much together
-	zoneRamp   = 2.0  // longest aims from then until it has its full part
-	zoneFirst  = 0.1  // its part at the start
-	zoneReport = 2.4  // what a peer's report counts for: three that saw it themselves come to zoneSure
-	zoneFresh  = 2.0  // longest aims for which it does: it is told anew each longest aim
-	zoneMost   = 4.0  // doublings of the ramp and the probes' wait, at the most, for a zone that fails again and again
+	failOverThreshold     = 6.9
+	recoveryProbes        = 2    // probes in a row that must be answered before it is used again
+	minFailOverObjectives = 0.5  // longest aims for which it is left at least, doubled like the rest
+	probesPerObjective    = 50.0 // agents that may probe once in the longest aim; more of them probe as much together
+	recoveryObjectives    = 2.0  // longest aims from then until it has its full part
+	initialTrafficShare   = 0.1  // its part at the start
+	reportWeight          = 2.4  // what a peer's report counts for: three that saw it themselves come to failOverThreshold
+	reportObjectives      = 2.0  // longest aims for which it does: it is told anew each longest aim
+	maxBackoffExponent    = 4.0  // doublings of the ramp and the probes' wait, at the most, for a zone that fails again and again
 )
 
-// mute takes an attempt that is out for long, or that found no connection in all its time, as evidence against its
+// recordSilence takes an attempt that is out for long, or that found no connection in all its time, as evidence against its
 // backend's zone if nothing at all has come from there since it was sent: a zone that is slow answers. One
 // backend's counts once, and half a second time: it is none against the others.
-func (b *Balancer) mute(a *attempt, res Result) {
-	z := b.zone(a.b)
-	if a.mute || z.left || z.heardAt >= a.sent || res != ConnectFailed && float64(b.now-a.sent) < overdueCost*a.cost {
+func (b *Balancer) recordSilence(a *attempt, result Result) {
+	z := b.zone(a.backend)
+	if a.countedSilent || z.failedOver || z.lastAnswerAt >= a.sentAt || result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
 		return // with queues everywhere a long wait tells nothing
 	}
-	a.mute = true
-	p := b.usual(z)
-	z.silentShare += smooth / 2 * (1 - z.silentShare)
-	if z.odds == 0 {
-		z.spell++
-		z.began = a.sent
+	a.countedSilent = true
+	baseline := b.baselineSilence(z)
+	z.silenceRate += smoothing / 2 * (1 - z.silenceRate)
+	if z.logLikelihoodRatio == 0 {
+		z.silenceEpisode++
+		z.silenceStartedAt = a.sentAt
 	}
-	if a.b.spell != z.spell {
-		a.b.spell, a.b.mutes = z.spell, 0
+	if a.backend.silenceEpisode != z.silenceEpisode {
+		a.backend.silenceEpisode, a.backend.silentAttempts = z.silenceEpisode, 0
 	}
-	z.odds += math.Log(zoneMute/p) * [...]float64{1, 0.5, 0}[min(a.b.mutes, 2)]
-	a.b.mutes++
-	b.judge(z, true)
+	z.logLikelihoodRatio += math.Log(lostSilenceRate/baseline) * [...]float64{1, 0.5, 0}[min(a.backend.silentAttempts, 2)]
+	a.backend.silentAttempts++
+	b.evaluateZone(z, true)
 }
 
-// judge leaves a zone that is lost by this agent's own evidence and by what others told since the last answer from
+// evaluateZone leaves a zone that is lost by this agent's own evidence and by what others told since the last answer from
 // there. One who answers often enough to know for itself is told nothing new: its answers came after the reports.
-func (b *Balancer) judge(z *zone, saw bool) {
-	fresh := time.Duration(zoneFresh * float64(b.period))
-	z.reports = slices.DeleteFunc(z.reports, func(w lossReport) bool { return b.now-w.at >= fresh })
-	if !z.left && z.odds+zoneReport*float64(len(z.reports)) >= zoneSure && b.elsewhere(z) {
-		z.seen = saw
-		b.leaveZone(z)
+func (b *Balancer) evaluateZone(z *zone, own bool) {
+	validity := time.Duration(reportObjectives * float64(b.maxObjective))
+	z.reports = slices.DeleteFunc(z.reports, func(report lossReport) bool { return b.now-report.receivedAt >= validity })
+	if !z.failedOver && z.logLikelihoodRatio+reportWeight*float64(len(z.reports)) >= failOverThreshold && b.otherZoneAnswers(z) {
+		z.ownEvidence = own
+		b.failOver(z)
 	}
 }
 
 // onLossReport takes which zones a peer found lost by itself. Who holds this agent's own zone for lost stands beyond a cut, and
 // what it says of zones says nothing about what can be reached from here.
 func (b *Balancer) onLossReport(from int, lost uint16) {
-	if lost == 0 || b.s.Zone < lostZones && lost>>max(b.s.Zone, 0)&1 != 0 {
+	if lost == 0 || b.settings.Zone < maxLossZones && lost>>max(b.settings.Zone, 0)&1 != 0 {
 		return
 	}
-	for i, z := range b.zones[:min(len(b.zones), lostZones)] {
-		if lost>>i&1 == 0 || z.left || b.now-z.heardAt < time.Duration(b.classes[0].latency) {
+	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
+		if lost>>i&1 == 0 || z.failedOver || b.now-z.lastAnswerAt < time.Duration(b.classes[0].latency) {
 			continue
 		}
-		if z.odds == 0 { // another zone has to have answered of late
-			z.began = b.now - b.period
+		if z.logLikelihoodRatio == 0 { // another zone has to have answered of late
+			z.silenceStartedAt = b.now - b.maxObjective
 		}
-		z.reports = slices.DeleteFunc(z.reports, func(w lossReport) bool { return w.from == from })
+		z.reports = slices.DeleteFunc(z.reports, func(report lossReport) bool { return report.from == from })
 		z.reports = append(z.reports, lossReport{from, b.now})
-		b.judge(z, false)
+		b.evaluateZone(z, false)
 	}
 }
 
-// heard takes any answer as evidence for its backend's zone.
-func (b *Balancer) heard(t *backend) {
-	z := b.zone(t)
-	z.silentShare -= smooth / 2 * z.silentShare
-	z.heardAt, z.reports = b.now, nil
-	if z.left { // a canary's answer, or one that a cut held up
-		b.answered(z, true)
+// recordZoneAnswer takes any answer as evidence for its backend's zone.
+func (b *Balancer) recordZoneAnswer(backend *backendState) {
+	z := b.zone(backend)
+	z.silenceRate -= smoothing / 2 * z.silenceRate
+	z.lastAnswerAt, z.reports = b.now, nil
+	if z.failedOver { // a canary's answer, or one that a cut held up
+		b.onProbeAnswer(z, true)
 	}
-	if z.odds > 0 {
-		z.odds = max(0, z.odds+math.Log((1-zoneMute)/(1-b.usual(z))))
+	if z.logLikelihoodRatio > 0 {
+		z.logLikelihoodRatio = max(0, z.logLikelihoodRatio+math.Log((1-lostSilenceRate)/(1-b.baselineSilence(z))))
 	}
 }
 
-// elsewhere reports whether another zone has answered since this one fell silent. Where none has, the silence is
+// otherZoneAnswers reports whether another zone has answered since this one fell silent. Where none has, the silence is
 // this agent's own, or its link's, and nothing is left.
-func (b *Balancer) elsewhere(z *zone) bool {
-	for _, o := range b.zones {
-		if o != z && !o.left && o.heardAt > z.began && o.odds < zoneSure/2 {
+func (b *Balancer) otherZoneAnswers(z *zone) bool {
+	for _, other := range b.zones {
+		if other != z && !other.failedOver && other.lastAnswerAt > z.silenceStartedAt && other.logLikelihoodRatio < failOverThreshold/2 {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Balancer) leaveZone(z *zone) {
-	z.left, z.hits, z.back = true, 0, 0
-	z.rounds = min(z.rounds*math.Exp2(-float64(b.now-z.since)/float64(b.s.RampTime+1))+1, zoneMost)
-	z.since = b.now
-	b.actions = append(b.actions, ZoneTurn{Zone: z.number, Left: true, Told: !z.seen})
-	b.measure()
+func (b *Balancer) failOver(z *zone) {
+	z.failedOver, z.consecutiveSuccesses, z.recoveryStartedAt = true, 0, 0
+	z.backoffExponent = min(z.backoffExponent*math.Exp2(-float64(b.now-z.failedOverAt)/float64(b.settings.SlowStartWindow+1))+1, maxBackoffExponent)
+	z.failedOverAt = b.now
+	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number, FailedOver: true, ByGossip: !z.ownEvidence})
+	b.recomputeCapacity()
 	b.probeZone(z)
-	if z.seen && b.s.Peers {
-		b.spread()
+	if z.ownEvidence && b.settings.GossipAllowed {
+		b.gossipToSample()
 	}
 }
 
 // probeZone asks one backend of a zone that was left, or lets one request go there where probes are not allowed,
 // and sees to the next.
 func (b *Balancer) probeZone(z *zone) {
-	wait := float64(b.period) * math.Exp2(z.rounds-1) / 2 * max(1, float64(b.s.Balancers)/zoneEach)
-	z.token = b.alarm(time.Duration(wait * (0.75 + 0.5*b.rng.Float64())))
-	n, pick := 0, (*backend)(nil)
-	for _, t := range b.backends {
-		if t.State == Up && b.zone(t) == z {
-			if n++; b.rng.IntN(n) == 0 {
-				pick = t
+	interval := float64(b.maxObjective) * math.Exp2(z.backoffExponent-1) / 2 * max(1, float64(b.settings.Balancers)/probesPerObjective)
+	z.probeTimer = b.setTimer(time.Duration(interval * (0.75 + 0.5*b.rng.Float64())))
+	seen, pick := 0, (*backendState)(nil)
+	for _, backend := range b.backends {
+		if backend.State == Up && b.zone(backend) == z {
+			if seen++; b.rng.IntN(seen) == 0 {
+				pick = backend
 			}
 		}
 	}
 	switch {
 	case pick == nil:
-	case b.s.MayProbe:
+	case b.settings.ProbingAllowed:
 		b.actions = append(b.actions, Probe{Backend: pick.ID})
 	default:
 		z.canary = true
@@ -138,65 +138,65 @@
 }
 
 // onProbe takes a probe's answer. Enough of them, and the zone is used again, by a part that grows.
-func (b *Balancer) onProbe(e ProbeResult) {
-	t := b.byID[e.Backend]
-	if t == nil || !b.zone(t).left {
+func (b *Balancer) onProbe(event ProbeResult) {
+	backend := b.byID[event.Backend]
+	if backend == nil || !b.zone(backend).failedOver {
 		return
 	}
-	b.answered(b.zone(t), e.Result == OK || e.Result == Full || e.Result == Errored)
+	b.onProbeAnswer(b.zone(backend), event.Result == OK || event.Result == Rejected || event.Result == Errored)
 }
 
-func (b *Balancer) answered(z *zone, ok bool) {
-	if z.hits++; !ok {
-		z.hits = 0
+func (b *Balancer) onProbeAnswer(z *zone, ok bool) {
+	if z.consecutiveSuccesses++; !ok {
+		z.consecutiveSuccesses = 0
 	}
 	// Late answers count, too, but a zone that stalls and goes on must not be left and used again by turns.
-	rest := time.Duration(zoneRest * float64(b.period) * math.Exp2(z.rounds-1))
-	if z.hits < zoneHits || b.now-z.since < rest {
+	minSpan := time.Duration(minFailOverObjectives * float64(b.maxObjective) * math.Exp2(z.backoffExponent-1))
+	if z.consecutiveSuccesses < recoveryProbes || b.now-z.failedOverAt < minSpan {
 		return
 	}
-	b.actions = append(b.actions, ZoneTurn{Zone: z.number})
-	z.left, z.odds, z.back, z.heardAt, z.reports = false, 0, b.now, b.now, nil
-	for _, t := range b.backends { // what its silence taught of each is void
-		if b.zone(t) == z && t.struckAt >= z.began {
-			t.strikes, t.ejected, t.row, t.fails = 0, 0, 0, 0
+	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number})
+	z.failedOver, z.logLikelihoodRatio, z.recoveryStartedAt, z.lastAnswerAt, z.reports = false, 0, b.now, b.now, nil
+	for _, backend := range b.backends { // what its silence taught of each is void
+		if b.zone(backend) == z && backend.ejectedAt >= z.silenceStartedAt {
+			backend.failureScore, backend.ejectedUntil, backend.consecutiveFailures, backend.failureRate = 0, 0, 0, 0
 		}
-		if b.zone(t) == z {
-			t.silent = 0
+		if b.zone(backend) == z {
+			backend.consecutiveTimeouts = 0
 		}
 	}
-	b.measure()
+	b.recomputeCapacity()
 }
 
-// part is the share of its usual traffic that a zone may have now.
-func (b *Balancer) part(z *zone) float64 {
+// trafficShare is the share of its usual traffic that a zone may have now.
+func (b *Balancer) trafficShare(z *zone) float64 {
 	switch {
-	case z.left:
+	case z.failedOver:
 		return 0
-	case z.back == 0:
+	case z.recoveryStartedAt == 0:
 		return 1
 	}
-	part := zoneFirst + float64(b.now-z.back)/(zoneRamp*float64(b.period)*math.Exp2(z.rounds-1))
-	if part >= 1 {
-		z.back = 0
+	share := initialTrafficShare + float64(b.now-z.recoveryStartedAt)/(recoveryObjectives*float64(b.maxObjective)*math.Exp2(z.backoffExponent-1))
+	if share >= 1 {
+		z.recoveryStartedAt = 0
 	}
-	return min(part, 1)
+	return min(share, 1)
 }
 
-// closed says which zones a request may not go to now. Where every zone is left, none is.
-func (b *Balancer) closed(r *request) []bool {
-	aside := b.aside(r)
-	if b.allOpen {
-		return aside
+// closedZones says which zones a request may not go to now. Where every zone is left, none is.
+func (b *Balancer) closedZones(req *request) []bool {
+	reserved := b.reservedZones(req)
+	if b.allZonesOpen {
+		return reserved
 	}
 	closed, open := make([]bool, len(b.zones)), false
 	for i, z := range b.zones {
-		part := b.part(z)
-		if closed[i] = part < 1 && b.rng.Float64() >= part; closed[i] && z.canary && r.risky == 0 && b.cheapest(r.class) {
+		part := b.trafficShare(z)
+		if closed[i] = part < 1 && b.rng.Float64() >= part; closed[i] && z.canary && req.possiblyExecuted == 0 && b.lowestPriority(req.class) {
 			closed[i] = false
 		}
-		open = open || !z.left && z.up > 0 && b.permits(r, i)
-		closed[i] = closed[i] || aside != nil && aside[i]
+		open = open || !z.failedOver && z.up > 0 && b.permits(req, i)
+		closed[i] = closed[i] || reserved != nil && reserved[i]
 	}
 	if !open {
 		return nil
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -16,65 +16,65 @@
 // The same cases every time; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "1") } // rapid has registered it
 
-// zoned is a rig with three zones of three backends, whose backends answer after a while unless their zone is
+// zoneRig is a rig with three zones of three backends, whose backends answer after a while unless their zone is
 // silent.
-type zoned struct {
+type zoneRig struct {
 	*rig
-	list   []balancer.Backend
-	silent map[int]bool
-	due    map[string]time.Duration // by request: when its answer comes
-	ends   map[string]time.Duration // and when its client stops waiting
-	first  map[int]int              // first attempts by zone
-	probes []string
-	n      int
-	probed int
-	mute   map[string]bool // single backends that are silent
-	turns  []zoneTurn
-	told   [][]byte              // what peers were told
-	slow   map[int]time.Duration // what answers of a zone take besides
-	class  func(n int) int       // of the n-th request; nil: all safe
-	of     balancer.Settings
+	list           []balancer.Backend
+	silent         map[int]bool
+	answerAt       map[string]time.Duration // by request: when its answer comes
+	clientDeadline map[string]time.Duration // and when its client stops waiting
+	first          map[int]int              // first attempts by zone
+	probes         []string
+	requests       int
+	probed         int
+	silentBackends map[string]bool // single backends that are silent
+	changes        []zoneChange
+	gossip         [][]byte              // what peers were told
+	extraLatency   map[int]time.Duration // what answers of a zone take besides
+	class          func(n int) int       // of the n-th request; nil: all safe
+	settings       balancer.Settings
 }
 
-// zoneTurn is a turn of a zone, and when it came.
-type zoneTurn struct {
-	balancer.ZoneTurn
+// zoneChange is a turn of a zone, and when it came.
+type zoneChange struct {
+	balancer.ZoneStateChanged
 	at time.Duration
 }
 
-func newZoned(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoned {
-	z := &zoned{silent: map[int]bool{}, due: map[string]time.Duration{}, ends: map[string]time.Duration{}, first: map[int]int{}}
+func newZoneRig(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoneRig {
+	z := &zoneRig{silent: map[int]bool{}, answerAt: map[string]time.Duration{}, clientDeadline: map[string]time.Duration{}, first: map[int]int{}}
 	for i := range 9 {
 		z.list = append(z.list, balancer.Backend{ID: string(rune('a' + i)), Zone: i % 3, Cell: i % 3})
 	}
 	s := settings()
-	s.MayProbe, s.Balancers = true, 1
+	s.ProbingAllowed, s.Balancers = true, 1
 	for _, c := range change {
 		c(&s)
 	}
 	z.rig = newRig(t, s, seed, z.list)
-	z.of = s
+	z.settings = s
 	return z
 }
 
-func (z *zoned) zone(id string) int { return int(id[0]-'a') % 3 }
+func (z *zoneRig) zone(id string) int { return int(id[0]-'a') % 3 }
 
-// note takes what the balancer wants done.
-func (z *zoned) note(actions []balancer.Action) {
+// record takes what the balancer wants done.
+func (z *zoneRig) record(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case balancer.Send:
 			if len(z.sent[a.Request]) == 1 {
 				z.first[z.zone(a.Backend)]++
 			}
-			z.due[a.Request] = z.now + 20*ms + z.slow[z.zone(a.Backend)]
-			if z.silent[z.zone(a.Backend)] || z.mute[a.Backend] {
-				z.due[a.Request] = min(z.now+time.Second, z.ends[a.Request]) // no attempt outlasts its client
+			z.answerAt[a.Request] = z.now + 20*ms + z.extraLatency[z.zone(a.Backend)]
+			if z.silent[z.zone(a.Backend)] || z.silentBackends[a.Backend] {
+				z.answerAt[a.Request] = min(z.now+time.Second, z.clientDeadline[a.Request]) // no attempt outlasts its client
 			}
-		case balancer.TellPeer:
-			z.told = append(z.told, a.Data)
-		case balancer.ZoneTurn:
-			z.turns = append(z.turns, zoneTurn{a, z.now})
+		case balancer.SendGossip:
+			z.gossip = append(z.gossip, a.Data)
+		case balancer.ZoneStateChanged:
+			z.changes = append(z.changes, zoneChange{a, z.now})
 		case balancer.Probe:
 			z.probes = append(z.probes, a.Backend)
 			z.probed++
@@ -83,23 +83,23 @@
 }
 
 // run lets time pass, with a request every 5 ms.
-func (z *zoned) run(span time.Duration) {
+func (z *zoneRig) run(span time.Duration) {
 	for end := z.now + span; z.now < end; {
-		z.note(z.advance(5 * ms))
+		z.record(z.advance(5 * ms))
 		var over []string
-		for id, at := range z.due {
+		for id, at := range z.answerAt {
 			if at <= z.now {
 				over = append(over, id)
 			}
 		}
 		slices.Sort(over)
 		for _, id := range over {
-			delete(z.due, id)
+			delete(z.answerAt, id)
 			to := z.sent[id][len(z.sent[id])-1]
-			if z.silent[z.zone(to)] || z.mute[to] {
-				z.note(z.outcome(id, balancer.TimedOut, time.Second))
+			if z.silent[z.zone(to)] || z.silentBackends[to] {
+				z.record(z.outcome(id, balancer.TimedOut, time.Second))
 			} else {
-				z.note(z.outcome(id, balancer.OK, 20*ms+z.slow[z.zone(to)]))
+				z.record(z.outcome(id, balancer.OK, 20*ms+z.extraLatency[z.zone(to)]))
 			}
 		}
 		probes := z.probes
@@ -109,22 +109,22 @@
 			if z.silent[z.zone(id)] {
 				result = balancer.TimedOut
 			}
-			z.note(z.step(balancer.ProbeResult{Backend: id, Result: result, Latency: ms}))
+			z.record(z.step(balancer.ProbeResult{Backend: id, Result: result, Latency: ms}))
 		}
-		z.n++
-		id := fmt.Sprint("z", z.n)
-		z.ends[id] = z.now + 1995*ms
-		class := safe
+		z.requests++
+		id := fmt.Sprint("z", z.requests)
+		z.clientDeadline[id] = z.now + 1995*ms
+		class := idempotent
 		if z.class != nil {
-			class = z.class(z.n)
+			class = z.class(z.requests)
 		}
-		z.note(z.request(id, class))
+		z.record(z.request(id, class))
 	}
 }
 
 // A zone that falls silent is left, asked by probes, and comes back by a part that grows.
-func TestSilentZoneIsLeftAndComesBack(t *testing.T) {
-	z := newZoned(t, 3)
+func TestSilentZoneFailsOverAndRecovers(t *testing.T) {
+	z := newZoneRig(t, 3)
 	z.run(2 * time.Second)
 	if z.first[1] < 60 {
 		t.Fatalf("before: %v", z.first)
@@ -146,8 +146,8 @@
 }
 
 // Silence everywhere is this agent's own: it leaves nothing, and is whole as soon as anything answers.
-func TestSilenceEverywhereLeavesNothing(t *testing.T) {
-	z := newZoned(t, 4)
+func TestSilenceEverywhereFailsNothingOver(t *testing.T) {
+	z := newZoneRig(t, 4)
 	z.run(time.Second)
 	for zone := range 3 {
 		z.silent[zone] = true
@@ -166,10 +166,10 @@
 }
 
 // A zone of which most backends are silent and one answers is not left: its backends are judged one by one.
-func TestZoneThatAnswersIsNotLeft(t *testing.T) {
-	z := newZoned(t, 5)
+func TestAnsweringZoneIsNotFailedOver(t *testing.T) {
+	z := newZoneRig(t, 5)
 	z.run(time.Second)
-	z.mute = map[string]bool{"e": true, "h": true}
+	z.silentBackends = map[string]bool{"e": true, "h": true}
 	z.run(4 * time.Second)
 	if z.probed > 0 {
 		t.Error("the zone was left")
@@ -183,9 +183,9 @@
 // and what goes to the others while one is left stays within the room that they have.
 func TestZonesUnderRandomSilence(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		z := newZoned(t, rapid.Uint64().Draw(rt, "seed"))
-		z.audit = newAuditor(z.of)
-		z.audit.event(balancer.List{Kind: balancer.ListFull, Backends: z.list})
+		z := newZoneRig(t, rapid.Uint64().Draw(rt, "seed"))
+		z.audit = newAuditor(z.settings)
+		z.audit.event(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: z.list})
 		z.class = func(n int) int { return n % 5 }
 		z.run(500 * ms)
 		for range rapid.IntRange(1, 6).Draw(rt, "turns") {
@@ -203,8 +203,8 @@
 			}
 		}
 		left := map[int]time.Duration{}
-		for _, turn := range z.turns {
-			if at := left[turn.Zone]; !turn.Left && turn.at-at < 200*ms { // half of the longest aim
+		for _, turn := range z.changes {
+			if at := left[turn.Zone]; !turn.FailedOver && turn.at-at < 200*ms { // half of the longest aim
 				rt.Fatalf("zone %d was left for %v only", turn.Zone, turn.at-at)
 			}
 			left[turn.Zone] = turn.at
@@ -215,13 +215,13 @@
 	})
 }
 
-// word is what a peer tells that asks for nothing and has found zones lost by itself, a bit each.
-func word(zones uint16) []byte {
+// lossReportData is what a peer tells that asks for nothing and has found zones lost by itself, a bit each.
+func lossReportData(zones uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(make([]byte, 8), 0), zones)
 }
 
 // Three peers who saw it themselves, and silence here, let an agent leave a zone that it hardly sends to.
-func TestZoneIsLeftByWords(t *testing.T) {
+func TestZoneFailsOverOnPeerReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		from  []int
 		lost  uint16
@@ -242,11 +242,11 @@
 		"three, of a zone that there is not":      {from: []int{1, 2, 3}, lost: 1 << 12},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newZoned(t, 3, func(s *balancer.Settings) { s.Balancers, s.Peers = 4, true })
+			z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 			z.run(time.Second)
 			if !c.loud { // it hears from the others alone
 				for _, id := range []string{"b", "e", "h"} {
-					z.step(balancer.Detach{Backend: id})
+					z.step(balancer.Disable{Backend: id})
 				}
 			}
 			z.run(100 * ms) // what was out has been answered
@@ -254,26 +254,26 @@
 				if !c.burst {
 					z.run(max(c.every, 50*ms))
 				}
-				z.note(z.step(balancer.PeerMessage{From: from, Data: word(c.lost)}))
+				z.record(z.step(balancer.GossipReceived{From: from, Data: lossReportData(c.lost)}))
 			}
-			left := len(z.turns) > 0 && z.turns[0].Zone == 1 && z.turns[0].Told
-			if left != c.want || !left && len(z.turns) > 0 {
-				t.Errorf("turns: %+v", z.turns)
+			left := len(z.changes) > 0 && z.changes[0].Zone == 1 && z.changes[0].ByGossip
+			if left != c.want || !left && len(z.changes) > 0 {
+				t.Errorf("turns: %+v", z.changes)
 			}
 		})
 	}
 }
 
 // Who leaves a zone for what it saw tells peers at once, and no longer than that is news.
-func TestLossIsTold(t *testing.T) {
-	z := newZoned(t, 3, func(s *balancer.Settings) { s.Balancers, s.Peers = 4, true })
+func TestZoneLossIsGossiped(t *testing.T) {
+	z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 	z.run(time.Second)
 	z.silent[1] = true
-	for len(z.turns) == 0 && z.now < 2*time.Hour {
+	for len(z.changes) == 0 && z.now < 2*time.Hour {
 		z.run(5 * ms)
 	}
 	tellings := func() (n int) {
-		for _, data := range z.told {
+		for _, data := range z.gossip {
 			if len(data) == 11 && data[10] == 2 {
 				n++
 			}
@@ -284,7 +284,7 @@
 		t.Errorf("%d of three peers were told", told)
 	}
 	z.run(500 * ms) // more than the longest aim
-	z.told = nil
+	z.gossip = nil
 	if z.run(time.Second); tellings() > 0 {
 		t.Error("old news is told")
 	}
@@ -292,12 +292,12 @@
 
 // A zone that comes back cold is probed by a whole fleet, and probes are work too: all of them together take little of what a
 // cold backend may be sent beside requests.
-func TestProbesOfAFleetAreLittleWork(t *testing.T) {
+func TestFleetProbesAreLittleWork(t *testing.T) {
 	const agents, span = 100, 6 * time.Second
 	const probe, request = 0.72, 84.0 // ms of work: the dearest probe beside the cheapest request of the operators' site
 	probed, perZone := 0, 3
 	for n := range uint64(agents) {
-		z := newZoned(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
+		z := newZoneRig(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
 		z.run(time.Second)
 		z.silent[2] = true
 		z.run(span)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -64,7 +64,7 @@
 		Addr:       cfg.Discovery, Polled: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
 		Deliver: func(u discovery.Update) { a.loop.post(u) }})
 	a.loop.subscribe = a.discovery.Subscribe
-	if cfg.Settings.Peers {
+	if cfg.Settings.GossipAllowed {
 		if a.loop.peers, err = newPeerTransport(ctx, cfg, log); err != nil {
 			return nil, err
 		}
@@ -128,7 +128,7 @@
 	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
 		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
 	} else {
-		a.loop.apply(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListCached}}) // the module asks after it
+		a.loop.apply(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}) // the module asks after it
 	}
 	endpointCount := len(a.pool.endpoints) // from here on the loop owns the list
 	running.Go(func() { a.loop.run(ctx) })
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -280,7 +280,7 @@
 	b := newUpstreamPool(testConfig(t, testSetup{}), discardLog)
 	t.Cleanup(b.close)
 	b.settleTime = 0 // what comes on a connection that rests is another test's
-	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListFull, Backends: []balancer.Backend{{ID: "s"}}},
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
@@ -296,8 +296,8 @@
 		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balancer.OK},
 		"ended by its close":   {"HTTP/1.1 200 OK\r\n\r\nhello", balancer.OK},
 		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
-		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
 		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
 		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
 		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
@@ -515,7 +515,7 @@
 		return ok200
 	})
 	b := poolWithBackend(t, s.addr)
-	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "t"}}},
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": s.addr}})
 	b.maxConns = 1
 	attemptOn(t, b, context.Background(), "")
@@ -544,7 +544,7 @@
 	two := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, one.addr)
 	attemptOn(t, b, context.Background(), "")
-	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.openConns != 0 {
 		t.Errorf("%d connections to the old address are open", b.openConns)
@@ -565,7 +565,7 @@
 		done <- r
 	}()
 	receive(t, "request", one.seen)
-	b.applyUpdate(discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{{ID: "s"}}},
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": unusedAddr(t)}})
 	close(hold)
 	if r := receive(t, "result", done); r != balancer.OK || b.openConns != 0 {
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -189,7 +189,7 @@
 			p.evictOldest()
 			p.mu.Unlock()
 		}
-		return balancer.Full, nil, load
+		return balancer.Rejected, nil, load
 	}
 	return balancer.Errored, nil, load
 }
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -115,7 +115,7 @@
 func (p *upstreamPool) applyUpdate(update discovery.Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if update.Endpoints.Kind != balancer.ListDelta && update.Endpoints.Kind != balancer.ListFailed {
+	if update.Endpoints.Kind != balancer.UpdateDelta && update.Endpoints.Kind != balancer.UpdateFailed {
 		for id := range p.endpoints {
 			if _, listed := update.Addrs[id]; !listed {
 				p.removeEndpoint(id)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -168,7 +168,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	// The module spreads its calls for lists over parts of this time.
-	c.Settings.AskWithin = min(c.Settings.AskWithin, discovery.PropagationDeadline)
+	c.Settings.PollInterval = min(c.Settings.PollInterval, discovery.PropagationDeadline)
 	for i, name := range c.Site.Classes {
 		if name == "" {
 			return nil, fmt.Errorf("settings: Profiles[%d].Name: missing", i)
@@ -180,7 +180,7 @@
 	if c.Site.IdleClose <= 0 {
 		return nil, errors.New("settings: PolicyLimits.IdleCloseMs: must be positive")
 	}
-	if c.Settings.Peers {
+	if c.Settings.GossipAllowed {
 		if err := checkAddress("peer_listen", c.PeerListen); err != nil {
 			return nil, err
 		}
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -141,7 +141,7 @@
 	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
 		t.Fatal(err)
 	}
-	if m, ok := receive(t, "message", got).(balancer.PeerMessage); !ok || m.From != 1 || string(m.Data) != "yes" {
+	if m, ok := receive(t, "message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
 		t.Errorf("%+v", m)
 	}
 }
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 		c, err := parseConfig(raw, func(string) string { return "" })
-		if err != nil || c.Settings.AskWithin != want {
+		if err != nil || c.Settings.PollInterval != want {
 			t.Errorf("%v, %v", c, err)
 		}
 	}
--- a/internal/agent/discovery/follow.go
+++ b/internal/agent/discovery/follow.go
@@ -139,7 +139,7 @@
 func (w *Watcher) Restore(list *EndpointList) Update {
 	w.version = list.Version
 	w.endpoints.merge(list, true)
-	return w.cfg.Translate(list, balancer.ListCached, 0)
+	return w.cfg.Translate(list, balancer.UpdateCached, 0)
 }
 
 // Run watches until ctx ends.
@@ -380,9 +380,9 @@
 		w.publishList(stream, list, previousVersion)
 	}
 	stream.receivedList = true
-	kind := balancer.ListDelta
+	kind := balancer.UpdateDelta
 	if list.Full {
-		kind = balancer.ListFull
+		kind = balancer.UpdateFull
 	}
 	maxAge := time.Duration(0)
 	if w.receivedList { // else what was told before may be old
@@ -440,5 +440,5 @@
 	if w.failures == 1 || w.failures%20 == 0 { // not a line for every try while it is down
 		w.cfg.Log.Warn("discovery watch ended", "error", err, "failures", w.failures)
 	}
-	w.cfg.Deliver(Update{Endpoints: balancer.List{Kind: balancer.ListFailed}})
+	w.cfg.Deliver(Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFailed}})
 }
--- a/internal/agent/discovery/follow_test.go
+++ b/internal/agent/discovery/follow_test.go
@@ -152,7 +152,7 @@
 		defer running.mu.Unlock()
 		running.updates, running.updatedAt = append(running.updates, u), append(running.updatedAt, time.Now())
 		switch {
-		case u.Endpoints.Kind == balancer.ListFailed && polled && running.waitPercent >= 0:
+		case u.Endpoints.Kind == balancer.UpdateFailed && polled && running.waitPercent >= 0:
 			running.scheduleRetry()
 		case len(u.Endpoints.Backends) > 0:
 			running.version, running.pollFailures = u.Endpoints.Backends[0].Weight, 0
@@ -166,7 +166,7 @@
 	return running
 }
 
-func (w *runningWatcher) kinds() (list []balancer.ListKind) {
+func (w *runningWatcher) kinds() (list []balancer.UpdateKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, update := range w.updates {
@@ -211,7 +211,7 @@
 					}
 				}
 				time.Sleep(time.Minute) // empty lines are signs of life
-				if slices.Contains(watcher.kinds(), balancer.ListFailed) || len(discovery.sinceParams) != 1 {
+				if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
 					t.Errorf("%d calls: %s", len(discovery.sinceParams), watcher.log.String())
 				}
 			})
@@ -229,7 +229,7 @@
 				time.Sleep(time.Millisecond)
 				discovery.update(func() { discovery.encode = good })
 				time.Sleep(time.Second)
-				if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") || !slices.Contains(watcher.kinds(), balancer.ListFailed) {
+				if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") || !slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
 					t.Errorf("told %d, calls %v, %s", watcher.lastVersion(), discovery.sinceParams, watcher.log.String())
 				}
 			})
@@ -246,7 +246,7 @@
 		discovery.update(func() { discovery.refusing = true })
 		watcher.Subscribe()
 		time.Sleep(time.Minute)
-		if k := watcher.kinds(); len(discovery.sinceParams) != 0 || len(k) != 1 || k[0] != balancer.ListFailed {
+		if k := watcher.kinds(); len(discovery.sinceParams) != 0 || len(k) != 1 || k[0] != balancer.UpdateFailed {
 			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
 		}
 		discovery.update(func() { discovery.refusing = false })
@@ -256,7 +256,7 @@
 		time.Sleep(time.Minute)
 		discovery.update(func() { discovery.unresponsive = true }) // a call may wait: it is not made twice
 		time.Sleep(heartbeatTimeout + time.Millisecond)
-		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 || k[1] != balancer.ListDelta || k[2] != balancer.ListFailed {
+		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 || k[1] != balancer.UpdateDelta || k[2] != balancer.UpdateFailed {
 			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
 		}
 	})
@@ -281,7 +281,7 @@
 					discovery.update(func() { discovery.unresponsive, discovery.version = false, 7 })
 					watcher.SetAddr("10.0.0.2:1")
 					synctest.Wait()
-					if got := discovery.sinceParams[len(discovery.sinceParams)-1]; got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.ListFailed) {
+					if got := discovery.sinceParams[len(discovery.sinceParams)-1]; got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
 						t.Errorf("since %s, told %d, posts %v", got, watcher.lastVersion(), watcher.kinds())
 					}
 					time.Sleep(time.Minute)
@@ -499,7 +499,7 @@
 		synctest.Wait()
 		watcher.mu.Lock()
 		defer watcher.mu.Unlock()
-		if last := watcher.updates[len(watcher.updates)-1]; last.Endpoints.Kind != balancer.ListFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
+		if last := watcher.updates[len(watcher.updates)-1]; last.Endpoints.Kind != balancer.UpdateFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
 			t.Errorf("%+v", last)
 		}
 	})
@@ -531,9 +531,9 @@
 		{ID: "", Addr: "127.0.0.1:9", State: "ready"},
 		{ID: "what", Addr: "127.0.0.1:9", State: "asleep"},
 		{ID: "off", State: "gone"},
-	}}, balancer.ListFull, 0)
+	}}, balancer.UpdateFull, 0)
 	want := []balancer.Backend{{ID: "new", Cell: 3, Weight: 2, Started: time.Hour - 3*time.Second}, {ID: "old", Zone: -1, Kind: -1},
-		{ID: "off", State: balancer.Gone, Zone: -1, Kind: -1}}
+		{ID: "off", State: balancer.Removed, Zone: -1, Kind: -1}}
 	if !slices.Equal(update.Endpoints.Backends, want) || len(update.Addrs) != 2 {
 		t.Errorf("%+v", update)
 	}
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -36,11 +36,11 @@
 
 // Update is one message of discovery in the module's terms, with the addresses that go with it.
 type Update struct {
-	Endpoints balancer.List
+	Endpoints balancer.EndpointUpdate
 	Addrs     map[string]string // by id; gone backends have none
 }
 
-var backendStates = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Gone}
+var backendStates = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Removed}
 
 // Translator puts lists into the module's terms.
 type Translator struct {
@@ -53,15 +53,15 @@
 
 // Translate translates a list. An entry that makes no sense is left out and logged: the others still count. What the list tells
 // anew has happened within a span; 0: that is not known.
-func (t *Translator) Translate(list *EndpointList, kind balancer.ListKind, maxAge time.Duration) Update {
-	update := Update{Endpoints: balancer.List{Kind: kind}, Addrs: map[string]string{}}
+func (t *Translator) Translate(list *EndpointList, kind balancer.UpdateKind, maxAge time.Duration) Update {
+	update := Update{Endpoints: balancer.EndpointUpdate{Kind: kind}, Addrs: map[string]string{}}
 	for _, endpoint := range list.Endpoints {
 		state, ok := backendStates[endpoint.State]
 		if !ok || endpoint.ID == "" {
 			t.Log.Warn("list entry left out", "id", endpoint.ID, "state", endpoint.State)
 			continue
 		}
-		if state != balancer.Gone {
+		if state != balancer.Removed {
 			if _, err := netip.ParseAddrPort(endpoint.Addr); err != nil {
 				t.Log.Warn("list entry left out", "id", endpoint.ID, "error", err)
 				continue
@@ -70,12 +70,12 @@
 		}
 		backend := balancer.Backend{ID: endpoint.ID, State: state, Zone: slices.Index(t.Zones, endpoint.Zone),
 			Kind: slices.Index(t.Kinds, endpoint.Kind), Cell: endpoint.Cell, Weight: endpoint.Weight}
-		if state != balancer.Gone {
+		if state != balancer.Removed {
 			backend.Started = t.startTimes.resolve(endpoint.ID, endpoint.StartedAt, t.readClocks, maxAge)
 		}
 		update.Endpoints.Backends = append(update.Endpoints.Backends, backend)
 	}
-	if kind != balancer.ListDelta {
+	if kind != balancer.UpdateDelta {
 		t.startTimes.evictUnlisted(update.Addrs)
 	}
 	return update
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -165,25 +165,25 @@
 	}
 	l.lastCallID++
 	l.openCalls[l.lastCallID] = call
-	event := balancer.Event(balancer.Attach{Call: l.lastCallID, Backend: call.backend, Carried: call.replicated, At: call.madeAt})
+	event := balancer.Event(balancer.Enable{Call: l.lastCallID, Backend: call.backend, Inherited: call.replicated, At: call.madeAt})
 	if call.detach {
-		event = balancer.Detach{Call: l.lastCallID, Backend: call.backend, Carried: call.replicated}
+		event = balancer.Disable{Call: l.lastCallID, Backend: call.backend, Inherited: call.replicated}
 	}
 	l.pending = slices.Insert(l.pending, 0, event)
 }
 
 // completeCall ends a call as the module says. What the backends are told of it holds before the yes.
-func (l *eventLoop) completeCall(answer balancer.Answer) {
+func (l *eventLoop) completeCall(answer balancer.OverrideResult) {
 	call := l.openCalls[answer.Call]
 	if call == nil {
 		l.log.Error("an answer to no call", "call", answer.Call)
 		return
 	}
 	delete(l.openCalls, answer.Call)
-	if answer.Taken {
+	if answer.Accepted {
 		l.pool.setDisabled(call.backend, call.detach)
 	}
-	call.accepted <- answer.Taken
+	call.accepted <- answer.Accepted
 }
 
 // post hands an event to the loop. After the loop has stopped it goes nowhere.
@@ -234,7 +234,7 @@
 		}
 		if on := l.lameDuck.Load(); on != l.reportedLameDuck {
 			l.reportedLameDuck = on
-			l.pending = append(l.pending, balancer.Emptying{On: on})
+			l.pending = append(l.pending, balancer.Drain{On: on})
 		}
 		now := l.clock.now()
 		if now < lastStep+l.cfg.Settings.Tick {
@@ -254,7 +254,7 @@
 		for i, event := range events {
 			// Its time has run on since it came in. It may be gone already: its client may be.
 			if event, ok := event.(balancer.Request); ok && l.requests[event.ID] != nil {
-				event.Left = l.clock.at(l.requests[event.ID].deadline) - l.margin - now
+				event.TimeRemaining = l.clock.at(l.requests[event.ID].deadline) - l.margin - now
 				events[i] = event
 			}
 		}
@@ -294,13 +294,13 @@
 		l.counts.requests++
 		l.requests[event.id] = event.request
 		l.pending = append(l.pending, balancer.Request{ID: event.id, Class: event.class, Work: event.sizeHint,
-			Repeat: event.clientRetry, Key: event.key, Rule: event.residencyRule, Coming: event.upstream.isLarge()})
+			ClientRetry: event.clientRetry, AffinityKey: event.key, ResidencyRule: event.residencyRule, Streaming: event.upstream.isLarge()})
 	case bodyComplete:
 		event.deadline = event.upstream.upload.completedAt.Add(event.timeout)
 		for _, timer := range event.attemptTimers {
 			timer.arm(event.deadline.Add(-l.margin))
 		}
-		l.pending = append(l.pending, balancer.BodyWhole{Request: event.id})
+		l.pending = append(l.pending, balancer.BodyComplete{Request: event.id})
 	case responseStarted:
 		if event.finished {
 			event.response.stream.finish(errRequestEnded)
@@ -308,7 +308,7 @@
 		}
 		l.counts.served++
 		l.respond(event.request, reply{response: event.response})
-		l.pending = append(l.pending, balancer.StreamStarted{Request: event.id, Attempt: event.attempt})
+		l.pending = append(l.pending, balancer.ResponseStarted{Request: event.id, Attempt: event.attempt})
 	case attemptEnded:
 		event.openAttempts--
 		event.attemptTimedOut = event.attemptTimedOut || event.outcome.Result == balancer.TimedOut
@@ -321,7 +321,7 @@
 			l.counts.truncated++
 		}
 		if !event.finished && event.upstream.consumed() {
-			l.pending = append(l.pending, balancer.BodySpent{Request: event.id})
+			l.pending = append(l.pending, balancer.BodyConsumed{Request: event.id})
 		}
 		l.pending = append(l.pending, event.outcome)
 		l.removeIfDone(event.request)
@@ -357,7 +357,7 @@
 	case balancer.ProbeResult:
 		delete(l.probing, event.Backend)
 		l.pending = append(l.pending, event)
-	case balancer.PeerMessage, balancer.Part, balancer.Distances:
+	case balancer.GossipReceived, balancer.Quota, balancer.ZoneLatencies:
 		l.pending = append(l.pending, event.(balancer.Event))
 	}
 }
@@ -382,13 +382,13 @@
 	case balancer.Send:
 		l.startAttempt(action)
 	case balancer.Cancel:
-		if r := l.requests[action.Request]; r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.MayCancel {
+		if r := l.requests[action.Request]; r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
 			r.cancels[action.Attempt](errCancelled)
 		}
 	case balancer.Refuse:
 		if r := l.requests[action.Request]; r != nil && !r.finished {
 			l.counts.rejected++
-			l.respond(r, reply{rejected: true, retryAfter: action.RetryAfter, residency: action.Residency})
+			l.respond(r, reply{rejected: true, retryAfter: action.RetryAfter, residency: action.NoPermittedZone})
 			l.removeIfDone(r)
 		}
 	case balancer.Fail:
@@ -400,23 +400,23 @@
 	case balancer.SetTimer:
 		heap.Push(&l.timers, timer{now + action.After, action.Token})
 	case balancer.Probe:
-		if l.cfg.Settings.MayProbe && !l.probing[action.Backend] {
+		if l.cfg.Settings.ProbingAllowed && !l.probing[action.Backend] {
 			l.probing[action.Backend] = true
 			go func() { l.post(l.pool.probe(action.Backend)) }()
 		}
-	case balancer.TellPeer:
+	case balancer.SendGossip:
 		if l.peers != nil {
 			l.peers.send(action.To, action.Data)
 		}
 	case balancer.Subscribe:
 		l.subscribe()
-	case balancer.ZoneTurn:
+	case balancer.ZoneStateChanged:
 		name := strconv.Itoa(action.Zone)
 		if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
 			name = zones[action.Zone]
 		}
-		l.log.Warn("zone", "zone", name, "left", action.Left, "told", action.Told)
-	case balancer.Answer:
+		l.log.Warn("zone", "zone", name, "left", action.FailedOver, "told", action.ByGossip)
+	case balancer.OverrideResult:
 		l.completeCall(action)
 	default:
 		l.log.Error("unknown action", "action", action)
@@ -446,8 +446,8 @@
 	r.openAttempts++
 	l.counts.attempts++
 	endpoint, writeBy := l.pool.endpoint(action.Backend), time.Time{}
-	if action.Before > 0 {
-		writeBy = l.clock.epoch.Add(action.Before - clockOffset)
+	if action.SendDeadline > 0 {
+		writeBy = l.clock.epoch.Add(action.SendDeadline - clockOffset)
 	}
 	go func() {
 		att := &attempt{ctx: ctx, cancel: cancel, requestDone: r.done, shutdown: l.stopped, backendID: action.Backend, endpoint: endpoint, writeBy: writeBy, request: r.upstream,
@@ -466,7 +466,7 @@
 			att.latency = att.elapsed()
 		}
 		l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: action.Backend, Result: result,
-			Latency: att.latency, New: att.newConn, Load: load}, resp})
+			Latency: att.latency, NewConnection: att.newConn, Load: load}, resp})
 	}()
 }
 
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -125,7 +125,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if sender, known := p.agentByAddr[from]; known && n <= maxDatagram {
-			post(balancer.PeerMessage{From: sender, Data: append([]byte(nil), buf[:n]...)})
+			post(balancer.GossipReceived{From: sender, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
