--- a/internal/agent/rare_backends_test.go
+++ b/internal/agent/rare_backends_test.go
@@ -220,14 +220,14 @@
 	}
 	c, in := try("s", at(full), okResponse("hello"), balancer.OK, true)
 	try("other", at(other), okResponse("hello"), balancer.OK, true)
-	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Full, false) // a queue
+	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Rejected, false) // a queue
 	if len(b.idle["other"]) != 1 {
 		t.Error("a connection was given up for a full queue")
 	}
 	b.mu.Lock()
 	b.closeIdle("s")
 	b.mu.Unlock()
-	try("s", at(full), never, balancer.Full, true)
+	try("s", at(full), never, balancer.Rejected, true)
 	if b.mu.Lock(); len(b.idle["other"]) != 0 {
 		t.Error("no connection was given up")
 	}
@@ -272,7 +272,7 @@
 }
 
 func applyDelta(b *upstreamPool, m balancer.Backend, addr string) {
-	u := discovery.Update{Endpoints: balancer.List{Kind: balancer.ListDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
+	u := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
 	if addr != "" {
 		u.Addrs[m.ID] = addr
 	}
@@ -292,7 +292,7 @@
 			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
 		}, balancer.ConnectFailed, 0},
 		"is gone": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) {
-			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Gone}, "")
+			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Removed}, "")
 		}, balancer.ConnectFailed, 0},
 		"has moved": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) {
 			applyDelta(b, balancer.Backend{ID: "s"}, "127.0.0.1:1")
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -50,7 +50,7 @@
 	}
 	settings := f.cfg.Settings.Classes[class]
 	method := http.MethodPost
-	if settings.Effect == balancer.Safe {
+	if settings.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if httpReq.Method != method {
@@ -69,7 +69,7 @@
 	if r.id == "" {
 		return nil, badRequest("X-Trace-Id: missing")
 	}
-	if settings.Effect == balancer.Keyed && header.Get("Idempotency-Key") == "" {
+	if settings.Idempotency == balancer.IdempotencyKey && header.Get("Idempotency-Key") == "" {
 		return nil, badRequest("Idempotency-Key: missing")
 	}
 	timeout := settings.Deadline
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(a.Site.Zones, a.Settings.Regions, a.Settings.Zone, a.Settings.CrossRegionPrice); got != "[liepaja riga-a riga-b] [0 1 1] 2 0.1" {
+	if got := fmt.Sprint(a.Site.Zones, a.Settings.Regions, a.Settings.Zone, a.Settings.CrossRegionCost); got != "[liepaja riga-a riga-b] [0 1 1] 2 0.1" {
 		t.Error(got)
 	}
 }
--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -176,14 +176,14 @@
 		t.Fatal(err)
 	}
 	const ms = time.Millisecond
-	equal(t, "settings", s, balancer.Settings{Balancers: 3, Self: 2, Zone: 1, ByWork: true, Subscribe: true, Tick: 21 * ms,
+	equal(t, "settings", s, balancer.Settings{Balancers: 3, Self: 2, Zone: 1, WeightByWork: true, Subscribe: true, Tick: 21 * ms,
 		Classes: []balancer.Class{
-			{Aim: 22 * ms, Deadline: 23 * ms, Worth: 24.5, LateWorth: 0.25, Effect: balancer.Safe, Group: balancer.GroupAll, Window: 26 * ms},
-			{Aim: 27 * ms, Deadline: 28 * ms, Worth: 29.5, LateWorth: 0.3, Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 31 * ms},
-			{Aim: 32 * ms, Deadline: 33 * ms, Worth: 34.5, LateWorth: 0.35, Effect: balancer.Unsafe, Group: balancer.GroupCell, Window: 36 * ms}},
-		MaxAttempts: 37, SecondCopies: true, MayProbe: true, MayCancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 38 * ms, ConnectTimeout: 39 * ms,
-		DrainGrace: 42 * ms, AnswerGrace: 43 * ms, AskWithin: 44 * ms, ColdShare: 0.45, RampTime: 46 * ms, FallMultiple: 4.7, FallWindow: 48 * ms,
-		GoalWhole: 0.49, GoalWindow: 0.5, GoalClass: 0.51, CrossZonePrice: 0.52, Regions: []int{0, 0}, CrossRegionPrice: 0.53, WarmKeys: true})
+			{LatencyObjective: 22 * ms, Deadline: 23 * ms, PriorityWeight: 24.5, LateWeight: 0.25, Idempotency: balancer.Idempotent, Scope: balancer.ScopeAll, DedupWindow: 26 * ms},
+			{LatencyObjective: 27 * ms, Deadline: 28 * ms, PriorityWeight: 29.5, LateWeight: 0.3, Idempotency: balancer.IdempotencyKey, Scope: balancer.ScopeZone, DedupWindow: 31 * ms},
+			{LatencyObjective: 32 * ms, Deadline: 33 * ms, PriorityWeight: 34.5, LateWeight: 0.35, Idempotency: balancer.NonIdempotent, Scope: balancer.ScopeCell, DedupWindow: 36 * ms}},
+		MaxAttempts: 37, HedgingAllowed: true, ProbingAllowed: true, CancelAllowed: true, GossipAllowed: true, RetryAfter: true, MaxRetryAfter: 38 * ms, ConnectTimeout: 39 * ms,
+		DrainGrace: 42 * ms, AnswerGrace: 43 * ms, PollInterval: 44 * ms, InitialCapacity: 0.45, SlowStartWindow: 46 * ms, OverloadMultiple: 4.7, OverloadWindow: 48 * ms,
+		GoalOverall: 0.49, GoalWorstWindow: 0.5, GoalWorstClass: 0.51, CrossZoneCost: 0.52, Regions: []int{0, 0}, CrossRegionCost: 0.53, KeyAffinity: true})
 	equal(t, "site", site, wire.Site{Classes: []string{"c1", "c2", "c3"}, Zones: []string{"a", "b"}, Kinds: []string{"k", "l"}, IdleClose: 40 * ms,
 		MaxOpen: 41, LoadInline: true})
 }
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -25,22 +25,22 @@
 	list := []balancer.Backend{
 		{ID: "b1", State: balancer.Up, Weight: 2.5, Cell: 3, Started: 4 * ms, Kind: 5, Zone: 6},
 		{ID: "b2", State: balancer.Draining, Weight: 7.5, Cell: 8, Started: 9 * ms, Kind: 10, Zone: 11},
-		{ID: "b3", State: balancer.Gone, Weight: 12.5, Cell: 13, Started: 14 * ms, Kind: 15, Zone: 16}}
+		{ID: "b3", State: balancer.Removed, Weight: 12.5, Cell: 13, Started: 14 * ms, Kind: 15, Zone: 16}}
 	load := balancer.Load{Valid: true, Queue: 17, Service: 18 * ms, ErrorsPerSec: 19}
 	events := []balancer.Event{
-		balancer.List{Kind: balancer.ListDelta, Backends: list},
-		balancer.List{Kind: balancer.ListFull, Backends: list},
-		balancer.List{Kind: balancer.ListCached, Backends: list},
-		balancer.List{Kind: balancer.ListFailed},
-		balancer.Request{ID: "r1", Class: 1, Left: 20 * ms, Work: 21 * ms, Repeat: true, Key: wire.Key("item22")},
+		balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: list},
+		balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list},
+		balancer.EndpointUpdate{Kind: balancer.UpdateCached, Backends: list},
+		balancer.EndpointUpdate{Kind: balancer.UpdateFailed},
+		balancer.Request{ID: "r1", Class: 1, TimeRemaining: 20 * ms, Work: 21 * ms, ClientRetry: true, AffinityKey: wire.Key("item22")},
 	}
-	for i, result := range []balancer.Result{balancer.OK, balancer.Errored, balancer.Full, balancer.TimedOut, balancer.ConnectFailed,
+	for i, result := range []balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed,
 		balancer.Reset, balancer.Cancelled, balancer.NotSent} {
 		events = append(events, balancer.Outcome{Request: "r1", Attempt: 23 + i, Backend: "b1", Result: result, Latency: 24 * ms, Done: true, Load: load})
 	}
 	events = append(events, balancer.ProbeResult{Backend: "b2", Result: balancer.OK, Latency: 25 * ms, Load: load},
-		balancer.StreamStarted{Request: "r1", Attempt: 26}, balancer.Abandoned{Request: "r1"}, balancer.TimerFired{Token: 27},
-		balancer.PeerMessage{From: 28, Data: []byte{29, 30}})
+		balancer.ResponseStarted{Request: "r1", Attempt: 26}, balancer.Abandoned{Request: "r1"}, balancer.TimerFired{Token: 27},
+		balancer.GossipReceived{From: 28, Data: []byte{29, 30}})
 	if b.Now != 1500250*time.Microsecond || len(b.Events) != len(events)+2 {
 		t.Fatalf("at %v, %d events", b.Now, len(b.Events))
 	}
@@ -62,11 +62,11 @@
 	w := wire.NewWriter(&out)
 	const ms = time.Millisecond
 	if err := w.Actions(7, []balancer.Action{
-		balancer.Send{Request: "r1", Backend: "b2", Timeout: 3 * ms, Before: 4 * ms}, balancer.Send{Request: "r5", Backend: "b6"},
-		balancer.Cancel{Request: "r7", Attempt: 8}, balancer.Refuse{Request: "r9", RetryAfter: 10500 * time.Microsecond, Residency: true},
+		balancer.Send{Request: "r1", Backend: "b2", Timeout: 3 * ms, SendDeadline: 4 * ms}, balancer.Send{Request: "r5", Backend: "b6"},
+		balancer.Cancel{Request: "r7", Attempt: 8}, balancer.Refuse{Request: "r9", RetryAfter: 10500 * time.Microsecond, NoPermittedZone: true},
 		balancer.Refuse{Request: "r11"}, balancer.Fail{Request: "r12 \"é\""}, balancer.SetTimer{After: 13 * ms, Token: 14},
-		balancer.Probe{Backend: "b15"}, balancer.TellPeer{To: 16, Data: []byte{17, 18}},
-		balancer.ZoneTurn{Zone: 19}, balancer.ZoneTurn{Zone: 20, Left: true}, balancer.ZoneTurn{Zone: 21, Left: true, Told: true},
+		balancer.Probe{Backend: "b15"}, balancer.SendGossip{To: 16, Data: []byte{17, 18}},
+		balancer.ZoneStateChanged{Zone: 19}, balancer.ZoneStateChanged{Zone: 20, FailedOver: true}, balancer.ZoneStateChanged{Zone: 21, FailedOver: true, ByGossip: true},
 		balancer.Subscribe{}}); err != nil {
 		t.Fatal(err)
 	}
@@ -82,9 +82,9 @@
 func newBalancer(t *testing.T, self int, heard [][]byte) (b *balancer.Balancer, told [][]byte) {
 	t.Helper()
 	const ms = time.Millisecond
-	s := balancer.Settings{Balancers: 40, Self: self, Classes: []balancer.Class{{Aim: 100 * ms, Deadline: 1000 * ms, Worth: 1, LateWorth: 0.2}},
-		MaxAttempts: 3, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 50 * ms, ColdShare: 0.2, RampTime: time.Second,
-		FallMultiple: 3, FallWindow: time.Second, GoalWhole: 1, CrossZonePrice: 0.03}
+	s := balancer.Settings{Balancers: 40, Self: self, Classes: []balancer.Class{{LatencyObjective: 100 * ms, Deadline: 1000 * ms, PriorityWeight: 1, LateWeight: 0.2}},
+		MaxAttempts: 3, GossipAllowed: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 50 * ms, InitialCapacity: 0.2, SlowStartWindow: time.Second,
+		OverloadMultiple: 3, OverloadWindow: time.Second, GoalOverall: 1, CrossZoneCost: 0.03}
 	b, err := balancer.New(s, 5)
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 					Load: balancer.Load{Queue: -1, Service: -1, ErrorsPerSec: -1}})
 			case balancer.SetTimer:
 				timers[a.Token] = now + a.After
-			case balancer.TellPeer:
+			case balancer.SendGossip:
 				told = append(told, append([]byte{byte(a.To)}, a.Data...))
 			}
 		}
@@ -124,15 +124,15 @@
 			step(answers...)
 		}
 	}
-	step(balancer.List{Kind: balancer.ListFull, Backends: list})
+	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list})
 	for range 60 {
 		requests++
 		if requests == 50 { // not long before the end, since what peers say of themselves holds for a while alone
 			for _, data := range heard {
-				step(balancer.PeerMessage{From: 0, Data: data[1:]})
+				step(balancer.GossipReceived{From: 0, Data: data[1:]})
 			}
 		}
-		step(balancer.Request{ID: fmt.Sprint("r", requests), Left: time.Second})
+		step(balancer.Request{ID: fmt.Sprint("r", requests), TimeRemaining: time.Second})
 		now += 3 * ms
 		for token := int64(1); token <= int64(len(timers)); token++ {
 			if at, pending := timers[token]; pending && at <= now {
@@ -141,7 +141,7 @@
 			}
 		}
 		if requests == 40 {
-			step(balancer.Emptying{On: true})
+			step(balancer.Drain{On: true})
 		}
 	}
 	return b, told
@@ -164,8 +164,8 @@
 	b, _ = newBalancer(t, 1, told[:len(told)/2]) // later ones say that the sender's clients are elsewhere
 	s := b.Snapshot()
 	goldenJSON(t, "snapshot-receiver.json", s)
-	if s.Peers[0] <= 0 {
-		t.Errorf("nothing was heard: %v", s.Peers)
+	if s.PeerDemand[0] <= 0 {
+		t.Errorf("nothing was heard: %v", s.PeerDemand)
 	}
 }
 
@@ -176,11 +176,11 @@
 	if err := json.Unmarshal(stored(t, "snapshot-receiver.json"), &s); err != nil {
 		t.Fatal(err)
 	}
-	b, err := balancer.New(balancer.Settings{Balancers: 40, Self: 1, Classes: []balancer.Class{{Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 40, Self: 1, Classes: []balancer.Class{{LatencyObjective: 100 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Step(time.Hour, []balancer.Event{balancer.Restore{Snapshot: s}})
 	got := b.Snapshot()
-	equal(t, "restored", []any{got.Tokens, got.PerBack, got.Delay, got.Latency, got.Peers[0]}, []any{s.Tokens, s.PerBack, s.Delay, s.Latency, s.Peers[0]})
+	equal(t, "restored", []any{got.Tokens, got.LimitPerBackend, got.LatencyRatio, got.Latency, got.PeerDemand[0]}, []any{s.Tokens, s.LimitPerBackend, s.LatencyRatio, s.Latency, s.PeerDemand[0]})
 }
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -33,8 +33,8 @@
 		Lame: true, LameAt: 9_000_009, From: "127.0.0.1:10",
 		List: &discovery.EndpointList{Version: 11, Full: true, Endpoints: []discovery.Endpoint{
 			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, StartedAt: 15}}},
-		Snapshot: &balancer.Snapshot{Tokens: 16.5, PerBack: 17.5, Delay: 0.185, Best: 0.195, Asked: 20.5, Moved: 21.5,
-			Peers: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
+		Snapshot: &balancer.Snapshot{Tokens: 16.5, LimitPerBackend: 17.5, LatencyRatio: 0.185, PeakThroughput: 0.195, Demand: 20.5, DrainedDemand: 21.5,
+			PeerDemand: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
 // A record of an agent's processes is written with the same keys, and one stored earlier is read.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -108,8 +108,8 @@
 		c.Trace = t.trace
 	}
 	told := fleet.Told{
-		Part:      func(part float64) { post(balancer.Part{Of: part}) },
-		Distances: func(trip []time.Duration, loss []float64) { post(balancer.Distances{Trip: trip, Loss: loss}) },
+		Part:      func(part float64) { post(balancer.Quota{Share: part}) },
+		Distances: func(trip []time.Duration, loss []float64) { post(balancer.ZoneLatencies{RTT: trip, Loss: loss}) },
 	}
 	if len(f.Hubs) == 0 {
 		t.Fleet, err = fleet.New(c, zones, told)
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -164,7 +164,7 @@
 		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: func(t time.Time) time.Duration { return t.Sub(born) }, Log: log},
 		Addr:       a.spec.Service, Polled: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.place,
 		Deliver: func(u discovery.Update) {
-			if u.Endpoints.Kind != balancer.ListFailed {
+			if u.Endpoints.Kind != balancer.UpdateFailed {
 				fails = 0
 				a.acted(List, a.list.Load())
 				return
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -95,38 +95,38 @@
 
 func (f *facts) settings() (balancer.Settings, error) {
 	s := balancer.Settings{
-		Balancers:      f.Balancers,
-		Self:           f.Me,
-		Zone:           f.Zone,
-		ByWork:         f.CountedBy == "work",
-		Subscribe:      f.MembershipMode == "subscribe",
-		Tick:           duration(f.TickMs),
-		MaxAttempts:    f.PolicyLimits.TryLimit,
-		SecondCopies:   f.PolicyLimits.SecondCopies,
-		MayProbe:       f.PolicyLimits.MayProbe,
-		MayCancel:      f.PolicyLimits.Cancel,
-		RetryAfter:     f.PolicyLimits.RetryAfter,
-		Peers:          f.PolicyLimits.Peers,
-		MaxRetryAfter:  duration(f.PolicyLimits.MaxRetryAfterMs),
-		ConnectTimeout: duration(f.PolicyLimits.ConnectTimeoutMs),
-		DrainGrace:     duration(f.Contract.DrainGraceMs),
-		AnswerGrace:    duration(f.Contract.GraceToAnswerMs),
-		AskWithin:      duration(f.Contract.AskWithinMs),
-		ColdShare:      f.Contract.ColdFrom,
-		RampTime:       duration(f.Contract.RampTimeMs),
-		FallMultiple:   f.Contract.FallMultiple,
-		FallWindow:     duration(f.Contract.FallMs),
-		GoalWhole:      f.Goal.Whole,
-		GoalWindow:     f.Goal.WorstWindow,
-		GoalClass:      f.Goal.WorstClass,
-		CrossZonePrice: f.Prices.CrossZone, CrossRegionPrice: f.Prices.CrossRegion, Regions: f.Regions,
-		WarmKeys: f.FamilyInfo.WarmKeys,
+		Balancers:        f.Balancers,
+		Self:             f.Me,
+		Zone:             f.Zone,
+		WeightByWork:     f.CountedBy == "work",
+		Subscribe:        f.MembershipMode == "subscribe",
+		Tick:             duration(f.TickMs),
+		MaxAttempts:      f.PolicyLimits.TryLimit,
+		HedgingAllowed:   f.PolicyLimits.SecondCopies,
+		ProbingAllowed:   f.PolicyLimits.MayProbe,
+		CancelAllowed:    f.PolicyLimits.Cancel,
+		RetryAfter:       f.PolicyLimits.RetryAfter,
+		GossipAllowed:    f.PolicyLimits.Peers,
+		MaxRetryAfter:    duration(f.PolicyLimits.MaxRetryAfterMs),
+		ConnectTimeout:   duration(f.PolicyLimits.ConnectTimeoutMs),
+		DrainGrace:       duration(f.Contract.DrainGraceMs),
+		AnswerGrace:      duration(f.Contract.GraceToAnswerMs),
+		PollInterval:     duration(f.Contract.AskWithinMs),
+		InitialCapacity:  f.Contract.ColdFrom,
+		SlowStartWindow:  duration(f.Contract.RampTimeMs),
+		OverloadMultiple: f.Contract.FallMultiple,
+		OverloadWindow:   duration(f.Contract.FallMs),
+		GoalOverall:      f.Goal.Whole,
+		GoalWorstWindow:  f.Goal.WorstWindow,
+		GoalWorstClass:   f.Goal.WorstClass,
+		CrossZoneCost:    f.Prices.CrossZone, CrossRegionCost: f.Prices.CrossRegion, Regions: f.Regions,
+		KeyAffinity: f.FamilyInfo.WarmKeys,
 	}
-	effects := map[string]balancer.Effect{
-		"repeatable": balancer.Safe, "by_key": balancer.Keyed, "once": balancer.Unsafe}
-	groups := map[string]balancer.Group{
-		"": balancer.GroupAll, "all": balancer.GroupAll,
-		"zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	effects := map[string]balancer.Idempotency{
+		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotencyKey, "once": balancer.NonIdempotent}
+	groups := map[string]balancer.IdempotencyScope{
+		"": balancer.ScopeAll, "all": balancer.ScopeAll,
+		"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 	for i, p := range f.Profiles {
 		effect, ok := effects[p.Semantics]
 		if !ok {
@@ -137,9 +137,9 @@
 			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
 		}
 		s.Classes = append(s.Classes, balancer.Class{
-			Aim: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
-			Worth: p.Worth, LateWorth: p.LateValue,
-			Effect: effect, Group: group, Window: duration(p.WindowMs),
+			LatencyObjective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
+			PriorityWeight: p.Worth, LateWeight: p.LateValue,
+			Idempotency: effect, Scope: group, DedupWindow: duration(p.WindowMs),
 		})
 	}
 	return s, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -107,18 +107,18 @@
 )
 
 var results = map[string]balancer.Result{
-	"pass": balancer.OK, "fault": balancer.Errored, "no_room": balancer.Full,
+	"pass": balancer.OK, "fault": balancer.Errored, "no_room": balancer.Rejected,
 	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
 	"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
 }
 
-var listKinds = map[string]balancer.ListKind{
-	"diff": balancer.ListDelta, "snapshot": balancer.ListFull,
-	"disk": balancer.ListCached, "error": balancer.ListFailed,
+var listKinds = map[string]balancer.UpdateKind{
+	"diff": balancer.UpdateDelta, "snapshot": balancer.UpdateFull,
+	"disk": balancer.UpdateCached, "error": balancer.UpdateFailed,
 }
 
 var states = map[string]balancer.BackendState{
-	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Gone,
+	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Removed,
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between batches.
@@ -194,8 +194,8 @@
 		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
-		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, Left: duration(*m.GraceMs),
-			Repeat: m.StateBits&bitRepeat != 0, Key: Key(m.Item)}
+		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, TimeRemaining: duration(*m.GraceMs),
+			ClientRetry: m.StateBits&bitRepeat != 0, AffinityKey: Key(m.Item)}
 		if m.StateBits&bitHintValid != 0 {
 			q.Work = duration(m.WorkHintMs)
 		}
@@ -224,7 +224,7 @@
 		if m.Job == nil || m.SendNo == nil {
 			return errors.New("missing Job or SendNo")
 		}
-		e.Event = balancer.StreamStarted{Request: *m.Job, Attempt: *m.SendNo}
+		e.Event = balancer.ResponseStarted{Request: *m.Job, Attempt: *m.SendNo}
 	case "Expired":
 		if m.Job == nil {
 			return errors.New("missing Job")
@@ -243,7 +243,7 @@
 		if err != nil {
 			return fmt.Errorf("Msg: %w", err) //lint:ignore ST1005 begins with the name of a field
 		}
-		e.Event = balancer.PeerMessage{From: *m.From, Data: data}
+		e.Event = balancer.GossipReceived{From: *m.From, Data: data}
 	default:
 		return errors.New("unknown message")
 	}
@@ -295,8 +295,8 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown How %q", *m.How)
 	}
-	if kind == balancer.ListFailed {
-		return balancer.List{Kind: kind}, nil
+	if kind == balancer.UpdateFailed {
+		return balancer.EndpointUpdate{Kind: kind}, nil
 	}
 	if m.Sheet == nil {
 		return nil, errors.New("missing Sheet")
@@ -305,7 +305,7 @@
 	if !ok {
 		return nil, fmt.Errorf("Sheet %d was never defined", *m.Sheet) //lint:ignore ST1005 begins with the name of a field
 	}
-	return balancer.List{Kind: kind, Backends: list}, nil
+	return balancer.EndpointUpdate{Kind: kind, Backends: list}, nil
 }
 
 // Load translates a load report. What it does not hold is marked as not reported.
@@ -357,9 +357,9 @@
 			w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
 		case balancer.Probe:
 			w.begin("Test", agent).str("Backend", a.Backend)
-		case balancer.TellPeer:
+		case balancer.SendGossip:
 			w.begin("WritePeer", agent).num("Whom", int64(a.To)).str("Msg", hex.EncodeToString(a.Data))
-		case balancer.ZoneTurn:
+		case balancer.ZoneStateChanged:
 			w.begin("Trace", agent).str("Msg", turn(a))
 		case balancer.Subscribe:
 			w.begin("KeepInformed", agent)
@@ -374,11 +374,11 @@
 }
 
 // turn words a line of the report.
-func turn(t balancer.ZoneTurn) string {
+func turn(t balancer.ZoneStateChanged) string {
 	switch {
-	case !t.Left:
+	case !t.FailedOver:
 		return fmt.Sprintf("zone %d is used again", t.Zone)
-	case t.Told:
+	case t.ByGossip:
 		return fmt.Sprintf("zone %d is left, as others told", t.Zone)
 	}
 	return fmt.Sprintf("zone %d is left", t.Zone)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -25,17 +25,17 @@
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
 	entries := []balancer.Backend{
 		{ID: "10.0.0.1:80", Weight: 1.5, Cell: 2, Started: 900 * ms, Kind: 1, Zone: 1},
-		{ID: "10.0.0.2:80", State: balancer.Draining}, {ID: "10.0.0.3:80", State: balancer.Gone}}
+		{ID: "10.0.0.2:80", State: balancer.Draining}, {ID: "10.0.0.3:80", State: balancer.Removed}}
 	tests := []struct {
 		line string
 		want balancer.Event
 	}{
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":240.5,"WorkHintMs":12,"StateBits":3}`,
-			balancer.Request{ID: "d0", Class: 1, Left: 240500 * time.Microsecond, Work: 12 * ms, Repeat: true}},
+			balancer.Request{ID: "d0", Class: 1, TimeRemaining: 240500 * time.Microsecond, Work: 12 * ms, ClientRetry: true}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
-			balancer.Request{ID: "d0", Left: 240 * ms}},
+			balancer.Request{ID: "d0", TimeRemaining: 240 * ms}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"Item":"91f03b7c55d20a64"}`,
-			balancer.Request{ID: "d0", Left: 240 * ms, Key: Key("91f03b7c55d20a64")}},
+			balancer.Request{ID: "d0", TimeRemaining: 240 * ms, AffinityKey: Key("91f03b7c55d20a64")}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5}}`,
 			balancer.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
 				Load: balancer.Load{Valid: true, Queue: 4, Service: 7 * ms, ErrorsPerSec: 0.5}}},
@@ -44,14 +44,14 @@
 		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balancer.Abandoned{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balancer.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
-			balancer.StreamStarted{Request: "d0", Attempt: 1}},
+			balancer.ResponseStarted{Request: "d0", Attempt: 1}},
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
-			balancer.PeerMessage{From: 2, Data: []byte("hi 7")}},
+			balancer.GossipReceived{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
 			balancer.ProbeResult{Backend: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, Load: Load(nil)}},
-		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.List{Kind: balancer.ListFailed}},
+		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.EndpointUpdate{Kind: balancer.UpdateFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
-			balancer.List{Kind: balancer.ListDelta, Backends: entries}},
+			balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: entries}},
 	}
 	for _, tt := range tests {
 		b, err := NewReader(strings.NewReader(frame(tt.line))).Next()
@@ -82,13 +82,13 @@
 		t.Fatal(err)
 	}
 	want := balancer.Settings{
-		Balancers: 3, Self: 1, Zone: 2, ByWork: true, Subscribe: true, Tick: 5 * ms,
-		Classes: []balancer.Class{{Aim: 400 * ms, Deadline: 1500 * ms, Worth: 3, LateWorth: 0.25,
-			Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 3 * time.Second}},
-		MaxAttempts: 4, SecondCopies: true, Peers: true, MaxRetryAfter: 1500 * ms,
-		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, AskWithin: 10 * time.Second, ColdShare: 0.16,
-		RampTime: 20 * time.Second, FallMultiple: 2.5, FallWindow: time.Second,
-		GoalWhole: 0.55, GoalWindow: 0.15, GoalClass: 0.3, CrossZonePrice: 0.02, WarmKeys: true,
+		Balancers: 3, Self: 1, Zone: 2, WeightByWork: true, Subscribe: true, Tick: 5 * ms,
+		Classes: []balancer.Class{{LatencyObjective: 400 * ms, Deadline: 1500 * ms, PriorityWeight: 3, LateWeight: 0.25,
+			Idempotency: balancer.IdempotencyKey, Scope: balancer.ScopeCell, DedupWindow: 3 * time.Second}},
+		MaxAttempts: 4, HedgingAllowed: true, GossipAllowed: true, MaxRetryAfter: 1500 * ms,
+		DrainGrace: 500 * ms, AnswerGrace: 20 * ms, PollInterval: 10 * time.Second, InitialCapacity: 0.16,
+		SlowStartWindow: 20 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second,
+		GoalOverall: 0.55, GoalWorstWindow: 0.15, GoalWorstClass: 0.3, CrossZoneCost: 0.02, KeyAffinity: true,
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 77 || !reflect.DeepEqual(o.Settings, want) {
 		t.Errorf("got %+v\nwant %+v", o, want)
@@ -134,9 +134,9 @@
 		{balancer.Fail{Request: `q"\`}, `{"msg":"DropRequest","Agent":4,"Job":"q\"\\"}`},
 		{balancer.SetTimer{After: ms / 4, Token: 9}, `{"msg":"SetTimer","Agent":4,"SpanMs":0.25,"Cookie":9}`},
 		{balancer.Probe{Backend: "b"}, `{"msg":"Test","Agent":4,"Backend":"b"}`},
-		{balancer.ZoneTurn{Zone: 1, Left: true, Told: true}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is left, as others told"}`},
-		{balancer.ZoneTurn{Zone: 1}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is used again"}`},
-		{balancer.TellPeer{To: 2, Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
+		{balancer.ZoneStateChanged{Zone: 1, FailedOver: true, ByGossip: true}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is left, as others told"}`},
+		{balancer.ZoneStateChanged{Zone: 1}, `{"msg":"Trace","Agent":4,"Msg":"zone 1 is used again"}`},
+		{balancer.SendGossip{To: 2, Data: []byte("hi 7")}, `{"msg":"WritePeer","Agent":4,"Whom":2,"Msg":"68692037"}`},
 		{balancer.Subscribe{}, `{"msg":"KeepInformed","Agent":4,"Enable":true}`},
 	}
 	for _, tt := range tests {
