--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -20,7 +20,7 @@
 
 // residencyBound reports whether a request may not go just anywhere.
 func (b *Balancer) residencyBound(req *request) bool {
-	return req.residencyRule != 0 && (b.residencyTable == nil || req.residencyRule >= len(b.residencyTable.Rules) || b.residencyTable.Bound[req.residencyRule])
+	return req.residencyRule != 0 && (b.residencyTable == nil || req.residencyRule >= len(b.residencyTable.Permitted) || b.residencyTable.Restricted[req.residencyRule])
 }
 
 // hasPermittedBackend reports whether a backend that is up may serve a request. One without any is refused at once.
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -26,7 +26,7 @@
 		for _, b := range list {
 			zone[b.ID] = b.Zone
 		}
-		table := &gate.Table{Rules: make([][]bool, rules), Bound: make([]bool, rules)}
+		table := &gate.Table{Permitted: make([][]bool, rules), Restricted: make([]bool, rules)}
 		rule, answered := map[string]int{}, map[string]bool{}
 		check := func(actions []balancer.Action) {
 			for _, a := range actions {
@@ -66,10 +66,10 @@
 			case 7:
 				check(r.advance(time.Duration(rapid.IntRange(1, 900).Draw(d, "ms")) * ms))
 			case 8: // another policy
-				table = &gate.Table{Gen: table.Gen + 1, Rules: make([][]bool, rules), Bound: make([]bool, rules)}
+				table = &gate.Table{Generation: table.Generation + 1, Permitted: make([][]bool, rules), Restricted: make([]bool, rules)}
 				for n := range rules {
-					table.Bound[n] = rapid.Bool().Draw(d, "bound")
-					table.Rules[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
+					table.Restricted[n] = rapid.Bool().Draw(d, "bound")
+					table.Permitted[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
 				}
 				check(r.step(balancer.Residency{Table: table}))
 			case 9: // a backend in another zone, or out of use and back
@@ -94,7 +94,7 @@
 }
 
 func residencyOf(zones ...bool) balancer.Residency {
-	return balancer.Residency{Table: &gate.Table{Gen: 1, Rules: [][]bool{nil, zones}, Bound: []bool{false, true}}}
+	return balancer.Residency{Table: &gate.Table{Generation: 1, Permitted: [][]bool{nil, zones}, Restricted: []bool{false, true}}}
 }
 
 // A bound request without a backend where it may be served is refused at once, and the client is told why.
--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -42,10 +42,10 @@
 	log := c.logger(o.stderr)
 	defer log.Close()
 	source := agent.PlatformSource(os.Getenv)
-	source.Join = membership.Shares
+	source.Join = membership.JoinFromConfig
 	if c.Config != "" {
 		var err error
-		if source, err = membership.File(c.Config, log.Logger); err != nil {
+		if source, err = membership.FromFile(c.Config, log.Logger); err != nil {
 			return usageError{err}
 		}
 	} else if os.Getenv("PROXY_CONFIG") == "" {
@@ -91,7 +91,7 @@
 	}
 	s, err := settings.Parse(c.Settings, string(text))
 	if err == nil && c.With != "" {
-		_, err = config.ReadWith(c.With, s)
+		_, err = config.ReadWithSettings(c.With, s)
 	}
 	if err != nil {
 		return usageError{err}
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -31,8 +31,8 @@
 
 // Server answers operators' calls: one a connection, a 2xx answer is yes, a 4xx or 5xx no.
 type Server struct {
-	Record        func(context.Context, handover.Call) error // where a successor finds a call; may be nil. Set before Run
-	AnswerTimeout time.Duration                              // an answer is given
+	Record        func(context.Context, handover.Override) error // where a successor finds a call; may be nil. Set before Run
+	AnswerTimeout time.Duration                                  // an answer is given
 
 	log       *slog.Logger
 	agent     Agent
@@ -145,7 +145,7 @@
 		on := request.URL.Path == "/_lameduck/on"
 		ctx, cancel := context.WithTimeout(request.Context(), s.AnswerTimeout)
 		defer cancel()
-		recorded := s.record(ctx, handover.Call{Out: on}) // first: what the record lacks is taken back here
+		recorded := s.record(ctx, handover.Override{Disabled: on}) // first: what the record lacks is taken back here
 		s.agent.SetLameDuck(on)
 		s.log.Info("lame duck", "on", on)
 		s.respond(w, recorded)
@@ -183,19 +183,19 @@
 		http.Error(w, "no backend has this id", http.StatusNotFound)
 	default:
 		s.log.Info("backend called", "backend", *call.Target, "detached", disable)
-		s.respond(w, s.record(ctx, handover.Call{Backend: *call.Target, Out: disable}))
+		s.respond(w, s.record(ctx, handover.Override{Backend: *call.Target, Disabled: disable}))
 	}
 }
 
 // record records a call that holds here for a successor, and reports whether it could by ctx's end.
-func (s *Server) record(ctx context.Context, call handover.Call) bool {
+func (s *Server) record(ctx context.Context, call handover.Override) bool {
 	if s.Record == nil {
 		return true
 	}
-	call.At = bootclock.SinceBoot()
+	call.IssuedAt = bootclock.SinceBoot()
 	err := s.Record(ctx, call)
 	if err != nil {
-		s.log.Error("a call is not recorded for a successor yet", "backend", call.Backend, "out", call.Out, "error", err)
+		s.log.Error("a call is not recorded for a successor yet", "backend", call.Backend, "out", call.Disabled, "error", err)
 	}
 	return err == nil
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -54,7 +54,7 @@
 	if err = a.joinFleet(); err != nil {
 		return nil, err
 	}
-	var sources source.Sources
+	var sources source.Selector
 	if a.fleet != nil && cfg.Settings.Subscribe {
 		sources = a.fleet
 	}
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -55,7 +55,7 @@
 	lastUnsolicited time.Time     // when the latest bytes were found that no request had asked for
 	closed          bool          // no connection is kept
 
-	residency gate.Keeper // nil: no policy
+	residency gate.Enforcer // nil: no policy
 }
 
 // pooledConn is one connection. It carries one request at a time.
--- a/internal/agent/discovery/follow.go
+++ b/internal/agent/discovery/follow.go
@@ -48,7 +48,7 @@
 	ConnectTimeout time.Duration
 	Deliver        func(Update)
 	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the network's
-	Sources        source.Sources                                                    // where and when lists are asked for; nil: of discovery, when the module asks
+	Sources        source.Selector                                                   // where and when lists are asked for; nil: of discovery, when the module asks
 }
 
 // Watcher follows the list of backends. Where lists are asked for, the module says when to watch, and when to try
@@ -176,7 +176,7 @@
 		case <-ctx.Done():
 			return
 		case <-lagChecks:
-			if laggingChecks++; w.current == nil || !w.cfg.Sources.Behind(w.version) {
+			if laggingChecks++; w.current == nil || !w.cfg.Sources.Lagging(w.version) {
 				laggingChecks = 0
 			} else if laggingChecks == maxLaggingChecks {
 				laggingChecks = 0
@@ -228,7 +228,7 @@
 	case stream.lastAliveAt.IsZero():
 		return stream.openedAt.Add(w.OpenTimeout)
 	}
-	return stream.lastAliveAt.Add(cmp.Or(stream.source.Silence, w.HeartbeatTimeout))
+	return stream.lastAliveAt.Add(cmp.Or(stream.source.SilenceTimeout, w.HeartbeatTimeout))
 }
 
 // nextWakeAt is when there is something to do even if nothing comes; zero: never.
@@ -275,7 +275,7 @@
 		w.cancelWatches(stream)
 		w.opening = slices.Delete(w.opening, i, i+1)
 		if w.cfg.Sources != nil && stream.requested {
-			w.cfg.Sources.Answered(stream.source, 0, true, w.version)
+			w.cfg.Sources.RecordAttempt(stream.source, 0, true, w.version)
 		}
 	}
 	since := w.version
@@ -297,7 +297,7 @@
 			if stream.source.Relayed {
 				client = w.relayClient
 			}
-			onAlive = func() { sources.Heard(stream.source) }
+			onAlive = func() { sources.RecordLiveness(stream.source) }
 		}
 		stream.openedAt = time.Now()
 		stream.run(ctx, client, onAlive, func(event watchEvent) {
@@ -396,13 +396,13 @@
 // publishList tells the fleet of a list.
 func (w *Watcher) publishList(stream *watchStream, list *EndpointList, previousVersion int64) {
 	if !stream.receivedList {
-		w.cfg.Sources.Answered(stream.source, time.Since(stream.openedAt), false, list.Version)
+		w.cfg.Sources.RecordAttempt(stream.source, time.Since(stream.openedAt), false, list.Version)
 	}
 	var change []byte
 	if !list.Full {
 		change = encodeList(list)
 	}
-	w.cfg.Sources.Listed(stream.source, previousVersion, list.Version, change, encodeList(w.endpoints.list(list.Version)))
+	w.cfg.Sources.RecordUpdate(stream.source, previousVersion, list.Version, change, encodeList(w.endpoints.list(list.Version)))
 }
 
 func encodeList(list *EndpointList) []byte {
@@ -423,7 +423,7 @@
 		w.versionAddr = "" // the whole list may make sense
 	}
 	if w.cfg.Sources != nil && !event.stream.receivedList {
-		w.cfg.Sources.Answered(event.stream.source, 0, true, w.version)
+		w.cfg.Sources.RecordAttempt(event.stream.source, 0, true, w.version)
 	}
 	if event.stream.overdue {
 		return // that was its failure
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -12,7 +12,7 @@
 
 // Fleet is what an agent shares with its fleet. The platform's agents have none.
 type Fleet interface {
-	source.Sources
+	source.Selector
 	// Run stays in the fleet until ctx ends. An agent serves on without it.
 	Run(ctx context.Context) error
 	// Ready tells the others that this process serves.
@@ -21,7 +21,7 @@
 
 // JoinFunc makes what an agent shares, before it runs. post takes what the fleet tells the decision module; it may wait, but
 // never for long. follow has the running agent watch discovery elsewhere, as after SIGHUP.
-type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Keeper, error)
+type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Enforcer, error)
 
 // joinFleet has the agent share what its configuration says.
 func (a *Agent) joinFleet() error {
@@ -48,8 +48,8 @@
 	if l.residency == nil {
 		return
 	}
-	if t := l.residency.Table(); t.Gen != l.policyGeneration {
-		l.policyGeneration = t.Gen
+	if t := l.residency.Table(); t.Generation != l.policyGeneration {
+		l.policyGeneration = t.Generation
 		l.pending = append([]balancer.Event{balancer.Residency{Table: t}}, l.pending...)
 	}
 }
@@ -66,6 +66,6 @@
 	if p.residency.Table().Permits(rule, zone) {
 		return true
 	}
-	p.residency.Refused(rule, zone)
+	p.residency.CountRefusal(rule, zone)
 	return false
 }
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -27,7 +27,7 @@
 	accepting     atomic.Bool  // accepts clients
 	drainDeadline atomic.Int64 // a stop began, and what is taken has to be answered by then, on the loop's clock; 0: none
 
-	residency gate.Keeper // nil: no policy
+	residency gate.Enforcer // nil: no policy
 
 	idleConns *clientconn.IdleConns
 
--- a/internal/agent/handover/record.go
+++ b/internal/agent/handover/record.go
@@ -15,112 +15,116 @@
 // twice: in microseconds since the machine's start, and, as versions of this program before had it, in Unix milliseconds.
 // Those are used where the first are missing: a process of such a version has written the record.
 type Record struct {
-	Format     int                     `json:"format"`
-	Turn       int64                   `json:"turn"`     // of the youngest process
-	Saved      int64                   `json:"saved"`    // when the process that serves last wrote, Unix ms
-	Detached   map[string]int64        `json:"detached"` // backends, with when they were detached, Unix ms
-	Attached   map[string]int64        `json:"attached"` // and those attached again since
-	SavedAt    int64                   `json:"saved_us,omitempty"`
-	DetachedAt map[string]int64        `json:"detached_us,omitempty"`
-	AttachedAt map[string]int64        `json:"attached_us,omitempty"`
-	Lame       bool                    `json:"lame"`
-	LameAt     int64                   `json:"lame_us,omitempty"`
-	From       string                  `json:"from"` // the address of discovery, that told the list
-	List       *discovery.EndpointList `json:"list"`
-	Snapshot   *balancer.Snapshot      `json:"legacy"`
+	Format         int                     `json:"format"`
+	Generation     int64                   `json:"turn"`     // of the youngest process
+	SavedUnixMs    int64                   `json:"saved"`    // when the process that serves last wrote, Unix ms
+	DisabledUnixMs map[string]int64        `json:"detached"` // backends, with when they were detached, Unix ms
+	EnabledUnixMs  map[string]int64        `json:"attached"` // and those attached again since
+	SavedBootUs    int64                   `json:"saved_us,omitempty"`
+	DisabledBootUs map[string]int64        `json:"detached_us,omitempty"`
+	EnabledBootUs  map[string]int64        `json:"attached_us,omitempty"`
+	LameDuck       bool                    `json:"lame"`
+	LameDuckBootUs int64                   `json:"lame_us,omitempty"`
+	ListSource     string                  `json:"from"` // the address of discovery, that told the list
+	List           *discovery.EndpointList `json:"list"`
+	Snapshot       *balancer.Snapshot      `json:"legacy"`
 }
 
 const (
-	recordFormat = 1
-	longGone     = 30 * time.Second // a process not heard of for so long left nothing that still counts
-	attachedKept = 2 * time.Minute  // far longer than any backend needs to get warm
+	recordFormat     = 1
+	maxRecordAge     = 30 * time.Second // a process not heard of for so long left nothing that still counts
+	enabledRetention = 2 * time.Minute  // far longer than any backend needs to get warm
 )
 
-var errFormat = errors.New("unknown format")
+var errUnknownFormat = errors.New("unknown format")
 
 // check reports why a record can't be used.
 func (r *Record) check() error {
 	if r.Format != recordFormat {
-		return fmt.Errorf("%w: %d", errFormat, r.Format)
+		return fmt.Errorf("%w: %d", errUnknownFormat, r.Format)
 	}
 	return nil
 }
 
-// Call is an operators' call, which holds until it is taken back.
-type Call struct {
-	Backend string        // "": the agent itself is drained, or put back to work
-	Out     bool          // detached, or drained
-	At      time.Duration // since the machine's start
+// Override is an operators' call, which holds until it is taken back.
+type Override struct {
+	Backend  string        // "": the agent itself is drained, or put back to work
+	Disabled bool          // detached, or drained
+	IssuedAt time.Duration // since the machine's start
 }
 
-// now are the present readings of both clocks that a record's times are given by.
-type now struct {
+// clockReading are the present readings of both clocks that a record's times are given by.
+type clockReading struct {
 	boot time.Duration
 	wall time.Time
 }
 
-func readClocks() now { return now{bootclock.SinceBoot(), bootclock.Wall()} }
+func readClocks() clockReading { return clockReading{bootclock.SinceBoot(), bootclock.Wall()} }
 
-// at is a time of a record, as time since the machine's start; none of the record lies ahead.
-func (n now) at(us, unixMilli int64) time.Duration {
-	if us > 0 {
-		return min(n.boot, time.Duration(us)*time.Microsecond)
+// sinceBoot is a time of a record, as time since the machine's start; none of the record lies ahead.
+func (n clockReading) sinceBoot(bootUs, unixMs int64) time.Duration {
+	if bootUs > 0 {
+		return min(n.boot, time.Duration(bootUs)*time.Microsecond)
 	}
-	return n.boot - max(0, n.wall.Sub(time.UnixMilli(unixMilli)))
+	return n.boot - max(0, n.wall.Sub(time.UnixMilli(unixMs)))
 }
 
-// unixMilli is a time since the machine's start as versions before had it.
-func (n now) unixMilli(at time.Duration) int64 { return n.wall.Add(at - n.boot).UnixMilli() }
+// unixMs is a time since the machine's start as versions before had it.
+func (n clockReading) unixMs(sinceBoot time.Duration) int64 {
+	return n.wall.Add(sinceBoot - n.boot).UnixMilli()
+}
 
 // stale reports whether the process that wrote a record has been gone for so long that nothing of it counts. A time that
 // lies ahead is another start's of the machine.
-func (r *Record) stale(n now) (age time.Duration, stale bool) {
-	if r.Turn == 0 {
+func (r *Record) stale(now clockReading) (age time.Duration, stale bool) {
+	if r.Generation == 0 {
 		return 0, false
 	}
-	if age = n.boot - time.Duration(r.SavedAt)*time.Microsecond; r.SavedAt == 0 {
-		age = n.wall.Sub(time.UnixMilli(r.Saved))
-		return age, age > longGone
+	if age = now.boot - time.Duration(r.SavedBootUs)*time.Microsecond; r.SavedBootUs == 0 {
+		age = now.wall.Sub(time.UnixMilli(r.SavedUnixMs))
+		return age, age > maxRecordAge
 	}
-	return age, age > longGone || age < 0
+	return age, age > maxRecordAge || age < 0
 }
 
-// savedNow says that the process that writes is there.
-func (r *Record) savedNow(n now) { r.Saved, r.SavedAt = n.wall.UnixMilli(), n.boot.Microseconds() }
+// markSaved says that the process that writes is there.
+func (r *Record) markSaved(now clockReading) {
+	r.SavedUnixMs, r.SavedBootUs = now.wall.UnixMilli(), now.boot.Microseconds()
+}
 
-// note takes a call into a record, unless a later one of the same backend stands there. Its maps may be in other records
+// apply takes a call into a record, unless a later one of the same backend stands there. Its maps may be in other records
 // too, and are not changed.
-func (r *Record) note(c Call, n now) {
-	us := c.At.Microseconds()
-	if c.Backend == "" {
-		if r.LameAt <= us {
-			r.Lame, r.LameAt = c.Out, us
+func (r *Record) apply(override Override, now clockReading) {
+	issuedBootUs := override.IssuedAt.Microseconds()
+	if override.Backend == "" {
+		if r.LameDuckBootUs <= issuedBootUs {
+			r.LameDuck, r.LameDuckBootUs = override.Disabled, issuedBootUs
 		}
 		return
 	}
-	at, out := r.Detached[c.Backend]
+	disabledUnixMs, disabled := r.DisabledUnixMs[override.Backend]
 	switch {
-	case c.Out && !out && r.attachedAt(c.Backend, n) <= c.At:
-		r.Detached, r.DetachedAt = with(r.Detached, c.Backend, n.unixMilli(c.At)), with(r.DetachedAt, c.Backend, us)
-		r.Attached, r.AttachedAt = without(r.Attached, c.Backend), without(r.AttachedAt, c.Backend)
-	case !c.Out && out && n.at(r.DetachedAt[c.Backend], at) <= c.At:
-		r.Detached, r.DetachedAt = without(r.Detached, c.Backend), without(r.DetachedAt, c.Backend)
-		r.Attached, r.AttachedAt = with(r.Attached, c.Backend, n.unixMilli(c.At)), with(r.AttachedAt, c.Backend, us)
+	case override.Disabled && !disabled && r.enabledAt(override.Backend, now) <= override.IssuedAt:
+		r.DisabledUnixMs, r.DisabledBootUs = with(r.DisabledUnixMs, override.Backend, now.unixMs(override.IssuedAt)), with(r.DisabledBootUs, override.Backend, issuedBootUs)
+		r.EnabledUnixMs, r.EnabledBootUs = without(r.EnabledUnixMs, override.Backend), without(r.EnabledBootUs, override.Backend)
+	case !override.Disabled && disabled && now.sinceBoot(r.DisabledBootUs[override.Backend], disabledUnixMs) <= override.IssuedAt:
+		r.DisabledUnixMs, r.DisabledBootUs = without(r.DisabledUnixMs, override.Backend), without(r.DisabledBootUs, override.Backend)
+		r.EnabledUnixMs, r.EnabledBootUs = with(r.EnabledUnixMs, override.Backend, now.unixMs(override.IssuedAt)), with(r.EnabledBootUs, override.Backend, issuedBootUs)
 	}
-	for id := range r.Attached {
-		if c.At-r.attachedAt(id, n) > attachedKept {
-			r.Attached, r.AttachedAt = without(r.Attached, id), without(r.AttachedAt, id)
+	for id := range r.EnabledUnixMs {
+		if override.IssuedAt-r.enabledAt(id, now) > enabledRetention {
+			r.EnabledUnixMs, r.EnabledBootUs = without(r.EnabledUnixMs, id), without(r.EnabledBootUs, id)
 		}
 	}
 }
 
-// attachedAt is when a backend was attached again, since the machine's start; 0: it was not.
-func (r *Record) attachedAt(id string, n now) time.Duration {
-	at, back := r.Attached[id]
-	if !back {
+// enabledAt is when a backend was attached again, since the machine's start; 0: it was not.
+func (r *Record) enabledAt(id string, now clockReading) time.Duration {
+	unixMs, enabled := r.EnabledUnixMs[id]
+	if !enabled {
 		return 0
 	}
-	return n.at(r.AttachedAt[id], at)
+	return now.sinceBoot(r.EnabledBootUs[id], unixMs)
 }
 
 func with(m map[string]int64, key string, value int64) map[string]int64 {
@@ -139,19 +143,19 @@
 	return changed
 }
 
-// changes are the calls that hold by one record and not by the one before.
-func changes(before, by *Record, n now) (list []Call) {
-	for id, at := range by.Detached {
-		if _, out := before.Detached[id]; !out {
-			list = append(list, Call{Backend: id, Out: true, At: n.at(by.DetachedAt[id], at)})
+// newOverrides are the calls that hold by one record and not by the one before.
+func newOverrides(before, after *Record, now clockReading) (overrides []Override) {
+	for id, unixMs := range after.DisabledUnixMs {
+		if _, disabled := before.DisabledUnixMs[id]; !disabled {
+			overrides = append(overrides, Override{Backend: id, Disabled: true, IssuedAt: now.sinceBoot(after.DisabledBootUs[id], unixMs)})
 		}
 	}
-	for id, at := range by.Attached {
-		_, out := by.Detached[id]
-		was, back := before.Attached[id]
-		if !out && (!back || was != at || before.AttachedAt[id] != by.AttachedAt[id]) {
-			list = append(list, Call{Backend: id, At: by.attachedAt(id, n)})
+	for id, unixMs := range after.EnabledUnixMs {
+		_, disabled := after.DisabledUnixMs[id]
+		previousUnixMs, wasEnabled := before.EnabledUnixMs[id]
+		if !disabled && (!wasEnabled || previousUnixMs != unixMs || before.EnabledBootUs[id] != after.EnabledBootUs[id]) {
+			overrides = append(overrides, Override{Backend: id, IssuedAt: after.enabledAt(id, now)})
 		}
 	}
-	return list
+	return overrides
 }
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	recordName = "handover.json"
-	ownerName  = "owner"  // locked by the process that was there first, until it ends
-	secondName = "second" // locked by a process that started beside it, until it ends or is the first
-	lockName   = "lock"   // locked while the record is changed
-
-	lockWithin = 300 * time.Millisecond // the other process writes a small file meanwhile
-	lockEvery  = 5 * time.Millisecond
-	retryEvery = 20 * time.Millisecond // a call that could not be recorded
+	recordName        = "handover.json"
+	primaryLockName   = "owner"  // locked by the process that was there first, until it ends
+	successorLockName = "second" // locked by a process that started beside it, until it ends or is the first
+	recordLockName    = "lock"   // locked while the record is changed
+
+	lockTimeout       = 300 * time.Millisecond // the other process writes a small file meanwhile
+	lockRetryInterval = 5 * time.Millisecond
+	saveRetryInterval = 20 * time.Millisecond // a call that could not be recorded
 )
 
 var errLocked = errors.New("locked by another process")
@@ -39,135 +39,135 @@
 	log *slog.Logger
 	dir string
 
-	mu      sync.Mutex
-	owner   *os.File
-	second  *os.File    // nil: this process is the first, or has no place yet
-	placed  bool        // it is known whether an older process was there
-	alone   bool        // none was
-	begun   bool        // the record names this process
-	turn    int64       // of this process; the next one's is higher
-	known   Record      // as last read or written here
-	seen    os.FileInfo // of that file
-	read    bool        // the record was read at least once, or is known not to be there
-	applied Record      // the calls in it that hold in this process
-	unsaved []Call      // taken here, and not in the record yet
+	mu            sync.Mutex
+	primaryLock   *os.File
+	successorLock *os.File    // nil: this process is the first, or has no place yet
+	roleKnown     bool        // it is known whether an older process was there
+	startedAlone  bool        // none was
+	registered    bool        // the record names this process
+	generation    int64       // of this process; the next one's is higher
+	record        Record      // as last read or written here
+	recordInfo    os.FileInfo // of that file
+	recordKnown   bool        // the record was read at least once, or is known not to be there
+	applied       Record      // the calls in it that hold in this process
+	unsaved       []Override  // taken here, and not in the record yet
 }
 
 // New returns the store of a process in a folder. Begin has it take its place.
 func New(dir string, log *slog.Logger) *Store { return &Store{log: log, dir: dir} }
 
-// Begin takes this process's place among those of the agent, and has the record name it. It may be called again where it
+// Register takes this process's place among those of the agent, and has the record name it. It may be called again where it
 // failed.
-func (s *Store) Begin() error {
+func (s *Store) Register() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.begun {
+	if s.registered {
 		return nil
 	}
-	if err := s.place(); err != nil {
+	if err := s.determineRole(); err != nil {
 		return err
 	}
-	if err := s.change(context.Background(), s.begin); err != nil {
+	if err := s.update(context.Background(), s.register); err != nil {
 		return err
 	}
-	s.begun = true
+	s.registered = true
 	return nil
 }
 
-// begin has a record name this process.
-func (s *Store) begin(r *Record) {
+// register has a record name this process.
+func (s *Store) register(r *Record) {
 	clocks := readClocks()
-	if age, stale := r.stale(clocks); stale && s.alone {
+	if age, stale := r.stale(clocks); stale && s.startedAlone {
 		s.log.Warn("what an earlier process left is not used", "age", age)
-		*r = Record{Turn: r.Turn}
+		*r = Record{Generation: r.Generation}
 	}
-	r.Turn++
-	s.turn = r.Turn
-	r.savedNow(clocks)
+	r.Generation++
+	s.generation = r.Generation
+	r.markSaved(clocks)
 }
 
-// place finds out whether an older process is there. The lock is held.
-func (s *Store) place() error {
-	if s.placed {
+// determineRole finds out whether an older process is there. The lock is held.
+func (s *Store) determineRole() error {
+	if s.roleKnown {
 		return nil
 	}
-	if s.owner == nil {
-		owner, err := s.open(ownerName)
+	if s.primaryLock == nil {
+		file, err := s.open(primaryLockName)
 		if err != nil {
 			return err
 		}
-		s.owner = owner
+		s.primaryLock = file
 	}
-	err := flock(s.owner)
-	if s.alone = err == nil; errors.Is(err, errLocked) { // before the record names it: the older process takes one without a lock for gone
-		s.second, err = s.lock(context.Background(), secondName)
+	err := flock(s.primaryLock)
+	if s.startedAlone = err == nil; errors.Is(err, errLocked) { // before the record names it: the older process takes one without a lock for gone
+		s.successorLock, err = s.lock(context.Background(), successorLockName)
 	}
-	s.placed = err == nil
+	s.roleKnown = err == nil
 	return err
 }
 
-// Begun reports whether the record names this process.
-func (s *Store) Begun() bool {
+// Registered reports whether the record names this process.
+func (s *Store) Registered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.begun
+	return s.registered
 }
 
-// Alone reports whether no older process was there when this one took its place; false until it has.
-func (s *Store) Alone() bool {
+// StartedAlone reports whether no older process was there when this one took its place; false until it has.
+func (s *Store) StartedAlone() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.alone
+	return s.startedAlone
 }
 
-// Turn numbers the processes of the agent; 0: this one has no place yet.
-func (s *Store) Turn() int64 {
+// Generation numbers the processes of the agent; 0: this one has no place yet.
+func (s *Store) Generation() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.turn
+	return s.generation
 }
 
 // Close gives up what this process holds: as its end does.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range []*os.File{s.owner, s.second} {
+	for _, f := range []*os.File{s.primaryLock, s.successorLock} {
 		if f != nil {
 			f.Close()
 		}
 	}
 }
 
-// First reports whether no older process of this agent is there, and from then on is the older one.
-func (s *Store) First() bool {
+// BecomePrimary reports whether no older process of this agent is there, and from then on is the older one.
+func (s *Store) BecomePrimary() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.placed || flock(s.owner) != nil {
+	if !s.roleKnown || flock(s.primaryLock) != nil {
 		return false
 	}
-	if s.second != nil {
-		s.second.Close() // another may start beside this one
-		s.second = nil
+	if s.successorLock != nil {
+		s.successorLock.Close() // another may start beside this one
+		s.successorLock = nil
 	}
 	return true
 }
 
-// Followed reports whether a younger process has started.
-func (s *Store) Followed() bool {
+// HasSuccessor reports whether a younger process has started.
+func (s *Store) HasSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.followed()
+	return s.hasSuccessor()
 }
 
-// followed is Followed. The lock is held.
-func (s *Store) followed() bool { return s.begun && s.known.Turn > s.turn }
+// hasSuccessor is Followed. The lock is held.
+func (s *Store) hasSuccessor() bool { return s.registered && s.record.Generation > s.generation }
 
-// SuccessorEnded reports whether the younger process has ended while this one serves. From then on this one speaks for the
+// ReclaimFromSuccessor reports whether the younger process has ended while this one serves. From then on this one speaks for the
 // agent again, in the record too.
-func (s *Store) SuccessorEnded() bool {
+func (s *Store) ReclaimFromSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f, err := s.open(secondName)
+	f, err := s.open(successorLockName)
 	if err != nil {
 		return false
 	}
@@ -175,9 +175,9 @@
 	if flock(f) != nil {
 		return false
 	}
-	err = s.change(context.Background(), func(r *Record) {
-		r.Turn++
-		s.turn = r.Turn
+	err = s.update(context.Background(), func(r *Record) {
+		r.Generation++
+		s.generation = r.Generation
 	})
 	if err != nil {
 		s.log.Warn("the record can't be taken back", "error", err)
@@ -185,52 +185,52 @@
 	return err == nil
 }
 
-// Look reads the record if it has changed, and returns the calls that hold by it and not here yet. It reports false until
+// Poll reads the record if it has changed, and returns the calls that hold by it and not here yet. It reports false until
 // the record could be read once.
-func (s *Store) Look() (calls []Call, lame, ok bool) {
+func (s *Store) Poll() (overrides []Override, lameDuck, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
 	clocks := readClocks()
-	by := s.known
-	for _, c := range s.unsaved { // it holds here, and is not taken back since the record lacks it
-		by.note(c, clocks)
+	merged := s.record
+	for _, override := range s.unsaved { // it holds here, and is not taken back since the record lacks it
+		merged.apply(override, clocks)
 	}
-	calls = changes(&s.applied, &by, clocks)
-	s.applied = by
-	return calls, by.Lame, s.read
+	overrides = newOverrides(&s.applied, &merged, clocks)
+	s.applied = merged
+	return overrides, merged.LameDuck, s.recordKnown
 }
 
 // refresh takes a changed record over. The lock is held.
 func (s *Store) refresh() {
-	info, err := os.Stat(s.path())
+	info, err := os.Stat(s.recordPath())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		s.read = true
+		s.recordKnown = true
 		return
 	case err != nil:
 		return
-	case s.seen != nil && os.SameFile(info, s.seen) && info.Size() == s.seen.Size() && info.ModTime().Equal(s.seen.ModTime()):
+	case s.recordInfo != nil && os.SameFile(info, s.recordInfo) && info.Size() == s.recordInfo.Size() && info.ModTime().Equal(s.recordInfo.ModTime()):
 		return
 	}
 	if r, err := s.load(); err == nil {
-		s.seen, s.known, s.read = info, r, true
+		s.recordInfo, s.record, s.recordKnown = info, r, true
 	}
 }
 
-// Known is the record as last read or written here.
-func (s *Store) Known() Record {
+// LastRecord is the record as last read or written here.
+func (s *Store) LastRecord() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.known
+	return s.record
 }
 
-// Keep records a call that holds here, before its yes. It tries until ctx ends. A call that could not be recorded by then
+// SaveOverride records a call that holds here, before its yes. It tries until ctx ends. A call that could not be recorded by then
 // holds here all the same, and is recorded with the next write that succeeds.
-func (s *Store) Keep(ctx context.Context, c Call) error {
+func (s *Store) SaveOverride(ctx context.Context, override Override) error {
 	s.mu.Lock()
-	s.unsaved = append(s.unsaved, c)
-	s.applied.note(c, readClocks())
+	s.unsaved = append(s.unsaved, override)
+	s.applied.apply(override, readClocks())
 	s.mu.Unlock()
 	for {
 		err := s.Flush(ctx)
@@ -238,7 +238,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(retryEvery):
+		case <-time.After(saveRetryInterval):
 		case <-ctx.Done():
 			return err
 		}
@@ -252,40 +252,40 @@
 	if len(s.unsaved) == 0 {
 		return nil
 	}
-	return s.change(ctx, func(*Record) {})
+	return s.update(ctx, func(*Record) {})
 }
 
-// Save records what the decision module has learned, and that this process is there. Once a younger one has started it is
+// SaveSnapshot records what the decision module has learned, and that this process is there. Once a younger one has started it is
 // that one's to say.
-func (s *Store) Save(snapshot balancer.Snapshot) error {
+func (s *Store) SaveSnapshot(snapshot balancer.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.begun || s.followed() {
+	if !s.registered || s.hasSuccessor() {
 		return nil
 	}
-	return s.change(context.Background(), func(r *Record) {
-		if r.Turn == s.turn {
+	return s.update(context.Background(), func(r *Record) {
+		if r.Generation == s.generation {
 			r.Snapshot = &snapshot
-			r.savedNow(readClocks())
+			r.markSaved(readClocks())
 		}
 	})
 }
 
 // SaveList records the list as discovery at an address has told it by now.
-func (s *Store) SaveList(from string, list *discovery.EndpointList) error {
+func (s *Store) SaveList(source string, list *discovery.EndpointList) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.change(context.Background(), func(r *Record) {
-		if s.begun && r.Turn == s.turn || r.List == nil || r.From == from && r.List.Version < list.Version {
-			r.From, r.List = from, list
+	return s.update(context.Background(), func(r *Record) {
+		if s.registered && r.Generation == s.generation || r.List == nil || r.ListSource == source && r.List.Version < list.Version {
+			r.ListSource, r.List = source, list
 		}
 	})
 }
 
-// change reads the record, changes it and writes it whole, while the other process does not. What this process has not
+// update reads the record, changes it and writes it whole, while the other process does not. What this process has not
 // recorded yet goes in with it. The lock is held.
-func (s *Store) change(ctx context.Context, by func(*Record)) error {
-	lock, err := s.lock(ctx, lockName)
+func (s *Store) update(ctx context.Context, change func(*Record)) error {
+	lock, err := s.lock(ctx, recordLockName)
 	if err != nil {
 		return err
 	}
@@ -294,36 +294,36 @@
 	if err != nil {
 		return err // it may hold what must not be lost
 	}
-	by(&r)
+	change(&r)
 	clocks := readClocks()
-	for _, c := range s.unsaved {
-		r.note(c, clocks)
+	for _, override := range s.unsaved {
+		r.apply(override, clocks)
 	}
 	r.Format = recordFormat
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(s.path()+".new", raw, 0o600); err != nil {
+	if err := os.WriteFile(s.recordPath()+".new", raw, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(s.path()+".new", s.path()); err != nil {
+	if err := os.Rename(s.recordPath()+".new", s.recordPath()); err != nil {
 		return err
 	}
-	s.known, s.unsaved, s.read = r, nil, true
-	s.seen, _ = os.Stat(s.path()) // where that fails the next look reads it again
+	s.record, s.unsaved, s.recordKnown = r, nil, true
+	s.recordInfo, _ = os.Stat(s.recordPath()) // where that fails the next look reads it again
 	return nil
 }
 
 // load returns the record as it stands. One that makes no sense counts as what was known before; one that can't be read
 // may be there and hold what must not be lost.
 func (s *Store) load() (Record, error) {
-	raw, err := os.ReadFile(s.path())
+	raw, err := os.ReadFile(s.recordPath())
 	if errors.Is(err, fs.ErrNotExist) {
-		return s.known, nil
+		return s.record, nil
 	}
 	if err != nil {
-		return s.known, err
+		return s.record, err
 	}
 	var r Record
 	if err = json.Unmarshal(raw, &r); err == nil {
@@ -331,12 +331,12 @@
 	}
 	if err != nil {
 		s.log.Warn("the record of an earlier process can't be used", "error", err)
-		return s.known, nil
+		return s.record, nil
 	}
 	return r, nil
 }
 
-func (s *Store) path() string { return filepath.Join(s.dir, recordName) }
+func (s *Store) recordPath() string { return filepath.Join(s.dir, recordName) }
 
 func (s *Store) open(name string) (*os.File, error) {
 	return os.OpenFile(filepath.Join(s.dir, name), os.O_CREATE|os.O_RDWR, 0o600)
@@ -348,14 +348,14 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, lockWithin)
+	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
 	for {
 		if err = flock(f); err == nil {
 			return f, nil
 		}
 		select {
-		case <-time.After(lockEvery):
+		case <-time.After(lockRetryInterval):
 		case <-ctx.Done():
 			f.Close()
 			return nil, &fs.PathError{Op: "lock", Path: f.Name(), Err: err}
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -234,7 +234,7 @@
 	}
 	whole := most()
 	younger := handover.New(dir, discardLog)
-	if err := younger.Begin(); err != nil {
+	if err := younger.Register(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the older one to keep to half", func() bool { return most() < whole })
@@ -267,7 +267,7 @@
 				}
 				watch.lines <- listLine(t, discoveryList{Version: 42, Full: true, Endpoints: []discoveryMember{two.member("two")}})
 				eventually(t, "the list in the record", func() bool {
-					list := older.hotRestart.Known().List
+					list := older.hotRestart.LastRecord().List
 					return list != nil && list.Version == 42
 				})
 			})
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -91,8 +91,8 @@
 	subscribe    func()                  // asks discovery for a watch
 	saveSnapshot func(balancer.Snapshot) // to the next process, now and then; may be nil
 
-	residency        gate.Keeper // nil: no policy
-	policyGeneration int         // the table that the module has heard of
+	residency        gate.Enforcer // nil: no policy
+	policyGeneration int           // the table that the module has heard of
 
 	events           chan any
 	calls            chan *adminCall // of operators, ahead of the events
--- a/internal/agent/rare_backends_test.go
+++ b/internal/agent/rare_backends_test.go
@@ -92,11 +92,11 @@
 // to do something in.
 type hookedGate struct{ hook func() }
 
-func (k *hookedGate) Rule(string, string) int { return 1 }
-func (k *hookedGate) Refused(int, int)        {}
+func (k *hookedGate) RuleID(string, string) int { return 1 }
+func (k *hookedGate) CountRefusal(int, int)     {}
 func (k *hookedGate) Table() *gate.Table {
 	k.hook()
-	return &gate.Table{Rules: [][]bool{nil, nil}, Bound: []bool{false, false}}
+	return &gate.Table{Permitted: [][]bool{nil, nil}, Restricted: []bool{false, false}}
 }
 
 // What comes on a connection before a request is written is no answer to it, whenever it comes: it is not served, the
--- a/internal/agent/rare_stop_test.go
+++ b/internal/agent/rare_stop_test.go
@@ -225,7 +225,7 @@
 	}
 	a.admin.AnswerTimeout = testTimeout
 	entered, release := make(chan struct{}), make(chan struct{})
-	a.admin.Record = func(context.Context, handover.Call) error { close(entered); <-release; return nil }
+	a.admin.Record = func(context.Context, handover.Override) error { close(entered); <-release; return nil }
 	now := make(chan time.Time)
 	close(now)
 	a.acceptWindow = func() <-chan time.Time { return now }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -64,7 +64,7 @@
 		r.key = wire.Key(c.Value)
 	}
 	if gatekeeper := f.residency; gatekeeper != nil {
-		r.residencyRule = gatekeeper.Rule(header.Get("X-Customer"), className)
+		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), className)
 	}
 	if r.id == "" {
 		return nil, badRequest("X-Trace-Id: missing")
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -47,16 +47,16 @@
 	a.hotRestart = h
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	_, err := listener.Retry(ctx, nil, func() (struct{}, error) { return struct{}{}, h.Begin() })
+	_, err := listener.Retry(ctx, nil, func() (struct{}, error) { return struct{}{}, h.Register() })
 	if err != nil {
 		a.log.Error("nothing can be recorded for a successor yet", "error", err)
 	}
 	if a.admin != nil {
-		a.admin.Record = h.Keep
+		a.admin.Record = h.SaveOverride
 	}
 	a.discovery.Record = a.recordEndpoints
 	a.loop.saveSnapshot = h.offerSnapshot
-	if h.reducedLimits = !h.Alone(); h.reducedLimits {
+	if h.reducedLimits = !h.StartedAlone(); h.reducedLimits {
 		a.listener.Reserve(a.halfOfAcceptLimit())
 		a.applyLimits(a.cfg.halfLimits())
 	}
@@ -82,20 +82,20 @@
 // restoreState goes on where an earlier process of this agent was, before the loop runs. What that one was told holds here, so
 // clients wait as long as the record can't be read.
 func (a *Agent) restoreState(stop context.Context) {
-	calls, lameDuck, ok := a.hotRestart.Look()
+	calls, lameDuck, ok := a.hotRestart.Poll()
 	for !ok && time.Since(a.hotRestart.startedAt) < recordTimeout && stop.Err() == nil {
 		time.Sleep(pollInterval / 10)
-		calls, lameDuck, ok = a.hotRestart.Look()
+		calls, lameDuck, ok = a.hotRestart.Poll()
 	}
 	if !ok {
 		a.log.Error("what an earlier process recorded can't be read yet")
 	}
-	record := a.hotRestart.Known() // as it stands by now: the older process has gone on recording
+	record := a.hotRestart.LastRecord() // as it stands by now: the older process has gone on recording
 	a.frontend.setLameDuck(lameDuck)
-	if record.List != nil && record.From == a.cfg.Discovery {
+	if record.List != nil && record.ListSource == a.cfg.Discovery {
 		a.cfg.CachedEndpoints = record.List // later than the one in the configuration, which is as old as the first process
 	}
-	a.log.Info("handover", "turn", a.hotRestart.Turn(), "alone", a.hotRestart.Alone(), "calls", len(calls), "lame", lameDuck,
+	a.log.Info("handover", "turn", a.hotRestart.Generation(), "alone", a.hotRestart.StartedAlone(), "calls", len(calls), "lame", lameDuck,
 		"list", record.List != nil)
 	if record.Snapshot != nil {
 		a.loop.pending = append(a.loop.pending, balancer.Restore{Snapshot: *record.Snapshot})
@@ -108,10 +108,10 @@
 }
 
 // replicatedCall is a call to another process of this agent, as the loop takes it.
-func (a *Agent) replicatedCall(recorded handover.Call) *adminCall {
-	replicated := &adminCall{ctx: context.Background(), backend: recorded.Backend, detach: recorded.Out, replicated: true}
-	if !recorded.Out {
-		replicated.madeAt = a.loop.clock.now() - (bootclock.SinceBoot() - recorded.At)
+func (a *Agent) replicatedCall(recorded handover.Override) *adminCall {
+	replicated := &adminCall{ctx: context.Background(), backend: recorded.Backend, detach: recorded.Disabled, replicated: true}
+	if !recorded.Disabled {
+		replicated.madeAt = a.loop.clock.now() - (bootclock.SinceBoot() - recorded.IssuedAt)
 	}
 	return replicated
 }
@@ -145,7 +145,7 @@
 		case <-ctx.Done():
 			return
 		case snapshot := <-a.hotRestart.snapshots:
-			if err := a.hotRestart.Save(snapshot); err != nil {
+			if err := a.hotRestart.SaveSnapshot(snapshot); err != nil {
 				a.log.Warn("nothing is recorded for a successor", "error", err)
 			}
 			continue
@@ -158,11 +158,11 @@
 
 // syncAdminCalls has the calls to both processes hold in both, and in the record.
 func (a *Agent) syncAdminCalls(ctx context.Context) {
-	if err := a.hotRestart.Begin(); err != nil {
+	if err := a.hotRestart.Register(); err != nil {
 		return // said at the start
 	}
 	_ = a.hotRestart.Flush(ctx) // said when they were taken, and tried again
-	calls, lameDuck, _ := a.hotRestart.Look()
+	calls, lameDuck, _ := a.hotRestart.Poll()
 	for _, call := range calls {
 		if _, err := a.loop.submitCall(ctx, a.replicatedCall(call)); err != nil {
 			a.log.Warn("a call to another process does not hold here", "backend", call.Backend, "error", err)
@@ -178,17 +178,17 @@
 func (a *Agent) adjustLimits() {
 	h := a.hotRestart
 	switch {
-	case h.reducedLimits && !h.hasSuccessor && h.First():
+	case h.reducedLimits && !h.hasSuccessor && h.BecomePrimary():
 		h.reducedLimits = false
 		a.listener.Reserve(-a.halfOfAcceptLimit())
 		a.applyLimits(a.cfg)
 		a.log.Info("the older process has ended")
-	case !h.hasSuccessor && h.Followed():
+	case !h.hasSuccessor && h.HasSuccessor():
 		h.hasSuccessor = true
 		a.applyLimits(a.cfg.halfLimits())
 		debug.FreeOSMemory()
 		a.log.Info("a successor has started")
-	case h.hasSuccessor && h.SuccessorEnded():
+	case h.hasSuccessor && h.ReclaimFromSuccessor():
 		h.hasSuccessor = false
 		a.applyLimits(a.cfg)
 		a.log.Warn("the successor has ended before it took the clients")
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// wallTime are the files that have to do with the wall clock's time, each with its reason.
-var wallTime = map[string]string{
+// wallClockFiles are the files that have to do with the wall clock's time, each with its reason.
+var wallClockFiles = map[string]string{
 	"internal/bootclock/bootclock.go":           "reads it",
 	"internal/agent/discovery/started.go":       "discovery gives start times of backends as Unix times; read by every clock that may be right, and bounded",
 	"internal/agent/handover/record.go":         "versions of the program before this one read and write Unix times; used only where theirs stand alone",
@@ -21,12 +21,12 @@
 	"internal/fleet/hubclient/stream.go":        "the same",
 }
 
-// inWallTime are the functions and methods that take a time out of the wall clock, or put one in.
-var inWallTime = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "Round": true,
+// wallClockFuncs are the functions and methods that take a time out of the wall clock, or put one in.
+var wallClockFuncs = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "Round": true,
 	"Date": true, "Clock": true, "Format": true, "AppendFormat": true, "Parse": true, "ParseTime": true, "ParseInLocation": true, "Wall": true, "UTC": true}
 
 // No code but that of the files above works with the wall clock: it may be stepped at any time.
-func TestOnePlaceReadsTheWallClock(t *testing.T) {
+func TestOnlyListedFilesUseTheWallClock(t *testing.T) {
 	found := map[string]bool{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		name := filepath.ToSlash(strings.TrimPrefix(path, "../../"))
@@ -50,9 +50,9 @@
 			if !ok {
 				return true
 			}
-			if s, ok := call.Fun.(*ast.SelectorExpr); ok && inWallTime[s.Sel.Name] && !ofAnother(s) && !roundsSpan(s, call) {
+			if s, ok := call.Fun.(*ast.SelectorExpr); ok && wallClockFuncs[s.Sel.Name] && !inUnrelatedPackage(s) && !roundsDuration(s, call) {
 				found[name] = true
-				if wallTime[name] == "" {
+				if wallClockFiles[name] == "" {
 					t.Errorf("%s: %s works with the wall clock, which may be stepped", name, s.Sel.Name)
 				}
 			}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name := range wallTime {
+	for name := range wallClockFiles {
 		if !found[name] {
 			t.Errorf("%s has nothing to do with the wall clock any more", name)
 		}
@@ -79,29 +79,29 @@
 	return false
 }
 
-// ofAnother reports whether a function is of a package that has nothing to do with time.
-func ofAnother(s *ast.SelectorExpr) bool {
-	of, ok := s.X.(*ast.Ident)
-	return ok && (of.Name == "math" || of.Name == "json" || of.Name == "strconv" || of.Name == "url" || of.Name == "kong" || of.Name == "uuid" || of.Name == "netip" || of.Name == "atomic")
+// inUnrelatedPackage reports whether a function is of a package that has nothing to do with time.
+func inUnrelatedPackage(s *ast.SelectorExpr) bool {
+	pkg, ok := s.X.(*ast.Ident)
+	return ok && (pkg.Name == "math" || pkg.Name == "json" || pkg.Name == "strconv" || pkg.Name == "url" || pkg.Name == "kong" || pkg.Name == "uuid" || pkg.Name == "netip" || pkg.Name == "atomic")
 }
 
-// roundsSpan reports whether a call rounds a span of time: Round(0) alone is of a time, from which it takes the monotonic part.
-func roundsSpan(s *ast.SelectorExpr, call *ast.CallExpr) bool {
-	literal, ok := callArg(call).(*ast.BasicLit)
+// roundsDuration reports whether a call rounds a span of time: Round(0) alone is of a time, from which it takes the monotonic part.
+func roundsDuration(s *ast.SelectorExpr, call *ast.CallExpr) bool {
+	literal, ok := firstArg(call).(*ast.BasicLit)
 	return s.Sel.Name == "Round" && !(ok && literal.Value == "0")
 }
 
 // SinceBoot runs on by itself.
-func TestSinceBoot(t *testing.T) {
-	before, began := SinceBoot(), time.Now()
+func TestSinceBootAdvancesWithTheMonotonicClock(t *testing.T) {
+	before, start := SinceBoot(), time.Now()
 	time.Sleep(time.Millisecond)
-	took, by := SinceBoot()-before, time.Since(began)
-	if took < time.Millisecond || took > by+time.Millisecond {
-		t.Errorf("%v in %v", took, by)
+	elapsed, upperBound := SinceBoot()-before, time.Since(start)
+	if elapsed < time.Millisecond || elapsed > upperBound+time.Millisecond {
+		t.Errorf("%v in %v", elapsed, upperBound)
 	}
 }
 
-func callArg(call *ast.CallExpr) ast.Expr {
+func firstArg(call *ast.CallExpr) ast.Expr {
 	if len(call.Args) == 0 {
 		return nil
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 		Cores    float64 `toml:"cores"`
 		MemoryMB int     `toml:"memory_mb"`
 		Sockets  int     `toml:"sockets"`
-		Open     int     `toml:"open"`
+		MaxOpen  int     `toml:"open"`
 	} `toml:"limits"`
 	Peers struct {
 		Addresses []string `toml:"addresses"`
@@ -50,27 +50,27 @@
 		State string `toml:"state"`
 	} `toml:"settings"`
 	Attempts struct {
-		Most           int                   `toml:"most"`
+		Max            int                   `toml:"most"`
 		ConnectTimeout strictconfig.Duration `toml:"connect_timeout"`
 		IdleClose      strictconfig.Duration `toml:"idle_close"`
-		From           string                `toml:"from"`
-		SecondCopies   bool                  `toml:"second_copies"`
+		SourceAddr     string                `toml:"from"`
+		Hedging        bool                  `toml:"second_copies"`
 		Cancel         bool                  `toml:"cancel"`
-		Probes         bool                  `toml:"probes"`
+		HealthChecks   bool                  `toml:"probes"`
 		Tick           strictconfig.Duration `toml:"tick"`
 	} `toml:"attempts"`
-	Refusals struct {
-		RetryAfter     bool                  `toml:"retry_after"`
-		MostRetryAfter strictconfig.Duration `toml:"most_retry_after"`
-		Grace          strictconfig.Duration `toml:"grace"`
+	Rejections struct {
+		RetryAfter    bool                  `toml:"retry_after"`
+		MaxRetryAfter strictconfig.Duration `toml:"most_retry_after"`
+		Grace         strictconfig.Duration `toml:"grace"`
 	} `toml:"refusals"`
 	Backends struct {
-		DrainGrace   strictconfig.Duration `toml:"drain_grace"`
-		ColdFrom     float64               `toml:"cold_from"`
-		Ramp         strictconfig.Duration `toml:"ramp"`
-		FallMultiple float64               `toml:"fall_multiple"`
-		FallWindow   strictconfig.Duration `toml:"fall_window"`
-		WarmKeys     bool                  `toml:"warm_keys"`
+		DrainGrace       strictconfig.Duration `toml:"drain_grace"`
+		InitialCapacity  float64               `toml:"cold_from"`
+		SlowStartWindow  strictconfig.Duration `toml:"ramp"`
+		OverloadMultiple float64               `toml:"fall_multiple"`
+		OverloadWindow   strictconfig.Duration `toml:"fall_window"`
+		WarmKeys         bool                  `toml:"warm_keys"`
 	} `toml:"backends"`
 	Prices struct {
 		CrossZone   float64 `toml:"cross_zone"`
@@ -79,7 +79,7 @@
 	Classes []Class `toml:"class"`
 
 	file, text string
-	over       *Settings // laid over the file; may be nil
+	overlay    *Settings // laid over the file; may be nil
 }
 
 // Zones are the zones there are: a list of names, where each stands alone, or a table from names to regions.
@@ -87,7 +87,7 @@
 	Names   []string // sorted by name if they came as a table
 	Regions []string // of each; nil: they stand alone
 
-	bad, why string // a key that holds what can't be: told by check, which knows its line
+	invalidKey, reason string // a key that holds what can't be: told by check, which knows its line
 }
 
 // UnmarshalTOML reads either form.
@@ -95,10 +95,10 @@
 	*z = Zones{}
 	switch data := data.(type) {
 	case []any:
-		for _, x := range data {
-			name, ok := x.(string)
+		for _, item := range data {
+			name, ok := item.(string)
 			if !ok {
-				z.bad, z.why = "zones", fmt.Sprintf("%v is no name", x)
+				z.invalidKey, z.reason = "zones", fmt.Sprintf("%v is no name", item)
 			}
 			z.Names = append(z.Names, name)
 		}
@@ -106,18 +106,18 @@
 		for _, name := range slices.Sorted(maps.Keys(data)) {
 			region, ok := data[name].(string)
 			if !ok {
-				z.bad, z.why = "zones."+name, fmt.Sprintf("%v is no region's name", data[name])
+				z.invalidKey, z.reason = "zones."+name, fmt.Sprintf("%v is no region's name", data[name])
 			}
 			z.Names, z.Regions = append(z.Names, name), append(z.Regions, region)
 		}
 	default:
-		z.bad, z.why = "zones", fmt.Sprintf("%v is neither a list of names nor a table from names to regions", data)
+		z.invalidKey, z.reason = "zones", fmt.Sprintf("%v is neither a list of names nor a table from names to regions", data)
 	}
 	return nil
 }
 
-// numbers are the regions by the number of the first zone that is in each; nil: zones stand alone.
-func (z *Zones) numbers() (list []int) {
+// regionIDs are the regions by the number of the first zone that is in each; nil: zones stand alone.
+func (z *Zones) regionIDs() (list []int) {
 	for _, region := range z.Regions {
 		list = append(list, slices.Index(z.Regions, region))
 	}
@@ -126,37 +126,37 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name     string                `toml:"name"`
-	Effect   string                `toml:"effect"`
-	Group    string                `toml:"group"`
-	Window   strictconfig.Duration `toml:"window"`
-	Aim      strictconfig.Duration `toml:"aim"`
-	Deadline strictconfig.Duration `toml:"deadline"`
-	Worth    float64               `toml:"worth"`
+	Name             string                `toml:"name"`
+	Idempotency      string                `toml:"effect"`
+	Group            string                `toml:"group"`
+	DedupWindow      strictconfig.Duration `toml:"window"`
+	LatencyObjective strictconfig.Duration `toml:"aim"`
+	Deadline         strictconfig.Duration `toml:"deadline"`
+	PriorityWeight   float64               `toml:"worth"`
 }
 
 // What the words of a class are called on the platform's wire.
 var (
-	effects = map[string]string{"safe": "repeatable", "keyed": "by_key", "once": "once"}
-	groups  = map[string]string{"": "all", "all": "all", "zone": "zone", "pod": "cell"}
+	semanticsByEffect = map[string]string{"safe": "repeatable", "keyed": "by_key", "once": "once"}
+	wireGroups        = map[string]string{"": "all", "all": "all", "zone": "zone", "pod": "cell"}
 )
 
 // Read reads and checks a file.
-func Read(file string) (*Config, error) { return ReadWith(file, nil) }
+func Read(file string) (*Config, error) { return ReadWithSettings(file, nil) }
 
-// ReadWith reads a file and lays settings over it, if there are any, and checks the whole.
-func ReadWith(file string, over *Settings) (*Config, error) {
+// ReadWithSettings reads a file and lays settings over it, if there are any, and checks the whole.
+func ReadWithSettings(file string, overlay *Settings) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return parseWith(file, string(text), over)
+	return parseWithSettings(file, string(text), overlay)
 }
 
 // Parse checks a configuration. file names it in errors.
-func Parse(file, text string) (*Config, error) { return parseWith(file, text, nil) }
+func Parse(file, text string) (*Config, error) { return parseWithSettings(file, text, nil) }
 
-func parseWith(file, text string, over *Settings) (*Config, error) {
+func parseWithSettings(file, text string, overlay *Settings) (*Config, error) {
 	c := &Config{}
 	if err := strictconfig.Decode("default.toml", Default, c); err != nil {
 		panic(err) // it is part of the program
@@ -164,108 +164,108 @@
 	if err := strictconfig.Decode(file, text, c); err != nil {
 		return nil, err
 	}
-	if over != nil {
-		if err := over.lay(c); err != nil {
+	if overlay != nil {
+		if err := overlay.overlayOn(c); err != nil {
 			return nil, err
 		}
 	}
-	c.file, c.text, c.over = file, text, over
+	c.file, c.text, c.overlay = file, text, overlay
 	return c, c.check()
 }
 
-// wrong blames the text that the value comes from.
-func (c *Config) wrong(key, format string, args ...any) error {
-	if c.over != nil && c.over.sets(key) {
-		return c.over.wrong(key, format, args...)
+// errorAt blames the text that the value comes from.
+func (c *Config) errorAt(key, format string, args ...any) error {
+	if c.overlay != nil && c.overlay.sets(key) {
+		return c.overlay.errorAt(key, format, args...)
 	}
-	return strictconfig.At(c.file, c.text, key, format, args...)
+	return strictconfig.ErrorAt(c.file, c.text, key, format, args...)
 }
 
-func (c *Config) address(key, value string, needed bool) error {
-	return addressKey{key, value, needed}.check(c.wrong)
+func (c *Config) checkAddress(key, value string, required bool) error {
+	return addressKey{key, value, required}.check(c.errorAt)
 }
 
 func (c *Config) check() error {
-	if c.Zones.bad != "" {
-		return c.wrong(c.Zones.bad, "%s", c.Zones.why)
+	if c.Zones.invalidKey != "" {
+		return c.errorAt(c.Zones.invalidKey, "%s", c.Zones.reason)
 	}
-	alone := len(c.Peers.Addresses) == 0
+	hasNoPeers := len(c.Peers.Addresses) == 0
 	for _, a := range []struct {
 		key, value string
 		needed     bool
-	}{{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {"mgmt", c.Mgmt, false}, {"peers.listen", c.Peers.Listen, !alone}} {
-		if err := c.address(a.key, a.value, a.needed); err != nil {
+	}{{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {"mgmt", c.Mgmt, false}, {"peers.listen", c.Peers.Listen, !hasNoPeers}} {
+		if err := c.checkAddress(a.key, a.value, a.needed); err != nil {
 			return err
 		}
 	}
 	for _, a := range c.Peers.Addresses {
-		if err := c.address("peers.addresses", a, true); err != nil {
+		if err := c.checkAddress("peers.addresses", a, true); err != nil {
 			return err
 		}
 	}
-	for _, r := range []struct {
+	for _, limit := range []struct {
 		key            string
 		value, low, up float64
 	}{
 		{"limits.cores", c.Limits.Cores, 0, 64}, {"limits.memory_mb", float64(c.Limits.MemoryMB), 0, 65536},
-		{"limits.sockets", float64(c.Limits.Sockets), 32, 1 << 20}, {"limits.open", float64(c.Limits.Open), 0, 1e6},
-		{"attempts.most", float64(c.Attempts.Most), 1, 20}, {"backends.cold_from", c.Backends.ColdFrom, 0, 1},
-		{"backends.fall_multiple", c.Backends.FallMultiple, 0, 1000}, {"prices.cross_zone", c.Prices.CrossZone, 0, 1},
+		{"limits.sockets", float64(c.Limits.Sockets), 32, 1 << 20}, {"limits.open", float64(c.Limits.MaxOpen), 0, 1e6},
+		{"attempts.most", float64(c.Attempts.Max), 1, 20}, {"backends.cold_from", c.Backends.InitialCapacity, 0, 1},
+		{"backends.fall_multiple", c.Backends.OverloadMultiple, 0, 1000}, {"prices.cross_zone", c.Prices.CrossZone, 0, 1},
 		{"prices.cross_region", c.Prices.CrossRegion, 0, 1},
 		{"peers.self", float64(c.Peers.Self), 0, max(0, float64(len(c.Peers.Addresses)-1))},
 	} {
-		if !(r.value >= r.low && r.value <= r.up) {
-			return c.wrong(r.key, "%v is not between %v and %v", r.value, r.low, r.up)
+		if !(limit.value >= limit.low && limit.value <= limit.up) {
+			return c.errorAt(limit.key, "%v is not between %v and %v", limit.value, limit.low, limit.up)
 		}
 	}
-	const longest = strictconfig.Duration(24 * time.Hour)
-	least := strictconfig.Duration(time.Millisecond)
-	for _, r := range []struct {
+	const maxDuration = strictconfig.Duration(24 * time.Hour)
+	minDuration := strictconfig.Duration(time.Millisecond)
+	for _, limit := range []struct {
 		key            string
 		value, low, up strictconfig.Duration
 	}{
-		{"attempts.connect_timeout", c.Attempts.ConnectTimeout, least, longest}, {"attempts.idle_close", c.Attempts.IdleClose, least, longest},
-		{"attempts.tick", c.Attempts.Tick, 0, strictconfig.Duration(time.Second)}, {"refusals.grace", c.Refusals.Grace, 0, strictconfig.Duration(time.Second)},
-		{"refusals.most_retry_after", c.Refusals.MostRetryAfter, 0, longest}, {"backends.drain_grace", c.Backends.DrainGrace, 0, longest},
-		{"backends.ramp", c.Backends.Ramp, 0, longest}, {"backends.fall_window", c.Backends.FallWindow, 0, longest},
+		{"attempts.connect_timeout", c.Attempts.ConnectTimeout, minDuration, maxDuration}, {"attempts.idle_close", c.Attempts.IdleClose, minDuration, maxDuration},
+		{"attempts.tick", c.Attempts.Tick, 0, strictconfig.Duration(time.Second)}, {"refusals.grace", c.Rejections.Grace, 0, strictconfig.Duration(time.Second)},
+		{"refusals.most_retry_after", c.Rejections.MaxRetryAfter, 0, maxDuration}, {"backends.drain_grace", c.Backends.DrainGrace, 0, maxDuration},
+		{"backends.ramp", c.Backends.SlowStartWindow, 0, maxDuration}, {"backends.fall_window", c.Backends.OverloadWindow, 0, maxDuration},
 	} {
-		if r.value < r.low || r.value > r.up {
-			return c.wrong(r.key, "%v is not between %v and %v", r.value.D(), r.low.D(), r.up.D())
+		if limit.value < limit.low || limit.value > limit.up {
+			return c.errorAt(limit.key, "%v is not between %v and %v", limit.value.Duration(), limit.low.Duration(), limit.up.Duration())
 		}
 	}
 	if _, err := strconv.ParseUint(c.Seed, 16, 64); c.Seed != "" && err != nil {
-		return c.wrong("seed", "%q is not a hexadecimal number of up to 16 digits", c.Seed)
+		return c.errorAt("seed", "%q is not a hexadecimal number of up to 16 digits", c.Seed)
 	}
 	if c.Lists != "pushed" && c.Lists != "asked" {
-		return c.wrong("lists", `%q is none of "pushed", "asked"`, c.Lists)
+		return c.errorAt("lists", `%q is none of "pushed", "asked"`, c.Lists)
 	}
-	if _, err := netip.ParseAddr(c.Attempts.From); c.Attempts.From != "" && err != nil {
-		return c.wrong("attempts.from", "%q is no IP address", c.Attempts.From)
+	if _, err := netip.ParseAddr(c.Attempts.SourceAddr); c.Attempts.SourceAddr != "" && err != nil {
+		return c.errorAt("attempts.from", "%q is no IP address", c.Attempts.SourceAddr)
 	}
 	if err := c.checkFleet(); err != nil {
 		return err
 	}
 	if !slices.Contains(c.Zones.Names, c.Zone) {
-		return c.wrong("zone", "%q is none of zones", c.Zone)
+		return c.errorAt("zone", "%q is none of zones", c.Zone)
 	}
 	if len(c.Classes) == 0 {
-		return c.wrong("class", "at least one [[class]] is needed")
+		return c.errorAt("class", "at least one [[class]] is needed")
 	}
-	for i, k := range c.Classes {
+	for i, class := range c.Classes {
 		key := func(name string) string { return fmt.Sprintf("class[%d].%s", i, name) }
 		switch {
-		case k.Name == "":
-			return c.wrong(key("name"), "is needed")
-		case effects[k.Effect] == "":
-			return c.wrong(key("effect"), `%q is none of "safe", "keyed", "once"`, k.Effect)
-		case groups[k.Group] == "":
-			return c.wrong(key("group"), `%q is none of "all", "zone", "pod"`, k.Group)
-		case k.Effect == "keyed" && k.Window <= 0:
-			return c.wrong(key("window"), "a keyed class needs the time for which repeats are dropped")
-		case k.Aim <= 0 || k.Deadline < k.Aim || k.Deadline > longest:
-			return c.wrong(key("deadline"), "aim %v and deadline %v: both above 0, the aim no later", k.Aim.D(), k.Deadline.D())
-		case !(k.Worth >= 0):
-			return c.wrong(key("worth"), "%v is negative", k.Worth)
+		case class.Name == "":
+			return c.errorAt(key("name"), "is needed")
+		case semanticsByEffect[class.Idempotency] == "":
+			return c.errorAt(key("effect"), `%q is none of "safe", "keyed", "once"`, class.Idempotency)
+		case wireGroups[class.Group] == "":
+			return c.errorAt(key("group"), `%q is none of "all", "zone", "pod"`, class.Group)
+		case class.Idempotency == "keyed" && class.DedupWindow <= 0:
+			return c.errorAt(key("window"), "a keyed class needs the time for which repeats are dropped")
+		case class.LatencyObjective <= 0 || class.Deadline < class.LatencyObjective || class.Deadline > maxDuration:
+			return c.errorAt(key("deadline"), "aim %v and deadline %v: both above 0, the aim no later", class.LatencyObjective.Duration(), class.Deadline.Duration())
+		case !(class.PriorityWeight >= 0):
+			return c.errorAt(key("worth"), "%v is negative", class.PriorityWeight)
 		}
 	}
 	return nil
@@ -273,31 +273,31 @@
 
 // Platform is the same configuration in the platform's form.
 func (c *Config) Platform() ([]byte, error) {
-	ms := func(d strictconfig.Duration) float64 { return d.D().Seconds() * 1e3 }
+	ms := func(d strictconfig.Duration) float64 { return d.Duration().Seconds() * 1e3 }
 	var profiles []map[string]any
-	for _, k := range c.Classes {
-		profiles = append(profiles, map[string]any{"Name": k.Name, "AimMs": ms(k.Aim), "DeadlineMs": ms(k.Deadline), "Worth": k.Worth,
-			"Semantics": effects[k.Effect], "Group": groups[k.Group], "WindowMs": ms(k.Window)})
+	for _, class := range c.Classes {
+		profiles = append(profiles, map[string]any{"Name": class.Name, "AimMs": ms(class.LatencyObjective), "DeadlineMs": ms(class.Deadline), "Worth": class.PriorityWeight,
+			"Semantics": semanticsByEffect[class.Idempotency], "Group": wireGroups[class.Group], "WindowMs": ms(class.DedupWindow)})
 	}
 	seed := c.Seed
 	if seed == "" {
 		seed = fmt.Sprintf("%016x", rand.Uint64())
 	}
-	fleet, residency := c.shared()
+	fleet, residency := c.extensions()
 	return json.Marshal(map[string]any{
 		"fleet": fleet, "residency": residency,
 		"name": c.Name, "listen": c.Listen, "discovery": c.Discovery, "mgmt": c.Mgmt, "seed": seed,
 		"limits":    map[string]any{"cores": c.Limits.Cores, "memory_mb": c.Limits.MemoryMB, "sockets": c.Limits.Sockets},
-		"dial_from": c.Attempts.From, "peer_listen": c.Peers.Listen, "peers": c.Peers.Addresses,
+		"dial_from": c.Attempts.SourceAddr, "peer_listen": c.Peers.Listen, "peers": c.Peers.Addresses,
 		"settings": map[string]any{
-			"Balancers": max(1, len(c.Peers.Addresses)), "Me": c.Peers.Self, "Zone": slices.Index(c.Zones.Names, c.Zone), "Dcs": c.Zones.Names, "Regions": c.Zones.numbers(), "Kinds": c.Kinds,
+			"Balancers": max(1, len(c.Peers.Addresses)), "Me": c.Peers.Self, "Zone": slices.Index(c.Zones.Names, c.Zone), "Dcs": c.Zones.Names, "Regions": c.Zones.regionIDs(), "Kinds": c.Kinds,
 			"CountedBy": "request", "MembershipMode": map[string]string{"pushed": "automatic", "asked": "subscribe"}[c.Lists], "TickMs": ms(c.Attempts.Tick), "Profiles": profiles,
-			"PolicyLimits": map[string]any{"TryLimit": c.Attempts.Most, "SecondCopies": c.Attempts.SecondCopies, "MayProbe": c.Attempts.Probes,
-				"Cancel": c.Attempts.Cancel, "RetryAfter": c.Refusals.RetryAfter, "Peers": len(c.Peers.Addresses) > 1,
-				"MaxRetryAfterMs": ms(c.Refusals.MostRetryAfter), "ConnectTimeoutMs": ms(c.Attempts.ConnectTimeout),
-				"IdleCloseMs": ms(c.Attempts.IdleClose), "MaxOpen": c.Limits.Open},
-			"Contract": map[string]any{"AskWithinMs": askWithin.Seconds() * 1e3, "DrainGraceMs": ms(c.Backends.DrainGrace), "GraceToAnswerMs": ms(c.Refusals.Grace), "ColdFrom": c.Backends.ColdFrom,
-				"RampTimeMs": ms(c.Backends.Ramp), "FallMultiple": c.Backends.FallMultiple, "FallMs": ms(c.Backends.FallWindow)},
+			"PolicyLimits": map[string]any{"TryLimit": c.Attempts.Max, "SecondCopies": c.Attempts.Hedging, "MayProbe": c.Attempts.HealthChecks,
+				"Cancel": c.Attempts.Cancel, "RetryAfter": c.Rejections.RetryAfter, "Peers": len(c.Peers.Addresses) > 1,
+				"MaxRetryAfterMs": ms(c.Rejections.MaxRetryAfter), "ConnectTimeoutMs": ms(c.Attempts.ConnectTimeout),
+				"IdleCloseMs": ms(c.Attempts.IdleClose), "MaxOpen": c.Limits.MaxOpen},
+			"Contract": map[string]any{"AskWithinMs": listPollInterval.Seconds() * 1e3, "DrainGraceMs": ms(c.Backends.DrainGrace), "GraceToAnswerMs": ms(c.Rejections.Grace), "ColdFrom": c.Backends.InitialCapacity,
+				"RampTimeMs": ms(c.Backends.SlowStartWindow), "FallMultiple": c.Backends.OverloadMultiple, "FallMs": ms(c.Backends.OverloadWindow)},
 			"FamilyInfo": map[string]any{"WarmKeys": c.Backends.WarmKeys}, "Prices": map[string]any{"CrossZone": c.Prices.CrossZone, "CrossRegion": c.Prices.CrossRegion},
 			"Goal": map[string]any{"Whole": 1}, "Report": map[string]any{"Source": "off"},
 		}})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/internal/agent"
 )
 
-const class = `
+const classText = `
 [[class]]
 name = "get"
 effect = "safe"
@@ -18,35 +18,35 @@
 deadline = "2s"
 `
 
-const good = "discovery = \"127.0.0.1:8500\"\n"
+const minimalText = "discovery = \"127.0.0.1:8500\"\n"
 
 // What is wrong is told in one line that names file, line and key.
-func TestErrors(t *testing.T) {
+func TestConfigErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{class, "x.toml: discovery: is needed"},
-		{good, "x.toml: class: at least one [[class]]"},
-		{good + "lsiten = \"127.0.0.1:1\"" + class, "x.toml:2: lsiten: unknown key"},
-		{good + "listen = 3" + class, "x.toml:2: listen: incompatible types"},
-		{good + "listen = \"localhost:1\"" + class, `x.toml:2: listen: "localhost:1" is no IP address and port`},
-		{good + "seed = \"xyz\"" + class, "x.toml:2: seed: "},
-		{good + "zone = \"b\"" + class, `x.toml:2: zone: "b" is none of zones`},
-		{good + "[limits]\nsockets = 3" + class, "x.toml:3: limits.sockets: 3 is not between 32 and 1.048576e+06"},
-		{good + "[attempts]\nconnect_timeout = \"soon\"" + class, "x.toml:3: "},
-		{good + "[attempts]\nconnect_timeout = \"0s\"" + class, "x.toml:3: attempts.connect_timeout: 0s is not between 1ms and 24h"},
-		{good + "[peers]\naddresses = [\"127.0.0.1:1\"]" + class, "x.toml: peers.listen: is needed"},
-		{good + class + "effect2 = 1", "x.toml:8: class.effect2: unknown key"},
-		{good + strings.Replace(class, "safe", "keyed", 1), "x.toml: class[0].window: a keyed class needs"},
-		{good + strings.Replace(class, "2s", "1ms", 1), "x.toml:7: class[0].deadline: aim 1s and deadline 1ms"},
-		{good + "zones = [1]" + class, `x.toml:2: zones: `},
-		{good + "zones = \"a\"" + class, `x.toml:2: zones: `},
-		{good + "zone = \"a\"\n[zones]\na = \"north\"\nb = 3" + class, `x.toml:5: zones.b: `},
-		{good + "zone = \"c\"\n[zones]\na = \"north\"\nb = \"south\"" + class, `x.toml:2: zone: "c" is none of zones`},
-		{good + "name = \"a\nb\"" + class, "x.toml:2: "},
-		{good + class + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"127.0.0.1:2\"\nb = \"127.0.0.1:3\"", `x.toml:12: fleet.hubs.b: "b" is none of zones`},
-		{good + class + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"here\"", `x.toml:11: fleet.hubs.a: "here" is no IP address and port`},
-		{good + class + "[fleet]\nlisten = \"127.0.0.1:1\"\nlabel = \"\"\n[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml:10: fleet.label: is needed where there are hubs"},
-		{good + class + "[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml: fleet.listen: is needed where there are hubs"},
-		{good + class + "[settings]\nstate = \"s\"", "x.toml:9: settings.state: is given, and there are no hubs"},
+		{classText, "x.toml: discovery: is needed"},
+		{minimalText, "x.toml: class: at least one [[class]]"},
+		{minimalText + "lsiten = \"127.0.0.1:1\"" + classText, "x.toml:2: lsiten: unknown key"},
+		{minimalText + "listen = 3" + classText, "x.toml:2: listen: incompatible types"},
+		{minimalText + "listen = \"localhost:1\"" + classText, `x.toml:2: listen: "localhost:1" is no IP address and port`},
+		{minimalText + "seed = \"xyz\"" + classText, "x.toml:2: seed: "},
+		{minimalText + "zone = \"b\"" + classText, `x.toml:2: zone: "b" is none of zones`},
+		{minimalText + "[limits]\nsockets = 3" + classText, "x.toml:3: limits.sockets: 3 is not between 32 and 1.048576e+06"},
+		{minimalText + "[attempts]\nconnect_timeout = \"soon\"" + classText, "x.toml:3: "},
+		{minimalText + "[attempts]\nconnect_timeout = \"0s\"" + classText, "x.toml:3: attempts.connect_timeout: 0s is not between 1ms and 24h"},
+		{minimalText + "[peers]\naddresses = [\"127.0.0.1:1\"]" + classText, "x.toml: peers.listen: is needed"},
+		{minimalText + classText + "effect2 = 1", "x.toml:8: class.effect2: unknown key"},
+		{minimalText + strings.Replace(classText, "safe", "keyed", 1), "x.toml: class[0].window: a keyed class needs"},
+		{minimalText + strings.Replace(classText, "2s", "1ms", 1), "x.toml:7: class[0].deadline: aim 1s and deadline 1ms"},
+		{minimalText + "zones = [1]" + classText, `x.toml:2: zones: `},
+		{minimalText + "zones = \"a\"" + classText, `x.toml:2: zones: `},
+		{minimalText + "zone = \"a\"\n[zones]\na = \"north\"\nb = 3" + classText, `x.toml:5: zones.b: `},
+		{minimalText + "zone = \"c\"\n[zones]\na = \"north\"\nb = \"south\"" + classText, `x.toml:2: zone: "c" is none of zones`},
+		{minimalText + "name = \"a\nb\"" + classText, "x.toml:2: "},
+		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"127.0.0.1:2\"\nb = \"127.0.0.1:3\"", `x.toml:12: fleet.hubs.b: "b" is none of zones`},
+		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"here\"", `x.toml:11: fleet.hubs.a: "here" is no IP address and port`},
+		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\nlabel = \"\"\n[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml:10: fleet.label: is needed where there are hubs"},
+		{minimalText + classText + "[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml: fleet.listen: is needed where there are hubs"},
+		{minimalText + classText + "[settings]\nstate = \"s\"", "x.toml:9: settings.state: is given, and there are no hubs"},
 	} {
 		_, err := Parse("x.toml", c.text)
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -56,8 +56,8 @@
 }
 
 // What is taken is taken by the agent too.
-func TestAgentTakesIt(t *testing.T) {
-	c, err := Parse("x.toml", good+class+"[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nself = 1\nlisten = \"127.0.0.1:3\"\n")
+func TestAgentLoadsAnAcceptedConfig(t *testing.T) {
+	c, err := Parse("x.toml", minimalText+classText+"[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nself = 1\nlisten = \"127.0.0.1:3\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 }
 
 // Zones may be mapped to regions, which the agent then knows by number.
-func TestRegions(t *testing.T) {
-	text := good + "zone = \"riga-b\"\n" + class + "[prices]\ncross_region = 0.1\n[zones]\nriga-b = \"riga\"\nliepaja = \"kurzeme\"\nriga-a = \"riga\"\n"
+func TestZonesMapToRegionIDs(t *testing.T) {
+	text := minimalText + "zone = \"riga-b\"\n" + classText + "[prices]\ncross_region = 0.1\n[zones]\nriga-b = \"riga\"\nliepaja = \"kurzeme\"\nriga-a = \"riga\"\n"
 	c, err := Parse("x.toml", text)
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 }
 
 // Every key stands in the defaults, with a comment.
-func TestDefaultsAreWhole(t *testing.T) {
+func TestEveryKeyHasADocumentedDefault(t *testing.T) {
 	var keys func(reflect.Type, string) []string
 	keys = func(typ reflect.Type, table string) (list []string) {
 		for i := range typ.NumField() {
@@ -120,7 +120,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good + class)
+	f.Add(minimalText + classText)
 	f.Add(Default)
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := Parse("x.toml", text)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -17,18 +17,18 @@
 	Seeds     []string          `toml:"seeds"`
 	Hubs      map[string]string `toml:"hubs"` // addresses, by zone
 	Label     string            `toml:"label"`
-	Most      int               `toml:"most"`
+	MaxAgents int               `toml:"most"`
 	Lists     string            `toml:"lists"`
 	ListRate  float64           `toml:"list_rate"`
 	Matrix    bool              `toml:"matrix"`
 	Trace     string            `toml:"trace"`
 	MaxAge    struct {
 		Service   strictconfig.Duration `toml:"service"`
-		Distance  strictconfig.Duration `toml:"distance"`
+		Latency   strictconfig.Duration `toml:"distance"`
 		Residency strictconfig.Duration `toml:"residency"`
-		Gone      strictconfig.Duration `toml:"gone"`
+		Dead      strictconfig.Duration `toml:"gone"`
 		Settings  strictconfig.Duration `toml:"settings"`
-		Census    strictconfig.Duration `toml:"census"`
+		FleetSize strictconfig.Duration `toml:"census"`
 	} `toml:"max_age"`
 }
 
@@ -40,51 +40,51 @@
 	State  string                `toml:"state"`
 }
 
-// askWithin is how long an agent may go without asking for the list, where lists are asked for.
-const askWithin = 10 * time.Second
+// listPollInterval is how long an agent may go without asking for the list, where lists are asked for.
+const listPollInterval = 10 * time.Second
 
 func (c *Config) checkFleet() error {
 	f, r := &c.Fleet, &c.Residency
 	if f.Listen != "" {
-		if err := c.address("fleet.listen", f.Listen, true); err != nil {
+		if err := c.checkAddress("fleet.listen", f.Listen, true); err != nil {
 			return err
 		}
-		if err := c.address("fleet.advertise", f.Advertise, false); err != nil {
+		if err := c.checkAddress("fleet.advertise", f.Advertise, false); err != nil {
 			return err
 		}
 		for _, s := range f.Seeds {
-			if err := c.address("fleet.seeds", s, true); err != nil {
+			if err := c.checkAddress("fleet.seeds", s, true); err != nil {
 				return err
 			}
 		}
 	}
 	switch {
 	case len(f.Label) > 64:
-		return c.wrong("fleet.label", "%d bytes, at most 64", len(f.Label))
-	case f.Most < 1 || f.Most > 10000:
-		return c.wrong("fleet.most", "%d is not between 1 and 10000", f.Most)
+		return c.errorAt("fleet.label", "%d bytes, at most 64", len(f.Label))
+	case f.MaxAgents < 1 || f.MaxAgents > 10000:
+		return c.errorAt("fleet.most", "%d is not between 1 and 10000", f.MaxAgents)
 	case f.Lists != "own" && f.Lists != "relayed":
-		return c.wrong("fleet.lists", `%q is none of "own", "relayed"`, f.Lists)
+		return c.errorAt("fleet.lists", `%q is none of "own", "relayed"`, f.Lists)
 	case !(f.ListRate >= 0.5 && f.ListRate <= 1000):
-		return c.wrong("fleet.list_rate", "%v is not between 0.5 and 1000", f.ListRate)
+		return c.errorAt("fleet.list_rate", "%v is not between 0.5 and 1000", f.ListRate)
 	case f.Listen != "" && c.Name == "":
-		return c.wrong("name", "is needed where there is a fleet")
+		return c.errorAt("name", "is needed where there is a fleet")
 	}
 	if err := c.checkHubs(); err != nil {
 		return err
 	}
-	for key, d := range map[string]strictconfig.Duration{"fleet.max_age.service": f.MaxAge.Service, "fleet.max_age.distance": f.MaxAge.Distance,
-		"fleet.max_age.residency": f.MaxAge.Residency, "fleet.max_age.gone": f.MaxAge.Gone,
-		"fleet.max_age.settings": f.MaxAge.Settings, "fleet.max_age.census": f.MaxAge.Census, "residency.bound": r.Bound} {
+	for key, d := range map[string]strictconfig.Duration{"fleet.max_age.service": f.MaxAge.Service, "fleet.max_age.distance": f.MaxAge.Latency,
+		"fleet.max_age.residency": f.MaxAge.Residency, "fleet.max_age.gone": f.MaxAge.Dead,
+		"fleet.max_age.settings": f.MaxAge.Settings, "fleet.max_age.census": f.MaxAge.FleetSize, "residency.bound": r.Bound} {
 		if d < strictconfig.Duration(100*time.Millisecond) || d > strictconfig.Duration(time.Hour) {
-			return c.wrong(key, "%v is not between 100ms and 1h", d.D())
+			return c.errorAt(key, "%v is not between 100ms and 1h", d.Duration())
 		}
 	}
 	switch {
 	case !r.On && r.Policy != "":
-		return c.wrong("residency.policy", "is given, and residency.on is false")
+		return c.errorAt("residency.policy", "is given, and residency.on is false")
 	case r.On && r.Policy == "" && f.Listen == "":
-		return c.wrong("residency.policy", "is needed where there is no fleet to have it from")
+		return c.errorAt("residency.policy", "is needed where there is no fleet to have it from")
 	}
 	if r.Policy != "" {
 		if _, _, err := residency.ReadFile(r.Policy); err != nil {
@@ -98,43 +98,43 @@
 	f := &c.Fleet
 	switch {
 	case len(f.Hubs) == 0 && c.Settings.State != "":
-		return c.wrong("settings.state", "is given, and there are no hubs to have settings from")
+		return c.errorAt("settings.state", "is given, and there are no hubs to have settings from")
 	case len(f.Hubs) > 0 && f.Listen == "":
-		return c.wrong("fleet.listen", "is needed where there are hubs: they see there whether this agent has ended")
+		return c.errorAt("fleet.listen", "is needed where there are hubs: they see there whether this agent has ended")
 	case len(f.Hubs) > 0 && f.Label == "":
-		return c.wrong("fleet.label", "is needed where there are hubs")
+		return c.errorAt("fleet.label", "is needed where there are hubs")
 	}
 	for _, zone := range slices.Sorted(maps.Keys(f.Hubs)) {
 		if !slices.Contains(c.Zones.Names, zone) {
-			return c.wrong("fleet.hubs."+zone, "%q is none of zones", zone)
+			return c.errorAt("fleet.hubs."+zone, "%q is none of zones", zone)
 		}
-		if err := c.address("fleet.hubs."+zone, f.Hubs[zone], true); err != nil {
+		if err := c.checkAddress("fleet.hubs."+zone, f.Hubs[zone], true); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Shared is what an agent shares, in the platform's form: the platform's own program passes over it.
-type Shared struct {
-	Fleet     *SharedFleet     `json:"fleet"`
-	Residency *SharedResidency `json:"residency"`
-	Name      string           `json:"name"`
+// Extension is what an agent shares, in the platform's form: the platform's own program passes over it.
+type Extension struct {
+	Fleet     *FleetExtension     `json:"fleet"`
+	Residency *ResidencyExtension `json:"residency"`
+	Name      string              `json:"name"`
 	Settings  struct {
 		Zone int      `json:"Zone"`
 		Dcs  []string `json:"Dcs"`
 	} `json:"settings"`
 }
 
-// SharedFleet is [fleet].
-type SharedFleet struct {
+// FleetExtension is [fleet].
+type FleetExtension struct {
 	Listen    string             `json:"listen"`
 	Advertise string             `json:"advertise"`
 	Seeds     []string           `json:"seeds"`
 	Hubs      map[string]string  `json:"hubs"`           // addresses, by zone
 	Settings  string             `json:"settings_state"` // a folder
 	Label     string             `json:"label"`
-	Most      int                `json:"most"`
+	MaxAgents int                `json:"most"`
 	Lists     string             `json:"lists"`
 	ListRate  float64            `json:"list_rate"`
 	Matrix    bool               `json:"matrix"`
@@ -142,27 +142,27 @@
 	MaxAgeMs  map[string]float64 `json:"max_age_ms"`
 }
 
-// SharedResidency is [residency].
-type SharedResidency struct {
+// ResidencyExtension is [residency].
+type ResidencyExtension struct {
 	Policy  string  `json:"policy"`
 	BoundMs float64 `json:"bound_ms"`
 	State   string  `json:"state"`
 }
 
-func (c *Config) shared() (f *SharedFleet, r *SharedResidency) {
-	ms := func(d strictconfig.Duration) float64 { return d.D().Seconds() * 1e3 }
+func (c *Config) extensions() (fleet *FleetExtension, policy *ResidencyExtension) {
+	ms := func(d strictconfig.Duration) float64 { return d.Duration().Seconds() * 1e3 }
 	if c.Fleet.Listen != "" {
-		a := &c.Fleet.MaxAge
-		f = &SharedFleet{c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Seeds, c.Fleet.Hubs, c.Settings.State, c.Fleet.Label, c.Fleet.Most, c.Fleet.Lists, c.Fleet.ListRate,
-			c.Fleet.Matrix, c.Fleet.Trace, map[string]float64{"service": ms(a.Service), "distance": ms(a.Distance),
-				"residency": ms(a.Residency), "gone": ms(a.Gone),
-				"settings": ms(a.Settings), "census": ms(a.Census)}}
+		maxAge := &c.Fleet.MaxAge
+		fleet = &FleetExtension{c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Seeds, c.Fleet.Hubs, c.Settings.State, c.Fleet.Label, c.Fleet.MaxAgents, c.Fleet.Lists, c.Fleet.ListRate,
+			c.Fleet.Matrix, c.Fleet.Trace, map[string]float64{"service": ms(maxAge.Service), "distance": ms(maxAge.Latency),
+				"residency": ms(maxAge.Residency), "gone": ms(maxAge.Dead),
+				"settings": ms(maxAge.Settings), "census": ms(maxAge.FleetSize)}}
 	}
 	if c.Residency.On {
-		r = &SharedResidency{c.Residency.Policy, ms(c.Residency.Bound), c.Residency.State}
+		policy = &ResidencyExtension{c.Residency.Policy, ms(c.Residency.Bound), c.Residency.State}
 	}
-	return f, r
+	return fleet, policy
 }
 
-// ReadShared reads what an agent shares out of a configuration in the platform's form.
-func ReadShared(raw []byte) (s Shared, err error) { return s, json.Unmarshal(raw, &s) }
+// ReadExtension reads what an agent shares out of a configuration in the platform's form.
+func ReadExtension(raw []byte) (s Extension, err error) { return s, json.Unmarshal(raw, &s) }
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -24,7 +24,7 @@
 	Listen    string   `toml:"listen"`
 	Advertise string   `toml:"advertise"`
 	Seeds     []string `toml:"seeds"`
-	Most      int      `toml:"most"`
+	MaxAgents int      `toml:"most"`
 	Matrix    bool     `toml:"matrix"`
 	Discovery string   `toml:"discovery"`
 	ListRate  float64  `toml:"list_rate"`
@@ -65,58 +65,58 @@
 	}
 	h.file, h.text = file, text
 	if len(h.MaxAge) > kinds {
-		return nil, h.wrong("max_age", "there are service, distance, residency, gone, settings and census alone")
+		return nil, h.errorAt("max_age", "there are service, distance, residency, gone, settings and census alone")
 	}
 	return h, h.check()
 }
 
-func (h *Hub) wrong(key, format string, args ...any) error {
-	return strictconfig.At(h.file, h.text, key, format, args...)
+func (h *Hub) errorAt(key, format string, args ...any) error {
+	return strictconfig.ErrorAt(h.file, h.text, key, format, args...)
 }
 
 func (h *Hub) check() error {
 	for _, a := range append([]addressKey{{"listen", h.Listen, true}, {"advertise", h.Advertise, false}, {"discovery", h.Discovery, false}}, seedKeys("seeds", h.Seeds)...) {
-		if err := a.check(h.wrong); err != nil {
+		if err := a.check(h.errorAt); err != nil {
 			return err
 		}
 	}
 	switch {
-	case h.Zones.bad != "":
-		return h.wrong(h.Zones.bad, "%s", h.Zones.why)
+	case h.Zones.invalidKey != "":
+		return h.errorAt(h.Zones.invalidKey, "%s", h.Zones.reason)
 	case h.Name == "" || len(h.Name) > 64:
-		return h.wrong("name", "%d bytes: 1 to 64 are needed", len(h.Name))
+		return h.errorAt("name", "%d bytes: 1 to 64 are needed", len(h.Name))
 	case !slices.Contains(h.Zones.Names, h.Zone):
-		return h.wrong("zone", "%q is none of zones", h.Zone)
+		return h.errorAt("zone", "%q is none of zones", h.Zone)
 	case h.Label == "" || len(h.Label) > 64:
-		return h.wrong("label", "%d bytes: 1 to 64 are needed", len(h.Label))
-	case h.Most < 1 || h.Most > 10000:
-		return h.wrong("most", "%d is not between 1 and 10000", h.Most)
+		return h.errorAt("label", "%d bytes: 1 to 64 are needed", len(h.Label))
+	case h.MaxAgents < 1 || h.MaxAgents > 10000:
+		return h.errorAt("most", "%d is not between 1 and 10000", h.MaxAgents)
 	case !(h.ListRate >= 0.5 && h.ListRate <= 1000):
-		return h.wrong("list_rate", "%v is not between 0.5 and 1000", h.ListRate)
+		return h.errorAt("list_rate", "%v is not between 0.5 and 1000", h.ListRate)
 	case !(h.AdmitRate >= 1 && h.AdmitRate <= 10000):
-		return h.wrong("admit_rate", "%v is not between 1 and 10000", h.AdmitRate)
+		return h.errorAt("admit_rate", "%v is not between 1 and 10000", h.AdmitRate)
 	}
-	if err := h.checkSpans(); err != nil {
+	if err := h.checkDurations(); err != nil {
 		return err
 	}
-	return h.checkTexts()
+	return h.checkDocuments()
 }
 
-func (h *Hub) checkSpans() error {
-	spans := map[string]strictconfig.Duration{"residency.bound": h.Residency.Bound}
+func (h *Hub) checkDurations() error {
+	durations := map[string]strictconfig.Duration{"residency.bound": h.Residency.Bound}
 	for kind, d := range h.MaxAge {
-		spans["max_age."+kind] = d
+		durations["max_age."+kind] = d
 	}
-	for key, d := range spans {
+	for key, d := range durations {
 		if d < strictconfig.Duration(100*time.Millisecond) || d > strictconfig.Duration(time.Hour) {
-			return h.wrong(key, "%v is not between 100ms and 1h", d.D())
+			return h.errorAt(key, "%v is not between 100ms and 1h", d.Duration())
 		}
 	}
 	return nil
 }
 
-// checkTexts has a file that can't be used stop the hub before it starts.
-func (h *Hub) checkTexts() error {
+// checkDocuments has a file that can't be used stop the hub before it starts.
+func (h *Hub) checkDocuments() error {
 	if h.Residency.File != "" {
 		if _, _, err := residency.ReadFile(h.Residency.File); err != nil {
 			return err
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is wrong with settings is told by their line and key, and with an agent's file by its own.
-func TestSettingsErrors(t *testing.T) {
+func TestSettingsErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", "s.toml: version: 0 is not a number from 1"},
 		{"version = \"1\"", "s.toml:1: version: incompatible types"},
@@ -17,15 +17,15 @@
 		{"version = 1\n[attempts]\n\nmost = 21", "s.toml:4: attempts.most: 21 is not between"},
 		{"version = 1\nattempts = {most = 21}", "s.toml:2: attempts.most: 21 is not between"},
 		{"version = 1\nAttempts.Most = 21", "s.toml: attempts.most: 21 is not between"},
-		{"version = 1" + strings.Replace(class, "safe", "keyed", 1), "s.toml:2: class[0].window: a keyed class needs"},
-		{"version = 1" + strings.Replace(class, "2s", "1ms", 1), "s.toml:6: class[0].deadline: aim 1s"},
+		{"version = 1" + strings.Replace(classText, "safe", "keyed", 1), "s.toml:2: class[0].window: a keyed class needs"},
+		{"version = 1" + strings.Replace(classText, "2s", "1ms", 1), "s.toml:6: class[0].deadline: aim 1s"},
 		{"version = 1\n[[class]]\nname = \"x\"", "s.toml:2: class[0].effect: "},
 		{"version = 1\nzone = \"a\"", "s.toml:2: zone: is not for settings of all agents"},
 		{"version = 1\nLISTEN = \"127.0.0.1:1\"", "s.toml: listen: is not for settings"},
 		{"version = 1\n[attempts]\nfrom = \"127.0.0.1\"", "s.toml:3: attempts.from: is not for settings"},
 		{"version = 1\n[settings]\nstate = \"x\"", "s.toml:2: settings: is not for settings"},
 		{"version = 1\nhalf", "s.toml:2: "},
-		{"version = 1\n#" + strings.Repeat("x", MaxSettings), "s.toml: 65549 bytes"},
+		{"version = 1\n#" + strings.Repeat("x", MaxSettingsBytes), "s.toml: 65549 bytes"},
 	} {
 		_, err := ParseSettings("s.toml", c.text)
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -40,22 +40,22 @@
 }
 
 // Settings go before the agent's file, whose keys and errors stay its own. Classes are replaced as a whole.
-func TestSettingsOverAFile(t *testing.T) {
+func TestSettingsOverlayTheAgentFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.toml")
-	read := func(own, over string) (*Config, error) {
+	read := func(own, overlay string) (*Config, error) {
 		if err := os.WriteFile(file, []byte(own), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := ParseSettings("s.toml", over)
+		s, err := ParseSettings("s.toml", overlay)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return ReadWith(file, s)
+		return ReadWithSettings(file, s)
 	}
-	own := good + strings.Replace(class, "2s", "2s\"\ngroup = \"pod\"\nwindow = \"9s", 1) + "[attempts]\nmost = 4\nprobes = false\n"
-	c, err := read(own, "version = 1\n[attempts]\nmost = 6\n"+class)
-	if err != nil || c.Attempts.Most != 6 || c.Attempts.Probes || c.Discovery != "127.0.0.1:8500" || len(c.Classes) != 1 ||
-		c.Classes[0].Window != 0 || c.Classes[0].Group != "" {
+	own := minimalText + strings.Replace(classText, "2s", "2s\"\ngroup = \"pod\"\nwindow = \"9s", 1) + "[attempts]\nmost = 4\nprobes = false\n"
+	c, err := read(own, "version = 1\n[attempts]\nmost = 6\n"+classText)
+	if err != nil || c.Attempts.Max != 6 || c.Attempts.HealthChecks || c.Discovery != "127.0.0.1:8500" || len(c.Classes) != 1 ||
+		c.Classes[0].DedupWindow != 0 || c.Classes[0].Group != "" {
 		t.Errorf("%+v %v", c, err)
 	}
 	if _, err := read(strings.Replace(own, "4", "40", 1), "version = 1\n[attempts]\nprobes = true\n"); err == nil || !strings.HasPrefix(err.Error(), file+":11: attempts.most: 40") {
@@ -64,20 +64,20 @@
 }
 
 func FuzzParseSettings(f *testing.F) {
-	f.Add("version = 1\n[attempts]\nmost = 6\n" + class)
+	f.Add("version = 1\n[attempts]\nmost = 6\n" + classText)
 	f.Add("version = 1\nprices = {cross_zone = 0.5}\nclass = []\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := ParseSettings("s.toml", text)
 		if err != nil {
 			return
 		}
-		c, err := parseWith("x.toml", good+class, s)
+		c, err := parseWithSettings("x.toml", minimalText+classText, s)
 		if err != nil || s.Version < 1 {
 			t.Fatalf("taken alone, and not over a file, or without a version: %v", err)
 		}
-		own, _ := Parse("x.toml", good+class)
+		own, _ := Parse("x.toml", minimalText+classText)
 		for _, k := range Diff(own, c) {
-			for _, one := range ofOne {
+			for _, one := range perAgentKeys {
 				if k == one.key || strings.HasPrefix(k, one.key+".") {
 					t.Errorf("%q sets %s", text, k)
 				}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -38,63 +38,63 @@
 	Listen, Advertise   string   // addresses, UDP and TCP; Advertise may be ""
 	Seeds               []string // addresses
 	Label               string
-	Most                int  // most processes that the fleet has
-	Await               bool // Listen may be held by an older process of this agent
-	Bounds              gossip.Bounds
-	Relayed             bool               // lists come by way of a few members of a site
-	ListRate            float64            // calls a second that the list service is taken to bear at first
-	Matrix              bool               // round trips are measured, and told
-	Incarnations        incarnation.Source // numbers the processes of the name
+	MaxMembers          int  // most processes that the fleet has
+	AwaitAddress        bool // Listen may be held by an older process of this agent
+	AgeBounds           gossip.AgeBounds
+	RelayedLists        bool                  // lists come by way of a few members of a site
+	ListRate            float64               // calls a second that the list service is taken to bear at first
+	MeasureLatency      bool                  // round trips are measured, and told
+	Incarnations        incarnation.Allocator // numbers the processes of the name
 	Log                 *slog.Logger
 	Trace               io.Writer // a line for each fact used or told, and for each part taken; nil: none
 
-	Residency *residency.Holder // nil: none
-	Source    bool              // of the residency policy
-	Settings  *documents.Kind   // that this process holds for others; nil: none
+	Residency    *residency.Holder   // nil: none
+	PolicySource bool                // of the residency policy
+	Settings     *documents.Document // that this process holds for others; nil: none
 
-	Hub   bool         // this process is a hub, and no agent
-	Calls http.Handler // of HTTP on the fleet's address, but for texts and lists; nil: none
+	Hub         bool         // this process is a hub, and no agent
+	HTTPHandler http.Handler // of HTTP on the fleet's address, but for texts and lists; nil: none
 
-	Door  *net.TCPListener // at Listen, if it is held already: the fleet closes it
-	Since time.Time        // when this process began; zero: now
-	Wire  member.Wire      // nil: sockets are used as they are
+	Listener  *net.TCPListener // at Listen, if it is held already: the fleet closes it
+	StartedAt time.Time        // when this process began; zero: now
+	Wire      member.Wire      // nil: sockets are used as they are
 }
 
-// Told is what a fleet tells its agent, by tasks of its own. Each must not wait.
-type Told struct {
-	Part      func(part float64)                         // of the fleet's in-flight limit, from 0 to 1
-	Distances func(trip []time.Duration, loss []float64) // from this site to each zone; 0: not known, the loss too
+// Callbacks is what a fleet tells its agent, by tasks of its own. Each must not wait.
+type Callbacks struct {
+	Quota     func(part float64)                         // of the fleet's in-flight limit, from 0 to 1
+	Latencies func(trip []time.Duration, loss []float64) // from this site to each zone; 0: not known, the loss too
 }
 
 // Fleet is a process's place in its fleet. It must be run.
 type Fleet struct {
-	cfg    Config
-	told   Told
-	zones  []string
-	facts  *gossip.Store
-	list   *member.List
-	prober *latency.Prober
-	pacer  *startup.Pacer
-	relay  *relay
-	turn   chan struct{} // who is there has changed, at most one waiting
-	born   time.Time
-	gossip atomic.Int64 // bytes
-	texts  []shared
+	cfg         Config
+	callbacks   Callbacks
+	zones       []string
+	store       *gossip.Store
+	members     *member.List
+	prober      *latency.Prober
+	pacer       *startup.Pacer
+	relay       *relay
+	changed     chan struct{} // who is there has changed, at most one waiting
+	startedAt   time.Time
+	gossipBytes atomic.Int64 // bytes
+	documents   []sharedDocument
 
-	mu      sync.Mutex
-	met     time.Time // when anyone was first met
-	part    float64
-	trips   []time.Duration
-	losses  []float64
-	matrix  latency.Matrix
-	madeOf  *member.View // the matrix was, and of facts that have changed so often
-	changes uint64
-	made    int
-	ready   bool
+	mu            sync.Mutex
+	peersMetAt    time.Time // when anyone was first met
+	quota         float64
+	rtts          []time.Duration
+	lossRates     []float64
+	matrix        latency.Matrix
+	matrixView    *member.View // the matrix was, and of facts that have changed so often
+	matrixChanges uint64
+	matrixBuilds  int
+	ready         bool
 }
 
 // New listens. zones are the sites, in the order in which the module counts them.
-func New(cfg Config, zones []string, told Told) (*Fleet, error) {
+func New(cfg Config, zones []string, callbacks Callbacks) (*Fleet, error) {
 	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
@@ -105,66 +105,66 @@
 			return nil, fmt.Errorf("fleet.advertise: %w", err)
 		}
 	}
-	if cfg.Bounds == nil {
-		cfg.Bounds = gossip.DefaultBounds
+	if cfg.AgeBounds == nil {
+		cfg.AgeBounds = gossip.DefaultAgeBounds
 	}
-	if cfg.Calls == nil {
-		cfg.Calls = http.NotFoundHandler()
+	if cfg.HTTPHandler == nil {
+		cfg.HTTPHandler = http.NotFoundHandler()
 	}
-	f := &Fleet{cfg: cfg, texts: cfg.shared(), told: told, zones: zones, turn: make(chan struct{}, 1), born: cmp.Or(cfg.Since, time.Now()), part: -1}
-	number := cfg.Incarnations.Next()
-	f.facts = gossip.New(cfg.Name, number, cfg.Bounds, f.traceUse)
+	f := &Fleet{cfg: cfg, documents: cfg.sharedDocuments(), callbacks: callbacks, zones: zones, changed: make(chan struct{}, 1), startedAt: cmp.Or(cfg.StartedAt, time.Now()), quota: -1}
+	processNumber := cfg.Incarnations.Next()
+	f.store = gossip.New(cfg.Name, processNumber, cfg.AgeBounds, f.traceUse)
 	f.relay = newRelay(f)
-	f.list, err = member.New(member.Config{Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label, Most: cfg.Most, Await: cfg.Await, Door: cfg.Door,
-		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Started: number, Hub: cfg.Hub}, Log: cfg.Log,
-		Hear: func(data []byte) {
-			if err := f.facts.Hear(data); err != nil {
+	f.members, err = member.New(member.Config{Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label, MaxMembers: cfg.MaxMembers, AwaitAddress: cfg.AwaitAddress, Listener: cfg.Listener,
+		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: processNumber, Hub: cfg.Hub}, Log: cfg.Log,
+		Merge: func(data []byte) {
+			if err := f.store.Merge(data); err != nil {
 				cfg.Log.Debug("a message of the fleet makes no sense", "error", err)
 			}
 		},
-		Gossip: func(limit, members int) []byte {
-			data := f.facts.Gossip(limit, members)
-			f.gossip.Add(int64(len(data)))
+		NextMessage: func(limit, members int) []byte {
+			data := f.store.NextMessage(limit, members)
+			f.gossipBytes.Add(int64(len(data)))
 			return data
 		},
-		Trip: f.facts.Trip,
-		Turn: func() {
+		ObserveRTT: f.store.ObserveRTT,
+		Changed: func() {
 			select {
-			case f.turn <- struct{}{}:
+			case f.changed <- struct{}{}:
 			default:
 			}
 		},
-		Probe: func(data []byte, from netip.AddrPort, at time.Time) { f.prober.Heard(data, from, at) },
-		Call:  f.relay.serve,
-		Wire:  cfg.Wire,
+		HandleProbe: func(data []byte, from netip.AddrPort, at time.Time) { f.prober.HandleDatagram(data, from, at) },
+		ServeConn:   f.relay.serveConn,
+		Wire:        cfg.Wire,
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.prober = latency.New(latency.Config{Self: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.list.View, Write: f.list.Write, Facts: f.facts})
-	f.pacer = startup.New(startup.Config{Rate: cfg.ListRate, Met: func() bool { return f.list.Met() > 0 }, Facts: f.facts})
+	f.prober = latency.New(latency.Config{Name: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.members.View, Send: f.members.SendProbe, Store: f.store})
+	f.pacer = startup.New(startup.Config{Rate: cfg.ListRate, HasPeers: func() bool { return f.members.PeersMet() > 0 }, Store: f.store})
 	return f, nil
 }
 
 // Addr is where others reach this process.
-func (f *Fleet) Addr() string { return f.list.Addr().String() }
+func (f *Fleet) Addr() string { return f.members.Addr().String() }
 
 // Run stays in the fleet until ctx ends.
 func (f *Fleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	tasks.Go(func() { f.tick(ctx) })
-	tasks.Go(func() { f.bury(ctx) })
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	tasks.Go(func() { f.runLoop(ctx) })
+	tasks.Go(func() { f.detectDead(ctx) })
 	tasks.Go(func() { f.relay.run(ctx) })
-	if f.cfg.Matrix {
+	if f.cfg.MeasureLatency {
 		tasks.Go(func() { f.prober.Run(ctx) })
 	}
-	if len(f.texts) > 0 {
-		tasks.Go(func() { f.shareTexts(ctx) })
+	if len(f.documents) > 0 {
+		tasks.Go(func() { f.shareDocuments(ctx) })
 	}
-	err := f.list.Run(ctx)
+	err := f.members.Run(ctx)
 	if ctx.Err() == nil && err == nil { // it left for another with its name
 		<-ctx.Done()
 	}
@@ -174,90 +174,90 @@
 // Ready tells the others that this process has a list, and serves.
 func (f *Fleet) Ready() {
 	f.mu.Lock()
-	was := f.ready
+	before := f.ready
 	f.ready = true
 	f.mu.Unlock()
-	if !was {
-		f.list.Reached(member.Serving)
-		f.cfg.Log.Info("start", "step", "serving", "members", f.list.View().Len(), "took", time.Since(f.born))
+	if !before {
+		f.members.SetPhase(member.Serving)
+		f.cfg.Log.Info("start", "step", "serving", "members", f.members.View().Len(), "took", time.Since(f.startedAt))
 	}
 }
 
-// starters counts who is seen to start, this process included.
-func (f *Fleet) starters() int { return max(1, f.list.View().Starting()) }
+// startingAgents counts who is seen to start, this process included.
+func (f *Fleet) startingAgents() int { return max(1, f.members.View().StartingCount()) }
 
-const summaryEvery = 10 * time.Second
+const summaryInterval = 10 * time.Second
 
-// tick keeps ages, and what follows from who is there and what is known.
-func (f *Fleet) tick(ctx context.Context) {
-	tick := time.NewTicker(gossip.TickEvery)
+// runLoop keeps ages, and what follows from who is there and what is known.
+func (f *Fleet) runLoop(ctx context.Context) {
+	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
-	summary := time.NewTicker(summaryEvery)
+	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	past := time.NewTimer(0) // a row may have gone past its bound: no matrix that rests on it stands for another tick
-	defer past.Stop()
+	rowExpiry := time.NewTimer(0) // a row may have gone past its bound: no matrix that rests on it stands for another tick
+	defer rowExpiry.Stop()
 	for n := 0; ; n++ {
 		due := n%2 == 0
 		select {
 		case <-ctx.Done():
 			return
 		case <-summary.C:
-			f.summarize()
-		case <-f.turn:
+			f.logSummary()
+		case <-f.changed:
 		case <-tick.C:
-		case <-past.C:
+		case <-rowExpiry.C:
 			due = true
 		}
-		f.facts.Tick()
-		f.reckon()
-		if f.cfg.Matrix && due {
-			f.measure()
-			_, until := f.facts.Changes(gossip.Distance)
-			past.Reset(max(time.Millisecond, time.Until(until)))
+		f.store.Tick()
+		f.recomputeQuota()
+		if f.cfg.MeasureLatency && due {
+			f.publishLatencies()
+			_, until := f.store.Changes(gossip.LatencyRow)
+			rowExpiry.Reset(max(time.Millisecond, time.Until(until)))
 		}
 	}
 }
 
-// measure tells the agent how far the sites are, where that has changed. The matrix stands until a row says something
+// publishLatencies tells the agent how far the sites are, where that has changed. The matrix stands until a row says something
 // else or goes past its bound, or who is there changes.
-func (f *Fleet) measure() {
-	changes, _ := f.facts.Changes(gossip.Distance)
-	view := f.list.View()
+func (f *Fleet) publishLatencies() {
+	changes, _ := f.store.Changes(gossip.LatencyRow)
+	view := f.members.View()
 	f.mu.Lock()
-	stands, m := f.madeOf == view && f.changes == changes, f.matrix
+	upToDate, matrix := f.matrixView == view && f.matrixChanges == changes, f.matrix
 	f.mu.Unlock()
-	var rows []gossip.Fact
-	if !stands || f.cfg.Trace != nil { // a matrix that stands is a use of its rows, which a trace has to show
-		rows = f.facts.Now(gossip.Distance)
+	var rows []gossip.Entry
+	if !upToDate || f.cfg.Trace != nil { // a matrix that stands is a use of its rows, which a trace has to show
+		rows = f.store.Entries(gossip.LatencyRow)
 	}
 	if f.cfg.Trace != nil {
-		defer func() { f.trace(map[string]any{"matrix": matrixLine(m)}) }()
+		defer func() { f.trace(map[string]any{"matrix": matrixLine(matrix)}) }()
 	}
-	if stands {
+	if upToDate {
 		return
 	}
-	m = latency.Make(rows, view)
-	trips, losses := make([]time.Duration, len(f.zones)), make([]float64, len(f.zones))
+	matrix = latency.NewMatrix(rows, view)
+	rtts, lossRates := make([]time.Duration, len(f.zones)), make([]float64, len(f.zones))
 	for i, zone := range f.zones {
-		if e, known := m.Of(f.cfg.Site, zone); known {
-			trips[i], losses[i] = e.Trip, e.Loss
+		if e, known := matrix.Between(f.cfg.Site, zone); known {
+			rtts[i], lossRates[i] = e.RTT, e.Loss
 		}
 	}
 	f.mu.Lock()
-	f.matrix, f.madeOf, f.changes = m, view, changes
-	f.made++
-	same := slices.Equal(trips, f.trips) && slices.Equal(losses, f.losses)
-	f.trips, f.losses = trips, losses
+	f.matrix, f.matrixView, f.matrixChanges = matrix, view, changes
+	f.matrixBuilds++
+	unchanged := slices.Equal(rtts, f.rtts) && slices.Equal(lossRates, f.lossRates)
+	f.rtts, f.lossRates = rtts, lossRates
 	f.mu.Unlock()
-	if !same && f.told.Distances != nil {
-		f.told.Distances(trips, losses)
+	if !unchanged && f.callbacks.Latencies != nil {
+		f.callbacks.Latencies(rtts, lossRates)
 	}
 }
 
-func matrixLine(m latency.Matrix) map[string]float64 {
+func matrixLine(matrix latency.Matrix) map[string]float64 {
 	line := map[string]float64{}
-	for p, e := range m {
-		line[p.A+" "+p.B] = float64(e.Trip.Microseconds())
+	for p, e := range matrix {
+		line[p.A+" "+p.B] = float64(e.RTT.Microseconds())
 	}
 	return line
 }
@@ -265,57 +265,57 @@
 const (
 	// A starter takes a tenth of an even part until it can be sure that nobody uses its own: it has met others, who by
 	// then would have told that it counts as gone, or it has waited for as long as such a word holds.
-	thin       = 0.1
-	metFor     = 500 * time.Millisecond
-	buryEvery  = time.Second
-	buryWithin = 600 * time.Millisecond
-	buriers    = 2 // members that see to whether a failed one is dead
+	startupQuotaFactor = 0.1
+	peersMetPeriod     = 500 * time.Millisecond
+	deadCheckInterval  = time.Second
+	deadCheckTimeout   = 600 * time.Millisecond
+	deadCheckers       = 2 // members that see to whether a failed one is dead
 )
 
-// reckon reckons this process's part of the in-flight limit. An even part belongs to each process that the fleet may
+// recomputeQuota reckons this process's part of the in-flight limit. An even part belongs to each process that the fleet may
 // have, except those that are dead for certain: of these the others use it while a word no older than its bound says so.
 // Who is merely not heard keeps its part: it may be alive beyond a cut. So the sum of all parts stays within the limit.
-func (f *Fleet) reckon() {
-	view := f.list.View()
-	gone, me := map[string]bool{}, false
-	for _, g := range f.facts.Now(gossip.Gone) {
+func (f *Fleet) recomputeQuota() {
+	view := f.members.View()
+	dead, selfReportedDead := map[string]bool{}, false
+	for _, entry := range f.store.Entries(gossip.DeadProcesses) {
 		var names []string
-		if cbor.Unmarshal(g.Body, &names) != nil {
+		if cbor.Unmarshal(entry.Body, &names) != nil {
 			continue
 		}
 		for _, name := range names {
 			if name == f.cfg.Name {
-				me = true
-			} else if _, alive := view.Named(name); !alive && !f.list.WasHub(name) {
-				gone[name] = true
+				selfReportedDead = true
+			} else if _, alive := view.ByName(name); !alive && !f.members.WasHub(name) {
+				dead[name] = true
 			}
 		}
 	}
 	now := time.Now()
 	f.mu.Lock()
-	if f.met.IsZero() && f.list.Met() > 0 {
-		f.met = now
+	if f.peersMetAt.IsZero() && f.members.PeersMet() > 0 {
+		f.peersMetAt = now
 	}
-	sure := now.Sub(f.born) >= f.cfg.Bounds[gossip.Gone] || !f.met.IsZero() && now.Sub(f.met) >= metFor && !me
-	part := thin / float64(f.cfg.Most)
-	if sure {
-		part = 1 / float64(max(1, view.Agents(), f.cfg.Most-len(gone)))
+	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] || !f.peersMetAt.IsZero() && now.Sub(f.peersMetAt) >= peersMetPeriod && !selfReportedDead
+	quota := startupQuotaFactor / float64(f.cfg.MaxMembers)
+	if quotaConfirmed {
+		quota = 1 / float64(max(1, view.AgentCount(), f.cfg.MaxMembers-len(dead)))
 	}
-	same := part == f.part
-	f.part = part
+	unchanged := quota == f.quota
+	f.quota = quota
 	f.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
-	f.trace(map[string]any{"part": part})
-	if f.told.Part != nil {
-		f.told.Part(part)
+	f.trace(map[string]any{"part": quota})
+	if f.callbacks.Quota != nil {
+		f.callbacks.Quota(quota)
 	}
 }
 
-// bury sees to it that members that failed and whose machine refuses connections are told to be gone.
-func (f *Fleet) bury(ctx context.Context) {
-	tick := time.NewTicker(buryEvery)
+// detectDead sees to it that members that failed and whose machine refuses connections are told to be gone.
+func (f *Fleet) detectDead(ctx context.Context) {
+	tick := time.NewTicker(deadCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -323,15 +323,15 @@
 			return
 		case <-tick.C:
 		}
-		doomed := f.list.Doomed(buriers)
-		dead := make([]bool, len(doomed))
+		failed := f.members.FailedToCheck(deadCheckers)
+		dead := make([]bool, len(failed))
 		var calls sync.WaitGroup
-		for i, m := range doomed {
-			calls.Go(func() { dead[i] = f.list.Dead(ctx, m, buryWithin) })
+		for i, m := range failed {
+			calls.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
 		}
 		calls.Wait()
 		var names []string
-		for i, m := range doomed {
+		for i, m := range failed {
 			if dead[i] && !m.Hub { // a hub has no part that others could use
 				names = append(names, m.Name)
 			}
@@ -341,20 +341,20 @@
 			if err != nil {
 				panic(err) // they are names alone
 			}
-			f.facts.Tell(gossip.Gone, strconv.Itoa(i), body)
+			f.store.Publish(gossip.DeadProcesses, strconv.Itoa(i), body)
 		}
 	}
 }
 
-func (f *Fleet) summarize() {
-	st := f.facts.Stats()
+func (f *Fleet) logSummary() {
+	stats := f.store.Stats()
 	f.mu.Lock()
-	part := f.part
+	quota := f.quota
 	f.mu.Unlock()
-	args := []any{"members", f.list.View().Len(), "part", part, "facts", st.Held, "malformed", st.Malformed, "stops", st.Stops, "bytes", f.gossip.Swap(0)}
-	for kind, k := range st.Kinds {
-		if k.Used > 0 || k.Refused > 0 {
-			args = append(args, kind, k.String())
+	args := []any{"members", f.members.View().Len(), "part", quota, "facts", stats.Entries, "malformed", stats.Malformed, "stops", stats.Stops, "bytes", f.gossipBytes.Swap(0)}
+	for kind, kindStats := range stats.Kinds {
+		if kindStats.Used > 0 || kindStats.Rejected > 0 {
+			args = append(args, kind, kindStats.String())
 		}
 	}
 	f.cfg.Log.Info("fleet", args...)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,29 +22,29 @@
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 var zones = []string{"a", "b"}
 
-// one is a process's place in a fleet, run in this process over loopback sockets.
-type one struct {
+// testProcess is a process's place in a fleet, run in this process over loopback sockets.
+type testProcess struct {
 	*Fleet
-	end   context.CancelFunc
-	ended chan struct{}
-	mu    sync.Mutex
-	parts []float64
-	log   bytes.Buffer
+	cancel context.CancelFunc
+	done   chan struct{}
+	mu     sync.Mutex
+	quotas []float64
+	log    bytes.Buffer
 }
 
-func (o *one) Write(p []byte) (int, error) {
+func (o *testProcess) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.log.Write(p)
 }
 
-func begin(t *testing.T, c Config, seeds ...*one) *one {
+func startProcess(t *testing.T, c Config, seeds ...*testProcess) *testProcess {
 	t.Helper()
-	o := &one{ended: make(chan struct{})}
+	o := &testProcess{done: make(chan struct{})}
 	if c.Listen == "" {
 		c.Listen = "127.0.0.1:0"
 	}
@@ -56,50 +56,50 @@
 	}
 	c.Log, c.ListRate = slog.New(slog.NewTextHandler(o, nil)), 50
 	var err error
-	if o.Fleet, err = New(c, zones, Told{Part: func(p float64) { o.mu.Lock(); defer o.mu.Unlock(); o.parts = append(o.parts, p) }}); err != nil {
+	if o.Fleet, err = New(c, zones, Callbacks{Quota: func(p float64) { o.mu.Lock(); defer o.mu.Unlock(); o.quotas = append(o.quotas, p) }}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	o.end = cancel
+	o.cancel = cancel
 	go func() {
-		defer close(o.ended)
+		defer close(o.done)
 		if err := o.Run(ctx); err != nil {
 			t.Log(err)
 		}
 	}()
-	t.Cleanup(func() { cancel(); <-o.ended })
+	t.Cleanup(func() { cancel(); <-o.done })
 	return o
 }
 
-func (o *one) part() float64 {
+func (o *testProcess) lastQuota() float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.parts) == 0 {
+	if len(o.quotas) == 0 {
 		return -1
 	}
-	return o.parts[len(o.parts)-1]
+	return o.quotas[len(o.quotas)-1]
 }
 
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s did not come", what)
 		}
 	}
 }
 
-func fleetOf(t *testing.T, n, most int, tune func(i int, c *Config)) (list []*one) {
+func startFleet(t *testing.T, n, maxMembers int, tune func(i int, c *Config)) (list []*testProcess) {
 	for i := range n {
-		c := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], Most: most, Matrix: true}
+		c := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], MaxMembers: maxMembers, MeasureLatency: true}
 		if tune != nil {
 			tune(i, &c)
 		}
-		list = append(list, begin(t, c, list[:min(i, 1)]...))
+		list = append(list, startProcess(t, c, list[:min(i, 1)]...))
 	}
 	waitFor(t, "the fleet", func() bool {
 		for _, o := range list {
-			if o.list.View().Len() != n {
+			if o.members.View().Len() != n {
 				return false
 			}
 		}
@@ -110,48 +110,48 @@
 
 // Members meet, share what they measure, and each takes an even part; who says goodbye and who dies without is told apart,
 // and what is certainly dead has its part taken by the others until it is back.
-func TestMembersAndParts(t *testing.T) {
+func TestQuotaFollowsMembership(t *testing.T) {
 	t.Parallel()
-	list := fleetOf(t, 4, 4, nil)
+	list := startFleet(t, 4, 4, nil)
 	for _, o := range list {
-		waitFor(t, "an even part", func() bool { return o.part() == 0.25 })
+		waitFor(t, "an even part", func() bool { return o.lastQuota() == 0.25 })
 	}
 	waitFor(t, "round trips", func() bool {
 		f := list[0].Fleet
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		e, known := f.matrix.Of("a", "b")
-		return known && e.Trip > 0 && e.Trip < 100*time.Millisecond
+		e, known := f.matrix.Between("a", "b")
+		return known && e.RTT > 0 && e.RTT < 100*time.Millisecond
 	})
 	dead := list[3]
 	addr := dead.Addr()
 	// As a kill ends it: its sockets close and nobody is told.
-	if err := dead.list.Abort(); err != nil {
+	if err := dead.members.Abort(); err != nil {
 		t.Fatal(err)
 	}
 	for _, o := range list[:3] {
-		waitFor(t, "the dead one's part", func() bool { return o.part() == 1./3 })
+		waitFor(t, "the dead one's part", func() bool { return o.lastQuota() == 1./3 })
 	}
-	again := begin(t, Config{Name: "n3", Site: "b", Most: 4, Listen: addr}, list[0])
-	waitFor(t, "its part", func() bool { return again.part() == 0.25 })
+	again := startProcess(t, Config{Name: "n3", Site: "b", MaxMembers: 4, Listen: addr}, list[0])
+	waitFor(t, "its part", func() bool { return again.lastQuota() == 0.25 })
 	for _, o := range list[:3] {
-		waitFor(t, "its part given back", func() bool { return o.part() == 0.25 })
+		waitFor(t, "its part given back", func() bool { return o.lastQuota() == 0.25 })
 	}
-	if first := again.parts[0]; first != thin/4 {
+	if first := again.quotas[0]; first != startupQuotaFactor/4 {
 		t.Errorf("it began with %v of the limit", first)
 	}
 }
 
 // A matrix stands until a row says something else or goes past its bound; meanwhile each look at it is a use in the trace,
 // within the bound.
-func TestMatrixStands(t *testing.T) {
+func TestMatrixIsRebuiltOnlyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var trace bytes.Buffer
-		f, err := New(Config{Name: "x", Site: "a", Most: 1, Listen: "127.0.0.1:0", Matrix: true, Trace: &trace, Log: slog.New(slog.DiscardHandler)}, zones, Told{})
+		f, err := New(Config{Name: "x", Site: "a", MaxMembers: 1, Listen: "127.0.0.1:0", MeasureLatency: true, Trace: &trace, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.list.Abort()
+		defer f.members.Abort()
 		row := func(us int) []byte {
 			type entry struct {
 				Site   string `cbor:"1,keyasint"`
@@ -163,16 +163,16 @@
 		}
 		for i, step := range []struct{ us, made, known int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
 			if step.us > 0 {
-				f.facts.Tell(gossip.Distance, "a", row(step.us))
+				f.store.Publish(gossip.LatencyRow, "a", row(step.us))
 			}
 			for n := 0; n < 12 || step.us == 0 && n < 40; n++ {
-				time.Sleep(gossip.TickEvery)
+				time.Sleep(gossip.TickInterval)
 				trace.Reset()
-				f.facts.Tick()
-				f.measure()
+				f.store.Tick()
+				f.publishLatencies()
 				for line := range bytes.Lines(trace.Bytes()) {
 					var use struct{ Age int64 }
-					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultBounds[gossip.Distance] {
+					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultAgeBounds[gossip.LatencyRow] {
 						t.Errorf("step %d: %s", i, line)
 					}
 				}
@@ -180,12 +180,12 @@
 					t.Errorf("step %d: %d uses of a matrix of %d", i, uses, len(f.matrix))
 				}
 			}
-			if f.made != step.made || len(f.matrix) != step.known {
-				t.Errorf("step %d: made %d times, %d pairs", i, f.made, len(f.matrix))
+			if f.matrixBuilds != step.made || len(f.matrix) != step.known {
+				t.Errorf("step %d: made %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
 			}
 		}
 		f.cfg.Trace = nil
-		if n := testing.AllocsPerRun(10, f.measure); n > 0 {
+		if n := testing.AllocsPerRun(10, f.publishLatencies); n > 0 {
 			t.Errorf("%v allocations while nothing changes", n)
 		}
 	})
@@ -193,24 +193,24 @@
 
 // A process that is met by nobody serves with its even part once nobody can use that any more, and a fleet of another label
 // is another fleet.
-func TestAlone(t *testing.T) {
+func TestLoneProcessGetsItsEvenQuota(t *testing.T) {
 	t.Parallel()
-	a := begin(t, Config{Name: "x", Site: "a", Most: 5, Label: "one"})
-	b := begin(t, Config{Name: "y", Site: "a", Most: 5, Label: "two"}, a)
-	for _, o := range []*one{a, b} {
-		waitFor(t, "an even part", func() bool { return o.part() == 0.2 })
-		if o.list.View().Len() != 1 {
+	a := startProcess(t, Config{Name: "x", Site: "a", MaxMembers: 5, Label: "one"})
+	b := startProcess(t, Config{Name: "y", Site: "a", MaxMembers: 5, Label: "two"}, a)
+	for _, o := range []*testProcess{a, b} {
+		waitFor(t, "an even part", func() bool { return o.lastQuota() == 0.2 })
+		if o.members.View().Len() != 1 {
 			t.Error("two labels have met")
 		}
 	}
 }
 
 // Of two processes with one name, one leaves with an error, and both serve.
-func TestOneNameTwice(t *testing.T) {
+func TestOneOfTwoProcessesWithOneNameLeaves(t *testing.T) {
 	t.Parallel()
-	list := fleetOf(t, 2, 3, nil)
-	twin := begin(t, Config{Name: "n1", Site: "a", Most: 3}, list[0])
-	says := func(o *one) bool {
+	list := startFleet(t, 2, 3, nil)
+	twin := startProcess(t, Config{Name: "n1", Site: "a", MaxMembers: 3}, list[0])
+	says := func(o *testProcess) bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return bytes.Contains(o.log.Bytes(), []byte("leaves the fleet"))
@@ -223,14 +223,14 @@
 
 // A relay hands the service's list on: whole to a newcomer, changes to who follows, nothing that is old or that it has by
 // another relay; and who is no relay asks one first, and the service when no relay answers.
-func TestRelays(t *testing.T) {
+func TestRelayForwardsTheServicesList(t *testing.T) {
 	t.Parallel()
-	list := fleetOf(t, 3, 3, func(_ int, c *Config) { c.Site, c.Relayed = "a", true })
-	relays := list[0].relays()
+	list := startFleet(t, 3, 3, func(_ int, c *Config) { c.Site, c.RelayedLists = "a", true })
+	relays := list[0].relayMembers()
 	if len(relays) != 1 {
 		t.Fatalf("%d relays", len(relays))
 	}
-	var relay, other *one
+	var relay, other *testProcess
 	for _, o := range list {
 		if o.cfg.Name == relays[0].Name {
 			relay = o
@@ -238,7 +238,7 @@
 			other = o
 		}
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	if s, ok := relay.Next(ctx, 0); !ok || s.Relayed {
 		t.Errorf("the relay asks %+v", s)
@@ -247,7 +247,7 @@
 	if !ok || !s.Relayed || s.Addr != relay.Addr() {
 		t.Fatalf("another asks %+v", s)
 	}
-	if s, ok := other.Next(ctx, relayTries); !ok || s.Relayed {
+	if s, ok := other.Next(ctx, maxRelayAttempts); !ok || s.Relayed {
 		t.Errorf("after its tries another asks %+v", s)
 	}
 	ask := func(since int) (*json.Decoder, func()) {
@@ -281,16 +281,16 @@
 		}
 		return m
 	}
-	relay.Heard(source.Source{})
-	relay.Listed(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
-	relay.Listed(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
+	relay.RecordLiveness(source.Source{})
+	relay.RecordUpdate(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
+	relay.RecordUpdate(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
 	d, end := ask(0)
 	defer end()
 	if m := version(d); m.Version != 7 || !m.Full {
 		t.Errorf("%+v", m)
 	}
-	relay.Heard(source.Source{})
-	relay.Listed(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
+	relay.RecordLiveness(source.Source{})
+	relay.RecordUpdate(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
 	if m := version(d); m.Version != 8 || m.Full {
 		t.Errorf("%+v", m)
 	}
@@ -304,21 +304,21 @@
 }
 
 // A policy given to one source comes to all, a higher version replaces it, and two under one number hold together.
-func TestPolicyGoesRound(t *testing.T) {
+func TestPolicyReachesAllMembers(t *testing.T) {
 	t.Parallel()
 	text := func(version int, region string) string {
 		return fmt.Sprintf("version = %d\n[regions]\nx = [\"a\"]\ny = [\"b\"]\n[others]\npermitted = [%s]\n", version, region)
 	}
 	holders := map[int]*residency.Holder{}
-	list := fleetOf(t, 3, 3, func(i int, c *Config) {
-		c.Source = i < 2
-		holders[i] = residency.NewHolder(zones, time.Minute, c.Source, slog.New(slog.DiscardHandler), nil)
+	list := startFleet(t, 3, 3, func(i int, c *Config) {
+		c.PolicySource = i < 2
+		holders[i] = residency.NewHolder(zones, time.Minute, c.PolicySource, slog.New(slog.DiscardHandler), nil)
 		c.Residency = holders[i]
 	})
 	holds := func(a, b bool) func() bool {
 		return func() bool {
 			for i := range list {
-				rule := holders[i].Rule("t", "c")
+				rule := holders[i].RuleID("t", "c")
 				if table := holders[i].Table(); table.Permits(rule, 0) != a || table.Permits(rule, 1) != b {
 					return false
 				}
@@ -327,7 +327,7 @@
 		}
 	}
 	give := func(i, version int, region string) {
-		if err := holders[i].Take(int64(version), text(version, region)); err != nil {
+		if err := holders[i].Apply(int64(version), text(version, region)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -343,26 +343,26 @@
 }
 
 // Two processes of one agent stand side by side while the platform replaces one: the younger waits for the address.
-func TestAddressIsTakenOver(t *testing.T) {
+func TestYoungerProcessTakesOverTheAddress(t *testing.T) {
 	t.Parallel()
-	list := fleetOf(t, 2, 2, nil)
+	list := startFleet(t, 2, 2, nil)
 	held := list[1].Addr()
-	if _, err := New(Config{Name: "n1", Listen: held, Most: 2, Log: slog.New(slog.DiscardHandler)}, zones, Told{}); err == nil {
+	if _, err := New(Config{Name: "n1", Listen: held, MaxMembers: 2, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{}); err == nil {
 		t.Error("an address that is taken is no error")
 	}
-	next := begin(t, Config{Name: "n1", Site: "b", Most: 2, Listen: held, Await: true}, list[0])
-	if _, err := next.list.Write([]byte("x"), list[0].list.Addr()); err == nil {
+	next := startProcess(t, Config{Name: "n1", Site: "b", MaxMembers: 2, Listen: held, AwaitAddress: true}, list[0])
+	if _, err := next.members.SendProbe([]byte("x"), list[0].members.Addr()); err == nil {
 		t.Error("it speaks without an address")
 	}
-	list[1].end()
-	<-list[1].ended
-	waitFor(t, "the younger process", func() bool { return next.list.View().Len() == 2 && list[0].list.View().Len() == 2 })
+	list[1].cancel()
+	<-list[1].done
+	waitFor(t, "the younger process", func() bool { return next.members.View().Len() == 2 && list[0].members.View().Len() == 2 })
 }
 
 // What comes to the fleet's address and makes no sense harms nothing.
-func TestNonsense(t *testing.T) {
+func TestMalformedInputIsHarmless(t *testing.T) {
 	t.Parallel()
-	list := fleetOf(t, 2, 2, nil)
+	list := startFleet(t, 2, 2, nil)
 	c, err := net.Dial("udp", list[0].Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -377,9 +377,9 @@
 			s.Close()
 		}
 	}
-	list[0].facts.Tell(gossip.Service, "x", nil)
-	waitFor(t, "a fact at the other", func() bool { return len(list[1].facts.Now(gossip.Service)) > 0 })
-	if list[1].list.View().Len() != 2 || list[0].list.View().At(0).Phase != member.Starting {
+	list[0].store.Publish(gossip.ListServiceLoad, "x", nil)
+	waitFor(t, "a fact at the other", func() bool { return len(list[1].store.Entries(gossip.ListServiceLoad)) > 0 })
+	if list[1].members.View().Len() != 2 || list[0].members.View().At(0).Phase != member.Starting {
 		t.Error("a member is lost")
 	}
 }
--- a/internal/fleet/gossip/export_test.go
+++ b/internal/fleet/gossip/export_test.go
@@ -2,4 +2,4 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-func decoderTest(v any) ([]byte, error) { return cbor.Marshal(v) }
+func marshalCBOR(v any) ([]byte, error) { return cbor.Marshal(v) }
--- a/internal/fleet/gossip/trace.go
+++ b/internal/fleet/gossip/trace.go
@@ -11,19 +11,19 @@
 // Trace writes a line for each fact used or told, and what else is to be checked from outside, with the time since the machine's start.
 type Trace struct{ W io.Writer } // nil: none
 
-var traces sync.Mutex
+var traceMu sync.Mutex
 
 // Use writes a fact's use, or that it was told.
 func (t Trace) Use(u Use) {
 	if t.W == nil {
 		return
 	}
-	what := "use"
-	if u.Told {
-		what = "tell"
+	event := "use"
+	if u.Published {
+		event = "tell"
 	}
-	t.Line(map[string]any{"what": what, "kind": u.Kind.String(), "observer": u.Observer, "subject": u.Subject,
-		"incarnation": u.Incarnation, "seq": u.Seq, "age": u.Now.Microseconds()})
+	t.Line(map[string]any{"what": event, "kind": u.Kind.String(), "observer": u.Observer, "subject": u.Subject,
+		"incarnation": u.Incarnation, "seq": u.Seq, "age": u.AgeAtUse.Microseconds()})
 }
 
 // Line writes a line of names and numbers.
@@ -36,7 +36,7 @@
 	if err != nil {
 		panic(err) // it holds names and numbers alone
 	}
-	traces.Lock()
-	defer traces.Unlock()
+	traceMu.Lock()
+	defer traceMu.Unlock()
 	_, _ = t.W.Write(append(data, '\n'))
 }
--- a/internal/fleet/gossip/transit.go
+++ b/internal/fleet/gossip/transit.go
@@ -7,68 +7,68 @@
 // of them are, which can't change but by drift. A message that lay in a queue, or in the buffer of a process that was
 // stopped, shows by that.
 type transit struct {
-	from  map[string]*offset
-	trips map[string]time.Duration // round trips, the latest measured
+	senders map[string]*clockOffset
+	rtts    map[string]time.Duration // round trips, the latest measured
 }
 
-type offset struct {
-	incarnation    uint64
-	least, before  time.Duration // of this span and the one before it
-	began, touched time.Time
-	known          bool // before holds
+type clockOffset struct {
+	incarnation                     uint64
+	min, previousMin                time.Duration // of this span and the one before it
+	windowStartedAt, lastReceivedAt time.Time
+	hasPrevious                     bool // before holds
 }
 
 const (
-	driftSpan  = time.Minute // clocks drift by less than 10 ms in it
-	mostSender = 4096
-	someTrip   = 250 * time.Millisecond // to a sender to which none was measured, at least
+	driftWindow = time.Minute // clocks drift by less than 10 ms in it
+	maxSenders  = 4096
+	defaultRTT  = 250 * time.Millisecond // to a sender to which none was measured, at least
 )
 
-// trip is a round trip to a sender; where none was measured, the longest to anyone.
-func (t *transit) trip(sender string) time.Duration {
-	if d, measured := t.trips[sender]; measured {
+// rtt is a round trip to a sender; where none was measured, the longest to anyone.
+func (t *transit) rtt(sender string) time.Duration {
+	if d, measured := t.rtts[sender]; measured {
 		return d
 	}
-	longest := someTrip
-	for _, d := range t.trips {
+	longest := defaultRTT
+	for _, d := range t.rtts {
 		longest = max(longest, d)
 	}
 	return longest
 }
 
-// way is the time that a message took at the most: a round trip, and what it took beyond the quickest of its sender's last
+// maxTransit is the time that a message took at the most: a round trip, and what it took beyond the quickest of its sender's last
 // one to two minutes.
-func (t *transit) way(m *Message, now time.Time, local time.Duration) time.Duration {
-	apart := local - m.Clock
-	o := t.from[m.Sender]
+func (t *transit) maxTransit(m *Message, now time.Time, local time.Duration) time.Duration {
+	offset := local - m.Clock
+	o := t.senders[m.Sender]
 	if o == nil || o.incarnation != m.Incarnation {
-		if len(t.from) >= mostSender {
+		if len(t.senders) >= maxSenders {
 			t.evict()
 		}
-		t.from[m.Sender] = &offset{incarnation: m.Incarnation, least: apart, began: now, touched: now}
-		return t.trip(m.Sender)
+		t.senders[m.Sender] = &clockOffset{incarnation: m.Incarnation, min: offset, windowStartedAt: now, lastReceivedAt: now}
+		return t.rtt(m.Sender)
 	}
-	o.touched = now
-	if now.Sub(o.began) > driftSpan {
-		o.before, o.known = o.least, now.Sub(o.began) < 2*driftSpan
-		o.least, o.began = apart, now
+	o.lastReceivedAt = now
+	if now.Sub(o.windowStartedAt) > driftWindow {
+		o.previousMin, o.hasPrevious = o.min, now.Sub(o.windowStartedAt) < 2*driftWindow
+		o.min, o.windowStartedAt = offset, now
 	}
-	o.least = min(o.least, apart)
-	least := o.least
-	if o.known {
-		least = min(least, o.before)
+	o.min = min(o.min, offset)
+	minOffset := o.min
+	if o.hasPrevious {
+		minOffset = min(minOffset, o.previousMin)
 	}
-	return apart - least + t.trip(m.Sender)
+	return offset - minOffset + t.rtt(m.Sender)
 }
 
 // evict forgets the sender that was silent longest.
 func (t *transit) evict() {
 	oldest := ""
-	for name, o := range t.from {
-		if oldest == "" || o.touched.Before(t.from[oldest].touched) {
+	for name, o := range t.senders {
+		if oldest == "" || o.lastReceivedAt.Before(t.senders[oldest].lastReceivedAt) {
 			oldest = name
 		}
 	}
-	delete(t.from, oldest)
-	delete(t.trips, oldest)
+	delete(t.senders, oldest)
+	delete(t.rtts, oldest)
 }
--- a/internal/fleet/hub/behind.go
+++ b/internal/fleet/hub/behind.go
@@ -15,147 +15,147 @@
 )
 
 const (
-	pathSettings = "/fleet/settings"
-	mostShown    = 200 // agents in an answer
-	mostLogged   = 20
-	lateAfter    = 14 * time.Second // without the latest settings
+	pathSettings     = "/fleet/settings"
+	maxReported      = 200 // agents in an answer
+	maxLogged        = 20
+	laggingThreshold = 14 * time.Second // without the latest settings
 )
 
-// Report is which settings are in force in a fleet, and who does not have them.
-type Report struct {
-	Version int64    `json:"version"`
-	Digest  string   `json:"digest"`
-	Agents  int      `json:"agents"`
-	InForce int      `json:"in_force"`
-	Behind  []Behind `json:"behind"`
-	Cut     int      `json:"cut,omitempty"`    // who are behind and not named
-	Silent  []string `json:"silent,omitempty"` // hubs that did not answer
+// SettingsReport is which settings are in force in a fleet, and who does not have them.
+type SettingsReport struct {
+	Version      int64          `json:"version"`
+	Digest       string         `json:"digest"`
+	Agents       int            `json:"agents"`
+	Applied      int            `json:"in_force"`
+	Lagging      []LaggingAgent `json:"behind"`
+	Omitted      int            `json:"cut,omitempty"`    // who are behind and not named
+	Unresponsive []string       `json:"silent,omitempty"` // hubs that did not answer
 }
 
-// Behind is an agent without the latest settings.
-type Behind struct {
+// LaggingAgent is an agent without the latest settings.
+type LaggingAgent struct {
 	Agent   string `json:"agent"`
 	Hub     string `json:"hub"`
 	Version int64  `json:"version"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
-// latest are the settings that this hub holds.
-func (s *Server) latest() (st documents.Standing) {
+// currentSettings are the settings that this hub holds.
+func (s *Server) currentSettings() (state documents.AppliedVersion) {
 	if s.cfg.Settings != nil {
-		st = s.cfg.Settings.State()
+		state = s.cfg.Settings.Applied()
 	}
-	return st
+	return state
 }
 
-// has reports whether an agent that stands so has the settings. Of several texts that have one version the first is in force.
-func has(st documents.Standing, a frame.Standing) bool {
-	return a.Version > st.Version || a.Version == st.Version && (len(st.Digests) == 0 || a.Digest == st.Digests[0])
+// hasApplied reports whether an agent that stands so has the settings. Of several texts that have one version the first is in force.
+func hasApplied(state documents.AppliedVersion, applied frame.AppliedVersion) bool {
+	return applied.Version > state.Version || applied.Version == state.Version && (len(state.Digests) == 0 || applied.Digest == state.Digests[0])
 }
 
-// here is the report on this hub's agents, and on those that are lost and were not found dead.
-func (s *Server) here(st documents.Standing, now time.Time) Report {
-	r := Report{Version: st.Version, Behind: []Behind{}}
-	if len(st.Digests) > 0 {
-		r.Digest = st.Digests[0]
+// localReport is the report on this hub's agents, and on those that are lost and were not found dead.
+func (s *Server) localReport(state documents.AppliedVersion, now time.Time) SettingsReport {
+	report := SettingsReport{Version: state.Version, Lagging: []LaggingAgent{}}
+	if len(state.Digests) > 0 {
+		report.Digest = state.Digests[0]
 	}
-	for _, x := range s.roll.streams() {
-		a := x.standing()
-		if r.Agents++; has(st, a.Settings) {
-			r.InForce++
+	for _, a := range s.registry.attachments() {
+		status := a.status()
+		if report.Agents++; hasApplied(state, status.Settings) {
+			report.Applied++
 			continue
 		}
-		r.add(Behind{x.name, s.cfg.Name, a.Settings.Version, cmp.Or(a.Settings.Why, "it has not said that it has them")})
+		report.add(LaggingAgent{a.name, s.cfg.Name, status.Settings.Version, cmp.Or(status.Settings.Reason, "it has not said that it has them")})
 	}
-	for _, l := range s.roll.silent() {
-		if !has(st, l.last.Settings) {
-			r.Agents++
-			r.add(Behind{l.name, s.cfg.Name, l.last.Settings.Version, "not heard for " + now.Sub(l.since).Round(time.Second).String()})
+	for _, agent := range s.registry.unconfirmed() {
+		if !hasApplied(state, agent.lastStatus.Settings) {
+			report.Agents++
+			report.add(LaggingAgent{agent.name, s.cfg.Name, agent.lastStatus.Settings.Version, "not heard for " + now.Sub(agent.disconnectedAt).Round(time.Second).String()})
 		}
 	}
-	return r
+	return report
 }
 
-func (r *Report) add(b Behind) {
-	if len(r.Behind) < mostShown {
-		r.Behind = append(r.Behind, b)
+func (r *SettingsReport) add(agent LaggingAgent) {
+	if len(r.Lagging) < maxReported {
+		r.Lagging = append(r.Lagging, agent)
 	} else {
-		r.Cut++
+		r.Omitted++
 	}
 }
 
-func (r *Report) merge(o Report) {
-	r.Agents, r.InForce, r.Cut = r.Agents+o.Agents, r.InForce+o.InForce, r.Cut+o.Cut
-	for _, b := range o.Behind {
-		r.add(b)
+func (r *SettingsReport) merge(remote SettingsReport) {
+	r.Agents, r.Applied, r.Omitted = r.Agents+remote.Agents, r.Applied+remote.Applied, r.Omitted+remote.Omitted
+	for _, agent := range remote.Lagging {
+		r.add(agent)
 	}
 }
 
-// showSettings answers who has not taken the settings, at all hubs; asked for a version, at this one.
-func (s *Server) showSettings(w http.ResponseWriter, q *http.Request) {
-	st, now := s.latest(), time.Now()
-	query := q.URL.Query()
-	var r Report
-	if v, err := strconv.ParseInt(query.Get("version"), 10, 64); err == nil {
-		r = s.here(documents.Standing{Version: v, Digests: query["digest"]}, now)
+// handleSettings answers who has not taken the settings, at all hubs; asked for a version, at this one.
+func (s *Server) handleSettings(w http.ResponseWriter, req *http.Request) {
+	state, now := s.currentSettings(), time.Now()
+	query := req.URL.Query()
+	var report SettingsReport
+	if version, err := strconv.ParseInt(query.Get("version"), 10, 64); err == nil {
+		report = s.localReport(documents.AppliedVersion{Version: version, Digests: query["digest"]}, now)
 	} else {
-		r = s.here(st, now)
-		s.askOthers(q, st, &r)
+		report = s.localReport(state, now)
+		s.mergeRemoteReports(req, state, &report)
 	}
-	slices.SortFunc(r.Behind, func(a, b Behind) int { return cmp.Compare(a.Agent, b.Agent) })
+	slices.SortFunc(report.Lagging, func(a, b LaggingAgent) int { return cmp.Compare(a.Agent, b.Agent) })
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(r) // the other side sees that it is cut off
+	_ = json.NewEncoder(w).Encode(report) // the other side sees that it is cut off
 }
 
-func (s *Server) askOthers(q *http.Request, st documents.Standing, r *Report) {
-	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(st.Version, 10)}, "digest": st.Digests}.Encode()
+func (s *Server) mergeRemoteReports(req *http.Request, state documents.AppliedVersion, report *SettingsReport) {
+	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(state.Version, 10)}, "digest": state.Digests}.Encode()
 	hubs := s.fleet.Hubs()
-	answers, errs := make([]Report, len(hubs)), make([]error, len(hubs))
+	answers, errs := make([]SettingsReport, len(hubs)), make([]error, len(hubs))
 	var calls sync.WaitGroup
-	for i, m := range hubs {
-		calls.Go(func() { errs[i] = s.ask(q.Context(), m, http.MethodGet, path, nil, &answers[i]) })
+	for i, hub := range hubs {
+		calls.Go(func() { errs[i] = s.callHub(req.Context(), hub, http.MethodGet, path, nil, &answers[i]) })
 	}
 	calls.Wait()
-	for i, m := range hubs {
+	for i, hub := range hubs {
 		if errs[i] != nil {
-			r.Silent = append(r.Silent, m.Name)
+			report.Unresponsive = append(report.Unresponsive, hub.Name)
 		} else {
-			r.merge(answers[i])
+			report.merge(answers[i])
 		}
 	}
-	for _, m := range s.fleet.Missing() {
-		r.Silent = append(r.Silent, cmp.Or(m.Name, m.Addr.String()))
+	for _, hub := range s.fleet.MissingHubs() {
+		report.Unresponsive = append(report.Unresponsive, cmp.Or(hub.Name, hub.Addr.String()))
 	}
 }
 
-// late notes since when agents are behind, and names those that are for long.
-func (s *Server) late(now time.Time) (list []string) {
-	st := s.latest()
-	for _, x := range s.roll.streams() {
-		if a := x.mark(st, now); !a.IsZero() && now.Sub(a) > lateAfter {
-			list = append(list, x.name+": "+cmp.Or(x.standing().Settings.Why, "it has not said that it has them"))
+// laggingAgents notes since when agents are behind, and names those that are for long.
+func (s *Server) laggingAgents(now time.Time) (list []string) {
+	state := s.currentSettings()
+	for _, a := range s.registry.attachments() {
+		if since := a.updateLagging(state, now); !since.IsZero() && now.Sub(since) > laggingThreshold {
+			list = append(list, a.name+": "+cmp.Or(a.status().Settings.Reason, "it has not said that it has them"))
 		}
 	}
 	slices.Sort(list)
 	return list
 }
 
-// mark notes whether an agent is behind, and returns since when.
-func (x *stream) mark(st documents.Standing, now time.Time) time.Time {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if has(st, x.state.Settings) {
-		x.behind = time.Time{}
-	} else if x.behind.IsZero() {
-		x.behind = now
+// updateLagging notes whether an agent is behind, and returns since when.
+func (a *attachment) updateLagging(state documents.AppliedVersion, now time.Time) time.Time {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if hasApplied(state, a.state.Settings) {
+		a.laggingSince = time.Time{}
+	} else if a.laggingSince.IsZero() {
+		a.laggingSince = now
 	}
-	return x.behind
+	return a.laggingSince
 }
 
-func (s *Server) summarize(now time.Time, late []string) {
-	c, _ := s.census(now)
-	s.cfg.Log.Info("hub", "agents", len(s.roll.streams()), "all", c.Attached, "starting", c.Starting, "gone", c.Gone, "refused", s.bad.Load())
-	if len(late) > 0 {
-		s.cfg.Log.Warn("hub: agents are behind the settings", "version", s.latest().Version, "agents", len(late), "some", late[:min(len(late), mostLogged)])
+func (s *Server) logSummary(now time.Time, lagging []string) {
+	size, _ := s.fleetSize(now)
+	s.cfg.Log.Info("hub", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting, "gone", size.Dead, "refused", s.protocolErrors.Load())
+	if len(lagging) > 0 {
+		s.cfg.Log.Warn("hub: agents are behind the settings", "version", s.currentSettings().Version, "agents", len(lagging), "some", lagging[:min(len(lagging), maxLogged)])
 	}
 }
--- a/internal/fleet/hub/dead.go
+++ b/internal/fleet/hub/dead.go
@@ -13,85 +13,87 @@
 )
 
 const (
-	lookEvery  = time.Second
-	lookWithin = 600 * time.Millisecond
-	mostLooks  = 256 // at once
-	mostGone   = 64  // names in a fact
-	goneBytes  = 600 // of names in a fact: a packet between members holds it
+	checkRoundInterval  = time.Second
+	checkTimeout        = 600 * time.Millisecond
+	maxConcurrentChecks = 256 // at once
+	maxDeadNames        = 64  // names in a fact
+	maxDeadBytes        = 600 // of names in a fact: a packet between members holds it
 )
 
-// seeToTheDead finds out which of the lost agents' processes are dead for certain, and tells the other hubs.
-func (s *Server) seeToTheDead(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// confirmDead finds out which of the lost agents' processes are dead for certain, and tells the other hubs.
+func (s *Server) confirmDead(ctx context.Context) {
+	tick := time.NewTicker(checkRoundInterval)
 	defer tick.Stop()
-	for told := 0; ; {
+	for published := 0; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		s.look(ctx)
-		told = s.tellGone(told)
+		s.checkDisconnected(ctx)
+		published = s.publishDead(published)
 	}
 }
 
-// look calls the lost agents, and the hubs that are missing.
-func (s *Server) look(ctx context.Context) {
-	began := time.Now()
+// checkDisconnected calls the lost agents, and the hubs that are missing.
+func (s *Server) checkDisconnected(ctx context.Context) {
+	startedAt := time.Now()
 	var calls sync.WaitGroup
-	for _, l := range s.roll.due(mostLooks, began) {
-		calls.Go(func() { s.roll.looked(l, s.fleet.Dead(ctx, member.Member{Addr: l.addr}, lookWithin), began) })
+	for _, agent := range s.registry.nextChecks(maxConcurrentChecks, startedAt) {
+		calls.Go(func() {
+			s.registry.recordCheck(agent, s.fleet.ConfirmDead(ctx, member.Member{Addr: agent.addr}, checkTimeout), startedAt)
+		})
 	}
 	var mu sync.Mutex
 	dead := map[string]bool{}
-	for _, m := range s.fleet.Missing() {
+	for _, hub := range s.fleet.MissingHubs() {
 		calls.Go(func() {
-			if s.fleet.Dead(ctx, m, lookWithin) {
+			if s.fleet.ConfirmDead(ctx, hub, checkTimeout) {
 				mu.Lock()
 				defer mu.Unlock()
-				dead[m.Addr.String()] = true
+				dead[hub.Addr.String()] = true
 			}
 		})
 	}
 	calls.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for addr := range s.refuse {
+	for addr := range s.hubsDeadAt {
 		if !dead[addr] {
-			delete(s.refuse, addr)
+			delete(s.hubsDeadAt, addr)
 		}
 	}
 	for addr := range dead {
-		if _, known := s.refuse[addr]; !known {
-			s.refuse[addr] = began
+		if _, known := s.hubsDeadAt[addr]; !known {
+			s.hubsDeadAt[addr] = startedAt
 		}
 	}
 }
 
-// tellGone tells who is dead, as old as the looks at them, and takes back facts that are not needed any more. It returns how
+// publishDead tells who is dead, as old as the looks at them, and takes back facts that are not needed any more. It returns how
 // many facts it took.
-func (s *Server) tellGone(told int) (n int) {
+func (s *Server) publishDead(published int) (n int) {
 	now := time.Now()
-	for list := s.roll.certain(s.fresh(gossip.Gone), now); len(list) > 0; n++ {
-		names, size, oldest := []string{}, 0, now
-		for len(list) > 0 && len(names) < mostGone && size+len(list[0].name) <= goneBytes {
-			if list[0].seen.Before(oldest) {
-				oldest = list[0].seen
+	for dead := s.registry.confirmedDead(s.maxSourceAge(gossip.DeadProcesses), now); len(dead) > 0; n++ {
+		names, size, oldestAt := []string{}, 0, now
+		for len(dead) > 0 && len(names) < maxDeadNames && size+len(dead[0].name) <= maxDeadBytes {
+			if dead[0].confirmedDeadAt.Before(oldestAt) {
+				oldestAt = dead[0].confirmedDeadAt
 			}
-			names, size, list = append(names, list[0].name), size+2+len(list[0].name), list[1:]
+			names, size, dead = append(names, dead[0].name), size+2+len(dead[0].name), dead[1:]
 		}
-		s.tellNames(n, names, now.Sub(oldest))
+		s.publishDeadNames(n, names, now.Sub(oldestAt))
 	}
-	for i := n; i < told; i++ {
-		s.tellNames(i, []string{}, 0)
+	for i := n; i < published; i++ {
+		s.publishDeadNames(i, []string{}, 0)
 	}
 	return n
 }
 
-func (s *Server) tellNames(i int, names []string, age time.Duration) {
+func (s *Server) publishDeadNames(i int, names []string, age time.Duration) {
 	body, err := cbor.Marshal(names)
 	if err != nil {
 		panic(err) // they are names alone
 	}
-	s.fleet.Facts().TellAged(gossip.Gone, "agents "+strconv.Itoa(i), body, age)
+	s.fleet.Gossip().PublishAged(gossip.DeadProcesses, "agents "+strconv.Itoa(i), body, age)
 }
--- a/internal/fleet/hub/forms_test.go
+++ b/internal/fleet/hub/forms_test.go
@@ -8,11 +8,11 @@
 // What hubs post to each other of who has come to them keeps its form.
 func TestPostBetweenHubsKeepsItsForm(t *testing.T) {
 	const want = `{"hub":"h1","agents":[{"name":"n2","incarnation":3}]}`
-	got, err := json.Marshal(post{Hub: "h1", Agents: []agent{{Name: "n2", Incarnation: 3}}})
+	got, err := json.Marshal(attachmentReport{Hub: "h1", Agents: []reportedAgent{{Name: "n2", Incarnation: 3}}})
 	if err != nil || string(got) != want {
 		t.Errorf("got %s, %v", got, err)
 	}
-	if pathNames != "/hub/names" || pathSettings != "/fleet/settings" {
-		t.Errorf("paths %s, %s", pathNames, pathSettings)
+	if pathAttachments != "/hub/names" || pathSettings != "/fleet/settings" {
+		t.Errorf("paths %s, %s", pathAttachments, pathSettings)
 	}
 }
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -9,7 +9,7 @@
 )
 
 // Fields of a later program are skipped, and what is out of bounds ends the stream.
-func TestBounds(t *testing.T) {
+func TestOutOfBoundFramesAreRejected(t *testing.T) {
 	type later struct {
 		Frame
 		More map[string]int `cbor:"99,keyasint"`
@@ -22,8 +22,8 @@
 		t.Errorf("%+v %v", f, err)
 	}
 	for name, f := range map[string]Frame{"no name": {Hello: &Hello{}}, "a long name": {Hello: &Hello{Name: strings.Repeat("n", maxName+1)}},
-		"a long why": {State: &State{Policy: Standing{Why: strings.Repeat("w", maxWhy+1)}}}, "a negative wait": {Busy: &Busy{After: -1}},
-		"a negative version": {State: &State{Settings: Standing{Version: -1}}}} {
+		"a long why": {State: &State{Policy: AppliedVersion{Reason: strings.Repeat("w", maxReason+1)}}}, "a negative wait": {Busy: &Busy{RetryAfter: -1}},
+		"a negative version": {State: &State{Settings: AppliedVersion{Version: -1}}}} {
 		data, err := Encode(&f)
 		if err != nil {
 			t.Fatal(err)
@@ -32,7 +32,7 @@
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if _, err := Encode(&Frame{Facts: make([]byte, maxFrame)}); err == nil {
+	if _, err := Encode(&Frame{Gossip: make([]byte, maxFrame)}); err == nil {
 		t.Error("a frame is written that nobody reads")
 	}
 	if _, err := Read(bytes.NewReader([]byte{0xff, 0, 0, 0})); err == nil {
@@ -42,8 +42,8 @@
 
 // Nothing that comes off the wire harms: it is an error, or a frame that writes as it was read.
 func FuzzRead(f *testing.F) {
-	for _, x := range []Frame{{Hello: &Hello{Label: "l", Name: "n", Site: "z"}}, {State: &State{Seq: 3, Settings: Standing{2, "d", "w"}}},
-		{Facts: []byte{1, 2}, Echo: &Echo{Seq: 1, Dwell: 5}, Sure: true}, {Busy: &Busy{After: 1}}, {Bye: true}} {
+	for _, x := range []Frame{{Hello: &Hello{Label: "l", Name: "n", Site: "z"}}, {State: &State{Seq: 3, Settings: AppliedVersion{2, "d", "w"}}},
+		{Gossip: []byte{1, 2}, Echo: &Echo{Seq: 1, HoldTime: 5}, QuotaConfirmed: true}, {Busy: &Busy{RetryAfter: 1}}, {Leave: true}} {
 		data, err := Encode(&x)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/fleet/hub/names.go
+++ b/internal/fleet/hub/names.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	pathNames   = "/hub/names"
-	postEvery   = 250 * time.Millisecond
-	postWithin  = time.Second
-	mostPosted  = 1 << 20 // bytes
-	namesFormat = "application/json"
+	pathAttachments   = "/hub/names"
+	reportInterval    = 250 * time.Millisecond
+	reportTimeout     = time.Second
+	maxReportSize     = 1 << 20 // bytes
+	reportContentType = "application/json"
 )
 
-// post is who has come to a hub since it last told another, and the answer: who of these is there in a later process.
-type post struct {
-	Hub    string  `json:"hub"`
-	Agents []agent `json:"agents"`
+// attachmentReport is who has come to a hub since it last told another, and the answer: who of these is there in a later process.
+type attachmentReport struct {
+	Hub    string          `json:"hub"`
+	Agents []reportedAgent `json:"agents"`
 }
 
-type agent struct {
+type reportedAgent struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// posts is how much each of the other hubs knows of who came here.
-type posts struct {
-	sent map[string]acked
+// reportProgress is how much each of the other hubs knows of who came here.
+type reportProgress struct {
+	acknowledged map[string]progress
 }
 
-type acked struct{ incarnation, serial uint64 }
+type progress struct{ incarnation, serial uint64 }
 
-// postNames tells the other hubs who comes here. A hub that had an agent before need not look for it any more, and of two
+// reportAttachments tells the other hubs who comes here. A hub that had an agent before need not look for it any more, and of two
 // processes of one name the earlier has to go, wherever it is.
-func (s *Server) postNames(ctx context.Context) {
-	tick := time.NewTicker(postEvery)
+func (s *Server) reportAttachments(ctx context.Context) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	s.sent = map[string]acked{}
+	s.acknowledged = map[string]progress{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -51,69 +51,69 @@
 		case <-tick.C:
 		}
 		hubs := s.fleet.Hubs()
-		reached := make([]acked, len(hubs))
+		reached := make([]progress, len(hubs))
 		var calls sync.WaitGroup
-		for i, m := range hubs {
-			from := s.sent[m.Name]
-			if from.incarnation != m.Started {
-				from = acked{m.Started, 0} // it has begun anew, and knows nobody
+		for i, hub := range hubs {
+			known := s.acknowledged[hub.Name]
+			if known.incarnation != hub.Incarnation {
+				known = progress{hub.Incarnation, 0} // it has begun anew, and knows nobody
 			}
-			calls.Go(func() { reached[i] = s.postTo(ctx, m, from) })
+			calls.Go(func() { reached[i] = s.reportTo(ctx, hub, known) })
 		}
 		calls.Wait()
-		clear(s.sent) // who is not there is told all when it is back
-		for i, m := range hubs {
-			s.sent[m.Name] = reached[i]
+		clear(s.acknowledged) // who is not there is told all when it is back
+		for i, hub := range hubs {
+			s.acknowledged[hub.Name] = reached[i]
 		}
 	}
 }
 
-// postTo tells one hub who came here since, and returns up to whom it knows now.
-func (s *Server) postTo(ctx context.Context, m member.Member, from acked) acked {
-	p, upTo := post{Hub: s.cfg.Name}, from.serial
-	for _, x := range s.roll.streams() {
-		if x.serial > from.serial {
-			p.Agents = append(p.Agents, agent{x.name, x.incarnation})
-			upTo = max(upTo, x.serial)
+// reportTo tells one hub who came here since, and returns up to whom it knows now.
+func (s *Server) reportTo(ctx context.Context, hub member.Member, known progress) progress {
+	report, lastSerial := attachmentReport{Hub: s.cfg.Name}, known.serial
+	for _, a := range s.registry.attachments() {
+		if a.serial > known.serial {
+			report.Agents = append(report.Agents, reportedAgent{a.name, a.incarnation})
+			lastSerial = max(lastSerial, a.serial)
 		}
 	}
-	if len(p.Agents) == 0 {
-		return from
+	if len(report.Agents) == 0 {
+		return known
 	}
-	later, err := s.call(ctx, m, &p)
+	newer, err := s.sendReport(ctx, hub, &report)
 	if err != nil {
-		return from
+		return known
 	}
 	now := time.Now()
-	for _, a := range later.Agents {
-		s.heard(a, now)
+	for _, agent := range newer.Agents {
+		s.applyRemote(agent, now)
 	}
-	return acked{from.incarnation, upTo}
+	return progress{known.incarnation, lastSerial}
 }
 
-// heard heeds that another hub has a process of a name, and answers with a later one that is here.
-func (s *Server) heard(a agent, now time.Time) (later uint64) {
-	replaced, later := s.roll.heard(a.Name, a.Incarnation, now)
+// applyRemote heeds that another hub has a process of a name, and answers with a later one that is here.
+func (s *Server) applyRemote(agent reportedAgent, now time.Time) (newer uint64) {
+	replaced, newer := s.registry.applyRemote(agent.Name, agent.Incarnation, now)
 	if replaced != nil {
-		s.cfg.Log.Warn("hub: a later process of this name is at another hub", "agent", a.Name)
-		replaced.end()
+		s.cfg.Log.Warn("hub: a later process of this name is at another hub", "agent", agent.Name)
+		replaced.close()
 	}
-	return later
+	return newer
 }
 
-func (s *Server) call(ctx context.Context, m member.Member, p *post) (answer post, err error) {
-	body, err := json.Marshal(p)
+func (s *Server) sendReport(ctx context.Context, hub member.Member, report *attachmentReport) (answer attachmentReport, err error) {
+	body, err := json.Marshal(report)
 	if err != nil {
 		return answer, err
 	}
-	return answer, s.ask(ctx, m, http.MethodPost, pathNames, body, &answer)
+	return answer, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, &answer)
 }
 
-// ask calls another hub.
-func (s *Server) ask(ctx context.Context, m member.Member, method, path string, body []byte, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, postWithin)
+// callHub calls another hub.
+func (s *Server) callHub(ctx context.Context, hub member.Member, method, path string, body []byte, answer any) error {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+m.Addr.String()+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+hub.Addr.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -123,22 +123,22 @@
 		return err
 	}
 	defer resp.Body.Close()
-	return json.NewDecoder(io.LimitReader(resp.Body, mostPosted)).Decode(answer)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxReportSize)).Decode(answer)
 }
 
-// takeNames takes another hub's post.
-func (s *Server) takeNames(w http.ResponseWriter, q *http.Request) {
-	var p post
-	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, mostPosted)).Decode(&p); q.Method != http.MethodPost || err != nil || len(p.Agents) > mostNames {
+// handleReport takes another hub's post.
+func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
+	var report attachmentReport
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReportSize)).Decode(&report); r.Method != http.MethodPost || err != nil || len(report.Agents) > maxNames {
 		http.Error(w, "this is no hub's post", http.StatusBadRequest)
 		return
 	}
-	now, answer := time.Now(), post{Hub: s.cfg.Name}
-	for _, a := range p.Agents {
-		if later := s.heard(a, now); later > 0 {
-			answer.Agents = append(answer.Agents, agent{a.Name, later})
+	now, answer := time.Now(), attachmentReport{Hub: s.cfg.Name}
+	for _, agent := range report.Agents {
+		if newer := s.applyRemote(agent, now); newer > 0 {
+			answer.Agents = append(answer.Agents, reportedAgent{agent.Name, newer})
 		}
 	}
-	w.Header().Set("Content-Type", namesFormat)
+	w.Header().Set("Content-Type", reportContentType)
 	_ = json.NewEncoder(w).Encode(answer) // the other side sees that it is cut off
 }
--- a/internal/fleet/hub/roll.go
+++ b/internal/fleet/hub/roll.go
@@ -9,172 +9,172 @@
 )
 
 const (
-	mostNames = 4096             // of each list below
-	heardFor  = 30 * time.Second // that an agent is at another hub: a move is over by then
-	lookFirst = time.Second      // between two looks at whether a lost agent's process is dead
-	lookMost  = 10 * time.Second // the same, where nothing came of many
+	maxNames             = 4096             // of each list below
+	remoteMaxAge         = 30 * time.Second // that an agent is at another hub: a move is over by then
+	initialCheckInterval = time.Second      // between two looks at whether a lost agent's process is dead
+	maxCheckInterval     = 10 * time.Second // the same, where nothing came of many
 	// For so long after an agent has come another hub may still tell that it has it, from before it came.
-	crossing = postWithin + 2*postEvery
+	maxReportDelay = reportTimeout + 2*reportInterval
 )
 
-// roll is which agents are where, by name: attached here, heard of at another hub, or lost. A name is in one of the first
+// registry is which agents are where, by name: attached here, heard of at another hub, or lost. A name is in one of the first
 // two and lost at no time. Processes of one name are told apart by their incarnation: a later one replaces an earlier.
-type roll struct {
-	mu        sync.Mutex
-	attached  map[string]*stream
-	lost      map[string]*loss
-	elsewhere map[string]notice
-	serial    uint64 // counts who was attached here
+type registry struct {
+	mu           sync.Mutex
+	attached     map[string]*attachment
+	disconnected map[string]*disconnectedAgent
+	remote       map[string]remoteAttachment
+	lastSerial   uint64 // counts who was attached here
 }
 
-// notice is that another hub has an agent.
-type notice struct {
+// remoteAttachment is that another hub has an agent.
+type remoteAttachment struct {
 	incarnation uint64
-	at          time.Time
+	reportedAt  time.Time
 }
 
-// tells reports whether a notice says that who is attached here has gone there: that its process is there and not merely was, or
+// supersedes reports whether a notice says that who is attached here has gone there: that its process is there and not merely was, or
 // a later one.
-func (e notice) tells(s *stream) bool {
-	return e.incarnation > s.incarnation || e.incarnation == s.incarnation && e.at.Sub(s.since) >= crossing
+func (r remoteAttachment) supersedes(a *attachment) bool {
+	return r.incarnation > a.incarnation || r.incarnation == a.incarnation && r.reportedAt.Sub(a.attachedAt) >= maxReportDelay
 }
 
-// loss is an agent whose stream ended here, and of which no hub has told since.
-type loss struct {
-	name        string
-	incarnation uint64
-	addr        netip.AddrPort
-	since       time.Time
-	seen        time.Time // when its process was dead for certain, as last found out; zero: never
-	next        time.Time // look
-	wait        time.Duration
-	last        standing
+// disconnectedAgent is an agent whose stream ended here, and of which no hub has told since.
+type disconnectedAgent struct {
+	name            string
+	incarnation     uint64
+	addr            netip.AddrPort
+	disconnectedAt  time.Time
+	confirmedDeadAt time.Time // when its process was dead for certain, as last found out; zero: never
+	nextCheckAt     time.Time // look
+	checkInterval   time.Duration
+	lastStatus      attachmentStatus
 }
 
-func newRoll() *roll {
-	return &roll{attached: map[string]*stream{}, lost: map[string]*loss{}, elsewhere: map[string]notice{}}
+func newRegistry() *registry {
+	return &registry{attached: map[string]*attachment{}, disconnected: map[string]*disconnectedAgent{}, remote: map[string]remoteAttachment{}}
 }
 
 // attach takes a stream in, unless a later process of the name is known, and returns the one that it replaces.
-func (r *roll) attach(s *stream, now time.Time) (old *stream, ok bool) {
+func (r *registry) attach(a *attachment, now time.Time) (replaced *attachment, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old = r.attached[s.name]
-	if old == nil && len(r.attached) >= mostNames || old != nil && old.incarnation > s.incarnation {
+	replaced = r.attached[a.name]
+	if replaced == nil && len(r.attached) >= maxNames || replaced != nil && replaced.incarnation > a.incarnation {
 		return nil, false
 	}
-	if e, there := r.elsewhere[s.name]; there && e.incarnation > s.incarnation && now.Sub(e.at) < heardFor {
+	if remote, known := r.remote[a.name]; known && remote.incarnation > a.incarnation && now.Sub(remote.reportedAt) < remoteMaxAge {
 		return nil, false
 	}
-	r.serial++
-	s.serial = r.serial
-	r.attached[s.name] = s
-	delete(r.lost, s.name)
-	delete(r.elsewhere, s.name)
-	return old, true
+	r.lastSerial++
+	a.serial = r.lastSerial
+	r.attached[a.name] = a
+	delete(r.disconnected, a.name)
+	delete(r.remote, a.name)
+	return replaced, true
 }
 
-// ended takes that a stream is over. Who is not heard of at another hub is lost; a goodbye is as good as a look.
-func (r *roll) ended(s *stream, bye bool, now time.Time) {
+// detach takes that a stream is over. Who is not heard of at another hub is lost; a goodbye is as good as a look.
+func (r *registry) detach(a *attachment, left bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.attached[s.name] != s {
+	if r.attached[a.name] != a {
 		return // replaced
 	}
-	delete(r.attached, s.name)
-	if e, there := r.elsewhere[s.name]; there && e.tells(s) && now.Sub(e.at) < heardFor {
+	delete(r.attached, a.name)
+	if remote, known := r.remote[a.name]; known && remote.supersedes(a) && now.Sub(remote.reportedAt) < remoteMaxAge {
 		return
 	}
-	delete(r.elsewhere, s.name)
-	if len(r.lost) >= mostNames || !s.addr.IsValid() {
+	delete(r.remote, a.name)
+	if len(r.disconnected) >= maxNames || !a.addr.IsValid() {
 		return // it keeps its part
 	}
-	l := &loss{name: s.name, incarnation: s.incarnation, addr: s.addr, since: now, next: now, wait: lookFirst, last: s.standing()}
-	if bye {
-		l.seen = now
+	agent := &disconnectedAgent{name: a.name, incarnation: a.incarnation, addr: a.addr, disconnectedAt: now, nextCheckAt: now, checkInterval: initialCheckInterval, lastStatus: a.status()}
+	if left {
+		agent.confirmedDeadAt = now
 	}
-	r.lost[s.name] = l
+	r.disconnected[a.name] = agent
 }
 
-// heard takes that another hub has a process of a name. It returns the stream here that the other's replaces, or the later
+// applyRemote takes that another hub has a process of a name. It returns the stream here that the other's replaces, or the later
 // incarnation here, before which the other has to go; 0: none.
-func (r *roll) heard(name string, incarnation uint64, now time.Time) (replaced *stream, later uint64) {
+func (r *registry) applyRemote(name string, incarnation uint64, now time.Time) (replaced *attachment, newer uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.attached[name]
-	if s != nil && s.incarnation > incarnation {
-		return nil, s.incarnation
+	a := r.attached[name]
+	if a != nil && a.incarnation > incarnation {
+		return nil, a.incarnation
 	}
-	if e, there := r.elsewhere[name]; !there && len(r.elsewhere) >= mostNames || there && e.incarnation > incarnation && now.Sub(e.at) < heardFor {
+	if remote, known := r.remote[name]; !known && len(r.remote) >= maxNames || known && remote.incarnation > incarnation && now.Sub(remote.reportedAt) < remoteMaxAge {
 		return nil, 0
 	}
-	r.elsewhere[name] = notice{incarnation, now}
-	if l := r.lost[name]; l != nil && l.incarnation <= incarnation {
-		delete(r.lost, name)
+	r.remote[name] = remoteAttachment{incarnation, now}
+	if agent := r.disconnected[name]; agent != nil && agent.incarnation <= incarnation {
+		delete(r.disconnected, name)
 	}
-	if s != nil && s.incarnation < incarnation {
+	if a != nil && a.incarnation < incarnation {
 		delete(r.attached, name)
-		return s, 0
+		return a, 0
 	}
 	return nil, 0
 }
 
-// forget drops the notices that are old.
-func (r *roll) forget(now time.Time) {
+// expireRemote drops the notices that are old.
+func (r *registry) expireRemote(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.elsewhere, func(_ string, e notice) bool { return now.Sub(e.at) >= heardFor })
+	maps.DeleteFunc(r.remote, func(_ string, remote remoteAttachment) bool { return now.Sub(remote.reportedAt) >= remoteMaxAge })
 }
 
-// present reports whether an agent is here, or was heard of at another hub no longer ago than this.
-func (r *roll) present(name string, within time.Duration, now time.Time) bool {
+// isPresent reports whether an agent is here, or was heard of at another hub no longer ago than this.
+func (r *registry) isPresent(name string, maxAge time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e, there := r.elsewhere[name]
-	return r.attached[name] != nil || there && now.Sub(e.at) <= within
+	remote, known := r.remote[name]
+	return r.attached[name] != nil || known && now.Sub(remote.reportedAt) <= maxAge
 }
 
-// streams are those who are here.
-func (r *roll) streams() []*stream {
+// attachments are those who are here.
+func (r *registry) attachments() []*attachment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.attached))
 }
 
-// due are up to so many of the lost at whom it is time to look.
-func (r *roll) due(most int, now time.Time) (list []*loss) {
+// nextChecks are up to so many of the lost at whom it is time to look.
+func (r *registry) nextChecks(limit int, now time.Time) (list []*disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.lost {
-		if len(list) < most && !now.Before(l.next) {
-			list = append(list, l)
+	for _, agent := range r.disconnected {
+		if len(list) < limit && !now.Before(agent.nextCheckAt) {
+			list = append(list, agent)
 		}
 	}
 	return list
 }
 
-// looked takes what a look at a lost one came to that began at a time.
-func (r *roll) looked(l *loss, dead bool, at time.Time) {
+// recordCheck takes what a look at a lost one came to that began at a time.
+func (r *registry) recordCheck(agent *disconnectedAgent, dead bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if dead {
-		l.seen, l.wait = at, lookFirst
+		agent.confirmedDeadAt, agent.checkInterval = at, initialCheckInterval
 	} else {
-		l.wait = min(2*l.wait, lookMost)
+		agent.checkInterval = min(2*agent.checkInterval, maxCheckInterval)
 	}
-	l.next = at.Add(l.wait)
+	agent.nextCheckAt = at.Add(agent.checkInterval)
 }
 
-// certain are the lost that were dead for certain no longer ago than this, by name, each with when.
-func (r *roll) certain(within time.Duration, now time.Time) (list []loss) {
+// confirmedDead are the lost that were dead for certain no longer ago than this, by name, each with when.
+func (r *registry) confirmedDead(maxAge time.Duration, now time.Time) (list []disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.lost {
-		if !l.seen.IsZero() && now.Sub(l.seen) <= within {
-			list = append(list, *l)
+	for _, agent := range r.disconnected {
+		if !agent.confirmedDeadAt.IsZero() && now.Sub(agent.confirmedDeadAt) <= maxAge {
+			list = append(list, *agent)
 		}
 	}
-	slices.SortFunc(list, func(a, b loss) int {
+	slices.SortFunc(list, func(a, b disconnectedAgent) int {
 		if a.name < b.name {
 			return -1
 		}
@@ -184,23 +184,23 @@
 }
 
 // clear forgets everything, and returns the streams that were here.
-func (r *roll) clear() (list []*stream) {
-	list = r.streams()
+func (r *registry) clear() (list []*attachment) {
+	list = r.attachments()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.attached)
-	clear(r.lost)
-	clear(r.elsewhere)
+	clear(r.disconnected)
+	clear(r.remote)
 	return list
 }
 
-// silent are the lost that were not found dead.
-func (r *roll) silent() (list []loss) {
+// unconfirmed are the lost that were not found dead.
+func (r *registry) unconfirmed() (list []disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.lost {
-		if l.seen.IsZero() {
-			list = append(list, *l)
+	for _, agent := range r.disconnected {
+		if agent.confirmedDeadAt.IsZero() {
+			list = append(list, *agent)
 		}
 	}
 	return list
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -20,118 +20,118 @@
 
 // Fleet is the hubs' own, as far as a hub needs it.
 type Fleet interface {
-	Facts() *gossip.Store
-	Hubs() []member.Member    // others that are there
-	Missing() []member.Member // others that are not, and may be
-	Flat() map[string]bool    // agents that are members themselves
-	Dead(ctx context.Context, m member.Member, within time.Duration) bool
+	Gossip() *gossip.Store
+	Hubs() []member.Member        // others that are there
+	MissingHubs() []member.Member // others that are not, and may be
+	MeshAgents() map[string]bool  // agents that are members themselves
+	ConfirmDead(ctx context.Context, m member.Member, within time.Duration) bool
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
-	Matrix() latency.Matrix
+	LatencyMatrix() latency.Matrix
 }
 
 // Config is what a Server needs.
 type Config struct {
-	Name, Label, Program string
-	Incarnation          uint64
-	Most                 int     // most agents that the fleet has
-	AdmitRate            float64 // agents a second that are taken in
-	Bounds               gossip.Bounds
-	Settings             *documents.Kind // nil: none
-	Policy               *documents.Kind // nil: none
-	PolicyAge            func() (age time.Duration, ok bool)
-	Log                  *slog.Logger
-	Trace                io.Writer // a line for each fact told to agents; nil: none
+	Name, Label, ProgramVersion string
+	Incarnation                 uint64
+	MaxAgents                   int     // most agents that the fleet has
+	AdmitRate                   float64 // agents a second that are taken in
+	Bounds                      gossip.AgeBounds
+	Settings                    *documents.Document // nil: none
+	Policy                      *documents.Document // nil: none
+	PolicyAge                   func() (age time.Duration, ok bool)
+	Log                         *slog.Logger
+	Trace                       io.Writer // a line for each fact told to agents; nil: none
 }
 
 // Server is a hub. It must be run; before, nobody is taken in.
 type Server struct {
-	cfg   Config
-	fleet Fleet
-	door  *gossip.Store // what agents tell; only sums of it leave the hub
-	roll  *roll
-	teller
+	cfg         Config
+	fleet       Fleet
+	loadReports *gossip.Store // what agents tell; only sums of it leave the hub
+	registry    *registry
+	publisher
 	admission
-	posts
+	reportProgress
 
-	born   time.Time    // when the process began
-	ready  atomic.Bool  // it takes agents in
-	open   atomic.Int32 // streams, those without a name included
-	bad    atomic.Int64 // streams that ended by what makes no sense
-	tasks  sync.WaitGroup
-	served sync.Mutex // ready goes before tasks are begun
+	startedAt      time.Time    // when the process began
+	ready          atomic.Bool  // it takes agents in
+	openStreams    atomic.Int32 // streams, those without a name included
+	protocolErrors atomic.Int64 // streams that ended by what makes no sense
+	tasks          sync.WaitGroup
+	readyMu        sync.Mutex // ready goes before tasks are begun
 
-	mu     sync.Mutex
-	awake  time.Time            // since then it has run without a stop
-	named  map[string]time.Time // when a process was dead, of all names of which any hub or member told of late
-	words  map[string]uint32    // agents that another hub had, by its name, as last told
-	refuse map[string]time.Time // hubs that are missing whose machine refuses connections, by address, since when
-	told   time.Time            // each hub has told something that it saw then or later; zero: not every one has
+	mu            sync.Mutex
+	resumedAt     time.Time            // since then it has run without a stop
+	reportedDead  map[string]time.Time // when a process was dead, of all names of which any hub or member told of late
+	attachedByHub map[string]uint32    // agents that another hub had, by its name, as last told
+	hubsDeadAt    map[string]time.Time // hubs that are missing whose machine refuses connections, by address, since when
+	allReportedAt time.Time            // each hub has told something that it saw then or later; zero: not every one has
 }
 
 const (
-	admitRate   = 200.0
-	mostBesides = 64 // streams beside those of the agents that the fleet may have
+	defaultAdmitRate = 200.0
+	maxExtraStreams  = 64 // streams beside those of the agents that the fleet may have
 )
 
 // New returns a hub that is to be run in a fleet.
 func New(cfg Config) *Server {
 	if cfg.Bounds == nil {
-		cfg.Bounds = gossip.DefaultBounds
+		cfg.Bounds = gossip.DefaultAgeBounds
 	}
 	if cfg.AdmitRate <= 0 {
-		cfg.AdmitRate = admitRate
+		cfg.AdmitRate = defaultAdmitRate
 	}
 	now := time.Now()
-	return &Server{cfg: cfg, door: gossip.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil), roll: newRoll(), admission: admission{rate: cfg.AdmitRate, tokens: max(1, cfg.AdmitRate/10), at: now},
-		born: now, awake: now, named: map[string]time.Time{}, words: map[string]uint32{}, refuse: map[string]time.Time{}}
+	return &Server{cfg: cfg, loadReports: gossip.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil), registry: newRegistry(), admission: admission{rate: cfg.AdmitRate, tokens: max(1, cfg.AdmitRate/10), refilledAt: now},
+		startedAt: now, resumedAt: now, reportedDead: map[string]time.Time{}, attachedByHub: map[string]uint32{}, hubsDeadAt: map[string]time.Time{}}
 }
 
 // Run serves agents until ctx ends, and then closes their streams, so that they move at once.
-func (s *Server) Run(ctx context.Context, f Fleet) {
-	s.fleet = f
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	var own sync.WaitGroup
-	own.Go(func() { s.sumUp(ctx) })
-	own.Go(func() { s.seeToTheDead(ctx) })
-	own.Go(func() { s.postNames(ctx) })
+func (s *Server) Run(ctx context.Context, fleet Fleet) {
+	s.fleet = fleet
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var loops sync.WaitGroup
+	loops.Go(func() { s.publishSums(ctx) })
+	loops.Go(func() { s.confirmDead(ctx) })
+	loops.Go(func() { s.reportAttachments(ctx) })
 	s.ready.Store(true)
 	<-ctx.Done()
-	s.served.Lock()
+	s.readyMu.Lock()
 	s.ready.Store(false)
-	s.served.Unlock()
-	for _, x := range s.roll.clear() {
-		x.end()
+	s.readyMu.Unlock()
+	for _, a := range s.registry.clear() {
+		a.close()
 	}
-	s.admission.end()
+	s.admission.close()
 	s.tasks.Wait()
-	own.Wait()
+	loops.Wait()
 }
 
 // ServeHTTP answers what agents and other hubs ask on the hub's fleet address.
-func (s *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !s.ready.Load() {
 		http.Error(w, "this hub is not ready", http.StatusServiceUnavailable)
 		return
 	}
-	switch q.URL.Path {
+	switch r.URL.Path {
 	case pathHub:
-		s.upgrade(w, q)
-	case pathNames:
-		s.takeNames(w, q)
+		s.handleUpgrade(w, r)
+	case pathAttachments:
+		s.handleReport(w, r)
 	case pathSettings:
-		s.showSettings(w, q)
+		s.handleSettings(w, r)
 	default:
-		http.NotFound(w, q)
+		http.NotFound(w, r)
 	}
 }
 
-// gone is the bound of a word that a process is dead.
-func (s *Server) gone() time.Duration { return s.cfg.Bounds[gossip.Gone] }
+// deadMaxAge is the bound of a word that a process is dead.
+func (s *Server) deadMaxAge() time.Duration { return s.cfg.Bounds[gossip.DeadProcesses] }
 
-// awakeFor is how long the hub has run without a stop: what was told before may not have been heard.
-func (s *Server) awakeFor(now time.Time) time.Duration {
+// uptime is how long the hub has run without a stop: what was told before may not have been heard.
+func (s *Server) uptime(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.awake)
+	return now.Sub(s.resumedAt)
 }
--- a/internal/fleet/hub/stream.go
+++ b/internal/fleet/hub/stream.go
@@ -14,67 +14,67 @@
 )
 
 const (
-	heardWithin = 3 * time.Second // an agent that says nothing for so long is dropped
-	writeWithin = 2 * time.Second // one that takes no bytes for so long, too
-	frameRate   = 20.0            // frames a second that are taken from one agent
-	frameBurst  = 40.0
+	receiveTimeout = 3 * time.Second // an agent that says nothing for so long is dropped
+	writeTimeout   = 2 * time.Second // one that takes no bytes for so long, too
+	frameRate      = 20.0            // frames a second that are taken from one agent
+	frameBurst     = 40.0
 )
 
-var errNonsense = errors.New("a frame that makes no sense here")
+var errUnexpectedFrame = errors.New("a frame that makes no sense here")
 
-// stream is an agent that is attached. Two tasks serve it: one reads, one writes.
-type stream struct {
-	name, site, program string
-	incarnation, serial uint64
-	addr                netip.AddrPort // of the agent's process, for when the stream has ended; invalid: not known
-	since               time.Time
-	conn                net.Conn
-	r                   *bufio.Reader
-	out                 chan []byte // what to write next, one at most
-	over                chan struct{}
-	once                sync.Once
+// attachment is an agent that is attached. Two tasks serve it: one reads, one writes.
+type attachment struct {
+	name, site, programVersion string
+	incarnation, serial        uint64
+	addr                       netip.AddrPort // of the agent's process, for when the stream has ended; invalid: not known
+	attachedAt                 time.Time
+	conn                       net.Conn
+	reader                     *bufio.Reader
+	pending                    chan []byte // what to write next, one at most
+	done                       chan struct{}
+	closeOnce                  sync.Once
 
-	mu     sync.Mutex
-	state  frame.State
-	stated time.Time // when it came; zero: none has
-	behind time.Time // the settings that it has are not the latest since then; zero: they are
+	mu           sync.Mutex
+	state        frame.State
+	stateAt      time.Time // when it came; zero: none has
+	laggingSince time.Time // the settings that it has are not the latest since then; zero: they are
 }
 
-// end closes a stream. Its tasks find out.
-func (s *stream) end() {
-	s.once.Do(func() {
-		close(s.over)
-		s.conn.Close()
+// close closes a stream. Its tasks find out.
+func (a *attachment) close() {
+	a.closeOnce.Do(func() {
+		close(a.done)
+		a.conn.Close()
 	})
 }
 
-// offer has a frame written next. One that was not begun yet is given up: the newer says all.
-func (s *stream) offer(data []byte) {
+// enqueue has a frame written next. One that was not begun yet is given up: the newer says all.
+func (a *attachment) enqueue(data []byte) {
 	select {
-	case <-s.out:
+	case <-a.pending:
 	default:
 	}
-	s.out <- data // nobody else offers
+	a.pending <- data // nobody else offers
 }
 
-// write writes what is offered until the stream is over. What is the agent's alone goes first, in a frame of its own: the
+// writeLoop writes what is offered until the stream is over. What is the agent's alone goes first, in a frame of its own: the
 // other one is shared.
-func (s *stream) write(sure func() bool) {
-	defer s.end()
+func (a *attachment) writeLoop(quotaConfirmed func() bool) {
+	defer a.close()
 	for {
 		select {
-		case <-s.over:
+		case <-a.done:
 			return
-		case data := <-s.out:
-			own, err := frame.Encode(&frame.Frame{Echo: s.echo(), Sure: sure()})
+		case data := <-a.pending:
+			private, err := frame.Encode(&frame.Frame{Echo: a.echo(), QuotaConfirmed: quotaConfirmed()})
 			if err != nil {
 				panic(err) // it holds numbers alone
 			}
-			if s.conn.SetWriteDeadline(time.Now().Add(writeWithin)) != nil {
+			if a.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 				return
 			}
-			for _, d := range [][]byte{own, data} {
-				if _, err := s.conn.Write(d); err != nil {
+			for _, buf := range [][]byte{private, data} {
+				if _, err := a.conn.Write(buf); err != nil {
 					return
 				}
 			}
@@ -83,88 +83,88 @@
 }
 
 // echo answers the last State.
-func (s *stream) echo() *frame.Echo {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stated.IsZero() {
+func (a *attachment) echo() *frame.Echo {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stateAt.IsZero() {
 		return nil
 	}
-	return &frame.Echo{Seq: s.state.Seq, Dwell: min(time.Since(s.stated), time.Minute)}
+	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), time.Minute)}
 }
 
-// read takes frames until the stream is over, and reports whether the agent said goodbye. Who writes more than is taken
+// readLoop takes frames until the stream is over, and reports whether the agent said goodbye. Who writes more than is taken
 // waits on the socket, at nobody else's cost.
-func (s *stream) read(door *gossip.Store) (bye bool, err error) {
-	tokens, at := frameBurst, time.Now()
+func (a *attachment) readLoop(loadReports *gossip.Store) (left bool, err error) {
+	tokens, refilledAt := frameBurst, time.Now()
 	for {
 		now := time.Now()
-		tokens, at = min(frameBurst, tokens+now.Sub(at).Seconds()*frameRate), now
+		tokens, refilledAt = min(frameBurst, tokens+now.Sub(refilledAt).Seconds()*frameRate), now
 		if tokens < 1 {
 			select {
-			case <-s.over:
+			case <-a.done:
 				return false, net.ErrClosed
 			case <-time.After(time.Duration((1 - tokens) / frameRate * float64(time.Second))):
 			}
 			continue
 		}
 		tokens--
-		if err := s.conn.SetReadDeadline(now.Add(heardWithin)); err != nil {
+		if err := a.conn.SetReadDeadline(now.Add(receiveTimeout)); err != nil {
 			return false, err
 		}
-		f, err := frame.Read(s.r)
+		f, err := frame.Read(a.reader)
 		if err != nil {
 			return false, err
 		}
-		if f.Bye {
+		if f.Leave {
 			return true, nil
 		}
-		if err := s.take(f, door); err != nil {
+		if err := a.handleFrame(f, loadReports); err != nil {
 			return false, err
 		}
 	}
 }
 
-func (s *stream) take(f *frame.Frame, door *gossip.Store) error {
+func (a *attachment) handleFrame(f *frame.Frame, loadReports *gossip.Store) error {
 	if f.Hello != nil || f.Welcome != nil || f.Busy != nil || f.Echo != nil {
-		return errNonsense
+		return errUnexpectedFrame
 	}
 	if f.State != nil {
-		s.mu.Lock()
-		s.state, s.stated = *f.State, time.Now()
-		s.mu.Unlock()
+		a.mu.Lock()
+		a.state, a.stateAt = *f.State, time.Now()
+		a.mu.Unlock()
 	}
-	if len(f.Facts) == 0 {
+	if len(f.Gossip) == 0 {
 		return nil
 	}
-	m, err := gossip.Decode(f.Facts)
+	m, err := gossip.DecodeMessage(f.Gossip)
 	if err != nil {
 		return err
 	}
-	if m.Sender != s.name {
-		return errNonsense
+	if m.Sender != a.name {
+		return errUnexpectedFrame
 	}
-	own := m.Facts[:0]
-	for _, w := range m.Facts { // nobody speaks for others, and a later program may know more kinds
-		if w.Kind == gossip.Service && w.Observer == s.name && w.Subject == startup.Subject {
-			own = append(own, w)
+	own := m.Entries[:0]
+	for _, entry := range m.Entries { // nobody speaks for others, and a later program may know more kinds
+		if entry.Kind == gossip.ListServiceLoad && entry.Observer == a.name && entry.Subject == startup.Subject {
+			own = append(own, entry)
 		}
 	}
-	m.Facts = own
-	data, err := gossip.Encode(m)
+	m.Entries = own
+	data, err := gossip.EncodeMessage(m)
 	if err != nil {
 		return err
 	}
-	return door.Hear(data)
+	return loadReports.Merge(data)
 }
 
-// standing is how an agent stands, as last told.
-type standing struct {
+// attachmentStatus is how an agent stands, as last told.
+type attachmentStatus struct {
 	frame.State
-	behind time.Time
+	laggingSince time.Time
 }
 
-func (s *stream) standing() standing {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return standing{s.state, s.behind}
+func (a *attachment) status() attachmentStatus {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return attachmentStatus{a.state, a.laggingSince}
 }
--- a/internal/fleet/hub/tell.go
+++ b/internal/fleet/hub/tell.go
@@ -8,43 +8,43 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// firstSeq sets what agents are told apart from what hubs tell each other of the same subjects.
-const firstSeq = 1 << 32
+// firstAgentSeq sets what agents are told apart from what hubs tell each other of the same subjects.
+const firstAgentSeq = 1 << 32
 
-// teller writes what a hub tells its agents: facts of its own, in the form of messages between members.
-type teller struct {
-	seq  uint64
-	last map[gossip.Kind][]byte // bodies, as last told
+// publisher writes what a hub tells its agents: facts of its own, in the form of messages between members.
+type publisher struct {
+	seq        uint64
+	lastBodies map[gossip.Kind][]byte // bodies, as last told
 }
 
-// news reports whether anything of these has changed that agents have to hear of at once, and keeps them.
-func (t *teller) news(words []gossip.Fact) bool {
-	last := map[gossip.Kind][]byte{}
-	for _, w := range words {
-		if w.Kind != gossip.Service {
-			last[w.Kind] = w.Body
+// changed reports whether anything of these has changed that agents have to hear of at once, and keeps them.
+func (p *publisher) changed(entries []gossip.Entry) bool {
+	bodies := map[gossip.Kind][]byte{}
+	for _, entry := range entries {
+		if entry.Kind != gossip.ListServiceLoad {
+			bodies[entry.Kind] = entry.Body
 		}
 	}
-	changed := len(last) != len(t.last)
-	for k, body := range last {
-		changed = changed || !bytes.Equal(t.last[k], body)
+	changed := len(bodies) != len(p.lastBodies)
+	for kind, body := range bodies {
+		changed = changed || !bytes.Equal(p.lastBodies[kind], body)
 	}
-	t.last = last
+	p.lastBodies = bodies
 	return changed
 }
 
-// message encodes a frame of facts, each with an age of now.
-func (s *Server) message(words []gossip.Fact, now time.Time) []byte {
-	m := gossip.Message{Version: gossip.Version, Sender: s.cfg.Name, Incarnation: s.cfg.Incarnation, Clock: now.Sub(s.born)}
-	for _, w := range words {
+// encodeEntries encodes a frame of facts, each with an age of now.
+func (s *Server) encodeEntries(entries []gossip.Entry, now time.Time) []byte {
+	message := gossip.Message{Version: gossip.Version, Sender: s.cfg.Name, Incarnation: s.cfg.Incarnation, Clock: now.Sub(s.startedAt)}
+	for _, entry := range entries {
 		s.seq++
-		w.Observer, w.Incarnation, w.Seq = s.cfg.Name, s.cfg.Incarnation, firstSeq+s.seq
-		m.Facts = append(m.Facts, w)
-		gossip.Trace{W: s.cfg.Trace}.Use(gossip.Use{Fact: w, Told: true, Now: w.Age})
+		entry.Observer, entry.Incarnation, entry.Seq = s.cfg.Name, s.cfg.Incarnation, firstAgentSeq+s.seq
+		message.Entries = append(message.Entries, entry)
+		gossip.Trace{W: s.cfg.Trace}.Use(gossip.Use{Entry: entry, Published: true, AgeAtUse: entry.Age})
 	}
-	data, err := gossip.Encode(&m)
+	data, err := gossip.EncodeMessage(&message)
 	if err == nil {
-		data, err = frame.Encode(&frame.Frame{Facts: data})
+		data, err = frame.Encode(&frame.Frame{Gossip: data})
 	}
 	if err != nil {
 		panic(err) // each body is within its bound
@@ -52,20 +52,20 @@
 	return data
 }
 
-// tell has every agent told, by one encoding for each site.
-func (s *Server) tell(words []gossip.Fact, rows map[string]gossip.Fact, now time.Time) {
+// publish has every agent told, by one encoding for each site.
+func (s *Server) publish(entries []gossip.Entry, rows map[string]gossip.Entry, now time.Time) {
 	frames := map[string][]byte{}
-	for _, x := range s.roll.streams() {
-		row, known := rows[x.site]
+	for _, a := range s.registry.attachments() {
+		row, known := rows[a.site]
 		data := frames[row.Subject]
 		if data == nil {
-			mine := words[:len(words):len(words)]
+			own := entries[:len(entries):len(entries)]
 			if known {
-				mine = append(mine, row)
+				own = append(own, row)
 			}
-			data = s.message(mine, now)
+			data = s.encodeEntries(own, now)
 			frames[row.Subject] = data
 		}
-		x.offer(data)
+		a.enqueue(data)
 	}
 }
--- a/internal/fleet/hubclient/act.go
+++ b/internal/fleet/hubclient/act.go
@@ -11,119 +11,119 @@
 )
 
 const (
-	thin         = 0.1 // of an even part, for one that starts
-	summaryEvery = 10 * time.Second
+	startupQuota    = 0.1 // of an even part, for one that starts
+	summaryInterval = 10 * time.Second
 )
 
-// act keeps ages, and does what follows from what is known, until ctx ends.
-func (s *Spoke) act(ctx context.Context) {
-	tick := time.NewTicker(gossip.TickEvery)
+// runLoop keeps ages, and does what follows from what is known, until ctx ends.
+func (c *Client) runLoop(ctx context.Context) {
+	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
-	summary := time.NewTicker(summaryEvery)
+	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-summary.C:
-			s.summarize()
-		case <-s.turn:
+			c.logSummary()
+		case <-c.wakeup:
 		case <-tick.C:
 		}
-		s.facts.Tick()
-		s.reckon()
-		if s.flat.Load() == nil { // it measures itself
-			s.measure()
+		c.store.Tick()
+		c.recomputeQuota()
+		if c.mesh.Load() == nil { // it measures itself
+			c.updateLatency()
 		}
-		s.heed(ctx)
+		c.followDocuments(ctx)
 	}
 }
 
-// census is who there is, as hubs tell it: of several, what leaves this agent the least.
-func (s *Spoke) census() (c hub.Census, fresh bool) {
-	for _, f := range s.facts.Now(gossip.Census) {
-		x, err := hub.ParseCensus(f.Body)
-		if err != nil || f.Subject != hub.FleetCensus {
+// fleetSize is who there is, as hubs tell it: of several, what leaves this agent the least.
+func (c *Client) fleetSize() (size hub.FleetSize, fresh bool) {
+	for _, entry := range c.store.Entries(gossip.FleetSize) {
+		published, err := hub.ParseFleetSize(entry.Body)
+		if err != nil || entry.Subject != hub.FleetSubject {
 			continue
 		}
 		if !fresh {
-			c = x
+			size = published
 		}
-		c.Attached, c.Starting, c.Gone, fresh = max(c.Attached, x.Attached), max(c.Starting, x.Starting), min(c.Gone, x.Gone), true
+		size.Attached, size.Starting, size.Dead, fresh = max(size.Attached, published.Attached), max(size.Starting, published.Starting), min(size.Dead, published.Dead), true
 	}
-	return c, fresh
+	return size, fresh
 }
 
-// reckon reckons this agent's part of the in-flight limit. Without a fresh word of who is dead it is an even one. Where the
+// recomputeQuota reckons this agent's part of the in-flight limit. Without a fresh word of who is dead it is an even one. Where the
 // flat fleet runs the lower of both rules holds: those that follow the hubs use the parts of others than those who don't.
-func (s *Spoke) reckon() {
-	c, fresh := s.census()
-	most := s.cfg.Most
-	part := thin / float64(most)
-	if s.sure.Load() || time.Since(s.born) >= s.cfg.Bounds[gossip.Census] {
-		users := most
+func (c *Client) recomputeQuota() {
+	size, fresh := c.fleetSize()
+	maxAgents := c.cfg.MaxAgents
+	quota := startupQuota / float64(maxAgents)
+	if c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.Bounds[gossip.FleetSize] {
+		users := maxAgents
 		if fresh {
-			users = max(1, most-int(c.Gone), int(c.Attached))
+			users = max(1, maxAgents-int(size.Dead), int(size.Attached))
 		}
-		part = 1 / float64(users)
+		quota = 1 / float64(users)
 	}
-	s.mu.Lock()
-	if s.flatPart > 0 {
-		part = min(part, s.flatPart)
+	c.mu.Lock()
+	if c.meshQuota > 0 {
+		quota = min(quota, c.meshQuota)
 	}
-	same := part == s.known.Part
-	s.known.Part = part
+	unchanged := quota == c.status.Quota
+	c.status.Quota = quota
 	if fresh {
-		s.known.Census = c
+		c.status.FleetSize = size
 	}
-	s.mu.Unlock()
-	if same {
+	c.mu.Unlock()
+	if unchanged {
 		return
 	}
-	gossip.Trace{W: s.cfg.Trace}.Line(map[string]any{"part": part})
-	if s.told.Part != nil {
-		s.told.Part(part)
+	gossip.Trace{W: c.cfg.Trace}.Line(map[string]any{"part": quota})
+	if c.callbacks.Quota != nil {
+		c.callbacks.Quota(quota)
 	}
 }
 
-// measure tells the agent how far the zones are, where that has changed.
-func (s *Spoke) measure() {
-	row, known := s.row()
-	trips, losses := make([]time.Duration, len(s.zones)), make([]float64, len(s.zones))
-	for i, zone := range s.zones {
-		trips[i], losses[i] = row[zone].Trip, row[zone].Loss
+// updateLatency tells the agent how far the zones are, where that has changed.
+func (c *Client) updateLatency() {
+	row, known := c.latencyRow()
+	rtts, lossRates := make([]time.Duration, len(c.zones)), make([]float64, len(c.zones))
+	for i, zone := range c.zones {
+		rtts[i], lossRates[i] = row[zone].RTT, row[zone].Loss
 	}
-	s.mu.Lock()
-	same := slices.Equal(trips, s.trips) && slices.Equal(losses, s.losses)
-	s.trips, s.losses, s.known.Row = trips, losses, known
-	s.mu.Unlock()
-	if !same && s.told.Distances != nil {
-		s.told.Distances(trips, losses)
+	c.mu.Lock()
+	unchanged := slices.Equal(rtts, c.rtts) && slices.Equal(lossRates, c.lossRates)
+	c.rtts, c.lossRates, c.status.LatenciesKnown = rtts, lossRates, known
+	c.mu.Unlock()
+	if !unchanged && c.callbacks.Latencies != nil {
+		c.callbacks.Latencies(rtts, lossRates)
 	}
 }
 
-// row is how far the zones are from this agent's, as told last.
-func (s *Spoke) row() (row map[string]latency.Estimate, known bool) {
+// latencyRow is how far the zones are from this agent's, as told last.
+func (c *Client) latencyRow() (row map[string]latency.Estimate, known bool) {
 	var age time.Duration
-	for _, f := range s.facts.Now(gossip.Distance) {
-		if f.Subject != s.cfg.Site || known && f.Age >= age {
+	for _, entry := range c.store.Entries(gossip.LatencyRow) {
+		if entry.Subject != c.cfg.Site || known && entry.Age >= age {
 			continue
 		}
-		if r, err := latency.ReadRow(f.Body); err == nil {
-			row, known, age = r, true, f.Age
+		if parsed, err := latency.DecodeRow(entry.Body); err == nil {
+			row, known, age = parsed, true, entry.Age
 		}
 	}
 	return row, known
 }
 
-func (s *Spoke) summarize() {
-	st, k := s.facts.Stats(), s.Known()
-	args := []any{"hub", k.Hub, "flat", k.Flat, "part", k.Part, "attached", k.Census.Attached, "gone", k.Census.Gone, "facts", st.Held,
-		"malformed", st.Malformed, "stops", st.Stops}
-	for kind, x := range st.Kinds {
-		if x.Used > 0 || x.Refused > 0 {
-			args = append(args, kind, x.String())
+func (c *Client) logSummary() {
+	stats, status := c.store.Stats(), c.Status()
+	args := []any{"hub", status.Hub, "flat", status.MeshRunning, "part", status.Quota, "attached", status.FleetSize.Attached, "gone", status.FleetSize.Dead, "facts", stats.Entries,
+		"malformed", stats.Malformed, "stops", stats.Stops}
+	for kind, kindStats := range stats.Kinds {
+		if kindStats.Used > 0 || kindStats.Rejected > 0 {
+			args = append(args, kind, kindStats.String())
 		}
 	}
-	s.cfg.Log.Info("fleet", args...)
+	c.cfg.Log.Info("fleet", args...)
 }
