--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -7,31 +7,31 @@
 )
 
 // The first tries of agents that start at once come to their hubs within this time.
-const startWithin = 300 * time.Millisecond
+const startupJitter = 300 * time.Millisecond
 
-// attach has a stream to a hub, to another when that one fails, and to the agent's own when it is back, until ctx ends.
-func (s *Spoke) attach(ctx context.Context) {
-	wait := time.Duration(s.choose.random.Int64N(int64(startWithin)))
-	for pause(ctx, wait) {
-		at := s.choose.at
-		x, err := s.open(ctx, s.hubs[at])
+// keepAttached has a stream to a hub, to another when that one fails, and to the agent's own when it is back, until ctx ends.
+func (c *Client) keepAttached(ctx context.Context) {
+	wait := time.Duration(c.selector.random.Int64N(int64(startupJitter)))
+	for sleep(ctx, wait) {
+		index := c.selector.current
+		a, err := c.openAttachment(ctx, c.hubs[index])
 		var busy *busyError
 		switch {
 		case err == nil:
-			wait = s.stay(ctx, x, at)
+			wait = c.stayAttached(ctx, a, index)
 		case errors.As(err, &busy):
-			wait = s.choose.refused(busy.after, time.Now())
+			wait = c.selector.hubBusy(busy.retryAfter, time.Now())
 		default:
-			wait = s.choose.failed(time.Now())
+			wait = c.selector.attachFailed(time.Now())
 		}
 		if err != nil {
-			s.cfg.Log.Debug("a hub does not take this agent", "zone", s.hubs[at].Zone, "error", err, "next", s.hubs[s.choose.at].Zone, "wait", wait)
+			c.cfg.Log.Debug("a hub does not take this agent", "zone", c.hubs[index].Zone, "error", err, "next", c.hubs[c.selector.current].Zone, "wait", wait)
 		}
 	}
 }
 
-// pause waits, and reports false if ctx ends.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits, and reports false if ctx ends.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -40,79 +40,79 @@
 	}
 }
 
-// stay keeps a stream, and changes it for one to the agent's own hub as soon as there is one, until it ends. It returns how
+// stayAttached keeps a stream, and changes it for one to the agent's own hub as soon as there is one, until it ends. It returns how
 // long to wait then.
-func (s *Spoke) stay(ctx context.Context, x *stream, at int) time.Duration {
+func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
 	for {
-		began := time.Now()
-		s.has(x)
-		s.cfg.Log.Info("attached", "hub", x.name, "zone", x.hub.Zone)
-		home := s.whileAt(ctx, x, at)
+		attachedAt := time.Now()
+		c.setAttachment(a)
+		c.cfg.Log.Info("attached", "hub", a.hubName, "zone", a.hub.Zone)
+		home := c.awaitEndOrHome(ctx, a, index)
 		if home != nil {
-			x.end(errHome)
-			<-x.done
-			x.conn.Close()
-			x, at = home, 0
+			a.cancel(errHomeHubBack)
+			<-a.done
+			a.conn.Close()
+			a, index = home, 0
 			continue
 		}
-		<-x.done
+		<-a.done
 		if ctx.Err() != nil {
-			x.bye()
+			a.leave()
 			return 0
 		}
-		x.conn.Close()
-		s.has(nil)
-		wait := s.choose.lost(at, time.Since(began), time.Now())
-		s.cfg.Log.Warn("the hub is lost", "hub", x.name, "zone", x.hub.Zone, "why", context.Cause(x.ctx), "next", s.hubs[s.choose.at].Zone, "wait", wait)
+		a.conn.Close()
+		c.setAttachment(nil)
+		wait := c.selector.attachmentLost(index, time.Since(attachedAt), time.Now())
+		c.cfg.Log.Warn("the hub is lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx), "next", c.hubs[c.selector.current].Zone, "wait", wait)
 		return wait
 	}
 }
 
-// whileAt waits until a stream ends, or, where it is not to the agent's own hub, until there is one to that.
-func (s *Spoke) whileAt(ctx context.Context, x *stream, at int) (home *stream) {
-	for wait := s.choose.home(); ; {
-		var look <-chan time.Time
-		if at != 0 {
-			look = time.After(wait)
+// awaitEndOrHome waits until a stream ends, or, where it is not to the agent's own hub, until there is one to that.
+func (c *Client) awaitEndOrHome(ctx context.Context, a *attachment, index int) (home *attachment) {
+	for wait := c.selector.nextHomeCheck(); ; {
+		var homeCheck <-chan time.Time
+		if index != 0 {
+			homeCheck = time.After(wait)
 		}
 		select {
-		case <-x.ctx.Done():
+		case <-a.ctx.Done():
 			return nil
-		case <-look:
+		case <-homeCheck:
 		}
-		home, err := s.open(ctx, s.hubs[0])
+		home, err := c.openAttachment(ctx, c.hubs[0])
 		if err == nil {
 			return home
 		}
-		wait = s.choose.home()
+		wait = c.selector.nextHomeCheck()
 		var busy *busyError
 		if errors.As(err, &busy) {
-			wait = max(wait, busy.after)
+			wait = max(wait, busy.retryAfter)
 		}
 	}
 }
 
-// has sets the stream that this agent has; nil: none.
-func (s *Spoke) has(x *stream) {
-	s.mu.Lock()
-	was := s.stream
-	s.stream = x
+// setAttachment sets the stream that this agent has; nil: none.
+func (c *Client) setAttachment(a *attachment) {
+	c.mu.Lock()
+	previous := c.attachment
+	c.attachment = a
 	switch {
-	case x == nil:
-		s.lost, s.attached = time.Now(), make(chan struct{})
-	case was == nil:
-		close(s.attached)
+	case a == nil:
+		c.disconnectedAt, c.attached = time.Now(), make(chan struct{})
+	case previous == nil:
+		close(c.attached)
 	}
-	s.mu.Unlock()
-	s.nudge()
+	c.mu.Unlock()
+	c.wake()
 }
 
-// hubless is for how long there has been no stream.
-func (s *Spoke) hubless() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stream != nil {
+// disconnectedFor is for how long there has been no stream.
+func (c *Client) disconnectedFor() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.attachment != nil {
 		return 0
 	}
-	return time.Since(s.lost)
+	return time.Since(c.disconnectedAt)
 }
--- a/internal/fleet/hubclient/choice_test.go
+++ b/internal/fleet/hubclient/choice_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-var hubs = []Hub{{"a1", "a", "1"}, {"a2", "a", "2"}, {"a3", "a", "3"}, {"b1", "b", "4"}, {"b2", "b", "5"}, {"b3", "b", "6"}}
+var testHubs = []Hub{{"a1", "a", "1"}, {"a2", "a", "2"}, {"a3", "a", "3"}, {"b1", "b", "4"}, {"b2", "b", "5"}, {"b3", "b", "6"}}
 
 // The 257 agents of a dead hub come to the two others of its region, and to neither more than 100 within any second.
-func TestThoseOfADeadHubSpread(t *testing.T) {
+func TestAgentsOfDeadHubSpreadOverRegion(t *testing.T) {
 	const agents = 257
 	var start time.Time
-	came := map[string][]time.Duration{}
+	arrivals := map[string][]time.Duration{}
 	for i := range agents {
 		name := fmt.Sprintf("agent-%d", i)
-		list := order(name, "a1", "a", hubs)
+		list := preferenceOrder(name, "a1", "a", testHubs)
 		if list[0].Zone != "a1" || list[1].Region != "a" || list[2].Region != "a" {
 			t.Fatalf("order %v", list)
 		}
-		c := newChooser(len(list), uint64(i))
-		wait := c.lost(0, time.Minute, start)
-		came[list[c.at].Zone] = append(came[list[c.at].Zone], wait)
+		selector := newHubSelector(len(list), uint64(i))
+		wait := selector.attachmentLost(0, time.Minute, start)
+		arrivals[list[selector.current].Zone] = append(arrivals[list[selector.current].Zone], wait)
 	}
-	if len(came["a2"])+len(came["a3"]) != agents {
-		t.Fatalf("they went to %d hubs", len(came))
+	if len(arrivals["a2"])+len(arrivals["a3"]) != agents {
+		t.Fatalf("they went to %d hubs", len(arrivals))
 	}
-	for hub, list := range came {
+	for hub, list := range arrivals {
 		for _, from := range list {
 			n := 0
 			for _, at := range list {
@@ -42,40 +42,40 @@
 }
 
 // Tries in vain go round all hubs with growing waits; one that asked for time has it; a steady stream starts anew.
-func TestWaitsGrowAndAreHeeded(t *testing.T) {
+func TestBackoffGrowsAndBusyHubsAreHonoured(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	c := newChooser(3, 7)
+	selector := newHubSelector(3, 7)
 	tried, longest := map[int]bool{}, time.Duration(0)
 	for range 300 {
-		wait := c.failed(now)
-		if wait > waitMost || c.fails == 1 && wait > waitFirst {
-			t.Fatalf("wait %v after %d tries", wait, c.fails)
+		wait := selector.attachFailed(now)
+		if wait > maxBackoff || selector.consecutiveFailures == 1 && wait > initialBackoff {
+			t.Fatalf("wait %v after %d tries", wait, selector.consecutiveFailures)
 		}
-		tried[c.at], longest = true, max(longest, wait)
+		tried[selector.current], longest = true, max(longest, wait)
 	}
-	if len(tried) != 3 || longest < waitMost*9/10 {
+	if len(tried) != 3 || longest < maxBackoff*9/10 {
 		t.Errorf("tried %v, longest wait %v", tried, longest)
 	}
-	at := c.at
-	if wait := c.refused(time.Second, now); wait != time.Second || c.at != at {
-		t.Errorf("a busy hub is asked again after %v, hub %d", wait, c.at)
+	before := selector.current
+	if wait := selector.hubBusy(time.Second, now); wait != time.Second || selector.current != before {
+		t.Errorf("a busy hub is asked again after %v, hub %d", wait, selector.current)
 	}
-	if c.refused(time.Minute, now); c.at == at {
+	if selector.hubBusy(time.Minute, now); selector.current == before {
 		t.Error("a hub that is busy for a minute is waited for")
 	}
 	for range 10 {
-		if c.failed(now); c.at == at {
+		if selector.attachFailed(now); selector.current == before {
 			t.Error("it is asked sooner than it said")
 		}
 	}
-	if only := newChooser(1, 7); only.refused(time.Minute, now) != time.Minute {
+	if only := newHubSelector(1, 7); only.hubBusy(time.Minute, now) != time.Minute {
 		t.Error("the only hub is asked sooner than it said")
 	}
-	if wait := c.lost(1, steady, now.Add(time.Hour)); c.at != 0 || wait > waitFirst {
-		t.Errorf("after a steady stream hub %d is tried after %v", c.at, wait)
+	if wait := selector.attachmentLost(1, stableAfter, now.Add(time.Hour)); selector.current != 0 || wait > initialBackoff {
+		t.Errorf("after a steady stream hub %d is tried after %v", selector.current, wait)
 	}
 	for range 1000 {
-		if d := c.home(); d < homeEvery/2 || d >= homeEvery*3/2 {
+		if d := selector.nextHomeCheck(); d < defaultHomeCheckInterval/2 || d >= defaultHomeCheckInterval*3/2 {
 			t.Fatalf("home is looked for after %v", d)
 		}
 	}
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -32,15 +32,15 @@
 	Label                       string
 	Listen, Advertise           string // addresses; Advertise may be ""
 	Hubs                        []Hub
-	Most                        int                // most agents that the fleet has
-	Await                       bool               // Listen may be held by an older process of this agent
-	Incarnations                incarnation.Source // numbers the processes of the name
-	Bounds                      gossip.Bounds
+	MaxAgents                   int                   // most agents that the fleet has
+	AwaitAddress                bool                  // Listen may be held by an older process of this agent
+	Incarnations                incarnation.Allocator // numbers the processes of the name
+	Bounds                      gossip.AgeBounds
 	Relayed                     bool              // lists come by way of the hub
 	ListRate                    float64           // calls a second that the list service is taken to bear at first
 	Residency                   *residency.Holder // nil: none
 	Settings                    *settings.Holder  // nil: none
-	Flat                        Flat              // nil: there is no flat fleet to fall back to
+	NewMesh                     NewMesh           // nil: there is no flat fleet to fall back to
 	Log                         *slog.Logger
 	Trace                       io.Writer // a line for each fact used, and for each part taken; nil: none
 	Dial                        Dial      // nil: from the address of Listen
@@ -49,51 +49,51 @@
 // Dial opens connections to hubs. What it returns to a stream must be able to close one way, as a TCP connection does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Flat makes the flat fleet of this agent at an address that is held already, by a process that began then.
-type Flat func(door *net.TCPListener, began time.Time, told fleet.Told) (*fleet.Fleet, error)
+// NewMesh makes the flat fleet of this agent at an address that is held already, by a process that began then.
+type NewMesh func(door *net.TCPListener, began time.Time, told fleet.Callbacks) (*fleet.Fleet, error)
 
-// Spoke is an agent's place in its fleet. It must be run.
-type Spoke struct {
-	cfg         Config
-	told        fleet.Told
-	zones       []string
-	hubs        []Hub // as this agent wants them
-	choose      *chooser
-	incarnation uint64
-	born        time.Time
-	facts       *gossip.Store
-	pacer       *startup.Pacer
-	texts       []*documents.Kind // that it follows
-	dial        Dial
-	door        *door
-	flat        atomic.Pointer[fleet.Fleet] // nil: it does not run
-	serving     atomic.Bool
-	sure        atomic.Bool   // nobody uses this agent's part but itself, as a hub said
-	turn        chan struct{} // something is new, at most one waiting
+// Client is an agent's place in its fleet. It must be run.
+type Client struct {
+	cfg            Config
+	callbacks      fleet.Callbacks
+	zones          []string
+	hubs           []Hub // as this agent wants them
+	selector       *hubSelector
+	incarnation    uint64
+	startedAt      time.Time
+	store          *gossip.Store
+	pacer          *startup.Pacer
+	documents      []*documents.Document // that it follows
+	dial           Dial
+	listener       *addressListener
+	mesh           atomic.Pointer[fleet.Fleet] // nil: it does not run
+	serving        atomic.Bool
+	quotaConfirmed atomic.Bool   // nobody uses this agent's part but itself, as a hub said
+	wakeup         chan struct{} // something is new, at most one waiting
 
-	mu       sync.Mutex
-	stream   *stream       // nil: none
-	attached chan struct{} // closed while there is a stream
-	lost     time.Time     // since then there is none
-	flatPart float64       // by the flat fleet's rule; 0: there is none
-	known    Known
-	trips    []time.Duration
-	losses   []float64
+	mu             sync.Mutex
+	attachment     *attachment   // nil: none
+	attached       chan struct{} // closed while there is a stream
+	disconnectedAt time.Time     // since then there is none
+	meshQuota      float64       // by the flat fleet's rule; 0: there is none
+	status         Status
+	rtts           []time.Duration
+	lossRates      []float64
 }
 
-// Known is what an agent knows, for who looks from outside.
-type Known struct {
-	Hub              string // "": none
-	Flat             bool   // the flat fleet runs
-	Part             float64
-	Census           hub.Census // the last
-	Row              bool       // how far the zones are is known
-	Policy, Settings int64      // versions in force
+// Status is what an agent knows, for who looks from outside.
+type Status struct {
+	Hub                            string // "": none
+	MeshRunning                    bool   // the flat fleet runs
+	Quota                          float64
+	FleetSize                      hub.FleetSize // the last
+	LatenciesKnown                 bool          // how far the zones are is known
+	PolicyVersion, SettingsVersion int64         // versions in force
 }
 
 // New listens, unless an older process of this agent does. zones are the sites, in the order in which the module counts
 // them.
-func New(cfg Config, zones []string, told fleet.Told) (*Spoke, error) {
+func New(cfg Config, zones []string, told fleet.Callbacks) (*Client, error) {
 	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
@@ -102,71 +102,71 @@
 		return nil, errors.New("fleet.hubs: none")
 	}
 	if cfg.Bounds == nil {
-		cfg.Bounds = gossip.DefaultBounds
+		cfg.Bounds = gossip.DefaultAgeBounds
 	}
 	now := time.Now()
-	s := &Spoke{cfg: cfg, told: told, zones: zones, hubs: order(cfg.Name, cfg.Site, cfg.Region, cfg.Hubs), born: now, lost: now,
+	c := &Client{cfg: cfg, callbacks: told, zones: zones, hubs: preferenceOrder(cfg.Name, cfg.Site, cfg.Region, cfg.Hubs), startedAt: now, disconnectedAt: now,
 		incarnation: cfg.Incarnations.Next(),
-		turn:        make(chan struct{}, 1), attached: make(chan struct{}), known: Known{Part: -1}}
-	if s.dial = cfg.Dial; s.dial == nil {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: listen.Addr().AsSlice()}, KeepAlive: -1} // who is called knows by it who calls
-		s.dial = d.DialContext
+		wakeup:      make(chan struct{}, 1), attached: make(chan struct{}), status: Status{Quota: -1}}
+	if c.dial = cfg.Dial; c.dial == nil {
+		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: listen.Addr().AsSlice()}, KeepAlive: -1} // who is called knows by it who calls
+		c.dial = dialer.DialContext
 	}
-	s.choose = newChooser(len(s.hubs), xxhash.Sum64String(cfg.Name)^s.incarnation)
-	s.facts = gossip.New(cfg.Name, s.incarnation, cfg.Bounds, gossip.Trace{W: cfg.Trace}.Use)
-	s.pacer = startup.New(startup.Config{Rate: cfg.ListRate, Met: s.met, Facts: s.facts})
-	s.follow()
-	if s.door, err = newDoor(listen, cfg.Await); err != nil {
+	c.selector = newHubSelector(len(c.hubs), xxhash.Sum64String(cfg.Name)^c.incarnation)
+	c.store = gossip.New(cfg.Name, c.incarnation, cfg.Bounds, gossip.Trace{W: cfg.Trace}.Use)
+	c.pacer = startup.New(startup.Config{Rate: cfg.ListRate, HasPeers: c.fleetSizeReceived, Store: c.store})
+	c.setUpDocuments()
+	if c.listener, err = newAddressListener(listen, cfg.AwaitAddress); err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	return s, nil
+	return c, nil
 }
 
 // Run stays in the fleet until ctx ends, and then says goodbye.
-func (s *Spoke) Run(ctx context.Context) error {
+func (c *Client) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
-	tasks.Go(func() { s.act(ctx) })
-	tasks.Go(func() { s.keepDoor(ctx) })
-	s.attach(ctx)
+	tasks.Go(func() { c.runLoop(ctx) })
+	tasks.Go(func() { c.serveAddress(ctx) })
+	c.keepAttached(ctx)
 	tasks.Wait()
 	return nil
 }
 
 // Addr is where others see whether this process has ended.
-func (s *Spoke) Addr() string { return s.door.address() }
+func (c *Client) Addr() string { return c.listener.address() }
 
-// hub is the address of the hub that this agent is attached to; "": of none.
-func (s *Spoke) hub() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stream == nil {
+// hubAddr is the address of the hub that this agent is attached to; "": of none.
+func (c *Client) hubAddr() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.attachment == nil {
 		return ""
 	}
-	return s.stream.hub.Addr
+	return c.attachment.hub.Addr
 }
 
-// nudge has what follows from what is known be found out at once.
-func (s *Spoke) nudge() {
+// wake has what follows from what is known be found out at once.
+func (c *Client) wake() {
 	select {
-	case s.turn <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Known is what this agent knows now.
-func (s *Spoke) Known() Known {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.known
-	if s.stream != nil {
-		k.Hub = s.stream.name
+// Status is what this agent knows now.
+func (c *Client) Status() Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	status := c.status
+	if c.attachment != nil {
+		status.Hub = c.attachment.hubName
 	}
-	k.Flat = s.flat.Load() != nil
-	if s.cfg.Residency != nil {
-		k.Policy = s.cfg.Residency.State().Version
+	status.MeshRunning = c.mesh.Load() != nil
+	if c.cfg.Residency != nil {
+		status.PolicyVersion = c.cfg.Residency.State().Version
 	}
-	if s.cfg.Settings != nil {
-		k.Settings = s.cfg.Settings.State().Version
+	if c.cfg.Settings != nil {
+		status.SettingsVersion = c.cfg.Settings.State().Version
 	}
-	return k
+	return status
 }
--- a/internal/fleet/hubclient/documents.go
+++ b/internal/fleet/hubclient/documents.go
@@ -15,81 +15,81 @@
 )
 
 // All agents of a hub hear of a new text at once, and ask for it within this time.
-const spread = time.Second
+const fetchJitter = time.Second
 
-const mostWhy = 512 // bytes; what a frame takes
+const maxReasonBytes = 512 // bytes; what a frame takes
 
-// state is how this agent stands, as a hub is told.
-type state struct {
+// agentState is how this agent stands, as a hub is told.
+type agentState struct {
 	serving          bool
-	settings, policy frame.Standing
+	settings, policy frame.AppliedVersion
 }
 
-func (s *Spoke) state() state {
-	st := state{serving: s.serving.Load()}
-	if s.cfg.Settings != nil {
-		st.settings = settingsStanding(s.cfg.Settings)
+func (c *Client) currentState() agentState {
+	current := agentState{serving: c.serving.Load()}
+	if c.cfg.Settings != nil {
+		current.settings = appliedSettings(c.cfg.Settings)
 	}
-	if s.cfg.Residency != nil {
-		st.policy = policyStanding(s.cfg.Residency.State())
+	if c.cfg.Residency != nil {
+		current.policy = appliedPolicy(c.cfg.Residency.State())
 	}
-	return st
+	return current
 }
 
-// settingsStanding tells, besides what is wrong, which keys wait for the next start.
-func settingsStanding(h *settings.Holder) frame.Standing {
-	st := frame.Standing(h.Standing())
-	if later := h.State().Later; len(later) > 0 {
-		why := "for the next start: " + strings.Join(later, ", ")
-		if st.Why != "" {
-			why = st.Why + "; " + why
+// appliedSettings tells, besides what is wrong, which keys wait for the next start.
+func appliedSettings(h *settings.Holder) frame.AppliedVersion {
+	applied := frame.AppliedVersion(h.Status())
+	if pendingRestart := h.State().PendingRestart; len(pendingRestart) > 0 {
+		reason := "for the next start: " + strings.Join(pendingRestart, ", ")
+		if applied.Reason != "" {
+			reason = applied.Reason + "; " + reason
 		}
-		st.Why = strings.ToValidUTF8(why[:min(len(why), mostWhy)], "") // a cut may go through a letter
+		applied.Reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "") // a cut may go through a letter
 	}
-	return st
+	return applied
 }
 
-func policyStanding(st residency.State) frame.Standing {
-	p := frame.Standing{Version: st.Version}
-	switch len(st.Digests) {
+func appliedPolicy(current residency.State) frame.AppliedVersion {
+	applied := frame.AppliedVersion{Version: current.Version}
+	switch len(current.Digests) {
 	case 0:
 	case 1:
-		p.Digest = st.Digests[0]
+		applied.Digest = current.Digests[0]
 	default:
-		p.Why = fmt.Sprintf("%d texts have this version", len(st.Digests))
+		applied.Reason = fmt.Sprintf("%d texts have this version", len(current.Digests))
 	}
-	return p
+	return applied
 }
 
-// follow sets up the texts that are followed.
-func (s *Spoke) follow() {
-	if h := s.cfg.Residency; h != nil {
-		k := fleet.Policy(h)
-		k.Spread = spread
-		s.texts = append(s.texts, k)
+// setUpDocuments sets up the texts that are followed.
+func (c *Client) setUpDocuments() {
+	if h := c.cfg.Residency; h != nil {
+		document := fleet.PolicyReplicator(h)
+		document.FetchJitter = fetchJitter
+		c.documents = append(c.documents, document)
 	}
-	if h := s.cfg.Settings; h != nil {
-		s.texts = append(s.texts, &documents.Kind{Fact: gossip.Settings, Path: "/settings/", Most: settings.MaxText, Holder: h, Digest: settings.Digest, Wants: h.Wants,
-			State: func() documents.Standing {
-				st := h.State()
-				return documents.Standing{Version: st.Version, Digests: st.Digests}
-			}, Spread: spread})
+	if h := c.cfg.Settings; h != nil {
+		c.documents = append(c.documents, &documents.Document{GossipKind: gossip.SettingsVersion, Path: "/settings/", MaxBytes: settings.MaxText, Holder: h, Digest: settings.Digest, ShouldFetch: h.ShouldFetch,
+			Applied: func() documents.AppliedVersion {
+				current := h.State()
+				return documents.AppliedVersion{Version: current.Version, Digests: current.Digests}
+			}, FetchJitter: fetchJitter})
 	}
 }
 
-// heed heeds what hubs tell of texts, and asks this agent's hub for what it lacks.
-func (s *Spoke) heed(ctx context.Context) {
-	for _, k := range s.texts {
-		for _, w := range s.facts.Now(k.Fact) {
-			k.Follow(ctx, w, s.whom)
+// followDocuments heeds what hubs tell of texts, and asks this agent's hub for what it lacks.
+func (c *Client) followDocuments(ctx context.Context) {
+	for _, document := range c.documents {
+		for _, entry := range c.store.Entries(document.GossipKind) {
+			document.Follow(ctx, entry, c.documentSources)
 		}
 	}
 }
 
-func (s *Spoke) whom() documents.Asked {
-	a := documents.Asked{Dial: s.dial}
-	if addr := s.hub(); addr != "" {
-		a.Addrs = []string{addr}
+func (c *Client) documentSources() documents.Sources {
+	sources := documents.Sources{Dial: c.dial}
+	if addr := c.hubAddr(); addr != "" {
+		sources.Addrs = []string{addr}
 	}
-	return a
+	return sources
 }
--- a/internal/fleet/hubclient/door.go
+++ b/internal/fleet/hubclient/door.go
@@ -12,89 +12,89 @@
 )
 
 const (
-	bindEvery = 50 * time.Millisecond
-	mostHeld  = 64
-	heldFor   = time.Second
-	mostRead  = 64 << 10 // bytes of a stream that is held
+	bindRetryInterval = 50 * time.Millisecond
+	maxHeldConns      = 64
+	connHoldTime      = time.Second
+	maxDiscardedBytes = 64 << 10 // bytes of a stream that is held
 )
 
-// door listens on the fleet address for nothing but that a refused connection tells that this process has ended.
-type door struct {
-	at   netip.AddrPort
-	held chan struct{} // a place for each connection
+// addressListener listens on the fleet address for nothing but that a refused connection tells that this process has ended.
+type addressListener struct {
+	addr  netip.AddrPort
+	slots chan struct{} // a place for each connection
 
 	mu sync.Mutex
 	ln *net.TCPListener // nil: an older process has the address
 }
 
-func newDoor(at netip.AddrPort, await bool) (*door, error) {
-	d := &door{at: at, held: make(chan struct{}, mostHeld)}
-	if err := d.bind(); err != nil && !(await && errors.Is(err, syscall.EADDRINUSE)) {
+func newAddressListener(addr netip.AddrPort, awaitAddress bool) (*addressListener, error) {
+	l := &addressListener{addr: addr, slots: make(chan struct{}, maxHeldConns)}
+	if err := l.bind(); err != nil && !(awaitAddress && errors.Is(err, syscall.EADDRINUSE)) {
 		return nil, err
 	}
-	return d, nil
+	return l, nil
 }
 
-func (d *door) bind() error {
-	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(d.at))
+func (l *addressListener) bind() error {
+	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(l.addr))
 	if err != nil {
 		return err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.ln, d.at = ln, ln.Addr().(*net.TCPAddr).AddrPort()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.ln, l.addr = ln, ln.Addr().(*net.TCPAddr).AddrPort()
 	return nil
 }
 
 // address is where others see whether this process has ended.
-func (d *door) address() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.at.String()
+func (l *addressListener) address() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.addr.String()
 }
 
-// await has the address, once an older process of this agent has ended; false: ctx has.
-func (d *door) await(ctx context.Context) bool {
-	for d.ln == nil {
-		if !pause(ctx, bindEvery) {
+// awaitAddress has the address, once an older process of this agent has ended; false: ctx has.
+func (l *addressListener) awaitAddress(ctx context.Context) bool {
+	for l.ln == nil {
+		if !sleep(ctx, bindRetryInterval) {
 			return false
 		}
-		_ = d.bind() // it is still held if it fails
+		_ = l.bind() // it is still held if it fails
 	}
 	return true
 }
 
-// open takes connections until ctx ends. Those that come later wait, and are not refused: the address stays held.
-func (d *door) open(ctx context.Context) {
-	_ = d.ln.SetDeadline(time.Time{}) // closed already if it fails
-	defer context.AfterFunc(ctx, func() { _ = d.ln.SetDeadline(time.Unix(1, 0)) })()
+// accept takes connections until ctx ends. Those that come later wait, and are not refused: the address stays held.
+func (l *addressListener) accept(ctx context.Context) {
+	_ = l.ln.SetDeadline(time.Time{}) // closed already if it fails
+	defer context.AfterFunc(ctx, func() { _ = l.ln.SetDeadline(time.Unix(1, 0)) })()
 	for ctx.Err() == nil {
-		c, err := d.ln.AcceptTCP()
+		conn, err := l.ln.AcceptTCP()
 		if err != nil {
-			pause(ctx, bindEvery) // out of descriptors, say
+			sleep(ctx, bindRetryInterval) // out of descriptors, say
 			continue
 		}
 		select {
-		case d.held <- struct{}{}:
-			go d.hold(c)
+		case l.slots <- struct{}{}:
+			go l.discardAndClose(conn)
 		default:
-			c.Close()
+			conn.Close()
 		}
 	}
 }
 
-// hold keeps a connection for a moment and closes it without a reset, which would say that nobody is here: what came is
+// discardAndClose keeps a connection for a moment and closes it without a reset, which would say that nobody is here: what came is
 // read first.
-func (d *door) hold(c *net.TCPConn) {
-	defer func() { <-d.held }()
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(heldFor)) // closed already if it fails
-	_, _ = io.CopyN(io.Discard, c, mostRead)
+func (l *addressListener) discardAndClose(conn *net.TCPConn) {
+	defer func() { <-l.slots }()
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(connHoldTime)) // closed already if it fails
+	_, _ = io.CopyN(io.Discard, conn, maxDiscardedBytes)
 }
 
-// lend is the same listener once more, for the flat fleet: the address is not let go of for a moment.
-func (d *door) lend() (*net.TCPListener, error) {
-	file, err := d.ln.File()
+// duplicate is the same listener once more, for the flat fleet: the address is not let go of for a moment.
+func (l *addressListener) duplicate() (*net.TCPListener, error) {
+	file, err := l.ln.File()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/hubclient/flat.go
+++ b/internal/fleet/hubclient/flat.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	flatAfter = 5 * time.Second // without a hub
-	flatAgain = time.Second     // after it could not be made
+	meshFallbackDelay = 5 * time.Second // without a hub
+	meshRetryInterval = time.Second     // after it could not be made
 )
 
-// keepDoor has the fleet address be answered until ctx ends: by the door, and while there is no hub by the flat fleet.
-func (s *Spoke) keepDoor(ctx context.Context) {
-	if !s.door.await(ctx) {
+// serveAddress has the fleet address be answered until ctx ends: by the door, and while there is no hub by the flat fleet.
+func (c *Client) serveAddress(ctx context.Context) {
+	if !c.listener.awaitAddress(ctx) {
 		return
 	}
-	defer s.door.ln.Close()
+	defer c.listener.ln.Close()
 	for ctx.Err() == nil {
-		s.while(ctx, func() bool { return s.cfg.Flat == nil || s.hubless() < flatAfter }, s.door.open)
-		if ctx.Err() == nil && !s.goFlat(ctx) {
-			s.while(ctx, func() bool { return true }, func(ctx context.Context) {
-				within, cancel := context.WithTimeout(ctx, flatAgain)
+		c.runWhile(ctx, func() bool { return c.cfg.NewMesh == nil || c.disconnectedFor() < meshFallbackDelay }, c.listener.accept)
+		if ctx.Err() == nil && !c.fallBackToMesh(ctx) {
+			c.runWhile(ctx, func() bool { return true }, func(ctx context.Context) {
+				retryCtx, cancel := context.WithTimeout(ctx, meshRetryInterval)
 				defer cancel()
-				s.door.open(within)
+				c.listener.accept(retryCtx)
 			})
 		}
 	}
 }
 
-// while does something until ctx ends, or what it is done for does not hold any more.
-func (s *Spoke) while(ctx context.Context, holds func() bool, do func(ctx context.Context)) {
+// runWhile does something until ctx ends, or what it is done for does not hold any more.
+func (c *Client) runWhile(ctx context.Context, holds func() bool, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		tick := time.NewTicker(gossip.TickEvery)
+		tick := time.NewTicker(gossip.TickInterval)
 		defer tick.Stop()
 		for holds() && ctx.Err() == nil {
 			select {
@@ -46,52 +46,52 @@
 		}
 		cancel()
 	}()
-	do(ctx)
+	run(ctx)
 }
 
-// goFlat runs the flat fleet until a hub has taken this agent. The lower of both parts holds until the others have heard
+// fallBackToMesh runs the flat fleet until a hub has taken this agent. The lower of both parts holds until the others have heard
 // its goodbye. It reports whether the fleet could be made.
-func (s *Spoke) goFlat(ctx context.Context) bool {
-	door, err := s.door.lend()
+func (c *Client) fallBackToMesh(ctx context.Context) bool {
+	listener, err := c.listener.duplicate()
 	if err != nil {
-		s.cfg.Log.Error("no flat fleet without hubs", "error", err)
+		c.cfg.Log.Error("no flat fleet without hubs", "error", err)
 		return false
 	}
-	f, err := s.cfg.Flat(door, s.born, fleet.Told{Part: s.takeFlatPart, Distances: s.told.Distances})
+	mesh, err := c.cfg.NewMesh(listener, c.startedAt, fleet.Callbacks{Quota: c.setMeshQuota, Latencies: c.callbacks.Latencies})
 	if err != nil {
-		door.Close()
-		s.cfg.Log.Error("no flat fleet without hubs", "error", err)
+		listener.Close()
+		c.cfg.Log.Error("no flat fleet without hubs", "error", err)
 		return false
 	}
-	s.cfg.Log.Warn("no hub: the flat fleet runs")
-	s.flat.Store(f)
-	if s.serving.Load() {
-		f.Ready()
+	c.cfg.Log.Warn("no hub: the flat fleet runs")
+	c.mesh.Store(mesh)
+	if c.serving.Load() {
+		mesh.Ready()
 	}
-	s.while(ctx, func() bool { return s.hubless() > 0 }, func(ctx context.Context) {
-		if err := f.Run(ctx); err != nil {
-			s.cfg.Log.Error("the flat fleet is left", "error", err)
+	c.runWhile(ctx, func() bool { return c.disconnectedFor() > 0 }, func(ctx context.Context) {
+		if err := mesh.Run(ctx); err != nil {
+			c.cfg.Log.Error("the flat fleet is left", "error", err)
 		}
 		<-ctx.Done()
 	})
-	s.flat.Store(nil)
-	s.takeFlatPart(0)
-	s.forgetTrips()
-	s.cfg.Log.Info("a hub is back: the flat fleet has ended")
+	c.mesh.Store(nil)
+	c.setMeshQuota(0)
+	c.forgetLatencies()
+	c.cfg.Log.Info("a hub is back: the flat fleet has ended")
 	return true
 }
 
-// takeFlatPart takes this agent's part by the flat fleet's rule; 0: it does not count any more.
-func (s *Spoke) takeFlatPart(part float64) {
-	s.mu.Lock()
-	s.flatPart = part
-	s.mu.Unlock()
-	s.nudge()
+// setMeshQuota takes this agent's part by the flat fleet's rule; 0: it does not count any more.
+func (c *Client) setMeshQuota(quota float64) {
+	c.mu.Lock()
+	c.meshQuota = quota
+	c.mu.Unlock()
+	c.wake()
 }
 
-// forgetTrips has the distances be told anew: the flat fleet told others.
-func (s *Spoke) forgetTrips() {
-	s.mu.Lock()
-	s.trips = nil
-	s.mu.Unlock()
+// forgetLatencies has the distances be told anew: the flat fleet told others.
+func (c *Client) forgetLatencies() {
+	c.mu.Lock()
+	c.rtts = nil
+	c.mu.Unlock()
 }
--- a/internal/fleet/hubclient/hard_test.go
+++ b/internal/fleet/hubclient/hard_test.go
@@ -22,45 +22,45 @@
 	"martenbeam/internal/settings"
 )
 
-// hollow is an agent that is nothing but its place in the fleet.
-type hollow struct {
-	*Spoke
-	w      *watch
-	set    *settings.Holder
-	policy *residency.Holder
-	cancel context.CancelFunc
-	done   chan struct{}
+// clusterAgent is an agent that is nothing but its place in the fleet.
+type clusterAgent struct {
+	*Client
+	monitor  *monitor
+	settings *settings.Holder
+	policy   *residency.Holder
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
-// town is hubs of the zones a, b, c and d, each a process, and agents that are watched. a and b are of one region, c and d of
+// cluster is hubs of the zones a, b, c and d, each a process, and agents that are watched. a and b are of one region, c and d of
 // another; hub x has the address 127.2.0.x, and agent n 127.1.x.n.
-type town struct {
-	t     *testing.T
-	w     *watch
-	most  int
-	hubs  map[string]*proc
-	state string
-	quiet bool
-	home  time.Duration // how long agents stay elsewhere; 0: as they do
-	one   bool          // all zones are of one region
+type cluster struct {
+	t                 *testing.T
+	monitor           *monitor
+	maxAgents         int
+	hubs              map[string]*hubProcess
+	stateDir          string
+	untraced          bool
+	homeCheckInterval time.Duration // how long agents stay elsewhere; 0: as they do
+	singleRegion      bool          // all zones are of one region
 }
 
-func (n *town) region(zone string) string {
-	if zone < "c" || n.one {
+func (c *cluster) region(zone string) string {
+	if zone < "c" || c.singleRegion {
 		return "r"
 	}
 	return "q"
 }
 
-func ip(zone string) string { return fmt.Sprintf("127.2.0.%d", 1+zone[0]-'a') }
+func hubIP(zone string) string { return fmt.Sprintf("127.2.0.%d", 1+zone[0]-'a') }
 
 func agentIP(zone string, i int) string { return fmt.Sprintf("127.1.%d.%d", 1+zone[0]-'a', 1+i%250) }
 
-// ways are to the hubs and the first agents of some zones.
-func ways(cut uint8, hubs, agents string) map[string]uint8 {
+// cutPaths are to the hubs and the first agents of some zones.
+func cutPaths(cut uint8, hubs, agents string) map[string]uint8 {
 	m := map[string]uint8{}
 	for _, z := range hubs {
-		m[ip(string(z))] = cut
+		m[hubIP(string(z))] = cut
 	}
 	for _, z := range agents {
 		for i := range 20 {
@@ -70,93 +70,93 @@
 	return m
 }
 
-func newTown(t *testing.T, most int, quiet bool, zones ...string) *town {
+func newCluster(t *testing.T, maxAgents int, untraced bool, zones ...string) *cluster {
 	t.Helper()
-	n := &town{t: t, w: newWatch(), most: most, hubs: map[string]*proc{}, state: t.TempDir(), quiet: quiet}
+	c := &cluster{t: t, monitor: newMonitor(), maxAgents: maxAgents, hubs: map[string]*hubProcess{}, stateDir: t.TempDir(), untraced: untraced}
 	for _, z := range zones {
-		n.startHub(z, "0")
+		c.startHub(z, "0")
 	}
-	return n
+	return c
 }
 
-func (n *town) startHub(zone, port string) {
-	n.t.Helper()
-	sp := spec{Name: "hub " + zone, Site: zone, Listen: ip(zone) + ":" + port, Most: n.most, Quiet: n.quiet, Source: zone == "c"}
-	for z, h := range n.hubs {
-		if z != zone {
-			sp.Seeds = append(sp.Seeds, h.addr)
+func (c *cluster) startHub(zone, port string) {
+	c.t.Helper()
+	spec := hubSpec{Name: "hub " + zone, Site: zone, Listen: hubIP(zone) + ":" + port, MaxAgents: c.maxAgents, Untraced: c.untraced, Source: zone == "c"}
+	for other, h := range c.hubs {
+		if other != zone {
+			spec.Seeds = append(spec.Seeds, h.addr)
 		}
 	}
-	n.hubs[zone] = newProc(n.t, n.w, sp)
+	c.hubs[zone] = startHubProcess(c.t, c.monitor, spec)
 }
 
-// again starts a hub's process where it was.
-func (n *town) again(zone string) {
-	n.t.Helper()
-	_, port, _ := strings.Cut(n.hubs[zone].addr, ":")
-	n.startHub(zone, port)
+// restartHub starts a hub's process where it was.
+func (c *cluster) restartHub(zone string) {
+	c.t.Helper()
+	_, port, _ := strings.Cut(c.hubs[zone].addr, ":")
+	c.startHub(zone, port)
 }
 
-// agent starts one of a zone, with what an earlier process of its name has kept.
-func (n *town) agent(zone string, i int, name string) *hollow {
-	n.t.Helper()
-	quiet := slog.New(slog.DiscardHandler)
-	dir := n.state + "/" + strings.ReplaceAll(name, " ", "-")
-	a := &hollow{w: n.w, done: make(chan struct{}), set: settings.NewHolder(settings.Config{Keep: settings.Keep(dir), Log: quiet}),
-		policy: residency.NewHolder([]string{"a", "b", "c", "d"}, time.Minute, false, quiet, nil)}
-	if err := a.set.Load(dir); err != nil {
-		n.t.Fatal(err)
+// startAgent starts one of a zone, with what an earlier process of its name has kept.
+func (c *cluster) startAgent(zone string, i int, name string) *clusterAgent {
+	c.t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	dir := c.stateDir + "/" + strings.ReplaceAll(name, " ", "-")
+	a := &clusterAgent{monitor: c.monitor, done: make(chan struct{}), settings: settings.NewHolder(settings.Config{Save: settings.SaveFunc(dir), Log: log}),
+		policy: residency.NewHolder([]string{"a", "b", "c", "d"}, time.Minute, false, log, nil)}
+	if err := a.settings.Load(dir); err != nil {
+		c.t.Fatal(err)
 	}
-	c := Config{Name: name, Site: zone, Region: n.region(zone), Listen: agentIP(zone, i) + ":0", Label: n.t.Name(), Most: n.most, Settings: a.set, Residency: a.policy, Log: quiet}
-	if !n.quiet {
-		c.Trace = n.w
+	cfg := Config{Name: name, Site: zone, Region: c.region(zone), Listen: agentIP(zone, i) + ":0", Label: c.t.Name(), MaxAgents: c.maxAgents, Settings: a.settings, Residency: a.policy, Log: log}
+	if !c.untraced {
+		cfg.Trace = c.monitor
 	}
-	for z, h := range n.hubs {
-		c.Hubs = append(c.Hubs, Hub{z, n.region(z), h.addr})
+	for z, h := range c.hubs {
+		cfg.Hubs = append(cfg.Hubs, Hub{z, c.region(z), h.addr})
 	}
 	var err error
-	if a.Spoke, err = New(c, []string{"a", "b", "c", "d"}, fleet.Told{}); err != nil {
-		n.t.Fatal(err)
+	if a.Client, err = New(cfg, []string{"a", "b", "c", "d"}, fleet.Callbacks{}); err != nil {
+		c.t.Fatal(err)
 	}
-	if n.home > 0 {
-		a.choose.homing = n.home
+	if c.homeCheckInterval > 0 {
+		a.selector.homeCheckInterval = c.homeCheckInterval
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
-	n.w.lives(name, a.Known)
+	c.monitor.agentStarted(name, a.Status)
 	go func() {
 		defer close(a.done)
 		_ = a.Run(ctx)
 	}()
 	a.Ready()
-	n.t.Cleanup(func() { cancel(); <-a.done })
+	c.t.Cleanup(func() { cancel(); <-a.done })
 	return a
 }
 
-func (n *town) agents(zone string, count int) (list []*hollow) {
-	n.t.Helper()
+func (c *cluster) startAgents(zone string, count int) (list []*clusterAgent) {
+	c.t.Helper()
 	for i := range count {
-		list = append(list, n.agent(zone, i, fmt.Sprint(zone, " ", i)))
+		list = append(list, c.startAgent(zone, i, fmt.Sprint(zone, " ", i)))
 	}
 	return list
 }
 
 // kill ends an agent without a word: its sockets are closed, as a system does with those of a process that is killed.
-func (a *hollow) kill() {
+func (a *clusterAgent) kill() {
 	a.mu.Lock()
-	if a.stream != nil {
-		a.stream.conn.Close()
+	if a.attachment != nil {
+		a.attachment.conn.Close()
 	}
 	a.mu.Unlock()
 	a.cancel()
 	<-a.done
-	a.w.dead(a.cfg.Name)
+	a.monitor.agentStopped(a.cfg.Name)
 }
 
-func all(list []*hollow, is func(Known) bool) func() bool {
+func allOf(list []*clusterAgent, holds func(Status) bool) func() bool {
 	return func() bool {
 		for _, a := range list {
-			if !is(a.Known()) {
+			if !holds(a.Status()) {
 				return false
 			}
 		}
@@ -164,145 +164,149 @@
 	}
 }
 
-func at(zones string) func(Known) bool {
-	return func(k Known) bool { return k.Hub != "" && strings.Contains(zones, k.Hub[len("hub "):]) }
+func attachedTo(zones string) func(Status) bool {
+	return func(status Status) bool { return status.Hub != "" && strings.Contains(zones, status.Hub[len("hub "):]) }
 }
 
-func has(version int64) func(Known) bool { return func(k Known) bool { return k.Settings == version } }
+func hasSettings(version int64) func(Status) bool {
+	return func(status Status) bool { return status.SettingsVersion == version }
+}
 
-func part(p float64) func(Known) bool { return func(k Known) bool { return k.Part == p } }
+func hasQuota(quota float64) func(Status) bool {
+	return func(status Status) bool { return status.Quota == quota }
+}
 
-func set(version int, most int) string {
+func settingsText(version int, most int) string {
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, most)
 }
 
-func law(version int) string {
+func policyText(version int) string {
 	return fmt.Sprintf("version = %d\n[regions]\nr = [\"a\", \"b\"]\n[others]\npermitted = [\"*\"]\n", version)
 }
 
-func within(t *testing.T, what string, d time.Duration, since time.Time, holds func() bool) {
+func waitWithin(t *testing.T, condition string, limit time.Duration, since time.Time, holds func() bool) {
 	t.Helper()
-	await(t, what, holds)
-	if took := time.Since(since); took > d {
-		t.Errorf("%s: after %v, not within %v", what, took, d)
+	waitFor(t, condition, holds)
+	if took := time.Since(since); took > limit {
+		t.Errorf("%s: after %v, not within %v", condition, took, limit)
 	} else {
-		t.Logf("%s: after %v", what, took)
+		t.Logf("%s: after %v", condition, took)
 	}
 }
 
 // A hub is killed, and two of its agents with it, and settings are given to another hub at that moment: all that live have
 // them within 14 s.
-func TestSettingsWhileAHubIsKilled(t *testing.T) {
+func TestSettingsSpreadWhileHubIsKilled(t *testing.T) {
 	t.Parallel()
-	n := newTown(t, 24, false, "a", "b", "c", "d")
-	defer n.w.over(t)
-	n.hubs["a"].do(t, task{Settings: set(1, 3)})
-	var list []*hollow
+	c := newCluster(t, 24, false, "a", "b", "c", "d")
+	defer c.monitor.stopAndCheck(t)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	var list []*clusterAgent
 	for _, z := range []string{"a", "b", "c", "d"} {
-		list = append(list, n.agents(z, 6)...)
+		list = append(list, c.startAgents(z, 6)...)
 	}
 	for i, z := range []string{"a", "b", "c", "d"} {
-		await(t, "the agents of "+z+" at home", all(list[6*i:6*i+6], at(z)))
+		waitFor(t, "the agents of "+z+" at home", allOf(list[6*i:6*i+6], attachedTo(z)))
 	}
-	await(t, "the first settings", all(list, has(1)))
-	n.hubs["c"].do(t, task{Policy: law(1)})
-	await(t, "the first policy", all(list, func(k Known) bool { return k.Policy == 1 }))
-	await(t, "an even part for each", all(list, part(1./24)))
+	waitFor(t, "the first settings", allOf(list, hasSettings(1)))
+	c.hubs["c"].execute(t, hubCommand{Policy: policyText(1)})
+	waitFor(t, "the first policy", allOf(list, func(k Status) bool { return k.PolicyVersion == 1 }))
+	waitFor(t, "an even part for each", allOf(list, hasQuota(1./24)))
 	began := time.Now()
-	n.hubs["a"].kill()
+	c.hubs["a"].kill()
 	list[0].kill()
 	list[1].kill()
-	n.hubs["d"].do(t, task{Settings: set(2, 4)})
-	within(t, "the settings at all that live", 14*time.Second, began, all(list[2:], has(2)))
-	within(t, "a hub for each", 14*time.Second, began, all(list[2:], at("bcd")))
-	n.again("a")
-	await(t, "the second settings at the hub that is back", func() bool {
-		return n.hubs["a"].do(t, task{Settings: set(1, 3)}).Error != ""
+	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	waitWithin(t, "the settings at all that live", 14*time.Second, began, allOf(list[2:], hasSettings(2)))
+	waitWithin(t, "a hub for each", 14*time.Second, began, allOf(list[2:], attachedTo("bcd")))
+	c.restartHub("a")
+	waitFor(t, "the second settings at the hub that is back", func() bool {
+		return c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)}).Error != ""
 	})
 }
 
-// raw attaches to a hub as an agent does, and reads nothing yet but that it is welcome.
-func raw(addr, label, name string, buffer int) (c net.Conn, r *bufio.Reader, err error) {
+// dialHub attaches to a hub as an agent does, and reads nothing yet but that it is welcome.
+func dialHub(addr, label, name string, buffer int) (conn net.Conn, reader *bufio.Reader, err error) {
 	d := net.Dialer{Timeout: time.Second}
 	if buffer > 0 {
-		d.Control = func(_, _ string, rc syscall.RawConn) error {
-			return rc.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, buffer) })
+		d.Control = func(_, _ string, rawConn syscall.RawConn) error {
+			return rawConn.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, buffer) })
 		}
 	}
-	if c, err = d.Dial("tcp", addr); err != nil {
+	if conn, err = d.Dial("tcp", addr); err != nil {
 		return nil, nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
-	r = bufio.NewReaderSize(c, 16)
-	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", frame.Path, frame.Protocol)
-	resp, err := http.ReadResponse(r, nil)
+	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
+	reader = bufio.NewReaderSize(conn, 16)
+	fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", frame.Path, frame.Protocol)
+	resp, err := http.ReadResponse(reader, nil)
 	if err == nil && resp.StatusCode != http.StatusSwitchingProtocols {
 		err = fmt.Errorf("status %d", resp.StatusCode)
 	}
 	if err == nil {
-		put(c, &frame.Frame{Hello: &frame.Hello{Label: label, Name: name, Incarnation: 1, Site: "a"}})
-		var f *frame.Frame
-		if f, err = frame.Read(r); err == nil && f.Welcome == nil {
-			err = fmt.Errorf("%+v", f)
+		writeFrame(conn, &frame.Frame{Hello: &frame.Hello{Label: label, Name: name, Incarnation: 1, Site: "a"}})
+		var reply *frame.Frame
+		if reply, err = frame.Read(reader); err == nil && reply.Welcome == nil {
+			err = fmt.Errorf("%+v", reply)
 		}
 	}
 	if err != nil {
-		c.Close()
+		conn.Close()
 		return nil, nil, err
 	}
-	_ = c.SetDeadline(time.Time{})
-	return c, r, nil
+	_ = conn.SetDeadline(time.Time{})
+	return conn, reader, nil
 }
 
-// beats tells a hub each second that an agent is there, until its stream ends.
-func beats(c net.Conn) {
+// sendStates tells a hub each second that an agent is there, until its stream ends.
+func sendStates(conn net.Conn) {
 	for n := uint32(1); ; n++ {
-		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
+		_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
 		data, err := frame.Encode(&frame.Frame{State: &frame.State{Seq: n, Serving: true}})
 		if err != nil {
 			panic(err)
 		}
-		if _, err := c.Write(data); err != nil {
+		if _, err := conn.Write(data); err != nil {
 			return
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-// said is what a hub said to one who listens, and when.
-type said struct {
-	at       time.Time
-	settings int64 // -1: nothing of them
-	gone     int   // -1
-	sure     bool
+// receivedMessage is what a hub said to one who listens, and when.
+type receivedMessage struct {
+	at             time.Time
+	settings       int64 // -1: nothing of them
+	dead           int   // -1
+	quotaConfirmed bool
 }
 
-// listen attaches to a hub whenever it may, and hands on what it says.
-func listen(ctx context.Context, addr, label, name string, to func(said)) {
+// receiveFrom attaches to a hub whenever it may, and hands on what it says.
+func receiveFrom(ctx context.Context, addr, label, name string, handle func(receivedMessage)) {
 	for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		c, r, err := raw(addr, label, name, 0)
+		c, reader, err := dialHub(addr, label, name, 0)
 		if err != nil {
 			continue
 		}
 		stop := context.AfterFunc(ctx, func() { c.Close() })
-		go beats(c)
+		go sendStates(c)
 		for {
-			f, err := frame.Read(r)
+			received, err := frame.Read(reader)
 			if err != nil {
 				break
 			}
-			x := said{time.Now(), -1, -1, f.Sure}
-			if m, err := gossip.Decode(f.Facts); len(f.Facts) > 0 && err == nil {
-				for _, w := range m.Facts {
-					if s, ok := documents.ParseStanding(w.Body); w.Kind == gossip.Settings && ok {
-						x.settings = s.Version
+			message := receivedMessage{time.Now(), -1, -1, received.QuotaConfirmed}
+			if m, err := gossip.DecodeMessage(received.Gossip); len(received.Gossip) > 0 && err == nil {
+				for _, entry := range m.Entries {
+					if s, ok := documents.ParseAppliedVersion(entry.Body); entry.Kind == gossip.SettingsVersion && ok {
+						message.settings = s.Version
 					}
-					if c, err := hub.ParseCensus(w.Body); w.Kind == gossip.Census && err == nil {
-						x.gone = int(c.Gone)
+					if c, err := hub.ParseFleetSize(entry.Body); entry.Kind == gossip.FleetSize && err == nil {
+						message.dead = int(c.Dead)
 					}
 				}
 			}
-			to(x)
+			handle(message)
 		}
 		stop()
 		c.Close()
@@ -312,185 +316,185 @@
 // A hub is stopped for 10 s. Meanwhile one that it knew to be dead is back, another dies, and there are new settings. When it
 // goes on, it says nothing of before: of nobody that he is dead and to nobody that his part is his own until it has heard the
 // others for the bound of such a word, and the old settings no longer than it takes to ask for the new ones.
-func TestAHubIsStoppedAndGoesOn(t *testing.T) {
+func TestResumedHubSendsNothingStale(t *testing.T) {
 	t.Parallel()
-	n := newTown(t, 12, false, "a", "b", "c")
-	n.home = 2 * time.Second
-	defer n.w.over(t)
-	n.hubs["a"].do(t, task{Settings: set(1, 3)})
-	atA := n.agents("a", 4)
-	list := append(append(n.agents("b", 2), n.agents("c", 2)...), atA[0], atA[2])
-	await(t, "the agents at home", all(atA, at("a")))
-	await(t, "the first settings", all(list, has(1)))
-	await(t, "an even part for each", all(list, part(1./12)))
-	words := make(chan said, 100000)
+	cluster := newCluster(t, 12, false, "a", "b", "c")
+	cluster.homeCheckInterval = 2 * time.Second
+	defer cluster.monitor.stopAndCheck(t)
+	cluster.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	atA := cluster.startAgents("a", 4)
+	list := append(append(cluster.startAgents("b", 2), cluster.startAgents("c", 2)...), atA[0], atA[2])
+	waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
+	waitFor(t, "the first settings", allOf(list, hasSettings(1)))
+	waitFor(t, "an even part for each", allOf(list, hasQuota(1./12)))
+	messages := make(chan receivedMessage, 100000)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go listen(ctx, n.hubs["a"].addr, t.Name(), "listener", func(x said) { words <- x })
+	go receiveFrom(ctx, cluster.hubs["a"].addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
 	atA[3].kill()
-	await(t, "their share of a dead one's part", all(list, part(1./11)))
-	await(t, "a census without it, by which the others reckon while this hub is not heard", all(list, func(k Known) bool { return k.Census.Attached == 8 }))
-
-	stopped := time.Now()
-	n.hubs["a"].signal(t, syscall.SIGSTOP)
-	n.hubs["b"].do(t, task{Settings: set(2, 4)})
-	back := n.agent("a", 3, "a 3")
-	await(t, "another hub", all(append(list[:len(list):len(list)], atA[1]), at("bc"))) // the one that dies too: else only this hub knew it
+	waitFor(t, "their share of a dead one's part", allOf(list, hasQuota(1./11)))
+	waitFor(t, "a census without it, by which the others reckon while this hub is not heard", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 8 }))
+
+	stoppedAt := time.Now()
+	cluster.hubs["a"].signal(t, syscall.SIGSTOP)
+	cluster.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	restarted := cluster.startAgent("a", 3, "a 3")
+	waitFor(t, "another hub", allOf(append(list[:len(list):len(list)], atA[1]), attachedTo("bc"))) // the one that dies too: else only this hub knew it
 	atA[1].kill()
-	list = append(list, back)
-	await(t, "the one that is back", all(list, at("bc")))
-	n.hubs["c"].do(t, task{Settings: set(3, 5)})
-	await(t, "the settings without the hub that is stopped", all(list, has(3)))
-	await(t, "their share of the other dead one's part", all(list, part(1./11)))
-	time.Sleep(time.Until(stopped.Add(10 * time.Second))) // so long it is stopped at the least
-	for len(words) > 0 {
-		<-words
-	}
-	on := time.Now()
-	n.hubs["a"].signal(t, syscall.SIGCONT)
-	var heard, told int
+	list = append(list, restarted)
+	waitFor(t, "the one that is back", allOf(list, attachedTo("bc")))
+	cluster.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
+	waitFor(t, "the settings without the hub that is stopped", allOf(list, hasSettings(3)))
+	waitFor(t, "their share of the other dead one's part", allOf(list, hasQuota(1./11)))
+	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // so long it is stopped at the least
+	for len(messages) > 0 {
+		<-messages
+	}
+	resumedAt := time.Now()
+	cluster.hubs["a"].signal(t, syscall.SIGCONT)
+	var received, withSettings int
 	var lastOld time.Duration
-	for newest := int64(0); newest < 3 || time.Since(on) < 6*time.Second; {
+	for newest := int64(0); newest < 3 || time.Since(resumedAt) < 6*time.Second; {
 		select {
-		case x := <-words:
-			heard++
-			since := x.at.Sub(on)
-			if x.settings >= 0 {
-				told++
-				if x.settings < newest {
-					t.Errorf("settings %d after %d", x.settings, newest)
+		case message := <-messages:
+			received++
+			since := message.at.Sub(resumedAt)
+			if message.settings >= 0 {
+				withSettings++
+				if message.settings < newest {
+					t.Errorf("settings %d after %d", message.settings, newest)
 				}
-				if newest = x.settings; newest < 3 {
+				if newest = message.settings; newest < 3 {
 					lastOld = since
 				}
 			}
-			if since < 2500*time.Millisecond && (x.gone > 0 || x.sure) {
-				t.Errorf("%v after it goes on: %d dead, sure %v", since, x.gone, x.sure)
+			if since < 2500*time.Millisecond && (message.dead > 0 || message.quotaConfirmed) {
+				t.Errorf("%v after it goes on: %d dead, sure %v", since, message.dead, message.quotaConfirmed)
 			}
-			if x.gone > 1 {
-				t.Errorf("%v after it goes on: %d dead, and one is", since, x.gone)
+			if message.dead > 1 {
+				t.Errorf("%v after it goes on: %d dead, and one is", since, message.dead)
 			}
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("the hub says nothing any more")
 		}
 	}
-	t.Logf("%d words heard, %d of settings; the last old one after %v", heard, told, lastOld)
+	t.Logf("%d words heard, %d of settings; the last old one after %v", received, withSettings, lastOld)
 	if lastOld > 3*time.Second {
 		t.Errorf("old settings are told for %v", lastOld)
 	}
-	await(t, "the agents of a at home", all([]*hollow{atA[0], atA[2], back}, at("a")))
-	await(t, "the share of the dead one's part", all(list, part(1./11)))
+	waitFor(t, "the agents of a at home", allOf([]*clusterAgent{atA[0], atA[2], restarted}, attachedTo("a")))
+	waitFor(t, "the share of the dead one's part", allOf(list, hasQuota(1./11)))
 }
 
 // The ways to and from a hub are cut one way: between it and all agents, or between it and the other hubs. Its agents go
 // elsewhere or stay, nobody is taken for dead, and the settings that are given meanwhile come to everyone, at the latest when
 // the way is whole again.
-func TestAHubIsCutOneWay(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestHubCutInOneDirection(t *testing.T) {
+	for name, test := range map[string]struct {
 		cut   map[string]uint8
 		alone string // zones whose agents hear of nobody else's then; "": all hear of all
 	}{
-		"from agents": {ways(in, "", "abc"), ""},
-		"to agents":   {ways(out, "", "abc"), ""},
-		"from hubs":   {ways(in, "bc", ""), "a"},
-		"to hubs":     {ways(out, "bc", ""), "bc"},
+		"from agents": {cutPaths(in, "", "abc"), ""},
+		"to agents":   {cutPaths(out, "", "abc"), ""},
+		"from hubs":   {cutPaths(in, "bc", ""), "a"},
+		"to hubs":     {cutPaths(out, "bc", ""), "bc"},
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			n := newTown(t, 6, false, "a", "b", "c")
-			n.home = 2 * time.Second
-			defer n.w.over(t)
-			n.hubs["a"].do(t, task{Settings: set(1, 3)})
-			atA := n.agents("a", 2)
-			list := append(append(n.agents("b", 2), n.agents("c", 2)...), atA...)
-			await(t, "the agents at home", all(atA, at("a")))
-			await(t, "the first settings", all(list, has(1)))
-			await(t, "an even part for each", all(list, part(1./6)))
-			await(t, "a census of all", all(list, func(k Known) bool { return k.Census.Attached == 6 }))
-			n.w.hold(1./8, true) // those that move are counted twice for a moment
-			n.hubs["a"].do(t, task{Cut: c.cut})
-			began := time.Now()
-			n.hubs["b"].do(t, task{Settings: set(2, 4)})
-			if c.alone != "" {
-				await(t, "the settings at the others", all(list[:4], has(2)))
-				here := map[string][]*hollow{"a": atA, "bc": list[:4]}[c.alone]
-				await(t, "a census of them alone", all(here, func(k Known) bool { return int(k.Census.Attached) == len(here) }))
+			c := newCluster(t, 6, false, "a", "b", "c")
+			c.homeCheckInterval = 2 * time.Second
+			defer c.monitor.stopAndCheck(t)
+			c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+			atA := c.startAgents("a", 2)
+			list := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
+			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
+			waitFor(t, "the first settings", allOf(list, hasSettings(1)))
+			waitFor(t, "an even part for each", allOf(list, hasQuota(1./6)))
+			waitFor(t, "a census of all", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 6 }))
+			c.monitor.require(1./8, true) // those that move are counted twice for a moment
+			c.hubs["a"].execute(t, hubCommand{Cut: test.cut})
+			startedAt := time.Now()
+			c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+			if test.alone != "" {
+				waitFor(t, "the settings at the others", allOf(list[:4], hasSettings(2)))
+				here := map[string][]*clusterAgent{"a": atA, "bc": list[:4]}[test.alone]
+				waitFor(t, "a census of them alone", allOf(here, func(k Status) bool { return int(k.FleetSize.Attached) == len(here) }))
 			} else {
-				await(t, "another hub", all(atA, at("bc")))
-				within(t, "the settings at all", 14*time.Second, began, all(list, has(2)))
+				waitFor(t, "another hub", allOf(atA, attachedTo("bc")))
+				waitWithin(t, "the settings at all", 14*time.Second, startedAt, allOf(list, hasSettings(2)))
 			}
-			n.hubs["a"].do(t, task{Cut: map[string]uint8{}})
-			within(t, "the settings at all", 14*time.Second, time.Now(), all(list, has(2)))
-			await(t, "the agents at home", all(atA, at("a")))
-			await(t, "a census of all", all(list, func(k Known) bool { return k.Census.Attached == 6 }))
+			c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
+			waitWithin(t, "the settings at all", 14*time.Second, time.Now(), allOf(list, hasSettings(2)))
+			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
+			waitFor(t, "a census of all", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 6 }))
 		})
 	}
 }
 
 // A hundred agents that never read cost their hub little, and the others hear it each second all the while.
-func TestNobodyPaysForSlowReaders(t *testing.T) {
+func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	const slow = 100
-	w := newWatch()
-	n := &town{t: t, w: w, most: slow + 10, hubs: map[string]*proc{}, state: t.TempDir()}
-	defer w.over(t)
-	n.hubs["a"] = newProc(t, w, spec{Name: "hub a", Site: "a", Listen: ip("a") + ":0", Most: n.most, SendBuffer: 4096, Quiet: true})
-	h := n.hubs["a"]
-	list := n.agents("a", 3)
-	await(t, "the agents", all(list, at("a")))
+	m := newMonitor()
+	c := &cluster{t: t, monitor: m, maxAgents: slow + 10, hubs: map[string]*hubProcess{}, stateDir: t.TempDir()}
+	defer m.stopAndCheck(t)
+	c.hubs["a"] = startHubProcess(t, m, hubSpec{Name: "hub a", Site: "a", Listen: hubIP("a") + ":0", MaxAgents: c.maxAgents, SendBuffer: 4096, Untraced: true})
+	hub := c.hubs["a"]
+	list := c.startAgents("a", 3)
+	waitFor(t, "the agents", allOf(list, attachedTo("a")))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	words := make(chan said, 100000)
-	go listen(ctx, h.addr, t.Name(), "listener", func(x said) { words <- x })
-	await(t, "the listener", func() bool { return len(words) > 0 })
-	before := h.do(t, task{Heap: true}).Heap
-	var ended, there atomic.Int32
+	messages := make(chan receivedMessage, 100000)
+	go receiveFrom(ctx, hub.addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
+	waitFor(t, "the listener", func() bool { return len(messages) > 0 })
+	before := hub.execute(t, hubCommand{Heap: true}).Heap
+	var dropped, attached atomic.Int32
 	done := make(chan struct{}, slow)
 	for i := range slow {
 		go func() {
 			defer func() { done <- struct{}{} }()
 			for ; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-				c, _, err := raw(h.addr, t.Name(), fmt.Sprint("slow ", i), 2048)
+				conn, _, err := dialHub(hub.addr, t.Name(), fmt.Sprint("slow ", i), 2048)
 				if err != nil {
 					continue
 				}
-				there.Add(1)
-				stop := context.AfterFunc(ctx, func() { c.Close() })
-				beats(c)
+				attached.Add(1)
+				stop := context.AfterFunc(ctx, func() { conn.Close() })
+				sendStates(conn)
 				stop()
-				c.Close()
-				there.Add(-1)
-				ended.Add(1)
+				conn.Close()
+				attached.Add(-1)
+				dropped.Add(1)
 			}
 		}()
 	}
-	version, most := 1, uint64(0)
-	await(t, "that each slow reader was dropped", func() bool { // news for everyone all the while
-		h.do(t, task{Settings: set(version, 3)})
+	version, maxHeap := 1, uint64(0)
+	waitFor(t, "that each slow reader was dropped", func() bool { // news for everyone all the while
+		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
-		if m := h.do(t, task{Heap: true}).Heap; there.Load() > slow/2 {
-			most = max(most, m)
+		if m := hub.execute(t, hubCommand{Heap: true}).Heap; attached.Load() > slow/2 {
+			maxHeap = max(maxHeap, m)
 		}
-		return ended.Load() >= slow
+		return dropped.Load() >= slow
 	})
 	var longest time.Duration
 	last := time.Time{}
-	for len(words) > 0 {
-		if x := <-words; !last.IsZero() {
-			longest = max(longest, x.at.Sub(last))
-			last = x.at
+	for len(messages) > 0 {
+		if message := <-messages; !last.IsZero() {
+			longest = max(longest, message.at.Sub(last))
+			last = message.at
 		} else {
-			last = x.at
+			last = message.at
 		}
 	}
-	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between words %v; %d versions", before>>10, most>>10, longest, version-1)
+	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between words %v; %d versions", before>>10, maxHeap>>10, longest, version-1)
 	if longest > 1500*time.Millisecond {
 		t.Errorf("nothing was heard for %v", longest)
 	}
-	if most > before+slow*64<<10 {
-		t.Errorf("%d bytes for each", (most-before)/slow)
+	if maxHeap > before+slow*64<<10 {
+		t.Errorf("%d bytes for each", (maxHeap-before)/slow)
 	}
-	if !all(list, at("a"))() {
+	if !allOf(list, attachedTo("a"))() {
 		t.Error("an agent went, and there is no other hub")
 	}
 	cancel()
@@ -501,103 +505,103 @@
 
 // 257 agents lose their hub at once: no other hub hears more than 100 hellos in a second, all are attached again within 10 s, and nobody is without a part
 // meanwhile. The hub is back: they go home, no more than twice as many in a second as if they came evenly.
-func TestManyAgentsMoveAtOnce(t *testing.T) {
+func TestAgentsOfLostHubMoveWithoutBurst(t *testing.T) {
 	t.Parallel()
 	const many = 257
-	n := newTown(t, many, true, "a", "b", "c", "d")
-	n.one, n.home = true, 6*time.Second
-	defer n.w.over(t)
-	list := n.agents("a", many)
-	await(t, "all at home", all(list, at("a")))
-	await(t, "an even part for each", all(list, part(1./many)))
-	n.w.hold(1./(2*many), true) // those that move are counted twice for a moment
-	began := time.Now()
-	n.hubs["a"].kill()
-	await(t, "that it is lost", func() bool { return !all(list, at("a"))() })
-	within(t, "all at other hubs", 10*time.Second, began, all(list, at("bcd")))
+	c := newCluster(t, many, true, "a", "b", "c", "d")
+	c.singleRegion, c.homeCheckInterval = true, 6*time.Second
+	defer c.monitor.stopAndCheck(t)
+	list := c.startAgents("a", many)
+	waitFor(t, "all at home", allOf(list, attachedTo("a")))
+	waitFor(t, "an even part for each", allOf(list, hasQuota(1./many)))
+	c.monitor.require(1./(2*many), true) // those that move are counted twice for a moment
+	startedAt := time.Now()
+	c.hubs["a"].kill()
+	waitFor(t, "that it is lost", func() bool { return !allOf(list, attachedTo("a"))() })
+	waitWithin(t, "all at other hubs", 10*time.Second, startedAt, allOf(list, attachedTo("bcd")))
 	for _, z := range []string{"b", "c", "d"} {
-		second, hellos := n.hubs[z].worst(began)
-		t.Logf("hub %s: %d hellos, %d in the worst second", z, hellos, second)
-		if second > 100 || hellos < many/10 {
-			t.Errorf("hub %s: %d hellos, %d in the worst second", z, hellos, second)
+		peak, hellos := c.hubs[z].helloRate(startedAt)
+		t.Logf("hub %s: %d hellos, %d in the worst second", z, hellos, peak)
+		if peak > 100 || hellos < many/10 {
+			t.Errorf("hub %s: %d hellos, %d in the worst second", z, hellos, peak)
 		}
 	}
-	began = time.Now()
-	n.again("a")
+	startedAt = time.Now()
+	c.restartHub("a")
 	// Two looks for home are at most one and a half times n.home apart each; on a busy machine one may fail.
-	within(t, "all at home again", 3*n.home, began, all(list, at("a")))
-	second, hellos := n.hubs["a"].worst(began)
-	t.Logf("home: %d hellos, %d in the worst second", hellos, second)
-	if second > 2*many/int(n.home/time.Second) {
-		t.Errorf("%d hellos at home in the worst second", second)
+	waitWithin(t, "all at home again", 3*c.homeCheckInterval, startedAt, allOf(list, attachedTo("a")))
+	peak, hellos := c.hubs["a"].helloRate(startedAt)
+	t.Logf("home: %d hellos, %d in the worst second", hellos, peak)
+	if peak > 2*many/int(c.homeCheckInterval/time.Second) {
+		t.Errorf("%d hellos at home in the worst second", peak)
 	}
 }
 
-func first(digest string) func(a *hollow) bool {
-	return func(a *hollow) bool { return a.set.State().Digests[0] == digest }
+func firstDigestIs(digest string) func(a *clusterAgent) bool {
+	return func(a *clusterAgent) bool { return a.settings.State().Digests[0] == digest }
 }
 
 // Two regions are cut from each other. On both sides there are new settings, an agent dies, and another that dies is started again on the other
 // side. Together again, all have the higher version, and the parts of the dead are shared. Apart once more, each side is given a text of one version: the first that
 // came stands on each side, and everyone says so, until there is a higher version.
-func TestRegionsApartAndTogether(t *testing.T) {
+func TestRegionsPartitionedAndRejoined(t *testing.T) {
 	t.Parallel()
-	n := newTown(t, 12, false, "a", "b", "c", "d")
-	defer n.w.over(t)
-	n.hubs["a"].do(t, task{Settings: set(1, 3)})
-	sides := [2][]*hollow{append(n.agents("a", 3), n.agents("b", 3)...), append(n.agents("c", 3), n.agents("d", 3)...)}
-	both := func() []*hollow { return append(append([]*hollow(nil), sides[0]...), sides[1]...) }
-	await(t, "the first settings", all(both(), has(1)))
-	await(t, "an even part for each", all(both(), part(1./12)))
-	apart := func() {
+	c := newCluster(t, 12, false, "a", "b", "c", "d")
+	defer c.monitor.stopAndCheck(t)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	sides := [2][]*clusterAgent{append(c.startAgents("a", 3), c.startAgents("b", 3)...), append(c.startAgents("c", 3), c.startAgents("d", 3)...)}
+	both := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
+	waitFor(t, "the first settings", allOf(both(), hasSettings(1)))
+	waitFor(t, "an even part for each", allOf(both(), hasQuota(1./12)))
+	partition := func() {
 		t.Helper()
-		for z, h := range n.hubs {
+		for z, h := range c.hubs {
 			other := "cd"
 			if z > "b" {
 				other = "ab"
 			}
-			h.do(t, task{Cut: ways(in|out, other, other)})
+			h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
 		}
 		for i, side := range sides {
-			await(t, fmt.Sprint("a census of side ", i, " alone"), all(side, func(k Known) bool { return int(k.Census.Attached) == len(side) }))
+			waitFor(t, fmt.Sprint("a census of side ", i, " alone"), allOf(side, func(k Status) bool { return int(k.FleetSize.Attached) == len(side) }))
 		}
 	}
-	together := func() {
+	rejoin := func() {
 		t.Helper()
-		for _, h := range n.hubs {
-			h.do(t, task{Cut: map[string]uint8{}})
+		for _, h := range c.hubs {
+			h.execute(t, hubCommand{Cut: map[string]uint8{}})
 		}
-		await(t, "a census of all", all(both(), func(k Known) bool { return int(k.Census.Attached) == len(both()) }))
+		waitFor(t, "a census of all", allOf(both(), func(k Status) bool { return int(k.FleetSize.Attached) == len(both()) }))
 	}
-	apart()
-	n.hubs["a"].do(t, task{Settings: set(2, 4)})
-	n.hubs["c"].do(t, task{Settings: set(3, 5)})
-	await(t, "the settings of one side", all(sides[0], has(2)))
-	await(t, "the settings of the other", all(sides[1], has(3)))
+	partition()
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	c.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
+	waitFor(t, "the settings of one side", allOf(sides[0], hasSettings(2)))
+	waitFor(t, "the settings of the other", allOf(sides[1], hasSettings(3)))
 	for i, zone := range []string{"c", "b"} {
 		sides[i][0].kill()
-		moves := sides[i][1]
-		moves.kill()
+		moving := sides[i][1]
+		moving.kill()
 		sides[i] = sides[i][2:]
-		sides[1-i] = append(sides[1-i], n.agent(zone, 9, moves.cfg.Name))
-	}
-	await(t, "a hub for each", all(both(), at("abcd")))
-	await(t, "the parts of the dead", all(both(), func(k Known) bool { return k.Part > 1./12 }))
-	began := time.Now()
-	together()
-	within(t, "the higher settings everywhere", 14*time.Second, began, all(both(), has(3)))
-	await(t, "the parts of two who are dead", all(both(), part(1./10)))
-
-	apart()
-	x, y := set(5, 2), set(5, 6)
-	n.hubs["b"].do(t, task{Settings: x})
-	n.hubs["d"].do(t, task{Settings: y})
+		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
+	}
+	waitFor(t, "a hub for each", allOf(both(), attachedTo("abcd")))
+	waitFor(t, "the parts of the dead", allOf(both(), func(k Status) bool { return k.Quota > 1./12 }))
+	startedAt := time.Now()
+	rejoin()
+	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
+	waitFor(t, "the parts of two who are dead", allOf(both(), hasQuota(1./10)))
+
+	partition()
+	x, y := settingsText(5, 2), settingsText(5, 6)
+	c.hubs["b"].execute(t, hubCommand{Settings: x})
+	c.hubs["d"].execute(t, hubCommand{Settings: y})
 	digests := [2]string{settings.Digest(x), settings.Digest(y)}
-	await(t, "a text of one version on each side", all(both(), has(5)))
-	together()
-	await(t, "that all say so", func() bool {
+	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
+	rejoin()
+	waitFor(t, "that all say so", func() bool {
 		for _, a := range both() {
-			if !strings.Contains(a.set.Standing().Why, "2 texts have version 5") {
+			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
 				return false
 			}
 		}
@@ -605,16 +609,16 @@
 	})
 	for i, side := range sides {
 		for _, a := range side {
-			if !first(digests[i])(a) {
+			if !firstDigestIs(digests[i])(a) {
 				t.Errorf("%s does not have the first text of its side", a.cfg.Name)
 			}
 		}
 	}
-	began = time.Now()
-	n.hubs["d"].do(t, task{Settings: set(6, 2)})
-	within(t, "one text everywhere", 14*time.Second, began, all(both(), func(k Known) bool { return k.Settings == 6 }))
+	startedAt = time.Now()
+	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
+	waitWithin(t, "one text everywhere", 14*time.Second, startedAt, allOf(both(), func(k Status) bool { return k.SettingsVersion == 6 }))
 	for _, a := range both() {
-		if why := a.set.Standing().Why; why != "" {
+		if why := a.settings.Status().Reason; why != "" {
 			t.Errorf("%s: %s", a.cfg.Name, why)
 		}
 	}
--- a/internal/fleet/hubclient/hardhub_test.go
+++ b/internal/fleet/hubclient/hardhub_test.go
@@ -27,7 +27,7 @@
 // TestMain lets the test binary stand in for a hub's process.
 func TestMain(m *testing.M) {
 	if spec := os.Getenv("HARD_HUB"); spec != "" {
-		if err := beHub(spec); err != nil {
+		if err := runHubProcess(spec); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -36,33 +36,33 @@
 	os.Exit(m.Run())
 }
 
-// spec is what a hub's process is told of itself.
-type spec struct {
+// hubSpec is what a hub's process is told of itself.
+type hubSpec struct {
 	Name, Site, Listen, Label string
 	Seeds                     []string
-	Most                      int
+	MaxAgents                 int
 	SendBuffer                int  // of streams, bytes; 0: as the system has it, and the ways can be cut
 	Source                    bool // of the residency policy
-	Quiet                     bool // it writes no trace
+	Untraced                  bool // it writes no trace
 }
 
 // order is what a hub's process is told to do. It answers with the same number.
-type task struct {
-	Do       int
+type hubCommand struct {
+	ID       int
 	Cut      map[string]uint8 // the ways to these addresses, in whole
 	Settings string
 	Policy   string
 	Heap     bool
 }
 
-// word is a line of a hub's process: an answer, a hello that came, or a line of its trace.
-type word struct {
+// hubOutput is a line of a hub's process: an answer, a hello that came, or a line of its trace.
+type hubOutput struct {
 	Addr  string
-	Do    int
+	ID    int
 	Error string
 	Heap  uint64
 	Hello int64 // when, us
-	line
+	traceLine
 }
 
 const (
@@ -70,18 +70,18 @@
 	out             // from the hub to them nothing goes
 )
 
-type locked struct {
+type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
 }
 
-func (l *locked) Write(p []byte) (int, error) {
+func (l *lockedWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(p)
 }
 
-func (l *locked) say(v any) {
+func (l *lockedWriter) writeLine(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -89,107 +89,107 @@
 	_, _ = l.Write(append(data, '\n'))
 }
 
-func beHub(text string) error {
-	var sp spec
-	if err := json.Unmarshal([]byte(text), &sp); err != nil {
+func runHubProcess(text string) error {
+	var spec hubSpec
+	if err := json.Unmarshal([]byte(text), &spec); err != nil {
 		return err
 	}
-	stdout := &locked{w: os.Stdout}
+	stdout := &lockedWriter{w: os.Stdout}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	zones := []string{"a", "b", "c", "d"}
-	set, policy := settings.NewHolder(settings.Config{Log: log}), residency.NewHolder(zones, time.Minute, sp.Source, log, nil)
-	wire := &wire{say: stdout.say, sendBuffer: sp.SendBuffer, cut: map[string]uint8{}}
-	kind := settings.Kind(set)
+	settingsHolder, policyHolder := settings.NewHolder(settings.Config{Log: log}), residency.NewHolder(zones, time.Minute, spec.Source, log, nil)
+	network := &cuttableNetwork{report: stdout.writeLine, sendBuffer: spec.SendBuffer, cut: map[string]uint8{}}
+	kind := settings.DocumentKind(settingsHolder)
 	var trace io.Writer = stdout
-	if sp.Quiet {
+	if spec.Untraced {
 		trace = nil
 	}
-	s := hub.New(hub.Config{Name: sp.Name, Label: sp.Label, Program: "test", Incarnation: uint64(time.Now().UnixMilli()), Most: sp.Most, Settings: kind, Policy: fleet.Policy(policy),
-		PolicyAge: policy.Confirmed, Log: log, Trace: trace})
-	fc := fleet.Config{Name: sp.Name, Site: sp.Site, Version: "test", Listen: sp.Listen, Seeds: sp.Seeds, Label: sp.Label, Most: sp.Most, ListRate: 50, Matrix: true, Log: log,
-		Trace: trace, Residency: policy, Source: sp.Source, Settings: kind, Hub: true, Calls: s, Wire: wire}
-	f, err := fleet.New(fc, zones, fleet.Told{})
+	server := hub.New(hub.Config{Name: spec.Name, Label: spec.Label, ProgramVersion: "test", Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: spec.MaxAgents, Settings: kind, Policy: fleet.PolicyReplicator(policyHolder),
+		PolicyAge: policyHolder.ConfirmedAge, Log: log, Trace: trace})
+	cfg := fleet.Config{Name: spec.Name, Site: spec.Site, Version: "test", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label, MaxMembers: spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log,
+		Trace: trace, Residency: policyHolder, PolicySource: spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: network}
+	node, err := fleet.New(cfg, zones, fleet.Callbacks{})
 	for n := 0; err != nil && n < 50; n++ { // another has the UDP port, or the process before still ends
 		time.Sleep(20 * time.Millisecond)
-		f, err = fleet.New(fc, zones, fleet.Told{})
+		node, err = fleet.New(cfg, zones, fleet.Callbacks{})
 	}
 	if err != nil {
 		return err
 	}
-	go func() { s.Run(context.Background(), f) }()
-	go func() { _ = f.Run(context.Background()) }()
-	stdout.say(word{Addr: f.Addr()})
-	for orders := json.NewDecoder(os.Stdin); ; {
-		var o task
-		if orders.Decode(&o) != nil {
+	go func() { server.Run(context.Background(), node) }()
+	go func() { _ = node.Run(context.Background()) }()
+	stdout.writeLine(hubOutput{Addr: node.Addr()})
+	for commands := json.NewDecoder(os.Stdin); ; {
+		var command hubCommand
+		if commands.Decode(&command) != nil {
 			return nil
 		}
-		answer := word{Do: o.Do}
-		wire.set(o.Cut)
+		answer := hubOutput{ID: command.ID}
+		network.set(command.Cut)
 		var err error
-		if o.Settings != "" {
-			err = give(o.Settings, set.Take)
+		if command.Settings != "" {
+			err = applyText(command.Settings, settingsHolder.Apply)
 		}
-		if o.Policy != "" {
-			err = give(o.Policy, policy.Take)
+		if command.Policy != "" {
+			err = applyText(command.Policy, policyHolder.Apply)
 		}
 		if err != nil {
 			answer.Error = err.Error()
 		}
-		if o.Heap {
+		if command.Heap {
 			var m runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&m)
 			answer.Heap = m.HeapAlloc + m.StackInuse
 		}
-		stdout.say(answer)
+		stdout.writeLine(answer)
 	}
 }
 
-func give(text string, take func(int64, string) error) error {
+func applyText(text string, apply func(int64, string) error) error {
 	var version int64
 	if _, err := fmt.Sscanf(text, "version = %d", &version); err != nil {
 		return err
 	}
-	return take(version, text)
+	return apply(version, text)
 }
 
-// wire is a hub's way to everyone. A way that is cut holds what is sent by stream, and loses what is sent by packet.
-type wire struct {
-	say        func(any)
+// cuttableNetwork is a hub's way to everyone. A way that is cut holds what is sent by stream, and loses what is sent by packet.
+type cuttableNetwork struct {
+	report     func(any)
 	sendBuffer int
 	mu         sync.Mutex
 	cut        map[string]uint8 // by IP address
 }
 
-func (w *wire) set(cut map[string]uint8) {
+func (n *cuttableNetwork) set(cut map[string]uint8) {
 	if cut == nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut = cut
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut = cut
 }
 
-func (w *wire) is(peer netip.Addr) uint8 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut[peer.Unmap().String()]
+func (n *cuttableNetwork) cutTo(peer netip.Addr) uint8 {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.cut[peer.Unmap().String()]
 }
 
-func (w *wire) Packet(_ []byte, peer netip.AddrPort, goes bool) bool {
-	if goes {
-		return w.is(peer.Addr())&out == 0
+func (n *cuttableNetwork) Packet(_ []byte, peer netip.AddrPort, outgoing bool) bool {
+	if outgoing {
+		return n.cutTo(peer.Addr())&out == 0
 	}
-	return w.is(peer.Addr())&in == 0
+	return n.cutTo(peer.Addr())&in == 0
 }
 
-func (w *wire) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if w.is(to.Addr()) != 0 {
+	if n.cutTo(to.Addr()) != 0 {
 		if d.Timeout > 0 {
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithTimeout(ctx, d.Timeout)
@@ -198,88 +198,88 @@
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
-	c, err := d.DialContext(ctx, "tcp", addr)
+	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return w.wrap(c), nil
+	return n.wrap(conn), nil
 }
 
-func (w *wire) Accepted(c net.Conn) net.Conn {
-	if w.sendBuffer > 0 {
-		_ = c.(*net.TCPConn).SetWriteBuffer(w.sendBuffer)
-		return c
+func (n *cuttableNetwork) Accepted(conn net.Conn) net.Conn {
+	if n.sendBuffer > 0 {
+		_ = conn.(*net.TCPConn).SetWriteBuffer(n.sendBuffer)
+		return conn
 	}
-	return w.wrap(c)
+	return n.wrap(conn)
 }
 
-type wired struct {
+type pipedConn struct {
 	net.Conn
-	far net.Conn
+	real net.Conn
 }
 
-func (w *wired) RemoteAddr() net.Addr { return w.far.RemoteAddr() }
-func (w *wired) LocalAddr() net.Addr  { return w.far.LocalAddr() }
+func (c *pipedConn) RemoteAddr() net.Addr { return c.real.RemoteAddr() }
+func (c *pipedConn) LocalAddr() net.Addr  { return c.real.LocalAddr() }
 
-func (w *wire) wrap(c net.Conn) net.Conn {
+func (n *cuttableNetwork) wrap(conn net.Conn) net.Conn {
 	near, far := net.Pipe()
-	peer := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
-	go w.carry(far, c, peer, in)
-	go w.carry(c, far, peer, out)
-	return &wired{near, c}
+	peer := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
+	go n.forward(far, conn, peer, in)
+	go n.forward(conn, far, peer, out)
+	return &pipedConn{near, conn}
 }
 
-// carry passes on what comes, and the end, and holds both while the way is cut.
-func (w *wire) carry(to, from net.Conn, peer netip.Addr, way uint8) {
+// forward passes on what comes, and the end, and holds both while the way is cut.
+func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
 	chunks := make(chan []byte, 1024)
 	go func() {
 		defer close(chunks)
 		for first := true; ; first = false {
 			buf := make([]byte, 4096)
-			n, err := from.Read(buf)
-			if first && way == in && bytes.HasPrefix(buf[:n], []byte("GET /hub HTTP")) {
-				w.say(word{Hello: time.Now().UnixMicro()})
+			size, err := from.Read(buf)
+			if first && direction == in && bytes.HasPrefix(buf[:size], []byte("GET /hub HTTP")) {
+				n.report(hubOutput{Hello: time.Now().UnixMicro()})
 			}
-			if n > 0 {
-				chunks <- buf[:n]
+			if size > 0 {
+				chunks <- buf[:size]
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	hold := func() {
-		for w.is(peer)&way != 0 {
+	waitWhileCut := func() {
+		for n.cutTo(peer)&direction != 0 {
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
 	for b := range chunks { // of those that can't be written any more, too
-		hold()
+		waitWhileCut()
 		_, _ = to.Write(b)
 	}
-	hold()
+	waitWhileCut()
 	to.Close()
 }
 
-// proc is a hub's process.
-type proc struct {
-	spec
+// hubProcess is a hub's process.
+type hubProcess struct {
+	hubSpec
 	addr  string
 	cmd   *exec.Cmd
 	stdin io.WriteCloser
-	ended chan struct{}
+	done  chan struct{}
 
-	mu      sync.Mutex
-	sent    int
-	answers map[int]word
-	hellos  []int64
-	first   chan string
+	mu           sync.Mutex
+	lastID       int
+	answers      map[int]hubOutput
+	hellos       []int64
+	reportedAddr chan string
 }
 
-func newProc(t *testing.T, w *watch, sp spec) *proc {
+func startHubProcess(t *testing.T, m *monitor, spec hubSpec) *hubProcess {
 	t.Helper()
-	sp.Label = t.Name()
-	text, err := json.Marshal(sp)
+	spec.Label = t.Name()
+	text, err := json.Marshal(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,9 +287,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proc{spec: sp, cmd: exec.Command(self), ended: make(chan struct{}), answers: map[int]word{}, first: make(chan string, 1)}
+	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}), answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
 	p.cmd.Env = append(os.Environ(), "HARD_HUB="+string(text))
-	p.cmd.Stderr = &logLines{t: t, name: sp.Name}
+	p.cmd.Stderr = &processLog{t: t, name: spec.Name}
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		t.Fatal(err)
 	}
@@ -301,88 +301,88 @@
 		t.Fatal(err)
 	}
 	go func() {
-		defer close(p.ended)
+		defer close(p.done)
 		defer p.cmd.Wait() //nolint:errcheck // it was killed
 		for r := bufio.NewReader(stdout); ; {
 			data, err := r.ReadBytes('\n')
 			if err != nil {
 				return
 			}
-			var x word
-			if json.Unmarshal(data, &x) == nil {
-				p.heard(w, x)
+			var output hubOutput
+			if json.Unmarshal(data, &output) == nil {
+				p.handleOutput(m, output)
 			}
 		}
 	}()
 	t.Cleanup(p.kill)
 	select {
-	case p.addr = <-p.first:
-	case <-time.After(patience):
-		t.Fatalf("the hub %s does not start", sp.Name)
+	case p.addr = <-p.reportedAddr:
+	case <-time.After(waitTimeout):
+		t.Fatalf("the hub %s does not start", spec.Name)
 	}
 	return p
 }
 
-type logLines struct {
+type processLog struct {
 	t    *testing.T
 	name string
 }
 
-func (l *logLines) Write(p []byte) (int, error) {
+func (l *processLog) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("DATA RACE")) || bytes.Contains(p, []byte("panic")) {
 		l.t.Errorf("the hub %s: %s", l.name, p)
 	}
 	return len(p), nil
 }
 
-func (p *proc) heard(w *watch, x word) {
+func (p *hubProcess) handleOutput(m *monitor, output hubOutput) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case x.Addr != "":
-		p.first <- x.Addr
-	case x.Do > 0:
-		p.answers[x.Do] = x
-	case x.Hello > 0:
-		p.hellos = append(p.hellos, x.Hello)
+	case output.Addr != "":
+		p.reportedAddr <- output.Addr
+	case output.ID > 0:
+		p.answers[output.ID] = output
+	case output.Hello > 0:
+		p.hellos = append(p.hellos, output.Hello)
 	default:
-		w.traced(x.line)
+		m.checkTraceLine(output.traceLine)
 	}
 }
 
-func (p *proc) do(t *testing.T, o task) (answer word) {
+func (p *hubProcess) execute(t *testing.T, command hubCommand) (answer hubOutput) {
 	t.Helper()
 	p.mu.Lock()
-	p.sent++
-	o.Do = p.sent
+	p.lastID++
+	command.ID = p.lastID
 	p.mu.Unlock()
-	if err := json.NewEncoder(p.stdin).Encode(&o); err != nil {
+	if err := json.NewEncoder(p.stdin).Encode(&command); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "a hub's answer", func() (there bool) {
+	waitFor(t, "a hub's answer", func() (there bool) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		answer, there = p.answers[o.Do]
+		answer, there = p.answers[command.ID]
 		return there
 	})
 	return answer
 }
 
 // kill ends it without a word.
-func (p *proc) kill() {
+func (p *hubProcess) kill() {
 	_ = p.cmd.Process.Kill() // it has ended already if it fails
-	<-p.ended
+	<-p.done
 }
 
-func (p *proc) signal(t *testing.T, s syscall.Signal) {
+func (p *hubProcess) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// worst is the most hellos that came in a second from a time on, and how many came in all.
-func (p *proc) worst(from time.Time) (second, all int) {
+// helloRate is the most hellos that came in a second from a time on, and how many came in all.
+func (p *hubProcess) helloRate(from time.Time) (peak, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []int64
@@ -395,7 +395,7 @@
 		for list[j]-list[i] >= 1e6 {
 			i++
 		}
-		second = max(second, j-i+1)
+		peak = max(peak, j-i+1)
 	}
-	return second, len(list)
+	return peak, len(list)
 }
--- a/internal/fleet/hubclient/hardwatch_test.go
+++ b/internal/fleet/hubclient/hardwatch_test.go
@@ -11,209 +11,209 @@
 )
 
 const (
-	sampleEvery = 50 * time.Millisecond
-	sumMost     = 1.1
-	traceLate   = 500 * time.Millisecond // a line may be written so much later than what it tells of, on a busy machine
+	sampleInterval = 50 * time.Millisecond
+	maxQuotaSum    = 1.1
+	maxTraceDelay  = 500 * time.Millisecond // a line may be written so much later than what it tells of, on a busy machine
 )
 
-// line is a line of a trace.
-type line struct {
+// traceLine is a line of a trace.
+type traceLine struct {
 	What, Kind, Observer, Subject string
 	Incarnation, Seq              uint64
 	Age, At                       int64 // us
 }
 
-type factID struct {
+type entryID struct {
 	kind, observer, subject string
 	incarnation, seq        uint64
 }
 
-// watch looks at all agents of a test all along, and reads the traces of all processes.
-type watch struct {
+// monitor looks at all agents of a test all along, and reads the traces of all processes.
+type monitor struct {
 	bounds map[string]time.Duration
 	stop   chan struct{}
 	done   chan struct{}
 
-	mu      sync.Mutex
-	alive   map[string]func() Known
-	newest  map[string][2]int64 // settings, policy; over restarts
-	seen    map[factID]int64    // when it was seen at the latest, by who told it, us
-	uses    int
-	matched int // of these, whose telling was read
-	samples int
-	least   float64 // no part may be less; 0: it is not looked at
-	living  bool    // nobody is dead: none may say so
-	sum     float64 // the highest
-	wrong   []string
+	mu             sync.Mutex
+	agents         map[string]func() Status
+	newestVersions map[string][2]int64 // settings, policy; over restarts
+	observedAt     map[entryID]int64   // when it was seen at the latest, by who told it, us
+	uses           int
+	matched        int // of these, whose telling was read
+	samples        int
+	minQuota       float64 // no part may be less; 0: it is not looked at
+	allAlive       bool    // nobody is dead: none may say so
+	maxSum         float64 // the highest
+	violations     []string
 }
 
-func newWatch() *watch {
-	w := &watch{bounds: map[string]time.Duration{}, stop: make(chan struct{}), done: make(chan struct{}), alive: map[string]func() Known{}, newest: map[string][2]int64{},
-		seen: map[factID]int64{}}
-	for k, d := range gossip.DefaultBounds {
-		w.bounds[k.String()] = d
+func newMonitor() *monitor {
+	m := &monitor{bounds: map[string]time.Duration{}, stop: make(chan struct{}), done: make(chan struct{}), agents: map[string]func() Status{}, newestVersions: map[string][2]int64{},
+		observedAt: map[entryID]int64{}}
+	for k, d := range gossip.DefaultAgeBounds {
+		m.bounds[k.String()] = d
 	}
-	go w.run()
-	return w
+	go m.run()
+	return m
 }
 
-func (w *watch) run() {
-	defer close(w.done)
-	tick := time.NewTicker(sampleEvery)
+func (m *monitor) run() {
+	defer close(m.done)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-w.stop:
+		case <-m.stop:
 			return
 		case <-tick.C:
-			w.sample()
+			m.sample()
 		}
 	}
 }
 
-// over ends the watch, and fails the test for what it saw.
-func (w *watch) over(t *testing.T) {
+// stopAndCheck ends the watch, and fails the test for what it saw.
+func (m *monitor) stopAndCheck(t *testing.T) {
 	t.Helper()
-	close(w.stop)
-	<-w.done
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, x := range w.wrong {
-		t.Error(x)
+	close(m.stop)
+	<-m.done
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, violation := range m.violations {
+		t.Error(violation)
 	}
-	t.Logf("%d samples, highest sum of parts %.3f, %d facts told, %d uses checked, %d of them by when they were seen", w.samples, w.sum, len(w.seen), w.uses, w.matched)
-	if w.samples == 0 {
+	t.Logf("%d samples, highest sum of parts %.3f, %d facts told, %d uses checked, %d of them by when they were seen", m.samples, m.maxSum, len(m.observedAt), m.uses, m.matched)
+	if m.samples == 0 {
 		t.Error("nothing was watched")
 	}
 }
 
-func (w *watch) fault(format string, args ...any) {
-	if len(w.wrong) < 10 {
-		w.wrong = append(w.wrong, fmt.Sprintf(format, args...))
+func (m *monitor) violation(format string, args ...any) {
+	if len(m.violations) < 10 {
+		m.violations = append(m.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *watch) lives(name string, known func() Known) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.alive[name] = known
+func (m *monitor) agentStarted(name string, status func() Status) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.agents[name] = status
 }
 
-// hold has more be looked at from now on.
-func (w *watch) hold(least float64, living bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.least, w.living = least, living
+// require has more be looked at from now on.
+func (m *monitor) require(minQuota float64, allAlive bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.minQuota, m.allAlive = minQuota, allAlive
 }
 
-func (w *watch) dead(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.alive, name)
+func (m *monitor) agentStopped(name string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.agents, name)
 }
 
-func (w *watch) sample() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.samples++
+func (m *monitor) sample() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.samples++
 	sum := 0.0
 	for range 3 { // agents are looked at one after the other, while they change
 		sum = 0
-		for name, known := range w.alive {
-			k := known()
-			sum += max(0, k.Part)
-			if w.least > 0 && k.Part < w.least {
-				w.fault("%s has a part of %v", name, k.Part)
+		for name, readStatus := range m.agents {
+			status := readStatus()
+			sum += max(0, status.Quota)
+			if m.minQuota > 0 && status.Quota < m.minQuota {
+				m.violation("%s has a part of %v", name, status.Quota)
 			}
-			if w.living && k.Census.Gone > 0 {
-				w.fault("%s was told that %d are dead, and all live", name, k.Census.Gone)
+			if m.allAlive && status.FleetSize.Dead > 0 {
+				m.violation("%s was told that %d are dead, and all live", name, status.FleetSize.Dead)
 			}
-			was := w.newest[name]
-			if k.Settings < was[0] || k.Policy < was[1] {
-				w.fault("%s went back from settings %d, policy %d to %d, %d", name, was[0], was[1], k.Settings, k.Policy)
+			newest := m.newestVersions[name]
+			if status.SettingsVersion < newest[0] || status.PolicyVersion < newest[1] {
+				m.violation("%s went back from settings %d, policy %d to %d, %d", name, newest[0], newest[1], status.SettingsVersion, status.PolicyVersion)
 			}
-			w.newest[name] = [2]int64{max(was[0], k.Settings), max(was[1], k.Policy)}
+			m.newestVersions[name] = [2]int64{max(newest[0], status.SettingsVersion), max(newest[1], status.PolicyVersion)}
 		}
-		if sum <= sumMost+1e-9 {
+		if sum <= maxQuotaSum+1e-9 {
 			break
 		}
 	}
-	if sum > sumMost+1e-9 {
-		w.fault("the parts of %d living agents come to %.3f", len(w.alive), sum)
+	if sum > maxQuotaSum+1e-9 {
+		m.violation("the parts of %d living agents come to %.3f", len(m.agents), sum)
 	}
-	w.sum = max(w.sum, sum)
+	m.maxSum = max(m.maxSum, sum)
 }
 
 // Write takes a line of a trace of this process.
-func (w *watch) Write(p []byte) (int, error) {
-	var l line
-	if err := json.Unmarshal(p, &l); err == nil {
-		w.traced(l)
+func (m *monitor) Write(p []byte) (int, error) {
+	var line traceLine
+	if err := json.Unmarshal(p, &line); err == nil {
+		m.checkTraceLine(line)
 	}
 	return len(p), nil
 }
 
-func (w *watch) traced(l line) {
-	if l.What == "" {
+func (m *monitor) checkTraceLine(line traceLine) {
+	if line.What == "" {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	id := factID{l.Kind, l.Observer, l.Subject, l.Incarnation, l.Seq}
-	if l.What == "tell" {
-		w.seen[id] = l.At - l.Age
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	id := entryID{line.Kind, line.Observer, line.Subject, line.Incarnation, line.Seq}
+	if line.What == "tell" {
+		m.observedAt[id] = line.At - line.Age
 		return
 	}
-	w.uses++
-	age, bound := time.Duration(l.Age)*time.Microsecond, w.bounds[l.Kind]
+	m.uses++
+	age, bound := time.Duration(line.Age)*time.Microsecond, m.bounds[line.Kind]
 	if age > bound {
-		w.fault("%+v is used past its bound of %v", l, bound)
+		m.violation("%+v is used past its bound of %v", line, bound)
 	}
-	if at, told := w.seen[id]; told {
-		w.matched++
-		if real := time.Duration(l.At-at) * time.Microsecond; real > bound+traceLate {
-			w.fault("%+v is used, and was seen %v ago: its bound is %v", l, real, bound)
+	if observedAt, known := m.observedAt[id]; known {
+		m.matched++
+		if actualAge := time.Duration(line.At-observedAt) * time.Microsecond; actualAge > bound+maxTraceDelay {
+			m.violation("%+v is used, and was seen %v ago: its bound is %v", line, actualAge, bound)
 		}
 	}
 }
 
 // The checker sees an agent that goes back to an old version, one that takes its part twice, and a fact that is used past its
 // bound: by the age that is reckoned, and by when it was told.
-func TestTheWatchSees(t *testing.T) {
+func TestMonitorReportsEachViolation(t *testing.T) {
 	t.Parallel()
 	now := time.Now().UnixMicro()
-	use := line{What: "use", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 1e6, At: now}
-	told := use
-	told.What, told.Age, told.At = "tell", 1e6, now-2e6
-	for name, c := range map[string]struct {
+	used := traceLine{What: "use", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 1e6, At: now}
+	published := used
+	published.What, published.Age, published.At = "tell", 1e6, now-2e6
+	for name, test := range map[string]struct {
 		part    float64
 		version int64
-		lines   []line
+		lines   []traceLine
 		wrong   int
 	}{
-		"all is well":     {1. / 5, 3, []line{told, use}, 0},
+		"all is well":     {1. / 5, 3, []traceLine{published, used}, 0},
 		"an old version":  {1. / 5, 2, nil, 1},
 		"a part twice":    {2. / 5, 3, nil, 1},
-		"a fact too old":  {1. / 5, 3, []line{{What: "use", Kind: "gone", Age: 3000001}}, 1},
-		"a fact told old": {1. / 5, 3, []line{{What: "tell", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 2e6, At: now - 2e6}, use}, 1},
+		"a fact too old":  {1. / 5, 3, []traceLine{{What: "use", Kind: "gone", Age: 3000001}}, 1},
+		"a fact told old": {1. / 5, 3, []traceLine{{What: "tell", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 2e6, At: now - 2e6}, used}, 1},
 	} {
-		w := newWatch()
-		close(w.stop)
-		<-w.done
-		k := Known{Part: 1. / 5, Settings: 3, Policy: 3}
+		m := newMonitor()
+		close(m.stop)
+		<-m.done
+		status := Status{Quota: 1. / 5, SettingsVersion: 3, PolicyVersion: 3}
 		for i := range 5 {
-			w.lives(fmt.Sprint(i), func() Known { return k })
+			m.agentStarted(fmt.Sprint(i), func() Status { return status })
 		}
-		w.sample()
-		liar := k
-		liar.Part, liar.Settings = c.part, c.version
-		w.lives("0", func() Known { return liar })
-		w.sample()
-		for _, l := range c.lines {
-			w.traced(l)
+		m.sample()
+		altered := status
+		altered.Quota, altered.SettingsVersion = test.part, test.version
+		m.agentStarted("0", func() Status { return altered })
+		m.sample()
+		for _, line := range test.lines {
+			m.checkTraceLine(line)
 		}
-		if len(w.wrong) < c.wrong || c.wrong == 0 && len(w.wrong) > 0 {
-			t.Errorf("%s: %q", name, w.wrong)
+		if len(m.violations) < test.wrong || test.wrong == 0 && len(m.violations) > 0 {
+			t.Errorf("%s: %q", name, m.violations)
 		}
 	}
 }
--- a/internal/fleet/hubclient/lists.go
+++ b/internal/fleet/hubclient/lists.go
@@ -9,112 +9,112 @@
 )
 
 const (
-	relayMet     = time.Second             // until a hub can have taken this agent: who has none asks for itself
-	relaySilence = 2500 * time.Millisecond // of a hub that passes the list on, after which it counts as dead
+	hubAttachGrace = time.Second             // until a hub can have taken this agent: who has none asks for itself
+	relayTimeout   = 2500 * time.Millisecond // of a hub that passes the list on, after which it counts as dead
 )
 
 // Next waits until the list may be asked for, and says where: of the hub first, where lists are relayed, and of the service
 // in this agent's turn. Where there is no hub, one that takes the agent meanwhile goes before the turn. fails counts
 // openings that came to nothing. It reports false once ctx ends.
-func (s *Spoke) Next(ctx context.Context, fails int) (source.Source, bool) {
-	if f := s.flat.Load(); f != nil {
-		return f.Next(ctx, fails)
+func (c *Client) Next(ctx context.Context, failures int) (source.Source, bool) {
+	if mesh := c.mesh.Load(); mesh != nil {
+		return mesh.Next(ctx, failures)
 	}
-	if !s.cfg.Relayed || fails%2 == 1 {
-		return source.Source{}, s.pacer.Turn(ctx, s.starters)
+	if !c.cfg.Relayed || failures%2 == 1 {
+		return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount)
 	}
-	s.mu.Lock()
-	attached := s.attached
-	s.mu.Unlock()
+	c.mu.Lock()
+	attached := c.attached
+	c.mu.Unlock()
 	select { // a process that starts gives its hub a moment
 	case <-attached:
 	case <-ctx.Done():
-	case <-time.After(time.Until(s.born.Add(relayMet))):
+	case <-time.After(time.Until(c.startedAt.Add(hubAttachGrace))):
 	}
-	turn, cancel := context.WithCancel(ctx)
+	turnCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
 		case <-attached:
 			cancel()
-		case <-turn.Done():
+		case <-turnCtx.Done():
 		}
 	}()
-	if s.pacer.Turn(turn, s.starters) {
+	if c.pacer.AwaitTurn(turnCtx, c.startingCount) {
 		return source.Source{}, true
 	}
-	if addr := s.hub(); addr != "" || ctx.Err() != nil {
-		return source.Source{Addr: addr, Silence: relaySilence, Relayed: true}, ctx.Err() == nil
+	if addr := c.hubAddr(); addr != "" || ctx.Err() != nil {
+		return source.Source{Addr: addr, SilenceTimeout: relayTimeout, Relayed: true}, ctx.Err() == nil
 	}
-	return source.Source{}, s.pacer.Turn(ctx, s.starters) // it is lost already
+	return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount) // it is lost already
 }
 
-// starters counts who may ask the service at once: who is seen to start, and, where lists are relayed, all of a hub, since
+// startingCount counts who may ask the service at once: who is seen to start, and, where lists are relayed, all of a hub, since
 // one that comes to the service has lost it with the rest.
-func (s *Spoke) starters() int {
-	c, fresh := s.census()
+func (c *Client) startingCount() int {
+	size, fresh := c.fleetSize()
 	if !fresh {
-		s.mu.Lock()
-		c = s.known.Census
-		s.mu.Unlock()
+		c.mu.Lock()
+		size = c.status.FleetSize
+		c.mu.Unlock()
 	}
-	n := max(1, int(c.Starting))
-	if s.cfg.Relayed {
-		n = max(n, int(c.Attached)/len(s.hubs))
+	n := max(1, int(size.Starting))
+	if c.cfg.Relayed {
+		n = max(n, int(size.Attached)/len(c.hubs))
 	}
 	return n
 }
 
-// met reports whether any hub has ever told who there is.
-func (s *Spoke) met() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.known.Census.Attached > 0
+// fleetSizeReceived reports whether any hub has ever told who there is.
+func (c *Client) fleetSizeReceived() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.status.FleetSize.Attached > 0
 }
 
-// Answered takes how an opening went: after how long the first word came, or that none did, and from which version on.
-func (s *Spoke) Answered(src source.Source, waited time.Duration, failed bool, version int64) {
-	if f := s.flat.Load(); f != nil {
-		f.Answered(src, waited, failed, version)
+// RecordAttempt takes how an opening went: after how long the first word came, or that none did, and from which version on.
+func (c *Client) RecordAttempt(src source.Source, waited time.Duration, failed bool, version int64) {
+	if mesh := c.mesh.Load(); mesh != nil {
+		mesh.RecordAttempt(src, waited, failed, version)
 	} else if !src.Relayed {
-		s.pacer.Answered(waited, failed, version)
+		c.pacer.RecordAttempt(waited, failed, version)
 	}
 }
 
 // Dial opens a connection to a hub, or to another agent.
-func (s *Spoke) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return s.dial(ctx, network, addr)
+func (c *Client) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	return c.dial(ctx, network, addr)
 }
 
-// Heard takes a sign of life of a source: the flat fleet passes on what it hears.
-func (s *Spoke) Heard(src source.Source) {
-	if f := s.flat.Load(); f != nil {
-		f.Heard(src)
+// RecordLiveness takes a sign of life of a source: the flat fleet passes on what it hears.
+func (c *Client) RecordLiveness(src source.Source) {
+	if mesh := c.mesh.Load(); mesh != nil {
+		mesh.RecordLiveness(src)
 	}
 }
 
-// Listed takes a message of a source.
-func (s *Spoke) Listed(src source.Source, from, to int64, change, whole []byte) {
-	if f := s.flat.Load(); f != nil {
-		f.Listed(src, from, to, change, whole)
+// RecordUpdate takes a message of a source.
+func (c *Client) RecordUpdate(src source.Source, from, to int64, change, whole []byte) {
+	if mesh := c.mesh.Load(); mesh != nil {
+		mesh.RecordUpdate(src, from, to, change, whole)
 	}
-	s.Ready()
+	c.Ready()
 }
 
 // Ready tells that this process has a list, and serves.
-func (s *Spoke) Ready() {
-	if !s.serving.Swap(true) {
-		s.cfg.Log.Info("start", "step", "serving", "hub", s.Known().Hub, "took", time.Since(s.born))
+func (c *Client) Ready() {
+	if !c.serving.Swap(true) {
+		c.cfg.Log.Info("start", "step", "serving", "hub", c.Status().Hub, "took", time.Since(c.startedAt))
 	}
-	if f := s.flat.Load(); f != nil {
-		f.Ready()
+	if mesh := c.mesh.Load(); mesh != nil {
+		mesh.Ready()
 	}
 }
 
-// Behind reports whether others have told of a later version of the list than the one known here.
-func (s *Spoke) Behind(version int64) bool {
-	if f := s.flat.Load(); f != nil {
-		return f.Behind(version)
+// Lagging reports whether others have told of a later version of the list than the one known here.
+func (c *Client) Lagging(version int64) bool {
+	if mesh := c.mesh.Load(); mesh != nil {
+		return mesh.Lagging(version)
 	}
-	return s.pacer.Version() > version
+	return c.pacer.LatestVersion() > version
 }
--- a/internal/fleet/hubclient/standin_test.go
+++ b/internal/fleet/hubclient/standin_test.go
@@ -22,39 +22,39 @@
 )
 
 const (
-	patience = 30 * time.Second
-	beat     = 100 * time.Millisecond
+	waitTimeout     = 30 * time.Second
+	messageInterval = 100 * time.Millisecond
 )
 
-// standin is a hub as an agent sees one.
-type standin struct {
-	name    string
-	addr    string
-	born    time.Time
-	came    chan string  // "hello", "bye", "end" of streams, as they happen
-	silent  atomic.Bool  // it neither reads nor writes, as one that is stopped
-	mute    atomic.Bool  // it tells no facts
-	old     bool         // it says nothing that an older program would not
-	busy    atomic.Int64 // ns to be said to the next who comes
-	mu      sync.Mutex
-	census  hub.Census
-	trip    uint32 // us to zone b
-	policy  documents.Standing
-	asked   []string // digests
-	server  *http.Server
-	conns   map[net.Conn]bool
-	states  []frame.State
-	helloAt []time.Time
-	seq     atomic.Uint64
+// fakeHub is a hub as an agent sees one.
+type fakeHub struct {
+	name             string
+	addr             string
+	startedAt        time.Time
+	events           chan string  // "hello", "bye", "end" of streams, as they happen
+	unresponsive     atomic.Bool  // it neither reads nor writes, as one that is stopped
+	withholdsEntries atomic.Bool  // it tells no facts
+	olderProgram     bool         // it says nothing that an older program would not
+	busyFor          atomic.Int64 // ns to be said to the next who comes
+	mu               sync.Mutex
+	fleetSize        hub.FleetSize
+	rttMicros        uint32 // us to zone b
+	policy           documents.AppliedVersion
+	fetched          []string // digests
+	server           *http.Server
+	conns            map[net.Conn]bool
+	states           []frame.State
+	helloAt          []time.Time
+	seq              atomic.Uint64
 }
 
-func newStandin(t *testing.T, name string) *standin {
-	h := &standin{name: name, born: time.Now(), came: make(chan string, 1000), conns: map[net.Conn]bool{}, trip: 1000}
+func newFakeHub(t *testing.T, name string) *fakeHub {
+	h := &fakeHub{name: name, startedAt: time.Now(), events: make(chan string, 1000), conns: map[net.Conn]bool{}, rttMicros: 1000}
 	h.start(t, "127.0.0.1:0")
 	return h
 }
 
-func (h *standin) start(t *testing.T, addr string) {
+func (h *fakeHub) start(t *testing.T, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // kill ends it as a signal would.
-func (h *standin) kill() {
+func (h *fakeHub) kill() {
 	h.server.Close()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,63 +77,63 @@
 	clear(h.conns)
 }
 
-func (h *standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *fakeHub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if digest, ok := strings.CutPrefix(r.URL.Path, "/residency/"); ok {
 		h.mu.Lock()
-		h.asked = append(h.asked, digest)
+		h.fetched = append(h.fetched, digest)
 		h.mu.Unlock()
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	c, rw, err := w.(http.Hijacker).Hijack()
+	conn, rw, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
 	h.mu.Lock()
-	h.conns[c] = true
+	h.conns[conn] = true
 	h.mu.Unlock()
-	_, _ = io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: "+frame.Protocol+"\r\n\r\n")
-	h.talk(c, rw.Reader)
+	_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: "+frame.Protocol+"\r\n\r\n")
+	h.serveAttachment(conn, rw.Reader)
 }
 
-func (h *standin) talk(c net.Conn, r *bufio.Reader) {
-	defer c.Close()
-	if f, err := frame.Read(r); err != nil || f.Hello == nil {
+func (h *fakeHub) serveAttachment(conn net.Conn, r *bufio.Reader) {
+	defer conn.Close()
+	if received, err := frame.Read(r); err != nil || received.Hello == nil {
 		return
 	}
 	h.mu.Lock()
 	h.helloAt = append(h.helloAt, time.Now())
 	h.mu.Unlock()
-	if after := h.busy.Swap(0); after > 0 {
-		put(c, &frame.Frame{Busy: &frame.Busy{After: time.Duration(after)}})
+	if after := h.busyFor.Swap(0); after > 0 {
+		writeFrame(conn, &frame.Frame{Busy: &frame.Busy{RetryAfter: time.Duration(after)}})
 		return
 	}
-	put(c, &frame.Frame{Welcome: &frame.Welcome{Hub: h.name}})
-	h.came <- "hello"
-	defer func() { h.came <- "end" }()
+	writeFrame(conn, &frame.Frame{Welcome: &frame.Welcome{Hub: h.name}})
+	h.events <- "hello"
+	defer func() { h.events <- "end" }()
 	var echo atomic.Pointer[frame.Echo]
 	done := make(chan struct{})
 	defer close(done)
-	go h.tell(c, &echo, done)
+	go h.sendLoop(conn, &echo, done)
 	for {
-		f, err := frame.Read(r)
+		received, err := frame.Read(r)
 		if err != nil {
 			return
 		}
-		if f.State != nil {
-			echo.Store(&frame.Echo{Seq: f.State.Seq})
+		if received.State != nil {
+			echo.Store(&frame.Echo{Seq: received.State.Seq})
 			h.mu.Lock()
-			h.states = append(h.states, *f.State)
+			h.states = append(h.states, *received.State)
 			h.mu.Unlock()
 		}
-		if f.Bye {
-			h.came <- "bye"
+		if received.Leave {
+			h.events <- "bye"
 		}
 	}
 }
 
-func (h *standin) tell(c net.Conn, echo *atomic.Pointer[frame.Echo], done chan struct{}) {
-	tick := time.NewTicker(beat)
+func (h *fakeHub) sendLoop(conn net.Conn, echo *atomic.Pointer[frame.Echo], done chan struct{}) {
+	tick := time.NewTicker(messageInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -141,76 +141,76 @@
 			return
 		case <-tick.C:
 		}
-		if h.silent.Load() {
+		if h.unresponsive.Load() {
 			continue
 		}
-		f := &frame.Frame{Facts: h.facts()}
-		if !h.old {
-			f.Sure, f.Echo = true, echo.Swap(nil)
+		f := &frame.Frame{Gossip: h.entries()}
+		if !h.olderProgram {
+			f.QuotaConfirmed, f.Echo = true, echo.Swap(nil)
 		}
-		put(c, f)
+		writeFrame(conn, f)
 	}
 }
 
-func (h *standin) facts() []byte {
+func (h *fakeHub) entries() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	m := gossip.Message{Version: 1, Sender: h.name, Incarnation: 1, Clock: time.Since(h.born)}
-	add := func(k gossip.Kind, subject string, body []byte) {
-		m.Facts = append(m.Facts, gossip.Fact{Kind: k, Subject: subject, Observer: h.name, Incarnation: 1, Seq: h.seq.Add(1), Body: body})
+	message := gossip.Message{Version: 1, Sender: h.name, Incarnation: 1, Clock: time.Since(h.startedAt)}
+	add := func(kind gossip.Kind, subject string, body []byte) {
+		message.Entries = append(message.Entries, gossip.Entry{Kind: kind, Subject: subject, Observer: h.name, Incarnation: 1, Seq: h.seq.Add(1), Body: body})
 	}
-	if !h.mute.Load() && !h.old {
-		add(gossip.Census, hub.FleetCensus, h.census.MarshalBody())
-		row, _ := cbor.Marshal(map[int]any{1: []map[int]any{{1: "b", 2: h.trip, 3: 0, 4: 0, 5: 9}}})
-		add(gossip.Distance, "a", row)
+	if !h.withholdsEntries.Load() && !h.olderProgram {
+		add(gossip.FleetSize, hub.FleetSubject, h.fleetSize.MarshalBody())
+		row, _ := cbor.Marshal(map[int]any{1: []map[int]any{{1: "b", 2: h.rttMicros, 3: 0, 4: 0, 5: 9}}})
+		add(gossip.LatencyRow, "a", row)
 	}
 	if h.policy.Version > 0 {
-		add(gossip.Residency, "policy", h.policy.Body())
+		add(gossip.ResidencyVersion, "policy", h.policy.MarshalBody())
 	}
-	data, _ := gossip.Encode(&m)
+	data, _ := gossip.EncodeMessage(&message)
 	return data
 }
 
-func put(c net.Conn, f *frame.Frame) {
+func writeFrame(conn net.Conn, f *frame.Frame) {
 	data, _ := frame.Encode(f)
-	_, _ = c.Write(data) // the other side has gone if it fails
+	_, _ = conn.Write(data) // the other side has gone if it fails
 }
 
-// cable is the way to a hub. Each direction passes bytes on, loses them, or keeps them until it passes them on.
-type cable struct {
-	addr     string
-	up, down atomic.Int32
+// cuttableProxy is the way to a hub. Each direction passes bytes on, loses them, or keeps them until it passes them on.
+type cuttableProxy struct {
+	addr           string
+	toHub, fromHub atomic.Int32
 }
 
 const (
-	passes = iota
-	loses
-	keeps
+	forwarding = iota
+	discarding
+	holding
 )
 
-func newCable(t *testing.T, to string) *cable {
+func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	w := &cable{addr: ln.Addr().String()}
+	p := &cuttableProxy{addr: ln.Addr().String()}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			near, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			if far, err := net.Dial("tcp", to); err == nil {
-				go w.carry(far, c, &w.up)
-				go w.carry(c, far, &w.down)
+				go p.forward(far, near, &p.toHub)
+				go p.forward(near, far, &p.fromHub)
 			}
 		}
 	}()
-	return w
+	return p
 }
 
-func (w *cable) carry(to, from net.Conn, how *atomic.Int32) {
+func (p *cuttableProxy) forward(to, from net.Conn, mode *atomic.Int32) {
 	defer to.Close()
 	buf := make([]byte, 4096)
 	for {
@@ -218,10 +218,10 @@
 		if err != nil {
 			return
 		}
-		for how.Load() == keeps {
+		for mode.Load() == holding {
 			time.Sleep(time.Millisecond)
 		}
-		if how.Load() == passes {
+		if mode.Load() == forwarding {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -229,43 +229,43 @@
 	}
 }
 
-// agent is a spoke that runs, and what it told.
-type agent struct {
-	*Spoke
-	end   func() // and waits for it
-	mu    sync.Mutex
-	parts []float64
-	trips []time.Duration
+// testAgent is a spoke that runs, and what it told.
+type testAgent struct {
+	*Client
+	stop   func() // and waits for it
+	mu     sync.Mutex
+	quotas []float64
+	rtts   []time.Duration
 }
 
-func newAgent(t *testing.T, change func(*Config), hubs ...*standin) *agent {
+func newTestAgent(t *testing.T, configure func(*Config), hubs ...*fakeHub) *testAgent {
 	t.Helper()
-	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", Most: 10, Bounds: gossip.DefaultBounds, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", MaxAgents: 10, Bounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
 	for i, h := range hubs {
 		cfg.Hubs = append(cfg.Hubs, Hub{string(rune('a' + i)), "r", h.addr})
 	}
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
-	a := &agent{}
+	a := &testAgent{}
 	var err error
-	a.Spoke, err = New(cfg, []string{"a", "b"}, fleet.Told{
-		Part:      func(part float64) { a.mu.Lock(); a.parts = append(a.parts, part); a.mu.Unlock() },
-		Distances: func(trips []time.Duration, _ []float64) { a.mu.Lock(); a.trips = trips; a.mu.Unlock() }})
+	a.Client, err = New(cfg, []string{"a", "b"}, fleet.Callbacks{
+		Quota:     func(quota float64) { a.mu.Lock(); a.quotas = append(a.quotas, quota); a.mu.Unlock() },
+		Latencies: func(rtts []time.Duration, _ []float64) { a.mu.Lock(); a.rtts = rtts; a.mu.Unlock() }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.choose.homing = 300 * time.Millisecond
-	a.end = run(t, a.Spoke.Run)
+	a.selector.homeCheckInterval = 300 * time.Millisecond
+	a.stop = runTask(t, a.Client.Run)
 	return a
 }
 
-// await waits until a condition holds.
-func await(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("never: %s", condition)
 		}
 	}
 }
--- a/internal/fleet/hubclient/stream.go
+++ b/internal/fleet/hubclient/stream.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	openWithin  = 2 * time.Second
-	silence     = 2500 * time.Millisecond // of a hub, after which it counts as failed: it tells each second
-	stateEvery  = time.Second
-	writeWithin = 2 * time.Second
-	byeWithin   = 500 * time.Millisecond
-	slowFrom    = time.Second     // a way of the hub's messages that is too long ...
-	slowMost    = 3               // ... so many times in a row
-	unheardMost = 4 * time.Second // since the last state that the hub echoed was written
-	echoes      = 8               // states that are out at once
+	attachTimeout     = 2 * time.Second
+	hubTimeout        = 2500 * time.Millisecond // of a hub, after which it counts as failed: it tells each second
+	stateInterval     = time.Second
+	writeTimeout      = 2 * time.Second
+	leaveTimeout      = 500 * time.Millisecond
+	slowTransit       = time.Second     // a way of the hub's messages that is too long ...
+	maxSlowMessages   = 3               // ... so many times in a row
+	maxEchoAge        = 4 * time.Second // since the last state that the hub echoed was written
+	maxStatesInFlight = 8               // states that are out at once
 )
 
 var (
-	errHome    = errors.New("the agent's own hub is back")
-	errSlow    = errors.New("its messages take too long")
-	errUnheard = errors.New("it does not hear this agent")
+	errHomeHubBack = errors.New("the agent's own hub is back")
+	errHubSlow     = errors.New("its messages take too long")
+	errNoEcho      = errors.New("it does not hear this agent")
 )
 
 // busyError says that a hub is busy, and when to come again.
-type busyError struct{ after time.Duration }
+type busyError struct{ retryAfter time.Duration }
 
-func (e *busyError) Error() string { return fmt.Sprintf("it is busy for %v", e.after) }
+func (e *busyError) Error() string { return fmt.Sprintf("it is busy for %v", e.retryAfter) }
 
 // halfCloser is a connection that can be closed one way.
 type halfCloser interface {
@@ -45,200 +45,200 @@
 	CloseWrite() error
 }
 
-// stream is an agent's stream to one hub: one task reads it, one writes it.
-type stream struct {
-	s      *Spoke
-	hub    Hub
-	name   string // the hub's own
-	conn   halfCloser
-	r      *bufio.Reader
-	opened time.Time // Hello was written then: whatever comes was written later
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	done   chan struct{} // closed when its tasks have ended
-	late   int           // messages in a row that took too long
-
-	mu     sync.Mutex
-	seq    uint32
-	sent   [echoes]time.Time // when the last states were written, by number
-	echoed time.Time         // when the last state that came back was written; zero: none has
+// attachment is an agent's stream to one hub: one task reads it, one writes it.
+type attachment struct {
+	client       *Client
+	hub          Hub
+	hubName      string // the hub's own
+	conn         halfCloser
+	reader       *bufio.Reader
+	helloSentAt  time.Time // Hello was written then: whatever comes was written later
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	done         chan struct{} // closed when its tasks have ended
+	slowMessages int           // messages in a row that took too long
+
+	mu                sync.Mutex
+	seq               uint32
+	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by number
+	echoedStateSentAt time.Time                    // when the last state that came back was written; zero: none has
 }
 
-// open has a hub take this agent. ctx ends it at any time.
-func (s *Spoke) open(ctx context.Context, h Hub) (*stream, error) {
-	within, cancel := context.WithTimeout(ctx, openWithin)
+// openAttachment has a hub take this agent. ctx ends it at any time.
+func (c *Client) openAttachment(ctx context.Context, hub Hub) (*attachment, error) {
+	attachCtx, cancel := context.WithTimeout(ctx, attachTimeout)
 	defer cancel()
-	conn, err := s.dial(within, "tcp", h.Addr)
+	conn, err := c.dial(attachCtx, "tcp", hub.Addr)
 	if err != nil {
 		return nil, err
 	}
-	x := &stream{s: s, hub: h, conn: conn.(halfCloser), r: bufio.NewReader(conn), done: make(chan struct{})}
-	stop := context.AfterFunc(within, func() { conn.Close() })
-	if err = x.greet(); !stop() {
-		err = cmp.Or(err, within.Err())
+	a := &attachment{client: c, hub: hub, conn: conn.(halfCloser), reader: bufio.NewReader(conn), done: make(chan struct{})}
+	stop := context.AfterFunc(attachCtx, func() { conn.Close() })
+	if err = a.handshake(); !stop() {
+		err = cmp.Or(err, attachCtx.Err())
 	}
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
-	x.ctx, x.end = context.WithCancelCause(ctx)
+	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	var tasks sync.WaitGroup
-	tasks.Go(func() { x.end(x.read()) })
-	tasks.Go(func() { x.end(x.write()) })
-	context.AfterFunc(x.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // closed already if it fails
-	go func() { tasks.Wait(); close(x.done) }()
-	return x, nil
+	tasks.Go(func() { a.cancel(a.readLoop()) })
+	tasks.Go(func() { a.cancel(a.writeLoop()) })
+	context.AfterFunc(a.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // closed already if it fails
+	go func() { tasks.Wait(); close(a.done) }()
+	return a, nil
 }
 
-// greet says who this agent is.
-func (x *stream) greet() error {
-	req, err := http.NewRequest(http.MethodGet, "http://"+x.hub.Addr+frame.Path, nil)
+// handshake says who this agent is.
+func (a *attachment) handshake() error {
+	req, err := http.NewRequest(http.MethodGet, "http://"+a.hub.Addr+frame.Path, nil)
 	if err != nil {
 		return err
 	}
 	req.Header.Set("Connection", "Upgrade")
 	req.Header.Set("Upgrade", frame.Protocol)
-	if err := req.Write(x.conn); err != nil {
+	if err := req.Write(a.conn); err != nil {
 		return err
 	}
-	resp, err := http.ReadResponse(x.r, req)
+	resp, err := http.ReadResponse(a.reader, req)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
-	c := &x.s.cfg
-	x.opened = time.Now()
-	hello := frame.Hello{Label: c.Label, Name: c.Name, Incarnation: x.s.incarnation, Site: c.Site, Addr: cmp.Or(c.Advertise, x.s.door.address()), Program: c.Version}
-	if err := x.put(&frame.Frame{Hello: &hello}); err != nil {
+	cfg := &a.client.cfg
+	a.helloSentAt = time.Now()
+	hello := frame.Hello{Label: cfg.Label, Name: cfg.Name, Incarnation: a.client.incarnation, Site: cfg.Site, Addr: cmp.Or(cfg.Advertise, a.client.listener.address()), ProgramVersion: cfg.Version}
+	if err := a.writeFrame(&frame.Frame{Hello: &hello}); err != nil {
 		return err
 	}
-	f, err := frame.Read(x.r)
+	reply, err := frame.Read(a.reader)
 	switch {
 	case err != nil:
 		return err
-	case f.Busy != nil:
-		return &busyError{f.Busy.After}
-	case f.Welcome == nil:
+	case reply.Busy != nil:
+		return &busyError{reply.Busy.RetryAfter}
+	case reply.Welcome == nil:
 		return errors.New("it does not say who it is")
 	}
-	x.name = f.Welcome.Hub
+	a.hubName = reply.Welcome.Hub
 	return nil
 }
 
-func (x *stream) put(f *frame.Frame) error {
+func (a *attachment) writeFrame(f *frame.Frame) error {
 	data, err := frame.Encode(f)
 	if err != nil {
 		return err
 	}
-	_, err = x.conn.Write(data)
+	_, err = a.conn.Write(data)
 	return err
 }
 
-// read takes what the hub tells until the stream ends.
-func (x *stream) read() error {
+// readLoop takes what the hub tells until the stream ends.
+func (a *attachment) readLoop() error {
 	for {
-		_ = x.conn.SetReadDeadline(time.Now().Add(silence)) // closed already if it fails
-		if x.ctx.Err() != nil {                             // it may have ended before the deadline was set
-			return x.ctx.Err()
+		_ = a.conn.SetReadDeadline(time.Now().Add(hubTimeout)) // closed already if it fails
+		if a.ctx.Err() != nil {                                // it may have ended before the deadline was set
+			return a.ctx.Err()
 		}
-		f, err := frame.Read(x.r)
+		f, err := frame.Read(a.reader)
 		if err != nil {
 			return err
 		}
-		if err := x.take(f, time.Now()); err != nil {
+		if err := a.handleFrame(f, time.Now()); err != nil {
 			return err
 		}
-		x.s.nudge()
+		a.client.wake()
 	}
 }
 
-// take takes a word of the hub.
-func (x *stream) take(f *frame.Frame, now time.Time) error {
+// handleFrame takes a word of the hub.
+func (a *attachment) handleFrame(f *frame.Frame, now time.Time) error {
 	if f.Echo != nil {
-		x.heardBack(f.Echo, now)
+		a.handleEcho(f.Echo, now)
 	}
-	if f.Sure {
-		x.s.sure.Store(true)
+	if f.QuotaConfirmed {
+		a.client.quotaConfirmed.Store(true)
 	}
-	x.mu.Lock()
-	echoed := x.echoed
-	x.mu.Unlock()
-	if !echoed.IsZero() && now.Sub(echoed) > unheardMost {
-		return errUnheard
+	a.mu.Lock()
+	echoedStateSentAt := a.echoedStateSentAt
+	a.mu.Unlock()
+	if !echoedStateSentAt.IsZero() && now.Sub(echoedStateSentAt) > maxEchoAge {
+		return errNoEcho
 	}
-	if len(f.Facts) == 0 {
+	if len(f.Gossip) == 0 {
 		return nil
 	}
-	if echoed.IsZero() { // no round trip is known yet, and what came can't be older than the stream
-		x.s.facts.Trip(x.name, now.Sub(x.opened))
+	if echoedStateSentAt.IsZero() { // no round trip is known yet, and what came can't be older than the stream
+		a.client.store.ObserveRTT(a.hubName, now.Sub(a.helloSentAt))
 	}
-	way, err := x.s.facts.HearWay(f.Facts)
+	transit, err := a.client.store.MergeTimed(f.Gossip)
 	if err != nil {
-		x.s.cfg.Log.Debug("a message of the hub makes no sense", "hub", x.name, "error", err)
+		a.client.cfg.Log.Debug("a message of the hub makes no sense", "hub", a.hubName, "error", err)
 	}
-	if x.late++; echoed.IsZero() || way <= slowFrom {
-		x.late = 0
+	if a.slowMessages++; echoedStateSentAt.IsZero() || transit <= slowTransit {
+		a.slowMessages = 0
 	}
-	if x.late >= slowMost {
-		return errSlow
+	if a.slowMessages >= maxSlowMessages {
+		return errHubSlow
 	}
 	return nil
 }
 
-// heardBack takes that the hub has heard a state, and how long it kept that.
-func (x *stream) heardBack(e *frame.Echo, now time.Time) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if e.Seq == 0 || e.Seq > x.seq || x.seq-e.Seq >= echoes {
+// handleEcho takes that the hub has heard a state, and how long it kept that.
+func (a *attachment) handleEcho(echo *frame.Echo, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if echo.Seq == 0 || echo.Seq > a.seq || a.seq-echo.Seq >= maxStatesInFlight {
 		return
 	}
-	at := x.sent[e.Seq%echoes]
-	if trip := now.Sub(at) - e.Dwell; trip >= 0 {
-		x.echoed = at
-		x.s.facts.Trip(x.name, trip)
+	sentAt := a.sentAt[echo.Seq%maxStatesInFlight]
+	if rtt := now.Sub(sentAt) - echo.HoldTime; rtt >= 0 {
+		a.echoedStateSentAt = sentAt
+		a.client.store.ObserveRTT(a.hubName, rtt)
 	}
 }
 
-// write tells how this agent stands, and what it saw, each second and when that changes, until the stream ends.
-func (x *stream) write() error {
-	tick := time.NewTicker(gossip.TickEvery)
+// writeLoop tells how this agent stands, and what it saw, each second and when that changes, until the stream ends.
+func (a *attachment) writeLoop() error {
+	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
-	var last state
-	var at time.Time
+	var last agentState
+	var sentAt time.Time
 	for {
-		if st := x.s.state(); st != last || time.Since(at) >= stateEvery {
-			last, at = st, time.Now()
-			if err := x.tell(st); err != nil {
+		if current := a.client.currentState(); current != last || time.Since(sentAt) >= stateInterval {
+			last, sentAt = current, time.Now()
+			if err := a.sendState(current); err != nil {
 				return err
 			}
 		}
 		select {
-		case <-x.ctx.Done():
+		case <-a.ctx.Done():
 			return nil
 		case <-tick.C:
 		}
 	}
 }
 
-func (x *stream) tell(st state) error {
+func (a *attachment) sendState(current agentState) error {
 	now := time.Now()
-	_ = x.conn.SetWriteDeadline(now.Add(writeWithin)) // closed already if it fails
-	x.mu.Lock()
-	x.seq++
-	x.sent[x.seq%echoes] = now
-	f := &frame.Frame{State: &frame.State{Seq: x.seq, Serving: st.serving, Settings: st.settings, Policy: st.policy}, Facts: x.s.facts.Own()}
-	x.mu.Unlock()
-	return x.put(f)
+	_ = a.conn.SetWriteDeadline(now.Add(writeTimeout)) // closed already if it fails
+	a.mu.Lock()
+	a.seq++
+	a.sentAt[a.seq%maxStatesInFlight] = now
+	f := &frame.Frame{State: &frame.State{Seq: a.seq, Serving: current.serving, Settings: current.settings, Policy: current.policy}, Gossip: a.client.store.OwnMessage()}
+	a.mu.Unlock()
+	return a.writeFrame(f)
 }
 
-// bye tells that this agent ends for good, once the stream's tasks have. What the hub still wrote is read: unread it would
+// leave tells that this agent ends for good, once the stream's tasks have. What the hub still wrote is read: unread it would
 // make the close a reset, and the goodbye could be lost.
-func (x *stream) bye() {
-	_ = x.conn.SetDeadline(time.Now().Add(byeWithin)) // closed already if it fails
-	if x.put(&frame.Frame{Bye: true}) == nil && x.conn.CloseWrite() == nil {
-		_, _ = io.Copy(io.Discard, x.r)
+func (a *attachment) leave() {
+	_ = a.conn.SetDeadline(time.Now().Add(leaveTimeout)) // closed already if it fails
+	if a.writeFrame(&frame.Frame{Leave: true}) == nil && a.conn.CloseWrite() == nil {
+		_, _ = io.Copy(io.Discard, a.reader)
 	}
-	x.conn.Close()
+	a.conn.Close()
 }
--- a/internal/fleet/hubs.go
+++ b/internal/fleet/hubs.go
@@ -11,12 +11,12 @@
 
 // What a hub needs of the fleet that it is in; see hub.Fleet.
 
-// Facts are what is known here.
-func (f *Fleet) Facts() *gossip.Store { return f.facts }
+// Gossip are what is known here.
+func (f *Fleet) Gossip() *gossip.Store { return f.store }
 
 // Hubs are the other hubs that are there.
 func (f *Fleet) Hubs() (list []member.Member) {
-	for m := range f.list.View().Hubs() {
+	for m := range f.members.View().Hubs() {
 		if m.Name != f.cfg.Name {
 			list = append(list, m)
 		}
@@ -24,13 +24,13 @@
 	return list
 }
 
-// Missing are the hubs that are not there and may be; see member.List.
-func (f *Fleet) Missing() []member.Member { return f.list.Missing() }
+// MissingHubs are the hubs that are not there and may be; see member.List.
+func (f *Fleet) MissingHubs() []member.Member { return f.members.MissingHubs() }
 
-// Flat are the names of the agents that are members themselves.
-func (f *Fleet) Flat() map[string]bool {
+// MeshAgents are the names of the agents that are members themselves.
+func (f *Fleet) MeshAgents() map[string]bool {
 	names := map[string]bool{}
-	for m := range f.list.View().All() {
+	for m := range f.members.View().All() {
 		if !m.Hub {
 			names[m.Name] = true
 		}
@@ -38,12 +38,12 @@
 	return names
 }
 
-// Dead reports whether the process that had an address is gone for certain.
-func (f *Fleet) Dead(ctx context.Context, m member.Member, within time.Duration) bool {
-	return f.list.Dead(ctx, m, within)
+// ConfirmDead reports whether the process that had an address is gone for certain.
+func (f *Fleet) ConfirmDead(ctx context.Context, m member.Member, timeout time.Duration) bool {
+	return f.members.ConfirmDead(ctx, m, timeout)
 }
 
-// Matrix is how far the sites are from each other, as known now.
-func (f *Fleet) Matrix() latency.Matrix {
-	return latency.Make(f.facts.Now(gossip.Distance), f.list.View())
+// LatencyMatrix is how far the sites are from each other, as known now.
+func (f *Fleet) LatencyMatrix() latency.Matrix {
+	return latency.NewMatrix(f.store.Entries(gossip.LatencyRow), f.members.View())
 }
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -15,38 +15,38 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Folder is where numbers are kept: the first of some folders that is given, else one beside the system's temporary files,
+// Dir is where numbers are kept: the first of some folders that is given, else one beside the system's temporary files,
 // which a fleet's processes on a machine share.
-func Folder(label string, given ...string) string {
-	return cmp.Or(cmp.Or(given...), filepath.Join(os.TempDir(), "martenbeam-"+url.PathEscape(label)))
+func Dir(label string, candidates ...string) string {
+	return cmp.Or(cmp.Or(candidates...), filepath.Join(os.TempDir(), "martenbeam-"+url.PathEscape(label)))
 }
 
-// Source numbers the processes of a name.
-type Source struct {
+// Allocator numbers the processes of a name.
+type Allocator struct {
 	Dir  string // where the latest number is kept; "": nowhere
 	Name string
 	Log  *slog.Logger // nil: nothing is logged
 }
 
-var one sync.Mutex // at a time in this process
+var mu sync.Mutex // at a time in this process
 
 // Next is the number of a process, or of one of its parts, that starts now. Without a folder, or where that can't be used, it
 // is as late as the clock says.
-func (s Source) Next() uint64 {
+func (a Allocator) Next() uint64 {
 	now := bootclock.Wall().UnixMilli()
-	if s.Dir == "" {
+	if a.Dir == "" {
 		return uint64(now)
 	}
-	one.Lock()
-	defer one.Unlock()
-	file := "incarnation-" + url.PathEscape(s.Name)
-	before, _, err := versionedfile.Load(s.Dir, file)
-	next := max(now, before+1)
+	mu.Lock()
+	defer mu.Unlock()
+	file := "incarnation-" + url.PathEscape(a.Name)
+	previous, _, err := versionedfile.Load(a.Dir, file)
+	next := max(now, previous+1)
 	if err == nil {
-		err = versionedfile.Keep(s.Dir, file)(next, nil)
+		err = versionedfile.SaveFunc(a.Dir, file)(next, nil)
 	}
-	if err != nil && s.Log != nil {
-		s.Log.Warn("processes of this name are told apart by the clock alone", "error", err)
+	if err != nil && a.Log != nil {
+		a.Log.Warn("processes of this name are told apart by the clock alone", "error", err)
 	}
 	return uint64(next)
 }
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -12,11 +12,11 @@
 
 // Each number is above the one before, whatever the clock shows; what was kept and can't be read, or a folder that can't be
 // written to, leaves the clock's.
-func TestNext(t *testing.T) {
+func TestNextIsAboveStoredNumber(t *testing.T) {
 	dir := t.TempDir()
-	s := Source{Dir: dir, Name: "n/0"}
+	s := Allocator{Dir: dir, Name: "n/0"}
 	ahead := bootclock.Wall().Add(time.Hour).UnixMilli() // as if the clock had been set back since
-	if err := versionedfile.Keep(dir, "incarnation-n%2F0")(ahead, nil); err != nil {
+	if err := versionedfile.SaveFunc(dir, "incarnation-n%2F0")(ahead, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
@@ -24,7 +24,7 @@
 			t.Errorf("%d after %d", got, ahead)
 		}
 	}
-	if got := (Source{Dir: dir, Name: "n1"}).Next(); got >= uint64(ahead) {
+	if got := (Allocator{Dir: dir, Name: "n1"}).Next(); got >= uint64(ahead) {
 		t.Errorf("another name's: %d", got)
 	}
 	torn := filepath.Join(dir, "incarnation-n2")
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	now := uint64(bootclock.Wall().UnixMilli())
-	for name, s := range map[string]Source{"torn": {Dir: dir, Name: "n2"}, "no folder": {Name: "n3"}, "no folder to be had": {Dir: torn, Name: "n4"}} {
+	for name, s := range map[string]Allocator{"torn": {Dir: dir, Name: "n2"}, "no folder": {Name: "n3"}, "no folder to be had": {Dir: torn, Name: "n4"}} {
 		if got := s.Next(); got < now || got > now+uint64(time.Minute.Milliseconds()) {
 			t.Errorf("%s: %d at %d", name, got, now)
 		}
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -16,82 +16,82 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// field is a fleet of probers in memory: ways between sites are what the test says.
-type field struct {
-	mu      sync.Mutex
-	way     func(from, to string) (time.Duration, bool) // one way, and whether it arrives
-	members []member.Member
-	who     *member.View
-	probers map[netip.AddrPort]*Prober
-	stores  []*gossip.Store
-	bytes   map[string]int // by member
-	lies    map[string]time.Duration
-	tasks   sync.WaitGroup
+// testNetwork is a fleet of probers in memory: ways between sites are what the test says.
+type testNetwork struct {
+	mu         sync.Mutex
+	oneWay     func(from, to string) (time.Duration, bool) // one way, and whether it arrives
+	members    []member.Member
+	view       *member.View
+	probers    map[netip.AddrPort]*Prober
+	stores     []*gossip.Store
+	bytes      map[string]int // by member
+	addedDelay map[string]time.Duration
+	tasks      sync.WaitGroup
 }
 
-func newField(ctx context.Context, sizes map[string]int, way func(from, to string) (time.Duration, bool)) *field {
-	f := &field{way: way, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{}, lies: map[string]time.Duration{}}
+func newTestNetwork(ctx context.Context, sizes map[string]int, oneWay func(from, to string) (time.Duration, bool)) *testNetwork {
+	network := &testNetwork{oneWay: oneWay, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{}, addedDelay: map[string]time.Duration{}}
 	n := 0
 	for _, site := range []string{"a", "b", "c"} {
 		for i := range sizes[site] {
 			n++
-			f.members = append(f.members, member.Member{Name: fmt.Sprint(site, i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 1),
+			network.members = append(network.members, member.Member{Name: fmt.Sprint(site, i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 1),
 				Meta: member.Meta{Site: site}})
 		}
 	}
-	f.who = member.NewView(f.members...)
-	view := func() *member.View { return f.who }
-	for _, m := range f.members {
-		store := gossip.New(m.Name, 1, gossip.DefaultBounds, nil)
-		p := New(Config{Self: m.Name, Site: m.Site, Label: "x", View: view, Facts: store, Write: f.writer(m)})
-		f.probers[m.Addr], f.stores = p, append(f.stores, store)
-		f.tasks.Go(func() {
+	network.view = member.NewView(network.members...)
+	view := func() *member.View { return network.view }
+	for _, m := range network.members {
+		store := gossip.New(m.Name, 1, gossip.DefaultAgeBounds, nil)
+		p := New(Config{Name: m.Name, Site: m.Site, Label: "x", View: view, Store: store, Send: network.sender(m)})
+		network.probers[m.Addr], network.stores = p, append(network.stores, store)
+		network.tasks.Go(func() {
 			for ctx.Err() == nil {
-				time.Sleep(gossip.TickEvery)
+				time.Sleep(gossip.TickInterval)
 				store.Tick()
 			}
 		})
 	}
-	for _, p := range f.probers {
-		f.tasks.Go(func() { p.Run(ctx) })
+	for _, p := range network.probers {
+		network.tasks.Go(func() { p.Run(ctx) })
 	}
-	f.tasks.Go(func() { f.spread(ctx) })
-	return f
+	network.tasks.Go(func() { network.gossip(ctx) })
+	return network
 }
 
-func (f *field) writer(m member.Member) func([]byte, netip.AddrPort) (time.Time, error) {
+func (n *testNetwork) sender(m member.Member) func([]byte, netip.AddrPort) (time.Time, error) {
 	return func(data []byte, to netip.AddrPort) (time.Time, error) {
 		now := time.Now()
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.bytes[m.Name] += len(data) + 28
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		n.bytes[m.Name] += len(data) + 28
 		var site string
-		for _, o := range f.members {
+		for _, o := range n.members {
 			if o.Addr == to {
 				site = o.Site
 			}
 		}
-		d, arrives := f.way(m.Site, site)
-		if p := f.probers[to]; arrives && p != nil {
-			time.AfterFunc(d+time.Duration(rand.Float64()*0.25*float64(d))+f.lies[m.Name], func() { p.Heard(data, m.Addr, time.Now()) })
+		d, arrives := n.oneWay(m.Site, site)
+		if p := n.probers[to]; arrives && p != nil {
+			time.AfterFunc(d+time.Duration(rand.Float64()*0.25*float64(d))+n.addedDelay[m.Name], func() { p.HandleDatagram(data, m.Addr, time.Now()) })
 		}
 		return now, nil
 	}
 }
 
-// spread gossips facts, as the membership does.
-func (f *field) spread(ctx context.Context) {
+// gossip gossips facts, as the membership does.
+func (n *testNetwork) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(200 * time.Millisecond)
-		for i, s := range f.stores {
+		for i, s := range n.stores {
 			for range 3 {
-				if data := s.Gossip(1000, len(f.stores)); data != nil {
-					to := rand.IntN(len(f.stores))
+				if data := s.NextMessage(1000, len(n.stores)); data != nil {
+					to := rand.IntN(len(n.stores))
 					if to != i {
-						f.mu.Lock()
-						f.bytes[f.members[i].Name] += len(data) + 28
-						f.mu.Unlock()
-						_ = f.stores[to].Hear(data)
+						n.mu.Lock()
+						n.bytes[n.members[i].Name] += len(data) + 28
+						n.mu.Unlock()
+						_ = n.stores[to].Merge(data)
 					}
 				}
 			}
@@ -99,16 +99,18 @@
 	}
 }
 
-func (f *field) set(by func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	by()
+func (n *testNetwork) locked(do func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	do()
 }
 
-// seen is what a member makes of the matrix now.
-func (f *field) seen(i int) Matrix { return Make(f.stores[i].Now(gossip.Distance), f.who) }
+// matrixAt is what a member makes of the matrix now.
+func (n *testNetwork) matrixAt(i int) Matrix {
+	return NewMatrix(n.stores[i].Entries(gossip.LatencyRow), n.view)
+}
 
-func even(from, to string) (time.Duration, bool) {
+func uniformDelay(from, to string) (time.Duration, bool) {
 	if from == to {
 		return 200 * time.Microsecond, true
 	}
@@ -117,59 +119,61 @@
 
 // A change is known everywhere within 3 s, about as it is; liars move nothing much; a pair that is cut becomes unknown
 // with its loss, and a half that is cut off keeps nothing of the other past the bound.
-func TestMatrixFollowsTheWays(t *testing.T) {
+func TestMatrixFollowsLatencyAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var mu sync.Mutex
-		slow, cut := time.Duration(0), false
-		way := func(from, to string) (time.Duration, bool) {
+		addedDelay, cut := time.Duration(0), false
+		oneWay := func(from, to string) (time.Duration, bool) {
 			mu.Lock()
 			defer mu.Unlock()
-			d, ok := even(from, to)
+			d, ok := uniformDelay(from, to)
 			if from != to && from != "b" && to != "b" {
-				d += slow
+				d += addedDelay
 				ok = !cut
 			}
 			return d, ok
 		}
-		f := newField(ctx, map[string]int{"a": 8, "b": 8, "c": 8}, way)
-		defer func() { cancel(); f.tasks.Wait(); time.Sleep(time.Second) }()
+		network := newTestNetwork(ctx, map[string]int{"a": 8, "b": 8, "c": 8}, oneWay)
+		defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
 		check := func(when string, a, b string, want time.Duration) {
 			t.Helper()
-			off := 0
-			for i := range f.members {
-				e, known := f.seen(i).Of(a, b)
+			wrong := 0
+			for i := range network.members {
+				e, known := network.matrixAt(i).Between(a, b)
 				low, high := want*85/100-300*time.Microsecond, want*130/100+300*time.Microsecond
-				if !known || e.Trip < low || e.Trip > high || e.Observers < 2 {
-					if off++; off == 1 {
-						t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, f.members[i].Name, e, want)
+				if !known || e.RTT < low || e.RTT > high || e.Observers < 2 {
+					if wrong++; wrong == 1 {
+						t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, network.members[i].Name, e, want)
 					}
 				}
 			}
-			if off > 2 { // a member that missed a few rows has some of the others
-				t.Errorf("%s: %d of %d have %s %s wrong", when, off, len(f.members), a, b)
+			if wrong > 2 { // a member that missed a few rows has some of the others
+				t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(network.members), a, b)
 			}
 		}
 		time.Sleep(3 * time.Second)
 		check("at the start", "a", "c", 2*time.Millisecond)
 		check("at the start", "a", "a", 400*time.Microsecond)
 		mu.Lock()
-		slow = 20 * time.Millisecond
+		addedDelay = 20 * time.Millisecond
 		mu.Unlock()
 		time.Sleep(3*time.Second + 500*time.Millisecond)
 		check("slower", "a", "c", 42*time.Millisecond)
 		check("slower", "a", "b", 2*time.Millisecond)
-		f.set(func() { f.lies["a0"], f.lies["a1"] = 300*time.Millisecond, 300*time.Millisecond })
+		network.locked(func() {
+			network.addedDelay["a0"], network.addedDelay["a1"] = 300*time.Millisecond, 300*time.Millisecond
+		})
 		time.Sleep(3 * time.Second)
 		check("with liars", "a", "c", 42*time.Millisecond)
 		mu.Lock()
 		cut = true
 		mu.Unlock()
 		time.Sleep(4 * time.Second)
-		for i := range f.members {
-			e, _ := f.seen(i).Of("a", "c")
-			if e.Trip != 0 || e.Loss < 0.9 {
-				t.Errorf("cut: %+v at %s", e, f.members[i].Name)
+		for i := range network.members {
+			e, _ := network.matrixAt(i).Between("a", "c")
+			if e.RTT != 0 || e.Loss < 0.9 {
+				t.Errorf("cut: %+v at %s", e, network.members[i].Name)
 				break
 			}
 		}
@@ -178,25 +182,25 @@
 }
 
 // What a pair of sites is measured at does not grow with the fleet, nor what each member sends.
-func TestCostStaysFlat(t *testing.T) {
+func TestProbeRateDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, n := range []int{3, 30, 90} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			f := newField(ctx, map[string]int{"a": n / 3, "b": n / 3, "c": n / 3}, even)
-			defer func() { cancel(); f.tasks.Wait(); time.Sleep(time.Second) }()
+			network := newTestNetwork(ctx, map[string]int{"a": n / 3, "b": n / 3, "c": n / 3}, uniformDelay)
+			defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
 			time.Sleep(10 * time.Second)
-			sum, most, probes := 0, 0, 0
-			f.set(func() {
-				for _, b := range f.bytes {
-					sum, most = sum+b, max(most, b)
+			sum, maxBytes, probes := 0, 0, 0
+			network.locked(func() {
+				for _, b := range network.bytes {
+					sum, maxBytes = sum+b, max(maxBytes, b)
 				}
 			})
-			for _, p := range f.probers {
+			for _, p := range network.probers {
 				p.mu.Lock()
 				probes += p.sent
 				p.mu.Unlock()
 			}
-			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair", n, float64(sum)/float64(n)/10, most/10, float64(probes)/10/6)
+			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair", n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
 				t.Errorf("%.1f probes a second for a pair", rate)
 			}
@@ -205,38 +209,38 @@
 }
 
 // A row counts from an observer of its own site alone, one word for a pair, and what makes no sense is no row.
-func TestRowsAreHeldAgainstMembers(t *testing.T) {
+func TestRowsAreCheckedAgainstMembership(t *testing.T) {
 	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}}, member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
-	one := entry{Site: "b", Micros: 1000, Count: 3}
+	one := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
 	for name, c := range map[string]struct {
-		f    gossip.Fact
+		f    gossip.Entry
 		want int
 	}{
-		"sound":         {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{one}})}, 1},
-		"another site":  {gossip.Fact{Subject: "b", Observer: "a0", Body: body(row{[]entry{one}})}, 0},
-		"not a member":  {gossip.Fact{Subject: "a", Observer: "z", Body: body(row{[]entry{one}})}, 0},
-		"twice":         {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{one, one}})}, 1},
-		"no site":       {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Micros: 1, Count: 1}}})}, 0},
-		"loss over 100": {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Site: "b", Loss: 200}}})}, 0},
-		"a minute":      {gossip.Fact{Subject: "a", Observer: "a0", Body: body(row{[]entry{{Site: "b", Micros: 60e6, Count: 1}}})}, 0},
-		"no row":        {gossip.Fact{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
+		"sound":         {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 1},
+		"another site":  {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 0},
+		"not a member":  {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{one}})}, 0},
+		"twice":         {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one, one}})}, 1},
+		"no site":       {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{RTTMicros: 1, Count: 1}}})}, 0},
+		"loss over 100": {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", LossPercent: 200}}})}, 0},
+		"a minute":      {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", RTTMicros: 60e6, Count: 1}}})}, 0},
+		"no row":        {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
-		if got := Make([]gossip.Fact{c.f}, alive); len(got) != c.want {
+		if got := NewMatrix([]gossip.Entry{c.f}, alive); len(got) != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
-		if e, known := Make([]gossip.Fact{c.f}, alive).Of("b", "a"); known && e.Observers != 1 {
+		if e, known := NewMatrix([]gossip.Entry{c.f}, alive).Between("b", "a"); known && e.Observers != 1 {
 			t.Errorf("%s: %d observers", name, e.Observers)
 		}
 	}
 }
 
 // A site that was not heard of for a while is left out of a row: the rest is as old as it is without it.
-func TestRowLeavesOutTheOld(t *testing.T) {
-	m := Matrix{{"a", "b"}: {Trip: 3 * time.Millisecond, Age: time.Second}, {"a", "c"}: {Trip: 4 * time.Millisecond, Age: 2900 * time.Millisecond},
-		{"b", "c"}: {Trip: time.Millisecond}}
+func TestRowLeavesOutOldEstimates(t *testing.T) {
+	m := Matrix{{"a", "b"}: {RTT: 3 * time.Millisecond, Age: time.Second}, {"a", "c"}: {RTT: 4 * time.Millisecond, Age: 2900 * time.Millisecond},
+		{"b", "c"}: {RTT: time.Millisecond}}
 	body, age := m.Row("a", 2*time.Second)
-	if r, err := ReadRow(body); err != nil || len(r) != 1 || r["b"].Trip != 3*time.Millisecond || age != time.Second {
+	if r, err := DecodeRow(body); err != nil || len(r) != 1 || r["b"].RTT != 3*time.Millisecond || age != time.Second {
 		t.Errorf("%v, %v, %v", r, age, err)
 	}
 	if body, _ := m.Row("a", time.Millisecond); body != nil {
@@ -245,13 +249,13 @@
 }
 
 func FuzzDatagram(f *testing.F) {
-	f.Add(datagram{what: ask, label: 1, nonce: 2, dwell: 3}.encode(member.ProbeByte))
+	f.Add(datagram{kind: probeRequest, label: 1, nonce: 2, dwell: 3}.encode(member.ProbeByte))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := New(Config{View: func() *member.View { return member.NewView() }, Write: func([]byte, netip.AddrPort) (time.Time, error) { return time.Now(), nil }})
+		p := New(Config{View: func() *member.View { return member.NewView() }, Send: func([]byte, netip.AddrPort) (time.Time, error) { return time.Now(), nil }})
 		if len(data) > 0 {
-			p.Heard(data, netip.AddrPort{}, time.Now())
+			p.HandleDatagram(data, netip.AddrPort{}, time.Now())
 		}
-		if r, err := decodeRow(data); err == nil && r.check() != nil {
+		if r, err := unmarshalRow(data); err == nil && r.validate() != nil {
 			t.Error("a row that does not hold its bounds is taken")
 		}
 	})
--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -10,8 +10,8 @@
 
 // Estimate is what the fleet knows of a pair of sites.
 type Estimate struct {
-	Trip      time.Duration // 0: not known, since nothing came back
-	Spread    time.Duration
+	RTT       time.Duration // 0: not known, since nothing came back
+	Jitter    time.Duration
 	Loss      float64 // share of asks without an answer
 	Observers int
 	Age       time.Duration // of the oldest word that it rests on
@@ -30,48 +30,48 @@
 // Matrix is every pair of sites that is known. A pair that is not in it is not known.
 type Matrix map[Pair]Estimate
 
-// Of is what is known of two sites.
-func (m Matrix) Of(a, b string) (Estimate, bool) {
+// Between is what is known of two sites.
+func (m Matrix) Between(a, b string) (Estimate, bool) {
 	e, ok := m[pairOf(a, b)]
 	return e, ok
 }
 
-// Make makes a matrix of rows. Each observer has one word on a pair, and the third lowest of their words counts. A row counts only from an observer of that site; whose site is
+// NewMatrix makes a matrix of rows. Each observer has one word on a pair, and the third lowest of their words counts. A row counts only from an observer of that site; whose site is
 // not known here says nothing.
-func Make(rows []gossip.Fact, who *member.View) Matrix {
+func NewMatrix(rows []gossip.Entry, view *member.View) Matrix {
 	type word struct {
-		entry
+		rowEntry
 		age time.Duration
 	}
-	words := map[Pair][]word{}
-	for _, f := range rows {
-		r, err := gossip.Read(f, decodeRow)
-		if m, there := who.Named(f.Observer); err != nil || f.Subject == "" || !there || m.Site != f.Subject {
+	reports := map[Pair][]word{}
+	for _, row := range rows {
+		decoded, err := gossip.DecodeBody(row, unmarshalRow)
+		if m, there := view.ByName(row.Observer); err != nil || row.Subject == "" || !there || m.Site != row.Subject {
 			continue
 		}
 		seen := map[string]bool{}
-		for _, e := range r.Entries {
+		for _, e := range decoded.Entries {
 			if !seen[e.Site] {
 				seen[e.Site] = true
-				p := pairOf(f.Subject, e.Site)
-				words[p] = append(words[p], word{e, f.Age})
+				p := pairOf(row.Subject, e.Site)
+				reports[p] = append(reports[p], word{e, row.Age})
 			}
 		}
 	}
 	m := Matrix{}
-	for p, list := range words {
-		var trips, spreads, losses []time.Duration
+	for p, list := range reports {
+		var rtts, jitters, losses []time.Duration
 		e := Estimate{Observers: len(list)}
-		for _, w := range list {
-			if w.Count > 0 {
-				trips = append(trips, time.Duration(w.Micros)*time.Microsecond)
-				spreads = append(spreads, time.Duration(w.Spread)*time.Microsecond)
+		for _, report := range list {
+			if report.Count > 0 {
+				rtts = append(rtts, time.Duration(report.RTTMicros)*time.Microsecond)
+				jitters = append(jitters, time.Duration(report.JitterMicros)*time.Microsecond)
 			}
-			losses = append(losses, time.Duration(w.Loss))
-			e.Age = max(e.Age, w.age)
+			losses = append(losses, time.Duration(report.LossPercent))
+			e.Age = max(e.Age, report.age)
 		}
-		if 2*len(trips) > len(list) {
-			e.Trip, e.Spread = third(trips), median(spreads)
+		if 2*len(rtts) > len(list) {
+			e.RTT, e.Jitter = thirdLowest(rtts), median(jitters)
 		}
 		e.Loss = float64(median(losses)) / 100
 		m[p] = e
@@ -79,9 +79,9 @@
 	return m
 }
 
-// third is the third lowest word, or the middle one of fewer than five: two observers that say too little are left out, and
+// thirdLowest is the third lowest word, or the middle one of fewer than five: two observers that say too little are left out, and
 // all but three that say too much, as everyone does who asks a false or stopped member.
-func third(list []time.Duration) time.Duration {
+func thirdLowest(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return list[min(2, (len(list)-1)/2)]
 }
--- a/internal/fleet/latency/read.go
+++ b/internal/fleet/latency/read.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// ReadRow reads how far sites are from the one of whose row a fact tells, by site.
-func ReadRow(body []byte) (map[string]Estimate, error) {
-	r, err := decodeRow(body)
+// DecodeRow reads how far sites are from the one of whose row a fact tells, by site.
+func DecodeRow(body []byte) (map[string]Estimate, error) {
+	decoded, err := unmarshalRow(body)
 	if err != nil {
 		return nil, err
 	}
 	row := map[string]Estimate{}
-	for _, e := range r.Entries {
-		x := Estimate{Loss: float64(e.Loss) / 100}
+	for _, e := range decoded.Entries {
+		estimate := Estimate{Loss: float64(e.LossPercent) / 100}
 		if e.Count > 0 {
-			x.Trip, x.Spread = time.Duration(e.Micros)*time.Microsecond, time.Duration(e.Spread)*time.Microsecond
+			estimate.RTT, estimate.Jitter = time.Duration(e.RTTMicros)*time.Microsecond, time.Duration(e.JitterMicros)*time.Microsecond
 		}
-		row[e.Site] = x
+		row[e.Site] = estimate
 	}
 	return row, nil
 }
--- a/internal/fleet/member/hubs.go
+++ b/internal/fleet/member/hubs.go
@@ -4,16 +4,16 @@
 	"net/netip"
 )
 
-// Missing are the hubs that are not there and may be: who failed without a goodbye, and seeds that nobody here has met,
+// MissingHubs are the hubs that are not there and may be: who failed without a goodbye, and seeds that nobody here has met,
 // which have no name. They may be alive beyond a cut, with agents of their own.
-func (l *List) Missing() (list []Member) {
+func (l *List) MissingHubs() (list []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := map[netip.AddrPort]bool{l.t.advertise: true}
-	for _, m := range l.order {
+	known := map[netip.AddrPort]bool{l.transport.advertise: true}
+	for _, m := range l.members {
 		known[m.Addr] = true
 	}
-	for _, m := range l.dead {
+	for _, m := range l.failed {
 		if m.Hub && !known[m.Addr] {
 			list = append(list, m)
 		}
@@ -31,5 +31,5 @@
 func (l *List) WasHub(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dead[name].Hub
+	return l.failed[name].Hub
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -13,32 +13,32 @@
 )
 
 // A seed that answers and yet is never there, as one given by another address than its own, is asked ever less often.
-func TestAnswersBringNoHurry(t *testing.T) {
+func TestJoinRetriesBackOffThoughTheSeedAnswers(t *testing.T) {
 	t.Parallel()
-	ctx, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	defer end()
-	way, err := net.Listen("tcp", "127.0.0.1:0")
+	defer cancel()
+	proxy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer way.Close()
-	begin := func(name string, seeds ...string) *List {
-		l, err := New(Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Log: slog.New(slog.DiscardHandler), Turn: func() {},
-			Trip: func(string, time.Duration) {}, Hear: func([]byte) {}, Gossip: func(int, int) []byte { return nil }})
+	defer proxy.Close()
+	startMember := func(name string, seeds ...string) *List {
+		l, err := New(Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Log: slog.New(slog.DiscardHandler), Changed: func() {},
+			ObserveRTT: func(string, time.Duration) {}, Merge: func([]byte) {}, NextMessage: func(int, int) []byte { return nil }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		tasks.Go(func() { _ = l.Run(ctx) }) // it ends with ctx
 		return l
 	}
-	seed := begin("seed")
+	seed := startMember("seed")
 	var asked atomic.Int32
 	first := make(chan struct{})
 	tasks.Go(func() {
 		for {
-			c, err := way.Accept()
+			c, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -57,7 +57,7 @@
 			})
 		}
 	})
-	begin("other", way.Addr().String())
+	startMember("other", proxy.Addr().String())
 	<-first
 	<-time.After(3 * time.Second) // the span in which it is counted
 	if n := asked.Load(); n > 14 {
@@ -65,5 +65,5 @@
 	} else {
 		t.Logf("asked %d times in 3 s", n)
 	}
-	way.Close()
+	proxy.Close()
 }
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -21,10 +21,10 @@
 	getByte   = 'G'  // a stream that is an HTTP call
 	postByte  = 'P'  // the same
 
-	mostDatagram = 64 << 10
-	mostUnread   = 64              // streams of which the first byte has not come yet
-	firstWithin  = 3 * time.Second // it has to
-	socketBuffer = 1 << 20
+	maxDatagramBytes  = 64 << 10
+	maxUnclassified   = 64              // streams of which the first byte has not come yet
+	firstByteTimeout  = 3 * time.Second // it has to
+	socketBufferBytes = 1 << 20
 )
 
 // Wire stands between a member and its sockets, for who counts what passes there, or has it lost. Its methods may wait.
@@ -38,31 +38,31 @@
 // transport carries the membership's packets and streams over one address, UDP and TCP, and hands out what is not its.
 // Each connection that comes in is one task until it is known whose it is.
 type transport struct {
-	listen    netip.AddrPort
-	advertise netip.AddrPort
-	open      atomic.Bool // the sockets below are there
-	udp       *net.UDPConn
-	tcp       *net.TCPListener
-	dialer    net.Dialer
-	packets   chan *memberlist.Packet
-	streams   chan net.Conn
-	probe     func(data []byte, from netip.AddrPort, at time.Time) // runs on the reading task; may be nil
-	call      func(net.Conn)                                       // takes the stream; may be nil
-	wire      Wire                                                 // may be nil
-	unread    chan struct{}
-	tasks     sync.WaitGroup
-	ctx       context.Context
-	end       context.CancelFunc
+	listen       netip.AddrPort
+	advertise    netip.AddrPort
+	bound        atomic.Bool // the sockets below are there
+	udp          *net.UDPConn
+	tcp          *net.TCPListener
+	dialer       net.Dialer
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	handleProbe  func(data []byte, from netip.AddrPort, at time.Time) // runs on the reading task; may be nil
+	serveConn    func(net.Conn)                                       // takes the stream; may be nil
+	wire         Wire                                                 // may be nil
+	unclassified chan struct{}
+	tasks        sync.WaitGroup
+	ctx          context.Context
+	cancel       context.CancelFunc
 }
 
 func newTransport(listen, advertise netip.AddrPort) *transport {
-	t := &transport{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, 256), streams: make(chan net.Conn), unread: make(chan struct{}, mostUnread),
+	t := &transport{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, 256), streams: make(chan net.Conn), unclassified: make(chan struct{}, maxUnclassified),
 		// The other side knows by the address who calls.
 		dialer: net.Dialer{LocalAddr: &net.TCPAddr{IP: listen.Addr().AsSlice()}, KeepAlive: -1}}
 	if !t.advertise.IsValid() {
 		t.advertise = listen
 	}
-	t.ctx, t.end = context.WithCancel(context.Background())
+	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
 }
 
@@ -83,20 +83,20 @@
 		t.tcp = nil
 		return err
 	}
-	_ = t.udp.SetReadBuffer(socketBuffer) // as large as the system allows
+	_ = t.udp.SetReadBuffer(socketBufferBytes) // as large as the system allows
 	if t.advertise.Port() == 0 {
 		t.advertise = at
 	}
-	t.open.Store(true)
+	t.bound.Store(true)
 	return nil
 }
 
-// await binds once the address is free: an older process of this agent holds it until it ends. It reports false once ctx
+// awaitAddress binds once the address is free: an older process of this agent holds it until it ends. It reports false once ctx
 // ends.
-func (t *transport) await(ctx context.Context) bool {
-	tick := time.NewTicker(bindEvery)
+func (t *transport) awaitAddress(ctx context.Context) bool {
+	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
-	for !t.open.Load() {
+	for !t.bound.Load() {
 		select {
 		case <-ctx.Done():
 			return false
@@ -107,7 +107,7 @@
 	return true
 }
 
-const bindEvery = 50 * time.Millisecond
+const bindInterval = 50 * time.Millisecond
 
 var errNotBound = errors.New("an older process holds the fleet's address")
 
@@ -118,7 +118,7 @@
 }
 
 func (t *transport) readPackets() {
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		at := time.Now()
@@ -133,8 +133,8 @@
 			continue
 		}
 		if buf[0] == ProbeByte {
-			if t.probe != nil {
-				t.probe(buf[:n], from, at)
+			if t.handleProbe != nil {
+				t.handleProbe(buf[:n], from, at)
 			}
 			continue
 		}
@@ -164,8 +164,8 @@
 			continue
 		}
 		select {
-		case t.unread <- struct{}{}:
-			t.tasks.Go(func() { t.sort(t.accepted(c)) })
+		case t.unclassified <- struct{}{}:
+			t.tasks.Go(func() { t.classify(t.accepted(c)) })
 		default:
 			c.Close()
 		}
@@ -187,24 +187,24 @@
 	return t.wire.Dial(ctx, d, addr)
 }
 
-// sort finds out whose a stream is.
-func (t *transport) sort(c net.Conn) {
-	defer func() { <-t.unread }()
+// classify finds out whose a stream is.
+func (t *transport) classify(c net.Conn) {
+	defer func() { <-t.unclassified }()
 	stop := context.AfterFunc(t.ctx, func() { c.Close() })
 	r := bufio.NewReaderSize(c, 512)
-	_ = c.SetReadDeadline(time.Now().Add(firstWithin)) // closed already if it fails
+	_ = c.SetReadDeadline(time.Now().Add(firstByteTimeout)) // closed already if it fails
 	first, err := r.Peek(1)
 	if !stop() || err != nil || c.SetReadDeadline(time.Time{}) != nil {
 		c.Close()
 		return
 	}
-	s := &sorted{c, r}
+	s := &peekedConn{c, r}
 	if first[0] == getByte || first[0] == postByte {
-		if t.call == nil {
+		if t.serveConn == nil {
 			c.Close()
 			return
 		}
-		t.call(s)
+		t.serveConn(s)
 		return
 	}
 	select {
@@ -214,20 +214,20 @@
 	}
 }
 
-// sorted is a stream of which the first bytes were read ahead.
-type sorted struct {
+// peekedConn is a stream of which the first bytes were read ahead.
+type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (s *sorted) Read(p []byte) (int, error) { return s.r.Read(p) }
+func (s *peekedConn) Read(p []byte) (int, error) { return s.r.Read(p) }
 
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	if !t.open.Load() {
+	if !t.bound.Load() {
 		return time.Time{}, errNotBound
 	}
 	to, err := netip.ParseAddrPort(addr)
@@ -252,9 +252,9 @@
 }
 
 func (t *transport) Shutdown() error {
-	t.end()
+	t.cancel()
 	var err error
-	if t.open.Load() {
+	if t.bound.Load() {
 		err = errors.Join(t.udp.Close(), t.tcp.Close())
 	}
 	t.tasks.Wait()
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -39,18 +39,18 @@
 
 // NewView makes a view of members of different names.
 func NewView(list ...Member) *View {
-	var order []*Member
+	var members []*Member
 	for i := range list {
-		order = append(order, &list[i])
+		members = append(members, &list[i])
 	}
-	slices.SortFunc(order, byName)
-	return viewOf(order)
+	slices.SortFunc(members, byName)
+	return newView(members)
 }
 
-// viewOf keeps the list, which is in order.
-func viewOf(order []*Member) *View {
-	v, bySite := &View{Members: Members{order}}, map[string][]*Member{}
-	for _, m := range order {
+// newView keeps the list, which is in order.
+func newView(members []*Member) *View {
+	v, bySite := &View{Members: Members{members}}, map[string][]*Member{}
+	for _, m := range members {
 		bySite[m.Site] = append(bySite[m.Site], m)
 		switch {
 		case m.Hub:
@@ -67,9 +67,9 @@
 	return v
 }
 
-// Named is the member of a name, if it is there.
-func (v *View) Named(name string) (Member, bool) {
-	if i, there := find(v.list, name); there {
+// ByName is the member of a name, if it is there.
+func (v *View) ByName(name string) (Member, bool) {
+	if i, there := findMember(v.list, name); there {
 		return *v.list[i], true
 	}
 	return Member{}, false
@@ -86,18 +86,18 @@
 	}
 }
 
-// Of are the members of a site.
-func (v *View) Of(site string) Members { return v.bySite[site] }
+// InSite are the members of a site.
+func (v *View) InSite(site string) Members { return v.bySite[site] }
 
 // Hubs are the members that are hubs; Agents counts the others.
 func (v *View) Hubs() iter.Seq[Member] { return v.hubs.All() }
-func (v *View) Agents() int            { return v.Len() - v.hubs.Len() }
+func (v *View) AgentCount() int        { return v.Len() - v.hubs.Len() }
 
-// Starting counts the agents that have no list yet.
-func (v *View) Starting() int { return v.starting }
+// StartingCount counts the agents that have no list yet.
+func (v *View) StartingCount() int { return v.starting }
 
 func byName(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 
-func find(order []*Member, name string) (int, bool) {
-	return slices.BinarySearchFunc(order, name, func(m *Member, name string) int { return cmp.Compare(m.Name, name) })
+func findMember(members []*Member, name string) (int, bool) {
+	return slices.BinarySearchFunc(members, name, func(m *Member, name string) int { return cmp.Compare(m.Name, name) })
 }
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -9,9 +9,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-func hollow(t *testing.T) *List {
+func newIdleList(t *testing.T) *List {
 	t.Helper()
-	l, err := New(Config{Name: "m", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler), Turn: func() {}, Meta: Meta{Site: "a"}})
+	l, err := New(Config{Name: "m", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler), Changed: func() {}, Meta: Meta{Site: "a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,13 +19,13 @@
 	return l
 }
 
-func node(name string) *memberlist.Node {
+func newNode(name string) *memberlist.Node {
 	return &memberlist.Node{Name: name, Addr: []byte{127, 0, 0, 1}, Port: 1}
 }
 
 // One view is shared until somebody comes, goes or changes, and asking for it costs nothing; an older one stays as it was.
-func TestViewChangesWithItsMembers(t *testing.T) {
-	l := hollow(t)
+func TestViewIsSharedUntilMembershipChanges(t *testing.T) {
+	l := newIdleList(t)
 	d := (*delegate)(l)
 	names := func(v *View) (s string) {
 		for m := range v.All() {
@@ -39,17 +39,17 @@
 	}{
 		{func() {}, "m"},
 		{func() {
-			d.NotifyJoin(node("z"))
-			d.NotifyJoin(node("b"))
-			self := node("m")
+			d.NotifyJoin(newNode("z"))
+			d.NotifyJoin(newNode("b"))
+			self := newNode("m")
 			self.Meta = d.NodeMeta(512)
 			d.NotifyJoin(self)
 		}, "bmz"},
-		{func() { n := node("b"); n.State = memberlist.StateDead; d.NotifyLeave(n) }, "mz"},
-		{func() { n := node("z"); n.State = memberlist.StateLeft; d.NotifyLeave(n) }, "m"},
-		{func() { d.NotifyLeave(node("m")) }, "m"},
-		{func() { d.NotifyJoin(node("b")) }, "bm"},
-		{func() { d.NotifyUpdate(node("b")); l.Reached(Serving) }, "bm"},
+		{func() { n := newNode("b"); n.State = memberlist.StateDead; d.NotifyLeave(n) }, "mz"},
+		{func() { n := newNode("z"); n.State = memberlist.StateLeft; d.NotifyLeave(n) }, "m"},
+		{func() { d.NotifyLeave(newNode("m")) }, "m"},
+		{func() { d.NotifyJoin(newNode("b")) }, "bm"},
+		{func() { d.NotifyUpdate(newNode("b")); l.SetPhase(Serving) }, "bm"},
 	}
 	for i, s := range steps {
 		before := l.View()
@@ -60,33 +60,33 @@
 			t.Errorf("step %d: %s of %s, and %s was %s", i, names(v), s.want, names(before), was)
 		}
 		if n := testing.AllocsPerRun(10, func() {
-			if l.View() != v || l.Doomed(2) != nil && i != 2 && i != 3 && i != 4 {
+			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
 				t.Errorf("step %d: another view though nothing changed", i)
 			}
 		}); n > 1 { // what Doomed hands out
 			t.Errorf("step %d: %v allocations for a view", i, n)
 		}
 	}
-	if v := l.View(); v.Starting() != 1 || v.Of("").Len() != 1 || v.Of("a").Len() != 1 {
-		t.Errorf("%d start, %d without a site", v.Starting(), v.Of("").Len())
+	if v := l.View(); v.StartingCount() != 1 || v.InSite("").Len() != 1 || v.InSite("a").Len() != 1 {
+		t.Errorf("%d start, %d without a site", v.StartingCount(), v.InSite("").Len())
 	}
-	if m, there := l.View().Named("m"); !there || m.Phase != Serving {
+	if m, there := l.View().ByName("m"); !there || m.Phase != Serving {
 		t.Errorf("%+v", m)
 	}
 }
 
 // Many that come at once make one view, when it is asked for.
-func TestManyComeAtOnce(t *testing.T) {
-	l := hollow(t)
+func TestManyJoinsBuildOneView(t *testing.T) {
+	l := newIdleList(t)
 	const n = 1800
 	before := l.View()
-	per := testing.AllocsPerRun(1, func() {
+	allocsPerJoin := testing.AllocsPerRun(1, func() {
 		for i := range n {
-			(*delegate)(l).NotifyJoin(node(fmt.Sprint("n", i)))
+			(*delegate)(l).NotifyJoin(newNode(fmt.Sprint("n", i)))
 		}
 	}) / n
-	if l.view != nil || per > 20 {
-		t.Errorf("%v allocations for each that comes", per)
+	if l.view != nil || allocsPerJoin > 20 {
+		t.Errorf("%v allocations for each that comes", allocsPerJoin)
 	}
 	if v := l.View(); v.Len() != n+1 || before.Len() != 1 {
 		t.Errorf("%d members, once %d", v.Len(), before.Len())
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	textsEvery = 250 * time.Millisecond // who holds a text tells its version, and the others look
-	textsTries = 4                      // members asked for a text, its source first
+	documentInterval = 250 * time.Millisecond // who holds a text tells its version, and the others look
+	maxDocumentPeers = 4                      // members asked for a text, its source first
 )
 
-// Policy is the residency policy of a holder, as a text that goes round a fleet.
-func Policy(h *residency.Holder) *documents.Kind {
-	return &documents.Kind{Fact: gossip.Residency, Subject: "policy", Path: "/residency/", Most: residency.MaxText, Holder: h, Digest: residency.Digest, Confirm: h.Confirm,
-		State: func() documents.Standing {
-			st := h.State()
-			return documents.Standing{Version: st.Version, Digests: st.Digests}
+// PolicyReplicator is the residency policy of a holder, as a text that goes round a fleet.
+func PolicyReplicator(holder *residency.Holder) *documents.Document {
+	return &documents.Document{GossipKind: gossip.ResidencyVersion, Subject: "policy", Path: "/residency/", MaxBytes: residency.MaxText, Holder: holder, Digest: residency.Digest, Confirm: holder.Confirm,
+		Applied: func() documents.AppliedVersion {
+			st := holder.State()
+			return documents.AppliedVersion{Version: st.Version, Digests: st.Digests}
 		}}
 }
 
-// shared is a text that this process shares. A policy is told by its sources alone, by whose word it ages; settings are told
+// sharedDocument is a text that this process shares. A policy is told by its sources alone, by whose word it ages; settings are told
 // by whoever has them.
-type shared struct {
-	*documents.Kind
-	tells bool
+type sharedDocument struct {
+	*documents.Document
+	publishes bool
 }
 
-func (c *Config) shared() (list []shared) {
+func (c *Config) sharedDocuments() (list []sharedDocument) {
 	if c.Residency != nil {
-		list = append(list, shared{Policy(c.Residency), c.Source})
+		list = append(list, sharedDocument{PolicyReplicator(c.Residency), c.PolicySource})
 	}
 	if c.Settings != nil {
-		list = append(list, shared{c.Settings, true})
+		list = append(list, sharedDocument{c.Settings, true})
 	}
 	return list
 }
 
-// shareTexts tells the others which texts are in force here, and follows theirs.
-func (f *Fleet) shareTexts(ctx context.Context) {
-	tick := time.NewTicker(textsEvery)
+// shareDocuments tells the others which texts are in force here, and follows theirs.
+func (f *Fleet) shareDocuments(ctx context.Context) {
+	tick := time.NewTicker(documentInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -52,41 +52,41 @@
 			return
 		case <-tick.C:
 		}
-		for _, k := range f.texts {
-			if st := k.State(); k.tells && st.Version > 0 {
-				f.facts.Tell(k.Fact, k.Subject, st.Body())
+		for _, document := range f.documents {
+			if st := document.Applied(); document.publishes && st.Version > 0 {
+				f.store.Publish(document.GossipKind, document.Subject, st.MarshalBody())
 			}
-			for _, w := range f.facts.Now(k.Fact) {
-				if w.Observer != f.cfg.Name {
-					k.Follow(ctx, w, func() documents.Asked { return f.askFor(w.Observer) })
+			for _, entry := range f.store.Entries(document.GossipKind) {
+				if entry.Observer != f.cfg.Name {
+					document.Follow(ctx, entry, func() documents.Sources { return f.documentPeers(entry.Observer) })
 				}
 			}
 		}
 	}
 }
 
-// askFor is whom to ask for a text of a source: the source, then others.
-func (f *Fleet) askFor(source string) documents.Asked {
-	a, view := documents.Asked{Dial: f.list.Dial}, f.list.View()
-	if m, there := view.Named(source); there {
-		a.Addrs = append(a.Addrs, m.Addr.String())
+// documentPeers is whom to ask for a text of a source: the source, then others.
+func (f *Fleet) documentPeers(source string) documents.Sources {
+	peers, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
+	if m, there := view.ByName(source); there {
+		peers.Addrs = append(peers.Addrs, m.Addr.String())
 	}
 	for m := range view.All() {
-		if len(a.Addrs) == textsTries {
+		if len(peers.Addrs) == maxDocumentPeers {
 			break
 		}
 		if m.Name != f.cfg.Name {
-			a.Addrs = append(a.Addrs, m.Addr.String())
+			peers.Addrs = append(peers.Addrs, m.Addr.String())
 		}
 	}
-	return a
+	return peers
 }
 
-// serveText hands a text out, if one is asked for.
-func (f *Fleet) serveText(w http.ResponseWriter, q *http.Request) bool {
-	for _, k := range f.texts {
-		if digest, ok := strings.CutPrefix(q.URL.Path, k.Path); ok {
-			k.Serve(w, digest)
+// serveDocument hands a text out, if one is asked for.
+func (f *Fleet) serveDocument(w http.ResponseWriter, q *http.Request) bool {
+	for _, document := range f.documents {
+		if digest, ok := strings.CutPrefix(q.URL.Path, document.Path); ok {
+			document.Serve(w, digest)
 			return true
 		}
 	}
--- a/internal/fleet/source/source.go
+++ b/internal/fleet/source/source.go
@@ -9,23 +9,23 @@
 
 // Source is where a list may be asked for.
 type Source struct {
-	Addr    string        // of a relay; "": the list service itself
-	Silence time.Duration // after which it counts as dead; 0: as usual
-	Relayed bool
+	Addr           string        // of a relay; "": the list service itself
+	SilenceTimeout time.Duration // after which it counts as dead; 0: as usual
+	Relayed        bool
 }
 
-// Sources say where and when a list may be asked for. Their methods may be called from any task.
-type Sources interface {
+// Selector say where and when a list may be asked for. Their methods may be called from any task.
+type Selector interface {
 	// Next waits until it may be, and reports false once ctx ends. fails counts openings that came to nothing.
 	Next(ctx context.Context, fails int) (Source, bool)
 	// Dial opens a connection to a relay.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 	// Answered takes how an opening went: after how long the first word came, or that none did, and from which version on.
-	Answered(s Source, waited time.Duration, failed bool, version int64)
+	RecordAttempt(s Source, waited time.Duration, failed bool, version int64)
 	// Heard takes a sign of life.
-	Heard(s Source)
+	RecordLiveness(s Source)
 	// Listed takes a message: what changed from a version to another, nil where all was told, and the list as it stands now.
-	Listed(s Source, from, to int64, change, whole []byte)
+	RecordUpdate(s Source, from, to int64, change, whole []byte)
 	// Behind reports whether others have told of a later version than this one.
-	Behind(version int64) bool
+	Lagging(version int64) bool
 }
--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -19,159 +19,159 @@
 )
 
 const (
-	gather     = 300 * time.Millisecond // until others can have been met; nobody calls before
-	lookEvery  = 50 * time.Millisecond  // at what others tell, while a turn is waited for
-	alone      = time.Second            // the window of one who met nobody
-	longest    = 10 * time.Second       // of any window
-	waitAimed  = 500 * time.Millisecond // an answer that took longer says that the service is behind
-	growth     = 1.25                   // of the rate, for an answer that came well
-	cut        = 0.5                    // for a call that was refused or failed
-	slowCut    = 0.9                    // for one that waited
-	rateLeast  = 0.5                    // calls a second
-	rateMost   = 1000.0
-	holdBack   = 2.0 // windows for which a refusal that others tell of holds back
-	subject    = "lists"
-	doublings  = 5
-	settledFor = 3 * time.Second // a rate that was told is not told again so soon unless it changed much
+	gatherPeriod        = 300 * time.Millisecond // until others can have been met; nobody calls before
+	checkInterval       = 50 * time.Millisecond  // at what others tell, while a turn is waited for
+	isolatedWindow      = time.Second            // the window of one who met nobody
+	maxWindow           = 10 * time.Second       // of any window
+	slowAnswer          = 500 * time.Millisecond // an answer that took longer says that the service is behind
+	rateIncrease        = 1.25                   // of the rate, for an answer that came well
+	failureDecrease     = 0.5                    // for a call that was refused or failed
+	slowDecrease        = 0.9                    // for one that waited
+	minRate             = 0.5                    // calls a second
+	maxRate             = 1000.0
+	failurePauseWindows = 2.0 // windows for which a refusal that others tell of holds back
+	subject             = "lists"
+	maxDoublings        = 5
+	republishInterval   = 3 * time.Second // a rate that was told is not told again so soon unless it changed much
 )
 
 // Config is what a Pacer needs.
 type Config struct {
-	Rate  float64       // calls a second that the service is taken to bear at first, from all
-	Met   func() bool   // anyone has been met
-	Facts *gossip.Store // nil: there are no others
+	Rate     float64       // calls a second that the service is taken to bear at first, from all
+	HasPeers func() bool   // anyone has been met
+	Store    *gossip.Store // nil: there are no others
 }
 
-// load is what one caller saw of the service, as a fact's body.
-type load struct {
+// serviceLoad is what one caller saw of the service, as a fact's body.
+type serviceLoad struct {
 	Rate    float64 `cbor:"1,keyasint"` // calls a second that it seems to bear
-	Refused bool    `cbor:"2,keyasint"` // the call was refused, or failed
+	Failed  bool    `cbor:"2,keyasint"` // the call was refused, or failed
 	Version int64   `cbor:"3,keyasint"` // of the list that came
 }
 
-func readLoad(body []byte) (l load, err error) {
+func decodeLoad(body []byte) (l serviceLoad, err error) {
 	err = cbor.Unmarshal(body, &l)
 	return l, err
 }
 
 // Pacer says when this process may call.
 type Pacer struct {
-	cfg  Config
-	born time.Time
+	cfg       Config
+	startedAt time.Time
 
-	mu     sync.Mutex
-	fails  int
-	rate   float64
-	toldAt time.Time
-	told   load
+	mu                  sync.Mutex
+	consecutiveFailures int
+	rate                float64
+	publishedAt         time.Time
+	published           serviceLoad
 }
 
 // New returns the pacer of a process that has just started.
-func New(cfg Config) *Pacer { return &Pacer{cfg: cfg, born: time.Now(), rate: cfg.Rate} }
+func New(cfg Config) *Pacer { return &Pacer{cfg: cfg, startedAt: time.Now(), rate: cfg.Rate} }
 
-// seen is what is known of the service now: the rate that it bears, as the middle of what those who called lately found,
+// serviceState is what is known of the service now: the rate that it bears, as the middle of what those who called lately found,
 // and when it last refused anyone.
-func (p *Pacer) seen() (rate float64, refused time.Duration, version int64) {
+func (p *Pacer) serviceState() (rate float64, lastFailure time.Duration, version int64) {
 	p.mu.Lock()
-	rate, refused = p.rate, -1
+	rate, lastFailure = p.rate, -1
 	p.mu.Unlock()
-	if p.cfg.Facts == nil {
-		return rate, refused, 0
+	if p.cfg.Store == nil {
+		return rate, lastFailure, 0
 	}
 	var rates []float64
-	for _, f := range p.cfg.Facts.Now(gossip.Service) {
-		l, err := gossip.Read(f, readLoad)
-		if err != nil || !(l.Rate > 0) {
+	for _, entry := range p.cfg.Store.Entries(gossip.ListServiceLoad) {
+		load, err := gossip.DecodeBody(entry, decodeLoad)
+		if err != nil || !(load.Rate > 0) {
 			continue
 		}
-		rates = append(rates, min(max(l.Rate, rateLeast), rateMost))
-		version = max(version, l.Version)
-		if l.Refused && (refused < 0 || f.Age < refused) {
-			refused = f.Age
+		rates = append(rates, min(max(load.Rate, minRate), maxRate))
+		version = max(version, load.Version)
+		if load.Failed && (lastFailure < 0 || entry.Age < lastFailure) {
+			lastFailure = entry.Age
 		}
 	}
 	if len(rates) > 0 {
 		slices.Sort(rates)
 		rate = rates[len(rates)/2]
 	}
-	return rate, refused, version
+	return rate, lastFailure, version
 }
 
-// Version is the highest version of the list that anyone has told of lately.
-func (p *Pacer) Version() int64 { _, _, v := p.seen(); return v }
+// LatestVersion is the highest version of the list that anyone has told of lately.
+func (p *Pacer) LatestVersion() int64 { _, _, v := p.serviceState(); return v }
 
 // window is the span in which so many have their turns at a rate.
 func (p *Pacer) window(starters int, rate float64) time.Duration {
 	p.mu.Lock()
-	back := math.Exp2(float64(min(p.fails, doublings)))
+	backoff := math.Exp2(float64(min(p.consecutiveFailures, maxDoublings)))
 	p.mu.Unlock()
-	w := time.Duration(float64(starters) / rate * back * float64(time.Second))
-	if !p.cfg.Met() {
-		w = max(w, time.Duration(float64(alone)*back))
+	window := time.Duration(float64(starters) / rate * backoff * float64(time.Second))
+	if !p.cfg.HasPeers() {
+		window = max(window, time.Duration(float64(isolatedWindow)*backoff))
 	}
-	return min(w, longest)
+	return min(window, maxWindow)
 }
 
-// Turn waits for this process's turn among so many that are seen to start, and reports false once ctx ends. What others tell meanwhile counts: where more
+// AwaitTurn waits for this process's turn among so many that are seen to start, and reports false once ctx ends. What others tell meanwhile counts: where more
 // start or the service is behind the turn moves on in step, and a refusal that is news holds everyone back.
-func (p *Pacer) Turn(ctx context.Context, seen func() int) bool {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	began, place := time.Now(), rand.Float64() // full jitter: the place in the window, however wide it becomes
+func (p *Pacer) AwaitTurn(ctx context.Context, countStarting func() int) bool {
+	check := time.NewTicker(checkInterval)
+	defer check.Stop()
+	windowStart, place := time.Now(), rand.Float64() // full jitter: the place in the window, however wide it becomes
 	starters := 1
 	for {
 		// Who has had a turn does not move the others' on: all would come at once.
-		starters = max(starters, seen())
-		rate, refused, _ := p.seen()
+		starters = max(starters, countStarting())
+		rate, lastFailure, _ := p.serviceState()
 		now := time.Now()
-		due := began.Add(time.Duration(place * float64(p.window(starters, rate))))
-		if early := p.born.Add(gather); due.Before(early) {
-			due = early.Add(time.Duration(place * float64(lookEvery)))
+		due := windowStart.Add(time.Duration(place * float64(p.window(starters, rate))))
+		if earliest := p.startedAt.Add(gatherPeriod); due.Before(earliest) {
+			due = earliest.Add(time.Duration(place * float64(checkInterval)))
 		}
-		hold := time.Duration(holdBack / rate * float64(time.Second))
-		if !now.Before(due) && (refused < 0 || refused > hold) {
+		hold := time.Duration(failurePauseWindows / rate * float64(time.Second))
+		if !now.Before(due) && (lastFailure < 0 || lastFailure > hold) {
 			return true
 		}
-		if refused >= 0 && refused <= hold && !now.Before(due) { // behind those who were refused
-			began = now
+		if lastFailure >= 0 && lastFailure <= hold && !now.Before(due) { // behind those who were refused
+			windowStart = now
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-look.C:
+		case <-check.C:
 		}
 	}
 }
 
-// Answered takes how a call went: what it waited for its first byte, or that it failed.
-func (p *Pacer) Answered(waited time.Duration, failed bool, version int64) {
-	rate, _, _ := p.seen()
+// RecordAttempt takes how a call went: what it waited for its first byte, or that it failed.
+func (p *Pacer) RecordAttempt(waited time.Duration, failed bool, version int64) {
+	rate, _, _ := p.serviceState()
 	p.mu.Lock()
 	switch {
 	case failed:
-		p.fails++
-		rate *= cut
-	case waited > waitAimed:
-		p.fails = 0
-		rate *= slowCut
+		p.consecutiveFailures++
+		rate *= failureDecrease
+	case waited > slowAnswer:
+		p.consecutiveFailures = 0
+		rate *= slowDecrease
 	default:
-		p.fails = 0
-		rate *= growth
+		p.consecutiveFailures = 0
+		rate *= rateIncrease
 	}
-	p.rate = min(max(rate, rateLeast), rateMost)
-	l := load{Rate: p.rate, Refused: failed, Version: version}
+	p.rate = min(max(rate, minRate), maxRate)
+	load := serviceLoad{Rate: p.rate, Failed: failed, Version: version}
 	// Where all goes well the same words from everyone help nobody.
-	news := failed || waited > waitAimed || version != p.told.Version || time.Since(p.toldAt) > settledFor
-	if news {
-		p.told, p.toldAt = l, time.Now()
+	worthPublishing := failed || waited > slowAnswer || version != p.published.Version || time.Since(p.publishedAt) > republishInterval
+	if worthPublishing {
+		p.published, p.publishedAt = load, time.Now()
 	}
 	p.mu.Unlock()
-	if p.cfg.Facts == nil || !news {
+	if p.cfg.Store == nil || !worthPublishing {
 		return
 	}
-	body, err := cbor.Marshal(l)
+	body, err := cbor.Marshal(load)
 	if err != nil {
 		panic(err) // it holds numbers alone
 	}
-	p.cfg.Facts.Tell(gossip.Service, subject, body)
+	p.cfg.Store.Publish(gossip.ListServiceLoad, subject, body)
 }
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -13,53 +13,53 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// service is a list service of fixed capacity: calls wait in turn, and fail when they would wait too long.
-type service struct {
-	rate   float64
-	most   time.Duration // a call that would wait longer is refused
-	free   time.Time     // the queue is empty then
-	dark   time.Time     // nobody is answered before
-	calls  int
-	failed int
-	peak   int // calls in the worst second
-	began  time.Time
-	bySec  map[int]int
+// testService is a list service of fixed capacity: calls wait in turn, and fail when they would wait too long.
+type testService struct {
+	rate          float64
+	maxWait       time.Duration // a call that would wait longer is refused
+	idleAt        time.Time     // the queue is empty then
+	darkUntil     time.Time     // nobody is answered before
+	calls         int
+	failed        int
+	peak          int // calls in the worst second
+	startedAt     time.Time
+	callsBySecond map[int]int
 }
 
 var errBusy = errors.New("busy")
 
 // call returns how long it takes until the answer, or that it is refused.
-func (s *service) call() (time.Duration, error) {
+func (s *testService) call() (time.Duration, error) {
 	now := time.Now()
 	s.calls++
-	sec := int(now.Sub(s.began) / time.Second)
-	s.bySec[sec]++
-	s.peak = max(s.peak, s.bySec[sec])
-	if now.Before(s.dark) {
+	sec := int(now.Sub(s.startedAt) / time.Second)
+	s.callsBySecond[sec]++
+	s.peak = max(s.peak, s.callsBySecond[sec])
+	if now.Before(s.darkUntil) {
 		s.failed++
 		return 0, errBusy
 	}
-	if s.free.Before(now) {
-		s.free = now
+	if s.idleAt.Before(now) {
+		s.idleAt = now
 	}
-	wait := s.free.Sub(now)
-	if wait > s.most {
+	wait := s.idleAt.Sub(now)
+	if wait > s.maxWait {
 		s.failed++
 		return 0, errBusy
 	}
-	s.free = s.free.Add(time.Duration(float64(time.Second) / s.rate))
+	s.idleAt = s.idleAt.Add(time.Duration(float64(time.Second) / s.rate))
 	return wait + time.Duration(float64(time.Second)/s.rate), nil
 }
 
-// herd has n processes start within a second, and returns how long it took until all had a list.
-func herd(t *testing.T, n int, s *service, fleet bool) (all time.Duration) {
+// startAll has n processes start within a second, and returns how long it took until all had a list.
+func startAll(t *testing.T, n int, s *testService, fleet bool) (took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel() // nobody waits any more by then
-		s.began, s.bySec = time.Now(), map[int]int{}
-		if !s.dark.IsZero() {
-			s.dark = s.began.Add(10 * time.Second)
+		s.startedAt, s.callsBySecond = time.Now(), map[int]int{}
+		if !s.darkUntil.IsZero() {
+			s.darkUntil = s.startedAt.Add(10 * time.Second)
 		}
 		turns := make(chan func(), n) // one at a time: the service and the counts are shared
 		var stores []*gossip.Store
@@ -68,61 +68,61 @@
 		done := make(chan struct{}, n)
 		for i := range n {
 			starters := func() int { return 1 }
-			cfg := Config{Rate: 17, Met: func() bool { return false }}
+			cfg := Config{Rate: 17, HasPeers: func() bool { return false }}
 			if fleet {
-				store := gossip.New(fmt.Sprint(i), 1, gossip.DefaultBounds, nil)
+				store := gossip.New(fmt.Sprint(i), 1, gossip.DefaultAgeBounds, nil)
 				stores = append(stores, store)
 				starters = func() int { return max(1, int(waiting.Load())) }
-				cfg = Config{Rate: 17, Met: func() bool { return time.Since(s.began) > 200*time.Millisecond }, Facts: store}
+				cfg = Config{Rate: 17, HasPeers: func() bool { return time.Since(s.startedAt) > 200*time.Millisecond }, Store: store}
 			}
 			go func() {
 				time.Sleep(time.Duration(rand.Float64() * float64(time.Second)))
-				for p := New(cfg); p.Turn(ctx, starters); {
+				for p := New(cfg); p.AwaitTurn(ctx, starters); {
 					type answer struct {
 						took time.Duration
 						err  error
 					}
-					got := make(chan answer, 1)
-					turns <- func() { took, err := s.call(); got <- answer{took, err} }
-					a := <-got
-					time.Sleep(a.took)
-					p.Answered(a.took, a.err != nil, 1)
-					if a.err == nil {
+					answers := make(chan answer, 1)
+					turns <- func() { took, err := s.call(); answers <- answer{took, err} }
+					reply := <-answers
+					time.Sleep(reply.took)
+					p.RecordAttempt(reply.took, reply.err != nil, 1)
+					if reply.err == nil {
 						done <- struct{}{}
 						return
 					}
 				}
 			}()
 		}
-		gossip := time.NewTicker(100 * time.Millisecond)
-		defer gossip.Stop()
-		for got := 0; got < n; {
+		gossipTicker := time.NewTicker(100 * time.Millisecond)
+		defer gossipTicker.Stop()
+		for answers := 0; answers < n; {
 			select {
 			case do := <-turns:
 				do()
 			case <-done:
-				got++
+				answers++
 				waiting.Add(-1)
-			case <-gossip.C:
+			case <-gossipTicker.C:
 				for i, st := range stores {
 					st.Tick()
 					for range 3 {
-						if data := st.Gossip(1000, n); data != nil {
+						if data := st.NextMessage(1000, n); data != nil {
 							if to := rand.IntN(n); to != i {
-								_ = stores[to].Hear(data)
+								_ = stores[to].Merge(data)
 							}
 						}
 					}
 				}
 			}
 		}
-		all = time.Since(s.began)
+		took = time.Since(s.startedAt)
 	})
-	return all
+	return took
 }
 
 // Hundreds that start at once spare a service of which they only know by each other how much it bears.
-func TestHerdSparesTheService(t *testing.T) {
+func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
 	for _, c := range []struct {
 		n     int
 		rate  float64
@@ -134,11 +134,11 @@
 		{100, 17, false, true, 1.4, 2}, {100, 67, false, true, 1.1, 4}, {10, 50, false, true, 1.01, 4},
 		{100, 50, true, true, 6, 3}, {100, 50, false, false, 3, 4}, {1, 50, false, true, 1, 50},
 	} {
-		s := &service{rate: c.rate, most: 2 * time.Second}
+		s := &testService{rate: c.rate, maxWait: 2 * time.Second}
 		if c.dark {
-			s.dark = time.Now()
+			s.darkUntil = time.Now()
 		}
-		all := herd(t, c.n, s, c.fleet)
+		all := startAll(t, c.n, s, c.fleet)
 		each, ideal := float64(s.calls)/float64(c.n), float64(c.n)/c.rate
 		if c.dark {
 			ideal += 10
