--- a/internal/fleet/startup/sum.go
+++ b/internal/fleet/startup/sum.go
@@ -12,39 +12,39 @@
 // Subject is what those who called the list service tell of.
 const Subject = subject
 
-// Sum sums up words on the load of the list service as words of the same form: the middle rate and the highest version, as
+// Aggregate sums up words on the load of the list service as words of the same form: the middle rate and the highest version, as
 // old as the oldest word that counts, and the youngest refusal, which holds others back by its age, as a word beside it.
-func Sum(words []gossip.Fact) (sums []gossip.Fact) {
+func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
-	var all, refused load
+	var total, failed serviceLoad
 	oldest, youngest := time.Duration(0), time.Duration(-1)
-	for _, f := range words {
-		var l load
-		if cbor.Unmarshal(f.Body, &l) != nil || !(l.Rate > 0) {
+	for _, entry := range entries {
+		var load serviceLoad
+		if cbor.Unmarshal(entry.Body, &load) != nil || !(load.Rate > 0) {
 			continue
 		}
-		rates, oldest = append(rates, min(max(l.Rate, rateLeast), rateMost)), max(oldest, f.Age)
-		all.Version = max(all.Version, l.Version)
-		if l.Refused && (youngest < 0 || f.Age < youngest) {
-			refused, youngest = l, f.Age
+		rates, oldest = append(rates, min(max(load.Rate, minRate), maxRate)), max(oldest, entry.Age)
+		total.Version = max(total.Version, load.Version)
+		if load.Failed && (youngest < 0 || entry.Age < youngest) {
+			failed, youngest = load, entry.Age
 		}
 	}
 	if len(rates) == 0 {
 		return nil
 	}
 	slices.Sort(rates)
-	all.Rate = rates[len(rates)/2]
-	sums = []gossip.Fact{sumOf(subject, all, oldest)}
+	total.Rate = rates[len(rates)/2]
+	aggregates = []gossip.Entry{aggregateEntry(subject, total, oldest)}
 	if youngest >= 0 {
-		sums = append(sums, sumOf(subject+" refused", refused, youngest))
+		aggregates = append(aggregates, aggregateEntry(subject+" refused", failed, youngest))
 	}
-	return sums
+	return aggregates
 }
 
-func sumOf(subject string, l load, age time.Duration) gossip.Fact {
-	body, err := cbor.Marshal(l)
+func aggregateEntry(subject string, load serviceLoad, age time.Duration) gossip.Entry {
+	body, err := cbor.Marshal(load)
 	if err != nil {
 		panic(err) // it holds numbers alone
 	}
-	return gossip.Fact{Kind: gossip.Service, Subject: subject, Age: age, Body: body}
+	return gossip.Entry{Kind: gossip.ListServiceLoad, Subject: subject, Age: age, Body: body}
 }
--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	goldenJSON(t, "agent-platform.json", v)
-	shared, err := config.ReadShared(raw)
+	shared, err := config.ReadExtension(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +53,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h.Name != "hub1" || h.Label != "l2" || h.Listen != "127.0.0.1:3" || h.Advertise != "127.0.0.1:4" || h.Most != 6 || h.ListRate != 7.5 ||
+	if h.Name != "hub1" || h.Label != "l2" || h.Listen != "127.0.0.1:3" || h.Advertise != "127.0.0.1:4" || h.MaxAgents != 6 || h.ListRate != 7.5 ||
 		h.AdmitRate != 8.5 || h.Trace != "trace9" || h.Settings.File != "testdata/settings.toml" || h.Settings.State != "state11" ||
-		h.Residency.File != "testdata/policy.toml" || h.Residency.State != "state13" || h.Residency.Bound.D() != 14*time.Second ||
-		h.MaxAge["gone"].D() != 18*time.Second {
+		h.Residency.File != "testdata/policy.toml" || h.Residency.State != "state13" || h.Residency.Bound.Duration() != 14*time.Second ||
+		h.MaxAge["gone"].Duration() != 18*time.Second {
 		t.Errorf("%+v", h)
 	}
 	if _, err := config.ParseHub("hub.toml", "lable = \"x\"\n"); err == nil || !strings.Contains(err.Error(), "hub.toml:1: lable: unknown key") {
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -32,10 +32,10 @@
 		{"welcome", frame.Frame{Welcome: filled[frame.Welcome]()}},
 		{"busy", frame.Frame{Busy: filled[frame.Busy]()}},
 		{"state", frame.Frame{State: filled[frame.State]()}},
-		{"facts", frame.Frame{Facts: []byte{1, 2, 3}}},
+		{"facts", frame.Frame{Gossip: []byte{1, 2, 3}}},
 		{"echo", frame.Frame{Echo: filled[frame.Echo]()}},
-		{"bye", frame.Frame{Bye: true}},
-		{"sure", frame.Frame{Sure: true}},
+		{"bye", frame.Frame{Leave: true}},
+		{"sure", frame.Frame{QuotaConfirmed: true}},
 		{"all", *filled[frame.Frame]()},
 	}
 	for _, c := range frames {
@@ -57,47 +57,47 @@
 
 // A message of facts with one of each kind, and the bodies that have a form of their own.
 func TestGossipedFactsKeepTheirBytes(t *testing.T) {
-	standing := documents.Standing{Version: 7, Digests: []string{"d1", "d2"}}
-	census := hub.Census{Attached: 30, Starting: 20, Gone: 10}
+	standing := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
+	census := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
 	names, err := cbor.Marshal([]string{"n1", "n2"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := filled[gossip.Message]()
-	m.Facts = nil
+	m.Entries = nil
 	for i, f := range []struct {
 		kind gossip.Kind
 		body []byte
 	}{
-		{gossip.Service, storedHex(t, "body-service.hex")}, {gossip.Distance, storedHex(t, "body-distance.hex")}, {gossip.Residency, standing.Body()},
-		{gossip.Gone, names}, {gossip.Settings, standing.Body()}, {gossip.Census, census.MarshalBody()},
+		{gossip.ListServiceLoad, storedHex(t, "body-service.hex")}, {gossip.LatencyRow, storedHex(t, "body-distance.hex")}, {gossip.ResidencyVersion, standing.MarshalBody()},
+		{gossip.DeadProcesses, names}, {gossip.SettingsVersion, standing.MarshalBody()}, {gossip.FleetSize, census.MarshalBody()},
 	} {
-		one := *filled[gossip.Fact]()
+		one := *filled[gossip.Entry]()
 		one.Kind, one.Body, one.Seq = f.kind, f.body, uint64(100+i)
-		m.Facts = append(m.Facts, one)
+		m.Entries = append(m.Entries, one)
 	}
-	data, err := gossip.Encode(m)
+	data, err := gossip.EncodeMessage(m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenHex(t, "facts.hex", data)
-	got, err := gossip.Decode(storedHex(t, "facts.hex"))
+	got, err := gossip.DecodeMessage(storedHex(t, "facts.hex"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	equal(t, "read back", got, m)
-	if s, ok := documents.ParseStanding(got.Facts[2].Body); !ok {
+	if s, ok := documents.ParseAppliedVersion(got.Entries[2].Body); !ok {
 		t.Error("the standing can't be read")
 	} else {
 		equal(t, "standing", s, standing)
 	}
-	c, err := hub.ParseCensus(got.Facts[5].Body)
+	c, err := hub.ParseFleetSize(got.Entries[5].Body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	equal(t, "census", c, census)
 	var kinds []string
-	for k := gossip.Service; k <= gossip.Census; k++ {
+	for k := gossip.ListServiceLoad; k <= gossip.FleetSize; k++ {
 		kinds = append(kinds, k.String())
 	}
 	equal(t, "kinds", kinds, []string{"service", "distance", "residency", "gone", "settings", "census"})
@@ -105,10 +105,10 @@
 
 // The load of the list service, as one who called it tells it and as a hub sums it up.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
-	facts := gossip.New("n1", 5, gossip.DefaultBounds, nil)
-	p := startup.New(startup.Config{Rate: 40, Met: func() bool { return true }, Facts: facts})
-	p.Answered(time.Millisecond, true, 9)
-	told := facts.Now(gossip.Service)
+	facts := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
+	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: facts})
+	p.RecordAttempt(time.Millisecond, true, 9)
+	told := facts.Entries(gossip.ListServiceLoad)
 	if len(told) != 1 {
 		t.Fatalf("%d facts", len(told))
 	}
@@ -116,7 +116,7 @@
 	told[0].Body = storedHex(t, "body-service.hex")
 	var sums [][]byte
 	var subjects []string
-	for _, s := range startup.Sum(told) {
+	for _, s := range startup.Aggregate(told) {
 		sums, subjects = append(sums, s.Body), append(subjects, s.Subject)
 	}
 	equal(t, "subjects", subjects, []string{"lists", "lists refused"})
@@ -126,8 +126,8 @@
 // A row of round trips.
 func TestDistanceRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
-		latency.Pair{A: "a", B: "b"}: {Trip: 1500 * time.Microsecond, Spread: 300 * time.Microsecond, Loss: 0.25, Observers: 5, Age: time.Second},
-		latency.Pair{A: "a", B: "c"}: {Trip: 2500 * time.Microsecond, Spread: 400 * time.Microsecond, Loss: 0.5, Observers: 4, Age: 2 * time.Second},
+		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5, Age: time.Second},
+		latency.Pair{A: "a", B: "c"}: {RTT: 2500 * time.Microsecond, Jitter: 400 * time.Microsecond, Loss: 0.5, Observers: 4, Age: 2 * time.Second},
 	}
 	body, age := m.Row("a", time.Minute)
 	goldenHex(t, "body-distance.hex", body)
@@ -141,10 +141,10 @@
 		sent = bytes.Clone(data)
 		return time.Now(), nil
 	}
-	p := latency.New(latency.Config{Self: "n1", Site: "a", Label: "fleet", Write: write})
+	p := latency.New(latency.Config{Name: "n1", Site: "a", Label: "fleet", Send: write})
 	ask := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
 	ask = append(ask, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
-	p.Heard(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // dwelt for longer than the field holds
+	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // dwelt for longer than the field holds
 	goldenHex(t, "datagram-reply.hex", sent)
 }
 
@@ -164,31 +164,31 @@
 
 // The text that a process hands out, and what a hub reports of settings.
 func TestTextsAndReportsOverHTTPKeepTheirForm(t *testing.T) {
-	k := &documents.Kind{Holder: holder{}}
+	k := &documents.Document{Holder: holder{}}
 	w := httptest.NewRecorder()
 	k.Serve(w, "d1")
 	golden(t, "text.json", w.Body.Bytes())
-	goldenJSON(t, "hub-settings-report.json", filled[hub.Report]())
-	got := &hub.Report{}
+	goldenJSON(t, "hub-settings-report.json", filled[hub.SettingsReport]())
+	got := &hub.SettingsReport{}
 	if err := json.Unmarshal(stored(t, "hub-settings-report.json"), got); err != nil {
 		t.Fatal(err)
 	}
-	equal(t, "read back", got, filled[hub.Report]())
+	equal(t, "read back", got, filled[hub.SettingsReport]())
 }
 
 type holder struct{}
 
-func (holder) Take(int64, string) error          { return nil }
+func (holder) Apply(int64, string) error         { return nil }
 func (holder) Text(string) (int64, string, bool) { return 12, "version = 12\n", true }
 
 // A line of a fleet's trace, but for the time.
 func TestTraceLinesKeepTheirForm(t *testing.T) {
 	var b bytes.Buffer
 	trace := gossip.Trace{W: &b}
-	f := *filled[gossip.Fact]()
-	f.Kind = gossip.Census
-	trace.Use(gossip.Use{Fact: f, Told: true, Now: 1500 * time.Microsecond})
-	trace.Use(gossip.Use{Fact: f, Now: 2500 * time.Microsecond})
+	f := *filled[gossip.Entry]()
+	f.Kind = gossip.FleetSize
+	trace.Use(gossip.Use{Entry: f, Published: true, AgeAtUse: 1500 * time.Microsecond})
+	trace.Use(gossip.Use{Entry: f, AgeAtUse: 2500 * time.Microsecond})
 	var out []byte
 	for line := range bytes.Lines(b.Bytes()) {
 		var v map[string]any
@@ -210,7 +210,7 @@
 
 // The kinds of fact have bounds, each of them.
 func TestFactsHaveBounds(t *testing.T) {
-	if n := reflect.ValueOf(gossip.DefaultBounds).Len(); n != 6 {
+	if n := reflect.ValueOf(gossip.DefaultAgeBounds).Len(); n != 6 {
 		t.Errorf("%d bounds", n)
 	}
 }
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -27,10 +27,10 @@
 
 // handoverRecord is what stored-handover.json holds.
 func handoverRecord() handover.Record {
-	return handover.Record{Format: 1, Turn: 2, Saved: 1700000000003,
-		Detached: map[string]int64{"b1": 1700000000004}, Attached: map[string]int64{"b2": 1700000000005},
-		SavedAt: 6_000_006, DetachedAt: map[string]int64{"b1": 7_000_007}, AttachedAt: map[string]int64{"b2": 8_000_008},
-		Lame: true, LameAt: 9_000_009, From: "127.0.0.1:10",
+	return handover.Record{Format: 1, Generation: 2, SavedUnixMs: 1700000000003,
+		DisabledUnixMs: map[string]int64{"b1": 1700000000004}, EnabledUnixMs: map[string]int64{"b2": 1700000000005},
+		SavedBootUs: 6_000_006, DisabledBootUs: map[string]int64{"b1": 7_000_007}, EnabledBootUs: map[string]int64{"b2": 8_000_008},
+		LameDuck: true, LameDuckBootUs: 9_000_009, ListSource: "127.0.0.1:10",
 		List: &discovery.EndpointList{Version: 11, Full: true, Endpoints: []discovery.Endpoint{
 			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, StartedAt: 15}}},
 		Snapshot: &balancer.Snapshot{Tokens: 16.5, LimitPerBackend: 17.5, LatencyRatio: 0.185, PeakThroughput: 0.195, Demand: 20.5, DrainedDemand: 21.5,
@@ -51,23 +51,23 @@
 		t.Fatal(err)
 	}
 	s := handover.New(dir, slog.New(slog.DiscardHandler))
-	calls, lame, ok := s.Look()
+	calls, lame, ok := s.Poll()
 	if !ok || !lame {
 		t.Fatalf("read %v, lame duck %v", ok, lame)
 	}
-	equal(t, "the record", s.Known(), r)
+	equal(t, "the record", s.LastRecord(), r)
 	for _, c := range calls {
-		switch want := (handover.Call{Backend: "b1", Out: true, At: 7_000_007 * time.Microsecond}); {
+		switch want := (handover.Override{Backend: "b1", Disabled: true, IssuedAt: 7_000_007 * time.Microsecond}); {
 		case c.Backend == "b1" && c != want:
 			t.Errorf("got %+v, want %+v", c, want)
-		case c.Backend == "b2" && c != (handover.Call{Backend: "b2", At: 8_000_008 * time.Microsecond}):
+		case c.Backend == "b2" && c != (handover.Override{Backend: "b2", IssuedAt: 8_000_008 * time.Microsecond}):
 			t.Errorf("got %+v", c)
 		}
 	}
 	if len(calls) != 2 {
 		t.Errorf("calls %+v", calls)
 	}
-	if err := s.Begin(); err != nil {
+	if err := s.Register(); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
@@ -85,7 +85,7 @@
 // Settings are kept as before, and kept ones come into force.
 func TestKeptSettingsKeepTheirForm(t *testing.T) {
 	dir := t.TempDir()
-	if err := settings.Keep(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
+	if err := settings.SaveFunc(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "stored-settings.json", read(t, dir, "settings.json"))
@@ -103,7 +103,7 @@
 			t.Errorf("%s: version %d, %q, %v", digest, v, text, ok)
 		}
 	}
-	if err := h.Take(2, "version = 2\n"); err == nil {
+	if err := h.Apply(2, "version = 2\n"); err == nil {
 		t.Error("a lower version was taken")
 	}
 	equal(t, "digest", settings.Digest(settingsText), "da4d8bc885a122dd")
@@ -112,7 +112,7 @@
 // A residency policy is kept as before, and a kept one comes into force.
 func TestKeptPolicyKeepsItsForm(t *testing.T) {
 	dir := t.TempDir()
-	if err := residency.Keep(dir)(6, []string{policyText}); err != nil {
+	if err := residency.SaveFunc(dir)(6, []string{policyText}); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "stored-policy.json", read(t, dir, "policy.json"))
@@ -125,11 +125,11 @@
 	if v, text, ok := h.Text(residency.Digest(policyText)); v != 6 || text != policyText || !ok {
 		t.Errorf("version %d, %q, %v", v, text, ok)
 	}
-	tenant, bulk, other := h.Rule("t1", "web"), h.Rule("t1", "bulk"), h.Rule("t2", "web")
+	tenant, bulk, other := h.RuleID("t1", "web"), h.RuleID("t1", "bulk"), h.RuleID("t2", "web")
 	table := h.Table()
-	equal(t, "zones of the tenant", table.Rules[tenant], []bool{true, false, false})
-	equal(t, "zones of its class", table.Rules[bulk], []bool{false, true, true})
-	equal(t, "zones of others", table.Rules[other], []bool(nil))
+	equal(t, "zones of the tenant", table.Permitted[tenant], []bool{true, false, false})
+	equal(t, "zones of its class", table.Permitted[bulk], []bool{false, true, true})
+	equal(t, "zones of others", table.Permitted[other], []bool(nil))
 }
 
 // The texts of settings and of a policy have the same keys.
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	if p.Version != 6 || p.WhenStale != "refuse" || len(p.Regions) != 2 || p.Tenants["t1"].WhenStale != "serve" ||
-		p.Tenants["t1"].Classes["bulk"].Permitted[0] != "south" || p.Others.Permitted[0] != "*" {
+		p.Tenants["t1"].Classes["bulk"].Permitted[0] != "south" || p.DefaultRule.Permitted[0] != "*" {
 		t.Errorf("%+v", p)
 	}
 	s, err := settings.Parse("settings", settingsText)
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -20,7 +20,7 @@
 	"martenbeam/internal/settings"
 )
 
-const connectWithin = 250 * time.Millisecond // to the list service
+const connectTimeout = 250 * time.Millisecond // to the list service
 
 // Hub is a hub's process. It must be run.
 type Hub struct {
@@ -36,7 +36,7 @@
 // New listens. program is the version of the program, as agents and other hubs see it.
 func New(cfg *config.Hub, program string, log *slog.Logger) (*Hub, error) {
 	h := &Hub{cfg: cfg, log: log}
-	if err := h.hold(); err != nil {
+	if err := h.loadDocuments(); err != nil {
 		return nil, err
 	}
 	var trace io.Writer
@@ -47,44 +47,44 @@
 		}
 		trace = h.trace
 	}
-	bounds := gossip.Bounds{}
-	for kind, d := range gossip.DefaultBounds {
+	bounds := gossip.AgeBounds{}
+	for kind, d := range gossip.DefaultAgeBounds {
 		bounds[kind] = d
-		if said, ok := cfg.MaxAge[kind.String()]; ok {
-			bounds[kind] = said.D()
+		if configured, ok := cfg.MaxAge[kind.String()]; ok {
+			bounds[kind] = configured.Duration()
 		}
 	}
-	kind := settings.Kind(h.settings)
-	numbers := incarnation.Source{Dir: incarnation.Folder(cfg.Label, cfg.Settings.State, cfg.Residency.State), Name: cfg.Name, Log: log}
-	h.server = hub.New(hub.Config{Name: cfg.Name, Label: cfg.Label, Program: program, Incarnation: numbers.Next(), Most: cfg.Most, AdmitRate: cfg.AdmitRate,
-		Bounds: bounds, Settings: kind, Policy: fleet.Policy(h.policy), PolicyAge: h.policy.Confirmed, Log: log, Trace: trace})
+	kind := settings.DocumentKind(h.settings)
+	incarnations := incarnation.Allocator{Dir: incarnation.Dir(cfg.Label, cfg.Settings.State, cfg.Residency.State), Name: cfg.Name, Log: log}
+	h.server = hub.New(hub.Config{Name: cfg.Name, Label: cfg.Label, ProgramVersion: program, Incarnation: incarnations.Next(), MaxAgents: cfg.MaxAgents, AdmitRate: cfg.AdmitRate,
+		Bounds: bounds, Settings: kind, Policy: fleet.PolicyReplicator(h.policy), PolicyAge: h.policy.ConfirmedAge, Log: log, Trace: trace})
 	var err error
 	h.fleet, err = fleet.New(fleet.Config{Name: cfg.Name, Site: cfg.Zone, Version: program, Listen: cfg.Listen, Advertise: cfg.Advertise, Seeds: cfg.Seeds, Label: cfg.Label,
-		Most: cfg.Most, Incarnations: numbers, Bounds: bounds, ListRate: cfg.ListRate, Matrix: cfg.Matrix, Log: log, Trace: trace, Residency: h.policy, Source: cfg.Residency.File != "",
-		Settings: kind, Hub: true, Calls: h.server}, cfg.Zones.Names, fleet.Told{})
+		MaxMembers: cfg.MaxAgents, Incarnations: incarnations, AgeBounds: bounds, ListRate: cfg.ListRate, MeasureLatency: cfg.Matrix, Log: log, Trace: trace, Residency: h.policy, PolicySource: cfg.Residency.File != "",
+		Settings: kind, Hub: true, HTTPHandler: h.server}, cfg.Zones.Names, fleet.Callbacks{})
 	return h, err
 }
 
-// hold begins with the texts that were kept, and those that are given here.
-func (h *Hub) hold() error {
-	s, r := &h.cfg.Settings, &h.cfg.Residency
-	c := settings.Config{Log: h.log}
-	if s.State != "" {
-		c.Keep = settings.Keep(s.State)
+// loadDocuments begins with the texts that were kept, and those that are given here.
+func (h *Hub) loadDocuments() error {
+	settingsCfg, residencyCfg := &h.cfg.Settings, &h.cfg.Residency
+	holderCfg := settings.Config{Log: h.log}
+	if settingsCfg.State != "" {
+		holderCfg.Save = settings.SaveFunc(settingsCfg.State)
 	}
-	h.settings = settings.NewHolder(c)
-	if s.State != "" {
-		if err := h.settings.Load(s.State); err != nil {
+	h.settings = settings.NewHolder(holderCfg)
+	if settingsCfg.State != "" {
+		if err := h.settings.Load(settingsCfg.State); err != nil {
 			h.log.Error("settings: what was kept can't be used", "error", err)
 		}
 	}
-	var keep func(int64, []string) error
-	if r.State != "" {
-		keep = residency.Keep(r.State)
+	var store func(int64, []string) error
+	if residencyCfg.State != "" {
+		store = residency.SaveFunc(residencyCfg.State)
 	}
-	h.policy = residency.NewHolder(h.cfg.Zones.Names, r.Bound.D(), r.File != "", h.log, keep)
-	if r.State != "" {
-		if err := h.policy.Load(r.State); err != nil {
+	h.policy = residency.NewHolder(h.cfg.Zones.Names, residencyCfg.Bound.Duration(), residencyCfg.File != "", h.log, store)
+	if residencyCfg.State != "" {
+		if err := h.policy.Load(residencyCfg.State); err != nil {
 			h.log.Error("residency: what was kept can't be used", "error", err)
 		}
 	}
@@ -99,31 +99,31 @@
 	if h.trace != nil {
 		defer h.trace.Close()
 	}
-	ctx, end := context.WithCancel(ctx)
-	defer end()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	if file := h.cfg.Settings.File; file != "" {
-		tasks.Go(func() { h.settings.Follow(ctx, file, h.log) })
+		tasks.Go(func() { h.settings.Watch(ctx, file, h.log) })
 	}
 	if file := h.cfg.Residency.File; file != "" {
-		tasks.Go(func() { h.policy.Follow(ctx, file, h.log) })
+		tasks.Go(func() { h.policy.Watch(ctx, file, h.log) })
 	}
 	if h.cfg.Discovery == "" {
 		h.fleet.Ready()
 	} else {
-		tasks.Go(func() { h.lists().Run(ctx) })
+		tasks.Go(func() { h.endpointFollower().Run(ctx) })
 	}
 	tasks.Go(func() { h.server.Run(ctx, h.fleet) })
 	h.log.Info("hub", "step", "listening", "name", h.cfg.Name, "zone", h.cfg.Zone, "address", h.Addr())
 	err := h.fleet.Run(ctx)
-	end()
+	cancel()
 	return err
 }
 
-// lists follows the list service, for those who follow here. What it says matters to them alone.
-func (h *Hub) lists() *discovery.Watcher {
-	began := time.Now()
-	return discovery.New(discovery.Config{Addr: h.cfg.Discovery, ConnectTimeout: connectWithin, Sources: h.fleet, Deliver: func(discovery.Update) {},
-		Translator: discovery.Translator{Zones: h.cfg.Zones.Names, Log: slog.New(slog.DiscardHandler), AgentTime: func(t time.Time) time.Duration { return t.Sub(began) }}})
+// endpointFollower follows the list service, for those who follow here. What it says matters to them alone.
+func (h *Hub) endpointFollower() *discovery.Watcher {
+	startedAt := time.Now()
+	return discovery.New(discovery.Config{Addr: h.cfg.Discovery, ConnectTimeout: connectTimeout, Sources: h.fleet, Deliver: func(discovery.Update) {},
+		Translator: discovery.Translator{Zones: h.cfg.Zones.Names, Log: slog.New(slog.DiscardHandler), AgentTime: func(t time.Time) time.Duration { return t.Sub(startedAt) }}})
 }
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -87,11 +87,11 @@
 // arrivals whatever the agents do.
 func (l *Lab) factor(at time.Duration) float64 {
 	f := 1.0
-	if again := l.Scenario.Again.D(); again > 0 {
+	if again := l.Scenario.Again.Duration(); again > 0 {
 		at %= again
 	}
 	for _, x := range l.Scenario.Faults {
-		if x.What == "burst" && at >= x.At.D() && (x.For == 0 || at < x.At.D()+x.For.D()) {
+		if x.What == "burst" && at >= x.At.Duration() && (x.For == 0 || at < x.At.Duration()+x.For.Duration()) {
 			f *= x.Size
 		}
 	}
@@ -108,7 +108,7 @@
 			return at + seconds(need)
 		}
 		left -= rate * walk.Seconds()
-		if at += walk; at > l.Scenario.For.D() {
+		if at += walk; at > l.Scenario.For.Duration() {
 			return math.MaxInt64
 		}
 	}
@@ -118,7 +118,7 @@
 func (l *Lab) arrivals() {
 	var h dues
 	for _, a := range l.agents {
-		if at := l.gap(a, 0); at < l.Scenario.For.D() {
+		if at := l.gap(a, 0); at < l.Scenario.For.Duration() {
 			h = append(h, due{at, a})
 		}
 	}
@@ -142,13 +142,13 @@
 		d.agent.open++
 		l.mu.Unlock()
 		l.running.Go(func() { l.play(p) })
-		if h[0].at = l.gap(d.agent, d.at); h[0].at >= l.Scenario.For.D() {
+		if h[0].at = l.gap(d.agent, d.at); h[0].at >= l.Scenario.For.Duration() {
 			heap.Pop(&h)
 		} else {
 			heap.Fix(&h, 0)
 		}
 	}
-	timer.Reset(max(0, l.Scenario.For.D()-l.now()))
+	timer.Reset(max(0, l.Scenario.For.Duration()-l.now()))
 	select {
 	case <-timer.C:
 	case <-l.ctx.Done():
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -19,18 +19,18 @@
 		var play func(now time.Duration)
 		play = func(now time.Duration) {
 			l.begin(i, f, now)
-			if again := l.Scenario.Again.D(); again > 0 {
+			if again := l.Scenario.Again.Duration(); again > 0 {
 				l.at(now+again, play)
 			}
 		}
-		l.at(f.At.D(), play)
+		l.at(f.At.Duration(), play)
 	}
 }
 
 // until puts a fault's end on the agenda; one without a span lasts to the end. The lock is held.
 func (l *Lab) until(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
 	if f.For > 0 {
-		l.at(now+f.For.D(), end)
+		l.at(now+f.For.Duration(), end)
 	}
 }
 
@@ -170,7 +170,7 @@
 	if f.Steps <= 1 {
 		return 0
 	}
-	return f.For.D() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
+	return f.For.Duration() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
 }
 
 // rules puts rules on the network, and takes them off after the fault's span. The lock is held.
@@ -181,7 +181,7 @@
 	}
 	l.gates()
 	l.changed = append(l.changed, now)
-	end := now + f.For.D()
+	end := now + f.For.Duration()
 	if f.For == 0 {
 		end = time.Hour
 	}
@@ -237,7 +237,7 @@
 	}
 	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
 	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
-		Delay: f.Delay.D(), Jitter: f.Jitter.D(), Lose: f.Lose, Duplicate: f.Duplicate, Reorder: f.Reorder}}
+		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), Lose: f.Lose, Duplicate: f.Duplicate, Reorder: f.Reorder}}
 	rules := []netfault.Rule{r}
 	if f.Both {
 		rules = append(rules, netfault.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
@@ -393,9 +393,9 @@
 
 // neighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
 func (l *Lab) neighbour(i int, f *scenario.Fault, now time.Duration) {
-	end := l.Scenario.For.D()
+	end := l.Scenario.For.Duration()
 	if f.For > 0 {
-		end = now + f.For.D()
+		end = now + f.For.Duration()
 	}
 	for _, h := range l.pickHosts(i, f.Who) {
 		r := l.rng.Stream("neighbour/" + h.m.ID)
@@ -408,11 +408,11 @@
 				l.ended(h, h.m.Trouble(now, 0, 0))
 			}
 			if now < end {
-				span := time.Duration((0.5 + r.Float64()) * float64(max(f.On.D(), 100*time.Millisecond)))
+				span := time.Duration((0.5 + r.Float64()) * float64(max(f.On.Duration(), 100*time.Millisecond)))
 				l.at(min(end, now+span), turn)
 			}
 		}
-		l.at(now+time.Duration(r.Float64()*float64(f.On.D())), turn)
+		l.at(now+time.Duration(r.Float64()*float64(f.On.Duration())), turn)
 	}
 }
 
@@ -440,7 +440,7 @@
 // stop stops a process for a while. Its kernel still takes connections. The lock is held.
 func (l *Lab) stop(p *process, f *scenario.Fault, now time.Duration) {
 	cmd := p.cmd
-	p.role.excuse(now, now+f.For.D()+pauseSlack)
+	p.role.excuse(now, now+f.For.Duration()+pauseSlack)
 	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		l.fail(err)
 		return
@@ -486,6 +486,6 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.at(l.now()+f.After.D(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
+		l.at(l.now()+f.After.Duration(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
 	})
 }
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -116,7 +116,7 @@
 			line("file", h.policyFile())
 		}
 		line("state", filepath.Join(state, "residency"))
-		line("bound", s.Bound.D().String())
+		line("bound", s.Bound.Duration().String())
 	}
 	b.WriteString("[max_age]\n")
 	for kind, d := range factBounds {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -219,7 +219,7 @@
 	}
 	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), poke: make(chan struct{}, 1), burst: 1,
 		late: hdrhistogram.New(1, maxLate, 3), attempts: map[uint64]*attempt{}, pods: map[podKey]bool{}, starter: make(chan func()),
-		tally: check.NewTally(s.Settle.D()), recorder: newRecorder(o.Events)}
+		tally: check.NewTally(s.Settle.Duration()), recorder: newRecorder(o.Events)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.net = netfault.New(l.way, s.World.Jitter, l.rng)
 	if err := l.furnish(); err != nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -95,7 +95,7 @@
 	sum := l.tally.Sum()
 	violations, broken := l.check.Broken()
 	r := &Report{Schema: Schema, Scenario: s.Name, Seed: l.Seed, Commit: commit(), Agents: len(l.agents), Backends: s.Fleet.Backends,
-		For: s.For.D().Seconds(), Settle: s.Settle.D().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.InAim, sum.Worth),
+		For: s.For.Duration().Seconds(), Settle: s.Settle.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.InAim, sum.Worth),
 		Refused: share(float64(sum.Refused), float64(sum.Offered)), Failed: share(float64(sum.Failed), float64(sum.Offered)), Lost: sum.Lost,
 		Attempts: share(float64(l.tally.Attempts), float64(sum.Offered)), CrossZone: share(float64(l.tally.Cross), float64(l.tally.Attempts)),
 		LeftAfter: l.leftAfter(), FallOvers: l.fallen, Crashes: len(l.crashes), WorkScale: l.scale,
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -252,7 +252,7 @@
 }
 
 func (s *Scenario) wrong(key, format string, args ...any) error {
-	return strictconfig.At(s.file, s.text, key, format, args...)
+	return strictconfig.ErrorAt(s.file, s.text, key, format, args...)
 }
 
 // Most of what one lab plays.
@@ -273,10 +273,10 @@
 		s.Fleet.Backends = sum
 	}
 	switch {
-	case s.For <= 0 || s.For.D() > Longest:
-		return s.wrong("for", "%v is not between 0 and %v", s.For.D(), Longest)
+	case s.For <= 0 || s.For.Duration() > Longest:
+		return s.wrong("for", "%v is not between 0 and %v", s.For.Duration(), Longest)
 	case s.Settle < 0 || s.Settle >= s.For:
-		return s.wrong("settle", "%v is not below the run's %v", s.Settle.D(), s.For.D())
+		return s.wrong("settle", "%v is not below the run's %v", s.Settle.Duration(), s.For.Duration())
 	case s.Fleet.Agents < 1 || s.Fleet.Agents > MostAgents:
 		return s.wrong("fleet.agents", "%d is not between 1 and %d", s.Fleet.Agents, MostAgents)
 	case s.Fleet.Backends < 1 || s.Fleet.Backends > MostBackends:
@@ -334,10 +334,10 @@
 		return s.wrong(key("what"), "%q is none of %s", f.What, strings.Join(kinds, ", "))
 	}
 	if f.At < 0 || f.At >= s.For {
-		return s.wrong(key("at"), "%v is not within the run's %v", f.At.D(), s.For.D())
+		return s.wrong(key("at"), "%v is not within the run's %v", f.At.Duration(), s.For.Duration())
 	}
 	if f.For < 0 {
-		return s.wrong(key("for"), "%v is negative", f.For.D())
+		return s.wrong(key("for"), "%v is negative", f.For.Duration())
 	}
 	for name, set := range map[string]string{"who": f.Who, "from": f.From, "to": f.To} {
 		if set == "" {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Stretch(s.For.D() / 2)
-	if f := s.Faults[0]; f.At.D() != 5*time.Second || f.For.D() != 3*time.Second || s.Check() != nil {
+	s.Stretch(s.For.Duration() / 2)
+	if f := s.Faults[0]; f.At.Duration() != 5*time.Second || f.For.Duration() != 3*time.Second || s.Check() != nil {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -86,7 +86,7 @@
 		Cell: zone*1000 + mates/l.Scenario.Fleet.Pod, Kind: kind, Cores: cores, Speed: speed,
 		Slots: int(math.Round(cores * in(w.SlotsPerCore))), Room: int(cores * in(w.RoomPerCore)), Thrash: in(w.Thrash),
 		ThrashAt: in(w.ThrashAt), ColdFrom: in(w.ColdFrom), Ramp: seconds(in(w.RampS)), FallMultiple: w.FallMultiple,
-		FallWindow: w.FallWindow.D(), ErrorRate: in(w.ErrorRate), KeyGain: in(w.KeyGain), KeyFor: seconds(in(w.KeyForS)),
+		FallWindow: w.FallWindow.Duration(), ErrorRate: in(w.ErrorRate), KeyGain: in(w.KeyGain), KeyFor: seconds(in(w.KeyForS)),
 		Keys: cores * w.KeysPerCore, Conns: int(in(w.Conns)), Weight: math.Round(speed*cores) / cores,
 		Handshake: seconds(in(w.HandshakeMs) / 1e3), ProbeWork: seconds(in(scenario.Range{0.45, 0.72}) / 1e3),
 		DropsGivenUp: r.Float64() < 0.5}
@@ -223,7 +223,7 @@
 			"Balancers": len(l.agents), "Me": a.n, "Zone": a.n % len(s.Fleet.Zones), "Dcs": s.Fleet.Zones, "Regions": regions, "Kinds": names,
 			"Clients": map[string]any{"MarksRetry": true}, "CountedBy": "request", "FamilyInfo": map[string]any{"WarmKeys": true},
 			"Contract": map[string]any{"AskWithinMs": 10000, "ColdFrom": s.World.ColdFrom[0], "DrainGraceMs": ms(drainGrace),
-				"FallMs": ms(s.World.FallWindow.D()), "FallMultiple": s.World.FallMultiple, "GraceToAnswerMs": 20, "RampTimeMs": s.World.RampS[1] * 1e3},
+				"FallMs": ms(s.World.FallWindow.Duration()), "FallMultiple": s.World.FallMultiple, "GraceToAnswerMs": 20, "RampTimeMs": s.World.RampS[1] * 1e3},
 			"Goal":          map[string]any{"Whole": 0.5, "WorstClass": 0.1, "WorstTenant": 0.1, "WorstWindow": 0.3},
 			"KindOfService": "mesh", "MembershipMode": mode, "OverShareWorth": s.Load.OverShare,
 			"PolicyLimits": map[string]any{"Cancel": true, "ConnectTimeoutMs": ms(connectTimeout), "IdleCloseMs": ms(idleClose), "MaxOpen": 100000,
--- a/internal/lab/settled.go
+++ b/internal/lab/settled.go
@@ -207,7 +207,7 @@
 	}
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
-	for limit := time.After(2 * l.Scenario.Shared.SettingsBound.D()); ; {
+	for limit := time.After(2 * l.Scenario.Shared.SettingsBound.Duration()); ; {
 		agents, hubs := l.settledAll()
 		l.mu.Lock()
 		r := l.settingsReport(agents, hubs)
@@ -249,7 +249,7 @@
 		}
 	}
 	end := l.now()
-	bound := l.Scenario.Shared.SettingsBound.D()
+	bound := l.Scenario.Shared.SettingsBound.Duration()
 	for i, g := range l.given {
 		for a, list := range agents {
 			got := firstWith(list, g.version)
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -66,7 +66,7 @@
 	if s.Policy == "" {
 		return fleet, nil
 	}
-	policy = map[string]any{"bound_ms": s.Bound.D().Seconds() * 1e3, "state": filepath.Join(a.dir, "residency")}
+	policy = map[string]any{"bound_ms": s.Bound.Duration().Seconds() * 1e3, "state": filepath.Join(a.dir, "residency")}
 	if a.n < s.Sources && len(l.hubs) == 0 {
 		policy["policy"] = l.policyFile(a)
 	}
@@ -83,7 +83,7 @@
 	if s.Policy == "" {
 		return nil
 	}
-	l.resident = &check.Residency{Bound: s.Bound.D() + pauseSlack}
+	l.resident = &check.Residency{Bound: s.Bound.Duration() + pauseSlack}
 	var files []string
 	for n := range s.Sources {
 		if len(l.hubs) > 0 {
@@ -107,11 +107,11 @@
 		return err
 	}
 	h := residency.NewHolder(l.Scenario.Fleet.Zones, time.Hour, true, quietLog, nil)
-	if err := h.Take(p.Version, text); err != nil {
+	if err := h.Apply(p.Version, text); err != nil {
 		return err
 	}
 	l.resident.Give(now, p.Version, func(tenant, class, zone int) bool {
-		rule := h.Rule(tenants[tenant].name, classes[class].name) // before the table that has it
+		rule := h.RuleID(tenants[tenant].name, classes[class].name) // before the table that has it
 		return h.Table().Permits(rule, zone)
 	})
 	return nil
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -36,7 +36,7 @@
 	if !zoneFault(f) {
 		return
 	}
-	end := now + f.For.D()
+	end := now + f.For.Duration()
 	l.spans = append(l.spans, check.Span{From: now, To: end})
 	if l.shutTill = max(l.shutTill, end); l.watching {
 		return
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -68,12 +68,12 @@
 func (l *Lab) inject(i int, f *scenario.Fault, now time.Duration) {
 	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Times}
 	for _, a := range l.pickAgents(i, f.Who) {
-		if a.plan.Wall = a.plan.Wall + f.Step.D(); f.What == scenario.Fail {
+		if a.plan.Wall = a.plan.Wall + f.Step.Duration(); f.What == scenario.Fail {
 			a.plan.Failures = append(a.plan.Failures, failure)
 		}
 		l.follow(a)
 		l.until(f, now, func(time.Duration) {
-			a.plan.Wall -= f.Step.D()
+			a.plan.Wall -= f.Step.Duration()
 			a.plan.Failures = nil
 			l.follow(a)
 		})
@@ -91,7 +91,7 @@
 func (l *Lab) crowd(i int, f *scenario.Fault, now time.Duration) {
 	for _, a := range l.pickAgents(i, f.Who) {
 		for range int(f.Size) {
-			l.running.Go(func() { l.idleClient(a.listen, now+f.For.D()) })
+			l.running.Go(func() { l.idleClient(a.listen, now+f.For.Duration()) })
 		}
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -127,11 +127,11 @@
 		case scenario.Fail:
 			text = fmt.Sprintf("%s %v x%d", f.Call, syscall.Errno(f.Errno), f.Times)
 		case scenario.Wall:
-			text = fmt.Sprintf("wall %v", f.Step.D())
+			text = fmt.Sprintf("wall %v", f.Step.Duration())
 		case scenario.Term:
 			text = fmt.Sprintf("term+%d", f.Series)
 		}
-		list = append(list, fmt.Sprintf("%s @%.1f", text, f.At.D().Seconds()))
+		list = append(list, fmt.Sprintf("%s @%.1f", text, f.At.Duration().Seconds()))
 	}
 	return strings.Join(list, ", ")
 }
--- a/internal/lab/standin_test.go
+++ b/internal/lab/standin_test.go
@@ -37,7 +37,7 @@
 		os.Exit(m.Run())
 	case "real":
 		source := product.PlatformSource(os.Getenv)
-		source.Join = membership.Shares
+		source.Join = membership.JoinFromConfig
 		if err := product.Serve(slog.New(slog.NewTextHandler(os.Stderr, nil)), source); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -7,7 +7,7 @@
 
 // busiest is how many connections one backend was opened in one second, at the most. The lock is held.
 func (l *Lab) busiest() (most int) {
-	settle := l.Scenario.Settle.D() / time.Second
+	settle := l.Scenario.Settle.Duration() / time.Second
 	for _, h := range l.hosts {
 		h.mu.Lock()
 		for second, n := range h.opened {
@@ -36,11 +36,11 @@
 	if len(l.Scenario.Faults) == 0 {
 		return nil
 	}
-	first := l.Scenario.Faults[0].At.D()
+	first := l.Scenario.Faults[0].At.Duration()
 	for _, f := range l.Scenario.Faults {
-		first = min(first, f.At.D())
+		first = min(first, f.At.Duration())
 	}
-	from, to := int(l.Scenario.Settle.D()/time.Second), int(first/time.Second)
+	from, to := int(l.Scenario.Settle.Duration()/time.Second), int(first/time.Second)
 	if to <= from {
 		return nil
 	}
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -13,8 +13,8 @@
 	"martenbeam/internal/fleet/hubclient"
 )
 
-// hubbed is an agent's place in a fleet with hubs, by zone. Its flat place, if it knows any others, is the one to go back to.
-func hubbed(c fleet.Config, hubs map[string]string, cfg *agent.Config) hubclient.Config {
+// hubClientConfig is an agent's place in a fleet with hubs, by zone. Its flat place, if it knows any others, is the one to go back to.
+func hubClientConfig(c fleet.Config, hubs map[string]string, cfg *agent.Config) hubclient.Config {
 	region := func(zone string) string {
 		if i := slices.Index(cfg.Site.Zones, zone); i >= 0 && i < len(cfg.Settings.Regions) {
 			return strconv.Itoa(cfg.Settings.Regions[i])
@@ -22,15 +22,15 @@
 		return ""
 	}
 	h := hubclient.Config{Name: c.Name, Site: c.Site, Region: region(c.Site), Version: c.Version, Label: c.Label, Listen: c.Listen, Advertise: c.Advertise,
-		Most: c.Most, Await: c.Await, Incarnations: c.Incarnations, Bounds: c.Bounds, Relayed: c.Relayed, ListRate: c.ListRate, Residency: c.Residency, Log: c.Log, Trace: c.Trace}
+		MaxAgents: c.MaxMembers, AwaitAddress: c.AwaitAddress, Incarnations: c.Incarnations, Bounds: c.AgeBounds, Relayed: c.RelayedLists, ListRate: c.ListRate, Residency: c.Residency, Log: c.Log, Trace: c.Trace}
 	for zone, addr := range hubs {
 		h.Hubs = append(h.Hubs, hubclient.Hub{Zone: zone, Region: region(zone), Addr: addr})
 	}
 	if len(c.Seeds) > 0 {
-		h.Flat = func(door *net.TCPListener, began time.Time, told fleet.Told) (*fleet.Fleet, error) {
-			c.Door, c.Since, c.Await = door, began, false
+		h.NewMesh = func(door *net.TCPListener, began time.Time, told fleet.Callbacks) (*fleet.Fleet, error) {
+			c.Listener, c.StartedAt, c.AwaitAddress = door, began, false
 			if h.Trace != nil {
-				c.Trace = partless{h.Trace}
+				c.Trace = quotaFilter{h.Trace}
 			}
 			return fleet.New(c, cfg.Site.Zones, told)
 		}
@@ -38,10 +38,10 @@
 	return h
 }
 
-// partless leaves out of a trace which part the flat fleet would give: the agent's is the lower of that and the hubs'.
-type partless struct{ w io.Writer }
+// quotaFilter leaves out of a trace which part the flat fleet would give: the agent's is the lower of that and the hubs'.
+type quotaFilter struct{ w io.Writer }
 
-func (p partless) Write(line []byte) (int, error) {
+func (p quotaFilter) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(`"part":`)) {
 		return len(line), nil
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,25 +23,25 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// Shares reads what an agent shares with its fleet out of its configuration.
-func Shares(raw []byte) (agent.JoinFunc, error) { return shares(raw, nil) }
+// JoinFromConfig reads what an agent shares with its fleet out of its configuration.
+func JoinFromConfig(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, nil) }
 
-func shares(raw []byte, g *given) (agent.JoinFunc, error) {
-	s, err := config.ReadShared(raw)
+func joinFromConfig(raw []byte, g *preparedSettings) (agent.JoinFunc, error) {
+	s, err := config.ReadExtension(raw)
 	if err != nil {
 		return nil, err
 	}
 	if s.Fleet == nil && s.Residency == nil {
 		return nil, nil
 	}
-	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (agent.Fleet, gate.Keeper, error) {
-		t := &shared{log: log}
-		keeper, err := t.holdPolicy(s.Residency, cfg.Site.Zones)
+	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (agent.Fleet, gate.Enforcer, error) {
+		t := &place{log: log}
+		keeper, err := t.openPolicy(s.Residency, cfg.Site.Zones)
 		switch {
 		case err != nil:
 			return nil, nil, err
 		case s.Fleet == nil:
-			return alone{t}, keeper, nil
+			return withoutFleet{t}, keeper, nil
 		}
 		if err := t.joinFleet(s.Fleet, g, cfg, post, follow); err != nil {
 			return nil, nil, err
@@ -50,26 +50,26 @@
 	}, nil
 }
 
-// shared is an agent's fleet, and the policy's file where it is given here.
-type shared struct {
+// place is an agent's fleet, and the policy's file where it is given here.
+type place struct {
 	agent.Fleet
-	holder *residency.Holder
-	file   string
-	state  string // a folder
-	trace  *os.File
-	log    *slog.Logger
+	holder         *residency.Holder
+	policyFile     string
+	policyStateDir string // a folder
+	traceFile      *os.File
+	log            *slog.Logger
 }
 
-// holdPolicy has the agent hold a policy, if it has one.
-func (t *shared) holdPolicy(r *config.SharedResidency, zones []string) (gate.Keeper, error) {
+// openPolicy has the agent hold a policy, if it has one.
+func (t *place) openPolicy(r *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
 	if r == nil {
 		return nil, nil
 	}
 	var keep func(int64, []string) error
 	if r.State != "" {
-		keep = residency.Keep(r.State)
+		keep = residency.SaveFunc(r.State)
 	}
-	t.file, t.state = r.Policy, r.State
+	t.policyFile, t.policyStateDir = r.Policy, r.State
 	t.holder = residency.NewHolder(zones, time.Duration(r.BoundMs*float64(time.Millisecond)), r.Policy != "", t.log, keep)
 	if r.State != "" {
 		if err := t.holder.Load(r.State); err != nil {
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := t.holder.Take(p.Version, text); err != nil {
+		if err := t.holder.Apply(p.Version, text); err != nil {
 			t.log.Error("residency: the policy's file is not used", "version", p.Version, "error", err)
 		}
 	}
@@ -89,9 +89,9 @@
 }
 
 // joinFleet has the agent be in its fleet: by way of a hub, if there are hubs.
-func (t *shared) joinFleet(f *config.SharedFleet, g *given, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
+func (t *place) joinFleet(f *config.FleetExtension, g *preparedSettings, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
 	if f.Trace != "" {
-		if t.trace, err = os.OpenFile(f.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+		if t.traceFile, err = os.OpenFile(f.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
 		}
 	}
@@ -101,35 +101,35 @@
 		site = zones[z]
 	}
 	c := fleet.Config{Name: cfg.Name, Site: site, Version: Version(), Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds, Label: f.Label,
-		Most: f.Most, Await: cfg.ListenFD > 0, Bounds: bounds(f), Relayed: f.Lists == "relayed", ListRate: f.ListRate, Matrix: f.Matrix, Log: t.log,
-		Residency: t.holder, Source: t.file != "",
-		Incarnations: incarnation.Source{Dir: incarnation.Folder(f.Label, f.Settings, t.state), Name: cfg.Name, Log: t.log}}
-	if t.trace != nil {
-		c.Trace = t.trace
+		MaxMembers: f.MaxAgents, AwaitAddress: cfg.ListenFD > 0, AgeBounds: ageBounds(f), RelayedLists: f.Lists == "relayed", ListRate: f.ListRate, MeasureLatency: f.Matrix, Log: t.log,
+		Residency: t.holder, PolicySource: t.policyFile != "",
+		Incarnations: incarnation.Allocator{Dir: incarnation.Dir(f.Label, f.Settings, t.policyStateDir), Name: cfg.Name, Log: t.log}}
+	if t.traceFile != nil {
+		c.Trace = t.traceFile
 	}
-	told := fleet.Told{
-		Part:      func(part float64) { post(balancer.Quota{Share: part}) },
-		Distances: func(trip []time.Duration, loss []float64) { post(balancer.ZoneLatencies{RTT: trip, Loss: loss}) },
+	told := fleet.Callbacks{
+		Quota:     func(part float64) { post(balancer.Quota{Share: part}) },
+		Latencies: func(trip []time.Duration, loss []float64) { post(balancer.ZoneLatencies{RTT: trip, Loss: loss}) },
 	}
 	if len(f.Hubs) == 0 {
 		t.Fleet, err = fleet.New(c, zones, told)
 		return err
 	}
-	h := hubbed(c, f.Hubs, cfg)
+	h := hubClientConfig(c, f.Hubs, cfg)
 	if g == nil {
 		h.Settings = platformSettings(f.Settings, cfg, follow, t.log)
 	} else {
-		g.moves.set(follow)
+		g.discovery.setFollow(follow)
 		h.Settings = g.holder
 	}
 	t.Fleet, err = hubclient.New(h, zones, told)
 	return err
 }
 
-// bounds are how old facts may be when they are used.
-func bounds(f *config.SharedFleet) gossip.Bounds {
-	b := gossip.Bounds{}
-	for kind, d := range gossip.DefaultBounds {
+// ageBounds are how old facts may be when they are used.
+func ageBounds(f *config.FleetExtension) gossip.AgeBounds {
+	b := gossip.AgeBounds{}
+	for kind, d := range gossip.DefaultAgeBounds {
 		b[kind] = d
 		if ms, said := f.MaxAgeMs[kind.String()]; said {
 			b[kind] = time.Duration(ms * float64(time.Millisecond))
@@ -139,12 +139,12 @@
 }
 
 // Run stays in the fleet, and follows the policy's file, until ctx ends.
-func (t *shared) Run(ctx context.Context) error {
+func (t *place) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	t.followFile(ctx, &tasks)
-	if t.trace != nil {
-		defer t.trace.Close()
+	t.watchPolicyFile(ctx, &tasks)
+	if t.traceFile != nil {
+		defer t.traceFile.Close()
 	}
 	if err := t.Fleet.Run(ctx); err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -152,30 +152,30 @@
 	return nil
 }
 
-func (t *shared) followFile(ctx context.Context, tasks *sync.WaitGroup) {
-	if t.file != "" {
-		tasks.Go(func() { t.holder.Follow(ctx, t.file, t.log) })
+func (t *place) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
+	if t.policyFile != "" {
+		tasks.Go(func() { t.holder.Watch(ctx, t.policyFile, t.log) })
 	}
 }
 
-// alone is an agent with a policy of its own and without a fleet.
-type alone struct{ *shared }
+// withoutFleet is an agent with a policy of its own and without a fleet.
+type withoutFleet struct{ *place }
 
-func (a alone) Run(ctx context.Context) error {
+func (a withoutFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
-	a.followFile(ctx, &tasks)
+	a.watchPolicyFile(ctx, &tasks)
 	<-ctx.Done()
 	tasks.Wait()
 	return nil
 }
 
 // Next asks the list service at once: there is nobody to take turns with.
-func (alone) Next(context.Context, int) (source.Source, bool)    { return source.Source{}, true }
-func (alone) Answered(source.Source, time.Duration, bool, int64) {}
-func (alone) Heard(source.Source)                                {}
-func (alone) Listed(source.Source, int64, int64, []byte, []byte) {}
-func (alone) Ready()                                             {}
-func (alone) Behind(int64) bool                                  { return false }
+func (withoutFleet) Next(context.Context, int) (source.Source, bool)          { return source.Source{}, true }
+func (withoutFleet) RecordAttempt(source.Source, time.Duration, bool, int64)  {}
+func (withoutFleet) RecordLiveness(source.Source)                             {}
+func (withoutFleet) RecordUpdate(source.Source, int64, int64, []byte, []byte) {}
+func (withoutFleet) Ready()                                                   {}
+func (withoutFleet) Lagging(int64) bool                                       { return false }
 
 // Version is the program's, as the others see it.
 func Version() string {
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -12,21 +12,21 @@
 	"martenbeam/internal/settings"
 )
 
-// File is an agent that a file configures. Where there are hubs their settings are laid over it: from the start those that
+// FromFile is an agent that a file configures. Where there are hubs their settings are laid over it: from the start those that
 // were kept, and later those that come.
-func File(file string, log *slog.Logger) (agent.Source, error) {
+func FromFile(file string, log *slog.Logger) (agent.Source, error) {
 	own, err := config.Read(file)
 	if err != nil {
 		return agent.Source{}, err
 	}
-	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: Shares}
+	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: JoinFromConfig}
 	read := func() (*config.Config, error) { return config.Read(file) }
 	if len(own.Fleet.Hubs) > 0 {
-		m := &mover{}
-		over := settings.NewAgent(file, m.move)
-		h := holder(settings.Config{Check: over.Check, Apply: over.Apply, Log: log}, own.Settings.State)
+		m := &discoverySwitch{}
+		over := settings.NewAgentConfig(file, m.switchTo)
+		h := newSettingsHolder(settings.Config{Check: over.Check, Apply: over.Apply, Log: log}, own.Settings.State)
 		read = over.Read
-		source.Join = func(raw []byte) (agent.JoinFunc, error) { return shares(raw, &given{h, m}) }
+		source.Join = func(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, &preparedSettings{h, m}) }
 	}
 	source.Read = func() ([]byte, error) {
 		c, err := read()
@@ -38,19 +38,19 @@
 	return source, nil
 }
 
-// given are settings that were made before the agent was.
-type given struct {
-	holder *settings.Holder
-	moves  *mover
+// preparedSettings are settings that were made before the agent was.
+type preparedSettings struct {
+	holder    *settings.Holder
+	discovery *discoverySwitch
 }
 
-// mover has an agent watch discovery elsewhere, once there is one.
-type mover struct {
+// discoverySwitch has an agent watch discovery elsewhere, once there is one.
+type discoverySwitch struct {
 	mu     sync.Mutex
 	follow func(discovery string)
 }
 
-func (m *mover) move(discovery string) {
+func (m *discoverySwitch) switchTo(discovery string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.follow != nil {
@@ -58,18 +58,18 @@
 	}
 }
 
-func (m *mover) set(follow func(discovery string)) {
+func (m *discoverySwitch) setFollow(follow func(discovery string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.follow = follow
 }
 
-// holder keeps settings in a folder, and begins with what was kept there; "": in none.
-func holder(c settings.Config, state string) *settings.Holder {
+// newSettingsHolder keeps settings in a folder, and begins with what was kept there; "": in none.
+func newSettingsHolder(c settings.Config, state string) *settings.Holder {
 	if state == "" {
 		return settings.NewHolder(c)
 	}
-	c.Keep = settings.Keep(state)
+	c.Save = settings.SaveFunc(state)
 	h := settings.NewHolder(c)
 	if err := h.Load(state); err != nil {
 		c.Log.Error("settings: what was kept can't be used", "error", err)
@@ -80,14 +80,14 @@
 // platformSettings are the settings of an agent that is configured in the platform's form, over which no text is laid:
 // where discovery is takes effect, and all other keys are told to wait.
 func platformSettings(state string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
-	m := &mover{}
-	m.set(func(discovery string) { cfg.Discovery = discovery }) // the agent is about to be made
-	h := holder(settings.Config{Apply: m.apply, Log: log}, state)
-	m.set(follow)
+	m := &discoverySwitch{}
+	m.setFollow(func(discovery string) { cfg.Discovery = discovery }) // the agent is about to be made
+	h := newSettingsHolder(settings.Config{Apply: m.apply, Log: log}, state)
+	m.setFollow(follow)
 	return h
 }
 
-func (m *mover) apply(s *settings.Settings) (later []string, err error) {
+func (m *discoverySwitch) apply(s *settings.Settings) (later []string, err error) {
 	var v struct {
 		Discovery string `toml:"discovery"`
 	}
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	if v.Discovery != "" {
-		m.move(v.Discovery)
+		m.switchTo(v.Discovery)
 	}
 	for _, key := range meta.Undecoded() {
 		if name := key.String(); name != "version" && !slices.Contains(later, name) {
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/settings"
 )
 
-const file = `discovery = "127.0.0.1:1"
+const agentTOML = `discovery = "127.0.0.1:1"
 [fleet]
 listen = "127.0.0.1:0"
 [fleet.hubs]
@@ -28,28 +28,28 @@
 `
 
 // Settings that were kept hold from the start of an agent, whichever form its own configuration has.
-func TestKeptSettingsHoldFromTheStart(t *testing.T) {
+func TestCachedSettingsApplyFromTheStart(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	dir := t.TempDir()
-	if err := settings.Keep(dir)(2, []string{"version = 2\ndiscovery = \"127.0.0.1:9\"\n[attempts]\nmost = 3\n"}); err != nil {
+	if err := settings.SaveFunc(dir)(2, []string{"version = 2\ndiscovery = \"127.0.0.1:9\"\n[attempts]\nmost = 3\n"}); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "agent.toml")
-	if err := os.WriteFile(path, fmt.Appendf(nil, file, dir), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, agentTOML, dir), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	bare, err := config.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	overlaid, err := File(path, log)
+	overlaid, err := FromFile(path, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
 		agent.Source
 		most int
-	}{"file": {overlaid, 3}, "platform": {agent.Source{Read: bare.Platform, Getenv: func(string) string { return "" }, Join: Shares}, 5}} {
+	}{"file": {overlaid, 3}, "platform": {agent.Source{Read: bare.Platform, Getenv: func(string) string { return "" }, Join: JoinFromConfig}, 5}} {
 		cfg, err := c.Load()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/residency/gate/gate.go
+++ b/internal/residency/gate/gate.go
@@ -4,9 +4,9 @@
 
 // Table is what is in force: for each rule the zones that it permits, by number. It is never changed.
 type Table struct {
-	Gen   int // grows with each change
-	Rules [][]bool
-	Bound []bool // which of them bind
+	Generation int // grows with each change
+	Permitted  [][]bool
+	Restricted []bool // which of them bind
 }
 
 // Permits reports whether a rule permits a zone. 0 is no rule, which permits all; a rule or a zone that is not known is
@@ -15,18 +15,18 @@
 	if rule <= 0 {
 		return true
 	}
-	if rule >= len(t.Rules) {
+	if rule >= len(t.Permitted) {
 		return false
 	}
-	if !t.Bound[rule] {
+	if !t.Restricted[rule] {
 		return true
 	}
-	return zone >= 0 && zone < len(t.Rules[rule]) && t.Rules[rule][zone]
+	return zone >= 0 && zone < len(t.Permitted[rule]) && t.Permitted[rule][zone]
 }
 
-// Keeper answers for the policy that is in force. Its methods may be called from any task.
-type Keeper interface {
-	Rule(tenant, class string) int // the number of the rule for a tenant's requests of a class
+// Enforcer answers for the policy that is in force. Its methods may be called from any task.
+type Enforcer interface {
+	RuleID(tenant, class string) int // the number of the rule for a tenant's requests of a class
 	Table() *Table
-	Refused(rule, zone int) // an attempt that the module made was refused before its first byte
+	CountRefusal(rule, zone int) // an attempt that the module made was refused before its first byte
 }
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -16,22 +16,22 @@
 
 // Bounds of a policy.
 const (
-	MaxText     = 256 << 10 // bytes
-	maxRegions  = 1024
-	maxTenants  = 10000
-	mostStands  = 64 // texts under one version
-	serve       = "serve"
-	refuseStale = "refuse"
-	anywhere    = "*"
+	MaxText         = 256 << 10 // bytes
+	maxRegions      = 1024
+	maxTenants      = 10000
+	maxDocuments    = 64 // texts under one version
+	serveWhenStale  = "serve"
+	refuseWhenStale = "refuse"
+	anyRegion       = "*"
 )
 
 // Policy is one text of a policy, as read.
 type Policy struct {
-	Version   int64               `toml:"version"`
-	WhenStale string              `toml:"when_stale"` // "serve" or "refuse", for tenants that don't say
-	Regions   map[string][]string `toml:"regions"`    // the sites of each
-	Tenants   map[string]Tenant   `toml:"tenant"`
-	Others    Rule                `toml:"others"` // tenants that are not named
+	Version     int64               `toml:"version"`
+	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for tenants that don't say
+	Regions     map[string][]string `toml:"regions"`    // the sites of each
+	Tenants     map[string]Tenant   `toml:"tenant"`
+	DefaultRule Rule                `toml:"others"` // tenants that are not named
 
 	text string
 }
@@ -61,54 +61,54 @@
 }
 
 func (p *Policy) check(file string) error {
-	wrong := func(key, format string, args ...any) error {
-		return strictconfig.At(file, p.text, key, format, args...)
+	errorAt := func(key, format string, args ...any) error {
+		return strictconfig.ErrorAt(file, p.text, key, format, args...)
 	}
 	switch {
 	case p.Version < 1:
-		return wrong("version", "%d is not a number from 1: each change has a higher one", p.Version)
+		return errorAt("version", "%d is not a number from 1: each change has a higher one", p.Version)
 	case len(p.Regions) == 0:
-		return wrong("regions", "at least one is needed")
+		return errorAt("regions", "at least one is needed")
 	case len(p.Regions) > maxRegions:
-		return wrong("regions", "%d are more than %d", len(p.Regions), maxRegions)
+		return errorAt("regions", "%d are more than %d", len(p.Regions), maxRegions)
 	case len(p.Tenants) > maxTenants:
-		return wrong("tenant", "%d are more than %d", len(p.Tenants), maxTenants)
-	case p.WhenStale != "" && p.WhenStale != serve && p.WhenStale != refuseStale:
-		return wrong("when_stale", `%q is none of "serve", "refuse"`, p.WhenStale)
+		return errorAt("tenant", "%d are more than %d", len(p.Tenants), maxTenants)
+	case p.WhenStale != "" && p.WhenStale != serveWhenStale && p.WhenStale != refuseWhenStale:
+		return errorAt("when_stale", `%q is none of "serve", "refuse"`, p.WhenStale)
 	}
-	of := map[string]string{}
+	regionOf := map[string]string{}
 	for _, region := range slices.Sorted(maps.Keys(p.Regions)) {
 		for _, site := range p.Regions[region] {
-			if other, twice := of[site]; twice {
-				return wrong("regions."+region, "site %q is in region %q already", site, other)
+			if other, duplicate := regionOf[site]; duplicate {
+				return errorAt("regions."+region, "site %q is in region %q already", site, other)
 			}
-			of[site] = region
+			regionOf[site] = region
 		}
 	}
-	rule := func(key string, r Rule) error {
+	checkRule := func(key string, r Rule) error {
 		if len(r.Permitted) == 0 {
-			return wrong(key, "permitted: regions are needed, or \"*\" alone")
+			return errorAt(key, "permitted: regions are needed, or \"*\" alone")
 		}
 		for _, region := range r.Permitted {
-			if _, known := p.Regions[region]; !known && !(region == anywhere && len(r.Permitted) == 1) {
-				return wrong(key+".permitted", "%q is no region: there are %v", region, slices.Sorted(maps.Keys(p.Regions)))
+			if _, known := p.Regions[region]; !known && !(region == anyRegion && len(r.Permitted) == 1) {
+				return errorAt(key+".permitted", "%q is no region: there are %v", region, slices.Sorted(maps.Keys(p.Regions)))
 			}
 		}
-		if r.WhenStale != "" && r.WhenStale != serve && r.WhenStale != refuseStale {
-			return wrong(key+".when_stale", `%q is none of "serve", "refuse"`, r.WhenStale)
+		if r.WhenStale != "" && r.WhenStale != serveWhenStale && r.WhenStale != refuseWhenStale {
+			return errorAt(key+".when_stale", `%q is none of "serve", "refuse"`, r.WhenStale)
 		}
 		return nil
 	}
-	if err := rule("others", p.Others); err != nil {
+	if err := checkRule("others", p.DefaultRule); err != nil {
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
 		t := p.Tenants[name]
-		if err := rule("tenant."+name, t.Rule); err != nil {
+		if err := checkRule("tenant."+name, t.Rule); err != nil {
 			return err
 		}
 		for _, class := range slices.Sorted(maps.Keys(t.Classes)) {
-			if err := rule("tenant."+name+".class."+class, t.Classes[class]); err != nil {
+			if err := checkRule("tenant."+name+".class."+class, t.Classes[class]); err != nil {
 				return err
 			}
 		}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// rule is what holds for a tenant's requests of a class.
-func (p *Policy) rule(tenant, class string) Rule {
-	r := p.Others
+// ruleFor is what holds for a tenant's requests of a class.
+func (p *Policy) ruleFor(tenant, class string) Rule {
+	r := p.DefaultRule
 	if t, named := p.Tenants[tenant]; named {
 		r = t.Rule
 		if c, differs := t.Classes[class]; differs {
@@ -134,20 +134,20 @@
 	return r
 }
 
-// permits says which of the zones a rule permits. nil: all, those that nobody knows included.
-func (p *Policy) permits(r Rule, zones []string) []bool {
-	if len(r.Permitted) == 1 && r.Permitted[0] == anywhere {
+// permittedZones says which of the zones a rule permits. nil: all, those that nobody knows included.
+func (p *Policy) permittedZones(r Rule, zones []string) []bool {
+	if len(r.Permitted) == 1 && r.Permitted[0] == anyRegion {
 		return nil
 	}
-	list := make([]bool, len(zones))
+	permitted := make([]bool, len(zones))
 	for _, region := range r.Permitted {
 		for _, site := range p.Regions[region] {
 			for i, zone := range zones {
-				list[i] = list[i] || zone == site
+				permitted[i] = permitted[i] || zone == site
 			}
 		}
 	}
-	return list
+	return permitted
 }
 
 // Digest tells texts apart.
--- a/internal/scale/callway/traced.go
+++ b/internal/scale/callway/traced.go
@@ -38,7 +38,7 @@
 
 // ServeTraced runs an agent as the program does, and leaves a trace and a profile of the processor's time in a folder.
 func ServeTraced(file, dir string) error {
-	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: membership.Shares,
+	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: membership.JoinFromConfig,
 		Read: func() ([]byte, error) {
 			c, err := config.Read(file)
 			if err != nil {
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -72,8 +72,8 @@
 	spec     Spec
 	wire     *wire
 	place    place
-	fleet    *fleet.Fleet     // nil: it has a hub
-	spoke    *hubclient.Spoke // nil: the fleet is flat
+	fleet    *fleet.Fleet      // nil: it has a hub
+	spoke    *hubclient.Client // nil: the fleet is flat
 	holder   *residency.Holder
 	follower *discovery.Watcher
 	end      context.CancelFunc
@@ -87,7 +87,7 @@
 
 // place is an agent's place in its fleet.
 type place interface {
-	source.Sources
+	source.Selector
 	Run(ctx context.Context) error
 	Addr() string
 }
@@ -117,7 +117,7 @@
 		a.acted(Policy, version)
 		return nil
 	})
-	told := fleet.Told{Part: func(part float64) { a.part.Store(math.Float64bits(part)) }, Distances: a.far}
+	told := fleet.Callbacks{Quota: func(part float64) { a.part.Store(math.Float64bits(part)) }, Latencies: a.far}
 	var err error
 	if s.Mode == Hubs {
 		err = a.attach(log, told)
@@ -138,10 +138,10 @@
 }
 
 // join has the agent be a member of a flat fleet.
-func (a *Agent) join(log *slog.Logger, told fleet.Told) (err error) {
+func (a *Agent) join(log *slog.Logger, told fleet.Callbacks) (err error) {
 	s := &a.spec
-	a.fleet, err = fleet.New(fleet.Config{Name: s.Name, Site: s.Zone, Version: "hollow", Listen: s.Listen, Seeds: s.Seeds, Label: s.Label, Most: s.Most,
-		Relayed: true, ListRate: listRate, Matrix: s.Matrix, Log: log, Residency: a.holder, Source: s.Source, Wire: a.wire}, s.Zones, told)
+	a.fleet, err = fleet.New(fleet.Config{Name: s.Name, Site: s.Zone, Version: "hollow", Listen: s.Listen, Seeds: s.Seeds, Label: s.Label, MaxMembers: s.Most,
+		RelayedLists: true, ListRate: listRate, MeasureLatency: s.Matrix, Log: log, Residency: a.holder, PolicySource: s.Source, Wire: a.wire}, s.Zones, told)
 	a.place = a.fleet
 	return err
 }
@@ -196,7 +196,7 @@
 	if a.fleet != nil {
 		s.Members = a.fleet.Count()
 	} else {
-		s.Members = int(a.spoke.Known().Census.Attached)
+		s.Members = int(a.spoke.Status().FleetSize.Attached)
 	}
 	return s
 }
@@ -218,7 +218,7 @@
 }
 
 // Give gives a policy at a source.
-func (a *Agent) Give(version int64, text string) error { return a.holder.Take(version, text) }
+func (a *Agent) Give(version int64, text string) error { return a.holder.Apply(version, text) }
 
 // Traffic is what has passed its sockets.
 func (a *Agent) Traffic() Traffic { return a.wire.traffic() }
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -156,13 +156,13 @@
 	for _, a := range c.agents {
 		for _, m := range a.Members() {
 			if m.Name == a.Spec().Name {
-				latest[m.Name] = m.Started
+				latest[m.Name] = m.Incarnation
 			}
 		}
 	}
 	for _, a := range c.agents {
 		for _, m := range a.Members() {
-			if latest[m.Name] != m.Started {
+			if latest[m.Name] != m.Incarnation {
 				return false
 			}
 		}
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -19,12 +19,12 @@
 type Settings = config.Settings
 
 // MaxText bounds a text, in bytes.
-const MaxText = config.MaxSettings
+const MaxText = config.MaxSettingsBytes
 
 const (
-	mostTexts    = 8   // under one version, the one in force included
-	mostWhy      = 512 // bytes; what a frame takes
-	refusedAgain = 30 * time.Second
+	maxDocuments          = 8   // under one version, the one in force included
+	maxReasonBytes        = 512 // bytes; what a frame takes
+	rejectedRetryInterval = 30 * time.Second
 )
 
 // Parse reads settings, and checks what can be checked without an agent's file. Errors name file, line and key.
@@ -37,7 +37,7 @@
 type Config struct {
 	Check func(*Settings) error                       // whether they can be used here
 	Apply func(*Settings) (later []string, err error) // brings them into force; later: keys that wait for the next start
-	Keep  func(version int64, texts []string) error   // on disk, before they are in force
+	Save  func(version int64, texts []string) error   // on disk, before they are in force
 	Log   *slog.Logger
 }
 
@@ -45,24 +45,24 @@
 type Holder struct {
 	cfg Config
 
-	taking sync.Mutex // one text at a time, with its checks and its file
+	applyMu sync.Mutex // one text at a time, with its checks and its file
 
-	mu      sync.Mutex
-	version int64
-	texts   []string // under the version; the first is in force
-	floor   int64    // a version kept from the process before, in force or not: no lower one is taken
-	later   []string
-	refused refusal
-	unkept  string
-	unwhole string
-	changed chan struct{}
+	mu             sync.Mutex
+	version        int64
+	documents      []string // under the version; the first is in force
+	minVersion     int64    // a version kept from the process before, in force or not: no lower one is taken
+	pendingRestart []string
+	rejected       rejection
+	saveFailure    string
+	applyFailure   string
+	changed        chan struct{}
 }
 
-// refusal is a text that was not taken, and is newer than the one in force.
-type refusal struct {
+// rejection is a text that was not taken, and is newer than the one in force.
+type rejection struct {
 	version int64
 	digest  string
-	why     string
+	reason  string
 	at      time.Time
 }
 
@@ -75,95 +75,95 @@
 }
 
 var (
-	errOld   = errors.New("a higher version is in force")
-	errOther = errors.New("another text has this version: the first stands until a higher version comes")
+	errOutdated        = errors.New("a higher version is in force")
+	errConflictingText = errors.New("another text has this version: the first stands until a higher version comes")
 )
 
-// Take takes a text of a version: checked, kept, then in force. After an error the text before is in force.
-func (h *Holder) Take(version int64, text string) error {
-	return h.take(fmt.Sprintf("settings, version %d", version), version, text)
+// Apply takes a text of a version: checked, kept, then in force. After an error the text before is in force.
+func (h *Holder) Apply(version int64, text string) error {
+	return h.apply(fmt.Sprintf("settings, version %d", version), version, text)
 }
 
-// take takes a text; version 0: the one that it says.
-func (h *Holder) take(file string, version int64, text string) error {
-	h.taking.Lock()
-	defer h.taking.Unlock()
-	s, err := Parse(file, text)
-	if err == nil && version != 0 && s.Version != version {
-		err = fmt.Errorf("%s: version: the text says %d", file, s.Version)
+// apply takes a text; version 0: the one that it says.
+func (h *Holder) apply(file string, version int64, text string) error {
+	h.applyMu.Lock()
+	defer h.applyMu.Unlock()
+	parsed, err := Parse(file, text)
+	if err == nil && version != 0 && parsed.Version != version {
+		err = fmt.Errorf("%s: version: the text says %d", file, parsed.Version)
 	}
 	if err == nil {
-		version = s.Version
+		version = parsed.Version
 	}
 	h.mu.Lock()
-	inForce, texts, floor := h.version, h.texts, max(h.version, h.floor)
+	inForce, documents, minVersion := h.version, h.documents, max(h.version, h.minVersion)
 	h.mu.Unlock()
 	digest := Digest(text)
 	switch {
-	case version != 0 && version < floor:
-		return errOld
-	case version == inForce && slices.Contains(texts, text):
-		if text != texts[0] {
-			return errOther
+	case version != 0 && version < minVersion:
+		return errOutdated
+	case version == inForce && slices.Contains(documents, text):
+		if text != documents[0] {
+			return errConflictingText
 		}
-		h.change(func() { h.refused = refusal{} }) // whoever gave a newer one has gone back to this
+		h.update(func() { h.rejected = rejection{} }) // whoever gave a newer one has gone back to this
 		return nil
 	case version == inForce && version != 0:
-		return h.other(version, text)
+		return h.addConflictingText(version, text)
 	}
 	if err == nil && h.cfg.Check != nil {
-		err = h.cfg.Check(s)
+		err = h.cfg.Check(parsed)
 	}
 	if err != nil {
 		h.cfg.Log.Error("settings: a text is not used: what is in force stays", "version", version, "digest", digest, "error", err)
-		h.change(func() { h.refused = refusal{version, digest, err.Error(), time.Now()} })
+		h.update(func() { h.rejected = rejection{version, digest, err.Error(), time.Now()} })
 		return err
 	}
-	unkept := h.keep(version, []string{text})
-	var later []string
-	unwhole := ""
+	saveFailure := h.save(version, []string{text})
+	var pendingRestart []string
+	applyFailure := ""
 	if h.cfg.Apply != nil {
-		if later, err = h.cfg.Apply(s); err != nil { // it was checked, and is kept: the next start has it
+		if pendingRestart, err = h.cfg.Apply(parsed); err != nil { // it was checked, and is kept: the next start has it
 			h.cfg.Log.Error("settings: not all of a text is in force before the next start", "version", version, "error", err)
-			unwhole = "not all is in force before the next start: " + err.Error()
+			applyFailure = "not all is in force before the next start: " + err.Error()
 		}
 	}
-	h.cfg.Log.Info("settings", "version", version, "digest", digest, "later", later)
-	h.change(func() {
-		h.version, h.texts, h.later, h.unkept, h.unwhole = version, []string{text}, later, unkept, unwhole
-		if h.refused.version <= version {
-			h.refused = refusal{}
+	h.cfg.Log.Info("settings", "version", version, "digest", digest, "later", pendingRestart)
+	h.update(func() {
+		h.version, h.documents, h.pendingRestart, h.saveFailure, h.applyFailure = version, []string{text}, pendingRestart, saveFailure, applyFailure
+		if h.rejected.version <= version {
+			h.rejected = rejection{}
 		}
 	})
 	return nil
 }
 
-// other takes note of another text under the version in force. It is kept too, so that the same one stands after a restart.
-func (h *Holder) other(version int64, text string) error {
+// addConflictingText takes note of another text under the version in force. It is kept too, so that the same one stands after a restart.
+func (h *Holder) addConflictingText(version int64, text string) error {
 	h.cfg.Log.Error("settings: several texts have one version: the first stands until a higher one comes", "version", version, "digest", Digest(text))
-	if texts := append(slices.Clone(h.texts), text); len(texts) <= mostTexts {
-		unkept := h.keep(version, texts)
-		h.change(func() { h.texts, h.unkept = texts, unkept })
+	if documents := append(slices.Clone(h.documents), text); len(documents) <= maxDocuments {
+		saveFailure := h.save(version, documents)
+		h.update(func() { h.documents, h.saveFailure = documents, saveFailure })
 	}
-	return errOther
+	return errConflictingText
 }
 
-func (h *Holder) keep(version int64, texts []string) (why string) {
-	if h.cfg.Keep == nil {
+func (h *Holder) save(version int64, texts []string) (failure string) {
+	if h.cfg.Save == nil {
 		return ""
 	}
-	if err := h.cfg.Keep(version, texts); err != nil {
+	if err := h.cfg.Save(version, texts); err != nil {
 		h.cfg.Log.Error("settings: they are not kept: after a restart older ones may be in force", "version", version, "error", err)
 		return "not kept over a restart: " + err.Error()
 	}
 	return ""
 }
 
-// change changes what Standing and State tell.
-func (h *Holder) change(what func()) {
+// update changes what Standing and State tell.
+func (h *Holder) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	what()
+	change()
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
@@ -175,63 +175,63 @@
 	return h.changed
 }
 
-// Wants says whether a text that others have is worth asking for. One that was refused is, again after a while: what it
+// ShouldFetch says whether a text that others have is worth asking for. One that was refused is, again after a while: what it
 // was checked against, the agent's own file, may have been mended.
-func (h *Holder) Wants(version int64, digest string) bool {
+func (h *Holder) ShouldFetch(version int64, digest string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r := h.refused; version < max(h.version, h.floor) || version == r.version && digest == r.digest && time.Since(r.at) < refusedAgain {
+	if r := h.rejected; version < max(h.version, h.minVersion) || version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval {
 		return false
 	}
-	return version > h.version || len(h.texts) < mostTexts && !slices.ContainsFunc(h.texts, func(t string) bool { return Digest(t) == digest })
+	return version > h.version || len(h.documents) < maxDocuments && !slices.ContainsFunc(h.documents, func(t string) bool { return Digest(t) == digest })
 }
 
 // State is what is in force, for others. Of the digests the first is in force; the rest have its version by mistake.
 type State struct {
-	Version int64
-	Digests []string
-	Later   []string // keys that wait for the next start
+	Version        int64
+	Digests        []string
+	PendingRestart []string // keys that wait for the next start
 }
 
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	st := State{Version: h.version, Later: slices.Clone(h.later)}
-	for _, t := range h.texts {
+	st := State{Version: h.version, PendingRestart: slices.Clone(h.pendingRestart)}
+	for _, t := range h.documents {
 		st.Digests = append(st.Digests, Digest(t))
 	}
 	return st
 }
 
-// Standing is what is in force, and what is wrong with it or with a newer text; "": nothing. It has the form of
+// Status is what is in force, and what is wrong with it or with a newer text; "": nothing. It has the form of
 // frame.Standing.
-type Standing struct {
+type Status struct {
 	Version int64
 	Digest  string
-	Why     string
+	Reason  string
 }
 
-func (h *Holder) Standing() Standing {
+func (h *Holder) Status() Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	st := Standing{Version: h.version}
-	var whys []string
-	if h.refused.why != "" {
-		whys = append(whys, "not taken: "+h.refused.why)
+	st := Status{Version: h.version}
+	var reasons []string
+	if h.rejected.reason != "" {
+		reasons = append(reasons, "not taken: "+h.rejected.reason)
 	}
-	if len(h.texts) > 1 {
-		whys = append(whys, fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.texts), h.version))
+	if len(h.documents) > 1 {
+		reasons = append(reasons, fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.documents), h.version))
 	}
-	for _, why := range []string{h.unkept, h.unwhole} {
-		if why != "" {
-			whys = append(whys, why)
+	for _, reason := range []string{h.saveFailure, h.applyFailure} {
+		if reason != "" {
+			reasons = append(reasons, reason)
 		}
 	}
-	if len(h.texts) > 0 {
-		st.Digest = Digest(h.texts[0])
+	if len(h.documents) > 0 {
+		st.Digest = Digest(h.documents[0])
 	}
-	st.Why = strings.Join(whys, "; ")
-	st.Why = strings.ToValidUTF8(st.Why[:min(len(st.Why), mostWhy)], "") // a cut may go through a letter
+	st.Reason = strings.Join(reasons, "; ")
+	st.Reason = strings.ToValidUTF8(st.Reason[:min(len(st.Reason), maxReasonBytes)], "") // a cut may go through a letter
 	return st
 }
 
@@ -239,7 +239,7 @@
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.texts {
+	for _, t := range h.documents {
 		if Digest(t) == digest {
 			return h.version, t, true
 		}
--- a/internal/settings/kind.go
+++ b/internal/settings/kind.go
@@ -5,11 +5,11 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// Kind is the settings of a holder, as a text that goes round a fleet.
-func Kind(h *Holder) *documents.Kind {
-	return &documents.Kind{Fact: gossip.Settings, Subject: "settings", Path: "/settings/", Most: MaxText, Holder: h, Digest: Digest, Wants: h.Wants,
-		State: func() documents.Standing {
+// DocumentKind is the settings of a holder, as a text that goes round a fleet.
+func DocumentKind(h *Holder) *documents.Document {
+	return &documents.Document{GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: MaxText, Holder: h, Digest: Digest, ShouldFetch: h.ShouldFetch,
+		Applied: func() documents.AppliedVersion {
 			st := h.State()
-			return documents.Standing{Version: st.Version, Digests: st.Digests}
+			return documents.AppliedVersion{Version: st.Version, Digests: st.Digests}
 		}}
 }
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -13,60 +13,60 @@
 
 // Error is what is wrong with a file.
 type Error struct {
-	File string
-	Line int    // 0: the file as a whole
-	Key  string // dotted; a table of an array counts from 0, as in fault[2].at
-	Text string
+	File    string
+	Line    int    // 0: the file as a whole
+	Key     string // dotted; a table of an array counts from 0, as in fault[2].at
+	Message string
 }
 
 func (e *Error) Error() string {
-	at := e.File
+	location := e.File
 	if e.Line > 0 {
-		at += ":" + strconv.Itoa(e.Line)
+		location += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Key != "" {
-		at += ": " + e.Key
+		location += ": " + e.Key
 	}
-	return at + ": " + e.Text
+	return location + ": " + e.Message
 }
 
 // Decode reads text into v. An unknown key is an error.
 func Decode(file, text string, v any) error {
 	meta, err := toml.Decode(text, v)
-	var p toml.ParseError
+	var parseErr toml.ParseError
 	switch {
-	case errors.As(err, &p):
-		return &Error{file, p.Position.Line, p.LastKey, p.Message}
+	case errors.As(err, &parseErr):
+		return &Error{file, parseErr.Position.Line, parseErr.LastKey, parseErr.Message}
 	case err != nil: // a value of the wrong type: the library names the key in its text
 		msg := strings.TrimPrefix(err.Error(), "toml: ")
-		key := quoted(msg)
-		if _, rest, led := strings.Cut(msg, "): "); led && strings.HasPrefix(msg, "line ") { // it leads with the place
+		key := firstQuoted(msg)
+		if _, rest, hasPosition := strings.Cut(msg, "): "); hasPosition && strings.HasPrefix(msg, "line ") { // it leads with the place
 			msg = rest
 		}
-		return &Error{file, Line(text, key), key, msg}
+		return &Error{file, LineOf(text, key), key, msg}
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		key := unknown[0].String()
-		return &Error{file, Line(text, key), key, "unknown key"}
+		return &Error{file, LineOf(text, key), key, "unknown key"}
 	}
 	return nil
 }
 
-// quoted is the first key in quotation marks of a message.
-func quoted(s string) string {
+// firstQuoted is the first key in quotation marks of a message.
+func firstQuoted(s string) string {
 	_, s, _ = strings.Cut(s, `"`)
 	key, _, _ := strings.Cut(s, `"`)
 	return key
 }
 
-// At is an error about a key that was read well but holds what can't be.
-func At(file, text, key, format string, args ...any) error {
-	return &Error{file, Line(text, key), key, fmt.Sprintf(format, args...)}
+// ErrorAt is an error about a key that was read well but holds what can't be.
+func ErrorAt(file, text, key, format string, args ...any) error {
+	return &Error{file, LineOf(text, key), key, fmt.Sprintf(format, args...)}
 }
 
-// Line is the line on which a dotted key stands; 0: on none. Where arrays of tables are not counted in the
+// LineOf is the line on which a dotted key stands; 0: on none. Where arrays of tables are not counted in the
 // key, the first that has it.
-func Line(text, key string) int {
+func LineOf(text, key string) int {
 	counts := map[string]int{}
 	table := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -80,16 +80,16 @@
 			table = strings.TrimSpace(strings.Trim(strings.SplitN(line, "]", 2)[0], "[")) + "."
 		}
 		name, _, assigned := strings.Cut(line, "=")
-		if full := table + strings.TrimSpace(name); assigned && (full == key || plain(full) == key) ||
-			strings.TrimSuffix(table, ".") == key || plain(strings.TrimSuffix(table, ".")) == key && key != "" {
+		if full := table + strings.TrimSpace(name); assigned && (full == key || withoutIndexes(full) == key) ||
+			strings.TrimSuffix(table, ".") == key || withoutIndexes(strings.TrimSuffix(table, ".")) == key && key != "" {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// plain drops the counts of tables in arrays.
-func plain(key string) string {
+// withoutIndexes drops the counts of tables in arrays.
+func withoutIndexes(key string) string {
 	var b strings.Builder
 	depth := 0
 	for _, r := range key {
@@ -119,5 +119,5 @@
 
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the span.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+// Duration is the span.
+func (d Duration) Duration() time.Duration { return time.Duration(d) }
--- a/internal/versionedfile/versionedfile.go
+++ b/internal/versionedfile/versionedfile.go
@@ -18,23 +18,23 @@
 // Digest tells texts apart.
 func Digest(text string) string { return strconv.FormatUint(xxhash.Sum64String(text), 16) }
 
-// kept is the form on disk.
-type kept struct {
-	Format  int      `json:"format"`
-	Version int64    `json:"version"`
-	Texts   []string `json:"texts"`
+// storedState is the form on disk.
+type storedState struct {
+	Format    int      `json:"format"`
+	Version   int64    `json:"version"`
+	Documents []string `json:"texts"`
 }
 
-const keptFormat = 1
+const storedFormat = 1
 
-// Keep returns what keeps versions under a name in a folder, synced when it returns: after a crash either the last
+// SaveFunc returns what keeps versions under a name in a folder, synced when it returns: after a crash either the last
 // version or the one before is there, whole.
-func Keep(dir, name string) func(version int64, texts []string) error {
-	return func(version int64, texts []string) error {
+func SaveFunc(dir, name string) func(version int64, documents []string) error {
+	return func(version int64, documents []string) error {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
 		}
-		data, err := json.Marshal(kept{keptFormat, version, texts})
+		data, err := json.Marshal(storedState{storedFormat, version, documents})
 		if err != nil {
 			return err
 		}
@@ -64,36 +64,36 @@
 }
 
 // Load reads what Keep kept; version 0: nothing was.
-func Load(dir, name string) (version int64, texts []string, err error) {
+func Load(dir, name string) (version int64, documents []string, err error) {
 	data, err := os.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil, nil
 	}
-	var k kept
+	var stored storedState
 	if err == nil {
-		err = json.Unmarshal(data, &k)
+		err = json.Unmarshal(data, &stored)
 	}
-	if err == nil && (k.Format != keptFormat || k.Version < 1) {
-		err = fmt.Errorf("format %d, version %d", k.Format, k.Version)
+	if err == nil && (stored.Format != storedFormat || stored.Version < 1) {
+		err = fmt.Errorf("format %d, version %d", stored.Format, stored.Version)
 	}
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: %w", filepath.Join(dir, name), err)
 	}
-	return k.Version, k.Texts, nil
+	return stored.Version, stored.Documents, nil
 }
 
-const lookEvery = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
-// Follow tells of a file's text at once and whenever it changes, until ctx ends. A file that goes away, or can't be read,
+// Watch tells of a file's text at once and whenever it changes, until ctx ends. A file that goes away, or can't be read,
 // is told once, as an error; one that was never there is not.
-func Follow(ctx context.Context, file string, take func(text string, err error)) {
-	tick := time.NewTicker(lookEvery)
+func Watch(ctx context.Context, file string, onChange func(text string, err error)) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	last := ""
 	for {
 		if data, err := os.ReadFile(file); string(data) != last {
 			last = string(data)
-			take(last, err)
+			onChange(last, err)
 		}
 		select {
 		case <-ctx.Done():
