--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -66,7 +66,8 @@
 	}
 	class := &b.classes[event.Class]
 	req := &request{id: event.ID, class: event.Class, objectiveAt: b.now + min(class.LatencyObjective, event.TimeRemaining),
-		deadline: b.now + event.TimeRemaining, clientRetry: event.ClientRetry, residencyRule: event.ResidencyRule, affinityKey: event.AffinityKey, timedFrom: b.now, streaming: event.Streaming}
+		deadline: b.now + event.TimeRemaining, clientRetry: event.ClientRetry, residencyRule: event.ResidencyRule,
+		affinityKey: event.AffinityKey, timedFrom: b.now, streaming: event.Streaming}
 	// A client gives its tries a usual patience, its last one all that is left of its deadline.
 	// A try with any other patience therefore tells how long ago the client began.
 	if class.usualTimeout == 0 {
@@ -188,7 +189,8 @@
 	if b.residencyBound(req) && (len(backend.outstanding) > 0 || b.zone(backend).latencyRatio > crowdedLatencyRatio) {
 		b.reserveZones(req)
 	}
-	a := &attempt{backend: backend, zone: backend.Zone, cell: backend.Cell, sentAt: b.now, sendDeadline: b.sendDeadline(req), expected: max(b.expectedLatency(req), 1), open: true}
+	a := &attempt{backend: backend, zone: backend.Zone, cell: backend.Cell, sentAt: b.now,
+		sendDeadline: b.sendDeadline(req), expected: max(b.expectedLatency(req), 1), open: true}
 	req.attempts = append(req.attempts, a)
 	req.openAttempts++
 	if req.possiblyExecuted++; req.scopeAttempt == nil {
@@ -200,7 +202,8 @@
 	z.canary = false
 	if b.sparseQuota() || len(b.zones) > 1 {
 		objective := float64(b.classes[req.class].LatencyObjective)
-		b.overdueTimers[b.setTimer(time.Duration(min(objective, max(overdueObjectives*objective, overdueLatencies*a.expected))))] = a
+		wait := min(objective, max(overdueObjectives*objective, overdueLatencies*a.expected))
+		b.overdueTimers[b.setTimer(time.Duration(wait))] = a
 	}
 	backend.slowStartBudget -= b.expectedLatency(req) / b.classes[req.class].latency // tells while it is cold
 	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
--- a/balancer/cold.go
+++ b/balancer/cold.go
@@ -17,7 +17,8 @@
 // together would push it over.
 func (b *Balancer) beginSlowStart(backend *backendState, at time.Duration) {
 	b.markUnstable(backend)
-	backend.slowStartAt, backend.warmingUp, backend.answeredSinceStart, backend.latencyRatio, backend.latencySamples = at, true, false, 1, 0
+	backend.slowStartAt, backend.warmingUp, backend.answeredSinceStart = at, true, false
+	backend.latencyRatio, backend.latencySamples = 1, 0
 	backend.slowStartBudget, backend.slowStartBudgetAt = -b.rng.Float64(), b.now
 }
 
--- a/balancer/distance.go
+++ b/balancer/distance.go
@@ -19,7 +19,8 @@
 		if event.RTT[i] == 0 || change > max(minRTTStep, time.Duration(rttStep*float64(z.rtt))) && b.rng.IntN(2) == 0 {
 			z.rtt = event.RTT[i]
 		}
-		if event.RTT[i] == 0 && event.Loss[i] >= lossEvidence && i != b.settings.Zone && i < maxLossZones { // evidence, and never the verdict alone
+		// evidence, and never the verdict alone
+		if event.RTT[i] == 0 && event.Loss[i] >= lossEvidence && i != b.settings.Zone && i < maxLossZones {
 			b.onLossReport(b.settings.Self, 1<<i)
 		}
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -47,7 +47,8 @@
 		b.zone(backend).latencyRatio = ewma(b.zone(backend).latencyRatio, min(latency/a.expected, maxLatencyRatio))
 		backend.failureScore = max(0, backend.failureScore-failureScoreDecay)
 		backend.lastSuccessAt, backend.consecutiveTimeouts = b.now, 0
-		b.recordObservation(observation{backend.gossipKey, byte(min(latency/a.expected, maxLatencyRatio-0.1) * ratioSteps), b.now})
+		value := byte(min(latency/a.expected, maxLatencyRatio-0.1) * ratioSteps)
+		b.recordObservation(observation{backend.gossipKey, value, b.now})
 		meanWorkLatency := latency // for mean work: a heavy request tells of no queue
 		if req.work > 0 && class.meanWork > 0 {
 			meanWorkLatency *= class.meanWork / req.work
@@ -61,7 +62,8 @@
 				*kindRatio += smoothing * (ratio - *kindRatio)
 			}
 			b.learnLatencyRatio(backend, latency/a.expected / *kindRatio)
-			b.adjustLimit(min(latency, meanWorkLatency) / max(1, backend.latencyRatio) / float64(class.LatencyObjective)) // a slow one says little of the rest
+			// a slow one says little of the rest
+			b.adjustLimit(min(latency, meanWorkLatency) / max(1, backend.latencyRatio) / float64(class.LatencyObjective))
 		}
 	case Rejected:
 		backend.recordFailure(0)
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -64,7 +64,8 @@
 			continue
 		}
 		for _, other := range b.queue { // nor is there one for others like it
-			other.skipped = other.skipped || other == req || other.class == req.class && other.unconstrained() && req.unconstrained()
+			other.skipped = other.skipped || other == req ||
+				other.class == req.class && other.unconstrained() && req.unconstrained()
 		}
 	}
 	for i := len(b.queue) - 1; i >= 0; i-- {
@@ -117,7 +118,8 @@
 	if b.gossipsObservations() {
 		factor *= targetLatencyRatio / targetLatencyRatioAlone
 	}
-	b.credit = min(b.credit+b.expectedLatency(req)*min(factor*factor, maxCreditPerRequest), creditBurst*b.classes[req.class].latency)
+	b.credit = min(b.credit+b.expectedLatency(req)*min(factor*factor, maxCreditPerRequest),
+		creditBurst*b.classes[req.class].latency)
 }
 
 // adjustLimit moves the limit on attempts in flight by the latency seen, as a share of the aim: down
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -15,7 +15,8 @@
 		listed[entry.ID] = true
 		backend := b.byID[entry.ID]
 		if backend == nil {
-			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID), latencyRatio: 1, subsetRank: gossipKey(fmt.Sprint(entry.ID, b.settings.Self))}
+			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID), latencyRatio: 1,
+				subsetRank: gossipKey(fmt.Sprint(entry.ID, b.settings.Self))}
 			b.byID[entry.ID], b.byGossipKey[backend.gossipKey] = backend, backend
 			b.backends, b.unstable = append(b.backends, backend), append(b.unstable, backend)
 			if entry.Started > 0 {
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -113,7 +113,8 @@
 
 // gossipStatus is what peers are told.
 func (b *Balancer) gossipStatus(notes []observation) gossipMessage {
-	m := gossipMessage{demand: b.steadyDemand(), latencyRatio: b.latencyRatio, observations: notes, lostZones: b.recentlyLostZones()}
+	m := gossipMessage{demand: b.steadyDemand(), latencyRatio: b.latencyRatio, observations: notes,
+		lostZones: b.recentlyLostZones()}
 	if b.overrides.drainedDemand > 0 {
 		m.demand, m.drained = b.overrides.drainedDemand, true
 	}
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -31,7 +31,8 @@
 	totalWeight, lowestScore, lowestEjected := 0.0, math.Inf(1), math.Inf(1)
 	remaining, closed := b.subsetSize(), b.closedZones(req)
 	// Cold ones take up their part of the limit slowly: little of what they leave is for the warm ones, or these turn slow.
-	crowded := !b.sparseQuota() && b.warmCapacity < b.capacity && float64(b.warmOutstanding) >= max(1, maxWarmLoad*b.limitPerBackend*b.quota*b.warmCapacity)
+	crowded := !b.sparseQuota() && b.warmCapacity < b.capacity &&
+		float64(b.warmOutstanding) >= max(1, maxWarmLoad*b.limitPerBackend*b.quota*b.warmCapacity)
 	for _, backend := range b.backends {
 		if remaining <= 0 {
 			break
@@ -39,8 +40,10 @@
 		if closed != nil && closed[max(backend.Zone, 0)] || crowded && !backend.warmingUp {
 			continue
 		}
-		if backend.State != Up || !b.mayAttempt(req, backend) || backend == req.lastFailed && b.up > 1 || b.now < backend.rejectingUntil ||
-			float64(len(backend.outstanding)) >= max(1, maxBackendShares*b.limitPerBackend*b.quota) || !b.hasSlowStartBudget(backend, req) {
+		if backend.State != Up || !b.mayAttempt(req, backend) || backend == req.lastFailed && b.up > 1 ||
+			b.now < backend.rejectingUntil ||
+			float64(len(backend.outstanding)) >= max(1, maxBackendShares*b.limitPerBackend*b.quota) ||
+			!b.hasSlowStartBudget(backend, req) {
 			continue
 		}
 		if !b.eligible(backend, req) {
@@ -96,8 +99,9 @@
 	if len(b.overrides.reenabledAt) > 0 {
 		for _, backend := range b.backends {
 			at, reenabled := b.overrides.reenabledAt[backend.ID]
-			if reenabled && b.now-at < reinstatePreference && !backend.answeredSinceStart && backend.State == Up && backend != req.lastFailed && len(backend.outstanding) == 0 &&
-				b.now >= backend.rejectingUntil && b.mayAttempt(req, backend) && b.eligible(backend, req) && b.hasSlowStartBudget(backend, req) {
+			if reenabled && b.now-at < reinstatePreference && !backend.answeredSinceStart && backend.State == Up &&
+				backend != req.lastFailed && len(backend.outstanding) == 0 && b.now >= backend.rejectingUntil &&
+				b.mayAttempt(req, backend) && b.eligible(backend, req) && b.hasSlowStartBudget(backend, req) {
 				return backend
 			}
 		}
@@ -122,10 +126,11 @@
 
 // spillover is 0 as long as answers from the own zone take no longer than from another one, and 1 from spilloverAt on.
 func (b *Balancer) spillover(z *zone) float64 {
-	if b.settings.Zone < 0 || b.settings.Zone >= len(b.zones) || b.zones[b.settings.Zone].latencyRatio == 0 || z.latencyRatio == 0 {
+	own := b.settings.Zone
+	if own < 0 || own >= len(b.zones) || b.zones[own].latencyRatio == 0 || z.latencyRatio == 0 {
 		return 0
 	}
-	return min(max((b.zones[b.settings.Zone].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
+	return min(max((b.zones[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
 }
 
 // subsetSize is how many idle backends a choice is made among: the first of this agent's own order
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -20,12 +20,15 @@
 
 // residencyBound reports whether a request may not go just anywhere.
 func (b *Balancer) residencyBound(req *request) bool {
-	return req.residencyRule != 0 && (b.residencyTable == nil || req.residencyRule >= len(b.residencyTable.Permitted) || b.residencyTable.Restricted[req.residencyRule])
+	rule, table := req.residencyRule, b.residencyTable
+	return rule != 0 && (table == nil || rule >= len(table.Permitted) || table.Restricted[rule])
 }
 
 // hasPermittedBackend reports whether a backend that is up may serve a request. One without any is refused at once.
 func (b *Balancer) hasPermittedBackend(req *request) bool {
-	return !b.residencyBound(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool { return backend.State == Up && b.permits(req, backend.Zone) })
+	return !b.residencyBound(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool {
+		return backend.State == Up && b.permits(req, backend.Zone)
+	})
 }
 
 // reserveZones has others keep out of the zones of a bound request that waits for them, or finds them busy or slow.
@@ -41,7 +44,8 @@
 func (b *Balancer) reservedZones(req *request) []bool {
 	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
-		if open = open || z.up > 0 && b.now >= z.reservedUntil && !z.failedOver; b.now < z.reservedUntil && !b.residencyBound(req) {
+		open = open || z.up > 0 && b.now >= z.reservedUntil && !z.failedOver
+		if b.now < z.reservedUntil && !b.residencyBound(req) {
 			if reserved == nil {
 				reserved = make([]bool, len(b.zones))
 			}
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -40,7 +40,8 @@
 
 // mayAttempt is the repeat rule: whether a (further) attempt of r may go to t.
 func (b *Balancer) mayAttempt(req *request, backend *backendState) bool {
-	if !b.permits(req, backend.Zone) || req.ended || req.committed || len(req.attempts) >= b.settings.MaxAttempts || req.openAttempts > 0 && !b.settings.HedgingAllowed {
+	if !b.permits(req, backend.Zone) || req.ended || req.committed || len(req.attempts) >= b.settings.MaxAttempts ||
+		req.openAttempts > 0 && !b.settings.HedgingAllowed {
 		return false
 	}
 	class := &b.classes[req.class]
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -40,11 +40,12 @@
 	slowStartAt                              time.Duration // when its latest start became known or seen
 	answeredSinceStart                       bool          // has answered this balancer since then
 	presumedDead                             bool          // its process seems to have died since the last answer
-	silenceEpisode, silentAttempts           int           // attempts without an answer of any kind in its zone's present spell of silence
-	warmingUp                                bool
-	stable                                   bool    // counted by its zone
-	slowStartBudget                          float64 // work that may be sent while it is cold
-	slowStartBudgetAt                        time.Duration
+	// Attempts without an answer of any kind in its zone's present spell of silence.
+	silenceEpisode, silentAttempts int
+	warmingUp                      bool
+	stable                         bool    // counted by its zone
+	slowStartBudget                float64 // work that may be sent while it is cold
+	slowStartBudgetAt              time.Duration
 }
 
 // decayingSum is a sum of which each part fades exponentially over a span.
@@ -181,9 +182,11 @@
 		return nil, err
 	}
 	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), tokens: maxRetryTokens,
-		limitPerBackend: initialLimitPerBackend, warmUpRatio: 1, subsetScale: 1, quota: 1 / float64(s.Balancers), peers: make([]peer, s.Balancers),
-		byID: map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
-		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{}, latencyRatioByKind: make([][]float64, len(s.Classes))}
+		limitPerBackend: initialLimitPerBackend, warmUpRatio: 1, subsetScale: 1, quota: 1 / float64(s.Balancers),
+		peers: make([]peer, s.Balancers),
+		byID:  map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
+		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{},
+		latencyRatioByKind: make([][]float64, len(s.Classes))}
 	b.settings.MaxAttempts = max(1, s.MaxAttempts)
 	b.settings.InitialCapacity = cmp.Or(s.InitialCapacity, 1)
 	b.trustedMultiple = math.Pow(max(1, s.OverloadMultiple), warmthTrust) // here, since each step asks for it for every backend
@@ -231,7 +234,8 @@
 // The first few weigh more, since a quiet agent sees an answer of each only now and then.
 func (b *Balancer) learnLatencyRatio(backend *backendState, sample float64) {
 	backend.latencySamples++
-	backend.latencyRatio += max(smoothing, 1/(backend.latencySamples+priorSamples)) * (min(sample, maxLatencyRatio) - backend.latencyRatio)
+	weight := max(smoothing, 1/(backend.latencySamples+priorSamples))
+	backend.latencyRatio += weight * (min(sample, maxLatencyRatio) - backend.latencyRatio)
 }
 
 // kindLatencyRatio is how much slower than the mean backends of this kind serve a class. Departure: a quiet
@@ -265,8 +269,8 @@
 
 // Snapshot returns what the next process starts from.
 func (b *Balancer) Snapshot() Snapshot {
-	snapshot := Snapshot{Tokens: b.tokens, LimitPerBackend: b.limitPerBackend, LatencyRatio: b.latencyRatio, PeakThroughput: b.peakThroughput.value(b.now),
-		Demand: b.steadyDemand(), DrainedDemand: b.overrides.drainedDemand}
+	snapshot := Snapshot{Tokens: b.tokens, LimitPerBackend: b.limitPerBackend, LatencyRatio: b.latencyRatio,
+		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.steadyDemand(), DrainedDemand: b.overrides.drainedDemand}
 	for _, p := range b.peers {
 		demand := -1.0
 		if b.now < p.validUntil {
@@ -287,7 +291,8 @@
 		b.tokens = event.Tokens
 	}
 	if len(event.Latency) != len(b.classes) || len(event.PeerDemand) != len(b.peers) ||
-		!inRange(event.LimitPerBackend, minLimitPerBackend, math.MaxInt32) || !inRange(event.LatencyRatio, 0, 2) || !inRange(event.PeakThroughput, 0, 1) ||
+		!inRange(event.LimitPerBackend, minLimitPerBackend, math.MaxInt32) || !inRange(event.LatencyRatio, 0, 2) ||
+		!inRange(event.PeakThroughput, 0, 1) ||
 		!inRange(event.DrainedDemand, 0, math.MaxInt64) || !inRange(event.Demand, 0, math.MaxInt64) {
 		return // of another configuration, or of none
 	}
--- a/balancer/sums.go
+++ b/balancer/sums.go
@@ -4,11 +4,11 @@
 
 // What there is to use, summed up anew in each step. Nothing is decided here.
 
-// capacityTotals are what there is to use. Most backends of a large fleet are warm, up and in use from one step to the next: these are
-// settled, and counted by zone as they settle; only the others are looked at in each step.
+// capacityTotals are what there is to use. Most backends of a large fleet are warm, up and in use from one step to the next:
+// these are settled, and counted by zone as they settle; only the others are looked at in each step.
 type capacityTotals struct {
 	up                   int             // backends that the list says are up
-	capacity             float64         // their number, each counted by its warmth; ejected ones and those that are down are left out
+	capacity             float64         // their number, each by its warmth; ejected ones and those that are down are left out
 	warmCapacity         float64         // of it, what is warm already
 	warmOutstanding      int             // attempts in flight there
 	uncountedOutstanding int             // attempts in flight at backends that are not counted in capacity
@@ -102,7 +102,8 @@
 		}
 	}
 	state := &b.classes[class]
-	value := (b.settings.GoalOverall + b.settings.GoalWorstWindow) * state.PriorityWeight * b.weightUnit(state) / state.latency / max(total, 1e-9)
+	value := (b.settings.GoalOverall + b.settings.GoalWorstWindow) * state.PriorityWeight * b.weightUnit(state) /
+		state.latency / max(total, 1e-9)
 	if class == worst {
 		value += b.settings.GoalWorstClass / (max(state.arrivals, 1) * state.latency)
 	}
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// recentlyLostZones names the zones that this agent left of late for what it saw itself, a bit each: what peers report is not passed on,
-// and that a zone was lost a while ago says nothing of now, least of all to those who were cut off meanwhile.
+// recentlyLostZones names the zones that this agent left of late for what it saw itself, a bit each: what peers report is
+// not passed on, and that a zone was lost a while ago says nothing of now, least of all to those who were cut off meanwhile.
 func (b *Balancer) recentlyLostZones() (lost uint16) {
 	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
 		if z.failedOver && z.ownEvidence && b.now-z.failedOverAt < b.maxObjective {
@@ -87,10 +87,10 @@
 
 // crossingCost is what sending to a zone costs.
 func (b *Balancer) crossingCost(zone int) float64 {
-	switch regions := b.settings.Regions; {
-	case zone == b.settings.Zone:
+	switch own, regions := b.settings.Zone, b.settings.Regions; {
+	case zone == own:
 		return 0
-	case zone >= 0 && zone < len(regions) && b.settings.Zone >= 0 && b.settings.Zone < len(regions) && regions[zone] != regions[b.settings.Zone]:
+	case zone >= 0 && zone < len(regions) && own >= 0 && own < len(regions) && regions[zone] != regions[own]:
 		return max(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
 	}
 	return b.settings.CrossZoneCost
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -31,7 +31,8 @@
 // backend's counts once, and half a second time: it is none against the others.
 func (b *Balancer) recordSilence(a *attempt, result Result) {
 	z := b.zone(a.backend)
-	if a.countedSilent || z.failedOver || z.lastAnswerAt >= a.sentAt || result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
+	if a.countedSilent || z.failedOver || z.lastAnswerAt >= a.sentAt ||
+		result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
 		return // with queues everywhere a long wait tells nothing
 	}
 	a.countedSilent = true
@@ -96,7 +97,8 @@
 // this agent's own, or its link's, and nothing is left.
 func (b *Balancer) otherZoneAnswers(z *zone) bool {
 	for _, other := range b.zones {
-		if other != z && !other.failedOver && other.lastAnswerAt > z.silenceStartedAt && other.logLikelihoodRatio < failOverThreshold/2 {
+		if other != z && !other.failedOver && other.lastAnswerAt > z.silenceStartedAt &&
+			other.logLikelihoodRatio < failOverThreshold/2 {
 			return true
 		}
 	}
@@ -105,7 +107,8 @@
 
 func (b *Balancer) failOver(z *zone) {
 	z.failedOver, z.consecutiveSuccesses, z.recoveryStartedAt = true, 0, 0
-	z.backoffExponent = min(z.backoffExponent*math.Exp2(-float64(b.now-z.failedOverAt)/float64(b.settings.SlowStartWindow+1))+1, maxBackoffExponent)
+	faded := z.backoffExponent * math.Exp2(-float64(b.now-z.failedOverAt)/float64(b.settings.SlowStartWindow+1))
+	z.backoffExponent = min(faded+1, maxBackoffExponent)
 	z.failedOverAt = b.now
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number, FailedOver: true, ByGossip: !z.ownEvidence})
 	b.recomputeCapacity()
@@ -118,7 +121,8 @@
 // probeZone asks one backend of a zone that was left, or lets one request go there where probes are not allowed,
 // and sees to the next.
 func (b *Balancer) probeZone(z *zone) {
-	interval := float64(b.maxObjective) * math.Exp2(z.backoffExponent-1) / 2 * max(1, float64(b.settings.Balancers)/probesPerObjective)
+	interval := float64(b.maxObjective) * math.Exp2(z.backoffExponent-1) / 2 *
+		max(1, float64(b.settings.Balancers)/probesPerObjective)
 	z.probeTimer = b.setTimer(time.Duration(interval * (0.75 + 0.5*b.rng.Float64())))
 	seen, pick := 0, (*backendState)(nil)
 	for _, backend := range b.backends {
@@ -176,7 +180,8 @@
 	case z.recoveryStartedAt == 0:
 		return 1
 	}
-	share := initialTrafficShare + float64(b.now-z.recoveryStartedAt)/(recoveryObjectives*float64(b.maxObjective)*math.Exp2(z.backoffExponent-1))
+	ramp := recoveryObjectives * float64(b.maxObjective) * math.Exp2(z.backoffExponent-1)
+	share := initialTrafficShare + float64(b.now-z.recoveryStartedAt)/ramp
 	if share >= 1 {
 		z.recoveryStartedAt = 0
 	}
@@ -192,7 +197,8 @@
 	closed, open := make([]bool, len(b.zones)), false
 	for i, z := range b.zones {
 		part := b.trafficShare(z)
-		if closed[i] = part < 1 && b.rng.Float64() >= part; closed[i] && z.canary && req.possiblyExecuted == 0 && b.lowestPriority(req.class) {
+		closed[i] = part < 1 && b.rng.Float64() >= part
+		if closed[i] && z.canary && req.possiblyExecuted == 0 && b.lowestPriority(req.class) {
 			closed[i] = false
 		}
 		open = open || !z.failedOver && z.up > 0 && b.permits(req, i)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -122,7 +122,7 @@
 func countWatchGoroutines() (all, waiting int) {
 	stacks := make([]byte, 1<<20)
 	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
-		if bytes.Contains(task, []byte("discovery.(*watch).run")) {
+		if bytes.Contains(task, []byte("discovery.(*watchStream).run")) {
 			all++
 			if head, _, _ := bytes.Cut(task, []byte("\n")); bytes.Contains(head, []byte("[select")) &&
 				!bytes.Contains(task, []byte("(*Client).")) {
