--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		if err := answer(batch, instances, writer); err != nil {
+		if err := processBatch(batch, instances, writer); err != nil {
 			return err
 		}
 		if err := writer.End(); err != nil {
@@ -48,9 +48,9 @@
 	}
 }
 
-// answer gives each instance its events of the batch in one step. A start or
+// processBatch gives each instance its events of the batch in one step. A start or
 // stop within the batch ends the step before it.
-func answer(batch *wire.Batch, instances map[int]stepper, w *wire.Writer) error {
+func processBatch(batch *wire.Batch, instances map[int]stepper, writer *wire.Writer) error {
 	var order []int
 	pending := map[int][]balancer.Event{}
 	flush := func(agent int) error {
@@ -59,35 +59,35 @@
 			return nil
 		}
 		pending[agent] = nil
-		actions, fault := step(instances[agent], batch.Now, events)
-		if fault != "" {
-			w.Broken(agent, fault)
+		actions, panicText := stepRecovering(instances[agent], batch.Now, events)
+		if panicText != "" {
+			writer.Broken(agent, panicText)
 			return nil
 		}
-		return w.Actions(agent, actions)
+		return writer.Actions(agent, actions)
 	}
-	for _, e := range batch.Events {
-		if _, seen := pending[e.Agent]; !seen {
-			order = append(order, e.Agent)
-			pending[e.Agent] = nil
+	for _, event := range batch.Events {
+		if _, seen := pending[event.Agent]; !seen {
+			order = append(order, event.Agent)
+			pending[event.Agent] = nil
 		}
 		switch {
-		case e.Open != nil:
-			if err := flush(e.Agent); err != nil {
+		case event.Open != nil:
+			if err := flush(event.Agent); err != nil {
 				return err
 			}
-			b, err := balancer.New(e.Open.Settings, e.Open.Seed)
+			instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
 			if err != nil {
-				return fmt.Errorf("line %d: OpenInstance: %w", e.Line, err)
+				return fmt.Errorf("line %d: OpenInstance: %w", event.Line, err)
 			}
-			instances[e.Agent] = b
-		case instances[e.Agent] == nil:
-			return fmt.Errorf("line %d: instance %d is not open", e.Line, e.Agent)
-		case e.Retire:
-			pending[e.Agent] = nil // killed: what came just before has no one to act on it
-			delete(instances, e.Agent)
+			instances[event.Agent] = instance
+		case instances[event.Agent] == nil:
+			return fmt.Errorf("line %d: instance %d is not open", event.Line, event.Agent)
+		case event.Retire:
+			pending[event.Agent] = nil // killed: what came just before has no one to act on it
+			delete(instances, event.Agent)
 		default:
-			pending[e.Agent] = append(pending[e.Agent], e.Event)
+			pending[event.Agent] = append(pending[event.Agent], event.Event)
 		}
 	}
 	for _, agent := range order {
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// step turns a panic of the decision code into its text.
-func step(b stepper, now time.Duration, events []balancer.Event) (acts []balancer.Action, fault string) {
+// stepRecovering turns a panic of the decision code into its text.
+func stepRecovering(instance stepper, now time.Duration, events []balancer.Event) (actions []balancer.Action, panicText string) {
 	defer func() {
-		if p := recover(); p != nil {
-			fault = fmt.Sprint("panic: ", p)
+		if value := recover(); value != nil {
+			panicText = fmt.Sprint("panic: ", value)
 		}
 	}()
-	return b.Step(now, events), ""
+	return instance.Step(now, events), ""
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,17 +11,17 @@
 	"martenbeam/internal/wire"
 )
 
-const open = `{"msg":"OpenInstance","Agent":3,"RandomSeed":5,"Facts":{"Balancers":1,"Me":0,"TickMs":5,` +
+const openInstance = `{"msg":"OpenInstance","Agent":3,"RandomSeed":5,"Facts":{"Balancers":1,"Me":0,"TickMs":5,` +
 	`"Profiles":[{"AimMs":400,"DeadlineMs":1500,"Worth":1,"Semantics":"once","WindowMs":0}],` +
 	`"PolicyLimits":{"TryLimit":2},"Contract":{"ColdFrom":1}}}`
-const lists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
+const endpointLists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
 {"msg":"View","Agent":3,"How":"disk","Index":1,"Sheet":0}`
 
-func batch(clock string, lines ...string) string {
+func batchOf(clock string, lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":" + clock + "}\n" + strings.Join(append(lines, ""), "\n") + "{\"msg\":\"End\"}\n"
 }
 
-func TestRun(t *testing.T) {
+func TestBatchesAreAnswered(t *testing.T) {
 	const submit = `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`
 	const try = `{"msg":"Try","Agent":3,"Job":"d0","Backend":"10.0.0.1:80"}` + "\n"
 	const eor = "{\"msg\":\"Eor\"}\n"
@@ -31,13 +31,13 @@
 	}
 	tests := []struct{ name, in, want string }{
 		{"nothing", "", ""},
-		{"an empty batch", batch("1"), eor},
-		{"a request is sent", batch("1", open, lists) + batch("6", submit), eor + try + eor},
-		{"served", batch("1", open, lists, submit) + batch("26", ended("pass", `,"Ended":true`)), try + eor + eor},
-		{"failed", batch("1", open, lists, submit) + batch("26", ended("fault", "")),
+		{"an empty batch", batchOf("1"), eor},
+		{"a request is sent", batchOf("1", openInstance, endpointLists) + batchOf("6", submit), eor + try + eor},
+		{"served", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("pass", `,"Ended":true`)), try + eor + eor},
+		{"failed", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("fault", "")),
 			try + eor + `{"msg":"DropRequest","Agent":3,"Job":"d0"}` + "\n" + eor},
-		{"killed and started in one batch forgets", batch("1", open, lists, submit) +
-			batch("6", `{"msg":"Retire","Agent":3}`, open, lists) + batch("26", ended("fault", "")),
+		{"killed and started in one batch forgets", batchOf("1", openInstance, endpointLists, submit) +
+			batchOf("6", `{"msg":"Retire","Agent":3}`, openInstance, endpointLists) + batchOf("26", ended("fault", "")),
 			try + eor + eor + eor},
 	}
 	for _, tt := range tests {
@@ -53,19 +53,19 @@
 	}
 }
 
-func TestRunFaults(t *testing.T) {
+func TestInvalidInputIsRejectedWithoutOutput(t *testing.T) {
 	var many []string // a start, again and again, so that each ends a step with replies
 	for i := range 2000 {
-		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), open, lists)
+		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), openInstance, endpointLists)
 	}
 	tests := []struct{ name, in, want string }{
-		{"instance not open", batch("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
-		{"settings make no sense", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
-		{"unknown class", batch("1", open, lists, `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":700}`),
+		{"instance not open", batchOf("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
+		{"settings make no sense", batchOf("1", strings.Replace(openInstance, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
+		{"unknown class", batchOf("1", openInstance, endpointLists, `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":700}`),
 			"line 5: Submit: TierClass: unknown class 1"},
-		{"not open, behind one with much to answer", batch("1", append([]string{open, lists},
+		{"not open, behind one with much to answer", batchOf("1", append([]string{openInstance, endpointLists},
 			append(many, `{"msg":"Reminder","Agent":8,"Cookie":1}`)...)...), "instance 8 is not open"},
-		{"broken line", batch("1", "{"), "line 2: "},
+		{"broken line", batchOf("1", "{"), "line 2: "},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -82,12 +82,12 @@
 }
 
 // A panic of the decision code is reported with its text, and the link goes on.
-func TestPanicIsBroken(t *testing.T) {
+func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
-	b := &wire.Batch{Events: []wire.Event{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
-	broken := map[int]stepper{2: stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })}
-	if err := answer(b, broken, w); err != nil {
+	batch := &wire.Batch{Events: []wire.Event{{Agent: 2, Event: balancer.Request{ID: "x"}}}}
+	instances := map[int]stepper{2: stepFunc(func(time.Duration, []balancer.Event) []balancer.Action { panic("no such thing") })}
+	if err := processBatch(batch, instances, w); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.End(); err != nil {
@@ -101,4 +101,6 @@
 
 type stepFunc func(time.Duration, []balancer.Event) []balancer.Action
 
-func (f stepFunc) Step(now time.Duration, e []balancer.Event) []balancer.Action { return f(now, e) }
+func (f stepFunc) Step(now time.Duration, events []balancer.Event) []balancer.Action {
+	return f(now, events)
+}
--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -13,48 +13,48 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// errnosOfAccept are those that accept(2) names for a moment, network errors of a connection among them.
-var errnosOfAccept = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
+// acceptErrnos are those that accept(2) names for a moment, network errors of a connection among them.
+var acceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
 // Clients and operators are served on through accepts that fail, once, three times in a row, or for 2 s, and where a connection
 // can't be watched.
-func TestAcceptThatFails(t *testing.T) {
-	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
+func TestFailingAcceptsLoseNoRequest(t *testing.T) {
+	backend := newFakeBackend(t)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	for _, errno := range errnosOfAccept {
+	for _, errno := range acceptErrnos {
 		for _, times := range []int{1, 3} {
-			d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: errno, Times: times}}})
-			if status, err := request(alone, d.addr, "/get/x"); status != 200 {
+			d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: errno, Times: times}}})
+			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 				t.Fatalf("%d x %v: %d, %v", times, errno, status, err)
 			}
-			if status, _ := d.call(t, "/_ready", ""); status != 200 {
+			if status, _ := d.adminCall(t, "/_ready", ""); status != 200 {
 				t.Fatalf("operator's call after %d x %v: %d", times, errno, status)
 			}
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 		for _, times := range []int{1, 3} {
-			d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.EpollAdd, Errno: errno, Times: times}}})
+			d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.EpollAdd, Errno: errno, Times: times}}})
 			// A client whose connection is closed unread sends the request once more.
-			await(t, fmt.Sprintf("an answer after %d x epoll_ctl %v", times, errno), patience, func() bool {
-				status, _ := request(alone, d.addr, "/get/x")
+			await(t, fmt.Sprintf("an answer after %d x epoll_ctl %v", times, errno), testTimeout, func() bool {
+				status, _ := get(singleUseClient, d.addr, "/get/x")
 				return status == 200
 			})
 		}
 	}
-	d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
+	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
 	answered := make(chan error, 1)
 	go func() {
-		status, err := request(alone, d.addr, "/get/x")
+		status, err := get(singleUseClient, d.addr, "/get/x")
 		if status != 200 {
 			err = fmt.Errorf("status %d: %w", status, err)
 		}
 		answered <- err
 	}()
 	time.Sleep(2 * time.Second)
-	d.apply(t, faultinject.Plan{})
+	d.applyPlan(t, faultinject.Plan{})
 	if err := <-answered; err != nil {
 		t.Errorf("a request through 2 s of failing accepts: %v", err)
 	}
@@ -65,9 +65,9 @@
 }
 
 // A program whose system calls fail for a moment at its start serves all the same.
-func TestStartThroughFailures(t *testing.T) {
-	backend := newStandIn(t)
-	discovery := newCatalog(t, ready("s", backend))
+func TestAgentStartsThroughFailingSystemCalls(t *testing.T) {
+	backend := newFakeBackend(t)
+	discovery := newFakeDiscovery(t, readyEndpoint("s", backend))
 	for _, failure := range []faultinject.Failure{
 		{Call: faultinject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 3},
 		{Call: faultinject.Read, Path: "config.json", Errno: syscall.EIO, Times: 1},
@@ -82,22 +82,22 @@
 	} {
 		t.Run(fmt.Sprint(failure.Call, " ", failure.Errno, " ", failure.Path), func(t *testing.T) {
 			t.Parallel()
-			d := deploy(t, discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{failure}}, nil, "", withPeers(freeAddr(t), freeAddr(t))...)
-			awaitAnswer(t, d, 10*time.Second)
+			d := startAgent(t, discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{failure}}, nil, "", peerEdits(freeAddr(t), freeAddr(t))...)
+			awaitServed(t, d, 10*time.Second)
 		})
 	}
 }
 
-// withPeers are the edits by which a program has two peers: itself, and another.
-func withPeers(own, other string) []string {
+// peerEdits are the edits by which a program has two peers: itself, and another.
+func peerEdits(own, other string) []string {
 	return []string{`"settings":{"Balancers":1`, fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],"settings":{"Balancers":2,"Me":0`, own, own, other),
 		`"TryLimit":4`, `"TryLimit":4,"Peers":true`}
 }
 
 // Calls on datagrams and options of sockets that fail, once, three times in a row and for 2 s, cost no request its answer, and the
 // processor is not worn out by trying again.
-func TestCallsOnSocketsThatFail(t *testing.T) {
-	backend := newStandIn(t)
+func TestFailingSocketCallsLoseNoRequest(t *testing.T) {
+	backend := newFakeBackend(t)
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -108,24 +108,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "", withPeers(own, peer.LocalAddr().String())...)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "", peerEdits(own, peer.LocalAddr().String())...)
 	awaitReady(t, d.addr)
 	for _, call := range []string{faultinject.Receive, faultinject.Send, faultinject.Option, faultinject.Name, faultinject.Descriptor} {
 		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.EPERM} {
 			for _, times := range []int{1, 3} {
-				d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: errno, Times: times}}})
-				if status, err := request(alone, d.addr, "/get/x"); status != 200 {
+				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: errno, Times: times}}})
+				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 					t.Errorf("%d x %s %v: %d, %v", times, call, errno, status, err)
 				}
 			}
 		}
-		d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: syscall.ENOBUFS}}})
+		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: syscall.ENOBUFS}}})
 		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that something is there to be read
 			t.Fatal(err)
 		}
 		before, began := cpuTime(t, d.cmd.Process.Pid), time.Now()
 		for time.Since(began) < 2*time.Second {
-			if status, err := request(alone, d.addr, "/get/x"); status != 200 {
+			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 				t.Errorf("%s for 2 s: %d, %v", call, status, err)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -157,11 +157,11 @@
 	return sum
 }
 
-// awaitAnswer waits until a request is served.
-func awaitAnswer(t *testing.T, d *deployed, within time.Duration) {
+// awaitServed waits until a request is served.
+func awaitServed(t *testing.T, d *agentProcess, timeout time.Duration) {
 	t.Helper()
-	await(t, "an answer", within, func() bool {
-		status, _ := request(alone, d.addr, "/get/x")
+	await(t, "an answer", timeout, func() bool {
+		status, _ := get(singleUseClient, d.addr, "/get/x")
 		return status == 200
 	})
 }
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -80,26 +80,26 @@
 
 // The program listens at the addresses that it is given and at no other, starts no process, and has no file open for writing but
 // its log and what is in its scratch folder.
-func TestListensAndWritesWhereItMay(t *testing.T) {
-	d := deploy(t, newCatalog(t, ready("s", newStandIn(t))).addr, faultinject.Plan{}, nil, "")
+func TestAgentListensAndWritesOnlyWhereConfigured(t *testing.T) {
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", newFakeBackend(t))).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for range 20 {
-		if status, err := request(alone, d.addr, "/get/x"); status != 200 {
+		if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
-	d.awaitCall(t, patience, "/_ready", "")
+	d.awaitAdminOK(t, testTimeout, "/_ready", "")
 	pid := d.cmd.Process.Pid
 	files := openFiles(t, pid)
 	got := listeners(t, fmt.Sprintf("/proc/%d/net/tcp", pid), files)
 	got = append(got, listeners(t, fmt.Sprintf("/proc/%d/net/tcp6", pid), files)...)
-	want := []string{d.addr, d.door}
+	want := []string{d.addr, d.adminAddr}
 	slices.Sort(got)
 	slices.Sort(want)
 	if !slices.Equal(got, want) {
 		t.Errorf("listens at %v, want %v", got, want)
 	}
-	own := filepath.Dir(d.config)
+	own := filepath.Dir(d.configPath)
 	for name, writable := range files {
 		if writable && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, own) && !strings.HasPrefix(name, "/dev/") {
 			t.Errorf("%s is open for writing", name)
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -17,16 +17,16 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// errnosOfConnections are those that reads and writes of a TCP connection may return while the other side still has it.
-var errnosOfConnections = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR, syscall.EIO}
+// connErrnos are those that reads and writes of a TCP connection may return while the other side still has it.
+var connErrnos = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR, syscall.EIO}
 
 // A request that was taken has its answer, though reads of its connection or the write of the answer fail for a moment.
-func TestConnectionThatFailsForAMoment(t *testing.T) {
-	backend := newStandIn(t)
-	backend.took = 100 * time.Millisecond
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
+func TestTransientConnectionErrorsLoseNoRequest(t *testing.T) {
+	backend := newFakeBackend(t)
+	backend.latency = 100 * time.Millisecond
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	for _, errno := range errnosOfConnections {
+	for _, errno := range connErrnos {
 		for _, call := range []string{faultinject.Read, faultinject.Write} {
 			for _, times := range []int{1, 3} {
 				name := fmt.Sprintf("%d x %s %v", times, call, errno)
@@ -34,13 +34,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				_ = c.SetDeadline(time.Now().Add(patience))
-				before := backend.seen.Load()
-				if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Trace-Id: %016x\r\n\r\n", requests.Add(1)); err != nil {
+				_ = c.SetDeadline(time.Now().Add(testTimeout))
+				before := backend.requestCount.Load()
+				if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Trace-Id: %016x\r\n\r\n", requestCounter.Add(1)); err != nil {
 					t.Fatal(err)
 				}
-				await(t, "the attempt", patience, func() bool { return backend.seen.Load() > before })
-				d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(), Errno: errno, Times: times}}})
+				await(t, "the attempt", testTimeout, func() bool { return backend.requestCount.Load() > before })
+				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(), Errno: errno, Times: times}}})
 				if call == faultinject.Read { // so that something is read
 					if _, err := io.WriteString(c, "G"); err != nil {
 						t.Fatal(err)
@@ -57,7 +57,7 @@
 }
 
 // No attempt begins for a large body whose client has gone more than 0.1 s ago, though the rest of what it sent lies unread.
-func TestUploadOfAClientThatHasGone(t *testing.T) {
+func TestNoAttemptForAnUploadOfADisconnectedClient(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
@@ -65,17 +65,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := freeAddr(t) // refuses: the request waits for a retry
-			d := deploy(t, newCatalog(t, listed{ID: "s", Addr: backend, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
+			d := startAgent(t, newFakeDiscovery(t, endpoint{ID: "s", Addr: backend, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			var begun atomic.Int64
-			late := lateness(t)
+			late := schedulingDelay(t)
 			for round := range 10 {
 				conn, err := net.Dial("tcp", d.addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				c := conn.(*net.TCPConn)
-				head := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\nX-Trace-Id: %016x\r\n\r\n", requests.Add(1))
+				head := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\nX-Trace-Id: %016x\r\n\r\n", requestCounter.Add(1))
 				if _, err := io.Copy(c, io.MultiReader(strings.NewReader(head), bytes.NewReader(make([]byte, 150_000)))); err != nil {
 					t.Fatal(err)
 				}
@@ -100,20 +100,20 @@
 
 // A client that stops anywhere in a request and stays gets an error or a close within 3 s: of its connection, or, where that has
 // served a request before, of the first byte of this one.
-func TestRequestThatStopsAnywhere(t *testing.T) {
-	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
+func TestIncompleteRequestTimesOut(t *testing.T) {
+	backend := newFakeBackend(t)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	whole := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("x", 30)
 	chunked := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n12345678\r\n0\r\n\r\n"
 	large := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000)
-	late := lateness(t)
+	late := schedulingDelay(t)
 	var clients sync.WaitGroup
 	for _, text := range []string{whole, chunked, large} {
 		for cut := 1; cut < len(text); cut += max(5, len(text)/15) {
 			for _, second := range []bool{false, true} {
 				clients.Go(func() {
-					if took, err := stopAt(d.addr, text[:cut], second); took > 3*time.Second+late() || err != nil {
+					if took, err := sendPartOfRequest(d.addr, text[:cut], second); took > 3*time.Second+late() || err != nil {
 						t.Errorf("%q of %d, second %v: %v until an error or a close, %v", text[:min(cut, 60)], len(text), second, took, err)
 					}
 				})
@@ -123,18 +123,18 @@
 	clients.Wait()
 }
 
-// stopAt sends the first part of a request, after a whole one if it is the connection's second, and returns how long it takes until
+// sendPartOfRequest sends the first part of a request, after a whole one if it is the connection's second, and returns how long it takes until
 // something comes back, or the end.
-func stopAt(addr, part string, second bool) (time.Duration, error) {
+func sendPartOfRequest(addr, part string, second bool) (time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(c)
 	if second {
-		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %016x\r\n\r\n", requests.Add(1)); err != nil {
+		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %016x\r\n\r\n", requestCounter.Add(1)); err != nil {
 			return 0, err
 		}
 		resp, err := http.ReadResponse(in, nil)
@@ -146,20 +146,20 @@
 		}
 		time.Sleep(time.Second) // it rests for a while
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if _, err := io.WriteString(c, part); err != nil {
 		return 0, err
 	}
 	_, _ = in.ReadByte() // an error is an end
-	return time.Since(began), nil
+	return time.Since(startedAt), nil
 }
 
 // A client that goes on sending a byte now and then is owed the same: of a body that is small, or of a header.
-func TestRequestThatDrips(t *testing.T) {
-	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
+func TestSlowRequestTimesOut(t *testing.T) {
+	backend := newFakeBackend(t)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	late := lateness(t)
+	late := schedulingDelay(t)
 	var clients sync.WaitGroup
 	for _, start := range []string{"POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n", "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "} {
 		for _, every := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond} {
@@ -171,7 +171,7 @@
 				}
 				defer c.Close()
 				began := time.Now()
-				_ = c.SetDeadline(began.Add(patience))
+				_ = c.SetDeadline(began.Add(testTimeout))
 				go func() {
 					for _, err := io.WriteString(c, start); err == nil; _, err = io.WriteString(c, "1") {
 						time.Sleep(every)
@@ -188,22 +188,22 @@
 }
 
 // A request with hardly any time left has its final answer at once, also where its backend says nothing.
-func TestHardlyAnyTimeLeft(t *testing.T) {
-	mute := newStandIn(t)
-	mute.took = time.Hour
-	d := deploy(t, newCatalog(t, ready("s", mute)).addr, faultinject.Plan{}, nil, "")
+func TestRequestWithShortDeadlineIsAnsweredInTime(t *testing.T) {
+	mute := newFakeBackend(t)
+	mute.latency = time.Hour
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", mute)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	late := lateness(t)
+	late := schedulingDelay(t)
 	for _, left := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
 		for range 5 {
 			req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			req.Header.Set("X-Trace-Id", fmt.Sprintf("%016x", requests.Add(1)))
+			req.Header.Set("X-Trace-Id", fmt.Sprintf("%016x", requestCounter.Add(1)))
 			req.Header.Set("X-Expires-In", fmt.Sprintf("%.4f", left.Seconds()))
 			began := time.Now()
-			resp, err := alone.Do(req)
+			resp, err := singleUseClient.Do(req)
 			if err != nil {
 				t.Fatalf("%v left: %v", left, err)
 			}
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -17,13 +17,13 @@
 
 // What an attempt tells its backend is at most what its client has left, with 0.15 s of slack: for first attempts, retries and
 // hedged requests, also where the process is held up for 0.15 s at any moment.
-func TestDeadlinePassedOn(t *testing.T) {
+func TestBackendIsToldTheRemainingTime(t *testing.T) {
 	const slack, hold = 150 * time.Millisecond, 150 * time.Millisecond
 	var ends sync.Map // when the client stops waiting, by request
 	var attempts, over atomic.Int64
 	var worst atomic.Int64
-	late := lateness(t)
-	list := []listed{}
+	late := schedulingDelay(t)
+	list := []endpoint{}
 	for i := range 3 {
 		addr := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 			now := time.Now()
@@ -51,9 +51,9 @@
 				}
 			}
 		})
-		list = append(list, listed{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
+		list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 	}
-	d := deploy(t, newCatalog(t, list...).addr, faultinject.Plan{}, nil, "", `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
+	d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "", `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
 	awaitReady(t, d.addr)
 	var clients sync.WaitGroup
 	end := time.Now().Add(6 * time.Second)
@@ -61,7 +61,7 @@
 		clients.Go(func() {
 			for time.Now().Before(end) {
 				waits := time.Duration(200+rand.IntN(400)) * time.Millisecond
-				id := fmt.Sprintf("%016x", requests.Add(1))
+				id := fmt.Sprintf("%016x", requestCounter.Add(1))
 				req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
 				if err != nil {
 					t.Error(err)
@@ -70,7 +70,7 @@
 				req.Header.Set("X-Trace-Id", id)
 				req.Header.Set("X-Expires-In", fmt.Sprintf("%.3f", waits.Seconds()))
 				ends.Store(id, time.Now().Add(waits))
-				resp, err := alone.Do(req)
+				resp, err := singleUseClient.Do(req)
 				if err != nil {
 					t.Error(err)
 					return
@@ -94,20 +94,20 @@
 }
 
 // The time of a request that has waited in the queue of connections runs from its last byte: here accepting fails for a second.
-func TestDeadlineOfARequestThatWaitedInTheQueue(t *testing.T) {
-	stated, late := make(chan string, 1), lateness(t)
+func TestDeadlineOfARequestQueuedBeforeAccept(t *testing.T) {
+	stated, late := make(chan string, 1), schedulingDelay(t)
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
-	d := deploy(t, newCatalog(t, listed{ID: "s", Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
+	d := startAgent(t, newFakeDiscovery(t, endpoint{ID: "s", Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
+	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
 	answered := make(chan int, 1)
 	sent := time.Now()
 	go func() {
-		status, _ := request(alone, d.addr, "/get/x")
+		status, _ := get(singleUseClient, d.addr, "/get/x")
 		answered <- status
 	}()
 	time.Sleep(time.Second)
-	d.apply(t, faultinject.Plan{})
+	d.applyPlan(t, faultinject.Plan{})
 	left := 5*time.Second - time.Since(sent)
 	if status := <-answered; status != 200 {
 		t.Fatalf("status %d", status)
--- a/cmd/agent/deployment_test.go
+++ b/cmd/agent/deployment_test.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// namesOf are the names by which a site file calls its classes, tenants, zones, tiers and machines, and itself.
-func namesOf(t *testing.T, path string) (names []string) {
+// deploymentNames are the names by which a site file calls its classes, tenants, zones, tiers and machines, and itself.
+func deploymentNames(t *testing.T, path string) (names []string) {
 	t.Helper()
 	type named struct{ Name string }
 	var site struct {
@@ -41,8 +41,8 @@
 	return names
 }
 
-// knows returns the names that stand in a text.
-func knows(text string, names []string) (found []string) {
+// namesFoundIn returns the names that stand in a text.
+func namesFoundIn(text string, names []string) (found []string) {
 	for _, name := range names {
 		if regexp.MustCompile(`(?i)(^|[^\w-])` + regexp.QuoteMeta(name) + `($|[^\w-])`).MatchString(text) {
 			found = append(found, name)
@@ -52,16 +52,16 @@
 }
 
 // Nothing that `run` and `sim` are built from, nor the deploy file, knows a deployment by name.
-func TestNothingKnowsADeployment(t *testing.T) {
+func TestCodeNamesNoDeployment(t *testing.T) {
 	sites, err := filepath.Glob("../../deploy/sites/*/*.toml")
 	if err != nil || len(sites) < 2 {
 		t.Fatalf("%d sites, %v", len(sites), err)
 	}
 	var names []string
 	for _, path := range sites {
-		names = append(names, namesOf(t, path)...)
+		names = append(names, deploymentNames(t, path)...)
 	}
-	if len(names) < 20 || len(knows(`case "`+names[0]+`":`, names)) != 1 {
+	if len(names) < 20 || len(namesFoundIn(`case "`+names[0]+`":`, names)) != 1 {
 		t.Fatalf("%d names, of which the first is not found where it stands", len(names))
 	}
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if .Module}}{{if .Module.Main}}{{.Dir}}{{end}}{{end}}", ".", "../adapter").Output()
@@ -87,7 +87,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found := knows(string(text), names); len(found) > 0 {
+		if found := namesFoundIn(string(text), names); len(found) > 0 {
 			t.Errorf("%s knows %v", path, found)
 		}
 	}
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -13,9 +13,9 @@
 
 // Where lists are pushed, what discovery has counts from the first moment of a new process: a backend that drains by it gets
 // nothing new 0.5 s later, though the list that the process starts with says that it is ready, and whatever fails meanwhile.
-func TestFirstListOfANewProcess(t *testing.T) {
+func TestFirstListAppliesFromTheStart(t *testing.T) {
 	const grace, slack = 500 * time.Millisecond, 50 * time.Millisecond
-	if _, err := faulty(); err != nil { // built before anything is timed
+	if _, err := faultyProgram(); err != nil { // built before anything is timed
 		t.Fatal(err)
 	}
 	for name, failure := range map[string]faultinject.Failure{
@@ -31,33 +31,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late := lateness(t)
+			late := schedulingDelay(t)
 			var latest atomic.Int64 // nanoseconds since the start
 			var began time.Time
 			drains := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 				latest.Store(max(latest.Load(), int64(time.Since(began))))
 				fmt.Fprint(w, "served")
 			})
-			good := newStandIn(t)
-			now := []listed{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "draining", Weight: 1}, ready("t", good)}
+			good := newFakeBackend(t)
+			now := []endpoint{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("t", good)}
 			known := fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},"settings":`, drains)
 			plan := faultinject.Plan{}
 			if failure.Call != "" {
 				plan.Failures = []faultinject.Failure{failure}
 			}
-			discovery := newCatalog(t, now...)
+			discovery := newFakeDiscovery(t, now...)
 			began = time.Now()
-			d := deploy(t, discovery.addr, plan, nil, "", `"settings":`, known)
+			d := startAgent(t, discovery.addr, plan, nil, "", `"settings":`, known)
 			awaitReady(t, d.addr)
 			for time.Since(began) < 2*time.Second {
-				if status, err := request(alone, d.addr, "/get/x"); status != http.StatusOK && status != http.StatusServiceUnavailable {
+				if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK && status != http.StatusServiceUnavailable {
 					t.Fatalf("%d, %v", status, err)
 				}
 			}
 			if at := time.Duration(latest.Load()); at > grace+slack+late() {
 				t.Errorf("the latest request reached the backend that drains %v after the start", at)
 			}
-			if good.seen.Load() == 0 {
+			if good.requestCount.Load() == 0 {
 				t.Error("nothing reached the backend that is ready")
 			}
 		})
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -21,20 +21,20 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-var growthFor = flag.Duration("growth.for", 6*time.Second, "how long agents of two sizes of a fleet are called")
+var growthDuration = flag.Duration("growth.for", 6*time.Second, "how long agents of two sizes of a fleet are called")
 
 // fleetSize is what an agent is told of its fleet.
 type fleetSize struct{ agents, backends int }
 
 // traffic is what one agent of a fleet carries, at any size of that.
 type traffic struct {
-	apart time.Duration // requests come so far apart
-	aim   time.Duration // of the longest class
-	work  time.Duration // of a request
+	interval  time.Duration // requests come so far apart
+	objective time.Duration // of the longest class
+	latency   time.Duration // of a request
 }
 
-// needs are what a process needed from its start to its end.
-type needs struct {
+// resourceUsage are what a process needed from its start to its end.
+type resourceUsage struct {
 	cpu         time.Duration
 	peakMB      float64
 	descriptors int
@@ -43,8 +43,8 @@
 	served      float64
 }
 
-// manyBackends opens backends of which one of eight fails each request. It returns their addresses, and counts connections.
-func manyBackends(t *testing.T, n int, work time.Duration, connections *atomic.Int64) (addrs []string) {
+// startBackends opens backends of which one of eight fails each request. It returns their addresses, and counts connections.
+func startBackends(t *testing.T, n int, latency time.Duration, connections *atomic.Int64) (addrs []string) {
 	t.Helper()
 	for i := range n {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.2.%d.%d:0", 1+i/200, 1+i%200))
@@ -53,7 +53,7 @@
 		}
 		server := &http.Server{
 			Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				time.Sleep(work)
+				time.Sleep(latency)
 				if i%8 == 3 {
 					w.WriteHeader(http.StatusInternalServerError)
 				}
@@ -70,8 +70,8 @@
 	return addrs
 }
 
-// peak reads the most memory that a process has had, in MB, and how many descriptors it has now.
-func peak(t *testing.T, pid int) (mb float64, descriptors int) {
+// processUsage reads the most memory that a process has had, in MB, and how many descriptors it has now.
+func processUsage(t *testing.T, pid int) (mb float64, descriptors int) {
 	t.Helper()
 	proc := "/proc/" + strconv.Itoa(pid)
 	status, err := os.ReadFile(proc + "/status")
@@ -91,75 +91,75 @@
 	return mb, len(open)
 }
 
-// needsOf runs an agent, while one in two hundred backends starts again each second.
-func needsOf(t *testing.T, size fleetSize, load traffic) (n needs) {
+// measureUsage runs an agent, while one in two hundred backends starts again each second.
+func measureUsage(t *testing.T, size fleetSize, load traffic) (usage resourceUsage) {
 	t.Helper()
 	var connections atomic.Int64
-	var list []listed
-	for i, addr := range manyBackends(t, size.backends, load.work, &connections) {
-		list = append(list, listed{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m", State: "ready", Weight: 1})
+	var list []endpoint
+	for i, addr := range startBackends(t, size.backends, load.latency, &connections) {
+		list = append(list, endpoint{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m", State: "ready", Weight: 1})
 	}
-	discovery := newChanges(t, list)
-	d := deploy(t, discovery.addr, faultinject.Plan{}, nil, "", `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
-		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, load.aim.Milliseconds(), 3*load.aim.Milliseconds()))
+	discovery := newDeltaDiscovery(t, list)
+	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
+		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, load.objective.Milliseconds(), 3*load.objective.Milliseconds()))
 	awaitReady(t, d.addr)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: patience}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: testTimeout}
 	defer client.CloseIdleConnections()
 	var served, sent atomic.Int64
 	var calls sync.WaitGroup
-	tick := time.NewTicker(load.apart)
+	tick := time.NewTicker(load.interval)
 	defer tick.Stop()
-	for end, i := time.Now().Add(*growthFor), 0; time.Now().Before(end); i++ {
+	for end, i := time.Now().Add(*growthDuration), 0; time.Now().Before(end); i++ {
 		<-tick.C
 		sent.Add(1)
 		calls.Go(func() {
-			if status, _ := request(client, d.addr, "/get/x"); status == http.StatusOK {
+			if status, _ := get(client, d.addr, "/get/x"); status == http.StatusOK {
 				served.Add(1)
 			}
 		})
-		if each := int(time.Second / load.apart); i%each == each-1 {
+		if each := int(time.Second / load.interval); i%each == each-1 {
 			discovery.restart(max(1, size.backends/200))
-			_, open := peak(t, d.cmd.Process.Pid)
-			n.descriptors = max(n.descriptors, open)
+			_, open := processUsage(t, d.cmd.Process.Pid)
+			usage.descriptors = max(usage.descriptors, open)
 		}
 	}
 	calls.Wait()
-	n.peakMB, _ = peak(t, d.cmd.Process.Pid)
+	usage.peakMB, _ = processUsage(t, d.cmd.Process.Pid)
 	d.signal(t, syscall.SIGTERM)
 	if err := d.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	n.cpu = d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
-	n.listBytes = discovery.sent.Load()
-	n.connections, n.served = connections.Load(), float64(served.Load())/float64(sent.Load())
-	return n
+	usage.cpu = d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
+	usage.listBytes = discovery.bytesSent.Load()
+	usage.connections, usage.served = connections.Load(), float64(served.Load())/float64(sent.Load())
+	return usage
 }
 
-// changes is a discovery that tells the whole list once, and then what has changed.
-type changes struct {
-	addr string
-	mu   sync.Mutex
-	list []listed
-	told []string      // a line for each change
-	more chan struct{} // closed with the next
-	sent atomic.Int64  // bytes
-	next int           // backend that starts again
+// deltaDiscovery is a discovery that tells the whole list once, and then what has changed.
+type deltaDiscovery struct {
+	addr        string
+	mu          sync.Mutex
+	list        []endpoint
+	lines       []string      // a line for each change
+	changed     chan struct{} // closed with the next
+	bytesSent   atomic.Int64  // bytes
+	nextBackend int           // backend that starts again
 }
 
-func newChanges(t *testing.T, list []listed) *changes {
+func newDeltaDiscovery(t *testing.T, list []endpoint) *deltaDiscovery {
 	t.Helper()
-	c := &changes{list: list, more: make(chan struct{})}
-	whole := lineOf(t, 1, true, list)
+	c := &deltaDiscovery{list: list, changed: make(chan struct{})}
+	whole := listLine(t, 1, true, list)
 	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.WriteString(w, whole)
-		c.sent.Add(int64(n))
+		c.bytesSent.Add(int64(n))
 		for told := 0; ; {
 			c.mu.Lock()
-			lines, more := c.told[told:], c.more
-			told = len(c.told)
+			lines, more := c.lines[told:], c.changed
+			told = len(c.lines)
 			c.mu.Unlock()
 			n, err := io.WriteString(w, strings.Join(lines, "")+"\n")
-			c.sent.Add(int64(n))
+			c.bytesSent.Add(int64(n))
 			if err = errors.Join(err, http.NewResponseController(w).Flush()); err != nil {
 				return
 			}
@@ -174,9 +174,9 @@
 	return c
 }
 
-func lineOf(t *testing.T, version int, full bool, list []listed) string {
+func listLine(t *testing.T, version int, full bool, list []endpoint) string {
 	t.Helper()
-	text, err := jsonOf(map[string]any{"version": version, "full": full, "servers": list})
+	text, err := toJSON(map[string]any{"version": version, "full": full, "servers": list})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,24 +184,24 @@
 }
 
 // restart has the next backends start again.
-func (c *changes) restart(n int) {
+func (c *deltaDiscovery) restart(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var some []listed
+	var some []endpoint
 	for range n {
-		s := &c.list[c.next%len(c.list)]
+		s := &c.list[c.nextBackend%len(c.list)]
 		s.Started = time.Now().UnixMilli()
 		some = append(some, *s)
-		c.next += 7
+		c.nextBackend += 7
 	}
-	text, _ := jsonOf(map[string]any{"version": 2 + len(c.told), "full": false, "servers": some}) // it holds nothing that can't be written
-	c.told = append(c.told, text+"\n")
-	close(c.more)
-	c.more = make(chan struct{})
+	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // it holds nothing that can't be written
+	c.lines = append(c.lines, text+"\n")
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
 // What an agent needs grows only so far from the usual size of a fleet to sixteen times the backends.
-func TestNeedsInALargeFleet(t *testing.T) {
+func TestResourcesInALargeFleetAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		usual, large fleetSize
 		load         traffic
@@ -212,47 +212,47 @@
 		"little to do": {fleetSize{300, 200}, fleetSize{900, 3200}, traffic{200 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a, b needs
+			var a, b resourceUsage
 			t.Run("beside each other", func(t *testing.T) { // on the same machine
-				for into, size := range map[*needs]fleetSize{&a: c.usual, &b: c.large} {
+				for into, size := range map[*resourceUsage]fleetSize{&a: c.usual, &b: c.large} {
 					t.Run(fmt.Sprint(size.backends), func(t *testing.T) {
 						t.Parallel()
-						*into = needsOf(t, size, c.load)
+						*into = measureUsage(t, size, c.load)
 					})
 				}
 			})
 			t.Logf("usual %+v, large %+v", a, b)
 			if !t.Failed() {
-				b.within(t, a, float64(c.large.backends)/1000)
+				b.checkGrowth(t, a, float64(c.large.backends)/1000)
 			}
 		})
 	}
 }
 
-// within holds what an agent needs in a large fleet against what it may, by what it needs at the usual size.
-func (n needs) within(t *testing.T, usual needs, thousands float64) {
+// checkGrowth holds what an agent needs in a large fleet against what it may, by what it needs at the usual size.
+func (n resourceUsage) checkGrowth(t *testing.T, usual resourceUsage, thousands float64) {
 	t.Helper()
-	if most := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); n.cpu > most {
-		t.Errorf("%v of processor time, %v allowed", n.cpu, most)
+	if limit := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); n.cpu > limit {
+		t.Errorf("%v of processor time, %v allowed", n.cpu, limit)
 	}
-	if most := 1.5*usual.peakMB + 8 + 4*thousands; n.peakMB > most {
-		t.Errorf("%.1f MB, %.1f allowed", n.peakMB, most)
+	if limit := 1.5*usual.peakMB + 8 + 4*thousands; n.peakMB > limit {
+		t.Errorf("%.1f MB, %.1f allowed", n.peakMB, limit)
 	}
-	if most := 2*usual.descriptors + 40; n.descriptors > most {
-		t.Errorf("%d descriptors, %d allowed", n.descriptors, most)
+	if limit := 2*usual.descriptors + 40; n.descriptors > limit {
+		t.Errorf("%d descriptors, %d allowed", n.descriptors, limit)
 	}
-	if most := usual.connections*5/2 + 40; n.connections > most {
-		t.Errorf("%d connections to backends, %d allowed", n.connections, most)
+	if limit := usual.connections*5/2 + 40; n.connections > limit {
+		t.Errorf("%d connections to backends, %d allowed", n.connections, limit)
 	}
-	if most := 2*usual.listBytes + 64<<10 + int64(500e3*thousands); n.listBytes > most {
-		t.Errorf("%d bytes of lists, %d allowed", n.listBytes, most)
+	if limit := 2*usual.listBytes + 64<<10 + int64(500e3*thousands); n.listBytes > limit {
+		t.Errorf("%d bytes of lists, %d allowed", n.listBytes, limit)
 	}
-	if least := 0.85 * usual.served; n.served < least {
-		t.Errorf("%.3f served, %.3f wanted", n.served, least)
+	if minimum := 0.85 * usual.served; n.served < minimum {
+		t.Errorf("%.3f served, %.3f wanted", n.served, minimum)
 	}
 }
 
-func jsonOf(v any) (string, error) {
+func toJSON(v any) (string, error) {
 	text, err := json.Marshal(v)
 	return string(text), err
 }
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -11,8 +11,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// again kills the program and starts it with another log, of which this process keeps no end for writing.
-func (d *deployed) again(t *testing.T, log *os.File) (cmd *exec.Cmd, ended <-chan error) {
+// restartWithLog kills the program and starts it with another log, of which this process keeps no end for writing.
+func (d *agentProcess) restartWithLog(t *testing.T, log *os.File) (cmd *exec.Cmd, exited <-chan error) {
 	t.Helper()
 	d.signal(t, syscall.SIGKILL)
 	_ = d.cmd.Wait()
@@ -29,18 +29,18 @@
 }
 
 // A log that nobody reads any more, or whose disk is full, ends nothing.
-func TestLogThatCannotBeWritten(t *testing.T) {
-	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
+func TestFailingLogDoesNotStopTheAgent(t *testing.T) {
+	backend := newFakeBackend(t)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	read.Close() // the first line is written to a broken pipe
-	unread, ended := d.again(t, write)
+	unread, ended := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
-	if err := os.WriteFile(d.config, []byte("{"), 0o600); err != nil {
+	if err := os.WriteFile(d.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 { // each is logged
@@ -49,8 +49,8 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "pipe:", Errno: syscall.ENOSPC}}})
-	awaitAnswer(t, d, patience)
+	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "pipe:", Errno: syscall.ENOSPC}}})
+	awaitServed(t, d, testTimeout)
 	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -60,19 +60,19 @@
 }
 
 // Whoever reads the log may stay and read nothing: the agent starts, serves and ends all the same.
-func TestLogThatIsNotRead(t *testing.T) {
-	backend := newStandIn(t)
-	d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "")
+func TestBlockedLogDoesNotStopTheAgent(t *testing.T) {
+	backend := newFakeBackend(t)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer read.Close()
-	fill(t, write)
-	unread, ended := d.again(t, write)
+	fillPipe(t, write)
+	unread, ended := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
-	if status, err := request(alone, d.addr, "/get/x"); status != http.StatusOK {
+	if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
 		t.Errorf("%d, %v", status, err)
 	}
 	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// fill writes to a pipe until it takes no more.
-func fill(t *testing.T, pipe *os.File) {
+// fillPipe writes to a pipe until it takes no more.
+func fillPipe(t *testing.T, pipe *os.File) {
 	t.Helper()
 	if err := pipe.SetWriteDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
 		t.Fatal(err)
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
@@ -37,9 +37,9 @@
 	os.Exit(code)
 }
 
-var hosts atomic.Int64 // that freeAddr has given out
+var hostCounter atomic.Int64 // that freeAddr has given out
 
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+func startProgram(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -60,7 +60,7 @@
 // take its port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	n := hosts.Add(1)
+	n := hostCounter.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 20+os.Getpid()%30, 1+n/250%250, 1+n%250))
 	if err != nil {
 		t.Fatal(err)
@@ -69,25 +69,25 @@
 	return ln.Addr().String()
 }
 
-const config = `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},
  "settings":{"Balancers":1,"Dcs":["a"],"Kinds":["m"],"MembershipMode":"subscribe","TickMs":1,
   "Profiles":[{"Name":"get","AimMs":5000,"DeadlineMs":20000,"Worth":1,"Semantics":"repeatable"}],
   "PolicyLimits":{"TryLimit":2,"ConnectTimeoutMs":10000,"IdleCloseMs":60000},"Contract":{"AskWithinMs":1000}}}`
 
-func TestBadConfigEndsTheProgram(t *testing.T) {
-	cmd, log := program(t, `{"listen":"nowhere"}`)
+func TestInvalidConfigurationEndsTheProgram(t *testing.T) {
+	cmd, log := startProgram(t, `{"listen":"nowhere"}`)
 	if err := cmd.Wait(); err == nil || cmd.ProcessState.ExitCode() != 1 || !strings.Contains(log.String(), "seed") {
 		t.Errorf("%v, log %q", err, log)
 	}
 }
 
 // A descriptor that is no listening socket ends the program with one clear line.
-func TestBadDescriptorEndsTheProgram(t *testing.T) {
+func TestInvalidListenDescriptorEndsTheProgram(t *testing.T) {
 	for _, fd := range []string{"none", "2", "77"} {
 		t.Setenv("PROXY_FD", fd)
 		t.Setenv("TMPDIR", t.TempDir())
-		cmd, log := program(t, fmt.Sprintf(config, freeAddr(t), freeAddr(t), freeAddr(t)))
+		cmd, log := startProgram(t, fmt.Sprintf(configTemplate, freeAddr(t), freeAddr(t), freeAddr(t)))
 		if err := cmd.Wait(); err == nil || cmd.ProcessState.ExitCode() != 1 || strings.Count(log.String(), "\n") != 1 ||
 			!strings.Contains(log.String(), "PROXY_FD") {
 			t.Errorf("PROXY_FD=%s: %v, log %q", fd, err, log)
@@ -97,7 +97,7 @@
 
 // SIGHUP after the configuration was replaced: discovery is watched where it is now, though the
 // variable still names the old address. One that can't be read changes nothing and ends nothing.
-func TestSighupMovesDiscovery(t *testing.T) {
+func TestSighupFollowsDiscoveryToItsNewAddress(t *testing.T) {
 	watched := make(chan struct{}, 10)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,10 +112,10 @@
 	defer server.Close()
 	addr, old := freeAddr(t), freeAddr(t)
 	t.Setenv("PROXY_DISCOVERY", old)
-	cmd, _ := program(t, fmt.Sprintf(config, addr, old, freeAddr(t)))
+	cmd, _ := startProgram(t, fmt.Sprintf(configTemplate, addr, old, freeAddr(t)))
 	awaitReady(t, addr)
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "PROXY_CONFIG=")
-	for _, text := range []string{"{no configuration", fmt.Sprintf(config, addr, ln.Addr().String(), freeAddr(t))} {
+	for _, text := range []string{"{no configuration", fmt.Sprintf(configTemplate, addr, ln.Addr().String(), freeAddr(t))} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -126,7 +126,7 @@
 	}
 	select {
 	case <-watched:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the new address was not watched")
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -140,21 +140,21 @@
 // awaitReady waits until the program at addr is ready.
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/_health"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
 				return
 			}
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal("never ready")
 		}
 	}
 }
 
 // SIGTERM with a request in flight: it gets its answer, and the program ends with status 0.
-func TestSigtermWithARequestInFlight(t *testing.T) {
+func TestSigtermLetsTheRequestInFlightFinish(t *testing.T) {
 	came, hold := make(chan struct{}), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,7 +168,7 @@
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
 	addr := freeAddr(t)
-	cmd, log := program(t, fmt.Sprintf(config, addr, freeAddr(t), ln.Addr().String()))
+	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), ln.Addr().String()))
 	awaitReady(t, addr)
 	answered := make(chan string, 1)
 	go func() {
@@ -185,7 +185,7 @@
 	}()
 	select {
 	case <-came:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("the request did not arrive; log %q", log)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -203,7 +203,7 @@
 // SIGTERM while a SIGHUP is carried out, which reads a configuration that nobody has written yet, and another SIGHUP after it:
 // the request in flight has its answer meanwhile, and the program ends with status 0 once the configuration is there, whether
 // it can be used or not.
-func TestSigtermDuringSighup(t *testing.T) {
+func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
 	for _, usable := range []bool{true, false} {
 		came, hold := make(chan struct{}), make(chan struct{})
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -218,8 +218,8 @@
 		go func() { _ = server.Serve(ln) }()
 		defer server.Close()
 		addr := freeAddr(t)
-		text := fmt.Sprintf(config, addr, freeAddr(t), ln.Addr().String())
-		cmd, log := program(t, text)
+		text := fmt.Sprintf(configTemplate, addr, freeAddr(t), ln.Addr().String())
+		cmd, log := startProgram(t, text)
 		awaitReady(t, addr)
 		answered := make(chan string, 1)
 		go func() {
@@ -236,7 +236,7 @@
 		}()
 		select {
 		case <-came:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the request did not arrive")
 		}
 		path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "PROXY_CONFIG=")
@@ -254,13 +254,13 @@
 		var replaced *os.File
 		select {
 		case replaced = <-read:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the configuration is not read")
 		}
 		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600), cmd.Process.Signal(syscall.SIGTERM)); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) { // until it stops
+		for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // until it stops
 			resp, err := http.Get("http://" + addr + "/_health")
 			if err == nil {
 				resp.Body.Close()
@@ -293,10 +293,10 @@
 }
 
 // A SIGHUP in the last moment before a program ends that was told to changes nothing either.
-func TestSighupInTheLastMoment(t *testing.T) {
+func TestSighupAtExitIsIgnored(t *testing.T) {
 	t.Setenv("VETCHHAVEN_TEST_LAST", "1")
 	addr := freeAddr(t)
-	cmd, log := program(t, fmt.Sprintf(config, addr, freeAddr(t), freeAddr(t)))
+	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), freeAddr(t)))
 	awaitReady(t, addr)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -308,7 +308,7 @@
 
 // A process that starts at the address of one that is told to end and still has a request to answer, with discovery down and a
 // list that is known, serves as soon as the address is free; the older one's request has its answer.
-func TestRestartBesideADrainingProcess(t *testing.T) {
+func TestNewProcessServesBesideADrainingOne(t *testing.T) {
 	came, hold := make(chan struct{}, 10), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -323,8 +323,8 @@
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
 	addr := freeAddr(t)
-	text := fmt.Sprintf(config, addr, freeAddr(t), ln.Addr().String())
-	older, _ := program(t, text)
+	text := fmt.Sprintf(configTemplate, addr, freeAddr(t), ln.Addr().String())
+	older, _ := startProgram(t, text)
 	awaitReady(t, addr)
 	get := func(path string) string {
 		req, err := http.NewRequest("GET", "http://"+addr+path, nil)
@@ -344,14 +344,14 @@
 	go func() { answered <- get("/get/held") }()
 	select {
 	case <-came:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the request did not arrive")
 	}
 	if err := older.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	younger, log := program(t, text) // the older one listens still
-	awaitReady(t, addr)              // its own health is a no by now
+	younger, log := startProgram(t, text) // the older one listens still
+	awaitReady(t, addr)                   // its own health is a no by now
 	if got := get("/get/new"); got != "200/get/new<nil>" {
 		t.Errorf("%q", got)
 	}
@@ -372,7 +372,7 @@
 
 // Idle clients may hold all the descriptors that they can get while discovery is down. The first call after its return has one
 // all the same, and so have backends, operators and clients that ask for something. The system holds the process to its limit.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForWork(t *testing.T) {
 	const limit = 64 // the least that the program takes
 	backend := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.URL.Path) })}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -383,7 +383,7 @@
 	defer backend.Close()
 	addr, discovery, door := freeAddr(t), freeAddr(t), freeAddr(t)
 	t.Setenv("PROXY_MGMT", door)
-	text := strings.Replace(fmt.Sprintf(config, addr, discovery, ln.Addr().String()), `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, limit), 1)
+	text := strings.Replace(fmt.Sprintf(configTemplate, addr, discovery, ln.Addr().String()), `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, limit), 1)
 	text = strings.Replace(text, `"known"`, `"unknown"`, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -414,7 +414,7 @@
 			t.Fatal(err)
 		}
 		req.Header.Set("X-Trace-Id", url)
-		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}).Do(req)
+		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}).Do(req)
 		if err != nil {
 			return 0
 		}
@@ -422,7 +422,7 @@
 		return resp.StatusCode
 	}
 	await := func(what, url string, status int) {
-		for end := time.Now().Add(patience); ask(url) != status; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); ask(url) != status; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s: never; log %s", what, log())
 			}
@@ -436,7 +436,7 @@
 		held.Add(1)
 		go func() {
 			for first := true; ; first = false {
-				c, err := net.DialTimeout("tcp", addr, patience)
+				c, err := net.DialTimeout("tcp", addr, testTimeout)
 				if first {
 					held.Done()
 				}
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -13,12 +13,12 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-var quietFor = flag.Duration("quiet.for", 3*time.Second, "how long nothing happens before trouble begins")
+var quietDuration = flag.Duration("quiet.for", 3*time.Second, "how long nothing happens before trouble begins")
 
 // Trouble that begins after a long quiet time meets an agent that knows nothing new: connections that rest at backends have been
 // forgotten, one backend drains, one hangs, and clients come all at once. Each has its answer in time, and no rule is broken.
-func TestTroubleAfterAQuietTime(t *testing.T) {
-	late := lateness(t)
+func TestFaultsAfterAQuietPeriodAreHandled(t *testing.T) {
+	late := schedulingDelay(t)
 	var latest atomic.Int64 // nanoseconds of the Unix time at which the backend that drains got its latest request
 	drains := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		latest.Store(time.Now().UnixNano())
@@ -31,23 +31,23 @@
 		}
 		fmt.Fprint(w, "served")
 	})
-	good := newStandIn(t)
-	forgotten := backendThatForgets(t)
-	list := []listed{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "ready", Weight: 1}, ready("t", good),
+	good := newFakeBackend(t)
+	forgotten := backendWithShortIdleTimeout(t)
+	list := []endpoint{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "ready", Weight: 1}, readyEndpoint("t", good),
 		{ID: "u", Addr: hanging, Zone: "a", Kind: "m", State: "ready", Weight: 1},
 		{ID: "v", Addr: forgotten, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
-	discovery := newCatalog(t, list...)
-	d := deploy(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`, `"AimMs":500,"DeadlineMs":1000`)
+	discovery := newFakeDiscovery(t, list...)
+	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`, `"AimMs":500,"DeadlineMs":1000`)
 	awaitReady(t, d.addr)
 	for range 60 { // connections rest at all of them
-		if status, err := request(alone, d.addr, "/get/x"); status != http.StatusOK {
+		if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
-	time.Sleep(*quietFor)
+	time.Sleep(*quietDuration)
 	list = slices.Clone(list) // the one before may still be being written
 	list[0].State = "draining"
-	discovery.tell(list...)
+	discovery.publish(list...)
 	told := time.Now()
 	hangs.Store(true)
 	var served, others, unanswered atomic.Int64
@@ -57,7 +57,7 @@
 			defer func() { done <- struct{}{} }()
 			for time.Since(told) < 2*time.Second {
 				began := time.Now()
-				status, err := request(alone, d.addr, "/get/x")
+				status, err := get(singleUseClient, d.addr, "/get/x")
 				if took := time.Since(began); err != nil || took > 1550*time.Millisecond+late() {
 					unanswered.Add(1)
 					t.Errorf("%d, %v after %v", status, err, took)
@@ -82,8 +82,8 @@
 	t.Logf("%d served, %d not", served.Load(), others.Load())
 }
 
-// backendThatForgets closes connections a second after their last request, well before the time that the settings give.
-func backendThatForgets(t *testing.T) string {
+// backendWithShortIdleTimeout closes connections a second after their last request, well before the time that the settings give.
+func backendWithShortIdleTimeout(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -16,8 +16,8 @@
 
 // After SIGHUP what the new discovery tells counts 4 s later: also where the configuration can't be read at that moment, or is
 // half written, and where signals come in series.
-func TestReloadThatFails(t *testing.T) {
-	old, fresh := newStandIn(t), newStandIn(t)
+func TestReloadIsRetriedAfterAFailure(t *testing.T) {
+	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for name, failures := range map[string][]faultinject.Failure{
 		"open ENFILE":   {{Call: faultinject.Open, Path: "config.json", Errno: syscall.ENFILE, Times: 1}},
 		"open EMFILE":   {{Call: faultinject.Open, Path: "config.json", Errno: syscall.EMFILE, Times: 3}},
@@ -30,19 +30,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			before := newCatalog(t, ready("old", old))
-			after := newCatalog(t, listed{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, ready("new", fresh))
-			d := deploy(t, before.addr, faultinject.Plan{}, nil, "")
+			before := newFakeDiscovery(t, readyEndpoint("old", old))
+			after := newFakeDiscovery(t, endpoint{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("new", fresh))
+			d := startAgent(t, before.addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
-			text := fmt.Appendf(nil, faultsConfig, d.addr, after.addr)
+			text := fmt.Appendf(nil, faultsConfigTemplate, d.addr, after.addr)
 			first := text
 			if failures == nil {
 				first = text[:len(text)/2]
 			}
-			if err := os.WriteFile(d.config, first, 0o600); err != nil {
+			if err := os.WriteFile(d.configPath, first, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			d.apply(t, faultinject.Plan{Failures: failures})
+			d.applyPlan(t, faultinject.Plan{Failures: failures})
 			d.signal(t, syscall.SIGHUP)
 			told := time.Now()
 			if strings.HasPrefix(name, "twice") {
@@ -50,19 +50,19 @@
 			}
 			if failures == nil || failures[0].Times == 0 {
 				time.Sleep(2 * time.Second)
-				d.apply(t, faultinject.Plan{})
+				d.applyPlan(t, faultinject.Plan{})
 			}
-			if err := os.WriteFile(d.config, text, 0o600); err != nil {
+			if err := os.WriteFile(d.configPath, text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Until(told.Add(4 * time.Second)))
-			was := fresh.seen.Load()
+			was := fresh.requestCount.Load()
 			for range 10 {
-				if status, err := request(alone, d.addr, "/get/"+name[:4]); status != 200 {
+				if status, err := get(singleUseClient, d.addr, "/get/"+name[:4]); status != 200 {
 					t.Fatalf("%d, %v", status, err)
 				}
 			}
-			if fresh.seen.Load() == was {
+			if fresh.requestCount.Load() == was {
 				t.Error("requests go to a backend that drains in the new discovery")
 			}
 		})
@@ -71,8 +71,8 @@
 
 // The new discovery may refuse, hang or reset at first, whether lists are pushed or asked for, and a further SIGHUP may follow at
 // once: what it has to tell counts 4 s after the signal, and its drains half a second after that.
-func TestReloadToADiscoveryThatFails(t *testing.T) {
-	old, fresh := newStandIn(t), newStandIn(t)
+func TestReloadToAFailingDiscoveryRecovers(t *testing.T) {
+	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for _, mode := range []string{"automatic", "subscribe"} {
 		for name, fail := range map[string]func(w http.ResponseWriter, r *http.Request){
 			"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
@@ -92,16 +92,16 @@
 							fail(w, r)
 							return
 						}
-						list := []listed{{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, ready("new", fresh)}
+						list := []endpoint{{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("new", fresh)}
 						_ = json.NewEncoder(w).Encode(map[string]any{"version": 1, "full": true, "servers": list})
 						_ = http.NewResponseController(w).Flush()
 						<-r.Context().Done()
 					})
-					before := newCatalog(t, ready("old", old))
-					d := deploy(t, before.addr, faultinject.Plan{}, nil, "", "automatic", mode)
+					before := newFakeDiscovery(t, readyEndpoint("old", old))
+					d := startAgent(t, before.addr, faultinject.Plan{}, nil, "", "automatic", mode)
 					awaitReady(t, d.addr)
 					for _, to := range []string{freeAddr(t), after} { // the first of two configurations in a row names nobody
-						if err := os.WriteFile(d.config, []byte(strings.Replace(fmt.Sprintf(faultsConfig, d.addr, to), "automatic", mode, 1)), 0o600); err != nil {
+						if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to), "automatic", mode, 1)), 0o600); err != nil {
 							t.Fatal(err)
 						}
 						d.signal(t, syscall.SIGHUP)
@@ -109,14 +109,14 @@
 					told := time.Now()
 					time.Sleep(time.Until(told.Add(4*time.Second + 400*time.Millisecond)))
 					id := fmt.Sprint("/get/", mode, name, times)
-					was := fresh.seen.Load()
+					was := fresh.requestCount.Load()
 					for range 5 {
-						if status, err := request(alone, d.addr, strings.ReplaceAll(id, " ", "")); status != 200 {
+						if status, err := get(singleUseClient, d.addr, strings.ReplaceAll(id, " ", "")); status != 200 {
 							t.Fatalf("%d, %v", status, err)
 						}
 					}
-					if fresh.seen.Load()-was < 5 {
-						t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.seen.Load()-was, calls.Load())
+					if fresh.requestCount.Load()-was < 5 {
+						t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.requestCount.Load()-was, calls.Load())
 					}
 				})
 			}
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -13,47 +13,47 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// arrivals are when attempts came to backends, by request.
-type arrivals struct {
+// arrivalTimes are when attempts came to backends, by request.
+type arrivalTimes struct {
 	mu sync.Mutex
 	at map[string][]time.Time
 }
 
-func (a *arrivals) note(r *http.Request) {
+func (a *arrivalTimes) record(r *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := r.Header.Get("X-Trace-Id")
 	a.at[id] = append(a.at[id], time.Now())
 }
 
-// take returns what came so far, and begins anew.
-func (a *arrivals) take() map[string][]time.Time {
+// reset returns what came so far, and begins anew.
+func (a *arrivalTimes) reset() map[string][]time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	taken := a.at
+	recorded := a.at
 	a.at = map[string][]time.Time{}
-	return taken
+	return recorded
 }
 
-// post sends requests of a class side by side, so many after each other in each of eight, and returns their statuses by id.
-func post(t *testing.T, addr, path string, each int) map[string]int {
+// postRequests sends requests of a class side by side, so many after each other in each of eight, and returns their statuses by id.
+func postRequests(t *testing.T, addr, path string, perClient int) map[string]int {
 	t.Helper()
 	var mu sync.Mutex
 	statuses := map[string]int{}
 	var clients sync.WaitGroup
 	for range 8 {
 		clients.Go(func() {
-			for range each {
+			for range perClient {
 				req, err := http.NewRequest("POST", "http://"+addr+path, strings.NewReader("body"))
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				id := fmt.Sprintf("%016x", requests.Add(1))
+				id := fmt.Sprintf("%016x", requestCounter.Add(1))
 				req.Header.Set("X-Trace-Id", id)
 				req.Header.Set("Idempotency-Key", id)
 				req.Header.Set("X-Expires-In", "1.5")
-				resp, err := alone.Do(req)
+				resp, err := singleUseClient.Do(req)
 				if err != nil {
 					t.Error(err)
 					return
@@ -75,9 +75,9 @@
 
 // A keyed request that may have run is sent again within its window alone, however its waits fall, also where the process is held
 // up for 0.15 s; one that may run once is neither sent again nor refused after its last byte has come to a backend.
-func TestRepeatsOfWhatMayHaveRun(t *testing.T) {
+func TestRetriesStayWithinTheDedupWindow(t *testing.T) {
 	const window, slack = 300 * time.Millisecond, 50 * time.Millisecond
-	for name, how := range map[string]func(http.ResponseWriter){
+	for name, respond := range map[string]func(http.ResponseWriter){
 		"errors": func(w http.ResponseWriter) { w.WriteHeader(http.StatusInternalServerError) },
 		"resets": func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
 		"is mute and resets": func(http.ResponseWriter) {
@@ -87,18 +87,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late := lateness(t)
-			came := arrivals{at: map[string][]time.Time{}}
-			list := []listed{}
+			late := schedulingDelay(t)
+			arrivals := arrivalTimes{at: map[string][]time.Time{}}
+			list := []endpoint{}
 			for i := range 3 {
 				addr := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-					came.note(r)
+					arrivals.record(r)
 					_, _ = io.Copy(io.Discard, r.Body)
-					how(w)
+					respond(w)
 				})
-				list = append(list, listed{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
+				list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 			}
-			d := deploy(t, newCatalog(t, list...).addr, faultinject.Plan{}, nil, "", `{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
+			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "", `{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`) // a repeat may take that to come, and its window has to hold then
 			awaitReady(t, d.addr)
 			done := make(chan struct{})
@@ -115,9 +115,9 @@
 					d.signal(t, syscall.SIGCONT)
 				}
 			})
-			statuses := post(t, d.addr, "/put/x", 4)
-			keyed := came.take()
-			once := post(t, d.addr, "/pay/x", 4)
+			statuses := postRequests(t, d.addr, "/put/x", 4)
+			keyed := arrivals.reset()
+			once := postRequests(t, d.addr, "/pay/x", 4)
 			close(done)
 			holds.Wait()
 			repeated, served := 0, 0
@@ -128,7 +128,7 @@
 					}
 				}
 			}
-			for id, at := range came.take() {
+			for id, at := range arrivals.reset() {
 				if len(at) > 1 || once[id] == http.StatusServiceUnavailable {
 					t.Errorf("%s, which may run once, came %d times and has %d", id, len(at), once[id])
 				}
@@ -149,33 +149,33 @@
 
 // Nothing new comes to a backend 0.5 s after discovery has told that it drains or is gone: neither requests that come then, nor
 // retries of those that were waiting, also where the process is held up in that moment.
-func TestNothingNewAfterADrain(t *testing.T) {
+func TestNoAttemptsToADrainingBackend(t *testing.T) {
 	for _, state := range []string{"draining", "left out"} {
 		for _, hold := range []bool{false, true} {
 			t.Run(fmt.Sprint(state, " ", hold), func(t *testing.T) {
 				t.Parallel()
-				late := lateness(t)
+				late := schedulingDelay(t)
 				var mu sync.Mutex
 				var latest time.Time
-				turning := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is tried again
+				rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is tried again
 					mu.Lock()
 					latest = time.Now()
 					mu.Unlock()
 					w.Header().Set("X-Never-Ran", "1")
 					w.WriteHeader(http.StatusServiceUnavailable)
 				})
-				old := []listed{{ID: "a", Addr: turning, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
-				good := newStandIn(t)
-				discovery := newCatalog(t, old...)
-				d := deploy(t, discovery.addr, faultinject.Plan{}, nil, "")
+				old := []endpoint{{ID: "a", Addr: rejecting, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
+				good := newFakeBackend(t)
+				discovery := newFakeDiscovery(t, old...)
+				d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
 				awaitReady(t, d.addr)
 				stop := time.AfterFunc(time.Second, func() {
-					now := []listed{ready("b", good)}
+					now := []endpoint{readyEndpoint("b", good)}
 					if state == "draining" {
 						old[0].State = state
 						now = append(now, old[0])
 					}
-					discovery.tell(now...)
+					discovery.publish(now...)
 					if hold {
 						d.signal(t, syscall.SIGSTOP)
 						time.Sleep(150 * time.Millisecond)
@@ -184,9 +184,9 @@
 				})
 				defer stop.Stop()
 				told := time.Now().Add(time.Second)
-				post(t, d.addr, "/pay/x", 3)
+				postRequests(t, d.addr, "/pay/x", 3)
 				for time.Since(told) < 2*time.Second {
-					post(t, d.addr, "/pay/x", 1)
+					postRequests(t, d.addr, "/pay/x", 1)
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -22,9 +22,9 @@
 	addr string
 	stop *atomic.Bool
 
-	answered, lost *atomic.Int64
-	unread         *sync.Map // ids of requests that were sent once more: no backend may have had them
-	t              *testing.T
+	answered, unanswered *atomic.Int64
+	unreadIDs            *sync.Map // ids of requests that were sent once more: no backend may have had them
+	t                    *testing.T
 }
 
 func (c *shutdownClient) run() {
@@ -39,7 +39,7 @@
 			}
 			in, used = bufio.NewReader(conn), false
 		}
-		sent, id := time.Now(), fmt.Sprintf("%016x", requests.Add(1))
+		sent, id := time.Now(), fmt.Sprintf("%016x", requestCounter.Add(1))
 		_, err := fmt.Fprintf(conn, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", id)
 		var resp *http.Response
 		if err == nil {
@@ -53,10 +53,10 @@
 			conn = nil
 			// A reset, or an end between two requests: it has not been read, and is sent once more.
 			if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-				c.lost.Add(1)
+				c.unanswered.Add(1)
 				c.t.Logf("a request has no answer after %v: %v", time.Since(sent), err)
 			}
-			c.unread.Store(id, err)
+			c.unreadIDs.Store(id, err)
 			continue
 		}
 		c.answered.Add(1)
@@ -70,8 +70,8 @@
 	}
 }
 
-// endedBy reports whether a signal ended the program. It has been waited for.
-func (d *deployed) endedBy(s syscall.Signal) bool {
+// killedBy reports whether a signal ended the program. It has been waited for.
+func (d *agentProcess) killedBy(s syscall.Signal) bool {
 	status, ok := d.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == s
 }
@@ -79,7 +79,7 @@
 // Where deadlines are short the kill comes soon: 0.7 s and the longest deadline after SIGTERM. Clients send on every connection
 // that is open until then, on backends that hang, and signals come in series; each request has its answer, and the program has
 // ended by itself.
-func TestKillAtItsEarliest(t *testing.T) {
+func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Duration
 		hang     bool
@@ -107,14 +107,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newStandIn(t)
-			if backend.took = 5 * time.Millisecond; c.hang {
-				backend.took = time.Hour
+			backend := newFakeBackend(t)
+			if backend.latency = 5 * time.Millisecond; c.hang {
+				backend.latency = time.Hour
 			}
-			d := deploy(t, newCatalog(t, ready("s", backend)).addr, faultinject.Plan{}, nil, "", `"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
+			d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "", `"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
 				`"AimMs":5000`, fmt.Sprintf(`"AimMs":%d`, c.deadline.Milliseconds()), `"sockets":1024`, `"sockets":128`)
 			awaitReady(t, d.addr)
-			late := lateness(t)
+			late := schedulingDelay(t)
 			var stop atomic.Bool
 			var answered, lost atomic.Int64
 			var unread sync.Map
@@ -137,10 +137,10 @@
 				time.Sleep(60 * time.Millisecond)
 			}
 			if c.step != 0 {
-				d.apply(t, faultinject.Plan{Wall: c.step})
+				d.applyPlan(t, faultinject.Plan{Wall: c.step})
 			}
 			if c.fails.Call != "" {
-				d.apply(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
+				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- d.cmd.Wait() }()
@@ -153,7 +153,7 @@
 			}
 			select {
 			case err := <-ended:
-				if err != nil && !(c.untilEnd && d.endedBy(syscall.SIGTERM)) {
+				if err != nil && !(c.untilEnd && d.killedBy(syscall.SIGTERM)) {
 					t.Errorf("it ended with %v", err)
 				}
 			case <-time.After(time.Until(termed.Add(c.deadline + 700*time.Millisecond))):
@@ -170,7 +170,7 @@
 				t.Errorf("%d answered since the signal, %d lost", answered.Load()-before, lost.Load())
 			}
 			unread.Range(func(id, err any) bool {
-				if _, had := backend.ids.Load(id); had {
+				if _, had := backend.requestIDs.Load(id); had {
 					t.Errorf("%v was read, and closed without an answer: %v", id, err)
 				}
 				return true
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -15,7 +15,7 @@
 
 // A backend starts a request with its last byte: what it answers before that answers nothing that was asked, whether the rest of
 // the body comes then, late, or never.
-func TestAnswerBeforeTheLastByte(t *testing.T) {
+func TestAnswerBeforeTheLastByteIsNoAnswer(t *testing.T) {
 	const length, first = 200_000, 100_000
 	for name, c := range map[string]struct {
 		answer string // the backend's, before it has read the body
@@ -41,8 +41,8 @@
 				_ = rc.Flush()
 				_, _ = io.Copy(io.Discard, r.Body)
 			})
-			list := listed{ID: "s", Addr: early, Zone: "a", Kind: "m", State: "ready", Weight: 1}
-			d := deploy(t, newCatalog(t, list).addr, faultinject.Plan{}, nil, "")
+			list := endpoint{ID: "s", Addr: early, Zone: "a", Kind: "m", State: "ready", Weight: 1}
+			d := startAgent(t, newFakeDiscovery(t, list).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			conn, err := net.Dial("tcp", d.addr)
 			if err != nil {
@@ -59,7 +59,7 @@
 				time.Sleep(c.rest)
 				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // it may have its answer already
 			}
-			if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+			if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -26,16 +26,16 @@
 }
 
 // logger writes to w as the flags say. It is to be closed.
-func (c *logFlags) logger(w io.Writer) *logging.Logger {
+func (f *logFlags) logger(w io.Writer) *logging.Logger {
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(c.LogLevel)); err != nil {
+	if err := level.UnmarshalText([]byte(f.LogLevel)); err != nil {
 		panic(err) // the flag takes no other word
 	}
-	o := &slog.HandlerOptions{Level: level}
-	if c.LogFormat == "json" {
-		return logging.New(w, slog.NewJSONHandler, o)
+	options := &slog.HandlerOptions{Level: level}
+	if f.LogFormat == "json" {
+		return logging.New(w, slog.NewJSONHandler, options)
 	}
-	return logging.New(w, slog.NewTextHandler, o)
+	return logging.New(w, slog.NewTextHandler, options)
 }
 
 func (c *agentCmd) Run(o *output) error {
@@ -69,10 +69,10 @@
 
 func (c *checkCmd) Run(o *output) error {
 	if c.Hub != "" {
-		return c.hub(o)
+		return c.checkHub(o)
 	}
 	if c.Settings != "" {
-		return c.settings(o)
+		return c.checkSettings(o)
 	}
 	if c.File == "" || c.With != "" {
 		return usageError{errors.New("name a FILE, settings with --settings FILE [--with FILE], or a hub's with --hub FILE")}
@@ -84,23 +84,23 @@
 	return nil
 }
 
-func (c *checkCmd) settings(o *output) error {
+func (c *checkCmd) checkSettings(o *output) error {
 	text, err := os.ReadFile(c.Settings)
 	if err != nil {
 		return usageError{err}
 	}
-	s, err := settings.Parse(c.Settings, string(text))
+	parsed, err := settings.Parse(c.Settings, string(text))
 	if err == nil && c.With != "" {
-		_, err = config.ReadWithSettings(c.With, s)
+		_, err = config.ReadWithSettings(c.With, parsed)
 	}
 	if err != nil {
 		return usageError{err}
 	}
-	fmt.Fprintf(o.stdout, "%s: version %d can be used\n", c.Settings, s.Version)
+	fmt.Fprintf(o.stdout, "%s: version %d can be used\n", c.Settings, parsed.Version)
 	return nil
 }
 
-func (c *checkCmd) hub(o *output) error {
+func (c *checkCmd) checkHub(o *output) error {
 	if _, err := config.ReadHub(c.Hub); err != nil {
 		return usageError{err}
 	}
--- a/cmd/martenbeam/forms_test.go
+++ b/cmd/martenbeam/forms_test.go
@@ -57,7 +57,7 @@
 		}
 		golden(t, "print-"+strings.ReplaceAll(strings.ReplaceAll(command, " --", "-"), " ", "-")+".txt", out.Bytes())
 	}
-	c := comparison{1, "calm", []lab.Pair{{Seed: 2}}, finite([]lab.Difference{
+	c := comparison{1, "calm", []lab.Pair{{Seed: 2}}, differencesJSON([]lab.Difference{
 		{Measure: "m3", A: 4, B: 5, Mean: 6, Low: 7, High: 8, Each: []float64{9}, Verdict: "v10"},
 		{Measure: "m11", A: 12, B: 13, Mean: 14, Low: math.Inf(-1), High: math.Inf(1), Each: []float64{15}, Verdict: "v16"}})}
 	text, err := json.MarshalIndent(c, "", " ")
--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -30,11 +30,11 @@
 
 func (listCmd) Run(o *output) error {
 	for _, name := range scenario.Names() {
-		s, err := scenario.Read(name)
+		spec, err := scenario.Read(name)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(o.stdout, "%-12s %s\n", name, s.About)
+		fmt.Fprintf(o.stdout, "%-12s %s\n", name, spec.About)
 	}
 	return nil
 }
@@ -44,41 +44,41 @@
 	Agents   int           `name:"agents" help:"Agents, each a process. 0: as the scenario says." placeholder:"N"`
 	Backends int           `name:"backends" help:"Backends. 0: as the scenario says." placeholder:"N"`
 	Rate     float64       `name:"rate" help:"Requests a second over all agents. 0: as the scenario says." placeholder:"R"`
-	For      time.Duration `name:"for" help:"How long clients send, such as 20s. 0: as the scenario says." placeholder:"D"`
-	Apart    bool          `name:"apart" help:"The agents share nothing: no fleet, no policy."`
+	Duration time.Duration `name:"for" help:"How long clients send, such as 20s. 0: as the scenario says." placeholder:"D"`
+	Isolated bool          `name:"apart" help:"The agents share nothing: no fleet, no policy."`
 	Hubs     int           `name:"hubs" help:"Hubs, each a process; 0: a flat fleet, -1: as the scenario says." default:"-1" placeholder:"N"`
 	AgentBin string        `name:"agent-bin" help:"Another agent's program, started as the platform does. Default: this one." placeholder:"PATH"`
 	Dir      string        `name:"dir" help:"Where agents have their files; kept. Default: a temporary folder, removed." placeholder:"DIR"`
 }
 
 // apply takes the flags into a scenario. Faults move with a changed length.
-func (f *fleetFlags) apply(s *scenario.Scenario) error {
+func (f *fleetFlags) apply(spec *scenario.Scenario) error {
 	if f.Agents != 0 {
-		s.Fleet.Agents = f.Agents
+		spec.Fleet.Agents = f.Agents
 	}
 	if f.Backends != 0 {
-		s.Fleet.Backends, s.Fleet.ZoneSize = f.Backends, nil
+		spec.Fleet.Backends, spec.Fleet.ZoneSize = f.Backends, nil
 	}
 	if f.Rate != 0 {
-		s.Load.Rate = f.Rate
+		spec.Load.Rate = f.Rate
 	}
-	if f.For != 0 {
-		s.Stretch(f.For)
+	if f.Duration != 0 {
+		spec.Stretch(f.Duration)
 	}
-	if f.Apart && f.Hubs > 0 {
+	if f.Isolated && f.Hubs > 0 {
 		return fmt.Errorf("--apart, --hubs: agents that share nothing have no hubs")
 	}
-	if f.Apart {
-		s.Apart()
+	if f.Isolated {
+		spec.Apart()
 	}
 	if f.Hubs >= 0 {
-		s.WithHubs(f.Hubs)
+		spec.WithHubs(f.Hubs)
 	}
-	return s.Check()
+	return spec.Check()
 }
 
-// agent is the command line of an agent's process.
-func (f *fleetFlags) agent() ([]string, error) {
+// agentCommand is the command line of an agent's process.
+func (f *fleetFlags) agentCommand() ([]string, error) {
 	if f.AgentBin != "" {
 		if info, err := os.Stat(f.AgentBin); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
 			return nil, fmt.Errorf("%s is no program", f.AgentBin)
@@ -90,14 +90,14 @@
 	return []string{self, "agent"}, err
 }
 
-// hub is the command line of a hub's process.
-func (f *fleetFlags) hub() ([]string, error) {
+// hubCommand is the command line of a hub's process.
+func (f *fleetFlags) hubCommand() ([]string, error) {
 	self, err := os.Executable()
 	return []string{self, "hub"}, err
 }
 
-// folder is where processes have their files, and what removes it.
-func (f *fleetFlags) folder() (dir string, remove func(), err error) {
+// workDir is where processes have their files, and what removes it.
+func (f *fleetFlags) workDir() (dir string, remove func(), err error) {
 	if f.Dir != "" {
 		return f.Dir, func() {}, nil
 	}
@@ -106,18 +106,18 @@
 }
 
 type runCmd struct {
-	Scenario string `name:"scenario" arg:"" help:"A built-in scenario's name, or a .toml file."`
-	Seed     uint64 `name:"seed" help:"Decides arrivals, draws and fault times." default:"1"`
-	JSON     string `name:"json" help:"Write the report to FILE." placeholder:"FILE"`
-	Events   string `name:"events" help:"Write every request's history to FILE, for lab trace." placeholder:"FILE"`
-	Quiet    bool   `name:"quiet" short:"q" help:"No line a second."`
+	Scenario   string `name:"scenario" arg:"" help:"A built-in scenario's name, or a .toml file."`
+	Seed       uint64 `name:"seed" help:"Decides arrivals, draws and fault times." default:"1"`
+	ReportFile string `name:"json" help:"Write the report to FILE." placeholder:"FILE"`
+	EventsFile string `name:"events" help:"Write every request's history to FILE, for lab trace." placeholder:"FILE"`
+	Quiet      bool   `name:"quiet" short:"q" help:"No line a second."`
 	fleetFlags
 }
 
 func (c *runCmd) Run(o *output) error {
-	s, err := scenario.Read(c.Scenario)
+	spec, err := scenario.Read(c.Scenario)
 	if err == nil {
-		err = c.apply(s)
+		err = c.apply(spec)
 	}
 	if err != nil {
 		return usageError{err}
@@ -125,83 +125,83 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var events io.Writer
-	if c.Events != "" {
-		f, err := os.Create(c.Events)
+	if c.EventsFile != "" {
+		file, err := os.Create(c.EventsFile)
 		if err != nil {
 			return usageError{err}
 		}
-		defer f.Close()
-		events = f
+		defer file.Close()
+		events = file
 	}
-	r, err := c.play(ctx, o, s, c.Seed, events, !c.Quiet)
+	report, err := c.runScenario(ctx, o, spec, c.Seed, events, !c.Quiet)
 	if err != nil {
 		return err
 	}
-	if c.JSON != "" {
-		if err := writeJSON(c.JSON, r); err != nil {
+	if c.ReportFile != "" {
+		if err := writeJSON(c.ReportFile, report); err != nil {
 			return err
 		}
 	}
-	printReport(o.stdout, r)
-	return verdict(o, r)
+	printReport(o.stdout, report)
+	return verdictError(o, report)
 }
 
-// play plays a scenario once.
-func (f *fleetFlags) play(ctx context.Context, o *output, s *scenario.Scenario, seed uint64, events io.Writer, progress bool) (*lab.Report, error) {
-	agent, err := f.agent()
+// runScenario plays a scenario once.
+func (f *fleetFlags) runScenario(ctx context.Context, o *output, spec *scenario.Scenario, seed uint64, events io.Writer, progress bool) (*lab.Report, error) {
+	agent, err := f.agentCommand()
 	if err != nil {
 		return nil, usageError{err}
 	}
-	hub, err := f.hub()
+	hub, err := f.hubCommand()
 	if err != nil {
 		return nil, err
 	}
-	dir, remove, err := f.folder()
+	dir, remove, err := f.workDir()
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
-	opts := lab.Options{Scenario: s, Seed: seed, Agent: agent, Hub: hub, Dir: dir, Events: events}
+	options := lab.Options{Scenario: spec, Seed: seed, Agent: agent, Hub: hub, Dir: dir, Events: events}
 	if progress {
-		table := newTable(o.stdout, false)
-		opts.Second = table.second
+		progressLines := newProgressTable(o.stdout, false)
+		options.Second = progressLines.update
 	}
-	l, err := lab.New(opts)
+	fleet, err := lab.New(options)
 	if err != nil {
 		return nil, usageError{err}
 	}
-	defer l.Close()
-	r, err := l.Run(ctx)
+	defer fleet.Close()
+	report, err := fleet.Run(ctx)
 	if errors.Is(err, lab.ErrCrash) {
 		fmt.Fprintln(o.stderr, err)
-		return nil, codeError(exitCrashed)
+		return nil, exitCodeError(exitCrashed)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return r, l.Flush()
+	return report, fleet.Flush()
 }
 
-// verdict says what was wrong, if anything, with its exit code.
-func verdict(o *output, r *lab.Report) error {
-	switch r.Verdict {
+// verdictError says what was wrong, if anything, with its exit code.
+func verdictError(o *output, report *lab.Report) error {
+	switch report.Verdict {
 	case lab.Void:
-		fmt.Fprintf(o.stderr, "void: the lab itself was late, 99th percentile %.1f ms: too little processor time here; no verdict\n", r.Late.P99)
-		return codeError(exitVoid)
+		fmt.Fprintf(o.stderr, "void: the lab itself was late, 99th percentile %.1f ms: too little processor time here; no verdict\n", report.Late.P99)
+		return exitCodeError(exitInconclusive)
 	case lab.Crashed:
-		fmt.Fprintln(o.stderr, "crashed:", r.Crash)
-		return codeError(exitCrashed)
+		fmt.Fprintln(o.stderr, "crashed:", report.Crash)
+		return exitCodeError(exitCrashed)
 	case lab.Broken:
-		if v := r.Rules.First; v != nil {
-			fmt.Fprintf(o.stderr, "broken %d times, first at %.3f s: %s: %s\n", r.Rules.Broken, v.At.Seconds(), v.Rule, v.Text)
+		if violation := report.Rules.First; violation != nil {
+			fmt.Fprintf(o.stderr, "broken %d times, first at %.3f s: %s: %s\n", report.Rules.Broken, violation.At.Seconds(), violation.Rule, violation.Text)
 		}
-		if r.Rules.Shared != "" {
-			fmt.Fprintln(o.stderr, "broken:", r.Rules.Shared)
+		if report.Rules.Shared != "" {
+			fmt.Fprintln(o.stderr, "broken:", report.Rules.Shared)
 		}
-		if r.Rules.History != nil {
-			lab.WriteHistory(o.stderr, r.Rules.History)
+		if report.Rules.History != nil {
+			lab.WriteHistory(o.stderr, report.Rules.History)
 		}
-		return codeError(exitBroken)
+		return exitCodeError(exitViolated)
 	}
 	return nil
 }
@@ -218,30 +218,30 @@
 	return os.Rename(file+".part", file)
 }
 
-func printReport(w io.Writer, r *lab.Report) {
-	fmt.Fprintf(w, "\n%s, seed %d: %d agents, %d backends, %d requests in %.0f s (the first %.0f s don't count)\n", r.Scenario, r.Seed, r.Agents, r.Backends,
-		r.Offered, r.For, r.Settle)
-	fmt.Fprintf(w, "  served in aim   %6.2f%% of the worth; worst 10 s %.2f%% from %d s\n", 100*r.ServedInAim, 100*r.Worst10s, r.Worst10sAt)
+func printReport(w io.Writer, report *lab.Report) {
+	fmt.Fprintf(w, "\n%s, seed %d: %d agents, %d backends, %d requests in %.0f s (the first %.0f s don't count)\n", report.Scenario, report.Seed, report.Agents, report.Backends,
+		report.Offered, report.For, report.Settle)
+	fmt.Fprintf(w, "  served in aim   %6.2f%% of the worth; worst 10 s %.2f%% from %d s\n", 100*report.ServedInAim, 100*report.Worst10s, report.Worst10sAt)
 	fmt.Fprintf(w, "  refused %.2f%%, failed %.2f%%, lost %d; %.3f attempts a request, %.1f%% of them to another zone\n",
-		100*r.Refused, 100*r.Failed, r.Lost, r.Attempts, 100*r.CrossZone)
-	switch left := r.LeftAfter; {
-	case left == nil:
-	case *left < 0:
+		100*report.Refused, 100*report.Failed, report.Lost, report.Attempts, 100*report.CrossZone)
+	switch failOver := report.LeftAfter; {
+	case failOver == nil:
+	case *failOver < 0:
 		fmt.Fprintln(w, "  zones out of reach were sent 1% or more of first attempts until the end")
 	default:
-		fmt.Fprintf(w, "  zones out of reach were sent under 1%% of first attempts after %.1f s\n", *left)
+		fmt.Fprintf(w, "  zones out of reach were sent under 1%% of first attempts after %.1f s\n", *failOver)
 	}
-	fmt.Fprintf(w, "  latency of what was served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n", r.Latency.P50, r.Latency.P99, r.Latency.P999)
-	fmt.Fprintf(w, "  agents: at most %.0f MB and %d descriptors, %.1f processor seconds together\n", r.Agent.RSS, r.Agent.FDs, r.Agent.CPU)
-	if h := r.Hubs; h != nil {
-		fmt.Fprintf(w, "  %d hubs: at most %.0f MB and %d descriptors, %.1f processor seconds together, %.0f bytes a second each\n", h.Hubs, h.RSS, h.FDs, h.CPU, h.Bytes)
+	fmt.Fprintf(w, "  latency of what was served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n", report.Latency.P50, report.Latency.P99, report.Latency.P999)
+	fmt.Fprintf(w, "  agents: at most %.0f MB and %d descriptors, %.1f processor seconds together\n", report.Agent.RSS, report.Agent.FDs, report.Agent.CPU)
+	if hubs := report.Hubs; hubs != nil {
+		fmt.Fprintf(w, "  %d hubs: at most %.0f MB and %d descriptors, %.1f processor seconds together, %.0f bytes a second each\n", hubs.Hubs, hubs.RSS, hubs.FDs, hubs.CPU, hubs.Bytes)
 	}
-	if s := r.Shared; s != nil && s.Settings != nil {
-		fmt.Fprintf(w, "  settings: %d given, at the last agent after %.1f s (%.1f s in reach of a hub); behind at the end: %d\n", s.Settings.Given, s.Settings.After,
-			s.Settings.Reach, s.Settings.Behind)
+	if shared := report.Shared; shared != nil && shared.Settings != nil {
+		fmt.Fprintf(w, "  settings: %d given, at the last agent after %.1f s (%.1f s in reach of a hub); behind at the end: %d\n", shared.Settings.Given, shared.Settings.After,
+			shared.Settings.Reach, shared.Settings.Behind)
 	}
-	fmt.Fprintf(w, "  lab late by p50 %.2f ms, p99 %.2f ms; cold backends pushed over: %d\n", r.Late.P50, r.Late.P99, r.FallOvers)
-	fmt.Fprintf(w, "  rules: %s\n", r.Verdict)
+	fmt.Fprintf(w, "  lab late by p50 %.2f ms, p99 %.2f ms; cold backends pushed over: %d\n", report.Late.P50, report.Late.P99, report.FallOvers)
+	fmt.Fprintf(w, "  rules: %s\n", report.Verdict)
 }
 
 type traceCmd struct {
@@ -250,12 +250,12 @@
 }
 
 func (c *traceCmd) Run(o *output) error {
-	f, err := os.Open(c.File)
+	file, err := os.Open(c.File)
 	if err != nil {
 		return usageError{err}
 	}
-	defer f.Close()
-	lines := bufio.NewReader(f)
+	defer file.Close()
+	lines := bufio.NewReader(file)
 	found := false
 	for n := 1; ; n++ {
 		line, err := lines.ReadString('\n')
@@ -268,12 +268,12 @@
 		if !strings.Contains(line, c.ID) {
 			continue
 		}
-		var q check.Request
-		if err := json.Unmarshal([]byte(line), &q); err != nil {
+		var request check.Request
+		if err := json.Unmarshal([]byte(line), &request); err != nil {
 			return usageError{fmt.Errorf("%s:%d: %w", c.File, n, err)}
 		}
-		if q.ID == c.ID || q.First == c.ID {
-			lab.WriteHistory(o.stdout, &q)
+		if request.ID == c.ID || request.First == c.ID {
+			lab.WriteHistory(o.stdout, &request)
 			found = true
 		}
 	}
--- a/cmd/martenbeam/main.go
+++ b/cmd/martenbeam/main.go
@@ -13,20 +13,20 @@
 
 // Exit codes.
 const (
-	exitFailed  = 1 // something went wrong that no other code tells
-	exitUsage   = 2 // what was asked for can't be done
-	exitBroken  = 3 // a rule was broken
-	exitCrashed = 4 // an agent crashed, did not start or went over a limit
-	exitVoid    = 5 // the lab itself was late: no verdict
+	exitFailed       = 1 // something went wrong that no other code tells
+	exitUsage        = 2 // what was asked for can't be done
+	exitViolated     = 3 // a rule was broken
+	exitCrashed      = 4 // an agent crashed, did not start or went over a limit
+	exitInconclusive = 5 // the lab itself was late: no verdict
 )
 
 // usageError is a fault of what was asked for.
 type usageError struct{ error }
 
-// codeError ends the program with a code; what there is to say has been said.
-type codeError int
+// exitCodeError ends the program with a code; what there is to say has been said.
+type exitCodeError int
 
-func (e codeError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
+func (e exitCodeError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
 type cli struct {
 	Up     upCmd     `name:"up" cmd:"" help:"Start a whole fleet on this machine and watch it: agents, backends, discovery and clients."`
@@ -68,7 +68,7 @@
 		return exitUsage
 	}
 	err = ctx.Run(&output{stdout, stderr})
-	var code codeError
+	var code exitCodeError
 	var usage usageError
 	switch {
 	case err == nil:
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-func write(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "test.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -33,9 +33,9 @@
 }
 
 // What can't be done ends with one line and exit 2; help and lists with 0.
-func TestUsage(t *testing.T) {
-	bad := write(t, "for = \"-3s\"\n")
-	all := write(t, "version = 3\nattempts.most = 4\n")
+func TestExitCodesAndMessages(t *testing.T) {
+	bad := writeTempFile(t, "for = \"-3s\"\n")
+	all := writeTempFile(t, "version = 3\nattempts.most = 4\n")
 	for _, c := range []struct {
 		args string
 		code int
@@ -81,16 +81,16 @@
 }
 
 // A run that only breaks a rule of what agents share ends with 3 and says which.
-func TestVerdictOfSharedState(t *testing.T) {
+func TestViolationOfSharedStateIsReported(t *testing.T) {
 	var out, errs bytes.Buffer
 	r := &lab.Report{Verdict: lab.Broken, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
-	if err := verdict(&output{&out, &errs}, r); err != codeError(exitBroken) || !strings.Contains(errs.String(), r.Rules.Shared) {
+	if err := verdictError(&output{&out, &errs}, r); err != exitCodeError(exitViolated) || !strings.Contains(errs.String(), r.Rules.Shared) {
 		t.Errorf("%v: %s", err, errs.String())
 	}
 }
 
 // up serves a request sent by hand as its curl line says, and ends cleanly on an interrupt.
-func TestUp(t *testing.T) {
+func TestUpServesRequestsUntilInterrupted(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -143,9 +143,9 @@
 }
 
 // A run's events lead through one request; its report is whole.
-func TestRunAndTrace(t *testing.T) {
+func TestTraceFollowsARequestOfARun(t *testing.T) {
 	dir := t.TempDir()
-	s := write(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
+	s := writeTempFile(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -578,7 +578,7 @@
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
 	})
 	_, _, load := attemptOn(t, poolWithBackend(t, s.addr), context.Background(), "")
-	if want := wire.Load(map[string]float64{"backlog": 2, "errors_per_s": 0.5}); load != want {
+	if want := wire.ParseLoad(map[string]float64{"backlog": 2, "errors_per_s": 0.5}); load != want {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -86,13 +86,13 @@
 				p.log.Warn("attempt not sent", "error", err, "backend", att.backendID)
 			}
 			if errors.Is(context.Cause(att.ctx), errCancelled) {
-				return balancer.Cancelled, nil, wire.Load(nil)
+				return balancer.Cancelled, nil, wire.ParseLoad(nil)
 			}
-			return balancer.ConnectFailed, nil, wire.Load(nil)
+			return balancer.ConnectFailed, nil, wire.ParseLoad(nil)
 		}
 		if err := p.checkSendable(att); err != nil { // while the connection was being opened: nothing has run
 			p.release(att.backendID, conn, true)
-			return unsentResult(err), nil, wire.Load(nil)
+			return unsentResult(err), nil, wire.ParseLoad(nil)
 		}
 		reused := conn.idleFor > 0
 		att.newConn = !reused
@@ -121,7 +121,7 @@
 
 // roundTrip writes the request on a connection, once, and waits for the answer.
 func (p *upstreamPool) roundTrip(att *attempt, conn *pooledConn) (balancer.Result, *response, balancer.Load) {
-	noLoad, request := wire.Load(nil), att.request
+	noLoad, request := wire.ParseLoad(nil), att.request
 	target := *request.url
 	target.Scheme, target.Host = "http", conn.addr
 	req := (&http.Request{Method: request.method, URL: &target, Header: request.header.Clone(), Host: request.host,
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -126,7 +126,7 @@
 	})
 	defer check.Stop()
 	c.changed.Wait()
-	if tcpinfo.HungUp(c.Conn) {
+	if tcpinfo.PeerClosed(c.Conn) {
 		c.cancelCtx()
 	}
 }
@@ -138,7 +138,7 @@
 	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
 		return 0
 	}
-	return min(q.Queued(), tcpinfo.SinceReceived(c.Conn))
+	return min(q.Queued(), tcpinfo.SinceLastData(c.Conn))
 }
 
 // markRequestStart notes when a request began to come. The lock is held.
--- a/internal/agent/front_test.go
+++ b/internal/agent/front_test.go
@@ -264,7 +264,7 @@
 // The module is told what a request concerns, where its cookie says so.
 func TestSessionCookieSetsTheKey(t *testing.T) {
 	f := newFrontend(testConfig(t, testSetup{}), nil, discardLog)
-	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.Key("7f3a"), "a=b; sid=7f3a": wire.Key("7f3a")} {
+	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.AffinityKey("7f3a"), "a=b; sid=7f3a": wire.AffinityKey("7f3a")} {
 		hr := httptest.NewRequest(http.MethodGet, "/get/x", nil)
 		hr.Header.Set("X-Trace-Id", "t1")
 		if cookie != "" {
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -48,5 +48,5 @@
 			usage[name] = v
 		}
 	}
-	return wire.Load(usage)
+	return wire.ParseLoad(usage)
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -61,7 +61,7 @@
 	r := newRequest(header.Get("X-Trace-Id"), class)
 	r.clientRetry = header.Get("X-Second-Try") == "1"
 	if c, err := httpReq.Cookie("sid"); err == nil {
-		r.key = wire.Key(c.Value)
+		r.key = wire.AffinityKey(c.Value)
 	}
 	if gatekeeper := f.residency; gatekeeper != nil {
 		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), className)
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -32,7 +32,7 @@
 		balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list},
 		balancer.EndpointUpdate{Kind: balancer.UpdateCached, Backends: list},
 		balancer.EndpointUpdate{Kind: balancer.UpdateFailed},
-		balancer.Request{ID: "r1", Class: 1, TimeRemaining: 20 * ms, Work: 21 * ms, ClientRetry: true, AffinityKey: wire.Key("item22")},
+		balancer.Request{ID: "r1", Class: 1, TimeRemaining: 20 * ms, Work: 21 * ms, ClientRetry: true, AffinityKey: wire.AffinityKey("item22")},
 	}
 	for i, result := range []balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed,
 		balancer.Reset, balancer.Cancelled, balancer.NotSent} {
@@ -53,7 +53,7 @@
 	if last := b.Events[len(b.Events)-1]; !last.Retire || last.Agent != 7 {
 		t.Errorf("retired with %+v", last)
 	}
-	equal(t, "the key of an item", wire.Key("item22"), uint64(0x6718ec13ab02850a))
+	equal(t, "the key of an item", wire.AffinityKey("item22"), uint64(0x6718ec13ab02850a))
 }
 
 // Each action, in the form of the bench.
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -170,7 +170,7 @@
 		a.stated = seconds(s)
 	}
 	l := h.lab
-	a.came = l.now() - tcpinfo.SinceReceived(c.Conn) // also where the lab sees to it later
+	a.came = l.now() - tcpinfo.SinceLastData(c.Conn) // also where the lab sees to it later
 	l.mu.Lock()
 	now := l.now()
 	if l.closing {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	queueLength = 256                   // lines; an agent logs a few a second at its worst
-	flushWithin = 50 * time.Millisecond // for what is queued when the program ends
+	queueLength  = 256                   // lines; an agent logs a few a second at its worst
+	flushTimeout = 50 * time.Millisecond // for what is queued when the program ends
 )
 
 // Logger is a slog.Logger whose lines are queued.
@@ -25,29 +25,29 @@
 
 // New returns a logger whose lines go to out, in the form of a handler: slog.NewTextHandler or slog.NewJSONHandler.
 func New[H slog.Handler](out io.Writer, handler func(io.Writer, *slog.HandlerOptions) H, options *slog.HandlerOptions) *Logger {
-	q := &queue{out: out, log: slog.New(handler(out, options)), lines: make(chan []byte, queueLength), closing: make(chan struct{}),
-		written: make(chan struct{})}
-	go q.run()
-	return &Logger{Logger: slog.New(handler(q, options)), queue: q}
+	queue := &queue{out: out, directLog: slog.New(handler(out, options)), lines: make(chan []byte, queueLength), closing: make(chan struct{}),
+		flushed: make(chan struct{})}
+	go queue.run()
+	return &Logger{Logger: slog.New(handler(queue, options)), queue: queue}
 }
 
 // Close writes what is queued, within a short time, and has later lines dropped. It is called once, at the program's end.
 func (l *Logger) Close() {
 	close(l.queue.closing)
 	select {
-	case <-l.queue.written:
-	case <-time.After(flushWithin):
+	case <-l.queue.flushed:
+	case <-time.After(flushTimeout):
 	}
 }
 
 // queue takes lines as a writer.
 type queue struct {
-	out     io.Writer
-	log     *slog.Logger // to out, past the queue
-	lines   chan []byte
-	dropped atomic.Int64
-	closing chan struct{}
-	written chan struct{} // closed once all is that was queued before closing
+	out       io.Writer
+	directLog *slog.Logger // to out, past the queue
+	lines     chan []byte
+	dropped   atomic.Int64
+	closing   chan struct{}
+	flushed   chan struct{} // closed once all is that was queued before closing
 }
 
 // Write queues a line. It never waits, and never fails.
@@ -62,7 +62,7 @@
 
 // run writes lines until the logger is closed.
 func (q *queue) run() {
-	defer close(q.written)
+	defer close(q.flushed)
 	for {
 		select {
 		case line := <-q.lines:
@@ -80,6 +80,6 @@
 func (q *queue) write(line []byte) {
 	_, _ = q.out.Write(line) // one that can't be written is lost: there is nowhere else to say so
 	if n := q.dropped.Swap(0); n > 0 {
-		q.log.Warn("log lines dropped", "count", n)
+		q.directLog.Warn("log lines dropped", "count", n)
 	}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// blocked is a writer that lets nothing through until it is opened.
-type blocked struct {
+// blockedWriter is a writer that lets nothing through until it is opened.
+type blockedWriter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 	err  error
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.text.Write(p)
@@ -26,8 +26,8 @@
 }
 
 // Lines come whole and in their order, and the last before the program's end too.
-func TestLinesInOrder(t *testing.T) {
-	var out blocked
+func TestLinesAreWrittenInOrder(t *testing.T) {
+	var out blockedWriter
 	l := New(&out, slog.NewTextHandler, nil)
 	for i := range 200 {
 		l.Info("line", "n", i)
@@ -45,20 +45,20 @@
 }
 
 // Nobody waits for a writer that takes nothing; what is missing is counted, and neither end waits for it for long.
-func TestWriterThatTakesNothing(t *testing.T) {
-	var out blocked
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
+	var out blockedWriter
 	out.mu.Lock()
 	l := New(&out, slog.NewJSONHandler, nil)
 	const lines = queueLength + 100
 	for i := range lines {
 		l.Info("line", "n", i)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	out.err = errors.New("no space left") // changes nothing
 	out.mu.Unlock()
 	l.Close()
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("closed after %v", took)
+	if elapsed := time.Since(startedAt); elapsed > time.Second {
+		t.Errorf("closed after %v", elapsed)
 	}
 	out.mu.Lock()
 	text := out.text.String()
@@ -70,16 +70,16 @@
 }
 
 // A writer that takes nothing until the end keeps the program from nothing.
-func TestCloseBesideAWriterThatTakesNothing(t *testing.T) {
-	var out blocked
+func TestCloseReturnsWhileTheWriterIsBlocked(t *testing.T) {
+	var out blockedWriter
 	out.mu.Lock()
 	l := New(&out, slog.NewTextHandler, nil)
 	l.Info("line")
-	began := time.Now()
+	startedAt := time.Now()
 	l.Close()
-	if took := time.Since(began); took < flushWithin || took > 2*time.Second {
-		t.Errorf("closed after %v", took)
+	if elapsed := time.Since(startedAt); elapsed < flushTimeout || elapsed > 2*time.Second {
+		t.Errorf("closed after %v", elapsed)
 	}
 	out.mu.Unlock()
-	<-l.queue.written
+	<-l.queue.flushed
 }
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -362,13 +362,13 @@
 func TestPartOf(t *testing.T) {
 	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
-		"facts":     {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/fact.Encode", p + "fleet/fact.(*Store).Gossip", "github.com/hashicorp/memberlist.(*Memberlist).gossip"},
-		"distances": {"runtime.mallocgc", p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).measure", p + "fleet.(*Fleet).tick"},
+		"facts":     {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/gossip.EncodeMessage", p + "fleet/gossip.(*Store).NextMessage", "github.com/hashicorp/memberlist.(*Memberlist).gossip"},
+		"distances": {"runtime.mallocgc", p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).publishLatencies", p + "fleet.(*Fleet).runLoop"},
 		"members":   {"syscall.Syscall6", p + "fleet/member.(*transport).WriteTo", "github.com/hashicorp/memberlist.(*Memberlist).probe"},
-		"policy":    {p + "fleet/fact.(*Store).Now", p + "fleet.(*Fleet).shareResidency"},
+		"policy":    {p + "fleet/gossip.(*Store).Entries", p + "fleet.(*Fleet).shareDocuments"},
 		"list":      {"net/http.(*response).Write", p + "fleet.(*relay).ServeHTTP", "net/http.(*conn).serve"},
 		"harness":   {"net/http.(*response).Write", p + "scale.(*service).ServeHTTP", "net/http.(*conn).serve"},
-		"parts":     {p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).reckon", p + "fleet.(*Fleet).tick"},
+		"parts":     {p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).recomputeQuota", p + "fleet.(*Fleet).runLoop"},
 		"collector": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
 		"runtime":   {"runtime.findRunnable", "runtime.schedule"},
 	} {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,8 @@
 	"martenbeam/balancer"
 )
 
-// facts mirrors the settings object of the wire, in the wire's own names.
-type facts struct {
+// settingsDoc mirrors the settings object of the wire, in the wire's own names.
+type settingsDoc struct {
 	Balancers int    `json:"Balancers"`
 	Me        int    `json:"Me"`
 	Zone      int    `json:"Zone"`
@@ -79,68 +79,68 @@
 
 // ParseSettings translates the settings object. Unknown keys are ignored.
 func ParseSettings(raw []byte) (balancer.Settings, Site, error) {
-	var f facts
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var doc settingsDoc
+	if err := json.Unmarshal(raw, &doc); err != nil {
 		return balancer.Settings{}, Site{}, err
 	}
-	s, err := f.settings()
-	site := Site{Zones: f.Dcs, Kinds: f.Kinds, IdleClose: duration(f.PolicyLimits.IdleCloseMs),
-		MaxOpen:    int(f.PolicyLimits.MaxOpen),
-		LoadInline: f.Report.Source == "inline", LoadProbed: f.Report.Source == "on_probe"}
-	for _, p := range f.Profiles {
-		site.Classes = append(site.Classes, p.Name)
+	settings, err := doc.balancerSettings()
+	site := Site{Zones: doc.Dcs, Kinds: doc.Kinds, IdleClose: fromMillis(doc.PolicyLimits.IdleCloseMs),
+		MaxOpen:    int(doc.PolicyLimits.MaxOpen),
+		LoadInline: doc.Report.Source == "inline", LoadProbed: doc.Report.Source == "on_probe"}
+	for _, profile := range doc.Profiles {
+		site.Classes = append(site.Classes, profile.Name)
 	}
-	return s, site, err
+	return settings, site, err
 }
 
-func (f *facts) settings() (balancer.Settings, error) {
-	s := balancer.Settings{
-		Balancers:        f.Balancers,
-		Self:             f.Me,
-		Zone:             f.Zone,
-		WeightByWork:     f.CountedBy == "work",
-		Subscribe:        f.MembershipMode == "subscribe",
-		Tick:             duration(f.TickMs),
-		MaxAttempts:      f.PolicyLimits.TryLimit,
-		HedgingAllowed:   f.PolicyLimits.SecondCopies,
-		ProbingAllowed:   f.PolicyLimits.MayProbe,
-		CancelAllowed:    f.PolicyLimits.Cancel,
-		RetryAfter:       f.PolicyLimits.RetryAfter,
-		GossipAllowed:    f.PolicyLimits.Peers,
-		MaxRetryAfter:    duration(f.PolicyLimits.MaxRetryAfterMs),
-		ConnectTimeout:   duration(f.PolicyLimits.ConnectTimeoutMs),
-		DrainGrace:       duration(f.Contract.DrainGraceMs),
-		AnswerGrace:      duration(f.Contract.GraceToAnswerMs),
-		PollInterval:     duration(f.Contract.AskWithinMs),
-		InitialCapacity:  f.Contract.ColdFrom,
-		SlowStartWindow:  duration(f.Contract.RampTimeMs),
-		OverloadMultiple: f.Contract.FallMultiple,
-		OverloadWindow:   duration(f.Contract.FallMs),
-		GoalOverall:      f.Goal.Whole,
-		GoalWorstWindow:  f.Goal.WorstWindow,
-		GoalWorstClass:   f.Goal.WorstClass,
-		CrossZoneCost:    f.Prices.CrossZone, CrossRegionCost: f.Prices.CrossRegion, Regions: f.Regions,
-		KeyAffinity: f.FamilyInfo.WarmKeys,
+func (doc *settingsDoc) balancerSettings() (balancer.Settings, error) {
+	settings := balancer.Settings{
+		Balancers:        doc.Balancers,
+		Self:             doc.Me,
+		Zone:             doc.Zone,
+		WeightByWork:     doc.CountedBy == "work",
+		Subscribe:        doc.MembershipMode == "subscribe",
+		Tick:             fromMillis(doc.TickMs),
+		MaxAttempts:      doc.PolicyLimits.TryLimit,
+		HedgingAllowed:   doc.PolicyLimits.SecondCopies,
+		ProbingAllowed:   doc.PolicyLimits.MayProbe,
+		CancelAllowed:    doc.PolicyLimits.Cancel,
+		RetryAfter:       doc.PolicyLimits.RetryAfter,
+		GossipAllowed:    doc.PolicyLimits.Peers,
+		MaxRetryAfter:    fromMillis(doc.PolicyLimits.MaxRetryAfterMs),
+		ConnectTimeout:   fromMillis(doc.PolicyLimits.ConnectTimeoutMs),
+		DrainGrace:       fromMillis(doc.Contract.DrainGraceMs),
+		AnswerGrace:      fromMillis(doc.Contract.GraceToAnswerMs),
+		PollInterval:     fromMillis(doc.Contract.AskWithinMs),
+		InitialCapacity:  doc.Contract.ColdFrom,
+		SlowStartWindow:  fromMillis(doc.Contract.RampTimeMs),
+		OverloadMultiple: doc.Contract.FallMultiple,
+		OverloadWindow:   fromMillis(doc.Contract.FallMs),
+		GoalOverall:      doc.Goal.Whole,
+		GoalWorstWindow:  doc.Goal.WorstWindow,
+		GoalWorstClass:   doc.Goal.WorstClass,
+		CrossZoneCost:    doc.Prices.CrossZone, CrossRegionCost: doc.Prices.CrossRegion, Regions: doc.Regions,
+		KeyAffinity: doc.FamilyInfo.WarmKeys,
 	}
-	effects := map[string]balancer.Idempotency{
+	idempotencies := map[string]balancer.Idempotency{
 		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotencyKey, "once": balancer.NonIdempotent}
-	groups := map[string]balancer.IdempotencyScope{
+	scopes := map[string]balancer.IdempotencyScope{
 		"": balancer.ScopeAll, "all": balancer.ScopeAll,
 		"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
-	for i, p := range f.Profiles {
-		effect, ok := effects[p.Semantics]
+	for i, profile := range doc.Profiles {
+		idempotency, ok := idempotencies[profile.Semantics]
 		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, p.Semantics)
+			return settings, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, profile.Semantics)
 		}
-		group, ok := groups[p.Group]
+		scope, ok := scopes[profile.Group]
 		if !ok {
-			return s, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, p.Group)
+			return settings, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, profile.Group)
 		}
-		s.Classes = append(s.Classes, balancer.Class{
-			LatencyObjective: duration(p.AimMs), Deadline: duration(p.DeadlineMs),
-			PriorityWeight: p.Worth, LateWeight: p.LateValue,
-			Idempotency: effect, Scope: group, DedupWindow: duration(p.WindowMs),
+		settings.Classes = append(settings.Classes, balancer.Class{
+			LatencyObjective: fromMillis(profile.AimMs), Deadline: fromMillis(profile.DeadlineMs),
+			PriorityWeight: profile.Worth, LateWeight: profile.LateValue,
+			Idempotency: idempotency, Scope: scope, DedupWindow: fromMillis(profile.WindowMs),
 		})
 	}
-	return s, nil
+	return settings, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,8 +18,8 @@
 	"martenbeam/balancer"
 )
 
-// Open tells that an instance starts with no state.
-type Open struct {
+// OpenInstance tells that an instance starts with no state.
+type OpenInstance struct {
 	Seed     uint64
 	Settings balancer.Settings
 }
@@ -29,7 +29,7 @@
 type Event struct {
 	Line   int // line number in the stream, from 1
 	Agent  int
-	Open   *Open
+	Open   *OpenInstance
 	Retire bool
 	Event  balancer.Event
 }
@@ -42,18 +42,18 @@
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[int][]balancer.Backend
-	open  map[int]int // number of classes of each open instance
+	in          *bufio.Reader
+	line        int
+	sheets      map[int][]balancer.Backend
+	classCounts map[int]int // number of classes of each open instance
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balancer.Backend{}, open: map[int]int{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), sheets: map[int][]balancer.Backend{}, classCounts: map[int]int{}}
 }
 
-type entry struct {
+type listItem struct {
 	Backend      string  `json:"Backend"`
 	Availability string  `json:"Availability"`
 	Rating       float64 `json:"Rating"`
@@ -72,7 +72,7 @@
 	RandomSeed *uint64            `json:"RandomSeed"`
 	Facts      json.RawMessage    `json:"Facts"`
 	Sheet      *int               `json:"Sheet"`
-	Items      *[]entry           `json:"Items"`
+	Items      *[]listItem        `json:"Items"`
 	How        *string            `json:"How"`
 	Job        *string            `json:"Job"`
 	TierClass  *int               `json:"TierClass"`
@@ -88,11 +88,11 @@
 	Usage      map[string]float64 `json:"Usage"`
 	Cookie     *int64             `json:"Cookie"`
 	From       *int               `json:"From"`
-	Text       *string            `json:"Msg"`
+	PeerData   *string            `json:"Msg"`
 }
 
-// Key hashes what a request concerns, the same everywhere; 0 where that is unknown.
-func Key(item string) uint64 {
+// AffinityKey hashes what a request concerns, the same everywhere; 0 where that is unknown.
+func AffinityKey(item string) uint64 {
 	if item == "" {
 		return 0
 	}
@@ -102,32 +102,32 @@
 }
 
 const (
-	bitHintValid = 1
-	bitRepeat    = 2
+	stateWorkHintValid = 1
+	stateClientRetry   = 2
 )
 
-var results = map[string]balancer.Result{
+var resultsByOutcome = map[string]balancer.Result{
 	"pass": balancer.OK, "fault": balancer.Errored, "no_room": balancer.Rejected,
 	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
 	"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
 }
 
-var listKinds = map[string]balancer.UpdateKind{
+var updateKinds = map[string]balancer.UpdateKind{
 	"diff": balancer.UpdateDelta, "snapshot": balancer.UpdateFull,
 	"disk": balancer.UpdateCached, "error": balancer.UpdateFailed,
 }
 
-var states = map[string]balancer.BackendState{
+var backendStates = map[string]balancer.BackendState{
 	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Removed,
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between batches.
 func (r *Reader) Next() (*Batch, error) {
-	var b *Batch
+	var batch *Batch
 	for {
-		text, err := r.in.ReadBytes('\n')
-		if errors.Is(err, io.EOF) && len(text) == 0 {
-			if b != nil {
+		line, err := r.in.ReadBytes('\n')
+		if errors.Is(err, io.EOF) && len(line) == 0 {
+			if batch != nil {
 				return nil, fmt.Errorf("line %d: the input ends within a batch", r.line)
 			}
 			return nil, io.EOF
@@ -136,194 +136,194 @@
 			return nil, fmt.Errorf("line %d: %w", r.line+1, err)
 		}
 		r.line++
-		if blank(text) {
+		if isBlank(line) {
 			continue
 		}
-		var m message
-		if err := json.Unmarshal(text, &m); err != nil {
+		var msg message
+		if err := json.Unmarshal(line, &msg); err != nil {
 			return nil, fmt.Errorf("line %d: %w", r.line, err)
 		}
 		switch {
-		case m.Kind == "Frame" && b == nil && m.ClockMs != nil:
-			b = &Batch{Now: duration(*m.ClockMs)}
-		case m.Kind == "Frame" && b == nil:
+		case msg.Kind == "Frame" && batch == nil && msg.ClockMs != nil:
+			batch = &Batch{Now: fromMillis(*msg.ClockMs)}
+		case msg.Kind == "Frame" && batch == nil:
 			return nil, fmt.Errorf("line %d: Frame: missing ClockMs", r.line)
-		case m.Kind == "Frame":
+		case msg.Kind == "Frame":
 			return nil, fmt.Errorf("line %d: Frame within a batch", r.line)
-		case b == nil:
-			return nil, fmt.Errorf("line %d: %q outside a batch", r.line, m.Kind)
-		case m.Kind == "End":
-			return b, nil
+		case batch == nil:
+			return nil, fmt.Errorf("line %d: %q outside a batch", r.line, msg.Kind)
+		case msg.Kind == "End":
+			return batch, nil
 		default:
-			if err := r.add(b, &m); err != nil {
-				return nil, fmt.Errorf("line %d: %s: %w", r.line, m.Kind, err)
+			if err := r.decodeEvent(batch, &msg); err != nil {
+				return nil, fmt.Errorf("line %d: %s: %w", r.line, msg.Kind, err)
 			}
 		}
 	}
 }
 
-func blank(text []byte) bool {
-	for _, c := range text {
-		if c != ' ' && c != '\t' && c != '\r' && c != '\n' {
+func isBlank(text []byte) bool {
+	for _, char := range text {
+		if char != ' ' && char != '\t' && char != '\r' && char != '\n' {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Reader) add(b *Batch, m *message) error {
-	if m.Kind == "DefineList" {
-		return r.defineList(m)
+func (r *Reader) decodeEvent(batch *Batch, msg *message) error {
+	if msg.Kind == "DefineList" {
+		return r.defineList(msg)
 	}
-	e := Event{Line: r.line}
+	event := Event{Line: r.line}
 	var err error
-	switch m.Kind {
+	switch msg.Kind {
 	case "OpenInstance":
-		if m.RandomSeed == nil || m.Facts == nil {
+		if msg.RandomSeed == nil || msg.Facts == nil {
 			return errors.New("missing RandomSeed or Facts")
 		}
-		e.Open = &Open{Seed: *m.RandomSeed}
-		if e.Open.Settings, _, err = ParseSettings(m.Facts); err != nil {
+		event.Open = &OpenInstance{Seed: *msg.RandomSeed}
+		if event.Open.Settings, _, err = ParseSettings(msg.Facts); err != nil {
 			err = fmt.Errorf("Facts: %w", err) //lint:ignore ST1005 begins with the name of a field
 		}
 	case "Retire":
-		e.Retire = true
+		event.Retire = true
 	case "View":
-		e.Event, err = r.view(m)
+		event.Event, err = r.endpointUpdate(msg)
 	case "Submit":
-		if m.Job == nil || m.TierClass == nil || m.GraceMs == nil {
+		if msg.Job == nil || msg.TierClass == nil || msg.GraceMs == nil {
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
-		q := balancer.Request{ID: *m.Job, Class: *m.TierClass, TimeRemaining: duration(*m.GraceMs),
-			ClientRetry: m.StateBits&bitRepeat != 0, AffinityKey: Key(m.Item)}
-		if m.StateBits&bitHintValid != 0 {
-			q.Work = duration(m.WorkHintMs)
+		request := balancer.Request{ID: *msg.Job, Class: *msg.TierClass, TimeRemaining: fromMillis(*msg.GraceMs),
+			ClientRetry: msg.StateBits&stateClientRetry != 0, AffinityKey: AffinityKey(msg.Item)}
+		if msg.StateBits&stateWorkHintValid != 0 {
+			request.Work = fromMillis(msg.WorkHintMs)
 		}
-		e.Event = q
+		event.Event = request
 	case "Ended":
-		if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
+		if msg.Job == nil || msg.Outcome == nil || msg.SendNo == nil || msg.Backend == nil || msg.WaitTimeMs == nil {
 			return errors.New("missing Job, Outcome, SendNo, Backend or WaitTimeMs")
 		}
-		res, ok := results[*m.Outcome]
+		result, ok := resultsByOutcome[*msg.Outcome]
 		if !ok {
-			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
+			return fmt.Errorf("unknown Outcome %q", *msg.Outcome)
 		}
-		e.Event = balancer.Outcome{Request: *m.Job, Attempt: *m.SendNo, Backend: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), Done: m.Ended, Load: Load(m.Usage)}
+		event.Event = balancer.Outcome{Request: *msg.Job, Attempt: *msg.SendNo, Backend: *msg.Backend, Result: result,
+			Latency: fromMillis(*msg.WaitTimeMs), Done: msg.Ended, Load: ParseLoad(msg.Usage)}
 	case "ProbeDone":
-		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
+		if msg.Backend == nil || msg.Outcome == nil || msg.WaitTimeMs == nil {
 			return errors.New("missing Backend, Outcome or WaitTimeMs")
 		}
-		res, ok := results[*m.Outcome]
+		result, ok := resultsByOutcome[*msg.Outcome]
 		if !ok {
-			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
+			return fmt.Errorf("unknown Outcome %q", *msg.Outcome)
 		}
-		e.Event = balancer.ProbeResult{Backend: *m.Backend, Result: res,
-			Latency: duration(*m.WaitTimeMs), Load: Load(m.Usage)}
+		event.Event = balancer.ProbeResult{Backend: *msg.Backend, Result: result,
+			Latency: fromMillis(*msg.WaitTimeMs), Load: ParseLoad(msg.Usage)}
 	case "Streaming":
-		if m.Job == nil || m.SendNo == nil {
+		if msg.Job == nil || msg.SendNo == nil {
 			return errors.New("missing Job or SendNo")
 		}
-		e.Event = balancer.ResponseStarted{Request: *m.Job, Attempt: *m.SendNo}
+		event.Event = balancer.ResponseStarted{Request: *msg.Job, Attempt: *msg.SendNo}
 	case "Expired":
-		if m.Job == nil {
+		if msg.Job == nil {
 			return errors.New("missing Job")
 		}
-		e.Event = balancer.Abandoned{Request: *m.Job}
+		event.Event = balancer.Abandoned{Request: *msg.Job}
 	case "Reminder":
-		if m.Cookie == nil {
+		if msg.Cookie == nil {
 			return errors.New("missing Cookie")
 		}
-		e.Event = balancer.TimerFired{Token: *m.Cookie}
+		event.Event = balancer.TimerFired{Token: *msg.Cookie}
 	case "Peer":
-		if m.From == nil || m.Text == nil {
+		if msg.From == nil || msg.PeerData == nil {
 			return errors.New("missing From or Msg")
 		}
-		data, err := hex.DecodeString(*m.Text)
+		data, err := hex.DecodeString(*msg.PeerData)
 		if err != nil {
 			return fmt.Errorf("Msg: %w", err) //lint:ignore ST1005 begins with the name of a field
 		}
-		e.Event = balancer.GossipReceived{From: *m.From, Data: data}
+		event.Event = balancer.GossipReceived{From: *msg.From, Data: data}
 	default:
 		return errors.New("unknown message")
 	}
 	if err != nil {
 		return err
 	}
-	if m.Agent == nil {
+	if msg.Agent == nil {
 		return errors.New("missing Agent")
 	}
-	e.Agent = *m.Agent
-	classes, known := r.open[e.Agent]
+	event.Agent = *msg.Agent
+	classes, known := r.classCounts[event.Agent]
 	switch {
-	case e.Open != nil:
-		r.open[e.Agent] = len(e.Open.Settings.Classes)
-	case e.Retire:
-		delete(r.open, e.Agent)
-	case m.Kind == "Submit" && known && (*m.TierClass < 0 || *m.TierClass >= classes):
-		return fmt.Errorf("TierClass: unknown class %d", *m.TierClass)
+	case event.Open != nil:
+		r.classCounts[event.Agent] = len(event.Open.Settings.Classes)
+	case event.Retire:
+		delete(r.classCounts, event.Agent)
+	case msg.Kind == "Submit" && known && (*msg.TierClass < 0 || *msg.TierClass >= classes):
+		return fmt.Errorf("TierClass: unknown class %d", *msg.TierClass)
 	}
-	b.Events = append(b.Events, e)
+	batch.Events = append(batch.Events, event)
 	return nil
 }
 
-func (r *Reader) defineList(m *message) error {
-	if m.Sheet == nil || m.Items == nil {
+func (r *Reader) defineList(msg *message) error {
+	if msg.Sheet == nil || msg.Items == nil {
 		return errors.New("missing Sheet or Items")
 	}
-	list := make([]balancer.Backend, 0, len(*m.Items))
-	for _, it := range *m.Items {
-		state, ok := states[it.Availability]
+	backends := make([]balancer.Backend, 0, len(*msg.Items))
+	for _, item := range *msg.Items {
+		state, ok := backendStates[item.Availability]
 		if !ok {
-			return fmt.Errorf("unknown Availability %q", it.Availability)
+			return fmt.Errorf("unknown Availability %q", item.Availability)
 		}
-		if it.Backend == "" {
+		if item.Backend == "" {
 			return errors.New("missing Backend")
 		}
-		list = append(list, balancer.Backend{ID: it.Backend, State: state, Zone: it.Dc, Cell: it.Block,
-			Kind: it.Sku, Weight: it.Rating, Started: duration(it.LaunchedMs)})
+		backends = append(backends, balancer.Backend{ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
+			Kind: item.Sku, Weight: item.Rating, Started: fromMillis(item.LaunchedMs)})
 	}
-	r.lists[*m.Sheet] = list
+	r.sheets[*msg.Sheet] = backends
 	return nil
 }
 
-func (r *Reader) view(m *message) (balancer.Event, error) {
-	if m.How == nil {
+func (r *Reader) endpointUpdate(msg *message) (balancer.Event, error) {
+	if msg.How == nil {
 		return nil, errors.New("missing How")
 	}
-	kind, ok := listKinds[*m.How]
+	kind, ok := updateKinds[*msg.How]
 	if !ok {
-		return nil, fmt.Errorf("unknown How %q", *m.How)
+		return nil, fmt.Errorf("unknown How %q", *msg.How)
 	}
 	if kind == balancer.UpdateFailed {
 		return balancer.EndpointUpdate{Kind: kind}, nil
 	}
-	if m.Sheet == nil {
+	if msg.Sheet == nil {
 		return nil, errors.New("missing Sheet")
 	}
-	list, ok := r.lists[*m.Sheet]
+	backends, ok := r.sheets[*msg.Sheet]
 	if !ok {
-		return nil, fmt.Errorf("Sheet %d was never defined", *m.Sheet) //lint:ignore ST1005 begins with the name of a field
+		return nil, fmt.Errorf("Sheet %d was never defined", *msg.Sheet) //lint:ignore ST1005 begins with the name of a field
 	}
-	return balancer.EndpointUpdate{Kind: kind, Backends: list}, nil
+	return balancer.EndpointUpdate{Kind: kind, Backends: backends}, nil
 }
 
-// Load translates a load report. What it does not hold is marked as not reported.
-func Load(usage map[string]float64) balancer.Load {
-	l := balancer.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
-	if v, ok := usage["backlog"]; ok {
-		l.Queue = v
+// ParseLoad translates a load report. What it does not hold is marked as not reported.
+func ParseLoad(usage map[string]float64) balancer.Load {
+	load := balancer.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
+	if value, ok := usage["backlog"]; ok {
+		load.Queue = value
 	}
-	if v, ok := usage["recent_ms"]; ok {
-		l.Service = duration(v)
+	if value, ok := usage["recent_ms"]; ok {
+		load.Service = fromMillis(value)
 	}
-	if v, ok := usage["errors_per_s"]; ok {
-		l.ErrorsPerSec = v
+	if value, ok := usage["errors_per_s"]; ok {
+		load.ErrorsPerSec = value
 	}
-	return l
+	return load
 }
 
-func duration(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
 
 // Writer writes replies, each whole: of one that is not ended nothing is seen.
 type Writer struct {
@@ -337,35 +337,35 @@
 
 // Actions writes the actions of one instance.
 func (w *Writer) Actions(agent int, actions []balancer.Action) error {
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case balancer.Send:
-			w.begin("Try", agent).str("Job", a.Request).str("Backend", a.Backend)
-			if a.Timeout > 0 {
-				w.ms("PatienceMs", a.Timeout)
+			w.beginMessage("Try", agent).stringField("Job", action.Request).stringField("Backend", action.Backend)
+			if action.Timeout > 0 {
+				w.millisField("PatienceMs", action.Timeout)
 			}
 		case balancer.Cancel:
-			w.begin("Cancel", agent).str("Job", a.Request).num("SendNo", int64(a.Attempt))
+			w.beginMessage("Cancel", agent).stringField("Job", action.Request).intField("SendNo", int64(action.Attempt))
 		case balancer.Refuse:
-			w.begin("SayNo", agent).str("Job", a.Request)
-			if a.RetryAfter > 0 {
-				w.ms("WaitMs", a.RetryAfter)
+			w.beginMessage("SayNo", agent).stringField("Job", action.Request)
+			if action.RetryAfter > 0 {
+				w.millisField("WaitMs", action.RetryAfter)
 			}
 		case balancer.Fail:
-			w.begin("DropRequest", agent).str("Job", a.Request)
+			w.beginMessage("DropRequest", agent).stringField("Job", action.Request)
 		case balancer.SetTimer:
-			w.begin("SetTimer", agent).ms("SpanMs", a.After).num("Cookie", a.Token)
+			w.beginMessage("SetTimer", agent).millisField("SpanMs", action.After).intField("Cookie", action.Token)
 		case balancer.Probe:
-			w.begin("Test", agent).str("Backend", a.Backend)
+			w.beginMessage("Test", agent).stringField("Backend", action.Backend)
 		case balancer.SendGossip:
-			w.begin("WritePeer", agent).num("Whom", int64(a.To)).str("Msg", hex.EncodeToString(a.Data))
+			w.beginMessage("WritePeer", agent).intField("Whom", int64(action.To)).stringField("Msg", hex.EncodeToString(action.Data))
 		case balancer.ZoneStateChanged:
-			w.begin("Trace", agent).str("Msg", turn(a))
+			w.beginMessage("Trace", agent).stringField("Msg", zoneStateText(action))
 		case balancer.Subscribe:
-			w.begin("KeepInformed", agent)
+			w.beginMessage("KeepInformed", agent)
 			w.buf = append(w.buf, `,"Enable":true`...)
 		default:
-			return fmt.Errorf("no wire form for action %T", a)
+			return fmt.Errorf("no wire form for action %T", action)
 		}
 		w.buf = append(w.buf, "}\n"...)
 		w.reply.Write(w.buf)
@@ -373,20 +373,20 @@
 	return nil
 }
 
-// turn words a line of the report.
-func turn(t balancer.ZoneStateChanged) string {
+// zoneStateText words a line of the report.
+func zoneStateText(change balancer.ZoneStateChanged) string {
 	switch {
-	case !t.FailedOver:
-		return fmt.Sprintf("zone %d is used again", t.Zone)
-	case t.ByGossip:
-		return fmt.Sprintf("zone %d is left, as others told", t.Zone)
+	case !change.FailedOver:
+		return fmt.Sprintf("zone %d is used again", change.Zone)
+	case change.ByGossip:
+		return fmt.Sprintf("zone %d is left, as others told", change.Zone)
 	}
-	return fmt.Sprintf("zone %d is left", t.Zone)
+	return fmt.Sprintf("zone %d is left", change.Zone)
 }
 
 // Broken reports that the decision code of an instance has failed.
 func (w *Writer) Broken(agent int, text string) {
-	w.begin("Broken", agent).str("Msg", text)
+	w.beginMessage("Broken", agent).stringField("Msg", text)
 	w.buf = append(w.buf, "}\n"...)
 	w.reply.Write(w.buf)
 }
@@ -398,35 +398,35 @@
 	return err
 }
 
-func (w *Writer) begin(msg string, agent int) *Writer {
+func (w *Writer) beginMessage(msg string, agent int) *Writer {
 	w.buf = append(w.buf[:0], `{"msg":"`...)
 	w.buf = append(w.buf, msg...)
 	w.buf = append(w.buf, '"')
-	return w.num("Agent", int64(agent))
+	return w.intField("Agent", int64(agent))
 }
 
-func (w *Writer) key(name string) {
+func (w *Writer) fieldName(name string) {
 	w.buf = append(w.buf, `,"`...)
 	w.buf = append(w.buf, name...)
 	w.buf = append(w.buf, `":`...)
 }
 
-func (w *Writer) num(name string, v int64) *Writer {
-	w.key(name)
+func (w *Writer) intField(name string, v int64) *Writer {
+	w.fieldName(name)
 	w.buf = strconv.AppendInt(w.buf, v, 10)
 	return w
 }
 
-func (w *Writer) ms(name string, d time.Duration) *Writer {
-	w.key(name)
+func (w *Writer) millisField(name string, d time.Duration) *Writer {
+	w.fieldName(name)
 	w.buf = strconv.AppendFloat(w.buf, float64(d)/1e6, 'f', -1, 64)
 	return w
 }
 
-func (w *Writer) str(name, v string) *Writer {
-	w.key(name)
+func (w *Writer) stringField(name, v string) *Writer {
+	w.fieldName(name)
 	for i := range len(v) {
-		if c := v[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
+		if char := v[i]; char < ' ' || char > '~' || char == '"' || char == '\\' {
 			quoted, _ := json.Marshal(v) // a string always marshals
 			w.buf = append(w.buf, quoted...)
 			return w
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,11 +15,11 @@
 
 const ms = time.Millisecond
 
-func frame(lines ...string) string {
+func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
 
-func TestEvents(t *testing.T) {
+func TestEventsAreDecoded(t *testing.T) {
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
 		`{"Backend":"10.0.0.2:80","Availability":"fading"},{"Backend":"10.0.0.3:80","Availability":"off"}]}`
@@ -35,12 +35,12 @@
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
 			balancer.Request{ID: "d0", TimeRemaining: 240 * ms}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"Item":"91f03b7c55d20a64"}`,
-			balancer.Request{ID: "d0", TimeRemaining: 240 * ms, AffinityKey: Key("91f03b7c55d20a64")}},
+			balancer.Request{ID: "d0", TimeRemaining: 240 * ms, AffinityKey: AffinityKey("91f03b7c55d20a64")}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5}}`,
 			balancer.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
 				Load: balancer.Load{Valid: true, Queue: 4, Service: 7 * ms, ErrorsPerSec: 0.5}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
-			balancer.Outcome{Request: "d0", Backend: "b", Result: balancer.NotSent, Load: Load(nil)}},
+			balancer.Outcome{Request: "d0", Backend: "b", Result: balancer.NotSent, Load: ParseLoad(nil)}},
 		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balancer.Abandoned{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balancer.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
@@ -48,13 +48,13 @@
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
 			balancer.GossipReceived{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
-			balancer.ProbeResult{Backend: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, Load: Load(nil)}},
+			balancer.ProbeResult{Backend: "b", Result: balancer.ConnectFailed, Latency: 2 * ms, Load: ParseLoad(nil)}},
 		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balancer.EndpointUpdate{Kind: balancer.UpdateFailed}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
 			balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: entries}},
 	}
 	for _, tt := range tests {
-		b, err := NewReader(strings.NewReader(frame(tt.line))).Next()
+		b, err := NewReader(strings.NewReader(batchOf(tt.line))).Next()
 		if err != nil {
 			t.Errorf("%s: %v", tt.line, err)
 			continue
@@ -69,15 +69,15 @@
 	}
 }
 
-const factsJSON = `{"Balancers":3,"Me":1,"Zone":2,"CountedBy":"work","MembershipMode":"subscribe","TickMs":5,"Later":[1],
+const settingsJSON = `{"Balancers":3,"Me":1,"Zone":2,"CountedBy":"work","MembershipMode":"subscribe","TickMs":5,"Later":[1],
 "Profiles":[{"Name":"x","AimMs":400,"DeadlineMs":1500,"Worth":3,"LateValue":0.25,"Semantics":"by_key","Group":"cell","WindowMs":3000}],
 "PolicyLimits":{"TryLimit":4,"SecondCopies":true,"Peers":true,"MaxRetryAfterMs":1500},
 "Contract":{"ColdFrom":0.16,"DrainGraceMs":500,"FallMs":1000,"FallMultiple":2.5,"RampTimeMs":20000,"AskWithinMs":10000,"GraceToAnswerMs":20},
 "Goal":{"Whole":0.55,"WorstClass":0.3,"WorstWindow":0.15},"Prices":{"CrossZone":0.02},"FamilyInfo":{"WarmKeys":true}}`
 
-func TestSettings(t *testing.T) {
-	oneLine := strings.ReplaceAll(factsJSON, "\n", "")
-	b, err := NewReader(strings.NewReader(frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + oneLine + `}`))).Next()
+func TestOpenInstanceCarriesSettings(t *testing.T) {
+	oneLine := strings.ReplaceAll(settingsJSON, "\n", "")
+	b, err := NewReader(strings.NewReader(batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + oneLine + `}`))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,16 +95,16 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestMalformedInputIsRejected(t *testing.T) {
 	tests := []struct{ name, in, want string }{
-		{"not JSON", frame("{oops"), "line 2: "},
-		{"unknown message", frame(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
-		{"missing field", frame(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
-		{"missing instance", frame(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
-		{"ill-typed field", frame(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
-		{"list never defined", frame(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), "line 2: View: Sheet 5 was never defined"},
-		{"unknown outcome", frame(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
-		{"unknown kind of class", frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Profiles":[{"Semantics":"maybe"}]}}`),
+		{"not JSON", batchOf("{oops"), "line 2: "},
+		{"unknown message", batchOf(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
+		{"missing field", batchOf(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
+		{"missing instance", batchOf(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
+		{"ill-typed field", batchOf(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
+		{"list never defined", batchOf(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), "line 2: View: Sheet 5 was never defined"},
+		{"unknown outcome", batchOf(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
+		{"unknown kind of class", batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Profiles":[{"Semantics":"maybe"}]}}`),
 			`Profiles[0].Semantics: unknown kind "maybe"`},
 		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
 		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing ClockMs"},
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestActionsAreEncoded(t *testing.T) {
 	tests := []struct {
 		action balancer.Action
 		want   string
@@ -155,13 +155,13 @@
 }
 
 // Lines and batches of several megabytes are read whole.
-func TestLongBatch(t *testing.T) {
+func TestLongLinesAndBatchesAreRead(t *testing.T) {
 	var in strings.Builder
 	for i := range 50000 {
 		fmt.Fprintf(&in, "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"%016x\"}\n", i)
 	}
 	pad := `{"msg":"Expired","Agent":1,"Job":"x","Later":"` + strings.Repeat("y", 3<<20) + `"}`
-	b, err := NewReader(strings.NewReader(frame(in.String() + pad))).Next()
+	b, err := NewReader(strings.NewReader(batchOf(in.String() + pad))).Next()
 	if err != nil || len(b.Events) != 50001 {
 		t.Fatalf("%v: read %d events", err, len(b.Events))
 	}
