--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,7 +1,13 @@
-// Package wire translates between the bench's JSON lines and balancer's
-// events and actions. It decides nothing.
+// Package wire translates between the JSON lines of the simulation bench and the events and actions of package balancer.
+// It makes no decisions.
+//
+// The input is a sequence of batches. A batch is a Frame line with the clock, one line for each event or list definition,
+// and an End line; each batch is answered by action lines and an Eor line. The names of messages and fields are the
+// bench's own.
 package wire
 
+// Reading batches: the framing of the input and the instances that are open.
+
 import (
 	"bufio"
 	"encoding/json"
@@ -13,34 +19,33 @@
 	"martenbeam/balancer"
 )
 
-// OpenInstance tells that an instance starts with no state.
+// OpenInstance says that a balancer instance starts, with no state.
 type OpenInstance struct {
-	Seed     uint64
+	Seed     uint64 // of all its random choices
 	Settings balancer.Settings
 }
 
-// Event is one event of a batch, with the instance it belongs to. Exactly one
-// of Open, Retire and Event is set.
+// Event is one event of a batch, with the instance that it belongs to. Exactly one of Open, Retire and Event is set.
 type Event struct {
-	Line   int // line number in the stream, from 1
-	Agent  int
+	Line   int // line number in the input, from 1
+	Agent  int // number of the instance
 	Open   *OpenInstance
-	Retire bool
+	Retire bool // the instance ends at once
 	Event  balancer.Event
 }
 
-// Batch holds what happened at one instant.
+// Batch holds the events of one instant.
 type Batch struct {
-	Now    time.Duration
-	Events []Event
+	Now    time.Duration // the simulation's clock
+	Events []Event       // in the order of the input
 }
 
-// Reader reads batches.
+// Reader reads batches. It must be used by one goroutine at a time.
 type Reader struct {
 	in          *bufio.Reader
-	line        int
-	sheets      map[int][]balancer.Backend
-	classCounts map[int]int // number of classes of each open instance
+	line        int                        // number of the last line read
+	sheets      map[int][]balancer.Backend // endpoint lists, by the number under which they were defined
+	classCounts map[int]int                // request classes of each open instance
 }
 
 // NewReader returns a Reader on r.
@@ -48,27 +53,17 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), sheets: map[int][]balancer.Backend{}, classCounts: map[int]int{}}
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between batches.
+// Next reads one batch. It returns io.EOF where the input ends between batches. Any other error names the line, and the
+// Reader can't be used after it.
 func (r *Reader) Next() (*Batch, error) {
 	var batch *Batch
 	for {
-		line, err := r.in.ReadBytes('\n')
-		if errors.Is(err, io.EOF) && len(line) == 0 {
-			if batch != nil {
-				return nil, fmt.Errorf("line %d: the input ends within a batch", r.line)
-			}
-			return nil, io.EOF
+		msg, err := r.nextMessage()
+		if errors.Is(err, io.EOF) && batch != nil {
+			return nil, fmt.Errorf("line %d: the input ends within a batch", r.line)
 		}
-		if err != nil && !errors.Is(err, io.EOF) {
-			return nil, fmt.Errorf("line %d: %w", r.line+1, err)
-		}
-		r.line++
-		if isBlank(line) {
-			continue
-		}
-		var msg message
-		if err := json.Unmarshal(line, &msg); err != nil {
-			return nil, fmt.Errorf("line %d: %w", r.line, err)
+		if err != nil {
+			return nil, err
 		}
 		switch {
 		case msg.Kind == "Frame" && batch == nil && msg.ClockMs != nil:
@@ -82,13 +77,35 @@
 		case msg.Kind == "End":
 			return batch, nil
 		default:
-			if err := r.decodeEvent(batch, &msg); err != nil {
+			if err := r.decodeEvent(batch, msg); err != nil {
 				return nil, fmt.Errorf("line %d: %s: %w", r.line, msg.Kind, err)
 			}
 		}
 	}
 }
 
+// nextMessage reads the next line that is not blank. It returns io.EOF itself where there is none.
+func (r *Reader) nextMessage() (*message, error) {
+	for {
+		line, err := r.in.ReadBytes('\n')
+		if errors.Is(err, io.EOF) && len(line) == 0 {
+			return nil, io.EOF
+		}
+		if err != nil && !errors.Is(err, io.EOF) {
+			return nil, fmt.Errorf("line %d: %w", r.line+1, err)
+		}
+		r.line++
+		if isBlank(line) {
+			continue
+		}
+		var msg message
+		if err := json.Unmarshal(line, &msg); err != nil {
+			return nil, fmt.Errorf("line %d: %w", r.line, err)
+		}
+		return &msg, nil
+	}
+}
+
 func isBlank(text []byte) bool {
 	for _, char := range text {
 		if char != ' ' && char != '\t' && char != '\r' && char != '\n' {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,7 @@
 package wire
 
+// Decoding the messages of a batch into events.
+
 import (
 	"encoding/hex"
 	"errors"
@@ -8,6 +10,7 @@
 	"martenbeam/balancer"
 )
 
+// decodeEvent adds the event of a message to a batch. A DefineList message is no event: it is kept for later messages.
 func (r *Reader) decodeEvent(batch *Batch, msg *message) error {
 	if msg.Kind == "DefineList" {
 		return r.defineList(msg)
@@ -16,73 +19,13 @@
 	var err error
 	switch msg.Kind {
 	case "OpenInstance":
-		if msg.RandomSeed == nil || msg.Facts == nil {
-			return errors.New("missing RandomSeed or Facts")
-		}
-		event.Open = &OpenInstance{Seed: *msg.RandomSeed}
-		if event.Open.Settings, _, err = ParseSettings(msg.Facts); err != nil {
-			err = fmt.Errorf("Facts: %w", err) //lint:ignore ST1005 begins with the name of a field
-		}
+		event.Open, err = decodeOpenInstance(msg)
 	case "Retire":
 		event.Retire = true
 	case "View":
-		event.Event, err = r.endpointUpdate(msg)
-	case "Submit":
-		if msg.Job == nil || msg.TierClass == nil || msg.GraceMs == nil {
-			return errors.New("missing Job, TierClass or GraceMs")
-		}
-		request := balancer.Request{ID: *msg.Job, Class: *msg.TierClass, TimeRemaining: fromMillis(*msg.GraceMs),
-			ClientRetry: msg.StateBits&stateClientRetry != 0, AffinityKey: AffinityKey(msg.Item)}
-		if msg.StateBits&stateWorkHintValid != 0 {
-			request.Work = fromMillis(msg.WorkHintMs)
-		}
-		event.Event = request
-	case "Ended":
-		if msg.Job == nil || msg.Outcome == nil || msg.SendNo == nil || msg.Backend == nil || msg.WaitTimeMs == nil {
-			return errors.New("missing Job, Outcome, SendNo, Backend or WaitTimeMs")
-		}
-		result, ok := resultsByOutcome[*msg.Outcome]
-		if !ok {
-			return fmt.Errorf("unknown Outcome %q", *msg.Outcome)
-		}
-		event.Event = balancer.Outcome{Request: *msg.Job, Attempt: *msg.SendNo, Backend: *msg.Backend, Result: result,
-			Latency: fromMillis(*msg.WaitTimeMs), Done: msg.Ended, Load: ParseLoad(msg.Usage)}
-	case "ProbeDone":
-		if msg.Backend == nil || msg.Outcome == nil || msg.WaitTimeMs == nil {
-			return errors.New("missing Backend, Outcome or WaitTimeMs")
-		}
-		result, ok := resultsByOutcome[*msg.Outcome]
-		if !ok {
-			return fmt.Errorf("unknown Outcome %q", *msg.Outcome)
-		}
-		event.Event = balancer.ProbeResult{Backend: *msg.Backend, Result: result,
-			Latency: fromMillis(*msg.WaitTimeMs), Load: ParseLoad(msg.Usage)}
-	case "Streaming":
-		if msg.Job == nil || msg.SendNo == nil {
-			return errors.New("missing Job or SendNo")
-		}
-		event.Event = balancer.ResponseStarted{Request: *msg.Job, Attempt: *msg.SendNo}
-	case "Expired":
-		if msg.Job == nil {
-			return errors.New("missing Job")
-		}
-		event.Event = balancer.Abandoned{Request: *msg.Job}
-	case "Reminder":
-		if msg.Cookie == nil {
-			return errors.New("missing Cookie")
-		}
-		event.Event = balancer.TimerFired{Token: *msg.Cookie}
-	case "Peer":
-		if msg.From == nil || msg.PeerData == nil {
-			return errors.New("missing From or Msg")
-		}
-		data, err := hex.DecodeString(*msg.PeerData)
-		if err != nil {
-			return fmt.Errorf("Msg: %w", err) //lint:ignore ST1005 begins with the name of a field
-		}
-		event.Event = balancer.GossipReceived{From: *msg.From, Data: data}
+		event.Event, err = r.decodeView(msg)
 	default:
-		return errors.New("unknown message")
+		event.Event, err = decodeInstanceEvent(msg)
 	}
 	if err != nil {
 		return err
@@ -91,19 +34,117 @@
 		return errors.New("missing Agent")
 	}
 	event.Agent = *msg.Agent
+	if err := r.trackInstance(event); err != nil {
+		return err
+	}
+	batch.Events = append(batch.Events, event)
+	return nil
+}
+
+// trackInstance notes which instances are open, and rejects a request of a class that its instance does not have.
+func (r *Reader) trackInstance(event Event) error {
 	classes, known := r.classCounts[event.Agent]
+	request, isRequest := event.Event.(balancer.Request)
 	switch {
 	case event.Open != nil:
 		r.classCounts[event.Agent] = len(event.Open.Settings.Classes)
 	case event.Retire:
 		delete(r.classCounts, event.Agent)
-	case msg.Kind == "Submit" && known && (*msg.TierClass < 0 || *msg.TierClass >= classes):
-		return fmt.Errorf("TierClass: unknown class %d", *msg.TierClass)
+	case isRequest && known && (request.Class < 0 || request.Class >= classes):
+		return fmt.Errorf("TierClass: unknown class %d", request.Class)
 	}
-	batch.Events = append(batch.Events, event)
 	return nil
 }
 
+func decodeOpenInstance(msg *message) (*OpenInstance, error) {
+	if msg.RandomSeed == nil || msg.Facts == nil {
+		return nil, errors.New("missing RandomSeed or Facts")
+	}
+	settings, _, err := ParseSettings(msg.Facts)
+	if err != nil {
+		return nil, fmt.Errorf("Facts: %w", err) //lint:ignore ST1005 begins with the name of a field
+	}
+	return &OpenInstance{Seed: *msg.RandomSeed, Settings: settings}, nil
+}
+
+// decodeInstanceEvent decodes the messages that stand for themselves.
+func decodeInstanceEvent(msg *message) (balancer.Event, error) {
+	switch msg.Kind {
+	case "Submit":
+		return decodeSubmit(msg)
+	case "Ended":
+		return decodeEnded(msg)
+	case "ProbeDone":
+		return decodeProbeDone(msg)
+	case "Streaming":
+		if msg.Job == nil || msg.SendNo == nil {
+			return nil, errors.New("missing Job or SendNo")
+		}
+		return balancer.ResponseStarted{Request: *msg.Job, Attempt: *msg.SendNo}, nil
+	case "Expired":
+		if msg.Job == nil {
+			return nil, errors.New("missing Job")
+		}
+		return balancer.Abandoned{Request: *msg.Job}, nil
+	case "Reminder":
+		if msg.Cookie == nil {
+			return nil, errors.New("missing Cookie")
+		}
+		return balancer.TimerFired{Token: *msg.Cookie}, nil
+	case "Peer":
+		return decodePeer(msg)
+	}
+	return nil, errors.New("unknown message")
+}
+
+func decodeSubmit(msg *message) (balancer.Event, error) {
+	if msg.Job == nil || msg.TierClass == nil || msg.GraceMs == nil {
+		return nil, errors.New("missing Job, TierClass or GraceMs")
+	}
+	request := balancer.Request{ID: *msg.Job, Class: *msg.TierClass, TimeRemaining: fromMillis(*msg.GraceMs),
+		ClientRetry: msg.StateBits&stateClientRetry != 0, AffinityKey: AffinityKey(msg.Item)}
+	if msg.StateBits&stateWorkHintValid != 0 {
+		request.Work = fromMillis(msg.WorkHintMs)
+	}
+	return request, nil
+}
+
+func decodeEnded(msg *message) (balancer.Event, error) {
+	if msg.Job == nil || msg.Outcome == nil || msg.SendNo == nil || msg.Backend == nil || msg.WaitTimeMs == nil {
+		return nil, errors.New("missing Job, Outcome, SendNo, Backend or WaitTimeMs")
+	}
+	result, ok := resultsByOutcome[*msg.Outcome]
+	if !ok {
+		return nil, fmt.Errorf("unknown Outcome %q", *msg.Outcome)
+	}
+	return balancer.Outcome{Request: *msg.Job, Attempt: *msg.SendNo, Backend: *msg.Backend, Result: result,
+		Latency: fromMillis(*msg.WaitTimeMs), Done: msg.Ended, Load: ParseLoad(msg.Usage)}, nil
+}
+
+func decodeProbeDone(msg *message) (balancer.Event, error) {
+	if msg.Backend == nil || msg.Outcome == nil || msg.WaitTimeMs == nil {
+		return nil, errors.New("missing Backend, Outcome or WaitTimeMs")
+	}
+	result, ok := resultsByOutcome[*msg.Outcome]
+	if !ok {
+		return nil, fmt.Errorf("unknown Outcome %q", *msg.Outcome)
+	}
+	return balancer.ProbeResult{Backend: *msg.Backend, Result: result,
+		Latency: fromMillis(*msg.WaitTimeMs), Load: ParseLoad(msg.Usage)}, nil
+}
+
+func decodePeer(msg *message) (balancer.Event, error) {
+	if msg.From == nil || msg.PeerData == nil {
+		return nil, errors.New("missing From or Msg")
+	}
+	data, err := hex.DecodeString(*msg.PeerData)
+	if err != nil {
+		return nil, fmt.Errorf("Msg: %w", err) //lint:ignore ST1005 begins with the name of a field
+	}
+	return balancer.GossipReceived{From: *msg.From, Data: data}, nil
+}
+
+// defineList keeps an endpoint list under its number, for the View messages that name it.
 func (r *Reader) defineList(msg *message) error {
 	if msg.Sheet == nil || msg.Items == nil {
 		return errors.New("missing Sheet or Items")
@@ -124,7 +165,8 @@
 	return nil
 }
 
-func (r *Reader) endpointUpdate(msg *message) (balancer.Event, error) {
+// decodeView decodes an update of the endpoint list, which names a list that was defined before.
+func (r *Reader) decodeView(msg *message) (balancer.Event, error) {
 	if msg.How == nil {
 		return nil, errors.New("missing How")
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,5 +1,7 @@
 package wire
 
+// The messages of the input as JSON, and what their words mean to package balancer.
+
 import (
 	"encoding/json"
 	"hash/fnv"
@@ -9,6 +11,7 @@
 	"martenbeam/balancer"
 )
 
+// listItem is one endpoint of a DefineList message.
 type listItem struct {
 	Backend      string  `json:"Backend"`
 	Availability string  `json:"Availability"`
@@ -19,8 +22,7 @@
 	Dc           int     `json:"Dc"`
 }
 
-// message holds the fields of every message; pointers mark those that some
-// message must carry.
+// message holds the fields of all messages. A field is a pointer where some message requires it.
 type message struct {
 	Kind       string             `json:"msg"`
 	ClockMs    *float64           `json:"ClockMs"`
@@ -47,37 +49,41 @@
 	PeerData   *string            `json:"Msg"`
 }
 
-// AffinityKey hashes what a request concerns, the same everywhere; 0 where that is unknown.
-func AffinityKey(item string) uint64 {
-	if item == "" {
-		return 0
-	}
-	h := fnv.New64a()
-	h.Write([]byte(item)) // never fails
-	return h.Sum64()
-}
-
+// Bits of message.StateBits.
 const (
-	stateWorkHintValid = 1
-	stateClientRetry   = 2
+	stateWorkHintValid = 1 // WorkHintMs is known
+	stateClientRetry   = 2 // the client sends the request again
 )
 
+// resultsByOutcome translates message.Outcome.
 var resultsByOutcome = map[string]balancer.Result{
 	"pass": balancer.OK, "fault": balancer.Errored, "no_room": balancer.Rejected,
 	"too_slow": balancer.TimedOut, "no_route": balancer.ConnectFailed, "cut": balancer.Reset,
 	"undone": balancer.Cancelled, "stale_send": balancer.NotSent,
 }
 
+// updateKinds translates message.How.
 var updateKinds = map[string]balancer.UpdateKind{
 	"diff": balancer.UpdateDelta, "snapshot": balancer.UpdateFull,
 	"disk": balancer.UpdateCached, "error": balancer.UpdateFailed,
 }
 
+// backendStates translates listItem.Availability.
 var backendStates = map[string]balancer.BackendState{
 	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Removed,
 }
 
-// ParseLoad translates a load report. What it does not hold is marked as not reported.
+// AffinityKey hashes what a request concerns. The hash is the same in every process; 0 means that the item is unknown.
+func AffinityKey(item string) uint64 {
+	if item == "" {
+		return 0
+	}
+	h := fnv.New64a()
+	h.Write([]byte(item)) // never fails
+	return h.Sum64()
+}
+
+// ParseLoad translates a load report. A nil report is marked as not valid, and each value that is missing as not reported.
 func ParseLoad(usage map[string]float64) balancer.Load {
 	load := balancer.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
 	if value, ok := usage["backlog"]; ok {
@@ -92,4 +98,5 @@
 	return load
 }
 
+// fromMillis converts milliseconds, rounded to the nanosecond.
 func fromMillis(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -1,5 +1,7 @@
 package wire
 
+// The settings object of the start message, which is that of an agent's configuration too.
+
 import (
 	"encoding/json"
 	"fmt"
@@ -8,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// settingsDoc mirrors the settings object of the wire, in the wire's own names.
+// settingsDoc is the settings object as JSON. Its fields have the names of the protocol. Times are in milliseconds.
 type settingsDoc struct {
 	Balancers int    `json:"Balancers"`
 	Me        int    `json:"Me"`
@@ -67,17 +69,18 @@
 	} `json:"Report"`
 }
 
-// Site is what an agent on sockets needs of the settings object besides what the module takes.
+// Site holds the parts of the settings object that an agent needs beside the settings of package balancer.
 type Site struct {
 	Classes      []string // names, in the order of the module's classes
 	Zones, Kinds []string
-	IdleClose    time.Duration // a backend closes a connection idle for so long
+	IdleClose    time.Duration // after which a backend closes an idle connection
 	MaxOpen      int           // requests that may be open at once; 0: no limit
 	LoadInline   bool          // answers carry load reports
 	LoadProbed   bool          // probes bring load reports
 }
 
-// ParseSettings translates the settings object. Unknown keys are ignored.
+// ParseSettings translates the settings object. Unknown keys are ignored; an unknown word is an error that names its key.
+// Whether the settings make sense is checked by balancer.New.
 func ParseSettings(raw []byte) (balancer.Settings, Site, error) {
 	var doc settingsDoc
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -93,6 +96,7 @@
 	return settings, site, err
 }
 
+// balancerSettings translates what package balancer takes.
 func (doc *settingsDoc) balancerSettings() (balancer.Settings, error) {
 	settings := balancer.Settings{
 		Balancers:        doc.Balancers,
@@ -122,25 +126,36 @@
 		CrossZoneCost:    doc.Prices.CrossZone, CrossRegionCost: doc.Prices.CrossRegion, Regions: doc.Regions,
 		KeyAffinity: doc.FamilyInfo.WarmKeys,
 	}
-	idempotencies := map[string]balancer.Idempotency{
-		"repeatable": balancer.Idempotent, "by_key": balancer.IdempotencyKey, "once": balancer.NonIdempotent}
-	scopes := map[string]balancer.IdempotencyScope{
-		"": balancer.ScopeAll, "all": balancer.ScopeAll,
-		"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
+	var err error
+	settings.Classes, err = doc.classes()
+	return settings, err
+}
+
+// idempotencies translates Profiles[].Semantics.
+var idempotencies = map[string]balancer.Idempotency{
+	"repeatable": balancer.Idempotent, "by_key": balancer.IdempotencyKey, "once": balancer.NonIdempotent}
+
+// idempotencyScopes translates Profiles[].Group.
+var idempotencyScopes = map[string]balancer.IdempotencyScope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll,
+	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
+
+// classes translates the profiles.
+func (doc *settingsDoc) classes() (classes []balancer.Class, err error) {
 	for i, profile := range doc.Profiles {
 		idempotency, ok := idempotencies[profile.Semantics]
 		if !ok {
-			return settings, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, profile.Semantics)
+			return classes, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, profile.Semantics)
 		}
-		scope, ok := scopes[profile.Group]
+		scope, ok := idempotencyScopes[profile.Group]
 		if !ok {
-			return settings, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, profile.Group)
+			return classes, fmt.Errorf("Profiles[%d].Group: unknown group %q", i, profile.Group)
 		}
-		settings.Classes = append(settings.Classes, balancer.Class{
+		classes = append(classes, balancer.Class{
 			LatencyObjective: fromMillis(profile.AimMs), Deadline: fromMillis(profile.DeadlineMs),
 			PriorityWeight: profile.Worth, LateWeight: profile.LateValue,
 			Idempotency: idempotency, Scope: scope, DedupWindow: fromMillis(profile.WindowMs),
 		})
 	}
-	return settings, nil
+	return classes, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,10 +15,12 @@
 
 const ms = time.Millisecond
 
+// batchOf returns a batch with some lines.
 func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
 
+// Each message is decoded into its event; unknown fields are ignored.
 func TestEventsAreDecoded(t *testing.T) {
 	const list = `{"msg":"DefineList","Sheet":3,"Items":[` +
 		`{"Backend":"10.0.0.1:80","Availability":"on","Rating":1.5,"Block":2,"LaunchedMs":900,"Sku":1,"Dc":1},` +
@@ -75,6 +77,7 @@
 "Contract":{"ColdFrom":0.16,"DrainGraceMs":500,"FallMs":1000,"FallMultiple":2.5,"RampTimeMs":20000,"AskWithinMs":10000,"GraceToAnswerMs":20},
 "Goal":{"Whole":0.55,"WorstClass":0.3,"WorstWindow":0.15},"Prices":{"CrossZone":0.02},"FamilyInfo":{"WarmKeys":true}}`
 
+// The settings object of OpenInstance is translated key by key.
 func TestOpenInstanceCarriesSettings(t *testing.T) {
 	oneLine := strings.ReplaceAll(settingsJSON, "\n", "")
 	b, err := NewReader(strings.NewReader(batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + oneLine + `}`))).Next()
@@ -95,6 +98,7 @@
 	}
 }
 
+// Malformed input is an error that names its line.
 func TestMalformedInputIsRejected(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"not JSON", batchOf("{oops"), "line 2: "},
@@ -120,6 +124,7 @@
 	}
 }
 
+// Each action has its message.
 func TestActionsAreEncoded(t *testing.T) {
 	tests := []struct {
 		action balancer.Action
@@ -154,7 +159,7 @@
 	}
 }
 
-// Lines and batches of several megabytes are read whole.
+// Lines and batches of several megabytes are read completely.
 func TestLongLinesAndBatchesAreRead(t *testing.T) {
 	var in strings.Builder
 	for i := range 50000 {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -1,5 +1,7 @@
 package wire
 
+// Writing replies: the actions of a batch as JSON lines.
+
 import (
 	"bytes"
 	"encoding/hex"
@@ -12,17 +14,19 @@
 	"martenbeam/balancer"
 )
 
-// Writer writes replies, each whole: of one that is not ended nothing is seen.
+// Writer writes replies. A reply is collected and written at once by End; of one that is not ended nothing is written. A
+// Writer must be used by one goroutine at a time.
 type Writer struct {
 	out   io.Writer
-	reply bytes.Buffer
-	buf   []byte
+	reply bytes.Buffer // the lines of the present reply
+	buf   []byte       // the line that is being made
 }
 
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-// Actions writes the actions of one instance.
+// Actions adds the actions of one instance to the reply, in their order. An action without a form in this protocol is an
+// error.
 func (w *Writer) Actions(agent int, actions []balancer.Action) error {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -60,7 +64,7 @@
 	return nil
 }
 
-// zoneStateText words a line of the report.
+// zoneStateText is the text of a Trace message.
 func zoneStateText(change balancer.ZoneStateChanged) string {
 	switch {
 	case !change.FailedOver:
@@ -71,20 +75,21 @@
 	return fmt.Sprintf("zone %d is left", change.Zone)
 }
 
-// Broken reports that the decision code of an instance has failed.
+// Broken adds that the decision code of an instance has failed, with a text that says how.
 func (w *Writer) Broken(agent int, text string) {
 	w.beginMessage("Broken", agent).stringField("Msg", text)
 	w.buf = append(w.buf, "}\n"...)
 	w.reply.Write(w.buf)
 }
 
-// End closes a reply and writes it.
+// End ends the reply and writes it.
 func (w *Writer) End() error {
 	w.reply.WriteString("{\"msg\":\"Eor\"}\n")
 	_, err := w.reply.WriteTo(w.out)
 	return err
 }
 
+// beginMessage starts a line with the name of its message and the number of the instance.
 func (w *Writer) beginMessage(msg string, agent int) *Writer {
 	w.buf = append(w.buf[:0], `{"msg":"`...)
 	w.buf = append(w.buf, msg...)
@@ -104,12 +109,14 @@
 	return w
 }
 
+// millisField writes a span in milliseconds.
 func (w *Writer) millisField(name string, d time.Duration) *Writer {
 	w.fieldName(name)
 	w.buf = strconv.AppendFloat(w.buf, float64(d)/1e6, 'f', -1, 64)
 	return w
 }
 
+// stringField writes a string. One of printable ASCII without quotes and backslashes needs no escaping.
 func (w *Writer) stringField(name, v string) *Writer {
 	w.fieldName(name)
 	for i := range len(v) {
