--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays balancers on the bench's wire: batches of
-// events on standard input, one reply per batch on standard output.
+// Command adapter runs balancers for the simulation bench: it reads batches of events from standard input and writes one
+// reply for each to standard output, in the protocol of package wire.
 package main
 
 import (
@@ -22,12 +22,12 @@
 	}
 }
 
-// stepper is what an instance does; in service a *balancer.Balancer.
+// stepper is one instance: a *balancer.Balancer, or what a test puts in its place.
 type stepper interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
 
-// run answers batches until the input ends.
+// run answers batches until the input ends. An error ends it; of the batch that caused it nothing is answered.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
 	instances := map[int]stepper{}
@@ -48,57 +48,77 @@
 	}
 }
 
-// processBatch gives each instance its events of the batch in one step. A start or
-// stop within the batch ends the step before it.
+// processBatch gives each instance its events of the batch in one step, in the order in which the batch first names the
+// instances. It opens and retires instances.
 func processBatch(batch *wire.Batch, instances map[int]stepper, writer *wire.Writer) error {
-	var order []int
-	pending := map[int][]balancer.Event{}
-	flush := func(agent int) error {
-		events := pending[agent]
-		if len(events) == 0 {
-			return nil
-		}
-		pending[agent] = nil
-		actions, panicText := stepRecovering(instances[agent], batch.Now, events)
-		if panicText != "" {
-			writer.Broken(agent, panicText)
-			return nil
-		}
-		return writer.Actions(agent, actions)
-	}
+	steps := batchSteps{now: batch.Now, instances: instances, writer: writer, pending: map[int][]balancer.Event{}}
 	for _, event := range batch.Events {
-		if _, seen := pending[event.Agent]; !seen {
-			order = append(order, event.Agent)
-			pending[event.Agent] = nil
+		if err := steps.add(event); err != nil {
+			return err
 		}
-		switch {
-		case event.Open != nil:
-			if err := flush(event.Agent); err != nil {
-				return err
-			}
-			instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
-			if err != nil {
-				return fmt.Errorf("line %d: OpenInstance: %w", event.Line, err)
-			}
-			instances[event.Agent] = instance
-		case instances[event.Agent] == nil:
-			return fmt.Errorf("line %d: instance %d is not open", event.Line, event.Agent)
-		case event.Retire:
-			pending[event.Agent] = nil // killed: what came just before has no one to act on it
-			delete(instances, event.Agent)
-		default:
-			pending[event.Agent] = append(pending[event.Agent], event.Event)
+	}
+	for _, agent := range steps.order {
+		if err := steps.flush(agent); err != nil {
+			return err
 		}
 	}
-	for _, agent := range order {
-		if err := flush(agent); err != nil {
+	return nil
+}
+
+// batchSteps collects the events of a batch by instance.
+type batchSteps struct {
+	now       time.Duration
+	instances map[int]stepper
+	writer    *wire.Writer
+
+	order   []int                    // instances as the batch first names them
+	pending map[int][]balancer.Event // of each, since its last step
+}
+
+// add takes the next event of the batch. Where an instance starts anew within the batch, the one before has its step first.
+func (s *batchSteps) add(event wire.Event) error {
+	agent := event.Agent
+	if _, seen := s.pending[agent]; !seen {
+		s.order = append(s.order, agent)
+		s.pending[agent] = nil
+	}
+	switch {
+	case event.Open != nil:
+		if err := s.flush(agent); err != nil {
 			return err
 		}
+		instance, err := balancer.New(event.Open.Settings, event.Open.Seed)
+		if err != nil {
+			return fmt.Errorf("line %d: OpenInstance: %w", event.Line, err)
+		}
+		s.instances[agent] = instance
+	case s.instances[agent] == nil:
+		return fmt.Errorf("line %d: instance %d is not open", event.Line, agent)
+	case event.Retire:
+		s.pending[agent] = nil // killed: no process is left to act on what came just before
+		delete(s.instances, agent)
+	default:
+		s.pending[agent] = append(s.pending[agent], event.Event)
 	}
 	return nil
 }
 
-// stepRecovering turns a panic of the decision code into its text.
+// flush steps an instance with its pending events, if there are any, and adds its actions to the reply.
+func (s *batchSteps) flush(agent int) error {
+	events := s.pending[agent]
+	if len(events) == 0 {
+		return nil
+	}
+	s.pending[agent] = nil
+	actions, panicText := stepRecovering(s.instances[agent], s.now, events)
+	if panicText != "" {
+		s.writer.Broken(agent, panicText)
+		return nil
+	}
+	return s.writer.Actions(agent, actions)
+}
+
+// stepRecovering steps an instance. If its code panics, the text of the panic is returned in place of actions.
 func stepRecovering(instance stepper, now time.Duration, events []balancer.Event) (actions []balancer.Action, panicText string) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -17,10 +17,12 @@
 const endpointLists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
 {"msg":"View","Agent":3,"How":"disk","Index":1,"Sheet":0}`
 
+// batchOf returns a batch at a time with some lines.
 func batchOf(clock string, lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":" + clock + "}\n" + strings.Join(append(lines, ""), "\n") + "{\"msg\":\"End\"}\n"
 }
 
+// Each batch is answered by the actions of its instances.
 func TestBatchesAreAnswered(t *testing.T) {
 	const submit = `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`
 	const try = `{"msg":"Try","Agent":3,"Job":"d0","Backend":"10.0.0.1:80"}` + "\n"
@@ -53,15 +55,18 @@
 	}
 }
 
+// Invalid input is an error that names its line, and the batch that holds it is not answered.
 func TestInvalidInputIsRejectedWithoutOutput(t *testing.T) {
-	var many []string // a start, again and again, so that each ends a step with replies
+	var many []string // starts of the same instance, each of which ends a step with replies
 	for i := range 2000 {
-		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), openInstance, endpointLists)
+		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), openInstance,
+			endpointLists)
 	}
 	tests := []struct{ name, in, want string }{
 		{"instance not open", batchOf("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
 		{"settings make no sense", batchOf("1", strings.Replace(openInstance, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
-		{"unknown class", batchOf("1", openInstance, endpointLists, `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":700}`),
+		{"unknown class", batchOf("1", openInstance, endpointLists,
+			`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":700}`),
 			"line 5: Submit: TierClass: unknown class 1"},
 		{"not open, behind one with much to answer", batchOf("1", append([]string{openInstance, endpointLists},
 			append(many, `{"msg":"Reminder","Agent":8,"Cookie":1}`)...)...), "instance 8 is not open"},
@@ -81,7 +86,7 @@
 	}
 }
 
-// A panic of the decision code is reported with its text, and the link goes on.
+// A panic of the decision code is reported with its text, and the batch is still answered.
 func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
