--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging writes log lines without having whoever logs wait for whoever reads them: a pipe may be full, a disk slow.
+// Package logging provides loggers that never block their callers on the output: a pipe may be full, a disk slow.
 //
-// Lines pass through a queue of fixed length, in order, and are written by one goroutine. What finds the queue full is dropped and
-// counted, and a line says so as soon as there is room again.
+// Lines pass in order through a queue of fixed length and are written by one goroutine. Lines that find the queue full are
+// dropped and counted, and a line reports the count as soon as there is room again.
 package logging
 
 import (
@@ -14,24 +14,26 @@
 
 const (
 	queueLength  = 256                   // lines; an agent logs a few a second at its worst
-	flushTimeout = 50 * time.Millisecond // for what is queued when the program ends
+	flushTimeout = 50 * time.Millisecond // bounds how long Close waits for the output
 )
 
-// Logger is a slog.Logger whose lines are queued.
+// Logger is a slog.Logger whose lines are queued. It may be used by several goroutines at once.
 type Logger struct {
 	*slog.Logger
 	queue *queue
 }
 
-// New returns a logger whose lines go to out, in the form of a handler: slog.NewTextHandler or slog.NewJSONHandler.
+// New returns a logger that writes to out in the format of a handler: slog.NewTextHandler or slog.NewJSONHandler. options may be
+// nil. The logger must be closed; until then it owns a goroutine.
 func New[H slog.Handler](out io.Writer, handler func(io.Writer, *slog.HandlerOptions) H, options *slog.HandlerOptions) *Logger {
-	queue := &queue{out: out, directLog: slog.New(handler(out, options)), lines: make(chan []byte, queueLength), closing: make(chan struct{}),
+	queue := &queue{out: out, directLog: slog.New(handler(out, options)), lines: make(chan []byte, queueLength),
+		closing: make(chan struct{}),
 		flushed: make(chan struct{})}
 	go queue.run()
 	return &Logger{Logger: slog.New(handler(queue, options)), queue: queue}
 }
 
-// Close writes what is queued, within a short time, and has later lines dropped. It is called once, at the program's end.
+// Close writes the queued lines, for 50 ms at most, and drops later ones. It must be called once, at the end of the program.
 func (l *Logger) Close() {
 	close(l.queue.closing)
 	select {
@@ -40,27 +42,27 @@
 	}
 }
 
-// queue takes lines as a writer.
+// queue is the writer of the logger's handler.
 type queue struct {
 	out       io.Writer
-	directLog *slog.Logger // to out, past the queue
+	directLog *slog.Logger // writes to out without the queue
 	lines     chan []byte
 	dropped   atomic.Int64
 	closing   chan struct{}
-	flushed   chan struct{} // closed once all is that was queued before closing
+	flushed   chan struct{} // closed once all lines are written that were queued before closing
 }
 
-// Write queues a line. It never waits, and never fails.
+// Write queues a line. It never blocks and never fails.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
-	case q.lines <- slices.Clone(line): // the handler uses it again
+	case q.lines <- slices.Clone(line): // the handler reuses it
 	default:
 		q.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// run writes lines until the logger is closed.
+// run writes queued lines until the logger is closed.
 func (q *queue) run() {
 	defer close(q.flushed)
 	for {
@@ -76,9 +78,9 @@
 	}
 }
 
-// write writes a line and then, if lines found no room behind it, how many.
+// write writes a line and then, if lines were dropped since, how many.
 func (q *queue) write(line []byte) {
-	_, _ = q.out.Write(line) // one that can't be written is lost: there is nowhere else to say so
+	_, _ = q.out.Write(line) // a line that can't be written is lost: there is nowhere to report it
 	if n := q.dropped.Swap(0); n > 0 {
 		q.directLog.Warn("log lines dropped", "count", n)
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// blockedWriter is a writer that lets nothing through until it is opened.
+// blockedWriter is a writer that blocks while its lock is held.
 type blockedWriter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -25,7 +25,7 @@
 	return len(p), b.err
 }
 
-// Lines come whole and in their order, and the last before the program's end too.
+// Lines are written complete and in order, those queued when the logger is closed included.
 func TestLinesAreWrittenInOrder(t *testing.T) {
 	var out blockedWriter
 	l := New(&out, slog.NewTextHandler, nil)
@@ -44,7 +44,7 @@
 	}
 }
 
-// Nobody waits for a writer that takes nothing; what is missing is counted, and neither end waits for it for long.
+// A blocked writer blocks neither logging nor, for long, closing. Dropped lines are counted.
 func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	var out blockedWriter
 	out.mu.Lock()
@@ -54,7 +54,7 @@
 		l.Info("line", "n", i)
 	}
 	startedAt := time.Now()
-	out.err = errors.New("no space left") // changes nothing
+	out.err = errors.New("no space left") // an error of the writer changes nothing
 	out.mu.Unlock()
 	l.Close()
 	if elapsed := time.Since(startedAt); elapsed > time.Second {
@@ -64,12 +64,13 @@
 	text := out.text.String()
 	out.mu.Unlock()
 	written := strings.Count(text, `"msg":"line"`)
-	if missing := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, lines-written); written < queueLength || !strings.Contains(text, missing) {
+	if missing := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, lines-written); written < queueLength ||
+		!strings.Contains(text, missing) {
 		t.Errorf("%d of %d lines, without %s", written, lines, missing)
 	}
 }
 
-// A writer that takes nothing until the end keeps the program from nothing.
+// Close returns after its timeout while the writer is still blocked.
 func TestCloseReturnsWhileTheWriterIsBlocked(t *testing.T) {
 	var out blockedWriter
 	out.mu.Lock()
--- a/internal/tcpinfo/tcpinfo.go
+++ b/internal/tcpinfo/tcpinfo.go
@@ -1,5 +1,5 @@
-// Package tcpinfo tells what the kernel knows of a TCP connection and a read does not show: a hang-up behind bytes that nobody has
-// read, and when data came that is read later. See tcp(7), TCP_INFO.
+// Package tcpinfo reads the kernel's state of a TCP connection where a read does not show it: that the peer has closed while
+// received data is still unread, and when data arrived that is read later. See tcp(7), TCP_INFO.
 package tcpinfo
 
 import (
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// queryTCPInfo returns what the kernel says of a connection; nil: nothing, since it is no TCP socket.
+// queryTCPInfo returns the kernel's state of a connection; nil: it is not a TCP socket, or is closed.
 func queryTCPInfo(conn net.Conn) *unix.TCPInfo {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -32,16 +32,17 @@
 	return info
 }
 
-// peerClosedStates are the states of a connection whose other side has ended its sending, or reset it.
+// peerClosedStates are the states of a connection whose peer has sent a FIN or a reset.
 var peerClosedStates = []uint8{unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING}
 
-// PeerClosed reports whether the other side has ended its sending, or reset the connection, also behind bytes that nobody has read.
+// PeerClosed reports whether the peer has closed its sending direction or reset the connection, even if received data is still
+// unread. It is false where that is not known.
 func PeerClosed(conn net.Conn) bool {
 	info := queryTCPInfo(conn)
 	return info != nil && slices.Contains(peerClosedStates, info.State)
 }
 
-// SinceLastData is how long ago the latest data came, to some milliseconds; 0: just now, or that is not known.
+// SinceLastData returns the time since data last arrived, to a few milliseconds; 0: just now, or it is not known.
 func SinceLastData(conn net.Conn) time.Duration {
 	info := queryTCPInfo(conn)
 	if info == nil {
