--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -1,17 +1,14 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
 
 	"martenbeam/internal/agent"
-	"martenbeam/internal/config"
 	"martenbeam/internal/logging"
 	"martenbeam/internal/membership"
-	"martenbeam/internal/settings"
 )
 
 type agentCmd struct {
@@ -53,70 +50,3 @@
 	}
 	return agent.Serve(log.Logger, source)
 }
-
-type configCmd struct {
-	Check checkCmd `name:"check" cmd:"" help:"Say whether a configuration can be used. Exit 0 if it can, 2 if not."`
-	Print printCmd `name:"print" cmd:"" help:"Print every key with its default and what it means."`
-}
-
-type checkCmd struct {
-	File string `name:"file" arg:"" optional:"" help:"A TOML file."`
-
-	Settings string `name:"settings" help:"Check settings of all agents instead (docs/settings.md)." placeholder:"FILE"`
-	With     string `name:"with" help:"The agent's file over which the settings are laid." placeholder:"FILE"`
-	Hub      string `name:"hub" help:"Check a hub's configuration instead (docs/hub.md)." placeholder:"FILE"`
-}
-
-func (c *checkCmd) Run(o *output) error {
-	if c.Hub != "" {
-		return c.checkHub(o)
-	}
-	if c.Settings != "" {
-		return c.checkSettings(o)
-	}
-	if c.File == "" || c.With != "" {
-		return usageError{errors.New("name a FILE, settings with --settings FILE [--with FILE], or a hub's with --hub FILE")}
-	}
-	if _, err := config.Read(c.File); err != nil {
-		return usageError{err}
-	}
-	fmt.Fprintln(o.stdout, c.File+": can be used")
-	return nil
-}
-
-func (c *checkCmd) checkSettings(o *output) error {
-	text, err := os.ReadFile(c.Settings)
-	if err != nil {
-		return usageError{err}
-	}
-	parsed, err := settings.Parse(c.Settings, string(text))
-	if err == nil && c.With != "" {
-		_, err = config.ReadWithSettings(c.With, parsed)
-	}
-	if err != nil {
-		return usageError{err}
-	}
-	fmt.Fprintf(o.stdout, "%s: version %d can be used\n", c.Settings, parsed.Version)
-	return nil
-}
-
-func (c *checkCmd) checkHub(o *output) error {
-	if _, err := config.ReadHub(c.Hub); err != nil {
-		return usageError{err}
-	}
-	fmt.Fprintln(o.stdout, c.Hub+": can be used")
-	return nil
-}
-
-type printCmd struct {
-	Hub bool `name:"hub" help:"Of a hub's configuration."`
-}
-
-func (c *printCmd) Run(o *output) error {
-	text := config.Default
-	if c.Hub {
-		text = config.DefaultHub
-	}
-	_, err := io.WriteString(o.stdout, text)
-	return err
-}
--- /dev/null
+++ b/cmd/martenbeam/trace.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"martenbeam/internal/lab"
+	"martenbeam/internal/lab/check"
+)
+
+type traceCmd struct {
+	File string `name:"file" arg:"" help:"What lab run --events wrote." type:"existingfile"`
+	ID   string `arg:"" name:"request-id" help:"The id of a try, or of a client's first try."`
+}
+
+func (c *traceCmd) Run(o *output) error {
+	file, err := os.Open(c.File)
+	if err != nil {
+		return usageError{err}
+	}
+	defer file.Close()
+	lines := bufio.NewReader(file)
+	found := false
+	for n := 1; ; n++ {
+		line, err := lines.ReadString('\n')
+		if err == io.EOF && line == "" {
+			break
+		}
+		if err != nil && err != io.EOF {
+			return err
+		}
+		if !strings.Contains(line, c.ID) {
+			continue
+		}
+		var request check.Request
+		if err := json.Unmarshal([]byte(line), &request); err != nil {
+			return usageError{fmt.Errorf("%s:%d: %w", c.File, n, err)}
+		}
+		if request.ID == c.ID || request.First == c.ID {
+			lab.WriteHistory(o.stdout, &request)
+			found = true
+		}
+	}
+	if !found {
+		return usageError{fmt.Errorf("%s holds no request %s", c.File, c.ID)}
+	}
+	return nil
+}
