--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -1,5 +1,7 @@
 package main
 
+// The command that runs one agent, and the flags of its log.
+
 import (
 	"fmt"
 	"io"
@@ -11,22 +13,23 @@
 	"martenbeam/internal/membership"
 )
 
+// agentCmd is `martenbeam agent`.
 type agentCmd struct {
 	Config string `name:"config" help:"Configuration, a TOML file (see config print). Default: what the platform's PROXY_ variables say." env:"MARTENBEAM_CONFIG" placeholder:"FILE"`
 	logFlags
 }
 
-// logFlags say how a process logs.
+// logFlags are the flags that say how a process logs.
 type logFlags struct {
 	LogLevel  string `name:"log-level" help:"Least level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
 	LogFormat string `name:"log-format" help:"Form of the log: text or json." enum:"text,json" default:"text"`
 }
 
-// logger writes to w as the flags say. It is to be closed.
+// logger returns a logger that writes to w as the flags say. The caller must close it.
 func (f *logFlags) logger(w io.Writer) *logging.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(f.LogLevel)); err != nil {
-		panic(err) // the flag takes no other word
+		panic(err) // kong accepts the words of the enum alone
 	}
 	options := &slog.HandlerOptions{Level: level}
 	if f.LogFormat == "json" {
@@ -35,6 +38,7 @@
 	return logging.New(w, slog.NewTextHandler, options)
 }
 
+// Run runs an agent until it is told to end. It is configured by a file, or as the platform does.
 func (c *agentCmd) Run(o *output) error {
 	log := c.logger(o.stderr)
 	defer log.Close()
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -1,5 +1,7 @@
 package main
 
+// The command that compares two versions of the agent over the same seeds.
+
 import (
 	"context"
 	"encoding/json"
@@ -18,6 +20,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
+// compareCmd is `martenbeam lab compare`.
 type compareCmd struct {
 	Scenario   string  `name:"scenario" arg:"" help:"A built-in scenario's name, or a .toml file."`
 	AgentA     string  `name:"a" help:"The agent's program to compare with. Default: this program's agent, which makes sense with --apart." placeholder:"PATH"`
@@ -32,7 +35,7 @@
 	Rate       float64 `name:"rate" help:"Requests a second. 0: as the scenario says." placeholder:"R"`
 }
 
-// parseSeeds reads "1-5" or "1,4,9".
+// parseSeeds reads a list of seeds and ranges of seeds, such as "1-5" or "1,4,9". Each seed is returned once.
 func parseSeeds(text string) (list []uint64, err error) {
 	for _, part := range strings.Split(text, ",") {
 		low, high, isRange := strings.Cut(part, "-")
@@ -54,6 +57,7 @@
 	return list, nil
 }
 
+// Run plays all seeds with both versions, and prints and writes the differences.
 func (c *compareCmd) Run(o *output) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -67,11 +71,35 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
+	pairs, err := c.runPairs(ctx, o, seeds)
+	if err != nil {
+		return err
+	}
+	differences := lab.Compare(pairs)
+	if c.ResultFile != "" {
+		for i := range pairs {
+			pairs[i].A.Windows, pairs[i].B.Windows = nil, nil
+		}
+		if err := writeJSON(c.ResultFile, comparison{lab.Schema, c.Scenario, pairs, differencesJSON(differences)}); err != nil {
+			return err
+		}
+	}
+	printDifferences(o.stdout, differences)
+	if len(differences) == 0 {
+		fmt.Fprintln(o.stderr, "void: the lab itself was late in every pair")
+		return exitCodeError(exitInconclusive)
+	}
+	return nil
+}
+
+// runPairs runs the pairs of all seeds, Parallel at a time, and prints a line for each. Of several errors it returns that of
+// the first seed.
+func (c *compareCmd) runPairs(ctx context.Context, o *output, seeds []uint64) ([]lab.Pair, error) {
 	pairs := make([]lab.Pair, len(seeds))
 	errs := make([]error, len(seeds))
 	slots := make(chan struct{}, c.Parallel)
 	var running sync.WaitGroup
-	var output sync.Mutex
+	var printing sync.Mutex
 	for i, seed := range seeds {
 		slots <- struct{}{}
 		running.Go(func() {
@@ -80,8 +108,8 @@
 			if errs[i] != nil {
 				return
 			}
-			output.Lock()
-			defer output.Unlock()
+			printing.Lock()
+			defer printing.Unlock()
 			a, b := pairs[i].A, pairs[i].B
 			fmt.Fprintf(o.stdout, "seed %-3d  served in aim  a %.4f (%s)  b %.4f (%s)   worst 10 s  a %.4f  b %.4f\n", seed,
 				a.ServedInAim, a.Verdict, b.ServedInAim, b.Verdict, a.Worst10s, b.Worst10s)
@@ -90,26 +118,13 @@
 	running.Wait()
 	for _, err := range errs {
 		if err != nil {
-			return err
-		}
-	}
-	differences := lab.Compare(pairs)
-	if c.ResultFile != "" {
-		for i := range pairs {
-			pairs[i].A.Windows, pairs[i].B.Windows = nil, nil
-		}
-		if err := writeJSON(c.ResultFile, comparison{lab.Schema, c.Scenario, pairs, differencesJSON(differences)}); err != nil {
-			return err
+			return nil, err
 		}
 	}
-	printDifferences(o.stdout, differences)
-	if len(differences) == 0 {
-		fmt.Fprintln(o.stderr, "void: the lab itself was late in every pair")
-		return exitCodeError(exitInconclusive)
-	}
-	return nil
+	return pairs, nil
 }
 
+// comparison is the file that --json names.
 type comparison struct {
 	Schema      int               `json:"schema"`
 	Scenario    string            `json:"scenario"`
@@ -117,7 +132,7 @@
 	Differences []json.RawMessage `json:"differences"`
 }
 
-// differencesJSON writes differences with null for a bound that is open: JSON has no infinity.
+// differencesJSON returns the JSON form of differences. The bounds of an open interval are null, since JSON has no infinity.
 func differencesJSON(list []lab.Difference) (texts []json.RawMessage) {
 	for _, diff := range list {
 		low, high := &diff.Low, &diff.High
@@ -125,7 +140,7 @@
 			low, high = nil, nil
 			diff.Low, diff.High = 0, 0
 		}
-		text, _ := json.Marshal(struct { // it holds nothing that can't be written
+		text, _ := json.Marshal(struct { // can't fail: numbers and strings alone
 			lab.Difference
 			Low  *float64 `json:"low"`
 			High *float64 `json:"high"`
@@ -135,7 +150,7 @@
 	return texts
 }
 
-// runPair plays one seed with both versions, in an order that changes with the seed.
+// runPair runs one seed with both versions. Which of them is first changes with the seed.
 func (c *compareCmd) runPair(ctx context.Context, o *output, seed uint64) (pair lab.Pair, err error) {
 	pair.Seed = seed
 	order := []string{"a", "b"}
@@ -143,8 +158,8 @@
 		order = []string{"b", "a"}
 	}
 	for _, side := range order {
-		flags := fleetFlags{Agents: c.Agents, Backends: c.Backends, Rate: c.Rate, AgentBin: map[string]string{"a": c.AgentA, "b": c.AgentB}[side],
-			Isolated: c.Isolated && side == "a", Hubs: -1}
+		flags := fleetFlags{Agents: c.Agents, Backends: c.Backends, Rate: c.Rate, Hubs: -1,
+			AgentBin: map[string]string{"a": c.AgentA, "b": c.AgentB}[side], Isolated: c.Isolated && side == "a"}
 		if c.Hubs > 0 {
 			flags.Hubs = map[string]int{"a": 0, "b": c.Hubs}[side]
 		}
@@ -171,12 +186,15 @@
 	return pair, nil
 }
 
+// printDifferences prints a table of differences, with their intervals and verdicts.
 func printDifferences(w io.Writer, list []lab.Difference) {
 	if len(list) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\n%-22s %10s %10s %12s   %-24s over %d seeds\n", "measure", "a", "b", "b less a", "95% interval", len(list[0].Each))
+	fmt.Fprintf(w, "\n%-22s %10s %10s %12s   %-24s over %d seeds\n",
+		"measure", "a", "b", "b less a", "95% interval", len(list[0].Each))
 	for _, diff := range list {
-		fmt.Fprintf(w, "%-22s %10.4f %10.4f %+12.4f   %+.4f to %+.4f   %s\n", diff.Measure, diff.A, diff.B, diff.Mean, diff.Low, diff.High, diff.Verdict)
+		fmt.Fprintf(w, "%-22s %10.4f %10.4f %+12.4f   %+.4f to %+.4f   %s\n",
+			diff.Measure, diff.A, diff.B, diff.Mean, diff.Low, diff.High, diff.Verdict)
 	}
 }
--- a/cmd/martenbeam/config.go
+++ b/cmd/martenbeam/config.go
@@ -1,5 +1,7 @@
 package main
 
+// Commands that check a configuration or print the defaults.
+
 import (
 	"errors"
 	"fmt"
@@ -10,11 +12,13 @@
 	"martenbeam/internal/settings"
 )
 
+// configCmd is `martenbeam config`.
 type configCmd struct {
 	Check checkCmd `name:"check" cmd:"" help:"Say whether a configuration can be used. Exit 0 if it can, 2 if not."`
 	Print printCmd `name:"print" cmd:"" help:"Print every key with its default and what it means."`
 }
 
+// checkCmd is `martenbeam config check`.
 type checkCmd struct {
 	File string `name:"file" arg:"" optional:"" help:"A TOML file."`
 
@@ -23,6 +27,7 @@
 	Hub      string `name:"hub" help:"Check a hub's configuration instead (docs/hub.md)." placeholder:"FILE"`
 }
 
+// Run checks the one configuration that the arguments name.
 func (c *checkCmd) Run(o *output) error {
 	if c.Hub != "" {
 		return c.checkHub(o)
@@ -40,6 +45,7 @@
 	return nil
 }
 
+// checkSettings checks settings of all agents, by themselves or over an agent's file.
 func (c *checkCmd) checkSettings(o *output) error {
 	text, err := os.ReadFile(c.Settings)
 	if err != nil {
@@ -56,6 +62,7 @@
 	return nil
 }
 
+// checkHub checks the configuration of a hub.
 func (c *checkCmd) checkHub(o *output) error {
 	if _, err := config.ReadHub(c.Hub); err != nil {
 		return usageError{err}
@@ -64,10 +71,12 @@
 	return nil
 }
 
+// printCmd is `martenbeam config print`.
 type printCmd struct {
 	Hub bool `name:"hub" help:"Of a hub's configuration."`
 }
 
+// Run prints the defaults of an agent or a hub.
 func (c *printCmd) Run(o *output) error {
 	text := config.Default
 	if c.Hub {
--- a/cmd/martenbeam/fleetflags.go
+++ b/cmd/martenbeam/fleetflags.go
@@ -1,5 +1,7 @@
 package main
 
+// Flags that say how large a fleet is and which programs it runs, and running a scenario with them.
+
 import (
 	"context"
 	"errors"
@@ -13,7 +15,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// fleetFlags change a scenario's size.
+// fleetFlags are the flags that change the size of a scenario's fleet and load, and name its programs and folder.
 type fleetFlags struct {
 	Agents   int           `name:"agents" help:"Agents, each a process. 0: as the scenario says." placeholder:"N"`
 	Backends int           `name:"backends" help:"Backends. 0: as the scenario says." placeholder:"N"`
@@ -25,7 +27,7 @@
 	Dir      string        `name:"dir" help:"Where agents have their files; kept. Default: a temporary folder, removed." placeholder:"DIR"`
 }
 
-// apply takes the flags into a scenario. Faults move with a changed length.
+// apply changes a scenario as the flags say, and checks it. Where its length changes its faults move in proportion.
 func (f *fleetFlags) apply(spec *scenario.Scenario) error {
 	if f.Agents != 0 {
 		spec.Fleet.Agents = f.Agents
@@ -51,7 +53,7 @@
 	return spec.Check()
 }
 
-// agentCommand is the command line of an agent's process.
+// agentCommand returns the command line of an agent's process: another program, or this one.
 func (f *fleetFlags) agentCommand() ([]string, error) {
 	if f.AgentBin != "" {
 		if info, err := os.Stat(f.AgentBin); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
@@ -64,40 +66,51 @@
 	return []string{self, "agent"}, err
 }
 
-// hubCommand is the command line of a hub's process.
+// hubCommand returns the command line of a hub's process.
 func (f *fleetFlags) hubCommand() ([]string, error) {
 	self, err := os.Executable()
 	return []string{self, "hub"}, err
 }
 
-// workDir is where processes have their files, and what removes it.
+// workDir returns the folder for the files of all processes, and what removes it at the end.
 func (f *fleetFlags) workDir() (dir string, remove func(), err error) {
 	if f.Dir != "" {
 		return f.Dir, func() {}, nil
 	}
 	dir, err = os.MkdirTemp("", "martenbeam-lab-")
-	return dir, func() { _ = os.RemoveAll(dir) }, err // a temporary folder: what is left does no harm
+	return dir, func() { _ = os.RemoveAll(dir) }, err // a temporary folder: leftovers do no harm
 }
 
-// runScenario plays a scenario once.
-func (f *fleetFlags) runScenario(ctx context.Context, o *output, spec *scenario.Scenario, seed uint64, events io.Writer, progress bool) (*lab.Report, error) {
+// labOptions returns what the lab needs to run a scenario: programs and a folder, besides the scenario and its seed. remove
+// removes the folder, if it is a temporary one.
+func (f *fleetFlags) labOptions(spec *scenario.Scenario, seed uint64) (options lab.Options, remove func(), err error) {
 	agent, err := f.agentCommand()
 	if err != nil {
-		return nil, usageError{err}
+		return options, nil, usageError{err}
 	}
 	hub, err := f.hubCommand()
 	if err != nil {
-		return nil, err
+		return options, nil, err
 	}
 	dir, remove, err := f.workDir()
+	if err != nil {
+		return options, nil, err
+	}
+	return lab.Options{Scenario: spec, Seed: seed, Agent: agent, Hub: hub, Dir: dir}, remove, nil
+}
+
+// runScenario runs a scenario once and returns its report. events takes the history of each request, unless it is nil;
+// progress asks for a line a second.
+func (f *fleetFlags) runScenario(ctx context.Context, o *output, spec *scenario.Scenario, seed uint64, events io.Writer,
+	progress bool) (*lab.Report, error) {
+	options, remove, err := f.labOptions(spec, seed)
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
-	options := lab.Options{Scenario: spec, Seed: seed, Agent: agent, Hub: hub, Dir: dir, Events: events}
+	options.Events = events
 	if progress {
-		progressLines := newProgressTable(o.stdout, false)
-		options.Second = progressLines.update
+		options.Second = newProgressTable(o.stdout, false).update
 	}
 	fleet, err := lab.New(options)
 	if err != nil {
@@ -105,12 +118,17 @@
 	}
 	defer fleet.Close()
 	report, err := fleet.Run(ctx)
-	if errors.Is(err, lab.ErrCrash) {
-		fmt.Fprintln(o.stderr, err)
-		return nil, exitCodeError(exitCrashed)
-	}
 	if err != nil {
-		return nil, err
+		return nil, runError(o, err)
 	}
 	return report, fleet.Flush()
 }
+
+// runError prints the crash that ended a run without a report, and returns the error with which the command ends.
+func runError(o *output, err error) error {
+	if errors.Is(err, lab.ErrCrash) {
+		fmt.Fprintln(o.stderr, err)
+		return exitCodeError(exitCrashed)
+	}
+	return err
+}
--- a/cmd/martenbeam/hub.go
+++ b/cmd/martenbeam/hub.go
@@ -1,5 +1,7 @@
 package main
 
+// The command that runs one hub.
+
 import (
 	"context"
 	"os"
@@ -11,12 +13,14 @@
 	"martenbeam/internal/membership"
 )
 
+// hubCmd is `martenbeam hub`.
 type hubCmd struct {
 	Config string `name:"config" help:"Configuration, a TOML file (see config print --hub)." required:"" placeholder:"FILE"`
 	logFlags
 }
 
-// Run is a hub until the process is told to end. Files that the configuration names are followed; nothing else is read again.
+// Run runs a hub until SIGTERM or an interrupt. The files that the configuration names are followed; the configuration itself
+// is read once, and SIGHUP is ignored.
 func (c *hubCmd) Run(o *output) error {
 	cfg, err := config.ReadHub(c.Config)
 	if err != nil {
--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -1,5 +1,7 @@
 package main
 
+// Commands of the lab: the list of scenarios, and one run.
+
 import (
 	"context"
 	"fmt"
@@ -11,6 +13,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
+// labCmd is `martenbeam lab`.
 type labCmd struct {
 	List    listCmd    `name:"list" cmd:"" help:"List the built-in scenarios."`
 	Run     runCmd     `name:"run" cmd:"" help:"Play one scenario and judge it. Exit 0 kept, 3 broken, 4 crashed, 5 void."`
@@ -18,8 +21,10 @@
 	Trace   traceCmd   `name:"trace" cmd:"" help:"Follow one request through everyone who handled it."`
 }
 
+// listCmd is `martenbeam lab list`.
 type listCmd struct{}
 
+// Run prints the name and purpose of each built-in scenario.
 func (listCmd) Run(o *output) error {
 	for _, name := range scenario.Names() {
 		spec, err := scenario.Read(name)
@@ -31,6 +36,7 @@
 	return nil
 }
 
+// runCmd is `martenbeam lab run`.
 type runCmd struct {
 	Scenario   string `name:"scenario" arg:"" help:"A built-in scenario's name, or a .toml file."`
 	Seed       uint64 `name:"seed" help:"Decides arrivals, draws and fault times." default:"1"`
@@ -40,6 +46,7 @@
 	fleetFlags
 }
 
+// Run runs a scenario once, and prints its report and verdict.
 func (c *runCmd) Run(o *output) error {
 	spec, err := scenario.Read(c.Scenario)
 	if err == nil {
--- a/cmd/martenbeam/main.go
+++ b/cmd/martenbeam/main.go
@@ -1,7 +1,9 @@
-// Command martenbeam is the product's command: a whole fleet on one machine to look at, experiments on it, and
-// the agent itself.
+// Command martenbeam runs one agent or one hub, checks configurations, and runs whole fleets on one machine: to look at, or
+// as experiments with faults.
 package main
 
+// The command line and exit codes.
+
 import (
 	"errors"
 	"fmt"
@@ -13,21 +15,22 @@
 
 // Exit codes.
 const (
-	exitFailed       = 1 // something went wrong that no other code tells
-	exitUsage        = 2 // what was asked for can't be done
-	exitViolated     = 3 // a rule was broken
-	exitCrashed      = 4 // an agent crashed, did not start or went over a limit
-	exitInconclusive = 5 // the lab itself was late: no verdict
+	exitFailed       = 1 // any other error
+	exitUsage        = 2 // invalid arguments or an unusable file
+	exitViolated     = 3 // an agent violated a rule
+	exitCrashed      = 4 // an agent crashed, did not start or exceeded a limit
+	exitInconclusive = 5 // the lab itself was late, so there is no verdict
 )
 
-// usageError is a fault of what was asked for.
+// usageError is an error in the arguments, or in a file that they name.
 type usageError struct{ error }
 
-// exitCodeError ends the program with a code; what there is to say has been said.
+// exitCodeError ends the program with a code. Its reason has been printed already.
 type exitCodeError int
 
 func (e exitCodeError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
+// cli holds the commands. kong reads their names from the tags.
 type cli struct {
 	Up     upCmd     `name:"up" cmd:"" help:"Start a whole fleet on this machine and watch it: agents, backends, discovery and clients."`
 	Lab    labCmd    `name:"lab" cmd:"" help:"Play scenarios with faults on a fleet of real processes, and compare versions."`
@@ -50,6 +53,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// run runs the command that the arguments name, and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	var c cli
 	exited := -1
@@ -83,5 +87,5 @@
 	return exitFailed
 }
 
-// output is where a command writes.
+// output holds the streams that a command writes to.
 type output struct{ stdout, stderr io.Writer }
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab"
 )
 
-// TestMain lets the test binary stand in for the program: agents are started from it too.
+// TestMain runs the program itself where this binary was started as the program or as one of its agents.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARTENBEAM_TEST") == "1" || len(os.Args) == 2 && os.Args[1] == "agent" {
 		main()
@@ -32,7 +32,7 @@
 	return file
 }
 
-// What can't be done ends with one line and exit 2; help and lists with 0.
+// Invalid arguments and files end with one line and exit code 2; help and lists with 0.
 func TestExitCodesAndMessages(t *testing.T) {
 	bad := writeTempFile(t, "for = \"-3s\"\n")
 	all := writeTempFile(t, "version = 3\nattempts.most = 4\n")
@@ -80,7 +80,7 @@
 	}
 }
 
-// A run that only breaks a rule of what agents share ends with 3 and says which.
+// A run that violates only a rule on shared state ends with exit code 3 and names it.
 func TestViolationOfSharedStateIsReported(t *testing.T) {
 	var out, errs bytes.Buffer
 	r := &lab.Report{Verdict: lab.Broken, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
@@ -89,7 +89,7 @@
 	}
 }
 
-// up serves a request sent by hand as its curl line says, and ends cleanly on an interrupt.
+// up serves a request that is sent by hand as it suggests, and exits with 0 on an interrupt.
 func TestUpServesRequestsUntilInterrupted(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 }
 
-// A run's events lead through one request; its report is whole.
+// The events of a run hold the history of each request, and its report has all sections.
 func TestTraceFollowsARequestOfARun(t *testing.T) {
 	dir := t.TempDir()
 	s := writeTempFile(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
--- a/cmd/martenbeam/progress.go
+++ b/cmd/martenbeam/progress.go
@@ -1,5 +1,7 @@
 package main
 
+// Progress of a run: a line a second, or a table that is drawn in place on a terminal.
+
 import (
 	"fmt"
 	"io"
@@ -10,7 +12,7 @@
 	"martenbeam/internal/lab"
 )
 
-// isTerminal reports whether a writer is one.
+// isTerminal reports whether a writer is a terminal.
 func isTerminal(w io.Writer) bool {
 	file, ok := w.(*os.File)
 	if !ok {
@@ -20,19 +22,20 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// progressTable shows a line a second, or, on a terminal, a picture that stays in place.
+// progressTable shows the progress of a run: a line a second, or, in place, a table that is drawn over the one before.
 type progressTable struct {
 	mu          sync.Mutex
 	w           io.Writer
 	inPlace     bool
-	drawnLines  int // of the picture
-	printedRows int
+	drawnLines  int // of the table that is to be drawn over
+	printedRows int // lines, where it is not in place
 }
 
 func newProgressTable(w io.Writer, inPlace bool) *progressTable {
 	return &progressTable{w: w, inPlace: inPlace}
 }
 
+// header prints a text above the table.
 func (t *progressTable) header(text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,6 +44,7 @@
 
 const progressHeading = "  time  agents backends  offered/s  in aim  refused  failed    p50    p99  attempts/r  used  broken  faults"
 
+// progressRow is the line for a state.
 func progressRow(view lab.View) string {
 	window := view.Last
 	ratio := func(dividend, divisor float64) float64 {
@@ -50,11 +54,13 @@
 		return dividend / divisor
 	}
 	n := float64(window.Offered)
-	return fmt.Sprintf("%5.0fs  %6d %8d  %9d  %5.1f%%  %6.1f%%  %5.1f%%  %3.0f ms %4.0f ms  %10.2f  %3.0f%%  %6d  %s", view.At.Seconds(), view.Agents, view.Backends,
-		window.Offered, 100*ratio(window.InAim, window.Worth), 100*ratio(float64(window.Refused), n), 100*ratio(float64(window.Failed+window.Lost), n), window.P50, window.P99,
+	return fmt.Sprintf("%5.0fs  %6d %8d  %9d  %5.1f%%  %6.1f%%  %5.1f%%  %3.0f ms %4.0f ms  %10.2f  %3.0f%%  %6d  %s",
+		view.At.Seconds(), view.Agents, view.Backends, window.Offered, 100*ratio(window.InAim, window.Worth),
+		100*ratio(float64(window.Refused), n), 100*ratio(float64(window.Failed+window.Lost), n), window.P50, window.P99,
 		ratio(float64(window.Attempts), n), 100*window.Used, view.Broken, strings.Join(view.Faults, ", "))
 }
 
+// update shows the state of a run. The lab calls it each second.
 func (t *progressTable) update(_ *lab.Lab, view lab.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/martenbeam/report.go
+++ b/cmd/martenbeam/report.go
@@ -1,5 +1,7 @@
 package main
 
+// What a run comes to: its report as text and as a file, and the exit code for its verdict.
+
 import (
 	"encoding/json"
 	"fmt"
@@ -9,18 +11,20 @@
 	"martenbeam/internal/lab"
 )
 
-// verdictError says what was wrong, if anything, with its exit code.
+// verdictError prints why a run did not pass, and returns the error with its exit code; nil: it passed.
 func verdictError(o *output, report *lab.Report) error {
 	switch report.Verdict {
 	case lab.Void:
-		fmt.Fprintf(o.stderr, "void: the lab itself was late, 99th percentile %.1f ms: too little processor time here; no verdict\n", report.Late.P99)
+		fmt.Fprintf(o.stderr, "void: the lab itself was late, 99th percentile %.1f ms: too little processor time here; no verdict\n",
+			report.Late.P99)
 		return exitCodeError(exitInconclusive)
 	case lab.Crashed:
 		fmt.Fprintln(o.stderr, "crashed:", report.Crash)
 		return exitCodeError(exitCrashed)
 	case lab.Broken:
 		if violation := report.Rules.First; violation != nil {
-			fmt.Fprintf(o.stderr, "broken %d times, first at %.3f s: %s: %s\n", report.Rules.Broken, violation.At.Seconds(), violation.Rule, violation.Text)
+			fmt.Fprintf(o.stderr, "broken %d times, first at %.3f s: %s: %s\n",
+				report.Rules.Broken, violation.At.Seconds(), violation.Rule, violation.Text)
 		}
 		if report.Rules.Shared != "" {
 			fmt.Fprintln(o.stderr, "broken:", report.Rules.Shared)
@@ -33,7 +37,7 @@
 	return nil
 }
 
-// writeJSON writes a file whole or not at all.
+// writeJSON writes a value to a file, by renaming a complete one over it.
 func writeJSON(file string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -45,10 +49,12 @@
 	return os.Rename(file+".part", file)
 }
 
+// printReport prints a report for people to read.
 func printReport(w io.Writer, report *lab.Report) {
-	fmt.Fprintf(w, "\n%s, seed %d: %d agents, %d backends, %d requests in %.0f s (the first %.0f s don't count)\n", report.Scenario, report.Seed, report.Agents, report.Backends,
-		report.Offered, report.For, report.Settle)
-	fmt.Fprintf(w, "  served in aim   %6.2f%% of the worth; worst 10 s %.2f%% from %d s\n", 100*report.ServedInAim, 100*report.Worst10s, report.Worst10sAt)
+	fmt.Fprintf(w, "\n%s, seed %d: %d agents, %d backends, %d requests in %.0f s (the first %.0f s don't count)\n",
+		report.Scenario, report.Seed, report.Agents, report.Backends, report.Offered, report.For, report.Settle)
+	fmt.Fprintf(w, "  served in aim   %6.2f%% of the worth; worst 10 s %.2f%% from %d s\n",
+		100*report.ServedInAim, 100*report.Worst10s, report.Worst10sAt)
 	fmt.Fprintf(w, "  refused %.2f%%, failed %.2f%%, lost %d; %.3f attempts a request, %.1f%% of them to another zone\n",
 		100*report.Refused, 100*report.Failed, report.Lost, report.Attempts, 100*report.CrossZone)
 	switch failOver := report.LeftAfter; {
@@ -58,15 +64,19 @@
 	default:
 		fmt.Fprintf(w, "  zones out of reach were sent under 1%% of first attempts after %.1f s\n", *failOver)
 	}
-	fmt.Fprintf(w, "  latency of what was served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n", report.Latency.P50, report.Latency.P99, report.Latency.P999)
-	fmt.Fprintf(w, "  agents: at most %.0f MB and %d descriptors, %.1f processor seconds together\n", report.Agent.RSS, report.Agent.FDs, report.Agent.CPU)
+	fmt.Fprintf(w, "  latency of what was served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n",
+		report.Latency.P50, report.Latency.P99, report.Latency.P999)
+	fmt.Fprintf(w, "  agents: at most %.0f MB and %d descriptors, %.1f processor seconds together\n",
+		report.Agent.RSS, report.Agent.FDs, report.Agent.CPU)
 	if hubs := report.Hubs; hubs != nil {
-		fmt.Fprintf(w, "  %d hubs: at most %.0f MB and %d descriptors, %.1f processor seconds together, %.0f bytes a second each\n", hubs.Hubs, hubs.RSS, hubs.FDs, hubs.CPU, hubs.Bytes)
+		fmt.Fprintf(w, "  %d hubs: at most %.0f MB and %d descriptors, %.1f processor seconds together, %.0f bytes a second each\n",
+			hubs.Hubs, hubs.RSS, hubs.FDs, hubs.CPU, hubs.Bytes)
 	}
 	if shared := report.Shared; shared != nil && shared.Settings != nil {
-		fmt.Fprintf(w, "  settings: %d given, at the last agent after %.1f s (%.1f s in reach of a hub); behind at the end: %d\n", shared.Settings.Given, shared.Settings.After,
-			shared.Settings.Reach, shared.Settings.Behind)
+		fmt.Fprintf(w, "  settings: %d given, at the last agent after %.1f s (%.1f s in reach of a hub); behind at the end: %d\n",
+			shared.Settings.Given, shared.Settings.After, shared.Settings.Reach, shared.Settings.Behind)
 	}
-	fmt.Fprintf(w, "  lab late by p50 %.2f ms, p99 %.2f ms; cold backends pushed over: %d\n", report.Late.P50, report.Late.P99, report.FallOvers)
+	fmt.Fprintf(w, "  lab late by p50 %.2f ms, p99 %.2f ms; cold backends pushed over: %d\n",
+		report.Late.P50, report.Late.P99, report.FallOvers)
 	fmt.Fprintf(w, "  rules: %s\n", report.Verdict)
 }
--- a/cmd/martenbeam/trace.go
+++ b/cmd/martenbeam/trace.go
@@ -1,5 +1,7 @@
 package main
 
+// The command that follows one request through a run.
+
 import (
 	"bufio"
 	"encoding/json"
@@ -12,11 +14,13 @@
 	"martenbeam/internal/lab/check"
 )
 
+// traceCmd is `martenbeam lab trace`.
 type traceCmd struct {
 	File string `name:"file" arg:"" help:"What lab run --events wrote." type:"existingfile"`
 	ID   string `arg:"" name:"request-id" help:"The id of a try, or of a client's first try."`
 }
 
+// Run prints the history of a request: of one attempt of a client, or of all that belong to its first one.
 func (c *traceCmd) Run(o *output) error {
 	file, err := os.Open(c.File)
 	if err != nil {
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -1,6 +1,9 @@
 package main
 
+// The command that starts a fleet to look at.
+
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -13,6 +16,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
+// upCmd is `martenbeam up`.
 type upCmd struct {
 	Agents   int           `name:"agents" help:"Agents, each a process." default:"4" placeholder:"N"`
 	Backends int           `name:"backends" help:"Backends, over three zones." default:"12" placeholder:"N"`
@@ -23,29 +27,13 @@
 	AgentBin string        `name:"agent-bin" help:"Another agent's program." placeholder:"PATH"`
 }
 
+// Run starts a fleet, shows its progress until its time is over or it is interrupted, and prints its report.
 func (c *upCmd) Run(o *output) error {
-	name := c.Scenario
-	if name == "" {
-		name = "calm"
-	}
-	spec, err := scenario.Read(name)
+	spec, flags, err := c.scenario()
 	if err != nil {
 		return usageError{err}
 	}
-	flags := fleetFlags{Agents: c.Agents, Backends: c.Backends, Rate: c.Rate, Hubs: -1, AgentBin: c.AgentBin}
-	if err := flags.apply(spec); err != nil {
-		return usageError{err}
-	}
-	spec.Endless(c.Duration)
-	agent, err := flags.agentCommand()
-	if err != nil {
-		return usageError{err}
-	}
-	hub, err := flags.hubCommand()
-	if err != nil {
-		return err
-	}
-	dir, remove, err := flags.workDir()
+	options, remove, err := flags.labOptions(spec, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -53,29 +41,43 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	table := newProgressTable(o.stdout, isTerminal(o.stdout))
-	fleet, err := lab.New(lab.Options{Scenario: spec, Seed: c.Seed, Agent: agent, Hub: hub, Dir: dir, Visitors: true, Second: table.update,
-		Ready: func(fleet *lab.Lab) {
-			table.header(fmt.Sprintf(`%d agents, %d backends in %d zones, %.0f requests a second. Ctrl-C ends it. Send one by hand:
-
-  curl -i -X POST http://%s/stop-update -H "X-Trace-Id: hand-$RANDOM$RANDOM" -H "Idempotency-Key: hand-$RANDOM" \
-       -H 'X-Customer: state-post' -H 'X-Expires-In: 2.0' -H 'Cookie: sid=stop-1' -d 'done'
-`, c.Agents, c.Backends, len(spec.Fleet.Zones), c.Rate, fleet.Addr(0)))
-		}})
+	options.Visitors, options.Second = true, table.update
+	options.Ready = func(fleet *lab.Lab) { table.header(c.greeting(len(spec.Fleet.Zones), fleet.Addr(0))) }
+	fleet, err := lab.New(options)
 	if err != nil {
 		return usageError{err}
 	}
 	defer fleet.Close()
 	report, err := fleet.Run(ctx)
 	if errors.Is(err, context.Canceled) && ctx.Err() != nil {
-		return nil // ended before everyone was there
-	}
-	if errors.Is(err, lab.ErrCrash) {
-		fmt.Fprintln(o.stderr, err)
-		return exitCodeError(exitCrashed)
+		return nil // interrupted before the whole fleet was there
 	}
 	if err != nil {
-		return err
+		return runError(o, err)
 	}
 	printReport(o.stdout, report)
 	return verdictError(o, report)
 }
+
+// scenario returns the scenario whose faults are played, without an end, and the flags that changed it.
+func (c *upCmd) scenario() (*scenario.Scenario, *fleetFlags, error) {
+	spec, err := scenario.Read(cmp.Or(c.Scenario, "calm"))
+	if err != nil {
+		return nil, nil, err
+	}
+	flags := &fleetFlags{Agents: c.Agents, Backends: c.Backends, Rate: c.Rate, Hubs: -1, AgentBin: c.AgentBin}
+	if err := flags.apply(spec); err != nil {
+		return nil, nil, err
+	}
+	spec.Endless(c.Duration)
+	return spec, flags, nil
+}
+
+// greeting says what runs, and how to send a request to an agent at an address by hand.
+func (c *upCmd) greeting(zones int, addr string) string {
+	return fmt.Sprintf(`%d agents, %d backends in %d zones, %.0f requests a second. Ctrl-C ends it. Send one by hand:
+
+  curl -i -X POST http://%s/stop-update -H "X-Trace-Id: hand-$RANDOM$RANDOM" -H "Idempotency-Key: hand-$RANDOM" \
+       -H 'X-Customer: state-post' -H 'X-Expires-In: 2.0' -H 'Cookie: sid=stop-1' -d 'done'
+`, c.Agents, c.Backends, zones, c.Rate, addr)
+}
