--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -13,12 +13,12 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// acceptErrnos are those that accept(2) names for a moment, network errors of a connection among them.
+// acceptErrnos are the transient errors of accept(2), network errors of a pending connection included.
 var acceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
-// Clients and operators are served on through accepts that fail, once, three times in a row, or for 2 s, and where a connection
-// can't be watched.
+// Clients and operators are still served when accept fails once, three times in a row or for 2 s, and when epoll can't
+// register a connection.
 func TestFailingAcceptsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -37,7 +37,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 		for _, times := range []int{1, 3} {
 			d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.EpollAdd, Errno: errno, Times: times}}})
-			// A client whose connection is closed unread sends the request once more.
+			// The client repeats a request whose connection was closed unread.
 			await(t, fmt.Sprintf("an answer after %d x epoll_ctl %v", times, errno), testTimeout, func() bool {
 				status, _ := get(singleUseClient, d.addr, "/get/x")
 				return status == 200
@@ -64,7 +64,7 @@
 	}
 }
 
-// A program whose system calls fail for a moment at its start serves all the same.
+// An agent whose system calls fail transiently during its start still serves.
 func TestAgentStartsThroughFailingSystemCalls(t *testing.T) {
 	backend := newFakeBackend(t)
 	discovery := newFakeDiscovery(t, readyEndpoint("s", backend))
@@ -88,14 +88,14 @@
 	}
 }
 
-// peerEdits are the edits by which a program has two peers: itself, and another.
+// peerEdits returns the edits that configure two peers: the agent itself and another.
 func peerEdits(own, other string) []string {
 	return []string{`"settings":{"Balancers":1`, fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],"settings":{"Balancers":2,"Me":0`, own, own, other),
 		`"TryLimit":4`, `"TryLimit":4,"Peers":true`}
 }
 
-// Calls on datagrams and options of sockets that fail, once, three times in a row and for 2 s, cost no request its answer, and the
-// processor is not worn out by trying again.
+// Datagram and socket option calls that fail once, three times in a row or for 2 s lose no request, and retrying them does not
+// use up the processor.
 func TestFailingSocketCallsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -120,7 +120,7 @@
 			}
 		}
 		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: syscall.ENOBUFS}}})
-		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that something is there to be read
+		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that there is a datagram to read
 			t.Fatal(err)
 		}
 		before, began := cpuTime(t, d.cmd.Process.Pid), time.Now()
@@ -136,7 +136,7 @@
 	}
 }
 
-// cpuTime is what a process has used of the processor.
+// cpuTime returns the processor time that a process has used, user and system together.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -157,7 +157,7 @@
 	return sum
 }
 
-// awaitServed waits until a request is served.
+// awaitServed waits until a request is answered with 200.
 func awaitServed(t *testing.T, d *agentProcess, timeout time.Duration) {
 	t.Helper()
 	await(t, "an answer", timeout, func() bool {
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// openFiles are what the descriptors of a process are of, and whether they may be written.
+// openFiles returns the targets of a process's descriptors, and whether each is open for writing.
 func openFiles(t *testing.T, pid int) (files map[string]bool) {
 	t.Helper()
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -26,7 +26,7 @@
 	for _, link := range links {
 		name, err := os.Readlink(link)
 		if err != nil {
-			continue // it was closed meanwhile
+			continue // closed in the meantime
 		}
 		info, err := os.ReadFile(strings.Replace(link, "/fd/", "/fdinfo/", 1))
 		if err != nil {
@@ -42,7 +42,7 @@
 	return files
 }
 
-// listeners are the addresses of the kernel's table at which some of the open files listen.
+// listeners returns the listening addresses of a kernel socket table that belong to some of the open files.
 func listeners(t *testing.T, table string, files map[string]bool) (addrs []string) {
 	t.Helper()
 	const state, listens, inode = 3, "0A", 9
@@ -66,7 +66,7 @@
 			continue
 		}
 		var b [4]byte
-		for i := range b { // the table has it as a number of the machine's own byte order
+		for i := range b { // the table holds the address in the byte order of the machine
 			x, err := strconv.ParseUint(ip[6-2*i:8-2*i], 16, 8)
 			if err != nil {
 				t.Fatal(err)
@@ -78,8 +78,8 @@
 	return addrs
 }
 
-// The program listens at the addresses that it is given and at no other, starts no process, and has no file open for writing but
-// its log and what is in its scratch folder.
+// The agent listens at its configured addresses only, starts no processes, and has no file open for writing but its log and
+// files in its scratch folder.
 func TestAgentListensAndWritesOnlyWhereConfigured(t *testing.T) {
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", newFakeBackend(t))).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -17,10 +17,10 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// connErrnos are those that reads and writes of a TCP connection may return while the other side still has it.
+// connErrnos are errors that reads and writes of a TCP connection may return while the peer still holds it open.
 var connErrnos = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR, syscall.EIO}
 
-// A request that was taken has its answer, though reads of its connection or the write of the answer fail for a moment.
+// A request that was accepted is answered although reads of its connection, or the write of its answer, fail transiently.
 func TestTransientConnectionErrorsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	backend.latency = 100 * time.Millisecond
@@ -41,7 +41,7 @@
 				}
 				await(t, "the attempt", testTimeout, func() bool { return backend.requestCount.Load() > before })
 				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(), Errno: errno, Times: times}}})
-				if call == faultinject.Read { // so that something is read
+				if call == faultinject.Read { // so that the agent has something to read
 					if _, err := io.WriteString(c, "G"); err != nil {
 						t.Fatal(err)
 					}
@@ -56,7 +56,7 @@
 	}
 }
 
-// No attempt begins for a large body whose client has gone more than 0.1 s ago, though the rest of what it sent lies unread.
+// No attempt starts for a large body whose client disconnected more than 0.1 s ago, even if part of the body is still unread.
 func TestNoAttemptForAnUploadOfADisconnectedClient(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
@@ -64,7 +64,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := freeAddr(t) // refuses: the request waits for a retry
+			backend := freeAddr(t) // refuses connections: the request waits for a retry
 			d := startAgent(t, newFakeDiscovery(t, endpoint{ID: "s", Addr: backend, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			var begun atomic.Int64
@@ -98,8 +98,8 @@
 	}
 }
 
-// A client that stops anywhere in a request and stays gets an error or a close within 3 s: of its connection, or, where that has
-// served a request before, of the first byte of this one.
+// A client that stops in the middle of a request without closing gets an error or a close within 3 s. The time runs from the
+// start of its connection, or from the first byte of this request if the connection has served one before.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -123,8 +123,8 @@
 	clients.Wait()
 }
 
-// sendPartOfRequest sends the first part of a request, after a whole one if it is the connection's second, and returns how long it takes until
-// something comes back, or the end.
+// sendPartOfRequest sends the first part of a request, on a new connection or as its second request. It returns how long it
+// takes until the agent answers or closes.
 func sendPartOfRequest(addr, part string, second bool) (time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -144,17 +144,17 @@
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return 0, err
 		}
-		time.Sleep(time.Second) // it rests for a while
+		time.Sleep(time.Second) // the connection is idle
 	}
 	startedAt := time.Now()
 	if _, err := io.WriteString(c, part); err != nil {
 		return 0, err
 	}
-	_, _ = in.ReadByte() // an error is an end
+	_, _ = in.ReadByte() // an error is a close
 	return time.Since(startedAt), nil
 }
 
-// A client that goes on sending a byte now and then is owed the same: of a body that is small, or of a header.
+// A client that keeps sending single bytes of a small body or a header gets an error or a close just as soon.
 func TestSlowRequestTimesOut(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -177,7 +177,7 @@
 						time.Sleep(every)
 					}
 				}()
-				_, _ = c.Read(make([]byte, 1)) // an error is an end
+				_, _ = c.Read(make([]byte, 1)) // an error is a close
 				if took := time.Since(began); took > 3*time.Second+late() {
 					t.Errorf("%q, a byte every %v: %v until an error or a close", start[:10], every, took)
 				}
@@ -187,7 +187,7 @@
 	clients.Wait()
 }
 
-// A request with hardly any time left has its final answer at once, also where its backend says nothing.
+// A request with very little time left gets its final answer in that time, even if its backend never answers.
 func TestRequestWithShortDeadlineIsAnsweredInTime(t *testing.T) {
 	mute := newFakeBackend(t)
 	mute.latency = time.Hour
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// What an attempt tells its backend is at most what its client has left, with 0.15 s of slack: for first attempts, retries and
-// hedged requests, also where the process is held up for 0.15 s at any moment.
+// The deadline that an attempt passes to its backend exceeds the client's remaining time by 0.15 s at most: for first attempts,
+// retries and hedged requests, and also if the process is stopped for 0.15 s at any moment.
 func TestBackendIsToldTheRemainingTime(t *testing.T) {
 	const slack, hold = 150 * time.Millisecond, 150 * time.Millisecond
 	var ends sync.Map // when the client stops waiting, by request
@@ -81,7 +81,7 @@
 		})
 	}
 	for time.Now().Before(end) {
-		time.Sleep(time.Duration(650+rand.IntN(200)) * time.Millisecond) // no request is held up twice
+		time.Sleep(time.Duration(650+rand.IntN(200)) * time.Millisecond) // no request is delayed twice
 		d.signal(t, syscall.SIGSTOP)
 		time.Sleep(hold)
 		d.signal(t, syscall.SIGCONT)
@@ -93,7 +93,8 @@
 	}
 }
 
-// The time of a request that has waited in the queue of connections runs from its last byte: here accepting fails for a second.
+// The deadline of a request runs from its last byte even while its connection waits to be accepted: here accept fails for a
+// second.
 func TestDeadlineOfARequestQueuedBeforeAccept(t *testing.T) {
 	stated, late := make(chan string, 1), schedulingDelay(t)
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
--- a/cmd/agent/deployment_test.go
+++ b/cmd/agent/deployment_test.go
@@ -11,7 +11,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// deploymentNames are the names by which a site file calls its classes, tenants, zones, tiers and machines, and itself.
+// deploymentNames returns the names in a site file: of the site, its classes, tenants, zones, tiers and machine kinds.
 func deploymentNames(t *testing.T, path string) (names []string) {
 	t.Helper()
 	type named struct{ Name string }
@@ -41,7 +41,7 @@
 	return names
 }
 
-// namesFoundIn returns the names that stand in a text.
+// namesFoundIn returns the names that occur in a text as whole words.
 func namesFoundIn(text string, names []string) (found []string) {
 	for _, name := range names {
 		if regexp.MustCompile(`(?i)(^|[^\w-])` + regexp.QuoteMeta(name) + `($|[^\w-])`).MatchString(text) {
@@ -51,7 +51,7 @@
 	return found
 }
 
-// Nothing that `run` and `sim` are built from, nor the deploy file, knows a deployment by name.
+// No code of the agent or the adapter, nor the deploy file, contains a name of a deployment.
 func TestCodeNamesNoDeployment(t *testing.T) {
 	sites, err := filepath.Glob("../../deploy/sites/*/*.toml")
 	if err != nil || len(sites) < 2 {
--- a/cmd/agent/faults_test.go
+++ b/cmd/agent/faults_test.go
@@ -21,7 +21,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// faulty is the program with the hooks of package inject, built once.
+// faultyProgram builds the agent with the fault injection hooks, once, and returns its path.
 var faultyProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "agent-faulty-")
 	if err != nil {
@@ -33,12 +33,12 @@
 
 var faultyDir atomic.Pointer[string]
 
-// fakeBackend is a backend that counts requests, and holds those to /get/held until it is let go.
+// fakeBackend is a backend that counts requests and answers each with its path.
 type fakeBackend struct {
 	addr         string
 	requestCount atomic.Int64
-	requestIDs   sync.Map      // of the requests
-	latency      time.Duration // each answer takes; set before the first request
+	requestIDs   sync.Map      // values of X-Trace-Id
+	latency      time.Duration // of each answer; set before the first request
 }
 
 func newFakeBackend(t *testing.T) *fakeBackend {
@@ -68,7 +68,7 @@
 	return ln.Addr().String()
 }
 
-// endpoint is one backend of a list.
+// endpoint is one entry of an endpoint list.
 type endpoint struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -79,13 +79,13 @@
 	Started int64   `json:"started_ms"`
 }
 
-// fakeDiscovery is a discovery that pushes whole lists.
+// fakeDiscovery is a discovery service that pushes complete endpoint lists.
 type fakeDiscovery struct {
 	addr    string
 	mu      sync.Mutex
 	list    []endpoint
 	version int
-	changed chan struct{} // closed with the next list
+	changed chan struct{} // closed when the next list is published
 }
 
 func newFakeDiscovery(t *testing.T, endpoints ...endpoint) *fakeDiscovery {
@@ -112,12 +112,12 @@
 	return endpoint{ID: id, Addr: s.addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}
 }
 
-// agentProcess is a running program that faults can be injected into.
+// agentProcess is a running agent that faults can be injected into.
 type agentProcess struct {
 	faultinject.Control
 	cmd             *exec.Cmd
 	addr, adminAddr string
-	configPath      string // its path
+	configPath      string
 	logFile         *os.File
 }
 
@@ -128,8 +128,8 @@
   "PolicyLimits":{"TryLimit":4,"ConnectTimeoutMs":1000,"IdleCloseMs":60000},
   "Contract":{"AskWithinMs":1000,"DrainGraceMs":500,"GraceToAnswerMs":20,"ColdFrom":0.1,"RampTimeMs":20000,"FallMultiple":3,"FallMs":2000}}}`
 
-// startAgent starts the program with a plan in force. A listener and a folder make it replaceable.
-// Edits are pairs of texts that are replaced in its configuration.
+// startAgent starts an agent with a fault plan in force. With a listener and a folder its process can be replaced. Edits are
+// pairs of old and new texts that are replaced in its configuration.
 func startAgent(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, sharedDir string, edits ...string) *agentProcess {
 	t.Helper()
 	program, err := faultyProgram()
@@ -175,6 +175,7 @@
 	return agent
 }
 
+// logText returns what the agent has logged so far.
 func (d *agentProcess) logText(t *testing.T) string {
 	text, err := os.ReadFile(d.logFile.Name())
 	if err != nil {
@@ -183,7 +184,7 @@
 	return string(text)
 }
 
-// applyPlan puts a plan in force.
+// applyPlan puts a fault plan in force.
 func (d *agentProcess) applyPlan(t *testing.T, p faultinject.Plan) {
 	t.Helper()
 	if err := d.Apply(p); err != nil {
@@ -198,12 +199,12 @@
 	}
 }
 
-// alone is a client whose every request has a connection of its own.
+// singleUseClient is a client that opens a connection for each request.
 var singleUseClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 
 var requestCounter atomic.Int64
 
-// get sends a request once, as a client does.
+// get sends a request once, with a new id, and reads its whole answer.
 func get(client *http.Client, addr, path string) (status int, err error) {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
@@ -219,7 +220,7 @@
 	return resp.StatusCode, err
 }
 
-// adminCall makes an operator's call.
+// adminCall calls the admin server. The status is 0 where it did not answer.
 func (d *agentProcess) adminCall(t *testing.T, path, body string) (status int, elapsed time.Duration) {
 	t.Helper()
 	method, startedAt := http.MethodPut, time.Now()
@@ -238,8 +239,8 @@
 	return resp.StatusCode, time.Since(startedAt)
 }
 
-// schedulingDelay measures how late the machine runs what is due, from now on: the most so far. Bounds of real time are judged beside it,
-// since a busy machine holds up the program as it does the test.
+// schedulingDelay measures the longest delay with which the machine has run a timer of this test so far. Tests add it to their
+// bounds of real time, since a busy machine delays the agent as much as the test.
 func schedulingDelay(t *testing.T) (maxDelay func() time.Duration) {
 	t.Helper()
 	const interval = 2 * time.Millisecond
@@ -260,7 +261,7 @@
 	return func() time.Duration { return time.Duration(worst.Load()) }
 }
 
-// await waits until something is so.
+// await waits until a condition holds.
 func await(t *testing.T, what string, timeout time.Duration, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -11,18 +11,18 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// Where lists are pushed, what discovery has counts from the first moment of a new process: a backend that drains by it gets
-// nothing new 0.5 s later, though the list that the process starts with says that it is ready, and whatever fails meanwhile.
+// Where lists are pushed, discovery's list applies from the start of a new process: a backend that it lists as draining gets no
+// new requests 0.5 s later, even if the list that the process was started with says ready, and whatever call fails meanwhile.
 func TestFirstListAppliesFromTheStart(t *testing.T) {
 	const grace, slack = 500 * time.Millisecond, 50 * time.Millisecond
-	if _, err := faultyProgram(); err != nil { // built before anything is timed
+	if _, err := faultyProgram(); err != nil { // built before time is measured
 		t.Fatal(err)
 	}
 	for name, failure := range map[string]faultinject.Failure{
 		"nothing fails":          {},
 		"a connect":              {Call: faultinject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
 		"three connects":         {Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
-		"three sockets":          {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // those that it listens at are there
+		"three sockets":          {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // after the two sockets that it listens on
 		"a read of a socket":     {Call: faultinject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
 		"a write to a socket":    {Call: faultinject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
 		"connects are refused":   {Call: faultinject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			late := schedulingDelay(t)
-			var latest atomic.Int64 // nanoseconds since the start
+			var latest atomic.Int64 // since the start, in ns
 			var began time.Time
 			drains := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 				latest.Store(max(latest.Load(), int64(time.Since(began))))
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// awaitAdminOK waits until a call is answered with yes.
+// awaitAdminOK repeats a call to the admin server until it is answered with 200.
 func (d *agentProcess) awaitAdminOK(t *testing.T, timeout time.Duration, path, body string) {
 	t.Helper()
 	status, deadline := 0, time.Now().Add(timeout)
@@ -26,7 +26,7 @@
 	}
 }
 
-// replaceableAgent is an agent whose first process runs, with two backends.
+// replaceableAgent is an agent with two backends whose process can be replaced. current is the one that serves.
 type replaceableAgent struct {
 	one, two  *fakeBackend
 	discovery *fakeDiscovery
@@ -49,7 +49,7 @@
 	return r
 }
 
-// upgrade replaces the process as the platform does, and reports how many of 30 requests reach backend one afterwards.
+// upgrade replaces the process as the platform does, and returns how many of 30 requests reach backend one afterwards.
 func (r *replaceableAgent) upgrade(t *testing.T, plan faultinject.Plan) (reached int64) {
 	t.Helper()
 	younger := startAgent(t, r.discovery.addr, plan, r.ln, r.dir)
@@ -62,7 +62,7 @@
 	return r.countReachingOne(t, younger)
 }
 
-// countReachingOne sends 30 requests, and reports how many of them reach backend one.
+// countReachingOne sends 30 requests, and returns how many of them reach backend one.
 func (r *replaceableAgent) countReachingOne(t *testing.T, d *agentProcess) int64 {
 	t.Helper()
 	before := r.one.requestCount.Load()
@@ -76,7 +76,7 @@
 
 const detachOneBody = `{"target":"one"}`
 
-// What operators have been told yes to holds over an upgrade, whatever the folder did before.
+// A confirmed detach survives an upgrade, whatever failures the shared folder had before.
 func TestDetachSurvivesAFailingFolder(t *testing.T) {
 	at := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
 		return faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: path, Errno: errno, Times: times}}}
@@ -115,7 +115,7 @@
 			if c.during.Failures != nil && c.during.Failures[0].Times == 0 {
 				time.Sleep(3*time.Second - took)
 				r.current.applyPlan(t, faultinject.Plan{})
-				time.Sleep(time.Second) // nobody calls again: it is recorded by itself
+				time.Sleep(time.Second) // recorded without another call
 			}
 			if n := r.upgrade(t, c.younger); n > 0 {
 				t.Errorf("%d of 30 requests reach the detached backend", n)
@@ -124,7 +124,7 @@
 	}
 }
 
-// A call that can't be recorded as long as it may take is answered with no.
+// A call that can't be recorded within its time is answered with 503.
 func TestNoYesThatCannotBeKept(t *testing.T) {
 	late := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
@@ -137,11 +137,11 @@
 	}
 }
 
-// Upgrades in series, with a second trouble in each: what operators were told yes to holds through all of them, a process that
-// replaces another watches discovery where the replaced configuration says, though its environment is the first one's, and one
-// call takes two back.
+// Confirmed calls survive several upgrades with another fault during each. A process that replaces another follows discovery
+// at the address in the replaced configuration, although its environment is that of the first process. One attach ends two
+// detaches.
 func TestDetachSurvivesRepeatedUpgrades(t *testing.T) {
-	first := freeAddr(t) // where discovery was when the platform started the agent, as the variable says
+	first := freeAddr(t) // discovery's address in the environment, from when the platform started the agent
 	t.Setenv("PROXY_DISCOVERY", "")
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	text, err := os.ReadFile(r.current.configPath)
@@ -156,7 +156,7 @@
 	t.Setenv("PROXY_DISCOVERY", first)
 	for round, disturb := range []func(){
 		func() {},
-		func() { // a successor that is killed at once
+		func() { // a successor that is killed as soon as it is ready
 			d := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 			d.awaitAdminOK(t, 6*time.Second, "/_ready", "")
 			d.signal(t, syscall.SIGKILL)
@@ -193,8 +193,8 @@
 	})
 }
 
-// An agent that is drained says so at once and goes on saying so while the call can't be recorded, and its successor is drained
-// once it could be.
+// A drained agent reports it at once and keeps reporting it while the call can't be recorded. Once the call is recorded, its
+// successor is drained too.
 func TestDrainSurvivesAFailingFolder(t *testing.T) {
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	r.current.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.ENOSPC}}})
@@ -226,18 +226,18 @@
 	}
 }
 
-// A process that is killed between any two calls by which it records leaves a record that holds all that it had said yes to.
+// A process that is killed between any two system calls of a recording leaves a record with all calls it had confirmed.
 func TestKillDuringARecordingLosesNoCall(t *testing.T) {
 	for _, at := range []faultinject.Failure{
 		{Call: faultinject.Open, Path: "lock"},
 		{Call: faultinject.Lock, Path: "lock"},
-		{Call: faultinject.Open, Path: "handover.json"}, // to be read
+		{Call: faultinject.Open, Path: "handover.json"}, // for reading
 		{Call: faultinject.Read, Path: "handover.json"},
 		{Call: faultinject.Open, Path: "handover.json.new"},
 		{Call: faultinject.Write, Path: "handover.json.new"},
 		{Call: faultinject.Rename, Path: "handover.json"},
 	} {
-		for _, younger := range []bool{false, true} { // in the recording of a call; or in the successor's first one
+		for _, younger := range []bool{false, true} { // during the recording of a call, or during the successor's first recording
 			t.Run(fmt.Sprint(at.Call, " ", at.Path, " ", younger), func(t *testing.T) {
 				t.Parallel()
 				r := newReplaceableAgent(t, faultinject.Plan{})
@@ -252,7 +252,7 @@
 					_ = d.cmd.Wait()
 				} else {
 					r.current.applyPlan(t, plan)
-					_, _ = r.current.adminCall(t, "/_backends/detach", `{"target":"two"}`) // no answer, or the save's kill came first
+					_, _ = r.current.adminCall(t, "/_backends/detach", `{"target":"two"}`) // fails: the process is killed here, or by a save before
 					_ = r.current.cmd.Wait()
 					r.current = startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 					r.current.awaitAdminOK(t, 6*time.Second, "/_ready", "")
@@ -265,7 +265,7 @@
 	}
 }
 
-// A successor that can't read what the older process recorded takes no clients before it can, for a while.
+// A successor that can't read the record of the older process takes no clients until it can, for a bounded time.
 func TestSuccessorIsNotReadyBeforeItReadsTheRecord(t *testing.T) {
 	late := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
@@ -279,7 +279,7 @@
 		if status == 200 {
 			t.Fatalf("ready after %v, and knows of no call", time.Since(began))
 		}
-		if status != 0 && took > time.Second+late() { // 0: it does not listen yet
+		if status != 0 && took > time.Second+late() { // 0: not listening yet
 			t.Errorf("no answer for %v", took)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -295,8 +295,8 @@
 	}
 }
 
-// A call to the older of two processes holds in the younger, though the older can't write for a while, or the younger's read
-// fails once.
+// A call to the older of two processes applies to the younger one too, even if the older can't write for a while or a read of
+// the younger fails once.
 func TestCallToTheOlderProcessReachesTheSuccessor(t *testing.T) {
 	for name, c := range map[string]struct{ older, younger faultinject.Plan }{
 		"older can't write":       {older: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO}}}},
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -23,17 +23,17 @@
 
 var growthDuration = flag.Duration("growth.for", 6*time.Second, "how long agents of two sizes of a fleet are called")
 
-// fleetSize is what an agent is told of its fleet.
+// fleetSize is the size of the fleet that an agent is configured with.
 type fleetSize struct{ agents, backends int }
 
-// traffic is what one agent of a fleet carries, at any size of that.
+// traffic is the load of one agent. It does not depend on the size of the fleet.
 type traffic struct {
-	interval  time.Duration // requests come so far apart
-	objective time.Duration // of the longest class
+	interval  time.Duration // between two requests
+	objective time.Duration // latency objective of the class
 	latency   time.Duration // of a request
 }
 
-// resourceUsage are what a process needed from its start to its end.
+// resourceUsage is what a process used from its start to its end.
 type resourceUsage struct {
 	cpu         time.Duration
 	peakMB      float64
@@ -43,7 +43,7 @@
 	served      float64
 }
 
-// startBackends opens backends of which one of eight fails each request. It returns their addresses, and counts connections.
+// startBackends starts backends, every eighth of which fails each request. It returns their addresses and counts connections.
 func startBackends(t *testing.T, n int, latency time.Duration, connections *atomic.Int64) (addrs []string) {
 	t.Helper()
 	for i := range n {
@@ -70,7 +70,7 @@
 	return addrs
 }
 
-// processUsage reads the most memory that a process has had, in MB, and how many descriptors it has now.
+// processUsage returns the peak memory of a process, in MB, and its present number of descriptors.
 func processUsage(t *testing.T, pid int) (mb float64, descriptors int) {
 	t.Helper()
 	proc := "/proc/" + strconv.Itoa(pid)
@@ -91,7 +91,7 @@
 	return mb, len(open)
 }
 
-// measureUsage runs an agent, while one in two hundred backends starts again each second.
+// measureUsage runs an agent under load while one in two hundred backends restarts each second, and returns what it used.
 func measureUsage(t *testing.T, size fleetSize, load traffic) (usage resourceUsage) {
 	t.Helper()
 	var connections atomic.Int64
@@ -135,15 +135,15 @@
 	return usage
 }
 
-// deltaDiscovery is a discovery that tells the whole list once, and then what has changed.
+// deltaDiscovery is a discovery service that sends the full list once and then changes.
 type deltaDiscovery struct {
 	addr        string
 	mu          sync.Mutex
 	list        []endpoint
-	lines       []string      // a line for each change
-	changed     chan struct{} // closed with the next
-	bytesSent   atomic.Int64  // bytes
-	nextBackend int           // backend that starts again
+	lines       []string      // one for each change
+	changed     chan struct{} // closed when the next line is added
+	bytesSent   atomic.Int64
+	nextBackend int // the backend that restarts next
 }
 
 func newDeltaDiscovery(t *testing.T, list []endpoint) *deltaDiscovery {
@@ -183,7 +183,7 @@
 	return text + "\n"
 }
 
-// restart has the next backends start again.
+// restart publishes that the next n backends have restarted.
 func (c *deltaDiscovery) restart(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,13 +194,13 @@
 		some = append(some, *s)
 		c.nextBackend += 7
 	}
-	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // it holds nothing that can't be written
+	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // can't fail: strings and numbers alone
 	c.lines = append(c.lines, text+"\n")
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// What an agent needs grows only so far from the usual size of a fleet to sixteen times the backends.
+// The resources that an agent uses in a fleet with sixteen times the backends stay within bounds of those at the usual size.
 func TestResourcesInALargeFleetAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		usual, large fleetSize
@@ -213,7 +213,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a, b resourceUsage
-			t.Run("beside each other", func(t *testing.T) { // on the same machine
+			t.Run("beside each other", func(t *testing.T) { // at the same time, on the same machine
 				for into, size := range map[*resourceUsage]fleetSize{&a: c.usual, &b: c.large} {
 					t.Run(fmt.Sprint(size.backends), func(t *testing.T) {
 						t.Parallel()
@@ -229,7 +229,7 @@
 	}
 }
 
-// checkGrowth holds what an agent needs in a large fleet against what it may, by what it needs at the usual size.
+// checkGrowth compares the usage of an agent in a large fleet with its bounds, which follow from the usage at the usual size.
 func (n resourceUsage) checkGrowth(t *testing.T, usual resourceUsage, thousands float64) {
 	t.Helper()
 	if limit := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); n.cpu > limit {
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -11,7 +11,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// restartWithLog kills the program and starts it with another log, of which this process keeps no end for writing.
+// restartWithLog kills the process and starts it with another log. This process closes its own end of that log.
 func (d *agentProcess) restartWithLog(t *testing.T, log *os.File) (cmd *exec.Cmd, exited <-chan error) {
 	t.Helper()
 	d.signal(t, syscall.SIGKILL)
@@ -28,7 +28,7 @@
 	return cmd, done
 }
 
-// A log that nobody reads any more, or whose disk is full, ends nothing.
+// The agent goes on when its log has no reader any more or its disk is full.
 func TestFailingLogDoesNotStopTheAgent(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -59,7 +59,7 @@
 	}
 }
 
-// Whoever reads the log may stay and read nothing: the agent starts, serves and ends all the same.
+// The agent starts, serves and ends although the reader of its log blocks.
 func TestBlockedLogDoesNotStopTheAgent(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -83,12 +83,12 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(3700 * time.Millisecond): // the platform kills then
+	case <-time.After(3700 * time.Millisecond): // the platform sends SIGKILL then
 		t.Error("it has not ended when the platform kills")
 	}
 }
 
-// fillPipe writes to a pipe until it takes no more.
+// fillPipe writes to a pipe until it is full.
 func fillPipe(t *testing.T, pipe *os.File) {
 	t.Helper()
 	if err := pipe.SetWriteDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
@@ -99,7 +99,7 @@
 			break
 		}
 	}
-	if err := syscall.SetNonblock(int(pipe.Fd()), false); err != nil { // as a program gets it
+	if err := syscall.SetNonblock(int(pipe.Fd()), false); err != nil { // as a program inherits it
 		t.Fatal(err)
 	}
 }
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,5 @@
-// Command agent is one agent: it serves the clients of one process until SIGTERM.
+// Command agent is the platform's program: one agent, configured by PROXY_ environment variables, which serves the clients of one
+// process until SIGTERM. It exits with 1 on an error, which its log names.
 package main
 
 import (
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -20,11 +20,11 @@
 
 const testTimeout = 30 * time.Second
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program itself where a test has started this binary as an agent.
 func TestMain(m *testing.M) {
-	if os.Getenv("VETCHHAVEN_TEST_MAIN") == "1" {
+	if os.Getenv("AGENT_TEST_MAIN") == "1" {
 		main()
-		if os.Getenv("VETCHHAVEN_TEST_LAST") == "1" { // a signal in the last moment before the program's end
+		if os.Getenv("AGENT_TEST_SIGHUP_AT_EXIT") == "1" { // a signal just before the program exits
 			_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 			time.Sleep(time.Second)
 		}
@@ -32,12 +32,12 @@
 	}
 	code := m.Run()
 	if dir := faultyDir.Load(); dir != nil {
-		_ = os.RemoveAll(*dir) // a temporary folder: what is left does no harm
+		_ = os.RemoveAll(*dir) // a temporary folder: leftovers do no harm
 	}
 	os.Exit(code)
 }
 
-var hostCounter atomic.Int64 // that freeAddr has given out
+var hostCounter atomic.Int64 // loopback hosts that freeAddr has given out
 
 func startProgram(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1", "PROXY_CONFIG="+path)
+	cmd.Env = append(os.Environ(), "AGENT_TEST_MAIN=1", "PROXY_CONFIG="+path)
 	log := &bytes.Buffer{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
@@ -56,8 +56,8 @@
 	return cmd, log
 }
 
-// freeAddr is an address that nobody listens at, of a loopback host of its own: elsewhere a connection that is opened meanwhile may
-// take its port.
+// freeAddr returns an address at which nothing listens. It is on a loopback host of its own: on a shared one the port could be
+// taken by a connection that is opened in the meantime.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	n := hostCounter.Add(1)
@@ -82,7 +82,7 @@
 	}
 }
 
-// A descriptor that is no listening socket ends the program with one clear line.
+// A descriptor that is not a listening socket ends the program with one log line that names PROXY_FD.
 func TestInvalidListenDescriptorEndsTheProgram(t *testing.T) {
 	for _, fd := range []string{"none", "2", "77"} {
 		t.Setenv("PROXY_FD", fd)
@@ -95,8 +95,8 @@
 	}
 }
 
-// SIGHUP after the configuration was replaced: discovery is watched where it is now, though the
-// variable still names the old address. One that can't be read changes nothing and ends nothing.
+// SIGHUP after the configuration was replaced: the agent follows discovery at its new address, although the environment still
+// names the old one. A configuration that can't be read changes nothing.
 func TestSighupFollowsDiscoveryToItsNewAddress(t *testing.T) {
 	watched := make(chan struct{}, 10)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,7 +122,7 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		awaitReady(t, addr) // not ended by it
+		awaitReady(t, addr) // still running
 	}
 	select {
 	case <-watched:
@@ -137,7 +137,7 @@
 	}
 }
 
-// awaitReady waits until the program at addr is ready.
+// awaitReady waits until the agent at addr reports that it is healthy.
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// SIGTERM with a request in flight: it gets its answer, and the program ends with status 0.
+// SIGTERM with a request in flight: the request is answered, and the program ends with status 0.
 func TestSigtermLetsTheRequestInFlightFinish(t *testing.T) {
 	came, hold := make(chan struct{}), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -200,9 +200,8 @@
 	}
 }
 
-// SIGTERM while a SIGHUP is carried out, which reads a configuration that nobody has written yet, and another SIGHUP after it:
-// the request in flight has its answer meanwhile, and the program ends with status 0 once the configuration is there, whether
-// it can be used or not.
+// SIGTERM while a reload waits for its configuration to be written, and another SIGHUP after it: the request in flight is
+// answered meanwhile, and the program ends with status 0 once the configuration is there, valid or not.
 func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
 	for _, usable := range []bool{true, false} {
 		came, hold := make(chan struct{}), make(chan struct{})
@@ -245,7 +244,7 @@
 		}
 		read := make(chan *os.File, 1)
 		go func() {
-			f, err := os.OpenFile(path, os.O_WRONLY, 0) // waits for the program to read
+			f, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program reads
 			if err != nil {
 				t.Error(err)
 			}
@@ -260,7 +259,7 @@
 		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600), cmd.Process.Signal(syscall.SIGTERM)); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // until it stops
+		for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) { // until it drains
 			resp, err := http.Get("http://" + addr + "/_health")
 			if err == nil {
 				resp.Body.Close()
@@ -276,7 +275,7 @@
 			t.Fatal(err)
 		}
 		close(hold)
-		if got := <-answered; got != "200done<nil>" { // though the configuration is still read
+		if got := <-answered; got != "200done<nil>" { // although the reload still waits
 			t.Errorf("answer %q", got)
 		}
 		if !usable {
@@ -292,9 +291,9 @@
 	}
 }
 
-// A SIGHUP in the last moment before a program ends that was told to changes nothing either.
+// A SIGHUP just before the program exits after a SIGTERM changes nothing.
 func TestSighupAtExitIsIgnored(t *testing.T) {
-	t.Setenv("VETCHHAVEN_TEST_LAST", "1")
+	t.Setenv("AGENT_TEST_SIGHUP_AT_EXIT", "1")
 	addr := freeAddr(t)
 	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), freeAddr(t)))
 	awaitReady(t, addr)
@@ -306,8 +305,8 @@
 	}
 }
 
-// A process that starts at the address of one that is told to end and still has a request to answer, with discovery down and a
-// list that is known, serves as soon as the address is free; the older one's request has its answer.
+// A process that starts at the address of a draining one, with discovery down and a known list, serves as soon as the address
+// is free. The request of the older process is answered.
 func TestNewProcessServesBesideADrainingOne(t *testing.T) {
 	came, hold := make(chan struct{}, 10), make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -350,8 +349,8 @@
 	if err := older.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	younger, log := startProgram(t, text) // the older one listens still
-	awaitReady(t, addr)                   // its own health is a no by now
+	younger, log := startProgram(t, text) // the older one is still listening
+	awaitReady(t, addr)                   // the older one reports that it is not healthy by now
 	if got := get("/get/new"); got != "200/get/new<nil>" {
 		t.Errorf("%q", got)
 	}
@@ -370,10 +369,11 @@
 	}
 }
 
-// Idle clients may hold all the descriptors that they can get while discovery is down. The first call after its return has one
-// all the same, and so have backends, operators and clients that ask for something. The system holds the process to its limit.
+// Idle clients take all the descriptors that they can get while discovery is down. There are still descriptors for the first
+// call to discovery after its return, for backends, for operators and for clients that send requests. The system enforces the
+// limit of the process.
 func TestIdleClientsLeaveDescriptorsForWork(t *testing.T) {
-	const limit = 64 // the least that the program takes
+	const limit = 64 // the lowest that the program accepts
 	backend := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.URL.Path) })}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -390,7 +390,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", limit, os.Args[0]))
-	cmd.Env = append(os.Environ(), "VETCHHAVEN_TEST_MAIN=1", "PROXY_CONFIG="+path)
+	cmd.Env = append(os.Environ(), "AGENT_TEST_MAIN=1", "PROXY_CONFIG="+path)
 	lines, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
@@ -432,7 +432,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	var held sync.WaitGroup
-	for range 2 * limit { // each comes again when it is sent away
+	for range 2 * limit { // each reconnects when its connection is closed
 		held.Add(1)
 		go func() {
 			for first := true; ; first = false {
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -15,11 +15,11 @@
 
 var quietDuration = flag.Duration("quiet.for", 3*time.Second, "how long nothing happens before trouble begins")
 
-// Trouble that begins after a long quiet time meets an agent that knows nothing new: connections that rest at backends have been
-// forgotten, one backend drains, one hangs, and clients come all at once. Each has its answer in time, and no rule is broken.
+// Faults after a long quiet period: idle connections have been closed by a backend, one backend drains, one hangs, and many
+// clients send at once. Each request is answered in time, and no rule is violated.
 func TestFaultsAfterAQuietPeriodAreHandled(t *testing.T) {
 	late := schedulingDelay(t)
-	var latest atomic.Int64 // nanoseconds of the Unix time at which the backend that drains got its latest request
+	var latest atomic.Int64 // when the draining backend got its latest request, in ns of Unix time
 	drains := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		latest.Store(time.Now().UnixNano())
 		fmt.Fprint(w, "served")
@@ -39,13 +39,13 @@
 	discovery := newFakeDiscovery(t, list...)
 	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`, `"AimMs":500,"DeadlineMs":1000`)
 	awaitReady(t, d.addr)
-	for range 60 { // connections rest at all of them
+	for range 60 { // leaves idle connections to all of them
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
 			t.Fatalf("%d, %v", status, err)
 		}
 	}
 	time.Sleep(*quietDuration)
-	list = slices.Clone(list) // the one before may still be being written
+	list = slices.Clone(list) // the list before may still be in use by a handler
 	list[0].State = "draining"
 	discovery.publish(list...)
 	told := time.Now()
@@ -82,7 +82,7 @@
 	t.Logf("%d served, %d not", served.Load(), others.Load())
 }
 
-// backendWithShortIdleTimeout closes connections a second after their last request, well before the time that the settings give.
+// backendWithShortIdleTimeout starts a backend that closes idle connections after a second, well before the configured time.
 func backendWithShortIdleTimeout(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -14,8 +14,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// After SIGHUP what the new discovery tells counts 4 s later: also where the configuration can't be read at that moment, or is
-// half written, and where signals come in series.
+// What the new discovery lists applies 4 s after a SIGHUP, also if the configuration can't be read at that moment or is half
+// written, and if several signals follow each other.
 func TestReloadIsRetriedAfterAFailure(t *testing.T) {
 	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for name, failures := range map[string][]faultinject.Failure{
@@ -69,8 +69,8 @@
 	}
 }
 
-// The new discovery may refuse, hang or reset at first, whether lists are pushed or asked for, and a further SIGHUP may follow at
-// once: what it has to tell counts 4 s after the signal, and its drains half a second after that.
+// The new discovery may refuse, hang or reset at first, whether lists are pushed or polled, and another SIGHUP may follow at
+// once: its list applies 4 s after the signal, and its drains half a second later.
 func TestReloadToAFailingDiscoveryRecovers(t *testing.T) {
 	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for _, mode := range []string{"automatic", "subscribe"} {
@@ -100,7 +100,7 @@
 					before := newFakeDiscovery(t, readyEndpoint("old", old))
 					d := startAgent(t, before.addr, faultinject.Plan{}, nil, "", "automatic", mode)
 					awaitReady(t, d.addr)
-					for _, to := range []string{freeAddr(t), after} { // the first of two configurations in a row names nobody
+					for _, to := range []string{freeAddr(t), after} { // nothing listens at the address in the first of the two configurations
 						if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to), "automatic", mode, 1)), 0o600); err != nil {
 							t.Fatal(err)
 						}
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// arrivalTimes are when attempts came to backends, by request.
+// arrivalTimes records when attempts arrived at backends, by request id.
 type arrivalTimes struct {
 	mu sync.Mutex
 	at map[string][]time.Time
@@ -26,7 +26,7 @@
 	a.at[id] = append(a.at[id], time.Now())
 }
 
-// reset returns what came so far, and begins anew.
+// reset returns the recorded times and forgets them.
 func (a *arrivalTimes) reset() map[string][]time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -35,7 +35,7 @@
 	return recorded
 }
 
-// postRequests sends requests of a class side by side, so many after each other in each of eight, and returns their statuses by id.
+// postRequests sends POST requests from eight concurrent clients, each so many in turn, and returns their statuses by id.
 func postRequests(t *testing.T, addr, path string, perClient int) map[string]int {
 	t.Helper()
 	var mu sync.Mutex
@@ -73,8 +73,8 @@
 const keyedClass = `{"Name":"put","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":300},
    {"Name":"pay",`
 
-// A keyed request that may have run is sent again within its window alone, however its waits fall, also where the process is held
-// up for 0.15 s; one that may run once is neither sent again nor refused after its last byte has come to a backend.
+// A keyed request that may have run is retried only within its deduplication window, also if the process is stopped for 0.15 s
+// at any moment. One that must not run twice is neither retried nor refused after its last byte has reached a backend.
 func TestRetriesStayWithinTheDedupWindow(t *testing.T) {
 	const window, slack = 300 * time.Millisecond, 50 * time.Millisecond
 	for name, respond := range map[string]func(http.ResponseWriter){
@@ -99,7 +99,7 @@
 				list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 			}
 			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "", `{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
-				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`) // a repeat may take that to come, and its window has to hold then
+				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`) // a retry may take that long to arrive, which must still be within the window
 			awaitReady(t, d.addr)
 			done := make(chan struct{})
 			var holds sync.WaitGroup
@@ -147,8 +147,8 @@
 	}
 }
 
-// Nothing new comes to a backend 0.5 s after discovery has told that it drains or is gone: neither requests that come then, nor
-// retries of those that were waiting, also where the process is held up in that moment.
+// No attempt arrives at a backend later than 0.5 s after discovery lists it as draining or removes it: neither of new requests,
+// nor as retries of those that wait, also if the process is stopped at that moment.
 func TestNoAttemptsToADrainingBackend(t *testing.T) {
 	for _, state := range []string{"draining", "left out"} {
 		for _, hold := range []bool{false, true} {
@@ -157,7 +157,7 @@
 				late := schedulingDelay(t)
 				var mu sync.Mutex
 				var latest time.Time
-				rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is tried again
+				rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is retried
 					mu.Lock()
 					latest = time.Now()
 					mu.Unlock()
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -16,14 +16,14 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// shutdownClient sends request after request on a connection for as long as the agent keeps it open, and on a further one where
-// the agent closed it between two requests.
+// shutdownClient sends requests one after another on a connection for as long as the agent keeps it open, and reconnects if the
+// agent closes it between two requests.
 type shutdownClient struct {
 	addr string
 	stop *atomic.Bool
 
 	answered, unanswered *atomic.Int64
-	unreadIDs            *sync.Map // ids of requests that were sent once more: no backend may have had them
+	unreadIDs            *sync.Map // ids of requests that were not answered: none may have reached a backend
 	t                    *testing.T
 }
 
@@ -35,7 +35,7 @@
 		if conn == nil {
 			var err error
 			if conn, err = net.DialTimeout("tcp", c.addr, time.Second); err != nil {
-				return // it takes no further connections
+				return // the agent accepts no more connections
 			}
 			in, used = bufio.NewReader(conn), false
 		}
@@ -51,7 +51,7 @@
 		if err != nil {
 			conn.Close()
 			conn = nil
-			// A reset, or an end between two requests: it has not been read, and is sent once more.
+			// A reset, or a close between two requests: the request was not read, and the next one is sent on a new connection.
 			if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 				c.unanswered.Add(1)
 				c.t.Logf("a request has no answer after %v: %v", time.Since(sent), err)
@@ -70,15 +70,15 @@
 	}
 }
 
-// killedBy reports whether a signal ended the program. It has been waited for.
+// killedBy reports whether a signal ended the process, which must have been waited for.
 func (d *agentProcess) killedBy(s syscall.Signal) bool {
 	status, ok := d.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == s
 }
 
-// Where deadlines are short the kill comes soon: 0.7 s and the longest deadline after SIGTERM. Clients send on every connection
-// that is open until then, on backends that hang, and signals come in series; each request has its answer, and the program has
-// ended by itself.
+// With short deadlines SIGKILL comes early: 0.7 s plus the longest deadline after SIGTERM. Clients keep sending on every open
+// connection until then, backends hang, and signals come in series. Each request is answered, and the program has exited by
+// itself.
 func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline time.Duration
@@ -87,7 +87,7 @@
 		crowd    int
 		step     time.Duration
 		fails    faultinject.Failure // from the last signal on
-		untilEnd bool                // SIGTERM comes again each millisecond: the last may end the program, once nothing is open
+		untilEnd bool                // SIGTERM is repeated each millisecond: the last one may kill the process, once nothing is open
 	}{
 		"250 ms":                      {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}},
 		"250 ms, hanging":             {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}},
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -13,12 +13,12 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// A backend starts a request with its last byte: what it answers before that answers nothing that was asked, whether the rest of
-// the body comes then, late, or never.
+// A backend starts a request at its last byte, so an answer before that is no answer to the request, whether the rest of the
+// body arrives soon, late or never.
 func TestAnswerBeforeTheLastByteIsNoAnswer(t *testing.T) {
 	const length, first = 200_000, 100_000
 	for name, c := range map[string]struct {
-		answer string // the backend's, before it has read the body
+		answer string // of the backend, before it has read the body
 		rest   time.Duration
 	}{
 		"the rest comes soon": {answer: "early", rest: 50 * time.Millisecond},
@@ -37,7 +37,7 @@
 					t.Error(err)
 				}
 				w.Header().Set("Content-Length", fmt.Sprint(len(c.answer)))
-				_, _ = io.WriteString(w, c.answer) // an agent that has left shows below
+				_, _ = io.WriteString(w, c.answer) // where the agent has closed the connection, the checks below show it
 				_ = rc.Flush()
 				_, _ = io.Copy(io.Discard, r.Body)
 			})
@@ -57,7 +57,7 @@
 			}
 			if c.rest >= 0 {
 				time.Sleep(c.rest)
-				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // it may have its answer already
+				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // may fail: the answer may be there already
 			}
 			if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// publish has another list hold.
+// publish replaces the list and pushes it.
 func (c *fakeDiscovery) publish(list ...endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,7 @@
 	c.changed = make(chan struct{})
 }
 
-// startRequest sends the first part of a request, so that the connection stays open through a shutdown for the rest.
+// startRequest sends the first part of a request, so that its connection stays open during a shutdown.
 func startRequest(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -37,11 +37,11 @@
 	if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: half\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // it is read
+	time.Sleep(50 * time.Millisecond) // the agent has read it by then
 	return c
 }
 
-// A shutdown's times are spans of real time: no step of the wall clock, nor two, keeps a request from its answer.
+// A shutdown is timed by the monotonic clock: steps of the wall clock lose no request.
 func TestWallClockStepsDuringShutdownLoseNoRequest(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second}, {time.Hour, -time.Hour}, {-time.Hour, time.Hour}} {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// A request that no backend answers has its final answer before the earliest kill, also where the wall clock is stepped back.
+// A request that no backend answers gets its final answer before the earliest SIGKILL, also if the wall clock is stepped.
 func TestWallClockStepDuringShutdownKeepsItsDeadline(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 2 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -97,11 +97,12 @@
 	}
 }
 
-// What a cold backend may be sent hangs on how fast the others are seen to serve. That is not to be the machine's speed: they take
-// this long for each request, and requests come this far apart.
+// How much a cold backend may be sent depends on how fast the others are seen to serve. To keep that independent of the
+// machine, requests take a fixed time and come at fixed intervals.
 const serviceTime, requestInterval = 20 * time.Millisecond, 5 * time.Millisecond
 
-// sendPaced sends requests and waits for their answers. It reports how many were served: on a machine that is late some find no room.
+// sendPaced sends requests at fixed intervals and waits for their answers. It returns how many were served: on a slow machine
+// some are refused.
 func sendPaced(t *testing.T, addr string, n int) int64 {
 	t.Helper()
 	tick := time.NewTicker(requestInterval)
@@ -127,7 +128,7 @@
 	return count.Load()
 }
 
-// checkSlowStart holds that a backend that has just started got less than three in ten of what was served.
+// checkSlowStart checks that a backend that has just started got at most three in ten of the served requests.
 func checkSlowStart(t *testing.T, coldRequests, total int64) {
 	t.Helper()
 	if 10*coldRequests > 3*total {
@@ -135,8 +136,8 @@
 	}
 }
 
-// A cold backend is told from a warm one in the first list too, where the agent's wall clock is off from the start: discovery's
-// answer shows its own.
+// A cold backend is recognized in the first list even if the agent's wall clock is wrong from the start, since discovery's
+// answer carries its own time.
 func TestColdBackendIsFoundWithAWrongWallClock(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour, 30 * time.Second, -30 * time.Second} {
 		t.Run(off.String(), func(t *testing.T) {
@@ -153,11 +154,11 @@
 	}
 }
 
-// A backend that starts again is cold, whichever machine's wall clock was stepped, and whatever its start time reads as then.
+// A backend that restarts counts as cold, whichever machine's wall clock was stepped and whatever its start time reads then.
 func TestColdBackendIsFoundAfterWallClockSteps(t *testing.T) {
 	for name, c := range map[string]struct {
-		start, step time.Duration // of the agent's machine, before it started and since
-		stamp       time.Duration // by which the backend's machine is off
+		start, step time.Duration // offsets of the agent's wall clock, at its start and later
+		stamp       time.Duration // offset of the backend's wall clock
 	}{
 		"agent forward":         {step: time.Hour},
 		"agent back":            {step: -time.Hour},
@@ -182,7 +183,7 @@
 			d.applyPlan(t, faultinject.Plan{Wall: c.step})
 			again.Started = time.Now().Add(c.stamp).UnixMilli()
 			discovery.publish(warm, again)
-			time.Sleep(300 * time.Millisecond) // the list is heard
+			time.Sleep(300 * time.Millisecond) // the agent has received the list
 			was := two.requestCount.Load()
 			all := sendPaced(t, d.addr, 200)
 			checkSlowStart(t, two.requestCount.Load()-was, all)
@@ -190,7 +191,7 @@
 	}
 }
 
-// While it serves, deadlines, the silence of a watch and the grace for drains are spans of real time.
+// Deadlines, the silence limit of a watch and the grace for drains do not follow the wall clock.
 func TestWallClockStepsDoNotChangeTimeouts(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second}, {time.Hour, -time.Hour}} {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
@@ -244,7 +245,7 @@
 			if took := time.Since(began); took < 1200*time.Millisecond || took > 1600*time.Millisecond+late() {
 				t.Errorf("a request with 1.5 s was answered after %v", took)
 			}
-			// The watch falls silent while the list changes, and the clock is stepped in that silence.
+			// The watch falls silent while the list changes, and the wall clock is stepped during that silence.
 			mu.Lock()
 			list = []endpoint{{ID: "s", Addr: hanging.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("t", good)}
 			mu.Unlock()
