--- /dev/null
+++ b/cmd/agent/signals_test.go
@@ -0,0 +1,254 @@
+package main
+
+// SIGHUP and SIGTERM: alone, together, and while requests are in flight.
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// blockingBackend is a backend that answers its one request "done" once it is released.
+type blockingBackend struct {
+	addr    string
+	arrived chan struct{} // closed when the request has arrived
+	release chan struct{} // to be closed
+}
+
+func newBlockingBackend(t *testing.T) *blockingBackend {
+	t.Helper()
+	b := &blockingBackend{arrived: make(chan struct{}), release: make(chan struct{})}
+	b.addr = serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
+		close(b.arrived)
+		<-b.release
+		fmt.Fprint(w, "done")
+	})
+	return b
+}
+
+// answerTo sends a request to an agent, and returns the status, body and error of the answer in one text.
+func answerTo(client *http.Client, addr, path, id string) string {
+	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
+	if err != nil {
+		return err.Error()
+	}
+	req.Header.Set("X-Trace-Id", id)
+	resp, err := client.Do(req)
+	if err != nil {
+		return err.Error()
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	return fmt.Sprint(resp.StatusCode, string(text), err)
+}
+
+// inBackground runs what returns a text, and returns where the text will be.
+func inBackground(run func() string) <-chan string {
+	done := make(chan string, 1)
+	go func() { done <- run() }()
+	return done
+}
+
+// awaitArrival waits until a request has arrived.
+func awaitArrival(t *testing.T, arrived <-chan struct{}) {
+	t.Helper()
+	select {
+	case <-arrived:
+	case <-time.After(testTimeout):
+		t.Fatal("the request did not arrive")
+	}
+}
+
+// configPath is the path of the configuration of a program that startProgram has started.
+func configPath(cmd *exec.Cmd) string {
+	return strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "PROXY_CONFIG=")
+}
+
+// terminate sends SIGTERM.
+func terminate(t *testing.T, cmd *exec.Cmd) {
+	t.Helper()
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// SIGHUP after the configuration was replaced: the agent follows discovery at its new address, although the environment still
+// names the old one. A configuration that can't be read changes nothing.
+func TestSighupFollowsDiscoveryToItsNewAddress(t *testing.T) {
+	watched := make(chan struct{}, 10)
+	discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		watched <- struct{}{}
+		_ = http.NewResponseController(w).Flush()
+		<-r.Context().Done()
+	})
+	addr, old := freeAddr(t), freeAddr(t)
+	t.Setenv("PROXY_DISCOVERY", old)
+	cmd, _ := startProgram(t, fmt.Sprintf(configTemplate, addr, old, freeAddr(t)))
+	awaitReady(t, addr)
+	for _, text := range []string{"{no configuration", fmt.Sprintf(configTemplate, addr, discovery, freeAddr(t))} {
+		if err := os.WriteFile(configPath(cmd), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		awaitReady(t, addr) // still running
+	}
+	select {
+	case <-watched:
+	case <-time.After(testTimeout):
+		t.Fatal("the new address was not watched")
+	}
+	terminate(t, cmd)
+	if err := cmd.Wait(); err != nil {
+		t.Error(err)
+	}
+}
+
+// SIGTERM with a request in flight: the request is answered, and the program ends with status 0.
+func TestSigtermLetsTheRequestInFlightFinish(t *testing.T) {
+	backend, addr := newBlockingBackend(t), freeAddr(t)
+	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr))
+	awaitReady(t, addr)
+	answered := inBackground(func() string { return answerTo(http.DefaultClient, addr, "/get/x", "1") })
+	awaitArrival(t, backend.arrived)
+	terminate(t, cmd)
+	close(backend.release)
+	if got := <-answered; got != "200done<nil>" {
+		t.Errorf("answer %q", got)
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Errorf("%v; log %q", err, log)
+	}
+}
+
+// openOnRead returns the writing end of a named pipe, once another process has opened it for reading.
+func openOnRead(t *testing.T, path string) *os.File {
+	t.Helper()
+	opened := make(chan *os.File, 1)
+	go func() {
+		f, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the other process reads
+		if err != nil {
+			t.Error(err)
+		}
+		opened <- f
+	}()
+	select {
+	case f := <-opened:
+		return f
+	case <-time.After(testTimeout):
+		t.Fatal("the configuration is not read")
+		return nil
+	}
+}
+
+// awaitDraining waits until the agent at addr reports that it is not healthy, or accepts no connections.
+func awaitDraining(t *testing.T, addr string) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		resp, err := http.Get("http://" + addr + "/_health")
+		if err == nil {
+			resp.Body.Close()
+		}
+		if err != nil || resp.StatusCode != 200 {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatal("SIGTERM has no effect")
+		}
+	}
+}
+
+// SIGTERM while a reload waits for its configuration to be written, and another SIGHUP after it: the request in flight is
+// answered meanwhile, and the program ends with status 0 once the configuration is there, valid or not.
+func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
+	for _, usable := range []bool{true, false} {
+		backend, addr := newBlockingBackend(t), freeAddr(t)
+		text := fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr)
+		cmd, log := startProgram(t, text)
+		awaitReady(t, addr)
+		answered := inBackground(func() string { return answerTo(http.DefaultClient, addr, "/get/x", "1") })
+		awaitArrival(t, backend.arrived)
+		path := configPath(cmd)
+		if err := errors.Join(os.Remove(path), syscall.Mkfifo(path, 0o600), cmd.Process.Signal(syscall.SIGHUP)); err != nil {
+			t.Fatal(err)
+		}
+		pipe := openOnRead(t, path)
+		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600), cmd.Process.Signal(syscall.SIGTERM)); err != nil {
+			t.Fatal(err)
+		}
+		awaitDraining(t, addr)
+		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		close(backend.release)
+		if got := <-answered; got != "200done<nil>" { // although the reload still waits
+			t.Errorf("answer %q", got)
+		}
+		if !usable {
+			text = "{no configuration"
+		}
+		if _, err := pipe.WriteString(text); err != nil {
+			t.Error(err)
+		}
+		pipe.Close()
+		if err := cmd.Wait(); err != nil {
+			t.Errorf("%v; log %q", err, log)
+		}
+	}
+}
+
+// A SIGHUP just before the program exits after a SIGTERM changes nothing.
+func TestSighupAtExitIsIgnored(t *testing.T) {
+	t.Setenv("AGENT_TEST_SIGHUP_AT_EXIT", "1")
+	addr := freeAddr(t)
+	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), freeAddr(t)))
+	awaitReady(t, addr)
+	terminate(t, cmd)
+	if err := cmd.Wait(); err != nil {
+		t.Errorf("%v; log %q", err, log)
+	}
+}
+
+// A process that starts at the address of a draining one, with discovery down and a known list, serves as soon as the address
+// is free. The request of the older process is answered.
+func TestNewProcessServesBesideADrainingOne(t *testing.T) {
+	arrived, release := make(chan struct{}, 10), make(chan struct{})
+	backend := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		if arrived <- struct{}{}; r.URL.Path == "/get/held" {
+			<-release
+		}
+		fmt.Fprint(w, r.URL.Path)
+	})
+	addr := freeAddr(t)
+	text := fmt.Sprintf(configTemplate, addr, freeAddr(t), backend)
+	older, _ := startProgram(t, text)
+	awaitReady(t, addr)
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	answered := inBackground(func() string { return answerTo(client, addr, "/get/held", "/get/held") })
+	awaitArrival(t, arrived)
+	terminate(t, older)
+	younger, log := startProgram(t, text) // the older one is still listening
+	awaitReady(t, addr)                   // the older one reports that it is not healthy by now
+	if got := answerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
+		t.Errorf("%q", got)
+	}
+	close(release)
+	if got := <-answered; got != "200/get/held<nil>" {
+		t.Errorf("the older one's request: %q", got)
+	}
+	if err := older.Wait(); err != nil {
+		t.Error(err)
+	}
+	terminate(t, younger)
+	if err := younger.Wait(); err != nil {
+		t.Errorf("%v; log %q", err, log)
+	}
+}
