--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -1,5 +1,7 @@
 package main
 
+// System calls that fail: accept, the calls of the start, and calls on sockets.
+
 import (
 	"fmt"
 	"net"
@@ -156,12 +158,3 @@
 	}
 	return sum
 }
-
-// awaitServed waits until a request is answered with 200.
-func awaitServed(t *testing.T, d *agentProcess, timeout time.Duration) {
-	t.Helper()
-	await(t, "an answer", timeout, func() bool {
-		status, _ := get(singleUseClient, d.addr, "/get/x")
-		return status == 200
-	})
-}
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -1,5 +1,7 @@
 package main
 
+// What a running agent may touch: its addresses, its files, no other process.
+
 import (
 	"bufio"
 	"fmt"
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Clients that fail, disconnect, stall or leave little time.
+
 import (
 	"bufio"
 	"bytes"
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -1,5 +1,7 @@
 package main
 
+// The deadline that an agent passes on to backends.
+
 import (
 	"fmt"
 	"io"
--- a/cmd/agent/deployment_test.go
+++ b/cmd/agent/deployment_test.go
@@ -1,5 +1,7 @@
 package main
 
+// No deployment is named in the code.
+
 import (
 	"os"
 	"os/exec"
--- /dev/null
+++ b/cmd/agent/fakes_test.go
@@ -0,0 +1,102 @@
+package main
+
+// Fakes of what stands around an agent: backends and discovery.
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// fakeBackend is a backend that counts requests and answers each with its path.
+type fakeBackend struct {
+	addr         string
+	requestCount atomic.Int64
+	requestIDs   sync.Map      // values of X-Trace-Id
+	latency      time.Duration // of each answer; set before the first request
+}
+
+func newFakeBackend(t *testing.T) *fakeBackend {
+	t.Helper()
+	s := &fakeBackend{}
+	s.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		s.requestCount.Add(1)
+		s.requestIDs.Store(r.Header.Get("X-Trace-Id"), nil)
+		select {
+		case <-time.After(s.latency):
+		case <-r.Context().Done():
+		}
+		fmt.Fprint(w, r.URL.Path)
+	})
+	return s
+}
+
+func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(ln) }()
+	t.Cleanup(func() { server.Close() })
+	return ln.Addr().String()
+}
+
+// endpoint is one entry of an endpoint list.
+type endpoint struct {
+	ID      string  `json:"id"`
+	Addr    string  `json:"addr"`
+	Zone    string  `json:"zone"`
+	Kind    string  `json:"kind"`
+	State   string  `json:"state"`
+	Weight  float64 `json:"weight"`
+	Started int64   `json:"started_ms"`
+}
+
+// fakeDiscovery is a discovery service that pushes complete endpoint lists.
+type fakeDiscovery struct {
+	addr    string
+	mu      sync.Mutex
+	list    []endpoint
+	version int
+	changed chan struct{} // closed when the next list is published
+}
+
+func newFakeDiscovery(t *testing.T, endpoints ...endpoint) *fakeDiscovery {
+	t.Helper()
+	c := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
+	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		for {
+			c.mu.Lock()
+			list, version, told := c.list, c.version, c.changed
+			c.mu.Unlock()
+			_ = json.NewEncoder(w).Encode(map[string]any{"version": version, "full": true, "servers": list})
+			_ = http.NewResponseController(w).Flush()
+			select {
+			case <-told:
+			case <-r.Context().Done():
+				return
+			}
+		}
+	})
+	return c
+}
+
+func readyEndpoint(id string, s *fakeBackend) endpoint {
+	return endpoint{ID: id, Addr: s.addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}
+}
+
+// publish replaces the list and pushes it.
+func (c *fakeDiscovery) publish(list ...endpoint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.list, c.version = list, c.version+1
+	close(c.changed)
+	c.changed = make(chan struct{})
+}
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -1,5 +1,7 @@
 package main
 
+// The first endpoint list of a new process.
+
 import (
 	"fmt"
 	"net/http"
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Upgrades of the process, and admin calls, while the shared folder fails.
+
 import (
 	"bytes"
 	"fmt"
@@ -12,20 +14,6 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// awaitAdminOK repeats a call to the admin server until it is answered with 200.
-func (d *agentProcess) awaitAdminOK(t *testing.T, timeout time.Duration, path, body string) {
-	t.Helper()
-	status, deadline := 0, time.Now().Add(timeout)
-	for status != 200 {
-		if time.Now().After(deadline) {
-			t.Fatalf("%s: %d after %v", path, status, timeout)
-		}
-		if status, _ = d.adminCall(t, path, body); status != 200 {
-			time.Sleep(10 * time.Millisecond)
-		}
-	}
-}
-
 // replaceableAgent is an agent with two backends whose process can be replaced. current is the one that serves.
 type replaceableAgent struct {
 	one, two  *fakeBackend
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Resources of an agent as its fleet grows.
+
 import (
 	"encoding/json"
 	"errors"
--- a/cmd/agent/faults_test.go
+++ b/cmd/agent/harness_test.go
@@ -1,8 +1,9 @@
 package main
 
+// The agent as a process with injected faults, and what tests do with it: signals, requests, admin calls and waiting.
+
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -33,85 +34,6 @@
 
 var faultyDir atomic.Pointer[string]
 
-// fakeBackend is a backend that counts requests and answers each with its path.
-type fakeBackend struct {
-	addr         string
-	requestCount atomic.Int64
-	requestIDs   sync.Map      // values of X-Trace-Id
-	latency      time.Duration // of each answer; set before the first request
-}
-
-func newFakeBackend(t *testing.T) *fakeBackend {
-	t.Helper()
-	s := &fakeBackend{}
-	s.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		s.requestCount.Add(1)
-		s.requestIDs.Store(r.Header.Get("X-Trace-Id"), nil)
-		select {
-		case <-time.After(s.latency):
-		case <-r.Context().Done():
-		}
-		fmt.Fprint(w, r.URL.Path)
-	})
-	return s
-}
-
-func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(ln) }()
-	t.Cleanup(func() { server.Close() })
-	return ln.Addr().String()
-}
-
-// endpoint is one entry of an endpoint list.
-type endpoint struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
-}
-
-// fakeDiscovery is a discovery service that pushes complete endpoint lists.
-type fakeDiscovery struct {
-	addr    string
-	mu      sync.Mutex
-	list    []endpoint
-	version int
-	changed chan struct{} // closed when the next list is published
-}
-
-func newFakeDiscovery(t *testing.T, endpoints ...endpoint) *fakeDiscovery {
-	t.Helper()
-	c := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
-	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		for {
-			c.mu.Lock()
-			list, version, told := c.list, c.version, c.changed
-			c.mu.Unlock()
-			_ = json.NewEncoder(w).Encode(map[string]any{"version": version, "full": true, "servers": list})
-			_ = http.NewResponseController(w).Flush()
-			select {
-			case <-told:
-			case <-r.Context().Done():
-				return
-			}
-		}
-	})
-	return c
-}
-
-func readyEndpoint(id string, s *fakeBackend) endpoint {
-	return endpoint{ID: id, Addr: s.addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}
-}
-
 // agentProcess is a running agent that faults can be injected into.
 type agentProcess struct {
 	faultinject.Control
@@ -199,6 +121,39 @@
 	}
 }
 
+// adminCall calls the admin server. The status is 0 where it did not answer.
+func (d *agentProcess) adminCall(t *testing.T, path, body string) (status int, elapsed time.Duration) {
+	t.Helper()
+	method, startedAt := http.MethodPut, time.Now()
+	if body == "" && path == "/_ready" {
+		method = http.MethodGet
+	}
+	req, err := http.NewRequest(method, "http://"+d.adminAddr+path, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := singleUseClient.Do(req)
+	if err != nil {
+		return 0, time.Since(startedAt)
+	}
+	resp.Body.Close()
+	return resp.StatusCode, time.Since(startedAt)
+}
+
+// awaitAdminOK repeats a call to the admin server until it is answered with 200.
+func (d *agentProcess) awaitAdminOK(t *testing.T, timeout time.Duration, path, body string) {
+	t.Helper()
+	status, deadline := 0, time.Now().Add(timeout)
+	for status != 200 {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: %d after %v", path, status, timeout)
+		}
+		if status, _ = d.adminCall(t, path, body); status != 200 {
+			time.Sleep(10 * time.Millisecond)
+		}
+	}
+}
+
 // singleUseClient is a client that opens a connection for each request.
 var singleUseClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 
@@ -220,23 +175,13 @@
 	return resp.StatusCode, err
 }
 
-// adminCall calls the admin server. The status is 0 where it did not answer.
-func (d *agentProcess) adminCall(t *testing.T, path, body string) (status int, elapsed time.Duration) {
+// awaitServed waits until a request is answered with 200.
+func awaitServed(t *testing.T, d *agentProcess, timeout time.Duration) {
 	t.Helper()
-	method, startedAt := http.MethodPut, time.Now()
-	if body == "" && path == "/_ready" {
-		method = http.MethodGet
-	}
-	req, err := http.NewRequest(method, "http://"+d.adminAddr+path, strings.NewReader(body))
-	if err != nil {
-		t.Fatal(err)
-	}
-	resp, err := singleUseClient.Do(req)
-	if err != nil {
-		return 0, time.Since(startedAt)
-	}
-	resp.Body.Close()
-	return resp.StatusCode, time.Since(startedAt)
+	await(t, "an answer", timeout, func() bool {
+		status, _ := get(singleUseClient, d.addr, "/get/x")
+		return status == 200
+	})
 }
 
 // schedulingDelay measures the longest delay with which the machine has run a timer of this test so far. Tests add it to their
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Logs that fail or block.
+
 import (
 	"net/http"
 	"os"
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Faults after a quiet period.
+
 import (
 	"flag"
 	"fmt"
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Reloads of the configuration, with faults of its file and of the new discovery.
+
 import (
 	"encoding/json"
 	"fmt"
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Retries of requests that may have run, and draining backends.
+
 import (
 	"fmt"
 	"io"
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Shutdown against an early SIGKILL.
+
 import (
 	"bufio"
 	"errors"
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Answers that arrive before the end of a request body.
+
 import (
 	"bufio"
 	"fmt"
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -1,5 +1,7 @@
 package main
 
+// Steps of the wall clock.
+
 import (
 	"bytes"
 	"encoding/json"
@@ -17,15 +19,6 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// publish replaces the list and pushes it.
-func (c *fakeDiscovery) publish(list ...endpoint) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.list, c.version = list, c.version+1
-	close(c.changed)
-	c.changed = make(chan struct{})
-}
-
 // startRequest sends the first part of a request, so that its connection stays open during a shutdown.
 func startRequest(t *testing.T, addr string) net.Conn {
 	t.Helper()
