--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -17,68 +17,86 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
+// deadlineChecker compares the deadlines that backends are told with those of the clients.
+type deadlineChecker struct {
+	ends     sync.Map // when the client stops waiting, by request id
+	attempts atomic.Int64
+	exceeded atomic.Int64  // attempts that were told of more time than slack beyond what the client has
+	worst    atomic.Int64  // by so much, in ns
+	slack    time.Duration // what is allowed, besides late
+	late     func() time.Duration
+}
+
+// serve checks an attempt and answers it: not run, late enough for a hedged request, or at once.
+func (c *deadlineChecker) serve(t *testing.T, w http.ResponseWriter, r *http.Request) {
+	now := time.Now()
+	c.attempts.Add(1)
+	end, _ := c.ends.Load(r.Header.Get("X-Trace-Id"))
+	stated, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
+	if err != nil || end == nil {
+		t.Errorf("X-Expires-In %q: %v", r.Header.Get("X-Expires-In"), err)
+		return
+	}
+	beyond := time.Duration(stated*float64(time.Second)) - end.(time.Time).Sub(now)
+	if beyond > c.slack+c.late() {
+		c.exceeded.Add(1)
+	}
+	for old := c.worst.Load(); int64(beyond) > old && !c.worst.CompareAndSwap(old, int64(beyond)); old = c.worst.Load() {
+	}
+	switch rand.IntN(3) {
+	case 0:
+		w.Header().Set("X-Never-Ran", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case 1: // slow enough for a hedged request
+		select {
+		case <-time.After(150 * time.Millisecond):
+		case <-r.Context().Done():
+		}
+	}
+}
+
+// send sends one request with a random deadline and waits for its answer.
+func (c *deadlineChecker) send(addr string) error {
+	waits := time.Duration(200+rand.IntN(400)) * time.Millisecond
+	id := fmt.Sprintf("%016x", requestCounter.Add(1))
+	req, err := http.NewRequest("GET", "http://"+addr+"/get/x", nil)
+	if err != nil {
+		return err
+	}
+	req.Header.Set("X-Trace-Id", id)
+	req.Header.Set("X-Expires-In", fmt.Sprintf("%.3f", waits.Seconds()))
+	c.ends.Store(id, time.Now().Add(waits))
+	resp, err := singleUseClient.Do(req)
+	if err != nil {
+		return err
+	}
+	_, _ = io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	return nil
+}
+
 // The deadline that an attempt passes to its backend exceeds the client's remaining time by 0.15 s at most: for first attempts,
 // retries and hedged requests, and also if the process is stopped for 0.15 s at any moment.
 func TestBackendIsToldTheRemainingTime(t *testing.T) {
 	const slack, hold = 150 * time.Millisecond, 150 * time.Millisecond
-	var ends sync.Map // when the client stops waiting, by request
-	var attempts, over atomic.Int64
-	var worst atomic.Int64
-	late := schedulingDelay(t)
+	c := &deadlineChecker{slack: slack, late: schedulingDelay(t)}
 	list := []endpoint{}
 	for i := range 3 {
-		addr := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-			now := time.Now()
-			attempts.Add(1)
-			end, _ := ends.Load(r.Header.Get("X-Trace-Id"))
-			stated, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
-			if err != nil || end == nil {
-				t.Errorf("X-Expires-In %q: %v", r.Header.Get("X-Expires-In"), err)
-				return
-			}
-			beyond := time.Duration(stated*float64(time.Second)) - end.(time.Time).Sub(now)
-			if beyond > slack+late() {
-				over.Add(1)
-			}
-			for old := worst.Load(); int64(beyond) > old && !worst.CompareAndSwap(old, int64(beyond)); old = worst.Load() {
-			}
-			switch rand.IntN(3) {
-			case 0:
-				w.Header().Set("X-Never-Ran", "1")
-				w.WriteHeader(http.StatusServiceUnavailable)
-			case 1: // slow enough for a hedged request
-				select {
-				case <-time.After(150 * time.Millisecond):
-				case <-r.Context().Done():
-				}
-			}
-		})
+		addr := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) { c.serve(t, w, r) })
 		list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 	}
-	d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "", `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
+	d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "",
+		`"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
 	awaitReady(t, d.addr)
 	var clients sync.WaitGroup
 	end := time.Now().Add(6 * time.Second)
 	for range 16 {
 		clients.Go(func() {
 			for time.Now().Before(end) {
-				waits := time.Duration(200+rand.IntN(400)) * time.Millisecond
-				id := fmt.Sprintf("%016x", requestCounter.Add(1))
-				req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				req.Header.Set("X-Trace-Id", id)
-				req.Header.Set("X-Expires-In", fmt.Sprintf("%.3f", waits.Seconds()))
-				ends.Store(id, time.Now().Add(waits))
-				resp, err := singleUseClient.Do(req)
-				if err != nil {
+				if err := c.send(d.addr); err != nil {
 					t.Error(err)
 					return
 				}
-				_, _ = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
 			}
 		})
 	}
@@ -89,9 +107,10 @@
 		d.signal(t, syscall.SIGCONT)
 	}
 	clients.Wait()
-	t.Logf("%d attempts, the worst %v beyond, on a machine late by %v", attempts.Load(), time.Duration(worst.Load()), late())
-	if over.Load() > 0 {
-		t.Errorf("%d of %d attempts were told of more time than the client has left, by up to %v", over.Load(), attempts.Load(), time.Duration(worst.Load()))
+	attempts, exceeded, worst := c.attempts.Load(), c.exceeded.Load(), time.Duration(c.worst.Load())
+	t.Logf("%d attempts, the worst %v beyond, on a machine late by %v", attempts, worst, c.late())
+	if exceeded > 0 {
+		t.Errorf("%d of %d attempts were told of more time than the client has left, by up to %v", exceeded, attempts, worst)
 	}
 }
 
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"slices"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -52,36 +53,41 @@
 	discovery.publish(list...)
 	told := time.Now()
 	hangs.Store(true)
-	var served, others, unanswered atomic.Int64
-	done := make(chan struct{}, 20)
-	for range cap(done) {
-		go func() {
-			defer func() { done <- struct{}{} }()
-			for time.Since(told) < 2*time.Second {
-				began := time.Now()
-				status, err := get(singleUseClient, d.addr, "/get/x")
-				if took := time.Since(began); err != nil || took > 1550*time.Millisecond+late() {
-					unanswered.Add(1)
-					t.Errorf("%d, %v after %v", status, err, took)
+	served, others, unanswered := sendAtOnce(t, d.addr, told.Add(2*time.Second), late)
+	if at := time.Unix(0, latest.Load()).Sub(told); at > 550*time.Millisecond+late() {
+		t.Errorf("the backend that drains got a request %v after it was told", at)
+	}
+	if served < 4*others || unanswered > 0 {
+		t.Errorf("%d served, %d not, %d of them without an answer in time", served, others, unanswered)
+	}
+	t.Logf("%d served, %d not", served, others)
+}
+
+// sendAtOnce has 20 clients send requests until a time, and counts those that were served, those that were not, and those without
+// an answer in time.
+func sendAtOnce(t *testing.T, addr string, until time.Time, late func() time.Duration) (served, others, unanswered int64) {
+	t.Helper()
+	var counts [3]atomic.Int64
+	var clients sync.WaitGroup
+	for range 20 {
+		clients.Go(func() {
+			for time.Now().Before(until) {
+				startedAt := time.Now()
+				status, err := get(singleUseClient, addr, "/get/x")
+				if elapsed := time.Since(startedAt); err != nil || elapsed > 1550*time.Millisecond+late() {
+					counts[2].Add(1)
+					t.Errorf("%d, %v after %v", status, err, elapsed)
 				}
 				if status == http.StatusOK {
-					served.Add(1)
+					counts[0].Add(1)
 				} else {
-					others.Add(1)
+					counts[1].Add(1)
 				}
 			}
-		}()
-	}
-	for range cap(done) {
-		<-done
-	}
-	if at := time.Unix(0, latest.Load()).Sub(told); at > 550*time.Millisecond+late() {
-		t.Errorf("the backend that drains got a request %v after it was told", at)
-	}
-	if served.Load() < 4*others.Load() || unanswered.Load() > 0 {
-		t.Errorf("%d served, %d not, %d of them without an answer in time", served.Load(), others.Load(), unanswered.Load())
+		})
 	}
-	t.Logf("%d served, %d not", served.Load(), others.Load())
+	clients.Wait()
+	return counts[0].Load(), counts[1].Load(), counts[2].Load()
 }
 
 // backendWithShortIdleTimeout starts a backend that closes idle connections after a second, well before the configured time.
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -72,6 +72,42 @@
 	return statuses
 }
 
+// stopRepeatedly stops the process for 0.15 s every 0.4 s, until resume is called.
+func (d *agentProcess) stopRepeatedly(t *testing.T) (resume func()) {
+	t.Helper()
+	done := make(chan struct{})
+	var holds sync.WaitGroup
+	holds.Go(func() {
+		for {
+			select {
+			case <-done:
+				return
+			case <-time.After(400 * time.Millisecond):
+			}
+			d.signal(t, syscall.SIGSTOP)
+			time.Sleep(150 * time.Millisecond)
+			d.signal(t, syscall.SIGCONT)
+		}
+	})
+	return func() {
+		close(done)
+		holds.Wait()
+	}
+}
+
+// servedOf counts the requests that were served.
+func servedOf(statuses ...map[string]int) (served int) {
+	for _, answers := range statuses {
+		for _, status := range answers {
+			if status == http.StatusOK {
+				served++
+			}
+		}
+	}
+	return served
+}
+
+// keyedClass is an edit that adds a class of requests with idempotency keys.
 const keyedClass = `{"Name":"put","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":300},
    {"Name":"pay",`
 
@@ -100,29 +136,16 @@
 				})
 				list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
 			}
-			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "", `{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
+			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "",
+				`{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`) // a retry may take that long to arrive, which must still be within the window
 			awaitReady(t, d.addr)
-			done := make(chan struct{})
-			var holds sync.WaitGroup
-			holds.Go(func() {
-				for {
-					select {
-					case <-done:
-						return
-					case <-time.After(400 * time.Millisecond):
-					}
-					d.signal(t, syscall.SIGSTOP)
-					time.Sleep(150 * time.Millisecond)
-					d.signal(t, syscall.SIGCONT)
-				}
-			})
+			resume := d.stopRepeatedly(t)
 			statuses := postRequests(t, d.addr, "/put/x", 4)
 			keyed := arrivals.reset()
 			once := postRequests(t, d.addr, "/pay/x", 4)
-			close(done)
-			holds.Wait()
-			repeated, served := 0, 0
+			resume()
+			repeated := 0
 			for id, at := range keyed {
 				for _, again := range at[1:] {
 					if repeated++; again.Sub(at[0]) > window+slack+late() {
@@ -135,14 +158,7 @@
 					t.Errorf("%s, which may run once, came %d times and has %d", id, len(at), once[id])
 				}
 			}
-			for _, answers := range []map[string]int{statuses, once} {
-				for _, status := range answers {
-					if status == http.StatusOK {
-						served++
-					}
-				}
-			}
-			if repeated == 0 || served > 0 {
+			if repeated == 0 || servedOf(statuses, once) > 0 {
 				t.Errorf("%d repeats; keyed %v, once %v", repeated, statuses, once)
 			}
 		})
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -29,10 +29,11 @@
 	t                    *testing.T
 }
 
+// run sends requests until it is told to stop, or the agent accepts no more connections.
 func (c *shutdownClient) run() {
 	var conn net.Conn
 	var in *bufio.Reader
-	used := false
+	used := false // conn has served a request
 	for !c.stop.Load() {
 		if conn == nil {
 			var err error
@@ -41,28 +42,11 @@
 			}
 			in, used = bufio.NewReader(conn), false
 		}
-		sent, id := time.Now(), fmt.Sprintf("%016x", requestCounter.Add(1))
-		_, err := fmt.Fprintf(conn, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", id)
-		var resp *http.Response
+		keep, err := c.send(conn, in, used)
 		if err == nil {
-			resp, err = http.ReadResponse(in, nil)
+			used = true
 		}
-		if err == nil {
-			_, err = io.Copy(io.Discard, resp.Body)
-		}
-		if err != nil {
-			conn.Close()
-			conn = nil
-			// A reset, or a close between two requests: the request was not read, and the next one is sent on a new connection.
-			if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-				c.unanswered.Add(1)
-				c.t.Logf("a request has no answer after %v: %v", time.Since(sent), err)
-			}
-			c.unreadIDs.Store(id, err)
-			continue
-		}
-		c.answered.Add(1)
-		if used = true; resp.Close {
+		if !keep {
 			conn.Close()
 			conn = nil
 		}
@@ -72,111 +56,163 @@
 	}
 }
 
+// send sends one request and counts what becomes of it. It returns whether the connection stays open.
+func (c *shutdownClient) send(conn net.Conn, in *bufio.Reader, used bool) (keep bool, err error) {
+	sent, id := time.Now(), fmt.Sprintf("%016x", requestCounter.Add(1))
+	_, err = fmt.Fprintf(conn, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", id)
+	var resp *http.Response
+	if err == nil {
+		resp, err = http.ReadResponse(in, nil)
+	}
+	if err == nil {
+		_, err = io.Copy(io.Discard, resp.Body)
+	}
+	if err != nil {
+		// A reset, or a close between two requests: the request was not read, and the next one is sent on a new connection.
+		if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+			c.unanswered.Add(1)
+			c.t.Logf("a request has no answer after %v: %v", time.Since(sent), err)
+		}
+		c.unreadIDs.Store(id, err)
+		return false, err
+	}
+	c.answered.Add(1)
+	return !resp.Close, nil
+}
+
 // killedBy reports whether a signal ended the process, which must have been waited for.
 func (d *agentProcess) killedBy(s syscall.Signal) bool {
 	status, ok := d.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == s
 }
 
+// shutdownCase is a shutdown of an agent under load.
+type shutdownCase struct {
+	deadline time.Duration       // of each request
+	hang     bool                // the backend never answers
+	signals  []syscall.Signal    // 60 ms apart, the first at once
+	crowd    int                 // idle connections
+	step     time.Duration       // of the wall clock, after the last signal
+	fails    faultinject.Failure // from the last signal on
+	untilEnd bool                // SIGTERM is repeated each millisecond: the last one may kill the process, once nothing is open
+}
+
+// signal sends the signals and then injects the faults. It returns when SIGTERM was first sent.
+func (c *shutdownCase) signal(t *testing.T, d *agentProcess) (termed time.Time) {
+	t.Helper()
+	for _, s := range c.signals {
+		if s == syscall.SIGTERM && termed.IsZero() {
+			termed = time.Now()
+		}
+		d.signal(t, s)
+		time.Sleep(60 * time.Millisecond)
+	}
+	if c.step != 0 {
+		d.applyPlan(t, faultinject.Plan{Wall: c.step})
+	}
+	if c.fails.Call != "" {
+		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
+	}
+	return termed
+}
+
+// awaitExit waits until the process has exited, until the earliest SIGKILL at most.
+func (c *shutdownCase) awaitExit(t *testing.T, d *agentProcess, termed time.Time, late func() time.Duration) {
+	t.Helper()
+	ended := make(chan error, 1)
+	go func() { ended <- d.cmd.Wait() }()
+	if c.untilEnd {
+		go func() {
+			for d.cmd.Process.Signal(syscall.SIGTERM) == nil {
+				time.Sleep(time.Millisecond)
+			}
+		}()
+	}
+	select {
+	case err := <-ended:
+		if err != nil && !(c.untilEnd && d.killedBy(syscall.SIGTERM)) {
+			t.Errorf("it ended with %v", err)
+		}
+	case <-time.After(time.Until(termed.Add(c.deadline + 700*time.Millisecond))):
+		select {
+		case <-ended:
+		case <-time.After(late()):
+			t.Errorf("it runs still at the kill, on a machine late by %v", late())
+		}
+	}
+}
+
+// run shuts an agent down under load and checks that it loses no request.
+func (c *shutdownCase) run(t *testing.T) {
+	backend := newFakeBackend(t)
+	if backend.latency = 5 * time.Millisecond; c.hang {
+		backend.latency = time.Hour
+	}
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "",
+		`"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
+		`"AimMs":5000`, fmt.Sprintf(`"AimMs":%d`, c.deadline.Milliseconds()), `"sockets":1024`, `"sockets":128`)
+	awaitReady(t, d.addr)
+	late := schedulingDelay(t)
+	var stop atomic.Bool
+	var answered, lost atomic.Int64
+	var unread sync.Map
+	var clients sync.WaitGroup
+	for range 10 {
+		clients.Go((&shutdownClient{d.addr, &stop, &answered, &lost, &unread, t}).run)
+	}
+	for range c.crowd {
+		if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
+			defer conn.Close()
+		}
+	}
+	time.Sleep(300 * time.Millisecond)
+	before := answered.Load()
+	c.awaitExit(t, d, c.signal(t, d), late)
+	stop.Store(true)
+	_ = d.cmd.Process.Kill()
+	clients.Wait()
+	if answered.Load() == before || lost.Load() > 0 {
+		t.Errorf("%d answered since the signal, %d lost", answered.Load()-before, lost.Load())
+	}
+	unread.Range(func(id, err any) bool {
+		if _, had := backend.requestIDs.Load(id); had {
+			t.Errorf("%v was read, and closed without an answer: %v", id, err)
+		}
+		return true
+	})
+}
+
 // With short deadlines SIGKILL comes early: 0.7 s plus the longest deadline after SIGTERM. Clients keep sending on every open
 // connection until then, backends hang, and signals come in series. Each request is answered, and the program has exited by
 // itself.
 func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
-	for name, c := range map[string]struct {
-		deadline time.Duration
-		hang     bool
-		signals  []syscall.Signal // 60 ms apart, the first at once
-		crowd    int
-		step     time.Duration
-		fails    faultinject.Failure // from the last signal on
-		untilEnd bool                // SIGTERM is repeated each millisecond: the last one may kill the process, once nothing is open
-	}{
-		"250 ms":                      {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}},
-		"250 ms, hanging":             {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}},
-		"500 ms, hanging":             {deadline: 500 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}},
-		"SIGTERM in series":           {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}},
-		"SIGTERM until the end":       {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, untilEnd: true},
-		"SIGHUP before and after":     {deadline: 300 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}},
-		"a crowd":                     {deadline: 300 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, crowd: 100},
-		"a crowd, hanging":            {deadline: 300 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
-		"the clock an hour back":      {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, step: -time.Hour},
-		"accepts fail":                {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
-		"accepts fail throughout":     {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENFILE}},
-		"writes fail":                 {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
-		"reads fail":                  {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
-		"no sockets":                  {deadline: 250 * time.Millisecond, signals: []syscall.Signal{syscall.SIGTERM}, fails: faultinject.Failure{Call: faultinject.Socket, Errno: syscall.ENFILE}},
-		"the clock two seconds ahead": {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM}, step: 2 * time.Second},
+	sigterm := []syscall.Signal{syscall.SIGTERM}
+	for name, c := range map[string]shutdownCase{
+		"250 ms":                {deadline: 250 * time.Millisecond, signals: sigterm},
+		"250 ms, hanging":       {deadline: 250 * time.Millisecond, hang: true, signals: sigterm},
+		"500 ms, hanging":       {deadline: 500 * time.Millisecond, hang: true, signals: sigterm},
+		"SIGTERM in series":     {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}},
+		"SIGTERM until the end": {deadline: 250 * time.Millisecond, signals: sigterm, untilEnd: true},
+		"SIGHUP before and after": {deadline: 300 * time.Millisecond, hang: true,
+			signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}},
+		"a crowd":                {deadline: 300 * time.Millisecond, signals: sigterm, crowd: 100},
+		"a crowd, hanging":       {deadline: 300 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
+		"the clock an hour back": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: -time.Hour},
+		"accepts fail": {deadline: 250 * time.Millisecond, signals: sigterm,
+			fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
+		"accepts fail throughout": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm,
+			fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENFILE}},
+		"writes fail": {deadline: 250 * time.Millisecond, signals: sigterm,
+			fails: faultinject.Failure{Call: faultinject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
+		"reads fail": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm,
+			fails: faultinject.Failure{Call: faultinject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
+		"no sockets": {deadline: 250 * time.Millisecond, signals: sigterm,
+			fails: faultinject.Failure{Call: faultinject.Socket, Errno: syscall.ENFILE}},
+		"the clock two seconds ahead": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := newFakeBackend(t)
-			if backend.latency = 5 * time.Millisecond; c.hang {
-				backend.latency = time.Hour
-			}
-			d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "", `"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
-				`"AimMs":5000`, fmt.Sprintf(`"AimMs":%d`, c.deadline.Milliseconds()), `"sockets":1024`, `"sockets":128`)
-			awaitReady(t, d.addr)
-			late := schedulingDelay(t)
-			var stop atomic.Bool
-			var answered, lost atomic.Int64
-			var unread sync.Map
-			var clients sync.WaitGroup
-			for range 10 {
-				clients.Go((&shutdownClient{d.addr, &stop, &answered, &lost, &unread, t}).run)
-			}
-			for range c.crowd {
-				if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
-					defer conn.Close()
-				}
-			}
-			time.Sleep(300 * time.Millisecond)
-			before, termed := answered.Load(), time.Time{}
-			for _, s := range c.signals {
-				if s == syscall.SIGTERM && termed.IsZero() {
-					termed = time.Now()
-				}
-				d.signal(t, s)
-				time.Sleep(60 * time.Millisecond)
-			}
-			if c.step != 0 {
-				d.applyPlan(t, faultinject.Plan{Wall: c.step})
-			}
-			if c.fails.Call != "" {
-				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
-			}
-			ended := make(chan error, 1)
-			go func() { ended <- d.cmd.Wait() }()
-			if c.untilEnd {
-				go func() {
-					for d.cmd.Process.Signal(syscall.SIGTERM) == nil {
-						time.Sleep(time.Millisecond)
-					}
-				}()
-			}
-			select {
-			case err := <-ended:
-				if err != nil && !(c.untilEnd && d.killedBy(syscall.SIGTERM)) {
-					t.Errorf("it ended with %v", err)
-				}
-			case <-time.After(time.Until(termed.Add(c.deadline + 700*time.Millisecond))):
-				select {
-				case <-ended:
-				case <-time.After(late()):
-					t.Errorf("it runs still at the kill, on a machine late by %v", late())
-				}
-			}
-			stop.Store(true)
-			_ = d.cmd.Process.Kill()
-			clients.Wait()
-			if answered.Load() == before || lost.Load() > 0 {
-				t.Errorf("%d answered since the signal, %d lost", answered.Load()-before, lost.Load())
-			}
-			unread.Range(func(id, err any) bool {
-				if _, had := backend.requestIDs.Load(id); had {
-					t.Errorf("%v was read, and closed without an answer: %v", id, err)
-				}
-				return true
-			})
+			c.run(t)
 		})
 	}
 }
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -184,6 +184,72 @@
 	}
 }
 
+// mutableDiscovery is a discovery service that sends its list at the start of each watch, and then an empty line every half
+// second. Watches can be muted.
+type mutableDiscovery struct {
+	addr    string
+	watches atomic.Int64
+	muted   atomic.Int64 // watches up to this one send nothing more
+
+	mu   sync.Mutex
+	list []endpoint
+}
+
+func newMutableDiscovery(t *testing.T, list ...endpoint) *mutableDiscovery {
+	t.Helper()
+	d := &mutableDiscovery{list: list}
+	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		n := d.watches.Add(1)
+		d.mu.Lock()
+		now := d.list
+		d.mu.Unlock()
+		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": now})
+		for flush := http.NewResponseController(w); ; {
+			_ = flush.Flush()
+			select {
+			case <-r.Context().Done():
+				return
+			case <-time.After(500 * time.Millisecond):
+				if d.muted.Load() < n {
+					fmt.Fprintln(w)
+				}
+			}
+		}
+	})
+	return d
+}
+
+// set replaces the list for later watches.
+func (d *mutableDiscovery) set(list ...endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list = list
+}
+
+// mute has all present watches send nothing more.
+func (d *mutableDiscovery) mute() { d.muted.Store(d.watches.Load()) }
+
+// timeOfRequest returns how long a request with a deadline in seconds takes, during which step is called after half a second.
+func timeOfRequest(t *testing.T, addr, deadline string, step func()) time.Duration {
+	t.Helper()
+	req, err := http.NewRequest("GET", "http://"+addr+"/get/x", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	req.Header.Set("X-Trace-Id", "1")
+	req.Header.Set("X-Expires-In", deadline)
+	startedAt := time.Now()
+	stepped := make(chan struct{})
+	time.AfterFunc(500*time.Millisecond, func() { defer close(stepped); step() })
+	resp, err := singleUseClient.Do(req)
+	<-stepped
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp.Body.Close()
+	return time.Since(startedAt)
+}
+
 // Deadlines, the silence limit of a watch and the grace for drains do not follow the wall clock.
 func TestWallClockStepsDoNotChangeTimeouts(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second}, {time.Hour, -time.Hour}} {
@@ -192,58 +258,21 @@
 			late := schedulingDelay(t)
 			hanging, good := newFakeBackend(t), newFakeBackend(t)
 			hanging.latency = time.Hour
-			var watches, mute atomic.Int64
-			list := []endpoint{readyEndpoint("s", hanging)}
-			var mu sync.Mutex
-			discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-				n := watches.Add(1)
-				mu.Lock()
-				now := list
-				mu.Unlock()
-				_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": now})
-				for flush := http.NewResponseController(w); ; {
-					_ = flush.Flush()
-					select {
-					case <-r.Context().Done():
-						return
-					case <-time.After(500 * time.Millisecond):
-						if mute.Load() < n {
-							fmt.Fprintln(w)
-						}
-					}
-				}
-			})
-			d := startAgent(t, discovery, faultinject.Plan{}, nil, "")
+			discovery := newMutableDiscovery(t, readyEndpoint("s", hanging))
+			d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			step := func() {
 				for _, step := range steps {
 					d.applyPlan(t, faultinject.Plan{Wall: step})
 				}
 			}
-			req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			req.Header.Set("X-Trace-Id", "1")
-			req.Header.Set("X-Expires-In", "1.5")
-			began := time.Now()
-			stepped := make(chan struct{})
-			time.AfterFunc(500*time.Millisecond, func() { defer close(stepped); step() })
-			resp, err := singleUseClient.Do(req)
-			<-stepped
-			if err != nil {
-				t.Fatal(err)
-			}
-			resp.Body.Close()
-			if took := time.Since(began); took < 1200*time.Millisecond || took > 1600*time.Millisecond+late() {
-				t.Errorf("a request with 1.5 s was answered after %v", took)
+			if elapsed := timeOfRequest(t, d.addr, "1.5", step); elapsed < 1200*time.Millisecond || elapsed > 1600*time.Millisecond+late() {
+				t.Errorf("a request with 1.5 s was answered after %v", elapsed)
 			}
 			// The watch falls silent while the list changes, and the wall clock is stepped during that silence.
-			mu.Lock()
-			list = []endpoint{{ID: "s", Addr: hanging.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("t", good)}
-			mu.Unlock()
+			discovery.set(endpoint{ID: "s", Addr: hanging.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("t", good))
 			d.applyPlan(t, faultinject.Plan{})
-			mute.Store(watches.Load())
+			discovery.mute()
 			silent := time.Now()
 			time.Sleep(time.Second)
 			step()
