--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -16,8 +16,9 @@
 )
 
 // acceptErrnos are the transient errors of accept(2), network errors of a pending connection included.
-var acceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
-	syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
+var acceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+	syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
 // Clients and operators are still served when accept fails once, three times in a row or for 2 s, and when epoll can't
 // register a connection.
@@ -84,7 +85,8 @@
 	} {
 		t.Run(fmt.Sprint(failure.Call, " ", failure.Errno, " ", failure.Path), func(t *testing.T) {
 			t.Parallel()
-			d := startAgent(t, discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{failure}}, nil, "", peerEdits(freeAddr(t), freeAddr(t))...)
+			d := startAgent(t, discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{failure}}, nil, "",
+				peerEdits(freeAddr(t), freeAddr(t))...)
 			awaitServed(t, d, 10*time.Second)
 		})
 	}
@@ -92,8 +94,9 @@
 
 // peerEdits returns the edits that configure two peers: the agent itself and another.
 func peerEdits(own, other string) []string {
-	return []string{`"settings":{"Balancers":1`, fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],"settings":{"Balancers":2,"Me":0`, own, own, other),
-		`"TryLimit":4`, `"TryLimit":4,"Peers":true`}
+	peers := fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],`, own, own, other)
+	return []string{`"settings":{"Balancers":1`, peers + `"settings":{"Balancers":2,"Me":0`, `"TryLimit":4`,
+		`"TryLimit":4,"Peers":true`}
 }
 
 // Datagram and socket option calls that fail once, three times in a row or for 2 s lose no request, and retrying them does not
@@ -110,10 +113,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "", peerEdits(own, peer.LocalAddr().String())...)
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "",
+		peerEdits(own, peer.LocalAddr().String())...)
 	awaitReady(t, d.addr)
-	for _, call := range []string{faultinject.Receive, faultinject.Send, faultinject.Option, faultinject.Name, faultinject.Descriptor} {
-		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.EPERM} {
+	for _, call := range []string{faultinject.Receive, faultinject.Send, faultinject.Option, faultinject.Name,
+		faultinject.Descriptor} {
+		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.ECONNREFUSED,
+			syscall.EPERM} {
 			for _, times := range []int{1, 3} {
 				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: errno, Times: times}}})
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -20,7 +20,8 @@
 )
 
 // connErrnos are errors that reads and writes of a TCP connection may return while the peer still holds it open.
-var connErrnos = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EINTR, syscall.EIO}
+var connErrnos = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.EINTR, syscall.EIO}
 
 // A request that was accepted is answered although reads of its connection, or the write of its answer, fail transiently.
 func TestTransientConnectionErrorsLoseNoRequest(t *testing.T) {
@@ -38,11 +39,13 @@
 				}
 				_ = c.SetDeadline(time.Now().Add(testTimeout))
 				before := backend.requestCount.Load()
-				if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Trace-Id: %016x\r\n\r\n", requestCounter.Add(1)); err != nil {
+				if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Trace-Id: %016x\r\n\r\n",
+					requestCounter.Add(1)); err != nil {
 					t.Fatal(err)
 				}
 				await(t, "the attempt", testTimeout, func() bool { return backend.requestCount.Load() > before })
-				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(), Errno: errno, Times: times}}})
+				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(),
+					Errno: errno, Times: times}}})
 				if call == faultinject.Read { // so that the agent has something to read
 					if _, err := io.WriteString(c, "G"); err != nil {
 						t.Fatal(err)
@@ -67,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend := freeAddr(t) // refuses connections: the request waits for a retry
-			d := startAgent(t, newFakeDiscovery(t, endpoint{ID: "s", Addr: backend, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
+			d := startAgent(t, newFakeDiscovery(t, newEndpoint("s", backend, "ready")).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			var begun atomic.Int64
 			late := schedulingDelay(t)
@@ -77,7 +80,8 @@
 					t.Fatal(err)
 				}
 				c := conn.(*net.TCPConn)
-				head := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\nX-Trace-Id: %016x\r\n\r\n", requestCounter.Add(1))
+				head := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\nX-Trace-Id: %016x\r\n\r\n",
+					requestCounter.Add(1))
 				if _, err := io.Copy(c, io.MultiReader(strings.NewReader(head), bytes.NewReader(make([]byte, 150_000)))); err != nil {
 					t.Fatal(err)
 				}
@@ -163,7 +167,8 @@
 	awaitReady(t, d.addr)
 	late := schedulingDelay(t)
 	var clients sync.WaitGroup
-	for _, start := range []string{"POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n", "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "} {
+	for _, start := range []string{"POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n",
+		"GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "} {
 		for _, every := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond} {
 			clients.Go(func() {
 				c, err := net.Dial("tcp", d.addr)
@@ -196,7 +201,8 @@
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", mute)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	late := schedulingDelay(t)
-	for _, left := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
+	for _, left := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond,
+		12 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
 		for range 5 {
 			req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
 			if err != nil {
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -83,7 +83,7 @@
 	list := []endpoint{}
 	for i := range 3 {
 		addr := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) { c.serve(t, w, r) })
-		list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
+		list = append(list, newEndpoint(fmt.Sprint("s", i), addr, "ready"))
 	}
 	d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "",
 		`"TryLimit":4`, `"TryLimit":4,"SecondCopies":true,"Cancel":true`, `"AimMs":5000`, `"AimMs":60`)
@@ -119,7 +119,7 @@
 func TestDeadlineOfARequestQueuedBeforeAccept(t *testing.T) {
 	stated, late := make(chan string, 1), schedulingDelay(t)
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
-	d := startAgent(t, newFakeDiscovery(t, endpoint{ID: "s", Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}).addr, faultinject.Plan{}, nil, "")
+	d := startAgent(t, newFakeDiscovery(t, newEndpoint("s", addr, "ready")).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
 	answered := make(chan int, 1)
@@ -134,7 +134,8 @@
 	if status := <-answered; status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if s, err := strconv.ParseFloat(<-stated, 64); err != nil || time.Duration(s*float64(time.Second)) > left+150*time.Millisecond+late() {
+	if s, err := strconv.ParseFloat(<-stated, 64); err != nil ||
+		time.Duration(s*float64(time.Second)) > left+150*time.Millisecond+late() {
 		t.Errorf("told of %v s, the client has %v left: %v", s, left, err)
 	}
 }
--- a/cmd/agent/deployment_test.go
+++ b/cmd/agent/deployment_test.go
@@ -66,7 +66,8 @@
 	if len(names) < 20 || len(namesFoundIn(`case "`+names[0]+`":`, names)) != 1 {
 		t.Fatalf("%d names, of which the first is not found where it stands", len(names))
 	}
-	out, err := exec.Command("go", "list", "-deps", "-f", "{{if .Module}}{{if .Module.Main}}{{.Dir}}{{end}}{{end}}", ".", "../adapter").Output()
+	out, err := exec.Command("go", "list", "-deps", "-f", "{{if .Module}}{{if .Module.Main}}{{.Dir}}{{end}}{{end}}", ".",
+		"../adapter").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/agent/fakes_test.go
+++ b/cmd/agent/fakes_test.go
@@ -88,10 +88,14 @@
 	return c
 }
 
-func readyEndpoint(id string, s *fakeBackend) endpoint {
-	return endpoint{ID: id, Addr: s.addr, Zone: "a", Kind: "m", State: "ready", Weight: 1}
+// newEndpoint returns an endpoint of zone a in a state of the list.
+func newEndpoint(id, addr, state string) endpoint {
+	return endpoint{ID: id, Addr: addr, Zone: "a", Kind: "m", State: state, Weight: 1}
 }
 
+// readyEndpoint returns the endpoint of a backend that is ready.
+func readyEndpoint(id string, b *fakeBackend) endpoint { return newEndpoint(id, b.addr, "ready") }
+
 // publish replaces the list and pushes it.
 func (c *fakeDiscovery) publish(list ...endpoint) {
 	c.mu.Lock()
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -41,7 +41,7 @@
 				fmt.Fprint(w, "served")
 			})
 			good := newFakeBackend(t)
-			now := []endpoint{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("t", good)}
+			now := []endpoint{newEndpoint("s", drains, "draining"), readyEndpoint("t", good)}
 			known := fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},"settings":`, drains)
 			plan := faultinject.Plan{}
 			if failure.Call != "" {
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -152,7 +152,8 @@
 		},
 		func() { // a new configuration
 			moved := newFakeDiscovery(t, r.discovery.list...)
-			if err := os.WriteFile(r.current.configPath, bytes.Replace(text, []byte(r.discovery.addr), []byte(moved.addr), 1), 0o600); err != nil {
+			if err := os.WriteFile(r.current.configPath, bytes.Replace(text, []byte(r.discovery.addr), []byte(moved.addr), 1),
+				0o600); err != nil {
 				t.Fatal(err)
 			}
 			r.current.signal(t, syscall.SIGHUP)
@@ -185,7 +186,8 @@
 // successor is drained too.
 func TestDrainSurvivesAFailingFolder(t *testing.T) {
 	r := newReplaceableAgent(t, faultinject.Plan{})
-	r.current.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.ENOSPC}}})
+	r.current.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json",
+		Errno: syscall.ENOSPC}}})
 	health := func(d *agentProcess) int {
 		status, err := get(singleUseClient, d.addr, "/_health")
 		if err != nil {
@@ -261,7 +263,8 @@
 		t.Fatalf("status %d", status)
 	}
 	began := time.Now()
-	younger := startAgent(t, r.discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read, Path: "handover.json", Errno: syscall.EIO}}}, r.ln, r.dir)
+	younger := startAgent(t, r.discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read,
+		Path: "handover.json", Errno: syscall.EIO}}}, r.ln, r.dir)
 	for time.Since(began) < 3*time.Second {
 		status, took := younger.adminCall(t, "/_ready", "")
 		if status == 200 {
@@ -287,8 +290,11 @@
 // the younger fails once.
 func TestCallToTheOlderProcessReachesTheSuccessor(t *testing.T) {
 	for name, c := range map[string]struct{ older, younger faultinject.Plan }{
-		"older can't write":       {older: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO}}}},
-		"younger can't read once": {younger: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read, Path: "handover.json", Errno: syscall.EIO, Times: 1}}}},
+		"older can't write": {older: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json",
+			Errno: syscall.EIO}}}},
+		"younger can't read once": {younger: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read,
+			Path:  "handover.json",
+			Errno: syscall.EIO, Times: 1}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -99,11 +99,14 @@
 	var connections atomic.Int64
 	var list []endpoint
 	for i, addr := range startBackends(t, size.backends, load.latency, &connections) {
-		list = append(list, endpoint{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m", State: "ready", Weight: 1})
+		list = append(list, endpoint{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m",
+			State: "ready", Weight: 1})
 	}
 	discovery := newDeltaDiscovery(t, list)
-	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
-		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, load.objective.Milliseconds(), 3*load.objective.Milliseconds()))
+	objective := load.objective.Milliseconds()
+	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "",
+		`"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
+		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, objective, 3*objective))
 	awaitReady(t, d.addr)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: testTimeout}
 	defer client.CloseIdleConnections()
@@ -196,7 +199,7 @@
 		some = append(some, *s)
 		c.nextBackend += 7
 	}
-	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // can't fail: strings and numbers alone
+	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // can't fail: plain values
 	c.lines = append(c.lines, text+"\n")
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -208,10 +211,14 @@
 		usual, large fleetSize
 		load         traffic
 	}{
-		"many agents":  {fleetSize{300, 200}, fleetSize{900, 3200}, traffic{25 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
-		"few agents":   {fleetSize{4, 12}, fleetSize{12, 192}, traffic{12 * time.Millisecond, 800 * time.Millisecond, 100 * time.Millisecond}},
-		"a long aim":   {fleetSize{250, 50}, fleetSize{750, 800}, traffic{25 * time.Millisecond, 2500 * time.Millisecond, 200 * time.Millisecond}},
-		"little to do": {fleetSize{300, 200}, fleetSize{900, 3200}, traffic{200 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
+		"many agents": {fleetSize{300, 200}, fleetSize{900, 3200},
+			traffic{25 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
+		"few agents": {fleetSize{4, 12}, fleetSize{12, 192},
+			traffic{12 * time.Millisecond, 800 * time.Millisecond, 100 * time.Millisecond}},
+		"a long aim": {fleetSize{250, 50}, fleetSize{750, 800},
+			traffic{25 * time.Millisecond, 2500 * time.Millisecond, 200 * time.Millisecond}},
+		"little to do": {fleetSize{300, 200}, fleetSize{900, 3200},
+			traffic{200 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a, b resourceUsage
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -43,6 +43,8 @@
 	logFile         *os.File
 }
 
+// faultsConfigTemplate is a configuration with a class of idempotent and one of non-idempotent requests, and pushed lists. It takes
+// the addresses of clients and of discovery.
 const faultsConfigTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "settings":{"Balancers":1,"Dcs":["a"],"Kinds":["m"],"MembershipMode":"automatic","TickMs":1,
   "Profiles":[{"Name":"get","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"repeatable"},
@@ -52,15 +54,16 @@
 
 // startAgent starts an agent with a fault plan in force. With a listener and a folder its process can be replaced. Edits are
 // pairs of old and new texts that are replaced in its configuration.
-func startAgent(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, sharedDir string, edits ...string) *agentProcess {
+func startAgent(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, sharedDir string,
+	edits ...string) *agentProcess {
 	t.Helper()
 	program, err := faultyProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	agent := &agentProcess{Control: faultinject.Control{Path: filepath.Join(dir, "INJECT.json")}, addr: freeAddr(t), adminAddr: freeAddr(t),
-		configPath: filepath.Join(dir, "config.json")}
+	agent := &agentProcess{Control: faultinject.Control{Path: filepath.Join(dir, "INJECT.json")}, addr: freeAddr(t),
+		adminAddr: freeAddr(t), configPath: filepath.Join(dir, "config.json")}
 	if ln != nil {
 		agent.addr = ln.Addr().String()
 	}
@@ -72,7 +75,9 @@
 		t.Fatal(err)
 	}
 	agent.cmd = exec.Command(program)
-	agent.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+agent.configPath, "PROXY_MGMT="+agent.adminAddr, faultinject.ControlVariable+"="+agent.Path, "TMPDIR="+dir)
+	agent.cmd.Stderr = agent.logFile
+	agent.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+agent.configPath, "PROXY_MGMT="+agent.adminAddr,
+		faultinject.ControlVariable+"="+agent.Path, "TMPDIR="+dir)
 	if ln != nil {
 		f, err := ln.File()
 		if err != nil {
@@ -82,21 +87,23 @@
 		agent.cmd.ExtraFiles = []*os.File{f, f}
 		agent.cmd.Env = append(agent.cmd.Env, "PROXY_FD=4", "TMPDIR="+sharedDir)
 	}
-	agent.cmd.Stderr = agent.logFile
 	if err := agent.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() {
-		_ = agent.cmd.Process.Kill()
-		_ = agent.cmd.Wait()
-		if t.Failed() {
-			t.Logf("log of %s:\n%s", agent.adminAddr, agent.logText(t))
-		}
-		agent.logFile.Close()
-	})
+	t.Cleanup(func() { agent.kill(t) })
 	return agent
 }
 
+// kill ends the process, and shows its log if the test has failed.
+func (d *agentProcess) kill(t *testing.T) {
+	_ = d.cmd.Process.Kill()
+	_ = d.cmd.Wait()
+	if t.Failed() {
+		t.Logf("log of %s:\n%s", d.adminAddr, d.logText(t))
+	}
+	d.logFile.Close()
+}
+
 // logText returns what the agent has logged so far.
 func (d *agentProcess) logText(t *testing.T) string {
 	text, err := os.ReadFile(d.logFile.Name())
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -36,11 +36,11 @@
 	})
 	good := newFakeBackend(t)
 	forgotten := backendWithShortIdleTimeout(t)
-	list := []endpoint{{ID: "s", Addr: drains, Zone: "a", Kind: "m", State: "ready", Weight: 1}, readyEndpoint("t", good),
-		{ID: "u", Addr: hanging, Zone: "a", Kind: "m", State: "ready", Weight: 1},
-		{ID: "v", Addr: forgotten, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
+	list := []endpoint{newEndpoint("s", drains, "ready"), readyEndpoint("t", good),
+		newEndpoint("u", hanging, "ready"), newEndpoint("v", forgotten, "ready")}
 	discovery := newFakeDiscovery(t, list...)
-	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`, `"AimMs":500,"DeadlineMs":1000`)
+	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`,
+		`"AimMs":500,"DeadlineMs":1000`)
 	awaitReady(t, d.addr)
 	for range 60 { // leaves idle connections to all of them
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
@@ -97,7 +97,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{IdleTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "served") })}
+	serve := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "served") }
+	server := &http.Server{IdleTimeout: time.Second, Handler: http.HandlerFunc(serve)}
 	go func() { _ = server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
 	return ln.Addr().String()
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			before := newFakeDiscovery(t, readyEndpoint("old", old))
-			after := newFakeDiscovery(t, endpoint{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("new", fresh))
+			after := newFakeDiscovery(t, newEndpoint("old", old.addr, "draining"), readyEndpoint("new", fresh))
 			d := startAgent(t, before.addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			text := fmt.Appendf(nil, faultsConfigTemplate, d.addr, after.addr)
@@ -94,7 +94,7 @@
 							fail(w, r)
 							return
 						}
-						list := []endpoint{{ID: "old", Addr: old.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("new", fresh)}
+						list := []endpoint{newEndpoint("old", old.addr, "draining"), readyEndpoint("new", fresh)}
 						_ = json.NewEncoder(w).Encode(map[string]any{"version": 1, "full": true, "servers": list})
 						_ = http.NewResponseController(w).Flush()
 						<-r.Context().Done()
@@ -103,7 +103,8 @@
 					d := startAgent(t, before.addr, faultinject.Plan{}, nil, "", "automatic", mode)
 					awaitReady(t, d.addr)
 					for _, to := range []string{freeAddr(t), after} { // nothing listens at the address in the first of the two configurations
-						if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to), "automatic", mode, 1)), 0o600); err != nil {
+						if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to),
+							"automatic", mode, 1)), 0o600); err != nil {
 							t.Fatal(err)
 						}
 						d.signal(t, syscall.SIGHUP)
@@ -118,7 +119,8 @@
 						}
 					}
 					if fresh.requestCount.Load()-was < 5 {
-						t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.requestCount.Load()-was, calls.Load())
+						t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.requestCount.Load()-was,
+							calls.Load())
 					}
 				})
 			}
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -134,7 +134,7 @@
 					_, _ = io.Copy(io.Discard, r.Body)
 					respond(w)
 				})
-				list = append(list, endpoint{ID: fmt.Sprint("s", i), Addr: addr, Zone: "a", Kind: "m", State: "ready", Weight: 1})
+				list = append(list, newEndpoint(fmt.Sprint("s", i), addr, "ready"))
 			}
 			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "",
 				`{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
@@ -182,7 +182,7 @@
 					w.Header().Set("X-Never-Ran", "1")
 					w.WriteHeader(http.StatusServiceUnavailable)
 				})
-				old := []endpoint{{ID: "a", Addr: rejecting, Zone: "a", Kind: "m", State: "ready", Weight: 1}}
+				old := []endpoint{newEndpoint("a", rejecting, "ready")}
 				good := newFakeBackend(t)
 				discovery := newFakeDiscovery(t, old...)
 				d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -188,15 +188,17 @@
 func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
 	sigterm := []syscall.Signal{syscall.SIGTERM}
 	for name, c := range map[string]shutdownCase{
-		"250 ms":                {deadline: 250 * time.Millisecond, signals: sigterm},
-		"250 ms, hanging":       {deadline: 250 * time.Millisecond, hang: true, signals: sigterm},
-		"500 ms, hanging":       {deadline: 500 * time.Millisecond, hang: true, signals: sigterm},
-		"SIGTERM in series":     {deadline: 250 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}},
+		"250 ms":          {deadline: 250 * time.Millisecond, signals: sigterm},
+		"250 ms, hanging": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm},
+		"500 ms, hanging": {deadline: 500 * time.Millisecond, hang: true, signals: sigterm},
+		"SIGTERM in series": {deadline: 250 * time.Millisecond, hang: true,
+			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}},
 		"SIGTERM until the end": {deadline: 250 * time.Millisecond, signals: sigterm, untilEnd: true},
 		"SIGHUP before and after": {deadline: 300 * time.Millisecond, hang: true,
 			signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}},
-		"a crowd":                {deadline: 300 * time.Millisecond, signals: sigterm, crowd: 100},
-		"a crowd, hanging":       {deadline: 300 * time.Millisecond, hang: true, signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
+		"a crowd": {deadline: 300 * time.Millisecond, signals: sigterm, crowd: 100},
+		"a crowd, hanging": {deadline: 300 * time.Millisecond, hang: true,
+			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
 		"the clock an hour back": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: -time.Hour},
 		"accepts fail": {deadline: 250 * time.Millisecond, signals: sigterm,
 			fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -181,7 +181,8 @@
 			t.Fatal(err)
 		}
 		pipe := openOnRead(t, path)
-		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600), cmd.Process.Signal(syscall.SIGTERM)); err != nil {
+		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600),
+			cmd.Process.Signal(syscall.SIGTERM)); err != nil {
 			t.Fatal(err)
 		}
 		awaitDraining(t, addr)
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -43,7 +43,7 @@
 				_ = rc.Flush()
 				_, _ = io.Copy(io.Discard, r.Body)
 			})
-			list := endpoint{ID: "s", Addr: early, Zone: "a", Kind: "m", State: "ready", Weight: 1}
+			list := newEndpoint("s", early, "ready")
 			d := startAgent(t, newFakeDiscovery(t, list).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			conn, err := net.Dial("tcp", d.addr)
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -36,7 +36,8 @@
 
 // A shutdown is timed by the monotonic clock: steps of the wall clock lose no request.
 func TestWallClockStepsDuringShutdownLoseNoRequest(t *testing.T) {
-	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second}, {time.Hour, -time.Hour}, {-time.Hour, time.Hour}} {
+	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second},
+		{time.Hour, -time.Hour}, {-time.Hour, time.Hour}} {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
 			t.Parallel()
 			backend := newFakeBackend(t)
@@ -252,7 +253,8 @@
 
 // Deadlines, the silence limit of a watch and the grace for drains do not follow the wall clock.
 func TestWallClockStepsDoNotChangeTimeouts(t *testing.T) {
-	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second}, {time.Hour, -time.Hour}} {
+	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second},
+		{time.Hour, -time.Hour}} {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
 			t.Parallel()
 			late := schedulingDelay(t)
@@ -266,11 +268,12 @@
 					d.applyPlan(t, faultinject.Plan{Wall: step})
 				}
 			}
-			if elapsed := timeOfRequest(t, d.addr, "1.5", step); elapsed < 1200*time.Millisecond || elapsed > 1600*time.Millisecond+late() {
+			if elapsed := timeOfRequest(t, d.addr, "1.5", step); elapsed < 1200*time.Millisecond ||
+				elapsed > 1600*time.Millisecond+late() {
 				t.Errorf("a request with 1.5 s was answered after %v", elapsed)
 			}
 			// The watch falls silent while the list changes, and the wall clock is stepped during that silence.
-			discovery.set(endpoint{ID: "s", Addr: hanging.addr, Zone: "a", Kind: "m", State: "draining", Weight: 1}, readyEndpoint("t", good))
+			discovery.set(newEndpoint("s", hanging.addr, "draining"), readyEndpoint("t", good))
 			d.applyPlan(t, faultinject.Plan{})
 			discovery.mute()
 			silent := time.Now()
