--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -26,7 +26,7 @@
 // New returns a logger that writes to out in the format of a handler: slog.NewTextHandler or slog.NewJSONHandler. options may be
 // nil. The logger must be closed; until then it owns a goroutine.
 func New[H slog.Handler](out io.Writer, handler func(io.Writer, *slog.HandlerOptions) H, options *slog.HandlerOptions) *Logger {
-	queue := &queue{out: out, directLog: slog.New(handler(out, options)), lines: make(chan []byte, queueLength),
+	queue := &queue{out: out, log: slog.New(handler(out, options)), lines: make(chan []byte, queueLength),
 		closing: make(chan struct{}),
 		flushed: make(chan struct{})}
 	go queue.run()
@@ -44,12 +44,12 @@
 
 // queue is the writer of the logger's handler.
 type queue struct {
-	out       io.Writer
-	directLog *slog.Logger // writes to out without the queue
-	lines     chan []byte
-	dropped   atomic.Int64
-	closing   chan struct{}
-	flushed   chan struct{} // closed once all lines are written that were queued before closing
+	out     io.Writer
+	log     *slog.Logger // writes to out without the queue
+	lines   chan []byte
+	dropped atomic.Int64
+	closing chan struct{}
+	flushed chan struct{} // closed once all lines are written that were queued before closing
 }
 
 // Write queues a line. It never blocks and never fails.
@@ -82,6 +82,6 @@
 func (q *queue) write(line []byte) {
 	_, _ = q.out.Write(line) // a line that can't be written is lost: there is nowhere to report it
 	if n := q.dropped.Swap(0); n > 0 {
-		q.directLog.Warn("log lines dropped", "count", n)
+		q.log.Warn("log lines dropped", "count", n)
 	}
 }
