--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -20,6 +20,25 @@
 	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
+// requestThroughFailingAccepts sends a request while accept fails for 2 s.
+func requestThroughFailingAccepts(t *testing.T, d *agentProcess) {
+	t.Helper()
+	d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS}))
+	answered := make(chan error, 1)
+	go func() {
+		status, err := get(singleUseClient, d.addr, "/get/x")
+		if status != 200 {
+			err = fmt.Errorf("status %d: %w", status, err)
+		}
+		answered <- err
+	}()
+	time.Sleep(2 * time.Second)
+	d.applyPlan(t, faultinject.Plan{})
+	if err := <-answered; err != nil {
+		t.Errorf("a request through 2 s of failing accepts: %v", err)
+	}
+}
+
 // Clients and operators are still served when accept fails once, three times in a row or for 2 s, and when epoll can't
 // register a connection.
 func TestFailingAcceptsLoseNoRequest(t *testing.T) {
@@ -28,7 +47,7 @@
 	awaitReady(t, d.addr)
 	for _, errno := range acceptErrnos {
 		for _, times := range []int{1, 3} {
-			d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: errno, Times: times}}})
+			d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: errno, Times: times}))
 			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 				t.Fatalf("%d x %v: %d, %v", times, errno, status, err)
 			}
@@ -39,7 +58,7 @@
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 		for _, times := range []int{1, 3} {
-			d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.EpollAdd, Errno: errno, Times: times}}})
+			d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.EpollAdd, Errno: errno, Times: times}))
 			// The client repeats a request whose connection was closed unread.
 			await(t, fmt.Sprintf("an answer after %d x epoll_ctl %v", times, errno), testTimeout, func() bool {
 				status, _ := get(singleUseClient, d.addr, "/get/x")
@@ -47,20 +66,7 @@
 			})
 		}
 	}
-	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
-	answered := make(chan error, 1)
-	go func() {
-		status, err := get(singleUseClient, d.addr, "/get/x")
-		if status != 200 {
-			err = fmt.Errorf("status %d: %w", status, err)
-		}
-		answered <- err
-	}()
-	time.Sleep(2 * time.Second)
-	d.applyPlan(t, faultinject.Plan{})
-	if err := <-answered; err != nil {
-		t.Errorf("a request through 2 s of failing accepts: %v", err)
-	}
+	requestThroughFailingAccepts(t, d)
 	d.signal(t, syscall.SIGTERM)
 	if err := d.cmd.Wait(); err != nil {
 		t.Error(err)
@@ -121,13 +127,13 @@
 		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.ECONNREFUSED,
 			syscall.EPERM} {
 			for _, times := range []int{1, 3} {
-				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: errno, Times: times}}})
+				d.applyPlan(t, failing(faultinject.Failure{Call: call, Errno: errno, Times: times}))
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 					t.Errorf("%d x %s %v: %d, %v", times, call, errno, status, err)
 				}
 			}
 		}
-		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Errno: syscall.ENOBUFS}}})
+		d.applyPlan(t, failing(faultinject.Failure{Call: call, Errno: syscall.ENOBUFS}))
 		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that there is a datagram to read
 			t.Fatal(err)
 		}
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -44,8 +44,8 @@
 					t.Fatal(err)
 				}
 				await(t, "the attempt", testTimeout, func() bool { return backend.requestCount.Load() > before })
-				d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: "client:" + c.LocalAddr().String(),
-					Errno: errno, Times: times}}})
+				d.applyPlan(t, failing(faultinject.Failure{Call: call, Path: "client:" + c.LocalAddr().String(),
+					Errno: errno, Times: times}))
 				if call == faultinject.Read { // so that the agent has something to read
 					if _, err := io.WriteString(c, "G"); err != nil {
 						t.Fatal(err)
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -121,7 +121,7 @@
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
 	d := startAgent(t, newFakeDiscovery(t, newEndpoint("s", addr, "ready")).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Accept, Errno: syscall.ENOBUFS}}})
+	d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS}))
 	answered := make(chan int, 1)
 	sent := time.Now()
 	go func() {
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -67,7 +67,7 @@
 // A confirmed detach survives an upgrade, whatever failures the shared folder had before.
 func TestDetachSurvivesAFailingFolder(t *testing.T) {
 	at := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
-		return faultinject.Plan{Failures: []faultinject.Failure{{Call: call, Path: path, Errno: errno, Times: times}}}
+		return failing(faultinject.Failure{Call: call, Path: path, Errno: errno, Times: times})
 	}
 	for name, c := range map[string]struct {
 		start, during, younger faultinject.Plan
@@ -116,7 +116,7 @@
 func TestNoYesThatCannotBeKept(t *testing.T) {
 	late := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
-	fails := faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO}}}
+	fails := failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO})
 	r.current.applyPlan(t, fails)
 	for _, path := range []string{"/_backends/detach", "/_lameduck/on", "/_lameduck/off"} {
 		if status, took := r.current.adminCall(t, path, detachOneBody); status != 503 || took > time.Second+late() {
@@ -186,8 +186,8 @@
 // successor is drained too.
 func TestDrainSurvivesAFailingFolder(t *testing.T) {
 	r := newReplaceableAgent(t, faultinject.Plan{})
-	r.current.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json",
-		Errno: syscall.ENOSPC}}})
+	r.current.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
+		Errno: syscall.ENOSPC}))
 	health := func(d *agentProcess) int {
 		status, err := get(singleUseClient, d.addr, "/_health")
 		if err != nil {
@@ -263,8 +263,8 @@
 		t.Fatalf("status %d", status)
 	}
 	began := time.Now()
-	younger := startAgent(t, r.discovery.addr, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read,
-		Path: "handover.json", Errno: syscall.EIO}}}, r.ln, r.dir)
+	younger := startAgent(t, r.discovery.addr, failing(faultinject.Failure{Call: faultinject.Read,
+		Path: "handover.json", Errno: syscall.EIO}), r.ln, r.dir)
 	for time.Since(began) < 3*time.Second {
 		status, took := younger.adminCall(t, "/_ready", "")
 		if status == 200 {
@@ -290,11 +290,11 @@
 // the younger fails once.
 func TestCallToTheOlderProcessReachesTheSuccessor(t *testing.T) {
 	for name, c := range map[string]struct{ older, younger faultinject.Plan }{
-		"older can't write": {older: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "handover.json",
-			Errno: syscall.EIO}}}},
-		"younger can't read once": {younger: faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Read,
+		"older can't write": {older: failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
+			Errno: syscall.EIO})},
+		"younger can't read once": {younger: failing(faultinject.Failure{Call: faultinject.Read,
 			Path:  "handover.json",
-			Errno: syscall.EIO, Times: 1}}}},
+			Errno: syscall.EIO, Times: 1})},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -113,6 +113,11 @@
 	return string(text)
 }
 
+// failing is a fault plan with one failure.
+func failing(f faultinject.Failure) faultinject.Plan {
+	return faultinject.Plan{Failures: []faultinject.Failure{f}}
+}
+
 // applyPlan puts a fault plan in force.
 func (d *agentProcess) applyPlan(t *testing.T, p faultinject.Plan) {
 	t.Helper()
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -51,8 +51,8 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{{Call: faultinject.Write, Path: "pipe:",
-		Errno: syscall.ENOSPC}}})
+	d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Write, Path: "pipe:",
+		Errno: syscall.ENOSPC}))
 	awaitServed(t, d, testTimeout)
 	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -16,6 +16,48 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
+// reloadThroughFailures replaces the configuration of an agent by one that names another discovery, while reading it fails. No
+// failures: the configuration is half written at first. twice sends a second SIGHUP at once. After 4 s no request may go to a
+// backend that drains in the new discovery.
+func reloadThroughFailures(t *testing.T, old, fresh *fakeBackend, failures []faultinject.Failure, twice bool, path string) {
+	t.Helper()
+	oldDiscovery := newFakeDiscovery(t, readyEndpoint("old", old))
+	newDiscovery := newFakeDiscovery(t, newEndpoint("old", old.addr, "draining"), readyEndpoint("new", fresh))
+	d := startAgent(t, oldDiscovery.addr, faultinject.Plan{}, nil, "")
+	awaitReady(t, d.addr)
+	text := fmt.Appendf(nil, faultsConfigTemplate, d.addr, newDiscovery.addr)
+	first := text
+	if failures == nil {
+		first = text[:len(text)/2]
+	}
+	if err := os.WriteFile(d.configPath, first, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d.applyPlan(t, faultinject.Plan{Failures: failures})
+	d.signal(t, syscall.SIGHUP)
+	signalledAt := time.Now()
+	if twice {
+		d.signal(t, syscall.SIGHUP)
+	}
+	if failures == nil || failures[0].Times == 0 {
+		time.Sleep(2 * time.Second)
+		d.applyPlan(t, faultinject.Plan{})
+	}
+	if err := os.WriteFile(d.configPath, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(time.Until(signalledAt.Add(4 * time.Second)))
+	before := fresh.requestCount.Load()
+	for range 10 {
+		if status, err := get(singleUseClient, d.addr, path); status != 200 {
+			t.Fatalf("%d, %v", status, err)
+		}
+	}
+	if fresh.requestCount.Load() == before {
+		t.Error("requests go to a backend that drains in the new discovery")
+	}
+}
+
 // What the new discovery lists applies 4 s after a SIGHUP, also if the configuration can't be read at that moment or is half
 // written, and if several signals follow each other.
 func TestReloadIsRetriedAfterAFailure(t *testing.T) {
@@ -32,51 +74,57 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			before := newFakeDiscovery(t, readyEndpoint("old", old))
-			after := newFakeDiscovery(t, newEndpoint("old", old.addr, "draining"), readyEndpoint("new", fresh))
-			d := startAgent(t, before.addr, faultinject.Plan{}, nil, "")
-			awaitReady(t, d.addr)
-			text := fmt.Appendf(nil, faultsConfigTemplate, d.addr, after.addr)
-			first := text
-			if failures == nil {
-				first = text[:len(text)/2]
-			}
-			if err := os.WriteFile(d.configPath, first, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			d.applyPlan(t, faultinject.Plan{Failures: failures})
-			d.signal(t, syscall.SIGHUP)
-			told := time.Now()
-			if strings.HasPrefix(name, "twice") {
-				d.signal(t, syscall.SIGHUP)
-			}
-			if failures == nil || failures[0].Times == 0 {
-				time.Sleep(2 * time.Second)
-				d.applyPlan(t, faultinject.Plan{})
-			}
-			if err := os.WriteFile(d.configPath, text, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			time.Sleep(time.Until(told.Add(4 * time.Second)))
-			was := fresh.requestCount.Load()
-			for range 10 {
-				if status, err := get(singleUseClient, d.addr, "/get/"+name[:4]); status != 200 {
-					t.Fatalf("%d, %v", status, err)
-				}
-			}
-			if fresh.requestCount.Load() == was {
-				t.Error("requests go to a backend that drains in the new discovery")
-			}
+			reloadThroughFailures(t, old, fresh, failures, strings.HasPrefix(name, "twice"), "/get/"+name[:4])
 		})
 	}
 }
 
+// reloadToFailingDiscovery has an agent follow another discovery, whose first calls fail. mode says whether lists are pushed or
+// polled. 4.4 s after the signals requests must go where the new discovery says.
+func reloadToFailingDiscovery(t *testing.T, old, fresh *fakeBackend, mode string, times int64, fail http.HandlerFunc,
+	path string) {
+	t.Helper()
+	var calls atomic.Int64
+	after := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		if calls.Add(1) <= times {
+			fail(w, r)
+			return
+		}
+		list := []endpoint{newEndpoint("old", old.addr, "draining"), readyEndpoint("new", fresh)}
+		_ = json.NewEncoder(w).Encode(map[string]any{"version": 1, "full": true, "servers": list})
+		_ = http.NewResponseController(w).Flush()
+		<-r.Context().Done()
+	})
+	oldDiscovery := newFakeDiscovery(t, readyEndpoint("old", old))
+	d := startAgent(t, oldDiscovery.addr, faultinject.Plan{}, nil, "", "automatic", mode)
+	awaitReady(t, d.addr)
+	for _, to := range []string{freeAddr(t), after} { // nothing listens at the first of the two
+		if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to),
+			"automatic", mode, 1)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		d.signal(t, syscall.SIGHUP)
+	}
+	signalledAt := time.Now()
+	time.Sleep(time.Until(signalledAt.Add(4*time.Second + 400*time.Millisecond)))
+	before := fresh.requestCount.Load()
+	for range 5 {
+		if status, err := get(singleUseClient, d.addr, path); status != 200 {
+			t.Fatalf("%d, %v", status, err)
+		}
+	}
+	if fresh.requestCount.Load()-before < 5 {
+		t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.requestCount.Load()-before,
+			calls.Load())
+	}
+}
+
 // The new discovery may refuse, hang or reset at first, whether lists are pushed or polled, and another SIGHUP may follow at
 // once: its list applies 4 s after the signal, and its drains half a second later.
 func TestReloadToAFailingDiscoveryRecovers(t *testing.T) {
 	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for _, mode := range []string{"automatic", "subscribe"} {
-		for name, fail := range map[string]func(w http.ResponseWriter, r *http.Request){
+		for name, fail := range map[string]http.HandlerFunc{
 			"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 			"hangs":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 			"resets":  func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -88,40 +136,8 @@
 			for _, times := range []int64{1, 2} {
 				t.Run(fmt.Sprint(mode, " ", name, " ", times), func(t *testing.T) {
 					t.Parallel()
-					var calls atomic.Int64
-					after := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-						if calls.Add(1) <= times {
-							fail(w, r)
-							return
-						}
-						list := []endpoint{newEndpoint("old", old.addr, "draining"), readyEndpoint("new", fresh)}
-						_ = json.NewEncoder(w).Encode(map[string]any{"version": 1, "full": true, "servers": list})
-						_ = http.NewResponseController(w).Flush()
-						<-r.Context().Done()
-					})
-					before := newFakeDiscovery(t, readyEndpoint("old", old))
-					d := startAgent(t, before.addr, faultinject.Plan{}, nil, "", "automatic", mode)
-					awaitReady(t, d.addr)
-					for _, to := range []string{freeAddr(t), after} { // nothing listens at the address in the first of the two configurations
-						if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to),
-							"automatic", mode, 1)), 0o600); err != nil {
-							t.Fatal(err)
-						}
-						d.signal(t, syscall.SIGHUP)
-					}
-					told := time.Now()
-					time.Sleep(time.Until(told.Add(4*time.Second + 400*time.Millisecond)))
-					id := fmt.Sprint("/get/", mode, name, times)
-					was := fresh.requestCount.Load()
-					for range 5 {
-						if status, err := get(singleUseClient, d.addr, strings.ReplaceAll(id, " ", "")); status != 200 {
-							t.Fatalf("%d, %v", status, err)
-						}
-					}
-					if fresh.requestCount.Load()-was < 5 {
-						t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.requestCount.Load()-was,
-							calls.Load())
-					}
+					path := strings.ReplaceAll(fmt.Sprint("/get/", mode, name, times), " ", "")
+					reloadToFailingDiscovery(t, old, fresh, mode, times, fail, path)
 				})
 			}
 		}
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -111,6 +111,19 @@
 const keyedClass = `{"Name":"put","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":300},
    {"Name":"pay",`
 
+// checkRetries counts retries and checks that each arrived within a time of the first attempt of its request.
+func checkRetries(t *testing.T, arrivals map[string][]time.Time, within time.Duration) (retries int) {
+	t.Helper()
+	for id, at := range arrivals {
+		for _, again := range at[1:] {
+			if retries++; again.Sub(at[0]) > within {
+				t.Errorf("%s came again after %v", id, again.Sub(at[0]))
+			}
+		}
+	}
+	return retries
+}
+
 // A keyed request that may have run is retried only within its deduplication window, also if the process is stopped for 0.15 s
 // at any moment. One that must not run twice is neither retried nor refused after its last byte has reached a backend.
 func TestRetriesStayWithinTheDedupWindow(t *testing.T) {
@@ -138,21 +151,15 @@
 			}
 			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "",
 				`{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
-				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`) // a retry may take that long to arrive, which must still be within the window
+				// A retry may take the connect timeout to arrive, which must still be within the window.
+				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`)
 			awaitReady(t, d.addr)
 			resume := d.stopRepeatedly(t)
 			statuses := postRequests(t, d.addr, "/put/x", 4)
 			keyed := arrivals.reset()
 			once := postRequests(t, d.addr, "/pay/x", 4)
 			resume()
-			repeated := 0
-			for id, at := range keyed {
-				for _, again := range at[1:] {
-					if repeated++; again.Sub(at[0]) > window+slack+late() {
-						t.Errorf("%s came again after %v", id, again.Sub(at[0]))
-					}
-				}
-			}
+			repeated := checkRetries(t, keyed, window+slack+late())
 			for id, at := range arrivals.reset() {
 				if len(at) > 1 || once[id] == http.StatusServiceUnavailable {
 					t.Errorf("%s, which may run once, came %d times and has %d", id, len(at), once[id])
@@ -165,6 +172,51 @@
 	}
 }
 
+// drainUnderLoad has a backend that rejects all requests drain, or removes it from the list, while clients send, and checks when
+// its last attempt arrives. hold stops the process for 0.15 s at that moment.
+func drainUnderLoad(t *testing.T, state string, hold bool) {
+	t.Helper()
+	late := schedulingDelay(t)
+	var mu sync.Mutex
+	var latest time.Time
+	rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is retried
+		mu.Lock()
+		latest = time.Now()
+		mu.Unlock()
+		w.Header().Set("X-Never-Ran", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+	})
+	old := []endpoint{newEndpoint("a", rejecting, "ready")}
+	good := newFakeBackend(t)
+	discovery := newFakeDiscovery(t, old...)
+	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
+	awaitReady(t, d.addr)
+	stop := time.AfterFunc(time.Second, func() {
+		now := []endpoint{readyEndpoint("b", good)}
+		if state == "draining" {
+			old[0].State = state
+			now = append(now, old[0])
+		}
+		discovery.publish(now...)
+		if hold {
+			d.signal(t, syscall.SIGSTOP)
+			time.Sleep(150 * time.Millisecond)
+			d.signal(t, syscall.SIGCONT)
+		}
+	})
+	defer stop.Stop()
+	told := time.Now().Add(time.Second)
+	postRequests(t, d.addr, "/pay/x", 3)
+	for time.Since(told) < 2*time.Second {
+		postRequests(t, d.addr, "/pay/x", 1)
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	if latest.IsZero() || latest.Sub(told) > 550*time.Millisecond+late() {
+		t.Errorf("the latest attempt came %v after the list was told", latest.Sub(told))
+	}
+}
+
 // No attempt arrives at a backend later than 0.5 s after discovery lists it as draining or removes it: neither of new requests,
 // nor as retries of those that wait, also if the process is stopped at that moment.
 func TestNoAttemptsToADrainingBackend(t *testing.T) {
@@ -172,45 +224,7 @@
 		for _, hold := range []bool{false, true} {
 			t.Run(fmt.Sprint(state, " ", hold), func(t *testing.T) {
 				t.Parallel()
-				late := schedulingDelay(t)
-				var mu sync.Mutex
-				var latest time.Time
-				rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is retried
-					mu.Lock()
-					latest = time.Now()
-					mu.Unlock()
-					w.Header().Set("X-Never-Ran", "1")
-					w.WriteHeader(http.StatusServiceUnavailable)
-				})
-				old := []endpoint{newEndpoint("a", rejecting, "ready")}
-				good := newFakeBackend(t)
-				discovery := newFakeDiscovery(t, old...)
-				d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
-				awaitReady(t, d.addr)
-				stop := time.AfterFunc(time.Second, func() {
-					now := []endpoint{readyEndpoint("b", good)}
-					if state == "draining" {
-						old[0].State = state
-						now = append(now, old[0])
-					}
-					discovery.publish(now...)
-					if hold {
-						d.signal(t, syscall.SIGSTOP)
-						time.Sleep(150 * time.Millisecond)
-						d.signal(t, syscall.SIGCONT)
-					}
-				})
-				defer stop.Stop()
-				told := time.Now().Add(time.Second)
-				postRequests(t, d.addr, "/pay/x", 3)
-				for time.Since(told) < 2*time.Second {
-					postRequests(t, d.addr, "/pay/x", 1)
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				if latest.IsZero() || latest.Sub(told) > 550*time.Millisecond+late() {
-					t.Errorf("the latest attempt came %v after the list was told", latest.Sub(told))
-				}
+				drainUnderLoad(t, state, hold)
 			})
 		}
 	}
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -15,6 +15,24 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
+// earlyBackend starts a backend that answers a POST before it has read the body.
+func earlyBackend(t *testing.T, answer string) (addr string) {
+	t.Helper()
+	return serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.Method != http.MethodPost {
+			return
+		}
+		rc := http.NewResponseController(w)
+		if err := rc.EnableFullDuplex(); err != nil {
+			t.Error(err)
+		}
+		w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
+		_, _ = io.WriteString(w, answer) // where the agent has closed the connection, the checks below show it
+		_ = rc.Flush()
+		_, _ = io.Copy(io.Discard, r.Body)
+	})
+}
+
 // A backend starts a request at its last byte, so an answer before that is no answer to the request, whether the rest of the
 // body arrives soon, late or never.
 func TestAnswerBeforeTheLastByteIsNoAnswer(t *testing.T) {
@@ -30,20 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			early := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-				if r.Method != http.MethodPost {
-					return
-				}
-				rc := http.NewResponseController(w)
-				if err := rc.EnableFullDuplex(); err != nil {
-					t.Error(err)
-				}
-				w.Header().Set("Content-Length", fmt.Sprint(len(c.answer)))
-				_, _ = io.WriteString(w, c.answer) // where the agent has closed the connection, the checks below show it
-				_ = rc.Flush()
-				_, _ = io.Copy(io.Discard, r.Body)
-			})
-			list := newEndpoint("s", early, "ready")
+			list := newEndpoint("s", earlyBackend(t, c.answer), "ready")
 			d := startAgent(t, newFakeDiscovery(t, list).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			conn, err := net.Dial("tcp", d.addr)
@@ -51,7 +56,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			began := time.Now()
+			startedAt := time.Now()
 			_, err = fmt.Fprintf(conn, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: early\r\nX-Expires-In: 1\r\nContent-Length: %d\r\n\r\n%s",
 				length, strings.Repeat("x", first))
 			if err != nil {
@@ -66,11 +71,11 @@
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				t.Fatalf("no answer after %v: %v", time.Since(began), err)
+				t.Fatalf("no answer after %v: %v", time.Since(startedAt), err)
 			}
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				t.Errorf("served after %v", time.Since(began))
+				t.Errorf("served after %v", time.Since(startedAt))
 			}
 		})
 	}
