--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -137,8 +137,8 @@
 		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that there is a datagram to read
 			t.Fatal(err)
 		}
-		before, began := cpuTime(t, d.cmd.Process.Pid), time.Now()
-		for time.Since(began) < 2*time.Second {
+		before, startedAt := cpuTime(t, d.cmd.Process.Pid), time.Now()
+		for time.Since(startedAt) < 2*time.Second {
 			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 				t.Errorf("%s for 2 s: %d, %v", call, status, err)
 			}
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -110,17 +110,17 @@
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	whole := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("x", 30)
+	complete := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("x", 30)
 	chunked := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n12345678\r\n0\r\n\r\n"
 	large := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000)
 	late := schedulingDelay(t)
 	var clients sync.WaitGroup
-	for _, text := range []string{whole, chunked, large} {
+	for _, text := range []string{complete, chunked, large} {
 		for cut := 1; cut < len(text); cut += max(5, len(text)/15) {
 			for _, second := range []bool{false, true} {
 				clients.Go(func() {
-					if took, err := sendPartOfRequest(d.addr, text[:cut], second); took > 3*time.Second+late() || err != nil {
-						t.Errorf("%q of %d, second %v: %v until an error or a close, %v", text[:min(cut, 60)], len(text), second, took, err)
+					if elapsed, err := sendPartOfRequest(d.addr, text[:cut], second); elapsed > 3*time.Second+late() || err != nil {
+						t.Errorf("%q of %d, second %v: %v until an error or a close, %v", text[:min(cut, 60)], len(text), second, elapsed, err)
 					}
 				})
 			}
@@ -177,16 +177,16 @@
 					return
 				}
 				defer c.Close()
-				began := time.Now()
-				_ = c.SetDeadline(began.Add(testTimeout))
+				startedAt := time.Now()
+				_ = c.SetDeadline(startedAt.Add(testTimeout))
 				go func() {
 					for _, err := io.WriteString(c, start); err == nil; _, err = io.WriteString(c, "1") {
 						time.Sleep(every)
 					}
 				}()
 				_, _ = c.Read(make([]byte, 1)) // an error is a close
-				if took := time.Since(began); took > 3*time.Second+late() {
-					t.Errorf("%q, a byte every %v: %v until an error or a close", start[:10], every, took)
+				if elapsed := time.Since(startedAt); elapsed > 3*time.Second+late() {
+					t.Errorf("%q, a byte every %v: %v until an error or a close", start[:10], every, elapsed)
 				}
 			})
 		}
@@ -196,9 +196,9 @@
 
 // A request with very little time left gets its final answer in that time, even if its backend never answers.
 func TestRequestWithShortDeadlineIsAnsweredInTime(t *testing.T) {
-	mute := newFakeBackend(t)
-	mute.latency = time.Hour
-	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", mute)).addr, faultinject.Plan{}, nil, "")
+	unresponsive := newFakeBackend(t)
+	unresponsive.latency = time.Hour
+	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", unresponsive)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	late := schedulingDelay(t)
 	for _, left := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond,
@@ -210,14 +210,14 @@
 			}
 			req.Header.Set("X-Trace-Id", fmt.Sprintf("%016x", requestCounter.Add(1)))
 			req.Header.Set("X-Expires-In", fmt.Sprintf("%.4f", left.Seconds()))
-			began := time.Now()
+			startedAt := time.Now()
 			resp, err := singleUseClient.Do(req)
 			if err != nil {
 				t.Fatalf("%v left: %v", left, err)
 			}
 			resp.Body.Close()
-			if took := time.Since(began); resp.StatusCode == 200 || took > left+100*time.Millisecond+late() {
-				t.Errorf("%v left: %d after %v", left, resp.StatusCode, took)
+			if elapsed := time.Since(startedAt); resp.StatusCode == 200 || elapsed > left+100*time.Millisecond+late() {
+				t.Errorf("%v left: %d after %v", left, resp.StatusCode, elapsed)
 			}
 		}
 	}
--- a/cmd/agent/fakes_test.go
+++ b/cmd/agent/fakes_test.go
@@ -74,12 +74,12 @@
 	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for {
 			c.mu.Lock()
-			list, version, told := c.list, c.version, c.changed
+			list, version, changed := c.list, c.version, c.changed
 			c.mu.Unlock()
 			_ = json.NewEncoder(w).Encode(map[string]any{"version": version, "full": true, "servers": list})
 			_ = http.NewResponseController(w).Flush()
 			select {
-			case <-told:
+			case <-changed:
 			case <-r.Context().Done():
 				return
 			}
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -35,23 +35,23 @@
 			t.Parallel()
 			late := schedulingDelay(t)
 			var latest atomic.Int64 // since the start, in ns
-			var began time.Time
-			drains := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
-				latest.Store(max(latest.Load(), int64(time.Since(began))))
+			var startedAt time.Time
+			draining := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
+				latest.Store(max(latest.Load(), int64(time.Since(startedAt))))
 				fmt.Fprint(w, "served")
 			})
 			good := newFakeBackend(t)
-			now := []endpoint{newEndpoint("s", drains, "draining"), readyEndpoint("t", good)}
-			known := fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},"settings":`, drains)
+			now := []endpoint{newEndpoint("s", draining, "draining"), readyEndpoint("t", good)}
+			known := fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},"settings":`, draining)
 			plan := faultinject.Plan{}
 			if failure.Call != "" {
 				plan.Failures = []faultinject.Failure{failure}
 			}
 			discovery := newFakeDiscovery(t, now...)
-			began = time.Now()
+			startedAt = time.Now()
 			d := startAgent(t, discovery.addr, plan, nil, "", `"settings":`, known)
 			awaitReady(t, d.addr)
-			for time.Since(began) < 2*time.Second {
+			for time.Since(startedAt) < 2*time.Second {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK && status != http.StatusServiceUnavailable {
 					t.Fatalf("%d, %v", status, err)
 				}
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -66,42 +66,42 @@
 
 // A confirmed detach survives an upgrade, whatever failures the shared folder had before.
 func TestDetachSurvivesAFailingFolder(t *testing.T) {
-	at := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
+	failingCall := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
 		return failing(faultinject.Failure{Call: call, Path: path, Errno: errno, Times: times})
 	}
 	for name, c := range map[string]struct {
 		start, during, younger faultinject.Plan
 	}{
-		"first write fails once":             {start: at(faultinject.Write, "handover.json", syscall.EIO, 1)},
-		"first write fails thrice":           {start: at(faultinject.Write, "handover.json", syscall.ENOSPC, 3)},
-		"first open of the lock fails":       {start: at(faultinject.Open, "owner", syscall.ENFILE, 1)},
-		"first lock fails":                   {start: at(faultinject.Lock, "owner", syscall.ENOLCK, 2)},
-		"rename fails once":                  {during: at(faultinject.Rename, "handover.json", syscall.EIO, 1)},
-		"writes fail for 3 s":                {during: at(faultinject.Write, "handover.json", syscall.EIO, 0)},
-		"opens fail for 3 s":                 {during: at(faultinject.Open, "handover.json", syscall.ENOSPC, 0)},
-		"locks fail for 3 s":                 {during: at(faultinject.Lock, "lock", syscall.ENOLCK, 0)},
-		"the successor's first read":         {younger: at(faultinject.Read, "handover.json", syscall.EIO, 1)},
-		"the successor's first three":        {younger: at(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
-		"the successor's reads for long":     {younger: at(faultinject.Read, "handover.json", syscall.EIO, 40)},
-		"the successor's first write":        {younger: at(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
-		"the successor's owner":              {younger: at(faultinject.Open, "owner", syscall.EIO, 2)},
-		"the successor's writes throughout":  {younger: at(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
-		"the successor's renames throughout": {younger: at(faultinject.Rename, "handover.json", syscall.EIO, 0)},
+		"first write fails once":             {start: failingCall(faultinject.Write, "handover.json", syscall.EIO, 1)},
+		"first write fails thrice":           {start: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 3)},
+		"first open of the lock fails":       {start: failingCall(faultinject.Open, "owner", syscall.ENFILE, 1)},
+		"first lock fails":                   {start: failingCall(faultinject.Lock, "owner", syscall.ENOLCK, 2)},
+		"rename fails once":                  {during: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 1)},
+		"writes fail for 3 s":                {during: failingCall(faultinject.Write, "handover.json", syscall.EIO, 0)},
+		"opens fail for 3 s":                 {during: failingCall(faultinject.Open, "handover.json", syscall.ENOSPC, 0)},
+		"locks fail for 3 s":                 {during: failingCall(faultinject.Lock, "lock", syscall.ENOLCK, 0)},
+		"the successor's first read":         {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 1)},
+		"the successor's first three":        {younger: failingCall(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
+		"the successor's reads for long":     {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 40)},
+		"the successor's first write":        {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
+		"the successor's owner":              {younger: failingCall(faultinject.Open, "owner", syscall.EIO, 2)},
+		"the successor's writes throughout":  {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
+		"the successor's renames throughout": {younger: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			late := schedulingDelay(t)
 			r := newReplaceableAgent(t, c.start)
 			r.current.applyPlan(t, c.during)
-			status, took := r.current.adminCall(t, "/_backends/detach", detachOneBody)
-			if took > time.Second+late() {
-				t.Errorf("answered after %v", took)
+			status, elapsed := r.current.adminCall(t, "/_backends/detach", detachOneBody)
+			if elapsed > time.Second+late() {
+				t.Errorf("answered after %v", elapsed)
 			}
 			if c.during.Failures == nil && status != 200 {
 				t.Errorf("status %d", status)
 			}
 			if c.during.Failures != nil && c.during.Failures[0].Times == 0 {
-				time.Sleep(3*time.Second - took)
+				time.Sleep(3*time.Second - elapsed)
 				r.current.applyPlan(t, faultinject.Plan{})
 				time.Sleep(time.Second) // recorded without another call
 			}
@@ -113,14 +113,14 @@
 }
 
 // A call that can't be recorded within its time is answered with 503.
-func TestNoYesThatCannotBeKept(t *testing.T) {
+func TestCallThatCannotBeRecordedIsRejected(t *testing.T) {
 	late := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	fails := failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO})
 	r.current.applyPlan(t, fails)
 	for _, path := range []string{"/_backends/detach", "/_lameduck/on", "/_lameduck/off"} {
-		if status, took := r.current.adminCall(t, path, detachOneBody); status != 503 || took > time.Second+late() {
-			t.Errorf("%s: %d after %v", path, status, took)
+		if status, elapsed := r.current.adminCall(t, path, detachOneBody); status != 503 || elapsed > time.Second+late() {
+			t.Errorf("%s: %d after %v", path, status, elapsed)
 		}
 	}
 }
@@ -172,13 +172,13 @@
 		status, _ := get(singleUseClient, r.current.addr, "/get/x")
 		return status == 200 && third.requestCount.Load() > 0
 	})
-	was := r.one.requestCount.Load()
+	before := r.one.requestCount.Load()
 	if status, _ := r.current.adminCall(t, "/_backends/attach", detachOneBody); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	await(t, "the attached backend to be used", 5*time.Second, func() bool {
 		_, _ = get(singleUseClient, r.current.addr, "/get/x")
-		return r.one.requestCount.Load() > was
+		return r.one.requestCount.Load() > before
 	})
 }
 
@@ -262,21 +262,21 @@
 	if status, _ := r.current.adminCall(t, "/_backends/detach", detachOneBody); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	younger := startAgent(t, r.discovery.addr, failing(faultinject.Failure{Call: faultinject.Read,
 		Path: "handover.json", Errno: syscall.EIO}), r.ln, r.dir)
-	for time.Since(began) < 3*time.Second {
-		status, took := younger.adminCall(t, "/_ready", "")
+	for time.Since(startedAt) < 3*time.Second {
+		status, elapsed := younger.adminCall(t, "/_ready", "")
 		if status == 200 {
-			t.Fatalf("ready after %v, and knows of no call", time.Since(began))
+			t.Fatalf("ready after %v, and knows of no call", time.Since(startedAt))
 		}
-		if status != 0 && took > time.Second+late() { // 0: not listening yet
-			t.Errorf("no answer for %v", took)
+		if status != 0 && elapsed > time.Second+late() { // 0: not listening yet
+			t.Errorf("no answer for %v", elapsed)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	younger.applyPlan(t, faultinject.Plan{})
-	younger.awaitAdminOK(t, time.Until(began.Add(6*time.Second)), "/_ready", "")
+	younger.awaitAdminOK(t, time.Until(startedAt.Add(6*time.Second)), "/_ready", "")
 	r.current.signal(t, syscall.SIGTERM)
 	if err := r.current.cmd.Wait(); err != nil {
 		t.Error(err)
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -154,14 +154,14 @@
 func newDeltaDiscovery(t *testing.T, list []endpoint) *deltaDiscovery {
 	t.Helper()
 	c := &deltaDiscovery{list: list, changed: make(chan struct{})}
-	whole := listLine(t, 1, true, list)
+	full := listLine(t, 1, true, list)
 	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		n, _ := io.WriteString(w, whole)
+		n, _ := io.WriteString(w, full)
 		c.bytesSent.Add(int64(n))
-		for told := 0; ; {
+		for sent := 0; ; {
 			c.mu.Lock()
-			lines, more := c.lines[told:], c.changed
-			told = len(c.lines)
+			lines, more := c.lines[sent:], c.changed
+			sent = len(c.lines)
 			c.mu.Unlock()
 			n, err := io.WriteString(w, strings.Join(lines, "")+"\n")
 			c.bytesSent.Add(int64(n))
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -23,21 +23,21 @@
 func TestFaultsAfterAQuietPeriodAreHandled(t *testing.T) {
 	late := schedulingDelay(t)
 	var latest atomic.Int64 // when the draining backend got its latest request, in ns of Unix time
-	drains := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
+	draining := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		latest.Store(time.Now().UnixNano())
 		fmt.Fprint(w, "served")
 	})
-	var hangs atomic.Bool
+	var hang atomic.Bool
 	hanging := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		if hangs.Load() {
+		if hang.Load() {
 			<-r.Context().Done()
 		}
 		fmt.Fprint(w, "served")
 	})
 	good := newFakeBackend(t)
-	forgotten := backendWithShortIdleTimeout(t)
-	list := []endpoint{newEndpoint("s", drains, "ready"), readyEndpoint("t", good),
-		newEndpoint("u", hanging, "ready"), newEndpoint("v", forgotten, "ready")}
+	idleClosing := backendWithShortIdleTimeout(t)
+	list := []endpoint{newEndpoint("s", draining, "ready"), readyEndpoint("t", good),
+		newEndpoint("u", hanging, "ready"), newEndpoint("v", idleClosing, "ready")}
 	discovery := newFakeDiscovery(t, list...)
 	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`,
 		`"AimMs":500,"DeadlineMs":1000`)
@@ -51,10 +51,10 @@
 	list = slices.Clone(list) // the list before may still be in use by a handler
 	list[0].State = "draining"
 	discovery.publish(list...)
-	told := time.Now()
-	hangs.Store(true)
-	served, others, unanswered := sendAtOnce(t, d.addr, told.Add(2*time.Second), late)
-	if at := time.Unix(0, latest.Load()).Sub(told); at > 550*time.Millisecond+late() {
+	publishedAt := time.Now()
+	hang.Store(true)
+	served, others, unanswered := sendAtOnce(t, d.addr, publishedAt.Add(2*time.Second), late)
+	if at := time.Unix(0, latest.Load()).Sub(publishedAt); at > 550*time.Millisecond+late() {
 		t.Errorf("the backend that drains got a request %v after it was told", at)
 	}
 	if served < 4*others || unanswered > 0 {
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -205,15 +205,15 @@
 		}
 	})
 	defer stop.Stop()
-	told := time.Now().Add(time.Second)
+	publishedAt := time.Now().Add(time.Second)
 	postRequests(t, d.addr, "/pay/x", 3)
-	for time.Since(told) < 2*time.Second {
+	for time.Since(publishedAt) < 2*time.Second {
 		postRequests(t, d.addr, "/pay/x", 1)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if latest.IsZero() || latest.Sub(told) > 550*time.Millisecond+late() {
-		t.Errorf("the latest attempt came %v after the list was told", latest.Sub(told))
+	if latest.IsZero() || latest.Sub(publishedAt) > 550*time.Millisecond+late() {
+		t.Errorf("the latest attempt came %v after the list was told", latest.Sub(publishedAt))
 	}
 }
 
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -98,11 +98,11 @@
 }
 
 // signal sends the signals and then injects the faults. It returns when SIGTERM was first sent.
-func (c *shutdownCase) signal(t *testing.T, d *agentProcess) (termed time.Time) {
+func (c *shutdownCase) signal(t *testing.T, d *agentProcess) (terminatedAt time.Time) {
 	t.Helper()
 	for _, s := range c.signals {
-		if s == syscall.SIGTERM && termed.IsZero() {
-			termed = time.Now()
+		if s == syscall.SIGTERM && terminatedAt.IsZero() {
+			terminatedAt = time.Now()
 		}
 		d.signal(t, s)
 		time.Sleep(60 * time.Millisecond)
@@ -113,11 +113,11 @@
 	if c.fails.Call != "" {
 		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
 	}
-	return termed
+	return terminatedAt
 }
 
 // awaitExit waits until the process has exited, until the earliest SIGKILL at most.
-func (c *shutdownCase) awaitExit(t *testing.T, d *agentProcess, termed time.Time, late func() time.Duration) {
+func (c *shutdownCase) awaitExit(t *testing.T, d *agentProcess, terminatedAt time.Time, late func() time.Duration) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- d.cmd.Wait() }()
@@ -133,7 +133,7 @@
 		if err != nil && !(c.untilEnd && d.killedBy(syscall.SIGTERM)) {
 			t.Errorf("it ended with %v", err)
 		}
-	case <-time.After(time.Until(termed.Add(c.deadline + 700*time.Millisecond))):
+	case <-time.After(time.Until(terminatedAt.Add(c.deadline + 700*time.Millisecond))):
 		select {
 		case <-ended:
 		case <-time.After(late()):
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -178,9 +178,9 @@
 			again.Started = time.Now().Add(c.stamp).UnixMilli()
 			discovery.publish(warm, again)
 			time.Sleep(300 * time.Millisecond) // the agent has received the list
-			was := two.requestCount.Load()
+			before := two.requestCount.Load()
 			all := sendPaced(t, d.addr, 200)
-			checkSlowStart(t, two.requestCount.Load()-was, all)
+			checkSlowStart(t, two.requestCount.Load()-before, all)
 		})
 	}
 }
@@ -280,13 +280,13 @@
 			time.Sleep(time.Second)
 			step()
 			time.Sleep(time.Until(silent.Add(6*time.Second + 400*time.Millisecond)))
-			was := hanging.requestCount.Load()
+			before := hanging.requestCount.Load()
 			for range 10 {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
 					t.Errorf("%d, %v", status, err)
 				}
 			}
-			if n := hanging.requestCount.Load() - was; n > 0 {
+			if n := hanging.requestCount.Load() - before; n > 0 {
 				t.Errorf("%d of 10 requests go to a backend that drains, 6.4 s after the watch fell silent", n)
 			}
 		})
