--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -125,6 +125,27 @@
 	}
 }
 
+// startAndKillSuccessor starts a successor and kills it as soon as it is ready.
+func (r *replaceableAgent) startAndKillSuccessor(t *testing.T) {
+	t.Helper()
+	d := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
+	d.awaitAdminOK(t, 6*time.Second, "/_ready", "")
+	d.signal(t, syscall.SIGKILL)
+	_ = d.cmd.Wait()
+}
+
+// moveDiscovery has the agent reload its configuration, a text, with another discovery in it.
+func (r *replaceableAgent) moveDiscovery(t *testing.T, text []byte) {
+	t.Helper()
+	moved := newFakeDiscovery(t, r.discovery.list...)
+	if err := os.WriteFile(r.current.configPath, bytes.Replace(text, []byte(r.discovery.addr), []byte(moved.addr), 1),
+		0o600); err != nil {
+		t.Fatal(err)
+	}
+	r.current.signal(t, syscall.SIGHUP)
+	r.discovery = moved
+}
+
 // Confirmed calls survive several upgrades with another fault during each. A process that replaces another follows discovery
 // at the address in the replaced configuration, although its environment is that of the first process. One attach ends two
 // detaches.
@@ -144,21 +165,8 @@
 	t.Setenv("PROXY_DISCOVERY", first)
 	for round, disturb := range []func(){
 		func() {},
-		func() { // a successor that is killed as soon as it is ready
-			d := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
-			d.awaitAdminOK(t, 6*time.Second, "/_ready", "")
-			d.signal(t, syscall.SIGKILL)
-			_ = d.cmd.Wait()
-		},
-		func() { // a new configuration
-			moved := newFakeDiscovery(t, r.discovery.list...)
-			if err := os.WriteFile(r.current.configPath, bytes.Replace(text, []byte(r.discovery.addr), []byte(moved.addr), 1),
-				0o600); err != nil {
-				t.Fatal(err)
-			}
-			r.current.signal(t, syscall.SIGHUP)
-			r.discovery = moved
-		},
+		func() { r.startAndKillSuccessor(t) },
+		func() { r.moveDiscovery(t, text) },
 		func() { r.current.applyPlan(t, faultinject.Plan{Wall: -time.Hour}) },
 	} {
 		disturb()
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -93,23 +93,11 @@
 	return mb, len(open)
 }
 
-// measureUsage runs an agent under load while one in two hundred backends restarts each second, and returns what it used.
-func measureUsage(t *testing.T, size fleetSize, load traffic) (usage resourceUsage) {
+// sendLoad sends requests to an agent at fixed intervals while one in two hundred backends restarts each second. It returns the
+// share of requests that were served, and the most descriptors that the agent had open.
+func sendLoad(t *testing.T, client *http.Client, d *agentProcess, discovery *deltaDiscovery, backends int,
+	load traffic) (share float64, descriptors int) {
 	t.Helper()
-	var connections atomic.Int64
-	var list []endpoint
-	for i, addr := range startBackends(t, size.backends, load.latency, &connections) {
-		list = append(list, endpoint{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m",
-			State: "ready", Weight: 1})
-	}
-	discovery := newDeltaDiscovery(t, list)
-	objective := load.objective.Milliseconds()
-	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "",
-		`"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
-		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, objective, 3*objective))
-	awaitReady(t, d.addr)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: testTimeout}
-	defer client.CloseIdleConnections()
 	var served, sent atomic.Int64
 	var calls sync.WaitGroup
 	tick := time.NewTicker(load.interval)
@@ -123,12 +111,33 @@
 			}
 		})
 		if each := int(time.Second / load.interval); i%each == each-1 {
-			discovery.restart(max(1, size.backends/200))
+			discovery.restart(max(1, backends/200))
 			_, open := processUsage(t, d.cmd.Process.Pid)
-			usage.descriptors = max(usage.descriptors, open)
+			descriptors = max(descriptors, open)
 		}
 	}
 	calls.Wait()
+	return float64(served.Load()) / float64(sent.Load()), descriptors
+}
+
+// measureUsage runs an agent under load while one in two hundred backends restarts each second, and returns what it used.
+func measureUsage(t *testing.T, size fleetSize, load traffic) (usage resourceUsage) {
+	t.Helper()
+	var connections atomic.Int64
+	var list []endpoint
+	for i, addr := range startBackends(t, size.backends, load.latency, &connections) {
+		list = append(list, endpoint{ID: fmt.Sprintf("s-%05d", i), Addr: addr, Zone: string(rune('a' + i%3)), Kind: "m",
+			State: "ready", Weight: 1})
+	}
+	discovery := newDeltaDiscovery(t, list)
+	objective := load.objective.Milliseconds()
+	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "",
+		`"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, size.agents), `"Dcs":["a"]`, `"Dcs":["a","b","c"]`,
+		`"AimMs":5000,"DeadlineMs":5000`, fmt.Sprintf(`"AimMs":%d,"DeadlineMs":%d`, objective, 3*objective))
+	awaitReady(t, d.addr)
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: testTimeout}
+	defer client.CloseIdleConnections()
+	usage.served, usage.descriptors = sendLoad(t, client, d, discovery, size.backends, load)
 	usage.peakMB, _ = processUsage(t, d.cmd.Process.Pid)
 	d.signal(t, syscall.SIGTERM)
 	if err := d.cmd.Wait(); err != nil {
@@ -136,7 +145,7 @@
 	}
 	usage.cpu = d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
 	usage.listBytes = discovery.bytesSent.Load()
-	usage.connections, usage.served = connections.Load(), float64(served.Load())/float64(sent.Load())
+	usage.connections = connections.Load()
 	return usage
 }
 
