--- /dev/null
+++ b/internal/agent/handover/record_test.go
@@ -0,0 +1,81 @@
+package handover
+
+import (
+	"testing"
+	"time"
+)
+
+// A version of the program before this one gives times by the wall clock alone, and drops what it doesn't know. What it writes
+// counts, and so does what this one writes, wherever the wall clock has been stepped to since.
+func TestRecordsOfAnEarlierVersionAreReadByTheWallClock(t *testing.T) {
+	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
+	unix := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
+	earlier := Record{Format: 1, Generation: 1, SavedUnixMs: unix(time.Second), DisabledUnixMs: map[string]int64{"out": unix(time.Minute)},
+		EnabledUnixMs: map[string]int64{"back": unix(10 * time.Second)}}
+	if _, stale := earlier.stale(clocks); stale {
+		t.Error("a record of a second ago is stale")
+	}
+	list := newOverrides(&Record{}, &earlier, clocks)
+	if len(list) != 2 || list[0] != (Override{Backend: "out", Disabled: true, IssuedAt: time.Hour - time.Minute}) || list[1] != (Override{Backend: "back", IssuedAt: time.Hour - 10*time.Second}) {
+		t.Errorf("%+v", list)
+	}
+	earlier.apply(Override{Backend: "out", IssuedAt: time.Hour}, clocks)
+	if at := earlier.enabledAt("out", clocks); at != time.Hour || len(earlier.DisabledUnixMs) != 0 {
+		t.Errorf("attached again at %v, detached %v", at, earlier.DisabledUnixMs)
+	}
+	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
+		later := clockReading{boot: clocks.boot + time.Second, wall: clocks.wall.Add(step)}
+		r := Record{Format: 1, Generation: 1, SavedUnixMs: unix(0), SavedBootUs: clocks.boot.Microseconds()}
+		r.apply(Override{Backend: "out", Disabled: true, IssuedAt: clocks.boot}, clocks)
+		r.apply(Override{Backend: "out", IssuedAt: clocks.boot + time.Millisecond}, later)
+		if _, stale := r.stale(later); stale || r.enabledAt("out", later) != clocks.boot+time.Millisecond {
+			t.Errorf("after a step of %v: stale %v, attached at %v", step, stale, r.enabledAt("out", later))
+		}
+		if earlier.enabledAt("back", later) > later.boot {
+			t.Errorf("after a step of %v a time lies ahead", step)
+		}
+	}
+}
+
+// What a process left is stale once it has not been heard of for long, by real time, and after a restart of the machine.
+func TestRecordIsStaleAfterMaxAgeOrReboot(t *testing.T) {
+	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
+	at := func(boot time.Duration, wall time.Duration) Record {
+		return Record{Generation: 1, SavedBootUs: boot.Microseconds(), SavedUnixMs: clocks.wall.Add(wall).UnixMilli()}
+	}
+	for name, c := range map[string]struct {
+		record Record
+		stale  bool
+	}{
+		"fresh":                          {at(time.Hour-time.Second, -time.Second), false},
+		"at the bound":                   {at(time.Hour-maxRecordAge, -maxRecordAge), false},
+		"past it":                        {at(time.Hour-maxRecordAge-time.Second, -maxRecordAge-time.Second), true},
+		"fresh, the wall an hour on":     {at(time.Hour-time.Second, -time.Hour), false},
+		"past it, the wall set back":     {at(time.Hour-maxRecordAge-time.Second, time.Hour), true},
+		"of another start":               {at(2*time.Hour, -time.Second), true},
+		"of a version before, fresh":     {at(0, -time.Second), false},
+		"of a version before, long gone": {at(0, -time.Hour), true},
+		"none":                           {Record{}, false},
+	} {
+		if _, stale := c.record.stale(clocks); stale != c.stale {
+			t.Errorf("%s: stale %v", name, stale)
+		}
+	}
+}
+
+// A call that is recorded late does not undo one that came after it.
+func TestLateOverrideDoesNotUndoANewerOne(t *testing.T) {
+	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
+	var r Record
+	r.apply(Override{Backend: "s", Disabled: true, IssuedAt: 10 * time.Second}, clocks)
+	r.apply(Override{Backend: "s", IssuedAt: 20 * time.Second}, clocks)
+	r.apply(Override{Backend: "s", Disabled: true, IssuedAt: 15 * time.Second}, clocks)
+	if len(r.DisabledUnixMs) != 0 {
+		t.Errorf("detached again by a call before the attach: %+v", r)
+	}
+	r.apply(Override{Disabled: true, IssuedAt: 20 * time.Second}, clocks)
+	r.apply(Override{IssuedAt: 10 * time.Second}, clocks)
+	if !r.LameDuck {
+		t.Error("put back to work by a call before the drain")
+	}
+}
