--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -1,6 +1,8 @@
 package config
 
-import "net/netip"
+import (
+	"net/netip"
+)
 
 // addressKey is a key that holds an IP address and port.
 type addressKey struct {
