--- a/internal/versionedfile/versionedfile.go
+++ b/internal/versionedfile/versionedfile.go
@@ -1,4 +1,13 @@
-// Package versionedfile keeps texts that have versions over restarts, and follows the file in which they are given.
+// Package versionedfile stores versioned documents on disk, and watches the file in which an operator provides one.
+//
+// A document is a text with a version: the settings of a fleet, or its residency policy. Versions only grow. Several
+// documents may have the same version by mistake, so a stored state holds one version and all documents known under it.
+//
+// # State and owners
+//
+// The package has no state in memory. A state file belongs to the one process that was given its folder; nothing locks it.
+// Load checks its format and version, not the documents: their owner parses them. There is no age limit. A watched file
+// belongs to the operator; Watch reads it every 100 ms and never writes it.
 package versionedfile
 
 import (
@@ -15,7 +24,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest tells texts apart.
+// Digest returns a short hash, in hexadecimal, that tells documents of one version apart. It is not cryptographic.
 func Digest(text string) string { return strconv.FormatUint(xxhash.Sum64String(text), 16) }
 
 // storedState is the form on disk.
@@ -27,8 +36,10 @@
 
 const storedFormat = 1
 
-// SaveFunc returns what keeps versions under a name in a folder, synced when it returns: after a crash either the last
-// version or the one before is there, whole.
+// SaveFunc returns a function that saves a version and its documents under a name in a folder, which it makes if needed.
+// The state is synced to disk when the function returns without an error; after a crash the file holds either this state
+// or the one before, complete. Its errors are those of the file system, which name the operation and the path. It must not
+// be called twice at a time.
 func SaveFunc(dir, name string) func(version int64, documents []string) error {
 	return func(version int64, documents []string) error {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -45,12 +56,7 @@
 		if err := os.Rename(path+".new", path); err != nil {
 			return err
 		}
-		d, err := os.Open(dir)
-		if err != nil {
-			return err
-		}
-		defer d.Close()
-		return d.Sync()
+		return syncDir(dir)
 	}
 }
 
@@ -63,9 +69,21 @@
 	return errors.Join(err, f.Sync(), f.Close())
 }
 
-// Load reads what Keep kept; version 0: nothing was.
+// syncDir makes a rename in a folder durable.
+func syncDir(dir string) error {
+	d, err := os.Open(dir)
+	if err != nil {
+		return err
+	}
+	defer d.Close()
+	return d.Sync()
+}
+
+// Load reads what SaveFunc's function saved. Version 0 without an error means that nothing was saved. A file that can't be
+// read, or is not in the stored form, is an error that names the file.
 func Load(dir, name string) (version int64, documents []string, err error) {
-	data, err := os.ReadFile(filepath.Join(dir, name))
+	path := filepath.Join(dir, name)
+	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil, nil
 	}
@@ -77,18 +95,19 @@
 		err = fmt.Errorf("format %d, version %d", stored.Format, stored.Version)
 	}
 	if err != nil {
-		return 0, nil, fmt.Errorf("%s: %w", filepath.Join(dir, name), err)
+		return 0, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return stored.Version, stored.Documents, nil
 }
 
 const pollInterval = 100 * time.Millisecond
 
-// Watch tells of a file's text at once and whenever it changes, until ctx ends. A file that goes away, or can't be read,
-// is told once, as an error; one that was never there is not.
+// Watch calls onChange with a file's text, at once and whenever the text changes, until ctx ends. It polls the file and
+// returns when ctx ends; onChange runs in its goroutine. A file that goes away, or becomes unreadable, is reported once, as
+// an error with an empty text; one that was never there is not reported.
 func Watch(ctx context.Context, file string, onChange func(text string, err error)) {
-	tick := time.NewTicker(pollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	last := ""
 	for {
 		if data, err := os.ReadFile(file); string(data) != last {
@@ -98,7 +117,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
