--- a/internal/strictconfig/line.go
+++ b/internal/strictconfig/line.go
@@ -1,35 +1,47 @@
 package strictconfig
 
+// Finding the line of a key in a TOML text, for keys that the decoder has accepted and a later check has not.
+
 import (
 	"fmt"
 	"strings"
 )
 
-// LineOf is the line on which a dotted key stands; 0: on none. Where arrays of tables are not counted in the
-// key, the first that has it.
+// LineOf returns the line, from 1, on which a dotted key or the header of a table stands; 0 if it is on none, as where the
+// text spells it as an inline table. A key without indexes matches the first of several tables of an array.
 func LineOf(text, key string) int {
-	counts := map[string]int{}
-	table := ""
+	counts := map[string]int{} // of arrays of tables, by name
+	table := ""                // the present table's name and a dot
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		switch {
 		case strings.HasPrefix(line, "[["):
-			name := strings.TrimSpace(strings.Trim(strings.SplitN(line, "]", 2)[0], "["))
+			name := tableName(line)
 			table = fmt.Sprintf("%s[%d].", name, counts[name])
 			counts[name]++
 		case strings.HasPrefix(line, "["):
-			table = strings.TrimSpace(strings.Trim(strings.SplitN(line, "]", 2)[0], "[")) + "."
+			table = tableName(line) + "."
+		}
+		name, _, isAssignment := strings.Cut(line, "=")
+		if isAssignment && matches(table+strings.TrimSpace(name), key) {
+			return i + 1
 		}
-		name, _, assigned := strings.Cut(line, "=")
-		if full := table + strings.TrimSpace(name); assigned && (full == key || withoutIndexes(full) == key) ||
-			strings.TrimSuffix(table, ".") == key || withoutIndexes(strings.TrimSuffix(table, ".")) == key && key != "" {
+		header := strings.TrimSuffix(table, ".")
+		if header == key || withoutIndexes(header) == key && key != "" {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// withoutIndexes drops the counts of tables in arrays.
+// tableName returns the name in a table's header, as in [name] or [[name]].
+func tableName(header string) string {
+	return strings.TrimSpace(strings.Trim(strings.SplitN(header, "]", 2)[0], "["))
+}
+
+func matches(full, key string) bool { return full == key || withoutIndexes(full) == key }
+
+// withoutIndexes drops the indexes of arrays of tables: class[0].name becomes class.name.
 func withoutIndexes(key string) string {
 	var b strings.Builder
 	depth := 0
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -1,4 +1,6 @@
-// Package strictconfig reads TOML files and says what is wrong with one in a line that names file, line and key.
+// Package strictconfig decodes TOML files strictly: an unknown key is an error, and each error names file, line and key.
+//
+// The package has no state. The caller owns the text and the decoded value; nothing is read again later.
 package strictconfig
 
 import (
@@ -10,14 +12,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is what is wrong with a file.
+// Error is a fault of a configuration file. Decode and ErrorAt return it as *Error, for errors.As.
 type Error struct {
 	File    string
-	Line    int    // 0: the file as a whole
-	Key     string // dotted; a table of an array counts from 0, as in fault[2].at
+	Line    int    // from 1; 0: the file as a whole, because the key is not in it
+	Key     string // dotted; an element of an array of tables counts from 0, as in fault[2].at
 	Message string
 }
 
+// Error returns the fault on one line, as in "agent.toml:3: attempts.most: 21 is not between 1 and 20".
 func (e *Error) Error() string {
 	location := e.File
 	if e.Line > 0 {
@@ -29,17 +32,24 @@
 	return location + ": " + e.Message
 }
 
-// Decode reads text into v. An unknown key is an error.
+// ErrorAt returns the *Error for a key whose value could be decoded but is not allowed. text is the file's content, from
+// which the line is found.
+func ErrorAt(file, text, key, format string, args ...any) error {
+	return &Error{file, LineOf(text, key), key, fmt.Sprintf(format, args...)}
+}
+
+// Decode decodes a TOML text into v, a pointer to a struct. file names the text in errors. Keys that the text leaves out
+// keep their values in v. All errors are of type *Error; the first unknown key is one of them.
 func Decode(file, text string, v any) error {
 	meta, err := toml.Decode(text, v)
 	var parseErr toml.ParseError
 	switch {
 	case errors.As(err, &parseErr):
 		return &Error{file, parseErr.Position.Line, parseErr.LastKey, parseErr.Message}
-	case err != nil: // a value of the wrong type: the library names the key in its text
+	case err != nil: // a value of the wrong type: the library names the key in its message alone
 		msg := strings.TrimPrefix(err.Error(), "toml: ")
 		key := firstQuoted(msg)
-		if _, rest, hasPosition := strings.Cut(msg, "): "); hasPosition && strings.HasPrefix(msg, "line ") { // it leads with the place
+		if _, rest, hasPosition := strings.Cut(msg, "): "); hasPosition && strings.HasPrefix(msg, "line ") {
 			msg = rest
 		}
 		return &Error{file, LineOf(text, key), key, msg}
@@ -51,14 +61,9 @@
 	return nil
 }
 
-// firstQuoted is the first key in quotation marks of a message.
+// firstQuoted returns the first part of a message that is in quotation marks.
 func firstQuoted(s string) string {
 	_, s, _ = strings.Cut(s, `"`)
 	key, _, _ := strings.Cut(s, `"`)
 	return key
 }
-
-// ErrorAt is an error about a key that was read well but holds what can't be.
-func ErrorAt(file, text, key, format string, args ...any) error {
-	return &Error{file, LineOf(text, key), key, fmt.Sprintf(format, args...)}
-}
