--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// wallClockFiles are the files that have to do with the wall clock's time, each with its reason.
+// wallClockFiles are the files that may use the wall clock's time, each with its reason.
 var wallClockFiles = map[string]string{
 	"internal/bootclock/bootclock.go":           "reads it",
 	"internal/agent/discovery/started.go":       "discovery gives start times of backends as Unix times; read by every clock that may be right, and bounded",
@@ -21,11 +21,11 @@
 	"internal/fleet/hubclient/stream.go":        "the same",
 }
 
-// wallClockFuncs are the functions and methods that take a time out of the wall clock, or put one in.
+// wallClockFuncs are the functions and methods that read the wall clock's time, or make a time of it.
 var wallClockFuncs = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "Round": true,
 	"Date": true, "Clock": true, "Format": true, "AppendFormat": true, "Parse": true, "ParseTime": true, "ParseInLocation": true, "Wall": true, "UTC": true}
 
-// No code but that of the files above works with the wall clock: it may be stepped at any time.
+// Only the listed files work with the wall clock, because it may be stepped at any time.
 func TestOnlyListedFilesUseTheWallClock(t *testing.T) {
 	found := map[string]bool{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -38,27 +38,14 @@
 		case !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
 			return nil
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
-		}
-		if !imports(file, "time") && !imports(file, "martenbeam/internal/bootclock") {
-			return nil
-		}
-		ast.Inspect(file, func(n ast.Node) bool {
-			call, ok := n.(*ast.CallExpr)
-			if !ok {
-				return true
-			}
-			if s, ok := call.Fun.(*ast.SelectorExpr); ok && wallClockFuncs[s.Sel.Name] && !inUnrelatedPackage(s) && !roundsDuration(s, call) {
-				found[name] = true
-				if wallClockFiles[name] == "" {
-					t.Errorf("%s: %s works with the wall clock, which may be stepped", name, s.Sel.Name)
-				}
+		calls, err := wallClockCalls(path)
+		for _, call := range calls {
+			found[name] = true
+			if wallClockFiles[name] == "" {
+				t.Errorf("%s: %s works with the wall clock, which may be stepped", name, call)
 			}
-			return true
-		})
-		return nil
+		}
+		return err
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -70,6 +57,28 @@
 	}
 }
 
+// wallClockCalls returns the names of the wall clock functions that a file calls.
+func wallClockCalls(path string) (calls []string, err error) {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return nil, err
+	}
+	if !imports(file, "time") && !imports(file, "martenbeam/internal/bootclock") {
+		return nil, nil
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		if s, ok := call.Fun.(*ast.SelectorExpr); ok && wallClockFuncs[s.Sel.Name] && !inUnrelatedPackage(s) && !roundsDuration(s, call) {
+			calls = append(calls, s.Sel.Name)
+		}
+		return true
+	})
+	return calls, nil
+}
+
 func imports(file *ast.File, path string) bool {
 	for _, i := range file.Imports {
 		if i.Path.Value == `"`+path+`"` {
@@ -79,19 +88,19 @@
 	return false
 }
 
-// inUnrelatedPackage reports whether a function is of a package that has nothing to do with time.
+// inUnrelatedPackage reports whether a function belongs to a package that has nothing to do with time.
 func inUnrelatedPackage(s *ast.SelectorExpr) bool {
 	pkg, ok := s.X.(*ast.Ident)
 	return ok && (pkg.Name == "math" || pkg.Name == "json" || pkg.Name == "strconv" || pkg.Name == "url" || pkg.Name == "kong" || pkg.Name == "uuid" || pkg.Name == "netip" || pkg.Name == "atomic")
 }
 
-// roundsDuration reports whether a call rounds a span of time: Round(0) alone is of a time, from which it takes the monotonic part.
+// roundsDuration reports whether a call rounds a duration. Only Round(0) is of a time: it removes the monotonic reading.
 func roundsDuration(s *ast.SelectorExpr, call *ast.CallExpr) bool {
 	literal, ok := firstArg(call).(*ast.BasicLit)
 	return s.Sel.Name == "Round" && !(ok && literal.Value == "0")
 }
 
-// SinceBoot runs on by itself.
+// SinceBoot advances as fast as the monotonic clock.
 func TestSinceBootAdvancesWithTheMonotonicClock(t *testing.T) {
 	before, start := SinceBoot(), time.Now()
 	time.Sleep(time.Millisecond)
