--- a/internal/agent/handover/file.go
+++ b/internal/agent/handover/file.go
@@ -1,36 +1,30 @@
 package handover
 
+// Reading and writing the record's file.
+
 import (
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
-	"time"
 )
 
-const (
-	recordName        = "handover.json"
-	primaryLockName   = "owner"  // locked by the process that was there first, until it ends
-	successorLockName = "second" // locked by a process that started beside it, until it ends or is the first
-	recordLockName    = "lock"   // locked while the record is changed
+const recordName = "handover.json"
 
-	lockTimeout       = 300 * time.Millisecond // the other process writes a small file meanwhile
-	lockRetryInterval = 5 * time.Millisecond
-	saveRetryInterval = 20 * time.Millisecond // a call that could not be recorded
-)
+func (s *Store) recordPath() string { return filepath.Join(s.dir, recordName) }
 
-// refresh takes a changed record over. The lock is held.
+// refresh reads the record if its file has changed. Where that fails the record stays as it was, and the next call tries
+// again. The lock is held.
 func (s *Store) refresh() {
 	info, err := os.Stat(s.recordPath())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		s.recordKnown = true
 		return
-	case err != nil:
-		return
-	case s.recordInfo != nil && os.SameFile(info, s.recordInfo) && info.Size() == s.recordInfo.Size() && info.ModTime().Equal(s.recordInfo.ModTime()):
+	case err != nil || s.unchanged(info):
 		return
 	}
 	if r, err := s.load(); err == nil {
@@ -38,17 +32,23 @@
 	}
 }
 
-// update reads the record, changes it and writes it whole, while the other process does not. What this process has not
-// recorded yet goes in with it. The lock is held.
+// unchanged reports whether the file is still the one last read or written. The lock is held.
+func (s *Store) unchanged(info os.FileInfo) bool {
+	last := s.recordInfo
+	return last != nil && os.SameFile(info, last) && info.Size() == last.Size() && info.ModTime().Equal(last.ModTime())
+}
+
+// update reads the record, changes it and replaces the file, while no other process does. The overrides that are not in the
+// record yet go in with it. The lock is held.
 func (s *Store) update(ctx context.Context, change func(*Record)) error {
 	lock, err := s.lock(ctx, recordLockName)
 	if err != nil {
 		return err
 	}
-	defer lock.Close() // and with it unlock
+	defer lock.Close() // which unlocks it
 	r, err := s.load()
 	if err != nil {
-		return err // it may hold what must not be lost
+		return err // never replace what could not be read: it may hold what must not be lost
 	}
 	change(&r)
 	clocks := readClocks()
@@ -56,6 +56,16 @@
 		r.apply(override, clocks)
 	}
 	r.Format = recordFormat
+	if err := s.write(r); err != nil {
+		return fmt.Errorf("write handover record: %w", err)
+	}
+	s.record, s.unsaved, s.recordKnown = r, nil, true
+	s.recordInfo, _ = os.Stat(s.recordPath()) // where that fails the next refresh reads the file again
+	return nil
+}
+
+// write replaces the record's file in one step. A rename without a sync is enough: the record is for processes of one boot.
+func (s *Store) write(r Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -63,23 +73,18 @@
 	if err := os.WriteFile(s.recordPath()+".new", raw, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(s.recordPath()+".new", s.recordPath()); err != nil {
-		return err
-	}
-	s.record, s.unsaved, s.recordKnown = r, nil, true
-	s.recordInfo, _ = os.Stat(s.recordPath()) // where that fails the next look reads it again
-	return nil
+	return os.Rename(s.recordPath()+".new", s.recordPath())
 }
 
-// load returns the record as it stands. One that makes no sense counts as what was known before; one that can't be read
-// may be there and hold what must not be lost.
+// load reads the record from its file. A missing or unusable one is replaced by what this process knew before; a file that
+// can't be read is an error, since it may hold what must not be lost. The lock is held.
 func (s *Store) load() (Record, error) {
 	raw, err := os.ReadFile(s.recordPath())
 	if errors.Is(err, fs.ErrNotExist) {
 		return s.record, nil
 	}
 	if err != nil {
-		return s.record, err
+		return s.record, fmt.Errorf("read handover record: %w", err)
 	}
 	var r Record
 	if err = json.Unmarshal(raw, &r); err == nil {
@@ -91,5 +96,3 @@
 	}
 	return r, nil
 }
-
-func (s *Store) recordPath() string { return filepath.Join(s.dir, recordName) }
--- a/internal/agent/handover/override.go
+++ b/internal/agent/handover/override.go
@@ -1,44 +1,48 @@
 package handover
 
+// Operators' overrides, and how a record merges them by the time at which they were issued.
+
 import (
 	"maps"
 	"time"
 )
 
-// Override is an operators' call, which holds until it is taken back.
+// Override is an operator's command that holds until the opposite command is issued.
 type Override struct {
-	Backend  string        // "": the agent itself is drained, or put back to work
-	Disabled bool          // detached, or drained
-	IssuedAt time.Duration // since the machine's start
+	Backend  string        // the backend's id; "": the agent itself
+	Disabled bool          // the backend is disabled, or the agent drained; false: the opposite
+	IssuedAt time.Duration // since the machine's boot
 }
 
-// apply takes a call into a record, unless a later one of the same backend stands there. Its maps may be in other records
-// too, and are not changed.
+// apply merges an override into the record, unless the record has a later one for the same backend. It replaces the maps
+// instead of changing them, because copies of the record share them.
 func (r *Record) apply(override Override, now clockReading) {
-	issuedBootUs := override.IssuedAt.Microseconds()
-	if override.Backend == "" {
+	id, issuedBootUs := override.Backend, override.IssuedAt.Microseconds()
+	if id == "" {
 		if r.LameDuckBootUs <= issuedBootUs {
 			r.LameDuck, r.LameDuckBootUs = override.Disabled, issuedBootUs
 		}
 		return
 	}
-	disabledUnixMs, disabled := r.DisabledUnixMs[override.Backend]
+	disabledUnixMs, disabled := r.DisabledUnixMs[id]
 	switch {
-	case override.Disabled && !disabled && r.enabledAt(override.Backend, now) <= override.IssuedAt:
-		r.DisabledUnixMs, r.DisabledBootUs = with(r.DisabledUnixMs, override.Backend, now.unixMs(override.IssuedAt)), with(r.DisabledBootUs, override.Backend, issuedBootUs)
-		r.EnabledUnixMs, r.EnabledBootUs = without(r.EnabledUnixMs, override.Backend), without(r.EnabledBootUs, override.Backend)
-	case !override.Disabled && disabled && now.sinceBoot(r.DisabledBootUs[override.Backend], disabledUnixMs) <= override.IssuedAt:
-		r.DisabledUnixMs, r.DisabledBootUs = without(r.DisabledUnixMs, override.Backend), without(r.DisabledBootUs, override.Backend)
-		r.EnabledUnixMs, r.EnabledBootUs = with(r.EnabledUnixMs, override.Backend, now.unixMs(override.IssuedAt)), with(r.EnabledBootUs, override.Backend, issuedBootUs)
+	case override.Disabled && !disabled && r.enabledAt(id, now) <= override.IssuedAt:
+		r.DisabledUnixMs = with(r.DisabledUnixMs, id, now.unixMs(override.IssuedAt))
+		r.DisabledBootUs = with(r.DisabledBootUs, id, issuedBootUs)
+		r.forgetEnabled(id)
+	case !override.Disabled && disabled && now.sinceBoot(r.DisabledBootUs[id], disabledUnixMs) <= override.IssuedAt:
+		r.DisabledUnixMs, r.DisabledBootUs = without(r.DisabledUnixMs, id), without(r.DisabledBootUs, id)
+		r.EnabledUnixMs = with(r.EnabledUnixMs, id, now.unixMs(override.IssuedAt))
+		r.EnabledBootUs = with(r.EnabledBootUs, id, issuedBootUs)
 	}
 	for id := range r.EnabledUnixMs {
 		if override.IssuedAt-r.enabledAt(id, now) > enabledRetention {
-			r.EnabledUnixMs, r.EnabledBootUs = without(r.EnabledUnixMs, id), without(r.EnabledBootUs, id)
+			r.forgetEnabled(id)
 		}
 	}
 }
 
-// enabledAt is when a backend was attached again, since the machine's start; 0: it was not.
+// enabledAt returns when a backend was enabled again, since boot; 0 if it was not.
 func (r *Record) enabledAt(id string, now clockReading) time.Duration {
 	unixMs, enabled := r.EnabledUnixMs[id]
 	if !enabled {
@@ -47,6 +51,11 @@
 	return now.sinceBoot(r.EnabledBootUs[id], unixMs)
 }
 
+func (r *Record) forgetEnabled(id string) {
+	r.EnabledUnixMs, r.EnabledBootUs = without(r.EnabledUnixMs, id), without(r.EnabledBootUs, id)
+}
+
+// with returns a copy of m with a key set.
 func with(m map[string]int64, key string, value int64) map[string]int64 {
 	changed := map[string]int64{key: value}
 	for k, v := range m {
@@ -57,23 +66,26 @@
 	return changed
 }
 
+// without returns a copy of m without a key.
 func without(m map[string]int64, key string) map[string]int64 {
 	changed := maps.Clone(m)
 	delete(changed, key)
 	return changed
 }
 
-// newOverrides are the calls that hold by one record and not by the one before.
+// newOverrides returns the overrides of backends that hold in one record and did not in the record before.
 func newOverrides(before, after *Record, now clockReading) (overrides []Override) {
 	for id, unixMs := range after.DisabledUnixMs {
 		if _, disabled := before.DisabledUnixMs[id]; !disabled {
-			overrides = append(overrides, Override{Backend: id, Disabled: true, IssuedAt: now.sinceBoot(after.DisabledBootUs[id], unixMs)})
+			disabledAt := now.sinceBoot(after.DisabledBootUs[id], unixMs)
+			overrides = append(overrides, Override{Backend: id, Disabled: true, IssuedAt: disabledAt})
 		}
 	}
 	for id, unixMs := range after.EnabledUnixMs {
 		_, disabled := after.DisabledUnixMs[id]
 		previousUnixMs, wasEnabled := before.EnabledUnixMs[id]
-		if !disabled && (!wasEnabled || previousUnixMs != unixMs || before.EnabledBootUs[id] != after.EnabledBootUs[id]) {
+		unchanged := wasEnabled && previousUnixMs == unixMs && before.EnabledBootUs[id] == after.EnabledBootUs[id]
+		if !disabled && !unchanged {
 			overrides = append(overrides, Override{Backend: id, IssuedAt: after.enabledAt(id, now)})
 		}
 	}
--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A version of the program before this one gives times by the wall clock alone, and drops what it doesn't know. What it writes
-// counts, and so does what this one writes, wherever the wall clock has been stepped to since.
+// Earlier versions of the program store times by the wall clock alone, and drop keys that they don't know. Their records are
+// read, and those of this version hold whatever the wall clock has been stepped to since.
 func TestRecordsOfAnEarlierVersionAreReadByTheWallClock(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	unix := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
@@ -21,7 +21,7 @@
 	}
 	earlier.apply(Override{Backend: "out", IssuedAt: time.Hour}, clocks)
 	if at := earlier.enabledAt("out", clocks); at != time.Hour || len(earlier.DisabledUnixMs) != 0 {
-		t.Errorf("attached again at %v, detached %v", at, earlier.DisabledUnixMs)
+		t.Errorf("enabled again at %v, disabled %v", at, earlier.DisabledUnixMs)
 	}
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		later := clockReading{boot: clocks.boot + time.Second, wall: clocks.wall.Add(step)}
@@ -29,15 +29,15 @@
 		r.apply(Override{Backend: "out", Disabled: true, IssuedAt: clocks.boot}, clocks)
 		r.apply(Override{Backend: "out", IssuedAt: clocks.boot + time.Millisecond}, later)
 		if _, stale := r.stale(later); stale || r.enabledAt("out", later) != clocks.boot+time.Millisecond {
-			t.Errorf("after a step of %v: stale %v, attached at %v", step, stale, r.enabledAt("out", later))
+			t.Errorf("after a step of %v: stale %v, enabled at %v", step, stale, r.enabledAt("out", later))
 		}
 		if earlier.enabledAt("back", later) > later.boot {
-			t.Errorf("after a step of %v a time lies ahead", step)
+			t.Errorf("after a step of %v a time lies in the future", step)
 		}
 	}
 }
 
-// What a process left is stale once it has not been heard of for long, by real time, and after a restart of the machine.
+// A record is stale maxRecordAge after the last write, by a clock that no step moves, and after a reboot.
 func TestRecordIsStaleAfterMaxAgeOrReboot(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	at := func(boot time.Duration, wall time.Duration) Record {
@@ -63,7 +63,7 @@
 	}
 }
 
-// A call that is recorded late does not undo one that came after it.
+// An override that is recorded late does not undo one that was issued after it.
 func TestLateOverrideDoesNotUndoANewerOne(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	var r Record
@@ -71,11 +71,11 @@
 	r.apply(Override{Backend: "s", IssuedAt: 20 * time.Second}, clocks)
 	r.apply(Override{Backend: "s", Disabled: true, IssuedAt: 15 * time.Second}, clocks)
 	if len(r.DisabledUnixMs) != 0 {
-		t.Errorf("detached again by a call before the attach: %+v", r)
+		t.Errorf("disabled by an override older than the enabling: %+v", r)
 	}
 	r.apply(Override{Disabled: true, IssuedAt: 20 * time.Second}, clocks)
 	r.apply(Override{IssuedAt: 10 * time.Second}, clocks)
 	if !r.LameDuck {
-		t.Error("put back to work by a call before the drain")
+		t.Error("drain ended by an override older than the drain")
 	}
 }
--- a/internal/agent/handover/role.go
+++ b/internal/agent/handover/role.go
@@ -1,12 +1,14 @@
 package handover
 
+// Which processes of the agent run, and which of them is the primary one.
+
 import (
 	"context"
 	"errors"
 )
 
-// Register takes this process's place among those of the agent, and has the record name it. It may be called again where it
-// failed.
+// Register determines this process's role among those of the agent, and has the record count it. After an error it may be
+// called again; once it has succeeded it does nothing.
 func (s *Store) Register() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,7 +25,7 @@
 	return nil
 }
 
-// register has a record name this process.
+// register counts this process in a record, and discards what is stale. The lock is held.
 func (s *Store) register(r *Record) {
 	clocks := readClocks()
 	if age, stale := r.stale(clocks); stale && s.startedAlone {
@@ -35,7 +37,7 @@
 	r.markSaved(clocks)
 }
 
-// determineRole finds out whether an older process is there. The lock is held.
+// determineRole finds out whether an older process runs. The lock is held.
 func (s *Store) determineRole() error {
 	if s.roleKnown {
 		return nil
@@ -48,28 +50,38 @@
 		s.primaryLock = file
 	}
 	err := flock(s.primaryLock)
-	if s.startedAlone = err == nil; errors.Is(err, errLocked) { // before the record names it: the older process takes one without a lock for gone
+	s.startedAlone = err == nil
+	if errors.Is(err, errLocked) {
+		// The successor's lock comes before its registration: the primary process takes a registered successor that holds no
+		// lock for one that has ended.
 		s.successorLock, err = s.lock(context.Background(), successorLockName)
 	}
 	s.roleKnown = err == nil
 	return err
 }
 
-// StartedAlone reports whether no older process was there when this one took its place; false until it has.
+// Registered reports whether the record counts this process.
+func (s *Store) Registered() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.registered
+}
+
+// StartedAlone reports whether no older process ran when this one determined its role; false until it has.
 func (s *Store) StartedAlone() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startedAlone
 }
 
-// Generation numbers the processes of the agent; 0: this one has no place yet.
+// Generation numbers the processes of the agent from 1; 0 until this one has registered.
 func (s *Store) Generation() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.generation
 }
 
-// BecomePrimary reports whether no older process of this agent is there, and from then on is the older one.
+// BecomePrimary makes this process the primary one if no older process runs, and reports whether it is.
 func (s *Store) BecomePrimary() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,33 +89,33 @@
 		return false
 	}
 	if s.successorLock != nil {
-		s.successorLock.Close() // another may start beside this one
+		_ = s.successorLock.Close() // the next successor needs it
 		s.successorLock = nil
 	}
 	return true
 }
 
-// HasSuccessor reports whether a younger process has started.
+// HasSuccessor reports whether a younger process has registered, as of the record last read or written.
 func (s *Store) HasSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hasSuccessor()
 }
 
-// hasSuccessor is Followed. The lock is held.
+// hasSuccessor is HasSuccessor for callers that hold the lock.
 func (s *Store) hasSuccessor() bool { return s.registered && s.record.Generation > s.generation }
 
-// ReclaimFromSuccessor reports whether the younger process has ended while this one serves. From then on this one speaks for the
-// agent again, in the record too.
+// ReclaimFromSuccessor reports whether the successor has ended while this process serves. If so, the record counts this
+// process as the youngest again.
 func (s *Store) ReclaimFromSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f, err := s.open(successorLockName)
+	successorLock, err := s.open(successorLockName)
 	if err != nil {
 		return false
 	}
-	defer f.Close()
-	if flock(f) != nil {
+	defer successorLock.Close()
+	if flock(successorLock) != nil {
 		return false
 	}
 	err = s.update(context.Background(), func(r *Record) {
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -1,10 +1,26 @@
-// Package handover is what two processes of one agent know of each other while the platform replaces one by the other:
-// the operators' calls, the list, and what the decision module has learned. It stands in a folder that both have.
+// Package handover is the hot-restart record: what two processes of one agent tell each other while the platform replaces
+// one by the other. The record holds the operators' overrides, the endpoint list and the decision module's snapshot.
 //
-// The folder may fail for a while. Nothing is given up for that: what could not be written is written with the next write
-// that succeeds, and what could not be read is read again.
+// # State and owners
+//
+// The record is the file handover.json in a scratch folder that both processes share; the file, not a process, owns its
+// content. It is read and rewritten as one file (to handover.json.new, then renamed) while holding a lock on the file
+// "lock". Two more lock files say which processes run: "owner" is locked by the primary process, which serves, and "second"
+// by a successor that has started beside it. The kernel releases the locks when a process ends, however it ends.
+//
+// A Store is one process's view of the record. Its fields belong to Store.mu; all of its methods may be called from any
+// goroutine. The agent polls it every 50 ms, so an override taken by one process reaches the other within about that time.
+//
+// A record is checked for its format when it is read; an unusable one is logged and treated as if it had not changed. How
+// old a record may be is checked once, when a process registers and no older one runs: after 30 s without a write, or after
+// a reboot, everything but its generation is discarded.
+//
+// The folder may fail for a while. Nothing is given up for that: what could not be written goes in with the next write that
+// succeeds, and what could not be read is read again.
 package handover
 
+// The Store, and what a process saves to the record and learns from it.
+
 import (
 	"context"
 	"log/slog"
@@ -16,55 +32,50 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// Store is a process's side of the record.
+const saveRetryInterval = 20 * time.Millisecond // between attempts to save an override
+
+// Store is one process's view of the record.
 type Store struct {
 	log *slog.Logger
 	dir string
 
 	mu            sync.Mutex
-	primaryLock   *os.File
-	successorLock *os.File    // nil: this process is the first, or has no place yet
-	roleKnown     bool        // it is known whether an older process was there
-	startedAlone  bool        // none was
-	registered    bool        // the record names this process
-	generation    int64       // of this process; the next one's is higher
-	record        Record      // as last read or written here
-	recordInfo    os.FileInfo // of that file
-	recordKnown   bool        // the record was read at least once, or is known not to be there
-	applied       Record      // the calls in it that hold in this process
-	unsaved       []Override  // taken here, and not in the record yet
+	primaryLock   *os.File    // the open file; locked only while this process is the primary
+	successorLock *os.File    // locked; nil: this process is the primary, or has no role yet
+	roleKnown     bool        // whether determineRole has succeeded
+	startedAlone  bool        // no older process was there when the role was determined
+	registered    bool        // the record counts this process
+	generation    int64       // of this process; a successor's is higher
+	record        Record      // as last read or written by this process; its maps are never changed in place
+	recordInfo    os.FileInfo // of the file when it was last read or written
+	recordKnown   bool        // the record was read at least once, or is known to be missing
+	applied       Record      // the overrides that Poll has returned, or that this process took
+	unsaved       []Override  // taken by this process, and not in the record yet
 }
 
-// New returns the store of a process in a folder. Begin has it take its place.
+// New returns the store of one process in a folder. Register gives the process its role.
 func New(dir string, log *slog.Logger) *Store { return &Store{log: log, dir: dir} }
 
-// Registered reports whether the record names this process.
-func (s *Store) Registered() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.registered
-}
-
-// Close gives up what this process holds: as its end does.
+// Close releases the locks, as the end of the process does.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range []*os.File{s.primaryLock, s.successorLock} {
 		if f != nil {
-			f.Close()
+			_ = f.Close() // the kernel releases the lock whatever it returns
 		}
 	}
 }
 
-// Poll reads the record if it has changed, and returns the calls that hold by it and not here yet. It reports false until
-// the record could be read once.
+// Poll reads the record if it has changed, and returns the overrides of backends that this process has not applied yet,
+// and whether the agent is drained. ok is false until the record could be read once.
 func (s *Store) Poll() (overrides []Override, lameDuck, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
 	clocks := readClocks()
 	merged := s.record
-	for _, override := range s.unsaved { // it holds here, and is not taken back since the record lacks it
+	for _, override := range s.unsaved { // they hold here: that the record lacks them does not take them back
 		merged.apply(override, clocks)
 	}
 	overrides = newOverrides(&s.applied, &merged, clocks)
@@ -72,15 +83,16 @@
 	return overrides, merged.LameDuck, s.recordKnown
 }
 
-// LastRecord is the record as last read or written here.
+// LastRecord returns the record as this process last read or wrote it. The caller must not change its maps.
 func (s *Store) LastRecord() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.record
 }
 
-// SaveOverride records a call that holds here, before its yes. It tries until ctx ends. A call that could not be recorded by then
-// holds here all the same, and is recorded with the next write that succeeds.
+// SaveOverride records an override that this process has taken, before the operator gets an answer. It retries until ctx
+// ends, and then returns the last error. An override that could not be recorded holds in this process all the same, and is
+// recorded with the next write that succeeds.
 func (s *Store) SaveOverride(ctx context.Context, override Override) error {
 	s.mu.Lock()
 	s.unsaved = append(s.unsaved, override)
@@ -99,7 +111,7 @@
 	}
 }
 
-// Flush writes the calls that are not in the record yet.
+// Flush writes the overrides that are not in the record yet.
 func (s *Store) Flush(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +121,8 @@
 	return s.update(ctx, func(*Record) {})
 }
 
-// SaveSnapshot records what the decision module has learned, and that this process is there. Once a younger one has started it is
-// that one's to say.
+// SaveSnapshot records the decision module's snapshot, and that this process is running. It does nothing before Register
+// has succeeded, or once a successor has registered: the record is the successor's from then on.
 func (s *Store) SaveSnapshot(snapshot balancer.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,12 +137,14 @@
 	})
 }
 
-// SaveList records the list as discovery at an address has told it by now.
+// SaveList records the endpoint list as received from the discovery service at the address source. A process that is not
+// the youngest one replaces nothing but an older version from the same source.
 func (s *Store) SaveList(source string, list *discovery.EndpointList) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(context.Background(), func(r *Record) {
-		if s.registered && r.Generation == s.generation || r.List == nil || r.ListSource == source && r.List.Version < list.Version {
+		isYoungest := s.registered && r.Generation == s.generation
+		if isYoungest || r.List == nil || r.ListSource == source && r.List.Version < list.Version {
 			r.ListSource, r.List = source, list
 		}
 	})
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -14,13 +14,13 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// newRegistered is a process's store that has taken its place.
+// newRegistered returns the store of a process that has registered.
 func newRegistered(dir string, log *slog.Logger) (*Store, error) {
 	s := New(dir, log)
 	return s, s.Register()
 }
 
-// What an earlier process left is gone on from; what can't be used is worked around.
+// A fresh record of an earlier process is continued; a missing, torn, foreign or old one is ignored without an error.
 func TestUnusableRecordIsIgnored(t *testing.T) {
 	now := time.Now().UnixMilli()
 	for name, row := range map[string]struct {
@@ -46,16 +46,16 @@
 			continue
 		}
 		if calls, _, _ := store.Poll(); len(calls) == 1 != row.used {
-			t.Errorf("%s: %d calls are gone on from", name, len(calls))
+			t.Errorf("%s: %d overrides continued", name, len(calls))
 		}
 	}
 	if _, err := newRegistered(filepath.Join(t.TempDir(), "none"), discardLog); err == nil {
-		t.Error("no directory, and no error")
+		t.Error("no error without the directory")
 	}
 }
 
-// A call to either process is known to both, in the order in which they were taken; a process's own
-// calls don't come back to it.
+// An override issued at either process reaches the other, in the order in which they were issued; a process's own overrides
+// do not come back to it.
 func TestOverridesReachBothProcesses(t *testing.T) {
 	dir := t.TempDir()
 	older, err := newRegistered(dir, discardLog)
@@ -70,46 +70,46 @@
 		t.Errorf("alone: %v and %v", older.StartedAlone(), younger.StartedAlone())
 	}
 	at := bootclock.SinceBoot()
-	save := func(h *Store, backend string, out bool) {
+	save := func(s *Store, backend string, disabled bool) {
 		at += time.Millisecond
-		if err := h.SaveOverride(t.Context(), Override{Backend: backend, Disabled: out, IssuedAt: at}); err != nil {
+		if err := s.SaveOverride(t.Context(), Override{Backend: backend, Disabled: disabled, IssuedAt: at}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	poll := func(h *Store) (text string) {
-		calls, lame, _ := h.Poll()
-		for _, c := range calls {
-			text += fmt.Sprintf("%s %v ", c.Backend, c.Disabled)
+	poll := func(s *Store) (text string) {
+		overrides, lameDuck, _ := s.Poll()
+		for _, o := range overrides {
+			text += fmt.Sprintf("%s %v ", o.Backend, o.Disabled)
 		}
-		return text + fmt.Sprint(lame)
+		return text + fmt.Sprint(lameDuck)
 	}
 	save(older, "s", true)
 	save(older, "s", true)
 	if got := poll(younger); got != "s true false" {
-		t.Errorf("the younger hears %q", got)
+		t.Errorf("the younger process polled %q", got)
 	}
 	if got := poll(older); got != "false" {
-		t.Errorf("the older hears %q of its own call", got)
+		t.Errorf("the older process polled its own override: %q", got)
 	}
 	save(younger, "", true)
 	save(younger, "s", false)
-	if err := older.SaveSnapshot(balancer.Snapshot{}); err != nil {
+	if err := older.SaveSnapshot(balancer.Snapshot{}); err != nil { // reads and writes the record in between
 		t.Fatal(err)
-	} // reads and writes the record in between
+	}
 	if got := poll(older); got != "s false true" {
-		t.Errorf("the older hears %q", got)
+		t.Errorf("the older process polled %q", got)
 	}
 	if got := poll(younger); got != "true" {
-		t.Errorf("the younger hears %q", got)
+		t.Errorf("the younger process polled %q", got)
 	}
-	older.Close() // as its end does
+	older.Close() // as the end of its process does
 	if !older.HasSuccessor() || !younger.BecomePrimary() || younger.HasSuccessor() {
-		t.Error("the younger does not know that it is alone")
+		t.Error("the younger process does not become the primary one")
 	}
 }
 
-// A successor that ends before it has taken the clients leaves the older process as it was: with the whole limits, and the one
-// that the record is by; and another may start.
+// A successor that ends before it has taken over leaves the older process as it was, the one that writes the record; another
+// successor may start.
 func TestProcessReclaimsRecordWhenSuccessorExits(t *testing.T) {
 	dir := t.TempDir()
 	start := func() *Store {
@@ -124,31 +124,33 @@
 	for round := range 3 {
 		younger := start()
 		if _, _, _ = older.Poll(); !older.HasSuccessor() || older.ReclaimFromSuccessor() {
-			t.Fatalf("round %d: the younger one is not seen", round)
+			t.Fatalf("round %d: the successor is not noticed", round)
 		}
 		younger.Close() // killed
 		if !older.ReclaimFromSuccessor() || older.HasSuccessor() {
-			t.Fatalf("round %d: its end is not seen", round)
+			t.Fatalf("round %d: the end of the successor is not noticed", round)
+		}
+		if err := older.SaveSnapshot(balancer.Snapshot{Tokens: float64(round + 1)}); err != nil {
+			t.Fatal(err)
 		}
-		older.SaveSnapshot(balancer.Snapshot{Tokens: float64(round + 1)})
 		if l := older.LastRecord().Snapshot; l == nil || l.Tokens != float64(round+1) {
-			t.Fatalf("round %d: the older one no longer records: %+v", round, l)
+			t.Fatalf("round %d: the older process no longer saves: %+v", round, l)
 		}
 	}
 	younger := start()
 	older.Close()
 	if !younger.BecomePrimary() || younger.successorLock != nil {
-		t.Error("the younger one is not the first now")
+		t.Error("the younger process is not the primary one now")
 	}
 	third := start()
 	defer third.Close()
 	if _, _, _ = younger.Poll(); !younger.HasSuccessor() || younger.ReclaimFromSuccessor() {
-		t.Error("a third process is not seen")
+		t.Error("the third process is not noticed")
 	}
 	younger.Close()
 }
 
-// A record cut at any byte, or of zeros, or beside what a kill left of the next one, ends nothing and is replaced by a whole
+// A record cut at any byte, or of zeros, or beside a partly written next one, stops no process and is replaced by a complete
 // one.
 func TestTornRecordIsIgnoredAndReplaced(t *testing.T) {
 	dir := t.TempDir()
