--- a/internal/agent/handover/role.go
+++ b/internal/agent/handover/role.go
@@ -60,13 +60,6 @@
 	return err
 }
 
-// Registered reports whether the record counts this process.
-func (s *Store) Registered() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.registered
-}
-
 // StartedAlone reports whether no older process ran when this one determined its role; false until it has.
 func (s *Store) StartedAlone() bool {
 	s.mu.Lock()
