--- a/internal/agent/handover/file.go
+++ b/internal/agent/handover/file.go
@@ -91,7 +91,7 @@
 		err = r.check()
 	}
 	if err != nil {
-		s.log.Warn("the record of an earlier process can't be used", "error", err)
+		s.log.Warn("handover record unusable", "error", err)
 		return s.record, nil
 	}
 	return r, nil
--- a/internal/agent/handover/role.go
+++ b/internal/agent/handover/role.go
@@ -29,7 +29,7 @@
 func (s *Store) register(r *Record) {
 	clocks := readClocks()
 	if age, stale := r.stale(clocks); stale && s.startedAlone {
-		s.log.Warn("what an earlier process left is not used", "age", age)
+		s.log.Warn("stale handover record discarded", "age", age)
 		*r = Record{Generation: r.Generation}
 	}
 	r.Generation++
@@ -116,7 +116,7 @@
 		s.generation = r.Generation
 	})
 	if err != nil {
-		s.log.Warn("the record can't be taken back", "error", err)
+		s.log.Warn("reclaiming handover record failed", "error", err)
 	}
 	return err == nil
 }
