--- a/internal/settings/apply.go
+++ b/internal/settings/apply.go
@@ -1,5 +1,7 @@
 package settings
 
+// Bringing a version into force: checked, saved, then applied.
+
 import (
 	"errors"
 	"fmt"
@@ -12,12 +14,13 @@
 	errConflictingText = errors.New("another text has this version: the first stands until a higher version comes")
 )
 
-// Apply takes a text of a version: checked, kept, then in force. After an error the text before is in force.
+// Apply brings a document into force, if its version is higher than the one in force. After an error the document before
+// stays in force; the error is logged, and reported by Status, unless the version is outdated.
 func (h *Holder) Apply(version int64, text string) error {
 	return h.apply(fmt.Sprintf("settings, version %d", version), version, text)
 }
 
-// apply takes a text; version 0: the one that it says.
+// apply brings a document into force. file names it in errors. Version 0 stands for the version in the document.
 func (h *Holder) apply(file string, version int64, text string) error {
 	h.applyMu.Lock()
 	defer h.applyMu.Unlock()
@@ -28,64 +31,82 @@
 	if err == nil {
 		version = parsed.Version
 	}
+	if isNew, err := h.compare(version, text); !isNew {
+		return err
+	}
+	if err == nil && h.cfg.Check != nil {
+		err = h.cfg.Check(parsed)
+	}
+	if err != nil {
+		digest := Digest(text)
+		h.cfg.Log.Error("settings: a text is not used: what is in force stays", "version", version, "digest", digest, "error", err)
+		h.update(func() { h.rejected = rejection{version, digest, err.Error(), time.Now()} })
+		return err
+	}
+	h.bringIntoForce(version, text, parsed)
+	return nil
+}
+
+// compare deals with a document whose version is not higher than the one in force; for any other one isNew is true. The
+// caller holds applyMu.
+func (h *Holder) compare(version int64, text string) (isNew bool, err error) {
 	h.mu.Lock()
 	inForce, documents, minVersion := h.version, h.documents, max(h.version, h.minVersion)
 	h.mu.Unlock()
-	digest := Digest(text)
 	switch {
 	case version != 0 && version < minVersion:
-		return errOutdated
+		return false, errOutdated
 	case version == inForce && slices.Contains(documents, text):
 		if text != documents[0] {
-			return errConflictingText
+			return false, errConflictingText
 		}
-		h.update(func() { h.rejected = rejection{} }) // whoever gave a newer one has gone back to this
-		return nil
+		h.update(func() { h.rejected = rejection{} }) // the source has withdrawn the higher version
+		return false, nil
 	case version == inForce && version != 0:
-		return h.addConflictingText(version, text)
-	}
-	if err == nil && h.cfg.Check != nil {
-		err = h.cfg.Check(parsed)
+		return false, h.addConflictingText(version, text)
 	}
-	if err != nil {
-		h.cfg.Log.Error("settings: a text is not used: what is in force stays", "version", version, "digest", digest, "error", err)
-		h.update(func() { h.rejected = rejection{version, digest, err.Error(), time.Now()} })
-		return err
+	return true, nil
+}
+
+// addConflictingText records another document of the version in force, and returns errConflictingText. It is saved too, so
+// that the first one stays in force after a restart. The caller holds applyMu.
+func (h *Holder) addConflictingText(version int64, text string) error {
+	h.cfg.Log.Error("settings: several texts have one version: the first stands until a higher one comes", "version", version, "digest", Digest(text))
+	if documents := append(slices.Clone(h.documents), text); len(documents) <= maxDocuments {
+		saveFailure := h.save(version, documents)
+		h.update(func() { h.documents, h.saveFailure = documents, saveFailure })
 	}
-	saveFailure := h.save(version, []string{text})
+	return errConflictingText
+}
+
+// bringIntoForce saves and applies a document that was checked. Where saving or applying fails the document is in force all
+// the same: the next start applies what was saved. The caller holds applyMu.
+func (h *Holder) bringIntoForce(version int64, text string, parsed *Settings) {
+	saveFailure, applyFailure := h.save(version, []string{text}), ""
 	var pendingRestart []string
-	applyFailure := ""
 	if h.cfg.Apply != nil {
-		if pendingRestart, err = h.cfg.Apply(parsed); err != nil { // it was checked, and is kept: the next start has it
+		var err error
+		if pendingRestart, err = h.cfg.Apply(parsed); err != nil {
 			h.cfg.Log.Error("settings: not all of a text is in force before the next start", "version", version, "error", err)
 			applyFailure = "not all is in force before the next start: " + err.Error()
 		}
 	}
-	h.cfg.Log.Info("settings", "version", version, "digest", digest, "later", pendingRestart)
+	h.cfg.Log.Info("settings", "version", version, "digest", Digest(text), "later", pendingRestart)
 	h.update(func() {
-		h.version, h.documents, h.pendingRestart, h.saveFailure, h.applyFailure = version, []string{text}, pendingRestart, saveFailure, applyFailure
+		h.version, h.documents, h.pendingRestart = version, []string{text}, pendingRestart
+		h.saveFailure, h.applyFailure = saveFailure, applyFailure
 		if h.rejected.version <= version {
 			h.rejected = rejection{}
 		}
 	})
-	return nil
-}
-
-// addConflictingText takes note of another text under the version in force. It is kept too, so that the same one stands after a restart.
-func (h *Holder) addConflictingText(version int64, text string) error {
-	h.cfg.Log.Error("settings: several texts have one version: the first stands until a higher one comes", "version", version, "digest", Digest(text))
-	if documents := append(slices.Clone(h.documents), text); len(documents) <= maxDocuments {
-		saveFailure := h.save(version, documents)
-		h.update(func() { h.documents, h.saveFailure = documents, saveFailure })
-	}
-	return errConflictingText
 }
 
-func (h *Holder) save(version int64, texts []string) (failure string) {
+// save stores documents, if the process has a folder for them. It returns the reason of a failure, "" without one.
+func (h *Holder) save(version int64, documents []string) (failure string) {
 	if h.cfg.Save == nil {
 		return ""
 	}
-	if err := h.cfg.Save(version, texts); err != nil {
+	if err := h.cfg.Save(version, documents); err != nil {
 		h.cfg.Log.Error("settings: they are not kept: after a restart older ones may be in force", "version", version, "error", err)
 		return "not kept over a restart: " + err.Error()
 	}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -1,5 +1,7 @@
 package settings
 
+// The state file, which outlives the process, and the operator's file at a source.
+
 import (
 	"context"
 	"log/slog"
@@ -9,14 +11,17 @@
 
 const stateFileName = "settings.json"
 
-// SaveFunc returns what keeps versions in a folder, synced before they are in force: an older version never comes back.
-func SaveFunc(dir string) func(version int64, texts []string) error {
+// SaveFunc returns a function for Config.Save that stores versions in a folder. They are synced to disk before they are in
+// force, so that an older version can't come back after a restart.
+func SaveFunc(dir string) func(version int64, documents []string) error {
 	return versionedfile.SaveFunc(dir, stateFileName)
 }
 
-// Load takes what was kept in a folder. What is there and can't be read is an error: the process starts without settings,
-// and takes the first that come. What can be read and not be used, since the agent's own file is another now, is not in
-// force, and still no lower version is taken.
+// Load applies what was saved in a folder. It is called once, before anything else is applied.
+//
+// A state file that can't be read is an error: the process starts without settings, and applies the first version that
+// comes. Settings that can be read and not used, because the agent's own file has changed, are not in force, and still no
+// lower version is applied; that is logged and reported, and no error.
 func (h *Holder) Load(dir string) error {
 	version, documents, err := versionedfile.Load(dir, stateFileName)
 	if err != nil {
@@ -25,16 +30,16 @@
 	h.mu.Lock()
 	h.minVersion = version
 	h.mu.Unlock()
-	for i, text := range documents {
-		if err := h.Apply(version, text); err != nil && i == 0 { // it is logged, and told
-			break // no other text may stand in its place
+	for i, document := range documents {
+		if err := h.Apply(version, document); err != nil && i == 0 {
+			break // no other document may take the place of the first one
 		}
 	}
 	return nil
 }
 
-// Watch takes the file in which settings are given whenever it changes, until ctx ends. One that goes away or can't be
-// read changes nothing: what was given last stays in force until a higher version is given.
+// Watch applies the operator's file whenever it changes, and returns when ctx ends. A file that goes away, or can't be used,
+// changes nothing: what is in force stays until a higher version comes.
 func (h *Holder) Watch(ctx context.Context, file string, log *slog.Logger) {
 	versionedfile.Watch(ctx, file, func(text string, err error) {
 		if err != nil {
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -1,5 +1,17 @@
-// Package settings holds the settings of all agents of a fleet: one text with a version, checked before it counts. Versions
-// only grow, also over restarts; a text that can't be used leaves the one before in force, and says why.
+// Package settings holds the settings that operators give to all agents of a fleet: one TOML document with a version.
+//
+// A version is checked and saved before it is in force, and versions only grow, also over restarts. A document that can't be
+// used leaves the one before in force, and the reason is reported to the hubs.
+//
+// # State and owners
+//
+// The file that Watch reads is the operator's; it exists at a source, which is a hub. A Holder owns what is in force at one
+// process, and the state file settings.json in its folder, if it has one. In memory its fields belong to Holder.mu, and
+// change only while Holder.applyMu is held too. At an agent an AgentConfig owns the agent's configuration as it runs: the
+// agent's own file with the settings laid over it.
+//
+// Settings are checked when they come: against the defaults (Parse), and at an agent against its own file (Config.Check).
+// They have no age limit: the version in force stays until a higher one comes, however long no hub can be reached.
 package settings
 
 import (
@@ -14,50 +26,53 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Settings are one text, as read.
+// Settings is a parsed settings document.
 type Settings = config.Settings
 
-// MaxText bounds a text, in bytes.
+// MaxText is the maximum size of a settings document, in bytes.
 const MaxText = config.MaxSettingsBytes
 
 const (
-	maxDocuments          = 8   // under one version, the one in force included
-	maxReasonBytes        = 512 // bytes; what a frame takes
-	rejectedRetryInterval = 30 * time.Second
+	maxDocuments          = 8                // of one version, the one in force included
+	maxReasonBytes        = 512              // of Status.Reason; what a frame to a hub takes
+	rejectedRetryInterval = 30 * time.Second // until a rejected document is fetched again
 )
 
-// Parse reads settings, and checks what can be checked without an agent's file. Errors name file, line and key.
+// Parse parses settings, and checks what can be checked without an agent's file. Errors name file, line and key.
 func Parse(file, text string) (*Settings, error) { return config.ParseSettings(file, text) }
 
-// Digest tells texts apart.
+// Digest returns a hash that tells documents of one version apart.
 func Digest(text string) string { return versionedfile.Digest(text) }
 
-// Config says what settings mean to their holder. Each function may be nil, and is not called twice at a time.
+// Config says what settings mean to the process of a Holder. Each function may be nil; none is called twice at a time.
 type Config struct {
-	Check func(*Settings) error                       // whether they can be used here
-	Apply func(*Settings) (later []string, err error) // brings them into force; later: keys that wait for the next start
-	Save  func(version int64, texts []string) error   // on disk, before they are in force
-	Log   *slog.Logger
+	// Check returns an error if the settings can't be used by this process.
+	Check func(*Settings) error
+	// Apply brings settings into force, and returns the keys that wait for the next start of the process.
+	Apply func(*Settings) (pendingRestart []string, err error)
+	// Save stores a version and all documents known under it, the one in force first. It is called before Apply.
+	Save func(version int64, documents []string) error
+	Log  *slog.Logger // nil: nothing is logged
 }
 
-// Holder keeps the settings in force at one process. Its methods may be called from any task.
+// Holder holds the settings in force at one process. Its methods may be called from any goroutine.
 type Holder struct {
 	cfg Config
 
-	applyMu sync.Mutex // one text at a time, with its checks and its file
+	applyMu sync.Mutex // held while a document is checked, saved and applied: one at a time
 
 	mu             sync.Mutex
 	version        int64
-	documents      []string // under the version; the first is in force
-	minVersion     int64    // a version kept from the process before, in force or not: no lower one is taken
-	pendingRestart []string
+	documents      []string // of that version; the first is in force
+	minVersion     int64    // saved by the process before, in force or not: lower versions are rejected
+	pendingRestart []string // keys
 	rejected       rejection
-	saveFailure    string
-	applyFailure   string
-	changed        chan struct{}
+	saveFailure    string        // "": none
+	applyFailure   string        // "": none
+	changed        chan struct{} // closed and replaced at each change
 }
 
-// rejection is a text that was not taken, and is newer than the one in force.
+// rejection is the last rejected document, as long as its version is higher than the one in force.
 type rejection struct {
 	version int64
 	digest  string
@@ -65,7 +80,7 @@
 	at      time.Time
 }
 
-// NewHolder returns a holder without settings: every agent's own file holds.
+// NewHolder returns a holder without settings: the agent's own file holds until the first version comes.
 func NewHolder(cfg Config) *Holder {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -73,7 +88,7 @@
 	return &Holder{cfg: cfg, changed: make(chan struct{})}
 }
 
-// update changes what Standing and State tell.
+// update changes the fields that Status and State report, and wakes those who wait for Changed.
 func (h *Holder) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,53 +97,57 @@
 	h.changed = make(chan struct{})
 }
 
-// Changed is closed at the next change of what Standing or State tell.
+// Changed returns a channel that is closed at the next change of what Status or State report.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// ShouldFetch says whether a text that others have is worth asking for. One that was refused is, again after a while: what it
-// was checked against, the agent's own file, may have been mended.
+// ShouldFetch reports whether a document that others hold is worth fetching. One that was rejected here is, again, after
+// rejectedRetryInterval: the agent's own file, against which it was checked, may have been corrected.
 func (h *Holder) ShouldFetch(version int64, digest string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r := h.rejected; version < max(h.version, h.minVersion) || version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval {
+	r := h.rejected
+	rejectedLately := version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval
+	if version < max(h.version, h.minVersion) || rejectedLately {
 		return false
 	}
-	return version > h.version || len(h.documents) < maxDocuments && !slices.ContainsFunc(h.documents, func(t string) bool { return Digest(t) == digest })
+	hasDigest := func(document string) bool { return Digest(document) == digest }
+	return version > h.version || len(h.documents) < maxDocuments && !slices.ContainsFunc(h.documents, hasDigest)
 }
 
-// State is what is in force, for others. Of the digests the first is in force; the rest have its version by mistake.
+// State is what is in force, for other processes of the fleet. Version 0 means no settings.
 type State struct {
 	Version        int64
-	Digests        []string
-	PendingRestart []string // keys that wait for the next start
+	Digests        []string // the first is in force; the others have its version by mistake
+	PendingRestart []string // keys that wait for the next start of the process
 }
 
+// State returns what is in force.
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	st := State{Version: h.version, PendingRestart: slices.Clone(h.pendingRestart)}
-	for _, t := range h.documents {
-		st.Digests = append(st.Digests, Digest(t))
+	state := State{Version: h.version, PendingRestart: slices.Clone(h.pendingRestart)}
+	for _, document := range h.documents {
+		state.Digests = append(state.Digests, Digest(document))
 	}
-	return st
+	return state
 }
 
-// Status is what is in force, and what is wrong with it or with a newer text; "": nothing. It has the form of
-// frame.Standing.
+// Status is what is in force, as reported to the hubs. It converts to frame.AppliedVersion.
 type Status struct {
-	Version int64
-	Digest  string
-	Reason  string
+	Version int64  // 0: none
+	Digest  string // "": none
+	Reason  string // what is wrong with it, or with a higher version; "": nothing
 }
 
+// Status returns what is in force, and what is wrong with it or with a higher version.
 func (h *Holder) Status() Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	st := Status{Version: h.version}
+	status := Status{Version: h.version}
 	var reasons []string
 	if h.rejected.reason != "" {
 		reasons = append(reasons, "not taken: "+h.rejected.reason)
@@ -142,20 +161,20 @@
 		}
 	}
 	if len(h.documents) > 0 {
-		st.Digest = Digest(h.documents[0])
+		status.Digest = Digest(h.documents[0])
 	}
-	st.Reason = strings.Join(reasons, "; ")
-	st.Reason = strings.ToValidUTF8(st.Reason[:min(len(st.Reason), maxReasonBytes)], "") // a cut may go through a letter
-	return st
+	status.Reason = strings.Join(reasons, "; ")
+	status.Reason = strings.ToValidUTF8(status.Reason[:min(len(status.Reason), maxReasonBytes)], "") // a cut may split a character
+	return status
 }
 
-// Text is the text with a digest under the version in force.
+// Text returns the document with a digest, of the version in force. ok is false if there is none.
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.documents {
-		if Digest(t) == digest {
-			return h.version, t, true
+	for _, document := range h.documents {
+		if Digest(document) == digest {
+			return h.version, document, true
 		}
 	}
 	return h.version, "", false
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,10 +12,12 @@
 	"time"
 )
 
+// settingsText returns a document that sets attempts.most.
 func settingsText(version, maxAttempts int) string {
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, maxAttempts)
 }
 
+// writeFile replaces a file in one step, as operators do.
 func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := errors.Join(os.WriteFile(file+".w", []byte(text), 0o600), os.Rename(file+".w", file)); err != nil {
@@ -23,18 +25,20 @@
 	}
 }
 
+// assertInForce checks that a document is in force, "" for none, and that the reported reason contains a text, "" for no
+// reason.
 func assertInForce(t *testing.T, h *Holder, text, reason string) {
 	t.Helper()
-	st := h.Status()
-	if digest := Digest(text); text != "" && st.Digest != digest || text == "" && st != (Status{Reason: st.Reason}) {
-		t.Errorf("%+v is in force, want %q", st, text)
+	status := h.Status()
+	if digest := Digest(text); text != "" && status.Digest != digest || text == "" && status != (Status{Reason: status.Reason}) {
+		t.Errorf("%+v is in force, want %q", status, text)
 	}
-	if reason == "" && st.Reason != "" || !strings.Contains(st.Reason, reason) || len(st.Reason) > maxReasonBytes {
-		t.Errorf("told %q, want %q", st.Reason, reason)
+	if reason == "" && status.Reason != "" || !strings.Contains(status.Reason, reason) || len(status.Reason) > maxReasonBytes {
+		t.Errorf("reported %q, want %q", status.Reason, reason)
 	}
 }
 
-// A version never goes back, also over restarts; of two texts under one version the same stands before and after.
+// Versions only grow, also over restarts; of two documents of one version the same is in force before and after a restart.
 func TestVersionsSurviveRestart(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	start := func(check func(*Settings) error) *Holder {
@@ -52,19 +56,19 @@
 		}
 	}
 	if !h.ShouldFetch(2, Digest(other)) || h.Apply(2, other) == nil || h.ShouldFetch(2, Digest(other)) {
-		t.Error("a second text under a version is taken, or asked for twice")
+		t.Error("a second document of a version is applied, or fetched twice")
 	}
 	for range 2 {
 		assertInForce(t, h, first, "2 texts have version 2")
 		if h.Apply(1, settingsText(1, 5)) == nil || h.ShouldFetch(1, "") || h.Apply(2, first) != nil || h.Apply(2, other) == nil {
-			t.Error("an older version, or another text, is taken")
+			t.Error("an older version, or another document, is applied")
 		}
 		if _, got, ok := h.Text(Digest(other)); !ok || got != other {
-			t.Error("what others must hear of is not to be had")
+			t.Error("the conflicting document is not served")
 		}
 		h = start(nil)
 	}
-	// The agent's own file has changed: nothing kept can be used, and still nothing older is.
+	// The agent's own file has changed: nothing saved can be used, and still nothing older is applied.
 	h = start(func(*Settings) error { return errors.New("not over this file") })
 	assertInForce(t, h, "", "not over this file")
 	if err := h.Apply(1, settingsText(1, 5)); !errors.Is(err, errOutdated) {
@@ -77,7 +81,7 @@
 	assertInForce(t, h, settingsText(3, 5), "")
 }
 
-// What was kept and can't be read is an error, and the next text is taken.
+// A state file that can't be read is an error, and the next document is applied.
 func TestBrokenStateFileIsAnErrorAndNextTextIsApplied(t *testing.T) {
 	for _, data := range []string{"", "{", `{"format":9,"version":3}`, `{"format":1,"version":0}`, "version = 3"} {
 		dir := t.TempDir()
@@ -93,7 +97,7 @@
 	}
 }
 
-// A text is checked before it counts, and kept before it is applied; who waits hears of it.
+// A document is checked, saved and applied in this order, and those who wait for a change are woken.
 func TestTextIsCheckedAndSavedBeforeItIsApplied(t *testing.T) {
 	var order []string
 	diskFull := false
@@ -117,12 +121,12 @@
 	}
 	for _, bad := range []string{settingsText(2, 99), settingsText(3, 5), "version = 2\n\"" + strings.Repeat("ü", 300) + "\" = 1"} {
 		if h.Apply(2, bad) == nil || h.ShouldFetch(2, Digest(bad)) {
-			t.Errorf("%.40q is taken, or asked for again", bad)
+			t.Errorf("%.40q is applied, or fetched again", bad)
 		}
 		assertInForce(t, h, settingsText(1, 5), "not taken: settings, version 2")
 	}
 	if len(order) != 3 {
-		t.Errorf("a text that can't be read gets to %v", order[3:])
+		t.Errorf("a document that can't be parsed gets to %v", order[3:])
 	}
 	diskFull = true
 	if err := h.Apply(2, settingsText(2, 5)); err != nil {
@@ -131,7 +135,7 @@
 	assertInForce(t, h, settingsText(2, 5), "not kept over a restart: no space")
 }
 
-// A file is followed; what can't be used changes nothing, and is told with file, line and key.
+// A watched file is applied whenever it changes; an unusable one changes nothing, and is reported with file, line and key.
 func TestWatchAppliesEachUsableChangeOfTheFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	h := NewHolder(Config{})
@@ -166,7 +170,7 @@
 	assertInForce(t, h, settingsText(2, 6), "")
 }
 
-// Settings go over the agent's own file; discovery moves at once, and the rest waits for the next start.
+// Settings are laid over the agent's own file; discovery changes at once, and the other keys wait for the next start.
 func TestDiscoveryAppliesAtOnceAndOtherKeysAwaitRestart(t *testing.T) {
 	own := filepath.Join(t.TempDir(), "agent.toml")
 	writeFile(t, own, "discovery = \"127.0.0.1:1\"\n[attempts]\nmost = 4\n[[class]]\nname = \"get\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n")
@@ -179,10 +183,10 @@
 			t.Error(err)
 		}
 		if st := h.State(); !slices.Equal(st.PendingRestart, pendingRestart) {
-			t.Errorf("%q: %q wait, want %q", text, st.PendingRestart, pendingRestart)
+			t.Errorf("%q: %q wait for a restart, want %q", text, st.PendingRestart, pendingRestart)
 		}
 	}
-	apply(settingsText(1, 5)) // before the start: nothing waits
+	apply(settingsText(1, 5)) // before the start nothing waits
 	if c, err := agent.Read(); err != nil || c.Attempts.Max != 5 {
 		t.Fatal(c, err)
 	}
@@ -195,7 +199,7 @@
 	}
 	writeFile(t, own, "discovery = \"no\"\n")
 	if h.Apply(0, settingsText(5, 5)) == nil {
-		t.Error("taken over a file that can't be read")
+		t.Error("applied over a file that can't be read")
 	}
 	assertInForce(t, h, settingsText(4, 5), own+":1: discovery")
 }
