--- a/internal/settings/apply.go
+++ b/internal/settings/apply.go
@@ -39,7 +39,7 @@
 	}
 	if err != nil {
 		digest := Digest(text)
-		h.cfg.Log.Error("settings: a text is not used: what is in force stays", "version", version, "digest", digest, "error", err)
+		h.cfg.Log.Error("settings rejected", "version", version, "digest", digest, "error", err)
 		h.update(func() { h.rejected = rejection{version, digest, err.Error(), time.Now()} })
 		return err
 	}
@@ -71,7 +71,7 @@
 // addConflictingText records another document of the version in force, and returns errConflictingText. It is saved too, so
 // that the first one stays in force after a restart. The caller holds applyMu.
 func (h *Holder) addConflictingText(version int64, text string) error {
-	h.cfg.Log.Error("settings: several texts have one version: the first stands until a higher one comes", "version", version, "digest", Digest(text))
+	h.cfg.Log.Error("settings version conflict", "version", version, "digest", Digest(text))
 	if documents := append(slices.Clone(h.documents), text); len(documents) <= maxDocuments {
 		saveFailure := h.save(version, documents)
 		h.update(func() { h.documents, h.saveFailure = documents, saveFailure })
@@ -87,7 +87,7 @@
 	if h.cfg.Apply != nil {
 		var err error
 		if pendingRestart, err = h.cfg.Apply(parsed); err != nil {
-			h.cfg.Log.Error("settings: not all of a text is in force before the next start", "version", version, "error", err)
+			h.cfg.Log.Error("applying settings failed", "version", version, "error", err)
 			applyFailure = "not all is in force before the next start: " + err.Error()
 		}
 	}
@@ -107,7 +107,7 @@
 		return ""
 	}
 	if err := h.cfg.Save(version, documents); err != nil {
-		h.cfg.Log.Error("settings: they are not kept: after a restart older ones may be in force", "version", version, "error", err)
+		h.cfg.Log.Error("saving settings failed", "version", version, "error", err)
 		return "not kept over a restart: " + err.Error()
 	}
 	return ""
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -43,11 +43,11 @@
 func (h *Holder) Watch(ctx context.Context, file string, log *slog.Logger) {
 	versionedfile.Watch(ctx, file, func(text string, err error) {
 		if err != nil {
-			log.Error("settings: the file can't be read: what was given last stays", "error", err)
+			log.Error("reading settings file failed", "error", err)
 			return
 		}
 		if err := h.apply(file, 0, text); err != nil {
-			log.Error("settings: the file is not used: what was given last stays", "error", err)
+			log.Error("settings file rejected", "error", err)
 		}
 	})
 }
