--- a/internal/residency/gate/gate.go
+++ b/internal/residency/gate/gate.go
@@ -1,16 +1,19 @@
-// Package gate is what stands between an agent's sends and its residency policy: a table that says where each rule
-// permits to send. It depends on nothing, so that an agent without a policy pays nothing for it.
+// Package gate is the check between an agent's sends and its residency policy: a table of the zones that each rule permits.
+// It depends on nothing, so that an agent without a policy pays nothing for it.
+//
+// The package has no state. A Table belongs to the Enforcer that made it, is never changed, and may be used from any
+// goroutine; how old its policy may be is the Enforcer's to check, whenever the table is asked for.
 package gate
 
-// Table is what is in force: for each rule the zones that it permits, by number. It is never changed.
+// Table says which zones each rule permits. Rules and zones are numbers that the Enforcer gives out.
 type Table struct {
-	Generation int // grows with each change
-	Permitted  [][]bool
-	Restricted []bool // which of them bind
+	Generation int      // grows with each new table of an Enforcer
+	Permitted  [][]bool // by rule and zone
+	Restricted []bool   // by rule; an unrestricted one permits every zone, unknown ones included
 }
 
-// Permits reports whether a rule permits a zone. 0 is no rule, which permits all; a rule or a zone that is not known is
-// not permitted, where the rule binds.
+// Permits reports whether a rule permits sending to a zone. Rule 0 stands for no rule, and permits every zone. A rule that
+// is not in the table permits none, and a restricted rule permits no zone that it does not know, -1 included.
 func (t *Table) Permits(rule, zone int) bool {
 	if rule <= 0 {
 		return true
@@ -24,9 +27,12 @@
 	return zone >= 0 && zone < len(t.Permitted[rule]) && t.Permitted[rule][zone]
 }
 
-// Enforcer answers for the policy that is in force. Its methods may be called from any task.
+// Enforcer decides by the residency policy in force. Its methods may be called from any goroutine.
 type Enforcer interface {
-	RuleID(tenant, class string) int // the number of the rule for a tenant's requests of a class
+	// RuleID returns the number of the rule for a tenant's requests of a class; it never changes.
+	RuleID(tenant, class string) int
+	// Table returns what is permitted now. It is asked for right before each send.
 	Table() *Table
-	CountRefusal(rule, zone int) // an attempt that the module made was refused before its first byte
+	// CountRefusal records that the gate refused an attempt, before its first byte, that the decision module had chosen.
+	CountRefusal(rule, zone int)
 }
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -1,5 +1,7 @@
 package residency
 
+// The policy in force at one process: which version, and how old the last confirmation of it is.
+
 import (
 	"errors"
 	"log/slog"
@@ -11,43 +13,31 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// ConfirmedAge is how long ago the version in force was its source's latest for certain, as far as was heard; 0 at a source. It
-// reports false where that was never heard.
-func (h *Holder) ConfirmedAge() (age time.Duration, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	switch {
-	case h.version == 0:
-		return 0, false
-	case h.isSource:
-		return 0, true
-	}
-	return time.Since(h.confirmedAt), h.everConfirmed
-}
-
-// Holder keeps the policy that is in force at one agent, and answers for it. Its methods may be called from any task.
+// Holder holds the policy in force at one process, and decides by it. It implements gate.Enforcer. Its methods may be called
+// from any goroutine.
 type Holder struct {
-	zones    []string
+	zones    []string // by number
 	maxAge   time.Duration
-	isSource bool // this process's operators give the policy: it is never stale
+	isSource bool // operators give the policy to this process: it is never stale here
 	log      *slog.Logger
-	save     func(version int64, texts []string) error // on disk, before a version is in force; may be nil
+	save     func(version int64, documents []string) error // nil: versions are not saved
 
 	mu            sync.Mutex
-	version       int64
-	policies      map[string]*Policy // under the version, by digest; a nil one can't be read
-	confirmedAt   time.Time          // when the version was the source's latest, as last heard
+	version       int64              // 0: no policy
+	policies      map[string]*Policy // of that version, by digest; nil where the document can't be used
+	lastReadable  *Policy            // the last usable one: says who is restricted while a later one can't be used
+	confirmedAt   time.Time          // when the version was the source's latest, by the latest confirmation
 	everConfirmed bool
 	stale         bool
-	ruleIDs       map[subject]int // of rules, from 1; never given twice
-	subjects      []subject
-	lastReadable  *Policy // the last one that could be read: says who is bound while a later one can't be
-	table         *gate.Table
-	refusals      map[[2]string]int // refused sends, by tenant and zone
+	ruleIDs       map[subject]int // from 1; an id is never reused
+	subjects      []subject       // by rule id
+	table         *gate.Table     // replaced, never changed
+	refusals      map[[2]string]int
 }
 
-// NewHolder returns a holder without a policy: until one comes, nothing is permitted to anyone. source says that the
-// policy is given here, by a file.
+// NewHolder returns a holder without a policy: until the first version comes, nothing is permitted to any tenant. zones are
+// the zones' names by number. maxAge is the age of a confirmation at which the policy becomes stale. isSource says that
+// operators give the policy to this process. save stores a version and its documents before they are in force; it may be nil.
 func NewHolder(zones []string, maxAge time.Duration, isSource bool, log *slog.Logger, save func(int64, []string) error) *Holder {
 	h := &Holder{zones: zones, maxAge: maxAge, isSource: isSource, log: log, save: save, policies: map[string]*Policy{},
 		ruleIDs: map[subject]int{}, subjects: []subject{{}}, refusals: map[[2]string]int{}}
@@ -55,14 +45,18 @@
 	return h
 }
 
-var errOutdated = errors.New("a higher version is in force")
+var (
+	errOutdated         = errors.New("a higher version is in force")
+	errTooManyDocuments = errors.New("too many texts under one version")
+)
 
-// Apply takes a text of a version. A lower version than the one in force is an error; a higher one replaces it; another
-// text under the same version holds beside it.
+// Apply brings a document into force. A higher version replaces the one in force; another document of the same version holds
+// beside it, so that only what both permit is permitted; a lower version is an error. A document that can't be used is in
+// force too, and its error is returned: restricted tenants are refused until a higher version comes.
 func (h *Holder) Apply(version int64, text string) error {
-	p, err := Parse("policy", text)
-	if err == nil && p.Version != version {
-		version = max(version, p.Version)
+	policy, err := Parse("policy", text)
+	if err == nil && policy.Version != version {
+		version = max(version, policy.Version)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,38 +71,43 @@
 		h.version, h.policies = version, map[string]*Policy{}
 		h.confirmedAt, h.everConfirmed = time.Time{}, false
 	case len(h.policies) >= maxDocuments:
-		return errors.New("too many texts under one version")
+		return errTooManyDocuments
 	}
 	if err != nil {
 		h.log.Error("residency: a policy can't be read: bound tenants are refused until a higher version comes", "version", version, "error", err)
-		p = nil
+		policy = nil
 	} else {
-		h.lastReadable = p
+		h.lastReadable = policy
 	}
-	h.policies[digest] = p
+	h.policies[digest] = policy
 	if len(h.policies) > 1 {
 		h.log.Error("residency: several texts have one version: what all permit holds until a higher one comes", "version", version, "texts", len(h.policies))
 	}
-	if h.save != nil {
-		if kept := h.save(version, h.readableDocuments()); kept != nil {
-			h.log.Error("residency: the policy is not kept: after a restart an older version may be in force", "error", kept)
-		}
-	}
+	h.saveDocuments()
 	h.log.Info("residency policy", "version", version, "digest", digest)
 	h.rebuildTable()
 	return err
 }
 
-func (h *Holder) readableDocuments() (documents []string) {
-	for _, d := range slices.Sorted(maps.Keys(h.policies)) {
-		if p := h.policies[d]; p != nil {
-			documents = append(documents, p.text)
+// saveDocuments saves the version and its usable documents. Where that fails they are in force all the same, and an older
+// version may be after a restart. The lock is held.
+func (h *Holder) saveDocuments() {
+	if h.save == nil {
+		return
+	}
+	var documents []string
+	for _, digest := range slices.Sorted(maps.Keys(h.policies)) {
+		if policy := h.policies[digest]; policy != nil {
+			documents = append(documents, policy.text)
 		}
 	}
-	return documents
+	if err := h.save(h.version, documents); err != nil {
+		h.log.Error("residency: the policy is not kept: after a restart an older version may be in force", "error", err)
+	}
 }
 
-// Confirm takes that a source's latest version, as it was an age ago, is this one.
+// Confirm records that a document was the source's latest version an age ago. A confirmation of another version, or one
+// older than the last, changes nothing.
 func (h *Holder) Confirm(version int64, digest string, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,7 +120,22 @@
 	h.updateStale()
 }
 
-// updateStale finds out whether the policy has become stale, or is not any more. The lock is held.
+// ConfirmedAge returns how long ago the version in force was the source's latest, by the last confirmation; 0 at a source. ok
+// is false without a policy or a confirmation.
+func (h *Holder) ConfirmedAge() (age time.Duration, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	switch {
+	case h.version == 0:
+		return 0, false
+	case h.isSource:
+		return 0, true
+	}
+	return time.Since(h.confirmedAt), h.everConfirmed
+}
+
+// updateStale compares the age of the last confirmation with maxAge, and rebuilds the table if the outcome has changed. The
+// lock is held.
 func (h *Holder) updateStale() {
 	if stale := !h.isSource && (!h.everConfirmed || time.Since(h.confirmedAt) > h.maxAge); stale != h.stale {
 		h.stale = stale
@@ -130,27 +144,28 @@
 	}
 }
 
-// State is what is in force, for logs and for others.
+// State is what is in force, for logs and for other processes of the fleet.
 type State struct {
-	Version  int64
-	Digests  []string
+	Version  int64    // 0: no policy
+	Digests  []string // sorted; more than one are a conflict
 	Stale    bool
-	Refusals map[[2]string]int
+	Refusals map[[2]string]int // by tenant and zone
 }
 
+// State returns what is in force, and the attempts counted by CountRefusal.
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return State{h.version, slices.Sorted(maps.Keys(h.policies)), h.stale, maps.Clone(h.refusals)}
 }
 
-// Text is the text with a digest under the version in force.
+// Text returns the document with a digest, of the version in force. ok is false if there is none, or it can't be used.
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p := h.policies[digest]
-	if p == nil {
+	policy := h.policies[digest]
+	if policy == nil {
 		return h.version, "", false
 	}
-	return h.version, p.text, true
+	return h.version, policy.text, true
 }
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -1,8 +1,19 @@
-// Package residency says in which zones a tenant's requests may be served.
+// Package residency decides in which zones a tenant's requests may be served.
 //
-// A policy names regions, the sites that belong to each, and for each tenant the regions that are permitted. It fails
-// closed: a site in no region, a zone that nobody configured and a policy that can't be read permit a bound tenant
-// nothing. Versions only grow; two texts under one version permit what both permit.
+// A policy is a TOML document with a version. It names regions, the sites (zones) that belong to each, and for each tenant
+// the regions that are permitted. It fails closed: a site in no region, a zone that is not configured, and a policy that
+// can't be used permit nothing to a restricted tenant. Versions only grow, also over restarts; two documents of one version
+// permit what both permit.
+//
+// # State and owners
+//
+// The file that Watch reads is the operator's; it exists at a source. A Holder owns what is in force at one process, and the
+// state file policy.json in its folder, if it has one. Its fields belong to Holder.mu. The gate.Table that it hands out is
+// never changed, and is replaced whenever the policy, its staleness or the known tenants change.
+//
+// A policy is checked when it comes (Parse), and enforced twice: by the decision module, and by the gate right before each
+// send. Its age is the time since a source last confirmed the version (Holder.Confirm). It is compared with the holder's
+// maxAge whenever a table is asked for; past it each tenant is served by the old policy or refused, as its rule says.
 package residency
 
 import (
@@ -14,44 +25,50 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Bounds of a policy.
+// MaxText is the maximum size of a policy document, in bytes.
+const MaxText = 256 << 10
+
+const (
+	maxRegions   = 1024
+	maxTenants   = 10000
+	maxDocuments = 64 // of one version
+)
+
+// Words of a policy document.
 const (
-	MaxText         = 256 << 10 // bytes
-	maxRegions      = 1024
-	maxTenants      = 10000
-	maxDocuments    = 64 // texts under one version
 	serveWhenStale  = "serve"
 	refuseWhenStale = "refuse"
 	anyRegion       = "*"
 )
 
-// Policy is one text of a policy, as read.
+// Policy is a parsed policy document. It is never changed after Parse.
 type Policy struct {
 	Version     int64               `toml:"version"`
-	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for tenants that don't say
-	Regions     map[string][]string `toml:"regions"`    // the sites of each
+	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for rules that don't say; "": "serve"
+	Regions     map[string][]string `toml:"regions"`    // the sites of each region
 	Tenants     map[string]Tenant   `toml:"tenant"`
-	DefaultRule Rule                `toml:"others"` // tenants that are not named
+	DefaultRule Rule                `toml:"others"` // for tenants that are not named
 
 	text string
 }
 
-// Rule is what holds for a tenant, or for one class of its requests.
+// Rule is what is permitted to a tenant, or to one class of its requests.
 type Rule struct {
 	Permitted []string `toml:"permitted"`  // regions; "*" alone: anywhere
-	WhenStale string   `toml:"when_stale"` // "": as the policy says
+	WhenStale string   `toml:"when_stale"` // "serve" or "refuse"; "": as the tenant or the policy says
 }
 
-// Tenant is a named one's rule, and those of its classes that differ.
+// Tenant is the rule of a named tenant, and those of its classes that differ from it.
 type Tenant struct {
 	Rule
 	Classes map[string]Rule `toml:"class"`
 }
 
-// Parse reads a policy. file names it in errors, which name the key, too.
+// Parse parses and checks a policy document. file names it in errors, which are of type *strictconfig.Error and name the key
+// and, where the key is in the text, its line. After an error the policy must not be used.
 func Parse(file, text string) (*Policy, error) {
 	if len(text) > MaxText {
-		return nil, fmt.Errorf("%s: %d bytes, at most %d", file, len(text), MaxText)
+		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, at most %d", len(text), MaxText)}
 	}
 	p := &Policy{text: text}
 	if err := strictconfig.Decode(file, text, p); err != nil {
@@ -60,6 +77,9 @@
 	return p, p.check(file)
 }
 
+// errorAtFunc returns an error about a key.
+type errorAtFunc func(key, format string, args ...any) error
+
 func (p *Policy) check(file string) error {
 	errorAt := func(key, format string, args ...any) error {
 		return strictconfig.ErrorAt(file, p.text, key, format, args...)
@@ -73,9 +93,21 @@
 		return errorAt("regions", "%d are more than %d", len(p.Regions), maxRegions)
 	case len(p.Tenants) > maxTenants:
 		return errorAt("tenant", "%d are more than %d", len(p.Tenants), maxTenants)
-	case p.WhenStale != "" && p.WhenStale != serveWhenStale && p.WhenStale != refuseWhenStale:
+	case !isWhenStale(p.WhenStale):
 		return errorAt("when_stale", `%q is none of "serve", "refuse"`, p.WhenStale)
 	}
+	if err := p.checkRegions(errorAt); err != nil {
+		return err
+	}
+	return p.checkRules(errorAt)
+}
+
+func isWhenStale(word string) bool {
+	return word == "" || word == serveWhenStale || word == refuseWhenStale
+}
+
+// checkRegions returns an error if a site is in two regions.
+func (p *Policy) checkRegions(errorAt errorAtFunc) error {
 	regionOf := map[string]string{}
 	for _, region := range slices.Sorted(maps.Keys(p.Regions)) {
 		for _, site := range p.Regions[region] {
@@ -85,30 +117,20 @@
 			regionOf[site] = region
 		}
 	}
-	checkRule := func(key string, r Rule) error {
-		if len(r.Permitted) == 0 {
-			return errorAt(key, "permitted: regions are needed, or \"*\" alone")
-		}
-		for _, region := range r.Permitted {
-			if _, known := p.Regions[region]; !known && !(region == anyRegion && len(r.Permitted) == 1) {
-				return errorAt(key+".permitted", "%q is no region: there are %v", region, slices.Sorted(maps.Keys(p.Regions)))
-			}
-		}
-		if r.WhenStale != "" && r.WhenStale != serveWhenStale && r.WhenStale != refuseWhenStale {
-			return errorAt(key+".when_stale", `%q is none of "serve", "refuse"`, r.WhenStale)
-		}
-		return nil
-	}
-	if err := checkRule("others", p.DefaultRule); err != nil {
+	return nil
+}
+
+func (p *Policy) checkRules(errorAt errorAtFunc) error {
+	if err := p.checkRule(errorAt, "others", p.DefaultRule); err != nil {
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
-		t := p.Tenants[name]
-		if err := checkRule("tenant."+name, t.Rule); err != nil {
+		tenant := p.Tenants[name]
+		if err := p.checkRule(errorAt, "tenant."+name, tenant.Rule); err != nil {
 			return err
 		}
-		for _, class := range slices.Sorted(maps.Keys(t.Classes)) {
-			if err := checkRule("tenant."+name+".class."+class, t.Classes[class]); err != nil {
+		for _, class := range slices.Sorted(maps.Keys(tenant.Classes)) {
+			if err := p.checkRule(errorAt, "tenant."+name+".class."+class, tenant.Classes[class]); err != nil {
 				return err
 			}
 		}
@@ -116,7 +138,23 @@
 	return nil
 }
 
-// ruleFor is what holds for a tenant's requests of a class.
+// checkRule checks the rule at a key: its regions exist, or it permits any region.
+func (p *Policy) checkRule(errorAt errorAtFunc, key string, r Rule) error {
+	if len(r.Permitted) == 0 {
+		return errorAt(key, "permitted: regions are needed, or \"*\" alone")
+	}
+	for _, region := range r.Permitted {
+		if _, known := p.Regions[region]; !known && !(region == anyRegion && len(r.Permitted) == 1) {
+			return errorAt(key+".permitted", "%q is no region: there are %v", region, slices.Sorted(maps.Keys(p.Regions)))
+		}
+	}
+	if !isWhenStale(r.WhenStale) {
+		return errorAt(key+".when_stale", `%q is none of "serve", "refuse"`, r.WhenStale)
+	}
+	return nil
+}
+
+// ruleFor returns the rule for a tenant's requests of a class, with the WhenStale that it inherits.
 func (p *Policy) ruleFor(tenant, class string) Rule {
 	r := p.DefaultRule
 	if t, named := p.Tenants[tenant]; named {
@@ -134,7 +172,7 @@
 	return r
 }
 
-// permittedZones says which of the zones a rule permits. nil: all, those that nobody knows included.
+// permittedZones returns which of the zones a rule permits, by number; nil: every zone, unknown ones included.
 func (p *Policy) permittedZones(r Rule, zones []string) []bool {
 	if len(r.Permitted) == 1 && r.Permitted[0] == anyRegion {
 		return nil
@@ -150,5 +188,5 @@
 	return permitted
 }
 
-// Digest tells texts apart.
+// Digest returns a hash that tells documents of one version apart.
 func Digest(text string) string { return versionedfile.Digest(text) }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -14,8 +14,10 @@
 	"martenbeam/internal/residency/gate"
 )
 
+// zones are the zones' names by number; the last one is in no region.
 var zones = []string{"riga-a", "riga-b", "liepaja", "nowhere"}
 
+// policyText returns a policy that restricts the tenant post to regions, and its class route to one of them.
 func policyText(version int, permitted, whenStale string) string {
 	return fmt.Sprintf(`version = %d
 when_stale = "serve"
@@ -34,6 +36,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
+// permittedZones returns the names of the zones that are permitted now, "unknown" standing for zone -1.
 func permittedZones(h *Holder, tenant, class string) (zoneNames []string) {
 	rule := h.RuleID(tenant, class)
 	t := h.Table()
@@ -57,7 +60,7 @@
 
 func TestRulesPermitTheirZonesAlone(t *testing.T) {
 	h := NewHolder(zones, time.Second, true, discardLog, nil)
-	assertPermitted(t, h, "post", "update") // no policy has come: nothing
+	assertPermitted(t, h, "post", "update") // without a policy nothing is permitted
 	if err := h.Apply(1, policyText(1, `"riga"`, "serve")); err != nil {
 		t.Fatal(err)
 	}
@@ -65,15 +68,15 @@
 	assertPermitted(t, h, "post", "route", "liepaja")
 	assertPermitted(t, h, "someone", "update", "riga-a", "riga-b", "liepaja", "nowhere", "unknown")
 	if h.Table().Permits(maxRules, 0) {
-		t.Error("a rule of no table is permitted")
+		t.Error("a rule that is not in the table is permitted")
 	}
 	if none := (&gate.Table{}); !none.Permits(0, -1) {
-		t.Error("without a policy something is not permitted")
+		t.Error("rule 0 does not permit every zone")
 	}
 }
 
-// Versions only grow; two texts under one version permit what both permit; a text that can't be read refuses whom the
-// one before bound, and the next good one ends that.
+// Versions only grow; two documents of one version permit what both permit; an unusable one refuses the tenants that the one
+// before restricted, until the next usable version.
 func TestHigherVersionReplacesAndEqualVersionsIntersect(t *testing.T) {
 	var saved []int64
 	h := NewHolder(zones, time.Second, true, discardLog, func(v int64, _ []string) error { saved = append(saved, v); return nil })
@@ -100,11 +103,11 @@
 	apply(6, policyText(6, `"riga"`, "serve"), false)
 	assertPermitted(t, h, "post", "update", "riga-a", "riga-b")
 	if !slices.Equal(saved, []int64{2, 3, 3, 3, 4, 5, 6}) {
-		t.Errorf("kept %v", saved)
+		t.Errorf("saved %v", saved)
 	}
 }
 
-// An agent that has not heard of its policy for longer than the bound does as each tenant's rule says.
+// Where the last confirmation is older than maxAge, each tenant is served or refused as its rule says.
 func TestStalePolicyRefusesOrServesByRule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHolder(zones, 3*time.Second, false, discardLog, nil)
@@ -112,10 +115,10 @@
 		if err := h.Apply(1, s); err != nil {
 			t.Fatal(err)
 		}
-		assertPermitted(t, h, "post", "update") // taken, but nobody has said that it is the latest
+		assertPermitted(t, h, "post", "update") // in force, but not confirmed as the latest
 		h.Confirm(1, Digest(s), time.Second)
 		assertPermitted(t, h, "post", "update", "riga-a", "riga-b")
-		h.Confirm(1, Digest(s), 2*time.Second) // an older word changes nothing
+		h.Confirm(1, Digest(s), 2*time.Second) // an older confirmation changes nothing
 		time.Sleep(2*time.Second + time.Millisecond)
 		assertPermitted(t, h, "post", "update")
 		assertPermitted(t, h, "someone", "update", "riga-a", "riga-b", "liepaja", "nowhere", "unknown")
@@ -127,7 +130,7 @@
 	})
 }
 
-// What is wrong with a policy is told with its line and key.
+// An unusable policy is an error that names file and key. What can't be saved is in force all the same, and logged.
 func TestPolicyErrorsNameFileAndKey(t *testing.T) {
 	good := policyText(1, `"riga"`, "serve")
 	for _, c := range []struct{ old, new, want string }{
@@ -149,7 +152,7 @@
 		}
 	}
 	if _, err := Parse("p.toml", strings.Repeat("#", MaxText+1)); err == nil {
-		t.Error("a text of any length is read")
+		t.Error("a document over MaxText is parsed")
 	}
 	var log bytes.Buffer
 	h := NewHolder(zones, time.Second, true, slog.New(slog.NewTextHandler(&log, nil)), func(int64, []string) error { return errors.New("the disk is full") })
