--- a/internal/residency/file.go
+++ b/internal/residency/file.go
@@ -53,9 +53,9 @@
 			policy, err = Parse(file, text)
 		}
 		if err != nil {
-			log.Error("residency: the policy's file is not used: what was given last holds", "error", err)
+			log.Error("residency policy file unusable", "error", err)
 		} else if err := h.Apply(policy.Version, text); err != nil {
-			log.Error("residency: the policy's file is not used", "version", policy.Version, "error", err)
+			log.Error("residency policy file rejected", "version", policy.Version, "error", err)
 		}
 	})
 }
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -74,14 +74,14 @@
 		return errTooManyDocuments
 	}
 	if err != nil {
-		h.log.Error("residency: a policy can't be read: bound tenants are refused until a higher version comes", "version", version, "error", err)
+		h.log.Error("residency policy unusable, restricted tenants refused", "version", version, "error", err)
 		policy = nil
 	} else {
 		h.lastReadable = policy
 	}
 	h.policies[digest] = policy
 	if len(h.policies) > 1 {
-		h.log.Error("residency: several texts have one version: what all permit holds until a higher one comes", "version", version, "texts", len(h.policies))
+		h.log.Error("residency policy version conflict", "version", version, "texts", len(h.policies))
 	}
 	h.saveDocuments()
 	h.log.Info("residency policy", "version", version, "digest", digest)
@@ -102,7 +102,7 @@
 		}
 	}
 	if err := h.save(h.version, documents); err != nil {
-		h.log.Error("residency: the policy is not kept: after a restart an older version may be in force", "error", err)
+		h.log.Error("saving residency policy failed", "error", err)
 	}
 }
 
@@ -139,7 +139,7 @@
 func (h *Holder) updateStale() {
 	if stale := !h.isSource && (!h.everConfirmed || time.Since(h.confirmedAt) > h.maxAge); stale != h.stale {
 		h.stale = stale
-		h.log.Warn("residency: the policy's age", "version", h.version, "stale", stale)
+		h.log.Warn("residency policy staleness changed", "version", h.version, "stale", stale)
 		h.rebuildTable()
 	}
 }
--- a/internal/residency/rules.go
+++ b/internal/residency/rules.go
@@ -49,7 +49,7 @@
 		zoneName = h.zones[zone]
 	}
 	h.refusals[[2]string{tenant, zoneName}]++
-	h.log.Error("residency: an attempt was refused before its first byte", "tenant", tenant, "zone", zoneName, "version", h.version)
+	h.log.Error("attempt refused by residency policy", "tenant", tenant, "zone", zoneName, "version", h.version)
 }
 
 // rebuildTable replaces the table by one of the policy in force. The lock is held.
