--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -1,8 +1,11 @@
 package config
 
-import (
-	"net/netip"
-)
+// Keys that hold an IP address and port.
+
+import "net/netip"
+
+// errorAtFunc returns an error about a key.
+type errorAtFunc func(key, format string, args ...any) error
 
 // addressKey is a key that holds an IP address and port.
 type addressKey struct {
@@ -11,13 +14,22 @@
 }
 
 func seedKeys(key string, seeds []string) (keys []addressKey) {
-	for _, s := range seeds {
-		keys = append(keys, addressKey{key, s, true})
+	for _, seed := range seeds {
+		keys = append(keys, addressKey{key, seed, true})
 	}
 	return keys
 }
 
-func (a addressKey) check(errorAt func(key, format string, args ...any) error) error {
+func checkAddresses(addresses []addressKey, errorAt errorAtFunc) error {
+	for _, address := range addresses {
+		if err := address.check(errorAt); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (a addressKey) check(errorAt errorAtFunc) error {
 	if a.value == "" {
 		if a.required {
 			return errorAt(a.key, "is needed: an IP address and port, such as \"127.0.0.1:8500\"")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,6 +10,7 @@
 	"martenbeam/internal/agent"
 )
 
+// classText is the smallest class, and minimalText with it the smallest usable file.
 const classText = `
 [[class]]
 name = "get"
@@ -20,7 +21,7 @@
 
 const minimalText = "discovery = \"127.0.0.1:8500\"\n"
 
-// What is wrong is told in one line that names file, line and key.
+// A fault is reported on one line that names file, line and key.
 func TestConfigErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{classText, "x.toml: discovery: is needed"},
@@ -55,7 +56,7 @@
 	}
 }
 
-// What is taken is taken by the agent too.
+// The agent loads what Parse accepts.
 func TestAgentLoadsAnAcceptedConfig(t *testing.T) {
 	c, err := Parse("x.toml", minimalText+classText+"[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nself = 1\nlisten = \"127.0.0.1:3\"\n")
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// Zones may be mapped to regions, which the agent then knows by number.
+// Zones may be mapped to regions, which the agent then gets as numbers.
 func TestZonesMapToRegionIDs(t *testing.T) {
 	text := minimalText + "zone = \"riga-b\"\n" + classText + "[prices]\ncross_region = 0.1\n[zones]\nriga-b = \"riga\"\nliepaja = \"kurzeme\"\nriga-a = \"riga\"\n"
 	c, err := Parse("x.toml", text)
@@ -88,7 +89,7 @@
 	}
 }
 
-// Every key stands in the defaults, with a comment.
+// Every key of Config is in the defaults, with a comment.
 func TestEveryKeyHasADocumentedDefault(t *testing.T) {
 	var keys func(reflect.Type, string) []string
 	keys = func(typ reflect.Type, table string) (list []string) {
@@ -128,7 +129,7 @@
 			return
 		}
 		if _, err := c.Platform(); err != nil {
-			t.Errorf("taken, and yet: %v", err)
+			t.Errorf("accepted by Parse, and not by Platform: %v", err)
 		}
 	})
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -1,14 +1,17 @@
 package config
 
+// Comparing two configurations by key.
+
 import (
 	"fmt"
 	"reflect"
 	"strings"
 )
 
-// Diff lists the keys in which two configurations differ, in the order of the defaults.
+// Diff returns the keys in which two configurations differ, dotted, in the order of the fields of Config.
 func Diff(a, b *Config) []string { return diff(reflect.ValueOf(*a), reflect.ValueOf(*b), "") }
 
+// diff compares two values of one type, whose key is key. It descends into tables, and into arrays of equally many tables.
 func diff(a, b reflect.Value, key string) (keys []string) {
 	switch t := a.Type(); {
 	case t.Kind() == reflect.Struct && t != reflect.TypeFor[Zones]():
--- a/internal/config/extension.go
+++ b/internal/config/extension.go
@@ -1,59 +1,66 @@
 package config
 
-import (
-	"encoding/json"
+// What martenbeam adds to the platform's form of a configuration.
 
-	"martenbeam/internal/strictconfig"
-)
+import "encoding/json"
 
-// Extension is what an agent shares, in the platform's form: the platform's own program passes over it.
+// Extension is the part of a configuration in the platform's form that says how an agent takes part in a fleet. The
+// platform's own program ignores the sections fleet and residency.
 type Extension struct {
-	Fleet     *FleetExtension     `json:"fleet"`
-	Residency *ResidencyExtension `json:"residency"`
+	Fleet     *FleetExtension     `json:"fleet"`     // nil: there is no fleet
+	Residency *ResidencyExtension `json:"residency"` // nil: there is no policy
 	Name      string              `json:"name"`
 	Settings  struct {
-		Zone int      `json:"Zone"`
-		Dcs  []string `json:"Dcs"`
+		Zone int      `json:"Zone"` // index in Dcs
+		Dcs  []string `json:"Dcs"`  // names of the zones
 	} `json:"settings"`
 }
 
-// FleetExtension is [fleet].
+// FleetExtension is the section fleet; its fields are those of Fleet.
 type FleetExtension struct {
 	Listen    string             `json:"listen"`
 	Advertise string             `json:"advertise"`
 	Seeds     []string           `json:"seeds"`
 	Hubs      map[string]string  `json:"hubs"`           // addresses, by zone
-	Settings  string             `json:"settings_state"` // a folder
+	Settings  string             `json:"settings_state"` // a folder; "": nowhere
 	Label     string             `json:"label"`
 	MaxAgents int                `json:"most"`
 	Lists     string             `json:"lists"`
-	ListRate  float64            `json:"list_rate"`
+	ListRate  float64            `json:"list_rate"` // calls per second
 	Matrix    bool               `json:"matrix"`
 	Trace     string             `json:"trace"`
-	MaxAgeMs  map[string]float64 `json:"max_age_ms"`
+	MaxAgeMs  map[string]float64 `json:"max_age_ms"` // by the keys of MaxAge
 }
 
-// ResidencyExtension is [residency].
+// ResidencyExtension is the section residency; its fields are those of Residency.
 type ResidencyExtension struct {
 	Policy  string  `json:"policy"`
 	BoundMs float64 `json:"bound_ms"`
 	State   string  `json:"state"`
 }
 
+// ReadExtension decodes the extension of a configuration in the platform's form. It checks nothing but the form.
+func ReadExtension(raw []byte) (Extension, error) {
+	var extension Extension
+	err := json.Unmarshal(raw, &extension)
+	return extension, err
+}
+
+// extensions returns the sections fleet and residency; nil where there is none.
 func (c *Config) extensions() (fleet *FleetExtension, policy *ResidencyExtension) {
-	ms := func(d strictconfig.Duration) float64 { return d.Duration().Seconds() * 1e3 }
-	if c.Fleet.Listen != "" {
-		maxAge := &c.Fleet.MaxAge
-		fleet = &FleetExtension{c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Seeds, c.Fleet.Hubs, c.Settings.State, c.Fleet.Label, c.Fleet.MaxAgents, c.Fleet.Lists, c.Fleet.ListRate,
-			c.Fleet.Matrix, c.Fleet.Trace, map[string]float64{"service": ms(maxAge.Service), "distance": ms(maxAge.Latency),
-				"residency": ms(maxAge.Residency), "gone": ms(maxAge.Dead),
-				"settings": ms(maxAge.Settings), "census": ms(maxAge.FleetSize)}}
+	if f := &c.Fleet; f.Listen != "" {
+		fleet = &FleetExtension{
+			Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds, Hubs: f.Hubs, Settings: c.Settings.State, Label: f.Label,
+			MaxAgents: f.MaxAgents, Lists: f.Lists, ListRate: f.ListRate, Matrix: f.Matrix, Trace: f.Trace,
+			MaxAgeMs: map[string]float64{
+				"service": millis(f.MaxAge.Service), "distance": millis(f.MaxAge.Latency),
+				"residency": millis(f.MaxAge.Residency), "gone": millis(f.MaxAge.Dead),
+				"settings": millis(f.MaxAge.Settings), "census": millis(f.MaxAge.FleetSize),
+			},
+		}
 	}
-	if c.Residency.On {
-		policy = &ResidencyExtension{c.Residency.Policy, ms(c.Residency.Bound), c.Residency.State}
+	if r := &c.Residency; r.On {
+		policy = &ResidencyExtension{Policy: r.Policy, BoundMs: millis(r.Bound), State: r.State}
 	}
 	return fleet, policy
 }
-
-// ReadExtension reads what an agent shares out of a configuration in the platform's form.
-func ReadExtension(raw []byte) (s Extension, err error) { return s, json.Unmarshal(raw, &s) }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,5 +1,7 @@
 package config
 
+// The sections of an agent's configuration that concern its fleet and its residency policy.
+
 import (
 	"maps"
 	"slices"
@@ -9,53 +11,55 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// Fleet is what an agent shares with others.
+// Fleet says how an agent takes part in a fleet.
 type Fleet struct {
-	Listen    string            `toml:"listen"`
-	Advertise string            `toml:"advertise"`
+	Listen    string            `toml:"listen"`    // UDP and TCP, IP address and port; "": there is no fleet
+	Advertise string            `toml:"advertise"` // the address that others use; "": Listen
 	Seeds     []string          `toml:"seeds"`
-	Hubs      map[string]string `toml:"hubs"` // addresses, by zone
+	Hubs      map[string]string `toml:"hubs"` // addresses, by zone; empty: a full mesh
 	Label     string            `toml:"label"`
 	MaxAgents int               `toml:"most"`
-	Lists     string            `toml:"lists"`
-	ListRate  float64           `toml:"list_rate"`
-	Matrix    bool              `toml:"matrix"`
-	Trace     string            `toml:"trace"`
-	MaxAge    struct {
-		Service   strictconfig.Duration `toml:"service"`
-		Latency   strictconfig.Duration `toml:"distance"`
-		Residency strictconfig.Duration `toml:"residency"`
-		Dead      strictconfig.Duration `toml:"gone"`
-		Settings  strictconfig.Duration `toml:"settings"`
-		FleetSize strictconfig.Duration `toml:"census"`
-	} `toml:"max_age"`
+	Lists     string            `toml:"lists"`     // "own" or "relayed"
+	ListRate  float64           `toml:"list_rate"` // calls to the list service per second, of the whole fleet
+	Matrix    bool              `toml:"matrix"`    // whether latency between zones is measured and used
+	Trace     string            `toml:"trace"`     // a file; "": none
+	MaxAge    MaxAge            `toml:"max_age"`
+}
+
+// MaxAge says how old each kind of gossip may be when it is used.
+type MaxAge struct {
+	Service   strictconfig.Duration `toml:"service"`
+	Latency   strictconfig.Duration `toml:"distance"`
+	Residency strictconfig.Duration `toml:"residency"`
+	Dead      strictconfig.Duration `toml:"gone"`
+	Settings  strictconfig.Duration `toml:"settings"`
+	FleetSize strictconfig.Duration `toml:"census"`
 }
 
-// Residency is the policy that holds, and where it comes from.
+// Residency says whether a residency policy holds, and where it comes from.
 type Residency struct {
 	On     bool                  `toml:"on"`
-	Policy string                `toml:"policy"`
-	Bound  strictconfig.Duration `toml:"bound"`
-	State  string                `toml:"state"`
+	Policy string                `toml:"policy"` // a file, at a source; "": it comes from the fleet
+	Bound  strictconfig.Duration `toml:"bound"`  // age of the last confirmation at which the policy is stale
+	State  string                `toml:"state"`  // a folder in which versions are saved over restarts; "": nowhere
 }
 
+const (
+	maxLabelBytes = 64
+	minMaxAge     = strictconfig.Duration(100 * time.Millisecond)
+	maxMaxAge     = strictconfig.Duration(time.Hour)
+)
+
 func (c *Config) checkFleet() error {
-	f, r := &c.Fleet, &c.Residency
+	f := &c.Fleet
 	if f.Listen != "" {
-		if err := c.checkAddress("fleet.listen", f.Listen, true); err != nil {
-			return err
-		}
-		if err := c.checkAddress("fleet.advertise", f.Advertise, false); err != nil {
+		addresses := []addressKey{{"fleet.listen", f.Listen, true}, {"fleet.advertise", f.Advertise, false}}
+		if err := checkAddresses(append(addresses, seedKeys("fleet.seeds", f.Seeds)...), c.errorAt); err != nil {
 			return err
 		}
-		for _, s := range f.Seeds {
-			if err := c.checkAddress("fleet.seeds", s, true); err != nil {
-				return err
-			}
-		}
 	}
 	switch {
-	case len(f.Label) > 64:
+	case len(f.Label) > maxLabelBytes:
 		return c.errorAt("fleet.label", "%d bytes, at most 64", len(f.Label))
 	case f.MaxAgents < 1 || f.MaxAgents > 10000:
 		return c.errorAt("fleet.most", "%d is not between 1 and 10000", f.MaxAgents)
@@ -69,25 +73,10 @@
 	if err := c.checkHubs(); err != nil {
 		return err
 	}
-	for key, d := range map[string]strictconfig.Duration{"fleet.max_age.service": f.MaxAge.Service, "fleet.max_age.distance": f.MaxAge.Latency,
-		"fleet.max_age.residency": f.MaxAge.Residency, "fleet.max_age.gone": f.MaxAge.Dead,
-		"fleet.max_age.settings": f.MaxAge.Settings, "fleet.max_age.census": f.MaxAge.FleetSize, "residency.bound": r.Bound} {
-		if d < strictconfig.Duration(100*time.Millisecond) || d > strictconfig.Duration(time.Hour) {
-			return c.errorAt(key, "%v is not between 100ms and 1h", d.Duration())
-		}
-	}
-	switch {
-	case !r.On && r.Policy != "":
-		return c.errorAt("residency.policy", "is given, and residency.on is false")
-	case r.On && r.Policy == "" && f.Listen == "":
-		return c.errorAt("residency.policy", "is needed where there is no fleet to have it from")
-	}
-	if r.Policy != "" {
-		if _, _, err := residency.ReadFile(r.Policy); err != nil {
-			return err
-		}
+	if err := c.checkMaxAges(); err != nil {
+		return err
 	}
-	return nil
+	return c.checkResidency()
 }
 
 func (c *Config) checkHubs() error {
@@ -104,9 +93,44 @@
 		if !slices.Contains(c.Zones.Names, zone) {
 			return c.errorAt("fleet.hubs."+zone, "%q is none of zones", zone)
 		}
-		if err := c.checkAddress("fleet.hubs."+zone, f.Hubs[zone], true); err != nil {
+		if err := (addressKey{"fleet.hubs." + zone, f.Hubs[zone], true}).check(c.errorAt); err != nil {
 			return err
 		}
 	}
 	return nil
 }
+
+func (c *Config) checkMaxAges() error {
+	maxAge := &c.Fleet.MaxAge
+	return checkMaxAges(map[string]strictconfig.Duration{
+		"fleet.max_age.service": maxAge.Service, "fleet.max_age.distance": maxAge.Latency,
+		"fleet.max_age.residency": maxAge.Residency, "fleet.max_age.gone": maxAge.Dead,
+		"fleet.max_age.settings": maxAge.Settings, "fleet.max_age.census": maxAge.FleetSize,
+		"residency.bound": c.Residency.Bound,
+	}, c.errorAt)
+}
+
+// checkMaxAges checks that each key is between 100 ms and 1 h.
+func checkMaxAges(maxAges map[string]strictconfig.Duration, errorAt errorAtFunc) error {
+	for key, d := range maxAges {
+		if d < minMaxAge || d > maxMaxAge {
+			return errorAt(key, "%v is not between 100ms and 1h", d.Duration())
+		}
+	}
+	return nil
+}
+
+// checkResidency also parses the policy's file, so that an agent does not start with one that can't be used.
+func (c *Config) checkResidency() error {
+	r := &c.Residency
+	switch {
+	case !r.On && r.Policy != "":
+		return c.errorAt("residency.policy", "is given, and residency.on is false")
+	case r.On && r.Policy == "" && c.Fleet.Listen == "":
+		return c.errorAt("residency.policy", "is needed where there is no fleet to have it from")
+	case r.Policy == "":
+		return nil
+	}
+	_, _, err := residency.ReadFile(r.Policy)
+	return err
+}
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -1,45 +1,46 @@
 package config
 
+// The configuration of a hub.
+
 import (
 	_ "embed"
 	"os"
 	"slices"
-	"time"
 
 	"martenbeam/internal/residency"
 	"martenbeam/internal/strictconfig"
 )
 
-// DefaultHub is every key of a hub's configuration with its default and what it means.
+// DefaultHub is the default configuration of a hub, with a comment on what each key means, its unit and its range.
 //
 //go:embed hub.toml
 var DefaultHub string
 
-// Hub is one hub's configuration.
+// Hub is the configuration of one hub. The keys and their units are explained in DefaultHub.
 type Hub struct {
 	Name      string   `toml:"name"`
 	Zones     Zones    `toml:"zones"`
 	Zone      string   `toml:"zone"`
 	Label     string   `toml:"label"`
-	Listen    string   `toml:"listen"`
-	Advertise string   `toml:"advertise"`
+	Listen    string   `toml:"listen"`    // UDP and TCP, IP address and port
+	Advertise string   `toml:"advertise"` // the address that others use; "": Listen
 	Seeds     []string `toml:"seeds"`
-	MaxAgents int      `toml:"most"`
+	MaxAgents int      `toml:"most"` // of the whole fleet
 	Matrix    bool     `toml:"matrix"`
-	Discovery string   `toml:"discovery"`
-	ListRate  float64  `toml:"list_rate"`
-	AdmitRate float64  `toml:"admit_rate"`
-	Trace     string   `toml:"trace"`
+	Discovery string   `toml:"discovery"`  // "": the hub has no endpoint list
+	ListRate  float64  `toml:"list_rate"`  // calls to the list service per second, of the whole fleet
+	AdmitRate float64  `toml:"admit_rate"` // agents that may attach per second
+	Trace     string   `toml:"trace"`      // a file; "": none
 	Settings  struct {
-		File  string `toml:"file"`
-		State string `toml:"state"`
+		File  string `toml:"file"`  // at a source; "": they come from other hubs
+		State string `toml:"state"` // a folder in which versions are saved over restarts; "": nowhere
 	} `toml:"settings"`
 	Residency struct {
-		File  string                `toml:"file"`
-		State string                `toml:"state"`
+		File  string                `toml:"file"`  // at a source; "": it comes from other hubs
+		State string                `toml:"state"` // a folder in which versions are saved over restarts; "": nowhere
 		Bound strictconfig.Duration `toml:"bound"`
 	} `toml:"residency"`
-	MaxAge map[string]strictconfig.Duration `toml:"max_age"`
+	MaxAge map[string]strictconfig.Duration `toml:"max_age"` // by the keys of the type MaxAge
 
 	file, text string
 }
@@ -53,18 +54,18 @@
 	return ParseHub(file, string(text))
 }
 
-// ParseHub checks a hub's configuration. file names it in errors.
+// ParseHub checks the text of a hub's file, and the documents that it names. file names the text in errors.
 func ParseHub(file, text string) (*Hub, error) {
 	h := &Hub{}
 	if err := strictconfig.Decode("hub.toml", DefaultHub, h); err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the defaults are part of the program
 	}
 	kinds := len(h.MaxAge)
 	if err := strictconfig.Decode(file, text, h); err != nil {
 		return nil, err
 	}
 	h.file, h.text = file, text
-	if len(h.MaxAge) > kinds {
+	if len(h.MaxAge) > kinds { // a map has no unknown keys for the decoder
 		return nil, h.errorAt("max_age", "there are service, distance, residency, gone, settings and census alone")
 	}
 	return h, h.check()
@@ -75,10 +76,9 @@
 }
 
 func (h *Hub) check() error {
-	for _, a := range append([]addressKey{{"listen", h.Listen, true}, {"advertise", h.Advertise, false}, {"discovery", h.Discovery, false}}, seedKeys("seeds", h.Seeds)...) {
-		if err := a.check(h.errorAt); err != nil {
-			return err
-		}
+	addresses := []addressKey{{"listen", h.Listen, true}, {"advertise", h.Advertise, false}, {"discovery", h.Discovery, false}}
+	if err := checkAddresses(append(addresses, seedKeys("seeds", h.Seeds)...), h.errorAt); err != nil {
+		return err
 	}
 	switch {
 	case h.Zones.invalidKey != "":
@@ -87,7 +87,7 @@
 		return h.errorAt("name", "%d bytes: 1 to 64 are needed", len(h.Name))
 	case !slices.Contains(h.Zones.Names, h.Zone):
 		return h.errorAt("zone", "%q is none of zones", h.Zone)
-	case h.Label == "" || len(h.Label) > 64:
+	case h.Label == "" || len(h.Label) > maxLabelBytes:
 		return h.errorAt("label", "%d bytes: 1 to 64 are needed", len(h.Label))
 	case h.MaxAgents < 1 || h.MaxAgents > 10000:
 		return h.errorAt("most", "%d is not between 1 and 10000", h.MaxAgents)
@@ -96,26 +96,17 @@
 	case !(h.AdmitRate >= 1 && h.AdmitRate <= 10000):
 		return h.errorAt("admit_rate", "%v is not between 1 and 10000", h.AdmitRate)
 	}
-	if err := h.checkDurations(); err != nil {
-		return err
-	}
-	return h.checkDocuments()
-}
-
-func (h *Hub) checkDurations() error {
-	durations := map[string]strictconfig.Duration{"residency.bound": h.Residency.Bound}
+	maxAges := map[string]strictconfig.Duration{"residency.bound": h.Residency.Bound}
 	for kind, d := range h.MaxAge {
-		durations["max_age."+kind] = d
+		maxAges["max_age."+kind] = d
 	}
-	for key, d := range durations {
-		if d < strictconfig.Duration(100*time.Millisecond) || d > strictconfig.Duration(time.Hour) {
-			return h.errorAt(key, "%v is not between 100ms and 1h", d.Duration())
-		}
+	if err := checkMaxAges(maxAges, h.errorAt); err != nil {
+		return err
 	}
-	return nil
+	return h.checkDocuments()
 }
 
-// checkDocuments has a file that can't be used stop the hub before it starts.
+// checkDocuments parses the documents that the hub is a source of, so that it does not start with one that can't be used.
 func (h *Hub) checkDocuments() error {
 	if h.Residency.File != "" {
 		if _, _, err := residency.ReadFile(h.Residency.File); err != nil {
--- a/internal/config/hub_test.go
+++ b/internal/config/hub_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What is wrong with a hub's file is told in one line that names file, line and key; the defaults and what is needed are taken.
+// A fault of a hub's file is reported on one line that names file, line and key; the other keys have their defaults.
 func TestHubErrorsNameFileLineAndKey(t *testing.T) {
 	const minimal = "name = \"h\"\nlisten = \"127.0.0.1:1\"\n"
 	for _, c := range []struct{ text, want string }{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,7 @@
 package config
 
+// Settings: a document for all agents of a fleet, laid over each agent's own file.
+
 import (
 	"fmt"
 	"strings"
@@ -9,20 +11,20 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// MaxSettingsBytes bounds a text of settings, in bytes.
+// MaxSettingsBytes is the maximum size of a settings document.
 const MaxSettingsBytes = 64 << 10
 
-// Settings are a text for all agents of a fleet: keys that are laid over each agent's own file.
+// Settings is a parsed settings document: a version, and keys of an agent's configuration.
 type Settings struct {
-	Version int64
+	Version int64 // from 1
 	Text    string
 
-	file string         // names it in errors
-	keys map[string]any // what it sets
+	file string         // names the document in errors
+	keys map[string]any // as decoded without a schema
 }
 
-// perAgentKeys says of the keys that can't be the same for all agents why not.
-var perAgentKeys = []struct{ key, why string }{
+// perAgentKeys are the keys that settings must not set, with the reason.
+var perAgentKeys = []struct{ key, reason string }{
 	{"name", "each agent has its own"}, {"listen", "each agent has its own"}, {"mgmt", "each agent has its own"},
 	{"seed", "each agent has its own"}, {"zone", "each agent has its own"}, {"peers", "each agent has its own place there"},
 	{"zones", "the numbers of zones must stay while an agent runs, and its hubs are named by them"},
@@ -30,19 +32,25 @@
 	{"residency", "the policy travels by itself"}, {"limits", "they are the machine's"}, {"attempts.from", "it is the machine's"},
 }
 
-// stand is the least that an agent's file says: settings are checked over it where no agent's file is at hand.
-const minimalAgentConfig = "discovery = \"127.0.0.1:1\"\n[[class]]\nname = \"any\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"1s\"\n"
+// minimalAgentConfig is the smallest usable agent's file. Settings are checked over it where no agent's file is at hand.
+const minimalAgentConfig = `discovery = "127.0.0.1:1"
+[[class]]
+name = "any"
+effect = "safe"
+aim = "1s"
+deadline = "1s"
+`
 
-// ParseSettings reads settings, and checks what can be checked without an agent's file. file names them in errors.
+// ParseSettings parses settings, and checks what can be checked without an agent's file. file names them in errors.
 func ParseSettings(file, text string) (*Settings, error) {
 	if len(text) > MaxSettingsBytes {
-		return nil, fmt.Errorf("%s: %d bytes, at most %d", file, len(text), MaxSettingsBytes)
+		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, at most %d", len(text), MaxSettingsBytes)}
 	}
 	s := &Settings{Text: text, file: file}
-	if _, err := toml.Decode(text, &s.keys); err == nil { // else it is told below, with its line
-		for _, k := range perAgentKeys {
-			if s.sets(k.key) {
-				return nil, s.errorAt(k.key, "is not for settings of all agents: %s", k.why)
+	if _, err := toml.Decode(text, &s.keys); err == nil { // else the strict decoder reports the error below, with its line
+		for _, perAgent := range perAgentKeys {
+			if s.sets(perAgent.key) {
+				return nil, s.errorAt(perAgent.key, "is not for settings of all agents: %s", perAgent.reason)
 			}
 		}
 	}
@@ -55,8 +63,8 @@
 	return s, nil
 }
 
-// overlayOn sets in c what the text sets. Its classes replace the agent's as a whole: decoded in place, one would keep what the
-// text leaves out.
+// overlayOn sets in cfg the keys of the document. Its classes replace the agent's as a whole: decoded in place, a class would
+// keep the keys that the document leaves out.
 func (s *Settings) overlayOn(cfg *Config) error {
 	if s.sets("class") {
 		cfg.Classes = nil
@@ -70,7 +78,7 @@
 	return err
 }
 
-// sets says whether a key, as it stands in errors, is the text's own. Of classes all keys are, or none.
+// sets reports whether the document sets a key, given as in errors. Of the classes it sets all keys or none.
 func (s *Settings) sets(key string) bool {
 	if strings.HasPrefix(key, "class") {
 		key = "class"
@@ -82,7 +90,7 @@
 		var child map[string]any
 		found := false
 		for decoded, v := range table {
-			if strings.EqualFold(decoded, name) { // as they are decoded
+			if strings.EqualFold(decoded, name) { // the decoder ignores case too
 				child, _ = v.(map[string]any)
 				found = true
 			}
@@ -95,7 +103,7 @@
 	return true
 }
 
-// errorAt names the line of the key, or of the table that it stands in or is missing from.
+// errorAt returns an *strictconfig.Error at the line of a key, or else of the innermost table around it that has a line.
 func (s *Settings) errorAt(key, format string, args ...any) error {
 	located := &strictconfig.Error{File: s.file, Key: key, Message: fmt.Sprintf(format, args...)}
 	for at := key; at != "" && located.Line == 0; {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What is wrong with settings is told by their line and key, and with an agent's file by its own.
+// A fault of settings is reported on one line that names the document, its line and key.
 func TestSettingsErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", "s.toml: version: 0 is not a number from 1"},
@@ -39,7 +39,8 @@
 	}
 }
 
-// Settings go before the agent's file, whose keys and errors stay its own. Classes are replaced as a whole.
+// Settings take precedence over the agent's file, whose other keys and their errors stay its own. Classes are replaced as a
+// whole.
 func TestSettingsOverlayTheAgentFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.toml")
 	read := func(own, overlay string) (*Config, error) {
@@ -73,7 +74,7 @@
 		}
 		c, err := parseWithSettings("x.toml", minimalText+classText, s)
 		if err != nil || s.Version < 1 {
-			t.Fatalf("taken alone, and not over a file, or without a version: %v", err)
+			t.Fatalf("accepted alone, and not over a file, or without a version: %v", err)
 		}
 		own, _ := Parse("x.toml", minimalText+classText)
 		for _, k := range Diff(own, c) {
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -1,20 +1,22 @@
 package config
 
+// The zones of a site, and the regions that they are in.
+
 import (
 	"fmt"
 	"maps"
 	"slices"
 )
 
-// Zones are the zones there are: a list of names, where each stands alone, or a table from names to regions.
+// Zones are the zones of a site. The key holds a list of names, where no zone has a region, or a table from names to regions.
 type Zones struct {
-	Names   []string // sorted by name if they came as a table
-	Regions []string // of each; nil: they stand alone
+	Names   []string // sorted if they came as a table
+	Regions []string // of each zone; nil: no zone has one
 
-	invalidKey, reason string // a key that holds what can't be: told by check, which knows its line
+	invalidKey, reason string // what UnmarshalTOML found wrong; check reports it, because it knows the line
 }
 
-// UnmarshalTOML reads either form.
+// UnmarshalTOML decodes either form. It never fails; what is wrong is reported by the check of the whole configuration.
 func (z *Zones) UnmarshalTOML(data any) error {
 	*z = Zones{}
 	switch data := data.(type) {
@@ -40,10 +42,10 @@
 	return nil
 }
 
-// regionIDs are the regions by the number of the first zone that is in each; nil: zones stand alone.
-func (z *Zones) regionIDs() (list []int) {
+// regionIDs returns the region of each zone, as the number of the first zone in it; nil if no zone has a region.
+func (z *Zones) regionIDs() (ids []int) {
 	for _, region := range z.Regions {
-		list = append(list, slices.Index(z.Regions, region))
+		ids = append(ids, slices.Index(z.Regions, region))
 	}
-	return list
+	return ids
 }
