--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -153,7 +153,8 @@
 		reasons = append(reasons, "not taken: "+h.rejected.reason)
 	}
 	if len(h.documents) > 1 {
-		reasons = append(reasons, fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.documents), h.version))
+		conflict := fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.documents), h.version)
+		reasons = append(reasons, conflict)
 	}
 	for _, reason := range []string{h.saveFailure, h.applyFailure} {
 		if reason != "" {
