--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -16,7 +16,9 @@
 		t.Error("a record of a second ago is stale")
 	}
 	list := newOverrides(&Record{}, &earlier, clocks)
-	if len(list) != 2 || list[0] != (Override{Backend: "out", Disabled: true, IssuedAt: time.Hour - time.Minute}) || list[1] != (Override{Backend: "back", IssuedAt: time.Hour - 10*time.Second}) {
+	disabled := Override{Backend: "out", Disabled: true, IssuedAt: time.Hour - time.Minute}
+	enabled := Override{Backend: "back", IssuedAt: time.Hour - 10*time.Second}
+	if len(list) != 2 || list[0] != disabled || list[1] != enabled {
 		t.Errorf("%+v", list)
 	}
 	earlier.apply(Override{Backend: "out", IssuedAt: time.Hour}, clocks)
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -6,6 +6,7 @@
 	"go/token"
 	"io/fs"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -23,7 +24,8 @@
 
 // wallClockFuncs are the functions and methods that read the wall clock's time, or make a time of it.
 var wallClockFuncs = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "Round": true,
-	"Date": true, "Clock": true, "Format": true, "AppendFormat": true, "Parse": true, "ParseTime": true, "ParseInLocation": true, "Wall": true, "UTC": true}
+	"Date": true, "Clock": true, "Format": true, "AppendFormat": true,
+	"Parse": true, "ParseTime": true, "ParseInLocation": true, "Wall": true, "UTC": true}
 
 // Only the listed files work with the wall clock, because it may be stepped at any time.
 func TestOnlyListedFilesUseTheWallClock(t *testing.T) {
@@ -91,7 +93,7 @@
 // inUnrelatedPackage reports whether a function belongs to a package that has nothing to do with time.
 func inUnrelatedPackage(s *ast.SelectorExpr) bool {
 	pkg, ok := s.X.(*ast.Ident)
-	return ok && (pkg.Name == "math" || pkg.Name == "json" || pkg.Name == "strconv" || pkg.Name == "url" || pkg.Name == "kong" || pkg.Name == "uuid" || pkg.Name == "netip" || pkg.Name == "atomic")
+	return ok && slices.Contains([]string{"math", "json", "strconv", "url", "kong", "uuid", "netip", "atomic"}, pkg.Name)
 }
 
 // roundsDuration reports whether a call rounds a duration. Only Round(0) is of a time: it removes the monotonic reading.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -58,7 +58,8 @@
 
 // The agent loads what Parse accepts.
 func TestAgentLoadsAnAcceptedConfig(t *testing.T) {
-	c, err := Parse("x.toml", minimalText+classText+"[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nself = 1\nlisten = \"127.0.0.1:3\"\n")
+	c, err := Parse("x.toml", minimalText+classText+"[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n"+
+		"self = 1\nlisten = \"127.0.0.1:3\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +75,8 @@
 
 // Zones may be mapped to regions, which the agent then gets as numbers.
 func TestZonesMapToRegionIDs(t *testing.T) {
-	text := minimalText + "zone = \"riga-b\"\n" + classText + "[prices]\ncross_region = 0.1\n[zones]\nriga-b = \"riga\"\nliepaja = \"kurzeme\"\nriga-a = \"riga\"\n"
+	text := minimalText + "zone = \"riga-b\"\n" + classText + "[prices]\ncross_region = 0.1\n" +
+		"[zones]\nriga-b = \"riga\"\nliepaja = \"kurzeme\"\nriga-a = \"riga\"\n"
 	c, err := Parse("x.toml", text)
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +86,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(a.Site.Zones, a.Settings.Regions, a.Settings.Zone, a.Settings.CrossRegionCost); got != "[liepaja riga-a riga-b] [0 1 1] 2 0.1" {
+	got := fmt.Sprint(a.Site.Zones, a.Settings.Regions, a.Settings.Zone, a.Settings.CrossRegionCost)
+	if got != "[liepaja riga-a riga-b] [0 1 1] 2 0.1" {
 		t.Error(got)
 	}
 }
--- a/internal/config/hub_test.go
+++ b/internal/config/hub_test.go
@@ -31,7 +31,8 @@
 		}
 	}
 	h, err := ParseHub("x.toml", minimal+"zone = \"b\"\n[zones]\nb = \"north\"\n[max_age]\ncensus = \"2s\"\n")
-	if err != nil || h.AdmitRate != 200 || !h.Matrix || h.MaxAge["census"].Duration().Seconds() != 2 || h.MaxAge["service"].Duration().Seconds() != 5 {
+	if err != nil || h.AdmitRate != 200 || !h.Matrix ||
+		h.MaxAge["census"].Duration().Seconds() != 2 || h.MaxAge["service"].Duration().Seconds() != 5 {
 		t.Errorf("%+v, %v", h, err)
 	}
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -33,7 +33,8 @@
 		}
 	}
 	for _, k := range []string{"name", "listen", "mgmt", "seed", "zone", "zones", "peers", "fleet", "residency", "settings", "limits"} {
-		if _, err := ParseSettings("s.toml", "version = 1\n["+k+"]\n"); err == nil || !strings.Contains(err.Error(), "s.toml:2: "+k+": is not for") {
+		_, err := ParseSettings("s.toml", "version = 1\n["+k+"]\n")
+		if err == nil || !strings.Contains(err.Error(), "s.toml:2: "+k+": is not for") {
 			t.Errorf("%s: %v", k, err)
 		}
 	}
@@ -59,7 +60,8 @@
 		c.Classes[0].DedupWindow != 0 || c.Classes[0].Group != "" {
 		t.Errorf("%+v %v", c, err)
 	}
-	if _, err := read(strings.Replace(own, "4", "40", 1), "version = 1\n[attempts]\nprobes = true\n"); err == nil || !strings.HasPrefix(err.Error(), file+":11: attempts.most: 40") {
+	_, err = read(strings.Replace(own, "4", "40", 1), "version = 1\n[attempts]\nprobes = true\n")
+	if err == nil || !strings.HasPrefix(err.Error(), file+":11: attempts.most: 40") {
 		t.Error(err)
 	}
 }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -155,7 +155,8 @@
 		t.Error("a document over MaxText is parsed")
 	}
 	var log bytes.Buffer
-	h := NewHolder(zones, time.Second, true, slog.New(slog.NewTextHandler(&log, nil)), func(int64, []string) error { return errors.New("the disk is full") })
+	failingSave := func(int64, []string) error { return errors.New("the disk is full") }
+	h := NewHolder(zones, time.Second, true, slog.New(slog.NewTextHandler(&log, nil)), failingSave)
 	if err := h.Apply(1, good); err != nil || !strings.Contains(log.String(), "the disk is full") {
 		t.Errorf("%v: %s", err, log.String())
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -173,7 +173,8 @@
 // Settings are laid over the agent's own file; discovery changes at once, and the other keys wait for the next start.
 func TestDiscoveryAppliesAtOnceAndOtherKeysAwaitRestart(t *testing.T) {
 	own := filepath.Join(t.TempDir(), "agent.toml")
-	writeFile(t, own, "discovery = \"127.0.0.1:1\"\n[attempts]\nmost = 4\n[[class]]\nname = \"get\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n")
+	writeFile(t, own, "discovery = \"127.0.0.1:1\"\n[attempts]\nmost = 4\n"+
+		"[[class]]\nname = \"get\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n")
 	var moved []string
 	agent := NewAgentConfig(own, func(to string) { moved = append(moved, to) })
 	h := NewHolder(Config{Check: agent.Check, Apply: agent.Apply})
@@ -191,7 +192,8 @@
 		t.Fatal(c, err)
 	}
 	class := "[[class]]\nname = \"get\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"3s\"\n"
-	apply("version = 2\ndiscovery = \"127.0.0.1:2\"\nprices = {cross_zone = 0.5}\n"+class, "attempts.most", "prices.cross_zone", "class[0].deadline")
+	apply("version = 2\ndiscovery = \"127.0.0.1:2\"\nprices = {cross_zone = 0.5}\n"+class,
+		"attempts.most", "prices.cross_zone", "class[0].deadline")
 	apply("version = 3\ndiscovery = \"127.0.0.1:2\"\n[attempts]\nmost = 5\n"+class+class, "class")
 	apply(settingsText(4, 5))
 	if !slices.Equal(moved, []string{"127.0.0.1:2", "127.0.0.1:1"}) {
