--- /dev/null
+++ b/internal/agent/clientconn/idle_test.go
@@ -0,0 +1,55 @@
+package clientconn
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// A connection on which a request has come whole is not closed to make room, whether the server has seen it or not.
+func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
+	for _, seen := range []bool{false, true} {
+		ln := listen(t)
+		near, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer near.Close()
+		far, err := ln.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		c := New(far)
+		received := make(chan struct{})
+		go func() { defer close(received); c.readLoop() }()
+		idleConns := NewIdleConns()
+		idleConns.conns[c] = idleConn{idleAt: time.Now().Add(-time.Hour)} // it rests, longer than any other
+		if _, err := io.WriteString(near, "GET /get/x HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
+		waitFor(t, "the request to be read", func() bool { return c.RequestInProgress() && !hasUnreadBytes(c.Conn) })
+		if seen {
+			if _, err := c.Read(make([]byte, 100)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if c.abortUnlessRequested() || c.closeUnlessInRequest() { // as if it had come after they looked
+			t.Errorf("seen by the server %v: closed in the moment in which it came", seen)
+		}
+		idle, other := net.Pipe()
+		defer other.Close()
+		idleClient := New(idle)
+		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)} // rests for less long, and gives way in its place
+		idleConns.EvictIdle()
+		if !idleConns.Claim(c) {
+			t.Errorf("seen by the server %v: closed", seen)
+		}
+		if idleConns.Claim(idleClient) {
+			t.Errorf("seen by the server %v: no other made room", seen)
+		}
+		c.Close()
+		near.Close()
+		<-received
+	}
+}
