--- /dev/null
+++ b/internal/agent/discovery/list_test.go
@@ -0,0 +1,17 @@
+package discovery
+
+import "testing"
+
+// A successor is handed the whole list, though discovery tells changes alone.
+func TestDeltasMergeIntoCompleteList(t *testing.T) {
+	endpoints := endpointSet{}
+	endpoints.merge(&EndpointList{Version: 3, Endpoints: []Endpoint{{ID: "a", State: "ready"}, {ID: "b", State: "ready"}, {ID: "c", State: "ready"}}}, true)
+	endpoints.merge(&EndpointList{Version: 4, Endpoints: []Endpoint{{ID: "b", State: "draining"}, {ID: "a", State: "gone"}, {ID: "d", State: "ready"}}}, false)
+	got, text := endpoints.list(4), ""
+	for _, s := range got.Endpoints {
+		text += s.ID + " " + s.State + " "
+	}
+	if got.Version != 4 || !got.Full || text != "b draining c ready d ready " {
+		t.Errorf("version %d: %s", got.Version, text)
+	}
+}
--- /dev/null
+++ b/internal/agent/discovery/watcher_test.go
@@ -0,0 +1,119 @@
+package discovery
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// Where lists are asked for the module says when: a failure is told, and no call follows by itself.
+func TestPolledWatcherOpensOnlyOnSubscribe(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		discovery := newFakeDiscovery(t)
+		watcher := startWatcher(t, discovery, true)
+		time.Sleep(time.Minute)
+		discovery.update(func() { discovery.refusing = true })
+		watcher.Subscribe()
+		time.Sleep(time.Minute)
+		if k := watcher.kinds(); len(discovery.sinceParams) != 0 || len(k) != 1 || k[0] != balancer.UpdateFailed {
+			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
+		}
+		discovery.update(func() { discovery.refusing = false })
+		watcher.Subscribe()
+		synctest.Wait()
+		watcher.Subscribe() // one is open
+		time.Sleep(time.Minute)
+		discovery.update(func() { discovery.unresponsive = true }) // a call may wait: it is not made twice
+		time.Sleep(heartbeatTimeout + time.Millisecond)
+		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 || k[1] != balancer.UpdateDelta || k[2] != balancer.UpdateFailed {
+			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
+		}
+	})
+}
+
+// Discovery may move at any time. The watch goes on at the new address at once, from the whole list, and nothing has failed.
+func TestAddressChangeReopensAtOnceWithoutFailure(t *testing.T) {
+	for _, polled := range []bool{false, true} {
+		for _, unresponsive := range []bool{false, true} {
+			t.Run(fmt.Sprint("asked ", polled, " down ", unresponsive), func(t *testing.T) {
+				runInBubble(t, func(t *testing.T) {
+					discovery := newFakeDiscovery(t)
+					discovery.unresponsive = unresponsive
+					watcher := startWatcher(t, discovery, polled)
+					watcher.Subscribe()
+					synctest.Wait()
+					watcher.SetAddr("10.0.0.1:1") // no move
+					synctest.Wait()
+					if len(discovery.sinceParams) != 1 {
+						t.Errorf("calls %v", discovery.sinceParams)
+					}
+					discovery.update(func() { discovery.unresponsive, discovery.version = false, 7 })
+					watcher.SetAddr("10.0.0.2:1")
+					synctest.Wait()
+					if got := discovery.sinceParams[len(discovery.sinceParams)-1]; got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
+						t.Errorf("since %s, told %d, posts %v", got, watcher.lastVersion(), watcher.kinds())
+					}
+					time.Sleep(time.Minute)
+					if len(discovery.sinceParams) != 2 || len(discovery.silenced) != 1 {
+						t.Errorf("calls %v, %d of them open", discovery.sinceParams, len(discovery.silenced))
+					}
+				})
+			})
+		}
+	}
+}
+
+// While discovery moves, the watch at the old address tells what it is told, until the new one has told a list; also where
+// the new address is down, and is replaced by another.
+func TestOldWatchServesUntilNewOneHasList(t *testing.T) {
+	for _, polled := range []bool{false, true} {
+		runInBubble(t, func(t *testing.T) {
+			discovery := newFakeDiscovery(t)
+			discovery.unreachableAddr = "10.0.0.2:1"
+			watcher := startWatcher(t, discovery, polled)
+			watcher.startPolling(50)
+			synctest.Wait()
+			watcher.SetAddr("10.0.0.2:1")
+			time.Sleep(time.Second)
+			discovery.update(func() { discovery.version++ })
+			if synctest.Wait(); watcher.lastVersion() != discovery.version {
+				t.Errorf("asked %v: what the old address told did not count", polled)
+			}
+			discovery.update(func() { discovery.unansweredCalls = 1 })
+			watcher.SetAddr("10.0.0.3:1")
+			synctest.Wait()
+			discovery.update(func() { discovery.version++ })
+			if synctest.Wait(); watcher.lastVersion() != discovery.version {
+				t.Errorf("asked %v: what the old address told did not count, the second time", polled)
+			}
+			time.Sleep(PropagationDeadline)
+			synctest.Wait()
+			if len(discovery.silenced) != 1 || watcher.current.addr != "10.0.0.3:1" {
+				t.Errorf("asked %v: %d watches, at %s", polled, len(discovery.silenced), watcher.current.addr)
+			}
+		})
+	}
+}
+
+// A whole list that is empty is a list: nobody is there any more.
+func TestEmptyListIsACompleteList(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		discovery := newFakeDiscovery(t)
+		watcher := startWatcher(t, discovery, false)
+		synctest.Wait()
+		discovery.update(func() {
+			discovery.encode = func(EndpointList) string { return `{"version":42,"full":true,"servers":[]}` }
+		})
+		discovery.update(func() { discovery.version = 42 })
+		synctest.Wait()
+		watcher.mu.Lock()
+		defer watcher.mu.Unlock()
+		if last := watcher.updates[len(watcher.updates)-1]; last.Endpoints.Kind != balancer.UpdateFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
+			t.Errorf("%+v", last)
+		}
+	})
+}
