--- /dev/null
+++ b/internal/agent/admin/calls.go
@@ -0,0 +1,122 @@
+package admin
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+
+	"martenbeam/internal/agent/handover"
+	"martenbeam/internal/bootclock"
+)
+
+// calls are the paths that may be called, with their methods.
+var methodByPath = map[string]string{
+	"/_ready":           http.MethodGet,
+	"/_backends/detach": http.MethodPut,
+	"/_backends/attach": http.MethodPut,
+	"/_lameduck/on":     http.MethodPut,
+	"/_lameduck/off":    http.MethodPut,
+}
+
+// ServeHTTP answers one call. It acts once the call has come whole.
+func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	method, known := methodByPath[request.URL.Path]
+	if !known {
+		http.Error(w, "no such call", http.StatusNotFound)
+		return
+	}
+	if request.Method != method {
+		w.Header().Set("Allow", method)
+		http.Error(w, "this call takes "+method, http.StatusMethodNotAllowed)
+		return
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxRequestBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		http.Error(w, "the call is too large", http.StatusRequestEntityTooLarge)
+		return
+	}
+	if err != nil {
+		http.Error(w, "the call can't be read", http.StatusBadRequest)
+		return
+	}
+	if c, ok := request.Context().Value(connKey{}).(net.Conn); ok && !s.idleConns.Claim(c) {
+		panic(http.ErrAbortHandler) // closed to make room before it was whole
+	}
+	switch request.URL.Path {
+	case "/_ready":
+		if !s.agent.Ready() {
+			http.Error(w, "takes no clients", http.StatusServiceUnavailable)
+			return
+		}
+	case "/_lameduck/on", "/_lameduck/off":
+		on := request.URL.Path == "/_lameduck/on"
+		ctx, cancel := context.WithTimeout(request.Context(), s.AnswerTimeout)
+		defer cancel()
+		recorded := s.record(ctx, handover.Override{Disabled: on}) // first: what the record lacks is taken back here
+		s.agent.SetLameDuck(on)
+		s.log.Info("lame duck", "on", on)
+		s.respond(w, recorded)
+		return
+	default:
+		s.setDisabled(w, request.Context(), body, request.URL.Path == "/_backends/detach")
+		return
+	}
+	s.respondOK(w)
+}
+
+func (s *Server) respondOK(w http.ResponseWriter) {
+	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	_, _ = io.WriteString(w, "yes\n") // a caller that is gone needs no answer
+}
+
+// setDisabled takes a call about a backend to the module, and says what it said.
+func (s *Server) setDisabled(w http.ResponseWriter, ctx context.Context, body []byte, disable bool) {
+	var call struct {
+		Target *string `json:"Target"`
+	}
+	if err := json.Unmarshal(body, &call); err != nil || call.Target == nil || *call.Target == "" {
+		http.Error(w, `the call's body must be {"target":"ID"}`, http.StatusBadRequest)
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, s.AnswerTimeout)
+	defer cancel()
+	found, err := s.agent.SetDisabled(ctx, *call.Target, disable)
+	switch {
+	case err != nil:
+		s.log.Warn("a call found no answer in time", "backend", *call.Target, "detach", disable, "error", err)
+		http.Error(w, "no answer in time, call again", http.StatusServiceUnavailable)
+	case !found:
+		s.log.Info("a call for a backend that nobody has", "backend", *call.Target, "detach", disable)
+		http.Error(w, "no backend has this id", http.StatusNotFound)
+	default:
+		s.log.Info("backend called", "backend", *call.Target, "detached", disable)
+		s.respond(w, s.record(ctx, handover.Override{Backend: *call.Target, Disabled: disable}))
+	}
+}
+
+// record records a call that holds here for a successor, and reports whether it could by ctx's end.
+func (s *Server) record(ctx context.Context, call handover.Override) bool {
+	if s.Record == nil {
+		return true
+	}
+	call.IssuedAt = bootclock.SinceBoot()
+	err := s.Record(ctx, call)
+	if err != nil {
+		s.log.Error("a call is not recorded for a successor yet", "backend", call.Backend, "out", call.Disabled, "error", err)
+	}
+	return err == nil
+}
+
+// respond says yes to a call that holds over an upgrade, and no to one that could not be recorded in time. That one goes on to
+// hold here, and is recorded as soon as it can be.
+func (s *Server) respond(w http.ResponseWriter, recorded bool) {
+	if recorded {
+		s.respondOK(w)
+		return
+	}
+	http.Error(w, "the call holds in this process, but can't be recorded for the next one: call again", http.StatusServiceUnavailable)
+}
