--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -74,7 +74,8 @@
 	var retry ioRetry
 	for written := 0; ; {
 		n, err := c.Conn.Write(p[written:])
-		if written += n; !retry.shouldRetry(err) {
+		written += n
+		if !retry.shouldRetry(err) {
 			return written, err
 		}
 	}
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -38,7 +38,8 @@
 		f.inRequest = true
 		part, rest, lineComplete := bytes.Cut(p, []byte("\n"))
 		f.headerLine = append(f.headerLine, part[:min(len(part), maxHeaderPrefix-len(f.headerLine))]...)
-		if p = rest; lineComplete {
+		p = rest
+		if lineComplete {
 			f.headerField(bytes.TrimSuffix(f.headerLine, []byte("\r")))
 			f.headerLine = f.headerLine[:0]
 		}
@@ -50,7 +51,8 @@
 	if len(line) > 0 {
 		f.headerStarted = true
 		name, value, _ := bytes.Cut(line, []byte(":"))
-		switch name = bytes.TrimSpace(name); {
+		name = bytes.TrimSpace(name)
+		switch {
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			f.hasTransferEncoding = true
 		case bytes.EqualFold(name, []byte("Content-Length")):
@@ -60,17 +62,22 @@
 		}
 		return
 	}
-	if f.inRequest = f.headerStarted; !f.headerStarted { // an empty line before a request is none of it
+	f.inRequest = f.headerStarted
+	if !f.headerStarted { // an empty line before a request is none of it
 		return
 	}
-	if f.headerStarted = false; f.hasTransferEncoding { // the front closes the connection after it: a body in chunks is not followed
+	f.headerStarted = false
+	f.finishHeader()
+}
+
+func (f *framing) finishHeader() {
+	f.bodyRemaining = f.contentLength
+	if f.hasTransferEncoding { // the front closes the connection after it: a body in chunks is not followed
 		f.untracked = true
 		f.ambiguous.Store(f.hasContentLength)
-	}
-	f.bodyRemaining, f.contentLength, f.hasContentLength = f.contentLength, 0, false
-	if f.hasTransferEncoding {
 		f.bodyRemaining = 0
 	}
+	f.contentLength, f.hasContentLength = 0, false
 	f.finishBody()
 }
 
--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -22,6 +22,13 @@
 	beforeFirstRequest bool // none has come whole yet
 }
 
+func (i idleConn) evictBefore(other idleConn) bool {
+	if i.beforeFirstRequest != other.beforeFirstRequest {
+		return i.beforeFirstRequest
+	}
+	return i.idleAt.Before(other.idleAt)
+}
+
 // MinIdleTime: while more want to connect than there are slots, a connection that has waited for so long
 // gives way: proper clients send their request at once.
 const MinIdleTime = 150 * time.Millisecond
@@ -61,10 +68,13 @@
 	defer ic.mu.Unlock()
 	var oldest net.Conn
 	for c, idle := range ic.conns {
-		if clientConn, ok := c.(*Conn); time.Since(idle.idleAt) < MinIdleTime || ok && clientConn.MayHaveRequest() {
+		if time.Since(idle.idleAt) < MinIdleTime {
 			continue
 		}
-		if oldestIdle := ic.conns[oldest]; oldest == nil || idle.beforeFirstRequest && !oldestIdle.beforeFirstRequest || idle.beforeFirstRequest == oldestIdle.beforeFirstRequest && idle.idleAt.Before(oldestIdle.idleAt) {
+		if clientConn, ok := c.(*Conn); ok && clientConn.MayHaveRequest() {
+			continue
+		}
+		if oldest == nil || idle.evictBefore(ic.conns[oldest]) {
 			oldest = c
 		}
 	}
@@ -86,7 +96,11 @@
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	for c, idle := range ic.conns {
-		if idle.beforeFirstRequest && (firstRequestTimeout < 0 || time.Since(idle.idleAt) < firstRequestTimeout) || !idle.beforeFirstRequest && time.Since(idle.idleAt) < idleTimeout {
+		timeout := idleTimeout
+		if idle.beforeFirstRequest {
+			timeout = firstRequestTimeout
+		}
+		if idle.beforeFirstRequest && timeout < 0 || time.Since(idle.idleAt) < timeout {
 			continue
 		}
 		if clientConn, ok := c.(*Conn); !ok {
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -30,7 +30,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(p) > 0 && !c.closing && !c.overflowed {
-		if c.overflowed = c.responsePending && len(c.readAhead)+len(p) > maxReadAhead; !c.overflowed {
+		c.overflowed = c.responsePending && len(c.readAhead)+len(p) > maxReadAhead
+		if !c.overflowed {
 			c.readAhead = append(c.readAhead, p...)
 			c.lastByteAt = time.Now().Add(-c.queuedBeforeAccept())
 			c.markRequestStart()
@@ -107,7 +108,8 @@
 			return 0, c.readErr
 		case len(c.readAhead) > 0:
 			n := copy(p, c.readAhead)
-			if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+			c.readAhead = c.readAhead[n:]
+			if len(c.readAhead) == 0 {
 				c.readAhead = nil
 			}
 			c.observe(p[:n])
