--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -28,9 +28,17 @@
 	if stream.firstAliveAt.IsZero() {
 		stream.firstAliveAt, stream.overdue = stream.lastAliveAt, false
 	}
+	w.promote(stream, event.list != nil)
+	if event.list != nil {
+		w.applyList(stream, event.list, previousReceivedAt)
+	}
+}
+
+// promote has lists come by a watch that has shown life, if it may be the one.
+func (w *Watcher) promote(stream *watchStream, hasList bool) {
 	// A watch is the one that lists come by once it has told one, or has spoken for so long that there is none to tell:
 	// until then another may be the one that would have answered.
-	confirmed := event.list != nil || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
+	confirmed := hasList || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
 		w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == stream })
 		if w.current != nil {
@@ -38,16 +46,11 @@
 		}
 		w.current = stream
 	}
-	w.mu.Lock()
-	atPresentAddr := stream.addr == w.addr
-	w.mu.Unlock()
+	atPresentAddr := stream.addr == w.presentAddr()
 	if stream == w.current && confirmed && atPresentAddr && !stream.overdue {
 		w.cancelWatches(w.opening...)
 		w.opening = nil
 	}
-	if event.list != nil {
-		w.applyList(stream, event.list, previousReceivedAt)
-	}
 }
 
 // applyList takes a list over. Before it the latest sign of life came at a time.
--- a/internal/agent/discovery/liveness.go
+++ b/internal/agent/discovery/liveness.go
@@ -24,7 +24,8 @@
 	}
 	n, err := r.source.Read(p[:min(len(p), 64<<10)])
 	r.bytesRead += int64(n)
-	if r.blank = r.blank && isBlank(p[:n]); r.blank && n > 0 {
+	r.blank = r.blank && isBlank(p[:n])
+	if r.blank && n > 0 {
 		r.onAlive()
 	}
 	return n, err
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -102,7 +102,8 @@
 	if err != nil {
 		return
 	}
-	if s.wallOffset = discoveryTime.Sub(bootclock.Wall()); s.wallOffset.Abs() <= clockTolerance {
+	s.wallOffset = discoveryTime.Sub(bootclock.Wall())
+	if s.wallOffset.Abs() <= clockTolerance {
 		s.wallOffset = 0
 	}
 }
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -48,7 +48,9 @@
 // run follows changes until the connection ends, and tells of each in turn, and of the end. tell may wait.
 func (s *watchStream) run(ctx context.Context, client *http.Client, onAlive func(), emit func(watchEvent)) {
 	emit(watchEvent{stream: s, requested: true})
-	err := s.read(ctx, client, func() { onAlive(); emit(watchEvent{stream: s}) }, func(list *EndpointList) { onAlive(); emit(watchEvent{stream: s, list: list}) })
+	err := s.read(ctx, client,
+		func() { onAlive(); emit(watchEvent{stream: s}) },
+		func(list *EndpointList) { onAlive(); emit(watchEvent{stream: s, list: list}) })
 	var syntax *json.SyntaxError
 	var mismatch *json.UnmarshalTypeError
 	emit(watchEvent{stream: s, err: err, malformed: errors.As(err, &syntax) || errors.As(err, &mismatch) ||
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -75,6 +75,7 @@
 	failures       int
 	lastReceivedAt time.Time // the latest sign of life of any watch
 	receivedList   bool      // discovery has told a list
+	laggingChecks  int       // looks in a row at which others had a later list
 	backoff        *backoff.ExponentialBackOff
 	events         chan watchEvent
 	tasks          sync.WaitGroup
@@ -132,6 +133,13 @@
 	}
 }
 
+// presentAddr is where discovery answers by now.
+func (w *Watcher) presentAddr() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.addr
+}
+
 // Restore goes on from a list that is known already, before Run.
 func (w *Watcher) Restore(list *EndpointList) Update {
 	w.version = list.Version
@@ -156,14 +164,9 @@
 		defer tick.Stop()
 		lagChecks = tick.C
 	}
-	for laggingChecks := 0; ; {
+	for {
 		w.markOverdue()
-		if now := time.Now(); !w.nextOpenAt.IsZero() && !now.Before(w.nextOpenAt) {
-			w.nextOpenAt = time.Time{}
-			if !w.hasCurrentWatch() {
-				w.openWatch(ctx)
-			}
-		}
+		w.openIfDue(ctx)
 		if next := w.nextWakeAt(); next.IsZero() {
 			wake.Stop()
 		} else {
@@ -173,23 +176,11 @@
 		case <-ctx.Done():
 			return
 		case <-lagChecks:
-			if laggingChecks++; w.current == nil || !w.cfg.Sources.Lagging(w.version) {
-				laggingChecks = 0
-			} else if laggingChecks == maxLaggingChecks {
-				laggingChecks = 0
-				w.cancelWatches(w.current)
-				w.handleWatchEnd(watchEvent{stream: w.current, err: errLagging})
-			}
+			w.checkLag()
 		case <-w.addrChanged:
-			// Nothing has failed. The present watch goes on, as long as discovery keeps it open at the old address, until the
-			// new one has told a list: what it tells meanwhile counts as well.
-			w.cancelWatches(w.opening...)
-			w.opening, w.failures = nil, 0
-			w.nextOpenAt = time.Now()
+			w.reopen()
 		case <-w.subscribed:
-			if !w.hasCurrentWatch() {
-				w.openWatch(ctx)
-			}
+			w.openUnlessWatching(ctx)
 		case <-wake.C:
 		case event := <-w.events:
 			w.handleEvent(event)
