--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -78,7 +78,8 @@
 
 // markBacklogged notes that connections may wait in the kernel's queue from now on.
 func (l *Limited) markBacklogged() {
-	if l.backlogged.Store(true); l.backloggedAt.IsZero() {
+	l.backlogged.Store(true)
+	if l.backloggedAt.IsZero() {
 		l.backloggedAt = time.Now()
 	}
 }
