--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -23,49 +23,50 @@
 
 // ServeHTTP answers one call. It acts once the call has come whole.
 func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	body, ok := readCall(w, request)
+	if !ok {
+		return
+	}
+	if c, ok := request.Context().Value(connKey{}).(net.Conn); ok && !s.idleConns.Claim(c) {
+		panic(http.ErrAbortHandler) // closed to make room before it was whole
+	}
+	switch path := request.URL.Path; path {
+	case "/_ready":
+		if !s.agent.Ready() {
+			http.Error(w, "takes no clients", http.StatusServiceUnavailable)
+			return
+		}
+		s.respondOK(w)
+	case "/_lameduck/on", "/_lameduck/off":
+		s.setLameDuck(request.Context(), w, path == "/_lameduck/on")
+	default:
+		s.setDisabled(request.Context(), w, body, path == "/_backends/detach")
+	}
+}
+
+// readCall reads a call, and answers one that can't be carried out.
+func readCall(w http.ResponseWriter, request *http.Request) (body []byte, ok bool) {
 	method, known := methodByPath[request.URL.Path]
 	if !known {
 		http.Error(w, "no such call", http.StatusNotFound)
-		return
+		return nil, false
 	}
 	if request.Method != method {
 		w.Header().Set("Allow", method)
 		http.Error(w, "this call takes "+method, http.StatusMethodNotAllowed)
-		return
+		return nil, false
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxRequestBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		http.Error(w, "the call is too large", http.StatusRequestEntityTooLarge)
-		return
+		return nil, false
 	}
 	if err != nil {
 		http.Error(w, "the call can't be read", http.StatusBadRequest)
-		return
-	}
-	if c, ok := request.Context().Value(connKey{}).(net.Conn); ok && !s.idleConns.Claim(c) {
-		panic(http.ErrAbortHandler) // closed to make room before it was whole
-	}
-	switch request.URL.Path {
-	case "/_ready":
-		if !s.agent.Ready() {
-			http.Error(w, "takes no clients", http.StatusServiceUnavailable)
-			return
-		}
-	case "/_lameduck/on", "/_lameduck/off":
-		on := request.URL.Path == "/_lameduck/on"
-		ctx, cancel := context.WithTimeout(request.Context(), s.AnswerTimeout)
-		defer cancel()
-		recorded := s.record(ctx, handover.Override{Disabled: on}) // first: what the record lacks is taken back here
-		s.agent.SetLameDuck(on)
-		s.log.Info("lame duck", "on", on)
-		s.respond(w, recorded)
-		return
-	default:
-		s.setDisabled(w, request.Context(), body, request.URL.Path == "/_backends/detach")
-		return
+		return nil, false
 	}
-	s.respondOK(w)
+	return body, true
 }
 
 func (s *Server) respondOK(w http.ResponseWriter) {
@@ -73,8 +74,18 @@
 	_, _ = io.WriteString(w, "yes\n") // a caller that is gone needs no answer
 }
 
+// setLameDuck empties the agent of clients, or takes them again.
+func (s *Server) setLameDuck(ctx context.Context, w http.ResponseWriter, on bool) {
+	ctx, cancel := context.WithTimeout(ctx, s.AnswerTimeout)
+	defer cancel()
+	recorded := s.record(ctx, handover.Override{Disabled: on}) // first: what the record lacks is taken back here
+	s.agent.SetLameDuck(on)
+	s.log.Info("lame duck", "on", on)
+	s.respond(w, recorded)
+}
+
 // setDisabled takes a call about a backend to the module, and says what it said.
-func (s *Server) setDisabled(w http.ResponseWriter, ctx context.Context, body []byte, disable bool) {
+func (s *Server) setDisabled(ctx context.Context, w http.ResponseWriter, body []byte, disable bool) {
 	var call struct {
 		Target *string `json:"Target"`
 	}
