--- a/internal/agent/clientconn/close.go
+++ b/internal/agent/clientconn/close.go
@@ -1,12 +1,14 @@
 package clientconn
 
+// This file closes connections, at once or after their client has had time to read the last response.
+
 import (
 	"net"
 	"time"
 )
 
-// Close ends the connection. Where an answer was written the client can still read it: the task drops what comes, and
-// closes the socket.
+// Close ends the connection. A response that was written can still be read by the client: then the read loop drops what arrives
+// for up to lingerTimeout, and closes the socket.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	linger := c.shouldLinger()
@@ -15,10 +17,10 @@
 	return c.closeSocket(linger)
 }
 
-// shouldLinger reports whether the other side may not have read an answer yet. The lock is held.
+// shouldLinger reports whether the client may not have read a response yet. The caller holds mu.
 func (c *Conn) shouldLinger() bool { return c.written && !c.readDone && !c.closing }
 
-// closeSocket closes the socket, or has the task close it.
+// closeSocket closes the socket, or leaves that to the read loop where the connection lingers. The caller does not hold mu.
 func (c *Conn) closeSocket(linger bool) error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); linger && ok && half.CloseWrite() == nil &&
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
@@ -27,7 +29,8 @@
 	return c.Conn.Close()
 }
 
-// abortUnlessRequested closes the connection at once, unless a whole request may have come. It reports whether it has.
+// abortUnlessRequested closes the connection at once, without lingering, unless a complete request may have arrived. It reports
+// whether it has closed it.
 func (c *Conn) abortUnlessRequested() bool {
 	c.mu.Lock()
 	if c.mayHaveRequest() {
@@ -40,7 +43,7 @@
 	return true
 }
 
-// closeUnlessInRequest ends the connection, unless part of a request has come. It reports whether it has.
+// closeUnlessInRequest closes the connection unless part of a request has arrived. It reports whether it has closed it.
 func (c *Conn) closeUnlessInRequest() bool {
 	c.mu.Lock()
 	if c.requestInProgress() {
@@ -54,7 +57,7 @@
 	return true
 }
 
-// markClosing has this side closed. The lock is held.
+// markClosing ends the server's reads and the connection's context. The caller holds mu.
 func (c *Conn) markClosing() {
 	c.closing = true
 	c.stopReading(net.ErrClosed)
@@ -63,8 +66,7 @@
 	}
 }
 
-// CloseWrite lets net/http end its sending before it closes, so that a reset does not overtake a
-// last answer.
+// CloseWrite ends the sending. net/http calls it before it closes, so that a reset does not overtake the last response.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/agent/clientconn/close_test.go
+++ b/internal/agent/clientconn/close_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A connection whose client never closes is closed for good once it has had its time.
+// A closed connection whose client never closes is read on for lingerTimeout, and no longer.
 func TestLingeringConnectionIsClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -32,7 +32,7 @@
 	})
 }
 
-// halfPipe is a pipe of which one direction can be closed.
+// halfPipe is a pipe that seems to be able to end its sending alone, as a TCP connection is.
 type halfPipe struct{ net.Conn }
 
 func (halfPipe) CloseWrite() error { return nil }
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -1,5 +1,17 @@
-// Package clientconn is the clients' side of connections: each is read by a task of its own, ahead of the server, and is owned by
-// the request that has come whole on it or by who closes it.
+// Package clientconn is the client side of an HTTP server's connections: connections that are read ahead of the server, so that
+// a client's disconnect is noticed while its request is served, and the set of idle ones, from which they are evicted or closed.
+//
+// Who owns what:
+//   - Only a connection's read loop (one goroutine for each connection, counted in Listener.Tasks) reads the socket. It ends
+//     with the socket. net/http reads from the buffer that the loop fills.
+//   - Conn's buffer, framing and request counters belong to Conn.mu. They are written by the read loop, by net/http's goroutine of
+//     the connection (Read, Write, Close) and by the request's handler (MarkRequestComplete, MarkResponseComplete).
+//   - A connection between two requests belongs to IdleConns until someone removes it there: the handler of the next complete
+//     request (Claim), or whoever closes it (EvictIdle, CloseIdle). The one who removes it owns it.
+//
+// How old it may be: what Conn reports of requests includes the bytes that lie unread in the kernel at the time of the call. A
+// disconnect behind unread bytes is noticed up to hangUpCheckInterval late, any other one by the read that returns it. IdleConns
+// knows a connection's state as of net/http's latest ConnState callback, and asks the Conn itself before it closes one.
 package clientconn
 
 import (
@@ -9,46 +21,52 @@
 	"time"
 )
 
-// Conn is a connection of a client, under net/http's. A task of its own is the only one that reads the socket, ahead of the server:
-// net/http reads no further than one byte behind a request, and would not see that a client has gone who has sent
-// more than that.
+// Conn is a client's connection as net/http sees it. Its read loop is the only one that reads the socket, ahead of the server:
+// net/http reads at most one byte past a request, and would not notice the disconnect of a client that has sent more.
+//
+// All methods may be called from any goroutine. Read, Write and Close are meant for net/http.
 type Conn struct {
 	net.Conn
-	acceptedAt time.Time       // it was accepted
-	ctx        context.Context // ends with the client's side of the connection, or with this one
+	acceptedAt time.Time
+	ctx        context.Context // done once either side has closed
 	cancelCtx  context.CancelFunc
 
 	mu              sync.Mutex
-	changed         sync.Cond
-	readAhead       []byte // read, and not yet taken by the server
-	readErr         error  // after that
-	readDone        bool   // the task has read the last
-	closing         bool   // this side has closed: what still comes is dropped
-	responsePending bool   // the server owes an answer: what comes now belongs to no request that it has
-	overflowed      bool   // more came then than is kept
-	written         bool   // an answer, or part of one
-	readDeadline    time.Time
+	changed         sync.Cond // of what mu guards; wakes Read and the read loop
+	readAhead       []byte    // read from the socket, and not yet by the server
+	readErr         error     // what Read returns after readAhead
+	readDone        bool      // the read loop has ended, or is about to
+	closing         bool      // this side has closed: what still arrives is dropped
+	responsePending bool      // the present request is complete and unanswered: bytes that arrive now belong to a later one
+	overflowed      bool      // more than maxReadAhead arrived meanwhile, and was dropped
+	written         bool      // some response, or part of one
+	readDeadline    time.Time // of the server's reads; zero: none
 	deadlineTimer   *time.Timer
-	firstByteAt     time.Time // the first byte of the present request came; zero: none has
-	lastByteAt      time.Time // the latest byte that was kept
-	responses       int       // requests that have their answer
-	framing
+	firstByteAt     time.Time // when the first byte of the present request arrived; zero: none has
+	lastByteAt      time.Time // when the latest byte arrived that was kept
+	responses       int       // requests that are answered
+	framing                   // of what the server has read
 }
 
 const (
-	readBufferSize = 4 << 10  // bytes read at once, and kept unless an answer is owed
-	maxReadAhead   = 16 << 10 // and kept then: clients send one request at a time
-	// A connection is closed over bytes that came and were not read by a reset, which takes the last answer with it. So
-	// this side ends its sending, and drops what comes until the client closes, as net/http does after an unread body.
+	// readBufferSize is the size of one read, in bytes. While no response is pending the read loop stops once so much is buffered.
+	readBufferSize = 4 << 10
+	// maxReadAhead bounds what is buffered while a response is pending, in bytes. Clients send one request at a time, so that
+	// little is expected then.
+	maxReadAhead = 16 << 10
+	// lingerTimeout bounds how long a closed connection is read on. Closing a socket that holds unread bytes sends a reset,
+	// which destroys a response that the client has not read yet. So this side ends its sending and drops what arrives until
+	// the client closes, as net/http does after an unread body.
 	lingerTimeout = 500 * time.Millisecond
 )
 
-// Listener hands out clients' connections, each with the task that reads it.
+// Listener accepts clients' connections and starts the read loop of each.
 type Listener struct {
 	net.Listener
-	Tasks *sync.WaitGroup
+	Tasks *sync.WaitGroup // of the read loops. Whoever serves the listener waits for them
 }
 
+// Accept returns the next connection, a *Conn, or the error of the listener below.
 func (l Listener) Accept() (net.Conn, error) {
 	socket, err := l.Listener.Accept()
 	if err != nil {
@@ -59,7 +77,7 @@
 	return c, nil
 }
 
-// New returns a connection over a socket, which is to be received from.
+// New returns a connection over a socket. Nothing is read before its read loop runs, which Listener starts.
 func New(socket net.Conn) *Conn {
 	c := &Conn{Conn: socket, acceptedAt: time.Now()}
 	c.ctx, c.cancelCtx = context.WithCancel(context.Background())
@@ -67,6 +85,7 @@
 	return c
 }
 
+// Write sends part of a response. Short writes and errors that may pass are retried for up to maxRetryTime.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.written = true
@@ -81,5 +100,5 @@
 	}
 }
 
-// Context ends with the client's side of the connection, or with this one.
+// Context is done once the client has disconnected or this side has closed the connection.
 func (c *Conn) Context() context.Context { return c.ctx }
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how long a test waits for what must come: far more than it takes anywhere.
+// testTimeout bounds every wait for something that has to happen: far more than it takes on any machine.
 const testTimeout = 30 * time.Second
 
 func waitFor(t *testing.T, what string, condition func() bool) {
@@ -35,9 +35,10 @@
 	return ln
 }
 
+// getRequest is a request without a body.
 const getRequest = "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"
 
-// What has come of a request is seen wherever it lies: unread, read ahead, or with the server.
+// A part of a request counts wherever it is: buffered by the read loop, or read by the server.
 func TestRequestInProgressSeesBytesWhereverTheyAre(t *testing.T) {
 	t.Run("part read ahead", func(t *testing.T) {
 		c := New(nil)
@@ -68,7 +69,7 @@
 	})
 }
 
-// A request that lies unread on a connection keeps it from being closed as idle.
+// Bytes that lie unread in the kernel are detected on the connections that package listener accepts.
 func TestUnreadBytesAreDetected(t *testing.T) {
 	ln := listen(t)
 	near, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -1,31 +1,34 @@
 package clientconn
 
+// This file finds the bounds of requests in what the server reads.
+
 import (
 	"bytes"
 	"strconv"
 	"sync/atomic"
 )
 
-// framing reads along with net/http: where requests begin and end, and which give both a Content-Length and a
-// Transfer-Encoding. net/http takes the second and drops the first without a word, while whoever
-// sent the request may have meant the first: what stands inside that body would then pass for a
-// request of its own (RFC 9112, 6.3 and 11.2).
+// framing follows what net/http has read: where requests begin and end, and which of them have both a Content-Length and a
+// Transfer-Encoding. net/http obeys the second and silently drops the first, while the sender may have meant the first: what is
+// inside that body would then pass for a request of its own (RFC 9112, 6.3 and 11.2).
+//
+// It is guarded by the mu of its Conn, but for ambiguous, which the request's handler reads without it.
 type framing struct {
 	ambiguous                             atomic.Bool
-	headerLine                            []byte // the present header line, as far as names and lengths go
-	hasContentLength, hasTransferEncoding bool   // the present header has such a field
-	contentLength                         int64  // of its body
+	headerLine                            []byte // the present header line, at most maxHeaderPrefix bytes of it
+	hasContentLength, hasTransferEncoding bool   // in the present header
+	contentLength                         int64  // in the present header, in bytes
 	bodyRemaining                         int64  // bytes of body before the next header
-	untracked                             bool   // nothing that follows is taken for a request
-	headerStarted                         bool   // the present header has a line
-	inRequest                             bool   // a request, of which some bytes have come
-	requests                              int    // requests that have come whole; one whose body comes in chunks with its header
+	untracked                             bool   // what follows is not parsed any more
+	headerStarted                         bool   // the present header has a line that is not empty
+	inRequest                             bool   // part of a request has been read, and not all of it
+	requests                              int    // read completely; one with a chunked body counts from the end of its header
 }
 
-// maxHeaderPrefix is as much of a header line as tells its name and a length.
+// maxHeaderPrefix is how much of a header line is kept, in bytes: enough for a Content-Length with its value.
 const maxHeaderPrefix = 64
 
-// observe takes what was read: header lines, each up to its line feed, and the bodies between.
+// observe follows bytes in the order in which the server reads them, in pieces of any size.
 func (f *framing) observe(p []byte) {
 	for len(p) > 0 && !f.untracked {
 		if f.bodyRemaining > 0 {
@@ -46,7 +49,7 @@
 	}
 }
 
-// headerField takes a header line; an empty one ends the header.
+// headerField parses a header line without its line end. An empty one ends the header.
 func (f *framing) headerField(line []byte) {
 	if len(line) > 0 {
 		f.headerStarted = true
@@ -57,22 +60,23 @@
 			f.hasTransferEncoding = true
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			f.hasContentLength = true
-			// net/http itself answers a length that is none, and closes.
+			// net/http rejects a length that is not a number, and closes the connection.
 			f.contentLength, _ = strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		}
 		return
 	}
 	f.inRequest = f.headerStarted
-	if !f.headerStarted { // an empty line before a request is none of it
+	if !f.headerStarted { // an empty line before a request does not belong to it
 		return
 	}
 	f.headerStarted = false
 	f.finishHeader()
 }
 
+// finishHeader begins the body that the header announces, or ends the request if there is none.
 func (f *framing) finishHeader() {
 	f.bodyRemaining = f.contentLength
-	if f.hasTransferEncoding { // the front closes the connection after it: a body in chunks is not followed
+	if f.hasTransferEncoding { // chunks are not parsed: the server closes the connection after this request
 		f.untracked = true
 		f.ambiguous.Store(f.hasContentLength)
 		f.bodyRemaining = 0
@@ -81,7 +85,7 @@
 	f.finishBody()
 }
 
-// finishBody notes the end of a request.
+// finishBody counts the request once its body has been read.
 func (f *framing) finishBody() {
 	if f.bodyRemaining == 0 {
 		f.inRequest = false
--- a/internal/agent/clientconn/framing_test.go
+++ b/internal/agent/clientconn/framing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A header comes in pieces of any size, and bodies that look like headers are bodies.
+// Headers may be read in pieces of any size, and a body that looks like a header is a body.
 func TestFramingIsIndependentOfReadSizes(t *testing.T) {
 	plain := "\r\nPOST /a HTTP/1.1\r\nContent-Length: 31\r\n\r\nTransfer-Encoding: chunked\r\n\r\nx" +
 		"POST /b HTTP/1.1\r\nX-Long: " + strings.Repeat("Transfer-Encoding:", 40) + "\nContent-Length: 0\n\n"
--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -1,5 +1,7 @@
 package clientconn
 
+// This file is the set of idle connections.
+
 import (
 	"maps"
 	"net"
@@ -9,19 +11,22 @@
 	"time"
 )
 
-// IdleConns knows the connections that have no whole request open. Whoever takes one out owns it: the request that
-// has come whole on it, or who closes it.
+// IdleConns is the set of a server's connections that wait for a request: without one, or with one whose header is incomplete.
+// Whoever removes a connection owns it: the handler of its next complete request, or the one who closes it. Its methods may be
+// called from any goroutine.
 type IdleConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]idleConn
 }
 
-// idleConn is a connection that waits for a request.
+// idleConn is the state of one connection in the set.
 type idleConn struct {
-	idleAt             time.Time
-	beforeFirstRequest bool // none has come whole yet
+	idleAt             time.Time // when it entered the set
+	beforeFirstRequest bool      // it has had no request yet
 }
 
+// evictBefore reports whether i is evicted rather than other: one before its first request rather than one that has had any, and
+// then the one that has been idle longer.
 func (i idleConn) evictBefore(other idleConn) bool {
 	if i.beforeFirstRequest != other.beforeFirstRequest {
 		return i.beforeFirstRequest
@@ -29,14 +34,14 @@
 	return i.idleAt.Before(other.idleAt)
 }
 
-// MinIdleTime: while more want to connect than there are slots, a connection that has waited for so long
-// gives way: proper clients send their request at once.
+// MinIdleTime is how long a connection is idle before it may be evicted to free its slot. A client that is going to send a
+// request does so sooner.
 const MinIdleTime = 150 * time.Millisecond
 
-// NewIdleConns knows none.
+// NewIdleConns returns an empty set.
 func NewIdleConns() *IdleConns { return &IdleConns{conns: map[net.Conn]idleConn{}} }
 
-// Track follows a connection's state as net/http tells it.
+// Track follows a connection's state. It is, or is called by, the server's ConnState callback.
 func (ic *IdleConns) Track(c net.Conn, state http.ConnState) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -50,8 +55,8 @@
 	}
 }
 
-// Claim takes a connection for the request that has come whole on it. It reports false where the connection
-// has been closed: its client is told nothing, and nothing of it may be sent on.
+// Claim removes a connection for the complete request that has arrived on it. It reports false if the connection has been closed
+// meanwhile: then the request gets no response, and nothing of it may be forwarded.
 func (ic *IdleConns) Claim(c net.Conn) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -60,9 +65,9 @@
 	return open
 }
 
-// EvictIdle closes one connection of those that have waited for a while: the one that has waited
-// longest for its first whole request, or, where all have sent one, the one idle longest. Whoever
-// connects and sends nothing must not keep out those who would.
+// EvictIdle closes one connection that has been idle for MinIdleTime, if there is one, to free its slot for a client that waits:
+// the one that has waited longest for its first request, or else the one that has been idle longest. Clients that connect
+// and send nothing must not keep out those who would.
 func (ic *IdleConns) EvictIdle() {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -83,15 +88,15 @@
 	}
 	if c, ok := oldest.(*Conn); !ok {
 		oldest.Close()
-	} else if !c.abortUnlessRequested() { // its descriptor is wanted now
-		return // a request has come in this moment
+	} else if !c.abortUnlessRequested() { // without lingering, which would hold the slot
+		return // a request has arrived since it was looked at
 	}
 	delete(ic.conns, oldest)
 }
 
-// CloseIdle closes the connections on which nothing has come for so long, and nothing lies unread:
-// a client whose request crosses a close is turned back unheard. Those that never had a request are given their own time;
-// below 0 they are left.
+// CloseIdle closes the connections that have been idle for idleTimeout, and those that have been open for firstRequestTimeout
+// without a request; below 0 it leaves the latter open. A connection on which part of a request has arrived, or lies unread, stays
+// open: the client would see its request closed without a response.
 func (ic *IdleConns) CloseIdle(idleTimeout, firstRequestTimeout time.Duration) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -106,13 +111,13 @@
 		if clientConn, ok := c.(*Conn); !ok {
 			c.Close()
 		} else if !clientConn.closeUnlessInRequest() {
-			continue // net/http tells of a request only once its header is whole
+			continue // net/http reports a request only once its header is complete
 		}
 		delete(ic.conns, c)
 	}
 }
 
-// Conns are the connections that wait.
+// Conns returns the idle connections, in no order.
 func (ic *IdleConns) Conns() []net.Conn {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/agent/clientconn/idle_test.go
+++ b/internal/agent/clientconn/idle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A connection on which a request has come whole is not closed to make room, whether the server has seen it or not.
+// A connection on which a complete request has arrived is not evicted, whether the server has read it or not.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	for _, seen := range []bool{false, true} {
 		ln := listen(t)
@@ -24,7 +24,7 @@
 		received := make(chan struct{})
 		go func() { defer close(received); c.readLoop() }()
 		idleConns := NewIdleConns()
-		idleConns.conns[c] = idleConn{idleAt: time.Now().Add(-time.Hour)} // it rests, longer than any other
+		idleConns.conns[c] = idleConn{idleAt: time.Now().Add(-time.Hour)} // idle longer than any other
 		if _, err := io.WriteString(near, "GET /get/x HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -34,13 +34,13 @@
 				t.Fatal(err)
 			}
 		}
-		if c.abortUnlessRequested() || c.closeUnlessInRequest() { // as if it had come after they looked
+		if c.abortUnlessRequested() || c.closeUnlessInRequest() { // as if it had arrived after EvictIdle or CloseIdle looked
 			t.Errorf("seen by the server %v: closed in the moment in which it came", seen)
 		}
 		idle, other := net.Pipe()
 		defer other.Close()
 		idleClient := New(idle)
-		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)} // rests for less long, and gives way in its place
+		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)} // idle for less long, and evicted in its place
 		idleConns.EvictIdle()
 		if !idleConns.Claim(c) {
 			t.Errorf("seen by the server %v: closed", seen)
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -1,5 +1,7 @@
 package clientconn
 
+// This file reads the socket into the connection's buffer, and hands the buffer to net/http.
+
 import (
 	"errors"
 	"net"
@@ -10,6 +12,12 @@
 	"martenbeam/internal/tcpinfo"
 )
 
+// errOverflowed is the server's next read error after bytes have been dropped: what follows them can't be parsed.
+var errOverflowed = errors.New("the client sends more than one request at a time")
+
+// hangUpCheckInterval is how often the kernel is asked whether a client has disconnected while its bytes lie unread.
+const hangUpCheckInterval = 25 * time.Millisecond
+
 // readLoop reads the socket until its end.
 func (c *Conn) readLoop() {
 	buffer := make([]byte, readBufferSize)
@@ -25,7 +33,7 @@
 	}
 }
 
-// store takes what was read, and waits for room. It reports false after the last.
+// store buffers what one read returned, and waits until there is space for more. It reports false after the last read.
 func (c *Conn) store(p []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,11 +60,8 @@
 	return true
 }
 
-// hangUpCheckInterval is how often it is looked whether a client has gone of whom bytes lie unread.
-const hangUpCheckInterval = 25 * time.Millisecond
-
-// waitForSpace waits for a change, and looks now and then whether the client has gone: while the task reads nothing, nothing
-// tells of that. The lock is held.
+// waitForSpace waits for a change, at most hangUpCheckInterval, and then checks whether the client has disconnected: no read
+// would show it, since the loop does not read meanwhile. The caller holds mu.
 func (c *Conn) waitForSpace() {
 	check := time.AfterFunc(hangUpCheckInterval, func() {
 		c.mu.Lock()
@@ -70,8 +75,8 @@
 	}
 }
 
-// queuedBeforeAccept is how long the latest bytes lay in the kernel before their connection was accepted, as far as that can be told. The
-// lock is held.
+// queuedBeforeAccept is how long the connection's first bytes lay in the kernel before it was accepted, as far as that is known;
+// 0 for all later bytes. The caller holds mu.
 func (c *Conn) queuedBeforeAccept() time.Duration {
 	q, ok := c.Conn.(interface{ Queued() time.Duration })
 	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
@@ -80,14 +85,14 @@
 	return min(q.Queued(), tcpinfo.SinceLastData(c.Conn))
 }
 
-// markRequestStart notes when a request began to come. The lock is held.
+// markRequestStart notes when the first byte of a request arrived. The caller holds mu.
 func (c *Conn) markRequestStart() {
 	if !c.responsePending && c.firstByteAt.IsZero() {
 		c.firstByteAt = time.Now()
 	}
 }
 
-// stopReading has nothing more of the client taken. The lock is held.
+// stopReading makes err the end of what the server reads, unless there is one already. The caller holds mu.
 func (c *Conn) stopReading(err error) {
 	if c.readErr == nil {
 		c.readErr = err
@@ -96,7 +101,8 @@
 	c.changed.Broadcast()
 }
 
-// Read hands the server what has come. Of a client that has gone it gets no further request.
+// Read hands net/http what is buffered, and waits while nothing is. Of a client that has disconnected only a first request is
+// still handed out: nobody would read the response to a later one.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,9 +128,7 @@
 	}
 }
 
-var errOverflowed = errors.New("the client sends more than one request at a time")
-
-// SetReadDeadline bounds the server's reads, not those of the task.
+// SetReadDeadline bounds the server's reads; zero: no bound. The read loop's are not bounded by it.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,11 +151,12 @@
 	return nil
 }
 
+// SetDeadline bounds the server's reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// hasUnreadBytes reports whether bytes lie on a connection that nobody has read.
+// hasUnreadBytes reports whether bytes lie in a connection's receive buffer in the kernel.
 func hasUnreadBytes(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -162,7 +167,7 @@
 		return false
 	}
 	n := 0
-	err = raw.Control(func(fd uintptr) { // not Read: the task waits in one
+	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for the read loop, which is in a read of its own
 		n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
--- a/internal/agent/clientconn/retry.go
+++ b/internal/agent/clientconn/retry.go
@@ -1,5 +1,7 @@
 package clientconn
 
+// This file retries reads and writes whose errors may pass.
+
 import (
 	"errors"
 	"syscall"
@@ -8,19 +10,20 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// ioRetry follows errors in a row of the reads or writes of one connection.
+// ioRetry is the retry state of one connection's reads, or of one Write. It belongs to one goroutine.
 type ioRetry struct {
 	failingSince time.Time // zero: the latest call did not fail
 	backoff      backoff.ExponentialBackOff
 }
 
 const (
-	maxRetryTime               = 3 * time.Second // after that the connection is taken for broken
+	maxRetryTime               = 3 * time.Second // of failures in a row; after that the connection counts as broken
 	initialBackoff, maxBackoff = time.Millisecond, 20 * time.Millisecond
 )
 
-// shouldRetry reports whether a call that failed is to be made again, and waits a moment before that. What is short may be had
-// again, and a connection that is broken says so again: by its end, or by one of the errors that nothing follows.
+// shouldRetry reports whether a call that returned err is to be made again, and sleeps for the backoff before it returns true.
+// Every error of a system call is retried but those that only a closed connection returns: a shortage may pass, and a broken
+// connection says so again, by its end or by one of those errors.
 func (r *ioRetry) shouldRetry(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) || errno == syscall.EPIPE || errno == syscall.ECONNRESET || errno == syscall.ENOTCONN || errno == syscall.EBADF {
