--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -9,16 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// The one clock: whatever befalls discovery and the watches, and however often discovery moves, a change is heeded before the
-// grace for drains is over, from when it counts as told: 6 s after discovery had it and could be reached. Where lists are
-// pushed what discovery holds counts the moment that it speaks again; where they are asked for the module asks anew a wait
-// after each failure, as it would here.
+// Whatever happens to discovery and to the streams, and however often discovery's address changes, a change is delivered within the
+// grace for drains after it counts as received: PropagationDeadline after discovery had it and could be reached, or, where lists
+// are pushed, the moment that discovery answers again. Polls follow a failure after a backoff, as the decision module's do.
 func TestChangesArriveByPropagationDeadline(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("asked ", polled), func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				type step struct{ kind, ms, wait int } // drawn beforehand: a shrinking check ends where it draws
+				type step struct{ kind, ms, wait int } // drawn beforehand: rapid may abort a check at a draw, which must not happen inside the bubble
 				steps := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) step {
 					return step{rapid.IntRange(0, 6).Draw(r, "kind"), rapid.IntRange(0, 9000).Draw(r, "ms"), rapid.IntRange(1, 100).Draw(r, "wait")}
 				}), 1, 12).Draw(r, "steps")
@@ -33,28 +32,28 @@
 					watcher := startWatcher(t, discovery, polled)
 					watcher.startPolling(steps[0].wait)
 					synctest.Wait()
-					var unresponsiveAt time.Time // since then nobody is spoken to; zero: all is well
+					var unresponsiveAt time.Time // when the present fault began; zero: there is none
 					for i, s := range steps {
 						watcher.setWait(s.wait)
 						switch k := s.kind; {
 						case k == 0:
 							discovery.update(func() { discovery.unresponsive = true })
-						case k == 1: // all connections end, and no new one comes up
+						case k == 1: // all connections end, and none is made
 							discovery.update(func() { discovery.refusing = true })
-						case k <= 3: // open watches fall silent for good; new ones are served, but the first may hang
+						case k <= 3: // open streams get nothing any more; new ones are served, but the first ones may not be
 							discovery.update(func() {
 								discovery.unansweredCalls = (k - 2) * 2
 								for w := range discovery.silenced {
 									discovery.silenced[w] = true
 								}
 							})
-						case k == 4: // open watches are kept alive by a value that never ends
+						case k == 4: // open streams get a value that never ends
 							discovery.update(func() {
 								for w := range discovery.silenced {
 									discovery.dripping[w] = true
 								}
 							})
-						case k == 5: // a replaced configuration, and another at once
+						case k == 5: // the address changes twice
 							watcher.SetAddr(fmt.Sprintf("10.0.1.%d:1", i))
 							discovery.update(func() { discovery.unansweredCalls = s.wait % 3 })
 							watcher.SetAddr(fmt.Sprintf("10.0.2.%d:1", i))
@@ -69,7 +68,7 @@
 						})
 						untilDeadline := time.Until(unresponsiveAt.Add(PropagationDeadline))
 						if polled && outage {
-							untilDeadline = PropagationDeadline // since it can be reached
+							untilDeadline = PropagationDeadline // from now, when discovery can be reached again
 						} else if outage || untilDeadline < 0 {
 							untilDeadline = 0
 						}
--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -1,5 +1,7 @@
 package discovery
 
+// This file applies what arrives by the streams: signs of life, lists and ends.
+
 import (
 	"encoding/json"
 	"slices"
@@ -8,11 +10,11 @@
 	"martenbeam/balancer"
 )
 
-// handleEvent heeds what a watch's task tells.
+// handleEvent applies one event of a stream.
 func (w *Watcher) handleEvent(event watchEvent) {
 	stream := event.stream
 	if stream != w.current && !slices.Contains(w.opening, stream) {
-		return // dropped
+		return // cancelled
 	}
 	switch {
 	case event.err != nil:
@@ -34,10 +36,10 @@
 	}
 }
 
-// promote has lists come by a watch that has shown life, if it may be the one.
+// promote makes a stream that has shown a sign of life the current one, if there is none or if it is confirmed, and then ends the
+// others. A stream is confirmed once it has had a list, or has been alive for so long that there is none to send: until then
+// another one may be the one that answers.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
-	// A watch is the one that lists come by once it has told one, or has spoken for so long that there is none to tell:
-	// until then another may be the one that would have answered.
 	confirmed := hasList || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
 		w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == stream })
@@ -53,14 +55,14 @@
 	}
 }
 
-// applyList takes a list over. Before it the latest sign of life came at a time.
+// applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any stream.
 func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousReceivedAt time.Time) {
 	w.failures = 0
 	w.backoff.Reset()
 	previousVersion := w.version
 	if !stream.receivedList && !list.Full && stream.addr == w.versionAddr && list.Version < previousVersion {
-		// Changes up to a version that is past: the watch before this one went on telling when it had been given up. What
-		// follows is newer.
+		// These are changes up to a version that is already known: the stream before this one went on delivering after this one
+		// was opened. What follows is newer.
 		stream.receivedList = true
 		return
 	}
@@ -80,7 +82,7 @@
 		kind = balancer.UpdateFull
 	}
 	maxAge := time.Duration(0)
-	if w.receivedList { // else what was told before may be old
+	if w.receivedList { // else nothing is known of how old the list's entries are
 		maxAge = time.Since(previousReceivedAt) + maxAnnounceDelay
 	}
 	w.receivedList = true
@@ -88,7 +90,7 @@
 	w.cfg.Deliver(w.cfg.Translate(list, kind, maxAge))
 }
 
-// publishList tells the fleet of a list.
+// publishList hands a list on to the fleet.
 func (w *Watcher) publishList(stream *watchStream, list *EndpointList, previousVersion int64) {
 	if !stream.receivedList {
 		w.cfg.Sources.RecordAttempt(stream.source, time.Since(stream.openedAt), false, list.Version)
@@ -100,28 +102,30 @@
 	w.cfg.Sources.RecordUpdate(stream.source, previousVersion, list.Version, change, encodeList(w.endpoints.list(list.Version)))
 }
 
+// encodeList returns a list in discovery's JSON form.
 func encodeList(list *EndpointList) []byte {
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // it was read as JSON
+		panic(err) // impossible: it was decoded from JSON
 	}
 	return text
 }
 
-// handleWatchEnd takes the end of a watch, or of what should have become one.
+// handleWatchEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
+// watcher does so by itself.
 func (w *Watcher) handleWatchEnd(event watchEvent) {
 	w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == event.stream })
 	if event.stream == w.current {
 		w.current = nil
 	}
 	if event.malformed {
-		w.versionAddr = "" // the whole list may make sense
+		w.versionAddr = "" // the complete list may be well-formed
 	}
 	if w.cfg.Sources != nil && !event.stream.receivedList {
 		w.cfg.Sources.RecordAttempt(event.stream.source, 0, true, w.version)
 	}
 	if event.stream.overdue {
-		return // that was its failure
+		return // its failure is already reported
 	}
 	w.reportFailure(event.err)
 	if !w.cfg.Polled && !w.hasCurrentWatch() {
@@ -129,10 +133,10 @@
 	}
 }
 
-// reportFailure tells the module, which asks anew where lists are asked for.
+// reportFailure counts, logs and delivers a failure. Where the list is polled, the receiver retries with Subscribe.
 func (w *Watcher) reportFailure(err error) {
 	w.failures++
-	if w.failures == 1 || w.failures%20 == 0 { // not a line for every try while it is down
+	if w.failures == 1 || w.failures%20 == 0 { // not a line for every attempt during an outage
 		w.cfg.Log.Warn("discovery watch ended", "error", err, "failures", w.failures)
 	}
 	w.cfg.Deliver(Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFailed}})
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -1,5 +1,7 @@
 package discovery
 
+// This file is a fake of discovery in memory, and a watcher that runs against it.
+
 import (
 	"bytes"
 	"context"
@@ -17,20 +19,21 @@
 	"martenbeam/balancer"
 )
 
-// fakeDiscovery is discovery in memory. It tells its versions to whoever watches, as its state says.
+// fakeDiscovery serves one backend's list over in-memory connections, and sends each version to all open streams.
 type fakeDiscovery struct {
-	mu              sync.Mutex
+	conns chan net.Conn // dialed, and not yet accepted
+
+	mu              sync.Mutex // guards all that follows; tests change it by update
 	version         int64
-	unresponsive    bool // new watches are taken and left without a word, and open ones fall silent
-	refusing        bool // no connection comes up
 	encode          func(m EndpointList) string
-	sinceParams     []string // since= of each call
-	changed         chan struct{}
-	conns           chan net.Conn
-	silenced        map[*http.Request]bool // watches that fell silent for good
-	unansweredCalls int                    // so many of the next calls are taken, and never answered
-	dripping        map[*http.Request]bool // watches that get the first bytes of a value, one each second, and no more
-	unreachableAddr string                 // no connection comes up there
+	changed         chan struct{}          // closed by the next update
+	sinceParams     []string               // since= of each request
+	unresponsive    bool                   // no stream gets anything, also none that is new
+	refusing        bool                   // no connection is made, and open streams end
+	unreachableAddr string                 // no connection is made to this address
+	unansweredCalls int                    // so many of the next requests never get a response
+	silenced        map[*http.Request]bool // open streams; true: it gets nothing any more
+	dripping        map[*http.Request]bool // streams that get a value that never ends, one byte each second
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
@@ -44,6 +47,7 @@
 	return d
 }
 
+// pipeListener accepts the connections that are dialed to a fakeDiscovery.
 type pipeListener struct {
 	discovery *fakeDiscovery
 	ctx       context.Context
@@ -74,7 +78,7 @@
 	return near, nil
 }
 
-// update changes the catalog, and wakes whoever watches.
+// update changes the fake, and wakes its streams.
 func (d *fakeDiscovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,20 +133,22 @@
 	}
 }
 
-// runningWatcher is a follower that runs, and what it has posted.
+// runningWatcher is a watcher that runs, and what it has delivered.
 type runningWatcher struct {
 	*Watcher
-	mu           sync.Mutex
+	done chan struct{} // closed when Run has returned
+	log  bytes.Buffer  // written by Run's goroutine
+
+	mu           sync.Mutex // guards all that follows
 	updates      []Update
 	updatedAt    []time.Time
-	done         chan struct{}
-	log          bytes.Buffer
-	version      float64 // by the weight of the only server
-	waitPercent  int     // of each wait's ceiling, in a hundred; see module
-	pollFailures int
+	version      float64 // of the latest list: the fake's only backend has it as its weight
+	waitPercent  int     // of the backoff ceiling, before each poll; below 0: nobody polls
+	pollFailures int     // in a row
 	retryTimer   *time.Timer
 }
 
+// startWatcher runs a watcher of discovery until the test ends. Nobody polls before startPolling.
 func startWatcher(t testing.TB, discovery *fakeDiscovery, polled bool) *runningWatcher {
 	running := &runningWatcher{done: make(chan struct{}), waitPercent: -1}
 	running.Watcher = New(Config{Addr: "10.0.0.1:1", Polled: polled, ConnectTimeout: time.Second, Dial: discovery.dial, Deliver: func(u Update) {
@@ -164,6 +170,7 @@
 	return running
 }
 
+// kinds are the kinds of all updates so far.
 func (w *runningWatcher) kinds() (list []balancer.UpdateKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -173,35 +180,37 @@
 	return list
 }
 
+// lastVersion is the version of the latest list.
 func (w *runningWatcher) lastVersion() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int64(w.version)
 }
 
-// startPolling asks for a watch at once, and after each failure as the module would: by the root's backoff, of which each wait
-// here is this part of the ceiling, in a hundred.
+// startPolling polls at once, and again after each failure as the decision module does: by its backoff, with each wait at
+// waitPercent of its ceiling.
 func (w *runningWatcher) startPolling(waitPercent int) {
 	w.Subscribe()
 	w.waitPercent = waitPercent
 }
 
+// setWait changes waitPercent.
 func (w *runningWatcher) setWait(waitPercent int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waitPercent = waitPercent
 }
 
-// scheduleRetry answers a failure as the module does. The lock is held.
+// scheduleRetry polls after a failure. The caller holds mu.
 func (w *runningWatcher) scheduleRetry() {
 	w.pollFailures++
 	ceiling := PropagationDeadline / 64 << min(w.pollFailures, 4)
 	wait := ceiling * time.Duration(w.waitPercent) / 100
 	if w.retryTimer != nil {
-		w.retryTimer.Stop() // the latest timer counts
+		w.retryTimer.Stop() // one retry is scheduled at a time
 	}
 	w.retryTimer = time.AfterFunc(wait, w.Subscribe)
 }
 
-// runInBubble runs a test on told time.
+// runInBubble runs a test with a clock of its own, which advances when all goroutines wait.
 func runInBubble(t *testing.T, test func(t *testing.T)) { t.Helper(); synctest.Test(t, test) }
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -1,38 +1,40 @@
-// Package discovery follows the list of backends: a stream of JSON values over HTTP, of which each connection is
-// one task (watch.go), watched over by one supervisor that alone posts (follow.go).
 package discovery
 
+// This file is discovery's endpoint list: its JSON form, and the complete list as changes add up to it.
+
 import (
 	"errors"
 	"maps"
 	"slices"
 )
 
-// EndpointList is a list of backends, or what has changed of it, as discovery writes it.
+// EndpointList is a message of discovery: the complete list of backends, or what changed since the version before. The JSON form is
+// discovery's own, and the form in which lists are recorded and handed on.
 type EndpointList struct {
 	Version   int64      `json:"version"`
-	Full      bool       `json:"full"`
+	Full      bool       `json:"full"` // complete; else a change
 	Endpoints []Endpoint `json:"servers"`
 }
 
 // Endpoint is one backend of a list.
 type Endpoint struct {
 	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
+	Addr      string  `json:"addr"` // host:port
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
+	State     string  `json:"state"` // one of the keys of backendStates
 	Weight    float64 `json:"weight"`
-	StartedAt int64   `json:"started_ms"` // Unix time; 0: long ago
+	StartedAt int64   `json:"started_ms"` // of its process, Unix time in ms by its machine's wall clock; 0: long ago
 }
 
+// errNoEndpoints rejects a JSON value that is not a list.
 var errNoEndpoints = errors.New("a value that names no servers")
 
-// endpointSet is the list as told by now.
+// endpointSet is a complete list, by id. Its zero value knows nothing yet.
 type endpointSet map[string]Endpoint
 
-// merge takes m in.
+// merge applies a list: in place of all that was known if it is complete, else as a change.
 func (s *endpointSet) merge(list *EndpointList, complete bool) {
 	if complete || *s == nil {
 		*s = endpointSet{}
@@ -46,6 +48,7 @@
 	}
 }
 
+// list returns the set as a complete list, ordered by id.
 func (s endpointSet) list(version int64) *EndpointList {
 	list := &EndpointList{Version: version, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(s)) {
--- a/internal/agent/discovery/list_test.go
+++ b/internal/agent/discovery/list_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A successor is handed the whole list, though discovery tells changes alone.
+// The process that follows this one gets the complete list, though discovery sends changes.
 func TestDeltasMergeIntoCompleteList(t *testing.T) {
 	endpoints := endpointSet{}
 	endpoints.merge(&EndpointList{Version: 3, Endpoints: []Endpoint{{ID: "a", State: "ready"}, {ID: "b", State: "ready"}, {ID: "c", State: "ready"}}}, true)
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -1,5 +1,7 @@
 package discovery
 
+// This file converts the start times of backends' processes, given by wall clocks, to the agent's clock.
+
 import (
 	"net/http"
 	"time"
@@ -7,40 +9,41 @@
 	"martenbeam/internal/bootclock"
 )
 
-// Discovery gives the start times of backends by the wall clock of their machines, and any machine's wall clock may be
-// stepped. A backend that is taken for warm while it is cold falls over, one that is taken for cold gets little for a while.
-// So a start time is read by each clock that may be the right one, and the latest reading counts. A start that is told for the
-// first time while lists are being heard, and reads as if it were long past, was given by a clock that is off: it counts as now.
+// Discovery gives start times by the wall clocks of the backends' machines, and any machine's wall clock may be stepped. A backend
+// that is taken for warm while it is cold is overloaded; one that is taken for cold gets little traffic for a while. So a start time
+// is read by each clock that may be the right one, and the latest reading counts. A start that is new while lists keep arriving, and
+// reads as long past, was given by a clock that is wrong: it counts as now.
 const (
-	maxAnnounceDelay = 10 * time.Second // discovery tells of a start at the latest; it is seconds late
-	clockTolerance   = 2 * time.Second  // HTTP gives discovery's time to the second
+	maxAnnounceDelay = 10 * time.Second // between a start and the list that names it; usually some seconds
+	clockTolerance   = 2 * time.Second  // the HTTP Date header is in whole seconds
 )
 
 // processStart is when a backend's process started.
 type processStart struct {
-	unixMilli int64         // as discovery told it
+	unixMilli int64         // as discovery gave it
 	at        time.Duration // by the agent's clock
 }
 
-// startTimes are the start times of the backends that lists have told of.
+// startTimes are the start times of the backends that lists have named, by id.
 type startTimes struct {
 	known      map[string]processStart
-	wallOffset time.Duration // by which discovery's wall clock is ahead of this machine's; 0: it is not
+	wallOffset time.Duration // discovery's wall clock less this machine's, as of the latest list; 0: within clockTolerance, or unknown
 }
 
-// clockReadings are what start times are read by.
+// clockReadings are the clocks of this machine at one moment.
 type clockReadings struct {
-	now       time.Duration                      // of the agent's monotonic clock
-	wall      time.Time                          // at that moment
-	agentTime func(wall time.Time) time.Duration // a wall time, by what the two showed at the process's start
+	now       time.Duration                      // the agent's clock, which is monotonic
+	wall      time.Time                          // the wall clock
+	agentTime func(wall time.Time) time.Duration // converts a wall time by the offset of the two clocks at the process's start
 }
 
+// readClocks reads this machine's clocks.
 func (t *Translator) readClocks() clockReadings {
 	return clockReadings{t.AgentTime(time.Now()), bootclock.Wall(), t.AgentTime}
 }
 
-// resolve is when a backend started by the agent's clock; 0: long ago. What a list tells anew has happened within a span; 0: that
-// is not known.
+// resolve returns when a backend's process started, by the agent's clock; 0: long ago, or not given. unixMilli is the time that
+// discovery gives. A start that is new has happened at most maxAge ago; 0: at any time. The same start is resolved once.
 func (s *startTimes) resolve(id string, unixMilli int64, readClocks func() clockReadings, maxAge time.Duration) time.Duration {
 	if unixMilli <= 0 {
 		return 0
@@ -55,7 +58,7 @@
 		at = c.now
 	}
 	if known {
-		at = max(at, previous.at+1) // another process, which started after that one
+		at = max(at, previous.at+1) // another process, which has started after the previous one
 	}
 	if s.known == nil {
 		s.known = map[string]processStart{}
@@ -65,7 +68,7 @@
 	return at
 }
 
-// latestReading is the latest of a wall time's readings that is not ahead, or now.
+// latestReading returns the latest reading of a wall time that is not in the future, or now if all are.
 func (s *startTimes) latestReading(wall time.Time, c clockReadings) time.Duration {
 	readings := []time.Duration{c.agentTime(wall), c.now - c.wall.Sub(wall)}
 	if s.wallOffset != 0 {
@@ -83,7 +86,7 @@
 	return min(latest, c.now)
 }
 
-// evictUnlisted keeps the memory of backends that lists no longer name within bounds. They may come back as they were.
+// evictUnlisted bounds the memory of backends that are not listed any more. Some are kept, since they may come back unchanged.
 func (s *startTimes) evictUnlisted(listed map[string]string) {
 	const spare = 100
 	if len(s.known) <= 2*len(listed)+spare {
@@ -96,7 +99,8 @@
 	}
 }
 
-// measureOffset takes what discovery's clock shows, by the head of its answer. One that gives none is trusted.
+// measureOffset compares discovery's wall clock with this machine's, by the Date header of its response. Without one the offset
+// stays as it was.
 func (s *startTimes) measureOffset(date string) {
 	discoveryTime, err := http.ParseTime(date)
 	if err != nil {
--- a/internal/agent/discovery/starttime_test.go
+++ b/internal/agent/discovery/starttime_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// The latest reading that is not ahead counts; what is told anew is recent, and another start of a backend is a later one.
+// The latest reading that is not in the future counts, a new start is a recent one, and a further start of a backend is later than
+// the one before.
 func TestStartTimeIsTheLatestPlausibleReading(t *testing.T) {
 	const now, second = 2 * time.Hour, time.Second
 	wall := time.UnixMilli(1e12)
 	unix := func(ago time.Duration) int64 { return wall.Add(-ago).UnixMilli() }
 	for name, c := range map[string]struct {
-		step   time.Duration // of this machine's clock since the process's start
-		off    time.Duration // of discovery's, ahead of this one's
-		before time.Duration // an earlier start, so long ago; 0: none is known
+		step   time.Duration // of this machine's wall clock since the agent's start
+		off    time.Duration // of discovery's wall clock, ahead of this machine's
+		before time.Duration // a known earlier start, so long ago; 0: none
 		told   int64
 		within time.Duration
 		want   time.Duration
@@ -31,7 +32,7 @@
 		"another start":                  {before: time.Minute, told: unix(5 * second), within: 10 * second, want: now - 5*second},
 		"before the agent's clock began": {told: unix(3 * time.Hour), want: 0},
 	} {
-		// What the wall showed at the process's start goes by the unstepped clock.
+		// The offset of the agent's clock was taken from the wall clock before it was stepped.
 		readings := clockReadings{now: now, wall: wall, agentTime: func(at time.Time) time.Duration { return now - wall.Add(-c.step).Sub(at) }}
 		s := startTimes{wallOffset: c.off}
 		if c.before > 0 {
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -1,5 +1,7 @@
 package discovery
 
+// This file is one connection to discovery, run by a goroutine of its own.
+
 import (
 	"context"
 	"encoding/json"
@@ -19,33 +21,38 @@
 	errTooLong = fmt.Errorf("a value of more than %d bytes", maxValueBytes)
 )
 
-// watchStream is one connection to discovery. Its task runs until the connection ends.
+// watchStream is one connection to discovery, and what the watcher knows of it.
 type watchStream struct {
-	addr         string // of discovery, as it was when the watch was begun
-	sinceVersion int64
+	// Set when it is made, and not changed.
+	addr         string // of discovery
+	sinceVersion int64  // changes after this version are requested; 0: the complete list
 	cancel       context.CancelFunc
-	source       source.Source // set by its task before it tells anything
-	openedAt     time.Time     // the same; when it was opened
-	dateHeader   string        // the same; of the head of discovery's answer
 
-	// The supervisor's.
-	requested    bool      // it has been opened: before, it waits for its turn
+	// Written by the stream's goroutine before its first event after each, and read by Run's goroutine after that event.
+	source     source.Source
+	openedAt   time.Time // when the request was sent
+	dateHeader string    // of the response
+
+	// Run's goroutine alone uses these.
+	requested    bool      // the request has been sent: before, the stream waits for its turn
 	lastAliveAt  time.Time // its latest sign of life; zero: none
-	firstAliveAt time.Time // the first
-	overdue      bool      // its time is up, and it is known: what it still says counts, but nothing rests on it
-	receivedList bool      // a list has come
+	firstAliveAt time.Time
+	overdue      bool // counted as failed: what still arrives by it is applied, but it does not keep others from being opened
+	receivedList bool // it has delivered a list
 }
 
-// watchEvent is what a watch's task tells the supervisor.
+// watchEvent is what a stream's goroutine sends to Run: the request has been sent (requested), a list, the end (err), or a sign of
+// life without any of these.
 type watchEvent struct {
 	stream    *watchStream
-	requested bool          // the call goes out
-	list      *EndpointList // nil: a sign of life, or with err the end
+	requested bool
+	list      *EndpointList
 	err       error
-	malformed bool // what came makes no sense
+	malformed bool // with err: what arrived is not a list
 }
 
-// run follows changes until the connection ends, and tells of each in turn, and of the end. tell may wait.
+// run sends the request and emits an event for whatever arrives until the connection ends, and for its end. It calls onAlive at
+// each sign of life. emit may block.
 func (s *watchStream) run(ctx context.Context, client *http.Client, onAlive func(), emit func(watchEvent)) {
 	emit(watchEvent{stream: s, requested: true})
 	err := s.read(ctx, client,
@@ -57,6 +64,7 @@
 		errors.Is(err, errNoEndpoints) || errors.Is(err, errTooLong)})
 }
 
+// read sends the request and reads values until the connection ends. The error says how it ended, and is never nil.
 func (s *watchStream) read(ctx context.Context, client *http.Client, onAlive func(), onList func(*EndpointList)) error {
 	addr := s.addr
 	if s.source.Relayed {
@@ -88,7 +96,7 @@
 		if list.Endpoints == nil {
 			return errNoEndpoints
 		}
-		buffered, _ := io.ReadAll(values.Buffered()) // of memory: never fails
+		buffered, _ := io.ReadAll(values.Buffered()) // from memory, without errors
 		reader.valueEnded(values.InputOffset(), buffered)
 		onList(&list)
 	}
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/balancer"
 )
 
-// A value is a value however it is laid out, and a bad one ends the watch alone: the next asks for the whole list.
+// JSON values may be laid out in any way. One that is malformed ends its stream alone, and the next requests the complete list.
 func TestStreamAcceptsAnyLayoutAndRecoversFromBadValues(t *testing.T) {
 	indented := func(m EndpointList) string {
 		raw, _ := json.MarshalIndent(m, "  ", "\t")
@@ -38,7 +38,7 @@
 						t.Fatalf("version %d, not %d: %s", watcher.lastVersion(), v, watcher.log.String())
 					}
 				}
-				time.Sleep(time.Minute) // empty lines are signs of life
+				time.Sleep(time.Minute) // empty lines are heartbeats
 				if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
 					t.Errorf("%d calls: %s", len(discovery.sinceParams), watcher.log.String())
 				}
@@ -65,8 +65,8 @@
 	}
 }
 
-// A watch whose value never ends is not alive by its bytes, and a new one that only shows signs of life does not end an
-// older one that would have answered.
+// A value that never ends does not keep its stream alive, and a stream that only shows signs of life does not end an older one
+// that may still be answered.
 func TestPartialValuesAreNoSignOfLife(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 		if watcher.version != 50 {
 			t.Errorf("version %d by changes that are past", watcher.version)
 		}
-		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 30}}) // in its own stream a version may go back
+		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 30}}) // within a stream a version may go back
 		if watcher.version != 30 {
 			t.Errorf("version %d", watcher.version)
 		}
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -1,5 +1,7 @@
 package discovery
 
+// This file decides which streams are open: when one is opened, when it is overdue, and which one gives way.
+
 import (
 	"cmp"
 	"context"
@@ -7,7 +9,7 @@
 	"time"
 )
 
-// openIfDue opens a watch once its time has come, where the watcher opens by itself.
+// openIfDue opens a stream once the time has come at which the watcher does so by itself.
 func (w *Watcher) openIfDue(ctx context.Context) {
 	if w.nextOpenAt.IsZero() || time.Now().Before(w.nextOpenAt) {
 		return
@@ -16,21 +18,22 @@
 	w.openUnlessWatching(ctx)
 }
 
+// openUnlessWatching opens a stream unless there is one that serves.
 func (w *Watcher) openUnlessWatching(ctx context.Context) {
 	if !w.hasCurrentWatch() {
 		w.openWatch(ctx)
 	}
 }
 
-// reopen goes on at a new address. Nothing has failed. The present watch goes on, as long as discovery keeps it open at the
-// old address, until the new one has told a list: what it tells meanwhile counts as well.
+// reopen opens a stream to discovery's new address. Nothing has failed. The current stream goes on as long as discovery keeps it
+// open at the old address, until the new one has a list: what arrives by it meanwhile counts as well.
 func (w *Watcher) reopen() {
 	w.cancelWatches(w.opening...)
 	w.opening, w.failures = nil, 0
 	w.nextOpenAt = time.Now()
 }
 
-// checkLag leaves a source that others have been ahead of for long.
+// checkLag ends the current stream if others have had a later list at several checks in a row.
 func (w *Watcher) checkLag() {
 	w.laggingChecks++
 	if w.current == nil || !w.cfg.Sources.Lagging(w.version) {
@@ -44,7 +47,7 @@
 	}
 }
 
-// hasCurrentWatch reports whether a watch is there, at the present address, that is not overdue.
+// hasCurrentWatch reports whether there is a stream to the present address that is not overdue, open or being opened.
 func (w *Watcher) hasCurrentWatch() bool {
 	addr := w.presentAddr()
 	for _, stream := range w.streams() {
@@ -55,6 +58,7 @@
 	return false
 }
 
+// streams are all streams: those being opened, the oldest first, and the current one.
 func (w *Watcher) streams() []*watchStream {
 	if w.current == nil {
 		return w.opening
@@ -62,7 +66,7 @@
 	return append(slices.Clone(w.opening), w.current)
 }
 
-// overdueAt is when a watch is overdue that says no more; zero: it is, or waits for its turn.
+// overdueAt is when a stream becomes overdue without a further sign of life; zero: it is overdue, or its request is not yet sent.
 func (w *Watcher) overdueAt(stream *watchStream) time.Time {
 	switch {
 	case stream.overdue || !stream.requested:
@@ -73,7 +77,7 @@
 	return stream.lastAliveAt.Add(cmp.Or(stream.source.SilenceTimeout, w.HeartbeatTimeout))
 }
 
-// nextWakeAt is when there is something to do even if nothing comes; zero: never.
+// nextWakeAt is when the loop has something to do even if no event arrives; zero: never.
 func (w *Watcher) nextWakeAt() time.Time {
 	next := w.nextOpenAt
 	for _, stream := range w.streams() {
@@ -84,12 +88,13 @@
 	return next
 }
 
-// markOverdue finds the watches that are overdue by now. Each has failed, as far as anyone can know, and stays open all the same.
+// markOverdue marks the streams that have become overdue. Each counts as failed, and stays open all the same, since it may still
+// be answered; but where there are other sources, a current or relayed one is ended.
 func (w *Watcher) markOverdue() {
 	for _, stream := range w.streams() {
 		if at := w.overdueAt(stream); !at.IsZero() && !time.Now().Before(at) {
 			if w.cfg.Sources != nil && (stream == w.current || stream.source.Relayed) {
-				w.cancelWatches(stream) // there are others to ask
+				w.cancelWatches(stream)
 				w.handleWatchEnd(watchEvent{stream: stream, err: errSilent})
 				continue
 			}
@@ -102,7 +107,7 @@
 	}
 }
 
-// openWatch begins a watch.
+// openWatch opens a stream to the present address, from the present version on, with a goroutine of its own.
 func (w *Watcher) openWatch(ctx context.Context) {
 	addr := w.presentAddr()
 	if len(w.opening) == maxOpening {
@@ -110,7 +115,7 @@
 	}
 	since := w.version
 	if addr != w.versionAddr {
-		since = 0 // it may count anew there, or what came made no sense
+		since = 0 // the complete list: versions may start anew there, or the latest value was malformed
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	stream := &watchStream{addr: addr, sinceVersion: since, cancel: cancel}
@@ -122,8 +127,8 @@
 	})
 }
 
-// evictOpening ends one of the watches that are being opened: the oldest once all is told anyway, else
-// the youngest, so that one call is always fresh and one may have waited for its turn.
+// evictOpening ends one of the streams that are being opened: the oldest if it has been waiting for PropagationDeadline, else the
+// youngest. So one request is always fresh, and one may have waited for its turn.
 func (w *Watcher) evictOpening() {
 	i := len(w.opening) - 1
 	if oldest := w.opening[0]; oldest.requested && time.Since(oldest.openedAt) >= PropagationDeadline {
@@ -137,7 +142,7 @@
 	}
 }
 
-// runStream is a watch's task: it waits for its turn, opens the connection, and tells Run what comes on it.
+// runStream is a stream's goroutine: it waits for its turn, opens the connection, and sends Run an event for whatever arrives.
 func (w *Watcher) runStream(ctx context.Context, stream *watchStream, failures int) {
 	client, onAlive := w.client, func() {}
 	if sources := w.cfg.Sources; sources != nil {
@@ -154,12 +159,12 @@
 	stream.run(ctx, client, onAlive, func(event watchEvent) {
 		select {
 		case w.events <- event:
-		case <-ctx.Done(): // nobody listens any more
+		case <-ctx.Done(): // the stream is cancelled, and its events are ignored
 		}
 	})
 }
 
-// cancelWatches ends watches, of which nothing is taken any more.
+// cancelWatches ends streams. Those that are taken out of opening and current as well have their later events ignored.
 func (w *Watcher) cancelWatches(streams ...*watchStream) {
 	for _, stream := range streams {
 		stream.cancel()
--- a/internal/agent/discovery/translate.go
+++ b/internal/agent/discovery/translate.go
@@ -1,5 +1,7 @@
 package discovery
 
+// This file translates lists into the decision module's terms.
+
 import (
 	"log/slog"
 	"net/netip"
@@ -9,25 +11,28 @@
 	"martenbeam/balancer"
 )
 
-// Update is one message of discovery in the module's terms, with the addresses that go with it.
+// Update is a list of discovery, or a failure to get one, in the decision module's terms.
 type Update struct {
 	Endpoints balancer.EndpointUpdate
-	Addrs     map[string]string // by id; gone backends have none
+	Addrs     map[string]string // host:port by id; of all backends in Endpoints that are not gone
 }
 
+// backendStates are the states of Endpoint.State in the decision module's terms.
 var backendStates = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Removed}
 
-// Translator puts lists into the module's terms.
+// Translator translates lists. It remembers the start times of backends, and is not safe for concurrent use: a Watcher's belongs
+// to its Run, and to Restore before it.
 type Translator struct {
-	Zones, Kinds []string
-	AgentTime    func(time.Time) time.Duration // the agent's clock
+	Zones, Kinds []string                      // the names, by the decision module's indexes
+	AgentTime    func(time.Time) time.Duration // converts a time to the agent's clock
 	Log          *slog.Logger
 
 	startTimes startTimes
 }
 
-// Translate translates a list. An entry that makes no sense is left out and logged: the others still count. What the list tells
-// anew has happened within a span; 0: that is not known.
+// Translate translates a list, as an update of the given kind. Entries without an id, or with an unknown state or address, are logged
+// and left out: the others still count. A process that the list is the first to name has started at most maxAge ago; 0: at
+// any time.
 func (t *Translator) Translate(list *EndpointList, kind balancer.UpdateKind, maxAge time.Duration) Update {
 	update := Update{Endpoints: balancer.EndpointUpdate{Kind: kind}, Addrs: map[string]string{}}
 	for _, endpoint := range list.Endpoints {
--- a/internal/agent/discovery/translate_test.go
+++ b/internal/agent/discovery/translate_test.go
@@ -9,7 +9,7 @@
 	"martenbeam/balancer"
 )
 
-// What makes no sense in a list is left out, and start times become the agent's.
+// Entries that make no sense are left out, and start times are converted to the agent's clock.
 func TestTranslateLeavesOutInvalidEntries(t *testing.T) {
 	base := time.UnixMilli(1e12)
 	translator := Translator{Zones: []string{"a"}, Kinds: []string{"k"}, Log: slog.New(slog.DiscardHandler),
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// Where lists are asked for the module says when: a failure is told, and no call follows by itself.
+// Where the list is polled, a failure is delivered, and the watcher opens no stream by itself.
 func TestPolledWatcherOpensOnlyOnSubscribe(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
@@ -27,7 +27,7 @@
 		synctest.Wait()
 		watcher.Subscribe() // one is open
 		time.Sleep(time.Minute)
-		discovery.update(func() { discovery.unresponsive = true }) // a call may wait: it is not made twice
+		discovery.update(func() { discovery.unresponsive = true }) // the request may have to wait: it is not made twice
 		time.Sleep(heartbeatTimeout + time.Millisecond)
 		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 || k[1] != balancer.UpdateDelta || k[2] != balancer.UpdateFailed {
 			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
@@ -35,7 +35,7 @@
 	})
 }
 
-// Discovery may move at any time. The watch goes on at the new address at once, from the whole list, and nothing has failed.
+// When discovery's address changes, a stream to the new one is opened at once, for the complete list, and nothing has failed.
 func TestAddressChangeReopensAtOnceWithoutFailure(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		for _, unresponsive := range []bool{false, true} {
@@ -46,7 +46,7 @@
 					watcher := startWatcher(t, discovery, polled)
 					watcher.Subscribe()
 					synctest.Wait()
-					watcher.SetAddr("10.0.0.1:1") // no move
+					watcher.SetAddr("10.0.0.1:1") // not a change
 					synctest.Wait()
 					if len(discovery.sinceParams) != 1 {
 						t.Errorf("calls %v", discovery.sinceParams)
@@ -67,8 +67,8 @@
 	}
 }
 
-// While discovery moves, the watch at the old address tells what it is told, until the new one has told a list; also where
-// the new address is down, and is replaced by another.
+// After a change of address, lists that arrive from the old one still count until the new one has sent its first; also if the new
+// address is unreachable and is replaced in turn.
 func TestOldWatchServesUntilNewOneHasList(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// A whole list that is empty is a list: nobody is there any more.
+// A complete list without endpoints is valid: there is no backend any more.
 func TestEmptyListIsACompleteList(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
