--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -1,5 +1,7 @@
 package listener
 
+// This file is a listener with a bounded number of open connections.
+
 import (
 	"errors"
 	"net"
@@ -10,39 +12,42 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Limited accepts no more than so many connections at once. Past that they wait in the kernel's queue: running out of
-// descriptors would fail attempts at healthy backends too. An accept that fails is made again, whatever the system says:
-// accept(2) returns errors of the connection that it would have accepted, and shortages that pass.
+// Limited is a TCP listener with a fixed number of slots: each open connection holds one. While none is free, clients wait in the
+// kernel's accept queue: a process that runs out of descriptors would fail connections to healthy backends too. A failed accept
+// is retried whatever the error: accept(2) returns errors of the connection that it would have accepted, and shortages that pass.
+//
+// Accept is called by one goroutine. The other methods, and Close of the connections, may be called from any.
 type Limited struct {
 	*net.TCPListener
-	OnFull        func()      // asked for a slot while none is free; may be nil
-	OnAcceptError func(error) // told of the first of failures in a row; may be nil
+	// Both are set before the first Accept, called by Accept's goroutine, and may be nil.
+	OnFull        func()      // called while no slot is free, every slotRetryInterval: it may free one
+	OnAcceptError func(error) // called with the first of failures in a row
 
-	slots        chan struct{}
-	closed       chan struct{}
+	slots        chan struct{} // holds one value for each slot in use
+	closed       chan struct{} // closed by Close
 	closeOnce    sync.Once
 	backlogged   atomic.Bool
-	backloggedAt time.Time // connections may have waited since then; zero: none has. Accept's alone
+	backloggedAt time.Time // since when connections may be waiting in the accept queue; zero: none is. Used by Accept alone
 }
 
 const (
-	slotRetryInterval = 20 * time.Millisecond // for a slot, while none is given back
-	emptyQueueWait    = time.Millisecond      // an accept that takes longer has waited for somebody to connect
-	// Waits after accepts that failed, doubled from the first to the most. Those who connect meanwhile are in the kernel's queue.
+	slotRetryInterval = 20 * time.Millisecond // between calls of OnFull
+	emptyQueueWait    = time.Millisecond      // an accept that takes longer found the accept queue empty
+	// Backoff after failed accepts, doubled each time. Clients that connect meanwhile wait in the accept queue.
 	initialBackoff, maxBackoff = time.Millisecond, 50 * time.Millisecond
 )
 
-// Limit has a listener accept no more than most connections at once.
+// Limit returns a listener over l that has at most maxConns connections open at once.
 func Limit(l *net.TCPListener, maxConns int) *Limited {
 	return &Limited{TCPListener: l, slots: make(chan struct{}, maxConns), closed: make(chan struct{})}
 }
 
-// Reserve takes n slots out of use, as far as they are free, or puts them back in use where n is negative.
+// Reserve takes n slots out of use, as far as they are free; a negative n puts -n slots back in use.
 func (l *Limited) Reserve(n int) {
 	for ; n > 0; n-- {
 		select {
 		case l.slots <- struct{}{}:
-		default: // all are in use
+		default: // none is free
 		}
 	}
 	for ; n < 0; n++ {
@@ -50,16 +55,16 @@
 	}
 }
 
-// InUse is how many slots are taken, and Size how many there are.
+// InUse is the number of slots that are held by connections or reserved.
 func (l *Limited) InUse() int { return len(l.slots) }
 
-// Size is how many connections may be open at once.
+// Size is the number of slots.
 func (l *Limited) Size() int { return cap(l.slots) }
 
-// Backlogged reports whether connections may wait in the kernel's queue: for a slot, or since accepting fails.
+// Backlogged reports whether connections may be waiting in the accept queue, because no slot is free or accepts fail.
 func (l *Limited) Backlogged() bool { return l.backlogged.Load() }
 
-// Accept waits for a slot and a connection. It fails once the listener is closed, and not before.
+// Accept waits for a slot and a connection, a *Conn. It fails only once the listener is closed, with net.ErrClosed.
 func (l *Limited) Accept() (net.Conn, error) {
 	if err := l.acquireSlot(); err != nil {
 		return nil, err
@@ -76,7 +81,7 @@
 	return conn, nil
 }
 
-// markBacklogged notes that connections may wait in the kernel's queue from now on.
+// markBacklogged notes that connections may be waiting in the accept queue from now on.
 func (l *Limited) markBacklogged() {
 	l.backlogged.Store(true)
 	if l.backloggedAt.IsZero() {
@@ -84,7 +89,7 @@
 	}
 }
 
-// accept takes the next connection that can be taken.
+// accept returns the next connection, after as many failed accepts as there are.
 func (l *Limited) accept() (*net.TCPConn, error) {
 	retryBackoff := backoff.ExponentialBackOff{InitialInterval: initialBackoff, Multiplier: 2, MaxInterval: maxBackoff}
 	for first := true; ; first = false {
@@ -112,7 +117,7 @@
 	}
 }
 
-// acquireSlot waits for a free slot and takes it.
+// acquireSlot waits for a free slot and takes it. It fails with net.ErrClosed once the listener is closed.
 func (l *Limited) acquireSlot() error {
 	select {
 	case l.slots <- struct{}{}:
@@ -137,7 +142,7 @@
 	}
 }
 
-// Close ends accepting.
+// Close ends accepting. Connections that are open stay so.
 func (l *Limited) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.TCPListener.Close()
--- a/internal/agent/listener/limited_test.go
+++ b/internal/agent/listener/limited_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how long a test waits for what must come: far more than it takes anywhere.
+// testTimeout bounds every wait for something that has to happen: far more than it takes on any machine.
 const testTimeout = 30 * time.Second
 
 func listen(t *testing.T) *net.TCPListener {
@@ -34,7 +34,7 @@
 	return x
 }
 
-// The listener takes no connection past its limit until another is closed.
+// The listener accepts no connection past its limit until another is closed.
 func TestLimitedListenerWaitsForAFreeSlot(t *testing.T) {
 	l := Limit(listen(t), 1)
 	full := make(chan struct{}, 1)
--- a/internal/agent/listener/open.go
+++ b/internal/agent/listener/open.go
@@ -1,5 +1,9 @@
-// Package listener opens the sockets at which an agent is reached, through what may fail for a moment, and bounds how
-// many connections they hand out.
+// Package listener opens the sockets at which an agent can be reached, retries what may fail for a moment, and bounds how many
+// accepted connections are open at once.
+//
+// Who owns what: a listener belongs to the server that accepts from it, one goroutine that calls Accept; Limited's time of the
+// backlog is that goroutine's alone. A slot belongs to the connection that holds it, and goes back when the connection is closed.
+// InUse and Backlogged are as of the call, and may have changed when they return.
 package listener
 
 import (
@@ -11,11 +15,13 @@
 	"time"
 )
 
-// ListenTCP listens at an address. The process before this one may still drain there: it is waited for.
+// ListenTCP listens at an address, host:port. It retries while the address is in use, for up to openTimeout: the process before
+// this one may still be draining there.
 func ListenTCP(ctx context.Context, address string) (*net.TCPListener, error) {
 	return listenTCP(ctx, address, nil)
 }
 
+// listenTCP is ListenTCP with an attempt at each value of retryTicks, as Retry takes them.
 func listenTCP(ctx context.Context, address string, retryTicks <-chan time.Time) (*net.TCPListener, error) {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -24,8 +30,9 @@
 	return Retry(ctx, retryTicks, func() (*net.TCPListener, error) { return net.ListenTCP("tcp", addr) })
 }
 
-// Inherited is the listening socket that the platform holds and every process inherits as a descriptor, which is closed:
-// the listener has one of its own.
+// Inherited returns a listener over the listening TCP socket that the platform holds and every process inherits as descriptor fd,
+// the value of PROXY_FD. The listener has a descriptor of its own, and fd is closed. An error names PROXY_FD, and says what fd is
+// not.
 func Inherited(ctx context.Context, fd int) (*net.TCPListener, error) {
 	file := os.NewFile(uintptr(fd), "PROXY_FD")
 	if file == nil {
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The address may still be another process's: a restarted one waits for it, and ends when it is told to.
+// ListenTCP waits for an address that is still in use, and ends with its context.
 func TestListenTCPWaitsForAddressInUse(t *testing.T) {
 	old := listen(t)
 	type listened struct {
@@ -21,14 +21,14 @@
 	}
 	done, retryTicks := make(chan listened, 1), make(chan time.Time)
 	go func() { ln, err := listenTCP(t.Context(), old.Addr().String(), retryTicks); done <- listened{ln, err} }()
-	retryTicks <- time.Now() // the first try has failed
-	retryTicks <- time.Now() // the second
+	retryTicks <- time.Now() // the first attempt has failed
+	retryTicks <- time.Now() // so has the second
 	old.Close()
 	var l listened
 	select {
 	case retryTicks <- time.Now():
 		l = receive(t, "listener", done)
-	case l = <-done: // the second try came after the close
+	case l = <-done: // the second attempt came after the close
 	}
 	if l.err != nil {
 		t.Fatal(l.err)
@@ -41,7 +41,7 @@
 	}
 }
 
-// dupDescriptor is a further descriptor of a socket, as a process inherits it.
+// dupDescriptor returns a further descriptor of a socket, as a process inherits it.
 func dupDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
@@ -55,7 +55,7 @@
 	return keep
 }
 
-// dup returns a descriptor that is nobody's yet, and closes f.
+// dup returns a further descriptor of f, which no os.File owns, and closes f.
 func dup(f *os.File) (int, error) {
 	defer f.Close()
 	fd, err := syscall.Dup(int(f.Fd()))
@@ -65,7 +65,7 @@
 	return fd, err
 }
 
-// The inherited descriptor is the clients' listener, or the program does not start.
+// The inherited descriptor has to be a listening TCP socket, and the platform's own descriptor of it stays open.
 func TestInheritedTakesOnlyListeningTCPSockets(t *testing.T) {
 	ln := listen(t)
 	got, err := Inherited(t.Context(), dupDescriptor(t, ln))
--- a/internal/agent/listener/retry.go
+++ b/internal/agent/listener/retry.go
@@ -1,5 +1,7 @@
 package listener
 
+// This file retries what opens a socket or a file at startup, while it fails for reasons that may pass.
+
 import (
 	"context"
 	"errors"
@@ -9,12 +11,12 @@
 )
 
 const (
-	openTimeout       = 8 * time.Second // a restarted process is to be ready within 10 s
+	openTimeout       = 8 * time.Second // bounds Retry: a restarted process has to be ready within 10 s
 	openRetryInterval = 20 * time.Millisecond
 )
 
-// passing are the errors of system calls that may be over a moment later: shortages of the machine, addresses that are
-// still another process's, and a disk that fails. Others mean that what was asked for can't be had.
+// transientErrnos are the errors of system calls that may pass: shortages of the machine, addresses that another process still
+// has, networks that are down and disks that fail. All others are taken for permanent.
 var transientErrnos = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOLCK,
@@ -22,14 +24,14 @@
 	syscall.ECONNABORTED, syscall.EPROTO, syscall.ETIMEDOUT, syscall.EIO,
 }
 
-// IsTransient reports whether what failed may do so for a moment only.
+// IsTransient reports whether err holds an error of a system call that may pass.
 func IsTransient(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(transientErrnos, errno)
 }
 
-// Retry does something again and again until it succeeds, fails for good, or has failed for as long as a start may take.
-// A try follows each time that again tells; nil: every openRetryInterval.
+// Retry calls attempt until it succeeds, fails with an error that is not transient, or openTimeout has passed or ctx is done; it
+// returns the latest result. It waits for a value of retryTicks before each further attempt; nil: for openRetryInterval.
 func Retry[T any](ctx context.Context, retryTicks <-chan time.Time, attempt func() (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
