--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -1,5 +1,7 @@
 package admin
 
+// This file carries out the calls.
+
 import (
 	"context"
 	"encoding/json"
@@ -12,7 +14,7 @@
 	"martenbeam/internal/bootclock"
 )
 
-// calls are the paths that may be called, with their methods.
+// methodByPath are the calls' paths, with the method of each.
 var methodByPath = map[string]string{
 	"/_ready":           http.MethodGet,
 	"/_backends/detach": http.MethodPut,
@@ -21,14 +23,14 @@
 	"/_lameduck/off":    http.MethodPut,
 }
 
-// ServeHTTP answers one call. It acts once the call has come whole.
+// ServeHTTP answers one call. It acts only once the call has arrived completely.
 func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	body, ok := readCall(w, request)
 	if !ok {
 		return
 	}
 	if c, ok := request.Context().Value(connKey{}).(net.Conn); ok && !s.idleConns.Claim(c) {
-		panic(http.ErrAbortHandler) // closed to make room before it was whole
+		panic(http.ErrAbortHandler) // evicted before the call was complete
 	}
 	switch path := request.URL.Path; path {
 	case "/_ready":
@@ -44,7 +46,7 @@
 	}
 }
 
-// readCall reads a call, and answers one that can't be carried out.
+// readCall reads a call's body. It reports false if the call can't be carried out, and has then responded.
 func readCall(w http.ResponseWriter, request *http.Request) (body []byte, ok bool) {
 	method, known := methodByPath[request.URL.Path]
 	if !known {
@@ -69,22 +71,23 @@
 	return body, true
 }
 
+// respondOK says yes.
 func (s *Server) respondOK(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = io.WriteString(w, "yes\n") // a caller that is gone needs no answer
+	_, _ = io.WriteString(w, "yes\n") // a caller that has disconnected needs no response
 }
 
-// setLameDuck empties the agent of clients, or takes them again.
+// setLameDuck makes the agent a lame duck, or ends that, and responds.
 func (s *Server) setLameDuck(ctx context.Context, w http.ResponseWriter, on bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.AnswerTimeout)
 	defer cancel()
-	recorded := s.record(ctx, handover.Override{Disabled: on}) // first: what the record lacks is taken back here
+	recorded := s.record(ctx, handover.Override{Disabled: on}) // recorded first: the agent undoes a state that is not recorded, or waiting to be
 	s.agent.SetLameDuck(on)
 	s.log.Info("lame duck", "on", on)
 	s.respond(w, recorded)
 }
 
-// setDisabled takes a call about a backend to the module, and says what it said.
+// setDisabled disables or enables the backend that the call names, and responds.
 func (s *Server) setDisabled(ctx context.Context, w http.ResponseWriter, body []byte, disable bool) {
 	var call struct {
 		Target *string `json:"Target"`
@@ -109,7 +112,8 @@
 	}
 }
 
-// record records a call that holds here for a successor, and reports whether it could by ctx's end.
+// record keeps a call that is in force for the process that follows this one. It reports false if that has not succeeded by the time
+// that ctx is done.
 func (s *Server) record(ctx context.Context, call handover.Override) bool {
 	if s.Record == nil {
 		return true
@@ -122,8 +126,8 @@
 	return err == nil
 }
 
-// respond says yes to a call that holds over an upgrade, and no to one that could not be recorded in time. That one goes on to
-// hold here, and is recorded as soon as it can be.
+// respond says yes to a call that outlasts this process, and no to one that could not be recorded in time. That one stays in force
+// in this process, and is recorded as soon as possible.
 func (s *Server) respond(w http.ResponseWriter, recorded bool) {
 	if recorded {
 		s.respondOK(w)
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -1,6 +1,14 @@
-// Package admin is where operators call an agent: over HTTP, at an address of its own.
+// Package admin is the agent's administration server: operators call it over HTTP, at an address of its own. A call asks whether
+// the agent is ready, disables or enables a backend, or makes the agent a lame duck. Its paths, words and JSON keys are an
+// interface to the operators' tools.
+//
+// Who owns what: the server owns its listener and its connections, each with a read loop that Run waits for. It has no state of the
+// agent's: a call is carried out by the Agent, and recorded by Record before it is answered with yes. Calls are answered by
+// net/http's goroutines, several at a time; an answer is as of the call, and given within AnswerTimeout of it.
 package admin
 
+// This file is the server: its listener, its limits and its shutdown.
+
 import (
 	"context"
 	"errors"
@@ -16,39 +24,44 @@
 	"martenbeam/internal/agent/listener"
 )
 
-// Agent is what the calls are about.
+// Agent is what the calls act upon. Its methods may be called from any goroutine.
 type Agent interface {
-	// Ready reports whether clients are taken.
+	// Ready reports whether clients are accepted.
 	Ready() bool
-	// Move has a backend detached, or attached again, and reports whether it has it. It fails once ctx ends.
-	SetDisabled(ctx context.Context, backend string, detach bool) (taken bool, err error)
-	// Drain empties the agent of clients, or takes them again.
+	// SetDisabled disables a backend, or enables it again, and reports whether there is one of this id. The error is ctx's.
+	SetDisabled(ctx context.Context, backend string, disabled bool) (found bool, err error)
+	// SetLameDuck drains the agent of clients, or accepts them again.
 	SetLameDuck(on bool)
 }
 
-// Server answers operators' calls: one a connection, a 2xx answer is yes, a 4xx or 5xx no.
+// Server answers operators' calls, one for each connection: a 2xx response is yes, a 4xx or 5xx is no.
 type Server struct {
-	Record        func(context.Context, handover.Override) error // where a successor finds a call; may be nil. Set before Run
-	AnswerTimeout time.Duration                                  // an answer is given
+	// Both are set before Run.
+
+	// Record keeps a call for the process that follows this one; may be nil. It fails once its context is done.
+	Record func(context.Context, handover.Override) error
+	// AnswerTimeout bounds how long a call is carried out and recorded, and how long Run waits for open calls at its end.
+	AnswerTimeout time.Duration
 
 	log       *slog.Logger
 	agent     Agent
 	listener  net.Listener
 	server    *http.Server
 	idleConns *clientconn.IdleConns
-	readers   sync.WaitGroup // of connections: each ends with its socket
+	readers   sync.WaitGroup // the connections' read loops: each ends with its socket
 }
 
 const (
-	readTimeout     = 5 * time.Second // for a call to come whole
-	maxRequestBytes = 4 << 10         // bytes of a call's body
+	readTimeout     = 5 * time.Second // for a complete call to arrive
+	maxRequestBytes = 4 << 10         // of a call's header, and of its body
 
-	// DefaultAnswerTimeout leaves of the second in which an answer is due the moment that recording a call may take past it.
+	// DefaultAnswerTimeout is New's AnswerTimeout. A response is due within a second: the rest is for a record that is being
+	// written when the time is up.
 	DefaultAnswerTimeout = 600 * time.Millisecond
 )
 
-// New listens at an address, for at most so many calls at once. It waits for an address that another process still has, until
-// ctx ends.
+// New listens at addr, with at most maxConns connections open at once. While another process has the address it retries, until ctx
+// is done or ListenTCP's limit has passed.
 func New(ctx context.Context, addr string, maxConns int, agent Agent, log *slog.Logger) (*Server, error) {
 	s := &Server{log: log, agent: agent, idleConns: clientconn.NewIdleConns(), AnswerTimeout: DefaultAnswerTimeout}
 	ln, err := listener.ListenTCP(ctx, addr)
@@ -57,7 +70,7 @@
 	}
 	limited := listener.Limit(ln, maxConns)
 	limited.OnAcceptError = func(err error) { log.Warn("accepting operators' calls fails", "error", err) }
-	limited.OnFull = s.idleConns.EvictIdle // who calls and says nothing must not keep out those who would
+	limited.OnFull = s.idleConns.EvictIdle // a caller that sends nothing must not keep others out
 	s.listener = limited
 	s.server = &http.Server{
 		Handler:        s,
@@ -74,12 +87,13 @@
 	return s, nil
 }
 
-// Addr is where operators call.
+// Addr is the address that operators call.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
+// connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// Run answers calls until ctx ends, and then those that have come whole.
+// Run answers calls until ctx is done, and then those that have arrived completely. It is called once.
 func (s *Server) Run(ctx context.Context) {
 	closed := make(chan struct{})
 	go func() {
@@ -87,7 +101,7 @@
 		<-ctx.Done()
 		bound, cancel := context.WithTimeout(context.Background(), s.AnswerTimeout)
 		defer cancel()
-		if s.server.Shutdown(bound) != nil { // callers who say nothing are not waited for
+		if s.server.Shutdown(bound) != nil { // callers that send nothing are not waited for
 			s.server.Close()
 		}
 	}()
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -18,6 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testTimeout bounds every wait for something that has to happen: far more than it takes on any machine.
 const testTimeout = 30 * time.Second
 
 // fakeAgent is an agent that is ready, and has no backend.
@@ -29,7 +30,7 @@
 }
 func (fakeAgent) SetLameDuck(bool) {}
 
-// A call that has come whole is not closed to make room for others, however late the server gets to it.
+// A connection on which a complete call has arrived is not evicted, however late the server reads it.
 func TestCompleteCallIsNotEvicted(t *testing.T) {
 	s, err := New(t.Context(), "127.0.0.1:0", 1, fakeAgent{}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -43,7 +44,7 @@
 	if _, err := io.WriteString(c, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	// The connection is read, and the server gets to it late.
+	// The read loop has the call, and the server does not read it yet.
 	conn, err := clientconn.Listener{Listener: s.listener, Tasks: &s.readers}.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +55,7 @@
 			t.Fatal("the call was not read")
 		}
 	}
-	time.Sleep(2 * clientconn.MinIdleTime) // it has waited for long enough to give way
+	time.Sleep(2 * clientconn.MinIdleTime) // it has been idle for long enough to be evicted
 	s.idleConns.EvictIdle()
 	if !s.idleConns.Claim(conn) {
 		t.Error("closed to make room")
@@ -73,7 +74,7 @@
 	s.readers.Wait()
 }
 
-// oneConn hands out one connection.
+// oneConn is a listener that accepts one connection.
 type oneConn struct {
 	conn net.Conn
 	done chan struct{}
