--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -101,13 +101,13 @@
 	found, err := s.agent.SetDisabled(ctx, *call.Target, disable)
 	switch {
 	case err != nil:
-		s.log.Warn("a call found no answer in time", "backend", *call.Target, "detach", disable, "error", err)
+		s.log.Warn("admin call timed out", "backend", *call.Target, "detach", disable, "error", err)
 		http.Error(w, "no answer in time, call again", http.StatusServiceUnavailable)
 	case !found:
-		s.log.Info("a call for a backend that nobody has", "backend", *call.Target, "detach", disable)
+		s.log.Info("admin call for an unknown backend", "backend", *call.Target, "detach", disable)
 		http.Error(w, "no backend has this id", http.StatusNotFound)
 	default:
-		s.log.Info("backend called", "backend", *call.Target, "detached", disable)
+		s.log.Info("backend override set", "backend", *call.Target, "detached", disable)
 		s.respond(w, s.record(ctx, handover.Override{Backend: *call.Target, Disabled: disable}))
 	}
 }
@@ -121,7 +121,7 @@
 	call.IssuedAt = bootclock.SinceBoot()
 	err := s.Record(ctx, call)
 	if err != nil {
-		s.log.Error("a call is not recorded for a successor yet", "backend", call.Backend, "out", call.Disabled, "error", err)
+		s.log.Error("recording an admin call failed", "backend", call.Backend, "out", call.Disabled, "error", err)
 	}
 	return err == nil
 }
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -69,7 +69,7 @@
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
 	limited := listener.Limit(ln, maxConns)
-	limited.OnAcceptError = func(err error) { log.Warn("accepting operators' calls fails", "error", err) }
+	limited.OnAcceptError = func(err error) { log.Warn("admin accept failed", "error", err) }
 	limited.OnFull = s.idleConns.EvictIdle // a caller that sends nothing must not keep others out
 	s.listener = limited
 	s.server = &http.Server{
@@ -106,7 +106,7 @@
 		}
 	}()
 	if err := s.server.Serve(clientconn.Listener{Listener: s.listener, Tasks: &s.readers}); !errors.Is(err, http.ErrServerClosed) {
-		s.log.Error("operators' calls are answered no more", "error", err)
+		s.log.Error("admin server stopped", "error", err)
 	}
 	<-closed
 	s.readers.Wait()
--- a/internal/agent/discovery/translate.go
+++ b/internal/agent/discovery/translate.go
@@ -38,12 +38,12 @@
 	for _, endpoint := range list.Endpoints {
 		state, ok := backendStates[endpoint.State]
 		if !ok || endpoint.ID == "" {
-			t.Log.Warn("list entry left out", "id", endpoint.ID, "state", endpoint.State)
+			t.Log.Warn("endpoint rejected", "id", endpoint.ID, "state", endpoint.State)
 			continue
 		}
 		if state != balancer.Removed {
 			if _, err := netip.ParseAddrPort(endpoint.Addr); err != nil {
-				t.Log.Warn("list entry left out", "id", endpoint.ID, "error", err)
+				t.Log.Warn("endpoint rejected", "id", endpoint.ID, "error", err)
 				continue
 			}
 			update.Addrs[endpoint.ID] = endpoint.Addr
