--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// openIfDue opens a stream once the time has come at which the watcher does so by itself.
-func (w *Watcher) openIfDue(ctx context.Context) {
+// openScheduled opens a stream once the time has come at which the watcher does so by itself.
+func (w *Watcher) openScheduled(ctx context.Context) {
 	if w.nextOpenAt.IsZero() || time.Now().Before(w.nextOpenAt) {
 		return
 	}
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -195,7 +195,7 @@
 	}
 	for {
 		w.markOverdue()
-		w.openIfDue(ctx)
+		w.openScheduled(ctx)
 		if next := w.nextWakeAt(); next.IsZero() {
 			wake.Stop()
 		} else {
