--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -18,7 +18,7 @@
 	}
 	switch {
 	case event.err != nil:
-		w.handleWatchEnd(event)
+		w.handleEnd(event)
 		return
 	case event.requested:
 		stream.requested = true
@@ -44,13 +44,13 @@
 	if stream != w.current && (confirmed || w.current == nil) {
 		w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == stream })
 		if w.current != nil {
-			w.cancelWatches(w.current)
+			w.cancelStreams(w.current)
 		}
 		w.current = stream
 	}
 	atPresentAddr := stream.addr == w.presentAddr()
 	if stream == w.current && confirmed && atPresentAddr && !stream.overdue {
-		w.cancelWatches(w.opening...)
+		w.cancelStreams(w.opening...)
 		w.opening = nil
 	}
 }
@@ -111,9 +111,9 @@
 	return text
 }
 
-// handleWatchEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
+// handleEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
 // watcher does so by itself.
-func (w *Watcher) handleWatchEnd(event watchEvent) {
+func (w *Watcher) handleEnd(event watchEvent) {
 	w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == event.stream })
 	if event.stream == w.current {
 		w.current = nil
@@ -128,7 +128,7 @@
 		return // its failure is already reported
 	}
 	w.reportFailure(event.err)
-	if !w.cfg.Polled && !w.hasCurrentWatch() {
+	if !w.cfg.Polled && !w.hasServingStream() {
 		w.nextOpenAt = time.Now().Add(w.backoff.NextBackOff())
 	}
 }
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -150,24 +150,24 @@
 
 // startWatcher runs a watcher of discovery until the test ends. Nobody polls before startPolling.
 func startWatcher(t testing.TB, discovery *fakeDiscovery, polled bool) *runningWatcher {
-	running := &runningWatcher{done: make(chan struct{}), waitPercent: -1}
-	running.Watcher = New(Config{Addr: "10.0.0.1:1", Polled: polled, ConnectTimeout: time.Second, Dial: discovery.dial, Deliver: func(u Update) {
-		running.mu.Lock()
-		defer running.mu.Unlock()
-		running.updates, running.updatedAt = append(running.updates, u), append(running.updatedAt, time.Now())
+	w := &runningWatcher{done: make(chan struct{}), waitPercent: -1}
+	w.Watcher = New(Config{Addr: "10.0.0.1:1", Polled: polled, ConnectTimeout: time.Second, Dial: discovery.dial, Deliver: func(u Update) {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.updates, w.updatedAt = append(w.updates, u), append(w.updatedAt, time.Now())
 		switch {
-		case u.Endpoints.Kind == balancer.UpdateFailed && polled && running.waitPercent >= 0:
-			running.scheduleRetry()
+		case u.Endpoints.Kind == balancer.UpdateFailed && polled && w.waitPercent >= 0:
+			w.scheduleRetry()
 		case len(u.Endpoints.Backends) > 0:
-			running.version, running.pollFailures = u.Endpoints.Backends[0].Weight, 0
+			w.version, w.pollFailures = u.Endpoints.Backends[0].Weight, 0
 		}
 	}, Translator: Translator{Zones: []string{"a", "b"}, AgentTime: func(time.Time) time.Duration { return 0 },
-		Log: slog.New(slog.NewTextHandler(&running.log, nil))}})
-	running.Restore(&EndpointList{Version: 41})
+		Log: slog.New(slog.NewTextHandler(&w.log, nil))}})
+	w.Restore(&EndpointList{Version: 41})
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { defer close(running.done); running.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-running.done })
-	return running
+	go func() { defer close(w.done); w.Run(ctx) }()
+	t.Cleanup(func() { cancel(); <-w.done })
+	return w
 }
 
 // kinds are the kinds of all updates so far.
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -91,13 +91,13 @@
 	runInBubble(t, func(t *testing.T) {
 		watcher := New(Config{Addr: "10.0.0.1:1", Deliver: func(Update) {}, Translator: Translator{Log: slog.New(slog.DiscardHandler)}})
 		cancelled := map[*watchStream]bool{}
-		openWatch := func() *watchStream {
+		openStream := func() *watchStream {
 			stream := &watchStream{addr: watcher.addr, requested: true, openedAt: time.Now()}
 			stream.cancel = func() { cancelled[stream] = true }
 			watcher.opening = append(watcher.opening, stream)
 			return stream
 		}
-		older, newer := openWatch(), openWatch()
+		older, newer := openStream(), openStream()
 		watcher.handleEvent(watchEvent{stream: newer})
 		if cancelled[older] || watcher.current != newer {
 			t.Fatal("a sign of life ended the opening before")
@@ -106,7 +106,7 @@
 		if watcher.version != 50 || watcher.current != older || !cancelled[newer] {
 			t.Errorf("version %d: the list of the older one was not taken", watcher.version)
 		}
-		late := openWatch()
+		late := openStream()
 		late.sinceVersion = 40
 		watcher.current.overdue = true
 		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 45}})
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -15,20 +15,20 @@
 		return
 	}
 	w.nextOpenAt = time.Time{}
-	w.openUnlessWatching(ctx)
+	w.openUnlessServed(ctx)
 }
 
-// openUnlessWatching opens a stream unless there is one that serves.
-func (w *Watcher) openUnlessWatching(ctx context.Context) {
-	if !w.hasCurrentWatch() {
-		w.openWatch(ctx)
+// openUnlessServed opens a stream unless there is one that serves.
+func (w *Watcher) openUnlessServed(ctx context.Context) {
+	if !w.hasServingStream() {
+		w.openStream(ctx)
 	}
 }
 
 // reopen opens a stream to discovery's new address. Nothing has failed. The current stream goes on as long as discovery keeps it
 // open at the old address, until the new one has a list: what arrives by it meanwhile counts as well.
 func (w *Watcher) reopen() {
-	w.cancelWatches(w.opening...)
+	w.cancelStreams(w.opening...)
 	w.opening, w.failures = nil, 0
 	w.nextOpenAt = time.Now()
 }
@@ -42,13 +42,13 @@
 	}
 	if w.laggingChecks == maxLaggingChecks {
 		w.laggingChecks = 0
-		w.cancelWatches(w.current)
-		w.handleWatchEnd(watchEvent{stream: w.current, err: errLagging})
+		w.cancelStreams(w.current)
+		w.handleEnd(watchEvent{stream: w.current, err: errLagging})
 	}
 }
 
-// hasCurrentWatch reports whether there is a stream to the present address that is not overdue, open or being opened.
-func (w *Watcher) hasCurrentWatch() bool {
+// hasServingStream reports whether there is a stream to the present address that is not overdue, open or being opened.
+func (w *Watcher) hasServingStream() bool {
 	addr := w.presentAddr()
 	for _, stream := range w.streams() {
 		if stream.addr == addr && !stream.overdue {
@@ -94,8 +94,8 @@
 	for _, stream := range w.streams() {
 		if at := w.overdueAt(stream); !at.IsZero() && !time.Now().Before(at) {
 			if w.cfg.Sources != nil && (stream == w.current || stream.source.Relayed) {
-				w.cancelWatches(stream)
-				w.handleWatchEnd(watchEvent{stream: stream, err: errSilent})
+				w.cancelStreams(stream)
+				w.handleEnd(watchEvent{stream: stream, err: errSilent})
 				continue
 			}
 			stream.overdue = true
@@ -107,8 +107,8 @@
 	}
 }
 
-// openWatch opens a stream to the present address, from the present version on, with a goroutine of its own.
-func (w *Watcher) openWatch(ctx context.Context) {
+// openStream opens a stream to the present address, from the present version on, with a goroutine of its own.
+func (w *Watcher) openStream(ctx context.Context) {
 	addr := w.presentAddr()
 	if len(w.opening) == maxOpening {
 		w.evictOpening()
@@ -135,7 +135,7 @@
 		i = 0
 	}
 	stream := w.opening[i]
-	w.cancelWatches(stream)
+	w.cancelStreams(stream)
 	w.opening = slices.Delete(w.opening, i, i+1)
 	if w.cfg.Sources != nil && stream.requested {
 		w.cfg.Sources.RecordAttempt(stream.source, 0, true, w.version)
@@ -164,8 +164,8 @@
 	})
 }
 
-// cancelWatches ends streams. Those that are taken out of opening and current as well have their later events ignored.
-func (w *Watcher) cancelWatches(streams ...*watchStream) {
+// cancelStreams ends streams. Those that are taken out of opening and current as well have their later events ignored.
+func (w *Watcher) cancelStreams(streams ...*watchStream) {
 	for _, stream := range streams {
 		stream.cancel()
 	}
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -209,7 +209,7 @@
 		case <-w.addrChanged:
 			w.reopen()
 		case <-w.subscribed:
-			w.openUnlessWatching(ctx)
+			w.openUnlessServed(ctx)
 		case <-wake.C:
 		case event := <-w.events:
 			w.handleEvent(event)
