--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -81,7 +81,8 @@
 func (s *Server) setLameDuck(ctx context.Context, w http.ResponseWriter, on bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.AnswerTimeout)
 	defer cancel()
-	recorded := s.record(ctx, handover.Override{Disabled: on}) // recorded first: the agent undoes a state that is not recorded, or waiting to be
+	// Recorded first: the agent undoes a state that is neither recorded nor waiting to be.
+	recorded := s.record(ctx, handover.Override{Disabled: on})
 	s.agent.SetLameDuck(on)
 	s.log.Info("lame duck", "on", on)
 	s.respond(w, recorded)
@@ -112,8 +113,8 @@
 	}
 }
 
-// record keeps a call that is in force for the process that follows this one. It reports false if that has not succeeded by the time
-// that ctx is done.
+// record keeps a call that is in force for the process that follows this one. It reports false if that has not
+// succeeded by the time that ctx is done.
 func (s *Server) record(ctx context.Context, call handover.Override) bool {
 	if s.Record == nil {
 		return true
@@ -126,8 +127,8 @@
 	return err == nil
 }
 
-// respond says yes to a call that outlasts this process, and no to one that could not be recorded in time. That one stays in force
-// in this process, and is recorded as soon as possible.
+// respond says yes to a call that outlasts this process, and no to one that could not be recorded in time. That one
+// stays in force in this process, and is recorded as soon as possible.
 func (s *Server) respond(w http.ResponseWriter, recorded bool) {
 	if recorded {
 		s.respondOK(w)
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -1,10 +1,11 @@
-// Package admin is the agent's administration server: operators call it over HTTP, at an address of its own. A call asks whether
-// the agent is ready, disables or enables a backend, or makes the agent a lame duck. Its paths, words and JSON keys are an
-// interface to the operators' tools.
+// Package admin is the agent's administration server: operators call it over HTTP, at an address of its own. A call
+// asks whether the agent is ready, disables or enables a backend, or makes the agent a lame duck. Its paths, words and
+// JSON keys are an interface to the operators' tools.
 //
-// Who owns what: the server owns its listener and its connections, each with a read loop that Run waits for. It has no state of the
-// agent's: a call is carried out by the Agent, and recorded by Record before it is answered with yes. Calls are answered by
-// net/http's goroutines, several at a time; an answer is as of the call, and given within AnswerTimeout of it.
+// Who owns what: the server owns its listener and its connections, each with a read loop that Run waits for. It has no
+// state of the agent's: a call is carried out by the Agent, and recorded by Record before it is answered with yes.
+// Calls are answered by net/http's goroutines, several at a time; an answer is as of the call, and given within
+// AnswerTimeout of it.
 package admin
 
 // This file is the server: its listener, its limits and its shutdown.
@@ -28,7 +29,8 @@
 type Agent interface {
 	// Ready reports whether clients are accepted.
 	Ready() bool
-	// SetDisabled disables a backend, or enables it again, and reports whether there is one of this id. The error is ctx's.
+	// SetDisabled disables a backend, or enables it again, and reports whether there is one of this id. The error is
+	// ctx's.
 	SetDisabled(ctx context.Context, backend string, disabled bool) (found bool, err error)
 	// SetLameDuck drains the agent of clients, or accepts them again.
 	SetLameDuck(on bool)
@@ -40,7 +42,8 @@
 
 	// Record keeps a call for the process that follows this one; may be nil. It fails once its context is done.
 	Record func(context.Context, handover.Override) error
-	// AnswerTimeout bounds how long a call is carried out and recorded, and how long Run waits for open calls at its end.
+	// AnswerTimeout bounds how long a call is carried out and recorded, and how long Run waits for open calls at its
+	// end.
 	AnswerTimeout time.Duration
 
 	log       *slog.Logger
@@ -55,13 +58,13 @@
 	readTimeout     = 5 * time.Second // for a complete call to arrive
 	maxRequestBytes = 4 << 10         // of a call's header, and of its body
 
-	// DefaultAnswerTimeout is New's AnswerTimeout. A response is due within a second: the rest is for a record that is being
-	// written when the time is up.
+	// DefaultAnswerTimeout is New's AnswerTimeout. A response is due within a second: the rest is for a record that is
+	// being written when the time is up.
 	DefaultAnswerTimeout = 600 * time.Millisecond
 )
 
-// New listens at addr, with at most maxConns connections open at once. While another process has the address it retries, until ctx
-// is done or ListenTCP's limit has passed.
+// New listens at addr, with at most maxConns connections open at once. While another process has the address it
+// retries, until ctx is done or ListenTCP's limit has passed.
 func New(ctx context.Context, addr string, maxConns int, agent Agent, log *slog.Logger) (*Server, error) {
 	s := &Server{log: log, agent: agent, idleConns: clientconn.NewIdleConns(), AnswerTimeout: DefaultAnswerTimeout}
 	ln, err := listener.ListenTCP(ctx, addr)
--- a/internal/agent/clientconn/close.go
+++ b/internal/agent/clientconn/close.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Close ends the connection. A response that was written can still be read by the client: then the read loop drops what arrives
-// for up to lingerTimeout, and closes the socket.
+// Close ends the connection. A response that was written can still be read by the client: then the read loop drops what
+// arrives for up to lingerTimeout, and closes the socket.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	linger := c.shouldLinger()
@@ -20,7 +20,8 @@
 // shouldLinger reports whether the client may not have read a response yet. The caller holds mu.
 func (c *Conn) shouldLinger() bool { return c.written && !c.readDone && !c.closing }
 
-// closeSocket closes the socket, or leaves that to the read loop where the connection lingers. The caller does not hold mu.
+// closeSocket closes the socket, or leaves that to the read loop where the connection lingers. The caller does not hold
+// mu.
 func (c *Conn) closeSocket(linger bool) error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); linger && ok && half.CloseWrite() == nil &&
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
@@ -29,8 +30,8 @@
 	return c.Conn.Close()
 }
 
-// abortUnlessRequested closes the connection at once, without lingering, unless a complete request may have arrived. It reports
-// whether it has closed it.
+// abortUnlessRequested closes the connection at once, without lingering, unless a complete request may have arrived. It
+// reports whether it has closed it.
 func (c *Conn) abortUnlessRequested() bool {
 	c.mu.Lock()
 	if c.mayHaveRequest() {
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 )
 
-// framing follows what net/http has read: where requests begin and end, and which of them have both a Content-Length and a
-// Transfer-Encoding. net/http obeys the second and silently drops the first, while the sender may have meant the first: what is
-// inside that body would then pass for a request of its own (RFC 9112, 6.3 and 11.2).
+// framing follows what net/http has read: where requests begin and end, and which of them have both a Content-Length
+// and a Transfer-Encoding. net/http obeys the second and silently drops the first, while the sender may have meant the
+// first: what is inside that body would then pass for a request of its own (RFC 9112, 6.3 and 11.2).
 //
 // It is guarded by the mu of its Conn, but for ambiguous, which the request's handler reads without it.
 type framing struct {
@@ -22,7 +22,7 @@
 	untracked                             bool   // what follows is not parsed any more
 	headerStarted                         bool   // the present header has a line that is not empty
 	inRequest                             bool   // part of a request has been read, and not all of it
-	requests                              int    // read completely; one with a chunked body counts from the end of its header
+	requests                              int    // read completely, but for a chunked body
 }
 
 // maxHeaderPrefix is how much of a header line is kept, in bytes: enough for a Content-Length with its value.
--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// IdleConns is the set of a server's connections that wait for a request: without one, or with one whose header is incomplete.
-// Whoever removes a connection owns it: the handler of its next complete request, or the one who closes it. Its methods may be
-// called from any goroutine.
+// IdleConns is the set of a server's connections that wait for a request: without one, or with one whose header is
+// incomplete. Whoever removes a connection owns it: the handler of its next complete request, or the one who closes it.
+// Its methods may be called from any goroutine.
 type IdleConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]idleConn
@@ -25,8 +25,8 @@
 	beforeFirstRequest bool      // it has had no request yet
 }
 
-// evictBefore reports whether i is evicted rather than other: one before its first request rather than one that has had any, and
-// then the one that has been idle longer.
+// evictBefore reports whether i is evicted rather than other: one before its first request rather than one that has had
+// any, and then the one that has been idle longer.
 func (i idleConn) evictBefore(other idleConn) bool {
 	if i.beforeFirstRequest != other.beforeFirstRequest {
 		return i.beforeFirstRequest
@@ -34,8 +34,8 @@
 	return i.idleAt.Before(other.idleAt)
 }
 
-// MinIdleTime is how long a connection is idle before it may be evicted to free its slot. A client that is going to send a
-// request does so sooner.
+// MinIdleTime is how long a connection is idle before it may be evicted to free its slot. A client that is going to
+// send a request does so sooner.
 const MinIdleTime = 150 * time.Millisecond
 
 // NewIdleConns returns an empty set.
@@ -55,8 +55,8 @@
 	}
 }
 
-// Claim removes a connection for the complete request that has arrived on it. It reports false if the connection has been closed
-// meanwhile: then the request gets no response, and nothing of it may be forwarded.
+// Claim removes a connection for the complete request that has arrived on it. It reports false if the connection has
+// been closed meanwhile: then the request gets no response, and nothing of it may be forwarded.
 func (ic *IdleConns) Claim(c net.Conn) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -65,9 +65,9 @@
 	return open
 }
 
-// EvictIdle closes one connection that has been idle for MinIdleTime, if there is one, to free its slot for a client that waits:
-// the one that has waited longest for its first request, or else the one that has been idle longest. Clients that connect
-// and send nothing must not keep out those who would.
+// EvictIdle closes one connection that has been idle for MinIdleTime, if there is one, to free its slot for a client
+// that waits: the one that has waited longest for its first request, or else the one that has been idle longest.
+// Clients that connect and send nothing must not keep out those who would.
 func (ic *IdleConns) EvictIdle() {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -94,9 +94,9 @@
 	delete(ic.conns, oldest)
 }
 
-// CloseIdle closes the connections that have been idle for idleTimeout, and those that have been open for firstRequestTimeout
-// without a request; below 0 it leaves the latter open. A connection on which part of a request has arrived, or lies unread, stays
-// open: the client would see its request closed without a response.
+// CloseIdle closes the connections that have been idle for idleTimeout, and those that have been open for
+// firstRequestTimeout without a request; below 0 it leaves the latter open. A connection on which part of a request has
+// arrived, or lies unread, stays open: the client would see its request closed without a response.
 func (ic *IdleConns) CloseIdle(idleTimeout, firstRequestTimeout time.Duration) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/agent/clientconn/idle_test.go
+++ b/internal/agent/clientconn/idle_test.go
@@ -34,13 +34,15 @@
 				t.Fatal(err)
 			}
 		}
-		if c.abortUnlessRequested() || c.closeUnlessInRequest() { // as if it had arrived after EvictIdle or CloseIdle looked
+		// As if the request had arrived after EvictIdle or CloseIdle looked.
+		if c.abortUnlessRequested() || c.closeUnlessInRequest() {
 			t.Errorf("seen by the server %v: closed in the moment in which it came", seen)
 		}
 		idle, other := net.Pipe()
 		defer other.Close()
 		idleClient := New(idle)
-		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)} // idle for less long, and evicted in its place
+		// This one is idle for less long, and evicted in the other's place.
+		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)}
 		idleConns.EvictIdle()
 		if !idleConns.Claim(c) {
 			t.Errorf("seen by the server %v: closed", seen)
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// waitForSpace waits for a change, at most hangUpCheckInterval, and then checks whether the client has disconnected: no read
-// would show it, since the loop does not read meanwhile. The caller holds mu.
+// waitForSpace waits for a change, at most hangUpCheckInterval, and then checks whether the client has disconnected: no
+// read would show it, since the loop does not read meanwhile. The caller holds mu.
 func (c *Conn) waitForSpace() {
 	check := time.AfterFunc(hangUpCheckInterval, func() {
 		c.mu.Lock()
@@ -75,8 +75,8 @@
 	}
 }
 
-// queuedBeforeAccept is how long the connection's first bytes lay in the kernel before it was accepted, as far as that is known;
-// 0 for all later bytes. The caller holds mu.
+// queuedBeforeAccept is how long the connection's first bytes lay in the kernel before it was accepted, as far as that
+// is known; 0 for all later bytes. The caller holds mu.
 func (c *Conn) queuedBeforeAccept() time.Duration {
 	q, ok := c.Conn.(interface{ Queued() time.Duration })
 	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
@@ -101,8 +101,8 @@
 	c.changed.Broadcast()
 }
 
-// Read hands net/http what is buffered, and waits while nothing is. Of a client that has disconnected only a first request is
-// still handed out: nobody would read the response to a later one.
+// Read hands net/http what is buffered, and waits while nothing is. Of a client that has disconnected only a first
+// request is still handed out: nobody would read the response to a later one.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/clientconn/request.go
+++ b/internal/agent/clientconn/request.go
@@ -7,7 +7,8 @@
 // Ambiguous reports whether a request had both a Content-Length and a Transfer-Encoding, so that its end is in doubt.
 func (c *Conn) Ambiguous() bool { return c.ambiguous.Load() }
 
-// MarkRequestComplete says that the present request has arrived completely, with its body. The request's handler calls it.
+// MarkRequestComplete says that the present request has arrived completely, with its body. The request's handler calls
+// it.
 func (c *Conn) MarkRequestComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -15,7 +16,8 @@
 	c.changed.Broadcast()
 }
 
-// MarkResponseComplete says that the present request is answered. It is called before the connection may be closed as idle.
+// MarkResponseComplete says that the present request is answered. It is called before the connection may be closed as
+// idle.
 func (c *Conn) MarkResponseComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,8 +28,8 @@
 	}
 }
 
-// Overflowed reports whether the connection has to end with the present response, since bytes that arrived after the request
-// were dropped.
+// Overflowed reports whether the connection has to end with the present response, since bytes that arrived after the
+// request were dropped.
 func (c *Conn) Overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +46,8 @@
 // requestInProgress is RequestInProgress for a caller that holds mu.
 func (c *Conn) requestInProgress() bool { return c.mayHaveRequest() || c.inRequest }
 
-// MayHaveRequest reports whether a complete request may have arrived that is unanswered: one is known, or there are bytes that
-// the server has not read.
+// MayHaveRequest reports whether a complete request may have arrived that is unanswered: one is known, or there are
+// bytes that the server has not read.
 func (c *Conn) MayHaveRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +66,8 @@
 	return c.lastByteAt
 }
 
-// RequestStartedAt is when the present request began: the first one with the accepted connection, each later one with its first
-// byte.
+// RequestStartedAt is when the present request began: the first one with the accepted connection, each later one with
+// its first byte.
 func (c *Conn) RequestStartedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/clientconn/retry.go
+++ b/internal/agent/clientconn/retry.go
@@ -21,9 +21,9 @@
 	initialBackoff, maxBackoff = time.Millisecond, 20 * time.Millisecond
 )
 
-// shouldRetry reports whether a call that returned err is to be made again, and sleeps for the backoff before it returns true.
-// Every error of a system call is retried but those that only a closed connection returns: a shortage may pass, and a broken
-// connection says so again, by its end or by one of those errors.
+// shouldRetry reports whether a call that returned err is to be made again, and sleeps for the backoff before it
+// returns true. Every error of a system call is retried but those that only a closed connection returns: a shortage may
+// pass, and a broken connection says so again, by its end or by one of those errors.
 func (r *ioRetry) shouldRetry(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) || errno == syscall.EPIPE || errno == syscall.ECONNRESET || errno == syscall.ENOTCONN || errno == syscall.EBADF {
--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -9,15 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens to discovery and to the streams, and however often discovery's address changes, a change is delivered within the
-// grace for drains after it counts as received: PropagationDeadline after discovery had it and could be reached, or, where lists
-// are pushed, the moment that discovery answers again. Polls follow a failure after a backoff, as the decision module's do.
+// Whatever happens to discovery and to the streams, and however often discovery's address changes, a change is
+// delivered within the grace for drains after it counts as received: PropagationDeadline after discovery had it and
+// could be reached, or, where lists are pushed, the moment that discovery answers again. Polls follow a failure after a
+// backoff, as the decision module's do.
 func TestChangesArriveByPropagationDeadline(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("asked ", polled), func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				type step struct{ kind, ms, wait int } // drawn beforehand: rapid may abort a check at a draw, which must not happen inside the bubble
+				// Drawn beforehand: rapid may abort a check at a draw, which must not happen inside the bubble.
+				type step struct{ kind, ms, wait int }
 				steps := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) step {
 					return step{rapid.IntRange(0, 6).Draw(r, "kind"), rapid.IntRange(0, 9000).Draw(r, "ms"), rapid.IntRange(1, 100).Draw(r, "wait")}
 				}), 1, 12).Draw(r, "steps")
@@ -40,7 +42,7 @@
 							discovery.update(func() { discovery.unresponsive = true })
 						case k == 1: // all connections end, and none is made
 							discovery.update(func() { discovery.refusing = true })
-						case k <= 3: // open streams get nothing any more; new ones are served, but the first ones may not be
+						case k <= 3: // open streams get nothing any more, nor do up to two new ones
 							discovery.update(func() {
 								discovery.unansweredCalls = (k - 2) * 2
 								for w := range discovery.silenced {
--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// promote makes a stream that has shown a sign of life the current one, if there is none or if it is confirmed, and then ends the
-// others. A stream is confirmed once it has had a list, or has been alive for so long that there is none to send: until then
-// another one may be the one that answers.
+// promote makes a stream that has shown a sign of life the current one, if there is none or if it is confirmed, and
+// then ends the others. A stream is confirmed once it has had a list, or has been alive for so long that there is none
+// to send: until then another one may be the one that answers.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
 	confirmed := hasList || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
@@ -55,14 +55,15 @@
 	}
 }
 
-// applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any stream.
+// applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any
+// stream.
 func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousReceivedAt time.Time) {
 	w.failures = 0
 	w.backoff.Reset()
 	previousVersion := w.version
 	if !stream.receivedList && !list.Full && stream.addr == w.versionAddr && list.Version < previousVersion {
-		// These are changes up to a version that is already known: the stream before this one went on delivering after this one
-		// was opened. What follows is newer.
+		// These are changes up to a version that is already known: the stream before this one went on delivering after
+		// this one was opened. What follows is newer.
 		stream.receivedList = true
 		return
 	}
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -187,8 +187,8 @@
 	return int64(w.version)
 }
 
-// startPolling polls at once, and again after each failure as the decision module does: by its backoff, with each wait at
-// waitPercent of its ceiling.
+// startPolling polls at once, and again after each failure as the decision module does: by its backoff, with each wait
+// at waitPercent of its ceiling.
 func (w *runningWatcher) startPolling(waitPercent int) {
 	w.Subscribe()
 	w.waitPercent = waitPercent
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// EndpointList is a message of discovery: the complete list of backends, or what changed since the version before. The JSON form is
-// discovery's own, and the form in which lists are recorded and handed on.
+// EndpointList is a message of discovery: the complete list of backends, or what changed since the version before. The
+// JSON form is discovery's own, and the form in which lists are recorded and handed on.
 type EndpointList struct {
 	Version   int64      `json:"version"`
 	Full      bool       `json:"full"` // complete; else a change
--- a/internal/agent/discovery/liveness.go
+++ b/internal/agent/discovery/liveness.go
@@ -10,9 +10,9 @@
 // maxValueBytes bounds one JSON value of a stream, in bytes.
 const maxValueBytes = 4 << 20
 
-// livenessReader reads a stream and calls onAlive for white space between values, which is discovery's heartbeat. The bytes of a
-// value that is incomplete are no sign of life. Once more than maxValueBytes have been read since the last complete value, Read
-// fails with errTooLong.
+// livenessReader reads a stream and calls onAlive for white space between values, which is discovery's heartbeat. The
+// bytes of a value that is incomplete are no sign of life. Once more than maxValueBytes have been read since the last
+// complete value, Read fails with errTooLong.
 type livenessReader struct {
 	source    io.Reader
 	onAlive   func()
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -9,10 +9,11 @@
 	"martenbeam/internal/bootclock"
 )
 
-// Discovery gives start times by the wall clocks of the backends' machines, and any machine's wall clock may be stepped. A backend
-// that is taken for warm while it is cold is overloaded; one that is taken for cold gets little traffic for a while. So a start time
-// is read by each clock that may be the right one, and the latest reading counts. A start that is new while lists keep arriving, and
-// reads as long past, was given by a clock that is wrong: it counts as now.
+// Discovery gives start times by the wall clocks of the backends' machines, and any machine's wall clock may be
+// stepped. A backend that is taken for warm while it is cold is overloaded; one that is taken for cold gets little
+// traffic for a while. So a start time is read by each clock that may be the right one, and the latest reading counts.
+// A start that is new while lists keep arriving, and reads as long past, was given by a clock that is wrong: it counts
+// as now.
 const (
 	maxAnnounceDelay = 10 * time.Second // between a start and the list that names it; usually some seconds
 	clockTolerance   = 2 * time.Second  // the HTTP Date header is in whole seconds
@@ -26,15 +27,18 @@
 
 // startTimes are the start times of the backends that lists have named, by id.
 type startTimes struct {
-	known      map[string]processStart
-	wallOffset time.Duration // discovery's wall clock less this machine's, as of the latest list; 0: within clockTolerance, or unknown
+	known map[string]processStart
+	// wallOffset is discovery's wall clock less this machine's, as of the latest list; 0: within clockTolerance, or
+	// unknown.
+	wallOffset time.Duration
 }
 
 // clockReadings are the clocks of this machine at one moment.
 type clockReadings struct {
-	now       time.Duration                      // the agent's clock, which is monotonic
-	wall      time.Time                          // the wall clock
-	agentTime func(wall time.Time) time.Duration // converts a wall time by the offset of the two clocks at the process's start
+	now  time.Duration // the agent's clock, which is monotonic
+	wall time.Time     // the wall clock
+	// agentTime converts a wall time by the offset of the two clocks at the process's start.
+	agentTime func(wall time.Time) time.Duration
 }
 
 // readClocks reads this machine's clocks.
@@ -42,8 +46,9 @@
 	return clockReadings{t.AgentTime(time.Now()), bootclock.Wall(), t.AgentTime}
 }
 
-// resolve returns when a backend's process started, by the agent's clock; 0: long ago, or not given. unixMilli is the time that
-// discovery gives. A start that is new has happened at most maxAge ago; 0: at any time. The same start is resolved once.
+// resolve returns when a backend's process started, by the agent's clock; 0: long ago, or not given. unixMilli is the
+// time that discovery gives. A start that is new has happened at most maxAge ago; 0: at any time. The same start is
+// resolved once.
 func (s *startTimes) resolve(id string, unixMilli int64, readClocks func() clockReadings, maxAge time.Duration) time.Duration {
 	if unixMilli <= 0 {
 		return 0
@@ -86,7 +91,8 @@
 	return min(latest, c.now)
 }
 
-// evictUnlisted bounds the memory of backends that are not listed any more. Some are kept, since they may come back unchanged.
+// evictUnlisted bounds the memory of backends that are not listed any more. Some are kept, since they may come back
+// unchanged.
 func (s *startTimes) evictUnlisted(listed map[string]string) {
 	const spare = 100
 	if len(s.known) <= 2*len(listed)+spare {
@@ -99,8 +105,8 @@
 	}
 }
 
-// measureOffset compares discovery's wall clock with this machine's, by the Date header of its response. Without one the offset
-// stays as it was.
+// measureOffset compares discovery's wall clock with this machine's, by the Date header of its response. Without one
+// the offset stays as it was.
 func (s *startTimes) measureOffset(date string) {
 	discoveryTime, err := http.ParseTime(date)
 	if err != nil {
--- a/internal/agent/discovery/starttime_test.go
+++ b/internal/agent/discovery/starttime_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The latest reading that is not in the future counts, a new start is a recent one, and a further start of a backend is later than
-// the one before.
+// The latest reading that is not in the future counts, a new start is a recent one, and a further start of a backend is
+// later than the one before.
 func TestStartTimeIsTheLatestPlausibleReading(t *testing.T) {
 	const now, second = 2 * time.Hour, time.Second
 	wall := time.UnixMilli(1e12)
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -28,7 +28,8 @@
 	sinceVersion int64  // changes after this version are requested; 0: the complete list
 	cancel       context.CancelFunc
 
-	// Written by the stream's goroutine before its first event after each, and read by Run's goroutine after that event.
+	// Written by the stream's goroutine before its first event after each, and read by Run's goroutine after that
+	// event.
 	source     source.Source
 	openedAt   time.Time // when the request was sent
 	dateHeader string    // of the response
@@ -37,12 +38,13 @@
 	requested    bool      // the request has been sent: before, the stream waits for its turn
 	lastAliveAt  time.Time // its latest sign of life; zero: none
 	firstAliveAt time.Time
-	overdue      bool // counted as failed: what still arrives by it is applied, but it does not keep others from being opened
 	receivedList bool // it has delivered a list
+	// overdue: it counts as failed. What still arrives by it is applied, but it does not keep others from being opened.
+	overdue bool
 }
 
-// watchEvent is what a stream's goroutine sends to Run: the request has been sent (requested), a list, the end (err), or a sign of
-// life without any of these.
+// watchEvent is what a stream's goroutine sends to Run: the request has been sent (requested), a list, the end (err),
+// or a sign of life without any of these.
 type watchEvent struct {
 	stream    *watchStream
 	requested bool
@@ -51,8 +53,8 @@
 	malformed bool // with err: what arrived is not a list
 }
 
-// run sends the request and emits an event for whatever arrives until the connection ends, and for its end. It calls onAlive at
-// each sign of life. emit may block.
+// run sends the request and emits an event for whatever arrives until the connection ends, and for its end. It calls
+// onAlive at each sign of life. emit may block.
 func (s *watchStream) run(ctx context.Context, client *http.Client, onAlive func(), emit func(watchEvent)) {
 	emit(watchEvent{stream: s, requested: true})
 	err := s.read(ctx, client,
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -12,7 +12,8 @@
 	"martenbeam/balancer"
 )
 
-// JSON values may be laid out in any way. One that is malformed ends its stream alone, and the next requests the complete list.
+// JSON values may be laid out in any way. One that is malformed ends its stream alone, and the next requests the
+// complete list.
 func TestStreamAcceptsAnyLayoutAndRecoversFromBadValues(t *testing.T) {
 	indented := func(m EndpointList) string {
 		raw, _ := json.MarshalIndent(m, "  ", "\t")
@@ -65,8 +66,8 @@
 	}
 }
 
-// A value that never ends does not keep its stream alive, and a stream that only shows signs of life does not end an older one
-// that may still be answered.
+// A value that never ends does not keep its stream alive, and a stream that only shows signs of life does not end an
+// older one that may still be answered.
 func TestPartialValuesAreNoSignOfLife(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
@@ -113,7 +114,8 @@
 		if watcher.version != 50 {
 			t.Errorf("version %d by changes that are past", watcher.version)
 		}
-		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 30}}) // within a stream a version may go back
+		// Within a stream a version may go back.
+		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 30}})
 		if watcher.version != 30 {
 			t.Errorf("version %d", watcher.version)
 		}
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// reopen opens a stream to discovery's new address. Nothing has failed. The current stream goes on as long as discovery keeps it
-// open at the old address, until the new one has a list: what arrives by it meanwhile counts as well.
+// reopen opens a stream to discovery's new address. Nothing has failed. The current stream goes on as long as discovery
+// keeps it open at the old address, until the new one has a list: what arrives by it meanwhile counts as well.
 func (w *Watcher) reopen() {
 	w.cancelStreams(w.opening...)
 	w.opening, w.failures = nil, 0
@@ -66,7 +66,8 @@
 	return append(slices.Clone(w.opening), w.current)
 }
 
-// overdueAt is when a stream becomes overdue without a further sign of life; zero: it is overdue, or its request is not yet sent.
+// overdueAt is when a stream becomes overdue without a further sign of life; zero: it is overdue, or its request is not
+// yet sent.
 func (w *Watcher) overdueAt(stream *watchStream) time.Time {
 	switch {
 	case stream.overdue || !stream.requested:
@@ -88,8 +89,8 @@
 	return next
 }
 
-// markOverdue marks the streams that have become overdue. Each counts as failed, and stays open all the same, since it may still
-// be answered; but where there are other sources, a current or relayed one is ended.
+// markOverdue marks the streams that have become overdue. Each counts as failed, and stays open all the same, since it
+// may still be answered; but where there are other sources, a current or relayed one is ended.
 func (w *Watcher) markOverdue() {
 	for _, stream := range w.streams() {
 		if at := w.overdueAt(stream); !at.IsZero() && !time.Now().Before(at) {
@@ -127,8 +128,8 @@
 	})
 }
 
-// evictOpening ends one of the streams that are being opened: the oldest if it has been waiting for PropagationDeadline, else the
-// youngest. So one request is always fresh, and one may have waited for its turn.
+// evictOpening ends one of the streams that are being opened: the oldest if it has been waiting for
+// PropagationDeadline, else the youngest. So one request is always fresh, and one may have waited for its turn.
 func (w *Watcher) evictOpening() {
 	i := len(w.opening) - 1
 	if oldest := w.opening[0]; oldest.requested && time.Since(oldest.openedAt) >= PropagationDeadline {
@@ -142,7 +143,8 @@
 	}
 }
 
-// runStream is a stream's goroutine: it waits for its turn, opens the connection, and sends Run an event for whatever arrives.
+// runStream is a stream's goroutine: it waits for its turn, opens the connection, and sends Run an event for whatever
+// arrives.
 func (w *Watcher) runStream(ctx context.Context, stream *watchStream, failures int) {
 	client, onAlive := w.client, func() {}
 	if sources := w.cfg.Sources; sources != nil {
--- a/internal/agent/discovery/translate.go
+++ b/internal/agent/discovery/translate.go
@@ -20,8 +20,8 @@
 // backendStates are the states of Endpoint.State in the decision module's terms.
 var backendStates = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Removed}
 
-// Translator translates lists. It remembers the start times of backends, and is not safe for concurrent use: a Watcher's belongs
-// to its Run, and to Restore before it.
+// Translator translates lists. It remembers the start times of backends, and is not safe for concurrent use: a
+// Watcher's belongs to its Run, and to Restore before it.
 type Translator struct {
 	Zones, Kinds []string                      // the names, by the decision module's indexes
 	AgentTime    func(time.Time) time.Duration // converts a time to the agent's clock
@@ -30,9 +30,9 @@
 	startTimes startTimes
 }
 
-// Translate translates a list, as an update of the given kind. Entries without an id, or with an unknown state or address, are logged
-// and left out: the others still count. A process that the list is the first to name has started at most maxAge ago; 0: at
-// any time.
+// Translate translates a list, as an update of the given kind. Entries without an id, or with an unknown state or
+// address, are logged and left out: the others still count. A process that the list is the first to name has started at
+// most maxAge ago; 0: at any time.
 func (t *Translator) Translate(list *EndpointList, kind balancer.UpdateKind, maxAge time.Duration) Update {
 	update := Update{Endpoints: balancer.EndpointUpdate{Kind: kind}, Addrs: map[string]string{}}
 	for _, endpoint := range list.Endpoints {
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -1,16 +1,18 @@
-// Package discovery follows discovery's endpoint list: a stream of JSON values over HTTP, each a complete list or a change.
+// Package discovery follows discovery's endpoint list: a stream of JSON values over HTTP, each a complete list or a
+// change.
 //
 // A Watcher supervises the connections to discovery (streams). Who owns what:
-//   - Run's goroutine owns the endpoint list, its version, all streams and the decision which of them is the current one. It alone
-//     calls Config.Deliver, Watcher.Record and the Translator, so that these see lists one at a time, in the order of arrival.
-//   - Each stream has a goroutine, which runs until its connection ends and is waited for by Run. It writes the stream's source,
-//     openedAt and dateHeader before its first event, and hands everything else over as events; Run reads them after that.
+//   - Run's goroutine owns the endpoint list, its version, all streams and the decision which of them is the current
+//     one. It alone calls Config.Deliver, Watcher.Record and the Translator, so that these see lists one at a time, in
+//     the order of arrival.
+//   - Each stream has a goroutine, which runs until its connection ends and is waited for by Run. It hands what arrives
+//     over as events. The fields of a stream that it writes are read by Run only after a later event.
 //   - The address of discovery is guarded by mu. Subscribe and SetAddr may be called from any goroutine.
 //
-// How old it may be: a change has been delivered at the latest PropagationDeadline and the grace for drains (0.5 s) after discovery
-// had it and could be reached. A stream that shows no sign of life counts as failed after OpenTimeout or HeartbeatTimeout. Where
-// lists come by a fleet (Config.Sources), a source that others are ahead of is left after maxLaggingChecks seconds. Start times of
-// backends are estimates, since wall clocks may be wrong (starttime.go).
+// How old it may be: a change has been delivered at the latest PropagationDeadline and the grace for drains (0.5 s)
+// after discovery had it and could be reached. A stream that shows no sign of life counts as failed after OpenTimeout
+// or HeartbeatTimeout. Where lists come by a fleet (Config.Sources), a source that others are ahead of is left after
+// maxLaggingChecks seconds. Start times of backends are estimates, since wall clocks may be wrong (starttime.go).
 package discovery
 
 // This file is the Watcher: its configuration, its state and its loop.
@@ -29,24 +31,24 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// A change counts as received PropagationDeadline after discovery had it and could be reached, whatever was refused, failed, hung
-// or was given up meanwhile, and the grace for drains is half a second: by then a stream has to be open and answered. Discovery
-// sends an empty line every 2 s while nothing changes.
+// A change counts as received PropagationDeadline after discovery had it and could be reached, whatever was refused,
+// failed, hung or was given up meanwhile, and the grace for drains is half a second: by then a stream has to be open
+// and answered. Discovery sends an empty line every 2 s while nothing changes.
 const (
-	// PropagationDeadline is when a change counts as received at the latest. It takes precedence over a longer poll interval of
-	// the settings.
+	// PropagationDeadline is when a change counts as received at the latest. It takes precedence over a longer poll
+	// interval of the settings.
 	PropagationDeadline = 6 * time.Second
-	// One late heartbeat makes a stream overdue, and another is opened beside it. That leaves 3 s, for several attempts, before
-	// the deadline.
+	// One late heartbeat makes a stream overdue, and another is opened beside it. That leaves 3 s, for several
+	// attempts, before the deadline.
 	heartbeatTimeout = 3 * time.Second
-	// A stream that is being opened is overdue after this time without an answer. Those 3 s have room for seven attempts where
-	// lists are pushed, which costs nothing, and for two, with the backoff between, where a poll may wait for its turn and costs
-	// the list service work.
+	// A stream that is being opened is overdue after this time without an answer. Those 3 s have room for seven
+	// attempts where lists are pushed, which costs nothing, and for two, with the backoff between, where a poll may
+	// wait for its turn and costs the list service work.
 	pushedOpenTimeout, polledOpenTimeout = 400 * time.Millisecond, time.Second
 	// Overdue streams stay open, since they may be answered when an outage ends: so many, besides the current one.
 	maxOpening = 2
-	// Backoff after a failure where lists are pushed: full jitter below a ceiling that doubles. The highest ceiling is below the
-	// grace for drains, since what discovery holds counts as received the moment it is back.
+	// Backoff after a failure where lists are pushed: full jitter below a ceiling that doubles. The highest ceiling is
+	// below the grace for drains, since what discovery holds counts as received the moment it is back.
 	initialBackoff, maxBackoff = 50 * time.Millisecond, 400 * time.Millisecond
 	// A source is left once others have had a later list at so many checks in a row.
 	lagCheckInterval, maxLaggingChecks = time.Second, 3
@@ -58,10 +60,13 @@
 // Config is what a Watcher needs. It is not changed after New.
 type Config struct {
 	Translator
-	Addr           string // of discovery, host:port
-	Polled         bool   // a stream is opened when Subscribe is called; else lists are pushed, and the watcher opens streams itself
+	Addr string // of discovery, host:port
+	// Polled: a stream is opened when Subscribe is called. Else lists are pushed, and the watcher opens streams by
+	// itself.
+	Polled         bool
 	ConnectTimeout time.Duration
-	// Deliver takes each update, and each failure as an update of kind UpdateFailed. Run's goroutine calls it and waits for it.
+	// Deliver takes each update, and each failure as an update of kind UpdateFailed. Run's goroutine calls it and waits
+	// for it.
 	Deliver func(Update)
 	// Dial opens connections to discovery; nil: TCP, bounded by ConnectTimeout.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -69,9 +74,9 @@
 	Sources source.Selector
 }
 
-// Watcher follows discovery's endpoint list. Where the list is polled, its user decides when to open a stream and when to retry
-// after a failure (Subscribe); a new address alone is opened at once. Where the list is pushed, the watcher opens streams and backs
-// off by itself.
+// Watcher follows discovery's endpoint list. Where the list is polled, its user decides when to open a stream and when
+// to retry after a failure (Subscribe); a new address alone is opened at once. Where the list is pushed, the watcher
+// opens streams and backs off by itself.
 type Watcher struct {
 	// All three are set before Run.
 
@@ -90,10 +95,10 @@
 	mu   sync.Mutex
 	addr string // of discovery
 
-	// All that follows is used by Run's goroutine alone, and by Restore before it.
+	// All that follows but events and tasks is used by Run's goroutine alone, and by Restore before it.
 
 	version        int64
-	versionAddr    string      // the address whose versions version is one of; "": the complete list has to be requested
+	versionAddr    string      // where version is from; "": the complete list has to be requested
 	endpoints      endpointSet // the complete list; kept only for Record and Sources
 	opening        []*watchStream
 	current        *watchStream // the one that the list comes from; nil: none
@@ -138,8 +143,8 @@
 	}
 }
 
-// Subscribe requests a stream, unless there is one that is not overdue. It returns at once. Calls that Run has not yet taken up
-// count as one.
+// Subscribe requests a stream, unless there is one that is not overdue. It returns at once. Calls that Run has not yet
+// taken up count as one.
 func (w *Watcher) Subscribe() {
 	select {
 	case w.subscribed <- struct{}{}:
@@ -168,8 +173,8 @@
 	return w.addr
 }
 
-// Restore continues from a complete list that was recorded earlier, and returns it as an update of kind UpdateCached. It may be
-// called before Run, and only then.
+// Restore continues from a complete list that was recorded earlier, and returns it as an update of kind UpdateCached.
+// It may be called before Run, and only then.
 func (w *Watcher) Restore(list *EndpointList) Update {
 	w.version = list.Version
 	w.endpoints.merge(list, true)
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -35,7 +35,8 @@
 	})
 }
 
-// When discovery's address changes, a stream to the new one is opened at once, for the complete list, and nothing has failed.
+// When discovery's address changes, a stream to the new one is opened at once, for the complete list, and nothing has
+// failed.
 func TestAddressChangeReopensAtOnceWithoutFailure(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		for _, unresponsive := range []bool{false, true} {
@@ -67,8 +68,8 @@
 	}
 }
 
-// After a change of address, lists that arrive from the old one still count until the new one has sent its first; also if the new
-// address is unreachable and is replaced in turn.
+// After a change of address, lists that arrive from the old one still count until the new one has sent its first; also
+// if the new address is unreachable and is replaced in turn.
 func TestOldWatchServesUntilNewOneHasList(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -12,9 +12,10 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Limited is a TCP listener with a fixed number of slots: each open connection holds one. While none is free, clients wait in the
-// kernel's accept queue: a process that runs out of descriptors would fail connections to healthy backends too. A failed accept
-// is retried whatever the error: accept(2) returns errors of the connection that it would have accepted, and shortages that pass.
+// Limited is a TCP listener with a fixed number of slots: each open connection holds one. While none is free, clients
+// wait in the kernel's accept queue: a process that runs out of descriptors would fail connections to healthy backends
+// too. A failed accept is retried whatever the error: accept(2) returns errors of the connection that it would have
+// accepted, and shortages that pass.
 //
 // Accept is called by one goroutine. The other methods, and Close of the connections, may be called from any.
 type Limited struct {
@@ -23,11 +24,12 @@
 	OnFull        func()      // called while no slot is free, every slotRetryInterval: it may free one
 	OnAcceptError func(error) // called with the first of failures in a row
 
-	slots        chan struct{} // holds one value for each slot in use
-	closed       chan struct{} // closed by Close
-	closeOnce    sync.Once
-	backlogged   atomic.Bool
-	backloggedAt time.Time // since when connections may be waiting in the accept queue; zero: none is. Used by Accept alone
+	slots      chan struct{} // holds one value for each slot in use
+	closed     chan struct{} // closed by Close
+	closeOnce  sync.Once
+	backlogged atomic.Bool
+	// backloggedAt is since when connections may be waiting in the accept queue; zero: none is. Accept alone uses it.
+	backloggedAt time.Time
 }
 
 const (
--- a/internal/agent/listener/retry.go
+++ b/internal/agent/listener/retry.go
@@ -15,8 +15,8 @@
 	openRetryInterval = 20 * time.Millisecond
 )
 
-// transientErrnos are the errors of system calls that may pass: shortages of the machine, addresses that another process still
-// has, networks that are down and disks that fail. All others are taken for permanent.
+// transientErrnos are the errors of system calls that may pass: shortages of the machine, addresses that another
+// process still has, networks that are down and disks that fail. All others are taken for permanent.
 var transientErrnos = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOLCK,
@@ -30,8 +30,9 @@
 	return errors.As(err, &errno) && slices.Contains(transientErrnos, errno)
 }
 
-// Retry calls attempt until it succeeds, fails with an error that is not transient, or openTimeout has passed or ctx is done; it
-// returns the latest result. It waits for a value of retryTicks before each further attempt; nil: for openRetryInterval.
+// Retry calls attempt until it succeeds, fails with an error that is not transient, or openTimeout has passed or ctx is
+// done; it returns the latest result. It waits for a value of retryTicks before each further attempt; nil: for
+// openRetryInterval.
 func Retry[T any](ctx context.Context, retryTicks <-chan time.Time, attempt func() (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
