--- a/internal/agent/clientconn/retry.go
+++ b/internal/agent/clientconn/retry.go
@@ -4,6 +4,7 @@
 
 import (
 	"errors"
+	"slices"
 	"syscall"
 	"time"
 
@@ -21,12 +22,15 @@
 	initialBackoff, maxBackoff = time.Millisecond, 20 * time.Millisecond
 )
 
+// closedErrnos are the errors that only a closed connection returns.
+var closedErrnos = []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EBADF}
+
 // shouldRetry reports whether a call that returned err is to be made again, and sleeps for the backoff before it
 // returns true. Every error of a system call is retried but those that only a closed connection returns: a shortage may
 // pass, and a broken connection says so again, by its end or by one of those errors.
 func (r *ioRetry) shouldRetry(err error) bool {
 	var errno syscall.Errno
-	if !errors.As(err, &errno) || errno == syscall.EPIPE || errno == syscall.ECONNRESET || errno == syscall.ENOTCONN || errno == syscall.EBADF {
+	if !errors.As(err, &errno) || slices.Contains(closedErrnos, errno) {
 		*r = ioRetry{}
 		return false
 	}
--- a/internal/agent/discovery/translate.go
+++ b/internal/agent/discovery/translate.go
@@ -18,7 +18,11 @@
 }
 
 // backendStates are the states of Endpoint.State in the decision module's terms.
-var backendStates = map[string]balancer.BackendState{"ready": balancer.Up, "draining": balancer.Draining, "gone": balancer.Removed}
+var backendStates = map[string]balancer.BackendState{
+	"ready":    balancer.Up,
+	"draining": balancer.Draining,
+	"gone":     balancer.Removed,
+}
 
 // Translator translates lists. It remembers the start times of backends, and is not safe for concurrent use: a
 // Watcher's belongs to its Run, and to Restore before it.
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -117,11 +117,14 @@
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1}).DialContext
 	}
-	w := &Watcher{cfg: cfg, addr: cfg.Addr, versionAddr: cfg.Addr, HeartbeatTimeout: heartbeatTimeout, OpenTimeout: pushedOpenTimeout,
+	w := &Watcher{
+		HeartbeatTimeout: heartbeatTimeout, OpenTimeout: pushedOpenTimeout,
+		cfg: cfg, client: newClient(cfg.Dial), addr: cfg.Addr, versionAddr: cfg.Addr,
 		subscribed: make(chan struct{}, 1), addrChanged: make(chan struct{}, 1), events: make(chan watchEvent),
 		// A randomization factor of 1 around half the ceiling is full jitter below the ceiling.
-		backoff: &backoff.ExponentialBackOff{InitialInterval: initialBackoff / 2, RandomizationFactor: 1, Multiplier: 2, MaxInterval: maxBackoff / 2},
-		client:  newClient(cfg.Dial)}
+		backoff: &backoff.ExponentialBackOff{InitialInterval: initialBackoff / 2, RandomizationFactor: 1,
+			Multiplier: 2, MaxInterval: maxBackoff / 2},
+	}
 	if cfg.Polled {
 		w.OpenTimeout = polledOpenTimeout
 	}
