--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -11,6 +11,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"strconv"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -37,7 +38,8 @@
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
-	d := &fakeDiscovery{version: 41, changed: make(chan struct{}), conns: make(chan net.Conn, 64), silenced: map[*http.Request]bool{}, dripping: map[*http.Request]bool{},
+	d := &fakeDiscovery{version: 41, changed: make(chan struct{}), conns: make(chan net.Conn, 64),
+		silenced: map[*http.Request]bool{}, dripping: map[*http.Request]bool{},
 		encode: func(m EndpointList) string { raw, _ := json.Marshal(m); return string(raw) }}
 	server := &http.Server{Handler: d}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -87,9 +89,9 @@
 	d.changed = make(chan struct{})
 }
 
+// ServeHTTP serves one stream until it ends.
 func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var since int64
-	fmt.Sscan(r.URL.Query().Get("since"), &since)
+	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	d.mu.Lock()
 	d.sinceParams = append(d.sinceParams, r.URL.Query().Get("since"))
 	d.silenced[r] = d.unansweredCalls > 0
@@ -101,8 +103,7 @@
 		d.mu.Lock()
 		response, changed, silenced, interval := "\n", d.changed, d.unresponsive || d.silenced[r], 2*time.Second
 		if first || since != d.version {
-			response = d.encode(EndpointList{Version: d.version, Full: since == 0 || since > d.version,
-				Endpoints: []Endpoint{{ID: "s", Addr: "127.0.0.1:9", Zone: "b", State: "ready", Weight: float64(d.version)}}}) + "\n"
+			response = d.encode(d.list(since)) + "\n"
 		}
 		version, refusing := d.version, d.refusing
 		if d.dripping[r] {
@@ -117,10 +118,7 @@
 		}
 		if !silenced {
 			first, since = first && dripped > 0, version
-			if _, err := io.WriteString(w, response); err != nil {
-				return
-			}
-			if err := http.NewResponseController(w).Flush(); err != nil {
+			if !send(w, response) {
 				return
 			}
 		}
@@ -133,6 +131,23 @@
 	}
 }
 
+// list is what a stream gets that has the list as of a version. The caller holds mu.
+func (d *fakeDiscovery) list(since int64) EndpointList {
+	return EndpointList{
+		Version:   d.version,
+		Full:      since == 0 || since > d.version,
+		Endpoints: []Endpoint{{ID: "s", Addr: "127.0.0.1:9", Zone: "b", State: "ready", Weight: float64(d.version)}},
+	}
+}
+
+// send writes part of a response, and reports whether the stream goes on.
+func send(w http.ResponseWriter, text string) bool {
+	if _, err := io.WriteString(w, text); err != nil {
+		return false
+	}
+	return http.NewResponseController(w).Flush() == nil
+}
+
 // runningWatcher is a watcher that runs, and what it has delivered.
 type runningWatcher struct {
 	*Watcher
@@ -151,18 +166,12 @@
 // startWatcher runs a watcher of discovery until the test ends. Nobody polls before startPolling.
 func startWatcher(t testing.TB, discovery *fakeDiscovery, polled bool) *runningWatcher {
 	w := &runningWatcher{done: make(chan struct{}), waitPercent: -1}
-	w.Watcher = New(Config{Addr: "10.0.0.1:1", Polled: polled, ConnectTimeout: time.Second, Dial: discovery.dial, Deliver: func(u Update) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.updates, w.updatedAt = append(w.updates, u), append(w.updatedAt, time.Now())
-		switch {
-		case u.Endpoints.Kind == balancer.UpdateFailed && polled && w.waitPercent >= 0:
-			w.scheduleRetry()
-		case len(u.Endpoints.Backends) > 0:
-			w.version, w.pollFailures = u.Endpoints.Backends[0].Weight, 0
-		}
-	}, Translator: Translator{Zones: []string{"a", "b"}, AgentTime: func(time.Time) time.Duration { return 0 },
-		Log: slog.New(slog.NewTextHandler(&w.log, nil))}})
+	w.Watcher = New(Config{
+		Addr: "10.0.0.1:1", Polled: polled, ConnectTimeout: time.Second, Dial: discovery.dial,
+		Deliver: func(u Update) { w.deliver(u, polled) },
+		Translator: Translator{Zones: []string{"a", "b"}, AgentTime: func(time.Time) time.Duration { return 0 },
+			Log: slog.New(slog.NewTextHandler(&w.log, nil))},
+	})
 	w.Restore(&EndpointList{Version: 41})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { defer close(w.done); w.Run(ctx) }()
@@ -170,6 +179,19 @@
 	return w
 }
 
+// deliver notes an update, and polls again after a failure.
+func (w *runningWatcher) deliver(u Update, polled bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.updates, w.updatedAt = append(w.updates, u), append(w.updatedAt, time.Now())
+	switch {
+	case u.Endpoints.Kind == balancer.UpdateFailed && polled && w.waitPercent >= 0:
+		w.scheduleRetry()
+	case len(u.Endpoints.Backends) > 0:
+		w.version, w.pollFailures = u.Endpoints.Backends[0].Weight, 0
+	}
+}
+
 // kinds are the kinds of all updates so far.
 func (w *runningWatcher) kinds() (list []balancer.UpdateKind) {
 	w.mu.Lock()
--- a/internal/agent/discovery/list_test.go
+++ b/internal/agent/discovery/list_test.go
@@ -5,8 +5,10 @@
 // The process that follows this one gets the complete list, though discovery sends changes.
 func TestDeltasMergeIntoCompleteList(t *testing.T) {
 	endpoints := endpointSet{}
-	endpoints.merge(&EndpointList{Version: 3, Endpoints: []Endpoint{{ID: "a", State: "ready"}, {ID: "b", State: "ready"}, {ID: "c", State: "ready"}}}, true)
-	endpoints.merge(&EndpointList{Version: 4, Endpoints: []Endpoint{{ID: "b", State: "draining"}, {ID: "a", State: "gone"}, {ID: "d", State: "ready"}}}, false)
+	endpoints.merge(&EndpointList{Version: 3, Endpoints: []Endpoint{
+		{ID: "a", State: "ready"}, {ID: "b", State: "ready"}, {ID: "c", State: "ready"}}}, true)
+	endpoints.merge(&EndpointList{Version: 4, Endpoints: []Endpoint{
+		{ID: "b", State: "draining"}, {ID: "a", State: "gone"}, {ID: "d", State: "ready"}}}, false)
 	got, text := endpoints.list(4), ""
 	for _, s := range got.Endpoints {
 		text += s.ID + " " + s.State + " "
--- a/internal/agent/discovery/starttime_test.go
+++ b/internal/agent/discovery/starttime_test.go
@@ -32,8 +32,7 @@
 		"another start":                  {before: time.Minute, told: unix(5 * second), within: 10 * second, want: now - 5*second},
 		"before the agent's clock began": {told: unix(3 * time.Hour), want: 0},
 	} {
-		// The offset of the agent's clock was taken from the wall clock before it was stepped.
-		readings := clockReadings{now: now, wall: wall, agentTime: func(at time.Time) time.Duration { return now - wall.Add(-c.step).Sub(at) }}
+		readings := steppedReadings(now, wall, c.step)
 		s := startTimes{wallOffset: c.off}
 		if c.before > 0 {
 			s.known = map[string]processStart{"b": {unix(c.before), now - c.before}}
@@ -47,3 +46,9 @@
 		}
 	}
 }
+
+// steppedReadings are clocks of which the wall clock has been stepped since the agent took its offset.
+func steppedReadings(now time.Duration, wall time.Time, step time.Duration) clockReadings {
+	return clockReadings{now: now, wall: wall,
+		agentTime: func(at time.Time) time.Duration { return now - wall.Add(-step).Sub(at) }}
+}
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -28,46 +28,59 @@
 		"long": func(m EndpointList) string { return strings.Repeat(" ", maxValueBytes/2) + indented(m) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runInBubble(t, func(t *testing.T) {
-				discovery := newFakeDiscovery(t)
-				discovery.encode = form
-				watcher := startWatcher(t, discovery, false)
-				for v := int64(42); v < 45; v++ {
-					discovery.update(func() { discovery.version = v })
-					synctest.Wait()
-					if watcher.lastVersion() != v {
-						t.Fatalf("version %d, not %d: %s", watcher.lastVersion(), v, watcher.log.String())
-					}
-				}
-				time.Sleep(time.Minute) // empty lines are heartbeats
-				if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
-					t.Errorf("%d calls: %s", len(discovery.sinceParams), watcher.log.String())
-				}
-			})
+			runInBubble(t, func(t *testing.T) { checkLayout(t, form) })
 		})
 	}
-	for name, bad := range map[string]string{"cut short": `{"version":1,"servers":[}`, "no list": `{"version":7,"full":true}`, "a number": "17",
-		"another kind": `{"version":"x","servers":[]}`, "endless": `{"version":1,"x":"` + strings.Repeat("x", maxValueBytes+1<<17)} {
+	for name, bad := range map[string]string{
+		"cut short":    `{"version":1,"servers":[}`,
+		"no list":      `{"version":7,"full":true}`,
+		"a number":     "17",
+		"another kind": `{"version":"x","servers":[]}`,
+		"endless":      `{"version":1,"x":"` + strings.Repeat("x", maxValueBytes+1<<17),
+	} {
 		t.Run(name, func(t *testing.T) {
-			runInBubble(t, func(t *testing.T) {
-				discovery := newFakeDiscovery(t)
-				watcher := startWatcher(t, discovery, false)
-				synctest.Wait()
-				good := discovery.encode
-				discovery.update(func() { discovery.version, discovery.encode = 42, func(EndpointList) string { return bad } })
-				time.Sleep(time.Millisecond)
-				discovery.update(func() { discovery.encode = good })
-				time.Sleep(time.Second)
-				if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") || !slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-					t.Errorf("told %d, calls %v, %s", watcher.lastVersion(), discovery.sinceParams, watcher.log.String())
-				}
-			})
+			runInBubble(t, func(t *testing.T) { checkRecovery(t, bad) })
 		})
 	}
 }
 
-// A value that never ends does not keep its stream alive, and a stream that only shows signs of life does not end an
-// older one that may still be answered.
+// checkLayout checks that lists which form encodes arrive, all by one stream.
+func checkLayout(t *testing.T, form func(EndpointList) string) {
+	t.Helper()
+	discovery := newFakeDiscovery(t)
+	discovery.encode = form
+	watcher := startWatcher(t, discovery, false)
+	for v := int64(42); v < 45; v++ {
+		discovery.update(func() { discovery.version = v })
+		synctest.Wait()
+		if watcher.lastVersion() != v {
+			t.Fatalf("version %d, not %d: %s", watcher.lastVersion(), v, watcher.log.String())
+		}
+	}
+	time.Sleep(time.Minute) // empty lines are heartbeats
+	if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
+		t.Errorf("%d calls: %s", len(discovery.sinceParams), watcher.log.String())
+	}
+}
+
+// checkRecovery checks that a bad value in place of a list is a failure, and that the complete list is requested next.
+func checkRecovery(t *testing.T, bad string) {
+	t.Helper()
+	discovery := newFakeDiscovery(t)
+	watcher := startWatcher(t, discovery, false)
+	synctest.Wait()
+	good := discovery.encode
+	discovery.update(func() { discovery.version, discovery.encode = 42, func(EndpointList) string { return bad } })
+	time.Sleep(time.Millisecond)
+	discovery.update(func() { discovery.encode = good })
+	time.Sleep(time.Second)
+	if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") ||
+		!slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
+		t.Errorf("told %d, calls %v, %s", watcher.lastVersion(), discovery.sinceParams, watcher.log.String())
+	}
+}
+
+// A value that never ends does not keep its stream alive.
 func TestPartialValuesAreNoSignOfLife(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
@@ -89,8 +102,14 @@
 			}
 		})
 	}
+}
+
+// A stream that only shows signs of life does not end an older one that may still be answered, and changes up to a version
+// that is already known are not applied.
+func TestSignOfLifeDoesNotEndOlderStream(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		watcher := New(Config{Addr: "10.0.0.1:1", Deliver: func(Update) {}, Translator: Translator{Log: slog.New(slog.DiscardHandler)}})
+		watcher := New(Config{Addr: "10.0.0.1:1", Deliver: func(Update) {},
+			Translator: Translator{Log: slog.New(slog.DiscardHandler)}})
 		cancelled := map[*watchStream]bool{}
 		openStream := func() *watchStream {
 			stream := &watchStream{addr: watcher.addr, requested: true, openedAt: time.Now()}
--- a/internal/agent/discovery/translate_test.go
+++ b/internal/agent/discovery/translate_test.go
@@ -15,14 +15,17 @@
 	translator := Translator{Zones: []string{"a"}, Kinds: []string{"k"}, Log: slog.New(slog.DiscardHandler),
 		AgentTime: func(at time.Time) time.Duration { return at.Sub(base) + time.Hour }}
 	update := translator.Translate(&EndpointList{Endpoints: []Endpoint{
-		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Zone: "a", Kind: "k", Cell: 3, Weight: 2, StartedAt: base.Add(-3 * time.Second).UnixMilli()},
+		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Zone: "a", Kind: "k", Cell: 3, Weight: 2,
+			StartedAt: base.Add(-3 * time.Second).UnixMilli()},
 		{ID: "old", Addr: "127.0.0.1:9", State: "ready"},
 		{ID: "odd", Addr: "nowhere", State: "ready"},
 		{ID: "", Addr: "127.0.0.1:9", State: "ready"},
 		{ID: "what", Addr: "127.0.0.1:9", State: "asleep"},
 		{ID: "off", State: "gone"},
 	}}, balancer.UpdateFull, 0)
-	want := []balancer.Backend{{ID: "new", Cell: 3, Weight: 2, Started: time.Hour - 3*time.Second}, {ID: "old", Zone: -1, Kind: -1},
+	want := []balancer.Backend{
+		{ID: "new", Cell: 3, Weight: 2, Started: time.Hour - 3*time.Second},
+		{ID: "old", Zone: -1, Kind: -1},
 		{ID: "off", State: balancer.Removed, Zone: -1, Kind: -1}}
 	if !slices.Equal(update.Endpoints.Backends, want) || len(update.Addrs) != 2 {
 		t.Errorf("%+v", update)
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -29,7 +29,8 @@
 		time.Sleep(time.Minute)
 		discovery.update(func() { discovery.unresponsive = true }) // the request may have to wait: it is not made twice
 		time.Sleep(heartbeatTimeout + time.Millisecond)
-		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 || k[1] != balancer.UpdateDelta || k[2] != balancer.UpdateFailed {
+		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 ||
+			k[1] != balancer.UpdateDelta || k[2] != balancer.UpdateFailed {
 			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
 		}
 	})
@@ -55,7 +56,8 @@
 					discovery.update(func() { discovery.unresponsive, discovery.version = false, 7 })
 					watcher.SetAddr("10.0.0.2:1")
 					synctest.Wait()
-					if got := discovery.sinceParams[len(discovery.sinceParams)-1]; got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
+					got := discovery.sinceParams[len(discovery.sinceParams)-1]
+					if got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
 						t.Errorf("since %s, told %d, posts %v", got, watcher.lastVersion(), watcher.kinds())
 					}
 					time.Sleep(time.Minute)
@@ -113,7 +115,8 @@
 		synctest.Wait()
 		watcher.mu.Lock()
 		defer watcher.mu.Unlock()
-		if last := watcher.updates[len(watcher.updates)-1]; last.Endpoints.Kind != balancer.UpdateFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
+		last := watcher.updates[len(watcher.updates)-1]
+		if last.Endpoints.Kind != balancer.UpdateFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
 			t.Errorf("%+v", last)
 		}
 	})
