--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -50,11 +50,7 @@
 		t.Fatal(err)
 	}
 	s.idleConns.Track(conn, http.StateNew)
-	for end := time.Now().Add(testTimeout); !conn.(*clientconn.Conn).MayHaveRequest(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the call was not read")
-		}
-	}
+	waitForCall(t, conn.(*clientconn.Conn))
 	time.Sleep(2 * clientconn.MinIdleTime) // it has been idle for long enough to be evicted
 	s.idleConns.EvictIdle()
 	if !s.idleConns.Claim(conn) {
@@ -74,6 +70,16 @@
 	s.readers.Wait()
 }
 
+// waitForCall waits until the read loop has the call.
+func waitForCall(t *testing.T, conn *clientconn.Conn) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !conn.MayHaveRequest(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the call was not read")
+		}
+	}
+}
+
 // oneConn is a listener that accepts one connection.
 type oneConn struct {
 	conn net.Conn
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -35,6 +35,22 @@
 	return ln
 }
 
+// connect returns both ends of a TCP connection.
+func connect(t *testing.T) (near, far net.Conn) {
+	t.Helper()
+	ln := listen(t)
+	near, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { near.Close() })
+	far, err = ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return near, far
+}
+
 // getRequest is a request without a body.
 const getRequest = "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"
 
--- a/internal/agent/clientconn/idle_test.go
+++ b/internal/agent/clientconn/idle_test.go
@@ -10,16 +10,7 @@
 // A connection on which a complete request has arrived is not evicted, whether the server has read it or not.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	for _, seen := range []bool{false, true} {
-		ln := listen(t)
-		near, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer near.Close()
-		far, err := ln.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
+		near, far := connect(t)
 		c := New(far)
 		received := make(chan struct{})
 		go func() { defer close(received); c.readLoop() }()
--- a/internal/agent/listener/limited_test.go
+++ b/internal/agent/listener/limited_test.go
@@ -24,6 +24,17 @@
 	return ln.(*net.TCPListener)
 }
 
+// dial connects to a listener, until the test ends.
+func dial(t *testing.T, addr net.Addr) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", addr.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
 func receive[T any](t *testing.T, what string, from <-chan T) (x T) {
 	t.Helper()
 	select {
@@ -57,11 +68,7 @@
 		}
 	}()
 	for range 2 {
-		c, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		dial(t, l.Addr())
 	}
 	first := receive(t, "first connection", accepted)
 	receive(t, "call for room", full)
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -78,11 +78,7 @@
 	} else {
 		c.Close()
 	}
-	c, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	c := dial(t, ln.Addr())
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
