--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -28,8 +28,8 @@
 	sinceVersion int64  // changes after this version are requested; 0: the complete list
 	cancel       context.CancelFunc
 
-	// Written by the stream's goroutine before its first event after each, and read by Run's goroutine after that
-	// event.
+	// Written by the stream's goroutine, and read by Run's only after a later event: dateHeader after a list, the others
+	// after the event requested.
 	source     source.Source
 	openedAt   time.Time // when the request was sent
 	dateHeader string    // of the response
