--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -29,7 +29,7 @@
 }
 
 // errNoEndpoints rejects a JSON value that is not a list.
-var errNoEndpoints = errors.New("a value that names no servers")
+var errNoEndpoints = errors.New("value without servers")
 
 // endpointSet is a complete list, by id. Its zero value knows nothing yet.
 type endpointSet map[string]Endpoint
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	errSilent  = errors.New("silent")
+	errSilent  = errors.New("no sign of life in time")
 	errEnded   = errors.New("ended by discovery")
-	errTooLong = fmt.Errorf("a value of more than %d bytes", maxValueBytes)
+	errTooLong = fmt.Errorf("value longer than %d bytes", maxValueBytes)
 )
 
 // watchStream is one connection to discovery, and what the watcher knows of it.
