--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -156,7 +156,6 @@
 
 	mu           sync.Mutex // guards all that follows
 	updates      []Update
-	updatedAt    []time.Time
 	version      float64 // of the latest list: the fake's only backend has it as its weight
 	waitPercent  int     // of the backoff ceiling, before each poll; below 0: nobody polls
 	pollFailures int     // in a row
@@ -183,7 +182,7 @@
 func (w *runningWatcher) deliver(u Update, polled bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.updates, w.updatedAt = append(w.updates, u), append(w.updatedAt, time.Now())
+	w.updates = append(w.updates, u)
 	switch {
 	case u.Endpoints.Kind == balancer.UpdateFailed && polled && w.waitPercent >= 0:
 		w.scheduleRetry()
