--- a/internal/fleet/hub/admission.go
+++ b/internal/fleet/hub/admission.go
@@ -1,3 +1,5 @@
+// This file limits the rate at which agents attach, and tracks the connections that are still in a handshake.
+
 package hub
 
 import (
@@ -7,7 +9,8 @@
 	"time"
 )
 
-// admission says how many agents are taken in at a time, and keeps the connections of those who have not said Hello.
+// admission is a token bucket that admits agents at a rate, with a tenth of a second's tokens (at least one) as its burst.
+// Its methods may be called from any goroutine.
 type admission struct {
 	rate float64
 
@@ -18,8 +21,8 @@
 	handshaking map[net.Conn]bool
 }
 
-// admit reports whether an agent is taken in now, and else when it had better come again: those who are sent away come one
-// after the other.
+// admit reports whether an agent is admitted now, and otherwise how long it should wait before it retries. The retries of
+// rejected agents are spread at the admission rate, each with up to half of its wait as jitter.
 func (a *admission) admit(now time.Time) (retryAfter time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,7 +39,7 @@
 	return min(retryAfter, maxRetryAfter), false
 }
 
-// trackHandshake takes a connection that has not said who it is, or forgets it.
+// trackHandshake adds a connection whose handshake is pending, or removes it.
 func (a *admission) trackHandshake(c net.Conn, pending bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,6 +51,7 @@
 	}
 }
 
+// close closes the connections whose handshake is pending.
 func (a *admission) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/admission_test.go
+++ b/internal/fleet/hub/admission_test.go
@@ -1,3 +1,5 @@
+// This file tests which agents are admitted.
+
 package hub
 
 import (
@@ -10,7 +12,7 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// An agent of another fleet is sent away with a status, or at its first word; too many at once are told when to come again.
+// An agent of another fleet is rejected by a status, or after its Hello. Agents beyond the rate are told when to retry.
 func TestAdmissionRejectsOtherFleetsAndLimitsRate(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 100, func(c *Config) { c.AdmitRate = 10 })
--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -1,3 +1,5 @@
+// This file serves one attached agent: its frames are read and written here.
+
 package hub
 
 import (
@@ -23,7 +25,7 @@
 
 var errUnexpectedFrame = errors.New("a frame that makes no sense here")
 
-// attachment is an agent that is attached. Two tasks serve it: one reads, one writes.
+// attachment is the stream of one attached agent. One goroutine runs readLoop, another writeLoop; both end after close.
 type attachment struct {
 	name, site, programVersion string
 	incarnation, serial        uint64
@@ -41,7 +43,7 @@
 	laggingSince time.Time // the settings that it has are not the latest since then; zero: they are
 }
 
-// close closes a stream. Its tasks find out.
+// close ends the stream. Its goroutines end soon after. It may be called more than once and from any goroutine.
 func (a *attachment) close() {
 	a.closeOnce.Do(func() {
 		close(a.done)
@@ -49,7 +51,8 @@
 	})
 }
 
-// enqueue has a frame written next. One that was not begun yet is given up: the newer says all.
+// enqueue has data, an encoded frame, written next. A frame that is still pending is dropped: the newer one replaces all
+// that it says. Only the publishing goroutine may call it, or the send could block.
 func (a *attachment) enqueue(data []byte) {
 	select {
 	case <-a.pending:
@@ -58,8 +61,8 @@
 	a.pending <- data // nobody else offers
 }
 
-// writeLoop writes what is offered until the stream is over. What is the agent's alone goes first, in a frame of its own: the
-// other one is shared.
+// writeLoop writes pending frames until the stream ends. Before each it writes a frame for this agent alone, with the echo
+// of its last State and whether its quota is confirmed: the pending one is shared among agents.
 func (a *attachment) writeLoop(quotaConfirmed func() bool) {
 	defer a.close()
 	for {
@@ -83,7 +86,7 @@
 	}
 }
 
-// echo answers the last State.
+// echo returns the answer to the agent's last State, nil before the first.
 func (a *attachment) echo() *frame.Echo {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,8 +96,8 @@
 	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), time.Minute)}
 }
 
-// readLoop takes frames until the stream is over, and reports whether the agent said goodbye. Who writes more than is taken
-// waits on the socket, at nobody else's cost.
+// readLoop reads frames until the stream ends, and reports whether the agent left for good. An agent that sends more than
+// frameRate is not read from meanwhile, so that its excess waits in its own socket and costs no other agent anything.
 func (a *attachment) readLoop(loadReports *gossip.Store) (left bool, err error) {
 	tokens, refilledAt := frameBurst, time.Now()
 	for {
@@ -125,6 +128,7 @@
 	}
 }
 
+// handleFrame applies a State and load reports. Any error ends the stream.
 func (a *attachment) handleFrame(f *frame.Frame, loadReports *gossip.Store) error {
 	if f.Hello != nil || f.Welcome != nil || f.Busy != nil || f.Echo != nil {
 		return errUnexpectedFrame
@@ -164,13 +168,14 @@
 	laggingSince time.Time
 }
 
+// status returns the agent's last State, the zero value before the first.
 func (a *attachment) status() attachmentStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return attachmentStatus{a.state, a.laggingSince}
 }
 
-// updateLagging notes whether an agent is behind, and returns since when.
+// updateLagging compares the agent's settings with the current version, and returns since when it lags; zero: it does not.
 func (a *attachment) updateLagging(state documents.AppliedVersion, now time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -1,3 +1,5 @@
+// This file tests the streams of attached agents: replacement, misbehaving agents, and agents of other versions.
+
 package hub
 
 import (
@@ -10,7 +12,7 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// Of two processes of one name the later has the stream, at one hub and at two.
+// Of two processes of one name the later one keeps its stream, at one hub and at two.
 func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 2, 10)
@@ -31,7 +33,7 @@
 	waitFor(t, "one agent", func() bool { return last.fleetSize().Attached == 1 })
 }
 
-// What one agent does costs nobody else: nonsense, too much, or nothing read.
+// Malformed frames, a flood of frames, and an agent that does not read cost no other agent anything.
 func TestMisbehavingAgentDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
@@ -92,6 +94,7 @@
 	}
 }
 
+// findAttachment returns the attachment of a name, nil without one.
 func findAttachment(hub *testHub, name string) *attachment {
 	for _, a := range hub.registry.attachments() {
 		if a.name == name {
@@ -101,6 +104,7 @@
 	return nil
 }
 
+// isClosed reports whether a channel is closed.
 func isClosed(c chan struct{}) bool {
 	select {
 	case <-c:
@@ -110,7 +114,7 @@
 	}
 }
 
-// An earlier or a later program says less or more: what is known of it is taken.
+// Frames and bodies of other program versions are read as far as their fields are known.
 func TestUnknownFieldsOfOtherVersionsAreIgnored(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -1,3 +1,5 @@
+// This file exchanges attachment reports between hubs: which agents attached where.
+
 package hub
 
 import (
@@ -18,7 +20,8 @@
 	reportContentType = "application/json"
 )
 
-// attachmentReport is who has come to a hub since it last told another, and the answer: who of these is there in a later process.
+// attachmentReport names the agents that attached to a hub since its last report to the receiver. The answer has the same
+// form, and names those of them that are attached to the receiver with a higher incarnation.
 type attachmentReport struct {
 	Hub    string          `json:"hub"`
 	Agents []reportedAgent `json:"agents"`
@@ -34,10 +37,12 @@
 	acknowledged map[string]progress
 }
 
+// progress is up to which attachment another hub has acknowledged reports: the incarnation of that hub's process, and the
+// serial of the attachment.
 type progress struct{ incarnation, serial uint64 }
 
-// reportAttachments tells the other hubs who comes here. A hub that had an agent before need not look for it any more, and of two
-// processes of one name the earlier has to go, wherever it is.
+// reportAttachments sends attachment reports to the other hubs until ctx ends, each until it is acknowledged. By them a hub
+// stops checking an agent that has moved, and of two processes of one name the one with the lower incarnation is detached.
 func (s *Server) reportAttachments(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -66,7 +71,7 @@
 	}
 }
 
-// reportTo tells one hub who came here since, and returns up to whom it knows now.
+// reportTo reports to one hub the attachments since last, and returns up to which the hub has acknowledged them.
 func (s *Server) reportTo(ctx context.Context, hub member.Member, known progress) progress {
 	report, lastSerial := attachmentReport{Hub: s.cfg.Name}, known.serial
 	for _, a := range s.registry.attachments() {
@@ -89,7 +94,8 @@
 	return progress{known.incarnation, lastSerial}
 }
 
-// applyRemote heeds that another hub has a process of a name, and answers with a later one that is here.
+// applyRemote applies that a process is attached to another hub: an attachment here with a lower incarnation is closed. If
+// the one here has a higher incarnation, that is returned; otherwise 0.
 func (s *Server) applyRemote(agent reportedAgent, now time.Time) (newer uint64) {
 	replaced, newer := s.registry.applyRemote(agent.Name, agent.Incarnation, now)
 	if replaced != nil {
@@ -99,6 +105,7 @@
 	return newer
 }
 
+// sendReport sends a report to one hub and returns its answer.
 func (s *Server) sendReport(ctx context.Context, hub member.Member, report *attachmentReport) (answer attachmentReport, err error) {
 	body, err := json.Marshal(report)
 	if err != nil {
@@ -107,7 +114,7 @@
 	return answer, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, &answer)
 }
 
-// handleReport takes another hub's post.
+// handleReport serves another hub's attachment report.
 func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
 	var report attachmentReport
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReportSize)).Decode(&report); r.Method != http.MethodPost || err != nil || len(report.Agents) > maxNames {
--- a/internal/fleet/hub/callhub.go
+++ b/internal/fleet/hub/callhub.go
@@ -1,3 +1,5 @@
+// This file calls other hubs over HTTP.
+
 package hub
 
 import (
@@ -10,7 +12,8 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// callHub calls another hub.
+// callHub sends a request to another hub and decodes its JSON answer into answer, all within hubCallTimeout. It does not look
+// at the status: an error has no JSON body and fails to decode.
 func (s *Server) callHub(ctx context.Context, hub member.Member, method, path string, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -1,3 +1,5 @@
+// This file finds out which disconnected agents are dead, and publishes their names to the other hubs.
+
 package hub
 
 import (
@@ -35,7 +37,7 @@
 	}
 }
 
-// checkDisconnected calls the lost agents, and the hubs that are missing.
+// checkDisconnected calls the disconnected agents that are due, and all missing hubs, and records which are dead.
 func (s *Server) checkDisconnected(ctx context.Context) {
 	startedAt := time.Now()
 	var calls sync.WaitGroup
@@ -70,8 +72,8 @@
 	}
 }
 
-// publishDead tells who is dead, as old as the looks at them, and takes back facts that are not needed any more. It returns how
-// many facts it took.
+// publishDead publishes the names of the dead in as many entries as they need, each as old as the oldest check in it, and
+// empties the rest of the entries that the last round published. It returns how many entries hold names.
 func (s *Server) publishDead(published int) (n int) {
 	now := time.Now()
 	for dead := s.registry.confirmedDead(s.maxSourceAge(gossip.DeadProcesses), now); len(dead) > 0; n++ {
@@ -90,6 +92,7 @@
 	return n
 }
 
+// publishDeadNames publishes the i-th entry of names.
 func (s *Server) publishDeadNames(i int, names []string, age time.Duration) {
 	body, err := cbor.Marshal(names)
 	if err != nil {
--- a/internal/fleet/hub/fleetsize.go
+++ b/internal/fleet/hub/fleetsize.go
@@ -1,3 +1,5 @@
+// This file computes the fleet size, from which the agents compute their quotas.
+
 package hub
 
 import (
@@ -9,19 +11,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FleetSize is how many agents there are: at one hub, as hubs tell each other, or of a fleet, as they tell their agents.
+// FleetSize counts agents: those of one hub, as hubs publish to each other, or those of the fleet, as a hub publishes to its
+// agents.
 type FleetSize struct {
 	Attached uint32 `cbor:"1,keyasint"`
 	Starting uint32 `cbor:"2,keyasint"` // of these
 	Dead     uint32 `cbor:"3,keyasint"` // dead for certain; of a fleet alone
 }
 
-// FleetSubject is the subject of the census of a fleet; a hub's own has its name.
+// FleetSubject is the subject of the entry that holds the size of the fleet. A hub's own size has the hub's name as its
+// subject.
 const FleetSubject = "fleet"
 
 const maxPlausibleAgents = 1 << 20 // what is above makes no sense
 
-// MarshalBody writes a census as a fact's body.
+// MarshalBody encodes the size as the body of a gossip.FleetSize entry.
 func (s FleetSize) MarshalBody() []byte {
 	body, err := cbor.Marshal(s)
 	if err != nil {
@@ -30,7 +34,8 @@
 	return body
 }
 
-// ParseFleetSize reads a fact's body.
+// ParseFleetSize decodes the body of a gossip.FleetSize entry. It returns an error if the body is malformed or its counts
+// contradict each other.
 func ParseFleetSize(body []byte) (size FleetSize, err error) {
 	if err = cbor.Unmarshal(body, &size); err != nil {
 		return size, err
@@ -41,7 +46,7 @@
 	return size, nil
 }
 
-// localSize is the census of the agents here.
+// localSize counts the agents that are attached here.
 func (s *Server) localSize() (size FleetSize) {
 	for _, a := range s.registry.attachments() {
 		size.Attached++
@@ -52,11 +57,11 @@
 	return size
 }
 
-// fleetSize is that of the fleet, as old as the oldest word that it rests on.
+// fleetSize computes the size of the fleet. Its age is that of the oldest entry that it rests on.
 //
-// A name counts as dead if a hub or a member says so, and neither is it here nor known elsewhere. Nobody may use more than is
-// free if all that is not heard of lives: agents of hubs beyond a cut, as many as these last had. So names that were given up
-// for others free nothing.
+// The quotas in use must never add up to more than the limit, also when agents are alive beyond a partition. So Dead is at
+// most what MaxAgents leaves after everyone who may be alive: the agents attached anywhere, the agents that are members
+// themselves, and as many as the hubs without a recent report may have.
 func (s *Server) fleetSize(now time.Time) (size FleetSize, age time.Duration) {
 	size = s.localSize()
 	ageByHub := map[string]time.Duration{}
@@ -82,11 +87,13 @@
 	return size, age
 }
 
-// maxSourceAge is how old a word may be that a sum is made of: what is told has to hold for a while.
+// maxSourceAge returns how old an entry may be that a published sum rests on: two thirds of the age bound of its kind, so
+// that the sum can be used for a while before it reaches the bound.
 func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.Bounds[kind] * 2 / 3 }
 
-// countDead counts the names that are dead for certain, and says how old the oldest word is. A hub that has just begun, or was
-// stopped, has not heard of everyone who lives: it says none.
+// countDead counts the names that a hub or a member reports as dead, except those of hubs, of agents that are members
+// themselves, and of agents known to be attached to a hub. oldest is the age of the oldest report that counts. A hub that
+// has just started or resumed counts none.
 func (s *Server) countDead(mesh map[string]bool, now time.Time) (n int, oldest time.Duration) {
 	hubs := map[string]bool{}
 	for _, m := range append(s.fleet.Hubs(), s.fleet.MissingHubs()...) {
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -1,3 +1,5 @@
+// This file tests which fleet size agents are told, and when their quotas are confirmed.
+
 package hub
 
 import (
@@ -8,8 +10,8 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// Agents of several hubs are counted together; one that is dead for certain counts once, though two hubs lost it, as does
-// one that said goodbye; and one that is back counts no more.
+// The agents of several hubs are counted together. A dead agent counts once though two hubs lost it, as does one that said
+// Leave, and one that is back counts as dead no more.
 func TestFleetSizeCountsEachAgentOnce(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 3, 10)
@@ -55,7 +57,7 @@
 	waitFor(t, "it looked for no more", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
-// A sum is as old as the oldest word in it: told beside the words themselves, it is never younger.
+// A fleet size is never younger than the oldest report that it rests on.
 func TestFleetSizeIsAsOldAsItsOldestEntry(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 2, 10)
@@ -77,7 +79,7 @@
 	})
 }
 
-// A hub that has just begun says of nobody that he is dead, and to nobody that his part is his own, whatever it hears.
+// A hub that has just started counts nobody as dead and confirms no quota, whatever others publish.
 func TestNewHubCountsNoDeadAndConfirmsNoQuota(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
--- a/internal/fleet/hub/frame/frame.go
+++ b/internal/fleet/hub/frame/frame.go
@@ -1,5 +1,6 @@
-// Package frame is what an agent and its hub write to each other on their one stream: frames of CBOR behind their
-// length, each bounded, versioned, and with fields that a later program may add skipped by an earlier one.
+// Package frame defines the frames that an agent and its hub exchange on the agent's stream: CBOR maps, each preceded by its
+// length in four bytes, big-endian. Frames are bounded and versioned; fields that a later version adds are skipped. The
+// package keeps no state: its functions may be called from any goroutine.
 package frame
 
 import (
@@ -24,7 +25,7 @@
 	maxWait   = time.Minute
 )
 
-// Frame is one word from either side. Of the pointers at least one is set, or Facts or Bye.
+// Frame is one message of either side. At least one of its fields besides Version is set.
 type Frame struct {
 	Version        uint8    `cbor:"1,keyasint"`
 	Hello          *Hello   `cbor:"2,keyasint,omitempty"` // the agent's first
@@ -47,19 +48,19 @@
 	ProgramVersion string `cbor:"6,keyasint"` // its version
 }
 
-// Welcome says whose stream it is.
+// Welcome says which hub the agent is attached to.
 type Welcome struct {
 	Hub            string `cbor:"1,keyasint"`
 	Incarnation    uint64 `cbor:"2,keyasint"`
 	ProgramVersion string `cbor:"3,keyasint"`
 }
 
-// Busy asks an agent to come again, or to go elsewhere.
+// Busy rejects an agent, which may retry after RetryAfter or attach to another hub.
 type Busy struct {
 	RetryAfter time.Duration `cbor:"1,keyasint"`
 }
 
-// State is how an agent stands.
+// State is an agent's report of itself.
 type State struct {
 	Seq      uint32         `cbor:"1,keyasint"`
 	Serving  bool           `cbor:"2,keyasint"`
@@ -67,14 +68,14 @@
 	Policy   AppliedVersion `cbor:"4,keyasint"`
 }
 
-// AppliedVersion is the version of a text that is in force at an agent, and what is wrong with the latest one, if anything is.
+// AppliedVersion is the version of a document that an agent has applied.
 type AppliedVersion struct {
 	Version int64  `cbor:"1,keyasint"`
 	Digest  string `cbor:"2,keyasint,omitempty"`
 	Reason  string `cbor:"3,keyasint,omitempty"`
 }
 
-// Echo answers a State: a round trip, less what it dwelt.
+// Echo answers a State. The agent's round trip to the hub is the time between the two, less HoldTime.
 type Echo struct {
 	Seq      uint32        `cbor:"1,keyasint"`
 	HoldTime time.Duration `cbor:"2,keyasint"`
@@ -92,7 +93,8 @@
 	errNoVersion = errors.New("a frame without a version")
 )
 
-// Encode writes a frame with its length before it.
+// Encode sets the frame's version and returns the frame preceded by its length. It returns an error if the frame is longer
+// than Read accepts.
 func Encode(f *Frame) ([]byte, error) {
 	f.Version = Version
 	data, err := cbor.Marshal(f)
@@ -105,8 +107,8 @@
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(data)), uint32(len(data))), data...), nil
 }
 
-// Read reads the next frame. Any error ends the stream: half of a frame is not taken, and behind a malformed one nobody
-// knows where the next begins.
+// Read reads and validates the next frame. It returns io.EOF if the stream ended before the frame. Any error ends the stream:
+// after a malformed frame nobody knows where the next one begins.
 func Read(r io.Reader) (*Frame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -131,6 +133,7 @@
 	return &f, f.validate()
 }
 
+// validate returns an error if a field is out of its bounds.
 func (f *Frame) validate() error {
 	if f.Version == 0 {
 		return errNoVersion
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Fields of a later program are skipped, and what is out of bounds ends the stream.
+// Fields of a later version are skipped, and frames out of bounds are rejected.
 func TestOutOfBoundFramesAreRejected(t *testing.T) {
 	type later struct {
 		Frame
@@ -40,7 +40,7 @@
 	}
 }
 
-// Nothing that comes off the wire harms: it is an error, or a frame that writes as it was read.
+// Whatever is read is an error, or a frame that is encoded as it was read.
 func FuzzRead(f *testing.F) {
 	for _, x := range []Frame{{Hello: &Hello{Label: "l", Name: "n", Site: "z"}}, {State: &State{Seq: 3, Settings: AppliedVersion{2, "d", "w"}}},
 		{Gossip: []byte{1, 2}, Echo: &Echo{Seq: 1, HoldTime: 5}, QuotaConfirmed: true}, {Busy: &Busy{RetryAfter: 1}}, {Leave: true}} {
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -1,3 +1,5 @@
+// This file takes an agent's stream, from the HTTP upgrade to the end of its attachment.
+
 package hub
 
 import (
@@ -20,7 +22,7 @@
 	LabelHeader = "Martenbeam-Label"
 )
 
-// handleUpgrade takes an agent's stream.
+// handleUpgrade answers an upgrade request and starts the stream's goroutine.
 func (s *Server) handleUpgrade(w http.ResponseWriter, r *http.Request) {
 	switch label := r.Header.Get(LabelHeader); {
 	case r.Method != http.MethodGet || r.Header.Get("Upgrade") != frame.Protocol:
@@ -60,7 +62,8 @@
 
 const switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + frame.Protocol + "\r\n\r\n"
 
-// serveStream is a stream's reading task, from its first byte on.
+// serveStream runs the handshake, attaches the agent, and reads its frames until the stream ends. It is the stream's reading
+// goroutine; the caller closes conn.
 func (s *Server) serveStream(conn net.Conn, reader *bufio.Reader) {
 	a, err := s.handshake(conn, reader)
 	s.trackHandshake(conn, false)
@@ -86,7 +89,7 @@
 	s.countProtocolError(conn, err)
 }
 
-// countProtocolError counts a stream that ended by what makes no sense.
+// countProtocolError counts a stream that ended by a violation of the protocol, rather than by the network or by admission.
 func (s *Server) countProtocolError(conn net.Conn, err error) {
 	var netErr net.Error
 	if err == nil || errors.Is(err, io.EOF) || errors.As(err, &netErr) || errors.Is(err, errBusy) {
@@ -102,7 +105,8 @@
 	errNoHello    = errors.New("a stream that does not begin with a hello")
 )
 
-// handshake upgrades a connection, hears who it is and welcomes it.
+// handshake answers the upgrade, reads the agent's Hello and answers it with Welcome, or with Busy and errBusy if the agent
+// is not admitted now.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader) (*attachment, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
@@ -131,6 +135,7 @@
 	return a, writeFrame(conn, &frame.Frame{Welcome: &frame.Welcome{Hub: s.cfg.Name, Incarnation: s.cfg.Incarnation, ProgramVersion: s.cfg.ProgramVersion}})
 }
 
+// writeFrame writes one frame, within the connection's deadline.
 func writeFrame(conn net.Conn, f *frame.Frame) error {
 	data, err := frame.Encode(f)
 	if err != nil {
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -1,3 +1,5 @@
+// This file runs hubs over loopback sockets, and fake agents that attach to them.
+
 package hub
 
 import (
@@ -17,9 +19,10 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// patience is how long a test waits for what must come: far more than it takes anywhere.
+// waitTimeout is how long a test waits for a condition: far longer than any takes.
 const waitTimeout = 30 * time.Second
 
+// waitFor waits until holds returns true, and fails the test after waitTimeout.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -29,13 +32,14 @@
 	}
 }
 
-// testHub is a hub, run in this process over loopback sockets.
+// testHub is a hub and its place among the hubs, run in this process over loopback sockets.
 type testHub struct {
 	*Server
 	fleet *fleet.Fleet
 	stop  func()
 }
 
+// startHub starts a hub, which joins the seeds. The test's cleanup stops it. tune, which may be nil, changes its configuration.
 func startHub(t *testing.T, name string, maxAgents int, tune func(*Config), seeds ...*testHub) *testHub {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -62,7 +66,7 @@
 	return hub
 }
 
-// startHubs are some that have met.
+// startHubs starts n hubs that know each other.
 func startHubs(t *testing.T, n, maxAgents int) (hubs []*testHub) {
 	t.Helper()
 	for i := range n {
@@ -74,7 +78,7 @@
 	return hubs
 }
 
-// agent attaches as the other side does, and keeps what it is told.
+// fakeAgent attaches as an agent does, and keeps what the hub publishes.
 type fakeAgent struct {
 	conn      net.Conn
 	gossip    *gossip.Store
@@ -87,7 +91,7 @@
 	busy           *frame.Busy
 }
 
-// listenAsProcess is an address that is there as long as a process lives.
+// listenAsProcess returns a listener on an address that accepts connections while the process of an agent "lives".
 func listenAsProcess(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,7 +104,7 @@
 
 var errStatus = errors.New("status")
 
-// dialUpgrade upgrades a connection.
+// dialUpgrade connects to a hub and upgrades the connection. The error is errStatus if the hub rejects it.
 func dialUpgrade(addr, label string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -119,6 +123,8 @@
 	return conn, reader, nil
 }
 
+// attachAgent attaches an agent to a hub. Twice a second it sends state, unless that is nil. The test's cleanup closes the
+// stream. The agent may be told Welcome or Busy.
 func attachAgent(t *testing.T, hub *testHub, hello frame.Hello, state *frame.State) *fakeAgent {
 	t.Helper()
 	hello.Label = t.Name()
@@ -175,8 +181,10 @@
 	return a
 }
 
+// close closes the stream and waits for the reader.
 func (a *fakeAgent) close() { a.closeOnce.Do(func() { a.conn.Close(); <-a.done }) }
 
+// closed reports whether the stream has ended.
 func (a *fakeAgent) closed() bool {
 	select {
 	case <-a.done:
@@ -186,12 +194,14 @@
 	}
 }
 
+// isQuotaConfirmed reports whether the hub has confirmed the quota at any time.
 func (a *fakeAgent) isQuotaConfirmed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.quotaConfirmed
 }
 
+// fleetSize returns the size that the hub published last, if it is not too old to be used.
 func (a *fakeAgent) fleetSize() (size FleetSize) {
 	for _, f := range a.gossip.Entries(gossip.FleetSize) {
 		size, _ = ParseFleetSize(f.Body)
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -1,3 +1,5 @@
+// This file publishes what the hub knows: sums of its agents to the other hubs, sums of all hubs to its agents.
+
 package hub
 
 import (
@@ -52,8 +54,8 @@
 	}
 }
 
-// resetAfterSuspend forgets all that was known before a stop, as a hub that starts anew: its agents have gone elsewhere, and what lies
-// in their streams is old.
+// resetAfterSuspend makes the hub start anew after its process was suspended: its agents have moved to other hubs meanwhile,
+// and what lies in their streams is old.
 func (s *Server) resetAfterSuspend(now time.Time) {
 	for _, a := range s.registry.clear() {
 		a.close()
@@ -66,7 +68,7 @@
 	clear(s.hubsDeadAt)
 }
 
-// publishToHubs tells the other hubs what this one's agents come to.
+// publishToHubs publishes the sums of this hub's agents to the other hubs.
 func (s *Server) publishToHubs() {
 	store := s.fleet.Gossip()
 	store.Publish(gossip.FleetSize, s.cfg.Name, s.localSize().MarshalBody())
@@ -75,7 +77,8 @@
 	}
 }
 
-// sharedEntries is what all agents are told alike.
+// sharedEntries returns the entries that all agents receive alike: the load of the list service, the fleet size, and the
+// versions of the documents that this hub holds.
 func (s *Server) sharedEntries(now time.Time) []gossip.Entry {
 	entries := startup.Aggregate(s.fleet.Gossip().Entries(gossip.ListServiceLoad))
 	size, age := s.fleetSize(now)
@@ -93,7 +96,7 @@
 	return entries
 }
 
-// latencyRows are what is known of round trips from each site that agents are of.
+// latencyRows returns the latency row of each zone that attached agents are in, by zone.
 func (s *Server) latencyRows() map[string]gossip.Entry {
 	matrix := s.fleet.LatencyMatrix()
 	rows := map[string]gossip.Entry{}
@@ -108,16 +111,18 @@
 	return rows
 }
 
-// firstAgentSeq sets what agents are told apart from what hubs tell each other of the same subjects.
+// firstAgentSeq is the base of the sequence numbers of entries to agents. It sets them apart from the entries of the same
+// subjects that this process publishes to the other hubs.
 const firstAgentSeq = 1 << 32
 
-// publisher writes what a hub tells its agents: facts of its own, in the form of messages between members.
+// publisher encodes the entries that a hub publishes to its agents. It belongs to one goroutine.
 type publisher struct {
 	seq        uint64
 	lastBodies map[gossip.Kind][]byte // bodies, as last told
 }
 
-// changed reports whether anything of these has changed that agents have to hear of at once, and keeps them.
+// changed reports whether entries differ from those of the last call in what agents have to know at once: all but the load
+// of the list service, which they may learn at the next interval.
 func (p *publisher) changed(entries []gossip.Entry) bool {
 	bodies := map[gossip.Kind][]byte{}
 	for _, entry := range entries {
@@ -170,6 +175,7 @@
 	}
 }
 
+// logSummary logs what the hub knows. lagging names agents that lack the latest settings, with the reason.
 func (s *Server) logSummary(now time.Time, lagging []string) {
 	size, _ := s.fleetSize(now)
 	s.cfg.Log.Info("hub", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting, "gone", size.Dead, "refused", s.protocolErrors.Load())
--- a/internal/fleet/hub/quotas_test.go
+++ b/internal/fleet/hub/quotas_test.go
@@ -1,3 +1,5 @@
+// This file tests the rule that the quotas in use never add up to more than the limit.
+
 package hub
 
 import (
@@ -7,8 +9,8 @@
 	"time"
 )
 
-// Whatever happens in whatever order, the parts of all that live never come to more than 1.1 of the limit; and the parts of
-// those who are dead for certain are used once all is quiet.
+// Whatever happens in whatever order, the quotas of all live agents never add up to more than 1.1 of the limit; and the
+// quotas of dead agents are used once the fleet is quiet.
 func TestQuotasStayWithinTheLimit(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -1,3 +1,5 @@
+// This file holds the registry of agents: who is attached here or to another hub, and who is disconnected.
+
 package hub
 
 import (
@@ -17,8 +19,9 @@
 	maxReportDelay = reportTimeout + 2*reportInterval
 )
 
-// registry is which agents are where, by name: attached here, heard of at another hub, or lost. A name is in one of the first
-// two and lost at no time. Processes of one name are told apart by their incarnation: a later one replaces an earlier.
+// registry records where agents are, by name: attached here, attached to another hub as that hub reported, or disconnected.
+// A disconnected agent is in neither of the other two maps. Processes of one name are told apart by their incarnation; the
+// one with the higher incarnation replaces the other. Its methods may be called from any goroutine.
 type registry struct {
 	mu           sync.Mutex
 	attached     map[string]*attachment
@@ -27,19 +30,21 @@
 	lastSerial   uint64 // counts who was attached here
 }
 
-// remoteAttachment is that another hub has an agent.
+// remoteAttachment is an agent's attachment to another hub, as that hub reported it.
 type remoteAttachment struct {
 	incarnation uint64
 	reportedAt  time.Time
 }
 
-// supersedes reports whether a notice says that who is attached here has gone there: that its process is there and not merely was, or
-// a later one.
+// supersedes reports whether the agent that is attached here has moved to the other hub: a later process of it is attached
+// there, or the same process, and the report cannot be from before the agent came here.
 func (r remoteAttachment) supersedes(a *attachment) bool {
 	return r.incarnation > a.incarnation || r.incarnation == a.incarnation && r.reportedAt.Sub(a.attachedAt) >= maxReportDelay
 }
 
-// disconnectedAgent is an agent whose stream ended here, and of which no hub has told since.
+// disconnectedAgent is an agent whose stream to this hub ended, and that no other hub has reported since. Until it is
+// confirmed dead nobody else may use its quota. The registry's mutex guards it, except for name, incarnation and addr, which
+// never change.
 type disconnectedAgent struct {
 	name            string
 	incarnation     uint64
@@ -55,7 +60,8 @@
 	return &registry{attached: map[string]*attachment{}, disconnected: map[string]*disconnectedAgent{}, remote: map[string]remoteAttachment{}}
 }
 
-// attach takes a stream in, unless a later process of the name is known, and returns the one that it replaces.
+// attach registers an attachment and sets its serial. It returns the attachment of the same name that it replaces, if any,
+// which the caller closes; ok is false if a later process of the name is known, or too many names are.
 func (r *registry) attach(a *attachment, now time.Time) (replaced *attachment, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +80,9 @@
 	return replaced, true
 }
 
-// detach takes that a stream is over. Who is not heard of at another hub is lost; a goodbye is as good as a look.
+// detach removes an attachment that has ended. Unless another hub has the agent, it becomes disconnected, and is confirmed
+// dead at once if it left for good. An agent without a valid address cannot be checked, and is forgotten: its quota stays
+// unused.
 func (r *registry) detach(a *attachment, left bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,8 +104,9 @@
 	r.disconnected[a.name] = agent
 }
 
-// applyRemote takes that another hub has a process of a name. It returns the stream here that the other's replaces, or the later
-// incarnation here, before which the other has to go; 0: none.
+// applyRemote applies another hub's report that a process is attached there. It returns the attachment here that the report
+// replaces, which the caller closes; or, if the process attached here has a higher incarnation, that incarnation, so that
+// the other hub closes its attachment. newer is 0 otherwise.
 func (r *registry) applyRemote(name string, incarnation uint64, now time.Time) (replaced *attachment, newer uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,14 +128,14 @@
 	return nil, 0
 }
 
-// expireRemote drops the notices that are old.
+// expireRemote drops the remote attachments that are older than remoteMaxAge.
 func (r *registry) expireRemote(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.remote, func(_ string, remote remoteAttachment) bool { return now.Sub(remote.reportedAt) >= remoteMaxAge })
 }
 
-// isPresent reports whether an agent is here, or was heard of at another hub no longer ago than this.
+// isPresent reports whether an agent is attached here, or was reported by another hub within maxAge.
 func (r *registry) isPresent(name string, maxAge time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,14 +143,14 @@
 	return r.attached[name] != nil || known && now.Sub(remote.reportedAt) <= maxAge
 }
 
-// attachments are those who are here.
+// attachments returns the attachments here, in no order.
 func (r *registry) attachments() []*attachment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.attached))
 }
 
-// nextChecks are up to so many of the lost at whom it is time to look.
+// nextChecks returns up to limit disconnected agents that are due for a check.
 func (r *registry) nextChecks(limit int, now time.Time) (list []*disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +162,8 @@
 	return list
 }
 
-// recordCheck takes what a look at a lost one came to that began at a time.
+// recordCheck records whether a disconnected agent was dead at the time at, when the check began. The interval doubles from
+// check to check that proves nothing, up to maxCheckInterval.
 func (r *registry) recordCheck(agent *disconnectedAgent, dead bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +175,7 @@
 	agent.nextCheckAt = at.Add(agent.checkInterval)
 }
 
-// confirmedDead are the lost that were dead for certain no longer ago than this, by name, each with when.
+// confirmedDead returns copies of the disconnected agents that were dead for certain within maxAge, sorted by name.
 func (r *registry) confirmedDead(maxAge time.Duration, now time.Time) (list []disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +193,7 @@
 	return list
 }
 
-// clear forgets everything, and returns the streams that were here.
+// clear empties the registry and returns the attachments that were in it, which the caller closes.
 func (r *registry) clear() (list []*attachment) {
 	list = r.attachments()
 	r.mu.Lock()
@@ -194,7 +204,7 @@
 	return list
 }
 
-// unconfirmed are the lost that were not found dead.
+// unconfirmed returns copies of the disconnected agents that were never confirmed dead.
 func (r *registry) unconfirmed() (list []disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/hub/registry_test.go
+++ b/internal/fleet/hub/registry_test.go
@@ -1,3 +1,5 @@
+// This file tests the registry of agents.
+
 package hub
 
 import (
@@ -6,8 +8,8 @@
 	"time"
 )
 
-// An agent that moved from another hub dies here: what that hub told of it from before the move, and what came late, must not
-// pass for a move back, or nobody would ever look whether its process is dead.
+// An agent that moved here from another hub dies. A report of that hub from before the move, which arrives late, must not pass
+// for a move back: nobody would check whether the agent is dead.
 func TestAgentThatDiesSoonAfterAMoveIsChecked(t *testing.T) {
 	for _, tt := range []struct {
 		what        string
--- a/internal/fleet/hub/settingsreport.go
+++ b/internal/fleet/hub/settingsreport.go
@@ -1,3 +1,5 @@
+// This file reports which settings are applied in the fleet, and which agents lag behind.
+
 package hub
 
 import (
@@ -21,7 +23,7 @@
 	laggingThreshold = 14 * time.Second // without the latest settings
 )
 
-// SettingsReport is which settings are in force in a fleet, and who does not have them.
+// SettingsReport says which settings are current in a fleet, and which agents lack them. GET /fleet/settings answers with it.
 type SettingsReport struct {
 	Version      int64          `json:"version"`
 	Digest       string         `json:"digest"`
@@ -32,7 +34,7 @@
 	Unresponsive []string       `json:"silent,omitempty"` // hubs that did not answer
 }
 
-// LaggingAgent is an agent without the latest settings.
+// LaggingAgent is an agent that has not applied the current settings.
 type LaggingAgent struct {
 	Agent   string `json:"agent"`
 	Hub     string `json:"hub"`
@@ -40,7 +42,7 @@
 	Reason  string `json:"why"`
 }
 
-// currentSettings are the settings that this hub holds.
+// currentSettings returns the version that this hub holds, the zero value without one.
 func (s *Server) currentSettings() (state documents.AppliedVersion) {
 	if s.cfg.Settings != nil {
 		state = s.cfg.Settings.Applied()
@@ -48,12 +50,13 @@
 	return state
 }
 
-// hasApplied reports whether an agent that stands so has the settings. Of several texts that have one version the first is in force.
+// hasApplied reports whether applied, an agent's version, is the current one or later. Of several documents under one version
+// the first counts.
 func hasApplied(state documents.AppliedVersion, applied frame.AppliedVersion) bool {
 	return applied.Version > state.Version || applied.Version == state.Version && (len(state.Digests) == 0 || applied.Digest == state.Digests[0])
 }
 
-// localReport is the report on this hub's agents, and on those that are lost and were not found dead.
+// localReport reports on the agents attached here, and on the disconnected ones that are not known to be dead.
 func (s *Server) localReport(state documents.AppliedVersion, now time.Time) SettingsReport {
 	report := SettingsReport{Version: state.Version, Lagging: []LaggingAgent{}}
 	if len(state.Digests) > 0 {
@@ -76,6 +79,7 @@
 	return report
 }
 
+// add adds a lagging agent, of which the report names only so many.
 func (r *SettingsReport) add(agent LaggingAgent) {
 	if len(r.Lagging) < maxReported {
 		r.Lagging = append(r.Lagging, agent)
@@ -84,6 +88,7 @@
 	}
 }
 
+// merge adds another hub's report.
 func (r *SettingsReport) merge(remote SettingsReport) {
 	r.Agents, r.Applied, r.Omitted = r.Agents+remote.Agents, r.Applied+remote.Applied, r.Omitted+remote.Omitted
 	for _, agent := range remote.Lagging {
@@ -91,7 +96,8 @@
 	}
 }
 
-// handleSettings answers who has not taken the settings, at all hubs; asked for a version, at this one.
+// handleSettings answers with a report over all hubs; or, if the query has a version, as another hub asks, over this hub alone
+// and against that version.
 func (s *Server) handleSettings(w http.ResponseWriter, req *http.Request) {
 	state, now := s.currentSettings(), time.Now()
 	query := req.URL.Query()
@@ -107,6 +113,8 @@
 	_ = json.NewEncoder(w).Encode(report) // the other side sees that it is cut off
 }
 
+// mergeRemoteReports adds to report those of the other hubs, which it asks all at once, and names the hubs that do not answer
+// and those that are missing.
 func (s *Server) mergeRemoteReports(req *http.Request, state documents.AppliedVersion, report *SettingsReport) {
 	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(state.Version, 10)}, "digest": state.Digests}.Encode()
 	hubs := s.fleet.Hubs()
@@ -128,7 +136,8 @@
 	}
 }
 
-// laggingAgents notes since when agents are behind, and names those that are for long.
+// laggingAgents updates since when each agent lags, and returns the names and reasons of those that have lagged for longer
+// than laggingThreshold, sorted.
 func (s *Server) laggingAgents(now time.Time) (list []string) {
 	state := s.currentSettings()
 	for _, a := range s.registry.attachments() {
--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -1,3 +1,5 @@
+// This file tests how settings are published, and the report on lagging agents.
+
 package hub
 
 import (
@@ -13,7 +15,7 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// fakeHolder is a holder of settings.
+// fakeHolder is a documents.Holder that keeps one text.
 type fakeHolder struct {
 	mu      sync.Mutex
 	version int64
@@ -36,6 +38,7 @@
 	return h.version, h.text, h.version > 0
 }
 
+// documentKind returns the settings document of this holder.
 func (h *fakeHolder) documentKind() *documents.Document {
 	return &documents.Document{GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: 1 << 10, Holder: h, Digest: func(text string) string { return "of " + text },
 		Applied: func() documents.AppliedVersion {
@@ -48,7 +51,7 @@
 		}}
 }
 
-// Settings given to one hub are told by all, never go back, and who does not have them can be asked of any.
+// Settings that one hub holds are published by all hubs and never go back. Every hub can be asked who lags behind.
 func TestSettingsReportNamesLaggingAgents(t *testing.T) {
 	t.Parallel()
 	var hubs []*testHub
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -1,3 +1,5 @@
+// This file simulates hubs and agents in virtual time: real servers and stores, over connections that can be partitioned.
+
 package hub
 
 import (
@@ -20,7 +22,7 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// simulation is hubs and agents on told time: real servers and stores, and ways between them that can be cut.
+// simulation is a set of hubs and agents, driven by one goroutine in a synctest bubble.
 type simulation struct {
 	t             *testing.T
 	maxAgents     int
@@ -35,7 +37,7 @@
 	partitionedAt time.Time
 }
 
-// simHub is a hub's, with the process that is there now.
+// simHub is the place of a hub, with its present process if it runs. It is the hub.Fleet and the listener of that process.
 type simHub struct {
 	sim         *simulation
 	n           int
@@ -46,7 +48,7 @@
 	incarnation uint64
 }
 
-// simAgent is an agent's process.
+// simAgent is a process of an agent.
 type simAgent struct {
 	sim            *simulation
 	n              int
@@ -59,12 +61,15 @@
 	hub            *simHub
 }
 
+// isPartitioned reports whether two places, hubs or agents, cannot reach each other.
 func (s *simulation) isPartitioned(a, b int) bool { return s.partitioned && a%2 != b%2 }
 
+// member returns this hub as a member. Ports from 1000 on are hubs, those below are agents.
 func (h *simHub) member() member.Member {
 	return member.Member{Name: fmt.Sprint("hub", h.n), Addr: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1000+h.n)), Meta: member.Meta{Incarnation: h.incarnation, Hub: true}}
 }
 
+// otherHubs returns the other hubs that are seen as members, or those that are not. A partition is seen 3 s late.
 func (h *simHub) otherHubs(present bool) (list []member.Member) {
 	h.sim.mu.Lock()
 	defer h.sim.mu.Unlock()
@@ -126,7 +131,7 @@
 func (h *simHub) Close() error   { return nil }
 func (h *simHub) Addr() net.Addr { return &net.TCPAddr{} }
 
-// start has a hub begin, knowing nothing.
+// start starts a process of the hub, which knows nothing.
 func (h *simHub) start() {
 	h.sim.mu.Lock()
 	defer h.sim.mu.Unlock()
@@ -145,6 +150,7 @@
 	h.server = hubServer
 }
 
+// stop ends the hub's process and waits for it.
 func (h *simHub) stop() {
 	h.sim.mu.Lock()
 	stopServer := h.stopServer
@@ -153,7 +159,7 @@
 	stopServer()
 }
 
-// gossip has hubs tell each other, as members do.
+// gossip passes messages between the hubs, as members do. A quarter of them is lost.
 func (s *simulation) gossip() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +178,7 @@
 	}
 }
 
-// spawn starts a process of a name.
+// spawn starts a process of the n-th agent.
 func (s *simulation) spawn(n int) {
 	s.incarnations++
 	a := &simAgent{sim: s, n: n, incarnation: s.incarnations, startedAt: time.Now(), gossip: gossip.New(fmt.Sprint("agent", n), s.incarnations, gossip.DefaultAgeBounds, nil)}
@@ -182,7 +188,7 @@
 	s.mu.Unlock()
 }
 
-// kill ends a process: its machine refuses from now on.
+// kill ends a process, with or without Leave. From now on its machine refuses connections.
 func (a *simAgent) kill(leave bool) {
 	a.sim.mu.Lock()
 	a.dead = true
@@ -198,7 +204,7 @@
 	}
 }
 
-// attach has a process take a stream of a hub that it reaches, beside the one that it may have, which then ends.
+// attach attaches an agent to a hub that it reaches. An older stream is closed shortly after.
 func (a *simAgent) attach(hub *simHub) {
 	sim := a.sim
 	sim.mu.Lock()
@@ -221,7 +227,7 @@
 	})
 }
 
-// read is a stream at the agent: it writes its state each second, and hears the hub.
+// read runs the agent's side of a stream: it sends its state each second and keeps what the hub publishes.
 func (a *simAgent) read(conn net.Conn, hub *simHub) {
 	defer func() {
 		a.sim.mu.Lock()
@@ -262,13 +268,14 @@
 	}
 }
 
+// unreachable reports whether the agent is partitioned from a hub.
 func (a *simAgent) unreachable(hub *simHub) bool {
 	a.sim.mu.Lock()
 	defer a.sim.mu.Unlock()
 	return a.sim.isPartitioned(hub.n, a.n)
 }
 
-// quota is what an agent takes by its rule.
+// quota returns the agent's quota by the rule of package hubclient.
 func (a *simAgent) quota() float64 {
 	a.gossip.Tick()
 	if !a.quotaConfirmed && time.Since(a.startedAt) < 3*time.Second {
@@ -287,6 +294,7 @@
 	return 1 / float64(users)
 }
 
+// quotaSum returns the sum of the quotas of all live processes, those with a common name included.
 func (s *simulation) quotaSum() (sum float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,7 +306,7 @@
 	return sum
 }
 
-// run lets time go on, with everyone attaching who has no hub, and holds the sum of all parts against the limit.
+// run lets time pass. Agents without a hub attach at random. It fails the test if the quotas add up to more than the limit.
 func (s *simulation) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		s.gossip()
@@ -316,7 +324,7 @@
 	}
 }
 
-// step has something happen.
+// step makes a random event happen.
 func (s *simulation) step() {
 	n := s.rand.IntN(len(s.agents))
 	agent := s.agents[n]
