--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -27,15 +27,15 @@
 
 // attachment is the stream of one attached agent. One goroutine runs readLoop, another writeLoop; both end after close.
 type attachment struct {
-	name, site, programVersion string
-	incarnation, serial        uint64
-	addr                       netip.AddrPort // of the agent's process, for when the stream has ended; invalid: not known
-	attachedAt                 time.Time
-	conn                       net.Conn
-	reader                     *bufio.Reader
-	pending                    chan []byte // what to write next, one at most
-	done                       chan struct{}
-	closeOnce                  sync.Once
+	name, site          string
+	incarnation, serial uint64
+	addr                netip.AddrPort // of the agent's process, for when the stream has ended; invalid: not known
+	attachedAt          time.Time
+	conn                net.Conn
+	reader              *bufio.Reader
+	pending             chan []byte // what to write next, one at most
+	done                chan struct{}
+	closeOnce           sync.Once
 
 	mu           sync.Mutex
 	state        frame.State
@@ -162,17 +162,11 @@
 	return loadReports.Merge(data)
 }
 
-// attachmentStatus is how an agent stands, as last told.
-type attachmentStatus struct {
-	frame.State
-	laggingSince time.Time
-}
-
 // status returns the agent's last State, the zero value before the first.
-func (a *attachment) status() attachmentStatus {
+func (a *attachment) status() frame.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return attachmentStatus{a.state, a.laggingSince}
+	return a.state
 }
 
 // updateLagging compares the agent's settings with the current version, and returns since when it lags; zero: it does not.
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -130,7 +130,7 @@
 	if retryAfter, ok := s.admit(now); !ok {
 		return nil, errors.Join(errBusy, writeFrame(conn, &frame.Frame{Busy: &frame.Busy{RetryAfter: retryAfter}}))
 	}
-	a := &attachment{name: hello.Name, site: hello.Site, programVersion: hello.ProgramVersion, incarnation: hello.Incarnation, attachedAt: now, conn: conn, reader: reader, pending: make(chan []byte, 1), done: make(chan struct{})}
+	a := &attachment{name: hello.Name, site: hello.Site, incarnation: hello.Incarnation, attachedAt: now, conn: conn, reader: reader, pending: make(chan []byte, 1), done: make(chan struct{})}
 	a.addr, _ = netip.ParseAddrPort(hello.Addr) // without one nobody can find it dead: it keeps its part
 	return a, writeFrame(conn, &frame.Frame{Welcome: &frame.Welcome{Hub: s.cfg.Name, Incarnation: s.cfg.Incarnation, ProgramVersion: s.cfg.ProgramVersion}})
 }
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -4,6 +4,7 @@
 
 import (
 	"maps"
+	"martenbeam/internal/fleet/hub/frame"
 	"net/netip"
 	"slices"
 	"sync"
@@ -53,7 +54,7 @@
 	confirmedDeadAt time.Time // when its process was dead for certain, as last found out; zero: never
 	nextCheckAt     time.Time // look
 	checkInterval   time.Duration
-	lastStatus      attachmentStatus
+	lastStatus      frame.State
 }
 
 func newRegistry() *registry {
