--- a/internal/fleet/hub/admission.go
+++ b/internal/fleet/hub/admission.go
@@ -9,16 +9,25 @@
 	"time"
 )
 
+const (
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
+)
+
 // admission is a token bucket that admits agents at a rate, with a tenth of a second's tokens (at least one) as its burst.
 // Its methods may be called from any goroutine.
 type admission struct {
-	rate float64
+	rate float64 // agents per second
 
 	mu          sync.Mutex
 	tokens      float64
 	refilledAt  time.Time
-	nextRetryAt time.Time // when those who were sent away will have come again
-	handshaking map[net.Conn]bool
+	nextRetryAt time.Time         // when the last of the agents that were told to retry is expected
+	handshaking map[net.Conn]bool // connections that have not said Hello
+}
+
+func newAdmission(rate float64, now time.Time) *admission {
+	return &admission{rate: rate, tokens: max(1, rate/10), refilledAt: now, handshaking: map[net.Conn]bool{}}
 }
 
 // admit reports whether an agent is admitted now, and otherwise how long it should wait before it retries. The retries of
@@ -35,19 +44,16 @@
 		a.nextRetryAt = now
 	}
 	a.nextRetryAt = a.nextRetryAt.Add(time.Duration(float64(time.Second) / a.rate))
-	retryAfter = 100*time.Millisecond + time.Duration((1+rand.Float64()/2)*float64(a.nextRetryAt.Sub(now)))
+	retryAfter = minRetryAfter + time.Duration((1+rand.Float64()/2)*float64(a.nextRetryAt.Sub(now)))
 	return min(retryAfter, maxRetryAfter), false
 }
 
 // trackHandshake adds a connection whose handshake is pending, or removes it.
-func (a *admission) trackHandshake(c net.Conn, pending bool) {
+func (a *admission) trackHandshake(conn net.Conn, pending bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.handshaking == nil {
-		a.handshaking = map[net.Conn]bool{}
-	}
-	if delete(a.handshaking, c); pending {
-		a.handshaking[c] = true
+	if delete(a.handshaking, conn); pending {
+		a.handshaking[conn] = true
 	}
 }
 
@@ -55,7 +61,7 @@
 func (a *admission) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for c := range a.handshaking {
-		c.Close()
+	for conn := range a.handshaking {
+		conn.Close()
 	}
 }
--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"net"
 	"net/netip"
 	"sync"
@@ -17,30 +18,32 @@
 )
 
 const (
-	receiveTimeout = 3 * time.Second // an agent that says nothing for so long is dropped
-	writeTimeout   = 2 * time.Second // one that takes no bytes for so long, too
-	frameRate      = 20.0            // frames a second that are taken from one agent
-	frameBurst     = 40.0
+	receiveTimeout = 3 * time.Second // an agent that sends nothing for so long is detached
+	writeTimeout   = 2 * time.Second // as is one that takes no bytes for so long
+	frameRate      = 20.0            // frames per second read from one agent
+	frameBurst     = 40.0            // frames
+	maxHoldTime    = time.Minute     // told in an Echo: the frame's bound
 )
 
-var errUnexpectedFrame = errors.New("a frame that makes no sense here")
+var errUnexpectedFrame = errors.New("unexpected frame")
 
 // attachment is the stream of one attached agent. One goroutine runs readLoop, another writeLoop; both end after close.
 type attachment struct {
-	name, site          string
-	incarnation, serial uint64
-	addr                netip.AddrPort // of the agent's process, for when the stream has ended; invalid: not known
-	attachedAt          time.Time
-	conn                net.Conn
-	reader              *bufio.Reader
-	pending             chan []byte // what to write next, one at most
-	done                chan struct{}
-	closeOnce           sync.Once
+	name, site  string
+	incarnation uint64
+	serial      uint64         // set by registry.attach: higher than that of each earlier attachment here
+	addr        netip.AddrPort // where a refused connection shows that the process is dead; invalid: not known
+	attachedAt  time.Time
+	conn        net.Conn
+	reader      *bufio.Reader
+	pending     chan []byte // the frame to write next, at most one
+	done        chan struct{}
+	closeOnce   sync.Once
 
 	mu           sync.Mutex
 	state        frame.State
-	stateAt      time.Time // when it came; zero: none has
-	laggingSince time.Time // the settings that it has are not the latest since then; zero: they are
+	stateAt      time.Time // when state was received; zero: none was
+	laggingSince time.Time // since when the agent lacks the latest settings; zero: it has them
 }
 
 // close ends the stream. Its goroutines end soon after. It may be called more than once and from any goroutine.
@@ -58,7 +61,7 @@
 	case <-a.pending:
 	default:
 	}
-	a.pending <- data // nobody else offers
+	a.pending <- data
 }
 
 // writeLoop writes pending frames until the stream ends. Before each it writes a frame for this agent alone, with the echo
@@ -72,7 +75,7 @@
 		case data := <-a.pending:
 			private, err := frame.Encode(&frame.Frame{Echo: a.echo(), QuotaConfirmed: quotaConfirmed()})
 			if err != nil {
-				panic(err) // it holds numbers alone
+				panic(err) // it holds only numbers, within their bounds
 			}
 			if a.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 				return
@@ -93,7 +96,7 @@
 	if a.stateAt.IsZero() {
 		return nil
 	}
-	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), time.Minute)}
+	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), maxHoldTime)}
 }
 
 // readLoop reads frames until the stream ends, and reports whether the agent left for good. An agent that sends more than
@@ -143,13 +146,13 @@
 	}
 	m, err := gossip.DecodeMessage(f.Gossip)
 	if err != nil {
-		return err
+		return fmt.Errorf("decode load report: %w", err)
 	}
 	if m.Sender != a.name {
-		return errUnexpectedFrame
+		return fmt.Errorf("%w: load report of %q", errUnexpectedFrame, m.Sender)
 	}
 	own := m.Entries[:0]
-	for _, entry := range m.Entries { // nobody speaks for others, and a later program may know more kinds
+	for _, entry := range m.Entries { // an agent reports only what it observed; a later version may send further kinds
 		if entry.Kind == gossip.ListServiceLoad && entry.Observer == a.name && entry.Subject == startup.Subject {
 			own = append(own, entry)
 		}
@@ -157,7 +160,7 @@
 	m.Entries = own
 	data, err := gossip.EncodeMessage(m)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode load report: %w", err)
 	}
 	return loadReports.Merge(data)
 }
@@ -170,10 +173,10 @@
 }
 
 // updateLagging compares the agent's settings with the current version, and returns since when it lags; zero: it does not.
-func (a *attachment) updateLagging(state documents.AppliedVersion, now time.Time) time.Time {
+func (a *attachment) updateLagging(current documents.AppliedVersion, now time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if hasApplied(state, a.state.Settings) {
+	if hasApplied(current, a.state.Settings) {
 		a.laggingSince = time.Time{}
 	} else if a.laggingSince.IsZero() {
 		a.laggingSince = now
--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -15,8 +15,6 @@
 const (
 	pathAttachments   = "/hub/names"
 	reportInterval    = 250 * time.Millisecond
-	reportTimeout     = time.Second
-	maxReportSize     = 1 << 20 // bytes
 	reportContentType = "application/json"
 )
 
@@ -32,11 +30,6 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// reportProgress is how much each of the other hubs knows of who came here.
-type reportProgress struct {
-	acknowledged map[string]progress
-}
-
 // progress is up to which attachment another hub has acknowledged reports: the incarnation of that hub's process, and the
 // serial of the attachment.
 type progress struct{ incarnation, serial uint64 }
@@ -46,7 +39,7 @@
 func (s *Server) reportAttachments(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	s.acknowledged = map[string]progress{}
+	acknowledged := map[string]progress{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -57,41 +50,41 @@
 		reached := make([]progress, len(hubs))
 		var calls sync.WaitGroup
 		for i, hub := range hubs {
-			known := s.acknowledged[hub.Name]
-			if known.incarnation != hub.Incarnation {
-				known = progress{hub.Incarnation, 0} // it has begun anew, and knows nobody
+			last := acknowledged[hub.Name]
+			if last.incarnation != hub.Incarnation {
+				last = progress{hub.Incarnation, 0} // a new process, which knows of no agent
 			}
-			calls.Go(func() { reached[i] = s.reportTo(ctx, hub, known) })
+			calls.Go(func() { reached[i] = s.reportTo(ctx, hub, last) })
 		}
 		calls.Wait()
-		clear(s.acknowledged) // who is not there is told all when it is back
+		clear(acknowledged) // a hub that is missing now is told everything when it is back
 		for i, hub := range hubs {
-			s.acknowledged[hub.Name] = reached[i]
+			acknowledged[hub.Name] = reached[i]
 		}
 	}
 }
 
 // reportTo reports to one hub the attachments since last, and returns up to which the hub has acknowledged them.
-func (s *Server) reportTo(ctx context.Context, hub member.Member, known progress) progress {
-	report, lastSerial := attachmentReport{Hub: s.cfg.Name}, known.serial
+func (s *Server) reportTo(ctx context.Context, hub member.Member, last progress) progress {
+	report, lastSerial := attachmentReport{Hub: s.cfg.Name}, last.serial
 	for _, a := range s.registry.attachments() {
-		if a.serial > known.serial {
+		if a.serial > last.serial {
 			report.Agents = append(report.Agents, reportedAgent{a.name, a.incarnation})
 			lastSerial = max(lastSerial, a.serial)
 		}
 	}
 	if len(report.Agents) == 0 {
-		return known
+		return last
 	}
 	newer, err := s.sendReport(ctx, hub, &report)
 	if err != nil {
-		return known
+		return last // sent again at the next tick
 	}
 	now := time.Now()
 	for _, agent := range newer.Agents {
 		s.applyRemote(agent, now)
 	}
-	return progress{known.incarnation, lastSerial}
+	return progress{last.incarnation, lastSerial}
 }
 
 // applyRemote applies that a process is attached to another hub: an attachment here with a lower incarnation is closed. If
@@ -106,18 +99,20 @@
 }
 
 // sendReport sends a report to one hub and returns its answer.
-func (s *Server) sendReport(ctx context.Context, hub member.Member, report *attachmentReport) (answer attachmentReport, err error) {
+func (s *Server) sendReport(ctx context.Context, hub member.Member, report *attachmentReport) (*attachmentReport, error) {
 	body, err := json.Marshal(report)
 	if err != nil {
-		return answer, err
+		return nil, err
 	}
-	return answer, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, &answer)
+	answer := &attachmentReport{}
+	return answer, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, answer)
 }
 
 // handleReport serves another hub's attachment report.
 func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
 	var report attachmentReport
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReportSize)).Decode(&report); r.Method != http.MethodPost || err != nil || len(report.Agents) > maxNames {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessageSize)).Decode(&report)
+	if r.Method != http.MethodPost || err != nil || len(report.Agents) > maxNames {
 		http.Error(w, "this is no hub's post", http.StatusBadRequest)
 		return
 	}
@@ -128,5 +123,5 @@
 		}
 	}
 	w.Header().Set("Content-Type", reportContentType)
-	_ = json.NewEncoder(w).Encode(answer) // the other side sees that it is cut off
+	_ = json.NewEncoder(w).Encode(answer) // the caller sees that the answer is cut off
 }
--- a/internal/fleet/hub/callhub.go
+++ b/internal/fleet/hub/callhub.go
@@ -6,26 +6,36 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
+	"time"
 
 	"martenbeam/internal/fleet/member"
 )
 
+const (
+	hubCallTimeout = time.Second
+	maxMessageSize = 1 << 20 // bytes of a message between hubs
+)
+
 // callHub sends a request to another hub and decodes its JSON answer into answer, all within hubCallTimeout. It does not look
 // at the status: an error has no JSON body and fails to decode.
 func (s *Server) callHub(ctx context.Context, hub member.Member, method, path string, body []byte, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, hubCallTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+hub.Addr.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return err
+		return fmt.Errorf("call hub %s: %w", hub.Name, err)
 	}
 	client := &http.Client{Transport: &http.Transport{DialContext: s.fleet.Dial, DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return err
+		return fmt.Errorf("call hub %s: %w", hub.Name, err)
 	}
 	defer resp.Body.Close()
-	return json.NewDecoder(io.LimitReader(resp.Body, maxReportSize)).Decode(answer)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxMessageSize)).Decode(answer); err != nil {
+		return fmt.Errorf("decode answer of hub %s: %w", hub.Name, err)
+	}
+	return nil
 }
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	checkRoundInterval  = time.Second
-	checkTimeout        = 600 * time.Millisecond
-	maxConcurrentChecks = 256 // at once
-	maxDeadNames        = 64  // names in a fact
-	maxDeadBytes        = 600 // of names in a fact: a packet between members holds it
+	checkRoundInterval = time.Second
+	checkTimeout       = 600 * time.Millisecond
+	maxChecks          = 256 // in one round, all at once
+	maxDeadNames       = 64  // in one entry
+	maxDeadBytes       = 600 // of names in one entry, so that a datagram between members holds it
 )
 
-// confirmDead finds out which of the lost agents' processes are dead for certain, and tells the other hubs.
-func (s *Server) confirmDead(ctx context.Context) {
+// failureDetector checks the disconnected agents and the missing hubs once a second until ctx ends. Only a machine that
+// refuses connections proves that a process is dead: one that does not answer may be alive beyond a partition.
+func (s *Server) failureDetector(ctx context.Context) {
 	tick := time.NewTicker(checkRoundInterval)
 	defer tick.Stop()
 	for published := 0; ; {
@@ -41,35 +42,25 @@
 func (s *Server) checkDisconnected(ctx context.Context) {
 	startedAt := time.Now()
 	var calls sync.WaitGroup
-	for _, agent := range s.registry.nextChecks(maxConcurrentChecks, startedAt) {
+	for _, agent := range s.registry.nextChecks(maxChecks, startedAt) {
 		calls.Go(func() {
-			s.registry.recordCheck(agent, s.fleet.ConfirmDead(ctx, member.Member{Addr: agent.addr}, checkTimeout), startedAt)
+			dead := s.fleet.ConfirmDead(ctx, member.Member{Addr: agent.addr}, checkTimeout)
+			s.registry.recordCheck(agent, dead, startedAt)
 		})
 	}
 	var mu sync.Mutex
-	dead := map[string]bool{}
+	deadHubs := map[string]bool{}
 	for _, hub := range s.fleet.MissingHubs() {
 		calls.Go(func() {
 			if s.fleet.ConfirmDead(ctx, hub, checkTimeout) {
 				mu.Lock()
 				defer mu.Unlock()
-				dead[hub.Addr.String()] = true
+				deadHubs[hub.Addr.String()] = true
 			}
 		})
 	}
 	calls.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for addr := range s.hubsDeadAt {
-		if !dead[addr] {
-			delete(s.hubsDeadAt, addr)
-		}
-	}
-	for addr := range dead {
-		if _, known := s.hubsDeadAt[addr]; !known {
-			s.hubsDeadAt[addr] = startedAt
-		}
-	}
+	s.evidence.recordDeadHubs(deadHubs, startedAt)
 }
 
 // publishDead publishes the names of the dead in as many entries as they need, each as old as the oldest check in it, and
@@ -96,7 +87,7 @@
 func (s *Server) publishDeadNames(i int, names []string, age time.Duration) {
 	body, err := cbor.Marshal(names)
 	if err != nil {
-		panic(err) // they are names alone
+		panic(err) // strings always encode
 	}
 	s.fleet.Gossip().PublishAged(gossip.DeadProcesses, "agents "+strconv.Itoa(i), body, age)
 }
--- a/internal/fleet/hub/fleetsize.go
+++ b/internal/fleet/hub/fleetsize.go
@@ -4,32 +4,32 @@
 
 import (
 	"fmt"
-	"maps"
-	"martenbeam/internal/fleet/gossip"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"martenbeam/internal/fleet/gossip"
 )
 
 // FleetSize counts agents: those of one hub, as hubs publish to each other, or those of the fleet, as a hub publishes to its
 // agents.
 type FleetSize struct {
 	Attached uint32 `cbor:"1,keyasint"`
-	Starting uint32 `cbor:"2,keyasint"` // of these
-	Dead     uint32 `cbor:"3,keyasint"` // dead for certain; of a fleet alone
+	Starting uint32 `cbor:"2,keyasint"` // of Attached: those that do not serve yet
+	Dead     uint32 `cbor:"3,keyasint"` // agents that are dead for certain and whose quota others may use; 0 for one hub
 }
 
 // FleetSubject is the subject of the entry that holds the size of the fleet. A hub's own size has the hub's name as its
 // subject.
 const FleetSubject = "fleet"
 
-const maxPlausibleAgents = 1 << 20 // what is above makes no sense
+const maxPlausibleAgents = 1 << 20 // a body with a larger count is malformed
 
 // MarshalBody encodes the size as the body of a gossip.FleetSize entry.
 func (s FleetSize) MarshalBody() []byte {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		panic(err) // it holds numbers alone
+		panic(err) // it holds only numbers
 	}
 	return body
 }
@@ -38,10 +38,11 @@
 // contradict each other.
 func ParseFleetSize(body []byte) (size FleetSize, err error) {
 	if err = cbor.Unmarshal(body, &size); err != nil {
-		return size, err
+		return size, fmt.Errorf("decode fleet size: %w", err)
 	}
 	if size.Attached > maxPlausibleAgents || size.Dead > maxPlausibleAgents || size.Starting > size.Attached {
-		return FleetSize{}, fmt.Errorf("a census of %d, %d and %d", size.Attached, size.Starting, size.Dead)
+		return FleetSize{}, fmt.Errorf("implausible fleet size: %d attached, %d starting, %d dead",
+			size.Attached, size.Starting, size.Dead)
 	}
 	return size, nil
 }
@@ -70,17 +71,16 @@
 		if err != nil || entry.Subject != entry.Observer || entry.Observer == s.cfg.Name {
 			continue
 		}
-		s.mu.Lock()
-		s.attachedByHub[entry.Observer] = remote.Attached
-		s.mu.Unlock()
+		s.evidence.recordAttached(entry.Observer, remote.Attached)
 		if entry.Age <= s.maxSourceAge(gossip.FleetSize) {
 			size.Attached, size.Starting, age = size.Attached+remote.Attached, size.Starting+remote.Starting, max(age, entry.Age)
 			ageByHub[entry.Observer] = entry.Age
 		}
 	}
-	mesh := s.fleet.MeshAgents()
-	dead, deadAge := s.countDead(mesh, now)
-	size.Dead = uint32(max(0, min(dead, s.cfg.MaxAgents-int(size.Attached)-len(mesh)-s.unreachableAgents(ageByHub, now))))
+	meshAgents := s.fleet.MeshAgents()
+	dead, deadAge := s.countDead(meshAgents, now)
+	unreachable := s.evidence.unreachableAgents(append(s.fleet.Hubs(), s.fleet.MissingHubs()...), ageByHub, now)
+	size.Dead = uint32(max(0, min(dead, s.cfg.MaxAgents-int(size.Attached)-len(meshAgents)-unreachable)))
 	if size.Dead > 0 {
 		age = max(age, deadAge)
 	}
@@ -91,25 +91,29 @@
 // that the sum can be used for a while before it reaches the bound.
 func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.Bounds[kind] * 2 / 3 }
 
+// deadMaxAge returns for how long a report that a process is dead is used.
+func (s *Server) deadMaxAge() time.Duration { return s.cfg.Bounds[gossip.DeadProcesses] }
+
 // countDead counts the names that a hub or a member reports as dead, except those of hubs, of agents that are members
 // themselves, and of agents known to be attached to a hub. oldest is the age of the oldest report that counts. A hub that
 // has just started or resumed counts none.
-func (s *Server) countDead(mesh map[string]bool, now time.Time) (n int, oldest time.Duration) {
+func (s *Server) countDead(meshAgents map[string]bool, now time.Time) (n int, oldest time.Duration) {
 	hubs := map[string]bool{}
-	for _, m := range append(s.fleet.Hubs(), s.fleet.MissingHubs()...) {
-		hubs[m.Name] = true
+	for _, hub := range append(s.fleet.Hubs(), s.fleet.MissingHubs()...) {
+		hubs[hub.Name] = true
 	}
-	ages, reportedAt := map[string]time.Duration{}, map[string]time.Time{}
+	ages, seenAt := map[string]time.Duration{}, map[string]time.Time{}
 	for _, entry := range s.fleet.Gossip().Entries(gossip.DeadProcesses) {
 		var names []string
 		if cbor.Unmarshal(entry.Body, &names) != nil {
 			continue
 		}
 		for _, name := range names {
-			if at := now.Add(-entry.Age); at.After(reportedAt[name]) {
-				reportedAt[name] = at
+			if at := now.Add(-entry.Age); at.After(seenAt[name]) {
+				seenAt[name] = at
 			}
-			if entry.Age > s.maxSourceAge(gossip.DeadProcesses) || hubs[name] || mesh[name] || s.registry.isPresent(name, s.deadMaxAge(), now) {
+			if entry.Age > s.maxSourceAge(gossip.DeadProcesses) || hubs[name] || meshAgents[name] ||
+				s.registry.isPresent(name, s.deadMaxAge(), now) {
 				continue
 			}
 			if age, known := ages[name]; !known || entry.Age < age {
@@ -117,15 +121,7 @@
 			}
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	maps.DeleteFunc(s.reportedDead, func(_ string, at time.Time) bool { return now.Sub(at) > s.deadMaxAge() })
-	for name, at := range reportedAt {
-		if at.After(s.reportedDead[name]) {
-			s.reportedDead[name] = at
-		}
-	}
-	if now.Sub(s.resumedAt) <= s.deadMaxAge() {
+	if !s.evidence.recordDead(seenAt, now) {
 		return 0, 0
 	}
 	for _, age := range ages {
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -17,9 +18,17 @@
 const (
 	pathHub          = frame.Path
 	handshakeTimeout = 2 * time.Second
-	maxRetryAfter    = 10 * time.Second
-	// LabelHeader may name the fleet that an agent belongs to before it says Hello: another fleet's is told so by a status.
+	// LabelHeader may name the agent's fleet in the upgrade request. An agent of another fleet is answered 403; without the
+	// header the label in its Hello decides.
 	LabelHeader = "Martenbeam-Label"
+
+	switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + frame.Protocol + "\r\n\r\n"
+)
+
+var (
+	errBusy       = errors.New("hub is busy")
+	errOtherFleet = errors.New("agent of another fleet")
+	errNoHello    = errors.New("stream does not begin with a hello")
 )
 
 // handleUpgrade answers an upgrade request and starts the stream's goroutine.
@@ -52,21 +61,19 @@
 		conn.Close()
 		return
 	}
-	s.trackHandshake(conn, true)
-	s.tasks.Go(func() {
+	s.admission.trackHandshake(conn, true)
+	s.streams.Go(func() {
 		defer s.openStreams.Add(-1)
 		defer conn.Close()
 		s.serveStream(conn, buffered.Reader)
 	})
 }
 
-const switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + frame.Protocol + "\r\n\r\n"
-
 // serveStream runs the handshake, attaches the agent, and reads its frames until the stream ends. It is the stream's reading
 // goroutine; the caller closes conn.
 func (s *Server) serveStream(conn net.Conn, reader *bufio.Reader) {
 	a, err := s.handshake(conn, reader)
-	s.trackHandshake(conn, false)
+	s.admission.trackHandshake(conn, false)
 	if err != nil {
 		s.countProtocolError(conn, err)
 		return
@@ -79,10 +86,12 @@
 	if replaced != nil {
 		replaced.close()
 	}
-	if !s.ready.Load() { // it ended meanwhile, and has closed those that it knew of
+	if !s.ready.Load() { // Run has ended since, and has closed only the attachments that it saw
 		a.close()
 	}
-	s.tasks.Go(func() { a.writeLoop(func() bool { return s.quotaConfirmed(a) }) })
+	s.streams.Go(func() {
+		a.writeLoop(func() bool { return s.evidence.quotaConfirmed(a.name, a.attachedAt, time.Now()) })
+	})
 	left, err := a.readLoop(s.loadReports)
 	a.close()
 	s.registry.detach(a, left, time.Now())
@@ -99,12 +108,6 @@
 	s.cfg.Log.Debug("hub: a stream ends", "from", conn.RemoteAddr(), "error", err)
 }
 
-var (
-	errBusy       = errors.New("busy")
-	errOtherFleet = errors.New("an agent of another fleet")
-	errNoHello    = errors.New("a stream that does not begin with a hello")
-)
-
 // handshake answers the upgrade, reads the agent's Hello and answers it with Welcome, or with Busy and errBusy if the agent
 // is not admitted now.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader) (*attachment, error) {
@@ -112,11 +115,11 @@
 		return nil, err
 	}
 	if _, err := conn.Write([]byte(switchingProtocols)); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("answer upgrade: %w", err)
 	}
 	f, err := frame.Read(reader)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read hello: %w", err)
 	}
 	hello := f.Hello
 	if hello == nil {
@@ -127,12 +130,16 @@
 		return nil, errOtherFleet
 	}
 	now := time.Now()
-	if retryAfter, ok := s.admit(now); !ok {
+	if retryAfter, ok := s.admission.admit(now); !ok {
 		return nil, errors.Join(errBusy, writeFrame(conn, &frame.Frame{Busy: &frame.Busy{RetryAfter: retryAfter}}))
 	}
-	a := &attachment{name: hello.Name, site: hello.Site, incarnation: hello.Incarnation, attachedAt: now, conn: conn, reader: reader, pending: make(chan []byte, 1), done: make(chan struct{})}
-	a.addr, _ = netip.ParseAddrPort(hello.Addr) // without one nobody can find it dead: it keeps its part
-	return a, writeFrame(conn, &frame.Frame{Welcome: &frame.Welcome{Hub: s.cfg.Name, Incarnation: s.cfg.Incarnation, ProgramVersion: s.cfg.ProgramVersion}})
+	a := &attachment{
+		name: hello.Name, site: hello.Site, incarnation: hello.Incarnation,
+		attachedAt: now, conn: conn, reader: reader, pending: make(chan []byte, 1), done: make(chan struct{}),
+	}
+	a.addr, _ = netip.ParseAddrPort(hello.Addr) // without an address nobody can find the process dead: its quota stays its own
+	welcome := frame.Welcome{Hub: s.cfg.Name, Incarnation: s.cfg.Incarnation, ProgramVersion: s.cfg.ProgramVersion}
+	return a, writeFrame(conn, &frame.Frame{Welcome: &welcome})
 }
 
 // writeFrame writes one frame, within the connection's deadline.
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -66,6 +66,9 @@
 	return hub
 }
 
+// uptime returns for how long the hub has run without a suspension.
+func (h *testHub) uptime(now time.Time) time.Duration { return h.evidence.uptime(now) }
+
 // startHubs starts n hubs that know each other.
 func startHubs(t *testing.T, n, maxAgents int) (hubs []*testHub) {
 	t.Helper()
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -14,14 +14,17 @@
 
 const (
 	publishInterval  = time.Second
-	suspendThreshold = time.Second // between two ticks: the process was stopped
+	suspendThreshold = time.Second // between two ticks: the process was suspended meanwhile
 	summaryInterval  = 10 * time.Second
+	maxLogged        = 20 // lagging agents in a log line
 )
 
-// publishSums tells agents and other hubs what is known, each second, and agents at once what has changed.
-func (s *Server) publishSums(ctx context.Context) {
+// publishLoop publishes to agents and to the other hubs every second until ctx ends, and to agents at the next tick when
+// something that they have to know at once has changed.
+func (s *Server) publishLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
+	pub := publisher{name: s.cfg.Name, incarnation: s.cfg.Incarnation, startedAt: s.startedAt, trace: gossip.Trace{W: s.cfg.Trace}}
 	lastTickAt, publishedAt, summarizedAt := time.Now(), time.Time{}, time.Now()
 	var lagging []string
 	for {
@@ -44,8 +47,8 @@
 			lagging = s.laggingAgents(now)
 		}
 		entries := s.sharedEntries(now)
-		if s.changed(entries) || due {
-			s.publish(entries, s.latencyRows(), now)
+		if pub.changed(entries) || due {
+			s.publishToAgents(&pub, entries, s.latencyRows(), now)
 		}
 		if now.Sub(summarizedAt) >= summaryInterval {
 			summarizedAt = now
@@ -60,12 +63,7 @@
 	for _, a := range s.registry.clear() {
 		a.close()
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.resumedAt = now
-	clear(s.reportedDead)
-	clear(s.attachedByHub)
-	clear(s.hubsDeadAt)
+	s.evidence.reset(now)
 }
 
 // publishToHubs publishes the sums of this hub's agents to the other hubs.
@@ -83,14 +81,15 @@
 	entries := startup.Aggregate(s.fleet.Gossip().Entries(gossip.ListServiceLoad))
 	size, age := s.fleetSize(now)
 	entries = append(entries, gossip.Entry{Kind: gossip.FleetSize, Subject: FleetSubject, Age: age, Body: size.MarshalBody()})
-	if kind := s.cfg.Settings; kind != nil {
-		if state := kind.Applied(); state.Version > 0 {
-			entries = append(entries, gossip.Entry{Kind: kind.GossipKind, Subject: kind.Subject, Body: state.MarshalBody()})
+	if document := s.cfg.Settings; document != nil {
+		if applied := document.Applied(); applied.Version > 0 {
+			entries = append(entries, gossip.Entry{Kind: document.GossipKind, Subject: document.Subject, Body: applied.MarshalBody()})
 		}
 	}
-	if kind := s.cfg.Policy; kind != nil {
+	if document := s.cfg.Policy; document != nil {
 		if age, ok := s.cfg.PolicyAge(); ok && age <= s.cfg.Bounds[gossip.ResidencyVersion] {
-			entries = append(entries, gossip.Entry{Kind: kind.GossipKind, Subject: kind.Subject, Age: age, Body: kind.Applied().MarshalBody()})
+			body := document.Applied().MarshalBody()
+			entries = append(entries, gossip.Entry{Kind: document.GossipKind, Subject: document.Subject, Age: age, Body: body})
 		}
 	}
 	return entries
@@ -111,14 +110,48 @@
 	return rows
 }
 
+// publishToAgents sends each agent the shared entries and the latency row of its zone. Agents with the same row share one
+// encoding.
+func (s *Server) publishToAgents(pub *publisher, entries []gossip.Entry, rows map[string]gossip.Entry, now time.Time) {
+	frames := map[string][]byte{} // by the row's zone; "": without a row
+	for _, a := range s.registry.attachments() {
+		row, known := rows[a.site]
+		data := frames[row.Subject]
+		if data == nil {
+			own := entries[:len(entries):len(entries)]
+			if known {
+				own = append(own, row)
+			}
+			data = pub.encode(own, now)
+			frames[row.Subject] = data
+		}
+		a.enqueue(data)
+	}
+}
+
+// logSummary logs what the hub knows. lagging names agents that lack the latest settings, with the reason.
+func (s *Server) logSummary(now time.Time, lagging []string) {
+	size, _ := s.fleetSize(now)
+	s.cfg.Log.Info("hub", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting,
+		"gone", size.Dead, "refused", s.protocolErrors.Load())
+	if len(lagging) > 0 {
+		s.cfg.Log.Warn("hub: agents are behind the settings", "version", s.currentSettings().Version, "agents", len(lagging),
+			"some", lagging[:min(len(lagging), maxLogged)])
+	}
+}
+
 // firstAgentSeq is the base of the sequence numbers of entries to agents. It sets them apart from the entries of the same
 // subjects that this process publishes to the other hubs.
 const firstAgentSeq = 1 << 32
 
 // publisher encodes the entries that a hub publishes to its agents. It belongs to one goroutine.
 type publisher struct {
-	seq        uint64
-	lastBodies map[gossip.Kind][]byte // bodies, as last told
+	name        string
+	incarnation uint64
+	startedAt   time.Time // origin of the clock in each message
+	trace       gossip.Trace
+	seq         uint64
+	lastBodies  map[gossip.Kind][]byte // of the last call of changed
 }
 
 // changed reports whether entries differ from those of the last call in what agents have to know at once: all but the load
@@ -138,48 +171,21 @@
 	return changed
 }
 
-// encodeEntries encodes a frame of facts, each with an age of now.
-func (s *Server) encodeEntries(entries []gossip.Entry, now time.Time) []byte {
-	message := gossip.Message{Version: gossip.Version, Sender: s.cfg.Name, Incarnation: s.cfg.Incarnation, Clock: now.Sub(s.startedAt)}
+// encode returns a frame with entries as observations of this hub, their ages as of now.
+func (p *publisher) encode(entries []gossip.Entry, now time.Time) []byte {
+	message := gossip.Message{Version: gossip.Version, Sender: p.name, Incarnation: p.incarnation, Clock: now.Sub(p.startedAt)}
 	for _, entry := range entries {
-		s.seq++
-		entry.Observer, entry.Incarnation, entry.Seq = s.cfg.Name, s.cfg.Incarnation, firstAgentSeq+s.seq
+		p.seq++
+		entry.Observer, entry.Incarnation, entry.Seq = p.name, p.incarnation, firstAgentSeq+p.seq
 		message.Entries = append(message.Entries, entry)
-		gossip.Trace{W: s.cfg.Trace}.Use(gossip.Use{Entry: entry, Published: true, AgeAtUse: entry.Age})
+		p.trace.Use(gossip.Use{Entry: entry, Published: true, AgeAtUse: entry.Age})
 	}
 	data, err := gossip.EncodeMessage(&message)
 	if err == nil {
 		data, err = frame.Encode(&frame.Frame{Gossip: data})
 	}
 	if err != nil {
-		panic(err) // each body is within its bound
+		panic(err) // the number and the size of the entries are bounded well below that of a frame
 	}
 	return data
 }
-
-// publish has every agent told, by one encoding for each site.
-func (s *Server) publish(entries []gossip.Entry, rows map[string]gossip.Entry, now time.Time) {
-	frames := map[string][]byte{}
-	for _, a := range s.registry.attachments() {
-		row, known := rows[a.site]
-		data := frames[row.Subject]
-		if data == nil {
-			own := entries[:len(entries):len(entries)]
-			if known {
-				own = append(own, row)
-			}
-			data = s.encodeEntries(own, now)
-			frames[row.Subject] = data
-		}
-		a.enqueue(data)
-	}
-}
-
-// logSummary logs what the hub knows. lagging names agents that lack the latest settings, with the reason.
-func (s *Server) logSummary(now time.Time, lagging []string) {
-	size, _ := s.fleetSize(now)
-	s.cfg.Log.Info("hub", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting, "gone", size.Dead, "refused", s.protocolErrors.Load())
-	if len(lagging) > 0 {
-		s.cfg.Log.Warn("hub: agents are behind the settings", "version", s.currentSettings().Version, "agents", len(lagging), "some", lagging[:min(len(lagging), maxLogged)])
-	}
-}
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -3,21 +3,24 @@
 package hub
 
 import (
+	"cmp"
 	"maps"
-	"martenbeam/internal/fleet/hub/frame"
 	"net/netip"
 	"slices"
 	"sync"
 	"time"
+
+	"martenbeam/internal/fleet/hub/frame"
 )
 
 const (
-	maxNames             = 4096             // of each list below
-	remoteMaxAge         = 30 * time.Second // that an agent is at another hub: a move is over by then
-	initialCheckInterval = time.Second      // between two looks at whether a lost agent's process is dead
-	maxCheckInterval     = 10 * time.Second // the same, where nothing came of many
-	// For so long after an agent has come another hub may still tell that it has it, from before it came.
-	maxReportDelay = reportTimeout + 2*reportInterval
+	maxNames             = 4096             // in each map of the registry
+	remoteMaxAge         = 30 * time.Second // of a remote attachment: a move is over by then
+	initialCheckInterval = time.Second      // between two checks whether a disconnected agent is dead
+	maxCheckInterval     = 10 * time.Second // the same, after checks that proved nothing
+	// maxReportDelay is how long after an agent has attached here another hub's report may arrive that it is attached there,
+	// written before it moved here.
+	maxReportDelay = hubCallTimeout + 2*reportInterval
 )
 
 // registry records where agents are, by name: attached here, attached to another hub as that hub reported, or disconnected.
@@ -28,7 +31,7 @@
 	attached     map[string]*attachment
 	disconnected map[string]*disconnectedAgent
 	remote       map[string]remoteAttachment
-	lastSerial   uint64 // counts who was attached here
+	lastSerial   uint64 // of attachments here
 }
 
 // remoteAttachment is an agent's attachment to another hub, as that hub reported it.
@@ -51,14 +54,18 @@
 	incarnation     uint64
 	addr            netip.AddrPort
 	disconnectedAt  time.Time
-	confirmedDeadAt time.Time // when its process was dead for certain, as last found out; zero: never
-	nextCheckAt     time.Time // look
+	confirmedDeadAt time.Time // the latest time at which its process was dead for certain; zero: never
+	nextCheckAt     time.Time
 	checkInterval   time.Duration
 	lastStatus      frame.State
 }
 
 func newRegistry() *registry {
-	return &registry{attached: map[string]*attachment{}, disconnected: map[string]*disconnectedAgent{}, remote: map[string]remoteAttachment{}}
+	return &registry{
+		attached:     map[string]*attachment{},
+		disconnected: map[string]*disconnectedAgent{},
+		remote:       map[string]remoteAttachment{},
+	}
 }
 
 // attach registers an attachment and sets its serial. It returns the attachment of the same name that it replaces, if any,
@@ -88,7 +95,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attached[a.name] != a {
-		return // replaced
+		return // replaced meanwhile
 	}
 	delete(r.attached, a.name)
 	if remote, known := r.remote[a.name]; known && remote.supersedes(a) && now.Sub(remote.reportedAt) < remoteMaxAge {
@@ -96,9 +103,12 @@
 	}
 	delete(r.remote, a.name)
 	if len(r.disconnected) >= maxNames || !a.addr.IsValid() {
-		return // it keeps its part
+		return // nobody finds it dead, so nobody uses its quota
+	}
+	agent := &disconnectedAgent{
+		name: a.name, incarnation: a.incarnation, addr: a.addr, disconnectedAt: now,
+		nextCheckAt: now, checkInterval: initialCheckInterval, lastStatus: a.status(),
 	}
-	agent := &disconnectedAgent{name: a.name, incarnation: a.incarnation, addr: a.addr, disconnectedAt: now, nextCheckAt: now, checkInterval: initialCheckInterval, lastStatus: a.status()}
 	if left {
 		agent.confirmedDeadAt = now
 	}
@@ -115,7 +125,11 @@
 	if a != nil && a.incarnation > incarnation {
 		return nil, a.incarnation
 	}
-	if remote, known := r.remote[name]; !known && len(r.remote) >= maxNames || known && remote.incarnation > incarnation && now.Sub(remote.reportedAt) < remoteMaxAge {
+	remote, known := r.remote[name]
+	if !known && len(r.remote) >= maxNames {
+		return nil, 0
+	}
+	if known && remote.incarnation > incarnation && now.Sub(remote.reportedAt) < remoteMaxAge {
 		return nil, 0
 	}
 	r.remote[name] = remoteAttachment{incarnation, now}
@@ -185,12 +199,7 @@
 			list = append(list, *agent)
 		}
 	}
-	slices.SortFunc(list, func(a, b disconnectedAgent) int {
-		if a.name < b.name {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(list, func(a, b disconnectedAgent) int { return cmp.Compare(a.name, b.name) })
 	return list
 }
 
--- a/internal/fleet/hub/registry_test.go
+++ b/internal/fleet/hub/registry_test.go
@@ -17,7 +17,7 @@
 		lost        int
 	}{
 		{"the other hub's word crosses the move", 200 * time.Millisecond, 5 * time.Second, 1},
-		{"it comes as late as it can", reportTimeout + 2*reportInterval - time.Millisecond, 5 * time.Second, 1},
+		{"it comes as late as it can", hubCallTimeout + 2*reportInterval - time.Millisecond, 5 * time.Second, 1},
 		{"it moves on", 4 * time.Second, 4100 * time.Millisecond, 0},
 		{"it moves on, and is seen to leave late", 4 * time.Second, 6 * time.Second, 0},
 	} {
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -1,5 +1,27 @@
-// Package hub is the side of a fleet's hubs: who is attached, what hubs tell each other of their agents, and the sums that
-// agents are told. Two tasks serve each stream, one sums up, one sees to the dead, and one has hubs know who is where.
+// Package hub is the hub's side of a fleet. A hub is a process that carries membership, quotas and versioned documents to
+// the agents attached to it. Agents hold one stream to one hub; hubs exchange what they know through gossip and over HTTP.
+//
+// A hub publishes sums, never single observations: the fleet size, from which each agent computes its quota of the fleet's
+// in-flight limit; the load of the list service; the latency row of the agent's zone; and the versions of the settings and
+// of the residency policy. Each entry is as old as the oldest observation in it.
+//
+// State, its owner and its age:
+//
+//   - registry, under its mutex: which agents are attached here, attached to another hub, or disconnected. What other hubs
+//     report arrives every 250 ms and is used for 30 s (remoteMaxAge).
+//   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the agent's last
+//     State, which it sends each second, is under the attachment's mutex. A stream that is silent for 3 s ends.
+//   - evidence, under its mutex: what is known of other hubs and of dead processes, to count free quotas and to confirm an
+//     agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
+//   - loadReports: the agents' observations of the list service, a gossip.Store that is locked by itself. Its entries stay
+//     in this hub; only aggregates of them leave it. Bounded by the age bound of gossip.ListServiceLoad.
+//   - publisher and the progress of attachment reports: local to the one goroutine that uses each, without a lock.
+//   - admission, under its mutex: the rate limit of new streams, and the connections in a handshake.
+//
+// Goroutines: Run starts three and waits for them: publishLoop sums up and publishes, failureDetector finds out which
+// disconnected agents are dead, reportAttachments tells the other hubs who attached here. Each stream has two, one that reads
+// (from the handshake on) and one that writes; Run waits for these, too. Every handler of ServeHTTP runs on the caller's
+// goroutine and ends with its request, except for an upgraded stream.
 package hub
 
 import (
@@ -18,62 +40,65 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Fleet is the hubs' own, as far as a hub needs it.
+// Fleet is the hub's own place among the hubs; *fleet.Fleet implements it. Its methods may be called from any goroutine.
 type Fleet interface {
+	// Gossip returns the entries that the hubs share.
 	Gossip() *gossip.Store
-	Hubs() []member.Member        // others that are there
-	MissingHubs() []member.Member // others that are not, and may be
-	MeshAgents() map[string]bool  // agents that are members themselves
-	ConfirmDead(ctx context.Context, m member.Member, within time.Duration) bool
+	// Hubs returns the other hubs that are members now.
+	Hubs() []member.Member
+	// MissingHubs returns the other hubs that are no members now and may be running.
+	MissingHubs() []member.Member
+	// MeshAgents returns the names of the agents that are members themselves, because they have no hub.
+	MeshAgents() map[string]bool
+	// ConfirmDead reports whether a process is dead for certain: its machine refuses connections to its address. A call
+	// that is not answered within timeout proves nothing.
+	ConfirmDead(ctx context.Context, m member.Member, timeout time.Duration) bool
+	// Dial opens a connection to another hub.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
+	// LatencyMatrix returns the round trips between zones that are known now.
 	LatencyMatrix() latency.Matrix
 }
 
-// Config is what a Server needs.
+// Config configures a Server. Name, Label, Incarnation, MaxAgents and Log are required.
 type Config struct {
-	Name, Label, ProgramVersion string
-	Incarnation                 uint64
-	MaxAgents                   int     // most agents that the fleet has
-	AdmitRate                   float64 // agents a second that are taken in
-	Bounds                      gossip.AgeBounds
-	Settings                    *documents.Document // nil: none
-	Policy                      *documents.Document // nil: none
-	PolicyAge                   func() (age time.Duration, ok bool)
-	Log                         *slog.Logger
-	Trace                       io.Writer // a line for each fact told to agents; nil: none
+	Name, Label    string // of this hub, and of its fleet
+	ProgramVersion string // as agents are told
+	Incarnation    uint64 // higher than that of each earlier process of the name
+	// MaxAgents is an upper bound of the agents that the fleet has at a time. Quotas are computed from it.
+	MaxAgents int
+	AdmitRate float64             // new streams per second; 0: defaultAdmitRate
+	Bounds    gossip.AgeBounds    // nil: gossip.DefaultAgeBounds
+	Settings  *documents.Document // nil: none
+	Policy    *documents.Document // nil: none
+	// PolicyAge returns how long ago a source last confirmed Policy, and false if none has. It is required with Policy.
+	PolicyAge func() (age time.Duration, ok bool)
+	Log       *slog.Logger
+	Trace     io.Writer // receives a line for each entry published to agents; nil: none
 }
 
-// Server is a hub. It must be run; before, nobody is taken in.
+// Server is a hub. Create it with New; it takes agents in while Run runs.
 type Server struct {
 	cfg         Config
-	fleet       Fleet
-	loadReports *gossip.Store // what agents tell; only sums of it leave the hub
+	fleet       Fleet         // set by Run before ready
+	loadReports *gossip.Store // the agents' observations of the list service
 	registry    *registry
-	publisher
-	admission
-	reportProgress
+	evidence    *evidence
+	admission   *admission
+	startedAt   time.Time // origin of the clock in messages to agents
 
-	startedAt      time.Time    // when the process began
-	ready          atomic.Bool  // it takes agents in
-	openStreams    atomic.Int32 // streams, those without a name included
-	protocolErrors atomic.Int64 // streams that ended by what makes no sense
-	tasks          sync.WaitGroup
-	readyMu        sync.Mutex // ready goes before tasks are begun
-
-	mu            sync.Mutex
-	resumedAt     time.Time            // since then it has run without a stop
-	reportedDead  map[string]time.Time // when a process was dead, of all names of which any hub or member told of late
-	attachedByHub map[string]uint32    // agents that another hub had, by its name, as last told
-	hubsDeadAt    map[string]time.Time // hubs that are missing whose machine refuses connections, by address, since when
-	allReportedAt time.Time            // each hub has told something that it saw then or later; zero: not every one has
+	ready          atomic.Bool    // agents are taken in
+	readyMu        sync.Mutex     // held while a stream is added to streams, and while ready is cleared
+	streams        sync.WaitGroup // goroutines of streams
+	openStreams    atomic.Int32   // those in a handshake included
+	protocolErrors atomic.Int64   // streams that ended by a violation of the protocol
 }
 
 const (
-	defaultAdmitRate = 200.0
-	maxExtraStreams  = 64 // streams beside those of the agents that the fleet may have
+	defaultAdmitRate = 200.0 // new streams per second
+	maxExtraStreams  = 64    // beyond MaxAgents: of agents that move, and of clients that are no agents
 )
 
-// New returns a hub that is to be run in a fleet.
+// New returns a hub that takes agents in once Run is called.
 func New(cfg Config) *Server {
 	if cfg.Bounds == nil {
 		cfg.Bounds = gossip.DefaultAgeBounds
@@ -82,18 +107,25 @@
 		cfg.AdmitRate = defaultAdmitRate
 	}
 	now := time.Now()
-	return &Server{cfg: cfg, loadReports: gossip.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil), registry: newRegistry(), admission: admission{rate: cfg.AdmitRate, tokens: max(1, cfg.AdmitRate/10), refilledAt: now},
-		startedAt: now, resumedAt: now, reportedDead: map[string]time.Time{}, attachedByHub: map[string]uint32{}, hubsDeadAt: map[string]time.Time{}}
+	return &Server{
+		cfg:         cfg,
+		loadReports: gossip.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil),
+		registry:    newRegistry(),
+		evidence:    newEvidence(cfg.Bounds[gossip.DeadProcesses], cfg.MaxAgents, now),
+		admission:   newAdmission(cfg.AdmitRate, now),
+		startedAt:   now,
+	}
 }
 
-// Run serves agents until ctx ends, and then closes their streams, so that they move at once.
+// Run serves agents until ctx ends, then closes their streams, so that the agents move at once, and waits for all goroutines
+// of the hub. It may be called once.
 func (s *Server) Run(ctx context.Context, fleet Fleet) {
 	s.fleet = fleet
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var loops sync.WaitGroup
-	loops.Go(func() { s.publishSums(ctx) })
-	loops.Go(func() { s.confirmDead(ctx) })
+	loops.Go(func() { s.publishLoop(ctx) })
+	loops.Go(func() { s.failureDetector(ctx) })
 	loops.Go(func() { s.reportAttachments(ctx) })
 	s.ready.Store(true)
 	<-ctx.Done()
@@ -104,11 +136,11 @@
 		a.close()
 	}
 	s.admission.close()
-	s.tasks.Wait()
+	s.streams.Wait()
 	loops.Wait()
 }
 
-// ServeHTTP answers what agents and other hubs ask on the hub's fleet address.
+// ServeHTTP serves agents and other hubs on the hub's fleet address. Before and after Run it answers 503.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !s.ready.Load() {
 		http.Error(w, "this hub is not ready", http.StatusServiceUnavailable)
@@ -125,13 +157,3 @@
 		http.NotFound(w, r)
 	}
 }
-
-// deadMaxAge is the bound of a word that a process is dead.
-func (s *Server) deadMaxAge() time.Duration { return s.cfg.Bounds[gossip.DeadProcesses] }
-
-// uptime is how long the hub has run without a stop: what was told before may not have been heard.
-func (s *Server) uptime(now time.Time) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return now.Sub(s.resumedAt)
-}
--- a/internal/fleet/hub/settingsreport.go
+++ b/internal/fleet/hub/settingsreport.go
@@ -18,62 +18,64 @@
 
 const (
 	pathSettings     = "/fleet/settings"
-	maxReported      = 200 // agents in an answer
-	maxLogged        = 20
-	laggingThreshold = 14 * time.Second // without the latest settings
+	maxReported      = 200              // lagging agents in a report
+	laggingThreshold = 14 * time.Second // an agent without the latest settings for longer is logged
+	noReason         = "it has not said that it has them"
 )
 
 // SettingsReport says which settings are current in a fleet, and which agents lack them. GET /fleet/settings answers with it.
 type SettingsReport struct {
-	Version      int64          `json:"version"`
+	Version      int64          `json:"version"` // the current one
 	Digest       string         `json:"digest"`
 	Agents       int            `json:"agents"`
-	Applied      int            `json:"in_force"`
+	Applied      int            `json:"in_force"` // agents that have applied it
 	Lagging      []LaggingAgent `json:"behind"`
-	Omitted      int            `json:"cut,omitempty"`    // who are behind and not named
-	Unresponsive []string       `json:"silent,omitempty"` // hubs that did not answer
+	Omitted      int            `json:"cut,omitempty"`    // lagging agents beyond those named
+	Unresponsive []string       `json:"silent,omitempty"` // hubs that did not answer, by name or address
 }
 
 // LaggingAgent is an agent that has not applied the current settings.
 type LaggingAgent struct {
 	Agent   string `json:"agent"`
 	Hub     string `json:"hub"`
-	Version int64  `json:"version"`
-	Reason  string `json:"why"`
+	Version int64  `json:"version"` // that it has applied
+	Reason  string `json:"why"`     // as the agent says, or why nothing is known
 }
 
 // currentSettings returns the version that this hub holds, the zero value without one.
-func (s *Server) currentSettings() (state documents.AppliedVersion) {
+func (s *Server) currentSettings() (current documents.AppliedVersion) {
 	if s.cfg.Settings != nil {
-		state = s.cfg.Settings.Applied()
+		current = s.cfg.Settings.Applied()
 	}
-	return state
+	return current
 }
 
 // hasApplied reports whether applied, an agent's version, is the current one or later. Of several documents under one version
 // the first counts.
-func hasApplied(state documents.AppliedVersion, applied frame.AppliedVersion) bool {
-	return applied.Version > state.Version || applied.Version == state.Version && (len(state.Digests) == 0 || applied.Digest == state.Digests[0])
+func hasApplied(current documents.AppliedVersion, applied frame.AppliedVersion) bool {
+	return applied.Version > current.Version ||
+		applied.Version == current.Version && (len(current.Digests) == 0 || applied.Digest == current.Digests[0])
 }
 
 // localReport reports on the agents attached here, and on the disconnected ones that are not known to be dead.
-func (s *Server) localReport(state documents.AppliedVersion, now time.Time) SettingsReport {
-	report := SettingsReport{Version: state.Version, Lagging: []LaggingAgent{}}
-	if len(state.Digests) > 0 {
-		report.Digest = state.Digests[0]
+func (s *Server) localReport(current documents.AppliedVersion, now time.Time) SettingsReport {
+	report := SettingsReport{Version: current.Version, Lagging: []LaggingAgent{}}
+	if len(current.Digests) > 0 {
+		report.Digest = current.Digests[0]
 	}
 	for _, a := range s.registry.attachments() {
 		status := a.status()
-		if report.Agents++; hasApplied(state, status.Settings) {
+		if report.Agents++; hasApplied(current, status.Settings) {
 			report.Applied++
 			continue
 		}
-		report.add(LaggingAgent{a.name, s.cfg.Name, status.Settings.Version, cmp.Or(status.Settings.Reason, "it has not said that it has them")})
+		report.add(LaggingAgent{a.name, s.cfg.Name, status.Settings.Version, cmp.Or(status.Settings.Reason, noReason)})
 	}
 	for _, agent := range s.registry.unconfirmed() {
-		if !hasApplied(state, agent.lastStatus.Settings) {
+		if !hasApplied(current, agent.lastStatus.Settings) {
 			report.Agents++
-			report.add(LaggingAgent{agent.name, s.cfg.Name, agent.lastStatus.Settings.Version, "not heard for " + now.Sub(agent.disconnectedAt).Round(time.Second).String()})
+			reason := "not heard for " + now.Sub(agent.disconnectedAt).Round(time.Second).String()
+			report.add(LaggingAgent{agent.name, s.cfg.Name, agent.lastStatus.Settings.Version, reason})
 		}
 	}
 	return report
@@ -99,24 +101,24 @@
 // handleSettings answers with a report over all hubs; or, if the query has a version, as another hub asks, over this hub alone
 // and against that version.
 func (s *Server) handleSettings(w http.ResponseWriter, req *http.Request) {
-	state, now := s.currentSettings(), time.Now()
+	current, now := s.currentSettings(), time.Now()
 	query := req.URL.Query()
 	var report SettingsReport
 	if version, err := strconv.ParseInt(query.Get("version"), 10, 64); err == nil {
 		report = s.localReport(documents.AppliedVersion{Version: version, Digests: query["digest"]}, now)
 	} else {
-		report = s.localReport(state, now)
-		s.mergeRemoteReports(req, state, &report)
+		report = s.localReport(current, now)
+		s.mergeRemoteReports(req, current, &report)
 	}
 	slices.SortFunc(report.Lagging, func(a, b LaggingAgent) int { return cmp.Compare(a.Agent, b.Agent) })
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(report) // the other side sees that it is cut off
+	_ = json.NewEncoder(w).Encode(report) // the caller sees that the answer is cut off
 }
 
 // mergeRemoteReports adds to report those of the other hubs, which it asks all at once, and names the hubs that do not answer
 // and those that are missing.
-func (s *Server) mergeRemoteReports(req *http.Request, state documents.AppliedVersion, report *SettingsReport) {
-	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(state.Version, 10)}, "digest": state.Digests}.Encode()
+func (s *Server) mergeRemoteReports(req *http.Request, current documents.AppliedVersion, report *SettingsReport) {
+	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(current.Version, 10)}, "digest": current.Digests}.Encode()
 	hubs := s.fleet.Hubs()
 	answers, errs := make([]SettingsReport, len(hubs)), make([]error, len(hubs))
 	var calls sync.WaitGroup
@@ -139,10 +141,10 @@
 // laggingAgents updates since when each agent lags, and returns the names and reasons of those that have lagged for longer
 // than laggingThreshold, sorted.
 func (s *Server) laggingAgents(now time.Time) (list []string) {
-	state := s.currentSettings()
+	current := s.currentSettings()
 	for _, a := range s.registry.attachments() {
-		if since := a.updateLagging(state, now); !since.IsZero() && now.Sub(since) > laggingThreshold {
-			list = append(list, a.name+": "+cmp.Or(a.status().Settings.Reason, "it has not said that it has them"))
+		if since := a.updateLagging(current, now); !since.IsZero() && now.Sub(since) > laggingThreshold {
+			list = append(list, a.name+": "+cmp.Or(a.status().Settings.Reason, noReason))
 		}
 	}
 	slices.Sort(list)
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -217,7 +217,7 @@
 	previous := a.streams
 	a.streams, a.hub = []net.Conn{near}, hub
 	sim.mu.Unlock()
-	server.tasks.Go(func() { server.serveStream(far, bufio.NewReader(far)); far.Close() })
+	server.streams.Go(func() { server.serveStream(far, bufio.NewReader(far)); far.Close() })
 	sim.tasks.Go(func() { a.read(near, hub) })
 	sim.tasks.Go(func() {
 		time.Sleep(100 * time.Millisecond)
