--- a/internal/fleet/hub/admission_test.go
+++ b/internal/fleet/hub/admission_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	hub := startHub(t, "hub", 100, func(c *Config) { c.AdmitRate = 10 })
 	if _, _, err := dialUpgrade(hub.fleet.Addr(), "other"); !errors.Is(err, errStatus) || !strings.Contains(err.Error(), "403") {
-		t.Errorf("another fleet's: %v", err)
+		t.Errorf("agent of another fleet: %v", err)
 	}
 	conn, reader, err := dialUpgrade(hub.fleet.Addr(), "")
 	if err != nil {
@@ -26,13 +26,13 @@
 	defer conn.Close()
 	_ = writeFrame(conn, &frame.Frame{Hello: &frame.Hello{Label: "other", Name: "x"}})
 	if f, err := frame.Read(reader); err == nil {
-		t.Errorf("another fleet's is told %+v", f)
+		t.Errorf("agent of another fleet is sent %+v", f)
 	}
 	startedAt, admitted := time.Now(), 0
 	var waits []time.Duration
 	for i := range 20 {
 		a := attachAgent(t, hub, frame.Hello{Name: fmt.Sprint("n", i), Incarnation: 1}, servingState)
-		waitFor(t, "an answer", func() bool {
+		waitFor(t, "answer", func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			if a.busy != nil {
@@ -44,11 +44,11 @@
 		})
 	}
 	if limit := 1 + 10*time.Since(startedAt).Seconds(); float64(admitted) > limit || admitted == 0 {
-		t.Errorf("%d taken in %v", admitted, time.Since(startedAt))
+		t.Errorf("%d admitted in %v", admitted, time.Since(startedAt))
 	}
 	for _, wait := range waits {
 		if wait <= 0 || wait > maxRetryAfter {
-			t.Errorf("come again after %v", wait)
+			t.Errorf("retry after %v", wait)
 		}
 	}
 }
--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -17,20 +17,20 @@
 	t.Parallel()
 	hubs := startHubs(t, 2, 10)
 	first := attachAgent(t, hubs[0], frame.Hello{Name: "a", Incarnation: 5}, servingState)
-	waitFor(t, "it", func() bool { return first.fleetSize().Attached == 1 })
+	waitFor(t, "fleet size", func() bool { return first.fleetSize().Attached == 1 })
 	if early := attachAgent(t, hubs[0], frame.Hello{Name: "a", Incarnation: 4}, servingState); true {
-		waitFor(t, "an earlier one's end", early.closed)
+		waitFor(t, "end of the earlier process", early.closed)
 	}
 	early := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 4}, servingState)
-	waitFor(t, "an earlier one's end at another hub", early.closed)
+	waitFor(t, "end of the earlier process at another hub", early.closed)
 	if first.closed() {
-		t.Error("the later one's stream has ended, too")
+		t.Error("the stream of the later process has ended")
 	}
 	later := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 6}, servingState)
-	waitFor(t, "the end of one that was the latest", first.closed)
+	waitFor(t, "end of the process that was the latest", first.closed)
 	last := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 7}, servingState)
-	waitFor(t, "the end of one at the same hub", later.closed)
-	waitFor(t, "one agent", func() bool { return last.fleetSize().Attached == 1 })
+	waitFor(t, "end of the earlier process at the same hub", later.closed)
+	waitFor(t, "fleet size of one agent", func() bool { return last.fleetSize().Attached == 1 })
 }
 
 // Malformed frames, a flood of frames, and an agent that does not read cost no other agent anything.
@@ -38,51 +38,56 @@
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
 	good := attachAgent(t, hub, frame.Hello{Name: "good", Incarnation: 1}, servingState)
-	waitFor(t, "a census", func() bool { return good.fleetSize().Attached == 1 })
-	for name, text := range map[string]string{"long": "\x7f\xff\xff\xff", "malformed": "\x00\x00\x00\x02\xff\xff", "welcome": "\x00\x00\x00\x08\xa2\x01\x01\x03\xa1\x01\x61h"} {
+	waitFor(t, "fleet size", func() bool { return good.fleetSize().Attached == 1 })
+	for name, text := range map[string]string{
+		"long":      "\x7f\xff\xff\xff",
+		"malformed": "\x00\x00\x00\x02\xff\xff",
+		"welcome":   "\x00\x00\x00\x08\xa2\x01\x01\x03\xa1\x01\x61h",
+	} {
 		bad := attachAgent(t, hub, frame.Hello{Name: name, Incarnation: 1}, nil)
-		waitFor(t, "a welcome", func() bool { bad.mu.Lock(); defer bad.mu.Unlock(); return bad.welcome != nil })
+		waitFor(t, "welcome", func() bool { bad.mu.Lock(); defer bad.mu.Unlock(); return bad.welcome != nil })
 		if _, err := bad.conn.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "its end: "+name, bad.closed)
+		waitFor(t, "end of the stream: "+name, bad.closed)
 	}
 	if hub.protocolErrors.Load() != 3 {
-		t.Errorf("%d streams counted", hub.protocolErrors.Load())
+		t.Errorf("%d protocol errors counted, want 3", hub.protocolErrors.Load())
 	}
-	// A thousand frames a second, and what others say in its name.
-	flooding := attachAgent(t, hub, frame.Hello{Name: "loud", Incarnation: 1}, nil)
+	// An agent floods the hub with frames.
+	flooding := attachAgent(t, hub, frame.Hello{Name: "flooding", Incarnation: 1}, nil)
 	startedAt := time.Now()
-	_ = flooding.conn.SetWriteDeadline(startedAt.Add(2 * time.Second)) // they are not taken in time
+	_ = flooding.conn.SetWriteDeadline(startedAt.Add(2 * time.Second)) // the hub does not read them in time
 	for i := range 2000 {
-		if writeFrame(flooding.conn, &frame.Frame{State: &frame.State{Seq: uint32(i), Serving: true, Settings: frame.AppliedVersion{Version: 1, Reason: strings.Repeat("x", 500)}}}) != nil {
+		state := frame.State{Seq: uint32(i), Serving: true, Settings: frame.AppliedVersion{Version: 1, Reason: strings.Repeat("x", 500)}}
+		if writeFrame(flooding.conn, &frame.Frame{State: &state}) != nil {
 			break
 		}
 	}
 	applied := func() (n uint32) {
 		for _, a := range hub.registry.attachments() {
-			if a.name == "loud" {
+			if a.name == "flooding" {
 				n = a.status().Seq
 			}
 		}
 		return n
 	}
 	if n := applied(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
-		t.Errorf("%d frames taken in %v", n, time.Since(startedAt))
+		t.Errorf("%d frames read in %v", n, time.Since(startedAt))
 	}
-	// One that does not read: its stream ends, once its buffers are full.
+	// An agent does not read: its stream ends once its buffers are full.
 	unresponsive, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unresponsive.Close()
-	if err := writeFrame(unresponsive, &frame.Frame{Hello: &frame.Hello{Label: t.Name(), Name: "deaf", Incarnation: 1}}); err != nil {
+	if err := writeFrame(unresponsive, &frame.Frame{Hello: &frame.Hello{Label: t.Name(), Name: "unresponsive", Incarnation: 1}}); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "it", func() bool { return findAttachment(hub, "deaf") != nil })
-	a := findAttachment(hub, "deaf")
+	waitFor(t, "attachment", func() bool { return findAttachment(hub, "unresponsive") != nil })
+	a := findAttachment(hub, "unresponsive")
 	big := make([]byte, 4<<20)
-	for !isClosed(a.done) { // each replaces the one before: no more than one is held
+	for !isClosed(a.done) { // each frame replaces the one before: at most one is pending
 		a.enqueue(big)
 		if writeFrame(unresponsive, &frame.Frame{State: servingState}) != nil {
 			break
@@ -90,7 +95,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if good.closed() || good.fleetSize().Attached == 0 {
-		t.Error("the good one is not told any more")
+		t.Error("the well-behaved agent has no stream or no fleet size any more")
 	}
 }
 
@@ -131,12 +136,12 @@
 	writeRaw(map[int]any{1: 9, 5: map[int]any{2: true, 17: "later"}, 30: "later still"})
 	writeRaw(map[int]any{1: 1, 5: map[int]any{1: 3, 2: true}})
 	writeRaw(map[int]any{1: 9, 31: "only what is not known"})
-	waitFor(t, "its state", func() bool { return a.fleetSize() == FleetSize{1, 0, 0} })
+	waitFor(t, "fleet size", func() bool { return a.fleetSize() == FleetSize{1, 0, 0} })
 	size, err := ParseFleetSize([]byte{0xa2, 0x01, 0x03, 0x18, 0x20, 0x01}) // without some fields, with another
 	if err != nil || size != (FleetSize{3, 0, 0}) {
 		t.Errorf("%+v, %v", size, err)
 	}
 	if a.closed() {
-		t.Error("its stream ended")
+		t.Error("the stream has ended")
 	}
 }
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("no %s within %v", what, waitTimeout)
 		}
 	}
 }
@@ -48,7 +48,10 @@
 		tune(&cfg)
 	}
 	hub := &testHub{Server: New(cfg)}
-	fleetCfg := fleet.Config{Name: name, Site: "a", Listen: "127.0.0.1:0", Label: t.Name(), MaxMembers: maxAgents, ListRate: 50, Hub: true, HTTPHandler: hub.Server, Settings: cfg.Settings, Log: log}
+	fleetCfg := fleet.Config{
+		Name: name, Site: "a", Listen: "127.0.0.1:0", Label: t.Name(), MaxMembers: maxAgents, ListRate: 50,
+		Hub: true, HTTPHandler: hub.Server, Settings: cfg.Settings, Log: log,
+	}
 	for _, seed := range seeds {
 		fleetCfg.Seeds = append(fleetCfg.Seeds, seed.fleet.Addr())
 	}
@@ -62,7 +65,7 @@
 	tasks.Go(func() { hub.Run(ctx, hub.fleet) })
 	hub.stop = func() { cancel(); tasks.Wait() }
 	t.Cleanup(hub.stop)
-	waitFor(t, "a hub that is ready", hub.ready.Load)
+	waitFor(t, "ready hub", hub.ready.Load)
 	return hub
 }
 
@@ -76,7 +79,7 @@
 		hubs = append(hubs, startHub(t, fmt.Sprint("hub", i), maxAgents, nil, hubs...))
 	}
 	for _, hub := range hubs {
-		waitFor(t, "the other hubs", func() bool { return len(hub.fleet.Hubs()) == n-1 })
+		waitFor(t, "membership of the other hubs", func() bool { return len(hub.fleet.Hubs()) == n-1 })
 	}
 	return hubs
 }
@@ -113,7 +116,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: %s\r\n%s: %s\r\n\r\n", frame.Path, frame.Protocol, LabelHeader, label)
+	fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: %s\r\n%s: %s\r\n\r\n",
+		frame.Path, frame.Protocol, LabelHeader, label)
 	reader := bufio.NewReader(conn)
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil || resp.StatusCode != http.StatusSwitchingProtocols {
--- a/internal/fleet/hub/quotas_test.go
+++ b/internal/fleet/hub/quotas_test.go
@@ -55,7 +55,7 @@
 			}
 			sim.run(8 * time.Second)
 			if sum := sim.quotaSum(); sum < 0.99 {
-				t.Errorf("seed %d: seven are dead, and the others' parts come to %v", seed, sum)
+				t.Errorf("seed %d: seven agents are dead, and the quotas of the others add up to %v", seed, sum)
 			}
 		})
 	}
--- a/internal/fleet/hub/registry_test.go
+++ b/internal/fleet/hub/registry_test.go
@@ -12,22 +12,22 @@
 // for a move back: nobody would check whether the agent is dead.
 func TestAgentThatDiesSoonAfterAMoveIsChecked(t *testing.T) {
 	for _, tt := range []struct {
-		what        string
-		heard, died time.Duration // after it came here
-		lost        int
+		name             string
+		reported, diedAt time.Duration // since the agent attached here
+		checked          int           // agents due for a check
 	}{
-		{"the other hub's word crosses the move", 200 * time.Millisecond, 5 * time.Second, 1},
-		{"it comes as late as it can", hubCallTimeout + 2*reportInterval - time.Millisecond, 5 * time.Second, 1},
-		{"it moves on", 4 * time.Second, 4100 * time.Millisecond, 0},
-		{"it moves on, and is seen to leave late", 4 * time.Second, 6 * time.Second, 0},
+		{"the other hub's report crosses the move", 200 * time.Millisecond, 5 * time.Second, 1},
+		{"the report comes as late as it can", hubCallTimeout + 2*reportInterval - time.Millisecond, 5 * time.Second, 1},
+		{"the agent moves on", 4 * time.Second, 4100 * time.Millisecond, 0},
+		{"the agent moves on, and its stream ends late", 4 * time.Second, 6 * time.Second, 0},
 	} {
 		now, r := time.Now(), newRegistry()
 		a := &attachment{name: "a", incarnation: 1, addr: netip.MustParseAddrPort("127.0.0.1:1"), attachedAt: now}
 		r.attach(a, now)
-		r.applyRemote("a", 1, now.Add(tt.heard))
-		r.detach(a, false, now.Add(tt.died))
-		if got := len(r.nextChecks(10, now.Add(tt.died))); got != tt.lost {
-			t.Errorf("%s: %d are looked for, want %d", tt.what, got, tt.lost)
+		r.applyRemote("a", 1, now.Add(tt.reported))
+		r.detach(a, false, now.Add(tt.diedAt))
+		if got := len(r.nextChecks(10, now.Add(tt.diedAt))); got != tt.checked {
+			t.Errorf("%s: %d agents are due for a check, want %d", tt.name, got, tt.checked)
 		}
 	}
 	now, r := time.Now(), newRegistry()
@@ -36,6 +36,6 @@
 	r.applyRemote("a", 2, now.Add(200*time.Millisecond)) // a later process
 	r.detach(a, false, now.Add(time.Second))
 	if len(r.nextChecks(10, now.Add(time.Second))) > 0 {
-		t.Error("a process is looked for that a later one has replaced")
+		t.Error("a process is due for a check though a later one has replaced it")
 	}
 }
--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -40,7 +40,8 @@
 
 // documentKind returns the settings document of this holder.
 func (h *fakeHolder) documentKind() *documents.Document {
-	return &documents.Document{GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: 1 << 10, Holder: h, Digest: func(text string) string { return "of " + text },
+	return &documents.Document{GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: 1 << 10, Holder: h,
+		Digest: func(text string) string { return "of " + text },
 		Applied: func() documents.AppliedVersion {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -61,8 +62,9 @@
 		holders = append(holders, holder)
 		hubs = append(hubs, startHub(t, fmt.Sprint("hub", i), 10, func(c *Config) { c.Settings = holder.documentKind() }, hubs...))
 	}
-	a := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 1}, &frame.State{Settings: frame.AppliedVersion{Version: 2, Digest: "of two"}})
-	b := attachAgent(t, hubs[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{Settings: frame.AppliedVersion{Version: 1, Reason: "a key is unknown"}})
+	current, lagging := frame.AppliedVersion{Version: 2, Digest: "of two"}, frame.AppliedVersion{Version: 1, Reason: "a key is unknown"}
+	a := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 1}, &frame.State{Settings: current})
+	b := attachAgent(t, hubs[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{Settings: lagging})
 	published := func(agent *fakeAgent, v int64) func() bool {
 		return func() bool {
 			for _, f := range agent.gossip.Entries(gossip.SettingsVersion) {
@@ -74,12 +76,12 @@
 		}
 	}
 	for v, text := range map[int64]string{1: "one", 2: "two"} {
-		_ = holders[0].Apply(v, text) // the second goes before the first, or comes too late
+		_ = holders[0].Apply(v, text) // in either order: a lower version after a higher one is rejected
 	}
-	waitFor(t, "the settings", published(a, 2))
-	waitFor(t, "the settings", published(b, 2))
+	waitFor(t, "published settings", published(a, 2))
+	waitFor(t, "published settings", published(b, 2))
 	var report SettingsReport
-	waitFor(t, "the report", func() bool {
+	waitFor(t, "report on both agents", func() bool {
 		resp, err := http.Get("http://" + hubs[0].fleet.Addr() + pathSettings)
 		if err != nil {
 			return false
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -30,10 +30,10 @@
 	tasks         sync.WaitGroup
 	mu            sync.Mutex
 	hubs          []*simHub
-	agents        []*simAgent // the last process of each name; nil: none yet
-	started       []*simAgent // processes that live
-	incarnations  uint64      // of processes
-	partitioned   bool        // hubs are apart by their number's last bit, and from the agents of the other half
+	agents        []*simAgent // the latest process of each name; nil: none yet
+	started       []*simAgent // all processes, in the order of their start
+	incarnations  uint64      // the latest that was given to an agent's process
+	partitioned   bool        // hubs and agents with odd numbers are cut off from those with even ones
 	partitionedAt time.Time
 }
 
@@ -66,7 +66,11 @@
 
 // member returns this hub as a member. Ports from 1000 on are hubs, those below are agents.
 func (h *simHub) member() member.Member {
-	return member.Member{Name: fmt.Sprint("hub", h.n), Addr: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1000+h.n)), Meta: member.Meta{Incarnation: h.incarnation, Hub: true}}
+	return member.Member{
+		Name: fmt.Sprint("hub", h.n),
+		Addr: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1000+h.n)),
+		Meta: member.Meta{Incarnation: h.incarnation, Hub: true},
+	}
 }
 
 // otherHubs returns the other hubs that are seen as members, or those that are not. A partition is seen 3 s late.
@@ -74,7 +78,6 @@
 	h.sim.mu.Lock()
 	defer h.sim.mu.Unlock()
 	for _, other := range h.sim.hubs {
-		// That others are not there any more is seen late.
 		visible := other.server != nil && (!h.sim.isPartitioned(other.n, h.n) || time.Since(h.sim.partitionedAt) < 3*time.Second)
 		if other != h && visible == present {
 			list = append(list, other.member())
@@ -99,7 +102,7 @@
 	return !h.sim.isPartitioned(n, h.n) && (h.sim.agents[n] == nil || h.sim.agents[n].dead)
 }
 
-var errPartitioned = errors.New("cut")
+var errPartitioned = errors.New("partitioned")
 
 func (h *simHub) Dial(_ context.Context, _, addr string) (net.Conn, error) {
 	addrPort, err := netip.ParseAddrPort(addr)
@@ -107,7 +110,7 @@
 		return nil, err
 	}
 	h.sim.mu.Lock()
-	defer h.sim.mu.Unlock() // up to the end: what takes connections is closed once the hub is not there any more
+	defer h.sim.mu.Unlock() // until the connection is queued: stop closes conns after it has cleared server
 	target := h.sim.hubs[int(addrPort.Port())-1000]
 	if target.server == nil || h.sim.isPartitioned(target.n, h.n) {
 		return nil, errPartitioned
@@ -116,7 +119,7 @@
 	select {
 	case target.conns <- far:
 		return near, nil
-	default: // its queue is full
+	default: // the queue is full
 		return nil, errPartitioned
 	}
 }
@@ -140,7 +143,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.gossip = gossip.New(name, h.incarnation, gossip.DefaultAgeBounds, nil)
 	h.conns = make(chan net.Conn, 64)
-	hubServer := New(Config{Name: name, Incarnation: h.incarnation, MaxAgents: h.sim.maxAgents, AdmitRate: 1000, Log: slog.New(slog.DiscardHandler)})
+	log := slog.New(slog.DiscardHandler)
+	hubServer := New(Config{Name: name, Incarnation: h.incarnation, MaxAgents: h.sim.maxAgents, AdmitRate: 1000, Log: log})
 	server := &http.Server{Handler: hubServer}
 	var tasks sync.WaitGroup
 	tasks.Go(func() { hubServer.Run(ctx, h) })
@@ -169,7 +173,7 @@
 		}
 		from.gossip.Tick()
 		for _, to := range s.hubs {
-			if from != to && to.server != nil && !s.isPartitioned(from.n, to.n) && s.rand.IntN(4) > 0 { // some are lost
+			if from != to && to.server != nil && !s.isPartitioned(from.n, to.n) && s.rand.IntN(4) > 0 {
 				if data := from.gossip.NextMessage(1000, len(s.hubs)); data != nil {
 					_ = to.gossip.Merge(data)
 				}
@@ -181,7 +185,8 @@
 // spawn starts a process of the n-th agent.
 func (s *simulation) spawn(n int) {
 	s.incarnations++
-	a := &simAgent{sim: s, n: n, incarnation: s.incarnations, startedAt: time.Now(), gossip: gossip.New(fmt.Sprint("agent", n), s.incarnations, gossip.DefaultAgeBounds, nil)}
+	store := gossip.New(fmt.Sprint("agent", n), s.incarnations, gossip.DefaultAgeBounds, nil)
+	a := &simAgent{sim: s, n: n, incarnation: s.incarnations, startedAt: time.Now(), gossip: store}
 	s.mu.Lock()
 	s.agents[n] = a
 	s.started = append(s.started, a)
@@ -241,7 +246,8 @@
 	if _, err := reader.Discard(len(switchingProtocols)); err != nil {
 		return
 	}
-	if writeFrame(conn, &frame.Frame{Hello: &frame.Hello{Name: fmt.Sprint("agent", a.n), Incarnation: a.incarnation, Addr: fmt.Sprintf("0.0.0.0:%d", a.n)}}) != nil {
+	hello := frame.Hello{Name: fmt.Sprint("agent", a.n), Incarnation: a.incarnation, Addr: fmt.Sprintf("0.0.0.0:%d", a.n)}
+	if writeFrame(conn, &frame.Frame{Hello: &hello}) != nil {
 		return
 	}
 	a.sim.tasks.Go(func() {
@@ -252,7 +258,7 @@
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
 		f, err := frame.Read(reader)
-		if a.unreachable(hub) { // as a cut is: the hub sees nothing but silence
+		if a.unreachable(hub) { // as beyond a partition: the hub receives nothing, and no reset
 			time.Sleep(2500 * time.Millisecond)
 			return
 		}
@@ -319,7 +325,7 @@
 			}
 		}
 		if sum := s.quotaSum(); sum > 1.1+1e-9 {
-			s.t.Fatalf("the parts come to %v", sum)
+			s.t.Fatalf("the quotas add up to %v", sum)
 		}
 	}
 }
@@ -335,7 +341,7 @@
 		agent.kill(false)
 	case choice == 3:
 		agent.kill(true)
-	case choice == 4: // and back at once
+	case choice == 4: // restarted at once
 		agent.kill(false)
 		s.spawn(n)
 	case choice < 7:
@@ -344,7 +350,7 @@
 		s.mu.Lock()
 		s.partitioned, s.partitionedAt = !s.partitioned, time.Now()
 		s.mu.Unlock()
-	case choice == 8: // seven in ten at once
+	case choice == 8: // seven of ten die at once
 		for i, other := range s.agents {
 			if other != nil && !other.dead && i%10 < 7 {
 				other.kill(false)
