--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -21,29 +21,38 @@
 	if f, err := decode(data); err != nil || f.Version != 7 || f.Hello.Name != "n" {
 		t.Errorf("%+v %v", f, err)
 	}
-	for name, f := range map[string]Frame{"no name": {Hello: &Hello{}}, "a long name": {Hello: &Hello{Name: strings.Repeat("n", maxName+1)}},
-		"a long why": {State: &State{Policy: AppliedVersion{Reason: strings.Repeat("w", maxReason+1)}}}, "a negative wait": {Busy: &Busy{RetryAfter: -1}},
-		"a negative version": {State: &State{Settings: AppliedVersion{Version: -1}}}} {
+	for name, f := range map[string]Frame{
+		"no name":            {Hello: &Hello{}},
+		"a long name":        {Hello: &Hello{Name: strings.Repeat("n", maxName+1)}},
+		"a long reason":      {State: &State{Policy: AppliedVersion{Reason: strings.Repeat("w", maxReason+1)}}},
+		"a negative wait":    {Busy: &Busy{RetryAfter: -1}},
+		"a negative version": {State: &State{Settings: AppliedVersion{Version: -1}}},
+	} {
 		data, err := Encode(&f)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Read(bytes.NewReader(data)); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 	if _, err := Encode(&Frame{Gossip: make([]byte, maxFrame)}); err == nil {
-		t.Error("a frame is written that nobody reads")
+		t.Error("a frame is encoded that Read rejects")
 	}
 	if _, err := Read(bytes.NewReader([]byte{0xff, 0, 0, 0})); err == nil {
-		t.Error("a frame of gigabytes is waited for")
+		t.Error("a frame of gigabytes is accepted")
 	}
 }
 
 // Whatever is read is an error, or a frame that is encoded as it was read.
 func FuzzRead(f *testing.F) {
-	for _, x := range []Frame{{Hello: &Hello{Label: "l", Name: "n", Site: "z"}}, {State: &State{Seq: 3, Settings: AppliedVersion{2, "d", "w"}}},
-		{Gossip: []byte{1, 2}, Echo: &Echo{Seq: 1, HoldTime: 5}, QuotaConfirmed: true}, {Busy: &Busy{RetryAfter: 1}}, {Leave: true}} {
+	for _, x := range []Frame{
+		{Hello: &Hello{Label: "l", Name: "n", Site: "z"}},
+		{State: &State{Seq: 3, Settings: AppliedVersion{2, "d", "w"}}},
+		{Gossip: []byte{1, 2}, Echo: &Echo{Seq: 1, HoldTime: 5}, QuotaConfirmed: true},
+		{Busy: &Busy{RetryAfter: 1}},
+		{Leave: true},
+	} {
 		data, err := Encode(&x)
 		if err != nil {
 			f.Fatal(err)
