--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -1,6 +1,7 @@
-// Package incarnation numbers the processes of one name, so that a later one counts as the later, also where its machine's
-// clock was set back between them. A number is the wall clock's reading, and above the one before, which is kept in a folder:
-// so numbers rise over a restart of the machine, and beside those of versions that took the clock's reading alone.
+// Package incarnation numbers the processes that run under one name, so that a later process has a higher number than an
+// earlier one, also where the machine's clock was set back between them. A number is the wall clock's reading in
+// milliseconds, or one more than the previous number if that is higher. The previous number is stored in a directory, which
+// survives a restart of the machine. Processes of program versions that used the clock's reading alone can be compared, too.
 package incarnation
 
 import (
@@ -15,23 +16,25 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Dir is where numbers are kept: the first of some folders that is given, else one beside the system's temporary files,
-// which a fleet's processes on a machine share.
+// Dir returns the directory for stored numbers: the first of candidates that is not empty, otherwise one beside the system's
+// temporary files, which the processes of a fleet on one machine share.
 func Dir(label string, candidates ...string) string {
 	return cmp.Or(cmp.Or(candidates...), filepath.Join(os.TempDir(), "martenbeam-"+url.PathEscape(label)))
 }
 
-// Allocator numbers the processes of a name.
+// Allocator allocates the incarnations of a name. Its methods may be called from any goroutine. Processes that run at the
+// same time under one name and directory may be given the same number.
 type Allocator struct {
-	Dir  string // where the latest number is kept; "": nowhere
+	Dir  string // holds the latest number; "": none does
 	Name string
-	Log  *slog.Logger // nil: nothing is logged
+	Log  *slog.Logger // nil: none
 }
 
-var mu sync.Mutex // at a time in this process
+// mu serializes the allocators of this process.
+var mu sync.Mutex
 
-// Next is the number of a process, or of one of its parts, that starts now. Without a folder, or where that can't be used, it
-// is as late as the clock says.
+// Next returns the number of a process, or of one of its parts, that starts now, and stores it. Without a directory, or if
+// the directory cannot be used, the number is the clock's reading, and the failure is logged.
 func (a Allocator) Next() uint64 {
 	now := bootclock.Wall().UnixMilli()
 	if a.Dir == "" {
