--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -1,5 +1,18 @@
-// Package hubd is the process of a hub: its place among the hubs, the texts that it holds, the list service that it follows
-// and the agents that it serves, as its configuration says.
+// Package hubd wires the process of a hub from its configuration:
+//
+//   - the settings and the residency policy: a holder of each, which starts with the stored version and, at a source, watches
+//     a file;
+//   - fleet.Fleet: the hub's membership among the hubs, their gossip, the replication of the two documents, and the relaying of
+//     the endpoint list;
+//   - hub.Server: the agents that attach here. The fleet hands it the HTTP requests that it does not serve itself, and it reads
+//     and publishes through the fleet;
+//   - discovery.Watcher: it watches the list service, if one is configured, for the agents that watch here; the hub does not
+//     use the list itself.
+//
+// The package keeps no state of its own: the holders own the documents, the Server and the Fleet what their packages say, and
+// all are safe for concurrent use. Settings do not age, and are never replaced by a lower version. The policy's age is the time
+// since a source confirmed it; the Server publishes it up to the age bound of gossip.ResidencyVersion. Hub.Run owns all
+// goroutines and waits for them.
 package hubd
 
 import (
@@ -22,23 +35,22 @@
 
 const connectTimeout = 250 * time.Millisecond // to the list service
 
-// Hub is a hub's process. It must be run.
+// Hub is the process of a hub. Create it with New and run it with Run.
 type Hub struct {
 	cfg      *config.Hub
 	log      *slog.Logger
-	trace    *os.File
+	trace    *os.File // nil: none
 	settings *settings.Holder
 	policy   *residency.Holder
 	server   *hub.Server
 	fleet    *fleet.Fleet
 }
 
-// New listens. program is the version of the program, as agents and other hubs see it.
-func New(cfg *config.Hub, program string, log *slog.Logger) (*Hub, error) {
+// New loads the stored documents and listens on the hub's fleet address. programVersion is what agents and other hubs are told.
+// The error is that of an address that cannot be used, or of the trace file.
+func New(cfg *config.Hub, programVersion string, log *slog.Logger) (*Hub, error) {
 	h := &Hub{cfg: cfg, log: log}
-	if err := h.loadDocuments(); err != nil {
-		return nil, err
-	}
+	h.loadDocuments()
 	var trace io.Writer
 	if cfg.Trace != "" {
 		var err error
@@ -47,26 +59,45 @@
 		}
 		trace = h.trace
 	}
+	bounds := ageBounds(cfg)
+	document := settings.DocumentKind(h.settings)
+	incarnations := incarnation.Allocator{
+		Dir:  incarnation.Dir(cfg.Label, cfg.Settings.State, cfg.Residency.State),
+		Name: cfg.Name, Log: log,
+	}
+	h.server = hub.New(hub.Config{
+		Name: cfg.Name, Label: cfg.Label, ProgramVersion: programVersion, Incarnation: incarnations.Next(),
+		MaxAgents: cfg.MaxAgents, AdmitRate: cfg.AdmitRate, Bounds: bounds,
+		Settings: document, Policy: fleet.PolicyReplicator(h.policy), PolicyAge: h.policy.ConfirmedAge,
+		Log: log, Trace: trace,
+	})
+	var err error
+	h.fleet, err = fleet.New(fleet.Config{
+		Name: cfg.Name, Site: cfg.Zone, Version: programVersion, Label: cfg.Label,
+		Listen: cfg.Listen, Advertise: cfg.Advertise, Seeds: cfg.Seeds,
+		MaxMembers: cfg.MaxAgents, Incarnations: incarnations, AgeBounds: bounds,
+		ListRate: cfg.ListRate, MeasureLatency: cfg.Matrix,
+		Residency: h.policy, PolicySource: cfg.Residency.File != "", Settings: document,
+		Hub: true, HTTPHandler: h.server, Log: log, Trace: trace,
+	}, cfg.Zones.Names, fleet.Callbacks{})
+	return h, err
+}
+
+// ageBounds returns the default age bounds with those that are configured in their place.
+func ageBounds(cfg *config.Hub) gossip.AgeBounds {
 	bounds := gossip.AgeBounds{}
-	for kind, d := range gossip.DefaultAgeBounds {
-		bounds[kind] = d
+	for kind, bound := range gossip.DefaultAgeBounds {
+		bounds[kind] = bound
 		if configured, ok := cfg.MaxAge[kind.String()]; ok {
 			bounds[kind] = configured.Duration()
 		}
 	}
-	kind := settings.DocumentKind(h.settings)
-	incarnations := incarnation.Allocator{Dir: incarnation.Dir(cfg.Label, cfg.Settings.State, cfg.Residency.State), Name: cfg.Name, Log: log}
-	h.server = hub.New(hub.Config{Name: cfg.Name, Label: cfg.Label, ProgramVersion: program, Incarnation: incarnations.Next(), MaxAgents: cfg.MaxAgents, AdmitRate: cfg.AdmitRate,
-		Bounds: bounds, Settings: kind, Policy: fleet.PolicyReplicator(h.policy), PolicyAge: h.policy.ConfirmedAge, Log: log, Trace: trace})
-	var err error
-	h.fleet, err = fleet.New(fleet.Config{Name: cfg.Name, Site: cfg.Zone, Version: program, Listen: cfg.Listen, Advertise: cfg.Advertise, Seeds: cfg.Seeds, Label: cfg.Label,
-		MaxMembers: cfg.MaxAgents, Incarnations: incarnations, AgeBounds: bounds, ListRate: cfg.ListRate, MeasureLatency: cfg.Matrix, Log: log, Trace: trace, Residency: h.policy, PolicySource: cfg.Residency.File != "",
-		Settings: kind, Hub: true, HTTPHandler: h.server}, cfg.Zones.Names, fleet.Callbacks{})
-	return h, err
+	return bounds
 }
 
-// loadDocuments begins with the texts that were kept, and those that are given here.
-func (h *Hub) loadDocuments() error {
+// loadDocuments creates the holders of the settings and of the policy, each with the stored version if there is one. A stored
+// version that cannot be used is logged, and the hub starts without it: other hubs have it.
+func (h *Hub) loadDocuments() {
 	settingsCfg, residencyCfg := &h.cfg.Settings, &h.cfg.Residency
 	holderCfg := settings.Config{Log: h.log}
 	if settingsCfg.State != "" {
@@ -78,23 +109,23 @@
 			h.log.Error("settings: what was kept can't be used", "error", err)
 		}
 	}
-	var store func(int64, []string) error
+	var save func(int64, []string) error
 	if residencyCfg.State != "" {
-		store = residency.SaveFunc(residencyCfg.State)
+		save = residency.SaveFunc(residencyCfg.State)
 	}
-	h.policy = residency.NewHolder(h.cfg.Zones.Names, residencyCfg.Bound.Duration(), residencyCfg.File != "", h.log, store)
+	h.policy = residency.NewHolder(h.cfg.Zones.Names, residencyCfg.Bound.Duration(), residencyCfg.File != "", h.log, save)
 	if residencyCfg.State != "" {
 		if err := h.policy.Load(residencyCfg.State); err != nil {
 			h.log.Error("residency: what was kept can't be used", "error", err)
 		}
 	}
-	return nil
 }
 
-// Addr is where agents and other hubs reach this one.
+// Addr returns the address at which agents and other hubs reach this hub.
 func (h *Hub) Addr() string { return h.fleet.Addr() }
 
-// Run serves until ctx ends, and says goodbye.
+// Run serves until ctx ends, then tells the other hubs that this one leaves, and waits for all goroutines of the process. It
+// may be called once. The error is that of the fleet.
 func (h *Hub) Run(ctx context.Context) error {
 	if h.trace != nil {
 		defer h.trace.Close()
@@ -111,8 +142,8 @@
 	}
 	if h.cfg.Discovery == "" {
 		h.fleet.Ready()
-	} else {
-		tasks.Go(func() { h.endpointFollower().Run(ctx) })
+	} else { // the fleet becomes ready with the first list
+		tasks.Go(func() { h.endpointWatcher().Run(ctx) })
 	}
 	tasks.Go(func() { h.server.Run(ctx, h.fleet) })
 	h.log.Info("hub", "step", "listening", "name", h.cfg.Name, "zone", h.cfg.Zone, "address", h.Addr())
@@ -121,9 +152,15 @@
 	return err
 }
 
-// endpointFollower follows the list service, for those who follow here. What it says matters to them alone.
-func (h *Hub) endpointFollower() *discovery.Watcher {
+// endpointWatcher returns the watcher of the list service. It passes the endpoint list to the fleet, which relays it; the hub
+// itself does not use the list, so nothing is delivered or logged.
+func (h *Hub) endpointWatcher() *discovery.Watcher {
 	startedAt := time.Now()
-	return discovery.New(discovery.Config{Addr: h.cfg.Discovery, ConnectTimeout: connectTimeout, Sources: h.fleet, Deliver: func(discovery.Update) {},
-		Translator: discovery.Translator{Zones: h.cfg.Zones.Names, Log: slog.New(slog.DiscardHandler), AgentTime: func(t time.Time) time.Duration { return t.Sub(startedAt) }}})
+	return discovery.New(discovery.Config{
+		Addr: h.cfg.Discovery, ConnectTimeout: connectTimeout, Sources: h.fleet, Deliver: func(discovery.Update) {},
+		Translator: discovery.Translator{
+			Zones: h.cfg.Zones.Names, Log: slog.New(slog.DiscardHandler),
+			AgentTime: func(t time.Time) time.Duration { return t.Sub(startedAt) },
+		},
+	})
 }
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -21,9 +21,10 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
+// waitTimeout is how long a test waits for a condition: far longer than any takes.
 const waitTimeout = 30 * time.Second
 
-// TestMain has what hubs keep beside the temporary files go with the tests.
+// TestMain redirects what hubs store beside the temporary files into a directory that goes with the tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "hubd-")
 	if err == nil {
@@ -33,19 +34,21 @@
 		panic(err)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(dir) // a temporary folder: what is left does no harm
+	_ = os.RemoveAll(dir) // a temporary directory: what is left does no harm
 	os.Exit(code)
 }
 
+// waitFor waits until holds returns true, and fails the test after waitTimeout.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("no %s within %v", what, waitTimeout)
 		}
 	}
 }
 
+// logBuffer keeps what a hub logs. Its methods may be called from any goroutine.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -63,6 +66,7 @@
 	return strings.Contains(l.buf.String(), text)
 }
 
+// startHub runs a hub with a configuration, beside its address and label, until the test ends.
 func startHub(t *testing.T, toml string) (*Hub, *logBuffer) {
 	t.Helper()
 	cfg, err := config.ParseHub("x.toml", "listen = \"127.0.0.1:0\"\nlabel = \""+t.Name()+"\"\n"+toml)
@@ -86,8 +90,8 @@
 	return h, logs
 }
 
-// Settings given to one hub come to the next and are kept there; a wrong text goes no further than the hub that it is given to,
-// and a lower version nowhere.
+// Settings in the file of one hub reach the next hub and are stored there. Invalid settings go no further than the hub that
+// reads them, and a lower version is applied nowhere.
 func TestSettingsFileReachesOtherHubs(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -104,30 +108,30 @@
 	one, log := startHub(t, "name = \"one\"\n[settings]\nfile = \""+file+"\"\n")
 	two, _ := startHub(t, "name = \"two\"\nseeds = [\""+one.Addr()+"\"]\n[settings]\nstate = \""+state+"\"\n")
 	has := func(v int64) func() bool { return func() bool { return two.settings.State().Version == v } }
-	waitFor(t, "the settings", has(3))
+	waitFor(t, "first settings", has(3))
 	writeSettings("version = 4\n[attempts]\nmost = 400\n")
-	waitFor(t, "that a wrong text is not used", func() bool { return log.contains("attempts.most") })
+	waitFor(t, "rejection of invalid settings", func() bool { return log.contains("attempts.most") })
 	if v := one.settings.State().Version; v != 3 {
-		t.Errorf("version %d in force", v)
+		t.Errorf("version %d is applied", v)
 	}
 	writeSettings("version = 2\n")
 	writeSettings("version = 5\n[attempts]\nmost = 3\n")
-	waitFor(t, "the next settings", has(5))
+	waitFor(t, "next settings", has(5))
 	if log.contains("version=2 ") && one.settings.State().Version == 2 {
-		t.Error("a lower version is in force")
+		t.Error("a lower version is applied")
 	}
 	again, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
 	if v := again.settings.State().Version; v != 5 {
-		t.Errorf("version %d was kept", v)
+		t.Errorf("version %d was stored", v)
 	}
 	for _, entry := range two.fleet.Gossip().Entries(gossip.SettingsVersion) {
 		if standing, ok := documents.ParseAppliedVersion(entry.Body); !ok || standing.Version > 5 {
-			t.Errorf("told: %+v", standing)
+			t.Errorf("published: %+v", standing)
 		}
 	}
 }
 
-// A hub follows the list service and passes its lists on; one without a service has none to pass on.
+// A hub watches the list service and relays its list; a hub without a list service has none to relay.
 func TestEndpointListIsRelayed(t *testing.T) {
 	t.Parallel()
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -156,7 +160,7 @@
 		}
 		defer resp.Body.Close()
 		var m struct{ Version int64 }
-		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // a refusal is none
+		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // a rejection has no version
 		return m.Version
 	}
 	if v := relayedVersion(with); v != 7 {
