--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -92,7 +92,7 @@
 func (s *Server) applyRemote(agent reportedAgent, now time.Time) (newer uint64) {
 	replaced, newer := s.registry.applyRemote(agent.Name, agent.Incarnation, now)
 	if replaced != nil {
-		s.cfg.Log.Warn("hub: a later process of this name is at another hub", "agent", agent.Name)
+		s.cfg.Log.Warn("attachment replaced by newer incarnation at another hub", "agent", agent.Name)
 		replaced.close()
 	}
 	return newer
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -80,7 +80,7 @@
 	}
 	replaced, ok := s.registry.attach(a, time.Now())
 	if !ok {
-		s.cfg.Log.Warn("hub: a later process of this name is known, or there are too many names", "agent", a.name)
+		s.cfg.Log.Warn("attachment rejected: newer incarnation known or registry full", "agent", a.name)
 		return
 	}
 	if replaced != nil {
@@ -105,7 +105,7 @@
 		return
 	}
 	s.protocolErrors.Add(1)
-	s.cfg.Log.Debug("hub: a stream ends", "from", conn.RemoteAddr(), "error", err)
+	s.cfg.Log.Debug("agent stream failed", "from", conn.RemoteAddr(), "error", err)
 }
 
 // handshake answers the upgrade, reads the agent's Hello and answers it with Welcome, or with Busy and errBusy if the agent
@@ -126,7 +126,7 @@
 		return nil, errNoHello
 	}
 	if hello.Label != s.cfg.Label {
-		s.cfg.Log.Warn("hub: an agent of another fleet", "agent", hello.Name, "label", hello.Label)
+		s.cfg.Log.Warn("agent of another fleet rejected", "agent", hello.Name, "label", hello.Label)
 		return nil, errOtherFleet
 	}
 	now := time.Now()
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -132,10 +132,10 @@
 // logSummary logs what the hub knows. lagging names agents that lack the latest settings, with the reason.
 func (s *Server) logSummary(now time.Time, lagging []string) {
 	size, _ := s.fleetSize(now)
-	s.cfg.Log.Info("hub", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting,
+	s.cfg.Log.Info("hub summary", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting,
 		"gone", size.Dead, "refused", s.protocolErrors.Load())
 	if len(lagging) > 0 {
-		s.cfg.Log.Warn("hub: agents are behind the settings", "version", s.currentSettings().Version, "agents", len(lagging),
+		s.cfg.Log.Warn("agents lag behind settings", "version", s.currentSettings().Version, "agents", len(lagging),
 			"some", lagging[:min(len(lagging), maxLogged)])
 	}
 }
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -49,7 +49,7 @@
 		err = versionedfile.SaveFunc(a.Dir, file)(next, nil)
 	}
 	if err != nil && a.Log != nil {
-		a.Log.Warn("processes of this name are told apart by the clock alone", "error", err)
+		a.Log.Warn("incarnation not stored, using wall clock", "error", err)
 	}
 	return uint64(next)
 }
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -106,7 +106,7 @@
 	h.settings = settings.NewHolder(holderCfg)
 	if settingsCfg.State != "" {
 		if err := h.settings.Load(settingsCfg.State); err != nil {
-			h.log.Error("settings: what was kept can't be used", "error", err)
+			h.log.Error("stored settings unusable", "error", err)
 		}
 	}
 	var save func(int64, []string) error
@@ -116,7 +116,7 @@
 	h.policy = residency.NewHolder(h.cfg.Zones.Names, residencyCfg.Bound.Duration(), residencyCfg.File != "", h.log, save)
 	if residencyCfg.State != "" {
 		if err := h.policy.Load(residencyCfg.State); err != nil {
-			h.log.Error("residency: what was kept can't be used", "error", err)
+			h.log.Error("stored residency policy unusable", "error", err)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		tasks.Go(func() { h.endpointWatcher().Run(ctx) })
 	}
 	tasks.Go(func() { h.server.Run(ctx, h.fleet) })
-	h.log.Info("hub", "step", "listening", "name", h.cfg.Name, "zone", h.cfg.Zone, "address", h.Addr())
+	h.log.Info("hub listening", "step", "listening", "name", h.cfg.Name, "zone", h.cfg.Zone, "address", h.Addr())
 	err := h.fleet.Run(ctx)
 	cancel()
 	return err
