--- a/internal/fleet/hub/admission.go
+++ b/internal/fleet/hub/admission.go
@@ -14,15 +14,15 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// admission is a token bucket that admits agents at a rate, with a tenth of a second's tokens (at least one) as its burst.
-// Its methods may be called from any goroutine.
+// admission is a token bucket that admits agents at a rate, with a tenth of a second's tokens (at least one) as its
+// burst. Its methods may be called from any goroutine.
 type admission struct {
 	rate float64 // agents per second
 
 	mu          sync.Mutex
 	tokens      float64
 	refilledAt  time.Time
-	nextRetryAt time.Time         // when the last of the agents that were told to retry is expected
+	nextRetryAt time.Time         // when the last of the rejected agents is expected back
 	handshaking map[net.Conn]bool // connections that have not said Hello
 }
 
@@ -30,8 +30,8 @@
 	return &admission{rate: rate, tokens: max(1, rate/10), refilledAt: now, handshaking: map[net.Conn]bool{}}
 }
 
-// admit reports whether an agent is admitted now, and otherwise how long it should wait before it retries. The retries of
-// rejected agents are spread at the admission rate, each with up to half of its wait as jitter.
+// admit reports whether an agent is admitted now, and otherwise how long it should wait before it retries. The
+// retries of rejected agents are spread at the admission rate, each with up to half of its wait as jitter.
 func (a *admission) admit(now time.Time) (retryAfter time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/admission_test.go
+++ b/internal/fleet/hub/admission_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// An agent of another fleet is rejected by a status, or after its Hello. Agents beyond the rate are told when to retry.
+// An agent of another fleet is rejected by a status, or after its Hello. Agents beyond the rate receive Busy.
 func TestAdmissionRejectsOtherFleetsAndLimitsRate(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 100, func(c *Config) { c.AdmitRate = 10 })
--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -22,7 +22,7 @@
 	writeTimeout   = 2 * time.Second // as is one that takes no bytes for so long
 	frameRate      = 20.0            // frames per second read from one agent
 	frameBurst     = 40.0            // frames
-	maxHoldTime    = time.Minute     // told in an Echo: the frame's bound
+	maxEchoDelay   = time.Minute     // in an Echo: the bound of the frame
 )
 
 var errUnexpectedFrame = errors.New("unexpected frame")
@@ -54,8 +54,8 @@
 	})
 }
 
-// enqueue has data, an encoded frame, written next. A frame that is still pending is dropped: the newer one replaces all
-// that it says. Only the publishing goroutine may call it, or the send could block.
+// enqueue has data, an encoded frame, written next. A frame that is still pending is dropped: the newer one replaces
+// all that it says. Only the publishing goroutine may call it, or the send could block.
 func (a *attachment) enqueue(data []byte) {
 	select {
 	case <-a.pending:
@@ -64,8 +64,8 @@
 	a.pending <- data
 }
 
-// writeLoop writes pending frames until the stream ends. Before each it writes a frame for this agent alone, with the echo
-// of its last State and whether its quota is confirmed: the pending one is shared among agents.
+// writeLoop writes pending frames until the stream ends. Before each it writes a frame for this agent alone, with the
+// echo of its last State and whether its quota is confirmed: the pending one is shared among agents.
 func (a *attachment) writeLoop(quotaConfirmed func() bool) {
 	defer a.close()
 	for {
@@ -96,11 +96,12 @@
 	if a.stateAt.IsZero() {
 		return nil
 	}
-	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), maxHoldTime)}
+	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), maxEchoDelay)}
 }
 
-// readLoop reads frames until the stream ends, and reports whether the agent left for good. An agent that sends more than
-// frameRate is not read from meanwhile, so that its excess waits in its own socket and costs no other agent anything.
+// readLoop reads frames until the stream ends, and reports whether the agent left for good. An agent that sends more
+// than frameRate is not read from meanwhile, so that its excess waits in its own socket and costs no other agent
+// anything.
 func (a *attachment) readLoop(loadReports *gossip.Store) (left bool, err error) {
 	tokens, refilledAt := frameBurst, time.Now()
 	for {
@@ -172,7 +173,8 @@
 	return a.state
 }
 
-// updateLagging compares the agent's settings with the current version, and returns since when it lags; zero: it does not.
+// updateLagging compares the agent's settings with the current version, and returns since when it lags; zero: it does
+// not.
 func (a *attachment) updateLagging(current documents.AppliedVersion, now time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -59,7 +59,8 @@
 	startedAt := time.Now()
 	_ = flooding.conn.SetWriteDeadline(startedAt.Add(2 * time.Second)) // the hub does not read them in time
 	for i := range 2000 {
-		state := frame.State{Seq: uint32(i), Serving: true, Settings: frame.AppliedVersion{Version: 1, Reason: strings.Repeat("x", 500)}}
+		applied := frame.AppliedVersion{Version: 1, Reason: strings.Repeat("x", 500)}
+		state := frame.State{Seq: uint32(i), Serving: true, Settings: applied}
 		if writeFrame(flooding.conn, &frame.Frame{State: &state}) != nil {
 			break
 		}
@@ -81,7 +82,8 @@
 		t.Fatal(err)
 	}
 	defer unresponsive.Close()
-	if err := writeFrame(unresponsive, &frame.Frame{Hello: &frame.Hello{Label: t.Name(), Name: "unresponsive", Incarnation: 1}}); err != nil {
+	hello := frame.Hello{Label: t.Name(), Name: "unresponsive", Incarnation: 1}
+	if err := writeFrame(unresponsive, &frame.Frame{Hello: &hello}); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "attachment", func() bool { return findAttachment(hub, "unresponsive") != nil })
--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -18,8 +18,8 @@
 	reportContentType = "application/json"
 )
 
-// attachmentReport names the agents that attached to a hub since its last report to the receiver. The answer has the same
-// form, and names those of them that are attached to the receiver with a higher incarnation.
+// attachmentReport names the agents that attached to a hub since its last report to the receiver. The answer has the
+// same form, and names those of them that are attached to the receiver with a higher incarnation.
 type attachmentReport struct {
 	Hub    string          `json:"hub"`
 	Agents []reportedAgent `json:"agents"`
@@ -30,12 +30,13 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// progress is up to which attachment another hub has acknowledged reports: the incarnation of that hub's process, and the
-// serial of the attachment.
+// progress is up to which attachment another hub has acknowledged reports: the incarnation of that hub's process, and
+// the serial of the attachment.
 type progress struct{ incarnation, serial uint64 }
 
-// reportAttachments sends attachment reports to the other hubs until ctx ends, each until it is acknowledged. By them a hub
-// stops checking an agent that has moved, and of two processes of one name the one with the lower incarnation is detached.
+// reportAttachments sends attachment reports to the other hubs until ctx ends, each until it is acknowledged. By them
+// a hub stops checking an agent that has moved, and of two processes of one name the one with the lower incarnation
+// is detached.
 func (s *Server) reportAttachments(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -57,7 +58,7 @@
 			calls.Go(func() { reached[i] = s.reportTo(ctx, hub, last) })
 		}
 		calls.Wait()
-		clear(acknowledged) // a hub that is missing now is told everything when it is back
+		clear(acknowledged) // a hub that is missing now receives a full report when it is back
 		for i, hub := range hubs {
 			acknowledged[hub.Name] = reached[i]
 		}
@@ -87,8 +88,8 @@
 	return progress{last.incarnation, lastSerial}
 }
 
-// applyRemote applies that a process is attached to another hub: an attachment here with a lower incarnation is closed. If
-// the one here has a higher incarnation, that is returned; otherwise 0.
+// applyRemote applies that a process is attached to another hub: an attachment here with a lower incarnation is
+// closed. If the one here has a higher incarnation, that is returned; otherwise 0.
 func (s *Server) applyRemote(agent reportedAgent, now time.Time) (newer uint64) {
 	replaced, newer := s.registry.applyRemote(agent.Name, agent.Incarnation, now)
 	if replaced != nil {
--- a/internal/fleet/hub/callhub.go
+++ b/internal/fleet/hub/callhub.go
@@ -19,8 +19,8 @@
 	maxMessageSize = 1 << 20 // bytes of a message between hubs
 )
 
-// callHub sends a request to another hub and decodes its JSON answer into answer, all within hubCallTimeout. It does not look
-// at the status: an error has no JSON body and fails to decode.
+// callHub sends a request to another hub and decodes its JSON answer into answer, all within hubCallTimeout. It does
+// not look at the status: an error has no JSON body and fails to decode.
 func (s *Server) callHub(ctx context.Context, hub member.Member, method, path string, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, hubCallTimeout)
 	defer cancel()
--- a/internal/fleet/hub/evidence.go
+++ b/internal/fleet/hub/evidence.go
@@ -1,5 +1,5 @@
-// This file holds what a hub knows of the other hubs and of dead processes. From it follow how many quotas of dead agents
-// the others may use, and whether an agent's own quota is free of other users.
+// This file holds what a hub knows of the other hubs and of dead processes. From it follow how many quotas of dead
+// agents the others may use, and whether an agent's own quota is free of other users.
 
 package hub
 
@@ -14,7 +14,8 @@
 // minConfirmDelay is how long an agent has been attached before its quota is confirmed.
 const minConfirmDelay = time.Second
 
-// evidence is what this hub knows of the other hubs and of dead processes. Its methods may be called from any goroutine.
+// evidence is what this hub knows of the other hubs and of dead processes. Its methods may be called from any
+// goroutine.
 type evidence struct {
 	maxAge    time.Duration // of a report that a process is dead: for so long others may use its quota
 	maxAgents int           // of the fleet
@@ -49,8 +50,8 @@
 	e.attachedByHub[hub] = attached
 }
 
-// recordDead records when processes were seen dead, by name, and drops reports past maxAge. It reports whether the dead may
-// be counted: a hub that has started or resumed within maxAge may have missed reports of those that live.
+// recordDead records when processes were seen dead, by name, and drops reports past maxAge. It reports whether the
+// dead may be counted: a hub that has started or resumed within maxAge may have missed reports of those that live.
 func (e *evidence) recordDead(seenAt map[string]time.Time, now time.Time) (countable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,8 +64,8 @@
 	return now.Sub(e.resumedAt) > e.maxAge
 }
 
-// recordDeadHubs records the result of one round of checks: the addresses of the missing hubs that were dead at checkedAt.
-// A hub that is not among them any more counts as alive again.
+// recordDeadHubs records the result of one round of checks: the addresses of the missing hubs that were dead at
+// checkedAt. A hub that is not among them any more counts as alive again.
 func (e *evidence) recordDeadHubs(dead map[string]bool, checkedAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,9 +81,9 @@
 	}
 }
 
-// unreachableAgents returns an upper bound of the agents that are attached to hubs without a recent report: as many as each
-// last reported, maxAgents for a hub that never did, none for a hub that is dead for certain. ages holds the ages of the
-// recent reports, by hub name. It also updates allReportedAt.
+// unreachableAgents returns an upper bound of the agents that are attached to hubs without a recent report: as many
+// as each last reported, maxAgents for a hub that never did, none for a hub that is dead for certain. ages holds the
+// ages of the recent reports, by hub name. It also updates allReportedAt.
 func (e *evidence) unreachableAgents(hubs []member.Member, ages map[string]time.Duration, now time.Time) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,9 +117,10 @@
 	return now.Sub(e.resumedAt)
 }
 
-// quotaConfirmed reports whether nobody but the agent itself uses the quota of an agent that attached at attachedAt. Someone
-// who counted the agent as dead would have published it by now: every hub has reported something since the agent attached,
-// this hub has been up for longer than a report of a dead process is used, and no report within that time named the agent.
+// quotaConfirmed reports whether nobody but the agent itself uses the quota of an agent that attached at attachedAt.
+// Someone who counted the agent as dead would have published it by now: every hub has reported something since the
+// agent attached, this hub has been up for longer than a report of a dead process is used, and no report within that
+// time named the agent.
 func (e *evidence) quotaConfirmed(name string, attachedAt, now time.Time) bool {
 	if now.Sub(attachedAt) < minConfirmDelay || e.uptime(now) <= e.maxAge {
 		return false
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -63,8 +63,8 @@
 	s.evidence.recordDeadHubs(deadHubs, startedAt)
 }
 
-// publishDead publishes the names of the dead in as many entries as they need, each as old as the oldest check in it, and
-// empties the rest of the entries that the last round published. It returns how many entries hold names.
+// publishDead publishes the names of the dead in as many entries as they need, each as old as the oldest check in it,
+// and empties the rest of the entries that the last round published. It returns how many entries hold names.
 func (s *Server) publishDead(published int) (n int) {
 	now := time.Now()
 	for dead := s.registry.confirmedDead(s.maxSourceAge(gossip.DeadProcesses), now); len(dead) > 0; n++ {
--- a/internal/fleet/hub/fleetsize.go
+++ b/internal/fleet/hub/fleetsize.go
@@ -11,8 +11,8 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// FleetSize counts agents: those of one hub, as hubs publish to each other, or those of the fleet, as a hub publishes to its
-// agents.
+// FleetSize counts agents: those of one hub, as hubs publish to each other, or those of the fleet, as a hub publishes
+// to its agents.
 type FleetSize struct {
 	Attached uint32 `cbor:"1,keyasint"`
 	Starting uint32 `cbor:"2,keyasint"` // of Attached: those that do not serve yet
@@ -34,8 +34,8 @@
 	return body
 }
 
-// ParseFleetSize decodes the body of a gossip.FleetSize entry. It returns an error if the body is malformed or its counts
-// contradict each other.
+// ParseFleetSize decodes the body of a gossip.FleetSize entry. It returns an error if the body is malformed or its
+// counts contradict each other.
 func ParseFleetSize(body []byte) (size FleetSize, err error) {
 	if err = cbor.Unmarshal(body, &size); err != nil {
 		return size, fmt.Errorf("decode fleet size: %w", err)
@@ -60,9 +60,9 @@
 
 // fleetSize computes the size of the fleet. Its age is that of the oldest entry that it rests on.
 //
-// The quotas in use must never add up to more than the limit, also when agents are alive beyond a partition. So Dead is at
-// most what MaxAgents leaves after everyone who may be alive: the agents attached anywhere, the agents that are members
-// themselves, and as many as the hubs without a recent report may have.
+// The quotas in use must never add up to more than the limit, also when agents are alive beyond a partition. So Dead
+// is at most what MaxAgents leaves after everyone who may be alive: the agents attached anywhere, the agents that are
+// members themselves, and as many as the hubs without a recent report may have.
 func (s *Server) fleetSize(now time.Time) (size FleetSize, age time.Duration) {
 	size = s.localSize()
 	ageByHub := map[string]time.Duration{}
@@ -87,16 +87,16 @@
 	return size, age
 }
 
-// maxSourceAge returns how old an entry may be that a published sum rests on: two thirds of the age bound of its kind, so
-// that the sum can be used for a while before it reaches the bound.
+// maxSourceAge returns how old an entry may be that a published sum rests on: two thirds of the age bound of its
+// kind, so that the sum can be used for a while before it reaches the bound.
 func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.Bounds[kind] * 2 / 3 }
 
 // deadMaxAge returns for how long a report that a process is dead is used.
 func (s *Server) deadMaxAge() time.Duration { return s.cfg.Bounds[gossip.DeadProcesses] }
 
 // countDead counts the names that a hub or a member reports as dead, except those of hubs, of agents that are members
-// themselves, and of agents known to be attached to a hub. oldest is the age of the oldest report that counts. A hub that
-// has just started or resumed counts none.
+// themselves, and of agents known to be attached to a hub. oldest is the age of the oldest report that counts. A hub
+// that has just started or resumed counts none.
 func (s *Server) countDead(meshAgents map[string]bool, now time.Time) (n int, oldest time.Duration) {
 	hubs := map[string]bool{}
 	for _, hub := range append(s.fleet.Hubs(), s.fleet.MissingHubs()...) {
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -1,4 +1,4 @@
-// This file tests which fleet size agents are told, and when their quotas are confirmed.
+// This file tests which fleet size is published to agents, and when their quotas are confirmed.
 
 package hub
 
@@ -10,8 +10,8 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// The agents of several hubs are counted together. A dead agent counts once though two hubs lost it, as does one that said
-// Leave, and one that is back counts as dead no more.
+// The agents of several hubs are counted together. A dead agent counts once though two hubs lost it, as does one that
+// said Leave, and one that is back counts as dead no more.
 func TestFleetSizeCountsEachAgentOnce(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 3, 10)
@@ -19,7 +19,9 @@
 	b := attachAgent(t, hubs[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{})
 	firstProcess, secondProcess := listenAsProcess(t), listenAsProcess(t)
 	c1 := attachAgent(t, hubs[1], frame.Hello{Name: "c", Incarnation: 1, Addr: firstProcess.Addr().String()}, servingState)
-	waitFor(t, "fleet size of three agents", func() bool { return a.fleetSize() == FleetSize{3, 1, 0} && b.fleetSize() == FleetSize{3, 1, 0} })
+	waitFor(t, "fleet size of three agents", func() bool {
+		return a.fleetSize() == FleetSize{3, 1, 0} && b.fleetSize() == FleetSize{3, 1, 0}
+	})
 	d := attachAgent(t, hubs[2], frame.Hello{Name: "d", Incarnation: 1, Addr: secondProcess.Addr().String()}, servingState)
 	waitFor(t, "confirmed quotas", func() bool { return a.isQuotaConfirmed() && d.isQuotaConfirmed() })
 	c2 := attachAgent(t, hubs[2], frame.Hello{Name: "c", Incarnation: 1, Addr: firstProcess.Addr().String()}, servingState)
@@ -34,7 +36,9 @@
 	firstProcess.Close()
 	c1.close()
 	c2.close()
-	waitFor(t, "dead agent in the fleet size", func() bool { return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1} })
+	waitFor(t, "dead agent in the fleet size", func() bool {
+		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
+	})
 	// An agent that leaves for good is dead at once.
 	if err := writeFrame(d.conn, &frame.Frame{Leave: true}); err != nil {
 		t.Fatal(err)
@@ -49,7 +53,9 @@
 	}
 	// c is back at another hub: soon nobody counts it as dead, and until then its quota is not confirmed.
 	back := attachAgent(t, hubs[0], frame.Hello{Name: "c", Incarnation: 2, Addr: listenAsProcess(t).Addr().String()}, servingState)
-	waitFor(t, "fleet size with c back", func() bool { return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1} })
+	waitFor(t, "fleet size with c back", func() bool {
+		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
+	})
 	if back.isQuotaConfirmed() {
 		t.Error("its quota is confirmed while others may still use it")
 	}
--- a/internal/fleet/hub/frame/frame.go
+++ b/internal/fleet/hub/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame defines the frames that an agent and its hub exchange on the agent's stream: CBOR maps, each preceded by its
-// length in four bytes, big-endian. Frames are bounded and versioned; fields that a later version adds are skipped. The
-// package keeps no state: its functions may be called from any goroutine.
+// Package frame defines the frames that an agent and its hub exchange on the agent's stream: CBOR maps, each preceded
+// by its length in four bytes, big-endian. Frames are bounded and versioned; fields that a later version adds are
+// skipped. The package keeps no state: its functions may be called from any goroutine.
 package frame
 
 import (
@@ -14,7 +14,8 @@
 )
 
 const (
-	// Version is the version of the wire format. A frame of a later version is read as far as its fields are known here.
+	// Version is the version of the wire format. A frame of a later version is read as far as its fields are known
+	// here.
 	Version = 1
 	// Path is what an agent requests of its hub, with an upgrade to Protocol.
 	Path, Protocol = "/hub", "martenbeam-hub"
@@ -94,8 +95,8 @@
 	return m
 }()
 
-// Encode sets the frame's version and returns the frame preceded by its length. It returns an error if the frame is longer
-// than Read accepts.
+// Encode sets the frame's version and returns the frame preceded by its length. It returns an error if the frame is
+// longer than Read accepts.
 func Encode(f *Frame) ([]byte, error) {
 	f.Version = Version
 	data, err := cbor.Marshal(f)
@@ -108,8 +109,8 @@
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(data)), uint32(len(data))), data...), nil
 }
 
-// Read reads and validates the next frame. It returns io.EOF if the stream ended before the frame. Any error ends the stream:
-// after a malformed frame nobody knows where the next one begins.
+// Read reads and validates the next frame. It returns io.EOF if the stream ended before the frame. Any error ends the
+// stream: after a malformed frame nobody knows where the next one begins.
 func Read(r io.Reader) (*Frame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -18,8 +18,8 @@
 const (
 	pathHub          = frame.Path
 	handshakeTimeout = 2 * time.Second
-	// LabelHeader may name the agent's fleet in the upgrade request. An agent of another fleet is answered 403; without the
-	// header the label in its Hello decides.
+	// LabelHeader may name the agent's fleet in the upgrade request. An agent of another fleet is answered 403;
+	// without the header the label in its Hello decides.
 	LabelHeader = "Martenbeam-Label"
 
 	switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + frame.Protocol + "\r\n\r\n"
@@ -69,8 +69,8 @@
 	})
 }
 
-// serveStream runs the handshake, attaches the agent, and reads its frames until the stream ends. It is the stream's reading
-// goroutine; the caller closes conn.
+// serveStream runs the handshake, attaches the agent, and reads its frames until the stream ends. It is the stream's
+// reading goroutine; the caller closes conn.
 func (s *Server) serveStream(conn net.Conn, reader *bufio.Reader) {
 	a, err := s.handshake(conn, reader)
 	s.admission.trackHandshake(conn, false)
@@ -98,7 +98,8 @@
 	s.countProtocolError(conn, err)
 }
 
-// countProtocolError counts a stream that ended by a violation of the protocol, rather than by the network or by admission.
+// countProtocolError counts a stream that ended by a violation of the protocol, rather than by the network or by
+// admission.
 func (s *Server) countProtocolError(conn net.Conn, err error) {
 	var netErr net.Error
 	if err == nil || errors.Is(err, io.EOF) || errors.As(err, &netErr) || errors.Is(err, errBusy) {
@@ -108,8 +109,8 @@
 	s.cfg.Log.Debug("agent stream failed", "from", conn.RemoteAddr(), "error", err)
 }
 
-// handshake answers the upgrade, reads the agent's Hello and answers it with Welcome, or with Busy and errBusy if the agent
-// is not admitted now.
+// handshake answers the upgrade, reads the agent's Hello and answers it with Welcome, or with Busy and errBusy if the
+// agent is not admitted now.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader) (*attachment, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -39,7 +39,8 @@
 	stop  func()
 }
 
-// startHub starts a hub, which joins the seeds. The test's cleanup stops it. tune, which may be nil, changes its configuration.
+// startHub starts a hub, which joins the seeds. The test's cleanup stops it. tune, which may be nil, changes its
+// configuration.
 func startHub(t *testing.T, name string, maxAgents int, tune func(*Config), seeds ...*testHub) *testHub {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -130,8 +131,8 @@
 	return conn, reader, nil
 }
 
-// attachAgent attaches an agent to a hub. Twice a second it sends state, unless that is nil. The test's cleanup closes the
-// stream. The agent may be told Welcome or Busy.
+// attachAgent attaches an agent to a hub. Twice a second it sends state, unless that is nil. The test's cleanup
+// closes the stream. The hub may answer Welcome or Busy.
 func attachAgent(t *testing.T, hub *testHub, hello frame.Hello, state *frame.State) *fakeAgent {
 	t.Helper()
 	hello.Label = t.Name()
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -19,8 +19,8 @@
 	maxLogged        = 20 // lagging agents in a log line
 )
 
-// publishLoop publishes to agents and to the other hubs every second until ctx ends, and to agents at the next tick when
-// something that they have to know at once has changed.
+// publishLoop publishes to agents and to the other hubs every second until ctx ends, and to agents at the next tick
+// when something that they have to know at once has changed.
 func (s *Server) publishLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -57,8 +57,8 @@
 	}
 }
 
-// resetAfterSuspend makes the hub start anew after its process was suspended: its agents have moved to other hubs meanwhile,
-// and what lies in their streams is old.
+// resetAfterSuspend makes the hub start anew after its process was suspended: its agents have moved to other hubs
+// meanwhile, and what lies in their streams is old.
 func (s *Server) resetAfterSuspend(now time.Time) {
 	for _, a := range s.registry.clear() {
 		a.close()
@@ -75,8 +75,8 @@
 	}
 }
 
-// sharedEntries returns the entries that all agents receive alike: the load of the list service, the fleet size, and the
-// versions of the documents that this hub holds.
+// sharedEntries returns the entries that all agents receive alike: the load of the list service, the fleet size, and
+// the versions of the documents that this hub holds.
 func (s *Server) sharedEntries(now time.Time) []gossip.Entry {
 	entries := startup.Aggregate(s.fleet.Gossip().Entries(gossip.ListServiceLoad))
 	size, age := s.fleetSize(now)
@@ -110,8 +110,8 @@
 	return rows
 }
 
-// publishToAgents sends each agent the shared entries and the latency row of its zone. Agents with the same row share one
-// encoding.
+// publishToAgents sends each agent the shared entries and the latency row of its zone. Agents with the same row share
+// one encoding.
 func (s *Server) publishToAgents(pub *publisher, entries []gossip.Entry, rows map[string]gossip.Entry, now time.Time) {
 	frames := map[string][]byte{} // by the row's zone; "": without a row
 	for _, a := range s.registry.attachments() {
@@ -140,8 +140,8 @@
 	}
 }
 
-// firstAgentSeq is the base of the sequence numbers of entries to agents. It sets them apart from the entries of the same
-// subjects that this process publishes to the other hubs.
+// firstAgentSeq is the base of the sequence numbers of entries to agents. It sets them apart from the entries of the
+// same subjects that this process publishes to the other hubs.
 const firstAgentSeq = 1 << 32
 
 // publisher encodes the entries that a hub publishes to its agents. It belongs to one goroutine.
@@ -154,8 +154,8 @@
 	lastBodies  map[gossip.Kind][]byte // of the last call of changed
 }
 
-// changed reports whether entries differ from those of the last call in what agents have to know at once: all but the load
-// of the list service, which they may learn at the next interval.
+// changed reports whether entries differ from those of the last call in what agents have to know at once: all but the
+// load of the list service, which they may learn at the next interval.
 func (p *publisher) changed(entries []gossip.Entry) bool {
 	bodies := map[gossip.Kind][]byte{}
 	for _, entry := range entries {
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -18,14 +18,15 @@
 	remoteMaxAge         = 30 * time.Second // of a remote attachment: a move is over by then
 	initialCheckInterval = time.Second      // between two checks whether a disconnected agent is dead
 	maxCheckInterval     = 10 * time.Second // the same, after checks that proved nothing
-	// maxReportDelay is how long after an agent has attached here another hub's report may arrive that it is attached there,
-	// written before it moved here.
+	// maxReportDelay is how long after an agent has attached here another hub's report may arrive that it is attached
+	// there, written before it moved here.
 	maxReportDelay = hubCallTimeout + 2*reportInterval
 )
 
-// registry records where agents are, by name: attached here, attached to another hub as that hub reported, or disconnected.
-// A disconnected agent is in neither of the other two maps. Processes of one name are told apart by their incarnation; the
-// one with the higher incarnation replaces the other. Its methods may be called from any goroutine.
+// registry records where agents are, by name: attached here, attached to another hub as that hub reported, or
+// disconnected. A disconnected agent is in neither of the other two maps. Processes of one name are distinguished by
+// their incarnation; the one with the higher incarnation replaces the other. Its methods may be called from any
+// goroutine.
 type registry struct {
 	mu           sync.Mutex
 	attached     map[string]*attachment
@@ -40,15 +41,15 @@
 	reportedAt  time.Time
 }
 
-// supersedes reports whether the agent that is attached here has moved to the other hub: a later process of it is attached
-// there, or the same process, and the report cannot be from before the agent came here.
+// supersedes reports whether the agent that is attached here has moved to the other hub: a later process of it is
+// attached there, or the same process, and the report cannot be from before the agent came here.
 func (r remoteAttachment) supersedes(a *attachment) bool {
 	return r.incarnation > a.incarnation || r.incarnation == a.incarnation && r.reportedAt.Sub(a.attachedAt) >= maxReportDelay
 }
 
 // disconnectedAgent is an agent whose stream to this hub ended, and that no other hub has reported since. Until it is
-// confirmed dead nobody else may use its quota. The registry's mutex guards it, except for name, incarnation and addr, which
-// never change.
+// confirmed dead nobody else may use its quota. The registry's mutex guards it, except for name, incarnation and
+// addr, which never change.
 type disconnectedAgent struct {
 	name            string
 	incarnation     uint64
@@ -68,8 +69,8 @@
 	}
 }
 
-// attach registers an attachment and sets its serial. It returns the attachment of the same name that it replaces, if any,
-// which the caller closes; ok is false if a later process of the name is known, or too many names are.
+// attach registers an attachment and sets its serial. It returns the attachment of the same name that it replaces, if
+// any, which the caller closes; ok is false if a later process of the name is known, or too many names are.
 func (r *registry) attach(a *attachment, now time.Time) (replaced *attachment, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,9 +89,9 @@
 	return replaced, true
 }
 
-// detach removes an attachment that has ended. Unless another hub has the agent, it becomes disconnected, and is confirmed
-// dead at once if it left for good. An agent without a valid address cannot be checked, and is forgotten: its quota stays
-// unused.
+// detach removes an attachment that has ended. Unless another hub has the agent, it becomes disconnected, and is
+// confirmed dead at once if it left for good. An agent without a valid address cannot be checked, and is forgotten:
+// its quota stays unused.
 func (r *registry) detach(a *attachment, left bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,9 +116,9 @@
 	r.disconnected[a.name] = agent
 }
 
-// applyRemote applies another hub's report that a process is attached there. It returns the attachment here that the report
-// replaces, which the caller closes; or, if the process attached here has a higher incarnation, that incarnation, so that
-// the other hub closes its attachment. newer is 0 otherwise.
+// applyRemote applies another hub's report that a process is attached there. It returns the attachment here that the
+// report replaces, which the caller closes; or, if the process attached here has a higher incarnation, that
+// incarnation, so that the other hub closes its attachment. newer is 0 otherwise.
 func (r *registry) applyRemote(name string, incarnation uint64, now time.Time) (replaced *attachment, newer uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,8 +178,8 @@
 	return list
 }
 
-// recordCheck records whether a disconnected agent was dead at the time at, when the check began. The interval doubles from
-// check to check that proves nothing, up to maxCheckInterval.
+// recordCheck records whether a disconnected agent was dead at the time at, when the check began. The interval
+// doubles from check to check that proves nothing, up to maxCheckInterval.
 func (r *registry) recordCheck(agent *disconnectedAgent, dead bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/hub/registry_test.go
+++ b/internal/fleet/hub/registry_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An agent that moved here from another hub dies. A report of that hub from before the move, which arrives late, must not pass
-// for a move back: nobody would check whether the agent is dead.
+// An agent that moved here from another hub dies. A report of that hub from before the move, which arrives late, must
+// not pass for a move back: nobody would check whether the agent is dead.
 func TestAgentThatDiesSoonAfterAMoveIsChecked(t *testing.T) {
 	for _, tt := range []struct {
 		name             string
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -1,27 +1,29 @@
-// Package hub is the hub's side of a fleet. A hub is a process that carries membership, quotas and versioned documents to
-// the agents attached to it. Agents hold one stream to one hub; hubs exchange what they know through gossip and over HTTP.
+// Package hub is the hub's side of a fleet. A hub is a process that carries membership, quotas and versioned
+// documents to the agents attached to it. Agents hold one stream to one hub; hubs exchange what they know through
+// gossip and over HTTP.
 //
-// A hub publishes sums, never single observations: the fleet size, from which each agent computes its quota of the fleet's
-// in-flight limit; the load of the list service; the latency row of the agent's zone; and the versions of the settings and
-// of the residency policy. Each entry is as old as the oldest observation in it.
+// A hub publishes sums, never single observations: the fleet size, from which each agent computes its quota of the
+// fleet's in-flight limit; the load of the list service; the latency row of the agent's zone; and the versions of the
+// settings and of the residency policy. Each entry is as old as the oldest observation in it.
 //
 // State, its owner and its age:
 //
-//   - registry, under its mutex: which agents are attached here, attached to another hub, or disconnected. What other hubs
-//     report arrives every 250 ms and is used for 30 s (remoteMaxAge).
-//   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the agent's last
-//     State, which it sends each second, is under the attachment's mutex. A stream that is silent for 3 s ends.
-//   - evidence, under its mutex: what is known of other hubs and of dead processes, to count free quotas and to confirm an
-//     agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
-//   - loadReports: the agents' observations of the list service, a gossip.Store that is locked by itself. Its entries stay
-//     in this hub; only aggregates of them leave it. Bounded by the age bound of gossip.ListServiceLoad.
+//   - registry, under its mutex: which agents are attached here, attached to another hub, or disconnected. What other
+//     hubs report arrives every 250 ms and is used for 30 s (remoteMaxAge).
+//   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the
+//     agent's last State, which it sends each second, is under the attachment's mutex. A stream that is silent for
+//     three seconds ends.
+//   - evidence, under its mutex: what is known of other hubs and of dead processes, to count free quotas and to
+//     confirm an agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
+//   - loadReports: the agents' observations of the list service, a gossip.Store that is locked by itself. Its entries
+//     stay in this hub; only aggregates of them leave it. Bounded by the age bound of gossip.ListServiceLoad.
 //   - publisher and the progress of attachment reports: local to the one goroutine that uses each, without a lock.
 //   - admission, under its mutex: the rate limit of new streams, and the connections in a handshake.
 //
 // Goroutines: Run starts three and waits for them: publishLoop sums up and publishes, failureDetector finds out which
-// disconnected agents are dead, reportAttachments tells the other hubs who attached here. Each stream has two, one that reads
-// (from the handshake on) and one that writes; Run waits for these, too. Every handler of ServeHTTP runs on the caller's
-// goroutine and ends with its request, except for an upgraded stream.
+// disconnected agents are dead, reportAttachments reports to the other hubs who attached here. Each stream has two, one
+// that reads (from the handshake on) and one that writes; Run waits for these, too. Every handler of ServeHTTP runs
+// on the caller's goroutine and ends with its request, except for an upgraded stream.
 package hub
 
 import (
@@ -40,7 +42,8 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Fleet is the hub's own place among the hubs; *fleet.Fleet implements it. Its methods may be called from any goroutine.
+// Fleet is the hub's own place among the hubs; *fleet.Fleet implements it. Its methods may be called from any
+// goroutine.
 type Fleet interface {
 	// Gossip returns the entries that the hubs share.
 	Gossip() *gossip.Store
@@ -62,7 +65,7 @@
 // Config configures a Server. Name, Label, Incarnation, MaxAgents and Log are required.
 type Config struct {
 	Name, Label    string // of this hub, and of its fleet
-	ProgramVersion string // as agents are told
+	ProgramVersion string // sent in each Welcome
 	Incarnation    uint64 // higher than that of each earlier process of the name
 	// MaxAgents is an upper bound of the agents that the fleet has at a time. Quotas are computed from it.
 	MaxAgents int
@@ -117,8 +120,8 @@
 	}
 }
 
-// Run serves agents until ctx ends, then closes their streams, so that the agents move at once, and waits for all goroutines
-// of the hub. It may be called once.
+// Run serves agents until ctx ends, then closes their streams, so that the agents move at once, and waits for all
+// goroutines of the hub. It may be called once.
 func (s *Server) Run(ctx context.Context, fleet Fleet) {
 	s.fleet = fleet
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/fleet/hub/settingsreport.go
+++ b/internal/fleet/hub/settingsreport.go
@@ -23,7 +23,8 @@
 	noReason         = "it has not said that it has them"
 )
 
-// SettingsReport says which settings are current in a fleet, and which agents lack them. GET /fleet/settings answers with it.
+// SettingsReport says which settings are current in a fleet, and which agents lack them. GET /fleet/settings answers
+// with it.
 type SettingsReport struct {
 	Version      int64          `json:"version"` // the current one
 	Digest       string         `json:"digest"`
@@ -50,8 +51,8 @@
 	return current
 }
 
-// hasApplied reports whether applied, an agent's version, is the current one or later. Of several documents under one version
-// the first counts.
+// hasApplied reports whether applied, an agent's version, is the current one or later. Of several documents under one
+// version the first counts.
 func hasApplied(current documents.AppliedVersion, applied frame.AppliedVersion) bool {
 	return applied.Version > current.Version ||
 		applied.Version == current.Version && (len(current.Digests) == 0 || applied.Digest == current.Digests[0])
@@ -98,8 +99,8 @@
 	}
 }
 
-// handleSettings answers with a report over all hubs; or, if the query has a version, as another hub asks, over this hub alone
-// and against that version.
+// handleSettings answers with a report over all hubs; or, if the query has a version, as another hub asks, over this
+// hub alone and against that version.
 func (s *Server) handleSettings(w http.ResponseWriter, req *http.Request) {
 	current, now := s.currentSettings(), time.Now()
 	query := req.URL.Query()
@@ -115,8 +116,8 @@
 	_ = json.NewEncoder(w).Encode(report) // the caller sees that the answer is cut off
 }
 
-// mergeRemoteReports adds to report those of the other hubs, which it asks all at once, and names the hubs that do not answer
-// and those that are missing.
+// mergeRemoteReports adds to report those of the other hubs, which it asks all at once, and names the hubs that do
+// not answer and those that are missing.
 func (s *Server) mergeRemoteReports(req *http.Request, current documents.AppliedVersion, report *SettingsReport) {
 	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(current.Version, 10)}, "digest": current.Digests}.Encode()
 	hubs := s.fleet.Hubs()
@@ -138,8 +139,8 @@
 	}
 }
 
-// laggingAgents updates since when each agent lags, and returns the names and reasons of those that have lagged for longer
-// than laggingThreshold, sorted.
+// laggingAgents updates since when each agent lags, and returns the names and reasons of those that have lagged for
+// longer than laggingThreshold, sorted.
 func (s *Server) laggingAgents(now time.Time) (list []string) {
 	current := s.currentSettings()
 	for _, a := range s.registry.attachments() {
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -1,4 +1,5 @@
-// This file simulates hubs and agents in virtual time: real servers and stores, over connections that can be partitioned.
+// This file simulates hubs and agents in virtual time: real servers and stores, over connections that can be
+// partitioned.
 
 package hub
 
@@ -37,7 +38,8 @@
 	partitionedAt time.Time
 }
 
-// simHub is the place of a hub, with its present process if it runs. It is the hub.Fleet and the listener of that process.
+// simHub is the place of a hub, with its present process if it runs. It is the hub.Fleet and the listener of that
+// process.
 type simHub struct {
 	sim         *simulation
 	n           int
@@ -312,7 +314,8 @@
 	return sum
 }
 
-// run lets time pass. Agents without a hub attach at random. It fails the test if the quotas add up to more than the limit.
+// run lets time pass. Agents without a hub attach at random. It fails the test if the quotas add up to more than the
+// limit.
 func (s *simulation) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		s.gossip()
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -1,7 +1,8 @@
-// Package incarnation numbers the processes that run under one name, so that a later process has a higher number than an
-// earlier one, also where the machine's clock was set back between them. A number is the wall clock's reading in
-// milliseconds, or one more than the previous number if that is higher. The previous number is stored in a directory, which
-// survives a restart of the machine. Processes of program versions that used the clock's reading alone can be compared, too.
+// Package incarnation numbers the processes that run under one name, so that a later process has a higher number than
+// an earlier one, also where the machine's clock was set back between them. A number is the wall clock's reading in
+// milliseconds, or one more than the previous number if that is higher. The previous number is stored in a directory,
+// which survives a restart of the machine. Processes of program versions that used the clock's reading alone can be
+// compared, too.
 package incarnation
 
 import (
@@ -16,14 +17,14 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Dir returns the directory for stored numbers: the first of candidates that is not empty, otherwise one beside the system's
-// temporary files, which the processes of a fleet on one machine share.
+// Dir returns the directory for stored numbers: the first of candidates that is not empty, otherwise one beside the
+// system's temporary files, which the processes of a fleet on one machine share.
 func Dir(label string, candidates ...string) string {
 	return cmp.Or(cmp.Or(candidates...), filepath.Join(os.TempDir(), "martenbeam-"+url.PathEscape(label)))
 }
 
-// Allocator allocates the incarnations of a name. Its methods may be called from any goroutine. Processes that run at the
-// same time under one name and directory may be given the same number.
+// Allocator allocates the incarnations of a name. Its methods may be called from any goroutine. Processes that run at
+// the same time under one name and directory may be given the same number.
 type Allocator struct {
 	Dir  string // holds the latest number; "": none does
 	Name string
@@ -33,8 +34,8 @@
 // mu serializes the allocators of this process.
 var mu sync.Mutex
 
-// Next returns the number of a process, or of one of its parts, that starts now, and stores it. Without a directory, or if
-// the directory cannot be used, the number is the clock's reading, and the failure is logged.
+// Next returns the number of a process, or of one of its parts, that starts now, and stores it. Without a directory,
+// or if the directory cannot be used, the number is the clock's reading, and the failure is logged.
 func (a Allocator) Next() uint64 {
 	now := bootclock.Wall().UnixMilli()
 	if a.Dir == "" {
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -10,8 +10,8 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Each number is above the stored one, whatever the clock shows. Without a stored number that can be read, or a directory
-// that can be written to, it is the clock's reading.
+// Each number is above the stored one, whatever the clock shows. Without a stored number that can be read, or a
+// directory that can be written to, it is the clock's reading.
 func TestNextIsAboveStoredNumber(t *testing.T) {
 	dir := t.TempDir()
 	a := Allocator{Dir: dir, Name: "n/0"}
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -1,18 +1,18 @@
 // Package hubd wires the process of a hub from its configuration:
 //
-//   - the settings and the residency policy: a holder of each, which starts with the stored version and, at a source, watches
-//     a file;
-//   - fleet.Fleet: the hub's membership among the hubs, their gossip, the replication of the two documents, and the relaying of
-//     the endpoint list;
-//   - hub.Server: the agents that attach here. The fleet hands it the HTTP requests that it does not serve itself, and it reads
-//     and publishes through the fleet;
-//   - discovery.Watcher: it watches the list service, if one is configured, for the agents that watch here; the hub does not
-//     use the list itself.
+//   - the settings and the residency policy: a holder of each, which starts with the stored version and, at a source,
+//     watches a file;
+//   - fleet.Fleet: the hub's membership among the hubs, their gossip, the replication of the two documents, and the
+//     relaying of the endpoint list;
+//   - hub.Server: the agents that attach here. The fleet hands it the HTTP requests that it does not serve itself,
+//     and it reads and publishes through the fleet;
+//   - discovery.Watcher: it watches the list service, if one is configured, for the agents that watch here; the hub
+//     does not use the list itself.
 //
-// The package keeps no state of its own: the holders own the documents, the Server and the Fleet what their packages say, and
-// all are safe for concurrent use. Settings do not age, and are never replaced by a lower version. The policy's age is the time
-// since a source confirmed it; the Server publishes it up to the age bound of gossip.ResidencyVersion. Hub.Run owns all
-// goroutines and waits for them.
+// The package keeps no state of its own: the holders own the documents, the Server and the Fleet what their packages
+// say, and all are safe for concurrent use. Settings do not age, and are never replaced by a lower version. The
+// policy's age is the time since a source confirmed it; the Server publishes it up to the age bound of
+// gossip.ResidencyVersion. Hub.Run owns all goroutines and waits for them.
 package hubd
 
 import (
@@ -46,8 +46,8 @@
 	fleet    *fleet.Fleet
 }
 
-// New loads the stored documents and listens on the hub's fleet address. programVersion is what agents and other hubs are told.
-// The error is that of an address that cannot be used, or of the trace file.
+// New loads the stored documents and listens on the hub's fleet address. programVersion is announced to agents and to
+// other hubs. The error is that of an address that cannot be used, or of the trace file.
 func New(cfg *config.Hub, programVersion string, log *slog.Logger) (*Hub, error) {
 	h := &Hub{cfg: cfg, log: log}
 	h.loadDocuments()
@@ -95,8 +95,8 @@
 	return bounds
 }
 
-// loadDocuments creates the holders of the settings and of the policy, each with the stored version if there is one. A stored
-// version that cannot be used is logged, and the hub starts without it: other hubs have it.
+// loadDocuments creates the holders of the settings and of the policy, each with the stored version if there is one.
+// A stored version that cannot be used is logged, and the hub starts without it: other hubs have it.
 func (h *Hub) loadDocuments() {
 	settingsCfg, residencyCfg := &h.cfg.Settings, &h.cfg.Residency
 	holderCfg := settings.Config{Log: h.log}
@@ -124,8 +124,8 @@
 // Addr returns the address at which agents and other hubs reach this hub.
 func (h *Hub) Addr() string { return h.fleet.Addr() }
 
-// Run serves until ctx ends, then tells the other hubs that this one leaves, and waits for all goroutines of the process. It
-// may be called once. The error is that of the fleet.
+// Run serves until ctx ends, then announces to the other hubs that this one leaves, and waits for all goroutines of the
+// process. It may be called once. The error is that of the fleet.
 func (h *Hub) Run(ctx context.Context) error {
 	if h.trace != nil {
 		defer h.trace.Close()
@@ -152,8 +152,8 @@
 	return err
 }
 
-// endpointWatcher returns the watcher of the list service. It passes the endpoint list to the fleet, which relays it; the hub
-// itself does not use the list, so nothing is delivered or logged.
+// endpointWatcher returns the watcher of the list service. It passes the endpoint list to the fleet, which relays it;
+// the hub itself does not use the list, so nothing is delivered or logged.
 func (h *Hub) endpointWatcher() *discovery.Watcher {
 	startedAt := time.Now()
 	return discovery.New(discovery.Config{
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -90,8 +90,8 @@
 	return h, logs
 }
 
-// Settings in the file of one hub reach the next hub and are stored there. Invalid settings go no further than the hub that
-// reads them, and a lower version is applied nowhere.
+// Settings in the file of one hub reach the next hub and are stored there. Invalid settings go no further than the
+// hub that reads them, and a lower version is applied nowhere.
 func TestSettingsFileReachesOtherHubs(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
