--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -39,6 +39,17 @@
 	hub := startHub(t, "hub", 10, nil)
 	good := attachAgent(t, hub, frame.Hello{Name: "good", Incarnation: 1}, servingState)
 	waitFor(t, "fleet size", func() bool { return good.fleetSize().Attached == 1 })
+	sendMalformedFrames(t, hub)
+	sendTooManyFrames(t, hub)
+	stopReading(t, hub)
+	if good.closed() || good.fleetSize().Attached == 0 {
+		t.Error("the well-behaved agent has no stream or no fleet size any more")
+	}
+}
+
+// sendMalformedFrames checks that each of some malformed or unexpected frames ends its stream and is counted.
+func sendMalformedFrames(t *testing.T, hub *testHub) {
+	t.Helper()
 	for name, text := range map[string]string{
 		"long":      "\x7f\xff\xff\xff",
 		"malformed": "\x00\x00\x00\x02\xff\xff",
@@ -54,7 +65,11 @@
 	if hub.protocolErrors.Load() != 3 {
 		t.Errorf("%d protocol errors counted, want 3", hub.protocolErrors.Load())
 	}
-	// An agent floods the hub with frames.
+}
+
+// sendTooManyFrames checks that the hub reads frames at its rate, however many an agent sends.
+func sendTooManyFrames(t *testing.T, hub *testHub) {
+	t.Helper()
 	flooding := attachAgent(t, hub, frame.Hello{Name: "flooding", Incarnation: 1}, nil)
 	startedAt := time.Now()
 	_ = flooding.conn.SetWriteDeadline(startedAt.Add(2 * time.Second)) // the hub does not read them in time
@@ -76,7 +91,11 @@
 	if n := applied(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
 		t.Errorf("%d frames read in %v", n, time.Since(startedAt))
 	}
-	// An agent does not read: its stream ends once its buffers are full.
+}
+
+// stopReading has an agent that does not read. Its stream ends once its buffers are full.
+func stopReading(t *testing.T, hub *testHub) {
+	t.Helper()
 	unresponsive, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
 	if err != nil {
 		t.Fatal(err)
@@ -96,9 +115,6 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if good.closed() || good.fleetSize().Attached == 0 {
-		t.Error("the well-behaved agent has no stream or no fleet size any more")
-	}
 }
 
 // findAttachment returns the attachment of a name, nil without one.
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -11,7 +11,8 @@
 )
 
 // The agents of several hubs are counted together. A dead agent counts once though two hubs lost it, as does one that
-// said Leave, and one that is back counts as dead no more.
+// said Leave, and one that is back counts as dead no more. The steps stand in one function because each starts from
+// the fleet that the one before left.
 func TestFleetSizeCountsEachAgentOnce(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 3, 10)
@@ -27,12 +28,8 @@
 	c2 := attachAgent(t, hubs[2], frame.Hello{Name: "c", Incarnation: 1, Addr: firstProcess.Addr().String()}, servingState)
 	waitFor(t, "fleet size of five streams", func() bool { return a.fleetSize().Attached == 5 })
 	// The process of c is dead, and both hubs have lost its stream.
-	hubs[1].registry.mu.Lock()
-	clear(hubs[1].registry.remote)
-	hubs[1].registry.mu.Unlock()
-	hubs[2].registry.mu.Lock()
-	clear(hubs[2].registry.remote)
-	hubs[2].registry.mu.Unlock()
+	forgetRemote(hubs[1])
+	forgetRemote(hubs[2])
 	firstProcess.Close()
 	c1.close()
 	c2.close()
@@ -63,6 +60,13 @@
 	waitFor(t, "end of the checks of c", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
+// forgetRemote makes a hub forget which agents are attached to other hubs.
+func forgetRemote(hub *testHub) {
+	hub.registry.mu.Lock()
+	defer hub.registry.mu.Unlock()
+	clear(hub.registry.remote)
+}
+
 // A fleet size is never younger than the oldest report that it rests on.
 func TestFleetSizeIsAsOldAsItsOldestEntry(t *testing.T) {
 	t.Parallel()
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -145,48 +145,54 @@
 	if err := writeFrame(conn, &frame.Frame{Hello: &hello}); err != nil {
 		t.Fatal(err)
 	}
-	go func() {
-		defer close(a.done)
-		for {
-			f, err := frame.Read(reader)
-			if err != nil {
-				return
-			}
-			a.mu.Lock()
-			a.quotaConfirmed = a.quotaConfirmed || f.QuotaConfirmed
-			if f.Welcome != nil {
-				a.welcome = f.Welcome
-			}
-			if f.Busy != nil {
-				a.busy = f.Busy
-			}
-			a.mu.Unlock()
-			if len(f.Gossip) > 0 {
-				_ = a.gossip.Merge(f.Gossip)
-			}
+	go a.readLoop(reader)
+	go a.stateLoop(state)
+	t.Cleanup(a.close)
+	return a
+}
+
+// readLoop keeps what the hub sends until the stream ends.
+func (a *fakeAgent) readLoop(reader *bufio.Reader) {
+	defer close(a.done)
+	for {
+		f, err := frame.Read(reader)
+		if err != nil {
+			return
 		}
-	}()
-	go func() {
-		tick := time.NewTicker(gossip.TickInterval)
-		defer tick.Stop()
-		for seq := uint32(0); ; seq++ {
-			a.gossip.Tick()
-			if state != nil && seq%5 == 0 {
-				next := *state
-				next.Seq = seq
-				if writeFrame(conn, &frame.Frame{State: &next}) != nil {
-					return
-				}
-			}
-			select {
-			case <-a.done:
+		a.mu.Lock()
+		a.quotaConfirmed = a.quotaConfirmed || f.QuotaConfirmed
+		if f.Welcome != nil {
+			a.welcome = f.Welcome
+		}
+		if f.Busy != nil {
+			a.busy = f.Busy
+		}
+		a.mu.Unlock()
+		if len(f.Gossip) > 0 {
+			_ = a.gossip.Merge(f.Gossip)
+		}
+	}
+}
+
+// stateLoop sends state, unless that is nil, at every fifth tick until the stream ends.
+func (a *fakeAgent) stateLoop(state *frame.State) {
+	tick := time.NewTicker(gossip.TickInterval)
+	defer tick.Stop()
+	for seq := uint32(0); ; seq++ {
+		a.gossip.Tick()
+		if state != nil && seq%5 == 0 {
+			next := *state
+			next.Seq = seq
+			if writeFrame(a.conn, &frame.Frame{State: &next}) != nil {
 				return
-			case <-tick.C:
 			}
 		}
-	}()
-	t.Cleanup(a.close)
-	return a
+		select {
+		case <-a.done:
+			return
+		case <-tick.C:
+		}
+	}
 }
 
 // close closes the stream and waits for the reader.
--- a/internal/fleet/hub/quotas_test.go
+++ b/internal/fleet/hub/quotas_test.go
@@ -3,7 +3,6 @@
 package hub
 
 import (
-	"math/rand/v2"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -14,28 +13,8 @@
 func TestQuotasStayWithinTheLimit(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
-			const maxAgents = 10
-			sim := &simulation{t: t, maxAgents: maxAgents, rand: rand.New(rand.NewPCG(seed, 1)), agents: make([]*simAgent, maxAgents)}
-			for n := range 4 {
-				sim.hubs = append(sim.hubs, &simHub{sim: sim, n: n})
-			}
-			for _, hub := range sim.hubs {
-				hub.start()
-			}
-			defer func() {
-				for _, agent := range sim.agents {
-					if agent != nil {
-						agent.kill(false)
-					}
-				}
-				for _, hub := range sim.hubs {
-					hub.stop()
-				}
-				sim.tasks.Wait()
-			}()
-			for n := range maxAgents {
-				sim.spawn(n)
-			}
+			sim := startSimulation(t, seed)
+			defer sim.stop()
 			sim.run(6 * time.Second)
 			for range 25 {
 				sim.step()
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -24,9 +24,9 @@
 )
 
 // registry records where agents are, by name: attached here, attached to another hub as that hub reported, or
-// disconnected. A disconnected agent is in neither of the other two maps. Processes of one name are distinguished by
-// their incarnation; the one with the higher incarnation replaces the other. Its methods may be called from any
-// goroutine.
+// disconnected. A disconnected agent is not attached here, and no other hub has reported the same or a later process of
+// it since. Processes of one name are distinguished by their incarnation; the one with the higher incarnation replaces
+// the other. Its methods may be called from any goroutine.
 type registry struct {
 	mu           sync.Mutex
 	attached     map[string]*attachment
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -9,7 +9,7 @@
 // State, its owner and its age:
 //
 //   - registry, under its mutex: which agents are attached here, attached to another hub, or disconnected. What other
-//     hubs report arrives every 250 ms and is used for 30 s (remoteMaxAge).
+//     hubs report arrives every 250 ms and is used for at most 30 s (remoteMaxAge).
 //   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the
 //     agent's last State, which it sends each second, is under the attachment's mutex. A stream that is silent for
 //     three seconds ends.
--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -62,7 +62,8 @@
 		holders = append(holders, holder)
 		hubs = append(hubs, startHub(t, fmt.Sprint("hub", i), 10, func(c *Config) { c.Settings = holder.documentKind() }, hubs...))
 	}
-	current, lagging := frame.AppliedVersion{Version: 2, Digest: "of two"}, frame.AppliedVersion{Version: 1, Reason: "a key is unknown"}
+	current := frame.AppliedVersion{Version: 2, Digest: "of two"}
+	lagging := frame.AppliedVersion{Version: 1, Reason: "a key is unknown"}
 	a := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 1}, &frame.State{Settings: current})
 	b := attachAgent(t, hubs[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{Settings: lagging})
 	published := func(agent *fakeAgent, v int64) func() bool {
@@ -82,15 +83,22 @@
 	waitFor(t, "published settings", published(b, 2))
 	var report SettingsReport
 	waitFor(t, "report on both agents", func() bool {
-		resp, err := http.Get("http://" + hubs[0].fleet.Addr() + pathSettings)
-		if err != nil {
-			return false
-		}
-		defer resp.Body.Close()
-		report = SettingsReport{}
-		return json.NewDecoder(resp.Body).Decode(&report) == nil && report.Agents == 2 && report.Applied == 1
+		var err error
+		report, err = getSettingsReport(hubs[0])
+		return err == nil && report.Agents == 2 && report.Applied == 1
 	})
 	if report.Version != 2 || len(report.Lagging) != 1 || report.Lagging[0] != (LaggingAgent{"b", "hub1", 1, "a key is unknown"}) {
 		t.Errorf("%+v", report)
 	}
 }
+
+// getSettingsReport requests the settings report of a hub.
+func getSettingsReport(hub *testHub) (report SettingsReport, err error) {
+	resp, err := http.Get("http://" + hub.fleet.Addr() + pathSettings)
+	if err != nil {
+		return report, err
+	}
+	defer resp.Body.Close()
+	err = json.NewDecoder(resp.Body).Decode(&report)
+	return report, err
+}
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -63,6 +63,36 @@
 	hub            *simHub
 }
 
+// startSimulation starts four hubs and ten agents, as many as the fleet may have.
+func startSimulation(t *testing.T, seed uint64) *simulation {
+	t.Helper()
+	const maxAgents = 10
+	s := &simulation{t: t, maxAgents: maxAgents, rand: rand.New(rand.NewPCG(seed, 1)), agents: make([]*simAgent, maxAgents)}
+	for n := range 4 {
+		s.hubs = append(s.hubs, &simHub{sim: s, n: n})
+	}
+	for _, hub := range s.hubs {
+		hub.start()
+	}
+	for n := range maxAgents {
+		s.spawn(n)
+	}
+	return s
+}
+
+// stop ends all agents and hubs, and waits for them.
+func (s *simulation) stop() {
+	for _, agent := range s.agents {
+		if agent != nil {
+			agent.kill(false)
+		}
+	}
+	for _, hub := range s.hubs {
+		hub.stop()
+	}
+	s.tasks.Wait()
+}
+
 // isPartitioned reports whether two places, hubs or agents, cannot reach each other.
 func (s *simulation) isPartitioned(a, b int) bool { return s.partitioned && a%2 != b%2 }
 
