--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -38,9 +38,10 @@
 	return h.version, h.text, h.version > 0
 }
 
-// documentKind returns the settings document of this holder.
-func (h *fakeHolder) documentKind() *documents.Document {
-	return &documents.Document{GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: 1 << 10, Holder: h,
+// document returns the settings document of this holder.
+func (h *fakeHolder) document() *documents.Document {
+	return &documents.Document{
+		GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: 1 << 10, Holder: h,
 		Digest: func(text string) string { return "of " + text },
 		Applied: func() documents.AppliedVersion {
 			h.mu.Lock()
@@ -49,7 +50,8 @@
 				return documents.AppliedVersion{}
 			}
 			return documents.AppliedVersion{Version: h.version, Digests: []string{"of " + h.text}}
-		}}
+		},
+	}
 }
 
 // Settings that one hub holds are published by all hubs and never go back. Every hub can be asked who lags behind.
@@ -60,7 +62,7 @@
 	for i := range 2 {
 		holder := &fakeHolder{}
 		holders = append(holders, holder)
-		hubs = append(hubs, startHub(t, fmt.Sprint("hub", i), 10, func(c *Config) { c.Settings = holder.documentKind() }, hubs...))
+		hubs = append(hubs, startHub(t, fmt.Sprint("hub", i), 10, func(c *Config) { c.Settings = holder.document() }, hubs...))
 	}
 	current := frame.AppliedVersion{Version: 2, Digest: "of two"}
 	lagging := frame.AppliedVersion{Version: 1, Reason: "a key is unknown"}
