--- a/internal/fleet/hub/fleetsize.go
+++ b/internal/fleet/hub/fleetsize.go
@@ -89,10 +89,10 @@
 
 // maxSourceAge returns how old an entry may be that a published sum rests on: two thirds of the age bound of its
 // kind, so that the sum can be used for a while before it reaches the bound.
-func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.Bounds[kind] * 2 / 3 }
+func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.AgeBounds[kind] * 2 / 3 }
 
 // deadMaxAge returns for how long a report that a process is dead is used.
-func (s *Server) deadMaxAge() time.Duration { return s.cfg.Bounds[gossip.DeadProcesses] }
+func (s *Server) deadMaxAge() time.Duration { return s.cfg.AgeBounds[gossip.DeadProcesses] }
 
 // countDead counts the names that a hub or a member reports as dead, except those of hubs, of agents that are members
 // themselves, and of agents known to be attached to a hub. oldest is the age of the oldest report that counts. A hub
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -87,7 +87,7 @@
 		}
 	}
 	if document := s.cfg.Policy; document != nil {
-		if age, ok := s.cfg.PolicyAge(); ok && age <= s.cfg.Bounds[gossip.ResidencyVersion] {
+		if age, ok := s.cfg.PolicyAge(); ok && age <= s.cfg.AgeBounds[gossip.ResidencyVersion] {
 			body := document.Applied().MarshalBody()
 			entries = append(entries, gossip.Entry{Kind: document.GossipKind, Subject: document.Subject, Age: age, Body: body})
 		}
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -70,7 +70,7 @@
 	// MaxAgents is an upper bound of the agents that the fleet has at a time. Quotas are computed from it.
 	MaxAgents int
 	AdmitRate float64             // new streams per second; 0: defaultAdmitRate
-	Bounds    gossip.AgeBounds    // nil: gossip.DefaultAgeBounds
+	AgeBounds gossip.AgeBounds    // nil: gossip.DefaultAgeBounds
 	Settings  *documents.Document // nil: none
 	Policy    *documents.Document // nil: none
 	// PolicyAge returns how long ago a source last confirmed Policy, and false if none has. It is required with Policy.
@@ -103,8 +103,8 @@
 
 // New returns a hub that takes agents in once Run is called.
 func New(cfg Config) *Server {
-	if cfg.Bounds == nil {
-		cfg.Bounds = gossip.DefaultAgeBounds
+	if cfg.AgeBounds == nil {
+		cfg.AgeBounds = gossip.DefaultAgeBounds
 	}
 	if cfg.AdmitRate <= 0 {
 		cfg.AdmitRate = defaultAdmitRate
@@ -112,9 +112,9 @@
 	now := time.Now()
 	return &Server{
 		cfg:         cfg,
-		loadReports: gossip.New(cfg.Name, cfg.Incarnation, cfg.Bounds, nil),
+		loadReports: gossip.New(cfg.Name, cfg.Incarnation, cfg.AgeBounds, nil),
 		registry:    newRegistry(),
-		evidence:    newEvidence(cfg.Bounds[gossip.DeadProcesses], cfg.MaxAgents, now),
+		evidence:    newEvidence(cfg.AgeBounds[gossip.DeadProcesses], cfg.MaxAgents, now),
 		admission:   newAdmission(cfg.AdmitRate, now),
 		startedAt:   now,
 	}
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -67,7 +67,7 @@
 	}
 	h.server = hub.New(hub.Config{
 		Name: cfg.Name, Label: cfg.Label, ProgramVersion: programVersion, Incarnation: incarnations.Next(),
-		MaxAgents: cfg.MaxAgents, AdmitRate: cfg.AdmitRate, Bounds: bounds,
+		MaxAgents: cfg.MaxAgents, AdmitRate: cfg.AdmitRate, AgeBounds: bounds,
 		Settings: document, Policy: fleet.PolicyReplicator(h.policy), PolicyAge: h.policy.ConfirmedAge,
 		Log: log, Trace: trace,
 	})
