--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -38,7 +38,9 @@
 	opened map[time.Duration]int // connections, by second
 }
 
-func (h *host) party() netfault.Party { return netfault.Party{Role: netfault.Backend, N: h.n} }
+func (h *host) party() netfault.Endpoint {
+	return netfault.Endpoint{Role: netfault.Backend, Number: h.n}
+}
 
 // backendConn is a connection from one agent.
 type backendConn struct {
@@ -99,7 +101,7 @@
 		return nil
 	}
 	if e := l.fleet.mine[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]; e != nil && e.Role == netfault.Member {
-		return l.agents[e.N]
+		return l.agents[e.Number]
 	}
 	return nil
 }
@@ -214,7 +216,9 @@
 	}
 }
 
-func (a *attempt) party() netfault.Party { return netfault.Party{Role: netfault.Agent, N: a.agent} }
+func (a *attempt) party() netfault.Endpoint {
+	return netfault.Endpoint{Role: netfault.Agent, Number: a.agent}
+}
 
 func fingerprint(method, uri, key string, body []byte) uint64 {
 	d := xxhash.New()
@@ -242,7 +246,7 @@
 		delete(l.attempts, a.number)
 		return
 	}
-	d := l.net.Way(a.party(), h.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
+	d := l.net.Arrivals(a.party(), h.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
 	if fresh { // a handshake: one round trip more, and work
 		d += 2 * l.way(a.party(), h.party())
 	}
@@ -356,7 +360,7 @@
 		return
 	}
 	delete(l.attempts, a.number)
-	d := l.net.Way(h.party(), a.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
+	d := l.net.Arrivals(h.party(), a.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
 	l.check.Reply(now, a.id, h.m.ID, what, ans.never)
 	l.at(now+d, func(time.Duration) {
 		select {
@@ -368,7 +372,7 @@
 }
 
 // park keeps a message until its way may be free again. The lock is held.
-func (l *Lab) park(from, to netfault.Party, send func(now time.Duration)) {
+func (l *Lab) park(from, to netfault.Endpoint, send func(now time.Duration)) {
 	l.parked = append(l.parked, parked{from, to, send})
 }
 
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -262,10 +262,10 @@
 	l.check.Open(now, &check.Request{ID: id, First: p.first, Try: p.tries, Agent: a.n, Class: p.class, Sent: now, GiveUp: p.patience,
 		Print: fingerprint(http.MethodPost, p.uri, p.idem, p.body)})
 	a.plays[id] = p
-	shut, refused := l.net.Shut(me, agent), l.net.Refused(me, agent)
+	shut, refused := l.net.Unreachable(me, agent), l.net.Refused(me, agent)
 	var way time.Duration
 	if !shut {
-		way = l.net.Way(me, agent, netfault.TCP, id)[0]
+		way = l.net.Arrivals(me, agent, netfault.TCP, id)[0]
 	}
 	l.mu.Unlock()
 	answer, wait := check.Unreachable, time.Duration(0)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -81,7 +81,7 @@
 }
 
 // open opens the copy of a caller, which has a number among all of them.
-func (d *discovery) open(ip string, caller netfault.Party, n int) error {
+func (d *discovery) open(ip string, caller netfault.Endpoint, n int) error {
 	g, err := newGate(ip, func(c net.Conn) net.Conn { return c })
 	if err != nil {
 		return err
@@ -137,7 +137,9 @@
 	}
 }
 
-func party(role netfault.Role, n int) netfault.Party { return netfault.Party{Role: role, N: n} }
+func party(role netfault.Role, n int) netfault.Endpoint {
+	return netfault.Endpoint{Role: role, Number: n}
+}
 
 // learn has discovery learn of a change after its time. The lab's lock is held.
 func (d *discovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
@@ -260,7 +262,7 @@
 }
 
 // serve answers one caller's call.
-func (d *discovery) serve(w http.ResponseWriter, r *http.Request, caller netfault.Party, n int) {
+func (d *discovery) serve(w http.ResponseWriter, r *http.Request, caller netfault.Endpoint, n int) {
 	l := d.lab
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
--- a/internal/lab/faultinject/faultinject.go
+++ b/internal/lab/faultinject/faultinject.go
@@ -80,21 +80,21 @@
 	return os.Rename(c.Path+".next", c.Path)
 }
 
-// acknowledgedWithin bounds how long a running program may take to follow a plan.
-const acknowledgedWithin = 5 * time.Second
+// acknowledgeTimeout bounds how long a running program may take to follow a plan.
+const acknowledgeTimeout = 5 * time.Second
 
 // Apply puts a plan in force in the running program, and returns once it is.
 func (c *Control) Apply(p Plan) error {
 	if err := c.Write(p); err != nil {
 		return err
 	}
-	for end := time.Now().Add(acknowledgedWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(acknowledgeTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		text, err := os.ReadFile(c.Path + ".followed")
 		if err == nil && string(text) == strconv.Itoa(c.number) {
 			return nil
 		}
 	}
-	return fmt.Errorf("plan %d is not followed within %v", c.number, acknowledgedWithin)
+	return fmt.Errorf("plan %d is not followed within %v", c.number, acknowledgeTimeout)
 }
 
 // hooked are the functions of the standard library that ask before a system call, with what tells the file.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -194,12 +194,12 @@
 			}
 		}
 		disc := party(netfault.Discovery, a.n)
-		if l.net.Shut(it, disc) {
+		if l.net.Unreachable(it, disc) {
 			l.disc.upset = end
 		}
 	}
 	for _, h := range l.hubs {
-		if l.net.Shut(party(netfault.Hub, h.n), party(netfault.Discovery, len(l.agents)+h.n)) {
+		if l.net.Unreachable(party(netfault.Hub, h.n), party(netfault.Discovery, len(l.agents)+h.n)) {
 			l.disc.upset = end
 		}
 	}
@@ -216,7 +216,7 @@
 
 // linkFault puts one rule on links. The lock is held.
 func (l *Lab) linkFault(i int, f *scenario.Fault, now time.Duration) {
-	in := func(text string) func(netfault.Party) bool {
+	in := func(text string) func(netfault.Endpoint) bool {
 		set, _ := scenario.ParseSet(text)
 		role, n := set.Role(), len(l.agents)
 		switch role {
@@ -231,13 +231,13 @@
 		for _, k := range l.pick(i, set, n, func(k int) int { return l.zone(party(role, k)) }) {
 			picked[k] = true
 		}
-		return func(p netfault.Party) bool {
-			return (p.Role == role || role == netfault.Agent && p.Role == netfault.Member) && picked[p.N]
+		return func(p netfault.Endpoint) bool {
+			return (p.Role == role || role == netfault.Agent && p.Role == netfault.Member) && picked[p.Number]
 		}
 	}
 	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
 	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
-		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), Lose: f.Lose, Duplicate: f.Duplicate, Reorder: f.Reorder}}
+		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), LossRate: f.Lose, DuplicateRate: f.Duplicate, ReorderRate: f.Reorder}}
 	rules := []netfault.Rule{r}
 	if f.Both {
 		rules = append(rules, netfault.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
@@ -263,14 +263,14 @@
 		me := party(netfault.Agent, a.n)
 		for _, h := range l.hosts {
 			if !h.down && h.gates != nil {
-				jobs = append(jobs, job{h.gates[a.n], h.m.State == model.Silent || l.net.Shut(me, h.party())})
+				jobs = append(jobs, job{h.gates[a.n], h.m.State == model.Silent || l.net.Unreachable(me, h.party())})
 			}
 		}
-		jobs = append(jobs, job{l.disc.gates[a.n], l.net.Shut(me, party(netfault.Discovery, a.n))})
+		jobs = append(jobs, job{l.disc.gates[a.n], l.net.Unreachable(me, party(netfault.Discovery, a.n))})
 	}
 	for _, h := range l.hubs {
 		if n := len(l.agents) + h.n; n < len(l.disc.gates) {
-			jobs = append(jobs, job{l.disc.gates[n], l.net.Shut(party(netfault.Hub, h.n), party(netfault.Discovery, n))})
+			jobs = append(jobs, job{l.disc.gates[n], l.net.Unreachable(party(netfault.Hub, h.n), party(netfault.Discovery, n))})
 		}
 	}
 	l.running.Go(func() {
@@ -286,8 +286,10 @@
 // beyond. The lock is held.
 func (l *Lab) border(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Who)
-	inside := func(p netfault.Party) bool { return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p)) }
-	outside := func(p netfault.Party) bool { return p.Role != netfault.Client && !inside(p) }
+	inside := func(p netfault.Endpoint) bool {
+		return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p))
+	}
+	outside := func(p netfault.Endpoint) bool { return p.Role != netfault.Client && !inside(p) }
 	in := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
 	rules := []netfault.Rule{in}
 	if f.What == scenario.ZoneCut {
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -34,7 +34,7 @@
 
 // fleetEnd is one process as its fleet meets it, and its link.
 type fleetEnd struct {
-	netfault.Party
+	netfault.Endpoint
 	name string // in draws
 	at   netip.AddrPort
 	udp  *net.UDPConn
@@ -66,14 +66,14 @@
 }
 
 // open opens the link of a process that calls from one address and is reached at another.
-func (f *fleetLinks) open(p netfault.Party, name, at, reached string) error {
+func (f *fleetLinks) open(p netfault.Endpoint, name, at, reached string) error {
 	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
 	_ = u.SetReadBuffer(1 << 20) // as large as the system allows
-	e := &fleetEnd{Party: p, name: name, at: netip.AddrPortFrom(own, fleetPort), udp: u}
+	e := &fleetEnd{Endpoint: p, name: name, at: netip.AddrPortFrom(own, fleetPort), udp: u}
 	f.ends, f.mine[own] = append(f.ends, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
@@ -131,10 +131,10 @@
 		f.count(from, to, size)
 		l.mu.Lock()
 		now := l.now()
-		for _, d := range l.net.Way(from.Party, to.Party, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
+		for _, d := range l.net.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
 			l.at(now+d, func(time.Duration) {
 				_, _ = from.udp.WriteToUDPAddrPort(data, to.at) // a receiver that is gone misses it
-				f.note(wayKey{l.zone(from.Party), l.zone(to.Party), int(now / time.Second)}, time.Since(came))
+				f.note(wayKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
 			})
 		}
 		l.mu.Unlock()
@@ -201,8 +201,8 @@
 func (f *fleetLinks) fault(from, to *fleetEnd) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
-	x := f.lab.net.Fault(from.Party, to.Party, netfault.TCP)
-	return x, f.lab.way(from.Party, to.Party) + x.Delay
+	x := f.lab.net.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
+	return x, f.lab.way(from.Endpoint, to.Endpoint) + x.Delay
 }
 
 // carryStream carries one connection. Beyond a cut it hangs, as the opening segment would; where the other process is
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -58,7 +58,7 @@
 	agenda    agenda
 	seq       uint64
 	poke      chan struct{}
-	net       *netfault.Net
+	net       *netfault.Network
 	check     *check.Checker
 	tally     *check.Tally
 	late      *hdrhistogram.Histogram // us
@@ -100,7 +100,7 @@
 
 // parked is a message that waits at its sender until its way is free.
 type parked struct {
-	from, to netfault.Party
+	from, to netfault.Endpoint
 	send     func(now time.Duration)
 }
 
--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -26,22 +26,22 @@
 	return [...]string{"client", "agent", "backend", "discovery", "member", "hub"}[r]
 }
 
-// Party is one end of a link. The client and discovery of agent 3 have its number.
-type Party struct {
-	Role Role
-	N    int
+// Endpoint is one end of a link. The client and discovery of agent 3 have its number.
+type Endpoint struct {
+	Role   Role
+	Number int
 }
 
 // Fault is what a rule does to each message of its direction. The zero value does nothing.
 type Fault struct {
-	Cut       bool          // nothing arrives; the sender is not told
-	Refuse    bool          // connections are refused
-	Reset     bool          // connections that stand are reset when the rule begins
-	Delay     time.Duration // added to the way
-	Jitter    time.Duration // up to so much more, evenly
-	Lose      float64       // share lost: over TCP sent again, over UDP gone
-	Duplicate float64       // share of datagrams that arrive twice
-	Reorder   float64       // share of datagrams that later ones overtake
+	Cut           bool          // nothing arrives; the sender is not told
+	Refuse        bool          // connections are refused
+	Reset         bool          // connections that stand are reset when the rule begins
+	Delay         time.Duration // added to the way
+	Jitter        time.Duration // up to so much more, evenly
+	LossRate      float64       // share lost: over TCP sent again, over UDP gone
+	DuplicateRate float64       // share of datagrams that arrive twice
+	ReorderRate   float64       // share of datagrams that later ones overtake
 }
 
 // Protocol is how a message travels.
@@ -54,108 +54,108 @@
 
 // Rule puts a fault on every link from one set of parties to another.
 type Rule struct {
-	From, To  func(Party) bool
+	From, To  func(Endpoint) bool
 	Protocols Protocol
 	Fault
 }
 
-type pair struct {
-	from, to Party
-	p        Protocol
+type direction struct {
+	from, to Endpoint
+	protocol Protocol
 }
 
-// Net is a network. Calls must not run at the same time.
-type Net struct {
-	base   func(from, to Party) time.Duration
-	draws  rng.Source
-	jitter float64 // of the ordinary way, as a share
-	rules  map[int]Rule
-	next   int
-	known  map[pair]Fault // by pair, until the rules change
+// Network is a network. Calls must not run at the same time.
+type Network struct {
+	baseLatency func(from, to Endpoint) time.Duration
+	random      rng.Source
+	jitter      float64 // of the ordinary way, as a share
+	rules       map[int]Rule
+	lastRule    int
+	faultCache  map[direction]Fault // by pair, until the rules change
 }
 
 // New returns a network without faults. base is the ordinary one-way time.
-func New(base func(from, to Party) time.Duration, jitter float64, draws rng.Source) *Net {
-	return &Net{base: base, draws: draws, jitter: jitter, rules: map[int]Rule{}, known: map[pair]Fault{}}
+func New(baseLatency func(from, to Endpoint) time.Duration, jitter float64, random rng.Source) *Network {
+	return &Network{baseLatency: baseLatency, random: random, jitter: jitter, rules: map[int]Rule{}, faultCache: map[direction]Fault{}}
 }
 
 // Add lets a rule begin and returns its number.
-func (n *Net) Add(r Rule) int {
-	n.next++
-	n.rules[n.next] = r
-	clear(n.known)
-	return n.next
+func (n *Network) Add(r Rule) int {
+	n.lastRule++
+	n.rules[n.lastRule] = r
+	clear(n.faultCache)
+	return n.lastRule
 }
 
 // Remove ends a rule.
-func (n *Net) Remove(rule int) {
+func (n *Network) Remove(rule int) {
 	delete(n.rules, rule)
-	clear(n.known)
+	clear(n.faultCache)
 }
 
 // Fault is what all rules together do to one direction: the worst of each.
-func (n *Net) Fault(from, to Party, p Protocol) Fault {
-	k := pair{from, to, p}
-	f, ok := n.known[k]
+func (n *Network) Fault(from, to Endpoint, protocol Protocol) Fault {
+	key := direction{from, to, protocol}
+	fault, ok := n.faultCache[key]
 	if ok {
-		return f
+		return fault
 	}
-	for _, r := range n.rules {
-		if r.Protocols&p == 0 || !r.From(from) || !r.To(to) {
+	for _, rule := range n.rules {
+		if rule.Protocols&protocol == 0 || !rule.From(from) || !rule.To(to) {
 			continue
 		}
-		f.Cut, f.Refuse, f.Reset = f.Cut || r.Cut, f.Refuse || r.Refuse, f.Reset || r.Reset
-		f.Delay, f.Jitter = max(f.Delay, r.Delay), max(f.Jitter, r.Jitter)
-		f.Lose, f.Duplicate, f.Reorder = max(f.Lose, r.Lose), max(f.Duplicate, r.Duplicate), max(f.Reorder, r.Reorder)
+		fault.Cut, fault.Refuse, fault.Reset = fault.Cut || rule.Cut, fault.Refuse || rule.Refuse, fault.Reset || rule.Reset
+		fault.Delay, fault.Jitter = max(fault.Delay, rule.Delay), max(fault.Jitter, rule.Jitter)
+		fault.LossRate, fault.DuplicateRate, fault.ReorderRate = max(fault.LossRate, rule.LossRate), max(fault.DuplicateRate, rule.DuplicateRate), max(fault.ReorderRate, rule.ReorderRate)
 	}
-	n.known[k] = f
-	return f
+	n.faultCache[key] = fault
+	return fault
 }
 
-// Shut reports whether no connection can come up between two parties: one word in either direction
+// Unreachable reports whether no connection can come up between two parties: one word in either direction
 // that does not arrive is enough.
-func (n *Net) Shut(from, to Party) bool {
+func (n *Network) Unreachable(from, to Endpoint) bool {
 	return n.Fault(from, to, TCP).Cut || n.Fault(to, from, TCP).Cut
 }
 
 // Refused reports whether connections are refused.
-func (n *Net) Refused(from, to Party) bool { return n.Fault(from, to, TCP).Refuse }
+func (n *Network) Refused(from, to Endpoint) bool { return n.Fault(from, to, TCP).Refuse }
 
 const (
-	resend    = 200 * time.Millisecond // the least time after which TCP sends a lost segment again
-	resends   = 5                      // it doubles so often
-	overtaken = 20 * time.Millisecond  // a reordered datagram is late by up to this
+	retransmitTimeout = 200 * time.Millisecond // the least time after which TCP sends a lost segment again
+	maxRetransmits    = 5                      // it doubles so often
+	maxReorderDelay   = 20 * time.Millisecond  // a reordered datagram is late by up to this
 )
 
-// Way is what happens to one message: the times after which its copies arrive. None: it is lost.
+// Arrivals is what happens to one message: the times after which its copies arrive. None: it is lost.
 // A message of a cut direction is lost here; who holds it back for later asks Fault first.
-func (n *Net) Way(from, to Party, p Protocol, message string) []time.Duration {
-	f := n.Fault(from, to, p)
-	if f.Cut {
+func (n *Network) Arrivals(from, to Endpoint, protocol Protocol, message string) []time.Duration {
+	fault := n.Fault(from, to, protocol)
+	if fault.Cut {
 		return nil
 	}
-	d := n.base(from, to)
-	if f == (Fault{}) && n.jitter == 0 {
-		return []time.Duration{d}
+	latency := n.baseLatency(from, to)
+	if fault == (Fault{}) && n.jitter == 0 {
+		return []time.Duration{latency}
 	}
-	draw := n.draws.Stream("way/" + from.Role.String() + "/" + message)
-	d += time.Duration(n.jitter*draw.Float64()*float64(d)) + f.Delay + time.Duration(draw.Float64()*float64(f.Jitter))
-	if p == TCP {
-		for i := 0; i < resends && draw.Float64() < f.Lose; i++ {
-			d += resend << i
+	draw := n.random.Stream("way/" + from.Role.String() + "/" + message)
+	latency += time.Duration(n.jitter*draw.Float64()*float64(latency)) + fault.Delay + time.Duration(draw.Float64()*float64(fault.Jitter))
+	if protocol == TCP {
+		for i := 0; i < maxRetransmits && draw.Float64() < fault.LossRate; i++ {
+			latency += retransmitTimeout << i
 		}
-		return []time.Duration{d}
+		return []time.Duration{latency}
 	}
-	lost, twice, late := draw.Float64() < f.Lose, draw.Float64() < f.Duplicate, draw.Float64() < f.Reorder
-	shift, again := draw.Float64(), draw.Float64()
+	lost, duplicated, reordered := draw.Float64() < fault.LossRate, draw.Float64() < fault.DuplicateRate, draw.Float64() < fault.ReorderRate
+	shift, duplicateShift := draw.Float64(), draw.Float64()
 	switch {
 	case lost:
 		return nil
-	case late:
-		d += time.Duration(shift * float64(overtaken))
+	case reordered:
+		latency += time.Duration(shift * float64(maxReorderDelay))
 	}
-	if twice {
-		return []time.Duration{d, d + time.Duration(again*float64(overtaken))}
+	if duplicated {
+		return []time.Duration{latency, latency + time.Duration(duplicateShift*float64(maxReorderDelay))}
 	}
-	return []time.Duration{d}
+	return []time.Duration{latency}
 }
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -9,28 +9,28 @@
 	"martenbeam/internal/lab/rng"
 )
 
-var a, b, c = Party{Agent, 0}, Party{Agent, 1}, Party{Backend, 0}
+var a, b, c = Endpoint{Agent, 0}, Endpoint{Agent, 1}, Endpoint{Backend, 0}
 
-func network() *Net {
-	return New(func(_, _ Party) time.Duration { return time.Millisecond }, 0.2, rng.New(1))
+func network() *Network {
+	return New(func(_, _ Endpoint) time.Duration { return time.Millisecond }, 0.2, rng.New(1))
 }
 
-func is(list ...Party) func(Party) bool {
-	return func(p Party) bool { return slices.Contains(list, p) }
+func is(list ...Endpoint) func(Endpoint) bool {
+	return func(p Endpoint) bool { return slices.Contains(list, p) }
 }
 
 // A rule acts on its own pairs, direction and protocol, and is gone once it is taken off.
 func TestRulesActWhereTheySay(t *testing.T) {
 	n := network()
 	id := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP, Fault: Fault{Cut: true}})
-	more := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP | UDP, Fault: Fault{Delay: time.Second, Lose: 0.1}})
+	more := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP | UDP, Fault: Fault{Delay: time.Second, LossRate: 0.1}})
 	for _, x := range []struct {
-		from, to Party
+		from, to Endpoint
 		p        Protocol
 		want     Fault
 	}{
-		{a, c, TCP, Fault{Cut: true, Delay: time.Second, Lose: 0.1}},
-		{a, c, UDP, Fault{Delay: time.Second, Lose: 0.1}},
+		{a, c, TCP, Fault{Cut: true, Delay: time.Second, LossRate: 0.1}},
+		{a, c, UDP, Fault{Delay: time.Second, LossRate: 0.1}},
 		{c, a, TCP, Fault{}},
 		{b, c, TCP, Fault{}},
 	} {
@@ -38,15 +38,15 @@
 			t.Errorf("%v to %v: %+v", x.from, x.to, got)
 		}
 	}
-	if !n.Shut(a, c) || !n.Shut(c, a) || n.Shut(b, c) {
+	if !n.Unreachable(a, c) || !n.Unreachable(c, a) || n.Unreachable(b, c) {
 		t.Error("a connection needs both directions")
 	}
-	if n.Way(a, c, TCP, "x") != nil {
+	if n.Arrivals(a, c, TCP, "x") != nil {
 		t.Error("a cut way let something through")
 	}
 	n.Remove(id)
 	n.Remove(more)
-	if n.Shut(a, c) || n.Fault(a, c, TCP) != (Fault{}) {
+	if n.Unreachable(a, c) || n.Fault(a, c, TCP) != (Fault{}) {
 		t.Error("rules outlast their end")
 	}
 }
@@ -54,13 +54,13 @@
 // Shares come out as stated, and a message meets the same fate each time, whatever was sent before it.
 func TestShares(t *testing.T) {
 	n := network()
-	n.Add(Rule{From: is(a), To: is(b), Protocols: UDP | TCP, Fault: Fault{Lose: 0.3, Duplicate: 0.2, Reorder: 0.1}})
+	n.Add(Rule{From: is(a), To: is(b), Protocols: UDP | TCP, Fault: Fault{LossRate: 0.3, DuplicateRate: 0.2, ReorderRate: 0.1}})
 	const messages = 20000
 	lost, twice, late, resent := 0, 0, 0, 0
 	for i := range messages {
 		id := fmt.Sprint(i)
-		ways := n.Way(a, b, UDP, id)
-		if !slices.Equal(ways, n.Way(a, b, UDP, id)) {
+		ways := n.Arrivals(a, b, UDP, id)
+		if !slices.Equal(ways, n.Arrivals(a, b, UDP, id)) {
 			t.Fatal("another fate at the second look")
 		}
 		switch {
@@ -72,7 +72,7 @@
 		if len(ways) == 2 {
 			twice++
 		}
-		if tcp := n.Way(a, b, TCP, id); len(tcp) != 1 {
+		if tcp := n.Arrivals(a, b, TCP, id); len(tcp) != 1 {
 			t.Fatalf("over TCP %d copies arrive", len(tcp))
 		} else if tcp[0] >= 200*time.Millisecond {
 			resent++
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -52,7 +52,7 @@
 		l.mu.Lock()
 		now := l.now()
 		l.datagrams++
-		for _, d := range l.net.Way(party(netfault.Agent, from.n), party(netfault.Agent, to.n), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.n, to.n, n)) {
+		for _, d := range l.net.Arrivals(party(netfault.Agent, from.n), party(netfault.Agent, to.n), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.n, to.n, n)) {
 			l.at(now+d, func(time.Duration) {
 				_, _ = from.relay.WriteToUDP(data, target) // a receiver that is gone misses it
 			})
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -146,14 +146,14 @@
 }
 
 // zone is where a party is; discovery is nowhere.
-func (l *Lab) zone(p netfault.Party) int {
+func (l *Lab) zone(p netfault.Endpoint) int {
 	switch p.Role {
 	case netfault.Backend:
-		return l.hosts[p.N].m.Zone
+		return l.hosts[p.Number].m.Zone
 	case netfault.Discovery:
 		return -1
 	}
-	return p.N % len(l.Scenario.Fleet.Zones)
+	return p.Number % len(l.Scenario.Fleet.Zones)
 }
 
 // region is the region of a zone; without any, all are near.
@@ -165,7 +165,7 @@
 }
 
 // way is the ordinary one-way time between two parties.
-func (l *Lab) way(from, to netfault.Party) time.Duration {
+func (l *Lab) way(from, to netfault.Endpoint) time.Duration {
 	r := l.Scenario.World.CrossMs
 	switch {
 	case from.Role == netfault.Client || to.Role == netfault.Client || from.Role == netfault.Discovery || to.Role == netfault.Discovery:
--- a/internal/lab/settled.go
+++ b/internal/lab/settled.go
@@ -93,7 +93,7 @@
 	}
 	l.at(at, func(now time.Duration) {
 		r := reach{at: now}
-		open := func(a, b netfault.Party) bool { return !l.net.Shut(a, b) }
+		open := func(a, b netfault.Endpoint) bool { return !l.net.Unreachable(a, b) }
 		for _, h := range l.hubs {
 			r.hubs = append(r.hubs, h.up)
 			for _, other := range l.hubs {
