--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -1,7 +1,8 @@
-// Package netfault says what the network does to a message between two parties, by rules that come and go.
+// Package netfault models what an emulated network does to a message between two endpoints: latency, loss, partitions and
+// refused connections, by rules that are added and removed while a scenario runs.
 //
-// It is pure: it is told what is sent, and draws from numbers that belong to the message. Rules act on one
-// direction each: what a fault does to A's words to B says nothing of B's words to A.
+// It has no clock and no sockets. Random draws come from a stream that belongs to the message, so one more message changes
+// no draw of another. A rule acts on one direction: a fault from A to B has no effect from B to A.
 package netfault
 
 import (
@@ -10,49 +11,52 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// Role is a kind of party.
+// Role is the kind of an endpoint.
 type Role uint8
 
+// The roles of an emulated fleet.
 const (
 	Client Role = iota
 	Agent
 	Backend
 	Discovery
-	Member // an agent, as others of its fleet meet it
-	Hub    // of the fleet
+	Member // an agent at its fleet address
+	Hub
 )
 
+// String returns the role's name in lower case. It is part of the names of random streams.
 func (r Role) String() string {
 	return [...]string{"client", "agent", "backend", "discovery", "member", "hub"}[r]
 }
 
-// Endpoint is one end of a link. The client and discovery of agent 3 have its number.
+// Endpoint is one end of a link. The client and the discovery service of agent 3 have number 3 too.
 type Endpoint struct {
 	Role   Role
 	Number int
 }
 
-// Fault is what a rule does to each message of its direction. The zero value does nothing.
+// Fault is what a rule does to each message of its direction. The zero value is a healthy network. Rates are shares from 0 to 1.
 type Fault struct {
-	Cut           bool          // nothing arrives; the sender is not told
+	Cut           bool          // nothing arrives, and the sender gets no error
 	Refuse        bool          // connections are refused
-	Reset         bool          // connections that stand are reset when the rule begins
-	Delay         time.Duration // added to the way
-	Jitter        time.Duration // up to so much more, evenly
-	LossRate      float64       // share lost: over TCP sent again, over UDP gone
-	DuplicateRate float64       // share of datagrams that arrive twice
-	ReorderRate   float64       // share of datagrams that later ones overtake
+	Reset         bool          // established connections are reset when the rule is added
+	Delay         time.Duration // added to the latency
+	Jitter        time.Duration // upper bound of a further, evenly distributed delay
+	LossRate      float64       // lost TCP segments are retransmitted, lost datagrams are not
+	DuplicateRate float64       // of datagrams
+	ReorderRate   float64       // of datagrams that are late enough for others to overtake them
 }
 
-// Protocol is how a message travels.
+// Protocol is a set of transport protocols.
 type Protocol uint8
 
+// The transport protocols.
 const (
 	TCP Protocol = 1 << iota
 	UDP
 )
 
-// Rule puts a fault on every link from one set of parties to another.
+// Rule applies a fault to every link from one set of endpoints to another.
 type Rule struct {
 	From, To  func(Endpoint) bool
 	Protocols Protocol
@@ -64,22 +68,23 @@
 	protocol Protocol
 }
 
-// Network is a network. Calls must not run at the same time.
+// Network holds the rules in force. It is not safe for concurrent use.
 type Network struct {
 	baseLatency func(from, to Endpoint) time.Duration
 	random      rng.Source
-	jitter      float64 // of the ordinary way, as a share
+	jitter      float64 // of the base latency, as a share
 	rules       map[int]Rule
 	lastRule    int
-	faultCache  map[direction]Fault // by pair, until the rules change
+	faultCache  map[direction]Fault // cleared when the rules change
 }
 
-// New returns a network without faults. base is the ordinary one-way time.
+// New returns a network without faults. baseLatency is the one-way latency of a healthy link; each message takes up to the
+// share jitter of it longer.
 func New(baseLatency func(from, to Endpoint) time.Duration, jitter float64, random rng.Source) *Network {
 	return &Network{baseLatency: baseLatency, random: random, jitter: jitter, rules: map[int]Rule{}, faultCache: map[direction]Fault{}}
 }
 
-// Add lets a rule begin and returns its number.
+// Add puts a rule in force and returns its number for Remove.
 func (n *Network) Add(r Rule) int {
 	n.lastRule++
 	n.rules[n.lastRule] = r
@@ -87,13 +92,13 @@
 	return n.lastRule
 }
 
-// Remove ends a rule.
+// Remove takes a rule out of force.
 func (n *Network) Remove(rule int) {
 	delete(n.rules, rule)
 	clear(n.faultCache)
 }
 
-// Fault is what all rules together do to one direction: the worst of each.
+// Fault returns the combined fault of all rules for one direction: the worst of each property.
 func (n *Network) Fault(from, to Endpoint, protocol Protocol) Fault {
 	key := direction{from, to, protocol}
 	fault, ok := n.faultCache[key]
@@ -112,23 +117,24 @@
 	return fault
 }
 
-// Unreachable reports whether no connection can come up between two parties: one word in either direction
-// that does not arrive is enough.
+// Unreachable reports whether no TCP connection can be established between two endpoints. A handshake needs both
+// directions, so a cut in either is enough.
 func (n *Network) Unreachable(from, to Endpoint) bool {
 	return n.Fault(from, to, TCP).Cut || n.Fault(to, from, TCP).Cut
 }
 
-// Refused reports whether connections are refused.
+// Refused reports whether TCP connections are refused with an error.
 func (n *Network) Refused(from, to Endpoint) bool { return n.Fault(from, to, TCP).Refuse }
 
 const (
-	retransmitTimeout = 200 * time.Millisecond // the least time after which TCP sends a lost segment again
-	maxRetransmits    = 5                      // it doubles so often
-	maxReorderDelay   = 20 * time.Millisecond  // a reordered datagram is late by up to this
+	retransmitTimeout = 200 * time.Millisecond // before the first retransmission of a TCP segment; it doubles each time
+	maxRetransmits    = 5
+	maxReorderDelay   = 20 * time.Millisecond // by which a reordered datagram is late
 )
 
-// Arrivals is what happens to one message: the times after which its copies arrive. None: it is lost.
-// A message of a cut direction is lost here; who holds it back for later asks Fault first.
+// Arrivals returns the delays after which the copies of one message arrive: one, two if it is duplicated, none if it is lost.
+// message names the random stream. A message in a cut direction is lost; a caller that holds it back until the cut heals asks
+// Fault first.
 func (n *Network) Arrivals(from, to Endpoint, protocol Protocol, message string) []time.Duration {
 	fault := n.Fault(from, to, protocol)
 	if fault.Cut {
