--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -75,7 +75,7 @@
 			if a := h.lab.caller(c); a != nil {
 				n = a.n
 			}
-			b := &backendConn{Conn: c, host: h, agent: n, over: h.m.Conns > 0 && len(h.conns) >= h.m.Conns}
+			b := &backendConn{Conn: c, host: h, agent: n, over: h.m.MaxConns > 0 && len(h.conns) >= h.m.MaxConns}
 			h.conns[b] = true
 			h.opened[max(0, h.lab.now())/time.Second]++
 			return b
@@ -210,7 +210,7 @@
 	case <-r.Context().Done():
 		l.mu.Lock()
 		a.gone = true
-		l.at(l.now()+l.way(a.party(), h.party()), func(now time.Duration) { l.ended(h, h.m.GiveUp(now, a.number)) })
+		l.at(l.now()+l.way(a.party(), h.party()), func(now time.Duration) { l.ended(h, h.m.Cancel(now, a.number)) })
 		l.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -257,9 +257,9 @@
 	switch {
 	case probe:
 		l.at(now+d, func(now time.Duration) {
-			load := h.m.Report()
+			load := h.m.Load()
 			l.attempt++ // its work has a number of its own: the answer doesn't wait for it
-			l.ended(h, h.m.Arrive(now, model.Job{Attempt: l.attempt, Work: h.m.ProbeWork, Agent: a.agent, Draw: 1}))
+			l.ended(h, h.m.Arrive(now, model.Job{Attempt: l.attempt, Work: h.m.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
 			l.answer(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
 				load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
 		})
@@ -269,8 +269,8 @@
 		})
 	default:
 		draw := l.rng.Stream("attempt/" + a.id + "/" + h.m.ID)
-		job := model.Job{Attempt: a.number, Agent: a.agent, Draw: draw.Float64(), Shake: fresh,
-			Informs: l.check.Knows(a.agent, h.m.ID, h.m.Started)}
+		job := model.Job{Attempt: a.number, Agent: a.agent, ErrorDraw: draw.Float64(), NewConnection: fresh,
+			StartKnown: l.check.Knows(a.agent, h.m.ID, h.m.StartedAt)}
 		if p := l.playing(a); p != nil {
 			job.Work, job.Key = time.Duration(float64(p.work)*rng.Lognormal(draw, 1, 0.3)), p.key
 			if l.dropped(now, p, h) { // its effect has happened there: what is left to do is to say so
@@ -314,21 +314,21 @@
 }
 
 // ended answers the attempts that a machine is done with. The lock is held.
-func (l *Lab) ended(h *host, done []model.Done) {
+func (l *Lab) ended(h *host, done []model.Completion) {
 	for _, d := range done {
 		a := l.attempts[d.Attempt]
 		if a == nil {
 			continue // a probe's work, or one that is answered
 		}
 		what := d.Result.String()
-		if d.Waited > 0 {
-			what += fmt.Sprintf(" after %v in the waiting room", d.Waited.Round(100*time.Microsecond))
+		if d.QueuedFor > 0 {
+			what += fmt.Sprintf(" after %v in the waiting room", d.QueuedFor.Round(100*time.Microsecond))
 		}
 		switch d.Result {
 		case model.Lost, model.Dropped: // nothing comes back
 			l.check.Note(d.At, a.id, h.m.ID, what)
 			delete(l.attempts, d.Attempt)
-		case model.Turned:
+		case model.Rejected:
 			l.answer(d.At, a, answer{http.StatusServiceUnavailable, true, "full"}, what)
 		case model.Failed:
 			l.answer(d.At, a, answer{http.StatusInternalServerError, false, "failed"}, what)
@@ -336,9 +336,9 @@
 			l.answer(d.At, a, answer{http.StatusOK, false, served(a.id, h.m.ID)}, what)
 		}
 	}
-	if h.m.State == model.Fallen && !h.down {
+	if h.m.State == model.Overloaded && !h.down {
 		h.down = true
-		l.check.Fell(h.m.Fell, h.m.ID, h.m.Informed)
+		l.check.Fell(h.m.OverloadedAt, h.m.ID, h.m.InformedShare)
 		l.fallen++
 		l.refuse(h)
 		l.disc.learn(l.now(), h, "gone", l.Scenario.Lists.NoticeS)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -65,7 +65,7 @@
 func newDiscovery(l *Lab) (*discovery, error) {
 	d := &discovery{lab: l, base: firstVersion, changed: make(chan struct{}), upset: -1}
 	for _, h := range l.hosts {
-		d.changes = append(d.changes, change{host: h, state: "ready", started: h.m.Started, learned: -time.Hour})
+		d.changes = append(d.changes, change{host: h, state: "ready", started: h.m.StartedAt, learned: -time.Hour})
 	}
 	for n := range l.agents {
 		if err := d.open(l.block.world(n), party(netfault.Agent, n), n); err != nil {
@@ -146,7 +146,7 @@
 	l := d.lab
 	l.seq++
 	r := l.rng.Of("notice/"+h.m.ID, int(l.seq))
-	started := h.m.Started
+	started := h.m.StartedAt
 	h.changed = l.seq
 	seq := l.seq
 	l.at(now+seconds(late[0]+(late[1]-late[0])*r.Float64()), func(t time.Duration) {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -305,14 +305,14 @@
 	for _, h := range l.hosts {
 		if set.Has(h.n, h.m.Zone) && !h.down {
 			lost = append(lost, h)
-			l.ended(h, h.m.Leave(now, model.Silent))
+			l.ended(h, h.m.Stop(now, model.Silent))
 			l.disc.learn(now, h, "gone", l.Scenario.Lists.SilentS)
 		}
 	}
 	l.gates()
 	l.until(f, now, func(now time.Duration) {
 		for _, h := range lost {
-			h.m.Start(now)
+			h.m.Restart(now)
 			l.drop(h)
 			l.running.Go(func() { h.reset(nil) })
 			l.disc.learn(now, h, "ready", l.Scenario.Lists.AddS)
@@ -362,7 +362,7 @@
 	l.ended(h, h.m.Drain(now))
 	l.disc.learn(now, h, "draining", l.Scenario.Lists.NoticeS)
 	l.at(now+drainFor, func(now time.Duration) {
-		l.ended(h, h.m.Leave(now, model.Gone))
+		l.ended(h, h.m.Stop(now, model.Removed))
 		l.refuse(h)
 		l.disc.learn(now, h, "gone", l.Scenario.Lists.NoticeS)
 	})
@@ -372,7 +372,7 @@
 	next := l.addHost(h.m.Zone, now)
 	next.m.Cell = h.m.Cell
 	l.scaleHost(next)
-	next.m.Start(now)
+	next.m.Restart(now)
 	if err := next.open(); err != nil {
 		l.fail(err)
 		return
@@ -384,11 +384,11 @@
 // lock is held.
 func (l *Lab) trouble(list []*host, f *scenario.Fault, now time.Duration, bad, taken float64) {
 	for _, h := range list {
-		l.ended(h, h.m.Trouble(now, bad, taken))
+		l.ended(h, h.m.SetFault(now, bad, taken))
 	}
 	l.until(f, now, func(now time.Duration) {
 		for _, h := range list {
-			l.ended(h, h.m.Trouble(now, 0, 0))
+			l.ended(h, h.m.SetFault(now, 0, 0))
 		}
 	})
 }
@@ -405,9 +405,9 @@
 		var turn func(now time.Duration)
 		turn = func(now time.Duration) {
 			if on = !on && now < end; on {
-				l.ended(h, h.m.Trouble(now, 0, f.Size))
+				l.ended(h, h.m.SetFault(now, 0, f.Size))
 			} else {
-				l.ended(h, h.m.Trouble(now, 0, 0))
+				l.ended(h, h.m.SetFault(now, 0, 0))
 			}
 			if now < end {
 				span := time.Duration((0.5 + r.Float64()) * float64(max(f.On.Duration(), 100*time.Millisecond)))
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -163,7 +163,7 @@
 			due = l.agenda[0].at
 		}
 		for _, h := range l.hosts {
-			if t := h.m.Next(); t < due {
+			if t := h.m.NextEvent(); t < due {
 				due, machine = t, h
 			}
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -286,9 +286,9 @@
 	h := l.hosts[0]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h.m.Leave(0, model.Silent)
+	h.m.Stop(0, model.Silent)
 	l.disc.learn(0, h, "gone", scenario.Range{5, 5})
-	h.m.Start(time.Second)
+	h.m.Restart(time.Second)
 	l.disc.learn(time.Second, h, "ready", scenario.Range{0.5, 0.5})
 	l.turn(20 * time.Second)
 	for _, m := range l.disc.known(l.agents[0], 20*time.Second).Servers {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -19,25 +19,25 @@
 	Cores            int
 	Speed            float64       // of one core; 1 is the yardstick
 	Slots            int           // requests in work at once
-	Room             int           // requests that wait beyond these
-	Thrash           float64       // share of capacity lost when held requests per core are twice ThrashAt or more
+	QueueCapacity    int           // requests that wait beyond these
+	ThrashLoss       float64       // share of capacity lost when held requests per core are twice ThrashAt or more
 	ThrashAt         float64       // requests in work per core from which on it loses some
-	ColdFrom         float64       // share of its capacity right after a start, 0 to 1
-	Ramp             time.Duration // from then until it is warm
-	FallMultiple     float64       // sent more than this multiple of its present capacity while cold ...
-	FallWindow       time.Duration // ... over this span, it falls over; 0: never
-	ChokeAt          float64       // held requests per core past which it is crowded; 0: never chokes
-	ChokeOver        time.Duration // crowded for so long, it turns slower
-	ChokeSlower      float64       // by this factor
-	ChokeRest        time.Duration // until it has been mostly idle for so long
-	ChokeMost        time.Duration // or so long has passed
-	Conns            int           // open connections it takes; 0: any number
+	InitialCapacity  float64       // share of its capacity right after a start, 0 to 1
+	SlowStartWindow  time.Duration // from then until it is warm
+	OverloadMultiple float64       // sent more than this multiple of its present capacity while cold ...
+	OverloadWindow   time.Duration // ... over this span, it falls over; 0: never
+	DegradeAt        float64       // held requests per core past which it is crowded; 0: never chokes
+	DegradeAfter     time.Duration // crowded for so long, it turns slower
+	DegradeFactor    float64       // by this factor
+	RecoverAfter     time.Duration // until it has been mostly idle for so long
+	MaxDegraded      time.Duration // or so long has passed
+	MaxConns         int           // open connections it takes; 0: any number
 	Handshake        time.Duration // work of a new connection
 	ErrorRate        float64       // share of requests answered with an error
-	KeyGain          float64       // share of the work saved for a key met lately
-	KeyFor           time.Duration // what lately means
-	Keys             int           // keys that it remembers
-	DropsGivenUp     bool          // waiting work is dropped once its agent has given it up
+	KeySaving        float64       // share of the work saved for a key met lately
+	KeyTTL           time.Duration // what lately means
+	MaxKeys          int           // keys that it remembers
+	DropsCancelled   bool          // waiting work is dropped once its agent has given it up
 	ProbeWork        time.Duration
 	Weight           float64 // as the list tells it
 }
@@ -47,37 +47,37 @@
 
 // Job is one attempt that has reached a machine.
 type Job struct {
-	Attempt uint64 // the lab's number for it
-	Key     uint64 // 0: none
-	Work    time.Duration
-	Agent   int
-	Draw    float64 // 0 to 1: decides whether it meets an error
-	Shake   bool    // it came on a new connection
-	Informs bool    // its agent knew that the machine had started
+	Attempt       uint64 // the lab's number for it
+	Key           uint64 // 0: none
+	Work          time.Duration
+	Agent         int
+	ErrorDraw     float64 // 0 to 1: decides whether it meets an error
+	NewConnection bool    // it came on a new connection
+	StartKnown    bool    // its agent knew that the machine had started
 }
 
 // Result says how a job ended.
 type Result uint8
 
 const (
-	Served  Result = iota
-	Failed         // the machine answered with an error; it may have run
-	Turned         // turned away unseen
-	Dropped        // given up by its agent before it was started
-	Lost           // the machine went away under it: no answer
+	Served   Result = iota
+	Failed          // the machine answered with an error; it may have run
+	Rejected        // turned away unseen
+	Dropped         // given up by its agent before it was started
+	Lost            // the machine went away under it: no answer
 )
 
 func (r Result) String() string {
 	return [...]string{"served", "failed", "turned away", "dropped", "lost"}[r]
 }
 
-// Done is the end of a job.
-type Done struct {
+// Completion is the end of a job.
+type Completion struct {
 	Job
-	At     time.Duration
-	Result Result
-	Ran    bool // its effect happened
-	Waited time.Duration
+	At        time.Duration
+	Result    Result
+	Ran       bool // its effect happened
+	QueuedFor time.Duration
 }
 
 // State says what a machine does with what reaches it.
@@ -86,61 +86,61 @@
 const (
 	Up State = iota
 	Draining
-	Gone   // its process has ended: connections to it are refused
-	Silent // it is lost or cut off from everyone: it says nothing
-	Fallen // pushed over while cold
+	Removed    // its process has ended: connections to it are refused
+	Silent     // it is lost or cut off from everyone: it says nothing
+	Overloaded // pushed over while cold
 )
 
 // Machine is one backend.
 type Machine struct {
 	Spec
-	State    State
-	Started  time.Duration // negative: long ago
-	Fell     time.Duration // when it fell over
-	Informed float64       // share of the work in the window of its fall that came from agents that knew of its start
-
-	badShare  float64 // share of requests that fail at once
-	taken     float64 // share of the machine that another program takes
-	now       time.Duration
-	attained  float64 // work that each request in work has had since the start, seconds
-	rate      float64 // by which attained grows
-	inWork    jobs
-	waiting   []*running
-	keys      map[uint64]time.Duration
-	sent      []pressure // work sent in the latest window
-	sum, told float64    // of sent, seconds; told: from agents that knew
-	crowded   time.Duration
-	choked    time.Duration // since; negative: not
-	rested    time.Duration // mostly idle since; negative: not
-	service   float64       // running mean of service time, seconds
+	State         State
+	StartedAt     time.Duration // negative: long ago
+	OverloadedAt  time.Duration // when it fell over
+	InformedShare float64       // share of the work in the window of its fall that came from agents that knew of its start
+
+	failureShare                  float64 // share of requests that fail at once
+	stolenShare                   float64 // share of the machine that another program takes
+	now                           time.Duration
+	serviceReceived               float64 // work that each request in work has had since the start, seconds
+	serviceRate                   float64 // by which attained grows
+	running                       taskHeap
+	queue                         []*task
+	keyCache                      map[uint64]time.Duration
+	slowStartWork                 []sentWork // work sent in the latest window
+	slowStartTotal, informedTotal float64    // of sent, seconds; told: from agents that knew
+	overloadedSince               time.Duration
+	degradedSince                 time.Duration // since; negative: not
+	idleSince                     time.Duration // mostly idle since; negative: not
+	meanService                   float64       // running mean of service time, seconds
 }
 
-type pressure struct {
-	at   time.Duration
-	work float64
-	told bool
+type sentWork struct {
+	at       time.Duration
+	seconds  float64
+	informed bool
 }
 
-type running struct {
+type task struct {
 	Job
-	end     float64 // attained at which it is done
-	came    time.Duration
-	began   time.Duration
-	seconds float64
+	finishAt  float64 // attained at which it is done
+	arrivedAt time.Duration
+	startedAt time.Duration
+	seconds   float64
 }
 
-type jobs []*running
+type taskHeap []*task
 
-func (h jobs) Len() int { return len(h) }
-func (h jobs) Less(i, j int) bool {
-	if h[i].end != h[j].end {
-		return h[i].end < h[j].end
+func (h taskHeap) Len() int { return len(h) }
+func (h taskHeap) Less(i, j int) bool {
+	if h[i].finishAt != h[j].finishAt {
+		return h[i].finishAt < h[j].finishAt
 	}
 	return h[i].Attempt < h[j].Attempt
 }
-func (h jobs) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *jobs) Push(x any)   { *h = append(*h, x.(*running)) }
-func (h *jobs) Pop() any {
+func (h taskHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *taskHeap) Push(x any)   { *h = append(*h, x.(*task)) }
+func (h *taskHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
 	(*h)[last] = nil
@@ -153,260 +153,264 @@
 
 // New returns a machine that started at a time; a negative one is long ago.
 func New(s Spec, started time.Duration) *Machine {
-	m := &Machine{Spec: s, Started: started, keys: map[uint64]time.Duration{}}
-	m.calm()
+	m := &Machine{Spec: s, StartedAt: started, keyCache: map[uint64]time.Duration{}}
+	m.clearDegradation()
 	return m
 }
 
-func (m *Machine) calm() { m.crowded, m.choked, m.rested = never, never, never }
+func (m *Machine) clearDegradation() {
+	m.overloadedSince, m.degradedSince, m.idleSince = never, never, never
+}
 
-// share is the part of its capacity that a machine has at a time after its start.
-func (m *Machine) share(now time.Duration) float64 {
-	if !m.cold(now) {
+// warmth is the part of its capacity that a machine has at a time after its start.
+func (m *Machine) warmth(now time.Duration) float64 {
+	if !m.warmingUp(now) {
 		return 1
 	}
-	return m.ColdFrom + (1-m.ColdFrom)*float64(now-m.Started)/float64(m.Ramp)
+	return m.InitialCapacity + (1-m.InitialCapacity)*float64(now-m.StartedAt)/float64(m.SlowStartWindow)
 }
 
-func (m *Machine) cold(now time.Duration) bool { return m.Started >= 0 && now < m.Started+m.Ramp }
+func (m *Machine) warmingUp(now time.Duration) bool {
+	return m.StartedAt >= 0 && now < m.StartedAt+m.SlowStartWindow
+}
 
-// Present is the work that it can do in a second by now, in seconds: what a policy that sees the
+// PresentCapacity is the work that it can do in a second by now, in seconds: what a policy that sees the
 // true state would reckon with.
-func (m *Machine) Present(now time.Duration) float64 {
+func (m *Machine) PresentCapacity(now time.Duration) float64 {
 	if m.State != Up && m.State != Draining {
 		return 0
 	}
-	c := m.Capacity() * m.share(now) * (1 - m.taken)
-	if m.choked != never {
-		c /= m.ChokeSlower
+	capacity := m.Capacity() * m.warmth(now) * (1 - m.stolenShare)
+	if m.degradedSince != never {
+		capacity /= m.DegradeFactor
 	}
-	return c
+	return capacity
 }
 
-// settle works out by how much each request in work goes on from now.
-func (m *Machine) settle() {
-	n := float64(len(m.inWork))
-	if n == 0 {
-		m.rate = 0
+// updateRate works out by how much each request in work goes on from now.
+func (m *Machine) updateRate() {
+	running := float64(len(m.running))
+	if running == 0 {
+		m.serviceRate = 0
 		return
 	}
-	m.rate = m.Present(m.now) / float64(m.Cores) * min(1, float64(m.Cores)/n)
-	if held := n / float64(m.Cores); m.Thrash > 0 && held > m.ThrashAt {
-		m.rate *= 1 - m.Thrash*min(1, held/m.ThrashAt-1)
+	m.serviceRate = m.PresentCapacity(m.now) / float64(m.Cores) * min(1, float64(m.Cores)/running)
+	if load := running / float64(m.Cores); m.ThrashLoss > 0 && load > m.ThrashAt {
+		m.serviceRate *= 1 - m.ThrashLoss*min(1, load/m.ThrashAt-1)
 	}
 }
 
 // step is how long a rate that changes by itself is taken for constant.
-const step = 50 * time.Millisecond
+const maxStep = 50 * time.Millisecond
 
-// Next is when something happens at the machine by itself.
-func (m *Machine) Next() time.Duration {
+// NextEvent is when something happens at the machine by itself.
+func (m *Machine) NextEvent() time.Duration {
 	next := never
-	if len(m.inWork) > 0 && m.rate > 0 {
-		if s := (m.inWork[0].end - m.attained) / m.rate; s < 1e6 {
+	if len(m.running) > 0 && m.serviceRate > 0 {
+		if s := (m.running[0].finishAt - m.serviceReceived) / m.serviceRate; s < 1e6 {
 			next = m.now + max(0, time.Duration(math.Ceil(s*1e9)))
 		}
 	}
-	if m.cold(m.now) && len(m.inWork) > 0 || m.crowded != never || m.choked != never {
-		next = min(next, m.now+step)
+	if m.warmingUp(m.now) && len(m.running) > 0 || m.overloadedSince != never || m.degradedSince != never {
+		next = min(next, m.now+maxStep)
 	}
 	return next
 }
 
 // Advance brings the machine to a time and returns what has ended, in order.
-func (m *Machine) Advance(now time.Duration) (done []Done) {
+func (m *Machine) Advance(now time.Duration) (done []Completion) {
 	for m.now < now {
-		to := min(now, m.Next())
-		m.attained += m.rate * (to - m.now).Seconds()
-		m.now = to
+		until := min(now, m.NextEvent())
+		m.serviceReceived += m.serviceRate * (until - m.now).Seconds()
+		m.now = until
 		const slack = 1e-9 // a nanosecond: times are whole ones
-		for len(m.inWork) > 0 && m.inWork[0].end <= m.attained+slack {
-			r := heap.Pop(&m.inWork).(*running)
-			took := (m.now - r.began).Seconds()
-			m.service += 0.1 * (took - m.service)
-			d := Done{Job: r.Job, At: m.now, Result: Served, Ran: true, Waited: r.began - r.came}
-			if r.Draw < m.ErrorRate {
-				d.Result = Failed
+		for len(m.running) > 0 && m.running[0].finishAt <= m.serviceReceived+slack {
+			finished := heap.Pop(&m.running).(*task)
+			elapsed := (m.now - finished.startedAt).Seconds()
+			m.meanService += 0.1 * (elapsed - m.meanService)
+			completion := Completion{Job: finished.Job, At: m.now, Result: Served, Ran: true, QueuedFor: finished.startedAt - finished.arrivedAt}
+			if finished.ErrorDraw < m.ErrorRate {
+				completion.Result = Failed
 			}
-			if r.Key != 0 {
-				m.remember(r.Key)
+			if finished.Key != 0 {
+				m.rememberKey(finished.Key)
 			}
-			done = append(done, d)
-			m.admit()
+			done = append(done, completion)
+			m.startQueued()
 		}
-		m.crowd()
-		m.settle()
+		m.updateDegradation()
+		m.updateRate()
 	}
 	return done
 }
 
-// admit moves what waits into free slots.
-func (m *Machine) admit() {
-	for len(m.inWork) < m.Slots && len(m.waiting) > 0 {
-		r := m.waiting[0]
-		m.waiting[0] = nil
-		m.waiting = m.waiting[1:]
-		m.begin(r)
+// startQueued moves what waits into free slots.
+func (m *Machine) startQueued() {
+	for len(m.running) < m.Slots && len(m.queue) > 0 {
+		r := m.queue[0]
+		m.queue[0] = nil
+		m.queue = m.queue[1:]
+		m.startTask(r)
 	}
 }
 
-func (m *Machine) begin(r *running) {
-	r.began, r.end = m.now, m.attained+r.seconds
-	heap.Push(&m.inWork, r)
+func (m *Machine) startTask(r *task) {
+	r.startedAt, r.finishAt = m.now, m.serviceReceived+r.seconds
+	heap.Push(&m.running, r)
 }
 
-// crowd follows whether it holds so much that it turns slower, or has rested from that.
-func (m *Machine) crowd() {
-	if m.ChokeAt <= 0 {
+// updateDegradation follows whether it holds so much that it turns slower, or has rested from that.
+func (m *Machine) updateDegradation() {
+	if m.DegradeAt <= 0 {
 		return
 	}
-	held := float64(len(m.inWork)+len(m.waiting)) / float64(m.Cores)
+	load := float64(len(m.running)+len(m.queue)) / float64(m.Cores)
 	switch {
-	case held <= m.ChokeAt:
-		m.crowded = never
-	case m.crowded == never:
-		m.crowded = m.now
-	case m.choked == never && m.now-m.crowded >= m.ChokeOver:
-		m.choked = m.now
-	}
-	if m.choked == never {
+	case load <= m.DegradeAt:
+		m.overloadedSince = never
+	case m.overloadedSince == never:
+		m.overloadedSince = m.now
+	case m.degradedSince == never && m.now-m.overloadedSince >= m.DegradeAfter:
+		m.degradedSince = m.now
+	}
+	if m.degradedSince == never {
 		return
 	}
 	const mostlyIdle = 0.4 // held requests per core
 	switch {
-	case held > mostlyIdle:
-		m.rested = never
-	case m.rested == never:
-		m.rested = m.now
+	case load > mostlyIdle:
+		m.idleSince = never
+	case m.idleSince == never:
+		m.idleSince = m.now
 	}
-	if m.rested != never && m.now-m.rested >= m.ChokeRest || m.now-m.choked >= m.ChokeMost {
-		m.calm()
+	if m.idleSince != never && m.now-m.idleSince >= m.RecoverAfter || m.now-m.degradedSince >= m.MaxDegraded {
+		m.clearDegradation()
 	}
 }
 
-func (m *Machine) remember(key uint64) {
-	if _, known := m.keys[key]; !known && len(m.keys) >= m.Keys {
+func (m *Machine) rememberKey(key uint64) {
+	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
 		oldest, at := uint64(0), never
-		for k, t := range m.keys {
+		for k, t := range m.keyCache {
 			if t < at || t == at && k < oldest {
 				oldest, at = k, t
 			}
 		}
-		delete(m.keys, oldest)
+		delete(m.keyCache, oldest)
 	}
-	if m.Keys > 0 {
-		m.keys[key] = m.now
+	if m.MaxKeys > 0 {
+		m.keyCache[key] = m.now
 	}
 }
 
 // Arrive takes a job at a time. Its end comes at once, or from Advance.
-func (m *Machine) Arrive(now time.Duration, j Job) (done []Done) {
+func (m *Machine) Arrive(now time.Duration, job Job) (done []Completion) {
 	done = m.Advance(now)
-	seconds := j.Work.Seconds()
-	if t, met := m.keys[j.Key]; j.Key != 0 && met && now-t <= m.KeyFor {
-		seconds *= 1 - m.KeyGain
+	seconds := job.Work.Seconds()
+	if lastSeen, known := m.keyCache[job.Key]; job.Key != 0 && known && now-lastSeen <= m.KeyTTL {
+		seconds *= 1 - m.KeySaving
 	}
-	if j.Shake {
+	if job.NewConnection {
 		seconds += m.Handshake.Seconds()
 	}
-	end := func(r Result) []Done { return append(done, Done{Job: j, At: now, Result: r}) }
+	end := func(newTask Result) []Completion { return append(done, Completion{Job: job, At: now, Result: newTask}) }
 	switch m.State {
-	case Gone, Silent, Fallen:
+	case Removed, Silent, Overloaded:
 		return end(Lost)
 	}
-	if m.press(now, seconds, j.Informs) {
-		return append(append(done, m.Leave(now, Fallen)...), Done{Job: j, At: now, Result: Lost})
+	if m.recordSlowStartWork(now, seconds, job.StartKnown) {
+		return append(append(done, m.Stop(now, Overloaded)...), Completion{Job: job, At: now, Result: Lost})
 	}
 	if m.State == Draining {
-		return end(Turned)
+		return end(Rejected)
 	}
-	if j.Draw < m.badShare {
+	if job.ErrorDraw < m.failureShare {
 		return end(Failed)
 	}
-	r := &running{Job: j, came: now, seconds: seconds}
+	newTask := &task{Job: job, arrivedAt: now, seconds: seconds}
 	switch {
-	case len(m.inWork) < m.Slots:
-		m.begin(r)
-	case len(m.waiting) < m.Room:
-		m.waiting = append(m.waiting, r)
+	case len(m.running) < m.Slots:
+		m.startTask(newTask)
+	case len(m.queue) < m.QueueCapacity:
+		m.queue = append(m.queue, newTask)
 	default:
-		return end(Turned)
+		return end(Rejected)
 	}
-	m.crowd()
-	m.settle()
+	m.updateDegradation()
+	m.updateRate()
 	return done
 }
 
-// press counts work sent to a cold machine, and reports whether it falls over.
-func (m *Machine) press(now time.Duration, seconds float64, told bool) bool {
-	if !m.cold(now) || m.FallWindow <= 0 {
-		m.sent, m.sum, m.told = nil, 0, 0
+// recordSlowStartWork counts work sent to a cold machine, and reports whether it falls over.
+func (m *Machine) recordSlowStartWork(now time.Duration, seconds float64, informed bool) bool {
+	if !m.warmingUp(now) || m.OverloadWindow <= 0 {
+		m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, 0, 0
 		return false
 	}
-	m.sent = append(m.sent, pressure{now, seconds, told})
-	m.sum += seconds
-	if told {
-		m.told += seconds
+	m.slowStartWork = append(m.slowStartWork, sentWork{now, seconds, informed})
+	m.slowStartTotal += seconds
+	if informed {
+		m.informedTotal += seconds
 	}
-	for m.sent[0].at < now-m.FallWindow {
-		m.sum -= m.sent[0].work
-		if m.sent[0].told {
-			m.told -= m.sent[0].work
+	for m.slowStartWork[0].at < now-m.OverloadWindow {
+		m.slowStartTotal -= m.slowStartWork[0].seconds
+		if m.slowStartWork[0].informed {
+			m.informedTotal -= m.slowStartWork[0].seconds
 		}
-		m.sent = m.sent[1:]
+		m.slowStartWork = m.slowStartWork[1:]
 	}
 	// The slack is for chance: a few requests are no pressure.
-	slack := 4 * m.sum / float64(len(m.sent))
-	budget := m.FallMultiple * m.Capacity() * m.share(now) * m.FallWindow.Seconds()
-	if m.sum <= budget+slack {
+	slack := 4 * m.slowStartTotal / float64(len(m.slowStartWork))
+	budget := m.OverloadMultiple * m.Capacity() * m.warmth(now) * m.OverloadWindow.Seconds()
+	if m.slowStartTotal <= budget+slack {
 		return false
 	}
-	m.Fell, m.Informed = now, m.told/m.sum
+	m.OverloadedAt, m.InformedShare = now, m.informedTotal/m.slowStartTotal
 	return true
 }
 
-// GiveUp says that an agent has closed the connection of an attempt. What is in work goes on.
-func (m *Machine) GiveUp(now time.Duration, attempt uint64) (done []Done) {
+// Cancel says that an agent has closed the connection of an attempt. What is in work goes on.
+func (m *Machine) Cancel(now time.Duration, attempt uint64) (done []Completion) {
 	done = m.Advance(now)
-	if !m.DropsGivenUp {
+	if !m.DropsCancelled {
 		return done
 	}
-	for i, r := range m.waiting {
+	for i, r := range m.queue {
 		if r.Attempt == attempt {
-			m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
-			m.crowd()
-			return append(done, Done{Job: r.Job, At: now, Result: Dropped})
+			m.queue = append(m.queue[:i], m.queue[i+1:]...)
+			m.updateDegradation()
+			return append(done, Completion{Job: r.Job, At: now, Result: Dropped})
 		}
 	}
 	return done
 }
 
-// Leave ends the machine's process or takes it out of the world, in the given way. All it held is lost.
-func (m *Machine) Leave(now time.Duration, s State) (done []Done) {
+// Stop ends the machine's process or takes it out of the world, in the given way. All it held is lost.
+func (m *Machine) Stop(now time.Duration, s State) (done []Completion) {
 	done = m.Advance(now)
-	for _, r := range m.inWork {
-		done = append(done, Done{Job: r.Job, At: now, Result: Lost, Ran: true})
+	for _, r := range m.running {
+		done = append(done, Completion{Job: r.Job, At: now, Result: Lost, Ran: true})
 	}
-	for _, r := range m.waiting {
-		done = append(done, Done{Job: r.Job, At: now, Result: Lost})
+	for _, r := range m.queue {
+		done = append(done, Completion{Job: r.Job, At: now, Result: Lost})
 	}
-	m.inWork, m.waiting, m.State = nil, nil, s
-	m.calm()
-	m.settle()
+	m.running, m.queue, m.State = nil, nil, s
+	m.clearDegradation()
+	m.updateRate()
 	return done
 }
 
-// Start starts its process anew: it is cold.
-func (m *Machine) Start(now time.Duration) {
-	m.now, m.Started, m.State = max(m.now, now), now, Up
-	m.inWork, m.waiting, m.sent, m.sum, m.told = nil, nil, nil, 0, 0
-	m.keys = map[uint64]time.Duration{}
-	m.calm()
-	m.settle()
+// Restart starts its process anew: it is cold.
+func (m *Machine) Restart(now time.Duration) {
+	m.now, m.StartedAt, m.State = max(m.now, now), now, Up
+	m.running, m.queue, m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, nil, nil, 0, 0
+	m.keyCache = map[uint64]time.Duration{}
+	m.clearDegradation()
+	m.updateRate()
 }
 
 // Drain has it finish its work and take nothing new.
-func (m *Machine) Drain(now time.Duration) (done []Done) {
+func (m *Machine) Drain(now time.Duration) (done []Completion) {
 	done = m.Advance(now)
 	if m.State == Up {
 		m.State = Draining
@@ -414,12 +418,12 @@
 	return done
 }
 
-// Trouble sets the share of requests that fail at once and the share of the machine taken by another
+// SetFault sets the share of requests that fail at once and the share of the machine taken by another
 // program. Zeroes end both.
-func (m *Machine) Trouble(now time.Duration, bad, taken float64) (done []Done) {
+func (m *Machine) SetFault(now time.Duration, failureShare, stolenShare float64) (done []Completion) {
 	done = m.Advance(now)
-	m.badShare, m.taken = bad, taken
-	m.settle()
+	m.failureShare, m.stolenShare = failureShare, stolenShare
+	m.updateRate()
 	return done
 }
 
@@ -430,8 +434,8 @@
 	Service  time.Duration // recent service time, without waiting
 }
 
-// Report tells the load at a time. It costs the machine ProbeWork, which the caller sends as a job of its own.
-func (m *Machine) Report() Load {
-	return Load{len(m.inWork) + len(m.waiting), min(1, float64(len(m.inWork))/float64(m.Cores)),
-		time.Duration(m.service * float64(time.Second))}
+// Load tells the load at a time. It costs the machine ProbeWork, which the caller sends as a job of its own.
+func (m *Machine) Load() Load {
+	return Load{len(m.running) + len(m.queue), min(1, float64(len(m.running))/float64(m.Cores)),
+		time.Duration(m.meanService * float64(time.Second))}
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -12,9 +12,9 @@
 func init() { _ = flag.Set("rapid.seed", "1") } // rapid has registered it
 
 func spec() Spec {
-	return Spec{ID: "s", Cores: 4, Speed: 1, Slots: 8, Room: 5, ColdFrom: 0.2, Ramp: 10 * time.Second, FallMultiple: 3,
-		FallWindow: 2 * time.Second, Thrash: 0.4, ThrashAt: 1.5, KeyGain: 0.5, KeyFor: time.Second, Keys: 2, ChokeAt: 2.5, ChokeOver: time.Second,
-		ChokeSlower: 2, ChokeRest: time.Second, ChokeMost: 5 * time.Second, DropsGivenUp: true}
+	return Spec{ID: "s", Cores: 4, Speed: 1, Slots: 8, QueueCapacity: 5, InitialCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3,
+		OverloadWindow: 2 * time.Second, ThrashLoss: 0.4, ThrashAt: 1.5, KeySaving: 0.5, KeyTTL: time.Second, MaxKeys: 2, DegradeAt: 2.5, DegradeAfter: time.Second,
+		DegradeFactor: 2, RecoverAfter: time.Second, MaxDegraded: 5 * time.Second, DropsCancelled: true}
 }
 
 // Whatever happens to a machine, every job ends exactly once, in order of time, and it never does more work than
@@ -22,13 +22,13 @@
 func TestEveryJobEndsOnceWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec()
-		s.FallMultiple = rapid.SampledFrom([]float64{3, 1000}).Draw(t, "multiple")
+		s.OverloadMultiple = rapid.SampledFrom([]float64{3, 1000}).Draw(t, "multiple")
 		m := New(s, rapid.SampledFrom([]time.Duration{-1, 0}).Draw(t, "started"))
-		m.KeyGain = 0 // else served work is more than done work
+		m.KeySaving = 0 // else served work is more than done work
 		now, last := time.Duration(0), time.Duration(0)
 		ended, work := map[uint64]int{}, map[uint64]time.Duration{}
 		served := time.Duration(0)
-		take := func(list []Done) {
+		take := func(list []Completion) {
 			for _, d := range list {
 				if d.At < last || d.At > now {
 					t.Fatalf("ended at %v, the one before at %v, now %v", d.At, last, now)
@@ -45,20 +45,20 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0:
-				take(m.Trouble(now, rapid.Float64Range(0, 1).Draw(t, "bad"), rapid.Float64Range(0, 0.9).Draw(t, "taken")))
+				take(m.SetFault(now, rapid.Float64Range(0, 1).Draw(t, "bad"), rapid.Float64Range(0, 0.9).Draw(t, "taken")))
 			case 1:
-				take(m.GiveUp(now, uint64(rapid.IntRange(1, n).Draw(t, "attempt"))))
+				take(m.Cancel(now, uint64(rapid.IntRange(1, n).Draw(t, "attempt"))))
 			case 2:
-				take(m.Leave(now, Silent))
-				m.Start(now)
+				take(m.Stop(now, Silent))
+				m.Restart(now)
 			default:
-				j := Job{Attempt: uint64(i + 1), Key: uint64(rapid.IntRange(0, 3).Draw(t, "key")), Draw: 1,
+				j := Job{Attempt: uint64(i + 1), Key: uint64(rapid.IntRange(0, 3).Draw(t, "key")), ErrorDraw: 1,
 					Work: time.Duration(rapid.IntRange(1, 400).Draw(t, "work")) * time.Millisecond}
 				work[j.Attempt] = j.Work
 				take(m.Arrive(now, j))
 			}
 		}
-		take(m.Trouble(now, 0, 0))
+		take(m.SetFault(now, 0, 0))
 		now += time.Hour
 		take(m.Advance(now))
 		for id := range work {
@@ -73,8 +73,8 @@
 	})
 }
 
-func send(m *Machine, at time.Duration, n uint64, work time.Duration) []Done {
-	return m.Arrive(at, Job{Attempt: n, Work: work, Draw: 1, Informs: true})
+func send(m *Machine, at time.Duration, n uint64, work time.Duration) []Completion {
+	return m.Arrive(at, Job{Attempt: n, Work: work, ErrorDraw: 1, StartKnown: true})
 }
 
 // A cold machine falls over when it is sent more than the multiple of what it can do, and only then.
@@ -90,21 +90,21 @@
 		{"past it, warm", 10 * time.Millisecond, -1, false},
 	} {
 		m := New(spec(), c.start)
-		m.Room = 1000
+		m.QueueCapacity = 1000
 		for i := range uint64(100) {
 			send(m, time.Duration(i)*c.gap, i, 100*time.Millisecond)
 		}
-		if fell := m.State == Fallen; fell != c.falls {
+		if fell := m.State == Overloaded; fell != c.falls {
 			t.Errorf("%s: fell %v", c.name, fell)
-		} else if fell && m.Informed != 1 {
-			t.Errorf("%s: informed %v", c.name, m.Informed)
+		} else if fell && m.InformedShare != 1 {
+			t.Errorf("%s: informed %v", c.name, m.InformedShare)
 		}
 	}
 }
 
 // What a machine does with single jobs.
 func TestMachine(t *testing.T) {
-	end := func(m *Machine, after time.Duration) Done {
+	end := func(m *Machine, after time.Duration) Completion {
 		done := m.Advance(after)
 		if len(done) != 1 {
 			t.Fatalf("%d jobs have ended", len(done))
@@ -116,30 +116,30 @@
 	if d := end(m, time.Second); d.At != 100*time.Millisecond || d.Result != Served || !d.Ran {
 		t.Errorf("alone: %+v", d)
 	}
-	m.Trouble(time.Second, 0, 0.5)
+	m.SetFault(time.Second, 0, 0.5)
 	send(m, time.Second, 2, 100*time.Millisecond)
 	if d := end(m, 2*time.Second); d.At != 1200*time.Millisecond {
 		t.Errorf("beside another program: %+v", d)
 	}
-	m.Trouble(2*time.Second, 1, 0)
-	if d := m.Arrive(2*time.Second, Job{Attempt: 3, Draw: 0.99}); len(d) != 1 || d[0].Result != Failed || d[0].Ran {
+	m.SetFault(2*time.Second, 1, 0)
+	if d := m.Arrive(2*time.Second, Job{Attempt: 3, ErrorDraw: 0.99}); len(d) != 1 || d[0].Result != Failed || d[0].Ran {
 		t.Errorf("failing at once: %+v", d)
 	}
-	m.Trouble(2*time.Second, 0, 0)
+	m.SetFault(2*time.Second, 0, 0)
 	for _, k := range []struct{ at, took time.Duration }{ // a key is warm for a second
 		{3 * time.Second, 100 * time.Millisecond}, {3500 * time.Millisecond, 50 * time.Millisecond}, {5 * time.Second, 100 * time.Millisecond}} {
-		m.Arrive(k.at, Job{Attempt: 10, Key: 7, Work: 100 * time.Millisecond, Draw: 1})
+		m.Arrive(k.at, Job{Attempt: 10, Key: 7, Work: 100 * time.Millisecond, ErrorDraw: 1})
 		if d := end(m, k.at+200*time.Millisecond); (d.At - k.at).Round(time.Microsecond) != k.took {
 			t.Errorf("a key's request at %v took %v", k.at, d.At-k.at)
 		}
 	}
 	m.Drain(6 * time.Second)
-	if d := send(m, 6*time.Second, 20, time.Second); len(d) != 1 || d[0].Result != Turned {
+	if d := send(m, 6*time.Second, 20, time.Second); len(d) != 1 || d[0].Result != Rejected {
 		t.Errorf("draining: %+v", d)
 	}
-	m.Start(7 * time.Second)
+	m.Restart(7 * time.Second)
 	send(m, 7*time.Second, 21, time.Second)
-	if d := m.Leave(8*time.Second, Gone); len(d) != 1 || d[0].Result != Lost {
+	if d := m.Stop(8*time.Second, Removed); len(d) != 1 || d[0].Result != Lost {
 		t.Errorf("ended under a job: %+v", d)
 	}
 	crowded := New(spec(), -1)
@@ -148,9 +148,9 @@
 			t.Errorf("job %d of 8 in work and 5 waiting: %+v", i, d)
 		}
 	}
-	before := crowded.Present(0)
+	before := crowded.PresentCapacity(0)
 	crowded.Advance(1500 * time.Millisecond)
-	if now := crowded.Present(1500 * time.Millisecond); now != before/2 {
+	if now := crowded.PresentCapacity(1500 * time.Millisecond); now != before/2 {
 		t.Errorf("crowded for long it does %v, before %v", now, before)
 	}
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -208,7 +208,7 @@
 				v.Backends++
 				z := &v.Zones[h.m.Zone]
 				z.Backends++
-				z.Held += h.m.Report().Inflight
+				z.Held += h.m.Load().Inflight
 			}
 		}
 		if n < len(l.tally.Windows) {
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -84,16 +84,16 @@
 	speed := in(machineKinds[kind].speed)
 	spec := model.Spec{ID: fmt.Sprintf("s-%08x", uint32(l.rng.Hash("id/"+strconv.Itoa(n)))), Zone: zone,
 		Cell: zone*1000 + mates/l.Scenario.Fleet.Pod, Kind: kind, Cores: cores, Speed: speed,
-		Slots: int(math.Round(cores * in(w.SlotsPerCore))), Room: int(cores * in(w.RoomPerCore)), Thrash: in(w.Thrash),
-		ThrashAt: in(w.ThrashAt), ColdFrom: in(w.ColdFrom), Ramp: seconds(in(w.RampS)), FallMultiple: w.FallMultiple,
-		FallWindow: w.FallWindow.Duration(), ErrorRate: in(w.ErrorRate), KeyGain: in(w.KeyGain), KeyFor: seconds(in(w.KeyForS)),
-		Keys: cores * w.KeysPerCore, Conns: int(in(w.Conns)), Weight: math.Round(speed*cores) / cores,
+		Slots: int(math.Round(cores * in(w.SlotsPerCore))), QueueCapacity: int(cores * in(w.RoomPerCore)), ThrashLoss: in(w.Thrash),
+		ThrashAt: in(w.ThrashAt), InitialCapacity: in(w.ColdFrom), SlowStartWindow: seconds(in(w.RampS)), OverloadMultiple: w.FallMultiple,
+		OverloadWindow: w.FallWindow.Duration(), ErrorRate: in(w.ErrorRate), KeySaving: in(w.KeyGain), KeyTTL: seconds(in(w.KeyForS)),
+		MaxKeys: cores * w.KeysPerCore, MaxConns: int(in(w.Conns)), Weight: math.Round(speed*cores) / cores,
 		Handshake: seconds(in(w.HandshakeMs) / 1e3), ProbeWork: seconds(in(scenario.Range{0.45, 0.72}) / 1e3),
-		DropsGivenUp: r.Float64() < 0.5}
+		DropsCancelled: r.Float64() < 0.5}
 	choke := []float64{r.Float64(), r.Float64(), r.Float64(), r.Float64()}
 	if w.Choke && choke[0] < 0.6 {
-		spec.ChokeAt, spec.ChokeOver, spec.ChokeSlower = 7, seconds(1.5+choke[1]), 2+1.1*choke[2]
-		spec.ChokeRest, spec.ChokeMost = seconds(2.4+2.5*choke[3]), seconds(16+15*choke[3])
+		spec.DegradeAt, spec.DegradeAfter, spec.DegradeFactor = 7, seconds(1.5+choke[1]), 2+1.1*choke[2]
+		spec.RecoverAfter, spec.MaxDegraded = seconds(2.4+2.5*choke[3]), seconds(16+15*choke[3])
 	}
 	h := &host{lab: l, n: n, m: model.New(spec, started), conns: map[*backendConn]bool{}, opened: map[time.Duration]int{}}
 	l.hosts = append(l.hosts, h)
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -174,9 +174,9 @@
 	work, all := 0.0, 0.0
 	for _, h := range l.hosts {
 		if h.m.State == model.Up && !h.down {
-			p := h.m.Present(now)
+			p := h.m.PresentCapacity(now)
 			all += p
-			work += p * h.m.Report().Util
+			work += p * h.m.Load().Util
 		}
 	}
 	return share(work, all)
