--- /dev/null
+++ b/internal/lab/model/degradation.go
@@ -0,0 +1,37 @@
+package model
+
+// Degradation: a backend that holds too much for too long turns slower until it has recovered.
+
+func (m *Machine) clearDegradation() {
+	m.overloadedSince, m.degradedSince, m.idleSince = never, never, never
+}
+
+// updateDegradation follows whether it holds so much that it turns slower, or has rested from that.
+func (m *Machine) updateDegradation() {
+	if m.DegradeAt <= 0 {
+		return
+	}
+	load := float64(len(m.running)+len(m.queue)) / float64(m.Cores)
+	switch {
+	case load <= m.DegradeAt:
+		m.overloadedSince = never
+	case m.overloadedSince == never:
+		m.overloadedSince = m.now
+	case m.degradedSince == never && m.now-m.overloadedSince >= m.DegradeAfter:
+		m.degradedSince = m.now
+	}
+	if m.degradedSince == never {
+		return
+	}
+	const mostlyIdle = 0.4 // held requests per core
+	switch {
+	case load > mostlyIdle:
+		m.idleSince = never
+	case m.idleSince == never:
+		m.idleSince = m.now
+	}
+	if m.idleSince != never && m.now-m.idleSince >= m.RecoverAfter || m.now-m.degradedSince >= m.MaxDegraded {
+		m.clearDegradation()
+	}
+}
+
--- /dev/null
+++ b/internal/lab/model/keycache.go
@@ -0,0 +1,19 @@
+package model
+
+// The keys that a backend has served lately, and serves again for less work.
+
+func (m *Machine) rememberKey(key uint64) {
+	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
+		oldest, at := uint64(0), never
+		for k, t := range m.keyCache {
+			if t < at || t == at && k < oldest {
+				oldest, at = k, t
+			}
+		}
+		delete(m.keyCache, oldest)
+	}
+	if m.MaxKeys > 0 {
+		m.keyCache[key] = m.now
+	}
+}
+
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -12,85 +12,6 @@
 	"time"
 )
 
-// Spec is what a machine is.
-type Spec struct {
-	ID               string
-	Zone, Cell, Kind int
-	Cores            int
-	Speed            float64       // of one core; 1 is the yardstick
-	Slots            int           // requests in work at once
-	QueueCapacity    int           // requests that wait beyond these
-	ThrashLoss       float64       // share of capacity lost when held requests per core are twice ThrashAt or more
-	ThrashAt         float64       // requests in work per core from which on it loses some
-	InitialCapacity  float64       // share of its capacity right after a start, 0 to 1
-	SlowStartWindow  time.Duration // from then until it is warm
-	OverloadMultiple float64       // sent more than this multiple of its present capacity while cold ...
-	OverloadWindow   time.Duration // ... over this span, it falls over; 0: never
-	DegradeAt        float64       // held requests per core past which it is crowded; 0: never chokes
-	DegradeAfter     time.Duration // crowded for so long, it turns slower
-	DegradeFactor    float64       // by this factor
-	RecoverAfter     time.Duration // until it has been mostly idle for so long
-	MaxDegraded      time.Duration // or so long has passed
-	MaxConns         int           // open connections it takes; 0: any number
-	Handshake        time.Duration // work of a new connection
-	ErrorRate        float64       // share of requests answered with an error
-	KeySaving        float64       // share of the work saved for a key met lately
-	KeyTTL           time.Duration // what lately means
-	MaxKeys          int           // keys that it remembers
-	DropsCancelled   bool          // waiting work is dropped once its agent has given it up
-	ProbeWork        time.Duration
-	Weight           float64 // as the list tells it
-}
-
-// Capacity is the work that it does in a second when warm, in seconds.
-func (s *Spec) Capacity() float64 { return float64(s.Cores) * s.Speed }
-
-// Job is one attempt that has reached a machine.
-type Job struct {
-	Attempt       uint64 // the lab's number for it
-	Key           uint64 // 0: none
-	Work          time.Duration
-	Agent         int
-	ErrorDraw     float64 // 0 to 1: decides whether it meets an error
-	NewConnection bool    // it came on a new connection
-	StartKnown    bool    // its agent knew that the machine had started
-}
-
-// Result says how a job ended.
-type Result uint8
-
-const (
-	Served   Result = iota
-	Failed          // the machine answered with an error; it may have run
-	Rejected        // turned away unseen
-	Dropped         // given up by its agent before it was started
-	Lost            // the machine went away under it: no answer
-)
-
-func (r Result) String() string {
-	return [...]string{"served", "failed", "turned away", "dropped", "lost"}[r]
-}
-
-// Completion is the end of a job.
-type Completion struct {
-	Job
-	At        time.Duration
-	Result    Result
-	Ran       bool // its effect happened
-	QueuedFor time.Duration
-}
-
-// State says what a machine does with what reaches it.
-type State uint8
-
-const (
-	Up State = iota
-	Draining
-	Removed    // its process has ended: connections to it are refused
-	Silent     // it is lost or cut off from everyone: it says nothing
-	Overloaded // pushed over while cold
-)
-
 // Machine is one backend.
 type Machine struct {
 	Spec
@@ -115,39 +36,6 @@
 	meanService                   float64       // running mean of service time, seconds
 }
 
-type sentWork struct {
-	at       time.Duration
-	seconds  float64
-	informed bool
-}
-
-type task struct {
-	Job
-	finishAt  float64 // attained at which it is done
-	arrivedAt time.Duration
-	startedAt time.Duration
-	seconds   float64
-}
-
-type taskHeap []*task
-
-func (h taskHeap) Len() int { return len(h) }
-func (h taskHeap) Less(i, j int) bool {
-	if h[i].finishAt != h[j].finishAt {
-		return h[i].finishAt < h[j].finishAt
-	}
-	return h[i].Attempt < h[j].Attempt
-}
-func (h taskHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *taskHeap) Push(x any)   { *h = append(*h, x.(*task)) }
-func (h *taskHeap) Pop() any {
-	last := len(*h) - 1
-	x := (*h)[last]
-	(*h)[last] = nil
-	*h = (*h)[:last]
-	return x
-}
-
 // never is later than any run lasts.
 const never = time.Duration(math.MaxInt64)
 
@@ -158,22 +46,6 @@
 	return m
 }
 
-func (m *Machine) clearDegradation() {
-	m.overloadedSince, m.degradedSince, m.idleSince = never, never, never
-}
-
-// warmth is the part of its capacity that a machine has at a time after its start.
-func (m *Machine) warmth(now time.Duration) float64 {
-	if !m.warmingUp(now) {
-		return 1
-	}
-	return m.InitialCapacity + (1-m.InitialCapacity)*float64(now-m.StartedAt)/float64(m.SlowStartWindow)
-}
-
-func (m *Machine) warmingUp(now time.Duration) bool {
-	return m.StartedAt >= 0 && now < m.StartedAt+m.SlowStartWindow
-}
-
 // PresentCapacity is the work that it can do in a second by now, in seconds: what a policy that sees the
 // true state would reckon with.
 func (m *Machine) PresentCapacity(now time.Duration) float64 {
@@ -259,50 +131,6 @@
 	heap.Push(&m.running, r)
 }
 
-// updateDegradation follows whether it holds so much that it turns slower, or has rested from that.
-func (m *Machine) updateDegradation() {
-	if m.DegradeAt <= 0 {
-		return
-	}
-	load := float64(len(m.running)+len(m.queue)) / float64(m.Cores)
-	switch {
-	case load <= m.DegradeAt:
-		m.overloadedSince = never
-	case m.overloadedSince == never:
-		m.overloadedSince = m.now
-	case m.degradedSince == never && m.now-m.overloadedSince >= m.DegradeAfter:
-		m.degradedSince = m.now
-	}
-	if m.degradedSince == never {
-		return
-	}
-	const mostlyIdle = 0.4 // held requests per core
-	switch {
-	case load > mostlyIdle:
-		m.idleSince = never
-	case m.idleSince == never:
-		m.idleSince = m.now
-	}
-	if m.idleSince != never && m.now-m.idleSince >= m.RecoverAfter || m.now-m.degradedSince >= m.MaxDegraded {
-		m.clearDegradation()
-	}
-}
-
-func (m *Machine) rememberKey(key uint64) {
-	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
-		oldest, at := uint64(0), never
-		for k, t := range m.keyCache {
-			if t < at || t == at && k < oldest {
-				oldest, at = k, t
-			}
-		}
-		delete(m.keyCache, oldest)
-	}
-	if m.MaxKeys > 0 {
-		m.keyCache[key] = m.now
-	}
-}
-
 // Arrive takes a job at a time. Its end comes at once, or from Advance.
 func (m *Machine) Arrive(now time.Duration, job Job) (done []Completion) {
 	done = m.Advance(now)
@@ -341,34 +169,6 @@
 	return done
 }
 
-// recordSlowStartWork counts work sent to a cold machine, and reports whether it falls over.
-func (m *Machine) recordSlowStartWork(now time.Duration, seconds float64, informed bool) bool {
-	if !m.warmingUp(now) || m.OverloadWindow <= 0 {
-		m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, 0, 0
-		return false
-	}
-	m.slowStartWork = append(m.slowStartWork, sentWork{now, seconds, informed})
-	m.slowStartTotal += seconds
-	if informed {
-		m.informedTotal += seconds
-	}
-	for m.slowStartWork[0].at < now-m.OverloadWindow {
-		m.slowStartTotal -= m.slowStartWork[0].seconds
-		if m.slowStartWork[0].informed {
-			m.informedTotal -= m.slowStartWork[0].seconds
-		}
-		m.slowStartWork = m.slowStartWork[1:]
-	}
-	// The slack is for chance: a few requests are no pressure.
-	slack := 4 * m.slowStartTotal / float64(len(m.slowStartWork))
-	budget := m.OverloadMultiple * m.Capacity() * m.warmth(now) * m.OverloadWindow.Seconds()
-	if m.slowStartTotal <= budget+slack {
-		return false
-	}
-	m.OverloadedAt, m.InformedShare = now, m.informedTotal/m.slowStartTotal
-	return true
-}
-
 // Cancel says that an agent has closed the connection of an attempt. What is in work goes on.
 func (m *Machine) Cancel(now time.Duration, attempt uint64) (done []Completion) {
 	done = m.Advance(now)
@@ -427,15 +227,3 @@
 	return done
 }
 
-// Load is what a machine reports of itself.
-type Load struct {
-	Inflight int
-	Util     float64
-	Service  time.Duration // recent service time, without waiting
-}
-
-// Load tells the load at a time. It costs the machine ProbeWork, which the caller sends as a job of its own.
-func (m *Machine) Load() Load {
-	return Load{len(m.running) + len(m.queue), min(1, float64(len(m.running))/float64(m.Cores)),
-		time.Duration(m.meanService * float64(time.Second))}
-}
