--- a/internal/lab/model/degradation.go
+++ b/internal/lab/model/degradation.go
@@ -6,7 +6,7 @@
 	m.overloadedSince, m.degradedSince, m.idleSince = never, never, never
 }
 
-// updateDegradation follows whether it holds so much that it turns slower, or has rested from that.
+// updateDegradation starts and ends the degraded state by the load of this moment.
 func (m *Machine) updateDegradation() {
 	if m.DegradeAt <= 0 {
 		return
@@ -34,4 +34,3 @@
 		m.clearDegradation()
 	}
 }
-
--- a/internal/lab/model/keycache.go
+++ b/internal/lab/model/keycache.go
@@ -2,6 +2,7 @@
 
 // The keys that a backend has served lately, and serves again for less work.
 
+// rememberKey caches a key, in place of the one used longest ago if the cache is full.
 func (m *Machine) rememberKey(key uint64) {
 	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
 		oldest, at := uint64(0), never
@@ -16,4 +17,3 @@
 		m.keyCache[key] = m.now
 	}
 }
-
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -4,14 +4,14 @@
 
 import "time"
 
-// Load is what a machine reports of itself.
+// Load is the load report of a backend.
 type Load struct {
-	Inflight int
-	Util     float64
+	Inflight int           // requests held, queued ones included
+	Util     float64       // share of the cores in use, from 0 to 1
 	Service  time.Duration // recent service time, without waiting
 }
 
-// Load tells the load at a time. It costs the machine ProbeWork, which the caller sends as a job of its own.
+// Load returns the present load. Its cost, ProbeWork, is up to the caller, who sends it as a job of its own.
 func (m *Machine) Load() Load {
 	return Load{len(m.running) + len(m.queue), min(1, float64(len(m.running))/float64(m.Cores)),
 		time.Duration(m.meanService * float64(time.Second))}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,9 +1,8 @@
-// Package model models the machines that agents send to: cores shared by the requests in work, slots
-// and a waiting room, cold starts that ramp and fall over, slow-down when crowded, warmth by key.
+// Package model models the backends of an emulated fleet: cores shared by the requests in service, a bounded queue, slow start
+// and the crash by overload during it, degradation under load, and a cache of keys.
 //
-// It is pure: it is told the time, owns no clock, socket or goroutine, and draws what it needs from
-// numbers that belong to the request. Times are spans since the lab's start. Work is told in time on
-// one core of speed 1.
+// It has no clock, sockets or goroutines: the caller says what time it is, and random draws belong to the request. Times are spans
+// since the start of the run. Work is given as time on one reference core. A Machine is not safe for concurrent use.
 package model
 
 import (
@@ -17,37 +16,38 @@
 	Spec
 	State         State
 	StartedAt     time.Duration // negative: long ago
-	OverloadedAt  time.Duration // when it fell over
-	InformedShare float64       // share of the work in the window of its fall that came from agents that knew of its start
-
-	failureShare                  float64 // share of requests that fail at once
-	stolenShare                   float64 // share of the machine that another program takes
-	now                           time.Duration
-	serviceReceived               float64 // work that each request in work has had since the start, seconds
-	serviceRate                   float64 // by which attained grows
-	running                       taskHeap
-	queue                         []*task
-	keyCache                      map[uint64]time.Duration
-	slowStartWork                 []sentWork // work sent in the latest window
-	slowStartTotal, informedTotal float64    // of sent, seconds; told: from agents that knew
-	overloadedSince               time.Duration
-	degradedSince                 time.Duration // since; negative: not
-	idleSince                     time.Duration // mostly idle since; negative: not
-	meanService                   float64       // running mean of service time, seconds
+	OverloadedAt  time.Duration // when it crashed by overload
+	InformedShare float64       // of the work that crashed it, the share sent by agents that knew when it had started
+
+	failureShare    float64 // share of requests that fail at once, by a fault
+	stolenShare     float64 // share of its capacity that another program uses, by a fault
+	now             time.Duration
+	serviceReceived float64 // seconds of work that a request running since time 0 would have received
+	serviceRate     float64 // at which serviceReceived grows
+	running         taskHeap
+	queue           []*task // oldest first
+	keyCache        map[uint64]time.Duration
+	slowStartWork   []sentWork    // within the latest overload window
+	slowStartTotal  float64       // seconds of slowStartWork
+	informedTotal   float64       // of them, by agents that knew when the backend had started
+	overloadedSince time.Duration // never: it is not
+	degradedSince   time.Duration // never: it is not
+	idleSince       time.Duration // mostly idle; never: it is not
+	meanService     float64       // running mean of the service time, in seconds
 }
 
 // never is later than any run lasts.
 const never = time.Duration(math.MaxInt64)
 
-// New returns a machine that started at a time; a negative one is long ago.
+// New returns a backend that started at a time; a negative one means long ago.
 func New(s Spec, started time.Duration) *Machine {
 	m := &Machine{Spec: s, StartedAt: started, keyCache: map[uint64]time.Duration{}}
 	m.clearDegradation()
 	return m
 }
 
-// PresentCapacity is the work that it can do in a second by now, in seconds: what a policy that sees the
-// true state would reckon with.
+// PresentCapacity returns the work that it can do in a second in its present state, in seconds of a reference core: what a
+// policy that sees the true state would count on.
 func (m *Machine) PresentCapacity(now time.Duration) float64 {
 	if m.State != Up && m.State != Draining {
 		return 0
@@ -59,7 +59,7 @@
 	return capacity
 }
 
-// updateRate works out by how much each request in work goes on from now.
+// updateRate recomputes how fast each running request progresses. It is called after each change of state.
 func (m *Machine) updateRate() {
 	running := float64(len(m.running))
 	if running == 0 {
@@ -72,10 +72,10 @@
 	}
 }
 
-// step is how long a rate that changes by itself is taken for constant.
+// maxStep bounds how long a service rate that changes continuously is taken for constant.
 const maxStep = 50 * time.Millisecond
 
-// NextEvent is when something happens at the machine by itself.
+// NextEvent returns when the backend changes state without input next; never, if it does not.
 func (m *Machine) NextEvent() time.Duration {
 	next := never
 	if len(m.running) > 0 && m.serviceRate > 0 {
@@ -89,13 +89,13 @@
 	return next
 }
 
-// Advance brings the machine to a time and returns what has ended, in order.
+// Advance moves the backend to a time and returns what has ended by then, in order.
 func (m *Machine) Advance(now time.Duration) (done []Completion) {
 	for m.now < now {
 		until := min(now, m.NextEvent())
 		m.serviceReceived += m.serviceRate * (until - m.now).Seconds()
 		m.now = until
-		const slack = 1e-9 // a nanosecond: times are whole ones
+		const slack = 1e-9 // times are rounded to nanoseconds
 		for len(m.running) > 0 && m.running[0].finishAt <= m.serviceReceived+slack {
 			finished := heap.Pop(&m.running).(*task)
 			elapsed := (m.now - finished.startedAt).Seconds()
@@ -116,7 +116,7 @@
 	return done
 }
 
-// startQueued moves what waits into free slots.
+// startQueued moves queued requests into free slots.
 func (m *Machine) startQueued() {
 	for len(m.running) < m.Slots && len(m.queue) > 0 {
 		r := m.queue[0]
@@ -131,7 +131,7 @@
 	heap.Push(&m.running, r)
 }
 
-// Arrive takes a job at a time. Its end comes at once, or from Advance.
+// Arrive hands a job to the backend. Its completion is returned at once, or by a later Advance.
 func (m *Machine) Arrive(now time.Duration, job Job) (done []Completion) {
 	done = m.Advance(now)
 	seconds := job.Work.Seconds()
@@ -141,7 +141,7 @@
 	if job.NewConnection {
 		seconds += m.Handshake.Seconds()
 	}
-	end := func(newTask Result) []Completion { return append(done, Completion{Job: job, At: now, Result: newTask}) }
+	end := func(result Result) []Completion { return append(done, Completion{Job: job, At: now, Result: result}) }
 	switch m.State {
 	case Removed, Silent, Overloaded:
 		return end(Lost)
@@ -169,7 +169,7 @@
 	return done
 }
 
-// Cancel says that an agent has closed the connection of an attempt. What is in work goes on.
+// Cancel reports that an agent has closed the connection of an attempt. A running request goes on.
 func (m *Machine) Cancel(now time.Duration, attempt uint64) (done []Completion) {
 	done = m.Advance(now)
 	if !m.DropsCancelled {
@@ -185,7 +185,7 @@
 	return done
 }
 
-// Stop ends the machine's process or takes it out of the world, in the given way. All it held is lost.
+// Stop takes the backend out of service and leaves it in the given state. All requests it held are lost.
 func (m *Machine) Stop(now time.Duration, s State) (done []Completion) {
 	done = m.Advance(now)
 	for _, r := range m.running {
@@ -200,7 +200,7 @@
 	return done
 }
 
-// Restart starts its process anew: it is cold.
+// Restart starts the process again, in slow start.
 func (m *Machine) Restart(now time.Duration) {
 	m.now, m.StartedAt, m.State = max(m.now, now), now, Up
 	m.running, m.queue, m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, nil, nil, 0, 0
@@ -209,7 +209,7 @@
 	m.updateRate()
 }
 
-// Drain has it finish its work and take nothing new.
+// Drain lets the backend finish its work and reject new jobs.
 func (m *Machine) Drain(now time.Duration) (done []Completion) {
 	done = m.Advance(now)
 	if m.State == Up {
@@ -218,12 +218,11 @@
 	return done
 }
 
-// SetFault sets the share of requests that fail at once and the share of the machine taken by another
-// program. Zeroes end both.
+// SetFault sets the share of requests that fail at once and the share of the capacity used by another program. Zeroes end
+// both faults.
 func (m *Machine) SetFault(now time.Duration, failureShare, stolenShare float64) (done []Completion) {
 	done = m.Advance(now)
 	m.failureShare, m.stolenShare = failureShare, stolenShare
 	m.updateRate()
 	return done
 }
-
--- a/internal/lab/model/slowstart.go
+++ b/internal/lab/model/slowstart.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// warmth is the part of its capacity that a machine has at a time after its start.
+// warmth is the share of its full capacity that a backend has now.
 func (m *Machine) warmth(now time.Duration) float64 {
 	if !m.warmingUp(now) {
 		return 1
@@ -16,13 +16,14 @@
 	return m.StartedAt >= 0 && now < m.StartedAt+m.SlowStartWindow
 }
 
+// sentWork is work sent to a backend in slow start.
 type sentWork struct {
 	at       time.Duration
 	seconds  float64
 	informed bool
 }
 
-// recordSlowStartWork counts work sent to a cold machine, and reports whether it falls over.
+// recordSlowStartWork counts work sent during slow start, and reports whether it crashes the backend.
 func (m *Machine) recordSlowStartWork(now time.Duration, seconds float64, informed bool) bool {
 	if !m.warmingUp(now) || m.OverloadWindow <= 0 {
 		m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, 0, 0
@@ -40,7 +41,7 @@
 		}
 		m.slowStartWork = m.slowStartWork[1:]
 	}
-	// The slack is for chance: a few requests are no pressure.
+	// The slack keeps a handful of requests that happen to come together from counting as overload.
 	slack := 4 * m.slowStartTotal / float64(len(m.slowStartWork))
 	budget := m.OverloadMultiple * m.Capacity() * m.warmth(now) * m.OverloadWindow.Seconds()
 	if m.slowStartTotal <= budget+slack {
@@ -49,4 +50,3 @@
 	m.OverloadedAt, m.InformedShare = now, m.informedTotal/m.slowStartTotal
 	return true
 }
-
--- a/internal/lab/model/task.go
+++ b/internal/lab/model/task.go
@@ -4,14 +4,16 @@
 
 import "time"
 
+// task is a job that a backend holds.
 type task struct {
 	Job
-	finishAt  float64 // attained at which it is done
+	finishAt  float64 // the serviceReceived at which it is done
 	arrivedAt time.Duration
 	startedAt time.Duration
-	seconds   float64
+	seconds   float64 // of work
 }
 
+// taskHeap is a heap of running tasks, the first to finish at the top.
 type taskHeap []*task
 
 func (h taskHeap) Len() int { return len(h) }
@@ -30,4 +32,3 @@
 	*h = (*h)[:last]
 	return x
 }
-
--- a/internal/lab/model/types.go
+++ b/internal/lab/model/types.go
@@ -4,61 +4,63 @@
 
 import "time"
 
-// Spec is what a machine is.
+// Spec describes a backend. Shares are from 0 to 1.
 type Spec struct {
 	ID               string
 	Zone, Cell, Kind int
 	Cores            int
-	Speed            float64       // of one core; 1 is the yardstick
-	Slots            int           // requests in work at once
+	Speed            float64       // of one core, as a multiple of the reference core
+	Slots            int           // requests served at once
 	QueueCapacity    int           // requests that wait beyond these
-	ThrashLoss       float64       // share of capacity lost when held requests per core are twice ThrashAt or more
-	ThrashAt         float64       // requests in work per core from which on it loses some
-	InitialCapacity  float64       // share of its capacity right after a start, 0 to 1
-	SlowStartWindow  time.Duration // from then until it is warm
-	OverloadMultiple float64       // sent more than this multiple of its present capacity while cold ...
-	OverloadWindow   time.Duration // ... over this span, it falls over; 0: never
-	DegradeAt        float64       // held requests per core past which it is crowded; 0: never chokes
-	DegradeAfter     time.Duration // crowded for so long, it turns slower
-	DegradeFactor    float64       // by this factor
-	RecoverAfter     time.Duration // until it has been mostly idle for so long
-	MaxDegraded      time.Duration // or so long has passed
-	MaxConns         int           // open connections it takes; 0: any number
-	Handshake        time.Duration // work of a new connection
+	ThrashLoss       float64       // share of capacity lost when requests per core reach twice ThrashAt
+	ThrashAt         float64       // requests in service per core above which capacity is lost
+	InitialCapacity  float64       // share of its capacity right after a start
+	SlowStartWindow  time.Duration // from the start until full capacity
+	OverloadMultiple float64       // work sent in slow start above this multiple of the present capacity ...
+	OverloadWindow   time.Duration // ... over this span crashes it; 0: never
+	DegradeAt        float64       // requests per core above which it is overloaded; 0: it never degrades
+	DegradeAfter     time.Duration // span of overload after which it degrades
+	DegradeFactor    float64       // by which it is slower then
+	RecoverAfter     time.Duration // span of being mostly idle after which it recovers
+	MaxDegraded      time.Duration // after which it recovers in any case
+	MaxConns         int           // open connections it accepts; 0: no limit
+	Handshake        time.Duration // work of accepting a connection
 	ErrorRate        float64       // share of requests answered with an error
-	KeySaving        float64       // share of the work saved for a key met lately
-	KeyTTL           time.Duration // what lately means
-	MaxKeys          int           // keys that it remembers
-	DropsCancelled   bool          // waiting work is dropped once its agent has given it up
-	ProbeWork        time.Duration
-	Weight           float64 // as the list tells it
+	KeySaving        float64       // share of the work saved for a cached key
+	KeyTTL           time.Duration // for which a key stays cached
+	MaxKeys          int           // keys cached at once
+	DropsCancelled   bool          // queued work is dropped once its agent has cancelled it
+	ProbeWork        time.Duration // work of a health check
+	Weight           float64       // in the endpoint list
 }
 
-// Capacity is the work that it does in a second when warm, in seconds.
+// Capacity returns the work done in a second at full capacity, in seconds of a reference core.
 func (s *Spec) Capacity() float64 { return float64(s.Cores) * s.Speed }
 
-// Job is one attempt that has reached a machine.
+// Job is one attempt that has reached a backend.
 type Job struct {
-	Attempt       uint64 // the lab's number for it
-	Key           uint64 // 0: none
+	Attempt       uint64 // its number in the lab, unique in a run
+	Key           uint64 // a hash of what it concerns; 0: none
 	Work          time.Duration
 	Agent         int
-	ErrorDraw     float64 // 0 to 1: decides whether it meets an error
-	NewConnection bool    // it came on a new connection
-	StartKnown    bool    // its agent knew that the machine had started
+	ErrorDraw     float64 // from 0 to 1: below the error rate the answer is an error
+	NewConnection bool    // a connection was opened for it
+	StartKnown    bool    // its agent knew when the backend had started
 }
 
 // Result says how a job ended.
 type Result uint8
 
+// The results of a job.
 const (
 	Served   Result = iota
-	Failed          // the machine answered with an error; it may have run
-	Rejected        // turned away unseen
-	Dropped         // given up by its agent before it was started
-	Lost            // the machine went away under it: no answer
+	Failed          // answered with an error; the effect may have happened
+	Rejected        // before any work was done
+	Dropped         // cancelled by its agent while it was queued
+	Lost            // the backend ended first: there is no answer
 )
 
+// String returns the result as the lab's reports have it.
 func (r Result) String() string {
 	return [...]string{"served", "failed", "turned away", "dropped", "lost"}[r]
 }
@@ -68,18 +70,18 @@
 	Job
 	At        time.Duration
 	Result    Result
-	Ran       bool // its effect happened
+	Ran       bool // the job's effect happened
 	QueuedFor time.Duration
 }
 
-// State says what a machine does with what reaches it.
+// State says how a backend treats what reaches it.
 type State uint8
 
+// The states of a backend.
 const (
 	Up State = iota
 	Draining
-	Removed    // its process has ended: connections to it are refused
-	Silent     // it is lost or cut off from everyone: it says nothing
-	Overloaded // pushed over while cold
+	Removed    // its process has ended: connections are refused
+	Silent     // lost, or cut off from everyone: nothing is answered
+	Overloaded // crashed by too much work during slow start
 )
-
