--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -272,7 +272,7 @@
 		if err := json.Unmarshal([]byte(line), &request); err != nil {
 			return usageError{fmt.Errorf("%s:%d: %w", c.File, n, err)}
 		}
-		if request.ID == c.ID || request.First == c.ID {
+		if request.ID == c.ID || request.FirstID == c.ID {
 			lab.WriteHistory(o.stdout, &request)
 			found = true
 		}
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -124,7 +124,7 @@
 	}
 	n := float64(window.Offered)
 	return fmt.Sprintf("%5.0fs  %6d %8d  %9d  %5.1f%%  %6.1f%%  %5.1f%%  %3.0f ms %4.0f ms  %10.2f  %3.0f%%  %6d  %s", view.At.Seconds(), view.Agents, view.Backends,
-		window.Offered, 100*ratio(window.InAim, window.Worth), 100*ratio(float64(window.Refused), n), 100*ratio(float64(window.Failed+window.Lost), n), window.P50, window.P99,
+		window.Offered, 100*ratio(window.WeightInObjective, window.Weight), 100*ratio(float64(window.Refused), n), 100*ratio(float64(window.Failed+window.Lost), n), window.P50, window.P99,
 		ratio(float64(window.Attempts), n), 100*window.Used, view.Broken, strings.Join(view.Faults, ", "))
 }
 
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -33,14 +33,14 @@
 
 // The history of a request, as `lab run --events` writes it and `lab trace` reads it.
 func TestRequestHistoryKeepsItsForm(t *testing.T) {
-	q := check.Request{ID: "r1", First: "r2", Try: 3, Agent: 4, Class: 5, Sent: 6, GiveUp: 7, History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
+	q := check.Request{ID: "r1", FirstID: "r2", Attempt: 3, Agent: 4, Class: 5, SentAt: 6, Timeout: 7, History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
 	goldenJSON(t, "request.json", q)
 	var got check.Request
 	if err := json.Unmarshal(stored(t, "request.json"), &got); err != nil {
 		t.Fatal(err)
 	}
 	equal(t, "read back", got, q)
-	equal(t, "rules", []string{check.RuleAnswer, check.RuleDuplicate, check.RuleDrain, check.RuleCold, check.RuleUnsent, check.RuleGone, check.RuleDeadline,
+	equal(t, "rules", []string{check.RuleAnswer, check.RuleDuplicate, check.RuleDrain, check.RuleSlowStart, check.RuleUnknown, check.RuleCancelled, check.RuleDeadline,
 		check.RuleResidency}, []string{"answer", "duplicate", "drain", "cold", "unsent", "gone", "deadline", "residency"})
 	var answers []string
 	for a := check.Served; a <= check.Foreign; a++ {
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -184,14 +184,14 @@
 	print := fingerprint(r.Method, r.URL.RequestURI(), r.Header.Get("Idempotency-Key"), body)
 	probe := r.Method == http.MethodGet && (r.URL.Path == "/ping" || r.URL.Path == "/_load")
 	if !probe {
-		l.tally.Attempt(now, l.zone(a.party()) != h.m.Zone)
+		l.tally.CountAttempt(now, l.zone(a.party()) != h.m.Zone)
 		if p := l.agents[a.agent].plays[a.id]; p != nil {
 			if p.reached != a.id {
 				p.reached = a.id
-				l.tally.First(now, l.shut(a.agent, h))
+				l.tally.CountFirstAttempt(now, l.shut(a.agent, h))
 			}
 			if l.resident != nil {
-				l.check.Resides(l.resident, now, a.came, a.id, a.agent, p.tenant, p.class, h.m.Zone, h.m.ID)
+				l.check.CheckResidency(l.resident, now, a.came, a.id, a.agent, p.tenant, p.class, h.m.Zone, h.m.ID)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 	a.conn.used = true
 	if l.net.Fault(a.party(), h.party(), netfault.TCP).Cut || h.m.State == model.Silent {
 		if !probe {
-			l.check.Note(now, a.id, "network", fmt.Sprintf("the attempt to %s does not get through", h.m.ID))
+			l.check.Record(now, a.id, "network", fmt.Sprintf("the attempt to %s does not get through", h.m.ID))
 		}
 		l.park(a.party(), h.party(), func(now time.Duration) { l.send(now, now, a, print, probe) })
 		return
@@ -252,7 +252,7 @@
 	}
 	if !probe {
 		a.known = l.check.Arrive(reached, check.Arrival{Attempt: a.number, ID: a.id, Agent: a.agent, Backend: h.m.ID,
-			Cell: h.m.Cell, Print: print, Came: a.came, Stated: a.stated})
+			Cell: h.m.Cell, Fingerprint: print, SentAt: a.came, StatedTimeout: a.stated})
 	}
 	switch {
 	case probe:
@@ -270,11 +270,11 @@
 	default:
 		draw := l.rng.Stream("attempt/" + a.id + "/" + h.m.ID)
 		job := model.Job{Attempt: a.number, Agent: a.agent, ErrorDraw: draw.Float64(), NewConnection: fresh,
-			StartKnown: l.check.Knows(a.agent, h.m.ID, h.m.StartedAt)}
+			StartKnown: l.check.KnowsStart(a.agent, h.m.ID, h.m.StartedAt)}
 		if p := l.playing(a); p != nil {
 			job.Work, job.Key = time.Duration(float64(p.work)*rng.Lognormal(draw, 1, 0.3)), p.key
 			if l.dropped(now, p, h) { // its effect has happened there: what is left to do is to say so
-				l.check.Note(now, a.id, h.m.ID, "its pod has met the key: the repeat is dropped")
+				l.check.Record(now, a.id, h.m.ID, "its pod has met the key: the repeat is dropped")
 				job.Work, job.Key = h.m.ProbeWork, 0
 			}
 		} else {
@@ -326,7 +326,7 @@
 		}
 		switch d.Result {
 		case model.Lost, model.Dropped: // nothing comes back
-			l.check.Note(d.At, a.id, h.m.ID, what)
+			l.check.Record(d.At, a.id, h.m.ID, what)
 			delete(l.attempts, d.Attempt)
 		case model.Rejected:
 			l.answer(d.At, a, answer{http.StatusServiceUnavailable, true, "full"}, what)
@@ -338,7 +338,7 @@
 	}
 	if h.m.State == model.Overloaded && !h.down {
 		h.down = true
-		l.check.Fell(h.m.OverloadedAt, h.m.ID, h.m.InformedShare)
+		l.check.Overloaded(h.m.OverloadedAt, h.m.ID, h.m.InformedShare)
 		l.fallen++
 		l.refuse(h)
 		l.disc.learn(l.now(), h, "gone", l.Scenario.Lists.NoticeS)
@@ -355,13 +355,13 @@
 func (l *Lab) answer(now time.Duration, a *attempt, ans answer, what string) {
 	h := a.host
 	if l.net.Fault(h.party(), a.party(), netfault.TCP).Cut || h.m.State == model.Silent {
-		l.check.Note(now, a.id, "network", "the answer of "+h.m.ID+" ("+what+") does not get through")
+		l.check.Record(now, a.id, "network", "the answer of "+h.m.ID+" ("+what+") does not get through")
 		l.park(h.party(), a.party(), func(now time.Duration) { l.answer(now, a, ans, what) })
 		return
 	}
 	delete(l.attempts, a.number)
 	d := l.net.Arrivals(h.party(), a.party(), netfault.TCP, a.id+"/"+h.m.ID)[0]
-	l.check.Reply(now, a.id, h.m.ID, what, ans.never)
+	l.check.RecordReply(now, a.id, h.m.ID, what, ans.never)
 	l.at(now+d, func(time.Duration) {
 		select {
 		case a.reply <- ans:
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// Effect says what repeating a request does.
-type Effect uint8
+// Idempotency says what repeating a request does.
+type Idempotency uint8
 
 const (
-	Safe  Effect = iota // may be repeated and refused at will
-	Keyed               // the backends of one pod drop a repeat within the window
-	Once                // must never run twice
+	Idempotent     Idempotency = iota // may be repeated and refused at will
+	IdempotencyKey                    // the backends of one pod drop a repeat within the window
+	NonIdempotent                     // must never run twice
 )
 
 // Class is a class of requests.
 type Class struct {
-	Name   string
-	Effect Effect
-	Window time.Duration // for Keyed
+	Name        string
+	Idempotency Idempotency
+	DedupWindow time.Duration // for Keyed
 }
 
 // Rules are the figures of the rules.
 type Rules struct {
-	Classes    []Class
-	DrainGrace time.Duration // from being told until nothing new may be sent
-	Answer     time.Duration // past its time, after which an answer counts as none
-	Slack      time.Duration // what sockets may add to every bound
-	Visitors   bool          // requests that the lab's clients did not send are served, and not judged
-	FewCut     float64       // share of requests on new connections that may be closed without an answer
+	Classes           []Class
+	DrainGrace        time.Duration // from being told until nothing new may be sent
+	AnswerGrace       time.Duration // past its time, after which an answer counts as none
+	Slack             time.Duration // what sockets may add to every bound
+	AcceptsUnknown    bool          // requests that the lab's clients did not send are served, and not judged
+	MaxClosedNewShare float64       // share of requests on new connections that may be closed without an answer
 }
 
 // Rule names, as in the report.
@@ -42,9 +42,9 @@
 	RuleAnswer    = "answer"    // one final answer for each request taken, in time
 	RuleDuplicate = "duplicate" // no effect twice
 	RuleDrain     = "drain"     // nothing new to a backend told to drain or gone
-	RuleCold      = "cold"      // no cold backend pushed over
-	RuleUnsent    = "unsent"    // nothing reaches a backend that no client sent
-	RuleGone      = "gone"      // no attempt for a client that has its answer or has gone
+	RuleSlowStart = "cold"      // no cold backend pushed over
+	RuleUnknown   = "unsent"    // nothing reaches a backend that no client sent
+	RuleCancelled = "gone"      // no attempt for a client that has its answer or has gone
 	RuleDeadline  = "deadline"  // a backend is told of no more time than the client has left
 )
 
@@ -66,42 +66,42 @@
 
 // Request is one try of a client, with everything that happened to it.
 type Request struct {
-	ID      string        `json:"id"`
-	First   string        `json:"first"` // the id of the client's first try
-	Try     int           `json:"try"`
-	Agent   int           `json:"agent"`
-	Class   int           `json:"class"`
-	Sent    time.Duration `json:"sent_ns"`    // its last byte; its time runs from then
-	GiveUp  time.Duration `json:"give_up_ns"` // after Sent
-	Print   uint64        `json:"-"`          // of method, path, key and body
-	History []Event       `json:"history"`
-
-	attempts []*attempt
-	taken    bool // its last byte was written
-	over     bool
-	ended    time.Duration
+	ID          string        `json:"id"`
+	FirstID     string        `json:"first"` // the id of the client's first try
+	Attempt     int           `json:"try"`
+	Agent       int           `json:"agent"`
+	Class       int           `json:"class"`
+	SentAt      time.Duration `json:"sent_ns"`    // its last byte; its time runs from then
+	Timeout     time.Duration `json:"give_up_ns"` // after Sent
+	Fingerprint uint64        `json:"-"`          // of method, path, key and body
+	History     []Event       `json:"history"`
+
+	attempts   []*attempt
+	accepted   bool // its last byte was written
+	finished   bool
+	finishedAt time.Duration
 }
 
 type attempt struct {
-	backend string
-	cell    int
-	at      time.Duration
-	never   bool // answered as never run
+	backend   string
+	cell      int
+	arrivedAt time.Duration
+	neverRan  bool // answered as never run
 }
 
 // Answer is how a try ended for its client.
 type Answer uint8
 
 const (
-	Served      Answer = iota
-	Refused            // 429 or 503
-	Failed             // any other answer
-	Closed             // the agent closed the connection without a whole answer
-	ClosedNew          // the same on a connection's first request, with not a byte sent
-	Unanswered         // nothing came
-	Unreachable        // the request was never taken: no connection came up
-	Left               // the client went away
-	Foreign            // served with something that no backend made for it
+	Served       Answer = iota
+	Rejected            // 429 or 503
+	Failed              // any other answer
+	Closed              // the agent closed the connection without a whole answer
+	ClosedNew           // the same on a connection's first request, with not a byte sent
+	Unanswered          // nothing came
+	Unreachable         // the request was never taken: no connection came up
+	Disconnected        // the client went away
+	Foreign             // served with something that no backend made for it
 )
 
 func (a Answer) String() string {
@@ -110,95 +110,95 @@
 		"served with what no backend made"}[a]
 }
 
-type toldKey struct {
+type noticeKey struct {
 	agent   int
 	backend string
 }
 
-type told struct {
-	away    time.Duration // told to drain or gone, since; 0: not
-	started time.Duration // the latest start that it was told of
+type notice struct {
+	unavailableAt time.Duration // told to drain or gone, since; 0: not
+	startedAt     time.Duration // the latest start that it was told of
 }
 
-type span struct{ from, to time.Duration }
+type interval struct{ from, to time.Duration }
 
 // Checker finds violations. Calls must not run at the same time.
 type Checker struct {
-	rules     Rules
-	requests  map[string]*Request
-	ended     []*Request
-	told      map[toldKey]told
-	excused   map[int][]span
-	broken    []Violation
-	first     *Request // the first offender, kept whole
-	record    func(*Request)
-	taken     int
-	closedNew []Violation
-	count     int
+	rules          Rules
+	requests       map[string]*Request
+	finished       []*Request
+	notices        map[noticeKey]notice
+	excuses        map[int][]interval
+	violations     []Violation
+	firstViolator  *Request // the first offender, kept whole
+	onForgotten    func(*Request)
+	accepted       int
+	closedNew      []Violation
+	violationCount int
 }
 
 // Keep is how long a finished request is remembered: longer than the longest window.
-const Keep = 15 * time.Second
+const Retention = 15 * time.Second
 
-// maxBroken is how many violations are kept whole; the rest is counted.
-const maxBroken = 100
+// maxViolations is how many violations are kept whole; the rest is counted.
+const maxViolations = 100
 
 // New returns a checker. record, if not nil, gets each request once nothing more is expected of it.
 func New(r Rules, record func(*Request)) *Checker {
-	return &Checker{rules: r, requests: map[string]*Request{}, told: map[toldKey]told{}, excused: map[int][]span{}, record: record}
+	return &Checker{rules: r, requests: map[string]*Request{}, notices: map[noticeKey]notice{}, excuses: map[int][]interval{}, onForgotten: record}
 }
 
-func (c *Checker) breaks(rule string, at time.Duration, agent int, r *Request, format string, args ...any) {
-	v := Violation{Rule: rule, At: at, Agent: agent, Text: fmt.Sprintf(format, args...)}
-	c.count++
+func (c *Checker) violate(rule string, at time.Duration, agent int, r *Request, format string, args ...any) {
+	violation := Violation{Rule: rule, At: at, Agent: agent, Text: fmt.Sprintf(format, args...)}
+	c.violationCount++
 	if r != nil {
-		v.Request = r.ID
-		r.note(at, "checker", "BROKEN "+rule+": "+v.Text)
-		if c.first == nil {
-			c.first = r
+		violation.Request = r.ID
+		r.record(at, "checker", "BROKEN "+rule+": "+violation.Text)
+		if c.firstViolator == nil {
+			c.firstViolator = r
 		}
 	}
-	if len(c.broken) < maxBroken {
-		c.broken = append(c.broken, v)
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, violation)
 	}
 }
 
-func (r *Request) note(at time.Duration, who, what string) {
+func (r *Request) record(at time.Duration, who, what string) {
 	r.History = append(r.History, Event{at, who, what})
 }
 
-// Broken returns the violations so far, the first hundred of them, and how many there are.
-func (c *Checker) Broken() ([]Violation, int) { return c.broken, c.count }
+// Violations returns the violations so far, the first hundred of them, and how many there are.
+func (c *Checker) Violations() ([]Violation, int) { return c.violations, c.violationCount }
 
-// First is the first request that broke a rule; nil: none.
-func (c *Checker) First() *Request { return c.first }
+// FirstViolator is the first request that broke a rule; nil: none.
+func (c *Checker) FirstViolator() *Request { return c.firstViolator }
 
-// Note adds a line to a request's history.
-func (c *Checker) Note(at time.Duration, id, who, what string) {
+// Record adds a line to a request's history.
+func (c *Checker) Record(at time.Duration, id, who, what string) {
 	if r := c.requests[id]; r != nil {
-		r.note(at, who, what)
+		r.record(at, who, what)
 	}
 }
 
 // Open makes a request known, before its first byte is written.
 func (c *Checker) Open(now time.Duration, r *Request) {
-	c.forget(now)
+	c.forgetOld(now)
 	c.requests[r.ID] = r
-	r.note(now, fmt.Sprintf("client %d", r.Agent), "sends "+c.rules.Classes[r.Class].Name)
+	r.record(now, fmt.Sprintf("client %d", r.Agent), "sends "+c.rules.Classes[r.Class].Name)
 }
 
-// Take says that a request's last byte was written to a connection that the agent's machine accepted.
-func (c *Checker) Take(now time.Duration, id string) {
+// Accept says that a request's last byte was written to a connection that the agent's machine accepted.
+func (c *Checker) Accept(now time.Duration, id string) {
 	if r := c.requests[id]; r != nil {
-		r.Sent, r.taken = now, true
-		c.taken++
+		r.SentAt, r.accepted = now, true
+		c.accepted++
 	}
 }
 
 // Excuse says that an agent could not do its duty in a span: it was killed, stopped, or cut off from
 // its client.
 func (c *Checker) Excuse(agent int, from, to time.Duration) {
-	c.excused[agent] = append(c.excused[agent], span{from, to})
+	c.excuses[agent] = append(c.excuses[agent], interval{from, to})
 }
 
 // Down says that an agent's process has been ended or is being started, until Running.
@@ -206,142 +206,142 @@
 
 // Running ends Down.
 func (c *Checker) Running(agent int, at time.Duration) {
-	for i, s := range c.excused[agent] {
+	for i, s := range c.excuses[agent] {
 		if s.to == forever {
-			c.excused[agent][i].to = at
+			c.excuses[agent][i].to = at
 		}
 	}
 }
 
 const forever = time.Duration(1<<63 - 1)
 
-func (c *Checker) excusedIn(agent int, from, to time.Duration) bool {
-	return slices.ContainsFunc(c.excused[agent], func(s span) bool { return s.from <= to && from <= s.to })
+func (c *Checker) excusedDuring(agent int, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.excuses[agent], func(s interval) bool { return s.from <= to && from <= s.to })
 }
 
-// Tell says that discovery has told an agent of a backend: that it drains or is gone, or that it is ready
+// Notify says that discovery has told an agent of a backend: that it drains or is gone, or that it is ready
 // and started then.
-func (c *Checker) Tell(now time.Duration, agent int, backend string, away bool, started time.Duration) {
-	k := toldKey{agent, backend}
-	t := c.told[k]
+func (c *Checker) Notify(now time.Duration, agent int, backend string, unavailable bool, started time.Duration) {
+	key := noticeKey{agent, backend}
+	current := c.notices[key]
 	switch {
-	case !away:
-		t.away = 0
-	case t.away == 0:
-		t.away = max(now, 1)
+	case !unavailable:
+		current.unavailableAt = 0
+	case current.unavailableAt == 0:
+		current.unavailableAt = max(now, 1)
 	}
-	t.started = max(t.started, started)
-	c.told[k] = t
+	current.startedAt = max(current.startedAt, started)
+	c.notices[key] = current
 }
 
-// Forget drops what an agent was told: its process is another one.
-func (c *Checker) Forget(agent int) {
-	for k := range c.told {
+// ForgetNotices drops what an agent was told: its process is another one.
+func (c *Checker) ForgetNotices(agent int) {
+	for k := range c.notices {
 		if k.agent == agent {
-			delete(c.told, k)
+			delete(c.notices, k)
 		}
 	}
 }
 
-// Knows reports whether an agent was told of a start of a backend.
-func (c *Checker) Knows(agent int, backend string, started time.Duration) bool {
-	return started >= 0 && c.told[toldKey{agent, backend}].started >= started
+// KnowsStart reports whether an agent was told of a start of a backend.
+func (c *Checker) KnowsStart(agent int, backend string, started time.Duration) bool {
+	return started >= 0 && c.notices[noticeKey{agent, backend}].startedAt >= started
 }
 
 // Arrival is an attempt that has reached a backend whole.
 type Arrival struct {
-	Attempt uint64 // the lab's number
-	ID      string
-	Agent   int
-	Backend string
-	Cell    int
-	Print   uint64
-	Came    time.Duration // when it was sent: the network may have held it up since
-	Stated  time.Duration // how long the agent will wait, as it says; below 0: it doesn't say
+	Attempt       uint64 // the lab's number
+	ID            string
+	Agent         int
+	Backend       string
+	Cell          int
+	Fingerprint   uint64
+	SentAt        time.Duration // when it was sent: the network may have held it up since
+	StatedTimeout time.Duration // how long the agent will wait, as it says; below 0: it doesn't say
 }
 
 // Slack that the rules leave beside the sockets'.
 const (
-	goneSlack     = 100 * time.Millisecond
+	cancelSlack   = 100 * time.Millisecond
 	deadlineSlack = 150 * time.Millisecond
 )
 
 // Arrive checks an attempt that reaches its backend now, and reports whether that is to take it. A visitor's has no record.
-func (c *Checker) Arrive(now time.Duration, a Arrival) (known bool) {
-	r := c.requests[a.ID]
-	if t := c.told[toldKey{a.Agent, a.Backend}]; t.away > 0 && a.Came > c.until(a.Agent, t.away) {
-		c.breaks(RuleDrain, now, a.Agent, r, "agent %d sent to %s %v after it was told that this drains or is gone",
-			a.Agent, a.Backend, (a.Came - t.away).Round(time.Millisecond))
+func (c *Checker) Arrive(now time.Duration, arrival Arrival) (known bool) {
+	r := c.requests[arrival.ID]
+	if current := c.notices[noticeKey{arrival.Agent, arrival.Backend}]; current.unavailableAt > 0 && arrival.SentAt > c.graceEnd(arrival.Agent, current.unavailableAt) {
+		c.violate(RuleDrain, now, arrival.Agent, r, "agent %d sent to %s %v after it was told that this drains or is gone",
+			arrival.Agent, arrival.Backend, (arrival.SentAt - current.unavailableAt).Round(time.Millisecond))
 	}
 	if r == nil {
-		if !c.rules.Visitors {
-			c.breaks(RuleUnsent, now, a.Agent, nil, "agent %d sent %s a request %q that no client sent", a.Agent, a.Backend, a.ID)
+		if !c.rules.AcceptsUnknown {
+			c.violate(RuleUnknown, now, arrival.Agent, nil, "agent %d sent %s a request %q that no client sent", arrival.Agent, arrival.Backend, arrival.ID)
 		}
 		return false
 	}
-	r.note(now, a.Backend, fmt.Sprintf("attempt %d arrives from agent %d", len(r.attempts), a.Agent))
-	if a.Print != r.Print {
-		c.breaks(RuleUnsent, now, a.Agent, r, "the request reached %s changed", a.Backend)
+	r.record(now, arrival.Backend, fmt.Sprintf("attempt %d arrives from agent %d", len(r.attempts), arrival.Agent))
+	if arrival.Fingerprint != r.Fingerprint {
+		c.violate(RuleUnknown, now, arrival.Agent, r, "the request reached %s changed", arrival.Backend)
 	}
-	if a.Agent != r.Agent {
-		c.breaks(RuleUnsent, now, a.Agent, r, "agent %d sent on a request of agent %d", a.Agent, r.Agent)
+	if arrival.Agent != r.Agent {
+		c.violate(RuleUnknown, now, arrival.Agent, r, "agent %d sent on a request of agent %d", arrival.Agent, r.Agent)
 	}
-	excused := c.excusedIn(r.Agent, r.Sent, a.Came)
-	if r.over && a.Came > r.ended+goneSlack+c.rules.Slack && !excused {
-		c.breaks(RuleGone, now, a.Agent, r, "sent to %s %v after the client's end", a.Backend, (a.Came - r.ended).Round(time.Millisecond))
+	excused := c.excusedDuring(r.Agent, r.SentAt, arrival.SentAt)
+	if r.finished && arrival.SentAt > r.finishedAt+cancelSlack+c.rules.Slack && !excused {
+		c.violate(RuleCancelled, now, arrival.Agent, r, "sent to %s %v after the client's end", arrival.Backend, (arrival.SentAt - r.finishedAt).Round(time.Millisecond))
 	}
-	if left := r.Sent + r.GiveUp - a.Came; r.taken && a.Stated > 0 && a.Stated > left+deadlineSlack+c.rules.Slack && !excused {
-		c.breaks(RuleDeadline, now, a.Agent, r, "%s is told of %v, the client has %v left", a.Backend, a.Stated, left)
+	if remaining := r.SentAt + r.Timeout - arrival.SentAt; r.accepted && arrival.StatedTimeout > 0 && arrival.StatedTimeout > remaining+deadlineSlack+c.rules.Slack && !excused {
+		c.violate(RuleDeadline, now, arrival.Agent, r, "%s is told of %v, the client has %v left", arrival.Backend, arrival.StatedTimeout, remaining)
 	}
 	class := c.rules.Classes[r.Class]
-	if before := r.risk(); before != nil {
+	if before := r.firstPossiblyExecuted(); before != nil {
 		switch {
-		case class.Effect == Once:
-			c.breaks(RuleDuplicate, now, a.Agent, r, "sent to %s though the attempt at %s may have run", a.Backend, before.backend)
-		case class.Effect == Keyed && before.cell != a.Cell:
-			c.breaks(RuleDuplicate, now, a.Agent, r, "sent to %s in pod %d though the attempt at %s in pod %d may have run",
-				a.Backend, a.Cell, before.backend, before.cell)
-		case class.Effect == Keyed && now-before.at > class.Window+c.rules.Slack:
-			c.breaks(RuleDuplicate, now, a.Agent, r, "sent to %s %v after the attempt at %s, past the window", a.Backend, now-before.at, before.backend)
+		case class.Idempotency == NonIdempotent:
+			c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s though the attempt at %s may have run", arrival.Backend, before.backend)
+		case class.Idempotency == IdempotencyKey && before.cell != arrival.Cell:
+			c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s in pod %d though the attempt at %s in pod %d may have run",
+				arrival.Backend, arrival.Cell, before.backend, before.cell)
+		case class.Idempotency == IdempotencyKey && now-before.arrivedAt > class.DedupWindow+c.rules.Slack:
+			c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s %v after the attempt at %s, past the window", arrival.Backend, now-before.arrivedAt, before.backend)
 		}
 	}
-	r.attempts = append(r.attempts, &attempt{backend: a.Backend, cell: a.Cell, at: now})
+	r.attempts = append(r.attempts, &attempt{backend: arrival.Backend, cell: arrival.Cell, arrivedAt: now})
 	return true
 }
 
-// until is when the grace ends of an agent that was told something. The time in which it could not act does
+// graceEnd is when the grace ends of an agent that was told something. The time in which it could not act does
 // not count.
-func (c *Checker) until(agent int, told time.Duration) time.Duration {
+func (c *Checker) graceEnd(agent int, notifiedAt time.Duration) time.Duration {
 	grace := c.rules.DrainGrace + c.rules.Slack
-	end := told + grace
-	for _, s := range c.excused[agent] { // in order of their begin
-		if s.from <= end && s.to >= told {
+	end := notifiedAt + grace
+	for _, s := range c.excuses[agent] { // in order of their begin
+		if s.from <= end && s.to >= notifiedAt {
 			end = max(end, min(s.to, forever-grace)+grace)
 		}
 	}
 	return end
 }
 
-// risk is the first attempt that may have run.
-func (r *Request) risk() *attempt {
+// firstPossiblyExecuted is the first attempt that may have run.
+func (r *Request) firstPossiblyExecuted() *attempt {
 	for _, a := range r.attempts {
-		if !a.never {
+		if !a.neverRan {
 			return a
 		}
 	}
 	return nil
 }
 
-// Reply says what a backend answers: never tells that the attempt is answered as one that never ran.
-func (c *Checker) Reply(now time.Duration, id, backend, what string, never bool) {
+// RecordReply says what a backend answers: never tells that the attempt is answered as one that never ran.
+func (c *Checker) RecordReply(now time.Duration, id, backend, what string, neverRan bool) {
 	r := c.requests[id]
 	if r == nil {
 		return
 	}
-	r.note(now, backend, what)
+	r.record(now, backend, what)
 	for _, a := range r.attempts {
-		if never && a.backend == backend && !a.never {
-			a.never = true
+		if neverRan && a.backend == backend && !a.neverRan {
+			a.neverRan = true
 			return
 		}
 	}
@@ -355,89 +355,89 @@
 	return 0
 }
 
-// End says how a request ended for its client, and judges that.
-func (c *Checker) End(now time.Duration, id string, a Answer) {
+// Finish says how a request ended for its client, and judges that.
+func (c *Checker) Finish(now time.Duration, id string, a Answer) {
 	r := c.requests[id]
-	if r == nil || r.over {
+	if r == nil || r.finished {
 		return
 	}
-	r.over, r.ended = true, now
-	c.ended = append(c.ended, r)
-	r.note(now, fmt.Sprintf("client %d", r.Agent), a.String())
-	due := r.Sent + r.GiveUp + c.rules.Answer + c.rules.Slack
-	excused := c.excusedIn(r.Agent, r.Sent, now)
+	r.finished, r.finishedAt = true, now
+	c.finished = append(c.finished, r)
+	r.record(now, fmt.Sprintf("client %d", r.Agent), a.String())
+	deadline := r.SentAt + r.Timeout + c.rules.AnswerGrace + c.rules.Slack
+	excused := c.excusedDuring(r.Agent, r.SentAt, now)
 	switch a {
-	case Served, Refused, Failed:
-		if now > due && !excused {
-			c.breaks(RuleAnswer, now, r.Agent, r, "%s %v after its time", a, (now - r.Sent - r.GiveUp).Round(time.Millisecond))
+	case Served, Rejected, Failed:
+		if now > deadline && !excused {
+			c.violate(RuleAnswer, now, r.Agent, r, "%s %v after its time", a, (now - r.SentAt - r.Timeout).Round(time.Millisecond))
 		}
 	case Closed, Unanswered:
-		if r.taken && !excused {
-			c.breaks(RuleAnswer, now, r.Agent, r, "%s", a)
+		if r.accepted && !excused {
+			c.violate(RuleAnswer, now, r.Agent, r, "%s", a)
 		}
 	case ClosedNew:
-		if r.taken && !excused {
+		if r.accepted && !excused {
 			c.closedNew = append(c.closedNew, Violation{Rule: RuleAnswer, At: now, Request: r.ID, Agent: r.Agent, Text: a.String()})
 		}
 	case Foreign:
-		c.breaks(RuleAnswer, now, r.Agent, r, "%s", a)
+		c.violate(RuleAnswer, now, r.Agent, r, "%s", a)
 	}
-	if a != Refused {
+	if a != Rejected {
 		return
 	}
-	if class := c.rules.Classes[r.Class]; class.Effect != Safe {
-		if risk := r.risk(); risk != nil {
-			c.breaks(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", risk.backend)
+	if class := c.rules.Classes[r.Class]; class.Idempotency != Idempotent {
+		if risk := r.firstPossiblyExecuted(); risk != nil {
+			c.violate(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", risk.backend)
 		}
 	}
 }
 
-// Fell says that a cold machine was pushed over; informed is the share of the work that came from agents
+// Overloaded says that a cold machine was pushed over; informed is the share of the work that came from agents
 // that knew of its start.
-func (c *Checker) Fell(now time.Duration, backend string, informed float64) {
-	const guilty = 2. / 3
-	if informed >= guilty {
-		c.breaks(RuleCold, now, -1, nil, "%s was pushed over while cold, %.0f%% of it by agents that knew of its start", backend, 100*informed)
+func (c *Checker) Overloaded(now time.Duration, backend string, informed float64) {
+	const minInformedShare = 2. / 3
+	if informed >= minInformedShare {
+		c.violate(RuleSlowStart, now, -1, nil, "%s was pushed over while cold, %.0f%% of it by agents that knew of its start", backend, 100*informed)
 	}
 }
 
-// forget drops requests that ended long ago.
-func (c *Checker) forget(now time.Duration) {
-	for len(c.ended) > 0 && c.ended[0].ended+Keep < now {
-		c.drop(c.ended[0])
-		c.ended[0] = nil
-		c.ended = c.ended[1:]
+// forgetOld drops requests that ended long ago.
+func (c *Checker) forgetOld(now time.Duration) {
+	for len(c.finished) > 0 && c.finished[0].finishedAt+Retention < now {
+		c.drop(c.finished[0])
+		c.finished[0] = nil
+		c.finished = c.finished[1:]
 	}
 }
 
 func (c *Checker) drop(r *Request) {
 	delete(c.requests, r.ID)
-	if c.record != nil {
-		c.record(r)
+	if c.onForgotten != nil {
+		c.onForgotten(r)
 	}
 }
 
-// Finish judges what is left at the end of a run.
-func (c *Checker) Finish(now time.Duration) {
-	if share := float64(len(c.closedNew)) / max(1, float64(c.taken)); share > c.rules.FewCut {
-		c.count += len(c.closedNew)
-		c.broken = append(c.broken, c.closedNew[:min(len(c.closedNew), maxBroken)]...)
-		if c.first == nil {
-			c.first = c.requests[c.closedNew[0].Request]
+// Close judges what is left at the end of a run.
+func (c *Checker) Close(now time.Duration) {
+	if share := float64(len(c.closedNew)) / max(1, float64(c.accepted)); share > c.rules.MaxClosedNewShare {
+		c.violationCount += len(c.closedNew)
+		c.violations = append(c.violations, c.closedNew[:min(len(c.closedNew), maxViolations)]...)
+		if c.firstViolator == nil {
+			c.firstViolator = c.requests[c.closedNew[0].Request]
 		}
 	}
 	ids := make([]string, 0, len(c.requests))
 	for id, r := range c.requests {
-		if !r.over {
+		if !r.finished {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		c.End(now, id, Unanswered)
+		c.Finish(now, id, Unanswered)
 	}
-	for _, r := range c.ended {
+	for _, r := range c.finished {
 		c.drop(r)
 	}
-	c.ended = nil
+	c.finished = nil
 }
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -12,8 +12,8 @@
 )
 
 func rules() Rules {
-	return Rules{Classes: []Class{{"get", Safe, 0}, {"put", Keyed, 10 * time.Second}, {"pay", Once, 0}}, DrainGrace: grace, Answer: grace,
-		Slack: slack, FewCut: 0.005}
+	return Rules{Classes: []Class{{"get", Idempotent, 0}, {"put", IdempotencyKey, 10 * time.Second}, {"pay", NonIdempotent, 0}}, DrainGrace: grace, AnswerGrace: grace,
+		Slack: slack, MaxClosedNewShare: 0.005}
 }
 
 // step is one thing that a checker is told, at a time.
@@ -21,31 +21,31 @@
 
 func open(at time.Duration, class int) step {
 	return func(c *Checker) {
-		c.Open(at, &Request{ID: "r", First: "r", Agent: 1, Class: class, Sent: at, GiveUp: time.Second, Print: 7})
-		c.Take(at, "r")
+		c.Open(at, &Request{ID: "r", FirstID: "r", Agent: 1, Class: class, SentAt: at, Timeout: time.Second, Fingerprint: 7})
+		c.Accept(at, "r")
 	}
 }
 
 func arrive(at time.Duration, backend string, cell int) step {
 	return func(c *Checker) {
-		c.Arrive(at, Arrival{ID: "r", Agent: 1, Backend: backend, Cell: cell, Print: 7, Came: at})
+		c.Arrive(at, Arrival{ID: "r", Agent: 1, Backend: backend, Cell: cell, Fingerprint: 7, SentAt: at})
 	}
 }
 
 func stated(at, left time.Duration) step {
 	return func(c *Checker) {
-		c.Arrive(at, Arrival{ID: "r", Agent: 1, Backend: "x", Print: 7, Came: at, Stated: left})
+		c.Arrive(at, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 7, SentAt: at, StatedTimeout: left})
 	}
 }
 
 func reply(at time.Duration, backend string, never bool) step {
-	return func(c *Checker) { c.Reply(at, "r", backend, "answers", never) }
+	return func(c *Checker) { c.RecordReply(at, "r", backend, "answers", never) }
 }
 
-func end(at time.Duration, a Answer) step { return func(c *Checker) { c.End(at, "r", a) } }
+func end(at time.Duration, a Answer) step { return func(c *Checker) { c.Finish(at, "r", a) } }
 
 func tell(at time.Duration, away bool) step {
-	return func(c *Checker) { c.Tell(at, 1, "x", away, -1) }
+	return func(c *Checker) { c.Notify(at, 1, "x", away, -1) }
 }
 
 func excuse(from, to time.Duration) step { return func(c *Checker) { c.Excuse(1, from, to) } }
@@ -70,15 +70,15 @@
 		{"closed after it is up again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), end(100*ms, Closed)}},
 		{"closed new, more than few", RuleAnswer, []step{open(0, 2), end(100*ms, ClosedNew)}},
 		{"foreign", RuleAnswer, []step{open(0, 2), end(100*ms, Foreign)}},
-		{"safe twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), end(100*ms, Refused)}},
+		{"safe twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), end(100*ms, Rejected)}},
 		{"once twice", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), arrive(2*ms, "y", 0)}},
 		{"once after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), arrive(3*ms, "x", 0), end(9*ms, Served)}},
 		{"once after an error", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", false), arrive(3*ms, "y", 0)}},
 		{"keyed in its pod", "", []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 3), end(9*ms, Served)}},
 		{"keyed in another pod", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 4)}},
 		{"keyed past its window", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(10*time.Second+slack+2*ms, "y", 3)}},
-		{"refused though it may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), end(9*ms, Refused)}},
-		{"refused after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), end(9*ms, Refused)}},
+		{"refused though it may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), end(9*ms, Rejected)}},
+		{"refused after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), end(9*ms, Rejected)}},
 		{"failed though it may have run", "", []step{open(0, 2), arrive(ms, "x", 3), end(9*ms, Failed)}},
 		{"to a draining backend in the grace", "", []step{tell(0, true), open(0, 2), arrive(grace+slack, "x", 0), end(grace+60*ms, Served)}},
 		{"past the grace", RuleDrain, []step{tell(0, true), open(0, 2), arrive(grace+slack+2, "x", 0), end(grace+60*ms, Served)}},
@@ -87,26 +87,26 @@
 		{"stopped in the grace", "", []step{tell(0, true), excuse(ms, time.Second), open(0, 2), arrive(time.Second+grace, "x", 0), end(time.Second+grace, Served)}},
 		{"stopped long after", RuleDrain, []step{tell(0, true), excuse(time.Second, 2*time.Second), open(0, 2), arrive(1500*ms, "x", 0)}},
 		{"held up by the network", "", []step{tell(0, true), open(0, 2), func(c *Checker) {
-			c.Arrive(time.Second, Arrival{ID: "r", Agent: 1, Backend: "x", Print: 7, Came: 100 * ms})
+			c.Arrive(time.Second, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 7, SentAt: 100 * ms})
 		}, end(time.Second, Served)}},
-		{"that nobody sent", RuleUnsent, []step{arrive(ms, "x", 0)}},
-		{"changed on the way", RuleUnsent, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 1, Backend: "x", Print: 8}) }}},
-		{"through another agent", RuleUnsent, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 2, Backend: "x", Print: 7}) }}},
-		{"after its end", RuleGone, []step{open(0, 0), end(100*ms, Left), arrive(200*ms+slack+ms, "x", 0)}},
-		{"at its end", "", []step{open(0, 0), end(100*ms, Left), arrive(200*ms+slack, "x", 0)}},
+		{"that nobody sent", RuleUnknown, []step{arrive(ms, "x", 0)}},
+		{"changed on the way", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 8}) }}},
+		{"through another agent", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 2, Backend: "x", Fingerprint: 7}) }}},
+		{"after its end", RuleCancelled, []step{open(0, 0), end(100*ms, Disconnected), arrive(200*ms+slack+ms, "x", 0)}},
+		{"at its end", "", []step{open(0, 0), end(100*ms, Disconnected), arrive(200*ms+slack, "x", 0)}},
 		{"told of more than is left", RuleDeadline, []step{open(0, 0), stated(500*ms, 500*ms+150*ms+slack+ms)}},
 		{"told of what is left, and the slack", "", []step{open(0, 0), stated(500*ms, 500*ms+150*ms+slack), end(600*ms, Served)}},
-		{"pushed over", RuleCold, []step{func(c *Checker) { c.Fell(ms, "x", 0.7) }}},
-		{"pushed over by agents that could not know", "", []step{func(c *Checker) { c.Fell(ms, "x", 0.6) }}},
+		{"pushed over", RuleSlowStart, []step{func(c *Checker) { c.Overloaded(ms, "x", 0.7) }}},
+		{"pushed over by agents that could not know", "", []step{func(c *Checker) { c.Overloaded(ms, "x", 0.6) }}},
 	} {
 		checker := New(rules(), nil)
 		for _, s := range c.steps {
 			s(checker)
 		}
 		if c.rule == RuleAnswer || c.rule == "" {
-			checker.Finish(4 * time.Second)
+			checker.Close(4 * time.Second)
 		}
-		broken, n := checker.Broken()
+		broken, n := checker.Violations()
 		switch {
 		case c.rule == "" && n > 0:
 			t.Errorf("%s: broken %+v", c.name, broken[0])
@@ -119,7 +119,7 @@
 // A visitor's request is served and not judged; memory is that of the last requests alone.
 func TestVisitorsAndMemory(t *testing.T) {
 	r := rules()
-	r.Visitors = true
+	r.AcceptsUnknown = true
 	recorded := 0
 	c := New(r, func(*Request) { recorded++ })
 	if c.Arrive(0, Arrival{ID: "v", Backend: "x"}) {
@@ -128,13 +128,13 @@
 	for i := range 1000 {
 		at := time.Duration(i) * time.Second
 		id := string(rune('a'+i%26)) + time.Duration(i).String()
-		c.Open(at, &Request{ID: id, Agent: 1, Class: 0, Sent: at, GiveUp: time.Second})
-		c.End(at+ms, id, Served)
+		c.Open(at, &Request{ID: id, Agent: 1, Class: 0, SentAt: at, Timeout: time.Second})
+		c.Finish(at+ms, id, Served)
 	}
 	if len(c.requests) > 20 || recorded < 980 {
 		t.Errorf("%d requests kept, %d recorded", len(c.requests), recorded)
 	}
-	if _, n := c.Broken(); n != 0 {
+	if _, n := c.Violations(); n != 0 {
 		t.Errorf("%d broken", n)
 	}
 }
@@ -144,25 +144,25 @@
 	tally := NewTally(2 * time.Second)
 	for s := range 20 {
 		for i := range 10 {
-			o := Outcome{Intended: time.Duration(s)*time.Second + time.Duration(i)*ms, Worth: 1, Answer: Served, InAim: true, Tries: 1}
-			o.End = o.Intended + 100*ms
+			o := Outcome{IntendedAt: time.Duration(s)*time.Second + time.Duration(i)*ms, Weight: 1, Answer: Served, InObjective: true, ClientAttempts: 1}
+			o.FinishedAt = o.IntendedAt + 100*ms
 			if s >= 8 && s < 13 || s < 2 {
-				o.Answer, o.InAim = Refused, false
+				o.Answer, o.InObjective = Rejected, false
 			}
-			tally.End(o)
-			tally.Attempt(o.Intended, i%2 == 0)
+			tally.CountOutcome(o)
+			tally.CountAttempt(o.IntendedAt, i%2 == 0)
 		}
 	}
-	if sum := tally.Sum(); sum.Offered != 180 || sum.InAim != 130 || sum.Refused != 50 {
+	if sum := tally.Total(); sum.Offered != 180 || sum.WeightInObjective != 130 || sum.Refused != 50 {
 		t.Errorf("sum %+v", sum)
 	}
 	if share, from := tally.Worst(10); share != 0.5 || from != 3 {
 		t.Errorf("worst 10 s: %v from %d", share, from)
 	}
-	if tally.Attempts != 180 || tally.Cross != 90 {
-		t.Errorf("%d attempts, %d cross", tally.Attempts, tally.Cross)
+	if tally.Attempts != 180 || tally.CrossZone != 90 {
+		t.Errorf("%d attempts, %d cross", tally.Attempts, tally.CrossZone)
 	}
-	if p := tally.Peek(3); p.P50 != 100 || p.P99 != 100 {
+	if p := tally.Snapshot(3); p.P50 != 100 || p.P99 != 100 {
 		t.Errorf("percentiles %v %v", p.P50, p.P99)
 	}
 }
@@ -185,14 +185,14 @@
 	} {
 		tally := NewTally(0)
 		for at := time.Duration(0); at < 6*second; at += 10 * time.Millisecond {
-			tally.First(at, c.shut(at))
+			tally.CountFirstAttempt(at, c.shut(at))
 		}
-		after, ok := tally.LeftAfter(Span{second, 5 * second}, 0.01)
+		after, ok := tally.AvoidedAfter(Span{second, 5 * second}, 0.01)
 		if after != c.after || ok != c.ok {
 			t.Errorf("%s: %v, %v, want %v, %v", name, after, ok, c.after, c.ok)
 		}
 	}
-	if _, ok := NewTally(0).LeftAfter(Span{second, 2 * second}, 0.01); ok {
+	if _, ok := NewTally(0).AvoidedAfter(Span{second, 2 * second}, 0.01); ok {
 		t.Error("nothing was sent, and a zone was left")
 	}
 }
--- a/internal/lab/check/residency.go
+++ b/internal/lab/check/residency.go
@@ -11,29 +11,29 @@
 // Residency holds attempts against the policies that were in force. A policy that was given at a time is in force for
 // everyone a bound later; until then the ones before it may still be used, after it none of them.
 type Residency struct {
-	Bound    time.Duration
-	policies []inForce
+	PropagationBound time.Duration
+	policies         []publishedPolicy
 }
 
-type inForce struct {
-	from    time.Duration
-	version int64
-	permits Permits
+type publishedPolicy struct {
+	publishedAt time.Duration
+	version     int64
+	permits     Permits
 }
 
-// Give takes that a policy is given now. Of two under one version only what both permit is in force.
-func (r *Residency) Give(now time.Duration, version int64, p Permits) {
+// Publish takes that a policy is given now. Of two under one version only what both permit is in force.
+func (r *Residency) Publish(now time.Duration, version int64, p Permits) {
 	if n := len(r.policies); n > 0 && r.policies[n-1].version == version {
 		one, other := r.policies[n-1].permits, p
 		p = func(tenant, class, zone int) bool { return one(tenant, class, zone) && other(tenant, class, zone) }
 	}
-	r.policies = append(r.policies, inForce{now, version, p})
+	r.policies = append(r.policies, publishedPolicy{now, version, p})
 }
 
 // permitted reports whether anything that may be in force at a time permits it.
 func (r *Residency) permitted(now time.Duration, tenant, class, zone int) bool {
 	for i, p := range r.policies {
-		if i+1 < len(r.policies) && now > r.policies[i+1].from+r.Bound {
+		if i+1 < len(r.policies) && now > r.policies[i+1].publishedAt+r.PropagationBound {
 			continue // replaced everywhere
 		}
 		if p.permits(tenant, class, zone) {
@@ -43,12 +43,12 @@
 	return len(r.policies) == 0
 }
 
-// Resides judges an attempt whose first byte came at a time.
-func (c *Checker) Resides(r *Residency, now, came time.Duration, id string, agent, tenant, class, zone int, backend string) {
+// CheckResidency judges an attempt whose first byte came at a time.
+func (c *Checker) CheckResidency(r *Residency, now, arrivedAt time.Duration, id string, agent, tenant, class, zone int, backend string) {
 	// What was written before the bound was over may come a little later.
-	if r.permitted(came-c.rules.Slack, tenant, class, zone) {
+	if r.permitted(arrivedAt-c.rules.Slack, tenant, class, zone) {
 		return
 	}
-	c.breaks(RuleResidency, now, agent, c.requests[id],
+	c.violate(RuleResidency, now, agent, c.requests[id],
 		"tenant %d's request of class %d came to %s in zone %d, which no policy in force permits", tenant, class, backend, zone)
 }
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -9,103 +9,103 @@
 
 // Outcome is how a client's request ended, all its tries together.
 type Outcome struct {
-	Intended time.Duration // when it was meant to be sent
-	End      time.Duration
-	Answer   Answer
-	InAim    bool
-	Worth    float64
-	Class    int
-	Tenant   int
-	Zone     int // of its agent
-	Tries    int
+	IntendedAt     time.Duration // when it was meant to be sent
+	FinishedAt     time.Duration
+	Answer         Answer
+	InObjective    bool
+	Weight         float64
+	Class          int
+	Tenant         int
+	Zone           int // of its agent
+	ClientAttempts int
 }
 
 // Window is one second of a run, by the intended time of requests.
 type Window struct {
-	Offered  int     `json:"offered"`
-	Served   int     `json:"served"`
-	Refused  int     `json:"refused"`
-	Failed   int     `json:"failed"`
-	Lost     int     `json:"lost"`
-	Worth    float64 `json:"worth"`
-	InAim    float64 `json:"worth_in_aim"`
-	Attempts int     `json:"attempts"`
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	Used     float64 `json:"used"`     // share of the capacity that is up that is at work at its end
-	Agents   int     `json:"agents"`   // that serve at its end
-	Backends int     `json:"backends"` // that are up at its end
+	Offered           int     `json:"offered"`
+	Served            int     `json:"served"`
+	Refused           int     `json:"refused"`
+	Failed            int     `json:"failed"`
+	Lost              int     `json:"lost"`
+	Weight            float64 `json:"worth"`
+	WeightInObjective float64 `json:"worth_in_aim"`
+	Attempts          int     `json:"attempts"`
+	P50               float64 `json:"p50_ms"`
+	P99               float64 `json:"p99_ms"`
+	Used              float64 `json:"used"`     // share of the capacity that is up that is at work at its end
+	Agents            int     `json:"agents"`   // that serve at its end
+	Backends          int     `json:"backends"` // that are up at its end
 
 	latency []time.Duration
 }
 
 // Tally counts what a run has served.
 type Tally struct {
-	Windows                []Window
-	Latency                *hdrhistogram.Histogram // of served requests, from the intended time, us
-	Attempts, Cross, Tries int
-	Classes, Tenants       map[int]*Part
-	Zones                  map[int]*Part
-	from                   time.Duration
-	ways                   []ways // by shutStep
+	Windows                             []Window
+	Latency                             *hdrhistogram.Histogram // of served requests, from the intended time, us
+	Attempts, CrossZone, ClientAttempts int
+	Classes, Tenants                    map[int]*Share
+	Zones                               map[int]*Share
+	countedFrom                         time.Duration
+	firstAttempts                       []firstAttemptCounts // by countInterval
 }
 
-// ways counts first attempts, and those of them whose way was shut.
-type ways struct{ all, shut int }
+// firstAttemptCounts counts first attempts, and those of them whose way was shut.
+type firstAttemptCounts struct{ total, unreachable int }
 
-// shutStep is how finely ways are counted.
-const shutStep = 100 * time.Millisecond
+// countInterval is how finely ways are counted.
+const countInterval = 100 * time.Millisecond
 
 // Span is a stretch of a run.
 type Span struct{ From, To time.Duration }
 
-// First counts a request's first attempt, and whether its backend could not be reached.
-func (t *Tally) First(now time.Duration, shut bool) {
-	n := int(max(0, now) / shutStep)
-	for len(t.ways) <= n {
-		t.ways = append(t.ways, ways{})
+// CountFirstAttempt counts a request's first attempt, and whether its backend could not be reached.
+func (t *Tally) CountFirstAttempt(now time.Duration, unreachable bool) {
+	n := int(max(0, now) / countInterval)
+	for len(t.firstAttempts) <= n {
+		t.firstAttempts = append(t.firstAttempts, firstAttemptCounts{})
 	}
-	t.ways[n].all++
-	if shut {
-		t.ways[n].shut++
+	t.firstAttempts[n].total++
+	if unreachable {
+		t.firstAttempts[n].unreachable++
 	}
 }
 
-// leastStay is for how long a way has to be left until a span's end: of a shorter time the steps tell chance, since openings are
+// minReachableSpan is for how long a way has to be left until a span's end: of a shorter time the steps tell chance, since openings are
 // counted by looks as far apart as a step is long.
-const leastStay = 300 * time.Millisecond
+const minReachableSpan = 300 * time.Millisecond
 
-// LeftAfter is the time from a span's begin after which first attempts whose way was shut are less than a share of
+// AvoidedAfter is the time from a span's begin after which first attempts whose way was shut are less than a share of
 // all until its end; false: there is none, or nothing was sent.
-func (t *Tally) LeftAfter(s Span, most float64) (time.Duration, bool) {
-	first, end := int(s.From/shutStep), min(int(s.To/shutStep), len(t.ways))
-	all, shut, at := 0, 0, -1
+func (t *Tally) AvoidedAfter(s Span, maxShare float64) (time.Duration, bool) {
+	first, end := int(s.From/countInterval), min(int(s.To/countInterval), len(t.firstAttempts))
+	total, unreachable, at := 0, 0, -1
 	for i := end - 1; i >= first; i-- {
-		all, shut = all+t.ways[i].all, shut+t.ways[i].shut
-		if all > 0 && float64(shut) < most*float64(all) && time.Duration(end-i)*shutStep >= leastStay {
+		total, unreachable = total+t.firstAttempts[i].total, unreachable+t.firstAttempts[i].unreachable
+		if total > 0 && float64(unreachable) < maxShare*float64(total) && time.Duration(end-i)*countInterval >= minReachableSpan {
 			at = i
 		}
 	}
 	if at < 0 {
 		return 0, false
 	}
-	return time.Duration(at)*shutStep - s.From.Truncate(shutStep), true
+	return time.Duration(at)*countInterval - s.From.Truncate(countInterval), true
 }
 
-// Part is the service of one class, tenant or zone.
-type Part struct {
-	Offered int     `json:"offered"`
-	Worth   float64 `json:"worth"`
-	InAim   float64 `json:"worth_in_aim"`
+// Share is the service of one class, tenant or zone.
+type Share struct {
+	Offered           int     `json:"offered"`
+	Weight            float64 `json:"worth"`
+	WeightInObjective float64 `json:"worth_in_aim"`
 }
 
 // NewTally returns an empty one. Nothing before from counts.
 func NewTally(from time.Duration) *Tally {
-	return &Tally{Latency: hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3), from: from,
-		Classes: map[int]*Part{}, Tenants: map[int]*Part{}, Zones: map[int]*Part{}}
+	return &Tally{Latency: hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3), countedFrom: from,
+		Classes: map[int]*Share{}, Tenants: map[int]*Share{}, Zones: map[int]*Share{}}
 }
 
-func (t *Tally) at(intended time.Duration) *Window {
+func (t *Tally) window(intended time.Duration) *Window {
 	n := int(intended / time.Second)
 	for len(t.Windows) <= n {
 		t.Windows = append(t.Windows, Window{})
@@ -113,78 +113,78 @@
 	return &t.Windows[n]
 }
 
-// Attempt counts an attempt that reached a backend.
-func (t *Tally) Attempt(now time.Duration, cross bool) {
-	t.at(now).Attempts++
-	if now < t.from {
+// CountAttempt counts an attempt that reached a backend.
+func (t *Tally) CountAttempt(now time.Duration, cross bool) {
+	t.window(now).Attempts++
+	if now < t.countedFrom {
 		return
 	}
 	t.Attempts++
 	if cross {
-		t.Cross++
+		t.CrossZone++
 	}
 }
 
-// End counts a request that has ended.
-func (t *Tally) End(o Outcome) {
-	w := t.at(o.Intended)
-	w.Offered++
-	w.Worth += o.Worth
-	switch o.Answer {
+// CountOutcome counts a request that has ended.
+func (t *Tally) CountOutcome(outcome Outcome) {
+	window := t.window(outcome.IntendedAt)
+	window.Offered++
+	window.Weight += outcome.Weight
+	switch outcome.Answer {
 	case Served:
-		w.Served++
-		w.latency = append(w.latency, o.End-o.Intended)
-	case Refused:
-		w.Refused++
-	case Failed, Unreachable, Left:
-		w.Failed++
+		window.Served++
+		window.latency = append(window.latency, outcome.FinishedAt-outcome.IntendedAt)
+	case Rejected:
+		window.Refused++
+	case Failed, Unreachable, Disconnected:
+		window.Failed++
 	default:
-		w.Lost++
+		window.Lost++
 	}
-	if o.InAim {
-		w.InAim += o.Worth
+	if outcome.InObjective {
+		window.WeightInObjective += outcome.Weight
 	}
-	if o.Intended < t.from {
+	if outcome.IntendedAt < t.countedFrom {
 		return
 	}
-	t.Tries += o.Tries
-	if o.Answer == Served {
-		_ = t.Latency.RecordValue(max(1, (o.End - o.Intended).Microseconds())) // its range holds every deadline
+	t.ClientAttempts += outcome.ClientAttempts
+	if outcome.Answer == Served {
+		_ = t.Latency.RecordValue(max(1, (outcome.FinishedAt - outcome.IntendedAt).Microseconds())) // its range holds every deadline
 	}
-	for _, p := range []*Part{part(t.Classes, o.Class), part(t.Tenants, o.Tenant), part(t.Zones, o.Zone)} {
+	for _, p := range []*Share{shareOf(t.Classes, outcome.Class), shareOf(t.Tenants, outcome.Tenant), shareOf(t.Zones, outcome.Zone)} {
 		p.Offered++
-		p.Worth += o.Worth
-		if o.InAim {
-			p.InAim += o.Worth
+		p.Weight += outcome.Weight
+		if outcome.InObjective {
+			p.WeightInObjective += outcome.Weight
 		}
 	}
 }
 
-func part(parts map[int]*Part, n int) *Part {
-	p := parts[n]
+func shareOf(shares map[int]*Share, n int) *Share {
+	p := shares[n]
 	if p == nil {
-		p = &Part{}
-		parts[n] = p
+		p = &Share{}
+		shares[n] = p
 	}
 	return p
 }
 
-// Close works out the percentiles of the windows up to one, and lets go of what they rest on.
-func (t *Tally) Close(window int) {
+// CompleteWindows works out the percentiles of the windows up to one, and lets go of what they rest on.
+func (t *Tally) CompleteWindows(window int) {
 	for i := range t.Windows[:min(window, len(t.Windows))] {
 		w := &t.Windows[i]
 		if len(w.latency) == 0 {
 			continue
 		}
-		p := t.Peek(i)
+		p := t.Snapshot(i)
 		w.P50, w.P99, w.latency = p.P50, p.P99, nil
 	}
 }
 
-// Sum is the whole of the windows that count.
-func (t *Tally) Sum() (s Window) {
+// Total is the whole of the windows that count.
+func (t *Tally) Total() (s Window) {
 	for i, w := range t.Windows {
-		if time.Duration(i)*time.Second < t.from {
+		if time.Duration(i)*time.Second < t.countedFrom {
 			continue
 		}
 		s.add(w)
@@ -198,30 +198,30 @@
 	s.Refused += w.Refused
 	s.Failed += w.Failed
 	s.Lost += w.Lost
-	s.Worth += w.Worth
-	s.InAim += w.InAim
+	s.Weight += w.Weight
+	s.WeightInObjective += w.WeightInObjective
 	s.Attempts += w.Attempts
 }
 
 // Worst is the least share of worth in aim over so many seconds in a row, and the second it begins with.
 // A run shorter than that is one window.
 func (t *Tally) Worst(seconds int) (share float64, from int) {
-	first := int((t.from + time.Second - 1) / time.Second)
+	first := int((t.countedFrom + time.Second - 1) / time.Second)
 	share, from = 1, first
 	for i := first; i == first || i+seconds <= len(t.Windows); i++ {
 		var s Window
 		for _, w := range t.Windows[min(i, len(t.Windows)):min(i+seconds, len(t.Windows))] {
 			s.add(w)
 		}
-		if s.Worth > 0 && s.InAim/s.Worth < share {
-			share, from = s.InAim/s.Worth, i
+		if s.Weight > 0 && s.WeightInObjective/s.Weight < share {
+			share, from = s.WeightInObjective/s.Weight, i
 		}
 	}
 	return share, from
 }
 
-// Peek is a window as it stands, with its percentiles so far.
-func (t *Tally) Peek(n int) Window {
+// Snapshot is a window as it stands, with its percentiles so far.
+func (t *Tally) Snapshot(n int) Window {
 	w := t.Windows[n]
 	if len(w.latency) > 0 {
 		list := slices.Sorted(slices.Values(w.latency))
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -178,7 +178,7 @@
 		p.leaves = time.Duration(leaves * float64(c.aim))
 	}
 	p.uri = "/" + c.name + "/v1"
-	if c.effect == check.Keyed {
+	if c.effect == check.IdempotencyKey {
 		p.idem = fmt.Sprintf("%016x%016x", l.rng.Hash("idem/"+p.first), p.key)
 	}
 	p.body = fmt.Appendf(nil, `{"stop":%q,"n":%d,"pad":"%0*d"}`, p.sid, p.n, 20+r.IntN(200), 0)
@@ -227,7 +227,7 @@
 		var wait time.Duration
 		end, wait = l.try(p, id)
 		p.tries++
-		if end != check.Refused && end != check.Unreachable || p.tries > l.Scenario.Load.Retries || l.ctx.Err() != nil {
+		if end != check.Rejected && end != check.Unreachable || p.tries > l.Scenario.Load.Retries || l.ctx.Err() != nil {
 			break
 		}
 		if wait == 0 || !p.honours {
@@ -242,8 +242,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p.agent.open--
-	l.tally.End(check.Outcome{Intended: p.intended, End: now, Answer: end, InAim: end == check.Served && now <= p.intended+c.aim,
-		Worth: p.worth, Class: p.class, Tenant: p.tenant, Zone: p.agent.n % len(l.Scenario.Fleet.Zones), Tries: p.tries})
+	l.tally.CountOutcome(check.Outcome{IntendedAt: p.intended, FinishedAt: now, Answer: end, InObjective: end == check.Served && now <= p.intended+c.aim,
+		Weight: p.worth, Class: p.class, Tenant: p.tenant, Zone: p.agent.n % len(l.Scenario.Fleet.Zones), ClientAttempts: p.tries})
 }
 
 // clientConn is a client's connection to its agent.
@@ -259,8 +259,8 @@
 	me, agent := party(netfault.Client, a.n), party(netfault.Agent, a.n)
 	l.mu.Lock()
 	now := l.now()
-	l.check.Open(now, &check.Request{ID: id, First: p.first, Try: p.tries, Agent: a.n, Class: p.class, Sent: now, GiveUp: p.patience,
-		Print: fingerprint(http.MethodPost, p.uri, p.idem, p.body)})
+	l.check.Open(now, &check.Request{ID: id, FirstID: p.first, Attempt: p.tries, Agent: a.n, Class: p.class, SentAt: now, Timeout: p.patience,
+		Fingerprint: fingerprint(http.MethodPost, p.uri, p.idem, p.body)})
 	a.plays[id] = p
 	shut, refused := l.net.Unreachable(me, agent), l.net.Refused(me, agent)
 	var way time.Duration
@@ -279,8 +279,8 @@
 	}
 	over := l.now()
 	l.mu.Lock()
-	l.check.End(over, id, answer)
-	l.at(l.now()+check.Keep, func(time.Duration) { delete(a.plays, id) }) // a late attempt still has its work
+	l.check.Finish(over, id, answer)
+	l.at(l.now()+check.Retention, func(time.Duration) { delete(a.plays, id) }) // a late attempt still has its work
 	l.mu.Unlock()
 	return answer, wait
 }
@@ -346,7 +346,7 @@
 	}
 	taken := l.now()
 	l.mu.Lock()
-	l.check.Take(taken, id)
+	l.check.Accept(taken, id)
 	l.mu.Unlock()
 	c.used = true
 	_, err := c.read.Peek(1)
@@ -371,7 +371,7 @@
 		return check.Served, 0, keep
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent: no advice
-		return check.Refused, seconds(s), keep
+		return check.Rejected, seconds(s), keep
 	}
 	return check.Failed, 0, keep
 }
@@ -382,7 +382,7 @@
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return closed
 	case leaves:
-		return check.Left
+		return check.Disconnected
 	}
 	return check.Unanswered
 }
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -123,7 +123,7 @@
 	}
 	for i, c := range d.changes[:min(int(upTo-d.base), len(d.changes))] {
 		if latest[c.host] == i {
-			d.lab.check.Tell(now, n, c.host.m.ID, c.state != "ready", c.started)
+			d.lab.check.Notify(now, n, c.host.m.ID, c.state != "ready", c.started)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	}
 	for _, a := range d.lab.agents {
 		if a.up && a.since <= happened {
-			d.lab.check.Tell(d.lab.now(), a.n, h.m.ID, state != "ready", started)
+			d.lab.check.Notify(d.lab.now(), a.n, h.m.ID, state != "ready", started)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 		return
 	}
 	for _, c := range d.changes[from-d.base : to-d.base] {
-		d.lab.check.Tell(now, caller, c.host.m.ID, c.state != "ready", c.started)
+		d.lab.check.Notify(now, caller, c.host.m.ID, c.state != "ready", c.started)
 	}
 }
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -260,8 +260,8 @@
 	l.base, l.boot = time.Now(), bootclock.SinceBoot()
 	l.machines()
 	l.classes()
-	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, Answer: answerSlack, Slack: socketSlack,
-		Visitors: l.Visitors, FewCut: 1. / 200}, l.recorder.request)
+	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerSlack, Slack: socketSlack,
+		AcceptsUnknown: l.Visitors, MaxClosedNewShare: 1. / 200}, l.recorder.request)
 	s := l.Scenario
 	for n := range s.Fleet.Agents {
 		l.agents = append(l.agents, newAgent(l, n))
@@ -320,7 +320,7 @@
 	l.begun.Store(int64(time.Since(l.base))) // the run's time begins with its clients
 	l.agenda, l.seq = nil, 0
 	for _, a := range l.agents {
-		l.check.Forget(a.n)
+		l.check.ForgetNotices(a.n)
 		l.disc.known(a, 0)
 	}
 	l.late.Reset()
@@ -349,7 +349,7 @@
 	defer l.mu.Unlock()
 	l.closing = true
 	if ctx.Err() == nil {
-		l.check.Finish(l.now())
+		l.check.Close(l.now())
 	}
 	return l.report(), l.err
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -91,13 +91,13 @@
 // report sums a run up. The lock is held.
 func (l *Lab) report() *Report {
 	s := l.Scenario
-	l.tally.Close(len(l.tally.Windows))
-	sum := l.tally.Sum()
-	violations, broken := l.check.Broken()
+	l.tally.CompleteWindows(len(l.tally.Windows))
+	sum := l.tally.Total()
+	violations, broken := l.check.Violations()
 	r := &Report{Schema: Schema, Scenario: s.Name, Seed: l.Seed, Commit: commit(), Agents: len(l.agents), Backends: s.Fleet.Backends,
-		For: s.For.Duration().Seconds(), Settle: s.Settle.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.InAim, sum.Worth),
+		For: s.For.Duration().Seconds(), Settle: s.Settle.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.WeightInObjective, sum.Weight),
 		Refused: share(float64(sum.Refused), float64(sum.Offered)), Failed: share(float64(sum.Failed), float64(sum.Offered)), Lost: sum.Lost,
-		Attempts: share(float64(l.tally.Attempts), float64(sum.Offered)), CrossZone: share(float64(l.tally.Cross), float64(l.tally.Attempts)),
+		Attempts: share(float64(l.tally.Attempts), float64(sum.Offered)), CrossZone: share(float64(l.tally.CrossZone), float64(l.tally.Attempts)),
 		LeftAfter: l.leftAfter(), FallOvers: l.fallen, Crashes: len(l.crashes), WorkScale: l.scale,
 		Datagrams: float64(l.datagrams) / max(1, l.now().Seconds()),
 		Classes:   map[string]float64{}, Tenants: map[string]float64{}, Zones: map[string]float64{}, Windows: l.tally.Windows}
@@ -108,19 +108,19 @@
 	r.Late.P50, r.Late.P99 = float64(l.late.ValueAtQuantile(50))/1e3, float64(l.late.ValueAtQuantile(99))/1e3
 	r.Rules.Broken = broken
 	if len(violations) > 0 {
-		r.Rules.First, r.Rules.History, r.Rules.ByRule = &violations[0], l.check.First(), map[string]int{}
+		r.Rules.First, r.Rules.History, r.Rules.ByRule = &violations[0], l.check.FirstViolator(), map[string]int{}
 		for _, v := range violations {
 			r.Rules.ByRule[v.Rule]++
 		}
 	}
 	for i, p := range l.tally.Classes {
-		r.Classes[l.kinds[i].name] = share(p.InAim, p.Worth)
+		r.Classes[l.kinds[i].name] = share(p.WeightInObjective, p.Weight)
 	}
 	for i, p := range l.tally.Tenants {
-		r.Tenants[tenants[i].name] = share(p.InAim, p.Worth)
+		r.Tenants[tenants[i].name] = share(p.WeightInObjective, p.Weight)
 	}
 	for i, p := range l.tally.Zones {
-		r.Zones[s.Fleet.Zones[i]] = share(p.InAim, p.Worth)
+		r.Zones[s.Fleet.Zones[i]] = share(p.WeightInObjective, p.Weight)
 	}
 	r.Dials, r.Ready, r.Recovered, r.Lists, r.Shared, r.Hubs = l.busiest(), l.readyTimes(), l.recovered(), l.listsReport(), l.sharedReport(), l.hubsReport()
 	for _, a := range l.agents {
@@ -193,7 +193,7 @@
 func (l *Lab) everySecond(n int) {
 	l.at(time.Duration(n+1)*time.Second, func(now time.Duration) {
 		v := View{At: now, Faults: append([]string(nil), l.faults...)}
-		_, v.Broken = l.check.Broken()
+		_, v.Broken = l.check.Violations()
 		for _, name := range l.Scenario.Fleet.Zones {
 			v.Zones = append(v.Zones, ZoneView{Name: name})
 		}
@@ -216,8 +216,8 @@
 		}
 		const behind = 3 // s: most requests have ended by then
 		if v.LastAt = n - behind; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
-			l.tally.Close(max(0, v.LastAt-int(l.longest()/time.Second)))
-			v.Last = l.tally.Peek(v.LastAt)
+			l.tally.CompleteWindows(max(0, v.LastAt-int(l.longest()/time.Second)))
+			v.Last = l.tally.Snapshot(v.LastAt)
 		}
 		if l.Second != nil {
 			second := l.Second
@@ -261,7 +261,7 @@
 
 // WriteHistory prints a request's history, a line an event.
 func WriteHistory(w io.Writer, q *check.Request) {
-	fmt.Fprintf(w, "request %s, try %d of %s, by agent %d, given up %v after it was sent\n", q.ID, q.Try, q.First, q.Agent, q.GiveUp.Round(time.Millisecond))
+	fmt.Fprintf(w, "request %s, try %d of %s, by agent %d, given up %v after it was sent\n", q.ID, q.Attempt, q.FirstID, q.Agent, q.Timeout.Round(time.Millisecond))
 	for _, e := range q.History {
 		fmt.Fprintf(w, "  %10.3f s  %-12s %s\n", e.At.Seconds(), e.Who, e.What)
 	}
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -24,14 +24,14 @@
 	aim      time.Duration
 	deadline time.Duration
 	worth    float64
-	effect   check.Effect
+	effect   check.Idempotency
 	window   time.Duration
 }
 
 // What the office's couriers ask for.
 var classes = []class{
-	{"stop-update", 0.59, 117 * time.Millisecond, 0.5, 600 * time.Millisecond, 2 * time.Second, 5, check.Keyed, 10 * time.Second},
-	{"route-assign", 0.41, 155 * time.Millisecond, 0.5, 800 * time.Millisecond, 3 * time.Second, 8, check.Once, 0},
+	{"stop-update", 0.59, 117 * time.Millisecond, 0.5, 600 * time.Millisecond, 2 * time.Second, 5, check.IdempotencyKey, 10 * time.Second},
+	{"route-assign", 0.41, 155 * time.Millisecond, 0.5, 800 * time.Millisecond, 3 * time.Second, 8, check.NonIdempotent, 0},
 }
 
 // tenant is a carrier: its share of the service and of the traffic.
@@ -140,7 +140,7 @@
 
 func (l *Lab) checkClasses() (list []check.Class) {
 	for _, c := range l.kinds {
-		list = append(list, check.Class{Name: c.name, Effect: c.effect, Window: c.window})
+		list = append(list, check.Class{Name: c.name, Idempotency: c.effect, DedupWindow: c.window})
 	}
 	return list
 }
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -83,7 +83,7 @@
 	if s.Policy == "" {
 		return nil
 	}
-	l.resident = &check.Residency{Bound: s.Bound.Duration() + pauseSlack}
+	l.resident = &check.Residency{PropagationBound: s.Bound.Duration() + pauseSlack}
 	var files []string
 	for n := range s.Sources {
 		if len(l.hubs) > 0 {
@@ -110,7 +110,7 @@
 	if err := h.Apply(p.Version, text); err != nil {
 		return err
 	}
-	l.resident.Give(now, p.Version, func(tenant, class, zone int) bool {
+	l.resident.Publish(now, p.Version, func(tenant, class, zone int) bool {
 		rule := h.RuleID(tenants[tenant].name, classes[class].name) // before the table that has it
 		return h.Table().Permits(rule, zone)
 	})
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -140,7 +140,7 @@
 	}
 	for g, n := range fresh {
 		for range min(n, open[g]-1) {
-			l.tally.First(now, true)
+			l.tally.CountFirstAttempt(now, true)
 		}
 	}
 	return still
@@ -157,7 +157,7 @@
 func (l *Lab) leftAfter() *float64 {
 	var worst *float64
 	for _, s := range l.spans {
-		after, ok := l.tally.LeftAfter(s, 0.01)
+		after, ok := l.tally.AvoidedAfter(s, 0.01)
 		x := after.Seconds()
 		if !ok {
 			x = -1
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -47,7 +47,7 @@
 	served := func(a, b int) float64 {
 		worth, in := 0.0, 0.0
 		for i := a; i < b && i < len(l.tally.Windows); i++ {
-			worth, in = worth+l.tally.Windows[i].Worth, in+l.tally.Windows[i].InAim
+			worth, in = worth+l.tally.Windows[i].Weight, in+l.tally.Windows[i].WeightInObjective
 		}
 		return share(in, worth)
 	}
