--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -1,8 +1,8 @@
-// Package check holds what an agent must never break, seen from outside: it is told what clients sent, what
-// reached backends and what came back, and finds violations.
+// Package check decides from outside whether agents keep the rules: it is told what clients sent, what reached backends and
+// what was answered, and reports violations. Tally counts the service that clients got.
 //
-// It is pure: it is told the time and owns no clock. Times are spans since the lab's start. Its memory is
-// bounded by the requests of the last Keep, and by what the lists hold.
+// It has no clock: the caller passes the time, as a span since the start of the run. Memory is bounded by the requests of the
+// last Retention and by the endpoint lists. Nothing here is safe for concurrent use.
 package check
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Violation is one broken rule.
+// Violation is one breach of a rule, as the report has it.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at_ns"`
@@ -20,7 +20,7 @@
 	Text    string        `json:"text"`
 }
 
-// Checker finds violations. Calls must not run at the same time.
+// Checker follows each request from its first byte to its answer and reports violations.
 type Checker struct {
 	rules          Rules
 	requests       map[string]*Request
@@ -28,24 +28,26 @@
 	notices        map[noticeKey]notice
 	excuses        map[int][]interval
 	violations     []Violation
-	firstViolator  *Request // the first offender, kept whole
+	firstViolator  *Request // with its whole history
 	onForgotten    func(*Request)
 	accepted       int
 	closedNew      []Violation
 	violationCount int
 }
 
-// Keep is how long a finished request is remembered: longer than the longest window.
+// Retention is how long a finished request is remembered. It exceeds the longest deduplication window, so a late duplicate
+// is still recognised.
 const Retention = 15 * time.Second
 
-// maxViolations is how many violations are kept whole; the rest is counted.
+// maxViolations bounds the violations that are kept; the rest are counted.
 const maxViolations = 100
 
-// New returns a checker. record, if not nil, gets each request once nothing more is expected of it.
-func New(r Rules, record func(*Request)) *Checker {
-	return &Checker{rules: r, requests: map[string]*Request{}, notices: map[noticeKey]notice{}, excuses: map[int][]interval{}, onForgotten: record}
+// New returns a checker for some rules. onForgotten, if not nil, is called with each request that is forgotten.
+func New(r Rules, onForgotten func(*Request)) *Checker {
+	return &Checker{rules: r, requests: map[string]*Request{}, notices: map[noticeKey]notice{}, excuses: map[int][]interval{}, onForgotten: onForgotten}
 }
 
+// violate reports a violation and notes it in the history of the request, if there is one.
 func (c *Checker) violate(rule string, at time.Duration, agent int, r *Request, format string, args ...any) {
 	violation := Violation{Rule: rule, At: at, Agent: agent, Text: fmt.Sprintf(format, args...)}
 	c.violationCount++
@@ -61,27 +63,28 @@
 	}
 }
 
-// Violations returns the violations so far, the first hundred of them, and how many there are.
+// Violations returns the first maxViolations violations, and how many there are in all.
 func (c *Checker) Violations() ([]Violation, int) { return c.violations, c.violationCount }
 
-// FirstViolator is the first request that broke a rule; nil: none.
+// FirstViolator returns the first request that broke a rule, or nil.
 func (c *Checker) FirstViolator() *Request { return c.firstViolator }
 
-// Record adds a line to a request's history.
+// Record adds a line to the history of a request.
 func (c *Checker) Record(at time.Duration, id, who, what string) {
 	if r := c.requests[id]; r != nil {
 		r.record(at, who, what)
 	}
 }
 
-// Open makes a request known, before its first byte is written.
+// Open registers a request. It is called before the first byte is written.
 func (c *Checker) Open(now time.Duration, r *Request) {
 	c.forgetOld(now)
 	c.requests[r.ID] = r
 	r.record(now, fmt.Sprintf("client %d", r.Agent), "sends "+c.rules.Classes[r.Class].Name)
 }
 
-// Accept says that a request's last byte was written to a connection that the agent's machine accepted.
+// Accept reports that the last byte of a request was written to a connection that the agent has accepted. From then on the
+// agent owes it a final answer.
 func (c *Checker) Accept(now time.Duration, id string) {
 	if r := c.requests[id]; r != nil {
 		r.SentAt, r.accepted = now, true
@@ -89,7 +92,7 @@
 	}
 }
 
-// Finish says how a request ended for its client, and judges that.
+// Finish reports how a request ended for its client, and checks that.
 func (c *Checker) Finish(now time.Duration, id string, a Answer) {
 	r := c.requests[id]
 	if r == nil || r.finished {
@@ -126,8 +129,8 @@
 	}
 }
 
-// Overloaded says that a cold machine was pushed over; informed is the share of the work that came from agents
-// that knew of its start.
+// Overloaded reports that a backend in slow start crashed by overload; informed is the share of the work sent by agents that
+// knew of its start. What uninformed agents sent is nobody's fault.
 func (c *Checker) Overloaded(now time.Duration, backend string, informed float64) {
 	const minInformedShare = 2. / 3
 	if informed >= minInformedShare {
@@ -135,7 +138,7 @@
 	}
 }
 
-// forgetOld drops requests that ended long ago.
+// forgetOld drops requests that ended more than Retention ago.
 func (c *Checker) forgetOld(now time.Duration) {
 	for len(c.finished) > 0 && c.finished[0].finishedAt+Retention < now {
 		c.drop(c.finished[0])
@@ -151,7 +154,8 @@
 	}
 }
 
-// Close judges what is left at the end of a run.
+// Close checks what is left at the end of a run: open requests count as unanswered, and connections closed on their first
+// request break the rule on answers only above a share.
 func (c *Checker) Close(now time.Duration) {
 	if share := float64(len(c.closedNew)) / max(1, float64(c.accepted)); share > c.rules.MaxClosedNewShare {
 		c.violationCount += len(c.closedNew)
--- a/internal/lab/check/excuses.go
+++ b/internal/lab/check/excuses.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
+// interval is a span of the run, both ends included.
 type interval struct{ from, to time.Duration }
 
-// Excuse says that an agent could not do its duty in a span: it was killed, stopped, or cut off from
-// its client.
+// Excuse reports that an agent could not keep the rules for a span: it was killed, stopped, or partitioned from its client.
 func (c *Checker) Excuse(agent int, from, to time.Duration) {
 	c.excuses[agent] = append(c.excuses[agent], interval{from, to})
 }
 
-// Down says that an agent's process has been ended or is being started, until Running.
+// Down excuses an agent whose process has been ended, until Running.
 func (c *Checker) Down(agent int, from time.Duration) { c.Excuse(agent, from, forever) }
 
-// Running ends Down.
+// Running reports that the process of an agent runs again.
 func (c *Checker) Running(agent int, at time.Duration) {
 	for i, s := range c.excuses[agent] {
 		if s.to == forever {
@@ -27,8 +27,10 @@
 	}
 }
 
+// forever is later than any run lasts.
 const forever = time.Duration(1<<63 - 1)
 
+// excusedDuring reports whether an agent is excused for any part of a span.
 func (c *Checker) excusedDuring(agent int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.excuses[agent], func(s interval) bool { return s.from <= to && from <= s.to })
 }
--- a/internal/lab/check/notices.go
+++ b/internal/lab/check/notices.go
@@ -4,18 +4,20 @@
 
 import "time"
 
+// noticeKey names what an agent knows of a backend.
 type noticeKey struct {
 	agent   int
 	backend string
 }
 
+// notice is the latest state of a backend that discovery has delivered to an agent.
 type notice struct {
-	unavailableAt time.Duration // told to drain or gone, since; 0: not
-	startedAt     time.Duration // the latest start that it was told of
+	unavailableAt time.Duration // since when it drains or is gone; 0: it is ready
+	startedAt     time.Duration // its latest start
 }
 
-// Notify says that discovery has told an agent of a backend: that it drains or is gone, or that it is ready
-// and started then.
+// Notify reports that discovery has delivered the state of a backend to an agent: unavailable if it drains or is gone, and
+// when it started.
 func (c *Checker) Notify(now time.Duration, agent int, backend string, unavailable bool, started time.Duration) {
 	key := noticeKey{agent, backend}
 	current := c.notices[key]
@@ -29,7 +31,7 @@
 	c.notices[key] = current
 }
 
-// ForgetNotices drops what an agent was told: its process is another one.
+// ForgetNotices drops what an agent knows: its process was replaced.
 func (c *Checker) ForgetNotices(agent int) {
 	for k := range c.notices {
 		if k.agent == agent {
@@ -38,13 +40,13 @@
 	}
 }
 
-// KnowsStart reports whether an agent was told of a start of a backend.
+// KnowsStart reports whether discovery has delivered a start of a backend to an agent.
 func (c *Checker) KnowsStart(agent int, backend string, started time.Duration) bool {
 	return started >= 0 && c.notices[noticeKey{agent, backend}].startedAt >= started
 }
 
-// graceEnd is when the grace ends of an agent that was told something. The time in which it could not act does
-// not count.
+// graceEnd returns until when an agent that was notified at a time may still act on the state before. Spans for which it is
+// excused do not count.
 func (c *Checker) graceEnd(agent int, notifiedAt time.Duration) time.Duration {
 	grace := c.rules.DrainGrace + c.rules.Slack
 	end := notifiedAt + grace
--- a/internal/lab/check/residency.go
+++ b/internal/lab/check/residency.go
@@ -1,27 +1,30 @@
 package check
 
+// The rule on data residency.
+
 import "time"
 
-// RuleResidency is broken by an attempt whose bytes come to a zone that no policy in force permits its tenant.
+// RuleResidency is the rule that no byte of a request reaches a zone that its tenant's policy does not permit.
 const RuleResidency = "residency"
 
-// Permits says whether a policy permits a tenant's requests of a class a zone.
+// Permits reports whether a policy permits the requests of a tenant and class in a zone.
 type Permits func(tenant, class, zone int) bool
 
-// Residency holds attempts against the policies that were in force. A policy that was given at a time is in force for
-// everyone a bound later; until then the ones before it may still be used, after it none of them.
+// Residency knows which policies were in force at a time. A published policy is in force everywhere after PropagationBound;
+// until then earlier ones may still be used, after it none of them.
 type Residency struct {
 	PropagationBound time.Duration
 	policies         []publishedPolicy
 }
 
+// publishedPolicy is a policy, with when it was published.
 type publishedPolicy struct {
 	publishedAt time.Duration
 	version     int64
 	permits     Permits
 }
 
-// Publish takes that a policy is given now. Of two under one version only what both permit is in force.
+// Publish adds a policy. Of two with one version, only what both permit is in force.
 func (r *Residency) Publish(now time.Duration, version int64, p Permits) {
 	if n := len(r.policies); n > 0 && r.policies[n-1].version == version {
 		one, other := r.policies[n-1].permits, p
@@ -30,7 +33,7 @@
 	r.policies = append(r.policies, publishedPolicy{now, version, p})
 }
 
-// permitted reports whether anything that may be in force at a time permits it.
+// permitted reports whether any policy that may be in force at a time permits a request in a zone.
 func (r *Residency) permitted(now time.Duration, tenant, class, zone int) bool {
 	for i, p := range r.policies {
 		if i+1 < len(r.policies) && now > r.policies[i+1].publishedAt+r.PropagationBound {
@@ -43,9 +46,9 @@
 	return len(r.policies) == 0
 }
 
-// CheckResidency judges an attempt whose first byte came at a time.
+// CheckResidency checks an attempt whose first byte arrived at a time.
 func (c *Checker) CheckResidency(r *Residency, now, arrivedAt time.Duration, id string, agent, tenant, class, zone int, backend string) {
-	// What was written before the bound was over may come a little later.
+	// Bytes written before the bound ran out may arrive a little later.
 	if r.permitted(arrivedAt-c.rules.Slack, tenant, class, zone) {
 		return
 	}
--- a/internal/lab/check/rules.go
+++ b/internal/lab/check/rules.go
@@ -1,15 +1,16 @@
 package check
 
-// The rules: what may be repeated, and the bounds.
+// The rules that agents must keep, with their bounds.
 
 import "time"
 
-// Idempotency says what repeating a request does.
+// Idempotency says what a repeated request does.
 type Idempotency uint8
 
+// The kinds of idempotency.
 const (
-	Idempotent     Idempotency = iota // may be repeated and refused at will
-	IdempotencyKey                    // the backends of one pod drop a repeat within the window
+	Idempotent     Idempotency = iota // may be repeated and rejected at any time
+	IdempotencyKey                    // the backends of one cell drop a repeat within the deduplication window
 	NonIdempotent                     // must never run twice
 )
 
@@ -17,26 +18,26 @@
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	DedupWindow time.Duration // for Keyed
+	DedupWindow time.Duration // for IdempotencyKey
 }
 
-// Rules are the figures of the rules.
+// Rules holds the bounds of the rules.
 type Rules struct {
 	Classes           []Class
-	DrainGrace        time.Duration // from being told until nothing new may be sent
-	AnswerGrace       time.Duration // past its time, after which an answer counts as none
-	Slack             time.Duration // what sockets may add to every bound
-	AcceptsUnknown    bool          // requests that the lab's clients did not send are served, and not judged
-	MaxClosedNewShare float64       // share of requests on new connections that may be closed without an answer
+	DrainGrace        time.Duration // from a notice that a backend drains until nothing new may be sent there
+	AnswerGrace       time.Duration // after the deadline, in which an answer still counts
+	Slack             time.Duration // added to every bound, for delays of sockets and scheduling
+	AcceptsUnknown    bool          // requests that no emulated client sent are served and not checked
+	MaxClosedNewShare float64       // share of all requests that may be closed unanswered as the first on their connection
 }
 
-// Rule names, as in the report.
+// The names of the rules, as in the report.
 const (
-	RuleAnswer    = "answer"    // one final answer for each request taken, in time
-	RuleDuplicate = "duplicate" // no effect twice
-	RuleDrain     = "drain"     // nothing new to a backend told to drain or gone
-	RuleSlowStart = "cold"      // no cold backend pushed over
-	RuleUnknown   = "unsent"    // nothing reaches a backend that no client sent
-	RuleCancelled = "gone"      // no attempt for a client that has its answer or has gone
-	RuleDeadline  = "deadline"  // a backend is told of no more time than the client has left
+	RuleAnswer    = "answer"    // one final answer for each accepted request, in time
+	RuleDuplicate = "duplicate" // no duplicated effect
+	RuleDrain     = "drain"     // no attempt at a backend that drains or is gone, past the grace
+	RuleSlowStart = "cold"      // no backend in slow start crashed by overload
+	RuleUnknown   = "unsent"    // no attempt without a client's request, or for a changed one
+	RuleCancelled = "gone"      // no attempt for a client that has its answer or has disconnected
+	RuleDeadline  = "deadline"  // no longer deadline passed on than the client has left
 )
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -1,5 +1,7 @@
 package check
 
+// The service that clients got: counted by second, class, tenant and zone.
+
 import (
 	"slices"
 	"time"
@@ -7,20 +9,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is how a client's request ended, all its tries together.
+// Outcome says how a client's request ended, with all its retries by the client.
 type Outcome struct {
-	IntendedAt     time.Duration // when it was meant to be sent
+	IntendedAt     time.Duration // when it was scheduled: latency counts from here, also if the client was late
 	FinishedAt     time.Duration
 	Answer         Answer
-	InObjective    bool
-	Weight         float64
+	InObjective    bool    // served within its latency objective
+	Weight         float64 // its priority weight
 	Class          int
 	Tenant         int
 	Zone           int // of its agent
-	ClientAttempts int
+	ClientAttempts int // the first request included
 }
 
-// Window is one second of a run, by the intended time of requests.
+// Window counts one second of a run. A request belongs to the second of its intended time.
 type Window struct {
 	Offered           int     `json:"offered"`
 	Served            int     `json:"served"`
@@ -32,14 +34,14 @@
 	Attempts          int     `json:"attempts"`
 	P50               float64 `json:"p50_ms"`
 	P99               float64 `json:"p99_ms"`
-	Used              float64 `json:"used"`     // share of the capacity that is up that is at work at its end
-	Agents            int     `json:"agents"`   // that serve at its end
-	Backends          int     `json:"backends"` // that are up at its end
+	Used              float64 `json:"used"`     // share of the available capacity in use at its end
+	Agents            int     `json:"agents"`   // serving at its end
+	Backends          int     `json:"backends"` // up at its end
 
 	latency []time.Duration
 }
 
-// Tally counts what a run has served.
+// Tally counts the service of a run. It is not safe for concurrent use.
 type Tally struct {
 	Windows                             []Window
 	Latency                             *hdrhistogram.Histogram // of served requests, from the intended time, us
@@ -50,16 +52,16 @@
 	firstAttempts                       []firstAttemptCounts // by countInterval
 }
 
-// firstAttemptCounts counts first attempts, and those of them whose way was shut.
+// firstAttemptCounts counts first attempts, and those at backends that could not be reached.
 type firstAttemptCounts struct{ total, unreachable int }
 
-// countInterval is how finely ways are counted.
+// countInterval is the resolution of firstAttempts.
 const countInterval = 100 * time.Millisecond
 
-// Span is a stretch of a run.
+// Span is a part of a run.
 type Span struct{ From, To time.Duration }
 
-// CountFirstAttempt counts a request's first attempt, and whether its backend could not be reached.
+// CountFirstAttempt counts the first attempt of a request. unreachable says that its backend could not be reached.
 func (t *Tally) CountFirstAttempt(now time.Duration, unreachable bool) {
 	n := int(max(0, now) / countInterval)
 	for len(t.firstAttempts) <= n {
@@ -71,12 +73,12 @@
 	}
 }
 
-// minReachableSpan is for how long a way has to be left until a span's end: of a shorter time the steps tell chance, since openings are
-// counted by looks as far apart as a step is long.
+// minReachableSpan is the shortest time before the end of a span over which AvoidedAfter judges: connections are observed about
+// once a countInterval, so a shorter time would show chance.
 const minReachableSpan = 300 * time.Millisecond
 
-// AvoidedAfter is the time from a span's begin after which first attempts whose way was shut are less than a share of
-// all until its end; false: there is none, or nothing was sent.
+// AvoidedAfter returns the time from the start of a span after which first attempts at unreachable backends stay below a
+// share of all until its end. It reports false if there is no such time, or nothing was sent.
 func (t *Tally) AvoidedAfter(s Span, maxShare float64) (time.Duration, bool) {
 	first, end := int(s.From/countInterval), min(int(s.To/countInterval), len(t.firstAttempts))
 	total, unreachable, at := 0, 0, -1
@@ -99,12 +101,13 @@
 	WeightInObjective float64 `json:"worth_in_aim"`
 }
 
-// NewTally returns an empty one. Nothing before from counts.
+// NewTally returns an empty tally. The totals leave out what happens before a time.
 func NewTally(from time.Duration) *Tally {
 	return &Tally{Latency: hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3), countedFrom: from,
 		Classes: map[int]*Share{}, Tenants: map[int]*Share{}, Zones: map[int]*Share{}}
 }
 
+// window returns the window of a time, which may be new.
 func (t *Tally) window(intended time.Duration) *Window {
 	n := int(intended / time.Second)
 	for len(t.Windows) <= n {
@@ -160,6 +163,7 @@
 	}
 }
 
+// shareOf returns the share of a class, tenant or zone, which may be new.
 func shareOf(shares map[int]*Share, n int) *Share {
 	p := shares[n]
 	if p == nil {
@@ -169,7 +173,7 @@
 	return p
 }
 
-// CompleteWindows works out the percentiles of the windows up to one, and lets go of what they rest on.
+// CompleteWindows computes the percentiles of the windows before one, and frees the latencies they are computed from.
 func (t *Tally) CompleteWindows(window int) {
 	for i := range t.Windows[:min(window, len(t.Windows))] {
 		w := &t.Windows[i]
@@ -181,7 +185,7 @@
 	}
 }
 
-// Total is the whole of the windows that count.
+// Total returns the sum of the windows that count.
 func (t *Tally) Total() (s Window) {
 	for i, w := range t.Windows {
 		if time.Duration(i)*time.Second < t.countedFrom {
@@ -203,8 +207,8 @@
 	s.Attempts += w.Attempts
 }
 
-// Worst is the least share of worth in aim over so many seconds in a row, and the second it begins with.
-// A run shorter than that is one window.
+// Worst returns the lowest share of weight served within the objective over a number of consecutive seconds, and the second
+// that they start with. A shorter run counts as one such span.
 func (t *Tally) Worst(seconds int) (share float64, from int) {
 	first := int((t.countedFrom + time.Second - 1) / time.Second)
 	share, from = 1, first
@@ -220,7 +224,7 @@
 	return share, from
 }
 
-// Snapshot is a window as it stands, with its percentiles so far.
+// Snapshot returns a copy of a window, with its percentiles so far.
 func (t *Tally) Snapshot(n int) Window {
 	w := t.Windows[n]
 	if len(w.latency) > 0 {
