--- a/internal/lab/check/arrival.go
+++ b/internal/lab/check/arrival.go
@@ -52,7 +52,7 @@
 // checkDrain checks that the agent had not been told, longer ago than its grace, that the backend drains or is gone. The
 // request may be unknown (nil).
 func (c *Checker) checkDrain(now time.Duration, r *Request, arrival Arrival) {
-	unavailableAt := c.notices[noticeKey{arrival.Agent, arrival.Backend}].unavailableAt
+	unavailableAt := c.endpoints[endpointKey{arrival.Agent, arrival.Backend}].unavailableAt
 	if unavailableAt > 0 && arrival.SentAt > c.graceEnd(arrival.Agent, unavailableAt) {
 		c.violate(RuleDrain, now, arrival.Agent, r, "agent %d sent to %s %v after it was told that this drains or is gone",
 			arrival.Agent, arrival.Backend, (arrival.SentAt - unavailableAt).Round(time.Millisecond))
--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -25,7 +25,7 @@
 	rules          Rules
 	requests       map[string]*Request
 	finished       []*Request
-	notices        map[noticeKey]notice
+	endpoints      map[endpointKey]endpointState
 	excuses        map[int][]interval
 	violations     []Violation
 	firstViolator  *Request // with its whole history
@@ -44,7 +44,7 @@
 
 // New returns a checker for some rules. onForgotten, if not nil, is called with each request that is forgotten.
 func New(r Rules, onForgotten func(*Request)) *Checker {
-	return &Checker{rules: r, requests: map[string]*Request{}, notices: map[noticeKey]notice{}, excuses: map[int][]interval{}, onForgotten: onForgotten}
+	return &Checker{rules: r, requests: map[string]*Request{}, endpoints: map[endpointKey]endpointState{}, excuses: map[int][]interval{}, onForgotten: onForgotten}
 }
 
 // violate reports a violation and notes it in the history of the request, if there is one.
--- a/internal/lab/check/notices.go
+++ b/internal/lab/check/endpoints.go
@@ -4,14 +4,14 @@
 
 import "time"
 
-// noticeKey names what an agent knows of a backend.
-type noticeKey struct {
+// endpointKey names what an agent knows of a backend.
+type endpointKey struct {
 	agent   int
 	backend string
 }
 
-// notice is the latest state of a backend that discovery has delivered to an agent.
-type notice struct {
+// endpointState is the latest state of a backend that discovery has delivered to an agent.
+type endpointState struct {
 	unavailableAt time.Duration // since when it drains or is gone; 0: it is ready
 	startedAt     time.Duration // its latest start
 }
@@ -19,8 +19,8 @@
 // Notify reports that discovery has delivered the state of a backend to an agent: unavailable if it drains or is gone, and
 // when it started.
 func (c *Checker) Notify(now time.Duration, agent int, backend string, unavailable bool, started time.Duration) {
-	key := noticeKey{agent, backend}
-	current := c.notices[key]
+	key := endpointKey{agent, backend}
+	current := c.endpoints[key]
 	switch {
 	case !unavailable:
 		current.unavailableAt = 0
@@ -28,21 +28,21 @@
 		current.unavailableAt = max(now, 1)
 	}
 	current.startedAt = max(current.startedAt, started)
-	c.notices[key] = current
+	c.endpoints[key] = current
 }
 
-// ForgetNotices drops what an agent knows: its process was replaced.
-func (c *Checker) ForgetNotices(agent int) {
-	for k := range c.notices {
-		if k.agent == agent {
-			delete(c.notices, k)
+// ForgetEndpoints drops what an agent knows: its process was replaced.
+func (c *Checker) ForgetEndpoints(agent int) {
+	for key := range c.endpoints {
+		if key.agent == agent {
+			delete(c.endpoints, key)
 		}
 	}
 }
 
 // KnowsStart reports whether discovery has delivered a start of a backend to an agent.
 func (c *Checker) KnowsStart(agent int, backend string, started time.Duration) bool {
-	return started >= 0 && c.notices[noticeKey{agent, backend}].startedAt >= started
+	return started >= 0 && c.endpoints[endpointKey{agent, backend}].startedAt >= started
 }
 
 // graceEnd returns until when an agent that was notified at a time may still act on the state before. Spans for which it is
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -320,7 +320,7 @@
 	l.begun.Store(int64(time.Since(l.base))) // the run's time begins with its clients
 	l.agenda, l.seq = nil, 0
 	for _, a := range l.agents {
-		l.check.ForgetNotices(a.n)
+		l.check.ForgetEndpoints(a.n)
 		l.disc.known(a, 0)
 	}
 	l.late.Reset()
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -126,7 +126,7 @@
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
 		return err
 	}
-	l.check.ForgetNotices(a.n)
+	l.check.ForgetEndpoints(a.n)
 	config, err := l.configure(a, l.disc.known(a, now))
 	if err != nil {
 		return err
