--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -63,16 +63,16 @@
 		spec.Load.Rate = f.Rate
 	}
 	if f.Duration != 0 {
-		spec.Stretch(f.Duration)
+		spec.SetDuration(f.Duration)
 	}
 	if f.Isolated && f.Hubs > 0 {
 		return fmt.Errorf("--apart, --hubs: agents that share nothing have no hubs")
 	}
 	if f.Isolated {
-		spec.Apart()
+		spec.DisableSharing()
 	}
 	if f.Hubs >= 0 {
-		spec.WithHubs(f.Hubs)
+		spec.SetHubs(f.Hubs)
 	}
 	return spec.Check()
 }
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -39,7 +39,7 @@
 	if err := flags.apply(spec); err != nil {
 		return usageError{err}
 	}
-	spec.Endless(c.Duration)
+	spec.Repeat(c.Duration)
 	agent, err := flags.agentCommand()
 	if err != nil {
 		return usageError{err}
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -58,9 +58,9 @@
 func TestScenariosKeepTheirNames(t *testing.T) {
 	goldenKeys[scenario.Scenario](t, "scenario-keys.txt")
 	golden(t, "scenarios.txt", []byte(strings.Join(scenario.Names(), "\n")+"\n"))
-	equal(t, "kinds of fault", []string{scenario.Link, scenario.Kill, scenario.Term, scenario.Stop, scenario.ZoneLost, scenario.ZoneCut, scenario.ZoneDeaf,
-		scenario.Replace, scenario.Drain, scenario.Bad, scenario.Slow, scenario.Neighbour, scenario.Burst, scenario.ListSilent, scenario.ListAway,
-		scenario.ListRewind, scenario.Power, scenario.Policy, scenario.Settings, scenario.Reload, scenario.Wall, scenario.Fail, scenario.Crowd},
+	equal(t, "kinds of fault", []string{scenario.Link, scenario.Kill, scenario.Terminate, scenario.Pause, scenario.ZoneLost, scenario.ZoneCut, scenario.ZoneReceiveCut,
+		scenario.Replace, scenario.Drain, scenario.FailingBackends, scenario.SlowBackends, scenario.NoisyNeighbour, scenario.Burst, scenario.DiscoverySilent, scenario.DiscoveryDown,
+		scenario.DiscoveryRewind, scenario.PowerLoss, scenario.Policy, scenario.Settings, scenario.Reload, scenario.WallClock, scenario.SyscallFailure, scenario.IdleClients},
 		[]string{"link", "kill", "term", "stop", "zone-lost", "zone-cut", "zone-deaf", "replace", "drain", "bad", "slow", "neighbour", "burst",
 			"list-silent", "list-away", "list-rewind", "power", "policy", "settings", "reload", "wall", "fail", "crowd"})
 	for _, name := range scenario.Names() {
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -341,7 +341,7 @@
 		l.check.Overloaded(h.m.OverloadedAt, h.m.ID, h.m.InformedShare)
 		l.fallen++
 		l.refuse(h)
-		l.disc.learn(l.now(), h, "gone", l.Scenario.Lists.NoticeS)
+		l.disc.learn(l.now(), h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
 	}
 }
 
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -87,11 +87,11 @@
 // arrivals whatever the agents do.
 func (l *Lab) factor(at time.Duration) float64 {
 	f := 1.0
-	if again := l.Scenario.Again.Duration(); again > 0 {
+	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
 		at %= again
 	}
 	for _, x := range l.Scenario.Faults {
-		if x.What == "burst" && at >= x.At.Duration() && (x.For == 0 || at < x.At.Duration()+x.For.Duration()) {
+		if x.Kind == "burst" && at >= x.At.Duration() && (x.Duration == 0 || at < x.At.Duration()+x.Duration.Duration()) {
 			f *= x.Size
 		}
 	}
@@ -108,7 +108,7 @@
 			return at + seconds(need)
 		}
 		left -= rate * walk.Seconds()
-		if at += walk; at > l.Scenario.For.Duration() {
+		if at += walk; at > l.Scenario.Duration.Duration() {
 			return math.MaxInt64
 		}
 	}
@@ -118,7 +118,7 @@
 func (l *Lab) arrivals() {
 	var h dues
 	for _, a := range l.agents {
-		if at := l.gap(a, 0); at < l.Scenario.For.Duration() {
+		if at := l.gap(a, 0); at < l.Scenario.Duration.Duration() {
 			h = append(h, due{at, a})
 		}
 	}
@@ -142,13 +142,13 @@
 		d.agent.open++
 		l.mu.Unlock()
 		l.running.Go(func() { l.play(p) })
-		if h[0].at = l.gap(d.agent, d.at); h[0].at >= l.Scenario.For.Duration() {
+		if h[0].at = l.gap(d.agent, d.at); h[0].at >= l.Scenario.Duration.Duration() {
 			heap.Pop(&h)
 		} else {
 			heap.Fix(&h, 0)
 		}
 	}
-	timer.Reset(max(0, l.Scenario.For.Duration()-l.now()))
+	timer.Reset(max(0, l.Scenario.Duration.Duration()-l.now()))
 	select {
 	case <-timer.C:
 	case <-l.ctx.Done():
@@ -172,9 +172,9 @@
 	p.work = time.Duration(rng.Lognormal(r, float64(c.work), c.cv))
 	p.sid = fmt.Sprintf("stop-%06d", a.keys.Draw(r))
 	p.key = l.rng.Hash("key/" + p.sid)
-	p.patience = time.Duration(l.Scenario.Load.Patience * float64(c.deadline))
-	p.honours = p.draw.Float64() < l.Scenario.Load.Honour
-	if leaves := p.draw.Float64(); p.draw.Float64() < l.Scenario.Load.Impatient {
+	p.patience = time.Duration(l.Scenario.Load.TimeoutShare * float64(c.deadline))
+	p.honours = p.draw.Float64() < l.Scenario.Load.RetryAfterShare
+	if leaves := p.draw.Float64(); p.draw.Float64() < l.Scenario.Load.CancelShare {
 		p.leaves = time.Duration(leaves * float64(c.aim))
 	}
 	p.uri = "/" + c.name + "/v1"
@@ -214,7 +214,7 @@
 	l.mu.Lock()
 	p.worth = c.worth
 	if !l.inShare(p.intended, p.tenant) {
-		p.worth *= l.Scenario.Load.OverShare
+		p.worth *= l.Scenario.Load.OverQuotaWeight
 	}
 	l.mu.Unlock()
 	const firstWait, secondWait = 28, 220 // ms, of a client that was told nothing
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -226,7 +226,7 @@
 // addr is where an agent finds the backend: at an address of its own, so that the network can tell agents apart, but for
 // lists that agents hand on to each other.
 func (h *host) addr(agent int) string {
-	if h.lab.Scenario.Shared.Relayed || agent >= len(h.gates) { // a hub has no need of one
+	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // a hub has no need of one
 		agent = 0
 	}
 	return h.gates[agent].Addr().String()
@@ -235,7 +235,7 @@
 // known is the whole list as an agent's copy has it, and counts it as told. The lab's lock is held.
 func (d *discovery) known(a *agent, now time.Duration) members {
 	v, _ := d.visible(a.n, now)
-	switch d.lab.Scenario.Lists.Known {
+	switch d.lab.Scenario.Discovery.CachedList {
 	case "none":
 		return members{Servers: []member{}}
 	case "first": // it is old: nothing later is told by it
@@ -301,7 +301,7 @@
 				from = d.base
 			}
 			line, _ = json.Marshal(d.list(n, from, v, full)) // it holds nothing that can't be written
-			if l.Scenario.Lists.Indented {
+			if l.Scenario.Discovery.Indented {
 				var text bytes.Buffer
 				_ = json.Indent(&text, line, " ", "\t") // it is what was just written
 				line = text.Bytes()
@@ -374,7 +374,7 @@
 	d.epoch++
 	d.upset = now
 	for _, c := range later {
-		d.learn(now, c.host, c.state, d.lab.Scenario.Lists.AddS)
+		d.learn(now, c.host, c.state, d.lab.Scenario.Discovery.AddDelaySeconds)
 	}
 	d.stir()
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -19,7 +19,7 @@
 		var play func(now time.Duration)
 		play = func(now time.Duration) {
 			l.begin(i, f, now)
-			if again := l.Scenario.Again.Duration(); again > 0 {
+			if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
 				l.at(now+again, play)
 			}
 		}
@@ -29,15 +29,15 @@
 
 // until puts a fault's end on the agenda; one without a span lasts to the end. The lock is held.
 func (l *Lab) until(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
-	if f.For > 0 {
-		l.at(now+f.For.Duration(), end)
+	if f.Duration > 0 {
+		l.at(now+f.Duration.Duration(), end)
 	}
 }
 
 // pick is the part of a set that a fault falls on: of n parties, by the fault's own draws.
 func (l *Lab) pick(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
 	for i := range n {
-		if set.Has(i, zone(i)) {
+		if set.Contains(i, zone(i)) {
 			list = append(list, i)
 		}
 	}
@@ -102,11 +102,11 @@
 
 // begin lets a fault begin. The lock is held.
 func (l *Lab) begin(i int, f *scenario.Fault, now time.Duration) {
-	label := f.What
-	if f.Who != "" {
-		label += " " + f.Who
+	label := f.Kind
+	if f.Targets != "" {
+		label += " " + f.Targets
 	}
-	if f.For > 0 || f.What == scenario.Link || f.What == scenario.Bad || f.What == scenario.Neighbour {
+	if f.Duration > 0 || f.Kind == scenario.Link || f.Kind == scenario.FailingBackends || f.Kind == scenario.NoisyNeighbour {
 		l.faults = append(l.faults, label)
 		l.until(f, now, func(time.Duration) {
 			if n := slices.Index(l.faults, label); n >= 0 {
@@ -115,45 +115,45 @@
 		})
 	}
 	l.watchShut(f, now)
-	switch f.What {
+	switch f.Kind {
 	case scenario.Link:
 		l.linkFault(i, f, now)
-	case scenario.ZoneCut, scenario.ZoneDeaf:
+	case scenario.ZoneCut, scenario.ZoneReceiveCut:
 		l.border(f, now)
 	case scenario.ZoneLost:
 		l.zoneLost(f, now)
-	case scenario.Kill, scenario.Term, scenario.Stop:
+	case scenario.Kill, scenario.Terminate, scenario.Pause:
 		l.processes(i, f, now)
 	case scenario.Reload:
 		l.reload(i, f, now)
-	case scenario.Wall, scenario.Fail:
+	case scenario.WallClock, scenario.SyscallFailure:
 		l.inject(i, f, now)
-	case scenario.Crowd:
+	case scenario.IdleClients:
 		l.crowd(i, f, now)
 	case scenario.Replace, scenario.Drain:
-		l.inSteps(f, now, l.pickHosts(i, f.Who), func(h *host, now time.Duration) { l.drain(h, now, f.What == scenario.Replace) })
-	case scenario.Bad:
-		l.trouble(l.pickHosts(i, f.Who), f, now, f.Size, 0)
-	case scenario.Slow:
-		l.trouble(l.pickHosts(i, f.Who), f, now, 0, f.Size)
-	case scenario.Neighbour:
+		l.inSteps(f, now, l.pickHosts(i, f.Targets), func(h *host, now time.Duration) { l.drain(h, now, f.Kind == scenario.Replace) })
+	case scenario.FailingBackends:
+		l.trouble(l.pickHosts(i, f.Targets), f, now, f.Size, 0)
+	case scenario.SlowBackends:
+		l.trouble(l.pickHosts(i, f.Targets), f, now, 0, f.Size)
+	case scenario.NoisyNeighbour:
 		l.neighbour(i, f, now)
-	case scenario.Power:
+	case scenario.PowerLoss:
 		l.power(i, f, now)
 	case scenario.Policy:
 		l.givePolicy(i, f, now)
 	case scenario.Settings:
 		l.giveSettings(i, f, now)
-	case scenario.ListSilent:
+	case scenario.DiscoverySilent:
 		l.disc.silent, l.disc.upset = true, time.Hour
 		l.until(f, now, func(now time.Duration) {
 			l.disc.silent, l.disc.upset = false, now
 			l.disc.stir()
 		})
-	case scenario.ListAway:
+	case scenario.DiscoveryDown:
 		l.disc.away, l.disc.upset = true, time.Hour
 		l.until(f, now, func(now time.Duration) { l.disc.away, l.disc.upset = false, now })
-	case scenario.ListRewind:
+	case scenario.DiscoveryRewind:
 		l.disc.rewind(now)
 	}
 }
@@ -170,7 +170,7 @@
 	if f.Steps <= 1 {
 		return 0
 	}
-	return f.For.Duration() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
+	return f.Duration.Duration() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
 }
 
 // rules puts rules on the network, and takes them off after the fault's span. The lock is held.
@@ -181,8 +181,8 @@
 	}
 	l.gates()
 	l.changed = append(l.changed, now)
-	end := now + f.For.Duration()
-	if f.For == 0 {
+	end := now + f.Duration.Duration()
+	if f.Duration == 0 {
 		end = time.Hour
 	}
 	for _, a := range l.agents {
@@ -237,9 +237,9 @@
 	}
 	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
 	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
-		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), LossRate: f.Lose, DuplicateRate: f.Duplicate, ReorderRate: f.Reorder}}
+		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), LossRate: f.LossRate, DuplicateRate: f.DuplicateRate, ReorderRate: f.ReorderRate}}
 	rules := []netfault.Rule{r}
-	if f.Both {
+	if f.Bidirectional {
 		rules = append(rules, netfault.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
 	}
 	l.rules(f, now, rules...)
@@ -285,14 +285,14 @@
 // border cuts a zone off from everyone beyond it; a deaf one still is heard. Its agents' discovery lies
 // beyond. The lock is held.
 func (l *Lab) border(f *scenario.Fault, now time.Duration) {
-	set, _ := scenario.ParseSet(f.Who)
+	set, _ := scenario.ParseSet(f.Targets)
 	inside := func(p netfault.Endpoint) bool {
 		return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p))
 	}
 	outside := func(p netfault.Endpoint) bool { return p.Role != netfault.Client && !inside(p) }
 	in := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
 	rules := []netfault.Rule{in}
-	if f.What == scenario.ZoneCut {
+	if f.Kind == scenario.ZoneCut {
 		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
 	}
 	l.rules(f, now, rules...)
@@ -300,13 +300,13 @@
 
 // zoneLost has a zone's machines fall silent, and come back cold. The lock is held.
 func (l *Lab) zoneLost(f *scenario.Fault, now time.Duration) {
-	set, _ := scenario.ParseSet(f.Who)
+	set, _ := scenario.ParseSet(f.Targets)
 	var lost []*host
 	for _, h := range l.hosts {
-		if set.Has(h.n, h.m.Zone) && !h.down {
+		if set.Contains(h.n, h.m.Zone) && !h.down {
 			lost = append(lost, h)
 			l.ended(h, h.m.Stop(now, model.Silent))
-			l.disc.learn(now, h, "gone", l.Scenario.Lists.SilentS)
+			l.disc.learn(now, h, "gone", l.Scenario.Discovery.SilentDelaySeconds)
 		}
 	}
 	l.gates()
@@ -315,7 +315,7 @@
 			h.m.Restart(now)
 			l.drop(h)
 			l.running.Go(func() { h.reset(nil) })
-			l.disc.learn(now, h, "ready", l.Scenario.Lists.AddS)
+			l.disc.learn(now, h, "ready", l.Scenario.Discovery.AddDelaySeconds)
 		}
 		l.gates()
 		l.unpark(now)
@@ -325,18 +325,18 @@
 // power takes a zone's hub, agents and machines at once, and brings them back together, cold and knowing nothing. The lock is
 // held.
 func (l *Lab) power(i int, f *scenario.Fault, now time.Duration) {
-	set, _ := scenario.ParseSet(f.Who)
+	set, _ := scenario.ParseSet(f.Targets)
 	l.zoneLost(f, now)
 	down := *f
-	down.What, down.After, down.Restart = scenario.Kill, f.For, "empty"
+	down.Kind, down.RestartDelay, down.Restart = scenario.Kill, f.Duration, "empty"
 	var list []*process
 	for _, h := range l.hubs {
-		if set.Has(h.n, l.zone(party(netfault.Hub, h.n))) {
+		if set.Contains(h.n, l.zone(party(netfault.Hub, h.n))) {
 			list = append(list, &h.process)
 		}
 	}
 	for _, a := range l.agents {
-		if set.Has(a.n, l.zone(party(netfault.Agent, a.n))) {
+		if set.Contains(a.n, l.zone(party(netfault.Agent, a.n))) {
 			list = append(list, &a.process)
 		}
 	}
@@ -360,11 +360,11 @@
 	}
 	const drainFor = 5 * time.Second // longer than it takes until everyone is told
 	l.ended(h, h.m.Drain(now))
-	l.disc.learn(now, h, "draining", l.Scenario.Lists.NoticeS)
+	l.disc.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
 	l.at(now+drainFor, func(now time.Duration) {
 		l.ended(h, h.m.Stop(now, model.Removed))
 		l.refuse(h)
-		l.disc.learn(now, h, "gone", l.Scenario.Lists.NoticeS)
+		l.disc.learn(now, h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
 	})
 	if !replace {
 		return
@@ -377,7 +377,7 @@
 		l.fail(err)
 		return
 	}
-	l.disc.learn(now, next, "ready", l.Scenario.Lists.AddS)
+	l.disc.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
 }
 
 // trouble has backends fail a share of requests at once, or gives a share of them to another program. The
@@ -395,11 +395,11 @@
 
 // neighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
 func (l *Lab) neighbour(i int, f *scenario.Fault, now time.Duration) {
-	end := l.Scenario.For.Duration()
-	if f.For > 0 {
-		end = now + f.For.Duration()
+	end := l.Scenario.Duration.Duration()
+	if f.Duration > 0 {
+		end = now + f.Duration.Duration()
 	}
-	for _, h := range l.pickHosts(i, f.Who) {
+	for _, h := range l.pickHosts(i, f.Targets) {
 		r := l.rng.Stream("neighbour/" + h.m.ID)
 		on := false
 		var turn func(now time.Duration)
@@ -410,29 +410,29 @@
 				l.ended(h, h.m.SetFault(now, 0, 0))
 			}
 			if now < end {
-				span := time.Duration((0.5 + r.Float64()) * float64(max(f.On.Duration(), 100*time.Millisecond)))
+				span := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
 				l.at(min(end, now+span), turn)
 			}
 		}
-		l.at(now+time.Duration(r.Float64()*float64(f.On.Duration())), turn)
+		l.at(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), turn)
 	}
 }
 
 // processes kills, ends or stops agents or hubs. The lock is held.
 func (l *Lab) processes(i int, f *scenario.Fault, now time.Duration) {
-	list := l.pickProcesses(i, f.Who)
+	list := l.pickProcesses(i, f.Targets)
 	for k, p := range list {
 		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) {
 			if p.cmd == nil || p.expected {
 				return
 			}
-			switch f.What {
-			case scenario.Stop:
+			switch f.Kind {
+			case scenario.Pause:
 				l.stop(p, f, now)
 			case scenario.Kill:
 				p.role.down(now)
 				l.finish(p, f, now, syscall.SIGKILL)
-			case scenario.Term:
+			case scenario.Terminate:
 				l.finish(p, f, now, syscall.SIGTERM)
 			}
 		})
@@ -442,7 +442,7 @@
 // stop stops a process for a while. Its kernel still takes connections. The lock is held.
 func (l *Lab) stop(p *process, f *scenario.Fault, now time.Duration) {
 	cmd := p.cmd
-	p.role.excuse(now, now+f.For.Duration()+pauseSlack)
+	p.role.excuse(now, now+f.Duration.Duration()+pauseSlack)
 	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		l.fail(err)
 		return
@@ -475,7 +475,7 @@
 		l.at(now+min(l.longest(), longestCounted)+killAfter, func(time.Duration) {
 			_ = cmd.Process.Kill() // ended already if it fails
 		})
-		l.signalOn(cmd, now, f.Series)
+		l.signalOn(cmd, now, f.ExtraSignals)
 	}
 	l.running.Go(func() {
 		select {
@@ -488,6 +488,6 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.at(l.now()+f.After.Duration(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
+		l.at(l.now()+f.RestartDelay.Duration(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
 	})
 }
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -91,11 +91,11 @@
 	}
 	line("seeds", append([]string{}, seeds...))
 	line("most", len(l.agents))
-	line("matrix", s.Matrix)
-	if s.Relayed {
+	line("matrix", s.LatencyMatrix)
+	if s.RelayedLists {
 		line("discovery", l.disc.addr(len(l.agents)+h.n))
 	}
-	line("list_rate", l.Scenario.Lists.Rate)
+	line("list_rate", l.Scenario.Discovery.Rate)
 	line("trace", filepath.Join(h.dir, traceName))
 	if regions := l.Scenario.Fleet.Regions; len(regions) > 0 {
 		b.WriteString("[zones]\n")
@@ -116,7 +116,7 @@
 			line("file", h.policyFile())
 		}
 		line("state", filepath.Join(state, "residency"))
-		line("bound", s.Bound.Duration().String())
+		line("bound", s.PolicyBound.Duration().String())
 	}
 	b.WriteString("[max_age]\n")
 	for kind, d := range factBounds {
--- a/internal/lab/hubs_test.go
+++ b/internal/lab/hubs_test.go
@@ -19,9 +19,9 @@
 	t.Run("all gone", func(t *testing.T) { // and a flat fleet to fall back to
 		t.Parallel()
 		r := playHubs(t, "hub-kill", func(s *scenario.Scenario) {
-			s.Shared.Flat = true
+			s.Shared.MeshFallback = true
 			s.Faults = s.Faults[:1]
-			s.Faults[0].Who, s.Faults[0].Restart = "hubs", "never"
+			s.Faults[0].Targets, s.Faults[0].Restart = "hubs", "never"
 		})
 		if r.Shared.Used["gone"] > 0 && r.Shared.Parts > 1.0001 {
 			t.Errorf("parts sum up to %v, and nobody started", r.Shared.Parts)
@@ -30,10 +30,10 @@
 	t.Run("lists and a policy", func(t *testing.T) {
 		t.Parallel()
 		r := playHubs(t, "hub-pause", func(s *scenario.Scenario) {
-			s.Lists.Asked, s.Lists.Known, s.Lists.Rate, s.Shared.Relayed = true, "none", 20, true
+			s.Discovery.Polled, s.Discovery.CachedList, s.Discovery.Rate, s.Shared.RelayedLists = true, "none", 20, true
 			s.Shared.Policy = "version = 1\n[regions]\nriga = [\"riga-ziepniekkalns\", \"riga-purvciems\"]\nsecond = [\"marupe\"]\n[others]\npermitted = [\"riga\", \"second\"]\nwhen_stale = \"refuse\"\n"
-			s.Faults = append(s.Faults, scenario.Fault{At: s.Faults[1].At, What: scenario.Policy, Who: "hubs n=0",
-				Text: "version = 2\n[regions]\nriga = [\"riga-ziepniekkalns\", \"riga-purvciems\"]\nsecond = [\"marupe\"]\n[others]\npermitted = [\"riga\"]\nwhen_stale = \"refuse\"\n"})
+			s.Faults = append(s.Faults, scenario.Fault{At: s.Faults[1].At, Kind: scenario.Policy, Targets: "hubs n=0",
+				Document: "version = 2\n[regions]\nriga = [\"riga-ziepniekkalns\", \"riga-purvciems\"]\nsecond = [\"marupe\"]\n[others]\npermitted = [\"riga\"]\nwhen_stale = \"refuse\"\n"})
 		})
 		if r.Lists.Calls == 0 || r.Shared.Used["residency"] == 0 {
 			t.Errorf("%d calls for lists, %v", r.Lists.Calls, r.Shared.Used)
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Limits.LateMs = 60000 // the verdict does not hang on it
+	s.Limits.MaxLabLatenessMs = 60000 // the verdict does not hang on it
 	change(s)
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -219,9 +219,9 @@
 	}
 	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), poke: make(chan struct{}, 1), burst: 1,
 		late: hdrhistogram.New(1, maxLate, 3), attempts: map[uint64]*attempt{}, pods: map[podKey]bool{}, starter: make(chan func()),
-		tally: check.NewTally(s.Settle.Duration()), recorder: newRecorder(o.Events)}
+		tally: check.NewTally(s.WarmUp.Duration()), recorder: newRecorder(o.Events)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.net = netfault.New(l.way, s.World.Jitter, l.rng)
+	l.net = netfault.New(l.way, s.Model.Jitter, l.rng)
 	if err := l.furnish(); err != nil {
 		l.Close()
 		return nil, err
@@ -237,8 +237,8 @@
 	}
 	hosts := s.Fleet.Backends
 	for _, f := range s.Faults {
-		if f.What == scenario.Replace {
-			if set, err := scenario.ParseSet(f.Who); err == nil {
+		if f.Kind == scenario.Replace {
+			if set, err := scenario.ParseSet(f.Targets); err == nil {
 				hosts += int(set.Share * float64(s.Fleet.Backends))
 			}
 		}
@@ -280,7 +280,7 @@
 	if err := l.relays(); err != nil {
 		return err
 	}
-	if s.Shared.On {
+	if s.Shared.Enabled {
 		if l.fleet, err = newFleetLinks(l); err != nil {
 			return err
 		}
--- a/internal/lab/lists.go
+++ b/internal/lab/lists.go
@@ -29,8 +29,8 @@
 // turn lets a call wait for its turn, and reports false where it fails: it is refused, or nobody waits for it any more.
 func (d *discovery) turn(w http.ResponseWriter, r *http.Request, whole bool) bool {
 	l := d.lab
-	s := &l.Scenario.Lists
-	if !s.Asked {
+	s := &l.Scenario.Discovery
+	if !s.Polled {
 		return true
 	}
 	l.mu.Lock()
@@ -43,11 +43,11 @@
 	q.seconds[int(max(0, now)/time.Second)]++
 	cost := seconds(1 / s.Rate)
 	if !whole {
-		cost = time.Duration(float64(cost) * s.Change)
+		cost = time.Duration(float64(cost) * s.DeltaCost)
 	}
 	q.free = max(q.free, now)
 	wait := q.free - now
-	if wait > seconds(s.QueueS) {
+	if wait > seconds(s.MaxQueueSeconds) {
 		q.refused++
 		l.mu.Unlock()
 		http.Error(w, "overbooked", http.StatusServiceUnavailable)
@@ -61,7 +61,7 @@
 
 // listsReport sums up. The lock is held.
 func (l *Lab) listsReport() *Lists {
-	if !l.Scenario.Lists.Asked {
+	if !l.Scenario.Discovery.Polled {
 		return nil
 	}
 	q, starts := &l.disc.lists, 0
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -95,7 +95,7 @@
 	sum := l.tally.Total()
 	violations, broken := l.check.Violations()
 	r := &Report{Schema: Schema, Scenario: s.Name, Seed: l.Seed, Commit: commit(), Agents: len(l.agents), Backends: s.Fleet.Backends,
-		For: s.For.Duration().Seconds(), Settle: s.Settle.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.WeightInObjective, sum.Weight),
+		For: s.Duration.Duration().Seconds(), Settle: s.WarmUp.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.WeightInObjective, sum.Weight),
 		Refused: share(float64(sum.Refused), float64(sum.Offered)), Failed: share(float64(sum.Failed), float64(sum.Offered)), Lost: sum.Lost,
 		Attempts: share(float64(l.tally.Attempts), float64(sum.Offered)), CrossZone: share(float64(l.tally.CrossZone), float64(l.tally.Attempts)),
 		LeftAfter: l.leftAfter(), FallOvers: l.fallen, Crashes: len(l.crashes), WorkScale: l.scale,
@@ -128,7 +128,7 @@
 		r.Agent.CPU += a.usage.CPU
 	}
 	switch {
-	case r.Late.P99 > s.Limits.LateMs: // whatever else was seen: the lab itself may be the cause
+	case r.Late.P99 > s.Limits.MaxLabLatenessMs: // whatever else was seen: the lab itself may be the cause
 		r.Verdict = Void
 	case r.Crashes > 0:
 		r.Verdict, r.Crash = Crashed, l.crashes[0]
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Stretch(s.For.Duration() / 2)
-	if f := s.Faults[0]; f.At.Duration() != 5*time.Second || f.For.Duration() != 3*time.Second || s.Check() != nil {
+	s.SetDuration(s.Duration.Duration() / 2)
+	if f := s.Faults[0]; f.At.Duration() != 5*time.Second || f.Duration.Duration() != 3*time.Second || s.Check() != nil {
 		t.Errorf("%+v", f)
 	}
 }
@@ -86,7 +86,7 @@
 			if own := s.Shared.Hubs; own > n && n > 0 {
 				continue // it names hubs that there would not be
 			}
-			s.WithHubs(n)
+			s.SetHubs(n)
 			if err := s.Check(); err != nil || s.Shared.Hubs != n {
 				t.Errorf("%s with %d hubs: %v", name, n, err)
 			}
@@ -96,15 +96,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.WithHubs(2)
+	s.SetHubs(2)
 	var links []string
 	for _, f := range s.Faults {
-		switch f.What {
+		switch f.Kind {
 		case Link:
 			links = append(links, f.From+" > "+f.To)
 		case Policy:
-			if f.Who != "hubs n=0" {
-				t.Errorf("the policy is given to %q", f.Who)
+			if f.Targets != "hubs n=0" {
+				t.Errorf("the policy is given to %q", f.Targets)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	late.WithHubs(3)
+	late.SetHubs(3)
 	if n := len(late.Faults); n != 2 || late.Faults[1].From != "agents n=0,3" || late.Faults[1].To != "hubs" {
 		t.Errorf("single agents: %+v", late.Faults)
 	}
@@ -132,7 +132,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := parse("x.toml", text)
-		if err == nil && (s.Fleet.Agents < 1 || s.For <= 0) {
+		if err == nil && (s.Fleet.Agents < 1 || s.Duration <= 0) {
 			t.Errorf("took %+v", s)
 		}
 	})
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -69,7 +69,7 @@
 // addHost adds a machine that started at a time; a negative one is long ago.
 func (l *Lab) addHost(zone int, started time.Duration) *host {
 	n := len(l.hosts)
-	w, r := &l.Scenario.World, l.rng.Of("machine", n)
+	w, r := &l.Scenario.Model, l.rng.Of("machine", n)
 	in := func(x scenario.Range) float64 { return rng.Between(r, x[0], x[1]) }
 	kind := 0
 	if r.Float64() >= machineKinds[0].share {
@@ -83,15 +83,15 @@
 	}
 	speed := in(machineKinds[kind].speed)
 	spec := model.Spec{ID: fmt.Sprintf("s-%08x", uint32(l.rng.Hash("id/"+strconv.Itoa(n)))), Zone: zone,
-		Cell: zone*1000 + mates/l.Scenario.Fleet.Pod, Kind: kind, Cores: cores, Speed: speed,
-		Slots: int(math.Round(cores * in(w.SlotsPerCore))), QueueCapacity: int(cores * in(w.RoomPerCore)), ThrashLoss: in(w.Thrash),
-		ThrashAt: in(w.ThrashAt), InitialCapacity: in(w.ColdFrom), SlowStartWindow: seconds(in(w.RampS)), OverloadMultiple: w.FallMultiple,
-		OverloadWindow: w.FallWindow.Duration(), ErrorRate: in(w.ErrorRate), KeySaving: in(w.KeyGain), KeyTTL: seconds(in(w.KeyForS)),
-		MaxKeys: cores * w.KeysPerCore, MaxConns: int(in(w.Conns)), Weight: math.Round(speed*cores) / cores,
+		Cell: zone*1000 + mates/l.Scenario.Fleet.CellSize, Kind: kind, Cores: cores, Speed: speed,
+		Slots: int(math.Round(cores * in(w.SlotsPerCore))), QueueCapacity: int(cores * in(w.QueuePerCore)), ThrashLoss: in(w.ThrashLoss),
+		ThrashAt: in(w.ThrashAt), InitialCapacity: in(w.InitialCapacity), SlowStartWindow: seconds(in(w.SlowStartSeconds)), OverloadMultiple: w.OverloadMultiple,
+		OverloadWindow: w.OverloadWindow.Duration(), ErrorRate: in(w.ErrorRate), KeySaving: in(w.KeySaving), KeyTTL: seconds(in(w.KeyTTLSeconds)),
+		MaxKeys: cores * w.KeysPerCore, MaxConns: int(in(w.MaxConns)), Weight: math.Round(speed*cores) / cores,
 		Handshake: seconds(in(w.HandshakeMs) / 1e3), ProbeWork: seconds(in(scenario.Range{0.45, 0.72}) / 1e3),
 		DropsCancelled: r.Float64() < 0.5}
 	choke := []float64{r.Float64(), r.Float64(), r.Float64(), r.Float64()}
-	if w.Choke && choke[0] < 0.6 {
+	if w.Degrades && choke[0] < 0.6 {
 		spec.DegradeAt, spec.DegradeAfter, spec.DegradeFactor = 7, seconds(1.5+choke[1]), 2+1.1*choke[2]
 		spec.RecoverAfter, spec.MaxDegraded = seconds(2.4+2.5*choke[3]), seconds(16+15*choke[3])
 	}
@@ -112,7 +112,7 @@
 	for _, c := range classes {
 		mean += c.share * c.work.Seconds()
 	}
-	l.scale = l.Scenario.Load.Of * capacity / (l.Scenario.Load.Rate * mean)
+	l.scale = l.Scenario.Load.Utilization * capacity / (l.Scenario.Load.Rate * mean)
 	for _, c := range classes {
 		c.work, c.aim, c.deadline = l.scaled(c.work), l.scaled(c.aim), l.scaled(c.deadline)
 		l.kinds = append(l.kinds, c)
@@ -166,16 +166,16 @@
 
 // way is the ordinary one-way time between two parties.
 func (l *Lab) way(from, to netfault.Endpoint) time.Duration {
-	r := l.Scenario.World.CrossMs
+	r := l.Scenario.Model.CrossZoneMs
 	switch {
 	case from.Role == netfault.Client || to.Role == netfault.Client || from.Role == netfault.Discovery || to.Role == netfault.Discovery:
 		return 0 // on the same machine
 	case from.Role == netfault.Agent && to.Role == netfault.Agent:
-		r = l.Scenario.World.PeerMs
+		r = l.Scenario.Model.PeerMs
 	case l.zone(from) == l.zone(to): // members of a fleet as well: they are as far from each other as from backends
-		r = l.Scenario.World.SameMs
+		r = l.Scenario.Model.SameZoneMs
 	case l.region(l.zone(from)) != l.region(l.zone(to)):
-		r = l.Scenario.World.FarMs
+		r = l.Scenario.Model.CrossRegionMs
 	}
 	return time.Duration((r[0] + r[1]) / 2 * float64(time.Millisecond))
 }
@@ -206,11 +206,11 @@
 		peers = append(peers, p.relay.LocalAddr().String())
 	}
 	mode := "automatic"
-	if s.Lists.Asked {
+	if s.Discovery.Polled {
 		mode = "subscribe"
 	}
 	from := "" // where one address is for all, a backend knows by the other end's who calls
-	if s.Shared.Relayed {
+	if s.Shared.RelayedLists {
 		from = l.block.agent(a.n)
 	}
 	fleet, residency := l.together(a)
@@ -222,10 +222,10 @@
 		"settings": map[string]any{
 			"Balancers": len(l.agents), "Me": a.n, "Zone": a.n % len(s.Fleet.Zones), "Dcs": s.Fleet.Zones, "Regions": regions, "Kinds": names,
 			"Clients": map[string]any{"MarksRetry": true}, "CountedBy": "request", "FamilyInfo": map[string]any{"WarmKeys": true},
-			"Contract": map[string]any{"AskWithinMs": 10000, "ColdFrom": s.World.ColdFrom[0], "DrainGraceMs": ms(drainGrace),
-				"FallMs": ms(s.World.FallWindow.Duration()), "FallMultiple": s.World.FallMultiple, "GraceToAnswerMs": 20, "RampTimeMs": s.World.RampS[1] * 1e3},
+			"Contract": map[string]any{"AskWithinMs": 10000, "ColdFrom": s.Model.InitialCapacity[0], "DrainGraceMs": ms(drainGrace),
+				"FallMs": ms(s.Model.OverloadWindow.Duration()), "FallMultiple": s.Model.OverloadMultiple, "GraceToAnswerMs": 20, "RampTimeMs": s.Model.SlowStartSeconds[1] * 1e3},
 			"Goal":          map[string]any{"Whole": 0.5, "WorstClass": 0.1, "WorstTenant": 0.1, "WorstWindow": 0.3},
-			"KindOfService": "mesh", "MembershipMode": mode, "OverShareWorth": s.Load.OverShare,
+			"KindOfService": "mesh", "MembershipMode": mode, "OverShareWorth": s.Load.OverQuotaWeight,
 			"PolicyLimits": map[string]any{"Cancel": true, "ConnectTimeoutMs": ms(connectTimeout), "IdleCloseMs": ms(idleClose), "MaxOpen": 100000,
 				"MaxRetryAfterMs": 2000, "MayProbe": true, "Peers": len(l.agents) > 1, "RetryAfter": true, "SecondCopies": true,
 				"StreamsPerConn": 1, "TryLimit": 5},
@@ -243,5 +243,5 @@
 // quota is the rate up to which a tenant's requests have their full worth: its share of most of what the warm
 // machines can do.
 func (l *Lab) quota(t tenant) float64 {
-	return t.share * 0.85 * l.Scenario.Load.Rate / l.Scenario.Load.Of
+	return t.share * 0.85 * l.Scenario.Load.Rate / l.Scenario.Load.Utilization
 }
--- a/internal/lab/settled.go
+++ b/internal/lab/settled.go
@@ -39,8 +39,8 @@
 
 // giveSettings has operators give settings to sources. The lock is held.
 func (l *Lab) giveSettings(i int, f *scenario.Fault, now time.Duration) {
-	sources := slices.DeleteFunc(l.pickHubs(i, f.Who), func(h *hub) bool { return !h.source() })
-	if err := l.toHubs(now, f.Text, sources); err != nil {
+	sources := slices.DeleteFunc(l.pickHubs(i, f.Targets), func(h *hub) bool { return !h.source() })
+	if err := l.toHubs(now, f.Document, sources); err != nil {
 		l.fail(err)
 	}
 }
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -35,7 +35,7 @@
 // together is what an agent is told of its fleet. The lock is held.
 func (l *Lab) together(a *agent) (fleet, policy map[string]any) {
 	s := &l.Scenario.Shared
-	if !s.On {
+	if !s.Enabled {
 		return nil, nil
 	}
 	var seeds []string
@@ -47,11 +47,11 @@
 		ages[kind] = d.Seconds() * 1e3
 	}
 	lists := "own"
-	if s.Relayed {
+	if s.RelayedLists {
 		lists = "relayed"
 	}
 	fleet = map[string]any{"listen": l.fleetAddr(a.n), "advertise": l.fleetLink(a.n), "seeds": seeds, "label": l.label(),
-		"most": len(l.agents), "lists": lists, "list_rate": l.Scenario.Lists.Rate, "matrix": s.Matrix, "max_age_ms": ages,
+		"most": len(l.agents), "lists": lists, "list_rate": l.Scenario.Discovery.Rate, "matrix": s.LatencyMatrix, "max_age_ms": ages,
 		"trace": filepath.Join(a.dir, traceName)}
 	if len(l.hubs) > 0 {
 		hubs := map[string]string{}
@@ -59,14 +59,14 @@
 			hubs[l.Scenario.Fleet.Zones[l.zone(party(netfault.Hub, h.n))]] = l.hubLink(h.n)
 		}
 		fleet["hubs"], fleet["settings_state"] = hubs, filepath.Join(a.dir, "settings")
-		if !s.Flat {
+		if !s.MeshFallback {
 			fleet["seeds"] = []string{}
 		}
 	}
 	if s.Policy == "" {
 		return fleet, nil
 	}
-	policy = map[string]any{"bound_ms": s.Bound.Duration().Seconds() * 1e3, "state": filepath.Join(a.dir, "residency")}
+	policy = map[string]any{"bound_ms": s.PolicyBound.Duration().Seconds() * 1e3, "state": filepath.Join(a.dir, "residency")}
 	if a.n < s.Sources && len(l.hubs) == 0 {
 		policy["policy"] = l.policyFile(a)
 	}
@@ -83,7 +83,7 @@
 	if s.Policy == "" {
 		return nil
 	}
-	l.resident = &check.Residency{PropagationBound: s.Bound.Duration() + pauseSlack}
+	l.resident = &check.Residency{PropagationBound: s.PolicyBound.Duration() + pauseSlack}
 	var files []string
 	for n := range s.Sources {
 		if len(l.hubs) > 0 {
@@ -121,20 +121,20 @@
 func (l *Lab) givePolicy(i int, f *scenario.Fault, now time.Duration) {
 	var files []string
 	if len(l.hubs) > 0 {
-		for _, h := range l.pickHubs(i, f.Who) {
+		for _, h := range l.pickHubs(i, f.Targets) {
 			files = append(files, h.policyFile())
 		}
 	} else {
-		for _, a := range l.pickAgents(i, f.Who) {
+		for _, a := range l.pickAgents(i, f.Targets) {
 			files = append(files, l.policyFile(a))
 		}
 	}
 	for _, file := range files {
-		if err := put(file, f.Text); err != nil {
+		if err := put(file, f.Document); err != nil {
 			l.fail(err)
 		}
 	}
-	if err := l.inForce(now, f.Text); err != nil {
+	if err := l.inForce(now, f.Document); err != nil {
 		l.fail(err)
 	}
 }
@@ -194,7 +194,7 @@
 
 // sharedReport reads what the agents wrote. The lock is held.
 func (l *Lab) sharedReport() *Shared {
-	if !l.Scenario.Shared.On {
+	if !l.Scenario.Shared.Enabled {
 		return nil
 	}
 	r := &Shared{Ages: map[string]P{}, Used: map[string]int{}}
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -28,7 +28,7 @@
 
 // zoneFault reports whether a fault keeps agents from whole zones for a while.
 func zoneFault(f *scenario.Fault) bool {
-	return f.For > 0 && (f.What == scenario.ZoneLost || f.What == scenario.ZoneCut || f.What == scenario.ZoneDeaf)
+	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
 
 // watchShut counts connections that don't come up, for as long as a fault keeps zones apart. The lock is held.
@@ -36,7 +36,7 @@
 	if !zoneFault(f) {
 		return
 	}
-	end := now + f.For.Duration()
+	end := now + f.Duration.Duration()
 	l.spans = append(l.spans, check.Span{From: now, To: end})
 	if l.shutTill = max(l.shutTill, end); l.watching {
 		return
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -28,7 +28,7 @@
 
 // reload has discovery move for agents, and tells them. The lock is held.
 func (l *Lab) reload(i int, f *scenario.Fault, now time.Duration) {
-	list := l.pickAgents(i, f.Who)
+	list := l.pickAgents(i, f.Targets)
 	for k, a := range list {
 		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) {
 			if !a.up || a.expected || now-a.since < reloadSpared {
@@ -66,14 +66,14 @@
 
 // inject has agents suffer what a program that package inject has built can. The lock is held.
 func (l *Lab) inject(i int, f *scenario.Fault, now time.Duration) {
-	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Times}
-	for _, a := range l.pickAgents(i, f.Who) {
-		if a.plan.Wall = a.plan.Wall + f.Step.Duration(); f.What == scenario.Fail {
+	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Count}
+	for _, a := range l.pickAgents(i, f.Targets) {
+		if a.plan.Wall = a.plan.Wall + f.ClockStep.Duration(); f.Kind == scenario.SyscallFailure {
 			a.plan.Failures = append(a.plan.Failures, failure)
 		}
 		l.follow(a)
 		l.until(f, now, func(time.Duration) {
-			a.plan.Wall -= f.Step.Duration()
+			a.plan.Wall -= f.ClockStep.Duration()
 			a.plan.Failures = nil
 			l.follow(a)
 		})
@@ -89,9 +89,9 @@
 
 // crowd has idle clients hold connections to agents. The lock is held.
 func (l *Lab) crowd(i int, f *scenario.Fault, now time.Duration) {
-	for _, a := range l.pickAgents(i, f.Who) {
+	for _, a := range l.pickAgents(i, f.Targets) {
 		for range int(f.Size) {
-			l.running.Go(func() { l.idleClient(a.listen, now+f.For.Duration()) })
+			l.running.Go(func() { l.idleClient(a.listen, now+f.Duration.Duration()) })
 		}
 	}
 }
--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -23,12 +23,12 @@
 		t.Fatal(err)
 	}
 	s := scenario.Default()
-	s.Name, s.For, s.Settle = "set-back", strictconfig.Duration(10*time.Second), strictconfig.Duration(time.Second)
-	s.Fleet.Agents, s.Fleet.Backends, s.Load.Rate, s.Load.Of = 3, 6, 60, 0.2
-	s.Shared.On, s.Shared.Matrix, s.Limits.LateMs = true, true, 60000
+	s.Name, s.Duration, s.WarmUp = "set-back", strictconfig.Duration(10*time.Second), strictconfig.Duration(time.Second)
+	s.Fleet.Agents, s.Fleet.Backends, s.Load.Rate, s.Load.Utilization = 3, 6, 60, 0.2
+	s.Shared.Enabled, s.Shared.LatencyMatrix, s.Limits.MaxLabLatenessMs = true, true, 60000
 	s.Faults = []scenario.Fault{
-		{What: scenario.Wall, Who: "agents n=0", At: strictconfig.Duration(4 * time.Second), Step: strictconfig.Duration(-time.Hour)},
-		{What: scenario.Kill, Who: "agents n=0", At: strictconfig.Duration(5 * time.Second), Restart: "kept"},
+		{Kind: scenario.WallClock, Targets: "agents n=0", At: strictconfig.Duration(4 * time.Second), ClockStep: strictconfig.Duration(-time.Hour)},
+		{Kind: scenario.Kill, Targets: "agents n=0", At: strictconfig.Duration(5 * time.Second), Restart: "kept"},
 	}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	length     = 12 * time.Second
-	firstFault = 2 * time.Second // a process is spared signals in its first second
-	lastFault  = 9 * time.Second // the earliest kill comes 3.7 s after a SIGTERM at most
-	fewest     = 4               // faults
-	most       = 7
+	runDuration   = 12 * time.Second
+	earliestFault = 2 * time.Second // a process is spared signals in its first second
+	latestFault   = 9 * time.Second // the earliest kill comes 3.7 s after a SIGTERM at most
+	minFaults     = 4               // faults
+	maxFaults     = 7
 )
 
 // draws make one fault each.
-var draws = []func(r *rand.Rand) scenario.Fault{
+var faultGenerators = []func(r *rand.Rand) scenario.Fault{
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Term, Who: someAgents(r), Restart: pick(r, "empty", "kept"), Series: r.IntN(5), For: span(r, 0, 1500)}
+		return scenario.Fault{Kind: scenario.Terminate, Targets: someAgents(r), Restart: pick(r, "empty", "kept"), ExtraSignals: r.IntN(5), Duration: span(r, 0, 1500)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Kill, Who: someAgents(r), Restart: "empty", After: span(r, 0, 500)}
+		return scenario.Fault{Kind: scenario.Kill, Targets: someAgents(r), Restart: "empty", RestartDelay: span(r, 0, 500)}
 	},
-	func(r *rand.Rand) scenario.Fault { return scenario.Fault{What: scenario.Reload, Who: "agents"} },
+	func(r *rand.Rand) scenario.Fault { return scenario.Fault{Kind: scenario.Reload, Targets: "agents"} },
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Wall, Who: someAgents(r), For: span(r, 200, 3000),
-			Step: strictconfig.Duration(pick(r, 2*time.Second, -2*time.Second, time.Hour, -time.Hour))}
+		return scenario.Fault{Kind: scenario.WallClock, Targets: someAgents(r), Duration: span(r, 200, 3000),
+			ClockStep: strictconfig.Duration(pick(r, 2*time.Second, -2*time.Second, time.Hour, -time.Hour))}
 	},
 	failure(faultinject.Accept, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM, syscall.ECONNABORTED, syscall.ENFILE),
 	failure(faultinject.Connect, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR),
@@ -42,41 +42,41 @@
 	failure(faultinject.Write, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINTR),
 	failure(faultinject.Read, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EIO),
 	func(r *rand.Rand) scenario.Fault { // of the configuration, in the moment of a SIGHUP
-		return scenario.Fault{What: scenario.Fail, Who: "agents", Call: pick(r, faultinject.Open, faultinject.Read), Path: "config.json",
-			Errno: int(pick(r, syscall.ENFILE, syscall.EIO, syscall.EINTR)), Times: 1 + r.IntN(3), For: span(r, 500, 2000)}
+		return scenario.Fault{Kind: scenario.SyscallFailure, Targets: "agents", Call: pick(r, faultinject.Open, faultinject.Read), Path: "config.json",
+			Errno: int(pick(r, syscall.ENFILE, syscall.EIO, syscall.EINTR)), Count: 1 + r.IntN(3), Duration: span(r, 500, 2000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Crowd, Who: "agents n=0", Size: float64(50 + r.IntN(100)), For: span(r, 1000, 4000)}
+		return scenario.Fault{Kind: scenario.IdleClients, Targets: "agents n=0", Size: float64(50 + r.IntN(100)), Duration: span(r, 1000, 4000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: pick(r, scenario.Drain, scenario.Replace), Who: share(r, "backends"), For: span(r, 0, 1500), Steps: 1 + r.IntN(3)}
+		return scenario.Fault{Kind: pick(r, scenario.Drain, scenario.Replace), Targets: share(r, "backends"), Duration: span(r, 0, 1500), Steps: 1 + r.IntN(3)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: pick(r, scenario.ListSilent, scenario.ListAway), For: span(r, 500, 4000)}
+		return scenario.Fault{Kind: pick(r, scenario.DiscoverySilent, scenario.DiscoveryDown), Duration: span(r, 500, 4000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Bad, Who: share(r, "backends"), Size: 0.3 + 0.6*r.Float64(), For: span(r, 500, 3000)}
+		return scenario.Fault{Kind: scenario.FailingBackends, Targets: share(r, "backends"), Size: 0.3 + 0.6*r.Float64(), Duration: span(r, 500, 3000)}
 	},
 	func(r *rand.Rand) scenario.Fault { // backends whose answers don't come, as if they hung
-		return scenario.Fault{What: scenario.Link, From: share(r, "backends"), To: "agents", Cut: true, For: span(r, 300, 2500)}
+		return scenario.Fault{Kind: scenario.Link, From: share(r, "backends"), To: "agents", Cut: true, Duration: span(r, 300, 2500)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Link, From: "agents", To: share(r, "backends"), Both: true, Reset: true, Lose: 0.2, For: span(r, 300, 2000)}
+		return scenario.Fault{Kind: scenario.Link, From: "agents", To: share(r, "backends"), Bidirectional: true, Reset: true, LossRate: 0.2, Duration: span(r, 300, 2000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{What: scenario.Stop, Who: someAgents(r), For: strictconfig.Duration(150 * time.Millisecond)}
+		return scenario.Fault{Kind: scenario.Pause, Targets: someAgents(r), Duration: strictconfig.Duration(150 * time.Millisecond)}
 	},
 }
 
 // failure draws a failure of a system call: once, three times in a row, or for a moment.
 func failure(call string, errnos ...syscall.Errno) func(r *rand.Rand) scenario.Fault {
 	return func(r *rand.Rand) scenario.Fault {
-		f := scenario.Fault{What: scenario.Fail, Who: someAgents(r), Call: call, Errno: int(pick(r, errnos...)), Times: pick(r, 1, 3, 0), For: span(r, 1000, 4000)}
+		f := scenario.Fault{Kind: scenario.SyscallFailure, Targets: someAgents(r), Call: call, Errno: int(pick(r, errnos...)), Count: pick(r, 1, 3, 0), Duration: span(r, 1000, 4000)}
 		switch {
-		case f.Times == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // the call is made again at once: nothing else would run
-			f.Times = 3
-		case f.Times == 0:
-			f.For = span(r, 20, 80)
+		case f.Count == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // the call is made again at once: nothing else would run
+			f.Count = 3
+		case f.Count == 0:
+			f.Duration = span(r, 20, 80)
 		}
 		return f
 	}
@@ -98,19 +98,19 @@
 func Draw(seed uint64) (*scenario.Scenario, error) {
 	r := rng.New(seed).Stream("soak")
 	s := scenario.Default()
-	s.Name, s.For, s.Settle = fmt.Sprintf("soak-%d", seed), strictconfig.Duration(length), strictconfig.Duration(time.Second)
-	s.Fleet.Agents, s.Fleet.Backends, s.Fleet.Pod = 2+r.IntN(4), 6+r.IntN(5), 2+r.IntN(3)
-	s.Load.Rate, s.Load.Of = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // work, and with it deadlines, go by both
-	s.Load.Impatient, s.Load.Retries = 0.1*r.Float64(), r.IntN(3)
-	s.Lists.Asked, s.Lists.Indented = r.IntN(3) == 0, r.IntN(2) == 0
-	s.Lists.SilentS = scenario.Range{1, 3}
-	s.Limits.Sockets, s.Limits.Cores, s.Limits.LateMs = pick(r, 128, 256, 768), pick(r, 0.5, 1.0), 60
-	for range fewest + r.IntN(most-fewest+1) {
-		f := pick(r, draws...)(r)
-		f.At = strictconfig.Duration(firstFault + time.Duration(r.Int64N(int64(lastFault-firstFault))))
+	s.Name, s.Duration, s.WarmUp = fmt.Sprintf("soak-%d", seed), strictconfig.Duration(runDuration), strictconfig.Duration(time.Second)
+	s.Fleet.Agents, s.Fleet.Backends, s.Fleet.CellSize = 2+r.IntN(4), 6+r.IntN(5), 2+r.IntN(3)
+	s.Load.Rate, s.Load.Utilization = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // work, and with it deadlines, go by both
+	s.Load.CancelShare, s.Load.Retries = 0.1*r.Float64(), r.IntN(3)
+	s.Discovery.Polled, s.Discovery.Indented = r.IntN(3) == 0, r.IntN(2) == 0
+	s.Discovery.SilentDelaySeconds = scenario.Range{1, 3}
+	s.Limits.Sockets, s.Limits.Cores, s.Limits.MaxLabLatenessMs = pick(r, 128, 256, 768), pick(r, 0.5, 1.0), 60
+	for range minFaults + r.IntN(maxFaults-minFaults+1) {
+		f := pick(r, faultGenerators...)(r)
+		f.At = strictconfig.Duration(earliestFault + time.Duration(r.Int64N(int64(latestFault-earliestFault))))
 		s.Faults = append(s.Faults, f)
-		if f.What == scenario.Fail && f.Path != "" || f.What == scenario.Reload && r.IntN(2) == 0 { // two in a row
-			again := scenario.Fault{What: scenario.Reload, Who: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
+		if f.Kind == scenario.SyscallFailure && f.Path != "" || f.Kind == scenario.Reload && r.IntN(2) == 0 { // two in a row
+			again := scenario.Fault{Kind: scenario.Reload, Targets: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
 			s.Faults = append(s.Faults, again)
 		}
 	}
@@ -122,14 +122,14 @@
 	var list []string
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		text := f.What
-		switch f.What {
-		case scenario.Fail:
-			text = fmt.Sprintf("%s %v x%d", f.Call, syscall.Errno(f.Errno), f.Times)
-		case scenario.Wall:
-			text = fmt.Sprintf("wall %v", f.Step.Duration())
-		case scenario.Term:
-			text = fmt.Sprintf("term+%d", f.Series)
+		text := f.Kind
+		switch f.Kind {
+		case scenario.SyscallFailure:
+			text = fmt.Sprintf("%s %v x%d", f.Call, syscall.Errno(f.Errno), f.Count)
+		case scenario.WallClock:
+			text = fmt.Sprintf("wall %v", f.ClockStep.Duration())
+		case scenario.Terminate:
+			text = fmt.Sprintf("term+%d", f.ExtraSignals)
 		}
 		list = append(list, fmt.Sprintf("%s @%.1f", text, f.At.Duration().Seconds()))
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	if *endless > 0 {
-		s.Endless(*endless)
+		s.Repeat(*endless)
 	}
 	dir := t.TempDir()
 	l, err := lab.New(lab.Options{Scenario: s, Seed: seed, Agent: []string{program}, Dir: dir})
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -7,7 +7,7 @@
 
 // busiest is how many connections one backend was opened in one second, at the most. The lock is held.
 func (l *Lab) busiest() (most int) {
-	settle := l.Scenario.Settle.Duration() / time.Second
+	settle := l.Scenario.WarmUp.Duration() / time.Second
 	for _, h := range l.hosts {
 		h.mu.Lock()
 		for second, n := range h.opened {
@@ -40,7 +40,7 @@
 	for _, f := range l.Scenario.Faults {
 		first = min(first, f.At.Duration())
 	}
-	from, to := int(l.Scenario.Settle.Duration()/time.Second), int(first/time.Second)
+	from, to := int(l.Scenario.WarmUp.Duration()/time.Second), int(first/time.Second)
 	if to <= from {
 		return nil
 	}
