--- /dev/null
+++ b/internal/lab/scenario/read.go
@@ -0,0 +1,59 @@
+package scenario
+
+// Reading scenarios from files and from those built in.
+
+import (
+	"embed"
+	"fmt"
+	"os"
+	"path"
+	"slices"
+	"strings"
+
+	"martenbeam/internal/strictconfig"
+)
+
+//go:embed builtin/*.toml
+var builtin embed.FS
+
+// Names are the built-in scenarios, in order.
+func Names() (names []string) {
+	entries, err := builtin.ReadDir("builtin")
+	if err != nil {
+		panic(err) // it is part of the program
+	}
+	for _, e := range entries {
+		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
+	}
+	return names
+}
+
+// Read reads a scenario by its built-in name or from a file. What it does not say is as on a calm day.
+func Read(name string) (*Scenario, error) {
+	file, text := name, []byte(nil)
+	var err error
+	if slices.Contains(Names(), name) {
+		file = path.Join("builtin", name+".toml")
+		text, err = builtin.ReadFile(file)
+	} else if strings.HasSuffix(name, ".toml") {
+		text, err = os.ReadFile(name)
+	} else {
+		return nil, fmt.Errorf("no scenario is called %q; there are %s, or name a .toml file", name, strings.Join(Names(), ", "))
+	}
+	if err != nil {
+		return nil, err
+	}
+	return parse(file, string(text))
+}
+
+func parse(file, text string) (*Scenario, error) {
+	s := Default()
+	if err := strictconfig.Decode(file, text, &s); err != nil {
+		return nil, err
+	}
+	s.file, s.text = file, text
+	if s.Name == "" {
+		s.Name = strings.TrimSuffix(path.Base(file), ".toml")
+	}
+	return &s, s.Check()
+}
