--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -2,19 +2,17 @@
 
 // The schedule of faults.
 
-import (
-	"martenbeam/internal/strictconfig"
-)
+import "martenbeam/internal/strictconfig"
 
-// Fault is one entry of the schedule.
+// Fault is one entry of the schedule. Fields that its kind does not use are ignored.
 type Fault struct {
 	At            strictconfig.Duration `toml:"at"`
-	Duration      strictconfig.Duration `toml:"for"` // 0: to the end, or at once
+	Duration      strictconfig.Duration `toml:"for"` // 0: until the end of the run, or an instant
 	Kind          string                `toml:"what"`
-	Targets       string                `toml:"who"` // a set of parties, see Parse
+	Targets       string                `toml:"who"` // a set of processes, see ParseSet
 	From          string                `toml:"from"`
 	To            string                `toml:"to"`
-	Bidirectional bool                  `toml:"both"` // also the other direction
+	Bidirectional bool                  `toml:"both"` // of a link: both directions
 
 	Protocol      string                `toml:"protocol"` // "tcp", "udp"; "": both
 	Delay         strictconfig.Duration `toml:"delay"`
@@ -26,47 +24,49 @@
 	Refuse        bool                  `toml:"refuse"`
 	Reset         bool                  `toml:"reset"`
 
-	Size         float64               `toml:"size"`    // of a burst, of failures, of what a neighbour takes
-	OnTime       strictconfig.Duration `toml:"on"`      // a neighbour's time on, and off
-	RestartDelay strictconfig.Duration `toml:"after"`   // a restart's delay
+	Size         float64               `toml:"size"`    // factor of a burst, share of failures or of the capacity taken, or number of idle clients
+	OnTime       strictconfig.Duration `toml:"on"`      // how long a noisy neighbour is active, and then idle
+	RestartDelay strictconfig.Duration `toml:"after"`   // before the restart
 	Restart      string                `toml:"restart"` // "empty", "kept", "never"
-	Steps        int                   `toml:"steps"`   // in so many equal parts over For
-	Document     string                `toml:"text"`    // a policy, or settings
-	ExtraSignals int                   `toml:"series"`  // further signals of a term: SIGHUP and SIGTERM in turn
-	ClockStep    strictconfig.Duration `toml:"step"`    // of the wall clock, in whole seconds; back after For
-	Call         string                `toml:"call"`    // the system call that fails, as package inject names it
-	Errno        int                   `toml:"errno"`   // with what
-	Path         string                `toml:"path"`    // on files whose name holds this; "": any
-	Count        int                   `toml:"times"`   // so often; 0: for all of For
+	Steps        int                   `toml:"steps"`   // the targets follow in so many groups, spread over the duration
+	Document     string                `toml:"text"`    // the text of a policy or of settings
+	ExtraSignals int                   `toml:"series"`  // further signals after a SIGTERM: SIGHUP and SIGTERM in turn
+	ClockStep    strictconfig.Duration `toml:"step"`    // in whole seconds; undone after the duration
+	Call         string                `toml:"call"`    // the system call that fails, as package faultinject names it
+	Errno        int                   `toml:"errno"`   // its error number
+	Path         string                `toml:"path"`    // for files whose name contains this; "": any
+	Count        int                   `toml:"times"`   // number of failures; 0: for the whole duration
 }
 
-// What a schedule may hold.
+// The kinds of faults, as in a file.
 const (
 	Link            = "link"
 	Kill            = "kill"      // SIGKILL to agents or hubs, and a restart
 	Terminate       = "term"      // SIGTERM, and a restart once they have ended
-	Pause           = "stop"      // SIGSTOP, SIGCONT after For
-	ZoneLost        = "zone-lost" // its backends fall silent and come back cold
-	ZoneCut         = "zone-cut"  // nothing passes its border
-	ZoneReceiveCut  = "zone-deaf" // it is heard but hears nothing from beyond its border
-	Replace         = "replace"   // backends drain and others come in their place
+	Pause           = "stop"      // SIGSTOP, then SIGCONT after the duration
+	ZoneLost        = "zone-lost" // its backends fall silent, and come back in slow start
+	ZoneCut         = "zone-cut"  // the zone is partitioned from the others
+	ZoneReceiveCut  = "zone-deaf" // only messages into the zone are lost
+	Replace         = "replace"   // backends drain and new ones replace them
 	Drain           = "drain"
-	FailingBackends = "bad"         // backends fail a share of requests at once
-	SlowBackends    = "slow"        // another program takes the share Size all the time
-	NoisyNeighbour  = "neighbour"   // another program takes a share of backends, on and off
+	FailingBackends = "bad"         // backends answer a share of requests with an error at once
+	SlowBackends    = "slow"        // another program takes the share Size of their capacity
+	NoisyNeighbour  = "neighbour"   // the same, on and off
 	Burst           = "burst"       // Size times the load
-	DiscoverySilent = "list-silent" // discovery says nothing
-	DiscoveryDown   = "list-away"   // discovery turns callers away
-	DiscoveryRewind = "list-rewind" // discovery starts again from an old version
-	PowerLoss       = "power"       // a zone's agents and backends end at once and come back together
-	Policy          = "policy"      // a residency policy is given to those of Who that are its sources
-	Settings        = "settings"    // settings of all agents are given to those hubs of Who that are their sources
-	Reload          = "reload"      // discovery moves to another address: a new configuration and SIGHUP
-	WallClock       = "wall"        // agents' wall clocks are stepped; needs an agent that package inject has built
-	SyscallFailure  = "fail"        // agents' system calls fail; the same
-	IdleClients     = "crowd"       // Size idle clients hold connections to each agent, and come again when they are sent away
-	restartNever    = "never"
+	DiscoverySilent = "list-silent" // discovery sends nothing
+	DiscoveryDown   = "list-away"   // discovery refuses connections
+	DiscoveryRewind = "list-rewind" // discovery restarts with an old version of the list
+	PowerLoss       = "power"       // a zone's agents and backends end at once and restart together
+	Policy          = "policy"      // a residency policy is given to those targets that are its sources
+	Settings        = "settings"    // settings are given to those hubs among the targets that are their sources
+	Reload          = "reload"      // discovery moves to another address: new configuration and SIGHUP
+	WallClock       = "wall"        // wall clocks are stepped; needs an agent built by package faultinject
+	SyscallFailure  = "fail"        // system calls fail; the same
+	IdleClients     = "crowd"       // Size idle clients at each agent, which reconnect when they are closed
+
+	restartNever = "never" // a value of Fault.Restart
 )
 
+// kinds lists all kinds, in the order in which errors name them.
 var kinds = []string{Link, Kill, Terminate, Pause, ZoneLost, ZoneCut, ZoneReceiveCut, Replace, Drain, FailingBackends, SlowBackends, NoisyNeighbour, Burst,
 	DiscoverySilent, DiscoveryDown, DiscoveryRewind, PowerLoss, Policy, Settings, Reload, WallClock, SyscallFailure, IdleClients}
--- a/internal/lab/scenario/hubs.go
+++ b/internal/lab/scenario/hubs.go
@@ -1,6 +1,6 @@
 package scenario
 
-// One scenario with and without hubs, and without anything shared.
+// Variants of a scenario: with or without hubs, and with nothing shared.
 
 import (
 	"slices"
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// DisableSharing has the agents share nothing: what is left is how each does alone.
+// DisableSharing removes the fleet, and the faults that need it: each agent is on its own.
 func (s *Scenario) DisableSharing() {
 	s.Shared = Shared{}
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == Policy || f.needsHubs() })
 }
 
-// needsHubs reports whether a fault makes no sense without hubs.
+// needsHubs reports whether a fault can be played only where there are hubs.
 func (f *Fault) needsHubs() bool {
 	for _, text := range []string{f.Targets, f.From, f.To} {
 		if strings.HasPrefix(strings.TrimSpace(text), "hubs") {
@@ -24,7 +24,7 @@
 	return f.Kind == Settings
 }
 
-// maxPolicySources is how many can be a policy's sources.
+// maxPolicySources is the number of processes that can be a source of the residency policy.
 func (s *Scenario) maxPolicySources() int {
 	if s.Shared.Hubs > 0 {
 		return s.Shared.Hubs
@@ -32,9 +32,8 @@
 	return s.Fleet.Agents
 }
 
-// SetHubs has the agents hold to so many hubs, or, with 0, be a flat fleet. Where a scenario is written for a flat fleet,
-// what it does to links between agents it then does to those of the hubs of the same zones as well, and what it gives to
-// an agent that is a policy's source it gives to a hub.
+// SetHubs gives the fleet a number of hubs, or makes it a full mesh with 0. In a scenario written for a full mesh, faults on
+// links between agents are extended to the hubs of the same zones, and policies are given to hubs in place of agents.
 func (s *Scenario) SetHubs(hubs int) {
 	before := s.Shared.Hubs
 	s.Shared.Hubs = hubs
@@ -44,7 +43,7 @@
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.needsHubs() })
 	case before == 0:
 		s.Shared.Enabled, s.Shared.Sources = true, min(s.Shared.Sources, hubs)
-		var additional []Fault // behind the others, whose places decide their draws
+		var additional []Fault // appended, since the place of a fault names its random stream
 		for i := range s.Faults {
 			f := &s.Faults[i]
 			if f.Kind == Policy {
@@ -52,7 +51,7 @@
 			}
 			if from, to := hubsInZonesOf(f.From), hubsInZonesOf(f.To); f.Kind == Link && from != "" && to != "" {
 				for _, pair := range [][2]string{{from, f.To}, {f.From, to}, {from, to}} {
-					if pair[0] != "-" && pair[1] != "-" {
+					if pair[0] != noHubs && pair[1] != noHubs {
 						also := *f
 						also.From, also.To = pair[0], pair[1]
 						additional = append(additional, also)
@@ -64,20 +63,23 @@
 	}
 }
 
-// hubsInZonesOf is the set of hubs that goes with a set of agents: those of its zones, "-" for a set that names single agents, ""
-// for a set of others.
+// noHubs marks a set of single agents, which no hubs go with.
+const noHubs = "-"
+
+// hubsInZonesOf returns the set of hubs in the zones of a set of agents; noHubs for a set of single agents, "" for a set of
+// other processes.
 func hubsInZonesOf(text string) string {
 	set, err := ParseSet(text)
 	switch {
 	case err != nil || set.Kind != "agents":
 		return ""
 	case len(set.Numbers) > 0 || set.Share < 1:
-		return "-"
+		return noHubs
 	}
 	return "hubs" + strings.TrimPrefix(strings.TrimSpace(text), "agents")
 }
 
-// policyHubs is the set of hubs that are a policy's sources in place of a set of agents.
+// policyHubs returns the set of hubs that are given a policy in place of a set of agents.
 func policyHubs(text string, hubs int) string {
 	set, err := ParseSet(text)
 	if err != nil || len(set.Numbers) == 0 {
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -16,7 +16,7 @@
 //go:embed builtin/*.toml
 var builtin embed.FS
 
-// Names are the built-in scenarios, in order.
+// Names returns the names of the built-in scenarios, sorted.
 func Names() (names []string) {
 	entries, err := builtin.ReadDir("builtin")
 	if err != nil {
@@ -28,7 +28,8 @@
 	return names
 }
 
-// Read reads a scenario by its built-in name or from a file. What it does not say is as on a calm day.
+// Read reads a built-in scenario by name, or a file whose name ends in .toml. Values that it leaves out are those of Default.
+// Errors name file, line and key.
 func Read(name string) (*Scenario, error) {
 	file, text := name, []byte(nil)
 	var err error
@@ -46,6 +47,7 @@
 	return parse(file, string(text))
 }
 
+// parse reads and checks the text of a scenario.
 func parse(file, text string) (*Scenario, error) {
 	s := Default()
 	if err := strictconfig.Decode(file, text, &s); err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,4 +1,5 @@
-// Package scenario reads what a lab is to play: the fleet, its load, and a schedule of faults.
+// Package scenario reads the TOML files that say what the lab emulates: a fleet, its load, and a schedule of faults. Keys of a
+// file keep their names when Go fields are renamed.
 package scenario
 
 import (
@@ -7,12 +8,12 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// Scenario is one day in the lab.
+// Scenario is one run of the lab.
 type Scenario struct {
 	Name      string                `toml:"name"`
 	About     string                `toml:"about"`
 	Duration  strictconfig.Duration `toml:"for"`
-	WarmUp    strictconfig.Duration `toml:"settle"` // nothing before counts
+	WarmUp    strictconfig.Duration `toml:"settle"` // at the start, not counted in results
 	Fleet     Fleet                 `toml:"fleet"`
 	Load      Load                  `toml:"load"`
 	Model     Model                 `toml:"world"`
@@ -21,42 +22,42 @@
 	Shared    Shared                `toml:"shared"`
 	Faults    []Fault               `toml:"fault"`
 
-	RepeatInterval strictconfig.Duration `toml:"-"` // the schedule begins anew after so long; 0: never
+	RepeatInterval strictconfig.Duration `toml:"-"` // after which the schedule starts over; 0: never
 
 	file, text string
 }
 
-// Fleet is who is there.
+// Fleet is the number and the placement of agents and backends.
 type Fleet struct {
 	Agents   int      `toml:"agents"`
 	Backends int      `toml:"backends"`
 	Zones    []string `toml:"zones"`
-	ZoneSize []int    `toml:"zone_size"` // backends of each zone; empty: evenly
-	Regions  []string `toml:"regions"`   // the region of each zone; empty: each zone stands alone
-	CellSize int      `toml:"pod"`       // backends of one pod
+	ZoneSize []int    `toml:"zone_size"` // backends of each zone; empty: spread evenly
+	Regions  []string `toml:"regions"`   // the region of each zone; empty: each zone is a region
+	CellSize int      `toml:"pod"`       // backends of one cell, which drop duplicates together
 }
 
-// Load is what clients ask for.
+// Load describes the requests of the emulated clients.
 type Load struct {
 	Rate            float64 `toml:"rate"`       // requests a second, over all agents
-	Utilization     float64 `toml:"of"`         // of what the warm backends can do; work is scaled to it
-	Skew            float64 `toml:"skew"`       // how unevenly agents are asked: the coefficient of variation
+	Utilization     float64 `toml:"of"`         // offered load as a share of the capacity of warm backends; work is scaled to it
+	Skew            float64 `toml:"skew"`       // coefficient of variation of the load of agents
 	Keys            int     `toml:"keys"`       // distinct keys
 	KeySkew         float64 `toml:"key_skew"`   // the exponent of their popularity
-	Retries         int     `toml:"retries"`    // a client's further tries after a refusal or an unreachable agent
-	TimeoutShare    float64 `toml:"patience"`   // share of the class's give-up time that a try waits
-	CancelShare     float64 `toml:"impatient"`  // share of clients that leave within the aim
-	RetryAfterShare float64 `toml:"honour"`     // share of clients that heed Retry-After
-	OverQuotaWeight float64 `toml:"over_share"` // worth of what a tenant asks beyond its share
+	Retries         int     `toml:"retries"`    // of a client, after a rejection or at an unreachable agent
+	TimeoutShare    float64 `toml:"patience"`   // a request's timeout, as a share of its class's
+	CancelShare     float64 `toml:"impatient"`  // share of clients that disconnect within the latency objective
+	RetryAfterShare float64 `toml:"honour"`     // share of clients that honour Retry-After
+	OverQuotaWeight float64 `toml:"over_share"` // priority weight of what a tenant asks beyond its quota
 }
 
-// Range is drawn from evenly; one number twice is fixed.
+// Range is the lower and the upper bound of an even distribution. Equal bounds give a fixed value.
 type Range [2]float64
 
-// Model is what machines are like.
+// Model describes backends and the network; see package model.
 type Model struct {
 	SlotsPerCore     Range                 `toml:"slots_per_core"`
-	QueuePerCore     Range                 `toml:"room_per_core"` // requests that wait
+	QueuePerCore     Range                 `toml:"room_per_core"` // length of the queue
 	ThrashLoss       Range                 `toml:"thrash"`
 	ThrashAt         Range                 `toml:"thrash_at"`
 	InitialCapacity  Range                 `toml:"cold_from"`
@@ -70,52 +71,52 @@
 	KeysPerCore      int                   `toml:"keys_per_core"`
 	MaxConns         Range                 `toml:"conns"`
 	HandshakeMs      Range                 `toml:"handshake_ms"`
-	SameZoneMs       Range                 `toml:"same_ms"` // one way within a zone
+	SameZoneMs       Range                 `toml:"same_ms"` // one-way latencies: within a zone,
 	CrossZoneMs      Range                 `toml:"cross_ms"`
-	CrossRegionMs    Range                 `toml:"far_ms"` // between regions
+	CrossRegionMs    Range                 `toml:"far_ms"` // between zones of two regions
 	PeerMs           Range                 `toml:"peer_ms"`
 	Jitter           float64               `toml:"jitter"`
 }
 
-// Discovery is how discovery tells of changes.
+// Discovery describes the emulated discovery service.
 type Discovery struct {
-	LeaveDelaySeconds  Range `toml:"notice_s"` // until it tells of a process that ended or drains
-	SilentDelaySeconds Range `toml:"silent_s"` // of a machine that fell silent
-	AddDelaySeconds    Range `toml:"add_s"`    // of one that came
-
-	Indented        bool    `toml:"indented"` // written over several lines
-	Polled          bool    `toml:"asked"`    // told only to who asks, by one service of fixed capacity for all
-	Rate            float64 `toml:"rate"`     // whole lists a second that it bears
-	MaxQueueSeconds float64 `toml:"queue_s"`  // a call that would wait longer fails
-	DeltaCost       float64 `toml:"change"`   // what a call that goes on from a version costs, as a share of a whole list
-	CachedList      string  `toml:"known"`    // what an agent that starts anew is handed: "now", "first", "none"
+	LeaveDelaySeconds  Range `toml:"notice_s"` // until a drain or an end is published
+	SilentDelaySeconds Range `toml:"silent_s"` // until a silent machine is
+	AddDelaySeconds    Range `toml:"add_s"`    // until a new backend is
+
+	Indented        bool    `toml:"indented"` // JSON over several lines
+	Polled          bool    `toml:"asked"`    // lists are polled, at one service of limited capacity
+	Rate            float64 `toml:"rate"`     // full lists a second that it can serve
+	MaxQueueSeconds float64 `toml:"queue_s"`  // a call that would be queued for longer fails
+	DeltaCost       float64 `toml:"change"`   // cost of a delta, as a share of a full list
+	CachedList      string  `toml:"known"`    // list in the configuration of an agent that starts: "now", "first", "none"
 }
 
-// Shared is what the agents of the fleet share.
+// Shared says what the agents share as a fleet.
 type Shared struct {
-	Enabled      bool `toml:"on"`      // they have a fleet
-	RelayedLists bool `toml:"relayed"` // and lists come by way of a few of them: a backend has one address for all then, and the
-	// network can't keep a single agent from it
-	LatencyMatrix bool                  `toml:"matrix"`  // and round trips are measured, and steer
-	Policy        string                `toml:"policy"`  // the residency policy at the start; "": none
-	PolicyBound   strictconfig.Duration `toml:"bound"`   // in which a tightening has to hold
-	Sources       int                   `toml:"sources"` // agents that are given the policy, the first ones; where there are hubs, hubs
-
-	Hubs          int                   `toml:"hubs"`           // processes between the agents, hub i in zone i; 0: a flat fleet
-	MeshFallback  bool                  `toml:"flat"`           // agents that find no hub have a flat fleet to fall back to
-	Settings      string                `toml:"settings"`       // of all agents at the start, given to hubs; "": none
-	SettingsBound strictconfig.Duration `toml:"settings_bound"` // in which a change is in force at every agent that a hub can reach
+	Enabled      bool `toml:"on"`      // agents are members of a fleet
+	RelayedLists bool `toml:"relayed"` // lists are relayed by a few members. A backend has one address for all agents then, so the network cannot
+	// separate a single agent from it
+	LatencyMatrix bool                  `toml:"matrix"`  // round trips are measured and used in picking
+	Policy        string                `toml:"policy"`  // residency policy at the start; "": none
+	PolicyBound   strictconfig.Duration `toml:"bound"`   // within which a stricter policy has to be in force
+	Sources       int                   `toml:"sources"` // number of agents that are given the policy, or of hubs if there are any
+
+	Hubs          int                   `toml:"hubs"`           // hub processes, hub i in zone i; 0: a full mesh
+	MeshFallback  bool                  `toml:"flat"`           // agents without a hub fall back to a full mesh
+	Settings      string                `toml:"settings"`       // settings document at the start, given to hubs; "": none
+	SettingsBound strictconfig.Duration `toml:"settings_bound"` // within which a change has to be applied at every agent that a hub can reach
 }
 
-// Limits are what an agent is told that it may use.
+// Limits are the resource limits in the configuration of each agent.
 type Limits struct {
 	Cores            float64 `toml:"cores"`
 	MemoryMB         int     `toml:"memory_mb"`
 	Sockets          int     `toml:"sockets"`
-	MaxLabLatenessMs float64 `toml:"late_ms"` // the lab's own lateness, 99th percentile, past which a run is void
+	MaxLabLatenessMs float64 `toml:"late_ms"` // 99th percentile of the lab's own lateness above which a run is inconclusive
 }
 
-// Default is a calm day: what a scenario does not say.
+// Default returns a run without faults: the values that a scenario file leaves out.
 func Default() Scenario {
 	return Scenario{
 		Duration: strictconfig.Duration(30 * time.Second), WarmUp: strictconfig.Duration(3 * time.Second),
@@ -133,7 +134,7 @@
 	}
 }
 
-// SetDuration changes a run's length; the schedule keeps its place in it.
+// SetDuration changes the length of a run. Faults and warm-up are scaled with it.
 func (s *Scenario) SetDuration(duration time.Duration) {
 	factor := float64(duration) / float64(s.Duration)
 	scale := func(d *strictconfig.Duration) { *d = strictconfig.Duration(float64(*d) * factor) }
@@ -145,10 +146,13 @@
 	s.Duration = strictconfig.Duration(duration)
 }
 
-// Repeat lets a scenario run for a time, 0 for as long as a lab may; its schedule is played over and over.
+// maxRepeatedDuration is longer than anyone watches.
+const maxRepeatedDuration = 1000 * time.Hour
+
+// Repeat runs the schedule over and over for a time; 0 stands for 1,000 hours.
 func (s *Scenario) Repeat(length time.Duration) {
 	if length <= 0 {
-		length = 1000 * time.Hour
+		length = maxRepeatedDuration
 	}
 	s.RepeatInterval, s.Duration = s.Duration, strictconfig.Duration(length)
 }
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -11,55 +11,69 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// Set names parties: a kind, and what narrows it.
+// Set selects processes of one kind.
 type Set struct {
-	Kind    string // agents, hubs, backends, clients, discovery, zone
-	Zones   []int  // of these zones; empty: any
-	Numbers []int  // these; empty: any
-	Share   float64
+	Kind    string  // one of setKinds
+	Zones   []int   // in these zones; empty: in any
+	Numbers []int   // with these numbers; empty: all
+	Share   float64 // of those, drawn at random; 1: all
 }
 
-// ParseSet reads a set, such as "agents", "backends zone=1,2", "agents n=0,3" or "backends share=0.125".
+// setKinds are the kinds of processes that a set may select.
+var setKinds = []string{"agents", "hubs", "backends", "clients", "discovery", "zone"}
+
+// ParseSet reads a set, such as "agents", "backends zone=1,2", "agents n=0,3" or "backends share=0.125". Numbers count from 0.
 func ParseSet(text string) (s Set, err error) {
 	words := strings.Fields(text)
-	if len(words) == 0 || !slices.Contains([]string{"agents", "hubs", "backends", "clients", "discovery", "zone"}, words[0]) {
-		return s, fmt.Errorf("%q is none of agents, hubs, backends, clients, discovery, zone", text)
+	if len(words) == 0 || !slices.Contains(setKinds, words[0]) {
+		return s, fmt.Errorf("%q is none of %s", text, strings.Join(setKinds, ", "))
 	}
 	s.Kind, s.Share = words[0], 1
-	for _, w := range words[1:] {
-		name, value, _ := strings.Cut(w, "=")
+	for _, word := range words[1:] {
+		name, value, _ := strings.Cut(word, "=")
 		switch name {
-		case "zone", "n":
-			var list []int
-			for _, v := range strings.Split(value, ",") {
-				n, err := strconv.Atoi(v)
-				if err != nil || n < 0 {
-					return s, fmt.Errorf("%q: %q is not a number from 0", text, v)
-				}
-				list = append(list, n)
-			}
-			if name == "zone" {
-				s.Zones = list
-			} else {
-				s.Numbers = list
-			}
+		case "zone":
+			s.Zones, err = parseNumbers(text, value)
+		case "n":
+			s.Numbers, err = parseNumbers(text, value)
 		case "share":
 			if s.Share, err = strconv.ParseFloat(value, 64); err != nil || !(s.Share >= 0 && s.Share <= 1) {
-				return s, fmt.Errorf("%q: %q is not a share from 0 to 1", text, value)
+				err = fmt.Errorf("%q: %q is not a share from 0 to 1", text, value)
 			}
 		default:
-			return s, fmt.Errorf("%q: %q is none of zone=, n=, share=", text, w)
+			err = fmt.Errorf("%q: %q is none of zone=, n=, share=", text, word)
+		}
+		if err != nil {
+			return s, err
 		}
 	}
 	return s, nil
 }
 
-// Role is the party of a link that a set speaks of.
+// parseNumbers reads a list of numbers, which text holds.
+func parseNumbers(text, list string) (numbers []int, err error) {
+	for _, word := range strings.Split(list, ",") {
+		n, err := strconv.Atoi(word)
+		if err != nil || n < 0 {
+			return nil, fmt.Errorf("%q: %q is not a number from 0", text, word)
+		}
+		numbers = append(numbers, n)
+	}
+	return numbers, nil
+}
+
+// Role returns the role of the processes of a set. It means nothing for a zone.
 func (s Set) Role() netfault.Role {
-	return map[string]netfault.Role{"agents": netfault.Agent, "hubs": netfault.Hub, "backends": netfault.Backend, "clients": netfault.Client, "discovery": netfault.Discovery}[s.Kind]
+	return map[string]netfault.Role{
+		"agents":    netfault.Agent,
+		"hubs":      netfault.Hub,
+		"backends":  netfault.Backend,
+		"clients":   netfault.Client,
+		"discovery": netfault.Discovery,
+	}[s.Kind]
 }
 
-// Contains reports whether a party of a zone is in the set, Share aside.
+// Contains reports whether a process with a number, in a zone, is in the set. Share is left to the caller.
 func (s Set) Contains(n, zone int) bool {
 	return (len(s.Zones) == 0 || slices.Contains(s.Zones, zone)) && (len(s.Numbers) == 0 || slices.Contains(s.Numbers, n))
 }
