--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak draws runs of the lab from seeds: a deployment, and faults of the network, of processes, of system calls and
-// of the wall clock, on agents that package inject has built.
+// Package soak generates runs of the lab from seeds: a deployment, and faults of the network, of processes, of system calls and
+// of the wall clock. The agents have to be built by package faultinject.
 package soak
 
 import (
@@ -17,13 +17,13 @@
 
 const (
 	runDuration   = 12 * time.Second
-	earliestFault = 2 * time.Second // a process is spared signals in its first second
+	earliestFault = 2 * time.Second // the platform sends no signal in a process's first second
 	latestFault   = 9 * time.Second // the earliest kill comes 3.7 s after a SIGTERM at most
-	minFaults     = 4               // faults
+	minFaults     = 4
 	maxFaults     = 7
 )
 
-// draws make one fault each.
+// faultGenerators each generate one kind of fault. Their order is part of what a seed stands for.
 var faultGenerators = []func(r *rand.Rand) scenario.Fault{
 	func(r *rand.Rand) scenario.Fault {
 		return scenario.Fault{Kind: scenario.Terminate, Targets: someAgents(r), Restart: pick(r, "empty", "kept"), ExtraSignals: r.IntN(5), Duration: span(r, 0, 1500)}
@@ -57,7 +57,7 @@
 	func(r *rand.Rand) scenario.Fault {
 		return scenario.Fault{Kind: scenario.FailingBackends, Targets: share(r, "backends"), Size: 0.3 + 0.6*r.Float64(), Duration: span(r, 500, 3000)}
 	},
-	func(r *rand.Rand) scenario.Fault { // backends whose answers don't come, as if they hung
+	func(r *rand.Rand) scenario.Fault { // backends that hang
 		return scenario.Fault{Kind: scenario.Link, From: share(r, "backends"), To: "agents", Cut: true, Duration: span(r, 300, 2500)}
 	},
 	func(r *rand.Rand) scenario.Fault {
@@ -68,12 +68,12 @@
 	},
 }
 
-// failure draws a failure of a system call: once, three times in a row, or for a moment.
+// failure generates failures of a system call: one, three in a row, or all for a moment.
 func failure(call string, errnos ...syscall.Errno) func(r *rand.Rand) scenario.Fault {
 	return func(r *rand.Rand) scenario.Fault {
 		f := scenario.Fault{Kind: scenario.SyscallFailure, Targets: someAgents(r), Call: call, Errno: int(pick(r, errnos...)), Count: pick(r, 1, 3, 0), Duration: span(r, 1000, 4000)}
 		switch {
-		case f.Count == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // the call is made again at once: nothing else would run
+		case f.Count == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // it is retried at once, so an endless failure would spin
 			f.Count = 3
 		case f.Count == 0:
 			f.Duration = span(r, 20, 80)
@@ -82,25 +82,29 @@
 	}
 }
 
-func pick[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
+// pick returns one of several values.
+func pick[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
 
-func span(r *rand.Rand, least, most int) strictconfig.Duration {
-	return strictconfig.Duration(time.Duration(least+r.IntN(most-least+1)) * time.Millisecond)
+// span returns a duration between two bounds in milliseconds, both included.
+func span(r *rand.Rand, minMs, maxMs int) strictconfig.Duration {
+	return strictconfig.Duration(time.Duration(minMs+r.IntN(maxMs-minMs+1)) * time.Millisecond)
 }
 
+// someAgents returns a set of agents.
 func someAgents(r *rand.Rand) string { return pick(r, "agents", "agents n=0", "agents share=0.5") }
 
-func share(r *rand.Rand, of string) string {
-	return fmt.Sprintf("%s share=%.2f", of, 0.1+0.3*r.Float64())
+// share returns a set of a random share of processes of one kind.
+func share(r *rand.Rand, kind string) string {
+	return fmt.Sprintf("%s share=%.2f", kind, 0.1+0.3*r.Float64())
 }
 
-// Draw is a seed's run.
+// Draw returns the run that a seed stands for. Its error is that of the scenario's check.
 func Draw(seed uint64) (*scenario.Scenario, error) {
 	r := rng.New(seed).Stream("soak")
 	s := scenario.Default()
 	s.Name, s.Duration, s.WarmUp = fmt.Sprintf("soak-%d", seed), strictconfig.Duration(runDuration), strictconfig.Duration(time.Second)
 	s.Fleet.Agents, s.Fleet.Backends, s.Fleet.CellSize = 2+r.IntN(4), 6+r.IntN(5), 2+r.IntN(3)
-	s.Load.Rate, s.Load.Utilization = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // work, and with it deadlines, go by both
+	s.Load.Rate, s.Load.Utilization = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // the work of requests, and so their deadlines, follows from both
 	s.Load.CancelShare, s.Load.Retries = 0.1*r.Float64(), r.IntN(3)
 	s.Discovery.Polled, s.Discovery.Indented = r.IntN(3) == 0, r.IntN(2) == 0
 	s.Discovery.SilentDelaySeconds = scenario.Range{1, 3}
@@ -110,14 +114,14 @@
 		f.At = strictconfig.Duration(earliestFault + time.Duration(r.Int64N(int64(latestFault-earliestFault))))
 		s.Faults = append(s.Faults, f)
 		if f.Kind == scenario.SyscallFailure && f.Path != "" || f.Kind == scenario.Reload && r.IntN(2) == 0 { // two in a row
-			again := scenario.Fault{Kind: scenario.Reload, Targets: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
-			s.Faults = append(s.Faults, again)
+			second := scenario.Fault{Kind: scenario.Reload, Targets: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
+			s.Faults = append(s.Faults, second)
 		}
 	}
 	return &s, s.Check()
 }
 
-// Faults is what a run suffers, in a few words.
+// Faults describes the faults of a run in one line.
 func Faults(s *scenario.Scenario) string {
 	var list []string
 	for i := range s.Faults {
