--- a/internal/lab/addr.go
+++ b/internal/lab/addr.go
@@ -13,8 +13,8 @@
 
 // block is the part of the loopback range that one lab has to itself.
 type block struct {
-	n     int
-	claim net.Listener // the kernel drops it with the process, however that ends
+	number int
+	claim  net.Listener // the kernel drops it with the process, however that ends
 }
 
 const (
@@ -59,7 +59,7 @@
 				continue
 			}
 			at, ok := kernelAddress([]byte(fields[1]))
-			if ip := at.Addr().As4(); ok && ip[0] == 127 && int(ip[1]) == b.n && at.Port() != claimPort {
+			if ip := at.Addr().As4(); ok && ip[0] == 127 && int(ip[1]) == b.number && at.Port() != claimPort {
 				return true
 			}
 		}
@@ -69,27 +69,31 @@
 
 func (b *block) close() { b.claim.Close() }
 
-// agent is the address of agent n itself.
-func (b *block) agent(n int) string { return fmt.Sprintf("127.%d.%d.%d", b.n, 1+n/250, 1+n%250) }
+// agentAddr is the address of agent n itself.
+func (b *block) agentAddr(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.number, 1+n/250, 1+n%250)
+}
 
-// world is the address at which agent n meets everyone else. They differ by port.
-func (b *block) world(n int) string { return fmt.Sprintf("127.%d.%d.%d", b.n, 101+n/250, 1+n%250) }
+// linkAddr is the address at which agent n meets everyone else. They differ by port.
+func (b *block) linkAddr(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.number, 101+n/250, 1+n%250)
+}
 
-// hub is the address of hub n itself, and hubLink where it is reached and meets everyone else.
-func (b *block) hub(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.n, 1+n) }
-func (b *block) hubLink(n int) string { return fmt.Sprintf("127.%d.211.%d", b.n, 1+n) }
+// hubAddr is the address of hub n itself, and hubLinkAddr where it is reached and meets everyone else.
+func (b *block) hubAddr(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.number, 1+n) }
+func (b *block) hubLinkAddr(n int) string { return fmt.Sprintf("127.%d.211.%d", b.number, 1+n) }
 
 // gate is a listener that can refuse connections, or leave them hanging as a network does that drops the
 // opening segment.
 type gate struct {
-	ln   *net.TCPListener
-	wrap func(net.Conn) net.Conn
-
-	mu     sync.Mutex
-	shut   bool
-	closed bool
-	opened chan struct{} // closed once it is open again; nil: it is open
-	filler net.Conn
+	listener *net.TCPListener
+	wrap     func(net.Conn) net.Conn
+
+	mu          sync.Mutex
+	unreachable bool
+	closed      bool
+	reachable   chan struct{} // closed once it is open again; nil: it is open
+	filler      net.Conn
 }
 
 func newGate(ip string, wrap func(net.Conn) net.Conn) (*gate, error) {
@@ -97,36 +101,36 @@
 	if err != nil {
 		return nil, err
 	}
-	return &gate{ln: ln, wrap: wrap}, nil
+	return &gate{listener: ln, wrap: wrap}, nil
 }
 
-func (g *gate) Addr() net.Addr { return g.ln.Addr() }
+func (g *gate) Addr() net.Addr { return g.listener.Addr() }
 
 func (g *gate) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	if g.opened != nil {
-		close(g.opened)
-		g.opened = nil
+	if g.reachable != nil {
+		close(g.reachable)
+		g.reachable = nil
 	}
 	if g.filler != nil {
 		g.filler.Close()
 	}
-	return g.ln.Close()
+	return g.listener.Close()
 }
 
 // Accept waits while the gate is shut.
 func (g *gate) Accept() (net.Conn, error) {
 	for {
-		c, err := g.ln.Accept()
+		c, err := g.listener.Accept()
 		g.mu.Lock()
 		if err == nil {
 			// A call that was under way when the gate was shut may take the filler itself: the queue is filled again.
 			ours := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
 			if ours {
 				c.Close()
-				g.fill()
+				g.fillBacklog()
 			}
 			g.mu.Unlock()
 			if ours {
@@ -134,7 +138,7 @@
 			}
 			return g.wrap(c), nil
 		}
-		opened, closed := g.opened, g.closed
+		opened, closed := g.reachable, g.closed
 		g.mu.Unlock()
 		if closed || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
@@ -145,35 +149,35 @@
 	}
 }
 
-func (g *gate) backlog(n int) {
-	raw, err := g.ln.SyscallConn()
+func (g *gate) setBacklog(n int) {
+	raw, err := g.listener.SyscallConn()
 	if err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails on a closed socket alone
 	}
 }
 
-// fill has a connection of our own take the queue's only place. The lock is held.
-func (g *gate) fill() {
+// fillBacklog has a connection of our own take the queue's only place. The lock is held.
+func (g *gate) fillBacklog() {
 	if g.filler != nil {
 		g.filler.Close()
 	}
-	g.filler, _ = net.DialTimeout("tcp4", g.ln.Addr().String(), 250*time.Millisecond) // full already if it fails
+	g.filler, _ = net.DialTimeout("tcp4", g.listener.Addr().String(), 250*time.Millisecond) // full already if it fails
 }
 
-// setShut shuts the gate or opens it. Shut, it accepts nothing and its queue holds one connection of our own:
+// setUnreachable shuts the gate or opens it. Shut, it accepts nothing and its queue holds one connection of our own:
 // a full queue is why the kernel answers no further opening segment.
-func (g *gate) setShut(on bool) {
+func (g *gate) setUnreachable(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if on == g.shut || g.closed {
+	if on == g.unreachable || g.closed {
 		return
 	}
-	g.shut = on
+	g.unreachable = on
 	if on {
-		g.opened = make(chan struct{})
-		_ = g.ln.SetDeadline(time.Unix(1, 0))
-		g.backlog(0)
-		g.fill()
+		g.reachable = make(chan struct{})
+		_ = g.listener.SetDeadline(time.Unix(1, 0))
+		g.setBacklog(0)
+		g.fillBacklog()
 		return
 	}
 	if g.filler != nil {
@@ -181,18 +185,18 @@
 		g.filler = nil
 	}
 	// Whoever came into the queue meanwhile would not have got through: it is reset.
-	_ = g.ln.SetDeadline(time.Now().Add(2 * time.Millisecond))
+	_ = g.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
 	for {
-		c, err := g.ln.Accept()
+		c, err := g.listener.Accept()
 		if err != nil {
 			break
 		}
 		reset(c)
 	}
-	g.backlog(1024)
-	_ = g.ln.SetDeadline(time.Time{})
-	close(g.opened)
-	g.opened = nil
+	g.setBacklog(1024)
+	_ = g.listener.SetDeadline(time.Time{})
+	close(g.reachable)
+	g.reachable = nil
 }
 
 // reset ends a connection so that the other side sees a reset.
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -20,55 +20,55 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// play is one client's request: all its tries together.
-type play struct {
-	first    string
-	n        int // of the agent's requests
-	agent    *agent
-	class    int
-	tenant   int
-	worth    float64
-	key      uint64
-	sid      string
-	work     time.Duration
-	body     []byte
-	intended time.Duration
-	patience time.Duration // of each try
-	leaves   time.Duration // the client goes away so long after a try's begin; 0: it doesn't
-	honours  bool
-	tries    int
-	reached  string // the latest of its tries of which an attempt was seen
-	draw     *rand.Rand
-	uri      string
-	idem     string
+// clientRequest is one client's request: all its tries together.
+type clientRequest struct {
+	firstID           string
+	index             int // of the agent's requests
+	agent             *agent
+	class             int
+	tenant            int
+	weight            float64
+	key               uint64
+	sid               string
+	work              time.Duration
+	body              []byte
+	intendedAt        time.Duration
+	timeout           time.Duration // of each try
+	cancelsAfter      time.Duration // the client goes away so long after a try's begin; 0: it doesn't
+	honoursRetryAfter bool
+	attempts          int
+	attemptSeenFor    string // the latest of its tries of which an attempt was seen
+	random            *rand.Rand
+	uri               string
+	idempotencyKey    string
 }
 
-// due is the next arrival at an agent.
-type due struct {
+// arrival is the next arrival at an agent.
+type arrival struct {
 	at    time.Duration
 	agent *agent
 }
 
-type dues []due
+type arrivalHeap []arrival
 
-func (h dues) Len() int { return len(h) }
-func (h dues) Less(i, j int) bool {
+func (h arrivalHeap) Len() int { return len(h) }
+func (h arrivalHeap) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].agent.n < h[j].agent.n
+	return h[i].agent.number < h[j].agent.number
 }
-func (h dues) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dues) Push(x any)   { *h = append(*h, x.(due)) }
-func (h *dues) Pop() any {
+func (h arrivalHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *arrivalHeap) Push(x any)   { *h = append(*h, x.(arrival)) }
+func (h *arrivalHeap) Pop() any {
 	last := len(*h) - 1
 	d := (*h)[last]
 	*h = (*h)[:last]
 	return d
 }
 
-// weigh shares the load out over the agents.
-func (l *Lab) weigh() {
+// distributeLoad shares the load out over the agents.
+func (l *Lab) distributeLoad() {
 	r, sum := l.rng.Stream("weights"), 0.0
 	for _, a := range l.agents {
 		a.rate = rng.Lognormal(r, 1, l.Scenario.Load.Skew)
@@ -79,13 +79,13 @@
 	}
 	zipf := rng.NewZipf(l.Scenario.Load.Keys, l.Scenario.Load.KeySkew)
 	for _, a := range l.agents {
-		a.gaps, a.draws, a.keys = l.rng.Of("arrivals", a.n), l.rng.Of("requests", a.n), zipf
+		a.arrivalRandom, a.requestRandom, a.keys = l.rng.Of("arrivals", a.number), l.rng.Of("requests", a.number), zipf
 	}
 }
 
-// factor is by how much the load is up at a time. It is part of the schedule, so that a seed gives the same
+// loadFactorAt is by how much the load is up at a time. It is part of the schedule, so that a seed gives the same
 // arrivals whatever the agents do.
-func (l *Lab) factor(at time.Duration) float64 {
+func (l *Lab) loadFactorAt(at time.Duration) float64 {
 	f := 1.0
 	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
 		at %= again
@@ -98,12 +98,12 @@
 	return f
 }
 
-// gap draws the next arrival after a time: an exponential span of load, walked in small steps as it changes.
-func (l *Lab) gap(a *agent, at time.Duration) time.Duration {
+// nextArrival draws the next arrival after a time: an exponential span of load, walked in small steps as it changes.
+func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
 	const walk = 10 * time.Millisecond
-	left := a.gaps.ExpFloat64()
+	left := a.arrivalRandom.ExpFloat64()
 	for {
-		rate := a.rate * l.factor(at)
+		rate := a.rate * l.loadFactorAt(at)
 		if need := left / rate; need <= walk.Seconds() {
 			return at + seconds(need)
 		}
@@ -114,12 +114,12 @@
 	}
 }
 
-// arrivals sends every request at its time, whatever became of the ones before, until the run's time is over.
-func (l *Lab) arrivals() {
-	var h dues
+// runArrivals sends every request at its time, whatever became of the ones before, until the run's time is over.
+func (l *Lab) runArrivals() {
+	var h arrivalHeap
 	for _, a := range l.agents {
-		if at := l.gap(a, 0); at < l.Scenario.Duration.Duration() {
-			h = append(h, due{at, a})
+		if at := l.nextArrival(a, 0); at < l.Scenario.Duration.Duration() {
+			h = append(h, arrival{at, a})
 		}
 	}
 	heap.Init(&h)
@@ -136,13 +136,13 @@
 			}
 			continue
 		}
-		p := l.draw(d.agent, d.at)
+		p := l.newRequest(d.agent, d.at)
 		l.mu.Lock()
-		l.lateBy(l.now() - d.at)
-		d.agent.open++
+		l.recordLateness(l.now() - d.at)
+		d.agent.openRequests++
 		l.mu.Unlock()
-		l.running.Go(func() { l.play(p) })
-		if h[0].at = l.gap(d.agent, d.at); h[0].at >= l.Scenario.Duration.Duration() {
+		l.running.Go(func() { l.runRequest(p) })
+		if h[0].at = l.nextArrival(d.agent, d.at); h[0].at >= l.Scenario.Duration.Duration() {
 			heap.Pop(&h)
 		} else {
 			heap.Fix(&h, 0)
@@ -155,85 +155,85 @@
 	}
 }
 
-// draw makes an agent's next request.
-func (l *Lab) draw(a *agent, at time.Duration) *play {
-	r := a.draws
-	p := &play{agent: a, n: a.drawn, intended: at, draw: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.n, a.drawn))}
-	a.drawn++
-	p.first = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/0", a.n, p.n)))
-	if r.Float64() >= l.kinds[0].share {
-		p.class = 1
-	}
-	c := &l.kinds[p.class]
+// newRequest makes an agent's next request.
+func (l *Lab) newRequest(a *agent, at time.Duration) *clientRequest {
+	r := a.requestRandom
+	req := &clientRequest{agent: a, index: a.lastIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.lastIndex))}
+	a.lastIndex++
+	req.firstID = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/0", a.number, req.index)))
+	if r.Float64() >= l.classes[0].share {
+		req.class = 1
+	}
+	class := &l.classes[req.class]
 	usage := tenants[0].share * tenants[0].usage
 	if r.Float64()*(usage+tenants[1].share*tenants[1].usage) >= usage {
-		p.tenant = 1
-	}
-	p.work = time.Duration(rng.Lognormal(r, float64(c.work), c.cv))
-	p.sid = fmt.Sprintf("stop-%06d", a.keys.Draw(r))
-	p.key = l.rng.Hash("key/" + p.sid)
-	p.patience = time.Duration(l.Scenario.Load.TimeoutShare * float64(c.deadline))
-	p.honours = p.draw.Float64() < l.Scenario.Load.RetryAfterShare
-	if leaves := p.draw.Float64(); p.draw.Float64() < l.Scenario.Load.CancelShare {
-		p.leaves = time.Duration(leaves * float64(c.aim))
-	}
-	p.uri = "/" + c.name + "/v1"
-	if c.effect == check.IdempotencyKey {
-		p.idem = fmt.Sprintf("%016x%016x", l.rng.Hash("idem/"+p.first), p.key)
-	}
-	p.body = fmt.Appendf(nil, `{"stop":%q,"n":%d,"pad":"%0*d"}`, p.sid, p.n, 20+r.IntN(200), 0)
-	return p
+		req.tenant = 1
+	}
+	req.work = time.Duration(rng.Lognormal(r, float64(class.work), class.cv))
+	req.sid = fmt.Sprintf("stop-%06d", a.keys.Draw(r))
+	req.key = l.rng.Hash("key/" + req.sid)
+	req.timeout = time.Duration(l.Scenario.Load.TimeoutShare * float64(class.deadline))
+	req.honoursRetryAfter = req.random.Float64() < l.Scenario.Load.RetryAfterShare
+	if cancelDraw := req.random.Float64(); req.random.Float64() < l.Scenario.Load.CancelShare {
+		req.cancelsAfter = time.Duration(cancelDraw * float64(class.objective))
+	}
+	req.uri = "/" + class.name + "/v1"
+	if class.idempotency == check.IdempotencyKey {
+		req.idempotencyKey = fmt.Sprintf("%016x%016x", l.rng.Hash("idem/"+req.firstID), req.key)
+	}
+	req.body = fmt.Appendf(nil, `{"stop":%q,"n":%d,"pad":"%0*d"}`, req.sid, req.index, 20+r.IntN(200), 0)
+	return req
 }
 
-// inShare takes a request against its tenant's quota and reports whether it lies within. The lock is held.
-func (l *Lab) inShare(now time.Duration, tenant int) bool {
-	if l.quotas == nil {
-		l.quotas = make([]quota, len(tenants))
+// takeQuota takes a request against its tenant's quota and reports whether it lies within. The lock is held.
+func (l *Lab) takeQuota(now time.Duration, tenant int) bool {
+	if l.tenantQuotas == nil {
+		l.tenantQuotas = make([]tokenBucket, len(tenants))
 		for i, t := range tenants {
-			l.quotas[i] = quota{left: l.quota(t), rate: l.quota(t)}
+			l.tenantQuotas[i] = tokenBucket{tokens: l.quotaRate(t), rate: l.quotaRate(t)}
 		}
 	}
-	q := &l.quotas[tenant]
-	q.left = min(q.rate, q.left+q.rate*(now-q.at).Seconds())
-	q.at = max(q.at, now)
-	if q.left < 1 {
+	q := &l.tenantQuotas[tenant]
+	q.tokens = min(q.rate, q.tokens+q.rate*(now-q.refilledAt).Seconds())
+	q.refilledAt = max(q.refilledAt, now)
+	if q.tokens < 1 {
 		return false
 	}
-	q.left--
+	q.tokens--
 	return true
 }
 
-type quota struct {
-	left, rate float64
-	at         time.Duration
+type tokenBucket struct {
+	tokens, rate float64
+	refilledAt   time.Duration
 }
 
-// play sends one request, with the client's own tries, and counts how it ended.
-func (l *Lab) play(p *play) {
-	c := &l.kinds[p.class]
+// runRequest sends one request, with the client's own tries, and counts how it ended.
+func (l *Lab) runRequest(req *clientRequest) {
+	class := &l.classes[req.class]
 	l.mu.Lock()
-	p.worth = c.worth
-	if !l.inShare(p.intended, p.tenant) {
-		p.worth *= l.Scenario.Load.OverQuotaWeight
+	req.weight = class.weight
+	if !l.takeQuota(req.intendedAt, req.tenant) {
+		req.weight *= l.Scenario.Load.OverQuotaWeight
 	}
 	l.mu.Unlock()
-	const firstWait, secondWait = 28, 220 // ms, of a client that was told nothing
-	var end check.Answer
+	const minRetryWaitMs, maxRetryWaitMs = 28, 220 // ms, of a client that was told nothing
+	var answer check.Answer
 	for {
-		id := p.first
-		if p.tries > 0 {
-			id = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/%d", p.agent.n, p.n, p.tries)))
+		id := req.firstID
+		if req.attempts > 0 {
+			id = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/%d", req.agent.number, req.index, req.attempts)))
 		}
 		var wait time.Duration
-		end, wait = l.try(p, id)
-		p.tries++
-		if end != check.Rejected && end != check.Unreachable || p.tries > l.Scenario.Load.Retries || l.ctx.Err() != nil {
+		answer, wait = l.attemptRequest(req, id)
+		req.attempts++
+		if answer != check.Rejected && answer != check.Unreachable || req.attempts > l.Scenario.Load.Retries || l.ctx.Err() != nil {
 			break
 		}
-		if wait == 0 || !p.honours {
-			wait = time.Duration(rng.Between(p.draw, firstWait, secondWait)) * time.Millisecond
+		if wait == 0 || !req.honoursRetryAfter {
+			wait = time.Duration(rng.Between(req.random, minRetryWaitMs, maxRetryWaitMs)) * time.Millisecond
 		}
-		if l.now()+wait > p.intended+c.deadline {
+		if l.now()+wait > req.intendedAt+class.deadline {
 			break
 		}
 		time.Sleep(wait)
@@ -241,9 +241,9 @@
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.agent.open--
-	l.tally.CountOutcome(check.Outcome{IntendedAt: p.intended, FinishedAt: now, Answer: end, InObjective: end == check.Served && now <= p.intended+c.aim,
-		Weight: p.worth, Class: p.class, Tenant: p.tenant, Zone: p.agent.n % len(l.Scenario.Fleet.Zones), ClientAttempts: p.tries})
+	req.agent.openRequests--
+	l.tally.CountOutcome(check.Outcome{IntendedAt: req.intendedAt, FinishedAt: now, Answer: answer, InObjective: answer == check.Served && now <= req.intendedAt+class.objective,
+		Weight: req.weight, Class: req.class, Tenant: req.tenant, Zone: req.agent.number % len(l.Scenario.Fleet.Zones), ClientAttempts: req.attempts})
 }
 
 // clientConn is a client's connection to its agent.
@@ -253,94 +253,94 @@
 	used bool
 }
 
-// try sends a request once and returns how it ended, and how long the client is to stay away.
-func (l *Lab) try(p *play, id string) (check.Answer, time.Duration) {
-	a := p.agent
-	me, agent := party(netfault.Client, a.n), party(netfault.Agent, a.n)
+// attemptRequest sends a request once and returns how it ended, and how long the client is to stay away.
+func (l *Lab) attemptRequest(req *clientRequest, id string) (check.Answer, time.Duration) {
+	agent := req.agent
+	clientEnd, agentEnd := endpointOf(netfault.Client, agent.number), endpointOf(netfault.Agent, agent.number)
 	l.mu.Lock()
 	now := l.now()
-	l.check.Open(now, &check.Request{ID: id, FirstID: p.first, Attempt: p.tries, Agent: a.n, Class: p.class, SentAt: now, Timeout: p.patience,
-		Fingerprint: fingerprint(http.MethodPost, p.uri, p.idem, p.body)})
-	a.plays[id] = p
-	shut, refused := l.net.Unreachable(me, agent), l.net.Refused(me, agent)
-	var way time.Duration
-	if !shut {
-		way = l.net.Arrivals(me, agent, netfault.TCP, id)[0]
+	l.check.Open(now, &check.Request{ID: id, FirstID: req.firstID, Attempt: req.attempts, Agent: agent.number, Class: req.class, SentAt: now, Timeout: req.timeout,
+		Fingerprint: fingerprint(http.MethodPost, req.uri, req.idempotencyKey, req.body)})
+	agent.requests[id] = req
+	unreachable, refused := l.network.Unreachable(clientEnd, agentEnd), l.network.Refused(clientEnd, agentEnd)
+	var latency time.Duration
+	if !unreachable {
+		latency = l.network.Arrivals(clientEnd, agentEnd, netfault.TCP, id)[0]
 	}
 	l.mu.Unlock()
 	answer, wait := check.Unreachable, time.Duration(0)
-	if !shut && !refused {
-		if way > 0 {
-			time.Sleep(way)
+	if !unreachable && !refused {
+		if latency > 0 {
+			time.Sleep(latency)
 		}
-		answer, wait = l.exchange(p, id)
-	} else if shut {
+		answer, wait = l.exchange(req, id)
+	} else if unreachable {
 		time.Sleep(connectTimeout)
 	}
-	over := l.now()
+	finishedAt := l.now()
 	l.mu.Lock()
-	l.check.Finish(over, id, answer)
-	l.at(l.now()+check.Retention, func(time.Duration) { delete(a.plays, id) }) // a late attempt still has its work
+	l.check.Finish(finishedAt, id, answer)
+	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // a late attempt still has its work
 	l.mu.Unlock()
 	return answer, wait
 }
 
 // exchange is the request itself. One that crosses the agent's closing of an idle connection is sent once more.
-func (l *Lab) exchange(p *play, id string) (check.Answer, time.Duration) {
-	for again := false; ; again = true {
-		c, err := p.agent.connect(again)
+func (l *Lab) exchange(req *clientRequest, id string) (check.Answer, time.Duration) {
+	for fresh := false; ; fresh = true {
+		c, err := req.agent.getConn(fresh)
 		if err != nil {
 			return check.Unreachable, 0
 		}
 		used := c.used
-		answer, wait, keep := l.on(c, p, id)
-		if keep {
-			p.agent.keep(c)
+		answer, wait, reusable := l.sendAndReceive(c, req, id)
+		if reusable {
+			req.agent.putIdle(c)
 		} else {
 			c.Close()
 		}
-		if answer == check.ClosedNew && used && !l.wasRead(id) {
+		if answer == check.ClosedNew && used && !l.reachedBackend(id) {
 			continue // the agent closed it between requests
 		}
-		if answer == check.ClosedNew && l.wasRead(id) {
+		if answer == check.ClosedNew && l.reachedBackend(id) {
 			answer = check.Closed // it has read the request, and owes an answer
 		}
 		return answer, wait
 	}
 }
 
-// wasRead reports whether the agent has read a request: it has sent it on.
-func (l *Lab) wasRead(id string) bool {
+// reachedBackend reports whether the agent has read a request: it has sent it on.
+func (l *Lab) reachedBackend(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.check.Attempts(id) > 0
 }
 
-var writers = sync.Pool{New: func() any { return new([]byte) }}
+var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// on writes the request on a connection and reads the answer.
-func (l *Lab) on(c *clientConn, p *play, id string) (answer check.Answer, wait time.Duration, keep bool) {
-	buf := writers.Get().(*[]byte)
-	defer writers.Put(buf)
+// sendAndReceive writes the request on a connection and reads the answer.
+func (l *Lab) sendAndReceive(c *clientConn, req *clientRequest, id string) (answer check.Answer, wait time.Duration, reusable bool) {
+	buf := requestBuffers.Get().(*[]byte)
+	defer requestBuffers.Put(buf)
 	b := append((*buf)[:0], "POST "...)
-	b = append(b, p.uri...)
+	b = append(b, req.uri...)
 	b = fmt.Appendf(b, " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Customer: %s\r\nCookie: sid=%s\r\nX-Expires-In: %.3f\r\n",
-		id, tenants[p.tenant].name, p.sid, p.patience.Seconds())
-	if p.idem != "" {
-		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", p.idem)
+		id, tenants[req.tenant].name, req.sid, req.timeout.Seconds())
+	if req.idempotencyKey != "" {
+		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", req.idempotencyKey)
 	}
-	if p.tries > 0 {
+	if req.attempts > 0 {
 		b = append(b, "X-Second-Try: 1\r\n"...)
 	}
-	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(p.body))
-	b = append(b, p.body...)
+	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(req.body))
+	b = append(b, req.body...)
 	*buf = b
-	patience := p.patience + answerSlack + 2*socketSlack
-	leaves := p.leaves > 0 && p.leaves < patience
-	if leaves {
-		patience = p.leaves
+	timeout := req.timeout + answerGrace + 2*socketSlack
+	cancels := req.cancelsAfter > 0 && req.cancelsAfter < timeout
+	if cancels {
+		timeout = req.cancelsAfter
 	}
-	_ = c.SetDeadline(time.Now().Add(patience)) // a closed connection shows in the write
+	_ = c.SetDeadline(time.Now().Add(timeout)) // a closed connection shows in the write
 	if _, err := c.Write(b); err != nil {
 		return check.ClosedNew, 0, false // not taken whole
 	}
@@ -351,44 +351,44 @@
 	c.used = true
 	_, err := c.read.Peek(1)
 	if err != nil {
-		return ended(err, leaves, check.ClosedNew), 0, false
+		return readErrorAnswer(err, cancels, check.ClosedNew), 0, false
 	}
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
-		return ended(err, leaves, check.Closed), 0, false
+		return readErrorAnswer(err, cancels, check.Closed), 0, false
 	}
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if err != nil {
-		return ended(err, leaves, check.Closed), 0, false
+		return readErrorAnswer(err, cancels, check.Closed), 0, false
 	}
-	keep = !resp.Close
+	reusable = !resp.Close
 	switch resp.StatusCode {
 	case http.StatusOK:
-		if !madeFor(string(body), id) {
-			return check.Foreign, 0, keep
+		if !isServedBody(string(body), id) {
+			return check.Foreign, 0, reusable
 		}
-		return check.Served, 0, keep
+		return check.Served, 0, reusable
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent: no advice
-		return check.Rejected, seconds(s), keep
+		return check.Rejected, seconds(s), reusable
 	}
-	return check.Failed, 0, keep
+	return check.Failed, 0, reusable
 }
 
-// ended says what an error in reading an answer means.
-func ended(err error, leaves bool, closed check.Answer) check.Answer {
+// readErrorAnswer says what an error in reading an answer means.
+func readErrorAnswer(err error, cancels bool, closed check.Answer) check.Answer {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return closed
-	case leaves:
+	case cancels:
 		return check.Disconnected
 	}
 	return check.Unanswered
 }
 
-// connect returns a connection that is idle, or a new one; fresh: a new one.
-func (a *agent) connect(fresh bool) (*clientConn, error) {
+// getConn returns a connection that is idle, or a new one; fresh: a new one.
+func (a *agent) getConn(fresh bool) (*clientConn, error) {
 	a.mu.Lock()
 	if a.closed { // another lab's agent may be there by now
 		a.mu.Unlock()
@@ -401,15 +401,15 @@
 		return c, nil
 	}
 	a.mu.Unlock()
-	c, err := net.DialTimeout("tcp4", a.listen, connectTimeout)
+	c, err := net.DialTimeout("tcp4", a.listenAddr, connectTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{Conn: c, read: bufio.NewReader(c)}, nil
 }
 
-// keep keeps a connection for the next request.
-func (a *agent) keep(c *clientConn) {
+// putIdle keeps a connection for the next request.
+func (a *agent) putIdle(c *clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -21,18 +21,18 @@
 	{"refused", func(r *Report) float64 { return r.Refused }, false},
 	{"failed", func(r *Report) float64 { return r.Failed }, false},
 	{"attempts_per_request", func(r *Report) float64 { return r.Attempts }, false},
-	{"left_after_s", leftFigure, false},
+	{"left_after_s", avoidedAfterFigure, false},
 	{"cross_zone_share", func(r *Report) float64 { return r.CrossZone }, false},
-	{"recovered_after_s", recoveredFigure, false},
+	{"recovered_after_s", recoveryFigure, false},
 	{"connections_worst_s", func(r *Report) float64 { return float64(r.Dials) }, false},
-	{"list_calls_per_start", listFigure, false},
+	{"list_calls_per_start", listCallsFigure, false},
 	{"latency_p50_ms", func(r *Report) float64 { return r.Latency.P50 }, false},
 	{"latency_p99_ms", func(r *Report) float64 { return r.Latency.P99 }, false},
 }
 
-// leftFigure is the time until zones out of reach were left, in seconds: 0 where none was, all of the run where they
+// avoidedAfterFigure is the time until zones out of reach were left, in seconds: 0 where none was, all of the run where they
 // never were.
-func leftFigure(r *Report) float64 {
+func avoidedAfterFigure(r *Report) float64 {
 	switch {
 	case r.LeftAfter == nil:
 		return 0
@@ -42,8 +42,8 @@
 	return *r.LeftAfter
 }
 
-// recoveredFigure is the time until service was back, in seconds: 0 where it never fell, all of the run where it stayed away.
-func recoveredFigure(r *Report) float64 {
+// recoveryFigure is the time until service was back, in seconds: 0 where it never fell, all of the run where it stayed away.
+func recoveryFigure(r *Report) float64 {
 	switch {
 	case r.Recovered == nil:
 		return 0
@@ -53,8 +53,8 @@
 	return *r.Recovered
 }
 
-// listFigure is how often the list service was called for each start of an agent.
-func listFigure(r *Report) float64 {
+// listCallsFigure is how often the list service was called for each start of an agent.
+func listCallsFigure(r *Report) float64 {
 	if r.Lists == nil {
 		return 0
 	}
@@ -128,12 +128,12 @@
 	}
 	r := rng.New(1).Stream("bootstrap")
 	means := make([]float64, resamples)
-	again := make([]float64, len(list))
+	sample := make([]float64, len(list))
 	for i := range means {
-		for k := range again {
-			again[k] = list[r.IntN(len(list))]
+		for k := range sample {
+			sample[k] = list[r.IntN(len(list))]
 		}
-		means[i] = mean(again)
+		means[i] = mean(sample)
 	}
 	slices.Sort(means)
 	return means[resamples*25/1000], means[resamples*975/1000]
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -16,14 +16,14 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// members is a list of backends as discovery writes it.
-type members struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []member `json:"servers"`
+// endpointList is a list of backends as discovery writes it.
+type endpointList struct {
+	Version int64      `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []endpoint `json:"servers"`
 }
 
-type member struct {
+type endpoint struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -34,181 +34,181 @@
 	Started int64   `json:"started_ms"`
 }
 
-// change is one thing that discovery has learned.
-type change struct {
-	host    *host
-	state   string
-	started time.Duration // negative: long ago
-	learned time.Duration
+// endpointChange is one thing that discovery has learned.
+type endpointChange struct {
+	host      *host
+	state     string
+	started   time.Duration // negative: long ago
+	learnedAt time.Duration
 }
 
-// discovery is a stand-in for the platform's: it learns late, and each agent's copy hears a little later.
-type discovery struct {
-	lab     *Lab
-	servers []*http.Server
-	gates   []*gate
-	changes []change // version v is changes[v-base-1]
-	base    int64
-	silent  bool
-	away    bool
-	upset   time.Duration // when it was last not itself
-	epoch   int           // counts restarts
-	lists   lists
-	changed chan struct{} // closed at each change
+// fakeDiscovery is a stand-in for the platform's: it learns late, and each agent's copy hears a little later.
+type fakeDiscovery struct {
+	lab            *Lab
+	servers        []*http.Server
+	gates          []*gate
+	changes        []endpointChange // version v is changes[v-base-1]
+	baseVersion    int64
+	silent         bool
+	unavailable    bool
+	disruptedUntil time.Duration // when it was last not itself
+	epoch          int           // counts restarts
+	listService    listServiceQueue
+	changed        chan struct{} // closed at each change
 }
 
 const (
-	firstVersion = 41
-	emptyEvery   = 2 * time.Second
+	firstVersion      = 41
+	heartbeatInterval = 2 * time.Second
 )
 
-func newDiscovery(l *Lab) (*discovery, error) {
-	d := &discovery{lab: l, base: firstVersion, changed: make(chan struct{}), upset: -1}
+func newDiscovery(l *Lab) (*fakeDiscovery, error) {
+	d := &fakeDiscovery{lab: l, baseVersion: firstVersion, changed: make(chan struct{}), disruptedUntil: -1}
 	for _, h := range l.hosts {
-		d.changes = append(d.changes, change{host: h, state: "ready", started: h.m.StartedAt, learned: -time.Hour})
+		d.changes = append(d.changes, endpointChange{host: h, state: "ready", started: h.machine.StartedAt, learnedAt: -time.Hour})
 	}
 	for n := range l.agents {
-		if err := d.open(l.block.world(n), party(netfault.Agent, n), n); err != nil {
+		if err := d.listen(l.block.linkAddr(n), endpointOf(netfault.Agent, n), n); err != nil {
 			return nil, err
 		}
 	}
 	for n := range l.hubs {
-		if err := d.open(l.block.hubLink(n), party(netfault.Hub, n), len(l.agents)+n); err != nil {
+		if err := d.listen(l.block.hubLinkAddr(n), endpointOf(netfault.Hub, n), len(l.agents)+n); err != nil {
 			return nil, err
 		}
 	}
 	return d, nil
 }
 
-// open opens the copy of a caller, which has a number among all of them.
-func (d *discovery) open(ip string, caller netfault.Endpoint, n int) error {
+// listen opens the copy of a caller, which has a number among all of them.
+func (d *fakeDiscovery) listen(ip string, caller netfault.Endpoint, n int) error {
 	g, err := newGate(ip, func(c net.Conn) net.Conn { return c })
 	if err != nil {
 		return err
 	}
 	s := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.serve(w, r, caller, n)
+		d.serveList(w, r, caller, n)
 	})}
 	d.gates, d.servers = append(d.gates, g), append(d.servers, s)
 	d.lab.running.Go(func() { _ = s.Serve(g) }) // ends with close
 	return nil
 }
 
-// move has an agent's copy answer at another address from now on. The old one takes no new connection, and closes its open
+// moveAgent has an agent's copy answer at another address from now on. The old one takes no new connection, and closes its open
 // ones after a while. The lab's lock is held.
-func (d *discovery) move(n int, now time.Duration) error {
+func (d *fakeDiscovery) moveAgent(n int, now time.Duration) error {
 	gate, server := d.gates[n], d.servers[n]
-	if err := d.open(d.lab.block.world(n), party(netfault.Agent, n), n); err != nil {
+	if err := d.listen(d.lab.block.linkAddr(n), endpointOf(netfault.Agent, n), n); err != nil {
 		return err
 	}
 	last := len(d.gates) - 1
 	d.gates[n], d.servers[n] = d.gates[last], d.servers[last]
 	d.gates[last], d.servers[last] = gate, server // closed with the lab in any case
 	d.lab.running.Go(func() { gate.Close() })
-	d.lab.at(now+oldAddressKept, func(time.Duration) { d.lab.running.Go(func() { server.Close() }) })
+	d.lab.scheduleAt(now+oldAddressGrace, func(time.Duration) { d.lab.running.Go(func() { server.Close() }) })
 	return nil
 }
 
 const (
-	oldAddressKept  = 1500 * time.Millisecond
-	toldAfterReload = 4 * time.Second // what the new address has to tell counts as told by then
-	reloadSpared    = time.Second     // of a process's life, without a SIGHUP
+	oldAddressGrace = 1500 * time.Millisecond
+	reloadDeadline  = 4 * time.Second // what the new address has to tell counts as told by then
+	minReloadAge    = time.Second     // of a process's life, without a SIGHUP
 )
 
-// toldBy counts as told what a copy had at a time, but for what has changed since.
-func (d *discovery) toldBy(n int, upTo int64, now time.Duration) {
+// notifyAfterReload counts as told what a copy had at a time, but for what has changed since.
+func (d *fakeDiscovery) notifyAfterReload(n int, upTo int64, now time.Duration) {
 	latest := map[*host]int{}
 	for i, c := range d.changes {
 		latest[c.host] = i
 	}
-	for i, c := range d.changes[:min(int(upTo-d.base), len(d.changes))] {
+	for i, c := range d.changes[:min(int(upTo-d.baseVersion), len(d.changes))] {
 		if latest[c.host] == i {
-			d.lab.check.Notify(now, n, c.host.m.ID, c.state != "ready", c.started)
+			d.lab.check.Notify(now, n, c.host.machine.ID, c.state != "ready", c.started)
 		}
 	}
 }
 
-func (d *discovery) addr(caller int) string { return d.gates[caller].Addr().String() }
+func (d *fakeDiscovery) addr(caller int) string { return d.gates[caller].Addr().String() }
 
-func (d *discovery) close() {
+func (d *fakeDiscovery) close() {
 	for i := range d.servers {
 		d.gates[i].Close()
 		d.servers[i].Close()
 	}
 }
 
-func party(role netfault.Role, n int) netfault.Endpoint {
+func endpointOf(role netfault.Role, n int) netfault.Endpoint {
 	return netfault.Endpoint{Role: role, Number: n}
 }
 
 // learn has discovery learn of a change after its time. The lab's lock is held.
-func (d *discovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
+func (d *fakeDiscovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
 	l := d.lab
-	l.seq++
-	r := l.rng.Of("notice/"+h.m.ID, int(l.seq))
-	started := h.m.StartedAt
-	h.changed = l.seq
-	seq := l.seq
-	l.at(now+seconds(late[0]+(late[1]-late[0])*r.Float64()), func(t time.Duration) {
-		if h.changed != seq {
+	l.lastSeq++
+	r := l.rng.Of("notice/"+h.machine.ID, int(l.lastSeq))
+	started := h.machine.StartedAt
+	h.lastChange = l.lastSeq
+	seq := l.lastSeq
+	l.scheduleAt(now+seconds(late[0]+(late[1]-late[0])*r.Float64()), func(t time.Duration) {
+		if h.lastChange != seq {
 			return // a machine that fell silent and came back before this was known: there is nothing left to tell
 		}
-		d.changes = append(d.changes, change{host: h, state: state, started: started, learned: t})
-		d.stir()
-		l.at(now+toldWithin, func(t time.Duration) {
-			if h.changed == seq {
-				d.toldAnyway(now, h, state, started)
+		d.changes = append(d.changes, endpointChange{host: h, state: state, started: started, learnedAt: t})
+		d.wakeWatches()
+		l.scheduleAt(now+propagationDeadline, func(t time.Duration) {
+			if h.lastChange == seq {
+				d.notifyAtDeadline(now, h, state, started)
 			}
 		})
 	})
 }
 
-// toldAnyway counts a change as told once the time is over in which it should have been, where nothing was in
+// notifyAtDeadline counts a change as told once the time is over in which it should have been, where nothing was in
 // the way.
-func (d *discovery) toldAnyway(happened time.Duration, h *host, state string, started time.Duration) {
-	if d.upset >= happened {
+func (d *fakeDiscovery) notifyAtDeadline(happened time.Duration, h *host, state string, started time.Duration) {
+	if d.disruptedUntil >= happened {
 		return
 	}
 	for _, a := range d.lab.agents {
-		if a.up && a.since <= happened {
-			d.lab.check.Notify(d.lab.now(), a.n, h.m.ID, state != "ready", started)
+		if a.up && a.readyAt <= happened {
+			d.lab.check.Notify(d.lab.now(), a.number, h.machine.ID, state != "ready", started)
 		}
 	}
 }
 
-// stir wakes those who wait for a change. The lab's lock is held.
-func (d *discovery) stir() {
+// wakeWatches wakes those who wait for a change. The lab's lock is held.
+func (d *fakeDiscovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// spread is how much later a caller's copy hears.
-func (d *discovery) spread(caller int) time.Duration {
+// propagationDelay is how much later a caller's copy hears.
+func (d *fakeDiscovery) propagationDelay(caller int) time.Duration {
 	r := d.lab.rng.Of("spread", caller)
 	return time.Duration((16 + 80*r.Float64()) * float64(time.Millisecond))
 }
 
 // visible is the version that a caller's copy has by now, and when it will have the next; negative: none is due.
-func (d *discovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
-	spread := d.spread(caller)
+func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
+	spread := d.propagationDelay(caller)
 	for i, c := range d.changes {
-		if c.learned+spread > now {
-			return d.base + int64(i), c.learned + spread
+		if c.learnedAt+spread > now {
+			return d.baseVersion + int64(i), c.learnedAt + spread
 		}
 	}
-	return d.base + int64(len(d.changes)), -1
+	return d.baseVersion + int64(len(d.changes)), -1
 }
 
 // list is what holds between two versions: everything, if full.
-func (d *discovery) list(caller int, from, to int64, full bool) members {
-	m := members{Version: to, Full: full, Servers: []member{}}
+func (d *fakeDiscovery) list(caller int, from, to int64, full bool) endpointList {
+	m := endpointList{Version: to, Full: full, Servers: []endpoint{}}
 	at := map[string]int{}
-	for _, c := range d.changes[from-d.base : to-d.base] {
-		spec := &c.host.m.Spec
-		s := member{ID: spec.ID, Addr: c.host.addr(caller), Zone: d.lab.Scenario.Fleet.Zones[spec.Zone],
+	for _, c := range d.changes[from-d.baseVersion : to-d.baseVersion] {
+		spec := &c.host.machine.Spec
+		s := endpoint{ID: spec.ID, Addr: c.host.addr(caller), Zone: d.lab.Scenario.Fleet.Zones[spec.Zone],
 			Kind: machineKinds[spec.Kind].name, Cell: spec.Cell, State: c.state, Weight: spec.Weight}
 		if c.started >= 0 {
-			s.Started = d.lab.wall(c.started).UnixMilli()
+			s.Started = d.lab.wallTime(c.started).UnixMilli()
 		}
 		if i, known := at[s.ID]; known {
 			m.Servers[i] = s
@@ -218,7 +218,7 @@
 		}
 	}
 	if full {
-		m.Servers = slices.DeleteFunc(m.Servers, func(s member) bool { return s.State == "gone" })
+		m.Servers = slices.DeleteFunc(m.Servers, func(s endpoint) bool { return s.State == "gone" })
 	}
 	return m
 }
@@ -232,44 +232,44 @@
 	return h.gates[agent].Addr().String()
 }
 
-// known is the whole list as an agent's copy has it, and counts it as told. The lab's lock is held.
-func (d *discovery) known(a *agent, now time.Duration) members {
-	v, _ := d.visible(a.n, now)
+// cachedList is the whole list as an agent's copy has it, and counts it as told. The lab's lock is held.
+func (d *fakeDiscovery) cachedList(a *agent, now time.Duration) endpointList {
+	v, _ := d.visible(a.number, now)
 	switch d.lab.Scenario.Discovery.CachedList {
 	case "none":
-		return members{Servers: []member{}}
+		return endpointList{Servers: []endpoint{}}
 	case "first": // it is old: nothing later is told by it
-		v = d.base
+		v = d.baseVersion
 		for _, c := range d.changes {
-			if c.learned < 0 {
+			if c.learnedAt < 0 {
 				v++
 			}
 		}
 	}
-	m := d.list(a.n, d.base, v, true)
-	d.tell(a.n, d.base, v, now)
+	m := d.list(a.number, d.baseVersion, v, true)
+	d.notify(a.number, d.baseVersion, v, now)
 	return m
 }
 
-// tell tells the checker what is written to an agent; a hub has nothing to send to backends.
-func (d *discovery) tell(caller int, from, to int64, now time.Duration) {
-	if caller >= len(d.lab.agents) {
+// notify tells the checker what is written to an agent; a hub has nothing to send to backends.
+func (d *fakeDiscovery) notify(n int, from, to int64, now time.Duration) {
+	if n >= len(d.lab.agents) {
 		return
 	}
-	for _, c := range d.changes[from-d.base : to-d.base] {
-		d.lab.check.Notify(now, caller, c.host.m.ID, c.state != "ready", c.started)
+	for _, c := range d.changes[from-d.baseVersion : to-d.baseVersion] {
+		d.lab.check.Notify(now, n, c.host.machine.ID, c.state != "ready", c.started)
 	}
 }
 
-// serve answers one caller's call.
-func (d *discovery) serve(w http.ResponseWriter, r *http.Request, caller netfault.Endpoint, n int) {
+// serveList answers one caller's call.
+func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request, caller netfault.Endpoint, n int) {
 	l := d.lab
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
 		return
 	}
 	l.mu.Lock()
-	away := d.away
+	away := d.unavailable
 	l.mu.Unlock()
 	if away {
 		http.Error(w, "overbooked", http.StatusServiceUnavailable)
@@ -280,25 +280,25 @@
 	if !follow {
 		since = 0
 	}
-	if !d.turn(w, r, since == 0) {
+	if !d.awaitTurn(w, r, since == 0) {
 		return
 	}
 	epoch := -1
 	for {
 		l.mu.Lock()
 		now := l.now()
-		mute := d.silent || l.net.Fault(party(netfault.Discovery, n), caller, netfault.TCP).Cut
-		if epoch == -1 && !mute {
+		silent := d.silent || l.network.Fault(endpointOf(netfault.Discovery, n), caller, netfault.TCP).Cut
+		if epoch == -1 && !silent {
 			epoch = d.epoch
 		}
 		ended := epoch != -1 && epoch != d.epoch || l.closing
 		v, next := d.visible(n, now)
 		var line []byte
-		if !mute && !ended && (v != since || since == 0) {
-			full := since < d.base || since > v
+		if !silent && !ended && (v != since || since == 0) {
+			full := since < d.baseVersion || since > v
 			from := since
 			if full {
-				from = d.base
+				from = d.baseVersion
 			}
 			line, _ = json.Marshal(d.list(n, from, v, full)) // it holds nothing that can't be written
 			if l.Scenario.Discovery.Indented {
@@ -306,8 +306,8 @@
 				_ = json.Indent(&text, line, " ", "\t") // it is what was just written
 				line = text.Bytes()
 			}
-			d.lists.bytes += len(line)
-			d.tell(n, from, v, now)
+			d.listService.bytes += len(line)
+			d.notify(n, from, v, now)
 			since = v
 		}
 		changed := d.changed
@@ -320,10 +320,10 @@
 				return
 			}
 		}
-		if !follow && !mute {
+		if !follow && !silent {
 			return
 		}
-		if !mute {
+		if !silent {
 			if line == nil {
 				if _, err := io.WriteString(w, "\n"); err != nil {
 					return
@@ -333,18 +333,18 @@
 				return
 			}
 		}
-		wait := emptyEvery
+		wait := heartbeatInterval
 		if next >= 0 {
 			wait = min(wait, max(time.Millisecond, next-now))
 		}
-		if !pause(r.Context(), wait, changed) {
+		if !waitFor(r.Context(), wait, changed) {
 			return
 		}
 	}
 }
 
-// pause waits for a time or a change, and reports false once ctx has ended.
-func pause(ctx context.Context, d time.Duration, changed <-chan struct{}) bool {
+// waitFor waits for a time or a change, and reports false once ctx has ended.
+func waitFor(ctx context.Context, d time.Duration, changed <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -357,10 +357,10 @@
 }
 
 // rewind starts discovery again from an old version: what came later it learns once more. The lab's lock is held.
-func (d *discovery) rewind(now time.Duration) {
+func (d *fakeDiscovery) rewind(now time.Duration) {
 	first := len(d.lab.hosts)
 	for i, c := range d.changes {
-		if c.learned >= 0 {
+		if c.learnedAt >= 0 {
 			first = i
 			break
 		}
@@ -370,11 +370,11 @@
 	}
 	later := slices.Clone(d.changes[first:])
 	d.changes = d.changes[:first]
-	d.base -= 10 // it counts anew from below
+	d.baseVersion -= 10 // it counts anew from below
 	d.epoch++
-	d.upset = now
+	d.disruptedUntil = now
 	for _, c := range later {
 		d.learn(now, c.host, c.state, d.lab.Scenario.Discovery.AddDelaySeconds)
 	}
-	d.stir()
+	d.wakeWatches()
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -12,43 +12,43 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// schedule puts the scenario's faults on the agenda. The lock is held.
-func (l *Lab) schedule() {
+// scheduleFaults puts the scenario's faults on the agenda. The lock is held.
+func (l *Lab) scheduleFaults() {
 	for i := range l.Scenario.Faults {
 		f := &l.Scenario.Faults[i]
 		var play func(now time.Duration)
 		play = func(now time.Duration) {
-			l.begin(i, f, now)
+			l.beginFault(i, f, now)
 			if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
-				l.at(now+again, play)
+				l.scheduleAt(now+again, play)
 			}
 		}
-		l.at(f.At.Duration(), play)
+		l.scheduleAt(f.At.Duration(), play)
 	}
 }
 
-// until puts a fault's end on the agenda; one without a span lasts to the end. The lock is held.
-func (l *Lab) until(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
+// scheduleEnd puts a fault's end on the agenda; one without a span lasts to the end. The lock is held.
+func (l *Lab) scheduleEnd(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
 	if f.Duration > 0 {
-		l.at(now+f.Duration.Duration(), end)
+		l.scheduleAt(now+f.Duration.Duration(), end)
 	}
 }
 
-// pick is the part of a set that a fault falls on: of n parties, by the fault's own draws.
-func (l *Lab) pick(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
+// pickFrom is the part of a set that a fault falls on: of n parties, by the fault's own draws.
+func (l *Lab) pickFrom(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
 	for i := range n {
 		if set.Contains(i, zone(i)) {
 			list = append(list, i)
 		}
 	}
 	if set.Share < 1 {
-		most := int(math.Round(set.Share * float64(len(list))))
+		count := int(math.Round(set.Share * float64(len(list))))
 		if set.Share > 0 {
-			most = max(1, most)
+			count = max(1, count)
 		}
 		r := l.rng.Stream(fmt.Sprintf("fault/%d/%s", fault, set.Kind))
 		r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		list = list[:min(most, len(list))]
+		list = list[:min(count, len(list))]
 		slices.Sort(list)
 	}
 	return list
@@ -56,7 +56,7 @@
 
 func (l *Lab) pickAgents(fault int, text string) (list []*agent) {
 	set, _ := scenario.ParseSet(text) // checked with the scenario
-	for _, n := range l.pick(fault, set, len(l.agents), func(n int) int { return l.zone(party(netfault.Agent, n)) }) {
+	for _, n := range l.pickFrom(fault, set, len(l.agents), func(n int) int { return l.zone(endpointOf(netfault.Agent, n)) }) {
 		list = append(list, l.agents[n])
 	}
 	return list
@@ -65,7 +65,7 @@
 // pickHubs picks among the hubs.
 func (l *Lab) pickHubs(fault int, text string) (list []*hub) {
 	set, _ := scenario.ParseSet(text) // checked with the scenario
-	for _, n := range l.pick(fault, set, len(l.hubs), func(n int) int { return l.zone(party(netfault.Hub, n)) }) {
+	for _, n := range l.pickFrom(fault, set, len(l.hubs), func(n int) int { return l.zone(endpointOf(netfault.Hub, n)) }) {
 		list = append(list, l.hubs[n])
 	}
 	return list
@@ -90,132 +90,132 @@
 	set, _ := scenario.ParseSet(text)
 	var use []*host
 	for _, h := range l.hosts {
-		if !h.down && h.m.State == model.Up {
+		if !h.ended && h.machine.State == model.Up {
 			use = append(use, h)
 		}
 	}
-	for _, n := range l.pick(fault, set, len(use), func(n int) int { return use[n].m.Zone }) {
+	for _, n := range l.pickFrom(fault, set, len(use), func(n int) int { return use[n].machine.Zone }) {
 		list = append(list, use[n])
 	}
 	return list
 }
 
-// begin lets a fault begin. The lock is held.
-func (l *Lab) begin(i int, f *scenario.Fault, now time.Duration) {
-	label := f.Kind
-	if f.Targets != "" {
-		label += " " + f.Targets
-	}
-	if f.Duration > 0 || f.Kind == scenario.Link || f.Kind == scenario.FailingBackends || f.Kind == scenario.NoisyNeighbour {
-		l.faults = append(l.faults, label)
-		l.until(f, now, func(time.Duration) {
-			if n := slices.Index(l.faults, label); n >= 0 {
-				l.faults = slices.Delete(l.faults, n, n+1)
+// beginFault lets a fault begin. The lock is held.
+func (l *Lab) beginFault(index int, fault *scenario.Fault, now time.Duration) {
+	label := fault.Kind
+	if fault.Targets != "" {
+		label += " " + fault.Targets
+	}
+	if fault.Duration > 0 || fault.Kind == scenario.Link || fault.Kind == scenario.FailingBackends || fault.Kind == scenario.NoisyNeighbour {
+		l.activeFaults = append(l.activeFaults, label)
+		l.scheduleEnd(fault, now, func(time.Duration) {
+			if n := slices.Index(l.activeFaults, label); n >= 0 {
+				l.activeFaults = slices.Delete(l.activeFaults, n, n+1)
 			}
 		})
 	}
-	l.watchShut(f, now)
-	switch f.Kind {
+	l.watchOpenings(fault, now)
+	switch fault.Kind {
 	case scenario.Link:
-		l.linkFault(i, f, now)
+		l.applyLinkFault(index, fault, now)
 	case scenario.ZoneCut, scenario.ZoneReceiveCut:
-		l.border(f, now)
+		l.partitionZone(fault, now)
 	case scenario.ZoneLost:
-		l.zoneLost(f, now)
+		l.loseZone(fault, now)
 	case scenario.Kill, scenario.Terminate, scenario.Pause:
-		l.processes(i, f, now)
+		l.applyProcessFault(index, fault, now)
 	case scenario.Reload:
-		l.reload(i, f, now)
+		l.applyReload(index, fault, now)
 	case scenario.WallClock, scenario.SyscallFailure:
-		l.inject(i, f, now)
+		l.applyInjection(index, fault, now)
 	case scenario.IdleClients:
-		l.crowd(i, f, now)
+		l.openIdleClients(index, fault, now)
 	case scenario.Replace, scenario.Drain:
-		l.inSteps(f, now, l.pickHosts(i, f.Targets), func(h *host, now time.Duration) { l.drain(h, now, f.Kind == scenario.Replace) })
+		l.applyInSteps(fault, now, l.pickHosts(index, fault.Targets), func(h *host, now time.Duration) { l.drainHost(h, now, fault.Kind == scenario.Replace) })
 	case scenario.FailingBackends:
-		l.trouble(l.pickHosts(i, f.Targets), f, now, f.Size, 0)
+		l.setBackendFault(l.pickHosts(index, fault.Targets), fault, now, fault.Size, 0)
 	case scenario.SlowBackends:
-		l.trouble(l.pickHosts(i, f.Targets), f, now, 0, f.Size)
+		l.setBackendFault(l.pickHosts(index, fault.Targets), fault, now, 0, fault.Size)
 	case scenario.NoisyNeighbour:
-		l.neighbour(i, f, now)
+		l.runNoisyNeighbour(index, fault, now)
 	case scenario.PowerLoss:
-		l.power(i, f, now)
+		l.failZonePower(index, fault, now)
 	case scenario.Policy:
-		l.givePolicy(i, f, now)
+		l.applyPolicyFault(index, fault, now)
 	case scenario.Settings:
-		l.giveSettings(i, f, now)
+		l.applySettingsFault(index, fault, now)
 	case scenario.DiscoverySilent:
-		l.disc.silent, l.disc.upset = true, time.Hour
-		l.until(f, now, func(now time.Duration) {
-			l.disc.silent, l.disc.upset = false, now
-			l.disc.stir()
+		l.discovery.silent, l.discovery.disruptedUntil = true, time.Hour
+		l.scheduleEnd(fault, now, func(now time.Duration) {
+			l.discovery.silent, l.discovery.disruptedUntil = false, now
+			l.discovery.wakeWatches()
 		})
 	case scenario.DiscoveryDown:
-		l.disc.away, l.disc.upset = true, time.Hour
-		l.until(f, now, func(now time.Duration) { l.disc.away, l.disc.upset = false, now })
+		l.discovery.unavailable, l.discovery.disruptedUntil = true, time.Hour
+		l.scheduleEnd(fault, now, func(now time.Duration) { l.discovery.unavailable, l.discovery.disruptedUntil = false, now })
 	case scenario.DiscoveryRewind:
-		l.disc.rewind(now)
+		l.discovery.rewind(now)
 	}
 }
 
-// inSteps does something to each of a list, in equal parts over the fault's span. The lock is held.
-func (l *Lab) inSteps(f *scenario.Fault, now time.Duration, list []*host, do func(h *host, now time.Duration)) {
+// applyInSteps does something to each of a list, in equal parts over the fault's span. The lock is held.
+func (l *Lab) applyInSteps(f *scenario.Fault, now time.Duration, list []*host, do func(h *host, now time.Duration)) {
 	for k, h := range list {
-		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) { do(h, now) })
+		l.scheduleAt(now+stepDelay(f, k, len(list)), func(now time.Duration) { do(h, now) })
 	}
 }
 
-// stepOf is when in its span a fault falls on the k-th of n.
-func stepOf(f *scenario.Fault, k, n int) time.Duration {
+// stepDelay is when in its span a fault falls on the k-th of n.
+func stepDelay(f *scenario.Fault, k, n int) time.Duration {
 	if f.Steps <= 1 {
 		return 0
 	}
 	return f.Duration.Duration() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
 }
 
-// rules puts rules on the network, and takes them off after the fault's span. The lock is held.
-func (l *Lab) rules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
+// addNetworkRules puts rules on the network, and takes them off after the fault's span. The lock is held.
+func (l *Lab) addNetworkRules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
-		numbers = append(numbers, l.net.Add(r))
+		numbers = append(numbers, l.network.Add(r))
 	}
-	l.gates()
-	l.changed = append(l.changed, now)
+	l.updateGates()
+	l.networkChanges = append(l.networkChanges, now)
 	end := now + f.Duration.Duration()
 	if f.Duration == 0 {
 		end = time.Hour
 	}
 	for _, a := range l.agents {
-		me, it := party(netfault.Client, a.n), party(netfault.Agent, a.n)
-		for _, d := range []netfault.Fault{l.net.Fault(me, it, netfault.TCP), l.net.Fault(it, me, netfault.TCP)} {
+		me, it := endpointOf(netfault.Client, a.number), endpointOf(netfault.Agent, a.number)
+		for _, d := range []netfault.Fault{l.network.Fault(me, it, netfault.TCP), l.network.Fault(it, me, netfault.TCP)} {
 			if d != (netfault.Fault{}) {
-				l.check.Excuse(a.n, now, end)
+				l.check.Excuse(a.number, now, end)
 				break
 			}
 		}
-		disc := party(netfault.Discovery, a.n)
-		if l.net.Unreachable(it, disc) {
-			l.disc.upset = end
+		disc := endpointOf(netfault.Discovery, a.number)
+		if l.network.Unreachable(it, disc) {
+			l.discovery.disruptedUntil = end
 		}
 	}
 	for _, h := range l.hubs {
-		if l.net.Unreachable(party(netfault.Hub, h.n), party(netfault.Discovery, len(l.agents)+h.n)) {
-			l.disc.upset = end
+		if l.network.Unreachable(endpointOf(netfault.Hub, h.number), endpointOf(netfault.Discovery, len(l.agents)+h.number)) {
+			l.discovery.disruptedUntil = end
 		}
 	}
-	l.until(f, now, func(now time.Duration) {
+	l.scheduleEnd(f, now, func(now time.Duration) {
 		for _, n := range numbers {
-			l.net.Remove(n)
+			l.network.Remove(n)
 		}
-		l.gates()
-		l.changed = append(l.changed, now)
-		l.unpark(now)
-		l.disc.stir()
+		l.updateGates()
+		l.networkChanges = append(l.networkChanges, now)
+		l.retryPartitioned(now)
+		l.discovery.wakeWatches()
 	})
 }
 
-// linkFault puts one rule on links. The lock is held.
-func (l *Lab) linkFault(i int, f *scenario.Fault, now time.Duration) {
+// applyLinkFault puts one rule on links. The lock is held.
+func (l *Lab) applyLinkFault(i int, f *scenario.Fault, now time.Duration) {
 	in := func(text string) func(netfault.Endpoint) bool {
 		set, _ := scenario.ParseSet(text)
 		role, n := set.Role(), len(l.agents)
@@ -228,7 +228,7 @@
 			n += len(l.hubs) // each has its own copy
 		}
 		picked := map[int]bool{}
-		for _, k := range l.pick(i, set, n, func(k int) int { return l.zone(party(role, k)) }) {
+		for _, k := range l.pickFrom(i, set, n, func(k int) int { return l.zone(endpointOf(role, k)) }) {
 			picked[k] = true
 		}
 		return func(p netfault.Endpoint) bool {
@@ -242,49 +242,49 @@
 	if f.Bidirectional {
 		rules = append(rules, netfault.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
 	}
-	l.rules(f, now, rules...)
+	l.addNetworkRules(f, now, rules...)
 	if f.Reset {
 		for _, h := range l.hosts {
 			h.reset(func(agent int) bool {
-				return l.net.Fault(party(netfault.Agent, agent), h.party(), netfault.TCP).Reset || l.net.Fault(h.party(), party(netfault.Agent, agent), netfault.TCP).Reset
+				return l.network.Fault(endpointOf(netfault.Agent, agent), h.endpoint(), netfault.TCP).Reset || l.network.Fault(h.endpoint(), endpointOf(netfault.Agent, agent), netfault.TCP).Reset
 			})
 		}
 	}
 }
 
-// gates opens and shuts listeners as the network stands. The lock is held; shutting waits for nobody.
-func (l *Lab) gates() {
+// updateGates opens and shuts listeners as the network stands. The lock is held; shutting waits for nobody.
+func (l *Lab) updateGates() {
 	type job struct {
 		g    *gate
 		shut bool
 	}
 	var jobs []job
 	for _, a := range l.agents {
-		me := party(netfault.Agent, a.n)
+		me := endpointOf(netfault.Agent, a.number)
 		for _, h := range l.hosts {
-			if !h.down && h.gates != nil {
-				jobs = append(jobs, job{h.gates[a.n], h.m.State == model.Silent || l.net.Unreachable(me, h.party())})
+			if !h.ended && h.gates != nil {
+				jobs = append(jobs, job{h.gates[a.number], h.machine.State == model.Silent || l.network.Unreachable(me, h.endpoint())})
 			}
 		}
-		jobs = append(jobs, job{l.disc.gates[a.n], l.net.Unreachable(me, party(netfault.Discovery, a.n))})
+		jobs = append(jobs, job{l.discovery.gates[a.number], l.network.Unreachable(me, endpointOf(netfault.Discovery, a.number))})
 	}
 	for _, h := range l.hubs {
-		if n := len(l.agents) + h.n; n < len(l.disc.gates) {
-			jobs = append(jobs, job{l.disc.gates[n], l.net.Unreachable(party(netfault.Hub, h.n), party(netfault.Discovery, n))})
+		if n := len(l.agents) + h.number; n < len(l.discovery.gates) {
+			jobs = append(jobs, job{l.discovery.gates[n], l.network.Unreachable(endpointOf(netfault.Hub, h.number), endpointOf(netfault.Discovery, n))})
 		}
 	}
 	l.running.Go(func() {
-		l.gateLock.Lock()
-		defer l.gateLock.Unlock()
+		l.gateMu.Lock()
+		defer l.gateMu.Unlock()
 		for _, j := range jobs {
-			j.g.setShut(j.shut)
+			j.g.setUnreachable(j.shut)
 		}
 	})
 }
 
-// border cuts a zone off from everyone beyond it; a deaf one still is heard. Its agents' discovery lies
+// partitionZone cuts a zone off from everyone beyond it; a deaf one still is heard. Its agents' discovery lies
 // beyond. The lock is held.
-func (l *Lab) border(f *scenario.Fault, now time.Duration) {
+func (l *Lab) partitionZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	inside := func(p netfault.Endpoint) bool {
 		return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p))
@@ -295,187 +295,187 @@
 	if f.Kind == scenario.ZoneCut {
 		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
 	}
-	l.rules(f, now, rules...)
+	l.addNetworkRules(f, now, rules...)
 }
 
-// zoneLost has a zone's machines fall silent, and come back cold. The lock is held.
-func (l *Lab) zoneLost(f *scenario.Fault, now time.Duration) {
+// loseZone has a zone's machines fall silent, and come back cold. The lock is held.
+func (l *Lab) loseZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	var lost []*host
 	for _, h := range l.hosts {
-		if set.Contains(h.n, h.m.Zone) && !h.down {
+		if set.Contains(h.number, h.machine.Zone) && !h.ended {
 			lost = append(lost, h)
-			l.ended(h, h.m.Stop(now, model.Silent))
-			l.disc.learn(now, h, "gone", l.Scenario.Discovery.SilentDelaySeconds)
+			l.completeJobs(h, h.machine.Stop(now, model.Silent))
+			l.discovery.learn(now, h, "gone", l.Scenario.Discovery.SilentDelaySeconds)
 		}
 	}
-	l.gates()
-	l.until(f, now, func(now time.Duration) {
+	l.updateGates()
+	l.scheduleEnd(f, now, func(now time.Duration) {
 		for _, h := range lost {
-			h.m.Restart(now)
-			l.drop(h)
+			h.machine.Restart(now)
+			l.discardMessages(h)
 			l.running.Go(func() { h.reset(nil) })
-			l.disc.learn(now, h, "ready", l.Scenario.Discovery.AddDelaySeconds)
+			l.discovery.learn(now, h, "ready", l.Scenario.Discovery.AddDelaySeconds)
 		}
-		l.gates()
-		l.unpark(now)
+		l.updateGates()
+		l.retryPartitioned(now)
 	})
 }
 
-// power takes a zone's hub, agents and machines at once, and brings them back together, cold and knowing nothing. The lock is
+// failZonePower takes a zone's hub, agents and machines at once, and brings them back together, cold and knowing nothing. The lock is
 // held.
-func (l *Lab) power(i int, f *scenario.Fault, now time.Duration) {
+func (l *Lab) failZonePower(i int, f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
-	l.zoneLost(f, now)
+	l.loseZone(f, now)
 	down := *f
 	down.Kind, down.RestartDelay, down.Restart = scenario.Kill, f.Duration, "empty"
 	var list []*process
 	for _, h := range l.hubs {
-		if set.Contains(h.n, l.zone(party(netfault.Hub, h.n))) {
+		if set.Contains(h.number, l.zone(endpointOf(netfault.Hub, h.number))) {
 			list = append(list, &h.process)
 		}
 	}
 	for _, a := range l.agents {
-		if set.Contains(a.n, l.zone(party(netfault.Agent, a.n))) {
+		if set.Contains(a.number, l.zone(endpointOf(netfault.Agent, a.number))) {
 			list = append(list, &a.process)
 		}
 	}
 	for _, p := range list {
-		if p.cmd != nil && !p.expected {
-			p.role.down(now)
-			l.finish(p, &down, now, syscall.SIGKILL)
+		if p.cmd != nil && !p.endExpected {
+			p.role.onKilled(now)
+			l.endProcess(p, &down, now, syscall.SIGKILL)
 		}
 	}
 }
 
-// drop forgets what was on the way to or from a machine that has lost everything. The lock is held.
-func (l *Lab) drop(h *host) {
-	l.parked = slices.DeleteFunc(l.parked, func(p parked) bool { return p.from == h.party() || p.to == h.party() })
+// discardMessages forgets what was on the way to or from a machine that has lost everything. The lock is held.
+func (l *Lab) discardMessages(h *host) {
+	l.partitioned = slices.DeleteFunc(l.partitioned, func(p partitionedMessage) bool { return p.from == h.endpoint() || p.to == h.endpoint() })
 }
 
-// drain has a backend finish its work and end; another may come in its place. The lock is held.
-func (l *Lab) drain(h *host, now time.Duration, replace bool) {
-	if h.down || h.m.State != model.Up {
+// drainHost has a backend finish its work and end; another may come in its place. The lock is held.
+func (l *Lab) drainHost(h *host, now time.Duration, replace bool) {
+	if h.ended || h.machine.State != model.Up {
 		return
 	}
-	const drainFor = 5 * time.Second // longer than it takes until everyone is told
-	l.ended(h, h.m.Drain(now))
-	l.disc.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
-	l.at(now+drainFor, func(now time.Duration) {
-		l.ended(h, h.m.Stop(now, model.Removed))
-		l.refuse(h)
-		l.disc.learn(now, h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
+	const drainTime = 5 * time.Second // longer than it takes until everyone is told
+	l.completeJobs(h, h.machine.Drain(now))
+	l.discovery.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
+	l.scheduleAt(now+drainTime, func(now time.Duration) {
+		l.completeJobs(h, h.machine.Stop(now, model.Removed))
+		l.endHost(h)
+		l.discovery.learn(now, h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
 	})
 	if !replace {
 		return
 	}
-	next := l.addHost(h.m.Zone, now)
-	next.m.Cell = h.m.Cell
+	next := l.addHost(h.machine.Zone, now)
+	next.machine.Cell = h.machine.Cell
 	l.scaleHost(next)
-	next.m.Restart(now)
-	if err := next.open(); err != nil {
+	next.machine.Restart(now)
+	if err := next.listen(); err != nil {
 		l.fail(err)
 		return
 	}
-	l.disc.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
+	l.discovery.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
 }
 
-// trouble has backends fail a share of requests at once, or gives a share of them to another program. The
+// setBackendFault has backends fail a share of requests at once, or gives a share of them to another program. The
 // lock is held.
-func (l *Lab) trouble(list []*host, f *scenario.Fault, now time.Duration, bad, taken float64) {
+func (l *Lab) setBackendFault(list []*host, f *scenario.Fault, now time.Duration, failureShare, stolenShare float64) {
 	for _, h := range list {
-		l.ended(h, h.m.SetFault(now, bad, taken))
+		l.completeJobs(h, h.machine.SetFault(now, failureShare, stolenShare))
 	}
-	l.until(f, now, func(now time.Duration) {
+	l.scheduleEnd(f, now, func(now time.Duration) {
 		for _, h := range list {
-			l.ended(h, h.m.SetFault(now, 0, 0))
+			l.completeJobs(h, h.machine.SetFault(now, 0, 0))
 		}
 	})
 }
 
-// neighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
-func (l *Lab) neighbour(i int, f *scenario.Fault, now time.Duration) {
+// runNoisyNeighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
+func (l *Lab) runNoisyNeighbour(i int, f *scenario.Fault, now time.Duration) {
 	end := l.Scenario.Duration.Duration()
 	if f.Duration > 0 {
 		end = now + f.Duration.Duration()
 	}
 	for _, h := range l.pickHosts(i, f.Targets) {
-		r := l.rng.Stream("neighbour/" + h.m.ID)
+		r := l.rng.Stream("neighbour/" + h.machine.ID)
 		on := false
 		var turn func(now time.Duration)
 		turn = func(now time.Duration) {
 			if on = !on && now < end; on {
-				l.ended(h, h.m.SetFault(now, 0, f.Size))
+				l.completeJobs(h, h.machine.SetFault(now, 0, f.Size))
 			} else {
-				l.ended(h, h.m.SetFault(now, 0, 0))
+				l.completeJobs(h, h.machine.SetFault(now, 0, 0))
 			}
 			if now < end {
 				span := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
-				l.at(min(end, now+span), turn)
+				l.scheduleAt(min(end, now+span), turn)
 			}
 		}
-		l.at(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), turn)
+		l.scheduleAt(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), turn)
 	}
 }
 
-// processes kills, ends or stops agents or hubs. The lock is held.
-func (l *Lab) processes(i int, f *scenario.Fault, now time.Duration) {
+// applyProcessFault kills, ends or stops agents or hubs. The lock is held.
+func (l *Lab) applyProcessFault(i int, f *scenario.Fault, now time.Duration) {
 	list := l.pickProcesses(i, f.Targets)
 	for k, p := range list {
-		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) {
-			if p.cmd == nil || p.expected {
+		l.scheduleAt(now+stepDelay(f, k, len(list)), func(now time.Duration) {
+			if p.cmd == nil || p.endExpected {
 				return
 			}
 			switch f.Kind {
 			case scenario.Pause:
-				l.stop(p, f, now)
+				l.pauseProcess(p, f, now)
 			case scenario.Kill:
-				p.role.down(now)
-				l.finish(p, f, now, syscall.SIGKILL)
+				p.role.onKilled(now)
+				l.endProcess(p, f, now, syscall.SIGKILL)
 			case scenario.Terminate:
-				l.finish(p, f, now, syscall.SIGTERM)
+				l.endProcess(p, f, now, syscall.SIGTERM)
 			}
 		})
 	}
 }
 
-// stop stops a process for a while. Its kernel still takes connections. The lock is held.
-func (l *Lab) stop(p *process, f *scenario.Fault, now time.Duration) {
+// pauseProcess stops a process for a while. Its kernel still takes connections. The lock is held.
+func (l *Lab) pauseProcess(p *process, f *scenario.Fault, now time.Duration) {
 	cmd := p.cmd
-	p.role.excuse(now, now+f.Duration.Duration()+pauseSlack)
+	p.role.onPaused(now, now+f.Duration.Duration()+pauseSlack)
 	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		l.fail(err)
 		return
 	}
 	p.up = false
-	l.until(f, now, func(now time.Duration) {
+	l.scheduleEnd(f, now, func(now time.Duration) {
 		if p.cmd != cmd {
 			return
 		}
 		_ = cmd.Process.Signal(syscall.SIGCONT) // also one that was told to end meanwhile; ended already if it fails
-		p.up = !p.expected
+		p.up = !p.endExpected
 	})
 }
 
 // pauseSlack is the time in which a process that goes on answers what has come meanwhile.
 const pauseSlack = 200 * time.Millisecond
 
-// killAfter is how long the platform waits after SIGTERM at least, past the longest deadline, of which so much counts at most.
-const killAfter, longestCounted = 700 * time.Millisecond, 3 * time.Second
+// killDelay is how long the platform waits after SIGTERM at least, past the longest deadline, of which so much counts at most.
+const killDelay, maxCountedDeadline = 700 * time.Millisecond, 3 * time.Second
 
-// finish ends a process, and starts it anew if wanted. The lock is held.
-func (l *Lab) finish(p *process, f *scenario.Fault, now time.Duration, sig syscall.Signal) {
+// endProcess ends a process, and starts it anew if wanted. The lock is held.
+func (l *Lab) endProcess(p *process, f *scenario.Fault, now time.Duration, signal syscall.Signal) {
 	cmd, ended := p.cmd, p.ended
-	p.expected, p.up = true, false
-	if err := cmd.Process.Signal(sig); err != nil {
+	p.endExpected, p.up = true, false
+	if err := cmd.Process.Signal(signal); err != nil {
 		l.fail(err)
 		return
 	}
-	if sig == syscall.SIGTERM {
-		l.at(now+min(l.longest(), longestCounted)+killAfter, func(time.Duration) {
+	if signal == syscall.SIGTERM {
+		l.scheduleAt(now+min(l.maxDeadline(), maxCountedDeadline)+killDelay, func(time.Duration) {
 			_ = cmd.Process.Kill() // ended already if it fails
 		})
-		l.signalOn(cmd, now, f.ExtraSignals)
+		l.scheduleSignals(cmd, now, f.ExtraSignals)
 	}
 	l.running.Go(func() {
 		select {
@@ -488,6 +488,6 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.at(l.now()+f.RestartDelay.Duration(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
+		l.scheduleAt(l.now()+f.RestartDelay.Duration(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
 	})
 }
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -21,40 +21,40 @@
 // to reach its link, which knows the caller by its address. So the network's rules hold between processes that know nothing
 // of it.
 type fleetLinks struct {
-	lab  *Lab
-	ends []*fleetEnd
-	mine map[netip.Addr]*fleetEnd // by the address that its process calls from
+	lab           *Lab
+	ends          []*fleetEndpoint
+	byProcessAddr map[netip.Addr]*fleetEndpoint // by the address that its process calls from
 
-	mu    sync.Mutex
-	bytes int // told to or by agents
-	hubs  int // told to or by hubs, twice what is told between two
-	conns map[net.Conn]bool
-	took  map[wayKey][]time.Duration // what datagrams took here, at most mostTook
+	mu           sync.Mutex
+	bytes        int // told to or by agents
+	hubBytes     int // told to or by hubs, twice what is told between two
+	conns        map[net.Conn]bool
+	transitTimes map[transitKey][]time.Duration // what datagrams took here, at most maxTransitTimes
 }
 
-// fleetEnd is one process as its fleet meets it, and its link.
-type fleetEnd struct {
+// fleetEndpoint is one process as its fleet meets it, and its link.
+type fleetEndpoint struct {
 	netfault.Endpoint
-	name string // in draws
-	at   netip.AddrPort
-	udp  *net.UDPConn
-	tcp  *net.TCPListener
+	name        string // in draws
+	processAddr netip.AddrPort
+	udp         *net.UDPConn
+	tcp         *net.TCPListener
 }
 
-// wayKey names datagrams from one zone to another in a second of the run.
-type wayKey struct{ from, to, second int }
+// transitKey names datagrams from one zone to another in a second of the run.
+type transitKey struct{ from, to, second int }
 
-const mostTook = 300
+const maxTransitTimes = 300
 
 func newFleetLinks(l *Lab) (*fleetLinks, error) {
-	f := &fleetLinks{lab: l, mine: map[netip.Addr]*fleetEnd{}, conns: map[net.Conn]bool{}, took: map[wayKey][]time.Duration{}}
+	f := &fleetLinks{lab: l, byProcessAddr: map[netip.Addr]*fleetEndpoint{}, conns: map[net.Conn]bool{}, transitTimes: map[transitKey][]time.Duration{}}
 	for _, a := range l.agents {
-		if err := f.open(party(netfault.Member, a.n), fmt.Sprint(a.n), l.block.agent(a.n), l.block.world(a.n)); err != nil {
+		if err := f.listen(endpointOf(netfault.Member, a.number), fmt.Sprint(a.number), l.block.agentAddr(a.number), l.block.linkAddr(a.number)); err != nil {
 			return nil, err
 		}
 	}
 	for _, h := range l.hubs {
-		if err := f.open(party(netfault.Hub, h.n), h.name, l.block.hub(h.n), l.block.hubLink(h.n)); err != nil {
+		if err := f.listen(endpointOf(netfault.Hub, h.number), h.name, l.block.hubAddr(h.number), l.block.hubLinkAddr(h.number)); err != nil {
 			return nil, err
 		}
 	}
@@ -65,16 +65,16 @@
 	return f, nil
 }
 
-// open opens the link of a process that calls from one address and is reached at another.
-func (f *fleetLinks) open(p netfault.Endpoint, name, at, reached string) error {
+// listen opens the link of a process that calls from one address and is reached at another.
+func (f *fleetLinks) listen(p netfault.Endpoint, name, at, reached string) error {
 	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
 	_ = u.SetReadBuffer(1 << 20) // as large as the system allows
-	e := &fleetEnd{Endpoint: p, name: name, at: netip.AddrPortFrom(own, fleetPort), udp: u}
-	f.ends, f.mine[own] = append(f.ends, e), e
+	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
+	f.ends, f.byProcessAddr[own] = append(f.ends, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
 }
@@ -93,25 +93,25 @@
 	}
 }
 
-// count counts what one end told another.
-func (f *fleetLinks) count(from, to *fleetEnd, n int) {
+// countBytes counts what one end told another.
+func (f *fleetLinks) countBytes(from, to *fleetEndpoint, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from.Role == netfault.Member || to.Role == netfault.Member {
 		f.bytes += n
 	}
-	for _, e := range []*fleetEnd{from, to} {
+	for _, e := range []*fleetEndpoint{from, to} {
 		if e.Role == netfault.Hub {
-			f.hubs += n
+			f.hubBytes += n
 		}
 	}
 }
 
 // fleetAddr is where an agent's process hears its fleet, and fleetLink where the others reach it.
-func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agent(n), fleetPort) }
-func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.world(n), fleetPort) }
+func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
+func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
-func (f *fleetLinks) carryDatagrams(to *fleetEnd) {
+func (f *fleetLinks) carryDatagrams(to *fleetEndpoint) {
 	l := f.lab
 	buf := make([]byte, 64<<10)
 	for n := 0; ; n++ {
@@ -123,39 +123,39 @@
 			}
 			continue // a datagram to a process that has ended
 		}
-		from := f.mine[addr.Addr().Unmap()]
+		from := f.byProcessAddr[addr.Addr().Unmap()]
 		if from == nil {
 			continue
 		}
 		data := append([]byte(nil), buf[:size]...)
-		f.count(from, to, size)
+		f.countBytes(from, to, size)
 		l.mu.Lock()
 		now := l.now()
-		for _, d := range l.net.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
-			l.at(now+d, func(time.Duration) {
-				_, _ = from.udp.WriteToUDPAddrPort(data, to.at) // a receiver that is gone misses it
-				f.note(wayKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
+		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
+			l.scheduleAt(now+d, func(time.Duration) {
+				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // a receiver that is gone misses it
+				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
 			})
 		}
 		l.mu.Unlock()
 	}
 }
 
-// note keeps what a datagram really took: the lab's own lateness is part of the way.
-func (f *fleetLinks) note(k wayKey, took time.Duration) {
+// recordTransit keeps what a datagram really took: the lab's own lateness is part of the way.
+func (f *fleetLinks) recordTransit(k transitKey, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.took[k]) < mostTook {
-		f.took[k] = append(f.took[k], took)
+	if len(f.transitTimes[k]) < maxTransitTimes {
+		f.transitTimes[k] = append(f.transitTimes[k], took)
 	}
 }
 
-// oneWay is the lower quartile of what datagrams took from one zone to another in the two seconds before a time; false: too
+// recentTransit is the lower quartile of what datagrams took from one zone to another in the two seconds before a time; false: too
 // few were on the way.
-func (f *fleetLinks) oneWay(from, to int, at time.Duration) (time.Duration, bool) {
+func (f *fleetLinks) recentTransit(from, to int, at time.Duration) (time.Duration, bool) {
 	second := int(at / time.Second)
 	f.mu.Lock()
-	list := slices.Concat(f.took[wayKey{from, to, second - 1}], f.took[wayKey{from, to, second - 2}])
+	list := slices.Concat(f.transitTimes[transitKey{from, to, second - 1}], f.transitTimes[transitKey{from, to, second - 2}])
 	f.mu.Unlock()
 	few := 20
 	if len(f.lab.hubs) > 0 { // they alone send datagrams
@@ -168,7 +168,7 @@
 	return list[len(list)/4], true
 }
 
-func (f *fleetLinks) carryStreams(to *fleetEnd) {
+func (f *fleetLinks) carryStreams(to *fleetEndpoint) {
 	l := f.lab
 	for {
 		c, err := to.tcp.AcceptTCP()
@@ -178,7 +178,7 @@
 			}
 			continue
 		}
-		from := f.mine[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]
+		from := f.byProcessAddr[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]
 		if from == nil {
 			c.Close()
 			continue
@@ -197,23 +197,23 @@
 	}
 }
 
-// fault is what the network does to the way from one end to another now, and how long it takes.
-func (f *fleetLinks) fault(from, to *fleetEnd) (netfault.Fault, time.Duration) {
+// linkState is what the network does to the way from one end to another now, and how long it takes.
+func (f *fleetLinks) linkState(from, to *fleetEndpoint) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
-	x := f.lab.net.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
-	return x, f.lab.way(from.Endpoint, to.Endpoint) + x.Delay
+	x := f.lab.network.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
+	return x, f.lab.baseLatency(from.Endpoint, to.Endpoint) + x.Delay
 }
 
 // carryStream carries one connection. Beyond a cut it hangs, as the opening segment would; where the other process is
 // gone its machine refuses, which a connection that was taken shows as a reset.
-func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEnd) {
+func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
 	defer c.Close()
 	for {
-		there, _ := f.fault(from, to)
-		back, _ := f.fault(to, from)
+		there, _ := f.linkState(from, to)
+		back, _ := f.linkState(to, from)
 		if !there.Cut && !back.Cut {
 			break
 		}
@@ -221,7 +221,7 @@
 			return
 		}
 	}
-	d, err := net.DialTimeout("tcp4", to.at.String(), time.Second)
+	d, err := net.DialTimeout("tcp4", to.processAddr.String(), time.Second)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			reset(c)
@@ -240,22 +240,22 @@
 
 // copy carries one direction. What a cut meets waits until it is over, as TCP sends again; so does the word that the
 // connection has ended, but where both sides have said so.
-func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEnd, ended *atomic.Int32) {
+func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEndpoint, ended *atomic.Int32) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			x, way := f.fault(from, to)
+			x, way := f.linkState(from, to)
 			for x.Cut {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
-				x, way = f.fault(from, to)
+				x, way = f.linkState(from, to)
 			}
 			if !f.wait(way) {
 				return
 			}
-			f.count(from, to, n)
+			f.countBytes(from, to, n)
 			if _, err := out.Write(buf[:n]); err != nil {
 				in.Close()
 				return
@@ -263,7 +263,7 @@
 		}
 		if err != nil {
 			ended.Add(1)
-			for x, _ := f.fault(from, to); x.Cut && ended.Load() < 2; x, _ = f.fault(from, to) {
+			for x, _ := f.linkState(from, to); x.Cut && ended.Load() < 2; x, _ = f.linkState(from, to) {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -16,20 +16,20 @@
 // hub is one hub's process.
 type hub struct {
 	process
-	n int
+	number int
 }
 
 func newHub(l *Lab, n int) *hub {
 	name := "hub" + strconv.Itoa(n)
-	h := &hub{n: n}
-	h.process = process{lab: l, role: h, what: "hub", name: name, dir: filepath.Join(l.Dir, name), since: -1}
+	h := &hub{number: n}
+	h.process = process{lab: l, role: h, kind: "hub", name: name, dir: filepath.Join(l.Dir, name), readyAt: -1}
 	return h
 }
 
-func (h *hub) running(time.Duration)               {}
-func (h *hub) down(time.Duration)                  {}
-func (h *hub) excuse(time.Duration, time.Duration) {}
-func (h *hub) over(time.Duration)                  {}
+func (h *hub) onReady(time.Duration)                 {}
+func (h *hub) onKilled(time.Duration)                {}
+func (h *hub) onPaused(time.Duration, time.Duration) {}
+func (h *hub) onExit(time.Duration)                  {}
 
 func (l *Lab) hubProcesses() (list []*process) {
 	for _, h := range l.hubs {
@@ -38,12 +38,12 @@
 	return list
 }
 
-// hubAddr is where a hub's process hears its fleet, and hubLink where the others reach it.
-func (l *Lab) hubAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.hub(n), fleetPort) }
-func (l *Lab) hubLink(n int) string { return fmt.Sprintf("%s:%d", l.block.hubLink(n), fleetPort) }
+// hubAddr is where a hub's process hears its fleet, and hubLinkAddr where the others reach it.
+func (l *Lab) hubAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.hubAddr(n), fleetPort) }
+func (l *Lab) hubLink(n int) string { return fmt.Sprintf("%s:%d", l.block.hubLinkAddr(n), fleetPort) }
 
-// source reports whether a hub is a source of the policy and of settings.
-func (h *hub) source() bool { return h.n < h.lab.Scenario.Shared.Sources }
+// isSource reports whether a hub is a source of the policy and of settings.
+func (h *hub) isSource() bool { return h.number < h.lab.Scenario.Shared.Sources }
 
 func (h *hub) policyFile() string   { return filepath.Join(h.dir, "policy.toml") }
 func (h *hub) settingsFile() string { return filepath.Join(h.dir, "settings.toml") }
@@ -63,14 +63,14 @@
 		return err
 	}
 	file := filepath.Join(h.dir, "hub.toml")
-	if err := os.WriteFile(file, []byte(h.configure(state)), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(h.config(state)), 0o644); err != nil {
 		return err
 	}
 	return h.launch(append(append([]string(nil), l.Hub...), "--config", file), append([]string{"TMPDIR=" + state}, l.Env...))
 }
 
-// configure is what a hub's process is told, as docs/hub.md says.
-func (h *hub) configure(state string) string {
+// config is what a hub's process is told, as docs/hub.md says.
+func (h *hub) config(state string) string {
 	l, s := h.lab, &h.lab.Scenario.Shared
 	var b strings.Builder
 	line := func(key string, value any) {
@@ -79,21 +79,21 @@
 	}
 	zones := l.Scenario.Fleet.Zones
 	line("name", h.name)
-	line("zone", zones[l.zone(party(netfault.Hub, h.n))])
+	line("zone", zones[l.zone(endpointOf(netfault.Hub, h.number))])
 	line("label", l.label())
-	line("listen", l.hubAddr(h.n))
-	line("advertise", l.hubLink(h.n))
+	line("listen", l.hubAddr(h.number))
+	line("advertise", l.hubLink(h.number))
 	var seeds []string
 	for _, other := range l.hubs {
 		if other != h {
-			seeds = append(seeds, l.hubLink(other.n))
+			seeds = append(seeds, l.hubLink(other.number))
 		}
 	}
 	line("seeds", append([]string{}, seeds...))
 	line("most", len(l.agents))
 	line("matrix", s.LatencyMatrix)
 	if s.RelayedLists {
-		line("discovery", l.disc.addr(len(l.agents)+h.n))
+		line("discovery", l.discovery.addr(len(l.agents)+h.number))
 	}
 	line("list_rate", l.Scenario.Discovery.Rate)
 	line("trace", filepath.Join(h.dir, traceName))
@@ -106,13 +106,13 @@
 		line("zones", zones)
 	}
 	b.WriteString("[settings]\n")
-	if s.Settings != "" && h.source() {
+	if s.Settings != "" && h.isSource() {
 		line("file", h.settingsFile())
 	}
 	line("state", filepath.Join(state, "settings"))
 	if s.Policy != "" {
 		b.WriteString("[residency]\n")
-		if h.source() {
+		if h.isSource() {
 			line("file", h.policyFile())
 		}
 		line("state", filepath.Join(state, "residency"))
@@ -125,9 +125,9 @@
 	return b.String()
 }
 
-// ready waits until the hub answers calls on its fleet address.
-func (h *hub) ready(ctx context.Context, ended <-chan struct{}) error {
-	return answers(ctx, ended, "http://"+h.lab.hubAddr(h.n)+"/fleet/settings")
+// awaitReady waits until the hub answers calls on its fleet address.
+func (h *hub) awaitReady(ctx context.Context, ended <-chan struct{}) error {
+	return awaitOK(ctx, ended, "http://"+h.lab.hubAddr(h.number)+"/fleet/settings")
 }
 
 // HubsReport is what the hubs used.
@@ -150,6 +150,6 @@
 	}
 	l.fleet.mu.Lock()
 	defer l.fleet.mu.Unlock()
-	r.Bytes = float64(l.fleet.hubs) / max(1, l.now().Seconds()) / float64(len(l.hubs))
+	r.Bytes = float64(l.fleet.hubBytes) / max(1, l.now().Seconds()) / float64(len(l.hubs))
 	return r
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -46,157 +46,161 @@
 // Lab is one run.
 type Lab struct {
 	Options
-	block *block
-	base  time.Time     // when the lab was made
-	boot  time.Duration // the same, since the machine's start
-	begun atomic.Int64  // when its time began to count, after base, ns
-	rng   rng.Source
-	scale float64 // of work and of every time that goes with it
-	kinds []class
+	block            *block
+	createdAt        time.Time     // when the lab was made
+	createdSinceBoot time.Duration // the same, since the machine's start
+	startOffset      atomic.Int64  // when its time began to count, after base, ns
+	rng              rng.Source
+	scale            float64 // of work and of every time that goes with it
+	classes          []class
 
-	mu        sync.Mutex
-	agenda    agenda
-	seq       uint64
-	poke      chan struct{}
-	net       *netfault.Network
-	check     *check.Checker
-	tally     *check.Tally
-	late      *hdrhistogram.Histogram // us
-	hosts     []*host
-	agents    []*agent
-	hubs      []*hub
-	disc      *discovery
-	fleet     *fleetLinks      // nil: agents have no fleet
-	resident  *check.Residency // nil: no policy is in force
-	downs     []down           // ends of agents' processes
-	given     []given          // settings, in order
-	reach     []reach          // who could reach whom, by changes
-	changed   []time.Duration  // when the network did
-	starts    []time.Duration  // that processes took from their start until they took clients
-	attempts  map[uint64]*attempt
-	pods      map[podKey]bool // keys that pods have met
-	attempt   uint64          // number of the latest
-	parked    []parked
-	burst     float64
-	faults    []string // under way, for the table
-	crashes   []string
-	fallen    int          // machines pushed over while cold
-	spans     []check.Span // in which zones can't be reached
-	shutTill  time.Duration
-	watching  bool                   // for connections that don't come up
-	ways      map[netip.AddrPort]way // whose address that is
-	quotas    []quota
-	gateLock  sync.Mutex // gates change one set after the other
-	datagrams int        // between agents
-	err       error
-	closing   bool
+	mu                 sync.Mutex
+	schedule           eventQueue
+	lastSeq            uint64
+	wakeup             chan struct{}
+	network            *netfault.Network
+	check              *check.Checker
+	tally              *check.Tally
+	lateness           *hdrhistogram.Histogram // us
+	hosts              []*host
+	agents             []*agent
+	hubs               []*hub
+	discovery          *fakeDiscovery
+	fleet              *fleetLinks        // nil: agents have no fleet
+	residency          *check.Residency   // nil: no policy is in force
+	processEnds        []processEnd       // ends of agents' processes
+	publishedSettings  []publishedVersion // settings, in order
+	reachability       []reachable        // who could reach whom, by changes
+	networkChanges     []time.Duration    // when the network did
+	restartTimes       []time.Duration    // that processes took from their start until they took clients
+	attempts           map[uint64]*attempt
+	servedKeys         map[cellKey]bool // keys that pods have met
+	lastAttempt        uint64           // number of the latest
+	partitioned        []partitionedMessage
+	loadFactor         float64
+	activeFaults       []string // under way, for the table
+	crashes            []string
+	overloadedBackends int          // machines pushed over while cold
+	unreachableSpans   []check.Span // in which zones can't be reached
+	watchUntil         time.Duration
+	watching           bool                           // for connections that don't come up
+	backendAddrs       map[netip.AddrPort]backendAddr // whose address that is
+	tenantQuotas       []tokenBucket
+	gateMu             sync.Mutex // gates change one set after the other
+	datagrams          int        // between agents
+	err                error
+	closing            bool
 
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	starter  chan func()
-	recorder *recorder
+	ctx           context.Context
+	cancel        context.CancelFunc
+	running       sync.WaitGroup
+	startRequests chan func()
+	recorder      *recorder
 }
 
-// parked is a message that waits at its sender until its way is free.
-type parked struct {
+// partitionedMessage is a message that waits at its sender until its way is free.
+type partitionedMessage struct {
 	from, to netfault.Endpoint
 	send     func(now time.Duration)
 }
 
-type entry struct {
+type event struct {
 	at  time.Duration
 	seq uint64
-	do  func(now time.Duration)
+	run func(now time.Duration)
 }
 
-type agenda []entry
+type eventQueue []event
 
-func (h agenda) Len() int { return len(h) }
-func (h agenda) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
 	return h[i].seq < h[j].seq
 }
-func (h agenda) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *agenda) Push(x any)   { *h = append(*h, x.(entry)) }
-func (h *agenda) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
-	(*h)[last] = entry{}
+	(*h)[last] = event{}
 	*h = (*h)[:last]
 	return e
 }
 
-func (l *Lab) now() time.Duration { return time.Since(l.base) - time.Duration(l.begun.Load()) }
+func (l *Lab) now() time.Duration {
+	return time.Since(l.createdAt) - time.Duration(l.startOffset.Load())
+}
 
-// wall is a time of the run by the clock that every machine reads.
-func (l *Lab) wall(t time.Duration) time.Time { return l.base.Add(time.Duration(l.begun.Load()) + t) }
+// wallTime is a time of the run by the clock that every machine reads.
+func (l *Lab) wallTime(t time.Duration) time.Time {
+	return l.createdAt.Add(time.Duration(l.startOffset.Load()) + t)
+}
 
 // traceTime is a time of the run as the lines have it that agents and hubs write: in microseconds since the machine's start.
 func (l *Lab) traceTime(t time.Duration) int64 {
-	return (l.boot + time.Duration(l.begun.Load()) + t).Microseconds()
+	return (l.createdSinceBoot + time.Duration(l.startOffset.Load()) + t).Microseconds()
 }
 
-// at puts something on the agenda. The lock is held.
-func (l *Lab) at(t time.Duration, do func(now time.Duration)) {
-	l.seq++
-	heap.Push(&l.agenda, entry{t, l.seq, do})
-	if l.agenda[0].seq == l.seq {
+// scheduleAt puts something on the agenda. The lock is held.
+func (l *Lab) scheduleAt(at time.Duration, run func(now time.Duration)) {
+	l.lastSeq++
+	heap.Push(&l.schedule, event{at, l.lastSeq, run})
+	if l.schedule[0].seq == l.lastSeq {
 		l.wake()
 	}
 }
 
 func (l *Lab) wake() {
 	select {
-	case l.poke <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// turn does everything that is due, in order, each at its own time.
-func (l *Lab) turn(now time.Duration) (next time.Duration) {
+// runPending does everything that is due, in order, each at its own time.
+func (l *Lab) runPending(now time.Duration) (next time.Duration) {
 	for {
-		due, machine := time.Duration(1<<62), (*host)(nil)
-		if len(l.agenda) > 0 {
-			due = l.agenda[0].at
+		nextAt, host := time.Duration(1<<62), (*host)(nil)
+		if len(l.schedule) > 0 {
+			nextAt = l.schedule[0].at
 		}
 		for _, h := range l.hosts {
-			if t := h.m.NextEvent(); t < due {
-				due, machine = t, h
+			if t := h.machine.NextEvent(); t < nextAt {
+				nextAt, host = t, h
 			}
 		}
-		if due > now {
-			return due
+		if nextAt > now {
+			return nextAt
 		}
-		l.lateBy(now - due)
-		if machine != nil {
-			l.ended(machine, machine.m.Advance(due))
+		l.recordLateness(now - nextAt)
+		if host != nil {
+			l.completeJobs(host, host.machine.Advance(nextAt))
 			continue
 		}
-		heap.Pop(&l.agenda).(entry).do(due)
+		heap.Pop(&l.schedule).(event).run(nextAt)
 	}
 }
 
-func (l *Lab) lateBy(d time.Duration) {
-	_ = l.late.RecordValue(min(max(1, d.Microseconds()), maxLate)) // within its range
+func (l *Lab) recordLateness(d time.Duration) {
+	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // within its range
 }
 
-const maxLate = int64(time.Minute / time.Microsecond)
+const maxLateness = int64(time.Minute / time.Microsecond)
 
-// drive works off the agenda until the run ends.
-func (l *Lab) drive() {
+// runSchedule works off the agenda until the run ends.
+func (l *Lab) runSchedule() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for l.ctx.Err() == nil {
 		l.mu.Lock()
-		next := l.turn(l.now())
+		next := l.runPending(l.now())
 		l.mu.Unlock()
 		timer.Reset(max(0, next-l.now()))
 		select {
 		case <-timer.C:
-		case <-l.poke:
+		case <-l.wakeup:
 		case <-l.ctx.Done():
 		}
 	}
@@ -205,7 +209,7 @@
 // New prepares a run: it checks what the machine allows, and claims addresses.
 func New(o Options) (*Lab, error) {
 	s := o.Scenario
-	if err := descriptors(s); err != nil {
+	if err := checkDescriptors(s); err != nil {
 		return nil, err
 	}
 	dir, err := filepath.Abs(o.Dir)
@@ -217,22 +221,22 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), poke: make(chan struct{}, 1), burst: 1,
-		late: hdrhistogram.New(1, maxLate, 3), attempts: map[uint64]*attempt{}, pods: map[podKey]bool{}, starter: make(chan func()),
+	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), wakeup: make(chan struct{}, 1), loadFactor: 1,
+		lateness: hdrhistogram.New(1, maxLateness, 3), attempts: map[uint64]*attempt{}, servedKeys: map[cellKey]bool{}, startRequests: make(chan func()),
 		tally: check.NewTally(s.WarmUp.Duration()), recorder: newRecorder(o.Events)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.net = netfault.New(l.way, s.Model.Jitter, l.rng)
-	if err := l.furnish(); err != nil {
+	l.network = netfault.New(l.baseLatency, s.Model.Jitter, l.rng)
+	if err := l.setUp(); err != nil {
 		l.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-// descriptors says before anything starts whether the lab would run out of them.
-func descriptors(s *scenario.Scenario) error {
-	var r syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil {
+// checkDescriptors says before anything starts whether the lab would run out of them.
+func checkDescriptors(s *scenario.Scenario) error {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("reading the limit on descriptors: %w", err)
 	}
 	hosts := s.Fleet.Backends
@@ -245,22 +249,22 @@
 	}
 	// A listener for each agent at each backend and as many connections at once, client connections, and some.
 	perAgent := 2*hosts + 40
-	if need := uint64(100 + s.Fleet.Agents*perAgent); need > r.Max {
+	if need := uint64(100 + s.Fleet.Agents*perAgent); need > limit.Max {
 		return fmt.Errorf("%d agents and %d backends need about %d descriptors and the limit is %d: at most %d agents here (ulimit -n)",
-			s.Fleet.Agents, hosts, need, r.Max, max(0, (int(r.Max)-100)/perAgent))
+			s.Fleet.Agents, hosts, need, limit.Max, max(0, (int(limit.Max)-100)/perAgent))
 	}
 	return nil
 }
 
-// furnish sets up everything but the agents' processes.
-func (l *Lab) furnish() error {
+// setUp sets up everything but the agents' processes.
+func (l *Lab) setUp() error {
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return err
 	}
-	l.base, l.boot = time.Now(), bootclock.SinceBoot()
-	l.machines()
-	l.classes()
-	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerSlack, Slack: socketSlack,
+	l.createdAt, l.createdSinceBoot = time.Now(), bootclock.SinceBoot()
+	l.addInitialHosts()
+	l.scaleClasses()
+	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerGrace, Slack: socketSlack,
 		AcceptsUnknown: l.Visitors, MaxClosedNewShare: 1. / 200}, l.recorder.request)
 	s := l.Scenario
 	for n := range s.Fleet.Agents {
@@ -272,12 +276,12 @@
 	if len(l.hubs) > 0 && len(l.Hub) == 0 {
 		return errors.New("hubs are to be started, and nothing says how")
 	}
-	l.weigh()
+	l.distributeLoad()
 	var err error
-	if l.disc, err = newDiscovery(l); err != nil {
+	if l.discovery, err = newDiscovery(l); err != nil {
 		return err
 	}
-	if err := l.relays(); err != nil {
+	if err := l.openRelays(); err != nil {
 		return err
 	}
 	if s.Shared.Enabled {
@@ -285,14 +289,14 @@
 			return err
 		}
 	}
-	if err := l.firstPolicy(); err != nil {
+	if err := l.publishInitialPolicy(); err != nil {
 		return err
 	}
-	if err := l.firstSettings(); err != nil {
+	if err := l.publishInitialSettings(); err != nil {
 		return err
 	}
 	for _, h := range l.hosts {
-		if err := h.open(); err != nil {
+		if err := h.listen(); err != nil {
 			return err
 		}
 	}
@@ -301,15 +305,15 @@
 
 // Bounds of the rules: the protocol's, and what sockets may add to each.
 const (
-	drainGrace  = 500 * time.Millisecond
-	answerSlack = 500 * time.Millisecond // past a request's time an answer only earns nothing; later it is lost
-	socketSlack = 50 * time.Millisecond
-	toldWithin  = 6 * time.Second // what discovery has to tell counts as told by then
+	drainGrace          = 500 * time.Millisecond
+	answerGrace         = 500 * time.Millisecond // past a request's time an answer only earns nothing; later it is lost
+	socketSlack         = 50 * time.Millisecond
+	propagationDeadline = 6 * time.Second // what discovery has to tell counts as told by then
 )
 
 // Run plays the scenario and returns what came out. It ends early with ctx, and then reports what there is.
 func (l *Lab) Run(ctx context.Context) (*Report, error) {
-	l.running.Go(l.drive)
+	l.running.Go(l.runSchedule)
 	go l.startProcesses()
 	for _, list := range [][]*process{l.hubProcesses(), l.agentProcesses()} {
 		if err := l.startAll(ctx, list); err != nil {
@@ -317,32 +321,32 @@
 		}
 	}
 	l.mu.Lock()
-	l.begun.Store(int64(time.Since(l.base))) // the run's time begins with its clients
-	l.agenda, l.seq = nil, 0
+	l.startOffset.Store(int64(time.Since(l.createdAt))) // the run's time begins with its clients
+	l.schedule, l.lastSeq = nil, 0
 	for _, a := range l.agents {
-		l.check.ForgetEndpoints(a.n)
-		l.disc.known(a, 0)
+		l.check.ForgetEndpoints(a.number)
+		l.discovery.cachedList(a, 0)
 	}
-	l.late.Reset()
+	l.lateness.Reset()
 	l.mu.Unlock()
 	if l.Ready != nil {
 		l.Ready(l)
 	}
 	l.mu.Lock()
-	l.changed = append(l.changed, 0)
-	l.schedule()
-	l.everySecond(0)
-	l.watchReach(0)
+	l.networkChanges = append(l.networkChanges, 0)
+	l.scheduleFaults()
+	l.scheduleViews(0)
+	l.watchReachability(0)
 	l.mu.Unlock()
 	l.wake()
 	l.running.Go(l.sample)
 	played := make(chan struct{})
-	l.running.Go(func() { defer close(played); l.arrivals() })
+	l.running.Go(func() { defer close(played); l.runArrivals() })
 	select {
 	case <-ctx.Done():
 	case <-l.ctx.Done():
 	case <-played:
-		l.settleDown(ctx)
+		l.awaitOpenRequests(ctx)
 		l.awaitSettings(ctx)
 	}
 	l.mu.Lock()
@@ -354,16 +358,16 @@
 	return l.report(), l.err
 }
 
-// settleDown waits until the last requests have ended, no longer than their time.
-func (l *Lab) settleDown(ctx context.Context) {
-	limit := time.After(l.longest() + answerSlack + time.Second)
+// awaitOpenRequests waits until the last requests have ended, no longer than their time.
+func (l *Lab) awaitOpenRequests(ctx context.Context) {
+	limit := time.After(l.maxDeadline() + answerGrace + time.Second)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		l.mu.Lock()
 		open := 0
 		for _, a := range l.agents {
-			open += a.open
+			open += a.openRequests
 		}
 		l.mu.Unlock()
 		if open == 0 {
@@ -391,10 +395,10 @@
 func (l *Lab) Close() {
 	l.mu.Lock()
 	l.closing = true
-	for _, p := range l.everyone() {
-		p.end()
+	for _, p := range l.allProcesses() {
+		p.kill()
 	}
-	hosts, disc := l.hosts, l.disc
+	hosts, disc := l.hosts, l.discovery
 	l.mu.Unlock()
 	l.cancel()
 	for _, a := range l.agents {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -207,7 +207,7 @@
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		for _, a := range l.attempts {
-			if took := a.came - sent; took > busy/2 {
+			if took := a.arrivedAt - sent; took > busy/2 {
 				t.Errorf("it came %v after it was sent", took)
 			}
 		}
@@ -256,8 +256,8 @@
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			for _, a := range l.agents {
-				if a.open > 0 {
-					t.Errorf("%d clients of agent %d are at work", a.open, a.n)
+				if a.openRequests > 0 {
+					t.Errorf("%d clients of agent %d are at work", a.openRequests, a.number)
 				}
 			}
 		})
@@ -286,13 +286,13 @@
 	h := l.hosts[0]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h.m.Stop(0, model.Silent)
-	l.disc.learn(0, h, "gone", scenario.Range{5, 5})
-	h.m.Restart(time.Second)
-	l.disc.learn(time.Second, h, "ready", scenario.Range{0.5, 0.5})
-	l.turn(20 * time.Second)
-	for _, m := range l.disc.known(l.agents[0], 20*time.Second).Servers {
-		if m.ID == h.m.ID && m.State == "ready" && m.Started > 0 {
+	h.machine.Stop(0, model.Silent)
+	l.discovery.learn(0, h, "gone", scenario.Range{5, 5})
+	h.machine.Restart(time.Second)
+	l.discovery.learn(time.Second, h, "ready", scenario.Range{0.5, 0.5})
+	l.runPending(20 * time.Second)
+	for _, m := range l.discovery.cachedList(l.agents[0], 20*time.Second).Servers {
+		if m.ID == h.machine.ID && m.State == "ready" && m.Started > 0 {
 			return
 		}
 	}
@@ -411,9 +411,9 @@
 		for _, a := range l.agents {
 			at := time.Duration(0)
 			for range 50 {
-				at = l.gap(a, at)
-				p := l.draw(a, at)
-				got[a.n] = append(got[a.n], fmt.Sprint(p.first, p.class, p.tenant, p.sid, p.work, p.idem, string(p.body)))
+				at = l.nextArrival(a, at)
+				p := l.newRequest(a, at)
+				got[a.number] = append(got[a.number], fmt.Sprint(p.firstID, p.class, p.tenant, p.sid, p.work, p.idempotencyKey, string(p.body)))
 			}
 		}
 		return got
@@ -442,8 +442,8 @@
 		t.Fatal(err)
 	}
 	defer b.close()
-	if a.n == b.n || a.agent(3) == b.agent(3) || a.world(3) == a.agent(3) {
-		t.Errorf("blocks %d and %d", a.n, b.n)
+	if a.number == b.number || a.agentAddr(3) == b.agentAddr(3) || a.linkAddr(3) == a.agentAddr(3) {
+		t.Errorf("blocks %d and %d", a.number, b.number)
 	}
 }
 
@@ -477,12 +477,12 @@
 	if err := dial(patience); err != nil {
 		t.Fatal(err)
 	}
-	g.setShut(true)
+	g.setUnreachable(true)
 	var late net.Error
 	if err := dial(200 * time.Millisecond); !errors.As(err, &late) || !late.Timeout() {
 		t.Fatalf("a shut gate: %v", err)
 	}
-	g.setShut(false)
+	g.setUnreachable(false)
 	if err := dial(patience); err != nil {
 		t.Fatal(err)
 	}
@@ -523,8 +523,8 @@
 	}
 	b.close()
 	for _, left := range []func() (interface{ Close() error }, error){
-		func() (interface{ Close() error }, error) { return net.Listen("tcp4", b.agent(3)+":0") },
-		func() (interface{ Close() error }, error) { return net.ListenPacket("udp4", b.agent(2)+":0") },
+		func() (interface{ Close() error }, error) { return net.Listen("tcp4", b.agentAddr(3)+":0") },
+		func() (interface{ Close() error }, error) { return net.ListenPacket("udp4", b.agentAddr(2)+":0") },
 	} {
 		s, err := left()
 		if err != nil {
@@ -534,8 +534,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if other.n == b.n {
-			t.Errorf("block %d is claimed, in which a socket is bound", b.n)
+		if other.number == b.number {
+			t.Errorf("block %d is claimed, in which a socket is bound", b.number)
 		}
 		other.close()
 		s.Close()
--- a/internal/lab/lists.go
+++ b/internal/lab/lists.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// lists is the list service's capacity, where lists are asked for: calls wait in turn, and fail when they would wait too
+// listServiceQueue is the list service's capacity, where lists are asked for: calls wait in turn, and fail when they would wait too
 // long. What an open watch is told costs nothing. The lab's lock guards it.
-type lists struct {
-	free    time.Duration // the queue is empty then
-	seconds []int         // calls by second
-	calls   int
-	refused int
-	bytes   int
-	longest time.Duration // that a call waited
+type listServiceQueue struct {
+	idleAt   time.Duration // the queue is empty then
+	seconds  []int         // calls by second
+	calls    int
+	rejected int
+	bytes    int
+	maxWait  time.Duration // that a call waited
 }
 
 // Lists is what the list service saw, where it is asked.
@@ -26,8 +26,8 @@
 	Bytes    int     `json:"bytes"`
 }
 
-// turn lets a call wait for its turn, and reports false where it fails: it is refused, or nobody waits for it any more.
-func (d *discovery) turn(w http.ResponseWriter, r *http.Request, whole bool) bool {
+// awaitTurn lets a call wait for its turn, and reports false where it fails: it is refused, or nobody waits for it any more.
+func (d *fakeDiscovery) awaitTurn(w http.ResponseWriter, r *http.Request, whole bool) bool {
 	l := d.lab
 	s := &l.Scenario.Discovery
 	if !s.Polled {
@@ -35,7 +35,7 @@
 	}
 	l.mu.Lock()
 	now := l.now()
-	q := &d.lists
+	q := &d.listService
 	q.calls++
 	for sec := int(max(0, now) / time.Second); sec >= len(q.seconds); {
 		q.seconds = append(q.seconds, 0)
@@ -45,18 +45,18 @@
 	if !whole {
 		cost = time.Duration(float64(cost) * s.DeltaCost)
 	}
-	q.free = max(q.free, now)
-	wait := q.free - now
+	q.idleAt = max(q.idleAt, now)
+	wait := q.idleAt - now
 	if wait > seconds(s.MaxQueueSeconds) {
-		q.refused++
+		q.rejected++
 		l.mu.Unlock()
 		http.Error(w, "overbooked", http.StatusServiceUnavailable)
 		return false
 	}
-	q.free += cost
-	q.longest = max(q.longest, wait)
+	q.idleAt += cost
+	q.maxWait = max(q.maxWait, wait)
 	l.mu.Unlock()
-	return pause(r.Context(), wait+cost, nil)
+	return waitFor(r.Context(), wait+cost, nil)
 }
 
 // listsReport sums up. The lock is held.
@@ -64,11 +64,11 @@
 	if !l.Scenario.Discovery.Polled {
 		return nil
 	}
-	q, starts := &l.disc.lists, 0
+	q, starts := &l.discovery.listService, 0
 	for _, a := range l.agents {
 		starts += a.starts
 	}
-	r := &Lists{Calls: q.calls, PerAgent: share(float64(q.calls), float64(starts)), Refused: q.refused, Longest: q.longest.Seconds(), Bytes: q.bytes}
+	r := &Lists{Calls: q.calls, PerAgent: share(float64(q.calls), float64(starts)), Refused: q.rejected, Longest: q.maxWait.Seconds(), Bytes: q.bytes}
 	for _, n := range q.seconds {
 		r.Peak = max(r.Peak, n)
 	}
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -27,47 +27,47 @@
 type process struct {
 	lab       *Lab
 	role      role
-	what      string // "agent", "hub"
+	kind      string // "agent", "hub"
 	name, dir string
 
 	// The lab's lock guards these.
-	cmd      *exec.Cmd
-	starts   int
-	control  faultinject.Control // of a program that package inject has built
-	plan     faultinject.Plan    // in force there
-	up       bool                // answers as ready
-	since    time.Duration       // up since
-	expected bool                // its end was asked for
-	ended    chan struct{}       // closed once the present process has ended
-	usage    Usage
+	cmd          *exec.Cmd
+	starts       int
+	faultControl faultinject.Control // of a program that package inject has built
+	faultPlan    faultinject.Plan    // in force there
+	up           bool                // answers as ready
+	readyAt      time.Duration       // up since
+	endExpected  bool                // its end was asked for
+	ended        chan struct{}       // closed once the present process has ended
+	usage        Usage
 }
 
 // role is what a process is to the lab beyond its running. All but ready hold the lock.
 type role interface {
 	start(now time.Duration, keep bool) error
-	ready(ctx context.Context, ended <-chan struct{}) error // waits until it does its work
-	running(now time.Duration)                              // it is ready again
-	down(now time.Duration)                                 // it is gone without a word
-	excuse(from, to time.Duration)                          // it does not answer
-	over(now time.Duration)                                 // its process has ended, for whatever cause
+	awaitReady(ctx context.Context, ended <-chan struct{}) error // waits until it does its work
+	onReady(now time.Duration)                                   // it is ready again
+	onKilled(now time.Duration)                                  // it is gone without a word
+	onPaused(from, to time.Duration)                             // it does not answer
+	onExit(now time.Duration)                                    // its process has ended, for whatever cause
 }
 
 // agent is one agent's process, and its clients.
 type agent struct {
 	process
-	n                  int
-	listen, peerListen string
-	relay              *net.UDPConn // what others send to it comes here first
+	number               int
+	listenAddr, peerAddr string
+	relay                *net.UDPConn // what others send to it comes here first
 
 	// The lab's lock guards these.
-	plays map[string]*play
-	open  int // requests of clients that have not ended
+	requests     map[string]*clientRequest
+	openRequests int // requests of clients that have not ended
 
 	// The arrivals alone use these.
-	rate        float64
-	gaps, draws *rand.Rand
-	keys        *rng.Zipf
-	drawn       int
+	rate                         float64
+	arrivalRandom, requestRandom *rand.Rand
+	keys                         *rng.Zipf
+	lastIndex                    int
 
 	mu     sync.Mutex
 	idle   []*clientConn
@@ -84,20 +84,22 @@
 
 func newAgent(l *Lab, n int) *agent {
 	name := "n" + strconv.Itoa(n)
-	ip := l.block.agent(n)
-	a := &agent{n: n, plays: map[string]*play{}, listen: net.JoinHostPort(ip, strconv.Itoa(clientPort)), peerListen: net.JoinHostPort(ip, strconv.Itoa(peerPort))}
-	a.process = process{lab: l, role: a, what: "agent", name: name, dir: filepath.Join(l.Dir, name), since: -1}
-	a.control.Path = filepath.Join(a.dir, "INJECT.json")
+	ip := l.block.agentAddr(n)
+	a := &agent{number: n, requests: map[string]*clientRequest{}, listenAddr: net.JoinHostPort(ip, strconv.Itoa(clientPort)), peerAddr: net.JoinHostPort(ip, strconv.Itoa(peerPort))}
+	a.process = process{lab: l, role: a, kind: "agent", name: name, dir: filepath.Join(l.Dir, name), readyAt: -1}
+	a.faultControl.Path = filepath.Join(a.dir, "INJECT.json")
 	return a
 }
 
-func (a *agent) running(now time.Duration)     { a.lab.check.Running(a.n, now) }
-func (a *agent) down(now time.Duration)        { a.lab.check.Down(a.n, now) }
-func (a *agent) excuse(from, to time.Duration) { a.lab.check.Excuse(a.n, from, to) }
-func (a *agent) over(now time.Duration)        { a.lab.downs = append(a.lab.downs, down{now, a.n}) }
+func (a *agent) onReady(now time.Duration)       { a.lab.check.Running(a.number, now) }
+func (a *agent) onKilled(now time.Duration)      { a.lab.check.Down(a.number, now) }
+func (a *agent) onPaused(from, to time.Duration) { a.lab.check.Excuse(a.number, from, to) }
+func (a *agent) onExit(now time.Duration) {
+	a.lab.processEnds = append(a.lab.processEnds, processEnd{now, a.number})
+}
 
 // Addr is where an agent's clients connect.
-func (l *Lab) Addr(n int) string { return l.agents[n].listen }
+func (l *Lab) Addr(n int) string { return l.agents[n].listenAddr }
 
 // startProcesses starts what is asked for, from one thread that lives as long as the lab: the kernel kills a
 // child when the thread that started it ends, and so with the lab however that ends.
@@ -105,7 +107,7 @@
 	runtime.LockOSThread()
 	for {
 		select {
-		case do := <-l.starter:
+		case do := <-l.startRequests:
 			do()
 		case <-l.ctx.Done():
 			return // the thread, locked still, ends too
@@ -126,16 +128,16 @@
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
 		return err
 	}
-	l.check.ForgetEndpoints(a.n)
-	config, err := l.configure(a, l.disc.known(a, now))
+	l.check.ForgetEndpoints(a.number)
+	config, err := l.agentConfig(a, l.discovery.cachedList(a, now))
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(a.configFile(), config, 0o644); err != nil {
 		return err
 	}
-	return a.launch(l.Agent, append([]string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + a.configFile(), "PROXY_NAME=" + a.name, "PROXY_LISTEN=" + a.listen,
-		"PROXY_DISCOVERY=" + l.disc.addr(a.n), faultinject.ControlVariable + "=" + a.control.Path}, l.Env...))
+	return a.launch(l.Agent, append([]string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + a.configFile(), "PROXY_NAME=" + a.name, "PROXY_LISTEN=" + a.listenAddr,
+		"PROXY_DISCOVERY=" + l.discovery.addr(a.number), faultinject.ControlVariable + "=" + a.faultControl.Path}, l.Env...))
 }
 
 func (a *agent) configFile() string { return filepath.Join(a.dir, "config.json") }
@@ -153,7 +155,7 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	started := make(chan error, 1)
 	select {
-	case l.starter <- func() { started <- cmd.Start() }:
+	case l.startRequests <- func() { started <- cmd.Start() }:
 		err = <-started
 	case <-l.ctx.Done():
 		err = l.ctx.Err()
@@ -162,34 +164,34 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", command[0], err)
 	}
-	p.cmd, p.expected, p.ended = cmd, false, make(chan struct{})
+	p.cmd, p.endExpected, p.ended = cmd, false, make(chan struct{})
 	ended := p.ended
-	l.running.Go(func() { p.watch(cmd, ended) })
+	l.running.Go(func() { p.awaitExit(cmd, ended) })
 	return nil
 }
 
-// watch waits for a process's end, and takes one that nobody asked for as a crash.
-func (p *process) watch(cmd *exec.Cmd, ended chan struct{}) {
+// awaitExit waits for a process's end, and takes one that nobody asked for as a crash.
+func (p *process) awaitExit(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	l := p.lab
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer close(ended)
 	p.up = false
-	p.role.over(l.now())
+	p.role.onExit(l.now())
 	p.usage.base += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 	p.usage.CPU = p.usage.base
-	if p.expected || l.closing {
+	if p.endExpected || l.closing {
 		return
 	}
 	now := l.now()
-	l.crashes = append(l.crashes, fmt.Sprintf("%s %s ended by itself at %v (%v): %s", p.what, p.name, now.Round(time.Millisecond), err, p.lastLog()))
-	p.role.down(now)
+	l.crashes = append(l.crashes, fmt.Sprintf("%s %s ended by itself at %v (%v): %s", p.kind, p.name, now.Round(time.Millisecond), err, p.logTail()))
+	p.role.onKilled(now)
 	l.cancel()
 }
 
-// lastLog is the end of the process's log.
-func (p *process) lastLog() string {
+// logTail is the end of the process's log.
+func (p *process) logTail() string {
 	text, err := os.ReadFile(filepath.Join(p.dir, "log"))
 	if err != nil {
 		return err.Error()
@@ -197,9 +199,9 @@
 	return string(text[max(0, len(text)-2000):])
 }
 
-// end kills the process for good. The lock is held.
-func (p *process) end() {
-	p.expected = true
+// kill kills the process for good. The lock is held.
+func (p *process) kill() {
+	p.endExpected = true
 	if p.cmd != nil {
 		_ = p.cmd.Process.Kill() // ended already if it fails
 	}
@@ -218,20 +220,20 @@
 	a.idle = nil
 }
 
-const startWithin = 30 * time.Second
+const startTimeout = 30 * time.Second
 
 // quietLog is for what the lab itself has to do with an agent's parts.
 var quietLog = slog.New(slog.DiscardHandler)
 
-// ready waits until the agent takes clients.
-func (a *agent) ready(ctx context.Context, ended <-chan struct{}) error {
-	return answers(ctx, ended, "http://"+a.listen+"/_health")
+// awaitReady waits until the agent takes clients.
+func (a *agent) awaitReady(ctx context.Context, ended <-chan struct{}) error {
+	return awaitOK(ctx, ended, "http://"+a.listenAddr+"/_health")
 }
 
-// answers waits until an address answers a call as it should.
-func answers(ctx context.Context, ended <-chan struct{}, url string) error {
+// awaitOK waits until an address answers a call as it should.
+func awaitOK(ctx context.Context, ended <-chan struct{}, url string) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	limit := time.Now().Add(startWithin)
+	limit := time.Now().Add(startTimeout)
 	for time.Now().Before(limit) {
 		resp, err := client.Get(url)
 		if err == nil {
@@ -248,11 +250,11 @@
 		case <-time.After(3 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("not ready within %v", startWithin)
+	return fmt.Errorf("not ready within %v", startTimeout)
 }
 
-// everyone is every process, hubs first.
-func (l *Lab) everyone() []*process { return append(l.hubProcesses(), l.agentProcesses()...) }
+// allProcesses is every process, hubs first.
+func (l *Lab) allProcesses() []*process { return append(l.hubProcesses(), l.agentProcesses()...) }
 
 func (l *Lab) agentProcesses() (list []*process) {
 	for _, a := range l.agents {
@@ -275,11 +277,11 @@
 			return err
 		}
 		go func() {
-			err := p.role.ready(ctx, ended)
+			err := p.role.awaitReady(ctx, ended)
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if p.up = err == nil; err != nil {
-				err = fmt.Errorf("%w: %s %s: %w\n%s", ErrCrash, p.what, p.name, err, p.lastLog())
+				err = fmt.Errorf("%w: %s %s: %w\n%s", ErrCrash, p.kind, p.name, err, p.logTail())
 			}
 			results <- err
 		}()
@@ -309,20 +311,20 @@
 	}
 	cmd, ended, began := p.cmd, p.ended, l.now()
 	l.running.Go(func() {
-		err := p.role.ready(l.ctx, ended)
+		err := p.role.awaitReady(l.ctx, ended)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if p.cmd != cmd || p.expected { // it was told to end as it started: whoever told it starts the next
+		if p.cmd != cmd || p.endExpected { // it was told to end as it started: whoever told it starts the next
 			return
 		}
 		if err == nil {
-			p.up, p.since = true, l.now()
-			if p.what == "agent" {
-				l.starts = append(l.starts, p.since-began)
+			p.up, p.readyAt = true, l.now()
+			if p.kind == "agent" {
+				l.restartTimes = append(l.restartTimes, p.readyAt-began)
 			}
-			p.role.running(p.since)
+			p.role.onReady(p.readyAt)
 		} else if !l.closing && l.ctx.Err() == nil {
-			l.crashes = append(l.crashes, fmt.Sprintf("%s %s did not come up again: %v", p.what, p.name, err))
+			l.crashes = append(l.crashes, fmt.Sprintf("%s %s did not come up again: %v", p.kind, p.name, err))
 			l.cancel()
 		}
 	})
@@ -332,7 +334,7 @@
 func (l *Lab) sample() {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
-	all := l.everyone()
+	all := l.allProcesses()
 	for {
 		select {
 		case <-l.ctx.Done():
@@ -342,7 +344,7 @@
 		for _, p := range all {
 			l.mu.Lock()
 			pid := 0
-			if p.cmd != nil && !p.expected {
+			if p.cmd != nil && !p.endExpected {
 				pid = p.cmd.Process.Pid
 			}
 			l.mu.Unlock()
@@ -356,7 +358,7 @@
 			l.mu.Lock()
 			u := &p.usage
 			u.RSS, u.FDs, u.CPU = max(u.RSS, rss), max(u.FDs, fds), max(u.CPU, u.base+cpu)
-			if limit := l.Scenario.Limits; p.what == "agent" && (rss > float64(limit.MemoryMB) && limit.MemoryMB > 0 || fds > limit.Sockets) {
+			if limit := l.Scenario.Limits; p.kind == "agent" && (rss > float64(limit.MemoryMB) && limit.MemoryMB > 0 || fds > limit.Sockets) {
 				l.crashes = append(l.crashes, fmt.Sprintf("agent %s is over its limits: %.0f of %d MB, %d of %d descriptors",
 					p.name, rss, limit.MemoryMB, fds, limit.Sockets))
 				l.cancel()
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -8,13 +8,13 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-const mostDatagram = 2048
+const maxDatagramBytes = 2048
 
-// relays carry what agents tell each other. To tell agent k is to send to k's relay, which knows the sender by
+// openRelays carry what agents tell each other. To tell agent k is to send to k's relay, which knows the sender by
 // its address; k hears it from the sender's own relay. So every agent has one address, the same for all.
-func (l *Lab) relays() error {
+func (l *Lab) openRelays() error {
 	for _, a := range l.agents {
-		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.world(a.n))})
+		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.linkAddr(a.number))})
 		if err != nil {
 			return err
 		}
@@ -22,20 +22,20 @@
 	}
 	byAddr := map[string]*agent{}
 	for _, a := range l.agents {
-		byAddr[a.peerListen] = a
+		byAddr[a.peerAddr] = a
 	}
 	for _, to := range l.agents {
-		l.running.Go(func() { l.relay(to, byAddr) })
+		l.running.Go(func() { l.relayDatagrams(to, byAddr) })
 	}
 	return nil
 }
 
-func (l *Lab) relay(to *agent, byAddr map[string]*agent) {
-	target, err := net.ResolveUDPAddr("udp4", to.peerListen)
+func (l *Lab) relayDatagrams(to *agent, byAddr map[string]*agent) {
+	target, err := net.ResolveUDPAddr("udp4", to.peerAddr)
 	if err != nil {
 		return
 	}
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for n := 0; ; n++ {
 		size, addr, err := to.relay.ReadFromUDP(buf)
 		if err != nil {
@@ -52,8 +52,8 @@
 		l.mu.Lock()
 		now := l.now()
 		l.datagrams++
-		for _, d := range l.net.Arrivals(party(netfault.Agent, from.n), party(netfault.Agent, to.n), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.n, to.n, n)) {
-			l.at(now+d, func(time.Duration) {
+		for _, d := range l.network.Arrivals(endpointOf(netfault.Agent, from.number), endpointOf(netfault.Agent, to.number), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.number, to.number, n)) {
+			l.scheduleAt(now+d, func(time.Duration) {
 				_, _ = from.relay.WriteToUDP(data, target) // a receiver that is gone misses it
 			})
 		}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -39,7 +39,7 @@
 	CrossZone   float64  `json:"cross_zone_share"`
 	Worst10s    float64  `json:"worst_10s"`
 	Worst10sAt  int      `json:"worst_10s_at_s"`
-	LeftAfter   *float64 `json:"left_after_s"` // until under 1% of first attempts went to zones out of reach, see leftAfter
+	LeftAfter   *float64 `json:"left_after_s"` // until under 1% of first attempts went to zones out of reach, see avoidedAfter
 	FallOvers   int      `json:"fall_overs"`
 	Latency     P        `json:"latency_ms"`
 	Rules       Rules    `json:"rules"`
@@ -98,14 +98,14 @@
 		For: s.Duration.Duration().Seconds(), Settle: s.WarmUp.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.WeightInObjective, sum.Weight),
 		Refused: share(float64(sum.Refused), float64(sum.Offered)), Failed: share(float64(sum.Failed), float64(sum.Offered)), Lost: sum.Lost,
 		Attempts: share(float64(l.tally.Attempts), float64(sum.Offered)), CrossZone: share(float64(l.tally.CrossZone), float64(l.tally.Attempts)),
-		LeftAfter: l.leftAfter(), FallOvers: l.fallen, Crashes: len(l.crashes), WorkScale: l.scale,
+		LeftAfter: l.avoidedAfter(), FallOvers: l.overloadedBackends, Crashes: len(l.crashes), WorkScale: l.scale,
 		Datagrams: float64(l.datagrams) / max(1, l.now().Seconds()),
 		Classes:   map[string]float64{}, Tenants: map[string]float64{}, Zones: map[string]float64{}, Windows: l.tally.Windows}
 	const window = 10 // s
 	r.Worst10s, r.Worst10sAt = l.tally.Worst(window)
 	at := func(q float64) float64 { return float64(l.tally.Latency.ValueAtQuantile(q)) / 1e3 }
 	r.Latency = P{at(50), at(99), at(99.9)}
-	r.Late.P50, r.Late.P99 = float64(l.late.ValueAtQuantile(50))/1e3, float64(l.late.ValueAtQuantile(99))/1e3
+	r.Late.P50, r.Late.P99 = float64(l.lateness.ValueAtQuantile(50))/1e3, float64(l.lateness.ValueAtQuantile(99))/1e3
 	r.Rules.Broken = broken
 	if len(violations) > 0 {
 		r.Rules.First, r.Rules.History, r.Rules.ByRule = &violations[0], l.check.FirstViolator(), map[string]int{}
@@ -114,7 +114,7 @@
 		}
 	}
 	for i, p := range l.tally.Classes {
-		r.Classes[l.kinds[i].name] = share(p.WeightInObjective, p.Weight)
+		r.Classes[l.classes[i].name] = share(p.WeightInObjective, p.Weight)
 	}
 	for i, p := range l.tally.Tenants {
 		r.Tenants[tenants[i].name] = share(p.WeightInObjective, p.Weight)
@@ -122,7 +122,7 @@
 	for i, p := range l.tally.Zones {
 		r.Zones[s.Fleet.Zones[i]] = share(p.WeightInObjective, p.Weight)
 	}
-	r.Dials, r.Ready, r.Recovered, r.Lists, r.Shared, r.Hubs = l.busiest(), l.readyTimes(), l.recovered(), l.listsReport(), l.sharedReport(), l.hubsReport()
+	r.Dials, r.Ready, r.Recovered, r.Lists, r.Shared, r.Hubs = l.maxConnectionsPerSecond(), l.restartTimePercentiles(), l.recoveryTime(), l.listsReport(), l.sharedReport(), l.hubsReport()
 	for _, a := range l.agents {
 		r.Agent.RSS, r.Agent.FDs = max(r.Agent.RSS, a.usage.RSS), max(r.Agent.FDs, a.usage.FDs)
 		r.Agent.CPU += a.usage.CPU
@@ -132,8 +132,8 @@
 		r.Verdict = Void
 	case r.Crashes > 0:
 		r.Verdict, r.Crash = Crashed, l.crashes[0]
-	case broken > 0 || r.Shared.broken() != "":
-		r.Verdict, r.Rules.Shared = Broken, r.Shared.broken()
+	case broken > 0 || r.Shared.violation() != "":
+		r.Verdict, r.Rules.Shared = Broken, r.Shared.violation()
 	default:
 		r.Verdict = Kept
 	}
@@ -189,10 +189,10 @@
 	Held             int // requests at its backends
 }
 
-// everySecond shows how the run stands. The lock is held.
-func (l *Lab) everySecond(n int) {
-	l.at(time.Duration(n+1)*time.Second, func(now time.Duration) {
-		v := View{At: now, Faults: append([]string(nil), l.faults...)}
+// scheduleViews shows how the run stands. The lock is held.
+func (l *Lab) scheduleViews(n int) {
+	l.scheduleAt(time.Duration(n+1)*time.Second, func(now time.Duration) {
+		v := View{At: now, Faults: append([]string(nil), l.activeFaults...)}
 		_, v.Broken = l.check.Violations()
 		for _, name := range l.Scenario.Fleet.Zones {
 			v.Zones = append(v.Zones, ZoneView{Name: name})
@@ -200,30 +200,30 @@
 		for _, a := range l.agents {
 			if a.up {
 				v.Agents++
-				v.Zones[l.zone(party(netfault.Agent, a.n))].Agents++
+				v.Zones[l.zone(endpointOf(netfault.Agent, a.number))].Agents++
 			}
 		}
 		for _, h := range l.hosts {
-			if h.m.State == model.Up && !h.down {
+			if h.machine.State == model.Up && !h.ended {
 				v.Backends++
-				z := &v.Zones[h.m.Zone]
+				z := &v.Zones[h.machine.Zone]
 				z.Backends++
-				z.Held += h.m.Load().Inflight
+				z.Held += h.machine.Load().Inflight
 			}
 		}
 		if n < len(l.tally.Windows) {
-			l.tally.Windows[n].Agents, l.tally.Windows[n].Backends, l.tally.Windows[n].Used = v.Agents, v.Backends, l.used(now)
+			l.tally.Windows[n].Agents, l.tally.Windows[n].Backends, l.tally.Windows[n].Used = v.Agents, v.Backends, l.usedCapacity(now)
 		}
 		const behind = 3 // s: most requests have ended by then
 		if v.LastAt = n - behind; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
-			l.tally.CompleteWindows(max(0, v.LastAt-int(l.longest()/time.Second)))
+			l.tally.CompleteWindows(max(0, v.LastAt-int(l.maxDeadline()/time.Second)))
 			v.Last = l.tally.Snapshot(v.LastAt)
 		}
 		if l.Second != nil {
 			second := l.Second
 			go second(l, v)
 		}
-		l.everySecond(n + 1)
+		l.scheduleViews(n + 1)
 	})
 }
 
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -17,15 +17,15 @@
 
 // class is a class of requests. Its times are those of a day on which work is not scaled.
 type class struct {
-	name     string
-	share    float64
-	work     time.Duration // mean
-	cv       float64       // of the work
-	aim      time.Duration
-	deadline time.Duration
-	worth    float64
-	effect   check.Idempotency
-	window   time.Duration
+	name        string
+	share       float64
+	work        time.Duration // mean
+	cv          float64       // of the work
+	objective   time.Duration
+	deadline    time.Duration
+	weight      float64
+	idempotency check.Idempotency
+	dedupWindow time.Duration
 }
 
 // What the office's couriers ask for.
@@ -51,8 +51,8 @@
 
 const cores = 4
 
-// machines draws the backends.
-func (l *Lab) machines() {
+// addInitialHosts draws the backends.
+func (l *Lab) addInitialHosts() {
 	s := l.Scenario
 	for n := range s.Fleet.Backends {
 		zone := n % len(s.Fleet.Zones)
@@ -69,53 +69,53 @@
 // addHost adds a machine that started at a time; a negative one is long ago.
 func (l *Lab) addHost(zone int, started time.Duration) *host {
 	n := len(l.hosts)
-	w, r := &l.Scenario.Model, l.rng.Of("machine", n)
-	in := func(x scenario.Range) float64 { return rng.Between(r, x[0], x[1]) }
+	ranges, r := &l.Scenario.Model, l.rng.Of("machine", n)
+	draw := func(x scenario.Range) float64 { return rng.Between(r, x[0], x[1]) }
 	kind := 0
 	if r.Float64() >= machineKinds[0].share {
 		kind = 1
 	}
-	mates := 0
+	neighbours := 0
 	for _, h := range l.hosts {
-		if h.m.Zone == zone && started < 0 {
-			mates++
+		if h.machine.Zone == zone && started < 0 {
+			neighbours++
 		}
 	}
-	speed := in(machineKinds[kind].speed)
+	speed := draw(machineKinds[kind].speed)
 	spec := model.Spec{ID: fmt.Sprintf("s-%08x", uint32(l.rng.Hash("id/"+strconv.Itoa(n)))), Zone: zone,
-		Cell: zone*1000 + mates/l.Scenario.Fleet.CellSize, Kind: kind, Cores: cores, Speed: speed,
-		Slots: int(math.Round(cores * in(w.SlotsPerCore))), QueueCapacity: int(cores * in(w.QueuePerCore)), ThrashLoss: in(w.ThrashLoss),
-		ThrashAt: in(w.ThrashAt), InitialCapacity: in(w.InitialCapacity), SlowStartWindow: seconds(in(w.SlowStartSeconds)), OverloadMultiple: w.OverloadMultiple,
-		OverloadWindow: w.OverloadWindow.Duration(), ErrorRate: in(w.ErrorRate), KeySaving: in(w.KeySaving), KeyTTL: seconds(in(w.KeyTTLSeconds)),
-		MaxKeys: cores * w.KeysPerCore, MaxConns: int(in(w.MaxConns)), Weight: math.Round(speed*cores) / cores,
-		Handshake: seconds(in(w.HandshakeMs) / 1e3), ProbeWork: seconds(in(scenario.Range{0.45, 0.72}) / 1e3),
+		Cell: zone*1000 + neighbours/l.Scenario.Fleet.CellSize, Kind: kind, Cores: cores, Speed: speed,
+		Slots: int(math.Round(cores * draw(ranges.SlotsPerCore))), QueueCapacity: int(cores * draw(ranges.QueuePerCore)), ThrashLoss: draw(ranges.ThrashLoss),
+		ThrashAt: draw(ranges.ThrashAt), InitialCapacity: draw(ranges.InitialCapacity), SlowStartWindow: seconds(draw(ranges.SlowStartSeconds)), OverloadMultiple: ranges.OverloadMultiple,
+		OverloadWindow: ranges.OverloadWindow.Duration(), ErrorRate: draw(ranges.ErrorRate), KeySaving: draw(ranges.KeySaving), KeyTTL: seconds(draw(ranges.KeyTTLSeconds)),
+		MaxKeys: cores * ranges.KeysPerCore, MaxConns: int(draw(ranges.MaxConns)), Weight: math.Round(speed*cores) / cores,
+		Handshake: seconds(draw(ranges.HandshakeMs) / 1e3), ProbeWork: seconds(draw(scenario.Range{0.45, 0.72}) / 1e3),
 		DropsCancelled: r.Float64() < 0.5}
-	choke := []float64{r.Float64(), r.Float64(), r.Float64(), r.Float64()}
-	if w.Degrades && choke[0] < 0.6 {
-		spec.DegradeAt, spec.DegradeAfter, spec.DegradeFactor = 7, seconds(1.5+choke[1]), 2+1.1*choke[2]
-		spec.RecoverAfter, spec.MaxDegraded = seconds(2.4+2.5*choke[3]), seconds(16+15*choke[3])
+	degradation := []float64{r.Float64(), r.Float64(), r.Float64(), r.Float64()}
+	if ranges.Degrades && degradation[0] < 0.6 {
+		spec.DegradeAt, spec.DegradeAfter, spec.DegradeFactor = 7, seconds(1.5+degradation[1]), 2+1.1*degradation[2]
+		spec.RecoverAfter, spec.MaxDegraded = seconds(2.4+2.5*degradation[3]), seconds(16+15*degradation[3])
 	}
-	h := &host{lab: l, n: n, m: model.New(spec, started), conns: map[*backendConn]bool{}, opened: map[time.Duration]int{}}
+	h := &host{lab: l, number: n, machine: model.New(spec, started), conns: map[*backendConn]bool{}, opened: map[time.Duration]int{}}
 	l.hosts = append(l.hosts, h)
 	return h
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// classes scales work so that the rate asks for the stated part of what the machines can do. Aims and
+// scaleClasses scales work so that the rate asks for the stated part of what the machines can do. Aims and
 // deadlines go with it, as the machines are no faster.
-func (l *Lab) classes() {
+func (l *Lab) scaleClasses() {
 	capacity, mean := 0.0, 0.0
 	for _, h := range l.hosts {
-		capacity += h.m.Capacity()
+		capacity += h.machine.Capacity()
 	}
 	for _, c := range classes {
 		mean += c.share * c.work.Seconds()
 	}
 	l.scale = l.Scenario.Load.Utilization * capacity / (l.Scenario.Load.Rate * mean)
 	for _, c := range classes {
-		c.work, c.aim, c.deadline = l.scaled(c.work), l.scaled(c.aim), l.scaled(c.deadline)
-		l.kinds = append(l.kinds, c)
+		c.work, c.objective, c.deadline = l.scaled(c.work), l.scaled(c.objective), l.scaled(c.deadline)
+		l.classes = append(l.classes, c)
 	}
 	for _, h := range l.hosts {
 		l.scaleHost(h)
@@ -123,24 +123,24 @@
 }
 
 func (l *Lab) scaleHost(h *host) {
-	h.m.Handshake, h.m.ProbeWork = l.scaled(h.m.Handshake), l.scaled(h.m.ProbeWork)
+	h.machine.Handshake, h.machine.ProbeWork = l.scaled(h.machine.Handshake), l.scaled(h.machine.ProbeWork)
 }
 
 func (l *Lab) scaled(d time.Duration) time.Duration { return time.Duration(float64(d) * l.scale) }
 
 // LongestDeadline is how long the clients of the most patient class wait.
-func (l *Lab) LongestDeadline() time.Duration { return l.longest() }
+func (l *Lab) LongestDeadline() time.Duration { return l.maxDeadline() }
 
-func (l *Lab) longest() (d time.Duration) {
-	for _, c := range l.kinds {
+func (l *Lab) maxDeadline() (d time.Duration) {
+	for _, c := range l.classes {
 		d = max(d, c.deadline)
 	}
 	return d
 }
 
 func (l *Lab) checkClasses() (list []check.Class) {
-	for _, c := range l.kinds {
-		list = append(list, check.Class{Name: c.name, Idempotency: c.effect, DedupWindow: c.window})
+	for _, c := range l.classes {
+		list = append(list, check.Class{Name: c.name, Idempotency: c.idempotency, DedupWindow: c.dedupWindow})
 	}
 	return list
 }
@@ -149,7 +149,7 @@
 func (l *Lab) zone(p netfault.Endpoint) int {
 	switch p.Role {
 	case netfault.Backend:
-		return l.hosts[p.Number].m.Zone
+		return l.hosts[p.Number].machine.Zone
 	case netfault.Discovery:
 		return -1
 	}
@@ -164,34 +164,34 @@
 	return ""
 }
 
-// way is the ordinary one-way time between two parties.
-func (l *Lab) way(from, to netfault.Endpoint) time.Duration {
-	r := l.Scenario.Model.CrossZoneMs
+// baseLatency is the ordinary one-way time between two parties.
+func (l *Lab) baseLatency(from, to netfault.Endpoint) time.Duration {
+	latencyMs := l.Scenario.Model.CrossZoneMs
 	switch {
 	case from.Role == netfault.Client || to.Role == netfault.Client || from.Role == netfault.Discovery || to.Role == netfault.Discovery:
 		return 0 // on the same machine
 	case from.Role == netfault.Agent && to.Role == netfault.Agent:
-		r = l.Scenario.Model.PeerMs
+		latencyMs = l.Scenario.Model.PeerMs
 	case l.zone(from) == l.zone(to): // members of a fleet as well: they are as far from each other as from backends
-		r = l.Scenario.Model.SameZoneMs
+		latencyMs = l.Scenario.Model.SameZoneMs
 	case l.region(l.zone(from)) != l.region(l.zone(to)):
-		r = l.Scenario.Model.CrossRegionMs
+		latencyMs = l.Scenario.Model.CrossRegionMs
 	}
-	return time.Duration((r[0] + r[1]) / 2 * float64(time.Millisecond))
+	return time.Duration((latencyMs[0] + latencyMs[1]) / 2 * float64(time.Millisecond))
 }
 
-// configure is what an agent's process is told.
-func (l *Lab) configure(a *agent, known members) ([]byte, error) {
+// agentConfig is what an agent's process is told.
+func (l *Lab) agentConfig(a *agent, known endpointList) ([]byte, error) {
 	s := l.Scenario
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
 	var profiles, shares []map[string]any
-	for _, c := range l.kinds {
-		profiles = append(profiles, map[string]any{"Name": c.name, "AimMs": ms(c.aim), "DeadlineMs": ms(c.deadline),
-			"Worth": c.worth, "LateValue": 0.0, "Stream": false, "WindowMs": ms(c.window),
-			"Semantics": []string{"repeatable", "by_key", "once"}[c.effect], "Group": []string{"all", "cell", "all"}[c.effect]})
+	for _, c := range l.classes {
+		profiles = append(profiles, map[string]any{"Name": c.name, "AimMs": ms(c.objective), "DeadlineMs": ms(c.deadline),
+			"Worth": c.weight, "LateValue": 0.0, "Stream": false, "WindowMs": ms(c.dedupWindow),
+			"Semantics": []string{"repeatable", "by_key", "once"}[c.idempotency], "Group": []string{"all", "cell", "all"}[c.idempotency]})
 	}
 	for _, t := range tenants {
-		shares = append(shares, map[string]any{"Name": t.name, "Portion": t.share, "QuotaPerS": l.quota(t)})
+		shares = append(shares, map[string]any{"Name": t.name, "Portion": t.share, "QuotaPerS": l.quotaRate(t)})
 	}
 	var names []string
 	for _, k := range machineKinds {
@@ -211,16 +211,16 @@
 	}
 	from := "" // where one address is for all, a backend knows by the other end's who calls
 	if s.Shared.RelayedLists {
-		from = l.block.agent(a.n)
+		from = l.block.agentAddr(a.number)
 	}
-	fleet, residency := l.together(a)
+	fleet, residency := l.fleetConfig(a)
 	return json.MarshalIndent(map[string]any{
 		"fleet": fleet, "residency": residency,
-		"name": a.name, "listen": a.listen, "discovery": l.disc.addr(a.n), "seed": fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("seed/%d/%d", a.n, a.starts))),
+		"name": a.name, "listen": a.listenAddr, "discovery": l.discovery.addr(a.number), "seed": fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("seed/%d/%d", a.number, a.starts))),
 		"limits":    map[string]any{"cores": s.Limits.Cores, "memory_mb": s.Limits.MemoryMB, "sockets": s.Limits.Sockets},
-		"dial_from": from, "peer_listen": a.peerListen, "peers": peers, "known": known,
+		"dial_from": from, "peer_listen": a.peerAddr, "peers": peers, "known": known,
 		"settings": map[string]any{
-			"Balancers": len(l.agents), "Me": a.n, "Zone": a.n % len(s.Fleet.Zones), "Dcs": s.Fleet.Zones, "Regions": regions, "Kinds": names,
+			"Balancers": len(l.agents), "Me": a.number, "Zone": a.number % len(s.Fleet.Zones), "Dcs": s.Fleet.Zones, "Regions": regions, "Kinds": names,
 			"Clients": map[string]any{"MarksRetry": true}, "CountedBy": "request", "FamilyInfo": map[string]any{"WarmKeys": true},
 			"Contract": map[string]any{"AskWithinMs": 10000, "ColdFrom": s.Model.InitialCapacity[0], "DrainGraceMs": ms(drainGrace),
 				"FallMs": ms(s.Model.OverloadWindow.Duration()), "FallMultiple": s.Model.OverloadMultiple, "GraceToAnswerMs": 20, "RampTimeMs": s.Model.SlowStartSeconds[1] * 1e3},
@@ -240,8 +240,8 @@
 	idleClose      = 30 * time.Second
 )
 
-// quota is the rate up to which a tenant's requests have their full worth: its share of most of what the warm
+// quotaRate is the rate up to which a tenant's requests have their full worth: its share of most of what the warm
 // machines can do.
-func (l *Lab) quota(t tenant) float64 {
+func (l *Lab) quotaRate(t tenant) float64 {
 	return t.share * 0.85 * l.Scenario.Load.Rate / l.Scenario.Load.Utilization
 }
--- a/internal/lab/settled.go
+++ b/internal/lab/settled.go
@@ -21,31 +21,31 @@
 // Settings of all agents are judged from outside: each agent and each hub logs a line when a version is in force there, and
 // the lab knows who was alive and could reach whom.
 
-// given is a version of settings that hubs were given.
-type given struct {
-	at      time.Duration
-	version int64
-	hubs    []int // its sources
+// publishedVersion is a version of settings that hubs were given.
+type publishedVersion struct {
+	publishedAt time.Duration
+	version     int64
+	hubs        []int // its sources
 }
 
-// firstSettings gives the settings that hold at the start.
-func (l *Lab) firstSettings() error {
+// publishInitialSettings gives the settings that hold at the start.
+func (l *Lab) publishInitialSettings() error {
 	s := &l.Scenario.Shared
 	if s.Settings == "" {
 		return nil
 	}
-	return l.toHubs(0, s.Settings, l.hubs[:s.Sources])
+	return l.publishSettings(0, s.Settings, l.hubs[:s.Sources])
 }
 
-// giveSettings has operators give settings to sources. The lock is held.
-func (l *Lab) giveSettings(i int, f *scenario.Fault, now time.Duration) {
-	sources := slices.DeleteFunc(l.pickHubs(i, f.Targets), func(h *hub) bool { return !h.source() })
-	if err := l.toHubs(now, f.Document, sources); err != nil {
+// applySettingsFault has operators give settings to sources. The lock is held.
+func (l *Lab) applySettingsFault(i int, f *scenario.Fault, now time.Duration) {
+	sources := slices.DeleteFunc(l.pickHubs(i, f.Targets), func(h *hub) bool { return !h.isSource() })
+	if err := l.publishSettings(now, f.Document, sources); err != nil {
 		l.fail(err)
 	}
 }
 
-func (l *Lab) toHubs(now time.Duration, text string, hubs []*hub) error {
+func (l *Lab) publishSettings(now time.Duration, text string, hubs []*hub) error {
 	var head struct {
 		Version int64 `toml:"version"`
 	}
@@ -55,19 +55,19 @@
 	if len(hubs) == 0 {
 		return errors.New("settings are given to hubs of which none is a source")
 	}
-	g := given{at: now, version: head.Version}
+	g := publishedVersion{publishedAt: now, version: head.Version}
 	for _, h := range hubs {
-		if err := put(h.settingsFile(), text); err != nil {
+		if err := replaceFile(h.settingsFile(), text); err != nil {
 			return err
 		}
-		g.hubs = append(g.hubs, h.n)
+		g.hubs = append(g.hubs, h.number)
 	}
-	l.given = append(l.given, g)
+	l.publishedSettings = append(l.publishedSettings, g)
 	return nil
 }
 
-// put writes a file whole or not at all, as operators do.
-func put(file, text string) error {
+// replaceFile writes a file whole or not at all, as operators do.
+func replaceFile(file, text string) error {
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
 		return err
 	}
@@ -77,48 +77,48 @@
 	return os.Rename(file+".new", file)
 }
 
-// reach is who is alive from a time on, and between whom nothing is cut, either way.
-type reach struct {
-	at            time.Duration
-	agents, hubs  []bool
-	streams, ways []bool // agent by hub, hub by hub
+// reachable is who is alive from a time on, and between whom nothing is cut, either way.
+type reachable struct {
+	at                   time.Duration
+	agents, hubs         []bool
+	agentToHub, hubToHub []bool // agent by hub, hub by hub
 }
 
-const reachEvery = 20 * time.Millisecond
+const reachabilityInterval = 20 * time.Millisecond
 
-// watchReach follows who can reach whom. The lock is held.
-func (l *Lab) watchReach(at time.Duration) {
-	if len(l.given) == 0 {
+// watchReachability follows who can reach whom. The lock is held.
+func (l *Lab) watchReachability(at time.Duration) {
+	if len(l.publishedSettings) == 0 {
 		return
 	}
-	l.at(at, func(now time.Duration) {
-		r := reach{at: now}
-		open := func(a, b netfault.Endpoint) bool { return !l.net.Unreachable(a, b) }
+	l.scheduleAt(at, func(now time.Duration) {
+		r := reachable{at: now}
+		open := func(a, b netfault.Endpoint) bool { return !l.network.Unreachable(a, b) }
 		for _, h := range l.hubs {
 			r.hubs = append(r.hubs, h.up)
 			for _, other := range l.hubs {
-				r.ways = append(r.ways, open(party(netfault.Hub, h.n), party(netfault.Hub, other.n)))
+				r.hubToHub = append(r.hubToHub, open(endpointOf(netfault.Hub, h.number), endpointOf(netfault.Hub, other.number)))
 			}
 		}
 		for _, a := range l.agents {
 			r.agents = append(r.agents, a.up)
 			for _, h := range l.hubs {
-				r.streams = append(r.streams, open(party(netfault.Member, a.n), party(netfault.Hub, h.n)))
+				r.agentToHub = append(r.agentToHub, open(endpointOf(netfault.Member, a.number), endpointOf(netfault.Hub, h.number)))
 			}
 		}
-		if n := len(l.reach); n == 0 || !l.reach[n-1].same(&r) {
-			l.reach = append(l.reach, r)
+		if n := len(l.reachability); n == 0 || !l.reachability[n-1].same(&r) {
+			l.reachability = append(l.reachability, r)
 		}
-		l.watchReach(now + reachEvery)
+		l.watchReachability(now + reachabilityInterval)
 	})
 }
 
-func (r *reach) same(o *reach) bool {
-	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.streams, o.streams) && slices.Equal(r.ways, o.ways)
+func (r *reachable) same(o *reachable) bool {
+	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.agentToHub, o.agentToHub) && slices.Equal(r.hubToHub, o.hubToHub)
 }
 
-// have spreads what some hubs have to those that they can reach.
-func (r *reach) have(some []bool) []bool {
+// spread spreads what some hubs have to those that they can reach.
+func (r *reachable) spread(some []bool) []bool {
 	list := make([]bool, len(r.hubs))
 	for h := range list {
 		list[h] = some[h] && r.hubs[h]
@@ -127,7 +127,7 @@
 		again = false
 		for h := range list {
 			for other := range list {
-				if list[h] && !list[other] && r.hubs[other] && r.ways[h*len(list)+other] {
+				if list[h] && !list[other] && r.hubs[other] && r.hubToHub[h*len(list)+other] {
 					list[other], again = true, true
 				}
 			}
@@ -136,24 +136,24 @@
 	return list
 }
 
-// can reports whether an agent lives and reaches one of some hubs.
-func (r *reach) can(agent int, some []bool) bool {
+// agentReaches reports whether an agent lives and reaches one of some hubs.
+func (r *reachable) agentReaches(agent int, some []bool) bool {
 	for h, has := range some {
-		if has && r.agents[agent] && r.streams[agent*len(some)+h] {
+		if has && r.agents[agent] && r.agentToHub[agent*len(some)+h] {
 			return true
 		}
 	}
 	return false
 }
 
-// inForceAt is a version that an agent or a hub logged that it holds.
-type inForceAt struct {
+// appliedVersion is a version that an agent or a hub logged that it holds.
+type appliedVersion struct {
 	at      time.Duration // of the run
 	version int64
 }
 
-// settled reads which versions a process has logged, in order, over all its starts.
-func (l *Lab) settled(p *process) (list []inForceAt) {
+// appliedVersions reads which versions a process has logged, in order, over all its starts.
+func (l *Lab) appliedVersions(p *process) (list []appliedVersion) {
 	f, err := os.Open(filepath.Join(p.dir, "log"))
 	if err != nil {
 		return nil // it was never started
@@ -170,7 +170,7 @@
 		for _, w := range words[3:] {
 			text, is := strings.CutPrefix(w, "version=")
 			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // cut off by a kill otherwise
-				list = append(list, inForceAt{at.Sub(l.wall(0)), version})
+				list = append(list, appliedVersion{at.Sub(l.wallTime(0)), version})
 			}
 		}
 	}
@@ -188,13 +188,13 @@
 	First  string  `json:"first,omitempty"`
 }
 
-// settledAll reads what all agents and all hubs logged.
-func (l *Lab) settledAll() (agents, hubs [][]inForceAt) {
+// allAppliedVersions reads what all agents and all hubs logged.
+func (l *Lab) allAppliedVersions() (agents, hubs [][]appliedVersion) {
 	for _, p := range l.agentProcesses() {
-		agents = append(agents, l.settled(p))
+		agents = append(agents, l.appliedVersions(p))
 	}
 	for _, p := range l.hubProcesses() {
-		hubs = append(hubs, l.settled(p))
+		hubs = append(hubs, l.appliedVersions(p))
 	}
 	return agents, hubs
 }
@@ -208,7 +208,7 @@
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for limit := time.After(2 * l.Scenario.Shared.SettingsBound.Duration()); ; {
-		agents, hubs := l.settledAll()
+		agents, hubs := l.allAppliedVersions()
 		l.mu.Lock()
 		r := l.settingsReport(agents, hubs)
 		l.mu.Unlock()
@@ -228,17 +228,17 @@
 }
 
 // settingsReport judges what agents and hubs logged that they hold. The lock is held.
-func (l *Lab) settingsReport(agents, hubs [][]inForceAt) *SettingsReport {
-	if len(l.given) == 0 {
+func (l *Lab) settingsReport(agents, hubs [][]appliedVersion) *SettingsReport {
+	if len(l.publishedSettings) == 0 {
 		return nil
 	}
-	r := &SettingsReport{Given: len(l.given)}
+	r := &SettingsReport{Given: len(l.publishedSettings)}
 	broken := func(format string, args ...any) {
 		if r.First == "" {
 			r.First = fmt.Sprintf(format, args...)
 		}
 	}
-	for kind, all := range map[string][][]inForceAt{"agent": agents, "hub": hubs} {
+	for kind, all := range map[string][][]appliedVersion{"agent": agents, "hub": hubs} {
 		for n, list := range all {
 			for i := 1; i < len(list); i++ {
 				if list[i].version < list[i-1].version {
@@ -250,18 +250,18 @@
 	}
 	end := l.now()
 	bound := l.Scenario.Shared.SettingsBound.Duration()
-	for i, g := range l.given {
+	for i, g := range l.publishedSettings {
 		for a, list := range agents {
-			got := firstWith(list, g.version)
+			got := firstApplied(list, g.version)
 			if got >= 0 {
-				r.After = max(r.After, (got - g.at).Seconds())
+				r.After = max(r.After, (got - g.publishedAt).Seconds())
 			}
-			waited, reached := l.waited(&g, a, got, end, hubs)
+			waited, reached := l.maxUnservedTime(&g, a, got, end, hubs)
 			if r.Reach = max(r.Reach, waited.Seconds()); waited > bound+ageSlack {
 				r.Late++
-				broken("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.at, waited, bound)
+				broken("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, waited, bound)
 			}
-			if reached && got < 0 && i == len(l.given)-1 {
+			if reached && got < 0 && i == len(l.publishedSettings)-1 {
 				r.Behind++
 			}
 		}
@@ -269,8 +269,8 @@
 	return r
 }
 
-// firstWith is when in the run a version or a later one was first held; negative: never.
-func firstWith(list []inForceAt, version int64) time.Duration {
+// firstApplied is when in the run a version or a later one was first held; negative: never.
+func firstApplied(list []appliedVersion, version int64) time.Duration {
 	for _, x := range list {
 		if x.version >= version {
 			return max(0, x.at)
@@ -279,14 +279,14 @@
 	return -1
 }
 
-// waited is the longest time without a break for which an agent could reach a hub that had a version or could have it, from
+// maxUnservedTime is the longest time without a break for which an agent could reach a hub that had a version or could have it, from
 // when it was given until the agent had it; reached: it still could at that time.
-func (l *Lab) waited(g *given, agent int, got, end time.Duration, hubs [][]inForceAt) (longest time.Duration, reached bool) {
+func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, got, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
 	if got >= 0 {
 		end = min(end, got)
 	}
 	has := make([]bool, len(hubs))
-	for _, h := range g.hubs {
+	for _, h := range published.hubs {
 		has[h] = true
 	}
 	// What changes who can: the network and processes, and hubs that have it by now.
@@ -294,14 +294,14 @@
 		at  time.Duration
 		hub int // -1: none
 	}
-	turns := []turn{{g.at, -1}}
+	turns := []turn{{published.publishedAt, -1}}
 	for h, list := range hubs {
-		if at := firstWith(list, g.version); at >= 0 {
+		if at := firstApplied(list, published.version); at >= 0 {
 			turns = append(turns, turn{at, h})
 		}
 	}
-	for i := range l.reach {
-		turns = append(turns, turn{l.reach[i].at, -1})
+	for i := range l.reachability {
+		turns = append(turns, turn{l.reachability[i].at, -1})
 	}
 	slices.SortStableFunc(turns, func(a, b turn) int { return int(a.at - b.at) })
 	since, now := time.Duration(-1), 0
@@ -309,14 +309,14 @@
 		if t.hub >= 0 {
 			has[t.hub] = true
 		}
-		for now+1 < len(l.reach) && l.reach[now+1].at <= t.at {
+		for now+1 < len(l.reachability) && l.reachability[now+1].at <= t.at {
 			now++
 		}
-		if t.at < g.at || t.at >= end || len(l.reach) == 0 || i+1 < len(turns) && turns[i+1].at == t.at {
+		if t.at < published.publishedAt || t.at >= end || len(l.reachability) == 0 || i+1 < len(turns) && turns[i+1].at == t.at {
 			continue
 		}
-		st := &l.reach[now]
-		if reached = st.can(agent, st.have(has)); !reached {
+		st := &l.reachability[now]
+		if reached = st.agentReaches(agent, st.spread(has)); !reached {
 			since = -1
 			continue
 		}
--- a/internal/lab/shared.go
+++ b/internal/lab/shared.go
@@ -28,12 +28,12 @@
 	"settings": 10 * time.Second, "census": 3 * time.Second}
 
 const (
-	ageSlack = 50 * time.Millisecond // of writing lines, and of the first message between two processes
-	partMost = 1.1                   // of the limit, by all agents together
+	ageSlack    = 50 * time.Millisecond // of writing lines, and of the first message between two processes
+	maxQuotaSum = 1.1                   // of the limit, by all agents together
 )
 
-// together is what an agent is told of its fleet. The lock is held.
-func (l *Lab) together(a *agent) (fleet, policy map[string]any) {
+// fleetConfig is what an agent is told of its fleet. The lock is held.
+func (l *Lab) fleetConfig(a *agent) (fleet, policy map[string]any) {
 	s := &l.Scenario.Shared
 	if !s.Enabled {
 		return nil, nil
@@ -50,13 +50,13 @@
 	if s.RelayedLists {
 		lists = "relayed"
 	}
-	fleet = map[string]any{"listen": l.fleetAddr(a.n), "advertise": l.fleetLink(a.n), "seeds": seeds, "label": l.label(),
+	fleet = map[string]any{"listen": l.fleetAddr(a.number), "advertise": l.fleetLink(a.number), "seeds": seeds, "label": l.label(),
 		"most": len(l.agents), "lists": lists, "list_rate": l.Scenario.Discovery.Rate, "matrix": s.LatencyMatrix, "max_age_ms": ages,
 		"trace": filepath.Join(a.dir, traceName)}
 	if len(l.hubs) > 0 {
 		hubs := map[string]string{}
 		for _, h := range l.hubs {
-			hubs[l.Scenario.Fleet.Zones[l.zone(party(netfault.Hub, h.n))]] = l.hubLink(h.n)
+			hubs[l.Scenario.Fleet.Zones[l.zone(endpointOf(netfault.Hub, h.number))]] = l.hubLink(h.number)
 		}
 		fleet["hubs"], fleet["settings_state"] = hubs, filepath.Join(a.dir, "settings")
 		if !s.MeshFallback {
@@ -67,7 +67,7 @@
 		return fleet, nil
 	}
 	policy = map[string]any{"bound_ms": s.PolicyBound.Duration().Seconds() * 1e3, "state": filepath.Join(a.dir, "residency")}
-	if a.n < s.Sources && len(l.hubs) == 0 {
+	if a.number < s.Sources && len(l.hubs) == 0 {
 		policy["policy"] = l.policyFile(a)
 	}
 	return fleet, policy
@@ -77,13 +77,13 @@
 
 func (l *Lab) label() string { return fmt.Sprintf("lab-%d", l.Seed) }
 
-// firstPolicy gives the policy that holds at the start.
-func (l *Lab) firstPolicy() error {
+// publishInitialPolicy gives the policy that holds at the start.
+func (l *Lab) publishInitialPolicy() error {
 	s := &l.Scenario.Shared
 	if s.Policy == "" {
 		return nil
 	}
-	l.resident = &check.Residency{PropagationBound: s.PolicyBound.Duration() + pauseSlack}
+	l.residency = &check.Residency{PropagationBound: s.PolicyBound.Duration() + pauseSlack}
 	var files []string
 	for n := range s.Sources {
 		if len(l.hubs) > 0 {
@@ -93,15 +93,15 @@
 		}
 	}
 	for _, file := range files {
-		if err := put(file, s.Policy); err != nil {
+		if err := replaceFile(file, s.Policy); err != nil {
 			return err
 		}
 	}
-	return l.inForce(0, s.Policy)
+	return l.publishPolicy(0, s.Policy)
 }
 
-// inForce tells the checker of a policy. Two under one version hold together.
-func (l *Lab) inForce(now time.Duration, text string) error {
+// publishPolicy tells the checker of a policy. Two under one version hold together.
+func (l *Lab) publishPolicy(now time.Duration, text string) error {
 	p, err := residency.Parse("policy", text)
 	if err != nil {
 		return err
@@ -110,15 +110,15 @@
 	if err := h.Apply(p.Version, text); err != nil {
 		return err
 	}
-	l.resident.Publish(now, p.Version, func(tenant, class, zone int) bool {
+	l.residency.Publish(now, p.Version, func(tenant, class, zone int) bool {
 		rule := h.RuleID(tenants[tenant].name, classes[class].name) // before the table that has it
 		return h.Table().Permits(rule, zone)
 	})
 	return nil
 }
 
-// givePolicy has operators give a policy to sources. The lock is held.
-func (l *Lab) givePolicy(i int, f *scenario.Fault, now time.Duration) {
+// applyPolicyFault has operators give a policy to sources. The lock is held.
+func (l *Lab) applyPolicyFault(i int, f *scenario.Fault, now time.Duration) {
 	var files []string
 	if len(l.hubs) > 0 {
 		for _, h := range l.pickHubs(i, f.Targets) {
@@ -130,23 +130,23 @@
 		}
 	}
 	for _, file := range files {
-		if err := put(file, f.Document); err != nil {
+		if err := replaceFile(file, f.Document); err != nil {
 			l.fail(err)
 		}
 	}
-	if err := l.inForce(now, f.Document); err != nil {
+	if err := l.publishPolicy(now, f.Document); err != nil {
 		l.fail(err)
 	}
 }
 
-// broken says what of it breaks a rule; "": nothing.
-func (r *Shared) broken() string {
+// violation says what of it breaks a rule; "": nothing.
+func (r *Shared) violation() string {
 	switch {
 	case r == nil:
 	case r.Past > 0:
 		return r.First
-	case r.Parts > partMost:
-		return fmt.Sprintf("parts of the limit sum up to %.3f, at most %v", r.Parts, partMost)
+	case r.Parts > maxQuotaSum:
+		return fmt.Sprintf("parts of the limit sum up to %.3f, at most %v", r.Parts, maxQuotaSum)
 	case r.Settings != nil && r.Settings.Late+r.Settings.Back > 0:
 		return r.Settings.First
 	}
@@ -186,10 +186,10 @@
 	Matrix      map[string]float64 `json:"matrix"`
 }
 
-type partAt struct {
+type quotaAt struct {
 	at    int64
 	agent int
-	part  float64
+	quota float64
 }
 
 // sharedReport reads what the agents wrote. The lock is held.
@@ -206,10 +206,10 @@
 		return fmt.Sprint(x.Kind, " ", x.Observer, " ", x.Subject, " ", x.Incarnation, " ", x.Seq)
 	}
 	begin := l.traceTime(0)
-	var parts []partAt
+	var parts []quotaAt
 	var errors []float64
 	var uses []traceLine
-	for i, p := range l.everyone() {
+	for i, p := range l.allProcesses() {
 		n, isHub := i-len(l.hubs), i < len(l.hubs)
 		if isHub {
 			n = i
@@ -231,7 +231,7 @@
 			switch {
 			case x.Part != nil:
 				if !isHub {
-					parts = append(parts, partAt{x.At, n, *x.Part})
+					parts = append(parts, quotaAt{x.At, n, *x.Part})
 				}
 			case x.Matrix != nil:
 				errors = append(errors, l.matrixErrors(x.At, x.Matrix)...)
@@ -265,8 +265,8 @@
 	for kind, h := range ages {
 		r.Ages[kind] = P{float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())}
 	}
-	r.Parts = l.sumOfParts(parts, begin)
-	r.Settings = l.settingsReport(l.settledAll())
+	r.Parts = l.maxSumOfQuotas(parts, begin)
+	r.Settings = l.settingsReport(l.allAppliedVersions())
 	if len(errors) > 0 {
 		slices.Sort(errors)
 		r.Matrix = &MatrixError{P50: errors[len(errors)/2], P99: errors[int(0.99*float64(len(errors)-1))], Entries: len(errors)}
@@ -274,37 +274,37 @@
 	return r
 }
 
-// sumOfParts is the greatest sum of the parts that living processes had at a time after the run's begin.
-func (l *Lab) sumOfParts(parts []partAt, begin int64) (most float64) {
-	for _, d := range l.downs { // a process that ended has no part
-		parts = append(parts, partAt{l.traceTime(d.at), d.agent, 0})
+// maxSumOfQuotas is the greatest sum of the parts that living processes had at a time after the run's begin.
+func (l *Lab) maxSumOfQuotas(quotas []quotaAt, begin int64) (maxSum float64) {
+	for _, d := range l.processEnds { // a process that ended has no part
+		quotas = append(quotas, quotaAt{l.traceTime(d.at), d.agent, 0})
 	}
-	slices.SortStableFunc(parts, func(a, b partAt) int { return int(a.at - b.at) })
+	slices.SortStableFunc(quotas, func(a, b quotaAt) int { return int(a.at - b.at) })
 	now, sum := map[int]float64{}, 0.0
-	for _, p := range parts {
+	for _, p := range quotas {
 		if p.at >= begin {
-			most = max(most, sum) // what held until then, and from the run's begin on
+			maxSum = max(maxSum, sum) // what held until then, and from the run's begin on
 		}
-		sum += p.part - now[p.agent]
-		now[p.agent] = p.part
+		sum += p.quota - now[p.agent]
+		now[p.agent] = p.quota
 	}
-	return max(most, sum)
+	return max(maxSum, sum)
 }
 
-type down struct {
+type processEnd struct {
 	at    time.Duration
 	agent int
 }
 
 // settled is how long the ways must have been as they are before a matrix is held against them.
-const settled = 3500 * time.Millisecond
+const stableNetworkTime = 3500 * time.Millisecond
 
 // matrixErrors holds a matrix against what datagrams took between the zones of late, both ways: as a share of it, or of
 // 2 ms where that is less. Where the ways have changed of late it says nothing. The lock is held.
 func (l *Lab) matrixErrors(at int64, m map[string]float64) (list []float64) {
 	t := time.Duration(at-l.traceTime(0)) * time.Microsecond
-	for _, c := range l.changed {
-		if t >= c && t < c+settled {
+	for _, c := range l.networkChanges {
+		if t >= c && t < c+stableNetworkTime {
 			return nil
 		}
 	}
@@ -312,8 +312,8 @@
 	for i, a := range zones {
 		for j, b := range zones {
 			trip, known := m[a+" "+b]
-			there, one := l.fleet.oneWay(i, j, t)
-			back, other := l.fleet.oneWay(j, i, t)
+			there, one := l.fleet.recentTransit(i, j, t)
+			back, other := l.fleet.recentTransit(j, i, t)
 			if i != j && known && trip > 0 && one && other {
 				want := (there + back).Seconds() * 1e6
 				list = append(list, math.Abs(trip-want)/max(want, 2000))
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -79,7 +79,7 @@
 			if broken := c.mode == "uses-old"; broken != (r.Shared.Past > 0) {
 				t.Errorf("%d uses past the bound", r.Shared.Past)
 			}
-			if broken := c.mode == "takes-two-parts"; broken != (r.Shared.Parts > partMost) {
+			if broken := c.mode == "takes-two-parts"; broken != (r.Shared.Parts > maxQuotaSum) {
 				t.Errorf("parts sum up to %v", r.Shared.Parts)
 			}
 			s := r.Shared.Settings
--- a/internal/lab/shut.go
+++ b/internal/lab/shut.go
@@ -18,12 +18,12 @@
 // the lab. A connection that does not come up shows nowhere but in the kernel's table of sockets, as an opening
 // segment without an answer.
 
-const shutEvery = 100 * time.Millisecond // shorter than any connect time-out that the lab sets
+const openingInterval = 100 * time.Millisecond // shorter than any connect time-out that the lab sets
 
-// shut reports whether a backend can't be reached by an agent, or can't answer it. The lock is held.
-func (l *Lab) shut(agent int, h *host) bool {
-	me := party(netfault.Agent, agent)
-	return h.m.State == model.Silent || l.net.Fault(me, h.party(), netfault.TCP).Cut || l.net.Fault(h.party(), me, netfault.TCP).Cut
+// unreachable reports whether a backend can't be reached by an agent, or can't answer it. The lock is held.
+func (l *Lab) unreachable(agent int, h *host) bool {
+	me := endpointOf(netfault.Agent, agent)
+	return h.machine.State == model.Silent || l.network.Fault(me, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), me, netfault.TCP).Cut
 }
 
 // zoneFault reports whether a fault keeps agents from whole zones for a while.
@@ -31,19 +31,19 @@
 	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
 
-// watchShut counts connections that don't come up, for as long as a fault keeps zones apart. The lock is held.
-func (l *Lab) watchShut(f *scenario.Fault, now time.Duration) {
+// watchOpenings counts connections that don't come up, for as long as a fault keeps zones apart. The lock is held.
+func (l *Lab) watchOpenings(f *scenario.Fault, now time.Duration) {
 	if !zoneFault(f) {
 		return
 	}
 	end := now + f.Duration.Duration()
-	l.spans = append(l.spans, check.Span{From: now, To: end})
-	if l.shutTill = max(l.shutTill, end); l.watching {
+	l.unreachableSpans = append(l.unreachableSpans, check.Span{From: now, To: end})
+	if l.watchUntil = max(l.watchUntil, end); l.watching {
 		return
 	}
 	l.watching = true
 	l.running.Go(func() {
-		tick := time.NewTicker(shutEvery)
+		tick := time.NewTicker(openingInterval)
 		defer tick.Stop()
 		var before map[opening]bool
 		for {
@@ -60,7 +60,7 @@
 			}
 			now := l.now()
 			before = l.countOpenings(now, list, before)
-			if l.watching = now < l.shutTill && err == nil; !l.watching {
+			if l.watching = now < l.watchUntil && err == nil; !l.watching {
 				l.mu.Unlock()
 				return
 			}
@@ -113,25 +113,25 @@
 // time for each agent and zone may be a probe, which nothing tells apart from outside: it is left out. The lock is
 // held.
 func (l *Lab) countOpenings(now time.Duration, list []opening, before map[opening]bool) map[opening]bool {
-	if l.ways == nil {
-		l.ways = map[netip.AddrPort]way{}
+	if l.backendAddrs == nil {
+		l.backendAddrs = map[netip.AddrPort]backendAddr{}
 	}
 	for _, h := range l.hosts {
 		for n := range h.gates {
 			to, err := netip.ParseAddrPort(h.gates[n].Addr().String())
 			if err == nil {
-				l.ways[to] = way{n, h}
+				l.backendAddrs[to] = backendAddr{n, h}
 			}
 		}
 	}
 	type group struct{ agent, zone int }
 	open, fresh, still := map[group]int{}, map[group]int{}, map[opening]bool{}
 	for _, o := range list {
-		w, ok := l.ways[o.to]
-		if !ok || !l.shut(w.agent, w.host) {
+		w, ok := l.backendAddrs[o.to]
+		if !ok || !l.unreachable(w.agent, w.host) {
 			continue
 		}
-		g := group{w.agent, w.host.m.Zone}
+		g := group{w.agent, w.host.machine.Zone}
 		still[o] = true
 		open[g]++
 		if !before[o] {
@@ -146,17 +146,17 @@
 	return still
 }
 
-// way is an agent's address of a backend.
-type way struct {
+// backendAddr is an agent's address of a backend.
+type backendAddr struct {
 	agent int
 	host  *host
 }
 
-// leftAfter is the longest time from the begin of a fault between zones until attempts towards what can't be
+// avoidedAfter is the longest time from the begin of a fault between zones until attempts towards what can't be
 // reached stayed under 1% of all, in seconds; nil without such a fault, -1 where they never did.
-func (l *Lab) leftAfter() *float64 {
+func (l *Lab) avoidedAfter() *float64 {
 	var worst *float64
-	for _, s := range l.spans {
+	for _, s := range l.unreachableSpans {
 		after, ok := l.tally.AvoidedAfter(s, 0.01)
 		x := after.Seconds()
 		if !ok {
@@ -169,14 +169,14 @@
 	return worst
 }
 
-// used is the share of the capacity of the backends that are up, at this moment, that is at work. The lock is held.
-func (l *Lab) used(now time.Duration) float64 {
+// usedCapacity is the share of the capacity of the backends that are up, at this moment, that is at work. The lock is held.
+func (l *Lab) usedCapacity(now time.Duration) float64 {
 	work, all := 0.0, 0.0
 	for _, h := range l.hosts {
-		if h.m.State == model.Up && !h.down {
-			p := h.m.PresentCapacity(now)
+		if h.machine.State == model.Up && !h.ended {
+			p := h.machine.PresentCapacity(now)
 			all += p
-			work += p * h.m.Load().Util
+			work += p * h.machine.Load().Util
 		}
 	}
 	return share(work, all)
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -12,26 +12,26 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// signalEvery is how far apart signals in series are.
-const signalEvery = 60 * time.Millisecond
+// signalInterval is how far apart signals in series are.
+const signalInterval = 60 * time.Millisecond
 
-// signalOn sends a process that was told to end further signals. The lock is held.
-func (l *Lab) signalOn(cmd *exec.Cmd, now time.Duration, series int) {
+// scheduleSignals sends a process that was told to end further signals. The lock is held.
+func (l *Lab) scheduleSignals(cmd *exec.Cmd, now time.Duration, series int) {
 	for n := range series {
 		s := syscall.SIGHUP
 		if n%2 == 1 {
 			s = syscall.SIGTERM
 		}
-		l.at(now+time.Duration(n+1)*signalEvery, func(time.Duration) { _ = cmd.Process.Signal(s) }) // ended already if it fails
+		l.scheduleAt(now+time.Duration(n+1)*signalInterval, func(time.Duration) { _ = cmd.Process.Signal(s) }) // ended already if it fails
 	}
 }
 
-// reload has discovery move for agents, and tells them. The lock is held.
-func (l *Lab) reload(i int, f *scenario.Fault, now time.Duration) {
+// applyReload has discovery move for agents, and tells them. The lock is held.
+func (l *Lab) applyReload(i int, f *scenario.Fault, now time.Duration) {
 	list := l.pickAgents(i, f.Targets)
 	for k, a := range list {
-		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) {
-			if !a.up || a.expected || now-a.since < reloadSpared {
+		l.scheduleAt(now+stepDelay(f, k, len(list)), func(now time.Duration) {
+			if !a.up || a.endExpected || now-a.readyAt < minReloadAge {
 				return
 			}
 			if err := l.moveDiscovery(a, now); err != nil {
@@ -43,11 +43,11 @@
 
 // moveDiscovery replaces an agent's configuration and says so. The lock is held.
 func (l *Lab) moveDiscovery(a *agent, now time.Duration) error {
-	if err := l.disc.move(a.n, now); err != nil {
+	if err := l.discovery.moveAgent(a.number, now); err != nil {
 		return err
 	}
-	version, _ := l.disc.visible(a.n, now)
-	config, err := l.configure(a, l.disc.list(a.n, l.disc.base, version, true))
+	version, _ := l.discovery.visible(a.number, now)
+	config, err := l.agentConfig(a, l.discovery.list(a.number, l.discovery.baseVersion, version, true))
 	if err != nil {
 		return err
 	}
@@ -56,47 +56,47 @@
 	}
 	_ = a.cmd.Process.Signal(syscall.SIGHUP) // ended already if it fails
 	starts := a.starts
-	l.at(now+toldAfterReload, func(now time.Duration) {
+	l.scheduleAt(now+reloadDeadline, func(now time.Duration) {
 		if a.starts == starts && a.up {
-			l.disc.toldBy(a.n, version, now)
+			l.discovery.notifyAfterReload(a.number, version, now)
 		}
 	})
 	return nil
 }
 
-// inject has agents suffer what a program that package inject has built can. The lock is held.
-func (l *Lab) inject(i int, f *scenario.Fault, now time.Duration) {
+// applyInjection has agents suffer what a program that package inject has built can. The lock is held.
+func (l *Lab) applyInjection(i int, f *scenario.Fault, now time.Duration) {
 	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Count}
 	for _, a := range l.pickAgents(i, f.Targets) {
-		if a.plan.Wall = a.plan.Wall + f.ClockStep.Duration(); f.Kind == scenario.SyscallFailure {
-			a.plan.Failures = append(a.plan.Failures, failure)
+		if a.faultPlan.Wall = a.faultPlan.Wall + f.ClockStep.Duration(); f.Kind == scenario.SyscallFailure {
+			a.faultPlan.Failures = append(a.faultPlan.Failures, failure)
 		}
-		l.follow(a)
-		l.until(f, now, func(time.Duration) {
-			a.plan.Wall -= f.ClockStep.Duration()
-			a.plan.Failures = nil
-			l.follow(a)
+		l.writePlan(a)
+		l.scheduleEnd(f, now, func(time.Duration) {
+			a.faultPlan.Wall -= f.ClockStep.Duration()
+			a.faultPlan.Failures = nil
+			l.writePlan(a)
 		})
 	}
 }
 
-// follow puts an agent's plan in force. The lock is held.
-func (l *Lab) follow(a *agent) {
-	if err := a.control.Write(a.plan); err != nil {
+// writePlan puts an agent's plan in force. The lock is held.
+func (l *Lab) writePlan(a *agent) {
+	if err := a.faultControl.Write(a.faultPlan); err != nil {
 		l.fail(err)
 	}
 }
 
-// crowd has idle clients hold connections to agents. The lock is held.
-func (l *Lab) crowd(i int, f *scenario.Fault, now time.Duration) {
+// openIdleClients has idle clients hold connections to agents. The lock is held.
+func (l *Lab) openIdleClients(i int, f *scenario.Fault, now time.Duration) {
 	for _, a := range l.pickAgents(i, f.Targets) {
 		for range int(f.Size) {
-			l.running.Go(func() { l.idleClient(a.listen, now+f.Duration.Duration()) })
+			l.running.Go(func() { l.idleClient(a.listenAddr, now+f.Duration.Duration()) })
 		}
 	}
 }
 
-const idleClientAgain = 10 * time.Millisecond
+const idleClientInterval = 10 * time.Millisecond
 
 // idleClient connects and says nothing, again and again, until a time.
 func (l *Lab) idleClient(addr string, end time.Duration) {
@@ -107,6 +107,6 @@
 			_, _ = io.Copy(io.Discard, c)
 			c.Close()
 		}
-		pause(l.ctx, idleClientAgain, nil)
+		waitFor(l.ctx, idleClientInterval, nil)
 	}
 }
--- a/internal/lab/standin_test.go
+++ b/internal/lab/standin_test.go
@@ -54,7 +54,7 @@
 type brokenAgent struct {
 	mode string
 	mu   sync.Mutex
-	list map[string]member
+	list map[string]endpoint
 	n    int
 	kept bool // it has run before, with the same files
 }
@@ -67,7 +67,7 @@
 	}
 	var config struct {
 		Listen, Discovery string
-		Known             members
+		Known             endpointList
 		Fleet             struct {
 			Listen, Trace string
 			Hubs          map[string]string
@@ -77,7 +77,7 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		panic(err)
 	}
-	a := &brokenAgent{mode: mode, list: map[string]member{}}
+	a := &brokenAgent{mode: mode, list: map[string]endpoint{}}
 	before := filepath.Join(os.Getenv("TMPDIR"), "before")
 	_, err = os.Stat(before)
 	a.kept = err == nil
@@ -103,7 +103,7 @@
 	panic(http.ListenAndServe(config.Listen, a))
 }
 
-func (a *brokenAgent) take(m members) {
+func (a *brokenAgent) take(m endpointList) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, s := range m.Servers {
@@ -122,7 +122,7 @@
 		panic(err)
 	}
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
-		var m members
+		var m endpointList
 		if json.Unmarshal(lines.Bytes(), &m) == nil {
 			a.take(m)
 		}
@@ -162,7 +162,7 @@
 }
 
 // pickHome is a backend where it may be served, or, as the mode has it, may not.
-func (a *brokenAgent) pickHome(repeat bool) member {
+func (a *brokenAgent) pickHome(repeat bool) endpoint {
 	for {
 		if s, _ := a.pick(); a.home(s.Zone, repeat) {
 			return s
@@ -184,7 +184,7 @@
 }
 
 // pick is a backend: by turns, or always the newest.
-func (a *brokenAgent) pick() (best member, n int) {
+func (a *brokenAgent) pick() (best endpoint, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.n++
@@ -213,7 +213,7 @@
 	if strings.HasPrefix(a.mode, "leaks") || a.mode == "resides" {
 		s = a.pickHome(false)
 	}
-	send := func(to member, id string, body []byte) (int, []byte) {
+	send := func(to endpoint, id string, body []byte) (int, []byte) {
 		out, err := http.NewRequest(r.Method, "http://"+to.Addr+r.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			panic(err)
--- a/internal/lab/starts.go
+++ b/internal/lab/starts.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// busiest is how many connections one backend was opened in one second, at the most. The lock is held.
-func (l *Lab) busiest() (most int) {
+// maxConnectionsPerSecond is how many connections one backend was opened in one second, at the most. The lock is held.
+func (l *Lab) maxConnectionsPerSecond() (most int) {
 	settle := l.Scenario.WarmUp.Duration() / time.Second
 	for _, h := range l.hosts {
 		h.mu.Lock()
@@ -20,19 +20,19 @@
 	return most
 }
 
-// readyTimes are how long processes that were started again took until they took clients. The lock is held.
-func (l *Lab) readyTimes() P {
-	if len(l.starts) == 0 {
+// restartTimePercentiles are how long processes that were started again took until they took clients. The lock is held.
+func (l *Lab) restartTimePercentiles() P {
+	if len(l.restartTimes) == 0 {
 		return P{}
 	}
-	list := slices.Sorted(slices.Values(l.starts))
+	list := slices.Sorted(slices.Values(l.restartTimes))
 	at := func(q float64) float64 { return list[int(q*float64(len(list)-1)+0.5)].Seconds() * 1e3 }
 	return P{at(0.5), at(0.99), at(0.999)}
 }
 
-// recovered is the time from the first fault on after which three seconds in a row are served at 95% or more of what was
+// recoveryTime is the time from the first fault on after which three seconds in a row are served at 95% or more of what was
 // served before it; nil: there is no fault or nothing before it, -1: that never came. The lock is held.
-func (l *Lab) recovered() *float64 {
+func (l *Lab) recoveryTime() *float64 {
 	if len(l.Scenario.Faults) == 0 {
 		return nil
 	}
