--- /dev/null
+++ b/internal/lab/addresses.go
@@ -0,0 +1,82 @@
+package lab
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+)
+
+// block is the part of the loopback range that one lab has to itself.
+type block struct {
+	number int
+	claim  net.Listener // the kernel drops it with the process, however that ends
+}
+
+const (
+	firstBlock, lastBlock = 60, 249
+	claimPort             = 7900
+	clientPort            = 5000 // of agents
+	peerPort              = 7946
+)
+
+// claimBlock takes a free block.
+func claimBlock() (*block, error) {
+	start := os.Getpid()
+	for i := range lastBlock - firstBlock + 1 {
+		n := firstBlock + (start+i)%(lastBlock-firstBlock+1)
+		ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.0.1:%d", n, claimPort))
+		if err == nil {
+			b := &block{n, ln}
+			if !b.inUse() {
+				return b, nil
+			}
+			b.close()
+			continue
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) {
+			return nil, err
+		}
+	}
+	return nil, errors.New("every block of loopback addresses is taken by another lab")
+}
+
+// inUse reports whether a process listens in the block besides the lab: an agent that a lab has left behind.
+func (b *block) inUse() bool {
+	const listens, bound = "0A", "07" // a TCP socket, a UDP one
+	for name, state := range map[string]string{"tcp": listens, "udp": bound} {
+		table, err := os.ReadFile("/proc/self/net/" + name)
+		if err != nil {
+			continue // what is in use shows at the first bind
+		}
+		for line := range strings.Lines(string(table)) {
+			fields := strings.Fields(line)
+			if len(fields) < 4 || fields[3] != state {
+				continue
+			}
+			at, ok := kernelAddress([]byte(fields[1]))
+			if ip := at.Addr().As4(); ok && ip[0] == 127 && int(ip[1]) == b.number && at.Port() != claimPort {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func (b *block) close() { b.claim.Close() }
+
+// agentAddr is the address of agent n itself.
+func (b *block) agentAddr(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.number, 1+n/250, 1+n%250)
+}
+
+// linkAddr is the address at which agent n meets everyone else. They differ by port.
+func (b *block) linkAddr(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.number, 101+n/250, 1+n%250)
+}
+
+// hubAddr is the address of hub n itself, and hubLinkAddr where it is reached and meets everyone else.
+func (b *block) hubAddr(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.number, 1+n) }
+func (b *block) hubLinkAddr(n int) string { return fmt.Sprintf("127.%d.211.%d", b.number, 1+n) }
--- /dev/null
+++ b/internal/lab/arrivals.go
@@ -0,0 +1,182 @@
+package lab
+
+// The arrival of requests: which client sends what, and when.
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"time"
+
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/rng"
+)
+
+// arrival is the next arrival at an agent.
+type arrival struct {
+	at    time.Duration
+	agent *agent
+}
+
+type arrivalHeap []arrival
+
+func (h arrivalHeap) Len() int { return len(h) }
+
+func (h arrivalHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].agent.number < h[j].agent.number
+}
+
+func (h arrivalHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *arrivalHeap) Push(x any) { *h = append(*h, x.(arrival)) }
+
+func (h *arrivalHeap) Pop() any {
+	last := len(*h) - 1
+	d := (*h)[last]
+	*h = (*h)[:last]
+	return d
+}
+
+// distributeLoad shares the load out over the agents.
+func (l *Lab) distributeLoad() {
+	r, sum := l.rng.Stream("weights"), 0.0
+	for _, a := range l.agents {
+		a.rate = rng.Lognormal(r, 1, l.Scenario.Load.Skew)
+		sum += a.rate
+	}
+	for _, a := range l.agents {
+		a.rate *= l.Scenario.Load.Rate / sum
+	}
+	zipf := rng.NewZipf(l.Scenario.Load.Keys, l.Scenario.Load.KeySkew)
+	for _, a := range l.agents {
+		a.arrivalRandom, a.requestRandom, a.keys = l.rng.Of("arrivals", a.number), l.rng.Of("requests", a.number), zipf
+	}
+}
+
+// loadFactorAt is by how much the load is up at a time. It is part of the schedule, so that a seed gives the same
+// arrivals whatever the agents do.
+func (l *Lab) loadFactorAt(at time.Duration) float64 {
+	f := 1.0
+	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
+		at %= again
+	}
+	for _, x := range l.Scenario.Faults {
+		if x.Kind == "burst" && at >= x.At.Duration() && (x.Duration == 0 || at < x.At.Duration()+x.Duration.Duration()) {
+			f *= x.Size
+		}
+	}
+	return f
+}
+
+// nextArrival draws the next arrival after a time: an exponential span of load, walked in small steps as it changes.
+func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
+	const walk = 10 * time.Millisecond
+	left := a.arrivalRandom.ExpFloat64()
+	for {
+		rate := a.rate * l.loadFactorAt(at)
+		if need := left / rate; need <= walk.Seconds() {
+			return at + seconds(need)
+		}
+		left -= rate * walk.Seconds()
+		if at += walk; at > l.Scenario.Duration.Duration() {
+			return math.MaxInt64
+		}
+	}
+}
+
+// runArrivals sends every request at its time, whatever became of the ones before, until the run's time is over.
+func (l *Lab) runArrivals() {
+	var h arrivalHeap
+	for _, a := range l.agents {
+		if at := l.nextArrival(a, 0); at < l.Scenario.Duration.Duration() {
+			h = append(h, arrival{at, a})
+		}
+	}
+	heap.Init(&h)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for len(h) > 0 {
+		d := h[0]
+		if wait := d.at - l.now(); wait > 0 {
+			timer.Reset(wait)
+			select {
+			case <-timer.C:
+			case <-l.ctx.Done():
+				return
+			}
+			continue
+		}
+		p := l.newRequest(d.agent, d.at)
+		l.mu.Lock()
+		l.recordLateness(l.now() - d.at)
+		d.agent.openRequests++
+		l.mu.Unlock()
+		l.running.Go(func() { l.runRequest(p) })
+		if h[0].at = l.nextArrival(d.agent, d.at); h[0].at >= l.Scenario.Duration.Duration() {
+			heap.Pop(&h)
+		} else {
+			heap.Fix(&h, 0)
+		}
+	}
+	timer.Reset(max(0, l.Scenario.Duration.Duration()-l.now()))
+	select {
+	case <-timer.C:
+	case <-l.ctx.Done():
+	}
+}
+
+// newRequest makes an agent's next request.
+func (l *Lab) newRequest(a *agent, at time.Duration) *clientRequest {
+	r := a.requestRandom
+	req := &clientRequest{agent: a, index: a.lastIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.lastIndex))}
+	a.lastIndex++
+	req.firstID = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/0", a.number, req.index)))
+	if r.Float64() >= l.classes[0].share {
+		req.class = 1
+	}
+	class := &l.classes[req.class]
+	usage := tenants[0].share * tenants[0].usage
+	if r.Float64()*(usage+tenants[1].share*tenants[1].usage) >= usage {
+		req.tenant = 1
+	}
+	req.work = time.Duration(rng.Lognormal(r, float64(class.work), class.cv))
+	req.sid = fmt.Sprintf("stop-%06d", a.keys.Draw(r))
+	req.key = l.rng.Hash("key/" + req.sid)
+	req.timeout = time.Duration(l.Scenario.Load.TimeoutShare * float64(class.deadline))
+	req.honoursRetryAfter = req.random.Float64() < l.Scenario.Load.RetryAfterShare
+	if cancelDraw := req.random.Float64(); req.random.Float64() < l.Scenario.Load.CancelShare {
+		req.cancelsAfter = time.Duration(cancelDraw * float64(class.objective))
+	}
+	req.uri = "/" + class.name + "/v1"
+	if class.idempotency == check.IdempotencyKey {
+		req.idempotencyKey = fmt.Sprintf("%016x%016x", l.rng.Hash("idem/"+req.firstID), req.key)
+	}
+	req.body = fmt.Appendf(nil, `{"stop":%q,"n":%d,"pad":"%0*d"}`, req.sid, req.index, 20+r.IntN(200), 0)
+	return req
+}
+
+// takeQuota takes a request against its tenant's quota and reports whether it lies within. The lock is held.
+func (l *Lab) takeQuota(now time.Duration, tenant int) bool {
+	if l.tenantQuotas == nil {
+		l.tenantQuotas = make([]tokenBucket, len(tenants))
+		for i, t := range tenants {
+			l.tenantQuotas[i] = tokenBucket{tokens: l.quotaRate(t), rate: l.quotaRate(t)}
+		}
+	}
+	q := &l.tenantQuotas[tenant]
+	q.tokens = min(q.rate, q.tokens+q.rate*(now-q.refilledAt).Seconds())
+	q.refilledAt = max(q.refilledAt, now)
+	if q.tokens < 1 {
+		return false
+	}
+	q.tokens--
+	return true
+}
+
+type tokenBucket struct {
+	tokens, rate float64
+	refilledAt   time.Duration
+}
--- /dev/null
+++ b/internal/lab/attempts.go
@@ -0,0 +1,212 @@
+package lab
+
+// The way of an attempt through the network, to a backend and back.
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
+	"martenbeam/internal/lab/rng"
+)
+
+// attempt is one request of an agent at a backend.
+type attempt struct {
+	number        uint64
+	id            string
+	host          *host
+	agent         int
+	conn          *backendConn
+	arrivedAt     time.Duration // its last byte, to the kernel
+	reply         chan answer
+	statedTimeout time.Duration // that the agent says it will wait; below 0: it says nothing
+	disconnected  bool          // its connection is closed
+	fromLabClient bool          // a client of the lab sent it
+}
+
+type answer struct {
+	status   int
+	neverRan bool
+	body     string
+}
+
+func (a *attempt) endpoint() netfault.Endpoint {
+	return netfault.Endpoint{Role: netfault.Agent, Number: a.agent}
+}
+
+func fingerprint(method, uri, key string, body []byte) uint64 {
+	d := xxhash.New()
+	for _, s := range []string{method, "\x00", uri, "\x00", key, "\x00"} {
+		_, _ = d.WriteString(s) // a hash takes every write
+	}
+	_, _ = d.Write(body)
+	return d.Sum64()
+}
+
+// deliver takes an attempt over the network, which it reached at a time, to its machine. The lock is held.
+func (l *Lab) deliver(now, sentAt time.Duration, a *attempt, fingerprint uint64, probe bool) {
+	h := a.host
+	l.attempts[a.number] = a
+	newConnection := !a.conn.used
+	a.conn.used = true
+	if l.network.Fault(a.endpoint(), h.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
+		if !probe {
+			l.check.Record(now, a.id, "network", fmt.Sprintf("the attempt to %s does not get through", h.machine.ID))
+		}
+		l.queueUntilReachable(a.endpoint(), h.endpoint(), func(now time.Duration) { l.deliver(now, now, a, fingerprint, probe) })
+		return
+	}
+	if a.disconnected {
+		delete(l.attempts, a.number)
+		return
+	}
+	latency := l.network.Arrivals(a.endpoint(), h.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
+	if newConnection { // a handshake: one round trip more, and work
+		latency += 2 * l.baseLatency(a.endpoint(), h.endpoint())
+	}
+	if !probe {
+		a.fromLabClient = l.check.Arrive(sentAt, check.Arrival{Attempt: a.number, ID: a.id, Agent: a.agent, Backend: h.machine.ID,
+			Cell: h.machine.Cell, Fingerprint: fingerprint, SentAt: a.arrivedAt, StatedTimeout: a.statedTimeout})
+	}
+	switch {
+	case probe:
+		l.scheduleAt(now+latency, func(now time.Duration) {
+			load := h.machine.Load()
+			l.lastAttempt++ // its work has a number of its own: the answer doesn't wait for it
+			l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
+			l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
+				load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
+		})
+	case a.conn.overLimit:
+		l.scheduleAt(now+latency, func(now time.Duration) {
+			l.reply(now, a, answer{http.StatusServiceUnavailable, true, "too many connections"}, "turns the attempt away: too many connections")
+		})
+	default:
+		draw := l.rng.Stream("attempt/" + a.id + "/" + h.machine.ID)
+		job := model.Job{Attempt: a.number, Agent: a.agent, ErrorDraw: draw.Float64(), NewConnection: newConnection,
+			StartKnown: l.check.KnowsStart(a.agent, h.machine.ID, h.machine.StartedAt)}
+		if p := l.clientRequestOf(a); p != nil {
+			job.Work, job.Key = time.Duration(float64(p.work)*rng.Lognormal(draw, 1, 0.3)), p.key
+			if l.isDuplicate(now, p, h) { // its effect has happened there: what is left to do is to say so
+				l.check.Record(now, a.id, h.machine.ID, "its pod has met the key: the repeat is dropped")
+				job.Work, job.Key = h.machine.ProbeWork, 0
+			}
+		} else {
+			job.Work = l.classes[0].work
+		}
+		l.scheduleAt(now+latency, func(now time.Duration) { l.completeJobs(h, h.machine.Arrive(now, job)) })
+	}
+}
+
+// cellKey is a client's request as the backends of one pod know it.
+type cellKey struct {
+	cell int
+	key  string
+}
+
+// isDuplicate reports whether a keyed request has come to a pod before, within its window, and keeps that it has. The
+// lock is held.
+func (l *Lab) isDuplicate(now time.Duration, p *clientRequest, h *host) bool {
+	if p.idempotencyKey == "" {
+		return false
+	}
+	key, window := cellKey{h.machine.Cell, p.idempotencyKey}, l.classes[p.class].dedupWindow
+	if l.servedKeys[key] {
+		return true
+	}
+	l.servedKeys[key] = true
+	l.scheduleAt(now+window, func(time.Duration) { delete(l.servedKeys, key) })
+	return false
+}
+
+// clientRequestOf is the client's request behind an attempt; nil: a visitor's.
+func (l *Lab) clientRequestOf(a *attempt) *clientRequest {
+	if !a.fromLabClient {
+		return nil
+	}
+	return l.agents[a.agent].requests[a.id]
+}
+
+// completeJobs answers the attempts that a machine is done with. The lock is held.
+func (l *Lab) completeJobs(h *host, done []model.Completion) {
+	for _, d := range done {
+		a := l.attempts[d.Attempt]
+		if a == nil {
+			continue // a probe's work, or one that is answered
+		}
+		what := d.Result.String()
+		if d.QueuedFor > 0 {
+			what += fmt.Sprintf(" after %v in the waiting room", d.QueuedFor.Round(100*time.Microsecond))
+		}
+		switch d.Result {
+		case model.Lost, model.Dropped: // nothing comes back
+			l.check.Record(d.At, a.id, h.machine.ID, what)
+			delete(l.attempts, d.Attempt)
+		case model.Rejected:
+			l.reply(d.At, a, answer{http.StatusServiceUnavailable, true, "full"}, what)
+		case model.Failed:
+			l.reply(d.At, a, answer{http.StatusInternalServerError, false, "failed"}, what)
+		case model.Served:
+			l.reply(d.At, a, answer{http.StatusOK, false, servedBody(a.id, h.machine.ID)}, what)
+		}
+	}
+	if h.machine.State == model.Overloaded && !h.ended {
+		h.ended = true
+		l.check.Overloaded(h.machine.OverloadedAt, h.machine.ID, h.machine.InformedShare)
+		l.overloadedBackends++
+		l.endHost(h)
+		l.discovery.learn(l.now(), h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
+	}
+}
+
+// servedBody is the body that a backend makes for a request.
+func servedBody(id, backend string) string { return "served " + id + " by " + backend }
+
+// isServedBody reports whether a body is one that a backend makes for a request.
+func isServedBody(body, id string) bool { return strings.HasPrefix(body, "served "+id+" by s-") }
+
+// reply takes what a machine answers back over the network. The lock is held.
+func (l *Lab) reply(now time.Duration, a *attempt, answer answer, what string) {
+	h := a.host
+	if l.network.Fault(h.endpoint(), a.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
+		l.check.Record(now, a.id, "network", "the answer of "+h.machine.ID+" ("+what+") does not get through")
+		l.queueUntilReachable(h.endpoint(), a.endpoint(), func(now time.Duration) { l.reply(now, a, answer, what) })
+		return
+	}
+	delete(l.attempts, a.number)
+	latency := l.network.Arrivals(h.endpoint(), a.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
+	l.check.RecordReply(now, a.id, h.machine.ID, what, answer.neverRan)
+	l.scheduleAt(now+latency, func(time.Duration) {
+		select {
+		case a.reply <- answer:
+		default: // under the lab's lock nothing may wait
+			l.fail(fmt.Errorf("the lab answered attempt %d of %s twice", a.number, a.id))
+		}
+	})
+}
+
+// partitionedMessage is a message that waits at its sender until its way is free.
+type partitionedMessage struct {
+	from, to netfault.Endpoint
+	send     func(now time.Duration)
+}
+
+// queueUntilReachable keeps a message until its way may be free again. The lock is held.
+func (l *Lab) queueUntilReachable(from, to netfault.Endpoint, send func(now time.Duration)) {
+	l.partitioned = append(l.partitioned, partitionedMessage{from, to, send})
+}
+
+// retryPartitioned tries what is parked again: what is still held up parks itself anew. The lock is held.
+func (l *Lab) retryPartitioned(now time.Duration) {
+	list := l.partitioned
+	l.partitioned = nil
+	for _, p := range list {
+		p.send(now)
+	}
+}
--- /dev/null
+++ b/internal/lab/backendfaults.go
@@ -0,0 +1,133 @@
+package lab
+
+// Faults of backends.
+
+import (
+	"syscall"
+	"time"
+
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
+	"martenbeam/internal/lab/scenario"
+)
+
+// loseZone has a zone's machines fall silent, and come back cold. The lock is held.
+func (l *Lab) loseZone(f *scenario.Fault, now time.Duration) {
+	set, _ := scenario.ParseSet(f.Targets)
+	var lost []*host
+	for _, h := range l.hosts {
+		if set.Contains(h.number, h.machine.Zone) && !h.ended {
+			lost = append(lost, h)
+			l.completeJobs(h, h.machine.Stop(now, model.Silent))
+			l.discovery.learn(now, h, "gone", l.Scenario.Discovery.SilentDelaySeconds)
+		}
+	}
+	l.updateGates()
+	l.scheduleEnd(f, now, func(now time.Duration) {
+		for _, h := range lost {
+			h.machine.Restart(now)
+			l.discardMessages(h)
+			l.running.Go(func() { h.reset(nil) })
+			l.discovery.learn(now, h, "ready", l.Scenario.Discovery.AddDelaySeconds)
+		}
+		l.updateGates()
+		l.retryPartitioned(now)
+	})
+}
+
+// failZonePower takes a zone's hub, agents and machines at once, and brings them back together, cold and knowing nothing. The lock is
+// held.
+func (l *Lab) failZonePower(i int, f *scenario.Fault, now time.Duration) {
+	set, _ := scenario.ParseSet(f.Targets)
+	l.loseZone(f, now)
+	down := *f
+	down.Kind, down.RestartDelay, down.Restart = scenario.Kill, f.Duration, "empty"
+	var list []*process
+	for _, h := range l.hubs {
+		if set.Contains(h.number, l.zone(endpointOf(netfault.Hub, h.number))) {
+			list = append(list, &h.process)
+		}
+	}
+	for _, a := range l.agents {
+		if set.Contains(a.number, l.zone(endpointOf(netfault.Agent, a.number))) {
+			list = append(list, &a.process)
+		}
+	}
+	for _, p := range list {
+		if p.cmd != nil && !p.endExpected {
+			p.role.onKilled(now)
+			l.endProcess(p, &down, now, syscall.SIGKILL)
+		}
+	}
+}
+
+// drainHost has a backend finish its work and end; another may come in its place. The lock is held.
+func (l *Lab) drainHost(h *host, now time.Duration, replace bool) {
+	if h.ended || h.machine.State != model.Up {
+		return
+	}
+	const drainTime = 5 * time.Second // longer than it takes until everyone is told
+	l.completeJobs(h, h.machine.Drain(now))
+	l.discovery.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
+	l.scheduleAt(now+drainTime, func(now time.Duration) {
+		l.completeJobs(h, h.machine.Stop(now, model.Removed))
+		l.endHost(h)
+		l.discovery.learn(now, h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
+	})
+	if !replace {
+		return
+	}
+	next := l.addHost(h.machine.Zone, now)
+	next.machine.Cell = h.machine.Cell
+	l.scaleHost(next)
+	next.machine.Restart(now)
+	if err := next.listen(); err != nil {
+		l.fail(err)
+		return
+	}
+	l.discovery.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
+}
+
+// setBackendFault has backends fail a share of requests at once, or gives a share of them to another program. The
+// lock is held.
+func (l *Lab) setBackendFault(list []*host, f *scenario.Fault, now time.Duration, failureShare, stolenShare float64) {
+	for _, h := range list {
+		l.completeJobs(h, h.machine.SetFault(now, failureShare, stolenShare))
+	}
+	l.scheduleEnd(f, now, func(now time.Duration) {
+		for _, h := range list {
+			l.completeJobs(h, h.machine.SetFault(now, 0, 0))
+		}
+	})
+}
+
+// runNoisyNeighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
+func (l *Lab) runNoisyNeighbour(i int, f *scenario.Fault, now time.Duration) {
+	end := l.Scenario.Duration.Duration()
+	if f.Duration > 0 {
+		end = now + f.Duration.Duration()
+	}
+	for _, h := range l.pickHosts(i, f.Targets) {
+		r := l.rng.Stream("neighbour/" + h.machine.ID)
+		on := false
+		var turn func(now time.Duration)
+		turn = func(now time.Duration) {
+			if on = !on && now < end; on {
+				l.completeJobs(h, h.machine.SetFault(now, 0, f.Size))
+			} else {
+				l.completeJobs(h, h.machine.SetFault(now, 0, 0))
+			}
+			if now < end {
+				span := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
+				l.scheduleAt(min(end, now+span), turn)
+			}
+		}
+		l.scheduleAt(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), turn)
+	}
+}
+
+// endHost has a backend's process end: connections are reset and refused. The lock is held.
+func (l *Lab) endHost(h *host) {
+	h.ended = true
+	l.running.Go(func() { h.close(true) })
+}
--- /dev/null
+++ b/internal/lab/clientconn.go
@@ -0,0 +1,128 @@
+package lab
+
+// Connections of clients to their agents.
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"sync"
+	"time"
+
+	"martenbeam/internal/lab/check"
+)
+
+// clientConn is a client's connection to its agent.
+type clientConn struct {
+	net.Conn
+	read *bufio.Reader
+	used bool
+}
+
+var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
+
+// sendAndReceive writes the request on a connection and reads the answer.
+func (l *Lab) sendAndReceive(c *clientConn, req *clientRequest, id string) (answer check.Answer, wait time.Duration, reusable bool) {
+	buf := requestBuffers.Get().(*[]byte)
+	defer requestBuffers.Put(buf)
+	b := append((*buf)[:0], "POST "...)
+	b = append(b, req.uri...)
+	b = fmt.Appendf(b, " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Customer: %s\r\nCookie: sid=%s\r\nX-Expires-In: %.3f\r\n",
+		id, tenants[req.tenant].name, req.sid, req.timeout.Seconds())
+	if req.idempotencyKey != "" {
+		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", req.idempotencyKey)
+	}
+	if req.attempts > 0 {
+		b = append(b, "X-Second-Try: 1\r\n"...)
+	}
+	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(req.body))
+	b = append(b, req.body...)
+	*buf = b
+	timeout := req.timeout + answerGrace + 2*socketSlack
+	cancels := req.cancelsAfter > 0 && req.cancelsAfter < timeout
+	if cancels {
+		timeout = req.cancelsAfter
+	}
+	_ = c.SetDeadline(time.Now().Add(timeout)) // a closed connection shows in the write
+	if _, err := c.Write(b); err != nil {
+		return check.ClosedNew, 0, false // not taken whole
+	}
+	taken := l.now()
+	l.mu.Lock()
+	l.check.Accept(taken, id)
+	l.mu.Unlock()
+	c.used = true
+	_, err := c.read.Peek(1)
+	if err != nil {
+		return readErrorAnswer(err, cancels, check.ClosedNew), 0, false
+	}
+	resp, err := http.ReadResponse(c.read, nil)
+	if err != nil {
+		return readErrorAnswer(err, cancels, check.Closed), 0, false
+	}
+	body, err := io.ReadAll(resp.Body)
+	resp.Body.Close()
+	if err != nil {
+		return readErrorAnswer(err, cancels, check.Closed), 0, false
+	}
+	reusable = !resp.Close
+	switch resp.StatusCode {
+	case http.StatusOK:
+		if !isServedBody(string(body), id) {
+			return check.Foreign, 0, reusable
+		}
+		return check.Served, 0, reusable
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent: no advice
+		return check.Rejected, seconds(s), reusable
+	}
+	return check.Failed, 0, reusable
+}
+
+// readErrorAnswer says what an error in reading an answer means.
+func readErrorAnswer(err error, cancels bool, closed check.Answer) check.Answer {
+	switch {
+	case !errors.Is(err, os.ErrDeadlineExceeded):
+		return closed
+	case cancels:
+		return check.Disconnected
+	}
+	return check.Unanswered
+}
+
+// getConn returns a connection that is idle, or a new one; fresh: a new one.
+func (a *agent) getConn(fresh bool) (*clientConn, error) {
+	a.mu.Lock()
+	if a.closed { // another lab's agent may be there by now
+		a.mu.Unlock()
+		return nil, net.ErrClosed
+	}
+	if n := len(a.idle); n > 0 && !fresh {
+		c := a.idle[n-1]
+		a.idle = a.idle[:n-1]
+		a.mu.Unlock()
+		return c, nil
+	}
+	a.mu.Unlock()
+	c, err := net.DialTimeout("tcp4", a.listenAddr, connectTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return &clientConn{Conn: c, read: bufio.NewReader(c)}, nil
+}
+
+// putIdle keeps a connection for the next request.
+func (a *agent) putIdle(c *clientConn) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.closed {
+		c.Close()
+		return
+	}
+	a.idle = append(a.idle, c)
+}
--- /dev/null
+++ b/internal/lab/endpointlist.go
@@ -0,0 +1,103 @@
+package lab
+
+// The endpoint list, as discovery has it for one caller.
+
+import (
+	"slices"
+	"time"
+)
+
+// endpointList is a list of backends as discovery writes it.
+type endpointList struct {
+	Version int64      `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []endpoint `json:"servers"`
+}
+
+type endpoint struct {
+	ID      string  `json:"id"`
+	Addr    string  `json:"addr"`
+	Zone    string  `json:"zone"`
+	Kind    string  `json:"kind"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"state"`
+	Weight  float64 `json:"weight"`
+	Started int64   `json:"started_ms"`
+}
+
+// endpointChange is one thing that discovery has learned.
+type endpointChange struct {
+	host      *host
+	state     string
+	started   time.Duration // negative: long ago
+	learnedAt time.Duration
+}
+
+// propagationDelay is how much later a caller's copy hears.
+func (d *fakeDiscovery) propagationDelay(caller int) time.Duration {
+	r := d.lab.rng.Of("spread", caller)
+	return time.Duration((16 + 80*r.Float64()) * float64(time.Millisecond))
+}
+
+// visible is the version that a caller's copy has by now, and when it will have the next; negative: none is due.
+func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
+	spread := d.propagationDelay(caller)
+	for i, c := range d.changes {
+		if c.learnedAt+spread > now {
+			return d.baseVersion + int64(i), c.learnedAt + spread
+		}
+	}
+	return d.baseVersion + int64(len(d.changes)), -1
+}
+
+// list is what holds between two versions: everything, if full.
+func (d *fakeDiscovery) list(caller int, from, to int64, full bool) endpointList {
+	m := endpointList{Version: to, Full: full, Servers: []endpoint{}}
+	at := map[string]int{}
+	for _, c := range d.changes[from-d.baseVersion : to-d.baseVersion] {
+		spec := &c.host.machine.Spec
+		s := endpoint{ID: spec.ID, Addr: c.host.addr(caller), Zone: d.lab.Scenario.Fleet.Zones[spec.Zone],
+			Kind: machineKinds[spec.Kind].name, Cell: spec.Cell, State: c.state, Weight: spec.Weight}
+		if c.started >= 0 {
+			s.Started = d.lab.wallTime(c.started).UnixMilli()
+		}
+		if i, known := at[s.ID]; known {
+			m.Servers[i] = s
+		} else {
+			at[s.ID] = len(m.Servers)
+			m.Servers = append(m.Servers, s)
+		}
+	}
+	if full {
+		m.Servers = slices.DeleteFunc(m.Servers, func(s endpoint) bool { return s.State == "gone" })
+	}
+	return m
+}
+
+// addr is where an agent finds the backend: at an address of its own, so that the network can tell agents apart, but for
+// lists that agents hand on to each other.
+func (h *host) addr(agent int) string {
+	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // a hub has no need of one
+		agent = 0
+	}
+	return h.gates[agent].Addr().String()
+}
+
+// cachedList is the whole list as an agent's copy has it, and counts it as told. The lab's lock is held.
+func (d *fakeDiscovery) cachedList(a *agent, now time.Duration) endpointList {
+	v, _ := d.visible(a.number, now)
+	switch d.lab.Scenario.Discovery.CachedList {
+	case "none":
+		return endpointList{Servers: []endpoint{}}
+	case "first": // it is old: nothing later is told by it
+		v = d.baseVersion
+		for _, c := range d.changes {
+			if c.learnedAt < 0 {
+				v++
+			}
+		}
+	}
+	m := d.list(a.number, d.baseVersion, v, true)
+	d.notify(a.number, d.baseVersion, v, now)
+	return m
+}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -7,22 +7,16 @@
 package lab
 
 import (
-	"container/heap"
 	"context"
-	"errors"
-	"fmt"
 	"io"
+	"log/slog"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"martenbeam/internal/bootclock"
 	"martenbeam/internal/lab/check"
 	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/rng"
@@ -98,211 +92,6 @@
 	recorder      *recorder
 }
 
-// partitionedMessage is a message that waits at its sender until its way is free.
-type partitionedMessage struct {
-	from, to netfault.Endpoint
-	send     func(now time.Duration)
-}
-
-type event struct {
-	at  time.Duration
-	seq uint64
-	run func(now time.Duration)
-}
-
-type eventQueue []event
-
-func (h eventQueue) Len() int { return len(h) }
-func (h eventQueue) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
-	}
-	return h[i].seq < h[j].seq
-}
-func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventQueue) Pop() any {
-	last := len(*h) - 1
-	e := (*h)[last]
-	(*h)[last] = event{}
-	*h = (*h)[:last]
-	return e
-}
-
-func (l *Lab) now() time.Duration {
-	return time.Since(l.createdAt) - time.Duration(l.startOffset.Load())
-}
-
-// wallTime is a time of the run by the clock that every machine reads.
-func (l *Lab) wallTime(t time.Duration) time.Time {
-	return l.createdAt.Add(time.Duration(l.startOffset.Load()) + t)
-}
-
-// traceTime is a time of the run as the lines have it that agents and hubs write: in microseconds since the machine's start.
-func (l *Lab) traceTime(t time.Duration) int64 {
-	return (l.createdSinceBoot + time.Duration(l.startOffset.Load()) + t).Microseconds()
-}
-
-// scheduleAt puts something on the agenda. The lock is held.
-func (l *Lab) scheduleAt(at time.Duration, run func(now time.Duration)) {
-	l.lastSeq++
-	heap.Push(&l.schedule, event{at, l.lastSeq, run})
-	if l.schedule[0].seq == l.lastSeq {
-		l.wake()
-	}
-}
-
-func (l *Lab) wake() {
-	select {
-	case l.wakeup <- struct{}{}:
-	default:
-	}
-}
-
-// runPending does everything that is due, in order, each at its own time.
-func (l *Lab) runPending(now time.Duration) (next time.Duration) {
-	for {
-		nextAt, host := time.Duration(1<<62), (*host)(nil)
-		if len(l.schedule) > 0 {
-			nextAt = l.schedule[0].at
-		}
-		for _, h := range l.hosts {
-			if t := h.machine.NextEvent(); t < nextAt {
-				nextAt, host = t, h
-			}
-		}
-		if nextAt > now {
-			return nextAt
-		}
-		l.recordLateness(now - nextAt)
-		if host != nil {
-			l.completeJobs(host, host.machine.Advance(nextAt))
-			continue
-		}
-		heap.Pop(&l.schedule).(event).run(nextAt)
-	}
-}
-
-func (l *Lab) recordLateness(d time.Duration) {
-	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // within its range
-}
-
-const maxLateness = int64(time.Minute / time.Microsecond)
-
-// runSchedule works off the agenda until the run ends.
-func (l *Lab) runSchedule() {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for l.ctx.Err() == nil {
-		l.mu.Lock()
-		next := l.runPending(l.now())
-		l.mu.Unlock()
-		timer.Reset(max(0, next-l.now()))
-		select {
-		case <-timer.C:
-		case <-l.wakeup:
-		case <-l.ctx.Done():
-		}
-	}
-}
-
-// New prepares a run: it checks what the machine allows, and claims addresses.
-func New(o Options) (*Lab, error) {
-	s := o.Scenario
-	if err := checkDescriptors(s); err != nil {
-		return nil, err
-	}
-	dir, err := filepath.Abs(o.Dir)
-	if err != nil {
-		return nil, err
-	}
-	o.Dir = dir
-	b, err := claimBlock()
-	if err != nil {
-		return nil, err
-	}
-	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), wakeup: make(chan struct{}, 1), loadFactor: 1,
-		lateness: hdrhistogram.New(1, maxLateness, 3), attempts: map[uint64]*attempt{}, servedKeys: map[cellKey]bool{}, startRequests: make(chan func()),
-		tally: check.NewTally(s.WarmUp.Duration()), recorder: newRecorder(o.Events)}
-	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.network = netfault.New(l.baseLatency, s.Model.Jitter, l.rng)
-	if err := l.setUp(); err != nil {
-		l.Close()
-		return nil, err
-	}
-	return l, nil
-}
-
-// checkDescriptors says before anything starts whether the lab would run out of them.
-func checkDescriptors(s *scenario.Scenario) error {
-	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("reading the limit on descriptors: %w", err)
-	}
-	hosts := s.Fleet.Backends
-	for _, f := range s.Faults {
-		if f.Kind == scenario.Replace {
-			if set, err := scenario.ParseSet(f.Targets); err == nil {
-				hosts += int(set.Share * float64(s.Fleet.Backends))
-			}
-		}
-	}
-	// A listener for each agent at each backend and as many connections at once, client connections, and some.
-	perAgent := 2*hosts + 40
-	if need := uint64(100 + s.Fleet.Agents*perAgent); need > limit.Max {
-		return fmt.Errorf("%d agents and %d backends need about %d descriptors and the limit is %d: at most %d agents here (ulimit -n)",
-			s.Fleet.Agents, hosts, need, limit.Max, max(0, (int(limit.Max)-100)/perAgent))
-	}
-	return nil
-}
-
-// setUp sets up everything but the agents' processes.
-func (l *Lab) setUp() error {
-	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
-		return err
-	}
-	l.createdAt, l.createdSinceBoot = time.Now(), bootclock.SinceBoot()
-	l.addInitialHosts()
-	l.scaleClasses()
-	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerGrace, Slack: socketSlack,
-		AcceptsUnknown: l.Visitors, MaxClosedNewShare: 1. / 200}, l.recorder.request)
-	s := l.Scenario
-	for n := range s.Fleet.Agents {
-		l.agents = append(l.agents, newAgent(l, n))
-	}
-	for n := range s.Shared.Hubs {
-		l.hubs = append(l.hubs, newHub(l, n))
-	}
-	if len(l.hubs) > 0 && len(l.Hub) == 0 {
-		return errors.New("hubs are to be started, and nothing says how")
-	}
-	l.distributeLoad()
-	var err error
-	if l.discovery, err = newDiscovery(l); err != nil {
-		return err
-	}
-	if err := l.openRelays(); err != nil {
-		return err
-	}
-	if s.Shared.Enabled {
-		if l.fleet, err = newFleetLinks(l); err != nil {
-			return err
-		}
-	}
-	if err := l.publishInitialPolicy(); err != nil {
-		return err
-	}
-	if err := l.publishInitialSettings(); err != nil {
-		return err
-	}
-	for _, h := range l.hosts {
-		if err := h.listen(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 // Bounds of the rules: the protocol's, and what sockets may add to each.
 const (
 	drainGrace          = 500 * time.Millisecond
@@ -416,3 +205,15 @@
 	l.running.Wait()
 	l.block.close()
 }
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+func share(part, whole float64) float64 {
+	if whole == 0 {
+		return 0
+	}
+	return part / whole
+}
+
+// quietLog is for what the lab itself has to do with an agent's parts.
+var quietLog = slog.New(slog.DiscardHandler)
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -1,26 +1,18 @@
 package lab
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
-	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"runtime"
-	"strconv"
-	"strings"
-	"sync"
 	"syscall"
 	"time"
 
 	"martenbeam/internal/lab/faultinject"
-	"martenbeam/internal/lab/rng"
 )
 
 // process is one process that the lab runs: an agent's or a hub's.
@@ -52,55 +44,6 @@
 	onExit(now time.Duration)                                    // its process has ended, for whatever cause
 }
 
-// agent is one agent's process, and its clients.
-type agent struct {
-	process
-	number               int
-	listenAddr, peerAddr string
-	relay                *net.UDPConn // what others send to it comes here first
-
-	// The lab's lock guards these.
-	requests     map[string]*clientRequest
-	openRequests int // requests of clients that have not ended
-
-	// The arrivals alone use these.
-	rate                         float64
-	arrivalRandom, requestRandom *rand.Rand
-	keys                         *rng.Zipf
-	lastIndex                    int
-
-	mu     sync.Mutex
-	idle   []*clientConn
-	closed bool
-}
-
-// Usage is the most that processes of a kind have used.
-type Usage struct {
-	RSS  float64 `json:"rss_mb_max"`
-	FDs  int     `json:"fds_max"`
-	CPU  float64 `json:"cpu_s"`
-	base float64 // of earlier processes
-}
-
-func newAgent(l *Lab, n int) *agent {
-	name := "n" + strconv.Itoa(n)
-	ip := l.block.agentAddr(n)
-	a := &agent{number: n, requests: map[string]*clientRequest{}, listenAddr: net.JoinHostPort(ip, strconv.Itoa(clientPort)), peerAddr: net.JoinHostPort(ip, strconv.Itoa(peerPort))}
-	a.process = process{lab: l, role: a, kind: "agent", name: name, dir: filepath.Join(l.Dir, name), readyAt: -1}
-	a.faultControl.Path = filepath.Join(a.dir, "INJECT.json")
-	return a
-}
-
-func (a *agent) onReady(now time.Duration)       { a.lab.check.Running(a.number, now) }
-func (a *agent) onKilled(now time.Duration)      { a.lab.check.Down(a.number, now) }
-func (a *agent) onPaused(from, to time.Duration) { a.lab.check.Excuse(a.number, from, to) }
-func (a *agent) onExit(now time.Duration) {
-	a.lab.processEnds = append(a.lab.processEnds, processEnd{now, a.number})
-}
-
-// Addr is where an agent's clients connect.
-func (l *Lab) Addr(n int) string { return l.agents[n].listenAddr }
-
 // startProcesses starts what is asked for, from one thread that lives as long as the lab: the kernel kills a
 // child when the thread that started it ends, and so with the lab however that ends.
 func (l *Lab) startProcesses() {
@@ -115,33 +58,6 @@
 	}
 }
 
-// start starts an agent's process. The lock is held.
-func (a *agent) start(now time.Duration, keep bool) error {
-	l := a.lab
-	a.starts++
-	tmp := filepath.Join(a.dir, "tmp")
-	if !keep {
-		if err := os.RemoveAll(tmp); err != nil {
-			return err
-		}
-	}
-	if err := os.MkdirAll(tmp, 0o755); err != nil {
-		return err
-	}
-	l.check.ForgetEndpoints(a.number)
-	config, err := l.agentConfig(a, l.discovery.cachedList(a, now))
-	if err != nil {
-		return err
-	}
-	if err := os.WriteFile(a.configFile(), config, 0o644); err != nil {
-		return err
-	}
-	return a.launch(l.Agent, append([]string{"TMPDIR=" + tmp, "PROXY_CONFIG=" + a.configFile(), "PROXY_NAME=" + a.name, "PROXY_LISTEN=" + a.listenAddr,
-		"PROXY_DISCOVERY=" + l.discovery.addr(a.number), faultinject.ControlVariable + "=" + a.faultControl.Path}, l.Env...))
-}
-
-func (a *agent) configFile() string { return filepath.Join(a.dir, "config.json") }
-
 // launch runs a command line as the process, with a bare environment and more. The lock is held.
 func (p *process) launch(command, env []string) error {
 	l := p.lab
@@ -207,29 +123,8 @@
 	}
 }
 
-func (a *agent) closeSockets() {
-	if a.relay != nil {
-		a.relay.Close()
-	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.closed = true
-	for _, c := range a.idle {
-		c.Close()
-	}
-	a.idle = nil
-}
-
 const startTimeout = 30 * time.Second
 
-// quietLog is for what the lab itself has to do with an agent's parts.
-var quietLog = slog.New(slog.DiscardHandler)
-
-// awaitReady waits until the agent takes clients.
-func (a *agent) awaitReady(ctx context.Context, ended <-chan struct{}) error {
-	return awaitOK(ctx, ended, "http://"+a.listenAddr+"/_health")
-}
-
 // awaitOK waits until an address answers a call as it should.
 func awaitOK(ctx context.Context, ended <-chan struct{}, url string) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -256,13 +151,6 @@
 // allProcesses is every process, hubs first.
 func (l *Lab) allProcesses() []*process { return append(l.hubProcesses(), l.agentProcesses()...) }
 
-func (l *Lab) agentProcesses() (list []*process) {
-	for _, a := range l.agents {
-		list = append(list, &a.process)
-	}
-	return list
-}
-
 // startAll starts processes and waits until all do their work.
 func (l *Lab) startAll(ctx context.Context, list []*process) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -329,74 +217,3 @@
 		}
 	})
 }
-
-// sample follows what the processes use, twice a second.
-func (l *Lab) sample() {
-	tick := time.NewTicker(500 * time.Millisecond)
-	defer tick.Stop()
-	all := l.allProcesses()
-	for {
-		select {
-		case <-l.ctx.Done():
-			return
-		case <-tick.C:
-		}
-		for _, p := range all {
-			l.mu.Lock()
-			pid := 0
-			if p.cmd != nil && !p.endExpected {
-				pid = p.cmd.Process.Pid
-			}
-			l.mu.Unlock()
-			if pid == 0 {
-				continue
-			}
-			rss, fds, cpu, err := usage(pid)
-			if err != nil {
-				continue // it has ended
-			}
-			l.mu.Lock()
-			u := &p.usage
-			u.RSS, u.FDs, u.CPU = max(u.RSS, rss), max(u.FDs, fds), max(u.CPU, u.base+cpu)
-			if limit := l.Scenario.Limits; p.kind == "agent" && (rss > float64(limit.MemoryMB) && limit.MemoryMB > 0 || fds > limit.Sockets) {
-				l.crashes = append(l.crashes, fmt.Sprintf("agent %s is over its limits: %.0f of %d MB, %d of %d descriptors",
-					p.name, rss, limit.MemoryMB, fds, limit.Sockets))
-				l.cancel()
-			}
-			l.mu.Unlock()
-		}
-	}
-}
-
-// usage reads what a process uses now: resident memory in MB, descriptors, processor seconds.
-func usage(pid int) (rss float64, fds int, cpu float64, err error) {
-	proc := "/proc/" + strconv.Itoa(pid)
-	entries, err := os.ReadDir(proc + "/fd")
-	if err != nil {
-		return 0, 0, 0, err
-	}
-	file, err := os.Open(proc + "/status")
-	if err != nil {
-		return 0, 0, 0, err
-	}
-	defer file.Close()
-	for lines := bufio.NewScanner(file); lines.Scan(); {
-		if f := strings.Fields(lines.Text()); len(f) > 1 && f[0] == "VmRSS:" {
-			kb, _ := strconv.ParseFloat(f[1], 64) // the kernel writes numbers
-			rss = kb / 1024
-		}
-	}
-	text, err := os.ReadFile(proc + "/stat")
-	if err != nil {
-		return 0, 0, 0, err
-	}
-	_, rest, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
-	const ticks = 100 // a second, on Linux
-	if len(f) > 12 {
-		user, _ := strconv.ParseFloat(f[11], 64)
-		system, _ := strconv.ParseFloat(f[12], 64)
-		cpu = (user + system) / ticks
-	}
-	return rss, len(entries), cpu, nil
-}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,18 +1,11 @@
 package lab
 
 import (
-	"bufio"
-	"encoding/json"
-	"fmt"
-	"io"
 	"os/exec"
 	"runtime/debug"
 	"strings"
-	"time"
 
 	"martenbeam/internal/lab/check"
-	"martenbeam/internal/lab/model"
-	"martenbeam/internal/lab/netfault"
 )
 
 // Schema is the version of Report's form.
@@ -140,13 +133,6 @@
 	return r
 }
 
-func share(part, whole float64) float64 {
-	if whole == 0 {
-		return 0
-	}
-	return part / whole
-}
-
 // commit is the version of this program's source, if it is known.
 func commit() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -169,100 +155,3 @@
 	}
 	return strings.TrimSpace(string(out))
 }
-
-// View is how a run stands after a second.
-type View struct {
-	At       time.Duration
-	Last     check.Window // the newest second whose requests have had time to end
-	LastAt   int
-	Agents   int
-	Backends int
-	Broken   int
-	Faults   []string
-	Zones    []ZoneView
-}
-
-// ZoneView is one zone's part of it.
-type ZoneView struct {
-	Name             string
-	Agents, Backends int
-	Held             int // requests at its backends
-}
-
-// scheduleViews shows how the run stands. The lock is held.
-func (l *Lab) scheduleViews(n int) {
-	l.scheduleAt(time.Duration(n+1)*time.Second, func(now time.Duration) {
-		v := View{At: now, Faults: append([]string(nil), l.activeFaults...)}
-		_, v.Broken = l.check.Violations()
-		for _, name := range l.Scenario.Fleet.Zones {
-			v.Zones = append(v.Zones, ZoneView{Name: name})
-		}
-		for _, a := range l.agents {
-			if a.up {
-				v.Agents++
-				v.Zones[l.zone(endpointOf(netfault.Agent, a.number))].Agents++
-			}
-		}
-		for _, h := range l.hosts {
-			if h.machine.State == model.Up && !h.ended {
-				v.Backends++
-				z := &v.Zones[h.machine.Zone]
-				z.Backends++
-				z.Held += h.machine.Load().Inflight
-			}
-		}
-		if n < len(l.tally.Windows) {
-			l.tally.Windows[n].Agents, l.tally.Windows[n].Backends, l.tally.Windows[n].Used = v.Agents, v.Backends, l.usedCapacity(now)
-		}
-		const behind = 3 // s: most requests have ended by then
-		if v.LastAt = n - behind; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
-			l.tally.CompleteWindows(max(0, v.LastAt-int(l.maxDeadline()/time.Second)))
-			v.Last = l.tally.Snapshot(v.LastAt)
-		}
-		if l.Second != nil {
-			second := l.Second
-			go second(l, v)
-		}
-		l.scheduleViews(n + 1)
-	})
-}
-
-// recorder writes finished requests as JSON, one a line.
-type recorder struct {
-	w   *bufio.Writer
-	enc *json.Encoder
-	err error
-}
-
-func newRecorder(w io.Writer) *recorder {
-	if w == nil {
-		return &recorder{}
-	}
-	b := bufio.NewWriterSize(w, 1<<16)
-	return &recorder{w: b, enc: json.NewEncoder(b)}
-}
-
-func (r *recorder) request(q *check.Request) {
-	if r.enc != nil && r.err == nil {
-		r.err = r.enc.Encode(q)
-	}
-}
-
-// Flush writes what is left, and tells what went wrong on the way.
-func (r *recorder) flush() error {
-	if r.w == nil || r.err != nil {
-		return r.err
-	}
-	return r.w.Flush()
-}
-
-// Flush writes what is left of the events.
-func (l *Lab) Flush() error { return l.recorder.flush() }
-
-// WriteHistory prints a request's history, a line an event.
-func WriteHistory(w io.Writer, q *check.Request) {
-	fmt.Fprintf(w, "request %s, try %d of %s, by agent %d, given up %v after it was sent\n", q.ID, q.Attempt, q.FirstID, q.Agent, q.Timeout.Round(time.Millisecond))
-	for _, e := range q.History {
-		fmt.Fprintf(w, "  %10.3f s  %-12s %s\n", e.At.Seconds(), e.Who, e.What)
-	}
-}
--- /dev/null
+++ b/internal/lab/schedule.go
@@ -0,0 +1,114 @@
+package lab
+
+// The event queue: what happens at which time of the run.
+
+import (
+	"container/heap"
+	"time"
+)
+
+type event struct {
+	at  time.Duration
+	seq uint64
+	run func(now time.Duration)
+}
+
+type eventQueue []event
+
+func (h eventQueue) Len() int { return len(h) }
+
+func (h eventQueue) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].seq < h[j].seq
+}
+
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *eventQueue) Push(x any) { *h = append(*h, x.(event)) }
+
+func (h *eventQueue) Pop() any {
+	last := len(*h) - 1
+	e := (*h)[last]
+	(*h)[last] = event{}
+	*h = (*h)[:last]
+	return e
+}
+
+func (l *Lab) now() time.Duration {
+	return time.Since(l.createdAt) - time.Duration(l.startOffset.Load())
+}
+
+// wallTime is a time of the run by the clock that every machine reads.
+func (l *Lab) wallTime(t time.Duration) time.Time {
+	return l.createdAt.Add(time.Duration(l.startOffset.Load()) + t)
+}
+
+// traceTime is a time of the run as the lines have it that agents and hubs write: in microseconds since the machine's start.
+func (l *Lab) traceTime(t time.Duration) int64 {
+	return (l.createdSinceBoot + time.Duration(l.startOffset.Load()) + t).Microseconds()
+}
+
+// scheduleAt puts something on the agenda. The lock is held.
+func (l *Lab) scheduleAt(at time.Duration, run func(now time.Duration)) {
+	l.lastSeq++
+	heap.Push(&l.schedule, event{at, l.lastSeq, run})
+	if l.schedule[0].seq == l.lastSeq {
+		l.wake()
+	}
+}
+
+func (l *Lab) wake() {
+	select {
+	case l.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// runPending does everything that is due, in order, each at its own time.
+func (l *Lab) runPending(now time.Duration) (next time.Duration) {
+	for {
+		nextAt, host := time.Duration(1<<62), (*host)(nil)
+		if len(l.schedule) > 0 {
+			nextAt = l.schedule[0].at
+		}
+		for _, h := range l.hosts {
+			if t := h.machine.NextEvent(); t < nextAt {
+				nextAt, host = t, h
+			}
+		}
+		if nextAt > now {
+			return nextAt
+		}
+		l.recordLateness(now - nextAt)
+		if host != nil {
+			l.completeJobs(host, host.machine.Advance(nextAt))
+			continue
+		}
+		heap.Pop(&l.schedule).(event).run(nextAt)
+	}
+}
+
+func (l *Lab) recordLateness(d time.Duration) {
+	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // within its range
+}
+
+const maxLateness = int64(time.Minute / time.Microsecond)
+
+// runSchedule works off the agenda until the run ends.
+func (l *Lab) runSchedule() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for l.ctx.Err() == nil {
+		l.mu.Lock()
+		next := l.runPending(l.now())
+		l.mu.Unlock()
+		timer.Reset(max(0, next-l.now()))
+		select {
+		case <-timer.C:
+		case <-l.wakeup:
+		case <-l.ctx.Done():
+		}
+	}
+}
--- a/internal/lab/settled.go
+++ b/internal/lab/settingsreport.go
@@ -14,7 +14,6 @@
 
 	"github.com/BurntSushi/toml"
 
-	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
 )
 
@@ -77,75 +76,6 @@
 	return os.Rename(file+".new", file)
 }
 
-// reachable is who is alive from a time on, and between whom nothing is cut, either way.
-type reachable struct {
-	at                   time.Duration
-	agents, hubs         []bool
-	agentToHub, hubToHub []bool // agent by hub, hub by hub
-}
-
-const reachabilityInterval = 20 * time.Millisecond
-
-// watchReachability follows who can reach whom. The lock is held.
-func (l *Lab) watchReachability(at time.Duration) {
-	if len(l.publishedSettings) == 0 {
-		return
-	}
-	l.scheduleAt(at, func(now time.Duration) {
-		r := reachable{at: now}
-		open := func(a, b netfault.Endpoint) bool { return !l.network.Unreachable(a, b) }
-		for _, h := range l.hubs {
-			r.hubs = append(r.hubs, h.up)
-			for _, other := range l.hubs {
-				r.hubToHub = append(r.hubToHub, open(endpointOf(netfault.Hub, h.number), endpointOf(netfault.Hub, other.number)))
-			}
-		}
-		for _, a := range l.agents {
-			r.agents = append(r.agents, a.up)
-			for _, h := range l.hubs {
-				r.agentToHub = append(r.agentToHub, open(endpointOf(netfault.Member, a.number), endpointOf(netfault.Hub, h.number)))
-			}
-		}
-		if n := len(l.reachability); n == 0 || !l.reachability[n-1].same(&r) {
-			l.reachability = append(l.reachability, r)
-		}
-		l.watchReachability(now + reachabilityInterval)
-	})
-}
-
-func (r *reachable) same(o *reachable) bool {
-	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.agentToHub, o.agentToHub) && slices.Equal(r.hubToHub, o.hubToHub)
-}
-
-// spread spreads what some hubs have to those that they can reach.
-func (r *reachable) spread(some []bool) []bool {
-	list := make([]bool, len(r.hubs))
-	for h := range list {
-		list[h] = some[h] && r.hubs[h]
-	}
-	for again := true; again; {
-		again = false
-		for h := range list {
-			for other := range list {
-				if list[h] && !list[other] && r.hubs[other] && r.hubToHub[h*len(list)+other] {
-					list[other], again = true, true
-				}
-			}
-		}
-	}
-	return list
-}
-
-// agentReaches reports whether an agent lives and reaches one of some hubs.
-func (r *reachable) agentReaches(agent int, some []bool) bool {
-	for h, has := range some {
-		if has && r.agents[agent] && r.agentToHub[agent*len(some)+h] {
-			return true
-		}
-	}
-	return false
-}
-
 // appliedVersion is a version that an agent or a hub logged that it holds.
 type appliedVersion struct {
 	at      time.Duration // of the run
--- /dev/null
+++ b/internal/lab/setup.go
@@ -0,0 +1,118 @@
+package lab
+
+// Setting up everything but the processes of a run.
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"martenbeam/internal/bootclock"
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/netfault"
+	"martenbeam/internal/lab/rng"
+	"martenbeam/internal/lab/scenario"
+)
+
+// New prepares a run: it checks what the machine allows, and claims addresses.
+func New(o Options) (*Lab, error) {
+	s := o.Scenario
+	if err := checkDescriptors(s); err != nil {
+		return nil, err
+	}
+	dir, err := filepath.Abs(o.Dir)
+	if err != nil {
+		return nil, err
+	}
+	o.Dir = dir
+	b, err := claimBlock()
+	if err != nil {
+		return nil, err
+	}
+	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), wakeup: make(chan struct{}, 1), loadFactor: 1,
+		lateness: hdrhistogram.New(1, maxLateness, 3), attempts: map[uint64]*attempt{}, servedKeys: map[cellKey]bool{}, startRequests: make(chan func()),
+		tally: check.NewTally(s.WarmUp.Duration()), recorder: newRecorder(o.Events)}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
+	l.network = netfault.New(l.baseLatency, s.Model.Jitter, l.rng)
+	if err := l.setUp(); err != nil {
+		l.Close()
+		return nil, err
+	}
+	return l, nil
+}
+
+// checkDescriptors says before anything starts whether the lab would run out of them.
+func checkDescriptors(s *scenario.Scenario) error {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		return fmt.Errorf("reading the limit on descriptors: %w", err)
+	}
+	hosts := s.Fleet.Backends
+	for _, f := range s.Faults {
+		if f.Kind == scenario.Replace {
+			if set, err := scenario.ParseSet(f.Targets); err == nil {
+				hosts += int(set.Share * float64(s.Fleet.Backends))
+			}
+		}
+	}
+	// A listener for each agent at each backend and as many connections at once, client connections, and some.
+	perAgent := 2*hosts + 40
+	if need := uint64(100 + s.Fleet.Agents*perAgent); need > limit.Max {
+		return fmt.Errorf("%d agents and %d backends need about %d descriptors and the limit is %d: at most %d agents here (ulimit -n)",
+			s.Fleet.Agents, hosts, need, limit.Max, max(0, (int(limit.Max)-100)/perAgent))
+	}
+	return nil
+}
+
+// setUp sets up everything but the agents' processes.
+func (l *Lab) setUp() error {
+	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
+		return err
+	}
+	l.createdAt, l.createdSinceBoot = time.Now(), bootclock.SinceBoot()
+	l.addInitialHosts()
+	l.scaleClasses()
+	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerGrace, Slack: socketSlack,
+		AcceptsUnknown: l.Visitors, MaxClosedNewShare: 1. / 200}, l.recorder.request)
+	s := l.Scenario
+	for n := range s.Fleet.Agents {
+		l.agents = append(l.agents, newAgent(l, n))
+	}
+	for n := range s.Shared.Hubs {
+		l.hubs = append(l.hubs, newHub(l, n))
+	}
+	if len(l.hubs) > 0 && len(l.Hub) == 0 {
+		return errors.New("hubs are to be started, and nothing says how")
+	}
+	l.distributeLoad()
+	var err error
+	if l.discovery, err = newDiscovery(l); err != nil {
+		return err
+	}
+	if err := l.openRelays(); err != nil {
+		return err
+	}
+	if s.Shared.Enabled {
+		if l.fleet, err = newFleetLinks(l); err != nil {
+			return err
+		}
+	}
+	if err := l.publishInitialPolicy(); err != nil {
+		return err
+	}
+	if err := l.publishInitialSettings(); err != nil {
+		return err
+	}
+	for _, h := range l.hosts {
+		if err := h.listen(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/view.go
@@ -0,0 +1,68 @@
+package lab
+
+// How a run stands, second by second.
+
+import (
+	"time"
+
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
+)
+
+// View is how a run stands after a second.
+type View struct {
+	At       time.Duration
+	Last     check.Window // the newest second whose requests have had time to end
+	LastAt   int
+	Agents   int
+	Backends int
+	Broken   int
+	Faults   []string
+	Zones    []ZoneView
+}
+
+// ZoneView is one zone's part of it.
+type ZoneView struct {
+	Name             string
+	Agents, Backends int
+	Held             int // requests at its backends
+}
+
+// scheduleViews shows how the run stands. The lock is held.
+func (l *Lab) scheduleViews(n int) {
+	l.scheduleAt(time.Duration(n+1)*time.Second, func(now time.Duration) {
+		v := View{At: now, Faults: append([]string(nil), l.activeFaults...)}
+		_, v.Broken = l.check.Violations()
+		for _, name := range l.Scenario.Fleet.Zones {
+			v.Zones = append(v.Zones, ZoneView{Name: name})
+		}
+		for _, a := range l.agents {
+			if a.up {
+				v.Agents++
+				v.Zones[l.zone(endpointOf(netfault.Agent, a.number))].Agents++
+			}
+		}
+		for _, h := range l.hosts {
+			if h.machine.State == model.Up && !h.ended {
+				v.Backends++
+				z := &v.Zones[h.machine.Zone]
+				z.Backends++
+				z.Held += h.machine.Load().Inflight
+			}
+		}
+		if n < len(l.tally.Windows) {
+			l.tally.Windows[n].Agents, l.tally.Windows[n].Backends, l.tally.Windows[n].Used = v.Agents, v.Backends, l.usedCapacity(now)
+		}
+		const behind = 3 // s: most requests have ended by then
+		if v.LastAt = n - behind; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
+			l.tally.CompleteWindows(max(0, v.LastAt-int(l.maxDeadline()/time.Second)))
+			v.Last = l.tally.Snapshot(v.LastAt)
+		}
+		if l.Second != nil {
+			second := l.Second
+			go second(l, v)
+		}
+		l.scheduleViews(n + 1)
+	})
+}
--- /dev/null
+++ b/internal/lab/workload.go
@@ -0,0 +1,85 @@
+package lab
+
+// The classes of requests, the tenants and the scale of the work.
+
+import (
+	"time"
+
+	"martenbeam/internal/lab/check"
+)
+
+// class is a class of requests. Its times are those of a day on which work is not scaled.
+type class struct {
+	name        string
+	share       float64
+	work        time.Duration // mean
+	cv          float64       // of the work
+	objective   time.Duration
+	deadline    time.Duration
+	weight      float64
+	idempotency check.Idempotency
+	dedupWindow time.Duration
+}
+
+// What the office's couriers ask for.
+var classes = []class{
+	{"stop-update", 0.59, 117 * time.Millisecond, 0.5, 600 * time.Millisecond, 2 * time.Second, 5, check.IdempotencyKey, 10 * time.Second},
+	{"route-assign", 0.41, 155 * time.Millisecond, 0.5, 800 * time.Millisecond, 3 * time.Second, 8, check.NonIdempotent, 0},
+}
+
+// tenant is a carrier: its share of the service and of the traffic.
+type tenant struct {
+	name         string
+	share, usage float64
+}
+
+var tenants = []tenant{{"state-post", 0.52, 0.85}, {"city-couriers", 0.48, 1.15}}
+
+// scaleClasses scales work so that the rate asks for the stated part of what the machines can do. Aims and
+// deadlines go with it, as the machines are no faster.
+func (l *Lab) scaleClasses() {
+	capacity, mean := 0.0, 0.0
+	for _, h := range l.hosts {
+		capacity += h.machine.Capacity()
+	}
+	for _, c := range classes {
+		mean += c.share * c.work.Seconds()
+	}
+	l.scale = l.Scenario.Load.Utilization * capacity / (l.Scenario.Load.Rate * mean)
+	for _, c := range classes {
+		c.work, c.objective, c.deadline = l.scaled(c.work), l.scaled(c.objective), l.scaled(c.deadline)
+		l.classes = append(l.classes, c)
+	}
+	for _, h := range l.hosts {
+		l.scaleHost(h)
+	}
+}
+
+func (l *Lab) scaleHost(h *host) {
+	h.machine.Handshake, h.machine.ProbeWork = l.scaled(h.machine.Handshake), l.scaled(h.machine.ProbeWork)
+}
+
+func (l *Lab) scaled(d time.Duration) time.Duration { return time.Duration(float64(d) * l.scale) }
+
+// LongestDeadline is how long the clients of the most patient class wait.
+func (l *Lab) LongestDeadline() time.Duration { return l.maxDeadline() }
+
+func (l *Lab) maxDeadline() (d time.Duration) {
+	for _, c := range l.classes {
+		d = max(d, c.deadline)
+	}
+	return d
+}
+
+func (l *Lab) checkClasses() (list []check.Class) {
+	for _, c := range l.classes {
+		list = append(list, check.Class{Name: c.name, Idempotency: c.idempotency, DedupWindow: c.dedupWindow})
+	}
+	return list
+}
+
+// quotaRate is the rate up to which a tenant's requests have their full worth: its share of most of what the warm
+// machines can do.
+func (l *Lab) quotaRate(t tenant) float64 {
+	return t.share * 0.85 * l.Scenario.Load.Rate / l.Scenario.Load.Utilization
+}
