--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// block is the part of the loopback range that one lab has to itself.
+// block is the part of the loopback range that belongs to one lab.
 type block struct {
 	number int
-	claim  net.Listener // the kernel drops it with the process, however that ends
+	claim  net.Listener // held for as long as the process lives
 }
 
 const (
@@ -22,7 +22,7 @@
 	peerPort              = 7946
 )
 
-// claimBlock takes a free block.
+// claimBlock claims a free block. It fails if there is none.
 func claimBlock() (*block, error) {
 	start := os.Getpid()
 	for i := range lastBlock - firstBlock + 1 {
@@ -43,13 +43,13 @@
 	return nil, errors.New("every block of loopback addresses is taken by another lab")
 }
 
-// inUse reports whether a process listens in the block besides the lab: an agent that a lab has left behind.
+// inUse reports whether any other process listens in the block, such as an agent that an earlier lab has left behind.
 func (b *block) inUse() bool {
-	const listens, bound = "0A", "07" // a TCP socket, a UDP one
+	const listens, bound = "0A", "07" // states in the kernel's table: TCP sockets and UDP sockets
 	for name, state := range map[string]string{"tcp": listens, "udp": bound} {
 		table, err := os.ReadFile("/proc/self/net/" + name)
 		if err != nil {
-			continue // what is in use shows at the first bind
+			continue // an address in use shows at the first bind
 		}
 		for line := range strings.Lines(string(table)) {
 			fields := strings.Fields(line)
@@ -67,16 +67,16 @@
 
 func (b *block) close() { b.claim.Close() }
 
-// agentAddr is the address of agent n itself.
+// agentAddr returns the IP address of agent n.
 func (b *block) agentAddr(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.number, 1+n/250, 1+n%250)
 }
 
-// linkAddr is the address at which agent n meets everyone else. They differ by port.
+// linkAddr returns the IP address at which agent n reaches all others, who differ by port.
 func (b *block) linkAddr(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.number, 101+n/250, 1+n%250)
 }
 
-// hubAddr is the address of hub n itself, and hubLinkAddr where it is reached and meets everyone else.
+// hubAddr returns the IP address of hub n, and hubLinkAddr the one at which it reaches all others and is reached.
 func (b *block) hubAddr(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.number, 1+n) }
 func (b *block) hubLinkAddr(n int) string { return fmt.Sprintf("127.%d.211.%d", b.number, 1+n) }
--- a/internal/lab/agentconfig.go
+++ b/internal/lab/agentconfig.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// agentConfig is what an agent's process is told.
+// agentConfig returns the JSON configuration of an agent's process.
 func (l *Lab) agentConfig(a *agent, known endpointList) ([]byte, error) {
 	s := l.Scenario
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
@@ -38,7 +38,7 @@
 	if s.Discovery.Polled {
 		mode = "subscribe"
 	}
-	from := "" // where one address is for all, a backend knows by the other end's who calls
+	from := "" // where backends have one address for all agents, they tell callers apart by the address of the other end
 	if s.Shared.RelayedLists {
 		from = l.block.agentAddr(a.number)
 	}
--- a/internal/lab/agentprocess.go
+++ b/internal/lab/agentprocess.go
@@ -16,18 +16,18 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// agent is one agent's process, and its clients.
+// agent is the process of an agent, with the clients that use it.
 type agent struct {
 	process
 	number               int
 	listenAddr, peerAddr string
-	relay                *net.UDPConn // what others send to it comes here first
+	relay                *net.UDPConn // receives the datagrams that other agents send to it
 
-	// The lab's lock guards these.
+	// Guarded by Lab.mu.
 	requests     map[string]*clientRequest
-	openRequests int // requests of clients that have not ended
+	openRequests int // requests of clients without an answer
 
-	// The arrivals alone use these.
+	// Used by runArrivals alone.
 	rate                         float64
 	arrivalRandom, requestRandom *rand.Rand
 	keys                         *rng.Zipf
@@ -57,10 +57,10 @@
 	a.lab.processEnds = append(a.lab.processEnds, processEnd{now, a.number})
 }
 
-// Addr is where an agent's clients connect.
+// Addr returns the address at which clients connect to agent n.
 func (l *Lab) Addr(n int) string { return l.agents[n].listenAddr }
 
-// start starts an agent's process. The lock is held.
+// start starts the process. Lab.mu is held.
 func (a *agent) start(now time.Duration, keep bool) error {
 	l := a.lab
 	a.starts++
@@ -100,7 +100,7 @@
 	a.idle = nil
 }
 
-// awaitReady waits until the agent takes clients.
+// awaitReady waits until the agent accepts clients.
 func (a *agent) awaitReady(ctx context.Context, ended <-chan struct{}) error {
 	return awaitOK(ctx, ended, "http://"+a.listenAddr+"/_health")
 }
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// arrival is the next arrival at an agent.
+// arrival is the next request of an agent's clients.
 type arrival struct {
 	at    time.Duration
 	agent *agent
@@ -40,7 +40,7 @@
 	return d
 }
 
-// distributeLoad shares the load out over the agents.
+// distributeLoad draws the request rate of each agent.
 func (l *Lab) distributeLoad() {
 	r, sum := l.rng.Stream("weights"), 0.0
 	for _, a := range l.agents {
@@ -56,8 +56,8 @@
 	}
 }
 
-// loadFactorAt is by how much the load is up at a time. It is part of the schedule, so that a seed gives the same
-// arrivals whatever the agents do.
+// loadFactorAt returns the factor by which bursts raise the load at a time. It depends on the scenario alone, so a seed gives
+// the same arrivals whatever the agents do.
 func (l *Lab) loadFactorAt(at time.Duration) float64 {
 	f := 1.0
 	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
@@ -71,7 +71,7 @@
 	return f
 }
 
-// nextArrival draws the next arrival after a time: an exponential span of load, walked in small steps as it changes.
+// nextArrival draws the time of the next request: a Poisson process whose rate follows the load in small steps.
 func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
 	const walk = 10 * time.Millisecond
 	left := a.arrivalRandom.ExpFloat64()
@@ -87,7 +87,7 @@
 	}
 }
 
-// runArrivals sends every request at its time, whatever became of the ones before, until the run's time is over.
+// runArrivals starts each request at its time, whatever became of earlier ones (an open-loop load), until the run is over.
 func (l *Lab) runArrivals() {
 	var h arrivalHeap
 	for _, a := range l.agents {
@@ -128,7 +128,7 @@
 	}
 }
 
-// newRequest makes an agent's next request.
+// newRequest draws the next request of an agent's clients.
 func (l *Lab) newRequest(a *agent, at time.Duration) *clientRequest {
 	r := a.requestRandom
 	req := &clientRequest{agent: a, index: a.lastIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.lastIndex))}
@@ -158,7 +158,7 @@
 	return req
 }
 
-// takeQuota takes a request against its tenant's quota and reports whether it lies within. The lock is held.
+// takeQuota counts a request against the quota of its tenant and reports whether it is within it. Lab.mu is held.
 func (l *Lab) takeQuota(now time.Duration, tenant int) bool {
 	if l.tenantQuotas == nil {
 		l.tenantQuotas = make([]tokenBucket, len(tenants))
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -16,16 +16,16 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// attempt is one request of an agent at a backend.
+// attempt is one attempt of an agent at a backend.
 type attempt struct {
 	number        uint64
 	id            string
 	host          *host
 	agent         int
 	conn          *backendConn
-	arrivedAt     time.Duration // its last byte, to the kernel
+	arrivedAt     time.Duration // when the kernel had its last byte
 	reply         chan answer
-	statedTimeout time.Duration // that the agent says it will wait; below 0: it says nothing
+	statedTimeout time.Duration // how long the agent says that it waits; below 0: it does not say
 	disconnected  bool          // its connection is closed
 	fromLabClient bool          // a client of the lab sent it
 }
@@ -43,13 +43,13 @@
 func fingerprint(method, uri, key string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, "\x00", uri, "\x00", key, "\x00"} {
-		_, _ = d.WriteString(s) // a hash takes every write
+		_, _ = d.WriteString(s) // a hash never fails
 	}
 	_, _ = d.Write(body)
 	return d.Sum64()
 }
 
-// deliver takes an attempt over the network, which it reached at a time, to its machine. The lock is held.
+// deliver carries an attempt, which was sent at a time, over the network to its backend. Lab.mu is held.
 func (l *Lab) deliver(now, sentAt time.Duration, a *attempt, fingerprint uint64, probe bool) {
 	h := a.host
 	l.attempts[a.number] = a
@@ -67,7 +67,7 @@
 		return
 	}
 	latency := l.network.Arrivals(a.endpoint(), h.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
-	if newConnection { // a handshake: one round trip more, and work
+	if newConnection { // a handshake takes a round trip more, and work
 		latency += 2 * l.baseLatency(a.endpoint(), h.endpoint())
 	}
 	if !probe {
@@ -78,7 +78,7 @@
 	case probe:
 		l.scheduleAt(now+latency, func(now time.Duration) {
 			load := h.machine.Load()
-			l.lastAttempt++ // its work has a number of its own: the answer doesn't wait for it
+			l.lastAttempt++ // the work has a number of its own: the answer does not wait for it
 			l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
 			l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
 				load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
@@ -93,7 +93,7 @@
 			StartKnown: l.check.KnowsStart(a.agent, h.machine.ID, h.machine.StartedAt)}
 		if p := l.clientRequestOf(a); p != nil {
 			job.Work, job.Key = time.Duration(float64(p.work)*rng.Lognormal(draw, 1, 0.3)), p.key
-			if l.isDuplicate(now, p, h) { // its effect has happened there: what is left to do is to say so
+			if l.isDuplicate(now, p, h) { // the effect has happened already: only the answer is left to do
 				l.check.Record(now, a.id, h.machine.ID, "its pod has met the key: the repeat is dropped")
 				job.Work, job.Key = h.machine.ProbeWork, 0
 			}
@@ -104,14 +104,14 @@
 	}
 }
 
-// cellKey is a client's request as the backends of one pod know it.
+// cellKey is an idempotency key that the backends of a cell have seen.
 type cellKey struct {
 	cell int
 	key  string
 }
 
-// isDuplicate reports whether a keyed request has come to a pod before, within its window, and keeps that it has. The
-// lock is held.
+// isDuplicate reports whether the backends of a cell have seen a request's idempotency key within the deduplication window,
+// and remembers it. Lab.mu is held.
 func (l *Lab) isDuplicate(now time.Duration, p *clientRequest, h *host) bool {
 	if p.idempotencyKey == "" {
 		return false
@@ -125,7 +125,7 @@
 	return false
 }
 
-// clientRequestOf is the client's request behind an attempt; nil: a visitor's.
+// clientRequestOf returns the client's request behind an attempt, or nil if no client of the lab sent it.
 func (l *Lab) clientRequestOf(a *attempt) *clientRequest {
 	if !a.fromLabClient {
 		return nil
@@ -133,19 +133,19 @@
 	return l.agents[a.agent].requests[a.id]
 }
 
-// completeJobs answers the attempts that a machine is done with. The lock is held.
+// completeJobs answers the attempts that a backend has completed. Lab.mu is held.
 func (l *Lab) completeJobs(h *host, done []model.Completion) {
 	for _, d := range done {
 		a := l.attempts[d.Attempt]
 		if a == nil {
-			continue // a probe's work, or one that is answered
+			continue // the work of a health check, or an attempt that is answered
 		}
 		what := d.Result.String()
 		if d.QueuedFor > 0 {
 			what += fmt.Sprintf(" after %v in the waiting room", d.QueuedFor.Round(100*time.Microsecond))
 		}
 		switch d.Result {
-		case model.Lost, model.Dropped: // nothing comes back
+		case model.Lost, model.Dropped: // there is no answer
 			l.check.Record(d.At, a.id, h.machine.ID, what)
 			delete(l.attempts, d.Attempt)
 		case model.Rejected:
@@ -165,13 +165,13 @@
 	}
 }
 
-// servedBody is the body that a backend makes for a request.
+// servedBody returns the body of a backend's answer to a request.
 func servedBody(id, backend string) string { return "served " + id + " by " + backend }
 
-// isServedBody reports whether a body is one that a backend makes for a request.
+// isServedBody reports whether a body is a backend's answer to a request.
 func isServedBody(body, id string) bool { return strings.HasPrefix(body, "served "+id+" by s-") }
 
-// reply takes what a machine answers back over the network. The lock is held.
+// reply carries a backend's answer back over the network. Lab.mu is held.
 func (l *Lab) reply(now time.Duration, a *attempt, answer answer, what string) {
 	h := a.host
 	if l.network.Fault(h.endpoint(), a.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
@@ -185,24 +185,24 @@
 	l.scheduleAt(now+latency, func(time.Duration) {
 		select {
 		case a.reply <- answer:
-		default: // under the lab's lock nothing may wait
+		default: // nothing may block while Lab.mu is held
 			l.fail(fmt.Errorf("the lab answered attempt %d of %s twice", a.number, a.id))
 		}
 	})
 }
 
-// partitionedMessage is a message that waits at its sender until its way is free.
+// partitionedMessage is a message that its sender retransmits until the partition heals.
 type partitionedMessage struct {
 	from, to netfault.Endpoint
 	send     func(now time.Duration)
 }
 
-// queueUntilReachable keeps a message until its way may be free again. The lock is held.
+// queueUntilReachable keeps a message until the network changes. Lab.mu is held.
 func (l *Lab) queueUntilReachable(from, to netfault.Endpoint, send func(now time.Duration)) {
 	l.partitioned = append(l.partitioned, partitionedMessage{from, to, send})
 }
 
-// retryPartitioned tries what is parked again: what is still held up parks itself anew. The lock is held.
+// retryPartitioned sends the queued messages again; those that are still partitioned queue themselves anew. Lab.mu is held.
 func (l *Lab) retryPartitioned(now time.Duration) {
 	list := l.partitioned
 	l.partitioned = nil
--- a/internal/lab/backendfaults.go
+++ b/internal/lab/backendfaults.go
@@ -11,7 +11,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// loseZone has a zone's machines fall silent, and come back cold. The lock is held.
+// loseZone makes the backends of a zone fall silent, and restart when the fault ends. Lab.mu is held.
 func (l *Lab) loseZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	var lost []*host
@@ -35,8 +35,8 @@
 	})
 }
 
-// failZonePower takes a zone's hub, agents and machines at once, and brings them back together, cold and knowing nothing. The lock is
-// held.
+// failZonePower ends the hub, the agents and the backends of a zone at once, and restarts them together, without the state they
+// had. Lab.mu is held.
 func (l *Lab) failZonePower(i int, f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	l.loseZone(f, now)
@@ -61,12 +61,12 @@
 	}
 }
 
-// drainHost has a backend finish its work and end; another may come in its place. The lock is held.
+// drainHost drains a backend and ends it; a new one may replace it. Lab.mu is held.
 func (l *Lab) drainHost(h *host, now time.Duration, replace bool) {
 	if h.ended || h.machine.State != model.Up {
 		return
 	}
-	const drainTime = 5 * time.Second // longer than it takes until everyone is told
+	const drainTime = 5 * time.Second // longer than a drain takes to be published
 	l.completeJobs(h, h.machine.Drain(now))
 	l.discovery.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
 	l.scheduleAt(now+drainTime, func(now time.Duration) {
@@ -88,8 +88,7 @@
 	l.discovery.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
 }
 
-// setBackendFault has backends fail a share of requests at once, or gives a share of them to another program. The
-// lock is held.
+// setBackendFault makes backends fail a share of requests at once, or takes a share of their capacity. Lab.mu is held.
 func (l *Lab) setBackendFault(list []*host, f *scenario.Fault, now time.Duration, failureShare, stolenShare float64) {
 	for _, h := range list {
 		l.completeJobs(h, h.machine.SetFault(now, failureShare, stolenShare))
@@ -101,7 +100,7 @@
 	})
 }
 
-// runNoisyNeighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
+// runNoisyNeighbour takes a share of the capacity of backends on and off, at times of their own. Lab.mu is held.
 func (l *Lab) runNoisyNeighbour(i int, f *scenario.Fault, now time.Duration) {
 	end := l.Scenario.Duration.Duration()
 	if f.Duration > 0 {
@@ -126,7 +125,7 @@
 	}
 }
 
-// endHost has a backend's process end: connections are reset and refused. The lock is held.
+// endHost ends the process of a backend: connections are reset, and new ones refused. Lab.mu is held.
 func (l *Lab) endHost(h *host) {
 	h.ended = true
 	l.running.Go(func() { h.close(true) })
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/tcpinfo"
 )
 
-// host is a backend: its machine, and a listener for each agent.
+// host is an emulated backend: its model, and a listener for each agent.
 type host struct {
 	lab     *Lab
 	number  int
@@ -26,11 +26,11 @@
 	gates   []*gate // by agent
 	ended   bool    // its process has ended
 
-	lastChange uint64 // number of the latest change that discovery has to learn of
+	lastChange uint64 // number of its latest change
 
 	mu     sync.Mutex
 	conns  map[*backendConn]bool
-	opened map[time.Duration]int // connections, by second
+	opened map[time.Duration]int // connections opened, by second of the run
 }
 
 func (h *host) endpoint() netfault.Endpoint {
@@ -42,8 +42,8 @@
 	net.Conn
 	host      *host
 	agent     int
-	used      bool // by one goroutine at a time: its server's
-	overLimit bool // one more than the backend takes
+	used      bool // used by the goroutine of its request alone
+	overLimit bool // above the connection limit of the backend
 }
 
 func (c *backendConn) Close() error {
@@ -55,10 +55,10 @@
 
 type connKey struct{}
 
-// listen starts listening, an address for each agent.
+// listen opens the listeners and serves on them until close.
 func (h *host) listen() error {
 	h.server = &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, IdleTimeout: idleClose,
-		ErrorLog: log.New(io.Discard, "", 0), // agents that break off are its daily bread
+		ErrorLog: log.New(io.Discard, "", 0), // clients that disconnect are expected
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// agentCalling is the agent whose process has called from its own address, if any.
+// agentCalling returns the agent whose own address a connection comes from, or nil.
 func (l *Lab) agentCalling(c net.Conn) *agent {
 	if l.fleet == nil {
 		return nil
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// close refuses connections from now on, and resets those that stand if wanted.
+// close stops accepting connections, and resets open ones if wanted.
 func (h *host) close(resets bool) {
 	if h.server == nil {
 		return
@@ -115,7 +115,7 @@
 	h.server.Close()
 }
 
-// reset resets the connections of some agents; nil: of all.
+// reset resets the connections of some agents, or of all if of is nil.
 func (h *host) reset(of func(agent int) bool) {
 	h.mu.Lock()
 	var list []*backendConn
@@ -135,19 +135,19 @@
 
 const maxBodyBytes = 1 << 20
 
-// ServeHTTP takes an attempt, or a probe.
+// ServeHTTP receives an attempt or a health check, and waits for its answer.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*backendConn)
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // the connection ended before the request's last byte: it never came
+		return // the connection ended before the last byte: the attempt does not count
 	}
 	a := &attempt{id: r.Header.Get("X-Trace-Id"), host: h, agent: c.agent, conn: c, reply: make(chan answer, 1), statedTimeout: -1}
 	if s, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64); err == nil {
 		a.statedTimeout = seconds(s)
 	}
 	l := h.lab
-	a.arrivedAt = l.now() - tcpinfo.SinceLastData(c.Conn) // also where the lab sees to it later
+	a.arrivedAt = l.now() - tcpinfo.SinceLastData(c.Conn) // right also if this goroutine runs late
 	l.mu.Lock()
 	now := l.now()
 	if l.closing {
@@ -181,7 +181,7 @@
 			w.Header().Set("Connection", "close")
 		}
 		w.WriteHeader(ans.status)
-		_, _ = io.WriteString(w, ans.body) // an agent that has left is told so by its own end
+		_, _ = io.WriteString(w, ans.body) // fails only if the agent has disconnected
 	case <-r.Context().Done():
 		l.mu.Lock()
 		a.disconnected = true
--- a/internal/lab/clientconn.go
+++ b/internal/lab/clientconn.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/lab/check"
 )
 
-// clientConn is a client's connection to its agent.
+// clientConn is a connection of a client to its agent.
 type clientConn struct {
 	net.Conn
 	read *bufio.Reader
@@ -26,7 +26,8 @@
 
 var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// sendAndReceive writes the request on a connection and reads the answer.
+// sendAndReceive writes a request and reads the answer. It returns the wait that the answer asks for, and whether the connection
+// can be reused.
 func (l *Lab) sendAndReceive(c *clientConn, req *clientRequest, id string) (answer check.Answer, wait time.Duration, reusable bool) {
 	buf := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(buf)
@@ -48,9 +49,9 @@
 	if cancels {
 		timeout = req.cancelsAfter
 	}
-	_ = c.SetDeadline(time.Now().Add(timeout)) // a closed connection shows in the write
+	_ = c.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection, which the write reports
 	if _, err := c.Write(b); err != nil {
-		return check.ClosedNew, 0, false // not taken whole
+		return check.ClosedNew, 0, false // not written in full
 	}
 	taken := l.now()
 	l.mu.Lock()
@@ -78,13 +79,13 @@
 		}
 		return check.Served, 0, reusable
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // absent: no advice
+		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // 0 if it is absent
 		return check.Rejected, seconds(s), reusable
 	}
 	return check.Failed, 0, reusable
 }
 
-// readErrorAnswer says what an error in reading an answer means.
+// readErrorAnswer returns how a request ended whose answer could not be read.
 func readErrorAnswer(err error, cancels bool, closed check.Answer) check.Answer {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -95,10 +96,10 @@
 	return check.Unanswered
 }
 
-// getConn returns a connection that is idle, or a new one; fresh: a new one.
+// getConn returns an idle connection, or a new one; always a new one if fresh.
 func (a *agent) getConn(fresh bool) (*clientConn, error) {
 	a.mu.Lock()
-	if a.closed { // another lab's agent may be there by now
+	if a.closed { // another lab may use the address by now
 		a.mu.Unlock()
 		return nil, net.ErrClosed
 	}
@@ -116,7 +117,7 @@
 	return &clientConn{Conn: c, read: bufio.NewReader(c)}, nil
 }
 
-// putIdle keeps a connection for the next request.
+// putIdle keeps a connection for reuse.
 func (a *agent) putIdle(c *clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -11,10 +11,10 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// clientRequest is one client's request: all its tries together.
+// clientRequest is a request of a client, with the client's own retries.
 type clientRequest struct {
 	firstID           string
-	index             int // of the agent's requests
+	index             int // among the requests of the agent's clients
 	agent             *agent
 	class             int
 	tenant            int
@@ -24,17 +24,17 @@
 	work              time.Duration
 	body              []byte
 	intendedAt        time.Duration
-	timeout           time.Duration // of each try
-	cancelsAfter      time.Duration // the client goes away so long after a try's begin; 0: it doesn't
+	timeout           time.Duration // of each of the client's attempts
+	cancelsAfter      time.Duration // after which the client disconnects; 0: never
 	honoursRetryAfter bool
 	attempts          int
-	attemptSeenFor    string // the latest of its tries of which an attempt was seen
+	attemptSeenFor    string // the id of its latest attempt that reached a backend
 	random            *rand.Rand
 	uri               string
 	idempotencyKey    string
 }
 
-// runRequest sends one request, with the client's own tries, and counts how it ended.
+// runRequest sends a request, with the client's own retries, and counts the outcome.
 func (l *Lab) runRequest(req *clientRequest) {
 	class := &l.classes[req.class]
 	l.mu.Lock()
@@ -43,7 +43,7 @@
 		req.weight *= l.Scenario.Load.OverQuotaWeight
 	}
 	l.mu.Unlock()
-	const minRetryWaitMs, maxRetryWaitMs = 28, 220 // ms, of a client that was told nothing
+	const minRetryWaitMs, maxRetryWaitMs = 28, 220 // without Retry-After
 	var answer check.Answer
 	for {
 		id := req.firstID
@@ -72,7 +72,7 @@
 		Weight: req.weight, Class: req.class, Tenant: req.tenant, Zone: req.agent.number % len(l.Scenario.Fleet.Zones), ClientAttempts: req.attempts})
 }
 
-// attemptRequest sends a request once and returns how it ended, and how long the client is to stay away.
+// attemptRequest sends a request once. It returns how that ended, and the wait that Retry-After asks for.
 func (l *Lab) attemptRequest(req *clientRequest, id string) (check.Answer, time.Duration) {
 	agent := req.agent
 	clientEnd, agentEnd := endpointOf(netfault.Client, agent.number), endpointOf(netfault.Agent, agent.number)
@@ -99,12 +99,13 @@
 	finishedAt := l.now()
 	l.mu.Lock()
 	l.check.Finish(finishedAt, id, answer)
-	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // a late attempt still has its work
+	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // until then a late attempt of the agent still finds it
 	l.mu.Unlock()
 	return answer, wait
 }
 
-// exchange is the request itself. One that crosses the agent's closing of an idle connection is sent once more.
+// exchange sends a request and returns the answer. A request that crosses with the agent closing an idle connection is sent
+// again on a new one.
 func (l *Lab) exchange(req *clientRequest, id string) (check.Answer, time.Duration) {
 	for fresh := false; ; fresh = true {
 		c, err := req.agent.getConn(fresh)
@@ -119,16 +120,16 @@
 			c.Close()
 		}
 		if answer == check.ClosedNew && used && !l.reachedBackend(id) {
-			continue // the agent closed it between requests
+			continue // the agent closed the idle connection
 		}
 		if answer == check.ClosedNew && l.reachedBackend(id) {
-			answer = check.Closed // it has read the request, and owes an answer
+			answer = check.Closed // the agent has read the request, so it owes an answer
 		}
 		return answer, wait
 	}
 }
 
-// reachedBackend reports whether the agent has read a request: it has sent it on.
+// reachedBackend reports whether an attempt of a request has reached a backend, so the agent has read it.
 func (l *Lab) reachedBackend(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -7,14 +7,14 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// Measure is one figure of a report by which versions are compared.
+// Measure is a figure of a report by which two versions are compared.
 type Measure struct {
 	Name string
 	Of   func(*Report) float64
 	More bool // more is better
 }
 
-// Measures are what compare shows.
+// Measures lists the figures that are compared, in the order of the output.
 var Measures = []Measure{
 	{"served_in_aim", func(r *Report) float64 { return r.ServedInAim }, true},
 	{"worst_10s", func(r *Report) float64 { return r.Worst10s }, true},
@@ -30,8 +30,8 @@
 	{"latency_p99_ms", func(r *Report) float64 { return r.Latency.P99 }, false},
 }
 
-// avoidedAfterFigure is the time until zones out of reach were left, in seconds: 0 where none was, all of the run where they
-// never were.
+// avoidedAfterFigure returns the seconds until unreachable zones were avoided: 0 if there were none, the whole run if they never
+// were.
 func avoidedAfterFigure(r *Report) float64 {
 	switch {
 	case r.LeftAfter == nil:
@@ -42,7 +42,7 @@
 	return *r.LeftAfter
 }
 
-// recoveryFigure is the time until service was back, in seconds: 0 where it never fell, all of the run where it stayed away.
+// recoveryFigure returns the seconds until service had recovered: 0 if it never degraded, the whole run if it did not recover.
 func recoveryFigure(r *Report) float64 {
 	switch {
 	case r.Recovered == nil:
@@ -53,7 +53,7 @@
 	return *r.Recovered
 }
 
-// listCallsFigure is how often the list service was called for each start of an agent.
+// listCallsFigure returns the calls at the list service for each start of an agent.
 func listCallsFigure(r *Report) float64 {
 	if r.Lists == nil {
 		return 0
@@ -61,17 +61,17 @@
 	return r.Lists.PerAgent
 }
 
-// Pair is one seed played with both versions.
+// Pair holds the reports of two versions on one seed.
 type Pair struct {
 	Seed uint64  `json:"seed"`
 	A    *Report `json:"a"`
 	B    *Report `json:"b"`
 }
 
-// Counts reports whether both runs are results: a void one is none, whatever it shows.
+// Counts reports whether both runs are conclusive.
 func (p Pair) Counts() bool { return p.A.Verdict != Void && p.B.Verdict != Void }
 
-// Difference is B less A in one measure, over pairs of the same seed.
+// Difference is the difference of B and A in one measure, over pairs of the same seed.
 type Difference struct {
 	Measure string    `json:"measure"`
 	A       float64   `json:"a"` // means
@@ -85,7 +85,7 @@
 
 const resamples = 10000
 
-// Compare works out the differences over the pairs that count.
+// Compare returns the differences over the pairs that count; nil if there is none.
 func Compare(pairs []Pair) (list []Difference) {
 	for _, m := range Measures {
 		d := Difference{Measure: m.Name}
@@ -121,7 +121,7 @@
 	return m
 }
 
-// bootstrap is the 95% interval of the mean, by drawing the list anew from itself. One value has none: all is open.
+// bootstrap returns the 95% confidence interval of the mean by resampling. For a single value it is unbounded.
 func bootstrap(list []float64) (low, high float64) {
 	if len(list) < 2 {
 		return math.Inf(-1), math.Inf(1)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -16,19 +16,19 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// fakeDiscovery is a stand-in for the platform's: it learns late, and each agent's copy hears a little later.
+// fakeDiscovery emulates the discovery service: changes are published with a delay, and reach each caller a little later.
 type fakeDiscovery struct {
 	lab            *Lab
 	servers        []*http.Server
 	gates          []*gate
-	changes        []endpointChange // version v is changes[v-base-1]
+	changes        []endpointChange // version v is changes[v-baseVersion-1]
 	baseVersion    int64
 	silent         bool
 	unavailable    bool
-	disruptedUntil time.Duration // when it was last not itself
-	epoch          int           // counts restarts
+	disruptedUntil time.Duration // until then it was not working as it should
+	epoch          int           // number of restarts
 	listService    listServiceQueue
-	changed        chan struct{} // closed at each change
+	changed        chan struct{} // closed, and replaced, at each change
 }
 
 const (
@@ -54,7 +54,7 @@
 	return d, nil
 }
 
-// listen opens the copy of a caller, which has a number among all of them.
+// listen opens the listener of a caller, which has a number among all callers.
 func (d *fakeDiscovery) listen(ip string, caller netfault.Endpoint, n int) error {
 	g, err := newGate(ip, func(c net.Conn) net.Conn { return c })
 	if err != nil {
@@ -64,12 +64,12 @@
 		d.serveList(w, r, caller, n)
 	})}
 	d.gates, d.servers = append(d.gates, g), append(d.servers, s)
-	d.lab.running.Go(func() { _ = s.Serve(g) }) // ends with close
+	d.lab.running.Go(func() { _ = s.Serve(g) }) // returns after close
 	return nil
 }
 
-// moveAgent has an agent's copy answer at another address from now on. The old one takes no new connection, and closes its open
-// ones after a while. The lab's lock is held.
+// moveAgent moves an agent's discovery to another address. The old one accepts no new connection, and closes open ones after a
+// grace. Lab.mu is held.
 func (d *fakeDiscovery) moveAgent(n int, now time.Duration) error {
 	gate, server := d.gates[n], d.servers[n]
 	if err := d.listen(d.lab.block.linkAddr(n), endpointOf(netfault.Agent, n), n); err != nil {
@@ -85,11 +85,11 @@
 
 const (
 	oldAddressGrace = 1500 * time.Millisecond
-	reloadDeadline  = 4 * time.Second // what the new address has to tell counts as told by then
-	minReloadAge    = time.Second     // of a process's life, without a SIGHUP
+	reloadDeadline  = 4 * time.Second // after which the list at the new address counts as delivered
+	minReloadAge    = time.Second     // of a process: a younger one gets no SIGHUP
 )
 
-// notifyAfterReload counts as told what a copy had at a time, but for what has changed since.
+// notifyAfterReload counts a version of the list as delivered, except for backends that have changed since.
 func (d *fakeDiscovery) notifyAfterReload(n int, upTo int64, now time.Duration) {
 	latest := map[*host]int{}
 	for i, c := range d.changes {
@@ -111,7 +111,7 @@
 	}
 }
 
-// learn has discovery learn of a change after its time. The lab's lock is held.
+// learn publishes a change of a backend after a delay. Lab.mu is held.
 func (d *fakeDiscovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
 	l := d.lab
 	l.lastSeq++
@@ -121,7 +121,7 @@
 	seq := l.lastSeq
 	l.scheduleAt(now+seconds(late[0]+(late[1]-late[0])*r.Float64()), func(t time.Duration) {
 		if h.lastChange != seq {
-			return // a machine that fell silent and came back before this was known: there is nothing left to tell
+			return // the backend has changed again before this was published
 		}
 		d.changes = append(d.changes, endpointChange{host: h, state: state, started: started, learnedAt: t})
 		d.wakeWatches()
@@ -133,8 +133,7 @@
 	})
 }
 
-// notifyAtDeadline counts a change as told once the time is over in which it should have been, where nothing was in
-// the way.
+// notifyAtDeadline counts a change as delivered at the propagation deadline, if discovery worked all the time.
 func (d *fakeDiscovery) notifyAtDeadline(happened time.Duration, h *host, state string, started time.Duration) {
 	if d.disruptedUntil >= happened {
 		return
@@ -146,13 +145,13 @@
 	}
 }
 
-// wakeWatches wakes those who wait for a change. The lab's lock is held.
+// wakeWatches wakes all open watches. Lab.mu is held.
 func (d *fakeDiscovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// notify tells the checker what is written to an agent; a hub has nothing to send to backends.
+// notify reports to the checker what is written to a caller. Hubs send nothing to backends, so they are left out.
 func (d *fakeDiscovery) notify(n int, from, to int64, now time.Duration) {
 	if n >= len(d.lab.agents) {
 		return
@@ -162,7 +161,7 @@
 	}
 }
 
-// serveList answers one caller's call.
+// serveList answers a poll or a watch of one caller.
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request, caller netfault.Endpoint, n int) {
 	l := d.lab
 	if r.URL.Path != "/catalog/members" {
@@ -177,7 +176,7 @@
 		return
 	}
 	follow := r.URL.Query().Get("follow") == "1"
-	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
+	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // 0, the full list, if it is absent or malformed
 	if !follow {
 		since = 0
 	}
@@ -201,10 +200,10 @@
 			if full {
 				from = d.baseVersion
 			}
-			line, _ = json.Marshal(d.list(n, from, v, full)) // it holds nothing that can't be written
+			line, _ = json.Marshal(d.list(n, from, v, full)) // the type can always be encoded
 			if l.Scenario.Discovery.Indented {
 				var text bytes.Buffer
-				_ = json.Indent(&text, line, " ", "\t") // it is what was just written
+				_ = json.Indent(&text, line, " ", "\t") // the text was just encoded
 				line = text.Bytes()
 			}
 			d.listService.bytes += len(line)
@@ -244,7 +243,7 @@
 	}
 }
 
-// waitFor waits for a time or a change, and reports false once ctx has ended.
+// waitFor waits for a time or a change. It reports false once ctx has ended.
 func waitFor(ctx context.Context, d time.Duration, changed <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -257,7 +256,7 @@
 	return true
 }
 
-// rewind starts discovery again from an old version: what came later it learns once more. The lab's lock is held.
+// rewind restarts discovery with an old version; later changes are published once more. Lab.mu is held.
 func (d *fakeDiscovery) rewind(now time.Duration) {
 	first := len(d.lab.hosts)
 	for i, c := range d.changes {
@@ -271,7 +270,7 @@
 	}
 	later := slices.Clone(d.changes[first:])
 	d.changes = d.changes[:first]
-	d.baseVersion -= 10 // it counts anew from below
+	d.baseVersion -= 10 // versions go back, too
 	d.epoch++
 	d.disruptedUntil = now
 	for _, c := range later {
--- a/internal/lab/endpointlist.go
+++ b/internal/lab/endpointlist.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// endpointList is a list of backends as discovery writes it.
+// endpointList is the list of backends in discovery's JSON form.
 type endpointList struct {
 	Version int64      `json:"version"`
 	Full    bool       `json:"full"`
@@ -25,7 +25,7 @@
 	Started int64   `json:"started_ms"`
 }
 
-// endpointChange is one thing that discovery has learned.
+// endpointChange is a published change of a backend.
 type endpointChange struct {
 	host      *host
 	state     string
@@ -33,13 +33,13 @@
 	learnedAt time.Duration
 }
 
-// propagationDelay is how much later a caller's copy hears.
+// propagationDelay returns how much later than published a caller receives changes.
 func (d *fakeDiscovery) propagationDelay(caller int) time.Duration {
 	r := d.lab.rng.Of("spread", caller)
 	return time.Duration((16 + 80*r.Float64()) * float64(time.Millisecond))
 }
 
-// visible is the version that a caller's copy has by now, and when it will have the next; negative: none is due.
+// visible returns the version that a caller can receive by now, and when it can receive the next; negative if there is none.
 func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
 	spread := d.propagationDelay(caller)
 	for i, c := range d.changes {
@@ -50,7 +50,7 @@
 	return d.baseVersion + int64(len(d.changes)), -1
 }
 
-// list is what holds between two versions: everything, if full.
+// list returns the changes between two versions, or the full list.
 func (d *fakeDiscovery) list(caller int, from, to int64, full bool) endpointList {
 	m := endpointList{Version: to, Full: full, Servers: []endpoint{}}
 	at := map[string]int{}
@@ -74,22 +74,22 @@
 	return m
 }
 
-// addr is where an agent finds the backend: at an address of its own, so that the network can tell agents apart, but for
-// lists that agents hand on to each other.
+// addr returns the address of the backend for an agent. Each agent has one of its own, so that the network can tell agents
+// apart, except where agents relay lists to each other.
 func (h *host) addr(agent int) string {
-	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // a hub has no need of one
+	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // hubs send nothing to backends
 		agent = 0
 	}
 	return h.gates[agent].Addr().String()
 }
 
-// cachedList is the whole list as an agent's copy has it, and counts it as told. The lab's lock is held.
+// cachedList returns the list in the configuration of an agent that starts, and counts it as delivered. Lab.mu is held.
 func (d *fakeDiscovery) cachedList(a *agent, now time.Duration) endpointList {
 	v, _ := d.visible(a.number, now)
 	switch d.lab.Scenario.Discovery.CachedList {
 	case "none":
 		return endpointList{Servers: []endpoint{}}
-	case "first": // it is old: nothing later is told by it
+	case "first": // the list of the start of the run
 		v = d.baseVersion
 		for _, c := range d.changes {
 			if c.learnedAt < 0 {
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/check"
 )
 
-// recorder writes finished requests as JSON, one a line.
+// recorder writes the history of finished requests as lines of JSON. Its first error is kept and ends the writing.
 type recorder struct {
 	w   *bufio.Writer
 	enc *json.Encoder
@@ -33,7 +33,7 @@
 	}
 }
 
-// Flush writes what is left, and tells what went wrong on the way.
+// flush writes what is buffered, and returns the first error.
 func (r *recorder) flush() error {
 	if r.w == nil || r.err != nil {
 		return r.err
@@ -41,10 +41,10 @@
 	return r.w.Flush()
 }
 
-// Flush writes what is left of the events.
+// Flush writes the rest of the history of requests, and returns the first error of writing it.
 func (l *Lab) Flush() error { return l.recorder.flush() }
 
-// WriteHistory prints a request's history, a line an event.
+// WriteHistory prints the history of a request, one event a line.
 func WriteHistory(w io.Writer, q *check.Request) {
 	fmt.Fprintf(w, "request %s, try %d of %s, by agent %d, given up %v after it was sent\n", q.ID, q.Attempt, q.FirstID, q.Agent, q.Timeout.Round(time.Millisecond))
 	for _, e := range q.History {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -7,7 +7,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// scheduleFaults puts the scenario's faults on the agenda. The lock is held.
+// scheduleFaults schedules the faults of the scenario. Lab.mu is held.
 func (l *Lab) scheduleFaults() {
 	for i := range l.Scenario.Faults {
 		f := &l.Scenario.Faults[i]
@@ -22,14 +22,14 @@
 	}
 }
 
-// scheduleEnd puts a fault's end on the agenda; one without a span lasts to the end. The lock is held.
+// scheduleEnd schedules the end of a fault; one without a duration lasts until the end of the run. Lab.mu is held.
 func (l *Lab) scheduleEnd(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
 	if f.Duration > 0 {
 		l.scheduleAt(now+f.Duration.Duration(), end)
 	}
 }
 
-// beginFault lets a fault begin. The lock is held.
+// beginFault starts a fault and schedules its end. Lab.mu is held.
 func (l *Lab) beginFault(index int, fault *scenario.Fault, now time.Duration) {
 	label := fault.Kind
 	if fault.Targets != "" {
@@ -87,14 +87,14 @@
 	}
 }
 
-// applyInSteps does something to each of a list, in equal parts over the fault's span. The lock is held.
+// applyInSteps calls a function for each backend, in equal groups over the duration of the fault. Lab.mu is held.
 func (l *Lab) applyInSteps(f *scenario.Fault, now time.Duration, list []*host, do func(h *host, now time.Duration)) {
 	for k, h := range list {
 		l.scheduleAt(now+stepDelay(f, k, len(list)), func(now time.Duration) { do(h, now) })
 	}
 }
 
-// stepDelay is when in its span a fault falls on the k-th of n.
+// stepDelay returns when, after its start, a fault reaches the k-th of n targets.
 func stepDelay(f *scenario.Fault, k, n int) time.Duration {
 	if f.Steps <= 1 {
 		return 0
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -14,34 +14,33 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// fleetPort is where agents and hubs hear their fleet, and where the lab hears for them.
+// fleetPort is the port of agents and hubs for their fleet, and of the lab's links to them.
 const fleetPort = 7947
 
-// fleetLinks carry what agents and hubs of a fleet tell each other, UDP and TCP, by way of the lab: to reach a process is
-// to reach its link, which knows the caller by its address. So the network's rules hold between processes that know nothing
-// of it.
+// fleetLinks relay the UDP and TCP traffic of a fleet. A process is reached through its link, which identifies the caller by
+// its address, so the faults of the network apply to processes that know nothing of the lab.
 type fleetLinks struct {
 	lab           *Lab
 	ends          []*fleetEndpoint
-	byProcessAddr map[netip.Addr]*fleetEndpoint // by the address that its process calls from
+	byProcessAddr map[netip.Addr]*fleetEndpoint // by the address of the process
 
 	mu           sync.Mutex
-	bytes        int // told to or by agents
-	hubBytes     int // told to or by hubs, twice what is told between two
+	bytes        int // sent or received by agents
+	hubBytes     int // sent or received by hubs: traffic between two of them counts twice
 	conns        map[net.Conn]bool
-	transitTimes map[transitKey][]time.Duration // what datagrams took here, at most maxTransitTimes
+	transitTimes map[transitKey][]time.Duration // of datagrams through the lab, at most maxTransitTimes each
 }
 
-// fleetEndpoint is one process as its fleet meets it, and its link.
+// fleetEndpoint is a process of the fleet and its link.
 type fleetEndpoint struct {
 	netfault.Endpoint
-	name        string // in draws
+	name        string // in the names of random streams
 	processAddr netip.AddrPort
 	udp         *net.UDPConn
 	tcp         *net.TCPListener
 }
 
-// transitKey names datagrams from one zone to another in a second of the run.
+// transitKey identifies the datagrams between two zones in one second of the run.
 type transitKey struct{ from, to, second int }
 
 const maxTransitTimes = 300
@@ -65,14 +64,14 @@
 	return f, nil
 }
 
-// listen opens the link of a process that calls from one address and is reached at another.
+// listen opens the link of a process, which has one address and is reached at another.
 func (f *fleetLinks) listen(p netfault.Endpoint, name, at, reached string) error {
 	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
-	_ = u.SetReadBuffer(1 << 20) // as large as the system allows
+	_ = u.SetReadBuffer(1 << 20) // the system may allow less
 	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
 	f.ends, f.byProcessAddr[own] = append(f.ends, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
@@ -93,7 +92,7 @@
 	}
 }
 
-// countBytes counts what one end told another.
+// countBytes counts traffic between two processes.
 func (f *fleetLinks) countBytes(from, to *fleetEndpoint, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +106,7 @@
 	}
 }
 
-// fleetAddr is where an agent's process hears its fleet, and fleetLink where the others reach it.
+// fleetAddr returns the fleet address of an agent's process, and fleetLink the one at which others reach it.
 func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
 func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
@@ -133,7 +132,7 @@
 		now := l.now()
 		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
 			l.scheduleAt(now+d, func(time.Duration) {
-				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // a receiver that is gone misses it
+				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // lost if the receiver has ended
 				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
 			})
 		}
@@ -141,7 +140,7 @@
 	}
 }
 
-// recordTransit keeps what a datagram really took: the lab's own lateness is part of the way.
+// recordTransit records how long a datagram took, the lateness of the lab included.
 func (f *fleetLinks) recordTransit(k transitKey, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,15 +149,15 @@
 	}
 }
 
-// recentTransit is the lower quartile of what datagrams took from one zone to another in the two seconds before a time; false: too
-// few were on the way.
+// recentTransit returns the lower quartile of the transit times between two zones in the two seconds before a time. It reports
+// false if there were too few.
 func (f *fleetLinks) recentTransit(from, to int, at time.Duration) (time.Duration, bool) {
 	second := int(at / time.Second)
 	f.mu.Lock()
 	list := slices.Concat(f.transitTimes[transitKey{from, to, second - 1}], f.transitTimes[transitKey{from, to, second - 2}])
 	f.mu.Unlock()
 	few := 20
-	if len(f.lab.hubs) > 0 { // they alone send datagrams
+	if len(f.lab.hubs) > 0 { // only hubs send datagrams
 		few = 6
 	}
 	if len(list) < few {
@@ -197,7 +196,7 @@
 	}
 }
 
-// linkState is what the network does to the way from one end to another now, and how long it takes.
+// linkState returns the present fault and latency from one process to another.
 func (f *fleetLinks) linkState(from, to *fleetEndpoint) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
@@ -205,8 +204,8 @@
 	return x, f.lab.baseLatency(from.Endpoint, to.Endpoint) + x.Delay
 }
 
-// carryStream carries one connection. Beyond a cut it hangs, as the opening segment would; where the other process is
-// gone its machine refuses, which a connection that was taken shows as a reset.
+// carryStream relays one TCP connection. During a partition it hangs, as its SYN would; if the other process has ended it is
+// reset, in place of being refused.
 func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
@@ -232,7 +231,7 @@
 	defer f.track(d, false)
 	defer d.Close()
 	var both sync.WaitGroup
-	var ended atomic.Int32 // ends of the two that were read
+	var ended atomic.Int32 // directions that have ended
 	both.Go(func() { f.copy(d, c, from, to, &ended) })
 	both.Go(func() { f.copy(c, d, to, from, &ended) })
 	both.Wait()
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,9 +1,8 @@
-// Package lab plays a whole fleet on one machine: real agent processes, and around them clients, backends,
+// Package lab emulates a whole fleet on one machine: real processes of agents and hubs, and around them clients, backends,
 // discovery and a network with faults, all in this process.
 //
-// One lock guards the world. What happens at a time goes through the agenda, which one goroutine works off;
-// everything else only waits for sockets. How late the agenda and the arrivals are is measured, and a lab that
-// is too late gives no verdict.
+// One mutex guards the state of a run (Lab.mu). Timed events go through an event queue that one goroutine works off; the other
+// goroutines wait for sockets. The lateness of events and arrivals is measured, and a lab that was too late gives no verdict.
 package lab
 
 import (
@@ -23,17 +22,17 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// Options say what to play.
+// Options describe a run.
 type Options struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	Agent    []string // the agent's command line
-	Hub      []string // a hub's, before --config and its file; needed where the scenario has hubs
-	Env      []string // more of its environment
-	Dir      string   // where processes have their configuration, log and what they keep
+	Agent    []string // the command line of an agent
+	Hub      []string // that of a hub, without --config and its file; required if the scenario has hubs
+	Env      []string // added to the environment of agents and hubs
+	Dir      string   // where processes have their configuration, logs and state
 	Events   io.Writer
-	Visitors bool                 // requests from elsewhere are served, and not judged
-	Ready    func(l *Lab)         // called once clients are about to start
+	Visitors bool                 // requests that do not come from the lab are served, and not checked
+	Ready    func(l *Lab)         // called just before the first request
 	Second   func(l *Lab, s View) // called after each second
 }
 
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -22,7 +22,7 @@
 	kind      string // "agent", "hub"
 	name, dir string
 
-	// The lab's lock guards these.
+	// Guarded by Lab.mu.
 	cmd          *exec.Cmd
 	starts       int
 	faultControl faultinject.Control // of a program that package inject has built
