--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -127,7 +127,7 @@
 	h.mu.Unlock()
 	for _, c := range list {
 		if t, ok := c.Conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // closed already if it fails
+			_ = t.SetLinger(0) // fails only on a closed connection
 		}
 		c.Close()
 	}
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -237,8 +237,8 @@
 	both.Wait()
 }
 
-// copy carries one direction. What a cut meets waits until it is over, as TCP sends again; so does the word that the
-// connection has ended, but where both sides have said so.
+// copy relays one direction. Data that meets a partition waits until it heals, as TCP retransmits. So does the end of the
+// connection, unless both sides have ended.
 func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEndpoint, ended *atomic.Int32) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -270,14 +270,14 @@
 			if errors.Is(err, syscall.ECONNRESET) {
 				reset(out)
 			} else if t, ok := out.(*net.TCPConn); ok {
-				_ = t.CloseWrite() // closed already if it fails
+				_ = t.CloseWrite() // fails only on a closed connection
 			}
 			return
 		}
 	}
 }
 
-// wait reports false once the lab ends.
+// wait waits for a time. It reports false once the lab ends.
 func (f *fleetLinks) wait(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// gate is a listener that can refuse connections, or leave them hanging as a network does that drops the
-// opening segment.
+// gate is a listener that can be made unreachable: new connections then hang, as if the network dropped the SYN.
 type gate struct {
 	listener *net.TCPListener
 	wrap     func(net.Conn) net.Conn
@@ -20,7 +19,7 @@
 	mu          sync.Mutex
 	unreachable bool
 	closed      bool
-	reachable   chan struct{} // closed once it is open again; nil: it is open
+	reachable   chan struct{} // closed once connections are accepted again; nil: they are
 	filler      net.Conn
 }
 
@@ -48,13 +47,13 @@
 	return g.listener.Close()
 }
 
-// Accept waits while the gate is shut.
+// Accept returns the next connection. It blocks while the gate is unreachable.
 func (g *gate) Accept() (net.Conn, error) {
 	for {
 		c, err := g.listener.Accept()
 		g.mu.Lock()
 		if err == nil {
-			// A call that was under way when the gate was shut may take the filler itself: the queue is filled again.
+			// An Accept that was in progress when the gate became unreachable may take the filler: fill the queue again.
 			ours := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
 			if ours {
 				c.Close()
@@ -80,20 +79,20 @@
 func (g *gate) setBacklog(n int) {
 	raw, err := g.listener.SyscallConn()
 	if err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails on a closed socket alone
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed socket
 	}
 }
 
-// fillBacklog has a connection of our own take the queue's only place. The lock is held.
+// fillBacklog takes the only place of the accept queue with a connection of the lab. g.mu is held.
 func (g *gate) fillBacklog() {
 	if g.filler != nil {
 		g.filler.Close()
 	}
-	g.filler, _ = net.DialTimeout("tcp4", g.listener.Addr().String(), 250*time.Millisecond) // full already if it fails
+	g.filler, _ = net.DialTimeout("tcp4", g.listener.Addr().String(), 250*time.Millisecond) // if it fails, the queue is full already
 }
 
-// setUnreachable shuts the gate or opens it. Shut, it accepts nothing and its queue holds one connection of our own:
-// a full queue is why the kernel answers no further opening segment.
+// setUnreachable makes the gate unreachable or reachable. While it is unreachable nothing is accepted and the accept queue is
+// full, so the kernel answers no further SYN.
 func (g *gate) setUnreachable(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,7 +111,7 @@
 		g.filler.Close()
 		g.filler = nil
 	}
-	// Whoever came into the queue meanwhile would not have got through: it is reset.
+	// Whatever got into the queue meanwhile would not have got through a network: reset it.
 	_ = g.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
 	for {
 		c, err := g.listener.Accept()
@@ -127,10 +126,10 @@
 	g.reachable = nil
 }
 
-// reset ends a connection so that the other side sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(interface{ SetLinger(int) error }); ok {
-		_ = t.SetLinger(0) // closed already if it fails
+		_ = t.SetLinger(0) // fails only on a closed connection
 	}
 	c.Close()
 }
--- a/internal/lab/hosts.go
+++ b/internal/lab/hosts.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// machine kinds: the share of machines and the range of a core's speed.
+// machineKinds are the kinds of machines, each with its share and the range of a core's speed.
 var machineKinds = []struct {
 	name  string
 	share float64
@@ -22,7 +22,7 @@
 
 const cores = 4
 
-// addInitialHosts draws the backends.
+// addInitialHosts adds the backends that are there at the start.
 func (l *Lab) addInitialHosts() {
 	s := l.Scenario
 	for n := range s.Fleet.Backends {
@@ -37,7 +37,7 @@
 	}
 }
 
-// addHost adds a machine that started at a time; a negative one is long ago.
+// addHost adds a backend with properties drawn from the seed. A negative start time means long ago.
 func (l *Lab) addHost(zone int, started time.Duration) *host {
 	n := len(l.hosts)
 	ranges, r := &l.Scenario.Model, l.rng.Of("machine", n)
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// hub is one hub's process.
+// hub is the process of a hub.
 type hub struct {
 	process
 	number int
@@ -38,7 +38,7 @@
 	return list
 }
 
-// hubAddr is where a hub's process hears its fleet, and hubLinkAddr where the others reach it.
+// hubAddr returns the fleet address of a hub's process, and hubLinkAddr the one at which others reach it.
 func (l *Lab) hubAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.hubAddr(n), fleetPort) }
 func (l *Lab) hubLink(n int) string { return fmt.Sprintf("%s:%d", l.block.hubLinkAddr(n), fleetPort) }
 
@@ -48,8 +48,7 @@
 func (h *hub) policyFile() string   { return filepath.Join(h.dir, "policy.toml") }
 func (h *hub) settingsFile() string { return filepath.Join(h.dir, "settings.toml") }
 
-// start starts the hub's process. It keeps its files as a machine set aside for control does: only with an empty restart
-// what it kept is gone. The lock is held.
+// start starts the process. Its state survives a restart unless the restart is to be empty. Lab.mu is held.
 func (h *hub) start(_ time.Duration, keep bool) error {
 	l := h.lab
 	h.starts++
@@ -69,12 +68,12 @@
 	return h.launch(append(append([]string(nil), l.Hub...), "--config", file), append([]string{"TMPDIR=" + state}, l.Env...))
 }
 
-// config is what a hub's process is told, as docs/hub.md says.
+// config returns the TOML configuration of the process, in the form of docs/hub.md.
 func (h *hub) config(state string) string {
 	l, s := h.lab, &h.lab.Scenario.Shared
 	var b strings.Builder
 	line := func(key string, value any) {
-		text, _ := json.Marshal(value) // names, numbers and lists of them are written alike in both forms
+		text, _ := json.Marshal(value) // JSON and TOML write names, numbers and lists of them alike
 		fmt.Fprintf(&b, "%s = %s\n", key, text)
 	}
 	zones := l.Scenario.Fleet.Zones
@@ -125,20 +124,20 @@
 	return b.String()
 }
 
-// awaitReady waits until the hub answers calls on its fleet address.
+// awaitReady waits until the hub answers on its fleet address.
 func (h *hub) awaitReady(ctx context.Context, ended <-chan struct{}) error {
 	return awaitOK(ctx, ended, "http://"+h.lab.hubAddr(h.number)+"/fleet/settings")
 }
 
-// HubsReport is what the hubs used.
+// HubsReport holds the resources used by all hubs together.
 type HubsReport struct {
 	Hubs int `json:"hubs"`
 	Usage
 	Busiest float64 `json:"cpu_s_busiest"`
-	Bytes   float64 `json:"bytes_per_s_per_hub"` // told by it and to it
+	Bytes   float64 `json:"bytes_per_s_per_hub"` // sent and received
 }
 
-// hubsReport sums up. The lock is held.
+// hubsReport returns nil where there are no hubs. Lab.mu is held.
 func (l *Lab) hubsReport() *HubsReport {
 	if len(l.hubs) == 0 {
 		return nil
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -36,15 +36,15 @@
 	Second   func(l *Lab, s View) // called after each second
 }
 
-// Lab is one run.
+// Lab is one run. It is used once: New, Run, Close.
 type Lab struct {
 	Options
 	block            *block
-	createdAt        time.Time     // when the lab was made
-	createdSinceBoot time.Duration // the same, since the machine's start
-	startOffset      atomic.Int64  // when its time began to count, after base, ns
+	createdAt        time.Time     // by the monotonic clock
+	createdSinceBoot time.Duration // the same moment, since the machine's start
+	startOffset      atomic.Int64  // start of the run's time after createdAt, in ns
 	rng              rng.Source
-	scale            float64 // of work and of every time that goes with it
+	scale            float64 // factor of the work of requests, and of their objectives and deadlines
 	classes          []class
 
 	mu                 sync.Mutex
@@ -59,28 +59,28 @@
 	agents             []*agent
 	hubs               []*hub
 	discovery          *fakeDiscovery
-	fleet              *fleetLinks        // nil: agents have no fleet
+	fleet              *fleetLinks        // nil: agents are not a fleet
 	residency          *check.Residency   // nil: no policy is in force
-	processEnds        []processEnd       // ends of agents' processes
-	publishedSettings  []publishedVersion // settings, in order
-	reachability       []reachable        // who could reach whom, by changes
-	networkChanges     []time.Duration    // when the network did
-	restartTimes       []time.Duration    // that processes took from their start until they took clients
+	processEnds        []processEnd       // of agents
+	publishedSettings  []publishedVersion // in order
+	reachability       []reachable        // a new entry at each change
+	networkChanges     []time.Duration    // when faults of the network began and ended
+	restartTimes       []time.Duration    // from a process's restart until it accepted clients
 	attempts           map[uint64]*attempt
-	servedKeys         map[cellKey]bool // keys that pods have met
-	lastAttempt        uint64           // number of the latest
+	servedKeys         map[cellKey]bool // idempotency keys within their window
+	lastAttempt        uint64           // its number
 	partitioned        []partitionedMessage
 	loadFactor         float64
-	activeFaults       []string // under way, for the table
+	activeFaults       []string // as shown in a View
 	crashes            []string
-	overloadedBackends int          // machines pushed over while cold
-	unreachableSpans   []check.Span // in which zones can't be reached
+	overloadedBackends int          // crashed by overload in slow start
+	unreachableSpans   []check.Span // in which whole zones are unreachable
 	watchUntil         time.Duration
-	watching           bool                           // for connections that don't come up
-	backendAddrs       map[netip.AddrPort]backendAddr // whose address that is
+	watching           bool                           // for SYNs without an answer
+	backendAddrs       map[netip.AddrPort]backendAddr // by the address of a listener
 	tenantQuotas       []tokenBucket
-	gateMu             sync.Mutex // gates change one set after the other
-	datagrams          int        // between agents
+	gateMu             sync.Mutex // serialises updateGates
+	datagrams          int        // exchanged by agents
 	err                error
 	closing            bool
 
@@ -91,15 +91,16 @@
 	recorder      *recorder
 }
 
-// Bounds of the rules: the protocol's, and what sockets may add to each.
+// The bounds of the rules.
 const (
 	drainGrace          = 500 * time.Millisecond
-	answerGrace         = 500 * time.Millisecond // past a request's time an answer only earns nothing; later it is lost
+	answerGrace         = 500 * time.Millisecond // after the deadline, in which an answer counts as late but not as lost
 	socketSlack         = 50 * time.Millisecond
-	propagationDeadline = 6 * time.Second // what discovery has to tell counts as told by then
+	propagationDeadline = 6 * time.Second // after which a change counts as delivered to an agent
 )
 
-// Run plays the scenario and returns what came out. It ends early with ctx, and then reports what there is.
+// Run plays the scenario and reports the result. If ctx ends first, the report covers the run until then. The error is a failure
+// of the lab itself, or ErrCrash if a process did not start.
 func (l *Lab) Run(ctx context.Context) (*Report, error) {
 	l.running.Go(l.runSchedule)
 	go l.startProcesses()
@@ -109,7 +110,7 @@
 		}
 	}
 	l.mu.Lock()
-	l.startOffset.Store(int64(time.Since(l.createdAt))) // the run's time begins with its clients
+	l.startOffset.Store(int64(time.Since(l.createdAt))) // the time of the run starts with its clients
 	l.schedule, l.lastSeq = nil, 0
 	for _, a := range l.agents {
 		l.check.ForgetEndpoints(a.number)
@@ -146,7 +147,7 @@
 	return l.report(), l.err
 }
 
-// awaitOpenRequests waits until the last requests have ended, no longer than their time.
+// awaitOpenRequests waits until all requests have ended, at most for the longest deadline.
 func (l *Lab) awaitOpenRequests(ctx context.Context) {
 	limit := time.After(l.maxDeadline() + answerGrace + time.Second)
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -171,7 +172,7 @@
 	}
 }
 
-// fail ends the run for a fault of the lab itself. The lock is held.
+// fail ends the run for an error of the lab itself. Lab.mu is held.
 func (l *Lab) fail(err error) {
 	if l.err == nil && !l.closing {
 		l.err = err
@@ -179,7 +180,7 @@
 	}
 }
 
-// Close ends every process and closes every socket of the lab.
+// Close kills all processes and closes all sockets of the lab, and waits for its goroutines.
 func (l *Lab) Close() {
 	l.mu.Lock()
 	l.closing = true
@@ -214,5 +215,5 @@
 	return part / whole
 }
 
-// quietLog is for what the lab itself has to do with an agent's parts.
+// quietLog discards the log of product code that the lab itself calls.
 var quietLog = slog.New(slog.DiscardHandler)
--- a/internal/lab/listservice.go
+++ b/internal/lab/listservice.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// listServiceQueue is the list service's capacity, where lists are asked for: calls wait in turn, and fail when they would wait too
-// long. What an open watch is told costs nothing. The lab's lock guards it.
+// listServiceQueue models the limited capacity of a polled list service: calls are queued, and fail if they would wait too long.
+// Changes sent on an open watch cost nothing. Guarded by Lab.mu.
 type listServiceQueue struct {
-	idleAt   time.Duration // the queue is empty then
-	seconds  []int         // calls by second
+	idleAt   time.Duration // when the queue will be empty
+	seconds  []int         // calls, by second of the run
 	calls    int
 	rejected int
 	bytes    int
-	maxWait  time.Duration // that a call waited
+	maxWait  time.Duration // of a call
 }
 
-// Lists is what the list service saw, where it is asked.
+// Lists counts the calls at a polled list service.
 type Lists struct {
 	Calls    int     `json:"calls"`
-	PerAgent float64 `json:"calls_per_start"` // for each start of an agent
+	PerAgent float64 `json:"calls_per_start"` // calls for each start of an agent
 	Refused  int     `json:"refused"`
 	Peak     int     `json:"calls_worst_second"`
 	Longest  float64 `json:"longest_wait_s"`
 	Bytes    int     `json:"bytes"`
 }
 
-// awaitTurn lets a call wait for its turn, and reports false where it fails: it is refused, or nobody waits for it any more.
+// awaitTurn queues a call. It reports false if the call was rejected, or its caller has gone.
 func (d *fakeDiscovery) awaitTurn(w http.ResponseWriter, r *http.Request, whole bool) bool {
 	l := d.lab
 	s := &l.Scenario.Discovery
@@ -59,7 +59,7 @@
 	return waitFor(r.Context(), wait+cost, nil)
 }
 
-// listsReport sums up. The lock is held.
+// listsReport returns nil where lists are pushed. Lab.mu is held.
 func (l *Lab) listsReport() *Lists {
 	if !l.Scenario.Discovery.Polled {
 		return nil
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -11,7 +11,8 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// addNetworkRules puts rules on the network, and takes them off after the fault's span. The lock is held.
+// addNetworkRules adds rules to the network for the duration of a fault. Agents that are cut off from their clients or from
+// discovery are excused meanwhile. Lab.mu is held.
 func (l *Lab) addNetworkRules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
@@ -52,7 +53,7 @@
 	})
 }
 
-// applyLinkFault puts one rule on links. The lock is held.
+// applyLinkFault applies a fault to the links between two sets of processes. Lab.mu is held.
 func (l *Lab) applyLinkFault(i int, f *scenario.Fault, now time.Duration) {
 	in := func(text string) func(netfault.Endpoint) bool {
 		set, _ := scenario.ParseSet(text)
@@ -63,7 +64,7 @@
 		case netfault.Hub:
 			n = len(l.hubs)
 		case netfault.Discovery:
-			n += len(l.hubs) // each has its own copy
+			n += len(l.hubs) // each hub has a discovery listener of its own
 		}
 		picked := map[int]bool{}
 		for _, k := range l.pickFrom(i, set, n, func(k int) int { return l.zone(endpointOf(role, k)) }) {
@@ -90,7 +91,8 @@
 	}
 }
 
-// updateGates opens and shuts listeners as the network stands. The lock is held; shutting waits for nobody.
+// updateGates makes listeners reachable or unreachable by the present state of the network. Lab.mu is held; the listeners
+// change soon after, by a goroutine.
 func (l *Lab) updateGates() {
 	type job struct {
 		g    *gate
@@ -120,8 +122,8 @@
 	})
 }
 
-// partitionZone cuts a zone off from everyone beyond it; a deaf one still is heard. Its agents' discovery lies
-// beyond. The lock is held.
+// partitionZone partitions a zone from the others, in both directions or in the incoming one. Discovery is outside of each zone.
+// Lab.mu is held.
 func (l *Lab) partitionZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	inside := func(p netfault.Endpoint) bool {
@@ -136,7 +138,7 @@
 	l.addNetworkRules(f, now, rules...)
 }
 
-// discardMessages forgets what was on the way to or from a machine that has lost everything. The lock is held.
+// discardMessages drops the partitioned messages to and from a backend that has restarted. Lab.mu is held.
 func (l *Lab) discardMessages(h *host) {
 	l.partitioned = slices.DeleteFunc(l.partitioned, func(p partitionedMessage) bool { return p.from == h.endpoint() || p.to == h.endpoint() })
 }
--- a/internal/lab/openings.go
+++ b/internal/lab/openings.go
@@ -14,24 +14,23 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// What goes towards backends that cannot be reached. Over a connection that stands an attempt is read, and waits in
-// the lab. A connection that does not come up shows nowhere but in the kernel's table of sockets, as an opening
-// segment without an answer.
+// Attempts at unreachable backends. On an established connection the lab reads the attempt and holds it back. A connection that
+// is not established shows only in the kernel's table of sockets, in state SYN_SENT.
 
-const openingInterval = 100 * time.Millisecond // shorter than any connect time-out that the lab sets
+const openingInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
 
-// unreachable reports whether a backend can't be reached by an agent, or can't answer it. The lock is held.
+// unreachable reports whether an agent cannot reach a backend, or the backend cannot answer. Lab.mu is held.
 func (l *Lab) unreachable(agent int, h *host) bool {
 	me := endpointOf(netfault.Agent, agent)
 	return h.machine.State == model.Silent || l.network.Fault(me, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), me, netfault.TCP).Cut
 }
 
-// zoneFault reports whether a fault keeps agents from whole zones for a while.
+// zoneFault reports whether a fault makes whole zones unreachable for a time.
 func zoneFault(f *scenario.Fault) bool {
 	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
 
-// watchOpenings counts connections that don't come up, for as long as a fault keeps zones apart. The lock is held.
+// watchOpenings counts connections that are not established while a fault makes zones unreachable. Lab.mu is held.
 func (l *Lab) watchOpenings(f *scenario.Fault, now time.Duration) {
 	if !zoneFault(f) {
 		return
@@ -53,7 +52,7 @@
 				return
 			}
 			table, err := os.ReadFile("/proc/self/net/tcp")
-			list := openings(table) // before the lock: a machine may have many thousands of sockets
+			list := openings(table) // before locking: a machine may have many thousands of sockets
 			l.mu.Lock()
 			if err != nil {
 				l.fail(err)
@@ -69,12 +68,12 @@
 	})
 }
 
-// opening is a connection that waits for the first answer.
+// opening is a connection in state SYN_SENT.
 type opening struct{ from, to netip.AddrPort }
 
-// openings reads those of the kernel's table.
+// openings returns the connections in state SYN_SENT of the kernel's table.
 func openings(table []byte) (list []opening) {
-	// Most lines are of sockets that wait for their last segments: they are told by the state, at its place, without a look at the rest.
+	// Most lines are of sockets in TIME_WAIT: the state at its fixed place is compared before the line is split.
 	const synSent, state = "02", len("0100007F:1F90 00000000:0000 ")
 	lines := bufio.NewScanner(bytes.NewReader(table))
 	for lines.Scan() {
@@ -92,8 +91,7 @@
 	return list
 }
 
-// kernelAddress reads an IPv4 address as the table has it: the address as a number of the machine's own byte order,
-// the port as it is written.
+// kernelAddress parses an IPv4 address and port of the kernel's table, which has the address in little-endian byte order.
 func kernelAddress(text []byte) (a netip.AddrPort, ok bool) {
 	ip, port, found := bytes.Cut(text, []byte(":"))
 	var b [6]byte
@@ -109,9 +107,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{b[3], b[2], b[1], b[0]}), uint16(b[4])<<8|uint16(b[5])), true
 }
 
-// countOpenings counts the connections begun towards backends that can't be reached since the look before. One at a
-// time for each agent and zone may be a probe, which nothing tells apart from outside: it is left out. The lock is
-// held.
+// countOpenings counts the connections to unreachable backends that are new since the call before, and returns those that are
+// open now. One at a time for each agent and zone may be a health check, which looks the same from outside, and is left out.
+// Lab.mu is held.
 func (l *Lab) countOpenings(now time.Duration, list []opening, before map[opening]bool) map[opening]bool {
 	if l.backendAddrs == nil {
 		l.backendAddrs = map[netip.AddrPort]backendAddr{}
@@ -146,14 +144,14 @@
 	return still
 }
 
-// backendAddr is an agent's address of a backend.
+// backendAddr identifies the listener of a backend for an agent.
 type backendAddr struct {
 	agent int
 	host  *host
 }
 
-// avoidedAfter is the longest time from the begin of a fault between zones until attempts towards what can't be
-// reached stayed under 1% of all, in seconds; nil without such a fault, -1 where they never did.
+// avoidedAfter returns the longest time, in seconds, from the start of a fault of zones until fewer than 1% of first attempts
+// went to unreachable backends; nil without such a fault, -1 if that never came.
 func (l *Lab) avoidedAfter() *float64 {
 	var worst *float64
 	for _, s := range l.unreachableSpans {
@@ -169,7 +167,7 @@
 	return worst
 }
 
-// usedCapacity is the share of the capacity of the backends that are up, at this moment, that is at work. The lock is held.
+// usedCapacity returns the share of the present capacity of all available backends that is in use. Lab.mu is held.
 func (l *Lab) usedCapacity(now time.Duration) float64 {
 	work, all := 0.0, 0.0
 	for _, h := range l.hosts {
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -13,7 +13,7 @@
 
 func (l *Lab) policyFile(a *agent) string { return filepath.Join(a.dir, "policy.toml") }
 
-// publishInitialPolicy gives the policy that holds at the start.
+// publishInitialPolicy gives the policy of the start to its sources.
 func (l *Lab) publishInitialPolicy() error {
 	s := &l.Scenario.Shared
 	if s.Policy == "" {
@@ -36,7 +36,7 @@
 	return l.publishPolicy(0, s.Policy)
 }
 
-// publishPolicy tells the checker of a policy. Two under one version hold together.
+// publishPolicy reports a policy to the checker.
 func (l *Lab) publishPolicy(now time.Duration, text string) error {
 	p, err := residency.Parse("policy", text)
 	if err != nil {
@@ -47,13 +47,13 @@
 		return err
 	}
 	l.residency.Publish(now, p.Version, func(tenant, class, zone int) bool {
-		rule := h.RuleID(tenants[tenant].name, classes[class].name) // before the table that has it
+		rule := h.RuleID(tenants[tenant].name, classes[class].name) // registers the rule, so it has to come before the table
 		return h.Table().Permits(rule, zone)
 	})
 	return nil
 }
 
-// applyPolicyFault has operators give a policy to sources. The lock is held.
+// applyPolicyFault gives a new policy to sources. Lab.mu is held.
 func (l *Lab) applyPolicyFault(i int, f *scenario.Fault, now time.Duration) {
 	var files []string
 	if len(l.hubs) > 0 {
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// process is one process that the lab runs: an agent's or a hub's.
+// process is a process that the lab runs: an agent or a hub.
 type process struct {
 	lab       *Lab
 	role      role
@@ -25,27 +25,27 @@
 	// Guarded by Lab.mu.
 	cmd          *exec.Cmd
 	starts       int
-	faultControl faultinject.Control // of a program that package inject has built
-	faultPlan    faultinject.Plan    // in force there
-	up           bool                // answers as ready
-	readyAt      time.Duration       // up since
-	endExpected  bool                // its end was asked for
-	ended        chan struct{}       // closed once the present process has ended
+	faultControl faultinject.Control // of a program built by package faultinject
+	faultPlan    faultinject.Plan    // in force
+	up           bool                // it is ready
+	readyAt      time.Duration       // when it became ready
+	endExpected  bool                // the lab has asked it to end
+	ended        chan struct{}       // closed once it has ended
 	usage        Usage
 }
 
-// role is what a process is to the lab beyond its running. All but ready hold the lock.
+// role is what differs between agents and hubs. Lab.mu is held by the caller of each method but awaitReady.
 type role interface {
 	start(now time.Duration, keep bool) error
-	awaitReady(ctx context.Context, ended <-chan struct{}) error // waits until it does its work
+	awaitReady(ctx context.Context, ended <-chan struct{}) error // waits until it works
 	onReady(now time.Duration)                                   // it is ready again
-	onKilled(now time.Duration)                                  // it is gone without a word
-	onPaused(from, to time.Duration)                             // it does not answer
-	onExit(now time.Duration)                                    // its process has ended, for whatever cause
+	onKilled(now time.Duration)                                  // it was killed
+	onPaused(from, to time.Duration)                             // it is paused for that time
+	onExit(now time.Duration)                                    // its process has ended, for any reason
 }
 
-// startProcesses starts what is asked for, from one thread that lives as long as the lab: the kernel kills a
-// child when the thread that started it ends, and so with the lab however that ends.
+// startProcesses starts processes on request, from one thread that lives as long as the lab: by Pdeathsig the kernel kills a child
+// when the thread that started it ends, and so with the lab, however that ends.
 func (l *Lab) startProcesses() {
 	runtime.LockOSThread()
 	for {
@@ -53,12 +53,12 @@
 		case do := <-l.startRequests:
 			do()
 		case <-l.ctx.Done():
-			return // the thread, locked still, ends too
+			return // a locked thread ends with its goroutine
 		}
 	}
 }
 
-// launch runs a command line as the process, with a bare environment and more. The lock is held.
+// launch starts a command line as the process, with a minimal environment and env. Lab.mu is held.
 func (p *process) launch(command, env []string) error {
 	l := p.lab
 	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// awaitExit waits for a process's end, and takes one that nobody asked for as a crash.
+// awaitExit waits for the end of the process. One that the lab has not asked for is a crash.
 func (p *process) awaitExit(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	l := p.lab
@@ -106,7 +106,7 @@
 	l.cancel()
 }
 
-// logTail is the end of the process's log.
+// logTail returns the end of the process's log.
 func (p *process) logTail() string {
 	text, err := os.ReadFile(filepath.Join(p.dir, "log"))
 	if err != nil {
@@ -115,17 +115,17 @@
 	return string(text[max(0, len(text)-2000):])
 }
 
-// kill kills the process for good. The lock is held.
+// kill kills the process; it is not restarted. Lab.mu is held.
 func (p *process) kill() {
 	p.endExpected = true
 	if p.cmd != nil {
-		_ = p.cmd.Process.Kill() // ended already if it fails
+		_ = p.cmd.Process.Kill() // fails only if it has ended
 	}
 }
 
 const startTimeout = 30 * time.Second
 
-// awaitOK waits until an address answers a call as it should.
+// awaitOK waits until a URL is answered with 200, at most for startTimeout.
 func awaitOK(ctx context.Context, ended <-chan struct{}, url string) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	limit := time.Now().Add(startTimeout)
@@ -148,10 +148,10 @@
 	return fmt.Errorf("not ready within %v", startTimeout)
 }
 
-// allProcesses is every process, hubs first.
+// allProcesses returns all processes, hubs first.
 func (l *Lab) allProcesses() []*process { return append(l.hubProcesses(), l.agentProcesses()...) }
 
-// startAll starts processes and waits until all do their work.
+// startAll starts processes and waits until all are ready. It returns the first error.
 func (l *Lab) startAll(ctx context.Context, list []*process) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -184,10 +184,10 @@
 	return first
 }
 
-// ErrCrash says that a process did not start.
+// ErrCrash is the error of a process that did not start.
 var ErrCrash = errors.New("a process has crashed")
 
-// restart starts a process that has ended, and has it count as up once it does its work. The lock is held.
+// restart starts a process that has ended, and marks it as up once it is ready. Lab.mu is held.
 func (p *process) restart(now time.Duration, keep bool) {
 	l := p.lab
 	if l.closing {
@@ -202,7 +202,7 @@
 		err := p.role.awaitReady(l.ctx, ended)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if p.cmd != cmd || p.endExpected { // it was told to end as it started: whoever told it starts the next
+		if p.cmd != cmd || p.endExpected { // it was asked to end meanwhile: whoever did so restarts it
 			return
 		}
 		if err == nil {
--- a/internal/lab/processfaults.go
+++ b/internal/lab/processfaults.go
@@ -9,7 +9,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// applyProcessFault kills, ends or stops agents or hubs. The lock is held.
+// applyProcessFault kills, terminates or pauses agents or hubs. Lab.mu is held.
 func (l *Lab) applyProcessFault(i int, f *scenario.Fault, now time.Duration) {
 	list := l.pickProcesses(i, f.Targets)
 	for k, p := range list {
@@ -30,7 +30,7 @@
 	}
 }
 
-// pauseProcess stops a process for a while. Its kernel still takes connections. The lock is held.
+// pauseProcess stops a process for a time. The kernel still accepts connections for it. Lab.mu is held.
 func (l *Lab) pauseProcess(p *process, f *scenario.Fault, now time.Duration) {
 	cmd := p.cmd
 	p.role.onPaused(now, now+f.Duration.Duration()+pauseSlack)
@@ -43,18 +43,18 @@
 		if p.cmd != cmd {
 			return
 		}
-		_ = cmd.Process.Signal(syscall.SIGCONT) // also one that was told to end meanwhile; ended already if it fails
+		_ = cmd.Process.Signal(syscall.SIGCONT) // also if it was asked to end meanwhile; fails only if it has ended
 		p.up = !p.endExpected
 	})
 }
 
-// pauseSlack is the time in which a process that goes on answers what has come meanwhile.
+// pauseSlack is the time that a process needs after a pause to answer what has arrived meanwhile.
 const pauseSlack = 200 * time.Millisecond
 
-// killDelay is how long the platform waits after SIGTERM at least, past the longest deadline, of which so much counts at most.
+// The platform kills a process killDelay after its SIGTERM and the longest deadline, of which maxCountedDeadline counts at most.
 const killDelay, maxCountedDeadline = 700 * time.Millisecond, 3 * time.Second
 
-// endProcess ends a process, and starts it anew if wanted. The lock is held.
+// endProcess sends a signal that ends a process, and restarts it if wanted. Lab.mu is held.
 func (l *Lab) endProcess(p *process, f *scenario.Fault, now time.Duration, signal syscall.Signal) {
 	cmd, ended := p.cmd, p.ended
 	p.endExpected, p.up = true, false
@@ -64,7 +64,7 @@
 	}
 	if signal == syscall.SIGTERM {
 		l.scheduleAt(now+min(l.maxDeadline(), maxCountedDeadline)+killDelay, func(time.Duration) {
-			_ = cmd.Process.Kill() // ended already if it fails
+			_ = cmd.Process.Kill() // fails only if it has ended
 		})
 		l.scheduleSignals(cmd, now, f.ExtraSignals)
 	}
--- a/internal/lab/reachability.go
+++ b/internal/lab/reachability.go
@@ -9,16 +9,16 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// reachable is who is alive from a time on, and between whom nothing is cut, either way.
+// reachable says which processes are up from a time on, and which pairs can reach each other.
 type reachable struct {
 	at                   time.Duration
 	agents, hubs         []bool
-	agentToHub, hubToHub []bool // agent by hub, hub by hub
+	agentToHub, hubToHub []bool // matrices: agent by hub, hub by hub
 }
 
 const reachabilityInterval = 20 * time.Millisecond
 
-// watchReachability follows who can reach whom. The lock is held.
+// watchReachability records the reachability of the fleet from a time on. Lab.mu is held.
 func (l *Lab) watchReachability(at time.Duration) {
 	if len(l.publishedSettings) == 0 {
 		return
@@ -49,7 +49,7 @@
 	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.agentToHub, o.agentToHub) && slices.Equal(r.hubToHub, o.hubToHub)
 }
 
-// spread spreads what some hubs have to those that they can reach.
+// spread returns the hubs that can have what some hubs have: those that they can reach, directly or through others.
 func (r *reachable) spread(some []bool) []bool {
 	list := make([]bool, len(r.hubs))
 	for h := range list {
@@ -68,7 +68,7 @@
 	return list
 }
 
-// agentReaches reports whether an agent lives and reaches one of some hubs.
+// agentReaches reports whether an agent is up and can reach one of some hubs.
 func (r *reachable) agentReaches(agent int, some []bool) bool {
 	for h, has := range some {
 		if has && r.agents[agent] && r.agentToHub[agent*len(some)+h] {
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxConnectionsPerSecond is how many connections one backend was opened in one second, at the most. The lock is held.
+// maxConnectionsPerSecond returns the most connections opened to one backend in one second. Lab.mu is held.
 func (l *Lab) maxConnectionsPerSecond() (most int) {
 	settle := l.Scenario.WarmUp.Duration() / time.Second
 	for _, h := range l.hosts {
@@ -20,7 +20,7 @@
 	return most
 }
 
-// restartTimePercentiles are how long processes that were started again took until they took clients. The lock is held.
+// restartTimePercentiles returns percentiles of the time from a restart until clients are accepted. Lab.mu is held.
 func (l *Lab) restartTimePercentiles() P {
 	if len(l.restartTimes) == 0 {
 		return P{}
@@ -30,8 +30,8 @@
 	return P{at(0.5), at(0.99), at(0.999)}
 }
 
-// recoveryTime is the time from the first fault on after which three seconds in a row are served at 95% or more of what was
-// served before it; nil: there is no fault or nothing before it, -1: that never came. The lock is held.
+// recoveryTime returns the seconds from the first fault until three consecutive seconds were served at 95% or more of the service
+// before it; nil if there is no fault or nothing before it, -1 if that never came. Lab.mu is held.
 func (l *Lab) recoveryTime() *float64 {
 	if len(l.Scenario.Faults) == 0 {
 		return nil
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -10,8 +10,8 @@
 
 const maxDatagramBytes = 2048
 
-// openRelays carry what agents tell each other. To tell agent k is to send to k's relay, which knows the sender by
-// its address; k hears it from the sender's own relay. So every agent has one address, the same for all.
+// openRelays starts the relays of datagrams between agents. A datagram for agent k is sent to the relay of k, which identifies the
+// sender by its address, and reaches k from the sender's relay. So each agent has one address, the same for all.
 func (l *Lab) openRelays() error {
 	for _, a := range l.agents {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.linkAddr(a.number))})
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -8,10 +8,10 @@
 	"martenbeam/internal/lab/check"
 )
 
-// Schema is the version of Report's form.
+// Schema is the version of the JSON form of Report.
 const Schema = 1
 
-// Report is what came out of a run. Shares are of 1, spans as their names say.
+// Report is the result of a run. Shares are from 0 to 1; the unit of a time is in its key.
 type Report struct {
 	Schema   int     `json:"schema"`
 	Scenario string  `json:"scenario"`
@@ -23,7 +23,7 @@
 	Settle   float64 `json:"settle_s"`
 	Verdict  string  `json:"verdict"` // "kept", "broken", "crashed", "void", "ended early"
 
-	Offered     int      `json:"offered"` // clients' requests, each with all its tries
+	Offered     int      `json:"offered"` // clients' requests, each with its retries
 	ServedInAim float64  `json:"served_in_aim"`
 	Refused     float64  `json:"refused"`
 	Failed      float64  `json:"failed"`
@@ -32,7 +32,7 @@
 	CrossZone   float64  `json:"cross_zone_share"`
 	Worst10s    float64  `json:"worst_10s"`
 	Worst10sAt  int      `json:"worst_10s_at_s"`
-	LeftAfter   *float64 `json:"left_after_s"` // until under 1% of first attempts went to zones out of reach, see avoidedAfter
+	LeftAfter   *float64 `json:"left_after_s"` // see avoidedAfter
 	FallOvers   int      `json:"fall_overs"`
 	Latency     P        `json:"latency_ms"`
 	Rules       Rules    `json:"rules"`
@@ -44,9 +44,9 @@
 	} `json:"lab_late_ms"`
 	Agent     Usage              `json:"agent"`
 	Datagrams float64            `json:"datagrams_per_s"`
-	Dials     int                `json:"connections_busiest_backend_worst_s"` // after the settling, opened in one second
-	Ready     P                  `json:"ready_ms"`                            // of processes that were started again
-	Recovered *float64           `json:"recovered_after_s"`                   // see recovered
+	Dials     int                `json:"connections_busiest_backend_worst_s"` // opened in one second, after the warm-up
+	Ready     P                  `json:"ready_ms"`                            // from a restart until clients are accepted
+	Recovered *float64           `json:"recovered_after_s"`                   // see recoveryTime
 	Lists     *Lists             `json:"list_service,omitempty"`
 	Shared    *Shared            `json:"shared,omitempty"`
 	Hubs      *HubsReport        `json:"hubs,omitempty"`
@@ -57,23 +57,23 @@
 	Windows   []check.Window     `json:"windows"`
 }
 
-// P are percentiles, ms.
+// P holds percentiles, in milliseconds.
 type P struct {
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 	P999 float64 `json:"p999"`
 }
 
-// Rules says what was broken.
+// Rules holds the violations of a run.
 type Rules struct {
 	Broken  int              `json:"broken"`
 	First   *check.Violation `json:"first"`
 	ByRule  map[string]int   `json:"by_rule,omitempty"`
-	History *check.Request   `json:"history,omitempty"` // of the first offender
-	Shared  string           `json:"shared,omitempty"`  // what is broken of what agents share
+	History *check.Request   `json:"history,omitempty"` // of the first request that broke a rule
+	Shared  string           `json:"shared,omitempty"`  // the violated bound of what agents share
 }
 
-// Verdicts.
+// The verdicts of a run, as in the report.
 const (
 	Kept    = "kept"
 	Broken  = "broken"
@@ -81,7 +81,7 @@
 	Void    = "void"
 )
 
-// report sums a run up. The lock is held.
+// report returns the result of the run. Lab.mu is held.
 func (l *Lab) report() *Report {
 	s := l.Scenario
 	l.tally.CompleteWindows(len(l.tally.Windows))
@@ -121,7 +121,7 @@
 		r.Agent.CPU += a.usage.CPU
 	}
 	switch {
-	case r.Late.P99 > s.Limits.MaxLabLatenessMs: // whatever else was seen: the lab itself may be the cause
+	case r.Late.P99 > s.Limits.MaxLabLatenessMs: // goes before all others: the lab itself may be their cause
 		r.Verdict = Void
 	case r.Crashes > 0:
 		r.Verdict, r.Crash = Crashed, l.crashes[0]
@@ -133,7 +133,7 @@
 	return r
 }
 
-// commit is the version of this program's source, if it is known.
+// commit returns the commit that this program was built from, "unknown" if nothing tells.
 func commit() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		rev, dirty := "", ""
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -40,17 +40,17 @@
 	return time.Since(l.createdAt) - time.Duration(l.startOffset.Load())
 }
 
-// wallTime is a time of the run by the clock that every machine reads.
+// wallTime returns a time of the run as a reading of the wall clock.
 func (l *Lab) wallTime(t time.Duration) time.Time {
 	return l.createdAt.Add(time.Duration(l.startOffset.Load()) + t)
 }
 
-// traceTime is a time of the run as the lines have it that agents and hubs write: in microseconds since the machine's start.
+// traceTime returns a time of the run as agents and hubs trace it: in microseconds since the machine's start.
 func (l *Lab) traceTime(t time.Duration) int64 {
 	return (l.createdSinceBoot + time.Duration(l.startOffset.Load()) + t).Microseconds()
 }
 
-// scheduleAt puts something on the agenda. The lock is held.
+// scheduleAt adds an event to the queue. Lab.mu is held.
 func (l *Lab) scheduleAt(at time.Duration, run func(now time.Duration)) {
 	l.lastSeq++
 	heap.Push(&l.schedule, event{at, l.lastSeq, run})
@@ -66,7 +66,7 @@
 	}
 }
 
-// runPending does everything that is due, in order, each at its own time.
+// runPending runs all events that are due, in order, each at its own time, and returns the time of the next. Lab.mu is held.
 func (l *Lab) runPending(now time.Duration) (next time.Duration) {
 	for {
 		nextAt, host := time.Duration(1<<62), (*host)(nil)
@@ -91,12 +91,12 @@
 }
 
 func (l *Lab) recordLateness(d time.Duration) {
-	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // within its range
+	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // the value is within the range
 }
 
 const maxLateness = int64(time.Minute / time.Microsecond)
 
-// runSchedule works off the agenda until the run ends.
+// runSchedule runs events at their time until the run ends.
 func (l *Lab) runSchedule() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -17,17 +17,17 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// Settings of all agents are judged from outside: each agent and each hub logs a line when a version is in force there, and
-// the lab knows who was alive and could reach whom.
+// The distribution of settings is checked from outside: each agent and hub logs a line when it applies a version, and the lab knows
+// which processes were up and could reach each other.
 
-// publishedVersion is a version of settings that hubs were given.
+// publishedVersion is a version of the settings that was given to hubs.
 type publishedVersion struct {
 	publishedAt time.Duration
 	version     int64
-	hubs        []int // its sources
+	hubs        []int // the hubs that were given it
 }
 
-// publishInitialSettings gives the settings that hold at the start.
+// publishInitialSettings gives the settings of the start to their sources.
 func (l *Lab) publishInitialSettings() error {
 	s := &l.Scenario.Shared
 	if s.Settings == "" {
@@ -36,7 +36,7 @@
 	return l.publishSettings(0, s.Settings, l.hubs[:s.Sources])
 }
 
-// applySettingsFault has operators give settings to sources. The lock is held.
+// applySettingsFault gives new settings to sources. Lab.mu is held.
 func (l *Lab) applySettingsFault(i int, f *scenario.Fault, now time.Duration) {
 	sources := slices.DeleteFunc(l.pickHubs(i, f.Targets), func(h *hub) bool { return !h.isSource() })
 	if err := l.publishSettings(now, f.Document, sources); err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// replaceFile writes a file whole or not at all, as operators do.
+// replaceFile replaces a file atomically.
 func replaceFile(file, text string) error {
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
 		return err
@@ -76,17 +76,17 @@
 	return os.Rename(file+".new", file)
 }
 
-// appliedVersion is a version that an agent or a hub logged that it holds.
+// appliedVersion is a log line of a process that has applied a version.
 type appliedVersion struct {
 	at      time.Duration // of the run
 	version int64
 }
 
-// appliedVersions reads which versions a process has logged, in order, over all its starts.
+// appliedVersions reads the versions that a process has applied from its log, in order, over all its starts.
 func (l *Lab) appliedVersions(p *process) (list []appliedVersion) {
 	f, err := os.Open(filepath.Join(p.dir, "log"))
 	if err != nil {
-		return nil // it was never started
+		return nil // there is no log before the first start
 	}
 	defer f.Close()
 	lines := bufio.NewScanner(f)
@@ -99,7 +99,7 @@
 		at, err := time.Parse(time.RFC3339, strings.TrimPrefix(words[0], "time="))
 		for _, w := range words[3:] {
 			text, is := strings.CutPrefix(w, "version=")
-			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // cut off by a kill otherwise
+			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // otherwise a kill has cut the line off
 				list = append(list, appliedVersion{at.Sub(l.wallTime(0)), version})
 			}
 		}
@@ -107,18 +107,18 @@
 	return list
 }
 
-// SettingsReport is how settings got round, as seen from outside.
+// SettingsReport holds how versions of the settings spread.
 type SettingsReport struct {
 	Given  int     `json:"given"`         // versions
-	After  float64 `json:"after_s"`       // from giving a version until the last agent that ever had it did, the longest
-	Reach  float64 `json:"reached_s"`     // for which a living agent could reach a living hub that had it or could, before it had it itself, the longest
-	Late   int     `json:"past_bound"`    // agents past the bound by that
-	Behind int     `json:"behind_at_end"` // living agents that can reach such a hub at the end and don't have the latest version
-	Back   int     `json:"went_back"`     // lower versions after higher ones at an agent or a hub
+	After  float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
+	Reach  float64 `json:"reached_s"`     // longest time for which an agent that was up could reach a hub that had it or could have it, before it applied it
+	Late   int     `json:"past_bound"`    // agents for which that time exceeded the bound
+	Behind int     `json:"behind_at_end"` // agents without the latest version at the end that can reach such a hub
+	Back   int     `json:"went_back"`     // lower versions applied after higher ones
 	First  string  `json:"first,omitempty"`
 }
 
-// allAppliedVersions reads what all agents and all hubs logged.
+// allAppliedVersions returns the applied versions of all agents and hubs.
 func (l *Lab) allAppliedVersions() (agents, hubs [][]appliedVersion) {
 	for _, p := range l.agentProcesses() {
 		agents = append(agents, l.appliedVersions(p))
@@ -129,8 +129,8 @@
 	return agents, hubs
 }
 
-// awaitSettings has the run go on, without clients, until no living agent in reach of a hub is without the latest settings, or
-// one is past the bound: a scenario that is shorter than the bound says something too.
+// awaitSettings continues the run without clients until all agents that can reach a hub have the latest settings, or one exceeds
+// the bound. So a scenario that is shorter than the bound can be judged.
 func (l *Lab) awaitSettings(ctx context.Context) {
 	if l.Scenario.Shared.Settings == "" {
 		return
@@ -147,7 +147,7 @@
 		}
 		select {
 		case <-tick.C:
-		case <-limit: // it went in and out of reach
+		case <-limit: // an agent became reachable and unreachable in turn
 			return
 		case <-ctx.Done():
 			return
@@ -157,7 +157,7 @@
 	}
 }
 
-// settingsReport judges what agents and hubs logged that they hold. The lock is held.
+// settingsReport checks the applied versions; nil where there are no settings. Lab.mu is held.
 func (l *Lab) settingsReport(agents, hubs [][]appliedVersion) *SettingsReport {
 	if len(l.publishedSettings) == 0 {
 		return nil
@@ -199,7 +199,7 @@
 	return r
 }
 
-// firstApplied is when in the run a version or a later one was first held; negative: never.
+// firstApplied returns when a version or a later one was first applied; negative if it never was.
 func firstApplied(list []appliedVersion, version int64) time.Duration {
 	for _, x := range list {
 		if x.version >= version {
@@ -209,8 +209,8 @@
 	return -1
 }
 
-// maxUnservedTime is the longest time without a break for which an agent could reach a hub that had a version or could have it, from
-// when it was given until the agent had it; reached: it still could at that time.
+// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have it,
+// from its publication until the agent applied it, and whether it could at that end.
 func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, got, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
 	if got >= 0 {
 		end = min(end, got)
@@ -219,7 +219,7 @@
 	for _, h := range published.hubs {
 		has[h] = true
 	}
-	// What changes who can: the network and processes, and hubs that have it by now.
+	// The changes of who can have it: of reachability, and of hubs that have applied it.
 	type turn struct {
 		at  time.Duration
 		hub int // -1: none
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -20,7 +20,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// New prepares a run: it checks what the machine allows, and claims addresses.
+// New prepares a run: it checks the limits of the machine, claims addresses and opens all sockets but those of processes.
 func New(o Options) (*Lab, error) {
 	s := o.Scenario
 	if err := checkDescriptors(s); err != nil {
@@ -47,7 +47,7 @@
 	return l, nil
 }
 
-// checkDescriptors says before anything starts whether the lab would run out of them.
+// checkDescriptors returns an error if the scenario needs more file descriptors than the limit.
 func checkDescriptors(s *scenario.Scenario) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	// A listener for each agent at each backend and as many connections at once, client connections, and some.
+	// A listener and a connection for each agent at each backend, client connections, and a few more.
 	perAgent := 2*hosts + 40
 	if need := uint64(100 + s.Fleet.Agents*perAgent); need > limit.Max {
 		return fmt.Errorf("%d agents and %d backends need about %d descriptors and the limit is %d: at most %d agents here (ulimit -n)",
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// setUp sets up everything but the agents' processes.
+// setUp creates everything but the processes of agents and hubs.
 func (l *Lab) setUp() error {
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return err
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -15,21 +15,21 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// What agents of a fleet share is judged from outside: each writes a line for every fact that it saw or used and for
-// every part of the limit that it took, with the time on the wall, which is one clock for all of them here.
+// What agents share is checked from outside: each process traces the gossip entries that it publishes and uses and the quotas that it
+// takes, with times since the machine's start, which are comparable here.
 
 const traceName = "fleet.trace"
 
-// factBounds are the bounds that agents and hubs are configured with, by kind.
+// factBounds are the configured age bounds of gossip entries, by kind.
 var factBounds = map[string]time.Duration{"service": 5 * time.Second, "distance": 3 * time.Second, "residency": 10 * time.Second, "gone": 3 * time.Second,
 	"settings": 10 * time.Second, "census": 3 * time.Second}
 
 const (
-	ageSlack    = 50 * time.Millisecond // of writing lines, and of the first message between two processes
-	maxQuotaSum = 1.1                   // of the limit, by all agents together
+	ageSlack    = 50 * time.Millisecond // for writing the trace, and for the first message between two processes
+	maxQuotaSum = 1.1                   // of the in-flight limit, for all agents together
 )
 
-// fleetConfig is what an agent is told of its fleet. The lock is held.
+// fleetConfig returns the parts of an agent's configuration that concern its fleet and the residency policy; nil for none.
 func (l *Lab) fleetConfig(a *agent) (fleet, policy map[string]any) {
 	s := &l.Scenario.Shared
 	if !s.Enabled {
@@ -72,7 +72,7 @@
 
 func (l *Lab) label() string { return fmt.Sprintf("lab-%d", l.Seed) }
 
-// violation says what of it breaks a rule; "": nothing.
+// violation describes the first violated bound, or returns "".
 func (r *Shared) violation() string {
 	switch {
 	case r == nil:
@@ -86,22 +86,22 @@
 	return ""
 }
 
-// Shared is what a fleet's agents shared, as seen from outside.
+// Shared holds what the agents of a fleet shared.
 type Shared struct {
 	Ages     map[string]P    `json:"age_at_use_ms"`
 	Used     map[string]int  `json:"used"`
-	Past     int             `json:"past_bound"` // uses of facts that were older than their bound
+	Past     int             `json:"past_bound"` // uses of entries that were older than their bound
 	First    string          `json:"first,omitempty"`
-	Parts    float64         `json:"parts_most"`            // the greatest sum of parts of the limit, 1 is all
-	Bytes    float64         `json:"bytes_per_s_per_agent"` // told by agents and to them, each once
+	Parts    float64         `json:"parts_most"`            // the largest sum of quotas of the in-flight limit; 1 is the limit
+	Bytes    float64         `json:"bytes_per_s_per_agent"` // sent and received by agents, each message counted once
 	Matrix   *MatrixError    `json:"matrix,omitempty"`
 	Unserved int             `json:"agents_without_part"`
 	Settings *SettingsReport `json:"settings,omitempty"`
 }
 
-// MatrixError is how far the agents' matrices were from the lab's ways, where nothing had changed for 3 s.
+// MatrixError is the error of the agents' latency matrices, measured while the network had not changed for some seconds.
 type MatrixError struct {
-	P50     float64 `json:"p50"` // share of the true round trip, or of 2 ms where that is less
+	P50     float64 `json:"p50"` // as a share of the true round trip, or of 2 ms if that is shorter
 	P99     float64 `json:"p99"`
 	Entries int     `json:"entries"`
 }
@@ -125,7 +125,7 @@
 	quota float64
 }
 
-// sharedReport reads what the agents wrote. The lock is held.
+// sharedReport evaluates the traces of all processes; nil where there is no fleet. Lab.mu is held.
 func (l *Lab) sharedReport() *Shared {
 	if !l.Scenario.Shared.Enabled {
 		return nil
@@ -159,7 +159,7 @@
 		for lines.Scan() {
 			var x traceLine
 			if json.Unmarshal(lines.Bytes(), &x) != nil {
-				continue // cut off by a kill
+				continue // a kill has cut the line off
 			}
 			switch {
 			case x.Part != nil:
@@ -169,7 +169,7 @@
 			case x.Matrix != nil:
 				errors = append(errors, l.matrixErrors(x.At, x.Matrix)...)
 			case x.What == "tell":
-				told[name(&x)] = x.At - x.Age // a sum is told as old as the oldest of its parts
+				told[name(&x)] = x.At - x.Age // a sum is as old as the oldest entry in it
 			case x.What == "use":
 				uses = append(uses, x)
 			}
@@ -181,13 +181,13 @@
 		x := &uses[i]
 		at, known := told[name(x)]
 		if !known {
-			continue // its line went with a kill
+			continue // the line of its publication was lost with a kill
 		}
 		age := time.Duration(x.At-at) * time.Microsecond
 		if ages[x.Kind] == nil {
 			ages[x.Kind] = hdrhistogram.New(1, 3600e3, 3)
 		}
-		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // within an hour
+		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // less than the histogram's hour
 		r.Used[x.Kind]++
 		if age > factBounds[x.Kind]+ageSlack {
 			if r.Past++; r.First == "" {
@@ -207,16 +207,16 @@
 	return r
 }
 
-// maxSumOfQuotas is the greatest sum of the parts that living processes had at a time after the run's begin.
+// maxSumOfQuotas returns the largest sum of the quotas of all running agents at any time after the start of the run.
 func (l *Lab) maxSumOfQuotas(quotas []quotaAt, begin int64) (maxSum float64) {
-	for _, d := range l.processEnds { // a process that ended has no part
+	for _, d := range l.processEnds { // a process that has ended has no quota
 		quotas = append(quotas, quotaAt{l.traceTime(d.at), d.agent, 0})
 	}
 	slices.SortStableFunc(quotas, func(a, b quotaAt) int { return int(a.at - b.at) })
 	now, sum := map[int]float64{}, 0.0
 	for _, p := range quotas {
 		if p.at >= begin {
-			maxSum = max(maxSum, sum) // what held until then, and from the run's begin on
+			maxSum = max(maxSum, sum) // the sum until then
 		}
 		sum += p.quota - now[p.agent]
 		now[p.agent] = p.quota
@@ -229,11 +229,11 @@
 	agent int
 }
 
-// settled is how long the ways must have been as they are before a matrix is held against them.
+// stableNetworkTime is how long the network must not have changed before a latency matrix is compared with it.
 const stableNetworkTime = 3500 * time.Millisecond
 
-// matrixErrors holds a matrix against what datagrams took between the zones of late, both ways: as a share of it, or of
-// 2 ms where that is less. Where the ways have changed of late it says nothing. The lock is held.
+// matrixErrors compares a latency matrix with the recent transit times of datagrams: errors as a share of the round trip, or of 2 ms
+// if that is shorter. It returns none if the network has changed lately. Lab.mu is held.
 func (l *Lab) matrixErrors(at int64, m map[string]float64) (list []float64) {
 	t := time.Duration(at-l.traceTime(0)) * time.Microsecond
 	for _, c := range l.networkChanges {
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -12,21 +12,21 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// signalInterval is how far apart signals in series are.
+// signalInterval is the time between two signals of a series.
 const signalInterval = 60 * time.Millisecond
 
-// scheduleSignals sends a process that was told to end further signals. The lock is held.
+// scheduleSignals schedules further signals to a process that was sent SIGTERM. Lab.mu is held.
 func (l *Lab) scheduleSignals(cmd *exec.Cmd, now time.Duration, series int) {
 	for n := range series {
 		s := syscall.SIGHUP
 		if n%2 == 1 {
 			s = syscall.SIGTERM
 		}
-		l.scheduleAt(now+time.Duration(n+1)*signalInterval, func(time.Duration) { _ = cmd.Process.Signal(s) }) // ended already if it fails
+		l.scheduleAt(now+time.Duration(n+1)*signalInterval, func(time.Duration) { _ = cmd.Process.Signal(s) }) // fails only if it has ended
 	}
 }
 
-// applyReload has discovery move for agents, and tells them. The lock is held.
+// applyReload moves the discovery address of agents. Lab.mu is held.
 func (l *Lab) applyReload(i int, f *scenario.Fault, now time.Duration) {
 	list := l.pickAgents(i, f.Targets)
 	for k, a := range list {
@@ -41,7 +41,7 @@
 	}
 }
 
-// moveDiscovery replaces an agent's configuration and says so. The lock is held.
+// moveDiscovery moves the discovery address of an agent, replaces its configuration and sends SIGHUP. Lab.mu is held.
 func (l *Lab) moveDiscovery(a *agent, now time.Duration) error {
 	if err := l.discovery.moveAgent(a.number, now); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if err := os.WriteFile(a.configFile(), config, 0o644); err != nil {
 		return err
 	}
-	_ = a.cmd.Process.Signal(syscall.SIGHUP) // ended already if it fails
+	_ = a.cmd.Process.Signal(syscall.SIGHUP) // fails only if it has ended
 	starts := a.starts
 	l.scheduleAt(now+reloadDeadline, func(now time.Duration) {
 		if a.starts == starts && a.up {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// applyInjection has agents suffer what a program that package inject has built can. The lock is held.
+// applyInjection injects clock steps and failing system calls into agents. Lab.mu is held.
 func (l *Lab) applyInjection(i int, f *scenario.Fault, now time.Duration) {
 	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Count}
 	for _, a := range l.pickAgents(i, f.Targets) {
@@ -80,14 +80,14 @@
 	}
 }
 
-// writePlan puts an agent's plan in force. The lock is held.
+// writePlan puts the fault plan of an agent in force. Lab.mu is held.
 func (l *Lab) writePlan(a *agent) {
 	if err := a.faultControl.Write(a.faultPlan); err != nil {
 		l.fail(err)
 	}
 }
 
-// openIdleClients has idle clients hold connections to agents. The lock is held.
+// openIdleClients opens idle connections to agents. Lab.mu is held.
 func (l *Lab) openIdleClients(i int, f *scenario.Fault, now time.Duration) {
 	for _, a := range l.pickAgents(i, f.Targets) {
 		for range int(f.Size) {
@@ -98,12 +98,12 @@
 
 const idleClientInterval = 10 * time.Millisecond
 
-// idleClient connects and says nothing, again and again, until a time.
+// idleClient holds a connection without a request until a time, and reconnects when it is closed.
 func (l *Lab) idleClient(addr string, end time.Duration) {
 	for l.ctx.Err() == nil && l.now() < end {
 		c, err := net.DialTimeout("tcp4", addr, connectTimeout)
 		if err == nil {
-			_ = c.SetReadDeadline(time.Now().Add(end - l.now())) // a closed connection shows in the read
+			_ = c.SetReadDeadline(time.Now().Add(end - l.now())) // fails only on a closed connection, which the read reports
 			_, _ = io.Copy(io.Discard, c)
 			c.Close()
 		}
--- a/internal/lab/targets.go
+++ b/internal/lab/targets.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// pickFrom is the part of a set that a fault falls on: of n parties, by the fault's own draws.
+// pickFrom returns which of n processes are in a set. A share is drawn from the random stream of the fault.
 func (l *Lab) pickFrom(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
 	for i := range n {
 		if set.Contains(i, zone(i)) {
@@ -33,23 +33,23 @@
 }
 
 func (l *Lab) pickAgents(fault int, text string) (list []*agent) {
-	set, _ := scenario.ParseSet(text) // checked with the scenario
+	set, _ := scenario.ParseSet(text) // was checked with the scenario
 	for _, n := range l.pickFrom(fault, set, len(l.agents), func(n int) int { return l.zone(endpointOf(netfault.Agent, n)) }) {
 		list = append(list, l.agents[n])
 	}
 	return list
 }
 
-// pickHubs picks among the hubs.
+// pickHubs returns the hubs in a set.
 func (l *Lab) pickHubs(fault int, text string) (list []*hub) {
-	set, _ := scenario.ParseSet(text) // checked with the scenario
+	set, _ := scenario.ParseSet(text) // was checked with the scenario
 	for _, n := range l.pickFrom(fault, set, len(l.hubs), func(n int) int { return l.zone(endpointOf(netfault.Hub, n)) }) {
 		list = append(list, l.hubs[n])
 	}
 	return list
 }
 
-// pickProcesses picks agents or hubs.
+// pickProcesses returns the agents or hubs in a set.
 func (l *Lab) pickProcesses(fault int, text string) (list []*process) {
 	if set, _ := scenario.ParseSet(text); set.Kind == "hubs" {
 		for _, h := range l.pickHubs(fault, text) {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// pickHosts picks among the backends that are in use.
+// pickHosts returns the backends in a set, of those that are up.
 func (l *Lab) pickHosts(fault int, text string) (list []*host) {
 	set, _ := scenario.ParseSet(text)
 	var use []*host
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -8,7 +8,7 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// zone is where a party is; discovery is nowhere.
+// zone returns the zone of a process; -1 for discovery.
 func (l *Lab) zone(p netfault.Endpoint) int {
 	switch p.Role {
 	case netfault.Backend:
@@ -19,7 +19,7 @@
 	return p.Number % len(l.Scenario.Fleet.Zones)
 }
 
-// region is the region of a zone; without any, all are near.
+// region returns the region of a zone; "" where there are no regions.
 func (l *Lab) region(zone int) string {
 	if regions := l.Scenario.Fleet.Regions; zone >= 0 && len(regions) > 0 {
 		return regions[zone]
@@ -27,7 +27,7 @@
 	return ""
 }
 
-// baseLatency is the ordinary one-way time between two parties.
+// baseLatency returns the one-way latency between two processes without faults.
 func (l *Lab) baseLatency(from, to netfault.Endpoint) time.Duration {
 	latencyMs := l.Scenario.Model.CrossZoneMs
 	switch {
@@ -35,7 +35,7 @@
 		return 0 // on the same machine
 	case from.Role == netfault.Agent && to.Role == netfault.Agent:
 		latencyMs = l.Scenario.Model.PeerMs
-	case l.zone(from) == l.zone(to): // members of a fleet as well: they are as far from each other as from backends
+	case l.zone(from) == l.zone(to): // also between members of a fleet
 		latencyMs = l.Scenario.Model.SameZoneMs
 	case l.region(l.zone(from)) != l.region(l.zone(to)):
 		latencyMs = l.Scenario.Model.CrossRegionMs
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Usage is the most that processes of a kind have used.
+// Usage holds the resources that processes have used.
 type Usage struct {
 	RSS  float64 `json:"rss_mb_max"`
 	FDs  int     `json:"fds_max"`
@@ -19,7 +19,7 @@
 	base float64 // of earlier processes
 }
 
-// sample follows what the processes use, twice a second.
+// sample records the resources that processes use, twice a second, and ends the run if an agent exceeds its limits.
 func (l *Lab) sample() {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
@@ -57,7 +57,7 @@
 	}
 }
 
-// usage reads what a process uses now: resident memory in MB, descriptors, processor seconds.
+// usage reads the resources of a process: resident memory in MB, descriptors, processor seconds.
 func usage(pid int) (rss float64, fds int, cpu float64, err error) {
 	proc := "/proc/" + strconv.Itoa(pid)
 	entries, err := os.ReadDir(proc + "/fd")
@@ -71,7 +71,7 @@
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		if f := strings.Fields(lines.Text()); len(f) > 1 && f[0] == "VmRSS:" {
-			kb, _ := strconv.ParseFloat(f[1], 64) // the kernel writes numbers
+			kb, _ := strconv.ParseFloat(f[1], 64) // the kernel writes a number
 			rss = kb / 1024
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
-	const ticks = 100 // a second, on Linux
+	const ticks = 100 // clock ticks a second on Linux
 	if len(f) > 12 {
 		user, _ := strconv.ParseFloat(f[11], 64)
 		system, _ := strconv.ParseFloat(f[12], 64)
--- a/internal/lab/view.go
+++ b/internal/lab/view.go
@@ -10,10 +10,10 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// View is how a run stands after a second.
+// View is the state of a run after one of its seconds.
 type View struct {
 	At       time.Duration
-	Last     check.Window // the newest second whose requests have had time to end
+	Last     check.Window // the latest second whose requests have had time to end
 	LastAt   int
 	Agents   int
 	Backends int
@@ -22,14 +22,14 @@
 	Zones    []ZoneView
 }
 
-// ZoneView is one zone's part of it.
+// ZoneView is the state of one zone.
 type ZoneView struct {
 	Name             string
 	Agents, Backends int
-	Held             int // requests at its backends
+	Held             int // requests in service or queued at its backends
 }
 
-// scheduleViews shows how the run stands. The lock is held.
+// scheduleViews schedules the view of each second, from the n-th on. Lab.mu is held.
 func (l *Lab) scheduleViews(n int) {
 	l.scheduleAt(time.Duration(n+1)*time.Second, func(now time.Duration) {
 		v := View{At: now, Faults: append([]string(nil), l.activeFaults...)}
@@ -54,7 +54,7 @@
 		if n < len(l.tally.Windows) {
 			l.tally.Windows[n].Agents, l.tally.Windows[n].Backends, l.tally.Windows[n].Used = v.Agents, v.Backends, l.usedCapacity(now)
 		}
-		const behind = 3 // s: most requests have ended by then
+		const behind = 3 // seconds after which most requests have ended
 		if v.LastAt = n - behind; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
 			l.tally.CompleteWindows(max(0, v.LastAt-int(l.maxDeadline()/time.Second)))
 			v.Last = l.tally.Snapshot(v.LastAt)
--- a/internal/lab/workload.go
+++ b/internal/lab/workload.go
@@ -8,7 +8,7 @@
 	"martenbeam/internal/lab/check"
 )
 
-// class is a class of requests. Its times are those of a day on which work is not scaled.
+// class is a class of requests. Its times are before scaling.
 type class struct {
 	name        string
 	share       float64
@@ -21,13 +21,13 @@
 	dedupWindow time.Duration
 }
 
-// What the office's couriers ask for.
+// classes are the classes of requests of the emulated application.
 var classes = []class{
 	{"stop-update", 0.59, 117 * time.Millisecond, 0.5, 600 * time.Millisecond, 2 * time.Second, 5, check.IdempotencyKey, 10 * time.Second},
 	{"route-assign", 0.41, 155 * time.Millisecond, 0.5, 800 * time.Millisecond, 3 * time.Second, 8, check.NonIdempotent, 0},
 }
 
-// tenant is a carrier: its share of the service and of the traffic.
+// tenant is a tenant: its share of the service and its usage of that share.
 type tenant struct {
 	name         string
 	share, usage float64
@@ -35,8 +35,8 @@
 
 var tenants = []tenant{{"state-post", 0.52, 0.85}, {"city-couriers", 0.48, 1.15}}
 
-// scaleClasses scales work so that the rate asks for the stated part of what the machines can do. Aims and
-// deadlines go with it, as the machines are no faster.
+// scaleClasses scales the work of requests so that the request rate results in the utilization of the scenario. Objectives and
+// deadlines are scaled with it.
 func (l *Lab) scaleClasses() {
 	capacity, mean := 0.0, 0.0
 	for _, h := range l.hosts {
@@ -61,7 +61,7 @@
 
 func (l *Lab) scaled(d time.Duration) time.Duration { return time.Duration(float64(d) * l.scale) }
 
-// LongestDeadline is how long the clients of the most patient class wait.
+// LongestDeadline returns the longest deadline of any class.
 func (l *Lab) LongestDeadline() time.Duration { return l.maxDeadline() }
 
 func (l *Lab) maxDeadline() (d time.Duration) {
@@ -78,8 +78,7 @@
 	return list
 }
 
-// quotaRate is the rate up to which a tenant's requests have their full worth: its share of most of what the warm
-// machines can do.
+// quotaRate returns the request rate up to which a tenant's requests have their full weight: its share of 85% of the capacity.
 func (l *Lab) quotaRate(t tenant) float64 {
 	return t.share * 0.85 * l.Scenario.Load.Rate / l.Scenario.Load.Utilization
 }
