--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -70,38 +70,49 @@
 	if newConnection { // a handshake takes a round trip more, and work
 		latency += 2 * l.baseLatency(a.endpoint(), h.endpoint())
 	}
-	if !probe {
-		a.fromLabClient = l.check.Arrive(sentAt, check.Arrival{Attempt: a.number, ID: a.id, Agent: a.agent, Backend: h.machine.ID,
-			Cell: h.machine.Cell, Fingerprint: fingerprint, SentAt: a.arrivedAt, StatedTimeout: a.statedTimeout})
+	if probe {
+		l.scheduleAt(now+latency, func(now time.Duration) { l.answerProbe(now, a) })
+		return
 	}
-	switch {
-	case probe:
-		l.scheduleAt(now+latency, func(now time.Duration) {
-			load := h.machine.Load()
-			l.lastAttempt++ // the work has a number of its own: the answer does not wait for it
-			l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
-			l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
-				load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
-		})
-	case a.conn.overLimit:
+	a.fromLabClient = l.check.Arrive(sentAt, check.Arrival{Attempt: a.number, ID: a.id, Agent: a.agent, Backend: h.machine.ID,
+		Cell: h.machine.Cell, Fingerprint: fingerprint, SentAt: a.arrivedAt, StatedTimeout: a.statedTimeout})
+	if a.conn.overLimit {
 		l.scheduleAt(now+latency, func(now time.Duration) {
 			l.reply(now, a, answer{http.StatusServiceUnavailable, true, "too many connections"}, "turns the attempt away: too many connections")
 		})
-	default:
-		draw := l.rng.Stream("attempt/" + a.id + "/" + h.machine.ID)
-		job := model.Job{Attempt: a.number, Agent: a.agent, ErrorDraw: draw.Float64(), NewConnection: newConnection,
-			StartKnown: l.check.KnowsStart(a.agent, h.machine.ID, h.machine.StartedAt)}
-		if p := l.clientRequestOf(a); p != nil {
-			job.Work, job.Key = time.Duration(float64(p.work)*rng.Lognormal(draw, 1, 0.3)), p.key
-			if l.isDuplicate(now, p, h) { // the effect has happened already: only the answer is left to do
-				l.check.Record(now, a.id, h.machine.ID, "its pod has met the key: the repeat is dropped")
-				job.Work, job.Key = h.machine.ProbeWork, 0
-			}
-		} else {
-			job.Work = l.classes[0].work
-		}
-		l.scheduleAt(now+latency, func(now time.Duration) { l.completeJobs(h, h.machine.Arrive(now, job)) })
+		return
+	}
+	job := l.newJob(now, a, newConnection)
+	l.scheduleAt(now+latency, func(now time.Duration) { l.completeJobs(h, h.machine.Arrive(now, job)) })
+}
+
+// answerProbe answers a health check, and gives the backend its work. Lab.mu is held.
+func (l *Lab) answerProbe(now time.Duration, a *attempt) {
+	h := a.host
+	load := h.machine.Load()
+	l.lastAttempt++ // the work has a number of its own: the answer does not wait for it
+	l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
+	l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
+		load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
+}
+
+// newJob returns the work of an attempt. A duplicate of an idempotency key costs no more than a health check. Lab.mu is held.
+func (l *Lab) newJob(now time.Duration, a *attempt, newConnection bool) model.Job {
+	h := a.host
+	random := l.rng.Stream("attempt/" + a.id + "/" + h.machine.ID)
+	job := model.Job{Attempt: a.number, Agent: a.agent, ErrorDraw: random.Float64(), NewConnection: newConnection,
+		StartKnown: l.check.KnowsStart(a.agent, h.machine.ID, h.machine.StartedAt)}
+	req := l.clientRequestOf(a)
+	if req == nil {
+		job.Work = l.classes[0].work
+		return job
+	}
+	job.Work, job.Key = time.Duration(float64(req.work)*rng.Lognormal(random, 1, 0.3)), req.key
+	if l.isDuplicate(now, req, h) { // the effect has happened already: only the answer is left to do
+		l.check.Record(now, a.id, h.machine.ID, "its pod has met the key: the repeat is dropped")
+		job.Work, job.Key = h.machine.ProbeWork, 0
 	}
+	return job
 }
 
 // cellKey is an idempotency key that the backends of a cell have seen.
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -156,32 +156,15 @@
 	}
 	l.lastAttempt++
 	a.number = l.lastAttempt
-	print := fingerprint(r.Method, r.URL.RequestURI(), r.Header.Get("Idempotency-Key"), body)
 	probe := r.Method == http.MethodGet && (r.URL.Path == "/ping" || r.URL.Path == "/_load")
 	if !probe {
-		l.tally.CountAttempt(now, l.zone(a.endpoint()) != h.machine.Zone)
-		if p := l.agents[a.agent].requests[a.id]; p != nil {
-			if p.attemptSeenFor != a.id {
-				p.attemptSeenFor = a.id
-				l.tally.CountFirstAttempt(now, l.unreachable(a.agent, h))
-			}
-			if l.residency != nil {
-				l.check.CheckResidency(l.residency, now, a.arrivedAt, a.id, a.agent, p.tenant, p.class, h.machine.Zone, h.machine.ID)
-			}
-		}
+		l.countAttempt(now, a)
 	}
-	l.deliver(now, a.arrivedAt, a, print, probe)
+	l.deliver(now, a.arrivedAt, a, fingerprint(r.Method, r.URL.RequestURI(), r.Header.Get("Idempotency-Key"), body), probe)
 	l.mu.Unlock()
 	select {
 	case ans := <-a.reply:
-		if ans.neverRan {
-			w.Header().Set("X-Never-Ran", "1")
-		}
-		if c.overLimit {
-			w.Header().Set("Connection", "close")
-		}
-		w.WriteHeader(ans.status)
-		_, _ = io.WriteString(w, ans.body) // fails only if the agent has disconnected
+		ans.write(w, c.overLimit)
 	case <-r.Context().Done():
 		l.mu.Lock()
 		a.disconnected = true
@@ -190,3 +173,32 @@
 		panic(http.ErrAbortHandler)
 	}
 }
+
+// write writes an answer, after which the connection may be closed.
+func (ans answer) write(w http.ResponseWriter, closes bool) {
+	if ans.neverRan {
+		w.Header().Set("X-Never-Ran", "1")
+	}
+	if closes {
+		w.Header().Set("Connection", "close")
+	}
+	w.WriteHeader(ans.status)
+	_, _ = io.WriteString(w, ans.body) // fails only if the agent has disconnected
+}
+
+// countAttempt counts an attempt that has reached its backend, and checks its residency. Lab.mu is held.
+func (l *Lab) countAttempt(now time.Duration, a *attempt) {
+	h := a.host
+	l.tally.CountAttempt(now, l.zone(a.endpoint()) != h.machine.Zone)
+	req := l.agents[a.agent].requests[a.id]
+	if req == nil {
+		return
+	}
+	if req.attemptSeenFor != a.id {
+		req.attemptSeenFor = a.id
+		l.tally.CountFirstAttempt(now, l.unreachable(a.agent, h))
+	}
+	if l.residency != nil {
+		l.check.CheckResidency(l.residency, now, a.arrivedAt, a.id, a.agent, req.tenant, req.class, h.machine.Zone, h.machine.ID)
+	}
+}
--- a/internal/lab/clientconn.go
+++ b/internal/lab/clientconn.go
@@ -31,35 +31,22 @@
 func (l *Lab) sendAndReceive(c *clientConn, req *clientRequest, id string) (answer check.Answer, wait time.Duration, reusable bool) {
 	buf := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(buf)
-	b := append((*buf)[:0], "POST "...)
-	b = append(b, req.uri...)
-	b = fmt.Appendf(b, " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Customer: %s\r\nCookie: sid=%s\r\nX-Expires-In: %.3f\r\n",
-		id, tenants[req.tenant].name, req.sid, req.timeout.Seconds())
-	if req.idempotencyKey != "" {
-		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", req.idempotencyKey)
-	}
-	if req.attempts > 0 {
-		b = append(b, "X-Second-Try: 1\r\n"...)
-	}
-	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(req.body))
-	b = append(b, req.body...)
-	*buf = b
+	*buf = req.encode((*buf)[:0], id)
 	timeout := req.timeout + answerGrace + 2*socketSlack
 	cancels := req.cancelsAfter > 0 && req.cancelsAfter < timeout
 	if cancels {
 		timeout = req.cancelsAfter
 	}
 	_ = c.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection, which the write reports
-	if _, err := c.Write(b); err != nil {
+	if _, err := c.Write(*buf); err != nil {
 		return check.ClosedNew, 0, false // not written in full
 	}
-	taken := l.now()
+	accepted := l.now()
 	l.mu.Lock()
-	l.check.Accept(taken, id)
+	l.check.Accept(accepted, id)
 	l.mu.Unlock()
 	c.used = true
-	_, err := c.read.Peek(1)
-	if err != nil {
+	if _, err := c.read.Peek(1); err != nil {
 		return readErrorAnswer(err, cancels, check.ClosedNew), 0, false
 	}
 	resp, err := http.ReadResponse(c.read, nil)
@@ -71,18 +58,39 @@
 	if err != nil {
 		return readErrorAnswer(err, cancels, check.Closed), 0, false
 	}
-	reusable = !resp.Close
+	answer, wait = classify(resp, string(body), id)
+	return answer, wait, !resp.Close
+}
+
+// encode appends the request in HTTP/1.1 form to a buffer.
+func (req *clientRequest) encode(b []byte, id string) []byte {
+	b = append(b, "POST "...)
+	b = append(b, req.uri...)
+	b = fmt.Appendf(b, " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Customer: %s\r\nCookie: sid=%s\r\nX-Expires-In: %.3f\r\n",
+		id, tenants[req.tenant].name, req.sid, req.timeout.Seconds())
+	if req.idempotencyKey != "" {
+		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", req.idempotencyKey)
+	}
+	if req.attempts > 0 {
+		b = append(b, "X-Second-Try: 1\r\n"...)
+	}
+	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(req.body))
+	return append(b, req.body...)
+}
+
+// classify returns what a complete answer means, and the wait that it asks for.
+func classify(resp *http.Response, body, id string) (check.Answer, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		if !isServedBody(string(body), id) {
-			return check.Foreign, 0, reusable
+		if !isServedBody(body, id) {
+			return check.Foreign, 0
 		}
-		return check.Served, 0, reusable
+		return check.Served, 0
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // 0 if it is absent
-		return check.Rejected, seconds(s), reusable
+		wait, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // 0 if it is absent
+		return check.Rejected, seconds(wait)
 	}
-	return check.Failed, 0, reusable
+	return check.Failed, 0
 }
 
 // readErrorAnswer returns how a request ended whose answer could not be read.
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -161,6 +161,15 @@
 	}
 }
 
+// listCall is a poll or a watch of the endpoint list by one caller.
+type listCall struct {
+	caller   netfault.Endpoint
+	number   int   // of the caller among all callers
+	watching bool  // the answer goes on with changes
+	version  int64 // that was sent last, or that the caller has; 0: none
+	epoch    int   // of discovery at the first answer; -1: nothing was answered yet
+}
+
 // serveList answers a poll or a watch of one caller.
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request, caller netfault.Endpoint, n int) {
 	l := d.lab
@@ -169,78 +178,106 @@
 		return
 	}
 	l.mu.Lock()
-	away := d.unavailable
+	unavailable := d.unavailable
 	l.mu.Unlock()
-	if away {
+	if unavailable {
 		http.Error(w, "overbooked", http.StatusServiceUnavailable)
 		return
 	}
-	follow := r.URL.Query().Get("follow") == "1"
-	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // 0, the full list, if it is absent or malformed
-	if !follow {
-		since = 0
+	call := &listCall{caller: caller, number: n, watching: r.URL.Query().Get("follow") == "1", epoch: -1}
+	if call.watching {
+		call.version, _ = strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // 0, the full list, if it is absent or malformed
 	}
-	if !d.awaitTurn(w, r, since == 0) {
+	if !d.awaitTurn(w, r, call.version == 0) {
 		return
 	}
-	epoch := -1
 	for {
 		l.mu.Lock()
-		now := l.now()
-		silent := d.silent || l.network.Fault(endpointOf(netfault.Discovery, n), caller, netfault.TCP).Cut
-		if epoch == -1 && !silent {
-			epoch = d.epoch
-		}
-		ended := epoch != -1 && epoch != d.epoch || l.closing
-		v, next := d.visible(n, now)
-		var line []byte
-		if !silent && !ended && (v != since || since == 0) {
-			full := since < d.baseVersion || since > v
-			from := since
-			if full {
-				from = d.baseVersion
-			}
-			line, _ = json.Marshal(d.list(n, from, v, full)) // the type can always be encoded
-			if l.Scenario.Discovery.Indented {
-				var text bytes.Buffer
-				_ = json.Indent(&text, line, " ", "\t") // the text was just encoded
-				line = text.Bytes()
-			}
-			d.listService.bytes += len(line)
-			d.notify(n, from, v, now)
-			since = v
-		}
-		changed := d.changed
+		update := d.nextUpdate(call)
 		l.mu.Unlock()
-		switch {
-		case ended:
+		if update.ended {
 			panic(http.ErrAbortHandler)
-		case line != nil:
-			if _, err := w.Write(append(line, '\n')); err != nil {
-				return
-			}
 		}
-		if !follow && !silent {
+		if !call.write(w, update) {
 			return
 		}
-		if !silent {
-			if line == nil {
-				if _, err := io.WriteString(w, "\n"); err != nil {
-					return
-				}
-			}
-			if err := http.NewResponseController(w).Flush(); err != nil {
-				return
-			}
+		if !waitFor(r.Context(), update.wait, update.changed) {
+			return
 		}
-		wait := heartbeatInterval
-		if next >= 0 {
-			wait = min(wait, max(time.Millisecond, next-now))
+	}
+}
+
+// listUpdate is what a call is answered at one time.
+type listUpdate struct {
+	line    []byte          // the list or its changes; nil: there is nothing new
+	silent  bool            // nothing is written at all
+	ended   bool            // the call breaks off
+	wait    time.Duration   // until the next update, unless there is a change before
+	changed <-chan struct{} // closed at a change
+}
+
+// nextUpdate returns what a call is answered now, and counts that as delivered. Lab.mu is held.
+func (d *fakeDiscovery) nextUpdate(call *listCall) listUpdate {
+	l, now := d.lab, d.lab.now()
+	u := listUpdate{changed: d.changed, wait: heartbeatInterval}
+	u.silent = d.silent || l.network.Fault(endpointOf(netfault.Discovery, call.number), call.caller, netfault.TCP).Cut
+	if call.epoch == -1 && !u.silent {
+		call.epoch = d.epoch
+	}
+	u.ended = call.epoch != -1 && call.epoch != d.epoch || l.closing
+	version, next := d.visible(call.number, now)
+	if !u.silent && !u.ended && (version != call.version || call.version == 0) {
+		u.line = d.encode(call, version)
+		d.notify(call.number, d.deltaStart(call, version), version, now)
+		call.version = version
+	}
+	if next >= 0 {
+		u.wait = min(u.wait, max(time.Millisecond, next-now))
+	}
+	return u
+}
+
+// deltaStart returns the version from which a call is sent changes up to another one: the first of all if the caller has
+// a version that discovery does not know.
+func (d *fakeDiscovery) deltaStart(call *listCall, version int64) int64 {
+	if call.version < d.baseVersion || call.version > version {
+		return d.baseVersion
+	}
+	return call.version
+}
+
+// encode returns the changes up to a version, or the full list, in discovery's JSON form.
+func (d *fakeDiscovery) encode(call *listCall, version int64) []byte {
+	full := call.version < d.baseVersion || call.version > version
+	line, _ := json.Marshal(d.list(call.number, d.deltaStart(call, version), version, full)) // the type can always be encoded
+	if d.lab.Scenario.Discovery.Indented {
+		var text bytes.Buffer
+		_ = json.Indent(&text, line, " ", "\t") // the text was just encoded
+		line = text.Bytes()
+	}
+	d.listService.bytes += len(line)
+	return line
+}
+
+// write writes an update, or a heartbeat where there is nothing new. It reports false once the call is over.
+func (c *listCall) write(w http.ResponseWriter, u listUpdate) bool {
+	if u.line != nil {
+		if _, err := w.Write(append(u.line, '\n')); err != nil {
+			return false
 		}
-		if !waitFor(r.Context(), wait, changed) {
-			return
+	}
+	if u.silent {
+		return true
+	}
+	if !c.watching {
+		return false
+	}
+	if u.line == nil {
+		if _, err := io.WriteString(w, "\n"); err != nil {
+			return false
 		}
 	}
+	return http.NewResponseController(w).Flush() == nil
 }
 
 // waitFor waits for a time or a change. It reports false once ctx has ended.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -31,18 +31,7 @@
 
 // beginFault starts a fault and schedules its end. Lab.mu is held.
 func (l *Lab) beginFault(index int, fault *scenario.Fault, now time.Duration) {
-	label := fault.Kind
-	if fault.Targets != "" {
-		label += " " + fault.Targets
-	}
-	if fault.Duration > 0 || fault.Kind == scenario.Link || fault.Kind == scenario.FailingBackends || fault.Kind == scenario.NoisyNeighbour {
-		l.activeFaults = append(l.activeFaults, label)
-		l.scheduleEnd(fault, now, func(time.Duration) {
-			if n := slices.Index(l.activeFaults, label); n >= 0 {
-				l.activeFaults = slices.Delete(l.activeFaults, n, n+1)
-			}
-		})
-	}
+	l.showActive(fault, now)
 	l.watchOpenings(fault, now)
 	switch fault.Kind {
 	case scenario.Link:
@@ -73,17 +62,44 @@
 		l.applyPolicyFault(index, fault, now)
 	case scenario.Settings:
 		l.applySettingsFault(index, fault, now)
+	case scenario.DiscoverySilent, scenario.DiscoveryDown, scenario.DiscoveryRewind:
+		l.disruptDiscovery(fault, now)
+	}
+}
+
+// showActive lists a fault in the view of the run for as long as it lasts. Lab.mu is held.
+func (l *Lab) showActive(fault *scenario.Fault, now time.Duration) {
+	lasting := fault.Duration > 0 || fault.Kind == scenario.Link || fault.Kind == scenario.FailingBackends || fault.Kind == scenario.NoisyNeighbour
+	if !lasting {
+		return
+	}
+	label := fault.Kind
+	if fault.Targets != "" {
+		label += " " + fault.Targets
+	}
+	l.activeFaults = append(l.activeFaults, label)
+	l.scheduleEnd(fault, now, func(time.Duration) {
+		if n := slices.Index(l.activeFaults, label); n >= 0 {
+			l.activeFaults = slices.Delete(l.activeFaults, n, n+1)
+		}
+	})
+}
+
+// disruptDiscovery makes discovery silent, unavailable, or go back to an old version. Lab.mu is held.
+func (l *Lab) disruptDiscovery(fault *scenario.Fault, now time.Duration) {
+	d := l.discovery
+	switch fault.Kind {
 	case scenario.DiscoverySilent:
-		l.discovery.silent, l.discovery.disruptedUntil = true, time.Hour
+		d.silent, d.disruptedUntil = true, time.Hour
 		l.scheduleEnd(fault, now, func(now time.Duration) {
-			l.discovery.silent, l.discovery.disruptedUntil = false, now
-			l.discovery.wakeWatches()
+			d.silent, d.disruptedUntil = false, now
+			d.wakeWatches()
 		})
 	case scenario.DiscoveryDown:
-		l.discovery.unavailable, l.discovery.disruptedUntil = true, time.Hour
-		l.scheduleEnd(fault, now, func(now time.Duration) { l.discovery.unavailable, l.discovery.disruptedUntil = false, now })
+		d.unavailable, d.disruptedUntil = true, time.Hour
+		l.scheduleEnd(fault, now, func(now time.Duration) { d.unavailable, d.disruptedUntil = false, now })
 	case scenario.DiscoveryRewind:
-		l.discovery.rewind(now)
+		d.rewind(now)
 	}
 }
 
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -68,60 +68,83 @@
 	return h.launch(append(append([]string(nil), l.Hub...), "--config", file), append([]string{"TMPDIR=" + state}, l.Env...))
 }
 
+// tomlWriter writes the configuration of a hub.
+type tomlWriter struct{ strings.Builder }
+
+func (w *tomlWriter) table(name string) { w.WriteString("[" + name + "]\n") }
+
+func (w *tomlWriter) set(key string, value any) {
+	text, _ := json.Marshal(value) // JSON and TOML write names, numbers and lists of them alike
+	fmt.Fprintf(w, "%s = %s\n", key, text)
+}
+
 // config returns the TOML configuration of the process, in the form of docs/hub.md.
-func (h *hub) config(state string) string {
-	l, s := h.lab, &h.lab.Scenario.Shared
-	var b strings.Builder
-	line := func(key string, value any) {
-		text, _ := json.Marshal(value) // JSON and TOML write names, numbers and lists of them alike
-		fmt.Fprintf(&b, "%s = %s\n", key, text)
+func (h *hub) config(stateDir string) string {
+	l, shared := h.lab, &h.lab.Scenario.Shared
+	w := &tomlWriter{}
+	w.set("name", h.name)
+	w.set("zone", l.Scenario.Fleet.Zones[l.zone(endpointOf(netfault.Hub, h.number))])
+	w.set("label", l.label())
+	w.set("listen", l.hubAddr(h.number))
+	w.set("advertise", l.hubLink(h.number))
+	w.set("seeds", h.seeds())
+	w.set("most", len(l.agents))
+	w.set("matrix", shared.LatencyMatrix)
+	if shared.RelayedLists {
+		w.set("discovery", l.discovery.addr(len(l.agents)+h.number))
 	}
-	zones := l.Scenario.Fleet.Zones
-	line("name", h.name)
-	line("zone", zones[l.zone(endpointOf(netfault.Hub, h.number))])
-	line("label", l.label())
-	line("listen", l.hubAddr(h.number))
-	line("advertise", l.hubLink(h.number))
-	var seeds []string
-	for _, other := range l.hubs {
+	w.set("list_rate", l.Scenario.Discovery.Rate)
+	w.set("trace", filepath.Join(h.dir, traceName))
+	h.writeZones(w)
+	h.writeDocuments(w, stateDir)
+	w.table("max_age")
+	for kind, bound := range factBounds {
+		w.set(kind, bound.String())
+	}
+	return w.String()
+}
+
+// seeds returns the fleet addresses of the other hubs.
+func (h *hub) seeds() []string {
+	seeds := []string{}
+	for _, other := range h.lab.hubs {
 		if other != h {
-			seeds = append(seeds, l.hubLink(other.number))
+			seeds = append(seeds, h.lab.hubLink(other.number))
 		}
 	}
-	line("seeds", append([]string{}, seeds...))
-	line("most", len(l.agents))
-	line("matrix", s.LatencyMatrix)
-	if s.RelayedLists {
-		line("discovery", l.discovery.addr(len(l.agents)+h.number))
+	return seeds
+}
+
+// writeZones writes the zones, with their regions if there are any.
+func (h *hub) writeZones(w *tomlWriter) {
+	fleet := &h.lab.Scenario.Fleet
+	if len(fleet.Regions) == 0 {
+		w.set("zones", fleet.Zones)
+		return
 	}
-	line("list_rate", l.Scenario.Discovery.Rate)
-	line("trace", filepath.Join(h.dir, traceName))
-	if regions := l.Scenario.Fleet.Regions; len(regions) > 0 {
-		b.WriteString("[zones]\n")
-		for i, zone := range zones {
-			line(strconv.Quote(zone), regions[i])
-		}
-	} else {
-		line("zones", zones)
+	w.table("zones")
+	for i, zone := range fleet.Zones {
+		w.set(strconv.Quote(zone), fleet.Regions[i])
 	}
-	b.WriteString("[settings]\n")
-	if s.Settings != "" && h.isSource() {
-		line("file", h.settingsFile())
+}
+
+// writeDocuments writes where settings and the residency policy come from and are kept.
+func (h *hub) writeDocuments(w *tomlWriter, stateDir string) {
+	shared := &h.lab.Scenario.Shared
+	w.table("settings")
+	if shared.Settings != "" && h.isSource() {
+		w.set("file", h.settingsFile())
 	}
-	line("state", filepath.Join(state, "settings"))
-	if s.Policy != "" {
-		b.WriteString("[residency]\n")
-		if h.isSource() {
-			line("file", h.policyFile())
-		}
-		line("state", filepath.Join(state, "residency"))
-		line("bound", s.PolicyBound.Duration().String())
+	w.set("state", filepath.Join(stateDir, "settings"))
+	if shared.Policy == "" {
+		return
 	}
-	b.WriteString("[max_age]\n")
-	for kind, d := range factBounds {
-		line(kind, d.String())
+	w.table("residency")
+	if h.isSource() {
+		w.set("file", h.policyFile())
 	}
-	return b.String()
+	w.set("state", filepath.Join(stateDir, "residency"))
+	w.set("bound", shared.PolicyBound.Duration().String())
 }
 
 // awaitReady waits until the hub answers on its fleet address.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -97,6 +97,7 @@
 	answerGrace         = 500 * time.Millisecond // after the deadline, in which an answer counts as late but not as lost
 	socketSlack         = 50 * time.Millisecond
 	propagationDeadline = 6 * time.Second // after which a change counts as delivered to an agent
+	maxClosedNewShare   = 1. / 200        // of requests that may be closed unanswered as the first on their connection
 )
 
 // Run plays the scenario and reports the result. If ctx ends first, the report covers the run until then. The error is a failure
@@ -109,6 +110,28 @@
 			return nil, err
 		}
 	}
+	l.startClock()
+	l.running.Go(l.sample)
+	played := make(chan struct{})
+	l.running.Go(func() { defer close(played); l.runArrivals() })
+	select {
+	case <-ctx.Done():
+	case <-l.ctx.Done():
+	case <-played:
+		l.awaitOpenRequests(ctx)
+		l.awaitSettings(ctx)
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closing = true
+	if ctx.Err() == nil {
+		l.check.Close(l.now())
+	}
+	return l.report(), l.err
+}
+
+// startClock starts the time of the run, with its faults and views. What happened before does not count.
+func (l *Lab) startClock() {
 	l.mu.Lock()
 	l.startOffset.Store(int64(time.Since(l.createdAt))) // the time of the run starts with its clients
 	l.schedule, l.lastSeq = nil, 0
@@ -128,23 +151,6 @@
 	l.watchReachability(0)
 	l.mu.Unlock()
 	l.wake()
-	l.running.Go(l.sample)
-	played := make(chan struct{})
-	l.running.Go(func() { defer close(played); l.runArrivals() })
-	select {
-	case <-ctx.Done():
-	case <-l.ctx.Done():
-	case <-played:
-		l.awaitOpenRequests(ctx)
-		l.awaitSettings(ctx)
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closing = true
-	if ctx.Err() == nil {
-		l.check.Close(l.now())
-	}
-	return l.report(), l.err
 }
 
 // awaitOpenRequests waits until all requests have ended, at most for the longest deadline.
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -81,31 +81,41 @@
 	Void    = "void"
 )
 
+// worstWindow is the length of the worst span of a report, in seconds.
+const worstWindow = 10
+
 // report returns the result of the run. Lab.mu is held.
 func (l *Lab) report() *Report {
 	s := l.Scenario
-	l.tally.CompleteWindows(len(l.tally.Windows))
-	sum := l.tally.Total()
-	violations, broken := l.check.Violations()
 	r := &Report{Schema: Schema, Scenario: s.Name, Seed: l.Seed, Commit: commit(), Agents: len(l.agents), Backends: s.Fleet.Backends,
-		For: s.Duration.Duration().Seconds(), Settle: s.WarmUp.Duration().Seconds(), Offered: sum.Offered, ServedInAim: share(sum.WeightInObjective, sum.Weight),
-		Refused: share(float64(sum.Refused), float64(sum.Offered)), Failed: share(float64(sum.Failed), float64(sum.Offered)), Lost: sum.Lost,
-		Attempts: share(float64(l.tally.Attempts), float64(sum.Offered)), CrossZone: share(float64(l.tally.CrossZone), float64(l.tally.Attempts)),
+		For: s.Duration.Duration().Seconds(), Settle: s.WarmUp.Duration().Seconds(),
 		LeftAfter: l.avoidedAfter(), FallOvers: l.overloadedBackends, Crashes: len(l.crashes), WorkScale: l.scale,
-		Datagrams: float64(l.datagrams) / max(1, l.now().Seconds()),
-		Classes:   map[string]float64{}, Tenants: map[string]float64{}, Zones: map[string]float64{}, Windows: l.tally.Windows}
-	const window = 10 // s
-	r.Worst10s, r.Worst10sAt = l.tally.Worst(window)
-	at := func(q float64) float64 { return float64(l.tally.Latency.ValueAtQuantile(q)) / 1e3 }
-	r.Latency = P{at(50), at(99), at(99.9)}
+		Datagrams: float64(l.datagrams) / max(1, l.now().Seconds())}
+	l.reportService(r)
 	r.Late.P50, r.Late.P99 = float64(l.lateness.ValueAtQuantile(50))/1e3, float64(l.lateness.ValueAtQuantile(99))/1e3
-	r.Rules.Broken = broken
-	if len(violations) > 0 {
-		r.Rules.First, r.Rules.History, r.Rules.ByRule = &violations[0], l.check.FirstViolator(), map[string]int{}
-		for _, v := range violations {
-			r.Rules.ByRule[v.Rule]++
-		}
+	r.Dials, r.Ready, r.Recovered = l.maxConnectionsPerSecond(), l.restartTimePercentiles(), l.recoveryTime()
+	r.Lists, r.Shared, r.Hubs = l.listsReport(), l.sharedReport(), l.hubsReport()
+	for _, a := range l.agents {
+		r.Agent.RSS, r.Agent.FDs = max(r.Agent.RSS, a.usage.RSS), max(r.Agent.FDs, a.usage.FDs)
+		r.Agent.CPU += a.usage.CPU
 	}
+	l.reportVerdict(r)
+	return r
+}
+
+// reportService reports the service that clients got. Lab.mu is held.
+func (l *Lab) reportService(r *Report) {
+	l.tally.CompleteWindows(len(l.tally.Windows))
+	sum := l.tally.Total()
+	offered, attempts := float64(sum.Offered), float64(l.tally.Attempts)
+	r.Offered, r.Lost, r.Windows = sum.Offered, sum.Lost, l.tally.Windows
+	r.ServedInAim = share(sum.WeightInObjective, sum.Weight)
+	r.Refused, r.Failed = share(float64(sum.Refused), offered), share(float64(sum.Failed), offered)
+	r.Attempts, r.CrossZone = share(attempts, offered), share(float64(l.tally.CrossZone), attempts)
+	r.Worst10s, r.Worst10sAt = l.tally.Worst(worstWindow)
+	at := func(q float64) float64 { return float64(l.tally.Latency.ValueAtQuantile(q)) / 1e3 }
+	r.Latency = P{at(50), at(99), at(99.9)}
+	r.Classes, r.Tenants, r.Zones = map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for i, p := range l.tally.Classes {
 		r.Classes[l.classes[i].name] = share(p.WeightInObjective, p.Weight)
 	}
@@ -113,24 +123,30 @@
 		r.Tenants[tenants[i].name] = share(p.WeightInObjective, p.Weight)
 	}
 	for i, p := range l.tally.Zones {
-		r.Zones[s.Fleet.Zones[i]] = share(p.WeightInObjective, p.Weight)
+		r.Zones[l.Scenario.Fleet.Zones[i]] = share(p.WeightInObjective, p.Weight)
 	}
-	r.Dials, r.Ready, r.Recovered, r.Lists, r.Shared, r.Hubs = l.maxConnectionsPerSecond(), l.restartTimePercentiles(), l.recoveryTime(), l.listsReport(), l.sharedReport(), l.hubsReport()
-	for _, a := range l.agents {
-		r.Agent.RSS, r.Agent.FDs = max(r.Agent.RSS, a.usage.RSS), max(r.Agent.FDs, a.usage.FDs)
-		r.Agent.CPU += a.usage.CPU
+}
+
+// reportVerdict reports the violations and the verdict. Lab.mu is held.
+func (l *Lab) reportVerdict(r *Report) {
+	violations, count := l.check.Violations()
+	r.Rules.Broken = count
+	if len(violations) > 0 {
+		r.Rules.First, r.Rules.History, r.Rules.ByRule = &violations[0], l.check.FirstViolator(), map[string]int{}
+		for _, v := range violations {
+			r.Rules.ByRule[v.Rule]++
+		}
 	}
 	switch {
-	case r.Late.P99 > s.Limits.MaxLabLatenessMs: // goes before all others: the lab itself may be their cause
+	case r.Late.P99 > l.Scenario.Limits.MaxLabLatenessMs: // goes before all others: the lab itself may be their cause
 		r.Verdict = Void
 	case r.Crashes > 0:
 		r.Verdict, r.Crash = Crashed, l.crashes[0]
-	case broken > 0 || r.Shared.violation() != "":
+	case count > 0 || r.Shared.violation() != "":
 		r.Verdict, r.Rules.Shared = Broken, r.Shared.violation()
 	default:
 		r.Verdict = Kept
 	}
-	return r
 }
 
 // commit returns the commit that this program was built from, "unknown" if nothing tells.
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -209,6 +209,27 @@
 	return -1
 }
 
+// availabilityChange is a time at which it changes which agents can have a version of the settings.
+type availabilityChange struct {
+	at  time.Duration
+	hub int // that has applied the version; -1: none, reachability has changed
+}
+
+// availabilityChanges returns the changes for a version, in order of time.
+func (l *Lab) availabilityChanges(published *publishedVersion, hubs [][]appliedVersion) []availabilityChange {
+	changes := []availabilityChange{{published.publishedAt, -1}}
+	for h, list := range hubs {
+		if at := firstApplied(list, published.version); at >= 0 {
+			changes = append(changes, availabilityChange{at, h})
+		}
+	}
+	for i := range l.reachability {
+		changes = append(changes, availabilityChange{l.reachability[i].at, -1})
+	}
+	slices.SortStableFunc(changes, func(a, b availabilityChange) int { return int(a.at - b.at) })
+	return changes
+}
+
 // maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have it,
 // from its publication until the agent applied it, and whether it could at that end.
 func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, got, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
@@ -219,45 +240,33 @@
 	for _, h := range published.hubs {
 		has[h] = true
 	}
-	// The changes of who can have it: of reachability, and of hubs that have applied it.
-	type turn struct {
-		at  time.Duration
-		hub int // -1: none
-	}
-	turns := []turn{{published.publishedAt, -1}}
-	for h, list := range hubs {
-		if at := firstApplied(list, published.version); at >= 0 {
-			turns = append(turns, turn{at, h})
-		}
-	}
-	for i := range l.reachability {
-		turns = append(turns, turn{l.reachability[i].at, -1})
-	}
-	slices.SortStableFunc(turns, func(a, b turn) int { return int(a.at - b.at) })
-	since, now := time.Duration(-1), 0
-	for i, t := range turns {
-		if t.hub >= 0 {
-			has[t.hub] = true
+	changes := l.availabilityChanges(published, hubs)
+	reachedSince, now := time.Duration(-1), 0
+	for i, change := range changes {
+		if change.hub >= 0 {
+			has[change.hub] = true
 		}
-		for now+1 < len(l.reachability) && l.reachability[now+1].at <= t.at {
+		for now+1 < len(l.reachability) && l.reachability[now+1].at <= change.at {
 			now++
 		}
-		if t.at < published.publishedAt || t.at >= end || len(l.reachability) == 0 || i+1 < len(turns) && turns[i+1].at == t.at {
+		inRange := change.at >= published.publishedAt && change.at < end
+		lastOfItsTime := i+1 == len(changes) || changes[i+1].at != change.at
+		if !inRange || !lastOfItsTime || len(l.reachability) == 0 {
 			continue
 		}
-		st := &l.reachability[now]
-		if reached = st.agentReaches(agent, st.spread(has)); !reached {
-			since = -1
+		state := &l.reachability[now]
+		if reached = state.agentReaches(agent, state.spread(has)); !reached {
+			reachedSince = -1
 			continue
 		}
-		if since < 0 {
-			since = t.at
+		if reachedSince < 0 {
+			reachedSince = change.at
 		}
-		next := end
-		if i+1 < len(turns) {
-			next = min(end, turns[i+1].at)
+		until := end
+		if i+1 < len(changes) {
+			until = min(end, changes[i+1].at)
 		}
-		longest = max(longest, next-since)
+		longest = max(longest, until-reachedSince)
 	}
 	return longest, reached
 }
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -79,30 +79,20 @@
 	l.addInitialHosts()
 	l.scaleClasses()
 	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerGrace, Slack: socketSlack,
-		AcceptsUnknown: l.Visitors, MaxClosedNewShare: 1. / 200}, l.recorder.request)
-	s := l.Scenario
-	for n := range s.Fleet.Agents {
+		AcceptsUnknown: l.Visitors, MaxClosedNewShare: maxClosedNewShare}, l.recorder.request)
+	for n := range l.Scenario.Fleet.Agents {
 		l.agents = append(l.agents, newAgent(l, n))
 	}
-	for n := range s.Shared.Hubs {
+	for n := range l.Scenario.Shared.Hubs {
 		l.hubs = append(l.hubs, newHub(l, n))
 	}
 	if len(l.hubs) > 0 && len(l.Hub) == 0 {
 		return errors.New("hubs are to be started, and nothing says how")
 	}
 	l.distributeLoad()
-	var err error
-	if l.discovery, err = newDiscovery(l); err != nil {
-		return err
-	}
-	if err := l.openRelays(); err != nil {
+	if err := l.openNetwork(); err != nil {
 		return err
 	}
-	if s.Shared.Enabled {
-		if l.fleet, err = newFleetLinks(l); err != nil {
-			return err
-		}
-	}
 	if err := l.publishInitialPolicy(); err != nil {
 		return err
 	}
@@ -116,3 +106,17 @@
 	}
 	return nil
 }
+
+// openNetwork opens discovery and the links between processes.
+func (l *Lab) openNetwork() (err error) {
+	if l.discovery, err = newDiscovery(l); err != nil {
+		return err
+	}
+	if err := l.openRelays(); err != nil {
+		return err
+	}
+	if l.Scenario.Shared.Enabled {
+		l.fleet, err = newFleetLinks(l)
+	}
+	return err
+}
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -18,7 +18,10 @@
 // What agents share is checked from outside: each process traces the gossip entries that it publishes and uses and the quotas that it
 // takes, with times since the machine's start, which are comparable here.
 
-const traceName = "fleet.trace"
+const (
+	traceName    = "fleet.trace"
+	maxTraceLine = 1 << 20 // bytes
+)
 
 // factBounds are the configured age bounds of gossip entries, by kind.
 var factBounds = map[string]time.Duration{"service": 5 * time.Second, "distance": 3 * time.Second, "residency": 10 * time.Second, "gone": 3 * time.Second,
@@ -125,61 +128,90 @@
 	quota float64
 }
 
+// traces is what the processes of a fleet have traced.
+type traces struct {
+	publishedAt  map[string]int64 // when each entry was published, by name: in microseconds, less its age then
+	uses         []traceLine
+	quotas       []quotaAt
+	matrixErrors []float64
+	missing      int // agents without a trace
+}
+
+// entryName identifies a version of a gossip entry.
+func (x *traceLine) entryName() string {
+	return fmt.Sprint(x.Kind, " ", x.Observer, " ", x.Subject, " ", x.Incarnation, " ", x.Seq)
+}
+
 // sharedReport evaluates the traces of all processes; nil where there is no fleet. Lab.mu is held.
 func (l *Lab) sharedReport() *Shared {
 	if !l.Scenario.Shared.Enabled {
 		return nil
 	}
-	r := &Shared{Ages: map[string]P{}, Used: map[string]int{}}
+	all := l.readTraces()
+	r := &Shared{Ages: map[string]P{}, Used: map[string]int{}, Unserved: all.missing}
 	l.fleet.mu.Lock()
 	r.Bytes = float64(l.fleet.bytes) / max(1, l.now().Seconds()) / float64(len(l.agents))
 	l.fleet.mu.Unlock()
-	told := map[string]int64{}
-	name := func(x *traceLine) string {
-		return fmt.Sprint(x.Kind, " ", x.Observer, " ", x.Subject, " ", x.Incarnation, " ", x.Seq)
+	r.checkAges(all)
+	r.Parts = l.maxSumOfQuotas(all.quotas, l.traceTime(0))
+	r.Settings = l.settingsReport(l.allAppliedVersions())
+	if errors := all.matrixErrors; len(errors) > 0 {
+		slices.Sort(errors)
+		r.Matrix = &MatrixError{P50: errors[len(errors)/2], P99: errors[int(0.99*float64(len(errors)-1))], Entries: len(errors)}
+	}
+	return r
+}
+
+// readTraces reads the traces of all processes. Lab.mu is held.
+func (l *Lab) readTraces() *traces {
+	all := &traces{publishedAt: map[string]int64{}}
+	for _, h := range l.hubs {
+		_ = l.readTrace(all, &h.process, -1) // a hub without a trace has published nothing
 	}
-	begin := l.traceTime(0)
-	var parts []quotaAt
-	var errors []float64
-	var uses []traceLine
-	for i, p := range l.allProcesses() {
-		n, isHub := i-len(l.hubs), i < len(l.hubs)
-		if isHub {
-			n = i
+	for _, a := range l.agents {
+		if err := l.readTrace(all, &a.process, a.number); err != nil {
+			all.missing++
 		}
-		f, err := os.Open(filepath.Join(p.dir, traceName))
-		if err != nil {
-			if !isHub {
-				r.Unserved++
-			}
-			continue
+	}
+	return all
+}
+
+// readTrace adds the trace of a process; agent is its number, negative for a hub. Lab.mu is held.
+func (l *Lab) readTrace(all *traces, p *process, agent int) error {
+	f, err := os.Open(filepath.Join(p.dir, traceName))
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	lines := bufio.NewScanner(f)
+	lines.Buffer(nil, maxTraceLine)
+	for lines.Scan() {
+		var x traceLine
+		if json.Unmarshal(lines.Bytes(), &x) != nil {
+			continue // a kill has cut the line off
 		}
-		lines := bufio.NewScanner(f)
-		lines.Buffer(nil, 1<<20)
-		for lines.Scan() {
-			var x traceLine
-			if json.Unmarshal(lines.Bytes(), &x) != nil {
-				continue // a kill has cut the line off
-			}
-			switch {
-			case x.Part != nil:
-				if !isHub {
-					parts = append(parts, quotaAt{x.At, n, *x.Part})
-				}
-			case x.Matrix != nil:
-				errors = append(errors, l.matrixErrors(x.At, x.Matrix)...)
-			case x.What == "tell":
-				told[name(&x)] = x.At - x.Age // a sum is as old as the oldest entry in it
-			case x.What == "use":
-				uses = append(uses, x)
+		switch {
+		case x.Part != nil:
+			if agent >= 0 {
+				all.quotas = append(all.quotas, quotaAt{x.At, agent, *x.Part})
 			}
+		case x.Matrix != nil:
+			all.matrixErrors = append(all.matrixErrors, l.matrixErrors(x.At, x.Matrix)...)
+		case x.What == "tell":
+			all.publishedAt[x.entryName()] = x.At - x.Age // a sum is as old as the oldest entry in it
+		case x.What == "use":
+			all.uses = append(all.uses, x)
 		}
-		f.Close()
 	}
+	return nil
+}
+
+// checkAges compares the age of each entry at its use with the bound of its kind.
+func (r *Shared) checkAges(all *traces) {
 	ages := map[string]*hdrhistogram.Histogram{}
-	for i := range uses {
-		x := &uses[i]
-		at, known := told[name(x)]
+	for i := range all.uses {
+		x := &all.uses[i]
+		at, known := all.publishedAt[x.entryName()]
 		if !known {
 			continue // the line of its publication was lost with a kill
 		}
@@ -191,20 +223,13 @@
 		r.Used[x.Kind]++
 		if age > factBounds[x.Kind]+ageSlack {
 			if r.Past++; r.First == "" {
-				r.First = fmt.Sprintf("%s was used %v old, bound %v", name(x), age, factBounds[x.Kind])
+				r.First = fmt.Sprintf("%s was used %v old, bound %v", x.entryName(), age, factBounds[x.Kind])
 			}
 		}
 	}
 	for kind, h := range ages {
 		r.Ages[kind] = P{float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())}
 	}
-	r.Parts = l.maxSumOfQuotas(parts, begin)
-	r.Settings = l.settingsReport(l.allAppliedVersions())
-	if len(errors) > 0 {
-		slices.Sort(errors)
-		r.Matrix = &MatrixError{P50: errors[len(errors)/2], P99: errors[int(0.99*float64(len(errors)-1))], Entries: len(errors)}
-	}
-	return r
 }
 
 // maxSumOfQuotas returns the largest sum of the quotas of all running agents at any time after the start of the run.
