--- /dev/null
+++ b/internal/lab/addresses.go
@@ -0,0 +1,82 @@
+package lab
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+)
+
+// block is the part of the loopback range that belongs to one lab.
+type block struct {
+	number int
+	claim  net.Listener // held for as long as the process lives
+}
+
+const (
+	firstBlock, lastBlock = 60, 249
+	claimPort             = 7900
+	clientPort            = 5000 // of agents
+	peerPort              = 7946
+)
+
+// claimBlock claims a free block. It fails if there is none.
+func claimBlock() (*block, error) {
+	start := os.Getpid()
+	for i := range lastBlock - firstBlock + 1 {
+		n := firstBlock + (start+i)%(lastBlock-firstBlock+1)
+		ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.0.1:%d", n, claimPort))
+		if err == nil {
+			b := &block{n, ln}
+			if !b.inUse() {
+				return b, nil
+			}
+			b.close()
+			continue
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) {
+			return nil, err
+		}
+	}
+	return nil, errors.New("every block of loopback addresses is taken by another lab")
+}
+
+// inUse reports whether any other process listens in the block, such as an agent that an earlier lab has left behind.
+func (b *block) inUse() bool {
+	const listens, bound = "0A", "07" // states in the kernel's table: TCP sockets and UDP sockets
+	for name, state := range map[string]string{"tcp": listens, "udp": bound} {
+		table, err := os.ReadFile("/proc/self/net/" + name)
+		if err != nil {
+			continue // an address in use shows at the first bind
+		}
+		for line := range strings.Lines(string(table)) {
+			fields := strings.Fields(line)
+			if len(fields) < 4 || fields[3] != state {
+				continue
+			}
+			at, ok := kernelAddress([]byte(fields[1]))
+			if ip := at.Addr().As4(); ok && ip[0] == 127 && int(ip[1]) == b.number && at.Port() != claimPort {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func (b *block) close() { b.claim.Close() }
+
+// agentAddr returns the IP address of agent n.
+func (b *block) agentAddr(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.number, 1+n/250, 1+n%250)
+}
+
+// linkAddr returns the IP address at which agent n reaches all others, who differ by port.
+func (b *block) linkAddr(n int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.number, 101+n/250, 1+n%250)
+}
+
+// hubAddr returns the IP address of hub n, and hubLinkAddr the one at which it reaches all others and is reached.
+func (b *block) hubAddr(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.number, 1+n) }
+func (b *block) hubLinkAddr(n int) string { return fmt.Sprintf("127.%d.211.%d", b.number, 1+n) }
--- /dev/null
+++ b/internal/lab/attempts.go
@@ -0,0 +1,223 @@
+package lab
+
+// The way of an attempt through the network, to a backend and back.
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
+	"martenbeam/internal/lab/rng"
+)
+
+// attempt is one attempt of an agent at a backend.
+type attempt struct {
+	number        uint64
+	id            string
+	host          *host
+	agent         int
+	conn          *backendConn
+	arrivedAt     time.Duration // when the kernel had its last byte
+	reply         chan answer
+	statedTimeout time.Duration // how long the agent says that it waits; below 0: it does not say
+	disconnected  bool          // its connection is closed
+	fromLabClient bool          // a client of the lab sent it
+}
+
+type answer struct {
+	status   int
+	neverRan bool
+	body     string
+}
+
+func (a *attempt) endpoint() netfault.Endpoint {
+	return netfault.Endpoint{Role: netfault.Agent, Number: a.agent}
+}
+
+func fingerprint(method, uri, key string, body []byte) uint64 {
+	d := xxhash.New()
+	for _, s := range []string{method, "\x00", uri, "\x00", key, "\x00"} {
+		_, _ = d.WriteString(s) // a hash never fails
+	}
+	_, _ = d.Write(body)
+	return d.Sum64()
+}
+
+// deliver carries an attempt, which was sent at a time, over the network to its backend. Lab.mu is held.
+func (l *Lab) deliver(now, sentAt time.Duration, a *attempt, fingerprint uint64, probe bool) {
+	h := a.host
+	l.attempts[a.number] = a
+	newConnection := !a.conn.used
+	a.conn.used = true
+	if l.network.Fault(a.endpoint(), h.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
+		if !probe {
+			l.check.Record(now, a.id, "network", fmt.Sprintf("the attempt to %s does not get through", h.machine.ID))
+		}
+		l.queueUntilReachable(a.endpoint(), h.endpoint(), func(now time.Duration) { l.deliver(now, now, a, fingerprint, probe) })
+		return
+	}
+	if a.disconnected {
+		delete(l.attempts, a.number)
+		return
+	}
+	latency := l.network.Arrivals(a.endpoint(), h.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
+	if newConnection { // a handshake takes a round trip more, and work
+		latency += 2 * l.baseLatency(a.endpoint(), h.endpoint())
+	}
+	if probe {
+		l.scheduleAt(now+latency, func(now time.Duration) { l.answerProbe(now, a) })
+		return
+	}
+	a.fromLabClient = l.check.Arrive(sentAt, check.Arrival{Attempt: a.number, ID: a.id, Agent: a.agent, Backend: h.machine.ID,
+		Cell: h.machine.Cell, Fingerprint: fingerprint, SentAt: a.arrivedAt, StatedTimeout: a.statedTimeout})
+	if a.conn.overLimit {
+		l.scheduleAt(now+latency, func(now time.Duration) {
+			l.reply(now, a, answer{http.StatusServiceUnavailable, true, "too many connections"}, "turns the attempt away: too many connections")
+		})
+		return
+	}
+	job := l.newJob(now, a, newConnection)
+	l.scheduleAt(now+latency, func(now time.Duration) { l.completeJobs(h, h.machine.Arrive(now, job)) })
+}
+
+// answerProbe answers a health check, and gives the backend its work. Lab.mu is held.
+func (l *Lab) answerProbe(now time.Duration, a *attempt) {
+	h := a.host
+	load := h.machine.Load()
+	l.lastAttempt++ // the work has a number of its own: the answer does not wait for it
+	l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
+	l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
+		load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
+}
+
+// newJob returns the work of an attempt. A duplicate of an idempotency key costs no more than a health check. Lab.mu is held.
+func (l *Lab) newJob(now time.Duration, a *attempt, newConnection bool) model.Job {
+	h := a.host
+	random := l.rng.Stream("attempt/" + a.id + "/" + h.machine.ID)
+	job := model.Job{Attempt: a.number, Agent: a.agent, ErrorDraw: random.Float64(), NewConnection: newConnection,
+		StartKnown: l.check.KnowsStart(a.agent, h.machine.ID, h.machine.StartedAt)}
+	req := l.clientRequestOf(a)
+	if req == nil {
+		job.Work = l.classes[0].work
+		return job
+	}
+	job.Work, job.Key = time.Duration(float64(req.work)*rng.Lognormal(random, 1, 0.3)), req.key
+	if l.isDuplicate(now, req, h) { // the effect has happened already: only the answer is left to do
+		l.check.Record(now, a.id, h.machine.ID, "its pod has met the key: the repeat is dropped")
+		job.Work, job.Key = h.machine.ProbeWork, 0
+	}
+	return job
+}
+
+// cellKey is an idempotency key that the backends of a cell have seen.
+type cellKey struct {
+	cell int
+	key  string
+}
+
+// isDuplicate reports whether the backends of a cell have seen a request's idempotency key within the deduplication window,
+// and remembers it. Lab.mu is held.
+func (l *Lab) isDuplicate(now time.Duration, p *clientRequest, h *host) bool {
+	if p.idempotencyKey == "" {
+		return false
+	}
+	key, window := cellKey{h.machine.Cell, p.idempotencyKey}, l.classes[p.class].dedupWindow
+	if l.servedKeys[key] {
+		return true
+	}
+	l.servedKeys[key] = true
+	l.scheduleAt(now+window, func(time.Duration) { delete(l.servedKeys, key) })
+	return false
+}
+
+// clientRequestOf returns the client's request behind an attempt, or nil if no client of the lab sent it.
+func (l *Lab) clientRequestOf(a *attempt) *clientRequest {
+	if !a.fromLabClient {
+		return nil
+	}
+	return l.agents[a.agent].requests[a.id]
+}
+
+// completeJobs answers the attempts that a backend has completed. Lab.mu is held.
+func (l *Lab) completeJobs(h *host, done []model.Completion) {
+	for _, d := range done {
+		a := l.attempts[d.Attempt]
+		if a == nil {
+			continue // the work of a health check, or an attempt that is answered
+		}
+		what := d.Result.String()
+		if d.QueuedFor > 0 {
+			what += fmt.Sprintf(" after %v in the waiting room", d.QueuedFor.Round(100*time.Microsecond))
+		}
+		switch d.Result {
+		case model.Lost, model.Dropped: // there is no answer
+			l.check.Record(d.At, a.id, h.machine.ID, what)
+			delete(l.attempts, d.Attempt)
+		case model.Rejected:
+			l.reply(d.At, a, answer{http.StatusServiceUnavailable, true, "full"}, what)
+		case model.Failed:
+			l.reply(d.At, a, answer{http.StatusInternalServerError, false, "failed"}, what)
+		case model.Served:
+			l.reply(d.At, a, answer{http.StatusOK, false, servedBody(a.id, h.machine.ID)}, what)
+		}
+	}
+	if h.machine.State == model.Overloaded && !h.ended {
+		h.ended = true
+		l.check.Overloaded(h.machine.OverloadedAt, h.machine.ID, h.machine.InformedShare)
+		l.overloadedBackends++
+		l.endHost(h)
+		l.discovery.learn(l.now(), h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
+	}
+}
+
+// servedBody returns the body of a backend's answer to a request.
+func servedBody(id, backend string) string { return "served " + id + " by " + backend }
+
+// isServedBody reports whether a body is a backend's answer to a request.
+func isServedBody(body, id string) bool { return strings.HasPrefix(body, "served "+id+" by s-") }
+
+// reply carries a backend's answer back over the network. Lab.mu is held.
+func (l *Lab) reply(now time.Duration, a *attempt, answer answer, what string) {
+	h := a.host
+	if l.network.Fault(h.endpoint(), a.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
+		l.check.Record(now, a.id, "network", "the answer of "+h.machine.ID+" ("+what+") does not get through")
+		l.queueUntilReachable(h.endpoint(), a.endpoint(), func(now time.Duration) { l.reply(now, a, answer, what) })
+		return
+	}
+	delete(l.attempts, a.number)
+	latency := l.network.Arrivals(h.endpoint(), a.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
+	l.check.RecordReply(now, a.id, h.machine.ID, what, answer.neverRan)
+	l.scheduleAt(now+latency, func(time.Duration) {
+		select {
+		case a.reply <- answer:
+		default: // nothing may block while Lab.mu is held
+			l.fail(fmt.Errorf("the lab answered attempt %d of %s twice", a.number, a.id))
+		}
+	})
+}
+
+// partitionedMessage is a message that its sender retransmits until the partition heals.
+type partitionedMessage struct {
+	from, to netfault.Endpoint
+	send     func(now time.Duration)
+}
+
+// queueUntilReachable keeps a message until the network changes. Lab.mu is held.
+func (l *Lab) queueUntilReachable(from, to netfault.Endpoint, send func(now time.Duration)) {
+	l.partitioned = append(l.partitioned, partitionedMessage{from, to, send})
+}
+
+// retryPartitioned sends the queued messages again; those that are still partitioned queue themselves anew. Lab.mu is held.
+func (l *Lab) retryPartitioned(now time.Duration) {
+	list := l.partitioned
+	l.partitioned = nil
+	for _, p := range list {
+		p.send(now)
+	}
+}
--- a/internal/lab/starts.go
+++ b/internal/lab/recovery.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// busiest is how many connections one backend was opened in one second, at the most. The lock is held.
-func (l *Lab) busiest() (most int) {
-	settle := l.Scenario.Settle.Duration() / time.Second
+// maxConnectionsPerSecond returns the most connections opened to one backend in one second. Lab.mu is held.
+func (l *Lab) maxConnectionsPerSecond() (most int) {
+	settle := l.Scenario.WarmUp.Duration() / time.Second
 	for _, h := range l.hosts {
 		h.mu.Lock()
 		for second, n := range h.opened {
@@ -20,19 +20,19 @@
 	return most
 }
 
-// readyTimes are how long processes that were started again took until they took clients. The lock is held.
-func (l *Lab) readyTimes() P {
-	if len(l.starts) == 0 {
+// restartTimePercentiles returns percentiles of the time from a restart until clients are accepted. Lab.mu is held.
+func (l *Lab) restartTimePercentiles() P {
+	if len(l.restartTimes) == 0 {
 		return P{}
 	}
-	list := slices.Sorted(slices.Values(l.starts))
+	list := slices.Sorted(slices.Values(l.restartTimes))
 	at := func(q float64) float64 { return list[int(q*float64(len(list)-1)+0.5)].Seconds() * 1e3 }
 	return P{at(0.5), at(0.99), at(0.999)}
 }
 
-// recovered is the time from the first fault on after which three seconds in a row are served at 95% or more of what was
-// served before it; nil: there is no fault or nothing before it, -1: that never came. The lock is held.
-func (l *Lab) recovered() *float64 {
+// recoveryTime returns the seconds from the first fault until three consecutive seconds were served at 95% or more of the service
+// before it; nil if there is no fault or nothing before it, -1 if that never came. Lab.mu is held.
+func (l *Lab) recoveryTime() *float64 {
 	if len(l.Scenario.Faults) == 0 {
 		return nil
 	}
@@ -40,14 +40,14 @@
 	for _, f := range l.Scenario.Faults {
 		first = min(first, f.At.Duration())
 	}
-	from, to := int(l.Scenario.Settle.Duration()/time.Second), int(first/time.Second)
+	from, to := int(l.Scenario.WarmUp.Duration()/time.Second), int(first/time.Second)
 	if to <= from {
 		return nil
 	}
 	served := func(a, b int) float64 {
 		worth, in := 0.0, 0.0
 		for i := a; i < b && i < len(l.tally.Windows); i++ {
-			worth, in = worth+l.tally.Windows[i].Worth, in+l.tally.Windows[i].InAim
+			worth, in = worth+l.tally.Windows[i].Weight, in+l.tally.Windows[i].WeightInObjective
 		}
 		return share(in, worth)
 	}
--- /dev/null
+++ b/internal/lab/settingsreport.go
@@ -0,0 +1,272 @@
+package lab
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/BurntSushi/toml"
+
+	"martenbeam/internal/lab/scenario"
+)
+
+// The distribution of settings is checked from outside: each agent and hub logs a line when it applies a version, and the lab knows
+// which processes were up and could reach each other.
+
+// publishedVersion is a version of the settings that was given to hubs.
+type publishedVersion struct {
+	publishedAt time.Duration
+	version     int64
+	hubs        []int // the hubs that were given it
+}
+
+// publishInitialSettings gives the settings of the start to their sources.
+func (l *Lab) publishInitialSettings() error {
+	s := &l.Scenario.Shared
+	if s.Settings == "" {
+		return nil
+	}
+	return l.publishSettings(0, s.Settings, l.hubs[:s.Sources])
+}
+
+// applySettingsFault gives new settings to sources. Lab.mu is held.
+func (l *Lab) applySettingsFault(i int, f *scenario.Fault, now time.Duration) {
+	sources := slices.DeleteFunc(l.pickHubs(i, f.Targets), func(h *hub) bool { return !h.isSource() })
+	if err := l.publishSettings(now, f.Document, sources); err != nil {
+		l.fail(err)
+	}
+}
+
+func (l *Lab) publishSettings(now time.Duration, text string, hubs []*hub) error {
+	var head struct {
+		Version int64 `toml:"version"`
+	}
+	if _, err := toml.Decode(text, &head); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	if len(hubs) == 0 {
+		return errors.New("settings are given to hubs of which none is a source")
+	}
+	g := publishedVersion{publishedAt: now, version: head.Version}
+	for _, h := range hubs {
+		if err := replaceFile(h.settingsFile(), text); err != nil {
+			return err
+		}
+		g.hubs = append(g.hubs, h.number)
+	}
+	l.publishedSettings = append(l.publishedSettings, g)
+	return nil
+}
+
+// replaceFile replaces a file atomically.
+func replaceFile(file, text string) error {
+	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
+		return err
+	}
+	if err := os.WriteFile(file+".new", []byte(text), 0o644); err != nil {
+		return err
+	}
+	return os.Rename(file+".new", file)
+}
+
+// appliedVersion is a log line of a process that has applied a version.
+type appliedVersion struct {
+	at      time.Duration // of the run
+	version int64
+}
+
+// appliedVersions reads the versions that a process has applied from its log, in order, over all its starts.
+func (l *Lab) appliedVersions(p *process) (list []appliedVersion) {
+	f, err := os.Open(filepath.Join(p.dir, "log"))
+	if err != nil {
+		return nil // there is no log before the first start
+	}
+	defer f.Close()
+	lines := bufio.NewScanner(f)
+	lines.Buffer(nil, 1<<20)
+	for lines.Scan() {
+		words := strings.Fields(lines.Text())
+		if len(words) < 4 || words[2] != "msg=settings" {
+			continue
+		}
+		at, err := time.Parse(time.RFC3339, strings.TrimPrefix(words[0], "time="))
+		for _, w := range words[3:] {
+			text, is := strings.CutPrefix(w, "version=")
+			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // otherwise a kill has cut the line off
+				list = append(list, appliedVersion{at.Sub(l.wallTime(0)), version})
+			}
+		}
+	}
+	return list
+}
+
+// SettingsReport holds how versions of the settings spread.
+type SettingsReport struct {
+	Given  int     `json:"given"`         // versions
+	After  float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
+	Reach  float64 `json:"reached_s"`     // longest time for which an agent that was up could reach a hub that had it or could have it, before it applied it
+	Late   int     `json:"past_bound"`    // agents for which that time exceeded the bound
+	Behind int     `json:"behind_at_end"` // agents without the latest version at the end that can reach such a hub
+	Back   int     `json:"went_back"`     // lower versions applied after higher ones
+	First  string  `json:"first,omitempty"`
+}
+
+// allAppliedVersions returns the applied versions of all agents and hubs.
+func (l *Lab) allAppliedVersions() (agents, hubs [][]appliedVersion) {
+	for _, p := range l.agentProcesses() {
+		agents = append(agents, l.appliedVersions(p))
+	}
+	for _, p := range l.hubProcesses() {
+		hubs = append(hubs, l.appliedVersions(p))
+	}
+	return agents, hubs
+}
+
+// awaitSettings continues the run without clients until all agents that can reach a hub have the latest settings, or one exceeds
+// the bound. So a scenario that is shorter than the bound can be judged.
+func (l *Lab) awaitSettings(ctx context.Context) {
+	if l.Scenario.Shared.Settings == "" {
+		return
+	}
+	tick := time.NewTicker(200 * time.Millisecond)
+	defer tick.Stop()
+	for limit := time.After(2 * l.Scenario.Shared.SettingsBound.Duration()); ; {
+		agents, hubs := l.allAppliedVersions()
+		l.mu.Lock()
+		r := l.settingsReport(agents, hubs)
+		l.mu.Unlock()
+		if r.Behind == 0 || r.Late > 0 {
+			return
+		}
+		select {
+		case <-tick.C:
+		case <-limit: // an agent became reachable and unreachable in turn
+			return
+		case <-ctx.Done():
+			return
+		case <-l.ctx.Done():
+			return
+		}
+	}
+}
+
+// settingsReport checks the applied versions; nil where there are no settings. Lab.mu is held.
+func (l *Lab) settingsReport(agents, hubs [][]appliedVersion) *SettingsReport {
+	if len(l.publishedSettings) == 0 {
+		return nil
+	}
+	r := &SettingsReport{Given: len(l.publishedSettings)}
+	broken := func(format string, args ...any) {
+		if r.First == "" {
+			r.First = fmt.Sprintf(format, args...)
+		}
+	}
+	for kind, all := range map[string][][]appliedVersion{"agent": agents, "hub": hubs} {
+		for n, list := range all {
+			for i := 1; i < len(list); i++ {
+				if list[i].version < list[i-1].version {
+					r.Back++
+					broken("%s %d went back from settings %d to %d at %v", kind, n, list[i-1].version, list[i].version, list[i].at)
+				}
+			}
+		}
+	}
+	end := l.now()
+	bound := l.Scenario.Shared.SettingsBound.Duration()
+	for i, g := range l.publishedSettings {
+		for a, list := range agents {
+			got := firstApplied(list, g.version)
+			if got >= 0 {
+				r.After = max(r.After, (got - g.publishedAt).Seconds())
+			}
+			waited, reached := l.maxUnservedTime(&g, a, got, end, hubs)
+			if r.Reach = max(r.Reach, waited.Seconds()); waited > bound+ageSlack {
+				r.Late++
+				broken("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, waited, bound)
+			}
+			if reached && got < 0 && i == len(l.publishedSettings)-1 {
+				r.Behind++
+			}
+		}
+	}
+	return r
+}
+
+// firstApplied returns when a version or a later one was first applied; negative if it never was.
+func firstApplied(list []appliedVersion, version int64) time.Duration {
+	for _, x := range list {
+		if x.version >= version {
+			return max(0, x.at)
+		}
+	}
+	return -1
+}
+
+// availabilityChange is a time at which it changes which agents can have a version of the settings.
+type availabilityChange struct {
+	at  time.Duration
+	hub int // that has applied the version; -1: none, reachability has changed
+}
+
+// availabilityChanges returns the changes for a version, in order of time.
+func (l *Lab) availabilityChanges(published *publishedVersion, hubs [][]appliedVersion) []availabilityChange {
+	changes := []availabilityChange{{published.publishedAt, -1}}
+	for h, list := range hubs {
+		if at := firstApplied(list, published.version); at >= 0 {
+			changes = append(changes, availabilityChange{at, h})
+		}
+	}
+	for i := range l.reachability {
+		changes = append(changes, availabilityChange{l.reachability[i].at, -1})
+	}
+	slices.SortStableFunc(changes, func(a, b availabilityChange) int { return int(a.at - b.at) })
+	return changes
+}
+
+// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have it,
+// from its publication until the agent applied it, and whether it could at that end.
+func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, got, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
+	if got >= 0 {
+		end = min(end, got)
+	}
+	has := make([]bool, len(hubs))
+	for _, h := range published.hubs {
+		has[h] = true
+	}
+	changes := l.availabilityChanges(published, hubs)
+	reachedSince, now := time.Duration(-1), 0
+	for i, change := range changes {
+		if change.hub >= 0 {
+			has[change.hub] = true
+		}
+		for now+1 < len(l.reachability) && l.reachability[now+1].at <= change.at {
+			now++
+		}
+		inRange := change.at >= published.publishedAt && change.at < end
+		lastOfItsTime := i+1 == len(changes) || changes[i+1].at != change.at
+		if !inRange || !lastOfItsTime || len(l.reachability) == 0 {
+			continue
+		}
+		state := &l.reachability[now]
+		if reached = state.agentReaches(agent, state.spread(has)); !reached {
+			reachedSince = -1
+			continue
+		}
+		if reachedSince < 0 {
+			reachedSince = change.at
+		}
+		until := end
+		if i+1 < len(changes) {
+			until = min(end, changes[i+1].at)
+		}
+		longest = max(longest, until-reachedSince)
+	}
+	return longest, reached
+}
--- /dev/null
+++ b/internal/lab/sharedreport.go
@@ -0,0 +1,282 @@
+package lab
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"martenbeam/internal/lab/netfault"
+)
+
+// What agents share is checked from outside: each process traces the gossip entries that it publishes and uses and the quotas that it
+// takes, with times since the machine's start, which are comparable here.
+
+const (
+	traceName    = "fleet.trace"
+	maxTraceLine = 1 << 20 // bytes
+)
+
+// factBounds are the configured age bounds of gossip entries, by kind.
+var factBounds = map[string]time.Duration{"service": 5 * time.Second, "distance": 3 * time.Second, "residency": 10 * time.Second, "gone": 3 * time.Second,
+	"settings": 10 * time.Second, "census": 3 * time.Second}
+
+const (
+	ageSlack    = 50 * time.Millisecond // for writing the trace, and for the first message between two processes
+	maxQuotaSum = 1.1                   // of the in-flight limit, for all agents together
+)
+
+// fleetConfig returns the parts of an agent's configuration that concern its fleet and the residency policy; nil for none.
+func (l *Lab) fleetConfig(a *agent) (fleet, policy map[string]any) {
+	s := &l.Scenario.Shared
+	if !s.Enabled {
+		return nil, nil
+	}
+	var seeds []string
+	for i := range min(3, len(l.agents)) {
+		seeds = append(seeds, l.fleetLink(i*len(l.agents)/3%len(l.agents)))
+	}
+	ages := map[string]any{}
+	for kind, d := range factBounds {
+		ages[kind] = d.Seconds() * 1e3
+	}
+	lists := "own"
+	if s.RelayedLists {
+		lists = "relayed"
+	}
+	fleet = map[string]any{"listen": l.fleetAddr(a.number), "advertise": l.fleetLink(a.number), "seeds": seeds, "label": l.label(),
+		"most": len(l.agents), "lists": lists, "list_rate": l.Scenario.Discovery.Rate, "matrix": s.LatencyMatrix, "max_age_ms": ages,
+		"trace": filepath.Join(a.dir, traceName)}
+	if len(l.hubs) > 0 {
+		hubs := map[string]string{}
+		for _, h := range l.hubs {
+			hubs[l.Scenario.Fleet.Zones[l.zone(endpointOf(netfault.Hub, h.number))]] = l.hubLink(h.number)
+		}
+		fleet["hubs"], fleet["settings_state"] = hubs, filepath.Join(a.dir, "settings")
+		if !s.MeshFallback {
+			fleet["seeds"] = []string{}
+		}
+	}
+	if s.Policy == "" {
+		return fleet, nil
+	}
+	policy = map[string]any{"bound_ms": s.PolicyBound.Duration().Seconds() * 1e3, "state": filepath.Join(a.dir, "residency")}
+	if a.number < s.Sources && len(l.hubs) == 0 {
+		policy["policy"] = l.policyFile(a)
+	}
+	return fleet, policy
+}
+
+func (l *Lab) label() string { return fmt.Sprintf("lab-%d", l.Seed) }
+
+// violation describes the first violated bound, or returns "".
+func (r *Shared) violation() string {
+	switch {
+	case r == nil:
+	case r.Past > 0:
+		return r.First
+	case r.Parts > maxQuotaSum:
+		return fmt.Sprintf("parts of the limit sum up to %.3f, at most %v", r.Parts, maxQuotaSum)
+	case r.Settings != nil && r.Settings.Late+r.Settings.Back > 0:
+		return r.Settings.First
+	}
+	return ""
+}
+
+// Shared holds what the agents of a fleet shared.
+type Shared struct {
+	Ages     map[string]P    `json:"age_at_use_ms"`
+	Used     map[string]int  `json:"used"`
+	Past     int             `json:"past_bound"` // uses of entries that were older than their bound
+	First    string          `json:"first,omitempty"`
+	Parts    float64         `json:"parts_most"`            // the largest sum of quotas of the in-flight limit; 1 is the limit
+	Bytes    float64         `json:"bytes_per_s_per_agent"` // sent and received by agents, each message counted once
+	Matrix   *MatrixError    `json:"matrix,omitempty"`
+	Unserved int             `json:"agents_without_part"`
+	Settings *SettingsReport `json:"settings,omitempty"`
+}
+
+// MatrixError is the error of the agents' latency matrices, measured while the network had not changed for some seconds.
+type MatrixError struct {
+	P50     float64 `json:"p50"` // as a share of the true round trip, or of 2 ms if that is shorter
+	P99     float64 `json:"p99"`
+	Entries int     `json:"entries"`
+}
+
+type traceLine struct {
+	At          int64              `json:"at"`
+	What        string             `json:"what"`
+	Kind        string             `json:"kind"`
+	Observer    string             `json:"observer"`
+	Subject     string             `json:"subject"`
+	Incarnation uint64             `json:"incarnation"`
+	Seq         uint64             `json:"seq"`
+	Age         int64              `json:"age"`
+	Part        *float64           `json:"part"`
+	Matrix      map[string]float64 `json:"matrix"`
+}
+
+type quotaAt struct {
+	at    int64
+	agent int
+	quota float64
+}
+
+// traces is what the processes of a fleet have traced.
+type traces struct {
+	publishedAt  map[string]int64 // when each entry was published, by name: in microseconds, less its age then
+	uses         []traceLine
+	quotas       []quotaAt
+	matrixErrors []float64
+	missing      int // agents without a trace
+}
+
+// entryName identifies a version of a gossip entry.
+func (x *traceLine) entryName() string {
+	return fmt.Sprint(x.Kind, " ", x.Observer, " ", x.Subject, " ", x.Incarnation, " ", x.Seq)
+}
+
+// sharedReport evaluates the traces of all processes; nil where there is no fleet. Lab.mu is held.
+func (l *Lab) sharedReport() *Shared {
+	if !l.Scenario.Shared.Enabled {
+		return nil
+	}
+	all := l.readTraces()
+	r := &Shared{Ages: map[string]P{}, Used: map[string]int{}, Unserved: all.missing}
+	l.fleet.mu.Lock()
+	r.Bytes = float64(l.fleet.bytes) / max(1, l.now().Seconds()) / float64(len(l.agents))
+	l.fleet.mu.Unlock()
+	r.checkAges(all)
+	r.Parts = l.maxSumOfQuotas(all.quotas, l.traceTime(0))
+	r.Settings = l.settingsReport(l.allAppliedVersions())
+	if errors := all.matrixErrors; len(errors) > 0 {
+		slices.Sort(errors)
+		r.Matrix = &MatrixError{P50: errors[len(errors)/2], P99: errors[int(0.99*float64(len(errors)-1))], Entries: len(errors)}
+	}
+	return r
+}
+
+// readTraces reads the traces of all processes. Lab.mu is held.
+func (l *Lab) readTraces() *traces {
+	all := &traces{publishedAt: map[string]int64{}}
+	for _, h := range l.hubs {
+		_ = l.readTrace(all, &h.process, -1) // a hub without a trace has published nothing
+	}
+	for _, a := range l.agents {
+		if err := l.readTrace(all, &a.process, a.number); err != nil {
+			all.missing++
+		}
+	}
+	return all
+}
+
+// readTrace adds the trace of a process; agent is its number, negative for a hub. Lab.mu is held.
+func (l *Lab) readTrace(all *traces, p *process, agent int) error {
+	f, err := os.Open(filepath.Join(p.dir, traceName))
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	lines := bufio.NewScanner(f)
+	lines.Buffer(nil, maxTraceLine)
+	for lines.Scan() {
+		var x traceLine
+		if json.Unmarshal(lines.Bytes(), &x) != nil {
+			continue // a kill has cut the line off
+		}
+		switch {
+		case x.Part != nil:
+			if agent >= 0 {
+				all.quotas = append(all.quotas, quotaAt{x.At, agent, *x.Part})
+			}
+		case x.Matrix != nil:
+			all.matrixErrors = append(all.matrixErrors, l.matrixErrors(x.At, x.Matrix)...)
+		case x.What == "tell":
+			all.publishedAt[x.entryName()] = x.At - x.Age // a sum is as old as the oldest entry in it
+		case x.What == "use":
+			all.uses = append(all.uses, x)
+		}
+	}
+	return nil
+}
+
+// checkAges compares the age of each entry at its use with the bound of its kind.
+func (r *Shared) checkAges(all *traces) {
+	ages := map[string]*hdrhistogram.Histogram{}
+	for i := range all.uses {
+		x := &all.uses[i]
+		at, known := all.publishedAt[x.entryName()]
+		if !known {
+			continue // the line of its publication was lost with a kill
+		}
+		age := time.Duration(x.At-at) * time.Microsecond
+		if ages[x.Kind] == nil {
+			ages[x.Kind] = hdrhistogram.New(1, 3600e3, 3)
+		}
+		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // less than the histogram's hour
+		r.Used[x.Kind]++
+		if age > factBounds[x.Kind]+ageSlack {
+			if r.Past++; r.First == "" {
+				r.First = fmt.Sprintf("%s was used %v old, bound %v", x.entryName(), age, factBounds[x.Kind])
+			}
+		}
+	}
+	for kind, h := range ages {
+		r.Ages[kind] = P{float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())}
+	}
+}
+
+// maxSumOfQuotas returns the largest sum of the quotas of all running agents at any time after the start of the run.
+func (l *Lab) maxSumOfQuotas(quotas []quotaAt, begin int64) (maxSum float64) {
+	for _, d := range l.processEnds { // a process that has ended has no quota
+		quotas = append(quotas, quotaAt{l.traceTime(d.at), d.agent, 0})
+	}
+	slices.SortStableFunc(quotas, func(a, b quotaAt) int { return int(a.at - b.at) })
+	now, sum := map[int]float64{}, 0.0
+	for _, p := range quotas {
+		if p.at >= begin {
+			maxSum = max(maxSum, sum) // the sum until then
+		}
+		sum += p.quota - now[p.agent]
+		now[p.agent] = p.quota
+	}
+	return max(maxSum, sum)
+}
+
+type processEnd struct {
+	at    time.Duration
+	agent int
+}
+
+// stableNetworkTime is how long the network must not have changed before a latency matrix is compared with it.
+const stableNetworkTime = 3500 * time.Millisecond
+
+// matrixErrors compares a latency matrix with the recent transit times of datagrams: errors as a share of the round trip, or of 2 ms
+// if that is shorter. It returns none if the network has changed lately. Lab.mu is held.
+func (l *Lab) matrixErrors(at int64, m map[string]float64) (list []float64) {
+	t := time.Duration(at-l.traceTime(0)) * time.Microsecond
+	for _, c := range l.networkChanges {
+		if t >= c && t < c+stableNetworkTime {
+			return nil
+		}
+	}
+	zones := l.Scenario.Fleet.Zones
+	for i, a := range zones {
+		for j, b := range zones {
+			trip, known := m[a+" "+b]
+			there, one := l.fleet.recentTransit(i, j, t)
+			back, other := l.fleet.recentTransit(j, i, t)
+			if i != j && known && trip > 0 && one && other {
+				want := (there + back).Seconds() * 1e6
+				list = append(list, math.Abs(trip-want)/max(want, 2000))
+			}
+		}
+	}
+	return list
+}
