--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -15,7 +15,7 @@
 // wallClockFiles are the files that may use the wall clock's time, each with its reason.
 var wallClockFiles = map[string]string{
 	"internal/bootclock/bootclock.go":           "reads it",
-	"internal/agent/discovery/started.go":       "discovery gives start times of backends as Unix times; read by every clock that may be right, and bounded",
+	"internal/agent/discovery/starttime.go":     "discovery gives start times of backends as Unix times; read by every clock that may be right, and bounded",
 	"internal/agent/handover/record.go":         "versions of the program before this one read and write Unix times; used only where theirs stand alone",
 	"internal/fleet/incarnation/incarnation.go": "orders the processes of one name over a restart of the machine, and beside versions that had the clock alone; kept above the one before",
 	"internal/fleet/hubclient/door.go":          "a deadline that is past at any time",
