--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -69,7 +69,7 @@
 	if err := flags.apply(spec); err != nil {
 		return nil, nil, err
 	}
-	spec.Endless(c.Duration)
+	spec.Repeat(c.Duration)
 	return spec, flags, nil
 }
 
--- /dev/null
+++ b/internal/agent/discovery/fake_test.go
@@ -0,0 +1,237 @@
+package discovery
+
+// This file is a fake of discovery in memory, and a watcher that runs against it.
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// fakeDiscovery serves one backend's list over in-memory connections, and sends each version to all open streams.
+type fakeDiscovery struct {
+	conns chan net.Conn // dialed, and not yet accepted
+
+	mu              sync.Mutex // guards all that follows; tests change it by update
+	version         int64
+	encode          func(m EndpointList) string
+	changed         chan struct{}          // closed by the next update
+	sinceParams     []string               // since= of each request
+	unresponsive    bool                   // no stream gets anything, also none that is new
+	refusing        bool                   // no connection is made, and open streams end
+	unreachableAddr string                 // no connection is made to this address
+	unansweredCalls int                    // so many of the next requests never get a response
+	silenced        map[*http.Request]bool // open streams; true: it gets nothing any more
+	dripping        map[*http.Request]bool // streams that get a value that never ends, one byte each second
+}
+
+func newFakeDiscovery(t testing.TB) *fakeDiscovery {
+	d := &fakeDiscovery{version: 41, changed: make(chan struct{}), conns: make(chan net.Conn, 64),
+		silenced: map[*http.Request]bool{}, dripping: map[*http.Request]bool{},
+		encode: func(m EndpointList) string { raw, _ := json.Marshal(m); return string(raw) }}
+	server := &http.Server{Handler: d}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); _ = server.Serve(&pipeListener{d, ctx}) }()
+	t.Cleanup(func() { cancel(); server.Close(); <-done })
+	return d
+}
+
+// pipeListener accepts the connections that are dialed to a fakeDiscovery.
+type pipeListener struct {
+	discovery *fakeDiscovery
+	ctx       context.Context
+}
+
+func (p *pipeListener) Accept() (net.Conn, error) {
+	select {
+	case c := <-p.discovery.conns:
+		return c, nil
+	case <-p.ctx.Done():
+		return nil, net.ErrClosed
+	}
+}
+
+func (p *pipeListener) Close() error { return nil }
+
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (d *fakeDiscovery) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+	d.mu.Lock()
+	refuses := d.refusing || addr == d.unreachableAddr
+	d.mu.Unlock()
+	if refuses {
+		return nil, fmt.Errorf("refused")
+	}
+	near, far := net.Pipe()
+	d.conns <- far
+	return near, nil
+}
+
+// update changes the fake, and wakes its streams.
+func (d *fakeDiscovery) update(change func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	change()
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// ServeHTTP serves one stream until it ends.
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
+	d.mu.Lock()
+	d.sinceParams = append(d.sinceParams, r.URL.Query().Get("since"))
+	d.silenced[r] = d.unansweredCalls > 0
+	d.unansweredCalls = max(0, d.unansweredCalls-1)
+	d.mu.Unlock()
+	defer func() { d.mu.Lock(); delete(d.silenced, r); delete(d.dripping, r); d.mu.Unlock() }()
+	dripped := 0
+	for first := true; ; {
+		d.mu.Lock()
+		response, changed, silenced, interval := "\n", d.changed, d.unresponsive || d.silenced[r], 2*time.Second
+		if first || since != d.version {
+			response = d.encode(d.list(since)) + "\n"
+		}
+		version, refusing := d.version, d.refusing
+		if d.dripping[r] {
+			response, interval, version = "{", time.Second, since
+			if dripped++; dripped > 1 {
+				response = " "
+			}
+		}
+		d.mu.Unlock()
+		if refusing {
+			return
+		}
+		if !silenced {
+			first, since = first && dripped > 0, version
+			if !send(w, response) {
+				return
+			}
+		}
+		select {
+		case <-changed:
+		case <-time.After(interval):
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// list is what a stream gets that has the list as of a version. The caller holds mu.
+func (d *fakeDiscovery) list(since int64) EndpointList {
+	return EndpointList{
+		Version:   d.version,
+		Full:      since == 0 || since > d.version,
+		Endpoints: []Endpoint{{ID: "s", Addr: "127.0.0.1:9", Zone: "b", State: "ready", Weight: float64(d.version)}},
+	}
+}
+
+// send writes part of a response, and reports whether the stream goes on.
+func send(w http.ResponseWriter, text string) bool {
+	if _, err := io.WriteString(w, text); err != nil {
+		return false
+	}
+	return http.NewResponseController(w).Flush() == nil
+}
+
+// runningWatcher is a watcher that runs, and what it has delivered.
+type runningWatcher struct {
+	*Watcher
+	done chan struct{} // closed when Run has returned
+	log  bytes.Buffer  // written by Run's goroutine
+
+	mu           sync.Mutex // guards all that follows
+	updates      []Update
+	version      float64 // of the latest list: the fake's only backend has it as its weight
+	waitPercent  int     // of the backoff ceiling, before each poll; below 0: nobody polls
+	pollFailures int     // in a row
+	retryTimer   *time.Timer
+}
+
+// startWatcher runs a watcher of discovery until the test ends. Nobody polls before startPolling.
+func startWatcher(t testing.TB, discovery *fakeDiscovery, polled bool) *runningWatcher {
+	w := &runningWatcher{done: make(chan struct{}), waitPercent: -1}
+	w.Watcher = New(Config{
+		Addr: "10.0.0.1:1", Polled: polled, ConnectTimeout: time.Second, Dial: discovery.dial,
+		Deliver: func(u Update) { w.deliver(u, polled) },
+		Translator: Translator{Zones: []string{"a", "b"}, AgentTime: func(time.Time) time.Duration { return 0 },
+			Log: slog.New(slog.NewTextHandler(&w.log, nil))},
+	})
+	w.Restore(&EndpointList{Version: 41})
+	ctx, cancel := context.WithCancel(t.Context())
+	go func() { defer close(w.done); w.Run(ctx) }()
+	t.Cleanup(func() { cancel(); <-w.done })
+	return w
+}
+
+// deliver notes an update, and polls again after a failure.
+func (w *runningWatcher) deliver(u Update, polled bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.updates = append(w.updates, u)
+	switch {
+	case u.Endpoints.Kind == balancer.UpdateFailed && polled && w.waitPercent >= 0:
+		w.scheduleRetry()
+	case len(u.Endpoints.Backends) > 0:
+		w.version, w.pollFailures = u.Endpoints.Backends[0].Weight, 0
+	}
+}
+
+// kinds are the kinds of all updates so far.
+func (w *runningWatcher) kinds() (list []balancer.UpdateKind) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, update := range w.updates {
+		list = append(list, update.Endpoints.Kind)
+	}
+	return list
+}
+
+// lastVersion is the version of the latest list.
+func (w *runningWatcher) lastVersion() int64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return int64(w.version)
+}
+
+// startPolling polls at once, and again after each failure as the decision module does: by its backoff, with each wait
+// at waitPercent of its ceiling.
+func (w *runningWatcher) startPolling(waitPercent int) {
+	w.Subscribe()
+	w.waitPercent = waitPercent
+}
+
+// setWait changes waitPercent.
+func (w *runningWatcher) setWait(waitPercent int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.waitPercent = waitPercent
+}
+
+// scheduleRetry polls after a failure. The caller holds mu.
+func (w *runningWatcher) scheduleRetry() {
+	w.pollFailures++
+	ceiling := PropagationDeadline / 64 << min(w.pollFailures, 4)
+	wait := ceiling * time.Duration(w.waitPercent) / 100
+	if w.retryTimer != nil {
+		w.retryTimer.Stop() // one retry is scheduled at a time
+	}
+	w.retryTimer = time.AfterFunc(wait, w.Subscribe)
+}
+
+// runInBubble runs a test with a clock of its own, which advances when all goroutines wait.
+func runInBubble(t *testing.T, test func(t *testing.T)) { t.Helper(); synctest.Test(t, test) }
--- /dev/null
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -0,0 +1,106 @@
+// This file tests how settings are published, and the report on lagging agents.
+
+package hub
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"sync"
+	"testing"
+
+	"martenbeam/internal/fleet/documents"
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/hub/frame"
+)
+
+// fakeHolder is a documents.Holder that keeps one text.
+type fakeHolder struct {
+	mu      sync.Mutex
+	version int64
+	text    string
+}
+
+func (h *fakeHolder) Apply(version int64, text string) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if version <= h.version {
+		return errors.New("old")
+	}
+	h.version, h.text = version, text
+	return nil
+}
+
+func (h *fakeHolder) Text(string) (int64, string, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.version, h.text, h.version > 0
+}
+
+// document returns the settings document of this holder.
+func (h *fakeHolder) document() *documents.Document {
+	return &documents.Document{
+		GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: 1 << 10, Holder: h,
+		Digest: func(text string) string { return "of " + text },
+		Applied: func() documents.AppliedVersion {
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			if h.version == 0 {
+				return documents.AppliedVersion{}
+			}
+			return documents.AppliedVersion{Version: h.version, Digests: []string{"of " + h.text}}
+		},
+	}
+}
+
+// Settings that one hub holds are published by all hubs and never go back. Every hub can be asked who lags behind.
+func TestSettingsReportNamesLaggingAgents(t *testing.T) {
+	t.Parallel()
+	var hubs []*testHub
+	var holders []*fakeHolder
+	for i := range 2 {
+		holder := &fakeHolder{}
+		holders = append(holders, holder)
+		hubs = append(hubs, startHub(t, fmt.Sprint("hub", i), 10, func(c *Config) { c.Settings = holder.document() }, hubs...))
+	}
+	current := frame.AppliedVersion{Version: 2, Digest: "of two"}
+	lagging := frame.AppliedVersion{Version: 1, Reason: "a key is unknown"}
+	a := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 1}, &frame.State{Settings: current})
+	b := attachAgent(t, hubs[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{Settings: lagging})
+	published := func(agent *fakeAgent, v int64) func() bool {
+		return func() bool {
+			for _, f := range agent.gossip.Entries(gossip.SettingsVersion) {
+				if s, ok := documents.ParseAppliedVersion(f.Body); ok && s.Version == v {
+					return true
+				}
+			}
+			return false
+		}
+	}
+	for v, text := range map[int64]string{1: "one", 2: "two"} {
+		_ = holders[0].Apply(v, text) // in either order: a lower version after a higher one is rejected
+	}
+	waitFor(t, "published settings", published(a, 2))
+	waitFor(t, "published settings", published(b, 2))
+	var report SettingsReport
+	waitFor(t, "report on both agents", func() bool {
+		var err error
+		report, err = getSettingsReport(hubs[0])
+		return err == nil && report.Agents == 2 && report.Applied == 1
+	})
+	if report.Version != 2 || len(report.Lagging) != 1 || report.Lagging[0] != (LaggingAgent{"b", "hub1", 1, "a key is unknown"}) {
+		t.Errorf("%+v", report)
+	}
+}
+
+// getSettingsReport requests the settings report of a hub.
+func getSettingsReport(hub *testHub) (report SettingsReport, err error) {
+	resp, err := http.Get("http://" + hub.fleet.Addr() + pathSettings)
+	if err != nil {
+		return report, err
+	}
+	defer resp.Body.Close()
+	err = json.NewDecoder(resp.Body).Decode(&report)
+	return report, err
+}
--- /dev/null
+++ b/internal/lab/reachability.go
@@ -0,0 +1,79 @@
+package lab
+
+// Which agents and hubs could reach each other, and when.
+
+import (
+	"slices"
+	"time"
+
+	"martenbeam/internal/lab/netfault"
+)
+
+// reachable says which processes are up from a time on, and which pairs can reach each other.
+type reachable struct {
+	at                   time.Duration
+	agents, hubs         []bool
+	agentToHub, hubToHub []bool // matrices: agent by hub, hub by hub
+}
+
+const reachabilityInterval = 20 * time.Millisecond
+
+// watchReachability records the reachability of the fleet from a time on. Lab.mu is held.
+func (l *Lab) watchReachability(at time.Duration) {
+	if len(l.publishedSettings) == 0 {
+		return
+	}
+	l.scheduleAt(at, func(now time.Duration) {
+		r := reachable{at: now}
+		open := func(a, b netfault.Endpoint) bool { return !l.network.Unreachable(a, b) }
+		for _, h := range l.hubs {
+			r.hubs = append(r.hubs, h.up)
+			for _, other := range l.hubs {
+				r.hubToHub = append(r.hubToHub, open(endpointOf(netfault.Hub, h.number), endpointOf(netfault.Hub, other.number)))
+			}
+		}
+		for _, a := range l.agents {
+			r.agents = append(r.agents, a.up)
+			for _, h := range l.hubs {
+				r.agentToHub = append(r.agentToHub, open(endpointOf(netfault.Member, a.number), endpointOf(netfault.Hub, h.number)))
+			}
+		}
+		if n := len(l.reachability); n == 0 || !l.reachability[n-1].same(&r) {
+			l.reachability = append(l.reachability, r)
+		}
+		l.watchReachability(now + reachabilityInterval)
+	})
+}
+
+func (r *reachable) same(o *reachable) bool {
+	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.agentToHub, o.agentToHub) && slices.Equal(r.hubToHub, o.hubToHub)
+}
+
+// spread returns the hubs that can have what some hubs have: those that they can reach, directly or through others.
+func (r *reachable) spread(some []bool) []bool {
+	list := make([]bool, len(r.hubs))
+	for h := range list {
+		list[h] = some[h] && r.hubs[h]
+	}
+	for again := true; again; {
+		again = false
+		for h := range list {
+			for other := range list {
+				if list[h] && !list[other] && r.hubs[other] && r.hubToHub[h*len(list)+other] {
+					list[other], again = true, true
+				}
+			}
+		}
+	}
+	return list
+}
+
+// agentReaches reports whether an agent is up and can reach one of some hubs.
+func (r *reachable) agentReaches(agent int, some []bool) bool {
+	for h, has := range some {
+		if has && r.agents[agent] && r.agentToHub[agent*len(some)+h] {
+			return true
+		}
+	}
+	return false
+}
