--- a/cmd/martenbeam/forms_test.go
+++ b/cmd/martenbeam/forms_test.go
@@ -39,7 +39,8 @@
 
 // The whole of each command's help: names of commands, flags and arguments, with their defaults.
 func TestHelpOfEachCommandIsPinned(t *testing.T) {
-	for _, command := range []string{"", "up", "lab", "lab list", "lab run", "lab compare", "lab trace", "agent", "hub", "config", "config check", "config print"} {
+	for _, command := range []string{"", "up", "lab", "lab list", "lab run", "lab compare", "lab trace", "agent", "hub",
+		"config", "config check", "config print"} {
 		var out, errs bytes.Buffer
 		if code := run(append(strings.Fields(command), "--help"), &out, &errs); code != 0 || errs.Len() > 0 {
 			t.Errorf("%q: exit %d, %s", command, code, errs.String())
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -84,7 +84,8 @@
 func TestViolationOfSharedStateIsReported(t *testing.T) {
 	var out, errs bytes.Buffer
 	r := &lab.Report{Verdict: lab.Broken, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
-	if err := verdictError(&output{&out, &errs}, r); err != exitCodeError(exitViolated) || !strings.Contains(errs.String(), r.Rules.Shared) {
+	if err := verdictError(&output{&out, &errs}, r); err != exitCodeError(exitViolated) ||
+		!strings.Contains(errs.String(), r.Rules.Shared) {
 		t.Errorf("%v: %s", err, errs.String())
 	}
 }
@@ -118,7 +119,8 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, errs.String())
 	}
-	for name, value := range map[string]string{"X-Trace-Id": "hand-1", "Idempotency-Key": "hand-1", "X-Customer": "state-post", "Cookie": "sid=stop-1"} {
+	for name, value := range map[string]string{"X-Trace-Id": "hand-1", "Idempotency-Key": "hand-1",
+		"X-Customer": "state-post", "Cookie": "sid=stop-1"} {
 		req.Header.Set(name, value)
 	}
 	resp, err := http.DefaultClient.Do(req)
@@ -160,7 +162,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range []string{"schema", "scenario", "seed", "commit", "agents", "backends", "offered", "served_in_aim", "refused", "failed", "lost",
+	for _, key := range []string{"schema", "scenario", "seed", "commit", "agents", "backends", "offered", "served_in_aim",
+		"refused", "failed", "lost",
 		"attempts_per_request", "cross_zone_share", "worst_10s", "latency_ms", "rules", "crashes", "lab_late_ms", "agent", "windows"} {
 		if !strings.Contains(string(text), "\n \""+key+"\": ") {
 			t.Errorf("the report has no %s", key)
@@ -173,7 +176,8 @@
 	_, rest, _ := strings.Cut(string(text), `"id":"`)
 	id, _, _ := strings.Cut(rest, `"`)
 	var out, errs bytes.Buffer
-	if code := run([]string{"lab", "trace", events, id}, &out, &errs); code != 0 || !strings.Contains(out.String(), "attempt 0 arrives from agent") {
+	if code := run([]string{"lab", "trace", events, id}, &out, &errs); code != 0 ||
+		!strings.Contains(out.String(), "attempt 0 arrives from agent") {
 		t.Errorf("exit %d\n%s%s", code, out.String(), errs.String())
 	}
 }
--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -53,13 +53,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h.Name != "hub1" || h.Label != "l2" || h.Listen != "127.0.0.1:3" || h.Advertise != "127.0.0.1:4" || h.MaxAgents != 6 || h.ListRate != 7.5 ||
+	if h.Name != "hub1" || h.Label != "l2" || h.Listen != "127.0.0.1:3" || h.Advertise != "127.0.0.1:4" ||
+		h.MaxAgents != 6 || h.ListRate != 7.5 ||
 		h.AdmitRate != 8.5 || h.Trace != "trace9" || h.Settings.File != "testdata/settings.toml" || h.Settings.State != "state11" ||
-		h.Residency.File != "testdata/policy.toml" || h.Residency.State != "state13" || h.Residency.Bound.Duration() != 14*time.Second ||
+		h.Residency.File != "testdata/policy.toml" || h.Residency.State != "state13" ||
+		h.Residency.Bound.Duration() != 14*time.Second ||
 		h.MaxAge["gone"].Duration() != 18*time.Second {
 		t.Errorf("%+v", h)
 	}
-	if _, err := config.ParseHub("hub.toml", "lable = \"x\"\n"); err == nil || !strings.Contains(err.Error(), "hub.toml:1: lable: unknown key") {
+	if _, err := config.ParseHub("hub.toml", "lable = \"x\"\n"); err == nil ||
+		!strings.Contains(err.Error(), "hub.toml:1: lable: unknown key") {
 		t.Errorf("an unknown key: %v", err)
 	}
 }
@@ -71,14 +74,17 @@
 		t.Fatal(err)
 	}
 	c.Settings, c.Site = balancer.Settings{}, wire.Site{}
-	equal(t, "configuration", *c, agent.Config{Name: "agent-1", Listen: "127.0.0.1:2", Discovery: "127.0.0.1:3", AdminAddr: "127.0.0.1:4", Seed: 0x5, Cores: 6.5,
-		MemoryMB: 77, MaxDescriptors: 888, DialFrom: "127.0.0.9", PeerListen: "127.0.0.1:10", Peers: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"},
+	equal(t, "configuration", *c, agent.Config{Name: "agent-1", Listen: "127.0.0.1:2", Discovery: "127.0.0.1:3",
+		AdminAddr: "127.0.0.1:4", Seed: 0x5, Cores: 6.5,
+		MemoryMB: 77, MaxDescriptors: 888, DialFrom: "127.0.0.9", PeerListen: "127.0.0.1:10",
+		Peers: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"},
 		CachedEndpoints: &discovery.EndpointList{Version: 14, Full: true, Endpoints: []discovery.Endpoint{
 			{ID: "b15", Addr: "127.0.0.1:16", Zone: "a", Kind: "k", Cell: 17, State: "ready", Weight: 18.5, StartedAt: 19}}}})
 }
 
 func load(raw []byte) (*agent.Config, error) {
-	return agent.Source{Name: "test", Getenv: func(string) string { return "" }, Read: func() ([]byte, error) { return raw, nil }}.Load()
+	return agent.Source{Name: "test", Getenv: func(string) string { return "" },
+		Read: func() ([]byte, error) { return raw, nil }}.Load()
 }
 
 // Each key of the platform's configuration, the settings' included, changes what is read when its value changes, or can't
@@ -178,12 +184,19 @@
 	const ms = time.Millisecond
 	equal(t, "settings", s, balancer.Settings{Balancers: 3, Self: 2, Zone: 1, WeightByWork: true, Subscribe: true, Tick: 21 * ms,
 		Classes: []balancer.Class{
-			{LatencyObjective: 22 * ms, Deadline: 23 * ms, PriorityWeight: 24.5, LateWeight: 0.25, Idempotency: balancer.Idempotent, Scope: balancer.ScopeAll, DedupWindow: 26 * ms},
-			{LatencyObjective: 27 * ms, Deadline: 28 * ms, PriorityWeight: 29.5, LateWeight: 0.3, Idempotency: balancer.IdempotencyKey, Scope: balancer.ScopeZone, DedupWindow: 31 * ms},
-			{LatencyObjective: 32 * ms, Deadline: 33 * ms, PriorityWeight: 34.5, LateWeight: 0.35, Idempotency: balancer.NonIdempotent, Scope: balancer.ScopeCell, DedupWindow: 36 * ms}},
-		MaxAttempts: 37, HedgingAllowed: true, ProbingAllowed: true, CancelAllowed: true, GossipAllowed: true, RetryAfter: true, MaxRetryAfter: 38 * ms, ConnectTimeout: 39 * ms,
-		DrainGrace: 42 * ms, AnswerGrace: 43 * ms, PollInterval: 44 * ms, InitialCapacity: 0.45, SlowStartWindow: 46 * ms, OverloadMultiple: 4.7, OverloadWindow: 48 * ms,
-		GoalOverall: 0.49, GoalWorstWindow: 0.5, GoalWorstClass: 0.51, CrossZoneCost: 0.52, Regions: []int{0, 0}, CrossRegionCost: 0.53, KeyAffinity: true})
-	equal(t, "site", site, wire.Site{Classes: []string{"c1", "c2", "c3"}, Zones: []string{"a", "b"}, Kinds: []string{"k", "l"}, IdleClose: 40 * ms,
+			{LatencyObjective: 22 * ms, Deadline: 23 * ms, PriorityWeight: 24.5, LateWeight: 0.25,
+				Idempotency: balancer.Idempotent, Scope: balancer.ScopeAll, DedupWindow: 26 * ms},
+			{LatencyObjective: 27 * ms, Deadline: 28 * ms, PriorityWeight: 29.5, LateWeight: 0.3,
+				Idempotency: balancer.IdempotencyKey, Scope: balancer.ScopeZone, DedupWindow: 31 * ms},
+			{LatencyObjective: 32 * ms, Deadline: 33 * ms, PriorityWeight: 34.5, LateWeight: 0.35,
+				Idempotency: balancer.NonIdempotent, Scope: balancer.ScopeCell, DedupWindow: 36 * ms}},
+		MaxAttempts: 37, HedgingAllowed: true, ProbingAllowed: true, CancelAllowed: true, GossipAllowed: true,
+		RetryAfter: true, MaxRetryAfter: 38 * ms, ConnectTimeout: 39 * ms,
+		DrainGrace: 42 * ms, AnswerGrace: 43 * ms, PollInterval: 44 * ms, InitialCapacity: 0.45, SlowStartWindow: 46 * ms,
+		OverloadMultiple: 4.7, OverloadWindow: 48 * ms,
+		GoalOverall: 0.49, GoalWorstWindow: 0.5, GoalWorstClass: 0.51, CrossZoneCost: 0.52, Regions: []int{0, 0},
+		CrossRegionCost: 0.53, KeyAffinity: true})
+	equal(t, "site", site, wire.Site{Classes: []string{"c1", "c2", "c3"}, Zones: []string{"a", "b"},
+		Kinds: []string{"k", "l"}, IdleClose: 40 * ms,
 		MaxOpen: 41, LoadInline: true})
 }
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -69,7 +69,8 @@
 		kind gossip.Kind
 		body []byte
 	}{
-		{gossip.ListServiceLoad, storedHex(t, "body-service.hex")}, {gossip.LatencyRow, storedHex(t, "body-distance.hex")}, {gossip.ResidencyVersion, standing.MarshalBody()},
+		{gossip.ListServiceLoad, storedHex(t, "body-service.hex")}, {gossip.LatencyRow, storedHex(t, "body-distance.hex")},
+		{gossip.ResidencyVersion, standing.MarshalBody()},
 		{gossip.DeadProcesses, names}, {gossip.SettingsVersion, standing.MarshalBody()}, {gossip.FleetSize, census.MarshalBody()},
 	} {
 		one := *filled[gossip.Entry]()
@@ -126,8 +127,10 @@
 // A row of round trips.
 func TestDistanceRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
-		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5, Age: time.Second},
-		latency.Pair{A: "a", B: "c"}: {RTT: 2500 * time.Microsecond, Jitter: 400 * time.Microsecond, Loss: 0.5, Observers: 4, Age: 2 * time.Second},
+		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5,
+			Age: time.Second},
+		latency.Pair{A: "a", B: "c"}: {RTT: 2500 * time.Microsecond, Jitter: 400 * time.Microsecond, Loss: 0.5, Observers: 4,
+			Age: 2 * time.Second},
 	}
 	body, age := m.Row("a", time.Minute)
 	goldenHex(t, "body-distance.hex", body)
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -33,14 +33,16 @@
 
 // The history of a request, as `lab run --events` writes it and `lab trace` reads it.
 func TestRequestHistoryKeepsItsForm(t *testing.T) {
-	q := check.Request{ID: "r1", FirstID: "r2", Attempt: 3, Agent: 4, Class: 5, SentAt: 6, Timeout: 7, History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
+	q := check.Request{ID: "r1", FirstID: "r2", Attempt: 3, Agent: 4, Class: 5, SentAt: 6, Timeout: 7,
+		History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
 	goldenJSON(t, "request.json", q)
 	var got check.Request
 	if err := json.Unmarshal(stored(t, "request.json"), &got); err != nil {
 		t.Fatal(err)
 	}
 	equal(t, "read back", got, q)
-	equal(t, "rules", []string{check.RuleAnswer, check.RuleDuplicate, check.RuleDrain, check.RuleSlowStart, check.RuleUnknown, check.RuleCancelled, check.RuleDeadline,
+	equal(t, "rules", []string{check.RuleAnswer, check.RuleDuplicate, check.RuleDrain, check.RuleSlowStart,
+		check.RuleUnknown, check.RuleCancelled, check.RuleDeadline,
 		check.RuleResidency}, []string{"answer", "duplicate", "drain", "cold", "unsent", "gone", "deadline", "residency"})
 	var answers []string
 	for a := check.Served; a <= check.Foreign; a++ {
@@ -58,10 +60,14 @@
 func TestScenariosKeepTheirNames(t *testing.T) {
 	goldenKeys[scenario.Scenario](t, "scenario-keys.txt")
 	golden(t, "scenarios.txt", []byte(strings.Join(scenario.Names(), "\n")+"\n"))
-	equal(t, "kinds of fault", []string{scenario.Link, scenario.Kill, scenario.Terminate, scenario.Pause, scenario.ZoneLost, scenario.ZoneCut, scenario.ZoneReceiveCut,
-		scenario.Replace, scenario.Drain, scenario.FailingBackends, scenario.SlowBackends, scenario.NoisyNeighbour, scenario.Burst, scenario.DiscoverySilent, scenario.DiscoveryDown,
-		scenario.DiscoveryRewind, scenario.PowerLoss, scenario.Policy, scenario.Settings, scenario.Reload, scenario.WallClock, scenario.SyscallFailure, scenario.IdleClients},
-		[]string{"link", "kill", "term", "stop", "zone-lost", "zone-cut", "zone-deaf", "replace", "drain", "bad", "slow", "neighbour", "burst",
+	equal(t, "kinds of fault", []string{scenario.Link, scenario.Kill, scenario.Terminate, scenario.Pause, scenario.ZoneLost,
+		scenario.ZoneCut, scenario.ZoneReceiveCut,
+		scenario.Replace, scenario.Drain, scenario.FailingBackends, scenario.SlowBackends, scenario.NoisyNeighbour,
+		scenario.Burst, scenario.DiscoverySilent, scenario.DiscoveryDown,
+		scenario.DiscoveryRewind, scenario.PowerLoss, scenario.Policy, scenario.Settings, scenario.Reload, scenario.WallClock,
+		scenario.SyscallFailure, scenario.IdleClients},
+		[]string{"link", "kill", "term", "stop", "zone-lost", "zone-cut", "zone-deaf", "replace", "drain", "bad", "slow",
+			"neighbour", "burst",
 			"list-silent", "list-away", "list-rewind", "power", "policy", "settings", "reload", "wall", "fail", "crowd"})
 	for _, name := range scenario.Names() {
 		s, err := scenario.Read(name)
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -32,11 +32,14 @@
 		balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list},
 		balancer.EndpointUpdate{Kind: balancer.UpdateCached, Backends: list},
 		balancer.EndpointUpdate{Kind: balancer.UpdateFailed},
-		balancer.Request{ID: "r1", Class: 1, TimeRemaining: 20 * ms, Work: 21 * ms, ClientRetry: true, AffinityKey: wire.AffinityKey("item22")},
+		balancer.Request{ID: "r1", Class: 1, TimeRemaining: 20 * ms, Work: 21 * ms, ClientRetry: true,
+			AffinityKey: wire.AffinityKey("item22")},
 	}
-	for i, result := range []balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed,
+	for i, result := range []balancer.Result{balancer.OK, balancer.Errored, balancer.Rejected, balancer.TimedOut,
+		balancer.ConnectFailed,
 		balancer.Reset, balancer.Cancelled, balancer.NotSent} {
-		events = append(events, balancer.Outcome{Request: "r1", Attempt: 23 + i, Backend: "b1", Result: result, Latency: 24 * ms, Done: true, Load: load})
+		events = append(events, balancer.Outcome{Request: "r1", Attempt: 23 + i, Backend: "b1", Result: result,
+			Latency: 24 * ms, Done: true, Load: load})
 	}
 	events = append(events, balancer.ProbeResult{Backend: "b2", Result: balancer.OK, Latency: 25 * ms, Load: load},
 		balancer.ResponseStarted{Request: "r1", Attempt: 26}, balancer.Abandoned{Request: "r1"}, balancer.TimerFired{Token: 27},
@@ -63,10 +66,12 @@
 	const ms = time.Millisecond
 	if err := w.Actions(7, []balancer.Action{
 		balancer.Send{Request: "r1", Backend: "b2", Timeout: 3 * ms, SendDeadline: 4 * ms}, balancer.Send{Request: "r5", Backend: "b6"},
-		balancer.Cancel{Request: "r7", Attempt: 8}, balancer.Refuse{Request: "r9", RetryAfter: 10500 * time.Microsecond, NoPermittedZone: true},
+		balancer.Cancel{Request: "r7", Attempt: 8}, balancer.Refuse{Request: "r9", RetryAfter: 10500 * time.Microsecond,
+			NoPermittedZone: true},
 		balancer.Refuse{Request: "r11"}, balancer.Fail{Request: "r12 \"é\""}, balancer.SetTimer{After: 13 * ms, Token: 14},
 		balancer.Probe{Backend: "b15"}, balancer.SendGossip{To: 16, Data: []byte{17, 18}},
-		balancer.ZoneStateChanged{Zone: 19}, balancer.ZoneStateChanged{Zone: 20, FailedOver: true}, balancer.ZoneStateChanged{Zone: 21, FailedOver: true, ByGossip: true},
+		balancer.ZoneStateChanged{Zone: 19}, balancer.ZoneStateChanged{Zone: 20, FailedOver: true},
+		balancer.ZoneStateChanged{Zone: 21, FailedOver: true, ByGossip: true},
 		balancer.Subscribe{}}); err != nil {
 		t.Fatal(err)
 	}
@@ -82,8 +87,10 @@
 func newBalancer(t *testing.T, self int, heard [][]byte) (b *balancer.Balancer, told [][]byte) {
 	t.Helper()
 	const ms = time.Millisecond
-	s := balancer.Settings{Balancers: 40, Self: self, Classes: []balancer.Class{{LatencyObjective: 100 * ms, Deadline: 1000 * ms, PriorityWeight: 1, LateWeight: 0.2}},
-		MaxAttempts: 3, GossipAllowed: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 50 * ms, InitialCapacity: 0.2, SlowStartWindow: time.Second,
+	s := balancer.Settings{Balancers: 40, Self: self, Classes: []balancer.Class{{LatencyObjective: 100 * ms,
+		Deadline: 1000 * ms, PriorityWeight: 1, LateWeight: 0.2}},
+		MaxAttempts: 3, GossipAllowed: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 50 * ms,
+		InitialCapacity: 0.2, SlowStartWindow: time.Second,
 		OverloadMultiple: 3, OverloadWindow: time.Second, GoalOverall: 1, CrossZoneCost: 0.03}
 	b, err := balancer.New(s, 5)
 	if err != nil {
@@ -106,7 +113,8 @@
 				if a.Backend == "b1" || a.Backend >= "b3" && requests%9 == 0 {
 					result = balancer.Errored
 				}
-				answers = append(answers, balancer.Outcome{Request: a.Request, Backend: a.Backend, Result: result, Latency: latency, Done: result == balancer.OK,
+				answers = append(answers, balancer.Outcome{Request: a.Request, Backend: a.Backend, Result: result, Latency: latency,
+					Done: result == balancer.OK,
 					Load: balancer.Load{Queue: -1, Service: -1, ErrorsPerSec: -1}})
 			case balancer.SetTimer:
 				timers[a.Token] = now + a.After
@@ -176,11 +184,13 @@
 	if err := json.Unmarshal(stored(t, "snapshot-receiver.json"), &s); err != nil {
 		t.Fatal(err)
 	}
-	b, err := balancer.New(balancer.Settings{Balancers: 40, Self: 1, Classes: []balancer.Class{{LatencyObjective: 100 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 40, Self: 1,
+		Classes: []balancer.Class{{LatencyObjective: 100 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Step(time.Hour, []balancer.Event{balancer.Restore{Snapshot: s}})
 	got := b.Snapshot()
-	equal(t, "restored", []any{got.Tokens, got.LimitPerBackend, got.LatencyRatio, got.Latency, got.PeerDemand[0]}, []any{s.Tokens, s.LimitPerBackend, s.LatencyRatio, s.Latency, s.PeerDemand[0]})
+	equal(t, "restored", []any{got.Tokens, got.LimitPerBackend, got.LatencyRatio, got.Latency, got.PeerDemand[0]},
+		[]any{s.Tokens, s.LimitPerBackend, s.LatencyRatio, s.Latency, s.PeerDemand[0]})
 }
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -33,7 +33,8 @@
 		LameDuck: true, LameDuckBootUs: 9_000_009, ListSource: "127.0.0.1:10",
 		List: &discovery.EndpointList{Version: 11, Full: true, Endpoints: []discovery.Endpoint{
 			{ID: "b1", Addr: "127.0.0.1:12", Zone: "a", Kind: "k", Cell: 13, State: "ready", Weight: 14.5, StartedAt: 15}}},
-		Snapshot: &balancer.Snapshot{Tokens: 16.5, LimitPerBackend: 17.5, LatencyRatio: 0.185, PeakThroughput: 0.195, Demand: 20.5, DrainedDemand: 21.5,
+		Snapshot: &balancer.Snapshot{Tokens: 16.5, LimitPerBackend: 17.5, LatencyRatio: 0.185, PeakThroughput: 0.195,
+			Demand: 20.5, DrainedDemand: 21.5,
 			PeerDemand: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
@@ -98,7 +99,8 @@
 	if v := h.State().Version; v != 3 {
 		t.Errorf("version %d", v)
 	}
-	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText, versionedfile.Digest("version = 3\n"): "version = 3\n"} {
+	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText,
+		versionedfile.Digest("version = 3\n"): "version = 3\n"} {
 		if v, text, ok := h.Text(digest); v != 3 || text != want || !ok {
 			t.Errorf("%s: version %d, %q, %v", digest, v, text, ok)
 		}
