--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/wire"
 )
 
-// Configurations: the files that people write, and the platform's form.
+// Configurations: the files that operators write, and the platform's form.
 
 // The keys of each file, and the defaults as `config print` shows them.
 func TestConfigurationsKeepTheirKeys(t *testing.T) {
@@ -88,7 +88,7 @@
 }
 
 // Each key of the platform's configuration, the settings' included, changes what is read when its value changes, or can't
-// be read then. A key that has another name now would be passed over.
+// be read then. A key that was renamed would be ignored.
 func TestNoKeyOfThePlatformIsPassedOver(t *testing.T) {
 	raw := stored(t, "platform.json")
 	before, err := load(raw)
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -55,7 +55,7 @@
 	equal(t, "path and protocol", []string{frame.Path, frame.Protocol}, []string{"/hub", "martenbeam-hub"})
 }
 
-// A message of facts with one of each kind, and the bodies that have a form of their own.
+// A gossip message with one entry of each kind, and the bodies that have an encoding of their own.
 func TestGossipedFactsKeepTheirBytes(t *testing.T) {
 	standing := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
 	census := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
@@ -104,27 +104,27 @@
 	equal(t, "kinds", kinds, []string{"service", "distance", "residency", "gone", "settings", "census"})
 }
 
-// The load of the list service, as one who called it tells it and as a hub sums it up.
+// The load of the list service, as a caller publishes it and as a hub aggregates it.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
 	facts := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
 	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: facts})
 	p.RecordAttempt(time.Millisecond, true, 9)
-	told := facts.Entries(gossip.ListServiceLoad)
-	if len(told) != 1 {
-		t.Fatalf("%d facts", len(told))
+	entries := facts.Entries(gossip.ListServiceLoad)
+	if len(entries) != 1 {
+		t.Fatalf("%d facts", len(entries))
 	}
-	goldenHex(t, "body-service.hex", told[0].Body)
-	told[0].Body = storedHex(t, "body-service.hex")
+	goldenHex(t, "body-service.hex", entries[0].Body)
+	entries[0].Body = storedHex(t, "body-service.hex")
 	var sums [][]byte
 	var subjects []string
-	for _, s := range startup.Aggregate(told) {
+	for _, s := range startup.Aggregate(entries) {
 		sums, subjects = append(sums, s.Body), append(subjects, s.Subject)
 	}
 	equal(t, "subjects", subjects, []string{"lists", "lists refused"})
 	goldenHex(t, "body-service-sum.hex", bytes.Join(sums, nil))
 }
 
-// A row of round trips.
+// A row of the latency matrix.
 func TestDistanceRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
 		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5,
@@ -137,7 +137,7 @@
 	equal(t, "age", age, 2*time.Second)
 }
 
-// A datagram of round trips: an ask is answered with the same label and number.
+// A latency probe is answered with the same label and nonce.
 func TestDistanceDatagramKeepsItsBytes(t *testing.T) {
 	var sent []byte
 	write := func(data []byte, _ netip.AddrPort) (time.Time, error) {
@@ -147,7 +147,7 @@
 	p := latency.New(latency.Config{Name: "n1", Site: "a", Label: "fleet", Send: write})
 	ask := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
 	ask = append(ask, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
-	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // dwelt for longer than the field holds
+	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // held for longer than the field can say
 	goldenHex(t, "datagram-reply.hex", sent)
 }
 
@@ -165,7 +165,7 @@
 	equal(t, "read back", got, *filled[member.Meta]())
 }
 
-// The text that a process hands out, and what a hub reports of settings.
+// The document that a process serves, and a hub's report on settings.
 func TestTextsAndReportsOverHTTPKeepTheirForm(t *testing.T) {
 	k := &documents.Document{Holder: holder{}}
 	w := httptest.NewRecorder()
@@ -184,7 +184,7 @@
 func (holder) Apply(int64, string) error         { return nil }
 func (holder) Text(string) (int64, string, bool) { return 12, "version = 12\n", true }
 
-// A line of a fleet's trace, but for the time.
+// A line of a fleet's trace, except for its time.
 func TestTraceLinesKeepTheirForm(t *testing.T) {
 	var b bytes.Buffer
 	trace := gossip.Trace{W: &b}
@@ -211,7 +211,7 @@
 	golden(t, "trace.jsonl", out)
 }
 
-// The kinds of fact have bounds, each of them.
+// Each kind of entry has a bound.
 func TestFactsHaveBounds(t *testing.T) {
 	if n := reflect.ValueOf(gossip.DefaultAgeBounds).Len(); n != 6 {
 		t.Errorf("%d bounds", n)
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -51,7 +51,7 @@
 	golden(t, "answers.txt", []byte(strings.Join(answers, "\n")+"\n"))
 }
 
-// The plan by which the lab makes system calls of a program fail.
+// The plan of faults that the lab injects into a program.
 func TestInjectedPlanKeepsItsForm(t *testing.T) {
 	goldenJSON(t, "inject-plan.json", filled[faultinject.Plan]())
 }
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/wire"
 )
 
-// What the decision module has written for it by package wire, and what it writes itself.
+// The forms of package wire, and what the decision module encodes itself.
 
 // Each event of a batch, in the form of the bench.
 func TestEventsOfTheBenchKeepTheirForm(t *testing.T) {
@@ -82,9 +82,9 @@
 	golden(t, "actions.jsonl", out.Bytes())
 }
 
-// balancer returns one of many agents with two zones and a fixed seed, in a state that requests have shaped, with the
+// balancer returns one of many agents with two zones and a fixed seed, after a fixed series of requests, with the
 // messages that it has sent to its peers.
-func newBalancer(t *testing.T, self int, heard [][]byte) (b *balancer.Balancer, told [][]byte) {
+func newBalancer(t *testing.T, self int, received [][]byte) (b *balancer.Balancer, sent [][]byte) {
 	t.Helper()
 	const ms = time.Millisecond
 	s := balancer.Settings{Balancers: 40, Self: self, Classes: []balancer.Class{{LatencyObjective: 100 * ms,
@@ -119,14 +119,14 @@
 			case balancer.SetTimer:
 				timers[a.Token] = now + a.After
 			case balancer.SendGossip:
-				told = append(told, append([]byte{byte(a.To)}, a.Data...))
+				sent = append(sent, append([]byte{byte(a.To)}, a.Data...))
 			}
 		}
 		if len(answers) > 0 {
 			now += 20 * ms
 			for i := range answers {
 				o := answers[i].(balancer.Outcome)
-				o.Done = true // a failed attempt ends its request here: further ones would have numbers of their own
+				o.Done = true // a failed attempt ends its request here, so that there are no further ones to number
 				answers[i] = o
 			}
 			step(answers...)
@@ -135,8 +135,8 @@
 	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list})
 	for range 60 {
 		requests++
-		if requests == 50 { // not long before the end, since what peers say of themselves holds for a while alone
-			for _, data := range heard {
+		if requests == 50 { // shortly before the end, since gossip expires
+			for _, data := range received {
 				step(balancer.GossipReceived{From: 0, Data: data[1:]})
 			}
 		}
@@ -152,32 +152,32 @@
 			step(balancer.Drain{On: true})
 		}
 	}
-	return b, told
+	return b, sent
 }
 
-// The messages of agents to their peers: what one agent sends is read by another, and shapes what it knows. A change of what
-// the module decides changes these too.
+// The messages of agents to their peers: what one agent sends is decoded by another, and changes its state. A change of the
+// module's decisions changes these too.
 func TestPeerMessagesKeepTheirBytes(t *testing.T) {
-	b, told := newBalancer(t, 0, nil)
-	if len(told) < 3 {
-		t.Fatalf("%d messages", len(told))
+	b, sent := newBalancer(t, 0, nil)
+	if len(sent) < 3 {
+		t.Fatalf("%d messages", len(sent))
 	}
 	var text strings.Builder
-	for _, data := range told {
+	for _, data := range sent {
 		fmt.Fprintf(&text, "to %d: %x\n", data[0], data[1:])
 	}
 	golden(t, "peer-messages.txt", []byte(text.String()))
 	goldenJSON(t, "snapshot-sender.json", b.Snapshot())
 
-	b, _ = newBalancer(t, 1, told[:len(told)/2]) // later ones say that the sender's clients are elsewhere
+	b, _ = newBalancer(t, 1, sent[:len(sent)/2]) // the later ones say that the sender drains
 	s := b.Snapshot()
 	goldenJSON(t, "snapshot-receiver.json", s)
 	if s.PeerDemand[0] <= 0 {
-		t.Errorf("nothing was heard: %v", s.PeerDemand)
+		t.Errorf("nothing was received: %v", s.PeerDemand)
 	}
 }
 
-// The snapshot that one process of an agent leaves to the next has the same keys, and one that was stored is taken over.
+// The snapshot that one process of an agent leaves to the next has the same keys, and a stored one is restored.
 func TestSnapshotKeepsItsKeys(t *testing.T) {
 	goldenJSON(t, "snapshot-keys.json", filled[balancer.Snapshot]())
 	var s balancer.Snapshot
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -38,7 +38,7 @@
 			PeerDemand: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
-// A record of an agent's processes is written with the same keys, and one stored earlier is read.
+// A handover record is written with the same keys, and one that was stored earlier is read.
 func TestHandoverRecordKeepsItsForm(t *testing.T) {
 	r := handoverRecord()
 	text, err := json.Marshal(r)
@@ -83,7 +83,7 @@
 	equal(t, "files", names, []string{"handover.json", "lock", "owner"})
 }
 
-// Settings are kept as before, and kept ones come into force.
+// Settings are stored as before, and stored ones are applied.
 func TestKeptSettingsKeepTheirForm(t *testing.T) {
 	dir := t.TempDir()
 	if err := settings.SaveFunc(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
@@ -111,7 +111,7 @@
 	equal(t, "digest", settings.Digest(settingsText), "da4d8bc885a122dd")
 }
 
-// A residency policy is kept as before, and a kept one comes into force.
+// A residency policy is stored as before, and a stored one is applied.
 func TestKeptPolicyKeepsItsForm(t *testing.T) {
 	dir := t.TempDir()
 	if err := residency.SaveFunc(dir)(6, []string{policyText}); err != nil {
@@ -134,7 +134,7 @@
 	equal(t, "zones of others", table.Permitted[other], []bool(nil))
 }
 
-// The texts of settings and of a policy have the same keys.
+// The documents of settings and of a policy have the same keys.
 func TestTextsKeepTheirKeys(t *testing.T) {
 	goldenKeys[residency.Policy](t, "policy-keys.txt")
 	p, err := residency.Parse("policy", policyText)
