--- a/balancer/api.go
+++ b/balancer/api.go
@@ -223,7 +223,7 @@
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
-func (req Result) NeverRan() bool { return req == Rejected || req == ConnectFailed || req == NotSent }
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
 // Action is something the agent must do now, in the order given. The present module
 // sends no Cancel and no Probe; agents should carry them out all the same.
