--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,13 +1,19 @@
-// Package balancer decides, for one client process, where each
-// request goes, when it is tried again, and when it is
-// refused. It performs no I/O: the embedding agent owns the clock, the timers
-// and the connections, passes on what happened as events, and carries out the
-// actions it gets back, in order.
+// Package balancer decides, for one client process (an agent), which backend each request goes to, when a failed
+// request is retried, and when a request is refused. It performs no I/O. The embedding agent owns the clock, the
+// timers and the connections: it passes on what happened as events, and carries out the returned actions in order.
 //
-// A Balancer belongs to one goroutine. All times are durations on the agent's
-// own monotonic clock, whose zero is of no matter; they must not run backwards.
-// Its memory is bounded by the requests and attempts that are open, the timers
-// that are pending and the backends that are listed or have attempts out.
+// A Balancer belongs to one goroutine. All times are durations on the agent's own monotonic clock; its zero is
+// arbitrary, and it must not run backwards. Memory is bounded by the open requests and attempts, the pending timers,
+// and the backends that are listed or still have attempts outstanding.
+//
+// Reading order: this file for the interface; balancer.go for how events come in (Step), how an attempt starts (send)
+// and how a request ends (finish); picking.go for the choice of a backend; limits.go for admission; retries.go for
+// retries; health.go for outlier detection; cold.go for slow start; zones.go for zone failover; peers.go for gossip;
+// operations.go for the operators' overrides; residency.go for data residency. The records they share are in state.go,
+// attempts.go, zone.go and sums.go.
+//
+// Constants are dimensionless: every scale comes from the settings or from what is observed. A comment that starts
+// with "Departure:" gives the reason why the module departs from the published design.
 package balancer
 
 import (
@@ -16,16 +22,16 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// Idempotency says what repeating a request does.
+// Idempotency says whether executing a request twice does harm.
 type Idempotency uint8
 
 const (
-	Idempotent     Idempotency = iota // may be repeated and refused at will
-	IdempotencyKey                    // backends of one group drop a repeat within a window
-	NonIdempotent                     // may be repeated only when no attempt can have run
+	Idempotent     Idempotency = iota // may be executed any number of times
+	IdempotencyKey                    // backends of its scope drop duplicates within a window
+	NonIdempotent                     // retried only when no attempt can have executed
 )
 
-// IdempotencyScope says which backends drop repeats of a keyed request.
+// IdempotencyScope says which backends share the memory of idempotency keys, and so drop duplicates.
 type IdempotencyScope uint8
 
 const (
@@ -36,62 +42,61 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within this time earns the full worth
-	Deadline         time.Duration // the time a client waits, over all its tries
-	PriorityWeight   float64       // worth of a request (or of a unit of work, see Settings.WeightByWork)
-	LateWeight       float64       // share of the worth earned between aim and deadline
+	LatencyObjective time.Duration // an answer within this time earns the full weight
+	Deadline         time.Duration // how long a client waits, over all its own attempts
+	PriorityWeight   float64       // value of a request (of a unit of work with Settings.WeightByWork)
+	LateWeight       float64       // share of PriorityWeight earned between LatencyObjective and Deadline
 	Idempotency      Idempotency
-	Scope            IdempotencyScope // for Keyed
-	DedupWindow      time.Duration    // for Keyed: how long a repeat is dropped after the first send
+	Scope            IdempotencyScope // for IdempotencyKey
+	DedupWindow      time.Duration    // for IdempotencyKey: how long duplicates are dropped after the first send
 }
 
-// Settings are fixed for the life of a Balancer. The zero value of a field that
-// may be absent means what its comment says; the zero value of a price, a goal or
-// a span switches off what rests on it. What agents may do at a site (ProbingAllowed,
-// CancelAllowed) is part of the interface though the present module asks for none of it.
+// Settings are fixed for the life of a Balancer. Where a comment gives a meaning for the zero value, the field is
+// optional; the zero value of a cost, a goal or a span switches off what depends on it. Permissions that the module
+// does not use at present (CancelAllowed) are part of the interface all the same.
 type Settings struct {
 	Balancers    int // agents that share these backends, this one included; at least 1
 	Self         int // this agent's number, from 0
 	Zone         int // this agent's zone
 	Classes      []Class
-	WeightByWork bool          // worth counts per unit of work, not per request
-	Subscribe    bool          // the list must be asked for; else it is told unasked
-	Tick         time.Duration // shortest gap between two steps; 0: none
+	WeightByWork bool          // PriorityWeight counts per unit of work, not per request
+	Subscribe    bool          // endpoint updates must be asked for (action Subscribe); otherwise they are pushed
+	Tick         time.Duration // shortest interval between two steps; 0: none
 
-	MaxAttempts    int           // attempts one request may get; 0: 1
-	HedgingAllowed bool          // two attempts of one request may be out together
+	MaxAttempts    int           // attempts per request; 0: 1
+	HedgingAllowed bool          // two attempts of one request may be outstanding at once
 	ProbingAllowed bool          // Probe actions are allowed
 	CancelAllowed  bool          // Cancel actions are allowed
 	GossipAllowed  bool          // SendGossip actions are allowed
-	RetryAfter     bool          // clients are shown Refuse.RetryAfter
-	MaxRetryAfter  time.Duration // the longest wait that a client heeds
-	ConnectTimeout time.Duration // a connection not made in this time fails
+	RetryAfter     bool          // clients see Refuse.RetryAfter
+	MaxRetryAfter  time.Duration // longest Retry-After that clients honor
+	ConnectTimeout time.Duration // a connection not established in this time fails
 
-	DrainGrace       time.Duration // how long sends to a draining backend are still tolerated
+	DrainGrace       time.Duration // how long sends to a draining backend are tolerated
 	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
-	PollInterval     time.Duration // Subscribe: ask at least this often while not subscribed
-	InitialCapacity  float64       // a backend starts at this share of its capacity or more; 0: 1
-	SlowStartWindow  time.Duration // and is warm no later than this after its start
-	OverloadMultiple float64       // a cold backend sent more than this multiple of its capacity ...
-	OverloadWindow   time.Duration // ... over this span falls over
+	PollInterval     time.Duration // with Subscribe: ask at least this often while not subscribed
+	InitialCapacity  float64       // a starting backend has at least this share of its capacity; 0: 1
+	SlowStartWindow  time.Duration // and all of it no later than this after its start
+	OverloadMultiple float64       // a starting backend that is sent more than this multiple of its capacity
+	OverloadWindow   time.Duration // over this span becomes overloaded and fails
 
-	GoalOverall, GoalWorstWindow, GoalWorstClass float64 // what the operator weighs: all, worst span, worst class
-	CrossZoneCost                                float64 // what crossing zones costs, as a share of the result
-	Regions                                      []int   // the region of each zone; empty: no two zones are far from each other
-	CrossRegionCost                              float64 // what crossing regions costs; less than CrossZoneCost counts as that
-	KeyAffinity                                  bool    // a backend does less work for a key that it served lately
+	GoalOverall, GoalWorstWindow, GoalWorstClass float64 // weights of: all requests, the worst time window, the worst class
+	CrossZoneCost                                float64 // cost of crossing zones, as a share of the result
+	Regions                                      []int   // region of each zone; empty: all zones are in one region
+	CrossRegionCost                              float64 // cost of crossing regions; at least CrossZoneCost counts
+	KeyAffinity                                  bool    // a backend needs less work for a key that it served recently
 }
 
-// BackendState is what the list says of a backend.
+// BackendState is the state of a backend according to the endpoint list.
 type BackendState uint8
 
 const (
 	Up       BackendState = iota
-	Draining              // finishing its work
-	Removed               // removed
+	Draining              // finishes its work and gets no new requests
+	Removed               // no longer listed
 )
 
-// Backend is one entry of the list.
+// Backend is one entry of the endpoint list.
 type Backend struct {
 	ID      string
 	State   BackendState
@@ -105,49 +110,49 @@
 // Event is something that happened at the time of a Step.
 type Event interface{ event() }
 
-// UpdateKind says how a List is to be read.
+// UpdateKind says how to read an EndpointUpdate.
 type UpdateKind uint8
 
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // all entries; a backend that is missing is gone
-	UpdateCached                   // all entries as last stored; may be stale
-	UpdateFailed                   // asking failed or the subscription broke; the old list holds
+	UpdateFull                     // all entries; a missing backend was removed
+	UpdateCached                   // all entries, from the cache; may be stale
+	UpdateFailed                   // polling failed or the watch broke; the previous list holds
 )
 
 type (
-	// EndpointUpdate carries the backends or the failure to get them.
+	// EndpointUpdate carries backends, or the failure to get them.
 	EndpointUpdate struct {
 		Kind     UpdateKind
 		Backends []Backend
 	}
-	// Request is a client's request. The balancer owes it one final answer.
+	// Request is a client's request. The balancer owes it exactly one final answer.
 	Request struct {
 		ID            string
 		Class         int
-		TimeRemaining time.Duration // until this client stops waiting
+		TimeRemaining time.Duration // until the client stops waiting
 		Work          time.Duration // expected work; 0: unknown
-		ClientRetry   bool          // the client says that it tries again
-		AffinityKey   uint64        // a hash of what it concerns; 0: unknown
-		Streaming     bool          // its body is large and still coming: BodyComplete follows, and Left runs from then
-		ResidencyRule int           // of residency, that holds for its tenant and class; 0: none
+		ClientRetry   bool          // the client says that this is a retry of its own
+		AffinityKey   uint64        // hash of the object that the request concerns; 0: unknown
+		Streaming     bool          // a large body is still arriving; TimeRemaining runs from BodyComplete
+		ResidencyRule int           // number of the rule for its tenant and class; 0: none
 	}
-	// Quota is this agent's part of what all may have in flight together, where agents know of each other. An even one is
-	// taken where it never came.
+	// Quota is this agent's share of the fleet's concurrency limit, as the fleet assigns it. Until the first one
+	// arrives each agent takes an even share.
 	Quota struct{ Share float64 }
-	// ZoneLatencies are what the agents measured from this one's zone to each, by number. 0: not known, or nothing came back;
-	// Loss says which.
+	// ZoneLatencies are the measured round-trip times from this agent's zone to each zone, by zone number. RTT 0 means
+	// unknown or unreachable; Loss tells which.
 	ZoneLatencies struct {
 		RTT  []time.Duration
-		Loss []float64 // share of asks without an answer
+		Loss []float64 // share of measurements without an answer
 	}
-	// Residency is the policy that is in force from now on.
+	// Residency is the residency policy in force from now on.
 	Residency struct{ Table *gate.Table }
-	// BodyComplete says that the last byte of a large body has come.
+	// BodyComplete says that the last byte of a large body has arrived.
 	BodyComplete struct{ Request string }
-	// BodyConsumed says that part of a large body is gone: no further attempt can be made.
+	// BodyConsumed says that a part of a large body is no longer available: no further attempt is possible.
 	BodyConsumed struct{ Request string }
-	// Outcome ends one attempt. The agent passes on exactly one for each Send.
+	// Outcome ends one attempt. The agent reports exactly one for each Send.
 	Outcome struct {
 		Request       string
 		Attempt       int // attempts of a request count from 0 in the order of their Send
@@ -158,13 +163,13 @@
 		NewConnection bool          // a connection was opened for it
 		Load          Load
 	}
-	// ResponseStarted says that the answer of an attempt has begun to reach the client. Its Outcome comes
-	// once the answer has ended, with the latency of the first bytes.
+	// ResponseStarted says that the response of an attempt has begun to reach the client. The Outcome follows at the
+	// end of the response, with the latency of the first byte.
 	ResponseStarted struct {
 		Request string
 		Attempt int
 	}
-	// Abandoned says that the client left; nothing is owed any longer.
+	// Abandoned says that the client disconnected or cancelled: no answer is owed any longer.
 	Abandoned struct{ Request string }
 	// ProbeResult answers a Probe.
 	ProbeResult struct {
@@ -173,34 +178,34 @@
 		Latency time.Duration
 		Load    Load
 	}
-	// Disable is an operator's call: nothing more goes to this backend until Attach, whatever the
-	// list says meanwhile. An Answer follows in the same step.
+	// Disable is an operator's override: no new request goes to this backend until Enable, whatever the endpoint list
+	// says in between. An OverrideResult follows in the same step.
 	Disable struct {
-		Call      int64 // names the call in the Answer
+		Call      int64 // identifies the override in the OverrideResult
 		Backend   string
-		Inherited bool // taken by another process of this agent: the id need not be listed here
+		Inherited bool // accepted by an earlier process of this agent: the ID need not be listed yet
 	}
-	// Enable is the call that ends any number of Detach. The backend counts as started then.
+	// Enable reverts any number of Disable. The backend counts as started at that time.
 	Enable struct {
 		Call      int64
 		Backend   string
 		Inherited bool
-		At        time.Duration // when it was taken; 0: now
+		At        time.Duration // when it was accepted; 0: now
 	}
-	// Drain says that operators send this agent's clients elsewhere, or let them come again.
+	// Drain says that operators have moved this agent's clients to other agents (On), or have moved them back.
 	Drain struct{ On bool }
-	// Restore comes first to a process that goes on where another of the same agent was.
+	// Restore is the first event of a process that takes over from another process of the same agent.
 	Restore struct{ Snapshot }
-	// TimerFired says that a SetTimer has come due.
+	// TimerFired says that a SetTimer is due.
 	TimerFired struct{ Token int64 }
-	// GossipReceived carries bytes from another agent.
+	// GossipReceived carries a message from another agent.
 	GossipReceived struct {
 		From int
 		Data []byte
 	}
 )
 
-// Load is what a backend reported of itself, late and with noise.
+// Load is a backend's own load report: late and noisy.
 type Load struct {
 	Valid        bool
 	Queue        float64       // requests waiting; negative: not reported
@@ -208,25 +213,25 @@
 	ErrorsPerSec float64       // negative: not reported
 }
 
-// Result says how an attempt or a probe ended.
+// Result says how an attempt or a health check ended.
 type Result uint8
 
 const (
-	OK            Result = iota // served
-	Errored                     // the backend returned an error; may have run
-	Rejected                    // turned away unseen; never ran
-	TimedOut                    // no answer in time; may have run or be running
-	ConnectFailed               // no connection; never ran
-	Reset                       // the connection broke; may have run
-	Cancelled                   // withdrawn; may have run
+	OK            Result = iota // answered successfully
+	Errored                     // the backend returned an error; may have executed
+	Rejected                    // rejected by the backend before execution
+	TimedOut                    // no answer in time; may have executed or be executing
+	ConnectFailed               // no connection; never executed
+	Reset                       // the connection broke; may have executed
+	Cancelled                   // withdrawn; may have executed
 	NotSent                     // never sent
 )
 
-// NeverRan reports whether the result proves that the attempt had no effect.
+// NeverRan reports whether the result proves that the attempt was not executed.
 func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// Action is something the agent must do now, in the order given. The present module
-// sends no Cancel and no Probe; agents should carry them out all the same.
+// Action is something the agent must do now, in the given order. The module sends no Cancel at present; agents should
+// implement it all the same.
 type Action interface{ action() }
 
 type (
@@ -234,46 +239,46 @@
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
-		SendDeadline     time.Duration // its last byte must be out by then, or the attempt is none; 0: no bound
+		SendDeadline     time.Duration // its last byte must be sent by then, else the attempt must not be made; 0: no bound
 	}
-	// Cancel withdraws an attempt; its Outcome still comes.
+	// Cancel withdraws an attempt; its Outcome still follows.
 	Cancel struct {
 		Request string
 		Attempt int
 	}
-	// Refuse is a final answer: not done, a new try does no harm.
+	// Refuse is a final answer: the request was not executed, and a retry by the client is safe.
 	Refuse struct {
 		Request         string
 		RetryAfter      time.Duration // 0: no advice
-		NoPermittedZone bool          // no zone that is permitted has a backend that is up
+		NoPermittedZone bool          // no permitted zone has a backend that is up
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that leaves open whether the request was executed.
 	Fail struct{ Request string }
-	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
+	// SetTimer asks for a TimerFired after a delay. Timers are never cancelled.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// Probe examines a backend outside any request.
+	// Probe asks for a health check of a backend, outside any request.
 	Probe struct{ Backend string }
-	// SendGossip sends a few bytes to another agent. They may come late or not at all.
+	// SendGossip sends a message to another agent. It may arrive late or not at all.
 	SendGossip struct {
 		To   int // that agent's number
 		Data []byte
 	}
-	// Subscribe asks that list changes be delivered from now on.
+	// Subscribe asks for endpoint updates from now on.
 	Subscribe struct{}
-	// ZoneStateChanged tells that a zone is left, or used again by a part that grows. Nothing needs to be done: it is for
-	// those who watch.
+	// ZoneStateChanged reports that traffic failed over from a zone, or that the zone recovers with a growing share of
+	// its traffic. It is for monitoring; the agent need not act on it.
 	ZoneStateChanged struct {
 		Zone       int
 		FailedOver bool
-		ByGossip   bool // left by what other agents told
+		ByGossip   bool // decided on reports of other agents
 	}
-	// OverrideResult ends an operator's call: taken and kept to from now on, or not taken.
+	// OverrideResult ends an operator's override: accepted and in force from now on, or rejected.
 	OverrideResult struct {
 		Call     int64
-		Accepted bool // false: no backend has that id
+		Accepted bool // false: no backend has that ID
 	}
 )
 
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -6,16 +6,16 @@
 
 type attempt struct {
 	backend       *backendState
-	zone, cell    int // where it was when it was sent: a list may tell otherwise later
+	zone, cell    int // at the time of sending: a later endpoint update may change them
 	sentAt        time.Duration
-	sendDeadline  time.Duration // its last byte must be out by then; 0: no bound
+	sendDeadline  time.Duration // its last byte must be sent by then; 0: no bound
 	expected      float64
 	open          bool
-	countedLate   bool // found overdue: its delay is already counted
-	countedSilent bool // its silence is already counted against its zone
+	countedLate   bool // its latency was counted when it became overdue
+	countedSilent bool // its silence was counted against its zone
 
-	occupying bool // in its backend's out
-	untimed   bool // its body came after it was sent, or its answer is large: no time tells that it is overdue
+	occupying bool // counted in its backend's outstanding attempts
+	untimed   bool // the body arrived after the send, or the response is large: elapsed time tells nothing
 }
 
 type request struct {
@@ -23,27 +23,28 @@
 	class            int
 	objectiveAt      time.Duration // answers after this time earn less
 	deadline         time.Duration
-	work             float64 // expected work as told, ns; 0: unknown
+	work             float64 // expected work as announced, ns; 0: unknown
 	attempts         []*attempt
-	openAttempts     int      // attempts out
-	possiblyExecuted int      // attempts that may have run, those out included
-	scopeAttempt     *attempt // the first of these: sets the group and the window
+	openAttempts     int      // attempts without an outcome
+	possiblyExecuted int      // attempts that may have executed, outstanding ones included
+	scopeAttempt     *attempt // the first of these: sets the idempotency scope and window
 	retries          int
-	lastFailed       *backendState // the backend that failed it last
-	timer            int64         // the token of its latest timer; earlier ones are void
-	affinityKey      uint64        // a hash of what it concerns; 0: unknown
-	residencyRule    int           // of residency; 0: none
-	clientRetry      bool          // a later try of the client: part of its aim has passed
+	lastFailed       *backendState // backend of the latest failed attempt
+	timer            int64         // token of its latest timer; earlier ones are void
+	affinityKey      uint64        // hash of the object it concerns; 0: unknown
+	residencyRule    int           // number of its residency rule; 0: none
+	clientRetry      bool          // a retry by the client: part of its objective has passed
 	skipped          bool          // found no backend in this step
 
-	timedFrom time.Duration // its time runs from then
+	timedFrom time.Duration // start of its time remaining
 
-	inBackoff, queued, ended bool // for its backoff; for room; done with
-	committed                bool // bound to the attempt it has: being answered, or part of its body is gone
-	streaming                bool // its body is
+	inBackoff, queued, ended bool // waiting for a retry; waiting for capacity; closed
+	committed                bool // bound to its only attempt: response started or body consumed
+	streaming                bool // its body is still arriving
 }
 
-// sendDeadline is when the last byte of a further attempt must be out: until then its backend drops a repeat. 0: no bound.
+// sendDeadline is the time by which the last byte of another attempt must be sent, so that backends still drop it as a
+// duplicate. 0 means no bound.
 func (b *Balancer) sendDeadline(req *request) time.Duration {
 	class := &b.classes[req.class]
 	if class.Idempotency != IdempotencyKey || req.possiblyExecuted == 0 {
@@ -52,25 +53,25 @@
 	return req.scopeAttempt.sentAt + class.DedupWindow
 }
 
-// unconstrained reports whether nothing but its class tells a request from others: where it may go, and at what work.
+// unconstrained reports whether all such requests of a class are alike to the picker: no earlier attempt, no residency
+// rule, no announced work.
 func (req *request) unconstrained() bool {
 	return len(req.attempts) == 0 && req.residencyRule == 0 && req.work == 0
 }
 
-// occupy books an attempt at its backend. With a body that is still coming it holds no place: the
-// backend has nothing to do yet, and no time runs.
+// occupy counts an attempt as outstanding at its backend. While the body is still arriving the attempt takes no
+// capacity: the backend has nothing to do yet, and no time is measured.
 func (b *Balancer) occupy(req *request, a *attempt) {
 	a.untimed = req.streaming
 	if !req.streaming {
 		b.setOutstanding(a, true)
 		if !a.backend.warmingUp {
-			b.warmOutstanding++ // until measure counts anew
+			b.warmOutstanding++ // until recomputeCapacity counts anew
 		}
 	}
 }
 
-// vacate ends that: with the outcome, or once a large answer has begun. What is left to do then is the
-// network's.
+// vacate ends that, at the outcome or at the start of a large response: what remains then is network transfer.
 func (b *Balancer) vacate(a *attempt) {
 	if a.occupying {
 		b.setOutstanding(a, false)
@@ -94,7 +95,8 @@
 	}
 }
 
-// onResponseStarted takes that an answer has begun: no other attempt may answer, and this one waits for nothing.
+// onResponseStarted marks a request whose response has begun: it gets no other attempt, and this attempt no longer
+// occupies its backend.
 func (b *Balancer) onResponseStarted(event ResponseStarted) {
 	req := b.requests[event.Request]
 	if req == nil {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,11 +1,7 @@
 package balancer
 
-// This is the decision module: every choice an agent makes on requests is in the files that `policy` of the
-// deploy file names. Reading order: here, where events come in (Step) and where attempts start and requests end,
-// which is also where the rules are checked last; then picking, limits, retries, health, cold, peers, operations.
-// Its interface is in api.go, its records and sums in state.go, the form of messages to peers in message.go.
-//
-// Constants are dimensionless; every scale comes from the settings or from what is observed.
+// Event dispatch and the life of a request: Step takes events in, send starts attempts, finish and close end requests.
+// The rules for attempts are checked for the last time in send.
 
 import (
 	"math"
@@ -13,12 +9,13 @@
 )
 
 const (
-	smoothing            = 0.1 // weight of a new sample in a running mean, about the last 20 samples
-	priorSamples         = 2.0 // answers that the mean of all counts for in a backend's slowness at the start
-	retryAfterObjectives = 1.0 // longest aims, give or take half, after which a refused client may find room
+	smoothing            = 0.1 // weight of a new sample in a moving average: about the last 20 samples count
+	priorSamples         = 2.0 // samples that the fleet mean counts for in a new backend's latency ratio
+	retryAfterObjectives = 1.0 // mean Retry-After of a refused client, in longest objectives; jittered by half
 )
 
-// Step takes what has happened by now, in order, and returns what to do.
+// Step handles what has happened by now, in order, and returns the actions to carry out. It must be called from one
+// goroutine. A time before that of the previous Step counts as that time.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
 	b.recomputeCapacity()
@@ -68,8 +65,8 @@
 	req := &request{id: event.ID, class: event.Class, objectiveAt: b.now + min(class.LatencyObjective, event.TimeRemaining),
 		deadline: b.now + event.TimeRemaining, clientRetry: event.ClientRetry, residencyRule: event.ResidencyRule,
 		affinityKey: event.AffinityKey, timedFrom: b.now, streaming: event.Streaming}
-	// A client gives its tries a usual patience, its last one all that is left of its deadline.
-	// A try with any other patience therefore tells how long ago the client began.
+	// Clients give all their attempts one usual timeout, and the last one what is left of their deadline. An attempt
+	// with any other timeout is therefore a retry, and the difference tells when the client started.
 	if class.usualTimeout == 0 {
 		class.usualTimeout = event.TimeRemaining
 	}
@@ -79,7 +76,7 @@
 		req.objectiveAt -= max(0, class.Deadline-event.TimeRemaining)
 	}
 	if !event.ClientRetry {
-		class.usualTimeout += min(max(offset, -b.settings.Tick/4), b.settings.Tick/4) // towards the median
+		class.usualTimeout += min(max(offset, -b.settings.Tick/4), b.settings.Tick/4) // converges to the median
 	}
 	if req.work = float64(event.Work); req.work > 0 {
 		class.meanWork = ewma(class.meanWork, req.work)
@@ -152,7 +149,7 @@
 	case b.zoneByProbeTimer(token) != nil:
 		b.probeZone(b.zoneByProbeTimer(token))
 	case req != nil && !req.ended && token == req.timer:
-		req.timer = 0 // a held one may be due later by now: it must get another, or it is lost
+		req.timer = 0 // a queued request may have to wait longer by now: it gets a new timer
 		if req.inBackoff {
 			req.inBackoff = false
 			b.enqueue(req)
@@ -165,14 +162,14 @@
 		if !b.settings.Subscribe {
 			return
 		}
-		// Asked again after an exponential, fully jittered wait.
+		// Poll again after an exponential backoff with full jitter.
 		b.pollFailures++
 		unit := float64(b.settings.PollInterval) / 64
 		b.pollTimer = b.setTimer(time.Duration(b.rng.Float64() * unit * math.Exp2(float64(min(b.pollFailures, 4)))))
 		return
 	}
 	if event.Kind == UpdateCached && b.settings.Subscribe {
-		// Spread in time, since all agents may start at once.
+		// Jittered, since all agents may start at once.
 		b.pollTimer = b.setTimer(time.Duration(b.rng.Float64() * float64(b.settings.PollInterval) / 64))
 	} else {
 		b.pollFailures = 0
@@ -180,7 +177,7 @@
 	b.mergeEndpoints(event)
 }
 
-// send starts an attempt. Nothing else does; the rules are checked here last.
+// send starts an attempt. No other function does, so the rules are checked here for the last time.
 func (b *Balancer) send(req *request, backend *backendState) {
 	if backend.State != Up || !b.mayAttempt(req, backend) || b.now >= req.deadline {
 		b.finish(req)
@@ -205,12 +202,13 @@
 		wait := min(objective, max(overdueObjectives*objective, overdueLatencies*a.expected))
 		b.overdueTimers[b.setTimer(time.Duration(wait))] = a
 	}
-	backend.slowStartBudget -= b.expectedLatency(req) / b.classes[req.class].latency // tells while it is cold
+	// Counted in mean requests; only used during slow start.
+	backend.slowStartBudget -= b.expectedLatency(req) / b.classes[req.class].latency
 	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
 }
 
-// finish gives a request its final answer. Nothing else does. It is a refusal
-// where no attempt may have run, which lets any client try again; else a failure.
+// finish gives a request its final answer; no other function does. The answer is a refusal if no attempt can have
+// executed, which makes a retry by any client safe, and a failure otherwise.
 func (b *Balancer) finish(req *request) {
 	if req.ended {
 		return
@@ -224,7 +222,7 @@
 	b.close(req)
 }
 
-// close forgets a request once it has ended and its attempts are in.
+// close ends a request, and forgets it once all its attempts have their outcome.
 func (b *Balancer) close(req *request) {
 	req.ended = true
 	if req.queued {
--- a/balancer/calls.go
+++ b/balancer/calls.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// The records of operators' calls. Nothing is decided here.
+// The records of operators' overrides. Nothing is decided here.
 
-// overrides is what operators said of backends, by id, and of this agent. The list knows nothing of it and
-// ends none of it.
+// overrides are what operators ordered about backends, by ID, and about this agent. Endpoint updates neither know nor
+// end them.
 type overrides struct {
-	drainedDemand float64                  // the demand of this agent's clients, who were sent elsewhere; 0: they are here
-	disabled      map[string]BackendState  // with the state that the list last told
-	reenabledAt   map[string]time.Duration // when they were called back, while that still makes them cold
+	drainedDemand float64                  // demand of this agent's clients, which were moved elsewhere; 0: not drained
+	disabled      map[string]BackendState  // with the state that the endpoint list last gave
+	reenabledAt   map[string]time.Duration // while that still means slow start
 }
 
-// knowsBackend reports whether a call may name this id.
+// knowsBackend reports whether an override may name this ID.
 func (b *Balancer) knowsBackend(id string) bool {
 	_, disabled := b.overrides.disabled[id]
 	_, reenabled := b.overrides.reenabledAt[id]
--- a/balancer/cold.go
+++ b/balancer/cold.go
@@ -1,6 +1,7 @@
 package balancer
 
-// How much a backend gets that has just started: no more, by all agents together, than it surely bears.
+// Slow start: how much a backend that has just started may get from all agents together, never more than it can surely
+// bear.
 
 import (
 	"math"
@@ -8,13 +9,12 @@
 )
 
 const (
-	warmthTrust      = 0.6 // power of the stated multiple up to which a cold backend's answers are believed
-	maxSlowStartWork = 2.0 // a cold backend gets no request of more than so many times the mean work
+	warmthTrust      = 0.6 // exponent of OverloadMultiple that bounds the trust in measured warmth
+	maxSlowStartWork = 2.0 // most work of a request during slow start, relative to the mean
 )
 
-// beginSlowStart notes that a backend's process started at a time learned now. Its budget begins at a
-// random part of one request below nothing: each of many agents may send it one at once, and all
-// together would push it over.
+// beginSlowStart notes that a backend's process started at the given time. Its budget starts at a random value between
+// -1 and 0 requests: if each of many agents sent it one request at once, they would overload it together.
 func (b *Balancer) beginSlowStart(backend *backendState, at time.Duration) {
 	b.markUnstable(backend)
 	backend.slowStartAt, backend.warmingUp, backend.answeredSinceStart = at, true, false
@@ -22,15 +22,15 @@
 	backend.slowStartBudget, backend.slowStartBudgetAt = -b.rng.Float64(), b.now
 }
 
-// warmth is the share of its full capacity that a backend seems to have by now. Departure: how fast
-// cold ones answer tells what part of the stated time they need, and what they can do beyond the
-// sure share is not left idle; the stated multiple bounds how far that is believed.
+// warmth is the share of its full capacity that a backend seems to have by now. Departure: the latency of starting
+// backends shows which share of the slow-start window they really need, and capacity beyond the guaranteed share is
+// not left idle; a power of OverloadMultiple bounds how far the measurement is trusted.
 func (b *Balancer) warmth(backend *backendState) float64 {
 	initial, guaranteed := b.settings.InitialCapacity, b.guaranteedWarmth(backend)
 	return min(1, initial+(guaranteed-initial)/b.warmUpRatio, guaranteed*b.trustedMultiple)
 }
 
-// guaranteedWarmth is the share of its full capacity that a backend surely has by now.
+// guaranteedWarmth is the share of its full capacity that a backend surely has by now. It also ends the slow start.
 func (b *Balancer) guaranteedWarmth(backend *backendState) float64 {
 	age := b.now - backend.slowStartAt
 	if backend.warmingUp = backend.warmingUp && age < b.settings.SlowStartWindow; !backend.warmingUp {
@@ -39,12 +39,13 @@
 	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*max(0, float64(age)/float64(b.settings.SlowStartWindow))
 }
 
-// hasSlowStartBudget reports whether a cold backend may get this request: each agent sends it no more
-// work than a warm one serves for it, times warmth, times the root of the stated multiple: as
-// far below the multiple as above the sure capacity, since most have more than that. Where none is
-// warm, what the cold ones serve tells, and one request at a time of all agents is the least.
+// hasSlowStartBudget reports whether a backend in slow start may get this request. Each agent sends it no more work
+// than a warm backend serves for that agent, times warmth or guaranteed warmth times the square root of
+// OverloadMultiple: as far below the multiple as above the guaranteed capacity, since most backends have more than the
+// guarantee. Where none is warm, the throughput of the starting ones counts, and the minimum is one request at a time
+// of all agents together.
 func (b *Balancer) hasSlowStartBudget(backend *backendState, req *request) bool {
-	if !backend.warmingUp { // as measure found it in this step
+	if !backend.warmingUp { // as recomputeCapacity found in this step
 		return true
 	}
 	backend.slowStartBudget = min(backend.slowStartBudget+b.slowStartRate(backend)*float64(b.now-backend.slowStartBudgetAt), 1)
@@ -52,8 +53,8 @@
 	return backend.slowStartBudget > 0 && b.expectedLatency(req) <= maxSlowStartWork*b.classes[req.class].latency
 }
 
-// slowStartRate is how many mean requests a cold backend may be sent for each unit of time. They are counted,
-// not timed: with a queue anywhere each takes longer, which tells nothing of this backend.
+// slowStartRate is how many mean requests per ns a backend in slow start may be sent. Requests are counted, not timed:
+// with a queue anywhere each takes longer, which tells nothing about this backend.
 func (b *Balancer) slowStartRate(backend *backendState) float64 {
 	warmth := max(b.warmth(backend), b.guaranteedWarmth(backend)*math.Sqrt(max(1, b.settings.OverloadMultiple)))
 	return warmth * max(b.peakThroughput.value(b.now), 1/b.classes[0].latency/float64(b.settings.Balancers))
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -1,6 +1,6 @@
 package balancer
 
-// What clients ask for, here and at peers. Nothing is decided here.
+// The demand of clients, here and at peers. Nothing is decided here.
 
 import (
 	"math"
@@ -9,19 +9,19 @@
 
 type peer struct {
 	demand        float64
-	drainedDemand float64       // what its clients asked for when operators sent them elsewhere; 0: they are there
-	validUntil    time.Duration // what it told holds until then
+	drainedDemand float64       // demand of its clients that operators have moved elsewhere; 0: not drained
+	validUntil    time.Duration // its last message holds until then
 }
 
-// steadyDemand is the decayed work that clients asked for, as it will stand once the agent has run for
-// long: one that was restarted would reckon itself quiet beside peers that were not.
+// steadyDemand is the decayed work that clients ask for, extrapolated to an agent that has run for long. Without that
+// a restarted agent would take itself for a quiet one beside its peers.
 func (b *Balancer) steadyDemand() float64 {
 	age := max(float64(b.now-b.startedAt), float64(b.maxObjective)/4)
 	return b.demand.value(b.now) / (1 - math.Exp(-age/b.demand.timeConstant))
 }
 
-// onPeerDemand takes a peer's demand. One whose clients are sent elsewhere hands its demand to the others, to
-// each an even part, and takes it back when they return; what really comes soon counts for more.
+// onPeerDemand applies a peer's demand. A drained peer's demand is distributed evenly over the other agents, and taken
+// back when its clients return; the traffic that really arrives soon outweighs the estimate.
 func (b *Balancer) onPeerDemand(sender *peer, message gossipMessage) {
 	sender.validUntil = b.now + time.Duration(peerExpiry*float64(b.maxObjective))
 	moved := 0.0
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -1,31 +1,31 @@
 package balancer
 
-// What may be in flight: the limit that follows the delay, each agent's part of it, and who waits, leaves
-// or is refused while it binds.
+// Admission: the concurrency limit that follows latency, this agent's share of it (quota), and which queued requests
+// are sent, wait or are refused while the limit binds.
 
 import (
 	"time"
 )
 
 const (
-	targetLatencyRatio      = 0.35 // mean latency, as a share of the aim, above which less is kept in flight
-	targetLatencyRatioAlone = 0.6  // the same for a thin agent without peers: full servers met by chance count as delay
-	limitDecrease           = 0.9  // one cut of the in-flight limit
-	limitIncrease           = 4.0  // and its growth, in attempts per backend for as many answers as the mean spans, at no delay
-	creditBurst             = 4.0  // mean requests that may go out ahead of the credit
-	maxCreditPerRequest     = 2.0  // what a first try brings at most, in its own work: retries need some too
-	initialLimitPerBackend  = 6.0  // in-flight limit at the start, for all agents together per backend
-	minLimitPerBackend      = 4.0  // and the least it falls to: less would leave cores idle
-	maxBackendShares        = 3.0  // no backend holds more than so many mean shares of the limit
-	queueMargin             = 2.0  // a held request leaves when fewer than so many mean latencies remain to its aim
-	maxQueueMargin          = 0.75 // of the aim; a request may always be held for the rest of it
-	headcountShare          = 0.25 // part of the limit that is shared out by head count, the rest by traffic
-	clientRetryValue        = 0.1  // value of a client's repeat against a first try: most of its aim has passed
+	targetLatencyRatio      = 0.35 // target for mean latency relative to the objective; above it the limit is cut
+	targetLatencyRatioAlone = 0.6  // the same for a sparse quota without gossip, where chance rejections count as latency
+	limitDecrease           = 0.9  // factor of one cut
+	limitIncrease           = 4.0  // growth, in attempts per backend for each mean of answers, at zero latency
+	creditBurst             = 4.0  // mean requests that may be sent ahead of the credit
+	maxCreditPerRequest     = 2.0  // largest credit of a first attempt, in its own work: retries need some too
+	initialLimitPerBackend  = 6.0  // limit at the start, for all agents together per backend
+	minLimitPerBackend      = 4.0  // lower bound of the limit: less would leave cores idle
+	maxBackendShares        = 3.0  // a backend gets no more than so many times its even share of the limit
+	queueMargin             = 2.0  // a queued request is refused when fewer than so many mean latencies remain
+	maxQueueMargin          = 0.75 // but may always wait until this share of its objective remains
+	headcountShare          = 0.25 // part of the limit that is shared evenly, the rest by demand
+	clientRetryValue        = 0.1  // value of a client's retry relative to a first attempt: most of its objective has passed
 )
 
-// admitQueued sends what is held while there is room: first tries before clients' repeats, the
-// most valuable class first, within it the newest. Waiting here costs the backends nothing; it
-// ends when an answer within the aim is out of reach.
+// admitQueued sends queued requests while there is capacity: first attempts before clients' retries, the class of the
+// highest marginal value first, and in a class the newest first. Waiting here costs the backends nothing. A request is
+// refused when an answer within its objective is out of reach.
 func (b *Balancer) admitQueued() {
 	if len(b.queue) == 0 {
 		return
@@ -63,7 +63,7 @@
 			b.send(req, backend)
 			continue
 		}
-		for _, other := range b.queue { // nor is there one for others like it
+		for _, other := range b.queue { // the same holds for requests like it
 			other.skipped = other.skipped || other == req ||
 				other.class == req.class && other.unconstrained() && req.unconstrained()
 		}
@@ -85,8 +85,9 @@
 	}
 }
 
-// hasCapacity reports whether one more attempt may go out. A thin agent seldom has two requests to
-// choose from, so each class leaves credit for the more valuable ones, by their share of arrivals.
+// hasCapacity reports whether one more attempt may be sent. With a sparse quota there are seldom two requests to
+// choose from, so each class leaves credit for the more valuable ones, in proportion to their share of the arriving
+// work.
 func (b *Balancer) hasCapacity(req *request) bool {
 	if b.sparseQuota() {
 		above, total := 0.0, 0.0
@@ -100,19 +101,20 @@
 	return float64(b.inFlight-b.uncountedOutstanding) < b.limit()
 }
 
-// sparseQuota reports whether an even part of the in-flight limit is less than one: too small to be counted out.
-// Departure: many agents that may each have one attempt in flight have too many together.
-// There an agent admits by credit instead: each first try brings its own work times the
-// square of aimed over present delay, each attempt takes its work. All agents see one
-// fleet's delay, so that all admit the same part of what they are asked, however much that is.
+// sparseQuota reports whether an even share of the concurrency limit is less than one attempt, so that counting
+// attempts does not work. Departure: many agents with one attempt each have too many together. Such an agent admits by
+// credit instead: each first attempt brings its own work times the square of target latency over present latency, and
+// each attempt sent takes its work. All agents see the latency of one fleet, so all admit the same share of their
+// demand, however high it is.
 func (b *Balancer) sparseQuota() bool {
 	return b.settings.Balancers > 1 && initialLimitPerBackend*float64(b.up) < float64(b.settings.Balancers)
 }
 
-// gossipsObservations reports whether thin agents pass notes: what one of them saw, all know soon.
+// gossipsObservations reports whether agents exchange observations: with sparse quotas what one agent saw is known to
+// all soon.
 func (b *Balancer) gossipsObservations() bool { return b.settings.GossipAllowed && b.sparseQuota() }
 
-// accrueCredit adds what a first try brings to the credit of a thin agent.
+// accrueCredit adds the credit that a first attempt brings to an agent with a sparse quota.
 func (b *Balancer) accrueCredit(req *request) {
 	factor := targetLatencyRatioAlone / max(b.latencyRatio, 1e-9)
 	if b.gossipsObservations() {
@@ -122,14 +124,14 @@
 		creditBurst*b.classes[req.class].latency)
 }
 
-// adjustLimit moves the limit on attempts in flight by the latency seen, as a share of the aim: down
-// when the running mean passes the aimed share, up while it binds, by the square of what is left to
-// it: when a zone is lost the others have to take its part within seconds, and near the aimed delay one
-// step too many turns backends slow. Departure: beyond it requests are held, then refused, since a
-// queue that outlasts the aims serves nobody. The floor, a few
-// attempts per backend, keeps a fleet in use that is slow without a queue.
+// adjustLimit moves the concurrency limit by one latency sample, relative to the objective. The limit falls while the
+// moving average is above the target. It grows while the limit binds, by the square of the distance to the target:
+// when a zone is lost the others must take over its share within seconds, but close to the target one step too many
+// overloads the backends. Departure: beyond the limit requests are queued and then refused, since a queue that
+// outlasts the objectives serves nobody. The lower bound, a few attempts per backend, keeps a fleet in use that is
+// slow but has no queues.
 func (b *Balancer) adjustLimit(sample float64) {
-	// The mean spans what is in flight at once: over less, chance would cut a busy agent's limit.
+	// The average spans what is in flight at once: over fewer samples, chance would cut a busy agent's limit.
 	weight := min(smoothing, 1/b.limit())
 	b.latencyRatio += weight * (min(sample, 2) - b.latencyRatio)
 	switch {
@@ -138,15 +140,15 @@
 		b.limitCutAt = b.now
 	case b.latencyRatio < targetLatencyRatio && float64(b.inFlight-b.uncountedOutstanding)+1 >= b.limit()*0.9:
 		headroom := 1 - b.latencyRatio/targetLatencyRatio
-		b.limitPerBackend += limitIncrease * weight * headroom * headroom // no faster than the delay is seen
+		b.limitPerBackend += limitIncrease * weight * headroom * headroom // no faster than latency is observed
 	}
 }
 
-// limit is what may be in flight now; it follows the list as the fleet grows and shrinks,
-// and a cold backend counts by its warmth.
+// limit is the number of attempts that may be in flight now. It follows the endpoint list as the fleet grows and
+// shrinks; a backend in slow start counts by its warmth.
 func (b *Balancer) limit() float64 { return max(1, b.limitPerBackend*b.quota*b.capacity) }
 
-// recomputeQuota reckons this agent's share of the limit.
+// recomputeQuota computes this agent's share of the concurrency limit: a part evenly, the rest by demand.
 func (b *Balancer) recomputeQuota() {
 	sampled := b.settings.Balancers-1 > gossipFanout
 	total, known, agents := b.steadyDemand(), 1.0, float64(b.settings.Balancers)
@@ -155,10 +157,10 @@
 			total += peer.demand
 			known++
 		} else if peer.validUntil > 0 && !sampled {
-			agents-- // it has stopped, or is emptied, and its clients go elsewhere
+			agents-- // stopped or drained: its clients go elsewhere
 		}
 	}
-	if b.assignedQuota > 0 { // who is there is known: an even part of all who are
+	if b.assignedQuota > 0 { // the fleet size is known: an even share of it
 		agents = 1 / b.assignedQuota
 	}
 	if b.quota = 1 / agents; total > 0 {
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The records that follow the list of backends. Nothing is decided here.
+// The records that follow the endpoint list. Nothing is decided here.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// mergeEndpoints takes a list over into the records: what is new, what has started again, what is gone.
+// mergeEndpoints applies an endpoint update to the records: new backends, restarted ones, removed ones.
 func (b *Balancer) mergeEndpoints(update EndpointUpdate) {
 	listed := map[string]bool{}
 	for _, entry := range b.applyOverrides(update.Backends) {
@@ -32,7 +32,7 @@
 		backend.Backend = entry
 	}
 	slices.SortStableFunc(b.backends, func(x, y *backendState) int { return cmp.Compare(x.subsetRank, y.subsetRank) })
-	// One that is gone is kept no longer than its attempts are out: fleets are replaced again and again.
+	// A removed backend is kept only while it has attempts outstanding: fleets are replaced again and again.
 	b.backends = slices.DeleteFunc(b.backends, func(backend *backendState) bool {
 		if update.Kind != UpdateDelta && !listed[backend.ID] {
 			b.markUnstable(backend)
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -6,39 +6,38 @@
 	"time"
 )
 
-// What agents tell each other, and how it is put into at most maxMessageSize bytes. Nothing
-// is decided here.
+// The gossip wire form: what agents send each other, in at most maxMessageSize bytes. Nothing is decided here.
 
 const (
 	maxMessageSize  = 256  // bytes
-	headerSize      = 8    // bytes before the notes
+	headerSize      = 8    // bytes before the observations
 	observationSize = 5    // bytes: key 3, value 1, age 1
-	ratioSteps      = 31.0 // steps of a value: 8 times the expected latency fits below valueLate
-	valueLate       = 254  // the value of an attempt found overdue
-	valueFailed     = 255  // the value of one that failed
-	drainedFlag     = 1    // in the byte after the notes: this agent's clients were sent elsewhere
-	maxLossZones    = 16   // zones that a message can name as lost, in the bytes after that
-	ageSteps        = 32   // steps of age in a unit; a note dies of age after eight units
+	ratioSteps      = 31.0 // steps per multiple of the expected latency: 8 multiples fit below valueLate
+	valueLate       = 254  // value of an overdue attempt
+	valueFailed     = 255  // value of a failed attempt
+	drainedFlag     = 1    // in the byte after the observations: the sender's clients were moved elsewhere
+	maxLossZones    = 16   // zones that a message can report as lost, in the two bytes after that
+	ageSteps        = 32   // age steps per unit (the longest objective); an observation expires after eight units
 )
 
-// observation is one outcome at a backend: its latency as a multiple of the expected in steps of
-// 1/ratioSteps, or valueLate or valueFailed.
+// observation is one outcome at a backend: its latency as a multiple of the expected one, in steps of 1/ratioSteps, or
+// valueLate or valueFailed.
 type observation struct {
 	key        uint32
 	value      byte
 	observedAt time.Duration
 }
 
-// gossipMessage is what an agent tells its peers of itself and of what it saw.
+// gossipMessage is what an agent tells its peers about itself and about backends.
 type gossipMessage struct {
 	demand, latencyRatio float64
 	observations         []observation
-	drained              bool   // the demand is of clients whom operators have sent elsewhere
-	lostZones            uint16 // zones that the sender found lost by what it saw itself, a bit each
+	drained              bool   // the demand is of clients that operators have moved elsewhere
+	lostZones            uint16 // zones that the sender found lost on its own evidence, one bit each
 }
 
-// encode writes the header and as many notes as fit, those of bad news first and the newest
-// first. Ages are rounded up, so that no note grows younger on its way.
+// encode writes the header and as many observations as fit: failures first, and the newest first. Ages are rounded up,
+// so that no observation gets younger on its way.
 func (m gossipMessage) encode(now, unit time.Duration) []byte {
 	data := binary.BigEndian.AppendUint32(make([]byte, 0, maxMessageSize), math.Float32bits(float32(m.demand)))
 	data = binary.BigEndian.AppendUint32(data, math.Float32bits(float32(m.latencyRatio)))
@@ -52,7 +51,7 @@
 			}
 		}
 	}
-	if m.drained || m.lostZones != 0 { // less than a note: who doesn't know it passes over it
+	if m.drained || m.lostZones != 0 { // shorter than an observation: receivers that don't know it skip it
 		flags := byte(0)
 		if m.drained {
 			flags = drainedFlag
@@ -65,7 +64,7 @@
 	return data
 }
 
-// decode reads a message. It reports false where the header is short or holds no numbers.
+// decode reads a message. It returns false if the header is short or holds no valid numbers.
 func decode(data []byte, now, unit time.Duration) (m gossipMessage, ok bool) {
 	if len(data) < headerSize {
 		return m, false
@@ -85,20 +84,21 @@
 	return m, m.demand >= 0 && m.demand <= math.MaxFloat32 && m.latencyRatio >= 0 && m.latencyRatio <= math.MaxFloat32
 }
 
-// gossipKey is a short hash (FNV-1a) of a backend's id; two that share one share their notes.
+// gossipKey is a short hash (FNV-1a with a finalizer) of a backend's ID. Two backends with one key share their
+// observations.
 func gossipKey(id string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(id) {
 		h = (h ^ uint32(id[i])) * 16777619
 	}
-	h = (h ^ h>>16) * 0x85ebca6b // ids differ in their last bytes: spread that over all bits
+	h = (h ^ h>>16) * 0x85ebca6b // IDs differ in their last bytes: spread that over all bits
 	h = (h ^ h>>13) * 0xc2b2ae35
 	return (h ^ h>>16) >> 8
 }
 
-// recordObservation keeps a note for peers. Departure: a thin agent meets each backend too seldom to know
-// its speed or its death by itself. Where agents may exchange messages it passes on what it saw
-// and what it was told, for a few aims: one message to one of them for every few outcomes.
+// recordObservation keeps an observation for peers. Departure: an agent with a sparse quota meets each backend too
+// seldom to learn its speed or its death by itself. Where agents may exchange messages it passes on what it saw and
+// what it was told for a few objectives, with one message to one peer for every few outcomes.
 func (b *Balancer) recordObservation(n observation) {
 	if backend := b.byGossipKey[n.key]; backend != nil {
 		backend.observedAt = n.observedAt
@@ -111,7 +111,7 @@
 	b.actions = append(b.actions, SendGossip{To: (b.settings.Self + step) % b.settings.Balancers, Data: data})
 }
 
-// gossipStatus is what peers are told.
+// gossipStatus is the message to peers, with the given observations.
 func (b *Balancer) gossipStatus(notes []observation) gossipMessage {
 	m := gossipMessage{demand: b.steadyDemand(), latencyRatio: b.latencyRatio, observations: notes,
 		lostZones: b.recentlyLostZones()}
--- a/balancer/operations.go
+++ b/balancer/operations.go
@@ -1,18 +1,18 @@
 package balancer
 
-// The decisions on operators' calls: which backends are out of use, and how one
-// comes back.
+// Operators' overrides: which backends are disabled, how one is put back into use, and what a drained agent tells its
+// peers.
 
 import (
 	"time"
 )
 
 const (
-	reinstateDelay      = 3 * time.Second // a backend that was called back is used by then: operators expect it within 5 s
-	reinstatePreference = 5 * time.Second // and for so long the first request that may go there does
+	reinstateDelay      = 3 * time.Second // latest first request of a re-enabled backend: operators expect it within 5 s
+	reinstatePreference = 5 * time.Second // for so long it is preferred over idle backends until it has answered
 )
 
-// onOtherEvent takes the events that operators cause, and those of large answers.
+// onOtherEvent dispatches the operators' events and those of large bodies and responses.
 func (b *Balancer) onOtherEvent(event Event) {
 	switch event := event.(type) {
 	case Disable:
@@ -44,7 +44,7 @@
 		if backend := b.byID[event.Backend]; backend != nil {
 			b.overrides.disabled[event.Backend] = backend.State
 			b.markUnstable(backend)
-			backend.State = max(backend.State, Draining) // no new attempt; what is out may finish
+			backend.State = max(backend.State, Draining) // no new attempts; the outstanding ones may finish
 		}
 		b.recomputeCapacity()
 	}
@@ -62,9 +62,9 @@
 	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
 }
 
-// reinstate has a backend in use again, in the state that the list tells. Operators restart it while
-// it is out, and the list may tell of that late or never: it counts as started now, and nothing that
-// was learned of the process before is held against it.
+// reinstate puts a disabled backend back into use, in the state that the endpoint list gives. Operators restart
+// backends while they are disabled, and the list may say so late or never: the backend counts as started now, and
+// everything learned about its earlier process is forgotten.
 func (b *Balancer) reinstate(id string, state BackendState, at time.Duration) {
 	if at == 0 {
 		at = b.now
@@ -84,14 +84,14 @@
 	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
 	backend.failureScore, backend.ejectedUntil, backend.ejectedAt, backend.rejectingUntil = 0, 0, 0, 0
 	backend.presumedDead, backend.consecutiveTimeouts, backend.consecutiveFailures, backend.failureRate = false, 0, 0, 0
-	// Its budget begins below nothing, so that agents called at once don't all send at once. With little
+	// The budget starts below 0, so that agents called at the same time don't all send at once; but with little
 	// traffic it would take longer to fill than operators wait.
 	backend.slowStartBudget = max(backend.slowStartBudget, -b.slowStartRate(backend)*float64(reinstateDelay)*b.rng.Float64())
 	b.recomputeCapacity()
 }
 
-// applyOverrides puts a list under the operators' calls: a detached backend drains, whatever the list says, and
-// one that was called back started no earlier than then.
+// applyOverrides returns an endpoint list with the operators' overrides applied: a disabled backend drains, whatever
+// the list says, and a re-enabled one started no earlier than it was re-enabled.
 func (b *Balancer) applyOverrides(list []Backend) []Backend {
 	effective := append([]Backend(nil), list...)
 	for i := range effective {
@@ -112,9 +112,9 @@
 	return effective
 }
 
-// onDrain tells peers at once. Departure: what agents learn of each other's demand follows it by
-// seconds, in which the one that the clients go to refuses them by its old share of the limit, and the
-// one that they come back to does again.
+// onDrain tells the peers at once. Departure: what agents learn about each other's demand lags by seconds. During that
+// time the agents that receive the clients would refuse them at their old quota, and the drained agent would do the
+// same when its clients return.
 func (b *Balancer) onDrain(event Drain) {
 	switch {
 	case event.On && b.overrides.drainedDemand == 0:
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -1,17 +1,17 @@
 package balancer
 
-// What agents tell each other, and whom.
+// Gossip: what agents tell each other, and which peers an agent sends to.
 
 const (
-	gossipFanout      = 8   // peers told each time: all at a small site, as many at random at a large one
-	peerExpiry        = 4.0 // a peer that misses so many tells has stopped; one never heard counts as a mean one
-	outcomesPerGossip = 2   // outcomes for each message with notes: half the price of one a request
+	gossipFanout      = 8   // peers per gossip round: all peers at a small site, a random sample at a large one
+	peerExpiry        = 4.0 // a peer that misses so many rounds has stopped; one never heard from counts as average
+	outcomesPerGossip = 2   // outcomes per message with observations: half the cost of one per request
 	maxObservations   = 96  // about two messages' worth
 )
 
-// onGossip takes what another agent tells: the work that its clients ask for, the delay it
-// sees, and notes. Departure: by head count a busy agent would refuse at a limit that quiet
-// ones do not use. Acts where agents may exchange messages and their traffic differs.
+// onGossip applies a peer's message: the demand of its clients, the latency that it sees, and its observations.
+// Departure: with even quotas a busy agent would refuse at a limit that quiet agents don't use. This has an effect
+// only where agents may exchange messages and their traffic differs.
 func (b *Balancer) onGossip(event GossipReceived) {
 	message, ok := decode(event.Data, b.now, b.maxObjective)
 	if !ok || event.From < 0 || event.From >= len(b.peers) || event.From == b.settings.Self {
@@ -20,16 +20,17 @@
 	b.onPeerDemand(&b.peers[event.From], message)
 	b.onLossReport(event.From, message.lostZones)
 	if b.gossipsObservations() {
-		b.latencyRatio = ewma(b.latencyRatio, min(message.latencyRatio, 1)) // what a quiet agent sees itself comes too late
+		// An agent with little traffic sees latency too late by itself.
+		b.latencyRatio = ewma(b.latencyRatio, min(message.latencyRatio, 1))
 		for _, entry := range message.observations {
 			b.applyObservation(entry)
 		}
 	}
 }
 
-// gossip tells peers this agent's demand, and reckons its share anew. Where there are more peers
-// than gossipFanout, a sample of them is told, and those heard lately stand for the rest: telling
-// all costs messages with the square of the number of agents.
+// gossip tells peers this agent's demand, and recomputes its quota. With more peers than gossipFanout it tells a
+// sample of them, and those heard from recently stand for the rest: messages to all would grow with the square of the
+// number of agents.
 func (b *Balancer) gossip() {
 	b.gossipTimer = b.setTimer(b.maxObjective)
 	if !b.gossipsObservations() {
@@ -38,7 +39,7 @@
 	b.recomputeQuota()
 }
 
-// gossipToSample tells a sample of the peers.
+// gossipToSample sends a message to a random sample of the peers.
 func (b *Balancer) gossipToSample() {
 	from, others := b.rng.IntN(b.settings.Balancers), b.settings.Balancers-1
 	for i := 1; i <= min(gossipFanout, others); i++ {
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Which backend a request goes to: idle ones first, the nearest and fastest among them, never the one
-// that just failed it.
+// Picking: which backend a request goes to. Idle backends first, the nearest and fastest among them; never the one
+// that has just failed the request.
 
 import (
 	"cmp"
@@ -9,28 +9,29 @@
 )
 
 const (
-	revisitObjectives   = 4.0   // longest aims within which an agent means to meet a backend again
-	subsetDecrease      = 0.9   // of that many backends once one turned a new connection away ...
-	subsetIncrease      = 1.003 // ... and after each answer
-	minSubset           = 3     // idle backends at least among which a choice is made
-	subsetBase          = 30.0  // and at most ...
-	subsetFraction      = 0.1   // ... and this part of all: connections must not grow in step with a fleet
-	crossZoneBias       = 0.1   // chance of an idle backend in another zone, if crossing is priced ...
-	spilloverAt         = 0.3   // ... and answers from the own zone take no longer; from so much longer on it has the same
-	proximityObjectives = 4.0   // longest aims since the limit was cut from which on distance counts
-	maxWarmLoad         = 1.1   // parts of the limit that warm backends hold while others are cold
-	recoveringBias      = 0.1   // chance of an idle backend that has not healed yet
+	revisitObjectives   = 4.0   // longest objectives within which a quiet agent revisits each backend of its subset
+	subsetDecrease      = 0.9   // factor of the subset size when a backend rejects a new connection
+	subsetIncrease      = 1.003 // and after each answer
+	minSubset           = 3     // idle backends that a choice is made among, at least
+	subsetBase          = 30.0  // and at most this
+	subsetFraction      = 0.1   // plus this share of all: connections must not grow in step with the fleet
+	crossZoneBias       = 0.1   // relative weight of an idle backend in another zone, if crossing has a cost
+	spilloverAt         = 0.3   // latency excess of the own zone at which other zones get full weight
+	proximityObjectives = 4.0   // longest objectives after a cut of the limit from which proximity counts
+	maxWarmLoad         = 1.1   // shares of the limit that warm backends take while others are in slow start
+	recoveringBias      = 0.1   // relative weight of an idle backend that still has a failure score
 )
 
-// pick chooses a backend: one where this balancer has nothing in flight, at
-// random; else the one with the fewest in flight; never the one that just failed
-// unless it is the only one. nil means that none may be used now.
+// pick chooses a backend at random among the idle ones; if there is none, the one with the fewest outstanding
+// attempts; else an ejected one. The backend that just failed the request is chosen only if it is the only one. nil
+// means that no backend may be used now.
 func (b *Balancer) pick(req *request) *backendState {
 	shared, uncrowded := b.gossipsObservations(), b.now-b.limitCutAt > b.settings.SlowStartWindow
 	var idle, leastLoaded, ejected *backendState
 	totalWeight, lowestScore, lowestEjected := 0.0, math.Inf(1), math.Inf(1)
 	remaining, closed := b.subsetSize(), b.closedZones(req)
-	// Cold ones take up their part of the limit slowly: little of what they leave is for the warm ones, or these turn slow.
+	// Backends in slow start take up their share of the limit slowly. Most of the rest must not go to the warm ones,
+	// which would be overloaded by it.
 	crowded := !b.sparseQuota() && b.warmCapacity < b.capacity &&
 		float64(b.warmOutstanding) >= max(1, maxWarmLoad*b.limitPerBackend*b.quota*b.warmCapacity)
 	for _, backend := range b.backends {
@@ -54,27 +55,27 @@
 		}
 		load := float64(len(backend.outstanding))
 		if !backend.answeredSinceStart {
-			load = max(load, float64(b.inFlight)/float64(b.up)) // a new one counts at the mean: no rush
+			load = max(load, float64(b.inFlight)/float64(b.up)) // a new backend counts at the mean, which prevents a rush
 		}
 		ratio := b.effectiveLatencyRatio(backend) * *b.kindLatencyRatio(backend, req.class)
 		proximity, extra := b.proximity(backend), b.extraLatency(b.zone(backend))
 		if load < 1 && float64(extra) < farObjectives*float64(b.classes[req.class].LatencyObjective) {
-			// Departure: an even choice among idle backends would load slow ones as much as fast
-			// ones; each counts by the inverse cube of its observed slowness. Acts when speeds differ.
+			// Departure: an even choice among idle backends would load slow ones as much as fast ones. Each is
+			// weighted by the inverse cube of its latency ratio. This has an effect when speeds differ.
 			weight := 1 / (ratio * ratio * ratio)
-			// Departure: spread over all, a key is new to most backends it meets. Among idle ones the few
-			// nearest to it, the same at every agent, serve it for less work.
+			// Departure: if requests for a key were spread over all backends, the key would be new to most backends
+			// that it meets. The few idle ones closest to the key, the same at every agent, serve it with less work.
 			weight *= proximity
 			if distance := backend.keyDistance(req.affinityKey); b.settings.KeyAffinity && req.affinityKey != 0 {
-				weight *= proximity / (distance * distance) // or the nearest to a key of all zones would outdo it
+				weight *= proximity / (distance * distance) // else the backend closest to a key in any zone would win
 			}
 			if shared {
-				weight *= ratio * ratio // all know the same: the cube would send all to the same few
+				weight *= ratio * ratio // all agents know the same: the cube would send all traffic to the same few
 			}
 			if backend.failureScore > 0 && shared {
 				weight *= recoveringBias // all agents together must not try it at once
 			}
-			if uncrowded { // where it is crowded a cold one's budget keeps it to its part
+			if uncrowded { // under load the slow-start budget keeps a starting backend to its share
 				weight *= b.guaranteedWarmth(backend)
 			}
 			remaining--
@@ -83,18 +84,18 @@
 			}
 			continue
 		}
-		// Departure: in-flight counts are weighed by slowness for the same reason.
+		// Departure: outstanding attempts are weighted by the latency ratio for the same reason.
 		score := (load+1)*ratio/b.warmth(backend)*(1+0.01*b.rng.Float64()) + float64(extra)/b.expectedLatency(req)
 		if score < lowestScore {
 			leastLoaded, lowestScore = backend, score
 		}
 	}
-	return cmp.Or(idle, leastLoaded, ejected) // all are ejected: a first attempt still goes out
+	return cmp.Or(idle, leastLoaded, ejected) // if all are ejected, a first attempt is sent all the same
 }
 
-// choose picks a backend for a request. Departure: a backend that was called back goes before idle
-// ones until it has answered: spread thin, an agent would pass by a cold one for longer than operators
-// wait. Its cold budget holds all the same.
+// choose picks a backend for a request. Departure: a re-enabled backend is preferred over idle ones until it has
+// answered. With its traffic spread thin, an agent would pass by a backend in slow start for longer than operators
+// wait. The slow-start budget holds all the same.
 func (b *Balancer) choose(req *request) *backendState {
 	if len(b.overrides.reenabledAt) > 0 {
 		for _, backend := range b.backends {
@@ -109,9 +110,9 @@
 	return b.pick(req)
 }
 
-// proximity is how readily an idle backend is chosen for where it is. The dearer the way the less, until answers from the
-// own zone take longer: then the others take over in step with that. Where crossing has no price all are near, and where
-// the limit was cut of late a backend that has met a key counts for more, wherever it is.
+// proximity is the weight of an idle backend for its location. It falls with the cost of crossing zones, and rises
+// again in proportion as answers from the own zone take longer. It is 1 where crossing has no cost, and for a while
+// after the limit was cut: then a backend that knows a key counts for more, wherever it is.
 func (b *Balancer) proximity(backend *backendState) float64 {
 	cost, lowestCost := b.crossingCost(backend.Zone), cmp.Or(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
 	if cost == 0 || float64(b.now-b.limitCutAt) <= proximityObjectives*float64(b.maxObjective) {
@@ -124,7 +125,8 @@
 	return bias + (1-bias)*b.spillover(b.zone(backend))
 }
 
-// spillover is 0 as long as answers from the own zone take no longer than from another one, and 1 from spilloverAt on.
+// spillover is 0 while answers from the own zone take no longer than those from the other zone, and rises to 1 where
+// they take longer by spilloverAt.
 func (b *Balancer) spillover(z *zone) float64 {
 	own := b.settings.Zone
 	if own < 0 || own >= len(b.zones) || b.zones[own].latencyRatio == 0 || z.latencyRatio == 0 {
@@ -133,20 +135,20 @@
 	return min(max((b.zones[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
 }
 
-// subsetSize is how many idle backends a choice is made among: the first of this agent's own order
-// that may be used. Departure: an agent with little traffic, spread over all, would hear of each
-// backend once a day and open a connection for nearly every attempt. It keeps to so many that it
-// meets each again within a few aims. Acts where no notes tell of the others.
+// subsetSize is how many idle backends a choice is made among: the first usable ones in this agent's own order.
+// Departure: an agent with little traffic, spread over all backends, would hear from each once a day and open a
+// connection for nearly every attempt. It keeps to as many as it revisits within a few objectives. This has no effect
+// where observations of peers tell about the other backends.
 func (b *Balancer) subsetSize() int {
-	if b.meanInterarrival == 0 || b.gossipsObservations() { // notes tell of all
+	if b.meanInterarrival == 0 || b.gossipsObservations() { // observations cover all backends
 		return len(b.backends)
 	}
 	maxSize := subsetBase + subsetFraction*float64(len(b.backends))
 	return max(minSubset, int(min(b.subsetScale*revisitObjectives*float64(b.maxObjective)/b.meanInterarrival, maxSize)))
 }
 
-// effectiveLatencyRatio is how much longer this backend takes than the mean, by its answers or
-// by the wait of its oldest attempt if that is worse (a stall shows before any answer).
+// effectiveLatencyRatio is how much slower than the mean a backend is, by its answers, or by the age of its oldest
+// outstanding attempt if that is worse: a stall shows before any answer.
 func (b *Balancer) effectiveLatencyRatio(backend *backendState) float64 {
 	if len(backend.outstanding) > 0 {
 		return max(backend.latencyRatio, float64(b.now-backend.outstanding[0].sentAt)/backend.outstanding[0].expected/2)
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Where a request may be served, by the residency policy in force, and who makes way for those who may not go elsewhere.
+// Data residency: which zones may serve a request under the policy in force, and which zones other requests avoid so
+// that a bound request finds capacity.
 
 import (
 	"slices"
@@ -8,30 +9,32 @@
 )
 
 const (
-	crowdedLatencyRatio   = 1.2   // answers of a zone that take so many times the mean say that it is crowded
-	boundValueFactor      = 100.0 // value of a bound request against another of its class while it waits for room
-	reservationObjectives = 2.0   // longest aims for which others keep out of the zones of a bound one that found none
+	crowdedLatencyRatio   = 1.2   // a zone whose answers take so many times the expected latency is crowded
+	boundValueFactor      = 100.0 // value of a bound request in the admission queue, relative to another of its class
+	reservationObjectives = 2.0   // longest objectives for which other requests avoid the zones of a bound request
 )
 
-// permits is the gate that every send passes: mayAttempt asks it, for first attempts, repeats and second copies alike.
+// permits is the check that every send passes, through mayAttempt: first attempts, retries and hedged requests alike.
 func (b *Balancer) permits(req *request, zone int) bool {
 	return req.residencyRule == 0 || b.residencyTable != nil && b.residencyTable.Permits(req.residencyRule, zone)
 }
 
-// residencyBound reports whether a request may not go just anywhere.
+// residencyBound reports whether a request may be served in some zones only.
 func (b *Balancer) residencyBound(req *request) bool {
 	rule, table := req.residencyRule, b.residencyTable
 	return rule != 0 && (table == nil || rule >= len(table.Permitted) || table.Restricted[rule])
 }
 
-// hasPermittedBackend reports whether a backend that is up may serve a request. One without any is refused at once.
+// hasPermittedBackend reports whether a backend that is up may serve the request. A request without one is refused at
+// once.
 func (b *Balancer) hasPermittedBackend(req *request) bool {
 	return !b.residencyBound(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool {
 		return backend.State == Up && b.permits(req, backend.Zone)
 	})
 }
 
-// reserveZones has others keep out of the zones of a bound request that waits for them, or finds them busy or slow.
+// reserveZones makes other requests avoid the zones of a bound request that waits for them, or finds them busy or
+// slow.
 func (b *Balancer) reserveZones(req *request) {
 	for i, z := range b.zones {
 		if b.permits(req, i) {
@@ -40,7 +43,8 @@
 	}
 }
 
-// reservedZones says which zones a request that may go elsewhere keeps out of; nil: none, or it may go nowhere else.
+// reservedZones returns the zones that a request which may go elsewhere avoids. nil means none; also where no other
+// zone is left.
 func (b *Balancer) reservedZones(req *request) []bool {
 	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Whether a failed attempt is followed by another, when, and where to.
+// Retries: whether a failed attempt is followed by another, when, and where it may go.
 
 import (
 	"math"
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxRetryTokens  = 100.0    // retry tokens at the most: a quiet balancer funds 20 retries at once, not 100
-	retryCost       = 5.0      // tokens for a retry ...
-	timeoutCost     = 10.0     // ... and for one after a time-out, which may mean a deeper trouble
-	successRefill   = 1.0      // tokens that a served attempt brings back
-	backoffUnit     = 1.0 / 32 // of the class's aim: a one-second unit would outlast most aims
-	maxBackoffUnits = 8.0      // the longest backoff, in units
+	maxRetryTokens  = 100.0    // capacity of the retry budget: a quiet agent funds 20 retries at once, not 100
+	retryCost       = 5.0      // tokens for a retry
+	timeoutCost     = 10.0     // tokens for a retry after a time-out, which may indicate a deeper problem
+	successRefill   = 1.0      // tokens that an answered request brings back
+	backoffUnit     = 1.0 / 32 // of the class's latency objective: a one-second unit would outlast most objectives
+	maxBackoffUnits = 8.0      // longest backoff, in units
 )
 
-// retry ends a failed attempt's request or schedules the next attempt.
+// retry schedules the next attempt of a request after a failed one, or ends the request.
 func (b *Balancer) retry(req *request, result Result) {
 	cost := retryCost
 	if result == TimedOut {
@@ -38,7 +38,8 @@
 	b.setRequestTimer(req, retryAt)
 }
 
-// mayAttempt is the repeat rule: whether a (further) attempt of r may go to t.
+// mayAttempt is the rule for attempts: whether an attempt of the request, the first or a further one, may go to this
+// backend.
 func (b *Balancer) mayAttempt(req *request, backend *backendState) bool {
 	if !b.permits(req, backend.Zone) || req.ended || req.committed || len(req.attempts) >= b.settings.MaxAttempts ||
 		req.openAttempts > 0 && !b.settings.HedgingAllowed {
@@ -48,7 +49,7 @@
 	if class.Idempotency == Idempotent || req.possiblyExecuted == 0 {
 		return true
 	}
-	// A repeat may reach its backend a connect time-out after it is sent: the window must hold then.
+	// A retry may reach its backend a connect timeout after it is sent: the window must still hold then.
 	if class.Idempotency == NonIdempotent || b.now+b.settings.ConnectTimeout >= b.sendDeadline(req) {
 		return false
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// check names the first setting that makes no sense. It decides nothing.
+// check returns an error that names the first setting that makes no sense. It decides nothing.
 func (s *Settings) check() error {
 	bad := func(field string, v any) error {
 		return fmt.Errorf("balancer: settings: %s: %v makes no sense", field, v)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -14,41 +14,41 @@
 
 type classState struct {
 	Class
-	latency       float64       // running mean of served latency, ns
-	marginalValue float64       // what a unit of work adds to the goal, in this step
-	usualTimeout  time.Duration // the usual patience of a client's try
-	meanWork      float64       // running mean of the expected work told with requests, ns
+	latency       float64       // moving average of the latency of answers, ns
+	marginalValue float64       // what a unit of work adds to the operator's goal, in this step
+	usualTimeout  time.Duration // usual timeout of a client's attempt
+	meanWork      float64       // moving average of the announced work, ns
 	arrivals      float64       // decayed count of requests
-	metObjective  float64       // decayed count of requests answered within the aim
+	metObjective  float64       // decayed count of requests answered within the objective
 }
 
 type backendState struct {
 	Backend
 	outstanding         []*attempt // oldest first
-	latencyRatio        float64    // running mean of its latency over the mean of all
-	gossipKey           uint32     // names it in notes to peers
-	subsetRank          uint32     // its place in this agent's own order
-	latencySamples      float64    // answers that slow rests on
+	latencyRatio        float64    // moving average of its latency, relative to the expected latency
+	gossipKey           uint32     // identifies it in observations
+	subsetRank          uint32     // its position in this agent's own order
+	latencySamples      float64    // samples behind latencyRatio
 	failureScore        float64
-	failureRate         float64       // running share of attempts that failed, those without an answer left out
-	consecutiveFailures float64       // of these the last ones, in a row
-	consecutiveTimeouts int           // time-outs known since its last answer
-	observedAt          time.Duration // of the newest note
-	ejectedUntil        time.Duration // no traffic before this time
+	failureRate         float64       // moving average; attempts without an answer are left out
+	consecutiveFailures float64       // the latest of these, in a row
+	consecutiveTimeouts int           // known since its last answer, own or observed by peers
+	observedAt          time.Duration // of the latest observation
+	ejectedUntil        time.Duration // no ordinary traffic before then
 
 	ejectedAt, rejectingUntil, lastSuccessAt time.Duration
-	slowStartAt                              time.Duration // when its latest start became known or seen
-	answeredSinceStart                       bool          // has answered this balancer since then
+	slowStartAt                              time.Duration // when its latest start became known
+	answeredSinceStart                       bool          // has answered this agent since then
 	presumedDead                             bool          // its process seems to have died since the last answer
-	// Attempts without an answer of any kind in its zone's present spell of silence.
+	// Attempts without any answer in the present silence episode of its zone.
 	silenceEpisode, silentAttempts int
 	warmingUp                      bool
-	stable                         bool    // counted by its zone
-	slowStartBudget                float64 // work that may be sent while it is cold
+	stable                         bool    // counted in its zone's stableBackends
+	slowStartBudget                float64 // mean requests that it may be sent during slow start
 	slowStartBudgetAt              time.Duration
 }
 
-// decayingSum is a sum of which each part fades exponentially over a span.
+// decayingSum is a sum whose parts decay exponentially with a time constant.
 type decayingSum struct {
 	total, timeConstant float64
 	updatedAt           time.Duration
@@ -62,7 +62,7 @@
 
 func (d *decayingSum) add(now time.Duration, amount float64) { d.total = d.value(now) + amount }
 
-// retryAfter is a wait in the form in which clients are told it, if they are.
+// retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
 func (s *Settings) retryAfter(wait time.Duration) time.Duration {
 	if !s.RetryAfter {
 		return 0
@@ -70,13 +70,13 @@
 	return min(wait, s.MaxRetryAfter)
 }
 
-// recordFailure counts an attempt that failed (1) or did not (0).
+// recordFailure counts an attempt that failed (1) or succeeded (0).
 func (bs *backendState) recordFailure(failure float64) {
 	bs.consecutiveFailures = (bs.consecutiveFailures + 1) * failure
 	bs.failureRate += smoothing / 2 * (failure - bs.failureRate)
 }
 
-// baselineFailureRate is the share of attempts that fail at the better three quarters of the backends.
+// baselineFailureRate is the mean failure rate of the better three quarters of the backends.
 func baselineFailureRate(backends []*backendState) float64 {
 	var rates []float64
 	for _, backend := range backends {
@@ -92,7 +92,7 @@
 	return sum / max(1, float64(counted))
 }
 
-// weightUnit is what worth is counted by.
+// weightUnit is what a priority weight applies to: a request, or the work of a mean request.
 func (b *Balancer) weightUnit(class *classState) float64 {
 	if b.settings.WeightByWork {
 		return class.latency
@@ -100,8 +100,8 @@
 	return 1
 }
 
-// keyDistance is a number above 0, up to 1, for a key and a backend: the same at every agent, and for
-// each key spread evenly over the backends in an order of its own.
+// keyDistance is a pseudo-random number in (0, 1] for a key and a backend. It is the same at every agent: each key
+// prefers backends in an order of its own, and keys spread evenly over the backends (rendezvous hashing).
 func (bs *backendState) keyDistance(key uint64) float64 {
 	h := (uint32(key) ^ uint32(key>>32) ^ bs.gossipKey) * 0x9e3779b1
 	h = (h ^ h>>15) * 0x85ebca6b
@@ -109,7 +109,7 @@
 	return (float64(h^h>>16) + 1) / (1 << 32)
 }
 
-// without removes one element, keeping the order.
+// without removes one element, and keeps the order of the others.
 func without[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
@@ -124,7 +124,7 @@
 	return mean + smoothing*(sample-mean)
 }
 
-// Balancer decides for one agent. See the package comment for its use.
+// Balancer decides for one agent. Use New; see the package comment.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -132,51 +132,52 @@
 	actions  []Action
 
 	capacityTotals
-	backends      []*backendState // in the order in which they were first listed
+	backends      []*backendState // in this agent's order (subsetRank)
 	byID          map[string]*backendState
 	requests      map[string]*request
-	queue         []*request // waiting for room, oldest first
+	queue         []*request // admission queue: requests waiting for capacity, oldest first
 	requestTimers map[int64]*request
 	overdueTimers map[int64]*attempt // by the token of the timer that finds them overdue
 	lastToken     int64              // last timer token given out
 
-	tokens          float64 // the retry bucket
+	tokens          float64 // of the retry budget
 	classes         []classState
 	inFlight        int
-	limitPerBackend float64 // attempts that all agents may have in flight together, per backend that is up
-	quota           float64 // this agent's part of them
-	latencyRatio    float64 // running mean of latency over aim
-	warmUpRatio     float64 // the part of the stated time that backends seem to need to get warm
-	trustedMultiple float64 // the multiple of its sure share up to which a cold backend's answers are believed
+	limitPerBackend float64 // concurrency limit of all agents together, per backend that is up
+	quota           float64 // this agent's share of it
+	latencyRatio    float64 // moving average of latency relative to the latency objective
+	warmUpRatio     float64 // share of the slow-start window that backends seem to need
+	trustedMultiple float64 // multiple of the guaranteed warmth up to which measured warmth is trusted
 
-	served, peakThroughput decayingSum // requests served over about one fall window, that of a cold backend over its warmth
+	served, peakThroughput decayingSum // requests served within OverloadWindow; decayed peak of that rate per backend
 	limitCutAt, startedAt  time.Duration
 	pollFailures           int
 	pollTimer              int64
 
-	demand       decayingSum   // work that clients asked for in first tries
-	peers        []peer        // by number
-	maxObjective time.Duration // between two tells: the longest aim
+	demand       decayingSum   // work of first attempts that clients asked for
+	peers        []peer        // by agent number
+	maxObjective time.Duration // the longest latency objective; also the gossip interval
 	gossipTimer  int64
-	credit       float64 // work that a thin agent may send
+	credit       float64 // work that an agent with a sparse quota may still send
 
-	observations       []observation // what was lately seen of backends, here and by peers; newest last
+	observations       []observation // recent ones, own and from peers; newest last
 	byGossipKey        map[uint32]*backendState
 	outcomes           int
-	latencyRatioByKind [][]float64 // by class and kind
+	latencyRatioByKind [][]float64 // by class and kind of backend
 
-	subsetScale      float64 // part of the width that backends have connections for
+	subsetScale      float64 // share of the subset to which connections are possible
 	meanInterarrival float64 // mean time between requests, ns
 	lastArrivalAt    time.Duration
-	overrides        overrides // of operators, that hold
+	overrides        overrides // in force, by operators
 	zones            []*zone
-	allZonesOpen     bool // no zone is left or coming back
+	allZonesOpen     bool // no zone is failed over or recovering
 
-	assignedQuota  float64     // part of the limit, as the fleet tells; 0: it does not
-	residencyTable *gate.Table // nil: no policy was told
+	assignedQuota  float64     // assigned by the fleet; 0: none
+	residencyTable *gate.Table // nil: no policy received
 }
 
-// New returns a balancer with no state. All its random choices come from seed.
+// New returns a balancer without any state. All its random choices come from seed. The error names the first setting
+// that makes no sense.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -189,7 +190,7 @@
 		latencyRatioByKind: make([][]float64, len(s.Classes))}
 	b.settings.MaxAttempts = max(1, s.MaxAttempts)
 	b.settings.InitialCapacity = cmp.Or(s.InitialCapacity, 1)
-	b.trustedMultiple = math.Pow(max(1, s.OverloadMultiple), warmthTrust) // here, since each step asks for it for every backend
+	b.trustedMultiple = math.Pow(max(1, s.OverloadMultiple), warmthTrust) // computed once: each step needs it for every backend
 	b.served.timeConstant, b.peakThroughput.timeConstant = float64(s.OverloadWindow+1), float64(s.SlowStartWindow+1)
 	for _, class := range s.Classes {
 		b.maxObjective = max(b.maxObjective, class.LatencyObjective)
@@ -210,7 +211,7 @@
 	return b.lastToken
 }
 
-// enqueue lets a request wait for room; one that finds some leaves in the same step.
+// enqueue puts a request into the admission queue. If there is capacity it leaves the queue in the same step.
 func (b *Balancer) enqueue(req *request) {
 	req.queued = true
 	b.queue = append(b.queue, req)
@@ -221,7 +222,7 @@
 	b.queue = without(b.queue, req)
 }
 
-// expectedLatency is the mean latency for a request of this class and told work.
+// expectedLatency is the mean latency of a request of this class and announced work, ns.
 func (b *Balancer) expectedLatency(req *request) float64 {
 	class := &b.classes[req.class]
 	if req.work > 0 && class.meanWork > 0 {
@@ -230,16 +231,16 @@
 	return class.latency
 }
 
-// learnLatencyRatio takes one latency, as a multiple of the expected, into a backend's slowness.
-// The first few weigh more, since a quiet agent sees an answer of each only now and then.
+// learnLatencyRatio adds one sample, a multiple of the expected latency, to a backend's latency ratio. The first few
+// samples weigh more, since an agent with little traffic gets an answer from each backend only now and then.
 func (b *Balancer) learnLatencyRatio(backend *backendState, sample float64) {
 	backend.latencySamples++
 	weight := max(smoothing, 1/(backend.latencySamples+priorSamples))
 	backend.latencyRatio += weight * (min(sample, maxLatencyRatio) - backend.latencyRatio)
 }
 
-// kindLatencyRatio is how much slower than the mean backends of this kind serve a class. Departure: a quiet
-// agent pools what it learns, since it has few answers for each backend, class by class.
+// kindLatencyRatio is how much slower than the mean backends of this kind serve a class. Departure: an agent with
+// little traffic has few answers from each backend in each class, so it pools what it learns by kind.
 func (b *Balancer) kindLatencyRatio(backend *backendState, class int) *float64 {
 	for len(b.latencyRatioByKind[class]) <= max(backend.Kind, 0) { // a kind that the settings don't name is −1
 		b.latencyRatioByKind[class] = append(b.latencyRatioByKind[class], 1)
@@ -247,27 +248,27 @@
 	return &b.latencyRatioByKind[class][max(backend.Kind, 0)]
 }
 
-// trackPeakThroughput keeps the most requests that a backend served lately, in the mean, for each unit of time.
-// While few are warm, or slow, and much is refused, what is served tells little of what one can do.
+// trackPeakThroughput updates the decaying peak of the mean throughput per backend. While few backends are warm, or
+// they are slow and much is refused, the present throughput says little about what a backend can do.
 func (b *Balancer) trackPeakThroughput() {
 	served := b.served.value(b.now) / float64(b.settings.OverloadWindow+1) / float64(max(b.up, 1))
 	b.peakThroughput.total = max(served, b.peakThroughput.value(b.now))
 }
 
-// Snapshot is what a process of an agent hands on to the next: the two are one agent to the rules, and to
-// its peers.
+// Snapshot is the state that a process of an agent hands over to its successor. To the rules and to peers the two
+// processes are one agent.
 type Snapshot struct {
-	Tokens          float64   `json:"tokens"` // in the retry bucket
+	Tokens          float64   `json:"tokens"` // of the retry budget
 	LimitPerBackend float64   `json:"per_back"`
 	LatencyRatio    float64   `json:"delay"`
-	PeakThroughput  float64   `json:"best"`    // requests that a backend served lately, for each ns
-	Demand          float64   `json:"asked"`   // by clients here
-	DrainedDemand   float64   `json:"moved"`   // by those sent elsewhere
-	PeerDemand      []float64 `json:"peers"`   // and elsewhere, by agent number; below 0: not known
-	Latency         []float64 `json:"latency"` // by class
+	PeakThroughput  float64   `json:"best"`    // requests per ns that a backend served recently
+	Demand          float64   `json:"asked"`   // work that clients ask for, decayed, ns
+	DrainedDemand   float64   `json:"moved"`   // the same of clients that were moved elsewhere; 0: not drained
+	PeerDemand      []float64 `json:"peers"`   // the same by agent number; below 0: unknown
+	Latency         []float64 `json:"latency"` // mean latency by class, ns
 }
 
-// Snapshot returns what the next process starts from.
+// Snapshot returns the state for the next process.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{Tokens: b.tokens, LimitPerBackend: b.limitPerBackend, LatencyRatio: b.latencyRatio,
 		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.steadyDemand(), DrainedDemand: b.overrides.drainedDemand}
@@ -284,7 +285,7 @@
 	return snapshot
 }
 
-// onRestore goes on from where the process before was. Its file may hold anything.
+// onRestore continues from a snapshot. Its content is not trusted.
 func (b *Balancer) onRestore(event Restore) {
 	inRange := func(x, low, high float64) bool { return x >= low && x <= high }
 	if inRange(event.Tokens, 0, maxRetryTokens) {
@@ -294,12 +295,12 @@
 		!inRange(event.LimitPerBackend, minLimitPerBackend, math.MaxInt32) || !inRange(event.LatencyRatio, 0, 2) ||
 		!inRange(event.PeakThroughput, 0, 1) ||
 		!inRange(event.DrainedDemand, 0, math.MaxInt64) || !inRange(event.Demand, 0, math.MaxInt64) {
-		return // of another configuration, or of none
+		return // written with other settings, or corrupt
 	}
 	b.limitPerBackend, b.latencyRatio = event.LimitPerBackend, event.LatencyRatio
 	b.peakThroughput.add(b.now, event.PeakThroughput)
-	b.demand.add(b.now, max(event.Demand, event.DrainedDemand))  // Emptying follows where they are still elsewhere
-	b.startedAt = b.now - time.Duration(4*b.demand.timeConstant) // as one that has run for long reckons
+	b.demand.add(b.now, max(event.Demand, event.DrainedDemand))  // a Drain event follows if the clients are still elsewhere
+	b.startedAt = b.now - time.Duration(4*b.demand.timeConstant) // as if this process had run for long
 	for i, demand := range event.PeerDemand {
 		if demand >= 0 && i != b.settings.Self {
 			b.peers[i] = peer{demand: demand, validUntil: b.now + time.Duration(peerExpiry*float64(b.maxObjective))}
--- a/balancer/sums.go
+++ b/balancer/sums.go
@@ -2,20 +2,21 @@
 
 import "math"
 
-// What there is to use, summed up anew in each step. Nothing is decided here.
+// Capacity totals: what there is to use, updated in each step. Nothing is decided here.
 
-// capacityTotals are what there is to use. Most backends of a large fleet are warm, up and in use from one step to the next:
-// these are settled, and counted by zone as they settle; only the others are looked at in each step.
+// capacityTotals are the usable backends and the attempts outstanding there. In a large fleet most backends are warm,
+// up and in use from one step to the next. These are stable and counted once, by zone; a step only looks at the
+// others.
 type capacityTotals struct {
-	up                   int             // backends that the list says are up
-	capacity             float64         // their number, each by its warmth; ejected ones and those that are down are left out
-	warmCapacity         float64         // of it, what is warm already
-	warmOutstanding      int             // attempts in flight there
-	uncountedOutstanding int             // attempts in flight at backends that are not counted in capacity
-	unstable             []*backendState // in the order in which they came to be
+	up                   int             // backends in state Up
+	capacity             float64         // their number weighted by warmth, without ejected and dead ones
+	warmCapacity         float64         // the part of capacity that is warm
+	warmOutstanding      int             // attempts outstanding at warm backends
+	uncountedOutstanding int             // attempts outstanding at backends that don't count in capacity
+	unstable             []*backendState // backends to look at in each step, in the order in which they became unstable
 }
 
-// recomputeCapacity sums up what the backends that are up, and not ejected or down, can do.
+// recomputeCapacity updates the totals of the backends that are up and neither ejected nor dead.
 func (b *Balancer) recomputeCapacity() {
 	b.up, b.capacity, b.uncountedOutstanding, b.warmCapacity, b.warmOutstanding = 0, 0, 0, 0, 0
 	b.allZonesOpen = true
@@ -51,7 +52,8 @@
 	b.trackPeakThroughput()
 }
 
-// addCapacity adds so many backends of a warmth, with attempts out, whose zone has a part of its usual traffic.
+// addCapacity adds a number of backends of one warmth, with their outstanding attempts, in a zone with the given share
+// of its usual traffic.
 func (b *Balancer) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
 	if share == 0 {
 		b.uncountedOutstanding += outstanding
@@ -64,7 +66,7 @@
 	}
 }
 
-// markUnstable has a backend looked at in each step again: before its state, or its zone, changes.
+// markUnstable makes each step look at a backend again. It must be called before its state or zone changes.
 func (b *Balancer) markUnstable(backend *backendState) {
 	if !backend.stable {
 		return
@@ -76,7 +78,7 @@
 	b.unstable = append(b.unstable, backend)
 }
 
-// setOutstanding takes that an attempt is out at a backend, or is no more.
+// setOutstanding counts an attempt as outstanding at its backend, or no longer.
 func (b *Balancer) setOutstanding(a *attempt, out bool) {
 	backend, delta := a.backend, 1
 	if a.occupying = out; out {
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -1,41 +1,41 @@
 package balancer
 
-// What is known of each zone. Nothing is decided here.
+// The record of each zone. Nothing is decided here.
 
 import "time"
 
-// zone is what is known of a zone as a whole.
+// zone is what the agent knows about a zone as a whole.
 type zone struct {
 	number               int
-	up                   int           // its backends that the list says are up
-	stableBackends       int           // of these, those that are counted here from step to step ...
-	stableOutstanding    int           // ... and the attempts in flight there
-	logLikelihoodRatio   float64       // log odds that it is lost; 0: nothing speaks for that
-	silenceEpisode       int           // counts times at which something began to
-	silenceStartedAt     time.Duration // when the attempt was sent that did
-	silenceRate          float64       // running share of attempts without an answer of any kind
+	up                   int           // its backends in state Up
+	stableBackends       int           // those that are counted here from step to step
+	stableOutstanding    int           // attempts outstanding at these
+	logLikelihoodRatio   float64       // sequential test for the loss of the zone; 0: no evidence
+	silenceEpisode       int           // number of the latest period in which the ratio was above 0
+	silenceStartedAt     time.Duration // when the first silent attempt of that period was sent
+	silenceRate          float64       // moving average of the share of attempts without any answer
 	lastAnswerAt         time.Duration // latest answer
 	failedOver           bool
-	failedOverAt         time.Duration // left then, the last time
-	backoffExponent      float64       // times left, fading
-	probeTimer           int64         // of the timer of the next probe
-	consecutiveSuccesses int           // probes answered in a row
-	canary               bool          // one request may go there
-	recoveryStartedAt    time.Duration // used again since; 0: it has its full part
-	ownEvidence          bool          // left for what this agent saw itself, not by what it was told
-	reports              []lossReport  // what others told of its loss, a peer once
-	rtt                  time.Duration // round trip from this agent's zone, as steering takes it; 0: not known
-	reservedUntil        time.Duration // until then requests that may go elsewhere keep out of it
-	latencyRatio         float64       // running mean of what its answers take, as a multiple of the expected
+	failedOverAt         time.Duration // latest failover
+	backoffExponent      float64       // number of failovers, decaying
+	probeTimer           int64         // token of the timer of the next health check
+	consecutiveSuccesses int           // health checks answered in a row
+	canary               bool          // one request may be sent there in place of a health check
+	recoveryStartedAt    time.Duration // 0: the zone has its full share of traffic
+	ownEvidence          bool          // failed over on this agent's own evidence, not on reports
+	reports              []lossReport  // reports of its loss, one for each peer
+	rtt                  time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
+	reservedUntil        time.Duration // other requests avoid the zone until then
+	latencyRatio         float64       // moving average of the latency of its answers, relative to the expected latency
 }
 
-// lossReport is a peer's report that a zone is lost, and when it came.
+// lossReport is a peer's report that a zone is lost.
 type lossReport struct {
 	from       int
 	receivedAt time.Duration
 }
 
-// zone is the zone of a backend. Those that the settings don't know share one.
+// zone returns the record of a backend's zone. Zones that the settings don't know share one.
 func (b *Balancer) zone(backend *backendState) *zone {
 	for len(b.zones) <= max(backend.Zone, 0) {
 		b.zones = append(b.zones, &zone{number: len(b.zones)})
@@ -43,7 +43,7 @@
 	return b.zones[max(backend.Zone, 0)]
 }
 
-// zoneByProbeTimer is the left zone whose next probe a timer is for.
+// zoneByProbeTimer returns the failed-over zone whose next health check the timer is for, or nil.
 func (b *Balancer) zoneByProbeTimer(token int64) *zone {
 	for _, z := range b.zones {
 		if z.failedOver && z.probeTimer == token {
@@ -53,8 +53,9 @@
 	return nil
 }
 
-// recentlyLostZones names the zones that this agent left of late for what it saw itself, a bit each: what peers report is
-// not passed on, and that a zone was lost a while ago says nothing of now, least of all to those who were cut off meanwhile.
+// recentlyLostZones returns the zones that this agent failed over from recently on its own evidence, one bit each.
+// Reports of peers are not passed on. An earlier loss says nothing about the present, least of all to agents that were
+// cut off in the meantime.
 func (b *Balancer) recentlyLostZones() (lost uint16) {
 	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
 		if z.failedOver && z.ownEvidence && b.now-z.failedOverAt < b.maxObjective {
@@ -64,7 +65,7 @@
 	return lost
 }
 
-// baselineSilence is the share of attempts that the other zones leave without an answer of any kind: what a zone is held against.
+// baselineSilence is the share of attempts without any answer in the other zones, which a zone is compared with.
 func (b *Balancer) baselineSilence(z *zone) float64 {
 	rate := minBaselineSilence
 	for _, other := range b.zones {
@@ -75,7 +76,7 @@
 	return rate
 }
 
-// lowestPriority reports whether no class is worth less.
+// lowestPriority reports whether no class has a lower priority weight.
 func (b *Balancer) lowestPriority(class int) bool {
 	for i := range b.classes {
 		if b.classes[i].PriorityWeight < b.classes[class].PriorityWeight {
@@ -85,7 +86,7 @@
 	return true
 }
 
-// crossingCost is what sending to a zone costs.
+// crossingCost is the cost of sending to a zone, as a share of the result.
 func (b *Balancer) crossingCost(zone int) float64 {
 	switch own, regions := b.settings.Zone, b.settings.Regions; {
 	case zone == own:
@@ -96,7 +97,7 @@
 	return b.settings.CrossZoneCost
 }
 
-// extraLatency is how much farther a zone is than the nearest one that is in use; 0: that is not known.
+// extraLatency is how much farther away a zone is than the nearest one in use. 0 also means unknown.
 func (b *Balancer) extraLatency(zone *zone) time.Duration {
 	nearest := zone.rtt
 	for _, z := range b.zones {
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -1,8 +1,8 @@
 package balancer
 
-// Whether a zone as a whole is left, and how it is used again. A zone that is lost or cut off says nothing: learned
-// backend by backend, each takes an attempt for as long as its client waits, and these fill the limit while the
-// other zones stand idle.
+// Zone failover: when traffic leaves a zone as a whole, and how the zone is put back into use. A zone that is lost or
+// cut off is silent. Detected backend by backend, each would take an attempt for as long as its client waits, and
+// these would fill the concurrency limit while the other zones are idle.
 
 import (
 	"math"
@@ -11,24 +11,25 @@
 )
 
 const (
-	lostSilenceRate    = 0.9  // share of attempts that a lost zone leaves without an answer of any kind
-	minBaselineSilence = 0.05 // and that one in order does, at least; else what the other zones do by now
-	// Log odds at which a zone is left (Wald): one spell in a thousand is taken for a loss that is none, one loss in a
-	// hundred is missed at first. Three silent backends at once, or two that stay silent, come to that; one never does.
+	lostSilenceRate    = 0.9  // share of attempts without any answer in a lost zone
+	minBaselineSilence = 0.05 // the same in a healthy zone, at least; the other zones' present share if that is higher
+	// The log-likelihood ratio at which the sequential probability ratio test (Wald) decides that a zone is lost: one
+	// silence in a thousand is taken for a loss by mistake, one loss in a hundred is missed at first. Three silent
+	// backends at once, or two that stay silent, reach it; one never does.
 	failOverThreshold     = 6.9
-	recoveryProbes        = 2    // probes in a row that must be answered before it is used again
-	minFailOverObjectives = 0.5  // longest aims for which it is left at least, doubled like the rest
-	probesPerObjective    = 50.0 // agents that may probe once in the longest aim; more of them probe as much together
-	recoveryObjectives    = 2.0  // longest aims from then until it has its full part
-	initialTrafficShare   = 0.1  // its part at the start
-	reportWeight          = 2.4  // what a peer's report counts for: three that saw it themselves come to failOverThreshold
-	reportObjectives      = 2.0  // longest aims for which it does: it is told anew each longest aim
-	maxBackoffExponent    = 4.0  // doublings of the ramp and the probes' wait, at the most, for a zone that fails again and again
+	recoveryProbes        = 2    // health checks answered in a row before the zone recovers
+	minFailOverObjectives = 0.5  // shortest failover in longest objectives; doubles with backoffExponent
+	probesPerObjective    = 50.0 // agents that may check once per longest objective; more agents make as many checks together
+	recoveryObjectives    = 2.0  // length of the recovery ramp in longest objectives
+	initialTrafficShare   = 0.1  // share of its traffic at the start of the recovery ramp
+	reportWeight          = 2.4  // weight of a peer's report: three that saw it themselves reach failOverThreshold
+	reportObjectives      = 2.0  // validity of a report in longest objectives: it is repeated in each
+	maxBackoffExponent    = 4.0  // bound of the doublings for a zone that fails again and again
 )
 
-// recordSilence takes an attempt that is out for long, or that found no connection in all its time, as evidence against its
-// backend's zone if nothing at all has come from there since it was sent: a zone that is slow answers. One
-// backend's counts once, and half a second time: it is none against the others.
+// recordSilence takes an attempt that is outstanding for long, or that got no connection in all its time, as evidence
+// against the zone if no answer at all has come from there since it was sent: a zone that is only slow answers. A
+// backend's first silent attempt counts in full and its second one half; further ones tell nothing about the others.
 func (b *Balancer) recordSilence(a *attempt, result Result) {
 	z := b.zone(a.backend)
 	if a.countedSilent || z.failedOver || z.lastAnswerAt >= a.sentAt ||
@@ -50,8 +51,9 @@
 	b.evaluateZone(z, true)
 }
 
-// evaluateZone leaves a zone that is lost by this agent's own evidence and by what others told since the last answer from
-// there. One who answers often enough to know for itself is told nothing new: its answers came after the reports.
+// evaluateZone fails over from a zone that is lost according to the sequential test and the reports since its last
+// answer. An agent that gets answers often enough to judge by itself learns nothing from reports: its answers are
+// newer.
 func (b *Balancer) evaluateZone(z *zone, own bool) {
 	validity := time.Duration(reportObjectives * float64(b.maxObjective))
 	z.reports = slices.DeleteFunc(z.reports, func(report lossReport) bool { return b.now-report.receivedAt >= validity })
@@ -61,8 +63,9 @@
 	}
 }
 
-// onLossReport takes which zones a peer found lost by itself. Who holds this agent's own zone for lost stands beyond a cut, and
-// what it says of zones says nothing about what can be reached from here.
+// onLossReport applies a peer's report of the zones that it found lost on its own evidence. A peer that reports this
+// agent's own zone is on the other side of a network partition, and its reports say nothing about what can be reached
+// from here.
 func (b *Balancer) onLossReport(from int, lost uint16) {
 	if lost == 0 || b.settings.Zone < maxLossZones && lost>>max(b.settings.Zone, 0)&1 != 0 {
 		return
@@ -71,7 +74,7 @@
 		if lost>>i&1 == 0 || z.failedOver || b.now-z.lastAnswerAt < time.Duration(b.classes[0].latency) {
 			continue
 		}
-		if z.logLikelihoodRatio == 0 { // another zone has to have answered of late
+		if z.logLikelihoodRatio == 0 { // another zone must have answered recently
 			z.silenceStartedAt = b.now - b.maxObjective
 		}
 		z.reports = slices.DeleteFunc(z.reports, func(report lossReport) bool { return report.from == from })
@@ -85,7 +88,7 @@
 	z := b.zone(backend)
 	z.silenceRate -= smoothing / 2 * z.silenceRate
 	z.lastAnswerAt, z.reports = b.now, nil
-	if z.failedOver { // a canary's answer, or one that a cut held up
+	if z.failedOver { // the canary's answer, or one that a partition delayed
 		b.onProbeAnswer(z, true)
 	}
 	if z.logLikelihoodRatio > 0 {
@@ -93,8 +96,8 @@
 	}
 }
 
-// otherZoneAnswers reports whether another zone has answered since this one fell silent. Where none has, the silence is
-// this agent's own, or its link's, and nothing is left.
+// otherZoneAnswers reports whether another zone has answered since this one fell silent. If none has, the silence is
+// that of this agent or its own link, and there is nothing to fail over from.
 func (b *Balancer) otherZoneAnswers(z *zone) bool {
 	for _, other := range b.zones {
 		if other != z && !other.failedOver && other.lastAnswerAt > z.silenceStartedAt &&
@@ -118,8 +121,8 @@
 	}
 }
 
-// probeZone asks one backend of a zone that was left, or lets one request go there where probes are not allowed,
-// and sees to the next.
+// probeZone checks the health of one backend of a failed-over zone, or lets one request go there where health checks
+// are not allowed, and schedules the next check.
 func (b *Balancer) probeZone(z *zone) {
 	interval := float64(b.maxObjective) * math.Exp2(z.backoffExponent-1) / 2 *
 		max(1, float64(b.settings.Balancers)/probesPerObjective)
@@ -141,7 +144,7 @@
 	}
 }
 
-// onProbe takes a probe's answer. Enough of them, and the zone is used again, by a part that grows.
+// onProbe applies the result of a health check.
 func (b *Balancer) onProbe(event ProbeResult) {
 	backend := b.byID[event.Backend]
 	if backend == nil || !b.zone(backend).failedOver {
@@ -154,14 +157,14 @@
 	if z.consecutiveSuccesses++; !ok {
 		z.consecutiveSuccesses = 0
 	}
-	// Late answers count, too, but a zone that stalls and goes on must not be left and used again by turns.
+	// Late answers count, too, but a zone that stalls and resumes must not fail over and recover by turns.
 	minSpan := time.Duration(minFailOverObjectives * float64(b.maxObjective) * math.Exp2(z.backoffExponent-1))
 	if z.consecutiveSuccesses < recoveryProbes || b.now-z.failedOverAt < minSpan {
 		return
 	}
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number})
 	z.failedOver, z.logLikelihoodRatio, z.recoveryStartedAt, z.lastAnswerAt, z.reports = false, 0, b.now, b.now, nil
-	for _, backend := range b.backends { // what its silence taught of each is void
+	for _, backend := range b.backends { // what its silence taught about each backend is void
 		if b.zone(backend) == z && backend.ejectedAt >= z.silenceStartedAt {
 			backend.failureScore, backend.ejectedUntil, backend.consecutiveFailures, backend.failureRate = 0, 0, 0, 0
 		}
@@ -172,7 +175,7 @@
 	b.recomputeCapacity()
 }
 
-// trafficShare is the share of its usual traffic that a zone may have now.
+// trafficShare is the share of its usual traffic that a zone may get now: 0 while failed over, then along a ramp.
 func (b *Balancer) trafficShare(z *zone) float64 {
 	switch {
 	case z.failedOver:
@@ -188,7 +191,8 @@
 	return min(share, 1)
 }
 
-// closedZones says which zones a request may not go to now. Where every zone is left, none is.
+// closedZones returns the zones that a request may not go to now. nil means none; also where every zone is failed
+// over.
 func (b *Balancer) closedZones(req *request) []bool {
 	reserved := b.reservedZones(req)
 	if b.allZonesOpen {
