--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// Classes of the test settings, by position.
+// Indices of the classes of the test settings.
 const (
 	idempotent = iota
 	nonIdempotent
@@ -58,7 +58,7 @@
 	timers   []balancer.TimerFired
 	timersAt []time.Duration
 	actions  []balancer.Action // of the last step
-	audit    *auditor          // of the rules; may be nil
+	audit    *auditor          // checks the rules; may be nil
 }
 
 func newRig(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Backend) *rig {
@@ -95,7 +95,7 @@
 	return r.actions
 }
 
-// advance moves the clock and fires the timers on the way; it returns all actions.
+// advance moves the clock, fires the timers that are due on the way, and returns all actions.
 func (r *rig) advance(d time.Duration) []balancer.Action {
 	var all []balancer.Action
 	end := r.now + d
@@ -134,7 +134,8 @@
 		Latency: latency, Done: res == balancer.OK})
 }
 
-// serve sends n requests one after the other and answers each at once.
+// serve sends n requests one after the other and answers each after the latency. It returns the first attempts by
+// backend.
 func (r *rig) serve(n int, class int, latency time.Duration) map[string]int {
 	r.t.Helper()
 	counts := map[string]int{}
@@ -148,7 +149,7 @@
 	return counts
 }
 
-// final names the final answer for a request among the actions, or "".
+// final names the final answer for a request among the actions, or returns "".
 func final(id string, actions []balancer.Action) string {
 	found := ""
 	for _, a := range actions {
@@ -195,7 +196,7 @@
 	}
 }
 
-// What an outcome lets each kind of class do: retry on another backend, or end.
+// What each kind of class may do after an outcome: retry on another backend, or end.
 func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -256,7 +257,7 @@
 	}
 }
 
-// A keyed request that may have run goes only to its group and within its window.
+// A request with an idempotency key that may have executed is retried only in its scope and within its window.
 func TestKeyedRequestStaysInScopeAndWindow(t *testing.T) {
 	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
 	for seed := uint64(0); seed < 40; seed++ {
@@ -311,13 +312,13 @@
 	}
 }
 
-// The bucket holds 100: 20 retries at 5, or 10 after time-outs. First attempts
-// go out when it is empty; served requests bring one token each, up to the cap.
+// The budget holds 100 tokens: 20 retries at 5, or 10 after time-outs. First attempts are sent when it is empty; each
+// answered request brings one token, up to the capacity.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
-	// spend fails n requests and returns how many were retried. The retry is
-	// served, unless it must not refill the bucket.
+	// spend fails n requests and returns how many were retried. The retry fails, too, so that it does not refill the
+	// budget.
 	spend := func(r *rig, n int, res balancer.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(r.sent))
@@ -365,8 +366,8 @@
 	}
 }
 
-// Waits are full jitter: between 0 and a unit (a share of the aim) that doubles
-// with each retry up to a ceiling.
+// Backoff has full jitter: between 0 and a unit (a share of the objective) that doubles with each retry up to a
+// ceiling.
 func TestBackoffIsFullJitterUpToTheCeiling(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
@@ -400,7 +401,7 @@
 	}
 }
 
-// A retry whose wait would outlast the time left is not made.
+// A retry whose backoff would outlast the deadline is not made.
 func TestRetryThatWouldMissTheDeadlineIsNotMade(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	r.request("q", idempotent)
@@ -471,7 +472,7 @@
 		s := settings()
 		s.CrossZoneCost = 0.02
 		r := newRig(t, s, 2, backends(4))
-		r.now += s.SlowStartWindow + 1 // nothing has been crowded for long
+		r.now += s.SlowStartWindow + 1 // the limit was not cut for long
 		counts := r.serve(400, idempotent, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
 			t.Errorf("own zone got %d of 400, want most but not all", own)
@@ -499,7 +500,7 @@
 	})
 }
 
-// A backend that fails fast is always idle; it must not draw the traffic.
+// A backend that fails fast is always idle; it must not attract the traffic.
 func TestBackendThatFailsFastIsEjected(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(6))
 	bad := 0
@@ -517,14 +518,14 @@
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
 	}
-	// Once it works again it comes back, first with requests that may be repeated.
+	// Once it works again it comes back.
 	r.advance(20 * time.Second)
 	if counts := r.serve(400, idempotent, 30*ms); counts["a"] < 20 {
 		t.Errorf("after healing it got %d of 400", counts["a"])
 	}
 }
 
-// With no repeatable class at all an ejected backend must still come back.
+// Without any idempotent class an ejected backend must still come back.
 func TestEjectionEndsWithoutIdempotentClass(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[nonIdempotent : nonIdempotent+1]
@@ -545,9 +546,9 @@
 	}
 }
 
-// playWithBaselineFailures drives a fleet of ten with 40 requests in flight, on which one attempt in twelve fails to
-// connect or breaks and, if bad, two in three at backend a. It returns the sends of the last half,
-// by backend and in all.
+// playWithBaselineFailures drives a fleet of ten with 40 requests in flight, where one attempt in twelve fails to
+// connect or is reset and, if bad, two in three at backend a. It returns the sends of the last half, by backend and in
+// total.
 func playWithBaselineFailures(t *testing.T, bad bool) (counts map[string]int, total int) {
 	t.Helper()
 	r := newRig(t, settings(), 5, backends(10))
@@ -578,16 +579,16 @@
 	return counts, total
 }
 
-// Ticket 8488: where some attempts break everywhere, one that does tells nothing of its backend.
-// Each ejected or taken for dead in its turn leaves the rest to carry all.
+// Ticket 8488: where some attempts break everywhere, a broken one says nothing about its backend. If each such backend
+// were ejected or taken for dead, the rest would have to carry everything.
 func TestBaselineFailuresEjectNobody(t *testing.T) {
 	if _, total := playWithBaselineFailures(t, false); total < 1950 {
 		t.Errorf("%d of 2000 requests were sent", total)
 	}
 }
 
-// A lone break ejects nobody, also before the agent has learned what is usual: with as many
-// backends out as broke in the first seconds, a tenth was refused. Two in a row do.
+// A single reset ejects nobody, also before the agent has learned the baseline: with as many backends out as resets in
+// the first seconds, a tenth of the requests was refused. Two in a row eject.
 func TestSingleResetEjectsNobody(t *testing.T) {
 	for n, ejected := range map[int]bool{1: false, 2: true} {
 		r := newRig(t, settings(), 1, backends(3))
@@ -609,14 +610,14 @@
 	}
 }
 
-// What fails far more than the others is still avoided.
+// A backend that fails far more than the others is still avoided.
 func TestBackendWorseThanBaselineIsEjected(t *testing.T) {
 	if counts, total := playWithBaselineFailures(t, true); counts["a"] > total/25 {
 		t.Errorf("the failing backend got %d of %d", counts["a"], total)
 	}
 }
 
-// When every backend is ejected, first attempts go out all the same.
+// When every backend is ejected, first attempts are sent all the same.
 func TestFirstAttemptGoesOutWhenAllAreEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -632,7 +633,7 @@
 	}
 }
 
-// A stalled backend shows in the wait of its oldest attempt, before any answer.
+// A stalled backend shows in the age of its oldest attempt, before any answer.
 func TestStalledBackendIsAvoided(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(3))
 	r.serve(60, idempotent, 20*ms)
@@ -704,7 +705,7 @@
 	})
 }
 
-// A cold backend gets no more than its warmth times what a warm one serves.
+// A backend in slow start gets no more than its warmth times what a warm one serves.
 func TestSlowStartLimitsShare(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour // the rig's clock starts here
@@ -722,8 +723,8 @@
 	}
 }
 
-// join+vast: what a backend was slow by while cold was held against it, besides its warmth, and an
-// agent that met it seldom left it idle long after it was warm.
+// join+vast: the latency of slow start was held against a backend besides its warmth, and an agent that met it seldom
+// left it idle long after it was warm.
 func TestSlowStartLatencyIsForgotten(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour
@@ -749,8 +750,8 @@
 	}
 }
 
-// join+vast: 36 of 60 backends were warm after half of the stated time, and the agents refused what
-// those could have served. The answers of cold ones tell how warm they are.
+// join+vast: 36 of 60 backends were warm after half of the slow-start window, and the agents refused what those could
+// have served. The answers of starting backends show how warm they are.
 func TestAnswersTeachWarmth(t *testing.T) {
 	play := func(cold time.Duration) (sent int) {
 		list := backends(8)
@@ -770,7 +771,7 @@
 			r.now += 100 * ms // both plays last as long
 			r.outcome(id, balancer.OK, latency)
 		}
-		for i := range 100 { // and nothing is answered; a cold one takes up its part by and by
+		for i := range 100 { // nothing is answered; a starting backend takes up its share gradually
 			r.now += 20 * ms
 			id := fmt.Sprint("all", i)
 			r.request(id, idempotent)
@@ -783,8 +784,8 @@
 	}
 }
 
-// burst sends 150 requests at once and answers what goes out, and what was held and goes out later,
-// after a latency each. It returns how many went out at first.
+// burst sends 150 requests at once and answers those that are sent, also later from the queue, after a latency each.
+// It returns how many were sent at first.
 func (r *rig) burst(name string, latency time.Duration) (out int) {
 	answered := map[string]bool{}
 	id := func(i int) string { return fmt.Sprint(name, "-", i) }
@@ -805,8 +806,8 @@
 	return out
 }
 
-// join+vast: backends jam within two seconds, and by a tenth a round the limit fell by half in three.
-// It is cut by how far the delay has passed the aimed one.
+// join+vast: backends get overloaded within two seconds, and with cuts of a tenth per round the limit fell by half in
+// three. It is cut by the excess of latency over the target.
 func TestLimitFallsWithOverload(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	full, jammed := 0, 0
@@ -821,8 +822,8 @@
 	}
 }
 
-// join+vast: the limit grew at full speed until the delay, which is seen late, had passed the aimed
-// one, and by then the backends were jammed. It grows by what is left to the aimed delay.
+// join+vast: the limit grew at full speed until latency, which is seen late, had passed the target, and by then the
+// backends were overloaded. It grows by the distance to the target.
 func TestLimitGrowsSlowerNearTheTarget(t *testing.T) {
 	grown := func(latency time.Duration) int {
 		r := newRig(t, settings(), 1, backends(10))
@@ -839,8 +840,8 @@
 	}
 }
 
-// However often cold backends answered faster than they might, slow ones of a later start are soon
-// taken for cold again.
+// However often starting backends answered faster than expected, slow ones of a later start are soon taken for cold
+// again.
 func TestLearnedWarmthIsBounded(t *testing.T) {
 	play := func(before int) (sent int) {
 		list := backends(8)
@@ -865,7 +866,7 @@
 		}
 		serve(before, 40*ms)
 		serve(300, 300*ms)
-		for i := range 100 { // and nothing is answered; a cold one takes up its part by and by
+		for i := range 100 { // nothing is answered; a starting backend takes up its share gradually
 			r.now += 20 * ms
 			id := fmt.Sprint("all", i)
 			r.request(id, idempotent)
@@ -878,12 +879,12 @@
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a cold backend gets more than its sure share of
-// what a warm one serves, and stays well below the stated multiple of it.
+// Incidents i37feae and i28e3f7: under overload a backend in slow start gets more than the guaranteed share of what a
+// warm one serves, and stays well below OverloadMultiple of it.
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := backends(5)
 	for i := range list {
-		list[i].Zone = 0 // answers here come one at a time: a zone of two would be silent for long, and left
+		list[i].Zone = 0 // answers arrive one at a time here: a zone of two would be silent for long, and failed over
 	}
 	r := newRig(t, settings(), 9, list)
 	var out []string
@@ -899,7 +900,7 @@
 			}
 		}
 	}
-	drive := func(n int) { // each 5 ms: all answers of the cold one, one of the others, two requests
+	drive := func(n int) { // every 5 ms: all answers of the starting backend, one of the others, two requests
 		for range n {
 			r.advance(5 * ms)
 			was := out
@@ -941,13 +942,12 @@
 	}
 }
 
-// A refused client is told when to come back, within what it heeds and where it is shown that,
-// and not all of them at the same time.
+// A refused client gets a Retry-After, no longer than it honors, where it is shown, and not the same for all.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, shown := range []bool{true, false} {
 		s := settings()
 		s.RetryAfter, s.MaxRetryAfter = shown, 450*ms
-		r := newRig(t, s, 1, nil) // nowhere to send
+		r := newRig(t, s, 1, nil) // no backend
 		told := map[time.Duration]bool{}
 		for i := range 20 {
 			id := fmt.Sprint("q", i)
@@ -967,8 +967,8 @@
 	}
 }
 
-// Ticket 397: where every backend is cold, as after a power cut, what they serve sets their budgets.
-// By what warm ones served alone they got nothing more once that had faded.
+// Ticket 397: where every backend is in slow start, as after a power cut, their own throughput sets the budgets.
+// Budgets from warm backends alone gave them nothing more once that memory had decayed.
 func TestFleetInSlowStartServes(t *testing.T) {
 	var list []balancer.Backend
 	for _, n := range backends(5) {
@@ -982,7 +982,7 @@
 	for i := range answered { // 20 s, in which the backends warm up by a quarter
 		r.request(fmt.Sprint("q", i), idempotent)
 		r.advance(20 * ms)
-		for k := max(0, i-50); k <= i; k++ { // held ones go out later than they came
+		for k := max(0, i-50); k <= i; k++ { // queued ones are sent later than they arrived
 			if id := fmt.Sprint("q", k); len(r.sent[id]) == 1 && !answered[k] {
 				answered[k] = true
 				r.outcome(id, balancer.OK, 20*ms)
@@ -997,7 +997,7 @@
 	}
 }
 
-// A heavy request alone could push a cold backend over.
+// One expensive request alone could overload a backend in slow start.
 func TestSlowStartGetsNoExpensiveRequest(t *testing.T) {
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
@@ -1028,8 +1028,8 @@
 	}
 }
 
-// shareAfterFailures drives a balancer with three backends until a is sent n requests at once, ends these
-// with res and in one tick, and returns how many of 200 requests a gets after a while.
+// shareAfterFailures drives a balancer with three backends until a has n requests outstanding, ends these with res in
+// one tick, and returns how many of 200 requests a gets after a while.
 func shareAfterFailures(t *testing.T, n int, res balancer.Result) int {
 	t.Helper()
 	r := newRig(t, settings(), 3, backends(3))
@@ -1052,7 +1052,7 @@
 		}
 	}
 	r.advance(2 * time.Second)
-	for _, id := range out { // those that were sent again
+	for _, id := range out { // those that were retried
 		if len(r.sent[id]) > 1 {
 			r.outcome(id, balancer.OK, 20*ms)
 		}
@@ -1060,8 +1060,8 @@
 	return r.serve(200, idempotent, 20*ms)["a"]
 }
 
-// A backend that comes back before the list tells counts as cold. One that died refuses
-// connections, or breaks all that is out there at once.
+// A backend that is back before the endpoint list says so counts as in slow start. A process that died refuses
+// connections, or breaks all its outstanding attempts at once.
 func TestRestartedBackendIsInSlowStart(t *testing.T) {
 	for name, seen := range map[string]int{
 		"refused":        shareAfterFailures(t, 1, balancer.ConnectFailed),
@@ -1073,15 +1073,15 @@
 	}
 }
 
-// Ticket 397: one attempt that breaks, or whose answer can't be read, is no sign of a restart.
-// Backends taken for cold, one after the other, left no capacity within seconds.
+// Ticket 397: one reset attempt, or one unreadable answer, does not mean a restart. Backends taken for cold, one after
+// the other, left no capacity within seconds.
 func TestSingleResetIsNoRestart(t *testing.T) {
 	if seen := shareAfterFailures(t, 1, balancer.Reset); seen < 45 {
 		t.Errorf("after one broken answer it got %d of 200, want about a third", seen)
 	}
 }
 
-// A list that is empty at the start: requests wait, and are refused in time.
+// With an empty endpoint list requests wait, and are refused in time.
 func TestRequestsWithoutBackendAreRefusedInTime(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent, scopeZone} {
 		r := newRig(t, settings(), 1, nil)
@@ -1102,8 +1102,7 @@
 	})
 }
 
-// Latency above the aimed delay cuts what is kept in flight; what does not fit
-// waits and is refused, and a client's repeat is refused first.
+// Latency above the target cuts the limit. Requests beyond it wait and are refused, a client's retry at once.
 func TestInFlightLimitHolds(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
@@ -1155,7 +1154,7 @@
 	}
 }
 
-// Incident ia38185: the limit follows the list down.
+// Incident ia38185: the limit follows the endpoint list down.
 func TestLimitFollowsTheEndpointList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
@@ -1170,8 +1169,8 @@
 	}
 }
 
-// Incidents idacc77 and i574e74: what dead backends carried must not land on the
-// living while the list still names the dead.
+// Incidents idacc77 and i574e74: the load of dead backends must not land on the living ones while the list still names
+// the dead.
 func TestLimitExcludesDeadBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	r.serve(50, idempotent, 5*ms)
@@ -1199,8 +1198,8 @@
 	}
 }
 
-// Incident ieb2a7b: attempts that hang at a backend which answers nothing must not
-// use up the room of the others once it is ejected.
+// Incident ieb2a7b: attempts that hang at a silent backend must not use up the capacity of the others once it is
+// ejected.
 func TestHangingAttemptsUseNoCapacity(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -1241,8 +1240,8 @@
 	}
 }
 
-// A time-out says at least how slow a backend is: one that answers only its light
-// requests must not keep the good name that these give it.
+// A time-out is a lower bound of a backend's latency: one that answers only its cheap requests must not keep the good
+// latency ratio that these give it.
 func TestTimeoutsRaiseLatencyRatio(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -1278,8 +1277,8 @@
 	}
 }
 
-// Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
-// not land on the warm ones, nor all on one.
+// Incident i37feae: a fleet that grows fivefold is cold. What it cannot take yet must not land on the warm backends,
+// nor all on one.
 func TestFleetGrowthDoesNotLoadWarmBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	r.serve(100, idempotent, 50*ms)
@@ -1299,7 +1298,7 @@
 		}
 	}
 	for id, n := range warm {
-		if n > 18 { // three mean shares of six
+		if n > 18 { // three even shares of six
 			t.Errorf("%s holds %d in flight", id, n)
 		}
 	}
@@ -1308,13 +1307,13 @@
 	}
 }
 
-// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
-// well within the aim in the mean but vary a lot.
+// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are well within the objective in the
+// mean but vary a lot.
 func TestLimitOfBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
 	r := newRig(t, s, 1, backends(30))
-	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110 of an aim of 400
+	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110, objective 400
 	refused, queue := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
@@ -1336,8 +1335,8 @@
 	}
 }
 
-// Incidents ieeee80 and i24a18c: an agent with most of the traffic gets most of the limit
-// where agents may tell each other; one that hears nobody keeps its share by head count.
+// Incidents ieeee80 and i24a18c: an agent with most of the traffic gets most of the limit where agents exchange
+// messages. One that hears from nobody keeps its even share.
 func TestPeersShareTheLimit(t *testing.T) {
 	demand := func(busyCores float32) []byte {
 		return binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(busyCores))<<32)
@@ -1392,8 +1391,8 @@
 	}
 }
 
-// An agent that was restarted has seen little of what its clients ask for. Beside a peer with as
-// much traffic it must not reckon itself quiet and refuse at a small part of the limit.
+// A restarted agent has seen little of its clients' demand. Beside a peer with as much traffic it must not take itself
+// for a quiet agent and refuse at a small share of the limit.
 func TestRestartedAgentKeepsItsQuota(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 2, true
@@ -1414,7 +1413,7 @@
 		return r, told
 	}
 	_, told := drive(0, 500, nil)
-	r, _ := drive(1, 25, told) // half a second, a little more than a tell
+	r, _ := drive(1, 25, told) // half a second, a little more than a gossip interval
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
@@ -1426,8 +1425,8 @@
 	}
 }
 
-// Incident ie43f64: with every agent telling every other, messages grew with the square of
-// their number. However many agents there are, one tells few of them, and not always the same.
+// Incident ie43f64: when every agent sent to every other, messages grew with the square of their number. However many
+// agents there are, one sends to a few, and not always the same ones.
 func TestGossipFanoutIsBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 50, 2000} {
 		s := settings()
@@ -1443,7 +1442,7 @@
 				}
 			}
 		}
-		for i := range 100 { // a request every tenth of a period
+		for i := range 100 { // a request every tenth of an interval
 			id := fmt.Sprint("q", i)
 			count(r.request(id, idempotent))
 			count(r.outcome(id, balancer.OK, 20*ms))
@@ -1458,9 +1457,9 @@
 	}
 }
 
-// zone+vast: 80 agents spread each key over 60 backends, and nearly all of the work that a backend
-// saves on a key it met lately was lost. Any two agents prefer the same few idle ones for a key,
-// other keys have others, and one in use or ejected gives way as ever.
+// zone+vast: 80 agents spread each key over 60 backends, and nearly all of the work that a backend saves on a recent
+// key was lost. Any two agents prefer the same few idle ones for a key; other keys have others; a busy or ejected one
+// gives way.
 func TestKeyAffinityPrefersTheSameBackends(t *testing.T) {
 	play := func(warm bool, seed, key uint64) map[string]int {
 		s := settings()
@@ -1476,7 +1475,7 @@
 		}
 		return counts
 	}
-	// together is the share of pairs of requests, one of each agent, that meet at one backend.
+	// together is the share of pairs of requests, one of each agent, that go to one backend.
 	together := func(x, y map[string]int) (share float64) {
 		for id := range x {
 			share += float64(x[id]*y[id]) / 1e4
@@ -1546,7 +1545,7 @@
 		r.advance(50 * ms)
 	}
 	before := inFlight(0)
-	for range 60 { // three seconds without a word: over four tells
+	for range 60 { // three seconds without a message: over four intervals
 		r.serve(1, idempotent, 20*ms)
 		r.advance(50 * ms)
 	}
@@ -1569,7 +1568,7 @@
 				}
 			}
 		}
-		for i := range 1000 { // what exceeds the limit is held
+		for i := range 1000 { // what exceeds the limit is queued
 			sends(r.request(fmt.Sprint("q", i), idempotent))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
@@ -1584,14 +1583,14 @@
 	}
 }
 
-// A try whose patience is cut short by the client's deadline is a late one: it
-// does not wait for room, where a first try does.
+// An attempt whose timeout is cut short by the client's deadline is a client's retry: it does not wait for capacity,
+// where a first attempt does.
 func TestShortTimeoutMarksClientRetry(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []balancer.Action {
 		return r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: left})
 	}
-	for i := range 20 { // the usual patience, give or take
+	for i := range 20 { // the usual timeout, give or take
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
 	}
 	if got := final("first", submit("first", 899*ms)); got != "" {
@@ -1620,7 +1619,7 @@
 		if n := asks(r.advance(s.PollInterval / 10)); n != 1 {
 			t.Fatalf("asked %d times at the start, want once", n)
 		}
-		for range 8 { // every failure is followed by one more try, in time
+		for range 8 { // every failure is followed by one more poll, in time
 			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 			if n := asks(r.advance(s.PollInterval / 2)); n != 1 {
 				t.Fatalf("asked %d times after a failure, want once", n)
@@ -1640,14 +1639,14 @@
 	}
 }
 
-// A fleet replaced again and again leaves nothing behind: what a step costs, and what is kept, follows
-// the backends that are listed, not those that ever were.
+// A fleet that is replaced again and again leaves nothing behind: the cost of a step and the memory depend on the
+// listed backends, not on those that ever existed.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	var before, after runtime.MemStats
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
 		for i := range 100 {
-			list := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // changes and whole lists in turn
+			list := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // deltas and full lists in turn
 			for k := range 20 {
 				id := fmt.Sprintf("%03d-%03d-%02d-%s", n, i, k, strings.Repeat("x", 1000))
 				list.Backends = append(list.Backends, balancer.Backend{ID: id, State: balancer.BackendState(2 * (k % 2))})
@@ -1670,7 +1669,7 @@
 	runtime.KeepAlive(r)
 }
 
-// Events about things unknown, late or repeated do nothing.
+// Events that are late, repeated or about unknown things do nothing.
 func TestUnknownEventsDoNothing(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("done", idempotent)
@@ -1705,7 +1704,7 @@
 	}
 }
 
-// An abandoned request gets nothing more, though its attempt is still counted.
+// An abandoned request gets nothing more, though its attempt still counts.
 func TestAbandonedRequestGetsNothingMore(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
@@ -1718,7 +1717,7 @@
 	}
 }
 
-// Once an answer has begun to stream the request is the client's.
+// Once a response has started to stream nothing is retried.
 func TestStartedResponseEndsRetries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
@@ -1754,16 +1753,15 @@
 	}
 }
 
-// sparseSettings make an even part of the in-flight limit smaller than one attempt.
+// sparseSettings make an even share of the concurrency limit smaller than one attempt.
 func sparseSettings() balancer.Settings {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 100, true
 	return s
 }
 
-// Incident ie43f64, dallas big-1: hundreds of agents with one attempt each in flight crowd the
-// servers. A thin agent admits less of what it is asked as the delay passes the aimed share,
-// and all of it while there is no queue, however much that is.
+// Incident ie43f64, dallas big-1: hundreds of agents with one attempt each in flight overload the backends. An agent
+// with a sparse quota admits less of its demand as latency passes the target, and all of it while there is no queue.
 func TestSparseQuotaAdmitsByLatency(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
 		r := newRig(t, sparseSettings(), 1, backends(8))
@@ -1788,9 +1786,9 @@
 	}
 }
 
-// join+vast: 80 agents turned from counting to credit when a release had taken half of 60 backends,
-// and their credit, saved up in quiet times, jammed the rest. Where each may have an attempt or
-// more in flight, the limit is counted however the list changes.
+// join+vast: 80 agents switched from counting to credit when a release had taken half of 60 backends, and the credit
+// saved up in quiet times overloaded the rest. Where each may have an attempt or more in flight, attempts are counted
+// however the list changes.
 func TestRollingReleaseKeepsTheCountedLimit(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 80, true
@@ -1802,7 +1800,7 @@
 	r.serve(200, idempotent, 40*ms)
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list[:27]})
 	sent := 0
-	for i := range 20 { // and nothing is answered
+	for i := range 20 { // nothing is answered
 		id := fmt.Sprint("q", i)
 		r.request(id, idempotent)
 		sent += len(r.sent[id])
@@ -1812,15 +1810,15 @@
 	}
 }
 
-// Lost requests on satx-returns: a held request whose timer fired while its time to give up
-// had meanwhile moved later never got another timer, and no answer.
+// Lost requests on satx-returns: a queued request whose timer fired after its time to give up had moved later never
+// got another timer, and no answer.
 func TestQueuedRequestKeepsATimer(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	var acts []balancer.Action
 	for i := range 40 {
 		acts = append(acts, r.request(fmt.Sprint("q", i), idempotent)...)
 	}
-	for range 10 { // fast answers: less time is needed for one, so the rest may wait longer
+	for range 10 { // fast answers: less time is needed, so the rest may wait longer
 		r.now += ms
 		for i := range 40 {
 			if id := fmt.Sprint("q", i); len(r.sent[id]) == 1 {
@@ -1838,9 +1836,8 @@
 	}
 }
 
-// Dallas big-1: a thin agent meets a dead server so seldom that it learns of it too late. What
-// one agent saw, another knows from its message, the failure of a server as well as its speed,
-// and the same note told again changes nothing.
+// Dallas big-1: an agent with a sparse quota meets a dead backend so seldom that it learns of it too late.
+// Observations carry failures and speed to other agents, and the same observation received again changes nothing.
 func TestObservationsReachPeers(t *testing.T) {
 	s := sparseSettings()
 	teller := newRig(t, s, 1, backends(4))
@@ -1892,8 +1889,8 @@
 	}
 }
 
-// Dallas rough-1: in a crowded fleet answers come after the clients' patience. An attempt that
-// is out for most of its aim counts as late at once, and less is admitted before it ends.
+// Dallas rough-1: in an overloaded fleet answers come after the clients' timeouts. An attempt that is outstanding for
+// most of its objective counts as late at once, and less is admitted before it ends.
 func TestOverdueAttemptCountsBeforeItEnds(t *testing.T) {
 	s := sparseSettings()
 	s.Balancers = 1000
@@ -1918,8 +1915,8 @@
 	}
 }
 
-// Dallas rules-3: each of 150 agents sent a cold server one request at once, and together they
-// pushed it over. Only a part of them may do so right after its start.
+// Dallas rules-3: each of 150 agents sent a starting backend one request at once, and together they overloaded it.
+// Only a part of them may do so right after its start.
 func TestManyAgentsSpareABackendInSlowStart(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
@@ -1936,8 +1933,8 @@
 	}
 }
 
-// Satx big-1: a quiet agent spread over every server hears of each once a day. It keeps to a few
-// of an order of its own, other agents to others, and turns to further ones when those fail.
+// Satx big-1: a quiet agent that spreads over every backend hears from each once a day. It keeps to a subset in an
+// order of its own, other agents to others, and goes further in its order when those fail.
 func TestQuietAgentUsesASubset(t *testing.T) {
 	s := settings()
 	s.Balancers = 500
@@ -1975,8 +1972,8 @@
 	}
 }
 
-// Satx rough-1: kinds of machine suit classes differently. What is learned of a kind's fit to a
-// class holds for servers of that kind that the agent has hardly met.
+// Satx rough-1: kinds of machine suit classes differently. What is learned about a kind and a class holds for backends
+// of that kind that the agent has hardly met.
 func TestLatencyRatioIsLearnedByKindAndClass(t *testing.T) {
 	list := backends(20)
 	for i := range list {
@@ -2002,13 +1999,13 @@
 	if suits[0] < 85 || suits[1] < 85 {
 		t.Errorf("%d and %d of 100 went to the kind that suits the class, want most", suits[0], suits[1])
 	}
-	stray := backends(2) // kinds no list should hold do no harm
+	stray := backends(2) // kinds that no list should hold do no harm
 	stray[0].Kind = -3
 	newRig(t, settings(), 1, stray).serve(10, idempotent, 10*ms)
 }
 
-// Satx rough-2: a server that turns an attempt away is crowded for longer than one latency, and
-// drew as many as before right after it.
+// Satx rough-2: a backend that rejects an attempt is overloaded for longer than one latency, but got as many requests
+// as before right after it.
 func TestRejectingBackendIsChosenLess(t *testing.T) {
 	hits := 0
 	for seed := range uint64(100) {
@@ -2028,8 +2025,8 @@
 	}
 }
 
-// Incident i8cbe41: without peers nothing limited 893 thin agents, and every waiting room stayed
-// full. One that meets full servers only admits less, though no peer tells it anything.
+// Incident i8cbe41: without gossip nothing limited 893 agents with sparse quotas, and every queue stayed full. An
+// agent that meets rejections only admits less, though no peer tells it anything.
 func TestSparseQuotaWithoutPeersAdmitsLess(t *testing.T) {
 	s := sparseSettings()
 	s.GossipAllowed, s.MaxAttempts = false, 1
@@ -2051,9 +2048,9 @@
 	}
 }
 
-// Houston big-1: with a busy neighbour on a third of the servers the mean delay passed the aimed
-// share, and 40 in 100 requests were refused though the rest had room. What a server known to be
-// slow takes says little of the rest.
+// Houston big-1: with a noisy neighbour on a third of the backends mean latency passed the target, and 40 of 100
+// requests were refused though the rest had capacity. The latency of a backend known to be slow says little about the
+// rest.
 func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
 	r := newRig(t, sparseSettings(), 1, backends(8))
 	sent := 0
@@ -2078,9 +2075,9 @@
 	}
 }
 
-// A repeat may have to wait for its connection, for the connect time-out at most. It must reach
-// the backend while that still remembers the first: on sockets, one sent at the window's last
-// instant could run twice if its connection had to be opened first.
+// A retry may have to wait for its connection, up to the connect timeout. It must reach the backend while that still
+// remembers the first attempt: on sockets, one sent at the window's last instant could execute twice if its connection
+// had to be opened first.
 func TestRetryReachesBackendInDedupWindow(t *testing.T) {
 	for _, row := range []struct {
 		failed time.Duration
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -9,8 +9,8 @@
 	"martenbeam/balancer"
 )
 
-// BenchmarkStep plays a request, its outcome and now and then an error and a
-// retry. State must not grow with the requests played: see the heap metric.
+// BenchmarkStep plays a request, its outcome and, for one in fifty, an error and a retry. State must not grow with the
+// number of requests: see the heap metric.
 func BenchmarkStep(b *testing.B) {
 	lb, err := balancer.New(settings(), 1)
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// largeFleet makes a balancer of one of so many agents, over so many backends.
+// largeFleet returns the balancer of one agent in a fleet of the given size.
 func largeFleet(tb testing.TB, agents, backends int, now time.Duration) *balancer.Balancer {
 	tb.Helper()
 	s := settings()
@@ -112,7 +112,7 @@
 	}
 }
 
-// What a request costs grows far less than the fleet: it hangs on what changes, not on all that is there.
+// The cost of a request grows far less than the fleet: it depends on what changes, not on all that exists.
 func TestStepCostsLittleMoreInALargeFleet(t *testing.T) {
 	const rounds, requests, most = 20, 100, 4
 	nowUsual, nowLarge := time.Hour, time.Hour
@@ -125,7 +125,7 @@
 		}
 		return time.Since(began)
 	}
-	least := [2]time.Duration{time.Hour, time.Hour} // of all rounds: whatever else the machine does adds to the others
+	least := [2]time.Duration{time.Hour, time.Hour} // over all rounds: other load on the machine only adds time
 	for round := range rounds {
 		least[0] = min(least[0], took(usual, &nowUsual, round))
 		least[1] = min(least[1], took(large, &nowLarge, round))
--- a/balancer/crowd_test.go
+++ b/balancer/crowd_test.go
@@ -12,7 +12,8 @@
 	"martenbeam/balancer"
 )
 
-// agentFleet is a fleet of agents without a word between them, on told time. Every attempt is answered after the same time.
+// agentFleet is a fleet of agents that exchange no messages, on simulated time. All attempts take the same mean
+// latency.
 type agentFleet struct {
 	rigs       []*rig
 	rng        *rand.Rand
@@ -20,10 +21,10 @@
 	answers    []pendingAnswer
 	requests   int
 	sends      map[string][]sentAttempt // by backend
-	weights    []float64                // parts of the traffic that agents before and up to each get; nil: even ones
-	workSpread float64                  // of the work of a request: the spread of its logarithm
-	rejectRate float64                  // share of attempts that are turned away
-	inFlight   map[string]int           // in flight, by backend
+	weights    []float64                // cumulative traffic shares of the agents; nil: even shares
+	workSpread float64                  // standard deviation of the logarithm of a request's work; 0: all alike
+	rejectRate float64                  // share of attempts that are rejected
+	inFlight   map[string]int           // by backend
 	refused    int
 }
 
@@ -31,11 +32,11 @@
 	dueAt, latency time.Duration
 	rig            *rig
 	id             string
-	attempt        int // of the attempt
+	attempt        int // its number
 	result         balancer.Result
 }
 
-// sentAttempt is an attempt that went out, with its work against the mean.
+// sentAttempt is an attempt that was sent, with its work relative to the mean.
 type sentAttempt struct {
 	at   time.Duration
 	work float64
@@ -51,7 +52,7 @@
 	return c
 }
 
-// play has clients ask for rate requests a second for a while, each of an agent at random; an attempt takes latency.
+// play has clients send rate requests per second for the span, each to a random agent; an attempt takes the latency.
 func (c *agentFleet) play(rate float64, latency, span time.Duration, each func()) {
 	end, next := c.now+span, c.now
 	for c.now < end {
@@ -83,7 +84,7 @@
 	}
 }
 
-// pickAgent is the one that a request comes to.
+// pickAgent returns the index of the agent that gets the next request.
 func (c *agentFleet) pickAgent() int {
 	if c.weights == nil {
 		return c.rng.IntN(len(c.rigs))
@@ -102,7 +103,7 @@
 	}
 }
 
-// startBackends has backends start now, and tells every agent.
+// startBackends starts backends now, and updates every agent's endpoint list. It returns the time of the start.
 func (c *agentFleet) startBackends(list []balancer.Backend) time.Duration {
 	var news []balancer.Backend
 	for _, b := range list {
@@ -116,7 +117,7 @@
 	return c.now
 }
 
-// step lets an agent act now, and books what it sends.
+// step lets an agent act now, and records what it sends.
 func (c *agentFleet) step(r *rig, do func() []balancer.Action, latency time.Duration) {
 	r.now = max(r.now, c.now-5*ms)
 	if len(r.timersAt) == 0 {
@@ -144,14 +145,15 @@
 	}
 }
 
-// A cold backend gets no more work than it bears by all agents together, that hear nothing of each other, in every span of
-// the settings' length: what the settings allow it then, N, and two roots of N and two for chance. Traffic is skewed, requests
-// are uneven, some attempts are turned away and made again, and the agents may start in the same moment as the backends.
+// A backend in slow start gets no more work than it can bear from all agents together, though they exchange no
+// messages, in any span of OverloadWindow: N, which the settings allow it at that time, plus two square roots of N
+// plus two for chance. Traffic is skewed, requests are uneven, some attempts are rejected and retried, and agents may
+// start at the same moment as the backends.
 //
-// Where more is asked for than all can do the budget binds. Agents keep to N; with half as much again they use 0.91 of what is
-// put down to chance beyond it, and with three quarters the plays fail.
+// The demand exceeds the capacity of all, so the budget binds. The agents keep to N: with half as much again they use
+// 0.91 of the allowance for chance, and with three quarters more the test fails.
 func TestSlowStartBudgetHoldsAcrossAgents(t *testing.T) {
-	const served, latency = 20.0, 100 * ms // a warm backend's requests a second, and the time of each
+	const served, latency = 20.0, 100 * ms // requests per second of a warm backend, and the latency of each
 	most, service := math.Inf(-1), 0
 	for _, agents := range []int{1, 2, 20, 30, 300} {
 		for _, together := range []bool{false, true} {
@@ -160,7 +162,7 @@
 				warm, cold := 1+d.IntN(6), 1+d.IntN(10)
 				if agents == 300 {
 					if warm, cold = 4*warm, 4*cold; seed > 0 {
-						break // one play of so many takes as long as all the others
+						break // one play of this size takes as long as all the others
 					}
 				}
 				s := settings()
@@ -186,7 +188,7 @@
 					c.skewTraffic()
 				}
 				clear(c.sends)
-				c.play(2*served*float64(warm+cold), latency, 4*time.Second, nil) // more than all can do
+				c.play(2*served*float64(warm+cold), latency, 4*time.Second, nil) // more than all can serve
 				for _, b := range list[warm:] {
 					at, sum := c.sends[b.ID], 0.0
 					service += len(at)
@@ -210,7 +212,8 @@
 	t.Logf("the most beyond N: %.2f of what is put down to chance; %d attempts at cold backends", most, service)
 }
 
-// While backends are cold, what they don't take of the limit is not put on the warm ones, that would turn slow by it.
+// While some backends are in slow start, their unused share of the limit is not sent to the warm ones, which would
+// become slow by it.
 func TestWarmBackendsKeepTheirLimitShare(t *testing.T) {
 	const warm, cold, latency = 4, 8, 100 * ms
 	s := settings()
@@ -219,7 +222,7 @@
 	c := newAgentFleet(t, s, 10, 3, list)
 	c.play(400, latency, 4*time.Second, nil)
 	c.startBackends(list[warm:])
-	c.play(1500, latency, time.Second, nil) // until what was out has come back
+	c.play(1500, latency, time.Second, nil) // until the outstanding attempts are answered
 	most, sum, n := 0, 0, 0
 	c.play(1500, latency, 3*time.Second, func() {
 		now := 0
@@ -228,7 +231,8 @@
 		}
 		most, sum, n = max(most, now), sum+now, n+1
 	})
-	// The limit is 6 for each backend at the start and grows with answers this quick; without a part of their own it is 15.6.
+	// The limit starts at 6 for each backend and grows with answers this quick. Without a share of their own for warm
+	// backends it is 15.6.
 	if mean := float64(sum) / float64(n) / warm; mean < 3 || mean > 14.5 {
 		t.Errorf("%.1f attempts in flight at each warm backend, at most %d at all", mean, most)
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,8 +7,8 @@
 	"martenbeam/balancer"
 )
 
-// One balancer through a first attempt, a failure, a retry and an answer. The
-// agent owns the clock, the timers and the connections.
+// One balancer through a first attempt, a failure, a retry and an answer. The agent owns the clock, the timers and the
+// connections.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Balancers:   1,
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Modules that decide are named in the deploy file, and each stays small enough to be read at once: a larger one has to be parted
-// by what it decides. The others of this package say of themselves that they decide nothing, or hold its interface.
+// The files that make decisions are named in the deploy file, and each stays short enough to be read in one go: a
+// longer one must be split by what it decides. The other files of the package say that they decide nothing, or hold
+// its interface.
 func TestPolicyLimits(t *testing.T) {
 	const most, least, longest = 240, 10, 130
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -50,7 +51,7 @@
 	}
 }
 
-// countLines counts the lines that are not blank, and fails lines that are too long.
+// countLines counts the lines that are not blank, and fails the test for lines that are too long.
 func countLines(t *testing.T, name string, longest int) (lines int) {
 	t.Helper()
 	text, err := os.ReadFile(name)
--- a/balancer/message_test.go
+++ b/balancer/message_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A message keeps its numbers and notes; notes grow older on the way, never younger, bad news
-// goes first, and what does not fit or is too old stays behind.
+// A message keeps its numbers and observations. Observations get older on the way, never younger; failures go first;
+// what does not fit or is too old is left out.
 func TestMessageRoundTrip(t *testing.T) {
 	const now, unit = time.Hour, time.Second
 	m := gossipMessage{demand: 12.5, latencyRatio: 0.25}
@@ -15,7 +15,7 @@
 		m.observations = append(m.observations, observation{uint32(i), byte(i), now - time.Duration(100-i)*10*time.Millisecond})
 	}
 	m.observations[3].value = valueFailed
-	m.observations = append(m.observations, observation{200, valueLate, now - 9*unit}) // dead of age
+	m.observations = append(m.observations, observation{200, valueLate, now - 9*unit}) // expired
 	data := m.encode(now, unit)
 	if len(data) > maxMessageSize || len(data) < maxMessageSize-observationSize {
 		t.Errorf("%d bytes", len(data))
--- a/balancer/near_test.go
+++ b/balancer/near_test.go
@@ -7,7 +7,8 @@
 	"martenbeam/balancer"
 )
 
-// Where crossing has a price an agent stays near as long as that is no slower: in its zone, then in its region.
+// Where crossing zones has a cost, traffic stays near as long as that is no slower: in its own zone, then in its
+// region.
 func TestNearZonesArePreferred(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *balancer.Settings)
--- a/balancer/operations_test.go
+++ b/balancer/operations_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// override makes an operator's call and returns whether it was taken.
+// override applies an operator's override and reports whether it was accepted.
 func (r *rig) override(e balancer.Event) bool {
 	r.t.Helper()
 	taken, answers := false, 0
@@ -26,8 +26,7 @@
 	return taken
 }
 
-// A detached backend gets nothing, whatever the list says, until the one call back that ends any
-// number of calls out.
+// A disabled backend gets nothing, whatever the endpoint list says, until one Enable reverts any number of Disable.
 func TestDisabledBackendGetsNothing(t *testing.T) {
 	list := backends(3)
 	started := slices.Clone(list)
@@ -63,8 +62,7 @@
 	}
 }
 
-// No retry goes there either, and with every backend detached a request gets its answer in the
-// ordinary way.
+// No retry goes to a disabled backend, and with every backend disabled a request gets its answer in the ordinary way.
 func TestNothingIsRetriedAtADisabledBackend(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
@@ -84,7 +82,7 @@
 	}
 }
 
-// An id that nobody has is owed a no; one that left the list while it was detached is known.
+// An override of an unknown ID is rejected. A backend that left the list while disabled is known.
 func TestOverridesOfUnknownBackendsAreRejected(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	if r.override(balancer.Disable{Call: 1, Backend: "z"}) || r.override(balancer.Enable{Call: 2, Backend: "z"}) {
@@ -100,7 +98,7 @@
 	}
 }
 
-// What another process of the agent was told holds here, also before the list names the backend.
+// Overrides that an earlier process of the agent accepted hold here, also before the list names the backend.
 func TestInheritedOverridesHold(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2)[1:])
 	if !r.override(balancer.Disable{Call: 1, Backend: "a", Inherited: true}) {
@@ -110,7 +108,7 @@
 	if n := r.serve(60, idempotent, 10*ms)["a"]; n > 0 {
 		t.Errorf("%d requests went to the detached backend", n)
 	}
-	// Called back elsewhere a while ago: it is as far from warm as that tells.
+	// Re-enabled a while ago, in the earlier process: its slow start is over.
 	at := r.now - settings().SlowStartWindow
 	r.override(balancer.Enable{Call: 2, Backend: "a", Inherited: true, At: at})
 	if n := r.serve(90, idempotent, 10*ms)["a"]; n < 20 {
@@ -118,7 +116,7 @@
 	}
 }
 
-// A backend that was called back is cold, with nothing of before held against it.
+// A re-enabled backend is in slow start, and nothing from before is held against it.
 func TestReenabledBackendStartsSlowAndForgiven(t *testing.T) {
 	cold := func(attach bool) int {
 		s := settings()
@@ -153,8 +151,8 @@
 	}
 }
 
-// Operators wait 5 s for a backend that they called back to be used, also where an agent with
-// little traffic keeps to a few others, and each key to the few nearest to it.
+// Operators expect a re-enabled backend to be used within 5 s, also where an agent with little traffic keeps to a
+// small subset, and each key to the few backends closest to it.
 func TestReenabledBackendIsSoonUsed(t *testing.T) {
 	for seed := range uint64(20) {
 		s := settings()
@@ -172,7 +170,7 @@
 		for range 40 {
 			ask()
 		}
-		// One far down this agent's order and far from the key.
+		// One that is late in this agent's own order and not close to the key.
 		used := map[string]bool{}
 		for range 40 {
 			used[ask()] = true
@@ -196,8 +194,8 @@
 	}
 }
 
-// The retry bucket goes on over an upgrade: two processes are one agent. What the file holds may make
-// no sense, and is no more than a full bucket.
+// The retry budget survives an upgrade: the two processes are one agent. The snapshot may hold nonsense, and gives no
+// more than a full budget.
 func TestRetryBudgetSurvivesHandover(t *testing.T) {
 	older := newRig(t, settings(), 1, backends(2))
 	for i := range 10 {
@@ -218,19 +216,19 @@
 	}
 }
 
-// A request whose large body is still coming keeps no backend busy and takes no room: its backend has
-// nothing to do yet. From its last byte on it is an attempt like any other.
+// A request whose large body is still arriving occupies no backend and takes no capacity: its backend has nothing to
+// do yet. From its last byte on it is an attempt like any other.
 func TestStreamingBodyTakesNoCapacity(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	r.serve(20, idempotent, 10*ms)
-	for i := range 40 { // far past the limit of one backend
+	for i := range 40 { // far above the limit for one backend
 		id := fmt.Sprint("large", i)
 		r.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, Streaming: true})
 		if len(r.sent[id]) != 1 {
 			t.Fatalf("the %dth large body was not sent", i)
 		}
 	}
-	r.advance(5 * time.Second) // longer than any aim or deadline
+	r.advance(5 * time.Second) // longer than any objective or deadline
 	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
 		t.Errorf("%d of 20 requests served beside bodies on their way", n)
 	}
@@ -248,7 +246,7 @@
 	}
 }
 
-// Of a body of which a part is gone nothing can be sent again; if it never ran the client may try.
+// Once a part of the body is consumed nothing can be sent again. If the attempt never ran the client may retry.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for result, want := range map[balancer.Result]string{balancer.ConnectFailed: "refuse", balancer.Reset: "fail"} {
 		r := newRig(t, settings(), 1, backends(3))
@@ -262,7 +260,7 @@
 	}
 }
 
-// An attempt whose answer has begun waits for nothing: while a slow client reads it the backend is idle.
+// An attempt whose response has started occupies no backend: while a slow client reads it the backend is idle.
 func TestStartedResponseTakesNoCapacity(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	r.serve(20, idempotent, 10*ms)
@@ -288,22 +286,22 @@
 	}
 }
 
-// busyAgent is an agent that has nearly all of the traffic of twenty.
+// busyAgent is an agent that has nearly all the traffic of a fleet of twenty.
 func busyAgent(t *testing.T, seed uint64) *rig {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 20, true
 	return newRig(t, s, seed, backends(4))
 }
 
-// receiveQuietPeers tells it of its peers that their clients ask for nothing.
+// receiveQuietPeers delivers messages of all peers that their clients ask for nothing.
 func (r *rig) receiveQuietPeers() {
 	for i := range 19 {
 		r.step(balancer.GossipReceived{From: i + 1, Data: make([]byte, 8)})
 	}
 }
 
-// overload asks twenty times a second for 2 s. Every backend but the cold one, z, keeps what it gets;
-// crowd returns how many requests z got.
+// overload plays twenty requests per second for 2 s. Every backend but z, which is in slow start, keeps what it gets.
+// overload returns how many requests z got.
 func (r *rig) overload() (n int) {
 	for i := range 40 {
 		id := fmt.Sprint("crowd", len(r.sent), "-", i)
@@ -323,22 +321,22 @@
 	return balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "z", Started: started}}}
 }
 
-// A day of operations (upgrade+hand): while most was refused, what was served told little of what a
-// backend can do, and the cold ones were left idle beside the crowded.
+// A day of operations (upgrade+hand): while most requests were refused, throughput said little about what a backend
+// can do, and backends in slow start were idle beside overloaded ones.
 func TestSlowStartBudgetSurvivesOverload(t *testing.T) {
 	r := busyAgent(t, 1)
 	for range 50 {
 		r.receiveQuietPeers()
-		r.serve(10, idempotent, 10*ms) // 25 a second for each
+		r.serve(10, idempotent, 10*ms) // 25 per second for each backend
 	}
 	r.step(backendInSlowStart(r.now))
-	if n := r.overload(); n < 12 { // a fifth of that times the root of 2.5 is 8 a second
+	if n := r.overload(); n < 12 { // a fifth of that times the square root of 2.5 is 8 per second
 		t.Errorf("%d requests in 2 s to the one that is idle", n)
 	}
 }
 
-// What the process before had learned of rates, delays and peers is gone on from: the next one's cold
-// backends get their part at once, and so does it of the limit.
+// The next process continues from what the earlier one learned about rates, latency and peers: its backends in slow
+// start and its share of the limit are right at once.
 func TestSnapshotIsRestored(t *testing.T) {
 	older := busyAgent(t, 1)
 	for range 50 {
@@ -375,8 +373,8 @@
 	}
 }
 
-// An agent that is emptied hands its part of the limit to those that its clients go to, at once, and gets
-// it back when they return. What agents learn of each other's demand follows it by seconds.
+// A drained agent hands its share of the limit at once to the agents that get its clients, and gets it back when they
+// return. What agents learn about each other's demand lags by seconds.
 func TestDrainedAgentHandsOverItsQuota(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 3, true
@@ -411,7 +409,7 @@
 	room := func(name string) (n int) {
 		for i := range 40 {
 			id := fmt.Sprint(name, i)
-			quiet.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, ClientRetry: true}) // no demand of its own
+			quiet.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, ClientRetry: true}) // adds no demand
 			n += len(quiet.sent[id])
 		}
 		for i := range n {
@@ -429,7 +427,7 @@
 	}
 	tell(1, busy.step(balancer.Drain{On: false}))
 	after := room("after")
-	// All of the limit is 24 or a little more: of that, first hardly any, then nearly half.
+	// The whole limit is 24 or a little more: first hardly any of it, then nearly half.
 	if before > 5 || emptied < 10 || emptied > 14 || after > before+1 {
 		t.Errorf("room for %d before, %d while the other is emptied, %d after", before, emptied, after)
 	}
--- a/balancer/order_test.go
+++ b/balancer/order_test.go
@@ -11,8 +11,8 @@
 	"martenbeam/balancer"
 )
 
-// auditor checks the four rules from events and actions alone. It models no
-// backend: it only remembers what the balancer was told and what it did.
+// auditor checks the rules from events and actions alone. It models no backend: it only remembers what the balancer
+// was told and what it did.
 type auditor struct {
 	s        balancer.Settings
 	now      time.Duration
@@ -26,7 +26,7 @@
 	deadline    time.Duration
 	sends       []auditedSend
 	ended       bool
-	abandonedAt time.Duration // when the client was told to have left; answers of that step do no harm
+	abandonedAt time.Duration // when the client disconnected; answers in that step do no harm
 	stream      bool
 }
 
@@ -34,13 +34,13 @@
 	backend          string
 	at               time.Duration
 	out              bool
-	possiblyExecuted bool // may have run
+	possiblyExecuted bool // also while outstanding
 }
 
 type auditedBackend struct {
 	balancer.Backend
-	unavailableAt time.Duration // when it was told to drain or to be gone
-	started       time.Duration // when it was told to have started; 0: warm
+	unavailableAt time.Duration // when it was first said to be draining or removed
+	started       time.Duration // when it was said to have started; 0: warm
 	sends         []time.Duration
 }
 
@@ -193,10 +193,9 @@
 	a.checkSlowStart(b)
 }
 
-// checkSlowStart checks this agent's part of a cold backend's load. What a backend can do
-// is not told; what the busiest other was sent in the same span, a cold one's over its
-// warmth, bounds what a balancer may hold to be its own measure, and the stated multiple of
-// the cold share of that, with the slack of a few light requests, bounds the cold one.
+// checkSlowStart checks this agent's share of the load of a backend in slow start. The capacity of backends is not
+// known. The bound is what the busiest other backend was sent in three times the span, over its own warmth if that is
+// starting, too, times OverloadMultiple and the guaranteed warmth, plus three requests of slack.
 func (a *auditor) checkSlowStart(b *auditedBackend) {
 	if b.started == 0 || a.now-b.started >= a.s.SlowStartWindow || a.s.SlowStartWindow == 0 {
 		return
@@ -228,7 +227,7 @@
 	}
 }
 
-// checkUnanswered checks that nothing accepted is without its answer past its time.
+// checkUnanswered checks that no accepted request lacks its answer after its time.
 func (a *auditor) checkUnanswered() {
 	for id, r := range a.requests {
 		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
@@ -238,7 +237,7 @@
 	}
 }
 
-// playHostile feeds a balancer a legal but unkind order of events and audits it.
+// playHostile feeds a balancer a legal but adverse order of events and audits it.
 func playHostile(t *testing.T, seed uint64, steps int) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -268,7 +267,7 @@
 		token int64
 	}
 	var timers []timer
-	var open []balancer.Outcome // attempts that are out
+	var open []balancer.Outcome // outstanding attempts
 	due := map[string]time.Duration{}
 	pool := backends(8)
 	next := 0
@@ -292,7 +291,7 @@
 			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeRemaining: left,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0})
 		}
-		// Every attempt ends by its request's time; some early, with any result.
+		// Every attempt ends by its request's deadline; some end early, with any result.
 		rest := open[:0]
 		for _, o := range open {
 			switch {
@@ -308,7 +307,7 @@
 			o.Done = o.Result == balancer.OK || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
-				events = append(events, o) // told twice
+				events = append(events, o) // reported twice
 			}
 		}
 		open = rest
@@ -321,7 +320,7 @@
 			}
 			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{*n}})
 		case 1:
-			var full []balancer.Backend // up to none at all
+			var full []balancer.Backend // possibly none at all
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = balancer.Up
 				full = append(full, n)
@@ -378,7 +377,7 @@
 	})
 }
 
-// Each check of the auditor must be able to fail: these recorded actions are bad.
+// Each check of the auditor must be able to fail: these recorded actions are wrong.
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Backend: b} }
 	ended := func(n int, res balancer.Result) balancer.Event {
--- a/balancer/rare_test.go
+++ b/balancer/rare_test.go
@@ -9,8 +9,8 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// The other customer's calm day: backends that hold as many connections as they may turn new ones away. That says nothing of
-// queues: the limit stays, and the agent keeps to fewer backends, of which it has connections.
+// Another site's calm day: backends at their connection limit reject new connections. That does not indicate queues:
+// the limit stays, and the agent keeps to fewer backends, to which it has connections.
 func TestRejectedConnectionsAreNoOverload(t *testing.T) {
 	rush := func(fresh bool) (out int, met int) {
 		s := settings()
@@ -37,8 +37,8 @@
 	}
 }
 
-// A repeat belongs to the pod and the zone in which the attempt before it ran, also where a list has moved that backend since;
-// and its last byte must be out while the window holds, of which the agent is told.
+// A retry stays in the cell and the zone where the earlier attempt ran, also if an endpoint update has moved that
+// backend since. Its last byte must be sent within the window, and the agent is told so.
 func TestRetriesStayWhereTheFirstAttemptRan(t *testing.T) {
 	for _, class := range []int{scopeCell, scopeZone} {
 		repeats := 0
@@ -85,16 +85,17 @@
 	panic("unreachable")
 }
 
-// The busiest agent of a release spent its processor on looking for a backend for each held request in each step, and heard of
-// drains a second late. Where there is none for one there is none for others like it: ten times as many held requests take no
-// more looks. Each look allocates here what keeps a request out of the zone of one that is bound to it.
+// During a release the busiest agent spent its processor time on picking a backend for each queued request in each
+// step, and learned of drains a second late. If there is no backend for one request there is none for others like it:
+// ten times as many queued requests take no more picks. Each pick allocates here, for the zones reserved for a bound
+// request.
 func TestQueuedRequestsArePickedForOnce(t *testing.T) {
 	looks := func(held int) float64 {
 		s := settings()
 		s.OverloadMultiple, s.InitialCapacity, s.SlowStartWindow = 1, 0.01, time.Hour
 		list := backends(6)
 		for i := range list {
-			list[i].Started = time.Hour // cold: none takes more than a request now and then
+			list[i].Started = time.Hour // in slow start: each takes a request only now and then
 		}
 		r := newRig(t, s, 5, list)
 		r.step(balancer.Residency{Table: &gate.Table{Permitted: [][]bool{nil, {true, false, false}}, Restricted: []bool{false, true}}},
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -12,9 +12,9 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// No action of the module sends a request where the table in force does not permit it: first attempts, repeats, second
-// copies, what was held while the policy changed, what goes to a backend that was called back or has moved to another
-// zone. Nothing is owed an answer for ever, either.
+// No action sends a request where the policy in force does not permit it: first attempts, retries, hedged requests,
+// what was queued while the policy changed, what goes to a re-enabled backend or to one that has moved to another
+// zone. And every request gets its answer.
 func TestNothingIsSentOutsidePermittedZones(t *testing.T) {
 	const zones, rules = 3, 4
 	rapid.Check(t, func(d *rapid.T) {
@@ -49,7 +49,7 @@
 				id := fmt.Sprint("q", i)
 				rule[id] = rapid.IntRange(0, rules+1).Draw(d, "rule") // one more than the table has
 				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"), TimeRemaining: 2000 * ms, ResidencyRule: rule[id]}))
-			case 4, 5, 6: // an attempt ends somehow
+			case 4, 5, 6: // an attempt ends, with any result
 				ids := make([]string, 0, len(r.sent))
 				for id := range r.sent {
 					if !answered[id] {
@@ -72,7 +72,7 @@
 					table.Permitted[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
 				}
 				check(r.step(balancer.Residency{Table: table}))
-			case 9: // a backend in another zone, or out of use and back
+			case 9: // a backend in another zone, or disabled and enabled again
 				b := rapid.SampledFrom(list).Draw(d, "backend")
 				b.Zone = rapid.IntRange(-1, zones).Draw(d, "zone")
 				b.State = balancer.BackendState(rapid.IntRange(0, 1).Draw(d, "state"))
@@ -97,7 +97,7 @@
 	return balancer.Residency{Table: &gate.Table{Generation: 1, Permitted: [][]bool{nil, zones}, Restricted: []bool{false, true}}}
 }
 
-// A bound request without a backend where it may be served is refused at once, and the client is told why.
+// A bound request without a permitted backend is refused at once, with the reason.
 func TestRequestWithoutPermittedBackendIsRefused(t *testing.T) {
 	for name, prepare := range map[string]func(r *rig){
 		"zone without backends": func(r *rig) { r.step(residencyOf(false, false, false)) },
@@ -125,7 +125,7 @@
 	}
 }
 
-// Where a bound tenant's zone is crowded, those who may go elsewhere make way before it is refused.
+// Where a bound tenant's zone is overloaded, requests that may go elsewhere avoid it before a bound one is refused.
 func TestBoundRequestsGoFirstInTheirRegion(t *testing.T) {
 	play := func(rule int) (in, refused int) {
 		r := newRig(t, settings(), 5, backends(6))
@@ -164,7 +164,8 @@
 	}
 }
 
-// A zone that is known to be far gets what the near ones have no idle backend for, and is near again once it is not known.
+// A zone known to be far gets only what the near zones have no idle backend for, and is near again once its distance
+// is unknown.
 func TestFarZonesAreUsedLast(t *testing.T) {
 	far := balancer.ZoneLatencies{RTT: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
 	count := func(r *rig) (n int) {
@@ -180,7 +181,7 @@
 		return n
 	}
 	r := newRig(t, settings(), 7, backends(6))
-	for range 20 { // it is heeded with one of the next few words
+	for range 20 { // a change is applied at one of the next few events
 		r.step(far)
 	}
 	if n := count(r); n > 0 {
@@ -208,7 +209,7 @@
 	}
 }
 
-// The fleet's word on who is there sets this agent's part of the limit.
+// The quota that the fleet assigns sets this agent's share of the limit.
 func TestAssignedQuotaSetsTheLimit(t *testing.T) {
 	out := func(part float64) (n int) {
 		s := settings()
--- a/balancer/sums_test.go
+++ b/balancer/sums_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// countAfresh counts all backends, whatever was counted before.
+// countAfresh computes the totals from all backends, without anything counted before.
 func (b *Balancer) countAfresh() (s capacityTotals) {
 	for _, t := range b.backends {
 		z := b.zone(t)
@@ -34,7 +34,7 @@
 		Classes: []Class{{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
 
-// checkTotals holds what was counted as it changed against counting all.
+// checkTotals compares the incremental totals with a full count.
 func (b *Balancer) checkTotals(t *testing.T, what string) {
 	t.Helper()
 	b.recomputeCapacity()
@@ -52,7 +52,7 @@
 	}
 }
 
-// An attempt that was sent before its backend was ejected may tell after that time that it is down.
+// An attempt that was sent before its backend was ejected may show after the ejection that the backend is dead.
 func TestTotalsFollowALateOutcome(t *testing.T) {
 	alone := totalsSettings()
 	alone.Balancers = 1
@@ -83,9 +83,9 @@
 	}
 }
 
-// What is counted as it changes is what counting all anew would find, after any events.
+// The incremental totals equal a full count after any events.
 func TestTotalsFollowEveryChange(t *testing.T) {
-	left := 0 // steps in which a zone was left, or came back
+	left := 0 // steps in which a zone was failed over or recovering
 	results := []Result{OK, OK, OK, OK, Errored, Reset, ConnectFailed, TimedOut, Rejected}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -121,7 +121,7 @@
 				o := out[i]
 				out = slices.Delete(out, i, i+1)
 				r := results[rng.IntN(len(results))]
-				if step/100%5 == 4 { // a spell in which all break
+				if step/100%5 == 4 { // a period in which all attempts break
 					r = Reset
 				}
 				events = append(events, Outcome{Request: o.Request, Attempt: seen[o.Request], Backend: o.Backend, Result: r,
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -16,27 +16,26 @@
 // The same cases every time; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "1") } // rapid has registered it
 
-// zoneRig is a rig with three zones of three backends, whose backends answer after a while unless their zone is
-// silent.
+// zoneRig is a rig with three zones of three backends, which answer after a while unless their zone is silent.
 type zoneRig struct {
 	*rig
 	list           []balancer.Backend
 	silent         map[int]bool
-	answerAt       map[string]time.Duration // by request: when its answer comes
-	clientDeadline map[string]time.Duration // and when its client stops waiting
+	answerAt       map[string]time.Duration // when each request's answer arrives
+	clientDeadline map[string]time.Duration // when each request's client stops waiting
 	first          map[int]int              // first attempts by zone
 	probes         []string
 	requests       int
 	probed         int
 	silentBackends map[string]bool // single backends that are silent
 	changes        []zoneChange
-	gossip         [][]byte              // what peers were told
-	extraLatency   map[int]time.Duration // what answers of a zone take besides
-	class          func(n int) int       // of the n-th request; nil: all safe
+	gossip         [][]byte              // messages to peers
+	extraLatency   map[int]time.Duration // additional latency of a zone's answers
+	class          func(n int) int       // of the n-th request; nil: all idempotent
 	settings       balancer.Settings
 }
 
-// zoneChange is a turn of a zone, and when it came.
+// zoneChange is a state change of a zone, and when it happened.
 type zoneChange struct {
 	balancer.ZoneStateChanged
 	at time.Duration
@@ -59,7 +58,7 @@
 
 func (z *zoneRig) zone(id string) int { return int(id[0]-'a') % 3 }
 
-// record takes what the balancer wants done.
+// record keeps the balancer's actions and schedules answers.
 func (z *zoneRig) record(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -122,7 +121,7 @@
 	}
 }
 
-// A zone that falls silent is left, asked by probes, and comes back by a part that grows.
+// A zone that falls silent is failed over, checked by probes, and recovers with a growing share of traffic.
 func TestSilentZoneFailsOverAndRecovers(t *testing.T) {
 	z := newZoneRig(t, 3)
 	z.run(2 * time.Second)
@@ -145,7 +144,7 @@
 	}
 }
 
-// Silence everywhere is this agent's own: it leaves nothing, and is whole as soon as anything answers.
+// Silence everywhere is this agent's own: it fails over from nothing, and works again as soon as anything answers.
 func TestSilenceEverywhereFailsNothingOver(t *testing.T) {
 	z := newZoneRig(t, 4)
 	z.run(time.Second)
@@ -165,7 +164,7 @@
 	}
 }
 
-// A zone of which most backends are silent and one answers is not left: its backends are judged one by one.
+// A zone in which most backends are silent and one answers is not failed over: its backends are judged one by one.
 func TestAnsweringZoneIsNotFailedOver(t *testing.T) {
 	z := newZoneRig(t, 5)
 	z.run(time.Second)
@@ -179,8 +178,8 @@
 	}
 }
 
-// Whatever zones do: the rules hold, a zone that was left rests, none is out of use for good once all answer again,
-// and what goes to the others while one is left stays within the room that they have.
+// Whatever zones do: the rules hold, a failover has a minimum length, no zone stays out of use once all answer again,
+// and what goes to the other zones in the meantime stays within their capacity.
 func TestZonesUnderRandomSilence(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		z := newZoneRig(t, rapid.Uint64().Draw(rt, "seed"))
@@ -204,7 +203,7 @@
 		}
 		left := map[int]time.Duration{}
 		for _, turn := range z.changes {
-			if at := left[turn.Zone]; !turn.FailedOver && turn.at-at < 200*ms { // half of the longest aim
+			if at := left[turn.Zone]; !turn.FailedOver && turn.at-at < 200*ms { // half of the longest objective
 				rt.Fatalf("zone %d was left for %v only", turn.Zone, turn.at-at)
 			}
 			left[turn.Zone] = turn.at
@@ -215,12 +214,12 @@
 	})
 }
 
-// lossReportData is what a peer tells that asks for nothing and has found zones lost by itself, a bit each.
+// lossReportData is the message of a peer without demand that found the given zones lost, one bit each.
 func lossReportData(zones uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(make([]byte, 8), 0), zones)
 }
 
-// Three peers who saw it themselves, and silence here, let an agent leave a zone that it hardly sends to.
+// Reports of three peers, and silence here, make an agent fail over from a zone that it hardly sends to.
 func TestZoneFailsOverOnPeerReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		from  []int
@@ -244,12 +243,12 @@
 		t.Run(name, func(t *testing.T) {
 			z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 			z.run(time.Second)
-			if !c.loud { // it hears from the others alone
+			if !c.loud { // it depends on the reports alone
 				for _, id := range []string{"b", "e", "h"} {
 					z.step(balancer.Disable{Backend: id})
 				}
 			}
-			z.run(100 * ms) // what was out has been answered
+			z.run(100 * ms) // the outstanding attempts are answered
 			for _, from := range c.from {
 				if !c.burst {
 					z.run(max(c.every, 50*ms))
@@ -264,7 +263,7 @@
 	}
 }
 
-// Who leaves a zone for what it saw tells peers at once, and no longer than that is news.
+// An agent that fails over on its own evidence tells its peers at once, but only while that is news.
 func TestZoneLossIsGossiped(t *testing.T) {
 	z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 	z.run(time.Second)
@@ -283,18 +282,18 @@
 	if told := tellings(); told != 3 {
 		t.Errorf("%d of three peers were told", told)
 	}
-	z.run(500 * ms) // more than the longest aim
+	z.run(500 * ms) // more than the longest objective
 	z.gossip = nil
 	if z.run(time.Second); tellings() > 0 {
 		t.Error("old news is told")
 	}
 }
 
-// A zone that comes back cold is probed by a whole fleet, and probes are work too: all of them together take little of what a
-// cold backend may be sent beside requests.
+// A zone in slow start is health-checked by the whole fleet, and health checks are work, too. Together they take
+// little of what a backend in slow start may get besides requests.
 func TestFleetProbesAreLittleWork(t *testing.T) {
 	const agents, span = 100, 6 * time.Second
-	const probe, request = 0.72, 84.0 // ms of work: the dearest probe beside the cheapest request of the operators' site
+	const probe, request = 0.72, 84.0 // ms of work: the most expensive health check, the cheapest request of the operators' site
 	probed, perZone := 0, 3
 	for n := range uint64(agents) {
 		z := newZoneRig(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
@@ -306,8 +305,8 @@
 	if probed < agents {
 		t.Fatalf("%d probes by %d agents: hardly one found the zone lost", probed, agents)
 	}
-	each := float64(probed) / span.Seconds() / float64(perZone) // at one backend, in the window in which it may fall
-	const free = 6.0                                            // requests that may come over its budget at the least: 3 x root of N + 3
+	each := float64(probed) / span.Seconds() / float64(perZone) // per backend, in the window in which it may become overloaded
+	const free = 6.0                                            // requests allowed beyond its budget, at least: 3 x root of N + 3
 	if share := each * probe / (free * request); share > 0.2 {
 		t.Errorf("%.0f probes a second at each backend take %.0f%% of what is free", each, 100*share)
 	} else {
