--- a/balancer/order_test.go
+++ b/balancer/auditor_test.go
@@ -1,9 +1,9 @@
 package balancer_test
 
+// The auditor: an independent check of the rules from events and actions, and a test that each of its checks can fail.
+
 import (
-	"encoding/binary"
 	"fmt"
-	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
@@ -237,146 +237,6 @@
 	}
 }
 
-// playHostile feeds a balancer a legal but adverse order of events and audits it.
-func playHostile(t *testing.T, seed uint64, steps int) *auditor {
-	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 1))
-	s := settings()
-	s.Balancers = 1 + rng.IntN(30)
-	s.Self = rng.IntN(s.Balancers)
-	s.Subscribe = rng.IntN(2) == 0
-	s.HedgingAllowed = rng.IntN(2) == 0
-	s.GossipAllowed = rng.IntN(2) == 0
-	s.MaxAttempts = rng.IntN(6)
-	s.CrossZoneCost = float64(rng.IntN(2)) * 0.02
-	if rng.IntN(4) == 0 {
-		s.SlowStartWindow, s.OverloadWindow, s.PollInterval, s.Tick = 0, 0, 0, 0
-	}
-	s.Classes = s.Classes[:1+rng.IntN(len(s.Classes))]
-	for i := range s.Classes {
-		s.Classes[i].DedupWindow = time.Duration(rng.IntN(100)) * ms
-	}
-	b, err := balancer.New(s, seed)
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := newAuditor(s)
-	a.now = time.Hour
-	type timer struct {
-		at    time.Duration
-		token int64
-	}
-	var timers []timer
-	var open []balancer.Outcome // outstanding attempts
-	due := map[string]time.Duration{}
-	pool := backends(8)
-	next := 0
-	for range steps {
-		a.now += time.Duration(rng.IntN(30)) * ms / 4
-		var events []balancer.Event
-		keep := timers[:0]
-		for _, tm := range timers {
-			if tm.at <= a.now {
-				events = append(events, balancer.TimerFired{Token: tm.token})
-			} else {
-				keep = append(keep, tm)
-			}
-		}
-		timers = keep
-		for range rng.IntN(3) {
-			next++
-			id := fmt.Sprint("q", next)
-			left := time.Duration(1+rng.IntN(1500)) * ms
-			due[id] = a.now + left
-			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeRemaining: left,
-				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0})
-		}
-		// Every attempt ends by its request's deadline; some end early, with any result.
-		rest := open[:0]
-		for _, o := range open {
-			switch {
-			case due[o.Request] <= a.now:
-				o.Result = balancer.TimedOut
-			case rng.IntN(8) == 0:
-				o.Result = balancer.Result(rng.IntN(8))
-			default:
-				rest = append(rest, o)
-				continue
-			}
-			o.Latency = time.Duration(rng.IntN(900)) * ms
-			o.Done = o.Result == balancer.OK || a.requests[o.Request].ended
-			events = append(events, o)
-			if rng.IntN(10) == 0 {
-				events = append(events, o) // reported twice
-			}
-		}
-		open = rest
-		switch rng.IntN(25) {
-		case 0:
-			n := &pool[rng.IntN(len(pool))]
-			n.State = balancer.BackendState(rng.IntN(3))
-			if rng.IntN(2) == 0 {
-				n.State, n.Started = balancer.Up, a.now
-			}
-			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{*n}})
-		case 1:
-			var full []balancer.Backend // possibly none at all
-			for _, n := range pool[:rng.IntN(len(pool)+1)] {
-				n.State = balancer.Up
-				full = append(full, n)
-			}
-			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateKind(1 + rng.IntN(2)), Backends: full})
-		case 2:
-			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
-		case 3:
-			if next > 0 {
-				events = append(events, balancer.Abandoned{Request: fmt.Sprint("q", 1+rng.IntN(next))})
-			}
-		case 4:
-			events = append(events, balancer.TimerFired{Token: rng.Int64N(1 << 20)},
-				balancer.Outcome{Request: fmt.Sprint("q", rng.IntN(next+2)), Attempt: rng.IntN(2)*99 - 1},
-				balancer.ProbeResult{Backend: "x"}, balancer.GossipReceived{From: 70})
-		case 5:
-			events = append(events, balancer.GossipReceived{From: rng.IntN(12) - 1,
-				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
-		}
-		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
-		for _, e := range events {
-			a.event(e)
-		}
-		for _, act := range b.Step(a.now, events) {
-			a.action(act)
-			switch act := act.(type) {
-			case balancer.SetTimer:
-				timers = append(timers, timer{a.now + act.After, act.Token})
-			case balancer.Send:
-				open = append(open, balancer.Outcome{Request: act.Request, Backend: act.Backend,
-					Attempt: len(a.requests[act.Request].sends) - 1})
-			}
-		}
-		a.checkUnanswered()
-	}
-	return a
-}
-
-func TestRulesUnderAnyOrder(t *testing.T) {
-	for seed := uint64(1); seed <= 150; seed++ {
-		a := playHostile(t, seed, 600)
-		if len(a.faults) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
-		}
-	}
-}
-
-func FuzzRulesUnderAnyOrder(f *testing.F) {
-	f.Add(uint64(1))
-	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := playHostile(t, seed, 400); len(a.faults) > 0 {
-			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
-		}
-	})
-}
-
 // Each check of the auditor must be able to fail: these recorded actions are wrong.
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Backend: b} }
--- /dev/null
+++ b/balancer/picking_test.go
@@ -0,0 +1,288 @@
+package balancer_test
+
+// Tests of picking: which backend a request goes to.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// A backend of a kind that the settings don't name is used like any other.
+func TestBackendOfUnknownKindIsUsed(t *testing.T) {
+	list := backends(2)
+	for i := range list {
+		list[i].Kind = -1
+	}
+	r := newRig(t, settings(), 1, list)
+	if counts := r.serve(20, idempotent, 50*ms); counts["a"] == 0 || counts["b"] == 0 {
+		t.Errorf("served by %v", counts)
+	}
+}
+
+func TestPickPrefersIdleNearFastBackends(t *testing.T) {
+	t.Run("idle ones at random", func(t *testing.T) {
+		r := newRig(t, settings(), 2, backends(4))
+		counts := r.serve(400, idempotent, 50*ms)
+		for _, id := range []string{"a", "b", "c", "d"} {
+			if counts[id] < 60 || counts[id] > 140 {
+				t.Errorf("%s got %d of 400, want about 100", id, counts[id])
+			}
+		}
+	})
+	t.Run("idle before busy", func(t *testing.T) {
+		r := newRig(t, settings(), 2, backends(4))
+		r.serve(80, idempotent, 50*ms)
+		used := map[string]bool{}
+		for i := range 4 {
+			id := fmt.Sprint("q", i)
+			r.request(id, idempotent)
+			used[r.sent[id][0]] = true
+		}
+		if len(used) != 4 {
+			t.Errorf("four requests went to %d backends, want 4", len(used))
+		}
+	})
+	t.Run("fewest in flight", func(t *testing.T) {
+		r := newRig(t, settings(), 2, backends(4))
+		r.serve(80, idempotent, 50*ms)
+		counts := map[string]int{}
+		for i := range 12 {
+			id := fmt.Sprint("q", i)
+			r.request(id, idempotent)
+			counts[r.sent[id][0]]++
+		}
+		for id, n := range counts {
+			if n < 2 || n > 4 {
+				t.Errorf("%s has %d in flight of 12 over 4", id, n)
+			}
+		}
+	})
+	t.Run("a new one counts at the mean", func(t *testing.T) {
+		r := newRig(t, settings(), 2, backends(4))
+		r.serve(80, idempotent, 50*ms)
+		for i := range 8 {
+			r.request(fmt.Sprint("q", i), idempotent)
+		}
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "new"}}})
+		rush := 0
+		for i := range 4 {
+			id := fmt.Sprint("n", i)
+			r.request(id, idempotent)
+			if r.sent[id][0] == "new" {
+				rush++
+			}
+		}
+		if rush > 2 {
+			t.Errorf("the new backend got %d of 4, want no rush", rush)
+		}
+	})
+	t.Run("own zone where crossing is priced", func(t *testing.T) {
+		s := settings()
+		s.CrossZoneCost = 0.02
+		r := newRig(t, s, 2, backends(4))
+		r.now += s.SlowStartWindow + 1 // the limit was not cut for long
+		counts := r.serve(400, idempotent, 50*ms)
+		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
+			t.Errorf("own zone got %d of 400, want most but not all", own)
+		}
+	})
+	t.Run("slow ones less", func(t *testing.T) {
+		r := newRig(t, settings(), 2, backends(4))
+		late := 0
+		for i := range 600 {
+			id := fmt.Sprint("q", i)
+			r.request(id, idempotent)
+			lat := 40 * ms
+			if r.sent[id][0] == "a" {
+				lat = 160 * ms
+				if i >= 300 {
+					late++
+				}
+			}
+			r.now += lat
+			r.outcome(id, balancer.OK, lat)
+		}
+		if late > 40 {
+			t.Errorf("a backend four times slower still got %d of 300", late)
+		}
+	})
+}
+
+// A stalled backend shows in the age of its oldest attempt, before any answer.
+func TestStalledBackendIsAvoided(t *testing.T) {
+	r := newRig(t, settings(), 4, backends(3))
+	r.serve(60, idempotent, 20*ms)
+	for i := range 3 { // one on each
+		r.request(fmt.Sprint("hang", i), idempotent)
+	}
+	for i := range 3 {
+		id := fmt.Sprint("hang", i)
+		if r.sent[id][0] != "a" {
+			r.now += 10 * ms
+			r.outcome(id, balancer.OK, 20*ms)
+		}
+	}
+	r.now += 300 * ms
+	for i := range 6 {
+		id := fmt.Sprint("q", i)
+		r.request(id, idempotent)
+		if r.sent[id][0] == "a" {
+			t.Errorf("request %d went to the stalled backend", i)
+		}
+	}
+}
+
+// zone+vast: 80 agents spread each key over 60 backends, and nearly all of the work that a backend saves on a recent
+// key was lost. Any two agents prefer the same few idle ones for a key; other keys have others; a busy or ejected one
+// gives way.
+func TestKeyAffinityPrefersTheSameBackends(t *testing.T) {
+	play := func(warm bool, seed, key uint64) map[string]int {
+		s := settings()
+		s.KeyAffinity, s.Balancers, s.Self = warm, 20, int(seed)
+		r := newRig(t, s, seed, backends(20))
+		counts := map[string]int{}
+		for i := range 100 {
+			id := fmt.Sprint("q", i)
+			r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, AffinityKey: key})
+			r.now += 20 * ms
+			r.outcome(id, balancer.OK, 20*ms)
+			counts[r.sent[id][0]]++
+		}
+		return counts
+	}
+	// together is the share of pairs of requests, one of each agent, that go to one backend.
+	together := func(x, y map[string]int) (share float64) {
+		for id := range x {
+			share += float64(x[id]*y[id]) / 1e4
+		}
+		return share
+	}
+	first, sum := map[string]bool{}, 0.0
+	for key := uint64(1); key <= 40; key++ {
+		x, y := play(true, 1, key<<40+key), play(true, 2, key<<40+key)
+		sum += together(x, y)
+		for id, n := range x {
+			if n > 40 {
+				first[id] = true
+			}
+		}
+	}
+	if sum < 40*0.25 {
+		t.Errorf("%.2f of the requests of two agents for one key meet, want far more than one in 20", sum/40)
+	}
+	if len(first) < 10 {
+		t.Errorf("the keys keep to %d of 20 backends", len(first))
+	}
+	for _, key := range []uint64{0, 7} {
+		if share := together(play(key == 0, 1, key), play(key == 0, 2, key)); share > 0.1 {
+			t.Errorf("key %d, which is unknown or saves nothing: %.2f meet", key, share)
+		}
+	}
+
+	s := settings()
+	s.KeyAffinity = true
+	r := newRig(t, s, 1, backends(8))
+	r.serve(100, idempotent, 20*ms)
+	used := map[string]bool{}
+	for i := range 8 { // nothing is answered
+		id := fmt.Sprint("q", i)
+		r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, AffinityKey: 99})
+		used[r.sent[id][0]] = true
+	}
+	if len(used) != 8 {
+		t.Errorf("8 requests with one key went to %d of 8 idle backends", len(used))
+	}
+}
+
+// Satx rough-1: kinds of machine suit classes differently. What is learned about a kind and a class holds for backends
+// of that kind that the agent has hardly met.
+func TestLatencyRatioIsLearnedByKindAndClass(t *testing.T) {
+	list := backends(20)
+	for i := range list {
+		list[i].Kind = i % 2
+	}
+	r := newRig(t, settings(), 4, list)
+	suits := map[int]int{}
+	for i := range 400 {
+		class := i % 2
+		id := fmt.Sprint("q", i)
+		r.request(id, class)
+		kind := int(r.sent[id][0][0]-'a') % 2
+		latency := 60 * ms
+		if kind == class {
+			latency = 20 * ms
+		}
+		r.now += latency
+		r.outcome(id, balancer.OK, latency)
+		if i >= 200 && kind == class {
+			suits[class]++
+		}
+	}
+	if suits[0] < 85 || suits[1] < 85 {
+		t.Errorf("%d and %d of 100 went to the kind that suits the class, want most", suits[0], suits[1])
+	}
+	stray := backends(2) // kinds that no list should hold do no harm
+	stray[0].Kind = -3
+	newRig(t, settings(), 1, stray).serve(10, idempotent, 10*ms)
+}
+
+// Satx rough-2: a backend that rejects an attempt is overloaded for longer than one latency, but got as many requests
+// as before right after it.
+func TestRejectingBackendIsChosenLess(t *testing.T) {
+	hits := 0
+	for seed := range uint64(100) {
+		r := newRig(t, settings(), seed, backends(4))
+		r.serve(20, idempotent, 20*ms)
+		r.request("q", idempotent)
+		full := r.sent["q"][0]
+		r.outcome("q", balancer.Rejected, ms)
+		r.advance(2 * time.Second)
+		r.request("next", idempotent)
+		if r.sent["next"][0] == full {
+			hits++
+		}
+	}
+	if hits > 18 {
+		t.Errorf("the full one of four servers got %d of 100 soon after", hits)
+	}
+}
+
+// A time-out is a lower bound of a backend's latency: one that answers only its cheap requests must not keep the good
+// latency ratio that these give it.
+func TestTimeoutsRaiseLatencyRatio(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 1
+	r := newRig(t, s, 3, backends(3))
+	r.serve(60, idempotent, 20*ms)
+	got := 0
+	for round := range 60 {
+		var hang []string
+		answered := false
+		for i := range 6 {
+			r.request(fmt.Sprint("q", round, "-", i), idempotent)
+		}
+		r.now += 20 * ms
+		for i := range 6 {
+			id := fmt.Sprint("q", round, "-", i)
+			if r.sent[id][0] == "a" {
+				if got++; answered {
+					hang = append(hang, id)
+					continue
+				}
+				answered = true
+			}
+			r.outcome(id, balancer.OK, 20*ms)
+		}
+		r.now += 60 * ms
+		for _, id := range hang {
+			r.outcome(id, balancer.TimedOut, 80*ms)
+		}
+		r.now += 20 * ms
+	}
+	if got > 90 {
+		t.Errorf("a backend that times out half its requests got %d of 360", got)
+	}
+}
--- /dev/null
+++ b/balancer/retries_test.go
@@ -0,0 +1,274 @@
+package balancer_test
+
+// Tests of retries: which failures are retried, when, where, and on what budget.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// What each kind of class may do after an outcome: retry on another backend, or end.
+func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
+	const retry = "retry"
+	tests := []struct {
+		class  int
+		result balancer.Result
+		want   string
+	}{
+		{idempotent, balancer.Errored, retry},
+		{idempotent, balancer.TimedOut, retry},
+		{idempotent, balancer.Reset, retry},
+		{idempotent, balancer.Rejected, retry},
+		{idempotent, balancer.ConnectFailed, retry},
+		{idempotent, balancer.NotSent, "refuse"},
+		{nonIdempotent, balancer.Errored, "fail"},
+		{nonIdempotent, balancer.TimedOut, "fail"},
+		{nonIdempotent, balancer.Reset, "fail"},
+		{nonIdempotent, balancer.Cancelled, "fail"},
+		{nonIdempotent, balancer.Rejected, retry},
+		{nonIdempotent, balancer.ConnectFailed, retry},
+		{nonIdempotent, balancer.NotSent, "refuse"},
+		{scopeAll, balancer.Errored, retry},
+		{scopeAll, balancer.Rejected, retry},
+		{scopeZone, balancer.Errored, retry},
+		{scopeZone, balancer.ConnectFailed, retry},
+		{scopeCell, balancer.TimedOut, retry},
+		{scopeCell, balancer.Reset, retry},
+	}
+	for _, tt := range tests {
+		t.Run(fmt.Sprintf("class %d result %d", tt.class, tt.result), func(t *testing.T) {
+			r := newRig(t, settings(), 7, backends(6))
+			r.request("q", tt.class)
+			r.now += 10 * ms
+			acts := r.outcome("q", tt.result, 10*ms)
+			acts = append(acts, r.advance(200*ms)...)
+			got := final("q", acts)
+			if len(r.sent["q"]) == 2 {
+				got += retry
+				if r.sent["q"][0] == r.sent["q"][1] {
+					t.Errorf("both attempts went to %s, which had just failed", r.sent["q"][0])
+				}
+			}
+			if got != tt.want {
+				t.Errorf("got %q, want %q", got, tt.want)
+			}
+		})
+	}
+}
+
+// A request with an idempotency key that may have executed is retried only in its scope and within its window.
+func TestKeyedRequestStaysInScopeAndWindow(t *testing.T) {
+	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
+	for seed := uint64(0); seed < 40; seed++ {
+		for _, class := range []int{scopeZone, scopeCell} {
+			r := newRig(t, settings(), seed, backends(6))
+			r.request("q", class)
+			r.now += 5 * ms
+			r.outcome("q", balancer.Errored, 5*ms)
+			r.advance(200 * ms)
+			if s := r.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
+				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
+			}
+		}
+	}
+	t.Run("window", func(t *testing.T) {
+		r := newRig(t, settings(), 1, backends(6))
+		r.request("q", scopeAll)
+		r.now += 300 * ms
+		acts := r.outcome("q", balancer.Errored, 300*ms)
+		if final("q", acts) != "fail" {
+			t.Errorf("after the window: %v, want a failure", acts)
+		}
+	})
+	t.Run("never ran", func(t *testing.T) {
+		r := newRig(t, settings(), 1, backends(6))
+		r.request("q", scopeZone)
+		r.now += 400 * ms
+		r.outcome("q", balancer.ConnectFailed, 400*ms)
+		r.advance(200 * ms)
+		if len(r.sent["q"]) != 2 {
+			t.Errorf("attempts %v: one that never ran should not bind the request", r.sent["q"])
+		}
+	})
+}
+
+func TestAttemptsStopAtTheLimit(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 3
+	r := newRig(t, s, 3, backends(6))
+	r.request("q", idempotent)
+	var all []balancer.Action
+	for range 6 {
+		if final("q", all) != "" {
+			break
+		}
+		r.now += ms
+		all = append(all, r.outcome("q", balancer.Errored, ms)...)
+		all = append(all, r.advance(150*ms)...)
+	}
+	if len(r.sent["q"]) != 3 || final("q", all) != "fail" {
+		t.Errorf("attempts %v and answer %q, want 3 and one failure", r.sent["q"], final("q", all))
+	}
+}
+
+// The budget holds 100 tokens: 20 retries at 5, or 10 after time-outs. First attempts are sent when it is empty; each
+// answered request brings one token, up to the capacity.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 2
+	// spend fails n requests and returns how many were retried. The retry fails, too, so that it does not refill the
+	// budget.
+	spend := func(r *rig, n int, res balancer.Result) (retried int) {
+		for range n {
+			id := fmt.Sprintf("spend-%d", len(r.sent))
+			r.request(id, idempotent)
+			if len(r.sent[id]) != 1 {
+				t.Fatalf("first attempt of %s did not go out", id)
+			}
+			r.now += ms
+			r.outcome(id, res, ms)
+			r.advance(100 * ms)
+			if len(r.sent[id]) == 2 {
+				retried++
+				r.now += ms
+				r.outcome(id, balancer.Errored, ms)
+			}
+			r.advance(30 * time.Second) // lets ejections pass
+		}
+		return retried
+	}
+	tests := []struct {
+		name  string
+		res   balancer.Result
+		serve int // between emptying and trying again
+		first int
+		then  int
+	}{
+		{"errors cost 5", balancer.Errored, 4, 20, 0},
+		{"five served bring one back", balancer.Errored, 5, 20, 1},
+		{"time-outs cost 10", balancer.TimedOut, 9, 10, 0},
+		{"ten served bring one back after a time-out", balancer.TimedOut, 10, 10, 1},
+		{"the cap holds", balancer.Errored, 500, 20, 20},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			r := newRig(t, s, 5, backends(6))
+			if got := spend(r, 30, tt.res); got != tt.first {
+				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
+			}
+			r.serve(tt.serve, idempotent, 20*ms)
+			r.advance(30 * time.Second)
+			if got := spend(r, 30, tt.res); got != tt.then {
+				t.Errorf("then funded %d retries, want %d", got, tt.then)
+			}
+		})
+	}
+}
+
+// Backoff has full jitter: between 0 and a unit (a share of the objective) that doubles with each retry up to a
+// ceiling.
+func TestBackoffIsFullJitterUpToTheCeiling(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 7
+	unit := s.Classes[idempotent].LatencyObjective / 32
+	longest := make([]time.Duration, 6)
+	shortest := []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}
+	for seed := uint64(0); seed < 300; seed++ {
+		r := newRig(t, s, seed, backends(8))
+		r.request("q", idempotent)
+		for n := range 6 {
+			r.outcome("q", balancer.Rejected, 0)
+			failed := r.now
+			for len(r.sent["q"]) == n+1 && len(r.timersAt) > 0 {
+				r.advance(ms / 4)
+			}
+			if len(r.sent["q"]) != n+2 {
+				t.Fatalf("seed %d: retry %d was not made", seed, n)
+			}
+			longest[n] = max(longest[n], r.now-failed)
+			shortest[n] = min(shortest[n], r.now-failed)
+		}
+	}
+	for n, got := range longest {
+		bound := unit << min(n, 3)
+		if got > bound+ms || got < bound*8/10 {
+			t.Errorf("retry %d waited up to %v, want close to %v and no more", n, got, bound)
+		}
+		if shortest[n] > bound/10 {
+			t.Errorf("retry %d waited at least %v, want full jitter from 0", n, shortest[n])
+		}
+	}
+}
+
+// A retry whose backoff would outlast the deadline is not made.
+func TestRetryThatWouldMissTheDeadlineIsNotMade(t *testing.T) {
+	r := newRig(t, settings(), 1, backends(4))
+	r.request("q", idempotent)
+	r.now += 2000 * ms
+	if acts := r.outcome("q", balancer.TimedOut, 2000*ms); final("q", acts) != "fail" {
+		t.Errorf("at the deadline: %v, want the final answer at once", acts)
+	}
+}
+
+// A retry may have to wait for its connection, up to the connect timeout. It must reach the backend while that still
+// remembers the first attempt: on sockets, one sent at the window's last instant could execute twice if its connection
+// had to be opened first.
+func TestRetryReachesBackendInDedupWindow(t *testing.T) {
+	for _, row := range []struct {
+		failed time.Duration
+		sends  int
+	}{{100 * ms, 2}, {250 * ms, 1}} {
+		s := settings()
+		s.ConnectTimeout = 100 * ms // the window is 300 ms
+		r := newRig(t, s, 1, backends(4))
+		r.request("x", scopeAll)
+		r.now += row.failed
+		acts := append(r.outcome("x", balancer.Errored, row.failed), r.advance(100*ms)...)
+		if n := len(r.sent["x"]); n != row.sends {
+			t.Errorf("failed after %v: %d sends, want %d", row.failed, n, row.sends)
+		}
+		if got := final("x", acts); (got != "") != (row.sends == 1) {
+			t.Errorf("failed after %v: final answer %q", row.failed, got)
+		}
+	}
+}
+
+// A retry stays in the cell and the zone where the earlier attempt ran, also if an endpoint update has moved that
+// backend since. Its last byte must be sent within the window, and the agent is told so.
+func TestRetriesStayWhereTheFirstAttemptRan(t *testing.T) {
+	for _, class := range []int{scopeCell, scopeZone} {
+		repeats := 0
+		for seed := range uint64(30) {
+			s := settings()
+			s.ConnectTimeout = 20 * ms
+			list := backends(6)
+			r := newRig(t, s, seed, list)
+			began := r.now
+			if a := r.request("q", class); firstSend(t, a).SendDeadline != 0 {
+				t.Fatal("a first attempt is bound")
+			}
+			first := r.sent["q"][0][0] - 'a'
+			moved := list[first]
+			moved.Cell, moved.Zone = (moved.Cell+1)%3, (moved.Zone+1)%3
+			r.now += 20 * ms
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{moved}})
+			r.outcome("q", balancer.Reset, 20*ms)
+			r.advance(200 * ms)
+			for _, id := range r.sent["q"][1:] {
+				if b := list[id[0]-'a']; b.Cell != list[first].Cell || b.ID == moved.ID {
+					t.Fatalf("class %d, seed %d: repeated at %s after %s, which has moved", class, seed, id, moved.ID)
+				}
+				if send := firstSend(t, r.actions); send.SendDeadline != began+s.Classes[class].DedupWindow {
+					t.Fatalf("class %d: bound to %v, %v after the first", class, send.SendDeadline, send.SendDeadline-began)
+				}
+				repeats++
+			}
+		}
+		if repeats < 10 {
+			t.Errorf("class %d: %d repeats in 30 plays", class, repeats)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/settings_test.go
@@ -0,0 +1,39 @@
+package balancer_test
+
+// Tests of the check of settings.
+
+import (
+	"strings"
+	"testing"
+
+	"martenbeam/balancer"
+)
+
+func TestNewRejectsSettings(t *testing.T) {
+	tests := []struct {
+		name string
+		edit func(*balancer.Settings)
+		want string
+	}{
+		{"no classes", func(s *balancer.Settings) { s.Classes = nil }, "Classes: none"},
+		{"no balancers", func(s *balancer.Settings) { s.Balancers = 0 }, "Balancers: 0"},
+		{"own number outside the count", func(s *balancer.Settings) { s.Self = 1 }, "Self: 1"},
+		{"negative number", func(s *balancer.Settings) { s.Self = -1 }, "Self: -1"},
+		{"attempt limit below zero", func(s *balancer.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
+		{"drain grace below zero", func(s *balancer.Settings) { s.DrainGrace = -ms }, "DrainGrace: -1ms"},
+		{"cold share above one", func(s *balancer.Settings) { s.InitialCapacity = 1.5 }, "ColdShare: 1.5"},
+		{"unknown effect", func(s *balancer.Settings) { s.Classes[2].Idempotency = 9 }, "Classes[2].Effect: 9"},
+		{"unknown group", func(s *balancer.Settings) { s.Classes[1].Scope = 7 }, "Classes[1].Group: 7"},
+		{"no aim", func(s *balancer.Settings) { s.Classes[0].LatencyObjective = 0 }, "Classes[0].Aim: 0s"},
+		{"window below zero", func(s *balancer.Settings) { s.Classes[3].DedupWindow = -ms }, "Classes[3].Window: -1ms"},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			s := settings()
+			tt.edit(&s)
+			if _, err := balancer.New(s, 1); err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("error %v, want one with %q", err, tt.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/balancer/snapshot_test.go
@@ -0,0 +1,121 @@
+package balancer_test
+
+// Tests of the state that a process hands over to its successor.
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// The retry budget survives an upgrade: the two processes are one agent. The snapshot may hold nonsense, and gives no
+// more than a full budget.
+func TestRetryBudgetSurvivesHandover(t *testing.T) {
+	older := newRig(t, settings(), 1, backends(2))
+	for i := range 10 {
+		id := fmt.Sprint("q", i)
+		older.request(id, idempotent)
+		older.outcome(id, balancer.Errored, 10*ms)
+	}
+	left := older.b.Snapshot().Tokens
+	for told, want := range map[float64]float64{left: left, -1: 100, 1e9: 100, math.NaN(): 100} {
+		r := newRig(t, settings(), 1, backends(2))
+		r.step(balancer.Restore{Snapshot: balancer.Snapshot{Tokens: told}})
+		if got := r.b.Snapshot().Tokens; got != want {
+			t.Errorf("told %v: %v tokens, want %v", told, got, want)
+		}
+	}
+	if left > 60 {
+		t.Errorf("%v tokens left after ten retries", left)
+	}
+}
+
+// busyAgent is an agent that has nearly all the traffic of a fleet of twenty.
+func busyAgent(t *testing.T, seed uint64) *rig {
+	s := settings()
+	s.Balancers, s.GossipAllowed = 20, true
+	return newRig(t, s, seed, backends(4))
+}
+
+// receiveQuietPeers delivers messages of all peers that their clients ask for nothing.
+func (r *rig) receiveQuietPeers() {
+	for i := range 19 {
+		r.step(balancer.GossipReceived{From: i + 1, Data: make([]byte, 8)})
+	}
+}
+
+// overload plays twenty requests per second for 2 s. Every backend but z, which is in slow start, keeps what it gets.
+// overload returns how many requests z got.
+func (r *rig) overload() (n int) {
+	for i := range 40 {
+		id := fmt.Sprint("crowd", len(r.sent), "-", i)
+		r.receiveQuietPeers()
+		r.request(id, idempotent)
+		r.advance(20 * ms)
+		if len(r.sent[id]) > 0 && r.sent[id][0] == "z" {
+			n++
+			r.outcome(id, balancer.OK, 20*ms)
+		}
+		r.advance(30 * ms)
+	}
+	return n
+}
+
+func backendInSlowStart(started time.Duration) balancer.EndpointUpdate {
+	return balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "z", Started: started}}}
+}
+
+// A day of operations (upgrade+hand): while most requests were refused, throughput said little about what a backend
+// can do, and backends in slow start were idle beside overloaded ones.
+func TestSlowStartBudgetSurvivesOverload(t *testing.T) {
+	r := busyAgent(t, 1)
+	for range 50 {
+		r.receiveQuietPeers()
+		r.serve(10, idempotent, 10*ms) // 25 per second for each backend
+	}
+	r.step(backendInSlowStart(r.now))
+	if n := r.overload(); n < 12 { // a fifth of that times the square root of 2.5 is 8 per second
+		t.Errorf("%d requests in 2 s to the one that is idle", n)
+	}
+}
+
+// The next process continues from what the earlier one learned about rates, latency and peers: its backends in slow
+// start and its share of the limit are right at once.
+func TestSnapshotIsRestored(t *testing.T) {
+	older := busyAgent(t, 1)
+	for range 50 {
+		older.receiveQuietPeers()
+		older.serve(10, idempotent, 10*ms)
+	}
+	told := older.b.Snapshot()
+	got := func(l *balancer.Snapshot) int {
+		r := busyAgent(t, 2)
+		if l != nil {
+			r.step(balancer.Restore{Snapshot: *l})
+			if again := r.b.Snapshot(); again.LatencyRatio != l.LatencyRatio || again.LimitPerBackend != l.LimitPerBackend || math.Abs(again.Demand/l.Demand-1) > 0.1 {
+				t.Errorf("handed on %+v, gone on from %+v", *l, again)
+			}
+		}
+		r.step(backendInSlowStart(r.now))
+		return r.overload()
+	}
+	with, without := got(&told), got(nil)
+	if with < 2*without || with < 8 {
+		t.Errorf("%d requests in 2 s to an idle cold backend, %d with nothing handed on", with, without)
+	}
+	for name, l := range map[string]balancer.Snapshot{
+		"nothing":       {},
+		"other classes": {LimitPerBackend: 6, Latency: []float64{1}},
+		"no numbers":    {LimitPerBackend: math.NaN(), LatencyRatio: math.Inf(1), PeakThroughput: math.NaN(), Demand: -1, Latency: told.Latency, PeerDemand: told.PeerDemand},
+		"huge":          {LimitPerBackend: 1e300, PeakThroughput: 1e300, Demand: 1e300, Latency: told.Latency, PeerDemand: told.PeerDemand},
+	} {
+		r := busyAgent(t, 2)
+		r.step(balancer.Restore{Snapshot: l})
+		if n := r.serve(60, idempotent, 10*ms); len(n) != 4 {
+			t.Errorf("%s: served by %v", name, n)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/streaming_test.go
@@ -0,0 +1,81 @@
+package balancer_test
+
+// Tests of large bodies and responses that take long to transfer.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// A request whose large body is still arriving occupies no backend and takes no capacity: its backend has nothing to
+// do yet. From its last byte on it is an attempt like any other.
+func TestStreamingBodyTakesNoCapacity(t *testing.T) {
+	r := newRig(t, settings(), 1, backends(1))
+	r.serve(20, idempotent, 10*ms)
+	for i := range 40 { // far above the limit for one backend
+		id := fmt.Sprint("large", i)
+		r.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, Streaming: true})
+		if len(r.sent[id]) != 1 {
+			t.Fatalf("the %dth large body was not sent", i)
+		}
+	}
+	r.advance(5 * time.Second) // longer than any objective or deadline
+	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
+		t.Errorf("%d of 20 requests served beside bodies on their way", n)
+	}
+	for i := range 40 {
+		r.step(balancer.BodyComplete{Request: fmt.Sprint("large", i)})
+	}
+	if r.request("late", idempotent); len(r.sent["late"]) > 0 {
+		t.Error("sent past the limit: bodies that are whole don't count")
+	}
+	for i := range 40 {
+		r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms)
+	}
+	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
+		t.Errorf("%d of 20 requests served afterwards", n)
+	}
+}
+
+// Once a part of the body is consumed nothing can be sent again. If the attempt never ran the client may retry.
+func TestConsumedBodyIsNotRetried(t *testing.T) {
+	for result, want := range map[balancer.Result]string{balancer.ConnectFailed: "refuse", balancer.Reset: "fail"} {
+		r := newRig(t, settings(), 1, backends(3))
+		r.step(balancer.Request{ID: "q", Class: idempotent, TimeRemaining: 2000 * ms, Streaming: true})
+		r.step(balancer.BodyConsumed{Request: "q"})
+		all := r.outcome("q", result, 10*ms)
+		all = append(all, r.advance(2000*ms)...)
+		if len(r.sent["q"]) != 1 || final("q", all) != want {
+			t.Errorf("%v: %d attempts, final answer %q, want %q", result, len(r.sent["q"]), final("q", all), want)
+		}
+	}
+}
+
+// An attempt whose response has started occupies no backend: while a slow client reads it the backend is idle.
+func TestStartedResponseTakesNoCapacity(t *testing.T) {
+	r := newRig(t, settings(), 1, backends(1))
+	r.serve(20, idempotent, 10*ms)
+	for i := range 40 {
+		id := fmt.Sprint("large", i)
+		r.request(id, nonIdempotent)
+		if len(r.sent[id]) != 1 {
+			t.Fatalf("the %dth was not sent", i)
+		}
+		r.step(balancer.ResponseStarted{Request: id, Attempt: 0})
+	}
+	r.advance(5 * time.Second)
+	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
+		t.Errorf("%d of 20 requests served beside answers on their way", n)
+	}
+	for i := range 40 {
+		if all := r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms); len(all) > 0 {
+			t.Errorf("%v after an answer that has gone on", all)
+		}
+	}
+	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
+		t.Errorf("%d of 20 requests served afterwards", n)
+	}
+}
