--- a/balancer/api.go
+++ b/balancer/api.go
@@ -7,10 +7,10 @@
 // and the backends that are listed or still have attempts outstanding.
 //
 // Reading order: this file for the interface; balancer.go for how events come in (Step), how an attempt starts (send)
-// and how a request ends (finish); picking.go for the choice of a backend; limits.go for admission; retries.go for
-// retries; health.go for outlier detection; cold.go for slow start; zones.go for zone failover; peers.go for gossip;
-// operations.go for the operators' overrides; residency.go for data residency. The records they share are in state.go,
-// attempts.go, zone.go and sums.go.
+// and how a request ends (finish); picking.go for the choice of a backend; admission.go for the concurrency limit and
+// the admission queue; retries.go for retries; outliers.go for outlier detection; slowstart.go for slow start;
+// failover.go for zone failover; gossip.go for what agents tell each other; overrides.go for the operators' overrides;
+// residency.go for data residency. The records they share are in state.go, request.go, zone.go and capacity.go.
 //
 // Constants are dimensionless: every scale comes from the settings or from what is observed. A comment that starts
 // with "Departure:" gives the reason why the module departs from the published design.
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// Benchmarks of a step, and tests that its cost and memory stay bounded.
+
 import (
 	"fmt"
 	"runtime"
--- a/balancer/sums_test.go
+++ b/balancer/capacity_test.go
@@ -1,5 +1,7 @@
 package balancer
 
+// White-box tests of the capacity totals: counting changes gives the same as counting everything.
+
 import (
 	"fmt"
 	"math"
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// An example of how an agent drives a Balancer.
+
 import (
 	"fmt"
 	"time"
--- a/balancer/zones_test.go
+++ b/balancer/failover_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// Tests of zone failover, and the rig with three zones that they use.
+
 import (
 	"encoding/binary"
 	"flag"
--- a/balancer/crowd_test.go
+++ b/balancer/fleet_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// Tests of many agents over the same backends: the budgets and limits hold for their sum.
+
 import (
 	"cmp"
 	"fmt"
--- a/balancer/message_test.go
+++ b/balancer/message_test.go
@@ -1,5 +1,7 @@
 package balancer
 
+// Tests of the gossip wire form.
+
 import (
 	"math"
 	"testing"
--- a/balancer/limits_test.go
+++ b/balancer/policy_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// A test of the source files: the deploy file names those that decide, and they stay short.
+
 import (
 	"os"
 	"path/filepath"
--- a/balancer/near_test.go
+++ b/balancer/proximity_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// Tests of the preference for near zones.
+
 import (
 	"testing"
 	"time"
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// Tests of data residency.
+
 import (
 	"fmt"
 	"slices"
