--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -118,7 +118,7 @@
 		b.sendGossip(b.observations, 1+b.rng.IntN(b.settings.Balancers-1))
 	}
 	if event.Result == OK && !req.ended {
-		b.tokens = min(maxRetryTokens, b.tokens+successRefill)
+		b.retryBudget.Refill()
 		if b.now <= req.objectiveAt {
 			class.metObjective++
 		}
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -9,30 +9,23 @@
 )
 
 const (
-	maxRetryTokens  = 100.0    // capacity of the retry budget: a quiet agent funds 20 retries at once, not 100
-	retryCost       = 5.0      // tokens for a retry
-	timeoutCost     = 10.0     // tokens for a retry after a time-out, which may indicate a deeper problem
-	successRefill   = 1.0      // tokens that an answered request brings back
 	backoffUnit     = 1.0 / 32 // of the class's latency objective: a one-second unit would outlast most objectives
 	maxBackoffUnits = 8.0      // longest backoff, in units
 )
 
 // retry schedules the next attempt of a request after a failed one, or ends the request.
 func (b *Balancer) retry(req *request, result Result) {
-	cost := retryCost
-	if result == TimedOut {
-		cost = timeoutCost
-	}
+	cost := RetryCost(result)
 	unit := backoffUnit * float64(b.classes[req.class].LatencyObjective)
 	retryAt := b.now + time.Duration(b.rng.Float64()*min(math.Exp2(float64(req.retries)), maxBackoffUnits)*unit)
 	possible := func(backend *backendState) bool {
 		return backend.State == Up && b.mayAttempt(req, backend) && (req.possiblyExecuted == 0 || !b.zone(backend).failedOver)
 	}
-	if !slices.ContainsFunc(b.backends, possible) || b.tokens < cost || retryAt >= req.deadline || result == NotSent {
+	if !slices.ContainsFunc(b.backends, possible) || !b.retryBudget.Covers(cost) || retryAt >= req.deadline || result == NotSent {
 		b.finish(req)
 		return
 	}
-	b.tokens -= cost
+	b.retryBudget.Spend(cost)
 	req.retries++
 	req.inBackoff = true
 	b.setRequestTimer(req, retryAt)
--- /dev/null
+++ b/balancer/retrybudget_test.go
@@ -0,0 +1,44 @@
+package balancer
+
+// Tests of the retry budget alone.
+
+import (
+	"math"
+	"testing"
+)
+
+func TestRetryBudgetFundsAndRefills(t *testing.T) {
+	b := NewRetryBudget()
+	spent := 0
+	for cost := RetryCost(Errored); b.Covers(cost); spent++ {
+		b.Spend(cost)
+	}
+	if spent != 20 || b.Tokens() != 0 {
+		t.Errorf("a full budget covers %d retries and then holds %v, want 20 and 0", spent, b.Tokens())
+	}
+	for range 9 {
+		b.Refill()
+	}
+	if b.Covers(RetryCost(TimedOut)) {
+		t.Error("nine successes cover a retry after a time-out")
+	}
+	if b.Refill(); !b.Covers(RetryCost(TimedOut)) || RetryCost(TimedOut) != 2*RetryCost(Reset) {
+		t.Errorf("ten successes give %v tokens, which don't cover a retry after a time-out", b.Tokens())
+	}
+	for range 1000 {
+		b.Refill()
+	}
+	if b.Tokens() != maxRetryTokens {
+		t.Errorf("%v tokens after many successes, want the capacity of %v", b.Tokens(), maxRetryTokens)
+	}
+}
+
+func TestRetryBudgetRestoresValidTokensOnly(t *testing.T) {
+	for tokens, want := range map[float64]float64{0: 0, 42.5: 42.5, maxRetryTokens: maxRetryTokens,
+		-1: maxRetryTokens, maxRetryTokens + 1: maxRetryTokens, math.NaN(): maxRetryTokens, math.Inf(1): maxRetryTokens} {
+		b := NewRetryBudget()
+		if b.Restore(tokens); b.Tokens() != want {
+			t.Errorf("restored %v: %v tokens, want %v", tokens, b.Tokens(), want)
+		}
+	}
+}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -140,7 +140,7 @@
 	overdueTimers map[int64]*attempt // by the token of the timer that finds them overdue
 	lastToken     int64              // last timer token given out
 
-	tokens          float64 // of the retry budget
+	retryBudget     RetryBudget
 	classes         []classState
 	inFlight        int
 	limitPerBackend float64 // concurrency limit of all agents together, per backend that is up
@@ -182,7 +182,7 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), tokens: maxRetryTokens,
+	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryBudget: NewRetryBudget(),
 		limitPerBackend: initialLimitPerBackend, warmUpRatio: 1, subsetScale: 1, quota: 1 / float64(s.Balancers),
 		peers: make([]peer, s.Balancers),
 		byID:  map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
@@ -270,7 +270,7 @@
 
 // Snapshot returns the state for the next process.
 func (b *Balancer) Snapshot() Snapshot {
-	snapshot := Snapshot{Tokens: b.tokens, LimitPerBackend: b.limitPerBackend, LatencyRatio: b.latencyRatio,
+	snapshot := Snapshot{Tokens: b.retryBudget.Tokens(), LimitPerBackend: b.limitPerBackend, LatencyRatio: b.latencyRatio,
 		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.steadyDemand(), DrainedDemand: b.overrides.drainedDemand}
 	for _, p := range b.peers {
 		demand := -1.0
@@ -288,9 +288,7 @@
 // onRestore continues from a snapshot. Its content is not trusted.
 func (b *Balancer) onRestore(event Restore) {
 	inRange := func(x, low, high float64) bool { return x >= low && x <= high }
-	if inRange(event.Tokens, 0, maxRetryTokens) {
-		b.tokens = event.Tokens
-	}
+	b.retryBudget.Restore(event.Tokens)
 	if len(event.Latency) != len(b.classes) || len(event.PeerDemand) != len(b.peers) ||
 		!inRange(event.LimitPerBackend, minLimitPerBackend, math.MaxInt32) || !inRange(event.LatencyRatio, 0, 2) ||
 		!inRange(event.PeakThroughput, 0, 1) ||
