--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -27,61 +27,56 @@
 // highest marginal value first, and in a class the newest first. Waiting here costs the backends nothing. A request is
 // refused when an answer within its objective is out of reach.
 func (b *Balancer) admitQueued() {
-	if len(b.queue) == 0 {
+	if b.queue.empty() {
 		return
 	}
 	for i := range b.classes {
 		b.classes[i].marginalValue = b.marginalValue(i)
 	}
 	for {
-		best, bestValue := -1, 0.0
-		for i, req := range b.queue {
-			if req.skipped {
-				continue
-			}
-			value := b.classes[req.class].marginalValue
-			if req.clientRetry {
-				value *= clientRetryValue
-			}
-			if b.residencyBound(req) {
-				value *= boundValueFactor
-			}
-			if req.objectiveAt-b.now < time.Duration(b.expectedLatency(req)/2) {
-				value *= b.classes[req.class].LateWeight
-			}
-			if best < 0 || value >= bestValue {
-				best, bestValue = i, value
-			}
-		}
-		if best < 0 || !b.hasCapacity(b.queue[best]) {
+		req := b.queue.next(b.admissionValue)
+		if req == nil || !b.hasCapacity(req) {
 			break
 		}
-		req := b.queue[best]
-		backend := b.choose(req)
-		if backend != nil {
-			b.dequeue(req)
+		if backend := b.choose(req); backend != nil {
+			b.queue.remove(req)
 			b.send(req, backend)
-			continue
-		}
-		for _, other := range b.queue { // the same holds for requests like it
-			other.skipped = other.skipped || other == req ||
-				other.class == req.class && other.unconstrained() && req.unconstrained()
+		} else {
+			b.queue.skip(req)
 		}
 	}
-	for i := len(b.queue) - 1; i >= 0; i-- {
-		req := b.queue[i]
-		margin := min(queueMargin*b.expectedLatency(req), maxQueueMargin*float64(b.classes[req.class].LatencyObjective))
-		giveUpAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
-		req.skipped = false
-		if b.residencyBound(req) {
-			b.reserveZones(req)
-		}
-		if req.clientRetry || giveUpAt <= b.now || !b.hasPermittedBackend(req) {
-			b.dequeue(req)
-			b.finish(req)
-		} else if req.timer == 0 {
-			b.setRequestTimer(req, giveUpAt)
-		}
+	b.queue.newestFirst(b.keepOrRefuse)
+}
+
+// admissionValue is what sending a queued request now adds to the operator's goal, per unit of work.
+func (b *Balancer) admissionValue(req *request) float64 {
+	class := &b.classes[req.class]
+	value := class.marginalValue
+	if req.clientRetry {
+		value *= clientRetryValue
+	}
+	if b.residencyBound(req) {
+		value *= boundValueFactor
+	}
+	if req.objectiveAt-b.now < time.Duration(b.expectedLatency(req)/2) {
+		value *= class.LateWeight
+	}
+	return value
+}
+
+// keepOrRefuse refuses a queued request that is a client's retry, can't be answered within its objective, or has no
+// permitted backend. Any other keeps waiting, until its timer at the latest.
+func (b *Balancer) keepOrRefuse(req *request) {
+	margin := min(queueMargin*b.expectedLatency(req), maxQueueMargin*float64(b.classes[req.class].LatencyObjective))
+	giveUpAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
+	if b.residencyBound(req) {
+		b.reserveZones(req)
+	}
+	if req.clientRetry || giveUpAt <= b.now || !b.hasPermittedBackend(req) {
+		b.queue.remove(req)
+		b.finish(req)
+	} else if req.timer == 0 {
+		b.setRequestTimer(req, giveUpAt)
 	}
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -95,7 +95,7 @@
 		b.demand.add(b.now, b.expectedLatency(req))
 		b.accrueCredit(req)
 	}
-	b.enqueue(req)
+	b.queue.add(req)
 }
 
 func (b *Balancer) onOutcome(event Outcome) {
@@ -152,7 +152,7 @@
 		req.timer = 0 // a queued request may have to wait longer by now: it gets a new timer
 		if req.inBackoff {
 			req.inBackoff = false
-			b.enqueue(req)
+			b.queue.add(req)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 func (b *Balancer) close(req *request) {
 	req.ended = true
 	if req.queued {
-		b.dequeue(req)
+		b.queue.remove(req)
 	}
 	if req.openAttempts == 0 {
 		delete(b.requests, req.id)
--- /dev/null
+++ b/balancer/queue.go
@@ -0,0 +1,56 @@
+package balancer
+
+// The admission queue: which request waits, and which one is next. The caller gives the values and decides on
+// refusals; the queue alone sets request.queued and request.skipped.
+
+// admissionQueue holds the requests that wait for capacity, oldest first.
+type admissionQueue struct{ requests []*request }
+
+// empty reports whether no request waits.
+func (q *admissionQueue) empty() bool { return len(q.requests) == 0 }
+
+// add appends a request.
+func (q *admissionQueue) add(req *request) {
+	req.queued = true
+	q.requests = append(q.requests, req)
+}
+
+// remove takes a request out, and keeps the order of the others.
+func (q *admissionQueue) remove(req *request) {
+	req.queued = false
+	q.requests = without(q.requests, req)
+}
+
+// next returns the request of the highest value, the newest one among equals, or nil if all were skipped.
+func (q *admissionQueue) next(value func(*request) float64) *request {
+	var best *request
+	bestValue := 0.0
+	for _, req := range q.requests {
+		if req.skipped {
+			continue
+		}
+		if v := value(req); best == nil || v >= bestValue {
+			best, bestValue = req, v
+		}
+	}
+	return best
+}
+
+// skip makes next pass over a request that found no backend, and over those that would find none either: the
+// unconstrained ones of its class.
+func (q *admissionQueue) skip(req *request) {
+	for _, other := range q.requests {
+		other.skipped = other.skipped || other == req ||
+			other.class == req.class && other.unconstrained() && req.unconstrained()
+	}
+}
+
+// newestFirst calls visit for each request, from the newest to the oldest, and ends its being skipped. The visit may
+// remove that request.
+func (q *admissionQueue) newestFirst(visit func(*request)) {
+	for i := len(q.requests) - 1; i >= 0; i-- {
+		req := q.requests[i]
+		req.skipped = false
+		visit(req)
+	}
+}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -135,7 +135,7 @@
 	backends      []*backendState // in this agent's order (subsetRank)
 	byID          map[string]*backendState
 	requests      map[string]*request
-	queue         []*request // admission queue: requests waiting for capacity, oldest first
+	queue         admissionQueue
 	requestTimers map[int64]*request
 	overdueTimers map[int64]*attempt // by the token of the timer that finds them overdue
 	lastToken     int64              // last timer token given out
@@ -211,17 +211,6 @@
 	return b.lastToken
 }
 
-// enqueue puts a request into the admission queue. If there is capacity it leaves the queue in the same step.
-func (b *Balancer) enqueue(req *request) {
-	req.queued = true
-	b.queue = append(b.queue, req)
-}
-
-func (b *Balancer) dequeue(req *request) {
-	req.queued = false
-	b.queue = without(b.queue, req)
-}
-
 // expectedLatency is the mean latency of a request of this class and announced work, ns.
 func (b *Balancer) expectedLatency(req *request) float64 {
 	class := &b.classes[req.class]
