--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,19 +8,10 @@
 )
 
 const (
-	targetLatencyRatio      = 0.35 // target for mean latency relative to the objective; above it the limit is cut
-	targetLatencyRatioAlone = 0.6  // the same for a sparse quota without gossip, where chance rejections count as latency
-	limitDecrease           = 0.9  // factor of one cut
-	limitIncrease           = 4.0  // growth, in attempts per backend for each mean of answers, at zero latency
-	creditBurst             = 4.0  // mean requests that may be sent ahead of the credit
-	maxCreditPerRequest     = 2.0  // largest credit of a first attempt, in its own work: retries need some too
-	initialLimitPerBackend  = 6.0  // limit at the start, for all agents together per backend
-	minLimitPerBackend      = 4.0  // lower bound of the limit: less would leave cores idle
-	maxBackendShares        = 3.0  // a backend gets no more than so many times its even share of the limit
-	queueMargin             = 2.0  // a queued request is refused when fewer than so many mean latencies remain
-	maxQueueMargin          = 0.75 // but may always wait until this share of its objective remains
-	headcountShare          = 0.25 // part of the limit that is shared evenly, the rest by demand
-	clientRetryValue        = 0.1  // value of a client's retry relative to a first attempt: most of its objective has passed
+	queueMargin      = 2.0  // a queued request is refused when fewer than so many mean latencies remain
+	maxQueueMargin   = 0.75 // but may always wait until this share of its objective remains
+	headcountShare   = 0.25 // part of the limit that is shared evenly, the rest by demand
+	clientRetryValue = 0.1  // value of a client's retry relative to a first attempt: most of its objective has passed
 )
 
 // admitQueued sends queued requests while there is capacity: first attempts before clients' retries, the class of the
@@ -91,9 +82,9 @@
 				above += class.arrivals * class.latency
 			}
 		}
-		return b.credit > creditBurst*b.classes[req.class].latency*above/max(total, 1)
+		return b.credit.covers(b.classes[req.class].latency, above, total)
 	}
-	return float64(b.inFlight-b.uncountedOutstanding) < b.limit()
+	return b.limiter.allows(b.inUse(), b.capacity)
 }
 
 // sparseQuota reports whether an even share of the concurrency limit is less than one attempt, so that counting
@@ -109,40 +100,6 @@
 // all soon.
 func (b *Balancer) gossipsObservations() bool { return b.settings.GossipAllowed && b.sparseQuota() }
 
-// accrueCredit adds the credit that a first attempt brings to an agent with a sparse quota.
-func (b *Balancer) accrueCredit(req *request) {
-	factor := targetLatencyRatioAlone / max(b.latencyRatio, 1e-9)
-	if b.gossipsObservations() {
-		factor *= targetLatencyRatio / targetLatencyRatioAlone
-	}
-	b.credit = min(b.credit+b.expectedLatency(req)*min(factor*factor, maxCreditPerRequest),
-		creditBurst*b.classes[req.class].latency)
-}
-
-// adjustLimit moves the concurrency limit by one latency sample, relative to the objective. The limit falls while the
-// moving average is above the target. It grows while the limit binds, by the square of the distance to the target:
-// when a zone is lost the others must take over its share within seconds, but close to the target one step too many
-// overloads the backends. Departure: beyond the limit requests are queued and then refused, since a queue that
-// outlasts the objectives serves nobody. The lower bound, a few attempts per backend, keeps a fleet in use that is
-// slow but has no queues.
-func (b *Balancer) adjustLimit(sample float64) {
-	// The average spans what is in flight at once: over fewer samples, chance would cut a busy agent's limit.
-	weight := min(smoothing, 1/b.limit())
-	b.latencyRatio += weight * (min(sample, 2) - b.latencyRatio)
-	switch {
-	case b.latencyRatio > targetLatencyRatio && b.now-b.limitCutAt > time.Duration(b.classes[0].latency):
-		b.limitPerBackend = max(minLimitPerBackend, b.limitPerBackend*min(limitDecrease, targetLatencyRatio/b.latencyRatio))
-		b.limitCutAt = b.now
-	case b.latencyRatio < targetLatencyRatio && float64(b.inFlight-b.uncountedOutstanding)+1 >= b.limit()*0.9:
-		headroom := 1 - b.latencyRatio/targetLatencyRatio
-		b.limitPerBackend += limitIncrease * weight * headroom * headroom // no faster than latency is observed
-	}
-}
-
-// limit is the number of attempts that may be in flight now. It follows the endpoint list as the fleet grows and
-// shrinks; a backend in slow start counts by its warmth.
-func (b *Balancer) limit() float64 { return max(1, b.limitPerBackend*b.quota*b.capacity) }
-
 // recomputeQuota computes this agent's share of the concurrency limit: a part evenly, the rest by demand.
 func (b *Balancer) recomputeQuota() {
 	sampled := b.settings.Balancers-1 > gossipFanout
@@ -158,7 +115,8 @@
 	if b.assignedQuota > 0 { // the fleet size is known: an even share of it
 		agents = 1 / b.assignedQuota
 	}
-	if b.quota = 1 / agents; total > 0 {
-		b.quota = (headcountShare + (1-headcountShare)*b.steadyDemand()/total*known) / agents
+	b.limiter.quota = 1 / agents
+	if total > 0 {
+		b.limiter.quota = (headcountShare + (1-headcountShare)*b.steadyDemand()/total*known) / agents
 	}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -93,7 +93,7 @@
 	b.requests[event.ID] = req
 	if !req.clientRetry {
 		b.demand.add(b.now, b.expectedLatency(req))
-		b.accrueCredit(req)
+		b.credit.accrue(b.expectedLatency(req), b.limiter.latencyRatio, class.latency, b.gossipsObservations())
 	}
 	b.queue.add(req)
 }
@@ -194,7 +194,7 @@
 		req.scopeAttempt = a
 	}
 	b.occupy(req, a)
-	b.credit -= a.expected
+	b.credit.spend(a.expected)
 	z := b.zone(backend)
 	z.canary = false
 	if b.sparseQuota() || len(b.zones) > 1 {
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -52,6 +52,9 @@
 	b.trackPeakThroughput()
 }
 
+// inUse is the number of attempts that count against the concurrency limit: those at backends that count in capacity.
+func (b *Balancer) inUse() int { return b.inFlight - b.uncountedOutstanding }
+
 // addCapacity adds a number of backends of one warmth, with their outstanding attempts, in a zone with the given share
 // of its usual traffic.
 func (b *Balancer) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -20,8 +20,7 @@
 	b.onPeerDemand(&b.peers[event.From], message)
 	b.onLossReport(event.From, message.lostZones)
 	if b.gossipsObservations() {
-		// An agent with little traffic sees latency too late by itself.
-		b.latencyRatio = ewma(b.latencyRatio, min(message.latencyRatio, 1))
+		b.limiter.learnFromPeer(message.latencyRatio)
 		for _, entry := range message.observations {
 			b.applyObservation(entry)
 		}
--- /dev/null
+++ b/balancer/limiter_unit_test.go
@@ -0,0 +1,108 @@
+package balancer
+
+// Tests of the concurrency limiter and of admission by credit alone.
+
+import (
+	"testing"
+	"time"
+)
+
+func TestLimiterCutsOncePerCooldown(t *testing.T) {
+	l := newConcurrencyLimiter(2)
+	const capacity, cooldown = 10.0, 100 * time.Millisecond
+	if limit := l.limit(capacity); limit != initialLimitPerBackend*capacity/2 {
+		t.Fatalf("the limit starts at %v", limit)
+	}
+	now := time.Second
+	for l.latencyRatio <= targetLatencyRatio { // a cut is made with the sample that passes the target
+		l.adjust(2, now, cooldown, 0, capacity)
+	}
+	first := l.perBackend
+	if first >= initialLimitPerBackend || first < minLimitPerBackend {
+		t.Fatalf("%v per backend after a cut", first)
+	}
+	if l.adjust(2, now+cooldown, cooldown, 0, capacity); l.perBackend != first {
+		t.Error("cut again within the cooldown")
+	}
+	if l.adjust(2, now+cooldown+1, cooldown, 0, capacity); l.perBackend >= first {
+		t.Error("not cut again after the cooldown")
+	}
+	for n := range 100 {
+		l.adjust(2, now+time.Duration(n+2)*2*cooldown, cooldown, 0, capacity)
+	}
+	if l.perBackend != minLimitPerBackend {
+		t.Errorf("%v per backend after many cuts, want the lower bound", l.perBackend)
+	}
+}
+
+func TestLimiterGrowsOnlyWhileItBinds(t *testing.T) {
+	idle, busy, close := newConcurrencyLimiter(1), newConcurrencyLimiter(1), newConcurrencyLimiter(1)
+	close.restore(initialLimitPerBackend, 0.9*targetLatencyRatio)
+	for range 20 {
+		idle.adjust(0.1, time.Second, 0, 10, 10)
+		busy.adjust(0.1, time.Second, 0, 60, 10)
+	}
+	close.adjust(0.9*targetLatencyRatio, time.Second, 0, 60, 10)
+	if idle.perBackend != initialLimitPerBackend {
+		t.Errorf("grew to %v while it did not bind", idle.perBackend)
+	}
+	if busy.perBackend <= initialLimitPerBackend {
+		t.Error("did not grow while it bound")
+	}
+	if grown := close.perBackend - initialLimitPerBackend; grown <= 0 || grown > 0.02*limitIncrease*smoothing {
+		t.Errorf("grew by %v close to the target, want little", grown)
+	}
+}
+
+func TestLimiterBoundsEachBackend(t *testing.T) {
+	l := newConcurrencyLimiter(3)
+	if got := l.backendLimit(); got != maxBackendShares*initialLimitPerBackend*l.quota {
+		t.Errorf("a backend may get %v", got)
+	}
+	if l.quota = 1e-6; l.backendLimit() != 1 || l.limit(10) != 1 || l.warmLimit(10) != 1 {
+		t.Error("a small quota allows no attempt at all")
+	}
+	if !l.allows(0, 10) || l.allows(1, 10) {
+		t.Error("a limit of 1 should allow one attempt")
+	}
+}
+
+func TestCreditFollowsTheSquareOfLatency(t *testing.T) {
+	const work, mean = 1e6, 1e6
+	for name, c := range map[string]struct {
+		ratio     float64
+		gossiping bool
+		want      float64 // of the work
+	}{
+		"at the target":         {targetLatencyRatio, true, 1},
+		"twice the target":      {2 * targetLatencyRatio, true, 0.25},
+		"far below":             {0, true, maxCreditPerRequest},
+		"without gossip":        {targetLatencyRatioAlone, false, 1},
+		"without gossip, twice": {2 * targetLatencyRatioAlone, false, 0.25},
+	} {
+		var account creditAccount
+		account.accrue(work, c.ratio, mean, c.gossiping)
+		if got := account.credit / work; got < c.want-1e-9 || got > c.want+1e-9 {
+			t.Errorf("%s: %v of the work, want %v", name, got, c.want)
+		}
+	}
+}
+
+func TestCreditIsLeftForMoreValuableClasses(t *testing.T) {
+	const mean = 1e6
+	var account creditAccount
+	for range 100 {
+		account.accrue(mean, 0, mean, true)
+	}
+	if account.credit != creditBurst*mean {
+		t.Fatalf("%v credit after a quiet time, want a burst", account.credit)
+	}
+	account.spend(2 * mean)
+	if !account.covers(mean, 0, 1e9) || !account.covers(mean, 0.4e9, 1e9) || account.covers(mean, 0.6e9, 1e9) {
+		t.Error("half of the burst should cover a class above which less than half of the work arrives")
+	}
+	account.spend(2 * mean)
+	if account.covers(mean, 0, 1e9) {
+		t.Error("an empty account covers a request")
+	}
+}
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -94,6 +94,11 @@
 	}
 }
 
+// adjustLimit moves the concurrency limit by one latency sample, relative to the objective.
+func (b *Balancer) adjustLimit(sample float64) {
+	b.limiter.adjust(sample, b.now, time.Duration(b.classes[0].latency), b.inUse(), b.capacity)
+}
+
 // judgeFailure judges a failure by its probability among backends that all fail now and then. Consecutive failures
 // that chance does not explain eject the backend. When a process dies, all its outstanding attempts break and new
 // connections are refused; such a backend counts as just started once it answers again.
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -18,7 +18,6 @@
 	crossZoneBias       = 0.1   // relative weight of an idle backend in another zone, if crossing has a cost
 	spilloverAt         = 0.3   // latency excess of the own zone at which other zones get full weight
 	proximityObjectives = 4.0   // longest objectives after a cut of the limit from which proximity counts
-	maxWarmLoad         = 1.1   // shares of the limit that warm backends take while others are in slow start
 	recoveringBias      = 0.1   // relative weight of an idle backend that still has a failure score
 )
 
@@ -26,14 +25,14 @@
 // attempts; else an ejected one. The backend that just failed the request is chosen only if it is the only one. nil
 // means that no backend may be used now.
 func (b *Balancer) pick(req *request) *backendState {
-	shared, uncrowded := b.gossipsObservations(), b.now-b.limitCutAt > b.settings.SlowStartWindow
+	shared, uncrowded := b.gossipsObservations(), b.limiter.sinceCut(b.now) > b.settings.SlowStartWindow
 	var idle, leastLoaded, ejected *backendState
 	totalWeight, lowestScore, lowestEjected := 0.0, math.Inf(1), math.Inf(1)
 	remaining, closed := b.subsetSize(), b.closedZones(req)
 	// Backends in slow start take up their share of the limit slowly. Most of the rest must not go to the warm ones,
 	// which would be overloaded by it.
 	crowded := !b.sparseQuota() && b.warmCapacity < b.capacity &&
-		float64(b.warmOutstanding) >= max(1, maxWarmLoad*b.limitPerBackend*b.quota*b.warmCapacity)
+		float64(b.warmOutstanding) >= b.limiter.warmLimit(b.warmCapacity)
 	for _, backend := range b.backends {
 		if remaining <= 0 {
 			break
@@ -43,7 +42,7 @@
 		}
 		if backend.State != Up || !b.mayAttempt(req, backend) || backend == req.lastFailed && b.up > 1 ||
 			b.now < backend.rejectingUntil ||
-			float64(len(backend.outstanding)) >= max(1, maxBackendShares*b.limitPerBackend*b.quota) ||
+			float64(len(backend.outstanding)) >= b.limiter.backendLimit() ||
 			!b.hasSlowStartBudget(backend, req) {
 			continue
 		}
@@ -115,7 +114,7 @@
 // after the limit was cut: then a backend that knows a key counts for more, wherever it is.
 func (b *Balancer) proximity(backend *backendState) float64 {
 	cost, lowestCost := b.crossingCost(backend.Zone), cmp.Or(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
-	if cost == 0 || float64(b.now-b.limitCutAt) <= proximityObjectives*float64(b.maxObjective) {
+	if cost == 0 || float64(b.limiter.sinceCut(b.now)) <= proximityObjectives*float64(b.maxObjective) {
 		return 1
 	}
 	bias := crossZoneBias * lowestCost / cost
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -143,14 +143,12 @@
 	retryBudget     RetryBudget
 	classes         []classState
 	inFlight        int
-	limitPerBackend float64 // concurrency limit of all agents together, per backend that is up
-	quota           float64 // this agent's share of it
-	latencyRatio    float64 // moving average of latency relative to the latency objective
+	limiter         concurrencyLimiter
 	warmUpRatio     float64 // share of the slow-start window that backends seem to need
 	trustedMultiple float64 // multiple of the guaranteed warmth up to which measured warmth is trusted
 
 	served, peakThroughput decayingSum // requests served within OverloadWindow; decayed peak of that rate per backend
-	limitCutAt, startedAt  time.Duration
+	startedAt              time.Duration
 	pollFailures           int
 	pollTimer              int64
 
@@ -158,7 +156,7 @@
 	peers        []peer        // by agent number
 	maxObjective time.Duration // the longest latency objective; also the gossip interval
 	gossipTimer  int64
-	credit       float64 // work that an agent with a sparse quota may still send
+	credit       creditAccount
 
 	observations       []observation // recent ones, own and from peers; newest last
 	byGossipKey        map[uint32]*backendState
@@ -183,7 +181,7 @@
 		return nil, err
 	}
 	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryBudget: NewRetryBudget(),
-		limitPerBackend: initialLimitPerBackend, warmUpRatio: 1, subsetScale: 1, quota: 1 / float64(s.Balancers),
+		limiter: newConcurrencyLimiter(s.Balancers), warmUpRatio: 1, subsetScale: 1,
 		peers: make([]peer, s.Balancers),
 		byID:  map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
 		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{},
@@ -259,7 +257,7 @@
 
 // Snapshot returns the state for the next process.
 func (b *Balancer) Snapshot() Snapshot {
-	snapshot := Snapshot{Tokens: b.retryBudget.Tokens(), LimitPerBackend: b.limitPerBackend, LatencyRatio: b.latencyRatio,
+	snapshot := Snapshot{Tokens: b.retryBudget.Tokens(), LimitPerBackend: b.limiter.perBackend, LatencyRatio: b.limiter.latencyRatio,
 		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.steadyDemand(), DrainedDemand: b.overrides.drainedDemand}
 	for _, p := range b.peers {
 		demand := -1.0
@@ -284,7 +282,7 @@
 		!inRange(event.DrainedDemand, 0, math.MaxInt64) || !inRange(event.Demand, 0, math.MaxInt64) {
 		return // written with other settings, or corrupt
 	}
-	b.limitPerBackend, b.latencyRatio = event.LimitPerBackend, event.LatencyRatio
+	b.limiter.restore(event.LimitPerBackend, event.LatencyRatio)
 	b.peakThroughput.add(b.now, event.PeakThroughput)
 	b.demand.add(b.now, max(event.Demand, event.DrainedDemand))  // a Drain event follows if the clients are still elsewhere
 	b.startedAt = b.now - time.Duration(4*b.demand.timeConstant) // as if this process had run for long
