--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -10,7 +10,6 @@
 const (
 	queueMargin      = 2.0  // a queued request is refused when fewer than so many mean latencies remain
 	maxQueueMargin   = 0.75 // but may always wait until this share of its objective remains
-	headcountShare   = 0.25 // part of the limit that is shared evenly, the rest by demand
 	clientRetryValue = 0.1  // value of a client's retry relative to a first attempt: most of its objective has passed
 )
 
@@ -100,23 +99,7 @@
 // all soon.
 func (b *Balancer) gossipsObservations() bool { return b.settings.GossipAllowed && b.sparseQuota() }
 
-// recomputeQuota computes this agent's share of the concurrency limit: a part evenly, the rest by demand.
+// recomputeQuota updates this agent's share of the concurrency limit.
 func (b *Balancer) recomputeQuota() {
-	sampled := b.settings.Balancers-1 > gossipFanout
-	total, known, agents := b.steadyDemand(), 1.0, float64(b.settings.Balancers)
-	for _, peer := range b.peers {
-		if b.now < peer.validUntil && peer.drainedDemand == 0 {
-			total += peer.demand
-			known++
-		} else if peer.validUntil > 0 && !sampled {
-			agents-- // stopped or drained: its clients go elsewhere
-		}
-	}
-	if b.assignedQuota > 0 { // the fleet size is known: an even share of it
-		agents = 1 / b.assignedQuota
-	}
-	b.limiter.quota = 1 / agents
-	if total > 0 {
-		b.limiter.quota = (headcountShare + (1-headcountShare)*b.steadyDemand()/total*known) / agents
-	}
+	b.limiter.assignQuota(b.peers.quota(b.demand.steady(b.now), b.assignedQuota, b.now))
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,7 +9,6 @@
 )
 
 const (
-	smoothing            = 0.1 // weight of a new sample in a moving average: about the last 20 samples count
 	priorSamples         = 2.0 // samples that the fleet mean counts for in a new backend's latency ratio
 	retryAfterObjectives = 1.0 // mean Retry-After of a refused client, in longest objectives; jittered by half
 )
@@ -20,7 +19,7 @@
 	b.now, b.actions = max(now, b.now), nil
 	b.recomputeCapacity()
 	if b.settings.GossipAllowed && b.gossipTimer == 0 {
-		b.startedAt = b.now
+		b.demand.start(b.now)
 		b.gossipTimer = b.setTimer(time.Duration(b.rng.Float64() * float64(b.maxObjective)))
 	}
 	for _, event := range events {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,10 +3,9 @@
 // Gossip: what agents tell each other, and which peers an agent sends to.
 
 const (
-	gossipFanout      = 8   // peers per gossip round: all peers at a small site, a random sample at a large one
-	peerExpiry        = 4.0 // a peer that misses so many rounds has stopped; one never heard from counts as average
-	outcomesPerGossip = 2   // outcomes per message with observations: half the cost of one per request
-	maxObservations   = 96  // about two messages' worth
+	gossipFanout      = 8  // peers per gossip round: all peers at a small site, a random sample at a large one
+	outcomesPerGossip = 2  // outcomes per message with observations: half the cost of one per request
+	maxObservations   = 96 // about two messages' worth
 )
 
 // onGossip applies a peer's message: the demand of its clients, the latency that it sees, and its observations.
@@ -14,10 +13,13 @@
 // only where agents may exchange messages and their traffic differs.
 func (b *Balancer) onGossip(event GossipReceived) {
 	message, ok := decode(event.Data, b.now, b.maxObjective)
-	if !ok || event.From < 0 || event.From >= len(b.peers) || event.From == b.settings.Self {
+	if !ok || !b.peers.has(event.From) {
 		return
 	}
-	b.onPeerDemand(&b.peers[event.From], message)
+	if share, changed := b.peers.receive(event.From, message.demand, message.drained, b.now); changed {
+		b.demand.shift(b.now, share)
+		b.recomputeQuota()
+	}
 	b.onLossReport(event.From, message.lostZones)
 	if b.gossipsObservations() {
 		b.limiter.learnFromPeer(message.latencyRatio)
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -71,6 +71,9 @@
 	}
 }
 
+// assignQuota sets this agent's share of the limit.
+func (l *concurrencyLimiter) assignQuota(quota float64) { l.quota = quota }
+
 // learnFromPeer adds the latency ratio that a peer sees: an agent with little traffic sees latency too late by itself.
 func (l *concurrencyLimiter) learnFromPeer(ratio float64) {
 	l.latencyRatio = ewma(l.latencyRatio, min(ratio, 1))
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -118,9 +118,9 @@
 func (b *Balancer) onDrain(event Drain) {
 	switch {
 	case event.On && b.overrides.drainedDemand == 0:
-		b.overrides.drainedDemand = max(b.steadyDemand(), 1)
+		b.overrides.drainedDemand = max(b.demand.steady(b.now), 1)
 	case !event.On && b.overrides.drainedDemand > 0:
-		b.demand.total = max(b.demand.value(b.now), b.overrides.drainedDemand)
+		b.demand.raiseTo(b.now, b.overrides.drainedDemand)
 		b.overrides.drainedDemand = 0
 	default:
 		return
--- /dev/null
+++ b/balancer/peers.go
@@ -0,0 +1,109 @@
+package balancer
+
+// Peers and quota: the demand that other agents reported, and this agent's share of the fleet's concurrency limit.
+
+import "time"
+
+const (
+	peerExpiry     = 4.0  // a peer that misses so many rounds has stopped; one never heard from counts as average
+	headcountShare = 0.25 // part of the limit that is shared evenly, the rest by demand
+)
+
+// peer is what another agent last reported.
+type peer struct {
+	demand        float64
+	drainedDemand float64       // demand of its clients that operators have moved elsewhere; 0: not drained
+	validUntil    time.Duration // its last message holds until then
+}
+
+// active reports whether the peer serves its clients, as far as is known.
+func (p *peer) active(now time.Duration) bool { return now < p.validUntil && p.drainedDemand == 0 }
+
+// peerTable holds the reports of all agents, by agent number.
+type peerTable struct {
+	peers    []peer
+	self     int
+	validity time.Duration // of a report
+}
+
+// newPeerTable returns the table of one of so many agents, which exchange messages at an interval.
+func newPeerTable(agents, self int, interval time.Duration) peerTable {
+	return peerTable{peers: make([]peer, agents), self: self, validity: time.Duration(peerExpiry * float64(interval))}
+}
+
+// has reports whether an agent number is that of a peer.
+func (t *peerTable) has(from int) bool { return from >= 0 && from < len(t.peers) && from != t.self }
+
+// receive applies a peer's report. When operators drain a peer its demand is distributed evenly over the other agents,
+// and taken back when its clients return; the traffic that really arrives soon outweighs the estimate. receive returns
+// by how much this agent's own demand changes thereby, and whether it does.
+func (t *peerTable) receive(from int, demand float64, drained bool, now time.Duration) (share float64, changed bool) {
+	sender := &t.peers[from]
+	sender.validUntil = now + t.validity
+	moved := 0.0
+	switch {
+	case drained && sender.drainedDemand == 0:
+		moved = max(demand, 1)
+		sender.demand, sender.drainedDemand = 0, moved
+	case !drained:
+		moved = -sender.drainedDemand
+		sender.demand, sender.drainedDemand = demand, 0
+	}
+	if moved == 0 {
+		return 0, false
+	}
+	others := []*peer{}
+	for i := range t.peers {
+		if p := &t.peers[i]; p != sender && i != t.self && p.active(now) {
+			others = append(others, p)
+		}
+	}
+	share = moved / float64(len(others)+1)
+	for _, p := range others {
+		p.demand = max(0, p.demand+share)
+	}
+	return share, true
+}
+
+// quota returns this agent's share of the concurrency limit: a part evenly, the rest by its own demand relative to
+// that of all agents heard from. assigned is the even share that the fleet assigns, or 0.
+func (t *peerTable) quota(own, assigned float64, now time.Duration) float64 {
+	sampled := len(t.peers)-1 > gossipFanout
+	total, known, agents := own, 1.0, float64(len(t.peers))
+	for i := range t.peers {
+		if p := &t.peers[i]; p.active(now) {
+			total += p.demand
+			known++
+		} else if p.validUntil > 0 && !sampled {
+			agents-- // stopped or drained: its clients go elsewhere
+		}
+	}
+	if assigned > 0 { // the fleet size is known: an even share of it
+		agents = 1 / assigned
+	}
+	if total > 0 {
+		return (headcountShare + (1-headcountShare)*own/total*known) / agents
+	}
+	return 1 / agents
+}
+
+// snapshot returns the peers' demand by agent number; −1 where none is known.
+func (t *peerTable) snapshot(now time.Duration) (demands []float64) {
+	for i := range t.peers {
+		demand := -1.0
+		if now < t.peers[i].validUntil {
+			demand = t.peers[i].demand
+		}
+		demands = append(demands, demand)
+	}
+	return demands
+}
+
+// restore continues from the snapshot of an earlier process. It must have the table's length.
+func (t *peerTable) restore(demands []float64, now time.Duration) {
+	for i, demand := range demands {
+		if demand >= 0 && i != t.self {
+			t.peers[i] = peer{demand: demand, validUntil: now + t.validity}
+		}
+	}
+}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -48,20 +48,6 @@
 	slowStartBudgetAt              time.Duration
 }
 
-// decayingSum is a sum whose parts decay exponentially with a time constant.
-type decayingSum struct {
-	total, timeConstant float64
-	updatedAt           time.Duration
-}
-
-func (d *decayingSum) value(now time.Duration) float64 {
-	d.total *= math.Exp(-float64(now-d.updatedAt) / d.timeConstant)
-	d.updatedAt = now
-	return d.total
-}
-
-func (d *decayingSum) add(now time.Duration, amount float64) { d.total = d.value(now) + amount }
-
 // retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
 func (s *Settings) retryAfter(wait time.Duration) time.Duration {
 	if !s.RetryAfter {
@@ -117,13 +103,6 @@
 	return list
 }
 
-func ewma(mean, sample float64) float64 {
-	if mean == 0 {
-		return sample
-	}
-	return mean + smoothing*(sample-mean)
-}
-
 // Balancer decides for one agent. Use New; see the package comment.
 type Balancer struct {
 	settings Settings
@@ -148,12 +127,11 @@
 	trustedMultiple float64 // multiple of the guaranteed warmth up to which measured warmth is trusted
 
 	served, peakThroughput decayingSum // requests served within OverloadWindow; decayed peak of that rate per backend
-	startedAt              time.Duration
 	pollFailures           int
 	pollTimer              int64
 
-	demand       decayingSum   // work of first attempts that clients asked for
-	peers        []peer        // by agent number
+	demand       demandEstimate
+	peers        peerTable
 	maxObjective time.Duration // the longest latency objective; also the gossip interval
 	gossipTimer  int64
 	credit       creditAccount
@@ -182,8 +160,7 @@
 	}
 	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryBudget: NewRetryBudget(),
 		limiter: newConcurrencyLimiter(s.Balancers), warmUpRatio: 1, subsetScale: 1,
-		peers: make([]peer, s.Balancers),
-		byID:  map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
+		byID: map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
 		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{},
 		latencyRatioByKind: make([][]float64, len(s.Classes))}
 	b.settings.MaxAttempts = max(1, s.MaxAttempts)
@@ -192,9 +169,10 @@
 	b.served.timeConstant, b.peakThroughput.timeConstant = float64(s.OverloadWindow+1), float64(s.SlowStartWindow+1)
 	for _, class := range s.Classes {
 		b.maxObjective = max(b.maxObjective, class.LatencyObjective)
-		b.demand.timeConstant = peerExpiry * float64(b.maxObjective)
 		b.classes = append(b.classes, classState{Class: class, latency: float64(class.LatencyObjective) / 4})
 	}
+	b.demand = newDemandEstimate(b.maxObjective)
+	b.peers = newPeerTable(s.Balancers, s.Self, b.maxObjective)
 	return b, nil
 }
 
@@ -239,7 +217,7 @@
 // they are slow and much is refused, the present throughput says little about what a backend can do.
 func (b *Balancer) trackPeakThroughput() {
 	served := b.served.value(b.now) / float64(b.settings.OverloadWindow+1) / float64(max(b.up, 1))
-	b.peakThroughput.total = max(served, b.peakThroughput.value(b.now))
+	b.peakThroughput.raiseTo(b.now, served)
 }
 
 // Snapshot is the state that a process of an agent hands over to its successor. To the rules and to peers the two
@@ -258,14 +236,8 @@
 // Snapshot returns the state for the next process.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{Tokens: b.retryBudget.Tokens(), LimitPerBackend: b.limiter.perBackend, LatencyRatio: b.limiter.latencyRatio,
-		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.steadyDemand(), DrainedDemand: b.overrides.drainedDemand}
-	for _, p := range b.peers {
-		demand := -1.0
-		if b.now < p.validUntil {
-			demand = p.demand
-		}
-		snapshot.PeerDemand = append(snapshot.PeerDemand, demand)
-	}
+		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.demand.steady(b.now), DrainedDemand: b.overrides.drainedDemand,
+		PeerDemand: b.peers.snapshot(b.now)}
 	for _, class := range b.classes {
 		snapshot.Latency = append(snapshot.Latency, class.latency)
 	}
@@ -276,7 +248,7 @@
 func (b *Balancer) onRestore(event Restore) {
 	inRange := func(x, low, high float64) bool { return x >= low && x <= high }
 	b.retryBudget.Restore(event.Tokens)
-	if len(event.Latency) != len(b.classes) || len(event.PeerDemand) != len(b.peers) ||
+	if len(event.Latency) != len(b.classes) || len(event.PeerDemand) != b.settings.Balancers ||
 		!inRange(event.LimitPerBackend, minLimitPerBackend, math.MaxInt32) || !inRange(event.LatencyRatio, 0, 2) ||
 		!inRange(event.PeakThroughput, 0, 1) ||
 		!inRange(event.DrainedDemand, 0, math.MaxInt64) || !inRange(event.Demand, 0, math.MaxInt64) {
@@ -284,13 +256,8 @@
 	}
 	b.limiter.restore(event.LimitPerBackend, event.LatencyRatio)
 	b.peakThroughput.add(b.now, event.PeakThroughput)
-	b.demand.add(b.now, max(event.Demand, event.DrainedDemand))  // a Drain event follows if the clients are still elsewhere
-	b.startedAt = b.now - time.Duration(4*b.demand.timeConstant) // as if this process had run for long
-	for i, demand := range event.PeerDemand {
-		if demand >= 0 && i != b.settings.Self {
-			b.peers[i] = peer{demand: demand, validUntil: b.now + time.Duration(peerExpiry*float64(b.maxObjective))}
-		}
-	}
+	b.demand.resume(b.now, max(event.Demand, event.DrainedDemand)) // a Drain event follows if the clients are still elsewhere
+	b.peers.restore(event.PeerDemand, b.now)
 	for i, latency := range event.Latency {
 		if objective := float64(b.classes[i].LatencyObjective); inRange(latency, 1, objective) {
 			b.classes[i].latency = latency
