--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,7 +9,6 @@
 )
 
 const (
-	priorSamples         = 2.0 // samples that the fleet mean counts for in a new backend's latency ratio
 	retryAfterObjectives = 1.0 // mean Retry-After of a refused client, in longest objectives; jittered by half
 )
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -30,7 +30,7 @@
 	unstable := b.unstable[:0]
 	for _, backend := range b.unstable {
 		warmth, z := b.warmth(backend), b.zone(backend)
-		used := backend.State == Up && !backend.presumedDead && b.now >= backend.ejectedUntil
+		used := backend.State == Up && backend.usable(b.now)
 		if backend.State == Up {
 			b.up++
 			z.up++
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -27,7 +27,7 @@
 		b.markUnstable(backend)
 		if entry.Started > backend.Started {
 			b.beginSlowStart(backend, max(entry.Started, backend.slowStartAt))
-			backend.failureScore, backend.ejectedUntil, backend.presumedDead = 0, 0, false
+			backend.restarted()
 		}
 		backend.Backend = entry
 	}
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -165,11 +165,8 @@
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number})
 	z.failedOver, z.logLikelihoodRatio, z.recoveryStartedAt, z.lastAnswerAt, z.reports = false, 0, b.now, b.now, nil
 	for _, backend := range b.backends { // what its silence taught about each backend is void
-		if b.zone(backend) == z && backend.ejectedAt >= z.silenceStartedAt {
-			backend.failureScore, backend.ejectedUntil, backend.consecutiveFailures, backend.failureRate = 0, 0, 0, 0
-		}
 		if b.zone(backend) == z {
-			backend.consecutiveTimeouts = 0
+			backend.forgiveSince(z.silenceStartedAt)
 		}
 	}
 	b.recomputeCapacity()
--- /dev/null
+++ b/balancer/outliers_unit_test.go
@@ -0,0 +1,151 @@
+package balancer
+
+// Tests of outlier detection alone.
+
+import (
+	"testing"
+	"time"
+)
+
+func TestEjectionDoublesAndIsJittered(t *testing.T) {
+	const unit = 100 * time.Millisecond
+	var o outlierState
+	now := time.Hour
+	for n, want := range []time.Duration{unit, 2 * unit, 4 * unit, 8 * unit, 16 * unit, 16 * unit} {
+		o.eject(now, unit, 0.5)
+		if got := o.ejectedUntil - now; got != want {
+			t.Errorf("ejection %d lasts %v, want %v", n+1, got, want)
+		}
+		if o.usable(now) || o.usable(o.ejectedUntil-1) || !o.usable(o.ejectedUntil) {
+			t.Errorf("ejection %d does not hold from its start to its end", n+1)
+		}
+		now = o.ejectedUntil
+	}
+	var low, high outlierState
+	low.eject(now, unit, 0)
+	high.eject(now, unit, 0.999)
+	if got := low.ejectedUntil - now; got != unit*3/4 {
+		t.Errorf("the shortest first ejection is %v", got)
+	}
+	if got := high.ejectedUntil - now; got < unit*124/100 || got > unit*125/100 {
+		t.Errorf("the longest first ejection is %v", got)
+	}
+}
+
+func TestRecoveringBackendGetsOneAttemptAtATime(t *testing.T) {
+	const unit = 100 * time.Millisecond
+	var o outlierState
+	if !o.eligible(0, false, NonIdempotent) {
+		t.Fatal("a healthy backend is not eligible")
+	}
+	o.eject(time.Hour, unit, 0.5)
+	end := time.Hour + unit
+	for _, c := range []struct {
+		after       time.Duration // the ejection's end
+		idle        bool
+		idempotency Idempotency
+		want        bool
+	}{
+		{-1, true, Idempotent, false},
+		{0, true, Idempotent, true},
+		{0, false, Idempotent, false},
+		{0, true, IdempotencyKey, true},
+		{0, true, NonIdempotent, false},
+		{unit - 1, true, NonIdempotent, false},
+		{unit, true, NonIdempotent, true},
+		{unit, false, NonIdempotent, false},
+	} {
+		if got := o.eligible(end+c.after, c.idle, c.idempotency); got != c.want {
+			t.Errorf("%v after the end, idle %v, idempotency %d: eligible %v", c.after, c.idle, c.idempotency, got)
+		}
+	}
+	for range 4 {
+		o.recordSuccess(end)
+	}
+	if o.recovering() || !o.eligible(end, false, NonIdempotent) {
+		t.Error("four successes don't heal one ejection")
+	}
+}
+
+func TestFailuresAreJudgedByChance(t *testing.T) {
+	var o outlierState
+	o.recordFailure(1)
+	if o.failsBeyondChance(baselineResetRate, ejectProbability) {
+		t.Error("one reset is beyond chance")
+	}
+	if !o.failsBeyondChance(0, ejectProbability) {
+		t.Error("one failure is not beyond chance where nothing ever fails")
+	}
+	o.recordFailure(1)
+	if !o.failsBeyondChance(baselineResetRate, ejectProbability) || o.failsBeyondChance(baselineResetRate, deadProbability) {
+		t.Error("two resets in a row should eject, and not mean death")
+	}
+	if o.recordFailure(1); !o.failsBeyondChance(baselineResetRate, deadProbability) {
+		t.Error("three resets in a row should mean death")
+	}
+	if o.recordFailure(0); o.failsBeyondChance(baselineResetRate, ejectProbability) {
+		t.Error("failures before an answer count")
+	}
+}
+
+func TestBaselineLeavesOutTheWorstQuarter(t *testing.T) {
+	var backends []*backendState
+	for _, rate := range []float64{0.9, 0.1, 0.3, 0.2} {
+		backends = append(backends, &backendState{outlierState: outlierState{failureRate: rate}})
+	}
+	draining := &backendState{outlierState: outlierState{failureRate: 0}}
+	draining.State = Draining
+	if got := baselineFailureRate(append(backends, draining)); got < 0.1999 || got > 0.2001 {
+		t.Errorf("baseline %v, want 0.2", got)
+	}
+	if got := baselineFailureRate(nil); got != 0 {
+		t.Errorf("baseline %v without backends", got)
+	}
+}
+
+func TestPeerSuccessHealsOnlyAfterTheEjection(t *testing.T) {
+	var o outlierState
+	o.eject(time.Hour, time.Second, 0.5)
+	for range silenceTimeouts {
+		o.recordTimeout()
+	}
+	if !o.silent() {
+		t.Fatal("not silent after time-outs in a row")
+	}
+	o.recordPeerSuccess(time.Hour)
+	if o.failureScore != 1 || o.silent() || !o.answeredSince(time.Hour) || o.answeredSince(time.Hour+1) {
+		t.Errorf("after a success as old as the ejection: %+v", o)
+	}
+	if o.recordPeerSuccess(time.Hour + 1); o.failureScore != 1-failureScoreDecay {
+		t.Errorf("after a newer success the score is %v", o.failureScore)
+	}
+	if o.recordPeerSuccess(time.Minute); !o.answeredSince(time.Hour + 1) {
+		t.Error("an old success hides a newer one")
+	}
+}
+
+func TestForgivenBackendIsHealthy(t *testing.T) {
+	ejected := func() (o outlierState) {
+		o.recordFailure(1)
+		o.recordTimeout()
+		o.eject(time.Hour, time.Second, 0.5)
+		o.rejectUntil(2 * time.Hour)
+		o.presumeDead()
+		return o
+	}
+	o := ejected()
+	if o.forgive(); o != (outlierState{}) {
+		t.Errorf("forgiven: %+v", o)
+	}
+	o = ejected()
+	if o.restarted(); o.recovering() || !o.usable(time.Hour) || !o.rejecting(time.Hour) || o.consecutiveFailures != 1 {
+		t.Errorf("restarted: %+v", o)
+	}
+	o = ejected()
+	if o.forgiveSince(time.Hour + 1); !o.recovering() || o.consecutiveTimeouts != 0 || o.consecutiveFailures != 1 {
+		t.Errorf("forgiven what is newer than its ejection: %+v", o)
+	}
+	if o.forgiveSince(time.Hour); o.recovering() || o.consecutiveFailures != 0 || o.failureRate != 0 || o.ejectedUntil != 0 {
+		t.Errorf("forgiven what is as new as its ejection: %+v", o)
+	}
+}
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -82,8 +82,7 @@
 	}
 	backend.Started = max(backend.Started, at)
 	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
-	backend.failureScore, backend.ejectedUntil, backend.ejectedAt, backend.rejectingUntil = 0, 0, 0, 0
-	backend.presumedDead, backend.consecutiveTimeouts, backend.consecutiveFailures, backend.failureRate = false, 0, 0, 0
+	backend.forgive()
 	// The budget starts below 0, so that agents called at the same time don't all send at once; but with little
 	// traffic it would take longer to fill than operators wait.
 	backend.slowStartBudget = max(backend.slowStartBudget, -b.slowStartRate(backend)*float64(reinstateDelay)*b.rng.Float64())
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -26,6 +26,7 @@
 // means that no backend may be used now.
 func (b *Balancer) pick(req *request) *backendState {
 	shared, uncrowded := b.gossipsObservations(), b.limiter.sinceCut(b.now) > b.settings.SlowStartWindow
+	idempotency := b.classes[req.class].Idempotency
 	var idle, leastLoaded, ejected *backendState
 	totalWeight, lowestScore, lowestEjected := 0.0, math.Inf(1), math.Inf(1)
 	remaining, closed := b.subsetSize(), b.closedZones(req)
@@ -41,13 +42,13 @@
 			continue
 		}
 		if backend.State != Up || !b.mayAttempt(req, backend) || backend == req.lastFailed && b.up > 1 ||
-			b.now < backend.rejectingUntil ||
+			backend.rejecting(b.now) ||
 			float64(len(backend.outstanding)) >= b.limiter.backendLimit() ||
 			!b.hasSlowStartBudget(backend, req) {
 			continue
 		}
-		if !b.eligible(backend, req) {
-			if penalty := backend.failureScore*b.rng.Float64() + float64(len(backend.outstanding)); penalty < lowestEjected {
+		if !backend.eligible(b.now, len(backend.outstanding) == 0, idempotency) {
+			if penalty := backend.penalty(b.rng.Float64(), len(backend.outstanding)); penalty < lowestEjected {
 				ejected, lowestEjected = backend, penalty
 			}
 			continue
@@ -71,7 +72,7 @@
 			if shared {
 				weight *= ratio * ratio // all agents know the same: the cube would send all traffic to the same few
 			}
-			if backend.failureScore > 0 && shared {
+			if backend.recovering() && shared {
 				weight *= recoveringBias // all agents together must not try it at once
 			}
 			if uncrowded { // under load the slow-start budget keeps a starting backend to its share
@@ -97,11 +98,14 @@
 // wait. The slow-start budget holds all the same.
 func (b *Balancer) choose(req *request) *backendState {
 	if len(b.overrides.reenabledAt) > 0 {
+		idempotency := b.classes[req.class].Idempotency
 		for _, backend := range b.backends {
 			at, reenabled := b.overrides.reenabledAt[backend.ID]
-			if reenabled && b.now-at < reinstatePreference && !backend.answeredSinceStart && backend.State == Up &&
-				backend != req.lastFailed && len(backend.outstanding) == 0 && b.now >= backend.rejectingUntil &&
-				b.mayAttempt(req, backend) && b.eligible(backend, req) && b.hasSlowStartBudget(backend, req) {
+			if !reenabled || b.now-at >= reinstatePreference || backend.answeredSinceStart || backend.State != Up {
+				continue
+			}
+			if backend != req.lastFailed && len(backend.outstanding) == 0 && !backend.rejecting(b.now) &&
+				b.mayAttempt(req, backend) && backend.eligible(b.now, true, idempotency) && b.hasSlowStartBudget(backend, req) {
 				return backend
 			}
 		}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -22,30 +22,25 @@
 	metObjective  float64       // decayed count of requests answered within the objective
 }
 
+// backendState is what is known about one backend. The embedded structs own their fields.
 type backendState struct {
 	Backend
-	outstanding         []*attempt // oldest first
-	latencyRatio        float64    // moving average of its latency, relative to the expected latency
-	gossipKey           uint32     // identifies it in observations
-	subsetRank          uint32     // its position in this agent's own order
-	latencySamples      float64    // samples behind latencyRatio
-	failureScore        float64
-	failureRate         float64       // moving average; attempts without an answer are left out
-	consecutiveFailures float64       // the latest of these, in a row
-	consecutiveTimeouts int           // known since its last answer, own or observed by peers
-	observedAt          time.Duration // of the latest observation
-	ejectedUntil        time.Duration // no ordinary traffic before then
+	outlierState
+	outstanding        []*attempt    // oldest first
+	latencyRatio       float64       // moving average of its latency, relative to the expected latency
+	latencySamples     float64       // samples behind latencyRatio
+	gossipKey          uint32        // identifies it in observations
+	subsetRank         uint32        // its position in this agent's own order
+	observedAt         time.Duration // of the latest observation
+	slowStartAt        time.Duration // when its latest start became known
+	answeredSinceStart bool          // has answered this agent since then
+	warmingUp          bool
+	slowStartBudget    float64 // mean requests that it may be sent during slow start
+	slowStartBudgetAt  time.Duration
+	stable             bool // counted in its zone's stableBackends
 
-	ejectedAt, rejectingUntil, lastSuccessAt time.Duration
-	slowStartAt                              time.Duration // when its latest start became known
-	answeredSinceStart                       bool          // has answered this agent since then
-	presumedDead                             bool          // its process seems to have died since the last answer
 	// Attempts without any answer in the present silence episode of its zone.
 	silenceEpisode, silentAttempts int
-	warmingUp                      bool
-	stable                         bool    // counted in its zone's stableBackends
-	slowStartBudget                float64 // mean requests that it may be sent during slow start
-	slowStartBudgetAt              time.Duration
 }
 
 // retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
@@ -56,28 +51,6 @@
 	return min(wait, s.MaxRetryAfter)
 }
 
-// recordFailure counts an attempt that failed (1) or succeeded (0).
-func (bs *backendState) recordFailure(failure float64) {
-	bs.consecutiveFailures = (bs.consecutiveFailures + 1) * failure
-	bs.failureRate += smoothing / 2 * (failure - bs.failureRate)
-}
-
-// baselineFailureRate is the mean failure rate of the better three quarters of the backends.
-func baselineFailureRate(backends []*backendState) float64 {
-	var rates []float64
-	for _, backend := range backends {
-		if backend.State == Up {
-			rates = append(rates, backend.failureRate)
-		}
-	}
-	slices.Sort(rates)
-	sum, counted := 0.0, 3*len(rates)/4
-	for _, rate := range rates[:counted] {
-		sum += rate
-	}
-	return sum / max(1, float64(counted))
-}
-
 // weightUnit is what a priority weight applies to: a request, or the work of a mean request.
 func (b *Balancer) weightUnit(class *classState) float64 {
 	if b.settings.WeightByWork {
@@ -196,6 +169,12 @@
 	return class.latency
 }
 
+const (
+	priorSamples     = 2.0 // samples that the fleet mean counts for in a new backend's latency ratio
+	maxLatencyRatio  = 8.0 // bound of one latency sample, relative to the mean
+	lateLatencyRatio = 3.0 // latency ratio that an overdue attempt counts as
+)
+
 // learnLatencyRatio adds one sample, a multiple of the expected latency, to a backend's latency ratio. The first few
 // samples weigh more, since an agent with little traffic gets an answer from each backend only now and then.
 func (b *Balancer) learnLatencyRatio(backend *backendState, sample float64) {
