--- a/balancer/api.go
+++ b/balancer/api.go
@@ -11,7 +11,8 @@
 // queue.go for the requests that wait for it; retries.go and retrybudget.go for
 // retries; outcomes.go for what attempts teach; outliers.go for outlier detection; slowstart.go for slow start;
 // failover.go for zone failover; gossip.go and peers.go for what agents tell each other; overrides.go for the operators' overrides;
-// residency.go for data residency. The records they share are in state.go, request.go, zone.go and capacity.go.
+// residency.go for data residency. The records they share are in state.go, request.go, backends.go, zone.go and
+// capacity.go.
 //
 // Constants are dimensionless: every scale comes from the settings or from what is observed. A comment that starts
 // with "Departure:" gives the reason why the module departs from the published design.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -200,8 +200,7 @@
 		wait := min(objective, max(overdueObjectives*objective, overdueLatencies*a.expected))
 		b.overdueTimers[b.setTimer(time.Duration(wait))] = a
 	}
-	// Counted in mean requests; only used during slow start.
-	backend.slowStartBudget -= b.expectedLatency(req) / b.classes[req.class].latency
+	backend.spendBudget(b.expectedLatency(req) / b.classes[req.class].latency)
 	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
 }
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -49,7 +49,7 @@
 	}
 	clear(b.unstable[len(unstable):])
 	b.unstable = unstable
-	b.trackPeakThroughput()
+	b.throughput.track(b.now, b.up)
 }
 
 // inUse is the number of attempts that count against the concurrency limit: those at backends that count in capacity.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -15,7 +15,7 @@
 		listed[entry.ID] = true
 		backend := b.byID[entry.ID]
 		if backend == nil {
-			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID), latencyRatio: 1,
+			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID), latencyEstimate: latencyEstimate{latencyRatio: 1},
 				subsetRank: gossipKey(fmt.Sprint(entry.ID, b.settings.Self))}
 			b.byID[entry.ID], b.byGossipKey[backend.gossipKey] = backend, backend
 			b.backends, b.unstable = append(b.backends, backend), append(b.unstable, backend)
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -40,16 +40,17 @@
 func (b *Balancer) recordSuccess(req *request, a *attempt, latency float64) {
 	backend, class := a.backend, &b.classes[req.class]
 	// The backend is back before the endpoint list says so: treat it as just started.
-	if backend.presumedDead && backend.slowStartAt < a.sentAt {
+	if backend.presumedDead && backend.startedBefore(a.sentAt) {
 		b.beginSlowStart(backend, b.now)
 	}
-	backend.answeredSinceStart, b.subsetScale = true, min(1, b.subsetScale*subsetIncrease)
+	b.subsetScale = min(1, b.subsetScale*subsetIncrease)
+	backend.answer()
 	backend.revive()
 	backend.outlierState.recordFailure(0)
 	backend.outlierState.recordSuccess(b.now)
 	warmth, rawLatency := b.warmth(backend), latency
 	latency = max(latency*warmth, min(latency, a.expected)) // discount slow start: the rest is queueing
-	b.served.add(b.now, b.expectedLatency(req)/class.latency/warmth)
+	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
 	b.zone(backend).latencyRatio = ewma(b.zone(backend).latencyRatio, min(latency/a.expected, maxLatencyRatio))
 	value := byte(min(latency/a.expected, maxLatencyRatio-0.1) * ratioSteps)
 	b.recordObservation(observation{backend.gossipKey, value, b.now})
@@ -59,13 +60,12 @@
 	}
 	class.latency = ewma(class.latency, max(meanWorkLatency, 1))
 	if !a.countedLate {
-		kindRatio := b.kindLatencyRatio(backend, req.class)
 		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // relative to what warmth explains
-			b.warmUpRatio = min(1, max(1/maxLatencyRatio, b.warmUpRatio*(1+smoothing*(ratio / *kindRatio * warmth - 1))))
+			b.slowStart.learn(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
 		} else if !backend.warmingUp {
-			*kindRatio += smoothing * (ratio - *kindRatio)
+			b.kindRatios.learn(req.class, backend.Kind, ratio)
 		}
-		b.learnLatencyRatio(backend, latency/a.expected / *kindRatio)
+		backend.learnLatency(latency / a.expected / b.kindRatios.of(req.class, backend.Kind))
 		// A backend known to be slow says little about the others.
 		b.adjustLimit(min(latency, meanWorkLatency) / max(1, backend.latencyRatio) / float64(class.LatencyObjective))
 	}
@@ -80,7 +80,7 @@
 		b.subsetScale *= subsetDecrease
 		return
 	}
-	b.learnLatencyRatio(backend, lateLatencyRatio) // its queue is longer than that of backends that accept
+	backend.learnLatency(lateLatencyRatio) // its queue is longer than that of backends that accept
 	b.adjustLimit(1)
 }
 
@@ -96,7 +96,7 @@
 		b.ejectOnFailure(backend, a, class)
 	} else if !a.countedLate {
 		b.adjustLimit(max(1, latency/float64(class.LatencyObjective)))
-		b.learnLatencyRatio(backend, latency/a.expected) // lower bound of its latency
+		backend.learnLatency(latency / a.expected) // lower bound of its latency
 		b.recordObservation(observation{backend.gossipKey, valueLate, b.now})
 	}
 }
@@ -114,7 +114,7 @@
 	if backend.failsBeyondChance(baseline, ejectProbability) {
 		b.ejectOnFailure(backend, a, class)
 	}
-	if result != Errored && len(backend.outstanding) == 0 && backend.failsBeyondChance(baseline, deadProbability) {
+	if result != Errored && backend.idle() && backend.failsBeyondChance(baseline, deadProbability) {
 		b.markUnstable(backend)
 		backend.presumeDead()
 	}
@@ -151,7 +151,7 @@
 	if b.zone(a.backend).failedOver {
 		return
 	}
-	b.learnLatencyRatio(a.backend, lateLatencyRatio)
+	a.backend.learnLatency(lateLatencyRatio)
 	if b.sparseQuota() {
 		a.countedLate = true
 		a.backend.outlierState.recordTimeout()
@@ -164,7 +164,7 @@
 // paths, and learning each copy would make every backend look slow.
 func (b *Balancer) applyObservation(n observation) {
 	backend := b.byGossipKey[n.key]
-	if backend == nil || backend.State != Up || n.observedAt <= backend.slowStartAt || n.observedAt <= backend.observedAt {
+	if backend == nil || backend.State != Up || !backend.startedBefore(n.observedAt) || n.observedAt <= backend.observedAt {
 		return
 	}
 	switch {
@@ -174,9 +174,9 @@
 		}
 	case n.value == valueLate:
 		backend.outlierState.recordTimeout()
-		b.learnLatencyRatio(backend, lateLatencyRatio)
+		backend.learnLatency(lateLatencyRatio)
 	default:
-		b.learnLatencyRatio(backend, float64(n.value)/ratioSteps)
+		backend.learnLatency(float64(n.value) / ratioSteps)
 		backend.recordPeerSuccess(n.observedAt)
 	}
 	b.recordObservation(n)
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -85,7 +85,7 @@
 	backend.forgive()
 	// The budget starts below 0, so that agents called at the same time don't all send at once; but with little
 	// traffic it would take longer to fill than operators wait.
-	backend.slowStartBudget = max(backend.slowStartBudget, -b.slowStartRate(backend)*float64(reinstateDelay)*b.rng.Float64())
+	backend.raiseBudget(-b.slowStartRate(backend) * float64(reinstateDelay) * b.rng.Float64())
 	b.recomputeCapacity()
 }
 
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -47,7 +47,7 @@
 			!b.hasSlowStartBudget(backend, req) {
 			continue
 		}
-		if !backend.eligible(b.now, len(backend.outstanding) == 0, idempotency) {
+		if !backend.eligible(b.now, backend.idle(), idempotency) {
 			if penalty := backend.penalty(b.rng.Float64(), len(backend.outstanding)); penalty < lowestEjected {
 				ejected, lowestEjected = backend, penalty
 			}
@@ -57,7 +57,7 @@
 		if !backend.answeredSinceStart {
 			load = max(load, float64(b.inFlight)/float64(b.up)) // a new backend counts at the mean, which prevents a rush
 		}
-		ratio := b.effectiveLatencyRatio(backend) * *b.kindLatencyRatio(backend, req.class)
+		ratio := backend.effectiveLatencyRatio(b.now) * b.kindRatios.of(req.class, backend.Kind)
 		proximity, extra := b.proximity(backend), b.extraLatency(b.zone(backend))
 		if load < 1 && float64(extra) < farObjectives*float64(b.classes[req.class].LatencyObjective) {
 			// Departure: an even choice among idle backends would load slow ones as much as fast ones. Each is
@@ -76,7 +76,7 @@
 				weight *= recoveringBias // all agents together must not try it at once
 			}
 			if uncrowded { // under load the slow-start budget keeps a starting backend to its share
-				weight *= b.guaranteedWarmth(backend)
+				weight *= b.slowStart.guaranteedWarmth(&backend.slowStartState, b.now)
 			}
 			remaining--
 			if totalWeight += weight; b.rng.Float64()*totalWeight < weight {
@@ -104,7 +104,7 @@
 			if !reenabled || b.now-at >= reinstatePreference || backend.answeredSinceStart || backend.State != Up {
 				continue
 			}
-			if backend != req.lastFailed && len(backend.outstanding) == 0 && !backend.rejecting(b.now) &&
+			if backend != req.lastFailed && backend.idle() && !backend.rejecting(b.now) &&
 				b.mayAttempt(req, backend) && backend.eligible(b.now, true, idempotency) && b.hasSlowStartBudget(backend, req) {
 				return backend
 			}
@@ -149,12 +149,3 @@
 	maxSize := subsetBase + subsetFraction*float64(len(b.backends))
 	return max(minSubset, int(min(b.subsetScale*revisitObjectives*float64(b.maxObjective)/b.meanInterarrival, maxSize)))
 }
-
-// effectiveLatencyRatio is how much slower than the mean a backend is, by its answers, or by the age of its oldest
-// outstanding attempt if that is worse: a stall shows before any answer.
-func (b *Balancer) effectiveLatencyRatio(backend *backendState) float64 {
-	if len(backend.outstanding) > 0 {
-		return max(backend.latencyRatio, float64(b.now-backend.outstanding[0].sentAt)/backend.outstanding[0].expected/2)
-	}
-	return backend.latencyRatio
-}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,7 +1,7 @@
 package balancer
 
 // Slow start: how much a backend that has just started may get from all agents together, never more than it can surely
-// bear.
+// bear. The structs here stand alone.
 
 import (
 	"math"
@@ -13,49 +13,118 @@
 	maxSlowStartWork = 2.0 // most work of a request during slow start, relative to the mean
 )
 
-// beginSlowStart notes that a backend's process started at the given time. Its budget starts at a random value between
-// -1 and 0 requests: if each of many agents sent it one request at once, they would overload it together.
-func (b *Balancer) beginSlowStart(backend *backendState, at time.Duration) {
-	b.markUnstable(backend)
-	backend.slowStartAt, backend.warmingUp, backend.answeredSinceStart = at, true, false
-	backend.latencyRatio, backend.latencySamples = 1, 0
-	backend.slowStartBudget, backend.slowStartBudgetAt = -b.rng.Float64(), b.now
+// slowStartState is the slow start of one backend.
+type slowStartState struct {
+	slowStartAt        time.Duration // when its latest start became known
+	warmingUp          bool          // since then its warmth was never found to be 1
+	answeredSinceStart bool          // has answered this agent since then
+	slowStartBudget    float64       // mean requests that it may still be sent during slow start
+	slowStartBudgetAt  time.Duration // when the budget was last refilled
+}
+
+// begin starts a slow start, learned now, of a process that started at the given time. The budget starts at −draw, a
+// random number in [0, 1): if each of many agents sent one request at once, they would overload the backend together.
+func (s *slowStartState) begin(at, now time.Duration, draw float64) {
+	*s = slowStartState{slowStartAt: at, warmingUp: true, slowStartBudget: -draw, slowStartBudgetAt: now}
+}
+
+// startedBefore reports whether the latest known start is older than the given time.
+func (s *slowStartState) startedBefore(at time.Duration) bool { return s.slowStartAt < at }
+
+// answer notes an answer of the backend.
+func (s *slowStartState) answer() { s.answeredSinceStart = true }
+
+// refill adds to the budget what the rate, in mean requests per ns, has brought since the last refill. The budget holds
+// no more than one request.
+func (s *slowStartState) refill(rate float64, now time.Duration) {
+	s.slowStartBudget = min(s.slowStartBudget+rate*float64(now-s.slowStartBudgetAt), 1)
+	s.slowStartBudgetAt = now
+}
+
+// raiseBudget makes the budget at least the given value.
+func (s *slowStartState) raiseBudget(least float64) {
+	s.slowStartBudget = max(s.slowStartBudget, least)
+}
+
+// spendBudget takes an attempt, in mean requests. Outside of slow start it has no effect.
+func (s *slowStartState) spendBudget(requests float64) { s.slowStartBudget -= requests }
+
+// covers reports whether the budget covers a request of the given work relative to the mean. One expensive request alone
+// could overload the backend.
+func (s *slowStartState) covers(work, mean float64) bool {
+	return s.slowStartBudget > 0 && work <= maxSlowStartWork*mean
+}
+
+// slowStartModel says how backends warm up: what the settings guarantee, and what answers have shown.
+type slowStartModel struct {
+	initial         float64       // capacity at the start
+	window          time.Duration // time to full capacity
+	multiple        float64       // load relative to the guaranteed capacity that budgets are based on
+	trustedMultiple float64       // multiple of the guaranteed warmth up to which measured warmth is trusted
+	warmUpRatio     float64       // share of the window that backends seem to need
+}
+
+// newSlowStartModel returns the model of the settings, before any answer.
+func newSlowStartModel(s *Settings) slowStartModel {
+	return slowStartModel{initial: s.InitialCapacity, window: s.SlowStartWindow, warmUpRatio: 1,
+		multiple:        math.Sqrt(max(1, s.OverloadMultiple)),
+		trustedMultiple: math.Pow(max(1, s.OverloadMultiple), warmthTrust)}
+}
+
+// guaranteedWarmth is the share of its full capacity that a backend surely has by now. It ends a slow start that is
+// over.
+func (m *slowStartModel) guaranteedWarmth(s *slowStartState, now time.Duration) float64 {
+	age := now - s.slowStartAt
+	if s.warmingUp = s.warmingUp && age < m.window; !s.warmingUp {
+		return 1
+	}
+	return m.initial + (1-m.initial)*max(0, float64(age)/float64(m.window))
 }
 
 // warmth is the share of its full capacity that a backend seems to have by now. Departure: the latency of starting
 // backends shows which share of the slow-start window they really need, and capacity beyond the guaranteed share is
 // not left idle; a power of OverloadMultiple bounds how far the measurement is trusted.
-func (b *Balancer) warmth(backend *backendState) float64 {
-	initial, guaranteed := b.settings.InitialCapacity, b.guaranteedWarmth(backend)
-	return min(1, initial+(guaranteed-initial)/b.warmUpRatio, guaranteed*b.trustedMultiple)
+func (m *slowStartModel) warmth(s *slowStartState, now time.Duration) float64 {
+	guaranteed := m.guaranteedWarmth(s, now)
+	return min(1, m.initial+(guaranteed-m.initial)/m.warmUpRatio, guaranteed*m.trustedMultiple)
 }
 
-// guaranteedWarmth is the share of its full capacity that a backend surely has by now. It also ends the slow start.
-func (b *Balancer) guaranteedWarmth(backend *backendState) float64 {
-	age := b.now - backend.slowStartAt
-	if backend.warmingUp = backend.warmingUp && age < b.settings.SlowStartWindow; !backend.warmingUp {
-		return 1
-	}
-	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*max(0, float64(age)/float64(b.settings.SlowStartWindow))
+// learn adds an answer of a backend in slow start: its latency ratio, that of its kind, and the warmth it counted for.
+func (m *slowStartModel) learn(ratio, kindRatio, warmth float64) {
+	m.warmUpRatio = min(1, max(1/maxLatencyRatio, m.warmUpRatio*(1+smoothing*(ratio/kindRatio*warmth-1))))
 }
 
-// hasSlowStartBudget reports whether a backend in slow start may get this request. Each agent sends it no more work
-// than a warm backend serves for that agent, times warmth or guaranteed warmth times the square root of
-// OverloadMultiple: as far below the multiple as above the guaranteed capacity, since most backends have more than the
-// guarantee. Where none is warm, the throughput of the starting ones counts, and the minimum is one request at a time
-// of all agents together.
-func (b *Balancer) hasSlowStartBudget(backend *backendState, req *request) bool {
-	if !backend.warmingUp { // as recomputeCapacity found in this step
-		return true
-	}
-	backend.slowStartBudget = min(backend.slowStartBudget+b.slowStartRate(backend)*float64(b.now-backend.slowStartBudgetAt), 1)
-	backend.slowStartBudgetAt = b.now
-	return backend.slowStartBudget > 0 && b.expectedLatency(req) <= maxSlowStartWork*b.classes[req.class].latency
+// rate is how many mean requests per ns an agent may send to a backend in slow start: no more than a warm backend
+// serves for that agent, times warmth or guaranteed warmth times the square root of OverloadMultiple. That is as far
+// below the multiple as above the guaranteed capacity, since most backends have more than the guarantee. Requests are
+// counted, not timed: with a queue anywhere each takes longer, which tells nothing about this backend.
+func (m *slowStartModel) rate(s *slowStartState, now time.Duration, warmRate float64) float64 {
+	return max(m.warmth(s, now), m.guaranteedWarmth(s, now)*m.multiple) * warmRate
 }
 
-// slowStartRate is how many mean requests per ns a backend in slow start may be sent. Requests are counted, not timed:
-// with a queue anywhere each takes longer, which tells nothing about this backend.
-func (b *Balancer) slowStartRate(backend *backendState) float64 {
-	warmth := max(b.warmth(backend), b.guaranteedWarmth(backend)*math.Sqrt(max(1, b.settings.OverloadMultiple)))
-	return warmth * max(b.peakThroughput.value(b.now), 1/b.classes[0].latency/float64(b.settings.Balancers))
+// throughput estimates how many requests a warm backend can serve for this agent.
+type throughput struct {
+	served decayingSum // requests of the last OverloadWindow, over the warmth of their backends
+	peak   decayingSum // decayed peak of the mean rate per backend, per ns
 }
+
+// newThroughput returns an estimate of 0.
+func newThroughput(s *Settings) throughput {
+	return throughput{served: decayingSum{timeConstant: float64(s.OverloadWindow + 1)},
+		peak: decayingSum{timeConstant: float64(s.SlowStartWindow + 1)}}
+}
+
+// add counts served requests.
+func (t *throughput) add(now time.Duration, requests float64) { t.served.add(now, requests) }
+
+// track updates the peak. While few backends are warm, or they are slow and much is refused, the present throughput
+// says little about what a backend can do.
+func (t *throughput) track(now time.Duration, up int) {
+	t.peak.raiseTo(now, t.served.value(now)/t.served.timeConstant/float64(max(up, 1)))
+}
+
+// perBackend is the rate of a warm backend, in mean requests per ns. Where none is warm, the starting ones count.
+func (t *throughput) perBackend(now time.Duration) float64 { return t.peak.value(now) }
+
+// restore continues from the rate that an earlier process saw.
+func (t *throughput) restore(now time.Duration, perBackend float64) { t.peak.add(now, perBackend) }
--- /dev/null
+++ b/balancer/slowstart_unit_test.go
@@ -0,0 +1,163 @@
+package balancer
+
+// Tests of slow start and of latency ratios alone.
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func slowStartSettings() *Settings {
+	return &Settings{InitialCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 4, OverloadWindow: time.Second}
+}
+
+func near(got, want float64) bool { return math.Abs(got-want) < 1e-9 }
+
+func TestGuaranteedWarmthGrowsOverTheWindow(t *testing.T) {
+	m := newSlowStartModel(slowStartSettings())
+	var s slowStartState
+	if got := m.guaranteedWarmth(&s, time.Hour); got != 1 {
+		t.Errorf("a backend that never started is %v warm", got)
+	}
+	s.begin(time.Hour, time.Hour, 0)
+	for age, want := range map[time.Duration]float64{-time.Second: 0.2, 0: 0.2, 5 * time.Second: 0.6} {
+		if got := m.guaranteedWarmth(&s, time.Hour+age); !near(got, want) || !s.warmingUp {
+			t.Errorf("%v after its start a backend is %v warm, want %v", age, got, want)
+		}
+	}
+	if got := m.guaranteedWarmth(&s, time.Hour+10*time.Second); got != 1 || s.warmingUp {
+		t.Errorf("after the window it is %v warm, still warming up: %v", got, s.warmingUp)
+	}
+	if got := m.guaranteedWarmth(&s, time.Hour+time.Second); got != 1 {
+		t.Error("a slow start that was over began again")
+	}
+}
+
+func TestWarmthFollowsAnswersWithinBounds(t *testing.T) {
+	m := newSlowStartModel(slowStartSettings())
+	var s slowStartState
+	s.begin(time.Hour, time.Hour, 0)
+	now := time.Hour + time.Second
+	guaranteed := m.guaranteedWarmth(&s, now)
+	if got := m.warmth(&s, now); !near(got, guaranteed) {
+		t.Errorf("before any answer warmth is %v, guaranteed %v", got, guaranteed)
+	}
+	for range 1000 { // as fast as a warm backend
+		m.learn(guaranteed, 1, guaranteed)
+	}
+	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, warmthTrust); got <= guaranteed || got > most {
+		t.Errorf("after fast answers warmth is %v, guaranteed %v, trusted at most %v", got, guaranteed, most)
+	}
+	for range 1000 { // slower than its warmth explains
+		m.learn(2/guaranteed, 1, guaranteed)
+	}
+	if got := m.warmth(&s, now); !near(got, guaranteed) {
+		t.Errorf("after slow answers warmth is %v, guaranteed %v", got, guaranteed)
+	}
+}
+
+func TestSlowStartBudgetStartsBelowZeroAndHoldsOneRequest(t *testing.T) {
+	var s slowStartState
+	s.begin(time.Hour, time.Hour, 0.75)
+	now := time.Hour
+	if s.covers(1, 1) {
+		t.Error("covered at the start")
+	}
+	const rate = 1e-9 // one request per second
+	if s.refill(rate, now+700*time.Millisecond); s.covers(1, 1) {
+		t.Error("covered before the budget is above 0")
+	}
+	if s.refill(rate, now+800*time.Millisecond); !s.covers(1, 1) {
+		t.Error("not covered once the budget is above 0")
+	}
+	if s.covers(maxSlowStartWork*1.1, 1) {
+		t.Error("an expensive request is covered")
+	}
+	s.refill(rate, now+time.Hour)
+	if !near(s.slowStartBudget, 1) {
+		t.Errorf("a long pause brings a budget of %v", s.slowStartBudget)
+	}
+	s.spendBudget(1)
+	if s.raiseBudget(-0.5); s.covers(1, 1) || s.slowStartBudget != 0 {
+		t.Errorf("after an attempt the budget is %v", s.slowStartBudget)
+	}
+	s.spendBudget(3)
+	if s.raiseBudget(-0.5); s.slowStartBudget != -0.5 {
+		t.Errorf("raised to −0.5 the budget is %v", s.slowStartBudget)
+	}
+}
+
+func TestSlowStartRateIsBetweenGuaranteeAndMultiple(t *testing.T) {
+	m := newSlowStartModel(slowStartSettings())
+	var s slowStartState
+	s.begin(time.Hour, time.Hour, 0)
+	if got := m.rate(&s, time.Hour, 10); !near(got, 0.2*2*10) {
+		t.Errorf("rate %v, want the guaranteed share times the square root of the multiple", got)
+	}
+}
+
+func TestThroughputKeepsItsPeak(t *testing.T) {
+	p := newThroughput(slowStartSettings())
+	now := time.Hour
+	for range 5000 { // 100 requests per second at 2 backends
+		now += 10 * time.Millisecond
+		p.add(now, 1)
+		p.track(now, 2)
+	}
+	peak := p.perBackend(now)
+	if perSecond := peak * 1e9; perSecond < 45 || perSecond > 55 {
+		t.Errorf("%v requests per second and backend, want 50", perSecond)
+	}
+	for range 200 { // nothing is served
+		now += 10 * time.Millisecond
+		p.track(now, 2)
+	}
+	if got := p.perBackend(now); got < 0.7*peak || got >= peak {
+		t.Errorf("after 2 s without traffic the peak of %v is %v", peak, got)
+	}
+	next := newThroughput(slowStartSettings())
+	if next.restore(now, peak); next.perBackend(now) != peak {
+		t.Errorf("restored %v from %v", next.perBackend(now), peak)
+	}
+}
+
+func TestLatencyRatioLearnsFastAtFirst(t *testing.T) {
+	var l latencyEstimate
+	l.resetLatency()
+	l.learnLatency(4)
+	if !near(l.latencyRatio, 2) { // a third of the way
+		t.Errorf("ratio %v after one sample of 4", l.latencyRatio)
+	}
+	for range 1000 {
+		l.learnLatency(100)
+	}
+	if !near(l.latencyRatio, maxLatencyRatio) {
+		t.Errorf("ratio %v after very slow answers, want the bound", l.latencyRatio)
+	}
+	before := l.latencyRatio
+	if l.learnLatency(0); !near(l.latencyRatio, before*(1-smoothing)) {
+		t.Errorf("ratio %v after one fast answer among many slow ones", l.latencyRatio)
+	}
+	if l.resetLatency(); l.latencyRatio != 1 || l.latencySamples != 0 {
+		t.Errorf("reset: %+v", l)
+	}
+}
+
+func TestKindRatiosAreKeptByClassAndKind(t *testing.T) {
+	k := newKindRatios(2)
+	for range 1000 {
+		k.learn(1, 3, 2)
+	}
+	for _, c := range []struct {
+		class, kind int
+		want        float64
+	}{{1, 3, 2}, {1, 0, 1}, {0, 3, 1}, {1, 7, 1}, {1, -1, 1}} {
+		if got := k.of(c.class, c.kind); math.Abs(got-c.want) > 1e-3 {
+			t.Errorf("class %d, kind %d: %v, want %v", c.class, c.kind, got, c.want)
+		}
+	}
+	if k.learn(0, -1, 3); k.of(0, 0) != k.of(0, -1) || k.of(0, 0) == 1 {
+		t.Error("an unknown kind does not count as kind 0")
+	}
+}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -22,27 +22,6 @@
 	metObjective  float64       // decayed count of requests answered within the objective
 }
 
-// backendState is what is known about one backend. The embedded structs own their fields.
-type backendState struct {
-	Backend
-	outlierState
-	outstanding        []*attempt    // oldest first
-	latencyRatio       float64       // moving average of its latency, relative to the expected latency
-	latencySamples     float64       // samples behind latencyRatio
-	gossipKey          uint32        // identifies it in observations
-	subsetRank         uint32        // its position in this agent's own order
-	observedAt         time.Duration // of the latest observation
-	slowStartAt        time.Duration // when its latest start became known
-	answeredSinceStart bool          // has answered this agent since then
-	warmingUp          bool
-	slowStartBudget    float64 // mean requests that it may be sent during slow start
-	slowStartBudgetAt  time.Duration
-	stable             bool // counted in its zone's stableBackends
-
-	// Attempts without any answer in the present silence episode of its zone.
-	silenceEpisode, silentAttempts int
-}
-
 // retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
 func (s *Settings) retryAfter(wait time.Duration) time.Duration {
 	if !s.RetryAfter {
@@ -59,15 +38,6 @@
 	return 1
 }
 
-// keyDistance is a pseudo-random number in (0, 1] for a key and a backend. It is the same at every agent: each key
-// prefers backends in an order of its own, and keys spread evenly over the backends (rendezvous hashing).
-func (bs *backendState) keyDistance(key uint64) float64 {
-	h := (uint32(key) ^ uint32(key>>32) ^ bs.gossipKey) * 0x9e3779b1
-	h = (h ^ h>>15) * 0x85ebca6b
-	h = (h ^ h>>13) * 0xc2b2ae35
-	return (float64(h^h>>16) + 1) / (1 << 32)
-}
-
 // without removes one element, and keeps the order of the others.
 func without[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
@@ -92,16 +62,15 @@
 	overdueTimers map[int64]*attempt // by the token of the timer that finds them overdue
 	lastToken     int64              // last timer token given out
 
-	retryBudget     RetryBudget
-	classes         []classState
-	inFlight        int
-	limiter         concurrencyLimiter
-	warmUpRatio     float64 // share of the slow-start window that backends seem to need
-	trustedMultiple float64 // multiple of the guaranteed warmth up to which measured warmth is trusted
+	retryBudget RetryBudget
+	classes     []classState
+	inFlight    int
+	limiter     concurrencyLimiter
+	slowStart   slowStartModel
+	throughput  throughput
 
-	served, peakThroughput decayingSum // requests served within OverloadWindow; decayed peak of that rate per backend
-	pollFailures           int
-	pollTimer              int64
+	pollFailures int
+	pollTimer    int64
 
 	demand       demandEstimate
 	peers        peerTable
@@ -109,10 +78,10 @@
 	gossipTimer  int64
 	credit       creditAccount
 
-	observations       []observation // recent ones, own and from peers; newest last
-	byGossipKey        map[uint32]*backendState
-	outcomes           int
-	latencyRatioByKind [][]float64 // by class and kind of backend
+	observations []observation // recent ones, own and from peers; newest last
+	byGossipKey  map[uint32]*backendState
+	outcomes     int
+	kindRatios   kindRatios
 
 	subsetScale      float64 // share of the subset to which connections are possible
 	meanInterarrival float64 // mean time between requests, ns
@@ -132,14 +101,13 @@
 		return nil, err
 	}
 	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryBudget: NewRetryBudget(),
-		limiter: newConcurrencyLimiter(s.Balancers), warmUpRatio: 1, subsetScale: 1,
+		limiter: newConcurrencyLimiter(s.Balancers), subsetScale: 1,
 		byID: map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
 		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{},
-		latencyRatioByKind: make([][]float64, len(s.Classes))}
+		kindRatios: newKindRatios(len(s.Classes)), throughput: newThroughput(&s)}
 	b.settings.MaxAttempts = max(1, s.MaxAttempts)
 	b.settings.InitialCapacity = cmp.Or(s.InitialCapacity, 1)
-	b.trustedMultiple = math.Pow(max(1, s.OverloadMultiple), warmthTrust) // computed once: each step needs it for every backend
-	b.served.timeConstant, b.peakThroughput.timeConstant = float64(s.OverloadWindow+1), float64(s.SlowStartWindow+1)
+	b.slowStart = newSlowStartModel(&b.settings)
 	for _, class := range s.Classes {
 		b.maxObjective = max(b.maxObjective, class.LatencyObjective)
 		b.classes = append(b.classes, classState{Class: class, latency: float64(class.LatencyObjective) / 4})
@@ -169,36 +137,6 @@
 	return class.latency
 }
 
-const (
-	priorSamples     = 2.0 // samples that the fleet mean counts for in a new backend's latency ratio
-	maxLatencyRatio  = 8.0 // bound of one latency sample, relative to the mean
-	lateLatencyRatio = 3.0 // latency ratio that an overdue attempt counts as
-)
-
-// learnLatencyRatio adds one sample, a multiple of the expected latency, to a backend's latency ratio. The first few
-// samples weigh more, since an agent with little traffic gets an answer from each backend only now and then.
-func (b *Balancer) learnLatencyRatio(backend *backendState, sample float64) {
-	backend.latencySamples++
-	weight := max(smoothing, 1/(backend.latencySamples+priorSamples))
-	backend.latencyRatio += weight * (min(sample, maxLatencyRatio) - backend.latencyRatio)
-}
-
-// kindLatencyRatio is how much slower than the mean backends of this kind serve a class. Departure: an agent with
-// little traffic has few answers from each backend in each class, so it pools what it learns by kind.
-func (b *Balancer) kindLatencyRatio(backend *backendState, class int) *float64 {
-	for len(b.latencyRatioByKind[class]) <= max(backend.Kind, 0) { // a kind that the settings don't name is −1
-		b.latencyRatioByKind[class] = append(b.latencyRatioByKind[class], 1)
-	}
-	return &b.latencyRatioByKind[class][max(backend.Kind, 0)]
-}
-
-// trackPeakThroughput updates the decaying peak of the mean throughput per backend. While few backends are warm, or
-// they are slow and much is refused, the present throughput says little about what a backend can do.
-func (b *Balancer) trackPeakThroughput() {
-	served := b.served.value(b.now) / float64(b.settings.OverloadWindow+1) / float64(max(b.up, 1))
-	b.peakThroughput.raiseTo(b.now, served)
-}
-
 // Snapshot is the state that a process of an agent hands over to its successor. To the rules and to peers the two
 // processes are one agent.
 type Snapshot struct {
@@ -215,7 +153,7 @@
 // Snapshot returns the state for the next process.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{Tokens: b.retryBudget.Tokens(), LimitPerBackend: b.limiter.perBackend, LatencyRatio: b.limiter.latencyRatio,
-		PeakThroughput: b.peakThroughput.value(b.now), Demand: b.demand.steady(b.now), DrainedDemand: b.overrides.drainedDemand,
+		PeakThroughput: b.throughput.perBackend(b.now), Demand: b.demand.steady(b.now), DrainedDemand: b.overrides.drainedDemand,
 		PeerDemand: b.peers.snapshot(b.now)}
 	for _, class := range b.classes {
 		snapshot.Latency = append(snapshot.Latency, class.latency)
@@ -234,7 +172,7 @@
 		return // written with other settings, or corrupt
 	}
 	b.limiter.restore(event.LimitPerBackend, event.LatencyRatio)
-	b.peakThroughput.add(b.now, event.PeakThroughput)
+	b.throughput.restore(b.now, event.PeakThroughput)
 	b.demand.resume(b.now, max(event.Demand, event.DrainedDemand)) // a Drain event follows if the clients are still elsewhere
 	b.peers.restore(event.PeerDemand, b.now)
 	for i, latency := range event.Latency {
