--- a/balancer/backends.go
+++ b/balancer/backends.go
@@ -15,9 +15,7 @@
 	subsetRank  uint32        // its position in this agent's own order
 	observedAt  time.Duration // of the latest observation
 	stable      bool          // counted in its zone's stableBackends
-
-	// Attempts without any answer in the present silence episode of its zone.
-	silenceEpisode, silentAttempts int
+	silence     silenceCount  // in its zone
 }
 
 // idle reports whether the backend has no attempt of this agent.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -144,8 +144,8 @@
 		b.gossip()
 	case a != nil:
 		b.onOverdue(a)
-	case b.zoneByProbeTimer(token) != nil:
-		b.probeZone(b.zoneByProbeTimer(token))
+	case b.zones.byProbeTimer(token) != nil:
+		b.probeZone(b.zones.byProbeTimer(token))
 	case req != nil && !req.ended && token == req.timer:
 		req.timer = 0 // a queued request may have to wait longer by now: it gets a new timer
 		if req.inBackoff {
@@ -181,7 +181,7 @@
 		b.finish(req)
 		return
 	}
-	if b.residencyBound(req) && (len(backend.outstanding) > 0 || b.zone(backend).latencyRatio > crowdedLatencyRatio) {
+	if b.residencyBound(req) && (len(backend.outstanding) > 0 || b.zone(backend).crowded()) {
 		b.reserveZones(req)
 	}
 	a := &attempt{backend: backend, zone: backend.Zone, cell: backend.Cell, sentAt: b.now,
@@ -193,8 +193,7 @@
 	}
 	b.occupy(req, a)
 	b.credit.spend(a.expected)
-	z := b.zone(backend)
-	z.canary = false
+	b.zone(backend).takeCanary()
 	if b.sparseQuota() || len(b.zones) > 1 {
 		objective := float64(b.classes[req.class].LatencyObjective)
 		wait := min(objective, max(overdueObjectives*objective, overdueLatencies*a.expected))
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -114,7 +114,7 @@
 // gossipStatus is the message to peers, with the given observations.
 func (b *Balancer) gossipStatus(notes []observation) gossipMessage {
 	m := gossipMessage{demand: b.demand.steady(b.now), latencyRatio: b.limiter.latencyRatio, observations: notes,
-		lostZones: b.recentlyLostZones()}
+		lostZones: b.zones.recentlyLost(b.now, b.maxObjective)}
 	if b.overrides.drainedDemand > 0 {
 		m.demand, m.drained = b.overrides.drainedDemand, true
 	}
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -51,7 +51,7 @@
 	warmth, rawLatency := b.warmth(backend), latency
 	latency = max(latency*warmth, min(latency, a.expected)) // discount slow start: the rest is queueing
 	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
-	b.zone(backend).latencyRatio = ewma(b.zone(backend).latencyRatio, min(latency/a.expected, maxLatencyRatio))
+	b.zone(backend).recordLatency(min(latency/a.expected, maxLatencyRatio))
 	value := byte(min(latency/a.expected, maxLatencyRatio-0.1) * ratioSteps)
 	b.recordObservation(observation{backend.gossipKey, value, b.now})
 	meanWorkLatency := latency // scaled to mean work: an expensive request does not indicate a queue
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -58,7 +58,7 @@
 			load = max(load, float64(b.inFlight)/float64(b.up)) // a new backend counts at the mean, which prevents a rush
 		}
 		ratio := backend.effectiveLatencyRatio(b.now) * b.kindRatios.of(req.class, backend.Kind)
-		proximity, extra := b.proximity(backend), b.extraLatency(b.zone(backend))
+		proximity, extra := b.proximity(backend), b.zones.extraLatency(b.zone(backend))
 		if load < 1 && float64(extra) < farObjectives*float64(b.classes[req.class].LatencyObjective) {
 			// Departure: an even choice among idle backends would load slow ones as much as fast ones. Each is
 			// weighted by the inverse cube of its latency ratio. This has an effect when speeds differ.
@@ -122,20 +122,10 @@
 		return 1
 	}
 	bias := crossZoneBias * lowestCost / cost
-	if b.extraLatency(b.zone(backend)) > 0 {
+	if b.zones.extraLatency(b.zone(backend)) > 0 {
 		bias *= farBias
 	}
-	return bias + (1-bias)*b.spillover(b.zone(backend))
-}
-
-// spillover is 0 while answers from the own zone take no longer than those from the other zone, and rises to 1 where
-// they take longer by spilloverAt.
-func (b *Balancer) spillover(z *zone) float64 {
-	own := b.settings.Zone
-	if own < 0 || own >= len(b.zones) || b.zones[own].latencyRatio == 0 || z.latencyRatio == 0 {
-		return 0
-	}
-	return min(max((b.zones[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
+	return bias + (1-bias)*b.zones.spillover(b.settings.Zone, b.zone(backend))
 }
 
 // subsetSize is how many idle backends a choice is made among: the first usable ones in this agent's own order.
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -38,7 +38,7 @@
 func (b *Balancer) reserveZones(req *request) {
 	for i, z := range b.zones {
 		if b.permits(req, i) {
-			z.reservedUntil = b.now + time.Duration(reservationObjectives*float64(b.maxObjective))
+			z.reserve(b.now + time.Duration(reservationObjectives*float64(b.maxObjective)))
 		}
 	}
 }
@@ -48,8 +48,8 @@
 func (b *Balancer) reservedZones(req *request) []bool {
 	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
-		open = open || z.up > 0 && b.now >= z.reservedUntil && !z.failedOver
-		if b.now < z.reservedUntil && !b.residencyBound(req) {
+		open = open || z.open() && !z.reserved(b.now)
+		if z.reserved(b.now) && !b.residencyBound(req) {
 			if reserved == nil {
 				reserved = make([]bool, len(b.zones))
 			}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -87,7 +87,7 @@
 	meanInterarrival float64 // mean time between requests, ns
 	lastArrivalAt    time.Duration
 	overrides        overrides // in force, by operators
-	zones            []*zone
+	zones            zoneTable
 	allZonesOpen     bool // no zone is failed over or recovering
 
 	assignedQuota  float64     // assigned by the fleet; 0: none
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -4,61 +4,60 @@
 
 import "time"
 
-// zone is what the agent knows about a zone as a whole.
+// zone is what the agent knows about a zone as a whole. The embedded structs own their fields.
 type zone struct {
-	number               int
-	up                   int           // its backends in state Up
-	stableBackends       int           // those that are counted here from step to step
-	stableOutstanding    int           // attempts outstanding at these
-	logLikelihoodRatio   float64       // sequential test for the loss of the zone; 0: no evidence
-	silenceEpisode       int           // number of the latest period in which the ratio was above 0
-	silenceStartedAt     time.Duration // when the first silent attempt of that period was sent
-	silenceRate          float64       // moving average of the share of attempts without any answer
-	lastAnswerAt         time.Duration // latest answer
-	failedOver           bool
-	failedOverAt         time.Duration // latest failover
-	backoffExponent      float64       // number of failovers, decaying
-	probeTimer           int64         // token of the timer of the next health check
-	consecutiveSuccesses int           // health checks answered in a row
-	canary               bool          // one request may be sent there in place of a health check
-	recoveryStartedAt    time.Duration // 0: the zone has its full share of traffic
-	ownEvidence          bool          // failed over on this agent's own evidence, not on reports
-	reports              []lossReport  // reports of its loss, one for each peer
-	rtt                  time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
-	reservedUntil        time.Duration // other requests avoid the zone until then
-	latencyRatio         float64       // moving average of the latency of its answers, relative to the expected latency
+	sequentialTest
+	failoverState
+	number            int
+	up                int           // its backends in state Up
+	stableBackends    int           // those that are counted here from step to step
+	stableOutstanding int           // attempts outstanding at these
+	rtt               time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
+	reservedUntil     time.Duration // requests that may go elsewhere avoid the zone until then
+	latencyRatio      float64       // moving average of the latency of its answers, relative to the expected latency
 }
 
-// lossReport is a peer's report that a zone is lost.
-type lossReport struct {
-	from       int
-	receivedAt time.Duration
-}
+// recordLatency adds the latency of an answer, relative to the expected latency.
+func (z *zone) recordLatency(ratio float64) { z.latencyRatio = ewma(z.latencyRatio, ratio) }
+
+// crowded reports whether the zone's answers take much longer than expected.
+func (z *zone) crowded() bool { return z.latencyRatio > crowdedLatencyRatio }
+
+// reserve makes requests that may go elsewhere avoid the zone for a while; reserved reports whether they do.
+func (z *zone) reserve(until time.Duration)     { z.reservedUntil = until }
+func (z *zone) reserved(now time.Duration) bool { return now < z.reservedUntil }
+
+// open reports whether the zone has backends and no failover.
+func (z *zone) open() bool { return z.up > 0 && !z.failedOver }
 
-// zone returns the record of a backend's zone. Zones that the settings don't know share one.
-func (b *Balancer) zone(backend *backendState) *zone {
-	for len(b.zones) <= max(backend.Zone, 0) {
-		b.zones = append(b.zones, &zone{number: len(b.zones)})
+// zoneTable holds the zones by number.
+type zoneTable []*zone
+
+// of returns the record of a zone, and adds it if it is new. Zones that the settings don't know, with a number below 0,
+// share that of zone 0.
+func (t *zoneTable) of(number int) *zone {
+	for len(*t) <= max(number, 0) {
+		*t = append(*t, &zone{number: len(*t)})
 	}
-	return b.zones[max(backend.Zone, 0)]
+	return (*t)[max(number, 0)]
 }
 
-// zoneByProbeTimer returns the failed-over zone whose next health check the timer is for, or nil.
-func (b *Balancer) zoneByProbeTimer(token int64) *zone {
-	for _, z := range b.zones {
-		if z.failedOver && z.probeTimer == token {
+// byProbeTimer returns the failed-over zone whose next health check the timer is for, or nil.
+func (t zoneTable) byProbeTimer(token int64) *zone {
+	for _, z := range t {
+		if z.probeDue(token) {
 			return z
 		}
 	}
 	return nil
 }
 
-// recentlyLostZones returns the zones that this agent failed over from recently on its own evidence, one bit each.
+// recentlyLost returns the zones that this agent failed over from within the span on its own evidence, one bit each.
 // Reports of peers are not passed on. An earlier loss says nothing about the present, least of all to agents that were
 // cut off in the meantime.
-func (b *Balancer) recentlyLostZones() (lost uint16) {
-	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
-		if z.failedOver && z.ownEvidence && b.now-z.failedOverAt < b.maxObjective {
+func (t zoneTable) recentlyLost(now, span time.Duration) (lost uint16) {
+	for i, z := range t[:min(len(t), maxLossZones)] {
+		if z.recentOwnLoss(now, span) {
 			lost |= 1 << i
 		}
 	}
@@ -66,9 +65,9 @@
 }
 
 // baselineSilence is the share of attempts without any answer in the other zones, which a zone is compared with.
-func (b *Balancer) baselineSilence(z *zone) float64 {
+func (t zoneTable) baselineSilence(z *zone) float64 {
 	rate := minBaselineSilence
-	for _, other := range b.zones {
+	for _, other := range t {
 		if other != z && !other.failedOver {
 			rate = max(rate, min(other.silenceRate, lostSilenceRate/2))
 		}
@@ -76,6 +75,40 @@
 	return rate
 }
 
+// othersAnswer reports whether another zone has answered since this one fell silent. If none has, the silence is that
+// of this agent or its own link, and there is nothing to fail over from.
+func (t zoneTable) othersAnswer(z *zone) bool {
+	for _, other := range t {
+		if other != z && !other.failedOver && other.worksAfter(z.silenceStartedAt) {
+			return true
+		}
+	}
+	return false
+}
+
+// extraLatency is how much farther away a zone is than the nearest one in use. 0 also means unknown.
+func (t zoneTable) extraLatency(zone *zone) time.Duration {
+	nearest := zone.rtt
+	for _, z := range t {
+		if z.rtt > 0 && z.open() {
+			nearest = min(nearest, z.rtt)
+		}
+	}
+	return zone.rtt - nearest
+}
+
+// spillover is 0 while answers from the own zone take no longer than those from the other zone, and rises to 1 where
+// they take longer by spilloverAt.
+func (t zoneTable) spillover(own int, z *zone) float64 {
+	if own < 0 || own >= len(t) || t[own].latencyRatio == 0 || z.latencyRatio == 0 {
+		return 0
+	}
+	return min(max((t[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
+}
+
+// zone returns the record of a backend's zone.
+func (b *Balancer) zone(backend *backendState) *zone { return b.zones.of(backend.Zone) }
+
 // lowestPriority reports whether no class has a lower priority weight.
 func (b *Balancer) lowestPriority(class int) bool {
 	for i := range b.classes {
@@ -96,14 +129,3 @@
 	}
 	return b.settings.CrossZoneCost
 }
-
-// extraLatency is how much farther away a zone is than the nearest one in use. 0 also means unknown.
-func (b *Balancer) extraLatency(zone *zone) time.Duration {
-	nearest := zone.rtt
-	for _, z := range b.zones {
-		if z.rtt > 0 && z.up > 0 && !z.failedOver {
-			nearest = min(nearest, z.rtt)
-		}
-	}
-	return zone.rtt - nearest
-}
