--- a/balancer/api.go
+++ b/balancer/api.go
@@ -7,7 +7,7 @@
 // and the backends that are listed or still have attempts outstanding.
 //
 // Reading order: this file for the interface; balancer.go for how events come in (Step), how an attempt starts (send)
-// and how a request ends (finish); picking.go for the choice of a backend; admission.go for admission, with limiter.go for the concurrency limit, credit.go for small quotas, and
+// and how a request ends (finish); picking.go, candidates.go and subset.go for the choice of a backend; admission.go for admission, with limiter.go for the concurrency limit, credit.go for small quotas, and
 // queue.go for the requests that wait for it; retries.go and retrybudget.go for
 // retries; outcomes.go for what attempts teach; outliers.go for outlier detection; slowstart.go for slow start;
 // failover.go for zone failover (sequentialtest.go for its detection, failoverstate.go for the way back); gossip.go and peers.go for what agents tell each other; overrides.go for the operators' overrides;
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -84,10 +84,7 @@
 		b.classes[i].metObjective *= 1 - smoothing/20
 	}
 	class.arrivals++
-	if b.lastArrivalAt > 0 {
-		b.meanInterarrival = ewma(b.meanInterarrival, float64(b.now-b.lastArrivalAt))
-	}
-	b.lastArrivalAt = b.now
+	b.subset.arrive(b.now)
 	b.requests[event.ID] = req
 	if !req.clientRetry {
 		b.demand.add(b.now, b.expectedLatency(req))
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -43,7 +43,7 @@
 	if backend.presumedDead && backend.startedBefore(a.sentAt) {
 		b.beginSlowStart(backend, b.now)
 	}
-	b.subsetScale = min(1, b.subsetScale*subsetIncrease)
+	b.subset.grow()
 	backend.answer()
 	backend.revive()
 	backend.outlierState.recordFailure(0)
@@ -77,7 +77,7 @@
 	backend.outlierState.recordFailure(0)
 	backend.rejectUntil(b.now + time.Duration(b.rng.Float64()*class.latency))
 	if newConnection {
-		b.subsetScale *= subsetDecrease
+		b.subset.shrink()
 		return
 	}
 	backend.learnLatency(lateLatencyRatio) // its queue is longer than that of backends that accept
--- /dev/null
+++ b/balancer/picking_unit_test.go
@@ -0,0 +1,96 @@
+package balancer
+
+// Tests of subsetting and of the candidates of a choice alone.
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+func TestSubsetFollowsTheRateOfRequests(t *testing.T) {
+	s := newSubset()
+	if got := s.size(500, objective, false); got != 500 {
+		t.Errorf("%d of 500 before the rate is known", got)
+	}
+	s.arrive(time.Hour)
+	s.arrive(time.Hour + 160*time.Millisecond)
+	if got := s.size(500, objective, false); got != 10 { // four objectives at one request in 0.16 s
+		t.Errorf("%d backends, want 10", got)
+	}
+	if got := s.size(500, objective, true); got != 500 {
+		t.Errorf("%d of 500 where observations cover all", got)
+	}
+	slow, fast := newSubset(), newSubset()
+	slow.arrive(time.Hour)
+	slow.arrive(2 * time.Hour)
+	fast.arrive(time.Hour)
+	fast.arrive(time.Hour + time.Microsecond)
+	if got := slow.size(500, objective, false); got != minSubset {
+		t.Errorf("%d backends for a request per hour", got)
+	}
+	if got := fast.size(500, objective, false); got != 80 {
+		t.Errorf("%d backends at a high rate, want 30 and a tenth of 500", got)
+	}
+}
+
+func TestSubsetShrinksWhenConnectionsAreRejected(t *testing.T) {
+	s := newSubset()
+	s.arrive(time.Hour)
+	s.arrive(time.Hour + 16*time.Millisecond)
+	before := s.size(5000, objective, false)
+	for range 7 {
+		s.shrink()
+	}
+	if got := s.size(5000, objective, false); got > before/2 || got < before/3 {
+		t.Errorf("%d backends after seven rejections, %d before", got, before)
+	}
+	for range 1000 {
+		s.grow()
+	}
+	if got := s.size(5000, objective, false); got != before {
+		t.Errorf("%d backends after many answers, %d before", got, before)
+	}
+}
+
+func TestCandidatesPreferIdleThenBusyThenEjected(t *testing.T) {
+	a, b, c, d := &backendState{}, &backendState{}, &backendState{}, &backendState{}
+	found := newCandidates(2)
+	if found.best() != nil {
+		t.Error("a backend is chosen of none")
+	}
+	found.offerEjected(a, 2)
+	found.offerEjected(b, 1)
+	if found.best() != b {
+		t.Error("not the ejected one with the lowest penalty")
+	}
+	found.offerBusy(c, 5)
+	found.offerBusy(d, 6)
+	if found.best() != c {
+		t.Error("not the busy one with the lowest score")
+	}
+	if found.offerIdle(a, 1, 0.999); found.best() != a || found.full() {
+		t.Error("not the idle one")
+	}
+	if found.offerIdle(b, 1, 0.999); found.best() != a || !found.full() {
+		t.Error("the draw does not decide among idle ones")
+	}
+}
+
+func TestIdleCandidatesAreChosenByWeight(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	backends := []*backendState{{}, {}, {}}
+	chosen := map[*backendState]int{}
+	for range 6000 {
+		found := newCandidates(3)
+		for i, backend := range backends {
+			found.offerIdle(backend, float64(i+1), rng.Float64())
+		}
+		chosen[found.best()]++
+	}
+	for i, backend := range backends {
+		if got, want := chosen[backend], 1000*(i+1); got < want*9/10 || got > want*11/10 {
+			t.Errorf("weight %d: chosen %d times of 6000, want about %d", i+1, got, want)
+		}
+	}
+}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -83,12 +83,10 @@
 	outcomes     int
 	kindRatios   kindRatios
 
-	subsetScale      float64 // share of the subset to which connections are possible
-	meanInterarrival float64 // mean time between requests, ns
-	lastArrivalAt    time.Duration
-	overrides        overrides // in force, by operators
-	zones            zoneTable
-	allZonesOpen     bool // no zone is failed over or recovering
+	subset       subset
+	overrides    overrides // in force, by operators
+	zones        zoneTable
+	allZonesOpen bool // no zone is failed over or recovering
 
 	assignedQuota  float64     // assigned by the fleet; 0: none
 	residencyTable *gate.Table // nil: no policy received
@@ -101,7 +99,7 @@
 		return nil, err
 	}
 	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), retryBudget: NewRetryBudget(),
-		limiter: newConcurrencyLimiter(s.Balancers), subsetScale: 1,
+		limiter: newConcurrencyLimiter(s.Balancers), subset: newSubset(),
 		byID: map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
 		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{},
 		kindRatios: newKindRatios(len(s.Classes)), throughput: newThroughput(&s)}
