--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -47,8 +47,20 @@
 			b.onZoneLatencies(event)
 		case Residency:
 			b.residencyTable = event.Table
-		default:
-			b.onOtherEvent(event)
+		case Disable:
+			b.onDisable(event)
+		case Enable:
+			b.onEnable(event)
+		case Drain:
+			b.onDrain(event)
+		case Restore:
+			b.onRestore(event)
+		case BodyComplete:
+			b.onBodyComplete(event)
+		case BodyConsumed:
+			b.onBodyConsumed(event)
+		case ResponseStarted:
+			b.onResponseStarted(event)
 		}
 	}
 	b.admitQueued()
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -11,7 +11,7 @@
 // mergeEndpoints applies an endpoint update to the records: new backends, restarted ones, removed ones.
 func (b *Balancer) mergeEndpoints(update EndpointUpdate) {
 	listed := map[string]bool{}
-	for _, entry := range b.applyOverrides(update.Backends) {
+	for _, entry := range b.overrides.apply(update.Backends, b.now, b.settings.SlowStartWindow) {
 		listed[entry.ID] = true
 		backend := b.byID[entry.ID]
 		if backend == nil {
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -115,8 +115,8 @@
 func (b *Balancer) gossipStatus(notes []observation) gossipMessage {
 	m := gossipMessage{demand: b.demand.steady(b.now), latencyRatio: b.limiter.latencyRatio, observations: notes,
 		lostZones: b.zones.recentlyLost(b.now, b.maxObjective)}
-	if b.overrides.drainedDemand > 0 {
-		m.demand, m.drained = b.overrides.drainedDemand, true
+	if b.drainedDemand > 0 {
+		m.demand, m.drained = b.drainedDemand, true
 	}
 	return m
 }
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -1,130 +1,81 @@
 package balancer
 
-// Operators' overrides: which backends are disabled, how one is put back into use, and what a drained agent tells its
-// peers.
+// The operators' overrides: which backends are disabled or were re-enabled, by ID. Endpoint updates neither know nor
+// end them. The struct stands alone.
 
-import (
-	"time"
-)
+import "time"
 
-const (
-	reinstateDelay      = 3 * time.Second // latest first request of a re-enabled backend: operators expect it within 5 s
-	reinstatePreference = 5 * time.Second // for so long it is preferred over idle backends until it has answered
-)
+// overrides are the operators' orders in force. The zero value has none.
+type overrides struct {
+	disabled    map[string]BackendState  // with the state that the endpoint list last gave
+	reenabledAt map[string]time.Duration // while that still means slow start
+}
 
-// onOtherEvent dispatches the operators' events and those of large bodies and responses.
-func (b *Balancer) onOtherEvent(event Event) {
-	switch event := event.(type) {
-	case Disable:
-		b.onDisable(event)
-	case Enable:
-		b.onEnable(event)
-	case Drain:
-		b.onDrain(event)
-	case Restore:
-		b.onRestore(event)
-	case BodyComplete:
-		b.onBodyComplete(event)
-	case BodyConsumed:
-		if req := b.requests[event.Request]; req != nil {
-			req.committed = true
-		}
-	case ResponseStarted:
-		b.onResponseStarted(event)
-	}
+// knows reports whether an override is in force for the ID.
+func (o *overrides) knows(id string) bool {
+	_, disabled := o.disabled[id]
+	_, reenabled := o.reenabledAt[id]
+	return disabled || reenabled
 }
 
-func (b *Balancer) onDisable(event Disable) {
-	accepted := event.Inherited || b.knowsBackend(event.Backend)
-	if _, disabled := b.overrides.disabled[event.Backend]; accepted && !disabled {
-		if b.overrides.disabled == nil {
-			b.overrides.disabled = map[string]BackendState{}
-		}
-		b.overrides.disabled[event.Backend] = Up
-		if backend := b.byID[event.Backend]; backend != nil {
-			b.overrides.disabled[event.Backend] = backend.State
-			b.markUnstable(backend)
-			backend.State = max(backend.State, Draining) // no new attempts; the outstanding ones may finish
-		}
-		b.recomputeCapacity()
+// disable records that a backend was disabled in the given state. It reports false if it was disabled already.
+func (o *overrides) disable(id string, listed BackendState) bool {
+	if _, disabled := o.disabled[id]; disabled {
+		return false
 	}
-	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
+	if o.disabled == nil {
+		o.disabled = map[string]BackendState{}
+	}
+	o.disabled[id] = listed
+	return true
 }
 
-func (b *Balancer) onEnable(event Enable) {
-	accepted := event.Inherited || b.knowsBackend(event.Backend)
-	if state, disabled := b.overrides.disabled[event.Backend]; disabled {
-		delete(b.overrides.disabled, event.Backend)
-		b.reinstate(event.Backend, state, event.At)
-	} else if event.Inherited && event.At > b.overrides.reenabledAt[event.Backend] {
-		b.reinstate(event.Backend, Up, event.At)
-	}
-	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
+// enable ends a backend's being disabled, and returns the state that the endpoint list last gave. It reports false if
+// the backend was not disabled.
+func (o *overrides) enable(id string) (listed BackendState, was bool) {
+	listed, was = o.disabled[id]
+	delete(o.disabled, id)
+	return listed, was
 }
 
-// reinstate puts a disabled backend back into use, in the state that the endpoint list gives. Operators restart
-// backends while they are disabled, and the list may say so late or never: the backend counts as started now, and
-// everything learned about its earlier process is forgotten.
-func (b *Balancer) reinstate(id string, state BackendState, at time.Duration) {
-	if at == 0 {
-		at = b.now
-	}
-	if b.overrides.reenabledAt == nil {
-		b.overrides.reenabledAt = map[string]time.Duration{}
-	}
-	b.overrides.reenabledAt[id] = at
-	backend := b.byID[id]
-	if backend == nil {
-		return
+// reenable records that a backend was put back into use at the given time.
+func (o *overrides) reenable(id string, at time.Duration) {
+	if o.reenabledAt == nil {
+		o.reenabledAt = map[string]time.Duration{}
 	}
-	if backend.State != Removed {
-		backend.State = state
-	}
-	backend.Started = max(backend.Started, at)
-	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
-	backend.forgive()
-	// The budget starts below 0, so that agents called at the same time don't all send at once; but with little
-	// traffic it would take longer to fill than operators wait.
-	backend.raiseBudget(-b.slowStartRate(backend) * float64(reinstateDelay) * b.rng.Float64())
-	b.recomputeCapacity()
+	o.reenabledAt[id] = at
+}
+
+// reenabledBefore reports whether the latest known time at which a backend was re-enabled, if any, is older.
+func (o *overrides) reenabledBefore(id string, at time.Duration) bool { return at > o.reenabledAt[id] }
+
+// anyReenabled reports whether a backend was re-enabled lately.
+func (o *overrides) anyReenabled() bool { return len(o.reenabledAt) > 0 }
+
+// reenabledWithin reports whether a backend was re-enabled within the span.
+func (o *overrides) reenabledWithin(id string, now, span time.Duration) bool {
+	at, reenabled := o.reenabledAt[id]
+	return reenabled && now-at < span
 }
 
-// applyOverrides returns an endpoint list with the operators' overrides applied: a disabled backend drains, whatever
-// the list says, and a re-enabled one started no earlier than it was re-enabled.
-func (b *Balancer) applyOverrides(list []Backend) []Backend {
+// apply returns an endpoint list with the overrides: a disabled backend drains, whatever the list says, and a
+// re-enabled one started no earlier than it was re-enabled. Times older than the slow-start window are forgotten.
+func (o *overrides) apply(list []Backend, now, window time.Duration) []Backend {
 	effective := append([]Backend(nil), list...)
 	for i := range effective {
 		backend := &effective[i]
-		if _, disabled := b.overrides.disabled[backend.ID]; disabled {
-			b.overrides.disabled[backend.ID] = backend.State
+		if _, disabled := o.disabled[backend.ID]; disabled {
+			o.disabled[backend.ID] = backend.State
 			backend.State = max(backend.State, Draining)
 		}
-		if at, reenabled := b.overrides.reenabledAt[backend.ID]; reenabled {
+		if at, reenabled := o.reenabledAt[backend.ID]; reenabled {
 			backend.Started = max(backend.Started, at)
 		}
 	}
-	for id, at := range b.overrides.reenabledAt {
-		if b.now-at > b.settings.SlowStartWindow {
-			delete(b.overrides.reenabledAt, id)
+	for id, at := range o.reenabledAt {
+		if now-at > window {
+			delete(o.reenabledAt, id)
 		}
 	}
 	return effective
 }
-
-// onDrain tells the peers at once. Departure: what agents learn about each other's demand lags by seconds. During that
-// time the agents that receive the clients would refuse them at their old quota, and the drained agent would do the
-// same when its clients return.
-func (b *Balancer) onDrain(event Drain) {
-	switch {
-	case event.On && b.overrides.drainedDemand == 0:
-		b.overrides.drainedDemand = max(b.demand.steady(b.now), 1)
-	case !event.On && b.overrides.drainedDemand > 0:
-		b.demand.raiseTo(b.now, b.overrides.drainedDemand)
-		b.overrides.drainedDemand = 0
-	default:
-		return
-	}
-	if b.settings.GossipAllowed {
-		b.gossip()
-	}
-}
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -27,15 +27,15 @@
 // answered. With its traffic spread thin, an agent would pass by a backend in slow start for longer than operators
 // wait. The slow-start budget holds all the same.
 func (b *Balancer) choose(req *request) *backendState {
-	if len(b.overrides.reenabledAt) > 0 {
+	if b.overrides.anyReenabled() {
 		idempotency := b.classes[req.class].Idempotency
 		for _, backend := range b.backends {
-			at, reenabled := b.overrides.reenabledAt[backend.ID]
-			if !reenabled || b.now-at >= reinstatePreference || backend.answeredSinceStart || backend.State != Up {
+			if !b.overrides.reenabledWithin(backend.ID, b.now, reinstatePreference) || backend.answeredSinceStart {
 				continue
 			}
-			if backend != req.lastFailed && backend.idle() && !backend.rejecting(b.now) &&
-				b.mayAttempt(req, backend) && backend.eligible(b.now, true, idempotency) && b.hasSlowStartBudget(backend, req) {
+			if backend.State == Up && backend != req.lastFailed && backend.idle() && !backend.rejecting(b.now) &&
+				b.mayAttempt(req, backend) && backend.eligible(b.now, true, idempotency) &&
+				b.hasSlowStartBudget(backend, req) {
 				return backend
 			}
 		}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -95,6 +95,13 @@
 	}
 }
 
+// onBodyConsumed marks a request that can't be sent again.
+func (b *Balancer) onBodyConsumed(event BodyConsumed) {
+	if req := b.requests[event.Request]; req != nil {
+		req.committed = true
+	}
+}
+
 // onResponseStarted marks a request whose response has begun: it gets no other attempt, and this attempt no longer
 // occupies its backend.
 func (b *Balancer) onResponseStarted(event ResponseStarted) {
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -83,10 +83,11 @@
 	outcomes     int
 	kindRatios   kindRatios
 
-	subset       subset
-	overrides    overrides // in force, by operators
-	zones        zoneTable
-	allZonesOpen bool // no zone is failed over or recovering
+	subset        subset
+	overrides     overrides
+	drainedDemand float64 // demand of this agent's clients, which operators moved elsewhere; 0: not drained
+	zones         zoneTable
+	allZonesOpen  bool // no zone is failed over or recovering
 
 	assignedQuota  float64     // assigned by the fleet; 0: none
 	residencyTable *gate.Table // nil: no policy received
@@ -151,7 +152,7 @@
 // Snapshot returns the state for the next process.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{Tokens: b.retryBudget.Tokens(), LimitPerBackend: b.limiter.perBackend, LatencyRatio: b.limiter.latencyRatio,
-		PeakThroughput: b.throughput.perBackend(b.now), Demand: b.demand.steady(b.now), DrainedDemand: b.overrides.drainedDemand,
+		PeakThroughput: b.throughput.perBackend(b.now), Demand: b.demand.steady(b.now), DrainedDemand: b.drainedDemand,
 		PeerDemand: b.peers.snapshot(b.now)}
 	for _, class := range b.classes {
 		snapshot.Latency = append(snapshot.Latency, class.latency)
