--- a/balancer/api.go
+++ b/balancer/api.go
@@ -10,7 +10,7 @@
 // and how a request ends (finish); picking.go, candidates.go and subset.go for the choice of a backend; admission.go for admission, with limiter.go for the concurrency limit, credit.go for small quotas, and
 // queue.go for the requests that wait for it; retries.go and retrybudget.go for
 // retries; outcomes.go for what attempts teach; outliers.go for outlier detection; slowstart.go for slow start;
-// failover.go for zone failover (sequentialtest.go for its detection, failoverstate.go for the way back); gossip.go and peers.go for what agents tell each other; operators.go and overrides.go for the operators' overrides;
+// failover.go for zone failover (sequentialtest.go for its detection, failoverstate.go for the way back); gossip.go, peers.go and observations.go for what agents tell each other; operators.go and overrides.go for the operators' overrides;
 // residency.go for data residency. The records they share are in state.go, request.go, backends.go, zone.go and
 // capacity.go.
 //
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -121,9 +121,7 @@
 	}
 	class := &b.classes[req.class]
 	b.recordOutcome(req, a, event)
-	if b.outcomes++; b.gossipsObservations() && b.outcomes%outcomesPerGossip == 0 {
-		b.sendGossip(b.observations, 1+b.rng.IntN(b.settings.Balancers-1))
-	}
+	b.countOutcome()
 	if event.Result == OK && !req.ended {
 		b.retryBudget.Refill()
 		if b.now <= req.objectiveAt {
--- /dev/null
+++ b/balancer/observations.go
@@ -0,0 +1,59 @@
+package balancer
+
+// Observations: what this agent and its peers lately saw of backends, in the form that they pass on. The structs stand
+// alone.
+
+import "time"
+
+const (
+	ratioSteps        = 31.0 // steps per multiple of the expected latency: 8 multiples fit below valueLate
+	valueLate         = 254  // value of an overdue attempt
+	valueFailed       = 255  // value of a failed attempt
+	outcomesPerGossip = 2    // outcomes per message with observations: half the cost of one per request
+	maxObservations   = 96   // about two messages' worth
+)
+
+// observation is one outcome at a backend: its latency as a multiple of the expected one, in steps of 1/ratioSteps, or
+// valueLate or valueFailed.
+type observation struct {
+	key        uint32
+	value      byte
+	observedAt time.Duration
+}
+
+// observeLatency returns the observation of an answer with the given latency ratio.
+func observeLatency(key uint32, ratio float64, now time.Duration) observation {
+	return observation{key, byte(min(ratio, maxLatencyRatio-0.1) * ratioSteps), now}
+}
+
+// ratio is the latency ratio of an answer that was observed.
+func (n observation) ratio() float64 { return float64(n.value) / ratioSteps }
+
+// observationLog keeps the latest observations, the newest last.
+type observationLog struct {
+	recent   []observation
+	outcomes int // of this agent's attempts
+}
+
+// add keeps an observation, and drops the oldest one if there are too many.
+func (l *observationLog) add(n observation) {
+	l.recent = append(l.recent[max(0, len(l.recent)+1-maxObservations):], n)
+}
+
+// countOutcome counts an outcome of this agent, and reports whether it is time to send a message.
+func (l *observationLog) countOutcome() bool {
+	l.outcomes++
+	return l.outcomes%outcomesPerGossip == 0
+}
+
+// gossipKey is a short hash (FNV-1a with a finalizer) of a backend's ID. Two backends with one key share their
+// observations.
+func gossipKey(id string) uint32 {
+	h := uint32(2166136261)
+	for i := range len(id) {
+		h = (h ^ uint32(id[i])) * 16777619
+	}
+	h = (h ^ h>>16) * 0x85ebca6b // IDs differ in their last bytes: spread that over all bits
+	h = (h ^ h>>13) * 0xc2b2ae35
+	return (h ^ h>>16) >> 8
+}
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -52,8 +52,7 @@
 	latency = max(latency*warmth, min(latency, a.expected)) // discount slow start: the rest is queueing
 	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
 	b.zone(backend).recordLatency(min(latency/a.expected, maxLatencyRatio))
-	value := byte(min(latency/a.expected, maxLatencyRatio-0.1) * ratioSteps)
-	b.recordObservation(observation{backend.gossipKey, value, b.now})
+	b.recordObservation(observeLatency(backend.gossipKey, latency/a.expected, b.now))
 	meanWorkLatency := latency // scaled to mean work: an expensive request does not indicate a queue
 	if req.work > 0 && class.meanWork > 0 {
 		meanWorkLatency *= class.meanWork / req.work
@@ -176,7 +175,7 @@
 		backend.outlierState.recordTimeout()
 		backend.learnLatency(lateLatencyRatio)
 	default:
-		backend.learnLatency(float64(n.value) / ratioSteps)
+		backend.learnLatency(n.ratio())
 		backend.recordPeerSuccess(n.observedAt)
 	}
 	b.recordObservation(n)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -78,9 +78,8 @@
 	gossipTimer  int64
 	credit       creditAccount
 
-	observations []observation // recent ones, own and from peers; newest last
+	observations observationLog
 	byGossipKey  map[uint32]*backendState
-	outcomes     int
 	kindRatios   kindRatios
 
 	subset        subset
