--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -20,9 +20,7 @@
 	if b.queue.empty() {
 		return
 	}
-	for i := range b.classes {
-		b.classes[i].marginalValue = b.marginalValue(i)
-	}
+	b.classes.recomputeValues(&b.settings)
 	for {
 		req := b.queue.next(b.admissionValue)
 		if req == nil || !b.hasCapacity(req) {
@@ -75,12 +73,7 @@
 // work.
 func (b *Balancer) hasCapacity(req *request) bool {
 	if b.sparseQuota() {
-		above, total := 0.0, 0.0
-		for _, class := range b.classes {
-			if total += class.arrivals * class.latency; class.marginalValue > b.classes[req.class].marginalValue {
-				above += class.arrivals * class.latency
-			}
-		}
+		above, total := b.classes.arrivingWork(req.class)
 		return b.credit.covers(b.classes[req.class].latency, above, total)
 	}
 	return b.limiter.allows(b.inUse(), b.capacity)
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -6,13 +6,14 @@
 // arbitrary, and it must not run backwards. Memory is bounded by the open requests and attempts, the pending timers,
 // and the backends that are listed or still have attempts outstanding.
 //
-// Reading order: this file for the interface; balancer.go for how events come in (Step), how an attempt starts (send)
-// and how a request ends (finish); picking.go, candidates.go and subset.go for the choice of a backend; admission.go for admission, with limiter.go for the concurrency limit, credit.go for small quotas, and
-// queue.go for the requests that wait for it; retries.go and retrybudget.go for
-// retries; outcomes.go for what attempts teach; outliers.go for outlier detection; slowstart.go for slow start;
-// failover.go for zone failover (sequentialtest.go for its detection, failoverstate.go for the way back); gossip.go, peers.go and observations.go for what agents tell each other; operators.go and overrides.go for the operators' overrides;
-// residency.go for data residency. The records they share are in state.go, request.go, backends.go, zone.go and
-// capacity.go.
+// Reading order: this file for the interface; balancer.go for the parts and how events reach them; lifecycle.go for
+// the life of a request, with its records in request.go. Then one part at a time. Which backend a request goes to:
+// picking.go, candidates.go, subset.go, latency.go. Whether it may be sent now: admission.go, queue.go, limiter.go,
+// credit.go, classes.go, capacity.go. Retries: retries.go, retrybudget.go. What attempts teach: outcomes.go,
+// outliers.go for ejections, slowstart.go, backends.go for the record of a backend. Zones: failover.go,
+// sequentialtest.go, failoverstate.go, zone.go, zonelatency.go, residency.go. Other agents: gossip.go, message.go,
+// observations.go, peers.go, demand.go. The endpoint list and the operators: endpoints.go, operators.go, overrides.go,
+// snapshot.go.
 //
 // Constants are dimensionless: every scale comes from the settings or from what is observed. A comment that starts
 // with "Departure:" gives the reason why the module departs from the published design.
--- a/balancer/backends.go
+++ b/balancer/backends.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The record of each backend, and what the balancer asks of it. Nothing is decided here.
+// Backends: the record of each, and what follows from it and the settings.
 
 import "time"
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -1,13 +1,12 @@
 package balancer
 
-import "math"
-
 // Capacity totals: what there is to use, updated in each step. Nothing is decided here.
 
 // capacityTotals are the usable backends and the attempts outstanding there. In a large fleet most backends are warm,
 // up and in use from one step to the next. These are stable and counted once, by zone; a step only looks at the
 // others.
 type capacityTotals struct {
+	inFlight             int             // attempts that occupy a backend
 	up                   int             // backends in state Up
 	capacity             float64         // their number weighted by warmth, without ejected and dead ones
 	warmCapacity         float64         // the part of capacity that is warm
@@ -95,22 +94,3 @@
 		b.zone(backend).stableOutstanding += delta
 	}
 }
-
-// marginalValue is what a unit of work spent on a class now adds to the operator's goal.
-func (b *Balancer) marginalValue(class int) float64 {
-	total, worst, lowestShare := 0.0, -1, math.Inf(1)
-	for i := range b.classes {
-		state := &b.classes[i]
-		total += state.arrivals * state.PriorityWeight * b.weightUnit(state)
-		if share := (state.metObjective + 1) / (state.arrivals + 1); share < lowestShare {
-			worst, lowestShare = i, share
-		}
-	}
-	state := &b.classes[class]
-	value := (b.settings.GoalOverall + b.settings.GoalWorstWindow) * state.PriorityWeight * b.weightUnit(state) /
-		state.latency / max(total, 1e-9)
-	if class == worst {
-		value += b.settings.GoalWorstClass / (max(state.arrivals, 1) * state.latency)
-	}
-	return value
-}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,13 +1,64 @@
 package balancer
 
-// The records that follow the endpoint list. Nothing is decided here.
+// Endpoint updates: polling for them, and how the list of backends follows them.
 
 import (
 	"cmp"
 	"fmt"
+	"math"
 	"slices"
+	"time"
 )
 
+// endpointPoll spreads in time when this agent polls.
+type endpointPoll struct {
+	interval time.Duration // longest time between polls, by the settings
+	failures int           // in a row
+	timer    int64         // token of the timer of the next poll; 0: none
+}
+
+// startDelay is the wait before the first poll: jittered, since all agents may start at once. draw is a random number
+// in [0, 1).
+func (p *endpointPoll) startDelay(draw float64) time.Duration {
+	return time.Duration(draw * float64(p.interval) / 64)
+}
+
+// retryDelay counts a failure and returns the wait before the next poll: exponential backoff with full jitter.
+func (p *endpointPoll) retryDelay(draw float64) time.Duration {
+	p.failures++
+	unit := float64(p.interval) / 64
+	return time.Duration(draw * unit * math.Exp2(float64(min(p.failures, 4))))
+}
+
+// schedule notes the timer of the next poll; due reports whether a timer is that, and forgets it.
+func (p *endpointPoll) schedule(token int64) { p.timer = token }
+func (p *endpointPoll) due(token int64) bool {
+	if token != p.timer {
+		return false
+	}
+	p.timer = 0
+	return true
+}
+
+// succeed ends the backoff.
+func (p *endpointPoll) succeed() { p.failures = 0 }
+
+// onEndpointUpdate applies an endpoint update, or polls again after a failure. A cached list is followed by a poll.
+func (b *Balancer) onEndpointUpdate(event EndpointUpdate) {
+	switch {
+	case event.Kind == UpdateFailed && b.settings.Subscribe:
+		b.poll.schedule(b.setTimer(b.poll.retryDelay(b.rng.Float64())))
+		return
+	case event.Kind == UpdateFailed:
+		return
+	case event.Kind == UpdateCached && b.settings.Subscribe:
+		b.poll.schedule(b.setTimer(b.poll.startDelay(b.rng.Float64())))
+	default:
+		b.poll.succeed()
+	}
+	b.mergeEndpoints(event)
+}
+
 // mergeEndpoints applies an endpoint update to the records: new backends, restarted ones, removed ones.
 func (b *Balancer) mergeEndpoints(update EndpointUpdate) {
 	listed := map[string]bool{}
@@ -15,8 +66,9 @@
 		listed[entry.ID] = true
 		backend := b.byID[entry.ID]
 		if backend == nil {
-			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID), latencyEstimate: latencyEstimate{latencyRatio: 1},
+			backend = &backendState{Backend: entry, gossipKey: gossipKey(entry.ID),
 				subsetRank: gossipKey(fmt.Sprint(entry.ID, b.settings.Self))}
+			backend.resetLatency()
 			b.byID[entry.ID], b.byGossipKey[backend.gossipKey] = backend, backend
 			b.backends, b.unstable = append(b.backends, backend), append(b.unstable, backend)
 			if entry.Started > 0 {
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -132,7 +132,7 @@
 	for i, z := range b.zones {
 		share := b.trafficShare(z)
 		closed[i] = share < 1 && b.rng.Float64() >= share
-		if closed[i] && z.canary && req.possiblyExecuted == 0 && b.lowestPriority(req.class) {
+		if closed[i] && z.canary && req.possiblyExecuted == 0 && b.classes.lowestPriority(req.class) {
 			closed[i] = false
 		}
 		open = open || !z.failedOver && z.up > 0 && b.permits(req, i)
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -53,11 +53,8 @@
 	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
 	b.zone(backend).recordLatency(min(latency/a.expected, maxLatencyRatio))
 	b.recordObservation(observeLatency(backend.gossipKey, latency/a.expected, b.now))
-	meanWorkLatency := latency // scaled to mean work: an expensive request does not indicate a queue
-	if req.work > 0 && class.meanWork > 0 {
-		meanWorkLatency *= class.meanWork / req.work
-	}
-	class.latency = ewma(class.latency, max(meanWorkLatency, 1))
+	meanWorkLatency := class.meanWorkLatency(latency, req.work)
+	class.learnLatency(meanWorkLatency)
 	if !a.countedLate {
 		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // relative to what warmth explains
 			b.slowStart.learn(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -129,7 +129,7 @@
 // again in proportion as answers from the own zone take longer. It is 1 where crossing has no cost, and for a while
 // after the limit was cut: then a backend that knows a key counts for more, wherever it is.
 func (b *Balancer) proximity(backend *backendState) float64 {
-	cost, lowestCost := b.crossingCost(backend.Zone), cmp.Or(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
+	cost, lowestCost := b.settings.crossingCost(backend.Zone), cmp.Or(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
 	if cost == 0 || float64(b.limiter.sinceCut(b.now)) <= proximityObjectives*float64(b.maxObjective) {
 		return 1
 	}
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -3,6 +3,8 @@
 // The admission queue: which request waits, and which one is next. The caller gives the values and decides on
 // refusals; the queue alone sets request.queued and request.skipped.
 
+import "slices"
+
 // admissionQueue holds the requests that wait for capacity, oldest first.
 type admissionQueue struct{ requests []*request }
 
@@ -54,3 +56,11 @@
 		visit(req)
 	}
 }
+
+// without removes one element, and keeps the order of the others.
+func without[T comparable](list []T, x T) []T {
+	if i := slices.Index(list, x); i >= 0 {
+		return slices.Delete(list, i, i+1)
+	}
+	return list
+}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -43,76 +43,8 @@
 	streaming                bool // its body is still arriving
 }
 
-// sendDeadline is the time by which the last byte of another attempt must be sent, so that backends still drop it as a
-// duplicate. 0 means no bound.
-func (b *Balancer) sendDeadline(req *request) time.Duration {
-	class := &b.classes[req.class]
-	if class.Idempotency != IdempotencyKey || req.possiblyExecuted == 0 {
-		return 0
-	}
-	return req.scopeAttempt.sentAt + class.DedupWindow
-}
-
 // unconstrained reports whether all such requests of a class are alike to the picker: no earlier attempt, no residency
 // rule, no announced work.
 func (req *request) unconstrained() bool {
 	return len(req.attempts) == 0 && req.residencyRule == 0 && req.work == 0
 }
-
-// occupy counts an attempt as outstanding at its backend. While the body is still arriving the attempt takes no
-// capacity: the backend has nothing to do yet, and no time is measured.
-func (b *Balancer) occupy(req *request, a *attempt) {
-	a.untimed = req.streaming
-	if !req.streaming {
-		b.setOutstanding(a, true)
-		if !a.backend.warmingUp {
-			b.warmOutstanding++ // until recomputeCapacity counts anew
-		}
-	}
-}
-
-// vacate ends that, at the outcome or at the start of a large response: what remains then is network transfer.
-func (b *Balancer) vacate(a *attempt) {
-	if a.occupying {
-		b.setOutstanding(a, false)
-	}
-}
-
-func (b *Balancer) onBodyComplete(event BodyComplete) {
-	req := b.requests[event.Request]
-	if req == nil || !req.streaming {
-		return
-	}
-	req.streaming = false
-	class := &b.classes[req.class]
-	timeout := req.deadline - req.timedFrom
-	req.timedFrom, req.deadline, req.objectiveAt = b.now, b.now+timeout, b.now+min(class.LatencyObjective, timeout)
-	for _, a := range req.attempts {
-		if a.open && !a.occupying {
-			a.sentAt = b.now
-			b.setOutstanding(a, true)
-		}
-	}
-}
-
-// onBodyConsumed marks a request that can't be sent again.
-func (b *Balancer) onBodyConsumed(event BodyConsumed) {
-	if req := b.requests[event.Request]; req != nil {
-		req.committed = true
-	}
-}
-
-// onResponseStarted marks a request whose response has begun: it gets no other attempt, and this attempt no longer
-// occupies its backend.
-func (b *Balancer) onResponseStarted(event ResponseStarted) {
-	req := b.requests[event.Request]
-	if req == nil {
-		return
-	}
-	req.committed = true
-	if event.Attempt >= 0 && event.Attempt < len(req.attempts) && req.attempts[event.Attempt].open {
-		a := req.attempts[event.Attempt]
-		a.untimed = true
-		b.vacate(a)
-	}
-}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,59 +1,99 @@
 package balancer
 
+// The check of settings, and what follows from them alone. Nothing is decided here.
+
 import (
 	"fmt"
 	"time"
 )
 
-// check returns an error that names the first setting that makes no sense. It decides nothing.
+// settingError says that a setting makes no sense.
+func settingError(field string, value any) error {
+	return fmt.Errorf("balancer: settings: %s: %v makes no sense", field, value)
+}
+
+// check returns an error that names the first setting that makes no sense.
 func (s *Settings) check() error {
-	bad := func(field string, v any) error {
-		return fmt.Errorf("balancer: settings: %s: %v makes no sense", field, v)
-	}
 	switch {
 	case len(s.Classes) == 0:
-		return bad("Classes", "none")
+		return settingError("Classes", "none")
 	case s.Balancers < 1:
-		return bad("Balancers", s.Balancers)
+		return settingError("Balancers", s.Balancers)
 	case s.Self < 0 || s.Self >= s.Balancers:
-		return bad("Self", s.Self)
+		return settingError("Self", s.Self)
 	case s.MaxAttempts < 0:
-		return bad("MaxAttempts", s.MaxAttempts)
+		return settingError("MaxAttempts", s.MaxAttempts)
 	case !(s.InitialCapacity >= 0 && s.InitialCapacity <= 1):
-		return bad("ColdShare", s.InitialCapacity)
+		return settingError("ColdShare", s.InitialCapacity)
 	case !(s.OverloadMultiple >= 0):
-		return bad("FallMultiple", s.OverloadMultiple)
+		return settingError("FallMultiple", s.OverloadMultiple)
 	case !(s.CrossZoneCost >= 0 && s.CrossRegionCost >= 0):
-		return bad("CrossZonePrice", []float64{s.CrossZoneCost, s.CrossRegionCost})
+		return settingError("CrossZonePrice", []float64{s.CrossZoneCost, s.CrossRegionCost})
 	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalWorstClass >= 0):
-		return bad("Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass})
+		return settingError("Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass})
 	}
-	for _, f := range []struct {
-		name string
-		d    time.Duration
-	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.PollInterval},
-		{"RampTime", s.SlowStartWindow}, {"FallWindow", s.OverloadWindow}} {
-		if f.d < 0 {
-			return bad(f.name, f.d)
+	if err := s.checkSpans(); err != nil {
+		return err
+	}
+	for i := range s.Classes {
+		if field, value := s.Classes[i].check(); field != "" {
+			return settingError(fmt.Sprintf("Classes[%d].%s", i, field), value)
 		}
 	}
-	for i, class := range s.Classes {
-		at := func(field string) string { return fmt.Sprintf("Classes[%d].%s", i, field) }
-		switch {
-		case class.LatencyObjective <= 0:
-			return bad(at("Aim"), class.LatencyObjective)
-		case class.Deadline <= 0:
-			return bad(at("Deadline"), class.Deadline)
-		case !(class.PriorityWeight >= 0):
-			return bad(at("Worth"), class.PriorityWeight)
-		case class.Idempotency > NonIdempotent:
-			return bad(at("Effect"), class.Idempotency)
-		case class.Scope > ScopeCell:
-			return bad(at("Group"), class.Scope)
-		case class.DedupWindow < 0:
-			return bad(at("Window"), class.DedupWindow)
+	return nil
+}
+
+// checkSpans returns an error for the first span that is negative.
+func (s *Settings) checkSpans() error {
+	for _, span := range []struct {
+		field string
+		value time.Duration
+	}{
+		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
+		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.PollInterval},
+		{"RampTime", s.SlowStartWindow}, {"FallWindow", s.OverloadWindow},
+	} {
+		if span.value < 0 {
+			return settingError(span.field, span.value)
 		}
 	}
 	return nil
 }
+
+// check returns the first field that makes no sense, with its value, or "".
+func (c *Class) check() (field string, value any) {
+	switch {
+	case c.LatencyObjective <= 0:
+		return "Aim", c.LatencyObjective
+	case c.Deadline <= 0:
+		return "Deadline", c.Deadline
+	case !(c.PriorityWeight >= 0):
+		return "Worth", c.PriorityWeight
+	case c.Idempotency > NonIdempotent:
+		return "Effect", c.Idempotency
+	case c.Scope > ScopeCell:
+		return "Group", c.Scope
+	case c.DedupWindow < 0:
+		return "Window", c.DedupWindow
+	}
+	return "", nil
+}
+
+// retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
+func (s *Settings) retryAfter(wait time.Duration) time.Duration {
+	if !s.RetryAfter {
+		return 0
+	}
+	return min(wait, s.MaxRetryAfter)
+}
+
+// crossingCost is the cost of sending to a zone, as a share of the result.
+func (s *Settings) crossingCost(zone int) float64 {
+	switch own, regions := s.Zone, s.Regions; {
+	case zone == own:
+		return 0
+	case zone >= 0 && zone < len(regions) && own >= 0 && own < len(regions) && regions[zone] != regions[own]:
+		return max(s.CrossZoneCost, s.CrossRegionCost)
+	}
+	return s.CrossZoneCost
+}
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The record of each zone. Nothing is decided here.
+// Zones: the record of each, and how it compares with the others.
 
 import "time"
 
@@ -108,24 +108,3 @@
 
 // zone returns the record of a backend's zone.
 func (b *Balancer) zone(backend *backendState) *zone { return b.zones.of(backend.Zone) }
-
-// lowestPriority reports whether no class has a lower priority weight.
-func (b *Balancer) lowestPriority(class int) bool {
-	for i := range b.classes {
-		if b.classes[i].PriorityWeight < b.classes[class].PriorityWeight {
-			return false
-		}
-	}
-	return true
-}
-
-// crossingCost is the cost of sending to a zone, as a share of the result.
-func (b *Balancer) crossingCost(zone int) float64 {
-	switch own, regions := b.settings.Zone, b.settings.Regions; {
-	case zone == own:
-		return 0
-	case zone >= 0 && zone < len(regions) && own >= 0 && own < len(regions) && regions[zone] != regions[own]:
-		return max(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
-	}
-	return b.settings.CrossZoneCost
-}
