--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -114,7 +114,8 @@
 			list[i].Started = time.Hour // in slow start: each takes a request only now and then
 		}
 		r := newRig(t, s, 5, list)
-		r.step(balancer.Residency{Table: &gate.Table{Permitted: [][]bool{nil, {true, false, false}}, Restricted: []bool{false, true}}},
+		r.step(balancer.Residency{Table: &gate.Table{Permitted: [][]bool{nil, {true, false, false}},
+			Restricted: []bool{false, true}}},
 			balancer.Request{ID: "bound", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
 		for n := range held {
 			r.request(fmt.Sprint("q", n), idempotent)
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -244,7 +244,8 @@
 		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.OK}
 	}
 	refuse, fail := balancer.Refuse{Request: "q"}, balancer.Fail{Request: "q"}
-	off := balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
+	off := balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
+		Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
 	empty := balancer.EndpointUpdate{Kind: balancer.UpdateFull}
 	cold := balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -31,7 +31,8 @@
 const ms = time.Millisecond
 
 func totalsSettings() Settings {
-	return Settings{Balancers: 3, MaxAttempts: 4, Tick: ms, ConnectTimeout: 100 * ms, DrainGrace: 500 * ms, InitialCapacity: 0.2,
+	return Settings{Balancers: 3, MaxAttempts: 4, Tick: ms, ConnectTimeout: 100 * ms, DrainGrace: 500 * ms,
+		InitialCapacity: 0.2,
 		SlowStartWindow: 2 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second, PollInterval: time.Second, GoalOverall: 1,
 		Classes: []Class{{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
@@ -41,7 +42,8 @@
 	t.Helper()
 	b.recomputeCapacity()
 	got, want := b.capacityTotals, b.countAfresh()
-	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding || got.warmOutstanding != want.warmOutstanding ||
+	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding ||
+		got.warmOutstanding != want.warmOutstanding ||
 		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warmCapacity-want.warmCapacity) > 1e-6 {
 		t.Fatalf("%s: %+v, want %+v", what, got, want)
 	}
@@ -63,7 +65,8 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	b.Step(now, []Event{EndpointUpdate{Kind: UpdateFull, Backends: []Backend{{ID: "s"}}}, Request{ID: "a", TimeRemaining: time.Minute},
+	b.Step(now, []Event{EndpointUpdate{Kind: UpdateFull, Backends: []Backend{{ID: "s"}}},
+		Request{ID: "a", TimeRemaining: time.Minute},
 		Request{ID: "b", TimeRemaining: time.Minute}, Request{ID: "c", TimeRemaining: time.Minute}})
 	broke := func(id string) {
 		now += 10 * ms
@@ -98,7 +101,8 @@
 		now, seen, out := time.Hour, map[string]int{}, []Send{}
 		some := func(n int) (list []Backend) {
 			for range n {
-				list = append(list, Backend{ID: fmt.Sprint("s", rng.IntN(40)), Zone: rng.IntN(3), State: BackendState(max(0, rng.IntN(6)-3))})
+				list = append(list, Backend{ID: fmt.Sprint("s", rng.IntN(40)), Zone: rng.IntN(3),
+					State: BackendState(max(0, rng.IntN(6)-3))})
 				if rng.IntN(3) == 0 {
 					list[len(list)-1].Started = now
 				}
@@ -116,7 +120,8 @@
 			case 2:
 				events = append(events, Disable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40))})
 			case 3:
-				events = append(events, Enable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)), Inherited: rng.IntN(2) == 0, At: now})
+				events = append(events, Enable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)),
+					Inherited: rng.IntN(2) == 0, At: now})
 			}
 			for len(out) > 0 && rng.IntN(3) > 0 {
 				i := rng.IntN(len(out))
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -9,7 +9,8 @@
 
 // twoClasses returns classes of equal latency; the second has twice the priority weight.
 func twoClasses() classTable {
-	return newClassTable([]Class{{LatencyObjective: objective, PriorityWeight: 1}, {LatencyObjective: objective / 2, PriorityWeight: 2}})
+	return newClassTable([]Class{{LatencyObjective: objective, PriorityWeight: 1},
+		{LatencyObjective: objective / 2, PriorityWeight: 2}})
 }
 
 func TestExpectedLatencyScalesWithAnnouncedWork(t *testing.T) {
@@ -35,7 +36,8 @@
 			t.Fatalf("timeout %d within a tick of the usual one is unusual", i)
 		}
 	}
-	for timeout, want := range map[time.Duration]bool{880 * time.Millisecond: true, 900 * time.Millisecond: false, 920 * time.Millisecond: true} {
+	for timeout, want := range map[time.Duration]bool{880 * time.Millisecond: true, 900 * time.Millisecond: false,
+		920 * time.Millisecond: true} {
 		if got := c.learnTimeout(timeout, tick, true); got != want {
 			t.Errorf("%v is unusual: %v", timeout, got)
 		}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -16,7 +16,8 @@
 		Balancers:   1,
 		MaxAttempts: 3,
 		Classes: []balancer.Class{
-			{LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
+			{LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1,
+				Idempotency: balancer.Idempotent},
 		},
 	}, 42)
 	if err != nil {
@@ -42,7 +43,8 @@
 			}
 		}
 	}
-	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
+	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull,
+		Backends: []balancer.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
 	step(balancer.Request{ID: "r1", Class: 0, TimeRemaining: time.Second})
 
 	first := backend
--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -44,7 +44,8 @@
 }
 
 func newZoneRig(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoneRig {
-	z := &zoneRig{silent: map[int]bool{}, answerAt: map[string]time.Duration{}, clientDeadline: map[string]time.Duration{}, first: map[int]int{}}
+	z := &zoneRig{silent: map[int]bool{}, answerAt: map[string]time.Duration{},
+		clientDeadline: map[string]time.Duration{}, first: map[int]int{}}
 	for i := range 9 {
 		z.list = append(z.list, balancer.Backend{ID: string(rune('a' + i)), Zone: i % 3, Cell: i % 3})
 	}
--- a/balancer/failover_unit_test.go
+++ b/balancer/failover_unit_test.go
@@ -53,7 +53,8 @@
 		t.Error("an answer should show that the zone worked before it")
 	}
 	test.recordSilence(2*time.Hour, minBaselineSilence, &count)
-	if test.silenceEpisode != 2 || test.silenceStartedAt != 2*time.Hour || !near(test.logLikelihoodRatio, math.Log(lostSilenceRate/minBaselineSilence)) {
+	if test.silenceEpisode != 2 || test.silenceStartedAt != 2*time.Hour ||
+		!near(test.logLikelihoodRatio, math.Log(lostSilenceRate/minBaselineSilence)) {
 		t.Errorf("the backend's first silence of a new episode does not count in full: %+v", test)
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -45,7 +45,8 @@
 }
 
 func newAgentFleet(t *testing.T, s balancer.Settings, agents int, seed uint64, list []balancer.Backend) *agentFleet {
-	c := &agentFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, sends: map[string][]sentAttempt{}, inFlight: map[string]int{}}
+	c := &agentFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, sends: map[string][]sentAttempt{},
+		inFlight: map[string]int{}}
 	s.Balancers = agents
 	for i := range agents {
 		s.Self = i
@@ -65,8 +66,9 @@
 			to := a.rig.sent[a.id][a.attempt]
 			c.inFlight[to]--
 			c.step(a.rig, func() []balancer.Action {
-				return a.rig.step(balancer.Outcome{Request: a.id, Attempt: a.attempt, Backend: to, Result: a.result, Latency: a.latency,
-					Done: a.result == balancer.OK})
+				return a.rig.step(balancer.Outcome{Request: a.id, Attempt: a.attempt, Backend: to, Result: a.result,
+					Latency: a.latency,
+					Done:    a.result == balancer.OK})
 			}, latency)
 		}
 		for next <= c.now {
@@ -132,14 +134,16 @@
 			if c.workSpread > 0 {
 				work = math.Exp(c.workSpread*c.rng.NormFloat64() - c.workSpread*c.workSpread/2)
 			}
-			due := pendingAnswer{latency: time.Duration(work * float64(latency)), rig: r, id: a.Request, attempt: len(r.sent[a.Request]) - 1, result: balancer.OK}
+			due := pendingAnswer{latency: time.Duration(work * float64(latency)), rig: r, id: a.Request,
+				attempt: len(r.sent[a.Request]) - 1, result: balancer.OK}
 			if c.rng.Float64() < c.rejectRate {
 				due.latency, due.result = ms, balancer.Rejected
 			}
 			due.dueAt = c.now + due.latency
 			c.sends[a.Backend] = append(c.sends[a.Backend], sentAttempt{c.now, work})
 			c.inFlight[a.Backend]++
-			i, _ := slices.BinarySearchFunc(c.answers, due, func(x, y pendingAnswer) int { return cmp.Compare(x.dueAt, y.dueAt+1) })
+			i, _ := slices.BinarySearchFunc(c.answers, due,
+				func(x, y pendingAnswer) int { return cmp.Compare(x.dueAt, y.dueAt+1) })
 			c.answers = slices.Insert(c.answers, i, due)
 		case balancer.Refuse:
 			c.refused++
--- a/balancer/message_test.go
+++ b/balancer/message_test.go
@@ -29,7 +29,8 @@
 	m.drained = true
 	if more := m.encode(now, unit); len(more) != len(data)+1 || len(more) > maxMessageSize {
 		t.Errorf("%d bytes", len(more))
-	} else if again, ok := decode(more, now, unit); !ok || !again.drained || got.drained || len(again.observations) != len(got.observations) {
+	} else if again, ok := decode(more, now, unit); !ok || !again.drained || got.drained ||
+		len(again.observations) != len(got.observations) {
 		t.Errorf("got %v %+v", ok, again)
 	}
 	for _, n := range got.observations {
@@ -42,7 +43,8 @@
 
 func TestMessageMalformed(t *testing.T) {
 	nan := gossipMessage{demand: math.NaN()}.encode(0, time.Second)
-	for _, data := range [][]byte{nil, {1}, make([]byte, headerSize-1), nan, gossipMessage{latencyRatio: -1}.encode(0, time.Second)} {
+	for _, data := range [][]byte{nil, {1}, make([]byte, headerSize-1), nan,
+		gossipMessage{latencyRatio: -1}.encode(0, time.Second)} {
 		if m, ok := decode(data, 0, time.Second); ok {
 			t.Errorf("%v was read as %+v", data, m)
 		}
--- a/balancer/observations_test.go
+++ b/balancer/observations_test.go
@@ -23,7 +23,8 @@
 	for i := range 3 * maxObservations {
 		l.add(observation{key: uint32(i)})
 	}
-	if len(l.recent) != maxObservations || l.recent[0].key != 2*maxObservations || l.recent[maxObservations-1].key != 3*maxObservations-1 {
+	if len(l.recent) != maxObservations || l.recent[0].key != 2*maxObservations ||
+		l.recent[maxObservations-1].key != 3*maxObservations-1 {
 		t.Errorf("%d observations, from %d to %d", len(l.recent), l.recent[0].key, l.recent[len(l.recent)-1].key)
 	}
 	sent := 0
--- a/balancer/overrides_test.go
+++ b/balancer/overrides_test.go
@@ -231,7 +231,8 @@
 	room := func(name string) (n int) {
 		for i := range 40 {
 			id := fmt.Sprint(name, i)
-			quiet.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, ClientRetry: true}) // adds no demand
+			quiet.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms,
+				ClientRetry: true}) // adds no demand
 			n += len(quiet.sent[id])
 		}
 		for i := range n {
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -46,7 +46,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		decides := !strings.HasSuffix(name, "_test.go") && !slices.Contains(interfaces, name) && !strings.Contains(string(text), "Nothing is decided here.")
+		decides := !strings.HasSuffix(name, "_test.go") && !slices.Contains(interfaces, name) &&
+			!strings.Contains(string(text), "Nothing is decided here.")
 		if decides != policy[name] {
 			t.Errorf("%s: decides %v, named as policy %v", name, decides, policy[name])
 		}
--- a/balancer/proximity_test.go
+++ b/balancer/proximity_test.go
@@ -17,9 +17,11 @@
 		slow   map[int]time.Duration
 		ok     func(own, near, far float64) bool
 	}{
-		"no price":    {func(s *balancer.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
-		"a price":     {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, nil, func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
-		"a slow zone": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, map[int]time.Duration{0: 8 * ms}, func(own, near, far float64) bool { return own < 0.45 }},
+		"no price": {func(s *balancer.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
+		"a price": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, nil,
+			func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
+		"a slow zone": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, map[int]time.Duration{0: 8 * ms},
+			func(own, near, far float64) bool { return own < 0.45 }},
 		"regions": {func(s *balancer.Settings) {
 			s.CrossZoneCost, s.CrossRegionCost, s.Regions = 0.03, 0.12, []int{0, 0, 1}
 		}, nil, func(own, near, far float64) bool { return own > 0.6 && far < near/2 && far > 0 }},
@@ -31,7 +33,8 @@
 			clear(z.first)
 			z.run(20 * time.Second)
 			sum := float64(z.first[0] + z.first[1] + z.first[2])
-			if own, near, far := float64(z.first[0])/sum, float64(z.first[1])/sum, float64(z.first[2])/sum; !c.ok(own, near, far) {
+			own, near, far := float64(z.first[0])/sum, float64(z.first[1])/sum, float64(z.first[2])/sum
+			if !c.ok(own, near, far) {
 				t.Errorf("own zone %.2f, near %.2f, far %.2f", own, near, far)
 			}
 		})
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -35,7 +35,8 @@
 				switch a := a.(type) {
 				case balancer.Send:
 					if !table.Permits(rule[a.Request], zone[a.Backend]) {
-						d.Fatalf("%s of rule %d went to %s in zone %d: %v", a.Request, rule[a.Request], a.Backend, zone[a.Backend], table)
+						d.Fatalf("%s of rule %d went to %s in zone %d: %v", a.Request, rule[a.Request], a.Backend,
+							zone[a.Backend], table)
 					}
 				case balancer.Refuse:
 					answered[a.Request] = true
@@ -50,7 +51,8 @@
 			default:
 				id := fmt.Sprint("q", i)
 				rule[id] = rapid.IntRange(0, rules+1).Draw(d, "rule") // one more than the table has
-				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"), TimeRemaining: 2000 * ms, ResidencyRule: rule[id]}))
+				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"),
+					TimeRemaining: 2000 * ms, ResidencyRule: rule[id]}))
 			case 4, 5, 6: // an attempt ends, with any result
 				ids := make([]string, 0, len(r.sent))
 				for id := range r.sent {
@@ -63,12 +65,14 @@
 					n := len(r.sent[id]) - 1
 					res := balancer.Result(rapid.IntRange(0, 5).Draw(d, "result"))
 					answered[id] = answered[id] || res == balancer.OK
-					check(r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res, Latency: 50 * ms, Done: res == balancer.OK}))
+					check(r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
+						Latency: 50 * ms, Done: res == balancer.OK}))
 				}
 			case 7:
 				check(r.advance(time.Duration(rapid.IntRange(1, 900).Draw(d, "ms")) * ms))
 			case 8: // another policy
-				table = &gate.Table{Generation: table.Generation + 1, Permitted: make([][]bool, rules), Restricted: make([]bool, rules)}
+				table = &gate.Table{Generation: table.Generation + 1, Permitted: make([][]bool, rules),
+					Restricted: make([]bool, rules)}
 				for n := range rules {
 					table.Restricted[n] = rapid.Bool().Draw(d, "bound")
 					table.Permitted[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
@@ -96,7 +100,8 @@
 }
 
 func residencyOf(zones ...bool) balancer.Residency {
-	return balancer.Residency{Table: &gate.Table{Generation: 1, Permitted: [][]bool{nil, zones}, Restricted: []bool{false, true}}}
+	return balancer.Residency{Table: &gate.Table{Generation: 1, Permitted: [][]bool{nil, zones},
+		Restricted: []bool{false, true}}}
 }
 
 // A bound request without a permitted backend is refused at once, with the reason.
@@ -140,7 +145,8 @@
 			open = append(open, id)
 			if i%4 == 0 {
 				id = fmt.Sprint("b", i)
-				for _, a := range r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: rule}) {
+				for _, a := range r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms,
+					ResidencyRule: rule}) {
 					if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 						refused++
 					}
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -23,7 +23,8 @@
 
 func settings() balancer.Settings {
 	class := func(e balancer.Idempotency, g balancer.IdempotencyScope) balancer.Class {
-		return balancer.Class{LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: e, Scope: g, DedupWindow: 300 * ms}
+		return balancer.Class{LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: e,
+			Scope: g, DedupWindow: 300 * ms}
 	}
 	return balancer.Settings{
 		Balancers: 1, MaxAttempts: 4, Tick: 5 * ms,
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -95,7 +95,8 @@
 		r := busyAgent(t, 2)
 		if l != nil {
 			r.step(balancer.Restore{Snapshot: *l})
-			if again := r.b.Snapshot(); again.LatencyRatio != l.LatencyRatio || again.LimitPerBackend != l.LimitPerBackend || math.Abs(again.Demand/l.Demand-1) > 0.1 {
+			if again := r.b.Snapshot(); again.LatencyRatio != l.LatencyRatio ||
+				again.LimitPerBackend != l.LimitPerBackend || math.Abs(again.Demand/l.Demand-1) > 0.1 {
 				t.Errorf("handed on %+v, gone on from %+v", *l, again)
 			}
 		}
@@ -109,8 +110,10 @@
 	for name, l := range map[string]balancer.Snapshot{
 		"nothing":       {},
 		"other classes": {LimitPerBackend: 6, Latency: []float64{1}},
-		"no numbers":    {LimitPerBackend: math.NaN(), LatencyRatio: math.Inf(1), PeakThroughput: math.NaN(), Demand: -1, Latency: told.Latency, PeerDemand: told.PeerDemand},
-		"huge":          {LimitPerBackend: 1e300, PeakThroughput: 1e300, Demand: 1e300, Latency: told.Latency, PeerDemand: told.PeerDemand},
+		"no numbers": {LimitPerBackend: math.NaN(), LatencyRatio: math.Inf(1), PeakThroughput: math.NaN(),
+			Demand: -1, Latency: told.Latency, PeerDemand: told.PeerDemand},
+		"huge": {LimitPerBackend: 1e300, PeakThroughput: 1e300, Demand: 1e300, Latency: told.Latency,
+			PeerDemand: told.PeerDemand},
 	} {
 		r := busyAgent(t, 2)
 		r.step(balancer.Restore{Snapshot: l})
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -36,7 +36,8 @@
 			firsts[id]++
 		}
 		for id := range used { // all of these die
-			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: id, State: balancer.Removed}}})
+			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
+				Backends: []balancer.Backend{{ID: id, State: balancer.Removed}}})
 		}
 		r.request("next", idempotent)
 		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
@@ -61,7 +62,8 @@
 		for n := range 60 {
 			id := fmt.Sprint("turned", n)
 			r.request(id, idempotent)
-			r.step(balancer.Outcome{Request: id, Backend: r.sent[id][0], Result: balancer.Rejected, Latency: ms, NewConnection: fresh})
+			r.step(balancer.Outcome{Request: id, Backend: r.sent[id][0], Result: balancer.Rejected, Latency: ms,
+				NewConnection: fresh})
 			r.advance(100 * ms)
 		}
 		return r.burst("after", 20*ms), len(r.serve(100, idempotent, 20*ms))
