--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -33,7 +33,7 @@
 			b.queue.skip(req)
 		}
 	}
-	b.queue.newestFirst(b.keepOrRefuse)
+	b.queue.newestFirst(b.waitOrRefuse)
 }
 
 // admissionValue is what sending a queued request now adds to the operator's goal, per unit of work.
@@ -52,9 +52,9 @@
 	return value
 }
 
-// keepOrRefuse refuses a queued request that is a client's retry, can't be answered within its objective, or has no
+// waitOrRefuse refuses a queued request that is a client's retry, can't be answered within its objective, or has no
 // permitted backend. Any other keeps waiting, until its timer at the latest.
-func (b *Balancer) keepOrRefuse(req *request) {
+func (b *Balancer) waitOrRefuse(req *request) {
 	margin := min(queueMargin*b.expectedLatency(req), maxQueueMargin*float64(b.classes[req.class].LatencyObjective))
 	giveUpAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
 	if b.residencyBound(req) {
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -94,9 +94,9 @@
 type BackendState uint8
 
 const (
-	Up       BackendState = iota
-	Draining              // finishes its work and gets no new requests
-	Removed               // no longer listed
+	Up       BackendState = iota // gets new requests
+	Draining                     // finishes its work and gets no new requests
+	Removed                      // no longer listed
 )
 
 // Backend is one entry of the endpoint list.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -69,7 +69,7 @@
 		poll: endpointPoll{interval: s.PollInterval},
 		byID: map[string]*backendState{}, byGossipKey: map[uint32]*backendState{}, requests: map[string]*request{},
 		requestTimers: map[int64]*request{}, overdueTimers: map[int64]*attempt{}}
-	b.maxObjective = b.classes.longestObjective()
+	b.maxObjective = b.classes.maxObjective()
 	b.demand = newDemandEstimate(b.maxObjective)
 	b.peers = newPeerTable(s.Balancers, s.Self, b.maxObjective)
 	return b, nil
@@ -140,7 +140,7 @@
 	delete(b.requestTimers, token)
 	switch {
 	case token == 0:
-	case b.poll.due(token):
+	case b.poll.isTimer(token):
 		b.actions = append(b.actions, Subscribe{})
 	case token == b.gossipTimer:
 		b.gossip()
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -10,7 +10,7 @@
 // candidates keeps the best backends offered so far.
 type candidates struct {
 	remaining                  int           // idle backends that may still be offered
-	idle, leastLoaded, ejected *backendState // the best of each sort; nil: none
+	idle, busy, ejected        *backendState // the best of each sort; nil: none
 	totalWeight                float64       // of the idle ones
 	lowestScore, lowestPenalty float64       // of the other two
 }
@@ -35,7 +35,7 @@
 // offerBusy offers a backend with outstanding attempts. The lowest score is chosen.
 func (c *candidates) offerBusy(backend *backendState, score float64) {
 	if score < c.lowestScore {
-		c.leastLoaded, c.lowestScore = backend, score
+		c.busy, c.lowestScore = backend, score
 	}
 }
 
@@ -48,4 +48,4 @@
 
 // best returns an idle backend if there is one, else the least loaded one, else an ejected one: if all are ejected, a
 // first attempt is sent all the same. nil: there is none.
-func (c *candidates) best() *backendState { return cmp.Or(c.idle, c.leastLoaded, c.ejected) }
+func (c *candidates) best() *backendState { return cmp.Or(c.idle, c.busy, c.ejected) }
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -92,12 +92,12 @@
 	return t
 }
 
-// longestObjective is the longest latency objective of all classes.
-func (t classTable) longestObjective() (longest time.Duration) {
+// maxObjective is the longest latency objective of all classes.
+func (t classTable) maxObjective() (objective time.Duration) {
 	for i := range t {
-		longest = max(longest, t[i].LatencyObjective)
+		objective = max(objective, t[i].LatencyObjective)
 	}
-	return longest
+	return objective
 }
 
 // decay makes older requests count less. It is called for each request, so that the last few hundred count.
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -76,7 +76,7 @@
 	if classes.recomputeValues(s); classes[0].marginalValue <= 0 || classes[1].marginalValue != 0 {
 		t.Errorf("values %v and %v, want one for the worst class alone", classes[0].marginalValue, classes[1].marginalValue)
 	}
-	if !classes.lowestPriority(0) || classes.lowestPriority(1) || classes.longestObjective() != objective {
+	if !classes.lowestPriority(0) || classes.lowestPriority(1) || classes.maxObjective() != objective {
 		t.Error("the lowest priority or the longest objective is wrong")
 	}
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -30,9 +30,9 @@
 	return time.Duration(draw * unit * math.Exp2(float64(min(p.failures, 4))))
 }
 
-// schedule notes the timer of the next poll; due reports whether a timer is that, and forgets it.
+// schedule notes the timer of the next poll; isTimer reports whether a timer is that, and forgets it.
 func (p *endpointPoll) schedule(token int64) { p.timer = token }
-func (p *endpointPoll) due(token int64) bool {
+func (p *endpointPoll) isTimer(token int64) bool {
 	if token != p.timer {
 		return false
 	}
--- a/balancer/endpoints_unit_test.go
+++ b/balancer/endpoints_unit_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("after %d failures the next poll is in %v, want %v", n+1, got, want*time.Second)
 		}
 	}
-	if p.schedule(7); p.due(6) || !p.due(7) || p.due(7) {
+	if p.schedule(7); p.isTimer(6) || !p.isTimer(7) || p.isTimer(7) {
 		t.Error("the timer of a poll is not due once")
 	}
 	if p.succeed(); p.retryDelay(0.5) != time.Second {
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -37,7 +37,7 @@
 		return
 	}
 	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
-		if lost>>i&1 == 0 || z.failedOver || z.answeredWithin(b.now, time.Duration(b.classes[0].latency)) {
+		if lost>>i&1 == 0 || z.failedOver || z.answeredRecently(b.now, time.Duration(b.classes[0].latency)) {
 			continue
 		}
 		z.recordReport(from, b.now, b.now-b.maxObjective) // another zone must have answered since
--- a/balancer/failoverstate.go
+++ b/balancer/failoverstate.go
@@ -40,13 +40,13 @@
 func (f *failoverState) backoff() float64 { return math.Exp2(f.backoffExponent - 1) }
 
 // probeInterval is the mean time in ns between two health checks of one of so many agents.
-func (f *failoverState) probeInterval(longestObjective time.Duration, agents int) float64 {
-	return float64(longestObjective) * f.backoff() / 2 * max(1, float64(agents)/probesPerObjective)
+func (f *failoverState) probeInterval(maxObjective time.Duration, agents int) float64 {
+	return float64(maxObjective) * f.backoff() / 2 * max(1, float64(agents)/probesPerObjective)
 }
 
-// scheduleProbe notes the timer of the next health check; probeDue reports whether a timer is that.
-func (f *failoverState) scheduleProbe(token int64) { f.probeTimer = token }
-func (f *failoverState) probeDue(token int64) bool { return f.failedOver && f.probeTimer == token }
+// scheduleProbe notes the timer of the next health check; isProbeTimer reports whether a timer is that.
+func (f *failoverState) scheduleProbe(token int64)     { f.probeTimer = token }
+func (f *failoverState) isProbeTimer(token int64) bool { return f.failedOver && f.probeTimer == token }
 
 // allowCanary lets one request go to the zone in place of a health check; takeCanary notes that it was sent.
 func (f *failoverState) allowCanary() { f.canary = true }
@@ -54,11 +54,11 @@
 
 // recordProbe counts a health check, or the answer of a request, and reports whether the zone should recover. Late
 // answers count, too, but a zone that stalls and resumes must not fail over and recover by turns.
-func (f *failoverState) recordProbe(ok bool, now, longestObjective time.Duration) bool {
+func (f *failoverState) recordProbe(ok bool, now, maxObjective time.Duration) bool {
 	if f.consecutiveSuccesses++; !ok {
 		f.consecutiveSuccesses = 0
 	}
-	minSpan := time.Duration(minFailOverObjectives * float64(longestObjective) * f.backoff())
+	minSpan := time.Duration(minFailOverObjectives * float64(maxObjective) * f.backoff())
 	return f.consecutiveSuccesses >= recoveryProbes && now-f.failedOverAt >= minSpan
 }
 
@@ -66,14 +66,14 @@
 func (f *failoverState) recover(now time.Duration) { f.failedOver, f.recoveryStartedAt = false, now }
 
 // trafficShare is the share of its usual traffic that the zone may get now: 0 while failed over, then along a ramp.
-func (f *failoverState) trafficShare(now, longestObjective time.Duration) float64 {
+func (f *failoverState) trafficShare(now, maxObjective time.Duration) float64 {
 	switch {
 	case f.failedOver:
 		return 0
 	case f.recoveryStartedAt == 0:
 		return 1
 	}
-	ramp := recoveryObjectives * float64(longestObjective) * f.backoff()
+	ramp := recoveryObjectives * float64(maxObjective) * f.backoff()
 	share := initialTrafficShare + float64(now-f.recoveryStartedAt)/ramp
 	if share >= 1 {
 		f.recoveryStartedAt = 0
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -52,8 +52,8 @@
 // anyReenabled reports whether a backend was re-enabled lately.
 func (o *overrides) anyReenabled() bool { return len(o.reenabledAt) > 0 }
 
-// reenabledWithin reports whether a backend was re-enabled within the span.
-func (o *overrides) reenabledWithin(id string, now, span time.Duration) bool {
+// recentlyReenabled reports whether a backend was re-enabled within the span.
+func (o *overrides) recentlyReenabled(id string, now, span time.Duration) bool {
 	at, reenabled := o.reenabledAt[id]
 	return reenabled && now-at < span
 }
--- a/balancer/overrides_unit_test.go
+++ b/balancer/overrides_unit_test.go
@@ -40,9 +40,9 @@
 		!o.reenabledBefore("a", time.Hour+1) || !o.reenabledBefore("b", 1) {
 		t.Error("the time of being re-enabled is not kept")
 	}
-	if !o.reenabledWithin("a", time.Hour+time.Second-1, time.Second) ||
-		o.reenabledWithin("a", time.Hour+time.Second, time.Second) ||
-		o.reenabledWithin("b", time.Hour, time.Second) {
+	if !o.recentlyReenabled("a", time.Hour+time.Second-1, time.Second) ||
+		o.recentlyReenabled("a", time.Hour+time.Second, time.Second) ||
+		o.recentlyReenabled("b", time.Hour, time.Second) {
 		t.Error("the span does not end when it should")
 	}
 	got := o.apply([]Backend{{ID: "a", Started: time.Minute}, {ID: "b", Started: time.Minute}}, time.Hour+window, window)
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -30,7 +30,7 @@
 	if b.overrides.anyReenabled() {
 		idempotency := b.classes[req.class].Idempotency
 		for _, backend := range b.backends {
-			if !b.overrides.reenabledWithin(backend.ID, b.now, reinstatePreference) || backend.answeredSinceStart {
+			if !b.overrides.recentlyReenabled(backend.ID, b.now, reinstatePreference) || backend.answeredSinceStart {
 				continue
 			}
 			if backend.State == Up && backend != req.lastFailed && backend.idle() && !backend.rejecting(b.now) &&
--- a/balancer/sequentialtest.go
+++ b/balancer/sequentialtest.go
@@ -93,8 +93,8 @@
 // answeredSince reports whether there was an answer at or after the given time.
 func (t *sequentialTest) answeredSince(at time.Duration) bool { return t.lastAnswerAt >= at }
 
-// answeredWithin reports whether the latest answer is younger than the span.
-func (t *sequentialTest) answeredWithin(now, span time.Duration) bool {
+// answeredRecently reports whether the latest answer is younger than the span.
+func (t *sequentialTest) answeredRecently(now, span time.Duration) bool {
 	return now-t.lastAnswerAt < span
 }
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -41,10 +41,10 @@
 // an agent with little traffic, spread over all backends, would hear from each once a day and open a connection for
 // nearly every attempt. It keeps to as many as it revisits within a few objectives. This has no effect where
 // observations of peers tell about all backends.
-func (s *subset) size(backends int, longestObjective time.Duration, observed bool) int {
+func (s *subset) size(backends int, maxObjective time.Duration, observed bool) int {
 	if s.meanInterarrival == 0 || observed {
 		return backends
 	}
 	maxSize := subsetBase + subsetFraction*float64(backends)
-	return max(minSubset, int(min(s.scale*revisitObjectives*float64(longestObjective)/s.meanInterarrival, maxSize)))
+	return max(minSubset, int(min(s.scale*revisitObjectives*float64(maxObjective)/s.meanInterarrival, maxSize)))
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -45,7 +45,7 @@
 // byProbeTimer returns the failed-over zone whose next health check the timer is for, or nil.
 func (t zoneTable) byProbeTimer(token int64) *zone {
 	for _, z := range t {
-		if z.probeDue(token) {
+		if z.isProbeTimer(token) {
 			return z
 		}
 	}
