--- a/balancer/request.go
+++ b/balancer/request.go
@@ -4,31 +4,33 @@
 
 import "time"
 
+// attempt is one send of a request to a backend.
 type attempt struct {
 	backend       *backendState
 	zone, cell    int // at the time of sending: a later endpoint update may change them
 	sentAt        time.Duration
 	sendDeadline  time.Duration // its last byte must be sent by then; 0: no bound
-	expected      float64
-	open          bool
-	countedLate   bool // its latency was counted when it became overdue
-	countedSilent bool // its silence was counted against its zone
+	expected      float64       // latency, ns
+	open          bool          // without an outcome
+	countedLate   bool          // its latency was counted when it became overdue
+	countedSilent bool          // its silence was counted against its zone
 
 	occupying bool // counted in its backend's outstanding attempts
 	untimed   bool // the body arrived after the send, or the response is large: elapsed time tells nothing
 }
 
+// request is a client's request, from its arrival until it has its answer and all its attempts their outcome.
 type request struct {
 	id               string
 	class            int
 	objectiveAt      time.Duration // answers after this time earn less
-	deadline         time.Duration
-	work             float64 // expected work as announced, ns; 0: unknown
+	deadline         time.Duration // when the client stops waiting
+	work             float64       // expected work as announced, ns; 0: unknown
 	attempts         []*attempt
-	openAttempts     int      // attempts without an outcome
-	possiblyExecuted int      // attempts that may have executed, outstanding ones included
-	scopeAttempt     *attempt // the first of these: sets the idempotency scope and window
-	retries          int
+	openAttempts     int           // attempts without an outcome
+	possiblyExecuted int           // attempts that may have executed, outstanding ones included
+	scopeAttempt     *attempt      // the first of these: sets the idempotency scope and window
+	retries          int           // attempts after the first
 	lastFailed       *backendState // backend of the latest failed attempt
 	timer            int64         // token of its latest timer; earlier ones are void
 	affinityKey      uint64        // hash of the object it concerns; 0: unknown
