--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -15,9 +15,43 @@
 	unstable             []*backendState // backends to look at in each step, in the order in which they became unstable
 }
 
+// reset empties the totals that each step computes; what is in flight and the unstable backends stay.
+func (t *capacityTotals) reset() {
+	t.up, t.capacity, t.uncountedOutstanding, t.warmCapacity, t.warmOutstanding = 0, 0, 0, 0, 0
+}
+
+// addCapacity adds a number of backends of one warmth, with their outstanding attempts, in a zone with the given share
+// of its usual traffic. warm says that they are not in slow start.
+func (t *capacityTotals) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
+	if share == 0 {
+		t.uncountedOutstanding += outstanding
+		return
+	}
+	t.capacity += float64(backends) * warmth * share
+	if warm {
+		t.warmCapacity += float64(backends) * share
+		t.warmOutstanding += outstanding
+	}
+}
+
+// inUse is the number of attempts that count against the concurrency limit: those at backends that count in capacity.
+func (t *capacityTotals) inUse() int { return t.inFlight - t.uncountedOutstanding }
+
+// stableTotals are the stable backends of one zone.
+type stableTotals struct {
+	stableBackends    int // those that are counted from step to step
+	stableOutstanding int // attempts outstanding at these
+}
+
+// addStable adds backends with their outstanding attempts; negative numbers take them away.
+func (t *stableTotals) addStable(backends, outstanding int) {
+	t.stableBackends += backends
+	t.stableOutstanding += outstanding
+}
+
 // recomputeCapacity updates the totals of the backends that are up and neither ejected nor dead.
 func (b *Balancer) recomputeCapacity() {
-	b.up, b.capacity, b.uncountedOutstanding, b.warmCapacity, b.warmOutstanding = 0, 0, 0, 0, 0
+	b.capacityTotals.reset()
 	b.allZonesOpen = true
 	for _, z := range b.zones {
 		share := b.trafficShare(z)
@@ -28,22 +62,8 @@
 	}
 	unstable := b.unstable[:0]
 	for _, backend := range b.unstable {
-		warmth, z := b.warmth(backend), b.zone(backend)
-		used := backend.State == Up && backend.usable(b.now)
-		if backend.State == Up {
-			b.up++
-			z.up++
-		}
-		share := 0.0
-		if used {
-			share = b.trafficShare(z)
-		}
-		if b.addCapacity(1, len(backend.outstanding), warmth, share, !backend.warmingUp); !used || backend.warmingUp {
+		if !b.countUnstable(backend) {
 			unstable = append(unstable, backend)
-		} else {
-			backend.stable = true
-			z.stableBackends++
-			z.stableOutstanding += len(backend.outstanding)
 		}
 	}
 	clear(b.unstable[len(unstable):])
@@ -51,21 +71,25 @@
 	b.throughput.track(b.now, b.up)
 }
 
-// inUse is the number of attempts that count against the concurrency limit: those at backends that count in capacity.
-func (b *Balancer) inUse() int { return b.inFlight - b.uncountedOutstanding }
-
-// addCapacity adds a number of backends of one warmth, with their outstanding attempts, in a zone with the given share
-// of its usual traffic.
-func (b *Balancer) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
-	if share == 0 {
-		b.uncountedOutstanding += outstanding
-		return
+// countUnstable adds a backend that is not counted in its zone, and reports whether it is counted there from now on.
+func (b *Balancer) countUnstable(backend *backendState) (stable bool) {
+	warmth, z := b.warmth(backend), b.zone(backend)
+	used := backend.State == Up && backend.usable(b.now)
+	if backend.State == Up {
+		b.up++
+		z.up++
 	}
-	b.capacity += float64(backends) * warmth * share
-	if warm {
-		b.warmCapacity += float64(backends) * share
-		b.warmOutstanding += outstanding
+	share := 0.0
+	if used {
+		share = b.trafficShare(z)
+	}
+	b.addCapacity(1, len(backend.outstanding), warmth, share, !backend.warmingUp)
+	if !used || backend.warmingUp {
+		return false
 	}
+	backend.stable = true
+	z.addStable(1, len(backend.outstanding))
+	return true
 }
 
 // markUnstable makes each step look at a backend again. It must be called before its state or zone changes.
@@ -74,9 +98,7 @@
 		return
 	}
 	backend.stable = false
-	z := b.zone(backend)
-	z.stableBackends--
-	z.stableOutstanding -= len(backend.outstanding)
+	b.zone(backend).addStable(-1, -len(backend.outstanding))
 	b.unstable = append(b.unstable, backend)
 }
 
@@ -91,6 +113,6 @@
 	}
 	b.inFlight += delta
 	if backend.stable {
-		b.zone(backend).stableOutstanding += delta
+		b.zone(backend).addStable(0, delta)
 	}
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -8,13 +8,12 @@
 type zone struct {
 	sequentialTest
 	failoverState
-	number            int
-	up                int           // its backends in state Up
-	stableBackends    int           // those that are counted here from step to step
-	stableOutstanding int           // attempts outstanding at these
-	rtt               time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
-	reservedUntil     time.Duration // requests that may go elsewhere avoid the zone until then
-	latencyRatio      float64       // moving average of the latency of its answers, relative to the expected latency
+	stableTotals
+	number        int
+	up            int           // its backends in state Up
+	rtt           time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
+	reservedUntil time.Duration // requests that may go elsewhere avoid the zone until then
+	latencyRatio  float64       // moving average of the latency of its answers, relative to the expected latency
 }
 
 // recordLatency adds the latency of an answer, relative to the expected latency.
