--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,8 +6,6 @@
 	"cmp"
 	"math/rand/v2"
 	"time"
-
-	"martenbeam/internal/residency/gate"
 )
 
 // Balancer decides for one agent. Use New; see the package comment.
@@ -47,12 +45,12 @@
 	assignedQuota float64 // assigned by the fleet; 0: none
 
 	// Zones and peers.
-	zones          zoneTable
-	allZonesOpen   bool        // no zone is failed over or recovering
-	residencyTable *gate.Table // nil: no policy received
-	peers          peerTable
-	observations   observationLog
-	gossipTimer    int64 // token of the timer of the next gossip round; 0: none yet
+	zones        zoneTable
+	allZonesOpen bool // no zone is failed over or recovering
+	residency    residencyPolicy
+	peers        peerTable
+	observations observationLog
+	gossipTimer  int64 // token of the timer of the next gossip round; 0: none yet
 }
 
 // New returns a balancer without any state. All its random choices come from seed. The error names the first setting
@@ -115,7 +113,7 @@
 	case ZoneLatencies:
 		b.onZoneLatencies(event)
 	case Residency:
-		b.residencyTable = event.Table
+		b.residency = residencyPolicy{event.Table}
 	case Disable:
 		b.onDisable(event)
 	case Enable:
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -6,6 +6,8 @@
 import (
 	"slices"
 	"time"
+
+	"martenbeam/internal/residency/gate"
 )
 
 const (
@@ -14,16 +16,28 @@
 	reservationObjectives = 2.0   // longest objectives for which other requests avoid the zones of a bound request
 )
 
+// residencyPolicy is the policy in force. The zero value permits nothing to a request with a rule.
+type residencyPolicy struct {
+	table *gate.Table // nil: no policy received
+}
+
+// permits reports whether a rule (0: none) permits a zone.
+func (p residencyPolicy) permits(rule, zone int) bool {
+	return rule == 0 || p.table != nil && p.table.Permits(rule, zone)
+}
+
+// binds reports whether requests of a rule (0: none) may be served in some zones only. An unknown rule binds.
+func (p residencyPolicy) binds(rule int) bool {
+	return rule != 0 && (p.table == nil || rule >= len(p.table.Permitted) || p.table.Restricted[rule])
+}
+
 // permits is the check that every send passes, through mayAttempt: first attempts, retries and hedged requests alike.
 func (b *Balancer) permits(req *request, zone int) bool {
-	return req.residencyRule == 0 || b.residencyTable != nil && b.residencyTable.Permits(req.residencyRule, zone)
+	return b.residency.permits(req.residencyRule, zone)
 }
 
 // residencyBound reports whether a request may be served in some zones only.
-func (b *Balancer) residencyBound(req *request) bool {
-	rule, table := req.residencyRule, b.residencyTable
-	return rule != 0 && (table == nil || rule >= len(table.Permitted) || table.Restricted[rule])
-}
+func (b *Balancer) residencyBound(req *request) bool { return b.residency.binds(req.residencyRule) }
 
 // hasPermittedBackend reports whether a backend that is up may serve the request. A request without one is refused at
 // once.
