--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -44,6 +44,7 @@
 }
 
 func newZoneRig(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoneRig {
+	t.Helper()
 	z := &zoneRig{silent: map[int]bool{}, answerAt: map[string]time.Duration{},
 		clientDeadline: map[string]time.Duration{}, first: map[int]int{}}
 	for i := range 9 {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -45,6 +45,7 @@
 }
 
 func newAgentFleet(t *testing.T, s balancer.Settings, agents int, seed uint64, list []balancer.Backend) *agentFleet {
+	t.Helper()
 	c := &agentFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, sends: map[string][]sentAttempt{},
 		inFlight: map[string]int{}}
 	s.Balancers = agents
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -35,6 +35,7 @@
 
 // busyAgent is an agent that has nearly all the traffic of a fleet of twenty.
 func busyAgent(t *testing.T, seed uint64) *rig {
+	t.Helper()
 	s := settings()
 	s.Balancers, s.GossipAllowed = 20, true
 	return newRig(t, s, seed, backends(4))
