--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -63,16 +63,16 @@
 		spec.Load.Rate = f.Rate
 	}
 	if f.Duration != 0 {
-		spec.Stretch(f.Duration)
+		spec.SetDuration(f.Duration)
 	}
 	if f.Isolated && f.Hubs > 0 {
 		return fmt.Errorf("--apart, --hubs: agents that share nothing have no hubs")
 	}
 	if f.Isolated {
-		spec.Apart()
+		spec.DisableSharing()
 	}
 	if f.Hubs >= 0 {
-		spec.WithHubs(f.Hubs)
+		spec.SetHubs(f.Hubs)
 	}
 	return spec.Check()
 }
@@ -272,7 +272,7 @@
 		if err := json.Unmarshal([]byte(line), &request); err != nil {
 			return usageError{fmt.Errorf("%s:%d: %w", c.File, n, err)}
 		}
-		if request.ID == c.ID || request.First == c.ID {
+		if request.ID == c.ID || request.FirstID == c.ID {
 			lab.WriteHistory(o.stdout, &request)
 			found = true
 		}
--- /dev/null
+++ b/internal/agent/clientconn/read.go
@@ -0,0 +1,174 @@
+package clientconn
+
+// This file reads the socket into the connection's buffer, and hands the buffer to net/http.
+
+import (
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"martenbeam/internal/tcpinfo"
+)
+
+// errOverflowed is the server's next read error after bytes have been dropped: what follows them can't be parsed.
+var errOverflowed = errors.New("the client sends more than one request at a time")
+
+// hangUpCheckInterval is how often the kernel is asked whether a client has disconnected while its bytes lie unread.
+const hangUpCheckInterval = 25 * time.Millisecond
+
+// readLoop reads the socket until its end.
+func (c *Conn) readLoop() {
+	buffer := make([]byte, readBufferSize)
+	var retry ioRetry
+	for {
+		n, err := c.Conn.Read(buffer)
+		if n == 0 && retry.shouldRetry(err) {
+			continue
+		}
+		if !c.store(buffer[:n], err) {
+			return
+		}
+	}
+}
+
+// store buffers what one read returned, and waits until there is space for more. It reports false after the last read.
+func (c *Conn) store(p []byte, err error) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(p) > 0 && !c.closing && !c.overflowed {
+		c.overflowed = c.responsePending && len(c.readAhead)+len(p) > maxReadAhead
+		if !c.overflowed {
+			c.readAhead = append(c.readAhead, p...)
+			c.lastByteAt = time.Now().Add(-c.queuedBeforeAccept())
+			c.markRequestStart()
+		}
+	}
+	if err != nil {
+		c.readDone = true
+		c.stopReading(err)
+		if c.closing {
+			c.Conn.Close()
+		}
+		return false
+	}
+	c.changed.Broadcast()
+	for len(c.readAhead) >= readBufferSize && !c.closing && !c.responsePending {
+		c.waitForSpace()
+	}
+	return true
+}
+
+// waitForSpace waits for a change, at most hangUpCheckInterval, and then checks whether the client has disconnected: no
+// read would show it, since the loop does not read meanwhile. The caller holds mu.
+func (c *Conn) waitForSpace() {
+	check := time.AfterFunc(hangUpCheckInterval, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.changed.Broadcast()
+	})
+	defer check.Stop()
+	c.changed.Wait()
+	if tcpinfo.PeerClosed(c.Conn) {
+		c.cancelCtx()
+	}
+}
+
+// queuedBeforeAccept is how long the connection's first bytes lay in the kernel before it was accepted, as far as that
+// is known; 0 for all later bytes. The caller holds mu.
+func (c *Conn) queuedBeforeAccept() time.Duration {
+	q, ok := c.Conn.(interface{ Queued() time.Duration })
+	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
+		return 0
+	}
+	return min(q.Queued(), tcpinfo.SinceLastData(c.Conn))
+}
+
+// markRequestStart notes when the first byte of a request arrived. The caller holds mu.
+func (c *Conn) markRequestStart() {
+	if !c.responsePending && c.firstByteAt.IsZero() {
+		c.firstByteAt = time.Now()
+	}
+}
+
+// stopReading makes err the end of what the server reads, unless there is one already. The caller holds mu.
+func (c *Conn) stopReading(err error) {
+	if c.readErr == nil {
+		c.readErr = err
+	}
+	c.cancelCtx()
+	c.changed.Broadcast()
+}
+
+// Read hands net/http what is buffered, and waits while nothing is. Of a client that has disconnected only a first
+// request is still handed out: nobody would read the response to a later one.
+func (c *Conn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for {
+		switch {
+		case !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline):
+			return 0, os.ErrDeadlineExceeded
+		case c.readErr != nil && (len(c.readAhead) == 0 || c.responsePending || c.responses > 0 || c.closing):
+			return 0, c.readErr
+		case len(c.readAhead) > 0:
+			n := copy(p, c.readAhead)
+			c.readAhead = c.readAhead[n:]
+			if len(c.readAhead) == 0 {
+				c.readAhead = nil
+			}
+			c.observe(p[:n])
+			c.changed.Broadcast()
+			return n, nil
+		case c.overflowed:
+			return 0, errOverflowed
+		}
+		c.changed.Wait()
+	}
+}
+
+// SetReadDeadline bounds the server's reads; zero: no bound. The read loop's are not bounded by it.
+func (c *Conn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readDeadline = t
+	switch {
+	case t.IsZero():
+		if c.deadlineTimer != nil {
+			c.deadlineTimer.Stop()
+		}
+	case c.deadlineTimer == nil:
+		c.deadlineTimer = time.AfterFunc(time.Until(t), func() {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.changed.Broadcast()
+		})
+	default:
+		c.deadlineTimer.Reset(time.Until(t))
+	}
+	c.changed.Broadcast()
+	return nil
+}
+
+// SetDeadline bounds the server's reads and writes.
+func (c *Conn) SetDeadline(t time.Time) error {
+	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
+}
+
+// hasUnreadBytes reports whether bytes lie in a connection's receive buffer in the kernel.
+func hasUnreadBytes(c net.Conn) bool {
+	s, ok := c.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := s.SyscallConn()
+	if err != nil {
+		return false
+	}
+	n := 0
+	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for the read loop, which is in a read of its own
+		n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return err == nil && n > 0
+}
--- /dev/null
+++ b/internal/agent/discovery/event.go
@@ -0,0 +1,144 @@
+package discovery
+
+// This file applies what arrives by the streams: signs of life, lists and ends.
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"martenbeam/balancer"
+)
+
+// handleEvent applies one event of a stream.
+func (w *Watcher) handleEvent(event watchEvent) {
+	stream := event.stream
+	if stream != w.current && !slices.Contains(w.opening, stream) {
+		return // cancelled
+	}
+	switch {
+	case event.err != nil:
+		w.handleEnd(event)
+		return
+	case event.requested:
+		stream.requested = true
+		return
+	}
+	previousReceivedAt := w.lastReceivedAt
+	stream.lastAliveAt = time.Now()
+	w.lastReceivedAt = stream.lastAliveAt
+	if stream.firstAliveAt.IsZero() {
+		stream.firstAliveAt, stream.overdue = stream.lastAliveAt, false
+	}
+	w.promote(stream, event.list != nil)
+	if event.list != nil {
+		w.applyList(stream, event.list, previousReceivedAt)
+	}
+}
+
+// promote makes a stream that has shown a sign of life the current one, if there is none or if it is confirmed, and
+// then ends the others. A stream is confirmed once it has had a list, or has been alive for so long that there is none
+// to send: until then another one may be the one that answers.
+func (w *Watcher) promote(stream *watchStream, hasList bool) {
+	confirmed := hasList || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
+	if stream != w.current && (confirmed || w.current == nil) {
+		w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == stream })
+		if w.current != nil {
+			w.cancelStreams(w.current)
+		}
+		w.current = stream
+	}
+	atPresentAddr := stream.addr == w.presentAddr()
+	if stream == w.current && confirmed && atPresentAddr && !stream.overdue {
+		w.cancelStreams(w.opening...)
+		w.opening = nil
+	}
+}
+
+// applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any
+// stream.
+func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousReceivedAt time.Time) {
+	w.failures = 0
+	w.backoff.Reset()
+	previousVersion := w.version
+	if !stream.receivedList && !list.Full && stream.addr == w.versionAddr && list.Version < previousVersion {
+		// These are changes up to a version that is already known: the stream before this one went on delivering after
+		// this one was opened. What follows is newer.
+		stream.receivedList = true
+		return
+	}
+	w.version, w.versionAddr = list.Version, stream.addr
+	if w.Record != nil || w.cfg.Sources != nil {
+		w.endpoints.merge(list, list.Full)
+	}
+	if w.Record != nil {
+		w.Record(stream.addr, w.endpoints.list(list.Version))
+	}
+	if w.cfg.Sources != nil {
+		w.publishList(stream, list, previousVersion)
+	}
+	stream.receivedList = true
+	kind := balancer.UpdateDelta
+	if list.Full {
+		kind = balancer.UpdateFull
+	}
+	maxAge := time.Duration(0)
+	if w.receivedList { // else nothing is known of how old the list's entries are
+		maxAge = time.Since(previousReceivedAt) + maxAnnounceDelay
+	}
+	w.receivedList = true
+	w.cfg.startTimes.measureOffset(stream.dateHeader)
+	w.cfg.Deliver(w.cfg.Translate(list, kind, maxAge))
+}
+
+// publishList hands a list on to the fleet.
+func (w *Watcher) publishList(stream *watchStream, list *EndpointList, previousVersion int64) {
+	if !stream.receivedList {
+		w.cfg.Sources.RecordAttempt(stream.source, time.Since(stream.openedAt), false, list.Version)
+	}
+	var change []byte
+	if !list.Full {
+		change = encodeList(list)
+	}
+	w.cfg.Sources.RecordUpdate(stream.source, previousVersion, list.Version, change, encodeList(w.endpoints.list(list.Version)))
+}
+
+// encodeList returns a list in discovery's JSON form.
+func encodeList(list *EndpointList) []byte {
+	text, err := json.Marshal(list)
+	if err != nil {
+		panic(err) // impossible: it was decoded from JSON
+	}
+	return text
+}
+
+// handleEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
+// watcher does so by itself.
+func (w *Watcher) handleEnd(event watchEvent) {
+	w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == event.stream })
+	if event.stream == w.current {
+		w.current = nil
+	}
+	if event.malformed {
+		w.versionAddr = "" // the complete list may be well-formed
+	}
+	if w.cfg.Sources != nil && !event.stream.receivedList {
+		w.cfg.Sources.RecordAttempt(event.stream.source, 0, true, w.version)
+	}
+	if event.stream.overdue {
+		return // its failure is already reported
+	}
+	w.reportFailure(event.err)
+	if !w.cfg.Polled && !w.hasServingStream() {
+		w.nextOpenAt = time.Now().Add(w.backoff.NextBackOff())
+	}
+}
+
+// reportFailure counts, logs and delivers a failure. Where the list is polled, the receiver retries with Subscribe.
+func (w *Watcher) reportFailure(err error) {
+	w.failures++
+	if w.failures == 1 || w.failures%20 == 0 { // not a line for every attempt during an outage
+		w.cfg.Log.Warn("discovery watch ended", "error", err, "failures", w.failures)
+	}
+	w.cfg.Deliver(Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFailed}})
+}
--- /dev/null
+++ b/internal/fleet/hub/publish.go
@@ -0,0 +1,191 @@
+// This file publishes what the hub knows: sums of its agents to the other hubs, sums of all hubs to its agents.
+
+package hub
+
+import (
+	"bytes"
+	"context"
+	"time"
+
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/hub/frame"
+	"martenbeam/internal/fleet/startup"
+)
+
+const (
+	publishInterval  = time.Second
+	suspendThreshold = time.Second // between two ticks: the process was suspended meanwhile
+	summaryInterval  = 10 * time.Second
+	maxLogged        = 20 // lagging agents in a log line
+)
+
+// publishLoop publishes to agents and to the other hubs every second until ctx ends, and to agents at the next tick
+// when something that they have to know at once has changed.
+func (s *Server) publishLoop(ctx context.Context) {
+	tick := time.NewTicker(gossip.TickInterval)
+	defer tick.Stop()
+	pub := publisher{name: s.cfg.Name, incarnation: s.cfg.Incarnation, startedAt: s.startedAt, trace: gossip.Trace{W: s.cfg.Trace}}
+	lastTickAt, publishedAt, summarizedAt := time.Now(), time.Time{}, time.Now()
+	var lagging []string
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		now := time.Now()
+		if now.Sub(lastTickAt) > suspendThreshold {
+			s.resetAfterSuspend(now)
+		}
+		lastTickAt = now
+		s.loadReports.Tick()
+		due := now.Sub(publishedAt) >= publishInterval
+		if due {
+			publishedAt = now
+			s.publishToHubs()
+			s.registry.expireRemote(now)
+			lagging = s.laggingAgents(now)
+		}
+		entries := s.sharedEntries(now)
+		if pub.changed(entries) || due {
+			s.publishToAgents(&pub, entries, s.latencyRows(), now)
+		}
+		if now.Sub(summarizedAt) >= summaryInterval {
+			summarizedAt = now
+			s.logSummary(now, lagging)
+		}
+	}
+}
+
+// resetAfterSuspend makes the hub start anew after its process was suspended: its agents have moved to other hubs
+// meanwhile, and what lies in their streams is old.
+func (s *Server) resetAfterSuspend(now time.Time) {
+	for _, a := range s.registry.clear() {
+		a.close()
+	}
+	s.evidence.reset(now)
+}
+
+// publishToHubs publishes the sums of this hub's agents to the other hubs.
+func (s *Server) publishToHubs() {
+	store := s.fleet.Gossip()
+	store.Publish(gossip.FleetSize, s.cfg.Name, s.localSize().MarshalBody())
+	for _, sum := range startup.Aggregate(s.loadReports.Entries(gossip.ListServiceLoad)) {
+		store.PublishAged(gossip.ListServiceLoad, "agents "+sum.Subject, sum.Body, sum.Age)
+	}
+}
+
+// sharedEntries returns the entries that all agents receive alike: the load of the list service, the fleet size, and
+// the versions of the documents that this hub holds.
+func (s *Server) sharedEntries(now time.Time) []gossip.Entry {
+	entries := startup.Aggregate(s.fleet.Gossip().Entries(gossip.ListServiceLoad))
+	size, age := s.fleetSize(now)
+	entries = append(entries, gossip.Entry{Kind: gossip.FleetSize, Subject: FleetSubject, Age: age, Body: size.MarshalBody()})
+	if document := s.cfg.Settings; document != nil {
+		if applied := document.Applied(); applied.Version > 0 {
+			entries = append(entries, gossip.Entry{Kind: document.GossipKind, Subject: document.Subject, Body: applied.MarshalBody()})
+		}
+	}
+	if document := s.cfg.Policy; document != nil {
+		if age, ok := s.cfg.PolicyAge(); ok && age <= s.cfg.AgeBounds[gossip.ResidencyVersion] {
+			body := document.Applied().MarshalBody()
+			entries = append(entries, gossip.Entry{Kind: document.GossipKind, Subject: document.Subject, Age: age, Body: body})
+		}
+	}
+	return entries
+}
+
+// latencyRows returns the latency row of each zone that attached agents are in, by zone.
+func (s *Server) latencyRows() map[string]gossip.Entry {
+	matrix := s.fleet.LatencyMatrix()
+	rows := map[string]gossip.Entry{}
+	for _, a := range s.registry.attachments() {
+		if _, known := rows[a.site]; known || a.site == "" {
+			continue
+		}
+		if body, age := matrix.Row(a.site, s.maxSourceAge(gossip.LatencyRow)); body != nil {
+			rows[a.site] = gossip.Entry{Kind: gossip.LatencyRow, Subject: a.site, Age: age, Body: body}
+		}
+	}
+	return rows
+}
+
+// publishToAgents sends each agent the shared entries and the latency row of its zone. Agents with the same row share
+// one encoding.
+func (s *Server) publishToAgents(pub *publisher, entries []gossip.Entry, rows map[string]gossip.Entry, now time.Time) {
+	frames := map[string][]byte{} // by the row's zone; "": without a row
+	for _, a := range s.registry.attachments() {
+		row, known := rows[a.site]
+		data := frames[row.Subject]
+		if data == nil {
+			own := entries[:len(entries):len(entries)]
+			if known {
+				own = append(own, row)
+			}
+			data = pub.encode(own, now)
+			frames[row.Subject] = data
+		}
+		a.enqueue(data)
+	}
+}
+
+// logSummary logs what the hub knows. lagging names agents that lack the latest settings, with the reason.
+func (s *Server) logSummary(now time.Time, lagging []string) {
+	size, _ := s.fleetSize(now)
+	s.cfg.Log.Info("hub summary", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting,
+		"gone", size.Dead, "refused", s.protocolErrors.Load())
+	if len(lagging) > 0 {
+		s.cfg.Log.Warn("agents lag behind settings", "version", s.currentSettings().Version, "agents", len(lagging),
+			"some", lagging[:min(len(lagging), maxLogged)])
+	}
+}
+
+// firstAgentSeq is the base of the sequence numbers of entries to agents. It sets them apart from the entries of the
+// same subjects that this process publishes to the other hubs.
+const firstAgentSeq = 1 << 32
+
+// publisher encodes the entries that a hub publishes to its agents. It belongs to one goroutine.
+type publisher struct {
+	name        string
+	incarnation uint64
+	startedAt   time.Time // origin of the clock in each message
+	trace       gossip.Trace
+	seq         uint64
+	lastBodies  map[gossip.Kind][]byte // of the last call of changed
+}
+
+// changed reports whether entries differ from those of the last call in what agents have to know at once: all but the
+// load of the list service, which they may learn at the next interval.
+func (p *publisher) changed(entries []gossip.Entry) bool {
+	bodies := map[gossip.Kind][]byte{}
+	for _, entry := range entries {
+		if entry.Kind != gossip.ListServiceLoad {
+			bodies[entry.Kind] = entry.Body
+		}
+	}
+	changed := len(bodies) != len(p.lastBodies)
+	for kind, body := range bodies {
+		changed = changed || !bytes.Equal(p.lastBodies[kind], body)
+	}
+	p.lastBodies = bodies
+	return changed
+}
+
+// encode returns a frame with entries as observations of this hub, their ages as of now.
+func (p *publisher) encode(entries []gossip.Entry, now time.Time) []byte {
+	message := gossip.Message{Version: gossip.Version, Sender: p.name, Incarnation: p.incarnation, Clock: now.Sub(p.startedAt)}
+	for _, entry := range entries {
+		p.seq++
+		entry.Observer, entry.Incarnation, entry.Seq = p.name, p.incarnation, firstAgentSeq+p.seq
+		message.Entries = append(message.Entries, entry)
+		p.trace.Use(gossip.Use{Entry: entry, Published: true, AgeAtUse: entry.Age})
+	}
+	data, err := gossip.EncodeMessage(&message)
+	if err == nil {
+		data, err = frame.Encode(&frame.Frame{Gossip: data})
+	}
+	if err != nil {
+		panic(err) // the number and the size of the entries are bounded well below that of a frame
+	}
+	return data
+}
--- /dev/null
+++ b/internal/fleet/hub/simulation_test.go
@@ -0,0 +1,158 @@
+// This file simulates hubs and agents in virtual time: real servers and stores, over connections that can be
+// partitioned.
+
+package hub
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"time"
+
+	"martenbeam/internal/fleet/gossip"
+)
+
+// simulation is a set of hubs and agents, driven by one goroutine in a synctest bubble.
+type simulation struct {
+	t             *testing.T
+	maxAgents     int
+	rand          *rand.Rand
+	tasks         sync.WaitGroup
+	mu            sync.Mutex
+	hubs          []*simHub
+	agents        []*simAgent // the latest process of each name; nil: none yet
+	started       []*simAgent // all processes, in the order of their start
+	incarnations  uint64      // the latest that was given to an agent's process
+	partitioned   bool        // hubs and agents with odd numbers are cut off from those with even ones
+	partitionedAt time.Time
+}
+
+// startSimulation starts four hubs and ten agents, as many as the fleet may have.
+func startSimulation(t *testing.T, seed uint64) *simulation {
+	t.Helper()
+	const maxAgents = 10
+	s := &simulation{t: t, maxAgents: maxAgents, rand: rand.New(rand.NewPCG(seed, 1)), agents: make([]*simAgent, maxAgents)}
+	for n := range 4 {
+		s.hubs = append(s.hubs, &simHub{sim: s, n: n})
+	}
+	for _, hub := range s.hubs {
+		hub.start()
+	}
+	for n := range maxAgents {
+		s.spawn(n)
+	}
+	return s
+}
+
+// stop ends all agents and hubs, and waits for them.
+func (s *simulation) stop() {
+	for _, agent := range s.agents {
+		if agent != nil {
+			agent.kill(false)
+		}
+	}
+	for _, hub := range s.hubs {
+		hub.stop()
+	}
+	s.tasks.Wait()
+}
+
+// isPartitioned reports whether two places, hubs or agents, cannot reach each other.
+func (s *simulation) isPartitioned(a, b int) bool { return s.partitioned && a%2 != b%2 }
+
+// gossip passes messages between the hubs, as members do. A quarter of them is lost.
+func (s *simulation) gossip() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, from := range s.hubs {
+		if from.server == nil {
+			continue
+		}
+		from.gossip.Tick()
+		for _, to := range s.hubs {
+			if from != to && to.server != nil && !s.isPartitioned(from.n, to.n) && s.rand.IntN(4) > 0 {
+				if data := from.gossip.NextMessage(1000, len(s.hubs)); data != nil {
+					_ = to.gossip.Merge(data)
+				}
+			}
+		}
+	}
+}
+
+// spawn starts a process of the n-th agent.
+func (s *simulation) spawn(n int) {
+	s.incarnations++
+	store := gossip.New(fmt.Sprint("agent", n), s.incarnations, gossip.DefaultAgeBounds, nil)
+	a := &simAgent{sim: s, n: n, incarnation: s.incarnations, startedAt: time.Now(), gossip: store}
+	s.mu.Lock()
+	s.agents[n] = a
+	s.started = append(s.started, a)
+	s.mu.Unlock()
+}
+
+// quotaSum returns the sum of the quotas of all live processes, those with a common name included.
+func (s *simulation) quotaSum() (sum float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, a := range s.started {
+		if !a.dead {
+			sum += a.quota()
+		}
+	}
+	return sum
+}
+
+// run lets time pass. Agents without a hub attach at random. It fails the test if the quotas add up to more than the
+// limit.
+func (s *simulation) run(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		s.gossip()
+		for _, a := range s.agents {
+			s.mu.Lock()
+			idle := a != nil && !a.dead && a.hub == nil
+			s.mu.Unlock()
+			if idle && s.rand.IntN(10) == 0 {
+				a.attach(s.hubs[s.rand.IntN(len(s.hubs))])
+			}
+		}
+		if sum := s.quotaSum(); sum > 1.1+1e-9 {
+			s.t.Fatalf("the quotas add up to %v", sum)
+		}
+	}
+}
+
+// step makes a random event happen.
+func (s *simulation) step() {
+	n := s.rand.IntN(len(s.agents))
+	agent := s.agents[n]
+	switch choice := s.rand.IntN(10); {
+	case agent == nil || agent.dead:
+		s.spawn(n)
+	case choice < 3:
+		agent.kill(false)
+	case choice == 3:
+		agent.kill(true)
+	case choice == 4: // restarted at once
+		agent.kill(false)
+		s.spawn(n)
+	case choice < 7:
+		agent.attach(s.hubs[s.rand.IntN(len(s.hubs))])
+	case choice == 7:
+		s.mu.Lock()
+		s.partitioned, s.partitionedAt = !s.partitioned, time.Now()
+		s.mu.Unlock()
+	case choice == 8: // seven of ten die at once
+		for i, other := range s.agents {
+			if other != nil && !other.dead && i%10 < 7 {
+				other.kill(false)
+			}
+		}
+	default:
+		if hub := s.hubs[s.rand.IntN(len(s.hubs))]; hub.server != nil {
+			hub.stop()
+			s.run(time.Duration(s.rand.IntN(4000)) * time.Millisecond)
+			hub.start()
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/check/checker.go
@@ -0,0 +1,181 @@
+// Package check decides from outside whether agents keep the rules: it is told what clients sent, what reached backends and
+// what was answered, and reports violations. Tally counts the service that clients got.
+//
+// It has no clock: the caller passes the time, as a span since the start of the run. Memory is bounded by the requests of the
+// last Retention and by the endpoint lists. Nothing here is safe for concurrent use.
+package check
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Violation is one breach of a rule, as the report has it.
+type Violation struct {
+	Rule    string        `json:"rule"`
+	At      time.Duration `json:"at_ns"`
+	Request string        `json:"request,omitempty"`
+	Agent   int           `json:"agent"`
+	Text    string        `json:"text"`
+}
+
+// Checker follows each request from its first byte to its answer and reports violations.
+type Checker struct {
+	rules          Rules
+	requests       map[string]*Request
+	finished       []*Request
+	endpoints      map[endpointKey]endpointState
+	excuses        map[int][]interval
+	violations     []Violation
+	firstViolator  *Request // with its whole history
+	onForgotten    func(*Request)
+	accepted       int
+	closedNew      []Violation
+	violationCount int
+}
+
+// Retention is how long a finished request is remembered. It exceeds the longest deduplication window, so a late duplicate
+// is still recognised.
+const Retention = 15 * time.Second
+
+// maxViolations bounds the violations that are kept; the rest are counted.
+const maxViolations = 100
+
+// New returns a checker for some rules. onForgotten, if not nil, is called with each request that is forgotten.
+func New(r Rules, onForgotten func(*Request)) *Checker {
+	return &Checker{rules: r, requests: map[string]*Request{}, endpoints: map[endpointKey]endpointState{}, excuses: map[int][]interval{}, onForgotten: onForgotten}
+}
+
+// violate reports a violation and notes it in the history of the request, if there is one.
+func (c *Checker) violate(rule string, at time.Duration, agent int, r *Request, format string, args ...any) {
+	violation := Violation{Rule: rule, At: at, Agent: agent, Text: fmt.Sprintf(format, args...)}
+	c.violationCount++
+	if r != nil {
+		violation.Request = r.ID
+		r.record(at, "checker", "BROKEN "+rule+": "+violation.Text)
+		if c.firstViolator == nil {
+			c.firstViolator = r
+		}
+	}
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, violation)
+	}
+}
+
+// Violations returns the first maxViolations violations, and how many there are in all.
+func (c *Checker) Violations() ([]Violation, int) { return c.violations, c.violationCount }
+
+// FirstViolator returns the first request that broke a rule, or nil.
+func (c *Checker) FirstViolator() *Request { return c.firstViolator }
+
+// Record adds a line to the history of a request.
+func (c *Checker) Record(at time.Duration, id, who, what string) {
+	if r := c.requests[id]; r != nil {
+		r.record(at, who, what)
+	}
+}
+
+// Open registers a request. It is called before the first byte is written.
+func (c *Checker) Open(now time.Duration, r *Request) {
+	c.forgetOld(now)
+	c.requests[r.ID] = r
+	r.record(now, fmt.Sprintf("client %d", r.Agent), "sends "+c.rules.Classes[r.Class].Name)
+}
+
+// Accept reports that the last byte of a request was written to a connection that the agent has accepted. From then on the
+// agent owes it a final answer.
+func (c *Checker) Accept(now time.Duration, id string) {
+	if r := c.requests[id]; r != nil {
+		r.SentAt, r.accepted = now, true
+		c.accepted++
+	}
+}
+
+// Finish reports how a request ended for its client, and checks that.
+func (c *Checker) Finish(now time.Duration, id string, a Answer) {
+	r := c.requests[id]
+	if r == nil || r.finished {
+		return
+	}
+	r.finished, r.finishedAt = true, now
+	c.finished = append(c.finished, r)
+	r.record(now, fmt.Sprintf("client %d", r.Agent), a.String())
+	deadline := r.SentAt + r.Timeout + c.rules.AnswerGrace + c.rules.Slack
+	excused := c.excusedDuring(r.Agent, r.SentAt, now)
+	switch a {
+	case Served, Rejected, Failed:
+		if now > deadline && !excused {
+			c.violate(RuleAnswer, now, r.Agent, r, "%s %v after its time", a, (now - r.SentAt - r.Timeout).Round(time.Millisecond))
+		}
+	case Closed, Unanswered:
+		if r.accepted && !excused {
+			c.violate(RuleAnswer, now, r.Agent, r, "%s", a)
+		}
+	case ClosedNew:
+		if r.accepted && !excused {
+			c.closedNew = append(c.closedNew, Violation{Rule: RuleAnswer, At: now, Request: r.ID, Agent: r.Agent, Text: a.String()})
+		}
+	case Foreign:
+		c.violate(RuleAnswer, now, r.Agent, r, "%s", a)
+	}
+	if a != Rejected {
+		return
+	}
+	if class := c.rules.Classes[r.Class]; class.Idempotency != Idempotent {
+		if risk := r.firstPossiblyExecuted(); risk != nil {
+			c.violate(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", risk.backend)
+		}
+	}
+}
+
+// Overloaded reports that a backend in slow start crashed by overload; informed is the share of the work sent by agents that
+// knew of its start. What uninformed agents sent is nobody's fault.
+func (c *Checker) Overloaded(now time.Duration, backend string, informed float64) {
+	const minInformedShare = 2. / 3
+	if informed >= minInformedShare {
+		c.violate(RuleSlowStart, now, -1, nil, "%s was pushed over while cold, %.0f%% of it by agents that knew of its start", backend, 100*informed)
+	}
+}
+
+// forgetOld drops requests that ended more than Retention ago.
+func (c *Checker) forgetOld(now time.Duration) {
+	for len(c.finished) > 0 && c.finished[0].finishedAt+Retention < now {
+		c.drop(c.finished[0])
+		c.finished[0] = nil
+		c.finished = c.finished[1:]
+	}
+}
+
+func (c *Checker) drop(r *Request) {
+	delete(c.requests, r.ID)
+	if c.onForgotten != nil {
+		c.onForgotten(r)
+	}
+}
+
+// Close checks what is left at the end of a run: open requests count as unanswered, and connections closed on their first
+// request break the rule on answers only above a share.
+func (c *Checker) Close(now time.Duration) {
+	if share := float64(len(c.closedNew)) / max(1, float64(c.accepted)); share > c.rules.MaxClosedNewShare {
+		c.violationCount += len(c.closedNew)
+		c.violations = append(c.violations, c.closedNew[:min(len(c.closedNew), maxViolations)]...)
+		if c.firstViolator == nil {
+			c.firstViolator = c.requests[c.closedNew[0].Request]
+		}
+	}
+	ids := make([]string, 0, len(c.requests))
+	for id, r := range c.requests {
+		if !r.finished {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		c.Finish(now, id, Unanswered)
+	}
+	for _, r := range c.finished {
+		c.drop(r)
+	}
+	c.finished = nil
+}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -1,491 +1,119 @@
 package lab
 
 import (
-	"fmt"
-	"math"
 	"slices"
-	"syscall"
 	"time"
 
-	"martenbeam/internal/lab/model"
-	"martenbeam/internal/lab/netfault"
 	"martenbeam/internal/lab/scenario"
 )
 
-// schedule puts the scenario's faults on the agenda. The lock is held.
-func (l *Lab) schedule() {
+// scheduleFaults schedules the faults of the scenario. Lab.mu is held.
+func (l *Lab) scheduleFaults() {
 	for i := range l.Scenario.Faults {
 		f := &l.Scenario.Faults[i]
 		var play func(now time.Duration)
 		play = func(now time.Duration) {
-			l.begin(i, f, now)
-			if again := l.Scenario.Again.Duration(); again > 0 {
-				l.at(now+again, play)
+			l.beginFault(i, f, now)
+			if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
+				l.scheduleAt(now+again, play)
 			}
 		}
-		l.at(f.At.Duration(), play)
+		l.scheduleAt(f.At.Duration(), play)
 	}
 }
 
-// until puts a fault's end on the agenda; one without a span lasts to the end. The lock is held.
-func (l *Lab) until(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
-	if f.For > 0 {
-		l.at(now+f.For.Duration(), end)
+// scheduleEnd schedules the end of a fault; one without a duration lasts until the end of the run. Lab.mu is held.
+func (l *Lab) scheduleEnd(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
+	if f.Duration > 0 {
+		l.scheduleAt(now+f.Duration.Duration(), end)
 	}
 }
 
-// pick is the part of a set that a fault falls on: of n parties, by the fault's own draws.
-func (l *Lab) pick(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
-	for i := range n {
-		if set.Has(i, zone(i)) {
-			list = append(list, i)
-		}
-	}
-	if set.Share < 1 {
-		most := int(math.Round(set.Share * float64(len(list))))
-		if set.Share > 0 {
-			most = max(1, most)
-		}
-		r := l.rng.Stream(fmt.Sprintf("fault/%d/%s", fault, set.Kind))
-		r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		list = list[:min(most, len(list))]
-		slices.Sort(list)
-	}
-	return list
-}
-
-func (l *Lab) pickAgents(fault int, text string) (list []*agent) {
-	set, _ := scenario.ParseSet(text) // checked with the scenario
-	for _, n := range l.pick(fault, set, len(l.agents), func(n int) int { return l.zone(party(netfault.Agent, n)) }) {
-		list = append(list, l.agents[n])
-	}
-	return list
-}
-
-// pickHubs picks among the hubs.
-func (l *Lab) pickHubs(fault int, text string) (list []*hub) {
-	set, _ := scenario.ParseSet(text) // checked with the scenario
-	for _, n := range l.pick(fault, set, len(l.hubs), func(n int) int { return l.zone(party(netfault.Hub, n)) }) {
-		list = append(list, l.hubs[n])
-	}
-	return list
-}
-
-// pickProcesses picks agents or hubs.
-func (l *Lab) pickProcesses(fault int, text string) (list []*process) {
-	if set, _ := scenario.ParseSet(text); set.Kind == "hubs" {
-		for _, h := range l.pickHubs(fault, text) {
-			list = append(list, &h.process)
-		}
-		return list
-	}
-	for _, a := range l.pickAgents(fault, text) {
-		list = append(list, &a.process)
-	}
-	return list
-}
-
-// pickHosts picks among the backends that are in use.
-func (l *Lab) pickHosts(fault int, text string) (list []*host) {
-	set, _ := scenario.ParseSet(text)
-	var use []*host
-	for _, h := range l.hosts {
-		if !h.down && h.m.State == model.Up {
-			use = append(use, h)
-		}
-	}
-	for _, n := range l.pick(fault, set, len(use), func(n int) int { return use[n].m.Zone }) {
-		list = append(list, use[n])
-	}
-	return list
-}
-
-// begin lets a fault begin. The lock is held.
-func (l *Lab) begin(i int, f *scenario.Fault, now time.Duration) {
-	label := f.What
-	if f.Who != "" {
-		label += " " + f.Who
-	}
-	if f.For > 0 || f.What == scenario.Link || f.What == scenario.Bad || f.What == scenario.Neighbour {
-		l.faults = append(l.faults, label)
-		l.until(f, now, func(time.Duration) {
-			if n := slices.Index(l.faults, label); n >= 0 {
-				l.faults = slices.Delete(l.faults, n, n+1)
-			}
-		})
-	}
-	l.watchShut(f, now)
-	switch f.What {
+// beginFault starts a fault and schedules its end. Lab.mu is held.
+func (l *Lab) beginFault(index int, fault *scenario.Fault, now time.Duration) {
+	l.showActive(fault, now)
+	l.watchOpenings(fault, now)
+	switch fault.Kind {
 	case scenario.Link:
-		l.linkFault(i, f, now)
-	case scenario.ZoneCut, scenario.ZoneDeaf:
-		l.border(f, now)
+		l.applyLinkFault(index, fault, now)
+	case scenario.ZoneCut, scenario.ZoneReceiveCut:
+		l.partitionZone(fault, now)
 	case scenario.ZoneLost:
-		l.zoneLost(f, now)
-	case scenario.Kill, scenario.Term, scenario.Stop:
-		l.processes(i, f, now)
+		l.loseZone(fault, now)
+	case scenario.Kill, scenario.Terminate, scenario.Pause:
+		l.applyProcessFault(index, fault, now)
 	case scenario.Reload:
-		l.reload(i, f, now)
-	case scenario.Wall, scenario.Fail:
-		l.inject(i, f, now)
-	case scenario.Crowd:
-		l.crowd(i, f, now)
+		l.applyReload(index, fault, now)
+	case scenario.WallClock, scenario.SyscallFailure:
+		l.applyInjection(index, fault, now)
+	case scenario.IdleClients:
+		l.openIdleClients(index, fault, now)
 	case scenario.Replace, scenario.Drain:
-		l.inSteps(f, now, l.pickHosts(i, f.Who), func(h *host, now time.Duration) { l.drain(h, now, f.What == scenario.Replace) })
-	case scenario.Bad:
-		l.trouble(l.pickHosts(i, f.Who), f, now, f.Size, 0)
-	case scenario.Slow:
-		l.trouble(l.pickHosts(i, f.Who), f, now, 0, f.Size)
-	case scenario.Neighbour:
-		l.neighbour(i, f, now)
-	case scenario.Power:
-		l.power(i, f, now)
+		l.applyInSteps(fault, now, l.pickHosts(index, fault.Targets), func(h *host, now time.Duration) { l.drainHost(h, now, fault.Kind == scenario.Replace) })
+	case scenario.FailingBackends:
+		l.setBackendFault(l.pickHosts(index, fault.Targets), fault, now, fault.Size, 0)
+	case scenario.SlowBackends:
+		l.setBackendFault(l.pickHosts(index, fault.Targets), fault, now, 0, fault.Size)
+	case scenario.NoisyNeighbour:
+		l.runNoisyNeighbour(index, fault, now)
+	case scenario.PowerLoss:
+		l.failZonePower(index, fault, now)
 	case scenario.Policy:
-		l.givePolicy(i, f, now)
+		l.applyPolicyFault(index, fault, now)
 	case scenario.Settings:
-		l.giveSettings(i, f, now)
-	case scenario.ListSilent:
-		l.disc.silent, l.disc.upset = true, time.Hour
-		l.until(f, now, func(now time.Duration) {
-			l.disc.silent, l.disc.upset = false, now
-			l.disc.stir()
-		})
-	case scenario.ListAway:
-		l.disc.away, l.disc.upset = true, time.Hour
-		l.until(f, now, func(now time.Duration) { l.disc.away, l.disc.upset = false, now })
-	case scenario.ListRewind:
-		l.disc.rewind(now)
-	}
-}
-
-// inSteps does something to each of a list, in equal parts over the fault's span. The lock is held.
-func (l *Lab) inSteps(f *scenario.Fault, now time.Duration, list []*host, do func(h *host, now time.Duration)) {
-	for k, h := range list {
-		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) { do(h, now) })
-	}
-}
-
-// stepOf is when in its span a fault falls on the k-th of n.
-func stepOf(f *scenario.Fault, k, n int) time.Duration {
-	if f.Steps <= 1 {
-		return 0
-	}
-	return f.For.Duration() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
-}
-
-// rules puts rules on the network, and takes them off after the fault's span. The lock is held.
-func (l *Lab) rules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
-	var numbers []int
-	for _, r := range rules {
-		numbers = append(numbers, l.net.Add(r))
-	}
-	l.gates()
-	l.changed = append(l.changed, now)
-	end := now + f.For.Duration()
-	if f.For == 0 {
-		end = time.Hour
-	}
-	for _, a := range l.agents {
-		me, it := party(netfault.Client, a.n), party(netfault.Agent, a.n)
-		for _, d := range []netfault.Fault{l.net.Fault(me, it, netfault.TCP), l.net.Fault(it, me, netfault.TCP)} {
-			if d != (netfault.Fault{}) {
-				l.check.Excuse(a.n, now, end)
-				break
-			}
-		}
-		disc := party(netfault.Discovery, a.n)
-		if l.net.Shut(it, disc) {
-			l.disc.upset = end
-		}
-	}
-	for _, h := range l.hubs {
-		if l.net.Shut(party(netfault.Hub, h.n), party(netfault.Discovery, len(l.agents)+h.n)) {
-			l.disc.upset = end
-		}
-	}
-	l.until(f, now, func(now time.Duration) {
-		for _, n := range numbers {
-			l.net.Remove(n)
-		}
-		l.gates()
-		l.changed = append(l.changed, now)
-		l.unpark(now)
-		l.disc.stir()
-	})
-}
-
-// linkFault puts one rule on links. The lock is held.
-func (l *Lab) linkFault(i int, f *scenario.Fault, now time.Duration) {
-	in := func(text string) func(netfault.Party) bool {
-		set, _ := scenario.ParseSet(text)
-		role, n := set.Role(), len(l.agents)
-		switch role {
-		case netfault.Backend:
-			n = len(l.hosts)
-		case netfault.Hub:
-			n = len(l.hubs)
-		case netfault.Discovery:
-			n += len(l.hubs) // each has its own copy
-		}
-		picked := map[int]bool{}
-		for _, k := range l.pick(i, set, n, func(k int) int { return l.zone(party(role, k)) }) {
-			picked[k] = true
-		}
-		return func(p netfault.Party) bool {
-			return (p.Role == role || role == netfault.Agent && p.Role == netfault.Member) && picked[p.N]
-		}
-	}
-	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
-	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
-		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), Lose: f.Lose, Duplicate: f.Duplicate, Reorder: f.Reorder}}
-	rules := []netfault.Rule{r}
-	if f.Both {
-		rules = append(rules, netfault.Rule{From: r.To, To: r.From, Protocols: r.Protocols, Fault: r.Fault})
-	}
-	l.rules(f, now, rules...)
-	if f.Reset {
-		for _, h := range l.hosts {
-			h.reset(func(agent int) bool {
-				return l.net.Fault(party(netfault.Agent, agent), h.party(), netfault.TCP).Reset || l.net.Fault(h.party(), party(netfault.Agent, agent), netfault.TCP).Reset
-			})
-		}
-	}
-}
-
-// gates opens and shuts listeners as the network stands. The lock is held; shutting waits for nobody.
-func (l *Lab) gates() {
-	type job struct {
-		g    *gate
-		shut bool
-	}
-	var jobs []job
-	for _, a := range l.agents {
-		me := party(netfault.Agent, a.n)
-		for _, h := range l.hosts {
-			if !h.down && h.gates != nil {
-				jobs = append(jobs, job{h.gates[a.n], h.m.State == model.Silent || l.net.Shut(me, h.party())})
-			}
-		}
-		jobs = append(jobs, job{l.disc.gates[a.n], l.net.Shut(me, party(netfault.Discovery, a.n))})
-	}
-	for _, h := range l.hubs {
-		if n := len(l.agents) + h.n; n < len(l.disc.gates) {
-			jobs = append(jobs, job{l.disc.gates[n], l.net.Shut(party(netfault.Hub, h.n), party(netfault.Discovery, n))})
-		}
+		l.applySettingsFault(index, fault, now)
+	case scenario.DiscoverySilent, scenario.DiscoveryDown, scenario.DiscoveryRewind:
+		l.disruptDiscovery(fault, now)
 	}
-	l.running.Go(func() {
-		l.gateLock.Lock()
-		defer l.gateLock.Unlock()
-		for _, j := range jobs {
-			j.g.setShut(j.shut)
-		}
-	})
-}
-
-// border cuts a zone off from everyone beyond it; a deaf one still is heard. Its agents' discovery lies
-// beyond. The lock is held.
-func (l *Lab) border(f *scenario.Fault, now time.Duration) {
-	set, _ := scenario.ParseSet(f.Who)
-	inside := func(p netfault.Party) bool { return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p)) }
-	outside := func(p netfault.Party) bool { return p.Role != netfault.Client && !inside(p) }
-	in := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
-	rules := []netfault.Rule{in}
-	if f.What == scenario.ZoneCut {
-		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
-	}
-	l.rules(f, now, rules...)
 }
 
-// zoneLost has a zone's machines fall silent, and come back cold. The lock is held.
-func (l *Lab) zoneLost(f *scenario.Fault, now time.Duration) {
-	set, _ := scenario.ParseSet(f.Who)
-	var lost []*host
-	for _, h := range l.hosts {
-		if set.Has(h.n, h.m.Zone) && !h.down {
-			lost = append(lost, h)
-			l.ended(h, h.m.Leave(now, model.Silent))
-			l.disc.learn(now, h, "gone", l.Scenario.Lists.SilentS)
-		}
-	}
-	l.gates()
-	l.until(f, now, func(now time.Duration) {
-		for _, h := range lost {
-			h.m.Start(now)
-			l.drop(h)
-			l.running.Go(func() { h.reset(nil) })
-			l.disc.learn(now, h, "ready", l.Scenario.Lists.AddS)
-		}
-		l.gates()
-		l.unpark(now)
-	})
-}
-
-// power takes a zone's hub, agents and machines at once, and brings them back together, cold and knowing nothing. The lock is
-// held.
-func (l *Lab) power(i int, f *scenario.Fault, now time.Duration) {
-	set, _ := scenario.ParseSet(f.Who)
-	l.zoneLost(f, now)
-	down := *f
-	down.What, down.After, down.Restart = scenario.Kill, f.For, "empty"
-	var list []*process
-	for _, h := range l.hubs {
-		if set.Has(h.n, l.zone(party(netfault.Hub, h.n))) {
-			list = append(list, &h.process)
-		}
-	}
-	for _, a := range l.agents {
-		if set.Has(a.n, l.zone(party(netfault.Agent, a.n))) {
-			list = append(list, &a.process)
-		}
-	}
-	for _, p := range list {
-		if p.cmd != nil && !p.expected {
-			p.role.down(now)
-			l.finish(p, &down, now, syscall.SIGKILL)
-		}
-	}
-}
-
-// drop forgets what was on the way to or from a machine that has lost everything. The lock is held.
-func (l *Lab) drop(h *host) {
-	l.parked = slices.DeleteFunc(l.parked, func(p parked) bool { return p.from == h.party() || p.to == h.party() })
-}
-
-// drain has a backend finish its work and end; another may come in its place. The lock is held.
-func (l *Lab) drain(h *host, now time.Duration, replace bool) {
-	if h.down || h.m.State != model.Up {
-		return
-	}
-	const drainFor = 5 * time.Second // longer than it takes until everyone is told
-	l.ended(h, h.m.Drain(now))
-	l.disc.learn(now, h, "draining", l.Scenario.Lists.NoticeS)
-	l.at(now+drainFor, func(now time.Duration) {
-		l.ended(h, h.m.Leave(now, model.Gone))
-		l.refuse(h)
-		l.disc.learn(now, h, "gone", l.Scenario.Lists.NoticeS)
-	})
-	if !replace {
-		return
-	}
-	next := l.addHost(h.m.Zone, now)
-	next.m.Cell = h.m.Cell
-	l.scaleHost(next)
-	next.m.Start(now)
-	if err := next.open(); err != nil {
-		l.fail(err)
+// showActive lists a fault in the view of the run for as long as it lasts. Lab.mu is held.
+func (l *Lab) showActive(fault *scenario.Fault, now time.Duration) {
+	lasting := fault.Duration > 0 || fault.Kind == scenario.Link || fault.Kind == scenario.FailingBackends || fault.Kind == scenario.NoisyNeighbour
+	if !lasting {
 		return
 	}
-	l.disc.learn(now, next, "ready", l.Scenario.Lists.AddS)
-}
-
-// trouble has backends fail a share of requests at once, or gives a share of them to another program. The
-// lock is held.
-func (l *Lab) trouble(list []*host, f *scenario.Fault, now time.Duration, bad, taken float64) {
-	for _, h := range list {
-		l.ended(h, h.m.Trouble(now, bad, taken))
+	label := fault.Kind
+	if fault.Targets != "" {
+		label += " " + fault.Targets
 	}
-	l.until(f, now, func(now time.Duration) {
-		for _, h := range list {
-			l.ended(h, h.m.Trouble(now, 0, 0))
+	l.activeFaults = append(l.activeFaults, label)
+	l.scheduleEnd(fault, now, func(time.Duration) {
+		if n := slices.Index(l.activeFaults, label); n >= 0 {
+			l.activeFaults = slices.Delete(l.activeFaults, n, n+1)
 		}
 	})
 }
 
-// neighbour gives a share of backends to another program, on and off, each in its own time. The lock is held.
-func (l *Lab) neighbour(i int, f *scenario.Fault, now time.Duration) {
-	end := l.Scenario.For.Duration()
-	if f.For > 0 {
-		end = now + f.For.Duration()
-	}
-	for _, h := range l.pickHosts(i, f.Who) {
-		r := l.rng.Stream("neighbour/" + h.m.ID)
-		on := false
-		var turn func(now time.Duration)
-		turn = func(now time.Duration) {
-			if on = !on && now < end; on {
-				l.ended(h, h.m.Trouble(now, 0, f.Size))
-			} else {
-				l.ended(h, h.m.Trouble(now, 0, 0))
-			}
-			if now < end {
-				span := time.Duration((0.5 + r.Float64()) * float64(max(f.On.Duration(), 100*time.Millisecond)))
-				l.at(min(end, now+span), turn)
-			}
-		}
-		l.at(now+time.Duration(r.Float64()*float64(f.On.Duration())), turn)
-	}
-}
-
-// processes kills, ends or stops agents or hubs. The lock is held.
-func (l *Lab) processes(i int, f *scenario.Fault, now time.Duration) {
-	list := l.pickProcesses(i, f.Who)
-	for k, p := range list {
-		l.at(now+stepOf(f, k, len(list)), func(now time.Duration) {
-			if p.cmd == nil || p.expected {
-				return
-			}
-			switch f.What {
-			case scenario.Stop:
-				l.stop(p, f, now)
-			case scenario.Kill:
-				p.role.down(now)
-				l.finish(p, f, now, syscall.SIGKILL)
-			case scenario.Term:
-				l.finish(p, f, now, syscall.SIGTERM)
-			}
+// disruptDiscovery makes discovery silent, unavailable, or go back to an old version. Lab.mu is held.
+func (l *Lab) disruptDiscovery(fault *scenario.Fault, now time.Duration) {
+	d := l.discovery
+	switch fault.Kind {
+	case scenario.DiscoverySilent:
+		d.silent, d.disruptedUntil = true, time.Hour
+		l.scheduleEnd(fault, now, func(now time.Duration) {
+			d.silent, d.disruptedUntil = false, now
+			d.wakeWatches()
 		})
+	case scenario.DiscoveryDown:
+		d.unavailable, d.disruptedUntil = true, time.Hour
+		l.scheduleEnd(fault, now, func(now time.Duration) { d.unavailable, d.disruptedUntil = false, now })
+	case scenario.DiscoveryRewind:
+		d.rewind(now)
 	}
 }
 
-// stop stops a process for a while. Its kernel still takes connections. The lock is held.
-func (l *Lab) stop(p *process, f *scenario.Fault, now time.Duration) {
-	cmd := p.cmd
-	p.role.excuse(now, now+f.For.Duration()+pauseSlack)
-	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-		l.fail(err)
-		return
+// applyInSteps calls a function for each backend, in equal groups over the duration of the fault. Lab.mu is held.
+func (l *Lab) applyInSteps(f *scenario.Fault, now time.Duration, list []*host, do func(h *host, now time.Duration)) {
+	for k, h := range list {
+		l.scheduleAt(now+stepDelay(f, k, len(list)), func(now time.Duration) { do(h, now) })
 	}
-	p.up = false
-	l.until(f, now, func(now time.Duration) {
-		if p.cmd != cmd {
-			return
-		}
-		_ = cmd.Process.Signal(syscall.SIGCONT) // also one that was told to end meanwhile; ended already if it fails
-		p.up = !p.expected
-	})
 }
 
-// pauseSlack is the time in which a process that goes on answers what has come meanwhile.
-const pauseSlack = 200 * time.Millisecond
-
-// killAfter is how long the platform waits after SIGTERM at least, past the longest deadline, of which so much counts at most.
-const killAfter, longestCounted = 700 * time.Millisecond, 3 * time.Second
-
-// finish ends a process, and starts it anew if wanted. The lock is held.
-func (l *Lab) finish(p *process, f *scenario.Fault, now time.Duration, sig syscall.Signal) {
-	cmd, ended := p.cmd, p.ended
-	p.expected, p.up = true, false
-	if err := cmd.Process.Signal(sig); err != nil {
-		l.fail(err)
-		return
-	}
-	if sig == syscall.SIGTERM {
-		l.at(now+min(l.longest(), longestCounted)+killAfter, func(time.Duration) {
-			_ = cmd.Process.Kill() // ended already if it fails
-		})
-		l.signalOn(cmd, now, f.Series)
+// stepDelay returns when, after its start, a fault reaches the k-th of n targets.
+func stepDelay(f *scenario.Fault, k, n int) time.Duration {
+	if f.Steps <= 1 {
+		return 0
 	}
-	l.running.Go(func() {
-		select {
-		case <-ended:
-		case <-l.ctx.Done():
-			return
-		}
-		if f.Restart == "never" {
-			return
-		}
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.at(l.now()+f.After.Duration(), func(now time.Duration) { p.restart(now, f.Restart == "kept") })
-	})
+	return f.Duration.Duration() / time.Duration(f.Steps) * time.Duration(k*f.Steps/n)
 }
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -14,47 +14,46 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// fleetPort is where agents and hubs hear their fleet, and where the lab hears for them.
+// fleetPort is the port of agents and hubs for their fleet, and of the lab's links to them.
 const fleetPort = 7947
 
-// fleetLinks carry what agents and hubs of a fleet tell each other, UDP and TCP, by way of the lab: to reach a process is
-// to reach its link, which knows the caller by its address. So the network's rules hold between processes that know nothing
-// of it.
+// fleetLinks relay the UDP and TCP traffic of a fleet. A process is reached through its link, which identifies the caller by
+// its address, so the faults of the network apply to processes that know nothing of the lab.
 type fleetLinks struct {
-	lab  *Lab
-	ends []*fleetEnd
-	mine map[netip.Addr]*fleetEnd // by the address that its process calls from
+	lab           *Lab
+	ends          []*fleetEndpoint
+	byProcessAddr map[netip.Addr]*fleetEndpoint // by the address of the process
 
-	mu    sync.Mutex
-	bytes int // told to or by agents
-	hubs  int // told to or by hubs, twice what is told between two
-	conns map[net.Conn]bool
-	took  map[wayKey][]time.Duration // what datagrams took here, at most mostTook
+	mu           sync.Mutex
+	bytes        int // sent or received by agents
+	hubBytes     int // sent or received by hubs: traffic between two of them counts twice
+	conns        map[net.Conn]bool
+	transitTimes map[transitKey][]time.Duration // of datagrams through the lab, at most maxTransitTimes each
 }
 
-// fleetEnd is one process as its fleet meets it, and its link.
-type fleetEnd struct {
-	netfault.Party
-	name string // in draws
-	at   netip.AddrPort
-	udp  *net.UDPConn
-	tcp  *net.TCPListener
+// fleetEndpoint is a process of the fleet and its link.
+type fleetEndpoint struct {
+	netfault.Endpoint
+	name        string // in the names of random streams
+	processAddr netip.AddrPort
+	udp         *net.UDPConn
+	tcp         *net.TCPListener
 }
 
-// wayKey names datagrams from one zone to another in a second of the run.
-type wayKey struct{ from, to, second int }
+// transitKey identifies the datagrams between two zones in one second of the run.
+type transitKey struct{ from, to, second int }
 
-const mostTook = 300
+const maxTransitTimes = 300
 
 func newFleetLinks(l *Lab) (*fleetLinks, error) {
-	f := &fleetLinks{lab: l, mine: map[netip.Addr]*fleetEnd{}, conns: map[net.Conn]bool{}, took: map[wayKey][]time.Duration{}}
+	f := &fleetLinks{lab: l, byProcessAddr: map[netip.Addr]*fleetEndpoint{}, conns: map[net.Conn]bool{}, transitTimes: map[transitKey][]time.Duration{}}
 	for _, a := range l.agents {
-		if err := f.open(party(netfault.Member, a.n), fmt.Sprint(a.n), l.block.agent(a.n), l.block.world(a.n)); err != nil {
+		if err := f.listen(endpointOf(netfault.Member, a.number), fmt.Sprint(a.number), l.block.agentAddr(a.number), l.block.linkAddr(a.number)); err != nil {
 			return nil, err
 		}
 	}
 	for _, h := range l.hubs {
-		if err := f.open(party(netfault.Hub, h.n), h.name, l.block.hub(h.n), l.block.hubLink(h.n)); err != nil {
+		if err := f.listen(endpointOf(netfault.Hub, h.number), h.name, l.block.hubAddr(h.number), l.block.hubLinkAddr(h.number)); err != nil {
 			return nil, err
 		}
 	}
@@ -65,16 +64,16 @@
 	return f, nil
 }
 
-// open opens the link of a process that calls from one address and is reached at another.
-func (f *fleetLinks) open(p netfault.Party, name, at, reached string) error {
+// listen opens the link of a process, which has one address and is reached at another.
+func (f *fleetLinks) listen(p netfault.Endpoint, name, at, reached string) error {
 	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
-	_ = u.SetReadBuffer(1 << 20) // as large as the system allows
-	e := &fleetEnd{Party: p, name: name, at: netip.AddrPortFrom(own, fleetPort), udp: u}
-	f.ends, f.mine[own] = append(f.ends, e), e
+	_ = u.SetReadBuffer(1 << 20) // the system may allow less
+	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
+	f.ends, f.byProcessAddr[own] = append(f.ends, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
 }
@@ -93,25 +92,25 @@
 	}
 }
 
-// count counts what one end told another.
-func (f *fleetLinks) count(from, to *fleetEnd, n int) {
+// countBytes counts traffic between two processes.
+func (f *fleetLinks) countBytes(from, to *fleetEndpoint, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from.Role == netfault.Member || to.Role == netfault.Member {
 		f.bytes += n
 	}
-	for _, e := range []*fleetEnd{from, to} {
+	for _, e := range []*fleetEndpoint{from, to} {
 		if e.Role == netfault.Hub {
-			f.hubs += n
+			f.hubBytes += n
 		}
 	}
 }
 
-// fleetAddr is where an agent's process hears its fleet, and fleetLink where the others reach it.
-func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agent(n), fleetPort) }
-func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.world(n), fleetPort) }
+// fleetAddr returns the fleet address of an agent's process, and fleetLink the one at which others reach it.
+func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
+func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
-func (f *fleetLinks) carryDatagrams(to *fleetEnd) {
+func (f *fleetLinks) carryDatagrams(to *fleetEndpoint) {
 	l := f.lab
 	buf := make([]byte, 64<<10)
 	for n := 0; ; n++ {
@@ -123,42 +122,42 @@
 			}
 			continue // a datagram to a process that has ended
 		}
-		from := f.mine[addr.Addr().Unmap()]
+		from := f.byProcessAddr[addr.Addr().Unmap()]
 		if from == nil {
 			continue
 		}
 		data := append([]byte(nil), buf[:size]...)
-		f.count(from, to, size)
+		f.countBytes(from, to, size)
 		l.mu.Lock()
 		now := l.now()
-		for _, d := range l.net.Way(from.Party, to.Party, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
-			l.at(now+d, func(time.Duration) {
-				_, _ = from.udp.WriteToUDPAddrPort(data, to.at) // a receiver that is gone misses it
-				f.note(wayKey{l.zone(from.Party), l.zone(to.Party), int(now / time.Second)}, time.Since(came))
+		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
+			l.scheduleAt(now+d, func(time.Duration) {
+				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // lost if the receiver has ended
+				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
 			})
 		}
 		l.mu.Unlock()
 	}
 }
 
-// note keeps what a datagram really took: the lab's own lateness is part of the way.
-func (f *fleetLinks) note(k wayKey, took time.Duration) {
+// recordTransit records how long a datagram took, the lateness of the lab included.
+func (f *fleetLinks) recordTransit(k transitKey, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.took[k]) < mostTook {
-		f.took[k] = append(f.took[k], took)
+	if len(f.transitTimes[k]) < maxTransitTimes {
+		f.transitTimes[k] = append(f.transitTimes[k], took)
 	}
 }
 
-// oneWay is the lower quartile of what datagrams took from one zone to another in the two seconds before a time; false: too
-// few were on the way.
-func (f *fleetLinks) oneWay(from, to int, at time.Duration) (time.Duration, bool) {
+// recentTransit returns the lower quartile of the transit times between two zones in the two seconds before a time. It reports
+// false if there were too few.
+func (f *fleetLinks) recentTransit(from, to int, at time.Duration) (time.Duration, bool) {
 	second := int(at / time.Second)
 	f.mu.Lock()
-	list := slices.Concat(f.took[wayKey{from, to, second - 1}], f.took[wayKey{from, to, second - 2}])
+	list := slices.Concat(f.transitTimes[transitKey{from, to, second - 1}], f.transitTimes[transitKey{from, to, second - 2}])
 	f.mu.Unlock()
 	few := 20
-	if len(f.lab.hubs) > 0 { // they alone send datagrams
+	if len(f.lab.hubs) > 0 { // only hubs send datagrams
 		few = 6
 	}
 	if len(list) < few {
@@ -168,7 +167,7 @@
 	return list[len(list)/4], true
 }
 
-func (f *fleetLinks) carryStreams(to *fleetEnd) {
+func (f *fleetLinks) carryStreams(to *fleetEndpoint) {
 	l := f.lab
 	for {
 		c, err := to.tcp.AcceptTCP()
@@ -178,7 +177,7 @@
 			}
 			continue
 		}
-		from := f.mine[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]
+		from := f.byProcessAddr[c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()]
 		if from == nil {
 			c.Close()
 			continue
@@ -197,23 +196,23 @@
 	}
 }
 
-// fault is what the network does to the way from one end to another now, and how long it takes.
-func (f *fleetLinks) fault(from, to *fleetEnd) (netfault.Fault, time.Duration) {
+// linkState returns the present fault and latency from one process to another.
+func (f *fleetLinks) linkState(from, to *fleetEndpoint) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
-	x := f.lab.net.Fault(from.Party, to.Party, netfault.TCP)
-	return x, f.lab.way(from.Party, to.Party) + x.Delay
+	x := f.lab.network.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
+	return x, f.lab.baseLatency(from.Endpoint, to.Endpoint) + x.Delay
 }
 
-// carryStream carries one connection. Beyond a cut it hangs, as the opening segment would; where the other process is
-// gone its machine refuses, which a connection that was taken shows as a reset.
-func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEnd) {
+// carryStream relays one TCP connection. During a partition it hangs, as its SYN would; if the other process has ended it is
+// reset, in place of being refused.
+func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
 	defer c.Close()
 	for {
-		there, _ := f.fault(from, to)
-		back, _ := f.fault(to, from)
+		there, _ := f.linkState(from, to)
+		back, _ := f.linkState(to, from)
 		if !there.Cut && !back.Cut {
 			break
 		}
@@ -221,7 +220,7 @@
 			return
 		}
 	}
-	d, err := net.DialTimeout("tcp4", to.at.String(), time.Second)
+	d, err := net.DialTimeout("tcp4", to.processAddr.String(), time.Second)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			reset(c)
@@ -232,30 +231,30 @@
 	defer f.track(d, false)
 	defer d.Close()
 	var both sync.WaitGroup
-	var ended atomic.Int32 // ends of the two that were read
+	var ended atomic.Int32 // directions that have ended
 	both.Go(func() { f.copy(d, c, from, to, &ended) })
 	both.Go(func() { f.copy(c, d, to, from, &ended) })
 	both.Wait()
 }
 
-// copy carries one direction. What a cut meets waits until it is over, as TCP sends again; so does the word that the
-// connection has ended, but where both sides have said so.
-func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEnd, ended *atomic.Int32) {
+// copy relays one direction. Data that meets a partition waits until it heals, as TCP retransmits. So does the end of the
+// connection, unless both sides have ended.
+func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEndpoint, ended *atomic.Int32) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			x, way := f.fault(from, to)
+			x, way := f.linkState(from, to)
 			for x.Cut {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
-				x, way = f.fault(from, to)
+				x, way = f.linkState(from, to)
 			}
 			if !f.wait(way) {
 				return
 			}
-			f.count(from, to, n)
+			f.countBytes(from, to, n)
 			if _, err := out.Write(buf[:n]); err != nil {
 				in.Close()
 				return
@@ -263,7 +262,7 @@
 		}
 		if err != nil {
 			ended.Add(1)
-			for x, _ := f.fault(from, to); x.Cut && ended.Load() < 2; x, _ = f.fault(from, to) {
+			for x, _ := f.linkState(from, to); x.Cut && ended.Load() < 2; x, _ = f.linkState(from, to) {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
@@ -271,14 +270,14 @@
 			if errors.Is(err, syscall.ECONNRESET) {
 				reset(out)
 			} else if t, ok := out.(*net.TCPConn); ok {
-				_ = t.CloseWrite() // closed already if it fails
+				_ = t.CloseWrite() // fails only on a closed connection
 			}
 			return
 		}
 	}
 }
 
-// wait reports false once the lab ends.
+// wait waits for a time. It reports false once the lab ends.
 func (f *fleetLinks) wait(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -1,7 +1,8 @@
-// Package netfault says what the network does to a message between two parties, by rules that come and go.
+// Package netfault models what an emulated network does to a message between two endpoints: latency, loss, partitions and
+// refused connections, by rules that are added and removed while a scenario runs.
 //
-// It is pure: it is told what is sent, and draws from numbers that belong to the message. Rules act on one
-// direction each: what a fault does to A's words to B says nothing of B's words to A.
+// It has no clock and no sockets. Random draws come from a stream that belongs to the message, so one more message changes
+// no draw of another. A rule acts on one direction: a fault from A to B has no effect from B to A.
 package netfault
 
 import (
@@ -10,152 +11,157 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// Role is a kind of party.
+// Role is the kind of an endpoint.
 type Role uint8
 
+// The roles of an emulated fleet.
 const (
 	Client Role = iota
 	Agent
 	Backend
 	Discovery
-	Member // an agent, as others of its fleet meet it
-	Hub    // of the fleet
+	Member // an agent at its fleet address
+	Hub
 )
 
+// String returns the role's name in lower case. It is part of the names of random streams.
 func (r Role) String() string {
 	return [...]string{"client", "agent", "backend", "discovery", "member", "hub"}[r]
 }
 
-// Party is one end of a link. The client and discovery of agent 3 have its number.
-type Party struct {
-	Role Role
-	N    int
+// Endpoint is one end of a link. The client and the discovery service of agent 3 have number 3 too.
+type Endpoint struct {
+	Role   Role
+	Number int
 }
 
-// Fault is what a rule does to each message of its direction. The zero value does nothing.
+// Fault is what a rule does to each message of its direction. The zero value is a healthy network. Rates are shares from 0 to 1.
 type Fault struct {
-	Cut       bool          // nothing arrives; the sender is not told
-	Refuse    bool          // connections are refused
-	Reset     bool          // connections that stand are reset when the rule begins
-	Delay     time.Duration // added to the way
-	Jitter    time.Duration // up to so much more, evenly
-	Lose      float64       // share lost: over TCP sent again, over UDP gone
-	Duplicate float64       // share of datagrams that arrive twice
-	Reorder   float64       // share of datagrams that later ones overtake
+	Cut           bool          // nothing arrives, and the sender gets no error
+	Refuse        bool          // connections are refused
+	Reset         bool          // established connections are reset when the rule is added
+	Delay         time.Duration // added to the latency
+	Jitter        time.Duration // upper bound of a further, evenly distributed delay
+	LossRate      float64       // lost TCP segments are retransmitted, lost datagrams are not
+	DuplicateRate float64       // of datagrams
+	ReorderRate   float64       // of datagrams that are late enough for others to overtake them
 }
 
-// Protocol is how a message travels.
+// Protocol is a set of transport protocols.
 type Protocol uint8
 
+// The transport protocols.
 const (
 	TCP Protocol = 1 << iota
 	UDP
 )
 
-// Rule puts a fault on every link from one set of parties to another.
+// Rule applies a fault to every link from one set of endpoints to another.
 type Rule struct {
-	From, To  func(Party) bool
+	From, To  func(Endpoint) bool
 	Protocols Protocol
 	Fault
 }
 
-type pair struct {
-	from, to Party
-	p        Protocol
+type direction struct {
+	from, to Endpoint
+	protocol Protocol
 }
 
-// Net is a network. Calls must not run at the same time.
-type Net struct {
-	base   func(from, to Party) time.Duration
-	draws  rng.Source
-	jitter float64 // of the ordinary way, as a share
-	rules  map[int]Rule
-	next   int
-	known  map[pair]Fault // by pair, until the rules change
+// Network holds the rules in force. It is not safe for concurrent use.
+type Network struct {
+	baseLatency func(from, to Endpoint) time.Duration
+	random      rng.Source
+	jitter      float64 // of the base latency, as a share
+	rules       map[int]Rule
+	lastRule    int
+	faultCache  map[direction]Fault // cleared when the rules change
 }
 
-// New returns a network without faults. base is the ordinary one-way time.
-func New(base func(from, to Party) time.Duration, jitter float64, draws rng.Source) *Net {
-	return &Net{base: base, draws: draws, jitter: jitter, rules: map[int]Rule{}, known: map[pair]Fault{}}
+// New returns a network without faults. baseLatency is the one-way latency of a healthy link; each message takes up to the
+// share jitter of it longer.
+func New(baseLatency func(from, to Endpoint) time.Duration, jitter float64, random rng.Source) *Network {
+	return &Network{baseLatency: baseLatency, random: random, jitter: jitter, rules: map[int]Rule{}, faultCache: map[direction]Fault{}}
 }
 
-// Add lets a rule begin and returns its number.
-func (n *Net) Add(r Rule) int {
-	n.next++
-	n.rules[n.next] = r
-	clear(n.known)
-	return n.next
+// Add puts a rule in force and returns its number for Remove.
+func (n *Network) Add(r Rule) int {
+	n.lastRule++
+	n.rules[n.lastRule] = r
+	clear(n.faultCache)
+	return n.lastRule
 }
 
-// Remove ends a rule.
-func (n *Net) Remove(rule int) {
+// Remove takes a rule out of force.
+func (n *Network) Remove(rule int) {
 	delete(n.rules, rule)
-	clear(n.known)
+	clear(n.faultCache)
 }
 
-// Fault is what all rules together do to one direction: the worst of each.
-func (n *Net) Fault(from, to Party, p Protocol) Fault {
-	k := pair{from, to, p}
-	f, ok := n.known[k]
+// Fault returns the combined fault of all rules for one direction: the worst of each property.
+func (n *Network) Fault(from, to Endpoint, protocol Protocol) Fault {
+	key := direction{from, to, protocol}
+	fault, ok := n.faultCache[key]
 	if ok {
-		return f
+		return fault
 	}
-	for _, r := range n.rules {
-		if r.Protocols&p == 0 || !r.From(from) || !r.To(to) {
+	for _, rule := range n.rules {
+		if rule.Protocols&protocol == 0 || !rule.From(from) || !rule.To(to) {
 			continue
 		}
-		f.Cut, f.Refuse, f.Reset = f.Cut || r.Cut, f.Refuse || r.Refuse, f.Reset || r.Reset
-		f.Delay, f.Jitter = max(f.Delay, r.Delay), max(f.Jitter, r.Jitter)
-		f.Lose, f.Duplicate, f.Reorder = max(f.Lose, r.Lose), max(f.Duplicate, r.Duplicate), max(f.Reorder, r.Reorder)
+		fault.Cut, fault.Refuse, fault.Reset = fault.Cut || rule.Cut, fault.Refuse || rule.Refuse, fault.Reset || rule.Reset
+		fault.Delay, fault.Jitter = max(fault.Delay, rule.Delay), max(fault.Jitter, rule.Jitter)
+		fault.LossRate, fault.DuplicateRate, fault.ReorderRate = max(fault.LossRate, rule.LossRate), max(fault.DuplicateRate, rule.DuplicateRate), max(fault.ReorderRate, rule.ReorderRate)
 	}
-	n.known[k] = f
-	return f
+	n.faultCache[key] = fault
+	return fault
 }
 
-// Shut reports whether no connection can come up between two parties: one word in either direction
-// that does not arrive is enough.
-func (n *Net) Shut(from, to Party) bool {
+// Unreachable reports whether no TCP connection can be established between two endpoints. A handshake needs both
+// directions, so a cut in either is enough.
+func (n *Network) Unreachable(from, to Endpoint) bool {
 	return n.Fault(from, to, TCP).Cut || n.Fault(to, from, TCP).Cut
 }
 
-// Refused reports whether connections are refused.
-func (n *Net) Refused(from, to Party) bool { return n.Fault(from, to, TCP).Refuse }
+// Refused reports whether TCP connections are refused with an error.
+func (n *Network) Refused(from, to Endpoint) bool { return n.Fault(from, to, TCP).Refuse }
 
 const (
-	resend    = 200 * time.Millisecond // the least time after which TCP sends a lost segment again
-	resends   = 5                      // it doubles so often
-	overtaken = 20 * time.Millisecond  // a reordered datagram is late by up to this
+	retransmitTimeout = 200 * time.Millisecond // before the first retransmission of a TCP segment; it doubles each time
+	maxRetransmits    = 5
+	maxReorderDelay   = 20 * time.Millisecond // by which a reordered datagram is late
 )
 
-// Way is what happens to one message: the times after which its copies arrive. None: it is lost.
-// A message of a cut direction is lost here; who holds it back for later asks Fault first.
-func (n *Net) Way(from, to Party, p Protocol, message string) []time.Duration {
-	f := n.Fault(from, to, p)
-	if f.Cut {
+// Arrivals returns the delays after which the copies of one message arrive: one, two if it is duplicated, none if it is lost.
+// message names the random stream. A message in a cut direction is lost; a caller that holds it back until the cut heals asks
+// Fault first.
+func (n *Network) Arrivals(from, to Endpoint, protocol Protocol, message string) []time.Duration {
+	fault := n.Fault(from, to, protocol)
+	if fault.Cut {
 		return nil
 	}
-	d := n.base(from, to)
-	if f == (Fault{}) && n.jitter == 0 {
-		return []time.Duration{d}
+	latency := n.baseLatency(from, to)
+	if fault == (Fault{}) && n.jitter == 0 {
+		return []time.Duration{latency}
 	}
-	draw := n.draws.Stream("way/" + from.Role.String() + "/" + message)
-	d += time.Duration(n.jitter*draw.Float64()*float64(d)) + f.Delay + time.Duration(draw.Float64()*float64(f.Jitter))
-	if p == TCP {
-		for i := 0; i < resends && draw.Float64() < f.Lose; i++ {
-			d += resend << i
+	draw := n.random.Stream("way/" + from.Role.String() + "/" + message)
+	latency += time.Duration(n.jitter*draw.Float64()*float64(latency)) + fault.Delay + time.Duration(draw.Float64()*float64(fault.Jitter))
+	if protocol == TCP {
+		for i := 0; i < maxRetransmits && draw.Float64() < fault.LossRate; i++ {
+			latency += retransmitTimeout << i
 		}
-		return []time.Duration{d}
+		return []time.Duration{latency}
 	}
-	lost, twice, late := draw.Float64() < f.Lose, draw.Float64() < f.Duplicate, draw.Float64() < f.Reorder
-	shift, again := draw.Float64(), draw.Float64()
+	lost, duplicated, reordered := draw.Float64() < fault.LossRate, draw.Float64() < fault.DuplicateRate, draw.Float64() < fault.ReorderRate
+	shift, duplicateShift := draw.Float64(), draw.Float64()
 	switch {
 	case lost:
 		return nil
-	case late:
-		d += time.Duration(shift * float64(overtaken))
+	case reordered:
+		latency += time.Duration(shift * float64(maxReorderDelay))
 	}
-	if twice {
-		return []time.Duration{d, d + time.Duration(again*float64(overtaken))}
+	if duplicated {
+		return []time.Duration{latency, latency + time.Duration(duplicateShift*float64(maxReorderDelay))}
 	}
-	return []time.Duration{d}
+	return []time.Duration{latency}
 }
--- /dev/null
+++ b/internal/lab/openings.go
@@ -0,0 +1,181 @@
+package lab
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"net/netip"
+	"os"
+	"time"
+
+	"martenbeam/internal/lab/check"
+	"martenbeam/internal/lab/model"
+	"martenbeam/internal/lab/netfault"
+	"martenbeam/internal/lab/scenario"
+)
+
+// Attempts at unreachable backends. On an established connection the lab reads the attempt and holds it back. A connection that
+// is not established shows only in the kernel's table of sockets, in state SYN_SENT.
+
+const openingInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
+
+// unreachable reports whether an agent cannot reach a backend, or the backend cannot answer. Lab.mu is held.
+func (l *Lab) unreachable(agent int, h *host) bool {
+	me := endpointOf(netfault.Agent, agent)
+	return h.machine.State == model.Silent || l.network.Fault(me, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), me, netfault.TCP).Cut
+}
+
+// zoneFault reports whether a fault makes whole zones unreachable for a time.
+func zoneFault(f *scenario.Fault) bool {
+	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
+}
+
+// watchOpenings counts connections that are not established while a fault makes zones unreachable. Lab.mu is held.
+func (l *Lab) watchOpenings(f *scenario.Fault, now time.Duration) {
+	if !zoneFault(f) {
+		return
+	}
+	end := now + f.Duration.Duration()
+	l.unreachableSpans = append(l.unreachableSpans, check.Span{From: now, To: end})
+	if l.watchUntil = max(l.watchUntil, end); l.watching {
+		return
+	}
+	l.watching = true
+	l.running.Go(func() {
+		tick := time.NewTicker(openingInterval)
+		defer tick.Stop()
+		var before map[opening]bool
+		for {
+			select {
+			case <-tick.C:
+			case <-l.ctx.Done():
+				return
+			}
+			table, err := os.ReadFile("/proc/self/net/tcp")
+			list := openings(table) // before locking: a machine may have many thousands of sockets
+			l.mu.Lock()
+			if err != nil {
+				l.fail(err)
+			}
+			now := l.now()
+			before = l.countOpenings(now, list, before)
+			if l.watching = now < l.watchUntil && err == nil; !l.watching {
+				l.mu.Unlock()
+				return
+			}
+			l.mu.Unlock()
+		}
+	})
+}
+
+// opening is a connection in state SYN_SENT.
+type opening struct{ from, to netip.AddrPort }
+
+// openings returns the connections in state SYN_SENT of the kernel's table.
+func openings(table []byte) (list []opening) {
+	// Most lines are of sockets in TIME_WAIT: the state at its fixed place is compared before the line is split.
+	const synSent, state = "02", len("0100007F:1F90 00000000:0000 ")
+	lines := bufio.NewScanner(bytes.NewReader(table))
+	for lines.Scan() {
+		_, rest, _ := bytes.Cut(lines.Bytes(), []byte(": "))
+		if len(rest) < state+len(synSent) || string(rest[state:state+len(synSent)]) != synSent {
+			continue
+		}
+		fields := bytes.Fields(lines.Bytes())
+		from, ok := kernelAddress(fields[1])
+		to, also := kernelAddress(fields[2])
+		if ok && also {
+			list = append(list, opening{from, to})
+		}
+	}
+	return list
+}
+
+// kernelAddress parses an IPv4 address and port of the kernel's table, which has the address in little-endian byte order.
+func kernelAddress(text []byte) (a netip.AddrPort, ok bool) {
+	ip, port, found := bytes.Cut(text, []byte(":"))
+	var b [6]byte
+	if !found || len(ip) != 8 || len(port) != 4 {
+		return a, false
+	}
+	if _, err := hex.Decode(b[:4], ip); err != nil {
+		return a, false
+	}
+	if _, err := hex.Decode(b[4:], port); err != nil {
+		return a, false
+	}
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{b[3], b[2], b[1], b[0]}), uint16(b[4])<<8|uint16(b[5])), true
+}
+
+// countOpenings counts the connections to unreachable backends that are new since the call before, and returns those that are
+// open now. One at a time for each agent and zone may be a health check, which looks the same from outside, and is left out.
+// Lab.mu is held.
+func (l *Lab) countOpenings(now time.Duration, list []opening, before map[opening]bool) map[opening]bool {
+	if l.backendAddrs == nil {
+		l.backendAddrs = map[netip.AddrPort]backendAddr{}
+	}
+	for _, h := range l.hosts {
+		for n := range h.gates {
+			to, err := netip.ParseAddrPort(h.gates[n].Addr().String())
+			if err == nil {
+				l.backendAddrs[to] = backendAddr{n, h}
+			}
+		}
+	}
+	type group struct{ agent, zone int }
+	open, fresh, still := map[group]int{}, map[group]int{}, map[opening]bool{}
+	for _, o := range list {
+		w, ok := l.backendAddrs[o.to]
+		if !ok || !l.unreachable(w.agent, w.host) {
+			continue
+		}
+		g := group{w.agent, w.host.machine.Zone}
+		still[o] = true
+		open[g]++
+		if !before[o] {
+			fresh[g]++
+		}
+	}
+	for g, n := range fresh {
+		for range min(n, open[g]-1) {
+			l.tally.CountFirstAttempt(now, true)
+		}
+	}
+	return still
+}
+
+// backendAddr identifies the listener of a backend for an agent.
+type backendAddr struct {
+	agent int
+	host  *host
+}
+
+// avoidedAfter returns the longest time, in seconds, from the start of a fault of zones until fewer than 1% of first attempts
+// went to unreachable backends; nil without such a fault, -1 if that never came.
+func (l *Lab) avoidedAfter() *float64 {
+	var worst *float64
+	for _, s := range l.unreachableSpans {
+		after, ok := l.tally.AvoidedAfter(s, 0.01)
+		x := after.Seconds()
+		if !ok {
+			x = -1
+		}
+		if worst == nil || *worst >= 0 && (x < 0 || x > *worst) {
+			worst = &x
+		}
+	}
+	return worst
+}
+
+// usedCapacity returns the share of the present capacity of all available backends that is in use. Lab.mu is held.
+func (l *Lab) usedCapacity(now time.Duration) float64 {
+	work, all := 0.0, 0.0
+	for _, h := range l.hosts {
+		if h.machine.State == model.Up && !h.ended {
+			p := h.machine.PresentCapacity(now)
+			all += p
+			work += p * h.machine.Load().Util
+		}
+	}
+	return share(work, all)
+}
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -8,13 +8,13 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-const mostDatagram = 2048
+const maxDatagramBytes = 2048
 
-// relays carry what agents tell each other. To tell agent k is to send to k's relay, which knows the sender by
-// its address; k hears it from the sender's own relay. So every agent has one address, the same for all.
-func (l *Lab) relays() error {
+// openRelays starts the relays of datagrams between agents. A datagram for agent k is sent to the relay of k, which identifies the
+// sender by its address, and reaches k from the sender's relay. So each agent has one address, the same for all.
+func (l *Lab) openRelays() error {
 	for _, a := range l.agents {
-		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.world(a.n))})
+		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.linkAddr(a.number))})
 		if err != nil {
 			return err
 		}
@@ -22,20 +22,20 @@
 	}
 	byAddr := map[string]*agent{}
 	for _, a := range l.agents {
-		byAddr[a.peerListen] = a
+		byAddr[a.peerAddr] = a
 	}
 	for _, to := range l.agents {
-		l.running.Go(func() { l.relay(to, byAddr) })
+		l.running.Go(func() { l.relayDatagrams(to, byAddr) })
 	}
 	return nil
 }
 
-func (l *Lab) relay(to *agent, byAddr map[string]*agent) {
-	target, err := net.ResolveUDPAddr("udp4", to.peerListen)
+func (l *Lab) relayDatagrams(to *agent, byAddr map[string]*agent) {
+	target, err := net.ResolveUDPAddr("udp4", to.peerAddr)
 	if err != nil {
 		return
 	}
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for n := 0; ; n++ {
 		size, addr, err := to.relay.ReadFromUDP(buf)
 		if err != nil {
@@ -52,9 +52,9 @@
 		l.mu.Lock()
 		now := l.now()
 		l.datagrams++
-		for _, d := range l.net.Way(party(netfault.Agent, from.n), party(netfault.Agent, to.n), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.n, to.n, n)) {
-			l.at(now+d, func(time.Duration) {
-				_, _ = from.relay.WriteToUDP(data, target) // a receiver that is gone misses it
+		for _, d := range l.network.Arrivals(endpointOf(netfault.Agent, from.number), endpointOf(netfault.Agent, to.number), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.number, to.number, n)) {
+			l.scheduleAt(now+d, func(time.Duration) {
+				_, _ = from.relay.WriteToUDP(data, target) // lost if the receiver has ended
 			})
 		}
 		l.mu.Unlock()
