--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -117,7 +117,7 @@
 }
 
 // A visitor's request is served and not judged; memory is that of the last requests alone.
-func TestVisitorsAndMemory(t *testing.T) {
+func TestUnknownRequestsAndRetention(t *testing.T) {
 	r := rules()
 	r.AcceptsUnknown = true
 	recorded := 0
@@ -140,7 +140,7 @@
 }
 
 // The worst ten seconds, shares and parts of a run, by its windows.
-func TestTally(t *testing.T) {
+func TestTallyCountsService(t *testing.T) {
 	tally := NewTally(2 * time.Second)
 	for s := range 20 {
 		for i := range 10 {
@@ -168,7 +168,7 @@
 }
 
 // Zones are left from the time on after which first attempts towards them are few until the span's end.
-func TestLeftAfter(t *testing.T) {
+func TestAvoidedAfter(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
 		shut  func(at time.Duration) bool
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -13,7 +13,7 @@
 }
 
 // A difference is seen only where the seeds agree on it, and void runs don't count.
-func TestCompare(t *testing.T) {
+func TestCompareReportsDifferences(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		a, b    []float64
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -26,9 +26,9 @@
 	mode := os.Getenv("LAB_TEST_AGENT")
 	if len(os.Args) == 4 && os.Args[1] == "hub" {
 		if mode == "real" {
-			realHub(os.Args[3])
+			runRealHub(os.Args[3])
 		} else {
-			standInHub(mode, os.Args[3])
+			runFakeHub(mode, os.Args[3])
 		}
 		os.Exit(0)
 	}
@@ -43,9 +43,9 @@
 			os.Exit(1)
 		}
 	case "lab":
-		playUntilKilled()
+		runLabUntilKilled()
 	default:
-		standIn(mode)
+		runFakeAgent(mode)
 	}
 	os.Exit(0)
 }
@@ -59,8 +59,8 @@
 	kept bool // it has run before, with the same files
 }
 
-// standIn runs such an agent, configured as the platform does.
-func standIn(mode string) {
+// runFakeAgent runs such an agent, configured as the platform does.
+func runFakeAgent(mode string) {
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
 		panic(err)
@@ -83,19 +83,19 @@
 	a.kept = err == nil
 	_ = os.WriteFile(before, nil, 0o600) // only whether it is there matters
 	if config.Fleet.Trace != "" {
-		go a.trace(config.Fleet.Trace)
+		go a.writeTrace(config.Fleet.Trace)
 	}
 	if len(config.Fleet.Hubs) > 0 {
 		var hubs []string
 		for _, addr := range config.Fleet.Hubs {
 			hubs = append(hubs, addr)
 		}
-		go settle(mode, config.Fleet.Listen, config.Fleet.State, hubs, nil)
+		go applySettings(mode, config.Fleet.Listen, config.Fleet.State, hubs, nil)
 	}
-	a.take(config.Known)
-	go a.watch(config.Discovery, config.Known.Version)
+	a.applyList(config.Known)
+	go a.watchList(config.Discovery, config.Known.Version)
 	if mode == "probes" {
-		go a.probe()
+		go a.probeAll()
 	}
 	if mode == "starts-late" && a.kept {
 		time.Sleep(time.Second)
@@ -103,7 +103,7 @@
 	panic(http.ListenAndServe(config.Listen, a))
 }
 
-func (a *brokenAgent) take(m endpointList) {
+func (a *brokenAgent) applyList(m endpointList) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, s := range m.Servers {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (a *brokenAgent) watch(discovery string, since int64) {
+func (a *brokenAgent) watchList(discovery string, since int64) {
 	resp, err := http.Get(fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", discovery, since))
 	if err != nil {
 		panic(err)
@@ -124,13 +124,13 @@
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 		var m endpointList
 		if json.Unmarshal(lines.Bytes(), &m) == nil {
-			a.take(m)
+			a.applyList(m)
 		}
 	}
 }
 
-// trace writes what an agent shares: that it used what was told 4 s before, or took half of the limit, as its mode says.
-func (a *brokenAgent) trace(file string) {
+// writeTrace writes what an agent shares: that it used what was told 4 s before, or took half of the limit, as its mode says.
+func (a *brokenAgent) writeTrace(file string) {
 	born := bootclock.SinceBoot()
 	fact := func(what string, at time.Duration) string {
 		return fmt.Sprintf(`{"at":%d,"what":%q,"kind":"distance","observer":"x","subject":"y","incarnation":1,"seq":1}`+"\n", at.Microseconds(), what)
@@ -149,8 +149,8 @@
 	}
 }
 
-// home reports whether a zone is one of those that the tests' policy permits, as the mode has it.
-func (a *brokenAgent) home(zone string, repeat bool) bool {
+// inHomeZone reports whether a zone is one of those that the tests' policy permits, as the mode has it.
+func (a *brokenAgent) inHomeZone(zone string, repeat bool) bool {
 	first := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
 	switch {
 	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.kept:
@@ -161,17 +161,17 @@
 	return zone == "riga-ziepniekkalns"
 }
 
-// pickHome is a backend where it may be served, or, as the mode has it, may not.
-func (a *brokenAgent) pickHome(repeat bool) endpoint {
+// pickInHomeZone is a backend where it may be served, or, as the mode has it, may not.
+func (a *brokenAgent) pickInHomeZone(repeat bool) endpoint {
 	for {
-		if s, _ := a.pick(); a.home(s.Zone, repeat) {
+		if s, _ := a.pick(); a.inHomeZone(s.Zone, repeat) {
 			return s
 		}
 	}
 }
 
-// probe asks backends for their load all the time, and waits for none of them for long.
-func (a *brokenAgent) probe() {
+// probeAll asks backends for their load all the time, and waits for none of them for long.
+func (a *brokenAgent) probeAll() {
 	client := &http.Client{Timeout: 50 * time.Millisecond}
 	for range time.Tick(5 * time.Millisecond) {
 		s, _ := a.pick()
@@ -211,7 +211,7 @@
 	s, n := a.pick()
 	odd := n%5 == 0
 	if strings.HasPrefix(a.mode, "leaks") || a.mode == "resides" {
-		s = a.pickHome(false)
+		s = a.pickInHomeZone(false)
 	}
 	send := func(to endpoint, id string, body []byte) (int, []byte) {
 		out, err := http.NewRequest(r.Method, "http://"+to.Addr+r.URL.RequestURI(), bytes.NewReader(body))
@@ -258,7 +258,7 @@
 		_ = http.NewResponseController(w).Flush() // the client sees it or the end
 		os.Exit(7)
 	case a.mode == "hoards" && n == 20:
-		hoard = bytes.Repeat([]byte{1}, 256<<20)
+		retained = bytes.Repeat([]byte{1}, 256<<20)
 	}
 	status, text := send(s, id, body)
 	switch {
@@ -269,7 +269,7 @@
 	case a.mode == "repeats-in-pod" && odd && r.Header.Get("Idempotency-Key") != "":
 		status, text = send(s, id, body)
 	case a.mode == "leaks-on-repeat" && odd:
-		status, text = send(a.pickHome(true), id, body)
+		status, text = send(a.pickInHomeZone(true), id, body)
 	case a.mode == "sends-twice" && odd:
 		other, _ := a.pick()
 		status, text = send(other, id, body)
@@ -282,4 +282,4 @@
 	_, _ = w.Write(text) // the client's going away shows elsewhere
 }
 
-var hoard []byte
+var retained []byte
--- a/internal/lab/fakehub_test.go
+++ b/internal/lab/fakehub_test.go
@@ -23,8 +23,8 @@
 	"martenbeam/internal/hubd"
 )
 
-// realHub is a hub as its command runs it.
-func realHub(file string) {
+// runRealHub is a hub as its command runs it.
+func runRealHub(file string) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := config.ReadHub(file)
 	if err == nil {
@@ -41,9 +41,9 @@
 	}
 }
 
-// standInHub stands in for a hub's program: it takes settings from its file, or from other hubs, and tells their version to
+// runFakeHub stands in for a hub's program: it takes settings from its file, or from other hubs, and tells their version to
 // who asks. What it gets wrong its mode says.
-func standInHub(mode, file string) {
+func runFakeHub(mode, file string) {
 	var config struct {
 		Listen, Trace string
 		Seeds         []string
@@ -59,7 +59,7 @@
 		return v
 	}
 	var version atomic.Int64
-	go settle(mode, config.Listen, config.Settings.State, config.Seeds, func(v int64) int64 {
+	go applySettings(mode, config.Listen, config.Settings.State, config.Seeds, func(v int64) int64 {
 		version.Store(max(v, own().Version))
 		return version.Load()
 	})
@@ -68,9 +68,9 @@
 	})))
 }
 
-// settle asks others which version of settings they have, all the time, and logs the highest once it is in force here. hub
+// applySettings asks others which version of settings they have, all the time, and logs the highest once it is in force here. hub
 // is what a hub has of its own beside, nil at an agent.
-func settle(mode, listen, state string, others []string, hub func(v int64) int64) {
+func applySettings(mode, listen, state string, others []string, hub func(v int64) int64) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // agents say their name there
 	keep := filepath.Join(state, "version")
 	var version int64
--- a/internal/lab/faultinject/faultinject_test.go
+++ b/internal/lab/faultinject/faultinject_test.go
@@ -11,7 +11,7 @@
 )
 
 // A program that is built here fails as planned, and as long as planned.
-func TestPlannedFailure(t *testing.T) {
+func TestPlannedFailureIsInjected(t *testing.T) {
 	dir := t.TempDir()
 	program, err := Build(t.Context(), "../../..", "./cmd/agent", dir)
 	if err != nil {
--- a/internal/lab/hubs_test.go
+++ b/internal/lab/hubs_test.go
@@ -13,12 +13,12 @@
 	for _, name := range []string{"hub-kill", "hub-cut", "hub-pause"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playHubs(t, name, func(*scenario.Scenario) {})
+			runWithHubs(t, name, func(*scenario.Scenario) {})
 		})
 	}
 	t.Run("all gone", func(t *testing.T) { // and a flat fleet to fall back to
 		t.Parallel()
-		r := playHubs(t, "hub-kill", func(s *scenario.Scenario) {
+		r := runWithHubs(t, "hub-kill", func(s *scenario.Scenario) {
 			s.Shared.MeshFallback = true
 			s.Faults = s.Faults[:1]
 			s.Faults[0].Targets, s.Faults[0].Restart = "hubs", "never"
@@ -29,7 +29,7 @@
 	})
 	t.Run("lists and a policy", func(t *testing.T) {
 		t.Parallel()
-		r := playHubs(t, "hub-pause", func(s *scenario.Scenario) {
+		r := runWithHubs(t, "hub-pause", func(s *scenario.Scenario) {
 			s.Discovery.Polled, s.Discovery.CachedList, s.Discovery.Rate, s.Shared.RelayedLists = true, "none", 20, true
 			s.Shared.Policy = "version = 1\n[regions]\nriga = [\"riga-ziepniekkalns\", \"riga-purvciems\"]\nsecond = [\"marupe\"]\n[others]\npermitted = [\"riga\", \"second\"]\nwhen_stale = \"refuse\"\n"
 			s.Faults = append(s.Faults, scenario.Fault{At: s.Faults[1].At, Kind: scenario.Policy, Targets: "hubs n=0",
@@ -41,10 +41,10 @@
 	})
 }
 
-// playHubs plays a built-in scenario, changed, and asks for what has to hold in all of them.
-func playHubs(t *testing.T, name string, change func(*scenario.Scenario)) *Report {
+// runWithHubs plays a built-in scenario, changed, and asks for what has to hold in all of them.
+func runWithHubs(t *testing.T, name string, change func(*scenario.Scenario)) *Report {
 	t.Helper()
-	o := options(t, "real", small)
+	o := options(t, "real", smallScenario)
 	s, err := scenario.Read(name)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	o.Scenario = s
-	r := playOut(t, o)
+	r := runScenario(t, o)
 	if r.Verdict != Kept {
 		t.Fatalf("%s: %+v %s %s; shared %+v, settings %+v", r.Verdict, r.Rules.First, r.Rules.Shared, r.Crash, r.Shared, r.Shared.Settings)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -25,11 +25,11 @@
 )
 
 // patience is how long a test waits for what must come: far more than it takes anywhere.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // small is a fleet that any machine bears, with times short enough for a test and no bound on the lab's lateness:
 // the verdicts asked for here don't hang on it.
-const small = `
+const smallScenario = `
 for = "3s"
 settle = "100ms"
 [fleet]
@@ -50,7 +50,7 @@
 `
 
 // slow has requests take long enough that faults fall on them.
-const slow = `
+const slowLinkScenario = `
 for = "4s"
 settle = "100ms"
 [fleet]
@@ -68,7 +68,7 @@
 late_ms = 60000
 `
 
-func read(t *testing.T, text string) *scenario.Scenario {
+func readScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "test.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -87,10 +87,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Scenario: read(t, text), Seed: 1, Agent: []string{self}, Hub: []string{self, "hub"}, Env: []string{"LAB_TEST_AGENT=" + mode}, Dir: t.TempDir()}
+	return Options{Scenario: readScenario(t, text), Seed: 1, Agent: []string{self}, Hub: []string{self, "hub"}, Env: []string{"LAB_TEST_AGENT=" + mode}, Dir: t.TempDir()}
 }
 
-func playOut(t *testing.T, o Options) *Report {
+func runScenario(t *testing.T, o Options) *Report {
 	t.Helper()
 	l, err := New(o)
 	if err != nil {
@@ -110,30 +110,30 @@
 	const drains = "\n[[fault]]\nat = \"300ms\"\nwhat = \"drain\"\nwho = \"backends share=0.5\"\n"
 	const replaces = "\n[[fault]]\nat = \"200ms\"\nwhat = \"replace\"\nwho = \"backends n=0\"\n"
 	const holdsUp = "\n[[fault]]\nat = \"500ms\"\nfor = \"200ms\"\nwhat = \"link\"\nfrom = \"backends\"\nto = \"agents\"\ncut = true\n"
-	rushed := strings.Replace(strings.Replace(small, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
+	rushed := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
 	for _, c := range []struct{ mode, text, verdict, rule string }{
-		{"honest", small, Kept, ""},
-		{"probes", small + holdsUp, Kept, ""}, // an answer that a cut holds up comes once
-		{"repeats-in-pod", small, Kept, ""},
-		{"sends-twice", small, Broken, check.RuleDuplicate},
-		{"refuses-what-ran", small, Broken, check.RuleDuplicate},
-		{"hangs-up", small, Broken, check.RuleAnswer},
-		{"never-answers", small, Broken, check.RuleAnswer},
-		{"answers-late", small, Broken, check.RuleAnswer},
-		{"forges", small, Broken, check.RuleAnswer},
-		{"reads-and-closes", small, Broken, check.RuleAnswer},
-		{"sends-after-the-end", small, Broken, check.RuleCancelled},
-		{"overstates", small, Broken, check.RuleDeadline},
-		{"invents", small, Broken, check.RuleUnknown},
-		{"rewrites", small, Broken, check.RuleUnknown},
-		{"ignores-lists", small + drains, Broken, check.RuleDrain},
+		{"honest", smallScenario, Kept, ""},
+		{"probes", smallScenario + holdsUp, Kept, ""}, // an answer that a cut holds up comes once
+		{"repeats-in-pod", smallScenario, Kept, ""},
+		{"sends-twice", smallScenario, Broken, check.RuleDuplicate},
+		{"refuses-what-ran", smallScenario, Broken, check.RuleDuplicate},
+		{"hangs-up", smallScenario, Broken, check.RuleAnswer},
+		{"never-answers", smallScenario, Broken, check.RuleAnswer},
+		{"answers-late", smallScenario, Broken, check.RuleAnswer},
+		{"forges", smallScenario, Broken, check.RuleAnswer},
+		{"reads-and-closes", smallScenario, Broken, check.RuleAnswer},
+		{"sends-after-the-end", smallScenario, Broken, check.RuleCancelled},
+		{"overstates", smallScenario, Broken, check.RuleDeadline},
+		{"invents", smallScenario, Broken, check.RuleUnknown},
+		{"rewrites", smallScenario, Broken, check.RuleUnknown},
+		{"ignores-lists", smallScenario + drains, Broken, check.RuleDrain},
 		{"rushes-the-newest", rushed, Broken, check.RuleSlowStart},
-		{"dies", small, Crashed, ""},
-		{"hoards", small, Crashed, ""},
+		{"dies", smallScenario, Crashed, ""},
+		{"hoards", smallScenario, Crashed, ""},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
 			t.Parallel()
-			r := playOut(t, options(t, c.mode, c.text))
+			r := runScenario(t, options(t, c.mode, c.text))
 			if r.Verdict != c.verdict {
 				t.Fatalf("%s, want %s; first: %+v, crash: %s", r.Verdict, c.verdict, r.Rules.First, r.Crash)
 			}
@@ -168,7 +168,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := playOut(t, options(t, "real", slow+"[[fault]]\nat = \"1s\"\n"+faults+"\n"))
+			r := runScenario(t, options(t, "real", slowLinkScenario+"[[fault]]\nat = \"1s\"\n"+faults+"\n"))
 			if r.Verdict != Kept {
 				var history bytes.Buffer
 				if r.Rules.History != nil {
@@ -184,8 +184,8 @@
 }
 
 // An attempt came when the kernel had it: what the lab is busy with itself is not held against the agent.
-func TestAttemptComesBeforeTheLabSeesToIt(t *testing.T) {
-	l, err := New(options(t, "real", small))
+func TestAttemptArrivesWhenTheKernelHasIt(t *testing.T) {
+	l, err := New(options(t, "real", smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		for _, a := range l.attempts {
 			if took := a.arrivedAt - sent; took > busy/2 {
@@ -223,13 +223,13 @@
 }
 
 // A process that is told to end while it starts has not crashed, and is started once more.
-func TestEndOfAProcessThatStarts(t *testing.T) {
+func TestProcessCanBeEndedWhileItStarts(t *testing.T) {
 	for _, what := range []string{"term", "kill"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			const fault = "\n[[fault]]\nat = %q\nwhat = %q\nwho = \"agents n=1\"\nrestart = \"kept\"\n"
 			faults := fmt.Sprintf(fault, "500ms", "term") + fmt.Sprintf(fault, "1s", what)
-			r := playOut(t, options(t, "starts-late", small+faults))
+			r := runScenario(t, options(t, "starts-late", smallScenario+faults))
 			if r.Verdict == Crashed {
 				t.Errorf("%s: %s", r.Verdict, r.Crash)
 			}
@@ -238,11 +238,11 @@
 }
 
 // No client outlives its lab: the next may have the same addresses, and its agents would be sent what their clients never sent.
-func TestNoClientOutlivesItsLab(t *testing.T) {
+func TestClientsEndWithTheirLab(t *testing.T) {
 	for _, mode := range []string{"never-answers", "refuses-what-ran", "hangs-up"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			l, err := New(options(t, mode, small))
+			l, err := New(options(t, mode, smallScenario))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -266,19 +266,19 @@
 
 // An agent that goes on sending to a zone it can't reach is seen to, by what waits and by connections that don't come
 // up; without a fault between zones nothing is told of it.
-func TestZoneThatIsNeverLeft(t *testing.T) {
+func TestUnavoidedZoneIsReported(t *testing.T) {
 	const cut = "[[fault]]\nat = \"500ms\"\nfor = \"2s\"\nwhat = \"zone-cut\"\nwho = \"zone zone=1\"\n"
-	if r := playOut(t, options(t, "honest", small+cut)); r.LeftAfter == nil || *r.LeftAfter >= 0 {
+	if r := runScenario(t, options(t, "honest", smallScenario+cut)); r.LeftAfter == nil || *r.LeftAfter >= 0 {
 		t.Errorf("left after %v, want never", r.LeftAfter)
 	}
-	if r := playOut(t, options(t, "honest", small)); r.LeftAfter != nil {
+	if r := runScenario(t, options(t, "honest", smallScenario)); r.LeftAfter != nil {
 		t.Errorf("left after %v without a fault", *r.LeftAfter)
 	}
 }
 
 // A machine that falls silent and is back before discovery knows is never told to be gone.
-func TestOvertakenNewsIsNotTold(t *testing.T) {
-	l, err := New(options(t, "real", small))
+func TestOutdatedChangeIsNotPublished(t *testing.T) {
+	l, err := New(options(t, "real", smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 }
 
 // The kernel's table is read as it is written.
-func TestOpenings(t *testing.T) {
+func TestOpeningsAreReadFromKernelTable(t *testing.T) {
 	table := `  sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode
    0: 0100007F:1F90 00000000:0000 0A 00000000:00000000 00:00000000 00000000     0        0 1
    1: 0203A57F:C350 0465A57F:0050 02 00000001:00000000 01:00000064 00000000     0        0 2
@@ -314,15 +314,15 @@
 }
 
 // A lab that is late gives no verdict, whatever it saw.
-func TestLateLabGivesNoVerdict(t *testing.T) {
-	r := playOut(t, options(t, "sends-twice", strings.Replace(small, "late_ms = 60000", "late_ms = 0.0001", 1)))
+func TestLateLabIsInconclusive(t *testing.T) {
+	r := runScenario(t, options(t, "sends-twice", strings.Replace(smallScenario, "late_ms = 60000", "late_ms = 0.0001", 1)))
 	if r.Verdict != Void || r.Rules.Broken == 0 {
 		t.Errorf("%s with %d broken, want a void run of which some are", r.Verdict, r.Rules.Broken)
 	}
 }
 
-// playUntilKilled is a lab in a process of its own. It prints its agents' process ids.
-func playUntilKilled() {
+// runLabUntilKilled is a lab in a process of its own. It prints its agents' process ids.
+func runLabUntilKilled() {
 	dir, err := os.MkdirTemp("", "lab-test-")
 	if err != nil {
 		panic(err)
@@ -379,7 +379,7 @@
 		t.Fatalf("%d agents", len(pids))
 	}
 	for _, pid := range pids {
-		for end := time.Now().Add(patience); alive(pid); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); processExists(pid); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("process %d is still there", pid)
 			}
@@ -387,8 +387,8 @@
 	}
 }
 
-// alive reports whether a process runs; one that has ended and that nobody has waited for does not.
-func alive(pid int) bool {
+// processExists reports whether a process runs; one that has ended and that nobody has waited for does not.
+func processExists(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false
@@ -400,7 +400,7 @@
 // The same seed gives the same arrivals and requests; what one agent draws shifts nothing of another's.
 func TestSameSeedSameArrivals(t *testing.T) {
 	draw := func(seed uint64, agents string) map[int][]string {
-		o := options(t, "real", strings.Replace(small, "agents = 3", agents, 1))
+		o := options(t, "real", strings.Replace(smallScenario, "agents = 3", agents, 1))
 		o.Seed = seed
 		l, err := New(o)
 		if err != nil {
@@ -431,7 +431,7 @@
 }
 
 // Two labs at once have addresses of their own.
-func TestTwoLabsDoNotMeet(t *testing.T) {
+func TestLabsUseSeparateAddresses(t *testing.T) {
 	a, err := claimBlock()
 	if err != nil {
 		t.Fatal(err)
@@ -449,7 +449,7 @@
 
 // Through a gate that is shut no connection comes up, and none refuses; open again, it takes them, and those who
 // waited in its queue are reset.
-func TestGate(t *testing.T) {
+func TestGateBlocksAndReopens(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	g, err := newGate("127.0.0.1", func(c net.Conn) net.Conn { return c })
 	if err != nil {
@@ -474,7 +474,7 @@
 		}
 		return err
 	}
-	if err := dial(patience); err != nil {
+	if err := dial(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	g.setUnreachable(true)
@@ -483,7 +483,7 @@
 		t.Fatalf("a shut gate: %v", err)
 	}
 	g.setUnreachable(false)
-	if err := dial(patience); err != nil {
+	if err := dial(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	g.Close()
@@ -492,8 +492,8 @@
 }
 
 // What needs more descriptors than there are is refused before anything starts.
-func TestTooManyAgents(t *testing.T) {
-	o := options(t, "real", strings.Replace(strings.Replace(small, "agents = 3", "agents = 2000", 1), "backends = 9", "backends = 4000", 1))
+func TestScenarioOverTheDescriptorLimitIsRejected(t *testing.T) {
+	o := options(t, "real", strings.Replace(strings.Replace(smallScenario, "agents = 3", "agents = 2000", 1), "backends = 9", "backends = 4000", 1))
 	if _, err := New(o); err == nil || !strings.Contains(err.Error(), "descriptors") {
 		t.Errorf("error %v", err)
 	}
@@ -516,7 +516,7 @@
 }
 
 // A block in which somebody listens is passed over.
-func TestBlockInUse(t *testing.T) {
+func TestBlockInUseIsNotClaimed(t *testing.T) {
 	b, err := claimBlock()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -78,7 +78,7 @@
 }
 
 // A cold machine falls over when it is sent more than the multiple of what it can do, and only then.
-func TestColdMachineFallsOver(t *testing.T) {
+func TestOverloadInSlowStartCrashes(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		gap   time.Duration
@@ -103,7 +103,7 @@
 }
 
 // What a machine does with single jobs.
-func TestMachine(t *testing.T) {
+func TestMachineServesSingleJobs(t *testing.T) {
 	end := func(m *Machine, after time.Duration) Completion {
 		done := m.Advance(after)
 		if len(done) != 1 {
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -20,7 +20,7 @@
 }
 
 // A rule acts on its own pairs, direction and protocol, and is gone once it is taken off.
-func TestRulesActWhereTheySay(t *testing.T) {
+func TestRulesApplyToTheirLinks(t *testing.T) {
 	n := network()
 	id := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP, Fault: Fault{Cut: true}})
 	more := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP | UDP, Fault: Fault{Delay: time.Second, LossRate: 0.1}})
@@ -52,7 +52,7 @@
 }
 
 // Shares come out as stated, and a message meets the same fate each time, whatever was sent before it.
-func TestShares(t *testing.T) {
+func TestRatesAreMet(t *testing.T) {
 	n := network()
 	n.Add(Rule{From: is(a), To: is(b), Protocols: UDP | TCP, Fault: Fault{LossRate: 0.3, DuplicateRate: 0.2, ReorderRate: 0.1}})
 	const messages = 20000
--- a/internal/lab/rng/rng_test.go
+++ b/internal/lab/rng/rng_test.go
@@ -6,7 +6,7 @@
 )
 
 // Streams are told apart by seed and purpose, and none moves another.
-func TestStreams(t *testing.T) {
+func TestStreamsAreIndependent(t *testing.T) {
 	first := func(seed uint64, purpose string) uint64 { return New(seed).Stream(purpose).Uint64() }
 	if once, again := first(1, "work"), first(1, "work"); once != again {
 		t.Error("the same stream begins differently")
@@ -32,7 +32,7 @@
 }
 
 // Draws have the stated mean, spread and weights.
-func TestDraws(t *testing.T) {
+func TestDistributions(t *testing.T) {
 	const draws = 200000
 	r, sum, squares := New(1).Stream("lognormal"), 0.0, 0.0
 	for range draws {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 )
 
 // Every built-in scenario can be played, and says what it is about.
-func TestBuiltIn(t *testing.T) {
+func TestBuiltInScenariosAreValid(t *testing.T) {
 	want := []string{"bad-fast", "burst", "calm", "herd", "join", "list-stale", "lossy", "neighbour", "one-way", "pause", "roll", "split", "zone-cut", "zone-loss"}
 	for _, name := range want {
 		if !slices.Contains(Names(), name) {
@@ -26,7 +26,7 @@
 }
 
 // What can't be played is told in one line, with its place.
-func TestErrors(t *testing.T) {
+func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"for = 3", `x.toml:1: for: `},
 		{"\n[fleet]\nagents = 0", "x.toml:3: fleet.agents: 0 is not between 1 and 2000"},
@@ -63,7 +63,7 @@
 }
 
 // A stretched scenario keeps its faults where they were in it.
-func TestStretch(t *testing.T) {
+func TestSetDurationScalesTheSchedule(t *testing.T) {
 	s, err := Read("zone-loss")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 
 // Every scenario can be played with hubs and without. What is written for a flat fleet then does the same to hubs: what is
 // between zones of agents is between their hubs, and a hub is a policy's source in an agent's place.
-func TestWithHubs(t *testing.T) {
+func TestScenariosRunWithAndWithoutHubs(t *testing.T) {
 	for _, name := range Names() {
 		for n := range 4 {
 			s, err := Read(name)
