--- /dev/null
+++ b/internal/lab/process_test.go
@@ -0,0 +1,124 @@
+package lab
+
+// Processes of a lab: their start, their end, and what is left of them.
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"syscall"
+	"testing"
+	"time"
+
+	"martenbeam/internal/lab/scenario"
+)
+
+// A process that is told to end while it starts has not crashed, and is started once more.
+func TestProcessCanBeEndedWhileItStarts(t *testing.T) {
+	for _, what := range []string{"term", "kill"} {
+		t.Run(what, func(t *testing.T) {
+			t.Parallel()
+			const fault = "\n[[fault]]\nat = %q\nwhat = %q\nwho = \"agents n=1\"\nrestart = \"kept\"\n"
+			faults := fmt.Sprintf(fault, "500ms", "term") + fmt.Sprintf(fault, "1s", what)
+			r := runScenario(t, options(t, "starts-late", smallScenario+faults))
+			if r.Verdict == Crashed {
+				t.Errorf("%s: %s", r.Verdict, r.Crash)
+			}
+		})
+	}
+}
+
+// No client outlives its lab: the next may have the same addresses, and its agents would be sent what their clients never sent.
+func TestClientsEndWithTheirLab(t *testing.T) {
+	for _, mode := range []string{"never-answers", "refuses-what-ran", "hangs-up"} {
+		t.Run(mode, func(t *testing.T) {
+			t.Parallel()
+			l, err := New(options(t, mode, smallScenario))
+			if err != nil {
+				t.Fatal(err)
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			l.Ready = func(*Lab) { time.AfterFunc(time.Second, cancel) }
+			_, err = l.Run(ctx)
+			l.Close()
+			if err != nil {
+				t.Fatal(err)
+			}
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			for _, a := range l.agents {
+				if a.openRequests > 0 {
+					t.Errorf("%d clients of agent %d are at work", a.openRequests, a.number)
+				}
+			}
+		})
+	}
+}
+
+// runLabUntilKilled is a lab in a process of its own. It prints its agents' process ids.
+func runLabUntilKilled() {
+	dir, err := os.MkdirTemp("", "lab-test-")
+	if err != nil {
+		panic(err)
+	}
+	s := scenario.Default()
+	s.Fleet.Agents, s.Fleet.Backends, s.Load.Rate = 3, 3, 30
+	self, err := os.Executable()
+	if err != nil {
+		panic(err)
+	}
+	l, err := New(Options{Scenario: &s, Seed: 1, Agent: []string{self}, Hub: []string{self, "hub"}, Env: []string{"LAB_TEST_AGENT=real"}, Dir: dir, Ready: func(l *Lab) {
+		for _, a := range l.agents {
+			fmt.Println(a.cmd.Process.Pid, dir)
+		}
+		l.agents[1].cmd.Process.Signal(syscall.SIGSTOP)
+		fmt.Println("ready")
+	}})
+	if err != nil {
+		panic(err)
+	}
+	_, _ = l.Run(context.Background()) // it is killed
+}
+
+// A lab that is killed outright leaves no process behind, not even a stopped one.
+func TestKilledLabLeavesNoProcess(t *testing.T) {
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.Command(self)
+	cmd.Env = append(os.Environ(), "LAB_TEST_AGENT=lab")
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	var pids []int
+	dir := ""
+	for lines := bufio.NewScanner(out); lines.Scan() && lines.Text() != "ready"; {
+		pid := 0
+		if _, err := fmt.Sscan(lines.Text(), &pid, &dir); err != nil {
+			t.Fatal(err)
+		}
+		pids = append(pids, pid)
+	}
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait() // killed
+	if dir != "" {
+		defer os.RemoveAll(dir)
+	}
+	if len(pids) != 3 {
+		t.Fatalf("%d agents", len(pids))
+	}
+	for _, pid := range pids {
+		for end := time.Now().Add(testTimeout); processExists(pid); time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatalf("process %d is still there", pid)
+			}
+		}
+	}
+}
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -29,7 +29,7 @@
 	return text + sharedScenario + "policy = " + policyDocument("1", `"riga", "second"`) + "[[fault]]\nat = \"1s\"\nwhat = \"policy\"\nwho = \"agents n=0\"\ntext = " + policyDocument("2", `"riga"`)
 }
 
-// hubs is a fleet with hubs whose settings change once.
+// hubScenario is a fleet with hubs whose settings change once.
 const hubScenario = sharedScenario + `
 hubs = 2
 settings_bound = "1s"
@@ -96,7 +96,7 @@
 	}
 }
 
-// six is a fleet of real agents that share what they know.
+// sixAgentScenario is a fleet of real agents that share what they know.
 const sixAgentScenario = `
 for = "7s"
 settle = "100ms"
