--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -9,8 +9,8 @@
 // The first tries of agents that start at once come to their hubs within this time.
 const startupJitter = 300 * time.Millisecond
 
-// keepAttached has a stream to a hub, to another when that one fails, and to the agent's own when it is back, until ctx ends.
-func (c *Client) keepAttached(ctx context.Context) {
+// maintainAttachment has a stream to a hub, to another when that one fails, and to the agent's own when it is back, until ctx ends.
+func (c *Client) maintainAttachment(ctx context.Context) {
 	wait := time.Duration(c.selector.random.Int64N(int64(startupJitter)))
 	for sleep(ctx, wait) {
 		index := c.selector.current
@@ -47,12 +47,12 @@
 		attachedAt := time.Now()
 		c.setAttachment(a)
 		c.cfg.Log.Info("attached", "hub", a.hubName, "zone", a.hub.Zone)
-		home := c.awaitEndOrHome(ctx, a, index)
-		if home != nil {
-			a.cancel(errHomeHubBack)
+		preferred := c.awaitEndOrPreferred(ctx, a, index)
+		if preferred != nil {
+			a.cancel(errPreferredHubBack)
 			<-a.done
 			a.conn.Close()
-			a, index = home, 0
+			a, index = preferred, 0
 			continue
 		}
 		<-a.done
@@ -68,23 +68,23 @@
 	}
 }
 
-// awaitEndOrHome waits until a stream ends, or, where it is not to the agent's own hub, until there is one to that.
-func (c *Client) awaitEndOrHome(ctx context.Context, a *attachment, index int) (home *attachment) {
-	for wait := c.selector.nextHomeCheck(); ; {
-		var homeCheck <-chan time.Time
+// awaitEndOrPreferred waits until a stream ends, or, where it is not to the agent's own hub, until there is one to that.
+func (c *Client) awaitEndOrPreferred(ctx context.Context, a *attachment, index int) (preferred *attachment) {
+	for wait := c.selector.nextPreferredCheck(); ; {
+		var preferredCheck <-chan time.Time
 		if index != 0 {
-			homeCheck = time.After(wait)
+			preferredCheck = time.After(wait)
 		}
 		select {
 		case <-a.ctx.Done():
 			return nil
-		case <-homeCheck:
+		case <-preferredCheck:
 		}
-		home, err := c.openAttachment(ctx, c.hubs[0])
+		preferred, err := c.openAttachment(ctx, c.hubs[0])
 		if err == nil {
-			return home
+			return preferred
 		}
-		wait = c.selector.nextHomeCheck()
+		wait = c.selector.nextPreferredCheck()
 		var busy *busyError
 		if errors.As(err, &busy) {
 			wait = max(wait, busy.retryAfter)
--- a/internal/fleet/hubclient/choice.go
+++ b/internal/fleet/hubclient/choice.go
@@ -32,25 +32,25 @@
 }
 
 const (
-	initialBackoff           = 2 * time.Second // full jitter: within it the agents of a dead hub come to the others
-	maxBackoff               = 8 * time.Second
-	stableAfter              = 10 * time.Second // a stream that held so long was a working one
-	maxBusyReplies           = 3                // in a row, before another hub is tried
-	defaultHomeCheckInterval = 30 * time.Second // plus or minus half
+	initialBackoff                = 2 * time.Second // full jitter: within it the agents of a dead hub come to the others
+	maxBackoff                    = 8 * time.Second
+	stableAfter                   = 10 * time.Second // a stream that held so long was a working one
+	maxBusyReplies                = 3                // in a row, before another hub is tried
+	defaultPreferredCheckInterval = 30 * time.Second // plus or minus half
 )
 
 // hubSelector says which hub is tried next and after how long. It is told what happened, and what time it is.
 type hubSelector struct {
-	random              *rand.Rand
-	current             int         // the hub to try, in the agent's order
-	consecutiveFailures int         // in a row, since a stream was steady
-	busyReplies         int         // in a row, at this hub
-	busyUntil           []time.Time // until then each hub asked not to be tried
-	homeCheckInterval   time.Duration
+	random                 *rand.Rand
+	current                int         // the hub to try, in the agent's order
+	consecutiveFailures    int         // in a row, since a stream was steady
+	busyReplies            int         // in a row, at this hub
+	busyUntil              []time.Time // until then each hub asked not to be tried
+	preferredCheckInterval time.Duration
 }
 
 func newHubSelector(hubs int, seed uint64) *hubSelector {
-	return &hubSelector{random: rand.New(rand.NewPCG(seed, 0)), busyUntil: make([]time.Time, hubs), homeCheckInterval: defaultHomeCheckInterval}
+	return &hubSelector{random: rand.New(rand.NewPCG(seed, 0)), busyUntil: make([]time.Time, hubs), preferredCheckInterval: defaultPreferredCheckInterval}
 }
 
 // attachFailed takes that the hub could not be attached to.
@@ -100,7 +100,7 @@
 	return s.busyUntil[earliest].Sub(now)
 }
 
-// nextHomeCheck is how long an agent stays elsewhere before it looks for its own hub.
-func (s *hubSelector) nextHomeCheck() time.Duration {
-	return s.homeCheckInterval/2 + time.Duration(s.random.Int64N(int64(s.homeCheckInterval)))
+// nextPreferredCheck is how long an agent stays elsewhere before it looks for its own hub.
+func (s *hubSelector) nextPreferredCheck() time.Duration {
+	return s.preferredCheckInterval/2 + time.Duration(s.random.Int64N(int64(s.preferredCheckInterval)))
 }
--- a/internal/fleet/hubclient/choice_test.go
+++ b/internal/fleet/hubclient/choice_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("after a steady stream hub %d is tried after %v", selector.current, wait)
 	}
 	for range 1000 {
-		if d := selector.nextHomeCheck(); d < defaultHomeCheckInterval/2 || d >= defaultHomeCheckInterval*3/2 {
+		if d := selector.nextPreferredCheck(); d < defaultPreferredCheckInterval/2 || d >= defaultPreferredCheckInterval*3/2 {
 			t.Fatalf("home is looked for after %v", d)
 		}
 	}
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -127,7 +127,7 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.runLoop(ctx) })
 	tasks.Go(func() { c.serveAddress(ctx) })
-	c.keepAttached(ctx)
+	c.maintainAttachment(ctx)
 	tasks.Wait()
 	return nil
 }
--- a/internal/fleet/hubclient/client_test.go
+++ b/internal/fleet/hubclient/client_test.go
@@ -58,7 +58,7 @@
 
 // A hub is killed: the next one has the agent, and what that one tells holds. The agent's own hub comes back: the agent goes
 // home, attached there before it lets go, without a goodbye. It ends: its hub hears a goodbye, and then the end.
-func TestAgentFailsOverAndReturnsHome(t *testing.T) {
+func TestAgentFailsOverAndReturnsToPreferredHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
 	a.fleetSize, b.fleetSize, b.rttMicros = hub.FleetSize{Attached: 3, Dead: 2}, hub.FleetSize{Attached: 4, Dead: 5}, 7000
--- a/internal/fleet/hubclient/door.go
+++ b/internal/fleet/hubclient/door.go
@@ -13,8 +13,8 @@
 
 const (
 	bindRetryInterval = 50 * time.Millisecond
-	maxHeldConns      = 64
-	connHoldTime      = time.Second
+	maxOpenConns      = 64
+	connTimeout       = time.Second
 	maxDiscardedBytes = 64 << 10 // bytes of a stream that is held
 )
 
@@ -28,7 +28,7 @@
 }
 
 func newAddressListener(addr netip.AddrPort, awaitAddress bool) (*addressListener, error) {
-	l := &addressListener{addr: addr, slots: make(chan struct{}, maxHeldConns)}
+	l := &addressListener{addr: addr, slots: make(chan struct{}, maxOpenConns)}
 	if err := l.bind(); err != nil && !(awaitAddress && errors.Is(err, syscall.EADDRINUSE)) {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 func (l *addressListener) discardAndClose(conn *net.TCPConn) {
 	defer func() { <-l.slots }()
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(connHoldTime)) // closed already if it fails
+	_ = conn.SetDeadline(time.Now().Add(connTimeout)) // closed already if it fails
 	_, _ = io.CopyN(io.Discard, conn, maxDiscardedBytes)
 }
 
--- a/internal/fleet/hubclient/hard_test.go
+++ b/internal/fleet/hubclient/hard_test.go
@@ -35,14 +35,14 @@
 // cluster is hubs of the zones a, b, c and d, each a process, and agents that are watched. a and b are of one region, c and d of
 // another; hub x has the address 127.2.0.x, and agent n 127.1.x.n.
 type cluster struct {
-	t                 *testing.T
-	monitor           *monitor
-	maxAgents         int
-	hubs              map[string]*hubProcess
-	stateDir          string
-	untraced          bool
-	homeCheckInterval time.Duration // how long agents stay elsewhere; 0: as they do
-	singleRegion      bool          // all zones are of one region
+	t                      *testing.T
+	monitor                *monitor
+	maxAgents              int
+	hubs                   map[string]*hubProcess
+	stateDir               string
+	untraced               bool
+	preferredCheckInterval time.Duration // how long agents stay elsewhere; 0: as they do
+	singleRegion           bool          // all zones are of one region
 }
 
 func (c *cluster) region(zone string) string {
@@ -118,8 +118,8 @@
 	if a.Client, err = New(cfg, []string{"a", "b", "c", "d"}, fleet.Callbacks{}); err != nil {
 		c.t.Fatal(err)
 	}
-	if c.homeCheckInterval > 0 {
-		a.selector.homeCheckInterval = c.homeCheckInterval
+	if c.preferredCheckInterval > 0 {
+		a.selector.preferredCheckInterval = c.preferredCheckInterval
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
@@ -319,7 +319,7 @@
 func TestResumedHubSendsNothingStale(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 12, false, "a", "b", "c")
-	cluster.homeCheckInterval = 2 * time.Second
+	cluster.preferredCheckInterval = 2 * time.Second
 	defer cluster.monitor.stopAndCheck(t)
 	cluster.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
 	atA := cluster.startAgents("a", 4)
@@ -402,7 +402,7 @@
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, 6, false, "a", "b", "c")
-			c.homeCheckInterval = 2 * time.Second
+			c.preferredCheckInterval = 2 * time.Second
 			defer c.monitor.stopAndCheck(t)
 			c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
 			atA := c.startAgents("a", 2)
@@ -509,7 +509,7 @@
 	t.Parallel()
 	const many = 257
 	c := newCluster(t, many, true, "a", "b", "c", "d")
-	c.singleRegion, c.homeCheckInterval = true, 6*time.Second
+	c.singleRegion, c.preferredCheckInterval = true, 6*time.Second
 	defer c.monitor.stopAndCheck(t)
 	list := c.startAgents("a", many)
 	waitFor(t, "all at home", allOf(list, attachedTo("a")))
@@ -529,10 +529,10 @@
 	startedAt = time.Now()
 	c.restartHub("a")
 	// Two looks for home are at most one and a half times n.home apart each; on a busy machine one may fail.
-	waitWithin(t, "all at home again", 3*c.homeCheckInterval, startedAt, allOf(list, attachedTo("a")))
+	waitWithin(t, "all at home again", 3*c.preferredCheckInterval, startedAt, allOf(list, attachedTo("a")))
 	peak, hellos := c.hubs["a"].helloRate(startedAt)
 	t.Logf("home: %d hellos, %d in the worst second", hellos, peak)
-	if peak > 2*many/int(c.homeCheckInterval/time.Second) {
+	if peak > 2*many/int(c.preferredCheckInterval/time.Second) {
 		t.Errorf("%d hellos at home in the worst second", peak)
 	}
 }
--- a/internal/fleet/hubclient/hardhub_test.go
+++ b/internal/fleet/hubclient/hardhub_test.go
@@ -359,11 +359,11 @@
 	if err := json.NewEncoder(p.stdin).Encode(&command); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a hub's answer", func() (there bool) {
+	waitFor(t, "a hub's answer", func() (known bool) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		answer, there = p.answers[command.ID]
-		return there
+		answer, known = p.answers[command.ID]
+		return known
 	})
 	return answer
 }
--- a/internal/fleet/hubclient/standin_test.go
+++ b/internal/fleet/hubclient/standin_test.go
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.selector.homeCheckInterval = 300 * time.Millisecond
+	a.selector.preferredCheckInterval = 300 * time.Millisecond
 	a.stop = runTask(t, a.Client.Run)
 	return a
 }
--- a/internal/fleet/hubclient/stream.go
+++ b/internal/fleet/hubclient/stream.go
@@ -29,9 +29,9 @@
 )
 
 var (
-	errHomeHubBack = errors.New("the agent's own hub is back")
-	errHubSlow     = errors.New("its messages take too long")
-	errNoEcho      = errors.New("it does not hear this agent")
+	errPreferredHubBack = errors.New("the agent's own hub is back")
+	errHubSlow          = errors.New("its messages take too long")
+	errNoEcho           = errors.New("it does not hear this agent")
 )
 
 // busyError says that a hub is busy, and when to come again.
