--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -1,5 +1,18 @@
-// Package documents has a text with a version come to a whole fleet: who holds it tells its version and digest as a fact, and
-// who does not know the digest asks for the text over HTTP. The policy of residency and the agents' settings are such texts.
+// Package documents distributes versioned documents, texts with a version number and a digest, to all processes of a
+// fleet: the residency policy and the agents' settings. A process that holds a document publishes its version and
+// digest as a gossip entry; a process that does not know the digest fetches the text over HTTP from one that does. A
+// version never decreases anywhere: the Holder at each process rejects lower ones.
+//
+// # Ownership of state
+//
+// The applied text belongs to the Holder, which checks, stores and applies it. A Document adds when each digest was
+// last fetched, below a lock; its other fields are constant. The owner of the gossip store calls Follow with each
+// valid entry, several times a second. Each fetch is a goroutine of its own, which nobody waits for: it ends when the
+// context of Follow does.
+//
+// What a process has applied does not expire with the gossip entries: when no source can be reached, it serves on
+// with it. Where the age matters, as for the residency policy, Confirm tells the Holder when a source was last known
+// to hold it.
 package documents
 
 import (
@@ -20,62 +33,73 @@
 )
 
 const (
-	fetchTimeout       = 2 * time.Second
-	fetchRetryInterval = time.Second // a text that could not be had is asked for again
-	maxDigests         = 64          // texts under one version
-	maxTrackedFetches  = 256         // digests of which it is known when they were asked for
+	fetchTimeout       = 2 * time.Second // for all sources of one fetch
+	fetchRetryInterval = time.Second     // between fetches of one digest, on top of the jitter
+	maxDigests         = 64              // in one AppliedVersion
+	maxTrackedFetches  = 256             // digests whose last fetch is remembered
 )
 
-// AppliedVersion is the version of a text that a process holds, as a fact's body.
+// AppliedVersion is the version of a document that a process has applied, as published in the body of a gossip entry.
 type AppliedVersion struct {
-	Version int64    `cbor:"1,keyasint"`
-	Digests []string `cbor:"2,keyasint"` // of the texts that it knows under the version
+	Version int64    `cbor:"1,keyasint"` // 0: none
+	Digests []string `cbor:"2,keyasint"` // of all texts known with that version; more than one is an operator's mistake
 }
 
-// MarshalBody is the standing as a fact's body.
+// MarshalBody encodes the version as the body of a gossip entry.
 func (s AppliedVersion) MarshalBody() []byte {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		panic(err) // it holds numbers and names alone
+		panic(err) // impossible: numbers and strings always encode
 	}
 	return body
 }
 
-// ParseAppliedVersion reads a fact's body. It reports false where it makes no sense.
+// ParseAppliedVersion decodes the body of a gossip entry. ok is false if it is malformed, has no version or no
+// digest, or too many.
 func ParseAppliedVersion(body []byte) (s AppliedVersion, ok bool) {
 	return s, cbor.Unmarshal(body, &s) == nil && s.Version >= 1 && len(s.Digests) > 0 && len(s.Digests) <= maxDigests
 }
 
-// Holder keeps the text in force at a process.
+// Holder keeps the applied text of a document at one process. Its methods may be called from any goroutine.
 type Holder interface {
-	Apply(version int64, text string) error // never back: of a lower version it is an error
+	// Apply checks a text and applies it. A version below the applied one is an error, and so is a text that can't be
+	// used; the Holder logs either.
+	Apply(version int64, text string) error
+	// Text returns the text with a digest and its version. ok is false if the text is not held here.
 	Text(digest string) (version int64, text string, ok bool)
 }
 
-// Document is one kind of text at one process.
+// Document is one kind of document at one process. Its functions must be set unless noted, and are called from any
+// goroutine. Its methods may be called from any goroutine. It must not be copied once it is used.
 type Document struct {
-	GossipKind  gossip.Kind
-	Subject     string // of the fact that tells of it
-	Path        string // where texts are asked for, by digest
-	MaxBytes    int    // bytes
-	Holder      Holder
-	Applied     func() AppliedVersion
-	Digest      func(text string) string
-	Confirm     func(version int64, digest string, age time.Duration) // that a source still held it so long ago; nil: it never grows stale
-	ShouldFetch func(version int64, digest string) bool               // of what is not in force, whether to ask for it; nil: always
-	FetchJitter time.Duration                                         // full jitter before it is asked for: many may hear of it at once
+	GossipKind gossip.Kind
+	Subject    string // of the gossip entry that publishes it
+	Path       string // of HTTP requests for texts; the digest follows
+	MaxBytes   int    // of a text
+	Holder     Holder
+	Applied    func() AppliedVersion
+	Digest     func(text string) string
+
+	// Confirm, if set, is told that a source held an applied text, and how long ago that was observed.
+	Confirm func(version int64, digest string, age time.Duration)
+	// ShouldFetch decides whether a text that is not applied is fetched; nil: always.
+	ShouldFetch func(version int64, digest string) bool
+	// FetchJitter is the upper bound of a random delay before a fetch, for when many processes learn of a version at once.
+	FetchJitter time.Duration
 
 	mu        sync.Mutex
-	lastFetch map[string]time.Time // by digest
+	lastFetch map[string]time.Time // by digest: when a fetch was last started
 }
 
-// Sources is whom to ask for a text: addresses, the source first, and how to reach them.
+// Sources are the processes to fetch a text from, as IP:port and in order, and how to connect to them.
 type Sources struct {
 	Addrs []string
 	Dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Follow heeds what a source holds: a text that is not known here is asked for by a task of its own.
+// Follow compares what a process holds, according to its gossip entry, with the applied version. It confirms what is
+// applied, and starts a goroutine to fetch what is newer, from sources. Malformed entries are ignored. It does not
+// block; a fetch ends with ctx.
 func (d *Document) Follow(ctx context.Context, entry gossip.Entry, sources func() Sources) {
 	published, ok := ParseAppliedVersion(entry.Body)
 	if !ok {
@@ -94,7 +118,7 @@
 	}
 }
 
-// fetchAllowed reports whether a text may be asked for now.
+// fetchAllowed reports whether a fetch of a digest may be started now, and records that it is.
 func (d *Document) fetchAllowed(digest string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,8 +132,8 @@
 	return true
 }
 
-// fetch asks a few processes for a text, its source first. A text that nobody can hand out, though a source tells of it, is
-// not in force anywhere yet that was heard here.
+// fetch requests a text from the sources in turn and applies the first answer with the right digest and version. If
+// no source has it, Follow starts another fetch later.
 func (d *Document) fetch(ctx context.Context, digest string, version int64, sources Sources) {
 	if d.FetchJitter > 0 {
 		select {
@@ -123,18 +147,20 @@
 	for _, addr := range sources.Addrs {
 		response, err := d.fetchFrom(ctx, sources, addr, digest)
 		if err != nil || d.Digest(response.Text) != digest || response.Version != version {
-			continue // not to be had there, or another text by now
+			continue // this source does not have it, or has another text by now
 		}
-		_ = d.Holder.Apply(response.Version, response.Text) // it logs what is wrong with it
+		_ = d.Holder.Apply(response.Version, response.Text) // the Holder logs errors
 		return
 	}
 }
 
+// textResponse is the JSON body of an answer to a fetch.
 type textResponse struct {
 	Version int64  `json:"version"`
 	Text    string `json:"text"`
 }
 
+// fetchFrom requests a text from one source.
 func (d *Document) fetchFrom(ctx context.Context, sources Sources, addr, digest string) (response textResponse, err error) {
 	client := &http.Client{Transport: &http.Transport{DialContext: sources.Dial, DisableKeepAlives: true}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+d.Path+digest, nil)
@@ -152,7 +178,7 @@
 	return response, json.NewDecoder(io.LimitReader(resp.Body, int64(2*d.MaxBytes))).Decode(&response)
 }
 
-// Serve hands out the text of a digest.
+// Serve answers an HTTP request for the text with a digest, as JSON, or with status 404 if it is not held here.
 func (d *Document) Serve(w http.ResponseWriter, digest string) {
 	version, text, ok := d.Holder.Text(digest)
 	if !ok {
@@ -160,5 +186,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(textResponse{version, text}) // the other side sees that it is cut off
+	_ = json.NewEncoder(w).Encode(textResponse{version, text}) // on an error the client receives incomplete JSON
 }
--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -1,3 +1,5 @@
+// The life of attachments: which hub is tried when, moving to another hub, and returning to the preferred one.
+
 package hubclient
 
 import (
@@ -6,10 +8,11 @@
 	"time"
 )
 
-// The first tries of agents that start at once come to their hubs within this time.
+// startupJitter spreads the first attempts of agents that start at the same time.
 const startupJitter = 300 * time.Millisecond
 
-// maintainAttachment has a stream to a hub, to another when that one fails, and to the agent's own when it is back, until ctx ends.
+// maintainAttachment keeps this agent attached to a hub until ctx ends: to the preferred hub when that accepts it, to
+// another otherwise.
 func (c *Client) maintainAttachment(ctx context.Context) {
 	wait := time.Duration(c.selector.random.Int64N(int64(startupJitter)))
 	for sleep(ctx, wait) {
@@ -25,12 +28,13 @@
 			wait = c.selector.attachFailed(time.Now())
 		}
 		if err != nil {
-			c.cfg.Log.Debug("a hub does not take this agent", "zone", c.hubs[index].Zone, "error", err, "next", c.hubs[c.selector.current].Zone, "wait", wait)
+			c.cfg.Log.Debug("a hub does not take this agent", "zone", c.hubs[index].Zone, "error", err,
+				"next", c.hubs[c.selector.current].Zone, "wait", wait)
 		}
 	}
 }
 
-// sleep waits, and reports false if ctx ends.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -40,8 +44,9 @@
 	}
 }
 
-// stayAttached keeps a stream, and changes it for one to the agent's own hub as soon as there is one, until it ends. It returns how
-// long to wait then.
+// stayAttached uses an attachment until it ends, and replaces it by one to the preferred hub as soon as that accepts
+// the agent. The new attachment is open before the old one closes. index is the hub's in Client.hubs. It returns how
+// long to wait before the next attempt.
 func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
 	for {
 		attachedAt := time.Now()
@@ -63,12 +68,15 @@
 		a.conn.Close()
 		c.setAttachment(nil)
 		wait := c.selector.attachmentLost(index, time.Since(attachedAt), time.Now())
-		c.cfg.Log.Warn("the hub is lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx), "next", c.hubs[c.selector.current].Zone, "wait", wait)
+		c.cfg.Log.Warn("the hub is lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx),
+			"next", c.hubs[c.selector.current].Zone, "wait", wait)
 		return wait
 	}
 }
 
-// awaitEndOrPreferred waits until a stream ends, or, where it is not to the agent's own hub, until there is one to that.
+// awaitEndOrPreferred waits until an attachment ends, and then returns nil. If the attachment is to another hub than
+// the preferred one, it also tries the preferred hub from time to time, and returns an attachment to that one as soon
+// as it has it.
 func (c *Client) awaitEndOrPreferred(ctx context.Context, a *attachment, index int) (preferred *attachment) {
 	for wait := c.selector.nextPreferredCheck(); ; {
 		var preferredCheck <-chan time.Time
@@ -92,7 +100,7 @@
 	}
 }
 
-// setAttachment sets the stream that this agent has; nil: none.
+// setAttachment records the current attachment, or nil when it was lost.
 func (c *Client) setAttachment(a *attachment) {
 	c.mu.Lock()
 	previous := c.attachment
@@ -107,7 +115,7 @@
 	c.wake()
 }
 
-// disconnectedFor is for how long there has been no stream.
+// disconnectedFor returns the time since the last attachment was lost, or since the start; zero while attached.
 func (c *Client) disconnectedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -1,3 +1,5 @@
+// One attachment to a hub: the handshake, and the two goroutines that read and write its stream.
+
 package hubclient
 
 import (
@@ -18,14 +20,14 @@
 
 const (
 	attachTimeout     = 2 * time.Second
-	hubTimeout        = 2500 * time.Millisecond // of a hub, after which it counts as failed: it tells each second
-	stateInterval     = time.Second
+	hubTimeout        = 2500 * time.Millisecond // without a frame from a hub, which sends one each second: it counts as failed
+	stateInterval     = time.Second             // between states, unless the state changes
 	writeTimeout      = 2 * time.Second
 	leaveTimeout      = 500 * time.Millisecond
-	slowTransit       = time.Second     // a way of the hub's messages that is too long ...
-	maxSlowMessages   = 3               // ... so many times in a row
-	maxEchoAge        = 4 * time.Second // since the last state that the hub echoed was written
-	maxStatesInFlight = 8               // states that are out at once
+	slowTransit       = time.Second     // a message that may have been longer on its way is slow
+	maxSlowMessages   = 3               // consecutive ones: the hub counts as failed
+	maxEchoAge        = 4 * time.Second // since the last echoed state was written: the hub counts as failed
+	maxStatesInFlight = 8               // written and not echoed yet; echoes of older ones are ignored
 )
 
 var (
@@ -34,37 +36,39 @@
 	errNoEcho           = errors.New("it does not hear this agent")
 )
 
-// busyError says that a hub is busy, and when to come again.
+// busyError is a hub's reply that it does not accept the agent now, and after what time to retry.
 type busyError struct{ retryAfter time.Duration }
 
 func (e *busyError) Error() string { return fmt.Sprintf("it is busy for %v", e.retryAfter) }
 
-// halfCloser is a connection that can be closed one way.
+// halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// attachment is an agent's stream to one hub: one task reads it, one writes it.
+// attachment is an agent's stream to one hub. readLoop and writeLoop serve it until either fails, ctx ends or cancel
+// is called; the cause of ctx says why. maintainAttachment owns it: it waits for done and closes conn.
 type attachment struct {
 	client       *Client
 	hub          Hub
-	hubName      string // the hub's own
+	hubName      string // as the hub calls itself
 	conn         halfCloser
 	reader       *bufio.Reader
-	helloSentAt  time.Time // Hello was written then: whatever comes was written later
+	helloSentAt  time.Time // everything received was sent later
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
-	done         chan struct{} // closed when its tasks have ended
-	slowMessages int           // messages in a row that took too long
+	done         chan struct{} // closed when readLoop and writeLoop have ended
+	slowMessages int           // consecutive ones; readLoop alone uses it
 
 	mu                sync.Mutex
-	seq               uint32
-	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by number
-	echoedStateSentAt time.Time                    // when the last state that came back was written; zero: none has
+	seq               uint32                       // of the last state
+	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by seq modulo the length
+	echoedStateSentAt time.Time                    // when the last echoed state was written; zero: none was echoed yet
 }
 
-// openAttachment has a hub take this agent. ctx ends it at any time.
+// openAttachment attaches to a hub and starts the goroutines of the attachment, which end with ctx. The error is a
+// *busyError if the hub asks the agent to retry later.
 func (c *Client) openAttachment(ctx context.Context, hub Hub) (*attachment, error) {
 	attachCtx, cancel := context.WithTimeout(ctx, attachTimeout)
 	defer cancel()
@@ -85,12 +89,12 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() { a.cancel(a.readLoop()) })
 	tasks.Go(func() { a.cancel(a.writeLoop()) })
-	context.AfterFunc(a.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // closed already if it fails
+	context.AfterFunc(a.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // unblocks both; fails only on a closed connection
 	go func() { tasks.Wait(); close(a.done) }()
 	return a, nil
 }
 
-// handshake says who this agent is.
+// handshake upgrades the connection, sends this agent's Hello and awaits the hub's Welcome.
 func (a *attachment) handshake() error {
 	req, err := http.NewRequest(http.MethodGet, "http://"+a.hub.Addr+frame.Path, nil)
 	if err != nil {
@@ -110,7 +114,8 @@
 	}
 	cfg := &a.client.cfg
 	a.helloSentAt = time.Now()
-	hello := frame.Hello{Label: cfg.Label, Name: cfg.Name, Incarnation: a.client.incarnation, Site: cfg.Site, Addr: cmp.Or(cfg.Advertise, a.client.listener.address()), ProgramVersion: cfg.Version}
+	hello := frame.Hello{Label: cfg.Label, Name: cfg.Name, Incarnation: a.client.incarnation, Site: cfg.Site,
+		Addr: cmp.Or(cfg.Advertise, a.client.listener.address()), ProgramVersion: cfg.Version}
 	if err := a.writeFrame(&frame.Frame{Hello: &hello}); err != nil {
 		return err
 	}
@@ -127,6 +132,7 @@
 	return nil
 }
 
+// writeFrame encodes and writes a frame. The caller sets the write deadline; writes must not overlap.
 func (a *attachment) writeFrame(f *frame.Frame) error {
 	data, err := frame.Encode(f)
 	if err != nil {
@@ -136,11 +142,11 @@
 	return err
 }
 
-// readLoop takes what the hub tells until the stream ends.
+// readLoop applies the hub's frames until the attachment ends, and returns why.
 func (a *attachment) readLoop() error {
 	for {
-		_ = a.conn.SetReadDeadline(time.Now().Add(hubTimeout)) // closed already if it fails
-		if a.ctx.Err() != nil {                                // it may have ended before the deadline was set
+		_ = a.conn.SetReadDeadline(time.Now().Add(hubTimeout)) // fails only on a closed connection
+		if a.ctx.Err() != nil {                                // ended before: its deadline was overwritten
 			return a.ctx.Err()
 		}
 		f, err := frame.Read(a.reader)
@@ -154,7 +160,8 @@
 	}
 }
 
-// handleFrame takes a word of the hub.
+// handleFrame applies one frame of the hub. An error ends the attachment: the hub does not receive this agent's
+// states, or its messages are repeatedly slow. Malformed gossip is logged and skipped.
 func (a *attachment) handleFrame(f *frame.Frame, now time.Time) error {
 	if f.Echo != nil {
 		a.handleEcho(f.Echo, now)
@@ -171,7 +178,7 @@
 	if len(f.Gossip) == 0 {
 		return nil
 	}
-	if echoedStateSentAt.IsZero() { // no round trip is known yet, and what came can't be older than the stream
+	if echoedStateSentAt.IsZero() { // no round trip was measured yet, but the message can't be older than the Hello
 		a.client.store.ObserveRTT(a.hubName, now.Sub(a.helloSentAt))
 	}
 	transit, err := a.client.store.MergeTimed(f.Gossip)
@@ -187,7 +194,7 @@
 	return nil
 }
 
-// handleEcho takes that the hub has heard a state, and how long it kept that.
+// handleEcho records the round trip of a state that the hub echoed, less the time for which the hub held it.
 func (a *attachment) handleEcho(echo *frame.Echo, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -201,7 +208,8 @@
 	}
 }
 
-// writeLoop tells how this agent stands, and what it saw, each second and when that changes, until the stream ends.
+// writeLoop sends this agent's state each stateInterval, and within gossip.TickInterval of a change, until the
+// attachment ends.
 func (a *attachment) writeLoop() error {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -222,21 +230,24 @@
 	}
 }
 
+// sendState sends a state and this agent's own gossip entries.
 func (a *attachment) sendState(current agentState) error {
 	now := time.Now()
-	_ = a.conn.SetWriteDeadline(now.Add(writeTimeout)) // closed already if it fails
+	_ = a.conn.SetWriteDeadline(now.Add(writeTimeout)) // fails only on a closed connection
 	a.mu.Lock()
 	a.seq++
 	a.sentAt[a.seq%maxStatesInFlight] = now
-	f := &frame.Frame{State: &frame.State{Seq: a.seq, Serving: current.serving, Settings: current.settings, Policy: current.policy}, Gossip: a.client.store.OwnMessage()}
+	f := &frame.Frame{State: &frame.State{Seq: a.seq, Serving: current.serving, Settings: current.settings, Policy: current.policy},
+		Gossip: a.client.store.OwnMessage()}
 	a.mu.Unlock()
 	return a.writeFrame(f)
 }
 
-// leave tells that this agent ends for good, once the stream's tasks have. What the hub still wrote is read: unread it would
-// make the close a reset, and the goodbye could be lost.
+// leave tells the hub that this agent ends for good, and closes the connection. It is called after done is closed.
+// Bytes that the hub still sent are read: unread they would make the close a reset, and the hub might lose the
+// message.
 func (a *attachment) leave() {
-	_ = a.conn.SetDeadline(time.Now().Add(leaveTimeout)) // closed already if it fails
+	_ = a.conn.SetDeadline(time.Now().Add(leaveTimeout)) // fails only on a closed connection
 	if a.writeFrame(&frame.Frame{Leave: true}) == nil && a.conn.CloseWrite() == nil {
 		_, _ = io.Copy(io.Discard, a.reader)
 	}
--- a/internal/fleet/hubclient/documents.go
+++ b/internal/fleet/hubclient/documents.go
@@ -1,3 +1,5 @@
+// The documents of this agent, settings and residency policy: what it has applied, and following what hubs have.
+
 package hubclient
 
 import (
@@ -14,17 +16,18 @@
 	"martenbeam/internal/settings"
 )
 
-// All agents of a hub hear of a new text at once, and ask for it within this time.
-const fetchJitter = time.Second
-
-const maxReasonBytes = 512 // bytes; what a frame takes
+const (
+	fetchJitter    = time.Second // all agents of a hub learn of a new document at the same time: spreads their fetches
+	maxReasonBytes = 512         // of an AppliedVersion.Reason; package frame rejects longer ones
+)
 
-// agentState is how this agent stands, as a hub is told.
+// agentState is the state that this agent reports to its hub. It is comparable: a change is sent at once.
 type agentState struct {
 	serving          bool
 	settings, policy frame.AppliedVersion
 }
 
+// currentState returns the state of this agent now.
 func (c *Client) currentState() agentState {
 	current := agentState{serving: c.serving.Load()}
 	if c.cfg.Settings != nil {
@@ -36,7 +39,8 @@
 	return current
 }
 
-// appliedSettings tells, besides what is wrong, which keys wait for the next start.
+// appliedSettings returns the applied version of the settings. Its reason names what is wrong, and the keys that only
+// the next start of the agent applies.
 func appliedSettings(h *settings.Holder) frame.AppliedVersion {
 	applied := frame.AppliedVersion(h.Status())
 	if pendingRestart := h.State().PendingRestart; len(pendingRestart) > 0 {
@@ -44,11 +48,13 @@
 		if applied.Reason != "" {
 			reason = applied.Reason + "; " + reason
 		}
-		applied.Reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "") // a cut may go through a letter
+		applied.Reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "") // the cut may split a character
 	}
 	return applied
 }
 
+// appliedPolicy returns the applied version of the residency policy. If several texts have that version, there is a
+// reason and no digest.
 func appliedPolicy(current residency.State) frame.AppliedVersion {
 	applied := frame.AppliedVersion{Version: current.Version}
 	switch len(current.Digests) {
@@ -61,7 +67,7 @@
 	return applied
 }
 
-// setUpDocuments sets up the texts that are followed.
+// setUpDocuments creates the documents that this agent follows.
 func (c *Client) setUpDocuments() {
 	if h := c.cfg.Residency; h != nil {
 		document := fleet.PolicyReplicator(h)
@@ -69,7 +75,8 @@
 		c.documents = append(c.documents, document)
 	}
 	if h := c.cfg.Settings; h != nil {
-		c.documents = append(c.documents, &documents.Document{GossipKind: gossip.SettingsVersion, Path: "/settings/", MaxBytes: settings.MaxText, Holder: h, Digest: settings.Digest, ShouldFetch: h.ShouldFetch,
+		c.documents = append(c.documents, &documents.Document{GossipKind: gossip.SettingsVersion, Path: "/settings/",
+			MaxBytes: settings.MaxText, Holder: h, Digest: settings.Digest, ShouldFetch: h.ShouldFetch,
 			Applied: func() documents.AppliedVersion {
 				current := h.State()
 				return documents.AppliedVersion{Version: current.Version, Digests: current.Digests}
@@ -77,7 +84,8 @@
 	}
 }
 
-// followDocuments heeds what hubs tell of texts, and asks this agent's hub for what it lacks.
+// followDocuments compares the versions that hubs hold with the applied ones, and fetches from this agent's hub what
+// it lacks.
 func (c *Client) followDocuments(ctx context.Context) {
 	for _, document := range c.documents {
 		for _, entry := range c.store.Entries(document.GossipKind) {
@@ -86,6 +94,7 @@
 	}
 }
 
+// documentSources returns this agent's hub as the only source of documents, or none when it is not attached.
 func (c *Client) documentSources() documents.Sources {
 	sources := documents.Sources{Dial: c.dial}
 	if addr := c.hubAddr(); addr != "" {
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -1,3 +1,6 @@
+// Where and when the agent asks for endpoint lists: Client implements source.Selector. While the full mesh runs, the
+// mesh decides.
+
 package hubclient
 
 import (
@@ -9,13 +12,14 @@
 )
 
 const (
-	hubAttachGrace = time.Second             // until a hub can have taken this agent: who has none asks for itself
-	relayTimeout   = 2500 * time.Millisecond // of a hub that passes the list on, after which it counts as dead
+	hubAttachGrace = time.Second             // after the start, for a hub to accept this agent before it asks the list service
+	relayTimeout   = 2500 * time.Millisecond // without a message from a hub that relays lists, after which it counts as dead
 )
 
-// Next waits until the list may be asked for, and says where: of the hub first, where lists are relayed, and of the service
-// in this agent's turn. Where there is no hub, one that takes the agent meanwhile goes before the turn. fails counts
-// openings that came to nothing. It reports false once ctx ends.
+// Next waits until the agent may ask for the endpoint list, and returns where: the hub, if lists are relayed, or the
+// list service when the startup pacer admits this agent. A hub that accepts the agent during that wait takes
+// precedence. failures counts the consecutive attempts that failed: every second one goes to the list service. It
+// returns false once ctx has ended.
 func (c *Client) Next(ctx context.Context, failures int) (source.Source, bool) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		return mesh.Next(ctx, failures)
@@ -26,7 +30,7 @@
 	c.mu.Lock()
 	attached := c.attached
 	c.mu.Unlock()
-	select { // a process that starts gives its hub a moment
+	select { // a process that has just started gives its hub time to accept it
 	case <-attached:
 	case <-ctx.Done():
 	case <-time.After(time.Until(c.startedAt.Add(hubAttachGrace))):
@@ -46,11 +50,12 @@
 	if addr := c.hubAddr(); addr != "" || ctx.Err() != nil {
 		return source.Source{Addr: addr, SilenceTimeout: relayTimeout, Relayed: true}, ctx.Err() == nil
 	}
-	return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount) // it is lost already
+	return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount) // the hub was lost again
 }
 
-// startingCount counts who may ask the service at once: who is seen to start, and, where lists are relayed, all of a hub, since
-// one that comes to the service has lost it with the rest.
+// startingCount returns how many agents may ask the list service at the same time: those that are starting, and,
+// where lists are relayed, all agents of a hub, since an agent that asks the service has lost its hub together with
+// the others.
 func (c *Client) startingCount() int {
 	size, fresh := c.fleetSize()
 	if !fresh {
@@ -65,14 +70,15 @@
 	return n
 }
 
-// fleetSizeReceived reports whether any hub has ever told who there is.
+// fleetSizeReceived reports whether any hub has ever sent a fleet size.
 func (c *Client) fleetSizeReceived() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.status.FleetSize.Attached > 0
 }
 
-// RecordAttempt takes how an opening went: after how long the first word came, or that none did, and from which version on.
+// RecordAttempt records the outcome of an attempt: after what wait the first message came, or that it failed, and the
+// list's version. Attempts at the list service adjust the pacer's rate.
 func (c *Client) RecordAttempt(src source.Source, waited time.Duration, failed bool, version int64) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		mesh.RecordAttempt(src, waited, failed, version)
@@ -81,19 +87,20 @@
 	}
 }
 
-// Dial opens a connection to a hub, or to another agent.
+// Dial opens a connection to a hub or to another agent, by Config.Dial.
 func (c *Client) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return c.dial(ctx, network, addr)
 }
 
-// RecordLiveness takes a sign of life of a source: the flat fleet passes on what it hears.
+// RecordLiveness records that a source is alive. Only the full mesh, whose members relay lists, uses it.
 func (c *Client) RecordLiveness(src source.Source) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		mesh.RecordLiveness(src)
 	}
 }
 
-// RecordUpdate takes a message of a source.
+// RecordUpdate records a list update: the change from version from to version to, and the complete list. It marks the
+// agent as serving.
 func (c *Client) RecordUpdate(src source.Source, from, to int64, change, whole []byte) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		mesh.RecordUpdate(src, from, to, change, whole)
@@ -101,7 +108,8 @@
 	c.Ready()
 }
 
-// Ready tells that this process has a list, and serves.
+// Ready marks this agent as serving. Hubs learn it with the next state, the full mesh at once. Only the first call is
+// logged.
 func (c *Client) Ready() {
 	if !c.serving.Swap(true) {
 		c.cfg.Log.Info("start", "step", "serving", "hub", c.Status().Hub, "took", time.Since(c.startedAt))
@@ -111,7 +119,7 @@
 	}
 }
 
-// Lagging reports whether others have told of a later version of the list than the one known here.
+// Lagging reports whether others have published a higher version of the endpoint list than this one.
 func (c *Client) Lagging(version int64) bool {
 	if mesh := c.mesh.Load(); mesh != nil {
 		return mesh.Lagging(version)
--- a/internal/fleet/hubclient/listener.go
+++ b/internal/fleet/hubclient/listener.go
@@ -1,3 +1,5 @@
+// The listener at the fleet address while the agent is attached to hubs.
+
 package hubclient
 
 import (
@@ -13,20 +15,23 @@
 
 const (
 	bindRetryInterval = 50 * time.Millisecond
-	maxOpenConns      = 64
+	maxOpenConns      = 64 // accepted and not closed yet
 	connTimeout       = time.Second
-	maxDiscardedBytes = 64 << 10 // bytes of a stream that is held
+	maxDiscardedBytes = 64 << 10 // read from one connection
 )
 
-// addressListener listens on the fleet address for nothing but that a refused connection tells that this process has ended.
+// addressListener holds the fleet address open. It serves nothing: other processes conclude from a refused connection
+// that this process has ended. serveAddress owns it, except for address, which any goroutine may call.
 type addressListener struct {
 	addr  netip.AddrPort
-	slots chan struct{} // a place for each connection
+	slots chan struct{} // one element for each open connection
 
 	mu sync.Mutex
-	ln *net.TCPListener // nil: an older process has the address
+	ln *net.TCPListener // nil: an older process has the address still
 }
 
+// newAddressListener listens at addr. If awaitAddress is set, an address in use is no error: awaitAddress has to be
+// called then.
 func newAddressListener(addr netip.AddrPort, awaitAddress bool) (*addressListener, error) {
 	l := &addressListener{addr: addr, slots: make(chan struct{}, maxOpenConns)}
 	if err := l.bind(); err != nil && !(awaitAddress && errors.Is(err, syscall.EADDRINUSE)) {
@@ -46,32 +51,34 @@
 	return nil
 }
 
-// address is where others see whether this process has ended.
+// address returns the IP:port that is listened at, or is to be.
 func (l *addressListener) address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr.String()
 }
 
-// awaitAddress has the address, once an older process of this agent has ended; false: ctx has.
+// awaitAddress retries until an older process of this agent has released the address. It returns false if ctx ends
+// first.
 func (l *addressListener) awaitAddress(ctx context.Context) bool {
 	for l.ln == nil {
 		if !sleep(ctx, bindRetryInterval) {
 			return false
 		}
-		_ = l.bind() // it is still held if it fails
+		_ = l.bind() // on an error the address is still in use: retried
 	}
 	return true
 }
 
-// accept takes connections until ctx ends. Those that come later wait, and are not refused: the address stays held.
+// accept accepts connections until ctx ends. Later ones wait in the listener's queue and are not refused, since it
+// stays open.
 func (l *addressListener) accept(ctx context.Context) {
-	_ = l.ln.SetDeadline(time.Time{}) // closed already if it fails
+	_ = l.ln.SetDeadline(time.Time{}) // fails only on a closed listener, and then AcceptTCP does too
 	defer context.AfterFunc(ctx, func() { _ = l.ln.SetDeadline(time.Unix(1, 0)) })()
 	for ctx.Err() == nil {
 		conn, err := l.ln.AcceptTCP()
 		if err != nil {
-			sleep(ctx, bindRetryInterval) // out of descriptors, say
+			sleep(ctx, bindRetryInterval) // for instance, out of file descriptors
 			continue
 		}
 		select {
@@ -83,16 +90,17 @@
 	}
 }
 
-// discardAndClose keeps a connection for a moment and closes it without a reset, which would say that nobody is here: what came is
-// read first.
+// discardAndClose reads what the peer sends and closes the connection. Unread bytes would make the close a reset,
+// which peers take for a process that has ended. Nobody waits for it: it ends after connTimeout.
 func (l *addressListener) discardAndClose(conn *net.TCPConn) {
 	defer func() { <-l.slots }()
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(connTimeout)) // closed already if it fails
+	_ = conn.SetDeadline(time.Now().Add(connTimeout)) // fails only on a closed connection
 	_, _ = io.CopyN(io.Discard, conn, maxDiscardedBytes)
 }
 
-// duplicate is the same listener once more, for the flat fleet: the address is not let go of for a moment.
+// duplicate returns a second listener on the same socket, for the full mesh, so that the address is open without a
+// gap.
 func (l *addressListener) duplicate() (*net.TCPListener, error) {
 	file, err := l.ln.File()
 	if err != nil {
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -1,3 +1,5 @@
+// The fallback to the full mesh while no hub accepts the agent.
+
 package hubclient
 
 import (
@@ -9,11 +11,12 @@
 )
 
 const (
-	meshFallbackDelay = 5 * time.Second // without a hub
-	meshRetryInterval = time.Second     // after it could not be made
+	meshFallbackDelay = 5 * time.Second // without an attachment
+	meshRetryInterval = time.Second     // after an attempt to join failed
 )
 
-// serveAddress has the fleet address be answered until ctx ends: by the door, and while there is no hub by the flat fleet.
+// serveAddress serves the fleet address until ctx ends: by the full mesh while there is no hub, by addressListener
+// otherwise.
 func (c *Client) serveAddress(ctx context.Context) {
 	if !c.listener.awaitAddress(ctx) {
 		return
@@ -31,7 +34,7 @@
 	}
 }
 
-// runWhile does something until ctx ends, or what it is done for does not hold any more.
+// runWhile calls run with a context that ends with ctx, or within gossip.TickInterval of holds returning false.
 func (c *Client) runWhile(ctx context.Context, holds func() bool, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -49,8 +52,8 @@
 	run(ctx)
 }
 
-// fallBackToMesh runs the flat fleet until a hub has taken this agent. The lower of both parts holds until the others have heard
-// its goodbye. It reports whether the fleet could be made.
+// fallBackToMesh joins the full mesh and leaves it when a hub has accepted this agent, or ctx ends. The mesh's quota
+// keeps counting until the agent has left. It returns false if the mesh could not be joined.
 func (c *Client) fallBackToMesh(ctx context.Context) bool {
 	listener, err := c.listener.duplicate()
 	if err != nil {
@@ -81,7 +84,7 @@
 	return true
 }
 
-// setMeshQuota takes this agent's part by the flat fleet's rule; 0: it does not count any more.
+// setMeshQuota records this agent's quota by the full mesh's rule; 0: it does not count any more.
 func (c *Client) setMeshQuota(quota float64) {
 	c.mu.Lock()
 	c.meshQuota = quota
@@ -89,7 +92,7 @@
 	c.wake()
 }
 
-// forgetLatencies has the distances be told anew: the flat fleet told others.
+// forgetLatencies makes updateLatency report all latencies again, since the mesh reported others in between.
 func (c *Client) forgetLatencies() {
 	c.mu.Lock()
 	c.rtts = nil
--- a/internal/fleet/hubclient/reconcile.go
+++ b/internal/fleet/hubclient/reconcile.go
@@ -1,3 +1,5 @@
+// What follows from the entries that hubs sent: the quota, the latencies and the documents to fetch.
+
 package hubclient
 
 import (
@@ -11,11 +13,12 @@
 )
 
 const (
-	startupQuota    = 0.1 // of an even part, for one that starts
+	startupQuota    = 0.1 // of an even quota, while another process may still use this one's
 	summaryInterval = 10 * time.Second
 )
 
-// runLoop keeps ages, and does what follows from what is known, until ctx ends.
+// runLoop expires old entries and recomputes everything that is derived from entries, at each tick and each wake,
+// until ctx ends.
 func (c *Client) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -32,14 +35,15 @@
 		}
 		c.store.Tick()
 		c.recomputeQuota()
-		if c.mesh.Load() == nil { // it measures itself
+		if c.mesh.Load() == nil { // the mesh reports latencies itself
 			c.updateLatency()
 		}
 		c.followDocuments(ctx)
 	}
 }
 
-// fleetSize is who there is, as hubs tell it: of several, what leaves this agent the least.
+// fleetSize returns the fleet size as published by the hubs, and whether any is within its age bound. When several
+// hubs disagree, each value is the one that gives this agent the smallest quota.
 func (c *Client) fleetSize() (size hub.FleetSize, fresh bool) {
 	for _, entry := range c.store.Entries(gossip.FleetSize) {
 		published, err := hub.ParseFleetSize(entry.Body)
@@ -49,13 +53,16 @@
 		if !fresh {
 			size = published
 		}
-		size.Attached, size.Starting, size.Dead, fresh = max(size.Attached, published.Attached), max(size.Starting, published.Starting), min(size.Dead, published.Dead), true
+		size.Attached, size.Starting = max(size.Attached, published.Attached), max(size.Starting, published.Starting)
+		size.Dead, fresh = min(size.Dead, published.Dead), true
 	}
 	return size, fresh
 }
 
-// recomputeQuota reckons this agent's part of the in-flight limit. Without a fresh word of who is dead it is an even one. Where the
-// flat fleet runs the lower of both rules holds: those that follow the hubs use the parts of others than those who don't.
+// recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it when it has changed.
+// Without a fresh fleet size the quota is even. While the full mesh runs, the lower of both quotas counts: agents
+// that follow hubs may use the quotas of other dead agents than members of the mesh do, and the sum must stay within
+// the limit.
 func (c *Client) recomputeQuota() {
 	size, fresh := c.fleetSize()
 	maxAgents := c.cfg.MaxAgents
@@ -86,7 +93,7 @@
 	}
 }
 
-// updateLatency tells the agent how far the zones are, where that has changed.
+// updateLatency reports the latency to each zone when any has changed; zero: unknown.
 func (c *Client) updateLatency() {
 	row, known := c.latencyRow()
 	rtts, lossRates := make([]time.Duration, len(c.zones)), make([]float64, len(c.zones))
@@ -102,7 +109,8 @@
 	}
 }
 
-// latencyRow is how far the zones are from this agent's, as told last.
+// latencyRow returns the latencies from this agent's zone by zone name, from the youngest valid entry. known is false
+// when no entry is within its age bound.
 func (c *Client) latencyRow() (row map[string]latency.Estimate, known bool) {
 	var age time.Duration
 	for _, entry := range c.store.Entries(gossip.LatencyRow) {
@@ -116,10 +124,11 @@
 	return row, known
 }
 
+// logSummary logs the state of the fleet as known here. The attributes keep their keys: operators' queries use them.
 func (c *Client) logSummary() {
 	stats, status := c.store.Stats(), c.Status()
-	args := []any{"hub", status.Hub, "flat", status.MeshRunning, "part", status.Quota, "attached", status.FleetSize.Attached, "gone", status.FleetSize.Dead, "facts", stats.Entries,
-		"malformed", stats.Malformed, "stops", stats.Stops}
+	args := []any{"hub", status.Hub, "flat", status.MeshRunning, "part", status.Quota, "attached", status.FleetSize.Attached,
+		"gone", status.FleetSize.Dead, "facts", stats.Entries, "malformed", stats.Malformed, "stops", stats.Stops}
 	for kind, kindStats := range stats.Kinds {
 		if kindStats.Used > 0 || kindStats.Rejected > 0 {
 			args = append(args, kind, kindStats.String())
--- a/internal/fleet/hubclient/selector.go
+++ b/internal/fleet/hubclient/selector.go
@@ -1,3 +1,5 @@
+// Which hub is tried next, and when.
+
 package hubclient
 
 import (
@@ -9,11 +11,12 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Hub is one that an agent may attach to.
+// Hub is a hub that an agent may attach to: its zone, the zone's region, and its address as IP:port.
 type Hub struct{ Zone, Region, Addr string }
 
-// preferenceOrder is the hubs in the order in which an agent wants them: its own zone's, the others of its region, the rest. Within
-// a region it is another at every agent, so that those of a dead hub spread.
+// preferenceOrder returns the hubs in an agent's order of preference: the hub of its own zone, the others of its
+// region, the rest. Within each group the order differs from agent to agent, so that the agents of a dead hub spread
+// over the others.
 func preferenceOrder(name, site, region string, hubs []Hub) []Hub {
 	proximity := func(h Hub) int {
 		switch {
@@ -26,39 +29,43 @@
 	}
 	list := slices.Clone(hubs)
 	slices.SortFunc(list, func(a, b Hub) int {
-		return cmp.Or(cmp.Compare(proximity(a), proximity(b)), cmp.Compare(member.RendezvousScore(name, a.Zone), member.RendezvousScore(name, b.Zone)))
+		return cmp.Or(cmp.Compare(proximity(a), proximity(b)),
+			cmp.Compare(member.RendezvousScore(name, a.Zone), member.RendezvousScore(name, b.Zone)))
 	})
 	return list
 }
 
 const (
-	initialBackoff                = 2 * time.Second // full jitter: within it the agents of a dead hub come to the others
+	initialBackoff                = 2 * time.Second // with full jitter: the agents of a dead hub reach the others spread over it
 	maxBackoff                    = 8 * time.Second
-	stableAfter                   = 10 * time.Second // a stream that held so long was a working one
-	maxBusyReplies                = 3                // in a row, before another hub is tried
-	defaultPreferredCheckInterval = 30 * time.Second // plus or minus half
+	stableAfter                   = 10 * time.Second // an attachment that lasted so long resets the backoff
+	maxBusyReplies                = 3                // consecutive ones from a hub, before another is tried
+	defaultPreferredCheckInterval = 30 * time.Second // plus or minus half at random
 )
 
-// hubSelector says which hub is tried next and after how long. It is told what happened, and what time it is.
+// hubSelector decides which hub is tried next and after what wait, from the outcomes of earlier attempts and the
+// current time. It has no lock: maintainAttachment owns it.
 type hubSelector struct {
 	random                 *rand.Rand
-	current                int         // the hub to try, in the agent's order
-	consecutiveFailures    int         // in a row, since a stream was steady
-	busyReplies            int         // in a row, at this hub
-	busyUntil              []time.Time // until then each hub asked not to be tried
-	preferredCheckInterval time.Duration
+	current                int           // index of the hub to try, in order of preference
+	consecutiveFailures    int           // failed attempts and lost attachments since one was stable
+	busyReplies            int           // consecutive ones from the current hub
+	busyUntil              []time.Time   // by hub: it asked not to be tried before
+	preferredCheckInterval time.Duration // mean time between attempts to return to the preferred hub
 }
 
 func newHubSelector(hubs int, seed uint64) *hubSelector {
-	return &hubSelector{random: rand.New(rand.NewPCG(seed, 0)), busyUntil: make([]time.Time, hubs), preferredCheckInterval: defaultPreferredCheckInterval}
+	return &hubSelector{random: rand.New(rand.NewPCG(seed, 0)), busyUntil: make([]time.Time, hubs),
+		preferredCheckInterval: defaultPreferredCheckInterval}
 }
 
-// attachFailed takes that the hub could not be attached to.
+// attachFailed records that an attempt at the current hub failed, and returns the wait before the next attempt.
 func (s *hubSelector) attachFailed(now time.Time) time.Duration {
 	return s.selectFrom((s.current+1)%len(s.busyUntil), now)
 }
 
-// attachmentLost takes that the stream to a hub has ended after so long: another is next, the agent's own if it is not that one.
+// attachmentLost records that the attachment to a hub ended after attachedFor, and returns the wait before the next
+// attempt. Next is the preferred hub, or, if that is the one that was lost, the second.
 func (s *hubSelector) attachmentLost(hub int, attachedFor time.Duration, now time.Time) time.Duration {
 	if attachedFor >= stableAfter {
 		s.consecutiveFailures = 0
@@ -70,7 +77,8 @@
 	return s.selectFrom(next, now)
 }
 
-// hubBusy takes that the hub is busy: it is asked again when it said, a few times.
+// hubBusy records that the current hub asked to be tried again after retryAfter, and returns the wait before the next
+// attempt: at the same hub for a few times and short waits, otherwise at another.
 func (s *hubSelector) hubBusy(retryAfter time.Duration, now time.Time) time.Duration {
 	s.busyUntil[s.current] = now.Add(retryAfter)
 	if s.busyReplies++; s.busyReplies >= maxBusyReplies || retryAfter > initialBackoff {
@@ -79,8 +87,9 @@
 	return retryAfter
 }
 
-// selectFrom has a hub be tried next, or the first after it that did not ask for time, after full jitter that grows from try to
-// try.
+// selectFrom selects hub first, or the next one after it that may be tried by then, and returns the wait: full jitter
+// within a backoff that doubles from attempt to attempt. If every hub asked for more time, it selects the one that
+// may be tried first.
 func (s *hubSelector) selectFrom(first int, now time.Time) time.Duration {
 	maxWait := min(initialBackoff<<min(s.consecutiveFailures, 8), maxBackoff)
 	wait := time.Duration(s.random.Int64N(int64(maxWait)))
@@ -100,7 +109,7 @@
 	return s.busyUntil[earliest].Sub(now)
 }
 
-// nextPreferredCheck is how long an agent stays elsewhere before it looks for its own hub.
+// nextPreferredCheck returns how long an agent stays at another hub before it tries the preferred one.
 func (s *hubSelector) nextPreferredCheck() time.Duration {
 	return s.preferredCheckInterval/2 + time.Duration(s.random.Int64N(int64(s.preferredCheckInterval)))
 }
