--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -173,7 +173,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return response, fmt.Errorf("status %d", resp.StatusCode)
+		return response, fmt.Errorf("fetch %s from %s: status %d", digest, addr, resp.StatusCode)
 	}
 	return response, json.NewDecoder(io.LimitReader(resp.Body, int64(2*d.MaxBytes))).Decode(&response)
 }
--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -28,7 +28,7 @@
 			wait = c.selector.attachFailed(time.Now())
 		}
 		if err != nil {
-			c.cfg.Log.Debug("a hub does not take this agent", "zone", c.hubs[index].Zone, "error", err,
+			c.cfg.Log.Debug("hub attachment failed", "zone", c.hubs[index].Zone, "error", err,
 				"next", c.hubs[c.selector.current].Zone, "wait", wait)
 		}
 	}
@@ -51,7 +51,7 @@
 	for {
 		attachedAt := time.Now()
 		c.setAttachment(a)
-		c.cfg.Log.Info("attached", "hub", a.hubName, "zone", a.hub.Zone)
+		c.cfg.Log.Info("attached to hub", "hub", a.hubName, "zone", a.hub.Zone)
 		preferred := c.awaitEndOrPreferred(ctx, a, index)
 		if preferred != nil {
 			a.cancel(errPreferredHubBack)
@@ -68,7 +68,7 @@
 		a.conn.Close()
 		c.setAttachment(nil)
 		wait := c.selector.attachmentLost(index, time.Since(attachedAt), time.Now())
-		c.cfg.Log.Warn("the hub is lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx),
+		c.cfg.Log.Warn("hub connection lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx),
 			"next", c.hubs[c.selector.current].Zone, "wait", wait)
 		return wait
 	}
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -31,15 +31,15 @@
 )
 
 var (
-	errPreferredHubBack = errors.New("the agent's own hub is back")
-	errHubSlow          = errors.New("its messages take too long")
-	errNoEcho           = errors.New("it does not hear this agent")
+	errPreferredHubBack = errors.New("preferred hub accepts the agent")
+	errHubSlow          = errors.New("hub messages too slow")
+	errNoEcho           = errors.New("hub does not echo the agent's state")
 )
 
 // busyError is a hub's reply that it does not accept the agent now, and after what time to retry.
 type busyError struct{ retryAfter time.Duration }
 
-func (e *busyError) Error() string { return fmt.Sprintf("it is busy for %v", e.retryAfter) }
+func (e *busyError) Error() string { return fmt.Sprintf("hub is busy for %v", e.retryAfter) }
 
 // halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface {
@@ -83,7 +83,7 @@
 	}
 	if err != nil {
 		conn.Close()
-		return nil, err
+		return nil, fmt.Errorf("attach to hub at %s: %w", hub.Addr, err)
 	}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	var tasks sync.WaitGroup
@@ -110,7 +110,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("upgrade refused with status %d", resp.StatusCode)
 	}
 	cfg := &a.client.cfg
 	a.helloSentAt = time.Now()
@@ -126,7 +126,7 @@
 	case reply.Busy != nil:
 		return &busyError{reply.Busy.RetryAfter}
 	case reply.Welcome == nil:
-		return errors.New("it does not say who it is")
+		return errors.New("hub sent neither welcome nor busy")
 	}
 	a.hubName = reply.Welcome.Hub
 	return nil
@@ -151,7 +151,7 @@
 		}
 		f, err := frame.Read(a.reader)
 		if err != nil {
-			return err
+			return fmt.Errorf("read from hub: %w", err)
 		}
 		if err := a.handleFrame(f, time.Now()); err != nil {
 			return err
@@ -183,7 +183,7 @@
 	}
 	transit, err := a.client.store.MergeTimed(f.Gossip)
 	if err != nil {
-		a.client.cfg.Log.Debug("a message of the hub makes no sense", "hub", a.hubName, "error", err)
+		a.client.cfg.Log.Debug("hub message rejected", "hub", a.hubName, "error", err)
 	}
 	if a.slowMessages++; echoedStateSentAt.IsZero() || transit <= slowTransit {
 		a.slowMessages = 0
@@ -219,7 +219,7 @@
 		if current := a.client.currentState(); current != last || time.Since(sentAt) >= stateInterval {
 			last, sentAt = current, time.Now()
 			if err := a.sendState(current); err != nil {
-				return err
+				return fmt.Errorf("send state to hub: %w", err)
 			}
 		}
 		select {
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -57,30 +57,30 @@
 func (c *Client) fallBackToMesh(ctx context.Context) bool {
 	listener, err := c.listener.duplicate()
 	if err != nil {
-		c.cfg.Log.Error("no flat fleet without hubs", "error", err)
+		c.cfg.Log.Error("full mesh fallback failed", "error", err)
 		return false
 	}
 	mesh, err := c.cfg.NewMesh(listener, c.startedAt, fleet.Callbacks{Quota: c.setMeshQuota, Latencies: c.callbacks.Latencies})
 	if err != nil {
 		listener.Close()
-		c.cfg.Log.Error("no flat fleet without hubs", "error", err)
+		c.cfg.Log.Error("full mesh fallback failed", "error", err)
 		return false
 	}
-	c.cfg.Log.Warn("no hub: the flat fleet runs")
+	c.cfg.Log.Warn("full mesh fallback started")
 	c.mesh.Store(mesh)
 	if c.serving.Load() {
 		mesh.Ready()
 	}
 	c.runWhile(ctx, func() bool { return c.disconnectedFor() > 0 }, func(ctx context.Context) {
 		if err := mesh.Run(ctx); err != nil {
-			c.cfg.Log.Error("the flat fleet is left", "error", err)
+			c.cfg.Log.Error("full mesh stopped", "error", err)
 		}
 		<-ctx.Done()
 	})
 	c.mesh.Store(nil)
 	c.setMeshQuota(0)
 	c.forgetLatencies()
-	c.cfg.Log.Info("a hub is back: the flat fleet has ended")
+	c.cfg.Log.Info("full mesh fallback ended")
 	return true
 }
 
