--- /dev/null
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -0,0 +1,63 @@
+// A proxy before a hub whose directions can be cut or held up.
+
+package hubclient
+
+import (
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// cuttableProxy is the way to a hub. Each direction passes bytes on, loses them, or keeps them until it passes them on.
+type cuttableProxy struct {
+	addr           string
+	toHub, fromHub atomic.Int32
+}
+
+const (
+	forwarding = iota
+	discarding
+	holding
+)
+
+func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	p := &cuttableProxy{addr: ln.Addr().String()}
+	go func() {
+		for {
+			near, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			if far, err := net.Dial("tcp", to); err == nil {
+				go p.forward(far, near, &p.toHub)
+				go p.forward(near, far, &p.fromHub)
+			}
+		}
+	}()
+	return p
+}
+
+func (p *cuttableProxy) forward(to, from net.Conn, mode *atomic.Int32) {
+	defer to.Close()
+	buf := make([]byte, 4096)
+	for {
+		n, err := from.Read(buf)
+		if err != nil {
+			return
+		}
+		for mode.Load() == holding {
+			time.Sleep(time.Millisecond)
+		}
+		if mode.Load() == forwarding {
+			if _, err := to.Write(buf[:n]); err != nil {
+				return
+			}
+		}
+	}
+}
--- a/internal/fleet/hubclient/fakehub_test.go
+++ b/internal/fleet/hubclient/fakehub_test.go
@@ -1,9 +1,10 @@
+// A hub that tests control: it speaks the protocol and sends what a test sets.
+
 package hubclient
 
 import (
 	"bufio"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
@@ -14,7 +15,6 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"martenbeam/internal/fleet"
 	"martenbeam/internal/fleet/documents"
 	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub"
@@ -171,101 +171,20 @@
 	return data
 }
 
-func writeFrame(conn net.Conn, f *frame.Frame) {
-	data, _ := frame.Encode(f)
-	_, _ = conn.Write(data) // the other side has gone if it fails
-}
-
-// cuttableProxy is the way to a hub. Each direction passes bytes on, loses them, or keeps them until it passes them on.
-type cuttableProxy struct {
-	addr           string
-	toHub, fromHub atomic.Int32
-}
-
-const (
-	forwarding = iota
-	discarding
-	holding
-)
-
-func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	p := &cuttableProxy{addr: ln.Addr().String()}
-	go func() {
-		for {
-			near, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			if far, err := net.Dial("tcp", to); err == nil {
-				go p.forward(far, near, &p.toHub)
-				go p.forward(near, far, &p.fromHub)
-			}
-		}
-	}()
-	return p
-}
-
-func (p *cuttableProxy) forward(to, from net.Conn, mode *atomic.Int32) {
-	defer to.Close()
-	buf := make([]byte, 4096)
-	for {
-		n, err := from.Read(buf)
-		if err != nil {
-			return
-		}
-		for mode.Load() == holding {
-			time.Sleep(time.Millisecond)
-		}
-		if mode.Load() == forwarding {
-			if _, err := to.Write(buf[:n]); err != nil {
-				return
-			}
-		}
-	}
-}
-
-// testAgent is a spoke that runs, and what it told.
-type testAgent struct {
-	*Client
-	stop   func() // and waits for it
-	mu     sync.Mutex
-	quotas []float64
-	rtts   []time.Duration
-}
-
-func newTestAgent(t *testing.T, configure func(*Config), hubs ...*fakeHub) *testAgent {
+// expectEvent is the next thing that came to a hub.
+func (h *fakeHub) expectEvent(t *testing.T, want string) {
 	t.Helper()
-	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", MaxAgents: 10, Bounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
-	for i, h := range hubs {
-		cfg.Hubs = append(cfg.Hubs, Hub{string(rune('a' + i)), "r", h.addr})
-	}
-	if configure != nil {
-		configure(&cfg)
-	}
-	a := &testAgent{}
-	var err error
-	a.Client, err = New(cfg, []string{"a", "b"}, fleet.Callbacks{
-		Quota:     func(quota float64) { a.mu.Lock(); a.quotas = append(a.quotas, quota); a.mu.Unlock() },
-		Latencies: func(rtts []time.Duration, _ []float64) { a.mu.Lock(); a.rtts = rtts; a.mu.Unlock() }})
-	if err != nil {
-		t.Fatal(err)
+	select {
+	case got := <-h.events:
+		if got != want {
+			t.Errorf("%s heard %q, not %q", h.name, got, want)
+		}
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s never heard %q", h.name, want)
 	}
-	a.selector.preferredCheckInterval = 300 * time.Millisecond
-	a.stop = runTask(t, a.Client.Run)
-	return a
 }
 
-// waitFor waits until a condition holds.
-func waitFor(t *testing.T, condition string, holds func() bool) {
-	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", condition)
-		}
-	}
+func writeFrame(conn net.Conn, f *frame.Frame) {
+	data, _ := frame.Encode(f)
+	_, _ = conn.Write(data) // the other side has gone if it fails
 }
--- /dev/null
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -0,0 +1,117 @@
+// The program of a hub process: the test binary runs it in place of the tests.
+
+package hubclient
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"runtime"
+	"sync"
+	"testing"
+	"time"
+
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/hub"
+	"martenbeam/internal/residency"
+	"martenbeam/internal/settings"
+)
+
+// TestMain lets the test binary stand in for a hub's process.
+func TestMain(m *testing.M) {
+	if spec := os.Getenv("HARD_HUB"); spec != "" {
+		if err := runHubProcess(spec); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		os.Exit(0)
+	}
+	os.Exit(m.Run())
+}
+
+type lockedWriter struct {
+	mu sync.Mutex
+	w  io.Writer
+}
+
+func (l *lockedWriter) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.w.Write(p)
+}
+
+func (l *lockedWriter) writeLine(v any) {
+	data, err := json.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	_, _ = l.Write(append(data, '\n'))
+}
+
+func runHubProcess(text string) error {
+	var spec hubSpec
+	if err := json.Unmarshal([]byte(text), &spec); err != nil {
+		return err
+	}
+	stdout := &lockedWriter{w: os.Stdout}
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
+	zones := []string{"a", "b", "c", "d"}
+	settingsHolder, policyHolder := settings.NewHolder(settings.Config{Log: log}), residency.NewHolder(zones, time.Minute, spec.Source, log, nil)
+	network := &cuttableNetwork{report: stdout.writeLine, sendBuffer: spec.SendBuffer, cut: map[string]uint8{}}
+	kind := settings.DocumentKind(settingsHolder)
+	var trace io.Writer = stdout
+	if spec.Untraced {
+		trace = nil
+	}
+	server := hub.New(hub.Config{Name: spec.Name, Label: spec.Label, ProgramVersion: "test", Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: spec.MaxAgents, Settings: kind, Policy: fleet.PolicyReplicator(policyHolder),
+		PolicyAge: policyHolder.ConfirmedAge, Log: log, Trace: trace})
+	cfg := fleet.Config{Name: spec.Name, Site: spec.Site, Version: "test", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label, MaxMembers: spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log,
+		Trace: trace, Residency: policyHolder, PolicySource: spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: network}
+	node, err := fleet.New(cfg, zones, fleet.Callbacks{})
+	for n := 0; err != nil && n < 50; n++ { // another has the UDP port, or the process before still ends
+		time.Sleep(20 * time.Millisecond)
+		node, err = fleet.New(cfg, zones, fleet.Callbacks{})
+	}
+	if err != nil {
+		return err
+	}
+	go func() { server.Run(context.Background(), node) }()
+	go func() { _ = node.Run(context.Background()) }()
+	stdout.writeLine(hubOutput{Addr: node.Addr()})
+	for commands := json.NewDecoder(os.Stdin); ; {
+		var command hubCommand
+		if commands.Decode(&command) != nil {
+			return nil
+		}
+		answer := hubOutput{ID: command.ID}
+		network.set(command.Cut)
+		var err error
+		if command.Settings != "" {
+			err = applyText(command.Settings, settingsHolder.Apply)
+		}
+		if command.Policy != "" {
+			err = applyText(command.Policy, policyHolder.Apply)
+		}
+		if err != nil {
+			answer.Error = err.Error()
+		}
+		if command.Heap {
+			var m runtime.MemStats
+			runtime.GC()
+			runtime.ReadMemStats(&m)
+			answer.Heap = m.HeapAlloc + m.StackInuse
+		}
+		stdout.writeLine(answer)
+	}
+}
+
+func applyText(text string, apply func(int64, string) error) error {
+	var version int64
+	if _, err := fmt.Sscanf(text, "version = %d", &version); err != nil {
+		return err
+	}
+	return apply(version, text)
+}
--- /dev/null
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -0,0 +1,69 @@
+// Test of the fallback to the full mesh.
+
+package hubclient
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/hub"
+)
+
+// Without hubs the flat fleet runs, and ends when one is back. The address never refuses a connection meanwhile, and no part
+// is above what both rules give.
+func TestFallBackToMeshAndReturn(t *testing.T) {
+	t.Parallel()
+	a := newFakeHub(t, "a")
+	a.kill()
+	a.fleetSize = hub.FleetSize{Attached: 2, Dead: 5}
+	agent := newTestAgent(t, func(c *Config) {
+		c.NewMesh = func(listener *net.TCPListener, startedAt time.Time, callbacks fleet.Callbacks) (*fleet.Fleet, error) {
+			return fleet.New(fleet.Config{Name: "x", Site: "a", Listen: listener.Addr().String(), Listener: listener, StartedAt: startedAt, Label: "l", MaxMembers: 10, ListRate: 50,
+				Log: slog.New(slog.DiscardHandler)}, []string{"a", "b"}, callbacks)
+		}
+	}, a)
+	addr := agent.listener.address()
+	refused := make(chan int)
+	stop := make(chan struct{})
+	go func() {
+		n := 0
+		for {
+			select {
+			case <-stop:
+				refused <- n
+				return
+			default:
+			}
+			c, err := net.Dial("tcp", addr)
+			if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
+				n++
+			}
+			if err == nil {
+				c.Close()
+			}
+			time.Sleep(time.Millisecond)
+		}
+	}()
+	waitFor(t, "the flat fleet", func() bool { return agent.Status().MeshRunning })
+	waitFor(t, "an even part", agent.hasQuota(1./10))
+	a.start(t, a.addr)
+	waitFor(t, "the part by a's word", agent.hasQuota(1./5))
+	if agent.Status().MeshRunning {
+		t.Error("the flat fleet still runs")
+	}
+	close(stop)
+	if n := <-refused; n > 0 {
+		t.Errorf("%d connections were refused", n)
+	}
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	if !slices.Equal(agent.quotas, []float64{startupQuota / 10, 1. / 10, 1. / 5}) {
+		t.Errorf("parts %v", agent.quotas)
+	}
+}
--- /dev/null
+++ b/internal/fleet/hubclient/partition_test.go
@@ -0,0 +1,158 @@
+// Tests of cut networks: a hub cut off in one direction, and two regions cut off from each other.
+
+package hubclient
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"martenbeam/internal/settings"
+)
+
+// cutPaths are to the hubs and the first agents of some zones.
+func cutPaths(cut uint8, hubs, agents string) map[string]uint8 {
+	m := map[string]uint8{}
+	for _, z := range hubs {
+		m[hubIP(string(z))] = cut
+	}
+	for _, z := range agents {
+		for i := range 20 {
+			m[agentIP(string(z), i)] = cut
+		}
+	}
+	return m
+}
+
+// The ways to and from a hub are cut one way: between it and all agents, or between it and the other hubs. Its agents go
+// elsewhere or stay, nobody is taken for dead, and the settings that are given meanwhile come to everyone, at the latest when
+// the way is whole again.
+func TestHubCutInOneDirection(t *testing.T) {
+	for name, test := range map[string]struct {
+		cut   map[string]uint8
+		alone string // zones whose agents hear of nobody else's then; "": all hear of all
+	}{
+		"from agents": {cutPaths(in, "", "abc"), ""},
+		"to agents":   {cutPaths(out, "", "abc"), ""},
+		"from hubs":   {cutPaths(in, "bc", ""), "a"},
+		"to hubs":     {cutPaths(out, "bc", ""), "bc"},
+	} {
+		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
+			t.Parallel()
+			c := newCluster(t, 6, false, "a", "b", "c")
+			c.preferredCheckInterval = 2 * time.Second
+			defer c.monitor.stopAndCheck(t)
+			c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+			atA := c.startAgents("a", 2)
+			list := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
+			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
+			waitFor(t, "the first settings", allOf(list, hasSettings(1)))
+			waitFor(t, "an even part for each", allOf(list, hasQuota(1./6)))
+			waitFor(t, "a census of all", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 6 }))
+			c.monitor.require(1./8, true) // those that move are counted twice for a moment
+			c.hubs["a"].execute(t, hubCommand{Cut: test.cut})
+			startedAt := time.Now()
+			c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+			if test.alone != "" {
+				waitFor(t, "the settings at the others", allOf(list[:4], hasSettings(2)))
+				here := map[string][]*clusterAgent{"a": atA, "bc": list[:4]}[test.alone]
+				waitFor(t, "a census of them alone", allOf(here, func(k Status) bool { return int(k.FleetSize.Attached) == len(here) }))
+			} else {
+				waitFor(t, "another hub", allOf(atA, attachedTo("bc")))
+				waitWithin(t, "the settings at all", 14*time.Second, startedAt, allOf(list, hasSettings(2)))
+			}
+			c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
+			waitWithin(t, "the settings at all", 14*time.Second, time.Now(), allOf(list, hasSettings(2)))
+			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
+			waitFor(t, "a census of all", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 6 }))
+		})
+	}
+}
+
+func firstDigestIs(digest string) func(a *clusterAgent) bool {
+	return func(a *clusterAgent) bool { return a.settings.State().Digests[0] == digest }
+}
+
+// Two regions are cut from each other. On both sides there are new settings, an agent dies, and another that dies is started again on the other
+// side. Together again, all have the higher version, and the parts of the dead are shared. Apart once more, each side is given a text of one version: the first that
+// came stands on each side, and everyone says so, until there is a higher version.
+func TestRegionsPartitionedAndRejoined(t *testing.T) {
+	t.Parallel()
+	c := newCluster(t, 12, false, "a", "b", "c", "d")
+	defer c.monitor.stopAndCheck(t)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	sides := [2][]*clusterAgent{append(c.startAgents("a", 3), c.startAgents("b", 3)...), append(c.startAgents("c", 3), c.startAgents("d", 3)...)}
+	both := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
+	waitFor(t, "the first settings", allOf(both(), hasSettings(1)))
+	waitFor(t, "an even part for each", allOf(both(), hasQuota(1./12)))
+	partition := func() {
+		t.Helper()
+		for z, h := range c.hubs {
+			other := "cd"
+			if z > "b" {
+				other = "ab"
+			}
+			h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
+		}
+		for i, side := range sides {
+			waitFor(t, fmt.Sprint("a census of side ", i, " alone"), allOf(side, func(k Status) bool { return int(k.FleetSize.Attached) == len(side) }))
+		}
+	}
+	rejoin := func() {
+		t.Helper()
+		for _, h := range c.hubs {
+			h.execute(t, hubCommand{Cut: map[string]uint8{}})
+		}
+		waitFor(t, "a census of all", allOf(both(), func(k Status) bool { return int(k.FleetSize.Attached) == len(both()) }))
+	}
+	partition()
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	c.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
+	waitFor(t, "the settings of one side", allOf(sides[0], hasSettings(2)))
+	waitFor(t, "the settings of the other", allOf(sides[1], hasSettings(3)))
+	for i, zone := range []string{"c", "b"} {
+		sides[i][0].kill()
+		moving := sides[i][1]
+		moving.kill()
+		sides[i] = sides[i][2:]
+		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
+	}
+	waitFor(t, "a hub for each", allOf(both(), attachedTo("abcd")))
+	waitFor(t, "the parts of the dead", allOf(both(), func(k Status) bool { return k.Quota > 1./12 }))
+	startedAt := time.Now()
+	rejoin()
+	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
+	waitFor(t, "the parts of two who are dead", allOf(both(), hasQuota(1./10)))
+
+	partition()
+	x, y := settingsText(5, 2), settingsText(5, 6)
+	c.hubs["b"].execute(t, hubCommand{Settings: x})
+	c.hubs["d"].execute(t, hubCommand{Settings: y})
+	digests := [2]string{settings.Digest(x), settings.Digest(y)}
+	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
+	rejoin()
+	waitFor(t, "that all say so", func() bool {
+		for _, a := range both() {
+			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
+				return false
+			}
+		}
+		return true
+	})
+	for i, side := range sides {
+		for _, a := range side {
+			if !firstDigestIs(digests[i])(a) {
+				t.Errorf("%s does not have the first text of its side", a.cfg.Name)
+			}
+		}
+	}
+	startedAt = time.Now()
+	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
+	waitWithin(t, "one text everywhere", 14*time.Second, startedAt, allOf(both(), func(k Status) bool { return k.SettingsVersion == 6 }))
+	for _, a := range both() {
+		if why := a.settings.Status().Reason; why != "" {
+			t.Errorf("%s: %s", a.cfg.Name, why)
+		}
+	}
+}
--- a/internal/fleet/hubclient/realhub_test.go
+++ b/internal/fleet/hubclient/realhub_test.go
@@ -1,3 +1,5 @@
+// Test of agents at real hubs, in one process.
+
 package hubclient
 
 import (
--- /dev/null
+++ b/internal/fleet/hubclient/testagent_test.go
@@ -0,0 +1,88 @@
+// An agent under test, and waiting for conditions.
+
+package hubclient
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"testing"
+	"time"
+
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/gossip"
+)
+
+// testAgent is a spoke that runs, and what it told.
+type testAgent struct {
+	*Client
+	stop   func() // and waits for it
+	mu     sync.Mutex
+	quotas []float64
+	rtts   []time.Duration
+}
+
+func newTestAgent(t *testing.T, configure func(*Config), hubs ...*fakeHub) *testAgent {
+	t.Helper()
+	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", MaxAgents: 10, Bounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
+	for i, h := range hubs {
+		cfg.Hubs = append(cfg.Hubs, Hub{string(rune('a' + i)), "r", h.addr})
+	}
+	if configure != nil {
+		configure(&cfg)
+	}
+	a := &testAgent{}
+	var err error
+	a.Client, err = New(cfg, []string{"a", "b"}, fleet.Callbacks{
+		Quota:     func(quota float64) { a.mu.Lock(); a.quotas = append(a.quotas, quota); a.mu.Unlock() },
+		Latencies: func(rtts []time.Duration, _ []float64) { a.mu.Lock(); a.rtts = rtts; a.mu.Unlock() }})
+	if err != nil {
+		t.Fatal(err)
+	}
+	a.selector.preferredCheckInterval = 300 * time.Millisecond
+	a.stop = runTask(t, a.Client.Run)
+	return a
+}
+
+func (a *testAgent) attachedTo(hub string) func() bool {
+	return func() bool { return a.Status().Hub == hub }
+}
+
+func (a *testAgent) hasQuota(quota float64) func() bool {
+	return func() bool { return a.Status().Quota == quota }
+}
+
+func (a *testAgent) hasRTT(d time.Duration) func() bool {
+	return func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.rtts) == 2 && a.rtts[1] == d }
+}
+
+func (a *attachment) hasEchoedState() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return !a.echoedStateSentAt.IsZero()
+}
+
+// runTask runs a task, and returns what ends it and waits for that.
+func runTask(t *testing.T, task func(context.Context) error) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		if err := task(ctx); err != nil {
+			t.Error(err)
+		}
+	}()
+	stop = func() { cancel(); <-done }
+	t.Cleanup(stop)
+	return stop
+}
+
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, condition string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("never: %s", condition)
+		}
+	}
+}
