--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"net"
+	"sync"
 	"time"
 
 	"martenbeam/internal/fleet/source"
@@ -36,14 +37,16 @@
 	case <-time.After(time.Until(c.startedAt.Add(hubAttachGrace))):
 	}
 	turnCtx, cancel := context.WithCancel(ctx)
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
 	defer cancel()
-	go func() {
+	watcher.Go(func() {
 		select {
 		case <-attached:
 			cancel()
 		case <-turnCtx.Done():
 		}
-	}()
+	})
 	if c.pacer.AwaitTurn(turnCtx, c.startingCount) {
 		return source.Source{}, true
 	}
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"martenbeam/internal/fleet"
@@ -37,8 +38,10 @@
 // runWhile calls run with a context that ends with ctx, or within gossip.TickInterval of holds returning false.
 func (c *Client) runWhile(ctx context.Context, holds func() bool, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
 	defer cancel()
-	go func() {
+	watcher.Go(func() {
 		tick := time.NewTicker(gossip.TickInterval)
 		defer tick.Stop()
 		for holds() && ctx.Err() == nil {
@@ -48,7 +51,7 @@
 			}
 		}
 		cancel()
-	}()
+	})
 	run(ctx)
 }
 
