--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -57,7 +57,7 @@
 			a.cancel(errPreferredHubBack)
 			<-a.done
 			a.conn.Close()
-			a, index = preferred, 0
+			a, index = preferred, preferredHub
 			continue
 		}
 		<-a.done
@@ -80,7 +80,7 @@
 func (c *Client) awaitEndOrPreferred(ctx context.Context, a *attachment, index int) (preferred *attachment) {
 	for wait := c.selector.nextPreferredCheck(); ; {
 		var preferredCheck <-chan time.Time
-		if index != 0 {
+		if index != preferredHub {
 			preferredCheck = time.After(wait)
 		}
 		select {
@@ -88,7 +88,7 @@
 			return nil
 		case <-preferredCheck:
 		}
-		preferred, err := c.openAttachment(ctx, c.hubs[0])
+		preferred, err := c.openAttachment(ctx, c.hubs[preferredHub])
 		if err == nil {
 			return preferred
 		}
--- a/internal/fleet/hubclient/selector.go
+++ b/internal/fleet/hubclient/selector.go
@@ -14,6 +14,9 @@
 // Hub is a hub that an agent may attach to: its zone, the zone's region, and its address as IP:port.
 type Hub struct{ Zone, Region, Addr string }
 
+// preferredHub is the index of an agent's preferred hub in its order of preference.
+const preferredHub = 0
+
 // preferenceOrder returns the hubs in an agent's order of preference: the hub of its own zone, the others of its
 // region, the rest. Within each group the order differs from agent to agent, so that the agents of a dead hub spread
 // over the others.
@@ -70,9 +73,9 @@
 	if attachedFor >= stableAfter {
 		s.consecutiveFailures = 0
 	}
-	next := 0
-	if hub == 0 {
-		next = 1 % len(s.busyUntil)
+	next := preferredHub
+	if hub == preferredHub {
+		next = 1 % len(s.busyUntil) // the second, if there is one
 	}
 	return s.selectFrom(next, now)
 }
