--- a/internal/fleet/hubclient/documents.go
+++ b/internal/fleet/hubclient/documents.go
@@ -10,7 +10,6 @@
 
 	"martenbeam/internal/fleet"
 	"martenbeam/internal/fleet/documents"
-	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/hub/frame"
 	"martenbeam/internal/residency"
 	"martenbeam/internal/settings"
@@ -75,12 +74,9 @@
 		c.documents = append(c.documents, document)
 	}
 	if h := c.cfg.Settings; h != nil {
-		c.documents = append(c.documents, &documents.Document{GossipKind: gossip.SettingsVersion, Path: "/settings/",
-			MaxBytes: settings.MaxText, Holder: h, Digest: settings.Digest, ShouldFetch: h.ShouldFetch,
-			Applied: func() documents.AppliedVersion {
-				current := h.State()
-				return documents.AppliedVersion{Version: current.Version, Digests: current.Digests}
-			}, FetchJitter: fetchJitter})
+		document := settings.DocumentKind(h)
+		document.FetchJitter = fetchJitter
+		c.documents = append(c.documents, document)
 	}
 }
 
