--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -46,8 +46,8 @@
 }
 
 // MarshalBody encodes the version as the body of a gossip entry.
-func (s AppliedVersion) MarshalBody() []byte {
-	body, err := cbor.Marshal(s)
+func (v AppliedVersion) MarshalBody() []byte {
+	body, err := cbor.Marshal(v)
 	if err != nil {
 		panic(err) // impossible: numbers and strings always encode
 	}
@@ -56,8 +56,11 @@
 
 // ParseAppliedVersion decodes the body of a gossip entry. ok is false if it is malformed, has no version or no
 // digest, or too many.
-func ParseAppliedVersion(body []byte) (s AppliedVersion, ok bool) {
-	return s, cbor.Unmarshal(body, &s) == nil && s.Version >= 1 && len(s.Digests) > 0 && len(s.Digests) <= maxDigests
+func ParseAppliedVersion(body []byte) (v AppliedVersion, ok bool) {
+	if err := cbor.Unmarshal(body, &v); err != nil {
+		return v, false
+	}
+	return v, v.Version >= 1 && len(v.Digests) > 0 && len(v.Digests) <= maxDigests
 }
 
 // Holder keeps the applied text of a document at one process. Its methods may be called from any goroutine.
