--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -92,7 +92,7 @@
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // NewMesh creates this agent's member of the full mesh on an open listener. On success the member closes the listener
-// when it has run; on error the caller does. startedAt is when this process started.
+// when it has run; on error the caller does. cutAt is when this process started.
 type NewMesh func(door *net.TCPListener, began time.Time, told fleet.Callbacks) (*fleet.Fleet, error)
 
 // Client is an agent's membership in a fleet with hubs. After New it must be run once; the other methods may be
--- a/internal/fleet/hubclient/hubloss_test.go
+++ b/internal/fleet/hubclient/hubloss_test.go
@@ -14,24 +14,24 @@
 	c := newCluster(t, 24, false, "a", "b", "c", "d")
 	defer c.monitor.stopAndCheck(t)
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
-	var list []*clusterAgent
+	var agents []*clusterAgent
 	for _, z := range []string{"a", "b", "c", "d"} {
-		list = append(list, c.startAgents(z, 6)...)
+		agents = append(agents, c.startAgents(z, 6)...)
 	}
 	for i, z := range []string{"a", "b", "c", "d"} {
-		waitFor(t, "the agents of "+z+" at home", allOf(list[6*i:6*i+6], attachedTo(z)))
+		waitFor(t, "the agents of "+z+" at home", allOf(agents[6*i:6*i+6], attachedTo(z)))
 	}
-	waitFor(t, "the first settings", allOf(list, hasSettings(1)))
+	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
 	c.hubs["c"].execute(t, hubCommand{Policy: policyText(1)})
-	waitFor(t, "the first policy", allOf(list, func(k Status) bool { return k.PolicyVersion == 1 }))
-	waitFor(t, "an even part for each", allOf(list, hasQuota(1./24)))
-	began := time.Now()
+	waitFor(t, "the first policy", allOf(agents, func(status Status) bool { return status.PolicyVersion == 1 }))
+	waitFor(t, "an even part for each", allOf(agents, hasQuota(1./24)))
+	killedAt := time.Now()
 	c.hubs["a"].kill()
-	list[0].kill()
-	list[1].kill()
+	agents[0].kill()
+	agents[1].kill()
 	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(2, 4)})
-	waitWithin(t, "the settings at all that live", 14*time.Second, began, allOf(list[2:], hasSettings(2)))
-	waitWithin(t, "a hub for each", 14*time.Second, began, allOf(list[2:], attachedTo("bcd")))
+	waitWithin(t, "the settings at all that live", 14*time.Second, killedAt, allOf(agents[2:], hasSettings(2)))
+	waitWithin(t, "a hub for each", 14*time.Second, killedAt, allOf(agents[2:], attachedTo("bcd")))
 	c.restartHub("a")
 	waitFor(t, "the second settings at the hub that is back", func() bool {
 		return c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)}).Error != ""
@@ -46,14 +46,14 @@
 	c := newCluster(t, many, true, "a", "b", "c", "d")
 	c.singleRegion, c.preferredCheckInterval = true, 6*time.Second
 	defer c.monitor.stopAndCheck(t)
-	list := c.startAgents("a", many)
-	waitFor(t, "all at home", allOf(list, attachedTo("a")))
-	waitFor(t, "an even part for each", allOf(list, hasQuota(1./many)))
+	agents := c.startAgents("a", many)
+	waitFor(t, "all at home", allOf(agents, attachedTo("a")))
+	waitFor(t, "an even part for each", allOf(agents, hasQuota(1./many)))
 	c.monitor.require(1./(2*many), true) // those that move are counted twice for a moment
 	startedAt := time.Now()
 	c.hubs["a"].kill()
-	waitFor(t, "that it is lost", func() bool { return !allOf(list, attachedTo("a"))() })
-	waitWithin(t, "all at other hubs", 10*time.Second, startedAt, allOf(list, attachedTo("bcd")))
+	waitFor(t, "that it is lost", func() bool { return !allOf(agents, attachedTo("a"))() })
+	waitWithin(t, "all at other hubs", 10*time.Second, startedAt, allOf(agents, attachedTo("bcd")))
 	for _, z := range []string{"b", "c", "d"} {
 		peak, hellos := c.hubs[z].helloRate(startedAt)
 		t.Logf("hub %s: %d hellos, %d in the worst second", z, hellos, peak)
@@ -64,7 +64,7 @@
 	startedAt = time.Now()
 	c.restartHub("a")
 	// Two looks for home are at most one and a half times n.home apart each; on a busy machine one may fail.
-	waitWithin(t, "all at home again", 3*c.preferredCheckInterval, startedAt, allOf(list, attachedTo("a")))
+	waitWithin(t, "all at home again", 3*c.preferredCheckInterval, startedAt, allOf(agents, attachedTo("a")))
 	peak, hellos := c.hubs["a"].helloRate(startedAt)
 	t.Logf("home: %d hellos, %d in the worst second", hellos, peak)
 	if peak > 2*many/int(c.preferredCheckInterval/time.Second) {
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -19,29 +19,29 @@
 	defer cluster.monitor.stopAndCheck(t)
 	cluster.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
 	atA := cluster.startAgents("a", 4)
-	list := append(append(cluster.startAgents("b", 2), cluster.startAgents("c", 2)...), atA[0], atA[2])
+	agents := append(append(cluster.startAgents("b", 2), cluster.startAgents("c", 2)...), atA[0], atA[2])
 	waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
-	waitFor(t, "the first settings", allOf(list, hasSettings(1)))
-	waitFor(t, "an even part for each", allOf(list, hasQuota(1./12)))
+	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
+	waitFor(t, "an even part for each", allOf(agents, hasQuota(1./12)))
 	messages := make(chan receivedMessage, 100000)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go receiveFrom(ctx, cluster.hubs["a"].addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
 	atA[3].kill()
-	waitFor(t, "their share of a dead one's part", allOf(list, hasQuota(1./11)))
-	waitFor(t, "a census without it, by which the others reckon while this hub is not heard", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 8 }))
+	waitFor(t, "their share of a dead one's part", allOf(agents, hasQuota(1./11)))
+	waitFor(t, "a census without it, by which the others reckon while this hub is not heard", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 8 }))
 
 	stoppedAt := time.Now()
 	cluster.hubs["a"].signal(t, syscall.SIGSTOP)
 	cluster.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	restarted := cluster.startAgent("a", 3, "a 3")
-	waitFor(t, "another hub", allOf(append(list[:len(list):len(list)], atA[1]), attachedTo("bc"))) // the one that dies too: else only this hub knew it
+	waitFor(t, "another hub", allOf(append(agents[:len(agents):len(agents)], atA[1]), attachedTo("bc"))) // the one that dies too: else only this hub knew it
 	atA[1].kill()
-	list = append(list, restarted)
-	waitFor(t, "the one that is back", allOf(list, attachedTo("bc")))
+	agents = append(agents, restarted)
+	waitFor(t, "the one that is back", allOf(agents, attachedTo("bc")))
 	cluster.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
-	waitFor(t, "the settings without the hub that is stopped", allOf(list, hasSettings(3)))
-	waitFor(t, "their share of the other dead one's part", allOf(list, hasQuota(1./11)))
+	waitFor(t, "the settings without the hub that is stopped", allOf(agents, hasSettings(3)))
+	waitFor(t, "their share of the other dead one's part", allOf(agents, hasQuota(1./11)))
 	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // so long it is stopped at the least
 	for len(messages) > 0 {
 		<-messages
@@ -79,5 +79,5 @@
 		t.Errorf("old settings are told for %v", lastOld)
 	}
 	waitFor(t, "the agents of a at home", allOf([]*clusterAgent{atA[0], atA[2], restarted}, attachedTo("a")))
-	waitFor(t, "the share of the dead one's part", allOf(list, hasQuota(1./11)))
+	waitFor(t, "the share of the dead one's part", allOf(agents, hasQuota(1./11)))
 }
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -45,27 +45,27 @@
 			defer c.monitor.stopAndCheck(t)
 			c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
 			atA := c.startAgents("a", 2)
-			list := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
+			agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
 			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
-			waitFor(t, "the first settings", allOf(list, hasSettings(1)))
-			waitFor(t, "an even part for each", allOf(list, hasQuota(1./6)))
-			waitFor(t, "a census of all", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 6 }))
+			waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
+			waitFor(t, "an even part for each", allOf(agents, hasQuota(1./6)))
+			waitFor(t, "a census of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
 			c.monitor.require(1./8, true) // those that move are counted twice for a moment
 			c.hubs["a"].execute(t, hubCommand{Cut: test.cut})
-			startedAt := time.Now()
+			cutAt := time.Now()
 			c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 			if test.alone != "" {
-				waitFor(t, "the settings at the others", allOf(list[:4], hasSettings(2)))
-				here := map[string][]*clusterAgent{"a": atA, "bc": list[:4]}[test.alone]
-				waitFor(t, "a census of them alone", allOf(here, func(k Status) bool { return int(k.FleetSize.Attached) == len(here) }))
+				waitFor(t, "the settings at the others", allOf(agents[:4], hasSettings(2)))
+				connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[test.alone]
+				waitFor(t, "a census of them alone", allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
 			} else {
 				waitFor(t, "another hub", allOf(atA, attachedTo("bc")))
-				waitWithin(t, "the settings at all", 14*time.Second, startedAt, allOf(list, hasSettings(2)))
+				waitWithin(t, "the settings at all", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
 			}
 			c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
-			waitWithin(t, "the settings at all", 14*time.Second, time.Now(), allOf(list, hasSettings(2)))
+			waitWithin(t, "the settings at all", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
 			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
-			waitFor(t, "a census of all", allOf(list, func(k Status) bool { return k.FleetSize.Attached == 6 }))
+			waitFor(t, "a census of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
 		})
 	}
 }
@@ -96,7 +96,7 @@
 			h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
 		}
 		for i, side := range sides {
-			waitFor(t, fmt.Sprint("a census of side ", i, " alone"), allOf(side, func(k Status) bool { return int(k.FleetSize.Attached) == len(side) }))
+			waitFor(t, fmt.Sprint("a census of side ", i, " alone"), allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
 		}
 	}
 	rejoin := func() {
@@ -104,7 +104,7 @@
 		for _, h := range c.hubs {
 			h.execute(t, hubCommand{Cut: map[string]uint8{}})
 		}
-		waitFor(t, "a census of all", allOf(both(), func(k Status) bool { return int(k.FleetSize.Attached) == len(both()) }))
+		waitFor(t, "a census of all", allOf(both(), func(status Status) bool { return int(status.FleetSize.Attached) == len(both()) }))
 	}
 	partition()
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
@@ -119,17 +119,17 @@
 		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
 	}
 	waitFor(t, "a hub for each", allOf(both(), attachedTo("abcd")))
-	waitFor(t, "the parts of the dead", allOf(both(), func(k Status) bool { return k.Quota > 1./12 }))
+	waitFor(t, "the parts of the dead", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
 	startedAt := time.Now()
 	rejoin()
 	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
 	waitFor(t, "the parts of two who are dead", allOf(both(), hasQuota(1./10)))
 
 	partition()
-	x, y := settingsText(5, 2), settingsText(5, 6)
-	c.hubs["b"].execute(t, hubCommand{Settings: x})
-	c.hubs["d"].execute(t, hubCommand{Settings: y})
-	digests := [2]string{settings.Digest(x), settings.Digest(y)}
+	firstText, secondText := settingsText(5, 2), settingsText(5, 6)
+	c.hubs["b"].execute(t, hubCommand{Settings: firstText})
+	c.hubs["d"].execute(t, hubCommand{Settings: secondText})
+	digests := [2]string{settings.Digest(firstText), settings.Digest(secondText)}
 	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
 	rejoin()
 	waitFor(t, "that all say so", func() bool {
@@ -149,10 +149,10 @@
 	}
 	startedAt = time.Now()
 	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
-	waitWithin(t, "one text everywhere", 14*time.Second, startedAt, allOf(both(), func(k Status) bool { return k.SettingsVersion == 6 }))
+	waitWithin(t, "one text everywhere", 14*time.Second, startedAt, allOf(both(), func(status Status) bool { return status.SettingsVersion == 6 }))
 	for _, a := range both() {
-		if why := a.settings.Status().Reason; why != "" {
-			t.Errorf("%s: %s", a.cfg.Name, why)
+		if reason := a.settings.Status().Reason; reason != "" {
+			t.Errorf("%s: %s", a.cfg.Name, reason)
 		}
 	}
 }
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -19,8 +19,8 @@
 	defer m.stopAndCheck(t)
 	c.hubs["a"] = startHubProcess(t, m, hubSpec{Name: "hub a", Site: "a", Listen: hubIP("a") + ":0", MaxAgents: c.maxAgents, SendBuffer: 4096, Untraced: true})
 	hub := c.hubs["a"]
-	list := c.startAgents("a", 3)
-	waitFor(t, "the agents", allOf(list, attachedTo("a")))
+	agents := c.startAgents("a", 3)
+	waitFor(t, "the agents", allOf(agents, attachedTo("a")))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	messages := make(chan receivedMessage, 100000)
@@ -73,7 +73,7 @@
 	if maxHeap > before+slow*64<<10 {
 		t.Errorf("%d bytes for each", (maxHeap-before)/slow)
 	}
-	if !allOf(list, attachedTo("a"))() {
+	if !allOf(agents, attachedTo("a"))() {
 		t.Error("an agent went, and there is no other hub")
 	}
 	cancel()
