--- a/internal/fleet/hubclient/cluster_test.go
+++ b/internal/fleet/hubclient/cluster_test.go
@@ -15,32 +15,35 @@
 	"martenbeam/internal/settings"
 )
 
-// clusterAgent is an agent that is nothing but its place in the fleet.
+// clusterAgent is a running Client with its documents, which serves no requests.
 type clusterAgent struct {
 	*Client
 	monitor  *monitor
 	settings *settings.Holder
 	policy   *residency.Holder
 	cancel   context.CancelFunc
-	done     chan struct{}
+	done     chan struct{} // closed when Run has returned
 }
 
-// cluster is hubs of the zones a, b, c and d, each a process, and agents that are watched. a and b are of one region, c and d of
-// another; hub x has the address 127.2.0.x, and agent n 127.1.x.n.
+// cluster is a fleet of hub processes, one in each of up to four zones, a to d, and of agents that the monitor
+// observes. Zones a and b are one region, c and d another. The hub of the n-th zone has the IP 127.2.0.n, its i-th
+// agent 127.1.n.i.
 type cluster struct {
 	t                      *testing.T
 	monitor                *monitor
 	maxAgents              int
 	hubs                   map[string]*hubProcess
-	stateDir               string
-	untraced               bool
-	preferredCheckInterval time.Duration // how long agents stay elsewhere; 0: as they do
-	singleRegion           bool          // all zones are of one region
+	stateDir               string        // of the agents' documents, which restarts keep
+	untraced               bool          // hubs and agents write no trace for the monitor
+	preferredCheckInterval time.Duration // of agents at other hubs; 0: the default
+	singleRegion           bool          // all zones are one region
 }
 
+// newCluster starts the hubs of some zones.
 func newCluster(t *testing.T, maxAgents int, untraced bool, zones ...string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, monitor: newMonitor(), maxAgents: maxAgents, hubs: map[string]*hubProcess{}, stateDir: t.TempDir(), untraced: untraced}
+	c := &cluster{t: t, monitor: newMonitor(), maxAgents: maxAgents, hubs: map[string]*hubProcess{},
+		stateDir: t.TempDir(), untraced: untraced}
 	for _, z := range zones {
 		c.startHub(z, "0")
 	}
@@ -58,9 +61,11 @@
 
 func agentIP(zone string, i int) string { return fmt.Sprintf("127.1.%d.%d", 1+zone[0]-'a', 1+i%250) }
 
+// startHub starts the hub process of a zone, which joins all others.
 func (c *cluster) startHub(zone, port string) {
 	c.t.Helper()
-	spec := hubSpec{Name: "hub " + zone, Site: zone, Listen: hubIP(zone) + ":" + port, MaxAgents: c.maxAgents, Untraced: c.untraced, Source: zone == "c"}
+	spec := hubSpec{Name: "hub " + zone, Site: zone, Listen: hubIP(zone) + ":" + port, MaxAgents: c.maxAgents,
+		Untraced: c.untraced, Source: zone == "c"}
 	for other, h := range c.hubs {
 		if other != zone {
 			spec.Seeds = append(spec.Seeds, h.addr)
@@ -69,24 +74,26 @@
 	c.hubs[zone] = startHubProcess(c.t, c.monitor, spec)
 }
 
-// restartHub starts a hub's process where it was.
+// restartHub starts the hub of a zone again at its former address.
 func (c *cluster) restartHub(zone string) {
 	c.t.Helper()
 	_, port, _ := strings.Cut(c.hubs[zone].addr, ":")
 	c.startHub(zone, port)
 }
 
-// startAgent starts one of a zone, with what an earlier process of its name has kept.
+// startAgent runs the i-th agent of a zone, with the documents that an earlier agent of the same name stored.
 func (c *cluster) startAgent(zone string, i int, name string) *clusterAgent {
 	c.t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	dir := c.stateDir + "/" + strings.ReplaceAll(name, " ", "-")
-	a := &clusterAgent{monitor: c.monitor, done: make(chan struct{}), settings: settings.NewHolder(settings.Config{Save: settings.SaveFunc(dir), Log: log}),
-		policy: residency.NewHolder([]string{"a", "b", "c", "d"}, time.Minute, false, log, nil)}
+	a := &clusterAgent{monitor: c.monitor, done: make(chan struct{}),
+		settings: settings.NewHolder(settings.Config{Save: settings.SaveFunc(dir), Log: log}),
+		policy:   residency.NewHolder([]string{"a", "b", "c", "d"}, time.Minute, false, log, nil)}
 	if err := a.settings.Load(dir); err != nil {
 		c.t.Fatal(err)
 	}
-	cfg := Config{Name: name, Site: zone, Region: c.region(zone), Listen: agentIP(zone, i) + ":0", Label: c.t.Name(), MaxAgents: c.maxAgents, Settings: a.settings, Residency: a.policy, Log: log}
+	cfg := Config{Name: name, Site: zone, Region: c.region(zone), Listen: agentIP(zone, i) + ":0", Label: c.t.Name(),
+		MaxAgents: c.maxAgents, Settings: a.settings, Residency: a.policy, Log: log}
 	if !c.untraced {
 		cfg.Trace = c.monitor
 	}
@@ -112,6 +119,7 @@
 	return a
 }
 
+// startAgents runs the first count agents of a zone.
 func (c *cluster) startAgents(zone string, count int) (list []*clusterAgent) {
 	c.t.Helper()
 	for i := range count {
@@ -120,7 +128,7 @@
 	return list
 }
 
-// kill ends an agent without a word: its sockets are closed, as a system does with those of a process that is killed.
+// kill ends an agent without Leave: its connection is closed first, as the kernel does for a process that is killed.
 func (a *clusterAgent) kill() {
 	a.mu.Lock()
 	if a.attachment != nil {
@@ -132,6 +140,8 @@
 	a.monitor.agentStopped(a.cfg.Name)
 }
 
+// allOf returns the condition that holds is true of all agents. attachedTo, hasSettings and hasQuota are such
+// predicates.
 func allOf(list []*clusterAgent, holds func(Status) bool) func() bool {
 	return func() bool {
 		for _, a := range list {
@@ -155,14 +165,17 @@
 	return func(status Status) bool { return status.Quota == quota }
 }
 
+// settingsText returns settings of a version, whose content depends on most.
 func settingsText(version int, most int) string {
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, most)
 }
 
+// policyText returns a residency policy of a version.
 func policyText(version int) string {
 	return fmt.Sprintf("version = %d\n[regions]\nr = [\"a\", \"b\"]\n[others]\npermitted = [\"*\"]\n", version)
 }
 
+// waitWithin waits until a condition holds, and fails the test if that is later than limit after since.
 func waitWithin(t *testing.T, condition string, limit time.Duration, since time.Time, holds func() bool) {
 	t.Helper()
 	waitFor(t, condition, holds)
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	in  = 1 << iota // from them to the hub nothing comes
-	out             // from the hub to them nothing goes
+	in  = 1 << iota // cut from peers to the hub
+	out             // cut from the hub to peers
 )
 
-// cuttableNetwork is a hub's way to everyone. A way that is cut holds what is sent by stream, and loses what is sent by packet.
+// cuttableNetwork is the network of a hub: a member.Wire. Directions to peers that are cut hold the bytes of streams
+// and lose packets.
 type cuttableNetwork struct {
 	report     func(any)
-	sendBuffer int
+	sendBuffer int // bytes of accepted connections, which can't be cut then; 0: the system's default
 	mu         sync.Mutex
-	cut        map[string]uint8 // by IP address
+	cut        map[string]uint8 // by IP address: in, out or both
 }
 
+// set replaces all cuts; nil leaves them.
 func (n *cuttableNetwork) set(cut map[string]uint8) {
 	if cut == nil {
 		return
@@ -34,6 +36,7 @@
 	n.cut = cut
 }
 
+// cutTo returns which directions to a peer are cut.
 func (n *cuttableNetwork) cutTo(peer netip.Addr) uint8 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,6 +79,7 @@
 	return n.wrap(conn)
 }
 
+// pipedConn is a connection that a cuttableNetwork forwards, with the addresses of the real one.
 type pipedConn struct {
 	net.Conn
 	real net.Conn
@@ -85,6 +89,7 @@
 
 func (c *pipedConn) LocalAddr() net.Addr { return c.real.LocalAddr() }
 
+// wrap returns a connection whose bytes pass through the network.
 func (n *cuttableNetwork) wrap(conn net.Conn) net.Conn {
 	near, far := net.Pipe()
 	peer := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
@@ -93,7 +98,7 @@
 	return &pipedConn{near, conn}
 }
 
-// forward passes on what comes, and the end, and holds both while the way is cut.
+// forward copies one direction of a connection, and its end, and holds both while the direction is cut.
 func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
 	chunks := make(chan []byte, 1024)
 	go func() {
@@ -117,7 +122,7 @@
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	for b := range chunks { // of those that can't be written any more, too
+	for b := range chunks { // those that can't be written any more are drained
 		waitWhileCut()
 		_, _ = to.Write(b)
 	}
--- a/internal/fleet/hubclient/cuttableproxy_test.go
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// cuttableProxy is the way to a hub. Each direction passes bytes on, loses them, or keeps them until it passes them on.
+// cuttableProxy forwards connections to a hub. Each direction forwards bytes, discards them, or holds them until it
+// is set to forward again.
 type cuttableProxy struct {
 	addr           string
 	toHub, fromHub atomic.Int32
@@ -21,7 +22,9 @@
 	holding
 )
 
+// newCuttableProxy listens on a port of its own until the test ends.
 func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/hubclient/entries_test.go
+++ b/internal/fleet/hubclient/entries_test.go
@@ -1,4 +1,4 @@
-// Tests of what an agent makes of the entries of a hub: old ones, and older documents.
+// Tests of outdated entries and documents from hubs: the agent uses neither.
 
 package hubclient
 
@@ -13,7 +13,7 @@
 	"martenbeam/internal/residency"
 )
 
-// What stood still on its way for longer than its bound comes all at once, and is not used.
+// Entries that were held up on their way for longer than their age bound, and then arrive together, are not used.
 func TestDelayedEntriesAreNotUsed(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
@@ -22,27 +22,29 @@
 		c.Hubs[0].Addr = proxy.addr
 		c.Bounds = gossip.AgeBounds{gossip.FleetSize: 700 * time.Millisecond}
 	}, a)
-	waitFor(t, "an even part", agent.hasQuota(1./10))
-	waitFor(t, "a state that came back", func() bool { return agent.attachment.hasEchoedState() })
+	waitFor(t, "an even quota", agent.hasQuota(1./10))
+	waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
 	proxy.fromHub.Store(holding)
 	a.mu.Lock()
-	a.fleetSize.Dead = 5 // in frames that are kept on the way
+	a.fleetSize.Dead = 5 // in frames that the proxy holds
 	a.mu.Unlock()
 	before := a.seq.Load()
-	waitFor(t, "frames that are kept", func() bool { return a.seq.Load() > before+6 })
+	waitFor(t, "frames held back by the proxy", func() bool { return a.seq.Load() > before+6 })
 	a.withholdsEntries.Store(true)
-	time.Sleep(time.Second) // so old they are to be at the least; nothing waits for it
+	time.Sleep(time.Second) // makes the frames older than the bound; there is no condition to wait for
 	proxy.fromHub.Store(forwarding)
 	refusedBefore := agent.store.Stats().Kinds["census"].Rejected
-	waitFor(t, "the old frames", func() bool { return agent.store.Stats().Kinds["census"].Rejected > refusedBefore })
+	waitFor(t, "rejection of the delayed entries", func() bool {
+		return agent.store.Stats().Kinds["census"].Rejected > refusedBefore
+	})
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if slices.Contains(agent.quotas, 1./5) {
-		t.Errorf("an old word was used: parts %v", agent.quotas)
+		t.Errorf("a delayed entry was used: quotas %v", agent.quotas)
 	}
 }
 
-// Policies never go back: a hub with an older version is not asked for its text.
+// Versions never decrease: a hub with an older policy is not asked for its text.
 func TestOlderPolicyIsNotFetched(t *testing.T) {
 	t.Parallel()
 	text := func(v string) string {
@@ -56,10 +58,10 @@
 	a.policy = documents.AppliedVersion{Version: 3, Digests: []string{residency.Digest(text("3"))}}
 	b.policy, b.rttMicros = documents.AppliedVersion{Version: 2, Digests: []string{"older"}}, 7000
 	agent := newTestAgent(t, func(c *Config) { c.Residency = holder }, a, b)
-	waitFor(t, "the stream to a", agent.attachedTo("a"))
-	waitFor(t, "a's word", func() bool { return !holder.State().Stale })
+	waitFor(t, "attachment to a", agent.attachedTo("a"))
+	waitFor(t, "confirmation of the policy by a", func() bool { return !holder.State().Stale })
 	a.kill()
-	waitFor(t, "b's word", agent.hasRTT(7*time.Millisecond))
+	waitFor(t, "the latency published by b", agent.hasRTT(7*time.Millisecond))
 	b.mu.Lock()
 	b.policy = documents.AppliedVersion{Version: 4, Digests: []string{"newer"}}
 	b.mu.Unlock()
@@ -73,8 +75,9 @@
 		}
 		return n
 	}
-	waitFor(t, "the newer text asked for again", func() bool { return fetches("newer") > 1 }) // the older's turn would be over by then
+	// By then the older would have been fetched too.
+	waitFor(t, "a second fetch of the newer text", func() bool { return fetches("newer") > 1 })
 	if fetches("older") > 0 || agent.Status().PolicyVersion != 3 {
-		t.Errorf("the older text was asked for %d times, version %d", fetches("older"), agent.Status().PolicyVersion)
+		t.Errorf("the older text was fetched %d times, version %d is applied", fetches("older"), agent.Status().PolicyVersion)
 	}
 }
--- a/internal/fleet/hubclient/failover_test.go
+++ b/internal/fleet/hubclient/failover_test.go
@@ -9,105 +9,111 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// A hub is killed: the next one has the agent, and what that one tells holds. The agent's own hub comes back: the agent goes
-// home, attached there before it lets go, without a goodbye. It ends: its hub hears a goodbye, and then the end.
+// When its hub is killed, the agent attaches to the next one and follows its entries. When the preferred hub is back,
+// the agent attaches there before it closes the other attachment, to which it sends no Leave. When the agent ends,
+// its hub receives Leave before the end of the stream.
 func TestAgentFailsOverAndReturnsToPreferredHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
 	a.fleetSize, b.fleetSize, b.rttMicros = hub.FleetSize{Attached: 3, Dead: 2}, hub.FleetSize{Attached: 4, Dead: 5}, 7000
 	agent := newTestAgent(t, nil, a, b)
-	waitFor(t, "the part by a's word", agent.hasQuota(1./8))
-	waitFor(t, "the distances by a's word", agent.hasRTT(time.Millisecond))
+	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./8))
+	waitFor(t, "the latency published by a", agent.hasRTT(time.Millisecond))
 	if agent.mu.Lock(); agent.quotas[0] != 0.01 {
-		t.Errorf("it starts with a part of %v", agent.quotas[0])
+		t.Errorf("startup quota %v", agent.quotas[0])
 	}
 	agent.mu.Unlock()
 	a.expectEvent(t, "hello")
 	a.kill()
 	a.expectEvent(t, "end")
-	waitFor(t, "the stream to b", agent.attachedTo("b"))
-	waitFor(t, "the part by b's word", agent.hasQuota(1./5))
-	waitFor(t, "the distances by b's word", agent.hasRTT(7*time.Millisecond))
+	waitFor(t, "attachment to b", agent.attachedTo("b"))
+	waitFor(t, "the quota by b's fleet size", agent.hasQuota(1./5))
+	waitFor(t, "the latency published by b", agent.hasRTT(7*time.Millisecond))
 	b.expectEvent(t, "hello")
 	a.start(t, a.addr)
 	a.expectEvent(t, "hello")
 	b.expectEvent(t, "end")
-	waitFor(t, "the stream to a", agent.attachedTo("a"))
+	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	agent.stop()
 	a.expectEvent(t, "bye")
 	a.expectEvent(t, "end")
 }
 
-// A hub falls silent, and its stream stays: the agent goes to another, and home when it speaks again. Meanwhile the word of
-// who is dead grows too old, and only an even part is left.
+// When a hub sends nothing while its stream stays open, the agent attaches to another, and returns when the hub sends
+// again. Meanwhile the fleet size expires, and the quota is even.
 func TestAgentLeavesUnresponsiveHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
 	a.fleetSize = hub.FleetSize{Dead: 5}
 	b.withholdsEntries.Store(true)
 	agent := newTestAgent(t, nil, a, b)
-	waitFor(t, "the part by a's word", agent.hasQuota(1./5))
+	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
 	a.unresponsive.Store(true)
-	waitFor(t, "the stream to b", agent.attachedTo("b"))
-	waitFor(t, "an even part", agent.hasQuota(1./10))
+	waitFor(t, "attachment to b", agent.attachedTo("b"))
+	waitFor(t, "an even quota", agent.hasQuota(1./10))
 	a.unresponsive.Store(false)
-	waitFor(t, "the stream to a", agent.attachedTo("a"))
-	waitFor(t, "the part by a's word", agent.hasQuota(1./5))
+	waitFor(t, "attachment to a", agent.attachedTo("a"))
+	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
 }
 
-// The way to or from a hub is cut while the other way holds: the agent goes to another hub.
+// When one direction of the path to a hub is cut, the agent attaches to another hub, though the other direction
+// works.
 func TestAgentLeavesHubCutInOneDirection(t *testing.T) {
-	for name, cut := range map[string]func(*cuttableProxy){"up": func(p *cuttableProxy) { p.toHub.Store(discarding) }, "down": func(p *cuttableProxy) { p.fromHub.Store(discarding) }} {
+	for name, cut := range map[string]func(*cuttableProxy){
+		"up":   func(p *cuttableProxy) { p.toHub.Store(discarding) },
+		"down": func(p *cuttableProxy) { p.fromHub.Store(discarding) },
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
 			proxy := newCuttableProxy(t, a.addr)
 			agent := newTestAgent(t, func(c *Config) { c.Hubs[0].Addr = proxy.addr }, a, b)
-			waitFor(t, "the stream to a", agent.attachedTo("a"))
-			waitFor(t, "a state that came back", func() bool { return agent.attachment.hasEchoedState() })
+			waitFor(t, "attachment to a", agent.attachedTo("a"))
+			waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
 			cut(proxy)
-			waitFor(t, "the stream to b", agent.attachedTo("b"))
+			waitFor(t, "attachment to b", agent.attachedTo("b"))
 		})
 	}
 }
 
-// A hub whose messages take longer and longer counts as failing.
+// A hub whose messages are repeatedly slow counts as failed.
 func TestAgentLeavesSlowHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
 	agent := newTestAgent(t, nil, a, b)
-	waitFor(t, "the stream to a", agent.attachedTo("a"))
-	waitFor(t, "a state that came back", func() bool { return agent.attachment.hasEchoedState() })
+	waitFor(t, "attachment to a", agent.attachedTo("a"))
+	waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
 	a.mu.Lock()
-	a.startedAt = a.startedAt.Add(1500 * time.Millisecond) // its words are as if written so long ago
+	a.startedAt = a.startedAt.Add(1500 * time.Millisecond) // its messages look as if sent so much earlier
 	a.mu.Unlock()
-	waitFor(t, "the stream to b", agent.attachedTo("b"))
+	waitFor(t, "attachment to b", agent.attachedTo("b"))
 }
 
-// A busy hub is asked again when it said and no sooner, and after three times another is.
+// A busy hub is tried again after the time that it asked for, and no sooner.
 func TestAgentHonoursBusyDelay(t *testing.T) {
 	t.Parallel()
 	const after = 400 * time.Millisecond
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
 	a.busyFor.Store(int64(after))
 	agent := newTestAgent(t, nil, a, b)
-	waitFor(t, "the stream to a", agent.attachedTo("a"))
+	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if waited := a.helloAt[1].Sub(a.helloAt[0]); waited < after {
-		t.Errorf("it came again after %v", waited)
+		t.Errorf("the next attempt came after %v", waited)
 	}
 }
 
-// A hub of an older program, which tells nothing but its name: the agent stays, and takes an even part in the end.
+// The agent stays attached to a hub of an older program, which sends nothing but its name, and takes an even quota
+// once the bound for the fleet size has passed.
 func TestAgentStaysAtOlderHub(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
 	a.olderProgram = true
 	agent := newTestAgent(t, nil, a)
-	waitFor(t, "the stream to a", agent.attachedTo("a"))
-	waitFor(t, "an even part", agent.hasQuota(1./10))
+	waitFor(t, "attachment to a", agent.attachedTo("a"))
+	waitFor(t, "an even quota", agent.hasQuota(1./10))
 	if agent.Status().Hub != "a" {
-		t.Error("it did not stay")
+		t.Error("the agent did not stay attached")
 	}
 }
--- a/internal/fleet/hubclient/fakehub_test.go
+++ b/internal/fleet/hubclient/fakehub_test.go
@@ -26,21 +26,22 @@
 	messageInterval = 100 * time.Millisecond
 )
 
-// fakeHub is a hub as an agent sees one.
+// fakeHub behaves to agents as a hub does. Fields below mu need it, but for server, which start and kill use, and
+// seq.
 type fakeHub struct {
 	name             string
 	addr             string
 	startedAt        time.Time
-	events           chan string  // "hello", "bye", "end" of streams, as they happen
-	unresponsive     atomic.Bool  // it neither reads nor writes, as one that is stopped
-	withholdsEntries atomic.Bool  // it tells no facts
-	olderProgram     bool         // it says nothing that an older program would not
-	busyFor          atomic.Int64 // ns to be said to the next who comes
+	events           chan string  // "hello", "bye" and "end" of streams, as they happen
+	unresponsive     atomic.Bool  // it sends nothing
+	withholdsEntries atomic.Bool  // it sends neither fleet size nor latencies
+	olderProgram     bool         // it sends only what an older program would
+	busyFor          atomic.Int64 // nanoseconds for which it tells the next agent that it is busy; 0: it accepts
 	mu               sync.Mutex
 	fleetSize        hub.FleetSize
-	rttMicros        uint32 // us to zone b
+	rttMicros        uint32 // from zone a to zone b
 	policy           documents.AppliedVersion
-	fetched          []string // digests
+	fetched          []string // digests of the policies that agents asked for
 	server           *http.Server
 	conns            map[net.Conn]bool
 	states           []frame.State
@@ -48,12 +49,15 @@
 	seq              atomic.Uint64
 }
 
+// newFakeHub starts a hub on a port of its own, until the test ends.
 func newFakeHub(t *testing.T, name string) *fakeHub {
+	t.Helper()
 	h := &fakeHub{name: name, startedAt: time.Now(), events: make(chan string, 1000), conns: map[net.Conn]bool{}, rttMicros: 1000}
 	h.start(t, "127.0.0.1:0")
 	return h
 }
 
+// start listens at addr, also after kill.
 func (h *fakeHub) start(t *testing.T, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
@@ -66,7 +70,7 @@
 	t.Cleanup(h.kill)
 }
 
-// kill ends it as a signal would.
+// kill closes the hub's listener and connections, as the end of its process would.
 func (h *fakeHub) kill() {
 	h.server.Close()
 	h.mu.Lock()
@@ -96,6 +100,7 @@
 	h.serveAttachment(conn, rw.Reader)
 }
 
+// serveAttachment accepts an agent, unless the hub is busy, and records its states until the stream ends.
 func (h *fakeHub) serveAttachment(conn net.Conn, r *bufio.Reader) {
 	defer conn.Close()
 	if received, err := frame.Read(r); err != nil || received.Hello == nil {
@@ -132,6 +137,7 @@
 	}
 }
 
+// sendLoop sends entries and echoes each messageInterval until done is closed.
 func (h *fakeHub) sendLoop(conn net.Conn, echo *atomic.Pointer[frame.Echo], done chan struct{}) {
 	tick := time.NewTicker(messageInterval)
 	defer tick.Stop()
@@ -152,12 +158,14 @@
 	}
 }
 
+// entries returns the encoded gossip message that the hub sends now.
 func (h *fakeHub) entries() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	message := gossip.Message{Version: 1, Sender: h.name, Incarnation: 1, Clock: time.Since(h.startedAt)}
 	add := func(kind gossip.Kind, subject string, body []byte) {
-		message.Entries = append(message.Entries, gossip.Entry{Kind: kind, Subject: subject, Observer: h.name, Incarnation: 1, Seq: h.seq.Add(1), Body: body})
+		message.Entries = append(message.Entries, gossip.Entry{Kind: kind, Subject: subject, Observer: h.name,
+			Incarnation: 1, Seq: h.seq.Add(1), Body: body})
 	}
 	if !h.withholdsEntries.Load() && !h.olderProgram {
 		add(gossip.FleetSize, hub.FleetSubject, h.fleetSize.MarshalBody())
@@ -171,20 +179,21 @@
 	return data
 }
 
-// expectEvent is the next thing that came to a hub.
+// expectEvent waits for the next event and compares it.
 func (h *fakeHub) expectEvent(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case got := <-h.events:
 		if got != want {
-			t.Errorf("%s heard %q, not %q", h.name, got, want)
+			t.Errorf("hub %s: event %q, want %q", h.name, got, want)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatalf("%s never heard %q", h.name, want)
+		t.Fatalf("hub %s: no event, want %q", h.name, want)
 	}
 }
 
+// writeFrame writes a frame as a hub or an agent does.
 func writeFrame(conn net.Conn, f *frame.Frame) {
 	data, _ := frame.Encode(f)
-	_, _ = conn.Write(data) // the other side has gone if it fails
+	_, _ = conn.Write(data) // fails only when the peer has closed
 }
--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -20,7 +20,7 @@
 	"martenbeam/internal/settings"
 )
 
-// TestMain lets the test binary stand in for a hub's process.
+// TestMain runs a hub instead of the tests if the environment holds a hubSpec.
 func TestMain(m *testing.M) {
 	if spec := os.Getenv("HARD_HUB"); spec != "" {
 		if err := runHubProcess(spec); err != nil {
@@ -32,6 +32,7 @@
 	os.Exit(m.Run())
 }
 
+// lockedWriter writes whole lines from several goroutines.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -43,6 +44,7 @@
 	return l.w.Write(p)
 }
 
+// writeLine writes a value as a line of JSON.
 func (l *lockedWriter) writeLine(v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -51,6 +53,8 @@
 	_, _ = l.Write(append(data, '\n'))
 }
 
+// runHubProcess runs the hub that a hubSpec describes, and executes commands from stdin until that closes. Its
+// goroutines end with the process.
 func runHubProcess(text string) error {
 	var spec hubSpec
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
@@ -59,19 +63,23 @@
 	stdout := &lockedWriter{w: os.Stdout}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	zones := []string{"a", "b", "c", "d"}
-	settingsHolder, policyHolder := settings.NewHolder(settings.Config{Log: log}), residency.NewHolder(zones, time.Minute, spec.Source, log, nil)
+	settingsHolder := settings.NewHolder(settings.Config{Log: log})
+	policyHolder := residency.NewHolder(zones, time.Minute, spec.Source, log, nil)
 	network := &cuttableNetwork{report: stdout.writeLine, sendBuffer: spec.SendBuffer, cut: map[string]uint8{}}
 	kind := settings.DocumentKind(settingsHolder)
 	var trace io.Writer = stdout
 	if spec.Untraced {
 		trace = nil
 	}
-	server := hub.New(hub.Config{Name: spec.Name, Label: spec.Label, ProgramVersion: "test", Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: spec.MaxAgents, Settings: kind, Policy: fleet.PolicyReplicator(policyHolder),
+	server := hub.New(hub.Config{Name: spec.Name, Label: spec.Label, ProgramVersion: "test",
+		Incarnation: uint64(time.Now().UnixMilli()),
+		MaxAgents:   spec.MaxAgents, Settings: kind, Policy: fleet.PolicyReplicator(policyHolder),
 		PolicyAge: policyHolder.ConfirmedAge, Log: log, Trace: trace})
-	cfg := fleet.Config{Name: spec.Name, Site: spec.Site, Version: "test", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label, MaxMembers: spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log,
+	cfg := fleet.Config{Name: spec.Name, Site: spec.Site, Version: "test", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label,
+		MaxMembers: spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log,
 		Trace: trace, Residency: policyHolder, PolicySource: spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: network}
 	node, err := fleet.New(cfg, zones, fleet.Callbacks{})
-	for n := 0; err != nil && n < 50; n++ { // another has the UDP port, or the process before still ends
+	for n := 0; err != nil && n < 50; n++ { // another process has the UDP port, or the hub's former one is still ending
 		time.Sleep(20 * time.Millisecond)
 		node, err = fleet.New(cfg, zones, fleet.Callbacks{})
 	}
@@ -108,6 +116,7 @@
 	}
 }
 
+// applyText applies a text with the version that its first line names.
 func applyText(text string, apply func(int64, string) error) error {
 	var version int64
 	if _, err := fmt.Sscanf(text, "version = %d", &version); err != nil {
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -15,36 +15,36 @@
 	"time"
 )
 
-// hubSpec is what a hub's process is told of itself.
+// hubSpec describes a hub to its process.
 type hubSpec struct {
 	Name, Site, Listen, Label string
 	Seeds                     []string
 	MaxAgents                 int
-	SendBuffer                int  // of streams, bytes; 0: as the system has it, and the ways can be cut
-	Source                    bool // of the residency policy
+	SendBuffer                int  // of agents' connections, in bytes; 0: the system's, and its network can be cut
+	Source                    bool // it is a source of the residency policy
 	Untraced                  bool // it writes no trace
 }
 
-// order is what a hub's process is told to do. It answers with the same number.
+// hubCommand is a command to a hub process, which answers with the same ID.
 type hubCommand struct {
 	ID       int
-	Cut      map[string]uint8 // the ways to these addresses, in whole
+	Cut      map[string]uint8 // replaces all cuts, if not nil; see cuttableNetwork
 	Settings string
 	Policy   string
-	Heap     bool
+	Heap     bool // report the size of heap and stacks
 }
 
-// hubOutput is a line of a hub's process: an answer, a hello that came, or a line of its trace.
+// hubOutput is a line that a hub process writes: its address, an answer, an agent's Hello, or a line of its trace.
 type hubOutput struct {
 	Addr  string
 	ID    int
 	Error string
-	Heap  uint64
-	Hello int64 // when, us
+	Heap  uint64 // bytes
+	Hello int64  // when it came, in microseconds since 1970
 	traceLine
 }
 
-// hubProcess is a hub's process.
+// hubProcess is a running hub process. One goroutine reads its output until it ends.
 type hubProcess struct {
 	hubSpec
 	addr  string
@@ -59,6 +59,8 @@
 	reportedAddr chan string
 }
 
+// startHubProcess starts a hub process, which ends with the test at the latest, and waits until it listens. The
+// monitor gets its trace.
 func startHubProcess(t *testing.T, m *monitor, spec hubSpec) *hubProcess {
 	t.Helper()
 	spec.Label = t.Name()
@@ -70,7 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}), answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
+	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}),
+		answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
 	p.cmd.Env = append(os.Environ(), "HARD_HUB="+string(text))
 	p.cmd.Stderr = &processLog{t: t, name: spec.Name}
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
@@ -101,11 +104,12 @@
 	select {
 	case p.addr = <-p.reportedAddr:
 	case <-time.After(waitTimeout):
-		t.Fatalf("the hub %s does not start", spec.Name)
+		t.Fatalf("hub %s does not start", spec.Name)
 	}
 	return p
 }
 
+// processLog fails the test for data races and panics that a hub process logs.
 type processLog struct {
 	t    *testing.T
 	name string
@@ -113,11 +117,12 @@
 
 func (l *processLog) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("DATA RACE")) || bytes.Contains(p, []byte("panic")) {
-		l.t.Errorf("the hub %s: %s", l.name, p)
+		l.t.Errorf("hub %s: %s", l.name, p)
 	}
 	return len(p), nil
 }
 
+// handleOutput stores a line of output, or passes it to the monitor.
 func (p *hubProcess) handleOutput(m *monitor, output hubOutput) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,6 +138,7 @@
 	}
 }
 
+// execute sends a command and returns its answer.
 func (p *hubProcess) execute(t *testing.T, command hubCommand) (answer hubOutput) {
 	t.Helper()
 	p.mu.Lock()
@@ -151,12 +157,13 @@
 	return answer
 }
 
-// kill ends it without a word.
+// kill ends the process by SIGKILL, and waits until its output was read.
 func (p *hubProcess) kill() {
-	_ = p.cmd.Process.Kill() // it has ended already if it fails
+	_ = p.cmd.Process.Kill() // fails only when the process has ended
 	<-p.done
 }
 
+// signal sends a signal to the process.
 func (p *hubProcess) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -164,7 +171,7 @@
 	}
 }
 
-// helloRate is the most hellos that came in a second from a time on, and how many came in all.
+// helloRate returns how many agents sent a Hello since a point in time: at most within one second, and altogether.
 func (p *hubProcess) helloRate(from time.Time) (peak, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// Without hubs the flat fleet runs, and ends when one is back. The address never refuses a connection meanwhile, and no part
-// is above what both rules give.
+// Without hubs the agent falls back to the full mesh, and leaves it when a hub is back. Its address never refuses a
+// connection meanwhile, and no quota is above what either rule gives.
 func TestFallBackToMeshAndReturn(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
@@ -24,7 +24,8 @@
 	a.fleetSize = hub.FleetSize{Attached: 2, Dead: 5}
 	agent := newTestAgent(t, func(c *Config) {
 		c.NewMesh = func(listener *net.TCPListener, startedAt time.Time, callbacks fleet.Callbacks) (*fleet.Fleet, error) {
-			return fleet.New(fleet.Config{Name: "x", Site: "a", Listen: listener.Addr().String(), Listener: listener, StartedAt: startedAt, Label: "l", MaxMembers: 10, ListRate: 50,
+			return fleet.New(fleet.Config{Name: "x", Site: "a", Listen: listener.Addr().String(),
+				Listener: listener, StartedAt: startedAt, Label: "l", MaxMembers: 10, ListRate: 50,
 				Log: slog.New(slog.DiscardHandler)}, []string{"a", "b"}, callbacks)
 		}
 	}, a)
@@ -50,12 +51,12 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	waitFor(t, "the flat fleet", func() bool { return agent.Status().MeshRunning })
-	waitFor(t, "an even part", agent.hasQuota(1./10))
+	waitFor(t, "the full mesh", func() bool { return agent.Status().MeshRunning })
+	waitFor(t, "an even quota", agent.hasQuota(1./10))
 	a.start(t, a.addr)
-	waitFor(t, "the part by a's word", agent.hasQuota(1./5))
+	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
 	if agent.Status().MeshRunning {
-		t.Error("the flat fleet still runs")
+		t.Error("the full mesh still runs")
 	}
 	close(stop)
 	if n := <-refused; n > 0 {
@@ -64,6 +65,6 @@
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if !slices.Equal(agent.quotas, []float64{startupQuota / 10, 1. / 10, 1. / 5}) {
-		t.Errorf("parts %v", agent.quotas)
+		t.Errorf("quotas %v", agent.quotas)
 	}
 }
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -12,15 +12,15 @@
 
 const (
 	sampleInterval = 50 * time.Millisecond
-	maxQuotaSum    = 1.1
-	maxTraceDelay  = 500 * time.Millisecond // a line may be written so much later than what it tells of, on a busy machine
+	maxQuotaSum    = 1.1                    // agents are sampled one after the other, while their quotas change
+	maxTraceDelay  = 500 * time.Millisecond // between a use and its line, on a busy machine
 )
 
-// traceLine is a line of a trace.
+// traceLine is a line of a trace: an entry that was published or used.
 type traceLine struct {
 	What, Kind, Observer, Subject string
 	Incarnation, Seq              uint64
-	Age, At                       int64 // us
+	Age, At                       int64 // microseconds; At since 1970
 }
 
 type entryID struct {
@@ -28,7 +28,9 @@
 	incarnation, seq        uint64
 }
 
-// monitor looks at all agents of a test all along, and reads the traces of all processes.
+// monitor checks invariants of a fleet during a test, by samples of all agents' status and by the traces of all
+// processes: the quotas add up to the limit at most, versions never decrease, and no entry is used beyond its age
+// bound.
 type monitor struct {
 	bounds map[string]time.Duration
 	stop   chan struct{}
@@ -36,19 +38,20 @@
 
 	mu             sync.Mutex
 	agents         map[string]func() Status
-	newestVersions map[string][2]int64 // settings, policy; over restarts
-	observedAt     map[entryID]int64   // when it was seen at the latest, by who told it, us
-	uses           int
-	matched        int // of these, whose telling was read
+	newestVersions map[string][2]int64 // of settings and policy, by agent; kept over restarts
+	observedAt     map[entryID]int64   // when a published entry was observed, in microseconds since 1970
+	uses           int                 // of entries
+	matched        int                 // uses whose publication is in a trace
 	samples        int
-	minQuota       float64 // no part may be less; 0: it is not looked at
-	allAlive       bool    // nobody is dead: none may say so
-	maxSum         float64 // the highest
-	violations     []string
+	minQuota       float64  // of each agent; 0: not checked
+	allAlive       bool     // no agent may be reported as dead
+	maxSum         float64  // the highest sum of quotas in a sample
+	violations     []string // the first ten
 }
 
 func newMonitor() *monitor {
-	m := &monitor{bounds: map[string]time.Duration{}, stop: make(chan struct{}), done: make(chan struct{}), agents: map[string]func() Status{}, newestVersions: map[string][2]int64{},
+	m := &monitor{bounds: map[string]time.Duration{}, stop: make(chan struct{}), done: make(chan struct{}),
+		agents: map[string]func() Status{}, newestVersions: map[string][2]int64{},
 		observedAt: map[entryID]int64{}}
 	for k, d := range gossip.DefaultAgeBounds {
 		m.bounds[k.String()] = d
@@ -71,7 +74,7 @@
 	}
 }
 
-// stopAndCheck ends the watch, and fails the test for what it saw.
+// stopAndCheck ends sampling, and fails the test for each violation.
 func (m *monitor) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(m.stop)
@@ -81,9 +84,10 @@
 	for _, violation := range m.violations {
 		t.Error(violation)
 	}
-	t.Logf("%d samples, highest sum of parts %.3f, %d facts told, %d uses checked, %d of them by when they were seen", m.samples, m.maxSum, len(m.observedAt), m.uses, m.matched)
+	t.Logf("%d samples, highest sum of quotas %.3f, %d entries published, %d uses checked, %d of them by when they were observed",
+		m.samples, m.maxSum, len(m.observedAt), m.uses, m.matched)
 	if m.samples == 0 {
-		t.Error("nothing was watched")
+		t.Error("no sample was taken")
 	}
 }
 
@@ -99,7 +103,8 @@
 	m.agents[name] = status
 }
 
-// require has more be looked at from now on.
+// require adds invariants from now on: a minimum for each quota, and, if allAlive is set, that no agent is reported
+// as dead.
 func (m *monitor) require(minQuota float64, allAlive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,20 +122,21 @@
 	defer m.mu.Unlock()
 	m.samples++
 	sum := 0.0
-	for range 3 { // agents are looked at one after the other, while they change
+	for range 3 { // a change between two agents' samples does not count
 		sum = 0
 		for name, readStatus := range m.agents {
 			status := readStatus()
 			sum += max(0, status.Quota)
 			if m.minQuota > 0 && status.Quota < m.minQuota {
-				m.violation("%s has a part of %v", name, status.Quota)
+				m.violation("%s has a quota of %v", name, status.Quota)
 			}
 			if m.allAlive && status.FleetSize.Dead > 0 {
-				m.violation("%s was told that %d are dead, and all live", name, status.FleetSize.Dead)
+				m.violation("%s received that %d agents are dead, and all live", name, status.FleetSize.Dead)
 			}
 			newest := m.newestVersions[name]
 			if status.SettingsVersion < newest[0] || status.PolicyVersion < newest[1] {
-				m.violation("%s went back from settings %d, policy %d to %d, %d", name, newest[0], newest[1], status.SettingsVersion, status.PolicyVersion)
+				m.violation("%s went back from settings %d, policy %d to %d, %d",
+					name, newest[0], newest[1], status.SettingsVersion, status.PolicyVersion)
 			}
 			m.newestVersions[name] = [2]int64{max(newest[0], status.SettingsVersion), max(newest[1], status.PolicyVersion)}
 		}
@@ -139,12 +145,12 @@
 		}
 	}
 	if sum > maxQuotaSum+1e-9 {
-		m.violation("the parts of %d living agents come to %.3f", len(m.agents), sum)
+		m.violation("the quotas of %d living agents add up to %.3f", len(m.agents), sum)
 	}
 	m.maxSum = max(m.maxSum, sum)
 }
 
-// Write takes a line of a trace of this process.
+// Write checks a line of a trace of this process.
 func (m *monitor) Write(p []byte) (int, error) {
 	var line traceLine
 	if err := json.Unmarshal(p, &line); err == nil {
@@ -167,18 +173,18 @@
 	m.uses++
 	age, bound := time.Duration(line.Age)*time.Microsecond, m.bounds[line.Kind]
 	if age > bound {
-		m.violation("%+v is used past its bound of %v", line, bound)
+		m.violation("%+v is used past its age bound of %v", line, bound)
 	}
 	if observedAt, known := m.observedAt[id]; known {
 		m.matched++
 		if actualAge := time.Duration(line.At-observedAt) * time.Microsecond; actualAge > bound+maxTraceDelay {
-			m.violation("%+v is used, and was seen %v ago: its bound is %v", line, actualAge, bound)
+			m.violation("%+v is used, and was observed %v ago: its age bound is %v", line, actualAge, bound)
 		}
 	}
 }
 
-// The checker sees an agent that goes back to an old version, one that takes its part twice, and a fact that is used past its
-// bound: by the age that is reckoned, and by when it was told.
+// The monitor reports an agent that returns to an older version, one that uses its quota twice, and an entry that is
+// used beyond its age bound, by the age in the trace and by when it was observed.
 func TestMonitorReportsEachViolation(t *testing.T) {
 	t.Parallel()
 	now := time.Now().UnixMicro()
@@ -191,11 +197,12 @@
 		lines   []traceLine
 		wrong   int
 	}{
-		"all is well":     {1. / 5, 3, []traceLine{published, used}, 0},
-		"an old version":  {1. / 5, 2, nil, 1},
-		"a part twice":    {2. / 5, 3, nil, 1},
-		"a fact too old":  {1. / 5, 3, []traceLine{{What: "use", Kind: "gone", Age: 3000001}}, 1},
-		"a fact told old": {1. / 5, 3, []traceLine{{What: "tell", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 2e6, At: now - 2e6}, used}, 1},
+		"no violation":       {1. / 5, 3, []traceLine{published, used}, 0},
+		"an old version":     {1. / 5, 2, nil, 1},
+		"a quota used twice": {2. / 5, 3, nil, 1},
+		"an entry too old":   {1. / 5, 3, []traceLine{{What: "use", Kind: "gone", Age: 3000001}}, 1},
+		"an entry observed too long ago": {1. / 5, 3, []traceLine{
+			{What: "tell", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 2e6, At: now - 2e6}, used}, 1},
 	} {
 		m := newMonitor()
 		close(m.stop)
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -11,7 +11,7 @@
 	"martenbeam/internal/settings"
 )
 
-// cutPaths are to the hubs and the first agents of some zones.
+// cutPaths returns a cut to the hubs and the first 20 agents of some zones, each named by one letter.
 func cutPaths(cut uint8, hubs, agents string) map[string]uint8 {
 	m := map[string]uint8{}
 	for _, z := range hubs {
@@ -25,13 +25,13 @@
 	return m
 }
 
-// The ways to and from a hub are cut one way: between it and all agents, or between it and the other hubs. Its agents go
-// elsewhere or stay, nobody is taken for dead, and the settings that are given meanwhile come to everyone, at the latest when
-// the way is whole again.
+// A hub is cut off in one direction, from all agents or from the other hubs. Its agents move to another hub or stay,
+// nobody is reported as dead, and settings that are applied meanwhile reach everyone, at the latest when the cut
+// ends.
 func TestHubCutInOneDirection(t *testing.T) {
 	for name, test := range map[string]struct {
 		cut   map[string]uint8
-		alone string // zones whose agents hear of nobody else's then; "": all hear of all
+		alone string // zones whose agents receive a fleet size of themselves only; "": none
 	}{
 		"from agents": {cutPaths(in, "", "abc"), ""},
 		"to agents":   {cutPaths(out, "", "abc"), ""},
@@ -46,26 +46,27 @@
 			c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
 			atA := c.startAgents("a", 2)
 			agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
-			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
+			waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
 			waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
-			waitFor(t, "an even part for each", allOf(agents, hasQuota(1./6)))
-			waitFor(t, "a census of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
-			c.monitor.require(1./8, true) // those that move are counted twice for a moment
+			waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./6)))
+			waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+			c.monitor.require(1./8, true) // agents that move are counted at two hubs for a moment
 			c.hubs["a"].execute(t, hubCommand{Cut: test.cut})
 			cutAt := time.Now()
 			c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 			if test.alone != "" {
-				waitFor(t, "the settings at the others", allOf(agents[:4], hasSettings(2)))
+				waitFor(t, "the settings at the other agents", allOf(agents[:4], hasSettings(2)))
 				connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[test.alone]
-				waitFor(t, "a census of them alone", allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
+				waitFor(t, "a fleet size of these alone",
+					allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
 			} else {
-				waitFor(t, "another hub", allOf(atA, attachedTo("bc")))
-				waitWithin(t, "the settings at all", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
+				waitFor(t, "attachment to another hub", allOf(atA, attachedTo("bc")))
+				waitWithin(t, "the settings at all agents", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
 			}
 			c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
-			waitWithin(t, "the settings at all", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
-			waitFor(t, "the agents at home", allOf(atA, attachedTo("a")))
-			waitFor(t, "a census of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+			waitWithin(t, "the settings at all agents", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
+			waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+			waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
 		})
 	}
 }
@@ -74,18 +75,20 @@
 	return func(a *clusterAgent) bool { return a.settings.State().Digests[0] == digest }
 }
 
-// Two regions are cut from each other. On both sides there are new settings, an agent dies, and another that dies is started again on the other
-// side. Together again, all have the higher version, and the parts of the dead are shared. Apart once more, each side is given a text of one version: the first that
-// came stands on each side, and everyone says so, until there is a higher version.
+// Two regions are cut off from each other. Each side gets new settings, one of its agents dies, and another is
+// restarted on the other side. When the cut ends, all apply the higher version, and the quotas of the dead are
+// shared. During a second cut each side gets another text of the same version: each side keeps its own and reports
+// the conflict, until there is a higher version.
 func TestRegionsPartitionedAndRejoined(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 12, false, "a", "b", "c", "d")
 	defer c.monitor.stopAndCheck(t)
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
-	sides := [2][]*clusterAgent{append(c.startAgents("a", 3), c.startAgents("b", 3)...), append(c.startAgents("c", 3), c.startAgents("d", 3)...)}
+	sides := [2][]*clusterAgent{append(c.startAgents("a", 3), c.startAgents("b", 3)...),
+		append(c.startAgents("c", 3), c.startAgents("d", 3)...)}
 	both := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
 	waitFor(t, "the first settings", allOf(both(), hasSettings(1)))
-	waitFor(t, "an even part for each", allOf(both(), hasQuota(1./12)))
+	waitFor(t, "an even quota for each", allOf(both(), hasQuota(1./12)))
 	partition := func() {
 		t.Helper()
 		for z, h := range c.hubs {
@@ -96,7 +99,8 @@
 			h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
 		}
 		for i, side := range sides {
-			waitFor(t, fmt.Sprint("a census of side ", i, " alone"), allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
+			waitFor(t, fmt.Sprint("a fleet size of side ", i, " alone"),
+				allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
 		}
 	}
 	rejoin := func() {
@@ -104,13 +108,14 @@
 		for _, h := range c.hubs {
 			h.execute(t, hubCommand{Cut: map[string]uint8{}})
 		}
-		waitFor(t, "a census of all", allOf(both(), func(status Status) bool { return int(status.FleetSize.Attached) == len(both()) }))
+		waitFor(t, "a fleet size of all",
+			allOf(both(), func(status Status) bool { return int(status.FleetSize.Attached) == len(both()) }))
 	}
 	partition()
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	c.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
-	waitFor(t, "the settings of one side", allOf(sides[0], hasSettings(2)))
-	waitFor(t, "the settings of the other", allOf(sides[1], hasSettings(3)))
+	waitFor(t, "the settings of the first side", allOf(sides[0], hasSettings(2)))
+	waitFor(t, "the settings of the second side", allOf(sides[1], hasSettings(3)))
 	for i, zone := range []string{"c", "b"} {
 		sides[i][0].kill()
 		moving := sides[i][1]
@@ -118,12 +123,12 @@
 		sides[i] = sides[i][2:]
 		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
 	}
-	waitFor(t, "a hub for each", allOf(both(), attachedTo("abcd")))
-	waitFor(t, "the parts of the dead", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
+	waitFor(t, "an attachment for each", allOf(both(), attachedTo("abcd")))
+	waitFor(t, "a share of the dead agents' quotas", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
 	startedAt := time.Now()
 	rejoin()
 	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
-	waitFor(t, "the parts of two who are dead", allOf(both(), hasQuota(1./10)))
+	waitFor(t, "a share of the quotas of two dead agents", allOf(both(), hasQuota(1./10)))
 
 	partition()
 	firstText, secondText := settingsText(5, 2), settingsText(5, 6)
@@ -132,7 +137,7 @@
 	digests := [2]string{settings.Digest(firstText), settings.Digest(secondText)}
 	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
 	rejoin()
-	waitFor(t, "that all say so", func() bool {
+	waitFor(t, "a report of the conflict by all", func() bool {
 		for _, a := range both() {
 			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
 				return false
@@ -149,7 +154,8 @@
 	}
 	startedAt = time.Now()
 	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
-	waitWithin(t, "one text everywhere", 14*time.Second, startedAt, allOf(both(), func(status Status) bool { return status.SettingsVersion == 6 }))
+	waitWithin(t, "one text at all agents", 14*time.Second, startedAt,
+		allOf(both(), func(status Status) bool { return status.SettingsVersion == 6 }))
 	for _, a := range both() {
 		if reason := a.settings.Status().Reason; reason != "" {
 			t.Errorf("%s: %s", a.cfg.Name, reason)
--- a/internal/fleet/hubclient/rawclient_test.go
+++ b/internal/fleet/hubclient/rawclient_test.go
@@ -17,7 +17,8 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// dialHub attaches to a hub as an agent does, and reads nothing yet but that it is welcome.
+// dialHub attaches to a hub and reads its Welcome. buffer, if above 0, is the size of the socket's receive buffer in
+// bytes.
 func dialHub(addr, label, name string, buffer int) (conn net.Conn, reader *bufio.Reader, err error) {
 	d := net.Dialer{Timeout: time.Second}
 	if buffer > 0 {
@@ -50,7 +51,7 @@
 	return conn, reader, nil
 }
 
-// sendStates tells a hub each second that an agent is there, until its stream ends.
+// sendStates sends a state twice a second, until the stream ends.
 func sendStates(conn net.Conn) {
 	for n := uint32(1); ; n++ {
 		_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
@@ -65,15 +66,15 @@
 	}
 }
 
-// receivedMessage is what a hub said to one who listens, and when.
+// receivedMessage is what a frame of a hub said, and when it came.
 type receivedMessage struct {
 	at             time.Time
-	settings       int64 // -1: nothing of them
-	dead           int   // -1
+	settings       int64 // version; -1: none in the frame
+	dead           int   // agents; -1: no fleet size in the frame
 	quotaConfirmed bool
 }
 
-// receiveFrom attaches to a hub whenever it may, and hands on what it says.
+// receiveFrom attaches to a hub, again after each loss, and passes what it receives to handle, until ctx ends.
 func receiveFrom(ctx context.Context, addr, label, name string, handle func(receivedMessage)) {
 	for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		c, reader, err := dialHub(addr, label, name, 0)
--- a/internal/fleet/hubclient/realhub_test.go
+++ b/internal/fleet/hubclient/realhub_test.go
@@ -13,12 +13,13 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// startRealHub runs a hub as it is, and returns its address and what ends it.
+// startRealHub runs a hub.Server in a fleet, and returns its address and a function that ends it.
 func startRealHub(t *testing.T, name string, seeds ...string) (addr string, stop func()) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	server := hub.New(hub.Config{Name: name, Label: t.Name(), Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: 10, Log: log})
-	node, err := fleet.New(fleet.Config{Name: name, Site: name, Listen: "127.0.0.1:0", Seeds: seeds, Label: t.Name(), MaxMembers: 10, ListRate: 50, Hub: true, HTTPHandler: server, Log: log},
+	node, err := fleet.New(fleet.Config{Name: name, Site: name, Listen: "127.0.0.1:0", Seeds: seeds, Label: t.Name(),
+		MaxMembers: 10, ListRate: 50, Hub: true, HTTPHandler: server, Log: log},
 		[]string{"a", "b"}, fleet.Callbacks{})
 	if err != nil {
 		t.Fatal(err)
@@ -27,13 +28,13 @@
 		var tasks sync.WaitGroup
 		defer tasks.Wait()
 		tasks.Go(func() { server.Run(ctx, node) })
-		_ = node.Run(ctx) // on a busy machine nobody may hear its goodbye in time
+		_ = node.Run(ctx) // on a busy machine its leave may time out
 		return nil
 	})
 }
 
-// Two agents at two hubs as they are: one agent says goodbye, and the other has its share of that part. Its hub ends: it goes to
-// the other.
+// Two agents are attached to two real hubs. When one agent leaves, the other takes its share of that quota; when its
+// hub ends, it attaches to the other hub.
 func TestAgentsMoveBetweenRealHubs(t *testing.T) {
 	t.Parallel()
 	a, endA := startRealHub(t, "a")
@@ -44,12 +45,14 @@
 		})
 	}
 	first, second := startAgent("x", "a"), startAgent("y", "b")
-	waitFor(t, "the stream to a", first.attachedTo("a"))
-	waitFor(t, "the stream to b", second.attachedTo("b"))
-	waitFor(t, "a census of both", func() bool { return first.Status().FleetSize.Attached == 2 && second.Status().FleetSize.Attached == 2 })
-	waitFor(t, "an even part", first.hasQuota(1./10))
+	waitFor(t, "attachment to a", first.attachedTo("a"))
+	waitFor(t, "attachment to b", second.attachedTo("b"))
+	waitFor(t, "a fleet size of both", func() bool {
+		return first.Status().FleetSize.Attached == 2 && second.Status().FleetSize.Attached == 2
+	})
+	waitFor(t, "an even quota", first.hasQuota(1./10))
 	second.stop()
-	waitFor(t, "its share of the other's part", first.hasQuota(1./9))
+	waitFor(t, "the quota of the agent that left", first.hasQuota(1./9))
 	endA()
-	waitFor(t, "the stream to b", first.attachedTo("b"))
+	waitFor(t, "attachment to b", first.attachedTo("b"))
 }
--- a/internal/fleet/hubclient/selector_test.go
+++ b/internal/fleet/hubclient/selector_test.go
@@ -8,7 +8,8 @@
 
 var testHubs = []Hub{{"a1", "a", "1"}, {"a2", "a", "2"}, {"a3", "a", "3"}, {"b1", "b", "4"}, {"b2", "b", "5"}, {"b3", "b", "6"}}
 
-// The 257 agents of a dead hub come to the two others of its region, and to neither more than 100 within any second.
+// The 257 agents of a dead hub attach to the two others of its region, and to neither more than 100 within any
+// second.
 func TestAgentsOfDeadHubSpreadOverRegion(t *testing.T) {
 	const agents = 257
 	var start time.Time
@@ -24,7 +25,7 @@
 		arrivals[list[selector.current].Zone] = append(arrivals[list[selector.current].Zone], wait)
 	}
 	if len(arrivals["a2"])+len(arrivals["a3"]) != agents {
-		t.Fatalf("they went to %d hubs", len(arrivals))
+		t.Fatalf("the agents went to %d hubs", len(arrivals))
 	}
 	for hub, list := range arrivals {
 		for _, from := range list {
@@ -35,13 +36,14 @@
 				}
 			}
 			if n > 100 {
-				t.Errorf("%d come to %s within the second from %v", n, hub, from)
+				t.Errorf("%d agents come to %s within the second from %v", n, hub, from)
 			}
 		}
 	}
 }
 
-// Tries in vain go round all hubs with growing waits; one that asked for time has it; a steady stream starts anew.
+// Failed attempts go round all hubs with growing waits, a busy hub is not tried before it allowed that, and a stable
+// attachment resets the backoff.
 func TestBackoffGrowsAndBusyHubsAreHonoured(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	selector := newHubSelector(3, 7)
@@ -49,7 +51,7 @@
 	for range 300 {
 		wait := selector.attachFailed(now)
 		if wait > maxBackoff || selector.consecutiveFailures == 1 && wait > initialBackoff {
-			t.Fatalf("wait %v after %d tries", wait, selector.consecutiveFailures)
+			t.Fatalf("wait %v after %d failures", wait, selector.consecutiveFailures)
 		}
 		tried[selector.current], longest = true, max(longest, wait)
 	}
@@ -58,25 +60,25 @@
 	}
 	before := selector.current
 	if wait := selector.hubBusy(time.Second, now); wait != time.Second || selector.current != before {
-		t.Errorf("a busy hub is asked again after %v, hub %d", wait, selector.current)
+		t.Errorf("a busy hub is tried again after %v, hub %d", wait, selector.current)
 	}
 	if selector.hubBusy(time.Minute, now); selector.current == before {
-		t.Error("a hub that is busy for a minute is waited for")
+		t.Error("a hub that is busy for a minute is tried next")
 	}
 	for range 10 {
 		if selector.attachFailed(now); selector.current == before {
-			t.Error("it is asked sooner than it said")
+			t.Error("the busy hub is tried before it allowed that")
 		}
 	}
 	if only := newHubSelector(1, 7); only.hubBusy(time.Minute, now) != time.Minute {
-		t.Error("the only hub is asked sooner than it said")
+		t.Error("the only hub is tried before it allowed that")
 	}
 	if wait := selector.attachmentLost(1, stableAfter, now.Add(time.Hour)); selector.current != 0 || wait > initialBackoff {
-		t.Errorf("after a steady stream hub %d is tried after %v", selector.current, wait)
+		t.Errorf("after a stable attachment hub %d is tried after %v", selector.current, wait)
 	}
 	for range 1000 {
 		if d := selector.nextPreferredCheck(); d < defaultPreferredCheckInterval/2 || d >= defaultPreferredCheckInterval*3/2 {
-			t.Fatalf("home is looked for after %v", d)
+			t.Fatalf("the preferred hub is tried after %v", d)
 		}
 	}
 }
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -10,22 +10,24 @@
 	"time"
 )
 
-// A hundred agents that never read cost their hub little, and the others hear it each second all the while.
+// A hundred agents that never read cost their hub little memory each, and the others receive its messages each second
+// meanwhile.
 func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	const slow = 100
 	m := newMonitor()
 	c := &cluster{t: t, monitor: m, maxAgents: slow + 10, hubs: map[string]*hubProcess{}, stateDir: t.TempDir()}
 	defer m.stopAndCheck(t)
-	c.hubs["a"] = startHubProcess(t, m, hubSpec{Name: "hub a", Site: "a", Listen: hubIP("a") + ":0", MaxAgents: c.maxAgents, SendBuffer: 4096, Untraced: true})
+	c.hubs["a"] = startHubProcess(t, m, hubSpec{Name: "hub a", Site: "a", Listen: hubIP("a") + ":0",
+		MaxAgents: c.maxAgents, SendBuffer: 4096, Untraced: true})
 	hub := c.hubs["a"]
 	agents := c.startAgents("a", 3)
-	waitFor(t, "the agents", allOf(agents, attachedTo("a")))
+	waitFor(t, "attachment of the agents", allOf(agents, attachedTo("a")))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	messages := make(chan receivedMessage, 100000)
 	go receiveFrom(ctx, hub.addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
-	waitFor(t, "the listener", func() bool { return len(messages) > 0 })
+	waitFor(t, "messages at the listener", func() bool { return len(messages) > 0 })
 	before := hub.execute(t, hubCommand{Heap: true}).Heap
 	var dropped, attached atomic.Int32
 	done := make(chan struct{}, slow)
@@ -48,7 +50,7 @@
 		}()
 	}
 	version, maxHeap := 1, uint64(0)
-	waitFor(t, "that each slow reader was dropped", func() bool { // news for everyone all the while
+	waitFor(t, "the drop of each slow reader", func() bool { // new settings for everyone all the time
 		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
 		if m := hub.execute(t, hubCommand{Heap: true}).Heap; attached.Load() > slow/2 {
@@ -66,15 +68,16 @@
 			last = message.at
 		}
 	}
-	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between words %v; %d versions", before>>10, maxHeap>>10, longest, version-1)
+	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between messages %v; %d versions",
+		before>>10, maxHeap>>10, longest, version-1)
 	if longest > 1500*time.Millisecond {
-		t.Errorf("nothing was heard for %v", longest)
+		t.Errorf("no message was received for %v", longest)
 	}
 	if maxHeap > before+slow*64<<10 {
-		t.Errorf("%d bytes for each", (maxHeap-before)/slow)
+		t.Errorf("%d bytes for each slow reader", (maxHeap-before)/slow)
 	}
 	if !allOf(agents, attachedTo("a"))() {
-		t.Error("an agent went, and there is no other hub")
+		t.Error("an agent lost its hub")
 	}
 	cancel()
 	for range slow {
--- a/internal/fleet/hubclient/testagent_test.go
+++ b/internal/fleet/hubclient/testagent_test.go
@@ -13,18 +13,21 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// testAgent is a spoke that runs, and what it told.
+// testAgent is a running Client, and what it reported.
 type testAgent struct {
 	*Client
-	stop   func() // and waits for it
+	stop   func() // ends Run and waits for it
 	mu     sync.Mutex
 	quotas []float64
 	rtts   []time.Duration
 }
 
+// newTestAgent runs a Client of zone a that prefers the first hub. configure, if not nil, changes its configuration
+// before.
 func newTestAgent(t *testing.T, configure func(*Config), hubs ...*fakeHub) *testAgent {
 	t.Helper()
-	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0", MaxAgents: 10, Bounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0",
+		MaxAgents: 10, Bounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
 	for i, h := range hubs {
 		cfg.Hubs = append(cfg.Hubs, Hub{string(rune('a' + i)), "r", h.addr})
 	}
@@ -44,6 +47,7 @@
 	return a
 }
 
+// attachedTo, hasQuota and hasRTT return conditions for waitFor; hasRTT is about zone b.
 func (a *testAgent) attachedTo(hub string) func() bool {
 	return func() bool { return a.Status().Hub == hub }
 }
@@ -62,8 +66,9 @@
 	return !a.echoedStateSentAt.IsZero()
 }
 
-// runTask runs a task, and returns what ends it and waits for that.
+// runTask runs task in a goroutine until the test ends. stop ends it earlier, and waits until it has returned.
 func runTask(t *testing.T, task func(context.Context) error) (stop func()) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -77,12 +82,13 @@
 	return stop
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds, and fails the test after waitTimeout. condition completes "timed out waiting
+// for".
 func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", condition)
+			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
 }
