--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -53,6 +53,15 @@
 	_, _ = l.Write(append(data, '\n'))
 }
 
+// hubProgram is the hub of this process and what commands change.
+type hubProgram struct {
+	spec     hubSpec
+	output   *lockedWriter
+	network  *cuttableNetwork
+	settings *settings.Holder
+	policy   *residency.Holder
+}
+
 // runHubProcess runs the hub that a hubSpec describes, and executes commands from stdin until that closes. Its
 // goroutines end with the process.
 func runHubProcess(text string) error {
@@ -60,60 +69,73 @@
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
 		return err
 	}
-	stdout := &lockedWriter{w: os.Stdout}
+	p := &hubProgram{spec: spec, output: &lockedWriter{w: os.Stdout}}
+	addr, err := p.start()
+	if err != nil {
+		return err
+	}
+	p.output.writeLine(hubOutput{Addr: addr})
+	for commands := json.NewDecoder(os.Stdin); ; {
+		var command hubCommand
+		if commands.Decode(&command) != nil {
+			return nil
+		}
+		p.output.writeLine(p.execute(command))
+	}
+}
+
+// start runs the hub and its member of the fleet, and returns its address.
+func (p *hubProgram) start() (addr string, err error) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	zones := []string{"a", "b", "c", "d"}
-	settingsHolder := settings.NewHolder(settings.Config{Log: log})
-	policyHolder := residency.NewHolder(zones, time.Minute, spec.Source, log, nil)
-	network := &cuttableNetwork{report: stdout.writeLine, sendBuffer: spec.SendBuffer, cut: map[string]uint8{}}
-	kind := settings.DocumentKind(settingsHolder)
-	var trace io.Writer = stdout
-	if spec.Untraced {
+	p.settings = settings.NewHolder(settings.Config{Log: log})
+	p.policy = residency.NewHolder(zones, time.Minute, p.spec.Source, log, nil)
+	p.network = &cuttableNetwork{report: p.output.writeLine, sendBuffer: p.spec.SendBuffer, cut: map[string]uint8{}}
+	kind := settings.DocumentKind(p.settings)
+	var trace io.Writer = p.output
+	if p.spec.Untraced {
 		trace = nil
 	}
-	server := hub.New(hub.Config{Name: spec.Name, Label: spec.Label, ProgramVersion: "test",
-		Incarnation: uint64(time.Now().UnixMilli()),
-		MaxAgents:   spec.MaxAgents, Settings: kind, Policy: fleet.PolicyReplicator(policyHolder),
-		PolicyAge: policyHolder.ConfirmedAge, Log: log, Trace: trace})
-	cfg := fleet.Config{Name: spec.Name, Site: spec.Site, Version: "test", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label,
-		MaxMembers: spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log,
-		Trace: trace, Residency: policyHolder, PolicySource: spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: network}
+	server := hub.New(hub.Config{Name: p.spec.Name, Label: p.spec.Label, ProgramVersion: "test",
+		Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: p.spec.MaxAgents, Settings: kind,
+		Policy: fleet.PolicyReplicator(p.policy), PolicyAge: p.policy.ConfirmedAge, Log: log, Trace: trace})
+	cfg := fleet.Config{Name: p.spec.Name, Site: p.spec.Site, Version: "test", Listen: p.spec.Listen, Seeds: p.spec.Seeds,
+		Label: p.spec.Label, MaxMembers: p.spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log, Trace: trace,
+		Residency: p.policy, PolicySource: p.spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: p.network}
 	node, err := fleet.New(cfg, zones, fleet.Callbacks{})
 	for n := 0; err != nil && n < 50; n++ { // another process has the UDP port, or the hub's former one is still ending
 		time.Sleep(20 * time.Millisecond)
 		node, err = fleet.New(cfg, zones, fleet.Callbacks{})
 	}
 	if err != nil {
-		return err
+		return "", err
 	}
 	go func() { server.Run(context.Background(), node) }()
 	go func() { _ = node.Run(context.Background()) }()
-	stdout.writeLine(hubOutput{Addr: node.Addr()})
-	for commands := json.NewDecoder(os.Stdin); ; {
-		var command hubCommand
-		if commands.Decode(&command) != nil {
-			return nil
-		}
-		answer := hubOutput{ID: command.ID}
-		network.set(command.Cut)
-		var err error
-		if command.Settings != "" {
-			err = applyText(command.Settings, settingsHolder.Apply)
-		}
-		if command.Policy != "" {
-			err = applyText(command.Policy, policyHolder.Apply)
-		}
-		if err != nil {
-			answer.Error = err.Error()
-		}
-		if command.Heap {
-			var m runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&m)
-			answer.Heap = m.HeapAlloc + m.StackInuse
-		}
-		stdout.writeLine(answer)
+	return node.Addr(), nil
+}
+
+// execute executes a command and returns the answer.
+func (p *hubProgram) execute(command hubCommand) hubOutput {
+	answer := hubOutput{ID: command.ID}
+	p.network.set(command.Cut)
+	var err error
+	if command.Settings != "" {
+		err = applyText(command.Settings, p.settings.Apply)
+	}
+	if command.Policy != "" {
+		err = applyText(command.Policy, p.policy.Apply)
+	}
+	if err != nil {
+		answer.Error = err.Error()
+	}
+	if command.Heap {
+		var m runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&m)
+		answer.Heap = m.HeapAlloc + m.StackInuse
 	}
+	return answer
 }
 
 // applyText applies a text with the version that its first line names.
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -86,20 +86,7 @@
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() {
-		defer close(p.done)
-		defer p.cmd.Wait() //nolint:errcheck // it was killed
-		for r := bufio.NewReader(stdout); ; {
-			data, err := r.ReadBytes('\n')
-			if err != nil {
-				return
-			}
-			var output hubOutput
-			if json.Unmarshal(data, &output) == nil {
-				p.handleOutput(m, output)
-			}
-		}
-	}()
+	go p.readOutput(m, stdout)
 	t.Cleanup(p.kill)
 	select {
 	case p.addr = <-p.reportedAddr:
@@ -122,6 +109,22 @@
 	return len(p), nil
 }
 
+// readOutput handles the lines that the process writes, until it ends, and then closes done.
+func (p *hubProcess) readOutput(m *monitor, stdout io.Reader) {
+	defer close(p.done)
+	defer p.cmd.Wait() //nolint:errcheck // it was killed
+	for r := bufio.NewReader(stdout); ; {
+		data, err := r.ReadBytes('\n')
+		if err != nil {
+			return
+		}
+		var output hubOutput
+		if json.Unmarshal(data, &output) == nil {
+			p.handleOutput(m, output)
+		}
+	}
+}
+
 // handleOutput stores a line of output, or passes it to the monitor.
 func (p *hubProcess) handleOutput(m *monitor, output hubOutput) {
 	p.mu.Lock()
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -12,7 +12,8 @@
 // A hub is suspended for 10 s. Meanwhile an agent that it knew to be dead is restarted, another one dies, and there
 // are new settings. When it resumes, it sends nothing outdated: it reports no agent as dead and confirms no quota
 // until it has received from the other hubs for as long as such entries are valid, and it publishes the old settings
-// no longer than it takes to fetch the new ones.
+// no longer than it takes to fetch the new ones. One sequence of events, longer than 40 lines: each step needs the one
+// before.
 func TestResumedHubSendsNothingStale(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 12, false, "a", "b", "c")
@@ -51,6 +52,14 @@
 	}
 	resumedAt := time.Now()
 	cluster.hubs["a"].signal(t, syscall.SIGCONT)
+	checkResumed(t, messages, resumedAt)
+	waitFor(t, "the agents of a at their preferred hub", allOf([]*clusterAgent{atA[0], atA[2], restarted}, attachedTo("a")))
+	waitFor(t, "a share of the dead agent's quota", allOf(agents, hasQuota(1./11)))
+}
+
+// checkResumed checks what a hub sends after it has resumed: for 6 s, and until it publishes settings 3.
+func checkResumed(t *testing.T, messages <-chan receivedMessage, resumedAt time.Time) {
+	t.Helper()
 	var received, withSettings int
 	var lastOld time.Duration
 	for newest := int64(0); newest < 3 || time.Since(resumedAt) < 6*time.Second; {
@@ -81,6 +90,4 @@
 	if lastOld > 3*time.Second {
 		t.Errorf("outdated settings were sent for %v", lastOld)
 	}
-	waitFor(t, "the agents of a at their preferred hub", allOf([]*clusterAgent{atA[0], atA[2], restarted}, attachedTo("a")))
-	waitFor(t, "a share of the dead agent's quota", allOf(agents, hasQuota(1./11)))
 }
--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -29,42 +29,50 @@
 				Log: slog.New(slog.DiscardHandler)}, []string{"a", "b"}, callbacks)
 		}
 	}, a)
-	addr := agent.listener.address()
+	stopDialing := countRefusals(agent.listener.address())
+	waitFor(t, "the full mesh", func() bool { return agent.Status().MeshRunning })
+	waitFor(t, "an even quota", agent.hasQuota(1./10))
+	a.start(t, a.addr)
+	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
+	if agent.Status().MeshRunning {
+		t.Error("the full mesh still runs")
+	}
+	if n := stopDialing(); n > 0 {
+		t.Errorf("%d connections were refused", n)
+	}
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	if !slices.Equal(agent.quotas, []float64{startupQuota / 10, 1. / 10, 1. / 5}) {
+		t.Errorf("quotas %v", agent.quotas)
+	}
+}
+
+// countRefusals connects to an address again and again. stop ends that and returns how many connections were refused or
+// reset.
+func countRefusals(addr string) (stop func() int) {
 	refused := make(chan int)
-	stop := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		n := 0
 		for {
 			select {
-			case <-stop:
+			case <-done:
 				refused <- n
 				return
 			default:
 			}
-			c, err := net.Dial("tcp", addr)
+			conn, err := net.Dial("tcp", addr)
 			if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
 				n++
 			}
 			if err == nil {
-				c.Close()
+				conn.Close()
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	waitFor(t, "the full mesh", func() bool { return agent.Status().MeshRunning })
-	waitFor(t, "an even quota", agent.hasQuota(1./10))
-	a.start(t, a.addr)
-	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
-	if agent.Status().MeshRunning {
-		t.Error("the full mesh still runs")
-	}
-	close(stop)
-	if n := <-refused; n > 0 {
-		t.Errorf("%d connections were refused", n)
-	}
-	agent.mu.Lock()
-	defer agent.mu.Unlock()
-	if !slices.Equal(agent.quotas, []float64{startupQuota / 10, 1. / 10, 1. / 5}) {
-		t.Errorf("quotas %v", agent.quotas)
+	return func() int {
+		close(done)
+		return <-refused
 	}
 }
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -40,37 +40,44 @@
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			c := newCluster(t, 6, false, "a", "b", "c")
-			c.preferredCheckInterval = 2 * time.Second
-			defer c.monitor.stopAndCheck(t)
-			c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
-			atA := c.startAgents("a", 2)
-			agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
-			waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
-			waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
-			waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./6)))
-			waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
-			c.monitor.require(1./8, true) // agents that move are counted at two hubs for a moment
-			c.hubs["a"].execute(t, hubCommand{Cut: test.cut})
-			cutAt := time.Now()
-			c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
-			if test.alone != "" {
-				waitFor(t, "the settings at the other agents", allOf(agents[:4], hasSettings(2)))
-				connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[test.alone]
-				waitFor(t, "a fleet size of these alone",
-					allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
-			} else {
-				waitFor(t, "attachment to another hub", allOf(atA, attachedTo("bc")))
-				waitWithin(t, "the settings at all agents", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
-			}
-			c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
-			waitWithin(t, "the settings at all agents", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
-			waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
-			waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+			testHubCut(t, test.cut, test.alone)
 		})
 	}
 }
 
+// testHubCut applies a cut to hub a, and ends it again. alone names the zones that get a fleet size of their own
+// agents meanwhile.
+func testHubCut(t *testing.T, cut map[string]uint8, alone string) {
+	c := newCluster(t, 6, false, "a", "b", "c")
+	c.preferredCheckInterval = 2 * time.Second
+	defer c.monitor.stopAndCheck(t)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	atA := c.startAgents("a", 2)
+	agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
+	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
+	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./6)))
+	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+	c.monitor.require(1./8, true) // agents that move are counted at two hubs for a moment
+	c.hubs["a"].execute(t, hubCommand{Cut: cut})
+	cutAt := time.Now()
+	c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	if alone != "" {
+		waitFor(t, "the settings at the other agents", allOf(agents[:4], hasSettings(2)))
+		connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[alone]
+		waitFor(t, "a fleet size of these alone",
+			allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
+	} else {
+		waitFor(t, "attachment to another hub", allOf(atA, attachedTo("bc")))
+		waitWithin(t, "the settings at all agents", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
+	}
+	c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
+	waitWithin(t, "the settings at all agents", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
+	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+}
+
+// firstDigestIs returns the condition that an agent has applied the text with a digest.
 func firstDigestIs(digest string) func(a *clusterAgent) bool {
 	return func(a *clusterAgent) bool { return a.settings.State().Digests[0] == digest }
 }
@@ -78,7 +85,8 @@
 // Two regions are cut off from each other. Each side gets new settings, one of its agents dies, and another is
 // restarted on the other side. When the cut ends, all apply the higher version, and the quotas of the dead are
 // shared. During a second cut each side gets another text of the same version: each side keeps its own and reports
-// the conflict, until there is a higher version.
+// the conflict, until there is a higher version. One sequence of events, longer than 40 lines: each step needs the
+// one before.
 func TestRegionsPartitionedAndRejoined(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 12, false, "a", "b", "c", "d")
@@ -89,29 +97,7 @@
 	both := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
 	waitFor(t, "the first settings", allOf(both(), hasSettings(1)))
 	waitFor(t, "an even quota for each", allOf(both(), hasQuota(1./12)))
-	partition := func() {
-		t.Helper()
-		for z, h := range c.hubs {
-			other := "cd"
-			if z > "b" {
-				other = "ab"
-			}
-			h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
-		}
-		for i, side := range sides {
-			waitFor(t, fmt.Sprint("a fleet size of side ", i, " alone"),
-				allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
-		}
-	}
-	rejoin := func() {
-		t.Helper()
-		for _, h := range c.hubs {
-			h.execute(t, hubCommand{Cut: map[string]uint8{}})
-		}
-		waitFor(t, "a fleet size of all",
-			allOf(both(), func(status Status) bool { return int(status.FleetSize.Attached) == len(both()) }))
-	}
-	partition()
+	c.partitionRegions(sides)
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	c.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
 	waitFor(t, "the settings of the first side", allOf(sides[0], hasSettings(2)))
@@ -126,17 +112,17 @@
 	waitFor(t, "an attachment for each", allOf(both(), attachedTo("abcd")))
 	waitFor(t, "a share of the dead agents' quotas", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
 	startedAt := time.Now()
-	rejoin()
+	c.rejoinRegions(both())
 	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
 	waitFor(t, "a share of the quotas of two dead agents", allOf(both(), hasQuota(1./10)))
 
-	partition()
+	c.partitionRegions(sides)
 	firstText, secondText := settingsText(5, 2), settingsText(5, 6)
 	c.hubs["b"].execute(t, hubCommand{Settings: firstText})
 	c.hubs["d"].execute(t, hubCommand{Settings: secondText})
 	digests := [2]string{settings.Digest(firstText), settings.Digest(secondText)}
 	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
-	rejoin()
+	c.rejoinRegions(both())
 	waitFor(t, "a report of the conflict by all", func() bool {
 		for _, a := range both() {
 			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
@@ -162,3 +148,31 @@
 		}
 	}
 }
+
+// partitionRegions cuts zones a and b off from c and d, and waits until each side has a fleet size of its own agents.
+func (c *cluster) partitionRegions(sides [2][]*clusterAgent) {
+	t := c.t
+	t.Helper()
+	for z, h := range c.hubs {
+		other := "cd"
+		if z > "b" {
+			other = "ab"
+		}
+		h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
+	}
+	for i, side := range sides {
+		waitFor(t, fmt.Sprint("a fleet size of side ", i, " alone"),
+			allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
+	}
+}
+
+// rejoinRegions ends all cuts, and waits until all agents have a fleet size of all.
+func (c *cluster) rejoinRegions(agents []*clusterAgent) {
+	t := c.t
+	t.Helper()
+	for _, h := range c.hubs {
+		h.execute(t, hubCommand{Cut: map[string]uint8{}})
+	}
+	waitFor(t, "a fleet size of all",
+		allOf(agents, func(status Status) bool { return int(status.FleetSize.Attached) == len(agents) }))
+}
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"fmt"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -29,58 +30,80 @@
 	go receiveFrom(ctx, hub.addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
 	waitFor(t, "messages at the listener", func() bool { return len(messages) > 0 })
 	before := hub.execute(t, hubCommand{Heap: true}).Heap
-	var dropped, attached atomic.Int32
-	done := make(chan struct{}, slow)
-	for i := range slow {
-		go func() {
-			defer func() { done <- struct{}{} }()
+	readers := startSlowReaders(ctx, t, hub.addr, slow)
+	versions, maxHeap := readers.awaitDrops(t, hub, slow)
+	longest := longestPause(messages)
+	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between messages %v; %d versions",
+		before>>10, maxHeap>>10, longest, versions)
+	if longest > 1500*time.Millisecond {
+		t.Errorf("no message was received for %v", longest)
+	}
+	if maxHeap > before+slow*64<<10 {
+		t.Errorf("%d bytes for each slow reader", (maxHeap-before)/slow)
+	}
+	if !allOf(agents, attachedTo("a"))() {
+		t.Error("an agent lost its hub")
+	}
+	cancel()
+	readers.tasks.Wait()
+}
+
+// slowReaders are agents that attach again and again, send states and never read.
+type slowReaders struct {
+	attached, dropped atomic.Int32 // attached now; streams that the hub ended
+	tasks             sync.WaitGroup
+}
+
+// startSlowReaders starts count agents, which run until ctx ends.
+func startSlowReaders(ctx context.Context, t *testing.T, addr string, count int) *slowReaders {
+	t.Helper()
+	r := &slowReaders{}
+	for i := range count {
+		r.tasks.Go(func() {
 			for ; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-				conn, _, err := dialHub(hub.addr, t.Name(), fmt.Sprint("slow ", i), 2048)
+				conn, _, err := dialHub(addr, t.Name(), fmt.Sprint("slow ", i), 2048)
 				if err != nil {
 					continue
 				}
-				attached.Add(1)
+				r.attached.Add(1)
 				stop := context.AfterFunc(ctx, func() { conn.Close() })
 				sendStates(conn)
 				stop()
 				conn.Close()
-				attached.Add(-1)
-				dropped.Add(1)
+				r.attached.Add(-1)
+				r.dropped.Add(1)
 			}
-		}()
+		})
 	}
-	version, maxHeap := 1, uint64(0)
-	waitFor(t, "the drop of each slow reader", func() bool { // new settings for everyone all the time
+	return r
+}
+
+// awaitDrops sends new settings to everyone until the hub has ended count streams. It returns how many versions that
+// took, and the most bytes of heap and stacks that the hub had while more than half of the readers were attached.
+func (r *slowReaders) awaitDrops(t *testing.T, hub *hubProcess, count int32) (versions int, maxHeap uint64) {
+	t.Helper()
+	version := 1
+	waitFor(t, "the drop of each slow reader", func() bool {
 		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
-		if m := hub.execute(t, hubCommand{Heap: true}).Heap; attached.Load() > slow/2 {
+		if m := hub.execute(t, hubCommand{Heap: true}).Heap; r.attached.Load() > count/2 {
 			maxHeap = max(maxHeap, m)
 		}
-		return dropped.Load() >= slow
+		return r.dropped.Load() >= count
 	})
+	return version - 1, maxHeap
+}
+
+// longestPause drains messages and returns the longest time between two of them.
+func longestPause(messages <-chan receivedMessage) time.Duration {
 	var longest time.Duration
 	last := time.Time{}
 	for len(messages) > 0 {
-		if message := <-messages; !last.IsZero() {
+		message := <-messages
+		if !last.IsZero() {
 			longest = max(longest, message.at.Sub(last))
-			last = message.at
-		} else {
-			last = message.at
 		}
+		last = message.at
 	}
-	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between messages %v; %d versions",
-		before>>10, maxHeap>>10, longest, version-1)
-	if longest > 1500*time.Millisecond {
-		t.Errorf("no message was received for %v", longest)
-	}
-	if maxHeap > before+slow*64<<10 {
-		t.Errorf("%d bytes for each slow reader", (maxHeap-before)/slow)
-	}
-	if !allOf(agents, attachedTo("a"))() {
-		t.Error("an agent lost its hub")
-	}
-	cancel()
-	for range slow {
-		<-done
-	}
+	return longest
 }
