--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -29,9 +29,10 @@
 // # Quota
 //
 // A new process takes a startup quota, a tenth of an even one, until a hub confirms that nobody else uses its quota,
-// or until every report of an earlier death of its name has expired. Then it takes one part of MaxAgents, less those
-// that are confirmed dead, and never more than one part of those that are attached. When several hubs disagree, the
-// values that give this agent the smallest quota count. Without a fresh fleet size the quota is even: 1/MaxAgents.
+// or until every report of an earlier death of its name has expired. Then the limit is divided evenly by MaxAgents
+// less the agents that are confirmed dead, or by the attached agents if these are more. When several hubs disagree,
+// the values that give this agent the smallest quota count. Without a fresh fleet size the quota is even:
+// 1/MaxAgents.
 //
 // # Loss of all hubs
 //
@@ -93,7 +94,7 @@
 
 // NewMesh creates this agent's member of the full mesh on an open listener. On success the member closes the listener
 // when it has run; on error the caller does. cutAt is when this process started.
-type NewMesh func(door *net.TCPListener, began time.Time, told fleet.Callbacks) (*fleet.Fleet, error)
+type NewMesh func(listener *net.TCPListener, startedAt time.Time, callbacks fleet.Callbacks) (*fleet.Fleet, error)
 
 // Client is an agent's membership in a fleet with hubs. After New it must be run once; the other methods may be
 // called from any goroutine, before and while it runs. The package comment says which goroutine owns which field.
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -192,7 +192,7 @@
 	published := used
 	published.What, published.Age, published.At = "tell", 1e6, now-2e6
 	for name, test := range map[string]struct {
-		part    float64
+		quota   float64
 		version int64
 		lines   []traceLine
 		wrong   int
@@ -213,7 +213,7 @@
 		}
 		m.sample()
 		altered := status
-		altered.Quota, altered.SettingsVersion = test.part, test.version
+		altered.Quota, altered.SettingsVersion = test.quota, test.version
 		m.agentStarted("0", func() Status { return altered })
 		m.sample()
 		for _, line := range test.lines {
