--- /dev/null
+++ b/internal/fleet/hubclient/quota.go
@@ -0,0 +1,70 @@
+// This agent's quota of the fleet's in-flight limit.
+
+package hubclient
+
+import (
+	"time"
+
+	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/hub"
+)
+
+const startupQuota = 0.1 // of an even quota, while another process may still use this one's
+
+// fleetSize returns the fleet size as published by the hubs, and whether any is within its age bound. When several
+// hubs disagree, each value is the one that gives this agent the smallest quota.
+func (c *Client) fleetSize() (size hub.FleetSize, fresh bool) {
+	for _, entry := range c.store.Entries(gossip.FleetSize) {
+		published, err := hub.ParseFleetSize(entry.Body)
+		if err != nil || entry.Subject != hub.FleetSubject {
+			continue
+		}
+		if !fresh {
+			size = published
+		}
+		size.Attached, size.Starting = max(size.Attached, published.Attached), max(size.Starting, published.Starting)
+		size.Dead, fresh = min(size.Dead, published.Dead), true
+	}
+	return size, fresh
+}
+
+// hubQuota returns an agent's share of the fleet's in-flight limit by the rule of fleets with hubs, from 0 to 1. The
+// limit is divided evenly by the agents that may be alive: an agent that is merely not attached may run beyond a
+// network partition, and its quota belongs to it. fresh says whether size is known; confirmed, whether no other
+// process can still use this quota.
+func hubQuota(maxAgents int, size hub.FleetSize, fresh, confirmed bool) float64 {
+	if !confirmed {
+		return startupQuota / float64(maxAgents)
+	}
+	users := maxAgents
+	if fresh {
+		users = max(1, maxAgents-int(size.Dead), int(size.Attached))
+	}
+	return 1 / float64(users)
+}
+
+// recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it when it has changed.
+// While the full mesh runs, the lower of both quotas counts: agents that follow hubs may use the quotas of other dead
+// agents than members of the mesh do, and the sum must stay within the limit.
+func (c *Client) recomputeQuota() {
+	size, fresh := c.fleetSize()
+	confirmed := c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.Bounds[gossip.FleetSize]
+	quota := hubQuota(c.cfg.MaxAgents, size, fresh, confirmed)
+	c.mu.Lock()
+	if c.meshQuota > 0 {
+		quota = min(quota, c.meshQuota)
+	}
+	unchanged := quota == c.status.Quota
+	c.status.Quota = quota
+	if fresh {
+		c.status.FleetSize = size
+	}
+	c.mu.Unlock()
+	if unchanged {
+		return
+	}
+	gossip.Trace{W: c.cfg.Trace}.Line(map[string]any{"part": quota})
+	if c.callbacks.Quota != nil {
+		c.callbacks.Quota(quota)
+	}
+}
--- a/internal/fleet/hubclient/reconcile.go
+++ b/internal/fleet/hubclient/reconcile.go
@@ -1,4 +1,4 @@
-// What follows from the entries that hubs sent: the quota, the latencies and the documents to fetch.
+// The loop that derives an agent's state from the entries that hubs sent, and the latencies among that state.
 
 package hubclient
 
@@ -8,14 +8,10 @@
 	"time"
 
 	"martenbeam/internal/fleet/gossip"
-	"martenbeam/internal/fleet/hub"
 	"martenbeam/internal/fleet/latency"
 )
 
-const (
-	startupQuota    = 0.1 // of an even quota, while another process may still use this one's
-	summaryInterval = 10 * time.Second
-)
+const summaryInterval = 10 * time.Second
 
 // runLoop expires old entries and recomputes everything that is derived from entries, at each tick and each wake,
 // until ctx ends.
@@ -42,57 +38,6 @@
 	}
 }
 
-// fleetSize returns the fleet size as published by the hubs, and whether any is within its age bound. When several
-// hubs disagree, each value is the one that gives this agent the smallest quota.
-func (c *Client) fleetSize() (size hub.FleetSize, fresh bool) {
-	for _, entry := range c.store.Entries(gossip.FleetSize) {
-		published, err := hub.ParseFleetSize(entry.Body)
-		if err != nil || entry.Subject != hub.FleetSubject {
-			continue
-		}
-		if !fresh {
-			size = published
-		}
-		size.Attached, size.Starting = max(size.Attached, published.Attached), max(size.Starting, published.Starting)
-		size.Dead, fresh = min(size.Dead, published.Dead), true
-	}
-	return size, fresh
-}
-
-// recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it when it has changed.
-// Without a fresh fleet size the quota is even. While the full mesh runs, the lower of both quotas counts: agents
-// that follow hubs may use the quotas of other dead agents than members of the mesh do, and the sum must stay within
-// the limit.
-func (c *Client) recomputeQuota() {
-	size, fresh := c.fleetSize()
-	maxAgents := c.cfg.MaxAgents
-	quota := startupQuota / float64(maxAgents)
-	if c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.Bounds[gossip.FleetSize] {
-		users := maxAgents
-		if fresh {
-			users = max(1, maxAgents-int(size.Dead), int(size.Attached))
-		}
-		quota = 1 / float64(users)
-	}
-	c.mu.Lock()
-	if c.meshQuota > 0 {
-		quota = min(quota, c.meshQuota)
-	}
-	unchanged := quota == c.status.Quota
-	c.status.Quota = quota
-	if fresh {
-		c.status.FleetSize = size
-	}
-	c.mu.Unlock()
-	if unchanged {
-		return
-	}
-	gossip.Trace{W: c.cfg.Trace}.Line(map[string]any{"part": quota})
-	if c.callbacks.Quota != nil {
-		c.callbacks.Quota(quota)
-	}
-}
-
 // updateLatency reports the latency to each zone when any has changed; zero: unknown.
 func (c *Client) updateLatency() {
 	row, known := c.latencyRow()
