--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"errors"
+	"io"
 	"log/slog"
 	"net"
 	"slices"
@@ -47,6 +48,41 @@
 	}
 }
 
+// When the full mesh can't be joined, the agent tries again after meshRetryInterval, and its address accepts connections
+// meanwhile.
+func TestFailedFallBackToMeshIsRetried(t *testing.T) {
+	t.Parallel()
+	a := newFakeHub(t, "a")
+	a.kill()
+	attempts := make(chan time.Time, 100)
+	agent := newTestAgent(t, func(c *Config) {
+		c.NewMesh = func(*net.TCPListener, time.Time, fleet.Callbacks) (*fleet.Fleet, error) {
+			attempts <- time.Now()
+			return nil, errors.New("no mesh")
+		}
+	}, a)
+	waitFor(t, "the third attempt", func() bool { return len(attempts) >= 3 })
+	first, second, third := <-attempts, <-attempts, <-attempts
+	if second.Sub(first) < meshRetryInterval || third.Sub(second) < meshRetryInterval {
+		t.Errorf("attempts after %v and %v", second.Sub(first), third.Sub(second))
+	}
+	conn, err := net.Dial("tcp", agent.listener.address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if _, err := conn.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
+	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // accepted, and closed without a reset
+		t.Errorf("read: %v, want EOF", err)
+	}
+	if agent.Status().MeshRunning {
+		t.Error("the full mesh runs")
+	}
+}
+
 // countRefusals connects to an address again and again. stop ends that and returns how many connections were refused or
 // reset.
 func countRefusals(addr string) (stop func() int) {
