--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -4,7 +4,7 @@
 //
 // # Ownership of state
 //
-// A Client runs three goroutines, which Run waits for, and two more for each attachment:
+// Run uses three goroutines, its own for maintainAttachment, and two more for each attachment. It waits for all of them:
 //
 //   - maintainAttachment owns hubSelector, which has no lock. It alone sets Client.attachment and
 //     Client.disconnectedAt.
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -26,11 +26,9 @@
 	for ctx.Err() == nil {
 		c.runWhile(ctx, func() bool { return c.cfg.NewMesh == nil || c.disconnectedFor() < meshFallbackDelay }, c.listener.accept)
 		if ctx.Err() == nil && !c.fallBackToMesh(ctx) {
-			c.runWhile(ctx, func() bool { return true }, func(ctx context.Context) {
-				retryCtx, cancel := context.WithTimeout(ctx, meshRetryInterval)
-				defer cancel()
-				c.listener.accept(retryCtx)
-			})
+			retryCtx, cancel := context.WithTimeout(ctx, meshRetryInterval)
+			c.listener.accept(retryCtx)
+			cancel()
 		}
 	}
 }
