--- a/internal/fleet/hubclient/reconcile.go
+++ b/internal/fleet/hubclient/reconcile.go
@@ -1,14 +1,12 @@
-// The loop that derives an agent's state from the entries that hubs sent, and the latencies among that state.
+// The loop that derives an agent's state from the entries that hubs sent.
 
 package hubclient
 
 import (
 	"context"
-	"slices"
 	"time"
 
 	"martenbeam/internal/fleet/gossip"
-	"martenbeam/internal/fleet/latency"
 )
 
 const summaryInterval = 10 * time.Second
@@ -38,38 +36,8 @@
 	}
 }
 
-// updateLatency reports the latency to each zone when any has changed; zero: unknown.
-func (c *Client) updateLatency() {
-	row, known := c.latencyRow()
-	rtts, lossRates := make([]time.Duration, len(c.zones)), make([]float64, len(c.zones))
-	for i, zone := range c.zones {
-		rtts[i], lossRates[i] = row[zone].RTT, row[zone].Loss
-	}
-	c.mu.Lock()
-	unchanged := slices.Equal(rtts, c.rtts) && slices.Equal(lossRates, c.lossRates)
-	c.rtts, c.lossRates, c.status.LatenciesKnown = rtts, lossRates, known
-	c.mu.Unlock()
-	if !unchanged && c.callbacks.Latencies != nil {
-		c.callbacks.Latencies(rtts, lossRates)
-	}
-}
-
-// latencyRow returns the latencies from this agent's zone by zone name, from the youngest valid entry. known is false
-// when no entry is within its age bound.
-func (c *Client) latencyRow() (row map[string]latency.Estimate, known bool) {
-	var age time.Duration
-	for _, entry := range c.store.Entries(gossip.LatencyRow) {
-		if entry.Subject != c.cfg.Site || known && entry.Age >= age {
-			continue
-		}
-		if parsed, err := latency.DecodeRow(entry.Body); err == nil {
-			row, known, age = parsed, true, entry.Age
-		}
-	}
-	return row, known
-}
-
-// logSummary logs the state of the fleet as known here. The attributes keep their keys: operators' queries use them.
+// logSummary logs the state of the fleet as known here. The keys flat, part, gone and facts are older than the
+// fields' names.
 func (c *Client) logSummary() {
 	stats, status := c.store.Stats(), c.Status()
 	args := []any{"hub", status.Hub, "flat", status.MeshRunning, "part", status.Quota, "attached", status.FleetSize.Attached,
