--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -20,9 +20,12 @@
 	"martenbeam/internal/settings"
 )
 
+// hubSpecVariable names the environment variable that holds the hubSpec of a hub process.
+const hubSpecVariable = "MARTENBEAM_TEST_HUB_SPEC"
+
 // TestMain runs a hub instead of the tests if the environment holds a hubSpec.
 func TestMain(m *testing.M) {
-	if spec := os.Getenv("HARD_HUB"); spec != "" {
+	if spec := os.Getenv(hubSpecVariable); spec != "" {
 		if err := runHubProcess(spec); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -74,7 +74,7 @@
 	}
 	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}),
 		answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
-	p.cmd.Env = append(os.Environ(), "HARD_HUB="+string(text))
+	p.cmd.Env = append(os.Environ(), hubSpecVariable+"="+string(text))
 	p.cmd.Stderr = &processLog{t: t, name: spec.Name}
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		t.Fatal(err)
