--- a/internal/fleet/documents/documents_test.go
+++ b/internal/fleet/documents/documents_test.go
@@ -1,3 +1,5 @@
+// Tests of one document between processes: what is fetched, confirmed, rejected and served.
+
 package documents
 
 import (
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -1,3 +1,5 @@
+// Invariants of a fleet that tests check all the time, by samples and traces.
+
 package hubclient
 
 import (
--- a/internal/fleet/hubclient/selector_test.go
+++ b/internal/fleet/hubclient/selector_test.go
@@ -1,3 +1,5 @@
+// Tests of the choice of hubs: order, spread and backoff.
+
 package hubclient
 
 import (
