--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -1,3 +1,5 @@
+// The life of attachments: which hub is tried when, moving to another hub, and returning to the preferred one.
+
 package hubclient
 
 import (
@@ -6,11 +8,12 @@
 	"time"
 )
 
-// The first tries of agents that start at once come to their hubs within this time.
+// startupJitter spreads the first attempts of agents that start at the same time.
 const startupJitter = 300 * time.Millisecond
 
-// keepAttached has a stream to a hub, to another when that one fails, and to the agent's own when it is back, until ctx ends.
-func (c *Client) keepAttached(ctx context.Context) {
+// maintainAttachment keeps this agent attached to a hub until ctx ends: to the preferred hub when that accepts it, to
+// another otherwise.
+func (c *Client) maintainAttachment(ctx context.Context) {
 	wait := time.Duration(c.selector.random.Int64N(int64(startupJitter)))
 	for sleep(ctx, wait) {
 		index := c.selector.current
@@ -25,12 +28,13 @@
 			wait = c.selector.attachFailed(time.Now())
 		}
 		if err != nil {
-			c.cfg.Log.Debug("a hub does not take this agent", "zone", c.hubs[index].Zone, "error", err, "next", c.hubs[c.selector.current].Zone, "wait", wait)
+			c.cfg.Log.Debug("hub attachment failed", "zone", c.hubs[index].Zone, "error", err,
+				"next", c.hubs[c.selector.current].Zone, "wait", wait)
 		}
 	}
 }
 
-// sleep waits, and reports false if ctx ends.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -40,19 +44,20 @@
 	}
 }
 
-// stayAttached keeps a stream, and changes it for one to the agent's own hub as soon as there is one, until it ends. It returns how
-// long to wait then.
+// stayAttached uses an attachment until it ends, and replaces it by one to the preferred hub as soon as that accepts
+// the agent. The new attachment is open before the old one closes. index is the hub's in Client.hubs. It returns how
+// long to wait before the next attempt.
 func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
 	for {
 		attachedAt := time.Now()
 		c.setAttachment(a)
-		c.cfg.Log.Info("attached", "hub", a.hubName, "zone", a.hub.Zone)
-		home := c.awaitEndOrHome(ctx, a, index)
-		if home != nil {
-			a.cancel(errHomeHubBack)
+		c.cfg.Log.Info("attached to hub", "hub", a.hubName, "zone", a.hub.Zone)
+		preferred := c.awaitEndOrPreferred(ctx, a, index)
+		if preferred != nil {
+			a.cancel(errPreferredHubBack)
 			<-a.done
 			a.conn.Close()
-			a, index = home, 0
+			a, index = preferred, preferredHub
 			continue
 		}
 		<-a.done
@@ -63,28 +68,31 @@
 		a.conn.Close()
 		c.setAttachment(nil)
 		wait := c.selector.attachmentLost(index, time.Since(attachedAt), time.Now())
-		c.cfg.Log.Warn("the hub is lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx), "next", c.hubs[c.selector.current].Zone, "wait", wait)
+		c.cfg.Log.Warn("hub connection lost", "hub", a.hubName, "zone", a.hub.Zone, "why", context.Cause(a.ctx),
+			"next", c.hubs[c.selector.current].Zone, "wait", wait)
 		return wait
 	}
 }
 
-// awaitEndOrHome waits until a stream ends, or, where it is not to the agent's own hub, until there is one to that.
-func (c *Client) awaitEndOrHome(ctx context.Context, a *attachment, index int) (home *attachment) {
-	for wait := c.selector.nextHomeCheck(); ; {
-		var homeCheck <-chan time.Time
-		if index != 0 {
-			homeCheck = time.After(wait)
+// awaitEndOrPreferred waits until an attachment ends, and then returns nil. If the attachment is to another hub than
+// the preferred one, it also tries the preferred hub from time to time, and returns an attachment to that one as soon
+// as it has it.
+func (c *Client) awaitEndOrPreferred(ctx context.Context, a *attachment, index int) (preferred *attachment) {
+	for wait := c.selector.nextPreferredCheck(); ; {
+		var preferredCheck <-chan time.Time
+		if index != preferredHub {
+			preferredCheck = time.After(wait)
 		}
 		select {
 		case <-a.ctx.Done():
 			return nil
-		case <-homeCheck:
+		case <-preferredCheck:
 		}
-		home, err := c.openAttachment(ctx, c.hubs[0])
+		preferred, err := c.openAttachment(ctx, c.hubs[preferredHub])
 		if err == nil {
-			return home
+			return preferred
 		}
-		wait = c.selector.nextHomeCheck()
+		wait = c.selector.nextPreferredCheck()
 		var busy *busyError
 		if errors.As(err, &busy) {
 			wait = max(wait, busy.retryAfter)
@@ -92,7 +100,7 @@
 	}
 }
 
-// setAttachment sets the stream that this agent has; nil: none.
+// setAttachment records the current attachment, or nil when it was lost.
 func (c *Client) setAttachment(a *attachment) {
 	c.mu.Lock()
 	previous := c.attachment
@@ -107,7 +115,7 @@
 	c.wake()
 }
 
-// disconnectedFor is for how long there has been no stream.
+// disconnectedFor returns the time since the last attachment was lost, or since the start; zero while attached.
 func (c *Client) disconnectedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
