--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -54,7 +54,7 @@
 }
 
 // New returns a balancer without any state. All its random choices come from seed. The error names the first setting
-// that makes no sense.
+// that is out of range, as a *SettingError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,12 +7,21 @@
 	"time"
 )
 
-// settingError says that a setting makes no sense.
-func settingError(field string, value any) error {
-	return fmt.Errorf("balancer: settings: %s: %v makes no sense", field, value)
+// SettingError is the error of New for a value out of range.
+type SettingError struct {
+	Field string // of Settings, such as "MaxAttempts" or "Classes[2].DedupWindow"
+	Value any
 }
 
-// check returns an error that names the first setting that makes no sense.
+// Error names the field and its value.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("balancer: settings: %s: %v is out of range", e.Field, e.Value)
+}
+
+// settingError returns the error of a field.
+func settingError(field string, value any) error { return &SettingError{field, value} }
+
+// check returns an error that names the first setting that is out of range.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Classes) == 0:
@@ -24,11 +33,11 @@
 	case s.MaxAttempts < 0:
 		return settingError("MaxAttempts", s.MaxAttempts)
 	case !(s.InitialCapacity >= 0 && s.InitialCapacity <= 1):
-		return settingError("ColdShare", s.InitialCapacity)
+		return settingError("InitialCapacity", s.InitialCapacity)
 	case !(s.OverloadMultiple >= 0):
-		return settingError("FallMultiple", s.OverloadMultiple)
+		return settingError("OverloadMultiple", s.OverloadMultiple)
 	case !(s.CrossZoneCost >= 0 && s.CrossRegionCost >= 0):
-		return settingError("CrossZonePrice", []float64{s.CrossZoneCost, s.CrossRegionCost})
+		return settingError("CrossZoneCost", []float64{s.CrossZoneCost, s.CrossRegionCost})
 	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalWorstClass >= 0):
 		return settingError("Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass})
 	}
@@ -50,8 +59,8 @@
 		value time.Duration
 	}{
 		{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"AskWithin", s.PollInterval},
-		{"RampTime", s.SlowStartWindow}, {"FallWindow", s.OverloadWindow},
+		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"PollInterval", s.PollInterval},
+		{"SlowStartWindow", s.SlowStartWindow}, {"OverloadWindow", s.OverloadWindow},
 	} {
 		if span.value < 0 {
 			return settingError(span.field, span.value)
@@ -60,21 +69,21 @@
 	return nil
 }
 
-// check returns the first field that makes no sense, with its value, or "".
+// check returns the first field that is out of range, with its value, or "".
 func (c *Class) check() (field string, value any) {
 	switch {
 	case c.LatencyObjective <= 0:
-		return "Aim", c.LatencyObjective
+		return "LatencyObjective", c.LatencyObjective
 	case c.Deadline <= 0:
 		return "Deadline", c.Deadline
 	case !(c.PriorityWeight >= 0):
-		return "Worth", c.PriorityWeight
+		return "PriorityWeight", c.PriorityWeight
 	case c.Idempotency > NonIdempotent:
-		return "Effect", c.Idempotency
+		return "Idempotency", c.Idempotency
 	case c.Scope > ScopeCell:
-		return "Group", c.Scope
+		return "Scope", c.Scope
 	case c.DedupWindow < 0:
-		return "Window", c.DedupWindow
+		return "DedupWindow", c.DedupWindow
 	}
 	return "", nil
 }
