--- a/internal/scale/callway/backends.go
+++ b/internal/scale/callway/backends.go
@@ -22,16 +22,16 @@
 
 // What a backend tells of a call, in headers that agents pass on.
 const (
-	headBackend = "X-Backend" // its number
-	headCame    = "X-Came"    // when the request reached its handler, ns since the process's base
-	headLeft    = "X-Left"    // when the handler was done
-	headNth     = "X-Nth"     // which request of its connection it was, from 1
+	headerBackend       = "X-Backend" // its number
+	headerArrivedAt     = "X-Came"    // when the request reached its handler, ns since the process's base
+	headerFinishedAt    = "X-Left"    // when the handler was done
+	headerRequestNumber = "X-Nth"     // which request of its connection it was, from 1
 )
 
 // base is the zero of times between backends and callers, which are one process.
 var base = time.Now()
 
-func since() time.Duration { return time.Since(base) }
+func sinceBase() time.Duration { return time.Since(base) }
 
 // Backends are listening sockets of this process, each with an address and port of its own, that answer at once.
 type Backends struct {
@@ -44,45 +44,45 @@
 
 // backendConn is what is known of a connection.
 type backendConn struct {
-	backend int
-	calls   atomic.Int64
+	backend  int
+	requests atomic.Int64
 }
 
-type numbered struct {
+type numberedListener struct {
 	net.Listener
-	n int
+	backend int
 }
 
 type numberedConn struct {
 	net.Conn
-	n int
+	backend int
 }
 
-func (l numbered) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (l numberedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return numberedConn{c, l.n}, nil
+	return numberedConn{conn, l.backend}, nil
 }
 
-// Listen opens n backends, each at an address of 127.0.0.0/8.
-func Listen(n int) (*Backends, error) {
-	b := &Backends{}
-	b.server = &http.Server{Handler: http.HandlerFunc(serve), ErrorLog: log.New(io.Discard, "", 0),
+// StartBackends opens n backends, each at an address of 127.0.0.0/8.
+func StartBackends(n int) (*Backends, error) {
+	backends := &Backends{}
+	backends.server = &http.Server{Handler: http.HandlerFunc(serveBackend), ErrorLog: log.New(io.Discard, "", 0),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, &backendConn{backend: c.(numberedConn).n})
+			return context.WithValue(ctx, connKey{}, &backendConn{backend: c.(numberedConn).backend})
 		}}
 	for i := range n {
 		ln, err := net.Listen("tcp4", fmt.Sprintf("127.1.%d.%d:0", 1+i/200, 1+i%200))
 		if err != nil {
-			b.Close()
+			backends.Close()
 			return nil, err
 		}
-		b.Addrs = append(b.Addrs, ln.Addr().String())
-		b.serving.Go(func() { _ = b.server.Serve(numbered{ln, i}) }) // ends with Close
+		backends.Addrs = append(backends.Addrs, ln.Addr().String())
+		backends.serving.Go(func() { _ = backends.server.Serve(numberedListener{ln, i}) }) // ends with Close
 	}
-	return b, nil
+	return backends, nil
 }
 
 // Close ends all of them.
@@ -91,13 +91,13 @@
 	b.serving.Wait()
 }
 
-func serve(w http.ResponseWriter, r *http.Request) {
-	came := since()
-	c := r.Context().Value(connKey{}).(*backendConn)
-	h := w.Header()
-	h.Set(headBackend, strconv.Itoa(c.backend))
-	h.Set(headNth, strconv.FormatInt(c.calls.Add(1), 10))
-	h.Set(headCame, strconv.FormatInt(int64(came), 10))
-	h.Set(headLeft, strconv.FormatInt(int64(since()), 10))
+func serveBackend(w http.ResponseWriter, r *http.Request) {
+	arrivedAt := sinceBase()
+	conn := r.Context().Value(connKey{}).(*backendConn)
+	header := w.Header()
+	header.Set(headerBackend, strconv.Itoa(conn.backend))
+	header.Set(headerRequestNumber, strconv.FormatInt(conn.requests.Add(1), 10))
+	header.Set(headerArrivedAt, strconv.FormatInt(int64(arrivedAt), 10))
+	header.Set(headerFinishedAt, strconv.FormatInt(int64(sinceBase()), 10))
 	_, _ = io.WriteString(w, "ok") // a caller that has gone needs no answer
 }
--- a/internal/scale/callway/callway_test.go
+++ b/internal/scale/callway/callway_test.go
@@ -12,16 +12,16 @@
 )
 
 var (
-	full   = flag.Bool("scale.full", false, "play whole runs and write the tables; else a small one")
-	runs   = flag.Int("scale.runs", 3, "so many runs")
-	again  = flag.Bool("scale.append", false, "add the runs to those that are there; with no runs the tables are written anew")
-	out    = flag.String("scale.out", "../../../docs/capacity/callway", "where whole runs are written, without .json and .md")
-	traces = flag.String("scale.trace", "", "a folder for traces of agents; none are made without it")
+	full       = flag.Bool("scale.full", false, "play whole runs and write the tables; else a small one")
+	runs       = flag.Int("scale.runs", 3, "so many runs")
+	appendRuns = flag.Bool("scale.append", false, "add the runs to those that are there; with no runs the tables are written anew")
+	outFile    = flag.String("scale.out", "../../../docs/capacity/callway", "where whole runs are written, without .json and .md")
+	traceDir   = flag.String("scale.trace", "", "a folder for traces of agents; none are made without it")
 )
 
 // TestMain lets the test binary stand in for the program, for traces.
 func TestMain(m *testing.M) {
-	if dir := os.Getenv(tracedEnv); dir != "" {
+	if dir := os.Getenv(traceDirEnv); dir != "" {
 		if err := ServeTraced(os.Args[len(os.Args)-1], dir); err != nil {
 			panic(err)
 		}
@@ -32,95 +32,95 @@
 
 func newBench(t *testing.T, backends int) *Bench {
 	t.Helper()
-	b, err := Listen(backends)
+	backendSet, err := StartBackends(backends)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Close)
+	t.Cleanup(backendSet.Close)
 	dir := t.TempDir()
-	command, err := Build(dir)
+	command, err := BuildAgent(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Bench{Dir: dir, Command: command, Backends: b, Seed: uint64(time.Now().UnixNano())}
+	return &Bench{Dir: dir, Command: command, Backends: backendSet, Seed: uint64(time.Now().UnixNano())}
 }
 
 // Both ways answer all, a change of the list included, and the tables are made of it. With -scale.full: in full.
-func TestTable(t *testing.T) {
-	windows, sizes, settle, idle := Full(), []int{8, 60, 100, 1800}, time.Second, 7*time.Second
+func TestTableOfCallsThroughAgentsAndDirectly(t *testing.T) {
+	windows, sizes, settle, idleSpan := FullWindows(), []int{8, 60, 100, 1800}, time.Second, 7*time.Second
 	how := "go test ./internal/scale/callway -run Table -scale.full -timeout 20m"
 	if !*full {
-		*runs, sizes, settle, idle = 1, []int{8}, 0, 100*time.Millisecond
+		*runs, sizes, settle, idleSpan = 1, []int{8}, 0, 100*time.Millisecond
 		how = "go test ./internal/scale/callway"
-		*out = filepath.Join(t.TempDir(), "callway")
-		windows = []Window{{Name: "calls", Length: time.Second, Cells: []Cell{{List: 8, Rate: 72, Tick: defaultTick}}},
-			{Name: "changes", Length: 1200 * time.Millisecond, Cells: []Cell{{List: 8, Rate: 72, Tick: defaultTick, Turns: "entries"}}}}
+		*outFile = filepath.Join(t.TempDir(), "callway")
+		windows = []Window{{Name: "calls", Length: time.Second, Workloads: []Workload{{ListSize: 8, Rate: 72, Tick: defaultTick}}},
+			{Name: "changes", Length: 1200 * time.Millisecond, Workloads: []Workload{{ListSize: 8, Rate: 72, Tick: defaultTick, ListChanges: "entries"}}}}
 	}
-	most := 0
+	maxListSize := 0
 	for _, w := range windows {
-		for _, c := range w.Cells {
-			most = max(most, c.List)
+		for _, c := range w.Workloads {
+			maxListSize = max(maxListSize, c.ListSize)
 		}
 	}
-	b := newBench(t, most)
+	bench := newBench(t, maxListSize)
 	result := &Result{}
-	if *again {
+	if *appendRuns {
 		var err error
-		if result, err = Load(*out + ".json"); err != nil {
+		if result, err = Load(*outFile + ".json"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	result.How = how
 	for range *runs {
 		run := Run{At: time.Now().UTC().Truncate(time.Second)}
-		b.Seed++
-		stolen, all, err := Stolen()
+		bench.Seed++
+		stolen, total, err := StolenTime()
 		if err != nil {
 			t.Fatal(err)
 		}
-		var resting sync.WaitGroup // agents that nobody calls, beside the first windows
-		var unused []IdleRow
-		var failed error
-		resting.Go(func() { unused, failed = b.Idle(t.Context(), sizes, settle, idle) })
+		var idle sync.WaitGroup // agents that nobody calls, beside the first windows
+		var idleRows []IdleRow
+		var idleErr error
+		idle.Go(func() { idleRows, idleErr = bench.Idle(t.Context(), sizes, settle, idleSpan) })
 		for _, w := range windows {
-			rows, err := b.Run(t.Context(), w)
+			rows, err := bench.Run(t.Context(), w)
 			if err != nil {
-				resting.Wait()
+				idle.Wait()
 				t.Fatal(err)
 			}
 			for _, r := range rows {
 				if r.Failed+r.FailedDirect > 0 {
-					t.Errorf("%+v: %d failed through the agent, %d directly: %s", r.Cell, r.Failed, r.FailedDirect, r.Why)
+					t.Errorf("%+v: %d failed through the agent, %d directly: %s", r.Workload, r.Failed, r.FailedDirect, r.FirstError)
 				}
-				if r.Through.N == 0 || r.Direct.N == 0 || w.Name == "changes" && (r.Changes == 0 || r.Rest.N == 0) {
-					t.Errorf("%+v: calls are missing: %d, %d, %d after %d changes", r.Cell, r.Through.N, r.Direct.N, r.After.N, r.Changes)
+				if r.Through.N == 0 || r.Direct.N == 0 || w.Name == "changes" && (r.Changes == 0 || r.OtherTimes.N == 0) {
+					t.Errorf("%+v: calls are missing: %d, %d, %d after %d changes", r.Workload, r.Through.N, r.Direct.N, r.AfterChange.N, r.Changes)
 				}
 			}
 			run.Rows = append(run.Rows, rows...)
-			if err := (&Result{How: how, Runs: append(slices.Clone(result.Runs), run)}).Save(*out); err != nil { // a run cut off is kept
-				resting.Wait()
+			if err := (&Result{How: how, Runs: append(slices.Clone(result.Runs), run)}).Save(*outFile); err != nil { // a run cut off is kept
+				idle.Wait()
 				t.Fatal(err)
 			}
 		}
-		if resting.Wait(); failed != nil {
-			t.Fatal(failed)
+		if idle.Wait(); idleErr != nil {
+			t.Fatal(idleErr)
 		}
-		run.Idle = unused
-		if s, a, err := Stolen(); err != nil {
+		run.Idle = idleRows
+		if stolenAfter, totalAfter, err := StolenTime(); err != nil {
 			t.Fatal(err)
-		} else if a > all {
-			run.Stolen = (s - stolen) / (a - all)
+		} else if totalAfter > total {
+			run.Stolen = (stolenAfter - stolen) / (totalAfter - total)
 		}
 		result.Runs = append(result.Runs, run)
 	}
-	if err := result.Save(*out); err != nil {
+	if err := result.Save(*outFile); err != nil {
 		t.Fatal(err)
 	}
-	saved, err := Load(*out + ".json")
+	saved, err := Load(*outFile + ".json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(*out + ".md")
+	text, err := os.ReadFile(*outFile + ".md")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,8 +130,8 @@
 }
 
 // Every entry of a list of 1,800 can be called at an address of its own.
-func TestEntries(t *testing.T) {
-	b, err := Listen(1800)
+func TestEveryEntryOfALongListAnswers(t *testing.T) {
+	b, err := StartBackends(1800)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 	client, seen := newClient(), map[string]bool{}
 	defer client.CloseIdleConnections()
 	for i, addr := range b.Addrs {
-		if _, got, err := call(client, addr, since()); err != nil || got != i || seen[addr] {
+		if _, got, err := call(client, addr, sinceBase()); err != nil || got != i || seen[addr] {
 			t.Fatalf("entry %d at %s: backend %d, %v", i, addr, got, err)
 		}
 		seen[addr] = true
@@ -147,13 +147,13 @@
 }
 
 // With -scale.trace: an agent with a long list under the runtime's instruments.
-func TestTrace(t *testing.T) {
-	if *traces == "" {
+func TestTraceOfAnAgentWithALongList(t *testing.T) {
+	if *traceDir == "" {
 		t.Skip("no folder for traces was named")
 	}
 	b := newBench(t, 1800)
-	for _, c := range []Cell{{List: 1800, Rate: 72, Tick: defaultTick}, {List: 1800, Rate: 72, Tick: "0s"}, {List: 1800, Rate: 1000, Tick: "0s"}} {
-		r, err := b.Trace(t.Context(), c, 2*time.Second, *traces)
+	for _, c := range []Workload{{ListSize: 1800, Rate: 72, Tick: defaultTick}, {ListSize: 1800, Rate: 72, Tick: "0s"}, {ListSize: 1800, Rate: 1000, Tick: "0s"}} {
+		r, err := b.Trace(t.Context(), c, 2*time.Second, *traceDir)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/callway/lists.go
+++ b/internal/scale/callway/lists.go
@@ -15,105 +15,105 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// Lists is a list service: the whole list first, then each change, and an empty line while there is none.
-type Lists struct {
+// ListService is a list service: the whole list first, then each change, and an empty line while there is none.
+type ListService struct {
 	Addr string
 
 	server  *http.Server
 	serving sync.WaitGroup
 
-	mu      sync.Mutex
-	members []discovery.Endpoint
-	tells   []discovery.EndpointList // version v is tells[v-firstVersion-1]
-	changed chan struct{}            // closed at each change
-	closed  bool
-	out     int // the backend that drains; below 0: none
+	mu        sync.Mutex
+	endpoints []discovery.Endpoint
+	updates   []discovery.EndpointList // version v is tells[v-firstVersion-1]
+	changed   chan struct{}            // closed at each change
+	closed    bool
+	draining  int // the backend that drains; below 0: none
 }
 
 const (
-	firstVersion = 41
-	emptyEvery   = 2 * time.Second
-	zoneName     = "a"
-	kindName     = "k" // an agent ends with its first call where its backends are of no kind that it knows
+	firstVersion      = 41
+	heartbeatInterval = 2 * time.Second
+	zoneName          = "a"
+	kindName          = "k" // an agent ends with its first call where its backends are of no kind that it knows
 )
 
-// NewLists starts a service that tells of the backends at these addresses.
-func NewLists(addrs []string) (*Lists, error) {
-	l := &Lists{changed: make(chan struct{}), out: -1}
+// NewListService starts a service that tells of the backends at these addresses.
+func NewListService(addrs []string) (*ListService, error) {
+	service := &ListService{changed: make(chan struct{}), draining: -1}
 	for i, addr := range addrs {
-		l.members = append(l.members, discovery.Endpoint{ID: fmt.Sprintf("b-%04d", i), Addr: addr, Zone: zoneName, Kind: kindName, Cell: i / 4, State: "ready", Weight: 1})
+		service.endpoints = append(service.endpoints, discovery.Endpoint{ID: fmt.Sprintf("b-%04d", i), Addr: addr, Zone: zoneName, Kind: kindName, Cell: i / 4, State: "ready", Weight: 1})
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l.Addr = ln.Addr().String()
-	l.server = &http.Server{Handler: http.HandlerFunc(l.tell), ErrorLog: log.New(io.Discard, "", 0)}
-	l.serving.Go(func() { _ = l.server.Serve(ln) }) // ends with Close
-	return l, nil
+	service.Addr = ln.Addr().String()
+	service.server = &http.Server{Handler: http.HandlerFunc(service.serveWatch), ErrorLog: log.New(io.Discard, "", 0)}
+	service.serving.Go(func() { _ = service.server.Serve(ln) }) // ends with Close
+	return service, nil
 }
 
 // Close ends the service.
-func (l *Lists) Close() {
+func (l *ListService) Close() {
 	l.mu.Lock()
 	l.closed = true
-	l.stir()
+	l.notifyWatchers()
 	l.mu.Unlock()
 	l.server.Close()
 	l.serving.Wait()
 }
 
-func (l *Lists) stir() {
+func (l *ListService) notifyWatchers() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Change has one backend drain and the one that drained before be ready again, and returns when it was told: as the two
+// ChangeList has one backend drain and the one that drained before be ready again, and returns when it was told: as the two
 // entries alone, or as the whole list.
-func (l *Lists) Change(whole bool) time.Duration {
+func (l *ListService) ChangeList(full bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := discovery.EndpointList{Version: firstVersion + int64(len(l.tells)) + 1, Full: whole}
-	was := l.out
-	l.out = (l.out + 1) % len(l.members)
-	for i, state := range map[int]string{was: "ready", l.out: "draining"} {
+	update := discovery.EndpointList{Version: firstVersion + int64(len(l.updates)) + 1, Full: full}
+	previous := l.draining
+	l.draining = (l.draining + 1) % len(l.endpoints)
+	for i, state := range map[int]string{previous: "ready", l.draining: "draining"} {
 		if i >= 0 {
-			l.members[i].State = state
-			m.Endpoints = append(m.Endpoints, l.members[i])
+			l.endpoints[i].State = state
+			update.Endpoints = append(update.Endpoints, l.endpoints[i])
 		}
 	}
-	if whole {
-		m.Endpoints = append([]discovery.Endpoint(nil), l.members...)
+	if full {
+		update.Endpoints = append([]discovery.Endpoint(nil), l.endpoints...)
 	}
-	l.tells = append(l.tells, m)
-	l.stir()
-	return since()
+	l.updates = append(l.updates, update)
+	l.notifyWatchers()
+	return sinceBase()
 }
 
-func (l *Lists) tell(w http.ResponseWriter, r *http.Request) {
+func (l *ListService) serveWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
 		return
 	}
-	told, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
 	for {
 		l.mu.Lock()
 		if l.closed {
 			l.mu.Unlock()
 			return
 		}
-		latest := firstVersion + int64(len(l.tells))
-		var tell []discovery.EndpointList
-		if told < firstVersion || told > latest {
-			tell = []discovery.EndpointList{{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, l.members...)}}
+		latest := firstVersion + int64(len(l.updates))
+		var updates []discovery.EndpointList
+		if sentVersion < firstVersion || sentVersion > latest {
+			updates = []discovery.EndpointList{{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, l.endpoints...)}}
 		} else {
-			tell = l.tells[told-firstVersion:]
+			updates = l.updates[sentVersion-firstVersion:]
 		}
 		changed := l.changed
 		l.mu.Unlock()
 		text := []byte("\n")
-		for _, m := range tell {
-			line, err := json.Marshal(m)
+		for _, update := range updates {
+			line, err := json.Marshal(update)
 			if err != nil {
 				panic(err) // it holds nothing that can't be written
 			}
@@ -125,21 +125,21 @@
 		if err := http.NewResponseController(w).Flush(); err != nil {
 			return
 		}
-		told = latest
-		if !wait(r.Context(), changed) {
+		sentVersion = latest
+		if !waitForChange(r.Context(), changed) {
 			return
 		}
 	}
 }
 
-// wait waits for a change or until an empty line is due, and reports false once ctx has ended.
-func wait(ctx context.Context, changed <-chan struct{}) bool {
-	due := time.NewTimer(emptyEvery)
-	defer due.Stop()
+// waitForChange waits for a change or until an empty line is due, and reports false once ctx has ended.
+func waitForChange(ctx context.Context, changed <-chan struct{}) bool {
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-due.C:
+	case <-heartbeat.C:
 	case <-changed:
 	}
 	return true
--- a/internal/scale/callway/process.go
+++ b/internal/scale/callway/process.go
@@ -20,8 +20,8 @@
 // Class is the class of requests that agents are told of: a read, which may be repeated at will.
 const Class = "lookup"
 
-// Config is an agent's configuration: the defaults, but for what it says.
-func Config(listService, tick string) string {
+// AgentConfig is an agent's configuration: the defaults, but for what it says.
+func AgentConfig(listService, tick string) string {
 	return fmt.Sprintf(`listen = "127.0.0.1:0"
 discovery = %q
 zones = [%q]
@@ -40,16 +40,16 @@
 `, listService, zoneName, zoneName, kindName, tick, Class)
 }
 
-// Process is a real agent.
-type Process struct {
-	Addr string // where clients connect
-	cmd  *exec.Cmd
-	read chan struct{} // closed once its log has ended
-	tail []string      // the end of its log, once read is closed
+// AgentProcess is a real agent.
+type AgentProcess struct {
+	Addr    string // where clients connect
+	cmd     *exec.Cmd
+	logDone chan struct{} // closed once its log has ended
+	logTail []string      // the end of its log, once read is closed
 }
 
-// Build builds the program into a folder and returns the command that starts an agent.
-func Build(dir string) ([]string, error) {
+// BuildAgent builds the program into a folder and returns the command that starts an agent.
+func BuildAgent(dir string) ([]string, error) {
 	program := filepath.Join(dir, "martenbeam")
 	cmd := exec.Command("go", "build", "-buildvcs=false", "-o", program, "martenbeam/cmd/martenbeam")
 	if out, err := cmd.CombinedOutput(); err != nil {
@@ -58,9 +58,9 @@
 	return []string{program, "agent", "--log-format", "json", "--config"}, nil
 }
 
-// Start starts an agent from a command, which is given the configuration's file as its last argument, and waits until it
+// StartAgent starts an agent from a command, which is given the configuration's file as its last argument, and waits until it
 // takes clients and has its list.
-func Start(ctx context.Context, dir, config string, env []string, command ...string) (*Process, error) {
+func StartAgent(ctx context.Context, dir, config string, env []string, command ...string) (*AgentProcess, error) {
 	file, err := os.CreateTemp(dir, "agent-*.toml")
 	if err != nil {
 		return nil, err
@@ -71,60 +71,60 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{cmd: exec.Command(command[0], append(slices.Clone(command[1:]), file.Name())...), read: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), env...)
-	log, err := p.cmd.StderrPipe()
+	process := &AgentProcess{cmd: exec.Command(command[0], append(slices.Clone(command[1:]), file.Name())...), logDone: make(chan struct{})}
+	process.cmd.Env = append(os.Environ(), env...)
+	log, err := process.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := process.cmd.Start(); err != nil {
 		return nil, err
 	}
 	serving := make(chan string, 1)
-	go p.follow(log, serving)
+	go process.readLog(log, serving)
 	select {
-	case p.Addr = <-serving:
-		err = p.ready(ctx)
-	case <-p.read:
-		err = fmt.Errorf("the agent ended: %s", strings.Join(p.tail, "\n"))
+	case process.Addr = <-serving:
+		err = process.waitReady(ctx)
+	case <-process.logDone:
+		err = fmt.Errorf("the agent ended: %s", strings.Join(process.logTail, "\n"))
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
 	if err != nil {
-		_ = p.cmd.Process.Kill() // ended already if it fails
-		<-p.read
-		_ = p.cmd.Wait() // it was killed
+		_ = process.cmd.Process.Kill() // ended already if it fails
+		<-process.logDone
+		_ = process.cmd.Wait() // it was killed
 		return nil, err
 	}
-	return p, nil
+	return process, nil
 }
 
-// follow reads the log, which says where the agent listens.
-func (p *Process) follow(log io.Reader, serving chan<- string) {
-	defer close(p.read)
+// readLog reads the log, which says where the agent listens.
+func (p *AgentProcess) readLog(log io.Reader, serving chan<- string) {
+	defer close(p.logDone)
 	for lines := bufio.NewScanner(log); lines.Scan(); {
-		var l struct {
+		var entry struct {
 			Msg    string `json:"Msg"`
 			Listen string `json:"Listen"`
 		}
-		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Msg == "serving" {
-			serving <- l.Listen
+		if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.Msg == "serving" {
+			serving <- entry.Listen
 		}
-		if p.tail = append(p.tail, lines.Text()); len(p.tail) > 20 {
-			p.tail = p.tail[1:]
+		if p.logTail = append(p.logTail, lines.Text()); len(p.logTail) > 20 {
+			p.logTail = p.logTail[1:]
 		}
 	}
 }
 
-const readyWithin = 20 * time.Second
+const readyTimeout = 20 * time.Second
 
-// ready waits until the agent has a list.
-func (p *Process) ready(ctx context.Context) error {
+// waitReady waits until the agent has a list.
+func (p *AgentProcess) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	again := time.NewTicker(5 * time.Millisecond)
-	defer again.Stop()
+	retry := time.NewTicker(5 * time.Millisecond)
+	defer retry.Stop()
 	for {
 		resp, err := client.Get("http://" + p.Addr + "/_health")
 		if err == nil {
@@ -136,25 +136,25 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("not ready: %w", ctx.Err())
-		case <-again.C:
+		case <-retry.C:
 		}
 	}
 }
 
 // Stop has the agent finish.
-func (p *Process) Stop() error {
+func (p *AgentProcess) Stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	<-p.read
+	<-p.logDone
 	if err := p.cmd.Wait(); err != nil {
-		return fmt.Errorf("%w: %s", err, strings.Join(p.tail, "\n"))
+		return fmt.Errorf("%w: %s", err, strings.Join(p.logTail, "\n"))
 	}
 	return nil
 }
 
-// Stolen reads the processor time of all cores since the system's start, and what of it its host gave to others.
-func Stolen() (stolen, all float64, err error) {
+// StolenTime reads the processor time of all cores since the system's start, and what of it its host gave to others.
+func StolenTime() (stolen, total float64, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0, err
@@ -162,35 +162,35 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, f := range strings.Fields(line) {
 		n, _ := strconv.ParseFloat(f, 64) // the first is the line's name
-		if all += n; i == 8 {
+		if total += n; i == 8 {
 			stolen = n
 		}
 	}
-	return stolen, all, nil
+	return stolen, total, nil
 }
 
-// Use is what a process uses.
-type Use struct {
+// Usage is what a process uses.
+type Usage struct {
 	ResidentMB float64
 	CPU        time.Duration // by all threads that are still there
 }
 
-// Use reads what the agent uses now.
-func (p *Process) Use() (u Use, err error) {
+// Usage reads what the agent uses now.
+func (p *AgentProcess) Usage() (usage Usage, err error) {
 	proc := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	status, err := os.ReadFile(proc + "/status")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
 	for line := range strings.Lines(string(status)) {
 		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmRSS:" {
 			kb, _ := strconv.ParseFloat(f[1], 64) // the kernel writes numbers
-			u.ResidentMB = kb / 1024
+			usage.ResidentMB = kb / 1024
 		}
 	}
 	threads, err := filepath.Glob(proc + "/task/*/schedstat")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
 	for _, file := range threads {
 		text, err := os.ReadFile(file)
@@ -199,8 +199,8 @@
 		}
 		if f := strings.Fields(string(text)); len(f) > 0 {
 			ns, _ := strconv.ParseInt(f[0], 10, 64) // the kernel writes numbers
-			u.CPU += time.Duration(ns)
+			usage.CPU += time.Duration(ns)
 		}
 	}
-	return u, nil
+	return usage, nil
 }
--- a/internal/scale/callway/traced.go
+++ b/internal/scale/callway/traced.go
@@ -15,12 +15,12 @@
 	"martenbeam/internal/membership"
 )
 
-// tracedEnv names the folder in which a program that ends up in ServeTraced leaves what it recorded.
-const tracedEnv = "CALLWAY_TRACED"
+// traceDirEnv names the folder in which a program that ends up in ServeTraced leaves what it recorded.
+const traceDirEnv = "CALLWAY_TRACED"
 
 // Trace plays one cell on an agent that is this very program and calls ServeTraced.
-func (b *Bench) Trace(ctx context.Context, c Cell, length time.Duration, dir string) (Row, error) {
-	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", c.List, c.Rate, c.Tick))
+func (b *Bench) Trace(ctx context.Context, workload Workload, length time.Duration, dir string) (Row, error) {
+	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", workload.ListSize, workload.Rate, workload.Tick))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return Row{}, err
 	}
@@ -28,8 +28,8 @@
 	if err != nil {
 		return Row{}, err
 	}
-	traced := &Bench{Dir: b.Dir, Command: []string{self}, Env: []string{tracedEnv + "=" + dir}, Backends: b.Backends, Seed: b.Seed}
-	rows, err := traced.Run(ctx, Window{Name: "trace", Warm: time.Second, Length: length, Cells: []Cell{c}})
+	traced := &Bench{Dir: b.Dir, Command: []string{self}, Env: []string{traceDirEnv + "=" + dir}, Backends: b.Backends, Seed: b.Seed}
+	rows, err := traced.Run(ctx, Window{Name: "trace", WarmUp: time.Second, Length: length, Workloads: []Workload{workload}})
 	if err != nil {
 		return Row{}, err
 	}
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -9,23 +9,23 @@
 	"martenbeam/internal/scale/hollow"
 )
 
-// changeWithin is how long a change is waited for.
-const changeWithin = 30 * time.Second
+// changeTimeout is how long a change is waited for.
+const changeTimeout = 30 * time.Second
 
 func changeTable(t *testing.T) {
-	for _, n := range sized(t, 14) {
-		for _, run := range ran() {
+	for _, n := range fleetSizes(t, 14) {
+		for _, run := range runNumbers() {
 			if *full { // one fleet for both
-				for _, mode := range joined() {
-					t.Run(fmt.Sprintf("%s-%d-%d", mode, n, run), func(t *testing.T) { changes(t, mode, n, run, changed(mode)) })
+				for _, mode := range fleetModes() {
+					t.Run(fmt.Sprintf("%s-%d-%d", mode, n, run), func(t *testing.T) { measureChanges(t, mode, n, run, measuredChanges(mode)) })
 				}
 				continue
 			}
-			for _, mode := range joined() {
-				for _, what := range changed(mode) {
+			for _, mode := range fleetModes() {
+				for _, what := range measuredChanges(mode) {
 					t.Run(string(mode)+"-"+what.String(), func(t *testing.T) {
 						t.Parallel()
-						changes(t, mode, n, run, []hollow.Change{what})
+						measureChanges(t, mode, n, run, []hollow.Change{what})
 					})
 				}
 			}
@@ -33,8 +33,8 @@
 	}
 }
 
-// changed are the changes that are measured. Hubs alone carry settings.
-func changed(mode hollow.Mode) []hollow.Change {
+// measuredChanges are the changes that are measured. Hubs alone carry settings.
+func measuredChanges(mode hollow.Mode) []hollow.Change {
 	list := []hollow.Change{hollow.Policy, hollow.List}
 	if mode == hollow.Hubs {
 		list = append(list, hollow.Settings)
@@ -42,68 +42,68 @@
 	return list
 }
 
-// make makes a change at its source.
-func (c *crew) make(what hollow.Change) (version int64, at time.Time) {
+// makeChange makes a change at its source.
+func (c *testFleet) makeChange(what hollow.Change) (version int64, at time.Time) {
 	switch what {
 	case hollow.Policy:
-		return c.give()
+		return c.publishPolicy()
 	case hollow.Settings:
-		return c.hubs.change(c.t)
+		return c.hubs.writeSettings(c.t)
 	}
 	return c.service.change()
 }
 
-// news is how long a change took to agents.
-type news struct {
-	took  []time.Duration
-	never int // agents that it did not come to in time
+// propagation is how long a change took to agents.
+type propagation struct {
+	durations []time.Duration
+	unreached int // agents that it did not come to in time
 }
 
-// spread waits until those of the agents that which picks have acted on a version. What each took counts from when the
+// measurePropagation waits until those of the agents that which picks have acted on a version. What each took counts from when the
 // change was made, or from its own start if that was later.
-func (c *crew) spread(what hollow.Change, version int64, at time.Time, which func(i int) bool, started map[int]time.Time) (n news) {
-	limit := at.Add(changeWithin)
+func (c *testFleet) measurePropagation(what hollow.Change, version int64, at time.Time, which func(i int) bool, started map[int]time.Time) (result propagation) {
+	limit := at.Add(changeTimeout)
 	for i := range c.n {
 		if !which(i) {
 			continue
 		}
 		for {
-			came, ok := c.came.when(c.name(i), what, version)
+			appliedAt, ok := c.applied.appliedAt(c.agentName(i), what, version)
 			if ok {
 				from := at
 				if s := started[i]; s.After(from) {
 					from = s
 				}
-				n.took = append(n.took, max(0, came.Sub(from)))
+				result.durations = append(result.durations, max(0, appliedAt.Sub(from)))
 				break
 			}
 			if time.Now().After(limit) {
-				n.never++
+				result.unreached++
 				break
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
-	return n
+	return result
 }
 
-func (n news) values(v map[string]float64, prefix string) {
-	v[prefix+"ms p50"] = quantile(n.took, 0.5).Seconds() * 1e3
-	v[prefix+"ms p99"] = quantile(n.took, 0.99).Seconds() * 1e3
-	v[prefix+"ms last"] = quantile(n.took, 1).Seconds() * 1e3
-	v[prefix+"agents never"] = float64(n.never)
+func (n propagation) addValues(v map[string]float64, prefix string) {
+	v[prefix+"ms p50"] = quantile(n.durations, 0.5).Seconds() * 1e3
+	v[prefix+"ms p99"] = quantile(n.durations, 0.99).Seconds() * 1e3
+	v[prefix+"ms last"] = quantile(n.durations, 1).Seconds() * 1e3
+	v[prefix+"agents never"] = float64(n.unreached)
 }
 
 func everyone(int) bool { return true }
 
-// changes measures how long changes take to all agents of one fleet, undisturbed and disturbed, and what they cost.
-func changes(t *testing.T, mode hollow.Mode, n, run int, changed []hollow.Change) {
-	c := newCrew(t, mode, n, true)
+// measureChanges measures how long changes take to all agents of one fleet, undisturbed and disturbed, and what they cost.
+func measureChanges(t *testing.T, mode hollow.Mode, n, run int, kinds []hollow.Change) {
+	c := newTestFleet(t, mode, n, true)
 	c.startAll(time.Duration(n) * *pace)
-	began := row{Table: "change", Mode: string(mode), N: n, Matrix: true, Run: run}
-	if why := c.begun(); why != "" {
-		began.Case, began.Void = "start", why
-		keep(t, began)
+	base := row{Table: "change", Mode: string(mode), N: n, Matrix: true, Run: run}
+	if reason := c.awaitStart(); reason != "" {
+		base.Case, base.Void = "start", reason
+		saveRows(t, base)
 		return
 	}
 	repeats, settle := 2, 50*time.Millisecond
@@ -112,54 +112,54 @@
 	}
 	time.Sleep(settle) // what a start leaves
 	draw := rand.New(rand.NewPCG(uint64(n), uint64(run)))
-	for _, what := range changed {
-		r := began
+	for _, what := range kinds {
+		r := base
 		r.Case = what.String() + ", undisturbed"
 		r.Values = map[string]float64{}
 		// What changes cost is what a span with them takes beyond one without.
-		idle := c.measure(false)
+		idle := c.startMeter(false)
 		time.Sleep(settle) // the span without
 		before := idle.end()
-		m, all := c.measure(false), news{}
+		m, all := c.startMeter(false), propagation{}
 		for range repeats {
-			version, at := c.make(what)
-			one := c.spread(what, version, at, everyone, nil)
-			all.took, all.never = append(all.took, one.took...), all.never+one.never
+			version, at := c.makeChange(what)
+			one := c.measurePropagation(what, version, at, everyone, nil)
+			all.durations, all.unreached = append(all.durations, one.durations...), all.unreached+one.unreached
 		}
 		s := m.end()
 		r.Void = s.void
-		all.values(r.Values, "")
-		share := s.took.Seconds() / before.took.Seconds()
+		all.addValues(r.Values, "")
+		share := s.duration.Seconds() / before.duration.Seconds()
 		each := float64(n * repeats)
-		part := hollow.Policies
+		kind := hollow.Policies
 		switch what {
 		case hollow.List:
-			part = hollow.Lists
+			kind = hollow.Lists
 		case hollow.Settings:
-			part = hollow.SettingsTexts
+			kind = hollow.SettingsDocuments
 		}
-		r.Values["a change: bytes out"] = (float64(s.traffic.Out[part].Bytes) - share*float64(before.traffic.Out[part].Bytes)) / each
-		r.Values["a change: bytes in"] = (float64(s.traffic.In[part].Bytes) - share*float64(before.traffic.In[part].Bytes)) / each
-		r.Values["a change: processor us"] = (s.processor.Seconds() - share*before.processor.Seconds()) * 1e6 / each
+		r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / each
+		r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / each
+		r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / each
 		for _, daily := range []float64{580, 5800} {
 			r.Values[fmt.Sprintf("%.0f a day: processor s/day", daily)] = r.Values["a change: processor us"] * daily / 1e6
 			r.Values[fmt.Sprintf("%.0f a day: kB in/day", daily)] = r.Values["a change: bytes in"] * daily / 1e3
 		}
-		keep(t, r)
+		saveRows(t, r)
 	}
-	for _, what := range changed {
-		keep(t, c.paused(began, what, draw, settle), c.lossy(began, what, settle))
+	for _, what := range kinds {
+		saveRows(t, c.changeWhilePaused(base, what, draw, settle), c.changeUnderLoss(base, what, settle))
 		if c.hubs == nil { // hubs are processes of their own, between which nothing can be cut here
-			keep(t, c.cut(began, what, settle))
+			saveRows(t, c.changeDuringPartition(base, what, settle))
 		} else {
-			keep(t, c.hubDead(began, what, draw))
+			saveRows(t, c.changeWithDeadHub(base, what, draw))
 		}
-		keep(t, c.restarting(began, what))
+		saveRows(t, c.changeDuringRestarts(base, what))
 	}
 }
 
-// paused makes a change while 2% of the agents are stopped.
-func (c *crew) paused(r row, what hollow.Change, draw *rand.Rand, settle time.Duration) row {
+// changeWhilePaused makes a change while 2% of the agents are stopped.
+func (c *testFleet) changeWhilePaused(r row, what hollow.Change, draw *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
 	stopped := map[int]bool{}
 	for _, i := range draw.Perm(c.n - 1)[:max(1, c.n/50)] {
@@ -167,53 +167,53 @@
 		c.agents[i+1].Pause()
 	}
 	time.Sleep(settle / 4) // how long they have been stopped for
-	m := c.measure(false)
-	version, at := c.make(what)
-	c.spread(what, version, at, func(i int) bool { return !stopped[i] }, nil).values(r.Values, "")
+	m := c.startMeter(false)
+	version, at := c.makeChange(what)
+	c.measurePropagation(what, version, at, func(i int) bool { return !stopped[i] }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	resumed, since := time.Now(), map[int]time.Time{}
 	for i := range stopped {
 		since[i] = resumed
 		c.agents[i].Resume()
 	}
-	c.spread(what, version, resumed, func(i int) bool { return stopped[i] }, since).values(r.Values, "stopped ones, once resumed: ")
-	return c.restored(r)
+	c.measurePropagation(what, version, resumed, func(i int) bool { return stopped[i] }, since).addValues(r.Values, "stopped ones, once resumed: ")
+	return c.awaitRecovery(r)
 }
 
-// lossy makes a change while 10% of all datagrams are lost, and as many writes to streams late.
-func (c *crew) lossy(r row, what hollow.Change, settle time.Duration) row {
+// changeUnderLoss makes a change while 10% of all datagrams are lost, and as many writes to streams late.
+func (c *testFleet) changeUnderLoss(r row, what hollow.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 10% lost", map[string]float64{}
-	c.net.Lose(0.1)
+	c.net.SetLoss(0.1)
 	time.Sleep(settle) // losses are to be under way
-	m := c.measure(false)
-	version, at := c.make(what)
-	c.spread(what, version, at, everyone, nil).values(r.Values, "")
+	m := c.startMeter(false)
+	version, at := c.makeChange(what)
+	c.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	c.net.Lose(0)
-	return c.restored(r)
+	c.net.SetLoss(0)
+	return c.awaitRecovery(r)
 }
 
-// cut makes a change while a zone is cut off from all others, and from the list service.
-func (c *crew) cut(r row, what hollow.Change, settle time.Duration) row {
+// changeDuringPartition makes a change while a zone is cut off from all others, and from the list service.
+func (c *testFleet) changeDuringPartition(r row, what hollow.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", a zone cut", map[string]float64{}
-	away := len(zones) - 1
-	inside := func(i int) bool { return i%len(zones) == away }
-	c.net.Cut(zones[away])
+	isolated := len(zones) - 1
+	inside := func(i int) bool { return i%len(zones) == isolated }
+	c.net.Isolate(zones[isolated])
 	time.Sleep(settle) // for so long it has been cut
-	m := c.measure(false)
-	version, at := c.make(what)
-	c.spread(what, version, at, func(i int) bool { return !inside(i) }, nil).values(r.Values, "")
+	m := c.startMeter(false)
+	version, at := c.makeChange(what)
+	c.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	if _, told := c.came.when(c.name(away), what, version); told {
+	if _, told := c.applied.appliedAt(c.agentName(isolated), what, version); told {
 		c.t.Errorf("%v: it came to a zone that is cut off", what)
 	}
-	c.net.Cut()
-	c.spread(what, version, time.Now(), inside, nil).values(r.Values, "cut ones, once healed: ")
-	return c.restored(r)
+	c.net.Isolate()
+	c.measurePropagation(what, version, time.Now(), inside, nil).addValues(r.Values, "cut ones, once healed: ")
+	return c.awaitRecovery(r)
 }
 
-// restarting makes a change while a third of the agents are down, which start within the next two seconds.
-func (c *crew) restarting(r row, what hollow.Change) row {
+// changeDuringRestarts makes a change while a third of the agents are down, which start within the next two seconds.
+func (c *testFleet) changeDuringRestarts(r row, what hollow.Change) row {
 	r.Case, r.Values = what.String()+", a third restarting", map[string]float64{}
 	third := func(i int) bool { return i%3 == 1 }
 	for i := range c.agents {
@@ -221,8 +221,8 @@
 			c.kill(i)
 		}
 	}
-	m := c.measure(false)
-	version, at := c.make(what)
+	m := c.startMeter(false)
+	version, at := c.makeChange(what)
 	started := map[int]time.Time{}
 	within, k := 2*time.Second, 0
 	if !*full {
@@ -239,19 +239,19 @@
 		c.start(i, a.Addr())
 		k++
 	}
-	c.spread(what, version, at, func(i int) bool { return !third(i) }, nil).values(r.Values, "")
-	c.spread(what, version, at, third, started).values(r.Values, "restarted ones, from their start: ")
+	c.measurePropagation(what, version, at, func(i int) bool { return !third(i) }, nil).addValues(r.Values, "")
+	c.measurePropagation(what, version, at, third, started).addValues(r.Values, "restarted ones, from their start: ")
 	r.Void = m.end().void
-	return c.restored(r)
+	return c.awaitRecovery(r)
 }
 
-// restored waits until all know all again, so that one fault is not measured on what another left.
-func (c *crew) restored(r row) row {
-	took, ok, why := c.whole(patience)
+// awaitRecovery waits until all know all again, so that one fault is not measured on what another left.
+func (c *testFleet) awaitRecovery(r row) row {
+	took, ok, reason := c.awaitConvergence(convergenceTimeout)
 	r.Values["all know all again after s"] = took.Seconds()
 	if !ok {
-		c.t.Errorf("%s: not whole again: %s", r.Case, why)
-		r.Void = "not whole again: " + why
+		c.t.Errorf("%s: not whole again: %s", r.Case, reason)
+		r.Void = "not whole again: " + reason
 	}
 	return r
 }
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -27,8 +27,8 @@
 	Points   int     `json:"points"`
 }
 
-// student is the 97.5% quantile of Student's distribution by degrees of freedom.
-func student(df int) float64 {
+// studentQuantile is the 97.5% quantile of Student's distribution by degrees of freedom.
+func studentQuantile(df int) float64 {
 	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 	if df <= len(table) {
 		return table[df-1]
@@ -61,13 +61,13 @@
 	r.Error = r.Residual / math.Sqrt(sxx)
 	x := f.of(1800)
 	r.At1800 = r.Base + r.Slope*x
-	half := student(df) * r.Residual * math.Sqrt(1+1/m+(x-mx)*(x-mx)/sxx)
+	half := studentQuantile(df) * r.Residual * math.Sqrt(1+1/m+(x-mx)*(x-mx)/sxx)
 	r.Low, r.High = r.At1800-half, r.At1800+half
 	return r
 }
 
-// best is the form with the least residual. It takes three points of two sizes at least.
-func best(n, y []float64) (b fit, ok bool) {
+// bestFit is the form with the least residual. It takes three points of two sizes at least.
+func bestFit(n, y []float64) (b fit, ok bool) {
 	sizes := map[float64]bool{}
 	for _, x := range n {
 		sizes[x] = true
@@ -84,7 +84,7 @@
 }
 
 // A fit finds the form, the slope and its error.
-func TestFit(t *testing.T) {
+func TestFitFindsTheFormAndItsSlope(t *testing.T) {
 	var n, y []float64
 	noise := []float64{0.3, -0.1, -0.2}
 	for _, size := range []float64{30, 100, 300, 600} {
@@ -92,7 +92,7 @@
 			n, y = append(n, size), append(y, 5+0.02*size+e)
 		}
 	}
-	b, ok := best(n, y)
+	b, ok := bestFit(n, y)
 	if !ok || b.Form != "n" || math.Abs(b.Slope-0.02) > 2*b.Error || b.Error < 1e-5 || b.Error > 1e-3 {
 		t.Errorf("%+v", b)
 	}
@@ -102,10 +102,10 @@
 	for i := range y {
 		y[i] = 1 + 1e-4*n[i]*n[i]
 	}
-	if b, _ := best(n, y); b.Form != "n^2" || math.Abs(b.At1800-325) > 1e-6 {
+	if b, _ := bestFit(n, y); b.Form != "n^2" || math.Abs(b.At1800-325) > 1e-6 {
 		t.Errorf("%+v", b)
 	}
-	if _, ok := best(n[:3], y[:3]); ok {
+	if _, ok := bestFit(n[:3], y[:3]); ok {
 		t.Error("one size has a slope")
 	}
 }
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -25,13 +25,13 @@
 var zones = []string{"a1", "a2", "a3", "a4", "b1", "b2", "b3"}
 
 // patience is how long anything that must come is waited for.
-const patience = 30 * time.Second
+const convergenceTimeout = 30 * time.Second
 
 const (
-	backends  = 100
-	firstList = 41
-	emptyBeat = 2 * time.Second // of the list service
-	seeds     = 3
+	numBackends       = 100
+	firstListVersion  = 41
+	heartbeatInterval = 2 * time.Second // of the list service
+	numSeeds          = 3
 )
 
 // policyText is a policy of a version, of about a kilobyte.
@@ -44,8 +44,8 @@
 	return b.String()
 }
 
-// service is a stand-in for the list service: it streams lists, and a line each two seconds.
-type service struct {
+// fakeListService is a stand-in for the list service: it streams lists, and a line each two seconds.
+type fakeListService struct {
 	addr   string
 	server *http.Server
 
@@ -55,24 +55,24 @@
 	calls   int
 }
 
-func startService(t testing.TB) *service {
+func startListService(t testing.TB) *fakeListService {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &service{addr: ln.Addr().String(), version: firstList, changed: make(chan struct{})}
+	s := &fakeListService{addr: ln.Addr().String(), version: firstListVersion, changed: make(chan struct{})}
 	s.server = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = s.server.Serve(ln) }() // ends with Close
 	t.Cleanup(func() { s.server.Close() })
 	return s
 }
 
-func backend(i int) discovery.Endpoint {
+func endpointAt(i int) discovery.Endpoint {
 	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
 }
 
 // change changes one backend, and says when and to which version.
-func (s *service) change() (version int64, at time.Time) {
+func (s *fakeListService) change() (version int64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -81,8 +81,8 @@
 	return s.version, time.Now()
 }
 
-func (s *service) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	at, _ := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64) // absent: the whole list
+func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: the whole list
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
@@ -91,65 +91,65 @@
 		version, changed := s.version, s.changed
 		s.mu.Unlock()
 		line := []byte{}
-		if at != version {
-			m := discovery.EndpointList{Version: version, Full: at < firstList}
-			if m.Full {
-				for i := range backends {
-					m.Endpoints = append(m.Endpoints, backend(i))
+		if sentVersion != version {
+			update := discovery.EndpointList{Version: version, Full: sentVersion < firstListVersion}
+			if update.Full {
+				for i := range numBackends {
+					update.Endpoints = append(update.Endpoints, endpointAt(i))
 				}
 			} else {
-				for v := at; v < version; v++ {
-					b := backend(int(v % backends))
-					b.Weight = float64(1 + v%8)
-					m.Endpoints = append(m.Endpoints, b)
+				for v := sentVersion; v < version; v++ {
+					endpoint := endpointAt(int(v % numBackends))
+					endpoint.Weight = float64(1 + v%8)
+					update.Endpoints = append(update.Endpoints, endpoint)
 				}
 			}
-			line, _ = json.Marshal(m) // names and numbers alone
-			at = version
+			line, _ = json.Marshal(update) // names and numbers alone
+			sentVersion = version
 		}
 		if _, err := w.Write(append(line, '\n')); err != nil || http.NewResponseController(w).Flush() != nil {
 			return
 		}
-		beat := time.NewTimer(emptyBeat)
+		heartbeat := time.NewTimer(heartbeatInterval)
 		select {
 		case <-changed:
-		case <-beat.C:
-		case <-q.Context().Done():
-			beat.Stop()
+		case <-heartbeat.C:
+		case <-r.Context().Done():
+			heartbeat.Stop()
 			return
 		}
-		beat.Stop()
+		heartbeat.Stop()
 	}
 }
 
-// arrivals are when agents acted on changes.
-type arrivals struct {
-	mu sync.Mutex
-	at map[whose][]arrival // in order
+// appliedVersions are when agents acted on changes.
+type appliedVersions struct {
+	mu    sync.Mutex
+	byKey map[appliedKey][]appliedVersion // in order
 }
 
-type whose struct {
-	name string
-	what hollow.Change
+type appliedKey struct {
+	agent  string
+	change hollow.Change
 }
 
-type arrival struct {
+type appliedVersion struct {
 	version int64
 	at      time.Time
 }
 
-func (a *arrivals) acted(name string, what hollow.Change, version int64, at time.Time) {
+func (a *appliedVersions) record(name string, what hollow.Change, version int64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := whose{name, what}
-	a.at[k] = append(a.at[k], arrival{version, at})
+	k := appliedKey{name, what}
+	a.byKey[k] = append(a.byKey[k], appliedVersion{version, at})
 }
 
-// when is when an agent first had a version, or one after it.
-func (a *arrivals) when(name string, what hollow.Change, version int64) (time.Time, bool) {
+// appliedAt is when an agent first had a version, or one after it.
+func (a *appliedVersions) appliedAt(name string, what hollow.Change, version int64) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, x := range a.at[whose{name, what}] {
+	for _, x := range a.byKey[appliedKey{name, what}] {
 		if x.version >= version {
 			return x.at, true
 		}
@@ -157,32 +157,32 @@
 	return time.Time{}, false
 }
 
-// crew is a fleet of hollow agents.
-type crew struct {
+// testFleet is a fleet of hollow agents.
+type testFleet struct {
 	t       testing.TB
 	mode    hollow.Mode
 	n       int
 	matrix  bool
 	net     *hollow.Network
-	service *service
-	came    *arrivals
+	service *fakeListService
+	applied *appliedVersions
 	label   string
 	policy  int64 // the version that the source gave last
 
-	others int // members that are not hollow
-	expect int // zones to which round trips have to be known; 0: all
+	realAgents    int // members that are not hollow
+	expectedZones int // zones to which round trips have to be known; 0: all
 
 	mu     sync.Mutex      // of both lists
 	agents []*hollow.Agent // by number; the first is the policy's source in a flat fleet
 	killed []*hollow.Agent
 
-	hubs  *hubs // nil: the fleet is flat
-	one   bool  // all agents know the first hub alone
-	parts *sums
+	hubs         *hubProcesses // nil: the fleet is flat
+	firstHubOnly bool          // all agents know the first hub alone
+	quotaSums    *quotaWatch
 }
 
-func newCrew(t testing.TB, mode hollow.Mode, n int, matrix bool) *crew {
-	c := &crew{t: t, mode: mode, n: n, matrix: matrix, net: hollow.NewNetwork(), service: startService(t), came: &arrivals{at: map[whose][]arrival{}},
+func newTestFleet(t testing.TB, mode hollow.Mode, n int, matrix bool) *testFleet {
+	c := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: hollow.NewNetwork(), service: startListService(t), applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
 		label: fmt.Sprintf("%s-%d", t.Name(), n), agents: make([]*hollow.Agent, n)}
 	if len(c.label) > 64 {
 		c.label = c.label[len(c.label)-64:]
@@ -191,22 +191,22 @@
 		c.policy = 1
 		c.hubs = startHubs(t, c)
 	}
-	c.parts = c.watchParts()
+	c.quotaSums = c.watchQuotas()
 	t.Cleanup(c.close)
 	return c
 }
 
-func (c *crew) name(i int) string { return fmt.Sprintf("agent-%04d", i) }
+func (c *testFleet) agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
 // start starts agent i, at an address if it had one. The seeds start first.
-func (c *crew) start(i int, listen string) {
-	s := hollow.Spec{Mode: c.mode, Name: c.name(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: c.label, Most: c.n + c.others, Matrix: c.matrix,
-		Service: c.service.addr, Source: i == 0, Network: c.net}
+func (c *testFleet) start(i int, listen string) {
+	s := hollow.Spec{Mode: c.mode, Name: c.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: c.label, MaxMembers: c.n + c.realAgents, MeasureLatency: c.matrix,
+		ListService: c.service.addr, PolicySource: i == 0, Network: c.net}
 	if c.hubs != nil {
-		s.Source, s.Hubs, s.Region = false, c.hubs.known(c.one), s.Zone[:1]
+		s.PolicySource, s.Hubs, s.Region = false, c.hubs.configured(c.firstHubOnly), s.Zone[:1]
 	}
-	s.Acted = func(what hollow.Change, version int64, at time.Time) { c.came.acted(s.Name, what, version, at) }
-	for j := range min(seeds, c.n) {
+	s.OnApplied = func(what hollow.Change, version int64, at time.Time) { c.applied.record(s.Name, what, version, at) }
+	for j := range min(numSeeds, c.n) {
 		if j != i && c.agents[j] != nil {
 			s.Seeds = append(s.Seeds, c.agents[j].Addr())
 		}
@@ -220,38 +220,38 @@
 	c.mu.Unlock()
 	if i == 0 && c.hubs == nil {
 		c.policy = max(c.policy, 1)
-		if err := a.Give(c.policy, policyText(c.policy)); err != nil {
+		if err := a.ApplyPolicy(c.policy, policyText(c.policy)); err != nil {
 			c.t.Fatal(err)
 		}
 	}
 }
 
-// startAll starts all within a time.
-func (c *crew) startAll(within time.Duration) {
-	began := time.Now()
+// measureStart starts all within a time.
+func (c *testFleet) startAll(within time.Duration) {
+	startedAt := time.Now()
 	for i := range c.n {
 		c.start(i, "")
-		if d := time.Until(began.Add(within * time.Duration(i) / time.Duration(c.n))); d > 0 {
+		if d := time.Until(startedAt.Add(within * time.Duration(i) / time.Duration(c.n))); d > 0 {
 			time.Sleep(d) // the pace is what is asked for, and waits for nothing
 		}
 	}
 }
 
-// give gives a next policy at the source, and says when.
-func (c *crew) give() (version int64, at time.Time) {
+// publishPolicy gives a next policy at the source, and says when.
+func (c *testFleet) publishPolicy() (version int64, at time.Time) {
 	c.policy++
 	at = time.Now()
 	if c.hubs != nil {
-		c.hubs.givePolicy(c.t, c.policy)
+		c.hubs.writePolicy(c.t, c.policy)
 		return c.policy, at
 	}
-	if err := c.agents[0].Give(c.policy, policyText(c.policy)); err != nil {
+	if err := c.agents[0].ApplyPolicy(c.policy, policyText(c.policy)); err != nil {
 		c.t.Fatal(err)
 	}
 	return c.policy, at
 }
 
-func (c *crew) running() (n int) {
+func (c *testFleet) running() (n int) {
 	for _, a := range c.agents {
 		if a != nil {
 			n++
@@ -260,36 +260,36 @@
 	return n
 }
 
-// wanted is what each agent has to know.
-func (c *crew) wanted() hollow.State {
+// expectedState is what each agent has to know.
+func (c *testFleet) expectedState() hollow.State {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
-	s := hollow.State{Members: c.running() + c.others, Part: 1 / float64(c.n+c.others), Policy: c.policy, List: c.service.version}
+	s := hollow.State{Members: c.running() + c.realAgents, Quota: 1 / float64(c.n+c.realAgents), Policy: c.policy, List: c.service.version}
 	if c.hubs != nil {
-		s.Settings = c.hubs.settings
+		s.Settings = c.hubs.settingsVersion
 	}
 	if c.matrix {
-		s.Distances = cmp.Or(c.expect, len(zones))
+		s.MeasuredZones = cmp.Or(c.expectedZones, len(zones))
 		if c.hubs != nil {
-			s.Distances = len(zones) - 1 // one hub alone measures nothing within its own zone
+			s.MeasuredZones = len(zones) - 1 // one hub alone measures nothing within its own zone
 		}
 	}
 	return s
 }
 
-// knower is what a check of what agents know needs of one.
-type knower interface{ State() hollow.State }
+// stateReporter is what a check of what agents know needs of one.
+type stateReporter interface{ State() hollow.State }
 
-// lagging says what an agent does not know yet of what is wanted; "": it knows all.
-func lagging(k knower, want hollow.State) string {
+// missing says what an agent does not know yet of what is wanted; "": it knows all.
+func missing(k stateReporter, want hollow.State) string {
 	s := k.State()
 	switch {
 	case s.Members != want.Members:
 		return fmt.Sprintf("%d members of %d", s.Members, want.Members)
-	case s.Part < want.Part*0.999 || s.Part > want.Part*1.001:
-		return fmt.Sprintf("a part of %v, not %v", s.Part, want.Part)
-	case s.Distances < want.Distances:
-		return fmt.Sprintf("round trips to %d zones of %d", s.Distances, want.Distances)
+	case s.Quota < want.Quota*0.999 || s.Quota > want.Quota*1.001:
+		return fmt.Sprintf("a part of %v, not %v", s.Quota, want.Quota)
+	case s.MeasuredZones < want.MeasuredZones:
+		return fmt.Sprintf("round trips to %d zones of %d", s.MeasuredZones, want.MeasuredZones)
 	case s.Policy != want.Policy:
 		return fmt.Sprintf("policy %d, not %d", s.Policy, want.Policy)
 	case s.List != want.List:
@@ -301,55 +301,55 @@
 }
 
 // laggards counts those that do not know all, and says what the first lacks.
-func laggards[K knower](list []K, want hollow.State) (n int, first string) {
+func laggards[K stateReporter](list []K, want hollow.State) (n int, first string) {
 	for i, k := range list {
-		if why := lagging(k, want); why != "" {
+		if reason := missing(k, want); reason != "" {
 			if n++; n == 1 {
-				first = fmt.Sprintf("agent %d: %s", i, why)
+				first = fmt.Sprintf("agent %d: %s", i, reason)
 			}
 		}
 	}
 	return n, first
 }
 
-const pollEvery = 10 * time.Millisecond
+const pollInterval = 10 * time.Millisecond
 
-// whole waits until all know all, and reports how long it took.
-func (c *crew) whole(limit time.Duration) (took time.Duration, ok bool, why string) {
-	began := time.Now()
+// awaitConvergence waits until all know all, and reports how long it took.
+func (c *testFleet) awaitConvergence(limit time.Duration) (took time.Duration, ok bool, reason string) {
+	startedAt := time.Now()
 	for at := 0; ; { // who knew all is not asked again until the rest do
-		want := c.wanted()
-		for at < c.n && (c.agents[at] == nil || lagging(c.agents[at], want) == "") {
+		want := c.expectedState()
+		for at < c.n && (c.agents[at] == nil || missing(c.agents[at], want) == "") {
 			at++
 		}
-		there := slices.DeleteFunc(slices.Clone(c.agents), func(a *hollow.Agent) bool { return a == nil })
+		running := slices.DeleteFunc(slices.Clone(c.agents), func(a *hollow.Agent) bool { return a == nil })
 		if at == c.n {
-			if n, _ := laggards(there, want); n == 0 {
-				return time.Since(began), true, ""
+			if n, _ := laggards(running, want); n == 0 {
+				return time.Since(startedAt), true, ""
 			}
 			at = 0
 		}
-		if time.Since(began) > limit {
-			n, first := laggards(there, want)
-			return limit, false, fmt.Sprintf("%d of %d lag: %s", n, len(there), first)
+		if time.Since(startedAt) > limit {
+			n, first := laggards(running, want)
+			return limit, false, fmt.Sprintf("%d of %d lag: %s", n, len(running), first)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// begun waits until a fleet that starts knows all, and says why it does not, with whether the machine bore it.
-func (c *crew) begun() string {
-	m := c.measure(false)
-	_, ok, why := c.whole(patience)
+// awaitStart waits until a fleet that starts knows all, and says why it does not, with whether the machine bore it.
+func (c *testFleet) awaitStart() string {
+	m := c.startMeter(false)
+	_, ok, reason := c.awaitConvergence(convergenceTimeout)
 	s := m.end()
 	if ok {
 		return ""
 	}
-	return strings.TrimSuffix("not whole: "+why+", "+s.void, ", ")
+	return strings.TrimSuffix("not whole: "+reason+", "+s.void, ", ")
 }
 
 // traffic is what has passed all agents' sockets, those that were killed included.
-func (c *crew) traffic() (sum hollow.Traffic) {
+func (c *testFleet) traffic() (sum hollow.Traffic) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range slices.Concat(c.agents, c.killed) {
@@ -363,19 +363,19 @@
 			sum.Out[p].Bytes += t.Out[p].Bytes
 			sum.Out[p].Messages += t.Out[p].Messages
 		}
-		sum.Strangers.Bytes += t.Strangers.Bytes
-		sum.Strangers.Messages += t.Strangers.Messages
+		sum.FromRealAgents.Bytes += t.FromRealAgents.Bytes
+		sum.FromRealAgents.Messages += t.FromRealAgents.Messages
 	}
 	return sum
 }
 
 // restart kills agent i, and starts it anew at its address.
-func (c *crew) restart(i int) {
+func (c *testFleet) restart(i int) {
 	c.start(i, c.kill(i))
 }
 
 // kill kills agent i, and returns its address.
-func (c *crew) kill(i int) string {
+func (c *testFleet) kill(i int) string {
 	a := c.agents[i]
 	a.Kill()
 	c.mu.Lock()
@@ -384,8 +384,8 @@
 	return a.Addr()
 }
 
-func (c *crew) close() {
-	c.parts.stop(c.t)
+func (c *testFleet) close() {
+	c.quotaSums.stop(c.t)
 	var all sync.WaitGroup
 	for _, a := range c.agents {
 		if a != nil {
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -26,8 +26,8 @@
 type Mode string
 
 const (
-	Flat Mode = "flat" // everyone is a member, and tells everyone
-	Hubs Mode = "hubs" // each has one stream to one hub
+	FullMesh Mode = "flat" // everyone is a member, and tells everyone
+	Hubs     Mode = "hubs" // each has one stream to one hub
 )
 
 // Change is what can change for an agent by its fleet.
@@ -43,50 +43,50 @@
 
 // Spec is one agent.
 type Spec struct {
-	Mode       Mode
-	Name, Zone string
-	Zones      []string
-	Listen     string          // "": any port of loopback
-	Seeds      []string        // of a flat fleet
-	Hubs       []hubclient.Hub // of a fleet with hubs
-	Region     string          // with hubs: an agent whose own hub is away prefers those of its region
-	Label      string
-	Most       int
-	Matrix     bool
-	Service    string                                         // the list service's address; "": lists are not followed
-	Source     bool                                           // of the residency policy
-	Network    *Network                                       // nil: one without faults
-	Acted      func(what Change, version int64, at time.Time) // must not wait; may be nil
+	Mode           Mode
+	Name, Zone     string
+	Zones          []string
+	Listen         string          // "": any port of loopback
+	Seeds          []string        // of a flat fleet
+	Hubs           []hubclient.Hub // of a fleet with hubs
+	Region         string          // with hubs: an agent whose own hub is away prefers those of its region
+	Label          string
+	MaxMembers     int
+	MeasureLatency bool
+	ListService    string                                         // the list service's address; "": lists are not followed
+	PolicySource   bool                                           // of the residency policy
+	Network        *Network                                       // nil: one without faults
+	OnApplied      func(what Change, version int64, at time.Time) // must not wait; may be nil
 }
 
 // State is what an agent knows.
 type State struct {
 	Members                int     // this one included; as hubs tell it, where there are hubs
-	Part                   float64 // of the in-flight limit; 0: none told yet
-	Distances              int     // zones to which a round trip is known
+	Quota                  float64 // of the in-flight limit; 0: none told yet
+	MeasuredZones          int     // zones to which a round trip is known
 	Policy, List, Settings int64   // versions; 0: none, as settings are always
 }
 
 // Agent is a hollow agent that runs.
 type Agent struct {
-	spec     Spec
-	wire     *wire
-	place    place
-	fleet    *fleet.Fleet      // nil: it has a hub
-	spoke    *hubclient.Client // nil: the fleet is flat
-	holder   *residency.Holder
-	follower *discovery.Watcher
-	end      context.CancelFunc
-	tasks    sync.WaitGroup
-	part     atomic.Uint64 // bits of a float64
-	trips    atomic.Int32
-	list     atomic.Int64
-	policy   atomic.Int64
-	settings atomic.Int64
+	spec            Spec
+	wire            *wire
+	client          fleetClient
+	fleet           *fleet.Fleet      // nil: it has a hub
+	hubClient       *hubclient.Client // nil: the fleet is flat
+	policyHolder    *residency.Holder
+	watcher         *discovery.Watcher
+	cancel          context.CancelFunc
+	tasks           sync.WaitGroup
+	quotaBits       atomic.Uint64 // bits of a float64
+	measuredZones   atomic.Int32
+	listVersion     atomic.Int64
+	policyVersion   atomic.Int64
+	settingsVersion atomic.Int64
 }
 
-// place is an agent's place in its fleet.
-type place interface {
+// fleetClient is an agent's place in its fleet.
+type fleetClient interface {
 	source.Selector
 	Run(ctx context.Context) error
 	Addr() string
@@ -95,92 +95,92 @@
 // What the agent's own settings say of a call for lists.
 const (
 	connectTimeout = time.Second
-	bound          = 10 * time.Second // of the policy's age
+	maxPolicyAge   = 10 * time.Second // of the policy's age
 	listRate       = 50
 )
 
 // Start starts an agent.
-func Start(s Spec) (*Agent, error) {
-	if s.Mode != Flat && s.Mode != Hubs {
-		return nil, fmt.Errorf("there is no mode %q", s.Mode)
+func Start(spec Spec) (*Agent, error) {
+	if spec.Mode != FullMesh && spec.Mode != Hubs {
+		return nil, fmt.Errorf("there is no mode %q", spec.Mode)
 	}
-	if s.Network == nil {
-		s.Network = NewNetwork()
+	if spec.Network == nil {
+		spec.Network = NewNetwork()
 	}
-	if s.Listen == "" {
-		s.Listen = "127.0.0.1:0"
+	if spec.Listen == "" {
+		spec.Listen = "127.0.0.1:0"
 	}
 	log := slog.New(slog.DiscardHandler)
-	a := &Agent{spec: s, wire: &wire{net: s.Network, zone: s.Zone}}
-	a.holder = residency.NewHolder(s.Zones, bound, s.Source, log, func(version int64, _ []string) error {
-		a.policy.Store(version)
-		a.acted(Policy, version)
+	a := &Agent{spec: spec, wire: &wire{net: spec.Network, zone: spec.Zone}}
+	a.policyHolder = residency.NewHolder(spec.Zones, maxPolicyAge, spec.PolicySource, log, func(version int64, _ []string) error {
+		a.policyVersion.Store(version)
+		a.reportApplied(Policy, version)
 		return nil
 	})
-	told := fleet.Callbacks{Quota: func(part float64) { a.part.Store(math.Float64bits(part)) }, Latencies: a.far}
+	callbacks := fleet.Callbacks{Quota: func(quota float64) { a.quotaBits.Store(math.Float64bits(quota)) }, Latencies: a.recordLatencies}
 	var err error
-	if s.Mode == Hubs {
-		err = a.attach(log, told)
+	if spec.Mode == Hubs {
+		err = a.attachToHub(log, callbacks)
 	} else {
-		err = a.join(log, told)
+		err = a.joinMesh(log, callbacks)
 	}
 	if err != nil {
 		return nil, err
 	}
-	s.Network.Place(a.place.Addr(), s.Zone)
-	ctx, end := context.WithCancel(context.Background())
-	a.end = end
-	a.tasks.Go(func() { _ = a.place.Run(ctx) }) // that its sockets are closed is how a kill ends it
-	if s.Service != "" {
-		a.follow(ctx, log)
+	spec.Network.SetZone(a.client.Addr(), spec.Zone)
+	ctx, cancel := context.WithCancel(context.Background())
+	a.cancel = cancel
+	a.tasks.Go(func() { _ = a.client.Run(ctx) }) // that its sockets are closed is how a kill ends it
+	if spec.ListService != "" {
+		a.followLists(ctx, log)
 	}
 	return a, nil
 }
 
-// join has the agent be a member of a flat fleet.
-func (a *Agent) join(log *slog.Logger, told fleet.Callbacks) (err error) {
-	s := &a.spec
-	a.fleet, err = fleet.New(fleet.Config{Name: s.Name, Site: s.Zone, Version: "hollow", Listen: s.Listen, Seeds: s.Seeds, Label: s.Label, MaxMembers: s.Most,
-		RelayedLists: true, ListRate: listRate, MeasureLatency: s.Matrix, Log: log, Residency: a.holder, PolicySource: s.Source, Wire: a.wire}, s.Zones, told)
-	a.place = a.fleet
+// joinMesh has the agent be a member of a flat fleet.
+func (a *Agent) joinMesh(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
+	spec := &a.spec
+	a.fleet, err = fleet.New(fleet.Config{Name: spec.Name, Site: spec.Zone, Version: "hollow", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label, MaxMembers: spec.MaxMembers,
+		RelayedLists: true, ListRate: listRate, MeasureLatency: spec.MeasureLatency, Log: log, Residency: a.policyHolder, PolicySource: spec.PolicySource, Wire: a.wire}, spec.Zones, callbacks)
+	a.client = a.fleet
 	return err
 }
 
-// far takes how far the zones are.
-func (a *Agent) far(trips []time.Duration, _ []float64) {
-	known := int32(0)
-	for _, d := range trips {
+// recordLatencies takes how far the zones are.
+func (a *Agent) recordLatencies(roundTrips []time.Duration, _ []float64) {
+	measured := int32(0)
+	for _, d := range roundTrips {
 		if d > 0 {
-			known++
+			measured++
 		}
 	}
-	a.trips.Store(known)
+	a.measuredZones.Store(measured)
 }
 
-// follow follows lists as an agent does: the decision module asks for a watch, and again with a growing wait after a failure.
-func (a *Agent) follow(ctx context.Context, log *slog.Logger) {
-	born, fails := time.Now(), 0
-	a.follower = discovery.New(discovery.Config{
-		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: func(t time.Time) time.Duration { return t.Sub(born) }, Log: log},
-		Addr:       a.spec.Service, Polled: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.place,
-		Deliver: func(u discovery.Update) {
-			if u.Endpoints.Kind != balancer.UpdateFailed {
-				fails = 0
-				a.acted(List, a.list.Load())
+// followLists follows lists as an agent does: the decision module asks for a watch, and again with a growing wait after a failure.
+func (a *Agent) followLists(ctx context.Context, log *slog.Logger) {
+	startedAt, failures := time.Now(), 0
+	a.watcher = discovery.New(discovery.Config{
+		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: func(t time.Time) time.Duration { return t.Sub(startedAt) }, Log: log},
+		Addr:       a.spec.ListService, Polled: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.client,
+		Deliver: func(update discovery.Update) {
+			if update.Endpoints.Kind != balancer.UpdateFailed {
+				failures = 0
+				a.reportApplied(List, a.listVersion.Load())
 				return
 			}
-			wait := time.Duration(rand.Float64() * float64(min(100*time.Millisecond<<min(fails, 5), 2*time.Second)))
-			fails++
-			time.AfterFunc(wait, a.follower.Subscribe)
+			backoff := time.Duration(rand.Float64() * float64(min(100*time.Millisecond<<min(failures, 5), 2*time.Second)))
+			failures++
+			time.AfterFunc(backoff, a.watcher.Subscribe)
 		}})
-	a.follower.Record = func(_ string, m *discovery.EndpointList) { a.list.Store(m.Version) }
-	a.follower.Subscribe()
-	a.tasks.Go(func() { a.follower.Run(ctx) })
+	a.watcher.Record = func(_ string, list *discovery.EndpointList) { a.listVersion.Store(list.Version) }
+	a.watcher.Subscribe()
+	a.tasks.Go(func() { a.watcher.Run(ctx) })
 }
 
-func (a *Agent) acted(what Change, version int64) {
-	if a.spec.Acted != nil {
-		a.spec.Acted(what, version, time.Now())
+func (a *Agent) reportApplied(change Change, version int64) {
+	if a.spec.OnApplied != nil {
+		a.spec.OnApplied(change, version, time.Now())
 	}
 }
 
@@ -188,25 +188,25 @@
 func (a *Agent) Spec() Spec { return a.spec }
 
 // Addr is where others reach it.
-func (a *Agent) Addr() string { return a.place.Addr() }
+func (a *Agent) Addr() string { return a.client.Addr() }
 
 // State is what it knows now.
 func (a *Agent) State() State {
-	s := State{Part: a.Part(), Distances: int(a.trips.Load()), Policy: a.policy.Load(), List: a.list.Load(), Settings: a.settings.Load()}
+	state := State{Quota: a.Quota(), MeasuredZones: int(a.measuredZones.Load()), Policy: a.policyVersion.Load(), List: a.listVersion.Load(), Settings: a.settingsVersion.Load()}
 	if a.fleet != nil {
-		s.Members = a.fleet.Count()
+		state.Members = a.fleet.Count()
 	} else {
-		s.Members = int(a.spoke.Status().FleetSize.Attached)
+		state.Members = int(a.hubClient.Status().FleetSize.Attached)
 	}
-	return s
+	return state
 }
 
-// Part is the part of the in-flight limit that it uses now; 0: none told yet, or it has ended.
-func (a *Agent) Part() float64 {
+// Quota is the part of the in-flight limit that it uses now; 0: none told yet, or it has ended.
+func (a *Agent) Quota() float64 {
 	if a.wire.dead.Load() {
 		return 0
 	}
-	return math.Float64frombits(a.part.Load())
+	return math.Float64frombits(a.quotaBits.Load())
 }
 
 // Members are those that it knows of. An agent of a hub knows none.
@@ -217,8 +217,10 @@
 	return a.fleet.Members()
 }
 
-// Give gives a policy at a source.
-func (a *Agent) Give(version int64, text string) error { return a.holder.Apply(version, text) }
+// ApplyPolicy gives a policy at a source.
+func (a *Agent) ApplyPolicy(version int64, text string) error {
+	return a.policyHolder.Apply(version, text)
+}
 
 // Traffic is what has passed its sockets.
 func (a *Agent) Traffic() Traffic { return a.wire.traffic() }
@@ -226,19 +228,19 @@
 // Stop says goodbye, and returns when the agent has ended.
 func (a *Agent) Stop() {
 	a.Resume()
-	a.end()
+	a.cancel()
 	a.tasks.Wait()
-	a.wire.end()
+	a.wire.kill()
 }
 
 // Kill ends the agent without a goodbye: its sockets close at once. What its tasks still do is waited for by Wait.
 func (a *Agent) Kill() {
-	a.wire.end()
+	a.wire.kill()
 	a.Resume()
 	if a.fleet != nil {
 		_ = a.fleet.Abort() // closed is all that it is to be
 	}
-	a.end()
+	a.cancel()
 }
 
 // Wait waits until a killed agent has ended.
--- a/internal/scale/hollow/hubs.go
+++ b/internal/scale/hollow/hubs.go
@@ -11,19 +11,19 @@
 	"martenbeam/internal/settings"
 )
 
-// attach has the agent have a hub.
-func (a *Agent) attach(log *slog.Logger, told fleet.Callbacks) (err error) {
-	s := &a.spec
-	held := settings.NewHolder(settings.Config{Log: log, Apply: func(x *settings.Settings) ([]string, error) {
-		a.settings.Store(x.Version)
-		a.acted(Settings, x.Version)
+// attachToHub has the agent have a hub.
+func (a *Agent) attachToHub(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
+	spec := &a.spec
+	settingsHolder := settings.NewHolder(settings.Config{Log: log, Apply: func(document *settings.Settings) ([]string, error) {
+		a.settingsVersion.Store(document.Version)
+		a.reportApplied(Settings, document.Version)
 		return nil, nil
 	}})
-	a.spoke, err = hubclient.New(hubclient.Config{Name: s.Name, Site: s.Zone, Region: s.Region, Version: "hollow", Label: s.Label, Listen: s.Listen, Hubs: s.Hubs,
-		MaxAgents: s.Most, AwaitAddress: !strings.HasSuffix(s.Listen, ":0"), Relayed: true, ListRate: listRate, Residency: a.holder, Settings: held, Log: log,
+	a.hubClient, err = hubclient.New(hubclient.Config{Name: spec.Name, Site: spec.Zone, Region: spec.Region, Version: "hollow", Label: spec.Label, Listen: spec.Listen, Hubs: spec.Hubs,
+		MaxAgents: spec.MaxMembers, AwaitAddress: !strings.HasSuffix(spec.Listen, ":0"), Relayed: true, ListRate: listRate, Residency: a.policyHolder, Settings: settingsHolder, Log: log,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return a.wire.Dial(ctx, &net.Dialer{KeepAlive: -1}, addr)
-		}}, s.Zones, told)
-	a.place = a.spoke
+		}}, spec.Zones, callbacks)
+	a.client = a.hubClient
 	return err
 }
--- a/internal/scale/hollow/wire.go
+++ b/internal/scale/hollow/wire.go
@@ -17,24 +17,24 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Part is what bytes between agents are about.
-type Part int
+// TrafficKind is what bytes between agents are about.
+type TrafficKind int
 
 const (
-	Members Part = iota // the membership, its packets and its streams
-	Facts
-	Distances // round trips; the rows that tell of them are facts
+	Membership TrafficKind = iota // the membership, its packets and its streams
+	Gossip
+	Latencies // round trips; the rows that tell of them are facts
 	Lists
 	Policies
 	HubStream // states and facts, between an agent and its hub
-	SettingsTexts
-	parts
+	SettingsDocuments
+	numTrafficKinds
 )
 
 // Parts are all of them.
-var Parts = []Part{Members, Facts, Distances, Lists, Policies, HubStream, SettingsTexts}
+var TrafficKinds = []TrafficKind{Membership, Gossip, Latencies, Lists, Policies, HubStream, SettingsDocuments}
 
-func (p Part) String() string {
+func (p TrafficKind) String() string {
 	return [...]string{"members", "facts", "distances", "list", "policy", "hub stream", "settings"}[p]
 }
 
@@ -43,8 +43,8 @@
 
 // Traffic is what has passed an agent's sockets, by part.
 type Traffic struct {
-	In, Out   [parts]Count
-	Strangers Count // of the datagrams that came, those of agents that are not hollow
+	In, Out        [numTrafficKinds]Count
+	FromRealAgents Count // of the datagrams that came, those of agents that are not hollow
 }
 
 // Network is what lies between agents. Its faults hold for all of them.
@@ -54,42 +54,42 @@
 }
 
 type faults struct {
-	cut  map[string]bool // zones that reach nobody outside, and whom nobody reaches
-	loss float64
+	isolated map[string]bool // zones that reach nobody outside, and whom nobody reaches
+	lossRate float64
 }
 
 // resend is how much later a stream's write arrives that was lost once.
-const resend = 200 * time.Millisecond
+const retransmitDelay = 200 * time.Millisecond
 
 // NewNetwork is a network without faults.
 func NewNetwork() *Network { return &Network{} }
 
-// Place says in which zone an address is.
-func (n *Network) Place(addr, zone string) {
-	if at, err := netip.ParseAddrPort(addr); err == nil {
-		n.zones.Store(at, zone)
+// SetZone says in which zone an address is.
+func (n *Network) SetZone(addr, zone string) {
+	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
+		n.zones.Store(addrPort, zone)
 	}
 }
 
-// Cut cuts zones off from all others and from the list service. None: every cut is healed.
-func (n *Network) Cut(zones ...string) {
-	f := &faults{cut: map[string]bool{}}
-	if old := n.faults.Load(); old != nil {
-		f.loss = old.loss
+// Isolate cuts zones off from all others and from the list service. None: every cut is healed.
+func (n *Network) Isolate(zones ...string) {
+	next := &faults{isolated: map[string]bool{}}
+	if current := n.faults.Load(); current != nil {
+		next.lossRate = current.lossRate
 	}
-	for _, z := range zones {
-		f.cut[z] = true
+	for _, zone := range zones {
+		next.isolated[zone] = true
 	}
-	n.faults.Store(f)
+	n.faults.Store(next)
 }
 
-// Lose has a share of all datagrams lost, and as many of the streams' writes come late.
-func (n *Network) Lose(share float64) {
-	f := &faults{loss: share}
-	if old := n.faults.Load(); old != nil {
-		f.cut = old.cut
+// SetLoss has a share of all datagrams lost, and as many of the streams' writes come late.
+func (n *Network) SetLoss(share float64) {
+	next := &faults{lossRate: share}
+	if current := n.faults.Load(); current != nil {
+		next.isolated = current.isolated
 	}
-	n.faults.Store(f)
+	n.faults.Store(next)
 }
 
 func (n *Network) zoneOf(at netip.AddrPort) string {
@@ -98,14 +98,14 @@
 	return name
 }
 
-func (n *Network) isCut(a, b string) bool {
+func (n *Network) partitioned(a, b string) bool {
 	f := n.faults.Load()
-	return f != nil && a != b && (f.cut[a] || f.cut[b])
+	return f != nil && a != b && (f.isolated[a] || f.isolated[b])
 }
 
-func (n *Network) loses() bool {
+func (n *Network) drops() bool {
 	f := n.faults.Load()
-	return f != nil && f.loss > 0 && rand.Float64() < f.loss
+	return f != nil && f.lossRate > 0 && rand.Float64() < f.lossRate
 }
 
 // wire is one agent's.
@@ -113,8 +113,8 @@
 	net  *Network
 	zone string
 
-	in, out   [parts]counter
-	strangers counter
+	in, out        [numTrafficKinds]counter
+	fromRealAgents counter
 
 	dead   atomic.Bool // killed, or stopped
 	paused atomic.Bool
@@ -129,7 +129,7 @@
 	c.messages.Add(1)
 }
 
-func (c *counter) now() Count { return Count{c.bytes.Load(), c.messages.Load()} }
+func (c *counter) snapshot() Count { return Count{c.bytes.Load(), c.messages.Load()} }
 
 var _ member.Wire = (*wire)(nil)
 
@@ -150,10 +150,10 @@
 	}
 }
 
-func (w *wire) end() { w.dead.Store(true) }
+func (w *wire) kill() { w.dead.Store(true) }
 
-// wait waits while the agent is paused.
-func (w *wire) wait(done <-chan struct{}) {
+// waitWhilePaused waits while the agent is paused.
+func (w *wire) waitWhilePaused(done <-chan struct{}) {
 	for w.paused.Load() {
 		w.mu.Lock()
 		gate := w.gate
@@ -166,113 +166,113 @@
 	}
 }
 
-func (w *wire) count(p Part, n int, out bool) {
-	c := &w.in[p]
+func (w *wire) count(kind TrafficKind, size int, out bool) {
+	c := &w.in[kind]
 	if out {
-		c = &w.out[p]
+		c = &w.out[kind]
 	}
-	c.add(n)
+	c.add(size)
 }
 
 func (w *wire) traffic() (t Traffic) {
-	for p := range parts {
-		t.In[p], t.Out[p] = w.in[p].now(), w.out[p].now()
+	for kind := range numTrafficKinds {
+		t.In[kind], t.Out[kind] = w.in[kind].snapshot(), w.out[kind].snapshot()
 	}
-	t.Strangers = w.strangers.now()
+	t.FromRealAgents = w.fromRealAgents.snapshot()
 	return t
 }
 
 // Packet loses and holds datagrams on the side that sends: what was sent then comes.
 func (w *wire) Packet(data []byte, peer netip.AddrPort, out bool) bool {
-	w.wait(nil)
+	w.waitWhilePaused(nil)
 	if w.dead.Load() {
 		return false
 	}
 	if !out && w.net.zoneOf(peer) == "" {
-		w.strangers.add(len(data))
+		w.fromRealAgents.add(len(data))
 	}
 	if data[0] == member.ProbeByte {
-		w.count(Distances, len(data), out)
+		w.count(Latencies, len(data), out)
 	} else {
-		facts := factsIn(data)
-		if rest := len(data) - facts; rest > 0 {
-			w.count(Members, rest, out)
+		gossip := gossipBytes(data)
+		if rest := len(data) - gossip; rest > 0 {
+			w.count(Membership, rest, out)
 		}
-		if facts > 0 {
-			w.count(Facts, facts, out)
+		if gossip > 0 {
+			w.count(Gossip, gossip, out)
 		}
 	}
-	return !out || !w.net.isCut(w.zone, w.net.zoneOf(peer)) && !w.net.loses()
+	return !out || !w.net.partitioned(w.zone, w.net.zoneOf(peer)) && !w.net.drops()
 }
 
 // First bytes of memberlist's packets.
 const (
-	compound, user, crc, labelled = 7, 8, 12, 244
+	compoundMsg, userMsg, hasCRCMsg, hasLabelMsg = 7, 8, 12, 244
 )
 
-// factsIn is how many bytes of a membership's packet are facts: its users' messages, alone or among others.
-func factsIn(p []byte) int {
-	if len(p) > 2 && p[0] == labelled {
-		p = p[min(len(p), 2+int(p[1])):]
+// gossipBytes is how many bytes of a membership's packet are facts: its users' messages, alone or among others.
+func gossipBytes(packet []byte) int {
+	if len(packet) > 2 && packet[0] == hasLabelMsg {
+		packet = packet[min(len(packet), 2+int(packet[1])):]
 	}
-	if len(p) > 5 && p[0] == crc {
-		p = p[5:]
+	if len(packet) > 5 && packet[0] == hasCRCMsg {
+		packet = packet[5:]
 	}
 	switch {
-	case len(p) > 0 && p[0] == user:
-		return len(p)
-	case len(p) < 2 || p[0] != compound:
+	case len(packet) > 0 && packet[0] == userMsg:
+		return len(packet)
+	case len(packet) < 2 || packet[0] != compoundMsg:
 		return 0
 	}
-	n := int(p[1])
-	if len(p) < 2+2*n {
+	n := int(packet[1])
+	if len(packet) < 2+2*n {
 		return 0
 	}
-	sizes, rest, facts := p[2:2+2*n], p[2+2*n:], 0
+	sizes, rest, gossip := packet[2:2+2*n], packet[2+2*n:], 0
 	for i := range n {
 		size := int(binary.BigEndian.Uint16(sizes[2*i:]))
 		if size == 0 || size > len(rest) {
-			return facts
+			return gossip
 		}
-		if rest[0] == user {
-			facts += size
+		if rest[0] == userMsg {
+			gossip += size
 		}
 		rest = rest[size:]
 	}
-	return facts
+	return gossip
 }
 
-var errDead = errors.New("the agent was killed")
+var errKilled = errors.New("the agent was killed")
 
-// cutLook is how often who waits for a cut's end looks.
-const cutLook = 10 * time.Millisecond
+// faultPollInterval is how often who waits for a cut's end looks.
+const faultPollInterval = 10 * time.Millisecond
 
-func (w *wire) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+func (w *wire) Dial(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	zone := ""
-	if at, err := netip.ParseAddrPort(addr); err == nil {
-		zone = w.net.zoneOf(at)
+	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
+		zone = w.net.zoneOf(addrPort)
 	}
-	if d.Timeout > 0 {
+	if dialer.Timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, d.Timeout)
+		ctx, cancel = context.WithTimeout(ctx, dialer.Timeout)
 		defer cancel()
 	}
-	w.wait(ctx.Done())
-	for w.net.isCut(w.zone, zone) {
+	w.waitWhilePaused(ctx.Done())
+	for w.net.partitioned(w.zone, zone) {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(cutLook):
+		case <-time.After(faultPollInterval):
 		}
 	}
 	if w.dead.Load() {
-		return nil, errDead
+		return nil, errKilled
 	}
-	c, err := d.DialContext(ctx, "tcp", addr)
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return w.watched(c, zone), nil
+	return w.wrap(conn, zone), nil
 }
 
 // dialService opens a stream to the list service, which is in no zone.
@@ -281,28 +281,28 @@
 }
 
 // Accepted takes the other side's stream. A cut holds on the side that dialled.
-func (w *wire) Accepted(c net.Conn) net.Conn { return w.watched(c, w.zone) }
+func (w *wire) Accepted(conn net.Conn) net.Conn { return w.wrap(conn, w.zone) }
 
-func (w *wire) watched(c net.Conn, zone string) net.Conn {
-	s := &stream{Conn: c, wire: w, zone: zone, ended: make(chan struct{})}
-	s.part.Store(-1)
-	return s
+func (w *wire) wrap(conn net.Conn, zone string) net.Conn {
+	wrapped := &stream{Conn: conn, wire: w, zone: zone, closed: make(chan struct{})}
+	wrapped.kind.Store(-1)
+	return wrapped
 }
 
 // stream counts what passes a connection. Its first bytes tell what it is about.
 type stream struct {
 	net.Conn
-	wire  *wire
-	zone  string // the other side's
-	part  atomic.Int32
-	once  sync.Once
-	ended chan struct{}
-	read  atomic.Pointer[time.Time] // deadlines
-	write atomic.Pointer[time.Time]
+	wire          *wire
+	zone          string // the other side's
+	kind          atomic.Int32
+	closeOnce     sync.Once
+	closed        chan struct{}
+	readDeadline  atomic.Pointer[time.Time] // deadlines
+	writeDeadline atomic.Pointer[time.Time]
 }
 
 func (s *stream) Close() error {
-	s.once.Do(func() { close(s.ended) })
+	s.closeOnce.Do(func() { close(s.closed) })
 	return s.Conn.Close()
 }
 
@@ -310,82 +310,82 @@
 func (s *stream) CloseWrite() error { return s.Conn.(*net.TCPConn).CloseWrite() }
 
 func (s *stream) SetDeadline(t time.Time) error {
-	s.read.Store(&t)
-	s.write.Store(&t)
+	s.readDeadline.Store(&t)
+	s.writeDeadline.Store(&t)
 	return s.Conn.SetDeadline(t)
 }
 
 func (s *stream) SetReadDeadline(t time.Time) error {
-	s.read.Store(&t)
+	s.readDeadline.Store(&t)
 	return s.Conn.SetReadDeadline(t)
 }
 
 func (s *stream) SetWriteDeadline(t time.Time) error {
-	s.write.Store(&t)
+	s.writeDeadline.Store(&t)
 	return s.Conn.SetWriteDeadline(t)
 }
 
-// hold waits while a cut or a pause holds what is on its way.
-func (s *stream) hold(limit *atomic.Pointer[time.Time]) error {
-	for s.wire.paused.Load() || s.wire.net.isCut(s.wire.zone, s.zone) {
-		if t := limit.Load(); t != nil && !t.IsZero() && time.Now().After(*t) {
+// waitWhileBlocked waits while a cut or a pause holds what is on its way.
+func (s *stream) waitWhileBlocked(deadline *atomic.Pointer[time.Time]) error {
+	for s.wire.paused.Load() || s.wire.net.partitioned(s.wire.zone, s.zone) {
+		if t := deadline.Load(); t != nil && !t.IsZero() && time.Now().After(*t) {
 			return os.ErrDeadlineExceeded
 		}
 		select {
-		case <-s.ended:
+		case <-s.closed:
 			return net.ErrClosed
-		case <-time.After(cutLook):
+		case <-time.After(faultPollInterval):
 		}
 	}
 	if s.wire.dead.Load() {
-		return errDead
+		return errKilled
 	}
 	return nil
 }
 
-func (s *stream) note(p []byte, out bool) {
-	if len(p) == 0 {
+func (s *stream) record(data []byte, out bool) {
+	if len(data) == 0 {
 		return
 	}
-	if s.part.Load() < 0 {
-		part := Members
+	if s.kind.Load() < 0 {
+		kind := Membership
 		switch {
-		case bytes.HasPrefix(p, []byte("GET /residency")):
-			part = Policies
-		case bytes.HasPrefix(p, []byte("GET "+frame.Path+" ")):
-			part = HubStream
-		case bytes.HasPrefix(p, []byte("GET /settings/")):
-			part = SettingsTexts
-		case bytes.HasPrefix(p, []byte("GET ")):
-			part = Lists
+		case bytes.HasPrefix(data, []byte("GET /residency")):
+			kind = Policies
+		case bytes.HasPrefix(data, []byte("GET "+frame.Path+" ")):
+			kind = HubStream
+		case bytes.HasPrefix(data, []byte("GET /settings/")):
+			kind = SettingsDocuments
+		case bytes.HasPrefix(data, []byte("GET ")):
+			kind = Lists
 		}
-		s.part.Store(int32(part))
+		s.kind.Store(int32(kind))
 	}
-	s.wire.count(Part(s.part.Load()), len(p), out)
+	s.wire.count(TrafficKind(s.kind.Load()), len(data), out)
 }
 
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if n > 0 {
-		if held := s.hold(&s.read); held != nil {
-			return 0, held
+		if blocked := s.waitWhileBlocked(&s.readDeadline); blocked != nil {
+			return 0, blocked
 		}
-		s.note(p[:n], false)
+		s.record(p[:n], false)
 	}
 	return n, err
 }
 
 func (s *stream) Write(p []byte) (int, error) {
-	if s.wire.net.loses() {
+	if s.wire.net.drops() {
 		select {
-		case <-s.ended:
-		case <-time.After(resend):
+		case <-s.closed:
+		case <-time.After(retransmitDelay):
 		}
 	}
-	if err := s.hold(&s.write); err != nil {
+	if err := s.waitWhileBlocked(&s.writeDeadline); err != nil {
 		return 0, err
 	}
 	n, err := s.Conn.Write(p)
-	s.note(p[:n], true)
+	s.record(p[:n], true)
 	return n, err
 }
--- a/internal/scale/hollow/wire_test.go
+++ b/internal/scale/hollow/wire_test.go
@@ -6,32 +6,32 @@
 )
 
 // Facts are told from what else is in a membership's packet, labelled, summed or neither.
-func TestFactsIn(t *testing.T) {
-	fact, ping := append([]byte{user}, "12345"...), []byte{0, 1, 2}
-	both := append([]byte{compound, 2, 0, byte(len(ping)), 0, byte(len(fact))}, append(bytes.Clone(ping), fact...)...)
-	label := append([]byte{labelled, 2}, "xy"...)
-	sum := []byte{crc, 1, 2, 3, 4}
+func TestGossipBytesAreCountedInEveryPacketForm(t *testing.T) {
+	gossip, ping := append([]byte{userMsg}, "12345"...), []byte{0, 1, 2}
+	both := append([]byte{compoundMsg, 2, 0, byte(len(ping)), 0, byte(len(gossip))}, append(bytes.Clone(ping), gossip...)...)
+	label := append([]byte{hasLabelMsg, 2}, "xy"...)
+	sum := []byte{hasCRCMsg, 1, 2, 3, 4}
 	for name, c := range map[string]struct {
 		packet []byte
 		want   int
 	}{
-		"alone":            {fact, len(fact)},
+		"alone":            {gossip, len(gossip)},
 		"none":             {ping, 0},
-		"among others":     {both, len(fact)},
-		"labelled":         {append(bytes.Clone(label), both...), len(fact)},
-		"labelled, summed": {append(append(bytes.Clone(label), sum...), both...), len(fact)},
+		"among others":     {both, len(gossip)},
+		"labelled":         {append(bytes.Clone(label), both...), len(gossip)},
+		"labelled, summed": {append(append(bytes.Clone(label), sum...), both...), len(gossip)},
 		"cut off":          {both[:len(both)-1], 0},
-		"too short":        {[]byte{compound, 9, 0}, 0},
-		"label too long":   {[]byte{labelled, 200, 1}, 0},
+		"too short":        {[]byte{compoundMsg, 9, 0}, 0},
+		"label too long":   {[]byte{hasLabelMsg, 200, 1}, 0},
 	} {
-		if got := factsIn(c.packet); got != c.want {
+		if got := gossipBytes(c.packet); got != c.want {
 			t.Errorf("%s: %d bytes, want %d", name, got, c.want)
 		}
 	}
 }
 
 // An unknown mode is an error.
-func TestModes(t *testing.T) {
+func TestStartRejectsAnUnknownMode(t *testing.T) {
 	if _, err := Start(Spec{Mode: "ring"}); err == nil {
 		t.Error("an agent started in a mode that there is not")
 	}
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -18,73 +18,73 @@
 	"martenbeam/internal/scale/hollow"
 )
 
-// built is the program, built once for all tests.
-func built(t testing.TB) string {
-	program, err := build()
+// builtProgram is the program, built once for all tests.
+func builtProgram(t testing.TB) string {
+	program, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return program
 }
 
-var build = sync.OnceValues(func() (string, error) {
-	program := filepath.Join(scratch, "martenbeam")
+var buildProgram = sync.OnceValues(func() (string, error) {
+	program := filepath.Join(scratchDir, "martenbeam")
 	if text, err := exec.Command("go", "build", "-o", program, "martenbeam/cmd/martenbeam").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, text)
 	}
 	return program, nil
 })
 
-var scratch string // a folder for all tests
+var scratchDir string // a folder for all tests
 
 func TestMain(m *testing.M) {
 	var err error
-	if scratch, err = os.MkdirTemp("", "scale"); err != nil {
+	if scratchDir, err = os.MkdirTemp("", "scale"); err != nil {
 		panic(err) // nothing can be tested
 	}
-	if err := os.Setenv("TMPDIR", scratch); err != nil { // where processes keep what they keep
+	if err := os.Setenv("TMPDIR", scratchDir); err != nil { // where processes keep what they keep
 		panic(err)
 	}
 	code := m.Run()
-	os.RemoveAll(scratch)
+	os.RemoveAll(scratchDir)
 	os.Exit(code)
 }
 
-// hubs are the hubs of a fleet, one a zone, each a process of its own. Policy and settings are given to the first.
-type hubs struct {
-	program, dir string
-	label        string
-	service      string
-	most         int
-	matrix       bool
-	settings     int64 // the version that was given last
+// hubProcesses are the hubs of a fleet, one a zone, each a process of its own. Policy and settings are given to the first.
+type hubProcesses struct {
+	program, dir    string
+	label           string
+	service         string
+	maxMembers      int
+	matrix          bool
+	settingsVersion int64 // the version that was given last
 
 	addrs     []string // by zone
 	processes []*exec.Cmd
 }
 
 // startHubs starts a hub in each zone, and gives a policy and settings to the first.
-func startHubs(t testing.TB, c *crew) *hubs {
-	h := &hubs{program: built(t), dir: t.TempDir(), label: c.label, service: c.service.addr, most: c.n + c.others, matrix: c.matrix,
+func startHubs(t testing.TB, c *testFleet) *hubProcesses {
+	h := &hubProcesses{program: builtProgram(t), dir: t.TempDir(), label: c.label, service: c.service.addr, maxMembers: c.n + c.realAgents, matrix: c.matrix,
 		addrs: make([]string, len(zones)), processes: make([]*exec.Cmd, len(zones))}
 	t.Cleanup(func() {
 		for i := range zones {
 			h.kill(i)
 		}
 	})
-	h.givePolicy(t, c.policy)
-	h.change(t)
+	h.writePolicy(t, c.policy)
+	h.writeSettings(t)
 	for i := range zones {
 		h.start(t, i)
-		c.net.Place(h.addrs[i], zones[i])
+		c.net.SetZone(h.addrs[i], zones[i])
 	}
 	return h
 }
 
-func (h *hubs) file(name string) string { return filepath.Join(h.dir, name) }
+func (h *hubProcesses) file(name string) string { return filepath.Join(h.dir, name) }
 
 // config is a hub's configuration.
-func (h *hubs) config(i int) string {
+func (h *hubProcesses) config(i int) string {
 	quoted := func(list []string) string {
 		var b []string
 		for _, s := range list {
@@ -100,17 +100,17 @@
 	}
 	seeds := append(append([]string{}, h.addrs[:i]...), h.addrs[i+1:]...)
 	text := fmt.Sprintf("name = \"hub-%s\"\nzone = %q\nlabel = %q\nlisten = %q\nseeds = %s\nmost = %d\nmatrix = %t\ndiscovery = %q\nzones = %s\n",
-		zones[i], zones[i], h.label, listen, quoted(seeds), h.most, h.matrix, h.service, quoted(zones))
+		zones[i], zones[i], h.label, listen, quoted(seeds), h.maxMembers, h.matrix, h.service, quoted(zones))
 	if i == 0 {
 		text += fmt.Sprintf("[settings]\nfile = %q\n[residency]\nfile = %q\n", h.file("settings.toml"), h.file("policy.toml"))
 	}
 	return text
 }
 
-var listening = regexp.MustCompile(`listening.*address=(\S+)`)
+var listeningLine = regexp.MustCompile(`listening.*address=(\S+)`)
 
 // start starts a hub's process, at the address that it had, and waits until it listens.
-func (h *hubs) start(t testing.TB, i int) {
+func (h *hubProcesses) start(t testing.TB, i int) {
 	name := h.file(zones[i])
 	if err := os.WriteFile(name+".toml", []byte(h.config(i)), 0o600); err != nil {
 		t.Fatal(err)
@@ -126,12 +126,12 @@
 		t.Fatal(err)
 	}
 	h.processes[i] = cmd
-	for end := time.Now().Add(patience); ; time.Sleep(pollEvery) {
+	for end := time.Now().Add(convergenceTimeout); ; time.Sleep(pollInterval) {
 		text, err := os.ReadFile(name + ".log")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m := listening.FindSubmatch(text); m != nil {
+		if m := listeningLine.FindSubmatch(text); m != nil {
 			h.addrs[i] = strings.Trim(string(m[1]), `"`)
 			return
 		}
@@ -142,7 +142,7 @@
 }
 
 // kill ends a hub's process at once.
-func (h *hubs) kill(i int) {
+func (h *hubProcesses) kill(i int) {
 	if cmd := h.processes[i]; cmd != nil {
 		_ = cmd.Process.Kill() // ended already if it fails
 		_ = cmd.Wait()         // killed
@@ -150,8 +150,8 @@
 	}
 }
 
-// known are the hubs that agents know: all, or the first alone.
-func (h *hubs) known(one bool) (list []hubclient.Hub) {
+// configured are the hubs that agents know: all, or the first alone.
+func (h *hubProcesses) configured(one bool) (list []hubclient.Hub) {
 	for i, addr := range h.addrs {
 		if i == 0 || !one {
 			list = append(list, hubclient.Hub{Zone: zones[i], Region: zones[i][:1], Addr: addr})
@@ -160,8 +160,8 @@
 	return list
 }
 
-// give replaces a file as a whole.
-func (h *hubs) give(t testing.TB, name, text string) {
+// replaceFile replaces a file as a whole.
+func (h *hubProcesses) replaceFile(t testing.TB, name, text string) {
 	file := h.file(name)
 	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -171,50 +171,52 @@
 	}
 }
 
-func (h *hubs) givePolicy(t testing.TB, version int64) { h.give(t, "policy.toml", policyText(version)) }
+func (h *hubProcesses) writePolicy(t testing.TB, version int64) {
+	h.replaceFile(t, "policy.toml", policyText(version))
+}
 
-// change gives next settings, and says when and which.
-func (h *hubs) change(t testing.TB) (version int64, at time.Time) {
-	h.settings++
+// writeSettings gives next settings, and says when and which.
+func (h *hubProcesses) writeSettings(t testing.TB) (version int64, at time.Time) {
+	h.settingsVersion++
 	at = time.Now()
-	h.give(t, "settings.toml", fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", h.settings, 2+h.settings%3))
-	return h.settings, at
+	h.replaceFile(t, "settings.toml", fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", h.settingsVersion, 2+h.settingsVersion%3))
+	return h.settingsVersion, at
 }
 
-// hubDead makes a change at the moment at which one of the hubs dies, which is not the one that it is given to.
-func (c *crew) hubDead(r row, what hollow.Change, draw *rand.Rand) row {
+// changeWithDeadHub makes a change at the moment at which one of the hubs dies, which is not the one that it is given to.
+func (c *testFleet) changeWithDeadHub(r row, what hollow.Change, draw *rand.Rand) row {
 	r.Case, r.Values = what.String()+", one of seven hubs dead", map[string]float64{}
 	dead := 1 + draw.IntN(len(zones)-1)
-	m := c.measure(false)
+	m := c.startMeter(false)
 	c.hubs.kill(dead)
-	version, at := c.make(what)
-	c.spread(what, version, at, everyone, nil).values(r.Values, "")
+	version, at := c.makeChange(what)
+	c.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	c.hubs.start(c.t, dead)
-	return c.restored(r)
+	return c.awaitRecovery(r)
 }
 
 // hubMeter measures what the hubs' processes use.
 type hubMeter struct {
-	t    testing.TB
-	h    *hubs
-	used []time.Duration
+	t         testing.TB
+	hubs      *hubProcesses
+	cpuBefore []time.Duration
 }
 
 // meter begins; it may be of no hubs.
-func (h *hubs) meter(t testing.TB) *hubMeter {
-	m := &hubMeter{t: t, h: h}
+func (h *hubProcesses) meter(t testing.TB) *hubMeter {
+	m := &hubMeter{t: t, hubs: h}
 	if h != nil {
 		for i := range h.processes {
-			cpu, _ := m.look(i)
-			m.used = append(m.used, cpu)
+			cpu, _ := m.read(i)
+			m.cpuBefore = append(m.cpuBefore, cpu)
 		}
 	}
 	return m
 }
 
-func (m *hubMeter) look(i int) (time.Duration, float64) {
-	cpu, rss, err := used(m.h.processes[i].Process.Pid)
+func (m *hubMeter) read(i int) (time.Duration, float64) {
+	cpu, rss, err := processUsage(m.hubs.processes[i].Process.Pid)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -225,19 +227,19 @@
 // among themselves is not counted.
 func (m *hubMeter) end(s span) map[string]float64 {
 	v := map[string]float64{}
-	for i, before := range m.used {
-		cpu, rss := m.look(i)
-		used := (cpu - before).Seconds() * 1e3 / s.took.Seconds()
-		v["a hub: processor ms/s"] += used / float64(len(m.used))
-		v["a hub: resident MB"] += rss / 1e3 / float64(len(m.used))
+	for i, before := range m.cpuBefore {
+		cpu, rss := m.read(i)
+		used := (cpu - before).Seconds() * 1e3 / s.duration.Seconds()
+		v["a hub: processor ms/s"] += used / float64(len(m.cpuBefore))
+		v["a hub: resident MB"] += rss / 1e3 / float64(len(m.cpuBefore))
 		if i == 0 {
 			v["the first hub: processor ms/s"], v["the first hub: resident MB"] = used, rss/1e3
 		}
 	}
-	if n := float64(len(m.used)); n > 0 {
+	if n := float64(len(m.cpuBefore)); n > 0 {
 		for p := range s.traffic.Out {
-			v["a hub: bytes/s from its agents"] += float64(s.traffic.Out[p].Bytes) / s.took.Seconds() / n
-			v["a hub: bytes/s to its agents"] += float64(s.traffic.In[p].Bytes) / s.took.Seconds() / n
+			v["a hub: bytes/s from its agents"] += float64(s.traffic.Out[p].Bytes) / s.duration.Seconds() / n
+			v["a hub: bytes/s to its agents"] += float64(s.traffic.In[p].Bytes) / s.duration.Seconds() / n
 		}
 	}
 	return v
@@ -250,18 +252,18 @@
 		list = []int{14}
 	}
 	for _, n := range list {
-		for _, run := range ran() {
-			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) { keep(t, load(t, n, run)) })
+		for _, run := range runNumbers() {
+			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) { saveRows(t, measureLoad(t, n, run)) })
 		}
 	}
 }
 
-func load(t *testing.T, n, run int) row {
-	c := newCrew(t, hollow.Hubs, n, true)
-	c.one = true
+func measureLoad(t *testing.T, n, run int) row {
+	c := newTestFleet(t, hollow.Hubs, n, true)
+	c.firstHubOnly = true
 	c.startAll(time.Duration(n) * *pace)
 	r := row{Table: "load", Mode: string(hollow.Hubs), N: n, Matrix: true, Run: run, Case: "all at one hub"}
-	if r.Void = c.begun(); r.Void != "" {
+	if r.Void = c.awaitStart(); r.Void != "" {
 		return r
 	}
 	settle, measure := 100*time.Millisecond, 500*time.Millisecond
@@ -269,44 +271,44 @@
 		settle, measure = *warm, 2**window // hubs' time is counted in ticks of 10 ms
 	}
 	time.Sleep(settle) // what a start leaves is not an idle hub's
-	hubs, m := c.hubs.meter(t), c.measure(false)
+	hubs, m := c.hubs.meter(t), c.startMeter(false)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
 	all := hubs.end(s)
 	r.Void = s.void
 	r.Values = map[string]float64{"the hub: processor ms/s": all["the first hub: processor ms/s"], "the hub: resident MB": all["the first hub: resident MB"],
 		"the hub: bytes/s from its agents": all["a hub: bytes/s from its agents"] * float64(len(zones)), "the hub: bytes/s to its agents": all["a hub: bytes/s to its agents"] * float64(len(zones)),
-		"an agent: processor us/s": s.processor.Seconds() * 1e6 / float64(n) / s.took.Seconds(), "timers late ms p99": s.late.Seconds() * 1e3}
+		"an agent: processor us/s": s.cpu.Seconds() * 1e6 / float64(n) / s.duration.Seconds(), "timers late ms p99": s.late.Seconds() * 1e3}
 	return r
 }
 
-// sums follows how much of the in-flight limit all agents that run use together.
-type sums struct {
-	end  chan struct{}
-	done sync.WaitGroup
-	most float64
+// quotaWatch follows how much of the in-flight limit all agents that run use together.
+type quotaWatch struct {
+	end    chan struct{}
+	done   sync.WaitGroup
+	maxSum float64
 }
 
 const (
-	sumEvery = 50 * time.Millisecond
-	mostSum  = 1.1 // of the limit
+	sumInterval = 50 * time.Millisecond
+	maxQuotaSum = 1.1 // of the limit
 )
 
-// user is what has a part.
-type user interface{ Part() float64 }
+// quotaHolder is what has a part.
+type quotaHolder interface{ Quota() float64 }
 
-// sum is the parts' sum.
-func sum[U user](list []U) (all float64) {
+// sumQuotas is the parts' sum.
+func sumQuotas[U quotaHolder](list []U) (all float64) {
 	for _, u := range list {
-		all += u.Part()
+		all += u.Quota()
 	}
 	return all
 }
 
-func (c *crew) watchParts() *sums {
-	w := &sums{end: make(chan struct{})}
+func (c *testFleet) watchQuotas() *quotaWatch {
+	w := &quotaWatch{end: make(chan struct{})}
 	w.done.Go(func() {
-		tick := time.NewTicker(sumEvery)
+		tick := time.NewTicker(sumInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -314,14 +316,14 @@
 			case <-w.end:
 				return
 			}
-			w.most = max(w.most, sum(c.present()))
+			w.maxSum = max(w.maxSum, sumQuotas(c.present()))
 		}
 	})
 	return w
 }
 
 // present are the agents that were started, each number's latest.
-func (c *crew) present() (list []*hollow.Agent) {
+func (c *testFleet) present() (list []*hollow.Agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.agents {
@@ -333,45 +335,45 @@
 }
 
 // stop ends it, and fails the test if the sum was too large.
-func (w *sums) stop(t testing.TB) {
+func (w *quotaWatch) stop(t testing.TB) {
 	close(w.end)
 	w.done.Wait()
-	t.Logf("the parts' largest sum: %.3f of the limit", w.most)
-	if w.most > mostSum {
-		t.Errorf("the parts' sum came to %.3f of the limit", w.most)
+	t.Logf("the parts' largest sum: %.3f of the limit", w.maxSum)
+	if w.maxSum > maxQuotaSum {
+		t.Errorf("the parts' sum came to %.3f of the limit", w.maxSum)
 	}
 }
 
-// greedy is an agent that takes its part several times.
-type greedy struct {
-	part  float64
+// fakeQuotaHolder is an agent that takes its part several times.
+type fakeQuotaHolder struct {
+	quota float64
 	times int
 }
 
-func (g greedy) Part() float64 { return g.part * float64(g.times) }
+func (g fakeQuotaHolder) Quota() float64 { return g.quota * float64(g.times) }
 
 // The check of the parts' sum finds an agent that takes a part twice.
-func TestSums(t *testing.T) {
-	fair := greedy{0.2, 1}
+func TestQuotaSumFindsAnAgentThatCountsTwice(t *testing.T) {
+	fair := fakeQuotaHolder{0.2, 1}
 	for _, c := range []struct {
-		list []greedy
+		list []fakeQuotaHolder
 		bad  bool
-	}{{[]greedy{fair, fair, fair, fair, fair}, false}, {[]greedy{fair, fair, fair, fair, {0.2, 2}}, true}, {nil, false}} {
-		if got := sum(c.list); got > mostSum != c.bad {
+	}{{[]fakeQuotaHolder{fair, fair, fair, fair, fair}, false}, {[]fakeQuotaHolder{fair, fair, fair, fair, {0.2, 2}}, true}, {nil, false}} {
+		if got := sumQuotas(c.list); got > maxQuotaSum != c.bad {
 			t.Errorf("%v: %v", c.list, got)
 		}
 	}
 }
 
 // A hub's process is given what agents are to know, and names where it listens.
-func TestHubConfig(t *testing.T) {
-	h := &hubs{label: "x", most: 3, dir: "/d", addrs: make([]string, len(zones))}
+func TestHubConfigNamesItsSeedsAndAddress(t *testing.T) {
+	h := &hubProcesses{label: "x", maxMembers: 3, dir: "/d", addrs: make([]string, len(zones))}
 	h.addrs[0] = "127.0.0.1:7"
 	if first, third := h.config(0), h.config(2); !strings.Contains(first, "[settings]") || strings.Contains(third, "[settings]") ||
 		!strings.Contains(third, `seeds = ["127.0.0.1:7"]`) || !strings.Contains(third, `zone = "a3"`) || !strings.Contains(first, `listen = "127.0.0.1:7"`) {
 		t.Errorf("%s\n%s", first, third)
 	}
-	if m := listening.FindSubmatch([]byte("level=INFO msg=hub step=listening name=h address=127.0.0.1:9\n")); !bytes.Equal(m[1], []byte("127.0.0.1:9")) {
+	if m := listeningLine.FindSubmatch([]byte("level=INFO msg=hub step=listening name=h address=127.0.0.1:9\n")); !bytes.Equal(m[1], []byte("127.0.0.1:9")) {
 		t.Errorf("%s", m)
 	}
 }
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -20,8 +20,8 @@
 	"martenbeam/internal/scale/hollow"
 )
 
-// processor is the time that this process has used.
-func processor() time.Duration {
+// processCPU is the time that this process has used.
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err) // its arguments are constants
@@ -29,8 +29,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// stolen is how much of its processors' time the machine was not given by its host, and of how much.
-func stolen() (steal, all float64) {
+// stolenTime is how much of its processors' time the machine was not given by its host, and of how much.
+func stolenTime() (steal, total float64) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0
@@ -39,17 +39,17 @@
 	for i, field := range strings.Fields(line)[1:] {
 		n, _ := strconv.ParseFloat(field, 64) // 0 if it is odd
 		if i < 8 {                            // guests' time is in users' already
-			all += n
+			total += n
 		}
 		if i == 7 {
 			steal = n
 		}
 	}
-	return steal, all
+	return steal, total
 }
 
-// resident is this process's resident memory, bytes.
-func resident() float64 {
+// residentBytes is this process's resident memory, bytes.
+func residentBytes() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
@@ -69,12 +69,12 @@
 	late []time.Duration
 }
 
-const beatEvery = 10 * time.Millisecond
+const beatInterval = 10 * time.Millisecond
 
 func watchLateness() *lateness {
 	l := &lateness{end: make(chan struct{})}
 	l.done.Go(func() {
-		for due := time.Now().Add(beatEvery); ; {
+		for due := time.Now().Add(beatInterval); ; {
 			select {
 			case <-l.end:
 				return
@@ -82,7 +82,7 @@
 			}
 			now := time.Now()
 			l.late = append(l.late, now.Sub(due))
-			due = now.Add(beatEvery)
+			due = now.Add(beatInterval)
 		}
 	})
 	return l
@@ -105,72 +105,72 @@
 
 // What the machine must do for a run to count.
 const (
-	mostLate = 20 * time.Millisecond // of 99 in a hundred beats
-	mostBusy = 0.85                  // of all cores
+	maxLateP99 = 20 * time.Millisecond // of 99 in a hundred beats
+	maxBusy    = 0.85                  // of all cores
 )
 
 // span is one measured span of a fleet, whole, to be divided by who asks.
 type span struct {
-	took      time.Duration
-	processor time.Duration
+	duration  time.Duration
+	cpu       time.Duration
 	traffic   hollow.Traffic
-	parts     map[string]time.Duration // processor time by part; nil: no profile
+	cpuByPart map[string]time.Duration // processor time by part; nil: no profile
 	late      time.Duration            // p99
-	lateMost  time.Duration
+	maxLate   time.Duration
 	steal     float64 // share of the machine's processors that its host gave to others
 	void      string
 }
 
 // meter measures a span.
 type meter struct {
-	c       *crew
-	began   time.Time
-	cpu     time.Duration
-	traffic hollow.Traffic
-	late    *lateness
-	steal   float64
-	all     float64
-	profile *bytes.Buffer
+	fleet     *testFleet
+	startedAt time.Time
+	cpu       time.Duration
+	traffic   hollow.Traffic
+	late      *lateness
+	steal     float64
+	total     float64
+	profile   *bytes.Buffer
 }
 
-// measure begins a span. One profile at most is taken at a time.
-func (c *crew) measure(profiled bool) *meter {
-	m := &meter{c: c, late: watchLateness(), traffic: c.traffic()}
+// startMeter begins a span. One profile at most is taken at a time.
+func (c *testFleet) startMeter(profiled bool) *meter {
+	m := &meter{fleet: c, late: watchLateness(), traffic: c.traffic()}
 	if profiled {
 		m.profile = &bytes.Buffer{}
 		if err := pprof.StartCPUProfile(m.profile); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	m.steal, m.all = stolen()
-	m.began, m.cpu = time.Now(), processor()
+	m.steal, m.total = stolenTime()
+	m.startedAt, m.cpu = time.Now(), processCPU()
 	return m
 }
 
 func (m *meter) end() span {
-	s := span{took: time.Since(m.began), processor: processor() - m.cpu}
-	now := m.c.traffic()
+	s := span{duration: time.Since(m.startedAt), cpu: processCPU() - m.cpu}
+	now := m.fleet.traffic()
 	for p := range now.In {
 		s.traffic.In[p] = hollow.Count{Bytes: now.In[p].Bytes - m.traffic.In[p].Bytes, Messages: now.In[p].Messages - m.traffic.In[p].Messages}
 		s.traffic.Out[p] = hollow.Count{Bytes: now.Out[p].Bytes - m.traffic.Out[p].Bytes, Messages: now.Out[p].Messages - m.traffic.Out[p].Messages}
 	}
-	s.traffic.Strangers = hollow.Count{Bytes: now.Strangers.Bytes - m.traffic.Strangers.Bytes, Messages: now.Strangers.Messages - m.traffic.Strangers.Messages}
-	if steal, all := stolen(); all > m.all {
-		s.steal = (steal - m.steal) / (all - m.all)
+	s.traffic.FromRealAgents = hollow.Count{Bytes: now.FromRealAgents.Bytes - m.traffic.FromRealAgents.Bytes, Messages: now.FromRealAgents.Messages - m.traffic.FromRealAgents.Messages}
+	if steal, all := stolenTime(); all > m.total {
+		s.steal = (steal - m.steal) / (all - m.total)
 	}
-	s.late, s.lateMost = m.late.stop()
+	s.late, s.maxLate = m.late.stop()
 	if m.profile != nil {
 		pprof.StopCPUProfile()
 		var err error
-		if s.parts, err = byPart(m.profile); err != nil {
-			m.c.t.Fatal(err)
+		if s.cpuByPart, err = cpuByPart(m.profile); err != nil {
+			m.fleet.t.Fatal(err)
 		}
 	}
-	busy := s.processor.Seconds() / s.took.Seconds() / float64(runtime.NumCPU())
+	busy := s.cpu.Seconds() / s.duration.Seconds() / float64(runtime.NumCPU())
 	switch {
-	case busy > mostBusy:
+	case busy > maxBusy:
 		s.void = fmt.Sprintf("processor %.0f%% busy, %.0f%% stolen by the host", 100*busy, 100*s.steal)
-	case s.late > mostLate:
+	case s.late > maxLateP99:
 		s.void = fmt.Sprintf("timers late: p99 %v, processor %.0f%% busy, %.0f%% stolen by the host", s.late.Round(time.Millisecond), 100*busy, 100*s.steal)
 	}
 	return s
@@ -181,11 +181,11 @@
 	debug.FreeOSMemory()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc), resident()
+	return float64(m.HeapAlloc), residentBytes()
 }
 
 // rules tell by a function on the stack whose a sample is, the first that matches anywhere.
-var rules = []struct {
+var profileRules = []struct {
 	part string
 	in   []string
 }{
@@ -204,7 +204,7 @@
 
 // partOf names the part of a stack. What no rule knows is the runtime's: its scheduler and its timers.
 func partOf(stack []string) string {
-	for _, r := range rules {
+	for _, r := range profileRules {
 		for _, f := range stack {
 			for _, in := range r.in {
 				if strings.Contains(f, in) {
@@ -216,8 +216,8 @@
 	return "runtime"
 }
 
-// byPart attributes a processor profile.
-func byPart(data *bytes.Buffer) (map[string]time.Duration, error) {
+// cpuByPart attributes a processor profile.
+func cpuByPart(data *bytes.Buffer) (map[string]time.Duration, error) {
 	p, err := profile.Parse(data)
 	if err != nil {
 		return nil, err
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -15,22 +15,24 @@
 )
 
 func realTable(t *testing.T) {
-	program := built(t)
-	for _, n := range sized(t, 16) {
-		for _, run := range ran() {
+	program := builtProgram(t)
+	for _, n := range fleetSizes(t, 16) {
+		for _, run := range runNumbers() {
 			real := 12
 			if !*full {
 				real = 2
 			}
-			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) { keep(t, realAmongHollow(t, program, hollow.Flat, n-real, real, run)) })
+			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) {
+				saveRows(t, measureRealAmongSimulated(t, program, hollow.FullMesh, n-real, real, run))
+			})
 		}
 	}
 }
 
-// agentConfig is a real agent's configuration that shares what a hollow one does.
-func (c *crew) agentConfig(i int) string {
+// realAgentConfig is a real agent's configuration that shares what a hollow one does.
+func (c *testFleet) realAgentConfig(i int) string {
 	var known []string
-	for _, a := range c.agents[:min(seeds, c.n)] {
+	for _, a := range c.agents[:min(numSeeds, c.n)] {
 		known = append(known, strconv.Quote(a.Addr()))
 	}
 	var names []string
@@ -59,11 +61,11 @@
 effect = "safe"
 aim = "1s"
 deadline = "2s"
-`, c.name(i), c.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), c.label, c.n+c.others)
+`, c.agentName(i), c.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), c.label, c.n+c.realAgents)
 }
 
-// used is the processor time of a process, and its resident memory, kB.
-func used(pid int) (cpu time.Duration, rss float64, err error) {
+// processUsage is the processor time of a process, and its resident memory, kB.
+func processUsage(pid int) (cpu time.Duration, rss float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0, err
@@ -84,21 +86,21 @@
 	return cpu, pages * float64(os.Getpagesize()) / 1e3, err
 }
 
-// realAmongHollow holds real agents' processes against the hollow ones of the same fleet, idle: what they use, and what one
+// measureRealAmongSimulated holds real agents' processes against the hollow ones of the same fleet, idle: what they use, and what one
 // sends to a hollow one.
-func realAmongHollow(t *testing.T, program string, mode hollow.Mode, n, real, run int) row {
-	c := newCrew(t, mode, n, true)
-	c.others = real
+func measureRealAmongSimulated(t *testing.T, program string, mode hollow.Mode, n, real, run int) row {
+	c := newTestFleet(t, mode, n, true)
+	c.realAgents = real
 	r := row{Table: "real", Mode: string(mode), N: n + real, Matrix: true, Run: run, Case: fmt.Sprintf("%d real among hollow ones", real)}
 	c.startAll(time.Duration(n) * *pace)
 	var processes []*exec.Cmd
 	dir := t.TempDir()
 	for i := n; i < n+real; i++ {
-		file := filepath.Join(dir, c.name(i)+".toml")
-		if err := os.WriteFile(file, []byte(c.agentConfig(i)), 0o644); err != nil {
+		file := filepath.Join(dir, c.agentName(i)+".toml")
+		if err := os.WriteFile(file, []byte(c.realAgentConfig(i)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		log, err := os.Create(filepath.Join(dir, c.name(i)+".log"))
+		log, err := os.Create(filepath.Join(dir, c.agentName(i)+".log"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,12 +117,12 @@
 		})
 		processes = append(processes, cmd)
 	}
-	if why := c.begun(); why != "" {
+	if reason := c.awaitStart(); reason != "" {
 		for i := n; i < n+real; i++ {
-			text, _ := os.ReadFile(filepath.Join(dir, c.name(i)+".log")) // "" tells as much
-			t.Logf("%s: %s", c.name(i), text[:min(len(text), 1000)])
+			text, _ := os.ReadFile(filepath.Join(dir, c.agentName(i)+".log")) // "" tells as much
+			t.Logf("%s: %s", c.agentName(i), text[:min(len(text), 1000)])
 		}
-		r.Void = why
+		r.Void = reason
 		return r
 	}
 	serving := func() bool { // the real ones have a list
@@ -131,7 +133,7 @@
 		}
 		return true
 	}
-	for end := time.Now().Add(patience); !serving(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(convergenceTimeout); !serving(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			r.Void = "not whole: a real agent has no list"
 			return r
@@ -144,7 +146,7 @@
 	time.Sleep(settle) // what a start leaves is not an idle agent's
 	usage := func() (cpu time.Duration, rss float64) {
 		for _, p := range processes {
-			one, mem, err := used(p.Process.Pid)
+			one, mem, err := processUsage(p.Process.Pid)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -153,34 +155,34 @@
 		return cpu, rss
 	}
 	before, _ := usage()
-	m := c.measure(false)
+	m := c.startMeter(false)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
 	after, rss := usage()
 	r.Void = s.void
-	var came, sent int64 // datagrams and streams
+	var received, sent int64 // datagrams and streams
 	for p := range s.traffic.In {
-		came, sent = came+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
+		received, sent = received+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
 	}
-	took := s.took.Seconds()
+	took := s.duration.Seconds()
 	// Targets are drawn evenly: what one agent sends to one other is what kinds can be held against each other by.
-	fromReal := float64(s.traffic.Strangers.Bytes) / float64(real*n) / took
-	fromHollow := float64(came-s.traffic.Strangers.Bytes) / float64(n*(n-1)) / took
+	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(real*n) / took
+	fromSimulated := float64(received-s.traffic.FromRealAgents.Bytes) / float64(n*(n-1)) / took
 	r.Values = map[string]float64{
-		"processor us/s, hollow": s.processor.Seconds() * 1e6 / float64(n) / took, "processor us/s, real": (after - before).Seconds() * 1e6 / float64(real) / took,
-		"bytes/s from one to one, hollow": fromHollow, "bytes/s from one to one, real": fromReal, "bytes/s out, hollow": float64(sent) / float64(n) / took,
+		"processor us/s, hollow": s.cpu.Seconds() * 1e6 / float64(n) / took, "processor us/s, real": (after - before).Seconds() * 1e6 / float64(real) / took,
+		"bytes/s from one to one, hollow": fromSimulated, "bytes/s from one to one, real": fromReal, "bytes/s out, hollow": float64(sent) / float64(n) / took,
 		"resident kB, real": rss, "timers late ms p99": s.late.Seconds() * 1e3,
 	}
 	v := r.Values
 	v["processor, real to hollow"] = v["processor us/s, real"] / v["processor us/s, hollow"]
-	v["bytes, real to hollow"] = fromReal / fromHollow
+	v["bytes, real to hollow"] = fromReal / fromSimulated
 	for _, k := range []string{"processor, real to hollow", "bytes, real to hollow"} {
 		if v[k] < 0.8 || v[k] > 1.2 {
 			t.Logf("n=%d, %s: %.2f, beyond 20%%", n+real, k, v[k])
 		}
 	}
-	if fromReal <= 0 || fromHollow <= 0 {
-		t.Errorf("nothing was heard of real agents (%v) or of hollow ones (%v)", fromReal, fromHollow)
+	if fromReal <= 0 || fromSimulated <= 0 {
+		t.Errorf("nothing was heard of real agents (%v) or of hollow ones (%v)", fromReal, fromSimulated)
 	}
 	return r
 }
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -31,8 +31,8 @@
 	window = flag.Duration("scale.window", 5*time.Second, "for which an idle agent is measured, with scale.full")
 )
 
-// sized are the sizes to measure at.
-func sized(t testing.TB, small ...int) (list []int) {
+// fleetSizes are the sizes to measure at.
+func fleetSizes(t testing.TB, small ...int) (list []int) {
 	if !*full {
 		return small
 	}
@@ -46,8 +46,8 @@
 	return list
 }
 
-// ran are the numbers of the runs.
-func ran() (list []int) {
+// runNumbers are the numbers of the runs.
+func runNumbers() (list []int) {
 	if !*full {
 		return []int{0}
 	}
@@ -57,8 +57,8 @@
 	return list
 }
 
-// joined are the modes to measure, in turns.
-func joined() (list []hollow.Mode) {
+// fleetModes are the modes to measure, in turns.
+func fleetModes() (list []hollow.Mode) {
 	for _, m := range strings.Split(*modes, ",") {
 		list = append(list, hollow.Mode(m))
 	}
@@ -84,12 +84,12 @@
 	Fits  map[string]fit `json:"fits"` // by table, mode, matrix, case and value
 }
 
-var keeping sync.Mutex
+var reportMu sync.Mutex
 
-// keep adds rows to the file that the flag names, and writes the tables beside it.
-func keep(t testing.TB, rows ...row) {
+// saveRows adds rows to the file that the flag names, and writes the tables beside it.
+func saveRows(t testing.TB, rows ...row) {
 	for _, r := range rows {
-		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v", r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, compact(r.Values))
+		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v", r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
 		// Small, it is a test: what has to come comes. That a busy machine is late says nothing.
 		if !*full && (strings.HasPrefix(r.Void, "not whole") || r.Values["agents never"] > 0) {
 			t.Errorf("%s, %s: %s, %v agents never", r.Table, r.Case, r.Void, r.Values["agents never"])
@@ -98,8 +98,8 @@
 	if *out == "" {
 		return
 	}
-	keeping.Lock()
-	defer keeping.Unlock()
+	reportMu.Lock()
+	defer reportMu.Unlock()
 	file := strings.TrimSuffix(*out, ".json")
 	rep := report{Cores: runtime.NumCPU()}
 	if text, err := os.ReadFile(file + ".json"); err == nil {
@@ -108,7 +108,7 @@
 		}
 	}
 	rep.Rows = append(rep.Rows, rows...)
-	rep.Fits = fits(rep.Rows)
+	rep.Fits = fitAll(rep.Rows)
 	text, err := json.MarshalIndent(rep, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -121,15 +121,15 @@
 	}
 }
 
-func compact(values map[string]float64) string {
+func formatValues(values map[string]float64) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(values)) {
-		fmt.Fprintf(&b, " %s=%s", k, number(values[k]))
+		fmt.Fprintf(&b, " %s=%s", k, formatNumber(values[k]))
 	}
 	return b.String()
 }
 
-func number(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
 // group is rows that differ in size and run alone.
 func (r *row) group() string {
@@ -145,7 +145,7 @@
 	return g
 }
 
-func grouped(rows []row) (names []string, groups map[string][]row) {
+func groupRows(rows []row) (names []string, groups map[string][]row) {
 	groups = map[string][]row{}
 	for _, r := range rows {
 		g := r.group()
@@ -158,10 +158,10 @@
 	return names, groups
 }
 
-// fits fits every value over the runs that count.
-func fits(rows []row) map[string]fit {
+// fitAll fits every value over the runs that count.
+func fitAll(rows []row) map[string]fit {
 	list := map[string]fit{}
-	names, groups := grouped(rows)
+	names, groups := groupRows(rows)
 	for _, g := range names {
 		n, y := map[string][]float64{}, map[string][]float64{}
 		for _, r := range groups[g] {
@@ -172,7 +172,7 @@
 			}
 		}
 		for k := range n {
-			if b, ok := best(n[k], y[k]); ok {
+			if b, ok := bestFit(n[k], y[k]); ok {
 				list[g+": "+k] = b
 			}
 		}
@@ -184,7 +184,7 @@
 // the most, and the fit.
 func markdown(rep *report) string {
 	var b strings.Builder
-	names, groups := grouped(rep.Rows)
+	names, groups := groupRows(rep.Rows)
 	for _, g := range names {
 		values, at := map[string]bool{}, map[int]bool{}
 		for _, r := range groups[g] {
@@ -213,13 +213,13 @@
 				case 0:
 					b.WriteString(" - |")
 				case 1:
-					fmt.Fprintf(&b, " %s |", number(list[0]))
+					fmt.Fprintf(&b, " %s |", formatNumber(list[0]))
 				default:
-					fmt.Fprintf(&b, " %s (%s to %s) |", number(list[len(list)/2]), number(list[0]), number(list[len(list)-1]))
+					fmt.Fprintf(&b, " %s (%s to %s) |", formatNumber(list[len(list)/2]), formatNumber(list[0]), formatNumber(list[len(list)-1]))
 				}
 			}
 			if f, ok := rep.Fits[g+": "+k]; ok {
-				fmt.Fprintf(&b, " %s | %s ± %s | %s (%s to %s) |\n", f.Form, number(f.Slope), number(f.Error), number(f.At1800), number(f.Low), number(f.High))
+				fmt.Fprintf(&b, " %s | %s ± %s | %s (%s to %s) |\n", f.Form, formatNumber(f.Slope), formatNumber(f.Error), formatNumber(f.At1800), formatNumber(f.Low), formatNumber(f.High))
 			} else {
 				b.WriteString(" | | |\n")
 			}
@@ -263,25 +263,25 @@
 
 func idleTable(t *testing.T) {
 	for _, m := range strings.Split(*matrix, ",") {
-		for _, n := range sized(t, 14) {
-			for _, run := range ran() {
-				for _, mode := range joined() {
-					t.Run(fmt.Sprintf("%s-%s-%d-%d", mode, m, n, run), func(t *testing.T) { keep(t, idle(t, mode, n, m == "on", run)) })
+		for _, n := range fleetSizes(t, 14) {
+			for _, run := range runNumbers() {
+				for _, mode := range fleetModes() {
+					t.Run(fmt.Sprintf("%s-%s-%d-%d", mode, m, n, run), func(t *testing.T) { saveRows(t, measureIdle(t, mode, n, m == "on", run)) })
 				}
 			}
 		}
 	}
 }
 
-// idle measures a fleet in which nothing happens.
-func idle(t *testing.T, mode hollow.Mode, n int, matrix bool, run int) row {
+// measureIdle measures a fleet in which nothing happens.
+func measureIdle(t *testing.T, mode hollow.Mode, n int, matrix bool, run int) row {
 	heap0, rss0 := memory()
-	tasks0 := runtime.NumGoroutine()
-	c := newCrew(t, mode, n, matrix)
+	goroutines0 := runtime.NumGoroutine()
+	c := newTestFleet(t, mode, n, matrix)
 	c.startAll(time.Duration(n) * *pace)
 	r := row{Table: "idle", Mode: string(mode), N: n, Matrix: matrix, Run: run}
-	if why := c.begun(); why != "" {
-		r.Void = why
+	if reason := c.awaitStart(); reason != "" {
+		r.Void = reason
 		return r
 	}
 	settle, measure := 100*time.Millisecond, 500*time.Millisecond
@@ -290,30 +290,30 @@
 	}
 	time.Sleep(settle) // what a start leaves is not an idle agent's
 	hubs := c.hubs.meter(t)
-	m := c.measure(true)
+	m := c.startMeter(true)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
 	hubValues := hubs.end(s)
-	tasks := runtime.NumGoroutine()
+	goroutines := runtime.NumGoroutine()
 	heap, rss := memory()
 	r.Void, r.Values = s.void, map[string]float64{}
 	maps.Copy(r.Values, hubValues)
-	each := float64(n) * s.took.Seconds()
+	each := float64(n) * s.duration.Seconds()
 	v := r.Values
 	profiled := 0.
-	for _, d := range s.parts {
+	for _, d := range s.cpuByPart {
 		profiled += d.Seconds()
 	}
 	// The list service's and the harness's own share is not the agents'.
-	cpu := s.processor.Seconds()
+	cpu := s.cpu.Seconds()
 	if profiled > 0 {
-		for part, d := range s.parts {
+		for part, d := range s.cpuByPart {
 			v["processor us/s, "+part] = cpu * d.Seconds() / profiled * 1e6 / each
 		}
-		cpu *= 1 - s.parts["harness"].Seconds()/profiled
+		cpu *= 1 - s.cpuByPart["harness"].Seconds()/profiled
 	}
 	v["processor us/s"] = cpu * 1e6 / each
-	for _, p := range hollow.Parts {
+	for _, p := range hollow.TrafficKinds {
 		v["bytes/s in"] += float64(s.traffic.In[p].Bytes) / each
 		v["bytes/s out"] += float64(s.traffic.Out[p].Bytes) / each
 		v["messages/s in"] += float64(s.traffic.In[p].Messages) / each
@@ -324,21 +324,21 @@
 	}
 	v["heap kB"] = (heap - heap0) / 1e3 / float64(n)
 	v["resident kB"] = (rss - rss0) / 1e3 / float64(n)
-	v["goroutines"] = float64(tasks-tasks0) / float64(n)
+	v["goroutines"] = float64(goroutines-goroutines0) / float64(n)
 	v["stolen by the host %"] = 100 * s.steal
 	v["timers late ms p99"] = s.late.Seconds() * 1e3
 	return r
 }
 
-// told is an agent that says what it knows.
-type told hollow.State
+// fixedState is an agent that says what it knows.
+type fixedState hollow.State
 
-func (s told) State() hollow.State { return hollow.State(s) }
+func (s fixedState) State() hollow.State { return hollow.State(s) }
 
 // The check that all know all finds an agent that tells an old version, or lacks anything else.
-func TestLaggards(t *testing.T) {
-	want := hollow.State{Members: 3, Part: 1. / 3, Distances: 7, Policy: 2, List: 42, Settings: 5}
-	if n, why := laggards([]told{told(want), told(want)}, want); n != 0 {
+func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
+	want := hollow.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
+	if n, why := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
 		t.Errorf("%d lag: %s", n, why)
 	}
 	for name, spoil := range map[string]func(*hollow.State){
@@ -346,20 +346,20 @@
 		"list 41, not 42":             func(s *hollow.State) { s.List = 41 },
 		"2 members of 3":              func(s *hollow.State) { s.Members = 2 },
 		"4 members of 3":              func(s *hollow.State) { s.Members = 4 },
-		"a part of 0.1, not 0.3333":   func(s *hollow.State) { s.Part = 0.1 },
-		"round trips to 6 zones of 7": func(s *hollow.State) { s.Distances = 6 },
+		"a part of 0.1, not 0.3333":   func(s *hollow.State) { s.Quota = 0.1 },
+		"round trips to 6 zones of 7": func(s *hollow.State) { s.MeasuredZones = 6 },
 		"settings 4, not 5":           func(s *hollow.State) { s.Settings = 4 },
 	} {
 		old := want
 		spoil(&old)
-		if n, why := laggards([]told{told(want), told(old)}, want); n != 1 || !strings.HasPrefix(why, "agent 1: "+name) {
+		if n, why := laggards([]fixedState{fixedState(want), fixedState(old)}, want); n != 1 || !strings.HasPrefix(why, "agent 1: "+name) {
 			t.Errorf("%s: %d lag: %q", name, n, why)
 		}
 	}
 }
 
 // A stack is attributed to what asked for the work, not to who does it in the end.
-func TestPartOf(t *testing.T) {
+func TestStackIsAttributedToWhatAskedForTheWork(t *testing.T) {
 	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
 		"facts":     {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/gossip.EncodeMessage", p + "fleet/gossip.(*Store).NextMessage", "github.com/hashicorp/memberlist.(*Memberlist).gossip"},
