--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -9,7 +9,7 @@
 	"martenbeam/internal/lab/check"
 	"martenbeam/internal/lab/faultinject"
 	"martenbeam/internal/lab/scenario"
-	"martenbeam/internal/scale/callway"
+	"martenbeam/internal/scale/overhead"
 )
 
 // What the lab and the measurements write, and the scenarios that the lab reads.
@@ -19,7 +19,7 @@
 	goldenJSON(t, "report.json", filled[lab.Report]())
 	goldenJSON(t, "pair.json", lab.Pair{Seed: 1})
 	goldenJSON(t, "difference.json", filled[lab.Difference]())
-	goldenJSON(t, "callway.json", filled[callway.Result]())
+	goldenJSON(t, "callway.json", filled[overhead.Result]())
 	if lab.Schema != 1 {
 		t.Errorf("schema %d", lab.Schema)
 	}
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 // changeTimeout is how long a change is waited for.
@@ -25,7 +25,7 @@
 				for _, what := range measuredChanges(mode) {
 					t.Run(string(mode)+"-"+what.String(), func(t *testing.T) {
 						t.Parallel()
-						measureChanges(t, mode, n, run, []hollow.Change{what})
+						measureChanges(t, mode, n, run, []simagent.Change{what})
 					})
 				}
 			}
@@ -34,20 +34,20 @@
 }
 
 // measuredChanges are the changes that are measured. Hubs alone carry settings.
-func measuredChanges(mode hollow.Mode) []hollow.Change {
-	list := []hollow.Change{hollow.Policy, hollow.List}
-	if mode == hollow.Hubs {
-		list = append(list, hollow.Settings)
+func measuredChanges(mode simagent.Mode) []simagent.Change {
+	list := []simagent.Change{simagent.Policy, simagent.List}
+	if mode == simagent.Hubs {
+		list = append(list, simagent.Settings)
 	}
 	return list
 }
 
 // makeChange makes a change at its source.
-func (c *testFleet) makeChange(what hollow.Change) (version int64, at time.Time) {
+func (c *testFleet) makeChange(what simagent.Change) (version int64, at time.Time) {
 	switch what {
-	case hollow.Policy:
+	case simagent.Policy:
 		return c.publishPolicy()
-	case hollow.Settings:
+	case simagent.Settings:
 		return c.hubs.writeSettings(c.t)
 	}
 	return c.service.change()
@@ -61,7 +61,7 @@
 
 // measurePropagation waits until those of the agents that which picks have acted on a version. What each took counts from when the
 // change was made, or from its own start if that was later.
-func (c *testFleet) measurePropagation(what hollow.Change, version int64, at time.Time, which func(i int) bool, started map[int]time.Time) (result propagation) {
+func (c *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time, which func(i int) bool, started map[int]time.Time) (result propagation) {
 	limit := at.Add(changeTimeout)
 	for i := range c.n {
 		if !which(i) {
@@ -97,7 +97,7 @@
 func everyone(int) bool { return true }
 
 // measureChanges measures how long changes take to all agents of one fleet, undisturbed and disturbed, and what they cost.
-func measureChanges(t *testing.T, mode hollow.Mode, n, run int, kinds []hollow.Change) {
+func measureChanges(t *testing.T, mode simagent.Mode, n, run int, kinds []simagent.Change) {
 	c := newTestFleet(t, mode, n, true)
 	c.startAll(time.Duration(n) * *pace)
 	base := row{Table: "change", Mode: string(mode), N: n, Matrix: true, Run: run}
@@ -131,12 +131,12 @@
 		all.addValues(r.Values, "")
 		share := s.duration.Seconds() / before.duration.Seconds()
 		each := float64(n * repeats)
-		kind := hollow.Policies
+		kind := simagent.Policies
 		switch what {
-		case hollow.List:
-			kind = hollow.Lists
-		case hollow.Settings:
-			kind = hollow.SettingsDocuments
+		case simagent.List:
+			kind = simagent.Lists
+		case simagent.Settings:
+			kind = simagent.SettingsDocuments
 		}
 		r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / each
 		r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / each
@@ -159,7 +159,7 @@
 }
 
 // changeWhilePaused makes a change while 2% of the agents are stopped.
-func (c *testFleet) changeWhilePaused(r row, what hollow.Change, draw *rand.Rand, settle time.Duration) row {
+func (c *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
 	stopped := map[int]bool{}
 	for _, i := range draw.Perm(c.n - 1)[:max(1, c.n/50)] {
@@ -181,7 +181,7 @@
 }
 
 // changeUnderLoss makes a change while 10% of all datagrams are lost, and as many writes to streams late.
-func (c *testFleet) changeUnderLoss(r row, what hollow.Change, settle time.Duration) row {
+func (c *testFleet) changeUnderLoss(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 10% lost", map[string]float64{}
 	c.net.SetLoss(0.1)
 	time.Sleep(settle) // losses are to be under way
@@ -194,7 +194,7 @@
 }
 
 // changeDuringPartition makes a change while a zone is cut off from all others, and from the list service.
-func (c *testFleet) changeDuringPartition(r row, what hollow.Change, settle time.Duration) row {
+func (c *testFleet) changeDuringPartition(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", a zone cut", map[string]float64{}
 	isolated := len(zones) - 1
 	inside := func(i int) bool { return i%len(zones) == isolated }
@@ -213,7 +213,7 @@
 }
 
 // changeDuringRestarts makes a change while a third of the agents are down, which start within the next two seconds.
-func (c *testFleet) changeDuringRestarts(r row, what hollow.Change) row {
+func (c *testFleet) changeDuringRestarts(r row, what simagent.Change) row {
 	r.Case, r.Values = what.String()+", a third restarting", map[string]float64{}
 	third := func(i int) bool { return i%3 == 1 }
 	for i := range c.agents {
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"martenbeam/internal/agent/discovery"
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 // zones are seven in two regions, the first four in the first.
@@ -130,7 +130,7 @@
 
 type appliedKey struct {
 	agent  string
-	change hollow.Change
+	change simagent.Change
 }
 
 type appliedVersion struct {
@@ -138,7 +138,7 @@
 	at      time.Time
 }
 
-func (a *appliedVersions) record(name string, what hollow.Change, version int64, at time.Time) {
+func (a *appliedVersions) record(name string, what simagent.Change, version int64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k := appliedKey{name, what}
@@ -146,7 +146,7 @@
 }
 
 // appliedAt is when an agent first had a version, or one after it.
-func (a *appliedVersions) appliedAt(name string, what hollow.Change, version int64) (time.Time, bool) {
+func (a *appliedVersions) appliedAt(name string, what simagent.Change, version int64) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, x := range a.byKey[appliedKey{name, what}] {
@@ -160,10 +160,10 @@
 // testFleet is a fleet of hollow agents.
 type testFleet struct {
 	t       testing.TB
-	mode    hollow.Mode
+	mode    simagent.Mode
 	n       int
 	matrix  bool
-	net     *hollow.Network
+	net     *simagent.Network
 	service *fakeListService
 	applied *appliedVersions
 	label   string
@@ -172,22 +172,22 @@
 	realAgents    int // members that are not hollow
 	expectedZones int // zones to which round trips have to be known; 0: all
 
-	mu     sync.Mutex      // of both lists
-	agents []*hollow.Agent // by number; the first is the policy's source in a flat fleet
-	killed []*hollow.Agent
+	mu     sync.Mutex        // of both lists
+	agents []*simagent.Agent // by number; the first is the policy's source in a flat fleet
+	killed []*simagent.Agent
 
 	hubs         *hubProcesses // nil: the fleet is flat
 	firstHubOnly bool          // all agents know the first hub alone
 	quotaSums    *quotaWatch
 }
 
-func newTestFleet(t testing.TB, mode hollow.Mode, n int, matrix bool) *testFleet {
-	c := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: hollow.NewNetwork(), service: startListService(t), applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
-		label: fmt.Sprintf("%s-%d", t.Name(), n), agents: make([]*hollow.Agent, n)}
+func newTestFleet(t testing.TB, mode simagent.Mode, n int, matrix bool) *testFleet {
+	c := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: simagent.NewNetwork(), service: startListService(t), applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
+		label: fmt.Sprintf("%s-%d", t.Name(), n), agents: make([]*simagent.Agent, n)}
 	if len(c.label) > 64 {
 		c.label = c.label[len(c.label)-64:]
 	}
-	if mode == hollow.Hubs {
+	if mode == simagent.Hubs {
 		c.policy = 1
 		c.hubs = startHubs(t, c)
 	}
@@ -200,18 +200,18 @@
 
 // start starts agent i, at an address if it had one. The seeds start first.
 func (c *testFleet) start(i int, listen string) {
-	s := hollow.Spec{Mode: c.mode, Name: c.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: c.label, MaxMembers: c.n + c.realAgents, MeasureLatency: c.matrix,
+	s := simagent.Spec{Mode: c.mode, Name: c.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: c.label, MaxMembers: c.n + c.realAgents, MeasureLatency: c.matrix,
 		ListService: c.service.addr, PolicySource: i == 0, Network: c.net}
 	if c.hubs != nil {
 		s.PolicySource, s.Hubs, s.Region = false, c.hubs.configured(c.firstHubOnly), s.Zone[:1]
 	}
-	s.OnApplied = func(what hollow.Change, version int64, at time.Time) { c.applied.record(s.Name, what, version, at) }
+	s.OnApplied = func(what simagent.Change, version int64, at time.Time) { c.applied.record(s.Name, what, version, at) }
 	for j := range min(numSeeds, c.n) {
 		if j != i && c.agents[j] != nil {
 			s.Seeds = append(s.Seeds, c.agents[j].Addr())
 		}
 	}
-	a, err := hollow.Start(s)
+	a, err := simagent.Start(s)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -261,10 +261,10 @@
 }
 
 // expectedState is what each agent has to know.
-func (c *testFleet) expectedState() hollow.State {
+func (c *testFleet) expectedState() simagent.State {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
-	s := hollow.State{Members: c.running() + c.realAgents, Quota: 1 / float64(c.n+c.realAgents), Policy: c.policy, List: c.service.version}
+	s := simagent.State{Members: c.running() + c.realAgents, Quota: 1 / float64(c.n+c.realAgents), Policy: c.policy, List: c.service.version}
 	if c.hubs != nil {
 		s.Settings = c.hubs.settingsVersion
 	}
@@ -278,10 +278,10 @@
 }
 
 // stateReporter is what a check of what agents know needs of one.
-type stateReporter interface{ State() hollow.State }
+type stateReporter interface{ State() simagent.State }
 
 // missing says what an agent does not know yet of what is wanted; "": it knows all.
-func missing(k stateReporter, want hollow.State) string {
+func missing(k stateReporter, want simagent.State) string {
 	s := k.State()
 	switch {
 	case s.Members != want.Members:
@@ -301,7 +301,7 @@
 }
 
 // laggards counts those that do not know all, and says what the first lacks.
-func laggards[K stateReporter](list []K, want hollow.State) (n int, first string) {
+func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
 	for i, k := range list {
 		if reason := missing(k, want); reason != "" {
 			if n++; n == 1 {
@@ -322,7 +322,7 @@
 		for at < c.n && (c.agents[at] == nil || missing(c.agents[at], want) == "") {
 			at++
 		}
-		running := slices.DeleteFunc(slices.Clone(c.agents), func(a *hollow.Agent) bool { return a == nil })
+		running := slices.DeleteFunc(slices.Clone(c.agents), func(a *simagent.Agent) bool { return a == nil })
 		if at == c.n {
 			if n, _ := laggards(running, want); n == 0 {
 				return time.Since(startedAt), true, ""
@@ -349,7 +349,7 @@
 }
 
 // traffic is what has passed all agents' sockets, those that were killed included.
-func (c *testFleet) traffic() (sum hollow.Traffic) {
+func (c *testFleet) traffic() (sum simagent.Traffic) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range slices.Concat(c.agents, c.killed) {
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"martenbeam/internal/fleet/hubclient"
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 // builtProgram is the program, built once for all tests.
@@ -184,7 +184,7 @@
 }
 
 // changeWithDeadHub makes a change at the moment at which one of the hubs dies, which is not the one that it is given to.
-func (c *testFleet) changeWithDeadHub(r row, what hollow.Change, draw *rand.Rand) row {
+func (c *testFleet) changeWithDeadHub(r row, what simagent.Change, draw *rand.Rand) row {
 	r.Case, r.Values = what.String()+", one of seven hubs dead", map[string]float64{}
 	dead := 1 + draw.IntN(len(zones)-1)
 	m := c.startMeter(false)
@@ -259,10 +259,10 @@
 }
 
 func measureLoad(t *testing.T, n, run int) row {
-	c := newTestFleet(t, hollow.Hubs, n, true)
+	c := newTestFleet(t, simagent.Hubs, n, true)
 	c.firstHubOnly = true
 	c.startAll(time.Duration(n) * *pace)
-	r := row{Table: "load", Mode: string(hollow.Hubs), N: n, Matrix: true, Run: run, Case: "all at one hub"}
+	r := row{Table: "load", Mode: string(simagent.Hubs), N: n, Matrix: true, Run: run, Case: "all at one hub"}
 	if r.Void = c.awaitStart(); r.Void != "" {
 		return r
 	}
@@ -323,7 +323,7 @@
 }
 
 // present are the agents that were started, each number's latest.
-func (c *testFleet) present() (list []*hollow.Agent) {
+func (c *testFleet) present() (list []*simagent.Agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.agents {
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/google/pprof/profile"
 
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 // processCPU is the time that this process has used.
@@ -113,7 +113,7 @@
 type span struct {
 	duration  time.Duration
 	cpu       time.Duration
-	traffic   hollow.Traffic
+	traffic   simagent.Traffic
 	cpuByPart map[string]time.Duration // processor time by part; nil: no profile
 	late      time.Duration            // p99
 	maxLate   time.Duration
@@ -126,7 +126,7 @@
 	fleet     *testFleet
 	startedAt time.Time
 	cpu       time.Duration
-	traffic   hollow.Traffic
+	traffic   simagent.Traffic
 	late      *lateness
 	steal     float64
 	total     float64
@@ -151,10 +151,10 @@
 	s := span{duration: time.Since(m.startedAt), cpu: processCPU() - m.cpu}
 	now := m.fleet.traffic()
 	for p := range now.In {
-		s.traffic.In[p] = hollow.Count{Bytes: now.In[p].Bytes - m.traffic.In[p].Bytes, Messages: now.In[p].Messages - m.traffic.In[p].Messages}
-		s.traffic.Out[p] = hollow.Count{Bytes: now.Out[p].Bytes - m.traffic.Out[p].Bytes, Messages: now.Out[p].Messages - m.traffic.Out[p].Messages}
+		s.traffic.In[p] = simagent.Count{Bytes: now.In[p].Bytes - m.traffic.In[p].Bytes, Messages: now.In[p].Messages - m.traffic.In[p].Messages}
+		s.traffic.Out[p] = simagent.Count{Bytes: now.Out[p].Bytes - m.traffic.Out[p].Bytes, Messages: now.Out[p].Messages - m.traffic.Out[p].Messages}
 	}
-	s.traffic.FromRealAgents = hollow.Count{Bytes: now.FromRealAgents.Bytes - m.traffic.FromRealAgents.Bytes, Messages: now.FromRealAgents.Messages - m.traffic.FromRealAgents.Messages}
+	s.traffic.FromRealAgents = simagent.Count{Bytes: now.FromRealAgents.Bytes - m.traffic.FromRealAgents.Bytes, Messages: now.FromRealAgents.Messages - m.traffic.FromRealAgents.Messages}
 	if steal, all := stolenTime(); all > m.total {
 		s.steal = (steal - m.steal) / (all - m.total)
 	}
--- a/internal/scale/callway/backends.go
+++ b/internal/scale/overhead/backends.go
@@ -1,11 +1,11 @@
-// Package callway measures what a call's way through a real agent adds to the same call made directly to the same
+// Package overhead measures what a call's way through a real agent adds to the same call made directly to the same
 // backend, and what an agent costs while nothing calls it.
 //
 // Backends (backends.go) and list services (lists.go) are this process's; agents are processes of the program as it is
 // built (process.go). Calls of both ways go out by one plan (drive.go), in windows of several agents at once
 // (window.go); what they showed becomes a file and tables (report.go). traced.go runs an agent under the runtime's own
 // instruments.
-package callway
+package overhead
 
 import (
 	"context"
--- a/internal/scale/callway/callway_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -1,4 +1,4 @@
-package callway
+package overhead
 
 import (
 	"flag"
@@ -48,10 +48,10 @@
 // Both ways answer all, a change of the list included, and the tables are made of it. With -scale.full: in full.
 func TestTableOfCallsThroughAgentsAndDirectly(t *testing.T) {
 	windows, sizes, settle, idleSpan := FullWindows(), []int{8, 60, 100, 1800}, time.Second, 7*time.Second
-	how := "go test ./internal/scale/callway -run Table -scale.full -timeout 20m"
+	how := "go test ./internal/scale/overhead -run Table -scale.full -timeout 20m"
 	if !*full {
 		*runs, sizes, settle, idleSpan = 1, []int{8}, 0, 100*time.Millisecond
-		how = "go test ./internal/scale/callway"
+		how = "go test ./internal/scale/overhead"
 		*outFile = filepath.Join(t.TempDir(), "callway")
 		windows = []Window{{Name: "calls", Length: time.Second, Workloads: []Workload{{ListSize: 8, Rate: 72, Tick: defaultTick}}},
 			{Name: "changes", Length: 1200 * time.Millisecond, Workloads: []Workload{{ListSize: 8, Rate: 72, Tick: defaultTick, ListChanges: "entries"}}}}
--- a/internal/scale/callway/process.go
+++ b/internal/scale/overhead/process.go
@@ -1,4 +1,4 @@
-package callway
+package overhead
 
 import (
 	"bufio"
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"martenbeam/internal/fleet/member"
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 func realTable(t *testing.T) {
@@ -23,7 +23,7 @@
 				real = 2
 			}
 			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) {
-				saveRows(t, measureRealAmongSimulated(t, program, hollow.FullMesh, n-real, real, run))
+				saveRows(t, measureRealAmongSimulated(t, program, simagent.FullMesh, n-real, real, run))
 			})
 		}
 	}
@@ -88,7 +88,7 @@
 
 // measureRealAmongSimulated holds real agents' processes against the hollow ones of the same fleet, idle: what they use, and what one
 // sends to a hollow one.
-func measureRealAmongSimulated(t *testing.T, program string, mode hollow.Mode, n, real, run int) row {
+func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, real, run int) row {
 	c := newTestFleet(t, mode, n, true)
 	c.realAgents = real
 	r := row{Table: "real", Mode: string(mode), N: n + real, Matrix: true, Run: run, Case: fmt.Sprintf("%d real among hollow ones", real)}
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/simagent/agent.go
@@ -1,7 +1,7 @@
-// Package hollow runs many agents of a fleet in one process: the product's own code of what agents share (members, facts,
+// Package simagent runs many agents of a fleet in one process: the product's own code of what agents share (members, facts,
 // turns, distances, lists, the residency policy) over real sockets of loopback, without clients and without backends. What
 // a fleet costs its agents, and how long news takes to all of them, is measured on these.
-package hollow
+package simagent
 
 import (
 	"context"
--- a/internal/scale/hollow/wire.go
+++ b/internal/scale/simagent/wire.go
@@ -1,4 +1,4 @@
-package hollow
+package simagent
 
 import (
 	"bytes"
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 // rollingRestarts is how many agents are restarted one after another, and pace how far apart.
@@ -103,14 +103,14 @@
 	return r
 }
 
-func measureStart(t *testing.T, mode hollow.Mode, n int, within time.Duration, run int) row {
+func measureStart(t *testing.T, mode simagent.Mode, n int, within time.Duration, run int) row {
 	c := newTestFleet(t, mode, n, true)
 	return c.measureEvent(row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run},
 		func() { c.startAll(within) }, nil)
 }
 
 // measureZoneStart starts a zone beside the others, and then restarts some agents one after another.
-func measureZoneStart(t *testing.T, mode hollow.Mode, n, run int) []row {
+func measureZoneStart(t *testing.T, mode simagent.Mode, n, run int) []row {
 	c := newTestFleet(t, mode, n, true)
 	zone := zones[len(zones)-1]
 	start := func(inZone bool, within time.Duration) {
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 var (
@@ -58,9 +58,9 @@
 }
 
 // fleetModes are the modes to measure, in turns.
-func fleetModes() (list []hollow.Mode) {
+func fleetModes() (list []simagent.Mode) {
 	for _, m := range strings.Split(*modes, ",") {
-		list = append(list, hollow.Mode(m))
+		list = append(list, simagent.Mode(m))
 	}
 	return list
 }
@@ -274,7 +274,7 @@
 }
 
 // measureIdle measures a fleet in which nothing happens.
-func measureIdle(t *testing.T, mode hollow.Mode, n int, matrix bool, run int) row {
+func measureIdle(t *testing.T, mode simagent.Mode, n int, matrix bool, run int) row {
 	heap0, rss0 := memory()
 	goroutines0 := runtime.NumGoroutine()
 	c := newTestFleet(t, mode, n, matrix)
@@ -313,7 +313,7 @@
 		cpu *= 1 - s.cpuByPart["harness"].Seconds()/profiled
 	}
 	v["processor us/s"] = cpu * 1e6 / each
-	for _, p := range hollow.TrafficKinds {
+	for _, p := range simagent.TrafficKinds {
 		v["bytes/s in"] += float64(s.traffic.In[p].Bytes) / each
 		v["bytes/s out"] += float64(s.traffic.Out[p].Bytes) / each
 		v["messages/s in"] += float64(s.traffic.In[p].Messages) / each
@@ -331,24 +331,24 @@
 }
 
 // fixedState is an agent that says what it knows.
-type fixedState hollow.State
+type fixedState simagent.State
 
-func (s fixedState) State() hollow.State { return hollow.State(s) }
+func (s fixedState) State() simagent.State { return simagent.State(s) }
 
 // The check that all know all finds an agent that tells an old version, or lacks anything else.
 func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
-	want := hollow.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
+	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
 	if n, why := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
 		t.Errorf("%d lag: %s", n, why)
 	}
-	for name, spoil := range map[string]func(*hollow.State){
-		"policy 1, not 2":             func(s *hollow.State) { s.Policy = 1 },
-		"list 41, not 42":             func(s *hollow.State) { s.List = 41 },
-		"2 members of 3":              func(s *hollow.State) { s.Members = 2 },
-		"4 members of 3":              func(s *hollow.State) { s.Members = 4 },
-		"a part of 0.1, not 0.3333":   func(s *hollow.State) { s.Quota = 0.1 },
-		"round trips to 6 zones of 7": func(s *hollow.State) { s.MeasuredZones = 6 },
-		"settings 4, not 5":           func(s *hollow.State) { s.Settings = 4 },
+	for name, spoil := range map[string]func(*simagent.State){
+		"policy 1, not 2":             func(s *simagent.State) { s.Policy = 1 },
+		"list 41, not 42":             func(s *simagent.State) { s.List = 41 },
+		"2 members of 3":              func(s *simagent.State) { s.Members = 2 },
+		"4 members of 3":              func(s *simagent.State) { s.Members = 4 },
+		"a part of 0.1, not 0.3333":   func(s *simagent.State) { s.Quota = 0.1 },
+		"round trips to 6 zones of 7": func(s *simagent.State) { s.MeasuredZones = 6 },
+		"settings 4, not 5":           func(s *simagent.State) { s.Settings = 4 },
 	} {
 		old := want
 		spoil(&old)
