--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -3,21 +3,13 @@
 package scale
 
 import (
-	"cmp"
-	"encoding/json"
 	"fmt"
-	"io"
-	"log"
-	"net"
-	"net/http"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
-	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/scale/simagent"
 )
 
@@ -27,13 +19,6 @@
 // patience is how long anything that must come is waited for.
 const convergenceTimeout = 30 * time.Second
 
-const (
-	numBackends       = 100
-	firstListVersion  = 41
-	heartbeatInterval = 2 * time.Second // of the list service
-	numSeeds          = 3
-)
-
 // policyText is a policy of a version, of about a kilobyte.
 func policyText(version int64) string {
 	var b strings.Builder
@@ -44,119 +29,6 @@
 	return b.String()
 }
 
-// fakeListService is a stand-in for the list service: it streams lists, and a line each two seconds.
-type fakeListService struct {
-	addr   string
-	server *http.Server
-
-	mu      sync.Mutex
-	version int64
-	changed chan struct{}
-	calls   int
-}
-
-func startListService(t testing.TB) *fakeListService {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &fakeListService{addr: ln.Addr().String(), version: firstListVersion, changed: make(chan struct{})}
-	s.server = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
-	go func() { _ = s.server.Serve(ln) }() // ends with Close
-	t.Cleanup(func() { s.server.Close() })
-	return s
-}
-
-func endpointAt(i int) discovery.Endpoint {
-	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
-}
-
-// change changes one backend, and says when and to which version.
-func (s *fakeListService) change() (version int64, at time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.version++
-	close(s.changed)
-	s.changed = make(chan struct{})
-	return s.version, time.Now()
-}
-
-func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: the whole list
-	s.mu.Lock()
-	s.calls++
-	s.mu.Unlock()
-	for {
-		s.mu.Lock()
-		version, changed := s.version, s.changed
-		s.mu.Unlock()
-		line := []byte{}
-		if sentVersion != version {
-			update := discovery.EndpointList{Version: version, Full: sentVersion < firstListVersion}
-			if update.Full {
-				for i := range numBackends {
-					update.Endpoints = append(update.Endpoints, endpointAt(i))
-				}
-			} else {
-				for v := sentVersion; v < version; v++ {
-					endpoint := endpointAt(int(v % numBackends))
-					endpoint.Weight = float64(1 + v%8)
-					update.Endpoints = append(update.Endpoints, endpoint)
-				}
-			}
-			line, _ = json.Marshal(update) // names and numbers alone
-			sentVersion = version
-		}
-		if _, err := w.Write(append(line, '\n')); err != nil || http.NewResponseController(w).Flush() != nil {
-			return
-		}
-		heartbeat := time.NewTimer(heartbeatInterval)
-		select {
-		case <-changed:
-		case <-heartbeat.C:
-		case <-r.Context().Done():
-			heartbeat.Stop()
-			return
-		}
-		heartbeat.Stop()
-	}
-}
-
-// appliedVersions are when agents acted on changes.
-type appliedVersions struct {
-	mu    sync.Mutex
-	byKey map[appliedKey][]appliedVersion // in order
-}
-
-type appliedKey struct {
-	agent  string
-	change simagent.Change
-}
-
-type appliedVersion struct {
-	version int64
-	at      time.Time
-}
-
-func (a *appliedVersions) record(name string, what simagent.Change, version int64, at time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	k := appliedKey{name, what}
-	a.byKey[k] = append(a.byKey[k], appliedVersion{version, at})
-}
-
-// appliedAt is when an agent first had a version, or one after it.
-func (a *appliedVersions) appliedAt(name string, what simagent.Change, version int64) (time.Time, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, x := range a.byKey[appliedKey{name, what}] {
-		if x.version >= version {
-			return x.at, true
-		}
-	}
-	return time.Time{}, false
-}
-
 // testFleet is a fleet of hollow agents.
 type testFleet struct {
 	t       testing.TB
@@ -260,58 +132,6 @@
 	return n
 }
 
-// expectedState is what each agent has to know.
-func (c *testFleet) expectedState() simagent.State {
-	c.service.mu.Lock()
-	defer c.service.mu.Unlock()
-	s := simagent.State{Members: c.running() + c.realAgents, Quota: 1 / float64(c.n+c.realAgents), Policy: c.policy, List: c.service.version}
-	if c.hubs != nil {
-		s.Settings = c.hubs.settingsVersion
-	}
-	if c.matrix {
-		s.MeasuredZones = cmp.Or(c.expectedZones, len(zones))
-		if c.hubs != nil {
-			s.MeasuredZones = len(zones) - 1 // one hub alone measures nothing within its own zone
-		}
-	}
-	return s
-}
-
-// stateReporter is what a check of what agents know needs of one.
-type stateReporter interface{ State() simagent.State }
-
-// missing says what an agent does not know yet of what is wanted; "": it knows all.
-func missing(k stateReporter, want simagent.State) string {
-	s := k.State()
-	switch {
-	case s.Members != want.Members:
-		return fmt.Sprintf("%d members of %d", s.Members, want.Members)
-	case s.Quota < want.Quota*0.999 || s.Quota > want.Quota*1.001:
-		return fmt.Sprintf("a part of %v, not %v", s.Quota, want.Quota)
-	case s.MeasuredZones < want.MeasuredZones:
-		return fmt.Sprintf("round trips to %d zones of %d", s.MeasuredZones, want.MeasuredZones)
-	case s.Policy != want.Policy:
-		return fmt.Sprintf("policy %d, not %d", s.Policy, want.Policy)
-	case s.List != want.List:
-		return fmt.Sprintf("list %d, not %d", s.List, want.List)
-	case s.Settings != want.Settings:
-		return fmt.Sprintf("settings %d, not %d", s.Settings, want.Settings)
-	}
-	return ""
-}
-
-// laggards counts those that do not know all, and says what the first lacks.
-func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
-	for i, k := range list {
-		if reason := missing(k, want); reason != "" {
-			if n++; n == 1 {
-				first = fmt.Sprintf("agent %d: %s", i, reason)
-			}
-		}
-	}
-	return n, first
-}
-
 const pollInterval = 10 * time.Millisecond
 
 // awaitConvergence waits until all know all, and reports how long it took.
--- /dev/null
+++ b/internal/scale/idle_test.go
@@ -0,0 +1,83 @@
+package scale
+
+// What agents cost while nothing happens.
+
+import (
+	"fmt"
+	"maps"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"martenbeam/internal/scale/simagent"
+)
+
+func idleTable(t *testing.T) {
+	for _, m := range strings.Split(*matrix, ",") {
+		for _, n := range fleetSizes(t, 14) {
+			for _, run := range runNumbers() {
+				for _, mode := range fleetModes() {
+					t.Run(fmt.Sprintf("%s-%s-%d-%d", mode, m, n, run), func(t *testing.T) { saveRows(t, measureIdle(t, mode, n, m == "on", run)) })
+				}
+			}
+		}
+	}
+}
+
+// measureIdle measures a fleet in which nothing happens.
+func measureIdle(t *testing.T, mode simagent.Mode, n int, matrix bool, run int) row {
+	heap0, rss0 := memory()
+	goroutines0 := runtime.NumGoroutine()
+	c := newTestFleet(t, mode, n, matrix)
+	c.startAll(time.Duration(n) * *pace)
+	r := row{Table: "idle", Mode: string(mode), N: n, Matrix: matrix, Run: run}
+	if reason := c.awaitStart(); reason != "" {
+		r.Void = reason
+		return r
+	}
+	settle, measure := 100*time.Millisecond, 500*time.Millisecond
+	if *full {
+		settle, measure = *warm, *window
+	}
+	time.Sleep(settle) // what a start leaves is not an idle agent's
+	hubs := c.hubs.meter(t)
+	m := c.startMeter(true)
+	time.Sleep(measure) // the span that is measured
+	s := m.end()
+	hubValues := hubs.end(s)
+	goroutines := runtime.NumGoroutine()
+	heap, rss := memory()
+	r.Void, r.Values = s.void, map[string]float64{}
+	maps.Copy(r.Values, hubValues)
+	each := float64(n) * s.duration.Seconds()
+	v := r.Values
+	profiled := 0.
+	for _, d := range s.cpuByPart {
+		profiled += d.Seconds()
+	}
+	// The list service's and the harness's own share is not the agents'.
+	cpu := s.cpu.Seconds()
+	if profiled > 0 {
+		for part, d := range s.cpuByPart {
+			v["processor us/s, "+part] = cpu * d.Seconds() / profiled * 1e6 / each
+		}
+		cpu *= 1 - s.cpuByPart["harness"].Seconds()/profiled
+	}
+	v["processor us/s"] = cpu * 1e6 / each
+	for _, p := range simagent.TrafficKinds {
+		v["bytes/s in"] += float64(s.traffic.In[p].Bytes) / each
+		v["bytes/s out"] += float64(s.traffic.Out[p].Bytes) / each
+		v["messages/s in"] += float64(s.traffic.In[p].Messages) / each
+		v["messages/s out"] += float64(s.traffic.Out[p].Messages) / each
+		if s.traffic.Out[p].Bytes > 0 {
+			v["bytes/s out, "+p.String()] = float64(s.traffic.Out[p].Bytes) / each
+		}
+	}
+	v["heap kB"] = (heap - heap0) / 1e3 / float64(n)
+	v["resident kB"] = (rss - rss0) / 1e3 / float64(n)
+	v["goroutines"] = float64(goroutines-goroutines0) / float64(n)
+	v["stolen by the host %"] = 100 * s.steal
+	v["timers late ms p99"] = s.late.Seconds() * 1e3
+	return r
+}
--- /dev/null
+++ b/internal/scale/listservice_test.go
@@ -0,0 +1,103 @@
+package scale
+
+// A fake list service, which streams a list of backends and its changes.
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"martenbeam/internal/agent/discovery"
+)
+
+// fakeListService is a stand-in for the list service: it streams lists, and a line each two seconds.
+type fakeListService struct {
+	addr   string
+	server *http.Server
+
+	mu      sync.Mutex
+	version int64
+	changed chan struct{}
+	calls   int
+}
+
+func startListService(t testing.TB) *fakeListService {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &fakeListService{addr: ln.Addr().String(), version: firstListVersion, changed: make(chan struct{})}
+	s.server = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
+	go func() { _ = s.server.Serve(ln) }() // ends with Close
+	t.Cleanup(func() { s.server.Close() })
+	return s
+}
+
+func endpointAt(i int) discovery.Endpoint {
+	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
+}
+
+// change changes one backend, and says when and to which version.
+func (s *fakeListService) change() (version int64, at time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.version++
+	close(s.changed)
+	s.changed = make(chan struct{})
+	return s.version, time.Now()
+}
+
+func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: the whole list
+	s.mu.Lock()
+	s.calls++
+	s.mu.Unlock()
+	for {
+		s.mu.Lock()
+		version, changed := s.version, s.changed
+		s.mu.Unlock()
+		line := []byte{}
+		if sentVersion != version {
+			update := discovery.EndpointList{Version: version, Full: sentVersion < firstListVersion}
+			if update.Full {
+				for i := range numBackends {
+					update.Endpoints = append(update.Endpoints, endpointAt(i))
+				}
+			} else {
+				for v := sentVersion; v < version; v++ {
+					endpoint := endpointAt(int(v % numBackends))
+					endpoint.Weight = float64(1 + v%8)
+					update.Endpoints = append(update.Endpoints, endpoint)
+				}
+			}
+			line, _ = json.Marshal(update) // names and numbers alone
+			sentVersion = version
+		}
+		if _, err := w.Write(append(line, '\n')); err != nil || http.NewResponseController(w).Flush() != nil {
+			return
+		}
+		heartbeat := time.NewTimer(heartbeatInterval)
+		select {
+		case <-changed:
+		case <-heartbeat.C:
+		case <-r.Context().Done():
+			heartbeat.Stop()
+			return
+		}
+		heartbeat.Stop()
+	}
+}
+
+const (
+	numBackends       = 100
+	firstListVersion  = 41
+	heartbeatInterval = 2 * time.Second // of the list service
+	numSeeds          = 3
+)
--- /dev/null
+++ b/internal/scale/load_test.go
@@ -0,0 +1,48 @@
+package scale
+
+// What a hub costs that has many agents, as when other hubs are lost.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"martenbeam/internal/scale/simagent"
+)
+
+// loadTable measures a hub that has many agents, as when others are lost.
+func loadTable(t *testing.T) {
+	list := []int{257, 600}
+	if !*full {
+		list = []int{14}
+	}
+	for _, n := range list {
+		for _, run := range runNumbers() {
+			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) { saveRows(t, measureLoad(t, n, run)) })
+		}
+	}
+}
+
+func measureLoad(t *testing.T, n, run int) row {
+	c := newTestFleet(t, simagent.Hubs, n, true)
+	c.firstHubOnly = true
+	c.startAll(time.Duration(n) * *pace)
+	r := row{Table: "load", Mode: string(simagent.Hubs), N: n, Matrix: true, Run: run, Case: "all at one hub"}
+	if r.Void = c.awaitStart(); r.Void != "" {
+		return r
+	}
+	settle, measure := 100*time.Millisecond, 500*time.Millisecond
+	if *full {
+		settle, measure = *warm, 2**window // hubs' time is counted in ticks of 10 ms
+	}
+	time.Sleep(settle) // what a start leaves is not an idle hub's
+	hubs, m := c.hubs.meter(t), c.startMeter(false)
+	time.Sleep(measure) // the span that is measured
+	s := m.end()
+	all := hubs.end(s)
+	r.Void = s.void
+	r.Values = map[string]float64{"the hub: processor ms/s": all["the first hub: processor ms/s"], "the hub: resident MB": all["the first hub: resident MB"],
+		"the hub: bytes/s from its agents": all["a hub: bytes/s from its agents"] * float64(len(zones)), "the hub: bytes/s to its agents": all["a hub: bytes/s to its agents"] * float64(len(zones)),
+		"an agent: processor us/s": s.cpu.Seconds() * 1e6 / float64(n) / s.duration.Seconds(), "timers late ms p99": s.late.Seconds() * 1e3}
+	return r
+}
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -3,106 +3,13 @@
 import (
 	"bytes"
 	"fmt"
-	"math"
-	"os"
 	"runtime"
-	"runtime/debug"
 	"runtime/pprof"
-	"slices"
-	"strconv"
-	"strings"
-	"sync"
-	"syscall"
 	"time"
 
-	"github.com/google/pprof/profile"
-
 	"martenbeam/internal/scale/simagent"
 )
 
-// processCPU is the time that this process has used.
-func processCPU() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // its arguments are constants
-	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
-}
-
-// stolenTime is how much of its processors' time the machine was not given by its host, and of how much.
-func stolenTime() (steal, total float64) {
-	text, err := os.ReadFile("/proc/stat")
-	if err != nil {
-		return 0, 0
-	}
-	line, _, _ := strings.Cut(string(text), "\n")
-	for i, field := range strings.Fields(line)[1:] {
-		n, _ := strconv.ParseFloat(field, 64) // 0 if it is odd
-		if i < 8 {                            // guests' time is in users' already
-			total += n
-		}
-		if i == 7 {
-			steal = n
-		}
-	}
-	return steal, total
-}
-
-// residentBytes is this process's resident memory, bytes.
-func residentBytes() float64 {
-	text, err := os.ReadFile("/proc/self/statm")
-	if err != nil {
-		return 0
-	}
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return 0
-	}
-	pages, _ := strconv.ParseFloat(fields[1], 64) // 0 if it is odd
-	return pages * float64(os.Getpagesize())
-}
-
-// lateness finds out whether the machine bears a run: how late a task comes that is due each 10 ms.
-type lateness struct {
-	end  chan struct{}
-	done sync.WaitGroup
-	late []time.Duration
-}
-
-const beatInterval = 10 * time.Millisecond
-
-func watchLateness() *lateness {
-	l := &lateness{end: make(chan struct{})}
-	l.done.Go(func() {
-		for due := time.Now().Add(beatInterval); ; {
-			select {
-			case <-l.end:
-				return
-			case <-time.After(time.Until(due)):
-			}
-			now := time.Now()
-			l.late = append(l.late, now.Sub(due))
-			due = now.Add(beatInterval)
-		}
-	})
-	return l
-}
-
-// stop ends it, and returns the 99th percentile and the longest.
-func (l *lateness) stop() (p99, most time.Duration) {
-	close(l.end)
-	l.done.Wait()
-	return quantile(l.late, 0.99), quantile(l.late, 1)
-}
-
-func quantile(list []time.Duration, q float64) time.Duration {
-	if len(list) == 0 {
-		return 0
-	}
-	s := slices.Sorted(slices.Values(list))
-	return s[int(math.Ceil(q*float64(len(s)-1)))]
-}
-
 // What the machine must do for a run to count.
 const (
 	maxLateP99 = 20 * time.Millisecond // of 99 in a hundred beats
@@ -175,64 +82,3 @@
 	}
 	return s
 }
-
-// memory is heap in use and resident memory after a collection, bytes.
-func memory() (heap, rss float64) {
-	debug.FreeOSMemory()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc), residentBytes()
-}
-
-// rules tell by a function on the stack whose a sample is, the first that matches anywhere.
-var profileRules = []struct {
-	part string
-	in   []string
-}{
-	{"harness", []string{"internal/scale.", "net/http.(*conn).serve;internal/scale"}},
-	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).publishLatencies"}},
-	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/startup.", "fleet.(*Fleet).Next", "fleet.(*Fleet).RecordUpdate"}},
-	{"settings", []string{"internal/settings.", "hubclient.appliedSettings"}},
-	{"hub stream", []string{"internal/fleet/hubclient.(*attachment)", "internal/fleet/hub/frame."}},
-	{"policy", []string{"fleet.(*Fleet).shareDocuments", "fleet.(*Fleet).fetchPolicy", "fleet.(*Fleet).getPolicy", "internal/fleet.(*relay).policy", "internal/residency."}},
-	{"facts", []string{"internal/fleet/gossip."}},
-	{"parts", []string{"fleet.(*Fleet).recomputeQuota", "fleet.(*Fleet).detectDead", "fleet.(*Fleet).logSummary", "fleet.(*Fleet).runLoop", "internal/fleet/hubclient.(*Client).runLoop"}},
-	{"members", []string{"hashicorp/memberlist", "internal/fleet/member."}},
-	{"streams", []string{"net/http."}},
-	{"collector", []string{"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcStart"}},
-}
-
-// partOf names the part of a stack. What no rule knows is the runtime's: its scheduler and its timers.
-func partOf(stack []string) string {
-	for _, r := range profileRules {
-		for _, f := range stack {
-			for _, in := range r.in {
-				if strings.Contains(f, in) {
-					return r.part
-				}
-			}
-		}
-	}
-	return "runtime"
-}
-
-// cpuByPart attributes a processor profile.
-func cpuByPart(data *bytes.Buffer) (map[string]time.Duration, error) {
-	p, err := profile.Parse(data)
-	if err != nil {
-		return nil, err
-	}
-	parts := map[string]time.Duration{}
-	for _, s := range p.Sample {
-		var stack []string
-		for _, l := range s.Location {
-			for _, line := range l.Line {
-				if line.Function != nil {
-					stack = append(stack, line.Function.Name)
-				}
-			}
-		}
-		parts[partOf(stack)] += time.Duration(s.Value[len(s.Value)-1])
-	}
-	return parts, nil
-}
--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -3,95 +3,16 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"runtime"
 	"slices"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 )
 
-// sample is one call that was answered.
-type sample struct {
-	plannedAt         time.Duration // when it was meant to be sent
-	lateness          time.Duration // how much later it was
-	total             time.Duration // from when it was meant to be sent until its answer was read
-	inbound, outbound time.Duration // from when it was sent until the backend's handler had it; from there back
-	newConnection     bool          // it was the first call of its connection to the backend
-}
-
-// callPath is one of the two that calls go, with what they showed. Calls that are meant for the time before from count for
-// nothing: connections are opened and code is run for the first time.
-type callPath struct {
-	countedFrom time.Duration
-
-	mu         sync.Mutex
-	samples    []sample
-	failed     int
-	firstError string // the first that failed
-}
-
-func (w *callPath) add(s sample, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	switch {
-	case s.plannedAt < w.countedFrom:
-	case err == nil:
-		w.samples = append(w.samples, s)
-	default:
-		if w.failed++; w.firstError == "" {
-			w.firstError = err.Error()
-		}
-	}
-}
-
-// newClient returns a client that keeps every connection.
-func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true,
-		DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}
-}
-
-var lastCallID atomic.Int64
-
-// call makes one call, meant for a time, and returns which backend answered.
-func call(client *http.Client, addr string, at time.Duration) (s sample, backend int, err error) {
-	sentAt := sinceBase()
-	s.plannedAt, s.lateness = at, sentAt-at
-	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/"+Class+"/x", nil)
-	if err != nil {
-		return s, 0, err
-	}
-	req.Header.Set("X-Trace-Id", strconv.FormatInt(lastCallID.Add(1), 16))
-	resp, err := client.Do(req)
-	if err != nil {
-		return s, 0, err
-	}
-	_, err = io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
-	doneAt := sinceBase()
-	if err != nil {
-		return s, 0, err
-	}
-	if resp.StatusCode != http.StatusOK {
-		return s, 0, fmt.Errorf("status %d", resp.StatusCode)
-	}
-	number := func(name string) int64 {
-		n, e := strconv.ParseInt(resp.Header.Get(name), 10, 64)
-		err = cmp.Or(err, e)
-		return n
-	}
-	backend = int(number(headerBackend))
-	s.total, s.inbound, s.outbound = doneAt-at, time.Duration(number(headerArrivedAt))-sentAt, doneAt-time.Duration(number(headerFinishedAt))
-	s.newConnection = number(headerRequestNumber) == 1
-	return s, backend, err
-}
-
 // Workload is one agent in a window: its list, and the calls through it.
 type Workload struct {
 	ListSize     int     `json:"List"`             // backends
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -11,7 +11,6 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
-	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -152,55 +151,3 @@
 	}
 	return nil
 }
-
-// StolenTime reads the processor time of all cores since the system's start, and what of it its host gave to others.
-func StolenTime() (stolen, total float64, err error) {
-	text, err := os.ReadFile("/proc/stat")
-	if err != nil {
-		return 0, 0, err
-	}
-	line, _, _ := strings.Cut(string(text), "\n")
-	for i, f := range strings.Fields(line) {
-		n, _ := strconv.ParseFloat(f, 64) // the first is the line's name
-		if total += n; i == 8 {
-			stolen = n
-		}
-	}
-	return stolen, total, nil
-}
-
-// Usage is what a process uses.
-type Usage struct {
-	ResidentMB float64
-	CPU        time.Duration // by all threads that are still there
-}
-
-// Usage reads what the agent uses now.
-func (p *AgentProcess) Usage() (usage Usage, err error) {
-	proc := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
-	status, err := os.ReadFile(proc + "/status")
-	if err != nil {
-		return usage, err
-	}
-	for line := range strings.Lines(string(status)) {
-		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmRSS:" {
-			kb, _ := strconv.ParseFloat(f[1], 64) // the kernel writes numbers
-			usage.ResidentMB = kb / 1024
-		}
-	}
-	threads, err := filepath.Glob(proc + "/task/*/schedstat")
-	if err != nil {
-		return usage, err
-	}
-	for _, file := range threads {
-		text, err := os.ReadFile(file)
-		if err != nil {
-			continue // the thread has ended
-		}
-		if f := strings.Fields(string(text)); len(f) > 0 {
-			ns, _ := strconv.ParseInt(f[0], 10, 64) // the kernel writes numbers
-			usage.CPU += time.Duration(ns)
-		}
-	}
-	return usage, nil
-}
--- /dev/null
+++ b/internal/scale/overhead/summary.go
@@ -0,0 +1,104 @@
+package overhead
+
+// The statistics of the calls of one workload.
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// newRow sums up the lanes of one cell.
+func newRow(window string, agents []*agentRun, took time.Duration) Row {
+	row := Row{Window: window, Workload: agents[0].workload}
+	var through, direct []sample
+	var lateness []float64
+	for _, agent := range agents {
+		through, direct = append(through, agent.through.samples...), append(direct, agent.direct.samples...)
+		row.Failed += agent.through.failed
+		row.FailedDirect += agent.direct.failed
+		if row.FirstError == "" {
+			row.FirstError = agent.through.firstError + agent.direct.firstError
+		}
+		row.ResidentMB = max(row.ResidentMB, agent.usageAfter.ResidentMB)
+		row.CPUMillisPerSecond += (agent.usageAfter.CPU - agent.usageBefore.CPU).Seconds() * 1e3 / took.Seconds() / float64(len(agents))
+		if agent.workload.ListChanges != "" {
+			row.Changes += len(agent.changedAt)
+			afterChange := func(s sample) bool { return agent.afterChange(s.plannedAt) }
+			after, rest := partition(agent.through.samples, afterChange)
+			row.AfterChange, row.OtherTimes = summarize(after), summarize(rest)
+			after, rest = partition(agent.direct.samples, afterChange)
+			row.AfterChangeDirect, row.OtherTimesDirect = summarize(after), summarize(rest)
+		}
+	}
+	for _, s := range append(slices.Clone(through), direct...) {
+		lateness = append(lateness, ms(s.lateness))
+	}
+	slices.Sort(lateness)
+	row.LatenessP99 = quantile(lateness, 0.99)
+	row.Through, row.Direct = summarize(through), summarize(direct)
+	row.summarizeSlowest(through)
+	return row
+}
+
+const afterChangeSpan = 100 * time.Millisecond
+
+// afterChange reports whether a time is within the first part of a second, after a change.
+func (l *agentRun) afterChange(at time.Duration) bool {
+	return slices.ContainsFunc(l.changedAt, func(t time.Duration) bool { return at >= t && at < t+afterChangeSpan })
+}
+
+func partition(list []sample, by func(sample) bool) (yes, no []sample) {
+	for _, s := range list {
+		if by(s) {
+			yes = append(yes, s)
+		} else {
+			no = append(no, s)
+		}
+	}
+	return yes, no
+}
+
+func summarize(list []sample) (s Quantiles) {
+	if len(list) == 0 {
+		return s
+	}
+	var total, in, out []float64
+	newConnections := 0.0
+	for _, x := range list {
+		total, in, out = append(total, ms(x.total)), append(in, ms(x.inbound)), append(out, ms(x.outbound))
+		if x.newConnection {
+			newConnections++
+		}
+	}
+	slices.Sort(total)
+	slices.Sort(in)
+	slices.Sort(out)
+	return Quantiles{len(list), quantile(total, 0.5), quantile(total, 0.99), quantile(total, 0.999), total[len(total)-1],
+		newConnections / float64(len(list)), quantile(in, 0.99), quantile(out, 0.99)}
+}
+
+func (r *Row) summarizeSlowest(list []sample) {
+	list = slices.Clone(list)
+	slices.SortFunc(list, func(a, b sample) int { return cmp.Compare(b.total, a.total) })
+	list = list[:(len(list)+99)/100]
+	for _, s := range list {
+		n := float64(len(list))
+		r.Slowest.Inbound += ms(s.inbound) / n
+		r.Slowest.Outbound += ms(s.outbound) / n
+		if s.newConnection {
+			r.Slowest.NewConnectionShare += 1 / n
+		}
+	}
+}
+
+// quantile takes a sorted list; the value that a share of q of it does not pass.
+func quantile(list []float64, q float64) float64 {
+	if len(list) == 0 {
+		return 0
+	}
+	return list[min(len(list)-1, max(0, int(math.Ceil(q*float64(len(list))))-1))]
+}
+
+func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- /dev/null
+++ b/internal/scale/overhead/tables.go
@@ -0,0 +1,155 @@
+package overhead
+
+// The tables of a result, in Markdown.
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// group is the rows of one cell, over the runs.
+type group []Row
+
+// summary writes a figure's middle over the runs, and its spread.
+func (g group) summary(value func(Row) float64) string {
+	var list []float64
+	for _, r := range g {
+		list = append(list, value(r))
+	}
+	return medianAndRange(list)
+}
+
+func medianAndRange(list []float64) string {
+	list = slices.Sorted(slices.Values(list))
+	middle := list[len(list)/2]
+	if len(list)%2 == 0 {
+		middle = (middle + list[len(list)/2-1]) / 2
+	}
+	if len(list) == 1 {
+		return fmt.Sprintf("%.2f", middle)
+	}
+	return fmt.Sprintf("%.2f (%.2f-%.2f)", middle, list[0], list[len(list)-1])
+}
+
+// groupsOf are the cells of a kind of window, in the order of the first run.
+func (r *Result) groupsOf(window string) (list []group) {
+	for _, run := range r.Runs {
+		for _, row := range run.Rows {
+			if row.Window != window {
+				continue
+			}
+			i := slices.IndexFunc(list, func(g group) bool { return g[0].Workload == row.Workload })
+			if i < 0 {
+				list = append(list, group{row})
+			} else {
+				list[i] = append(list[i], row)
+			}
+		}
+	}
+	slices.SortStableFunc(list, func(a, b group) int {
+		x, y := a[0], b[0]
+		return cmp.Or(strings.Compare(y.Tick, x.Tick), cmp.Compare(x.Rate, y.Rate), cmp.Compare(x.ListSize, y.ListSize), strings.Compare(x.ListChanges, y.ListChanges))
+	})
+	return list
+}
+
+func (c Workload) arrivals() string {
+	if c.EvenlySpaced {
+		return "evenly"
+	}
+	return "at random"
+}
+
+// writeCalls writes the tables of one kind of window.
+func (r *Result) writeCalls(line func(string, ...any), title, window string) {
+	list := r.groupsOf(window)
+	if len(list) == 0 {
+		return
+	}
+	line("\n## %s\n", title)
+	line("| tick | a second | come | backends | calls a run | direct p50 | p99 | p99.9 | agent p50 | p99 | p99.9 | added at p50 | added at p99 | failed |")
+	line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, g := range list {
+		x := g[0]
+		failed := 0
+		for _, y := range g {
+			failed += y.Failed + y.FailedDirect
+		}
+		line("| %s | %v | %s | %d | %d | %s | %s | %s | %s | %s | %s | %s | %s | %d |", x.Tick, x.Rate, x.arrivals(), x.ListSize, x.Through.N,
+			g.summary(func(r Row) float64 { return r.Direct.P50 }), g.summary(func(r Row) float64 { return r.Direct.P99 }),
+			g.summary(func(r Row) float64 { return r.Direct.P999 }), g.summary(func(r Row) float64 { return r.Through.P50 }),
+			g.summary(func(r Row) float64 { return r.Through.P99 }), g.summary(func(r Row) float64 { return r.Through.P999 }),
+			g.summary(func(r Row) float64 { return r.Through.P50 - r.Direct.P50 }),
+			g.summary(func(r Row) float64 { return r.Through.P99 - r.Direct.P99 }), failed)
+	}
+	line("\nWhere the slowest hundredth of the calls through the agent spent their time:\n")
+	line("| tick | a second | come | backends | to the backend, mean | back, mean | on a new connection | of all calls | agent's processor, ms a second | resident, MB | caller late, p99 |")
+	line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, g := range list {
+		x := g[0]
+		line("| %s | %v | %s | %d | %s | %s | %s | %s | %s | %s | %s |", x.Tick, x.Rate, x.arrivals(), x.ListSize,
+			g.summary(func(r Row) float64 { return r.Slowest.Inbound }), g.summary(func(r Row) float64 { return r.Slowest.Outbound }),
+			g.summary(func(r Row) float64 { return r.Slowest.NewConnectionShare }), g.summary(func(r Row) float64 { return r.Through.NewConnectionShare }),
+			g.summary(func(r Row) float64 { return r.CPUMillisPerSecond }), g.summary(func(r Row) float64 { return r.ResidentMB }),
+			g.summary(func(r Row) float64 { return r.LatenessP99 }))
+	}
+}
+
+// Markdown is the tables.
+func (r *Result) Markdown() string {
+	var b strings.Builder
+	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	line("# A call's way\n")
+	line("Made by `%s`; runs: %d. In each field the middle of the runs, then the least and the most. All times in ms, from the", r.How, len(r.Runs))
+	line("time at which a call was meant to be sent until its answer was read. Added: the p99 through the agent less the p99 directly.\n")
+	for i, run := range r.Runs {
+		stolen := "what the host took of the cores' time was not measured"
+		if run.Stolen > 0 {
+			stolen = fmt.Sprintf("the host took %.0f%% of the cores' time", 100*run.Stolen)
+		}
+		line("Run %d, %s: %s.\n", i+1, run.At.Format(time.RFC3339), stolen)
+	}
+	r.writeCalls(line, "Calls, four agents at once", "few")
+	r.writeCalls(line, "Calls, two to 24 agents at once", "calls")
+	if list := r.groupsOf("changes"); len(list) > 0 {
+		line("\n## A change of the list each second\n")
+		line("One backend drains, the one that drained before is ready again; told as these two entries, or as the whole list.\n")
+		line("| tick | a second | backends | told as | calls after, a run | agent p99 in the 100 ms after | rest | direct p99 after | rest | agent p99.9 after | rest | failed |")
+		line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+		for _, g := range list {
+			x := g[0]
+			failed := 0
+			for _, y := range g {
+				failed += y.Failed + y.FailedDirect
+			}
+			line("| %s | %v | %d | %s | %d | %s | %s | %s | %s | %s | %s | %d |", x.Tick, x.Rate, x.ListSize, x.ListChanges, x.AfterChange.N,
+				g.summary(func(r Row) float64 { return r.AfterChange.P99 }), g.summary(func(r Row) float64 { return r.OtherTimes.P99 }),
+				g.summary(func(r Row) float64 { return r.AfterChangeDirect.P99 }), g.summary(func(r Row) float64 { return r.OtherTimesDirect.P99 }),
+				g.summary(func(r Row) float64 { return r.AfterChange.P999 }), g.summary(func(r Row) float64 { return r.OtherTimes.P999 }), failed)
+		}
+	}
+	line("\n## An agent that nobody calls\n")
+	line("| backends | resident, MB | processor, ms a second |")
+	line("| --- | --- | --- |")
+	idle := map[int][]IdleRow{}
+	var sizes []int
+	for _, run := range r.Runs {
+		for _, x := range run.Idle {
+			if idle[x.ListSize] == nil {
+				sizes = append(sizes, x.ListSize)
+			}
+			idle[x.ListSize] = append(idle[x.ListSize], x)
+		}
+	}
+	for _, n := range sizes {
+		var mb, cpu []float64
+		for _, x := range idle[n] {
+			mb, cpu = append(mb, x.ResidentMB), append(cpu, x.CPUMillisPerSecond)
+		}
+		line("| %d | %s | %s |", n, medianAndRange(mb), medianAndRange(cpu))
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/scale/profile_test.go
@@ -0,0 +1,85 @@
+package scale
+
+// Attribution of a processor profile to the parts of the product.
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/pprof/profile"
+)
+
+// rules tell by a function on the stack whose a sample is, the first that matches anywhere.
+var profileRules = []struct {
+	part string
+	in   []string
+}{
+	{"harness", []string{"internal/scale.", "net/http.(*conn).serve;internal/scale"}},
+	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).publishLatencies"}},
+	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/startup.", "fleet.(*Fleet).Next", "fleet.(*Fleet).RecordUpdate"}},
+	{"settings", []string{"internal/settings.", "hubclient.appliedSettings"}},
+	{"hub stream", []string{"internal/fleet/hubclient.(*attachment)", "internal/fleet/hub/frame."}},
+	{"policy", []string{"fleet.(*Fleet).shareDocuments", "fleet.(*Fleet).fetchPolicy", "fleet.(*Fleet).getPolicy", "internal/fleet.(*relay).policy", "internal/residency."}},
+	{"facts", []string{"internal/fleet/gossip."}},
+	{"parts", []string{"fleet.(*Fleet).recomputeQuota", "fleet.(*Fleet).detectDead", "fleet.(*Fleet).logSummary", "fleet.(*Fleet).runLoop", "internal/fleet/hubclient.(*Client).runLoop"}},
+	{"members", []string{"hashicorp/memberlist", "internal/fleet/member."}},
+	{"streams", []string{"net/http."}},
+	{"collector", []string{"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcStart"}},
+}
+
+// partOf names the part of a stack. What no rule knows is the runtime's: its scheduler and its timers.
+func partOf(stack []string) string {
+	for _, r := range profileRules {
+		for _, f := range stack {
+			for _, in := range r.in {
+				if strings.Contains(f, in) {
+					return r.part
+				}
+			}
+		}
+	}
+	return "runtime"
+}
+
+// cpuByPart attributes a processor profile.
+func cpuByPart(data *bytes.Buffer) (map[string]time.Duration, error) {
+	p, err := profile.Parse(data)
+	if err != nil {
+		return nil, err
+	}
+	parts := map[string]time.Duration{}
+	for _, s := range p.Sample {
+		var stack []string
+		for _, l := range s.Location {
+			for _, line := range l.Line {
+				if line.Function != nil {
+					stack = append(stack, line.Function.Name)
+				}
+			}
+		}
+		parts[partOf(stack)] += time.Duration(s.Value[len(s.Value)-1])
+	}
+	return parts, nil
+}
+
+// A stack is attributed to what asked for the work, not to who does it in the end.
+func TestStackIsAttributedToWhatAskedForTheWork(t *testing.T) {
+	const p = "martenbeam/internal/"
+	for want, stack := range map[string][]string{
+		"facts":     {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/gossip.EncodeMessage", p + "fleet/gossip.(*Store).NextMessage", "github.com/hashicorp/memberlist.(*Memberlist).gossip"},
+		"distances": {"runtime.mallocgc", p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).publishLatencies", p + "fleet.(*Fleet).runLoop"},
+		"members":   {"syscall.Syscall6", p + "fleet/member.(*transport).WriteTo", "github.com/hashicorp/memberlist.(*Memberlist).probe"},
+		"policy":    {p + "fleet/gossip.(*Store).Entries", p + "fleet.(*Fleet).shareDocuments"},
+		"list":      {"net/http.(*response).Write", p + "fleet.(*relay).ServeHTTP", "net/http.(*conn).serve"},
+		"harness":   {"net/http.(*response).Write", p + "scale.(*service).ServeHTTP", "net/http.(*conn).serve"},
+		"parts":     {p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).recomputeQuota", p + "fleet.(*Fleet).runLoop"},
+		"collector": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
+		"runtime":   {"runtime.findRunnable", "runtime.schedule"},
+	} {
+		if got := partOf(stack); got != want {
+			t.Errorf("%v: %s, want %s", stack, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scale/report_test.go
@@ -0,0 +1,194 @@
+package scale
+
+// The file of measured rows, and its tables.
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"runtime"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// row is one run of one table. Rates are for each agent and second.
+type row struct {
+	Table  string             `json:"table"` // idle, start, change, real or load
+	Mode   string             `json:"mode"`
+	N      int                `json:"n"`
+	Matrix bool               `json:"matrix"`
+	Case   string             `json:"case,omitempty"`
+	Run    int                `json:"run"`
+	Void   string             `json:"void,omitempty"` // why it does not count
+	Values map[string]float64 `json:"values"`
+}
+
+// report is what a file holds.
+type report struct {
+	Cores int            `json:"cores"`
+	Rows  []row          `json:"rows"`
+	Fits  map[string]fit `json:"fits"` // by table, mode, matrix, case and value
+}
+
+var reportMu sync.Mutex
+
+// saveRows adds rows to the file that the flag names, and writes the tables beside it.
+func saveRows(t testing.TB, rows ...row) {
+	for _, r := range rows {
+		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v", r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
+		// Small, it is a test: what has to come comes. That a busy machine is late says nothing.
+		if !*full && (strings.HasPrefix(r.Void, "not whole") || r.Values["agents never"] > 0) {
+			t.Errorf("%s, %s: %s, %v agents never", r.Table, r.Case, r.Void, r.Values["agents never"])
+		}
+	}
+	if *out == "" {
+		return
+	}
+	reportMu.Lock()
+	defer reportMu.Unlock()
+	file := strings.TrimSuffix(*out, ".json")
+	rep := report{Cores: runtime.NumCPU()}
+	if text, err := os.ReadFile(file + ".json"); err == nil {
+		if err := json.Unmarshal(text, &rep); err != nil {
+			t.Fatal(err)
+		}
+	}
+	rep.Rows = append(rep.Rows, rows...)
+	rep.Fits = fitAll(rep.Rows)
+	text, err := json.MarshalIndent(rep, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file+".json", append(text, '\n'), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file+".md", []byte(markdown(&rep)), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func formatValues(values map[string]float64) string {
+	var b strings.Builder
+	for _, k := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(&b, " %s=%s", k, formatNumber(values[k]))
+	}
+	return b.String()
+}
+
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
+
+// group is rows that differ in size and run alone.
+func (r *row) group() string {
+	g := r.Table + " " + r.Mode
+	if r.Matrix {
+		g += ", matrix on"
+	} else {
+		g += ", matrix off"
+	}
+	if r.Case != "" {
+		g += ", " + r.Case
+	}
+	return g
+}
+
+func groupRows(rows []row) (names []string, groups map[string][]row) {
+	groups = map[string][]row{}
+	for _, r := range rows {
+		g := r.group()
+		if groups[g] == nil {
+			names = append(names, g)
+		}
+		groups[g] = append(groups[g], r)
+	}
+	slices.Sort(names)
+	return names, groups
+}
+
+// fitAll fits every value over the runs that count.
+func fitAll(rows []row) map[string]fit {
+	list := map[string]fit{}
+	names, groups := groupRows(rows)
+	for _, g := range names {
+		n, y := map[string][]float64{}, map[string][]float64{}
+		for _, r := range groups[g] {
+			for k, v := range r.Values {
+				if r.Void == "" {
+					n[k], y[k] = append(n[k], float64(r.N)), append(y[k], v)
+				}
+			}
+		}
+		for k := range n {
+			if b, ok := bestFit(n[k], y[k]); ok {
+				list[g+": "+k] = b
+			}
+		}
+	}
+	return list
+}
+
+// markdown is a table for each group: a line a value, a column a size, the median of the runs that count with the least and
+// the most, and the fit.
+func markdown(rep *report) string {
+	var b strings.Builder
+	names, groups := groupRows(rep.Rows)
+	for _, g := range names {
+		values, at := map[string]bool{}, map[int]bool{}
+		for _, r := range groups[g] {
+			at[r.N] = true
+			for k := range r.Values {
+				values[k] = true
+			}
+		}
+		columns := slices.Sorted(maps.Keys(at))
+		fmt.Fprintf(&b, "### %s\n\n| each agent |", g)
+		for _, n := range columns {
+			fmt.Fprintf(&b, " %d |", n)
+		}
+		b.WriteString(" grows with | slope ± s.e. | at 1,800 (95%) |\n|---|" + strings.Repeat("---|", len(columns)+3) + "\n")
+		for _, k := range slices.Sorted(maps.Keys(values)) {
+			fmt.Fprintf(&b, "| %s |", k)
+			for _, n := range columns {
+				var list []float64
+				for _, r := range groups[g] {
+					if v, has := r.Values[k]; has && r.N == n && r.Void == "" {
+						list = append(list, v)
+					}
+				}
+				slices.Sort(list)
+				switch len(list) {
+				case 0:
+					b.WriteString(" - |")
+				case 1:
+					fmt.Fprintf(&b, " %s |", formatNumber(list[0]))
+				default:
+					fmt.Fprintf(&b, " %s (%s to %s) |", formatNumber(list[len(list)/2]), formatNumber(list[0]), formatNumber(list[len(list)-1]))
+				}
+			}
+			if f, ok := rep.Fits[g+": "+k]; ok {
+				fmt.Fprintf(&b, " %s | %s ± %s | %s (%s to %s) |\n", f.Form, formatNumber(f.Slope), formatNumber(f.Error), formatNumber(f.At1800), formatNumber(f.Low), formatNumber(f.High))
+			} else {
+				b.WriteString(" | | |\n")
+			}
+		}
+		for _, n := range columns {
+			var why []string
+			count := 0
+			for _, r := range groups[g] {
+				if r.N == n {
+					if count++; r.Void != "" {
+						why = append(why, r.Void)
+					}
+				}
+			}
+			if len(why) > 0 {
+				fmt.Fprintf(&b, "\nVoid at %d: %d of %d runs (%s).\n", n, len(why), count, strings.Join(why, "; "))
+			}
+		}
+		b.WriteString("\n")
+	}
+	return b.String()
+}
--- a/internal/scale/simagent/wire_test.go
+++ b/internal/scale/simagent/traffic_test.go
@@ -1,5 +1,7 @@
 package simagent
 
+// Tests of the counting of traffic.
+
 import (
 	"bytes"
 	"testing"
@@ -29,10 +31,3 @@
 		}
 	}
 }
-
-// An unknown mode is an error.
-func TestStartRejectsAnUnknownMode(t *testing.T) {
-	if _, err := Start(Spec{Mode: "ring"}); err == nil {
-		t.Error("an agent started in a mode that there is not")
-	}
-}
--- /dev/null
+++ b/internal/scale/state_test.go
@@ -0,0 +1,92 @@
+package scale
+
+// The check that every agent knows what it has to know.
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+	"testing"
+
+	"martenbeam/internal/scale/simagent"
+)
+
+// stateReporter is what a check of what agents know needs of one.
+type stateReporter interface{ State() simagent.State }
+
+// missing says what an agent does not know yet of what is wanted; "": it knows all.
+func missing(k stateReporter, want simagent.State) string {
+	s := k.State()
+	switch {
+	case s.Members != want.Members:
+		return fmt.Sprintf("%d members of %d", s.Members, want.Members)
+	case s.Quota < want.Quota*0.999 || s.Quota > want.Quota*1.001:
+		return fmt.Sprintf("a part of %v, not %v", s.Quota, want.Quota)
+	case s.MeasuredZones < want.MeasuredZones:
+		return fmt.Sprintf("round trips to %d zones of %d", s.MeasuredZones, want.MeasuredZones)
+	case s.Policy != want.Policy:
+		return fmt.Sprintf("policy %d, not %d", s.Policy, want.Policy)
+	case s.List != want.List:
+		return fmt.Sprintf("list %d, not %d", s.List, want.List)
+	case s.Settings != want.Settings:
+		return fmt.Sprintf("settings %d, not %d", s.Settings, want.Settings)
+	}
+	return ""
+}
+
+// laggards counts those that do not know all, and says what the first lacks.
+func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
+	for i, k := range list {
+		if reason := missing(k, want); reason != "" {
+			if n++; n == 1 {
+				first = fmt.Sprintf("agent %d: %s", i, reason)
+			}
+		}
+	}
+	return n, first
+}
+
+// fixedState is an agent that says what it knows.
+type fixedState simagent.State
+
+func (s fixedState) State() simagent.State { return simagent.State(s) }
+
+// The check that all know all finds an agent that tells an old version, or lacks anything else.
+func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
+	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
+	if n, why := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
+		t.Errorf("%d lag: %s", n, why)
+	}
+	for name, spoil := range map[string]func(*simagent.State){
+		"policy 1, not 2":             func(s *simagent.State) { s.Policy = 1 },
+		"list 41, not 42":             func(s *simagent.State) { s.List = 41 },
+		"2 members of 3":              func(s *simagent.State) { s.Members = 2 },
+		"4 members of 3":              func(s *simagent.State) { s.Members = 4 },
+		"a part of 0.1, not 0.3333":   func(s *simagent.State) { s.Quota = 0.1 },
+		"round trips to 6 zones of 7": func(s *simagent.State) { s.MeasuredZones = 6 },
+		"settings 4, not 5":           func(s *simagent.State) { s.Settings = 4 },
+	} {
+		old := want
+		spoil(&old)
+		if n, why := laggards([]fixedState{fixedState(want), fixedState(old)}, want); n != 1 || !strings.HasPrefix(why, "agent 1: "+name) {
+			t.Errorf("%s: %d lag: %q", name, n, why)
+		}
+	}
+}
+
+// expectedState is what each agent has to know.
+func (c *testFleet) expectedState() simagent.State {
+	c.service.mu.Lock()
+	defer c.service.mu.Unlock()
+	s := simagent.State{Members: c.running() + c.realAgents, Quota: 1 / float64(c.n+c.realAgents), Policy: c.policy, List: c.service.version}
+	if c.hubs != nil {
+		s.Settings = c.hubs.settingsVersion
+	}
+	if c.matrix {
+		s.MeasuredZones = cmp.Or(c.expectedZones, len(zones))
+		if c.hubs != nil {
+			s.MeasuredZones = len(zones) - 1 // one hub alone measures nothing within its own zone
+		}
+	}
+	return s
+}
