--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -43,14 +43,14 @@
 }
 
 // makeChange makes a change at its source.
-func (c *testFleet) makeChange(what simagent.Change) (version int64, at time.Time) {
+func (f *testFleet) makeChange(what simagent.Change) (version int64, at time.Time) {
 	switch what {
 	case simagent.Policy:
-		return c.publishPolicy()
+		return f.publishPolicy()
 	case simagent.Settings:
-		return c.hubs.writeSettings(c.t)
+		return f.hubs.writeSettings(f.t)
 	}
-	return c.service.change()
+	return f.service.change()
 }
 
 // propagation is how long a change took to agents.
@@ -61,14 +61,14 @@
 
 // measurePropagation waits until those of the agents that which picks have acted on a version. What each took counts from when the
 // change was made, or from its own start if that was later.
-func (c *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time, which func(i int) bool, started map[int]time.Time) (result propagation) {
+func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time, selected func(i int) bool, started map[int]time.Time) (result propagation) {
 	limit := at.Add(changeTimeout)
-	for i := range c.n {
-		if !which(i) {
+	for i := range f.n {
+		if !selected(i) {
 			continue
 		}
 		for {
-			appliedAt, ok := c.applied.appliedAt(c.agentName(i), what, version)
+			appliedAt, ok := f.applied.appliedAt(f.agentName(i), what, version)
 			if ok {
 				from := at
 				if s := started[i]; s.After(from) {
@@ -87,21 +87,21 @@
 	return result
 }
 
-func (n propagation) addValues(v map[string]float64, prefix string) {
-	v[prefix+"ms p50"] = quantile(n.durations, 0.5).Seconds() * 1e3
-	v[prefix+"ms p99"] = quantile(n.durations, 0.99).Seconds() * 1e3
-	v[prefix+"ms last"] = quantile(n.durations, 1).Seconds() * 1e3
-	v[prefix+"agents never"] = float64(n.unreached)
+func (p propagation) addValues(values map[string]float64, prefix string) {
+	values[prefix+"ms p50"] = quantile(p.durations, 0.5).Seconds() * 1e3
+	values[prefix+"ms p99"] = quantile(p.durations, 0.99).Seconds() * 1e3
+	values[prefix+"ms last"] = quantile(p.durations, 1).Seconds() * 1e3
+	values[prefix+"agents never"] = float64(p.unreached)
 }
 
 func everyone(int) bool { return true }
 
 // measureChanges measures how long changes take to all agents of one fleet, undisturbed and disturbed, and what they cost.
 func measureChanges(t *testing.T, mode simagent.Mode, n, run int, kinds []simagent.Change) {
-	c := newTestFleet(t, mode, n, true)
-	c.startAll(time.Duration(n) * *pace)
+	fleet := newTestFleet(t, mode, n, true)
+	fleet.startAll(time.Duration(n) * *pace)
 	base := row{Table: "change", Mode: string(mode), N: n, Matrix: true, Run: run}
-	if reason := c.awaitStart(); reason != "" {
+	if reason := fleet.awaitStart(); reason != "" {
 		base.Case, base.Void = "start", reason
 		saveRows(t, base)
 		return
@@ -117,13 +117,13 @@
 		r.Case = what.String() + ", undisturbed"
 		r.Values = map[string]float64{}
 		// What changes cost is what a span with them takes beyond one without.
-		idle := c.startMeter(false)
+		idle := fleet.startMeter(false)
 		time.Sleep(settle) // the span without
 		before := idle.end()
-		m, all := c.startMeter(false), propagation{}
+		m, all := fleet.startMeter(false), propagation{}
 		for range repeats {
-			version, at := c.makeChange(what)
-			one := c.measurePropagation(what, version, at, everyone, nil)
+			version, at := fleet.makeChange(what)
+			one := fleet.measurePropagation(what, version, at, everyone, nil)
 			all.durations, all.unreached = append(all.durations, one.durations...), all.unreached+one.unreached
 		}
 		s := m.end()
@@ -148,109 +148,109 @@
 		saveRows(t, r)
 	}
 	for _, what := range kinds {
-		saveRows(t, c.changeWhilePaused(base, what, draw, settle), c.changeUnderLoss(base, what, settle))
-		if c.hubs == nil { // hubs are processes of their own, between which nothing can be cut here
-			saveRows(t, c.changeDuringPartition(base, what, settle))
+		saveRows(t, fleet.changeWhilePaused(base, what, draw, settle), fleet.changeUnderLoss(base, what, settle))
+		if fleet.hubs == nil { // hubs are processes of their own, between which nothing can be cut here
+			saveRows(t, fleet.changeDuringPartition(base, what, settle))
 		} else {
-			saveRows(t, c.changeWithDeadHub(base, what, draw))
+			saveRows(t, fleet.changeWithDeadHub(base, what, draw))
 		}
-		saveRows(t, c.changeDuringRestarts(base, what))
+		saveRows(t, fleet.changeDuringRestarts(base, what))
 	}
 }
 
 // changeWhilePaused makes a change while 2% of the agents are stopped.
-func (c *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
+func (f *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
 	stopped := map[int]bool{}
-	for _, i := range draw.Perm(c.n - 1)[:max(1, c.n/50)] {
+	for _, i := range draw.Perm(f.n - 1)[:max(1, f.n/50)] {
 		stopped[i+1] = true // not the policy's source
-		c.agents[i+1].Pause()
+		f.agents[i+1].Pause()
 	}
 	time.Sleep(settle / 4) // how long they have been stopped for
-	m := c.startMeter(false)
-	version, at := c.makeChange(what)
-	c.measurePropagation(what, version, at, func(i int) bool { return !stopped[i] }, nil).addValues(r.Values, "")
+	m := f.startMeter(false)
+	version, at := f.makeChange(what)
+	f.measurePropagation(what, version, at, func(i int) bool { return !stopped[i] }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	resumed, since := time.Now(), map[int]time.Time{}
+	resumed, resumedAt := time.Now(), map[int]time.Time{}
 	for i := range stopped {
-		since[i] = resumed
-		c.agents[i].Resume()
+		resumedAt[i] = resumed
+		f.agents[i].Resume()
 	}
-	c.measurePropagation(what, version, resumed, func(i int) bool { return stopped[i] }, since).addValues(r.Values, "stopped ones, once resumed: ")
-	return c.awaitRecovery(r)
+	f.measurePropagation(what, version, resumed, func(i int) bool { return stopped[i] }, resumedAt).addValues(r.Values, "stopped ones, once resumed: ")
+	return f.awaitRecovery(r)
 }
 
 // changeUnderLoss makes a change while 10% of all datagrams are lost, and as many writes to streams late.
-func (c *testFleet) changeUnderLoss(r row, what simagent.Change, settle time.Duration) row {
+func (f *testFleet) changeUnderLoss(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 10% lost", map[string]float64{}
-	c.net.SetLoss(0.1)
+	f.net.SetLoss(0.1)
 	time.Sleep(settle) // losses are to be under way
-	m := c.startMeter(false)
-	version, at := c.makeChange(what)
-	c.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
+	m := f.startMeter(false)
+	version, at := f.makeChange(what)
+	f.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	c.net.SetLoss(0)
-	return c.awaitRecovery(r)
+	f.net.SetLoss(0)
+	return f.awaitRecovery(r)
 }
 
 // changeDuringPartition makes a change while a zone is cut off from all others, and from the list service.
-func (c *testFleet) changeDuringPartition(r row, what simagent.Change, settle time.Duration) row {
+func (f *testFleet) changeDuringPartition(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", a zone cut", map[string]float64{}
 	isolated := len(zones) - 1
 	inside := func(i int) bool { return i%len(zones) == isolated }
-	c.net.Isolate(zones[isolated])
+	f.net.Isolate(zones[isolated])
 	time.Sleep(settle) // for so long it has been cut
-	m := c.startMeter(false)
-	version, at := c.makeChange(what)
-	c.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
+	m := f.startMeter(false)
+	version, at := f.makeChange(what)
+	f.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	if _, told := c.applied.appliedAt(c.agentName(isolated), what, version); told {
-		c.t.Errorf("%v: it came to a zone that is cut off", what)
+	if _, told := f.applied.appliedAt(f.agentName(isolated), what, version); told {
+		f.t.Errorf("%v: it came to a zone that is cut off", what)
 	}
-	c.net.Isolate()
-	c.measurePropagation(what, version, time.Now(), inside, nil).addValues(r.Values, "cut ones, once healed: ")
-	return c.awaitRecovery(r)
+	f.net.Isolate()
+	f.measurePropagation(what, version, time.Now(), inside, nil).addValues(r.Values, "cut ones, once healed: ")
+	return f.awaitRecovery(r)
 }
 
 // changeDuringRestarts makes a change while a third of the agents are down, which start within the next two seconds.
-func (c *testFleet) changeDuringRestarts(r row, what simagent.Change) row {
+func (f *testFleet) changeDuringRestarts(r row, what simagent.Change) row {
 	r.Case, r.Values = what.String()+", a third restarting", map[string]float64{}
 	third := func(i int) bool { return i%3 == 1 }
-	for i := range c.agents {
+	for i := range f.agents {
 		if third(i) {
-			c.kill(i)
+			f.kill(i)
 		}
 	}
-	m := c.startMeter(false)
-	version, at := c.makeChange(what)
+	m := f.startMeter(false)
+	version, at := f.makeChange(what)
 	started := map[int]time.Time{}
 	within, k := 2*time.Second, 0
 	if !*full {
 		within = 100 * time.Millisecond
 	}
-	for i, a := range c.agents {
+	for i, a := range f.agents {
 		if !third(i) {
 			continue
 		}
-		if d := time.Until(at.Add(within * time.Duration(k*3) / time.Duration(c.n))); d > 0 {
+		if d := time.Until(at.Add(within * time.Duration(k*3) / time.Duration(f.n))); d > 0 {
 			time.Sleep(d) // the pace is what is asked for
 		}
 		started[i] = time.Now()
-		c.start(i, a.Addr())
+		f.start(i, a.Addr())
 		k++
 	}
-	c.measurePropagation(what, version, at, func(i int) bool { return !third(i) }, nil).addValues(r.Values, "")
-	c.measurePropagation(what, version, at, third, started).addValues(r.Values, "restarted ones, from their start: ")
+	f.measurePropagation(what, version, at, func(i int) bool { return !third(i) }, nil).addValues(r.Values, "")
+	f.measurePropagation(what, version, at, third, started).addValues(r.Values, "restarted ones, from their start: ")
 	r.Void = m.end().void
-	return c.awaitRecovery(r)
+	return f.awaitRecovery(r)
 }
 
 // awaitRecovery waits until all know all again, so that one fault is not measured on what another left.
-func (c *testFleet) awaitRecovery(r row) row {
-	took, ok, reason := c.awaitConvergence(convergenceTimeout)
+func (f *testFleet) awaitRecovery(r row) row {
+	took, ok, reason := f.awaitConvergence(convergenceTimeout)
 	r.Values["all know all again after s"] = took.Seconds()
 	if !ok {
-		c.t.Errorf("%s: not whole again: %s", r.Case, reason)
+		f.t.Errorf("%s: not whole again: %s", r.Case, reason)
 		r.Void = "not whole again: " + reason
 	}
 	return r
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -51,13 +51,13 @@
 	}
 	r := fit{Form: f.name, Slope: sxy / sxx, Points: len(n)}
 	r.Base = my - r.Slope*mx
-	var left float64
+	var squares float64
 	for i := range n {
 		e := y[i] - r.Base - r.Slope*f.of(n[i])
-		left += e * e
+		squares += e * e
 	}
 	df := len(n) - 2
-	r.Residual = math.Sqrt(left / float64(df))
+	r.Residual = math.Sqrt(squares / float64(df))
 	r.Error = r.Residual / math.Sqrt(sxx)
 	x := f.of(1800)
 	r.At1800 = r.Base + r.Slope*x
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -54,77 +54,77 @@
 }
 
 func newTestFleet(t testing.TB, mode simagent.Mode, n int, matrix bool) *testFleet {
-	c := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: simagent.NewNetwork(), service: startListService(t), applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
+	f := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: simagent.NewNetwork(), service: startListService(t), applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
 		label: fmt.Sprintf("%s-%d", t.Name(), n), agents: make([]*simagent.Agent, n)}
-	if len(c.label) > 64 {
-		c.label = c.label[len(c.label)-64:]
+	if len(f.label) > 64 {
+		f.label = f.label[len(f.label)-64:]
 	}
 	if mode == simagent.Hubs {
-		c.policy = 1
-		c.hubs = startHubs(t, c)
+		f.policy = 1
+		f.hubs = startHubs(t, f)
 	}
-	c.quotaSums = c.watchQuotas()
-	t.Cleanup(c.close)
-	return c
+	f.quotaSums = f.watchQuotas()
+	t.Cleanup(f.close)
+	return f
 }
 
-func (c *testFleet) agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
+func (f *testFleet) agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
 // start starts agent i, at an address if it had one. The seeds start first.
-func (c *testFleet) start(i int, listen string) {
-	s := simagent.Spec{Mode: c.mode, Name: c.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: c.label, MaxMembers: c.n + c.realAgents, MeasureLatency: c.matrix,
-		ListService: c.service.addr, PolicySource: i == 0, Network: c.net}
-	if c.hubs != nil {
-		s.PolicySource, s.Hubs, s.Region = false, c.hubs.configured(c.firstHubOnly), s.Zone[:1]
-	}
-	s.OnApplied = func(what simagent.Change, version int64, at time.Time) { c.applied.record(s.Name, what, version, at) }
-	for j := range min(numSeeds, c.n) {
-		if j != i && c.agents[j] != nil {
-			s.Seeds = append(s.Seeds, c.agents[j].Addr())
+func (f *testFleet) start(i int, listen string) {
+	s := simagent.Spec{Mode: f.mode, Name: f.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: f.label, MaxMembers: f.n + f.realAgents, MeasureLatency: f.matrix,
+		ListService: f.service.addr, PolicySource: i == 0, Network: f.net}
+	if f.hubs != nil {
+		s.PolicySource, s.Hubs, s.Region = false, f.hubs.configured(f.firstHubOnly), s.Zone[:1]
+	}
+	s.OnApplied = func(what simagent.Change, version int64, at time.Time) { f.applied.record(s.Name, what, version, at) }
+	for j := range min(numSeeds, f.n) {
+		if j != i && f.agents[j] != nil {
+			s.Seeds = append(s.Seeds, f.agents[j].Addr())
 		}
 	}
 	a, err := simagent.Start(s)
 	if err != nil {
-		c.t.Fatal(err)
-	}
-	c.mu.Lock()
-	c.agents[i] = a
-	c.mu.Unlock()
-	if i == 0 && c.hubs == nil {
-		c.policy = max(c.policy, 1)
-		if err := a.ApplyPolicy(c.policy, policyText(c.policy)); err != nil {
-			c.t.Fatal(err)
+		f.t.Fatal(err)
+	}
+	f.mu.Lock()
+	f.agents[i] = a
+	f.mu.Unlock()
+	if i == 0 && f.hubs == nil {
+		f.policy = max(f.policy, 1)
+		if err := a.ApplyPolicy(f.policy, policyText(f.policy)); err != nil {
+			f.t.Fatal(err)
 		}
 	}
 }
 
 // measureStart starts all within a time.
-func (c *testFleet) startAll(within time.Duration) {
+func (f *testFleet) startAll(within time.Duration) {
 	startedAt := time.Now()
-	for i := range c.n {
-		c.start(i, "")
-		if d := time.Until(startedAt.Add(within * time.Duration(i) / time.Duration(c.n))); d > 0 {
+	for i := range f.n {
+		f.start(i, "")
+		if d := time.Until(startedAt.Add(within * time.Duration(i) / time.Duration(f.n))); d > 0 {
 			time.Sleep(d) // the pace is what is asked for, and waits for nothing
 		}
 	}
 }
 
 // publishPolicy gives a next policy at the source, and says when.
-func (c *testFleet) publishPolicy() (version int64, at time.Time) {
-	c.policy++
+func (f *testFleet) publishPolicy() (version int64, at time.Time) {
+	f.policy++
 	at = time.Now()
-	if c.hubs != nil {
-		c.hubs.writePolicy(c.t, c.policy)
-		return c.policy, at
+	if f.hubs != nil {
+		f.hubs.writePolicy(f.t, f.policy)
+		return f.policy, at
 	}
-	if err := c.agents[0].ApplyPolicy(c.policy, policyText(c.policy)); err != nil {
-		c.t.Fatal(err)
+	if err := f.agents[0].ApplyPolicy(f.policy, policyText(f.policy)); err != nil {
+		f.t.Fatal(err)
 	}
-	return c.policy, at
+	return f.policy, at
 }
 
-func (c *testFleet) running() (n int) {
-	for _, a := range c.agents {
+func (f *testFleet) running() (n int) {
+	for _, a := range f.agents {
 		if a != nil {
 			n++
 		}
@@ -135,19 +135,19 @@
 const pollInterval = 10 * time.Millisecond
 
 // awaitConvergence waits until all know all, and reports how long it took.
-func (c *testFleet) awaitConvergence(limit time.Duration) (took time.Duration, ok bool, reason string) {
+func (f *testFleet) awaitConvergence(limit time.Duration) (took time.Duration, ok bool, reason string) {
 	startedAt := time.Now()
-	for at := 0; ; { // who knew all is not asked again until the rest do
-		want := c.expectedState()
-		for at < c.n && (c.agents[at] == nil || missing(c.agents[at], want) == "") {
-			at++
+	for next := 0; ; { // who knew all is not asked again until the rest do
+		want := f.expectedState()
+		for next < f.n && (f.agents[next] == nil || missing(f.agents[next], want) == "") {
+			next++
 		}
-		running := slices.DeleteFunc(slices.Clone(c.agents), func(a *simagent.Agent) bool { return a == nil })
-		if at == c.n {
+		running := slices.DeleteFunc(slices.Clone(f.agents), func(a *simagent.Agent) bool { return a == nil })
+		if next == f.n {
 			if n, _ := laggards(running, want); n == 0 {
 				return time.Since(startedAt), true, ""
 			}
-			at = 0
+			next = 0
 		}
 		if time.Since(startedAt) > limit {
 			n, first := laggards(running, want)
@@ -158,9 +158,9 @@
 }
 
 // awaitStart waits until a fleet that starts knows all, and says why it does not, with whether the machine bore it.
-func (c *testFleet) awaitStart() string {
-	m := c.startMeter(false)
-	_, ok, reason := c.awaitConvergence(convergenceTimeout)
+func (f *testFleet) awaitStart() string {
+	m := f.startMeter(false)
+	_, ok, reason := f.awaitConvergence(convergenceTimeout)
 	s := m.end()
 	if ok {
 		return ""
@@ -169,10 +169,10 @@
 }
 
 // traffic is what has passed all agents' sockets, those that were killed included.
-func (c *testFleet) traffic() (sum simagent.Traffic) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, a := range slices.Concat(c.agents, c.killed) {
+func (f *testFleet) traffic() (sum simagent.Traffic) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, a := range slices.Concat(f.agents, f.killed) {
 		if a == nil {
 			continue
 		}
@@ -190,30 +190,30 @@
 }
 
 // restart kills agent i, and starts it anew at its address.
-func (c *testFleet) restart(i int) {
-	c.start(i, c.kill(i))
+func (f *testFleet) restart(i int) {
+	f.start(i, f.kill(i))
 }
 
 // kill kills agent i, and returns its address.
-func (c *testFleet) kill(i int) string {
-	a := c.agents[i]
+func (f *testFleet) kill(i int) string {
+	a := f.agents[i]
 	a.Kill()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.killed = append(c.killed, a)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.killed = append(f.killed, a)
 	return a.Addr()
 }
 
-func (c *testFleet) close() {
-	c.quotaSums.stop(c.t)
+func (f *testFleet) close() {
+	f.quotaSums.stop(f.t)
 	var all sync.WaitGroup
-	for _, a := range c.agents {
+	for _, a := range f.agents {
 		if a != nil {
 			a.Kill() // goodbyes of all at once help nobody
 			all.Go(a.Wait)
 		}
 	}
-	for _, a := range c.killed {
+	for _, a := range f.killed {
 		all.Go(a.Wait)
 	}
 	all.Wait()
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -64,19 +64,19 @@
 }
 
 // startHubs starts a hub in each zone, and gives a policy and settings to the first.
-func startHubs(t testing.TB, c *testFleet) *hubProcesses {
-	h := &hubProcesses{program: builtProgram(t), dir: t.TempDir(), label: c.label, service: c.service.addr, maxMembers: c.n + c.realAgents, matrix: c.matrix,
+func startHubs(t testing.TB, fleet *testFleet) *hubProcesses {
+	h := &hubProcesses{program: builtProgram(t), dir: t.TempDir(), label: fleet.label, service: fleet.service.addr, maxMembers: fleet.n + fleet.realAgents, matrix: fleet.matrix,
 		addrs: make([]string, len(zones)), processes: make([]*exec.Cmd, len(zones))}
 	t.Cleanup(func() {
 		for i := range zones {
 			h.kill(i)
 		}
 	})
-	h.writePolicy(t, c.policy)
+	h.writePolicy(t, fleet.policy)
 	h.writeSettings(t)
 	for i := range zones {
 		h.start(t, i)
-		c.net.SetZone(h.addrs[i], zones[i])
+		fleet.net.SetZone(h.addrs[i], zones[i])
 	}
 	return h
 }
@@ -184,16 +184,16 @@
 }
 
 // changeWithDeadHub makes a change at the moment at which one of the hubs dies, which is not the one that it is given to.
-func (c *testFleet) changeWithDeadHub(r row, what simagent.Change, draw *rand.Rand) row {
+func (f *testFleet) changeWithDeadHub(r row, what simagent.Change, draw *rand.Rand) row {
 	r.Case, r.Values = what.String()+", one of seven hubs dead", map[string]float64{}
 	dead := 1 + draw.IntN(len(zones)-1)
-	m := c.startMeter(false)
-	c.hubs.kill(dead)
-	version, at := c.makeChange(what)
-	c.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
+	m := f.startMeter(false)
+	f.hubs.kill(dead)
+	version, at := f.makeChange(what)
+	f.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	c.hubs.start(c.t, dead)
-	return c.awaitRecovery(r)
+	f.hubs.start(f.t, dead)
+	return f.awaitRecovery(r)
 }
 
 // A hub's process is given what agents are to know, and names where it listens.
--- a/internal/scale/idle_test.go
+++ b/internal/scale/idle_test.go
@@ -29,10 +29,10 @@
 func measureIdle(t *testing.T, mode simagent.Mode, n int, matrix bool, run int) row {
 	heap0, rss0 := memory()
 	goroutines0 := runtime.NumGoroutine()
-	c := newTestFleet(t, mode, n, matrix)
-	c.startAll(time.Duration(n) * *pace)
+	fleet := newTestFleet(t, mode, n, matrix)
+	fleet.startAll(time.Duration(n) * *pace)
 	r := row{Table: "idle", Mode: string(mode), N: n, Matrix: matrix, Run: run}
-	if reason := c.awaitStart(); reason != "" {
+	if reason := fleet.awaitStart(); reason != "" {
 		r.Void = reason
 		return r
 	}
@@ -41,8 +41,8 @@
 		settle, measure = *warm, *window
 	}
 	time.Sleep(settle) // what a start leaves is not an idle agent's
-	hubs := c.hubs.meter(t)
-	m := c.startMeter(true)
+	hubs := fleet.hubs.meter(t)
+	m := fleet.startMeter(true)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
 	hubValues := hubs.end(s)
@@ -51,7 +51,7 @@
 	r.Void, r.Values = s.void, map[string]float64{}
 	maps.Copy(r.Values, hubValues)
 	each := float64(n) * s.duration.Seconds()
-	v := r.Values
+	values := r.Values
 	profiled := 0.
 	for _, d := range s.cpuByPart {
 		profiled += d.Seconds()
@@ -60,24 +60,24 @@
 	cpu := s.cpu.Seconds()
 	if profiled > 0 {
 		for part, d := range s.cpuByPart {
-			v["processor us/s, "+part] = cpu * d.Seconds() / profiled * 1e6 / each
+			values["processor us/s, "+part] = cpu * d.Seconds() / profiled * 1e6 / each
 		}
 		cpu *= 1 - s.cpuByPart["harness"].Seconds()/profiled
 	}
-	v["processor us/s"] = cpu * 1e6 / each
+	values["processor us/s"] = cpu * 1e6 / each
 	for _, p := range simagent.TrafficKinds {
-		v["bytes/s in"] += float64(s.traffic.In[p].Bytes) / each
-		v["bytes/s out"] += float64(s.traffic.Out[p].Bytes) / each
-		v["messages/s in"] += float64(s.traffic.In[p].Messages) / each
-		v["messages/s out"] += float64(s.traffic.Out[p].Messages) / each
+		values["bytes/s in"] += float64(s.traffic.In[p].Bytes) / each
+		values["bytes/s out"] += float64(s.traffic.Out[p].Bytes) / each
+		values["messages/s in"] += float64(s.traffic.In[p].Messages) / each
+		values["messages/s out"] += float64(s.traffic.Out[p].Messages) / each
 		if s.traffic.Out[p].Bytes > 0 {
-			v["bytes/s out, "+p.String()] = float64(s.traffic.Out[p].Bytes) / each
+			values["bytes/s out, "+p.String()] = float64(s.traffic.Out[p].Bytes) / each
 		}
 	}
-	v["heap kB"] = (heap - heap0) / 1e3 / float64(n)
-	v["resident kB"] = (rss - rss0) / 1e3 / float64(n)
-	v["goroutines"] = float64(goroutines-goroutines0) / float64(n)
-	v["stolen by the host %"] = 100 * s.steal
-	v["timers late ms p99"] = s.late.Seconds() * 1e3
+	values["heap kB"] = (heap - heap0) / 1e3 / float64(n)
+	values["resident kB"] = (rss - rss0) / 1e3 / float64(n)
+	values["goroutines"] = float64(goroutines-goroutines0) / float64(n)
+	values["stolen by the host %"] = 100 * s.steal
+	values["timers late ms p99"] = s.late.Seconds() * 1e3
 	return r
 }
--- a/internal/scale/load_test.go
+++ b/internal/scale/load_test.go
@@ -24,11 +24,11 @@
 }
 
 func measureLoad(t *testing.T, n, run int) row {
-	c := newTestFleet(t, simagent.Hubs, n, true)
-	c.firstHubOnly = true
-	c.startAll(time.Duration(n) * *pace)
+	fleet := newTestFleet(t, simagent.Hubs, n, true)
+	fleet.firstHubOnly = true
+	fleet.startAll(time.Duration(n) * *pace)
 	r := row{Table: "load", Mode: string(simagent.Hubs), N: n, Matrix: true, Run: run, Case: "all at one hub"}
-	if r.Void = c.awaitStart(); r.Void != "" {
+	if r.Void = fleet.awaitStart(); r.Void != "" {
 		return r
 	}
 	settle, measure := 100*time.Millisecond, 500*time.Millisecond
@@ -36,7 +36,7 @@
 		settle, measure = *warm, 2**window // hubs' time is counted in ticks of 10 ms
 	}
 	time.Sleep(settle) // what a start leaves is not an idle hub's
-	hubs, m := c.hubs.meter(t), c.startMeter(false)
+	hubs, m := fleet.hubs.meter(t), fleet.startMeter(false)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
 	all := hubs.end(s)
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -41,12 +41,12 @@
 }
 
 // startMeter begins a span. One profile at most is taken at a time.
-func (c *testFleet) startMeter(profiled bool) *meter {
-	m := &meter{fleet: c, late: watchLateness(), traffic: c.traffic()}
+func (f *testFleet) startMeter(profiled bool) *meter {
+	m := &meter{fleet: f, late: watchLateness(), traffic: f.traffic()}
 	if profiled {
 		m.profile = &bytes.Buffer{}
 		if err := pprof.StartCPUProfile(m.profile); err != nil {
-			c.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 	}
 	m.steal, m.total = stolenTime()
--- a/internal/scale/overhead/call.go
+++ b/internal/scale/overhead/call.go
@@ -35,16 +35,16 @@
 	firstError string // the first that failed
 }
 
-func (w *callPath) add(s sample, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *callPath) add(s sample, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch {
-	case s.plannedAt < w.countedFrom:
+	case s.plannedAt < p.countedFrom:
 	case err == nil:
-		w.samples = append(w.samples, s)
+		p.samples = append(p.samples, s)
 	default:
-		if w.failed++; w.firstError == "" {
-			w.firstError = err.Error()
+		if p.failed++; p.firstError == "" {
+			p.firstError = err.Error()
 		}
 	}
 }
--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -43,17 +43,17 @@
 }
 
 // plan is the calls of a lane: through the agent and directly in turn, each direct one halfway to the next.
-func (l *agentRun) plan(rng *rand.Rand, from, until time.Duration) (calls []plannedCall) {
+func (a *agentRun) plan(rng *rand.Rand, from, until time.Duration) (calls []plannedCall) {
 	gap := func() time.Duration {
 		x := 1.0
-		if !l.workload.EvenlySpaced {
+		if !a.workload.EvenlySpaced {
 			x = rng.ExpFloat64()
 		}
-		return time.Duration(x / l.workload.Rate * float64(time.Second))
+		return time.Duration(x / a.workload.Rate * float64(time.Second))
 	}
-	for at := from + time.Duration(rng.Float64()/l.workload.Rate*float64(time.Second)); at < until; {
+	for at := from + time.Duration(rng.Float64()/a.workload.Rate*float64(time.Second)); at < until; {
 		next := at + gap()
-		calls = append(calls, plannedCall{at, l, false}, plannedCall{at + (next-at)/2, l, true})
+		calls = append(calls, plannedCall{at, a, false}, plannedCall{at + (next-at)/2, a, true})
 		at = next
 	}
 	return calls
@@ -94,7 +94,7 @@
 }
 
 // changeListEachSecond changes the lane's list each second, until ctx ends.
-func (l *agentRun) changeListEachSecond(ctx context.Context) {
+func (a *agentRun) changeListEachSecond(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -102,7 +102,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			l.changedAt = append(l.changedAt, l.listService.ChangeList(l.workload.ListChanges == "whole"))
+			a.changedAt = append(a.changedAt, a.listService.ChangeList(a.workload.ListChanges == "whole"))
 		}
 	}
 }
--- a/internal/scale/overhead/listservice.go
+++ b/internal/scale/overhead/listservice.go
@@ -54,63 +54,63 @@
 }
 
 // Close ends the service.
-func (l *ListService) Close() {
-	l.mu.Lock()
-	l.closed = true
-	l.notifyWatchers()
-	l.mu.Unlock()
-	l.server.Close()
-	l.serving.Wait()
+func (s *ListService) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.notifyWatchers()
+	s.mu.Unlock()
+	s.server.Close()
+	s.serving.Wait()
 }
 
-func (l *ListService) notifyWatchers() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+func (s *ListService) notifyWatchers() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // ChangeList has one backend drain and the one that drained before be ready again, and returns when it was told: as the two
 // entries alone, or as the whole list.
-func (l *ListService) ChangeList(full bool) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	update := discovery.EndpointList{Version: firstVersion + int64(len(l.updates)) + 1, Full: full}
-	previous := l.draining
-	l.draining = (l.draining + 1) % len(l.endpoints)
-	for i, state := range map[int]string{previous: "ready", l.draining: "draining"} {
+func (s *ListService) ChangeList(full bool) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	update := discovery.EndpointList{Version: firstVersion + int64(len(s.updates)) + 1, Full: full}
+	previous := s.draining
+	s.draining = (s.draining + 1) % len(s.endpoints)
+	for i, state := range map[int]string{previous: "ready", s.draining: "draining"} {
 		if i >= 0 {
-			l.endpoints[i].State = state
-			update.Endpoints = append(update.Endpoints, l.endpoints[i])
+			s.endpoints[i].State = state
+			update.Endpoints = append(update.Endpoints, s.endpoints[i])
 		}
 	}
 	if full {
-		update.Endpoints = append([]discovery.Endpoint(nil), l.endpoints...)
+		update.Endpoints = append([]discovery.Endpoint(nil), s.endpoints...)
 	}
-	l.updates = append(l.updates, update)
-	l.notifyWatchers()
+	s.updates = append(s.updates, update)
+	s.notifyWatchers()
 	return sinceBase()
 }
 
-func (l *ListService) serveWatch(w http.ResponseWriter, r *http.Request) {
+func (s *ListService) serveWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
 		return
 	}
 	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
 	for {
-		l.mu.Lock()
-		if l.closed {
-			l.mu.Unlock()
+		s.mu.Lock()
+		if s.closed {
+			s.mu.Unlock()
 			return
 		}
-		latest := firstVersion + int64(len(l.updates))
+		latest := firstVersion + int64(len(s.updates))
 		var updates []discovery.EndpointList
 		if sentVersion < firstVersion || sentVersion > latest {
-			updates = []discovery.EndpointList{{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, l.endpoints...)}}
+			updates = []discovery.EndpointList{{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, s.endpoints...)}}
 		} else {
-			updates = l.updates[sentVersion-firstVersion:]
+			updates = s.updates[sentVersion-firstVersion:]
 		}
-		changed := l.changed
-		l.mu.Unlock()
+		changed := s.changed
+		s.mu.Unlock()
 		text := []byte("\n")
 		for _, update := range updates {
 			line, err := json.Marshal(update)
--- a/internal/scale/overhead/summary.go
+++ b/internal/scale/overhead/summary.go
@@ -26,10 +26,10 @@
 		if agent.workload.ListChanges != "" {
 			row.Changes += len(agent.changedAt)
 			afterChange := func(s sample) bool { return agent.afterChange(s.plannedAt) }
-			after, rest := partition(agent.through.samples, afterChange)
-			row.AfterChange, row.OtherTimes = summarize(after), summarize(rest)
-			after, rest = partition(agent.direct.samples, afterChange)
-			row.AfterChangeDirect, row.OtherTimesDirect = summarize(after), summarize(rest)
+			after, otherTimes := partition(agent.through.samples, afterChange)
+			row.AfterChange, row.OtherTimes = summarize(after), summarize(otherTimes)
+			after, otherTimes = partition(agent.direct.samples, afterChange)
+			row.AfterChangeDirect, row.OtherTimesDirect = summarize(after), summarize(otherTimes)
 		}
 	}
 	for _, s := range append(slices.Clone(through), direct...) {
@@ -45,8 +45,8 @@
 const afterChangeSpan = 100 * time.Millisecond
 
 // afterChange reports whether a time is within the first part of a second, after a change.
-func (l *agentRun) afterChange(at time.Duration) bool {
-	return slices.ContainsFunc(l.changedAt, func(t time.Duration) bool { return at >= t && at < t+afterChangeSpan })
+func (a *agentRun) afterChange(at time.Duration) bool {
+	return slices.ContainsFunc(a.changedAt, func(t time.Duration) bool { return at >= t && at < t+afterChangeSpan })
 }
 
 func partition(list []sample, by func(sample) bool) (yes, no []sample) {
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -56,8 +56,8 @@
 	return list
 }
 
-func (c Workload) arrivals() string {
-	if c.EvenlySpaced {
+func (w Workload) arrivals() string {
+	if w.EvenlySpaced {
 		return "evenly"
 	}
 	return "at random"
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -40,10 +40,10 @@
 	return &agentRun{workload: workload, process: process, listService: listService, client: newClient()}, nil
 }
 
-func (l *agentRun) stop() error {
-	l.client.CloseIdleConnections()
-	err := l.process.Stop()
-	l.listService.Close()
+func (a *agentRun) stop() error {
+	a.client.CloseIdleConnections()
+	err := a.process.Stop()
+	a.listService.Close()
 	return err
 }
 
@@ -62,8 +62,8 @@
 func stopAgents(agents []*agentRun) error {
 	errs := make([]error, len(agents))
 	var stops sync.WaitGroup
-	for i, l := range agents {
-		stops.Go(func() { errs[i] = l.stop() })
+	for i, agent := range agents {
+		stops.Go(func() { errs[i] = agent.stop() })
 	}
 	stops.Wait()
 	return errors.Join(errs...)
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -33,7 +33,7 @@
 	return all
 }
 
-func (c *testFleet) watchQuotas() *quotaWatch {
+func (f *testFleet) watchQuotas() *quotaWatch {
 	w := &quotaWatch{end: make(chan struct{})}
 	w.done.Go(func() {
 		tick := time.NewTicker(sumInterval)
@@ -44,17 +44,17 @@
 			case <-w.end:
 				return
 			}
-			w.maxSum = max(w.maxSum, sumQuotas(c.present()))
+			w.maxSum = max(w.maxSum, sumQuotas(f.present()))
 		}
 	})
 	return w
 }
 
 // present are the agents that were started, each number's latest.
-func (c *testFleet) present() (list []*simagent.Agent) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, a := range c.agents {
+func (f *testFleet) present() (list []*simagent.Agent) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, a := range f.agents {
 		if a != nil {
 			list = append(list, a)
 		}
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -30,9 +30,9 @@
 }
 
 // realAgentConfig is a real agent's configuration that shares what a hollow one does.
-func (c *testFleet) realAgentConfig(i int) string {
+func (f *testFleet) realAgentConfig(i int) string {
 	var known []string
-	for _, a := range c.agents[:min(numSeeds, c.n)] {
+	for _, a := range f.agents[:min(numSeeds, f.n)] {
 		known = append(known, strconv.Quote(a.Addr()))
 	}
 	var names []string
@@ -61,7 +61,7 @@
 effect = "safe"
 aim = "1s"
 deadline = "2s"
-`, c.agentName(i), c.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), c.label, c.n+c.realAgents)
+`, f.agentName(i), f.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), f.label, f.n+f.realAgents)
 }
 
 // processUsage is the processor time of a process, and its resident memory, kB.
@@ -88,19 +88,19 @@
 
 // measureRealAmongSimulated holds real agents' processes against the hollow ones of the same fleet, idle: what they use, and what one
 // sends to a hollow one.
-func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, real, run int) row {
-	c := newTestFleet(t, mode, n, true)
-	c.realAgents = real
-	r := row{Table: "real", Mode: string(mode), N: n + real, Matrix: true, Run: run, Case: fmt.Sprintf("%d real among hollow ones", real)}
-	c.startAll(time.Duration(n) * *pace)
+func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, realAgents, run int) row {
+	fleet := newTestFleet(t, mode, n, true)
+	fleet.realAgents = realAgents
+	r := row{Table: "real", Mode: string(mode), N: n + realAgents, Matrix: true, Run: run, Case: fmt.Sprintf("%d real among hollow ones", realAgents)}
+	fleet.startAll(time.Duration(n) * *pace)
 	var processes []*exec.Cmd
 	dir := t.TempDir()
-	for i := n; i < n+real; i++ {
-		file := filepath.Join(dir, c.agentName(i)+".toml")
-		if err := os.WriteFile(file, []byte(c.realAgentConfig(i)), 0o644); err != nil {
+	for i := n; i < n+realAgents; i++ {
+		file := filepath.Join(dir, fleet.agentName(i)+".toml")
+		if err := os.WriteFile(file, []byte(fleet.realAgentConfig(i)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		log, err := os.Create(filepath.Join(dir, c.agentName(i)+".log"))
+		log, err := os.Create(filepath.Join(dir, fleet.agentName(i)+".log"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,16 +117,16 @@
 		})
 		processes = append(processes, cmd)
 	}
-	if reason := c.awaitStart(); reason != "" {
-		for i := n; i < n+real; i++ {
-			text, _ := os.ReadFile(filepath.Join(dir, c.agentName(i)+".log")) // "" tells as much
-			t.Logf("%s: %s", c.agentName(i), text[:min(len(text), 1000)])
+	if reason := fleet.awaitStart(); reason != "" {
+		for i := n; i < n+realAgents; i++ {
+			text, _ := os.ReadFile(filepath.Join(dir, fleet.agentName(i)+".log")) // "" tells as much
+			t.Logf("%s: %s", fleet.agentName(i), text[:min(len(text), 1000)])
 		}
 		r.Void = reason
 		return r
 	}
 	serving := func() bool { // the real ones have a list
-		for _, m := range c.agents[0].Members() {
+		for _, m := range fleet.agents[0].Members() {
 			if m.Phase != member.Serving {
 				return false
 			}
@@ -150,12 +150,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			cpu, rss = cpu+one, rss+mem/float64(real)
+			cpu, rss = cpu+one, rss+mem/float64(realAgents)
 		}
 		return cpu, rss
 	}
 	before, _ := usage()
-	m := c.startMeter(false)
+	m := fleet.startMeter(false)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
 	after, rss := usage()
@@ -166,19 +166,19 @@
 	}
 	took := s.duration.Seconds()
 	// Targets are drawn evenly: what one agent sends to one other is what kinds can be held against each other by.
-	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(real*n) / took
+	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(realAgents*n) / took
 	fromSimulated := float64(received-s.traffic.FromRealAgents.Bytes) / float64(n*(n-1)) / took
 	r.Values = map[string]float64{
-		"processor us/s, hollow": s.cpu.Seconds() * 1e6 / float64(n) / took, "processor us/s, real": (after - before).Seconds() * 1e6 / float64(real) / took,
+		"processor us/s, hollow": s.cpu.Seconds() * 1e6 / float64(n) / took, "processor us/s, real": (after - before).Seconds() * 1e6 / float64(realAgents) / took,
 		"bytes/s from one to one, hollow": fromSimulated, "bytes/s from one to one, real": fromReal, "bytes/s out, hollow": float64(sent) / float64(n) / took,
 		"resident kB, real": rss, "timers late ms p99": s.late.Seconds() * 1e3,
 	}
-	v := r.Values
-	v["processor, real to hollow"] = v["processor us/s, real"] / v["processor us/s, hollow"]
-	v["bytes, real to hollow"] = fromReal / fromSimulated
+	values := r.Values
+	values["processor, real to hollow"] = values["processor us/s, real"] / values["processor us/s, hollow"]
+	values["bytes, real to hollow"] = fromReal / fromSimulated
 	for _, k := range []string{"processor, real to hollow", "bytes, real to hollow"} {
-		if v[k] < 0.8 || v[k] > 1.2 {
-			t.Logf("n=%d, %s: %.2f, beyond 20%%", n+real, k, v[k])
+		if values[k] < 0.8 || values[k] > 1.2 {
+			t.Logf("n=%d, %s: %.2f, beyond 20%%", n+realAgents, k, values[k])
 		}
 	}
 	if fromReal <= 0 || fromSimulated <= 0 {
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -42,9 +42,9 @@
 	maxBytes int64
 }
 
-func (c *testFleet) watchPeakTraffic() *peakTraffic {
+func (f *testFleet) watchPeakTraffic() *peakTraffic {
 	w := &peakTraffic{end: make(chan struct{})}
-	before := c.bytesSent()
+	before := f.bytesSent()
 	w.done.Go(func() {
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
@@ -54,7 +54,7 @@
 			case <-w.end:
 				ended = true // the rest of a second is no more than one
 			}
-			now := c.bytesSent()
+			now := f.bytesSent()
 			w.maxBytes, before = max(w.maxBytes, now-before), now
 		}
 	})
@@ -68,8 +68,8 @@
 }
 
 // bytesSent is how many bytes all agents have sent.
-func (c *testFleet) bytesSent() (n int64) {
-	t := c.traffic()
+func (f *testFleet) bytesSent() (n int64) {
+	t := f.traffic()
 	for _, x := range t.Out {
 		n += x.Bytes
 	}
@@ -77,11 +77,11 @@
 }
 
 // measureEvent measures what do does to a fleet until all know all they need. of is among how many its cost is divided.
-func (c *testFleet) measureEvent(r row, event func(), converged func() bool) row {
-	w, m := c.watchPeakTraffic(), c.startMeter(false)
+func (f *testFleet) measureEvent(r row, event func(), converged func() bool) row {
+	peak, m := f.watchPeakTraffic(), f.startMeter(false)
 	event()
 	startedAt := time.Now()
-	_, ok, reason := c.awaitConvergence(convergenceTimeout)
+	_, ok, reason := f.awaitConvergence(convergenceTimeout)
 	for ok && converged != nil && !converged() {
 		if ok = time.Since(startedAt) < convergenceTimeout; !ok {
 			reason = "old processes are still known"
@@ -97,21 +97,21 @@
 	for _, x := range s.traffic.Out {
 		sent += x.Bytes
 	}
-	each := float64(c.n)
+	each := float64(f.n)
 	r.Values = map[string]float64{"all know all after s": s.duration.Seconds(), "after the last start s": time.Since(startedAt).Seconds(), "bytes out": float64(sent) / each,
-		"processor ms": s.cpu.Seconds() * 1e3 / each, "worst second, bytes out": float64(w.stop()) / each, "timers late ms p99": s.late.Seconds() * 1e3}
+		"processor ms": s.cpu.Seconds() * 1e3 / each, "worst second, bytes out": float64(peak.stop()) / each, "timers late ms p99": s.late.Seconds() * 1e3}
 	return r
 }
 
 func measureStart(t *testing.T, mode simagent.Mode, n int, within time.Duration, run int) row {
-	c := newTestFleet(t, mode, n, true)
-	return c.measureEvent(row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run},
-		func() { c.startAll(within) }, nil)
+	fleet := newTestFleet(t, mode, n, true)
+	return fleet.measureEvent(row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run},
+		func() { fleet.startAll(within) }, nil)
 }
 
 // measureZoneStart starts a zone beside the others, and then restarts some agents one after another.
 func measureZoneStart(t *testing.T, mode simagent.Mode, n, run int) []row {
-	c := newTestFleet(t, mode, n, true)
+	fleet := newTestFleet(t, mode, n, true)
 	zone := zones[len(zones)-1]
 	start := func(inZone bool, within time.Duration) {
 		startedAt, k := time.Now(), 0
@@ -119,7 +119,7 @@
 			if (zones[i%len(zones)] == zone) != inZone {
 				continue
 			}
-			c.start(i, "")
+			fleet.start(i, "")
 			if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(n))); d > 0 {
 				time.Sleep(d) // the pace is what is asked for
 			}
@@ -129,38 +129,38 @@
 	start(false, time.Duration(n)**pace)
 	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Run: run}
 	// One zone is not there: round trips to it can't be known yet.
-	c.expectedZones = len(zones) - 1
-	if reason := c.awaitStart(); reason != "" {
+	fleet.expectedZones = len(zones) - 1
+	if reason := fleet.awaitStart(); reason != "" {
 		r.Case, r.Void = "a zone within 1s", reason
 		return []row{r}
 	}
-	c.expectedZones = 0
+	fleet.expectedZones = 0
 	r.Case = "a zone within 1s"
-	rows := []row{c.measureEvent(r, func() { start(true, time.Second) }, nil)}
+	rows := []row{fleet.measureEvent(r, func() { start(true, time.Second) }, nil)}
 	count, pace := rollingRestarts()
 	r.Case = fmt.Sprintf("%d restarted at 1 each %v", count, pace)
-	return append(rows, c.measureEvent(r, func() {
+	return append(rows, fleet.measureEvent(r, func() {
 		for i := range count {
 			startedAt := time.Now()
-			c.restart(1 + numSeeds + i%(n-1-numSeeds))
+			fleet.restart(1 + numSeeds + i%(n-1-numSeeds))
 			if i < count-1 {
 				time.Sleep(time.Until(startedAt.Add(pace))) // the pace is what is asked for
 			}
 		}
-	}, c.incarnationsKnown))
+	}, fleet.incarnationsKnown))
 }
 
 // incarnationsKnown reports whether everyone knows everyone's latest process.
-func (c *testFleet) incarnationsKnown() bool {
+func (f *testFleet) incarnationsKnown() bool {
 	latest := map[string]uint64{}
-	for _, a := range c.agents {
+	for _, a := range f.agents {
 		for _, m := range a.Members() {
 			if m.Name == a.Spec().Name {
 				latest[m.Name] = m.Incarnation
 			}
 		}
 	}
-	for _, a := range c.agents {
+	for _, a := range f.agents {
 		for _, m := range a.Members() {
 			if latest[m.Name] != m.Incarnation {
 				return false
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -15,29 +15,29 @@
 type stateReporter interface{ State() simagent.State }
 
 // missing says what an agent does not know yet of what is wanted; "": it knows all.
-func missing(k stateReporter, want simagent.State) string {
-	s := k.State()
+func missing(reporter stateReporter, want simagent.State) string {
+	state := reporter.State()
 	switch {
-	case s.Members != want.Members:
-		return fmt.Sprintf("%d members of %d", s.Members, want.Members)
-	case s.Quota < want.Quota*0.999 || s.Quota > want.Quota*1.001:
-		return fmt.Sprintf("a part of %v, not %v", s.Quota, want.Quota)
-	case s.MeasuredZones < want.MeasuredZones:
-		return fmt.Sprintf("round trips to %d zones of %d", s.MeasuredZones, want.MeasuredZones)
-	case s.Policy != want.Policy:
-		return fmt.Sprintf("policy %d, not %d", s.Policy, want.Policy)
-	case s.List != want.List:
-		return fmt.Sprintf("list %d, not %d", s.List, want.List)
-	case s.Settings != want.Settings:
-		return fmt.Sprintf("settings %d, not %d", s.Settings, want.Settings)
+	case state.Members != want.Members:
+		return fmt.Sprintf("%d members of %d", state.Members, want.Members)
+	case state.Quota < want.Quota*0.999 || state.Quota > want.Quota*1.001:
+		return fmt.Sprintf("a part of %v, not %v", state.Quota, want.Quota)
+	case state.MeasuredZones < want.MeasuredZones:
+		return fmt.Sprintf("round trips to %d zones of %d", state.MeasuredZones, want.MeasuredZones)
+	case state.Policy != want.Policy:
+		return fmt.Sprintf("policy %d, not %d", state.Policy, want.Policy)
+	case state.List != want.List:
+		return fmt.Sprintf("list %d, not %d", state.List, want.List)
+	case state.Settings != want.Settings:
+		return fmt.Sprintf("settings %d, not %d", state.Settings, want.Settings)
 	}
 	return ""
 }
 
 // laggards counts those that do not know all, and says what the first lacks.
 func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
-	for i, k := range list {
-		if reason := missing(k, want); reason != "" {
+	for i, reporter := range list {
+		if reason := missing(reporter, want); reason != "" {
 			if n++; n == 1 {
 				first = fmt.Sprintf("agent %d: %s", i, reason)
 			}
@@ -75,16 +75,16 @@
 }
 
 // expectedState is what each agent has to know.
-func (c *testFleet) expectedState() simagent.State {
-	c.service.mu.Lock()
-	defer c.service.mu.Unlock()
-	s := simagent.State{Members: c.running() + c.realAgents, Quota: 1 / float64(c.n+c.realAgents), Policy: c.policy, List: c.service.version}
-	if c.hubs != nil {
-		s.Settings = c.hubs.settingsVersion
+func (f *testFleet) expectedState() simagent.State {
+	f.service.mu.Lock()
+	defer f.service.mu.Unlock()
+	s := simagent.State{Members: f.running() + f.realAgents, Quota: 1 / float64(f.n+f.realAgents), Policy: f.policy, List: f.service.version}
+	if f.hubs != nil {
+		s.Settings = f.hubs.settingsVersion
 	}
-	if c.matrix {
-		s.MeasuredZones = cmp.Or(c.expectedZones, len(zones))
-		if c.hubs != nil {
+	if f.matrix {
+		s.MeasuredZones = cmp.Or(f.expectedZones, len(zones))
+		if f.hubs != nil {
 			s.MeasuredZones = len(zones) - 1 // one hub alone measures nothing within its own zone
 		}
 	}
