--- a/internal/scale/applied_test.go
+++ b/internal/scale/applied_test.go
@@ -9,10 +9,10 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// appliedVersions are when agents acted on changes.
+// appliedVersions records when agents applied versions. Its methods may be called from any goroutine.
 type appliedVersions struct {
 	mu    sync.Mutex
-	byKey map[appliedKey][]appliedVersion // in order
+	byKey map[appliedKey][]appliedVersion // in the order of their arrival
 }
 
 type appliedKey struct {
@@ -32,7 +32,7 @@
 	a.byKey[k] = append(a.byKey[k], appliedVersion{version, at})
 }
 
-// appliedAt is when an agent first had a version, or one after it.
+// appliedAt returns when an agent first applied a version or a later one; false: not yet.
 func (a *appliedVersions) appliedAt(name string, what simagent.Change, version int64) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// How long a change takes to reach all agents, undisturbed and under faults, and what it costs.
+
 import (
 	"fmt"
 	"math/rand/v2"
@@ -9,13 +11,13 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// changeTimeout is how long a change is waited for.
+// changeTimeout is how long after a change agents have to have applied it.
 const changeTimeout = 30 * time.Second
 
 func changeTable(t *testing.T) {
 	for _, n := range fleetSizes(t, 14) {
 		for _, run := range runNumbers() {
-			if *full { // one fleet for both
+			if *full { // one fleet for all kinds of change
 				for _, mode := range fleetModes() {
 					t.Run(fmt.Sprintf("%s-%d-%d", mode, n, run), func(t *testing.T) { measureChanges(t, mode, n, run, measuredChanges(mode)) })
 				}
@@ -33,7 +35,7 @@
 	}
 }
 
-// measuredChanges are the changes that are measured. Hubs alone carry settings.
+// measuredChanges returns the kinds of change that are measured. Only hubs publish settings.
 func measuredChanges(mode simagent.Mode) []simagent.Change {
 	list := []simagent.Change{simagent.Policy, simagent.List}
 	if mode == simagent.Hubs {
@@ -42,7 +44,7 @@
 	return list
 }
 
-// makeChange makes a change at its source.
+// makeChange makes a change at its source, and returns the new version and when it was made.
 func (f *testFleet) makeChange(what simagent.Change) (version int64, at time.Time) {
 	switch what {
 	case simagent.Policy:
@@ -53,14 +55,14 @@
 	return f.service.change()
 }
 
-// propagation is how long a change took to agents.
+// propagation is how long a change took to reach agents.
 type propagation struct {
 	durations []time.Duration
-	unreached int // agents that it did not come to in time
+	unreached int // agents that it did not reach in time
 }
 
-// measurePropagation waits until those of the agents that which picks have acted on a version. What each took counts from when the
-// change was made, or from its own start if that was later.
+// measurePropagation waits until the selected agents have applied a version, for changeTimeout after at. Each agent's
+// duration counts from at, when the change was made, or from the agent's own start if that was later.
 func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time, selected func(i int) bool, started map[int]time.Time) (result propagation) {
 	limit := at.Add(changeTimeout)
 	for i := range f.n {
@@ -96,7 +98,8 @@
 
 func everyone(int) bool { return true }
 
-// measureChanges measures how long changes take to all agents of one fleet, undisturbed and disturbed, and what they cost.
+// measureChanges measures how long changes take to reach all agents of one fleet, undisturbed and under faults, and what
+// they cost.
 func measureChanges(t *testing.T, mode simagent.Mode, n, run int, kinds []simagent.Change) {
 	fleet := newTestFleet(t, mode, n, true)
 	fleet.startAll(time.Duration(n) * *pace)
@@ -110,15 +113,15 @@
 	if *full {
 		repeats, settle = 5, 2*time.Second
 	}
-	time.Sleep(settle) // what a start leaves
+	time.Sleep(settle) // until the start's own work is done
 	draw := rand.New(rand.NewPCG(uint64(n), uint64(run)))
 	for _, what := range kinds {
 		r := base
 		r.Case = what.String() + ", undisturbed"
 		r.Values = map[string]float64{}
-		// What changes cost is what a span with them takes beyond one without.
+		// The cost of changes is what a span with changes takes beyond one without.
 		idle := fleet.startMeter(false)
-		time.Sleep(settle) // the span without
+		time.Sleep(settle) // the span without changes
 		before := idle.end()
 		m, all := fleet.startMeter(false), propagation{}
 		for range repeats {
@@ -149,7 +152,7 @@
 	}
 	for _, what := range kinds {
 		saveRows(t, fleet.changeWhilePaused(base, what, draw, settle), fleet.changeUnderLoss(base, what, settle))
-		if fleet.hubs == nil { // hubs are processes of their own, between which nothing can be cut here
+		if fleet.hubs == nil { // hubs are real processes, which a simulated network can't cut off
 			saveRows(t, fleet.changeDuringPartition(base, what, settle))
 		} else {
 			saveRows(t, fleet.changeWithDeadHub(base, what, draw))
@@ -158,7 +161,7 @@
 	}
 }
 
-// changeWhilePaused makes a change while 2% of the agents are stopped.
+// changeWhilePaused measures a change while 2% of the agents are paused, and how long these take once resumed.
 func (f *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
 	stopped := map[int]bool{}
@@ -166,7 +169,7 @@
 		stopped[i+1] = true // not the policy's source
 		f.agents[i+1].Pause()
 	}
-	time.Sleep(settle / 4) // how long they have been stopped for
+	time.Sleep(settle / 4) // how long they have been paused for when the change is made
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, func(i int) bool { return !stopped[i] }, nil).addValues(r.Values, "")
@@ -180,11 +183,11 @@
 	return f.awaitRecovery(r)
 }
 
-// changeUnderLoss makes a change while 10% of all datagrams are lost, and as many writes to streams late.
+// changeUnderLoss measures a change while 10% of all datagrams are lost and 10% of the writes to streams are delayed.
 func (f *testFleet) changeUnderLoss(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 10% lost", map[string]float64{}
 	f.net.SetLoss(0.1)
-	time.Sleep(settle) // losses are to be under way
+	time.Sleep(settle) // until losses have taken effect
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
@@ -193,26 +196,27 @@
 	return f.awaitRecovery(r)
 }
 
-// changeDuringPartition makes a change while a zone is cut off from all others, and from the list service.
+// changeDuringPartition measures a change while a zone is isolated from all others and from the list service, which it
+// must not reach before the partition ends.
 func (f *testFleet) changeDuringPartition(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", a zone cut", map[string]float64{}
 	isolated := len(zones) - 1
 	inside := func(i int) bool { return i%len(zones) == isolated }
 	f.net.Isolate(zones[isolated])
-	time.Sleep(settle) // for so long it has been cut
+	time.Sleep(settle) // how long the zone has been isolated for when the change is made
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	if _, told := f.applied.appliedAt(f.agentName(isolated), what, version); told {
-		f.t.Errorf("%v: it came to a zone that is cut off", what)
+		f.t.Errorf("%v: the change reached an isolated zone", what)
 	}
 	f.net.Isolate()
 	f.measurePropagation(what, version, time.Now(), inside, nil).addValues(r.Values, "cut ones, once healed: ")
 	return f.awaitRecovery(r)
 }
 
-// changeDuringRestarts makes a change while a third of the agents are down, which start within the next two seconds.
+// changeDuringRestarts measures a change while a third of the agents are down, which start within the next two seconds.
 func (f *testFleet) changeDuringRestarts(r row, what simagent.Change) row {
 	r.Case, r.Values = what.String()+", a third restarting", map[string]float64{}
 	third := func(i int) bool { return i%3 == 1 }
@@ -233,7 +237,7 @@
 			continue
 		}
 		if d := time.Until(at.Add(within * time.Duration(k*3) / time.Duration(f.n))); d > 0 {
-			time.Sleep(d) // the pace is what is asked for
+			time.Sleep(d) // keeps the pace, whatever the agents do
 		}
 		started[i] = time.Now()
 		f.start(i, a.Addr())
@@ -245,7 +249,7 @@
 	return f.awaitRecovery(r)
 }
 
-// awaitRecovery waits until all know all again, so that one fault is not measured on what another left.
+// awaitRecovery waits until all agents have the expected state again, so that no fault is measured on what another left.
 func (f *testFleet) awaitRecovery(r row) row {
 	took, ok, reason := f.awaitConvergence(convergenceTimeout)
 	r.Values["all know all again after s"] = took.Seconds()
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -1,11 +1,13 @@
 package scale
 
+// Fits of how a value grows with the fleet's size, and their extrapolation to 1,800 agents.
+
 import (
 	"math"
 	"testing"
 )
 
-// form is a way in which a quantity may grow with the fleet's size.
+// form is a function by which a value may grow with the fleet's size.
 type form struct {
 	name string
 	of   func(n float64) float64
@@ -14,26 +16,26 @@
 var forms = []form{{"log n", math.Log2}, {"n", func(n float64) float64 { return n }}, {"n log n", func(n float64) float64 { return n * math.Log2(n) }},
 	{"n^2", func(n float64) float64 { return n * n }}}
 
-// fit is y = base + slope * form(n), by least squares.
+// fit is the least-squares fit of y = base + slope * form(n).
 type fit struct {
 	Form     string  `json:"form"`
 	Base     float64 `json:"base"`
 	Slope    float64 `json:"slope"`
 	Error    float64 `json:"slope_standard_error"`
-	Residual float64 `json:"residual"` // the standard deviation around it
+	Residual float64 `json:"residual"` // standard deviation of the residuals
 	At1800   float64 `json:"at_1800"`
-	Low      float64 `json:"at_1800_low"` // of what one more run would show, 95%
+	Low      float64 `json:"at_1800_low"` // the 95% prediction interval of one more run
 	High     float64 `json:"at_1800_high"`
 	Points   int     `json:"points"`
 }
 
-// studentQuantile is the 97.5% quantile of Student's distribution by degrees of freedom.
+// studentQuantile returns the 97.5% quantile of Student's t-distribution with df degrees of freedom, at least 1.
 func studentQuantile(df int) float64 {
 	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 	if df <= len(table) {
 		return table[df-1]
 	}
-	return 1.96 + 2.4/float64(df) // within 1% from there on
+	return 1.96 + 2.4/float64(df) // accurate to 1% above the table
 }
 
 func fitTo(f form, n, y []float64) fit {
@@ -66,7 +68,7 @@
 	return r
 }
 
-// bestFit is the form with the least residual. It takes three points of two sizes at least.
+// bestFit returns the fit whose form has the least residual; false if there are fewer than three points or two sizes.
 func bestFit(n, y []float64) (b fit, ok bool) {
 	sizes := map[float64]bool{}
 	for _, x := range n {
@@ -83,7 +85,7 @@
 	return b, true
 }
 
-// A fit finds the form, the slope and its error.
+// A fit finds the form, the slope and the slope's standard error, and refuses points of one size.
 func TestFitFindsTheFormAndItsSlope(t *testing.T) {
 	var n, y []float64
 	noise := []float64{0.3, -0.1, -0.2}
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -1,7 +1,10 @@
-// Package scale measures what a fleet costs its agents, how long it takes to start, and how long a change takes to its last
-// agent, on hollow agents in one process. Its tests run small by default; with -scale.full they make the tables.
+// Package scale measures what a fleet costs its agents, how long it takes to start, and how long a change takes to reach
+// the last agent, on simulated agents in one process. Its tests run small fleets by default; with -scale.full they make
+// the tables.
 package scale
 
+// The fleet that is measured: its start, its changes and its end.
+
 import (
 	"fmt"
 	"slices"
@@ -13,49 +16,54 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// zones are seven in two regions, the first four in the first.
+// zones are seven zones; the first letter is the region's name.
 var zones = []string{"a1", "a2", "a3", "a4", "b1", "b2", "b3"}
 
-// patience is how long anything that must come is waited for.
+// convergenceTimeout bounds the wait for anything that must happen.
 const convergenceTimeout = 30 * time.Second
 
-// policyText is a policy of a version, of about a kilobyte.
+// policyText returns a residency policy of a version, of about a kilobyte.
 func policyText(version int64) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "version = %d\nwhen_stale = \"serve\"\n[regions]\na = [\"a1\", \"a2\", \"a3\", \"a4\"]\nb = [\"b1\", \"b2\", \"b3\"]\n[others]\npermitted = [\"*\"]\n", version)
+	fmt.Fprintf(&b, "version = %d\nwhen_stale = \"serve\"\n"+
+		"[regions]\na = [\"a1\", \"a2\", \"a3\", \"a4\"]\nb = [\"b1\", \"b2\", \"b3\"]\n[others]\npermitted = [\"*\"]\n", version)
 	for i := range 16 {
 		fmt.Fprintf(&b, "[tenant.carrier-%d]\npermitted = [\"%s\"]\nwhen_stale = \"refuse\"\n", i, string("ab"[i%2]))
 	}
 	return b.String()
 }
 
-// testFleet is a fleet of hollow agents.
+// testFleet is a fleet of simulated agents, with its list service and its hubs.
 type testFleet struct {
 	t       testing.TB
 	mode    simagent.Mode
-	n       int
-	matrix  bool
+	n       int  // simulated agents
+	matrix  bool // round trips between zones are measured
 	net     *simagent.Network
 	service *fakeListService
 	applied *appliedVersions
 	label   string
-	policy  int64 // the version that the source gave last
+	policy  int64 // the latest version of the residency policy
 
-	realAgents    int // members that are not hollow
-	expectedZones int // zones to which round trips have to be known; 0: all
+	realAgents    int // agents in processes of their own, beside the simulated ones
+	expectedZones int // zones to which agents have to know round trips; 0: all
 
-	mu     sync.Mutex        // of both lists
-	agents []*simagent.Agent // by number; the first is the policy's source in a flat fleet
+	mu     sync.Mutex        // guards agents and killed
+	agents []*simagent.Agent // by number; nil: not started. In a full mesh the first is the policy's source
 	killed []*simagent.Agent
 
-	hubs         *hubProcesses // nil: the fleet is flat
-	firstHubOnly bool          // all agents know the first hub alone
+	hubs         *hubProcesses // nil: a full mesh
+	firstHubOnly bool          // all agents know the first hub only
 	quotaSums    *quotaWatch
 }
 
+// newTestFleet returns a fleet whose agents are not started yet; in mode Hubs its hubs are. It ends with the test, which
+// fails if the sum of all quotas was ever too large.
 func newTestFleet(t testing.TB, mode simagent.Mode, n int, matrix bool) *testFleet {
-	f := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: simagent.NewNetwork(), service: startListService(t), applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
-		label: fmt.Sprintf("%s-%d", t.Name(), n), agents: make([]*simagent.Agent, n)}
+	t.Helper()
+	f := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: simagent.NewNetwork(), service: startListService(t),
+		applied: &appliedVersions{byKey: map[appliedKey][]appliedVersion{}},
+		label:   fmt.Sprintf("%s-%d", t.Name(), n), agents: make([]*simagent.Agent, n)}
 	if len(f.label) > 64 {
 		f.label = f.label[len(f.label)-64:]
 	}
@@ -70,10 +78,11 @@
 
 func (f *testFleet) agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// start starts agent i, at an address if it had one. The seeds start first.
+// start starts agent i, at its former address or, for "", at any. The seeds are those of the first agents that run.
 func (f *testFleet) start(i int, listen string) {
-	s := simagent.Spec{Mode: f.mode, Name: f.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen, Label: f.label, MaxMembers: f.n + f.realAgents, MeasureLatency: f.matrix,
-		ListService: f.service.addr, PolicySource: i == 0, Network: f.net}
+	s := simagent.Spec{Mode: f.mode, Name: f.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen,
+		Label: f.label, MaxMembers: f.n + f.realAgents, MeasureLatency: f.matrix, ListService: f.service.addr,
+		PolicySource: i == 0, Network: f.net}
 	if f.hubs != nil {
 		s.PolicySource, s.Hubs, s.Region = false, f.hubs.configured(f.firstHubOnly), s.Zone[:1]
 	}
@@ -98,18 +107,18 @@
 	}
 }
 
-// measureStart starts all within a time.
+// startAll starts all agents, evenly spaced over a time.
 func (f *testFleet) startAll(within time.Duration) {
 	startedAt := time.Now()
 	for i := range f.n {
 		f.start(i, "")
 		if d := time.Until(startedAt.Add(within * time.Duration(i) / time.Duration(f.n))); d > 0 {
-			time.Sleep(d) // the pace is what is asked for, and waits for nothing
+			time.Sleep(d) // keeps the pace, whatever the agents do
 		}
 	}
 }
 
-// publishPolicy gives a next policy at the source, and says when.
+// publishPolicy publishes the next version of the policy at its source, and returns when it did.
 func (f *testFleet) publishPolicy() (version int64, at time.Time) {
 	f.policy++
 	at = time.Now()
@@ -123,6 +132,7 @@
 	return f.policy, at
 }
 
+// running counts the agents that were started.
 func (f *testFleet) running() (n int) {
 	for _, a := range f.agents {
 		if a != nil {
@@ -132,12 +142,14 @@
 	return n
 }
 
+// pollInterval is how often a wait checks its condition.
 const pollInterval = 10 * time.Millisecond
 
-// awaitConvergence waits until all know all, and reports how long it took.
+// awaitConvergence waits until every agent has the expected state, and returns how long it took, or what the first agent
+// without it lacks at the limit.
 func (f *testFleet) awaitConvergence(limit time.Duration) (took time.Duration, ok bool, reason string) {
 	startedAt := time.Now()
-	for next := 0; ; { // who knew all is not asked again until the rest do
+	for next := 0; ; { // an agent that had the state is not checked again before all others have it
 		want := f.expectedState()
 		for next < f.n && (f.agents[next] == nil || missing(f.agents[next], want) == "") {
 			next++
@@ -157,7 +169,8 @@
 	}
 }
 
-// awaitStart waits until a fleet that starts knows all, and says why it does not, with whether the machine bore it.
+// awaitStart waits until a fleet that starts has converged. It returns "", or why it has not and whether the machine was
+// too busy.
 func (f *testFleet) awaitStart() string {
 	m := f.startMeter(false)
 	_, ok, reason := f.awaitConvergence(convergenceTimeout)
@@ -168,7 +181,7 @@
 	return strings.TrimSuffix("not whole: "+reason+", "+s.void, ", ")
 }
 
-// traffic is what has passed all agents' sockets, those that were killed included.
+// traffic returns the sum of what has passed the sockets of all agents, including those that were killed.
 func (f *testFleet) traffic() (sum simagent.Traffic) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,12 +202,12 @@
 	return sum
 }
 
-// restart kills agent i, and starts it anew at its address.
+// restart kills agent i, and starts a new one at its address.
 func (f *testFleet) restart(i int) {
 	f.start(i, f.kill(i))
 }
 
-// kill kills agent i, and returns its address.
+// kill kills agent i without its leaving the fleet, and returns its address.
 func (f *testFleet) kill(i int) string {
 	a := f.agents[i]
 	a.Kill()
@@ -209,7 +222,7 @@
 	var all sync.WaitGroup
 	for _, a := range f.agents {
 		if a != nil {
-			a.Kill() // goodbyes of all at once help nobody
+			a.Kill() // leaving would only cost time: all agents end
 			all.Go(a.Wait)
 		}
 	}
--- a/internal/scale/hubmeter_test.go
+++ b/internal/scale/hubmeter_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// hubMeter measures what the hubs' processes use.
+// hubMeter measures the processor time and memory of the hubs' processes over a span.
 type hubMeter struct {
 	t         testing.TB
 	hubs      *hubProcesses
 	cpuBefore []time.Duration
 }
 
-// meter begins; it may be of no hubs.
+// meter begins a span. Without hubs (h is nil) it measures nothing.
 func (h *hubProcesses) meter(t testing.TB) *hubMeter {
 	m := &hubMeter{t: t, hubs: h}
 	if h != nil {
@@ -34,8 +34,8 @@
 	return cpu, rss
 }
 
-// end says what one hub used in a span, on average and the first. Bytes are those of its agents' connections: what hubs say
-// among themselves is not counted.
+// end returns what one hub used in a span: the mean over all hubs, and the first. Bytes are those of the agents'
+// connections to it: traffic between hubs is not counted.
 func (m *hubMeter) end(s span) map[string]float64 {
 	v := map[string]float64{}
 	for i, before := range m.cpuBefore {
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// The hubs of a fleet, in processes of their own.
+
 import (
 	"bytes"
 	"fmt"
@@ -18,7 +20,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// builtProgram is the program, built once for all tests.
+// builtProgram returns the path of the program, which is built once for all tests.
 func builtProgram(t testing.TB) string {
 	program, err := buildProgram()
 	if err != nil {
@@ -35,14 +37,14 @@
 	return program, nil
 })
 
-var scratchDir string // a folder for all tests
+var scratchDir string // a temporary folder for all tests, set by TestMain
 
 func TestMain(m *testing.M) {
 	var err error
 	if scratchDir, err = os.MkdirTemp("", "scale"); err != nil {
-		panic(err) // nothing can be tested
+		panic(err) // no test can run
 	}
-	if err := os.Setenv("TMPDIR", scratchDir); err != nil { // where processes keep what they keep
+	if err := os.Setenv("TMPDIR", scratchDir); err != nil { // for the files of processes
 		panic(err)
 	}
 	code := m.Run()
@@ -50,22 +52,25 @@
 	os.Exit(code)
 }
 
-// hubProcesses are the hubs of a fleet, one a zone, each a process of its own. Policy and settings are given to the first.
+// hubProcesses are the hubs of a fleet, one per zone, each a process of its own. The first is the source of the
+// residency policy and the settings.
 type hubProcesses struct {
 	program, dir    string
 	label           string
 	service         string
 	maxMembers      int
 	matrix          bool
-	settingsVersion int64 // the version that was given last
+	settingsVersion int64 // the latest version of the settings
 
 	addrs     []string // by zone
 	processes []*exec.Cmd
 }
 
-// startHubs starts a hub in each zone, and gives a policy and settings to the first.
+// startHubs starts a hub in each zone, the first with a policy and settings. They are killed at the test's end.
 func startHubs(t testing.TB, fleet *testFleet) *hubProcesses {
-	h := &hubProcesses{program: builtProgram(t), dir: t.TempDir(), label: fleet.label, service: fleet.service.addr, maxMembers: fleet.n + fleet.realAgents, matrix: fleet.matrix,
+	t.Helper()
+	h := &hubProcesses{program: builtProgram(t), dir: t.TempDir(), label: fleet.label, service: fleet.service.addr,
+		maxMembers: fleet.n + fleet.realAgents, matrix: fleet.matrix,
 		addrs: make([]string, len(zones)), processes: make([]*exec.Cmd, len(zones))}
 	t.Cleanup(func() {
 		for i := range zones {
@@ -83,7 +88,7 @@
 
 func (h *hubProcesses) file(name string) string { return filepath.Join(h.dir, name) }
 
-// config is a hub's configuration.
+// config returns a hub's configuration file.
 func (h *hubProcesses) config(i int) string {
 	quoted := func(list []string) string {
 		var b []string
@@ -109,8 +114,9 @@
 
 var listeningLine = regexp.MustCompile(`listening.*address=(\S+)`)
 
-// start starts a hub's process, at the address that it had, and waits until it listens.
+// start starts a hub's process, at its former address if it had one, and waits until it listens.
 func (h *hubProcesses) start(t testing.TB, i int) {
+	t.Helper()
 	name := h.file(zones[i])
 	if err := os.WriteFile(name+".toml", []byte(h.config(i)), 0o600); err != nil {
 		t.Fatal(err)
@@ -141,7 +147,7 @@
 	}
 }
 
-// kill ends a hub's process at once.
+// kill kills a hub's process, if it runs.
 func (h *hubProcesses) kill(i int) {
 	if cmd := h.processes[i]; cmd != nil {
 		_ = cmd.Process.Kill() // ended already if it fails
@@ -150,7 +156,7 @@
 	}
 }
 
-// configured are the hubs that agents know: all, or the first alone.
+// configured returns the hubs that agents are configured with: all, or the first only.
 func (h *hubProcesses) configured(one bool) (list []hubclient.Hub) {
 	for i, addr := range h.addrs {
 		if i == 0 || !one {
@@ -160,8 +166,9 @@
 	return list
 }
 
-// replaceFile replaces a file as a whole.
+// replaceFile replaces a file atomically.
 func (h *hubProcesses) replaceFile(t testing.TB, name, text string) {
+	t.Helper()
 	file := h.file(name)
 	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -171,11 +178,12 @@
 	}
 }
 
+// writePolicy publishes a version of the residency policy at the first hub.
 func (h *hubProcesses) writePolicy(t testing.TB, version int64) {
 	h.replaceFile(t, "policy.toml", policyText(version))
 }
 
-// writeSettings gives next settings, and says when and which.
+// writeSettings publishes the next version of the settings at the first hub, and returns it and when it did.
 func (h *hubProcesses) writeSettings(t testing.TB) (version int64, at time.Time) {
 	h.settingsVersion++
 	at = time.Now()
@@ -183,7 +191,7 @@
 	return h.settingsVersion, at
 }
 
-// changeWithDeadHub makes a change at the moment at which one of the hubs dies, which is not the one that it is given to.
+// changeWithDeadHub measures a change that is made when one of the hubs has just died; it is never the change's source.
 func (f *testFleet) changeWithDeadHub(r row, what simagent.Change, draw *rand.Rand) row {
 	r.Case, r.Values = what.String()+", one of seven hubs dead", map[string]float64{}
 	dead := 1 + draw.IntN(len(zones)-1)
@@ -196,7 +204,8 @@
 	return f.awaitRecovery(r)
 }
 
-// A hub's process is given what agents are to know, and names where it listens.
+// The first hub alone is configured with documents, every hub with the addresses of the others, and the address at which
+// a hub listens is found in its log.
 func TestHubConfigNamesItsSeedsAndAddress(t *testing.T) {
 	h := &hubProcesses{label: "x", maxMembers: 3, dir: "/d", addrs: make([]string, len(zones))}
 	h.addrs[0] = "127.0.0.1:7"
--- a/internal/scale/idle_test.go
+++ b/internal/scale/idle_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// measureIdle measures a fleet in which nothing happens.
+// measureIdle measures what a fleet costs while nothing changes.
 func measureIdle(t *testing.T, mode simagent.Mode, n int, matrix bool, run int) row {
 	heap0, rss0 := memory()
 	goroutines0 := runtime.NumGoroutine()
@@ -40,7 +40,7 @@
 	if *full {
 		settle, measure = *warm, *window
 	}
-	time.Sleep(settle) // what a start leaves is not an idle agent's
+	time.Sleep(settle) // the start's own work is not an idle agent's
 	hubs := fleet.hubs.meter(t)
 	m := fleet.startMeter(true)
 	time.Sleep(measure) // the span that is measured
@@ -56,7 +56,7 @@
 	for _, d := range s.cpuByPart {
 		profiled += d.Seconds()
 	}
-	// The list service's and the harness's own share is not the agents'.
+	// The processor time of the list service and the harness is not the agents'.
 	cpu := s.cpu.Seconds()
 	if profiled > 0 {
 		for part, d := range s.cpuByPart {
--- a/internal/scale/listservice_test.go
+++ b/internal/scale/listservice_test.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// fakeListService is a stand-in for the list service: it streams lists, and a line each two seconds.
+// fakeListService streams the endpoint list and its changes, and an empty line as a heartbeat.
 type fakeListService struct {
 	addr   string
 	server *http.Server
@@ -44,7 +44,7 @@
 	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
 }
 
-// change changes one backend, and says when and to which version.
+// change changes the weight of one backend, and returns the list's new version and when it was published.
 func (s *fakeListService) change() (version int64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: the whole list
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: the complete list
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
@@ -98,6 +98,6 @@
 const (
 	numBackends       = 100
 	firstListVersion  = 41
-	heartbeatInterval = 2 * time.Second // of the list service
+	heartbeatInterval = 2 * time.Second
 	numSeeds          = 3
 )
--- a/internal/scale/load_test.go
+++ b/internal/scale/load_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// What a hub costs that has many agents, as when other hubs are lost.
+// What a hub with many agents costs, as when other hubs are lost.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// loadTable measures a hub that has many agents, as when others are lost.
+// loadTable measures one hub with all agents, at the sizes of the largest fleets.
 func loadTable(t *testing.T) {
 	list := []int{257, 600}
 	if !*full {
@@ -23,6 +23,7 @@
 	}
 }
 
+// measureLoad measures what the first hub costs while it has all agents and nothing changes.
 func measureLoad(t *testing.T, n, run int) row {
 	fleet := newTestFleet(t, simagent.Hubs, n, true)
 	fleet.firstHubOnly = true
@@ -33,9 +34,9 @@
 	}
 	settle, measure := 100*time.Millisecond, 500*time.Millisecond
 	if *full {
-		settle, measure = *warm, 2**window // hubs' time is counted in ticks of 10 ms
+		settle, measure = *warm, 2**window // a hub's processor time is counted in ticks of 10 ms
 	}
-	time.Sleep(settle) // what a start leaves is not an idle hub's
+	time.Sleep(settle) // the start's own work is not an idle hub's
 	hubs, m := fleet.hubs.meter(t), fleet.startMeter(false)
 	time.Sleep(measure) // the span that is measured
 	s := m.end()
--- a/internal/scale/machine_test.go
+++ b/internal/scale/machine_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// processCPU is the time that this process has used.
+// processCPU returns the processor time that this process has used.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -24,7 +24,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// stolenTime is how much of its processors' time the machine was not given by its host, and of how much.
+// stolenTime returns how much processor time the machine's host has given to other machines, and the total, in clock
+// ticks since the system's start; 0, 0 if it is not known.
 func stolenTime() (steal, total float64) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -32,8 +33,8 @@
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, field := range strings.Fields(line)[1:] {
-		n, _ := strconv.ParseFloat(field, 64) // 0 if it is odd
-		if i < 8 {                            // guests' time is in users' already
+		n, _ := strconv.ParseFloat(field, 64) // the kernel writes numbers
+		if i < 8 {                            // user time already includes guests' time
 			total += n
 		}
 		if i == 7 {
@@ -43,7 +44,7 @@
 	return steal, total
 }
 
-// residentBytes is this process's resident memory, bytes.
+// residentBytes returns this process's resident memory; 0 if it is not known.
 func residentBytes() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -53,11 +54,11 @@
 	if len(fields) < 2 {
 		return 0
 	}
-	pages, _ := strconv.ParseFloat(fields[1], 64) // 0 if it is odd
+	pages, _ := strconv.ParseFloat(fields[1], 64) // the kernel writes numbers
 	return pages * float64(os.Getpagesize())
 }
 
-// memory is heap in use and resident memory after a collection, bytes.
+// memory collects garbage, and returns the heap in use and the resident memory, in bytes.
 func memory() (heap, rss float64) {
 	debug.FreeOSMemory()
 	var m runtime.MemStats
@@ -65,7 +66,7 @@
 	return float64(m.HeapAlloc), residentBytes()
 }
 
-// lateness finds out whether the machine bears a run: how late a task comes that is due each 10 ms.
+// lateness tells whether the machine keeps up with a run: how late a timer of beatInterval fires.
 type lateness struct {
 	end  chan struct{}
 	done sync.WaitGroup
@@ -91,7 +92,7 @@
 	return l
 }
 
-// stop ends it, and returns the 99th percentile and the longest.
+// stop ends the timer, and returns the 99th percentile and the maximum of its lateness.
 func (l *lateness) stop() (p99, most time.Duration) {
 	close(l.end)
 	l.done.Wait()
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// The measurement of a span of a fleet's run.
+
 import (
 	"bytes"
 	"fmt"
@@ -10,25 +12,25 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// What the machine must do for a run to count.
+// A run counts only if the machine kept up with it.
 const (
-	maxLateP99 = 20 * time.Millisecond // of 99 in a hundred beats
-	maxBusy    = 0.85                  // of all cores
+	maxLateP99 = 20 * time.Millisecond // 99th percentile of the timers' lateness
+	maxBusy    = 0.85                  // share of all cores' time
 )
 
-// span is one measured span of a fleet, whole, to be divided by who asks.
+// span is what all agents of a fleet together used in a measured span.
 type span struct {
 	duration  time.Duration
 	cpu       time.Duration
 	traffic   simagent.Traffic
-	cpuByPart map[string]time.Duration // processor time by part; nil: no profile
-	late      time.Duration            // p99
+	cpuByPart map[string]time.Duration // sampled processor time by part of the product; nil: no profile was taken
+	late      time.Duration            // 99th percentile of the timers' lateness
 	maxLate   time.Duration
-	steal     float64 // share of the machine's processors that its host gave to others
+	steal     float64 // share of the processors' time that the machine's host gave to other machines
 	void      string
 }
 
-// meter measures a span.
+// meter measures a span, from startMeter to end.
 type meter struct {
 	fleet     *testFleet
 	startedAt time.Time
@@ -40,7 +42,7 @@
 	profile   *bytes.Buffer
 }
 
-// startMeter begins a span. One profile at most is taken at a time.
+// startMeter begins a span. Only one span at a time may be profiled.
 func (f *testFleet) startMeter(profiled bool) *meter {
 	m := &meter{fleet: f, late: watchLateness(), traffic: f.traffic()}
 	if profiled {
@@ -54,6 +56,7 @@
 	return m
 }
 
+// end ends the span; its void tells why it does not count, if so.
 func (m *meter) end() span {
 	s := span{duration: time.Since(m.startedAt), cpu: processCPU() - m.cpu}
 	now := m.fleet.traffic()
--- a/internal/scale/overhead/backends.go
+++ b/internal/scale/overhead/backends.go
@@ -1,12 +1,14 @@
-// Package overhead measures what a call's way through a real agent adds to the same call made directly to the same
-// backend, and what an agent costs while nothing calls it.
+// Package overhead measures the latency that a real agent adds to a call, compared with the same call made directly to
+// the same backend, and what an agent costs while nothing calls it.
 //
-// Backends (backends.go) and list services (lists.go) are this process's; agents are processes of the program as it is
-// built (process.go). Calls of both ways go out by one plan (drive.go), in windows of several agents at once
-// (window.go); what they showed becomes a file and tables (report.go). traced.go runs an agent under the runtime's own
-// instruments.
+// Backends (backends.go) and list services (listservice.go) run in this process; agents are processes of the built
+// program (process.go, usage.go). Calls (call.go) through the agents and directly are sent by one plan (drive.go), in
+// windows of several agents at once (window.go, windows.go). Their statistics (summary.go) become a file (report.go) and
+// tables (tables.go). trace.go runs an agent under the Go runtime's tracer and profiler.
 package overhead
 
+// The backends, and the clock that they share with the callers.
+
 import (
 	"context"
 	"fmt"
@@ -20,44 +22,48 @@
 	"time"
 )
 
-// What a backend tells of a call, in headers that agents pass on.
+// Headers of a backend's response, which agents forward.
 const (
-	headerBackend       = "X-Backend" // its number
-	headerArrivedAt     = "X-Came"    // when the request reached its handler, ns since the process's base
-	headerFinishedAt    = "X-Left"    // when the handler was done
-	headerRequestNumber = "X-Nth"     // which request of its connection it was, from 1
+	headerBackend       = "X-Backend" // the backend's number
+	headerArrivedAt     = "X-Came"    // when the request reached the handler, ns since base
+	headerFinishedAt    = "X-Left"    // when the handler was done, ns since base
+	headerRequestNumber = "X-Nth"     // the request's number on its connection, from 1
 )
 
-// base is the zero of times between backends and callers, which are one process.
+// base is the origin of all points in time, which backends and callers share: they run in one process.
 var base = time.Now()
 
+// sinceBase returns the time since base.
 func sinceBase() time.Duration { return time.Since(base) }
 
-// Backends are listening sockets of this process, each with an address and port of its own, that answer at once.
+// Backends are HTTP servers in this process, each with an address of its own, that answer at once.
 type Backends struct {
-	Addrs   []string
+	Addrs   []string // host:port, by the backend's number
 	server  *http.Server
 	serving sync.WaitGroup
 }
 
 type connKey struct{}
 
-// backendConn is what is known of a connection.
+// backendConn is the state of a connection to a backend.
 type backendConn struct {
 	backend  int
 	requests atomic.Int64
 }
 
+// numberedListener is a backend's listener, whose connections know the backend's number.
 type numberedListener struct {
 	net.Listener
 	backend int
 }
 
+// numberedConn is a connection to a backend.
 type numberedConn struct {
 	net.Conn
 	backend int
 }
 
+// Accept implements net.Listener.
 func (l numberedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -66,7 +72,7 @@
 	return numberedConn{conn, l.backend}, nil
 }
 
-// StartBackends opens n backends, each at an address of 127.0.0.0/8.
+// StartBackends starts n backends, each at an address of 127.0.0.0/8. The caller closes them.
 func StartBackends(n int) (*Backends, error) {
 	backends := &Backends{}
 	backends.server = &http.Server{Handler: http.HandlerFunc(serveBackend), ErrorLog: log.New(io.Discard, "", 0),
@@ -85,12 +91,13 @@
 	return backends, nil
 }
 
-// Close ends all of them.
+// Close stops all backends, and returns when their goroutines have ended.
 func (b *Backends) Close() {
 	b.server.Close()
 	b.serving.Wait()
 }
 
+// serveBackend answers a request with the headers that tell when and by whom it was served.
 func serveBackend(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := sinceBase()
 	conn := r.Context().Value(connKey{}).(*backendConn)
@@ -99,5 +106,5 @@
 	header.Set(headerRequestNumber, strconv.FormatInt(conn.requests.Add(1), 10))
 	header.Set(headerArrivedAt, strconv.FormatInt(int64(arrivedAt), 10))
 	header.Set(headerFinishedAt, strconv.FormatInt(int64(sinceBase()), 10))
-	_, _ = io.WriteString(w, "ok") // a caller that has gone needs no answer
+	_, _ = io.WriteString(w, "ok") // a caller that has disconnected needs no answer
 }
--- a/internal/scale/overhead/call.go
+++ b/internal/scale/overhead/call.go
@@ -15,26 +15,27 @@
 	"time"
 )
 
-// sample is one call that was answered.
+// sample is one call that was answered. Points in time count from base.
 type sample struct {
-	plannedAt         time.Duration // when it was meant to be sent
-	lateness          time.Duration // how much later it was
-	total             time.Duration // from when it was meant to be sent until its answer was read
-	inbound, outbound time.Duration // from when it was sent until the backend's handler had it; from there back
+	plannedAt         time.Duration // when it was to be sent
+	lateness          time.Duration // how much later than that it was sent
+	total             time.Duration // from when it was to be sent until its answer was read
+	inbound, outbound time.Duration // from its sending to the backend's handler; from the handler's end to the read answer
 	newConnection     bool          // it was the first call of its connection to the backend
 }
 
-// callPath is one of the two that calls go, with what they showed. Calls that are meant for the time before from count for
-// nothing: connections are opened and code is run for the first time.
+// callPath collects the calls of one of the two paths, through an agent or directly. Calls planned for a time before
+// countedFrom are not counted: they open connections and run code for the first time.
 type callPath struct {
-	countedFrom time.Duration
+	countedFrom time.Duration // since base
 
 	mu         sync.Mutex
 	samples    []sample
 	failed     int
-	firstError string // the first that failed
+	firstError string // of the first call that failed
 }
 
+// add records a call; err tells that it failed.
 func (p *callPath) add(s sample, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// newClient returns a client that keeps every connection.
+// newClient returns a client that keeps every connection open.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true,
 		DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}
@@ -57,7 +58,8 @@
 
 var lastCallID atomic.Int64
 
-// call makes one call, meant for a time, and returns which backend answered.
+// call makes one call, planned for a time since base, and returns the number of the backend that answered. A status
+// other than 200 is an error.
 func call(client *http.Client, addr string, at time.Duration) (s sample, backend int, err error) {
 	sentAt := sinceBase()
 	s.plannedAt, s.lateness = at, sentAt-at
@@ -85,7 +87,9 @@
 		return n
 	}
 	backend = int(number(headerBackend))
-	s.total, s.inbound, s.outbound = doneAt-at, time.Duration(number(headerArrivedAt))-sentAt, doneAt-time.Duration(number(headerFinishedAt))
+	s.total = doneAt - at
+	s.inbound = time.Duration(number(headerArrivedAt)) - sentAt
+	s.outbound = doneAt - time.Duration(number(headerFinishedAt))
 	s.newConnection = number(headerRequestNumber) == 1
 	return s, backend, err
 }
--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -1,5 +1,7 @@
 package overhead
 
+// The workload of an agent, the plan of its calls and their sending.
+
 import (
 	"cmp"
 	"context"
@@ -13,36 +15,39 @@
 	"time"
 )
 
-// Workload is one agent in a window: its list, and the calls through it.
+// Workload is an agent's endpoint list and the calls through the agent, in one window.
 type Workload struct {
-	ListSize     int     `json:"List"`             // backends
-	Rate         float64 `json:"Rate"`             // calls a second through the agent, and as many directly
-	Tick         string  `json:"Tick"`             // the agent's attempts.tick
-	EvenlySpaced bool    `json:"Even,omitempty"`   // calls come evenly; else each at random, as from many callers
-	Agents       int     `json:"Agents,omitempty"` // so many agents, each called at this rate, count as one; 0: one
-	ListChanges  string  `json:"Turns,omitempty"`  // how a change of the list is told each second: "", "entries" or "whole"
+	ListSize     int     `json:"List"`             // backends in the endpoint list
+	Rate         float64 `json:"Rate"`             // calls a second through each agent, and as many directly
+	Tick         string  `json:"Tick"`             // the agent's setting attempts.tick
+	EvenlySpaced bool    `json:"Even,omitempty"`   // evenly spaced calls; else a Poisson process, as from many callers
+	Agents       int     `json:"Agents,omitempty"` // agents whose calls make one row, each called at Rate; 0: one
+	// ListChanges is how the list service publishes a change each second: "" (no changes), "entries" (the changed
+	// endpoints) or "whole" (the complete list).
+	ListChanges string `json:"Turns,omitempty"`
 }
 
-// agentRun is a cell's agent at work.
+// agentRun is an agent with a workload, while it runs.
 type agentRun struct {
 	workload                Workload
 	process                 *AgentProcess
 	listService             *ListService
 	client                  *http.Client
 	through, direct         callPath
-	lastBackend             atomic.Int64 // backend of the latest call through the agent
-	changedAt               []time.Duration
+	lastBackend             atomic.Int64    // number of the backend that served the latest call through the agent
+	changedAt               []time.Duration // when the list changed, since base
 	usageBefore, usageAfter Usage
 }
 
 // plannedCall is a call that is to be made.
 type plannedCall struct {
-	sendAt time.Duration
+	sendAt time.Duration // since base
 	run    *agentRun
-	direct bool
+	direct bool // to the backend that served the run's latest call, not through the agent
 }
 
-// plan is the calls of a lane: through the agent and directly in turn, each direct one halfway to the next.
+// plan returns an agent's calls between two points in time, through the agent and directly in turn, each direct one
+// halfway to the next through the agent.
 func (a *agentRun) plan(rng *rand.Rand, from, until time.Duration) (calls []plannedCall) {
 	gap := func() time.Duration {
 		x := 1.0
@@ -59,8 +64,8 @@
 	return calls
 }
 
-// drive makes the calls of all lanes from one plan, each at its time whatever became of those before, and waits for the
-// answers. Go's own timers are up to a millisecond late: a thread sleeps in the system instead.
+// drive makes the calls of all agents by one plan, each at its time even if earlier ones are not answered yet, and waits
+// for the answers. It sleeps by a system call on a thread of its own, since Go's timers are up to a millisecond late.
 func drive(agents []*agentRun, direct *http.Client, addrs []string, rng *rand.Rand, warmUp, length time.Duration) {
 	start := sinceBase() + 10*time.Millisecond
 	var plan []plannedCall
@@ -75,7 +80,7 @@
 	for _, planned := range plan {
 		for left := planned.sendAt - sinceBase(); left > 0; left = planned.sendAt - sinceBase() {
 			t := syscall.NsecToTimespec(int64(left))
-			_ = syscall.Nanosleep(&t, nil) // a signal ends it early
+			_ = syscall.Nanosleep(&t, nil) // a signal may end it early: the loop sleeps again
 		}
 		calls.Go(func() {
 			if planned.direct {
@@ -93,7 +98,7 @@
 	calls.Wait()
 }
 
-// changeListEachSecond changes the lane's list each second, until ctx ends.
+// changeListEachSecond changes the agent's endpoint list each second, until ctx ends.
 func (a *agentRun) changeListEachSecond(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/scale/overhead/listservice.go
+++ b/internal/scale/overhead/listservice.go
@@ -1,5 +1,7 @@
 package overhead
 
+// A list service that streams its endpoint list and the changes of it.
+
 import (
 	"context"
 	"encoding/json"
@@ -15,33 +17,35 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// ListService is a list service: the whole list first, then each change, and an empty line while there is none.
+// ListService is a fake list service: it streams the complete endpoint list, then each change, and an empty line as a
+// heartbeat while there is none.
 type ListService struct {
-	Addr string
+	Addr string // host:port
 
 	server  *http.Server
 	serving sync.WaitGroup
 
 	mu        sync.Mutex
 	endpoints []discovery.Endpoint
-	updates   []discovery.EndpointList // version v is tells[v-firstVersion-1]
-	changed   chan struct{}            // closed at each change
+	updates   []discovery.EndpointList // version v is updates[v-firstVersion-1]
+	changed   chan struct{}            // closed at each change, and replaced
 	closed    bool
-	draining  int // the backend that drains; below 0: none
+	draining  int // the number of the draining backend; below 0: none
 }
 
 const (
 	firstVersion      = 41
 	heartbeatInterval = 2 * time.Second
 	zoneName          = "a"
-	kindName          = "k" // an agent ends with its first call where its backends are of no kind that it knows
+	kindName          = "k" // agents know it by AgentConfig: an agent that knows no backend's kind ends with its first call
 )
 
-// NewListService starts a service that tells of the backends at these addresses.
+// NewListService starts a service whose list has the backends at these addresses. The caller closes it.
 func NewListService(addrs []string) (*ListService, error) {
 	service := &ListService{changed: make(chan struct{}), draining: -1}
 	for i, addr := range addrs {
-		service.endpoints = append(service.endpoints, discovery.Endpoint{ID: fmt.Sprintf("b-%04d", i), Addr: addr, Zone: zoneName, Kind: kindName, Cell: i / 4, State: "ready", Weight: 1})
+		service.endpoints = append(service.endpoints, discovery.Endpoint{
+			ID: fmt.Sprintf("b-%04d", i), Addr: addr, Zone: zoneName, Kind: kindName, Cell: i / 4, State: "ready", Weight: 1})
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -53,7 +57,7 @@
 	return service, nil
 }
 
-// Close ends the service.
+// Close ends all streams and the service, and returns when its goroutine has ended.
 func (s *ListService) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -63,13 +67,14 @@
 	s.serving.Wait()
 }
 
+// notifyWatchers wakes all streams; s.mu is held.
 func (s *ListService) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ChangeList has one backend drain and the one that drained before be ready again, and returns when it was told: as the two
-// entries alone, or as the whole list.
+// ChangeList sets the next backend to draining and the one that was draining back to ready, publishes this as the two
+// entries or as the complete list, and returns when it did, since base.
 func (s *ListService) ChangeList(full bool) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,12 +95,13 @@
 	return sinceBase()
 }
 
+// serveWatch streams the list to one agent, until the agent disconnects or the service is closed.
 func (s *ListService) serveWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
 		return
 	}
-	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or not a number: the complete list
 	for {
 		s.mu.Lock()
 		if s.closed {
@@ -132,7 +138,7 @@
 	}
 }
 
-// waitForChange waits for a change or until an empty line is due, and reports false once ctx has ended.
+// waitForChange waits for a change or until a heartbeat is due, and reports false once ctx has ended.
 func waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
--- a/internal/scale/overhead/overhead_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -1,5 +1,7 @@
 package overhead
 
+// The measurement itself, small by default and in full with -scale.full, and tests of its parts.
+
 import (
 	"flag"
 	"os"
@@ -12,14 +14,14 @@
 )
 
 var (
-	full       = flag.Bool("scale.full", false, "play whole runs and write the tables; else a small one")
-	runs       = flag.Int("scale.runs", 3, "so many runs")
-	appendRuns = flag.Bool("scale.append", false, "add the runs to those that are there; with no runs the tables are written anew")
-	outFile    = flag.String("scale.out", "../../../docs/capacity/callway", "where whole runs are written, without .json and .md")
+	full       = flag.Bool("scale.full", false, "make full runs and write the tables; else a small run")
+	runs       = flag.Int("scale.runs", 3, "number of full runs")
+	appendRuns = flag.Bool("scale.append", false, "add the runs to those of the file; with no runs the tables are written anew")
+	outFile    = flag.String("scale.out", "../../../docs/capacity/callway", "where full runs are written, without .json and .md")
 	traceDir   = flag.String("scale.trace", "", "a folder for traces of agents; none are made without it")
 )
 
-// TestMain lets the test binary stand in for the program, for traces.
+// TestMain makes the test binary run as a traced agent if traceDirEnv is set.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(traceDirEnv); dir != "" {
 		if err := ServeTraced(os.Args[len(os.Args)-1], dir); err != nil {
@@ -30,6 +32,7 @@
 	os.Exit(m.Run())
 }
 
+// newBench builds the program and starts backends, for one test.
 func newBench(t *testing.T, backends int) *Bench {
 	t.Helper()
 	backendSet, err := StartBackends(backends)
@@ -45,7 +48,8 @@
 	return &Bench{Dir: dir, Command: command, Backends: backendSet, Seed: uint64(time.Now().UnixNano())}
 }
 
-// Both ways answer all, a change of the list included, and the tables are made of it. With -scale.full: in full.
+// All calls are answered, through agents and directly, also while the list changes, and the saved tables are those of the
+// saved rows. With -scale.full it makes the full measurement.
 func TestTableOfCallsThroughAgentsAndDirectly(t *testing.T) {
 	windows, sizes, settle, idleSpan := FullWindows(), []int{8, 60, 100, 1800}, time.Second, 7*time.Second
 	how := "go test ./internal/scale/overhead -run Table -scale.full -timeout 20m"
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -1,5 +1,7 @@
 package overhead
 
+// Building, starting and stopping the program as an agent.
+
 import (
 	"bufio"
 	"context"
@@ -16,10 +18,11 @@
 	"time"
 )
 
-// Class is the class of requests that agents are told of: a read, which may be repeated at will.
+// Class is the one request class that agents are configured with: an idempotent read.
 const Class = "lookup"
 
-// AgentConfig is an agent's configuration: the defaults, but for what it says.
+// AgentConfig returns an agent's configuration file: the defaults, with this list service (host:port) and this value of
+// attempts.tick.
 func AgentConfig(listService, tick string) string {
 	return fmt.Sprintf(`listen = "127.0.0.1:0"
 discovery = %q
@@ -39,26 +42,28 @@
 `, listService, zoneName, zoneName, kindName, tick, Class)
 }
 
-// AgentProcess is a real agent.
+// AgentProcess is an agent in a process of its own.
 type AgentProcess struct {
-	Addr    string // where clients connect
+	Addr    string // host:port where clients connect
 	cmd     *exec.Cmd
 	logDone chan struct{} // closed once its log has ended
-	logTail []string      // the end of its log, once read is closed
+	logTail []string      // the last lines of its log; may be read once logDone is closed
 }
 
-// BuildAgent builds the program into a folder and returns the command that starts an agent.
+// BuildAgent builds the program into a folder and returns the command that starts an agent, without its last argument:
+// the path of the configuration file.
 func BuildAgent(dir string) ([]string, error) {
 	program := filepath.Join(dir, "martenbeam")
 	cmd := exec.Command("go", "build", "-buildvcs=false", "-o", program, "martenbeam/cmd/martenbeam")
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("%w: %s", err, out)
+		return nil, fmt.Errorf("building the agent: %w: %s", err, out)
 	}
 	return []string{program, "agent", "--log-format", "json", "--config"}, nil
 }
 
-// StartAgent starts an agent from a command, which is given the configuration's file as its last argument, and waits until it
-// takes clients and has its list.
+// StartAgent starts an agent and waits until it accepts clients and has an endpoint list. The path of its configuration
+// file, which is written into dir, becomes the command's last argument; env is added to the environment. The caller
+// ends the agent with Stop.
 func StartAgent(ctx context.Context, dir, config string, env []string, command ...string) (*AgentProcess, error) {
 	file, err := os.CreateTemp(dir, "agent-*.toml")
 	if err != nil {
@@ -70,7 +75,8 @@
 	if err != nil {
 		return nil, err
 	}
-	process := &AgentProcess{cmd: exec.Command(command[0], append(slices.Clone(command[1:]), file.Name())...), logDone: make(chan struct{})}
+	args := append(slices.Clone(command[1:]), file.Name())
+	process := &AgentProcess{cmd: exec.Command(command[0], args...), logDone: make(chan struct{})}
 	process.cmd.Env = append(os.Environ(), env...)
 	log, err := process.cmd.StderrPipe()
 	if err != nil {
@@ -98,7 +104,7 @@
 	return process, nil
 }
 
-// readLog reads the log, which says where the agent listens.
+// readLog reads the log until it ends, keeps its last lines, and sends the address at which the agent listens.
 func (p *AgentProcess) readLog(log io.Reader, serving chan<- string) {
 	defer close(p.logDone)
 	for lines := bufio.NewScanner(log); lines.Scan(); {
@@ -117,7 +123,7 @@
 
 const readyTimeout = 20 * time.Second
 
-// waitReady waits until the agent has a list.
+// waitReady waits until the agent's health check succeeds: it has an endpoint list.
 func (p *AgentProcess) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
@@ -140,7 +146,7 @@
 	}
 }
 
-// Stop has the agent finish.
+// Stop ends the agent by SIGTERM, and waits until it has shut down. A status other than 0 is an error.
 func (p *AgentProcess) Stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
--- a/internal/scale/overhead/report.go
+++ b/internal/scale/overhead/report.go
@@ -1,74 +1,78 @@
 package overhead
 
+// The result of measurements, and its file. The JSON keys are those of files that are kept: they stay when a field is
+// renamed.
+
 import (
 	"encoding/json"
 	"os"
 	"time"
 )
 
-// Quantiles is quantiles of latencies, in ms.
+// Quantiles summarizes the latencies of calls, in ms.
 type Quantiles struct {
-	N                  int     `json:"N"`
+	N                  int     `json:"N"` // calls
 	P50                float64 `json:"P50"`
 	P99                float64 `json:"P99"`
 	P999               float64 `json:"P999"`
 	Max                float64 `json:"Most"`
 	NewConnectionShare float64 `json:"FreshShare"` // share of calls on a new connection to the backend
-	InboundP99         float64 `json:"In99"`       // p99 of the way to the backend
-	OutboundP99        float64 `json:"Out99"`      // p99 of the way back
+	InboundP99         float64 `json:"In99"`       // from sending to the backend's handler
+	OutboundP99        float64 `json:"Out99"`      // from the backend's handler to the read answer
 }
 
-// Row is what one cell showed in one run.
+// Row is what one workload showed in one run.
 type Row struct {
 	Window string `json:"Window"`
 	Workload
 	Direct             Quantiles `json:"Direct"`
-	Through            Quantiles `json:"Through"`
-	AfterChange        Quantiles `json:"After,omitzero"`
-	OtherTimes         Quantiles `json:"Rest,omitzero"`
-	AfterChangeDirect  Quantiles `json:"AfterDirect,omitzero"`
-	OtherTimesDirect   Quantiles `json:"RestDirect,omitzero"`
-	Changes            int       `json:"Changes,omitempty"`
-	Failed             int       `json:"Failed"`
-	FailedDirect       int       `json:"FailedDirect"`
-	FirstError         string    `json:"Why,omitempty"`
-	LatenessP99        float64   `json:"LateP99"`    // of the caller itself
-	ResidentMB         float64   `json:"ResidentMB"` // of one agent
-	CPUMillisPerSecond float64   `json:"CPUms"`      // of one agent, for each second
+	Through            Quantiles `json:"Through"`              // calls through the agent
+	AfterChange        Quantiles `json:"After,omitzero"`       // of Through, those soon after a change of the list
+	OtherTimes         Quantiles `json:"Rest,omitzero"`        // of Through, the others
+	AfterChangeDirect  Quantiles `json:"AfterDirect,omitzero"` // of Direct, those soon after a change of the list
+	OtherTimesDirect   Quantiles `json:"RestDirect,omitzero"`  // of Direct, the others
+	Changes            int       `json:"Changes,omitempty"`    // changes of the list
+	Failed             int       `json:"Failed"`               // failed calls through the agent
+	FailedDirect       int       `json:"FailedDirect"`         // failed direct calls
+	FirstError         string    `json:"Why,omitempty"`        // of a failed call
+	LatenessP99        float64   `json:"LateP99"`              // how late the caller sent calls, ms
+	ResidentMB         float64   `json:"ResidentMB"`           // of one agent: the largest
+	CPUMillisPerSecond float64   `json:"CPUms"`                // processor time of one agent: the mean
 	Slowest            Slowest   `json:"Slowest"`
 }
 
-// Slowest is what the slowest hundredth of the calls through the agent spent, in ms, in the mean: on the way to the backend's handler, and
-// back from there; and the share that went on a new connection.
+// Slowest is the mean over the slowest hundredth of the calls through the agent, in ms: from sending to the backend's
+// handler, and from there to the read answer; and the share of them that used a new connection to the backend.
 type Slowest struct {
 	Inbound            float64 `json:"In"`
 	Outbound           float64 `json:"Out"`
 	NewConnectionShare float64 `json:"FreshShare"`
 }
 
-// IdleRow is what an agent uses that nobody calls.
+// IdleRow is what an agent without calls uses.
 type IdleRow struct {
-	ListSize           int     `json:"List"`
+	ListSize           int     `json:"List"` // backends in the endpoint list
 	ResidentMB         float64 `json:"ResidentMB"`
-	CPUMillisPerSecond float64 `json:"CPUms"` // for each second
+	CPUMillisPerSecond float64 `json:"CPUms"` // processor time
 }
 
-// Result is every run.
+// Result is all runs of a measurement.
 type Result struct {
-	How  string `json:"How"`
+	How  string `json:"How"` // the command that makes it
 	Runs []Run  `json:"Runs"`
 }
 
-// Run is one of them.
+// Run is one run of all windows.
 type Run struct {
-	At   time.Time `json:"At"`
+	At   time.Time `json:"At"` // its start, in UTC
 	Rows []Row     `json:"Rows"`
 	Idle []IdleRow `json:"Idle"`
-	// Stolen is the share of the cores' time that the system's host gave to others meanwhile; 0 may be: not measured.
+	// Stolen is the share of the cores' time that the machine's host gave to other machines meanwhile; 0: none, or not
+	// measured.
 	Stolen float64 `json:"Stolen"`
 }
 
-// Load reads a result that was saved; none yet is an empty one.
+// Load reads a saved result. A file that does not exist is an empty result.
 func Load(file string) (*Result, error) {
 	text, err := os.ReadFile(file)
 	if os.IsNotExist(err) {
@@ -81,7 +85,7 @@
 	return r, err
 }
 
-// Save writes the result, rounded, to FILE.json and its tables to FILE.md.
+// Save writes the result to FILE.json and its tables to FILE.md, in place of what is there.
 func (r *Result) Save(file string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/internal/scale/overhead/summary.go
+++ b/internal/scale/overhead/summary.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newRow sums up the lanes of one cell.
+// newRow summarizes the agents of one workload, which ran for a time.
 func newRow(window string, agents []*agentRun, took time.Duration) Row {
 	row := Row{Window: window, Workload: agents[0].workload}
 	var through, direct []sample
@@ -22,7 +22,8 @@
 			row.FirstError = agent.through.firstError + agent.direct.firstError
 		}
 		row.ResidentMB = max(row.ResidentMB, agent.usageAfter.ResidentMB)
-		row.CPUMillisPerSecond += (agent.usageAfter.CPU - agent.usageBefore.CPU).Seconds() * 1e3 / took.Seconds() / float64(len(agents))
+		cpu := agent.usageAfter.CPU - agent.usageBefore.CPU
+		row.CPUMillisPerSecond += cpu.Seconds() * 1e3 / took.Seconds() / float64(len(agents))
 		if agent.workload.ListChanges != "" {
 			row.Changes += len(agent.changedAt)
 			afterChange := func(s sample) bool { return agent.afterChange(s.plannedAt) }
@@ -42,13 +43,15 @@
 	return row
 }
 
+// afterChangeSpan is how long after a change of the list a call counts as made after it.
 const afterChangeSpan = 100 * time.Millisecond
 
-// afterChange reports whether a time is within the first part of a second, after a change.
+// afterChange reports whether a time since base is at most afterChangeSpan after a change of the list.
 func (a *agentRun) afterChange(at time.Duration) bool {
 	return slices.ContainsFunc(a.changedAt, func(t time.Duration) bool { return at >= t && at < t+afterChangeSpan })
 }
 
+// partition splits samples into those for which by is true and the rest, in their order.
 func partition(list []sample, by func(sample) bool) (yes, no []sample) {
 	for _, s := range list {
 		if by(s) {
@@ -60,6 +63,7 @@
 	return yes, no
 }
 
+// summarize returns the quantiles of calls; all are 0 without calls.
 func summarize(list []sample) (s Quantiles) {
 	if len(list) == 0 {
 		return s
@@ -79,6 +83,7 @@
 		newConnections / float64(len(list)), quantile(in, 0.99), quantile(out, 0.99)}
 }
 
+// summarizeSlowest fills in Slowest, from all calls through the agents.
 func (r *Row) summarizeSlowest(list []sample) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b sample) int { return cmp.Compare(b.total, a.total) })
@@ -93,7 +98,7 @@
 	}
 }
 
-// quantile takes a sorted list; the value that a share of q of it does not pass.
+// quantile returns the least value that at least the share q of a sorted list does not exceed; 0 for an empty list.
 func quantile(list []float64, q float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -101,4 +106,5 @@
 	return list[min(len(list)-1, max(0, int(math.Ceil(q*float64(len(list))))-1))]
 }
 
+// ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// group is the rows of one cell, over the runs.
+// group is the rows of one workload, over the runs.
 type group []Row
 
-// summary writes a figure's middle over the runs, and its spread.
+// summary formats a value's median over the runs, and its range.
 func (g group) summary(value func(Row) float64) string {
 	var list []float64
 	for _, r := range g {
@@ -22,6 +22,7 @@
 	return medianAndRange(list)
 }
 
+// medianAndRange formats a list's median, and if it has several values the least and the greatest.
 func medianAndRange(list []float64) string {
 	list = slices.Sorted(slices.Values(list))
 	middle := list[len(list)/2]
@@ -34,7 +35,7 @@
 	return fmt.Sprintf("%.2f (%.2f-%.2f)", middle, list[0], list[len(list)-1])
 }
 
-// groupsOf are the cells of a kind of window, in the order of the first run.
+// groupsOf returns the workloads of the windows of a name, sorted by tick, rate, list size and kind of list changes.
 func (r *Result) groupsOf(window string) (list []group) {
 	for _, run := range r.Runs {
 		for _, row := range run.Rows {
@@ -51,11 +52,13 @@
 	}
 	slices.SortStableFunc(list, func(a, b group) int {
 		x, y := a[0], b[0]
-		return cmp.Or(strings.Compare(y.Tick, x.Tick), cmp.Compare(x.Rate, y.Rate), cmp.Compare(x.ListSize, y.ListSize), strings.Compare(x.ListChanges, y.ListChanges))
+		return cmp.Or(strings.Compare(y.Tick, x.Tick), cmp.Compare(x.Rate, y.Rate),
+			cmp.Compare(x.ListSize, y.ListSize), strings.Compare(x.ListChanges, y.ListChanges))
 	})
 	return list
 }
 
+// arrivals names how calls are spaced, as the tables do.
 func (w Workload) arrivals() string {
 	if w.EvenlySpaced {
 		return "evenly"
@@ -98,7 +101,7 @@
 	}
 }
 
-// Markdown is the tables.
+// Markdown returns the tables of all runs. Their texts stay as they are: saved tables are compared with them.
 func (r *Result) Markdown() string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
--- a/internal/scale/overhead/trace.go
+++ b/internal/scale/overhead/trace.go
@@ -1,5 +1,7 @@
 package overhead
 
+// An agent under the Go runtime's tracer and profiler.
+
 import (
 	"context"
 	"fmt"
@@ -15,10 +17,12 @@
 	"martenbeam/internal/membership"
 )
 
-// traceDirEnv names the folder in which a program that ends up in ServeTraced leaves what it recorded.
+// traceDirEnv is the environment variable that names the folder for ServeTraced. If it is set, the test binary calls
+// ServeTraced instead of running tests.
 const traceDirEnv = "CALLWAY_TRACED"
 
-// Trace plays one cell on an agent that is this very program and calls ServeTraced.
+// Trace runs one workload on an agent that is this very program, started with traceDirEnv. The agent leaves its trace and
+// its profile in a folder of the workload's name within dir.
 func (b *Bench) Trace(ctx context.Context, workload Workload, length time.Duration, dir string) (Row, error) {
 	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", workload.ListSize, workload.Rate, workload.Tick))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -36,7 +40,8 @@
 	return rows[0], nil
 }
 
-// ServeTraced runs an agent as the program does, and leaves a trace and a profile of the processor's time in a folder.
+// ServeTraced runs an agent as the program does, with this configuration file, until it is terminated. It writes an
+// execution trace (trace.out) and a CPU profile (cpu.pprof) into dir.
 func ServeTraced(file, dir string) error {
 	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: membership.JoinFromConfig,
 		Read: func() ([]byte, error) {
--- a/internal/scale/overhead/usage.go
+++ b/internal/scale/overhead/usage.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Usage is what a process uses.
+// Usage is the resources that a process uses.
 type Usage struct {
-	ResidentMB float64
-	CPU        time.Duration // by all threads that are still there
+	ResidentMB float64       // MiB
+	CPU        time.Duration // processor time since the start, of the threads that still exist
 }
 
-// Usage reads what the agent uses now.
+// Usage reads from /proc what the agent uses now. It fails once the agent has ended.
 func (p *AgentProcess) Usage() (usage Usage, err error) {
 	proc := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	status, err := os.ReadFile(proc + "/status")
@@ -46,7 +46,8 @@
 	return usage, nil
 }
 
-// StolenTime reads the processor time of all cores since the system's start, and what of it its host gave to others.
+// StolenTime reads from /proc/stat the processor time of all cores since the system's start, in clock ticks, and how
+// much of it the machine's host gave to other machines.
 func StolenTime() (stolen, total float64, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -1,5 +1,7 @@
 package overhead
 
+// Running agents: all workloads of a window at once, and agents without calls.
+
 import (
 	"context"
 	"errors"
@@ -10,23 +12,23 @@
 	"time"
 )
 
-// Window is a time in which several agents are called at once, each by its cell.
+// Window is a span in which several agents are called at once, each by its workload.
 type Window struct {
-	Name           string
-	WarmUp, Length time.Duration
+	Name           string        // names the table that its rows belong to
+	WarmUp, Length time.Duration // calls within WarmUp are not counted; Length follows it
 	Workloads      []Workload
 }
 
-// Bench is what windows share.
+// Bench is what all windows share. Its methods must not be called at once, but for Idle beside Run.
 type Bench struct {
-	Dir      string
-	Command  []string // starts an agent; the configuration's file is its last argument
-	Env      []string
+	Dir      string   // for the agents' configuration files
+	Command  []string // starts an agent; the path of its configuration file is added as the last argument
+	Env      []string // added to the environment of agents
 	Backends *Backends
-	Seed     uint64
+	Seed     uint64 // of the times of calls
 }
 
-// startAgent starts a cell's agent and its list service.
+// startAgent starts an agent and its list service.
 func (b *Bench) startAgent(ctx context.Context, workload Workload) (*agentRun, error) {
 	listService, err := NewListService(b.Backends.Addrs[:workload.ListSize])
 	if err != nil {
@@ -40,6 +42,7 @@
 	return &agentRun{workload: workload, process: process, listService: listService, client: newClient()}, nil
 }
 
+// stop stops the agent and its list service, and fails if the agent did.
 func (a *agentRun) stop() error {
 	a.client.CloseIdleConnections()
 	err := a.process.Stop()
@@ -47,7 +50,8 @@
 	return err
 }
 
-// startAgents starts the agents of all cells at once, and returns those that came up even where others did not.
+// startAgents starts an agent for each workload, all at once. Beside an error it returns those that did start, for the
+// caller to stop.
 func (b *Bench) startAgents(ctx context.Context, workloads []Workload) (agents []*agentRun, err error) {
 	agents, errs := make([]*agentRun, len(workloads)), make([]error, len(workloads))
 	var starts sync.WaitGroup
@@ -55,10 +59,10 @@
 		starts.Go(func() { agents[i], errs[i] = b.startAgent(ctx, workload) })
 	}
 	starts.Wait()
-	return slices.DeleteFunc(agents, func(l *agentRun) bool { return l == nil }), errors.Join(errs...)
+	return slices.DeleteFunc(agents, func(a *agentRun) bool { return a == nil }), errors.Join(errs...)
 }
 
-// stopAgents stops agents, all at once.
+// stopAgents stops agents, all at once, and returns all their errors.
 func stopAgents(agents []*agentRun) error {
 	errs := make([]error, len(agents))
 	var stops sync.WaitGroup
@@ -69,7 +73,7 @@
 	return errors.Join(errs...)
 }
 
-// Run plays a window and returns a row for each cell.
+// Run runs a window and returns a row for each workload, in their order.
 func (b *Bench) Run(ctx context.Context, window Window) (rows []Row, err error) {
 	var agents []*agentRun
 	defer func() { err = errors.Join(err, stopAgents(agents)) }()
@@ -86,7 +90,7 @@
 	}
 	direct := newClient()
 	defer direct.CloseIdleConnections()
-	for i, addr := range b.Backends.Addrs[:maxListSize] { // each can be called, and has a connection that is kept
+	for i, addr := range b.Backends.Addrs[:maxListSize] { // opens a connection to each, which is kept
 		_, got, err := call(direct, addr, sinceBase())
 		if err != nil || got != i {
 			return nil, fmt.Errorf("entry %d at %s: backend %d, %w", i, addr, got, err)
@@ -113,7 +117,7 @@
 			return nil, err
 		}
 	}
-	for remaining := agents; len(remaining) > 0; { // those of one cell each time
+	for remaining := agents; len(remaining) > 0; { // the agents of one workload each time
 		n := max(1, remaining[0].workload.Agents)
 		rows = append(rows, newRow(window.Name, remaining[:n], took))
 		remaining = remaining[n:]
@@ -121,7 +125,8 @@
 	return rows, nil
 }
 
-// Idle measures agents that nobody calls, with lists of each size, all at once.
+// Idle measures agents without calls, all at once, one with a list of each size. It waits for settle before it measures
+// for length. The rows are in the order of sizes.
 func (b *Bench) Idle(ctx context.Context, sizes []int, settle, length time.Duration) (rows []IdleRow, err error) {
 	var workloads []Workload
 	for _, n := range sizes {
--- a/internal/scale/profile_test.go
+++ b/internal/scale/profile_test.go
@@ -11,25 +11,29 @@
 	"github.com/google/pprof/profile"
 )
 
-// rules tell by a function on the stack whose a sample is, the first that matches anywhere.
+// profileRules attribute a sample to a part by substrings of the functions on its stack. The first rule that matches any
+// function decides.
 var profileRules = []struct {
 	part string
 	in   []string
 }{
 	{"harness", []string{"internal/scale.", "net/http.(*conn).serve;internal/scale"}},
 	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).publishLatencies"}},
-	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/startup.", "fleet.(*Fleet).Next", "fleet.(*Fleet).RecordUpdate"}},
+	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/startup.",
+		"fleet.(*Fleet).Next", "fleet.(*Fleet).RecordUpdate"}},
 	{"settings", []string{"internal/settings.", "hubclient.appliedSettings"}},
 	{"hub stream", []string{"internal/fleet/hubclient.(*attachment)", "internal/fleet/hub/frame."}},
 	{"policy", []string{"fleet.(*Fleet).shareDocuments", "fleet.(*Fleet).fetchPolicy", "fleet.(*Fleet).getPolicy", "internal/fleet.(*relay).policy", "internal/residency."}},
 	{"facts", []string{"internal/fleet/gossip."}},
-	{"parts", []string{"fleet.(*Fleet).recomputeQuota", "fleet.(*Fleet).detectDead", "fleet.(*Fleet).logSummary", "fleet.(*Fleet).runLoop", "internal/fleet/hubclient.(*Client).runLoop"}},
+	{"parts", []string{"fleet.(*Fleet).recomputeQuota", "fleet.(*Fleet).detectDead", "fleet.(*Fleet).logSummary",
+		"fleet.(*Fleet).runLoop", "internal/fleet/hubclient.(*Client).runLoop"}},
 	{"members", []string{"hashicorp/memberlist", "internal/fleet/member."}},
 	{"streams", []string{"net/http."}},
 	{"collector", []string{"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcStart"}},
 }
 
-// partOf names the part of a stack. What no rule knows is the runtime's: its scheduler and its timers.
+// partOf returns the part that a stack, given by its functions' names, belongs to. What no rule matches belongs to the
+// runtime: its scheduler and its timers.
 func partOf(stack []string) string {
 	for _, r := range profileRules {
 		for _, f := range stack {
@@ -43,7 +47,7 @@
 	return "runtime"
 }
 
-// cpuByPart attributes a processor profile.
+// cpuByPart sums up a CPU profile by part.
 func cpuByPart(data *bytes.Buffer) (map[string]time.Duration, error) {
 	p, err := profile.Parse(data)
 	if err != nil {
@@ -64,7 +68,7 @@
 	return parts, nil
 }
 
-// A stack is attributed to what asked for the work, not to who does it in the end.
+// A stack is attributed to the part that asked for the work, not to the package that does it in the end.
 func TestStackIsAttributedToWhatAskedForTheWork(t *testing.T) {
 	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
@@ -73,7 +77,7 @@
 		"members":   {"syscall.Syscall6", p + "fleet/member.(*transport).WriteTo", "github.com/hashicorp/memberlist.(*Memberlist).probe"},
 		"policy":    {p + "fleet/gossip.(*Store).Entries", p + "fleet.(*Fleet).shareDocuments"},
 		"list":      {"net/http.(*response).Write", p + "fleet.(*relay).ServeHTTP", "net/http.(*conn).serve"},
-		"harness":   {"net/http.(*response).Write", p + "scale.(*service).ServeHTTP", "net/http.(*conn).serve"},
+		"harness":   {"net/http.(*response).Write", p + "scale.(*fakeListService).ServeHTTP", "net/http.(*conn).serve"},
 		"parts":     {p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).recomputeQuota", p + "fleet.(*Fleet).runLoop"},
 		"collector": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
 		"runtime":   {"runtime.findRunnable", "runtime.schedule"},
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// quotaWatch follows how much of the in-flight limit all agents that run use together.
+// quotaWatch samples how much of the in-flight limit all running agents use together.
 type quotaWatch struct {
 	end    chan struct{}
 	done   sync.WaitGroup
@@ -19,13 +19,13 @@
 
 const (
 	sumInterval = 50 * time.Millisecond
-	maxQuotaSum = 1.1 // of the limit
+	maxQuotaSum = 1.1 // of the limit: what agents may exceed it by while quotas change
 )
 
-// quotaHolder is what has a part.
+// quotaHolder is an agent, or a fake one, that has a quota.
 type quotaHolder interface{ Quota() float64 }
 
-// sumQuotas is the parts' sum.
+// sumQuotas returns the sum of all quotas.
 func sumQuotas[U quotaHolder](list []U) (all float64) {
 	for _, u := range list {
 		all += u.Quota()
@@ -33,6 +33,7 @@
 	return all
 }
 
+// watchQuotas starts a quotaWatch, which ends with stop.
 func (f *testFleet) watchQuotas() *quotaWatch {
 	w := &quotaWatch{end: make(chan struct{})}
 	w.done.Go(func() {
@@ -50,7 +51,7 @@
 	return w
 }
 
-// present are the agents that were started, each number's latest.
+// present returns the agents that were started, of each number the latest.
 func (f *testFleet) present() (list []*simagent.Agent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,17 +63,18 @@
 	return list
 }
 
-// stop ends it, and fails the test if the sum was too large.
+// stop ends the sampling, and fails the test if the sum was ever too large.
 func (w *quotaWatch) stop(t testing.TB) {
+	t.Helper()
 	close(w.end)
 	w.done.Wait()
-	t.Logf("the parts' largest sum: %.3f of the limit", w.maxSum)
+	t.Logf("largest sum of the quotas: %.3f of the limit", w.maxSum)
 	if w.maxSum > maxQuotaSum {
-		t.Errorf("the parts' sum came to %.3f of the limit", w.maxSum)
+		t.Errorf("the sum of the quotas came to %.3f of the limit", w.maxSum)
 	}
 }
 
-// fakeQuotaHolder is an agent that takes its part several times.
+// fakeQuotaHolder is an agent that uses its quota several times.
 type fakeQuotaHolder struct {
 	quota float64
 	times int
@@ -80,7 +82,7 @@
 
 func (g fakeQuotaHolder) Quota() float64 { return g.quota * float64(g.times) }
 
-// The check of the parts' sum finds an agent that takes a part twice.
+// The check of the quotas' sum finds an agent that uses its quota twice.
 func TestQuotaSumFindsAnAgentThatCountsTwice(t *testing.T) {
 	fair := fakeQuotaHolder{0.2, 1}
 	for _, c := range []struct {
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// A comparison of real agents' processes with the simulated agents of the same fleet.
+
 import (
 	"fmt"
 	"os"
@@ -29,7 +31,7 @@
 	}
 }
 
-// realAgentConfig is a real agent's configuration that shares what a hollow one does.
+// realAgentConfig returns a real agent's configuration file, with what a simulated agent has, too.
 func (f *testFleet) realAgentConfig(i int) string {
 	var known []string
 	for _, a := range f.agents[:min(numSeeds, f.n)] {
@@ -64,7 +66,7 @@
 `, f.agentName(i), f.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), f.label, f.n+f.realAgents)
 }
 
-// processUsage is the processor time of a process, and its resident memory, kB.
+// processUsage reads from /proc a process's processor time and its resident memory in kB.
 func processUsage(pid int) (cpu time.Duration, rss float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -74,7 +76,7 @@
 	if len(fields) < 22 {
 		return 0, 0, fmt.Errorf("a stat of %d fields", len(fields))
 	}
-	const tick = 10 * time.Millisecond // USER_HZ is 100 everywhere
+	const tick = 10 * time.Millisecond // USER_HZ is 100 on all of Linux
 	for _, k := range []int{11, 12} {
 		n, err := strconv.ParseInt(fields[k], 10, 64)
 		if err != nil {
@@ -86,8 +88,8 @@
 	return cpu, pages * float64(os.Getpagesize()) / 1e3, err
 }
 
-// measureRealAmongSimulated holds real agents' processes against the hollow ones of the same fleet, idle: what they use, and what one
-// sends to a hollow one.
+// measureRealAmongSimulated compares real agents with the simulated ones of the same fleet while nothing changes: their
+// processor time, and the bytes that one agent sends to one simulated agent.
 func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, realAgents, run int) row {
 	fleet := newTestFleet(t, mode, n, true)
 	fleet.realAgents = realAgents
@@ -119,13 +121,13 @@
 	}
 	if reason := fleet.awaitStart(); reason != "" {
 		for i := n; i < n+realAgents; i++ {
-			text, _ := os.ReadFile(filepath.Join(dir, fleet.agentName(i)+".log")) // "" tells as much
+			text, _ := os.ReadFile(filepath.Join(dir, fleet.agentName(i)+".log")) // if it can't be read, its log is empty
 			t.Logf("%s: %s", fleet.agentName(i), text[:min(len(text), 1000)])
 		}
 		r.Void = reason
 		return r
 	}
-	serving := func() bool { // the real ones have a list
+	serving := func() bool { // all real agents have an endpoint list
 		for _, m := range fleet.agents[0].Members() {
 			if m.Phase != member.Serving {
 				return false
@@ -143,7 +145,7 @@
 	if *full {
 		settle, measure = *warm, 2**window // a real agent's time is counted in ticks of 10 ms
 	}
-	time.Sleep(settle) // what a start leaves is not an idle agent's
+	time.Sleep(settle) // the start's own work is not an idle agent's
 	usage := func() (cpu time.Duration, rss float64) {
 		for _, p := range processes {
 			one, mem, err := processUsage(p.Process.Pid)
@@ -165,7 +167,7 @@
 		received, sent = received+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
 	}
 	took := s.duration.Seconds()
-	// Targets are drawn evenly: what one agent sends to one other is what kinds can be held against each other by.
+	// Agents draw their targets evenly: both kinds can be compared by what one agent sends to one other.
 	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(realAgents*n) / took
 	fromSimulated := float64(received-s.traffic.FromRealAgents.Bytes) / float64(n*(n-1)) / took
 	r.Values = map[string]float64{
@@ -182,7 +184,7 @@
 		}
 	}
 	if fromReal <= 0 || fromSimulated <= 0 {
-		t.Errorf("nothing was heard of real agents (%v) or of hollow ones (%v)", fromReal, fromSimulated)
+		t.Errorf("nothing was received from real agents (%v) or from simulated ones (%v)", fromReal, fromSimulated)
 	}
 	return r
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -15,7 +15,8 @@
 	"testing"
 )
 
-// row is one run of one table. Rates are for each agent and second.
+// row is one run of one table. The JSON keys, and the names of cases and values, are those of files that are kept.
+// Rates are per agent and second.
 type row struct {
 	Table  string             `json:"table"` // idle, start, change, real or load
 	Mode   string             `json:"mode"`
@@ -23,11 +24,11 @@
 	Matrix bool               `json:"matrix"`
 	Case   string             `json:"case,omitempty"`
 	Run    int                `json:"run"`
-	Void   string             `json:"void,omitempty"` // why it does not count
+	Void   string             `json:"void,omitempty"` // why the run does not count
 	Values map[string]float64 `json:"values"`
 }
 
-// report is what a file holds.
+// report is the content of a file of rows.
 type report struct {
 	Cores int            `json:"cores"`
 	Rows  []row          `json:"rows"`
@@ -36,11 +37,12 @@
 
 var reportMu sync.Mutex
 
-// saveRows adds rows to the file that the flag names, and writes the tables beside it.
+// saveRows logs rows, adds them to the file that -scale.out names, and writes the tables beside it. Without -scale.full
+// it fails the test on a row whose fleet did not converge.
 func saveRows(t testing.TB, rows ...row) {
 	for _, r := range rows {
 		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v", r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
-		// Small, it is a test: what has to come comes. That a busy machine is late says nothing.
+		// A small run is a test that everything arrives. How late it is on a busy machine doesn't count.
 		if !*full && (strings.HasPrefix(r.Void, "not whole") || r.Values["agents never"] > 0) {
 			t.Errorf("%s, %s: %s, %v agents never", r.Table, r.Case, r.Void, r.Values["agents never"])
 		}
@@ -81,7 +83,7 @@
 
 func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
-// group is rows that differ in size and run alone.
+// group names the rows that differ in size and run only.
 func (r *row) group() string {
 	g := r.Table + " " + r.Mode
 	if r.Matrix {
@@ -108,7 +110,7 @@
 	return names, groups
 }
 
-// fitAll fits every value over the runs that count.
+// fitAll fits every value of every group, over the runs that count.
 func fitAll(rows []row) map[string]fit {
 	list := map[string]fit{}
 	names, groups := groupRows(rows)
@@ -130,8 +132,8 @@
 	return list
 }
 
-// markdown is a table for each group: a line a value, a column a size, the median of the runs that count with the least and
-// the most, and the fit.
+// markdown returns a table for each group: a line per value and a column per size with the median, the least and the
+// greatest of the runs that count, and the fit.
 func markdown(rep *report) string {
 	var b strings.Builder
 	names, groups := groupRows(rep.Rows)
--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -1,8 +1,11 @@
-// Package simagent runs many agents of a fleet in one process: the product's own code of what agents share (members, facts,
-// turns, distances, lists, the residency policy) over real sockets of loopback, without clients and without backends. What
-// a fleet costs its agents, and how long news takes to all of them, is measured on these.
+// Package simagent runs many simulated agents of a fleet in one process: the product's own code for what agents share
+// (membership, gossip, startup admission, latencies, endpoint lists, the residency policy) over real loopback sockets,
+// without clients and without backends. It is used to measure what a fleet costs its agents, and how long a change takes
+// to reach all of them.
 package simagent
 
+// The simulated agent: its specification, its start, its state and its end.
+
 import (
 	"context"
 	"fmt"
@@ -22,87 +25,93 @@
 	"martenbeam/internal/residency"
 )
 
-// Mode is how the agents of a fleet are joined.
+// Mode is the topology by which the agents of a fleet share what they know.
 type Mode string
 
 const (
-	FullMesh Mode = "flat" // everyone is a member, and tells everyone
-	Hubs     Mode = "hubs" // each has one stream to one hub
+	FullMesh Mode = "flat" // every agent gossips with every other
+	Hubs     Mode = "hubs" // each agent has one stream to one hub
 )
 
-// Change is what can change for an agent by its fleet.
+// Change is a kind of document that an agent receives through its fleet.
 type Change int
 
 const (
 	Policy   Change = iota // the residency policy
-	List                   // of backends
-	Settings               // carried by hubs alone
+	List                   // the endpoint list
+	Settings               // published by hubs only
 )
 
+// String returns the name that tables use.
 func (c Change) String() string { return [...]string{"policy", "list", "settings"}[c] }
 
-// Spec is one agent.
+// Spec describes one agent.
 type Spec struct {
 	Mode           Mode
 	Name, Zone     string
 	Zones          []string
-	Listen         string          // "": any port of loopback
-	Seeds          []string        // of a flat fleet
-	Hubs           []hubclient.Hub // of a fleet with hubs
-	Region         string          // with hubs: an agent whose own hub is away prefers those of its region
-	Label          string
+	Listen         string          // host:port; "": any loopback port
+	Seeds          []string        // FullMesh only: addresses of members to join
+	Hubs           []hubclient.Hub // Hubs only
+	Region         string          // Hubs only: while its own hub is unreachable, an agent prefers hubs of its region
+	Label          string          // agents of another label are not members of this fleet
 	MaxMembers     int
-	MeasureLatency bool
-	ListService    string                                         // the list service's address; "": lists are not followed
-	PolicySource   bool                                           // of the residency policy
-	Network        *Network                                       // nil: one without faults
-	OnApplied      func(what Change, version int64, at time.Time) // must not wait; may be nil
+	MeasureLatency bool     // FullMesh only: measure the round trips to all zones
+	ListService    string   // host:port; "": the agent follows no endpoint lists
+	PolicySource   bool     // this agent publishes the residency policy; see ApplyPolicy
+	Network        *Network // nil: a network without faults
+	// OnApplied is called when the agent has applied a version. It may be nil, must not block, and may be called from
+	// several goroutines at once.
+	OnApplied func(what Change, version int64, at time.Time)
 }
 
 // State is what an agent knows.
 type State struct {
-	Members                int     // this one included; as hubs tell it, where there are hubs
-	Quota                  float64 // of the in-flight limit; 0: none told yet
-	MeasuredZones          int     // zones to which a round trip is known
-	Policy, List, Settings int64   // versions; 0: none, as settings are always
+	Members                int     // the agent itself included; with hubs, the fleet size that they publish
+	Quota                  float64 // the agent's share of the in-flight limit; 0: none received yet
+	MeasuredZones          int     // zones to which a round-trip time is known
+	Policy, List, Settings int64   // applied versions; 0: none. Settings is always 0 in a full mesh
 }
 
-// Agent is a hollow agent that runs.
+// Agent is a simulated agent that runs. Its methods may be called from any goroutine.
 type Agent struct {
 	spec            Spec
 	wire            *wire
 	client          fleetClient
-	fleet           *fleet.Fleet      // nil: it has a hub
-	hubClient       *hubclient.Client // nil: the fleet is flat
+	fleet           *fleet.Fleet      // nil in mode Hubs
+	hubClient       *hubclient.Client // nil in mode FullMesh
 	policyHolder    *residency.Holder
 	watcher         *discovery.Watcher
 	cancel          context.CancelFunc
 	tasks           sync.WaitGroup
-	quotaBits       atomic.Uint64 // bits of a float64
+	quotaBits       atomic.Uint64 // math.Float64bits of the quota
 	measuredZones   atomic.Int32
 	listVersion     atomic.Int64
 	policyVersion   atomic.Int64
 	settingsVersion atomic.Int64
 }
 
-// fleetClient is an agent's place in its fleet.
+// fleetClient is an agent's connection to its fleet, whichever the mode.
 type fleetClient interface {
 	source.Selector
 	Run(ctx context.Context) error
 	Addr() string
 }
 
-// What the agent's own settings say of a call for lists.
+// Values that a real agent takes from its settings.
 const (
 	connectTimeout = time.Second
-	maxPolicyAge   = 10 * time.Second // of the policy's age
-	listRate       = 50
+	maxPolicyAge   = 10 * time.Second
+	listRate       = 50 // polls of the list service a second, by the whole fleet
 )
 
-// Start starts an agent.
+// announcedVersion is the program version that simulated agents announce. Its length counts in the measured bytes.
+const announcedVersion = "hollow"
+
+// Start starts an agent. The caller ends it with Stop, or with Kill and Wait.
 func Start(spec Spec) (*Agent, error) {
 	if spec.Mode != FullMesh && spec.Mode != Hubs {
-		return nil, fmt.Errorf("there is no mode %q", spec.Mode)
+		return nil, fmt.Errorf("unknown mode %q", spec.Mode)
 	}
 	if spec.Network == nil {
 		spec.Network = NewNetwork()
@@ -117,7 +126,10 @@
 		a.reportApplied(Policy, version)
 		return nil
 	})
-	callbacks := fleet.Callbacks{Quota: func(quota float64) { a.quotaBits.Store(math.Float64bits(quota)) }, Latencies: a.recordLatencies}
+	callbacks := fleet.Callbacks{
+		Quota:     func(quota float64) { a.quotaBits.Store(math.Float64bits(quota)) },
+		Latencies: a.recordLatencies,
+	}
 	var err error
 	if spec.Mode == Hubs {
 		err = a.attachToHub(log, callbacks)
@@ -130,23 +142,26 @@
 	spec.Network.SetZone(a.client.Addr(), spec.Zone)
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
-	a.tasks.Go(func() { _ = a.client.Run(ctx) }) // that its sockets are closed is how a kill ends it
+	a.tasks.Go(func() { _ = a.client.Run(ctx) }) // Kill closes its sockets: an error is expected
 	if spec.ListService != "" {
 		a.followLists(ctx, log)
 	}
 	return a, nil
 }
 
-// joinMesh has the agent be a member of a flat fleet.
+// joinMesh makes the agent a member of a fleet without hubs.
 func (a *Agent) joinMesh(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
 	spec := &a.spec
-	a.fleet, err = fleet.New(fleet.Config{Name: spec.Name, Site: spec.Zone, Version: "hollow", Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label, MaxMembers: spec.MaxMembers,
-		RelayedLists: true, ListRate: listRate, MeasureLatency: spec.MeasureLatency, Log: log, Residency: a.policyHolder, PolicySource: spec.PolicySource, Wire: a.wire}, spec.Zones, callbacks)
+	a.fleet, err = fleet.New(fleet.Config{
+		Name: spec.Name, Site: spec.Zone, Version: announcedVersion, Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label,
+		MaxMembers: spec.MaxMembers, RelayedLists: true, ListRate: listRate, MeasureLatency: spec.MeasureLatency, Log: log,
+		Residency: a.policyHolder, PolicySource: spec.PolicySource, Wire: a.wire,
+	}, spec.Zones, callbacks)
 	a.client = a.fleet
 	return err
 }
 
-// recordLatencies takes how far the zones are.
+// recordLatencies counts the zones to which a round-trip time is known.
 func (a *Agent) recordLatencies(roundTrips []time.Duration, _ []float64) {
 	measured := int32(0)
 	for _, d := range roundTrips {
@@ -157,11 +172,13 @@
 	a.measuredZones.Store(measured)
 }
 
-// followLists follows lists as an agent does: the decision module asks for a watch, and again with a growing wait after a failure.
+// followLists follows endpoint lists as the decision module has an agent do it: it subscribes, and again with a growing
+// random backoff after each failure.
 func (a *Agent) followLists(ctx context.Context, log *slog.Logger) {
 	startedAt, failures := time.Now(), 0
+	agentTime := func(t time.Time) time.Duration { return t.Sub(startedAt) }
 	a.watcher = discovery.New(discovery.Config{
-		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: func(t time.Time) time.Duration { return t.Sub(startedAt) }, Log: log},
+		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: agentTime, Log: log},
 		Addr:       a.spec.ListService, Polled: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.client,
 		Deliver: func(update discovery.Update) {
 			if update.Endpoints.Kind != balancer.UpdateFailed {
@@ -184,15 +201,18 @@
 	}
 }
 
-// Spec is what the agent was started with.
+// Spec returns the specification that the agent was started with, its defaults filled in.
 func (a *Agent) Spec() Spec { return a.spec }
 
-// Addr is where others reach it.
+// Addr returns the host:port at which other members reach the agent.
 func (a *Agent) Addr() string { return a.client.Addr() }
 
-// State is what it knows now.
+// State returns what the agent knows now.
 func (a *Agent) State() State {
-	state := State{Quota: a.Quota(), MeasuredZones: int(a.measuredZones.Load()), Policy: a.policyVersion.Load(), List: a.listVersion.Load(), Settings: a.settingsVersion.Load()}
+	state := State{
+		Quota: a.Quota(), MeasuredZones: int(a.measuredZones.Load()),
+		Policy: a.policyVersion.Load(), List: a.listVersion.Load(), Settings: a.settingsVersion.Load(),
+	}
 	if a.fleet != nil {
 		state.Members = a.fleet.Count()
 	} else {
@@ -201,7 +221,7 @@
 	return state
 }
 
-// Quota is the part of the in-flight limit that it uses now; 0: none told yet, or it has ended.
+// Quota returns the share of the in-flight limit that the agent uses now; 0: none received yet, or the agent has ended.
 func (a *Agent) Quota() float64 {
 	if a.wire.dead.Load() {
 		return 0
@@ -209,7 +229,7 @@
 	return math.Float64frombits(a.quotaBits.Load())
 }
 
-// Members are those that it knows of. An agent of a hub knows none.
+// Members returns the members that the agent knows; nil in mode Hubs.
 func (a *Agent) Members() []member.Member {
 	if a.fleet == nil {
 		return nil
@@ -217,15 +237,15 @@
 	return a.fleet.Members()
 }
 
-// ApplyPolicy gives a policy at a source.
+// ApplyPolicy applies a version of the residency policy, in TOML, at an agent that is its source.
 func (a *Agent) ApplyPolicy(version int64, text string) error {
 	return a.policyHolder.Apply(version, text)
 }
 
-// Traffic is what has passed its sockets.
+// Traffic returns what has passed the agent's sockets since its start.
 func (a *Agent) Traffic() Traffic { return a.wire.traffic() }
 
-// Stop says goodbye, and returns when the agent has ended.
+// Stop has the agent leave its fleet, and returns when it has ended.
 func (a *Agent) Stop() {
 	a.Resume()
 	a.cancel()
@@ -233,21 +253,21 @@
 	a.wire.kill()
 }
 
-// Kill ends the agent without a goodbye: its sockets close at once. What its tasks still do is waited for by Wait.
+// Kill ends the agent without leaving the fleet: its sockets close at once. Wait returns when its goroutines have ended.
 func (a *Agent) Kill() {
 	a.wire.kill()
 	a.Resume()
 	if a.fleet != nil {
-		_ = a.fleet.Abort() // closed is all that it is to be
+		_ = a.fleet.Abort() // its sockets are closed even if this fails
 	}
 	a.cancel()
 }
 
-// Wait waits until a killed agent has ended.
+// Wait waits until a killed agent's goroutines have ended.
 func (a *Agent) Wait() { a.tasks.Wait() }
 
-// Pause has nothing pass the agent's sockets until Resume: what comes waits in the kernel, what goes out waits in the agent.
-// Its own clockwork goes on, so that, unlike a stopped process, it does not find that it was stopped.
+// Pause blocks the agent's sockets until Resume: received data waits in the kernel, data to be sent waits in the agent.
+// The agent's timers go on, so that, unlike a stopped process, it cannot notice that it was stopped.
 func (a *Agent) Pause() { a.wire.pause() }
 
 // Resume ends a Pause.
--- a/internal/scale/simagent/hub.go
+++ b/internal/scale/simagent/hub.go
@@ -1,5 +1,7 @@
 package simagent
 
+// A simulated agent's attachment to a hub.
+
 import (
 	"context"
 	"log/slog"
@@ -11,7 +13,7 @@
 	"martenbeam/internal/settings"
 )
 
-// attachToHub has the agent have a hub.
+// attachToHub has the agent attach to one of its hubs, from which it also receives settings.
 func (a *Agent) attachToHub(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
 	spec := &a.spec
 	settingsHolder := settings.NewHolder(settings.Config{Log: log, Apply: func(document *settings.Settings) ([]string, error) {
@@ -19,8 +21,10 @@
 		a.reportApplied(Settings, document.Version)
 		return nil, nil
 	}})
-	a.hubClient, err = hubclient.New(hubclient.Config{Name: spec.Name, Site: spec.Zone, Region: spec.Region, Version: "hollow", Label: spec.Label, Listen: spec.Listen, Hubs: spec.Hubs,
-		MaxAgents: spec.MaxMembers, AwaitAddress: !strings.HasSuffix(spec.Listen, ":0"), Relayed: true, ListRate: listRate, Residency: a.policyHolder, Settings: settingsHolder, Log: log,
+	a.hubClient, err = hubclient.New(hubclient.Config{
+		Name: spec.Name, Site: spec.Zone, Region: spec.Region, Version: announcedVersion, Label: spec.Label, Listen: spec.Listen,
+		Hubs: spec.Hubs, MaxAgents: spec.MaxMembers, AwaitAddress: !strings.HasSuffix(spec.Listen, ":0"), Relayed: true,
+		ListRate: listRate, Residency: a.policyHolder, Settings: settingsHolder, Log: log,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return a.wire.Dial(ctx, &net.Dialer{KeepAlive: -1}, addr)
 		}}, spec.Zones, callbacks)
--- a/internal/scale/simagent/network.go
+++ b/internal/scale/simagent/network.go
@@ -10,31 +10,34 @@
 	"time"
 )
 
-// Network is what lies between agents. Its faults hold for all of them.
+// Network is the network between simulated agents, with the faults that all of them see. Its methods may be called from
+// any goroutine; a fault applies to connections that are open already, too.
 type Network struct {
-	zones  sync.Map // by address; the list service has none
+	zones  sync.Map // zone name by netip.AddrPort; the list service and real agents have none
 	faults atomic.Pointer[faults]
 }
 
+// faults is immutable: each change stores a new one.
 type faults struct {
-	isolated map[string]bool // zones that reach nobody outside, and whom nobody reaches
-	lossRate float64
+	isolated map[string]bool // zones that can send nothing to any other, nor receive from it
+	lossRate float64         // 0 to 1
 }
 
-// resend is how much later a stream's write arrives that was lost once.
+// retransmitDelay is how much later a lost write to a stream arrives, as after one retransmission by TCP.
 const retransmitDelay = 200 * time.Millisecond
 
-// NewNetwork is a network without faults.
+// NewNetwork returns a network without faults.
 func NewNetwork() *Network { return &Network{} }
 
-// SetZone says in which zone an address is.
+// SetZone sets the zone of an agent's or hub's address, host:port. An address that doesn't parse is ignored.
 func (n *Network) SetZone(addr, zone string) {
 	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
 		n.zones.Store(addrPort, zone)
 	}
 }
 
-// Isolate cuts zones off from all others and from the list service. None: every cut is healed.
+// Isolate cuts these zones off from all others and from the list service, and ends the isolation of every other zone.
+// Without arguments it ends all of them.
 func (n *Network) Isolate(zones ...string) {
 	next := &faults{isolated: map[string]bool{}}
 	if current := n.faults.Load(); current != nil {
@@ -46,26 +49,30 @@
 	n.faults.Store(next)
 }
 
-// SetLoss has a share of all datagrams lost, and as many of the streams' writes come late.
-func (n *Network) SetLoss(share float64) {
-	next := &faults{lossRate: share}
+// SetLoss sets the share of datagrams that are lost, from 0 to 1. The same share of writes to streams is delayed by
+// retransmitDelay.
+func (n *Network) SetLoss(rate float64) {
+	next := &faults{lossRate: rate}
 	if current := n.faults.Load(); current != nil {
 		next.isolated = current.isolated
 	}
 	n.faults.Store(next)
 }
 
-func (n *Network) zoneOf(at netip.AddrPort) string {
-	zone, _ := n.zones.Load(at)
+// zoneOf returns an address's zone; "": it has none.
+func (n *Network) zoneOf(addr netip.AddrPort) string {
+	zone, _ := n.zones.Load(addr)
 	name, _ := zone.(string)
 	return name
 }
 
+// partitioned reports whether nothing passes between two zones.
 func (n *Network) partitioned(a, b string) bool {
 	f := n.faults.Load()
 	return f != nil && a != b && (f.isolated[a] || f.isolated[b])
 }
 
+// drops decides at random whether a datagram or a write is lost.
 func (n *Network) drops() bool {
 	f := n.faults.Load()
 	return f != nil && f.lossRate > 0 && rand.Float64() < f.lossRate
--- a/internal/scale/simagent/stream.go
+++ b/internal/scale/simagent/stream.go
@@ -13,24 +13,25 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// stream counts what passes a connection. Its first bytes tell what it is about.
+// stream counts what passes a TCP connection, and applies the faults to it.
 type stream struct {
 	net.Conn
 	wire          *wire
-	zone          string // the other side's
-	kind          atomic.Int32
+	zone          string       // the peer's
+	kind          atomic.Int32 // a TrafficKind, recognized by the first bytes; -1: none yet
 	closeOnce     sync.Once
 	closed        chan struct{}
-	readDeadline  atomic.Pointer[time.Time] // deadlines
+	readDeadline  atomic.Pointer[time.Time] // nil: none
 	writeDeadline atomic.Pointer[time.Time]
 }
 
+// Close closes the connection, and ends the waits of Read and Write.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() { close(s.closed) })
 	return s.Conn.Close()
 }
 
-// CloseWrite says that no more is written.
+// CloseWrite closes the sending side.
 func (s *stream) CloseWrite() error { return s.Conn.(*net.TCPConn).CloseWrite() }
 
 func (s *stream) SetDeadline(t time.Time) error {
@@ -49,7 +50,8 @@
 	return s.Conn.SetWriteDeadline(t)
 }
 
-// waitWhileBlocked waits while a cut or a pause holds what is on its way.
+// waitWhileBlocked blocks while a partition or a pause stops the stream's data. It fails at the deadline, once the stream
+// is closed, and if the agent was killed.
 func (s *stream) waitWhileBlocked(deadline *atomic.Pointer[time.Time]) error {
 	for s.wire.paused.Load() || s.wire.net.partitioned(s.wire.zone, s.zone) {
 		if t := deadline.Load(); t != nil && !t.IsZero() && time.Now().After(*t) {
@@ -67,6 +69,7 @@
 	return nil
 }
 
+// record counts data, and recognizes the stream's kind by its first.
 func (s *stream) record(data []byte, out bool) {
 	if len(data) == 0 {
 		return
@@ -88,6 +91,7 @@
 	s.wire.count(TrafficKind(s.kind.Load()), len(data), out)
 }
 
+// Read discards what was received if the stream is blocked until its deadline or its end.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if n > 0 {
@@ -99,6 +103,7 @@
 	return n, err
 }
 
+// Write delays the data while the stream is blocked, and at random as if it had been lost once.
 func (s *stream) Write(p []byte) (int, error) {
 	if s.wire.net.drops() {
 		select {
--- a/internal/scale/simagent/traffic.go
+++ b/internal/scale/simagent/traffic.go
@@ -7,36 +7,38 @@
 	"sync/atomic"
 )
 
-// TrafficKind is what bytes between agents are about.
+// TrafficKind is what bytes on an agent's sockets are for.
 type TrafficKind int
 
 const (
-	Membership TrafficKind = iota // the membership, its packets and its streams
-	Gossip
-	Latencies // round trips; the rows that tell of them are facts
-	Lists
-	Policies
-	HubStream // states and facts, between an agent and its hub
-	SettingsDocuments
+	Membership        TrafficKind = iota // memberlist's own packets and streams
+	Gossip                               // gossiped entries within memberlist's packets
+	Latencies                            // probes of round trips; the latency rows themselves are Gossip
+	Lists                                // endpoint lists
+	Policies                             // residency policies
+	HubStream                            // states and gossiped entries between an agent and its hub
+	SettingsDocuments                    // settings
 	numTrafficKinds
 )
 
-// Parts are all of them.
+// TrafficKinds are all kinds, in the order of their constants.
 var TrafficKinds = []TrafficKind{Membership, Gossip, Latencies, Lists, Policies, HubStream, SettingsDocuments}
 
-func (p TrafficKind) String() string {
-	return [...]string{"members", "facts", "distances", "list", "policy", "hub stream", "settings"}[p]
+// String returns the name that tables use.
+func (k TrafficKind) String() string {
+	return [...]string{"members", "facts", "distances", "list", "policy", "hub stream", "settings"}[k]
 }
 
-// Count is bytes of payload, and messages: datagrams, and writes or reads of a stream.
+// Count is a number of payload bytes, and of messages: datagrams, and reads or writes of streams.
 type Count struct{ Bytes, Messages int64 }
 
-// Traffic is what has passed an agent's sockets, by part.
+// Traffic is what has passed an agent's sockets, indexed by TrafficKind.
 type Traffic struct {
 	In, Out        [numTrafficKinds]Count
-	FromRealAgents Count // of the datagrams that came, those of agents that are not hollow
+	FromRealAgents Count // those of the received datagrams whose sender is not simulated
 }
 
+// counter is a Count that several goroutines may add to.
 type counter struct{ bytes, messages atomic.Int64 }
 
 func (c *counter) add(n int) {
@@ -46,12 +48,13 @@
 
 func (c *counter) snapshot() Count { return Count{c.bytes.Load(), c.messages.Load()} }
 
-// First bytes of memberlist's packets.
+// The first byte of memberlist's packets: its message types.
 const (
 	compoundMsg, userMsg, hasCRCMsg, hasLabelMsg = 7, 8, 12, 244
 )
 
-// gossipBytes is how many bytes of a membership's packet are facts: its users' messages, alone or among others.
+// gossipBytes returns how many bytes of a memberlist packet are gossiped entries: user messages, alone or in a compound.
+// Of a packet that is cut off it counts the messages that are complete.
 func gossipBytes(packet []byte) int {
 	if len(packet) > 2 && packet[0] == hasLabelMsg {
 		packet = packet[min(len(packet), 2+int(packet[1])):]
--- a/internal/scale/simagent/traffic_test.go
+++ b/internal/scale/simagent/traffic_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Facts are told from what else is in a membership's packet, labelled, summed or neither.
+// Gossiped entries are told apart from what else a memberlist packet holds, whether it has a label, a checksum, both or
+// neither.
 func TestGossipBytesAreCountedInEveryPacketForm(t *testing.T) {
 	gossip, ping := append([]byte{userMsg}, "12345"...), []byte{0, 1, 2}
 	both := append([]byte{compoundMsg, 2, 0, byte(len(ping)), 0, byte(len(gossip))}, append(bytes.Clone(ping), gossip...)...)
--- a/internal/scale/simagent/wire.go
+++ b/internal/scale/simagent/wire.go
@@ -1,5 +1,7 @@
 package simagent
 
+// A simulated agent's side of the network: its datagrams, and the opening of its streams.
+
 import (
 	"context"
 	"errors"
@@ -12,7 +14,8 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// wire is one agent's.
+// wire is one agent's access to the network. It counts all traffic, and applies the network's faults and the agent's own
+// pause and kill.
 type wire struct {
 	net  *Network
 	zone string
@@ -20,10 +23,10 @@
 	in, out        [numTrafficKinds]counter
 	fromRealAgents counter
 
-	dead   atomic.Bool // killed, or stopped
+	dead   atomic.Bool // the agent was killed or has stopped
 	paused atomic.Bool
 	mu     sync.Mutex
-	gate   chan struct{} // open while paused
+	gate   chan struct{} // of the latest pause; closed when it ends
 }
 
 var _ member.Wire = (*wire)(nil)
@@ -47,7 +50,7 @@
 
 func (w *wire) kill() { w.dead.Store(true) }
 
-// waitWhilePaused waits while the agent is paused.
+// waitWhilePaused blocks while the agent is paused, or until done is closed; done may be nil.
 func (w *wire) waitWhilePaused(done <-chan struct{}) {
 	for w.paused.Load() {
 		w.mu.Lock()
@@ -77,7 +80,8 @@
 	return t
 }
 
-// Packet loses and holds datagrams on the side that sends: what was sent then comes.
+// Packet implements member.Wire: it counts a datagram and reports whether it passes. Losses and partitions apply on the
+// sender's side only, so that a datagram which has been sent arrives.
 func (w *wire) Packet(data []byte, peer netip.AddrPort, out bool) bool {
 	w.waitWhilePaused(nil)
 	if w.dead.Load() {
@@ -102,9 +106,10 @@
 
 var errKilled = errors.New("the agent was killed")
 
-// faultPollInterval is how often who waits for a cut's end looks.
+// faultPollInterval is how often a blocked operation checks whether its fault has ended.
 const faultPollInterval = 10 * time.Millisecond
 
+// Dial implements member.Wire: it opens a counted stream, once the agent is not paused and its zone not isolated.
 func (w *wire) Dial(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	zone := ""
 	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
@@ -133,14 +138,16 @@
 	return w.wrap(conn, zone), nil
 }
 
-// dialService opens a stream to the list service, which is in no zone.
+// dialService opens a stream to the list service, which is in no zone: an isolated zone doesn't reach it.
 func (w *wire) dialService(ctx context.Context, _, addr string) (net.Conn, error) {
 	return w.Dial(ctx, &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, addr)
 }
 
-// Accepted takes the other side's stream. A cut holds on the side that dialled.
+// Accepted implements member.Wire: it wraps a stream that another agent opened. That a zone is isolated takes effect at
+// the side that dialled, so this side counts as of the same zone.
 func (w *wire) Accepted(conn net.Conn) net.Conn { return w.wrap(conn, w.zone) }
 
+// wrap returns conn as a counted stream to a peer in a zone.
 func (w *wire) wrap(conn net.Conn, zone string) net.Conn {
 	wrapped := &stream{Conn: conn, wire: w, zone: zone, closed: make(chan struct{})}
 	wrapped.kind.Store(-1)
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// How long a fleet, a zone or restarted agents take to start, and what that costs.
+
 import (
 	"fmt"
 	"strings"
@@ -10,7 +12,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// rollingRestarts is how many agents are restarted one after another, and pace how far apart.
+// rollingRestarts returns how many agents are restarted one after another, and the time between two restarts.
 func rollingRestarts() (n int, pace time.Duration) {
 	if *full {
 		return 10, time.Second
@@ -35,7 +37,7 @@
 	}
 }
 
-// peakTraffic follows the fleet's bytes, and finds the second in which most were sent.
+// peakTraffic finds the second in which the fleet sent the most bytes.
 type peakTraffic struct {
 	end      chan struct{}
 	done     sync.WaitGroup
@@ -52,7 +54,7 @@
 			select {
 			case <-tick.C:
 			case <-w.end:
-				ended = true // the rest of a second is no more than one
+				ended = true // what is left is less than a second
 			}
 			now := f.bytesSent()
 			w.maxBytes, before = max(w.maxBytes, now-before), now
@@ -61,13 +63,14 @@
 	return w
 }
 
+// stop ends the watch, and returns the bytes sent in the busiest second.
 func (w *peakTraffic) stop() int64 {
 	close(w.end)
 	w.done.Wait()
 	return w.maxBytes
 }
 
-// bytesSent is how many bytes all agents have sent.
+// bytesSent returns how many bytes all agents have sent.
 func (f *testFleet) bytesSent() (n int64) {
 	t := f.traffic()
 	for _, x := range t.Out {
@@ -76,7 +79,8 @@
 	return n
 }
 
-// measureEvent measures what do does to a fleet until all know all they need. of is among how many its cost is divided.
+// measureEvent measures an event from its begin until all agents have the expected state and converged, which may be
+// nil, is true. It fills in the row's values, per agent.
 func (f *testFleet) measureEvent(r row, event func(), converged func() bool) row {
 	peak, m := f.watchPeakTraffic(), f.startMeter(false)
 	event()
@@ -109,7 +113,7 @@
 		func() { fleet.startAll(within) }, nil)
 }
 
-// measureZoneStart starts a zone beside the others, and then restarts some agents one after another.
+// measureZoneStart measures the start of a zone's agents while the others run, and then rolling restarts.
 func measureZoneStart(t *testing.T, mode simagent.Mode, n, run int) []row {
 	fleet := newTestFleet(t, mode, n, true)
 	zone := zones[len(zones)-1]
@@ -121,14 +125,14 @@
 			}
 			fleet.start(i, "")
 			if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(n))); d > 0 {
-				time.Sleep(d) // the pace is what is asked for
+				time.Sleep(d) // keeps the pace, whatever the agents do
 			}
 			k++
 		}
 	}
 	start(false, time.Duration(n)**pace)
 	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Run: run}
-	// One zone is not there: round trips to it can't be known yet.
+	// The last zone has no agents yet: nobody can know a round trip to it.
 	fleet.expectedZones = len(zones) - 1
 	if reason := fleet.awaitStart(); reason != "" {
 		r.Case, r.Void = "a zone within 1s", reason
@@ -144,13 +148,13 @@
 			startedAt := time.Now()
 			fleet.restart(1 + numSeeds + i%(n-1-numSeeds))
 			if i < count-1 {
-				time.Sleep(time.Until(startedAt.Add(pace))) // the pace is what is asked for
+				time.Sleep(time.Until(startedAt.Add(pace))) // keeps the pace, whatever the agents do
 			}
 		}
 	}, fleet.incarnationsKnown))
 }
 
-// incarnationsKnown reports whether everyone knows everyone's latest process.
+// incarnationsKnown reports whether every agent knows the latest incarnation of every other.
 func (f *testFleet) incarnationsKnown() bool {
 	latest := map[string]uint64{}
 	for _, a := range f.agents {
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -11,10 +11,10 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// stateReporter is what a check of what agents know needs of one.
+// stateReporter is an agent, or a fake one, whose state is checked.
 type stateReporter interface{ State() simagent.State }
 
-// missing says what an agent does not know yet of what is wanted; "": it knows all.
+// missing tells what an agent does not know yet of the wanted state; "": it knows all of it.
 func missing(reporter stateReporter, want simagent.State) string {
 	state := reporter.State()
 	switch {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// laggards counts those that do not know all, and says what the first lacks.
+// laggards counts the agents that don't have the wanted state, and tells what the first of them lacks.
 func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
 	for i, reporter := range list {
 		if reason := missing(reporter, want); reason != "" {
@@ -46,12 +46,12 @@
 	return n, first
 }
 
-// fixedState is an agent that says what it knows.
+// fixedState is a fake agent with a given state.
 type fixedState simagent.State
 
 func (s fixedState) State() simagent.State { return simagent.State(s) }
 
-// The check that all know all finds an agent that tells an old version, or lacks anything else.
+// The check of agents' states finds one with an old version of a document, or with anything else missing.
 func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
 	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
 	if n, why := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-// expectedState is what each agent has to know.
+// expectedState returns the state that each agent has to reach.
 func (f *testFleet) expectedState() simagent.State {
 	f.service.mu.Lock()
 	defer f.service.mu.Unlock()
@@ -85,7 +85,7 @@
 	if f.matrix {
 		s.MeasuredZones = cmp.Or(f.expectedZones, len(zones))
 		if f.hubs != nil {
-			s.MeasuredZones = len(zones) - 1 // one hub alone measures nothing within its own zone
+			s.MeasuredZones = len(zones) - 1 // a zone's only hub has no round trip within its own zone
 		}
 	}
 	return s
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// The flags, and the test that makes all tables.
+
 import (
 	"flag"
 	"strconv"
@@ -24,7 +26,7 @@
 	window = flag.Duration("scale.window", 5*time.Second, "for which an idle agent is measured, with scale.full")
 )
 
-// fleetSizes are the sizes to measure at.
+// fleetSizes returns the sizes to measure at: small, but with -scale.full those of -scale.sizes.
 func fleetSizes(t testing.TB, small ...int) (list []int) {
 	if !*full {
 		return small
@@ -39,7 +41,7 @@
 	return list
 }
 
-// runNumbers are the numbers of the runs.
+// runNumbers returns the numbers of the runs.
 func runNumbers() (list []int) {
 	if !*full {
 		return []int{0}
@@ -50,7 +52,7 @@
 	return list
 }
 
-// fleetModes are the modes to measure, in turns.
+// fleetModes returns the modes to measure, in turns.
 func fleetModes() (list []simagent.Mode) {
 	for _, m := range strings.Split(*modes, ",") {
 		list = append(list, simagent.Mode(m))
@@ -58,7 +60,7 @@
 	return list
 }
 
-// TestTables makes the tables. Small, it only shows that they can be made.
+// TestTables makes the tables. Without -scale.full it only shows that everything arrives and that they can be made.
 func TestTables(t *testing.T) {
 	tables := map[string]func(*testing.T){"idle": idleTable, "start": startTable, "change": changeTable, "real": realTable, "load": loadTable}
 	for _, name := range strings.Split(*only, ",") {
@@ -69,7 +71,7 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			if !*full {
-				t.Parallel() // figures do not count
+				t.Parallel() // the figures of small runs don't count
 			}
 			table(t)
 		})
