--- a/internal/scale/profile_test.go
+++ b/internal/scale/profile_test.go
@@ -4,6 +4,13 @@
 
 import (
 	"bytes"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"go/types"
+	"io/fs"
+	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -17,13 +24,13 @@
 	part string
 	in   []string
 }{
-	{"harness", []string{"internal/scale.", "net/http.(*conn).serve;internal/scale"}},
+	{"harness", []string{"internal/scale."}},
 	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).publishLatencies"}},
 	{"list", []string{"internal/fleet.(*relay).ServeHTTP", "internal/agent/discovery.", "internal/fleet/startup.",
 		"fleet.(*Fleet).Next", "fleet.(*Fleet).RecordUpdate"}},
 	{"settings", []string{"internal/settings.", "hubclient.appliedSettings"}},
 	{"hub stream", []string{"internal/fleet/hubclient.(*attachment)", "internal/fleet/hub/frame."}},
-	{"policy", []string{"fleet.(*Fleet).shareDocuments", "fleet.(*Fleet).fetchPolicy", "fleet.(*Fleet).getPolicy", "internal/fleet.(*relay).policy", "internal/residency."}},
+	{"policy", []string{"fleet.(*Fleet).shareDocuments", "internal/fleet/documents.", "internal/residency."}},
 	{"facts", []string{"internal/fleet/gossip."}},
 	{"parts", []string{"fleet.(*Fleet).recomputeQuota", "fleet.(*Fleet).detectDead", "fleet.(*Fleet).logSummary",
 		"fleet.(*Fleet).runLoop", "internal/fleet/hubclient.(*Client).runLoop"}},
@@ -87,3 +94,56 @@
 		}
 	}
 }
+
+// Every function and package of this module that a rule names exists, so that a rename does not silence the rule.
+func TestProfileRulesNameFunctionsThatExist(t *testing.T) {
+	functions := moduleFunctions(t)
+	if len(functions) < 100 {
+		t.Fatalf("only %d functions were found", len(functions))
+	}
+	for _, rule := range profileRules {
+		for _, pattern := range rule.in {
+			if strings.HasPrefix(pattern, "net/http") || strings.HasPrefix(pattern, "runtime.") || pattern == "hashicorp/memberlist" {
+				continue // not of this module
+			}
+			if !slices.ContainsFunc(functions, func(f string) bool { return strings.Contains(f, pattern) }) {
+				t.Errorf("%s: no function matches %q", rule.part, pattern)
+			}
+		}
+	}
+}
+
+// moduleFunctions returns the functions of the module's internal packages by the names that stacks give them.
+func moduleFunctions(t *testing.T) (names []string) {
+	t.Helper()
+	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
+		if err != nil || filepath.Ext(path) != ".go" {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		folder := "martenbeam/internal/" + strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), "../")
+		for _, decl := range file.Decls {
+			f, ok := decl.(*ast.FuncDecl)
+			if !ok {
+				continue
+			}
+			name := f.Name.Name
+			if f.Recv != nil {
+				receiver := types.ExprString(f.Recv.List[0].Type)
+				if strings.HasPrefix(receiver, "*") {
+					receiver = "(" + receiver + ")"
+				}
+				name = receiver + "." + name
+			}
+			names = append(names, folder+"."+name)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
