--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -63,7 +63,8 @@
 
 // measurePropagation waits until the selected agents have applied a version, for changeTimeout after at. Each agent's
 // duration counts from at, when the change was made, or from the agent's own start if that was later.
-func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time, selected func(i int) bool, started map[int]time.Time) (result propagation) {
+func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time,
+	selected func(i int) bool, started map[int]time.Time) (result propagation) {
 	limit := at.Add(changeTimeout)
 	for i := range f.n {
 		if !selected(i) {
@@ -116,39 +117,7 @@
 	time.Sleep(settle) // until the start's own work is done
 	draw := rand.New(rand.NewPCG(uint64(n), uint64(run)))
 	for _, what := range kinds {
-		r := base
-		r.Case = what.String() + ", undisturbed"
-		r.Values = map[string]float64{}
-		// The cost of changes is what a span with changes takes beyond one without.
-		idle := fleet.startMeter(false)
-		time.Sleep(settle) // the span without changes
-		before := idle.end()
-		m, all := fleet.startMeter(false), propagation{}
-		for range repeats {
-			version, at := fleet.makeChange(what)
-			one := fleet.measurePropagation(what, version, at, everyone, nil)
-			all.durations, all.unreached = append(all.durations, one.durations...), all.unreached+one.unreached
-		}
-		s := m.end()
-		r.Void = s.void
-		all.addValues(r.Values, "")
-		share := s.duration.Seconds() / before.duration.Seconds()
-		each := float64(n * repeats)
-		kind := simagent.Policies
-		switch what {
-		case simagent.List:
-			kind = simagent.Lists
-		case simagent.Settings:
-			kind = simagent.SettingsDocuments
-		}
-		r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / each
-		r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / each
-		r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / each
-		for _, daily := range []float64{580, 5800} {
-			r.Values[fmt.Sprintf("%.0f a day: processor s/day", daily)] = r.Values["a change: processor us"] * daily / 1e6
-			r.Values[fmt.Sprintf("%.0f a day: kB in/day", daily)] = r.Values["a change: bytes in"] * daily / 1e3
-		}
-		saveRows(t, r)
+		saveRows(t, fleet.undisturbedChanges(base, what, repeats, settle))
 	}
 	for _, what := range kinds {
 		saveRows(t, fleet.changeWhilePaused(base, what, draw, settle), fleet.changeUnderLoss(base, what, settle))
@@ -161,6 +130,46 @@
 	}
 }
 
+// undisturbedChanges measures repeated changes of a kind: how long they take, and their cost, which is what a span with
+// changes takes beyond one without.
+func (f *testFleet) undisturbedChanges(r row, what simagent.Change, repeats int, settle time.Duration) row {
+	r.Case, r.Values = what.String()+", undisturbed", map[string]float64{}
+	idle := f.startMeter(false)
+	time.Sleep(settle) // the span without changes
+	before := idle.end()
+	m, all := f.startMeter(false), propagation{}
+	for range repeats {
+		version, at := f.makeChange(what)
+		one := f.measurePropagation(what, version, at, everyone, nil)
+		all.durations, all.unreached = append(all.durations, one.durations...), all.unreached+one.unreached
+	}
+	s := m.end()
+	r.Void = s.void
+	all.addValues(r.Values, "")
+	share := s.duration.Seconds() / before.duration.Seconds()
+	each := float64(f.n * repeats)
+	kind := trafficOf(what)
+	r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / each
+	r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / each
+	r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / each
+	for _, daily := range []float64{580, 5800} {
+		r.Values[fmt.Sprintf("%.0f a day: processor s/day", daily)] = r.Values["a change: processor us"] * daily / 1e6
+		r.Values[fmt.Sprintf("%.0f a day: kB in/day", daily)] = r.Values["a change: bytes in"] * daily / 1e3
+	}
+	return r
+}
+
+// trafficOf returns the kind of traffic by which a kind of change reaches agents.
+func trafficOf(what simagent.Change) simagent.TrafficKind {
+	switch what {
+	case simagent.List:
+		return simagent.Lists
+	case simagent.Settings:
+		return simagent.SettingsDocuments
+	}
+	return simagent.Policies
+}
+
 // changeWhilePaused measures a change while 2% of the agents are paused, and how long these take once resumed.
 func (f *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
@@ -179,7 +188,8 @@
 		resumedAt[i] = resumed
 		f.agents[i].Resume()
 	}
-	f.measurePropagation(what, version, resumed, func(i int) bool { return stopped[i] }, resumedAt).addValues(r.Values, "stopped ones, once resumed: ")
+	f.measurePropagation(what, version, resumed, func(i int) bool { return stopped[i] }, resumedAt).
+		addValues(r.Values, "stopped ones, once resumed: ")
 	return f.awaitRecovery(r)
 }
 
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -13,8 +13,12 @@
 	of   func(n float64) float64
 }
 
-var forms = []form{{"log n", math.Log2}, {"n", func(n float64) float64 { return n }}, {"n log n", func(n float64) float64 { return n * math.Log2(n) }},
-	{"n^2", func(n float64) float64 { return n * n }}}
+var forms = []form{
+	{"log n", math.Log2},
+	{"n", func(n float64) float64 { return n }},
+	{"n log n", func(n float64) float64 { return n * math.Log2(n) }},
+	{"n^2", func(n float64) float64 { return n * n }},
+}
 
 // fit is the least-squares fit of y = base + slope * form(n).
 type fit struct {
@@ -31,7 +35,8 @@
 
 // studentQuantile returns the 97.5% quantile of Student's t-distribution with df degrees of freedom, at least 1.
 func studentQuantile(df int) float64 {
-	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
+		2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 	if df <= len(table) {
 		return table[df-1]
 	}
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -104,7 +104,8 @@
 		listen = "127.0.0.1:0"
 	}
 	seeds := append(append([]string{}, h.addrs[:i]...), h.addrs[i+1:]...)
-	text := fmt.Sprintf("name = \"hub-%s\"\nzone = %q\nlabel = %q\nlisten = %q\nseeds = %s\nmost = %d\nmatrix = %t\ndiscovery = %q\nzones = %s\n",
+	text := fmt.Sprintf("name = \"hub-%s\"\nzone = %q\nlabel = %q\nlisten = %q\nseeds = %s\n"+
+		"most = %d\nmatrix = %t\ndiscovery = %q\nzones = %s\n",
 		zones[i], zones[i], h.label, listen, quoted(seeds), h.maxMembers, h.matrix, h.service, quoted(zones))
 	if i == 0 {
 		text += fmt.Sprintf("[settings]\nfile = %q\n[residency]\nfile = %q\n", h.file("settings.toml"), h.file("policy.toml"))
--- a/internal/scale/idle_test.go
+++ b/internal/scale/idle_test.go
@@ -18,7 +18,9 @@
 		for _, n := range fleetSizes(t, 14) {
 			for _, run := range runNumbers() {
 				for _, mode := range fleetModes() {
-					t.Run(fmt.Sprintf("%s-%s-%d-%d", mode, m, n, run), func(t *testing.T) { saveRows(t, measureIdle(t, mode, n, m == "on", run)) })
+					t.Run(fmt.Sprintf("%s-%s-%d-%d", mode, m, n, run), func(t *testing.T) {
+						saveRows(t, measureIdle(t, mode, n, m == "on", run))
+					})
 				}
 			}
 		}
@@ -50,13 +52,24 @@
 	heap, rss := memory()
 	r.Void, r.Values = s.void, map[string]float64{}
 	maps.Copy(r.Values, hubValues)
+	s.addCPU(r.Values, n)
+	s.addTraffic(r.Values, n)
+	r.Values["heap kB"] = (heap - heap0) / 1e3 / float64(n)
+	r.Values["resident kB"] = (rss - rss0) / 1e3 / float64(n)
+	r.Values["goroutines"] = float64(goroutines-goroutines0) / float64(n)
+	r.Values["stolen by the host %"] = 100 * s.steal
+	r.Values["timers late ms p99"] = s.late.Seconds() * 1e3
+	return r
+}
+
+// addCPU adds the processor time of each of n agents, in all and by part. That of the list service and the harness is
+// not the agents'.
+func (s *span) addCPU(values map[string]float64, n int) {
 	each := float64(n) * s.duration.Seconds()
-	values := r.Values
 	profiled := 0.
 	for _, d := range s.cpuByPart {
 		profiled += d.Seconds()
 	}
-	// The processor time of the list service and the harness is not the agents'.
 	cpu := s.cpu.Seconds()
 	if profiled > 0 {
 		for part, d := range s.cpuByPart {
@@ -65,6 +78,11 @@
 		cpu *= 1 - s.cpuByPart["harness"].Seconds()/profiled
 	}
 	values["processor us/s"] = cpu * 1e6 / each
+}
+
+// addTraffic adds the traffic of each of n agents, in all and by kind.
+func (s *span) addTraffic(values map[string]float64, n int) {
+	each := float64(n) * s.duration.Seconds()
 	for _, p := range simagent.TrafficKinds {
 		values["bytes/s in"] += float64(s.traffic.In[p].Bytes) / each
 		values["bytes/s out"] += float64(s.traffic.Out[p].Bytes) / each
@@ -74,10 +92,4 @@
 			values["bytes/s out, "+p.String()] = float64(s.traffic.Out[p].Bytes) / each
 		}
 	}
-	values["heap kB"] = (heap - heap0) / 1e3 / float64(n)
-	values["resident kB"] = (rss - rss0) / 1e3 / float64(n)
-	values["goroutines"] = float64(goroutines-goroutines0) / float64(n)
-	values["stolen by the host %"] = 100 * s.steal
-	values["timers late ms p99"] = s.late.Seconds() * 1e3
-	return r
 }
--- a/internal/scale/listservice_test.go
+++ b/internal/scale/listservice_test.go
@@ -41,7 +41,8 @@
 }
 
 func endpointAt(i int) discovery.Endpoint {
-	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: zones[i%len(zones)], State: "ready", Weight: 4}
+	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i),
+		Zone: zones[i%len(zones)], State: "ready", Weight: 4}
 }
 
 // change changes the weight of one backend, and returns the list's new version and when it was published.
--- a/internal/scale/load_test.go
+++ b/internal/scale/load_test.go
@@ -42,8 +42,13 @@
 	s := m.end()
 	all := hubs.end(s)
 	r.Void = s.void
-	r.Values = map[string]float64{"the hub: processor ms/s": all["the first hub: processor ms/s"], "the hub: resident MB": all["the first hub: resident MB"],
-		"the hub: bytes/s from its agents": all["a hub: bytes/s from its agents"] * float64(len(zones)), "the hub: bytes/s to its agents": all["a hub: bytes/s to its agents"] * float64(len(zones)),
-		"an agent: processor us/s": s.cpu.Seconds() * 1e6 / float64(n) / s.duration.Seconds(), "timers late ms p99": s.late.Seconds() * 1e3}
+	r.Values = map[string]float64{
+		"the hub: processor ms/s":          all["the first hub: processor ms/s"],
+		"the hub: resident MB":             all["the first hub: resident MB"],
+		"the hub: bytes/s from its agents": all["a hub: bytes/s from its agents"] * float64(len(zones)),
+		"the hub: bytes/s to its agents":   all["a hub: bytes/s to its agents"] * float64(len(zones)),
+		"an agent: processor us/s":         s.cpu.Seconds() * 1e6 / float64(n) / s.duration.Seconds(),
+		"timers late ms p99":               s.late.Seconds() * 1e3,
+	}
 	return r
 }
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -61,10 +61,10 @@
 	s := span{duration: time.Since(m.startedAt), cpu: processCPU() - m.cpu}
 	now := m.fleet.traffic()
 	for p := range now.In {
-		s.traffic.In[p] = simagent.Count{Bytes: now.In[p].Bytes - m.traffic.In[p].Bytes, Messages: now.In[p].Messages - m.traffic.In[p].Messages}
-		s.traffic.Out[p] = simagent.Count{Bytes: now.Out[p].Bytes - m.traffic.Out[p].Bytes, Messages: now.Out[p].Messages - m.traffic.Out[p].Messages}
+		s.traffic.In[p] = countSince(m.traffic.In[p], now.In[p])
+		s.traffic.Out[p] = countSince(m.traffic.Out[p], now.Out[p])
 	}
-	s.traffic.FromRealAgents = simagent.Count{Bytes: now.FromRealAgents.Bytes - m.traffic.FromRealAgents.Bytes, Messages: now.FromRealAgents.Messages - m.traffic.FromRealAgents.Messages}
+	s.traffic.FromRealAgents = countSince(m.traffic.FromRealAgents, now.FromRealAgents)
 	if steal, all := stolenTime(); all > m.total {
 		s.steal = (steal - m.steal) / (all - m.total)
 	}
@@ -81,7 +81,13 @@
 	case busy > maxBusy:
 		s.void = fmt.Sprintf("processor %.0f%% busy, %.0f%% stolen by the host", 100*busy, 100*s.steal)
 	case s.late > maxLateP99:
-		s.void = fmt.Sprintf("timers late: p99 %v, processor %.0f%% busy, %.0f%% stolen by the host", s.late.Round(time.Millisecond), 100*busy, 100*s.steal)
+		s.void = fmt.Sprintf("timers late: p99 %v, processor %.0f%% busy, %.0f%% stolen by the host",
+			s.late.Round(time.Millisecond), 100*busy, 100*s.steal)
 	}
 	return s
 }
+
+// countSince returns what was counted between two counts.
+func countSince(before, now simagent.Count) simagent.Count {
+	return simagent.Count{Bytes: now.Bytes - before.Bytes, Messages: now.Messages - before.Messages}
+}
--- a/internal/scale/overhead/listservice.go
+++ b/internal/scale/overhead/listservice.go
@@ -103,20 +103,10 @@
 	}
 	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent or not a number: the complete list
 	for {
-		s.mu.Lock()
-		if s.closed {
-			s.mu.Unlock()
+		updates, latest, changed := s.updatesSince(sentVersion)
+		if changed == nil {
 			return
 		}
-		latest := firstVersion + int64(len(s.updates))
-		var updates []discovery.EndpointList
-		if sentVersion < firstVersion || sentVersion > latest {
-			updates = []discovery.EndpointList{{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, s.endpoints...)}}
-		} else {
-			updates = s.updates[sentVersion-firstVersion:]
-		}
-		changed := s.changed
-		s.mu.Unlock()
 		text := []byte("\n")
 		for _, update := range updates {
 			line, err := json.Marshal(update)
@@ -138,6 +128,22 @@
 	}
 }
 
+// updatesSince returns what an agent with a version has to receive, the version that it has then, and a channel that the
+// next change closes; nil: the service is closed. An agent with an unknown version receives the complete list.
+func (s *ListService) updatesSince(version int64) (updates []discovery.EndpointList, latest int64, changed <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return nil, 0, nil
+	}
+	latest = firstVersion + int64(len(s.updates))
+	if version >= firstVersion && version <= latest {
+		return s.updates[version-firstVersion:], latest, s.changed
+	}
+	complete := discovery.EndpointList{Version: latest, Full: true, Endpoints: append([]discovery.Endpoint{}, s.endpoints...)}
+	return []discovery.EndpointList{complete}, latest, s.changed
+}
+
 // waitForChange waits for a change or until a heartbeat is due, and reports false once ctx has ended.
 func waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	heartbeat := time.NewTimer(heartbeatInterval)
--- a/internal/scale/overhead/overhead_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -48,23 +48,42 @@
 	return &Bench{Dir: dir, Command: command, Backends: backendSet, Seed: uint64(time.Now().UnixNano())}
 }
 
+// measurement is what a run measures.
+type measurement struct {
+	command      string // that makes it
+	windows      []Window
+	idleSizes    []int         // list sizes of agents without calls
+	settle, idle time.Duration // how long these settle, and are measured for
+}
+
+// fullMeasurement is what -scale.full measures.
+func fullMeasurement() measurement {
+	return measurement{"go test ./internal/scale/overhead -run Table -scale.full -timeout 20m",
+		FullWindows(), []int{8, 60, 100, 1800}, time.Second, 7 * time.Second}
+}
+
+// smallMeasurement is a small one, for a test.
+func smallMeasurement() measurement {
+	calls := Workload{ListSize: 8, Rate: 72, Tick: defaultTick}
+	changes := calls
+	changes.ListChanges = "entries"
+	return measurement{"go test ./internal/scale/overhead", []Window{
+		{Name: "calls", Length: time.Second, Workloads: []Workload{calls}},
+		{Name: "changes", Length: 1200 * time.Millisecond, Workloads: []Workload{changes}},
+	}, []int{8}, 0, 100 * time.Millisecond}
+}
+
 // All calls are answered, through agents and directly, also while the list changes, and the saved tables are those of the
 // saved rows. With -scale.full it makes the full measurement.
 func TestTableOfCallsThroughAgentsAndDirectly(t *testing.T) {
-	windows, sizes, settle, idleSpan := FullWindows(), []int{8, 60, 100, 1800}, time.Second, 7*time.Second
-	how := "go test ./internal/scale/overhead -run Table -scale.full -timeout 20m"
+	measured := fullMeasurement()
 	if !*full {
-		*runs, sizes, settle, idleSpan = 1, []int{8}, 0, 100*time.Millisecond
-		how = "go test ./internal/scale/overhead"
+		*runs, measured = 1, smallMeasurement()
 		*outFile = filepath.Join(t.TempDir(), "callway")
-		windows = []Window{{Name: "calls", Length: time.Second, Workloads: []Workload{{ListSize: 8, Rate: 72, Tick: defaultTick}}},
-			{Name: "changes", Length: 1200 * time.Millisecond, Workloads: []Workload{{ListSize: 8, Rate: 72, Tick: defaultTick, ListChanges: "entries"}}}}
 	}
 	maxListSize := 0
-	for _, w := range windows {
-		for _, c := range w.Workloads {
-			maxListSize = max(maxListSize, c.ListSize)
-		}
+	for _, w := range measured.windows {
+		maxListSize = max(maxListSize, w.maxListSize())
 	}
 	bench := newBench(t, maxListSize)
 	result := &Result{}
@@ -74,48 +93,10 @@
 			t.Fatal(err)
 		}
 	}
-	result.How = how
+	result.How = measured.command
 	for range *runs {
-		run := Run{At: time.Now().UTC().Truncate(time.Second)}
 		bench.Seed++
-		stolen, total, err := StolenTime()
-		if err != nil {
-			t.Fatal(err)
-		}
-		var idle sync.WaitGroup // agents that nobody calls, beside the first windows
-		var idleRows []IdleRow
-		var idleErr error
-		idle.Go(func() { idleRows, idleErr = bench.Idle(t.Context(), sizes, settle, idleSpan) })
-		for _, w := range windows {
-			rows, err := bench.Run(t.Context(), w)
-			if err != nil {
-				idle.Wait()
-				t.Fatal(err)
-			}
-			for _, r := range rows {
-				if r.Failed+r.FailedDirect > 0 {
-					t.Errorf("%+v: %d failed through the agent, %d directly: %s", r.Workload, r.Failed, r.FailedDirect, r.FirstError)
-				}
-				if r.Through.N == 0 || r.Direct.N == 0 || w.Name == "changes" && (r.Changes == 0 || r.OtherTimes.N == 0) {
-					t.Errorf("%+v: calls are missing: %d, %d, %d after %d changes", r.Workload, r.Through.N, r.Direct.N, r.AfterChange.N, r.Changes)
-				}
-			}
-			run.Rows = append(run.Rows, rows...)
-			if err := (&Result{How: how, Runs: append(slices.Clone(result.Runs), run)}).Save(*outFile); err != nil { // a run cut off is kept
-				idle.Wait()
-				t.Fatal(err)
-			}
-		}
-		if idle.Wait(); idleErr != nil {
-			t.Fatal(idleErr)
-		}
-		run.Idle = idleRows
-		if stolenAfter, totalAfter, err := StolenTime(); err != nil {
-			t.Fatal(err)
-		} else if totalAfter > total {
-			run.Stolen = (stolenAfter - stolen) / (totalAfter - total)
-		}
-		result.Runs = append(result.Runs, run)
+		result.Runs = append(result.Runs, measureRun(t, bench, measured, result))
 	}
 	if err := result.Save(*outFile); err != nil {
 		t.Fatal(err)
@@ -133,6 +114,60 @@
 	}
 }
 
+// measureRun makes one run of all windows; agents without calls run beside the first of them. After each window it saves
+// the rows with the earlier runs, so that a run that is cut off is kept.
+func measureRun(t *testing.T, bench *Bench, measured measurement, earlier *Result) Run {
+	t.Helper()
+	run := Run{At: time.Now().UTC().Truncate(time.Second)}
+	stolen, total, err := StolenTime()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var idle sync.WaitGroup
+	var idleRows []IdleRow
+	var idleErr error
+	idle.Go(func() {
+		idleRows, idleErr = bench.Idle(t.Context(), measured.idleSizes, measured.settle, measured.idle)
+	})
+	for _, w := range measured.windows {
+		rows, err := bench.Run(t.Context(), w)
+		if err != nil {
+			idle.Wait()
+			t.Fatal(err)
+		}
+		for _, r := range rows {
+			checkRow(t, r)
+		}
+		run.Rows = append(run.Rows, rows...)
+		if err := (&Result{How: earlier.How, Runs: append(slices.Clone(earlier.Runs), run)}).Save(*outFile); err != nil {
+			idle.Wait()
+			t.Fatal(err)
+		}
+	}
+	if idle.Wait(); idleErr != nil {
+		t.Fatal(idleErr)
+	}
+	run.Idle = idleRows
+	if stolenAfter, totalAfter, err := StolenTime(); err != nil {
+		t.Fatal(err)
+	} else if totalAfter > total {
+		run.Stolen = (stolenAfter - stolen) / (totalAfter - total)
+	}
+	return run
+}
+
+// checkRow fails the test on a row with failed or missing calls.
+func checkRow(t *testing.T, r Row) {
+	t.Helper()
+	if r.Failed+r.FailedDirect > 0 {
+		t.Errorf("%+v: %d failed through the agent, %d directly: %s", r.Workload, r.Failed, r.FailedDirect, r.FirstError)
+	}
+	if r.Through.N == 0 || r.Direct.N == 0 || r.Window == "changes" && (r.Changes == 0 || r.OtherTimes.N == 0) {
+		t.Errorf("%+v: calls are missing: %d, %d, %d after %d changes",
+			r.Workload, r.Through.N, r.Direct.N, r.AfterChange.N, r.Changes)
+	}
+}
+
 // Every entry of a list of 1,800 can be called at an address of its own.
 func TestEveryEntryOfALongListAnswers(t *testing.T) {
 	b, err := StartBackends(1800)
@@ -156,7 +191,11 @@
 		t.Skip("no folder for traces was named")
 	}
 	b := newBench(t, 1800)
-	for _, c := range []Workload{{ListSize: 1800, Rate: 72, Tick: defaultTick}, {ListSize: 1800, Rate: 72, Tick: "0s"}, {ListSize: 1800, Rate: 1000, Tick: "0s"}} {
+	for _, c := range []Workload{
+		{ListSize: 1800, Rate: 72, Tick: defaultTick},
+		{ListSize: 1800, Rate: 72, Tick: "0s"},
+		{ListSize: 1800, Rate: 1000, Tick: "0s"},
+	} {
 		r, err := b.Trace(t.Context(), c, 2*time.Second, *traceDir)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -22,6 +22,14 @@
 	return medianAndRange(list)
 }
 
+// failed counts the failed calls.
+func (g group) failed() (n int) {
+	for _, r := range g {
+		n += r.Failed + r.FailedDirect
+	}
+	return n
+}
+
 // medianAndRange formats a list's median, and if it has several values the least and the greatest.
 func medianAndRange(list []float64) string {
 	list = slices.Sorted(slices.Values(list))
@@ -66,8 +74,18 @@
 	return "at random"
 }
 
-// writeCalls writes the tables of one kind of window.
-func (r *Result) writeCalls(line func(string, ...any), title, window string) {
+// lineWriter writes one line, by a format.
+type lineWriter func(format string, args ...any)
+
+// The rows of some tables, by their columns.
+const (
+	latencyFormat = "| %s | %v | %s | %d | %d | %s | %s | %s | %s | %s | %s | %s | %s | %d |"
+	slowestFormat = "| %s | %v | %s | %d | %s | %s | %s | %s | %s | %s | %s |"
+	changesFormat = "| %s | %v | %d | %s | %d | %s | %s | %s | %s | %s | %s | %d |"
+)
+
+// writeCalls writes the tables of the windows of a name; none if there are no such windows.
+func (r *Result) writeCalls(line lineWriter, title, window string) {
 	list := r.groupsOf(window)
 	if len(list) == 0 {
 		return
@@ -77,63 +95,55 @@
 	line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, g := range list {
 		x := g[0]
-		failed := 0
-		for _, y := range g {
-			failed += y.Failed + y.FailedDirect
-		}
-		line("| %s | %v | %s | %d | %d | %s | %s | %s | %s | %s | %s | %s | %s | %d |", x.Tick, x.Rate, x.arrivals(), x.ListSize, x.Through.N,
+		line(latencyFormat, x.Tick, x.Rate, x.arrivals(), x.ListSize, x.Through.N,
 			g.summary(func(r Row) float64 { return r.Direct.P50 }), g.summary(func(r Row) float64 { return r.Direct.P99 }),
 			g.summary(func(r Row) float64 { return r.Direct.P999 }), g.summary(func(r Row) float64 { return r.Through.P50 }),
 			g.summary(func(r Row) float64 { return r.Through.P99 }), g.summary(func(r Row) float64 { return r.Through.P999 }),
 			g.summary(func(r Row) float64 { return r.Through.P50 - r.Direct.P50 }),
-			g.summary(func(r Row) float64 { return r.Through.P99 - r.Direct.P99 }), failed)
+			g.summary(func(r Row) float64 { return r.Through.P99 - r.Direct.P99 }), g.failed())
 	}
 	line("\nWhere the slowest hundredth of the calls through the agent spent their time:\n")
-	line("| tick | a second | come | backends | to the backend, mean | back, mean | on a new connection | of all calls | agent's processor, ms a second | resident, MB | caller late, p99 |")
+	line("| tick | a second | come | backends | to the backend, mean | back, mean | on a new connection | of all calls " +
+		"| agent's processor, ms a second | resident, MB | caller late, p99 |")
 	line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, g := range list {
 		x := g[0]
-		line("| %s | %v | %s | %d | %s | %s | %s | %s | %s | %s | %s |", x.Tick, x.Rate, x.arrivals(), x.ListSize,
-			g.summary(func(r Row) float64 { return r.Slowest.Inbound }), g.summary(func(r Row) float64 { return r.Slowest.Outbound }),
-			g.summary(func(r Row) float64 { return r.Slowest.NewConnectionShare }), g.summary(func(r Row) float64 { return r.Through.NewConnectionShare }),
-			g.summary(func(r Row) float64 { return r.CPUMillisPerSecond }), g.summary(func(r Row) float64 { return r.ResidentMB }),
+		line(slowestFormat, x.Tick, x.Rate, x.arrivals(), x.ListSize,
+			g.summary(func(r Row) float64 { return r.Slowest.Inbound }),
+			g.summary(func(r Row) float64 { return r.Slowest.Outbound }),
+			g.summary(func(r Row) float64 { return r.Slowest.NewConnectionShare }),
+			g.summary(func(r Row) float64 { return r.Through.NewConnectionShare }),
+			g.summary(func(r Row) float64 { return r.CPUMillisPerSecond }),
+			g.summary(func(r Row) float64 { return r.ResidentMB }),
 			g.summary(func(r Row) float64 { return r.LatenessP99 }))
 	}
 }
 
-// Markdown returns the tables of all runs. Their texts stay as they are: saved tables are compared with them.
-func (r *Result) Markdown() string {
-	var b strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("# A call's way\n")
-	line("Made by `%s`; runs: %d. In each field the middle of the runs, then the least and the most. All times in ms, from the", r.How, len(r.Runs))
-	line("time at which a call was meant to be sent until its answer was read. Added: the p99 through the agent less the p99 directly.\n")
-	for i, run := range r.Runs {
-		stolen := "what the host took of the cores' time was not measured"
-		if run.Stolen > 0 {
-			stolen = fmt.Sprintf("the host took %.0f%% of the cores' time", 100*run.Stolen)
-		}
-		line("Run %d, %s: %s.\n", i+1, run.At.Format(time.RFC3339), stolen)
+// writeChanges writes the table of the windows in which lists change; none if there are no such windows.
+func (r *Result) writeChanges(line lineWriter) {
+	list := r.groupsOf("changes")
+	if len(list) == 0 {
+		return
 	}
-	r.writeCalls(line, "Calls, four agents at once", "few")
-	r.writeCalls(line, "Calls, two to 24 agents at once", "calls")
-	if list := r.groupsOf("changes"); len(list) > 0 {
-		line("\n## A change of the list each second\n")
-		line("One backend drains, the one that drained before is ready again; told as these two entries, or as the whole list.\n")
-		line("| tick | a second | backends | told as | calls after, a run | agent p99 in the 100 ms after | rest | direct p99 after | rest | agent p99.9 after | rest | failed |")
-		line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-		for _, g := range list {
-			x := g[0]
-			failed := 0
-			for _, y := range g {
-				failed += y.Failed + y.FailedDirect
-			}
-			line("| %s | %v | %d | %s | %d | %s | %s | %s | %s | %s | %s | %d |", x.Tick, x.Rate, x.ListSize, x.ListChanges, x.AfterChange.N,
-				g.summary(func(r Row) float64 { return r.AfterChange.P99 }), g.summary(func(r Row) float64 { return r.OtherTimes.P99 }),
-				g.summary(func(r Row) float64 { return r.AfterChangeDirect.P99 }), g.summary(func(r Row) float64 { return r.OtherTimesDirect.P99 }),
-				g.summary(func(r Row) float64 { return r.AfterChange.P999 }), g.summary(func(r Row) float64 { return r.OtherTimes.P999 }), failed)
-		}
+	line("\n## A change of the list each second\n")
+	line("One backend drains, the one that drained before is ready again; told as these two entries, or as the whole list.\n")
+	line("| tick | a second | backends | told as | calls after, a run | agent p99 in the 100 ms after | rest " +
+		"| direct p99 after | rest | agent p99.9 after | rest | failed |")
+	line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, g := range list {
+		x := g[0]
+		line(changesFormat, x.Tick, x.Rate, x.ListSize, x.ListChanges, x.AfterChange.N,
+			g.summary(func(r Row) float64 { return r.AfterChange.P99 }),
+			g.summary(func(r Row) float64 { return r.OtherTimes.P99 }),
+			g.summary(func(r Row) float64 { return r.AfterChangeDirect.P99 }),
+			g.summary(func(r Row) float64 { return r.OtherTimesDirect.P99 }),
+			g.summary(func(r Row) float64 { return r.AfterChange.P999 }),
+			g.summary(func(r Row) float64 { return r.OtherTimes.P999 }), g.failed())
 	}
+}
+
+// writeIdle writes the table of agents without calls.
+func (r *Result) writeIdle(line lineWriter) {
 	line("\n## An agent that nobody calls\n")
 	line("| backends | resident, MB | processor, ms a second |")
 	line("| --- | --- | --- |")
@@ -154,5 +164,26 @@
 		}
 		line("| %d | %s | %s |", n, medianAndRange(mb), medianAndRange(cpu))
 	}
+}
+
+// Markdown returns the tables of all runs. Their texts stay as they are: saved tables are compared with them.
+func (r *Result) Markdown() string {
+	var b strings.Builder
+	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	line("# A call's way\n")
+	line("Made by `%s`; runs: %d. In each field the middle of the runs, then the least and the most. All times in ms, from the",
+		r.How, len(r.Runs))
+	line("time at which a call was meant to be sent until its answer was read. Added: the p99 through the agent less the p99 directly.\n")
+	for i, run := range r.Runs {
+		stolen := "what the host took of the cores' time was not measured"
+		if run.Stolen > 0 {
+			stolen = fmt.Sprintf("the host took %.0f%% of the cores' time", 100*run.Stolen)
+		}
+		line("Run %d, %s: %s.\n", i+1, run.At.Format(time.RFC3339), stolen)
+	}
+	r.writeCalls(line, "Calls, four agents at once", "few")
+	r.writeCalls(line, "Calls, two to 24 agents at once", "calls")
+	r.writeChanges(line)
+	r.writeIdle(line)
 	return b.String()
 }
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -75,26 +76,15 @@
 
 // Run runs a window and returns a row for each workload, in their order.
 func (b *Bench) Run(ctx context.Context, window Window) (rows []Row, err error) {
-	var agents []*agentRun
+	agents, err := b.startAgents(ctx, window.perAgent())
 	defer func() { err = errors.Join(err, stopAgents(agents)) }()
-	maxListSize := 0
-	var workloads []Workload
-	for _, workload := range window.Workloads {
-		for range max(1, workload.Agents) {
-			workloads = append(workloads, workload)
-		}
-		maxListSize = max(maxListSize, workload.ListSize)
-	}
-	if agents, err = b.startAgents(ctx, workloads); err != nil {
+	if err != nil {
 		return nil, err
 	}
 	direct := newClient()
 	defer direct.CloseIdleConnections()
-	for i, addr := range b.Backends.Addrs[:maxListSize] { // opens a connection to each, which is kept
-		_, got, err := call(direct, addr, sinceBase())
-		if err != nil || got != i {
-			return nil, fmt.Errorf("entry %d at %s: backend %d, %w", i, addr, got, err)
-		}
+	if err := connectAll(direct, b.Backends.Addrs[:window.maxListSize()]); err != nil {
+		return nil, err
 	}
 	changing, stopChanging := context.WithCancel(ctx)
 	defer stopChanging()
@@ -125,6 +115,36 @@
 	return rows, nil
 }
 
+// perAgent returns the workload of each agent of the window.
+func (w *Window) perAgent() (workloads []Workload) {
+	for _, workload := range w.Workloads {
+		for range max(1, workload.Agents) {
+			workloads = append(workloads, workload)
+		}
+	}
+	return workloads
+}
+
+// maxListSize returns the size of the window's longest endpoint list.
+func (w *Window) maxListSize() (size int) {
+	for _, workload := range w.Workloads {
+		size = max(size, workload.ListSize)
+	}
+	return size
+}
+
+// connectAll calls each backend once, and so opens a connection to it, which the client keeps. The address with index i
+// has to be that of backend i.
+func connectAll(client *http.Client, addrs []string) error {
+	for i, addr := range addrs {
+		_, got, err := call(client, addr, sinceBase())
+		if err != nil || got != i {
+			return fmt.Errorf("entry %d at %s: backend %d, %w", i, addr, got, err)
+		}
+	}
+	return nil
+}
+
 // Idle measures agents without calls, all at once, one with a list of each size. It waits for settle before it measures
 // for length. The rows are in the order of sizes.
 func (b *Bench) Idle(ctx context.Context, sizes []int, settle, length time.Duration) (rows []IdleRow, err error) {
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -93,21 +93,58 @@
 func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, realAgents, run int) row {
 	fleet := newTestFleet(t, mode, n, true)
 	fleet.realAgents = realAgents
-	r := row{Table: "real", Mode: string(mode), N: n + realAgents, Matrix: true, Run: run, Case: fmt.Sprintf("%d real among hollow ones", realAgents)}
+	r := row{Table: "real", Mode: string(mode), N: n + realAgents, Matrix: true, Run: run,
+		Case: fmt.Sprintf("%d real among hollow ones", realAgents)}
 	fleet.startAll(time.Duration(n) * *pace)
-	var processes []*exec.Cmd
-	dir := t.TempDir()
-	for i := n; i < n+realAgents; i++ {
-		file := filepath.Join(dir, fleet.agentName(i)+".toml")
+	processes := startRealAgents(t, fleet, program)
+	if reason := fleet.awaitStart(); reason != "" {
+		processes.logOutput()
+		r.Void = reason
+		return r
+	}
+	if !fleet.awaitServing() {
+		r.Void = "not whole: a real agent has no list"
+		return r
+	}
+	settle, measure := 100*time.Millisecond, time.Second
+	if *full {
+		settle, measure = *warm, 2**window // a real agent's time is counted in ticks of 10 ms
+	}
+	time.Sleep(settle) // the start's own work is not an idle agent's
+	before, _ := processes.usage()
+	m := fleet.startMeter(false)
+	time.Sleep(measure) // the span that is measured
+	s := m.end()
+	after, rss := processes.usage()
+	r.Void = s.void
+	r.Values = s.compareRealAgents(t, n, realAgents, after-before)
+	r.Values["resident kB, real"], r.Values["timers late ms p99"] = rss, s.late.Seconds()*1e3
+	return r
+}
+
+// realProcesses are the real agents of a fleet, each a process of its own. They are killed at the test's end.
+type realProcesses struct {
+	t         *testing.T
+	fleet     *testFleet
+	dir       string // of their configuration files and logs
+	processes []*exec.Cmd
+}
+
+// startRealAgents starts the fleet's real agents; their numbers follow those of the simulated ones.
+func startRealAgents(t *testing.T, fleet *testFleet, program string) *realProcesses {
+	t.Helper()
+	a := &realProcesses{t: t, fleet: fleet, dir: t.TempDir()}
+	for i := fleet.n; i < fleet.n+fleet.realAgents; i++ {
+		file := filepath.Join(a.dir, fleet.agentName(i)+".toml")
 		if err := os.WriteFile(file, []byte(fleet.realAgentConfig(i)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		log, err := os.Create(filepath.Join(dir, fleet.agentName(i)+".log"))
+		log, err := os.Create(filepath.Join(a.dir, fleet.agentName(i)+".log"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		cmd := exec.Command(program, "agent", "--config", file)
-		cmd.Stdout, cmd.Stderr, cmd.Dir = log, log, dir
+		cmd.Stdout, cmd.Stderr, cmd.Dir = log, log, a.dir
 		err = cmd.Start()
 		log.Close()
 		if err != nil {
@@ -117,18 +154,36 @@
 			_ = cmd.Process.Kill() // ended already if it fails
 			_ = cmd.Wait()         // killed
 		})
-		processes = append(processes, cmd)
+		a.processes = append(a.processes, cmd)
 	}
-	if reason := fleet.awaitStart(); reason != "" {
-		for i := n; i < n+realAgents; i++ {
-			text, _ := os.ReadFile(filepath.Join(dir, fleet.agentName(i)+".log")) // if it can't be read, its log is empty
-			t.Logf("%s: %s", fleet.agentName(i), text[:min(len(text), 1000)])
+	return a
+}
+
+// logOutput logs the begin of each agent's log.
+func (a *realProcesses) logOutput() {
+	for i := a.fleet.n; i < a.fleet.n+a.fleet.realAgents; i++ {
+		name := a.fleet.agentName(i)
+		text, _ := os.ReadFile(filepath.Join(a.dir, name+".log")) // if it can't be read, its log is empty
+		a.t.Logf("%s: %s", name, text[:min(len(text), 1000)])
+	}
+}
+
+// usage returns the processor time that all of them have used, and the mean of their resident memory in kB.
+func (a *realProcesses) usage() (cpu time.Duration, rss float64) {
+	for _, p := range a.processes {
+		one, mem, err := processUsage(p.Process.Pid)
+		if err != nil {
+			a.t.Fatal(err)
 		}
-		r.Void = reason
-		return r
+		cpu, rss = cpu+one, rss+mem/float64(a.fleet.realAgents)
 	}
-	serving := func() bool { // all real agents have an endpoint list
-		for _, m := range fleet.agents[0].Members() {
+	return cpu, rss
+}
+
+// awaitServing waits until all members that the first agent knows have an endpoint list; false: they don't in time.
+func (f *testFleet) awaitServing() bool {
+	serving := func() bool {
+		for _, m := range f.agents[0].Members() {
 			if m.Phase != member.Serving {
 				return false
 			}
@@ -137,31 +192,15 @@
 	}
 	for end := time.Now().Add(convergenceTimeout); !serving(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			r.Void = "not whole: a real agent has no list"
-			return r
+			return false
 		}
 	}
-	settle, measure := 100*time.Millisecond, time.Second
-	if *full {
-		settle, measure = *warm, 2**window // a real agent's time is counted in ticks of 10 ms
-	}
-	time.Sleep(settle) // the start's own work is not an idle agent's
-	usage := func() (cpu time.Duration, rss float64) {
-		for _, p := range processes {
-			one, mem, err := processUsage(p.Process.Pid)
-			if err != nil {
-				t.Fatal(err)
-			}
-			cpu, rss = cpu+one, rss+mem/float64(realAgents)
-		}
-		return cpu, rss
-	}
-	before, _ := usage()
-	m := fleet.startMeter(false)
-	time.Sleep(measure) // the span that is measured
-	s := m.end()
-	after, rss := usage()
-	r.Void = s.void
+	return true
+}
+
+// compareRealAgents returns how real agents, which used cpu together, compare with n simulated ones.
+func (s *span) compareRealAgents(t *testing.T, n, realAgents int, cpu time.Duration) map[string]float64 {
+	t.Helper()
 	var received, sent int64 // datagrams and streams
 	for p := range s.traffic.In {
 		received, sent = received+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
@@ -170,12 +209,13 @@
 	// Agents draw their targets evenly: both kinds can be compared by what one agent sends to one other.
 	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(realAgents*n) / took
 	fromSimulated := float64(received-s.traffic.FromRealAgents.Bytes) / float64(n*(n-1)) / took
-	r.Values = map[string]float64{
-		"processor us/s, hollow": s.cpu.Seconds() * 1e6 / float64(n) / took, "processor us/s, real": (after - before).Seconds() * 1e6 / float64(realAgents) / took,
-		"bytes/s from one to one, hollow": fromSimulated, "bytes/s from one to one, real": fromReal, "bytes/s out, hollow": float64(sent) / float64(n) / took,
-		"resident kB, real": rss, "timers late ms p99": s.late.Seconds() * 1e3,
+	values := map[string]float64{
+		"processor us/s, hollow":          s.cpu.Seconds() * 1e6 / float64(n) / took,
+		"processor us/s, real":            cpu.Seconds() * 1e6 / float64(realAgents) / took,
+		"bytes/s from one to one, hollow": fromSimulated,
+		"bytes/s from one to one, real":   fromReal,
+		"bytes/s out, hollow":             float64(sent) / float64(n) / took,
 	}
-	values := r.Values
 	values["processor, real to hollow"] = values["processor us/s, real"] / values["processor us/s, hollow"]
 	values["bytes, real to hollow"] = fromReal / fromSimulated
 	for _, k := range []string{"processor, real to hollow", "bytes, real to hollow"} {
@@ -186,5 +226,5 @@
 	if fromReal <= 0 || fromSimulated <= 0 {
 		t.Errorf("nothing was received from real agents (%v) or from simulated ones (%v)", fromReal, fromSimulated)
 	}
-	return r
+	return values
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -137,60 +137,76 @@
 func markdown(rep *report) string {
 	var b strings.Builder
 	names, groups := groupRows(rep.Rows)
-	for _, g := range names {
-		values, at := map[string]bool{}, map[int]bool{}
-		for _, r := range groups[g] {
-			at[r.N] = true
-			for k := range r.Values {
-				values[k] = true
-			}
+	for _, name := range names {
+		writeGroup(&b, name, groups[name], rep.Fits)
+		b.WriteString("\n")
+	}
+	return b.String()
+}
+
+// writeGroup writes one group's table, and below it why runs don't count.
+func writeGroup(b *strings.Builder, name string, rows []row, fits map[string]fit) {
+	values, sizes := map[string]bool{}, map[int]bool{}
+	for _, r := range rows {
+		sizes[r.N] = true
+		for k := range r.Values {
+			values[k] = true
 		}
-		columns := slices.Sorted(maps.Keys(at))
-		fmt.Fprintf(&b, "### %s\n\n| each agent |", g)
+	}
+	columns := slices.Sorted(maps.Keys(sizes))
+	fmt.Fprintf(b, "### %s\n\n| each agent |", name)
+	for _, n := range columns {
+		fmt.Fprintf(b, " %d |", n)
+	}
+	b.WriteString(" grows with | slope ± s.e. | at 1,800 (95%) |\n|---|" + strings.Repeat("---|", len(columns)+3) + "\n")
+	for _, k := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(b, "| %s |", k)
 		for _, n := range columns {
-			fmt.Fprintf(&b, " %d |", n)
+			fmt.Fprintf(b, " %s |", formatRange(rows, k, n))
 		}
-		b.WriteString(" grows with | slope ± s.e. | at 1,800 (95%) |\n|---|" + strings.Repeat("---|", len(columns)+3) + "\n")
-		for _, k := range slices.Sorted(maps.Keys(values)) {
-			fmt.Fprintf(&b, "| %s |", k)
-			for _, n := range columns {
-				var list []float64
-				for _, r := range groups[g] {
-					if v, has := r.Values[k]; has && r.N == n && r.Void == "" {
-						list = append(list, v)
-					}
-				}
-				slices.Sort(list)
-				switch len(list) {
-				case 0:
-					b.WriteString(" - |")
-				case 1:
-					fmt.Fprintf(&b, " %s |", formatNumber(list[0]))
-				default:
-					fmt.Fprintf(&b, " %s (%s to %s) |", formatNumber(list[len(list)/2]), formatNumber(list[0]), formatNumber(list[len(list)-1]))
-				}
-			}
-			if f, ok := rep.Fits[g+": "+k]; ok {
-				fmt.Fprintf(&b, " %s | %s ± %s | %s (%s to %s) |\n", f.Form, formatNumber(f.Slope), formatNumber(f.Error), formatNumber(f.At1800), formatNumber(f.Low), formatNumber(f.High))
-			} else {
-				b.WriteString(" | | |\n")
-			}
+		if f, ok := fits[name+": "+k]; ok {
+			fmt.Fprintf(b, " %s | %s ± %s | %s (%s to %s) |\n", f.Form, formatNumber(f.Slope), formatNumber(f.Error),
+				formatNumber(f.At1800), formatNumber(f.Low), formatNumber(f.High))
+		} else {
+			b.WriteString(" | | |\n")
 		}
-		for _, n := range columns {
-			var why []string
-			count := 0
-			for _, r := range groups[g] {
-				if r.N == n {
-					if count++; r.Void != "" {
-						why = append(why, r.Void)
-					}
-				}
-			}
-			if len(why) > 0 {
-				fmt.Fprintf(&b, "\nVoid at %d: %d of %d runs (%s).\n", n, len(why), count, strings.Join(why, "; "))
+	}
+	for _, n := range columns {
+		writeVoid(b, rows, n)
+	}
+}
+
+// formatRange formats a value's median and range at a size, over the runs that count; "-": there are none.
+func formatRange(rows []row, value string, n int) string {
+	var list []float64
+	for _, r := range rows {
+		if v, has := r.Values[value]; has && r.N == n && r.Void == "" {
+			list = append(list, v)
+		}
+	}
+	slices.Sort(list)
+	switch len(list) {
+	case 0:
+		return "-"
+	case 1:
+		return formatNumber(list[0])
+	}
+	median, least, greatest := list[len(list)/2], list[0], list[len(list)-1]
+	return fmt.Sprintf("%s (%s to %s)", formatNumber(median), formatNumber(least), formatNumber(greatest))
+}
+
+// writeVoid writes why runs at a size don't count, if there are such.
+func writeVoid(b *strings.Builder, rows []row, n int) {
+	var reasons []string
+	count := 0
+	for _, r := range rows {
+		if r.N == n {
+			if count++; r.Void != "" {
+				reasons = append(reasons, r.Void)
 			}
 		}
-		b.WriteString("\n")
 	}
-	return b.String()
+	if len(reasons) > 0 {
+		fmt.Fprintf(b, "\nVoid at %d: %d of %d runs (%s).\n", n, len(reasons), count, strings.Join(reasons, "; "))
+	}
 }
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -102,35 +102,29 @@
 		sent += x.Bytes
 	}
 	each := float64(f.n)
-	r.Values = map[string]float64{"all know all after s": s.duration.Seconds(), "after the last start s": time.Since(startedAt).Seconds(), "bytes out": float64(sent) / each,
-		"processor ms": s.cpu.Seconds() * 1e3 / each, "worst second, bytes out": float64(peak.stop()) / each, "timers late ms p99": s.late.Seconds() * 1e3}
+	r.Values = map[string]float64{
+		"all know all after s":    s.duration.Seconds(),
+		"after the last start s":  time.Since(startedAt).Seconds(),
+		"bytes out":               float64(sent) / each,
+		"processor ms":            s.cpu.Seconds() * 1e3 / each,
+		"worst second, bytes out": float64(peak.stop()) / each,
+		"timers late ms p99":      s.late.Seconds() * 1e3,
+	}
 	return r
 }
 
+// measureStart measures the start of a whole fleet, evenly spaced over a time.
 func measureStart(t *testing.T, mode simagent.Mode, n int, within time.Duration, run int) row {
 	fleet := newTestFleet(t, mode, n, true)
-	return fleet.measureEvent(row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run},
-		func() { fleet.startAll(within) }, nil)
+	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run}
+	return fleet.measureEvent(r, func() { fleet.startAll(within) }, nil)
 }
 
 // measureZoneStart measures the start of a zone's agents while the others run, and then rolling restarts.
 func measureZoneStart(t *testing.T, mode simagent.Mode, n, run int) []row {
 	fleet := newTestFleet(t, mode, n, true)
 	zone := zones[len(zones)-1]
-	start := func(inZone bool, within time.Duration) {
-		startedAt, k := time.Now(), 0
-		for i := range n {
-			if (zones[i%len(zones)] == zone) != inZone {
-				continue
-			}
-			fleet.start(i, "")
-			if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(n))); d > 0 {
-				time.Sleep(d) // keeps the pace, whatever the agents do
-			}
-			k++
-		}
-	}
-	start(false, time.Duration(n)**pace)
+	fleet.startZone(zone, false, time.Duration(n)**pace)
 	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Run: run}
 	// The last zone has no agents yet: nobody can know a round trip to it.
 	fleet.expectedZones = len(zones) - 1
@@ -140,7 +134,7 @@
 	}
 	fleet.expectedZones = 0
 	r.Case = "a zone within 1s"
-	rows := []row{fleet.measureEvent(r, func() { start(true, time.Second) }, nil)}
+	rows := []row{fleet.measureEvent(r, func() { fleet.startZone(zone, true, time.Second) }, nil)}
 	count, pace := rollingRestarts()
 	r.Case = fmt.Sprintf("%d restarted at 1 each %v", count, pace)
 	return append(rows, fleet.measureEvent(r, func() {
@@ -154,6 +148,22 @@
 	}, fleet.incarnationsKnown))
 }
 
+// startZone starts the agents of a zone, or with inZone false all others. The pace is that of starting n agents within
+// the time.
+func (f *testFleet) startZone(zone string, inZone bool, within time.Duration) {
+	startedAt, k := time.Now(), 0
+	for i := range f.n {
+		if (zones[i%len(zones)] == zone) != inZone {
+			continue
+		}
+		f.start(i, "")
+		if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(f.n))); d > 0 {
+			time.Sleep(d) // keeps the pace, whatever the agents do
+		}
+		k++
+	}
+}
+
 // incarnationsKnown reports whether every agent knows the latest incarnation of every other.
 func (f *testFleet) incarnationsKnown() bool {
 	latest := map[string]uint64{}
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -78,7 +78,8 @@
 func (f *testFleet) expectedState() simagent.State {
 	f.service.mu.Lock()
 	defer f.service.mu.Unlock()
-	s := simagent.State{Members: f.running() + f.realAgents, Quota: 1 / float64(f.n+f.realAgents), Policy: f.policy, List: f.service.version}
+	s := simagent.State{Members: f.running() + f.realAgents, Quota: 1 / float64(f.n+f.realAgents),
+		Policy: f.policy, List: f.service.version}
 	if f.hubs != nil {
 		s.Settings = f.hubs.settingsVersion
 	}
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -62,7 +62,8 @@
 
 // TestTables makes the tables. Without -scale.full it only shows that everything arrives and that they can be made.
 func TestTables(t *testing.T) {
-	tables := map[string]func(*testing.T){"idle": idleTable, "start": startTable, "change": changeTable, "real": realTable, "load": loadTable}
+	tables := map[string]func(*testing.T){
+		"idle": idleTable, "start": startTable, "change": changeTable, "real": realTable, "load": loadTable}
 	for _, name := range strings.Split(*only, ",") {
 		table := tables[name]
 		if table == nil {
