--- a/internal/scale/listservice_test.go
+++ b/internal/scale/listservice_test.go
@@ -35,8 +35,12 @@
 	}
 	s := &fakeListService{addr: ln.Addr().String(), version: firstListVersion, changed: make(chan struct{})}
 	s.server = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
-	go func() { _ = s.server.Serve(ln) }() // ends with Close
-	t.Cleanup(func() { s.server.Close() })
+	var serving sync.WaitGroup
+	serving.Go(func() { _ = s.server.Serve(ln) }) // ends with Close
+	t.Cleanup(func() {
+		s.server.Close()
+		serving.Wait()
+	})
 	return s
 }
 
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -73,7 +73,7 @@
 		err = file.Close()
 	}
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("writing the agent's configuration: %w", err)
 	}
 	args := append(slices.Clone(command[1:]), file.Name())
 	process := &AgentProcess{cmd: exec.Command(command[0], args...), logDone: make(chan struct{})}
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	if err := process.cmd.Start(); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("starting the agent: %w", err)
 	}
 	serving := make(chan string, 1)
 	go process.readLog(log, serving)
@@ -153,7 +153,7 @@
 	}
 	<-p.logDone
 	if err := p.cmd.Wait(); err != nil {
-		return fmt.Errorf("%w: %s", err, strings.Join(p.logTail, "\n"))
+		return fmt.Errorf("the agent ended: %w: %s", err, strings.Join(p.logTail, "\n"))
 	}
 	return nil
 }
--- a/internal/scale/overhead/report.go
+++ b/internal/scale/overhead/report.go
@@ -5,6 +5,9 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
 	"os"
 	"time"
 )
@@ -75,14 +78,17 @@
 // Load reads a saved result. A file that does not exist is an empty result.
 func Load(file string) (*Result, error) {
 	text, err := os.ReadFile(file)
-	if os.IsNotExist(err) {
+	if errors.Is(err, fs.ErrNotExist) {
 		return &Result{}, nil
 	}
 	r := &Result{}
 	if err == nil {
 		err = json.Unmarshal(text, r)
 	}
-	return r, err
+	if err != nil {
+		return r, fmt.Errorf("reading the result %s: %w", file, err)
+	}
+	return r, nil
 }
 
 // Save writes the result to FILE.json and its tables to FILE.md, in place of what is there.
--- a/internal/scale/overhead/usage.go
+++ b/internal/scale/overhead/usage.go
@@ -3,6 +3,7 @@
 // Memory and processor time, of an agent's process and of the machine.
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -21,7 +22,7 @@
 	proc := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	status, err := os.ReadFile(proc + "/status")
 	if err != nil {
-		return usage, err
+		return usage, fmt.Errorf("reading the agent's usage: %w", err)
 	}
 	for line := range strings.Lines(string(status)) {
 		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmRSS:" {
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -138,8 +138,11 @@
 func connectAll(client *http.Client, addrs []string) error {
 	for i, addr := range addrs {
 		_, got, err := call(client, addr, sinceBase())
-		if err != nil || got != i {
-			return fmt.Errorf("entry %d at %s: backend %d, %w", i, addr, got, err)
+		if err != nil {
+			return fmt.Errorf("calling backend %d at %s: %w", i, addr, err)
+		}
+		if got != i {
+			return fmt.Errorf("backend %d answers at the address of backend %d, %s", got, i, addr)
 		}
 	}
 	return nil
