--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -218,7 +218,7 @@
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
-	if _, told := f.applied.appliedAt(f.agentName(isolated), what, version); told {
+	if _, reached := f.applied.appliedAt(f.agentName(isolated), what, version); reached {
 		f.t.Errorf("%v: the change reached an isolated zone", what)
 	}
 	f.net.Isolate()
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -211,10 +211,12 @@
 	h := &hubProcesses{label: "x", maxMembers: 3, dir: "/d", addrs: make([]string, len(zones))}
 	h.addrs[0] = "127.0.0.1:7"
 	if first, third := h.config(0), h.config(2); !strings.Contains(first, "[settings]") || strings.Contains(third, "[settings]") ||
-		!strings.Contains(third, `seeds = ["127.0.0.1:7"]`) || !strings.Contains(third, `zone = "a3"`) || !strings.Contains(first, `listen = "127.0.0.1:7"`) {
+		!strings.Contains(third, `seeds = ["127.0.0.1:7"]`) || !strings.Contains(third, `zone = "a3"`) ||
+		!strings.Contains(first, `listen = "127.0.0.1:7"`) {
 		t.Errorf("%s\n%s", first, third)
 	}
-	if m := listeningLine.FindSubmatch([]byte("level=INFO msg=hub step=listening name=h address=127.0.0.1:9\n")); !bytes.Equal(m[1], []byte("127.0.0.1:9")) {
+	line := []byte("level=INFO msg=hub step=listening name=h address=127.0.0.1:9\n")
+	if m := listeningLine.FindSubmatch(line); !bytes.Equal(m[1], []byte("127.0.0.1:9")) {
 		t.Errorf("%s", m)
 	}
 }
--- a/internal/scale/overhead/overhead_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -109,7 +109,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := saved.Markdown(); got != string(text) || strings.Count(got, "\n| 5ms | 72 |") < 3 || !strings.Contains(got, "\n| 8 | ") {
+	got := saved.Markdown()
+	if got != string(text) || strings.Count(got, "\n| 5ms | 72 |") < 3 || !strings.Contains(got, "\n| 8 | ") {
 		t.Errorf("the tables are not those of the saved runs:\n%s", got)
 	}
 }
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -91,7 +91,8 @@
 		return
 	}
 	line("\n## %s\n", title)
-	line("| tick | a second | come | backends | calls a run | direct p50 | p99 | p99.9 | agent p50 | p99 | p99.9 | added at p50 | added at p99 | failed |")
+	line("| tick | a second | come | backends | calls a run | direct p50 | p99 | p99.9 | agent p50 | p99 | p99.9 " +
+		"| added at p50 | added at p99 | failed |")
 	line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, g := range list {
 		x := g[0]
@@ -173,7 +174,8 @@
 	line("# A call's way\n")
 	line("Made by `%s`; runs: %d. In each field the middle of the runs, then the least and the most. All times in ms, from the",
 		r.How, len(r.Runs))
-	line("time at which a call was meant to be sent until its answer was read. Added: the p99 through the agent less the p99 directly.\n")
+	line("time at which a call was meant to be sent until its answer was read. " +
+		"Added: the p99 through the agent less the p99 directly.\n")
 	for i, run := range r.Runs {
 		stolen := "what the host took of the cores' time was not measured"
 		if run.Stolen > 0 {
--- a/internal/scale/profile_test.go
+++ b/internal/scale/profile_test.go
@@ -79,9 +79,12 @@
 func TestStackIsAttributedToWhatAskedForTheWork(t *testing.T) {
 	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
-		"facts":     {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/gossip.EncodeMessage", p + "fleet/gossip.(*Store).NextMessage", "github.com/hashicorp/memberlist.(*Memberlist).gossip"},
-		"distances": {"runtime.mallocgc", p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).publishLatencies", p + "fleet.(*Fleet).runLoop"},
-		"members":   {"syscall.Syscall6", p + "fleet/member.(*transport).WriteTo", "github.com/hashicorp/memberlist.(*Memberlist).probe"},
+		"facts": {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/gossip.EncodeMessage", p + "fleet/gossip.(*Store).NextMessage",
+			"github.com/hashicorp/memberlist.(*Memberlist).gossip"},
+		"distances": {"runtime.mallocgc", p + "fleet/member.(*List).Alive", p + "fleet.(*Fleet).publishLatencies",
+			p + "fleet.(*Fleet).runLoop"},
+		"members": {"syscall.Syscall6", p + "fleet/member.(*transport).WriteTo",
+			"github.com/hashicorp/memberlist.(*Memberlist).probe"},
 		"policy":    {p + "fleet/gossip.(*Store).Entries", p + "fleet.(*Fleet).shareDocuments"},
 		"list":      {"net/http.(*response).Write", p + "fleet.(*relay).ServeHTTP", "net/http.(*conn).serve"},
 		"harness":   {"net/http.(*response).Write", p + "scale.(*fakeListService).ServeHTTP", "net/http.(*conn).serve"},
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -88,7 +88,11 @@
 	for _, c := range []struct {
 		list []fakeQuotaHolder
 		bad  bool
-	}{{[]fakeQuotaHolder{fair, fair, fair, fair, fair}, false}, {[]fakeQuotaHolder{fair, fair, fair, fair, {0.2, 2}}, true}, {nil, false}} {
+	}{
+		{[]fakeQuotaHolder{fair, fair, fair, fair, fair}, false},
+		{[]fakeQuotaHolder{fair, fair, fair, fair, {0.2, 2}}, true},
+		{nil, false},
+	} {
 		if got := sumQuotas(c.list); got > maxQuotaSum != c.bad {
 			t.Errorf("%v: %v", c.list, got)
 		}
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -63,7 +63,8 @@
 effect = "safe"
 aim = "1s"
 deadline = "2s"
-`, f.agentName(i), f.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), f.label, f.n+f.realAgents)
+`, f.agentName(i), f.service.addr, strings.Join(names, ", "), zones[i%len(zones)],
+		strings.Join(known, ", "), f.label, f.n+f.realAgents)
 }
 
 // processUsage reads from /proc a process's processor time and its resident memory in kB.
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -41,7 +41,8 @@
 // it fails the test on a row whose fleet did not converge.
 func saveRows(t testing.TB, rows ...row) {
 	for _, r := range rows {
-		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v", r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
+		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v",
+			r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
 		// A small run is a test that everything arrives. How late it is on a busy machine doesn't count.
 		if !*full && (strings.HasPrefix(r.Void, "not whole") || r.Values["agents never"] > 0) {
 			t.Errorf("%s, %s: %s, %v agents never", r.Table, r.Case, r.Void, r.Values["agents never"])
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -54,8 +54,8 @@
 // The check of agents' states finds one with an old version of a document, or with anything else missing.
 func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
 	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
-	if n, why := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
-		t.Errorf("%d lag: %s", n, why)
+	if n, reason := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
+		t.Errorf("%d lag: %s", n, reason)
 	}
 	for name, spoil := range map[string]func(*simagent.State){
 		"policy 1, not 2":             func(s *simagent.State) { s.Policy = 1 },
@@ -66,10 +66,11 @@
 		"round trips to 6 zones of 7": func(s *simagent.State) { s.MeasuredZones = 6 },
 		"settings 4, not 5":           func(s *simagent.State) { s.Settings = 4 },
 	} {
-		old := want
-		spoil(&old)
-		if n, why := laggards([]fixedState{fixedState(want), fixedState(old)}, want); n != 1 || !strings.HasPrefix(why, "agent 1: "+name) {
-			t.Errorf("%s: %d lag: %q", name, n, why)
+		lagging := want
+		spoil(&lagging)
+		n, reason := laggards([]fixedState{fixedState(want), fixedState(lagging)}, want)
+		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+name) {
+			t.Errorf("%s: %d lag: %q", name, n, reason)
 		}
 	}
 }
