--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/message.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"sync"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -30,37 +29,6 @@
 	Entries     []Entry       `cbor:"5,keyasint"`
 }
 
-// Entry is what one process saw of something.
-type Entry struct {
-	Kind        Kind          `cbor:"1,keyasint"`
-	Subject     string        `cbor:"2,keyasint"`
-	Observer    string        `cbor:"3,keyasint"`
-	Incarnation uint64        `cbor:"4,keyasint"` // of the observer's process: a later one replaces all of an earlier
-	Seq         uint64        `cbor:"5,keyasint"` // counts what the observer said of the subject
-	Age         time.Duration `cbor:"6,keyasint"` // when the message was written
-	Body        []byte        `cbor:"7,keyasint"`
-
-	decoded *decodedBody // nil: of a fact that no store holds
-}
-
-// decodedBody is what a body says, as whoever read it first made of it.
-type decodedBody struct {
-	once  sync.Once
-	value any
-	err   error
-}
-
-// DecodeBody has a fact's body decoded, once for as long as a store holds it or one that says the same: all who read facts of
-// one kind must use the same decode, and must not write to what it returns.
-func DecodeBody[T any](e Entry, decode func(body []byte) (T, error)) (T, error) {
-	if e.decoded == nil {
-		return decode(e.Body)
-	}
-	e.decoded.once.Do(func() { e.decoded.value, e.decoded.err = decode(e.Body) })
-	v, _ := e.decoded.value.(T)
-	return v, e.decoded.err
-}
-
 var (
 	decMode = func() cbor.DecMode {
 		m, err := cbor.DecOptions{MaxArrayElements: maxMessageEntries, MaxMapPairs: 32, MaxNestedLevels: 8,
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -8,54 +8,13 @@
 import (
 	"bytes"
 	"cmp"
-	"fmt"
-	"maps"
-	"math"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Kind is what a fact is about.
-type Kind uint8
-
-const (
-	ListServiceLoad  Kind = 1 + iota // the load of the list service, as one who called it saw it
-	LatencyRow                       // round trips from a site to the others
-	ResidencyVersion                 // the version of the residency policy that its source holds
-	DeadProcesses                    // processes whose machine refuses connections: dead for certain
-	SettingsVersion                  // the version of the agents' settings that a hub holds
-	FleetSize                        // how many agents a hub, or all hubs, know of: there, starting, dead for certain
-)
-
-var kindNames = map[Kind]string{ListServiceLoad: "service", LatencyRow: "distance", ResidencyVersion: "residency", DeadProcesses: "gone", SettingsVersion: "settings", FleetSize: "census"}
-
-func (k Kind) String() string {
-	return cmp.Or(kindNames[k], "kind "+strconv.Itoa(int(k)))
-}
-
-// AgeBounds is how old a fact of each kind may be when it is used. A kind that is not named is never used.
-type AgeBounds map[Kind]time.Duration
-
-// DefaultAgeBounds are long enough for a fact that is told anew every second to be missed twice on its way.
-var DefaultAgeBounds = AgeBounds{
-	// A service that was overrun is asked again a little later at the latest; older words would hold everyone back.
-	ListServiceLoad: 5 * time.Second,
-	// Rows are told each second. A link that has changed has to show within 3 s.
-	LatencyRow: 3 * time.Second,
-	// The policy's own bound goes before this one; it says how long a version may take to get round.
-	ResidencyVersion: 10 * time.Second,
-	// Told each second while it holds. Whoever starts again may have its part back that much later.
-	DeadProcesses: 3 * time.Second,
-	// Told each second. A version never goes back, so an old word does no harm; it only says less.
-	SettingsVersion: 10 * time.Second,
-	// Told each second. It carries how many are gone, and so has the bound of that.
-	FleetSize: 3 * time.Second,
-}
-
 const (
 	// TickInterval is how often Tick is due. A process that did not get to it for stoppedAfter was stopped, or starved:
 	// what it holds may be older than it looks to others, and what lies in its sockets is.
@@ -69,40 +28,6 @@
 	smallFleet  = 10    // below, as among hubs, a site has one observer, and nobody else tells of its way
 )
 
-type entryKey struct {
-	kind              Kind
-	subject, observer string
-}
-
-type storedEntry struct {
-	Entry
-	storedAt time.Time // when its age was that of Fact
-	sends    int
-	removed  bool // a later one has its place, or it went past its bound
-}
-
-// entrySet holds the facts of one kind, by subject and observer.
-type entrySet struct {
-	entries    []*storedEntry
-	changes    uint64
-	nextExpiry time.Time // none goes past its bound before
-}
-
-func (e *storedEntry) compareKey(subject, observer string) int {
-	return cmp.Or(cmp.Compare(e.Subject, subject), cmp.Compare(e.Observer, observer))
-}
-
-func (s *entrySet) find(subject, observer string) (int, bool) {
-	return slices.BinarySearchFunc(s.entries, entryKey{0, subject, observer}, func(e *storedEntry, k entryKey) int { return e.compareKey(k.subject, k.observer) })
-}
-
-// Use is one use of a fact, as told to a trace.
-type Use struct {
-	Entry
-	Published bool          // by this process, rather than used
-	AgeAtUse  time.Duration // its age then
-}
-
 // Store holds facts. Its methods may be called from any task.
 type Store struct {
 	self        string
@@ -174,11 +99,6 @@
 	}
 }
 
-// expiresAt is when it goes past its bound.
-func (e *storedEntry) expiresAt(bounds AgeBounds) time.Time {
-	return e.storedAt.Add(bounds[e.Kind] - e.Age)
-}
-
 func (s *Store) set(kind Kind) *entrySet {
 	if s.sets[kind] == nil {
 		s.sets[kind] = &entrySet{}
@@ -236,8 +156,6 @@
 	return !now.Before(s.resumesAt)
 }
 
-func (e *storedEntry) age(now time.Time) time.Duration { return e.Age + now.Sub(e.storedAt) }
-
 // Publish takes what this process itself has seen just now.
 func (s *Store) Publish(kind Kind, subject string, body []byte) {
 	s.PublishAged(kind, subject, body, 0)
@@ -318,75 +236,16 @@
 	return list
 }
 
-// NextMessage writes a message of up to limit bytes for one of a fleet of so many: what was passed on least often goes
-// first, and nothing more often than a few times the logarithm of the fleet's size. nil: there is nothing to say.
-func (s *Store) NextMessage(limit, members int) []byte {
+// PublishAged takes what this process made just now of facts of which the oldest is so old: a sum is as old as the oldest of
+// what it sums up.
+func (s *Store) PublishAged(kind Kind, subject string, body []byte, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.active(now) || now.Before(s.silentUntil) {
-		return nil
-	}
-	logSize := max(2, int(math.Ceil(math.Log10(float64(members)+1))))
-	// What has been passed on often enough is not looked at again.
-	s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool {
-		maxSends := sendsFactor * logSize
-		if e.Kind == LatencyRow && members >= smallFleet {
-			maxSends = logSize // it is told anew each second by several: that one is missed does no harm
-		}
-		return e.removed || e.sends >= maxSends || e.age(now) > s.bounds[e.Kind]
-	})
-	slices.SortFunc(s.outgoing, func(a, b *storedEntry) int {
-		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.Kind, b.Kind), a.compareKey(b.Subject, b.Observer))
-	})
-	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
-	size := 40 + len(s.self) // more than what is around the facts takes
-	for _, e := range s.outgoing {
-		if size += 48 + len(e.Subject) + len(e.Observer) + len(e.Body); size > limit || len(m.Entries) == maxMessageEntries {
-			break
-		}
-		entry := e.Entry
-		entry.Age = e.age(now)
-		m.Entries = append(m.Entries, entry)
-		e.sends++
-	}
-	if len(m.Entries) == 0 {
-		return nil
-	}
-	data, err := EncodeMessage(&m)
-	if err != nil {
-		panic(err) // it holds numbers and bytes alone
-	}
-	return data
-}
-
-// Stats is what a store has seen.
-type Stats struct {
-	Entries, Stops, Malformed int
-	Kinds                     map[string]KindStats
-}
-
-// KindStats is how facts of a kind were used: ages in ms.
-type KindStats struct {
-	Used          int64
-	Rejected      int
-	P50, P99, Max int64
-}
-
-func (s *Store) Stats() Stats {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	st := Stats{Entries: s.size, Stops: s.stops, Malformed: s.malformed, Kinds: map[string]KindStats{}}
-	for _, k := range slices.Sorted(maps.Keys(s.bounds)) {
-		ks := KindStats{Rejected: s.rejected[k]}
-		if h := s.useAges[k]; h != nil {
-			ks.Used, ks.P50, ks.P99, ks.Max = h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max()
-		}
-		st.Kinds[k.String()] = ks
-	}
-	return st
-}
-
-func (k KindStats) String() string {
-	return fmt.Sprintf("used %d, refused %d, age ms p50 %d p99 %d max %d", k.Used, k.Rejected, k.P50, k.P99, k.Max)
+	s.active(now)
+	k := entryKey{kind, subject, s.self}
+	s.lastSeq[k]++
+	entry := Entry{Kind: kind, Subject: subject, Observer: s.self, Incarnation: s.incarnation, Seq: s.lastSeq[k], Age: age, Body: slices.Clone(body)}
+	s.put(&storedEntry{Entry: entry, storedAt: now})
+	s.trace(Use{Entry: entry, Published: true, AgeAtUse: age})
 }
--- a/internal/fleet/gossip/trace.go
+++ b/internal/fleet/gossip/trace.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"io"
 	"sync"
+	"time"
 
 	"martenbeam/internal/bootclock"
 )
@@ -40,3 +41,10 @@
 	defer traceMu.Unlock()
 	_, _ = t.W.Write(append(data, '\n'))
 }
+
+// Use is one use of a fact, as told to a trace.
+type Use struct {
+	Entry
+	Published bool          // by this process, rather than used
+	AgeAtUse  time.Duration // its age then
+}
