--- a/internal/fleet/latency/row.go
+++ b/internal/fleet/latency/row.go
@@ -1,6 +1,7 @@
 package latency
 
 import (
+	"fmt"
 	"slices"
 	"strings"
 	"time"
@@ -10,6 +11,70 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
+// row is what one observer measured from its site, as a fact's body.
+type row struct {
+	Entries []rowEntry `cbor:"1,keyasint"`
+}
+
+type rowEntry struct {
+	Site         string `cbor:"1,keyasint"`
+	RTTMicros    uint32 `cbor:"2,keyasint"` // the median round trip
+	JitterMicros uint32 `cbor:"3,keyasint"` // from there to a high one, us
+	LossPercent  uint8  `cbor:"4,keyasint"` // of 100
+	Count        uint16 `cbor:"5,keyasint"` // round trips it rests on; 0: none came back
+}
+
+const (
+	maxSites = 64
+	maxRTT   = 10 * time.Second
+)
+
+func (r row) validate() error {
+	if len(r.Entries) > maxSites {
+		return fmt.Errorf("a row of %d sites", len(r.Entries))
+	}
+	for _, e := range r.Entries {
+		if e.Site == "" || e.LossPercent > 100 || time.Duration(e.RTTMicros)*time.Microsecond > maxRTT {
+			return fmt.Errorf("an entry %+v", e)
+		}
+	}
+	return nil
+}
+
+var rowDecMode = func() cbor.DecMode {
+	m, err := cbor.DecOptions{MaxArrayElements: 4 * maxSites, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden}.DecMode()
+	if err != nil {
+		panic(err) // the options are constants
+	}
+	return m
+}()
+
+func unmarshalRow(body []byte) (row, error) {
+	var r row
+	if err := rowDecMode.Unmarshal(body, &r); err != nil {
+		return r, err
+	}
+	return r, r.validate()
+}
+
+// DecodeRow reads how far sites are from the one of whose row a fact tells, by site.
+func DecodeRow(body []byte) (map[string]Estimate, error) {
+	decoded, err := unmarshalRow(body)
+	if err != nil {
+		return nil, err
+	}
+	row := map[string]Estimate{}
+	for _, e := range decoded.Entries {
+		estimate := Estimate{Loss: float64(e.LossPercent) / 100}
+		if e.Count > 0 {
+			estimate.RTT, estimate.Jitter = time.Duration(e.RTTMicros)*time.Microsecond, time.Duration(e.JitterMicros)*time.Microsecond
+		}
+		row[e.Site] = estimate
+	}
+	return row, nil
+}
+
 // Row is what a matrix says of a site, as the body that an observer there would tell, and the age of the oldest word that it
 // rests on. nil: it says nothing. What rests on a word older than this is left out: it would make the rest as old.
 func (m Matrix) Row(site string, maxAge time.Duration) (body []byte, age time.Duration) {
--- a/internal/fleet/startup/sum.go
+++ b/internal/fleet/startup/load.go
@@ -12,6 +12,18 @@
 // Subject is what those who called the list service tell of.
 const Subject = subject
 
+// serviceLoad is what one caller saw of the service, as a fact's body.
+type serviceLoad struct {
+	Rate    float64 `cbor:"1,keyasint"` // calls a second that it seems to bear
+	Failed  bool    `cbor:"2,keyasint"` // the call was refused, or failed
+	Version int64   `cbor:"3,keyasint"` // of the list that came
+}
+
+func decodeLoad(body []byte) (l serviceLoad, err error) {
+	err = cbor.Unmarshal(body, &l)
+	return l, err
+}
+
 // Aggregate sums up words on the load of the list service as words of the same form: the middle rate and the highest version, as
 // old as the oldest word that counts, and the youngest refusal, which holds others back by its age, as a word beside it.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -42,18 +42,6 @@
 	Store    *gossip.Store // nil: there are no others
 }
 
-// serviceLoad is what one caller saw of the service, as a fact's body.
-type serviceLoad struct {
-	Rate    float64 `cbor:"1,keyasint"` // calls a second that it seems to bear
-	Failed  bool    `cbor:"2,keyasint"` // the call was refused, or failed
-	Version int64   `cbor:"3,keyasint"` // of the list that came
-}
-
-func decodeLoad(body []byte) (l serviceLoad, err error) {
-	err = cbor.Unmarshal(body, &l)
-	return l, err
-}
-
 // Pacer says when this process may call.
 type Pacer struct {
 	cfg       Config
