--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,14 +15,10 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"slices"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"martenbeam/internal/fleet/documents"
 	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/incarnation"
@@ -183,11 +179,6 @@
 	}
 }
 
-// startingAgents counts who is seen to start, this process included.
-func (f *Fleet) startingAgents() int { return max(1, f.members.View().StartingCount()) }
-
-const summaryInterval = 10 * time.Second
-
 // runLoop keeps ages, and what follows from who is there and what is known.
 func (f *Fleet) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
@@ -217,154 +208,3 @@
 		}
 	}
 }
-
-// publishLatencies tells the agent how far the sites are, where that has changed. The matrix stands until a row says something
-// else or goes past its bound, or who is there changes.
-func (f *Fleet) publishLatencies() {
-	changes, _ := f.store.Changes(gossip.LatencyRow)
-	view := f.members.View()
-	f.mu.Lock()
-	upToDate, matrix := f.matrixView == view && f.matrixChanges == changes, f.matrix
-	f.mu.Unlock()
-	var rows []gossip.Entry
-	if !upToDate || f.cfg.Trace != nil { // a matrix that stands is a use of its rows, which a trace has to show
-		rows = f.store.Entries(gossip.LatencyRow)
-	}
-	if f.cfg.Trace != nil {
-		defer func() { f.trace(map[string]any{"matrix": matrixLine(matrix)}) }()
-	}
-	if upToDate {
-		return
-	}
-	matrix = latency.NewMatrix(rows, view)
-	rtts, lossRates := make([]time.Duration, len(f.zones)), make([]float64, len(f.zones))
-	for i, zone := range f.zones {
-		if e, known := matrix.Between(f.cfg.Site, zone); known {
-			rtts[i], lossRates[i] = e.RTT, e.Loss
-		}
-	}
-	f.mu.Lock()
-	f.matrix, f.matrixView, f.matrixChanges = matrix, view, changes
-	f.matrixBuilds++
-	unchanged := slices.Equal(rtts, f.rtts) && slices.Equal(lossRates, f.lossRates)
-	f.rtts, f.lossRates = rtts, lossRates
-	f.mu.Unlock()
-	if !unchanged && f.callbacks.Latencies != nil {
-		f.callbacks.Latencies(rtts, lossRates)
-	}
-}
-
-func matrixLine(matrix latency.Matrix) map[string]float64 {
-	line := map[string]float64{}
-	for p, e := range matrix {
-		line[p.A+" "+p.B] = float64(e.RTT.Microseconds())
-	}
-	return line
-}
-
-const (
-	// A starter takes a tenth of an even part until it can be sure that nobody uses its own: it has met others, who by
-	// then would have told that it counts as gone, or it has waited for as long as such a word holds.
-	startupQuotaFactor = 0.1
-	peersMetPeriod     = 500 * time.Millisecond
-	deadCheckInterval  = time.Second
-	deadCheckTimeout   = 600 * time.Millisecond
-	deadCheckers       = 2 // members that see to whether a failed one is dead
-)
-
-// recomputeQuota reckons this process's part of the in-flight limit. An even part belongs to each process that the fleet may
-// have, except those that are dead for certain: of these the others use it while a word no older than its bound says so.
-// Who is merely not heard keeps its part: it may be alive beyond a cut. So the sum of all parts stays within the limit.
-func (f *Fleet) recomputeQuota() {
-	view := f.members.View()
-	dead, selfReportedDead := map[string]bool{}, false
-	for _, entry := range f.store.Entries(gossip.DeadProcesses) {
-		var names []string
-		if cbor.Unmarshal(entry.Body, &names) != nil {
-			continue
-		}
-		for _, name := range names {
-			if name == f.cfg.Name {
-				selfReportedDead = true
-			} else if _, alive := view.ByName(name); !alive && !f.members.WasHub(name) {
-				dead[name] = true
-			}
-		}
-	}
-	now := time.Now()
-	f.mu.Lock()
-	if f.peersMetAt.IsZero() && f.members.PeersMet() > 0 {
-		f.peersMetAt = now
-	}
-	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] || !f.peersMetAt.IsZero() && now.Sub(f.peersMetAt) >= peersMetPeriod && !selfReportedDead
-	quota := startupQuotaFactor / float64(f.cfg.MaxMembers)
-	if quotaConfirmed {
-		quota = 1 / float64(max(1, view.AgentCount(), f.cfg.MaxMembers-len(dead)))
-	}
-	unchanged := quota == f.quota
-	f.quota = quota
-	f.mu.Unlock()
-	if unchanged {
-		return
-	}
-	f.trace(map[string]any{"part": quota})
-	if f.callbacks.Quota != nil {
-		f.callbacks.Quota(quota)
-	}
-}
-
-// detectDead sees to it that members that failed and whose machine refuses connections are told to be gone.
-func (f *Fleet) detectDead(ctx context.Context) {
-	tick := time.NewTicker(deadCheckInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		failed := f.members.FailedToCheck(deadCheckers)
-		dead := make([]bool, len(failed))
-		var calls sync.WaitGroup
-		for i, m := range failed {
-			calls.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
-		}
-		calls.Wait()
-		var names []string
-		for i, m := range failed {
-			if dead[i] && !m.Hub { // a hub has no part that others could use
-				names = append(names, m.Name)
-			}
-		}
-		for i := 0; i < len(names); i += 64 { // so many fit into a fact
-			body, err := cbor.Marshal(names[i:min(len(names), i+64)])
-			if err != nil {
-				panic(err) // they are names alone
-			}
-			f.store.Publish(gossip.DeadProcesses, strconv.Itoa(i), body)
-		}
-	}
-}
-
-func (f *Fleet) logSummary() {
-	stats := f.store.Stats()
-	f.mu.Lock()
-	quota := f.quota
-	f.mu.Unlock()
-	args := []any{"members", f.members.View().Len(), "part", quota, "facts", stats.Entries, "malformed", stats.Malformed, "stops", stats.Stops, "bytes", f.gossipBytes.Swap(0)}
-	for kind, kindStats := range stats.Kinds {
-		if kindStats.Used > 0 || kindStats.Rejected > 0 {
-			args = append(args, kind, kindStats.String())
-		}
-	}
-	f.cfg.Log.Info("fleet", args...)
-}
-
-// traceUse writes a fact's use, or that it was told, with the time on the wall: for who checks ages from outside.
-func (f *Fleet) traceUse(u gossip.Use) {
-	gossip.Trace{W: f.cfg.Trace}.Use(u)
-}
-
-func (f *Fleet) trace(line map[string]any) {
-	gossip.Trace{W: f.cfg.Trace}.Line(line)
-}
--- a/internal/fleet/hubs.go
+++ b/internal/fleet/members.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"martenbeam/internal/fleet/gossip"
@@ -9,6 +10,15 @@
 	"martenbeam/internal/fleet/member"
 )
 
+// Members are those that are there, this one included, by name.
+func (f *Fleet) Members() []member.Member { return slices.Collect(f.members.View().All()) }
+
+// Count is how many members are there, at the cost of none of them.
+func (f *Fleet) Count() int { return f.members.Count() }
+
+// Abort closes the fleet's sockets without a goodbye, as a kill would. Run still has to be ended.
+func (f *Fleet) Abort() error { return f.members.Abort() }
+
 // What a hub needs of the fleet that it is in; see hub.Fleet.
 
 // Gossip are what is known here.
