--- a/internal/fleet/gossip/entry.go
+++ b/internal/fleet/gossip/entry.go
@@ -1,5 +1,7 @@
 package gossip
 
+// This file defines an entry: its kind, how old it may be, and the cached decoding of its body.
+
 import (
 	"cmp"
 	"strconv"
@@ -7,65 +9,80 @@
 	"time"
 )
 
-// Kind is what a fact is about.
+// Kind is the subject matter of an entry. Its number is part of the wire form.
 type Kind uint8
 
+// The kinds of entries, each with who publishes it.
 const (
-	ListServiceLoad  Kind = 1 + iota // the load of the list service, as one who called it saw it
-	LatencyRow                       // round trips from a site to the others
-	ResidencyVersion                 // the version of the residency policy that its source holds
-	DeadProcesses                    // processes whose machine refuses connections: dead for certain
-	SettingsVersion                  // the version of the agents' settings that a hub holds
-	FleetSize                        // how many agents a hub, or all hubs, know of: there, starting, dead for certain
+	ListServiceLoad  Kind = 1 + iota // load of the list service, as a process that called it observed it (package startup)
+	LatencyRow                       // round trips from one site to the others, by an observer of that site (package latency)
+	ResidencyVersion                 // the version of the residency policy in force at a process that is given the policy
+	DeadProcesses                    // names of processes whose machine refuses connections: confirmed dead
+	SettingsVersion                  // the version of the agents' settings in force at a hub
+	FleetSize                        // numbers of attached, starting and dead agents, of one hub or of the whole fleet
 )
 
-var kindNames = map[Kind]string{ListServiceLoad: "service", LatencyRow: "distance", ResidencyVersion: "residency", DeadProcesses: "gone", SettingsVersion: "settings", FleetSize: "census"}
+// kindNames are the names in the settings key fleet.max_age, in traces and in log lines.
+var kindNames = map[Kind]string{
+	ListServiceLoad:  "service",
+	LatencyRow:       "distance",
+	ResidencyVersion: "residency",
+	DeadProcesses:    "gone",
+	SettingsVersion:  "settings",
+	FleetSize:        "census",
+}
 
+// String returns the kind's name in settings, traces and logs.
 func (k Kind) String() string {
 	return cmp.Or(kindNames[k], "kind "+strconv.Itoa(int(k)))
 }
 
-// AgeBounds is how old a fact of each kind may be when it is used. A kind that is not named is never used.
+// AgeBounds maps each kind to the greatest age at which an entry may still be used. Entries of a kind that is not in the
+// map are never used.
 type AgeBounds map[Kind]time.Duration
 
-// DefaultAgeBounds are long enough for a fact that is told anew every second to be missed twice on its way.
+// DefaultAgeBounds are the bounds where the configuration sets none. An entry that is published every second may be lost
+// twice on its way before its bound is reached. It is shared and must not be changed.
 var DefaultAgeBounds = AgeBounds{
-	// A service that was overrun is asked again a little later at the latest; older words would hold everyone back.
+	// A service that rejected calls is called again after at most this time. With a longer bound old entries would delay
+	// every agent.
 	ListServiceLoad: 5 * time.Second,
-	// Rows are told each second. A link that has changed has to show within 3 s.
+	// Rows are published every second. A change of latency has to show within 3 s.
 	LatencyRow: 3 * time.Second,
-	// The policy's own bound goes before this one; it says how long a version may take to get round.
+	// The residency policy has a stricter bound of its own. This one limits how long a version may take to spread.
 	ResidencyVersion: 10 * time.Second,
-	// Told each second while it holds. Whoever starts again may have its part back that much later.
+	// Published every second while it holds. A restarted process gets its quota back at most this much later.
 	DeadProcesses: 3 * time.Second,
-	// Told each second. A version never goes back, so an old word does no harm; it only says less.
+	// Published every second. Versions only rise, so an old entry is harmless; it is merely less informative.
 	SettingsVersion: 10 * time.Second,
-	// Told each second. It carries how many are gone, and so has the bound of that.
+	// Published every second. It contains the number of dead agents and therefore has the bound of DeadProcesses.
 	FleetSize: 3 * time.Second,
 }
 
-// Entry is what one process saw of something.
+// Entry is one observation by one process. Entries with the same kind, subject and observer replace each other: a higher
+// incarnation wins, then a higher sequence number.
 type Entry struct {
 	Kind        Kind          `cbor:"1,keyasint"`
-	Subject     string        `cbor:"2,keyasint"`
-	Observer    string        `cbor:"3,keyasint"`
-	Incarnation uint64        `cbor:"4,keyasint"` // of the observer's process: a later one replaces all of an earlier
-	Seq         uint64        `cbor:"5,keyasint"` // counts what the observer said of the subject
-	Age         time.Duration `cbor:"6,keyasint"` // when the message was written
-	Body        []byte        `cbor:"7,keyasint"`
+	Subject     string        `cbor:"2,keyasint"` // what was observed; its meaning depends on the kind
+	Observer    string        `cbor:"3,keyasint"` // name of the process that published it
+	Incarnation uint64        `cbor:"4,keyasint"` // of the observer's process
+	Seq         uint64        `cbor:"5,keyasint"` // rises with each entry that the observer publishes on the subject
+	Age         time.Duration `cbor:"6,keyasint"` // in a message: when it was written; from Store.Entries: now
+	Body        []byte        `cbor:"7,keyasint"` // CBOR whose form depends on the kind; at most MaxBodyBytes
 
-	decoded *decodedBody // nil: of a fact that no store holds
+	decoded *decodedBody // nil unless a store holds the entry
 }
 
-// decodedBody is what a body says, as whoever read it first made of it.
+// decodedBody caches the result of decoding a body. Entries with equal bodies share it.
 type decodedBody struct {
 	once  sync.Once
-	value any
+	value any // of the type parameter of the first DecodeBody
 	err   error
 }
 
-// DecodeBody has a fact's body decoded, once for as long as a store holds it or one that says the same: all who read facts of
-// one kind must use the same decode, and must not write to what it returns.
+// DecodeBody returns the decoded body of an entry, and the error of decode. Where a store holds the entry, decode runs
+// once for all entries with this body. All callers for one kind must therefore pass the same decode, and must not change
+// what they get. It may be called from any goroutine.
 func DecodeBody[T any](e Entry, decode func(body []byte) (T, error)) (T, error) {
 	if e.decoded == nil {
 		return decode(e.Body)
--- a/internal/fleet/gossip/entryset.go
+++ b/internal/fleet/gossip/entryset.go
@@ -1,41 +1,48 @@
 package gossip
 
+// This file holds the entries of one kind, sorted by subject and observer.
+
 import (
 	"cmp"
 	"slices"
 	"time"
 )
 
+// entryKey identifies an entry. The observer's incarnation is not part of it: a restarted process replaces its entries.
 type entryKey struct {
 	kind              Kind
 	subject, observer string
 }
 
+// storedEntry is an entry with what the store records about it.
 type storedEntry struct {
 	Entry
-	storedAt time.Time // when its age was that of Fact
-	sends    int
-	removed  bool // a later one has its place, or it went past its bound
+	storedAt time.Time // the time at which the entry was as old as Entry.Age says
+	sends    int       // how many messages contained it
+	removed  bool      // it was replaced or expired; the outgoing list may still point to it
 }
 
+// compareKey orders entries of one kind.
 func (e *storedEntry) compareKey(subject, observer string) int {
 	return cmp.Or(cmp.Compare(e.Subject, subject), cmp.Compare(e.Observer, observer))
 }
 
 func (e *storedEntry) age(now time.Time) time.Duration { return e.Age + now.Sub(e.storedAt) }
 
-// expiresAt is when it goes past its bound.
+// expiresAt is the time at which the entry reaches its age bound.
 func (e *storedEntry) expiresAt(bounds AgeBounds) time.Time {
 	return e.storedAt.Add(bounds[e.Kind] - e.Age)
 }
 
-// entrySet holds the facts of one kind, by subject and observer.
+// entrySet holds the entries of one kind.
 type entrySet struct {
-	entries    []*storedEntry
-	changes    uint64
-	nextExpiry time.Time // none goes past its bound before
+	entries    []*storedEntry // sorted by compareKey
+	changes    uint64         // see Store.Changes
+	nextExpiry time.Time      // no entry expires earlier
 }
 
+// find returns the position of an entry, or the one where it would be inserted.
 func (s *entrySet) find(subject, observer string) (int, bool) {
-	return slices.BinarySearchFunc(s.entries, entryKey{0, subject, observer}, func(e *storedEntry, k entryKey) int { return e.compareKey(k.subject, k.observer) })
+	return slices.BinarySearchFunc(s.entries, entryKey{0, subject, observer},
+		func(e *storedEntry, k entryKey) int { return e.compareKey(k.subject, k.observer) })
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -1,5 +1,7 @@
 package gossip
 
+// This file tests the store: age bounds, stops, spreading, and decoding of messages.
+
 import (
 	"fmt"
 	"math/rand/v2"
@@ -13,9 +15,9 @@
 
 var shortBounds = AgeBounds{ListServiceLoad: 2 * time.Second, LatencyRow: time.Second}
 
-// Whatever happens to messages and processes, a fact is never used past its bound, nor as younger than it is: ages are
-// held against the one clock that the test sees. Messages are lost, overtake each other and lie in queues for seconds;
-// processes are stopped and go on with what they held and with what came meanwhile.
+// Whatever happens to messages and processes, no entry is used past its age bound or with too low an age: ages are compared
+// with the test's own clock. Messages are lost, overtake each other and wait in queues for seconds; processes are stopped and
+// resume with the entries they held and the messages that arrived meanwhile.
 func TestNoEntryIsUsedPastItsAgeBound(t *testing.T) {
 	type step struct{ from, to, delay, what int }
 	rapid.Check(t, func(r *rapid.T) {
@@ -30,7 +32,7 @@
 			var stores [n]*Store
 			var stopped [n]bool
 			met := map[[2]int]bool{}
-			publishedAt := map[string]time.Time{} // when a fact was seen
+			publishedAt := map[string]time.Time{} // by entry
 			name := func(f Entry) string { return fmt.Sprint(f.Kind, f.Subject, f.Observer, f.Seq) }
 			for i := range n {
 				stores[i] = New(fmt.Sprint("p", i), 1, shortBounds, func(u Use) {
@@ -44,7 +46,8 @@
 					}
 					age := time.Since(publishedAt[name(u.Entry)])
 					if u.AgeAtUse > shortBounds[u.Kind] || u.AgeAtUse < age-n*minTransit || age > shortBounds[u.Kind]+n*minTransit {
-						failure = fmt.Sprintf("a fact of kind %v is used at %v as %v old, bound %v", u.Kind, age, u.AgeAtUse, shortBounds[u.Kind])
+						failure = fmt.Sprintf("entry of kind %v is used at age %v as %v old, bound %v",
+							u.Kind, age, u.AgeAtUse, shortBounds[u.Kind])
 					}
 				})
 			}
@@ -57,7 +60,7 @@
 				}
 				a, b := stores[s.from], stores[s.to]
 				switch {
-				case s.what == 0: // stopped, or on again
+				case s.what == 0: // stopped or resumed
 					mu.Lock()
 					stopped[s.from] = !stopped[s.from]
 					mu.Unlock()
@@ -67,7 +70,7 @@
 				case s.what <= 8:
 					data := a.NextMessage(1000, n)
 					delay := minTransit
-					if met[[2]int{s.from, s.to}] { // the quickest way is known by then
+					if met[[2]int{s.from, s.to}] { // the shortest transit time is known by then
 						delay += time.Duration(s.delay) * time.Millisecond
 					}
 					if data == nil || s.from == s.to || delay == minTransit && stopped[s.to] {
@@ -76,7 +79,7 @@
 					met[[2]int{s.from, s.to}] = true
 					time.AfterFunc(delay, func() {
 						halted := func() bool { mu.Lock(); defer mu.Unlock(); return stopped[s.to] }
-						for delay > minTransit && halted() { // it waits in the receiver's buffer
+						for delay > minTransit && halted() { // it waits in the receiver's socket buffer
 							time.Sleep(10 * time.Millisecond)
 						}
 						if err := b.Merge(data); err != nil {
@@ -105,13 +108,13 @@
 	})
 }
 
-// A process that was stopped neither uses nor spreads what it held, and says nothing before it has heard anew.
+// A process that was stopped neither uses nor sends the entries it held, and sends nothing before it has received a message.
 func TestStoppedProcessDropsItsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
 		done := make(chan struct{})
 		defer func() { done <- struct{}{} }()
-		go func() { // b is well all along
+		go func() { // b is never stopped
 			for {
 				select {
 				case <-done:
@@ -127,12 +130,12 @@
 		}
 		time.Sleep(stoppedAfter + time.Millisecond) // nobody has called Tick
 		if len(a.Entries(ListServiceLoad)) != 0 || a.NextMessage(1000, 2) != nil {
-			t.Error("it goes on with what it held")
+			t.Error("entries from before the stop are still used or sent")
 		}
 		a.Publish(ListServiceLoad, "y", nil)
 		time.Sleep(resumeDelay + time.Millisecond)
 		if a.NextMessage(1000, 2) != nil {
-			t.Error("it speaks before it has heard")
+			t.Error("a message is sent before one was received")
 		}
 		b.Publish(ListServiceLoad, "x", nil)
 		for range 6 {
@@ -140,7 +143,7 @@
 			a.Tick()
 		}
 		if err := a.Merge(b.NextMessage(1000, 2)); err != nil || len(a.Entries(ListServiceLoad)) == 0 || a.NextMessage(1000, 2) == nil {
-			t.Error("it stays silent", err)
+			t.Error("nothing is sent after a message was received", err)
 		}
 		if a.Stats().Stops != 1 {
 			t.Errorf("%d stops", a.Stats().Stops)
@@ -148,8 +151,8 @@
 	})
 }
 
-// What a fact says is read once for as long as it is said; only what says something else, or is no longer said, counts as
-// a change, and what nobody asks for does not pile up.
+// A body is decoded once for as long as it is published again unchanged. Only a new body or an expiry counts as a change, and
+// the outgoing list does not grow without bound while no message is requested.
 func TestBodyIsDecodedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
@@ -173,7 +176,7 @@
 				}
 			}
 			if n, until := b.Changes(ListServiceLoad); decodes != step.read || int(n) != step.changes || !until.After(time.Now()) {
-				t.Errorf("step %d: read %d times, %d changes", i, decodes, n)
+				t.Errorf("step %d: decoded %d times, %d changes", i, decodes, n)
 			}
 		}
 		for range 22 {
@@ -187,12 +190,12 @@
 			a.Publish(ListServiceLoad, "s", nil)
 		}
 		if len(a.outgoing) > 100 {
-			t.Errorf("%d facts wait for somebody to be passed on to", len(a.outgoing))
+			t.Errorf("%d entries wait to be sent", len(a.outgoing))
 		}
 	})
 }
 
-// Processes that were all stopped at once, or late, don't wait for each other's words for ever.
+// Processes that were all stopped at the same time do not wait for each other's messages for ever.
 func TestStoresStoppedTogetherResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stores := []*Store{New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil), New("c", 1, shortBounds, nil)}
@@ -217,8 +220,8 @@
 	})
 }
 
-// Among a few, as hubs are, each word of each second comes to all while two thirds of its bound are left, but for one in a
-// hundred: nobody else tells of the same.
+// In a small fleet, as among hubs, at least 99 of 100 entries reach every member before they are two thirds of their bound
+// old: there is no second observer that publishes the same.
 func TestSmallFleetReceivesNearlyAllUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n, seconds = 7, 200
@@ -233,11 +236,11 @@
 			time.Sleep(TickInterval)
 			for i, s := range stores {
 				s.Tick()
-				if tick%10 == i { // each tells once a second
+				if tick%10 == i { // each publishes once a second
 					s.Publish(LatencyRow, s.self, []byte{byte(tick)})
 					s.Publish(FleetSize, s.self, []byte{byte(tick)})
 				}
-				if tick%2 == 0 { // a round of gossip goes to three others
+				if tick%2 == 0 { // each round sends to three others
 					for _, to := range rng.Perm(n)[:3] {
 						if data := s.NextMessage(1000, n); data != nil && to != i {
 							if err := stores[to].Merge(data); err != nil {
@@ -263,13 +266,14 @@
 		}
 		for kind, k := range missed {
 			if maxMissed := n * 10 * seconds / 100; k > maxMissed {
-				t.Errorf("%v: %d times of %d a word was missing, at most %d", kind, k, n*10*seconds, maxMissed)
+				t.Errorf("%v: %d times of %d an entry was missing, at most %d", kind, k, n*10*seconds, maxMissed)
 			}
 		}
 	})
 }
 
-// What is new goes round quickly and then is not repeated for ever; a restarted observer's words replace the older ones.
+// A new entry reaches all members within few rounds and is then no longer sent. The entries of a restarted observer replace
+// those of its predecessor.
 func TestUpdatesReachAllAndThenStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 50
@@ -299,27 +303,28 @@
 		}
 		for i, s := range stores {
 			if len(s.Entries(ListServiceLoad)) != 1 {
-				t.Errorf("%d has not heard", i)
+				t.Errorf("the entry did not reach member %d", i)
 			}
 		}
 		if rounds > 20 {
-			t.Errorf("%d rounds until nobody speaks", rounds)
+			t.Errorf("%d rounds until nothing is sent", rounds)
 		}
 		restarted := New("0", 2, AgeBounds{ListServiceLoad: time.Minute}, nil)
 		restarted.Publish(ListServiceLoad, "x", []byte("two"))
 		if err := stores[1].Merge(restarted.NextMessage(1000, n)); err != nil || string(stores[1].Entries(ListServiceLoad)[0].Body) != "two" {
-			t.Error("an older process's word stands", err)
+			t.Error("the entry of an older process stays", err)
 		}
 	})
 }
 
-// Unknown fields are skipped, so that versions of the program can run side by side.
+// Unknown fields of a message are skipped, so that different versions of the program can run in one fleet.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	type later struct {
 		Message
 		More map[string]int `cbor:"99,keyasint"`
 	}
-	data, err := marshalCBOR(later{Message{Version: 7, Sender: "z", Incarnation: 1, Entries: []Entry{{Kind: ListServiceLoad, Observer: "z"}}}, map[string]int{"a": 1}})
+	m := Message{Version: 7, Sender: "z", Incarnation: 1, Entries: []Entry{{Kind: ListServiceLoad, Observer: "z"}}}
+	data, err := marshalCBOR(later{m, map[string]int{"a": 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,7 +333,7 @@
 	}
 }
 
-// Nothing that comes off the wire harms: it is an error, or a message within its bounds that writes as it was read.
+// Whatever arrives from the network is an error, or a message within its limits that can be encoded and decoded again.
 func FuzzDecodeMessage(f *testing.F) {
 	s := New("a", 1, shortBounds, nil)
 	s.Publish(ListServiceLoad, "x", []byte("body"))
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -1,5 +1,7 @@
 package gossip
 
+// This file defines the wire form of a gossip message and the limits that it is checked against.
+
 import (
 	"errors"
 	"fmt"
@@ -8,25 +10,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the wire's. A message of a later one is read as far as its fields are known here.
+// Version is the version of the wire form that this program writes. Of a message with a later version the fields that are
+// known here are read and the others are skipped.
 const Version = 1
 
-// Bounds of what is taken off the wire.
+// Limits of what is accepted from the network. DecodeMessage rejects a message that exceeds one.
 const (
-	MaxMessageBytes   = 8 << 10 // bytes of a message
-	maxMessageEntries = 128     // in a message
-	maxNameBytes      = 64      // bytes of a subject's or an observer's name
-	MaxBodyBytes      = 2 << 10 // bytes
-	maxAge            = time.Hour
+	MaxMessageBytes   = 8 << 10   // size of a message
+	maxMessageEntries = 128       // entries in a message
+	maxNameBytes      = 64        // length of a sender, subject or observer
+	MaxBodyBytes      = 2 << 10   // size of an entry's body
+	maxAge            = time.Hour // age of an entry
 )
 
-// Message is what one process tells another: facts, and the sender's own clock, against which the way is measured.
+// Message carries entries from one process to another. The receiver derives the time that it was in transit from the
+// sender's clock.
 type Message struct {
 	Version     uint8         `cbor:"1,keyasint"`
-	Sender      string        `cbor:"2,keyasint"`
+	Sender      string        `cbor:"2,keyasint"` // name of the sender's process
 	Incarnation uint64        `cbor:"3,keyasint"` // of the sender's process
-	Clock       time.Duration `cbor:"4,keyasint"` // the sender's monotonic time since its start, at writing
-	Entries     []Entry       `cbor:"5,keyasint"`
+	Clock       time.Duration `cbor:"4,keyasint"` // the sender's monotonic time since its start, when the message was written
+	Entries     []Entry       `cbor:"5,keyasint"` // each with its age when the message was written
 }
 
 var (
@@ -38,39 +42,39 @@
 		}
 		return m
 	}()
-	errTooLong = fmt.Errorf("a message of more than %d bytes", MaxMessageBytes)
-	errVersion = errors.New("a message without a version")
+	errTooLong = fmt.Errorf("message is longer than %d bytes", MaxMessageBytes)
+	errVersion = errors.New("message has no version")
 )
 
-// DecodeMessage reads a message. What makes no sense in it is an error: half of a message is not taken.
+// DecodeMessage decodes and checks a message. If any part of it is invalid the whole message is rejected with an error.
 func DecodeMessage(data []byte) (*Message, error) {
 	if len(data) > MaxMessageBytes {
 		return nil, errTooLong
 	}
 	var m Message
 	if err := decMode.Unmarshal(data, &m); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode message: %w", err)
 	}
 	switch {
 	case m.Version == 0:
 		return nil, errVersion
 	case m.Sender == "" || len(m.Sender) > maxNameBytes:
-		return nil, fmt.Errorf("a sender's name of %d bytes", len(m.Sender))
+		return nil, fmt.Errorf("sender's name has %d bytes", len(m.Sender))
 	case m.Clock < 0:
-		return nil, fmt.Errorf("a clock of %v", m.Clock)
+		return nil, fmt.Errorf("negative clock %v", m.Clock)
 	}
 	for _, e := range m.Entries {
 		switch {
 		case e.Kind == 0 || e.Observer == "" || len(e.Observer) > maxNameBytes || len(e.Subject) > maxNameBytes:
-			return nil, fmt.Errorf("a fact of kind %d with names of %d and %d bytes", e.Kind, len(e.Subject), len(e.Observer))
+			return nil, fmt.Errorf("entry of kind %d has a subject of %d bytes and an observer of %d bytes", e.Kind, len(e.Subject), len(e.Observer))
 		case e.Age < 0 || e.Age > maxAge:
-			return nil, fmt.Errorf("a fact %v old", e.Age)
+			return nil, fmt.Errorf("entry has age %v", e.Age)
 		case len(e.Body) > MaxBodyBytes:
-			return nil, fmt.Errorf("a fact of %d bytes", len(e.Body))
+			return nil, fmt.Errorf("entry's body has %d bytes", len(e.Body))
 		}
 	}
 	return &m, nil
 }
 
-// EncodeMessage writes a message.
+// EncodeMessage encodes a message. It checks no limits.
 func EncodeMessage(m *Message) ([]byte, error) { return cbor.Marshal(m) }
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -1,5 +1,7 @@
 package gossip
 
+// This file selects the entries that go into outgoing messages.
+
 import (
 	"cmp"
 	"math"
@@ -7,8 +9,9 @@
 	"time"
 )
 
-// NextMessage writes a message of up to limit bytes for one of a fleet of so many: what was passed on least often goes
-// first, and nothing more often than a few times the logarithm of the fleet's size. nil: there is nothing to say.
+// NextMessage encodes a message of at most limit bytes for any one member of a fleet of the given size, or returns nil if
+// there is nothing to send. Entries that were sent least often go first. Each entry is sent at most a few times the
+// logarithm of the fleet's size, which is enough for it to reach nearly all members.
 func (s *Store) NextMessage(limit, members int) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -17,11 +20,11 @@
 		return nil
 	}
 	logSize := max(2, int(math.Ceil(math.Log10(float64(members)+1))))
-	// What has been passed on often enough is not looked at again.
+	// Entries that were sent often enough leave the list, so that later calls do not look at them again.
 	s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool {
 		maxSends := sendsFactor * logSize
 		if e.Kind == LatencyRow && members >= smallFleet {
-			maxSends = logSize // it is told anew each second by several: that one is missed does no harm
+			maxSends = logSize // several observers publish a row every second, so a lost one does no harm
 		}
 		return e.removed || e.sends >= maxSends || e.age(now) > s.bounds[e.Kind]
 	})
@@ -29,7 +32,7 @@
 		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.Kind, b.Kind), a.compareKey(b.Subject, b.Observer))
 	})
 	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
-	size := 40 + len(s.self) // more than what is around the facts takes
+	size := 40 + len(s.self) // more than the envelope of the message takes
 	for _, e := range s.outgoing {
 		if size += 48 + len(e.Subject) + len(e.Observer) + len(e.Body); size > limit || len(m.Entries) == maxMessageEntries {
 			break
@@ -44,13 +47,13 @@
 	}
 	data, err := EncodeMessage(&m)
 	if err != nil {
-		panic(err) // it holds numbers and bytes alone
+		panic(err) // a message consists of numbers, strings and bytes, which always encode
 	}
 	return data
 }
 
-// OwnMessage writes a message of what this process itself has seen, for one who passes it on; nil: there is nothing to say. What
-// others told is never in it.
+// OwnMessage encodes a message of the entries that this process itself published, or returns nil if there are none that may
+// still be used. An agent sends it to its hub, which must not get the entries of others back. It counts no sends.
 func (s *Store) OwnMessage() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +76,7 @@
 	}
 	data, err := EncodeMessage(&m)
 	if err != nil {
-		panic(err) // it holds numbers and bytes alone
+		panic(err) // a message consists of numbers, strings and bytes, which always encode
 	}
 	return data
 }
--- a/internal/fleet/gossip/stats.go
+++ b/internal/fleet/gossip/stats.go
@@ -1,24 +1,29 @@
 package gossip
 
+// This file reports how entries were used.
+
 import (
 	"fmt"
 	"maps"
 	"slices"
 )
 
-// Stats is what a store has seen.
+// Stats are the counters of a store since it was made.
 type Stats struct {
-	Entries, Stops, Malformed int
-	Kinds                     map[string]KindStats
+	Entries   int                  // entries held now
+	Stops     int                  // times that the process was found to have been stopped
+	Malformed int                  // messages that could not be decoded
+	Kinds     map[string]KindStats // by Kind.String, one for each kind that has an age bound
 }
 
-// KindStats is how facts of a kind were used: ages in ms.
+// KindStats are the counters of one kind of entry.
 type KindStats struct {
-	Used          int64
-	Rejected      int
-	P50, P99, Max int64
+	Used          int64 // entries returned by Store.Entries
+	Rejected      int   // entries past their bound, on arrival or on use, and entries for which the store had no room
+	P50, P99, Max int64 // age at use, in ms
 }
 
+// Stats returns the counters. It may be called from any goroutine.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,6 +38,7 @@
 	return st
 }
 
+// String returns the counters in the form in which the summary log line has them.
 func (k KindStats) String() string {
 	return fmt.Sprintf("used %d, refused %d, age ms p50 %d p99 %d max %d", k.Used, k.Rejected, k.P50, k.P99, k.Max)
 }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -1,8 +1,14 @@
-// Package gossip keeps what the processes of a fleet know together: facts, each with its observer and its age.
+// Package gossip is a store of observations that the processes of a fleet share by gossip: entries, each with its observer
+// and its age.
 //
-// An age is a sum of monotonic spans: the observer's since it saw, each keeper's since it heard, and what each message
-// took on the way at the most (transit.go). No wall clock is read. Nothing is used past its bound, and a
-// process that was stopped drops what it held.
+// Each process owns one Store. The store holds the entries that this process published and those that it received, and is
+// protected by one lock; any goroutine may use it, and the package starts none of its own. The owner calls Tick every
+// TickInterval, passes received messages to Merge and sends what NextMessage returns.
+//
+// An age is the sum of time spans on monotonic clocks: in the observer's store since the observation, in each store on the
+// way, and an upper bound of each message's time in transit (transit.go). Wall clocks are not read. Entries returns an entry
+// only while its age is within the bound of its kind (AgeBounds). A process that was stopped drops its entries, because
+// their ages and the messages in its socket buffers are uncertain.
 package gossip
 
 import (
@@ -15,55 +21,61 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// TickInterval is the interval at which Tick has to be called.
+const TickInterval = 100 * time.Millisecond
+
 const (
-	// TickInterval is how often Tick is due. A process that did not get to it for stoppedAfter was stopped, or starved:
-	// what it holds may be older than it looks to others, and what lies in its sockets is.
-	TickInterval = 100 * time.Millisecond
+	// A process that did not call Tick for this long was stopped, or had no processor time.
 	stoppedAfter = time.Second
-	resumeDelay  = 500 * time.Millisecond // until its sockets are drained
-	// Nothing is said before something was heard, or so long: where all were late at once, each would wait for the others.
-	maxSilence  = 3 * time.Second
-	maxEntries  = 20000 // facts: about 4 MB
-	sendsFactor = 3     // a fact is passed on so many times the log of the fleet's size
-	smallFleet  = 10    // below, as among hubs, a site has one observer, and nobody else tells of its way
+	// After a stop messages are ignored for this long, until the socket buffers are drained.
+	resumeDelay = 500 * time.Millisecond
+	// After a stop nothing is sent until a message was received, but no longer than this: where all processes were stopped
+	// at once, each would wait for the others for ever.
+	maxSilence = 3 * time.Second
+
+	maxEntries  = 20000 // about 4 MB
+	sendsFactor = 3     // an entry is sent at most this many times the logarithm of the fleet's size
+	smallFleet  = 10    // in fleets below this size, as among hubs, a site may have only one observer of its latency
 )
 
-// Store holds facts. Its methods may be called from any task.
+// Store holds the entries known to one process. Its methods may be called from any goroutine.
 type Store struct {
-	self        string
+	self        string // name of this process
 	incarnation uint64
 	bounds      AgeBounds
-	trace       func(Use)
+	trace       func(Use) // called with the lock held
 
-	mu          sync.Mutex
+	mu          sync.Mutex // protects all below
 	startedAt   time.Time
 	lastTick    time.Time
-	resumesAt   time.Time // nothing is heard and nothing said before it
-	silentUntil time.Time // nothing is said before it, unless something is heard
+	resumesAt   time.Time // before it nothing is received or sent
+	silentUntil time.Time // before it nothing is sent, unless something was received
 	sets        map[Kind]*entrySet
-	size        int            // on all shelves
-	outgoing    []*storedEntry // that may have to be passed on
+	size        int            // number of entries in all sets
+	outgoing    []*storedEntry // entries that may have to be sent again; removed ones may be among them
 	lastSeq     map[entryKey]uint64
 	transit     transit
-	stops       int
-	malformed   int
-	useAges     map[Kind]*hdrhistogram.Histogram // ms, at use
-	rejected    map[Kind]int                     // too old to use, or to take in
+	stops       int                              // see Stats
+	malformed   int                              // see Stats
+	useAges     map[Kind]*hdrhistogram.Histogram // ages at use, in ms
+	rejected    map[Kind]int                     // see KindStats
 }
 
-// New returns an empty store of the process that self and incarnation name. trace, which may be nil, is told of each
-// use, and of each fact of this process's own with age 0.
+// New returns an empty store for the process with the given name and incarnation. It keeps bounds, which must not change
+// afterwards. trace, which may be nil, is called for each entry that is used or published. It is called with the store's
+// lock held, and so must not call the store.
 func New(self string, incarnation uint64, bounds AgeBounds, trace func(Use)) *Store {
 	now := time.Now()
 	if trace == nil {
 		trace = func(Use) {}
 	}
 	return &Store{self: self, incarnation: incarnation, bounds: bounds, trace: trace, startedAt: now, lastTick: now,
-		sets: map[Kind]*entrySet{}, lastSeq: map[entryKey]uint64{}, transit: transit{senders: map[string]*clockOffset{}, rtts: map[string]time.Duration{}},
+		sets: map[Kind]*entrySet{}, lastSeq: map[entryKey]uint64{},
+		transit: transit{senders: map[string]*clockOffset{}, rtts: map[string]time.Duration{}},
 		useAges: map[Kind]*hdrhistogram.Histogram{}, rejected: map[Kind]int{}}
 }
 
-// ObserveRTT takes a round trip to another member that was measured.
+// ObserveRTT records a measured round trip to another member, from which the transit times of its messages are bounded.
 func (s *Store) ObserveRTT(member string, rtt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +84,8 @@
 	}
 }
 
-// Tick is called each TickInterval: that it was not tells of a stop.
+// Tick removes expired entries. It has to be called every TickInterval; from a longer pause the store concludes that the
+// process was stopped.
 func (s *Store) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,6 +112,7 @@
 	}
 }
 
+// set returns the entries of a kind. The lock is held.
 func (s *Store) set(kind Kind) *entrySet {
 	if s.sets[kind] == nil {
 		s.sets[kind] = &entrySet{}
@@ -106,7 +120,8 @@
 	return s.sets[kind]
 }
 
-// put has a fact take the place of an older one, whose meaning it shares if it says the same. The lock is held.
+// put inserts an entry or replaces an older one. If the bodies are equal it keeps the decoded body, so that readers do not
+// decode it again. The lock is held.
 func (s *Store) put(e *storedEntry) {
 	set := s.set(e.Kind)
 	i, known := set.find(e.Subject, e.Observer)
@@ -126,14 +141,15 @@
 	if expiresAt := e.expiresAt(s.bounds); len(set.entries) == 1 || expiresAt.Before(set.nextExpiry) {
 		set.nextExpiry = expiresAt
 	}
-	if len(s.outgoing) > 2*s.size+16 { // nobody has been there to pass them on to
+	if len(s.outgoing) > 2*s.size+16 { // no message was requested for long, as without other members
 		s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool { return e.removed })
 	}
 	s.outgoing = append(s.outgoing, e)
 }
 
-// Changes counts how often what the facts of a kind say has changed: one was told or heard that says something else, or
-// went past its bound. until is when the next may go past it if Tick is not called before.
+// Changes returns how often the content of a kind has changed: an entry with a new body arrived, or entries expired. While n
+// stays the same, so does anything derived from the bodies. until is the earliest time at which an entry may expire, unless
+// Tick is called before.
 func (s *Store) Changes(kind Kind) (n uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +158,8 @@
 	return set.changes, set.nextExpiry
 }
 
-// active drops everything if the process was stopped up to now, and reports whether it hears. The lock is held.
+// active drops all entries if the process was stopped until now. It reports whether messages may be received and entries
+// used: not within resumeDelay after a stop. The lock is held.
 func (s *Store) active(now time.Time) bool {
 	if now.Sub(s.lastTick) > stoppedAfter {
 		for _, set := range s.sets {
@@ -156,19 +173,21 @@
 	return !now.Before(s.resumesAt)
 }
 
-// Publish takes what this process itself has seen just now.
+// Publish stores an observation that this process made just now, and has it sent to others. It copies body.
 func (s *Store) Publish(kind Kind, subject string, body []byte) {
 	s.PublishAged(kind, subject, body, 0)
 }
 
-// Merge takes a message that came now. What is in it of this process's own name is its own echo, or another process's
-// with the same name, and is passed over.
+// Merge stores the entries of a message that was received now, and has them sent on. Entries with this process's name as
+// observer are ignored: they are an echo, or come from another process with the same name. It returns an error if the
+// message is malformed; entries that are too old are counted in Stats.
 func (s *Store) Merge(data []byte) error {
 	_, err := s.MergeTimed(data)
 	return err
 }
 
-// MergeTimed is Hear, and says how long the message was on its way at the most; 0: it was not heard.
+// MergeTimed is like Merge and also returns an upper bound of the message's time in transit, or 0 if the message was ignored
+// because this process was stopped or is its sender.
 func (s *Store) MergeTimed(data []byte) (transit time.Duration, err error) {
 	m, err := DecodeMessage(data)
 	s.mu.Lock()
@@ -199,7 +218,8 @@
 			continue
 		}
 		if known {
-			// The same by another way that looks quicker stays as it is: the younger of two estimates is the one that may be wrong.
+			// If the same entry arrives again with a lower age, the stored one stays: of two age estimates the lower one is
+			// more likely to be wrong.
 			old := set.entries[i]
 			if cmp.Or(cmp.Compare(entry.Incarnation, old.Incarnation), cmp.Compare(entry.Seq, old.Seq)) <= 0 {
 				continue
@@ -210,7 +230,8 @@
 	return transit, nil
 }
 
-// Entries returns the facts of a kind that may be used now, by subject and observer, each with its age.
+// Entries returns the entries of a kind that are within their age bound, sorted by subject and observer, each with its
+// present age. Each one counts as used, in the statistics and in the trace. Bodies are shared and must not be changed.
 func (s *Store) Entries(kind Kind) (list []Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,15 +250,14 @@
 			ages = hdrhistogram.New(1, int64(maxAge/time.Millisecond), 2)
 			s.useAges[kind] = ages
 		}
-		_ = ages.RecordValue(max(1, entry.Age.Milliseconds())) // below its bound, and so within the range
+		_ = ages.RecordValue(max(1, entry.Age.Milliseconds())) // cannot fail: the age is below its bound and so within the range
 		s.trace(Use{Entry: stored.Entry, AgeAtUse: entry.Age})
 		list = append(list, entry)
 	}
 	return list
 }
 
-// PublishAged takes what this process made just now of facts of which the oldest is so old: a sum is as old as the oldest of
-// what it sums up.
+// PublishAged is like Publish for an entry that was derived from others: age is that of the oldest entry it rests on.
 func (s *Store) PublishAged(kind Kind, subject string, body []byte, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +265,8 @@
 	s.active(now)
 	k := entryKey{kind, subject, s.self}
 	s.lastSeq[k]++
-	entry := Entry{Kind: kind, Subject: subject, Observer: s.self, Incarnation: s.incarnation, Seq: s.lastSeq[k], Age: age, Body: slices.Clone(body)}
+	entry := Entry{Kind: kind, Subject: subject, Observer: s.self, Incarnation: s.incarnation, Seq: s.lastSeq[k], Age: age,
+		Body: slices.Clone(body)}
 	s.put(&storedEntry{Entry: entry, storedAt: now})
 	s.trace(Use{Entry: entry, Published: true, AgeAtUse: age})
 }
--- a/internal/fleet/gossip/trace.go
+++ b/internal/fleet/gossip/trace.go
@@ -1,5 +1,7 @@
 package gossip
 
+// This file writes the trace from which the lab checks ages from outside of the process.
+
 import (
 	"encoding/json"
 	"io"
@@ -9,12 +11,14 @@
 	"martenbeam/internal/bootclock"
 )
 
-// Trace writes a line for each fact used or told, and what else is to be checked from outside, with the time since the machine's start.
-type Trace struct{ W io.Writer } // nil: none
+// Trace writes JSON lines, each with the time since the machine's start in us as "at". Processes of one machine can be
+// compared by it. A Trace whose W is nil writes nothing. Its methods may be called from any goroutine.
+type Trace struct{ W io.Writer }
 
+// traceMu keeps the lines of all traces of the process whole: several may share a file.
 var traceMu sync.Mutex
 
-// Use writes a fact's use, or that it was told.
+// Use writes a line for an entry that was used or published.
 func (t Trace) Use(u Use) {
 	if t.W == nil {
 		return
@@ -27,7 +31,8 @@
 		"incarnation": u.Incarnation, "seq": u.Seq, "age": u.AgeAtUse.Microseconds()})
 }
 
-// Line writes a line of names and numbers.
+// Line adds the time to a line and writes it. The line must consist of strings, numbers and maps of these. Write errors are
+// ignored: a trace is only a means of testing.
 func (t Trace) Line(line map[string]any) {
 	if t.W == nil {
 		return
@@ -35,16 +40,16 @@
 	line["at"] = bootclock.SinceBoot().Microseconds()
 	data, err := json.Marshal(line)
 	if err != nil {
-		panic(err) // it holds names and numbers alone
+		panic(err) // a line consists of strings and numbers, which always encode
 	}
 	traceMu.Lock()
 	defer traceMu.Unlock()
 	_, _ = t.W.Write(append(data, '\n'))
 }
 
-// Use is one use of a fact, as told to a trace.
+// Use says that a process used an entry, or published one.
 type Use struct {
 	Entry
-	Published bool          // by this process, rather than used
-	AgeAtUse  time.Duration // its age then
+	Published bool          // this process published the entry; false: it used it
+	AgeAtUse  time.Duration // age when it was used or published
 }
--- a/internal/fleet/gossip/transit.go
+++ b/internal/fleet/gossip/transit.go
@@ -1,30 +1,36 @@
 package gossip
 
+// This file bounds the time that a message was in transit.
+
 import "time"
 
-// transit tells how long messages were on the way at the most: what the quickest of their sender may have taken, which
-// is no more than a round trip to it, and what each took beyond that one. No clocks are compared, only how far apart two
-// of them are, which can't change but by drift. A message that lay in a queue, or in the buffer of a process that was
-// stopped, shows by that.
+// transit computes upper bounds of transit times. The offset between the monotonic clocks of sender and receiver is unknown,
+// but it changes only by drift. So local time minus sender's clock is smallest for the fastest message, and that one took at
+// most a round trip. The bound for any message is the round trip plus what it took beyond the fastest. This also accounts
+// for a message that waited in a queue, or in the socket buffer of a process that was stopped.
+//
+// It is part of a Store and protected by the Store's lock.
 type transit struct {
 	senders map[string]*clockOffset
-	rtts    map[string]time.Duration // round trips, the latest measured
+	rtts    map[string]time.Duration // latest measured round trip, by member
 }
 
+// clockOffset records the smallest difference between the local clock and a sender's.
 type clockOffset struct {
-	incarnation                     uint64
-	min, previousMin                time.Duration // of this span and the one before it
-	windowStartedAt, lastReceivedAt time.Time
-	hasPrevious                     bool // before holds
+	incarnation      uint64        // of the sender's process: another one has another clock
+	min, previousMin time.Duration // in the current window and in the one before
+	windowStartedAt  time.Time
+	lastReceivedAt   time.Time
+	hasPrevious      bool // previousMin is valid
 }
 
 const (
-	driftWindow = time.Minute // clocks drift by less than 10 ms in it
-	maxSenders  = 4096
-	defaultRTT  = 250 * time.Millisecond // to a sender to which none was measured, at least
+	driftWindow = time.Minute            // two clocks drift apart by less than 10 ms in this time
+	maxSenders  = 4096                   // senders and round trips remembered
+	defaultRTT  = 250 * time.Millisecond // smallest round trip assumed for a sender to which none was measured
 )
 
-// rtt is a round trip to a sender; where none was measured, the longest to anyone.
+// rtt returns the round trip to a sender. If none was measured it is the longest to any member, and at least defaultRTT.
 func (t *transit) rtt(sender string) time.Duration {
 	if d, measured := t.rtts[sender]; measured {
 		return d
@@ -36,8 +42,8 @@
 	return longest
 }
 
-// maxTransit is the time that a message took at the most: a round trip, and what it took beyond the quickest of its sender's last
-// one to two minutes.
+// maxTransit returns an upper bound of the time that a message was in transit: a round trip, plus what it took beyond the
+// fastest message from this sender in the last one to two windows. local is the receiver's monotonic time since its start.
 func (t *transit) maxTransit(m *Message, now time.Time, local time.Duration) time.Duration {
 	offset := local - m.Clock
 	o := t.senders[m.Sender]
@@ -61,7 +67,7 @@
 	return offset - minOffset + t.rtt(m.Sender)
 }
 
-// evict forgets the sender that was silent longest.
+// evict forgets the sender from which nothing was received for the longest time.
 func (t *transit) evict() {
 	oldest := ""
 	for name, o := range t.senders {
