--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -1,5 +1,7 @@
 package member
 
+// This file has the callbacks through which memberlist reports members and carries gossip.
+
 import (
 	"net/netip"
 	"slices"
@@ -9,14 +11,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate is a List in memberlist's terms.
+// delegate implements memberlist's delegate interfaces on a List, whose own method set stays free of them.
 type delegate List
 
-// Facts of one packet. A memberlist packet holds more; less keeps a lossy way whole.
+// maxGossipBytes is the size of a gossip message in one packet. A memberlist packet could hold more, but a larger packet is
+// fragmented, and then lost if any fragment is lost.
 const maxGossipBytes = 1000
 
+// maxConflicts is the number of reported name conflicts after which a process leaves even if it started first.
 const maxConflicts = 5
 
+// NodeMeta returns the encoded Meta, or nil if it is too long.
 func (d *delegate) NodeMeta(limit int) []byte {
 	l := (*List)(d)
 	l.mu.Lock()
@@ -30,15 +35,17 @@
 	return data
 }
 
+// NotifyMsg takes a gossip message.
 func (d *delegate) NotifyMsg(data []byte) { d.cfg.Merge(data) }
 
+// GetBroadcasts returns a gossip message for the next packet.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	l := (*List)(d)
 	l.mu.Lock()
 	n := len(l.members)
 	l.mu.Unlock()
 	if n < 2 {
-		return nil // nobody would hear it
+		return nil // there is no other member
 	}
 	if data := d.cfg.NextMessage(min(maxGossipBytes, limit-overhead), n); data != nil {
 		return [][]byte{data}
@@ -46,16 +53,21 @@
 	return nil
 }
 
+// AckPayload returns nothing: answers to probes carry no data.
 func (d *delegate) AckPayload() []byte { return nil }
 
+// NotifyPingComplete takes the round trip of a probe by memberlist.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, rtt time.Duration, _ []byte) {
 	d.cfg.ObserveRTT(n.Name, rtt)
 }
 
+// LocalState returns nothing: gossip is not part of the exchange of states.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
+// MergeRemoteState does nothing.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
+// memberOf converts a node. It reports false if the address is invalid.
 func (l *List) memberOf(n *memberlist.Node) (Member, bool) {
 	m := Member{Name: n.Name, JoinedAt: time.Now()}
 	ip, ok := netip.AddrFromSlice(n.Addr)
@@ -64,11 +76,12 @@
 	}
 	m.Addr = netip.AddrPortFrom(ip.Unmap(), n.Port)
 	if cbor.Unmarshal(n.Meta, &m.Meta) != nil {
-		m.Meta = Meta{} // of a form that is not known here: it is there all the same
+		m.Meta = Meta{} // of an unknown form: it is a member nevertheless
 	}
 	return m, true
 }
 
+// NotifyJoin adds a member.
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	l := (*List)(d)
 	m, ok := l.memberOf(n)
@@ -84,6 +97,7 @@
 	l.cfg.Changed()
 }
 
+// NotifyUpdate replaces a member whose Meta has changed. The time of joining stays while the process is the same.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) {
 	l := (*List)(d)
 	m, ok := l.memberOf(n)
@@ -99,6 +113,7 @@
 	l.cfg.Changed()
 }
 
+// NotifyLeave removes a member, and remembers it as failed unless it left by itself.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	l := (*List)(d)
 	l.mu.Lock()
@@ -113,8 +128,8 @@
 	l.cfg.Changed()
 }
 
-// NotifyConflict has the one of two processes with one name leave that started later. Clocks may say otherwise, and the
-// other may not hear of it: who hears of it again and again leaves, too.
+// NotifyConflict makes this process leave if another one has its name and started earlier. Incarnations depend on wall
+// clocks, and the other process may not learn of the conflict; so after maxConflicts reports this one leaves in any case.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	l := (*List)(d)
 	if existing.Name != l.cfg.Name {
--- a/internal/fleet/member/failed.go
+++ b/internal/fleet/member/failed.go
@@ -1,5 +1,7 @@
 package member
 
+// This file finds out which failed members are dead, and which member has to check which.
+
 import (
 	"cmp"
 	"context"
@@ -12,13 +14,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FailedToCheck are the members that failed without a goodbye and of which this one is among the few that see to whether
-// they are dead: chosen by rendezvous, the same at every member.
+// FailedToCheck returns the failed members that this one has to check with ConfirmDead, sorted by name. For each failed
+// member a few checkers are chosen by rendezvous hashing, so that members with the same view choose the same ones.
 func (l *List) FailedToCheck(checkers int) []Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	view := l.viewLocked()
-	if l.toCheckView == view { // nobody fails or comes back without another view
+	if l.toCheckView == view { // a member that fails or returns changes the view
 		return slices.Clone(l.toCheck)
 	}
 	l.toCheck, l.toCheckView = nil, view
@@ -31,7 +33,7 @@
 	return slices.Clone(l.toCheck)
 }
 
-// rank is the place of a member in the order in which members serve a subject.
+// rank returns how many members precede the named one in the rendezvous order for a subject.
 func rank(subject, name string, view *View) (n int) {
 	score := RendezvousScore(subject, name)
 	for m := range view.All() {
@@ -42,25 +44,26 @@
 	return n
 }
 
-// RendezvousScore orders members for a subject, evenly and the same at every member: the lowest are chosen.
+// RendezvousScore returns the hash by which members are ordered for a subject. Those with the lowest scores are chosen; all
+// members compute the same scores.
 func RendezvousScore(subject, name string) uint64 { return xxhash.Sum64String(subject + "\x00" + name) }
 
-// ConfirmDead reports whether the process that had an address is gone for certain: its machine refuses connections, or
-// resets one. Silence proves nothing: the way may be cut.
+// ConfirmDead reports whether a member's process has ended for certain: its machine refuses a connection or resets it. A
+// missing answer proves nothing, because the network may be partitioned. It waits for up to timeout.
 func (l *List) ConfirmDead(ctx context.Context, m Member, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c, err := l.Dial(ctx, "tcp", m.Addr.String())
 	if err == nil {
 		defer c.Close()
-		_ = c.SetReadDeadline(time.Now().Add(timeout / 2)) // closed already if it fails
+		_ = c.SetReadDeadline(time.Now().Add(timeout / 2)) // fails only on a closed connection, where Read fails too
 		_, err = c.Read(make([]byte, 1))
 	}
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// MissingHubs are the hubs that are not there and may be: who failed without a goodbye, and seeds that nobody here has met,
-// which have no name. They may be alive beyond a cut, with agents of their own.
+// MissingHubs returns the hubs that are not in the list but may be alive behind a network partition, with agents attached:
+// hubs that failed, and seeds that this process has never met. The latter have an address and no name.
 func (l *List) MissingHubs() (list []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +85,7 @@
 	return list
 }
 
-// WasHub reports whether a name is of a hub that failed without a goodbye.
+// WasHub reports whether a name belongs to a hub that failed.
 func (l *List) WasHub(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -1,5 +1,7 @@
 package member
 
+// This file joins the fleet with memberlist and stays in it.
+
 import (
 	"bytes"
 	"context"
@@ -15,17 +17,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memberlistConfig scale with the fleet: a larger one probes no more for each member, and gives doubts more time.
+// memberlistConfig returns the timing of probes and gossip. Each member probes at the same rate in a fleet of any size, and
+// memberlist gives a suspected member more time in a larger one. State is exchanged less often in a large fleet.
 func (l *List) memberlistConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Label, c.Delegate, c.Events, c.Conflict = l.cfg.Name, l.transport, l.cfg.Label, (*delegate)(l), (*delegate)(l), (*delegate)(l)
-	c.Ping = (*delegate)(l)
+	c.Name, c.Transport, c.Label = l.cfg.Name, l.transport, l.cfg.Label
+	c.Delegate, c.Events, c.Conflict, c.Ping = (*delegate)(l), (*delegate)(l), (*delegate)(l), (*delegate)(l)
 	c.BindPort, c.AdvertisePort = int(l.transport.advertise.Port()), int(l.transport.advertise.Port())
 	c.Logger = log.New(logWriter{l.cfg.Log}, "", 0)
 	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = 500*time.Millisecond, 250*time.Millisecond, 3
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = 200*time.Millisecond, 3, 10*time.Second
 	c.TCPTimeout, c.PushPullInterval = 2*time.Second, 15*time.Second
-	c.DeadNodeReclaimTime = time.Millisecond // a restarted process may come back at another address
+	c.DeadNodeReclaimTime = time.Millisecond // a restarted process may have another address
 	c.EnableCompression = false              // packets are small
 	if l.cfg.MaxMembers > 100 {
 		c.PushPullInterval = 30 * time.Second
@@ -33,8 +36,9 @@
 	return c
 }
 
-// Run joins the fleet and stays in it until ctx ends, and then says goodbye. Without anyone to be found it is alone,
-// and goes on asking.
+// Run joins the fleet and stays in it until ctx ends, and then leaves it. While no other member answers it is the only
+// member and keeps trying to join. It also leaves, without an error, if another process has this one's name. It may be
+// called once, and returns after the transport's goroutines have ended.
 func (l *List) Run(ctx context.Context) error {
 	if !l.transport.awaitAddress(ctx) {
 		return l.transport.Shutdown()
@@ -47,12 +51,13 @@
 	l.mu.Lock()
 	l.memberlist = list
 	l.mu.Unlock()
-	retryBackoff := &backoff.ExponentialBackOff{InitialInterval: 100 * time.Millisecond, RandomizationFactor: 1, Multiplier: 2, MaxInterval: 4 * time.Second}
+	retryBackoff := &backoff.ExponentialBackOff{InitialInterval: 100 * time.Millisecond, RandomizationFactor: 1, Multiplier: 2,
+		MaxInterval: 4 * time.Second}
 	retryBackoff.Reset()
 	for leaving := false; !leaving; {
 		if targets := l.joinTargets(); len(targets) > 0 {
-			// An answer does not begin the waits anew: each is an exchange of all that both know, and while some are taken
-			// for dead since all are late, more of them made everyone later.
+			// A successful join does not reset the backoff. Each join exchanges the complete state of both sides. While
+			// members are suspected because all are slow, more joins made all of them slower still.
 			if n, err := list.Join(targets); n == 0 && err != nil {
 				l.cfg.Log.Debug("nobody was found", "asked", targets, "error", err)
 			}
@@ -70,8 +75,8 @@
 	return errors.Join(err, list.Shutdown())
 }
 
-// joinTargets is whom to ask now: a few seeds, or members that failed, who are not there. After a cut both sides have
-// forgotten each other, and a seed stands for the other side.
+// joinTargets returns up to three addresses to join now, at random: seeds and failed members that are not in the list. After
+// a network partition the two sides have removed each other, and a seed or a failed member leads to the other side.
 func (l *List) joinTargets() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,9 +98,10 @@
 	return list[:min(len(list), 3)]
 }
 
-// logWriter has memberlist's log go where ours goes. What it warns of is its daily work.
+// logWriter passes memberlist's log lines on at debug level: most of its warnings are part of normal operation.
 type logWriter struct{ log *slog.Logger }
 
+// Write logs one line.
 func (w logWriter) Write(p []byte) (int, error) {
 	w.log.Debug("memberlist", "line", string(bytes.TrimSpace(p)))
 	return len(p), nil
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -1,5 +1,7 @@
 package member
 
+// This file holds the list of members and hands out views of it.
+
 import (
 	"context"
 	"errors"
@@ -15,49 +17,55 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Config is what a List needs.
+// Config configures a List. The functions are called from memberlist's and the transport's goroutines, several at a time,
+// and none of them may wait except ServeConn.
 type Config struct {
-	Name         string
+	Name         string         // unique in the fleet
 	Listen       netip.AddrPort // UDP and TCP
-	Advertise    netip.AddrPort // where others reach it; zero: Listen
-	Seeds        []string       // addresses of others
-	Label        string         // fleets of different labels never mix
-	MaxMembers   int            // most members that the fleet has
-	AwaitAddress bool           // Listen may be held by an older process of this agent: it is waited for
+	Advertise    netip.AddrPort // address at which others reach this process; zero: Listen
+	Seeds        []string       // addresses of other members
+	Label        string         // fleets with different labels do not mix
+	MaxMembers   int            // greatest number of members that the fleet may have
+	AwaitAddress bool           // if Listen is in use by an older process of this agent, Run waits for it
 	Meta         Meta
 	Log          *slog.Logger
 
-	Merge       func(data []byte)                  // facts of another member
-	NextMessage func(limit, members int) []byte    // facts for another member; nil: none
-	ObserveRTT  func(name string, d time.Duration) // a round trip to another member
-	Changed     func()                             // who is there has changed; must not wait
+	Merge       func(data []byte)                  // takes a gossip message from another member
+	NextMessage func(limit, members int) []byte    // returns a gossip message of at most limit bytes; nil: none
+	ObserveRTT  func(name string, d time.Duration) // takes a measured round trip to another member
+	Changed     func()                             // the list has changed
+	// HandleProbe takes a datagram of the latency prober and the time at which it was read. It must not keep data. It may be
+	// nil if no other member probes.
 	HandleProbe func(data []byte, from netip.AddrPort, at time.Time)
-	ServeConn   func(net.Conn) // an HTTP call
+	// ServeConn takes over a connection that starts with an HTTP request. nil: such connections are closed.
+	ServeConn func(net.Conn)
 
-	Listener *net.TCPListener // at Listen, if it is held already: the list closes it
-	Wire     Wire             // nil: sockets are used as they are
+	Listener *net.TCPListener // a socket that is bound to Listen already, which the list closes; nil: one is opened
+	Wire     Wire             // nil: sockets are used directly
 }
 
-// List is who is there. It must be run.
+// List is the list of the fleet's members, this process always included. Its methods may be called from any goroutine.
 type List struct {
-	cfg        Config
-	transport  *transport
-	memberlist *memberlist.Memberlist
-
-	mu            sync.Mutex
-	members       []*Member         // who is there, this one always, by name; what they point to never changes
-	view          *View             // of them; nil: they have changed since it was asked for
-	failed        map[string]Member // failed without a goodbye, by name
-	toCheck       []Member          // of the dead: this one sees to them
-	toCheckView   *View             // when it was found out
-	peersMet      int               // others ever met
+	cfg       Config
+	transport *transport
+	leave     chan struct{} // closed when this process has to leave because of a name conflict
+
+	mu            sync.Mutex             // protects all below
+	memberlist    *memberlist.Memberlist // nil before Run
+	members       []*Member              // sorted by name; the Members they point to are never changed
+	view          *View                  // of members; nil: members have changed since the last call of View
+	failed        map[string]Member      // members that stopped answering without leaving, by name
+	toCheck       []Member               // see FailedToCheck
+	toCheckView   *View                  // the view for which toCheck was computed
+	peersMet      int
 	phase         Phase
-	leaving       bool // another process has this one's name, and this one leaves
-	conflictCount int  // how often that was heard of
-	leave         chan struct{}
+	leaving       bool // leave is closed
+	conflictCount int  // reports of another process with this one's name
 }
 
-// New listens. It says nothing before Run.
+// New opens the sockets. Nothing is sent before Run. If the address is in use it returns an error that wraps
+// syscall.EADDRINUSE, or with AwaitAddress leaves it to Run to wait for the address. A List that is not run has to be closed
+// by Abort.
 func New(cfg Config) (*List, error) {
 	t := newTransport(cfg.Listen, cfg.Advertise)
 	t.tcp = cfg.Listener
@@ -65,31 +73,34 @@
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
 	t.handleProbe, t.serveConn, t.wire = cfg.HandleProbe, cfg.ServeConn, cfg.Wire
-	return &List{cfg: cfg, transport: t, members: []*Member{{Name: cfg.Name, Addr: t.advertise, Meta: cfg.Meta}}, failed: map[string]Member{}, phase: cfg.Meta.Phase,
-		leave: make(chan struct{})}, nil
+	self := &Member{Name: cfg.Name, Addr: t.advertise, Meta: cfg.Meta}
+	return &List{cfg: cfg, transport: t, leave: make(chan struct{}), members: []*Member{self}, failed: map[string]Member{},
+		phase: cfg.Meta.Phase}, nil
 }
 
-// Addr is where others reach this member.
+// Addr returns the address at which others reach this member.
 func (l *List) Addr() netip.AddrPort { return l.transport.advertise }
 
-// SendProbe sends a datagram of round trips to another member.
+// SendProbe sends a datagram of the latency prober to another member and returns the time at which it was sent. It returns
+// an error while an older process holds the address.
 func (l *List) SendProbe(data []byte, to netip.AddrPort) (time.Time, error) {
 	return l.transport.WriteTo(data, to.String())
 }
 
-// Dial opens a stream to another member.
+// Dial opens a TCP connection to another member, from this member's IP address.
 func (l *List) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	return l.transport.dial(ctx, &l.transport.dialer, addr)
 }
 
-// View is who is there, this member included. It is made when it is asked for after a change: however many come at once,
-// none of them costs a view of its own.
+// View returns the current members, this one included. The same View is returned until the list changes. It is built on the
+// first call after a change, so that many changes at once cost one View.
 func (l *List) View() *View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.viewLocked()
 }
 
+// viewLocked is View for callers that hold the lock.
 func (l *List) viewLocked() *View {
 	if l.view == nil {
 		l.view = newView(slices.Clone(l.members))
@@ -97,10 +108,10 @@
 	return l.view
 }
 
-// putLocked has a member be there as it is said to be now. It must not change after.
+// putLocked inserts or replaces a member, which must not be changed afterwards. The lock is held.
 func (l *List) putLocked(m *Member) {
 	if m.Name == l.cfg.Name {
-		m.Phase = l.phase // what memberlist has of it may be older
+		m.Phase = l.phase // memberlist may still have an older phase
 	}
 	if i, there := findMember(l.members, m.Name); there {
 		l.members[i] = m
@@ -111,21 +122,22 @@
 	l.view = nil
 }
 
-// Count is how many members are there, this one included.
+// Count returns the number of members, this one included, without building a View.
 func (l *List) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.members)
 }
 
-// PeersMet is how many others this process has ever met.
+// PeersMet returns how many times another member has joined the list since the start. 0 means that this process has never
+// met another one.
 func (l *List) PeersMet() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peersMet
 }
 
-// SetPhase tells the others how far this process has come.
+// SetPhase sets this process's phase and publishes it. It does not wait for the others.
 func (l *List) SetPhase(phase Phase) {
 	l.mu.Lock()
 	memberlist, same := l.memberlist, l.phase == phase
@@ -136,9 +148,12 @@
 	}
 	l.mu.Unlock()
 	if memberlist != nil && !same {
-		go func() { _ = memberlist.UpdateNode(2 * time.Second) }() // others learn with the next exchange if it fails
+		// Run does not wait for this goroutine: it ends by itself after 2 s. If it fails, others learn the phase from the
+		// next exchange of states.
+		go func() { _ = memberlist.UpdateNode(2 * time.Second) }()
 	}
 }
 
-// Abort closes the sockets without a word, as a kill would.
+// Abort closes the sockets without leaving the fleet, as if the process were killed. If Run was called it still has to be
+// ended by its context.
 func (l *List) Abort() error { return l.transport.Shutdown() }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,33 +1,42 @@
-// Package member knows who is in the fleet: a driver over hashicorp/memberlist (SWIM with Lifeguard), which has
-// suspicion, refutation and incarnations right.
+// Package member maintains the list of the fleet's members with hashicorp/memberlist (SWIM with Lifeguard), which does the
+// probing, suspicion and refutation. On the same address it carries gossip, latency probes and HTTP calls between members.
+//
+// Each process owns one List. Its Run joins the fleet and waits for the transport's goroutines before it returns; memberlist
+// runs goroutines of its own until then. The list of members is protected by one lock and handed out as immutable Views.
+// It has no age bound: memberlist removes a member that does not answer within some seconds. A removed member may still be
+// alive behind a network partition; only ConfirmDead tells that a process has ended.
 package member
 
+// This file defines what is known of one member.
+
 import (
 	"net/netip"
 	"time"
 )
 
-// Phase is how far a process has come.
+// Phase says whether a process serves requests yet.
 type Phase uint8
 
 const (
-	Starting Phase = iota // it has no list from discovery yet
+	// Starting is the phase of a process that has no endpoint list yet.
+	Starting Phase = iota
+	// Serving is the phase of a process that has an endpoint list.
 	Serving
 )
 
-// Meta is what a member says of itself with its name.
+// Meta is what a member publishes about itself. Its CBOR form is part of the wire form.
 type Meta struct {
 	Site        string `cbor:"1,keyasint"` // its zone
 	Phase       Phase  `cbor:"2,keyasint"`
 	Version     string `cbor:"3,keyasint"`           // of the program
-	Incarnation uint64 `cbor:"4,keyasint"`           // which process of the name it is
-	Hub         bool   `cbor:"5,keyasint,omitempty"` // it serves agents, and is none itself: no part of the limit is its own
+	Incarnation uint64 `cbor:"4,keyasint"`           // of the process: a later process of the same name has a higher one
+	Hub         bool   `cbor:"5,keyasint,omitempty"` // it serves agents and is not an agent itself: it has no quota
 }
 
-// Member is one of the fleet, as known here.
+// Member is a member of the fleet as known to this process.
 type Member struct {
 	Name string
-	Addr netip.AddrPort
+	Addr netip.AddrPort // UDP and TCP
 	Meta
-	JoinedAt time.Time // known here since then, by the monotonic clock
+	JoinedAt time.Time // when this process learnt of it, with the monotonic clock; zero for itself before Run
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -1,5 +1,7 @@
 package member
 
+// This file tests joining over real sockets.
+
 import (
 	"context"
 	"io"
@@ -12,7 +14,8 @@
 	"time"
 )
 
-// A seed that answers and yet is never there, as one given by another address than its own, is asked ever less often.
+// A seed that answers but never becomes a member under its address, as one that is reached through a proxy, is asked less and
+// less often.
 func TestJoinRetriesBackOffThoughTheSeedAnswers(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -52,14 +55,14 @@
 					return
 				}
 				defer s.Close()
-				tasks.Go(func() { _, _ = io.Copy(s, c) }) // until either end closes
+				tasks.Go(func() { _, _ = io.Copy(s, c) }) // until either side closes
 				_, _ = io.Copy(c, s)
 			})
 		}
 	})
 	startMember("other", proxy.Addr().String())
 	<-first
-	<-time.After(3 * time.Second) // the span in which it is counted
+	<-time.After(3 * time.Second) // the time in which attempts are counted
 	if n := asked.Load(); n > 14 {
 		t.Errorf("asked %d times in 3 s", n)
 	} else {
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -1,5 +1,7 @@
 package member
 
+// This file shares one address, UDP and TCP, between memberlist, the latency prober and HTTP.
+
 import (
 	"bufio"
 	"context"
@@ -15,49 +17,55 @@
 )
 
 const (
-	// First bytes that tell others' words from the membership's on the same address: its messages begin with small
-	// numbers or, labelled, with 244.
-	ProbeByte = 0xd7 // a datagram of round trips
-	getByte   = 'G'  // a stream that is an HTTP call
-	postByte  = 'P'  // the same
+	// ProbeByte is the first byte of a datagram of the latency prober. By the first byte other traffic is distinguished from
+	// memberlist's on the same address: its messages begin with small numbers or, if labelled, with 244.
+	ProbeByte = 0xd7
+	getByte   = 'G' // first byte of a connection that carries an HTTP request
+	postByte  = 'P' // likewise
 
 	maxDatagramBytes  = 64 << 10
-	maxUnclassified   = 64              // streams of which the first byte has not come yet
-	firstByteTimeout  = 3 * time.Second // it has to
+	maxUnclassified   = 64              // connections whose first byte has not arrived yet
+	firstByteTimeout  = 3 * time.Second // after which such a connection is closed
 	socketBufferBytes = 1 << 20
 )
 
-// Wire stands between a member and its sockets, for who counts what passes there, or has it lost. Its methods may wait.
+// Wire intercepts the traffic between a member and its sockets. Tests and measurements count or drop traffic with it. Its
+// methods are called from several goroutines and may wait.
 type Wire interface {
-	// Packet reports whether a datagram passes.
+	// Packet reports whether a datagram may pass. out says that it is being sent to peer, not received from it.
 	Packet(data []byte, peer netip.AddrPort, out bool) bool
+	// Dial opens a connection with d.
 	Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error)
+	// Accepted returns the connection to use instead of an accepted one.
 	Accepted(c net.Conn) net.Conn
 }
 
-// transport carries the membership's packets and streams over one address, UDP and TCP, and hands out what is not its.
-// Each connection that comes in is one task until it is known whose it is.
+// transport implements memberlist.Transport on one address, and passes on what does not belong to memberlist. One goroutine
+// reads datagrams and one accepts connections. Each accepted connection has a goroutine until its first byte tells to whom
+// it belongs. Shutdown waits for all of them.
 type transport struct {
 	listen       netip.AddrPort
 	advertise    netip.AddrPort
-	bound        atomic.Bool // the sockets below are there
+	bound        atomic.Bool // udp and tcp are set
 	udp          *net.UDPConn
 	tcp          *net.TCPListener
 	dialer       net.Dialer
 	packets      chan *memberlist.Packet
 	streams      chan net.Conn
-	handleProbe  func(data []byte, from netip.AddrPort, at time.Time) // runs on the reading task; may be nil
-	serveConn    func(net.Conn)                                       // takes the stream; may be nil
+	handleProbe  func(data []byte, from netip.AddrPort, at time.Time) // runs on the goroutine that reads datagrams; may be nil
+	serveConn    func(net.Conn)                                       // takes over the connection; may be nil
 	wire         Wire                                                 // may be nil
-	unclassified chan struct{}
+	unclassified chan struct{}                                        // a semaphore, see maxUnclassified
 	tasks        sync.WaitGroup
 	ctx          context.Context
 	cancel       context.CancelFunc
 }
 
+// newTransport returns a transport without sockets; see bind.
 func newTransport(listen, advertise netip.AddrPort) *transport {
-	t := &transport{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, 256), streams: make(chan net.Conn), unclassified: make(chan struct{}, maxUnclassified),
-		// The other side knows by the address who calls.
+	t := &transport{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, 256),
+		streams: make(chan net.Conn), unclassified: make(chan struct{}, maxUnclassified),
+		// The other side identifies the caller by its IP address.
 		dialer: net.Dialer{LocalAddr: &net.TCPAddr{IP: listen.Addr().AsSlice()}, KeepAlive: -1}}
 	if !t.advertise.IsValid() {
 		t.advertise = listen
@@ -66,7 +74,7 @@
 	return t
 }
 
-// bind opens the sockets.
+// bind opens the sockets, of which tcp may be set already.
 func (t *transport) bind() error {
 	var err error
 	if t.tcp == nil {
@@ -83,7 +91,7 @@
 		t.tcp = nil
 		return err
 	}
-	_ = t.udp.SetReadBuffer(socketBufferBytes) // as large as the system allows
+	_ = t.udp.SetReadBuffer(socketBufferBytes) // the system may allow less, which is no error
 	if t.advertise.Port() == 0 {
 		t.advertise = at
 	}
@@ -91,8 +99,8 @@
 	return nil
 }
 
-// awaitAddress binds once the address is free: an older process of this agent holds it until it ends. It reports false once ctx
-// ends.
+// awaitAddress binds as soon as the address is free: an older process of this agent holds it until it ends. It reports false
+// if ctx ends first.
 func (t *transport) awaitAddress(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
@@ -102,21 +110,24 @@
 			return false
 		case <-tick.C:
 		}
-		_ = t.bind() // it is still held if it fails
+		_ = t.bind() // if it fails the address is still in use
 	}
 	return true
 }
 
+// bindInterval is the time between two attempts to bind the address.
 const bindInterval = 50 * time.Millisecond
 
-var errNotBound = errors.New("an older process holds the fleet's address")
+// errNotBound is the error of sending before awaitAddress has succeeded.
+var errNotBound = errors.New("fleet address is still held by an older process")
 
-// run reads until Shutdown.
+// run reads datagrams and accepts connections until Shutdown.
 func (t *transport) run() {
 	t.tasks.Go(t.readPackets)
 	t.tasks.Go(t.acceptStreams)
 }
 
+// readPackets passes datagrams on until Shutdown.
 func (t *transport) readPackets() {
 	buf := make([]byte, maxDatagramBytes)
 	for {
@@ -126,7 +137,7 @@
 			return
 		}
 		if err != nil || n == 0 {
-			continue // an earlier datagram's ICMP error; the socket itself is fine
+			continue // an ICMP error for an earlier datagram; the socket is still usable
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if t.wire != nil && !t.wire.Packet(buf[:n], from, false) {
@@ -147,6 +158,7 @@
 	}
 }
 
+// acceptStreams accepts connections until Shutdown, and closes those beyond maxUnclassified.
 func (t *transport) acceptStreams() {
 	for {
 		c, err := t.tcp.AcceptTCP()
@@ -157,7 +169,7 @@
 			return
 		}
 		if err != nil {
-			select { // out of descriptors, say
+			select { // file descriptors may have run out
 			case <-time.After(50 * time.Millisecond):
 			case <-t.ctx.Done():
 			}
@@ -172,6 +184,7 @@
 	}
 }
 
+// accepted returns the connection to use for an accepted one.
 func (t *transport) accepted(c net.Conn) net.Conn {
 	if t.wire == nil {
 		return c
@@ -179,7 +192,7 @@
 	return t.wire.Accepted(c)
 }
 
-// dial opens a stream to another member.
+// dial opens a TCP connection to another member.
 func (t *transport) dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	if t.wire == nil {
 		return d.DialContext(ctx, "tcp", addr)
@@ -187,45 +200,48 @@
 	return t.wire.Dial(ctx, d, addr)
 }
 
-// classify finds out whose a stream is.
+// classify hands a connection to memberlist or to serveConn, according to its first byte.
 func (t *transport) classify(c net.Conn) {
 	defer func() { <-t.unclassified }()
 	stop := context.AfterFunc(t.ctx, func() { c.Close() })
 	r := bufio.NewReaderSize(c, 512)
-	_ = c.SetReadDeadline(time.Now().Add(firstByteTimeout)) // closed already if it fails
+	_ = c.SetReadDeadline(time.Now().Add(firstByteTimeout)) // fails only on a closed connection, where Peek fails too
 	first, err := r.Peek(1)
 	if !stop() || err != nil || c.SetReadDeadline(time.Time{}) != nil {
 		c.Close()
 		return
 	}
-	s := &peekedConn{c, r}
+	peeked := &peekedConn{c, r}
 	if first[0] == getByte || first[0] == postByte {
 		if t.serveConn == nil {
 			c.Close()
 			return
 		}
-		t.serveConn(s)
+		t.serveConn(peeked)
 		return
 	}
 	select {
-	case t.streams <- s:
+	case t.streams <- peeked:
 	case <-t.ctx.Done():
 		c.Close()
 	}
 }
 
-// peekedConn is a stream of which the first bytes were read ahead.
+// peekedConn is a connection whose first bytes have been read into a buffer.
 type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (s *peekedConn) Read(p []byte) (int, error) { return s.r.Read(p) }
+// Read reads from the buffer first.
+func (c *peekedConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
+// FinalAdvertiseAddr returns the address at which others reach this member.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
+// WriteTo sends a datagram and returns the time just before.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	if !t.bound.Load() {
 		return time.Time{}, errNotBound
@@ -242,15 +258,20 @@
 	return at, err
 }
 
+// PacketCh returns the channel of memberlist's datagrams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
+// StreamCh returns the channel of memberlist's connections.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+
+// DialTimeout opens a connection for memberlist.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := t.dialer
 	d.Timeout = timeout
 	return t.dial(t.ctx, &d, addr)
 }
 
+// Shutdown closes the sockets and waits for the goroutines. A second call returns an error, as the sockets are closed.
 func (t *transport) Shutdown() error {
 	t.cancel()
 	var err error
@@ -259,7 +280,7 @@
 	}
 	t.tasks.Wait()
 	if err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("close fleet sockets: %w", err)
 	}
 	return nil
 }
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -1,43 +1,49 @@
 package member
 
+// This file has immutable views of the list of members.
+
 import (
 	"cmp"
 	"iter"
 	"slices"
 )
 
-// Members is a list of members that nobody can change: who shares one reads copies.
+// Members is an immutable list of members, sorted by name. It may be shared between goroutines; its methods return copies.
 type Members struct{ list []*Member }
 
-func (m Members) Len() int        { return len(m.list) }
+// Len returns the number of members.
+func (m Members) Len() int { return len(m.list) }
+
+// At returns member i, with 0 <= i < Len.
 func (m Members) At(i int) Member { return *m.list[i] }
 
+// All returns an iterator over the members.
 func (m Members) All() iter.Seq[Member] {
 	return func(yield func(Member) bool) {
-		for _, x := range m.list {
-			if !yield(*x) {
+		for _, member := range m.list {
+			if !yield(*member) {
 				return
 			}
 		}
 	}
 }
 
-// Without are all but the one of a name.
+// Without returns all members except the one with the given name.
 func (m Members) Without(name string) Members {
 	return Members{slices.DeleteFunc(slices.Clone(m.list), func(x *Member) bool { return x.Name == name })}
 }
 
-// View is who was there at one time, by name, this member included. All who ask share it until somebody comes, goes or
-// changes: what follows from it holds as long as the next that is handed out is the same.
+// View is the list of members at one time, this process included. All callers share one View until a member joins, leaves or
+// changes. So anything derived from a View stays valid while List.View returns the same pointer.
 type View struct {
 	Members
-	sites    []string
+	sites    []string // sorted
 	bySite   map[string]Members
 	hubs     Members
-	starting int
+	starting int // agents in phase Starting
 }
 
-// NewView makes a view of members of different names.
+// NewView returns a view of the given members, whose names must differ.
 func NewView(list ...Member) *View {
 	var members []*Member
 	for i := range list {
@@ -47,7 +53,7 @@
 	return newView(members)
 }
 
-// newView keeps the list, which is in order.
+// newView returns a view of members, which are sorted by name. It keeps the slice.
 func newView(members []*Member) *View {
 	v, bySite := &View{Members: Members{members}}, map[string][]*Member{}
 	for _, m := range members {
@@ -67,7 +73,7 @@
 	return v
 }
 
-// ByName is the member of a name, if it is there.
+// ByName returns the member with the given name, and false if there is none.
 func (v *View) ByName(name string) (Member, bool) {
 	if i, there := findMember(v.list, name); there {
 		return *v.list[i], true
@@ -75,7 +81,7 @@
 	return Member{}, false
 }
 
-// Sites are the members of each site, by its name. "" is one, too.
+// Sites returns an iterator over the sites, sorted by name, with the members of each. Members without a site are under "".
 func (v *View) Sites() iter.Seq2[string, Members] {
 	return func(yield func(string, Members) bool) {
 		for _, site := range v.sites {
@@ -86,18 +92,22 @@
 	}
 }
 
-// InSite are the members of a site.
+// InSite returns the members of a site, possibly none.
 func (v *View) InSite(site string) Members { return v.bySite[site] }
 
-// Hubs are the members that are hubs; Agents counts the others.
+// Hubs returns an iterator over the members that are hubs.
 func (v *View) Hubs() iter.Seq[Member] { return v.hubs.All() }
-func (v *View) AgentCount() int        { return v.Len() - v.hubs.Len() }
 
-// StartingCount counts the agents that have no list yet.
+// AgentCount returns the number of members that are agents, not hubs.
+func (v *View) AgentCount() int { return v.Len() - v.hubs.Len() }
+
+// StartingCount returns the number of agents that have no endpoint list yet.
 func (v *View) StartingCount() int { return v.starting }
 
+// byName compares members for sorting.
 func byName(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 
+// findMember returns the position of a member in a sorted list, or the one where it would be inserted.
 func findMember(members []*Member, name string) (int, bool) {
 	return slices.BinarySearchFunc(members, name, func(m *Member, name string) int { return cmp.Compare(m.Name, name) })
 }
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -1,5 +1,7 @@
 package member
 
+// This file tests views and the callbacks of memberlist that change them.
+
 import (
 	"fmt"
 	"log/slog"
@@ -9,6 +11,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
+// newIdleList returns a list that is not run.
 func newIdleList(t *testing.T) *List {
 	t.Helper()
 	l, err := New(Config{Name: "m", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler), Changed: func() {}, Meta: Meta{Site: "a"}})
@@ -19,11 +22,12 @@
 	return l
 }
 
+// newNode returns a node as memberlist reports it.
 func newNode(name string) *memberlist.Node {
 	return &memberlist.Node{Name: name, Addr: []byte{127, 0, 0, 1}, Port: 1}
 }
 
-// One view is shared until somebody comes, goes or changes, and asking for it costs nothing; an older one stays as it was.
+// One view is shared until a member joins, leaves or changes, and asking for it allocates nothing. Older views stay unchanged.
 func TestViewIsSharedUntilMembershipChanges(t *testing.T) {
 	l := newIdleList(t)
 	d := (*delegate)(l)
@@ -57,25 +61,25 @@
 		s.do()
 		v := l.View()
 		if names(v) != s.want || names(before) != was {
-			t.Errorf("step %d: %s of %s, and %s was %s", i, names(v), s.want, names(before), was)
+			t.Errorf("step %d: members %s, want %s; the view before is %s and was %s", i, names(v), s.want, names(before), was)
 		}
 		if n := testing.AllocsPerRun(10, func() {
 			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
 				t.Errorf("step %d: another view though nothing changed", i)
 			}
-		}); n > 1 { // what Doomed hands out
+		}); n > 1 { // the slice that FailedToCheck returns
 			t.Errorf("step %d: %v allocations for a view", i, n)
 		}
 	}
 	if v := l.View(); v.StartingCount() != 1 || v.InSite("").Len() != 1 || v.InSite("a").Len() != 1 {
-		t.Errorf("%d start, %d without a site", v.StartingCount(), v.InSite("").Len())
+		t.Errorf("%d starting, %d without a site", v.StartingCount(), v.InSite("").Len())
 	}
 	if m, there := l.View().ByName("m"); !there || m.Phase != Serving {
 		t.Errorf("%+v", m)
 	}
 }
 
-// Many that come at once make one view, when it is asked for.
+// Many members that join at once cost one view, built when it is asked for.
 func TestManyJoinsBuildOneView(t *testing.T) {
 	l := newIdleList(t)
 	const n = 1800
@@ -86,9 +90,9 @@
 		}
 	}) / n
 	if l.view != nil || allocsPerJoin > 20 {
-		t.Errorf("%v allocations for each that comes", allocsPerJoin)
+		t.Errorf("%v allocations for each member that joins", allocsPerJoin)
 	}
 	if v := l.View(); v.Len() != n+1 || before.Len() != 1 {
-		t.Errorf("%d members, once %d", v.Len(), before.Len())
+		t.Errorf("%d members, %d before", v.Len(), before.Len())
 	}
 }
