--- a/internal/fleet/latency/datagram.go
+++ b/internal/fleet/latency/datagram.go
@@ -1,26 +1,30 @@
 package latency
 
+// This file defines the datagrams that measure a round trip.
+
 import (
 	"encoding/binary"
 	"errors"
 )
 
-// A datagram: the byte that tells it from the membership's, what it is, the fleet's label, a number that only who was
-// asked has seen, and in an answer how long it dwelt there. Big-endian.
+// Wire form of a datagram, big-endian: member.ProbeByte, the kind (1 byte), the hash of the fleet's label (8), the nonce (8) and
+// the dwell time (4).
 const (
 	probeRequest, probeReply = 1, 2
 	datagramBytes            = 1 + 1 + 8 + 8 + 4
 )
 
+// datagram is a request for a round trip or the reply to one.
 type datagram struct {
-	kind  byte
-	label uint64
-	nonce uint64
-	dwell uint32 // us
+	kind  byte   // probeRequest or probeReply
+	label uint64 // hash of the fleet's label
+	nonce uint64 // random; known only to the member that was probed, whose reply repeats it
+	dwell uint32 // in a reply: time between reading the request and replying, in us
 }
 
-var errMalformed = errors.New("a datagram of round trips of another form")
+var errMalformed = errors.New("malformed probe datagram")
 
+// encode returns the wire form with the given first byte.
 func (d datagram) encode(first byte) []byte {
 	b := make([]byte, 0, datagramBytes)
 	b = append(b, first, d.kind)
@@ -29,11 +33,13 @@
 	return binary.BigEndian.AppendUint32(b, d.dwell)
 }
 
+// decodeDatagram decodes a datagram without checking its first byte.
 func decodeDatagram(b []byte) (datagram, error) {
-	if len(b) < datagramBytes { // a later version's may be longer
+	if len(b) < datagramBytes { // one of a later version may be longer
 		return datagram{}, errMalformed
 	}
-	d := datagram{kind: b[1], label: binary.BigEndian.Uint64(b[2:]), nonce: binary.BigEndian.Uint64(b[10:]), dwell: binary.BigEndian.Uint32(b[18:])}
+	d := datagram{kind: b[1], label: binary.BigEndian.Uint64(b[2:]), nonce: binary.BigEndian.Uint64(b[10:]),
+		dwell: binary.BigEndian.Uint32(b[18:])}
 	if d.kind != probeRequest && d.kind != probeReply {
 		return datagram{}, errMalformed
 	}
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -1,5 +1,7 @@
 package latency
 
+// This file tests probers against each other over a network in memory.
+
 import (
 	"context"
 	"fmt"
@@ -16,19 +18,20 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// testNetwork is a fleet of probers in memory: ways between sites are what the test says.
+// testNetwork is a fleet of probers in memory, with delays between sites that the test sets.
 type testNetwork struct {
-	mu         sync.Mutex
-	oneWay     func(from, to string) (time.Duration, bool) // one way, and whether it arrives
+	mu         sync.Mutex                                  // protects oneWay, bytes and addedDelay
+	oneWay     func(from, to string) (time.Duration, bool) // delay in one direction, and whether the datagram arrives
 	members    []member.Member
 	view       *member.View
 	probers    map[netip.AddrPort]*Prober
 	stores     []*gossip.Store
-	bytes      map[string]int // by member
-	addedDelay map[string]time.Duration
+	bytes      map[string]int           // sent, by member
+	addedDelay map[string]time.Duration // of replies and requests, by sender
 	tasks      sync.WaitGroup
 }
 
+// newTestNetwork starts a fleet of the given sizes by site, until ctx ends.
 func newTestNetwork(ctx context.Context, sizes map[string]int, oneWay func(from, to string) (time.Duration, bool)) *testNetwork {
 	network := &testNetwork{oneWay: oneWay, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{}, addedDelay: map[string]time.Duration{}}
 	n := 0
@@ -59,6 +62,7 @@
 	return network
 }
 
+// sender returns the Send function of a member.
 func (n *testNetwork) sender(m member.Member) func([]byte, netip.AddrPort) (time.Time, error) {
 	return func(data []byte, to netip.AddrPort) (time.Time, error) {
 		now := time.Now()
@@ -79,7 +83,7 @@
 	}
 }
 
-// gossip gossips facts, as the membership does.
+// gossip exchanges entries between random members, as the member list does.
 func (n *testNetwork) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(200 * time.Millisecond)
@@ -99,17 +103,19 @@
 	}
 }
 
+// locked calls do with the lock held.
 func (n *testNetwork) locked(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
 }
 
-// matrixAt is what a member makes of the matrix now.
+// matrixAt returns the matrix as member i knows it now.
 func (n *testNetwork) matrixAt(i int) Matrix {
 	return NewMatrix(n.stores[i].Entries(gossip.LatencyRow), n.view)
 }
 
+// uniformDelay is 200 us within a site and 1 ms between two.
 func uniformDelay(from, to string) (time.Duration, bool) {
 	if from == to {
 		return 200 * time.Microsecond, true
@@ -117,8 +123,8 @@
 	return time.Millisecond, true
 }
 
-// A change is known everywhere within 3 s, about as it is; liars move nothing much; a pair that is cut becomes unknown
-// with its loss, and a half that is cut off keeps nothing of the other past the bound.
+// A change of latency is known to nearly all members within 3 s and about right. Members with false measurements have little
+// effect. A partitioned pair becomes unknown, with its loss, and other pairs are not affected.
 func TestMatrixFollowsLatencyAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -148,7 +154,7 @@
 					}
 				}
 			}
-			if wrong > 2 { // a member that missed a few rows has some of the others
+			if wrong > 2 { // a member that missed a few rows may have other values
 				t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(network.members), a, b)
 			}
 		}
@@ -181,7 +187,7 @@
 	})
 }
 
-// What a pair of sites is measured at does not grow with the fleet, nor what each member sends.
+// The rate of probes for a pair of sites does not grow with the fleet.
 func TestProbeRateDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, n := range []int{3, 30, 90} {
 		synctest.Test(t, func(t *testing.T) {
@@ -208,7 +214,7 @@
 	}
 }
 
-// A row counts from an observer of its own site alone, one word for a pair, and what makes no sense is no row.
+// A row counts only if its observer is a member of its site, once for each pair, and only if it is well-formed.
 func TestRowsAreCheckedAgainstMembership(t *testing.T) {
 	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}}, member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
@@ -235,7 +241,7 @@
 	}
 }
 
-// A site that was not heard of for a while is left out of a row: the rest is as old as it is without it.
+// Row leaves out estimates that are older than the limit, and its age is that of the others.
 func TestRowLeavesOutOldEstimates(t *testing.T) {
 	m := Matrix{{"a", "b"}: {RTT: 3 * time.Millisecond, Age: time.Second}, {"a", "c"}: {RTT: 4 * time.Millisecond, Age: 2900 * time.Millisecond},
 		{"b", "c"}: {RTT: time.Millisecond}}
@@ -256,7 +262,7 @@
 			p.HandleDatagram(data, netip.AddrPort{}, time.Now())
 		}
 		if r, err := unmarshalRow(data); err == nil && r.validate() != nil {
-			t.Error("a row that does not hold its bounds is taken")
+			t.Error("a row that exceeds its limits is accepted")
 		}
 	})
 }
--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -1,5 +1,7 @@
 package latency
 
+// This file combines latency rows into the matrix of all sites.
+
 import (
 	"slices"
 	"time"
@@ -8,18 +10,19 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Estimate is what the fleet knows of a pair of sites.
+// Estimate is the fleet's estimate for a pair of sites.
 type Estimate struct {
-	RTT       time.Duration // 0: not known, since nothing came back
-	Jitter    time.Duration
-	Loss      float64 // share of asks without an answer
-	Observers int
-	Age       time.Duration // of the oldest word that it rests on
+	RTT       time.Duration // median round trip; 0: unknown, because most observers got no reply
+	Jitter    time.Duration // how much longer slow round trips take
+	Loss      float64       // fraction of probes without a reply, from 0 to 1
+	Observers int           // rows that the estimate rests on
+	Age       time.Duration // of the oldest of these rows
 }
 
-// Pair is two sites, the lower name first: a round trip has no direction.
+// Pair is an unordered pair of sites, with A <= B: a round trip has no direction.
 type Pair struct{ A, B string }
 
+// pairOf returns the pair of two sites in any order.
 func pairOf(a, b string) Pair {
 	if b < a {
 		a, b = b, a
@@ -27,17 +30,17 @@
 	return Pair{a, b}
 }
 
-// Matrix is every pair of sites that is known. A pair that is not in it is not known.
+// Matrix holds the estimates of all pairs of sites that were measured. It must not be changed once it is shared.
 type Matrix map[Pair]Estimate
 
-// Between is what is known of two sites.
+// Between returns the estimate for two sites, and false if there is none.
 func (m Matrix) Between(a, b string) (Estimate, bool) {
 	e, ok := m[pairOf(a, b)]
 	return e, ok
 }
 
-// NewMatrix makes a matrix of rows. Each observer has one word on a pair, and the third lowest of their words counts. A row counts only from an observer of that site; whose site is
-// not known here says nothing.
+// NewMatrix builds a matrix from the entries of kind gossip.LatencyRow. Each observer counts once for a pair. A row counts only
+// if its observer is a member of that site in the view; malformed rows are ignored.
 func NewMatrix(rows []gossip.Entry, view *member.View) Matrix {
 	type word struct {
 		rowEntry
@@ -79,13 +82,15 @@
 	return m
 }
 
-// thirdLowest is the third lowest word, or the middle one of fewer than five: two observers that say too little are left out, and
-// all but three that say too much, as everyone does who asks a false or stopped member.
+// thirdLowest returns the third lowest value, or the median of fewer than five. Two observers with values that are too low have
+// no effect, and neither have any number with values that are too high, as long as three others remain: an observer's value
+// is too high if it probes a member that is stopped or delays its replies.
 func thirdLowest(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return list[min(2, (len(list)-1)/2)]
 }
 
+// median returns the median, the lower one of two. It sorts list.
 func median(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return quantile(list, 0.5)
--- a/internal/fleet/latency/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -1,10 +1,17 @@
-// Package latency measures round trips between sites from inside the fleet, and makes a matrix of what all of them
-// measured that no few false ones can move.
+// Package latency measures round trips between sites from inside the fleet, and combines the measurements of all members into
+// a matrix that a few members with false measurements cannot change much.
 //
-// A site is a zone of the list. Of each, a few members observe: chosen by rendezvous, the same at every member, so that
-// every pair of sites is measured at a rate that does not grow with the fleet.
+// A site is a zone of the endpoint list. In each site a few members are observers. They are chosen by rendezvous hashing, so
+// that all members choose the same ones, and each pair of sites is measured at a rate that does not grow with the fleet.
+// An observer publishes a latency row every second: its round trips, jitter and loss to each site in the last 1.5 s.
+//
+// Each process owns one Prober, whose lock protects the measurements; Run is its only goroutine. Rows are held by the
+// process's gossip.Store with the age bound of gossip.LatencyRow. A Matrix is a value that whoever built it owns; it is as
+// old as the rows it was built from, and has to be rebuilt when one of them expires.
 package latency
 
+// This file probes other members, answers their probes and publishes the latency row.
+
 import (
 	"cmp"
 	"context"
@@ -22,59 +29,64 @@
 )
 
 const (
-	observersPerSite = 5                       // of each site: two false ones are outvoted
-	pairRate         = 16.0                    // round trips a second between two sites, from either side
-	publishInterval  = time.Second             // a row
-	sampleWindow     = 1500 * time.Millisecond // for which a round trip counts
-	probeTimeout     = 700 * time.Millisecond  // an ask without an answer by then is lost
-	maxDwell         = 20 * time.Millisecond   // a far side that took longer was busy: it tells nothing of the way
-	medianQuantile   = 0.5                     // the quantile that stands for a pair: of three, one that asked a false member is left out
-	jitterQuantile   = 0.75
-	maxPending       = 1024 // asks out at once
+	observersPerSite = 5                       // enough to outvote two with false measurements
+	pairRate         = 16.0                    // probes per second between two sites, from both sides together
+	publishInterval  = time.Second             // between two latency rows
+	sampleWindow     = 1500 * time.Millisecond // age up to which a sample counts
+	probeTimeout     = 700 * time.Millisecond  // a probe that is not answered by then is lost
+	maxDwell         = 20 * time.Millisecond   // a peer that took longer was busy: the sample is not used
+	medianQuantile   = 0.5                     // of three samples, one from a peer with a false dwell time has no effect
+	jitterQuantile   = 0.75                    // jitter is the distance from the median to this quantile
+	maxPending       = 1024                    // probes that are not answered yet
 )
 
-// Config is what a Prober needs.
+// Config configures a Prober.
 type Config struct {
-	Name, Site, Label string
-	View              func() *member.View
-	Send              func(data []byte, to netip.AddrPort) (time.Time, error)
-	Store             *gossip.Store
+	Name, Site, Label string                                                             // of this process; Label is the fleet's
+	View              func() *member.View                                                // the current members
+	Send              func(data []byte, to netip.AddrPort) (sentAt time.Time, err error) // sends a datagram; must not wait
+	Store             *gossip.Store                                                      // where the row is published
 }
 
-// Prober asks others for round trips, answers them, and tells what it measured.
+// Prober measures round trips to other members, answers their probes, and publishes a latency row.
 type Prober struct {
 	cfg       Config
 	labelHash uint64
 
-	mu        sync.Mutex
-	pending   map[uint64]pendingProbe
-	samples   map[string][]sample // by site, oldest first
-	malformed int                 // datagrams that made no sense
-	sent      int
+	mu        sync.Mutex              // protects the next four
+	pending   map[uint64]pendingProbe // by nonce
+	samples   map[string][]sample     // by site, oldest first
+	malformed int                     // datagrams that were malformed, of another fleet, or no answer to a pending probe
+	sent      int                     // probes
 
-	planView      *member.View // what the plan follows from; of Run alone, as the plan is
-	sites         []member.Members
-	probeInterval time.Duration
+	// The plan, used by Run alone.
+	planView      *member.View     // the view for which it was made
+	sites         []member.Members // the members to probe, by site; empty where this process is not an observer
+	probeInterval time.Duration    // average time between two probes
 }
 
+// pendingProbe is a probe that is not answered yet.
 type pendingProbe struct {
 	site   string
 	to     netip.AddrPort
 	sentAt time.Time
 }
 
+// sample is the result of a probe.
 type sample struct {
-	sentAt time.Time // when it was asked
-	rtt    time.Duration
+	sentAt time.Time
+	rtt    time.Duration // 0 if lost
 	lost   bool
 }
 
-// New returns a prober that is to Run.
+// New returns a prober. It answers probes at once, and sends its own while Run runs.
 func New(cfg Config) *Prober {
-	return &Prober{cfg: cfg, labelHash: xxhash.Sum64String(cfg.Label), pending: map[uint64]pendingProbe{}, samples: map[string][]sample{}}
+	return &Prober{cfg: cfg, labelHash: xxhash.Sum64String(cfg.Label), pending: map[uint64]pendingProbe{},
+		samples: map[string][]sample{}}
 }
 
-// HandleDatagram takes a datagram on the task that read it, and answers an ask at once.
+// HandleDatagram takes a datagram and the time at which it was read. A request is answered at once; a reply becomes a sample.
+// It does not keep data, and is called from the goroutine that reads the socket.
 func (p *Prober) HandleDatagram(data []byte, from netip.AddrPort, receivedAt time.Time) {
 	d, err := decodeDatagram(data)
 	if err != nil || d.label != p.labelHash {
@@ -86,24 +98,25 @@
 	if d.kind == probeRequest {
 		d.kind = probeReply
 		d.dwell = uint32(min(time.Since(receivedAt).Microseconds(), 1<<32-1))
-		_, _ = p.cfg.Send(d.encode(member.ProbeByte), from) // lost, as on any way
+		_, _ = p.cfg.Send(d.encode(member.ProbeByte), from) // if it fails the probe counts as lost, as if the network had dropped it
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	probe, ok := p.pending[d.nonce]
 	if !ok || probe.to != from {
-		p.malformed++ // too late, or made up
+		p.malformed++ // too late, or forged
 		return
 	}
 	delete(p.pending, d.nonce)
 	dwell := time.Duration(d.dwell) * time.Microsecond
-	if rtt := receivedAt.Sub(probe.sentAt); dwell <= maxDwell && 2*dwell < rtt { // who claims most of it was busy, or makes the way short
+	// A peer that claims most of the round trip as its own dwell time was busy, or makes the network look faster than it is.
+	if rtt := receivedAt.Sub(probe.sentAt); dwell <= maxDwell && 2*dwell < rtt {
 		p.samples[probe.site] = append(p.samples[probe.site], sample{probe.sentAt, rtt - dwell, false})
 	}
 }
 
-// Run asks and tells until ctx ends.
+// Run sends probes and publishes the row until ctx ends. It may be called once.
 func (p *Prober) Run(ctx context.Context) {
 	publish := time.NewTicker(publishInterval)
 	defer publish.Stop()
@@ -121,13 +134,13 @@
 				p.sendProbe(sites[turn%len(sites)])
 				turn++
 			}
-			next.Reset(time.Duration((0.5 + rand.Float64()) * float64(interval))) // no lockstep
+			next.Reset(time.Duration((0.5 + rand.Float64()) * float64(interval))) // members must not probe in lockstep
 		}
 	}
 }
 
-// plan says whom of which site to ask, and how long to wait between two asks. Who does not observe waits. It is made anew
-// where who is there has changed.
+// plan returns the members to probe, by site, and the average time between two probes. A member that is not an observer gets
+// no sites. The plan is made anew when the view has changed.
 func (p *Prober) plan() ([]member.Members, time.Duration) {
 	view := p.cfg.View()
 	if view == p.planView {
@@ -146,13 +159,13 @@
 			p.sites = append(p.sites, members)
 		}
 	}
-	// Either side of a pair asks at half its rate, its observers in turn.
+	// Each side of a pair sends half of the probes, divided among its observers.
 	probesPerSecond := pairRate / 2 / float64(len(observers)) * float64(max(1, len(p.sites)))
 	p.probeInterval = time.Duration(float64(time.Second) / probesPerSecond)
 	return p.sites, p.probeInterval
 }
 
-// Observers are the members of a site that measure, of those that are there.
+// Observers returns the names of the members of a site that measure latency: the first few in rendezvous order.
 func Observers(site string, view *member.View) (names []string) {
 	for m := range view.InSite(site).All() {
 		names = append(names, m.Name)
@@ -163,6 +176,7 @@
 	return names[:min(len(names), observersPerSite)]
 }
 
+// sendProbe probes a random one of the given members, unless too many probes are pending.
 func (p *Prober) sendProbe(others member.Members) {
 	m := others.At(rand.IntN(others.Len()))
 	d := datagram{kind: probeRequest, label: p.labelHash, nonce: rand.Uint64()}
@@ -172,16 +186,16 @@
 	if len(p.pending) >= maxPending {
 		return
 	}
-	// Under the lock: the answer may be here before the write returns.
+	// The lock is held while sending, since the answer may arrive before Send returns.
 	sentAt, err := p.cfg.Send(d.encode(member.ProbeByte), m.Addr)
 	if err != nil {
-		sentAt = time.Now() // it counts as lost
+		sentAt = time.Now() // it will count as lost
 	}
 	p.sent++
 	p.pending[d.nonce] = pendingProbe{m.Site, m.Addr, sentAt}
 }
 
-// expire takes what was not answered as lost, and forgets what no longer counts. The lock is held.
+// expire turns unanswered probes into lost samples and removes samples that are too old. The lock is held.
 func (p *Prober) expire(now time.Time) {
 	for nonce, probe := range p.pending {
 		if now.Sub(probe.sentAt) > probeTimeout {
@@ -199,7 +213,7 @@
 	}
 }
 
-// publishRow tells what was measured of late, if anything was.
+// publishRow publishes the samples of the last sampleWindow, if there are any.
 func (p *Prober) publishRow() {
 	p.mu.Lock()
 	p.expire(time.Now())
@@ -211,7 +225,8 @@
 				rtts = append(rtts, s.rtt)
 			}
 		}
-		e := rowEntry{Site: site, LossPercent: uint8(100 * (len(list) - len(rtts)) / len(list)), Count: uint16(min(len(rtts), 1<<16-1))}
+		e := rowEntry{Site: site, LossPercent: uint8(100 * (len(list) - len(rtts)) / len(list)),
+			Count: uint16(min(len(rtts), 1<<16-1))}
 		if slices.Sort(rtts); len(rtts) > 0 {
 			low, high := quantile(rtts, medianQuantile), quantile(rtts, jitterQuantile)
 			e.RTTMicros, e.JitterMicros = uint32(max(1, low.Microseconds())), uint32((high - low).Microseconds())
@@ -230,12 +245,12 @@
 	})
 	body, err := cbor.Marshal(r)
 	if err != nil {
-		panic(err) // it holds numbers and names alone
+		panic(err) // a row consists of numbers and strings, which always encode
 	}
 	p.cfg.Store.Publish(gossip.LatencyRow, p.cfg.Site, body)
 }
 
-// quantile is rounded down: of two the lower.
+// quantile returns a quantile of a sorted list. The position is rounded down: of two values the median is the lower one.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[int(q*float64(len(sorted)-1))]
 }
--- a/internal/fleet/latency/row.go
+++ b/internal/fleet/latency/row.go
@@ -1,5 +1,7 @@
 package latency
 
+// This file defines the latency row: the body of an entry of kind gossip.LatencyRow.
+
 import (
 	"fmt"
 	"slices"
@@ -11,54 +13,59 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// row is what one observer measured from its site, as a fact's body.
+// row is what one observer measured from its site. The entry's subject is that site.
 type row struct {
 	Entries []rowEntry `cbor:"1,keyasint"`
 }
 
+// rowEntry is the measurement to one site.
 type rowEntry struct {
 	Site         string `cbor:"1,keyasint"`
-	RTTMicros    uint32 `cbor:"2,keyasint"` // the median round trip
-	JitterMicros uint32 `cbor:"3,keyasint"` // from there to a high one, us
-	LossPercent  uint8  `cbor:"4,keyasint"` // of 100
-	Count        uint16 `cbor:"5,keyasint"` // round trips it rests on; 0: none came back
+	RTTMicros    uint32 `cbor:"2,keyasint"` // median round trip
+	JitterMicros uint32 `cbor:"3,keyasint"` // distance from the median to the jitterQuantile
+	LossPercent  uint8  `cbor:"4,keyasint"` // probes without a reply
+	Count        uint16 `cbor:"5,keyasint"` // replies; 0: the round trip is unknown
 }
 
+// Limits of a row that is accepted from the network.
 const (
 	maxSites = 64
 	maxRTT   = 10 * time.Second
 )
 
+// validate checks a row against the limits.
 func (r row) validate() error {
 	if len(r.Entries) > maxSites {
-		return fmt.Errorf("a row of %d sites", len(r.Entries))
+		return fmt.Errorf("latency row has %d sites", len(r.Entries))
 	}
 	for _, e := range r.Entries {
 		if e.Site == "" || e.LossPercent > 100 || time.Duration(e.RTTMicros)*time.Microsecond > maxRTT {
-			return fmt.Errorf("an entry %+v", e)
+			return fmt.Errorf("latency row has an invalid entry %+v", e)
 		}
 	}
 	return nil
 }
 
 var rowDecMode = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 4 * maxSites, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode()
+	m, err := cbor.DecOptions{MaxArrayElements: 4 * maxSites, MaxMapPairs: 16, MaxNestedLevels: 6,
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	return m
 }()
 
+// unmarshalRow decodes and checks a row. It is the decode of gossip.DecodeBody for rows.
 func unmarshalRow(body []byte) (row, error) {
 	var r row
 	if err := rowDecMode.Unmarshal(body, &r); err != nil {
-		return r, err
+		return r, fmt.Errorf("decode latency row: %w", err)
 	}
 	return r, r.validate()
 }
 
-// DecodeRow reads how far sites are from the one of whose row a fact tells, by site.
+// DecodeRow decodes the body of a latency row and returns its estimates by site. It returns an error if the row is malformed
+// or exceeds a limit.
 func DecodeRow(body []byte) (map[string]Estimate, error) {
 	decoded, err := unmarshalRow(body)
 	if err != nil {
@@ -68,15 +75,17 @@
 	for _, e := range decoded.Entries {
 		estimate := Estimate{Loss: float64(e.LossPercent) / 100}
 		if e.Count > 0 {
-			estimate.RTT, estimate.Jitter = time.Duration(e.RTTMicros)*time.Microsecond, time.Duration(e.JitterMicros)*time.Microsecond
+			estimate.RTT = time.Duration(e.RTTMicros) * time.Microsecond
+			estimate.Jitter = time.Duration(e.JitterMicros) * time.Microsecond
 		}
 		row[e.Site] = estimate
 	}
 	return row, nil
 }
 
-// Row is what a matrix says of a site, as the body that an observer there would tell, and the age of the oldest word that it
-// rests on. nil: it says nothing. What rests on a word older than this is left out: it would make the rest as old.
+// Row returns the estimates from one site to the others in the form of a latency row, and the age of the oldest row they rest
+// on. Estimates older than maxAge are left out, since they would make the whole row as old. body is nil if no estimate is
+// left. A hub sends such rows to its agents.
 func (m Matrix) Row(site string, maxAge time.Duration) (body []byte, age time.Duration) {
 	var r row
 	for p, e := range m {
@@ -88,8 +97,8 @@
 			continue
 		}
 		age = max(age, e.Age)
-		r.Entries = append(r.Entries, rowEntry{Site: other, RTTMicros: uint32(e.RTT.Microseconds()), JitterMicros: uint32(e.Jitter.Microseconds()),
-			LossPercent: uint8(e.Loss * 100), Count: uint16(min(1, e.RTT))})
+		r.Entries = append(r.Entries, rowEntry{Site: other, RTTMicros: uint32(e.RTT.Microseconds()),
+			JitterMicros: uint32(e.Jitter.Microseconds()), LossPercent: uint8(e.Loss * 100), Count: uint16(min(1, e.RTT))})
 	}
 	if len(r.Entries) == 0 {
 		return nil, 0
