--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -42,11 +42,22 @@
 // NewMatrix builds a matrix from the entries of kind gossip.LatencyRow. Each observer counts once for a pair. A row counts only
 // if its observer is a member of that site in the view; malformed rows are ignored.
 func NewMatrix(rows []gossip.Entry, view *member.View) Matrix {
-	type word struct {
-		rowEntry
-		age time.Duration
+	matrix := Matrix{}
+	for pair, reports := range reportsByPair(rows, view) {
+		matrix[pair] = estimateOf(reports)
 	}
-	reports := map[Pair][]word{}
+	return matrix
+}
+
+// report is what one row says of one pair of sites.
+type report struct {
+	rowEntry
+	age time.Duration // of the row
+}
+
+// reportsByPair sorts the entries of all valid rows by pair of sites.
+func reportsByPair(rows []gossip.Entry, view *member.View) map[Pair][]report {
+	reports := map[Pair][]report{}
 	for _, row := range rows {
 		decoded, err := gossip.DecodeBody(row, unmarshalRow)
 		if m, there := view.ByName(row.Observer); err != nil || row.Subject == "" || !there || m.Site != row.Subject {
@@ -56,30 +67,32 @@
 		for _, e := range decoded.Entries {
 			if !seen[e.Site] {
 				seen[e.Site] = true
-				p := pairOf(row.Subject, e.Site)
-				reports[p] = append(reports[p], word{e, row.Age})
+				pair := pairOf(row.Subject, e.Site)
+				reports[pair] = append(reports[pair], report{e, row.Age})
 			}
 		}
 	}
-	m := Matrix{}
-	for p, list := range reports {
-		var rtts, jitters, losses []time.Duration
-		e := Estimate{Observers: len(list)}
-		for _, report := range list {
-			if report.Count > 0 {
-				rtts = append(rtts, time.Duration(report.RTTMicros)*time.Microsecond)
-				jitters = append(jitters, time.Duration(report.JitterMicros)*time.Microsecond)
-			}
-			losses = append(losses, time.Duration(report.LossPercent))
-			e.Age = max(e.Age, report.age)
-		}
-		if 2*len(rtts) > len(list) {
-			e.RTT, e.Jitter = thirdLowest(rtts), median(jitters)
+	return reports
+}
+
+// estimateOf combines the reports on a pair. The round trip is the third lowest of those reported, and unknown unless more
+// than half of the observers report one. Jitter and loss are medians.
+func estimateOf(reports []report) Estimate {
+	var rtts, jitters, losses []time.Duration
+	e := Estimate{Observers: len(reports)}
+	for _, report := range reports {
+		if report.Count > 0 {
+			rtts = append(rtts, time.Duration(report.RTTMicros)*time.Microsecond)
+			jitters = append(jitters, time.Duration(report.JitterMicros)*time.Microsecond)
 		}
-		e.Loss = float64(median(losses)) / 100
-		m[p] = e
+		losses = append(losses, time.Duration(report.LossPercent))
+		e.Age = max(e.Age, report.age)
+	}
+	if 2*len(rtts) > len(reports) {
+		e.RTT, e.Jitter = thirdLowest(rtts), median(jitters)
 	}
-	return m
+	e.Loss = float64(median(losses)) / 100
+	return e
 }
 
 // thirdLowest returns the third lowest value, or the median of fewer than five. Two observers with values that are too low have
