--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -1,5 +1,7 @@
 package startup
 
+// This file defines the published load of the list service and its aggregate over many processes.
+
 import (
 	"slices"
 	"time"
@@ -9,23 +11,27 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// Subject is what those who called the list service tell of.
+// Subject is the subject of the gossip entries that a Pacer publishes.
 const Subject = subject
 
-// serviceLoad is what one caller saw of the service, as a fact's body.
+// serviceLoad is the load of the list service as one caller observed it: the body of an entry of kind
+// gossip.ListServiceLoad.
 type serviceLoad struct {
-	Rate    float64 `cbor:"1,keyasint"` // calls a second that it seems to bear
-	Failed  bool    `cbor:"2,keyasint"` // the call was refused, or failed
-	Version int64   `cbor:"3,keyasint"` // of the list that came
+	Rate    float64 `cbor:"1,keyasint"` // calls per second that the service seems to sustain
+	Failed  bool    `cbor:"2,keyasint"` // the call was rejected or failed
+	Version int64   `cbor:"3,keyasint"` // of the list in the answer
 }
 
+// decodeLoad decodes the body of an entry. It is the decode of gossip.DecodeBody for loads.
 func decodeLoad(body []byte) (l serviceLoad, err error) {
 	err = cbor.Unmarshal(body, &l)
 	return l, err
 }
 
-// Aggregate sums up words on the load of the list service as words of the same form: the middle rate and the highest version, as
-// old as the oldest word that counts, and the youngest refusal, which holds others back by its age, as a word beside it.
+// Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the median
+// rate and the highest version, and is as old as the oldest entry that counts. The second is the most recent failure, if
+// there is one, with its own age, which determines how long others pause. Malformed entries are ignored. Hubs publish the
+// aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
 	var total, failed serviceLoad
@@ -53,10 +59,11 @@
 	return aggregates
 }
 
+// aggregateEntry returns an entry with the given load.
 func aggregateEntry(subject string, load serviceLoad, age time.Duration) gossip.Entry {
 	body, err := cbor.Marshal(load)
 	if err != nil {
-		panic(err) // it holds numbers alone
+		panic(err) // a load consists of numbers and a bool, which always encode
 	}
 	return gossip.Entry{Kind: gossip.ListServiceLoad, Subject: subject, Age: age, Body: body}
 }
--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -1,10 +1,16 @@
-// Package startup has hundreds of processes that start at once ask a list service in turns.
+// Package startup limits the rate at which processes that start at the same time call the list service.
 //
-// Nobody hands out turns: each draws its own from a window that follows from how many are seen to start and from what
-// the service bears, which whoever called tells the others. Without any word from them the same code spares the service
-// by a window of its own.
+// No process assigns turns. Each process draws a random place in a time window whose length is the number of starting
+// processes divided by the rate that the service is believed to sustain. Processes that called the service publish that rate
+// by gossip (gossip.ListServiceLoad), and lower it when calls fail or are slow. Without gossip the same rule holds with what
+// this process observed alone.
+//
+// Each process owns one Pacer, whose lock protects its state; the package starts no goroutines. What others published is used
+// up to the age bound of gossip.ListServiceLoad.
 package startup
 
+// This file decides when a process may call the list service.
+
 import (
 	"context"
 	"math"
@@ -19,46 +25,46 @@
 )
 
 const (
-	gatherPeriod        = 300 * time.Millisecond // until others can have been met; nobody calls before
-	checkInterval       = 50 * time.Millisecond  // at what others tell, while a turn is waited for
-	isolatedWindow      = time.Second            // the window of one who met nobody
-	maxWindow           = 10 * time.Second       // of any window
-	slowAnswer          = 500 * time.Millisecond // an answer that took longer says that the service is behind
-	rateIncrease        = 1.25                   // of the rate, for an answer that came well
-	failureDecrease     = 0.5                    // for a call that was refused or failed
-	slowDecrease        = 0.9                    // for one that waited
-	minRate             = 0.5                    // calls a second
-	maxRate             = 1000.0
-	failurePauseWindows = 2.0 // windows for which a refusal that others tell of holds back
-	subject             = "lists"
-	maxDoublings        = 5
-	republishInterval   = 3 * time.Second // a rate that was told is not told again so soon unless it changed much
+	gatherPeriod        = 300 * time.Millisecond // no process calls the service earlier after its start: it first has to meet others
+	checkInterval       = 50 * time.Millisecond  // between two looks at the gossip while a process awaits its turn
+	isolatedWindow      = time.Second            // shortest window of a process that has met no other
+	maxWindow           = 10 * time.Second       // longest window
+	slowAnswer          = 500 * time.Millisecond // a longer wait for the first byte shows that the service is overloaded
+	rateIncrease        = 1.25                   // factor on the rate after a fast answer
+	failureDecrease     = 0.5                    // factor on the rate after a failed call
+	slowDecrease        = 0.9                    // factor on the rate after a slow answer
+	minRate             = 0.5                    // calls per second
+	maxRate             = 1000.0                 // calls per second
+	failurePauseWindows = 2.0                    // a failure pauses all processes for this many times 1/rate
+	subject             = "lists"                // see Subject
+	maxDoublings        = 5                      // of the window, one for each consecutive failure
+	republishInterval   = 3 * time.Second        // after which a load is published again though nothing has changed
 )
 
-// Config is what a Pacer needs.
+// Config configures a Pacer.
 type Config struct {
-	Rate     float64       // calls a second that the service is taken to bear at first, from all
-	HasPeers func() bool   // anyone has been met
-	Store    *gossip.Store // nil: there are no others
+	Rate     float64       // calls per second that the service is assumed to sustain at first, from all processes together
+	HasPeers func() bool   // whether this process has met any other
+	Store    *gossip.Store // nil: no loads are exchanged
 }
 
-// Pacer says when this process may call.
+// Pacer decides when this process may call the list service. Its methods may be called from any goroutine.
 type Pacer struct {
 	cfg       Config
 	startedAt time.Time
 
-	mu                  sync.Mutex
+	mu                  sync.Mutex // protects all below
 	consecutiveFailures int
-	rate                float64
+	rate                float64     // calls per second, as estimated by this process
+	published           serviceLoad // the load that was published last
 	publishedAt         time.Time
-	published           serviceLoad
 }
 
-// New returns the pacer of a process that has just started.
+// New returns a pacer for a process that starts now.
 func New(cfg Config) *Pacer { return &Pacer{cfg: cfg, startedAt: time.Now(), rate: cfg.Rate} }
 
-// serviceState is what is known of the service now: the rate that it bears, as the middle of what those who called lately found,
-// and when it last refused anyone.
+// serviceState returns what is known of the service now: the sustainable rate, as the median of the published loads or else
+// this process's own estimate; how long ago a call last failed, or -1; and the highest published list version.
 func (p *Pacer) serviceState() (rate float64, lastFailure time.Duration, version int64) {
 	p.mu.Lock()
 	rate, lastFailure = p.rate, -1
@@ -85,10 +91,10 @@
 	return rate, lastFailure, version
 }
 
-// LatestVersion is the highest version of the list that anyone has told of lately.
+// LatestVersion returns the highest list version among the published loads, or 0.
 func (p *Pacer) LatestVersion() int64 { _, _, v := p.serviceState(); return v }
 
-// window is the span in which so many have their turns at a rate.
+// window returns the time in which the given number of processes get their turns at a rate.
 func (p *Pacer) window(starters int, rate float64) time.Duration {
 	p.mu.Lock()
 	backoff := math.Exp2(float64(min(p.consecutiveFailures, maxDoublings)))
@@ -100,15 +106,16 @@
 	return min(window, maxWindow)
 }
 
-// AwaitTurn waits for this process's turn among so many that are seen to start, and reports false once ctx ends. What others tell meanwhile counts: where more
-// start or the service is behind the turn moves on in step, and a refusal that is news holds everyone back.
+// AwaitTurn waits for this process's turn among the starting processes, which countStarting counts, this one included. It
+// reports false if ctx ends first. While it waits it follows the gossip: if more processes start or the rate falls, the turn
+// moves back in proportion, and a recent failure pauses every process.
 func (p *Pacer) AwaitTurn(ctx context.Context, countStarting func() int) bool {
 	check := time.NewTicker(checkInterval)
 	defer check.Stop()
-	windowStart, place := time.Now(), rand.Float64() // full jitter: the place in the window, however wide it becomes
+	windowStart, place := time.Now(), rand.Float64() // full jitter: the relative place stays when the window changes
 	starters := 1
 	for {
-		// Who has had a turn does not move the others' on: all would come at once.
+		// The count never falls: if processes that had their turn moved the others forward, all would call at once.
 		starters = max(starters, countStarting())
 		rate, lastFailure, _ := p.serviceState()
 		now := time.Now()
@@ -116,11 +123,11 @@
 		if earliest := p.startedAt.Add(gatherPeriod); due.Before(earliest) {
 			due = earliest.Add(time.Duration(place * float64(checkInterval)))
 		}
-		hold := time.Duration(failurePauseWindows / rate * float64(time.Second))
-		if !now.Before(due) && (lastFailure < 0 || lastFailure > hold) {
+		pause := time.Duration(failurePauseWindows / rate * float64(time.Second))
+		if !now.Before(due) && (lastFailure < 0 || lastFailure > pause) {
 			return true
 		}
-		if lastFailure >= 0 && lastFailure <= hold && !now.Before(due) { // behind those who were refused
+		if lastFailure >= 0 && lastFailure <= pause && !now.Before(due) { // queue behind those whose calls failed
 			windowStart = now
 		}
 		select {
@@ -131,7 +138,8 @@
 	}
 }
 
-// RecordAttempt takes how a call went: what it waited for its first byte, or that it failed.
+// RecordAttempt records the result of a call: the wait for the first byte of the answer, or that the call failed, and the
+// list version in the answer. It publishes the load if that is news to others.
 func (p *Pacer) RecordAttempt(waited time.Duration, failed bool, version int64) {
 	rate, _, _ := p.serviceState()
 	p.mu.Lock()
@@ -148,8 +156,9 @@
 	}
 	p.rate = min(max(rate, minRate), maxRate)
 	load := serviceLoad{Rate: p.rate, Failed: failed, Version: version}
-	// Where all goes well the same words from everyone help nobody.
-	worthPublishing := failed || waited > slowAnswer || version != p.published.Version || time.Since(p.publishedAt) > republishInterval
+	// While the service is healthy, the same load from every process would be of no use.
+	worthPublishing := failed || waited > slowAnswer || version != p.published.Version ||
+		time.Since(p.publishedAt) > republishInterval
 	if worthPublishing {
 		p.published, p.publishedAt = load, time.Now()
 	}
@@ -159,7 +168,7 @@
 	}
 	body, err := cbor.Marshal(load)
 	if err != nil {
-		panic(err) // it holds numbers alone
+		panic(err) // a load consists of numbers and a bool, which always encode
 	}
 	p.cfg.Store.Publish(gossip.ListServiceLoad, subject, body)
 }
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -1,5 +1,7 @@
 package startup
 
+// This file tests many pacers against a list service of fixed capacity.
+
 import (
 	"context"
 	"errors"
@@ -13,12 +15,12 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// testService is a list service of fixed capacity: calls wait in turn, and fail when they would wait too long.
+// testService is a list service of fixed capacity. Calls queue, and are rejected if they would wait too long.
 type testService struct {
-	rate          float64
-	maxWait       time.Duration // a call that would wait longer is refused
-	idleAt        time.Time     // the queue is empty then
-	darkUntil     time.Time     // nobody is answered before
+	rate          float64       // calls per second
+	maxWait       time.Duration // a call that would wait longer is rejected
+	idleAt        time.Time     // when the queue will be empty
+	darkUntil     time.Time     // all calls are rejected before
 	calls         int
 	failed        int
 	peak          int // calls in the worst second
@@ -28,7 +30,7 @@
 
 var errBusy = errors.New("busy")
 
-// call returns how long it takes until the answer, or that it is refused.
+// call returns the time until the answer, or errBusy if the call is rejected.
 func (s *testService) call() (time.Duration, error) {
 	now := time.Now()
 	s.calls++
@@ -51,12 +53,13 @@
 	return wait + time.Duration(float64(time.Second)/s.rate), nil
 }
 
-// startAll has n processes start within a second, and returns how long it took until all had a list.
+// startAll starts n processes within a second, with or without gossip between them, and returns the time until all had a
+// list.
 func startAll(t *testing.T, n int, s *testService, fleet bool) (took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel() // nobody waits any more by then
+		defer cancel() // no process waits any more by then
 		s.startedAt, s.callsBySecond = time.Now(), map[int]int{}
 		if !s.darkUntil.IsZero() {
 			s.darkUntil = s.startedAt.Add(10 * time.Second)
@@ -96,12 +99,12 @@
 		}
 		gossipTicker := time.NewTicker(100 * time.Millisecond)
 		defer gossipTicker.Stop()
-		for answers := 0; answers < n; {
+		for completed := 0; completed < n; {
 			select {
 			case do := <-turns:
 				do()
 			case <-done:
-				answers++
+				completed++
 				waiting.Add(-1)
 			case <-gossipTicker.C:
 				for i, st := range stores {
@@ -121,15 +124,16 @@
 	return took
 }
 
-// Hundreds that start at once spare a service of which they only know by each other how much it bears.
+// Many processes that start at the same time do not overload a service whose capacity they learn only from each other, and
+// all get a list in time.
 func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
 	for _, c := range []struct {
 		n     int
 		rate  float64
 		dark  bool
 		fleet bool
-		calls float64 // an agent, at the most
-		slow  float64 // times what the capacity dictates, and 2 s, until all have a list
+		calls float64 // greatest number of calls per agent
+		slow  float64 // greatest time until all have a list: this times the ideal by capacity, plus 2 s
 	}{
 		{100, 17, false, true, 1.4, 2}, {100, 67, false, true, 1.1, 4}, {10, 50, false, true, 1.01, 4},
 		{100, 50, true, true, 6, 3}, {100, 50, false, false, 3, 4}, {1, 50, false, true, 1, 50},
