--- a/internal/fleet/dead.go
+++ b/internal/fleet/dead.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file finds out which failed members are dead, and publishes them.
+
 import (
 	"context"
 	"strconv"
@@ -14,10 +16,12 @@
 const (
 	deadCheckInterval = time.Second
 	deadCheckTimeout  = 600 * time.Millisecond
-	deadCheckers      = 2 // members that see to whether a failed one is dead
+	deadCheckers      = 2  // members that check each failed one
+	maxNamesPerEntry  = 64 // dead names in one gossip entry: its body is limited
 )
 
-// detectDead sees to it that members that failed and whose machine refuses connections are told to be gone.
+// detectDead checks the failed members that this one is responsible for, once a second until ctx ends, and publishes the names
+// of those whose machine refuses connections. Other members then use their quota; see recomputeQuota.
 func (f *Fleet) detectDead(ctx context.Context) {
 	tick := time.NewTicker(deadCheckInterval)
 	defer tick.Stop()
@@ -36,14 +40,14 @@
 		calls.Wait()
 		var names []string
 		for i, m := range failed {
-			if dead[i] && !m.Hub { // a hub has no part that others could use
+			if dead[i] && !m.Hub { // a hub has no quota that others could use
 				names = append(names, m.Name)
 			}
 		}
-		for i := 0; i < len(names); i += 64 { // so many fit into a fact
-			body, err := cbor.Marshal(names[i:min(len(names), i+64)])
+		for i := 0; i < len(names); i += maxNamesPerEntry {
+			body, err := cbor.Marshal(names[i:min(len(names), i+maxNamesPerEntry)])
 			if err != nil {
-				panic(err) // they are names alone
+				panic(err) // strings always encode
 			}
 			f.store.Publish(gossip.DeadProcesses, strconv.Itoa(i), body)
 		}
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file shares versioned documents, the residency policy and the settings, with other members.
+
 import (
 	"context"
 	"net/http"
@@ -12,26 +14,29 @@
 )
 
 const (
-	documentInterval = 250 * time.Millisecond // who holds a text tells its version, and the others look
-	maxDocumentPeers = 4                      // members asked for a text, its source first
+	documentInterval = 250 * time.Millisecond // between two publications of versions and two looks at those of others
+	maxDocumentPeers = 4                      // members that are asked for a document, the publisher of its version first
 )
 
-// PolicyReplicator is the residency policy of a holder, as a text that goes round a fleet.
+// PolicyReplicator returns the residency policy of a holder as a document that a fleet replicates.
 func PolicyReplicator(holder *residency.Holder) *documents.Document {
-	return &documents.Document{GossipKind: gossip.ResidencyVersion, Subject: "policy", Path: "/residency/", MaxBytes: residency.MaxText, Holder: holder, Digest: residency.Digest, Confirm: holder.Confirm,
+	return &documents.Document{GossipKind: gossip.ResidencyVersion, Subject: "policy", Path: "/residency/",
+		MaxBytes: residency.MaxText, Holder: holder, Digest: residency.Digest, Confirm: holder.Confirm,
 		Applied: func() documents.AppliedVersion {
-			st := holder.State()
-			return documents.AppliedVersion{Version: st.Version, Digests: st.Digests}
+			state := holder.State()
+			return documents.AppliedVersion{Version: state.Version, Digests: state.Digests}
 		}}
 }
 
-// sharedDocument is a text that this process shares. A policy is told by its sources alone, by whose word it ages; settings are told
-// by whoever has them.
+// sharedDocument is a document that this process holds and serves to others.
 type sharedDocument struct {
 	*documents.Document
-	publishes bool
+	publishes bool // this process publishes the version that it has in force
 }
 
+// sharedDocuments returns the documents that the configuration names. The version of the policy is published only by processes
+// that are given the policy: its age is the time since one of them confirmed it. The version of settings is published by every
+// process that holds them.
 func (c *Config) sharedDocuments() (list []sharedDocument) {
 	if c.Residency != nil {
 		list = append(list, sharedDocument{PolicyReplicator(c.Residency), c.PolicySource})
@@ -42,7 +47,7 @@
 	return list
 }
 
-// shareDocuments tells the others which texts are in force here, and follows theirs.
+// shareDocuments publishes the versions in force here and fetches later versions of others, until ctx ends.
 func (f *Fleet) shareDocuments(ctx context.Context) {
 	tick := time.NewTicker(documentInterval)
 	defer tick.Stop()
@@ -53,8 +58,8 @@
 		case <-tick.C:
 		}
 		for _, document := range f.documents {
-			if st := document.Applied(); document.publishes && st.Version > 0 {
-				f.store.Publish(document.GossipKind, document.Subject, st.MarshalBody())
+			if applied := document.Applied(); document.publishes && applied.Version > 0 {
+				f.store.Publish(document.GossipKind, document.Subject, applied.MarshalBody())
 			}
 			for _, entry := range f.store.Entries(document.GossipKind) {
 				if entry.Observer != f.cfg.Name {
@@ -65,10 +70,10 @@
 	}
 }
 
-// documentPeers is whom to ask for a text of a source: the source, then others.
-func (f *Fleet) documentPeers(source string) documents.Sources {
+// documentPeers returns the members to ask for a document whose version the named one has published: that one first.
+func (f *Fleet) documentPeers(publisher string) documents.Sources {
 	peers, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
-	if m, there := view.ByName(source); there {
+	if m, there := view.ByName(publisher); there {
 		peers.Addrs = append(peers.Addrs, m.Addr.String())
 	}
 	for m := range view.All() {
@@ -82,10 +87,10 @@
 	return peers
 }
 
-// serveDocument hands a text out, if one is asked for.
-func (f *Fleet) serveDocument(w http.ResponseWriter, q *http.Request) bool {
+// serveDocument answers a request for a document. It reports false if the request is for something else.
+func (f *Fleet) serveDocument(w http.ResponseWriter, req *http.Request) bool {
 	for _, document := range f.documents {
-		if digest, ok := strings.CutPrefix(q.URL.Path, document.Path); ok {
+		if digest, ok := strings.CutPrefix(req.URL.Path, document.Path); ok {
 			document.Serve(w, digest)
 			return true
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,11 +1,22 @@
-// Package fleet is what an agent shares with the others of its fleet: who is there (member), what they know together
-// and how old that is (fact), whose turn it is at the list service (start), how far sites are from each other
-// (distance), which part of the in-flight limit is whose, and which residency policy is in force.
+// Package fleet connects a process, an agent or a hub, with the others of its fleet in a full mesh. From what they share it
+// derives the process's quota of the fleet's in-flight limit, the latency of the other sites, when the list service may be
+// called, and which residency policy and settings are in force.
 //
-// Each of these is a task of its own, written straight down. An agent serves without any of them: nothing on a
-// request's path waits here, and what is told to the agent has an age and a bound.
+// A Fleet is owned by whoever calls Run, which starts these goroutines and waits for them:
+//
+//   - member.List: the list of members, and the sockets. It has no age bound.
+//   - runLoop: ticks the gossip store, recomputes the quota and the latencies, and calls the Callbacks.
+//   - detectDead: checks failed members and publishes the dead ones.
+//   - relay: an HTTP server for other members, with the endpoint list and the documents in force.
+//   - latency.Prober: measures round trips, if MeasureLatency is set.
+//   - shareDocuments: publishes the versions of documents and fetches later ones.
+//
+// The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. The fields of Fleet are
+// protected by one lock, those of relay by another. No request path waits here, and an agent serves without a fleet.
 package fleet
 
+// This file makes a fleet from its parts and runs it.
+
 import (
 	"cmp"
 	"context"
@@ -28,41 +39,45 @@
 	"martenbeam/internal/residency"
 )
 
-// Config is a process's place in its fleet.
+// Config configures a Fleet.
 type Config struct {
-	Name, Site, Version string
-	Listen, Advertise   string   // addresses, UDP and TCP; Advertise may be ""
-	Seeds               []string // addresses
-	Label               string
-	MaxMembers          int  // most processes that the fleet has
-	AwaitAddress        bool // Listen may be held by an older process of this agent
-	AgeBounds           gossip.AgeBounds
-	RelayedLists        bool                  // lists come by way of a few members of a site
-	ListRate            float64               // calls a second that the list service is taken to bear at first
-	MeasureLatency      bool                  // round trips are measured, and told
-	Incarnations        incarnation.Allocator // numbers the processes of the name
+	Name, Site, Version string                // of this process; the site is its zone
+	Listen, Advertise   string                // IP address and port, for UDP and TCP; Advertise "": Listen
+	Seeds               []string              // addresses of other members, IP and port
+	Label               string                // fleets with different labels do not mix
+	MaxMembers          int                   // greatest number of agents in the fleet: the in-flight limit is divided among so many
+	AwaitAddress        bool                  // if Listen is in use by an older process of this agent, Run waits for it
+	AgeBounds           gossip.AgeBounds      // nil: gossip.DefaultAgeBounds
+	RelayedLists        bool                  // endpoint lists are relayed by a few members of each site
+	ListRate            float64               // calls per second that the list service is assumed to sustain at first
+	MeasureLatency      bool                  // round trips to other sites are measured and published
+	Incarnations        incarnation.Allocator // allocates the incarnation of this process
 	Log                 *slog.Logger
-	Trace               io.Writer // a line for each fact used or told, and for each part taken; nil: none
+	Trace               io.Writer // gets a line for each gossip entry used or published and each change of quota; nil: no trace
 
-	Residency    *residency.Holder   // nil: none
-	PolicySource bool                // of the residency policy
-	Settings     *documents.Document // that this process holds for others; nil: none
+	Residency    *residency.Holder   // of the residency policy in force; nil: there is none
+	PolicySource bool                // this process is given the policy and publishes its version
+	Settings     *documents.Document // settings that this process holds for others; nil: none
 
-	Hub         bool         // this process is a hub, and no agent
-	HTTPHandler http.Handler // of HTTP on the fleet's address, but for texts and lists; nil: none
+	Hub         bool         // this process is a hub, not an agent
+	HTTPHandler http.Handler // serves HTTP requests to the fleet's address, except for documents and endpoint lists; nil: 404
 
-	Listener  *net.TCPListener // at Listen, if it is held already: the fleet closes it
-	StartedAt time.Time        // when this process began; zero: now
-	Wire      member.Wire      // nil: sockets are used as they are
+	Listener  *net.TCPListener // a socket that is bound to Listen already, which the fleet closes; nil: one is opened
+	StartedAt time.Time        // when this process started; zero: now
+	Wire      member.Wire      // intercepts the traffic, for tests; nil: none
 }
 
-// Callbacks is what a fleet tells its agent, by tasks of its own. Each must not wait.
+// Callbacks receive what a fleet derives for its agent. They are called by the fleet's runLoop, one at a time, and must not
+// wait. Each may be nil.
 type Callbacks struct {
-	Quota     func(part float64)                         // of the fleet's in-flight limit, from 0 to 1
-	Latencies func(trip []time.Duration, loss []float64) // from this site to each zone; 0: not known, the loss too
+	// Quota takes this process's quota, a fraction of the fleet's in-flight limit from 0 to 1, when it changes.
+	Quota func(quota float64)
+	// Latencies takes the round trips from this site to each zone, and the loss from 0 to 1, when any changes. Both are 0
+	// where they are unknown. The slices are not changed afterwards.
+	Latencies func(rtts []time.Duration, lossRates []float64)
 }
 
-// Fleet is a process's place in its fleet. It must be run.
+// Fleet is a process's membership of its fleet. Its methods may be called from any goroutine.
 type Fleet struct {
 	cfg         Config
 	callbacks   Callbacks
@@ -72,24 +87,25 @@
 	prober      *latency.Prober
 	pacer       *startup.Pacer
 	relay       *relay
-	changed     chan struct{} // who is there has changed, at most one waiting
+	changed     chan struct{} // wakes runLoop after a change of the members; holds at most one signal
 	startedAt   time.Time
-	gossipBytes atomic.Int64 // bytes
+	gossipBytes atomic.Int64 // bytes of gossip messages sent since the last summary
 	documents   []sharedDocument
 
-	mu            sync.Mutex
-	peersMetAt    time.Time // when anyone was first met
-	quota         float64
+	mu            sync.Mutex // protects all below
+	peersMetAt    time.Time  // when runLoop first saw that another member had been met
+	quota         float64    // as passed to Callbacks.Quota last; -1 before
 	rtts          []time.Duration
 	lossRates     []float64
-	matrix        latency.Matrix
-	matrixView    *member.View // the matrix was, and of facts that have changed so often
-	matrixChanges uint64
-	matrixBuilds  int
-	ready         bool
+	matrix        latency.Matrix // built for matrixView and matrixChanges
+	matrixView    *member.View
+	matrixChanges uint64 // see gossip.Store.Changes
+	matrixBuilds  int    // for tests
+	ready         bool   // Ready was called
 }
 
-// New listens. zones are the sites, in the order in which the module counts them.
+// New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies gets them. It returns an error
+// if an address is invalid or in use; see member.New. A Fleet that is not run has to be closed by Abort.
 func New(cfg Config, zones []string, callbacks Callbacks) (*Fleet, error) {
 	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
@@ -142,10 +158,12 @@
 	return f, nil
 }
 
-// Addr is where others reach this process.
+// Addr returns the address, IP and port, at which others reach this process.
 func (f *Fleet) Addr() string { return f.members.Addr().String() }
 
-// Run stays in the fleet until ctx ends.
+// Run joins the fleet, stays in it until ctx ends, and leaves it. It returns after all its goroutines have ended. If joining
+// fails it returns the error at once. If this process has to leave because another one has its name, Run goes on without
+// members until ctx ends. It may be called once.
 func (f *Fleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -161,13 +179,13 @@
 		tasks.Go(func() { f.shareDocuments(ctx) })
 	}
 	err := f.members.Run(ctx)
-	if ctx.Err() == nil && err == nil { // it left for another with its name
+	if ctx.Err() == nil && err == nil { // it left because of a name conflict
 		<-ctx.Done()
 	}
 	return err
 }
 
-// Ready tells the others that this process has a list, and serves.
+// Ready publishes that this process has an endpoint list and serves. Calls after the first have no effect.
 func (f *Fleet) Ready() {
 	f.mu.Lock()
 	before := f.ready
@@ -179,13 +197,14 @@
 	}
 }
 
-// runLoop keeps ages, and what follows from who is there and what is known.
+// runLoop ticks the gossip store and recomputes what is derived from it and from the members, until ctx ends. It starts a
+// round on each tick, at once after a change of the members, and when a latency row expires.
 func (f *Fleet) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	rowExpiry := time.NewTimer(0) // a row may have gone past its bound: no matrix that rests on it stands for another tick
+	rowExpiry := time.NewTimer(0) // a row has expired: the matrix must not rest on it until the next tick
 	defer rowExpiry.Stop()
 	for n := 0; ; n++ {
 		due := n%2 == 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file tests whole fleets over loopback sockets.
+
 import (
 	"bytes"
 	"context"
@@ -21,12 +23,12 @@
 	"martenbeam/internal/residency"
 )
 
-// patience is how long a test waits for what must come: far more than it takes anywhere.
+// waitTimeout is how long a test waits for a condition: far longer than it takes on any machine.
 const waitTimeout = 30 * time.Second
 
 var zones = []string{"a", "b"}
 
-// testProcess is a process's place in a fleet, run in this process over loopback sockets.
+// testProcess is a Fleet that runs in the test's process, with its log and the quotas it got.
 type testProcess struct {
 	*Fleet
 	cancel context.CancelFunc
@@ -36,12 +38,14 @@
 	log    bytes.Buffer
 }
 
+// Write takes log lines.
 func (o *testProcess) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.log.Write(p)
 }
 
+// startProcess runs a process with the given seeds until the test ends.
 func startProcess(t *testing.T, c Config, seeds ...*testProcess) *testProcess {
 	t.Helper()
 	o := &testProcess{done: make(chan struct{})}
@@ -71,6 +75,7 @@
 	return o
 }
 
+// lastQuota returns the quota that the process got last, or -1.
 func (o *testProcess) lastQuota() float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -80,15 +85,17 @@
 	return o.quotas[len(o.quotas)-1]
 }
 
+// waitFor waits until a condition holds, and fails the test after waitTimeout.
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("timeout waiting for %s", what)
 		}
 	}
 }
 
+// startFleet starts n processes that know each other, in two sites by turns. tune may change their configuration.
 func startFleet(t *testing.T, n, maxMembers int, tune func(i int, c *Config)) (list []*testProcess) {
 	for i := range n {
 		c := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], MaxMembers: maxMembers, MeasureLatency: true}
@@ -108,13 +115,13 @@
 	return list
 }
 
-// Members meet, share what they measure, and each takes an even part; who says goodbye and who dies without is told apart,
-// and what is certainly dead has its part taken by the others until it is back.
+// Members meet, share measured latencies, and each gets an even quota. The quota of a killed member goes to the others until
+// it is back.
 func TestQuotaFollowsMembership(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 4, 4, nil)
 	for _, o := range list {
-		waitFor(t, "an even part", func() bool { return o.lastQuota() == 0.25 })
+		waitFor(t, "an even quota", func() bool { return o.lastQuota() == 0.25 })
 	}
 	waitFor(t, "round trips", func() bool {
 		f := list[0].Fleet
@@ -125,25 +132,25 @@
 	})
 	dead := list[3]
 	addr := dead.Addr()
-	// As a kill ends it: its sockets close and nobody is told.
+	// As if it were killed: its sockets close and it does not leave the fleet.
 	if err := dead.members.Abort(); err != nil {
 		t.Fatal(err)
 	}
 	for _, o := range list[:3] {
-		waitFor(t, "the dead one's part", func() bool { return o.lastQuota() == 1./3 })
+		waitFor(t, "the quota of the dead member", func() bool { return o.lastQuota() == 1./3 })
 	}
 	again := startProcess(t, Config{Name: "n3", Site: "b", MaxMembers: 4, Listen: addr}, list[0])
-	waitFor(t, "its part", func() bool { return again.lastQuota() == 0.25 })
+	waitFor(t, "the quota of the restarted member", func() bool { return again.lastQuota() == 0.25 })
 	for _, o := range list[:3] {
-		waitFor(t, "its part given back", func() bool { return o.lastQuota() == 0.25 })
+		waitFor(t, "an even quota after the restart", func() bool { return o.lastQuota() == 0.25 })
 	}
 	if first := again.quotas[0]; first != startupQuotaFactor/4 {
-		t.Errorf("it began with %v of the limit", first)
+		t.Errorf("its first quota is %v", first)
 	}
 }
 
-// A matrix stands until a row says something else or goes past its bound; meanwhile each look at it is a use in the trace,
-// within the bound.
+// The matrix is kept until the content of a row changes or a row expires. Meanwhile each round traces the use of its rows,
+// within their age bound.
 func TestMatrixIsRebuiltOnlyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var trace bytes.Buffer
@@ -181,7 +188,7 @@
 				}
 			}
 			if f.matrixBuilds != step.made || len(f.matrix) != step.known {
-				t.Errorf("step %d: made %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
+				t.Errorf("step %d: built %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
 			}
 		}
 		f.cfg.Trace = nil
@@ -191,21 +198,20 @@
 	})
 }
 
-// A process that is met by nobody serves with its even part once nobody can use that any more, and a fleet of another label
-// is another fleet.
+// A process that meets no other gets its even quota once no other can be using it. Fleets with different labels do not mix.
 func TestLoneProcessGetsItsEvenQuota(t *testing.T) {
 	t.Parallel()
 	a := startProcess(t, Config{Name: "x", Site: "a", MaxMembers: 5, Label: "one"})
 	b := startProcess(t, Config{Name: "y", Site: "a", MaxMembers: 5, Label: "two"}, a)
 	for _, o := range []*testProcess{a, b} {
-		waitFor(t, "an even part", func() bool { return o.lastQuota() == 0.2 })
+		waitFor(t, "an even quota", func() bool { return o.lastQuota() == 0.2 })
 		if o.members.View().Len() != 1 {
-			t.Error("two labels have met")
+			t.Error("processes with different labels have met")
 		}
 	}
 }
 
-// Of two processes with one name, one leaves with an error, and both serve.
+// Of two processes with the same name one leaves the fleet and logs it; the other members stay.
 func TestOneOfTwoProcessesWithOneNameLeaves(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 3, nil)
@@ -221,8 +227,9 @@
 	}
 }
 
-// A relay hands the service's list on: whole to a newcomer, changes to who follows, nothing that is old or that it has by
-// another relay; and who is no relay asks one first, and the service when no relay answers.
+// A relay sends the list of the service: the full list to a new follower and changes to others, but none while it receives
+// nothing from the service, and none that came from another relay. Other members ask a relay first, and the service if no
+// relay answers.
 func TestRelayForwardsTheServicesList(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 3, 3, func(_ int, c *Config) { c.Site, c.RelayedLists = "a", true })
@@ -268,9 +275,9 @@
 		}
 		return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
 	}
-	if d, end := ask(0); d != nil { // nothing was heard of the service for longer than a relay may go on
+	if d, end := ask(0); d != nil { // nothing was received from the service for longer than relayMaxServiceAge
 		end()
-		t.Error("a relay that has nothing answers")
+		t.Error("a relay without a list answers")
 	}
 	version := func(d *json.Decoder) (m struct {
 		Version int
@@ -303,7 +310,8 @@
 	}
 }
 
-// A policy given to one source comes to all, a higher version replaces it, and two under one number hold together.
+// A policy that is given to one process reaches all, a higher version replaces it, and of two policies with one version only
+// what both permit is permitted.
 func TestPolicyReachesAllMembers(t *testing.T) {
 	t.Parallel()
 	text := func(version int, region string) string {
@@ -331,7 +339,7 @@
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "nothing permitted", holds(false, false))
+	waitFor(t, "a state in which nothing is permitted", holds(false, false))
 	give(0, 1, `"x", "y"`)
 	waitFor(t, "the first policy", holds(true, true))
 	give(0, 2, `"x"`)
@@ -342,24 +350,24 @@
 	waitFor(t, "the third policy", holds(false, true))
 }
 
-// Two processes of one agent stand side by side while the platform replaces one: the younger waits for the address.
+// Two processes of one agent run at the same time while one replaces the other: the younger waits for the address.
 func TestYoungerProcessTakesOverTheAddress(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 2, nil)
 	held := list[1].Addr()
 	if _, err := New(Config{Name: "n1", Listen: held, MaxMembers: 2, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{}); err == nil {
-		t.Error("an address that is taken is no error")
+		t.Error("an address that is in use is no error")
 	}
 	next := startProcess(t, Config{Name: "n1", Site: "b", MaxMembers: 2, Listen: held, AwaitAddress: true}, list[0])
 	if _, err := next.members.SendProbe([]byte("x"), list[0].members.Addr()); err == nil {
-		t.Error("it speaks without an address")
+		t.Error("it sends without an address")
 	}
 	list[1].cancel()
 	<-list[1].done
 	waitFor(t, "the younger process", func() bool { return next.members.View().Len() == 2 && list[0].members.View().Len() == 2 })
 }
 
-// What comes to the fleet's address and makes no sense harms nothing.
+// Malformed datagrams and connections do not disturb the fleet.
 func TestMalformedInputIsHarmless(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 2, nil)
@@ -378,8 +386,8 @@
 		}
 	}
 	list[0].store.Publish(gossip.ListServiceLoad, "x", nil)
-	waitFor(t, "a fact at the other", func() bool { return len(list[1].store.Entries(gossip.ListServiceLoad)) > 0 })
+	waitFor(t, "an entry at the other member", func() bool { return len(list[1].store.Entries(gossip.ListServiceLoad)) > 0 })
 	if list[1].members.View().Len() != 2 || list[0].members.View().At(0).Phase != member.Starting {
-		t.Error("a member is lost")
+		t.Error("a member has disappeared")
 	}
 }
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file derives the latencies from this site to the others.
+
 import (
 	"slices"
 	"time"
@@ -8,8 +10,8 @@
 	"martenbeam/internal/fleet/latency"
 )
 
-// publishLatencies tells the agent how far the sites are, where that has changed. The matrix stands until a row says something
-// else or goes past its bound, or who is there changes.
+// publishLatencies passes the round trips and losses from this site on if any has changed. The matrix is rebuilt only when the
+// content of a latency row has changed, a row has expired, or the members have changed.
 func (f *Fleet) publishLatencies() {
 	changes, _ := f.store.Changes(gossip.LatencyRow)
 	view := f.members.View()
@@ -17,7 +19,7 @@
 	upToDate, matrix := f.matrixView == view && f.matrixChanges == changes, f.matrix
 	f.mu.Unlock()
 	var rows []gossip.Entry
-	if !upToDate || f.cfg.Trace != nil { // a matrix that stands is a use of its rows, which a trace has to show
+	if !upToDate || f.cfg.Trace != nil { // keeping the matrix also uses its rows, which the trace has to show
 		rows = f.store.Entries(gossip.LatencyRow)
 	}
 	if f.cfg.Trace != nil {
@@ -44,6 +46,7 @@
 	}
 }
 
+// matrixLine returns the round trips in us, for the trace, by the names of both sites.
 func matrixLine(matrix latency.Matrix) map[string]float64 {
 	line := map[string]float64{}
 	for p, e := range matrix {
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file implements source.Selector: where and when this process asks for the endpoint list.
+
 import (
 	"context"
 	"net"
@@ -10,12 +12,21 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// startingAgents counts who is seen to start, this process included.
+const (
+	relayTimeout     = 2500 * time.Millisecond // silence of a relay after which it counts as failed
+	maxRelayAttempts = 2                       // relays that are asked before the list service is
+	largeSiteMembers = 20                      // a site with so many members has two relays
+	relayPeerWait    = time.Second             // after its start a process waits so long for peers before it asks the service itself
+)
+
+// startingAgents returns the number of agents that are starting, this one included.
 func (f *Fleet) startingAgents() int { return max(1, f.members.View().StartingCount()) }
 
-// relayMembers are the members of this site that ask the service for the others, the same at every member that sees the same.
+// relayMembers returns the agents of this site that relay the list, first in rendezvous order. Members with the same view
+// choose the same ones.
 func (f *Fleet) relayMembers() (list []member.Member) {
-	site := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()), func(m member.Member) bool { return m.Hub })
+	site := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()),
+		func(m member.Member) bool { return m.Hub })
 	subject := "relay " + f.cfg.Site
 	for range relayCount(len(site)) {
 		best := -1
@@ -30,9 +41,9 @@
 	return list
 }
 
-// Next waits until the list may be asked for, and says where: of a relay first, where lists are relayed and this process
-// is none itself, and of the service in this process's turn. fails counts openings that came to nothing. It reports false
-// once ctx ends.
+// Next waits until this process may ask for the list, and returns the source to ask. Where lists are relayed and this process
+// is not a relay, that is a relay, and after maxRelayAttempts failures in a row the list service once. The list service is
+// asked only in this process's turn. failures counts attempts that failed in a row. It reports false if ctx ends first.
 func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
 	countStarting := f.startingAgents
 	if f.cfg.RelayedLists {
@@ -58,7 +69,7 @@
 	return source.Source{}, f.pacer.AwaitTurn(ctx, countStarting)
 }
 
-// startingRelays counts those who ask the service for their sites: the others wait for them, and not in turn.
+// startingRelays returns the number of relays in all sites. Only they ask the list service, so only they wait for turns.
 func (f *Fleet) startingRelays() (n int) {
 	for _, members := range f.members.View().Sites() {
 		n += relayCount(members.Len())
@@ -66,7 +77,7 @@
 	return max(1, n)
 }
 
-// relayCount is how many relays a site of so many members has.
+// relayCount returns the number of relays in a site with the given number of members.
 func relayCount(members int) int {
 	if members >= largeSiteMembers {
 		return 2
@@ -74,32 +85,34 @@
 	return min(1, members)
 }
 
-// RecordAttempt takes how an opening went: after how long the first word came, or that none did, and from which version on.
+// RecordAttempt records the result of asking a source: the wait for the first message or that the attempt failed, and the list
+// version that was received.
 func (f *Fleet) RecordAttempt(s source.Source, waited time.Duration, failed bool, version int64) {
 	if !s.Relayed {
 		f.pacer.RecordAttempt(waited, failed, version)
 	}
 }
 
-// Dial opens a connection to another member.
+// Dial opens a TCP connection to another member, from this member's IP address.
 func (f *Fleet) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return f.members.Dial(ctx, network, addr)
 }
 
-// RecordLiveness takes a sign of life of a source.
+// RecordLiveness records that something was received from a source.
 func (f *Fleet) RecordLiveness(s source.Source) {
 	if !s.Relayed {
 		f.relay.recordLiveness()
 	}
 }
 
-// RecordUpdate takes a message of a source; see relay.listed.
-func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, whole []byte) {
+// RecordUpdate takes a list update from a source, for others to which this process relays lists: the change between two
+// versions, nil for a full list, and the list as it is now, both as JSON. From the first update on this process serves.
+func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, fullList []byte) {
 	if !s.Relayed {
-		f.relay.recordUpdate(from, to, change, whole)
+		f.relay.recordUpdate(from, to, change, fullList)
 	}
 	f.Ready()
 }
 
-// Lagging reports whether others have told of a later version of the list than the one known here.
+// Lagging reports whether another process has published a later version of the list than the given one.
 func (f *Fleet) Lagging(version int64) bool { return f.pacer.LatestVersion() > version }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file gives hubs and tests access to the members and to what they share.
+
 import (
 	"context"
 	"slices"
@@ -10,21 +12,22 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Members are those that are there, this one included, by name.
+// Members returns the members, this one included, sorted by name.
 func (f *Fleet) Members() []member.Member { return slices.Collect(f.members.View().All()) }
 
-// Count is how many members are there, at the cost of none of them.
+// Count returns the number of members, this one included, without building a list of them.
 func (f *Fleet) Count() int { return f.members.Count() }
 
-// Abort closes the fleet's sockets without a goodbye, as a kill would. Run still has to be ended.
+// Abort closes the fleet's sockets without leaving the fleet, as if the process were killed. If Run was called it still has to
+// be ended by its context.
 func (f *Fleet) Abort() error { return f.members.Abort() }
 
-// What a hub needs of the fleet that it is in; see hub.Fleet.
+// The methods below, with Dial, implement hub.Fleet.
 
-// Gossip are what is known here.
+// Gossip returns the gossip store of this process.
 func (f *Fleet) Gossip() *gossip.Store { return f.store }
 
-// Hubs are the other hubs that are there.
+// Hubs returns the other members that are hubs.
 func (f *Fleet) Hubs() (list []member.Member) {
 	for m := range f.members.View().Hubs() {
 		if m.Name != f.cfg.Name {
@@ -34,10 +37,10 @@
 	return list
 }
 
-// MissingHubs are the hubs that are not there and may be; see member.List.
+// MissingHubs returns the hubs that are not members but may be alive; see member.List.MissingHubs.
 func (f *Fleet) MissingHubs() []member.Member { return f.members.MissingHubs() }
 
-// MeshAgents are the names of the agents that are members themselves.
+// MeshAgents returns the names of the agents that are members themselves, since they are attached to no hub.
 func (f *Fleet) MeshAgents() map[string]bool {
 	names := map[string]bool{}
 	for m := range f.members.View().All() {
@@ -48,12 +51,12 @@
 	return names
 }
 
-// ConfirmDead reports whether the process that had an address is gone for certain.
+// ConfirmDead reports whether the process at a member's address has ended for certain; see member.List.ConfirmDead.
 func (f *Fleet) ConfirmDead(ctx context.Context, m member.Member, timeout time.Duration) bool {
 	return f.members.ConfirmDead(ctx, m, timeout)
 }
 
-// LatencyMatrix is how far the sites are from each other, as known now.
+// LatencyMatrix builds the matrix of the latencies between all sites from the rows that may be used now.
 func (f *Fleet) LatencyMatrix() latency.Matrix {
 	return latency.NewMatrix(f.store.Entries(gossip.LatencyRow), f.members.View())
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file computes the quota: this process's fraction of the fleet's in-flight limit.
+
 import (
 	"time"
 
@@ -9,15 +11,18 @@
 )
 
 const (
-	// A starter takes a tenth of an even part until it can be sure that nobody uses its own: it has met others, who by
-	// then would have told that it counts as gone, or it has waited for as long as such a word holds.
+	// startupQuotaFactor is the fraction of an even quota that a starting process uses until its quota is confirmed, that is,
+	// until no other process can be using it. Others use the quota of a process that is published as dead, up to the age bound
+	// of that entry. So the quota is confirmed once the process has run for that long, or has known other members for
+	// peersMetPeriod, in which it would have learnt that it is published as dead.
 	startupQuotaFactor = 0.1
 	peersMetPeriod     = 500 * time.Millisecond
 )
 
-// recomputeQuota reckons this process's part of the in-flight limit. An even part belongs to each process that the fleet may
-// have, except those that are dead for certain: of these the others use it while a word no older than its bound says so.
-// Who is merely not heard keeps its part: it may be alive beyond a cut. So the sum of all parts stays within the limit.
+// recomputeQuota computes this process's quota of the in-flight limit and passes it on if it has changed. The limit is divided
+// evenly among the processes that the fleet may have, less those that are published as dead. A process that merely does not
+// answer keeps its quota, because it may be alive behind a network partition. So the quotas of all processes never exceed
+// the limit.
 func (f *Fleet) recomputeQuota() {
 	view := f.members.View()
 	dead, selfReportedDead := map[string]bool{}, false
@@ -39,7 +44,8 @@
 	if f.peersMetAt.IsZero() && f.members.PeersMet() > 0 {
 		f.peersMetAt = now
 	}
-	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] || !f.peersMetAt.IsZero() && now.Sub(f.peersMetAt) >= peersMetPeriod && !selfReportedDead
+	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] ||
+		!f.peersMetAt.IsZero() && now.Sub(f.peersMetAt) >= peersMetPeriod && !selfReportedDead
 	quota := startupQuotaFactor / float64(f.cfg.MaxMembers)
 	if quotaConfirmed {
 		quota = 1 / float64(max(1, view.AgentCount(), f.cfg.MaxMembers-len(dead)))
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -1,5 +1,7 @@
 package fleet
 
+// This file is the HTTP server on the fleet's address, which relays the endpoint list to other members.
+
 import (
 	"context"
 	"io"
@@ -12,37 +14,37 @@
 )
 
 const (
-	relayHeartbeatInterval = time.Second             // an empty line to those who follow here
-	relayMaxServiceAge     = 3500 * time.Millisecond // since the list service was last heard by who relays
-	relayTimeout           = 2500 * time.Millisecond // of a relay, after which it counts as dead
-	maxRelayAttempts       = 2                       // relays asked before the service itself is
-	maxRelayDeltas         = 64                      // changes kept for those who are a little behind
-	largeSiteMembers       = 20                      // members from which on a site has two relays
-	relayPeerWait          = time.Second             // until others can have been met: who met nobody asks for itself
+	relayHeartbeatInterval = time.Second             // between two empty lines to followers without news
+	relayMaxServiceAge     = 3500 * time.Millisecond // a relay that received nothing from the list service for so long sends no list
+	maxRelayDeltas         = 64                      // changes kept for followers that lag a little
 )
 
-// relay passes the list of backends on to other members, as discovery writes it, and policies.
+// relay serves HTTP requests of other members: for the endpoint list in the form of the list service, for documents, and what
+// Config.HTTPHandler serves. It relays only lists that this process received from the list service itself, never from
+// another relay, so that each list is at most one step away from the service.
 type relay struct {
 	fleet  *Fleet
 	server *http.Server
-	conns  chan net.Conn
+	conns  chan net.Conn // from serveConn to the server
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu                sync.Mutex
+	mu                sync.Mutex // protects all below
 	version           int64
-	fullList          []byte          // the list, full; nil: none came from the service itself
-	deltas            map[int64]delta // by the version that they start from
-	deltaOrder        []int64
-	serviceReceivedAt time.Time // when the service was last heard, directly
-	changed           chan struct{}
+	fullList          []byte          // JSON of the list at version; nil: none was received from the list service
+	deltas            map[int64]delta // changes by the version that they start from
+	deltaOrder        []int64         // the keys of deltas, oldest first
+	serviceReceivedAt time.Time       // when anything was last received from the list service
+	changed           chan struct{}   // closed and replaced with each update
 }
 
+// delta is a change of the list.
 type delta struct {
-	to   int64
-	line []byte
+	to   int64  // the version that it leads to
+	line []byte // JSON
 }
 
+// newRelay returns a relay without a list.
 func newRelay(fleet *Fleet) *relay {
 	r := &relay{fleet: fleet, conns: make(chan net.Conn), deltas: map[int64]delta{}, changed: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -50,7 +52,7 @@
 	return r
 }
 
-// serveConn takes a connection of the fleet that is an HTTP call.
+// serveConn hands a connection with an HTTP request to the server. It waits until the server takes it or has ended.
 func (r *relay) serveConn(c net.Conn) {
 	select {
 	case r.conns <- c:
@@ -59,8 +61,10 @@
 	}
 }
 
+// connListener is the listener of the server: its connections come from serveConn.
 type connListener struct{ *relay }
 
+// Accept returns the next connection.
 func (l connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -70,25 +74,28 @@
 	}
 }
 
-func (h connListener) Close() error { return nil }
+// Close does nothing: the member list owns the socket.
+func (l connListener) Close() error { return nil }
 
-func (h connListener) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns no address; the server only logs it.
+func (l connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
+// run serves until ctx ends.
 func (r *relay) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { r.cancel(); r.server.Close() })
 	defer stop()
-	_ = r.server.Serve(connListener{r}) // ends with ctx
+	_ = r.server.Serve(connListener{r}) // returns an error when it is closed, as it is when ctx ends
 }
 
-// recordLiveness takes that the list service itself was heard. Lists that came by a relay are not passed on: every list here is
-// one step from the service.
+// recordLiveness records that something was received from the list service itself.
 func (r *relay) recordLiveness() {
 	r.mu.Lock()
 	r.serviceReceivedAt = time.Now()
 	r.mu.Unlock()
 }
 
-// recordUpdate takes a message of the service: what changed from a version on, and the list as it stands now.
+// recordUpdate takes an update from the list service: the change between two versions, nil if all was sent, and the full list
+// at the later one. It wakes all followers.
 func (r *relay) recordUpdate(from, to int64, change, fullList []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +112,9 @@
 	r.changed = make(chan struct{})
 }
 
-// changesSince is what to write to one who has a version: nil: nothing new.
+// changesSince returns the lines that lead a follower from its version to the latest one: the changes between or, if these are
+// not all kept, the full list; nil if it has the latest version. fresh reports whether the list service is being received
+// here. changed is closed with the next update.
 func (r *relay) changesSince(version int64) (lines [][]byte, to int64, fresh bool, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,6 +132,7 @@
 	return lines, r.version, fresh, r.changed
 }
 
+// ServeHTTP serves documents, the endpoint list and Config.HTTPHandler.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if r.fleet.serveDocument(w, req) {
 		return
@@ -131,11 +141,11 @@
 		r.fleet.cfg.HTTPHandler.ServeHTTP(w, req)
 		return
 	}
-	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
+	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // if it is absent or malformed the full list is sent
 	arrivedAt, first := time.Now(), true
 	for {
 		lines, to, fresh, changed := r.changesSince(version)
-		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // who waits here had better ask elsewhere
+		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // the follower had better ask another source
 			if first {
 				http.Error(w, "the list service is not heard here", http.StatusServiceUnavailable)
 			}
