--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -39,56 +39,60 @@
 }
 
 // Write takes log lines.
-func (o *testProcess) Write(p []byte) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.log.Write(p)
+func (p *testProcess) Write(data []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.log.Write(data)
 }
 
 // startProcess runs a process with the given seeds until the test ends.
-func startProcess(t *testing.T, c Config, seeds ...*testProcess) *testProcess {
+func startProcess(t *testing.T, cfg Config, seeds ...*testProcess) *testProcess {
 	t.Helper()
-	o := &testProcess{done: make(chan struct{})}
-	if c.Listen == "" {
-		c.Listen = "127.0.0.1:0"
+	process := &testProcess{done: make(chan struct{})}
+	if cfg.Listen == "" {
+		cfg.Listen = "127.0.0.1:0"
 	}
-	if c.Label == "" {
-		c.Label = t.Name()
+	if cfg.Label == "" {
+		cfg.Label = t.Name()
 	}
 	for _, s := range seeds {
-		c.Seeds = append(c.Seeds, s.Addr())
+		cfg.Seeds = append(cfg.Seeds, s.Addr())
 	}
-	c.Log, c.ListRate = slog.New(slog.NewTextHandler(o, nil)), 50
+	cfg.Log, cfg.ListRate = slog.New(slog.NewTextHandler(process, nil)), 50
 	var err error
-	if o.Fleet, err = New(c, zones, Callbacks{Quota: func(p float64) { o.mu.Lock(); defer o.mu.Unlock(); o.quotas = append(o.quotas, p) }}); err != nil {
+	if process.Fleet, err = New(cfg, zones, Callbacks{Quota: func(p float64) {
+		process.mu.Lock()
+		defer process.mu.Unlock()
+		process.quotas = append(process.quotas, p)
+	}}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	o.cancel = cancel
+	process.cancel = cancel
 	go func() {
-		defer close(o.done)
-		if err := o.Run(ctx); err != nil {
+		defer close(process.done)
+		if err := process.Run(ctx); err != nil {
 			t.Log(err)
 		}
 	}()
-	t.Cleanup(func() { cancel(); <-o.done })
-	return o
+	t.Cleanup(func() { cancel(); <-process.done })
+	return process
 }
 
 // lastQuota returns the quota that the process got last, or -1.
-func (o *testProcess) lastQuota() float64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.quotas) == 0 {
+func (p *testProcess) lastQuota() float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.quotas) == 0 {
 		return -1
 	}
-	return o.quotas[len(o.quotas)-1]
+	return p.quotas[len(p.quotas)-1]
 }
 
 // waitFor waits until a condition holds, and fails the test after waitTimeout.
-func waitFor(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timeout waiting for %s", what)
 		}
@@ -96,17 +100,17 @@
 }
 
 // startFleet starts n processes that know each other, in two sites by turns. tune may change their configuration.
-func startFleet(t *testing.T, n, maxMembers int, tune func(i int, c *Config)) (list []*testProcess) {
+func startFleet(t *testing.T, n, maxMembers int, tune func(i int, cfg *Config)) (list []*testProcess) {
 	for i := range n {
-		c := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], MaxMembers: maxMembers, MeasureLatency: true}
+		cfg := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], MaxMembers: maxMembers, MeasureLatency: true}
 		if tune != nil {
-			tune(i, &c)
+			tune(i, &cfg)
 		}
-		list = append(list, startProcess(t, c, list[:min(i, 1)]...))
+		list = append(list, startProcess(t, cfg, list[:min(i, 1)]...))
 	}
 	waitFor(t, "the fleet", func() bool {
-		for _, o := range list {
-			if o.members.View().Len() != n {
+		for _, process := range list {
+			if process.members.View().Len() != n {
 				return false
 			}
 		}
@@ -120,8 +124,8 @@
 func TestQuotaFollowsMembership(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 4, 4, nil)
-	for _, o := range list {
-		waitFor(t, "an even quota", func() bool { return o.lastQuota() == 0.25 })
+	for _, process := range list {
+		waitFor(t, "an even quota", func() bool { return process.lastQuota() == 0.25 })
 	}
 	waitFor(t, "round trips", func() bool {
 		f := list[0].Fleet
@@ -136,15 +140,15 @@
 	if err := dead.members.Abort(); err != nil {
 		t.Fatal(err)
 	}
-	for _, o := range list[:3] {
-		waitFor(t, "the quota of the dead member", func() bool { return o.lastQuota() == 1./3 })
+	for _, process := range list[:3] {
+		waitFor(t, "the quota of the dead member", func() bool { return process.lastQuota() == 1./3 })
 	}
-	again := startProcess(t, Config{Name: "n3", Site: "b", MaxMembers: 4, Listen: addr}, list[0])
-	waitFor(t, "the quota of the restarted member", func() bool { return again.lastQuota() == 0.25 })
-	for _, o := range list[:3] {
-		waitFor(t, "an even quota after the restart", func() bool { return o.lastQuota() == 0.25 })
+	restarted := startProcess(t, Config{Name: "n3", Site: "b", MaxMembers: 4, Listen: addr}, list[0])
+	waitFor(t, "the quota of the restarted member", func() bool { return restarted.lastQuota() == 0.25 })
+	for _, process := range list[:3] {
+		waitFor(t, "an even quota after the restart", func() bool { return process.lastQuota() == 0.25 })
 	}
-	if first := again.quotas[0]; first != startupQuotaFactor/4 {
+	if first := restarted.quotas[0]; first != startupQuotaFactor/4 {
 		t.Errorf("its first quota is %v", first)
 	}
 }
@@ -203,9 +207,9 @@
 	t.Parallel()
 	a := startProcess(t, Config{Name: "x", Site: "a", MaxMembers: 5, Label: "one"})
 	b := startProcess(t, Config{Name: "y", Site: "a", MaxMembers: 5, Label: "two"}, a)
-	for _, o := range []*testProcess{a, b} {
-		waitFor(t, "an even quota", func() bool { return o.lastQuota() == 0.2 })
-		if o.members.View().Len() != 1 {
+	for _, process := range []*testProcess{a, b} {
+		waitFor(t, "an even quota", func() bool { return process.lastQuota() == 0.2 })
+		if process.members.View().Len() != 1 {
 			t.Error("processes with different labels have met")
 		}
 	}
@@ -216,13 +220,13 @@
 	t.Parallel()
 	list := startFleet(t, 2, 3, nil)
 	twin := startProcess(t, Config{Name: "n1", Site: "a", MaxMembers: 3}, list[0])
-	says := func(o *testProcess) bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		return bytes.Contains(o.log.Bytes(), []byte("leaves the fleet"))
+	hasLeft := func(process *testProcess) bool {
+		process.mu.Lock()
+		defer process.mu.Unlock()
+		return bytes.Contains(process.log.Bytes(), []byte("leaves the fleet"))
 	}
-	waitFor(t, "one of them to leave", func() bool { return says(twin) || says(list[1]) })
-	if says(list[0]) {
+	waitFor(t, "one of them to leave", func() bool { return hasLeft(twin) || hasLeft(list[1]) })
+	if hasLeft(list[0]) {
 		t.Error("another one left")
 	}
 }
@@ -238,29 +242,29 @@
 		t.Fatalf("%d relays", len(relays))
 	}
 	var relay, other *testProcess
-	for _, o := range list {
-		if o.cfg.Name == relays[0].Name {
-			relay = o
+	for _, process := range list {
+		if process.cfg.Name == relays[0].Name {
+			relay = process
 		} else {
-			other = o
+			other = process
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	if s, ok := relay.Next(ctx, 0); !ok || s.Relayed {
-		t.Errorf("the relay asks %+v", s)
+	if src, ok := relay.Next(ctx, 0); !ok || src.Relayed {
+		t.Errorf("the relay asks %+v", src)
 	}
-	s, ok := other.Next(ctx, 0)
-	if !ok || !s.Relayed || s.Addr != relay.Addr() {
-		t.Fatalf("another asks %+v", s)
+	src, ok := other.Next(ctx, 0)
+	if !ok || !src.Relayed || src.Addr != relay.Addr() {
+		t.Fatalf("another asks %+v", src)
 	}
-	if s, ok := other.Next(ctx, maxRelayAttempts); !ok || s.Relayed {
-		t.Errorf("after its tries another asks %+v", s)
+	if src, ok := other.Next(ctx, maxRelayAttempts); !ok || src.Relayed {
+		t.Errorf("after its tries another asks %+v", src)
 	}
 	ask := func(since int) (*json.Decoder, func()) {
 		client := &http.Client{Transport: &http.Transport{DialContext: other.Dial, DisableKeepAlives: true}}
 		ctx, cancel := context.WithCancel(ctx)
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", s.Addr, since), nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", src.Addr, since), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -275,15 +279,15 @@
 		}
 		return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
 	}
-	if d, end := ask(0); d != nil { // nothing was received from the service for longer than relayMaxServiceAge
+	if decoder, end := ask(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
 		end()
 		t.Error("a relay without a list answers")
 	}
-	version := func(d *json.Decoder) (m struct {
+	version := func(decoder *json.Decoder) (m struct {
 		Version int
 		Full    bool
 	}) {
-		if err := d.Decode(&m); err != nil {
+		if err := decoder.Decode(&m); err != nil {
 			t.Fatal(err)
 		}
 		return m
@@ -291,19 +295,19 @@
 	relay.RecordLiveness(source.Source{})
 	relay.RecordUpdate(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
 	relay.RecordUpdate(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
-	d, end := ask(0)
+	decoder, end := ask(0)
 	defer end()
-	if m := version(d); m.Version != 7 || !m.Full {
+	if m := version(decoder); m.Version != 7 || !m.Full {
 		t.Errorf("%+v", m)
 	}
 	relay.RecordLiveness(source.Source{})
 	relay.RecordUpdate(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
-	if m := version(d); m.Version != 8 || m.Full {
+	if m := version(decoder); m.Version != 8 || m.Full {
 		t.Errorf("%+v", m)
 	}
 	for since, full := range map[int]bool{7: false, 3: true} {
-		d, end := ask(since)
-		if m := version(d); m.Version != 8 || m.Full != full {
+		decoder, end := ask(since)
+		if m := version(decoder); m.Version != 8 || m.Full != full {
 			t.Errorf("since %d: %+v", since, m)
 		}
 		end()
