--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -107,15 +107,9 @@
 // New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies gets them. It returns an error
 // if an address is invalid or in use; see member.New. A Fleet that is not run has to be closed by Abort.
 func New(cfg Config, zones []string, callbacks Callbacks) (*Fleet, error) {
-	listen, err := netip.ParseAddrPort(cfg.Listen)
+	listen, advertise, err := cfg.addresses()
 	if err != nil {
-		return nil, fmt.Errorf("fleet.listen: %w", err)
-	}
-	var advertise netip.AddrPort
-	if cfg.Advertise != "" {
-		if advertise, err = netip.ParseAddrPort(cfg.Advertise); err != nil {
-			return nil, fmt.Errorf("fleet.advertise: %w", err)
-		}
+		return nil, err
 	}
 	if cfg.AgeBounds == nil {
 		cfg.AgeBounds = gossip.DefaultAgeBounds
@@ -123,41 +117,74 @@
 	if cfg.HTTPHandler == nil {
 		cfg.HTTPHandler = http.NotFoundHandler()
 	}
-	f := &Fleet{cfg: cfg, documents: cfg.sharedDocuments(), callbacks: callbacks, zones: zones, changed: make(chan struct{}, 1), startedAt: cmp.Or(cfg.StartedAt, time.Now()), quota: -1}
+	f := &Fleet{cfg: cfg, documents: cfg.sharedDocuments(), callbacks: callbacks, zones: zones, changed: make(chan struct{}, 1),
+		startedAt: cmp.Or(cfg.StartedAt, time.Now()), quota: -1}
 	processNumber := cfg.Incarnations.Next()
 	f.store = gossip.New(cfg.Name, processNumber, cfg.AgeBounds, f.traceUse)
 	f.relay = newRelay(f)
-	f.members, err = member.New(member.Config{Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label, MaxMembers: cfg.MaxMembers, AwaitAddress: cfg.AwaitAddress, Listener: cfg.Listener,
-		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: processNumber, Hub: cfg.Hub}, Log: cfg.Log,
-		Merge: func(data []byte) {
-			if err := f.store.Merge(data); err != nil {
-				cfg.Log.Debug("a message of the fleet makes no sense", "error", err)
-			}
-		},
-		NextMessage: func(limit, members int) []byte {
-			data := f.store.NextMessage(limit, members)
-			f.gossipBytes.Add(int64(len(data)))
-			return data
-		},
-		ObserveRTT: f.store.ObserveRTT,
-		Changed: func() {
-			select {
-			case f.changed <- struct{}{}:
-			default:
-			}
-		},
-		HandleProbe: func(data []byte, from netip.AddrPort, at time.Time) { f.prober.HandleDatagram(data, from, at) },
-		ServeConn:   f.relay.serveConn,
-		Wire:        cfg.Wire,
-	})
-	if err != nil {
+	if f.members, err = member.New(f.memberConfig(listen, advertise, processNumber)); err != nil {
 		return nil, err
 	}
-	f.prober = latency.New(latency.Config{Name: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.members.View, Send: f.members.SendProbe, Store: f.store})
-	f.pacer = startup.New(startup.Config{Rate: cfg.ListRate, HasPeers: func() bool { return f.members.PeersMet() > 0 }, Store: f.store})
+	f.prober = latency.New(latency.Config{Name: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.members.View,
+		Send: f.members.SendProbe, Store: f.store})
+	f.pacer = startup.New(startup.Config{Rate: cfg.ListRate, Store: f.store,
+		HasPeers: func() bool { return f.members.PeersMet() > 0 }})
 	return f, nil
 }
 
+// addresses parses Listen and Advertise. An error names the setting that is invalid.
+func (c *Config) addresses() (listen, advertise netip.AddrPort, err error) {
+	if listen, err = netip.ParseAddrPort(c.Listen); err != nil {
+		return listen, advertise, fmt.Errorf("fleet.listen: %w", err)
+	}
+	if c.Advertise != "" {
+		if advertise, err = netip.ParseAddrPort(c.Advertise); err != nil {
+			return listen, advertise, fmt.Errorf("fleet.advertise: %w", err)
+		}
+	}
+	return listen, advertise, nil
+}
+
+// memberConfig returns the configuration of the member list, which passes what it receives on to the parts of the fleet. The
+// prober is made after the list, but before the list runs and calls it.
+func (f *Fleet) memberConfig(listen, advertise netip.AddrPort, processNumber uint64) member.Config {
+	cfg := &f.cfg
+	return member.Config{
+		Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label,
+		MaxMembers: cfg.MaxMembers, AwaitAddress: cfg.AwaitAddress, Log: cfg.Log, Listener: cfg.Listener, Wire: cfg.Wire,
+		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: processNumber, Hub: cfg.Hub},
+
+		Merge:       f.mergeGossip,
+		NextMessage: f.nextGossip,
+		ObserveRTT:  f.store.ObserveRTT,
+		Changed:     f.membersChanged,
+		HandleProbe: func(data []byte, from netip.AddrPort, at time.Time) { f.prober.HandleDatagram(data, from, at) },
+		ServeConn:   f.relay.serveConn,
+	}
+}
+
+// mergeGossip takes a gossip message from another member.
+func (f *Fleet) mergeGossip(data []byte) {
+	if err := f.store.Merge(data); err != nil {
+		f.cfg.Log.Debug("a message of the fleet makes no sense", "error", err)
+	}
+}
+
+// nextGossip returns a gossip message of at most limit bytes for another member, or nil.
+func (f *Fleet) nextGossip(limit, members int) []byte {
+	data := f.store.NextMessage(limit, members)
+	f.gossipBytes.Add(int64(len(data)))
+	return data
+}
+
+// membersChanged wakes runLoop.
+func (f *Fleet) membersChanged() {
+	select {
+	case f.changed <- struct{}{}:
+	default:
+	}
+}
+
 // Addr returns the address, IP and port, at which others reach this process.
 func (f *Fleet) Addr() string { return f.members.Addr().String() }
 
