--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -8,6 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"martenbeam/internal/fleet/gossip"
+	"martenbeam/internal/fleet/member"
 )
 
 const (
@@ -25,20 +26,7 @@
 // the limit.
 func (f *Fleet) recomputeQuota() {
 	view := f.members.View()
-	dead, selfReportedDead := map[string]bool{}, false
-	for _, entry := range f.store.Entries(gossip.DeadProcesses) {
-		var names []string
-		if cbor.Unmarshal(entry.Body, &names) != nil {
-			continue
-		}
-		for _, name := range names {
-			if name == f.cfg.Name {
-				selfReportedDead = true
-			} else if _, alive := view.ByName(name); !alive && !f.members.WasHub(name) {
-				dead[name] = true
-			}
-		}
-	}
+	dead, selfReportedDead := f.publishedDead(view)
 	now := time.Now()
 	f.mu.Lock()
 	if f.peersMetAt.IsZero() && f.members.PeersMet() > 0 {
@@ -61,3 +49,23 @@
 		f.callbacks.Quota(quota)
 	}
 }
+
+// publishedDead returns the names of the processes that are published as dead and have a quota: members and hubs are left out.
+// self reports whether this process is published as dead, because of its predecessor.
+func (f *Fleet) publishedDead(view *member.View) (dead map[string]bool, self bool) {
+	dead = map[string]bool{}
+	for _, entry := range f.store.Entries(gossip.DeadProcesses) {
+		var names []string
+		if cbor.Unmarshal(entry.Body, &names) != nil {
+			continue
+		}
+		for _, name := range names {
+			if name == f.cfg.Name {
+				self = true
+			} else if _, alive := view.ByName(name); !alive && !f.members.WasHub(name) {
+				dead[name] = true
+			}
+		}
+	}
+	return dead, self
+}
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -132,15 +132,23 @@
 	return lines, r.version, fresh, r.changed
 }
 
+// listPath is the path of the endpoint list, as at the list service.
+const listPath = "/catalog/members"
+
 // ServeHTTP serves documents, the endpoint list and Config.HTTPHandler.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	if r.fleet.serveDocument(w, req) {
-		return
-	}
-	if req.URL.Path != "/catalog/members" {
+	switch {
+	case r.fleet.serveDocument(w, req):
+	case req.URL.Path == listPath:
+		r.serveList(w, req)
+	default:
 		r.fleet.cfg.HTTPHandler.ServeHTTP(w, req)
-		return
 	}
+}
+
+// serveList sends the list and its changes to a follower until the follower disconnects, or nothing was received from the list
+// service for relayMaxServiceAge. A follower that has got nothing by then gets the status 503.
+func (r *relay) serveList(w http.ResponseWriter, req *http.Request) {
 	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // if it is absent or malformed the full list is sent
 	arrivedAt, first := time.Now(), true
 	for {
@@ -154,15 +162,7 @@
 		if fresh || !first {
 			first = false
 			version = to
-			if len(lines) == 0 {
-				lines = [][]byte{nil}
-			}
-			for _, line := range lines {
-				if _, err := w.Write(append(line[:len(line):len(line)], '\n')); err != nil {
-					return
-				}
-			}
-			if http.NewResponseController(w).Flush() != nil {
+			if writeLines(w, lines) != nil {
 				return
 			}
 		}
@@ -177,3 +177,16 @@
 		}
 	}
 }
+
+// writeLines sends lines to a follower, or an empty line as a heartbeat if there are none.
+func writeLines(w http.ResponseWriter, lines [][]byte) error {
+	if len(lines) == 0 {
+		lines = [][]byte{nil}
+	}
+	for _, line := range lines {
+		if _, err := w.Write(append(line[:len(line):len(line)], '\n')); err != nil {
+			return err
+		}
+	}
+	return http.NewResponseController(w).Flush()
+}
