--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -14,36 +14,36 @@
 )
 
 // hubClientConfig is an agent's place in a fleet with hubs, by zone. Its flat place, if it knows any others, is the one to go back to.
-func hubClientConfig(c fleet.Config, hubs map[string]string, cfg *agent.Config) hubclient.Config {
+func hubClientConfig(fleetCfg fleet.Config, hubs map[string]string, cfg *agent.Config) hubclient.Config {
 	region := func(zone string) string {
 		if i := slices.Index(cfg.Site.Zones, zone); i >= 0 && i < len(cfg.Settings.Regions) {
 			return strconv.Itoa(cfg.Settings.Regions[i])
 		}
 		return ""
 	}
-	h := hubclient.Config{Name: c.Name, Site: c.Site, Region: region(c.Site), Version: c.Version, Label: c.Label, Listen: c.Listen, Advertise: c.Advertise,
-		MaxAgents: c.MaxMembers, AwaitAddress: c.AwaitAddress, Incarnations: c.Incarnations, Bounds: c.AgeBounds, Relayed: c.RelayedLists, ListRate: c.ListRate, Residency: c.Residency, Log: c.Log, Trace: c.Trace}
+	clientCfg := hubclient.Config{Name: fleetCfg.Name, Site: fleetCfg.Site, Region: region(fleetCfg.Site), Version: fleetCfg.Version, Label: fleetCfg.Label, Listen: fleetCfg.Listen, Advertise: fleetCfg.Advertise,
+		MaxAgents: fleetCfg.MaxMembers, AwaitAddress: fleetCfg.AwaitAddress, Incarnations: fleetCfg.Incarnations, Bounds: fleetCfg.AgeBounds, Relayed: fleetCfg.RelayedLists, ListRate: fleetCfg.ListRate, Residency: fleetCfg.Residency, Log: fleetCfg.Log, Trace: fleetCfg.Trace}
 	for zone, addr := range hubs {
-		h.Hubs = append(h.Hubs, hubclient.Hub{Zone: zone, Region: region(zone), Addr: addr})
+		clientCfg.Hubs = append(clientCfg.Hubs, hubclient.Hub{Zone: zone, Region: region(zone), Addr: addr})
 	}
-	if len(c.Seeds) > 0 {
-		h.NewMesh = func(door *net.TCPListener, began time.Time, told fleet.Callbacks) (*fleet.Fleet, error) {
-			c.Listener, c.StartedAt, c.AwaitAddress = door, began, false
-			if h.Trace != nil {
-				c.Trace = quotaFilter{h.Trace}
+	if len(fleetCfg.Seeds) > 0 {
+		clientCfg.NewMesh = func(listener *net.TCPListener, startedAt time.Time, callbacks fleet.Callbacks) (*fleet.Fleet, error) {
+			fleetCfg.Listener, fleetCfg.StartedAt, fleetCfg.AwaitAddress = listener, startedAt, false
+			if clientCfg.Trace != nil {
+				fleetCfg.Trace = quotaFilter{clientCfg.Trace}
 			}
-			return fleet.New(c, cfg.Site.Zones, told)
+			return fleet.New(fleetCfg, cfg.Site.Zones, callbacks)
 		}
 	}
-	return h
+	return clientCfg
 }
 
 // quotaFilter leaves out of a trace which part the flat fleet would give: the agent's is the lower of that and the hubs'.
-type quotaFilter struct{ w io.Writer }
+type quotaFilter struct{ trace io.Writer }
 
-func (p quotaFilter) Write(line []byte) (int, error) {
+func (f quotaFilter) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(`"part":`)) {
 		return len(line), nil
 	}
-	return p.w.Write(line)
+	return f.trace.Write(line)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -26,34 +26,34 @@
 // JoinFromConfig reads what an agent shares with its fleet out of its configuration.
 func JoinFromConfig(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, nil) }
 
-func joinFromConfig(raw []byte, g *preparedSettings) (agent.JoinFunc, error) {
-	s, err := config.ReadExtension(raw)
+func joinFromConfig(raw []byte, prepared *preparedSettings) (agent.JoinFunc, error) {
+	ext, err := config.ReadExtension(raw)
 	if err != nil {
 		return nil, err
 	}
-	if s.Fleet == nil && s.Residency == nil {
+	if ext.Fleet == nil && ext.Residency == nil {
 		return nil, nil
 	}
 	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (agent.Fleet, gate.Enforcer, error) {
-		t := &place{log: log}
-		keeper, err := t.openPolicy(s.Residency, cfg.Site.Zones)
+		joined := &agentFleet{log: log}
+		enforcer, err := joined.openPolicy(ext.Residency, cfg.Site.Zones)
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case s.Fleet == nil:
-			return withoutFleet{t}, keeper, nil
+		case ext.Fleet == nil:
+			return withoutFleet{joined}, enforcer, nil
 		}
-		if err := t.joinFleet(s.Fleet, g, cfg, post, follow); err != nil {
+		if err := joined.joinFleet(ext.Fleet, prepared, cfg, post, follow); err != nil {
 			return nil, nil, err
 		}
-		return t, keeper, nil
+		return joined, enforcer, nil
 	}, nil
 }
 
-// place is an agent's fleet, and the policy's file where it is given here.
-type place struct {
+// agentFleet is an agent's fleet, and the policy's file where it is given here.
+type agentFleet struct {
 	agent.Fleet
-	holder         *residency.Holder
+	policy         *residency.Holder
 	policyFile     string
 	policyStateDir string // a folder
 	traceFile      *os.File
@@ -61,37 +61,37 @@
 }
 
 // openPolicy has the agent hold a policy, if it has one.
-func (t *place) openPolicy(r *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
-	if r == nil {
+func (a *agentFleet) openPolicy(ext *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
+	if ext == nil {
 		return nil, nil
 	}
-	var keep func(int64, []string) error
-	if r.State != "" {
-		keep = residency.SaveFunc(r.State)
+	var save func(int64, []string) error
+	if ext.State != "" {
+		save = residency.SaveFunc(ext.State)
 	}
-	t.policyFile, t.policyStateDir = r.Policy, r.State
-	t.holder = residency.NewHolder(zones, time.Duration(r.BoundMs*float64(time.Millisecond)), r.Policy != "", t.log, keep)
-	if r.State != "" {
-		if err := t.holder.Load(r.State); err != nil {
-			t.log.Error("residency: what was kept can't be used", "error", err)
+	a.policyFile, a.policyStateDir = ext.Policy, ext.State
+	a.policy = residency.NewHolder(zones, time.Duration(ext.BoundMs*float64(time.Millisecond)), ext.Policy != "", a.log, save)
+	if ext.State != "" {
+		if err := a.policy.Load(ext.State); err != nil {
+			a.log.Error("residency: what was kept can't be used", "error", err)
 		}
 	}
-	if r.Policy != "" { // before the first request: no agent serves a moment without it
-		p, text, err := residency.ReadFile(r.Policy)
+	if ext.Policy != "" { // before the first request: no agent serves a moment without it
+		policy, text, err := residency.ReadFile(ext.Policy)
 		if err != nil {
 			return nil, err
 		}
-		if err := t.holder.Apply(p.Version, text); err != nil {
-			t.log.Error("residency: the policy's file is not used", "version", p.Version, "error", err)
+		if err := a.policy.Apply(policy.Version, text); err != nil {
+			a.log.Error("residency: the policy's file is not used", "version", policy.Version, "error", err)
 		}
 	}
-	return t.holder, nil
+	return a.policy, nil
 }
 
 // joinFleet has the agent be in its fleet: by way of a hub, if there are hubs.
-func (t *place) joinFleet(f *config.FleetExtension, g *preparedSettings, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
-	if f.Trace != "" {
-		if t.traceFile, err = os.OpenFile(f.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+func (a *agentFleet) joinFleet(ext *config.FleetExtension, prepared *preparedSettings, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
+	if ext.Trace != "" {
+		if a.traceFile, err = os.OpenFile(ext.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
 		}
 	}
@@ -100,66 +100,68 @@
 	if z := cfg.Settings.Zone; z >= 0 && z < len(zones) {
 		site = zones[z]
 	}
-	c := fleet.Config{Name: cfg.Name, Site: site, Version: Version(), Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds, Label: f.Label,
-		MaxMembers: f.MaxAgents, AwaitAddress: cfg.ListenFD > 0, AgeBounds: ageBounds(f), RelayedLists: f.Lists == "relayed", ListRate: f.ListRate, MeasureLatency: f.Matrix, Log: t.log,
-		Residency: t.holder, PolicySource: t.policyFile != "",
-		Incarnations: incarnation.Allocator{Dir: incarnation.Dir(f.Label, f.Settings, t.policyStateDir), Name: cfg.Name, Log: t.log}}
-	if t.traceFile != nil {
-		c.Trace = t.traceFile
-	}
-	told := fleet.Callbacks{
-		Quota:     func(part float64) { post(balancer.Quota{Share: part}) },
-		Latencies: func(trip []time.Duration, loss []float64) { post(balancer.ZoneLatencies{RTT: trip, Loss: loss}) },
-	}
-	if len(f.Hubs) == 0 {
-		t.Fleet, err = fleet.New(c, zones, told)
+	fleetCfg := fleet.Config{Name: cfg.Name, Site: site, Version: Version(), Listen: ext.Listen, Advertise: ext.Advertise, Seeds: ext.Seeds, Label: ext.Label,
+		MaxMembers: ext.MaxAgents, AwaitAddress: cfg.ListenFD > 0, AgeBounds: ageBounds(ext), RelayedLists: ext.Lists == "relayed", ListRate: ext.ListRate, MeasureLatency: ext.Matrix, Log: a.log,
+		Residency: a.policy, PolicySource: a.policyFile != "",
+		Incarnations: incarnation.Allocator{Dir: incarnation.Dir(ext.Label, ext.Settings, a.policyStateDir), Name: cfg.Name, Log: a.log}}
+	if a.traceFile != nil {
+		fleetCfg.Trace = a.traceFile
+	}
+	callbacks := fleet.Callbacks{
+		Quota: func(quota float64) { post(balancer.Quota{Share: quota}) },
+		Latencies: func(rtts []time.Duration, lossRates []float64) {
+			post(balancer.ZoneLatencies{RTT: rtts, Loss: lossRates})
+		},
+	}
+	if len(ext.Hubs) == 0 {
+		a.Fleet, err = fleet.New(fleetCfg, zones, callbacks)
 		return err
 	}
-	h := hubClientConfig(c, f.Hubs, cfg)
-	if g == nil {
-		h.Settings = platformSettings(f.Settings, cfg, follow, t.log)
+	clientCfg := hubClientConfig(fleetCfg, ext.Hubs, cfg)
+	if prepared == nil {
+		clientCfg.Settings = platformSettings(ext.Settings, cfg, follow, a.log)
 	} else {
-		g.discovery.setFollow(follow)
-		h.Settings = g.holder
+		prepared.discovery.setFollow(follow)
+		clientCfg.Settings = prepared.holder
 	}
-	t.Fleet, err = hubclient.New(h, zones, told)
+	a.Fleet, err = hubclient.New(clientCfg, zones, callbacks)
 	return err
 }
 
 // ageBounds are how old facts may be when they are used.
-func ageBounds(f *config.FleetExtension) gossip.AgeBounds {
-	b := gossip.AgeBounds{}
-	for kind, d := range gossip.DefaultAgeBounds {
-		b[kind] = d
-		if ms, said := f.MaxAgeMs[kind.String()]; said {
-			b[kind] = time.Duration(ms * float64(time.Millisecond))
+func ageBounds(ext *config.FleetExtension) gossip.AgeBounds {
+	bounds := gossip.AgeBounds{}
+	for kind, bound := range gossip.DefaultAgeBounds {
+		bounds[kind] = bound
+		if ms, configured := ext.MaxAgeMs[kind.String()]; configured {
+			bounds[kind] = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	return b
+	return bounds
 }
 
 // Run stays in the fleet, and follows the policy's file, until ctx ends.
-func (t *place) Run(ctx context.Context) error {
+func (a *agentFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	t.watchPolicyFile(ctx, &tasks)
-	if t.traceFile != nil {
-		defer t.traceFile.Close()
+	a.watchPolicyFile(ctx, &tasks)
+	if a.traceFile != nil {
+		defer a.traceFile.Close()
 	}
-	if err := t.Fleet.Run(ctx); err != nil {
+	if err := a.Fleet.Run(ctx); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
 }
 
-func (t *place) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
-	if t.policyFile != "" {
-		tasks.Go(func() { t.holder.Watch(ctx, t.policyFile, t.log) })
+func (a *agentFleet) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
+	if a.policyFile != "" {
+		tasks.Go(func() { a.policy.Watch(ctx, a.policyFile, a.log) })
 	}
 }
 
 // withoutFleet is an agent with a policy of its own and without a fleet.
-type withoutFleet struct{ *place }
+type withoutFleet struct{ *agentFleet }
 
 func (a withoutFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -22,11 +22,13 @@
 	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: JoinFromConfig}
 	read := func() (*config.Config, error) { return config.Read(file) }
 	if len(own.Fleet.Hubs) > 0 {
-		m := &discoverySwitch{}
-		over := settings.NewAgentConfig(file, m.switchTo)
-		h := newSettingsHolder(settings.Config{Check: over.Check, Apply: over.Apply, Log: log}, own.Settings.State)
-		read = over.Read
-		source.Join = func(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, &preparedSettings{h, m}) }
+		discovery := &discoverySwitch{}
+		overlay := settings.NewAgentConfig(file, discovery.switchTo)
+		holder := newSettingsHolder(settings.Config{Check: overlay.Check, Apply: overlay.Apply, Log: log}, own.Settings.State)
+		read = overlay.Read
+		source.Join = func(raw []byte) (agent.JoinFunc, error) {
+			return joinFromConfig(raw, &preparedSettings{holder, discovery})
+		}
 	}
 	source.Read = func() ([]byte, error) {
 		c, err := read()
@@ -50,53 +52,53 @@
 	follow func(discovery string)
 }
 
-func (m *discoverySwitch) switchTo(discovery string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.follow != nil {
-		m.follow(discovery)
+func (d *discoverySwitch) switchTo(discovery string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.follow != nil {
+		d.follow(discovery)
 	}
 }
 
-func (m *discoverySwitch) setFollow(follow func(discovery string)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.follow = follow
+func (d *discoverySwitch) setFollow(follow func(discovery string)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.follow = follow
 }
 
 // newSettingsHolder keeps settings in a folder, and begins with what was kept there; "": in none.
-func newSettingsHolder(c settings.Config, state string) *settings.Holder {
-	if state == "" {
-		return settings.NewHolder(c)
+func newSettingsHolder(cfg settings.Config, dir string) *settings.Holder {
+	if dir == "" {
+		return settings.NewHolder(cfg)
 	}
-	c.Save = settings.SaveFunc(state)
-	h := settings.NewHolder(c)
-	if err := h.Load(state); err != nil {
-		c.Log.Error("settings: what was kept can't be used", "error", err)
+	cfg.Save = settings.SaveFunc(dir)
+	holder := settings.NewHolder(cfg)
+	if err := holder.Load(dir); err != nil {
+		cfg.Log.Error("settings: what was kept can't be used", "error", err)
 	}
-	return h
+	return holder
 }
 
 // platformSettings are the settings of an agent that is configured in the platform's form, over which no text is laid:
 // where discovery is takes effect, and all other keys are told to wait.
-func platformSettings(state string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
-	m := &discoverySwitch{}
-	m.setFollow(func(discovery string) { cfg.Discovery = discovery }) // the agent is about to be made
-	h := newSettingsHolder(settings.Config{Apply: m.apply, Log: log}, state)
-	m.setFollow(follow)
-	return h
+func platformSettings(dir string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
+	discovery := &discoverySwitch{}
+	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // the agent is about to be made
+	holder := newSettingsHolder(settings.Config{Apply: discovery.apply, Log: log}, dir)
+	discovery.setFollow(follow)
+	return holder
 }
 
-func (m *discoverySwitch) apply(s *settings.Settings) (later []string, err error) {
-	var v struct {
+func (d *discoverySwitch) apply(text *settings.Settings) (later []string, err error) {
+	var document struct {
 		Discovery string `toml:"discovery"`
 	}
-	meta, err := toml.Decode(s.Text, &v)
+	meta, err := toml.Decode(text.Text, &document)
 	if err != nil {
 		return nil, err
 	}
-	if v.Discovery != "" {
-		m.switchTo(v.Discovery)
+	if document.Discovery != "" {
+		d.switchTo(document.Discovery)
 	}
 	for _, key := range meta.Undecoded() {
 		if name := key.String(); name != "version" && !slices.Contains(later, name) {
