--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -1,5 +1,7 @@
 package membership
 
+// This file configures an agent's hub client.
+
 import (
 	"bytes"
 	"io"
@@ -13,7 +15,8 @@
 	"martenbeam/internal/fleet/hubclient"
 )
 
-// hubClientConfig is an agent's place in a fleet with hubs, by zone. Its flat place, if it knows any others, is the one to go back to.
+// hubClientConfig returns the configuration of a hub client from that of a fleet and the addresses of the hubs by zone. If the
+// fleet has seeds the client can fall back to a full mesh.
 func hubClientConfig(fleetCfg fleet.Config, hubs map[string]string, cfg *agent.Config) hubclient.Config {
 	region := func(zone string) string {
 		if i := slices.Index(cfg.Site.Zones, zone); i >= 0 && i < len(cfg.Settings.Regions) {
@@ -21,8 +24,13 @@
 		}
 		return ""
 	}
-	clientCfg := hubclient.Config{Name: fleetCfg.Name, Site: fleetCfg.Site, Region: region(fleetCfg.Site), Version: fleetCfg.Version, Label: fleetCfg.Label, Listen: fleetCfg.Listen, Advertise: fleetCfg.Advertise,
-		MaxAgents: fleetCfg.MaxMembers, AwaitAddress: fleetCfg.AwaitAddress, Incarnations: fleetCfg.Incarnations, Bounds: fleetCfg.AgeBounds, Relayed: fleetCfg.RelayedLists, ListRate: fleetCfg.ListRate, Residency: fleetCfg.Residency, Log: fleetCfg.Log, Trace: fleetCfg.Trace}
+	clientCfg := hubclient.Config{
+		Name: fleetCfg.Name, Site: fleetCfg.Site, Region: region(fleetCfg.Site), Version: fleetCfg.Version, Label: fleetCfg.Label,
+		Listen: fleetCfg.Listen, Advertise: fleetCfg.Advertise, AwaitAddress: fleetCfg.AwaitAddress,
+		MaxAgents: fleetCfg.MaxMembers, Incarnations: fleetCfg.Incarnations, Bounds: fleetCfg.AgeBounds,
+		Relayed: fleetCfg.RelayedLists, ListRate: fleetCfg.ListRate, Residency: fleetCfg.Residency,
+		Log: fleetCfg.Log, Trace: fleetCfg.Trace,
+	}
 	for zone, addr := range hubs {
 		clientCfg.Hubs = append(clientCfg.Hubs, hubclient.Hub{Zone: zone, Region: region(zone), Addr: addr})
 	}
@@ -38,9 +46,11 @@
 	return clientCfg
 }
 
-// quotaFilter leaves out of a trace which part the flat fleet would give: the agent's is the lower of that and the hubs'.
+// quotaFilter keeps the quotas of the full mesh out of a trace: the agent uses the lower of the mesh's and the hubs' quota, and
+// only that one may be in the trace.
 type quotaFilter struct{ trace io.Writer }
 
+// Write drops a line with a quota and passes on any other.
 func (f quotaFilter) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(`"part":`)) {
 		return len(line), nil
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,16 @@
-// Package membership joins an agent with its fleet and its residency policy, as its configuration says. The platform's own
-// program knows nothing of it.
+// Package membership wires an agent to its fleet and to its residency policy, as its configuration says. It makes and connects:
+//
+//   - a residency.Holder, loaded from its state directory and from the policy's file, which it watches;
+//   - without hubs a fleet.Fleet, with hubs a hubclient.Client that can fall back to one;
+//   - a settings.Holder, if there are hubs, whose settings overlay the configuration file;
+//   - callbacks that post quotas and latencies to the decision module.
+//
+// What it makes is owned by the agent as an agent.Fleet, whose Run runs all of it and waits for its goroutines. The package keeps
+// no state of its own. Agents of the platform's own program have neither a fleet nor a policy and do not use it.
 package membership
 
+// This file makes the fleet and the policy of an agent and runs them.
+
 import (
 	"context"
 	"fmt"
@@ -23,9 +32,11 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// JoinFromConfig reads what an agent shares with its fleet out of its configuration.
+// JoinFromConfig reads the sections on the fleet and the residency policy from an agent's configuration in the platform's form.
+// It returns a function that makes both, or nil if the configuration has neither section. It is meant for agent.Source.Join.
 func JoinFromConfig(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, nil) }
 
+// joinFromConfig is JoinFromConfig, with settings that were loaded before the configuration was read; nil: there are none.
 func joinFromConfig(raw []byte, prepared *preparedSettings) (agent.JoinFunc, error) {
 	ext, err := config.ReadExtension(raw)
 	if err != nil {
@@ -50,17 +61,18 @@
 	}, nil
 }
 
-// agentFleet is an agent's fleet, and the policy's file where it is given here.
+// agentFleet is the fleet of an agent with its residency policy.
 type agentFleet struct {
-	agent.Fleet
+	agent.Fleet    // a fleet.Fleet or a hubclient.Client
 	policy         *residency.Holder
-	policyFile     string
-	policyStateDir string // a folder
+	policyFile     string // "": this agent is not given the policy
+	policyStateDir string // "": the policy is not stored
 	traceFile      *os.File
 	log            *slog.Logger
 }
 
-// openPolicy has the agent hold a policy, if it has one.
+// openPolicy makes the holder of the residency policy from what is stored and from the policy's file. It returns nil if there
+// is no policy, and an error if the file cannot be read.
 func (a *agentFleet) openPolicy(ext *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
 	if ext == nil {
 		return nil, nil
@@ -76,7 +88,7 @@
 			a.log.Error("residency: what was kept can't be used", "error", err)
 		}
 	}
-	if ext.Policy != "" { // before the first request: no agent serves a moment without it
+	if ext.Policy != "" { // it has to be in force before the first request
 		policy, text, err := residency.ReadFile(ext.Policy)
 		if err != nil {
 			return nil, err
@@ -88,8 +100,9 @@
 	return a.policy, nil
 }
 
-// joinFleet has the agent be in its fleet: by way of a hub, if there are hubs.
-func (a *agentFleet) joinFleet(ext *config.FleetExtension, prepared *preparedSettings, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
+// joinFleet makes the fleet, which posts its events to the decision module: without hubs a full mesh, else a hub client.
+func (a *agentFleet) joinFleet(ext *config.FleetExtension, prepared *preparedSettings, cfg *agent.Config,
+	post func(balancer.Event), follow func(discovery string)) (err error) {
 	if ext.Trace != "" {
 		if a.traceFile, err = os.OpenFile(ext.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
@@ -128,7 +141,7 @@
 	return err
 }
 
-// ageBounds are how old facts may be when they are used.
+// ageBounds returns the age bounds of gossip entries: those that the configuration sets, in ms, and the defaults for others.
 func ageBounds(ext *config.FleetExtension) gossip.AgeBounds {
 	bounds := gossip.AgeBounds{}
 	for kind, bound := range gossip.DefaultAgeBounds {
@@ -140,7 +153,7 @@
 	return bounds
 }
 
-// Run stays in the fleet, and follows the policy's file, until ctx ends.
+// Run runs the fleet and watches the policy's file until ctx ends. It returns after both have ended.
 func (a *agentFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -154,15 +167,17 @@
 	return nil
 }
 
+// watchPolicyFile watches the policy's file in a goroutine of tasks, if there is one.
 func (a *agentFleet) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
 	if a.policyFile != "" {
 		tasks.Go(func() { a.policy.Watch(ctx, a.policyFile, a.log) })
 	}
 }
 
-// withoutFleet is an agent with a policy of its own and without a fleet.
+// withoutFleet is the agent.Fleet of an agent that has a residency policy but no fleet.
 type withoutFleet struct{ *agentFleet }
 
+// Run watches the policy's file until ctx ends.
 func (a withoutFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	a.watchPolicyFile(ctx, &tasks)
@@ -171,15 +186,19 @@
 	return nil
 }
 
-// Next asks the list service at once: there is nobody to take turns with.
-func (withoutFleet) Next(context.Context, int) (source.Source, bool)          { return source.Source{}, true }
+// Next returns the list service at once, since there is no fleet to take turns with.
+func (withoutFleet) Next(context.Context, int) (source.Source, bool) { return source.Source{}, true }
+
+// The other methods of agent.Fleet do nothing. Dial is never called, as Next returns no relay.
+
 func (withoutFleet) RecordAttempt(source.Source, time.Duration, bool, int64)  {}
 func (withoutFleet) RecordLiveness(source.Source)                             {}
 func (withoutFleet) RecordUpdate(source.Source, int64, int64, []byte, []byte) {}
 func (withoutFleet) Ready()                                                   {}
 func (withoutFleet) Lagging(int64) bool                                       { return false }
 
-// Version is the program's, as the others see it.
+// Version returns the program's version as published to other members: the first 12 digits of the commit it was built from, or
+// "unknown".
 func Version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -1,5 +1,7 @@
 package membership
 
+// This file overlays settings from hubs on an agent's configuration.
+
 import (
 	"log/slog"
 	"slices"
@@ -12,8 +14,9 @@
 	"martenbeam/internal/settings"
 )
 
-// FromFile is an agent that a file configures. Where there are hubs their settings are laid over it: from the start those that
-// were kept, and later those that come.
+// FromFile returns the source of the configuration of an agent that is configured by a martenbeam file. If the file names hubs,
+// the settings from hubs overlay it: from the start those that were stored, and later those that are received. It returns an
+// error if the file cannot be read or is invalid.
 func FromFile(file string, log *slog.Logger) (agent.Source, error) {
 	own, err := config.Read(file)
 	if err != nil {
@@ -40,18 +43,20 @@
 	return source, nil
 }
 
-// preparedSettings are settings that were made before the agent was.
+// preparedSettings are settings that were loaded before the agent was made.
 type preparedSettings struct {
 	holder    *settings.Holder
 	discovery *discoverySwitch
 }
 
-// discoverySwitch has an agent watch discovery elsewhere, once there is one.
+// discoverySwitch passes a changed address of discovery to the agent. Until setFollow is called there is no agent, and changes
+// are ignored. Its methods may be called from any goroutine.
 type discoverySwitch struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // protects follow, and is held while it is called
 	follow func(discovery string)
 }
 
+// switchTo makes the agent use another address of discovery.
 func (d *discoverySwitch) switchTo(discovery string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,13 +65,15 @@
 	}
 }
 
+// setFollow sets the function that makes the agent use another address.
 func (d *discoverySwitch) setFollow(follow func(discovery string)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follow = follow
 }
 
-// newSettingsHolder keeps settings in a folder, and begins with what was kept there; "": in none.
+// newSettingsHolder returns a holder that stores settings in a directory and has loaded those stored there. With an empty name
+// it stores nothing. Stored settings that cannot be used are logged.
 func newSettingsHolder(cfg settings.Config, dir string) *settings.Holder {
 	if dir == "" {
 		return settings.NewHolder(cfg)
@@ -79,21 +86,22 @@
 	return holder
 }
 
-// platformSettings are the settings of an agent that is configured in the platform's form, over which no text is laid:
-// where discovery is takes effect, and all other keys are told to wait.
+// platformSettings returns the settings of an agent that is configured in the platform's form, which settings cannot overlay.
+// Only the address of discovery takes effect; all other keys are reported as pending until a restart.
 func platformSettings(dir string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
 	discovery := &discoverySwitch{}
-	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // the agent is about to be made
+	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // until the agent is made
 	holder := newSettingsHolder(settings.Config{Apply: discovery.apply, Log: log}, dir)
 	discovery.setFollow(follow)
 	return holder
 }
 
-func (d *discoverySwitch) apply(text *settings.Settings) (later []string, err error) {
+// apply applies the address of discovery and returns the other keys, which wait for a restart.
+func (d *discoverySwitch) apply(received *settings.Settings) (pending []string, err error) {
 	var document struct {
 		Discovery string `toml:"discovery"`
 	}
-	meta, err := toml.Decode(text.Text, &document)
+	meta, err := toml.Decode(received.Text, &document)
 	if err != nil {
 		return nil, err
 	}
@@ -101,9 +109,9 @@
 		d.switchTo(document.Discovery)
 	}
 	for _, key := range meta.Undecoded() {
-		if name := key.String(); name != "version" && !slices.Contains(later, name) {
-			later = append(later, name)
+		if name := key.String(); name != "version" && !slices.Contains(pending, name) {
+			pending = append(pending, name)
 		}
 	}
-	return later, nil
+	return pending, nil
 }
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -1,5 +1,7 @@
 package membership
 
+// This file tests stored settings at the start of an agent.
+
 import (
 	"fmt"
 	"log/slog"
@@ -27,7 +29,7 @@
 deadline = "2s"
 `
 
-// Settings that were kept hold from the start of an agent, whichever form its own configuration has.
+// Stored settings are in force from the start of an agent, in both forms of its configuration.
 func TestCachedSettingsApplyFromTheStart(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	dir := t.TempDir()
