--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -108,18 +108,7 @@
 			return err
 		}
 	}
-	zones := cfg.Site.Zones
-	site := ""
-	if z := cfg.Settings.Zone; z >= 0 && z < len(zones) {
-		site = zones[z]
-	}
-	fleetCfg := fleet.Config{Name: cfg.Name, Site: site, Version: Version(), Listen: ext.Listen, Advertise: ext.Advertise, Seeds: ext.Seeds, Label: ext.Label,
-		MaxMembers: ext.MaxAgents, AwaitAddress: cfg.ListenFD > 0, AgeBounds: ageBounds(ext), RelayedLists: ext.Lists == "relayed", ListRate: ext.ListRate, MeasureLatency: ext.Matrix, Log: a.log,
-		Residency: a.policy, PolicySource: a.policyFile != "",
-		Incarnations: incarnation.Allocator{Dir: incarnation.Dir(ext.Label, ext.Settings, a.policyStateDir), Name: cfg.Name, Log: a.log}}
-	if a.traceFile != nil {
-		fleetCfg.Trace = a.traceFile
-	}
+	fleetCfg := a.fleetConfig(ext, cfg)
 	callbacks := fleet.Callbacks{
 		Quota: func(quota float64) { post(balancer.Quota{Share: quota}) },
 		Latencies: func(rtts []time.Duration, lossRates []float64) {
@@ -127,7 +116,7 @@
 		},
 	}
 	if len(ext.Hubs) == 0 {
-		a.Fleet, err = fleet.New(fleetCfg, zones, callbacks)
+		a.Fleet, err = fleet.New(fleetCfg, cfg.Site.Zones, callbacks)
 		return err
 	}
 	clientCfg := hubClientConfig(fleetCfg, ext.Hubs, cfg)
@@ -137,10 +126,30 @@
 		prepared.discovery.setFollow(follow)
 		clientCfg.Settings = prepared.holder
 	}
-	a.Fleet, err = hubclient.New(clientCfg, zones, callbacks)
+	a.Fleet, err = hubclient.New(clientCfg, cfg.Site.Zones, callbacks)
 	return err
 }
 
+// fleetConfig returns the configuration of a full mesh, on which that of a hub client is based.
+func (a *agentFleet) fleetConfig(ext *config.FleetExtension, cfg *agent.Config) fleet.Config {
+	site := ""
+	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Site.Zones) {
+		site = cfg.Site.Zones[z]
+	}
+	incarnationDir := incarnation.Dir(ext.Label, ext.Settings, a.policyStateDir)
+	fleetCfg := fleet.Config{
+		Name: cfg.Name, Site: site, Version: Version(), Label: ext.Label,
+		Listen: ext.Listen, Advertise: ext.Advertise, Seeds: ext.Seeds, AwaitAddress: cfg.ListenFD > 0,
+		MaxMembers: ext.MaxAgents, AgeBounds: ageBounds(ext), RelayedLists: ext.Lists == "relayed", ListRate: ext.ListRate,
+		MeasureLatency: ext.Matrix, Residency: a.policy, PolicySource: a.policyFile != "", Log: a.log,
+		Incarnations: incarnation.Allocator{Dir: incarnationDir, Name: cfg.Name, Log: a.log},
+	}
+	if a.traceFile != nil {
+		fleetCfg.Trace = a.traceFile
+	}
+	return fleetCfg
+}
+
 // ageBounds returns the age bounds of gossip entries: those that the configuration sets, in ms, and the defaults for others.
 func ageBounds(ext *config.FleetExtension) gossip.AgeBounds {
 	bounds := gossip.AgeBounds{}
