--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -166,7 +166,7 @@
 // mergeGossip takes a gossip message from another member.
 func (f *Fleet) mergeGossip(data []byte) {
 	if err := f.store.Merge(data); err != nil {
-		f.cfg.Log.Debug("a message of the fleet makes no sense", "error", err)
+		f.cfg.Log.Debug("malformed gossip message", "error", err)
 	}
 }
 
--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -59,14 +59,14 @@
 			// A successful join does not reset the backoff. Each join exchanges the complete state of both sides. While
 			// members are suspected because all are slow, more joins made all of them slower still.
 			if n, err := list.Join(targets); n == 0 && err != nil {
-				l.cfg.Log.Debug("nobody was found", "asked", targets, "error", err)
+				l.cfg.Log.Debug("join failed", "asked", targets, "error", err)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			leaving = true
 		case <-l.leave:
-			l.cfg.Log.Error("another process has this one's name: it leaves the fleet and serves alone", "name", l.cfg.Name)
+			l.cfg.Log.Error("name conflict: this process leaves the fleet", "name", l.cfg.Name)
 			leaving = true
 		case <-time.After(max(50*time.Millisecond, retryBackoff.NextBackOff())):
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -85,7 +85,7 @@
 	a.policy = residency.NewHolder(zones, time.Duration(ext.BoundMs*float64(time.Millisecond)), ext.Policy != "", a.log, save)
 	if ext.State != "" {
 		if err := a.policy.Load(ext.State); err != nil {
-			a.log.Error("residency: what was kept can't be used", "error", err)
+			a.log.Error("stored residency policy unusable", "error", err)
 		}
 	}
 	if ext.Policy != "" { // it has to be in force before the first request
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 		if err := a.policy.Apply(policy.Version, text); err != nil {
-			a.log.Error("residency: the policy's file is not used", "version", policy.Version, "error", err)
+			a.log.Error("residency policy file rejected", "version", policy.Version, "error", err)
 		}
 	}
 	return a.policy, nil
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -81,7 +81,7 @@
 	cfg.Save = settings.SaveFunc(dir)
 	holder := settings.NewHolder(cfg)
 	if err := holder.Load(dir); err != nil {
-		cfg.Log.Error("settings: what was kept can't be used", "error", err)
+		cfg.Log.Error("stored settings unusable", "error", err)
 	}
 	return holder
 }
