--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -204,32 +204,36 @@
 	s.silentUntil = time.Time{}
 	for _, entry := range m.Entries {
 		entry.Age += transit
-		if entry.Observer == s.self {
-			continue
-		}
-		if entry.Age > s.bounds[entry.Kind] {
-			s.rejected[entry.Kind]++
-			continue
-		}
-		set := s.set(entry.Kind)
-		i, known := set.find(entry.Subject, entry.Observer)
-		if !known && s.size >= maxEntries {
-			s.rejected[entry.Kind]++
-			continue
-		}
-		if known {
-			// If the same entry arrives again with a lower age, the stored one stays: of two age estimates the lower one is
-			// more likely to be wrong.
-			old := set.entries[i]
-			if cmp.Or(cmp.Compare(entry.Incarnation, old.Incarnation), cmp.Compare(entry.Seq, old.Seq)) <= 0 {
-				continue
-			}
+		if entry.Observer != s.self {
+			s.mergeEntry(entry, now)
 		}
-		s.put(&storedEntry{Entry: entry, storedAt: now})
 	}
 	return transit, nil
 }
 
+// mergeEntry stores an entry from a message, unless it is too old, is already known or there is no room. The lock is held.
+func (s *Store) mergeEntry(entry Entry, now time.Time) {
+	if entry.Age > s.bounds[entry.Kind] {
+		s.rejected[entry.Kind]++
+		return
+	}
+	set := s.set(entry.Kind)
+	i, known := set.find(entry.Subject, entry.Observer)
+	if !known && s.size >= maxEntries {
+		s.rejected[entry.Kind]++
+		return
+	}
+	if known {
+		// If the same entry arrives again with a lower age, the stored one stays: of two age estimates the lower one is
+		// more likely to be wrong.
+		old := set.entries[i]
+		if cmp.Or(cmp.Compare(entry.Incarnation, old.Incarnation), cmp.Compare(entry.Seq, old.Seq)) <= 0 {
+			return
+		}
+	}
+	s.put(&storedEntry{Entry: entry, storedAt: now})
+}
+
 // Entries returns the entries of a kind that are within their age bound, sorted by subject and observer, each with its
 // present age. Each one counts as used, in the statistics and in the trace. Bodies are shared and must not be changed.
 func (s *Store) Entries(kind Kind) (list []Entry) {
