--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -158,7 +158,8 @@
 func TestMatrixIsRebuiltOnlyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var trace bytes.Buffer
-		f, err := New(Config{Name: "x", Site: "a", MaxMembers: 1, Listen: "127.0.0.1:0", MeasureLatency: true, Trace: &trace, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{})
+		f, err := New(Config{Name: "x", Site: "a", MaxMembers: 1, Listen: "127.0.0.1:0", MeasureLatency: true, Trace: &trace,
+			Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -264,7 +265,8 @@
 	ask := func(since int) (*json.Decoder, func()) {
 		client := &http.Client{Transport: &http.Transport{DialContext: other.Dial, DisableKeepAlives: true}}
 		ctx, cancel := context.WithCancel(ctx)
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", src.Addr, since), nil)
+		url := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", src.Addr, since)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -380,7 +382,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for _, text := range []string{"x", "\xd7", "\xd7\x02aaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "\xf4\xff", "\x08garbage", string(make([]byte, 9000))} {
+	malformed := []string{"x", "\xd7", "\xd7\x02aaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "\xf4\xff", "\x08garbage", string(make([]byte, 9000))}
+	for _, text := range malformed {
 		if _, err := c.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -66,7 +66,8 @@
 	for _, e := range m.Entries {
 		switch {
 		case e.Kind == 0 || e.Observer == "" || len(e.Observer) > maxNameBytes || len(e.Subject) > maxNameBytes:
-			return nil, fmt.Errorf("entry of kind %d has a subject of %d bytes and an observer of %d bytes", e.Kind, len(e.Subject), len(e.Observer))
+			return nil, fmt.Errorf("entry of kind %d has a subject of %d bytes and an observer of %d bytes",
+				e.Kind, len(e.Subject), len(e.Observer))
 		case e.Age < 0 || e.Age > maxAge:
 			return nil, fmt.Errorf("entry has age %v", e.Age)
 		case len(e.Body) > MaxBodyBytes:
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -33,13 +33,14 @@
 
 // newTestNetwork starts a fleet of the given sizes by site, until ctx ends.
 func newTestNetwork(ctx context.Context, sizes map[string]int, oneWay func(from, to string) (time.Duration, bool)) *testNetwork {
-	network := &testNetwork{oneWay: oneWay, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{}, addedDelay: map[string]time.Duration{}}
+	network := &testNetwork{oneWay: oneWay, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{},
+		addedDelay: map[string]time.Duration{}}
 	n := 0
 	for _, site := range []string{"a", "b", "c"} {
 		for i := range sizes[site] {
 			n++
-			network.members = append(network.members, member.Member{Name: fmt.Sprint(site, i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 1),
-				Meta: member.Meta{Site: site}})
+			addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 1)
+			network.members = append(network.members, member.Member{Name: fmt.Sprint(site, i), Addr: addr, Meta: member.Meta{Site: site}})
 		}
 	}
 	network.view = member.NewView(network.members...)
@@ -77,7 +78,8 @@
 		}
 		d, arrives := n.oneWay(m.Site, site)
 		if p := n.probers[to]; arrives && p != nil {
-			time.AfterFunc(d+time.Duration(rand.Float64()*0.25*float64(d))+n.addedDelay[m.Name], func() { p.HandleDatagram(data, m.Addr, time.Now()) })
+			delay := d + time.Duration(rand.Float64()*0.25*float64(d)) + n.addedDelay[m.Name]
+			time.AfterFunc(delay, func() { p.HandleDatagram(data, m.Addr, time.Now()) })
 		}
 		return now, nil
 	}
@@ -206,7 +208,8 @@
 				probes += p.sent
 				p.mu.Unlock()
 			}
-			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair", n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
+			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair",
+				n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
 				t.Errorf("%.1f probes a second for a pair", rate)
 			}
@@ -216,7 +219,8 @@
 
 // A row counts only if its observer is a member of its site, once for each pair, and only if it is well-formed.
 func TestRowsAreCheckedAgainstMembership(t *testing.T) {
-	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}}, member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
+	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}},
+		member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
 	one := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
 	for name, c := range map[string]struct {
@@ -257,7 +261,8 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add(datagram{kind: probeRequest, label: 1, nonce: 2, dwell: 3}.encode(member.ProbeByte))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := New(Config{View: func() *member.View { return member.NewView() }, Send: func([]byte, netip.AddrPort) (time.Time, error) { return time.Now(), nil }})
+		p := New(Config{View: func() *member.View { return member.NewView() },
+			Send: func([]byte, netip.AddrPort) (time.Time, error) { return time.Now(), nil }})
 		if len(data) > 0 {
 			p.HandleDatagram(data, netip.AddrPort{}, time.Now())
 		}
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -14,7 +14,8 @@
 // newIdleList returns a list that is not run.
 func newIdleList(t *testing.T) *List {
 	t.Helper()
-	l, err := New(Config{Name: "m", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler), Changed: func() {}, Meta: Meta{Site: "a"}})
+	l, err := New(Config{Name: "m", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Log: slog.New(slog.DiscardHandler),
+		Changed: func() {}, Meta: Meta{Site: "a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -45,7 +45,8 @@
 	if ext.Fleet == nil && ext.Residency == nil {
 		return nil, nil
 	}
-	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (agent.Fleet, gate.Enforcer, error) {
+	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (
+		agent.Fleet, gate.Enforcer, error) {
 		joined := &agentFleet{log: log}
 		enforcer, err := joined.openPolicy(ext.Residency, cfg.Site.Zones)
 		switch {
