--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -5,22 +5,15 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"martenbeam/internal/fleet/gossip"
 	"martenbeam/internal/fleet/member"
-	"martenbeam/internal/fleet/source"
-	"martenbeam/internal/residency"
 )
 
 // waitTimeout is how long a test waits for a condition: far longer than it takes on any machine.
@@ -153,56 +146,6 @@
 	}
 }
 
-// The matrix is kept until the content of a row changes or a row expires. Meanwhile each round traces the use of its rows,
-// within their age bound.
-func TestMatrixIsRebuiltOnlyOnChange(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		var trace bytes.Buffer
-		f, err := New(Config{Name: "x", Site: "a", MaxMembers: 1, Listen: "127.0.0.1:0", MeasureLatency: true, Trace: &trace,
-			Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{})
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer f.members.Abort()
-		row := func(us int) []byte {
-			type entry struct {
-				Site   string `cbor:"1,keyasint"`
-				Micros int    `cbor:"2,keyasint"`
-				Count  int    `cbor:"5,keyasint"`
-			}
-			body, _ := cbor.Marshal(map[int][]entry{1: {{"b", us, 3}}})
-			return body
-		}
-		for i, step := range []struct{ us, made, known int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
-			if step.us > 0 {
-				f.store.Publish(gossip.LatencyRow, "a", row(step.us))
-			}
-			for n := 0; n < 12 || step.us == 0 && n < 40; n++ {
-				time.Sleep(gossip.TickInterval)
-				trace.Reset()
-				f.store.Tick()
-				f.publishLatencies()
-				for line := range bytes.Lines(trace.Bytes()) {
-					var use struct{ Age int64 }
-					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultAgeBounds[gossip.LatencyRow] {
-						t.Errorf("step %d: %s", i, line)
-					}
-				}
-				if uses := bytes.Count(trace.Bytes(), []byte(`"use"`)); uses != len(f.matrix) {
-					t.Errorf("step %d: %d uses of a matrix of %d", i, uses, len(f.matrix))
-				}
-			}
-			if f.matrixBuilds != step.made || len(f.matrix) != step.known {
-				t.Errorf("step %d: built %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
-			}
-		}
-		f.cfg.Trace = nil
-		if n := testing.AllocsPerRun(10, f.publishLatencies); n > 0 {
-			t.Errorf("%v allocations while nothing changes", n)
-		}
-	})
-}
-
 // A process that meets no other gets its even quota once no other can be using it. Fleets with different labels do not mix.
 func TestLoneProcessGetsItsEvenQuota(t *testing.T) {
 	t.Parallel()
@@ -232,130 +175,6 @@
 	}
 }
 
-// A relay sends the list of the service: the full list to a new follower and changes to others, but none while it receives
-// nothing from the service, and none that came from another relay. Other members ask a relay first, and the service if no
-// relay answers.
-func TestRelayForwardsTheServicesList(t *testing.T) {
-	t.Parallel()
-	list := startFleet(t, 3, 3, func(_ int, c *Config) { c.Site, c.RelayedLists = "a", true })
-	relays := list[0].relayMembers()
-	if len(relays) != 1 {
-		t.Fatalf("%d relays", len(relays))
-	}
-	var relay, other *testProcess
-	for _, process := range list {
-		if process.cfg.Name == relays[0].Name {
-			relay = process
-		} else {
-			other = process
-		}
-	}
-	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
-	defer cancel()
-	if src, ok := relay.Next(ctx, 0); !ok || src.Relayed {
-		t.Errorf("the relay asks %+v", src)
-	}
-	src, ok := other.Next(ctx, 0)
-	if !ok || !src.Relayed || src.Addr != relay.Addr() {
-		t.Fatalf("another asks %+v", src)
-	}
-	if src, ok := other.Next(ctx, maxRelayAttempts); !ok || src.Relayed {
-		t.Errorf("after its tries another asks %+v", src)
-	}
-	ask := func(since int) (*json.Decoder, func()) {
-		client := &http.Client{Transport: &http.Transport{DialContext: other.Dial, DisableKeepAlives: true}}
-		ctx, cancel := context.WithCancel(ctx)
-		url := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", src.Addr, since)
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, err := client.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if resp.StatusCode != http.StatusOK {
-			cancel()
-			resp.Body.Close()
-			return nil, func() {}
-		}
-		return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
-	}
-	if decoder, end := ask(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
-		end()
-		t.Error("a relay without a list answers")
-	}
-	version := func(decoder *json.Decoder) (m struct {
-		Version int
-		Full    bool
-	}) {
-		if err := decoder.Decode(&m); err != nil {
-			t.Fatal(err)
-		}
-		return m
-	}
-	relay.RecordLiveness(source.Source{})
-	relay.RecordUpdate(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
-	relay.RecordUpdate(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
-	decoder, end := ask(0)
-	defer end()
-	if m := version(decoder); m.Version != 7 || !m.Full {
-		t.Errorf("%+v", m)
-	}
-	relay.RecordLiveness(source.Source{})
-	relay.RecordUpdate(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
-	if m := version(decoder); m.Version != 8 || m.Full {
-		t.Errorf("%+v", m)
-	}
-	for since, full := range map[int]bool{7: false, 3: true} {
-		decoder, end := ask(since)
-		if m := version(decoder); m.Version != 8 || m.Full != full {
-			t.Errorf("since %d: %+v", since, m)
-		}
-		end()
-	}
-}
-
-// A policy that is given to one process reaches all, a higher version replaces it, and of two policies with one version only
-// what both permit is permitted.
-func TestPolicyReachesAllMembers(t *testing.T) {
-	t.Parallel()
-	text := func(version int, region string) string {
-		return fmt.Sprintf("version = %d\n[regions]\nx = [\"a\"]\ny = [\"b\"]\n[others]\npermitted = [%s]\n", version, region)
-	}
-	holders := map[int]*residency.Holder{}
-	list := startFleet(t, 3, 3, func(i int, c *Config) {
-		c.PolicySource = i < 2
-		holders[i] = residency.NewHolder(zones, time.Minute, c.PolicySource, slog.New(slog.DiscardHandler), nil)
-		c.Residency = holders[i]
-	})
-	holds := func(a, b bool) func() bool {
-		return func() bool {
-			for i := range list {
-				rule := holders[i].RuleID("t", "c")
-				if table := holders[i].Table(); table.Permits(rule, 0) != a || table.Permits(rule, 1) != b {
-					return false
-				}
-			}
-			return true
-		}
-	}
-	give := func(i, version int, region string) {
-		if err := holders[i].Apply(int64(version), text(version, region)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	waitFor(t, "a state in which nothing is permitted", holds(false, false))
-	give(0, 1, `"x", "y"`)
-	waitFor(t, "the first policy", holds(true, true))
-	give(0, 2, `"x"`)
-	waitFor(t, "the second policy", holds(true, false))
-	give(1, 2, `"y"`)
-	waitFor(t, "what both permit", holds(false, false))
-	give(1, 3, `"y"`)
-	waitFor(t, "the third policy", holds(false, true))
-}
-
 // Two processes of one agent run at the same time while one replaces the other: the younger waits for the address.
 func TestYoungerProcessTakesOverTheAddress(t *testing.T) {
 	t.Parallel()
--- /dev/null
+++ b/internal/fleet/relay_test.go
@@ -0,0 +1,97 @@
+package fleet
+
+// This file tests the relaying of endpoint lists.
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"testing"
+
+	"martenbeam/internal/fleet/source"
+)
+
+// A relay sends the list of the service: the full list to a new follower and changes to others, but none while it receives
+// nothing from the service, and none that came from another relay. Other members ask a relay first, and the service if no
+// relay answers.
+func TestRelayForwardsTheServicesList(t *testing.T) {
+	t.Parallel()
+	list := startFleet(t, 3, 3, func(_ int, c *Config) { c.Site, c.RelayedLists = "a", true })
+	relays := list[0].relayMembers()
+	if len(relays) != 1 {
+		t.Fatalf("%d relays", len(relays))
+	}
+	var relay, other *testProcess
+	for _, process := range list {
+		if process.cfg.Name == relays[0].Name {
+			relay = process
+		} else {
+			other = process
+		}
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
+	defer cancel()
+	if src, ok := relay.Next(ctx, 0); !ok || src.Relayed {
+		t.Errorf("the relay asks %+v", src)
+	}
+	src, ok := other.Next(ctx, 0)
+	if !ok || !src.Relayed || src.Addr != relay.Addr() {
+		t.Fatalf("another asks %+v", src)
+	}
+	if src, ok := other.Next(ctx, maxRelayAttempts); !ok || src.Relayed {
+		t.Errorf("after its tries another asks %+v", src)
+	}
+	ask := func(since int) (*json.Decoder, func()) {
+		client := &http.Client{Transport: &http.Transport{DialContext: other.Dial, DisableKeepAlives: true}}
+		ctx, cancel := context.WithCancel(ctx)
+		url := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", src.Addr, since)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp, err := client.Do(req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if resp.StatusCode != http.StatusOK {
+			cancel()
+			resp.Body.Close()
+			return nil, func() {}
+		}
+		return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
+	}
+	if decoder, end := ask(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
+		end()
+		t.Error("a relay without a list answers")
+	}
+	version := func(decoder *json.Decoder) (m struct {
+		Version int
+		Full    bool
+	}) {
+		if err := decoder.Decode(&m); err != nil {
+			t.Fatal(err)
+		}
+		return m
+	}
+	relay.RecordLiveness(source.Source{})
+	relay.RecordUpdate(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
+	relay.RecordUpdate(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
+	decoder, end := ask(0)
+	defer end()
+	if m := version(decoder); m.Version != 7 || !m.Full {
+		t.Errorf("%+v", m)
+	}
+	relay.RecordLiveness(source.Source{})
+	relay.RecordUpdate(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
+	if m := version(decoder); m.Version != 8 || m.Full {
+		t.Errorf("%+v", m)
+	}
+	for since, full := range map[int]bool{7: false, 3: true} {
+		decoder, end := ask(since)
+		if m := version(decoder); m.Version != 8 || m.Full != full {
+			t.Errorf("since %d: %+v", since, m)
+		}
+		end()
+	}
+}
