--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -42,38 +42,12 @@
 	if src, ok := other.Next(ctx, maxRelayAttempts); !ok || src.Relayed {
 		t.Errorf("after its tries another asks %+v", src)
 	}
-	ask := func(since int) (*json.Decoder, func()) {
-		client := &http.Client{Transport: &http.Transport{DialContext: other.Dial, DisableKeepAlives: true}}
-		ctx, cancel := context.WithCancel(ctx)
-		url := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", src.Addr, since)
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, err := client.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if resp.StatusCode != http.StatusOK {
-			cancel()
-			resp.Body.Close()
-			return nil, func() {}
-		}
-		return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
-	}
+	ask := func(since int) (*json.Decoder, func()) { return followList(ctx, t, other, src.Addr, since) }
 	if decoder, end := ask(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
 		end()
 		t.Error("a relay without a list answers")
 	}
-	version := func(decoder *json.Decoder) (m struct {
-		Version int
-		Full    bool
-	}) {
-		if err := decoder.Decode(&m); err != nil {
-			t.Fatal(err)
-		}
-		return m
-	}
+	version := func(decoder *json.Decoder) listUpdate { return readUpdate(t, decoder) }
 	relay.RecordLiveness(source.Source{})
 	relay.RecordUpdate(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
 	relay.RecordUpdate(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
@@ -95,3 +69,41 @@
 		end()
 	}
 }
+
+// followList asks the relay at an address for the list from a version on, over connections of another process. It returns a
+// decoder of the updates and a function that ends the request, or no decoder if the relay has no list.
+func followList(ctx context.Context, t *testing.T, process *testProcess, addr string, since int) (*json.Decoder, func()) {
+	t.Helper()
+	client := &http.Client{Transport: &http.Transport{DialContext: process.Dial, DisableKeepAlives: true}}
+	ctx, cancel := context.WithCancel(ctx)
+	url := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", addr, since)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if resp.StatusCode != http.StatusOK {
+		cancel()
+		resp.Body.Close()
+		return nil, func() {}
+	}
+	return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
+}
+
+// listUpdate is what the test reads of an update.
+type listUpdate struct {
+	Version int
+	Full    bool
+}
+
+// readUpdate waits for the next update.
+func readUpdate(t *testing.T, decoder *json.Decoder) (m listUpdate) {
+	t.Helper()
+	if err := decoder.Decode(&m); err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
