--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
 	"pgregory.net/rapid"
 )
 
@@ -324,7 +325,7 @@
 		More map[string]int `cbor:"99,keyasint"`
 	}
 	m := Message{Version: 7, Sender: "z", Incarnation: 1, Entries: []Entry{{Kind: ListServiceLoad, Observer: "z"}}}
-	data, err := marshalCBOR(later{m, map[string]int{"a": 1}})
+	data, err := cbor.Marshal(later{m, map[string]int{"a": 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -28,7 +28,8 @@
 	}
 	defer proxy.Close()
 	startMember := func(name string, seeds ...string) *List {
-		l, err := New(Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Log: slog.New(slog.DiscardHandler), Changed: func() {},
+		l, err := New(Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds,
+			Log: slog.New(slog.DiscardHandler), Changed: func() {},
 			ObserveRTT: func(string, time.Duration) {}, Merge: func([]byte) {}, NextMessage: func(int, int) []byte { return nil }})
 		if err != nil {
 			t.Fatal(err)
