--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -141,7 +141,7 @@
 	for _, process := range list[:3] {
 		waitFor(t, "an even quota after the restart", func() bool { return process.lastQuota() == 0.25 })
 	}
-	if first := restarted.quotas[0]; first != startupQuotaFactor/4 {
+	if first := restarted.quotas[0]; first != startupQuota/4 {
 		t.Errorf("its first quota is %v", first)
 	}
 }
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -19,8 +19,8 @@
 	relayPeerWait    = time.Second             // after its start a process waits so long for peers before it asks the service itself
 )
 
-// startingAgents returns the number of agents that are starting, this one included.
-func (f *Fleet) startingAgents() int { return max(1, f.members.View().StartingCount()) }
+// startingCount returns the number of agents that are starting, this one included.
+func (f *Fleet) startingCount() int { return max(1, f.members.View().StartingCount()) }
 
 // relayMembers returns the agents of this site that relay the list, first in rendezvous order. Members with the same view
 // choose the same ones.
@@ -45,7 +45,7 @@
 // is not a relay, that is a relay, and after maxRelayAttempts failures in a row the list service once. The list service is
 // asked only in this process's turn. failures counts attempts that failed in a row. It reports false if ctx ends first.
 func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
-	countStarting := f.startingAgents
+	countStarting := f.startingCount
 	if f.cfg.RelayedLists {
 		for f.members.PeersMet() == 0 && time.Since(f.startedAt) < relayPeerWait {
 			select {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// startupQuotaFactor is the fraction of an even quota that a starting process uses until its quota is confirmed, that is,
+	// startupQuota is the fraction of an even quota that a starting process uses until its quota is confirmed, that is,
 	// until no other process can be using it. Others use the quota of a process that is published as dead, up to the age bound
 	// of that entry. So the quota is confirmed once the process has run for that long, or has known other members for
 	// peersMetPeriod, in which it would have learnt that it is published as dead.
-	startupQuotaFactor = 0.1
-	peersMetPeriod     = 500 * time.Millisecond
+	startupQuota   = 0.1
+	peersMetPeriod = 500 * time.Millisecond
 )
 
 // recomputeQuota computes this process's quota of the in-flight limit and passes it on if it has changed. The limit is divided
@@ -34,7 +34,7 @@
 	}
 	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] ||
 		!f.peersMetAt.IsZero() && now.Sub(f.peersMetAt) >= peersMetPeriod && !selfReportedDead
-	quota := startupQuotaFactor / float64(f.cfg.MaxMembers)
+	quota := startupQuota / float64(f.cfg.MaxMembers)
 	if quotaConfirmed {
 		quota = 1 / float64(max(1, view.AgentCount(), f.cfg.MaxMembers-len(dead)))
 	}
