--- /dev/null
+++ b/internal/fleet/gossip/age_test.go
@@ -0,0 +1,139 @@
+package gossip
+
+// This file tests the ages of entries in random simulations.
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever happens to messages and processes, no entry is used past its age bound or with too low an age: ages are compared
+// with the test's own clock. Messages are lost, overtake each other and wait in queues for seconds; processes are stopped and
+// resume with the entries they held and the messages that arrived meanwhile.
+func TestNoEntryIsUsedPastItsAgeBound(t *testing.T) {
+	rapid.Check(t, func(r *rapid.T) {
+		steps := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) simStep {
+			return simStep{rapid.IntRange(0, 3).Draw(r, "from"), rapid.IntRange(0, 3).Draw(r, "to"),
+				rapid.IntRange(0, 4000).Draw(r, "ms"), rapid.IntRange(0, 9).Draw(r, "what")}
+		}), 20, 120).Draw(r, "steps")
+		failure := ""
+		synctest.Test(t, func(t *testing.T) { failure = simulate(steps) })
+		if failure != "" {
+			r.Fatal(failure)
+		}
+	})
+}
+
+const (
+	simStores  = 4
+	minTransit = time.Millisecond // transit time of the fastest message
+)
+
+// simStep is a step of a simulation: what happens, at or between which stores, and a delay in ms.
+type simStep struct{ from, to, delay, what int }
+
+// simulation is a set of stores that send each other messages, and the test's own record of when entries were published.
+type simulation struct {
+	stores  [simStores]*Store
+	met     map[[2]int]bool // by sender and receiver: a message with the shortest transit time was sent
+	stopped [simStores]bool // changed with mu held, by the goroutine of simulate alone
+
+	mu          sync.Mutex           // protects all below
+	publishedAt map[string]time.Time // by entry
+	failure     string               // the last one
+}
+
+// simulate runs a simulation and returns a failure, or "".
+func simulate(steps []simStep) string {
+	sim := &simulation{met: map[[2]int]bool{}, publishedAt: map[string]time.Time{}}
+	for i := range simStores {
+		sim.stores[i] = New(fmt.Sprint("p", i), 1, shortBounds, sim.observe)
+	}
+	for k, s := range steps {
+		time.Sleep(time.Duration(s.delay/20) * time.Millisecond)
+		for i := range simStores {
+			if !sim.stopped[i] {
+				sim.stores[i].Tick()
+			}
+		}
+		sim.do(k, s)
+	}
+	sim.mu.Lock()
+	sim.stopped = [simStores]bool{}
+	sim.mu.Unlock()
+	time.Sleep(10 * time.Second)
+	for _, s := range sim.stores {
+		s.Tick()
+		s.Entries(ListServiceLoad)
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.failure
+}
+
+// observe checks the age of each entry that a store uses.
+func (sim *simulation) observe(u Use) {
+	const n = simStores
+	name := func(f Entry) string { return fmt.Sprint(f.Kind, f.Subject, f.Observer, f.Seq) }
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if u.Published {
+		if _, known := sim.publishedAt[name(u.Entry)]; !known {
+			sim.publishedAt[name(u.Entry)] = time.Now()
+		}
+		return
+	}
+	age := time.Since(sim.publishedAt[name(u.Entry)])
+	if u.AgeAtUse > shortBounds[u.Kind] || u.AgeAtUse < age-n*minTransit || age > shortBounds[u.Kind]+n*minTransit {
+		sim.failure = fmt.Sprintf("entry of kind %v is used at age %v as %v old, bound %v",
+			u.Kind, age, u.AgeAtUse, shortBounds[u.Kind])
+	}
+}
+
+// do takes step k.
+func (sim *simulation) do(k int, s simStep) {
+	store := sim.stores[s.from]
+	switch {
+	case s.what == 0: // stopped or resumed
+		sim.mu.Lock()
+		sim.stopped[s.from] = !sim.stopped[s.from]
+		sim.mu.Unlock()
+	case sim.stopped[s.from]:
+	case s.what <= 3:
+		store.Publish(ListServiceLoad+Kind(k%2), "x", []byte{byte(k)})
+	case s.what <= 8:
+		sim.send(s)
+	default:
+		store.Entries(ListServiceLoad)
+		store.Entries(LatencyRow)
+	}
+}
+
+// send sends a message, which arrives after the step's delay, or when its receiver is resumed.
+func (sim *simulation) send(s simStep) {
+	data := sim.stores[s.from].NextMessage(1000, simStores)
+	delay := minTransit
+	if sim.met[[2]int{s.from, s.to}] { // the shortest transit time is known by then
+		delay += time.Duration(s.delay) * time.Millisecond
+	}
+	if data == nil || s.from == s.to || delay == minTransit && sim.stopped[s.to] {
+		return
+	}
+	sim.met[[2]int{s.from, s.to}] = true
+	time.AfterFunc(delay, func() {
+		halted := func() bool { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.stopped[s.to] }
+		for delay > minTransit && halted() { // it waits in the receiver's socket buffer
+			time.Sleep(10 * time.Millisecond)
+		}
+		if err := sim.stores[s.to].Merge(data); err != nil {
+			sim.mu.Lock()
+			sim.failure = err.Error()
+			sim.mu.Unlock()
+		}
+	})
+}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -1,114 +1,19 @@
 package gossip
 
-// This file tests the store: age bounds, stops, spreading, and decoding of messages.
+// This file tests the store: stops, changes, spreading, and decoding of messages.
 
 import (
 	"fmt"
 	"math/rand/v2"
-	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
-	"pgregory.net/rapid"
 )
 
 var shortBounds = AgeBounds{ListServiceLoad: 2 * time.Second, LatencyRow: time.Second}
 
-// Whatever happens to messages and processes, no entry is used past its age bound or with too low an age: ages are compared
-// with the test's own clock. Messages are lost, overtake each other and wait in queues for seconds; processes are stopped and
-// resume with the entries they held and the messages that arrived meanwhile.
-func TestNoEntryIsUsedPastItsAgeBound(t *testing.T) {
-	type step struct{ from, to, delay, what int }
-	rapid.Check(t, func(r *rapid.T) {
-		steps := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) step {
-			return step{rapid.IntRange(0, 3).Draw(r, "from"), rapid.IntRange(0, 3).Draw(r, "to"),
-				rapid.IntRange(0, 4000).Draw(r, "ms"), rapid.IntRange(0, 9).Draw(r, "what")}
-		}), 20, 120).Draw(r, "steps")
-		failure := ""
-		synctest.Test(t, func(t *testing.T) {
-			const n, minTransit = 4, time.Millisecond
-			var mu sync.Mutex // of all below
-			var stores [n]*Store
-			var stopped [n]bool
-			met := map[[2]int]bool{}
-			publishedAt := map[string]time.Time{} // by entry
-			name := func(f Entry) string { return fmt.Sprint(f.Kind, f.Subject, f.Observer, f.Seq) }
-			for i := range n {
-				stores[i] = New(fmt.Sprint("p", i), 1, shortBounds, func(u Use) {
-					mu.Lock()
-					defer mu.Unlock()
-					if u.Published {
-						if _, known := publishedAt[name(u.Entry)]; !known {
-							publishedAt[name(u.Entry)] = time.Now()
-						}
-						return
-					}
-					age := time.Since(publishedAt[name(u.Entry)])
-					if u.AgeAtUse > shortBounds[u.Kind] || u.AgeAtUse < age-n*minTransit || age > shortBounds[u.Kind]+n*minTransit {
-						failure = fmt.Sprintf("entry of kind %v is used at age %v as %v old, bound %v",
-							u.Kind, age, u.AgeAtUse, shortBounds[u.Kind])
-					}
-				})
-			}
-			for k, s := range steps {
-				time.Sleep(time.Duration(s.delay/20) * time.Millisecond)
-				for i := range n {
-					if !stopped[i] {
-						stores[i].Tick()
-					}
-				}
-				a, b := stores[s.from], stores[s.to]
-				switch {
-				case s.what == 0: // stopped or resumed
-					mu.Lock()
-					stopped[s.from] = !stopped[s.from]
-					mu.Unlock()
-				case stopped[s.from]:
-				case s.what <= 3:
-					a.Publish(ListServiceLoad+Kind(k%2), "x", []byte{byte(k)})
-				case s.what <= 8:
-					data := a.NextMessage(1000, n)
-					delay := minTransit
-					if met[[2]int{s.from, s.to}] { // the shortest transit time is known by then
-						delay += time.Duration(s.delay) * time.Millisecond
-					}
-					if data == nil || s.from == s.to || delay == minTransit && stopped[s.to] {
-						continue
-					}
-					met[[2]int{s.from, s.to}] = true
-					time.AfterFunc(delay, func() {
-						halted := func() bool { mu.Lock(); defer mu.Unlock(); return stopped[s.to] }
-						for delay > minTransit && halted() { // it waits in the receiver's socket buffer
-							time.Sleep(10 * time.Millisecond)
-						}
-						if err := b.Merge(data); err != nil {
-							mu.Lock()
-							failure = err.Error()
-							mu.Unlock()
-						}
-					})
-				default:
-					a.Entries(ListServiceLoad)
-					a.Entries(LatencyRow)
-				}
-			}
-			mu.Lock()
-			stopped = [n]bool{}
-			mu.Unlock()
-			time.Sleep(10 * time.Second)
-			for _, s := range stores {
-				s.Tick()
-				s.Entries(ListServiceLoad)
-			}
-		})
-		if failure != "" {
-			r.Fatal(failure)
-		}
-	})
-}
-
 // A process that was stopped neither uses nor sends the entries it held, and sends nothing before it has received a message.
 func TestStoppedProcessDropsItsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
