--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -64,7 +64,7 @@
 		if !s.darkUntil.IsZero() {
 			s.darkUntil = s.startedAt.Add(10 * time.Second)
 		}
-		turns := make(chan func(), n) // one at a time: the service and the counts are shared
+		calls := make(chan func(), n) // one at a time: the service and the counts are shared
 		var stores []*gossip.Store
 		var waiting atomic.Int64
 		waiting.Store(int64(n))
@@ -80,20 +80,8 @@
 			}
 			go func() {
 				time.Sleep(time.Duration(rand.Float64() * float64(time.Second)))
-				for p := New(cfg); p.AwaitTurn(ctx, starters); {
-					type answer struct {
-						took time.Duration
-						err  error
-					}
-					answers := make(chan answer, 1)
-					turns <- func() { took, err := s.call(); answers <- answer{took, err} }
-					reply := <-answers
-					time.Sleep(reply.took)
-					p.RecordAttempt(reply.took, reply.err != nil, 1)
-					if reply.err == nil {
-						done <- struct{}{}
-						return
-					}
+				if callUntilAnswered(ctx, New(cfg), starters, s, calls) {
+					done <- struct{}{}
 				}
 			}()
 		}
@@ -101,22 +89,13 @@
 		defer gossipTicker.Stop()
 		for completed := 0; completed < n; {
 			select {
-			case do := <-turns:
-				do()
+			case call := <-calls:
+				call()
 			case <-done:
 				completed++
 				waiting.Add(-1)
 			case <-gossipTicker.C:
-				for i, st := range stores {
-					st.Tick()
-					for range 3 {
-						if data := st.NextMessage(1000, n); data != nil {
-							if to := rand.IntN(n); to != i {
-								_ = stores[to].Merge(data)
-							}
-						}
-					}
-				}
+				gossipRound(stores)
 			}
 		}
 		took = time.Since(s.startedAt)
@@ -124,6 +103,41 @@
 	return took
 }
 
+// callUntilAnswered calls the service when it is the process's turn, until it gets a list. The calls are made by whoever
+// receives from the channel. It reports false if ctx ends first.
+func callUntilAnswered(ctx context.Context, p *Pacer, starters func() int, s *testService, calls chan<- func()) bool {
+	type answer struct {
+		took time.Duration
+		err  error
+	}
+	for p.AwaitTurn(ctx, starters) {
+		answers := make(chan answer, 1)
+		calls <- func() { took, err := s.call(); answers <- answer{took, err} }
+		reply := <-answers
+		time.Sleep(reply.took)
+		p.RecordAttempt(reply.took, reply.err != nil, 1)
+		if reply.err == nil {
+			return true
+		}
+	}
+	return false
+}
+
+// gossipRound has each store send messages to random others.
+func gossipRound(stores []*gossip.Store) {
+	n := len(stores)
+	for i, st := range stores {
+		st.Tick()
+		for range 3 {
+			if data := st.NextMessage(1000, n); data != nil {
+				if to := rand.IntN(n); to != i {
+					_ = stores[to].Merge(data)
+				}
+			}
+		}
+	}
+}
+
 // Many processes that start at the same time do not overload a service whose capacity they learn only from each other, and
 // all get a list in time.
 func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
