--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -125,6 +125,24 @@
 	return time.Millisecond, true
 }
 
+// checkRTT checks that all members but two have about the wanted round trip between two sites, from at least two observers.
+func (n *testNetwork) checkRTT(t *testing.T, when, a, b string, want time.Duration) {
+	t.Helper()
+	wrong := 0
+	for i := range n.members {
+		e, known := n.matrixAt(i).Between(a, b)
+		low, high := want*85/100-300*time.Microsecond, want*130/100+300*time.Microsecond
+		if !known || e.RTT < low || e.RTT > high || e.Observers < 2 {
+			if wrong++; wrong == 1 {
+				t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, n.members[i].Name, e, want)
+			}
+		}
+	}
+	if wrong > 2 { // a member that missed a few rows may have other values
+		t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(n.members), a, b)
+	}
+}
+
 // A change of latency is known to nearly all members within 3 s and about right. Members with false measurements have little
 // effect. A partitioned pair becomes unknown, with its loss, and other pairs are not affected.
 func TestMatrixFollowsLatencyAndLoss(t *testing.T) {
@@ -144,22 +162,7 @@
 		}
 		network := newTestNetwork(ctx, map[string]int{"a": 8, "b": 8, "c": 8}, oneWay)
 		defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
-		check := func(when string, a, b string, want time.Duration) {
-			t.Helper()
-			wrong := 0
-			for i := range network.members {
-				e, known := network.matrixAt(i).Between(a, b)
-				low, high := want*85/100-300*time.Microsecond, want*130/100+300*time.Microsecond
-				if !known || e.RTT < low || e.RTT > high || e.Observers < 2 {
-					if wrong++; wrong == 1 {
-						t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, network.members[i].Name, e, want)
-					}
-				}
-			}
-			if wrong > 2 { // a member that missed a few rows may have other values
-				t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(network.members), a, b)
-			}
-		}
+		check := func(when string, a, b string, want time.Duration) { t.Helper(); network.checkRTT(t, when, a, b, want) }
 		time.Sleep(3 * time.Second)
 		check("at the start", "a", "c", 2*time.Millisecond)
 		check("at the start", "a", "a", 400*time.Microsecond)
@@ -173,7 +176,7 @@
 			network.addedDelay["a0"], network.addedDelay["a1"] = 300*time.Millisecond, 300*time.Millisecond
 		})
 		time.Sleep(3 * time.Second)
-		check("with liars", "a", "c", 42*time.Millisecond)
+		check("with false measurements", "a", "c", 42*time.Millisecond)
 		mu.Lock()
 		cut = true
 		mu.Unlock()
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -49,16 +49,7 @@
 			if asked.Add(1) == 1 {
 				close(first)
 			}
-			tasks.Go(func() {
-				defer c.Close()
-				s, err := net.Dial("tcp", seed.Addr().String())
-				if err != nil {
-					return
-				}
-				defer s.Close()
-				tasks.Go(func() { _, _ = io.Copy(s, c) }) // until either side closes
-				_, _ = io.Copy(c, s)
-			})
+			tasks.Go(func() { forward(&tasks, c, seed.Addr().String()) })
 		}
 	})
 	startMember("other", proxy.Addr().String())
@@ -71,3 +62,15 @@
 	}
 	proxy.Close()
 }
+
+// forward connects a connection to an address and copies both ways until either side closes. It closes the connection.
+func forward(tasks *sync.WaitGroup, c net.Conn, addr string) {
+	defer c.Close()
+	s, err := net.Dial("tcp", addr)
+	if err != nil {
+		return
+	}
+	defer s.Close()
+	tasks.Go(func() { _, _ = io.Copy(s, c) })
+	_, _ = io.Copy(c, s)
+}
