--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -1,5 +1,7 @@
 package latency
 
+// This file tests probers against each other over a network in memory.
+
 import (
 	"context"
 	"fmt"
@@ -16,27 +18,29 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// testNetwork is a fleet of probers in memory: ways between sites are what the test says.
+// testNetwork is a fleet of probers in memory, with delays between sites that the test sets.
 type testNetwork struct {
-	mu         sync.Mutex
-	oneWay     func(from, to string) (time.Duration, bool) // one way, and whether it arrives
+	mu         sync.Mutex                                  // protects oneWay, bytes and addedDelay
+	oneWay     func(from, to string) (time.Duration, bool) // delay in one direction, and whether the datagram arrives
 	members    []member.Member
 	view       *member.View
 	probers    map[netip.AddrPort]*Prober
 	stores     []*gossip.Store
-	bytes      map[string]int // by member
-	addedDelay map[string]time.Duration
+	bytes      map[string]int           // sent, by member
+	addedDelay map[string]time.Duration // of replies and requests, by sender
 	tasks      sync.WaitGroup
 }
 
+// newTestNetwork starts a fleet of the given sizes by site, until ctx ends.
 func newTestNetwork(ctx context.Context, sizes map[string]int, oneWay func(from, to string) (time.Duration, bool)) *testNetwork {
-	network := &testNetwork{oneWay: oneWay, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{}, addedDelay: map[string]time.Duration{}}
+	network := &testNetwork{oneWay: oneWay, probers: map[netip.AddrPort]*Prober{}, bytes: map[string]int{},
+		addedDelay: map[string]time.Duration{}}
 	n := 0
 	for _, site := range []string{"a", "b", "c"} {
 		for i := range sizes[site] {
 			n++
-			network.members = append(network.members, member.Member{Name: fmt.Sprint(site, i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 1),
-				Meta: member.Meta{Site: site}})
+			addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(n >> 8), byte(n)}), 1)
+			network.members = append(network.members, member.Member{Name: fmt.Sprint(site, i), Addr: addr, Meta: member.Meta{Site: site}})
 		}
 	}
 	network.view = member.NewView(network.members...)
@@ -59,6 +63,7 @@
 	return network
 }
 
+// sender returns the Send function of a member.
 func (n *testNetwork) sender(m member.Member) func([]byte, netip.AddrPort) (time.Time, error) {
 	return func(data []byte, to netip.AddrPort) (time.Time, error) {
 		now := time.Now()
@@ -73,13 +78,14 @@
 		}
 		d, arrives := n.oneWay(m.Site, site)
 		if p := n.probers[to]; arrives && p != nil {
-			time.AfterFunc(d+time.Duration(rand.Float64()*0.25*float64(d))+n.addedDelay[m.Name], func() { p.HandleDatagram(data, m.Addr, time.Now()) })
+			delay := d + time.Duration(rand.Float64()*0.25*float64(d)) + n.addedDelay[m.Name]
+			time.AfterFunc(delay, func() { p.HandleDatagram(data, m.Addr, time.Now()) })
 		}
 		return now, nil
 	}
 }
 
-// gossip gossips facts, as the membership does.
+// gossip exchanges entries between random members, as the member list does.
 func (n *testNetwork) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(200 * time.Millisecond)
@@ -99,17 +105,19 @@
 	}
 }
 
+// locked calls do with the lock held.
 func (n *testNetwork) locked(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
 }
 
-// matrixAt is what a member makes of the matrix now.
+// matrixAt returns the matrix as member i knows it now.
 func (n *testNetwork) matrixAt(i int) Matrix {
 	return NewMatrix(n.stores[i].Entries(gossip.LatencyRow), n.view)
 }
 
+// uniformDelay is 200 us within a site and 1 ms between two.
 func uniformDelay(from, to string) (time.Duration, bool) {
 	if from == to {
 		return 200 * time.Microsecond, true
@@ -117,8 +125,26 @@
 	return time.Millisecond, true
 }
 
-// A change is known everywhere within 3 s, about as it is; liars move nothing much; a pair that is cut becomes unknown
-// with its loss, and a half that is cut off keeps nothing of the other past the bound.
+// checkRTT checks that all members but two have about the wanted round trip between two sites, from at least two observers.
+func (n *testNetwork) checkRTT(t *testing.T, when, a, b string, want time.Duration) {
+	t.Helper()
+	wrong := 0
+	for i := range n.members {
+		e, known := n.matrixAt(i).Between(a, b)
+		low, high := want*85/100-300*time.Microsecond, want*130/100+300*time.Microsecond
+		if !known || e.RTT < low || e.RTT > high || e.Observers < 2 {
+			if wrong++; wrong == 1 {
+				t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, n.members[i].Name, e, want)
+			}
+		}
+	}
+	if wrong > 2 { // a member that missed a few rows may have other values
+		t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(n.members), a, b)
+	}
+}
+
+// A change of latency is known to nearly all members within 3 s and about right. Members with false measurements have little
+// effect. A partitioned pair becomes unknown, with its loss, and other pairs are not affected.
 func TestMatrixFollowsLatencyAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -136,22 +162,7 @@
 		}
 		network := newTestNetwork(ctx, map[string]int{"a": 8, "b": 8, "c": 8}, oneWay)
 		defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
-		check := func(when string, a, b string, want time.Duration) {
-			t.Helper()
-			wrong := 0
-			for i := range network.members {
-				e, known := network.matrixAt(i).Between(a, b)
-				low, high := want*85/100-300*time.Microsecond, want*130/100+300*time.Microsecond
-				if !known || e.RTT < low || e.RTT > high || e.Observers < 2 {
-					if wrong++; wrong == 1 {
-						t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, network.members[i].Name, e, want)
-					}
-				}
-			}
-			if wrong > 2 { // a member that missed a few rows has some of the others
-				t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(network.members), a, b)
-			}
-		}
+		check := func(when string, a, b string, want time.Duration) { t.Helper(); network.checkRTT(t, when, a, b, want) }
 		time.Sleep(3 * time.Second)
 		check("at the start", "a", "c", 2*time.Millisecond)
 		check("at the start", "a", "a", 400*time.Microsecond)
@@ -165,7 +176,7 @@
 			network.addedDelay["a0"], network.addedDelay["a1"] = 300*time.Millisecond, 300*time.Millisecond
 		})
 		time.Sleep(3 * time.Second)
-		check("with liars", "a", "c", 42*time.Millisecond)
+		check("with false measurements", "a", "c", 42*time.Millisecond)
 		mu.Lock()
 		cut = true
 		mu.Unlock()
@@ -181,7 +192,7 @@
 	})
 }
 
-// What a pair of sites is measured at does not grow with the fleet, nor what each member sends.
+// The rate of probes for a pair of sites does not grow with the fleet.
 func TestProbeRateDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, n := range []int{3, 30, 90} {
 		synctest.Test(t, func(t *testing.T) {
@@ -200,7 +211,8 @@
 				probes += p.sent
 				p.mu.Unlock()
 			}
-			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair", n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
+			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair",
+				n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
 				t.Errorf("%.1f probes a second for a pair", rate)
 			}
@@ -208,9 +220,10 @@
 	}
 }
 
-// A row counts from an observer of its own site alone, one word for a pair, and what makes no sense is no row.
+// A row counts only if its observer is a member of its site, once for each pair, and only if it is well-formed.
 func TestRowsAreCheckedAgainstMembership(t *testing.T) {
-	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}}, member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
+	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}},
+		member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
 	one := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
 	for name, c := range map[string]struct {
@@ -235,7 +248,7 @@
 	}
 }
 
-// A site that was not heard of for a while is left out of a row: the rest is as old as it is without it.
+// Row leaves out estimates that are older than the limit, and its age is that of the others.
 func TestRowLeavesOutOldEstimates(t *testing.T) {
 	m := Matrix{{"a", "b"}: {RTT: 3 * time.Millisecond, Age: time.Second}, {"a", "c"}: {RTT: 4 * time.Millisecond, Age: 2900 * time.Millisecond},
 		{"b", "c"}: {RTT: time.Millisecond}}
@@ -251,12 +264,13 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add(datagram{kind: probeRequest, label: 1, nonce: 2, dwell: 3}.encode(member.ProbeByte))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		p := New(Config{View: func() *member.View { return member.NewView() }, Send: func([]byte, netip.AddrPort) (time.Time, error) { return time.Now(), nil }})
+		p := New(Config{View: func() *member.View { return member.NewView() },
+			Send: func([]byte, netip.AddrPort) (time.Time, error) { return time.Now(), nil }})
 		if len(data) > 0 {
 			p.HandleDatagram(data, netip.AddrPort{}, time.Now())
 		}
 		if r, err := unmarshalRow(data); err == nil && r.validate() != nil {
-			t.Error("a row that does not hold its bounds is taken")
+			t.Error("a row that exceeds its limits is accepted")
 		}
 	})
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -1,5 +1,7 @@
 package member
 
+// This file tests joining over real sockets.
+
 import (
 	"context"
 	"io"
@@ -12,7 +14,8 @@
 	"time"
 )
 
-// A seed that answers and yet is never there, as one given by another address than its own, is asked ever less often.
+// A seed that answers but never becomes a member under its address, as one that is reached through a proxy, is asked less and
+// less often.
 func TestJoinRetriesBackOffThoughTheSeedAnswers(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -25,7 +28,8 @@
 	}
 	defer proxy.Close()
 	startMember := func(name string, seeds ...string) *List {
-		l, err := New(Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Log: slog.New(slog.DiscardHandler), Changed: func() {},
+		l, err := New(Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds,
+			Log: slog.New(slog.DiscardHandler), Changed: func() {},
 			ObserveRTT: func(string, time.Duration) {}, Merge: func([]byte) {}, NextMessage: func(int, int) []byte { return nil }})
 		if err != nil {
 			t.Fatal(err)
@@ -45,21 +49,12 @@
 			if asked.Add(1) == 1 {
 				close(first)
 			}
-			tasks.Go(func() {
-				defer c.Close()
-				s, err := net.Dial("tcp", seed.Addr().String())
-				if err != nil {
-					return
-				}
-				defer s.Close()
-				tasks.Go(func() { _, _ = io.Copy(s, c) }) // until either end closes
-				_, _ = io.Copy(c, s)
-			})
+			tasks.Go(func() { forward(&tasks, c, seed.Addr().String()) })
 		}
 	})
 	startMember("other", proxy.Addr().String())
 	<-first
-	<-time.After(3 * time.Second) // the span in which it is counted
+	<-time.After(3 * time.Second) // the time in which attempts are counted
 	if n := asked.Load(); n > 14 {
 		t.Errorf("asked %d times in 3 s", n)
 	} else {
@@ -67,3 +62,15 @@
 	}
 	proxy.Close()
 }
+
+// forward connects a connection to an address and copies both ways until either side closes. It closes the connection.
+func forward(tasks *sync.WaitGroup, c net.Conn, addr string) {
+	defer c.Close()
+	s, err := net.Dial("tcp", addr)
+	if err != nil {
+		return
+	}
+	defer s.Close()
+	tasks.Go(func() { _, _ = io.Copy(s, c) })
+	_, _ = io.Copy(c, s)
+}
