--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -720,8 +720,8 @@
 	r := newRequest("1", 0)
 	r.deadline = time.Now()
 	l.apply(requestArrived{r})
-	l.apply(deadlinePassed{r})
-	l.apply(deadlinePassed{r}) // once only
+	l.apply(deadlineExceeded{r})
+	l.apply(deadlineExceeded{r}) // once only
 	l.apply(clientDisconnected{r})
 	if a := receive(t, "final answer", r.reply); !a.timedOut {
 		t.Errorf("%+v", a)
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -311,7 +311,7 @@
 			f.loop.post(clientDisconnected{r})
 			disconnected = nil
 		case <-deadlineTimer.C:
-			f.loop.post(deadlinePassed{r})
+			f.loop.post(deadlineExceeded{r})
 		case <-f.loop.stopped:
 			return reply{}
 		}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -65,7 +65,7 @@
 type (
 	requestArrived     struct{ *request }
 	clientDisconnected struct{ *request } // closed, reset, or withdrew
-	deadlinePassed     struct{ *request } // its time and half the grace are up and no answer is there
+	deadlineExceeded   struct{ *request } // its time and half the grace are up and no answer is there
 	bodyComplete       struct{ *request } // its large body has come to the last byte
 	responseStarted    struct {           // the answer of an attempt is large, and its first bytes are here
 		*request
@@ -337,7 +337,7 @@
 			l.pending = append(l.pending, balancer.Abandoned{Request: event.id})
 			l.removeIfDone(event.request)
 		}
-	case deadlinePassed:
+	case deadlineExceeded:
 		// The module answers every request before its deadline. This keeps the promise to the
 		// client where it does not, and says so.
 		if !event.finished {
