--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -79,13 +79,13 @@
 	}
 }
 
-// isLog reports whether an expression is a logger: one is called log or Log everywhere.
+// isLog reports whether an expression is a logger: the name of each ends in log.
 func isLog(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
-		return x.Name == "log"
+		return strings.HasSuffix(strings.ToLower(x.Name), "log")
 	case *ast.SelectorExpr:
-		return x.Sel.Name == "log" || x.Sel.Name == "Log"
+		return strings.HasSuffix(strings.ToLower(x.Sel.Name), "log")
 	}
 	return false
 }
