--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -1,6 +1,6 @@
 package agent
 
-// How an attempt is made on a connection, and what came of it.
+// One attempt: a request on a connection to a backend, its response and its result.
 
 import (
 	"bytes"
@@ -16,50 +16,50 @@
 	"martenbeam/internal/wire"
 )
 
-// transitAllowance is what a backend is told less than an attempt has left: a request takes a moment to come there, after one to come
-// here, and may tell no more than its client has.
+// transitAllowance is subtracted from the time that a backend is told (X-Expires-In): the request takes a moment to
+// arrive there, and the backend must not be told more time than the client has left.
 const transitAllowance = 10 * time.Millisecond
 
-const maxBufferedBody = 64 << 10 // bodies and answers up to this are held whole, and can be sent again
+const maxBufferedBody = 64 << 10 // bytes; bodies and responses up to this size are buffered whole, and such a body can be sent again
 
-// upstreamRequest is a client's request as it goes on to backends: the same for every attempt.
+// upstreamRequest is a client's request as it is forwarded to backends, the same for every attempt.
 type upstreamRequest struct {
 	method string
 	host   string
-	url    *url.URL // path and query only
+	url    *url.URL // only path and query are used
 	header http.Header
 	body   []byte
-	upload *upload // what comes after body; nil: nothing
+	upload *upload // the body's remainder, after body; nil: body is all of it
 }
 
-// response is a backend's 200 answer.
+// response is a backend's response with status 200.
 type response struct {
 	header http.Header
 	body   []byte
-	stream *responseStream // what comes after body; nil: nothing
+	stream *responseStream // the remainder, after body; nil: body is all of it
 }
 
-// attempt is one attempt.
+// attempt is one attempt to send a request to one backend: its parameters, and what execute found out about it.
 type attempt struct {
 	ctx           context.Context
-	cancel        context.CancelCauseFunc // of ctx
-	requestDone   <-chan struct{}         // the request has ended: nothing more is sent for it
-	shutdown      <-chan struct{}         // nobody takes a large answer any more
-	backendID     string                  // of the backend
-	endpoint      *endpoint               // what the list said of it when this was decided; nil: whatever it says
-	writeBy       time.Time               // nothing is written after; zero: no bound
-	residencyRule int                     // of residency; 0: none
+	cancel        context.CancelCauseFunc // cancels ctx
+	requestDone   <-chan struct{}         // closed when the request has its final reply: nothing more is sent for it
+	shutdown      <-chan struct{}         // closed when the event loop has stopped: nobody reads a streaming response any more
+	backendID     string
+	endpoint      *endpoint // as it was when the balancer decided; nil: whatever the list says by then
+	writeBy       time.Time // nothing is written after this; zero: no bound
+	residencyRule int       // residency rule of the request; 0: none
 	request       *upstreamRequest
 	start         time.Time
-	deadline      time.Time // as the backend is told; zero: as ctx says
+	deadline      time.Time // as the backend is told; zero: the deadline of ctx, if it has one
 	latency       time.Duration
-	newConn       bool // its connection was opened for it
-	// began hands on a large answer, of which the first bytes are there, and reports false where its
-	// time is over. nil: there are no large answers.
+	newConn       bool // set by execute: the connection was opened for this attempt
+	// onStreamStart hands over a streaming response once its first bytes have arrived. It returns false if the
+	// attempt had timed out by then. nil: responses are buffered.
 	onStreamStart func(*response, time.Duration) bool
 }
 
-// elapsed is how long the backend has had all of the request.
+// elapsed returns how long ago the backend got the last byte of the request, or the attempt began.
 func (a *attempt) elapsed() time.Duration {
 	if u := a.request.upload; u != nil && u.complete() && u.completedAt.After(a.start) {
 		return time.Since(u.completedAt)
@@ -67,14 +67,14 @@
 	return time.Since(a.start)
 }
 
-// executeBuffered sends m to a backend once and waits until ctx ends at the latest, for an answer that is
-// not large.
+// executeBuffered makes an attempt whose response is buffered. It waits until ctx ends at the latest.
 func (p *upstreamPool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string, request *upstreamRequest) (balancer.Result, *response, balancer.Load) {
 	return p.execute(&attempt{ctx: ctx, requestDone: requestDone, backendID: id, request: request, start: time.Now()})
 }
 
-// execute makes an attempt. The result follows the protocol's table of outcomes; where it is not certain
-// that nothing ran, it says so. One with a large answer ends once that has gone on.
+// execute makes an attempt and returns its result as the protocol's table of outcomes defines it. ConnectFailed and
+// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. With
+// a streaming response execute returns once the response has been passed on, or can't be.
 func (p *upstreamPool) execute(att *attempt) (balancer.Result, *response, balancer.Load) {
 	for {
 		conn, addr, err := p.acquire(att.backendID)
@@ -90,36 +90,36 @@
 			}
 			return balancer.ConnectFailed, nil, wire.ParseLoad(nil)
 		}
-		if err := p.checkSendable(att); err != nil { // while the connection was being opened: nothing has run
+		if err := p.checkSendable(att); err != nil { // something changed while the connection was opened: nothing was written
 			p.release(att.backendID, conn, true)
 			return unsentResult(err), nil, wire.ParseLoad(nil)
 		}
 		reused := conn.idleFor > 0
 		att.newConn = !reused
 		result, resp, load := p.roundTrip(att, conn)
-		// A kept connection that had died before the request was written whole tells nothing of
-		// whether the backend can be reached, and nothing has run: the attempt is still to be made.
+		// An idle connection that had died before the request was complete on it proves nothing about the
+		// backend, and nothing was executed: the attempt is made on another connection.
 		if result != balancer.ConnectFailed || !reused || att.request.consumed() {
 			return result, resp, load
 		}
 	}
 }
 
-// unsentResult is the result of an attempt of which nothing was written, for a reason that is not the backend's.
+// unsentResult returns the result of an attempt of which nothing was written for a reason unrelated to the backend.
 func unsentResult(err error) balancer.Result {
 	if errors.Is(err, errAlreadyAnswered) || errors.Is(err, errRetryWindowOver) {
-		return balancer.NotSent // nothing more is to be made of the request
+		return balancer.NotSent // the request needs no further attempt
 	}
 	return balancer.ConnectFailed
 }
 
-// isLarge reports whether a body is too large to be held whole.
+// isLarge reports whether the body is streamed, not buffered.
 func (r *upstreamRequest) isLarge() bool { return r != nil && r.upload != nil }
 
-// consumed reports whether part of a body is gone, so that no other attempt can be made.
+// consumed reports whether part of a streamed body was handed out, so that no other attempt can send it.
 func (r *upstreamRequest) consumed() bool { return r.isLarge() && r.upload.streamStarted.Load() }
 
-// roundTrip writes the request on a connection, once, and waits for the answer.
+// roundTrip writes the request on a connection, once, and waits for the response.
 func (p *upstreamPool) roundTrip(att *attempt, conn *pooledConn) (balancer.Result, *response, balancer.Load) {
 	noLoad, request := wire.ParseLoad(nil), att.request
 	target := *request.url
@@ -148,8 +148,8 @@
 		remaining := max(0, time.Until(deadline)-transitAllowance).Truncate(time.Millisecond)
 		req.Header.Set("X-Expires-In", strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64))
 	}
-	// ClientConn has no pool behind it and sends a request only once; Transport.RoundTrip would
-	// send it again by itself on a stale connection, unasked and uncounted.
+	// http.ClientConn sends a request at most once. http.Transport.RoundTrip would send it again on its own on a
+	// stale connection: an attempt that the balancer neither ordered nor counted.
 	httpResp, err := conn.RoundTrip(req)
 	if err != nil {
 		result := p.failedResult(att, conn, body)
@@ -164,7 +164,7 @@
 	done := make(chan struct{})
 	defer close(done)
 	resp, err := p.readResponse(att, httpResp, done)
-	early := body != nil && httpResp.StatusCode == http.StatusOK && (!body.consumed.Load() || conn.tracked.respondedEarly()) // a backend starts with the last byte
+	early := body != nil && httpResp.StatusCode == http.StatusOK && (!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
 	if err != nil || early || endsWithConnection(httpResp) && len(resp.body) == 0 {
 		return p.failedResult(att, conn, body), nil, noLoad
 	}
@@ -184,7 +184,7 @@
 		return balancer.OK, resp, load
 	case (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
 		httpResp.Header.Get("X-Never-Ran") == "1":
-		if att.newConn { // backends hold few connections: one of this agent's that rests is another's want
+		if att.newConn { // the backend accepts few connections: free an idle one for it
 			p.mu.Lock()
 			p.evictOldest()
 			p.mu.Unlock()
@@ -194,7 +194,7 @@
 	return balancer.Errored, nil, load
 }
 
-// readResponse takes an answer whole, or the first bytes of one that is large.
+// readResponse reads a response to its end, or the first bytes of a streaming one.
 func (p *upstreamPool) readResponse(att *attempt, httpResp *http.Response, done <-chan struct{}) (*response, error) {
 	resp := &response{header: httpResp.Header}
 	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= maxBufferedBody
@@ -226,11 +226,11 @@
 		free()
 		return nil, err
 	}
-	resp.body, resp.stream = buf[:n], stream // an error comes again with the next read
+	resp.body, resp.stream = buf[:n], stream // a read error is returned again by the next read
 	return resp, nil
 }
 
-// awaitStream hands on a large answer and waits until it has gone on or can't.
+// awaitStream hands a streaming response over and waits until it has been passed on, or can't be.
 func (p *upstreamPool) awaitStream(att *attempt, conn *pooledConn, httpResp *http.Response, resp *response) balancer.Result {
 	defer resp.stream.free()
 	att.latency = att.elapsed()
@@ -257,13 +257,13 @@
 	return balancer.Reset
 }
 
-// endsWithConnection reports whether an answer ends with its connection alone. That is a form like any other (RFC
-// 9112, 6.3), but one that brings nothing can't be told from a connection that died.
+// endsWithConnection reports whether only the connection's end delimits the response (RFC 9112, 6.3). Such a response
+// with an empty body can't be told from a connection that broke.
 func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// failedResult tells how an attempt ended that brought no whole answer, and closes its connection.
+// failedResult closes the connection of an attempt without a complete response, and returns the attempt's result.
 func (p *upstreamPool) failedResult(att *attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	cause := context.Cause(att.ctx)
 	neverRan := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
--- a/internal/agent/backendconn.go
+++ b/internal/agent/backendconn.go
@@ -15,51 +15,52 @@
 	errRetryWindowOver  = errors.New("its repeat is no longer dropped")
 )
 
-// trackedConn is a connection to a backend, under net/http's. It holds what may be told of each request with certainty:
-// whether its bytes went out, and that what comes back is not older than them.
+// trackedConn is a connection to a backend below net/http's client. It knows two things about each request for certain:
+// whether the request was written to its last byte, and that the bytes received are not older than the request.
 //
-// net/http's own word for what was written can come after RoundTrip has returned; a count under a lock is exact once
-// the connection is closed, since nothing can be written after that. And net/http takes bytes for an answer that came
-// before the request was written, if it had been handed the request by then.
+// net/http can't tell either. Its trace of written bytes may come after RoundTrip has returned, while a count under a
+// lock is exact once the connection is closed, since nothing is written after that. And net/http takes bytes that
+// arrived before the request was written for its response, if it had been handed the request by then.
 type trackedConn struct {
 	net.Conn
-	raw syscall.RawConn // nil: not a socket
+	raw syscall.RawConn // nil: Conn is not a socket
 
-	writeMu     sync.Mutex // held while the system writes
-	written     int        // bytes of the present request
-	writeFailed bool       // a write ended short: the request's last byte was not written
-	writeBy     time.Time  // nothing of it is written after; zero: no bound
+	writeMu     sync.Mutex // held during the write system call
+	written     int        // bytes of the current request
+	writeFailed bool       // a write ended short, so the request's last byte was not written
+	writeBy     time.Time  // no byte of the current request is written after this; zero: no bound
 
 	mu               sync.Mutex
-	stateChanged     sync.Cond    // L: mu
-	reading          bool         // net/http waits for bytes
+	stateChanged     sync.Cond    // L is mu; signals reading and closed
+	reading          bool         // net/http waits in Read
 	closed           bool         // by this side
-	remoteClosed     bool         // by the backend, or broken
-	requestStarted   bool         // the first byte of the present request goes out, or went
-	unsolicited      bool         // bytes came before that: nothing that comes here is to be trusted
-	checkSendable    func() error // asked before the first byte: why it may not go out; nil: nothing is against it
-	blockedReason    error        // what it said
-	lastByteNext     func() bool  // whether the last byte is among what is written next; nil: nobody asks, or it has been
-	responseReceived bool         // bytes of a final answer came
-	earlyResponse    bool         // they did before the last byte went out
+	remoteClosed     bool         // the backend closed or broke the connection
+	requestStarted   bool         // the first byte of the current request is about to be written, or was
+	unsolicited      bool         // bytes arrived while no request was under way: nothing on this connection can be trusted
+	checkSendable    func() error // called before the first byte; an error keeps the request from being written
+	blockedReason    error        // why the current request was not written
+	lastByteNext     func() bool  // reports whether the next write carries the last byte; nil: not of interest, or already written
+	responseReceived bool         // a byte of a final (not 1xx) response arrived
+	earlyResponse    bool         // one arrived before the request's last byte was written
 }
 
 func newTrackedConn(conn net.Conn) *trackedConn {
 	tracked := &trackedConn{Conn: conn}
 	tracked.stateChanged.L = &tracked.mu
 	if s, ok := conn.(syscall.Conn); ok {
-		tracked.raw, _ = s.SyscallConn() // fails with the connection alone
+		tracked.raw, _ = s.SyscallConn() // an error means that the connection is broken, which the first use will tell
 	}
 	return tracked
 }
 
-// startRequest readies the connection for a request, of which nothing goes out where clear says why, or once last is over. handed tells
-// when its last byte is about to be written; nil: the request is written at once.
+// startRequest prepares the connection for the next request. Nothing of it is written if checkSendable returns an error,
+// nor after writeBy. lastByteNext reports whether the next write carries the request's last byte; nil for a request
+// that net/http writes at once.
 func (c *trackedConn) startRequest(checkSendable func() error, writeBy time.Time, lastByteNext func() bool) {
 	c.writeMu.Lock()
 	c.written, c.writeFailed = 0, false
 	if !writeBy.IsZero() || !c.writeBy.IsZero() {
-		_ = c.Conn.SetWriteDeadline(writeBy) // fails with the connection alone; a write that waits ends with it
+		_ = c.Conn.SetWriteDeadline(writeBy) // fails only on a broken connection; a blocked write ends at this time
 	}
 	c.writeBy = writeBy
 	c.writeMu.Unlock()
@@ -90,7 +91,8 @@
 	return n, err
 }
 
-// beforeFirstByte is asked before each write, and holds back a request's first byte where something is against it.
+// beforeFirstByte is called before each write and, before the first of a request, returns why it must not be written.
+// Its last check is for bytes that have already arrived: those can't be a response to this request.
 func (c *trackedConn) beforeFirstByte() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +100,7 @@
 		return nil
 	}
 	if checkSendable := c.checkSendable; checkSendable != nil {
-		c.mu.Unlock() // it takes locks that are held where connections are closed
+		c.mu.Unlock() // it takes locks under which connections are closed
 		err := checkSendable()
 		if c.mu.Lock(); err != nil {
 			return err
@@ -107,7 +109,7 @@
 	if c.closed {
 		return net.ErrClosed
 	}
-	if c.raw != nil && !c.unsolicited { // last: nothing that came before this is an answer to the request
+	if c.raw != nil && !c.unsolicited { // after all other checks: what arrived before this point is no response to the request
 		var n int
 		var err error
 		p := make([]byte, 1)
@@ -123,8 +125,8 @@
 	return nil
 }
 
-// beforeLastByte notes, before a request's last byte is written, whether an answer has come by then: a backend starts a request with
-// that byte.
+// beforeLastByte notes whether a response has arrived before the request's last byte is written. Backends start a request
+// on its last byte, so such a response is not the outcome of having executed it.
 func (c *trackedConn) beforeLastByte() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,27 +138,27 @@
 		return
 	}
 	p := make([]byte, statusOffset+1)
-	_ = c.raw.Control(func(fd uintptr) { // fails with the connection alone
+	_ = c.raw.Control(func(fd uintptr) { // fails only on a broken connection
 		if n, _, err := syscall.Recvfrom(int(fd), p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err == nil {
 			c.earlyResponse = isFinalResponse(p[:max(0, n)])
 		}
 	})
 }
 
-// statusOffset is where the first digit of an answer's status stands: "HTTP/1.1 200".
+// statusOffset is the index of the status code's first digit in "HTTP/1.1 200".
 const statusOffset = len("HTTP/1.1 ")
 
-// isFinalResponse reports whether bytes begin an answer that is no informational one (RFC 9110, 15.2).
+// isFinalResponse reports whether p begins a response other than an informational one (RFC 9110, 15.2).
 func isFinalResponse(p []byte) bool { return len(p) > statusOffset && p[statusOffset] != '1' }
 
-// respondedEarly reports whether an answer came before the request's last byte went out.
+// respondedEarly reports whether a final response arrived before the request's last byte was written.
 func (c *trackedConn) respondedEarly() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.earlyResponse
 }
 
-// blocked is why a request was held back; nil: it was not.
+// blocked returns why the current request was not written; nil: it was not held back.
 func (c *trackedConn) blocked() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +181,8 @@
 	return n, err
 }
 
-// readSocket reads, and marks what comes before a request's first byte. On a socket nothing lies between the two.
+// readSocket reads and marks bytes that arrived before a request's first byte. On a socket the read system call and the
+// mark are under one lock, so that no write can come between them.
 func (c *trackedConn) readSocket(p []byte) (n int, err error) {
 	if c.raw == nil || len(p) == 0 {
 		n, err = c.Conn.Read(p)
@@ -212,7 +215,7 @@
 	return n, nil
 }
 
-// Close ends the connection.
+// Close closes the connection and wakes awaitIdle.
 func (c *trackedConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -221,8 +224,8 @@
 	return c.Conn.Close()
 }
 
-// awaitIdle waits until net/http has come back to wait for bytes after a whole answer, or has closed the connection: where it
-// might be kept, it does so if more came than the answer. From here on every byte is a stray one.
+// awaitIdle waits until net/http reads again after a complete response, or has closed the connection. On a reusable
+// connection net/http closes it if more bytes arrived than the response. From here on every byte is unsolicited.
 func (c *trackedConn) awaitIdle(reusable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,17 +236,17 @@
 	c.unsolicited = c.unsolicited || reusable && c.closed && !c.remoteClosed
 }
 
-// hasUnsolicited reports whether bytes came that no request had asked for.
+// hasUnsolicited reports whether bytes arrived that no request had asked for.
 func (c *trackedConn) hasUnsolicited() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unsolicited
 }
 
-// closeIncomplete closes the connection and reports whether the request is known not to have been
-// written to its last byte. Writes of one request are in order and end with the first failure.
+// closeIncomplete closes the connection and reports whether the request is known not to have been written to its last
+// byte. The writes of one request are in order, and end with the first that fails.
 func (c *trackedConn) closeIncomplete() bool {
-	c.Close() // frees a Write that holds the lock
+	c.Close() // unblocks a Write that holds the lock
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.written == 0 || c.writeFailed
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -15,13 +15,14 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// A backend may answer twice, the second time some milliseconds after the first. On a connection that rests that is seen,
-// and ends it; once the next request is written nothing tells it from the answer to that one. A connection that has rested
-// for so long goes before one that has not; where bytes came of late that no request had asked for, no other is used: it
-// would be one more connection for each backend, and 6% more latency under load, where none ever come.
+// A backend may send a response twice, the second some milliseconds after the first. On an idle connection the duplicate is
+// recognised as unsolicited and the connection is closed; once the next request is written, it would be taken for that
+// request's response. So connections that have been idle for settleTime are preferred, and while unsolicited bytes were
+// seen within unsolicitedMemory, only those are reused. Requiring it always would cost one more connection for each
+// backend, and 6% more latency under load, where no duplicates ever come.
 const (
 	settleTime        = 20 * time.Millisecond
-	unsolicitedMemory = reuseHalfLife // for so long after the latest
+	unsolicitedMemory = reuseHalfLife // after the latest unsolicited byte
 )
 
 var (
@@ -35,49 +36,49 @@
 	errBackendDisabled    = errors.New("operators have detached the backend")
 )
 
-// upstreamPool holds the connections to all backends. It makes exactly the attempts it is told to:
-// each is one request written at most once on one connection.
+// upstreamPool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
+// request, written at most once on one connection. Its methods may be called from any goroutine.
 type upstreamPool struct {
 	cfg          *Config
 	log          *slog.Logger
 	transport    *http.Transport
 	bufferBudget *bufferBudget
 	idleTimeout  time.Duration
-	maxConns     int // connections at once
+	maxConns     int // bound on openConns; changed by setLimit under mu
 
 	mu              sync.Mutex
 	endpoints       map[string]*endpoint     // by backend id
-	disabled        map[string]bool          // nothing is written to these: operators have detached them
-	idle            map[string][]*pooledConn // by backend id, the latest used last
+	disabled        map[string]bool          // backend ids to which operators forbid to send
+	idle            map[string][]*pooledConn // by backend id, the most recently used last
 	openConns       int                      // idle, in use or being dialled
 	reuseStats      reuseStats
-	settleTime      time.Duration // a connection rests for so long, if it can be, before it is used again
-	lastUnsolicited time.Time     // when the latest bytes were found that no request had asked for
-	closed          bool          // no connection is kept
+	settleTime      time.Duration // idle time after which a connection is preferred; a constant outside tests
+	lastUnsolicited time.Time     // when unsolicited bytes were last found
+	closed          bool          // no connection is kept any more
 
-	residency gate.Enforcer // nil: no policy
+	residency gate.Enforcer // nil: no residency policy
 }
 
-// pooledConn is one connection. It carries one request at a time.
+// pooledConn is one connection to a backend. It carries one request at a time.
 type pooledConn struct {
 	*http.ClientConn
 	tracked   *trackedConn
 	addr      string
-	idleSince time.Time     // idle since then
-	idleFor   time.Duration // before its present use; 0: new
+	idleSince time.Time     // last time it became idle
+	idleFor   time.Duration // how long it was idle before its current use; 0: new
 }
 
 func newUpstreamPool(cfg *Config, log *slog.Logger) *upstreamPool {
 	p := &upstreamPool{cfg: cfg, log: log, bufferBudget: newBufferBudget(cfg.MemoryMB), maxConns: maxUpstreamConns(cfg.shareableDescriptors()),
-		// Backends may close an idle connection at IdleClose; a request that crosses that is lost
-		// as a reset that may have run. A quarter of the time is far more than any network takes.
+		// Backends may close an idle connection after IdleClose. A request that crosses the close is lost as a
+		// reset that may have been executed. A quarter of the time is far more than any network delay.
 		idleTimeout: cfg.Site.IdleClose * 3 / 4,
 		settleTime:  settleTime,
 		endpoints:   map[string]*endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
 	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeader,
-		// The dialled connection goes into the context's slot, which tells what was written on it.
+		// DialContext hands the tracked connection to dial by the slot in its context.
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dialer := net.Dialer{KeepAlive: -1}
 			if cfg.DialFrom != "" {
@@ -102,16 +103,16 @@
 	dialSlot    struct{ conn *trackedConn }
 )
 
-// endpoint is what the list says of a backend, as far as it binds an attempt that is decided and not yet written. A change
-// makes a new one.
+// endpoint is what the list says about a backend as far as it matters to an attempt between the balancer's decision and
+// its first byte. It is immutable: a change in the list makes a new one, so pointers can be compared.
 type endpoint struct {
 	addr       string
 	zone, cell int
 	draining   bool
 }
 
-// applyUpdate takes a change of the list. Connections that rest at a backend that is gone, drains or has moved are
-// closed: under its new address another process answers, and one that drains wants nothing new.
+// applyUpdate applies an update of the list. Idle connections to a backend that is gone, drains or has a new address are
+// closed: another process answers at the new address, and a draining backend wants no new requests.
 func (p *upstreamPool) applyUpdate(update discovery.Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +139,8 @@
 	}
 }
 
-// setDisabled has nothing written to a backend any more, or again. Its kept connections are dropped
-// both times: operators restart it in between.
+// setDisabled forbids to write to a backend, or permits it again. Both close its idle connections: operators restart
+// the backend in between.
 func (p *upstreamPool) setDisabled(id string, disabled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,13 +152,13 @@
 	p.closeIdle(id)
 }
 
-// removeEndpoint drops a backend's address and its idle connections. The lock is held.
+// removeEndpoint forgets a backend and closes its idle connections. The caller holds mu.
 func (p *upstreamPool) removeEndpoint(id string) {
 	delete(p.endpoints, id)
 	p.closeIdle(id)
 }
 
-// closeIdle closes a backend's idle connections. The lock is held.
+// closeIdle closes a backend's idle connections. The caller holds mu.
 func (p *upstreamPool) closeIdle(id string) {
 	for _, c := range p.idle[id] {
 		p.discard(c)
@@ -165,7 +166,7 @@
 	delete(p.idle, id)
 }
 
-// discard closes a connection. The lock is held; closing a socket does not block.
+// discard closes a connection and uncounts it. The caller holds mu; closing a socket does not block.
 func (p *upstreamPool) discard(conn *pooledConn) {
 	p.openConns--
 	if conn.tracked.hasUnsolicited() {
@@ -174,7 +175,8 @@
 	conn.Close()
 }
 
-// acquire returns an idle connection to a backend, or the address at which to dial one.
+// acquire returns an idle connection to a backend, or the address at which to dial a new one, already counted in
+// openConns. It fails with errEndpointChanged, errBackendDisabled or errNoDescriptor.
 func (p *upstreamPool) acquire(id string) (*pooledConn, string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,8 +207,8 @@
 	return nil, endpoint.addr, nil
 }
 
-// pickIdle returns which of a backend's idle connections is to be used: the latest that has rested, else the latest; below 0:
-// none. The lock is held.
+// pickIdle returns the index of the idle connection to use: the most recently used one that has settled, otherwise the
+// most recently used one; below 0: none. The caller holds mu.
 func (p *upstreamPool) pickIdle(idle []*pooledConn) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if time.Since(idle[i].idleSince) >= p.settleTime {
@@ -219,21 +221,21 @@
 	return len(idle) - 1
 }
 
-// isUsable reports whether an idle connection may carry a request. The lock is held.
+// isUsable reports whether an idle connection may carry a request. The caller holds mu.
 func (p *upstreamPool) isUsable(c *pooledConn) bool {
 	idle := time.Since(c.idleSince)
 	return c.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
 }
 
-// endpoint is what the list says of a backend now; nil: nothing.
+// endpoint returns what the list says about a backend now; nil: nothing.
 func (p *upstreamPool) endpoint(id string) *endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[id]
 }
 
-// checkSendable reports why an attempt that was decided may not be written now: a request that has its answer, or a backend that
-// the list or operators have taken out since, or moved to where a repeat is none. nil: it may.
+// checkSendable returns why an attempt must not be written now: its request has its reply, the backend left the list,
+// drains, moved or was disabled since the decision, the time for a safe retry is over, or the residency policy forbids it.
 func (p *upstreamPool) checkSendable(att *attempt) error {
 	select {
 	case <-att.requestDone:
@@ -256,14 +258,14 @@
 	return nil
 }
 
-// recordReuse takes whether the connection broke under its request before any answer.
+// recordReuse records whether the connection broke under its request before a response began.
 func (p *upstreamPool) recordReuse(c *pooledConn, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseStats.record(c.idleFor, broken)
 }
 
-// setLimit changes how many connections may be open at once. Idle ones past it are closed.
+// setLimit changes how many connections may be open at once. Idle ones beyond it are closed.
 func (p *upstreamPool) setLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -272,7 +274,7 @@
 	}
 }
 
-// evictOldest closes the connection that has been idle longest, whosever it is.
+// evictOldest closes the connection that has been idle longest, of any backend. The caller holds mu.
 func (p *upstreamPool) evictOldest() bool {
 	var oldest string
 	for id, list := range p.idle {
@@ -288,7 +290,7 @@
 	return true
 }
 
-// release puts a connection back, or closes it where it is no longer of use.
+// release makes a connection idle, or closes it if it must not be used again.
 func (p *upstreamPool) release(id string, conn *pooledConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -299,7 +301,7 @@
 	p.idle[id] = append(p.idle[id], conn)
 }
 
-// close ends the connections that rest, and has no other kept.
+// close closes the idle connections; those in use are closed when they are released.
 func (p *upstreamPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -309,7 +311,7 @@
 	}
 }
 
-// closeExpired closes what has been idle for too long, until ctx ends.
+// closeExpired closes connections that have been idle for too long, until ctx ends.
 func (p *upstreamPool) closeExpired(ctx context.Context) {
 	interval := max(p.idleTimeout/8, time.Millisecond)
 	tick := time.NewTicker(interval)
@@ -338,7 +340,7 @@
 	}
 }
 
-// dial opens a connection within the connect time-out and ctx. Its place is already counted.
+// dial opens a connection within the connect timeout and ctx. acquire has counted it already.
 func (p *upstreamPool) dial(ctx context.Context, addr string) (*pooledConn, error) {
 	slot := &dialSlot{}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.Settings.ConnectTimeout)
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -1,6 +1,6 @@
 package agent
 
-// Probes, and the load reports that they and answers bring.
+// Health checks, and the load reports that come with them or with responses.
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 	"martenbeam/internal/wire"
 )
 
-// probe examines a backend: with its load report where probes bring one.
+// probe checks a backend's health, with a load report if the site's health checks carry one.
 func (p *upstreamPool) probe(id string) balancer.ProbeResult {
 	start := time.Now()
 	request := &upstreamRequest{method: http.MethodGet, url: &url.URL{Path: "/ping"}, header: http.Header{}}
 	if p.cfg.Site.LoadProbed {
 		request.url.Path = "/_load"
 	}
-	// The settings name no time-out for probes; one that takes longer than a connect may is no use.
+	// The settings have no timeout for health checks; one that takes longer than a connect may take is of no use.
 	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, errTimedOut)
 	defer cancel()
 	result, resp, load := p.executeBuffered(ctx, nil, id, request)
@@ -31,10 +31,10 @@
 	return balancer.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
 }
 
-// loadNames maps the names of load values on sockets to those of the settings.
+// loadNames maps the names of load values on the wire to those of the settings.
 var loadNames = map[string]string{"queue": "backlog", "eps": "errors_per_s", "latency_ms": "recent_ms"}
 
-// parseLoad reads a load report such as "TEXT inflight=7, queue=2". What it can't read is left out.
+// parseLoad parses a load report such as "TEXT inflight=7, queue=2". Values that it can't parse are left out.
 func parseLoad(text string) balancer.Load {
 	usage := map[string]float64{}
 	text = strings.TrimSpace(text)
