--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -13,36 +13,36 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// frontend takes clients' requests and gives them the loop's answers.
+// frontend is the server for clients: it reads and checks their requests, posts them to the event loop and writes the
+// replies. It decides nothing but which requests it can't take.
 type frontend struct {
 	cfg          *Config
 	loop         *eventLoop
 	server       *http.Server
-	maxOpen      atomic.Int64 // requests open at once, and connections past which none is kept
+	maxOpen      atomic.Int64 // bound on open requests; at more connections than this, each reply closes its connection
 	openRequests atomic.Int64
 	classIndex   map[string]int
-	bodyTimeout  time.Duration // within which a small body must come, from the request's first byte on
-	maxBodyGap   time.Duration // within which its next byte must
+	bodyTimeout  time.Duration // for a small body to arrive, from the request's first byte on; a constant outside tests
+	maxBodyGap   time.Duration // for the body's next byte; a constant outside tests
 
-	accepting     atomic.Bool  // accepts clients
-	drainDeadline atomic.Int64 // a stop began, and what is taken has to be answered by then, on the loop's clock; 0: none
+	accepting     atomic.Bool  // for admin calls: clients are served
+	drainDeadline atomic.Int64 // on the event loop's clock: when all accepted requests have to be answered; 0: not stopping
 
-	residency gate.Enforcer // nil: no policy
+	residency gate.Enforcer // nil: no residency policy
 
 	idleConns *clientconn.IdleConns
 
 	mu        sync.Mutex
 	connCount int
-	readers   sync.WaitGroup // of connections: each ends with its socket
+	readers   sync.WaitGroup // a goroutine for each connection, which ends with its socket
 }
 
-// Anyone may connect, and a peer that sends no whole request is owed an error or a close within
-// 3 s of connecting. A connection that stands open without a request may be closed after 2 s; it
-// holds one of the few descriptors, so it is closed soon after.
+// Anyone may connect. A peer that sends no complete request is owed an error or a close within 3 s of connecting. An idle
+// connection may be closed after 2 s; it holds one of few descriptors, so it is closed soon after.
 const (
-	headerTimeout = 2200 * time.Millisecond // for the next request's header to come whole
-	bodyTimeout   = 2700 * time.Millisecond // and for its body, from its first byte on, besides what a slow client needs
-	maxBodyGap    = 1200 * time.Millisecond // without a byte of it
+	headerTimeout = 2200 * time.Millisecond // for the next request's header; also the idle timeout
+	bodyTimeout   = 2700 * time.Millisecond // for a body, from its first byte on, with an allowance for slow clients (minClientRate)
+	maxBodyGap    = 1200 * time.Millisecond // without a byte of the body
 	maxHeader     = 32 << 10
 )
 
@@ -57,7 +57,7 @@
 		Handler:           f,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       headerTimeout,
-		// No ReadTimeout: it would go on running while the answer is awaited and pass for a hang-up.
+		// No ReadTimeout: it would expire while the reply is awaited and look like a disconnected client.
 		WriteTimeout:   2*cfg.maxDeadline() + headerTimeout,
 		MaxHeaderBytes: maxHeader,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
@@ -75,7 +75,7 @@
 	return f
 }
 
-// setLimit changes how many requests may be open at once, and how many connections are kept.
+// setLimit changes how many requests may be open, and how many connections are kept, at once.
 func (f *frontend) setLimit(limit int) {
 	if f.cfg.Site.MaxOpen > 0 {
 		limit = min(limit, f.cfg.Site.MaxOpen)
@@ -85,13 +85,13 @@
 
 type clientConnKey struct{}
 
-// clientConnOf is the connection that a request came on; nil: none of this front's.
+// clientConnOf returns the connection on which a request arrived; nil: not one that this frontend accepted.
 func clientConnOf(httpReq *http.Request) *clientconn.Conn {
 	c, _ := httpReq.Context().Value(clientConnKey{}).(*clientconn.Conn)
 	return c
 }
 
-// lastByteAt is when a request's latest byte came.
+// lastByteAt returns when a request's most recent byte arrived.
 func lastByteAt(httpReq *http.Request) time.Time {
 	if c := clientConnOf(httpReq); c != nil {
 		return c.LastByteAt()
@@ -99,15 +99,15 @@
 	return time.Now()
 }
 
-// serve takes connections until the listener is closed.
+// serve accepts connections until the listener is closed. It always returns an error, as http.Server.Serve does.
 func (f *frontend) serve(l net.Listener) error {
 	return f.server.Serve(clientconn.Listener{Listener: l, Tasks: &f.readers})
 }
 
-// trackConn counts connections as they come and go.
+// trackConn counts open connections and keeps the set of those that may be closed as idle.
 func (f *frontend) trackConn(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*clientconn.Conn); ok && state == http.StateIdle {
-		c.MarkResponseComplete() // before it may be closed as idle
+		c.MarkResponseComplete() // before it is in the set
 	}
 	f.idleConns.Track(c, state)
 	f.mu.Lock()
@@ -120,25 +120,25 @@
 	}
 }
 
-// While an agent is emptied, a connection goes once it has been idle for drainIdleTimeout: after the time in
-// which new ones still come, and well before the clients' next requests are counted against it.
+// While the agent drains, a connection is closed once it has been idle for drainIdleTimeout: after clients have stopped
+// opening new ones, and well before their next requests would be counted against the agent.
 const (
 	drainIdleTimeout   = 600 * time.Millisecond
 	drainCheckInterval = 50 * time.Millisecond
 )
 
-// draining reports whether clients are to go elsewhere: each answer ends its connection.
+// draining reports whether clients are to be sent elsewhere: each reply then closes its connection.
 func (f *frontend) draining() bool { return f.loop.lameDuck.Load() || f.drainDeadline.Load() != 0 }
 
-// drainBy has each answer end its connection from here on, and be given by a time.
+// drainBy starts draining: each reply closes its connection, and is due at the deadline at the latest.
 func (f *frontend) drainBy(deadline time.Time) {
 	f.drainDeadline.Store(int64(f.loop.clock.at(deadline)))
 }
 
-// setLameDuck empties the agent of clients, or takes them again.
+// setLameDuck drains the agent of clients by an operator's call, or ends that.
 func (f *frontend) setLameDuck(on bool) { f.loop.lameDuck.Store(on) }
 
-// closeIdleWhileDraining closes idle connections while the agent is emptied, until ctx ends.
+// closeIdleWhileDraining closes idle connections while the agent is a lame duck, until ctx ends.
 func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
 	tick := time.NewTicker(drainCheckInterval)
 	defer tick.Stop()
@@ -167,24 +167,24 @@
 	return int64(f.connCount) > f.maxOpen.Load()
 }
 
-// hasConnections reports whether a connection is open.
+// hasConnections reports whether any connection is open.
 func (f *frontend) hasConnections() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.connCount > 0
 }
 
-// ServeHTTP takes one request. There is no mux: it would answer unclean paths with redirects.
+// ServeHTTP serves one request. There is no http.ServeMux: it would redirect paths that are not clean.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, httpReq *http.Request) {
 	if httpReq.ContentLength != 0 {
-		// Also for a body that nobody reads: net/http waits for it before it writes the answer.
+		// Also for a body that is not read: net/http reads it to its end before it writes the response.
 		if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(f.bodyTimeLeft(httpReq))); err != nil {
 			http.Error(w, "can't read the body", http.StatusInternalServerError)
 			return
 		}
 	}
 	if httpReq.URL.Path == "/_health" {
-		w.Header().Set("Connection", "close") // whoever asks in numbers must not keep clients out
+		w.Header().Set("Connection", "close") // frequent health checks must not take clients' connections
 		status := http.StatusOK
 		if !f.loop.ready.Load() || f.draining() {
 			status = http.StatusServiceUnavailable
@@ -199,7 +199,7 @@
 		r, err = f.parseRequest(w, httpReq)
 	}
 	if err != nil || len(httpReq.TransferEncoding) > 0 {
-		// Where this request ended may be in doubt: what follows on its connection is not read.
+		// The end of this request may be ambiguous: what follows on the connection is not read.
 		w.Header().Set("Connection", "close")
 	}
 	if err != nil {
@@ -210,12 +210,12 @@
 	if client != nil && !f.idleConns.Claim(client) {
 		panic(http.ErrAbortHandler)
 	}
-	// Also where it came with others, and the client has gone since: the request's own context ends a moment later.
+	// Also for a pipelined request whose client has disconnected since: the context of a request ends a moment later.
 	if client != nil && client.Context().Err() != nil {
 		f.writeReply(w, httpReq, reply{})
 		return
 	}
-	// Past what the limits let an agent hold, a request is turned away before anything has run.
+	// Beyond the limit a request is rejected before anything has been executed.
 	if f.openRequests.Add(1) > f.maxOpen.Load() {
 		f.openRequests.Add(-1)
 		f.reject(w, 0)
@@ -254,20 +254,20 @@
 	}
 }
 
-// finishUpload ends what still comes of a large body, and gives its answer time: most of the server's may
-// have gone.
+// finishUpload stops a streamed body that is not complete, and renews the write deadline, of which the upload may have
+// used most.
 func (f *frontend) finishUpload(w http.ResponseWriter, upload *upload) {
 	control := http.NewResponseController(w)
 	if !upload.complete() {
-		w.Header().Set("Connection", "close")   // its end is not read
-		_ = control.SetReadDeadline(time.Now()) // fails with the connection alone
+		w.Header().Set("Connection", "close")   // the rest of the body is not read
+		_ = control.SetReadDeadline(time.Now()) // fails only on a broken connection
 	}
 	upload.stop(errRequestEnded)
 	_ = control.SetWriteDeadline(time.Now().Add(f.server.WriteTimeout))
 }
 
-// bodyTimeLeft is what is left for a small body. Clients may take 2 s for a header, and cut what they send
-// anywhere; a peer that never sends a whole request is sent away 3 s after it has connected.
+// bodyTimeLeft returns the time left for a small body. Clients may take 2 s for a header and split what they send
+// anywhere; a peer that never sends a complete request is disconnected within 3 s of connecting.
 func (f *frontend) bodyTimeLeft(httpReq *http.Request) time.Duration {
 	if c := clientConnOf(httpReq); c != nil {
 		return f.bodyTimeout - time.Since(c.RequestStartedAt())
@@ -275,24 +275,24 @@
 	return f.bodyTimeout
 }
 
-// closeAfterReply has a connection end with its answer where too many are kept, or none are to be.
+// closeAfterReply makes the reply close its connection if too many are open, or the agent drains.
 func (f *frontend) closeAfterReply(w http.ResponseWriter) {
 	if f.atCapacity() || f.draining() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// awaitReply posts a request and waits for its answer.
+// awaitReply posts a request to the event loop and waits for the reply.
 func (f *frontend) awaitReply(httpReq *http.Request, r *request) reply {
 	f.loop.post(requestArrived{r})
-	// A request that comes with less than a tick left is answered by the step that first sees it;
-	// the grace after the deadline is there for this.
+	// A request with less than a tick left is answered by the first step that sees it: half of the grace after the
+	// deadline is left for that.
 	deadlineTimer := time.NewTimer(time.Until(r.deadline) + f.cfg.Settings.AnswerGrace/2)
 	defer deadlineTimer.Stop()
 	disconnected := httpReq.Context().Done()
 	var bodyCompleted, bodyFailed <-chan struct{}
 	upload := r.upstream.upload
-	if upload != nil { // its time runs from its last byte
+	if upload != nil { // its deadline counts from the body's last byte
 		bodyCompleted, bodyFailed = upload.completed, upload.failed
 		deadlineTimer.Stop()
 	}
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -1,6 +1,6 @@
 package agent
 
-// How final answers are written to clients.
+// How replies are written to clients.
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// writeReply writes a final answer. If it can't be written whole, net/http closes the connection
-// short of its Content-Length, so that the client can tell.
+// writeReply writes the final reply. If it can't be written completely, net/http closes the connection short of the
+// Content-Length, which tells the client.
 func (f *frontend) writeReply(w http.ResponseWriter, httpReq *http.Request, r reply) {
 	switch {
 	case r.response != nil && r.response.stream != nil:
@@ -22,7 +22,7 @@
 		copyHeader(w, r.response)
 		w.Header().Set("Content-Length", strconv.Itoa(len(r.response.body)))
 		w.WriteHeader(http.StatusOK)
-		_, _ = w.Write(r.response.body) // a client that is gone needs no answer
+		_, _ = w.Write(r.response.body) // fails only if the client has disconnected
 	case r.rejected:
 		if r.residency {
 			w.Header().Set("X-Refused-For", "residency")
@@ -45,12 +45,12 @@
 		}
 	}
 	if _, set := h["Content-Type"]; !set {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 }
 
-// streamResponse passes a large answer on as it comes. Where it can't be finished the connection ends short of
-// it, so that the client can tell.
+// streamResponse passes a streaming response on as it arrives. If it can't be completed, the connection is closed short
+// of its end, which tells the client.
 func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *response) {
 	stream, control := resp.stream, http.NewResponseController(w)
 	defer stream.finish(errRequestEnded)
@@ -66,7 +66,7 @@
 	w.WriteHeader(http.StatusOK)
 	buf, free := f.loop.pool.bufferBudget.get()
 	defer free()
-	waited, passed := time.Duration(0), int64(0) // for the backend, and from it
+	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
 	for chunk, readErr := resp.body, error(nil); ; {
 		err := control.SetWriteDeadline(time.Now().Add(streamStallTimeout))
 		if err == nil {
@@ -93,7 +93,7 @@
 		stalled.Stop()
 		if err != nil && !errors.Is(err, io.EOF) {
 			if httpReq.Context().Err() != nil {
-				err = errRequestEnded // the client has gone: the backend is not to blame
+				err = errRequestEnded // the client has disconnected: the backend is not to blame
 			}
 			stream.finish(err)
 			panic(http.ErrAbortHandler)
@@ -102,7 +102,7 @@
 	}
 }
 
-// reject says that trying again is harmless, and when to, where clients are shown that.
+// reject replies that a retry is harmless, and when to make it if the site shows that to clients.
 func (f *frontend) reject(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 && f.cfg.Settings.RetryAfter {
 		retryAfter = min(retryAfter, f.cfg.Settings.MaxRetryAfter)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -17,8 +17,8 @@
 	"martenbeam/internal/wire"
 )
 
-// inputError is an answer to a request that can't be taken. Its status says 'failed', never
-// that another try is harmless.
+// inputError is the reply to a request that can't be forwarded. Its status means 'failed' and never that a retry is
+// harmless.
 type inputError struct {
 	status int
 	text   string
@@ -26,22 +26,22 @@
 
 func badRequest(text string) *inputError { return &inputError{http.StatusBadRequest, text} }
 
-// hopHeaders end at the agent (RFC 9110, 7.6.1), or are set anew.
+// hopHeaders are not forwarded (RFC 9110, 7.6.1), or are set anew.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "X-Expires-In"}
 
-// checkFraming tells requests whose end is in doubt.
+// checkFraming rejects requests whose end is ambiguous.
 func checkFraming(httpReq *http.Request) *inputError {
 	if c := clientConnOf(httpReq); c != nil && c.Ambiguous() {
 		return badRequest("both Content-Length and Transfer-Encoding")
 	}
-	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, whatever body that announces
+	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, so a body would be taken for the next request
 		return &inputError{http.StatusHTTPVersionNotSupported, "this takes HTTP/1.1"}
 	}
 	return nil
 }
 
-// parseRequest reads a request whole and checks it.
+// parseRequest reads and checks a request, with its body or, if that is large, the body's first bytes.
 func (f *frontend) parseRequest(w http.ResponseWriter, httpReq *http.Request) (*request, *inputError) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(httpReq.URL.Path, "/"), "/")
 	class, ok := f.classIndex[className]
@@ -91,10 +91,10 @@
 	if failure != nil {
 		return nil, failure
 	}
-	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // it has to be answered before the platform kills
+	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // it has to be answered before the platform kills the process
 		timeout = max(0, min(timeout, deadline-f.loop.clock.now()))
 	}
-	// A client's time runs from when its request was sent, which ends with the last byte.
+	// A client's time counts from when it sent its request, which ends with the last byte.
 	r.deadline, r.timeout = lastByteAt(httpReq).Add(timeout), timeout
 	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery, ForceQuery: httpReq.URL.ForceQuery}
 	forwarded := header.Clone()
@@ -116,7 +116,7 @@
 	return r, nil
 }
 
-// readBody reads a body, or the first bytes of one that is large: more tells that there are others.
+// readBody reads a body, or the first bytes of one that is streamed; more reports the latter.
 func (f *frontend) readBody(w http.ResponseWriter, httpReq *http.Request) (body []byte, more bool, failure *inputError) {
 	if httpReq.ContentLength == 0 {
 		return nil, false, nil
@@ -131,7 +131,7 @@
 	}
 	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w), allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
 	body, err := io.ReadAll(io.LimitReader(paced, maxBufferedBody+1))
-	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline that runs on would pass for a hang-up
+	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
 		err = paced.control.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
--- a/internal/agent/sockets.go
+++ b/internal/agent/sockets.go
@@ -1,15 +1,15 @@
 package agent
 
-// The file descriptors of the process are shared out here: a fixed part for its own files,
-// discovery and peers, one for the operators' calls, and the rest to clients and backends. Each client connection carries one
-// request at a time, and a request seldom has more than one attempt out, so the parts are equal.
-// A tenth is left to clients past their part, which are refused and sent away.
+// The descriptor budget: a fixed part for the process's own files, discovery and peers, one for the admin listener, and the
+// rest shared between clients and backends. A client connection carries one request at a time, and a request rarely has
+// more than one attempt out, so clients and backends get equal parts. A tenth is left to accept clients beyond their part,
+// which are rejected and disconnected.
 const (
 	minDescriptors       = 64
 	reservedDescriptors  = 24
 	defaultDescriptors   = 1024
-	minSharedDescriptors = 8  // even where two processes share a small limit
-	maxAdminConns        = 12 // calls of operators at once, where they have a door
+	minSharedDescriptors = 8  // also if two processes share a small limit
+	maxAdminConns        = 12 // admin calls at once, if there is an admin listener
 )
 
 func sharedDescriptors(limit int) int {
@@ -19,11 +19,11 @@
 	return max(minSharedDescriptors, limit-reservedDescriptors)
 }
 
-// maxClientConns is how many client connections are kept and requests held.
+// maxClientConns returns how many client connections are kept, and how many requests may be open.
 func maxClientConns(limit int) int { return sharedDescriptors(limit) * 45 / 100 }
 
-// maxUpstreamConns is how many connections to backends are open at once.
+// maxUpstreamConns returns how many connections to backends may be open.
 func maxUpstreamConns(limit int) int { return sharedDescriptors(limit) * 45 / 100 }
 
-// maxAcceptedConns is how many client connections are accepted at once.
+// maxAcceptedConns returns how many client connections may be accepted at once.
 func maxAcceptedConns(limit int) int { return sharedDescriptors(limit) - maxUpstreamConns(limit) }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// A planned restart begins with a SIGTERM, of which clients are told up to 0.4 s late. The platform kills 0.7 s after the
-// longest deadline, at 3 s of that at the most.
+// A planned restart begins with a SIGTERM, of which clients are notified up to 0.4 s late. The platform kills the process
+// 0.7 s after the longest deadline, of which at most 3 s count.
 const (
-	acceptWindowAfterStop = 450 * time.Millisecond // new connections are taken for so long at least
-	silentConnTimeout     = 250 * time.Millisecond // without a byte, before a new connection is closed then
-	maxDrainDeadline      = 3 * time.Second        // of the longest deadline
-	drainSlack            = 600 * time.Millisecond // after it, the last answers are out
+	acceptWindowAfterStop = 450 * time.Millisecond // new connections are accepted for at least this long
+	silentConnTimeout     = 250 * time.Millisecond // without a byte, before a new connection is closed after that
+	maxDrainDeadline      = 3 * time.Second        // cap on the longest deadline
+	drainSlack            = 600 * time.Millisecond // after the longest deadline, for the last replies to be out
 	drainPollInterval     = 5 * time.Millisecond
 )
 
-// drain answers what was taken and returns once nobody is left. Each answer ends its connection, and one that rests is
-// closed: a client whose request crosses that comes anew, and is still accepted. What comes within the platform's last
-// moments gets its answer before them. Nothing is cut off here: what the platform's kill ends is excused, what the process
-// itself ends is lost.
+// drain answers the accepted requests and returns once no connection is left. Each reply closes its connection, and idle
+// connections are closed: a client whose request crosses the close connects anew, and is still accepted. Requests that
+// arrive late get their reply before the platform kills the process. drain itself aborts nothing: a request that the
+// platform's kill aborts does not count against the agent, one that the process aborts does.
 //
-// With a successor the socket is shared, and what connects from now on is the successor's.
+// With a successor the listening socket is shared, and new connections are the successor's.
 func (a *Agent) drain(served <-chan error) {
 	a.log.Info("stopping")
 	f, startedAt, deadline := a.frontend, time.Now(), time.Now().Add(a.drainTimeout)
@@ -25,7 +25,7 @@
 	f.drainBy(deadline)
 	acceptWindow, windowOver, idleGrace, silentTimeout := a.acceptWindow(), false, time.Duration(0), time.Duration(-1)
 	if a.hotRestart != nil {
-		// Nobody who is turned back there could come anew to this process: each may send once more.
+		// A client turned back here could not connect to this process again: each may send one more request.
 		windowOver, idleGrace, silentTimeout = true, drainIdleTimeout, silentConnTimeout
 		a.closeListener(served)
 	}
@@ -49,15 +49,15 @@
 			a.log.Warn("still answering", "open", openRequests)
 		}
 	}
-	f.readers.Wait() // until clients have read the last answers
+	f.readers.Wait() // until clients have read the last replies
 	if err := f.server.Close(); err != nil {
 		a.log.Warn("closing", "error", err)
 	}
 	a.log.Info("stopped")
 }
 
-// closeListener ends accepting. What is in the kernel's queue when a listener closes is reset: as long as the queue waits for a
-// descriptor the listener stays open.
+// closeListener stops accepting. The connections in the kernel's accept queue would be reset, so the caller keeps the
+// listener open while the queue waits for a descriptor.
 func (a *Agent) closeListener(served <-chan error) {
 	if a.listenerClosed {
 		return
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Bodies and answers larger than maxBufferedBody pass through: they are never held whole.
+// Bodies and responses larger than maxBufferedBody are streamed: they are never held completely.
 const (
-	maxStreamBytes     = 32 << 20                // bytes of a body or an answer; a body past it is turned away
-	streamBufferSize   = 32 << 10                // passed on at once, while the budget lasts
-	minBufferSize      = 4 << 10                 // and after that
-	kernelBufferSize   = 256 << 10               // what the kernel holds of a stream on either side
-	bufferingTimeout   = 50 * time.Millisecond   // an answer of unknown length is held back while it may turn out small
+	maxStreamBytes     = 32 << 20                // bytes of a body or response; a larger body is rejected
+	streamBufferSize   = 32 << 10                // bytes passed on at once, while the budget lasts
+	minBufferSize      = 4 << 10                 // and once it is used up
+	kernelBufferSize   = 256 << 10               // bytes of a stream that the kernel holds for each socket
+	bufferingTimeout   = 50 * time.Millisecond   // a response of unknown length is held back this long, as it may turn out small
 	streamStallTimeout = 10 * time.Second        // without a byte of a stream, before it is given up
-	clientStallTimeout = 1500 * time.Millisecond // without a byte of a client's body: nobody may send it slower than minClientRate
-	minClientRate      = 48 << 10                // bytes a second; clients send 64 kB
-	minUpstreamRate    = 1 << 10                 // bytes a second of an answer, far below what any backend sends
+	clientStallTimeout = 1500 * time.Millisecond // without a byte of a client's body; no client may send slower than minClientRate
+	minClientRate      = 48 << 10                // bytes per second; clients send 64 kB
+	minUpstreamRate    = 1 << 10                 // bytes per second of a response, far below what any backend sends
 )
 
 var (
@@ -29,10 +29,10 @@
 	errRequestEnded = errors.New("the request has ended")
 )
 
-// bufferBudget is the budget for what passes through.
+// bufferBudget bounds the memory for stream buffers.
 type bufferBudget struct{ remaining atomic.Int64 }
 
-// newBufferBudget gives streams an eighth of the memory.
+// newBufferBudget gives streams an eighth of the memory; 0 MB means the default of 64.
 func newBufferBudget(memoryMB int) *bufferBudget {
 	b := &bufferBudget{}
 	if memoryMB == 0 {
@@ -42,7 +42,8 @@
 	return b
 }
 
-// get returns a buffer, and what gives it back. There is always one: past the budget it is small.
+// get returns a buffer and the function that gives it back. It never fails: once the budget is used up, buffers are small
+// and not counted.
 func (b *bufferBudget) get() ([]byte, func()) {
 	size := int64(streamBufferSize)
 	if b.remaining.Add(-size) < 0 {
@@ -52,8 +53,8 @@
 	return make([]byte, size), func() { b.remaining.Add(size) }
 }
 
-// minThroughputReader reads a client's body and gives up one that is slower than any proper client. Only the time
-// spent waiting for the client counts.
+// minThroughputReader reads a client's body and fails if it arrives slower than any proper client sends. Only time spent
+// waiting for the client counts, not time in which the backend does not read.
 type minThroughputReader struct {
 	source    io.Reader
 	control   *http.ResponseController
@@ -77,16 +78,16 @@
 	return n, err
 }
 
-// upload is what is left of a large body, on its way from its client to one backend.
+// upload is the remainder of a large body, on its way from its client to one backend.
 type upload struct {
-	length        int64 // of the whole body; -1: unknown
+	length        int64 // bytes of the complete body; -1: unknown
 	pipeWriter    *io.PipeWriter
 	pipeReader    *io.PipeReader
-	streamStarted atomic.Bool   // an attempt has asked for more than what is held: it can't be sent again
-	completed     chan struct{} // closed once its last byte has come
-	completedAt   time.Time     // when; may be read once whole is closed
-	failed        chan struct{} // closed where it never will
-	err           error         // why; may be read once failed is closed
+	streamStarted atomic.Bool   // an attempt has read beyond the buffered part, so that the body can't be sent again
+	completed     chan struct{} // closed when the last byte has arrived
+	completedAt   time.Time     // valid once completed is closed
+	failed        chan struct{} // closed if the last byte will never arrive
+	err           error         // the reason; valid once failed is closed
 }
 
 func newUpload(length int64) *upload {
@@ -95,7 +96,7 @@
 	return u
 }
 
-// complete reports whether the last byte has come.
+// complete reports whether the last byte has arrived.
 func (u *upload) complete() bool {
 	select {
 	case <-u.completed:
@@ -105,15 +106,15 @@
 	}
 }
 
-// pump reads from the client and hands on, no faster than the attempt takes it. A client that fails is
-// told to the front alone: the attempt is withdrawn by the loop, since the backend is not to blame.
+// pump copies the body from the client to the attempt, no faster than the attempt reads. If the client fails, only the
+// frontend is notified; the event loop then cancels the attempt, since the backend is not to blame.
 func (u *upload) pump(body *minThroughputReader, b *bufferBudget) {
 	buf, free := b.get()
 	defer free()
 	for {
 		n, err := body.Read(buf)
 		if errors.Is(err, io.EOF) {
-			if err := body.control.SetReadDeadline(time.Time{}); err != nil { // left running it would pass for a hang-up
+			if err := body.control.SetReadDeadline(time.Time{}); err != nil { // left running it would look like a disconnected client
 				u.fail(err)
 				return
 			}
@@ -133,7 +134,7 @@
 	}
 }
 
-// forward waits until the attempt has taken p.
+// forward waits until the attempt has read p. It returns false if no attempt will.
 func (u *upload) forward(p []byte) bool {
 	stalled := time.AfterFunc(streamStallTimeout, func() { u.stop(errStalled) })
 	defer stalled.Stop()
@@ -146,17 +147,17 @@
 	close(u.failed)
 }
 
-// stop ends what reads and what writes it.
+// stop makes all further reads and writes of the body fail with err.
 func (u *upload) stop(err error) {
 	u.pipeWriter.CloseWithError(err)
 	u.pipeReader.CloseWithError(err)
 }
 
-// requestBody is a large body as one attempt reads it.
+// requestBody is a streamed body as one attempt reads it: the buffered part, then the upload.
 type requestBody struct {
 	buffered  []byte
 	upload    *upload
-	remaining int64       // bytes that are still to be read; below 0: unknown
+	remaining int64       // bytes still to be read; below 0: unknown
 	consumed  atomic.Bool // the last byte was handed out
 }
 
@@ -178,9 +179,9 @@
 	return n, err
 }
 
-func (b *requestBody) Close() error { return nil } // the upload outlives an attempt that never began it
+func (b *requestBody) Close() error { return nil } // the upload outlives an attempt that never read from it
 
-// attemptTimer ends an attempt at its time, unless its answer has begun by then.
+// attemptTimer cancels an attempt at its deadline, unless its response has started by then.
 type attemptTimer struct {
 	cancel context.CancelCauseFunc
 
@@ -205,7 +206,7 @@
 	}
 }
 
-// disarm reports whether the answer has begun in time. After that no time ends it.
+// disarm stops the timer for good. It returns false if the attempt had expired before.
 func (t *attemptTimer) disarm() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -216,15 +217,15 @@
 	return t.responseStarted
 }
 
-// responseStream is what is left of a large answer, on its way from its backend to the client.
+// responseStream is the remainder of a large response, on its way from its backend to the client.
 type responseStream struct {
-	length int64 // of the whole answer; -1: unknown
+	length int64 // bytes of the complete response; -1: unknown
 	source io.Reader
-	cancel context.CancelCauseFunc // of the attempt
-	free   func()                  // gives back the buffer
+	cancel context.CancelCauseFunc // cancels the attempt
+	free   func()                  // gives the buffer back
 	once   sync.Once
 	done   chan struct{}
-	err    error // the backend broke it off, or errRequestEnded: nobody wants the rest; may be read once ended is closed
+	err    error // nil: complete; errRequestEnded: nobody reads the rest; otherwise the backend failed. Valid once done is closed
 }
 
 func (s *responseStream) finish(err error) {
@@ -234,24 +235,24 @@
 	})
 }
 
-// isTooSlow reports whether a backend sends its answer slower than any would, after it was waited for so long, with so many bytes:
-// one that drips for good never ends. The client's deadline is no bound: of a long answer its first bytes are timed, and what
-// its backend still gives must not be cut off.
+// isTooSlow reports whether a backend sends slower than minUpstreamRate on average, streamStallTimeout aside: a response
+// that only trickles would never end. The client's deadline does not bound a streaming response: it applies to the first
+// bytes, and what the backend still sends must not be cut off.
 func isTooSlow(waited time.Duration, received int64) bool {
 	return waited > streamStallTimeout+time.Duration(received)*time.Second/minUpstreamRate
 }
 
-// readResult is one read of an answer of unknown length.
+// readResult is the result of one read of a response of unknown length.
 type readResult struct {
 	data []byte
 	err  error
 }
 
-// bufferedResponse reads an answer whose length is not known, in a goroutine of its own, so that what has come
-// can go on while more is awaited. The goroutine ends with the answer, or once its body is closed.
+// bufferedResponse reads a response of unknown length in its own goroutine, so that the bytes that have arrived can be
+// passed on while more are awaited. The goroutine ends with the response, or once done is closed.
 type bufferedResponse struct {
 	results  chan readResult
-	consumed chan struct{} // the last chunk is used up
+	consumed chan struct{} // the last result's data is no longer in use
 	done     <-chan struct{}
 	unread   readResult
 }
@@ -279,8 +280,8 @@
 	return b
 }
 
-// readUpTo returns what comes until there are most bytes, the answer ends, or the time is up. More tells
-// that it has not ended.
+// readUpTo returns what arrives until there are more than limit bytes, the response ends, or the timeout is over and
+// there is something. more reports that the response has not ended.
 func (b *bufferedResponse) readUpTo(limit int, timeout time.Duration) (buffered []byte, more bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -303,7 +304,7 @@
 			if len(buffered) > 0 {
 				return buffered, true, nil
 			}
-			timer.Reset(timeout) // no byte yet: nothing could go on
+			timer.Reset(timeout) // no byte yet: nothing could be passed on
 		case <-b.done:
 			return buffered, false, errRequestEnded
 		}
@@ -333,13 +334,13 @@
 	return n, b.unread.err
 }
 
-// limitKernelBuffers keeps the kernel from holding megabytes of a stream on a connection.
+// limitKernelBuffers keeps the kernel from buffering megabytes of a stream for a socket.
 func limitKernelBuffers(c net.Conn) {
 	if t, ok := c.(interface {
 		SetReadBuffer(int) error
 		SetWriteBuffer(int) error
 	}); ok {
-		// One that is refused leaves the kernel's own bound.
+		// If it is refused, the kernel's own bound applies.
 		_ = t.SetReadBuffer(kernelBufferSize)
 		_ = t.SetWriteBuffer(kernelBufferSize)
 	}
