--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,11 +1,15 @@
-// Package agent is the real agent around the decision module: it turns what happens on sockets
-// into the module's events and carries out its actions, in order. It decides nothing about
-// requests: it neither picks backends nor retries, holds or refuses.
+// Package agent runs the load balancer against real sockets. It turns what happens on sockets into events for the
+// balancer (package balancer) and performs the actions that the balancer returns, in their order. It makes no
+// decisions about requests: choosing backends, retrying, queueing and shedding load are the balancer's.
 //
-// The loop (loop.go) owns the module. The front (front.go) serves clients: clientconn reads their connections, request.go checks
-// what came, reply.go answers. backends.go holds the connections to backends, attempt.go and probe.go use them, stream.go passes large
-// bodies and answers through. discovery follows the list, peers.go exchanges datagrams with other agents, operations takes operators'
-// calls, and successor.go tells the next process what it must know (handover).
+// The parts, each with one owner for its state:
+//
+//   - the event loop (eventloop.go) owns the balancer, the timers and the open requests;
+//   - the frontend (frontend.go, request.go, reply.go) serves clients over connections of package clientconn;
+//   - the upstream pool (pool.go, attempt.go, trackedconn.go, reuse.go, probe.go) owns the connections to backends;
+//   - stream.go passes bodies and responses through that are too large to be buffered;
+//   - package discovery watches the endpoint list, peers.go exchanges datagrams with the other agents;
+//   - package admin takes admin calls, hotrestart.go hands state over to the next process of this agent.
 package agent
 
 import (
@@ -23,7 +27,7 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// Agent is one agent, ready to run.
+// Agent is one agent process. New sets it up, Run serves; both are called once.
 type Agent struct {
 	cfg            *Config
 	log            *slog.Logger
@@ -31,17 +35,17 @@
 	frontend       *frontend
 	pool           *upstreamPool
 	discovery      *discovery.Watcher
-	admin          *admin.Server // nil: operators can't call
-	hotRestart     *hotRestart   // nil: no process of this agent replaces another
-	fleet          Fleet         // nil: it has no fleet
+	admin          *admin.Server // nil: no admin listener
+	hotRestart     *hotRestart   // nil: this agent is never replaced by another process while it runs
+	fleet          Fleet         // nil: the agent belongs to no fleet
 	listener       *listener.Limited
-	listenerClosed bool                    // the listener; stop's
-	drainTimeout   time.Duration           // after a SIGTERM the last answers are out
-	acceptWindow   func() <-chan time.Time // ends the time in which a stopping agent takes connections
+	listenerClosed bool                    // set by closeListener
+	drainTimeout   time.Duration           // from SIGTERM until the last replies have to be out
+	acceptWindow   func() <-chan time.Time // started on drain; fires when new connections need no longer be accepted
 }
 
-// New listens and sets up an agent. Clients are served once Run is called. It waits for an address that another process
-// still has, until ctx ends.
+// New opens the agent's sockets and sets it up. Clients are served once Run is called. While another process still
+// holds an address, New retries until ctx ends. An error names the socket or setting that failed.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
 	a := &Agent{cfg: cfg, log: log, pool: newUpstreamPool(cfg, log),
 		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
@@ -88,7 +92,7 @@
 	return a, nil
 }
 
-// openListener returns where clients connect.
+// openListener returns the listener for clients: the inherited one where the platform holds it.
 func (a *Agent) openListener(ctx context.Context) (*net.TCPListener, error) {
 	if a.cfg.ListenFD > 0 {
 		return listener.Inherited(ctx, a.cfg.ListenFD)
@@ -100,26 +104,27 @@
 	return ln, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address at which clients connect.
 func (a *Agent) Addr() net.Addr { return a.listener.Addr() }
 
-// SetDiscoveryAddr has the agent watch discovery at another address.
+// SetDiscoveryAddr makes the agent watch discovery at another address. It may be called while the agent runs.
 func (a *Agent) SetDiscoveryAddr(addr string) {
 	a.log.Info("discovery has moved", "address", addr)
 	a.discovery.SetAddr(addr)
 }
 
-// Run serves until stop ends, then finishes what was taken and returns.
+// Run serves until stop ends, then answers the accepted requests and returns. It fails only if the listener does; a
+// requested stop is no error. All goroutines that it starts have ended when it returns.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.Background()) // everything goes on through the drain
+	ctx, cancel := context.WithCancel(context.Background()) // outlives stop: everything runs on while the agent drains
 	defer a.pool.close()
 	if a.hotRestart != nil {
-		defer a.hotRestart.Close() // a younger process is alone then; nothing here looks at its locks any more
+		defer a.hotRestart.Close() // the successor is alone from then on; nothing here uses the handover locks any more
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	if a.admin != nil { // before what may wait: a call has its answer, if only a no
+	if a.admin != nil { // first, since the steps below may wait: an admin call gets its answer in time, at least a negative one
 		running.Go(func() { a.admin.Run(ctx) })
 	}
 	if a.hotRestart != nil {
@@ -128,9 +133,9 @@
 	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
 		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
 	} else {
-		a.loop.apply(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}) // the module asks after it
+		a.loop.apply(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}) // the balancer then polls for a list
 	}
-	endpointCount := len(a.pool.endpoints) // from here on the loop owns the list
+	endpointCount := len(a.pool.endpoints) // the event loop owns the list from here on
 	running.Go(func() { a.loop.run(ctx) })
 	running.Go(func() { a.discovery.Run(ctx) })
 	running.Go(func() { a.pool.closeExpired(ctx) })
@@ -162,8 +167,8 @@
 	case <-stop.Done():
 	}
 	if a.hotRestart != nil {
-		stopPeers() // the peers' address is the successor's
+		stopPeers() // the successor binds the peers' address
 	}
 	a.drain(served)
-	return nil // a stop that was asked for is no failure
+	return nil // a requested stop is no error
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -16,37 +16,37 @@
 	"martenbeam/internal/wire"
 )
 
-// Config is what an agent is told at its start.
+// Config is an agent's configuration, as read once at the start.
 type Config struct {
 	Name            string
-	Listen          string // where clients connect
+	Listen          string // address for clients
 	Discovery       string
-	AdminAddr       string // where operators call; "": nowhere
-	ListenFD        int    // the listening socket that the platform holds; 0: none, listen by yourself
-	HandoverDir     string // where the processes of an agent find what they hand on
+	AdminAddr       string // address for admin calls; "": none
+	ListenFD        int    // inherited listening socket that the platform holds; 0: none, the agent listens on Listen
+	HandoverDir     string // directory in which the processes of one agent hand state over
 	Seed            uint64
 	Cores           float64
 	MemoryMB        int
-	MaxDescriptors  int    // file descriptors that the process may hold
-	DialFrom        string // the address from which backends are called; "": the system's choice
+	MaxDescriptors  int    // file descriptors that the process may hold; 0: defaultDescriptors
+	DialFrom        string // local IP address for connections to backends; "": the system chooses
 	PeerListen      string
 	Peers           []string                // addresses by agent number
-	CachedEndpoints *discovery.EndpointList // the list of backends as last stored; may be absent
-	Join            JoinFunc                // nil: there is no fleet
+	CachedEndpoints *discovery.EndpointList // endpoint list as last stored; may be nil
+	Join            JoinFunc                // nil: the agent belongs to no fleet
 
 	Settings balancer.Settings
 	Site     wire.Site
 }
 
-// Source is where a configuration comes from. It is read at the start, and again after a SIGHUP.
+// Source is where a configuration comes from. It is read at the start, and again after each SIGHUP.
 type Source struct {
 	Name   string
-	Read   func() ([]byte, error)             // in the platform's form
-	Getenv func(string) string                // its PROXY_ variables, where set, go before what the text says
-	Join   func(raw []byte) (JoinFunc, error) // what the agent shares, by the same text; nil: nothing
+	Read   func() ([]byte, error)             // returns the text in the platform's form
+	Getenv func(string) string                // PROXY_ variables that are set take precedence over the text
+	Join   func(raw []byte) (JoinFunc, error) // returns what joins the fleet by the same text; nil: no fleet
 }
 
-// PlatformSource is the file that PROXY_CONFIG names.
+// PlatformSource returns the source of a platform's agent: the file that PROXY_CONFIG names.
 func PlatformSource(getenv func(string) string) Source {
 	path := getenv("PROXY_CONFIG")
 	return Source{Name: path, Getenv: getenv, Read: func() ([]byte, error) {
@@ -61,7 +61,7 @@
 	}}
 }
 
-// Load reads the configuration. An error names the field that is wrong.
+// Load reads and checks the configuration. An error names the source and the field that is wrong.
 func (s Source) Load() (*Config, error) {
 	raw, err := s.Read()
 	if err != nil {
@@ -77,8 +77,8 @@
 	return c, nil
 }
 
-// ReloadDiscovery reads the configuration again after it has been replaced, and returns where discovery is
-// by now. There the file goes before the variable, which says what held when the program started.
+// ReloadDiscovery reads the configuration again and returns discovery's present address. Here the text takes precedence
+// over PROXY_DISCOVERY, which says what was valid when the process was started.
 func (s Source) ReloadDiscovery() (string, error) {
 	getenv := s.Getenv
 	s.Getenv = func(name string) string {
@@ -121,8 +121,8 @@
 	for name, field := range map[string]*string{
 		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery,
 		"PROXY_MGMT": &c.AdminAddr} {
-		// A process that replaces another is started with the first one's variables: where discovery has moved since, the file,
-		// which is replaced then, says so.
+		// A process that replaces another is started with the variables of the first. If discovery has moved
+		// since, only the file says so, which was replaced then.
 		if name == "PROXY_DISCOVERY" && getenv("PROXY_FD") != "" && *field != "" {
 			continue
 		}
@@ -167,7 +167,7 @@
 	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// The module spreads its calls for lists over parts of this time.
+	// The balancer spreads its polls over parts of this time.
 	c.Settings.PollInterval = min(c.Settings.PollInterval, discovery.PropagationDeadline)
 	for i, name := range c.Site.Classes {
 		if name == "" {
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// halfLimits is what one of two processes of this agent may use.
+// halfLimits returns the configuration with half of the limits: for each of two processes of one agent.
 func (c *Config) halfLimits() *Config {
 	half := *c
 	half.MaxDescriptors = cmp.Or(c.MaxDescriptors, defaultDescriptors) / 2
@@ -218,14 +218,14 @@
 	return &half
 }
 
-// LimitMemory has the runtime collect well before the memory limit kills the process.
+// LimitMemory makes the garbage collector run well before the memory limit would kill the process.
 func (c *Config) LimitMemory() {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4)
 	}
 }
 
-// shareableDescriptors is how many descriptors are shared out once the operators' door has its own.
+// shareableDescriptors returns the descriptors that are shared out after the admin listener has its own.
 func (c *Config) shareableDescriptors() int {
 	limit := cmp.Or(c.MaxDescriptors, defaultDescriptors)
 	if c.AdminAddr != "" {
@@ -234,7 +234,7 @@
 	return limit
 }
 
-// maxDeadline is the longest time that any client waits.
+// maxDeadline returns the longest deadline of any request class.
 func (c *Config) maxDeadline() time.Duration {
 	var d time.Duration
 	for _, class := range c.Settings.Classes {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -10,20 +10,21 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// Fleet is what an agent shares with its fleet. The platform's agents have none.
+// Fleet is the agent's membership in a fleet. The platform's agents have none.
 type Fleet interface {
 	source.Selector
-	// Run stays in the fleet until ctx ends. An agent serves on without it.
+	// Run keeps the membership until ctx ends. If it fails, the agent serves on without a fleet.
 	Run(ctx context.Context) error
-	// Ready tells the others that this process serves.
+	// Ready publishes that this process serves.
 	Ready()
 }
 
-// JoinFunc makes what an agent shares, before it runs. post takes what the fleet tells the decision module; it may wait, but
-// never for long. follow has the running agent watch discovery elsewhere, as after SIGHUP.
+// JoinFunc sets up the membership before the agent runs. post passes the fleet's events to the balancer; it may block, but
+// never for long. follow makes the running agent watch discovery at another address, as after SIGHUP. The keeper is the
+// residency policy; nil: none.
 type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Enforcer, error)
 
-// joinFleet has the agent share what its configuration says.
+// joinFleet sets up the membership that the configuration asks for, if any.
 func (a *Agent) joinFleet() error {
 	if a.cfg.Join == nil {
 		return nil
@@ -36,14 +37,14 @@
 	return nil
 }
 
-// runFleet stays in the fleet until ctx ends.
+// runFleet keeps the membership until ctx ends.
 func (a *Agent) runFleet(ctx context.Context) {
 	if err := a.fleet.Run(ctx); err != nil {
 		a.log.Error("the fleet is left, the agent serves alone", "error", err)
 	}
 }
 
-// prependPolicyUpdate has the module hear of a policy before what came after it.
+// prependPolicyUpdate puts a changed residency policy before the pending events: it applies to the requests among them.
 func (l *eventLoop) prependPolicyUpdate() {
 	if l.residency == nil {
 		return
@@ -54,7 +55,8 @@
 	}
 }
 
-// residencyPermits is the check in front of the network, independent of the module's: whether a request may go to a backend.
+// residencyPermits checks right before the network, independently of the balancer, whether a request under a residency
+// rule may go to a backend. A violation is reported to the policy's keeper.
 func (p *upstreamPool) residencyPermits(rule int, id string) bool {
 	if p.residency == nil || rule == 0 {
 		return true
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// clock is the agent's monotonic clock. It does not start at zero, so that backends that started
-// before the agent have a time too.
+// clock is the agent's monotonic clock. It starts at clockOffset, not zero, so that the start of a backend that is older
+// than the agent has a time too.
 type clock struct{ epoch time.Time }
 
 const clockOffset = time.Hour
@@ -25,62 +25,62 @@
 func (c clock) now() time.Duration           { return c.at(time.Now()) }
 func (c clock) at(t time.Time) time.Duration { return t.Sub(c.epoch) + clockOffset }
 
-// request is a client's request from when it was taken until its attempts are in. Only the loop
-// touches it after it was posted.
+// request is a client's request from its arrival until the last of its attempts has ended. After it was posted, only the
+// event loop uses it.
 type request struct {
 	id            string
 	class         int
 	upstream      *upstreamRequest
-	deadline      time.Time     // the client stops waiting
-	timeout       time.Duration // until then, as the client told it
+	deadline      time.Time     // when the client stops waiting
+	timeout       time.Duration // from the last byte to the deadline
 	sizeHint      time.Duration
 	clientRetry   bool
-	key           uint64        // a hash of what it concerns; 0: unknown
-	residencyRule int           // of residency; 0: none
-	reply         chan reply    // of one, so that the loop never waits
-	done          chan struct{} // closed with the final answer
+	key           uint64        // hash of the session, for affinity; 0: none
+	residencyRule int           // 0: none
+	reply         chan reply    // buffered, so that the event loop never blocks
+	done          chan struct{} // closed with the final reply
 
-	finished        bool // has its final answer, or its client is gone
-	openAttempts    int  // attempts out
+	finished        bool // it has its final reply, or its client has disconnected
+	openAttempts    int
 	cancels         []context.CancelCauseFunc
-	attemptTimers   []*attemptTimer // of these attempts
-	attemptTimedOut bool            // an attempt did
+	attemptTimers   []*attemptTimer // by attempt, as cancels
+	attemptTimedOut bool            // at least one attempt did
 }
 
 func newRequest(id string, class int) *request {
 	return &request{id: id, class: class, reply: make(chan reply, 1), done: make(chan struct{})}
 }
 
-// reply is a final answer. Exactly one field is set, or none: failed.
+// reply is the final reply to a request. At most one of response, rejected, timedOut and duplicate is set; none: failed.
 type reply struct {
 	response   *response
 	rejected   bool
 	retryAfter time.Duration
-	residency  bool // refused, since nowhere that is permitted a backend is up
-	timedOut   bool // failed, for want of time
+	residency  bool // rejected since no backend is up where the residency policy permits to send
+	timedOut   bool // failed for lack of time
 	duplicate  bool // failed: another request with this id is open
 }
 
-// What is posted to the loop, besides discovery.Update and the module's own ProbeResult and PeerMessage.
+// The events that are posted to the event loop, besides discovery.Update and the balancer's own events.
 type (
 	requestArrived     struct{ *request }
-	clientDisconnected struct{ *request } // closed, reset, or withdrew
-	deadlineExceeded   struct{ *request } // its time and half the grace are up and no answer is there
-	bodyComplete       struct{ *request } // its large body has come to the last byte
-	responseStarted    struct {           // the answer of an attempt is large, and its first bytes are here
+	clientDisconnected struct{ *request } // the client closed, reset or cancelled
+	deadlineExceeded   struct{ *request } // the deadline and half of the grace are over without a reply
+	bodyComplete       struct{ *request } // a streamed body has arrived to its last byte
+	responseStarted    struct {           // the first bytes of an attempt's streaming response have arrived
 		*request
 		attempt  int
 		response *response
 	}
-	attemptEnded struct { // an attempt
+	attemptEnded struct { // the attempt has its result
 		*request
 		outcome  balancer.Outcome
 		response *response
 	}
 )
 
-// eventLoop owns the balancer, the clock, the timers and the table of open requests. Everything else
-// posts events to it; it never waits for any of them.
+// eventLoop owns the balancer, its timers and the table of open requests: one goroutine, run, uses them. All others post
+// events to it. It never blocks on any of them.
 type eventLoop struct {
 	cfg          *Config
 	log          *slog.Logger
@@ -89,28 +89,28 @@
 	pool         *upstreamPool
 	peers        *peerTransport
 	subscribe    func()                  // asks discovery for a watch
-	saveSnapshot func(balancer.Snapshot) // to the next process, now and then; may be nil
+	saveSnapshot func(balancer.Snapshot) // hands state to the next process; nil: nobody replaces this one
 
-	residency        gate.Enforcer // nil: no policy
-	policyGeneration int           // the table that the module has heard of
+	residency        gate.Enforcer // nil: no residency policy
+	policyGeneration int           // of the policy table that the balancer knows
 
 	events           chan any
-	calls            chan *adminCall // of operators, ahead of the events
+	calls            chan *adminCall // by operators; taken before events
 	openCalls        map[int64]*adminCall
 	stopped          chan struct{}
 	ready            atomic.Bool
-	lameDuck         atomic.Bool // operators empty the agent ...
-	reportedLameDuck bool        // ... as the module has heard
+	lameDuck         atomic.Bool // operators drain the agent ...
+	reportedLameDuck bool        // ... and the balancer knows
 	margin           time.Duration
 	requests         map[string]*request
 	timers           timerHeap
 	pending          []balancer.Event
-	probing          map[string]bool // one probe of a backend at a time
+	probing          map[string]bool // backends with a health check in flight, at most one each
 	counts           counts
 	lastCallID       int64
 }
 
-// counts are what the agent did since its last line about it.
+// counts are the counters since the last summary line.
 type counts struct{ requests, served, rejected, failed, disconnected, attempts, overdue, truncated int }
 
 func newEventLoop(cfg *Config, clk clock, pool *upstreamPool, log *slog.Logger) (*eventLoop, error) {
@@ -120,25 +120,25 @@
 	}
 	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: balancer, pool: pool, subscribe: func() {},
 		events: make(chan any, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{}, stopped: make(chan struct{}),
-		// An attempt that waits for the client's deadline ends one tick before it: its time-out
-		// reaches the module in time for the client to hear the final answer.
+		// An attempt that waits until the client's deadline ends one tick before it, so that the balancer sees the
+		// timeout in time to answer the client.
 		margin:   cfg.Settings.Tick,
 		requests: map[string]*request{}, probing: map[string]bool{}}, nil
 }
 
-// adminCall is an operator's word on a backend, on its way to the module.
+// adminCall is an operator's call to disable or enable a backend, on its way to the balancer.
 type adminCall struct {
-	ctx        context.Context // the caller has had another answer once it ends
+	ctx        context.Context // ends when the caller has been answered otherwise
 	backend    string
 	detach     bool
-	replicated bool          // another process of this agent took it
-	madeAt     time.Duration // when; 0: now
-	accepted   chan bool     // of one, so that the loop never waits
+	replicated bool          // another process of this agent accepted it
+	madeAt     time.Duration // on the loop's clock; 0: now
+	accepted   chan bool     // buffered, so that the event loop never blocks
 }
 
 var errLoopStopped = errors.New("the loop has ended")
 
-// submitCall puts a call to the module, and reports whether it has taken it.
+// submitCall passes a call to the balancer and reports whether it accepted it. It fails when ctx ends or the loop stops.
 func (l *eventLoop) submitCall(ctx context.Context, call *adminCall) (bool, error) {
 	call.ctx, call.accepted = ctx, make(chan bool, 1)
 	select {
@@ -158,7 +158,7 @@
 	}
 }
 
-// enqueueCall keeps a call for the next step, before what else is waiting for it.
+// enqueueCall queues a call for the next step, before the events that are already pending.
 func (l *eventLoop) enqueueCall(call *adminCall) {
 	if call.ctx.Err() != nil {
 		return
@@ -172,7 +172,7 @@
 	l.pending = slices.Insert(l.pending, 0, event)
 }
 
-// completeCall ends a call as the module says. What the backends are told of it holds before the yes.
+// completeCall answers a call as the balancer decided. The pool applies an accepted call before the caller knows.
 func (l *eventLoop) completeCall(answer balancer.OverrideResult) {
 	call := l.openCalls[answer.Call]
 	if call == nil {
@@ -186,7 +186,7 @@
 	call.accepted <- answer.Accepted
 }
 
-// post hands an event to the loop. After the loop has stopped it goes nowhere.
+// post hands an event to the loop and blocks while its queue is full. After the loop has stopped the event is dropped.
 func (l *eventLoop) post(event any) {
 	select {
 	case l.events <- event:
@@ -196,11 +196,11 @@
 
 const summaryInterval = 10 * time.Second
 
-// run steps the balancer with what has come in, no oftener than the tick, until ctx ends.
+// run steps the balancer with the events that have arrived, at most once each tick, until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.stop()
 	var lastStep time.Duration
-	var calls chan *adminCall // none before the module has the list: it would say that nobody has the backend
+	var calls chan *adminCall // nil until the balancer has the list: before, it would answer that the backend does not exist
 	wake := time.NewTimer(0)
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
@@ -252,7 +252,7 @@
 		events := l.pending
 		l.pending = nil
 		for i, event := range events {
-			// Its time has run on since it came in. It may be gone already: its client may be.
+			// Time has passed since it arrived. It may be gone from the table: its client may have disconnected.
 			if event, ok := event.(balancer.Request); ok && l.requests[event.ID] != nil {
 				event.TimeRemaining = l.clock.at(l.requests[event.ID].deadline) - l.margin - now
 				events[i] = event
@@ -265,7 +265,7 @@
 	}
 }
 
-// stop withdraws what is still out: nobody waits for it.
+// stop cancels the attempts that are still out: nobody waits for them.
 func (l *eventLoop) stop() {
 	close(l.stopped)
 	for _, r := range l.requests {
@@ -275,20 +275,20 @@
 	}
 }
 
-// applyPosted takes what else has come in.
+// applyPosted applies the events that are queued, without waiting.
 func (l *eventLoop) applyPosted() {
 	for range len(l.events) {
 		l.apply(<-l.events)
 	}
 }
 
-// apply books one event and keeps it for the next step. A served request is answered here: the
-// client need not wait for the step.
+// apply books one event and keeps what the balancer has to know for the next step. A served request is answered at once,
+// before the step.
 func (l *eventLoop) apply(event any) {
 	switch event := event.(type) {
 	case requestArrived:
 		if l.requests[event.id] != nil {
-			event.reply <- reply{duplicate: true} // not for the table: the id belongs to the other one
+			event.reply <- reply{duplicate: true} // not tracked: the id belongs to the other request
 			return
 		}
 		l.counts.requests++
@@ -329,7 +329,7 @@
 		if !event.finished {
 			l.counts.disconnected++
 			l.respond(event.request, reply{})
-			if event.upstream.isLarge() && !event.upstream.upload.complete() { // it can't go on: that is no backend's fault
+			if event.upstream.isLarge() && !event.upstream.upload.complete() { // an incomplete upload can't go on, and no backend is to blame
 				for _, cancel := range event.cancels {
 					cancel(errCancelled)
 				}
@@ -338,8 +338,8 @@
 			l.removeIfDone(event.request)
 		}
 	case deadlineExceeded:
-		// The module answers every request before its deadline. This keeps the promise to the
-		// client where it does not, and says so.
+		// The balancer answers every request before its deadline. If it ever did not, the client would still get
+		// its reply, and the log says so.
 		if !event.finished {
 			l.log.Error("no final answer by the deadline", "request", event.id, "attempts", len(event.cancels), "open", event.openAttempts,
 				"left_on_arrival", event.timeout)
@@ -362,21 +362,21 @@
 	}
 }
 
-// respond gives a request its final answer, once.
+// respond gives a request its final reply. It is called at most once for each.
 func (l *eventLoop) respond(r *request, answer reply) {
 	r.finished = true
 	close(r.done)
 	r.reply <- answer
 }
 
-// removeIfDone drops a request that is done with and has nothing out. Until then its id stays taken.
+// removeIfDone drops a request that has its reply and no attempt out. Until then its id stays taken.
 func (l *eventLoop) removeIfDone(r *request) {
 	if r.finished && r.openAttempts == 0 {
 		delete(l.requests, r.id)
 	}
 }
 
-// perform does one action of the module.
+// perform carries out one action of the balancer.
 func (l *eventLoop) perform(action balancer.Action, now time.Duration) {
 	switch action := action.(type) {
 	case balancer.Send:
@@ -423,11 +423,11 @@
 	}
 }
 
-// startAttempt starts an attempt. Its goroutine ends by the client's deadline, or with a large body or answer
-// that comes in time; there are no more of them than MaxAttempts for each request that is open.
+// startAttempt starts an attempt in its own goroutine, which posts attemptEnded. The goroutine ends by the client's
+// deadline, or with a streamed body or response. At most MaxAttempts of them exist for each open request.
 func (l *eventLoop) startAttempt(action balancer.Send) {
 	r := l.requests[action.Request]
-	if r == nil || r.finished { // after a final answer nothing more is sent
+	if r == nil || r.finished { // nothing is sent after the final reply
 		l.pending = append(l.pending, balancer.Outcome{Request: action.Request, Backend: action.Backend,
 			Result: balancer.NotSent, Done: true})
 		return
@@ -477,7 +477,7 @@
 	l.counts = counts{}
 }
 
-// timer is a SetTimer that is pending.
+// timer is a pending timer of the balancer.
 type timer struct {
 	at    time.Duration
 	token int64
--- a/internal/agent/operated.go
+++ b/internal/agent/operated.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// adminControl is the agent as operators' calls see it.
+// adminControl carries out admin calls on the agent, for admin.Server.
 type adminControl struct {
 	loop     *eventLoop
 	frontend *frontend
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -12,11 +12,11 @@
 	"martenbeam/internal/agent/listener"
 )
 
-const maxDatagram = 256 // the protocol's limit; a longer one is not sent
+const maxDatagram = 256 // bytes, the protocol's limit; a longer message is not sent
 
 // peerTransport exchanges datagrams with the other agents of the tier.
 type peerTransport struct {
-	conn        *net.UDPConn // nil while the address can't be had
+	conn        *net.UDPConn // nil until bind has succeeded; used by run alone
 	localAddr   *net.UDPAddr
 	addrs       []netip.AddrPort
 	agentByAddr map[netip.AddrPort]int
@@ -29,10 +29,10 @@
 	data []byte
 }
 
-// bindInterval is how often, while an older process holds the address.
+// bindInterval is the pause between attempts to bind the address while an older process holds it.
 const bindInterval = 50 * time.Millisecond
 
-// readRetryDelay is how long nothing is read after a read that failed.
+// readRetryDelay is the pause after a failed read.
 const readRetryDelay = time.Millisecond
 
 func newPeerTransport(ctx context.Context, cfg *Config, log *slog.Logger) (*peerTransport, error) {
@@ -49,7 +49,7 @@
 	if p.localAddr, err = net.ResolveUDPAddr("udp", cfg.PeerListen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if cfg.ListenFD > 0 { // an older process may hold it: bind waits, and clients are served meanwhile
+	if cfg.ListenFD > 0 { // an older process may hold the address: run waits for it while clients are served
 		return p, nil
 	}
 	if p.conn, err = listener.Retry(ctx, nil, func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }); err != nil {
@@ -58,7 +58,7 @@
 	return p, nil
 }
 
-// bind waits for the address. It reports false once ctx ends.
+// bind waits until the address can be bound. It returns false if ctx ends first.
 func (p *peerTransport) bind(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
@@ -79,7 +79,7 @@
 	return true
 }
 
-// send queues a message. Datagrams may be lost, so one that finds the queue full is.
+// send queues a message. Datagrams may be lost anyway, so a message is dropped if the queue is full.
 func (p *peerTransport) send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
@@ -91,7 +91,7 @@
 	}
 }
 
-// run sends and receives until ctx ends.
+// run binds the address, then sends and receives until ctx ends.
 func (p *peerTransport) run(ctx context.Context, post func(any)) {
 	if !p.bind(ctx) {
 		return
@@ -116,7 +116,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err != nil { // an earlier datagram's ICMP error, or a shortage: the socket itself is fine
+		if err != nil { // the ICMP error of an earlier datagram, or a shortage: the socket itself is intact
 			select {
 			case <-time.After(readRetryDelay):
 			case <-ctx.Done():
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -17,12 +17,12 @@
 	"martenbeam/internal/agent/listener"
 )
 
-// Serve runs the agent that a source describes until SIGTERM.
+// Serve runs the agent that source describes until SIGTERM or an interrupt. It sets process-wide limits and signals.
 func Serve(log *slog.Logger, source Source) error {
-	// From the first moment to the program's last: unheeded it would end the program with a signal.
+	// From the start to the end of the program: an unhandled SIGHUP would kill it.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more loses its lines, and no more than that
+	signal.Ignore(syscall.SIGPIPE) // a broken log pipe costs log lines and nothing else
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	cfg, err := listener.Retry(stop, nil, source.Load)
@@ -32,7 +32,7 @@
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	}
-	// The heap is small: collect seldom, but well before the memory limit kills the process.
+	// The heap is small: collect rarely, but well before the memory limit kills the process.
 	debug.SetGCPercent(400)
 	cfg.LimitMemory()
 	a, err := New(stop, cfg, log.With("agent", cfg.Name))
@@ -47,15 +47,15 @@
 	return a.Run(stop)
 }
 
-// Waits after a replaced configuration could not be read, doubled from the first to the most: discovery's new address counts
-// 4 s after the signal.
+// The backoff after a replaced configuration could not be read, doubled from the initial to the maximal one. Discovery's new
+// address has to be in use 4 s after the signal.
 const initialReloadBackoff, maxReloadBackoff = 20 * time.Millisecond, 250 * time.Millisecond
 
-// reloadOnHangup takes over a replaced configuration at each SIGHUP: of what is in it, discovery's address alone may change while the
-// program runs. One that can't be read changes nothing, and is read again until it can be: it may still be being written, or
-// the system be short of something for a moment.
+// reloadOnHangup reads the configuration again at each SIGHUP. Only discovery's address may change while the program runs.
+// A configuration that can't be read changes nothing, and is read again until it can be: it may still be being written, or
+// the system may be short of something for a moment.
 func reloadOnHangup(a *Agent, log *slog.Logger, source Source, hangups <-chan os.Signal, done <-chan struct{}) {
-	var retry <-chan time.Time // nil: the latest signal has been heeded
+	var retry <-chan time.Time // nil: no retry is pending
 	delays := backoff.ExponentialBackOff{InitialInterval: initialReloadBackoff, Multiplier: 2, MaxInterval: maxReloadBackoff}
 	for {
 		signalled := false
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	pollInterval     = 50 * time.Millisecond  // for calls to the other process
-	snapshotInterval = 500 * time.Millisecond // what the module would hand on
-	// A yes is due within 6 s. Until then a process that replaces another may wait for its place and for what the other has
-	// recorded, and less long for a list.
+	pollInterval     = 50 * time.Millisecond  // between looks at what the other process has recorded
+	snapshotInterval = 500 * time.Millisecond // between records of the balancer's state
+	// A new process has to be ready within 6 s of its start. Until then it may wait for its place in the handover directory,
+	// for the older process's record and, less long, for an endpoint list.
 	claimTimeout     = time.Second
-	recordTimeout    = 5 * time.Second // after the start
+	recordTimeout    = 5 * time.Second // from the start
 	endpointsTimeout = 3 * time.Second
 )
 
-// hotRestart is this process's part in the replacing of one process of an agent by another.
+// hotRestart is this process's part in the replacement of one process of an agent by another.
 type hotRestart struct {
 	*handover.Store
-	snapshots     chan balancer.Snapshot // of the loop, the latest
+	snapshots     chan balancer.Snapshot // the event loop's latest snapshot, at most one
 	startedAt     time.Time
-	reducedLimits bool // another process may have the other half of the limits
+	reducedLimits bool // another process may be using the other half of the limits
 	hasSuccessor  bool
 }
 
-// offerSnapshot keeps what the module would hand on now, in place of what it would have before.
+// offerSnapshot replaces the snapshot that is waiting to be recorded. The event loop calls it; it does not block.
 func (h *hotRestart) offerSnapshot(snapshot balancer.Snapshot) {
 	select {
 	case <-h.snapshots:
@@ -40,8 +40,8 @@
 	h.snapshots <- snapshot
 }
 
-// prepareHandover finds out whether an older process of this agent is there. While it is, the two share out what one may use,
-// and so they do as long as that is not known.
+// prepareHandover finds out whether an older process of this agent is running. While one is, or may be, the two processes
+// use half of the limits each.
 func (a *Agent) prepareHandover(ctx context.Context) {
 	h := &hotRestart{Store: handover.New(a.cfg.HandoverDir, a.log), snapshots: make(chan balancer.Snapshot, 1), startedAt: time.Now()}
 	a.hotRestart = h
@@ -72,15 +72,15 @@
 	return maxAcceptedConns(a.cfg.shareableDescriptors()) - maxAcceptedConns(a.cfg.halfLimits().shareableDescriptors())
 }
 
-// applyLimits keeps this process to the limits of c.
+// applyLimits keeps this process to the limits of c. Idle connections to backends beyond them are closed.
 func (a *Agent) applyLimits(c *Config) {
 	a.pool.setLimit(maxUpstreamConns(c.shareableDescriptors()))
 	a.frontend.setLimit(maxClientConns(c.shareableDescriptors()))
 	c.LimitMemory()
 }
 
-// restoreState goes on where an earlier process of this agent was, before the loop runs. What that one was told holds here, so
-// clients wait as long as the record can't be read.
+// restoreState continues from what earlier processes of this agent recorded, before the event loop runs. The admin calls
+// that they accepted apply here too, so clients wait while the record can't be read.
 func (a *Agent) restoreState(stop context.Context) {
 	calls, lameDuck, ok := a.hotRestart.Poll()
 	for !ok && time.Since(a.hotRestart.startedAt) < recordTimeout && stop.Err() == nil {
@@ -90,10 +90,10 @@
 	if !ok {
 		a.log.Error("what an earlier process recorded can't be read yet")
 	}
-	record := a.hotRestart.LastRecord() // as it stands by now: the older process has gone on recording
+	record := a.hotRestart.LastRecord() // read now: the older process has gone on recording
 	a.frontend.setLameDuck(lameDuck)
 	if record.List != nil && record.ListSource == a.cfg.Discovery {
-		a.cfg.CachedEndpoints = record.List // later than the one in the configuration, which is as old as the first process
+		a.cfg.CachedEndpoints = record.List // newer than the configuration's, which is as old as the first process
 	}
 	a.log.Info("handover", "turn", a.hotRestart.Generation(), "alone", a.hotRestart.StartedAlone(), "calls", len(calls), "lame", lameDuck,
 		"list", record.List != nil)
@@ -107,7 +107,7 @@
 	}
 }
 
-// replicatedCall is a call to another process of this agent, as the loop takes it.
+// replicatedCall returns a call that another process of this agent accepted, in the form that the event loop takes.
 func (a *Agent) replicatedCall(recorded handover.Override) *adminCall {
 	replicated := &adminCall{ctx: context.Background(), backend: recorded.Backend, detach: recorded.Disabled, replicated: true}
 	if !recorded.Disabled {
@@ -116,8 +116,8 @@
 	return replicated
 }
 
-// awaitEndpoints waits for a list of backends: before, no client could be served. Those that connect
-// meanwhile have the older process to serve them.
+// awaitEndpoints waits for the first endpoint list, without which no client could be served. Clients that connect in the
+// meantime are served by the older process.
 func (a *Agent) awaitEndpoints(stop context.Context) {
 	timeout := time.NewTimer(min(endpointsTimeout, recordTimeout-time.Since(a.hotRestart.startedAt)))
 	defer timeout.Stop()
@@ -135,8 +135,8 @@
 	}
 }
 
-// runHotRestart keeps to the calls that another process of this agent takes, and to half of the limits while
-// there is one, until ctx ends.
+// runHotRestart records snapshots, applies the admin calls that another process of this agent accepts, and shares the
+// limits with it while it runs, until ctx ends.
 func (a *Agent) runHotRestart(ctx context.Context) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -156,12 +156,12 @@
 	}
 }
 
-// syncAdminCalls has the calls to both processes hold in both, and in the record.
+// syncAdminCalls makes the calls to either process apply in both, and in the record.
 func (a *Agent) syncAdminCalls(ctx context.Context) {
 	if err := a.hotRestart.Register(); err != nil {
-		return // said at the start
+		return // logged at the start
 	}
-	_ = a.hotRestart.Flush(ctx) // said when they were taken, and tried again
+	_ = a.hotRestart.Flush(ctx) // logged when the call was accepted, and retried
 	calls, lameDuck, _ := a.hotRestart.Poll()
 	for _, call := range calls {
 		if _, err := a.loop.submitCall(ctx, a.replicatedCall(call)); err != nil {
@@ -174,7 +174,7 @@
 	}
 }
 
-// adjustLimits keeps this process to half of the limits while another may be there.
+// adjustLimits keeps this process to half of the limits while another may be running.
 func (a *Agent) adjustLimits() {
 	h := a.hotRestart
 	switch {
