--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	a.listener = listener.Limit(ln, maxAcceptedConns(cfg.shareableDescriptors()))
-	a.listener.OnFull, a.listener.OnAcceptError = a.frontend.idleConns.EvictIdle, func(err error) { log.Warn("accepting clients fails", "error", err) }
+	a.listener.OnFull, a.listener.OnAcceptError = a.frontend.idleConns.EvictIdle, func(err error) { log.Warn("accept failed", "error", err) }
 	if cfg.ListenFD > 0 {
 		a.prepareHandover(ctx)
 	}
@@ -109,7 +109,7 @@
 
 // SetDiscoveryAddr makes the agent watch discovery at another address. It may be called while the agent runs.
 func (a *Agent) SetDiscoveryAddr(addr string) {
-	a.log.Info("discovery has moved", "address", addr)
+	a.log.Info("discovery address changed", "address", addr)
 	a.discovery.SetAddr(addr)
 }
 
--- a/internal/agent/backendconn.go
+++ b/internal/agent/backendconn.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	errUnsolicitedBytes = errors.New("bytes that no request asked for")
-	errClosedWhileIdle  = errors.New("closed by the backend while it rested")
-	errRetryWindowOver  = errors.New("its repeat is no longer dropped")
+	errUnsolicitedBytes = errors.New("unsolicited bytes on the connection")
+	errClosedWhileIdle  = errors.New("connection closed by the backend while idle")
+	errRetryWindowOver  = errors.New("the backend no longer deduplicates the retry")
 )
 
 // trackedConn is a connection to a backend below net/http's client. It knows two things about each request for certain:
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -29,11 +29,11 @@
 	errTimedOut           = errors.New("timed out")
 	errCancelled          = errors.New("cancelled")
 	errNoDescriptor       = errors.New("no file descriptor left for another connection")
-	errEndpointChanged    = errors.New("the list has changed for the backend")
-	errAlreadyAnswered    = errors.New("the request has its answer")
-	errResidencyForbidden = errors.New("the residency policy does not permit it")
-	errTooLarge           = errors.New("the answer is too large")
-	errBackendDisabled    = errors.New("operators have detached the backend")
+	errEndpointChanged    = errors.New("endpoint changed")
+	errAlreadyAnswered    = errors.New("request already answered")
+	errResidencyForbidden = errors.New("forbidden by the residency policy")
+	errTooLarge           = errors.New("response too large")
+	errBackendDisabled    = errors.New("backend detached by operators")
 )
 
 // upstreamPool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -40,7 +40,7 @@
 // runFleet keeps the membership until ctx ends.
 func (a *Agent) runFleet(ctx context.Context) {
 	if err := a.fleet.Run(ctx); err != nil {
-		a.log.Error("the fleet is left, the agent serves alone", "error", err)
+		a.log.Error("fleet membership ended, serving without a fleet", "error", err)
 	}
 }
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -136,7 +136,7 @@
 	accepted   chan bool     // buffered, so that the event loop never blocks
 }
 
-var errLoopStopped = errors.New("the loop has ended")
+var errLoopStopped = errors.New("event loop stopped")
 
 // submitCall passes a call to the balancer and reports whether it accepted it. It fails when ctx ends or the loop stops.
 func (l *eventLoop) submitCall(ctx context.Context, call *adminCall) (bool, error) {
@@ -176,7 +176,7 @@
 func (l *eventLoop) completeCall(answer balancer.OverrideResult) {
 	call := l.openCalls[answer.Call]
 	if call == nil {
-		l.log.Error("an answer to no call", "call", answer.Call)
+		l.log.Error("answer to an unknown admin call", "call", answer.Call)
 		return
 	}
 	delete(l.openCalls, answer.Call)
@@ -341,7 +341,7 @@
 		// The balancer answers every request before its deadline. If it ever did not, the client would still get
 		// its reply, and the log says so.
 		if !event.finished {
-			l.log.Error("no final answer by the deadline", "request", event.id, "attempts", len(event.cancels), "open", event.openAttempts,
+			l.log.Error("request not answered by its deadline", "request", event.id, "attempts", len(event.cancels), "open", event.openAttempts,
 				"left_on_arrival", event.timeout)
 			l.counts.overdue++
 			l.respond(event.request, reply{timedOut: true})
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -68,7 +68,7 @@
 		}
 		if c, err := net.ListenUDP("udp", p.localAddr); err == nil {
 			p.conn = c
-			p.log.Info("peers are heard")
+			p.log.Info("peer address bound")
 			break
 		}
 		select {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		if signalled {
-			log.Error("the replaced configuration is not used, it will be read again", "error", err)
+			log.Error("configuration reload failed, will retry", "error", err)
 		}
 		retry = time.After(delays.NextBackOff())
 	}
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -46,12 +46,12 @@
 		}
 		if openRequests := f.openRequests.Load(); pastDeadline && !logged && openRequests > 0 {
 			logged = true
-			a.log.Warn("still answering", "open", openRequests)
+			a.log.Warn("requests still open at the end of the drain", "open", openRequests)
 		}
 	}
 	f.readers.Wait() // until clients have read the last replies
 	if err := f.server.Close(); err != nil {
-		a.log.Warn("closing", "error", err)
+		a.log.Warn("close failed", "error", err)
 	}
 	a.log.Info("stopped")
 }
@@ -64,7 +64,7 @@
 	}
 	a.listenerClosed = true
 	if err := a.listener.Close(); err != nil {
-		a.log.Warn("closing", "error", err)
+		a.log.Warn("close failed", "error", err)
 	}
 	<-served
 }
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -25,8 +25,8 @@
 )
 
 var (
-	errStalled      = errors.New("no byte has passed for too long")
-	errRequestEnded = errors.New("the request has ended")
+	errStalled      = errors.New("stream stalled")
+	errRequestEnded = errors.New("request ended")
 )
 
 // bufferBudget bounds the memory for stream buffers.
--- a/internal/agent/successor.go
+++ b/internal/agent/successor.go
@@ -49,7 +49,7 @@
 	defer cancel()
 	_, err := listener.Retry(ctx, nil, func() (struct{}, error) { return struct{}{}, h.Register() })
 	if err != nil {
-		a.log.Error("nothing can be recorded for a successor yet", "error", err)
+		a.log.Error("handover record not writable yet", "error", err)
 	}
 	if a.admin != nil {
 		a.admin.Record = h.SaveOverride
@@ -64,7 +64,7 @@
 
 func (a *Agent) recordEndpoints(from string, list *discovery.EndpointList) {
 	if err := a.hotRestart.SaveList(from, list); err != nil {
-		a.log.Warn("the list is not recorded for a successor", "error", err)
+		a.log.Warn("endpoint list not recorded for the successor", "error", err)
 	}
 }
 
@@ -88,7 +88,7 @@
 		calls, lameDuck, ok = a.hotRestart.Poll()
 	}
 	if !ok {
-		a.log.Error("what an earlier process recorded can't be read yet")
+		a.log.Error("handover record not readable yet")
 	}
 	record := a.hotRestart.LastRecord() // read now: the older process has gone on recording
 	a.frontend.setLameDuck(lameDuck)
@@ -127,7 +127,7 @@
 		select {
 		case <-tick.C:
 		case <-timeout.C:
-			a.log.Warn("taking clients without a list")
+			a.log.Warn("accepting clients without an endpoint list")
 			return
 		case <-stop.Done():
 			return
@@ -146,7 +146,7 @@
 			return
 		case snapshot := <-a.hotRestart.snapshots:
 			if err := a.hotRestart.SaveSnapshot(snapshot); err != nil {
-				a.log.Warn("nothing is recorded for a successor", "error", err)
+				a.log.Warn("snapshot not recorded for the successor", "error", err)
 			}
 			continue
 		case <-tick.C:
@@ -165,12 +165,12 @@
 	calls, lameDuck, _ := a.hotRestart.Poll()
 	for _, call := range calls {
 		if _, err := a.loop.submitCall(ctx, a.replicatedCall(call)); err != nil {
-			a.log.Warn("a call to another process does not hold here", "backend", call.Backend, "error", err)
+			a.log.Warn("admin call to another process not applied", "backend", call.Backend, "error", err)
 		}
 	}
 	if a.loop.lameDuck.Load() != lameDuck {
 		a.frontend.setLameDuck(lameDuck)
-		a.log.Info("lame duck, by a call to another process", "on", lameDuck)
+		a.log.Info("lame duck changed by an admin call to another process", "on", lameDuck)
 	}
 }
 
@@ -182,15 +182,15 @@
 		h.reducedLimits = false
 		a.listener.Reserve(-a.halfOfAcceptLimit())
 		a.applyLimits(a.cfg)
-		a.log.Info("the older process has ended")
+		a.log.Info("older process ended")
 	case !h.hasSuccessor && h.HasSuccessor():
 		h.hasSuccessor = true
 		a.applyLimits(a.cfg.halfLimits())
 		debug.FreeOSMemory()
-		a.log.Info("a successor has started")
+		a.log.Info("successor started")
 	case h.hasSuccessor && h.ReclaimFromSuccessor():
 		h.hasSuccessor = false
 		a.applyLimits(a.cfg)
-		a.log.Warn("the successor has ended before it took the clients")
+		a.log.Warn("successor ended before it took over")
 	}
 }
