--- a/internal/agent/rare_front_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/agent/clientconn"
 )
 
-// The tests in this file and in rare_backends_test.go force an order of events that is rare: what docs/findings/rare.md
+// The tests in this file and in upstream_race_test.go force an order of events that is rare: what docs/findings/rare.md
 // lists. None waits for chance.
 
 // startSocketFrontend runs a front on real sockets with no module behind it. What the front posts comes to the test.
