--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -20,8 +20,6 @@
 // arrive there, and the backend must not be told more time than the client has left.
 const transitAllowance = 10 * time.Millisecond
 
-const maxBufferedBody = 64 << 10 // bytes; bodies and responses up to this size are buffered whole, and such a body can be sent again
-
 // upstreamRequest is a client's request as it is forwarded to backends, the same for every attempt.
 type upstreamRequest struct {
 	method string
--- /dev/null
+++ b/internal/agent/attempttimer.go
@@ -0,0 +1,45 @@
+package agent
+
+// The deadline of an attempt.
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// attemptTimer cancels an attempt at its deadline, unless its response has started by then.
+type attemptTimer struct {
+	cancel context.CancelCauseFunc
+
+	mu              sync.Mutex
+	timer           *time.Timer
+	responseStarted bool
+	expired         bool
+}
+
+func (t *attemptTimer) arm(at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.responseStarted && t.timer == nil {
+		t.timer = time.AfterFunc(time.Until(at), func() {
+			t.mu.Lock()
+			defer t.mu.Unlock()
+			if !t.responseStarted {
+				t.expired = true
+				t.cancel(errTimedOut)
+			}
+		})
+	}
+}
+
+// disarm stops the timer for good. It returns false if the attempt had expired before.
+func (t *attemptTimer) disarm() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.timer != nil {
+		t.timer.Stop()
+	}
+	t.responseStarted = !t.expired
+	return t.responseStarted
+}
--- /dev/null
+++ b/internal/agent/bufferedresponse.go
@@ -0,0 +1,101 @@
+package agent
+
+// Responses of unknown length, which are streamed only if they turn out large.
+
+import (
+	"errors"
+	"io"
+	"time"
+)
+
+// readResult is the result of one read of a response of unknown length.
+type readResult struct {
+	data []byte
+	err  error
+}
+
+// bufferedResponse reads a response of unknown length in its own goroutine, so that the bytes that have arrived can be
+// passed on while more are awaited. The goroutine ends with the response, or once done is closed.
+type bufferedResponse struct {
+	results  chan readResult
+	consumed chan struct{} // the last result's data is no longer in use
+	done     <-chan struct{}
+	unread   readResult
+}
+
+func bufferResponse(r io.Reader, buf []byte, done <-chan struct{}) *bufferedResponse {
+	b := &bufferedResponse{results: make(chan readResult), consumed: make(chan struct{}), done: done}
+	go func() {
+		for {
+			n, err := r.Read(buf)
+			select {
+			case b.results <- readResult{buf[:n], err}:
+			case <-done:
+				return
+			}
+			if err != nil {
+				return
+			}
+			select {
+			case <-b.consumed:
+			case <-done:
+				return
+			}
+		}
+	}()
+	return b
+}
+
+// readUpTo returns what arrives until there are more than limit bytes, the response ends, or the timeout is over and
+// there is something. more reports that the response has not ended.
+func (b *bufferedResponse) readUpTo(limit int, timeout time.Duration) (buffered []byte, more bool, err error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for len(buffered) <= limit {
+		select {
+		case result := <-b.results:
+			buffered = append(buffered, result.data...)
+			if errors.Is(result.err, io.EOF) {
+				return buffered, false, nil
+			}
+			if result.err != nil {
+				return buffered, false, result.err
+			}
+			select {
+			case b.consumed <- struct{}{}:
+			case <-b.done:
+				return buffered, false, errRequestEnded
+			}
+		case <-timer.C:
+			if len(buffered) > 0 {
+				return buffered, true, nil
+			}
+			timer.Reset(timeout) // no byte yet: nothing could be passed on
+		case <-b.done:
+			return buffered, false, errRequestEnded
+		}
+	}
+	return buffered, true, nil
+}
+
+func (b *bufferedResponse) Read(p []byte) (int, error) {
+	if len(b.unread.data) == 0 && b.unread.err == nil {
+		select {
+		case b.unread = <-b.results:
+		case <-b.done:
+			return 0, errRequestEnded
+		}
+	}
+	n := copy(p, b.unread.data)
+	if b.unread.data = b.unread.data[n:]; len(b.unread.data) > 0 {
+		return n, nil
+	}
+	if b.unread.err == nil {
+		select {
+		case b.consumed <- struct{}{}:
+		case <-b.done:
+			return n, errRequestEnded
+		}
+	}
+	return n, b.unread.err
+}
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -1,6 +1,11 @@
 package agent
 
-import "time"
+// The drain: how an agent is emptied of clients, by a stop or by an operator.
+
+import (
+	"context"
+	"time"
+)
 
 // A planned restart begins with a SIGTERM, of which clients are notified up to 0.4 s late. The platform kills the process
 // 0.7 s after the longest deadline, of which at most 3 s count.
@@ -68,3 +73,43 @@
 	}
 	<-served
 }
+
+// While the agent drains, a connection is closed once it has been idle for drainIdleTimeout: after clients have stopped
+// opening new ones, and well before their next requests would be counted against the agent.
+const (
+	drainIdleTimeout   = 600 * time.Millisecond
+	drainCheckInterval = 50 * time.Millisecond
+)
+
+// draining reports whether clients are to be sent elsewhere: each reply then closes its connection.
+func (f *frontend) draining() bool { return f.loop.lameDuck.Load() || f.drainDeadline.Load() != 0 }
+
+// drainBy starts draining: each reply closes its connection, and is due at the deadline at the latest.
+func (f *frontend) drainBy(deadline time.Time) {
+	f.drainDeadline.Store(int64(f.loop.clock.at(deadline)))
+}
+
+// setLameDuck drains the agent of clients by an operator's call, or ends that.
+func (f *frontend) setLameDuck(on bool) { f.loop.lameDuck.Store(on) }
+
+// closeIdleWhileDraining closes idle connections while the agent is a lame duck, until ctx ends.
+func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
+	tick := time.NewTicker(drainCheckInterval)
+	defer tick.Stop()
+	var drainingSince time.Time
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		switch {
+		case !f.draining():
+			drainingSince = time.Time{}
+		case drainingSince.IsZero():
+			drainingSince = time.Now()
+		case time.Since(drainingSince) >= drainIdleTimeout && f.drainDeadline.Load() == 0:
+			f.idleConns.CloseIdle(drainIdleTimeout, drainIdleTimeout)
+		}
+	}
+}
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -1,5 +1,7 @@
 package agent
 
+// The agent's membership in a fleet.
+
 import (
 	"context"
 	"fmt"
@@ -43,31 +45,3 @@
 		a.log.Error("fleet membership ended, serving without a fleet", "error", err)
 	}
 }
-
-// prependPolicyUpdate puts a changed residency policy before the pending events: it applies to the requests among them.
-func (l *eventLoop) prependPolicyUpdate() {
-	if l.residency == nil {
-		return
-	}
-	if t := l.residency.Table(); t.Generation != l.policyGeneration {
-		l.policyGeneration = t.Generation
-		l.pending = append([]balancer.Event{balancer.Residency{Table: t}}, l.pending...)
-	}
-}
-
-// residencyPermits checks right before the network, independently of the balancer, whether a request under a residency
-// rule may go to a backend. A violation is reported to the policy's keeper.
-func (p *upstreamPool) residencyPermits(rule int, id string) bool {
-	if p.residency == nil || rule == 0 {
-		return true
-	}
-	zone := -1
-	if endpoint := p.endpoint(id); endpoint != nil {
-		zone = endpoint.zone
-	}
-	if p.residency.Table().Permits(rule, zone) {
-		return true
-	}
-	p.residency.CountRefusal(rule, zone)
-	return false
-}
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -1,5 +1,7 @@
 package agent
 
+// The frontend: the server for clients.
+
 import (
 	"context"
 	"log/slog"
@@ -120,46 +122,6 @@
 	}
 }
 
-// While the agent drains, a connection is closed once it has been idle for drainIdleTimeout: after clients have stopped
-// opening new ones, and well before their next requests would be counted against the agent.
-const (
-	drainIdleTimeout   = 600 * time.Millisecond
-	drainCheckInterval = 50 * time.Millisecond
-)
-
-// draining reports whether clients are to be sent elsewhere: each reply then closes its connection.
-func (f *frontend) draining() bool { return f.loop.lameDuck.Load() || f.drainDeadline.Load() != 0 }
-
-// drainBy starts draining: each reply closes its connection, and is due at the deadline at the latest.
-func (f *frontend) drainBy(deadline time.Time) {
-	f.drainDeadline.Store(int64(f.loop.clock.at(deadline)))
-}
-
-// setLameDuck drains the agent of clients by an operator's call, or ends that.
-func (f *frontend) setLameDuck(on bool) { f.loop.lameDuck.Store(on) }
-
-// closeIdleWhileDraining closes idle connections while the agent is a lame duck, until ctx ends.
-func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
-	tick := time.NewTicker(drainCheckInterval)
-	defer tick.Stop()
-	var drainingSince time.Time
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		switch {
-		case !f.draining():
-			drainingSince = time.Time{}
-		case drainingSince.IsZero():
-			drainingSince = time.Now()
-		case time.Since(drainingSince) >= drainIdleTimeout && f.drainDeadline.Load() == 0:
-			f.idleConns.CloseIdle(drainIdleTimeout, drainIdleTimeout)
-		}
-	}
-}
-
 // atCapacity reports whether more connections are open than are to be kept.
 func (f *frontend) atCapacity() bool {
 	f.mu.Lock()
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -1,5 +1,7 @@
 package agent
 
+// Hot restart: how one process of an agent replaces another without a lost request.
+
 import (
 	"context"
 	"runtime/debug"
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -1,5 +1,7 @@
 package agent
 
+// Datagrams between agents, which carry the gossip of the balancer.
+
 import (
 	"context"
 	"fmt"
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -1,5 +1,7 @@
 package agent
 
+// The upstream pool: the connections to backends.
+
 import (
 	"context"
 	"errors"
@@ -354,3 +356,20 @@
 	}
 	return &pooledConn{ClientConn: clientConn, tracked: slot.conn, addr: addr, idleSince: time.Now()}, nil
 }
+
+// residencyPermits checks right before the network, independently of the balancer, whether a request under a residency
+// rule may go to a backend. A violation is reported to the policy's keeper.
+func (p *upstreamPool) residencyPermits(rule int, id string) bool {
+	if p.residency == nil || rule == 0 {
+		return true
+	}
+	zone := -1
+	if endpoint := p.endpoint(id); endpoint != nil {
+		zone = endpoint.zone
+	}
+	if p.residency.Table().Permits(rule, zone) {
+		return true
+	}
+	p.residency.CountRefusal(rule, zone)
+	return false
+}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -3,12 +3,9 @@
 // How a client's request is read and checked.
 
 import (
-	"errors"
-	"io"
 	"math"
 	"net/http"
 	"net/url"
-	"os"
 	"strconv"
 	"strings"
 	"time"
@@ -115,38 +112,3 @@
 	}
 	return r, nil
 }
-
-// readBody reads a body, or the first bytes of one that is streamed; more reports the latter.
-func (f *frontend) readBody(w http.ResponseWriter, httpReq *http.Request) (body []byte, more bool, failure *inputError) {
-	if httpReq.ContentLength == 0 {
-		return nil, false, nil
-	}
-	if httpReq.ContentLength > maxStreamBytes {
-		return nil, false, bodyError(&http.MaxBytesError{Limit: maxStreamBytes})
-	}
-	if httpReq.ContentLength > maxBufferedBody {
-		if c := clientConnOf(httpReq); c != nil {
-			limitKernelBuffers(c.Conn)
-		}
-	}
-	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w), allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
-	body, err := io.ReadAll(io.LimitReader(paced, maxBufferedBody+1))
-	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
-		err = paced.control.SetReadDeadline(time.Time{})
-	}
-	if err != nil {
-		return nil, false, bodyError(err)
-	}
-	return body, more, nil
-}
-
-func bodyError(err error) *inputError {
-	var tooLarge *http.MaxBytesError
-	switch {
-	case errors.As(err, &tooLarge):
-		return &inputError{http.StatusRequestEntityTooLarge, "the body is larger than 32 MiB"}
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &inputError{http.StatusRequestTimeout, "the body comes too slowly"}
-	}
-	return badRequest("the body can't be read")
-}
--- a/internal/agent/reuse.go
+++ b/internal/agent/reuse.go
@@ -1,5 +1,7 @@
 package agent
 
+// How long idle connections to backends can be trusted.
+
 import (
 	"math"
 	"math/bits"
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -1,5 +1,7 @@
 package agent
 
+// The agent as a process: signals and process-wide limits.
+
 import (
 	"context"
 	"log/slog"
--- a/internal/agent/trackedconn.go
+++ b/internal/agent/trackedconn.go
@@ -1,5 +1,7 @@
 package agent
 
+// One connection to a backend, and what is certain about each request on it.
+
 import (
 	"errors"
 	"io"
