--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -13,7 +13,6 @@
 	"testing/synctest"
 	"time"
 
-	"martenbeam/balancer"
 	"martenbeam/internal/agent/admin"
 )
 
@@ -139,38 +138,6 @@
 	})
 }
 
-// What is being dialled when a backend is detached is not sent: nothing has run. Kept connections
-// to it go, and what is out may finish.
-func TestDisabledBackendReceivesNothing(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	if r, _, _ := attemptOn(t, b, context.Background(), "one"); r != balancer.OK {
-		t.Fatal(r)
-	}
-	b.setDisabled("s", true)
-	if b.openConns != 0 {
-		t.Errorf("%d connections to the detached backend are kept", b.openConns)
-	}
-	b.setDisabled("s", false)
-	dial := b.transport.DialContext
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := dial(ctx, network, addr)
-		b.setDisabled("s", true)
-		return c, err
-	}
-	if r, _, _ := attemptOn(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.openConns != 0 {
-		t.Errorf("result %v, %d connections open", r, b.openConns)
-	}
-	if r, _, _ := attemptOn(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
-	}
-	b.setDisabled("s", false)
-	b.transport.DialContext = dial
-	if r, _, _ := attemptOn(t, b, context.Background(), "four"); r != balancer.OK {
-		t.Errorf("after the call back: %v", r)
-	}
-}
-
 // A call that is there before the module's first step is for a backend that the agent knows. Which of two that are ready the
 // loop takes first is chance, so it is tried often.
 func TestDetachBeforeFirstStepKnowsTheBackend(t *testing.T) {
@@ -228,39 +195,6 @@
 	}
 }
 
-// A lame duck says no to whoever asks after its health, serves what comes, ends each connection with
-// its answer, and closes those that stay idle; afterwards all is as it was.
-func TestLameDuckClosesIdleConnections(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
-		rejectAll(t, f)
-		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
-		go func() { f.closeIdleWhileDraining(ctx); close(ended) }()
-		defer func() { cancel(); <-ended }()
-		idle, used := dial(), dial()
-		expectStatus(t, idle, "/get/x", 503)
-		expectStatus(t, used, "/get/x", 503)
-		f.setLameDuck(true)
-		on := time.Now()
-		expectStatus(t, dial(), "/_health", 503)
-		expectStatus(t, used, "/get/x", 503)
-		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
-			t.Errorf("a connection ended %v after its answer", at.Sub(on))
-		}
-		expectStatus(t, dial(), "/get/x", 503) // the front goes on sending for a while
-		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
-			t.Errorf("the idle connection was closed after %v", at.Sub(on))
-		}
-		f.setLameDuck(false)
-		expectStatus(t, dial(), "/_health", 200)
-		kept := dial()
-		expectStatus(t, kept, "/get/x", 503)
-		time.Sleep(2 * drainIdleTimeout)
-		expectStatus(t, kept, "/get/x", 503)
-	})
-}
-
 // The door's descriptors are nobody else's, and with no door nothing is set aside.
 func TestAdminListenerHasItsOwnDescriptors(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
--- /dev/null
+++ b/internal/agent/attempt_test.go
@@ -0,0 +1,237 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"strings"
+	"testing"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/wire"
+)
+
+// attemptOn makes one attempt at a backend, with no agent around it.
+func attemptOn(t *testing.T, b *upstreamPool, ctx context.Context, body string) (balancer.Result, *response, balancer.Load) {
+	t.Helper()
+	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b.executeBuffered(ctx, nil, "s", &upstreamRequest{method: http.MethodPost, url: req.URL, body: []byte(body),
+		header: http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}})
+}
+
+func poolWithBackend(t *testing.T, addr string) *upstreamPool {
+	t.Helper()
+	b := newUpstreamPool(testConfig(t, testSetup{}), discardLog)
+	t.Cleanup(b.close)
+	b.settleTime = 0 // what comes on a connection that rests is another test's
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
+		Addrs: map[string]string{"s": addr}})
+	return b
+}
+
+// Each row of the protocol's table of outcomes. What is taken for 'never ran' may be sent again
+// or refused, so a wrong row can do an effect twice.
+func TestAttemptResultFollowsOutcomeTable(t *testing.T) {
+	for name, row := range map[string]struct {
+		answer string
+		want   balancer.Result
+	}{
+		"served":               {ok200, balancer.OK},
+		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balancer.OK},
+		"ended by its close":   {"HTTP/1.1 200 OK\r\n\r\nhello", balancer.OK},
+		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"closed unanswered":    {"", balancer.Reset},
+		"broken in the header": {"HTTP/1.1 200 OK\r\nTRUNCATED", balancer.Reset},
+		"truncated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", balancer.Reset},
+		"truncated chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", balancer.Reset},
+		"no length, nothing":   {"HTTP/1.1 200 OK\r\n\r\n", balancer.Reset},
+		"no HTTP":              {"TRUNCATED\r\n\r\n", balancer.Reset},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := startRawBackend(t, func(int) string { return row.answer })
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+			defer cancel()
+			result, a, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, "body")
+			if result != row.want || (a != nil) != (row.want == balancer.OK) {
+				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
+			}
+			if a != nil && string(a.body) != "hello" {
+				t.Errorf("body %q", a.body)
+			}
+		})
+	}
+}
+
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	b := poolWithBackend(t, unusedAddr(t))
+	if result, _, _ := attemptOn(t, b, context.Background(), ""); result != balancer.ConnectFailed {
+		t.Errorf("result %v", result)
+	}
+	if b.openConns != 0 {
+		t.Errorf("%d connections counted as open", b.openConns)
+	}
+}
+
+// A backend that takes the request and says nothing: the attempt ends when the agent stops
+// waiting, may have run, and its connection is not used again.
+func TestTimedOutAttemptDropsItsConnection(t *testing.T) {
+	hold := make(chan struct{})
+	defer close(hold)
+	s := startRawBackend(t, func(int) string { <-hold; return "" })
+	b := poolWithBackend(t, s.addr)
+	ctx, cancel := context.WithCancelCause(context.Background())
+	go func() { <-s.seen; cancel(errTimedOut) }()
+	if result, _, _ := attemptOn(t, b, ctx, ""); result != balancer.TimedOut {
+		t.Errorf("result %v", result)
+	}
+	if b.openConns != 0 || len(b.idle["s"]) != 0 {
+		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", b.openConns, len(b.idle["s"]))
+	}
+}
+
+func TestCancelledAttemptIsReportedCancelled(t *testing.T) {
+	hold := make(chan struct{})
+	defer close(hold)
+	s := startRawBackend(t, func(int) string { <-hold; return "" })
+	ctx, cancel := context.WithCancelCause(context.Background())
+	go func() { <-s.seen; cancel(errCancelled) }()
+	if result, _, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, ""); result != balancer.Cancelled {
+		t.Errorf("result %v", result)
+	}
+}
+
+// limitedWriteConn breaks after so many bytes of the request.
+type limitedWriteConn struct {
+	net.Conn
+	remaining int
+}
+
+func (c *limitedWriteConn) Write(p []byte) (int, error) {
+	if len(p) <= c.remaining {
+		c.remaining -= len(p)
+		return c.Conn.Write(p)
+	}
+	n, _ := c.Conn.Write(p[:c.remaining])
+	c.remaining = 0
+	return n, errors.New("broken pipe")
+}
+
+// A connection that breaks before the request's last byte is written proves that nothing ran;
+// one byte later it proves nothing.
+func TestIncompleteWriteIsConnectFailed(t *testing.T) {
+	ln := listen(t)
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() { _, _ = io.Copy(io.Discard, c) }()
+		}
+	}()
+	for _, room := range []int{0, 10, 6000} {
+		b := poolWithBackend(t, ln.Addr().String())
+		dial := b.transport.DialContext
+		b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			c, err := dial(ctx, network, addr)
+			if err == nil {
+				counted := c.(*trackedConn)
+				counted.Conn = &limitedWriteConn{counted.Conn, room}
+			}
+			return c, err
+		}
+		if result, _, _ := attemptOn(t, b, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
+			t.Errorf("broken after %d bytes: result %v", room, result)
+		}
+	}
+}
+
+// A request may end while a connection is being opened for it, as when its client hangs up.
+// Nothing is sent for it then; the connection serves the next one.
+func TestNothingIsSentForAnsweredRequest(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	over := make(chan struct{})
+	dial := b.transport.DialContext
+	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		close(over)
+		return c, err
+	}
+	m := &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}}
+	if r, _, _ := b.executeBuffered(context.Background(), over, "s", m); r != balancer.NotSent {
+		t.Errorf("result %v", r)
+	}
+	if r, _, _ := b.executeBuffered(context.Background(), nil, "s", m); r != balancer.OK || len(s.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	}
+}
+
+func TestLoadReportIsParsedFromResponseHeader(t *testing.T) {
+	s := startRawBackend(t, func(int) string {
+		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
+	})
+	_, _, load := attemptOn(t, poolWithBackend(t, s.addr), context.Background(), "")
+	if want := wire.ParseLoad(map[string]float64{"backlog": 2, "errors_per_s": 0.5}); load != want {
+		t.Errorf("load %+v, want %+v", load, want)
+	}
+}
+
+func TestProbeReportsResultAndLoad(t *testing.T) {
+	for status, want := range map[string]balancer.Result{"200 OK": balancer.OK, "503 X": balancer.Errored} {
+		s := startRawBackend(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
+		b := poolWithBackend(t, s.addr)
+		b.cfg.Site.LoadProbed = true
+		if p := b.probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
+			t.Errorf("%s: %+v", status, p)
+		}
+	}
+}
+
+// What an attempt with a large answer is reported as: its latency is that of the first bytes.
+func TestLargeResponseLatencyIsFirstByte(t *testing.T) {
+	hold := make(chan struct{})
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+		_, _ = io.WriteString(w, pattern(2*maxBufferedBody))
+		_ = http.NewResponseController(w).Flush()
+		<-hold
+	})
+	b := poolWithBackend(t, s.Addr)
+	ctx, cancel := context.WithCancelCause(context.Background())
+	u, _ := http.NewRequest("GET", "/get/x", nil)
+	tr := &attempt{ctx: ctx, cancel: cancel, backendID: "s", start: time.Now(), request: &upstreamRequest{method: "GET", url: u.URL, header: http.Header{}}}
+	var told time.Duration
+	tr.onStreamStart = func(a *response, took time.Duration) bool {
+		told = took
+		go func() {
+			_, err := io.CopyN(io.Discard, a.stream.source, 2*maxBufferedBody-int64(len(a.body)))
+			close(hold)
+			if err == nil {
+				_, err = io.Copy(io.Discard, a.stream.source)
+			}
+			a.stream.finish(err)
+		}()
+		return true
+	}
+	result, a, _ := b.execute(tr)
+	if result != balancer.OK || a.stream == nil || tr.latency != told || tr.latency >= time.Since(tr.start) {
+		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.latency, time.Since(tr.start))
+	}
+	if len(b.idle["s"]) != 1 {
+		t.Error("the connection is not kept")
+	}
+}
--- /dev/null
+++ b/internal/agent/buffers_test.go
@@ -0,0 +1,27 @@
+package agent
+
+import (
+	"testing"
+)
+
+// Past the budget streams go on in small buffers, and what is given back counts again.
+func TestBufferSizeFollowsBudget(t *testing.T) {
+	b := newBufferBudget(1) // MB
+	var free []func()
+	for range 1 << 20 / 8 / streamBufferSize {
+		buf, give := b.get()
+		if len(buf) != streamBufferSize {
+			t.Fatalf("%d bytes within the budget", len(buf))
+		}
+		free = append(free, give)
+	}
+	if buf, give := b.get(); len(buf) != minBufferSize {
+		t.Errorf("%d bytes past the budget", len(buf))
+	} else {
+		give()
+	}
+	free[0]()
+	if buf, _ := b.get(); len(buf) != streamBufferSize {
+		t.Errorf("%d bytes after one was given back", len(buf))
+	}
+}
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -18,61 +17,6 @@
 // The tests in this file and in upstream_race_test.go force an order of events that is rare: what docs/findings/rare.md
 // lists. None waits for chance.
 
-// startSocketFrontend runs a front on real sockets with no module behind it. What the front posts comes to the test.
-func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan any) {
-	t.Helper()
-	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f = newFrontend(cfg, l, discardLog)
-	f.server.ReadHeaderTimeout, f.server.IdleTimeout, f.bodyTimeout, f.maxBodyGap = 2*testTimeout, 2*testTimeout, 2*testTimeout, 2*testTimeout
-	ln := listen(t)
-	served := make(chan error, 1)
-	go func() { served <- f.serve(ln) }()
-	t.Cleanup(func() {
-		close(l.stopped)
-		f.server.Close()
-		<-served
-		f.readers.Wait()
-		if f.connCount != 0 || f.openRequests.Load() != 0 || len(f.idleConns.Conns()) != 0 {
-			t.Errorf("left: %d connections, %d requests, %d waiting", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
-		}
-	})
-	return f, func() *net.TCPConn {
-		c, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c.(*net.TCPConn)
-	}, l.events
-}
-
-func getRequest(path, more string) string {
-	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n%s\r\n", path, newID(), more)
-}
-
-func writeText(t *testing.T, c net.Conn, text string) {
-	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// nextEvent returns the next event that the front posted, which must be of this kind.
-func nextEvent[T any](t *testing.T, posts <-chan any) T {
-	t.Helper()
-	e, ok := receive(t, "event", posts).(T)
-	if !ok {
-		t.Fatalf("another event: %T", e)
-	}
-	return e
-}
-
-func (f *frontend) noConnections() bool { return !f.hasConnections() }
-
 // A client that has gone is known to have, whatever it sent behind its request, and however it went. A byte behind a
 // request ended net/http's watch.
 func TestClientDisconnectIsDetected(t *testing.T) {
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -3,43 +3,15 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
-	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
 )
 
-func deltaLine(t *testing.T, version int64, servers ...discoveryMember) string {
-	t.Helper()
-	return listLine(t, discoveryList{Version: version, Endpoints: servers})
-}
-
-func listLine(t *testing.T, list discoveryList) string {
-	t.Helper()
-	raw, err := json.Marshal(list)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(raw)
-}
-
-// statusRecorder is a ResponseWriter that keeps the status.
-type statusRecorder struct {
-	header http.Header
-	status int
-}
-
-func newStatusRecorder() *statusRecorder              { return &statusRecorder{header: http.Header{}} }
-func (r *statusRecorder) Header() http.Header         { return r.header }
-func (r *statusRecorder) WriteHeader(status int)      { r.status = status }
-func (r *statusRecorder) Write(p []byte) (int, error) { return len(p), nil }
-
 // A start-up error names the field that is wrong.
 func TestConfigErrorNamesTheField(t *testing.T) {
 	base := map[string]string{"listen": `"127.0.0.1:0"`, "discovery": `"127.0.0.1:1"`, "seed": `"1f"`,
@@ -114,38 +86,6 @@
 	}
 }
 
-// The module's peer messages travel as datagrams, with the sender known by its address.
-func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
-	cfg := testConfig(t, testSetup{})
-	cfg.PeerListen = "127.0.0.1:0"
-	other, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer other.Close()
-	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
-	p, err := newPeerTransport(t.Context(), cfg, discardLog)
-	if err != nil {
-		t.Fatal(err)
-	}
-	got := make(chan any, 1)
-	go p.run(t.Context(), func(e any) { got <- e })
-	p.send(1, []byte("hi"))
-	p.send(5, []byte("nobody"))
-	p.send(1, make([]byte, maxDatagram+1))
-	buf := make([]byte, 512)
-	n, _, err := other.ReadFrom(buf)
-	if err != nil || string(buf[:n]) != "hi" {
-		t.Fatalf("%q, %v", buf[:n], err)
-	}
-	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
-		t.Fatal(err)
-	}
-	if m, ok := receive(t, "message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
-		t.Errorf("%+v", m)
-	}
-}
-
 // A change counts as told after 6 s at the latest, whatever the settings say of calls for lists.
 func TestPollIntervalIsCappedByPropagationDeadline(t *testing.T) {
 	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -9,6 +9,7 @@
 	"net"
 	"net/http"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"martenbeam/internal/agent/clientconn"
@@ -245,3 +246,93 @@
 		t.Error(err)
 	}
 }
+
+// SIGTERM with a request in flight: it is answered, connections between requests are closed,
+// and Run ends without an error.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
+	hold := make(chan struct{})
+	s := startRawBackend(t, func(n int) string {
+		if n > 0 {
+			<-hold
+		}
+		return ok200
+	})
+	accept := make(chan time.Time)
+	a := startWithAcceptWindow(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}), accept)
+	idle, err := net.Dial("tcp", a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer idle.Close()
+	in := bufio.NewReader(idle)
+	ask := func(c net.Conn) {
+		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()); err != nil {
+			t.Error(err)
+		}
+	}
+	ask(idle)
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil || resp.StatusCode != 200 {
+		t.Fatal(resp, err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatal(err)
+	}
+	<-s.seen
+	inFlight := make(chan exchange, 1)
+	go func() { inFlight <- a.do("GET", "/get/x", "") }()
+	receive(t, "request in flight", s.seen)
+	a.stop()
+	if err := idle.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the idle connection was not closed: %v", err)
+	}
+	lateOne := make(chan exchange, 1)
+	go func() { lateOne <- a.do("GET", "/get/x", "") }()
+	receive(t, "request after the stop", s.seen)
+	close(accept)
+	close(hold)
+	for _, ch := range []chan exchange{inFlight, lateOne} {
+		if x := receive(t, "answer", ch); x.status != 200 {
+			t.Errorf("%+v", x)
+		}
+	}
+	if err := receive(t, "end of the agent", a.ended); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+}
+
+// A lame duck says no to whoever asks after its health, serves what comes, ends each connection with
+// its answer, and closes those that stay idle; afterwards all is as it was.
+func TestLameDuckClosesIdleConnections(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
+		ctx, cancel := context.WithCancel(context.Background())
+		ended := make(chan struct{})
+		go func() { f.closeIdleWhileDraining(ctx); close(ended) }()
+		defer func() { cancel(); <-ended }()
+		idle, used := dial(), dial()
+		expectStatus(t, idle, "/get/x", 503)
+		expectStatus(t, used, "/get/x", 503)
+		f.setLameDuck(true)
+		on := time.Now()
+		expectStatus(t, dial(), "/_health", 503)
+		expectStatus(t, used, "/get/x", 503)
+		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
+			t.Errorf("a connection ended %v after its answer", at.Sub(on))
+		}
+		expectStatus(t, dial(), "/get/x", 503) // the front goes on sending for a while
+		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
+			t.Errorf("the idle connection was closed after %v", at.Sub(on))
+		}
+		f.setLameDuck(false)
+		expectStatus(t, dial(), "/_health", 200)
+		kept := dial()
+		expectStatus(t, kept, "/get/x", 503)
+		time.Sleep(2 * drainIdleTimeout)
+		expectStatus(t, kept, "/get/x", 503)
+	})
+}
--- /dev/null
+++ b/internal/agent/fakebackend_test.go
@@ -0,0 +1,132 @@
+package agent
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// fakeBackend is a server that answers with handle and counts what reached it.
+type fakeBackend struct {
+	addr string
+	seen chan string // the id of each request that came whole
+}
+
+// startRawBackend runs a backend that reads each request whole and writes what answer says, byte for
+// byte. An empty answer closes the connection, as does one that ends with it.
+func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
+	t.Helper()
+	ln := listen(t)
+	b := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
+	var mu sync.Mutex
+	n := 0
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				in := bufio.NewReader(c)
+				for {
+					req, err := http.ReadRequest(in)
+					if err != nil {
+						return
+					}
+					if _, err := io.Copy(io.Discard, req.Body); err != nil {
+						return
+					}
+					mu.Lock()
+					k := n
+					n++
+					mu.Unlock()
+					b.seen <- req.Header.Get("X-Trace-Id")
+					text := answer(k)
+					ends := !strings.Contains(text, "Content-Length") && !strings.Contains(text, "chunked")
+					if _, err := io.WriteString(c, text); err != nil || ends || strings.Contains(text, "TRUNCATED") {
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return b
+}
+
+func (b *fakeBackend) member(id string) discoveryMember {
+	return discoveryMember{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+}
+
+const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+
+// pattern is n bytes, none like those before.
+func pattern(n int) string {
+	var text strings.Builder
+	for i := 0; text.Len() < n; i++ {
+		fmt.Fprintf(&text, "%d,", i)
+	}
+	return text.String()[:n]
+}
+
+func digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+
+// startHTTPBackend is a backend that serves by handle.
+func startHTTPBackend(t *testing.T, handle http.HandlerFunc) discoveryMember {
+	t.Helper()
+	ln := listen(t)
+	server := &http.Server{Handler: handle}
+	go func() { _ = server.Serve(ln) }()
+	t.Cleanup(func() { server.Close() })
+	return discoveryMember{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+}
+
+// manualBackend is a backend of which the test holds each connection.
+type manualBackend struct {
+	addr  string
+	conns chan net.Conn
+}
+
+func startManualBackend(t *testing.T) *manualBackend {
+	t.Helper()
+	ln := listen(t)
+	b := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { c.Close() })
+			b.conns <- c
+		}
+	}()
+	return b
+}
+
+func (b *manualBackend) member(id string) discoveryMember {
+	return discoveryMember{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
+}
+
+// readRequest reads one request whole, and returns its id.
+func readRequest(t *testing.T, in *bufio.Reader) string {
+	t.Helper()
+	req, err := http.ReadRequest(in)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, req.Body); err != nil {
+		t.Fatal(err)
+	}
+	return req.Header.Get("X-Trace-Id")
+}
+
+func okResponse(body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
--- /dev/null
+++ b/internal/agent/fakediscovery_test.go
@@ -0,0 +1,96 @@
+package agent
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"runtime"
+	"testing"
+)
+
+func deltaLine(t *testing.T, version int64, servers ...discoveryMember) string {
+	t.Helper()
+	return listLine(t, discoveryList{Version: version, Endpoints: servers})
+}
+
+func listLine(t *testing.T, list discoveryList) string {
+	t.Helper()
+	raw, err := json.Marshal(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
+// fakeDiscovery is discovery: it hands each watch to the test, which writes to it line by line.
+type fakeDiscovery struct {
+	addr  string
+	watch chan *fakeWatch
+}
+
+type fakeWatch struct {
+	since        string
+	lines        chan string // closed: the watch ends
+	fail         chan struct{}
+	disconnected chan struct{} // closed with its connection
+}
+
+func startFakeDiscovery(t *testing.T) *fakeDiscovery {
+	t.Helper()
+	ln := listen(t)
+	c := &fakeDiscovery{addr: ln.Addr().String(), watch: make(chan *fakeWatch, 10)}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
+			t.Errorf("discovery was asked for %s", r.URL)
+		}
+		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}), disconnected: make(chan struct{})}
+		defer close(me.disconnected)
+		c.watch <- me
+		for {
+			select {
+			case <-me.fail:
+				http.Error(w, "overloaded", http.StatusServiceUnavailable)
+				return
+			case line, more := <-me.lines:
+				if !more {
+					return
+				}
+				fmt.Fprintln(w, line)
+				if err := http.NewResponseController(w).Flush(); err != nil {
+					return
+				}
+			case <-r.Context().Done():
+				return
+			}
+		}
+	})}
+	go func() { _ = server.Serve(ln) }()
+	t.Cleanup(func() { server.Close() })
+	return c
+}
+
+// sendLine has the watch tell a line.
+func (w *fakeWatch) sendLine(t *testing.T, line string) {
+	t.Helper()
+	select {
+	case w.lines <- line:
+	case <-w.disconnected:
+		t.Fatal("the watch is gone")
+	}
+}
+
+// countWatchGoroutines counts the tasks that read from discovery, and those of them that wait for the follower to take what they read.
+func countWatchGoroutines() (all, waiting int) {
+	stacks := make([]byte, 1<<20)
+	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
+		if bytes.Contains(task, []byte("discovery.(*watchStream).run")) {
+			all++
+			if head, _, _ := bytes.Cut(task, []byte("\n")); bytes.Contains(head, []byte("[select")) &&
+				!bytes.Contains(task, []byte("(*Client).")) {
+				waiting++
+			}
+		}
+	}
+	return all, waiting
+}
--- /dev/null
+++ b/internal/agent/frontendharness_test.go
@@ -0,0 +1,141 @@
+package agent
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// pipeListener hands the front connections that live in memory, so that its time-outs can run on
+// synctest's clock.
+type pipeListener struct {
+	conns chan net.Conn
+	done  chan struct{}
+}
+
+func (l *pipeListener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.conns:
+		return c, nil
+	case <-l.done:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *pipeListener) Close() error   { close(l.done); return nil }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+
+// startPipeFrontend runs a front with no module behind it on synctest's clock, and returns what dials it.
+func startPipeFrontend(t *testing.T, cfg *Config) (*frontend, func() net.Conn) {
+	t.Helper()
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := newFrontend(cfg, l, discardLog)
+	ln := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
+	served := make(chan error, 1)
+	go func() { served <- f.serve(ln) }()
+	t.Cleanup(func() { f.server.Close(); <-served })
+	return f, func() net.Conn {
+		near, far := net.Pipe()
+		ln.conns <- far
+		t.Cleanup(func() { near.Close() })
+		return near
+	}
+}
+
+// readUntilClosed returns when the far side closed the connection, and the status it gave before, or 0.
+func readUntilClosed(c net.Conn) (status int, at time.Time) {
+	in := bufio.NewReader(c)
+	if resp, err := http.ReadResponse(in, nil); err == nil {
+		status = resp.StatusCode
+		_, _ = io.Copy(io.Discard, resp.Body)
+	}
+	_, _ = io.Copy(io.Discard, in)
+	return status, time.Now()
+}
+
+// expectStatus sends a request and reads its answer, which must be so.
+func expectStatus(t *testing.T, c net.Conn, path string, status int) {
+	t.Helper()
+	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", path, newID()); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || resp.StatusCode != status {
+		t.Fatal(resp, err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// rejectAll stands in for the module behind a front: it refuses what comes, but for the class
+// "pay", which it never answers.
+func rejectAll(t *testing.T, f *frontend) {
+	f.loop.ready.Store(true)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for {
+			select {
+			case e := <-f.loop.events:
+				if e, ok := e.(requestArrived); ok && f.cfg.Site.Classes[e.class] != "pay" {
+					e.reply <- reply{rejected: true}
+				}
+			case <-f.loop.stopped:
+				return
+			}
+		}
+	}()
+	t.Cleanup(func() { close(f.loop.stopped); <-done })
+}
+
+// startSocketFrontend runs a front on real sockets with no module behind it. What the front posts comes to the test.
+func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan any) {
+	t.Helper()
+	cfg := testConfig(t, testSetup{})
+	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f = newFrontend(cfg, l, discardLog)
+	f.server.ReadHeaderTimeout, f.server.IdleTimeout, f.bodyTimeout, f.maxBodyGap = 2*testTimeout, 2*testTimeout, 2*testTimeout, 2*testTimeout
+	ln := listen(t)
+	served := make(chan error, 1)
+	go func() { served <- f.serve(ln) }()
+	t.Cleanup(func() {
+		close(l.stopped)
+		f.server.Close()
+		<-served
+		f.readers.Wait()
+		if f.connCount != 0 || f.openRequests.Load() != 0 || len(f.idleConns.Conns()) != 0 {
+			t.Errorf("left: %d connections, %d requests, %d waiting", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
+		}
+	})
+	return f, func() *net.TCPConn {
+		c, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		return c.(*net.TCPConn)
+	}, l.events
+}
+
+// nextEvent returns the next event that the front posted, which must be of this kind.
+func nextEvent[T any](t *testing.T, posts <-chan any) T {
+	t.Helper()
+	e, ok := receive(t, "event", posts).(T)
+	if !ok {
+		t.Fatalf("another event: %T", e)
+	}
+	return e
+}
+
+func (f *frontend) noConnections() bool { return !f.hasConnections() }
--- /dev/null
+++ b/internal/agent/harness_test.go
@@ -0,0 +1,170 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"martenbeam/internal/agent/discovery"
+)
+
+// patience is how long a test waits for what must come: far more than it takes anywhere.
+const testTimeout = 30 * time.Second
+
+type (
+	discoveryMember = discovery.Endpoint
+	discoveryList   = discovery.EndpointList
+)
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+// settings has one class of each effect and deadlines long enough for a slow machine.
+const settings = `{
+ "Balancers": 1, "Me": 0, "Zone": 0, "Dcs": ["a", "b"], "Kinds": ["m1", "m2"], "MembershipMode": "%s",
+ "TickMs": 1, "CountedBy": "request",
+ "Profiles": [
+  {"Name": "get", "AimMs": 5000, "DeadlineMs": %[2]d, "Worth": 1, "Semantics": "repeatable"},
+  {"Name": "put", "AimMs": 5000, "DeadlineMs": %[2]d, "Worth": 1, "Semantics": "by_key", "Group": "all", "WindowMs": 60000},
+  {"Name": "pay", "AimMs": 5000, "DeadlineMs": %[2]d, "Worth": 1, "Semantics": "once"}],
+ "PolicyLimits": {"TryLimit": 3, "ConnectTimeoutMs": 10000, "IdleCloseMs": 60000, "MaxOpen": 1000,
+  "RetryAfter": true, "MaxRetryAfterMs": 1500, "MayProbe": true, "Cancel": true, "SecondCopies": true},
+ "Contract": {"AskWithinMs": 1000, "DrainGraceMs": 1000, "GraceToAnswerMs": 20, "ColdFrom": 0.5, "RampTimeMs": 1000, "FallMultiple": 3, "FallMs": 1000},
+ "Goal": {"Whole": 1}, "Report": {"Source": "inline"}}`
+
+type testSetup struct {
+	mode      string // of discovery; "" is automatic
+	deadline  int    // of all classes, ms; 0: 60 s
+	discovery string
+	servers   []discoveryMember
+}
+
+func testConfig(t *testing.T, s testSetup) *Config {
+	t.Helper()
+	if s.mode == "" {
+		s.mode = "automatic"
+	}
+	if s.deadline == 0 {
+		s.deadline = 60000
+	}
+	if s.discovery == "" {
+		s.discovery = unusedAddr(t)
+	}
+	raw, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery, "seed": "8c1f30d27a5be964",
+		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known":    discoveryList{Version: 41, Full: true, Endpoints: s.servers},
+		"settings": json.RawMessage(fmt.Sprintf(settings, s.mode, s.deadline)),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg, err := parseConfig(raw, func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// unusedAddr is an address at which nothing listens.
+func unusedAddr(t *testing.T) string {
+	t.Helper()
+	ln := listen(t)
+	ln.Close()
+	return ln.Addr().String()
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+// testAgent is an agent under test.
+type testAgent struct {
+	*Agent
+	baseURL string
+	stop    context.CancelFunc
+	ended   chan error
+}
+
+func startAgent(t *testing.T, cfg *Config) *testAgent {
+	t.Helper()
+	now := make(chan time.Time)
+	close(now)
+	return startWithAcceptWindow(t, cfg, now)
+}
+
+// startWithAcceptWindow runs an agent that, once stopped, takes connections until accept is closed.
+func startWithAcceptWindow(t *testing.T, cfg *Config, accept <-chan time.Time) *testAgent {
+	t.Helper()
+	return startWithHook(t, cfg, accept, func(*testAgent) {})
+}
+
+// startWithHook runs an agent once something was done between its set-up and its start.
+func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
+	t.Helper()
+	a, err := New(t.Context(), cfg, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	r := &testAgent{Agent: a, baseURL: "http://" + a.Addr().String(), stop: cancel, ended: make(chan error, 1)}
+	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout              // a slow machine is no dead discovery
+	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout // nor a rude client
+	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
+	a.acceptWindow = func() <-chan time.Time { return accept }
+	a.drainTimeout = 2 * testTimeout
+	before(r)
+	go func() { r.ended <- a.Run(ctx); close(r.ended) }()
+	t.Cleanup(func() {
+		cancel()
+		select {
+		case <-r.ended:
+		case <-time.After(2 * testTimeout):
+			t.Error("the agent did not stop")
+		}
+	})
+	return r
+}
+
+func receive[T any](t *testing.T, what string, ch <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// eventually polls what has no channel to wait on.
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
+		}
+	}
+}
+
+var ids struct {
+	sync.Mutex
+	n int
+}
+
+func newID() string {
+	ids.Lock()
+	defer ids.Unlock()
+	ids.n++
+	return fmt.Sprintf("%016x", ids.n)
+}
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -128,39 +127,6 @@
 	}
 }
 
-// While the older process holds the peers' address the younger waits for it.
-func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
-	cfg := testConfig(t, testSetup{})
-	held, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	cfg.PeerListen = held.LocalAddr().String()
-	over, cancel := context.WithCancel(t.Context())
-	cancel() // nobody waits for the address
-	if _, err := newPeerTransport(over, cfg, discardLog); err == nil {
-		t.Error("with no handover a held address is no error")
-	}
-	cfg.ListenFD = 4
-	p, err := newPeerTransport(t.Context(), cfg, discardLog)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	bound := make(chan bool)
-	go func() { bound <- p.bind(ctx) }()
-	held.Close()
-	if !receive(t, "bind", bound) {
-		t.Error("not bound")
-	}
-	p.conn.Close()
-	cancel()
-	p.conn = nil
-	if p.bind(ctx) {
-		t.Error("bound after the end")
-	}
-}
-
 // duplicateDescriptor returns a descriptor that is nobody's yet, and closes f.
 func duplicateDescriptor(f *os.File) (int, error) {
 	defer f.Close()
--- /dev/null
+++ b/internal/agent/peers_test.go
@@ -0,0 +1,74 @@
+package agent
+
+import (
+	"context"
+	"net"
+	"testing"
+
+	"martenbeam/balancer"
+)
+
+// The module's peer messages travel as datagrams, with the sender known by its address.
+func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	cfg.PeerListen = "127.0.0.1:0"
+	other, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
+	p, err := newPeerTransport(t.Context(), cfg, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := make(chan any, 1)
+	go p.run(t.Context(), func(e any) { got <- e })
+	p.send(1, []byte("hi"))
+	p.send(5, []byte("nobody"))
+	p.send(1, make([]byte, maxDatagram+1))
+	buf := make([]byte, 512)
+	n, _, err := other.ReadFrom(buf)
+	if err != nil || string(buf[:n]) != "hi" {
+		t.Fatalf("%q, %v", buf[:n], err)
+	}
+	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
+		t.Fatal(err)
+	}
+	if m, ok := receive(t, "message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
+		t.Errorf("%+v", m)
+	}
+}
+
+// While the older process holds the peers' address the younger waits for it.
+func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	held, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg.PeerListen = held.LocalAddr().String()
+	over, cancel := context.WithCancel(t.Context())
+	cancel() // nobody waits for the address
+	if _, err := newPeerTransport(over, cfg, discardLog); err == nil {
+		t.Error("with no handover a held address is no error")
+	}
+	cfg.ListenFD = 4
+	p, err := newPeerTransport(t.Context(), cfg, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	bound := make(chan bool)
+	go func() { bound <- p.bind(ctx) }()
+	held.Close()
+	if !receive(t, "bind", bound) {
+		t.Error("not bound")
+	}
+	p.conn.Close()
+	cancel()
+	p.conn = nil
+	if p.bind(ctx) {
+		t.Error("bound after the end")
+	}
+}
--- /dev/null
+++ b/internal/agent/pool_test.go
@@ -0,0 +1,212 @@
+package agent
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"net/url"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/discovery"
+)
+
+// dyingConn stands for a connection that breaks while it is idle, unseen.
+type dyingConn struct {
+	net.Conn
+	dead *atomic.Bool
+}
+
+func (c dyingConn) Write(p []byte) (int, error) {
+	if c.dead.Load() {
+		return 0, syscall.EPIPE
+	}
+	return c.Conn.Write(p)
+}
+
+// Ticket 8488: a kept connection that turns out dead before the request is written whole is no
+// failed connect. The attempt goes out on a new one, once.
+func TestDeadIdleConnectionIsReplacedByNewOne(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	var dead atomic.Bool
+	dial, dials := b.transport.DialContext, 0
+	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		if dials++; err == nil && dials == 1 {
+			counted := c.(*trackedConn)
+			counted.Conn = dyingConn{counted.Conn, &dead}
+		}
+		return c, err
+	}
+	if result, _, _ := attemptOn(t, b, context.Background(), "one"); result != balancer.OK {
+		t.Fatalf("first: %v", result)
+	}
+	dead.Store(true)
+	if result, _, _ := attemptOn(t, b, context.Background(), "two"); result != balancer.OK || dials != 2 {
+		t.Errorf("second: %v after %d dials", result, dials)
+	}
+	if n := len(s.seen); n != 2 {
+		t.Errorf("%d requests reached the backend, 2 were asked for", n)
+	}
+	if b.openConns != 1 {
+		t.Errorf("%d connections counted as open", b.openConns)
+	}
+}
+
+// A request that ended before anything was sent leaves its connection as old as it was: the
+// backend has seen nothing on it since.
+func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	attemptOn(t, b, context.Background(), "")
+	since := b.idle["s"][0].idleSince
+	over := make(chan struct{})
+	close(over)
+	r, _, _ := b.executeBuffered(context.Background(), over, "s", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].idleSince != since {
+		t.Errorf("result %v, %d idle", r, len(b.idle["s"]))
+	}
+}
+
+// net/http's Transport sends a request again by itself when a reused connection turns out to be
+// dead, also a POST that carries Idempotency-Key. That would be an attempt the module never
+// asked for. Here the first request leaves a connection, which the backend closes without an
+// answer to the second.
+func TestStaleConnectionCausesNoImplicitResend(t *testing.T) {
+	s := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
+	b := poolWithBackend(t, s.addr)
+	if result, _, _ := attemptOn(t, b, context.Background(), "one"); result != balancer.OK {
+		t.Fatalf("first: %v", result)
+	}
+	if len(b.idle["s"]) != 1 {
+		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
+	}
+	if result, _, _ := attemptOn(t, b, context.Background(), "two"); result != balancer.Reset {
+		t.Fatalf("second: %v", result)
+	}
+	if n := len(s.seen); n != 2 {
+		t.Errorf("%d requests reached the backend, 2 were asked for", n)
+	}
+}
+
+// A connection that has stood idle for nearly as long as backends allow is not used again: the
+// request would cross the close.
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	attemptOn(t, b, context.Background(), "")
+	old := b.idle["s"][0]
+	old.idleSince = time.Now().Add(-b.idleTimeout)
+	attemptOn(t, b, context.Background(), "")
+	if b.idle["s"][0] == old || b.openConns != 1 {
+		t.Error("the old connection was used")
+	}
+	if b.idleTimeout >= b.cfg.Site.IdleClose {
+		t.Errorf("idle connections are kept for %v, backends close at %v", b.idleTimeout, b.cfg.Site.IdleClose)
+	}
+}
+
+// Under the descriptor limit the connection idle longest makes room; with none idle the attempt
+// fails unsent.
+func TestConnectionLimitEvictsIdleConnection(t *testing.T) {
+	hold := make(chan struct{})
+	s := startRawBackend(t, func(n int) string {
+		if n == 1 {
+			<-hold
+		}
+		return ok200
+	})
+	b := poolWithBackend(t, s.addr)
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "t"}}},
+		Addrs: map[string]string{"t": s.addr}})
+	b.maxConns = 1
+	attemptOn(t, b, context.Background(), "")
+	<-s.seen
+	done := make(chan balancer.Result)
+	go func() {
+		r, _, _ := b.executeBuffered(context.Background(), nil, "t", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+		done <- r
+	}()
+	receive(t, "request to t", s.seen)
+	if len(b.idle["s"]) != 0 {
+		t.Error("no idle connection made room")
+	}
+	if r, _, _ := attemptOn(t, b, context.Background(), ""); r != balancer.ConnectFailed {
+		t.Errorf("past the limit: %v", r)
+	}
+	close(hold)
+	if r := receive(t, "result", done); r != balancer.OK {
+		t.Errorf("held attempt: %v", r)
+	}
+}
+
+// A new address under an old id is another process: the old connections go.
+func TestAddressChangeClosesIdleConnections(t *testing.T) {
+	one := startRawBackend(t, func(int) string { return ok200 })
+	two := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, one.addr)
+	attemptOn(t, b, context.Background(), "")
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
+		Addrs: map[string]string{"s": two.addr}})
+	if b.openConns != 0 {
+		t.Errorf("%d connections to the old address are open", b.openConns)
+	}
+	if attemptOn(t, b, context.Background(), ""); len(one.seen) != 1 || len(two.seen) != 1 {
+		t.Errorf("%d requests to the old address, %d to the new", len(one.seen), len(two.seen))
+	}
+}
+
+// A connection that was in use while its backend moved leads to the old process: it is not kept.
+func TestConnectionInUseIsClosedAfterAddressChange(t *testing.T) {
+	hold := make(chan struct{})
+	one := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	b := poolWithBackend(t, one.addr)
+	done := make(chan balancer.Result, 1)
+	go func() {
+		r, _, _ := b.executeBuffered(context.Background(), nil, "s", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+		done <- r
+	}()
+	receive(t, "request", one.seen)
+	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
+		Addrs: map[string]string{"s": unusedAddr(t)}})
+	close(hold)
+	if r := receive(t, "result", done); r != balancer.OK || b.openConns != 0 {
+		t.Errorf("result %v, %d connections kept", r, b.openConns)
+	}
+}
+
+// What is being dialled when a backend is detached is not sent: nothing has run. Kept connections
+// to it go, and what is out may finish.
+func TestDisabledBackendReceivesNothing(t *testing.T) {
+	s := startRawBackend(t, func(int) string { return ok200 })
+	b := poolWithBackend(t, s.addr)
+	if r, _, _ := attemptOn(t, b, context.Background(), "one"); r != balancer.OK {
+		t.Fatal(r)
+	}
+	b.setDisabled("s", true)
+	if b.openConns != 0 {
+		t.Errorf("%d connections to the detached backend are kept", b.openConns)
+	}
+	b.setDisabled("s", false)
+	dial := b.transport.DialContext
+	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		b.setDisabled("s", true)
+		return c, err
+	}
+	if r, _, _ := attemptOn(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.openConns != 0 {
+		t.Errorf("result %v, %d connections open", r, b.openConns)
+	}
+	if r, _, _ := attemptOn(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	}
+	b.setDisabled("s", false)
+	b.transport.DialContext = dial
+	if r, _, _ := attemptOn(t, b, context.Background(), "four"); r != balancer.OK {
+		t.Errorf("after the call back: %v", r)
+	}
+}
--- /dev/null
+++ b/internal/agent/upload_test.go
@@ -0,0 +1,197 @@
+package agent
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// A large body goes on to the backend as it comes, unchanged, in whatever form it is written.
+func TestLargeBodyIsStreamed(t *testing.T) {
+	began := make(chan bool, 10)
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+		text := make([]byte, maxBufferedBody)
+		_, err := io.ReadFull(hr.Body, text)
+		began <- err == nil
+		rest, err := io.ReadAll(hr.Body)
+		if err != nil {
+			return
+		}
+		fmt.Fprint(w, hr.ContentLength, digest(string(text)+string(rest)))
+	})
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
+	text := pattern(5*maxBufferedBody + 7)
+	first, rest := text[:2*maxBufferedBody], text[2*maxBufferedBody:]
+	for name, row := range map[string]struct {
+		head, first, rest string
+		length            int
+	}{
+		"length": {fmt.Sprintf("Content-Length: %d\r\n", len(text)), first, rest, len(text)},
+		"chunks": {"Transfer-Encoding: chunked\r\n", strings.TrimSuffix(chunkedBody(first), "0;last\r\nX-Trailer: 1\r\n\r\n"), chunkedBody(rest[:1], rest[1:]), -1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := dialRawClient(t, a)
+			c.send(postHeader("/pay/x", row.head) + row.first)
+			if !receive(t, "first part at the backend", began) { // the rest has not been written yet
+				t.Fatal("it came short")
+			}
+			c.send(row.rest)
+			resp := c.readResponse()
+			got, err := io.ReadAll(resp.Body)
+			if want := fmt.Sprint(row.length, digest(text)); err != nil || resp.StatusCode != 200 || string(got) != want {
+				t.Errorf("%d %q %v, want %q", resp.StatusCode, got, err, want)
+			}
+		})
+	}
+}
+
+// A body of which a part is gone is never sent again. Where its last byte was not written nothing has
+// run, and the client may try again; where a connection failed before, the attempt is made elsewhere.
+func TestConsumedBodyIsNotRetried(t *testing.T) {
+	came := make(chan struct{}, 10)
+	ln := listen(t)
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			hr, err := http.ReadRequest(bufio.NewReader(c))
+			if err == nil {
+				_, _ = io.CopyN(io.Discard, hr.Body, 2*maxBufferedBody)
+				came <- struct{}{}
+			}
+			c.Close() // with the rest unread: a reset
+		}
+	}()
+	text := pattern(64 * maxBufferedBody)
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
+	c := dialRawClient(t, a)
+	go func() {
+		_, _ = io.WriteString(c, postHeader("/put/x", fmt.Sprintf("Content-Length: %d\r\n", len(text)))+text)
+	}()
+	if resp := c.readResponse(); resp.StatusCode != 503 {
+		t.Errorf("status %d for a body that broke off on its way", resp.StatusCode)
+	}
+	if len(came) != 1 {
+		t.Errorf("%d attempts", len(came))
+	}
+
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+		got, _ := io.ReadAll(hr.Body)
+		fmt.Fprint(w, digest(string(got)))
+	})
+	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
+	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
+	for range 10 { // some of these find the dead one first
+		if x := b.do("POST", "/pay/x", text[:3*maxBufferedBody]); x.status != 200 || x.body != digest(text[:3*maxBufferedBody]) {
+			t.Errorf("%+v", x)
+		}
+	}
+}
+
+// A client that breaks off within its large body is gone: the backend never gets the last byte, and is
+// not blamed.
+func TestClientAbortDuringUploadIsNotBackendsFault(t *testing.T) {
+	began, ended := make(chan struct{}), make(chan error, 1)
+	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+		if hr.URL.Path == "/get/x" {
+			fmt.Fprint(w, "served")
+			return
+		}
+		_, _ = io.CopyN(io.Discard, hr.Body, maxBufferedBody)
+		close(began)
+		_, err := io.Copy(io.Discard, hr.Body)
+		ended <- err
+	})
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
+	c := dialRawClient(t, a)
+	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*maxBufferedBody))
+	receive(t, "first part", began)
+	c.Close()
+	if err := receive(t, "end at the backend", ended); err == nil {
+		t.Error("the backend took it for whole")
+	}
+	eventually(t, "the request to end", func() bool { return a.frontend.openRequests.Load() == 0 })
+	for range 5 {
+		if x := a.do("GET", "/get/x", ""); x.status != 200 {
+			t.Errorf("afterwards: %+v", x)
+		}
+	}
+}
+
+// A client may take 2 s for a header and send its body at 64 kB a second; one that stops is sent away,
+// and the time in which nobody takes what it sends is not its own.
+func TestSlowUploadIsServedAndStalledOneEnds(t *testing.T) {
+	const total = 5 * maxBufferedBody
+	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
+		c := dial()
+		began := time.Now()
+		go func() {
+			text := postHeader("/pay/x", fmt.Sprintf("Content-Length: %d\r\n", total))
+			time.Sleep(2 * time.Second)
+			_, _ = io.WriteString(c, text)
+			for sent := 0; sent < stop; sent += 8000 {
+				time.Sleep(125 * time.Millisecond)
+				_, _ = io.WriteString(c, pattern(min(8000, total-sent)))
+			}
+		}()
+		status, at := readUntilClosed(c)
+		return status, at.Sub(began)
+	}
+	synctest.Test(t, func(t *testing.T) {
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectUploads(t, f, 3*time.Second)
+		if status, took := upload(t, f, dial, total); status != 503 { // the module's word here: it was taken whole
+			t.Errorf("a slow one: status %d after %v", status, took)
+		}
+		if status, took := upload(t, f, dial, total/2); status != 408 || took > 10*time.Second {
+			t.Errorf("one that stopped: status %d after %v", status, took)
+		}
+	})
+}
+
+// rejectUploads stands in for the module and an attempt behind a front: it waits for a while, reads a
+// large body to its end and refuses.
+func rejectUploads(t *testing.T, f *frontend, wait time.Duration) {
+	f.loop.ready.Store(true)
+	var ends []chan struct{}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for {
+			select {
+			case e := <-f.loop.events:
+				switch e := e.(type) {
+				case requestArrived:
+					end := make(chan struct{})
+					ends = append(ends, end)
+					go func() {
+						defer close(end)
+						time.Sleep(wait)
+						if _, err := io.Copy(io.Discard, e.upstream.upload.newBody(e.upstream.body)); err == nil {
+							e.reply <- reply{rejected: true}
+						}
+					}()
+				case clientDisconnected:
+					e.reply <- reply{}
+				}
+			case <-f.loop.stopped:
+				return
+			}
+		}
+	}()
+	t.Cleanup(func() {
+		close(f.loop.stopped)
+		<-done
+		for _, end := range ends {
+			<-end
+		}
+	})
+}
--- a/internal/agent/upstream_race_test.go
+++ b/internal/agent/upstream_race_test.go
@@ -3,12 +3,9 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/url"
-	"strings"
 	"testing"
 	"time"
 
@@ -17,46 +14,6 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// manualBackend is a backend of which the test holds each connection.
-type manualBackend struct {
-	addr  string
-	conns chan net.Conn
-}
-
-func startManualBackend(t *testing.T) *manualBackend {
-	t.Helper()
-	ln := listen(t)
-	b := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			b.conns <- c
-		}
-	}()
-	return b
-}
-
-func (b *manualBackend) member(id string) discoveryMember {
-	return discoveryMember{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
-}
-
-// readRequest reads one request whole, and returns its id.
-func readRequest(t *testing.T, in *bufio.Reader) string {
-	t.Helper()
-	req, err := http.ReadRequest(in)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.Copy(io.Discard, req.Body); err != nil {
-		t.Fatal(err)
-	}
-	return req.Header.Get("X-Trace-Id")
-}
-
 type attemptResult struct {
 	balancer.Result
 	answer *response
@@ -84,16 +41,13 @@
 	}
 }
 
-func okResponse(body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-}
-
 // hookedGate is a residency policy that permits everything, and is asked right before a request's first byte: the moment
 // to do something in.
 type hookedGate struct{ hook func() }
 
 func (k *hookedGate) RuleID(string, string) int { return 1 }
 func (k *hookedGate) CountRefusal(int, int)     {}
+
 func (k *hookedGate) Table() *gate.Table {
 	k.hook()
 	return &gate.Table{Permitted: [][]bool{nil, nil}, Restricted: []bool{false, false}}
@@ -382,6 +336,7 @@
 }
 
 func (c blockedWriteConn) SetWriteDeadline(t time.Time) error { c.deadline <- t; return nil }
+
 func (c blockedWriteConn) Write(p []byte) (int, error) {
 	select {
 	case at := <-c.deadline:
@@ -391,84 +346,3 @@
 		return len(p), nil // no deadline was set
 	}
 }
-
-// An answer that never ends is no answer: its client is told within its time, or, where part of it was passed on by then, can
-// tell once its backend has been waited for too long. Each is bounded in what it holds.
-func TestEndlessResponsesAreBounded(t *testing.T) {
-	for name, row := range map[string]struct {
-		start, more string // more comes again and again
-		passed      bool   // part of it is passed on
-	}{
-		"header":          {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n", false},
-		"a header line":   {"HTTP/1.1 200 OK\r\nX-A: ", "bbbbbbbb", false},
-		"1xx":             {"", "HTTP/1.1 102 Processing\r\n\r\n", false},
-		"length":          {"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n", "b", false},
-		"trailer":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n", "X-A: b\r\n", true},
-		"small length":    {"HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n", "b", false},
-		"chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n", true},
-		"a chunk":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n", "b", true},
-		"two lengths":     {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello", "b", false},
-		"no length":       {"HTTP/1.1 200 OK\r\n\r\n", "b", true},
-		"a silent header": {"HTTP/1.1 200 OK\r\n", "", false},
-		"a silent chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nb", "", true},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			s := startManualBackend(t)
-			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-			over := make(chan struct{})
-			defer close(over)
-			go func() {
-				for {
-					select {
-					case c := <-s.conns:
-						go func() {
-							_, err := http.ReadRequest(bufio.NewReader(c))
-							for text := row.start; err == nil; text = row.more {
-								if _, err = io.WriteString(c, text); err != nil {
-									return
-								}
-								select {
-								case <-over:
-									return
-								case <-time.After(20 * time.Millisecond):
-								}
-							}
-						}()
-					case <-over:
-						return
-					}
-				}
-			}()
-			x := a.do("GET", "/get/x", "", "X-Expires-In", "0.6")
-			broken := x.err != nil && !strings.Contains(x.err.Error(), "deadline") // of the test
-			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
-				t.Errorf("%+v", x)
-			}
-			eventually(t, "the attempt's end", func() bool {
-				a.pool.mu.Lock()
-				defer a.pool.mu.Unlock()
-				return a.pool.openConns == len(a.pool.idle["s"])
-			})
-		})
-	}
-}
-
-// Seed 15 of the short days, zone+brink: a long answer of unknown length, of which little had come by its client's deadline, was
-// cut off while its backend still gave. Its first bytes are timed, and the rest goes on for as long as it comes.
-func TestStreamingResponseContinuesPastDeadline(t *testing.T) {
-	s := startManualBackend(t)
-	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-	c := dialRawClient(t, a)
-	c.send(getRequest("/get/x", "X-Expires-In: 0.3\r\n"))
-	at := time.Now()
-	b := receive(t, "connection", s.conns)
-	readRequest(t, bufio.NewReader(b))
-	writeText(t, b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlong\r\n")
-	resp := c.readResponse()
-	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline is past: it is the backend that waits for it
-	writeText(t, b, "7\r\n answer\r\n0\r\n\r\n")
-	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "long answer" {
-		t.Errorf("%d %q, %v", resp.StatusCode, body, err)
-	}
-}
