--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -16,14 +16,14 @@
 	"martenbeam/internal/agent/admin"
 )
 
-// withAdmin is a configuration whose agent has an operators' door.
+// withAdmin returns a configuration with an admin listener.
 func withAdmin(t *testing.T, s testSetup) *Config {
 	cfg := testConfig(t, s)
 	cfg.AdminAddr = "127.0.0.1:0"
 	return cfg
 }
 
-// callAdmin makes a call as it stands and returns the status and the headers.
+// callAdmin sends a call as it stands and returns the response.
 func callAdmin(t *testing.T, a *testAgent, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", a.admin.Addr().String())
@@ -52,11 +52,11 @@
 	return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// Yes is a 2xx; whatever can't be meant is a 4xx, and nothing else.
+// TestAdminCallStatusCodes: an accepted call is answered with 2xx, an invalid one with 4xx, and nothing else occurs.
 func TestAdminCallStatusCodes(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-	a.admin.AnswerTimeout = testTimeout // a slow machine is no loop that hangs
+	a.admin.AnswerTimeout = testTimeout // a slow machine must not look like a blocked loop
 	for _, row := range []struct {
 		text string
 		want int
@@ -92,7 +92,7 @@
 	}
 }
 
-// Half a call does nothing, and callers that say nothing keep nobody out.
+// TestSilentAdminConnectionsBlockNoCall: an incomplete call does nothing, and silent connections keep no caller out.
 func TestSilentAdminConnectionsBlockNoCall(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -118,7 +118,7 @@
 	}
 }
 
-// A call that the module can't take in time is a no, and does not take effect afterwards.
+// TestTimedOutAdminCallHasNoEffect: a call that the balancer can't take in time is refused, and is not applied later.
 func TestTimedOutAdminCallHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, testSetup{})
@@ -138,8 +138,8 @@
 	})
 }
 
-// A call that is there before the module's first step is for a backend that the agent knows. Which of two that are ready the
-// loop takes first is chance, so it is tried often.
+// TestDetachBeforeFirstStepKnowsTheBackend: a call that is waiting before the balancer's first step is for a backend that
+// the agent knows. Which of two ready channels the loop takes first is random, so the test repeats.
 func TestDetachBeforeFirstStepKnowsTheBackend(t *testing.T) {
 	for range 20 {
 		one := startRawBackend(t, func(int) string { return ok200 })
@@ -156,7 +156,7 @@
 			taken <- ok
 		}()
 		<-ready
-		runtime.Gosched() // it is at the loop's door most times
+		runtime.Gosched() // by now the call is usually waiting
 		go a.loop.run(ctx)
 		if !<-taken {
 			t.Error("nobody has the backend")
@@ -168,7 +168,7 @@
 	}
 }
 
-// Yes to detach means that nothing goes there any more; the call back ends it.
+// TestDetachAndAttachOverAdminListener: after a detach was accepted nothing is sent to the backend; an attach ends it.
 func TestDetachAndAttachOverAdminListener(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -188,14 +188,14 @@
 		if tries > 80 {
 			t.Fatal("the backend was called back and is not used")
 		}
-		<-two.seen // which holds no more than the test may leave unread
+		<-two.seen // its channel has a bounded buffer
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
 			t.Fatalf("%+v", x)
 		}
 	}
 }
 
-// The door's descriptors are nobody else's, and with no door nothing is set aside.
+// TestAdminListenerHasItsOwnDescriptors: its part is not shared, and without an admin listener nothing is reserved.
 func TestAdminListenerHasItsOwnDescriptors(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	cfg.MaxDescriptors = 256
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A truncated 200 of a backend is never passed on as a whole one. A request that may not be
-// repeated fails; a safe one is tried again by the module.
+// TestTruncatedResponseIsNeverServed: a truncated response is never passed on as complete. A request that must not be
+// repeated fails; the balancer retries an idempotent one.
 func TestTruncatedResponseIsNeverServed(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
 	s := startRawBackend(t, func(n int) string { return []string{cut, cut, ok200}[n] })
@@ -58,7 +58,7 @@
 	}
 }
 
-// An unsafe request that may have run is neither sent again nor refused.
+// TestNonIdempotentRequestIsNotRetried: such a request that may have been executed is neither sent again nor rejected.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return "" })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -70,7 +70,7 @@
 	}
 }
 
-// What never ran may be refused.
+// TestUnreachableBackendGivesRejection: a request that was not executed may be rejected, which permits a retry.
 func TestUnreachableBackendGivesRejection(t *testing.T) {
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := startAgent(t, cfg)
@@ -79,8 +79,8 @@
 	}
 }
 
-// A request whose backend is silent is answered before its client stops waiting, and says that
-// it failed.
+// TestSilentBackendGivesGatewayTimeout: if its backend is silent, a request is answered before its client stops waiting,
+// with a status that says 'failed'.
 func TestSilentBackendGivesGatewayTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -91,7 +91,8 @@
 	}
 }
 
-// A backend is told of less than the client waits, by what a request takes on its way: no delay of a busy machine can make it more.
+// TestBackendDeadlineIsShorterThanClients: a backend is told less time than the client has left, by the time that the
+// request travels. No delay on a busy machine may make it more.
 func TestBackendDeadlineIsShorterThanClients(t *testing.T) {
 	told := make(chan string, 1)
 	ln := listen(t)
@@ -109,22 +110,22 @@
 	}
 }
 
-// A client's last try may have less time left than a step is away. The module answers it all the
-// same, with a refusal, since nothing ran; the loop once failed it first, at the deadline itself.
+// TestExpiredRequestIsRejectedNotFailed: a retry of a client may have less time left than the next step is away. The
+// balancer still rejects it, since it was not executed; once the loop failed it first, at the deadline itself.
 func TestExpiredRequestIsRejectedNotFailed(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
 	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testTimeout
 	a := startAgent(t, cfg)
-	for range 3 { // the first may meet a step that is due
+	for range 3 { // the first may coincide with a step
 		if x := a.do("GET", "/get/x", "", "X-Expires-In", "0.000001"); x.status != http.StatusServiceUnavailable {
 			t.Errorf("%+v", x)
 		}
 	}
 }
 
-// A client that hangs up is told to the module as Abandoned, and its request ends; the attempt's
-// outcome still comes.
+// TestClientDisconnectAbandonsRequest: when a client disconnects the balancer is told with Abandoned and the request ends;
+// the outcome of its attempt still follows.
 func TestClientDisconnectAbandonsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -148,7 +149,7 @@
 	}
 }
 
-// Two open requests with one id can't be told apart in the module's answers.
+// TestDuplicateOpenRequestIDIsConflict: the balancer's actions could not tell two open requests with one id apart.
 func TestDuplicateOpenRequestIDIsConflict(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/wire"
 )
 
-// attemptOn makes one attempt at a backend, with no agent around it.
+// attemptOn makes one attempt at a backend, without an agent.
 func attemptOn(t *testing.T, b *upstreamPool, ctx context.Context, body string) (balancer.Result, *response, balancer.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
@@ -31,14 +31,14 @@
 	t.Helper()
 	b := newUpstreamPool(testConfig(t, testSetup{}), discardLog)
 	t.Cleanup(b.close)
-	b.settleTime = 0 // what comes on a connection that rests is another test's
+	b.settleTime = 0 // other tests are about unsolicited bytes
 	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
 
-// Each row of the protocol's table of outcomes. What is taken for 'never ran' may be sent again
-// or refused, so a wrong row can do an effect twice.
+// TestAttemptResultFollowsOutcomeTable covers each row of the protocol's table of outcomes. A request whose result says
+// that it was not executed may be sent again or rejected, so a wrong row can execute it twice.
 func TestAttemptResultFollowsOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
 		answer string
@@ -86,8 +86,8 @@
 	}
 }
 
-// A backend that takes the request and says nothing: the attempt ends when the agent stops
-// waiting, may have run, and its connection is not used again.
+// TestTimedOutAttemptDropsItsConnection: a backend reads the request and stays silent. The request may have been executed,
+// and the connection is not used again.
 func TestTimedOutAttemptDropsItsConnection(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -114,7 +114,7 @@
 	}
 }
 
-// limitedWriteConn breaks after so many bytes of the request.
+// limitedWriteConn fails after a number of written bytes.
 type limitedWriteConn struct {
 	net.Conn
 	remaining int
@@ -130,8 +130,8 @@
 	return n, errors.New("broken pipe")
 }
 
-// A connection that breaks before the request's last byte is written proves that nothing ran;
-// one byte later it proves nothing.
+// TestIncompleteWriteIsConnectFailed: a connection that breaks before the request's last byte is written proves that the
+// request was not executed; one byte later it proves nothing.
 func TestIncompleteWriteIsConnectFailed(t *testing.T) {
 	ln := listen(t)
 	go func() {
@@ -160,8 +160,8 @@
 	}
 }
 
-// A request may end while a connection is being opened for it, as when its client hangs up.
-// Nothing is sent for it then; the connection serves the next one.
+// TestNothingIsSentForAnsweredRequest: a request may end while a connection is opened for it, for instance because its
+// client disconnects. Nothing is sent for it then, and the connection serves the next request.
 func TestNothingIsSentForAnsweredRequest(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, s.addr)
@@ -202,7 +202,7 @@
 	}
 }
 
-// What an attempt with a large answer is reported as: its latency is that of the first bytes.
+// TestLargeResponseLatencyIsFirstByte: the reported latency of a streaming response is that of its first bytes.
 func TestLargeResponseLatencyIsFirstByte(t *testing.T) {
 	hold := make(chan struct{})
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
--- a/internal/agent/buffers_test.go
+++ b/internal/agent/buffers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Past the budget streams go on in small buffers, and what is given back counts again.
+// TestBufferSizeFollowsBudget: beyond the budget buffers are small, and buffers that are given back count again.
 func TestBufferSizeFollowsBudget(t *testing.T) {
 	b := newBufferBudget(1) // MB
 	var free []func()
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -14,11 +14,11 @@
 	"martenbeam/internal/agent/clientconn"
 )
 
-// The tests in this file and in upstream_race_test.go force an order of events that is rare: what docs/findings/rare.md
-// lists. None waits for chance.
+// The tests in this file and in upstream_race_test.go force rare orders of events, those that docs/findings/rare.md lists.
+// None of them relies on chance.
 
-// A client that has gone is known to have, whatever it sent behind its request, and however it went. A byte behind a
-// request ended net/http's watch.
+// TestClientDisconnectIsDetected: a disconnect is noticed whatever the client sent behind its request, and however it
+// disconnected. Bytes behind a request used to end net/http's own detection.
 func TestClientDisconnectIsDetected(t *testing.T) {
 	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
 		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
@@ -32,7 +32,7 @@
 				c := dial()
 				writeText(t, c, getRequest("/get/x", ""))
 				r := nextEvent[requestArrived](t, posts).request
-				writeText(t, c, behind) // a connection's bytes keep their order: its end comes after
+				writeText(t, c, behind) // a connection keeps the order of its bytes, so its end comes after these
 				if err := leave(c); err != nil {
 					t.Fatal(err)
 				}
@@ -49,7 +49,7 @@
 	}
 }
 
-// Of a client that sends several requests at once and goes, none after the first is sent on.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped: of several requests only the first is forwarded.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	f, dial, posts := startSocketFrontend(t)
 	c := dial()
@@ -64,7 +64,7 @@
 	}
 }
 
-// A request that comes with its client's end is owed nothing, and is not sent on.
+// TestRequestArrivingWithEOFIsNotForwarded: a request whose client has disconnected is owed nothing.
 func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The order that hurts: the end is known before the server has read the request.
+	// the critical order: the end is known before the server has read the request
 	receive(t, "end", c.(*clientconn.Conn).Context().Done())
 	ln.conns <- c
 	served := make(chan error, 1)
@@ -99,7 +99,7 @@
 	tasks.Wait()
 }
 
-// finalDataConn is a socket that gives all that comes with the end behind it.
+// finalDataConn is a socket whose last bytes arrive together with its end.
 type finalDataConn struct {
 	net.Conn
 	text string
@@ -113,8 +113,8 @@
 	return n, err
 }
 
-// What has come of a request keeps its connection from being closed as idle, wherever it lies: unread, read ahead, or with
-// the server. A connection that was closed all the same sends nothing on.
+// TestPartialRequestKeepsConnectionFromIdleClose: wherever the bytes of a request are (unread, read ahead, or with the
+// server), their connection is not closed as idle. A connection that is closed nonetheless forwards nothing.
 func TestPartialRequestKeepsConnectionFromIdleClose(t *testing.T) {
 	t.Run("closed before its body is whole", func(t *testing.T) {
 		f, dial, posts := startSocketFrontend(t)
@@ -123,20 +123,20 @@
 		eventually(t, "half of the request", func() bool {
 			for _, c := range f.idleConns.Conns() {
 				c := c.(*clientconn.Conn)
-				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that came, and some is to come
+				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that arrived, and is waiting for more
 			}
 			return false
 		})
-		f.idleConns.CloseIdle(0, 0) // leaves it
+		f.idleConns.CloseIdle(0, 0) // must not close it
 		if len(f.idleConns.Conns()) != 1 {
 			t.Error("closed as idle")
 		}
 		eventually(t, "the connection's end", func() bool {
-			f.idleConns.EvictIdle() // once it has waited for long enough
+			f.idleConns.EvictIdle() // closes it once it has waited for long enough
 			return f.noConnections()
 		})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode < 400 {
-			t.Errorf("it was answered: %d", resp.StatusCode) // an error or a close is owed, as it comes
+			t.Errorf("it was answered: %d", resp.StatusCode) // an error or a close is owed, whichever comes first
 		}
 		if len(posts) != 0 {
 			t.Errorf("posted: %T", <-posts)
@@ -144,13 +144,13 @@
 	})
 }
 
-// A last answer is there whole for a client that has sent more behind its request: closed over unread bytes the connection
-// would be reset, and the answer go with it.
+// TestLastResponseSurvivesUnreadBytes: a client that has sent more behind its request still gets the complete last
+// response. If the connection were closed over unread bytes it would be reset, and the response lost.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
 	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 1<<20)} {
 		t.Run(name, func(t *testing.T) {
 			f, dial, posts := startSocketFrontend(t)
-			f.drainBy(time.Now().Add(testTimeout)) // each answer ends its connection
+			f.drainBy(time.Now().Add(testTimeout)) // each reply closes its connection
 			c := dial()
 			writeText(t, c, getRequest("/get/x", ""))
 			r := nextEvent[requestArrived](t, posts).request
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// A start-up error names the field that is wrong.
+// TestConfigErrorNamesTheField: an error at the start names the field that is wrong.
 func TestConfigErrorNamesTheField(t *testing.T) {
 	base := map[string]string{"listen": `"127.0.0.1:0"`, "discovery": `"127.0.0.1:1"`, "seed": `"1f"`,
 		"limits": `{}`, "settings": fmt.Sprintf(settings, "automatic", 1000)}
@@ -86,7 +86,8 @@
 	}
 }
 
-// A change counts as told after 6 s at the latest, whatever the settings say of calls for lists.
+// TestPollIntervalIsCappedByPropagationDeadline: a change in the list has to be applied within 6 s, whatever poll interval
+// the settings allow.
 func TestPollIntervalIsCappedByPropagationDeadline(t *testing.T) {
 	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
 		text := strings.Replace(fmt.Sprintf(settings, "subscribe", 1000), `"AskWithinMs": 1000`, `"AskWithinMs": `+asked, 1)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -10,8 +10,8 @@
 	"martenbeam/balancer"
 )
 
-// An agent that starts while discovery is down serves by its stored list, follows discovery once
-// it is back, and sends nothing new to a backend that then drains.
+// TestCachedEndpointsServeUntilDiscoveryReturns: an agent that starts while discovery is down serves by its cached list,
+// watches discovery once it is back, and sends nothing new to a backend that then drains.
 func TestCachedEndpointsServeUntilDiscoveryReturns(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -39,13 +39,13 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	// One request may have been on its way to a step while the change was booked; none here was.
+	// A request could have been forwarded while the change was applied; none was in flight here.
 	if n := len(one.seen) - before; n != 0 {
 		t.Errorf("%d requests went to the draining backend", n)
 	}
 }
 
-// With no list at all an agent is not ready, and becomes so with the first one.
+// TestAgentIsNotReadyWithoutBackends: without a list an agent is not ready; with the first one it becomes ready.
 func TestAgentIsNotReadyWithoutBackends(t *testing.T) {
 	c := startFakeDiscovery(t)
 	s := startRawBackend(t, func(int) string { return ok200 })
@@ -58,12 +58,12 @@
 	eventually(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
 }
 
-// A new configuration moves discovery while a backend drains by the old list, with a connection to it coming up for a request.
-// Whether the new whole list leaves it out or says that it drains, and whichever list is told first, nothing goes to it any
-// more, and the request goes elsewhere; what the old address said and nobody has taken by then does not count. Named as ready
-// the backend is used again.
+// TestDiscoveryReloadDuringDrain: a new configuration moves discovery while a backend drains by the old list, and while a
+// connection to it is being opened for a request. Whether the new complete list leaves the backend out or says that it
+// drains, and whichever list arrives first, nothing is sent to it any more, and the request goes elsewhere. What the old
+// address sent and nobody has read by then is ignored. If the new list says that the backend is ready it is used again.
 func TestDiscoveryReloadDuringDrain(t *testing.T) {
-	for _, state := range []string{"", "draining", "ready"} { // in the new whole list; "": it is not named
+	for _, state := range []string{"", "draining", "ready"} { // in the new complete list; "": not listed
 		for _, order := range []string{"drain, move, list", "move, drain, list", "move, list, old word"} {
 			t.Run(fmt.Sprintf("%q: %s", state, order), func(t *testing.T) {
 				x, y := startManualBackend(t), startRawBackend(t, func(int) string { return ok200 })
@@ -74,7 +74,7 @@
 				close(now)
 				a := startWithHook(t, testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}}), now, func(a *testAgent) {
 					dialling, release = blockDials(a.pool)
-					a.discovery.Record = func(_ string, list *discoveryList) { // called by the follower, which takes nothing meanwhile
+					a.discovery.Record = func(_ string, list *discoveryList) { // called by the watcher, which reads nothing in the meantime
 						if took <- list.Version; order == "move, list, old word" && list.Version == 42 {
 							<-goOn
 						}
@@ -98,7 +98,7 @@
 					list = append(list, named)
 				}
 				whole := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
-				drain := func() { // so long that what follows is read at once
+				drain := func() { // long enough that what follows is read at once
 					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, drains, y.member("y")))
 					receive(t, "drain", took)
 				}
@@ -126,7 +126,7 @@
 					w.sendLine(t, whole)
 					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
 					late := ""
-					for v := range int64(30) { // each has an even chance to be told though its watch has been dropped
+					for v := range int64(30) { // each could be applied with an even chance if its watch were not stopped
 						late += deltaLine(t, 43+v, x.member("x"))
 					}
 					old.sendLine(t, late)
@@ -136,7 +136,7 @@
 				receive(t, "end of the old watch", old.disconnected)
 				eventually(t, "the end of its task", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
-				if e := receive(t, "answer", answer); e.status != 200 || len(y.seen) != 1 { // booked after the lists
+				if e := receive(t, "answer", answer); e.status != 200 || len(y.seen) != 1 { // recorded after the lists
 					t.Errorf("%+v, %d requests at the other backend", e, len(y.seen))
 				}
 				eventually(t, "the new list", func() bool { return holds(state) })
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/agent/handover"
 )
 
-// drainingAgent is an agent that has been told to stop, and still accepts until accept is closed.
+// drainingAgent is an agent that accepts connections until accept is closed, once it was told to stop.
 type drainingAgent struct {
 	*testAgent
 	accept chan time.Time
@@ -29,14 +29,14 @@
 	return &drainingAgent{startWithAcceptWindow(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}), accept), accept}, s
 }
 
-// startDrain stops the agent and returns once it takes no more than it must.
+// startDrain stops the agent and returns once it drains.
 func (a *drainingAgent) startDrain(t *testing.T) {
 	t.Helper()
 	a.stop()
 	eventually(t, "the stop", func() bool { return a.frontend.drainDeadline.Load() != 0 })
 }
 
-// awaitEnd waits for the agent's end, which leaves nothing behind.
+// awaitEnd waits for the agent's end and checks that nothing is left.
 func (a *drainingAgent) awaitEnd(t *testing.T) {
 	t.Helper()
 	if err := receive(t, "end of the agent", a.ended); err != nil {
@@ -80,8 +80,9 @@
 	}
 }
 
-// What of a request has come when the agent is told to stop, and when it stops accepting, changes nothing: the rest comes,
-// and it is answered whole. net/http's own shutdown drops a request whose header comes whole after it.
+// TestPartialRequestIsServedDuringDrain: however much of a request has arrived when the agent is told to stop, and when it
+// stops accepting, the rest is read and the request answered. net/http's Shutdown would drop a request whose header is
+// completed after it.
 func TestPartialRequestIsServedDuringDrain(t *testing.T) {
 	whole := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 4\r\n\r\nbody", newID())
 	for _, part := range []int{1, 20, len(whole) - 5, len(whole) - 2} {
@@ -103,7 +104,7 @@
 	}
 }
 
-// noPartialRequest reports whether no connection has part of a request.
+// noPartialRequest reports whether no connection has an incomplete request.
 func (a *drainingAgent) noPartialRequest() bool {
 	for _, c := range a.frontend.idleConns.Conns() {
 		if c.(*clientconn.Conn).RequestInProgress() {
@@ -113,8 +114,8 @@
 	return true
 }
 
-// A client that connects and is not accepted yet, since all descriptors are in use, has its request taken all the same: what
-// is in the kernel's queue when a listener closes is reset.
+// TestAcceptQueueIsServedBeforeListenerCloses: a client that is not accepted yet, since all descriptors are in use, is still
+// served: closing the listener would reset what is in the kernel's accept queue.
 func TestAcceptQueueIsServedBeforeListenerCloses(t *testing.T) {
 	hold := make(chan struct{})
 	a, s := startDrainable(t, func(n int) string {
@@ -131,7 +132,7 @@
 	queued := a.dial(t)
 	writeText(t, queued, getRequest("/get/x", ""))
 	a.startDrain(t)
-	for range 3 { // each in a step of its own, the first of which would have closed the listener
+	for range 3 { // three steps, of which the first would have closed the listener
 		a.accept <- time.Now()
 	}
 	close(hold)
@@ -141,7 +142,7 @@
 	a.awaitEnd(t)
 }
 
-// A client that rests on its connection until the agent ends it, and one that sends in that moment, come anew.
+// TestIdleClientsReconnectDuringDrain: idle clients, and one whose request crosses the close, connect again.
 func TestIdleClientsReconnectDuringDrain(t *testing.T) {
 	a, s := startDrainable(t, func(int) string { return ok200 })
 	c := a.dial(t)
@@ -157,7 +158,7 @@
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Fatalf("not closed: %v", err)
 	}
-	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: may fail, and is not sent on
+	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: may fail, and is not forwarded
 	anew := a.dial(t)
 	writeText(t, anew, getRequest("/get/x", ""))
 	expectServedAndClosed(t, anew)
@@ -170,7 +171,8 @@
 	}
 }
 
-// With every backend hanging, requests that came before the stop and after it get their answer before the platform kills.
+// TestDrainAnswersInTimeWithHangingBackends: requests that arrive before and after the stop are answered before the platform
+// kills the process, even if every backend hangs.
 func TestDrainAnswersInTimeWithHangingBackends(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -178,7 +180,7 @@
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
 	accept := make(chan time.Time)
 	a := &drainingAgent{startWithAcceptWindow(t, cfg, accept), accept}
-	a.drainTimeout = 500 * time.Millisecond // the platform's time: what comes after the stop waits no longer
+	a.drainTimeout = 500 * time.Millisecond // the platform's bound for requests that arrive after the stop
 	before := a.dial(t)
 	writeText(t, before, getRequest("/get/x", "X-Expires-In: 0.3\r\n"))
 	receive(t, "request", s.seen)
@@ -196,7 +198,7 @@
 	a.awaitEnd(t)
 }
 
-// A second SIGTERM, or one that comes before the agent serves, changes nothing: what was taken is answered.
+// TestStopBeforeServingStillAnswers: a stop before the agent serves changes nothing: accepted requests are answered.
 func TestStopBeforeServingStillAnswers(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
@@ -209,7 +211,7 @@
 	accept := make(chan time.Time)
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	r := &drainingAgent{&testAgent{Agent: a, ended: make(chan error, 1)}, accept}
-	c := r.dial(t) // in the kernel's queue
+	c := r.dial(t) // waits in the kernel's queue
 	writeText(t, c, getRequest("/get/x", ""))
 	go func() { r.ended <- a.Run(stopped) }()
 	expectServedAndClosed(t, c)
@@ -218,7 +220,7 @@
 	r.awaitEnd(t)
 }
 
-// An operators' call that was taken when the agent stops has its answer.
+// TestAdminCallDuringStopIsAnswered: an admin call that was accepted when the agent stops is answered.
 func TestAdminCallDuringStopIsAnswered(t *testing.T) {
 	a, err := New(t.Context(), withAdmin(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), State: "ready"}}}), discardLog)
 	if err != nil {
@@ -247,8 +249,8 @@
 	}
 }
 
-// SIGTERM with a request in flight: it is answered, connections between requests are closed,
-// and Run ends without an error.
+// TestDrainAnswersAcceptedRequests: on SIGTERM the request in flight is answered, idle connections are closed, and Run
+// returns no error.
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(n int) string {
@@ -304,8 +306,8 @@
 	}
 }
 
-// A lame duck says no to whoever asks after its health, serves what comes, ends each connection with
-// its answer, and closes those that stay idle; afterwards all is as it was.
+// TestLameDuckClosesIdleConnections: a lame duck fails health checks, serves what arrives, closes each connection with its
+// reply, and closes those that stay idle. When it is switched off all is as before.
 func TestLameDuckClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -324,7 +326,7 @@
 		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
 			t.Errorf("a connection ended %v after its answer", at.Sub(on))
 		}
-		expectStatus(t, dial(), "/get/x", 503) // the front goes on sending for a while
+		expectStatus(t, dial(), "/get/x", 503) // clients go on sending for a while
 		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
 			t.Errorf("the idle connection was closed after %v", at.Sub(on))
 		}
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -11,7 +11,7 @@
 	"martenbeam/balancer"
 )
 
-// Where the module says nothing, the loop itself keeps the promise of one final answer.
+// TestLoopAnswersWhenBalancerDoesNot: if the balancer does not answer, the loop still gives exactly one final reply.
 func TestLoopAnswersWhenBalancerDoesNot(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
@@ -22,7 +22,7 @@
 	r.deadline = time.Now()
 	l.apply(requestArrived{r})
 	l.apply(deadlineExceeded{r})
-	l.apply(deadlineExceeded{r}) // once only
+	l.apply(deadlineExceeded{r}) // counts once
 	l.apply(clientDisconnected{r})
 	if a := receive(t, "final answer", r.reply); !a.timedOut {
 		t.Errorf("%+v", a)
@@ -35,7 +35,7 @@
 	}
 }
 
-// A request may be gone before the step that would have told the module how long it has left.
+// TestRequestCancelledBeforeFirstStep: a request may be gone before the step that would tell the balancer its time left.
 func TestRequestCancelledBeforeFirstStep(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
@@ -57,7 +57,7 @@
 	receive(t, "end of the loop", done)
 }
 
-// An attempt's time ends with the first bytes of its answer, and not before.
+// TestAttemptTimerStopsOnceResponseStarts: the first bytes of the response end the attempt's deadline, and nothing else.
 func TestAttemptTimerStopsOnceResponseStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, inTime := range []bool{true, false} {
--- a/internal/agent/fakebackend_test.go
+++ b/internal/agent/fakebackend_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// fakeBackend is a server that answers with handle and counts what reached it.
+// fakeBackend is a backend that records the requests which reach it.
 type fakeBackend struct {
 	addr string
-	seen chan string // the id of each request that came whole
+	seen chan string // id of each complete request
 }
 
-// startRawBackend runs a backend that reads each request whole and writes what answer says, byte for
-// byte. An empty answer closes the connection, as does one that ends with it.
+// startRawBackend runs a backend that reads each request to its end and writes what answer returns, byte for byte. It
+// closes the connection after an empty or truncated answer, and after one that only the connection's end delimits.
 func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
@@ -66,7 +66,7 @@
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-// pattern is n bytes, none like those before.
+// pattern returns n bytes without repetition.
 func pattern(n int) string {
 	var text strings.Builder
 	for i := 0; text.Len() < n; i++ {
@@ -77,7 +77,7 @@
 
 func digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 
-// startHTTPBackend is a backend that serves by handle.
+// startHTTPBackend runs a backend with an HTTP handler.
 func startHTTPBackend(t *testing.T, handle http.HandlerFunc) discoveryMember {
 	t.Helper()
 	ln := listen(t)
@@ -87,7 +87,7 @@
 	return discoveryMember{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
-// manualBackend is a backend of which the test holds each connection.
+// manualBackend hands each accepted connection to the test.
 type manualBackend struct {
 	addr  string
 	conns chan net.Conn
@@ -114,7 +114,7 @@
 	return discoveryMember{ID: id, Addr: b.addr, Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
-// readRequest reads one request whole, and returns its id.
+// readRequest reads one request to its end and returns its id.
 func readRequest(t *testing.T, in *bufio.Reader) string {
 	t.Helper()
 	req, err := http.ReadRequest(in)
--- a/internal/agent/fakediscovery_test.go
+++ b/internal/agent/fakediscovery_test.go
@@ -23,7 +23,7 @@
 	return string(raw)
 }
 
-// fakeDiscovery is discovery: it hands each watch to the test, which writes to it line by line.
+// fakeDiscovery is a discovery server. It hands each watch to the test, which writes to it line by line.
 type fakeDiscovery struct {
 	addr  string
 	watch chan *fakeWatch
@@ -31,7 +31,7 @@
 
 type fakeWatch struct {
 	since        string
-	lines        chan string // closed: the watch ends
+	lines        chan string // closing it ends the watch
 	fail         chan struct{}
 	disconnected chan struct{} // closed with its connection
 }
@@ -70,7 +70,7 @@
 	return c
 }
 
-// sendLine has the watch tell a line.
+// sendLine writes a line to the watch.
 func (w *fakeWatch) sendLine(t *testing.T, line string) {
 	t.Helper()
 	select {
@@ -80,7 +80,8 @@
 	}
 }
 
-// countWatchGoroutines counts the tasks that read from discovery, and those of them that wait for the follower to take what they read.
+// countWatchGoroutines counts the goroutines that read from discovery, and those of them that wait for the watcher to
+// take what they read.
 func countWatchGoroutines() (all, waiting int) {
 	stacks := make([]byte, 1<<20)
 	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/agent/clientconn"
 )
 
-// A client keeps its connections; one without a request may be closed after 2 s, and must be
-// soon after, or idle ones shut out everybody else.
+// TestIdleClientConnectionIsClosed: a connection without a request may be closed after 2 s, and has to be soon after, or
+// idle connections would keep other clients out.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -31,7 +31,7 @@
 	})
 }
 
-// Whoever asks after the agent's health keeps no connection.
+// TestHealthCheckClosesItsConnection: a health check keeps no connection open.
 func TestHealthCheckClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -45,8 +45,8 @@
 	})
 }
 
-// While others want to connect, the connection that has waited longest for its first request gives
-// way, then the one idle longest; never one with a request open, nor one that has only just come.
+// TestIdleEvictionOrder: when clients wait to connect, the connection that has waited longest for its first request is
+// closed, then the one that has been idle longest; never one with an open request or one that has just been accepted.
 func TestIdleEvictionOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -108,8 +108,8 @@
 	}
 }
 
-// A connection that never sends anything must not hold up a planned restart, which closes such
-// ones after a while. Those that have sent a request are left alone.
+// TestSilentConnectionsAreClosedWhenIdle: a connection that never sends anything must not delay a planned restart. Those
+// that have sent a request are left alone.
 func TestSilentConnectionsAreClosedWhenIdle(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -140,8 +140,8 @@
 	}
 }
 
-// Past its part of the descriptors the agent holds no more requests and keeps no more
-// connections; a refusal there is true, since nothing ran.
+// TestRequestsOverLimitAreRejected: beyond its part of the descriptors the agent holds no more requests and keeps no more
+// connections. A rejection is safe there, since nothing was executed.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
--- a/internal/agent/frontendharness_test.go
+++ b/internal/agent/frontendharness_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// pipeListener hands the front connections that live in memory, so that its time-outs can run on
-// synctest's clock.
+// pipeListener gives the frontend connections in memory, so that its timeouts can run on synctest's clock.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -29,7 +28,7 @@
 func (l *pipeListener) Close() error   { close(l.done); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// startPipeFrontend runs a front with no module behind it on synctest's clock, and returns what dials it.
+// startPipeFrontend runs a frontend without a balancer on synctest's clock, and returns a function that connects to it.
 func startPipeFrontend(t *testing.T, cfg *Config) (*frontend, func() net.Conn) {
 	t.Helper()
 	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
@@ -49,7 +48,7 @@
 	}
 }
 
-// readUntilClosed returns when the far side closed the connection, and the status it gave before, or 0.
+// readUntilClosed returns the status of the response, or 0 without one, and when the far side closed the connection.
 func readUntilClosed(c net.Conn) (status int, at time.Time) {
 	in := bufio.NewReader(c)
 	if resp, err := http.ReadResponse(in, nil); err == nil {
@@ -60,7 +59,7 @@
 	return status, time.Now()
 }
 
-// expectStatus sends a request and reads its answer, which must be so.
+// expectStatus sends a request and checks the status of the response.
 func expectStatus(t *testing.T, c net.Conn, path string, status int) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", path, newID()); err != nil {
@@ -75,8 +74,8 @@
 	}
 }
 
-// rejectAll stands in for the module behind a front: it refuses what comes, but for the class
-// "pay", which it never answers.
+// rejectAll replaces the balancer behind a frontend: it rejects all requests but those of the class "pay", which it never
+// answers.
 func rejectAll(t *testing.T, f *frontend) {
 	f.loop.ready.Store(true)
 	done := make(chan struct{})
@@ -96,7 +95,8 @@
 	t.Cleanup(func() { close(f.loop.stopped); <-done })
 }
 
-// startSocketFrontend runs a front on real sockets with no module behind it. What the front posts comes to the test.
+// startSocketFrontend runs a frontend on real sockets without a balancer. The test receives the events that the frontend
+// posts.
 func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan any) {
 	t.Helper()
 	cfg := testConfig(t, testSetup{})
@@ -128,7 +128,7 @@
 	}, l.events
 }
 
-// nextEvent returns the next event that the front posted, which must be of this kind.
+// nextEvent returns the next event that the frontend posted, which must be of type T.
 func nextEvent[T any](t *testing.T, posts <-chan any) T {
 	t.Helper()
 	e, ok := receive(t, "event", posts).(T)
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// patience is how long a test waits for what must come: far more than it takes anywhere.
+// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
 const testTimeout = 30 * time.Second
 
 type (
@@ -23,7 +23,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// settings has one class of each effect and deadlines long enough for a slow machine.
+// settings has one class for each kind of idempotency, and deadlines long enough for a slow machine.
 const settings = `{
  "Balancers": 1, "Me": 0, "Zone": 0, "Dcs": ["a", "b"], "Kinds": ["m1", "m2"], "MembershipMode": "%s",
  "TickMs": 1, "CountedBy": "request",
@@ -37,8 +37,8 @@
  "Goal": {"Whole": 1}, "Report": {"Source": "inline"}}`
 
 type testSetup struct {
-	mode      string // of discovery; "" is automatic
-	deadline  int    // of all classes, ms; 0: 60 s
+	mode      string // of discovery; "": automatic
+	deadline  int    // of all classes, in ms; 0: 60 s
 	discovery string
 	servers   []discoveryMember
 }
@@ -70,7 +70,7 @@
 	return cfg
 }
 
-// unusedAddr is an address at which nothing listens.
+// unusedAddr returns an address at which nothing listens.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -88,7 +88,7 @@
 	return ln
 }
 
-// testAgent is an agent under test.
+// testAgent is a running agent under test.
 type testAgent struct {
 	*Agent
 	baseURL string
@@ -103,13 +103,13 @@
 	return startWithAcceptWindow(t, cfg, now)
 }
 
-// startWithAcceptWindow runs an agent that, once stopped, takes connections until accept is closed.
+// startWithAcceptWindow runs an agent that, once stopped, accepts connections until accept is closed.
 func startWithAcceptWindow(t *testing.T, cfg *Config, accept <-chan time.Time) *testAgent {
 	t.Helper()
 	return startWithHook(t, cfg, accept, func(*testAgent) {})
 }
 
-// startWithHook runs an agent once something was done between its set-up and its start.
+// startWithHook runs an agent and calls before between its set-up and its start.
 func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
 	t.Helper()
 	a, err := New(t.Context(), cfg, discardLog)
@@ -118,8 +118,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &testAgent{Agent: a, baseURL: "http://" + a.Addr().String(), stop: cancel, ended: make(chan error, 1)}
-	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout              // a slow machine is no dead discovery
-	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout // nor a rude client
+	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout              // a slow machine must not look like a dead discovery
+	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout // nor like a slow client
 	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	a.drainTimeout = 2 * testTimeout
@@ -147,7 +147,7 @@
 	}
 }
 
-// eventually polls what has no channel to wait on.
+// eventually polls for a condition that no channel announces.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -19,7 +19,7 @@
 	"martenbeam/internal/agent/handover"
 )
 
-// inheritedDescriptor is a further descriptor of a socket, as a process inherits it.
+// inheritedDescriptor returns another descriptor of a socket, as a process inherits it.
 func inheritedDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
@@ -33,8 +33,7 @@
 	return keep
 }
 
-// hotRestartConfig is a configuration of one of the processes of an agent: they share a listener and a
-// directory.
+// hotRestartConfig returns the configuration of one of an agent's processes, which share a listener and a directory.
 func hotRestartConfig(t *testing.T, ln net.Listener, dir string, s testSetup) *Config {
 	t.Helper()
 	cfg := withAdmin(t, s)
@@ -43,8 +42,8 @@
 	return cfg
 }
 
-// One process takes the clients over from another that serves: what the older one was told holds, no
-// request is turned back, and the older one ends.
+// TestHotRestartHandsOverClients: a new process takes the clients over from one that serves. The admin calls to the older
+// process apply, no request is rejected, and the older process ends.
 func TestHotRestartHandsOverClients(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -111,7 +110,7 @@
 	})
 }
 
-// Two processes together stay within what one may hold.
+// TestTwoProcessesStayWithinDescriptorLimit: together they use what one may use.
 func TestTwoProcessesStayWithinDescriptorLimit(t *testing.T) {
 	for _, limit := range []int{256, 384, 512, 1024} {
 		for _, mgmt := range []string{"", "127.0.0.1:1"} {
@@ -127,7 +126,7 @@
 	}
 }
 
-// duplicateDescriptor returns a descriptor that is nobody's yet, and closes f.
+// duplicateDescriptor returns a descriptor that no os.File owns, and closes f.
 func duplicateDescriptor(f *os.File) (int, error) {
 	defer f.Close()
 	fd, err := syscall.Dup(int(f.Fd()))
@@ -137,8 +136,8 @@
 	return fd, err
 }
 
-// What a process that leaves cuts off itself is lost, what the platform's kill ends is excused: it goes on
-// with a large answer past the time at which it may be killed.
+// TestDrainingProcessFinishesLargeResponse: a request that the process itself aborts counts against it, one that the
+// platform's kill aborts does not. So it goes on with a large response after the time at which it may be killed.
 func TestDrainingProcessFinishesLargeResponse(t *testing.T) {
 	hold := make(chan struct{})
 	text := pattern(4 * maxBufferedBody)
@@ -168,8 +167,8 @@
 	}
 }
 
-// An agent whose directory can't be written to serves all the same. It heeds operators' calls and does not say yes, which
-// would have to hold over an upgrade.
+// TestUnwritableHandoverDirStillServes: an agent that can't write to its directory still serves. It applies admin calls, but
+// does not confirm them, since a confirmed call has to hold over a hot restart.
 func TestUnwritableHandoverDirStillServes(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	ln := listen(t)
@@ -187,7 +186,7 @@
 	}
 }
 
-// The same with processes that serve: the older one's share of the limits comes back.
+// TestOlderProcessRegainsLimitsWhenSuccessorEnds: the older process's part of the limits comes back.
 func TestOlderProcessRegainsLimitsWhenSuccessorEnds(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	ln, dir := listen(t), t.TempDir()
@@ -211,8 +210,8 @@
 	}
 }
 
-// What the older process takes between the two first reads of its successor holds there from its first request on, though
-// discovery tells it nothing: a list, and an operators' call.
+// TestRecordChangedBetweenFirstReadsIsApplied: a list or an admin call that the older process records between its
+// successor's first two reads applies to the successor from its first request on, without a word from discovery.
 func TestRecordChangedBetweenFirstReadsIsApplied(t *testing.T) {
 	for _, call := range []bool{false, true} {
 		t.Run(fmt.Sprint("call ", call), func(t *testing.T) {
@@ -224,7 +223,7 @@
 			watch := receive(t, "watch", c.watch)
 			now := make(chan time.Time)
 			close(now)
-			younger := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(younger *testAgent) { // has read the record once
+			younger := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(younger *testAgent) { // the successor has read the record once
 				if call {
 					if resp := callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
 						t.Fatalf("%+v", resp)
--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// Every attribute of a log line stands in docs/logs.md, and every one there is in use.
+// TestLogAttributesAreDocumented: docs/logs.md lists each attribute of a log line, and no others.
 func TestLogAttributesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/logs.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	used := map[string]bool{"agent": true} // given to the logger itself
+	used := map[string]bool{"agent": true} // set on the logger itself
 	var files []string
 	for _, pattern := range []string{"*.go", "*/*.go", "../fleet/*.go", "../fleet/*/*.go", "../residency/*.go", "../settings/*.go", "../membership/*.go", "../logging/*.go"} {
 		found, err := filepath.Glob(pattern)
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -8,7 +8,7 @@
 	"martenbeam/balancer"
 )
 
-// The module's peer messages travel as datagrams, with the sender known by its address.
+// TestPeerMessagesTravelAsDatagrams: the sender of a message is known by its address.
 func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	cfg.PeerListen = "127.0.0.1:0"
@@ -40,7 +40,7 @@
 	}
 }
 
-// While the older process holds the peers' address the younger waits for it.
+// TestPeerAddressIsBoundOnceReleased: while an older process holds the peers' address, the successor waits for it.
 func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	held, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -14,7 +14,7 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// dyingConn stands for a connection that breaks while it is idle, unseen.
+// dyingConn breaks while it is idle, unnoticed.
 type dyingConn struct {
 	net.Conn
 	dead *atomic.Bool
@@ -27,8 +27,8 @@
 	return c.Conn.Write(p)
 }
 
-// Ticket 8488: a kept connection that turns out dead before the request is written whole is no
-// failed connect. The attempt goes out on a new one, once.
+// TestDeadIdleConnectionIsReplacedByNewOne: an idle connection that turns out to be dead before the request is complete is
+// no failed connect (ticket 8488). The attempt is made on a new connection, once.
 func TestDeadIdleConnectionIsReplacedByNewOne(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, s.addr)
@@ -57,8 +57,8 @@
 	}
 }
 
-// A request that ended before anything was sent leaves its connection as old as it was: the
-// backend has seen nothing on it since.
+// TestUnusedConnectionKeepsItsIdleTime: if nothing was sent on a connection it stays as old as it was, since the backend
+// has seen nothing on it.
 func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, s.addr)
@@ -72,10 +72,9 @@
 	}
 }
 
-// net/http's Transport sends a request again by itself when a reused connection turns out to be
-// dead, also a POST that carries Idempotency-Key. That would be an attempt the module never
-// asked for. Here the first request leaves a connection, which the backend closes without an
-// answer to the second.
+// TestStaleConnectionCausesNoImplicitResend: net/http's Transport sends a request again on its own if a reused connection
+// turns out to be dead, also a POST with an Idempotency-Key. That would be an attempt which the balancer did not order.
+// Here the first request leaves an idle connection, which the backend closes without a response to the second.
 func TestStaleConnectionCausesNoImplicitResend(t *testing.T) {
 	s := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	b := poolWithBackend(t, s.addr)
@@ -93,8 +92,8 @@
 	}
 }
 
-// A connection that has stood idle for nearly as long as backends allow is not used again: the
-// request would cross the close.
+// TestExpiredIdleConnectionIsNotReused: on a connection that has been idle for nearly as long as backends allow, a request
+// could cross the close.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, s.addr)
@@ -110,8 +109,8 @@
 	}
 }
 
-// Under the descriptor limit the connection idle longest makes room; with none idle the attempt
-// fails unsent.
+// TestConnectionLimitEvictsIdleConnection: at the limit the connection that has been idle longest is closed; if none is
+// idle the attempt fails unsent.
 func TestConnectionLimitEvictsIdleConnection(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(n int) string {
@@ -144,7 +143,7 @@
 	}
 }
 
-// A new address under an old id is another process: the old connections go.
+// TestAddressChangeClosesIdleConnections: at a new address another process has the old id.
 func TestAddressChangeClosesIdleConnections(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -160,7 +159,7 @@
 	}
 }
 
-// A connection that was in use while its backend moved leads to the old process: it is not kept.
+// TestConnectionInUseIsClosedAfterAddressChange: a connection in use leads to the old process, so it is not kept.
 func TestConnectionInUseIsClosedAfterAddressChange(t *testing.T) {
 	hold := make(chan struct{})
 	one := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -179,8 +178,8 @@
 	}
 }
 
-// What is being dialled when a backend is detached is not sent: nothing has run. Kept connections
-// to it go, and what is out may finish.
+// TestDisabledBackendReceivesNothing: an attempt that is being dialled when the backend is disabled is not sent. Idle
+// connections are closed, and attempts that were sent may finish.
 func TestDisabledBackendReceivesNothing(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, s.addr)
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/wire"
 )
 
-// A peer that sends no whole request is owed an error or a close within 3 s of connecting; until
-// then it holds a descriptor that clients need.
+// TestIncompleteRequestTimesOut: a peer that sends no complete request is owed an error or a close within 3 s of connecting.
+// Until then it holds a descriptor that clients need.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	const within = 3 * time.Second
 	for name, text := range map[string]string{
@@ -42,8 +42,8 @@
 	}
 }
 
-// Bad input gets a plain answer that says 'failed', and reaches no backend. A 429 or 503 would
-// say that another try is harmless.
+// TestInvalidRequestIsAnsweredWithError: an invalid request gets a reply that means 'failed', and reaches no backend. 429 or
+// 503 would mean that a retry is harmless.
 func TestInvalidRequestIsAnsweredWithError(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -70,7 +70,7 @@
 	}
 	for name, text := range map[string]string{
 		"garbage": "\x00\x01\x02\r\n\r\n",
-		// The operators' page: bodies of up to 32 MB occur. Before, one past 64 KiB was turned away.
+		// Bodies of up to 32 MB occur. Once a body larger than 64 KiB was rejected.
 		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc", maxStreamBytes+1),
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
@@ -97,8 +97,8 @@
 	}
 }
 
-// What stands inside a request's body, by either way to tell where the body ends, is never taken
-// for a request of its own.
+// TestRequestInsideBodyIsNotExecuted: text inside a request's body is never taken for a request of its own, however the
+// body's end is given.
 func TestRequestInsideBodyIsNotExecuted(t *testing.T) {
 	const inner = "POST /pay/inner HTTP/1.1\r\nHost: a\r\nX-Trace-Id: inner%d\r\nContent-Length: 0\r\n\r\n"
 	s := startRawBackend(t, func(int) string { return ok200 })
@@ -151,7 +151,7 @@
 	}
 }
 
-// All forms of a request are taken, and what follows one on its connection.
+// TestPipelinedAndChunkedRequestsAreServed covers all forms of a request, and pipelined ones.
 func TestPipelinedAndChunkedRequestsAreServed(t *testing.T) {
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		got, _ := io.ReadAll(hr.Body)
@@ -181,7 +181,7 @@
 	}
 }
 
-// The module is told what a request concerns, where its cookie says so.
+// TestSessionCookieSetsTheKey: the balancer gets the affinity key from the session cookie.
 func TestSessionCookieSetsTheKey(t *testing.T) {
 	f := newFrontend(testConfig(t, testSetup{}), nil, discardLog)
 	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.AffinityKey("7f3a"), "a=b; sid=7f3a": wire.AffinityKey("7f3a")} {
@@ -200,7 +200,7 @@
 	}
 }
 
-// A connection on which a header has begun to come is not idle, though nothing lies unread on it.
+// TestPartialHeaderIsNotIdle: a connection on which part of a header has arrived is not idle, though all of it was read.
 func TestPartialHeaderIsNotIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -8,9 +8,9 @@
 	"martenbeam/balancer"
 )
 
-// Ticket 8488: some backends drop idle connections long before the settings' time and say
-// nothing. Once a few requests have been lost on connections idle for so long, such ones are
-// closed unused, and younger ones are still used.
+// TestIdleTimesThatOftenBreakAreNotReused: some backends drop idle connections long before the settings' time, without a
+// sign (ticket 8488). Once a few requests were lost on connections that had been idle for so long, such connections are
+// closed unused; younger ones are still used.
 func TestIdleTimesThatOftenBreakAreNotReused(t *testing.T) {
 	answers := make(chan string, 100)
 	s := startRawBackend(t, func(int) string { return <-answers })
@@ -57,7 +57,7 @@
 	}
 }
 
-// What breaks on new connections as often tells nothing of age.
+// TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes: if new connections break as often, idle time is not the reason.
 func TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes(t *testing.T) {
 	var r reuseStats
 	for i := range 400 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// The least time after which backends close idle connections is no reason to end the program.
+// TestCloseExpiredWithMinimalIdleTime: the smallest idle time that the settings allow must not stop the program.
 func TestCloseExpiredWithMinimalIdleTime(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	cfg.Site.IdleClose = 1
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// A large answer goes on with its first bytes, unchanged, in whatever form the backend writes it.
+// TestLargeResponseIsStreamed: a large response is passed on from its first bytes, unchanged, in whatever form it comes.
 func TestLargeResponseIsStreamed(t *testing.T) {
 	text := pattern(6*maxBufferedBody + 3)
 	for name, head := range map[string]string{
@@ -55,7 +55,7 @@
 			if _, err := io.ReadFull(resp.Body, got); err != nil || resp.StatusCode != 200 || resp.Header.Get("X-Form") != "kept" {
 				t.Fatal(resp, err)
 			}
-			close(more) // only now does the backend go on
+			close(more) // the backend goes on only now
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || string(got)+string(rest) != text {
 				t.Errorf("%d bytes and %d, %v", len(got), len(rest), err)
@@ -64,8 +64,8 @@
 	}
 }
 
-// An answer that breaks off after it has begun ends so that the client can tell, and the backend's
-// connection is not used again.
+// TestTruncatedLargeResponseIsDetectable: a streaming response that breaks off ends such that the client can tell, and the
+// backend's connection is not used again.
 func TestTruncatedLargeResponseIsDetectable(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nTRUNCATED" + pattern(70000),
@@ -90,9 +90,9 @@
 	}
 }
 
-// A client that does not read its large answer holds up nobody else.
+// TestSlowReaderBlocksNoOtherClient: a client that does not read its large response blocks only itself.
 func TestSlowReaderBlocksNoOtherClient(t *testing.T) {
-	text := pattern(8 << 20) // more than any kernel holds on the way
+	text := pattern(8 << 20) // more than any kernel buffers on the way
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/large" {
 			_, _ = io.WriteString(w, text)
@@ -114,13 +114,13 @@
 	}
 }
 
-// disconnectedWriter is the answer's way to a client that takes what comes until it is gone.
+// disconnectedWriter is the response writer of a client that reads until it disconnects.
 type disconnectedWriter struct{ *statusRecorder }
 
 func (disconnectedWriter) SetWriteDeadline(time.Time) error { return nil }
 func (disconnectedWriter) Flush()                           {}
 
-// A client that leaves within its large answer ends it; its backend is not blamed.
+// TestClientDisconnectDuringStreamIsNotBackendsFault: the stream ends, and the backend is not to blame.
 func TestClientDisconnectDuringStreamIsNotBackendsFault(t *testing.T) {
 	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: poolWithBackend(t, "127.0.0.1:1")}, discardLog)
 	in, out := io.Pipe()
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	go func() {
-		defer func() { _ = recover() }() // net/http's: the connection is closed
+		defer func() { _ = recover() }() // net/http's abort, which closes the connection
 		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &response{body: []byte("first"), stream: s})
 	}()
 	leave()
@@ -142,11 +142,11 @@
 	}
 }
 
-// An answer that never ends is no answer: its client is told within its time, or, where part of it was passed on by then, can
-// tell once its backend has been waited for too long. Each is bounded in what it holds.
+// TestEndlessResponsesAreBounded: a response that never ends is none. The client gets an error in time or, if part of the
+// response was passed on by then, a truncated response once the backend was too slow for too long. The memory is bounded.
 func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, row := range map[string]struct {
-		start, more string // more comes again and again
+		start, more string // more is sent again and again
 		passed      bool   // part of it is passed on
 	}{
 		"header":          {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n", false},
@@ -191,7 +191,7 @@
 				}
 			}()
 			x := a.do("GET", "/get/x", "", "X-Expires-In", "0.6")
-			broken := x.err != nil && !strings.Contains(x.err.Error(), "deadline") // of the test
+			broken := x.err != nil && !strings.Contains(x.err.Error(), "deadline") // the test's own deadline
 			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
 				t.Errorf("%+v", x)
 			}
@@ -204,8 +204,8 @@
 	}
 }
 
-// Seed 15 of the short days, zone+brink: a long answer of unknown length, of which little had come by its client's deadline, was
-// cut off while its backend still gave. Its first bytes are timed, and the rest goes on for as long as it comes.
+// TestStreamingResponseContinuesPastDeadline: a response of unknown length, of which little had arrived by its client's
+// deadline, was once cut off while its backend still sent. The deadline applies to the first bytes; the rest goes on.
 func TestStreamingResponseContinuesPastDeadline(t *testing.T) {
 	s := startManualBackend(t)
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -216,7 +216,7 @@
 	readRequest(t, bufio.NewReader(b))
 	writeText(t, b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlong\r\n")
 	resp := c.readResponse()
-	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline is past: it is the backend that waits for it
+	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline is over, and the stream continues
 	writeText(t, b, "7\r\n answer\r\n0\r\n\r\n")
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "long answer" {
 		t.Errorf("%d %q, %v", resp.StatusCode, body, err)
--- a/internal/agent/testclient_test.go
+++ b/internal/agent/testclient_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// exchange is one client request to the agent: what came back, with its whole body.
+// exchange is the agent's response to one client request, with the complete body.
 type exchange struct {
 	status int
 	header http.Header
@@ -51,7 +51,7 @@
 	return exchange{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// rawClient is a client's connection, in pieces.
+// rawClient is a client's connection, on which a test sends requests byte by byte.
 type rawClient struct {
 	t *testing.T
 	net.Conn
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nIdempotency-Key: k\r\n%s\r\n", path, newID(), more)
 }
 
-// chunkedBody is a body in chunks, with extensions and a trailer.
+// chunkedBody encodes a body in chunks, with chunk extensions and a trailer.
 func chunkedBody(parts ...string) string {
 	text := ""
 	for _, p := range parts {
@@ -111,7 +111,7 @@
 	}
 }
 
-// statusRecorder is a ResponseWriter that keeps the status.
+// statusRecorder is a ResponseWriter that records status and header.
 type statusRecorder struct {
 	header http.Header
 	status int
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// A large body goes on to the backend as it comes, unchanged, in whatever form it is written.
+// TestLargeBodyIsStreamed: a large body is forwarded as it arrives, unchanged, in whatever form it is sent.
 func TestLargeBodyIsStreamed(t *testing.T) {
 	began := make(chan bool, 10)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// A body of which a part is gone is never sent again. Where its last byte was not written nothing has
-// run, and the client may try again; where a connection failed before, the attempt is made elsewhere.
+// TestConsumedBodyIsNotRetried: a body of which part was sent is never sent again. If its last byte was not written nothing
+// was executed, and the client may retry; if the connection failed before, the attempt is made elsewhere.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	came := make(chan struct{}, 10)
 	ln := listen(t)
@@ -89,15 +89,15 @@
 	})
 	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
 	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
-	for range 10 { // some of these find the dead one first
+	for range 10 { // some of these try the dead backend first
 		if x := b.do("POST", "/pay/x", text[:3*maxBufferedBody]); x.status != 200 || x.body != digest(text[:3*maxBufferedBody]) {
 			t.Errorf("%+v", x)
 		}
 	}
 }
 
-// A client that breaks off within its large body is gone: the backend never gets the last byte, and is
-// not blamed.
+// TestClientAbortDuringUploadIsNotBackendsFault: if a client disconnects during its upload the backend never gets the last
+// byte, and is not to blame.
 func TestClientAbortDuringUploadIsNotBackendsFault(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan error, 1)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// A client may take 2 s for a header and send its body at 64 kB a second; one that stops is sent away,
-// and the time in which nobody takes what it sends is not its own.
+// TestSlowUploadIsServedAndStalledOneEnds: a client may take 2 s for a header and send its body at 64 kB per second. One
+// that stops sending is disconnected; time in which the backend does not read does not count.
 func TestSlowUploadIsServedAndStalledOneEnds(t *testing.T) {
 	const total = 5 * maxBufferedBody
 	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
@@ -148,7 +148,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
 		rejectUploads(t, f, 3*time.Second)
-		if status, took := upload(t, f, dial, total); status != 503 { // the module's word here: it was taken whole
+		if status, took := upload(t, f, dial, total); status != 503 { // the fake balancer's reply: the body was read to its end
 			t.Errorf("a slow one: status %d after %v", status, took)
 		}
 		if status, took := upload(t, f, dial, total/2); status != 408 || took > 10*time.Second {
@@ -157,8 +157,8 @@
 	})
 }
 
-// rejectUploads stands in for the module and an attempt behind a front: it waits for a while, reads a
-// large body to its end and refuses.
+// rejectUploads replaces the balancer and an attempt behind a frontend: it waits for a while, reads a large body to its end
+// and rejects the request.
 func rejectUploads(t *testing.T, f *frontend, wait time.Duration) {
 	f.loop.ready.Store(true)
 	var ends []chan struct{}
--- a/internal/agent/upstream_race_test.go
+++ b/internal/agent/upstream_race_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// hookedGate is a residency policy that permits everything, and is asked right before a request's first byte: the moment
-// to do something in.
+// hookedGate is a residency policy that permits everything. The pool asks it right before a request's first byte, which
+// lets a test do something at that moment.
 type hookedGate struct{ hook func() }
 
 func (k *hookedGate) RuleID(string, string) int { return 1 }
@@ -53,11 +53,11 @@
 	return &gate.Table{Permitted: [][]bool{nil, nil}, Restricted: []bool{false, false}}
 }
 
-// What comes on a connection before a request is written is no answer to it, whenever it comes: it is not served, the
-// backend is not blamed, and the request goes out once, on another connection.
+// TestUnsolicitedBytesAreNoResponse: bytes that arrive before a request is written are no response to it, whenever they
+// arrive. They are not served, the backend is not to blame, and the request is sent once, on another connection.
 func TestUnsolicitedBytesAreNoResponse(t *testing.T) {
 	for name, stray := range map[string]string{"a whole answer": okResponse("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
-		// The check comes twice for a request: before it is handed to net/http, and before its first byte.
+		// Each request is checked twice: before it is handed to net/http, and before its first byte is written.
 		for when, at := range map[string]int{"with the first answer": -1, "while resting": 0, "between taking and handing over": 1, "between handing over and writing": 2} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				s := startManualBackend(t)
@@ -101,8 +101,8 @@
 	}
 }
 
-// A connection that has rested goes before one that has not, and once bytes came that nobody had asked for, with an answer or
-// after it, no other is used again before a second answer had its time to come.
+// TestSettledConnectionIsPreferred: a connection that has been idle for settleTime is preferred. Once unsolicited bytes
+// arrived, with a response or after it, no other is reused before a duplicate response would have arrived.
 func TestSettledConnectionIsPreferred(t *testing.T) {
 	s := startManualBackend(t)
 	b := poolWithBackend(t, s.addr)
@@ -116,7 +116,7 @@
 	one := receive(t, "connection", s.conns)
 	inOne := bufio.NewReader(one)
 	serve(one, inOne, done, okResponse("hello"))
-	serve(one, inOne, b.start(&attempt{}), okResponse("hello")) // it is the only one, and nothing is known against it
+	serve(one, inOne, b.start(&attempt{}), okResponse("hello")) // the only one, and no unsolicited bytes were seen
 	first := b.start(&attempt{})
 	readRequest(t, inOne)
 	second := b.start(&attempt{})
@@ -134,7 +134,7 @@
 		c, in, other, inOther = two, inTwo, one, inOne
 	}
 	serve(c, in, b.start(&attempt{}), okResponse("hello"))
-	serve(c, in, b.start(&attempt{}), okResponse("hello")) // the latest, where none has rested
+	serve(c, in, b.start(&attempt{}), okResponse("hello")) // the most recently used, as none has settled
 	serve(c, in, b.start(&attempt{}), okResponse("hello")+"more")
 	done = b.start(&attempt{})
 	three := receive(t, "third connection", s.conns)
@@ -145,11 +145,11 @@
 	}
 	b.idle["s"][1].idleSince = time.Now()
 	b.mu.Unlock()
-	serve(other, inOther, b.start(&attempt{}), okResponse("hello")) // rested by now
+	serve(other, inOther, b.start(&attempt{}), okResponse("hello")) // settled by now
 }
 
-// A new connection that is turned away says that its backend holds as many as it may: the module is told that it was new, and
-// the agent gives up the one of its own that rested longest.
+// TestRejectedNewConnectionEvictsIdleOne: if a backend rejects a request on a new connection it has as many connections as
+// it accepts: the balancer is told that the connection was new, and the pool closes the one that was idle longest.
 func TestRejectedNewConnectionEvictsIdleOne(t *testing.T) {
 	const never = "HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	full, other := startManualBackend(t), startManualBackend(t)
@@ -174,7 +174,7 @@
 	}
 	c, in := try("s", at(full), okResponse("hello"), balancer.OK, true)
 	try("other", at(other), okResponse("hello"), balancer.OK, true)
-	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Rejected, false) // a queue
+	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Rejected, false) // a full queue
 	if len(b.idle["other"]) != 1 {
 		t.Error("a connection was given up for a full queue")
 	}
@@ -188,7 +188,7 @@
 	b.mu.Unlock()
 }
 
-// A connection that its backend closed in the moment of the write carries nothing, and blames nobody.
+// TestConnectionClosedBeforeWriteIsReplaced: a connection that its backend closes right before the write is replaced.
 func TestConnectionClosedBeforeWriteIsReplaced(t *testing.T) {
 	s := startManualBackend(t)
 	b := poolWithBackend(t, s.addr)
@@ -212,7 +212,7 @@
 	receive(t, "second answer", second).expect(t, balancer.OK, "second")
 }
 
-// blockDials has each dial wait, until it is released.
+// blockDials makes each dial wait until it is released.
 func blockDials(b *upstreamPool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
 	dial := b.transport.DialContext
@@ -233,14 +233,14 @@
 	b.applyUpdate(u)
 }
 
-// What is told while a connection comes up, or in the last moment before the first byte, holds: nothing goes to a backend
-// that drains, is gone, has moved, is in another pod, or was detached; nothing for a request that is over, and no repeat past
-// its window. Nothing has run, and the request may go elsewhere where there is more to be made of it.
+// TestUpdateBeforeFirstByteStopsTheAttempt: an update that arrives while a connection is opened, or right before the first
+// byte, applies. Nothing is sent to a backend that drains, is gone, has moved, is in another pod or was disabled; nothing
+// for a request that was answered, and no retry after its window. Nothing was executed, and the request may go elsewhere.
 func TestUpdateBeforeFirstByteStopsTheAttempt(t *testing.T) {
 	for name, row := range map[string]struct {
 		event func(b *upstreamPool, tr *attempt, over chan struct{}, addr string)
 		want  balancer.Result
-		kept  int // connections that may serve others
+		kept  int // connections that may serve other requests
 	}{
 		"drains": {func(b *upstreamPool, _ *attempt, _ chan struct{}, addr string) {
 			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
@@ -272,7 +272,7 @@
 			expectNotWritten(t, b, s, done, row.want, row.kept)
 		})
 		if name == "window over" || name == "nothing" {
-			continue // that bound is handed over with the request: TestRetryWriteEndsWithItsWindow
+			continue // that bound is passed with the request: TestRetryWriteEndsWithItsWindow
 		}
 		t.Run(name+" in the last moment", func(t *testing.T) {
 			s := startManualBackend(t)
@@ -311,7 +311,7 @@
 	}
 }
 
-// A repeat that its backend does not read is given up when the window is over, and has not run.
+// TestRetryWriteEndsWithItsWindow: a retry that its backend does not read is aborted when its window ends, unexecuted.
 func TestRetryWriteEndsWithItsWindow(t *testing.T) {
 	s := startManualBackend(t)
 	b := poolWithBackend(t, s.addr)
@@ -320,7 +320,7 @@
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		if err == nil { // the kernel would take all of it
+		if err == nil { // the kernel's buffer would take all of it
 			conn := c.(*trackedConn)
 			conn.Conn = blockedWriteConn{conn.Conn, make(chan time.Time, 4)}
 		}
@@ -329,7 +329,7 @@
 	receive(t, "result", b.start(tr)).expect(t, balancer.ConnectFailed, "")
 }
 
-// blockedWriteConn takes the first part of a request, and then waits for its deadline.
+// blockedWriteConn takes the first part of a request and then blocks until its deadline.
 type blockedWriteConn struct {
 	net.Conn
 	deadline chan time.Time
@@ -340,7 +340,7 @@
 func (c blockedWriteConn) Write(p []byte) (int, error) {
 	select {
 	case at := <-c.deadline:
-		time.Sleep(time.Until(at)) // as a socket that takes no more
+		time.Sleep(time.Until(at)) // as a socket whose buffer is full
 		return len(p) / 2, context.DeadlineExceeded
 	case <-time.After(2 * testTimeout):
 		return len(p), nil // no deadline was set
