--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -37,7 +37,7 @@
 	case balancer.Probe:
 		if l.cfg.Settings.ProbingAllowed && !l.probing[action.Backend] {
 			l.probing[action.Backend] = true
-			go func() { l.post(l.pool.probe(action.Backend)) }()
+			go func() { l.post(balancerEvent{l.pool.probe(action.Backend)}) }()
 		}
 	case balancer.SendGossip:
 		if l.peers != nil {
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -147,7 +147,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
+		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
 		ctx, end := context.WithTimeout(t.Context(), testTimeout)
 		ready, taken := make(chan struct{}), make(chan bool)
 		go func() {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -66,7 +66,7 @@
 		Sources:    sources,
 		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, AgentTime: clk.at, Log: log},
 		Addr:       cfg.Discovery, Polled: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
-		Deliver: func(u discovery.Update) { a.loop.post(u) }})
+		Deliver: func(u discovery.Update) { a.loop.post(endpointsUpdated{u}) }})
 	a.loop.subscribe = a.discovery.Subscribe
 	if cfg.Settings.GossipAllowed {
 		if a.loop.peers, err = newPeerTransport(ctx, cfg, log); err != nil {
@@ -131,9 +131,9 @@
 		a.restoreState(stop)
 	}
 	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
-		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
+		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
 	} else {
-		a.loop.apply(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}) // the balancer then polls for a list
+		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}}) // the balancer then polls for a list
 	}
 	endpointCount := len(a.pool.endpoints) // the event loop owns the list from here on
 	running.Go(func() { a.loop.run(ctx) })
@@ -145,7 +145,7 @@
 	peersCtx, stopPeers := context.WithCancel(ctx)
 	defer stopPeers()
 	if a.loop.peers != nil {
-		running.Go(func() { a.loop.peers.run(peersCtx, a.loop.post) })
+		running.Go(func() { a.loop.peers.run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
 	}
 	if a.admin != nil || a.hotRestart != nil {
 		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -24,7 +24,8 @@
 // JoinFunc sets up the membership before the agent runs. post passes the fleet's events to the balancer; it may block, but
 // never for long. follow makes the running agent watch discovery at another address, as after SIGHUP. The keeper is the
 // residency policy; nil: none.
-type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (Fleet, gate.Enforcer, error)
+type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event),
+	follow func(discovery string)) (Fleet, gate.Enforcer, error)
 
 // joinFleet sets up the membership that the configuration asks for, if any.
 func (a *Agent) joinFleet() error {
@@ -32,7 +33,8 @@
 		return nil
 	}
 	var err error
-	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, func(e balancer.Event) { a.loop.post(e) }, a.SetDiscoveryAddr); err != nil {
+	post := func(e balancer.Event) { a.loop.post(balancerEvent{e}) }
+	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, post, a.SetDiscoveryAddr); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	a.pool.residency = a.loop.residency
--- a/internal/agent/frontendharness_test.go
+++ b/internal/agent/frontendharness_test.go
@@ -97,7 +97,7 @@
 
 // startSocketFrontend runs a frontend on real sockets without a balancer. The test receives the events that the frontend
 // posts.
-func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan any) {
+func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan event) {
 	t.Helper()
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
@@ -129,7 +129,7 @@
 }
 
 // nextEvent returns the next event that the frontend posted, which must be of type T.
-func nextEvent[T any](t *testing.T, posts <-chan any) T {
+func nextEvent[T event](t *testing.T, posts <-chan event) T {
 	t.Helper()
 	e, ok := receive(t, "event", posts).(T)
 	if !ok {
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -94,7 +94,7 @@
 }
 
 // run binds the address, then sends and receives until ctx ends.
-func (p *peerTransport) run(ctx context.Context, post func(any)) {
+func (p *peerTransport) run(ctx context.Context, post func(balancer.GossipReceived)) {
 	if !p.bind(ctx) {
 		return
 	}
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan any, 1)
-	go p.run(t.Context(), func(e any) { got <- e })
+	got := make(chan balancer.Event, 1)
+	go p.run(t.Context(), func(m balancer.GossipReceived) { got <- m })
 	p.send(1, []byte("hi"))
 	p.send(5, []byte("nobody"))
 	p.send(1, make([]byte, maxDatagram+1))
