--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -17,9 +17,7 @@
 	case balancer.Send:
 		l.startAttempt(action)
 	case balancer.Cancel:
-		if r := l.requests[action.Request]; r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
-			r.cancels[action.Attempt](errCancelled)
-		}
+		l.cancelAttempt(action)
 	case balancer.Refuse:
 		if r := l.requests[action.Request]; r != nil && !r.finished {
 			l.counts.rejected++
@@ -35,10 +33,7 @@
 	case balancer.SetTimer:
 		heap.Push(&l.timers, timer{now + action.After, action.Token})
 	case balancer.Probe:
-		if l.cfg.Settings.ProbingAllowed && !l.probing[action.Backend] {
-			l.probing[action.Backend] = true
-			go func() { l.post(balancerEvent{l.pool.probe(action.Backend)}) }()
-		}
+		l.startProbe(action.Backend)
 	case balancer.SendGossip:
 		if l.peers != nil {
 			l.peers.send(action.To, action.Data)
@@ -46,11 +41,7 @@
 	case balancer.Subscribe:
 		l.subscribe()
 	case balancer.ZoneStateChanged:
-		name := strconv.Itoa(action.Zone)
-		if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
-			name = zones[action.Zone]
-		}
-		l.log.Warn("zone", "zone", name, "left", action.FailedOver, "told", action.ByGossip)
+		l.logZoneTurn(action)
 	case balancer.OverrideResult:
 		l.completeCall(action)
 	default:
@@ -58,6 +49,32 @@
 	}
 }
 
+// cancelAttempt cancels one attempt, where the site permits that.
+func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
+	r := l.requests[action.Request]
+	if r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
+		r.cancels[action.Attempt](errCancelled)
+	}
+}
+
+// startProbe starts a health check, where the site permits that and none of the backend is in flight. Its goroutine ends
+// within the connect timeout.
+func (l *eventLoop) startProbe(backend string) {
+	if l.cfg.Settings.ProbingAllowed && !l.probing[backend] {
+		l.probing[backend] = true
+		go func() { l.post(balancerEvent{l.pool.probe(backend)}) }()
+	}
+}
+
+// logZoneTurn logs that the balancer has left a zone, or returned to it.
+func (l *eventLoop) logZoneTurn(action balancer.ZoneStateChanged) {
+	name := strconv.Itoa(action.Zone)
+	if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
+		name = zones[action.Zone]
+	}
+	l.log.Warn("zone", "zone", name, "left", action.FailedOver, "told", action.ByGossip)
+}
+
 // startAttempt starts an attempt in its own goroutine, which posts attemptEnded. The goroutine ends by the client's
 // deadline, or with a streamed body or response. At most MaxAttempts of them exist for each open request.
 func (l *eventLoop) startAttempt(action balancer.Send) {
@@ -84,23 +101,27 @@
 	if action.SendDeadline > 0 {
 		writeBy = l.clock.epoch.Add(action.SendDeadline - clockOffset)
 	}
-	go func() {
-		att := &attempt{ctx: ctx, cancel: cancel, requestDone: r.done, shutdown: l.stopped, backendID: action.Backend, endpoint: endpoint, writeBy: writeBy, request: r.upstream,
-			residencyRule: r.residencyRule, start: start, deadline: deadline}
-		att.onStreamStart = func(resp *response, latency time.Duration) bool {
-			if !timer.disarm() {
-				return false
-			}
-			l.post(responseStarted{r, index, resp})
-			return true
-		}
-		result, resp, load := l.pool.execute(att)
-		timer.disarm()
-		cancel(nil)
-		if att.latency == 0 {
-			att.latency = att.elapsed()
+	go l.runAttempt(r, index, timer, &attempt{ctx: ctx, cancel: cancel, requestDone: r.done, shutdown: l.stopped,
+		backendID: action.Backend, endpoint: endpoint, writeBy: writeBy, residencyRule: r.residencyRule,
+		request: r.upstream, start: start, deadline: deadline})
+}
+
+// runAttempt makes the attempt and posts what comes of it. It runs in the attempt's goroutine, and reads of r only what does
+// not change.
+func (l *eventLoop) runAttempt(r *request, index int, timer *attemptTimer, att *attempt) {
+	att.onStreamStart = func(resp *response, latency time.Duration) bool {
+		if !timer.disarm() {
+			return false
 		}
-		l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: action.Backend, Result: result,
-			Latency: att.latency, NewConnection: att.newConn, Load: load}, resp})
-	}()
+		l.post(responseStarted{r, index, resp})
+		return true
+	}
+	result, resp, load := l.pool.execute(att)
+	timer.disarm()
+	att.cancel(nil)
+	if att.latency == 0 {
+		att.latency = att.elapsed()
+	}
+	l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: att.backendID, Result: result,
+		Latency: att.latency, NewConnection: att.newConn, Load: load}, resp})
 }
