--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -48,7 +48,8 @@
 			limitKernelBuffers(c.Conn)
 		}
 	}
-	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w), allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
+	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
+		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
 	body, err := io.ReadAll(io.LimitReader(paced, maxBufferedBody+1))
 	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
 		err = paced.control.SetReadDeadline(time.Time{})
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -146,26 +146,12 @@
 		}
 	}
 	if httpReq.URL.Path == "/_health" {
-		w.Header().Set("Connection", "close") // frequent health checks must not take clients' connections
-		status := http.StatusOK
-		if !f.loop.ready.Load() || f.draining() {
-			status = http.StatusServiceUnavailable
-		}
-		w.WriteHeader(status)
+		f.serveHealth(w)
 		return
 	}
 	f.closeAfterReply(w)
-	err := checkFraming(httpReq)
-	var r *request
-	if err == nil {
-		r, err = f.parseRequest(w, httpReq)
-	}
-	if err != nil || len(httpReq.TransferEncoding) > 0 {
-		// The end of this request may be ambiguous: what follows on the connection is not read.
-		w.Header().Set("Connection", "close")
-	}
-	if err != nil {
-		http.Error(w, err.text, err.status)
+	r := f.readRequest(w, httpReq)
+	if r == nil {
 		return
 	}
 	client := clientConnOf(httpReq)
@@ -184,24 +170,62 @@
 		return
 	}
 	defer f.openRequests.Add(-1)
-	upload := r.upstream.upload
-	if upload == nil {
-		if client != nil {
-			client.MarkRequestComplete()
-		}
-		answer := f.awaitReply(httpReq, r)
-		f.closeAfterReply(w)
-		if client != nil && client.Overflowed() {
-			w.Header().Set("Connection", "close")
-		}
-		f.writeReply(w, httpReq, answer)
-		return
+	if r.upstream.upload == nil {
+		f.serveBuffered(w, httpReq, r, client)
+	} else {
+		f.serveUpload(w, httpReq, r)
 	}
-	pumped := make(chan struct{})
+}
+
+// serveHealth answers a health check: ready if the agent has an endpoint list and does not drain.
+func (f *frontend) serveHealth(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close") // frequent health checks must not take clients' connections
+	status := http.StatusOK
+	if !f.loop.ready.Load() || f.draining() {
+		status = http.StatusServiceUnavailable
+	}
+	w.WriteHeader(status)
+}
+
+// readRequest reads and checks a request. It answers an invalid one and returns nil.
+func (f *frontend) readRequest(w http.ResponseWriter, httpReq *http.Request) *request {
+	err := checkFraming(httpReq)
+	var r *request
+	if err == nil {
+		r, err = f.parseRequest(w, httpReq)
+	}
+	if err != nil || len(httpReq.TransferEncoding) > 0 {
+		// The end of this request may be ambiguous: what follows on the connection is not read.
+		w.Header().Set("Connection", "close")
+	}
+	if err != nil {
+		http.Error(w, err.text, err.status)
+		return nil
+	}
+	return r
+}
+
+// serveBuffered serves a request whose body has arrived.
+func (f *frontend) serveBuffered(w http.ResponseWriter, httpReq *http.Request, r *request, client *clientconn.Conn) {
+	if client != nil {
+		client.MarkRequestComplete()
+	}
+	answer := f.awaitReply(httpReq, r)
+	f.closeAfterReply(w)
+	if client != nil && client.Overflowed() {
+		w.Header().Set("Connection", "close")
+	}
+	f.writeReply(w, httpReq, answer)
+}
+
+// serveUpload serves a request whose body is streamed. The body is read in a goroutine that has ended when this returns.
+func (f *frontend) serveUpload(w http.ResponseWriter, httpReq *http.Request, r *request) {
+	upload, pumped := r.upstream.upload, make(chan struct{})
 	go func() {
 		defer close(pumped)
-		upload.pump(&minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w), allowance: max(f.maxBodyGap, clientStallTimeout),
-			maxGap: max(f.maxBodyGap, clientStallTimeout), received: int64(len(r.upstream.body))}, f.loop.pool.bufferBudget)
+		upload.pump(&minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
+			allowance: max(f.maxBodyGap, clientStallTimeout), maxGap: max(f.maxBodyGap, clientStallTimeout),
+			received: int64(len(r.upstream.body))}, f.loop.pool.bufferBudget)
 	}()
 	answer := f.awaitReply(httpReq, r)
 	f.closeAfterReply(w)
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -4,8 +4,6 @@
 
 import (
 	"context"
-	"errors"
-	"io"
 	"net/http"
 	"slices"
 	"strconv"
@@ -52,7 +50,7 @@
 // streamResponse passes a streaming response on as it arrives. If it can't be completed, the connection is closed short
 // of its end, which tells the client.
 func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *response) {
-	stream, control := resp.stream, http.NewResponseController(w)
+	stream := resp.stream
 	defer stream.finish(errRequestEnded)
 	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.cancel(errCancelled) })
 	defer stopWatching()
@@ -66,39 +64,8 @@
 	w.WriteHeader(http.StatusOK)
 	buf, free := f.loop.pool.bufferBudget.get()
 	defer free()
-	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
-	for chunk, readErr := resp.body, error(nil); ; {
-		err := control.SetWriteDeadline(time.Now().Add(streamStallTimeout))
-		if err == nil {
-			_, err = w.Write(chunk)
-		}
-		if err == nil {
-			err = control.Flush()
-		}
-		if err != nil {
-			panic(http.ErrAbortHandler)
-		}
-		if readErr != nil {
-			stream.finish(nil)
-			return
-		}
-		if passed += int64(len(chunk)); passed > maxStreamBytes || isTooSlow(waited, passed) {
-			stream.finish(errStalled)
-			panic(http.ErrAbortHandler)
-		}
-		stalled := time.AfterFunc(streamStallTimeout, func() { stream.cancel(errStalled) })
-		readStart := time.Now()
-		n, err := stream.source.Read(buf)
-		waited += time.Since(readStart)
-		stalled.Stop()
-		if err != nil && !errors.Is(err, io.EOF) {
-			if httpReq.Context().Err() != nil {
-				err = errRequestEnded // the client has disconnected: the backend is not to blame
-			}
-			stream.finish(err)
-			panic(http.ErrAbortHandler)
-		}
-		chunk, readErr = buf[:n], err
+	if !stream.relay(httpReq.Context(), w, resp.body, buf) {
+		panic(http.ErrAbortHandler)
 	}
 }
 
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -40,28 +40,58 @@
 
 // parseRequest reads and checks a request, with its body or, if that is large, the body's first bytes.
 func (f *frontend) parseRequest(w http.ResponseWriter, httpReq *http.Request) (*request, *inputError) {
+	class, failure := f.findClass(w, httpReq)
+	if failure != nil {
+		return nil, failure
+	}
+	r, failure := f.parseHeader(httpReq, class)
+	if failure != nil {
+		return nil, failure
+	}
+	body, more, failure := f.readBody(w, httpReq)
+	if failure != nil {
+		return nil, failure
+	}
+	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // before the platform kills the process
+		r.timeout = max(0, min(r.timeout, deadline-f.loop.clock.now()))
+	}
+	// A client's time counts from when it sent its request, which ends with the last byte.
+	r.deadline = lastByteAt(httpReq).Add(r.timeout)
+	r.upstream = newUpstreamRequest(httpReq, body)
+	if more {
+		r.upstream.upload = newUpload(httpReq.ContentLength)
+	}
+	return r, nil
+}
+
+// findClass returns the index of the request's class, which the first part of its path names, and checks the method.
+func (f *frontend) findClass(w http.ResponseWriter, httpReq *http.Request) (int, *inputError) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(httpReq.URL.Path, "/"), "/")
 	class, ok := f.classIndex[className]
 	if !ok {
-		return nil, &inputError{http.StatusNotFound, "no such class of requests"}
+		return 0, &inputError{http.StatusNotFound, "no such class of requests"}
 	}
-	settings := f.cfg.Settings.Classes[class]
 	method := http.MethodPost
-	if settings.Idempotency == balancer.Idempotent {
+	if f.cfg.Settings.Classes[class].Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if httpReq.Method != method {
 		w.Header().Set("Allow", method)
-		return nil, &inputError{http.StatusMethodNotAllowed, "this class takes " + method}
+		return 0, &inputError{http.StatusMethodNotAllowed, "this class takes " + method}
 	}
-	header := httpReq.Header
+	return class, nil
+}
+
+// parseHeader returns the request that the header fields describe, without deadline and body.
+func (f *frontend) parseHeader(httpReq *http.Request, class int) (*request, *inputError) {
+	header, settings := httpReq.Header, f.cfg.Settings.Classes[class]
 	r := newRequest(header.Get("X-Trace-Id"), class)
 	r.clientRetry = header.Get("X-Second-Try") == "1"
 	if c, err := httpReq.Cookie("sid"); err == nil {
 		r.key = wire.AffinityKey(c.Value)
 	}
 	if gatekeeper := f.residency; gatekeeper != nil {
-		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), className)
+		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), f.cfg.Site.Classes[class])
 	}
 	if r.id == "" {
 		return nil, badRequest("X-Trace-Id: missing")
@@ -69,13 +99,13 @@
 	if settings.Idempotency == balancer.IdempotencyKey && header.Get("Idempotency-Key") == "" {
 		return nil, badRequest("Idempotency-Key: missing")
 	}
-	timeout := settings.Deadline
+	r.timeout = settings.Deadline
 	if text := header.Get("X-Expires-In"); text != "" {
 		seconds, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
 			return nil, badRequest("X-Expires-In: not a number of seconds above 0")
 		}
-		timeout = min(timeout, time.Duration(min(seconds, timeout.Seconds())*float64(time.Second)))
+		r.timeout = min(r.timeout, time.Duration(min(seconds, r.timeout.Seconds())*float64(time.Second)))
 	}
 	if text := header.Get("X-Size-Hint"); text != "" {
 		micros, err := strconv.ParseFloat(text, 64)
@@ -84,18 +114,15 @@
 		}
 		r.sizeHint = time.Duration(micros * float64(time.Microsecond))
 	}
-	body, more, failure := f.readBody(w, httpReq)
-	if failure != nil {
-		return nil, failure
-	}
-	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // it has to be answered before the platform kills the process
-		timeout = max(0, min(timeout, deadline-f.loop.clock.now()))
-	}
-	// A client's time counts from when it sent its request, which ends with the last byte.
-	r.deadline, r.timeout = lastByteAt(httpReq).Add(timeout), timeout
-	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery, ForceQuery: httpReq.URL.ForceQuery}
-	forwarded := header.Clone()
-	for _, connection := range header["Connection"] {
+	return r, nil
+}
+
+// newUpstreamRequest returns a client's request as it is forwarded: without the fields that end at the agent.
+func newUpstreamRequest(httpReq *http.Request, body []byte) *upstreamRequest {
+	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery,
+		ForceQuery: httpReq.URL.ForceQuery}
+	forwarded := httpReq.Header.Clone()
+	for _, connection := range httpReq.Header["Connection"] {
 		for name := range strings.SplitSeq(connection, ",") {
 			forwarded.Del(strings.TrimSpace(name))
 		}
@@ -106,9 +133,5 @@
 	if _, set := forwarded["User-Agent"]; !set {
 		forwarded["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	r.upstream = &upstreamRequest{method: method, host: httpReq.Host, url: &target, header: forwarded, body: body}
-	if more {
-		r.upstream.upload = newUpload(httpReq.ContentLength)
-	}
-	return r, nil
+	return &upstreamRequest{method: httpReq.Method, host: httpReq.Host, url: &target, header: forwarded, body: body}
 }
--- a/internal/agent/responsestream.go
+++ b/internal/agent/responsestream.go
@@ -4,7 +4,9 @@
 
 import (
 	"context"
+	"errors"
 	"io"
+	"net/http"
 	"sync"
 	"time"
 )
@@ -33,3 +35,44 @@
 func isTooSlow(waited time.Duration, received int64) bool {
 	return waited > streamStallTimeout+time.Duration(received)*time.Second/minUpstreamRate
 }
+
+// relay writes first and then what it reads of the stream into buf, until the response is complete. It returns false if the
+// connection to the client has to be aborted: the client does not read, the backend failed, or the response is too slow or
+// too large.
+func (s *responseStream) relay(client context.Context, w http.ResponseWriter, first, buf []byte) bool {
+	control := http.NewResponseController(w)
+	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
+	for chunk, readErr := first, error(nil); ; {
+		err := control.SetWriteDeadline(time.Now().Add(streamStallTimeout))
+		if err == nil {
+			_, err = w.Write(chunk)
+		}
+		if err == nil {
+			err = control.Flush()
+		}
+		if err != nil {
+			return false
+		}
+		if readErr != nil {
+			s.finish(nil)
+			return true
+		}
+		if passed += int64(len(chunk)); passed > maxStreamBytes || isTooSlow(waited, passed) {
+			s.finish(errStalled)
+			return false
+		}
+		stalled := time.AfterFunc(streamStallTimeout, func() { s.cancel(errStalled) })
+		readStart := time.Now()
+		n, err := s.source.Read(buf)
+		waited += time.Since(readStart)
+		stalled.Stop()
+		if err != nil && !errors.Is(err, io.EOF) {
+			if client.Err() != nil {
+				err = errRequestEnded // the client has disconnected: the backend is not to blame
+			}
+			s.finish(err)
+			return false
+		}
+		chunk, readErr = buf[:n], err
+	}
+}
