--- a/internal/agent/parseconfig.go
+++ b/internal/agent/parseconfig.go
@@ -15,30 +15,64 @@
 	"martenbeam/internal/wire"
 )
 
+// configText is a configuration in the platform's form.
+type configText struct {
+	Name      string `json:"Name"`
+	Listen    string `json:"Listen"`
+	Discovery string `json:"Discovery"`
+	Seed      string `json:"Seed"`
+	Limits    struct {
+		Cores    float64 `json:"Cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"Sockets"`
+	} `json:"Limits"`
+	Mgmt       string                  `json:"Mgmt"`
+	DialFrom   string                  `json:"dial_from"`
+	PeerListen string                  `json:"peer_listen"`
+	Peers      []string                `json:"Peers"`
+	Known      *discovery.EndpointList `json:"Known"`
+	Settings   json.RawMessage         `json:"Settings"`
+}
+
+// parseConfig returns the configuration that raw and the PROXY_ variables describe. An error names the field that is wrong.
 func parseConfig(raw []byte, getenv func(string) string) (*Config, error) {
-	var parsed struct {
-		Name      string `json:"Name"`
-		Listen    string `json:"Listen"`
-		Discovery string `json:"Discovery"`
-		Seed      string `json:"Seed"`
-		Limits    struct {
-			Cores    float64 `json:"Cores"`
-			MemoryMB int     `json:"memory_mb"`
-			Sockets  int     `json:"Sockets"`
-		} `json:"Limits"`
-		Mgmt       string                  `json:"Mgmt"`
-		DialFrom   string                  `json:"dial_from"`
-		PeerListen string                  `json:"peer_listen"`
-		Peers      []string                `json:"Peers"`
-		Known      *discovery.EndpointList `json:"Known"`
-		Settings   json.RawMessage         `json:"Settings"`
-	}
+	var parsed configText
 	if err := json.Unmarshal(raw, &parsed); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: parsed.Name, Listen: parsed.Listen, Discovery: parsed.Discovery, AdminAddr: parsed.Mgmt, Cores: parsed.Limits.Cores,
-		MemoryMB: parsed.Limits.MemoryMB, MaxDescriptors: parsed.Limits.Sockets,
+	c := &Config{Name: parsed.Name, Listen: parsed.Listen, Discovery: parsed.Discovery, AdminAddr: parsed.Mgmt,
+		Cores: parsed.Limits.Cores, MemoryMB: parsed.Limits.MemoryMB, MaxDescriptors: parsed.Limits.Sockets,
 		DialFrom: parsed.DialFrom, PeerListen: parsed.PeerListen, Peers: parsed.Peers, CachedEndpoints: parsed.Known}
+	c.applyEnvironment(getenv)
+	var err error
+	if c.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of up to 16 digits", parsed.Seed)
+	}
+	if err := c.checkAddresses(getenv); err != nil {
+		return nil, err
+	}
+	if err := c.checkLimits(); err != nil {
+		return nil, err
+	}
+	if len(parsed.Settings) == 0 {
+		return nil, errors.New("settings: missing")
+	}
+	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	// The balancer spreads its polls over parts of this time.
+	c.Settings.PollInterval = min(c.Settings.PollInterval, discovery.PropagationDeadline)
+	if err := c.checkSettings(); err != nil {
+		return nil, err
+	}
+	if err := c.checkPeers(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// applyEnvironment replaces what the PROXY_ variables set.
+func (c *Config) applyEnvironment(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery,
 		"PROXY_MGMT": &c.AdminAddr} {
@@ -51,72 +85,81 @@
 			*field = v
 		}
 	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of up to 16 digits", parsed.Seed)
-	}
+}
+
+// checkAddresses checks the addresses, and reads the inherited listening socket from PROXY_FD.
+func (c *Config) checkAddresses(getenv func(string) string) error {
 	if err := checkAddress("listen", c.Listen); err != nil {
-		return nil, err
+		return err
 	}
 	if err := checkAddress("discovery", c.Discovery); err != nil {
-		return nil, err
+		return err
 	}
 	if text := getenv("PROXY_FD"); text != "" {
+		var err error
 		if c.ListenFD, err = strconv.Atoi(text); err != nil || c.ListenFD < 3 {
-			return nil, fmt.Errorf("PROXY_FD: %q is no descriptor that a process inherits", text)
+			return fmt.Errorf("PROXY_FD: %q is no descriptor that a process inherits", text)
 		}
 		c.HandoverDir = cmp.Or(getenv("TMPDIR"), os.TempDir())
 	}
 	if c.DialFrom != "" && net.ParseIP(c.DialFrom) == nil {
-		return nil, fmt.Errorf("dial_from: %q is not an IP address", c.DialFrom)
+		return fmt.Errorf("dial_from: %q is not an IP address", c.DialFrom)
 	}
 	if c.AdminAddr != "" {
-		if err := checkAddress("mgmt", c.AdminAddr); err != nil {
-			return nil, err
-		}
+		return checkAddress("mgmt", c.AdminAddr)
 	}
+	return nil
+}
+
+// checkLimits checks the limits of the process; 0 stands for none or a default.
+func (c *Config) checkLimits() error {
 	switch {
 	case c.Cores < 0:
-		return nil, fmt.Errorf("limits.cores: %v is negative", c.Cores)
+		return fmt.Errorf("limits.cores: %v is negative", c.Cores)
 	case c.MemoryMB < 0:
-		return nil, fmt.Errorf("limits.memory_mb: %v is negative", c.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %v is negative", c.MemoryMB)
 	case c.MaxDescriptors < 0 || c.MaxDescriptors > 0 && c.MaxDescriptors < minDescriptors:
-		return nil, fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.MaxDescriptors, minDescriptors)
-	case len(parsed.Settings) == 0:
-		return nil, errors.New("settings: missing")
+		return fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.MaxDescriptors, minDescriptors)
 	}
-	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	// The balancer spreads its polls over parts of this time.
-	c.Settings.PollInterval = min(c.Settings.PollInterval, discovery.PropagationDeadline)
+	return nil
+}
+
+// checkSettings checks what an agent needs of the settings beyond what wire.ParseSettings checks.
+func (c *Config) checkSettings() error {
 	for i, name := range c.Site.Classes {
 		if name == "" {
-			return nil, fmt.Errorf("settings: Profiles[%d].Name: missing", i)
+			return fmt.Errorf("settings: Profiles[%d].Name: missing", i)
 		}
 	}
 	if c.Settings.ConnectTimeout <= 0 {
-		return nil, errors.New("settings: PolicyLimits.ConnectTimeoutMs: must be positive")
+		return errors.New("settings: PolicyLimits.ConnectTimeoutMs: must be positive")
 	}
 	if c.Site.IdleClose <= 0 {
-		return nil, errors.New("settings: PolicyLimits.IdleCloseMs: must be positive")
+		return errors.New("settings: PolicyLimits.IdleCloseMs: must be positive")
 	}
-	if c.Settings.GossipAllowed {
-		if err := checkAddress("peer_listen", c.PeerListen); err != nil {
-			return nil, err
-		}
-		if len(c.Peers) != c.Settings.Balancers {
-			return nil, fmt.Errorf("peers: %d addresses for %d agents", len(c.Peers), c.Settings.Balancers)
-		}
-		for i, p := range c.Peers {
-			if err := checkAddress(fmt.Sprintf("peers[%d]", i), p); err != nil {
-				return nil, err
-			}
+	return nil
+}
+
+// checkPeers checks the addresses of the other agents, if the settings let agents exchange messages.
+func (c *Config) checkPeers() error {
+	if !c.Settings.GossipAllowed {
+		return nil
+	}
+	if err := checkAddress("peer_listen", c.PeerListen); err != nil {
+		return err
+	}
+	if len(c.Peers) != c.Settings.Balancers {
+		return fmt.Errorf("peers: %d addresses for %d agents", len(c.Peers), c.Settings.Balancers)
+	}
+	for i, p := range c.Peers {
+		if err := checkAddress(fmt.Sprintf("peers[%d]", i), p); err != nil {
+			return err
 		}
 	}
-	return c, nil
+	return nil
 }
 
+// checkAddress checks that addr is an IP address with a port. An error names the field.
 func checkAddress(field, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: missing", field)
