--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -58,15 +58,7 @@
 	if err = a.joinFleet(); err != nil {
 		return nil, err
 	}
-	var sources source.Selector
-	if a.fleet != nil && cfg.Settings.Subscribe {
-		sources = a.fleet
-	}
-	a.discovery = discovery.New(discovery.Config{
-		Sources:    sources,
-		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, AgentTime: clk.at, Log: log},
-		Addr:       cfg.Discovery, Polled: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
-		Deliver: func(u discovery.Update) { a.loop.post(endpointsUpdated{u}) }})
+	a.discovery = a.newWatcher(clk)
 	a.loop.subscribe = a.discovery.Subscribe
 	if cfg.Settings.GossipAllowed {
 		if a.loop.peers, err = newPeerTransport(ctx, cfg, log); err != nil {
@@ -80,20 +72,42 @@
 			return nil, err
 		}
 	}
-	ln, err := a.openListener(ctx)
-	if err != nil {
+	if err = a.openListener(ctx); err != nil {
 		return nil, err
 	}
-	a.listener = listener.Limit(ln, maxAcceptedConns(cfg.shareableDescriptors()))
-	a.listener.OnFull, a.listener.OnAcceptError = a.frontend.idleConns.EvictIdle, func(err error) { log.Warn("accept failed", "error", err) }
 	if cfg.ListenFD > 0 {
 		a.prepareHandover(ctx)
 	}
 	return a, nil
 }
 
-// openListener returns the listener for clients: the inherited one where the platform holds it.
-func (a *Agent) openListener(ctx context.Context) (*net.TCPListener, error) {
+// newWatcher returns the watcher of the endpoint list, which posts its updates to the event loop.
+func (a *Agent) newWatcher(clk clock) *discovery.Watcher {
+	var sources source.Selector
+	if a.fleet != nil && a.cfg.Settings.Subscribe {
+		sources = a.fleet
+	}
+	return discovery.New(discovery.Config{
+		Sources:    sources,
+		Translator: discovery.Translator{Zones: a.cfg.Site.Zones, Kinds: a.cfg.Site.Kinds, AgentTime: clk.at, Log: a.log},
+		Addr:       a.cfg.Discovery, Polled: a.cfg.Settings.Subscribe, ConnectTimeout: a.cfg.Settings.ConnectTimeout,
+		Deliver: func(u discovery.Update) { a.loop.post(endpointsUpdated{u}) }})
+}
+
+// openListener opens the listener for clients, or takes over the inherited one where the platform holds it. At most
+// maxAcceptedConns connections are accepted at once; while more wait, idle ones are closed.
+func (a *Agent) openListener(ctx context.Context) error {
+	ln, err := a.listen(ctx)
+	if err != nil {
+		return err
+	}
+	a.listener = listener.Limit(ln, maxAcceptedConns(a.cfg.shareableDescriptors()))
+	a.listener.OnFull = a.frontend.idleConns.EvictIdle
+	a.listener.OnAcceptError = func(err error) { a.log.Warn("accept failed", "error", err) }
+	return nil
+}
+
+func (a *Agent) listen(ctx context.Context) (*net.TCPListener, error) {
 	if a.cfg.ListenFD > 0 {
 		return listener.Inherited(ctx, a.cfg.ListenFD)
 	}
@@ -130,26 +144,10 @@
 	if a.hotRestart != nil {
 		a.restoreState(stop)
 	}
-	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
-		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
-	} else {
-		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}}) // the balancer then polls for a list
-	}
-	endpointCount := len(a.pool.endpoints) // the event loop owns the list from here on
-	running.Go(func() { a.loop.run(ctx) })
-	running.Go(func() { a.discovery.Run(ctx) })
-	running.Go(func() { a.pool.closeExpired(ctx) })
-	if a.fleet != nil {
-		running.Go(func() { a.runFleet(ctx) })
-	}
+	endpointCount := a.applyCachedEndpoints()
 	peersCtx, stopPeers := context.WithCancel(ctx)
 	defer stopPeers()
-	if a.loop.peers != nil {
-		running.Go(func() { a.loop.peers.run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
-	}
-	if a.admin != nil || a.hotRestart != nil {
-		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
-	}
+	a.startTasks(ctx, peersCtx, &running)
 	if a.hotRestart != nil {
 		running.Go(func() { a.runHotRestart(ctx) })
 		a.awaitEndpoints(stop)
@@ -157,10 +155,7 @@
 	a.frontend.accepting.Store(true)
 	served := make(chan error, 1)
 	go func() { served <- a.frontend.serve(a.listener) }()
-	if a.fleet != nil && !a.cfg.Settings.Subscribe {
-		a.fleet.Ready()
-	}
-	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", endpointCount)
+	a.announce(endpointCount)
 	select {
 	case err := <-served:
 		return fmt.Errorf("listen: %w", err)
@@ -172,3 +167,38 @@
 	a.drain(served)
 	return nil // a requested stop is no error
 }
+
+// announce publishes and logs that the agent serves.
+func (a *Agent) announce(endpointCount int) {
+	if a.fleet != nil && !a.cfg.Settings.Subscribe {
+		a.fleet.Ready()
+	}
+	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", endpointCount)
+}
+
+// applyCachedEndpoints applies the cached endpoint list, if any, and returns its length. It is called before the event loop
+// runs, which owns the list from then on.
+func (a *Agent) applyCachedEndpoints() int {
+	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
+		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
+	} else { // the balancer then polls for a list
+		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}})
+	}
+	return len(a.pool.endpoints)
+}
+
+// startTasks starts the agent's tasks, which run until their context ends.
+func (a *Agent) startTasks(ctx, peersCtx context.Context, running *sync.WaitGroup) {
+	running.Go(func() { a.loop.run(ctx) })
+	running.Go(func() { a.discovery.Run(ctx) })
+	running.Go(func() { a.pool.closeExpired(ctx) })
+	if a.fleet != nil {
+		running.Go(func() { a.runFleet(ctx) })
+	}
+	if a.loop.peers != nil {
+		running.Go(func() { a.loop.peers.run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
+	}
+	if a.admin != nil || a.hotRestart != nil {
+		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
+	}
+}
