--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -66,7 +66,8 @@
 }
 
 // executeBuffered makes an attempt whose response is buffered. It waits until ctx ends at the latest.
-func (p *upstreamPool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string, request *upstreamRequest) (balancer.Result, *response, balancer.Load) {
+func (p *upstreamPool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string,
+	request *upstreamRequest) (balancer.Result, *response, balancer.Load) {
 	return p.execute(&attempt{ctx: ctx, requestDone: requestDone, backendID: id, request: request, start: time.Now()})
 }
 
@@ -119,25 +120,43 @@
 
 // roundTrip writes the request on a connection, once, and waits for the response.
 func (p *upstreamPool) roundTrip(att *attempt, conn *pooledConn) (balancer.Result, *response, balancer.Load) {
-	noLoad, request := wire.ParseLoad(nil), att.request
+	req, body := newHTTPRequest(att, conn)
+	var lastByteNext func() bool
+	if body != nil {
+		lastByteNext = body.consumed.Load
+	}
+	conn.tracked.startRequest(func() error { return p.checkSendable(att) }, att.writeBy, lastByteNext)
+	setTimeLeft(req, att)
+	// http.ClientConn sends a request at most once. http.Transport.RoundTrip would send it again on its own on a
+	// stale connection: an attempt that the balancer neither ordered nor counted.
+	httpResp, err := conn.RoundTrip(req)
+	if err != nil {
+		return p.unansweredResult(att, conn, body), nil, wire.ParseLoad(nil)
+	}
+	return p.receive(att, conn, body, httpResp)
+}
+
+// newHTTPRequest returns the attempt's request for net/http, and its body if that is streamed.
+func newHTTPRequest(att *attempt, conn *pooledConn) (*http.Request, *requestBody) {
+	request := att.request
 	target := *request.url
 	target.Scheme, target.Host = "http", conn.addr
 	req := (&http.Request{Method: request.method, URL: &target, Header: request.header.Clone(), Host: request.host,
 		ProtoMajor: 1, ProtoMinor: 1, Body: http.NoBody}).WithContext(att.ctx)
-	var body *requestBody
 	switch {
 	case request.upload != nil:
-		body = request.upload.newBody(request.body)
+		body := request.upload.newBody(request.body)
 		req.Body, req.ContentLength = body, request.upload.length
 		limitKernelBuffers(conn.tracked.Conn)
+		return req, body
 	case len(request.body) > 0:
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(request.body)), int64(len(request.body))
 	}
-	var lastByteNext func() bool
-	if body != nil {
-		lastByteNext = body.consumed.Load
-	}
-	conn.tracked.startRequest(func() error { return p.checkSendable(att) }, att.writeBy, lastByteNext)
+	return req, nil
+}
+
+// setTimeLeft tells the backend how many seconds it has, less transitAllowance.
+func setTimeLeft(req *http.Request, att *attempt) {
 	deadline, ok := att.deadline, !att.deadline.IsZero()
 	if !ok {
 		deadline, ok = att.ctx.Deadline()
@@ -146,27 +165,33 @@
 		remaining := max(0, time.Until(deadline)-transitAllowance).Truncate(time.Millisecond)
 		req.Header.Set("X-Expires-In", strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64))
 	}
-	// http.ClientConn sends a request at most once. http.Transport.RoundTrip would send it again on its own on a
-	// stale connection: an attempt that the balancer neither ordered nor counted.
-	httpResp, err := conn.RoundTrip(req)
-	if err != nil {
-		result := p.failedResult(att, conn, body)
-		if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil && !errors.Is(reason, errUnsolicitedBytes) && !errors.Is(reason, errClosedWhileIdle) {
-			return unsentResult(reason), nil, noLoad
-		}
-		p.recordReuse(conn, result == balancer.Reset || result == balancer.ConnectFailed)
-		return result, nil, noLoad
+}
+
+// unansweredResult closes the connection of an attempt whose request had no response, and returns the attempt's result.
+func (p *upstreamPool) unansweredResult(att *attempt, conn *pooledConn, body *requestBody) balancer.Result {
+	result := p.failedResult(att, conn, body)
+	if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil &&
+		!errors.Is(reason, errUnsolicitedBytes) && !errors.Is(reason, errClosedWhileIdle) {
+		return unsentResult(reason)
 	}
+	p.recordReuse(conn, result == balancer.Reset || result == balancer.ConnectFailed)
+	return result
+}
+
+// receive reads a response whose header has arrived, and returns the connection to the pool.
+func (p *upstreamPool) receive(att *attempt, conn *pooledConn, body *requestBody,
+	httpResp *http.Response) (balancer.Result, *response, balancer.Load) {
 	p.recordReuse(conn, false)
 	defer httpResp.Body.Close()
 	done := make(chan struct{})
 	defer close(done)
 	resp, err := p.readResponse(att, httpResp, done)
-	early := body != nil && httpResp.StatusCode == http.StatusOK && (!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
+	early := body != nil && httpResp.StatusCode == http.StatusOK &&
+		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
 	if err != nil || early || endsWithConnection(httpResp) && len(resp.body) == 0 {
-		return p.failedResult(att, conn, body), nil, noLoad
+		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
 	}
-	load := noLoad
+	load := wire.ParseLoad(nil)
 	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.Site.LoadInline {
 		load = parseLoad(text)
 	}
@@ -174,14 +199,14 @@
 		return p.awaitStream(att, conn, httpResp, resp), resp, load
 	}
 	httpResp.Body.Close()
-	conn.tracked.awaitIdle(!httpResp.Close && len(resp.body) <= maxBufferedBody)
+	complete := len(resp.body) <= maxBufferedBody
+	conn.tracked.awaitIdle(!httpResp.Close && complete)
 	conn.idleSince = time.Now()
-	p.release(att.backendID, conn, !httpResp.Close && len(resp.body) <= maxBufferedBody)
+	p.release(att.backendID, conn, !httpResp.Close && complete)
 	switch {
-	case httpResp.StatusCode == http.StatusOK && len(resp.body) <= maxBufferedBody:
+	case httpResp.StatusCode == http.StatusOK && complete:
 		return balancer.OK, resp, load
-	case (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
-		httpResp.Header.Get("X-Never-Ran") == "1":
+	case neverRan(httpResp):
 		if att.newConn { // the backend accepts few connections: free an idle one for it
 			p.mu.Lock()
 			p.evictOldest()
@@ -192,6 +217,12 @@
 	return balancer.Errored, nil, load
 }
 
+// neverRan reports whether a response proves that the backend did not execute the request.
+func neverRan(httpResp *http.Response) bool {
+	return (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
+		httpResp.Header.Get("X-Never-Ran") == "1"
+}
+
 // readResponse reads a response to its end, or the first bytes of a streaming one.
 func (p *upstreamPool) readResponse(att *attempt, httpResp *http.Response, done <-chan struct{}) (*response, error) {
 	resp := &response{header: httpResp.Header}
@@ -205,7 +236,8 @@
 		return nil, errTooLarge
 	}
 	buf, free := p.bufferBudget.get()
-	stream := &responseStream{length: httpResp.ContentLength, source: httpResp.Body, cancel: att.cancel, done: make(chan struct{}), free: free}
+	stream := &responseStream{length: httpResp.ContentLength, source: httpResp.Body, cancel: att.cancel,
+		done: make(chan struct{}), free: free}
 	if httpResp.ContentLength < 0 {
 		buffered := bufferResponse(httpResp.Body, buf, done)
 		body, more, err := buffered.readUpTo(maxBufferedBody, bufferingTimeout)
@@ -264,14 +296,14 @@
 // failedResult closes the connection of an attempt without a complete response, and returns the attempt's result.
 func (p *upstreamPool) failedResult(att *attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	cause := context.Cause(att.ctx)
-	neverRan := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
+	incomplete := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
 	p.release(att.backendID, conn, false)
 	switch {
 	case errors.Is(cause, errCancelled):
 		return balancer.Cancelled
 	case cause != nil:
 		return balancer.TimedOut
-	case neverRan:
+	case incomplete:
 		return balancer.ConnectFailed
 	}
 	return balancer.Reset
