--- a/internal/agent/admincontrol.go
+++ b/internal/agent/admincontrol.go
@@ -64,9 +64,11 @@
 	}
 	l.lastCallID++
 	l.openCalls[l.lastCallID] = call
-	event := balancer.Event(balancer.Enable{Call: l.lastCallID, Backend: call.backend, Inherited: call.replicated, At: call.madeAt})
+	var event balancer.Event
 	if call.detach {
 		event = balancer.Disable{Call: l.lastCallID, Backend: call.backend, Inherited: call.replicated}
+	} else {
+		event = balancer.Enable{Call: l.lastCallID, Backend: call.backend, Inherited: call.replicated, At: call.madeAt}
 	}
 	l.pending = slices.Insert(l.pending, 0, event)
 }
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -45,7 +45,8 @@
 // prepareHandover finds out whether an older process of this agent is running. While one is, or may be, the two processes
 // use half of the limits each.
 func (a *Agent) prepareHandover(ctx context.Context) {
-	h := &hotRestart{Store: handover.New(a.cfg.HandoverDir, a.log), snapshots: make(chan balancer.Snapshot, 1), startedAt: time.Now()}
+	h := &hotRestart{Store: handover.New(a.cfg.HandoverDir, a.log), snapshots: make(chan balancer.Snapshot, 1),
+		startedAt: time.Now()}
 	a.hotRestart = h
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -54,7 +54,8 @@
 	if cfg.ListenFD > 0 { // an older process may hold the address: run waits for it while clients are served
 		return p, nil
 	}
-	if p.conn, err = listener.Retry(ctx, nil, func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }); err != nil {
+	listen := func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }
+	if p.conn, err = listener.Retry(ctx, nil, listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	return p, nil
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -71,7 +71,8 @@
 }
 
 func newUpstreamPool(cfg *Config, log *slog.Logger) *upstreamPool {
-	p := &upstreamPool{cfg: cfg, log: log, bufferBudget: newBufferBudget(cfg.MemoryMB), maxConns: maxUpstreamConns(cfg.shareableDescriptors()),
+	p := &upstreamPool{cfg: cfg, log: log, bufferBudget: newBufferBudget(cfg.MemoryMB),
+		maxConns: maxUpstreamConns(cfg.shareableDescriptors()),
 		// Backends may close an idle connection after IdleClose. A request that crosses the close is lost as a
 		// reset that may have been executed. A quarter of the time is far more than any network delay.
 		idleTimeout: cfg.Site.IdleClose * 3 / 4,
@@ -296,7 +297,9 @@
 func (p *upstreamPool) release(id string, conn *pooledConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if endpoint := p.endpoints[id]; !reusable || p.closed || conn.Err() != nil || endpoint == nil || endpoint.addr != conn.addr || endpoint.draining || p.disabled[id] {
+	endpoint := p.endpoints[id]
+	if !reusable || p.closed || conn.Err() != nil || endpoint == nil || endpoint.addr != conn.addr || endpoint.draining ||
+		p.disabled[id] {
 		p.discard(conn)
 		return
 	}
--- a/internal/agent/trackedconn.go
+++ b/internal/agent/trackedconn.go
@@ -115,7 +115,8 @@
 		var n int
 		var err error
 		p := make([]byte, 1)
-		if controlErr := c.raw.Control(func(fd uintptr) { n, err = syscall.Read(int(fd), p) }); controlErr == nil && err == nil && n == 0 {
+		controlErr := c.raw.Control(func(fd uintptr) { n, err = syscall.Read(int(fd), p) })
+		if controlErr == nil && err == nil && n == 0 {
 			return errClosedWhileIdle
 		}
 		c.unsolicited = n > 0
