--- /dev/null
+++ b/internal/agent/response.go
@@ -0,0 +1,135 @@
+package agent
+
+// How the response of an attempt is read, buffered or streamed.
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/wire"
+)
+
+// response is a backend's response with status 200.
+type response struct {
+	header http.Header
+	body   []byte
+	stream *responseStream // the remainder, after body; nil: body is all of it
+}
+
+// receive reads a response whose header has arrived, and returns the connection to the pool.
+func (p *upstreamPool) receive(att *attempt, conn *pooledConn, body *requestBody,
+	httpResp *http.Response) (balancer.Result, *response, balancer.Load) {
+	p.recordReuse(conn, false)
+	defer httpResp.Body.Close()
+	done := make(chan struct{})
+	defer close(done)
+	resp, err := p.readResponse(att, httpResp, done)
+	early := body != nil && httpResp.StatusCode == http.StatusOK &&
+		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
+	if err != nil || early || endsWithConnection(httpResp) && len(resp.body) == 0 {
+		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
+	}
+	load := wire.ParseLoad(nil)
+	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.Site.LoadInline {
+		load = parseLoad(text)
+	}
+	if resp.stream != nil {
+		return p.awaitStream(att, conn, httpResp, resp), resp, load
+	}
+	httpResp.Body.Close()
+	complete := len(resp.body) <= maxBufferedBody
+	conn.tracked.awaitIdle(!httpResp.Close && complete)
+	conn.idleSince = time.Now()
+	p.release(att.backendID, conn, !httpResp.Close && complete)
+	switch {
+	case httpResp.StatusCode == http.StatusOK && complete:
+		return balancer.OK, resp, load
+	case neverRan(httpResp):
+		if att.newConn { // the backend accepts few connections: free an idle one for it
+			p.mu.Lock()
+			p.evictOldest()
+			p.mu.Unlock()
+		}
+		return balancer.Rejected, nil, load
+	}
+	return balancer.Errored, nil, load
+}
+
+// neverRan reports whether a response proves that the backend did not execute the request.
+func neverRan(httpResp *http.Response) bool {
+	return (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
+		httpResp.Header.Get("X-Never-Ran") == "1"
+}
+
+// readResponse reads a response to its end, or the first bytes of a streaming one.
+func (p *upstreamPool) readResponse(att *attempt, httpResp *http.Response, done <-chan struct{}) (*response, error) {
+	resp := &response{header: httpResp.Header}
+	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= maxBufferedBody
+	if small || httpResp.StatusCode != http.StatusOK || att.onStreamStart == nil {
+		var err error
+		resp.body, err = io.ReadAll(io.LimitReader(httpResp.Body, maxBufferedBody+1))
+		return resp, err
+	}
+	if httpResp.ContentLength > maxStreamBytes {
+		return nil, errTooLarge
+	}
+	buf, free := p.bufferBudget.get()
+	stream := &responseStream{length: httpResp.ContentLength, source: httpResp.Body, cancel: att.cancel,
+		done: make(chan struct{}), free: free}
+	if httpResp.ContentLength < 0 {
+		buffered := bufferResponse(httpResp.Body, buf, done)
+		body, more, err := buffered.readUpTo(maxBufferedBody, bufferingTimeout)
+		if resp.body = body; err == nil && more {
+			stream.source, resp.stream = buffered, stream
+		} else {
+			free()
+		}
+		return resp, err
+	}
+	n, err := 0, error(nil)
+	for n == 0 && err == nil {
+		n, err = httpResp.Body.Read(buf)
+	}
+	if n == 0 {
+		free()
+		return nil, err
+	}
+	resp.body, resp.stream = buf[:n], stream // a read error is returned again by the next read
+	return resp, nil
+}
+
+// awaitStream hands a streaming response over and waits until it has been passed on, or can't be.
+func (p *upstreamPool) awaitStream(att *attempt, conn *pooledConn, httpResp *http.Response, resp *response) balancer.Result {
+	defer resp.stream.free()
+	att.latency = att.elapsed()
+	limitKernelBuffers(conn.tracked.Conn)
+	if !att.onStreamStart(resp, att.latency) {
+		return p.failedResult(att, conn, nil)
+	}
+	select {
+	case <-resp.stream.done:
+	case <-att.shutdown:
+		resp.stream.finish(errRequestEnded)
+	}
+	if resp.stream.err == nil {
+		conn.tracked.awaitIdle(!httpResp.Close)
+		conn.idleSince = time.Now()
+		p.release(att.backendID, conn, !httpResp.Close)
+		return balancer.OK
+	}
+	conn.tracked.Close()
+	p.release(att.backendID, conn, false)
+	if errors.Is(resp.stream.err, errRequestEnded) {
+		return balancer.Cancelled
+	}
+	return balancer.Reset
+}
+
+// endsWithConnection reports whether only the connection's end delimits the response (RFC 9112, 6.3). Such a response
+// with an empty body can't be told from a connection that broke.
+func endsWithConnection(resp *http.Response) bool {
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+}
