--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -53,7 +53,7 @@
 func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
 	r := l.requests[action.Request]
 	if r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
-		r.cancels[action.Attempt](errCancelled)
+		r.cancels[action.Attempt](ErrCancelled)
 	}
 }
 
@@ -62,7 +62,7 @@
 func (l *eventLoop) startProbe(backend string) {
 	if l.cfg.Settings.ProbingAllowed && !l.probing[backend] {
 		l.probing[backend] = true
-		go func() { l.post(balancerEvent{l.pool.probe(backend)}) }()
+		go func() { l.post(balancerEvent{l.pool.Probe(backend)}) }()
 	}
 }
 
@@ -92,36 +92,36 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	index, timer := len(r.cancels), &attemptTimer{cancel: cancel}
 	r.cancels, r.attemptTimers = append(r.cancels, cancel), append(r.attemptTimers, timer)
-	if !r.upstream.isLarge() || r.upstream.upload.complete() {
+	if !r.upstream.IsStreamed() || r.upstream.Upload.IsComplete() {
 		timer.arm(deadline)
 	}
 	r.openAttempts++
 	l.counts.attempts++
-	endpoint, writeBy := l.pool.endpoint(action.Backend), time.Time{}
+	endpoint, writeBy := l.pool.Endpoint(action.Backend), time.Time{}
 	if action.SendDeadline > 0 {
 		writeBy = l.clock.epoch.Add(action.SendDeadline - clockOffset)
 	}
-	go l.runAttempt(r, index, timer, &attempt{ctx: ctx, cancel: cancel, requestDone: r.done, shutdown: l.stopped,
-		backendID: action.Backend, endpoint: endpoint, writeBy: writeBy, residencyRule: r.residencyRule,
-		request: r.upstream, start: start, deadline: deadline})
+	go l.runAttempt(r, index, timer, &Attempt{ctx: ctx, Cancel: cancel, RequestDone: r.done, Shutdown: l.stopped,
+		BackendID: action.Backend, Endpoint: endpoint, WriteBy: writeBy, ResidencyRule: r.residencyRule,
+		Request: r.upstream, Start: start, Deadline: deadline})
 }
 
 // runAttempt makes the attempt and posts what comes of it. It runs in the attempt's goroutine, and reads of r only what does
 // not change.
-func (l *eventLoop) runAttempt(r *request, index int, timer *attemptTimer, att *attempt) {
-	att.onStreamStart = func(resp *response, latency time.Duration) bool {
+func (l *eventLoop) runAttempt(r *request, index int, timer *attemptTimer, att *Attempt) {
+	att.OnStreamStart = func(resp *Response, latency time.Duration) bool {
 		if !timer.disarm() {
 			return false
 		}
 		l.post(responseStarted{r, index, resp})
 		return true
 	}
-	result, resp, load := l.pool.execute(att)
+	result, resp, load := l.pool.Execute(att)
 	timer.disarm()
-	att.cancel(nil)
-	if att.latency == 0 {
-		att.latency = att.elapsed()
+	att.Cancel(nil)
+	if att.Latency == 0 {
+		att.Latency = att.Elapsed()
 	}
-	l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: att.backendID, Result: result,
-		Latency: att.latency, NewConnection: att.newConn, Load: load}, resp})
+	l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: att.BackendID, Result: result,
+		Latency: att.Latency, NewConnection: att.NewConn, Load: load}, resp})
 }
--- a/internal/agent/admincontrol.go
+++ b/internal/agent/admincontrol.go
@@ -82,7 +82,7 @@
 	}
 	delete(l.openCalls, answer.Call)
 	if answer.Accepted {
-		l.pool.setDisabled(call.backend, call.detach)
+		l.pool.SetDisabled(call.backend, call.detach)
 	}
 	call.accepted <- answer.Accepted
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -33,7 +33,7 @@
 	log            *slog.Logger
 	loop           *eventLoop
 	frontend       *frontend
-	pool           *upstreamPool
+	pool           *Pool
 	discovery      *discovery.Watcher
 	admin          *admin.Server // nil: no admin listener
 	hotRestart     *hotRestart   // nil: this agent is never replaced by another process while it runs
@@ -47,7 +47,7 @@
 // New opens the agent's sockets and sets it up. Clients are served once Run is called. While another process still
 // holds an address, New retries until ctx ends. An error names the socket or setting that failed.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, pool: newUpstreamPool(cfg, log),
+	a := &Agent{cfg: cfg, log: log, pool: NewPool(cfg, log),
 		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
 		drainTimeout: min(cfg.maxDeadline(), maxDrainDeadline) + drainSlack}
 	clk := newClock()
@@ -131,7 +131,7 @@
 // requested stop is no error. All goroutines that it starts have ended when it returns.
 func (a *Agent) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background()) // outlives stop: everything runs on while the agent drains
-	defer a.pool.close()
+	defer a.pool.Close()
 	if a.hotRestart != nil {
 		defer a.hotRestart.Close() // the successor is alone from then on; nothing here uses the handover locks any more
 	}
@@ -191,7 +191,7 @@
 func (a *Agent) startTasks(ctx, peersCtx context.Context, running *sync.WaitGroup) {
 	running.Go(func() { a.loop.run(ctx) })
 	running.Go(func() { a.discovery.Run(ctx) })
-	running.Go(func() { a.pool.closeExpired(ctx) })
+	running.Go(func() { a.pool.CloseExpired(ctx) })
 	if a.fleet != nil {
 		running.Go(func() { a.runFleet(ctx) })
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -104,7 +104,7 @@
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(wait)); x.status != http.StatusOK {
 		t.Fatalf("%+v", x)
 	}
-	most := wait - (transitAllowance + a.cfg.Settings.Tick).Seconds()
+	most := wait - (TransitAllowance + a.cfg.Settings.Tick).Seconds()
 	if s, err := strconv.ParseFloat(<-told, 64); err != nil || s <= 0 || s > most {
 		t.Errorf("told of %v s of %v, at most %v may be: %v", s, wait, most, err)
 	}
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -17,22 +17,22 @@
 )
 
 // attemptOn makes one attempt at a backend, without an agent.
-func attemptOn(t *testing.T, b *upstreamPool, ctx context.Context, body string) (balancer.Result, *response, balancer.Load) {
+func attemptOn(t *testing.T, b *Pool, ctx context.Context, body string) (balancer.Result, *Response, balancer.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b.executeBuffered(ctx, nil, "s", &upstreamRequest{method: http.MethodPost, url: req.URL, body: []byte(body),
-		header: http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}})
+	return b.executeBuffered(ctx, nil, "s", &Request{Method: http.MethodPost, URL: req.URL, Body: []byte(body),
+		Header: http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}})
 }
 
-func poolWithBackend(t *testing.T, addr string) *upstreamPool {
+func poolWithBackend(t *testing.T, addr string) *Pool {
 	t.Helper()
-	b := newUpstreamPool(testConfig(t, testSetup{}), discardLog)
-	t.Cleanup(b.close)
+	b := NewPool(testConfig(t, testSetup{}), discardLog)
+	t.Cleanup(b.Close)
 	b.settleTime = 0 // other tests are about unsolicited bytes
-	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
+	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": addr}})
 	return b
 }
@@ -69,8 +69,8 @@
 			if result != row.want || (a != nil) != (row.want == balancer.OK) {
 				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
 			}
-			if a != nil && string(a.body) != "hello" {
-				t.Errorf("body %q", a.body)
+			if a != nil && string(a.Body) != "hello" {
+				t.Errorf("body %q", a.Body)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 	s := startRawBackend(t, func(int) string { <-hold; return "" })
 	b := poolWithBackend(t, s.addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	go func() { <-s.seen; cancel(errTimedOut) }()
+	go func() { <-s.seen; cancel(ErrTimedOut) }()
 	if result, _, _ := attemptOn(t, b, ctx, ""); result != balancer.TimedOut {
 		t.Errorf("result %v", result)
 	}
@@ -108,7 +108,7 @@
 	defer close(hold)
 	s := startRawBackend(t, func(int) string { <-hold; return "" })
 	ctx, cancel := context.WithCancelCause(context.Background())
-	go func() { <-s.seen; cancel(errCancelled) }()
+	go func() { <-s.seen; cancel(ErrCancelled) }()
 	if result, _, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, ""); result != balancer.Cancelled {
 		t.Errorf("result %v", result)
 	}
@@ -172,7 +172,7 @@
 		close(over)
 		return c, err
 	}
-	m := &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}}
+	m := &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}}
 	if r, _, _ := b.executeBuffered(context.Background(), over, "s", m); r != balancer.NotSent {
 		t.Errorf("result %v", r)
 	}
@@ -196,7 +196,7 @@
 		s := startRawBackend(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
 		b := poolWithBackend(t, s.addr)
 		b.cfg.Site.LoadProbed = true
-		if p := b.probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
+		if p := b.Probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
 			t.Errorf("%s: %+v", status, p)
 		}
 	}
@@ -206,30 +206,30 @@
 func TestLargeResponseLatencyIsFirstByte(t *testing.T) {
 	hold := make(chan struct{})
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
-		_, _ = io.WriteString(w, pattern(2*maxBufferedBody))
+		_, _ = io.WriteString(w, pattern(2*MaxBufferedBody))
 		_ = http.NewResponseController(w).Flush()
 		<-hold
 	})
 	b := poolWithBackend(t, s.Addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	u, _ := http.NewRequest("GET", "/get/x", nil)
-	tr := &attempt{ctx: ctx, cancel: cancel, backendID: "s", start: time.Now(), request: &upstreamRequest{method: "GET", url: u.URL, header: http.Header{}}}
+	tr := &Attempt{ctx: ctx, Cancel: cancel, BackendID: "s", Start: time.Now(), Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
 	var told time.Duration
-	tr.onStreamStart = func(a *response, took time.Duration) bool {
+	tr.OnStreamStart = func(a *Response, took time.Duration) bool {
 		told = took
 		go func() {
-			_, err := io.CopyN(io.Discard, a.stream.source, 2*maxBufferedBody-int64(len(a.body)))
+			_, err := io.CopyN(io.Discard, a.Stream.source, 2*MaxBufferedBody-int64(len(a.Body)))
 			close(hold)
 			if err == nil {
-				_, err = io.Copy(io.Discard, a.stream.source)
+				_, err = io.Copy(io.Discard, a.Stream.source)
 			}
-			a.stream.finish(err)
+			a.Stream.Finish(err)
 		}()
 		return true
 	}
-	result, a, _ := b.execute(tr)
-	if result != balancer.OK || a.stream == nil || tr.latency != told || tr.latency >= time.Since(tr.start) {
-		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.latency, time.Since(tr.start))
+	result, a, _ := b.Execute(tr)
+	if result != balancer.OK || a.Stream == nil || tr.Latency != told || tr.Latency >= time.Since(tr.Start) {
+		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.Latency, time.Since(tr.Start))
 	}
 	if len(b.idle["s"]) != 1 {
 		t.Error("the connection is not kept")
--- a/internal/agent/attempttimer.go
+++ b/internal/agent/attempttimer.go
@@ -27,7 +27,7 @@
 			defer t.mu.Unlock()
 			if !t.responseStarted {
 				t.expired = true
-				t.cancel(errTimedOut)
+				t.cancel(ErrTimedOut)
 			}
 		})
 	}
--- a/internal/agent/bufferedresponse.go
+++ b/internal/agent/bufferedresponse.go
@@ -64,7 +64,7 @@
 			select {
 			case b.consumed <- struct{}{}:
 			case <-b.done:
-				return buffered, false, errRequestEnded
+				return buffered, false, ErrRequestEnded
 			}
 		case <-timer.C:
 			if len(buffered) > 0 {
@@ -72,7 +72,7 @@
 			}
 			timer.Reset(timeout) // no byte yet: nothing could be passed on
 		case <-b.done:
-			return buffered, false, errRequestEnded
+			return buffered, false, ErrRequestEnded
 		}
 	}
 	return buffered, true, nil
@@ -83,7 +83,7 @@
 		select {
 		case b.unread = <-b.results:
 		case <-b.done:
-			return 0, errRequestEnded
+			return 0, ErrRequestEnded
 		}
 	}
 	n := copy(p, b.unread.data)
@@ -94,7 +94,7 @@
 		select {
 		case b.consumed <- struct{}{}:
 		case <-b.done:
-			return n, errRequestEnded
+			return n, ErrRequestEnded
 		}
 	}
 	return n, b.unread.err
--- a/internal/agent/buffers.go
+++ b/internal/agent/buffers.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 )
 
-// bufferBudget bounds the memory for stream buffers.
-type bufferBudget struct{ remaining atomic.Int64 }
+// Buffers bounds the memory for stream buffers.
+type Buffers struct{ remaining atomic.Int64 }
 
-// newBufferBudget gives streams an eighth of the memory; 0 MB means the default of 64.
-func newBufferBudget(memoryMB int) *bufferBudget {
-	b := &bufferBudget{}
+// newBuffers gives streams an eighth of the memory; 0 MB means the default of 64.
+func newBuffers(memoryMB int) *Buffers {
+	b := &Buffers{}
 	if memoryMB == 0 {
 		memoryMB = 64
 	}
@@ -20,9 +20,9 @@
 	return b
 }
 
-// get returns a buffer and the function that gives it back. It never fails: once the budget is used up, buffers are small
+// Get returns a buffer and the function that gives it back. It never fails: once the budget is used up, buffers are small
 // and not counted.
-func (b *bufferBudget) get() ([]byte, func()) {
+func (b *Buffers) Get() ([]byte, func()) {
 	size := int64(streamBufferSize)
 	if b.remaining.Add(-size) < 0 {
 		b.remaining.Add(size)
@@ -31,8 +31,8 @@
 	return make([]byte, size), func() { b.remaining.Add(size) }
 }
 
-// limitKernelBuffers keeps the kernel from buffering megabytes of a stream for a socket.
-func limitKernelBuffers(c net.Conn) {
+// LimitKernelBuffers keeps the kernel from buffering megabytes of a stream for a socket.
+func LimitKernelBuffers(c net.Conn) {
 	if t, ok := c.(interface {
 		SetReadBuffer(int) error
 		SetWriteBuffer(int) error
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -67,7 +67,7 @@
 // TestRequestArrivingWithEOFIsNotForwarded: a request whose client has disconnected is owed nothing.
 func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), NewPool(cfg, discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 			writeText(t, c, getRequest("/get/x", ""))
 			r := nextEvent[requestArrived](t, posts).request
 			writeText(t, c, behind)
-			r.reply <- reply{response: &response{header: http.Header{}, body: []byte("hello")}}
+			r.reply <- reply{response: &Response{Header: http.Header{}, Body: []byte("hello")}}
 			eventually(t, "the answer to be out", f.noConnections)
 			if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -29,8 +29,8 @@
 	}
 	n, err := r.source.Read(b)
 	r.waited += time.Since(readStart)
-	if r.received += int64(n); r.received > maxStreamBytes {
-		return 0, &http.MaxBytesError{Limit: maxStreamBytes}
+	if r.received += int64(n); r.received > MaxStreamBytes {
+		return 0, &http.MaxBytesError{Limit: MaxStreamBytes}
 	}
 	return n, err
 }
@@ -40,18 +40,18 @@
 	if httpReq.ContentLength == 0 {
 		return nil, false, nil
 	}
-	if httpReq.ContentLength > maxStreamBytes {
-		return nil, false, bodyError(&http.MaxBytesError{Limit: maxStreamBytes})
+	if httpReq.ContentLength > MaxStreamBytes {
+		return nil, false, bodyError(&http.MaxBytesError{Limit: MaxStreamBytes})
 	}
-	if httpReq.ContentLength > maxBufferedBody {
+	if httpReq.ContentLength > MaxBufferedBody {
 		if c := clientConnOf(httpReq); c != nil {
-			limitKernelBuffers(c.Conn)
+			LimitKernelBuffers(c.Conn)
 		}
 	}
 	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
-	body, err := io.ReadAll(io.LimitReader(paced, maxBufferedBody+1))
-	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
+	body, err := io.ReadAll(io.LimitReader(paced, MaxBufferedBody+1))
+	if more = len(body) > MaxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
 		err = paced.control.SetReadDeadline(time.Time{})
 	}
 	if err != nil {
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -84,7 +84,7 @@
 					a.pool.mu.Lock()
 					defer a.pool.mu.Unlock()
 					at := a.pool.endpoints["x"]
-					return a.pool.endpoints["y"] != nil && (at != nil) == (state != "") && (at == nil || at.draining == (state == "draining"))
+					return a.pool.endpoints["y"] != nil && (at != nil) == (state != "") && (at == nil || at.Draining == (state == "draining"))
 				}
 				old := receive(t, "watch", before.watch)
 				old.sendLine(t, deltaLine(t, 41, x.member("x")))
@@ -142,7 +142,7 @@
 				eventually(t, "the new list", func() bool { return holds(state) })
 				up := receive(t, "connection", x.conns)
 				if state == "ready" {
-					done := a.pool.startAt("x", &attempt{endpoint: a.pool.endpoint("x")})
+					done := a.pool.startAt("x", &Attempt{Endpoint: a.pool.Endpoint("x")})
 					readRequest(t, bufio.NewReader(up))
 					writeText(t, up, okResponse("again"))
 					receive(t, "result", done).expect(t, balancer.OK, "again")
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -21,12 +21,12 @@
 	responseStarted    struct {           // the first bytes of an attempt's streaming response have arrived
 		*request
 		attempt  int
-		response *response
+		response *Response
 	}
 	attemptEnded struct { // the attempt has its result
 		*request
 		outcome  balancer.Outcome
-		response *response
+		response *Response
 	}
 	endpointsUpdated struct{ discovery.Update }
 	// balancerEvent is an event of the balancer's own, of a health check, a peer or the fleet.
@@ -41,11 +41,11 @@
 	l.counts.requests++
 	l.requests[e.id] = e.request
 	l.pending = append(l.pending, balancer.Request{ID: e.id, Class: e.class, Work: e.sizeHint,
-		ClientRetry: e.clientRetry, AffinityKey: e.key, ResidencyRule: e.residencyRule, Streaming: e.upstream.isLarge()})
+		ClientRetry: e.clientRetry, AffinityKey: e.key, ResidencyRule: e.residencyRule, Streaming: e.upstream.IsStreamed()})
 }
 
 func (e bodyComplete) applyTo(l *eventLoop) {
-	e.deadline = e.upstream.upload.completedAt.Add(e.timeout)
+	e.deadline = e.upstream.Upload.completedAt.Add(e.timeout)
 	for _, timer := range e.attemptTimers {
 		timer.arm(e.deadline.Add(-l.margin))
 	}
@@ -54,7 +54,7 @@
 
 func (e responseStarted) applyTo(l *eventLoop) {
 	if e.finished {
-		e.response.stream.finish(errRequestEnded)
+		e.response.Stream.Finish(ErrRequestEnded)
 		return
 	}
 	l.counts.served++
@@ -71,10 +71,10 @@
 		l.counts.served++
 	}
 	e.outcome.Done = e.finished
-	if e.response != nil && e.response.stream != nil && e.outcome.Result != balancer.OK {
+	if e.response != nil && e.response.Stream != nil && e.outcome.Result != balancer.OK {
 		l.counts.truncated++
 	}
-	if !e.finished && e.upstream.consumed() {
+	if !e.finished && e.upstream.Consumed() {
 		l.pending = append(l.pending, balancer.BodyConsumed{Request: e.id})
 	}
 	l.pending = append(l.pending, e.outcome)
@@ -87,9 +87,9 @@
 	}
 	l.counts.disconnected++
 	l.respond(e.request, reply{})
-	if e.upstream.isLarge() && !e.upstream.upload.complete() { // an incomplete upload can't go on, and no backend is to blame
+	if e.upstream.IsStreamed() && !e.upstream.Upload.IsComplete() { // an incomplete upload can't go on, and no backend is to blame
 		for _, cancel := range e.cancels {
-			cancel(errCancelled)
+			cancel(ErrCancelled)
 		}
 	}
 	l.pending = append(l.pending, balancer.Abandoned{Request: e.id})
@@ -111,7 +111,7 @@
 }
 
 func (e endpointsUpdated) applyTo(l *eventLoop) {
-	l.pool.applyUpdate(e.Update)
+	l.pool.ApplyUpdate(e.Update)
 	l.pending = append(l.pending, e.Endpoints)
 	if len(e.Endpoints.Backends) > 0 {
 		l.ready.Store(true)
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -37,7 +37,7 @@
 	if a.fleet, a.loop.residency, err = a.cfg.Join(a.cfg, a.log, post, a.SetDiscoveryAddr); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	a.pool.residency = a.loop.residency
+	a.pool.Residency = a.loop.residency
 	return nil
 }
 
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -77,7 +77,7 @@
 	return f
 }
 
-// setLimit changes how many requests may be open, and how many connections are kept, at once.
+// SetLimit changes how many requests may be open, and how many connections are kept, at once.
 func (f *frontend) setLimit(limit int) {
 	if f.cfg.Site.MaxOpen > 0 {
 		limit = min(limit, f.cfg.Site.MaxOpen)
@@ -170,7 +170,7 @@
 		return
 	}
 	defer f.openRequests.Add(-1)
-	if r.upstream.upload == nil {
+	if r.upstream.Upload == nil {
 		f.serveBuffered(w, httpReq, r, client)
 	} else {
 		f.serveUpload(w, httpReq, r)
@@ -220,12 +220,12 @@
 
 // serveUpload serves a request whose body is streamed. The body is read in a goroutine that has ended when this returns.
 func (f *frontend) serveUpload(w http.ResponseWriter, httpReq *http.Request, r *request) {
-	upload, pumped := r.upstream.upload, make(chan struct{})
+	upload, pumped := r.upstream.Upload, make(chan struct{})
 	go func() {
 		defer close(pumped)
-		upload.pump(&minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
+		upload.Pump(&minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 			allowance: max(f.maxBodyGap, clientStallTimeout), maxGap: max(f.maxBodyGap, clientStallTimeout),
-			received: int64(len(r.upstream.body))}, f.loop.pool.bufferBudget)
+			received: int64(len(r.upstream.Body))}, f.loop.pool.Buffers)
 	}()
 	answer := f.awaitReply(httpReq, r)
 	f.closeAfterReply(w)
@@ -242,13 +242,13 @@
 
 // finishUpload stops a streamed body that is not complete, and renews the write deadline, of which the upload may have
 // used most.
-func (f *frontend) finishUpload(w http.ResponseWriter, upload *upload) {
+func (f *frontend) finishUpload(w http.ResponseWriter, upload *Upload) {
 	control := http.NewResponseController(w)
-	if !upload.complete() {
+	if !upload.IsComplete() {
 		w.Header().Set("Connection", "close")   // the rest of the body is not read
 		_ = control.SetReadDeadline(time.Now()) // fails only on a broken connection
 	}
-	upload.stop(errRequestEnded)
+	upload.Stop(ErrRequestEnded)
 	_ = control.SetWriteDeadline(time.Now().Add(f.server.WriteTimeout))
 }
 
@@ -277,7 +277,7 @@
 	defer deadlineTimer.Stop()
 	disconnected := httpReq.Context().Done()
 	var bodyCompleted, bodyFailed <-chan struct{}
-	upload := r.upstream.upload
+	upload := r.upstream.Upload
 	if upload != nil { // its deadline counts from the body's last byte
 		bodyCompleted, bodyFailed = upload.completed, upload.failed
 		deadlineTimer.Stop()
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -77,7 +77,7 @@
 
 // applyLimits keeps this process to the limits of c. Idle connections to backends beyond them are closed.
 func (a *Agent) applyLimits(c *Config) {
-	a.pool.setLimit(maxUpstreamConns(c.shareableDescriptors()))
+	a.pool.SetLimit(maxUpstreamConns(c.shareableDescriptors()))
 	a.frontend.setLimit(maxClientConns(c.shareableDescriptors()))
 	c.LimitMemory()
 }
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -140,12 +140,12 @@
 // platform's kill aborts does not. So it goes on with a large response after the time at which it may be killed.
 func TestDrainingProcessFinishesLargeResponse(t *testing.T) {
 	hold := make(chan struct{})
-	text := pattern(4 * maxBufferedBody)
+	text := pattern(4 * MaxBufferedBody)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, text[:maxBufferedBody+1])
+		_, _ = io.WriteString(w, text[:MaxBufferedBody+1])
 		_ = http.NewResponseController(w).Flush()
 		<-hold
-		_, _ = io.WriteString(w, text[maxBufferedBody+1:])
+		_, _ = io.WriteString(w, text[MaxBufferedBody+1:])
 	})
 	ln := listen(t)
 	a := startAgent(t, hotRestartConfig(t, ln, t.TempDir(), testSetup{servers: []discoveryMember{s}}))
@@ -181,7 +181,7 @@
 	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
-	if err := a.pool.checkSendable(&attempt{backendID: "s"}); !errors.Is(err, errBackendDisabled) {
+	if err := a.pool.CheckSendable(&Attempt{BackendID: "s"}); !errors.Is(err, ErrBackendDisabled) {
 		t.Errorf("a backend that was called out: %v", err)
 	}
 }
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Bodies and responses up to maxBufferedBody are buffered whole, and such a body can be sent again. Larger ones are streamed:
+// Bodies and responses up to MaxBufferedBody are buffered whole, and such a body can be sent again. Larger ones are streamed:
 // they are never held completely.
 const (
-	maxBufferedBody    = 64 << 10                // bytes
-	maxStreamBytes     = 32 << 20                // bytes of a body or response; a larger body is rejected
+	MaxBufferedBody    = 64 << 10                // bytes
+	MaxStreamBytes     = 32 << 20                // bytes of a body or response; a larger body is rejected
 	streamBufferSize   = 32 << 10                // bytes passed on at once, while the budget lasts
 	minBufferSize      = 4 << 10                 // and once it is used up
 	kernelBufferSize   = 256 << 10               // bytes of a stream that the kernel holds for each socket
 	bufferingTimeout   = 50 * time.Millisecond   // a response of unknown length is held back this long, as it may turn out small
-	streamStallTimeout = 10 * time.Second        // without a byte of a stream, before it is given up
+	StallTimeout       = 10 * time.Second        // without a byte of a stream, before it is given up
 	clientStallTimeout = 1500 * time.Millisecond // without a byte of a client's body; no client may send slower than minClientRate
 	minClientRate      = 48 << 10                // bytes per second; clients send 64 kB
 	minUpstreamRate    = 1 << 10                 // bytes per second of a response, far below what any backend sends
 )
 
 var (
-	errStalled      = errors.New("stream stalled")
-	errRequestEnded = errors.New("request ended")
+	ErrStalled      = errors.New("stream stalled")
+	ErrRequestEnded = errors.New("request ended")
 )
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -12,7 +12,7 @@
 type request struct {
 	id            string
 	class         int
-	upstream      *upstreamRequest
+	upstream      *Request
 	deadline      time.Time     // when the client stops waiting
 	timeout       time.Duration // from the last byte to the deadline
 	sizeHint      time.Duration
@@ -35,7 +35,7 @@
 
 // reply is the final reply to a request. At most one of response, rejected, timedOut and duplicate is set; none: failed.
 type reply struct {
-	response   *response
+	response   *Response
 	rejected   bool
 	retryAfter time.Duration
 	residency  bool // rejected since no backend is up where the residency policy permits to send
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -28,28 +28,28 @@
 )
 
 var (
-	errTimedOut           = errors.New("timed out")
-	errCancelled          = errors.New("cancelled")
+	ErrTimedOut           = errors.New("timed out")
+	ErrCancelled          = errors.New("cancelled")
 	errNoDescriptor       = errors.New("no file descriptor left for another connection")
 	errEndpointChanged    = errors.New("endpoint changed")
 	errAlreadyAnswered    = errors.New("request already answered")
 	errResidencyForbidden = errors.New("forbidden by the residency policy")
 	errTooLarge           = errors.New("response too large")
-	errBackendDisabled    = errors.New("backend detached by operators")
+	ErrBackendDisabled    = errors.New("backend detached by operators")
 )
 
-// upstreamPool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
+// Pool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
 // request, written at most once on one connection. Its methods may be called from any goroutine.
-type upstreamPool struct {
-	cfg          *Config
-	log          *slog.Logger
-	transport    *http.Transport
-	bufferBudget *bufferBudget
-	idleTimeout  time.Duration
-	maxConns     int // bound on openConns; changed by setLimit under mu
+type Pool struct {
+	cfg         *Config
+	log         *slog.Logger
+	transport   *http.Transport
+	Buffers     *Buffers
+	idleTimeout time.Duration
+	maxConns    int // bound on openConns; changed by SetLimit under mu
 
 	mu              sync.Mutex
-	endpoints       map[string]*endpoint     // by backend id
+	endpoints       map[string]*Endpoint     // by backend id
 	disabled        map[string]bool          // backend ids to which operators forbid to send
 	idle            map[string][]*pooledConn // by backend id, the most recently used last
 	openConns       int                      // idle, in use or being dialled
@@ -58,7 +58,7 @@
 	lastUnsolicited time.Time     // when unsolicited bytes were last found
 	closed          bool          // no connection is kept any more
 
-	residency gate.Enforcer // nil: no residency policy
+	Residency gate.Enforcer // nil: no residency policy
 }
 
 // pooledConn is one connection to a backend. It carries one request at a time.
@@ -70,14 +70,14 @@
 	idleFor   time.Duration // how long it was idle before its current use; 0: new
 }
 
-func newUpstreamPool(cfg *Config, log *slog.Logger) *upstreamPool {
-	p := &upstreamPool{cfg: cfg, log: log, bufferBudget: newBufferBudget(cfg.MemoryMB),
+func NewPool(cfg *Config, log *slog.Logger) *Pool {
+	p := &Pool{cfg: cfg, log: log, Buffers: newBuffers(cfg.MemoryMB),
 		maxConns: maxUpstreamConns(cfg.shareableDescriptors()),
 		// Backends may close an idle connection after IdleClose. A request that crosses the close is lost as a
 		// reset that may have been executed. A quarter of the time is far more than any network delay.
 		idleTimeout: cfg.Site.IdleClose * 3 / 4,
 		settleTime:  settleTime,
-		endpoints:   map[string]*endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
+		endpoints:   map[string]*Endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
 	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeader,
@@ -106,17 +106,17 @@
 	dialSlot    struct{ conn *trackedConn }
 )
 
-// endpoint is what the list says about a backend as far as it matters to an attempt between the balancer's decision and
+// Endpoint is what the list says about a backend as far as it matters to an attempt between the balancer's decision and
 // its first byte. It is immutable: a change in the list makes a new one, so pointers can be compared.
-type endpoint struct {
-	addr       string
-	zone, cell int
-	draining   bool
+type Endpoint struct {
+	Addr       string
+	Zone, Cell int
+	Draining   bool
 }
 
-// applyUpdate applies an update of the list. Idle connections to a backend that is gone, drains or has a new address are
+// ApplyUpdate applies an update of the list. Idle connections to a backend that is gone, drains or has a new address are
 // closed: another process answers at the new address, and a draining backend wants no new requests.
-func (p *upstreamPool) applyUpdate(update discovery.Update) {
+func (p *Pool) ApplyUpdate(update discovery.Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if update.Endpoints.Kind != balancer.UpdateDelta && update.Endpoints.Kind != balancer.UpdateFailed {
@@ -132,19 +132,19 @@
 			p.removeEndpoint(backend.ID)
 			continue
 		}
-		current := endpoint{addr: addr, zone: backend.Zone, cell: backend.Cell, draining: backend.State != balancer.Up}
+		current := Endpoint{Addr: addr, Zone: backend.Zone, Cell: backend.Cell, Draining: backend.State != balancer.Up}
 		if previous := p.endpoints[backend.ID]; previous == nil || *previous != current {
 			p.endpoints[backend.ID] = &current
-			if previous != nil && (previous.addr != addr || current.draining) {
+			if previous != nil && (previous.Addr != addr || current.Draining) {
 				p.closeIdle(backend.ID)
 			}
 		}
 	}
 }
 
-// setDisabled forbids to write to a backend, or permits it again. Both close its idle connections: operators restart
+// SetDisabled forbids to write to a backend, or permits it again. Both close its idle connections: operators restart
 // the backend in between.
-func (p *upstreamPool) setDisabled(id string, disabled bool) {
+func (p *Pool) SetDisabled(id string, disabled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if disabled {
@@ -156,13 +156,13 @@
 }
 
 // removeEndpoint forgets a backend and closes its idle connections. The caller holds mu.
-func (p *upstreamPool) removeEndpoint(id string) {
+func (p *Pool) removeEndpoint(id string) {
 	delete(p.endpoints, id)
 	p.closeIdle(id)
 }
 
 // closeIdle closes a backend's idle connections. The caller holds mu.
-func (p *upstreamPool) closeIdle(id string) {
+func (p *Pool) closeIdle(id string) {
 	for _, c := range p.idle[id] {
 		p.discard(c)
 	}
@@ -170,7 +170,7 @@
 }
 
 // discard closes a connection and uncounts it. The caller holds mu; closing a socket does not block.
-func (p *upstreamPool) discard(conn *pooledConn) {
+func (p *Pool) discard(conn *pooledConn) {
 	p.openConns--
 	if conn.tracked.hasUnsolicited() {
 		p.lastUnsolicited = time.Now()
@@ -179,8 +179,8 @@
 }
 
 // acquire returns an idle connection to a backend, or the address at which to dial a new one, already counted in
-// openConns. It fails with errEndpointChanged, errBackendDisabled or errNoDescriptor.
-func (p *upstreamPool) acquire(id string) (*pooledConn, string, error) {
+// openConns. It fails with errEndpointChanged, ErrBackendDisabled or errNoDescriptor.
+func (p *Pool) acquire(id string) (*pooledConn, string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	endpoint := p.endpoints[id]
@@ -188,7 +188,7 @@
 	case endpoint == nil:
 		return nil, "", errEndpointChanged
 	case p.disabled[id]:
-		return nil, "", errBackendDisabled
+		return nil, "", ErrBackendDisabled
 	}
 	p.idle[id] = slices.DeleteFunc(p.idle[id], func(conn *pooledConn) bool {
 		usable := p.isUsable(conn)
@@ -201,18 +201,18 @@
 		conn := p.idle[id][i]
 		p.idle[id] = slices.Delete(p.idle[id], i, i+1)
 		conn.idleFor = max(1, time.Since(conn.idleSince))
-		return conn, endpoint.addr, nil
+		return conn, endpoint.Addr, nil
 	}
 	if p.openConns >= p.maxConns && !p.evictOldest() {
 		return nil, "", errNoDescriptor
 	}
 	p.openConns++
-	return nil, endpoint.addr, nil
+	return nil, endpoint.Addr, nil
 }
 
 // pickIdle returns the index of the idle connection to use: the most recently used one that has settled, otherwise the
 // most recently used one; below 0: none. The caller holds mu.
-func (p *upstreamPool) pickIdle(idle []*pooledConn) int {
+func (p *Pool) pickIdle(idle []*pooledConn) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if time.Since(idle[i].idleSince) >= p.settleTime {
 			return i
@@ -225,51 +225,51 @@
 }
 
 // isUsable reports whether an idle connection may carry a request. The caller holds mu.
-func (p *upstreamPool) isUsable(c *pooledConn) bool {
+func (p *Pool) isUsable(c *pooledConn) bool {
 	idle := time.Since(c.idleSince)
 	return c.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
 }
 
-// endpoint returns what the list says about a backend now; nil: nothing.
-func (p *upstreamPool) endpoint(id string) *endpoint {
+// Endpoint returns what the list says about a backend now; nil: nothing.
+func (p *Pool) Endpoint(id string) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[id]
 }
 
-// checkSendable returns why an attempt must not be written now: its request has its reply, the backend left the list,
+// CheckSendable returns why an attempt must not be written now: its request has its reply, the backend left the list,
 // drains, moved or was disabled since the decision, the time for a safe retry is over, or the residency policy forbids it.
-func (p *upstreamPool) checkSendable(att *attempt) error {
+func (p *Pool) CheckSendable(att *Attempt) error {
 	select {
-	case <-att.requestDone:
+	case <-att.RequestDone:
 		return errAlreadyAnswered
 	default:
 	}
 	p.mu.Lock()
-	disabled, endpoint := p.disabled[att.backendID], p.endpoints[att.backendID]
+	disabled, endpoint := p.disabled[att.BackendID], p.endpoints[att.BackendID]
 	p.mu.Unlock()
 	switch {
 	case disabled:
-		return errBackendDisabled
-	case endpoint == nil || att.endpoint != nil && att.endpoint != endpoint:
+		return ErrBackendDisabled
+	case endpoint == nil || att.Endpoint != nil && att.Endpoint != endpoint:
 		return errEndpointChanged
-	case !att.writeBy.IsZero() && !time.Now().Before(att.writeBy):
+	case !att.WriteBy.IsZero() && !time.Now().Before(att.WriteBy):
 		return errRetryWindowOver
-	case !p.residencyPermits(att.residencyRule, att.backendID):
+	case !p.residencyPermits(att.ResidencyRule, att.BackendID):
 		return errResidencyForbidden
 	}
 	return nil
 }
 
 // recordReuse records whether the connection broke under its request before a response began.
-func (p *upstreamPool) recordReuse(c *pooledConn, broken bool) {
+func (p *Pool) recordReuse(c *pooledConn, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseStats.record(c.idleFor, broken)
 }
 
-// setLimit changes how many connections may be open at once. Idle ones beyond it are closed.
-func (p *upstreamPool) setLimit(limit int) {
+// SetLimit changes how many connections may be open at once. Idle ones beyond it are closed.
+func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = limit
@@ -278,7 +278,7 @@
 }
 
 // evictOldest closes the connection that has been idle longest, of any backend. The caller holds mu.
-func (p *upstreamPool) evictOldest() bool {
+func (p *Pool) evictOldest() bool {
 	var oldest string
 	for id, list := range p.idle {
 		if len(list) > 0 && (oldest == "" || list[0].idleSince.Before(p.idle[oldest][0].idleSince)) {
@@ -294,11 +294,11 @@
 }
 
 // release makes a connection idle, or closes it if it must not be used again.
-func (p *upstreamPool) release(id string, conn *pooledConn, reusable bool) {
+func (p *Pool) release(id string, conn *pooledConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	endpoint := p.endpoints[id]
-	if !reusable || p.closed || conn.Err() != nil || endpoint == nil || endpoint.addr != conn.addr || endpoint.draining ||
+	if !reusable || p.closed || conn.Err() != nil || endpoint == nil || endpoint.Addr != conn.addr || endpoint.Draining ||
 		p.disabled[id] {
 		p.discard(conn)
 		return
@@ -306,8 +306,8 @@
 	p.idle[id] = append(p.idle[id], conn)
 }
 
-// close closes the idle connections; those in use are closed when they are released.
-func (p *upstreamPool) close() {
+// Close closes the idle connections; those in use are closed when they are released.
+func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -316,8 +316,8 @@
 	}
 }
 
-// closeExpired closes connections that have been idle for too long, until ctx ends.
-func (p *upstreamPool) closeExpired(ctx context.Context) {
+// CloseExpired closes connections that have been idle for too long, until ctx ends.
+func (p *Pool) CloseExpired(ctx context.Context) {
 	interval := max(p.idleTimeout/8, time.Millisecond)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -346,7 +346,7 @@
 }
 
 // dial opens a connection within the connect timeout and ctx. acquire has counted it already.
-func (p *upstreamPool) dial(ctx context.Context, addr string) (*pooledConn, error) {
+func (p *Pool) dial(ctx context.Context, addr string) (*pooledConn, error) {
 	slot := &dialSlot{}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.Settings.ConnectTimeout)
 	defer cancel()
@@ -362,17 +362,17 @@
 
 // residencyPermits checks right before the network, independently of the balancer, whether a request under a residency
 // rule may go to a backend. A violation is reported to the policy's keeper.
-func (p *upstreamPool) residencyPermits(rule int, id string) bool {
-	if p.residency == nil || rule == 0 {
+func (p *Pool) residencyPermits(rule int, id string) bool {
+	if p.Residency == nil || rule == 0 {
 		return true
 	}
 	zone := -1
-	if endpoint := p.endpoint(id); endpoint != nil {
-		zone = endpoint.zone
+	if endpoint := p.Endpoint(id); endpoint != nil {
+		zone = endpoint.Zone
 	}
-	if p.residency.Table().Permits(rule, zone) {
+	if p.Residency.Table().Permits(rule, zone) {
 		return true
 	}
-	p.residency.CountRefusal(rule, zone)
+	p.Residency.CountRefusal(rule, zone)
 	return false
 }
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -66,7 +66,7 @@
 	since := b.idle["s"][0].idleSince
 	over := make(chan struct{})
 	close(over)
-	r, _, _ := b.executeBuffered(context.Background(), over, "s", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+	r, _, _ := b.executeBuffered(context.Background(), over, "s", &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].idleSince != since {
 		t.Errorf("result %v, %d idle", r, len(b.idle["s"]))
 	}
@@ -120,14 +120,14 @@
 		return ok200
 	})
 	b := poolWithBackend(t, s.addr)
-	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "t"}}},
+	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "t"}}},
 		Addrs: map[string]string{"t": s.addr}})
 	b.maxConns = 1
 	attemptOn(t, b, context.Background(), "")
 	<-s.seen
 	done := make(chan balancer.Result)
 	go func() {
-		r, _, _ := b.executeBuffered(context.Background(), nil, "t", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+		r, _, _ := b.executeBuffered(context.Background(), nil, "t", &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request to t", s.seen)
@@ -149,7 +149,7 @@
 	two := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, one.addr)
 	attemptOn(t, b, context.Background(), "")
-	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
+	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": two.addr}})
 	if b.openConns != 0 {
 		t.Errorf("%d connections to the old address are open", b.openConns)
@@ -166,11 +166,11 @@
 	b := poolWithBackend(t, one.addr)
 	done := make(chan balancer.Result, 1)
 	go func() {
-		r, _, _ := b.executeBuffered(context.Background(), nil, "s", &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{}})
+		r, _, _ := b.executeBuffered(context.Background(), nil, "s", &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request", one.seen)
-	b.applyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
+	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs: map[string]string{"s": unusedAddr(t)}})
 	close(hold)
 	if r := receive(t, "result", done); r != balancer.OK || b.openConns != 0 {
@@ -186,15 +186,15 @@
 	if r, _, _ := attemptOn(t, b, context.Background(), "one"); r != balancer.OK {
 		t.Fatal(r)
 	}
-	b.setDisabled("s", true)
+	b.SetDisabled("s", true)
 	if b.openConns != 0 {
 		t.Errorf("%d connections to the detached backend are kept", b.openConns)
 	}
-	b.setDisabled("s", false)
+	b.SetDisabled("s", false)
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		b.setDisabled("s", true)
+		b.SetDisabled("s", true)
 		return c, err
 	}
 	if r, _, _ := attemptOn(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.openConns != 0 {
@@ -203,7 +203,7 @@
 	if r, _, _ := attemptOn(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
 		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
 	}
-	b.setDisabled("s", false)
+	b.SetDisabled("s", false)
 	b.transport.DialContext = dial
 	if r, _, _ := attemptOn(t, b, context.Background(), "four"); r != balancer.OK {
 		t.Errorf("after the call back: %v", r)
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -14,19 +14,19 @@
 	"martenbeam/internal/wire"
 )
 
-// probe checks a backend's health, with a load report if the site's health checks carry one.
-func (p *upstreamPool) probe(id string) balancer.ProbeResult {
+// Probe checks a backend's health, with a load report if the site's health checks carry one.
+func (p *Pool) Probe(id string) balancer.ProbeResult {
 	start := time.Now()
-	request := &upstreamRequest{method: http.MethodGet, url: &url.URL{Path: "/ping"}, header: http.Header{}}
+	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/ping"}, Header: http.Header{}}
 	if p.cfg.Site.LoadProbed {
-		request.url.Path = "/_load"
+		request.URL.Path = "/_load"
 	}
 	// The settings have no timeout for health checks; one that takes longer than a connect may take is of no use.
-	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, errTimedOut)
+	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, ErrTimedOut)
 	defer cancel()
 	result, resp, load := p.executeBuffered(ctx, nil, id, request)
 	if resp != nil && p.cfg.Site.LoadProbed {
-		load = parseLoad(string(resp.body))
+		load = parseLoad(string(resp.Body))
 	}
 	return balancer.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
 }
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -14,13 +14,13 @@
 // Content-Length, which tells the client.
 func (f *frontend) writeReply(w http.ResponseWriter, httpReq *http.Request, r reply) {
 	switch {
-	case r.response != nil && r.response.stream != nil:
+	case r.response != nil && r.response.Stream != nil:
 		f.streamResponse(w, httpReq, r.response)
 	case r.response != nil:
 		copyHeader(w, r.response)
-		w.Header().Set("Content-Length", strconv.Itoa(len(r.response.body)))
+		w.Header().Set("Content-Length", strconv.Itoa(len(r.response.Body)))
 		w.WriteHeader(http.StatusOK)
-		_, _ = w.Write(r.response.body) // fails only if the client has disconnected
+		_, _ = w.Write(r.response.Body) // fails only if the client has disconnected
 	case r.rejected:
 		if r.residency {
 			w.Header().Set("X-Refused-For", "residency")
@@ -35,9 +35,9 @@
 	}
 }
 
-func copyHeader(w http.ResponseWriter, resp *response) {
+func copyHeader(w http.ResponseWriter, resp *Response) {
 	h := w.Header()
-	for name, values := range resp.header {
+	for name, values := range resp.Header {
 		if !slices.Contains(hopHeaders, name) {
 			h[name] = values
 		}
@@ -49,22 +49,22 @@
 
 // streamResponse passes a streaming response on as it arrives. If it can't be completed, the connection is closed short
 // of its end, which tells the client.
-func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *response) {
-	stream := resp.stream
-	defer stream.finish(errRequestEnded)
-	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.cancel(errCancelled) })
+func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *Response) {
+	stream := resp.Stream
+	defer stream.Finish(ErrRequestEnded)
+	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.Cancel(ErrCancelled) })
 	defer stopWatching()
 	if c := clientConnOf(httpReq); c != nil {
-		limitKernelBuffers(c.Conn)
+		LimitKernelBuffers(c.Conn)
 	}
 	copyHeader(w, resp)
-	if stream.length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(stream.length, 10))
+	if stream.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(stream.Length, 10))
 	}
 	w.WriteHeader(http.StatusOK)
-	buf, free := f.loop.pool.bufferBudget.get()
+	buf, free := f.loop.pool.Buffers.Get()
 	defer free()
-	if !stream.relay(httpReq.Context(), w, resp.body, buf) {
+	if !stream.relay(httpReq.Context(), w, resp.Body, buf) {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -12,16 +12,16 @@
 	"martenbeam/internal/wire"
 )
 
-// response is a backend's response with status 200.
-type response struct {
-	header http.Header
-	body   []byte
-	stream *responseStream // the remainder, after body; nil: body is all of it
+// Response is a backend's response with status 200.
+type Response struct {
+	Header http.Header
+	Body   []byte
+	Stream *Stream // the remainder, after body; nil: body is all of it
 }
 
 // receive reads a response whose header has arrived, and returns the connection to the pool.
-func (p *upstreamPool) receive(att *attempt, conn *pooledConn, body *requestBody,
-	httpResp *http.Response) (balancer.Result, *response, balancer.Load) {
+func (p *Pool) receive(att *Attempt, conn *pooledConn, body *body,
+	httpResp *http.Response) (balancer.Result, *Response, balancer.Load) {
 	p.recordReuse(conn, false)
 	defer httpResp.Body.Close()
 	done := make(chan struct{})
@@ -29,26 +29,26 @@
 	resp, err := p.readResponse(att, httpResp, done)
 	early := body != nil && httpResp.StatusCode == http.StatusOK &&
 		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
-	if err != nil || early || endsWithConnection(httpResp) && len(resp.body) == 0 {
+	if err != nil || early || endsWithConnection(httpResp) && len(resp.Body) == 0 {
 		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
 	}
 	load := wire.ParseLoad(nil)
 	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.Site.LoadInline {
 		load = parseLoad(text)
 	}
-	if resp.stream != nil {
+	if resp.Stream != nil {
 		return p.awaitStream(att, conn, httpResp, resp), resp, load
 	}
 	httpResp.Body.Close()
-	complete := len(resp.body) <= maxBufferedBody
+	complete := len(resp.Body) <= MaxBufferedBody
 	conn.tracked.awaitIdle(!httpResp.Close && complete)
 	conn.idleSince = time.Now()
-	p.release(att.backendID, conn, !httpResp.Close && complete)
+	p.release(att.BackendID, conn, !httpResp.Close && complete)
 	switch {
 	case httpResp.StatusCode == http.StatusOK && complete:
 		return balancer.OK, resp, load
 	case neverRan(httpResp):
-		if att.newConn { // the backend accepts few connections: free an idle one for it
+		if att.NewConn { // the backend accepts few connections: free an idle one for it
 			p.mu.Lock()
 			p.evictOldest()
 			p.mu.Unlock()
@@ -65,25 +65,25 @@
 }
 
 // readResponse reads a response to its end, or the first bytes of a streaming one.
-func (p *upstreamPool) readResponse(att *attempt, httpResp *http.Response, done <-chan struct{}) (*response, error) {
-	resp := &response{header: httpResp.Header}
-	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= maxBufferedBody
-	if small || httpResp.StatusCode != http.StatusOK || att.onStreamStart == nil {
+func (p *Pool) readResponse(att *Attempt, httpResp *http.Response, done <-chan struct{}) (*Response, error) {
+	resp := &Response{Header: httpResp.Header}
+	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= MaxBufferedBody
+	if small || httpResp.StatusCode != http.StatusOK || att.OnStreamStart == nil {
 		var err error
-		resp.body, err = io.ReadAll(io.LimitReader(httpResp.Body, maxBufferedBody+1))
+		resp.Body, err = io.ReadAll(io.LimitReader(httpResp.Body, MaxBufferedBody+1))
 		return resp, err
 	}
-	if httpResp.ContentLength > maxStreamBytes {
+	if httpResp.ContentLength > MaxStreamBytes {
 		return nil, errTooLarge
 	}
-	buf, free := p.bufferBudget.get()
-	stream := &responseStream{length: httpResp.ContentLength, source: httpResp.Body, cancel: att.cancel,
+	buf, free := p.Buffers.Get()
+	stream := &Stream{Length: httpResp.ContentLength, source: httpResp.Body, Cancel: att.Cancel,
 		done: make(chan struct{}), free: free}
 	if httpResp.ContentLength < 0 {
 		buffered := bufferResponse(httpResp.Body, buf, done)
-		body, more, err := buffered.readUpTo(maxBufferedBody, bufferingTimeout)
-		if resp.body = body; err == nil && more {
-			stream.source, resp.stream = buffered, stream
+		body, more, err := buffered.readUpTo(MaxBufferedBody, bufferingTimeout)
+		if resp.Body = body; err == nil && more {
+			stream.source, resp.Stream = buffered, stream
 		} else {
 			free()
 		}
@@ -97,32 +97,32 @@
 		free()
 		return nil, err
 	}
-	resp.body, resp.stream = buf[:n], stream // a read error is returned again by the next read
+	resp.Body, resp.Stream = buf[:n], stream // a read error is returned again by the next read
 	return resp, nil
 }
 
 // awaitStream hands a streaming response over and waits until it has been passed on, or can't be.
-func (p *upstreamPool) awaitStream(att *attempt, conn *pooledConn, httpResp *http.Response, resp *response) balancer.Result {
-	defer resp.stream.free()
-	att.latency = att.elapsed()
-	limitKernelBuffers(conn.tracked.Conn)
-	if !att.onStreamStart(resp, att.latency) {
+func (p *Pool) awaitStream(att *Attempt, conn *pooledConn, httpResp *http.Response, resp *Response) balancer.Result {
+	defer resp.Stream.free()
+	att.Latency = att.Elapsed()
+	LimitKernelBuffers(conn.tracked.Conn)
+	if !att.OnStreamStart(resp, att.Latency) {
 		return p.failedResult(att, conn, nil)
 	}
 	select {
-	case <-resp.stream.done:
-	case <-att.shutdown:
-		resp.stream.finish(errRequestEnded)
+	case <-resp.Stream.done:
+	case <-att.Shutdown:
+		resp.Stream.Finish(ErrRequestEnded)
 	}
-	if resp.stream.err == nil {
+	if resp.Stream.err == nil {
 		conn.tracked.awaitIdle(!httpResp.Close)
 		conn.idleSince = time.Now()
-		p.release(att.backendID, conn, !httpResp.Close)
+		p.release(att.BackendID, conn, !httpResp.Close)
 		return balancer.OK
 	}
 	conn.tracked.Close()
-	p.release(att.backendID, conn, false)
-	if errors.Is(resp.stream.err, errRequestEnded) {
+	p.release(att.BackendID, conn, false)
+	if errors.Is(resp.Stream.err, ErrRequestEnded) {
 		return balancer.Cancelled
 	}
 	return balancer.Reset
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -75,5 +75,5 @@
 	cfg.Site.IdleClose = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	newUpstreamPool(cfg, discardLog).closeExpired(ctx)
+	NewPool(cfg, discardLog).CloseExpired(ctx)
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -14,7 +14,7 @@
 
 // TestLargeResponseIsStreamed: a large response is passed on from its first bytes, unchanged, in whatever form it comes.
 func TestLargeResponseIsStreamed(t *testing.T) {
-	text := pattern(6*maxBufferedBody + 3)
+	text := pattern(6*MaxBufferedBody + 3)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n", len(text)),
 		"chunks": "Transfer-Encoding: chunked\r\n",
@@ -125,7 +125,7 @@
 	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: poolWithBackend(t, "127.0.0.1:1")}, discardLog)
 	in, out := io.Pipe()
 	defer out.Close()
-	s := &responseStream{length: -1, source: in, cancel: func(err error) { in.CloseWithError(err) }, done: make(chan struct{})}
+	s := &Stream{Length: -1, source: in, Cancel: func(err error) { in.CloseWithError(err) }, done: make(chan struct{})}
 	ctx, leave := context.WithCancel(context.Background())
 	hr, err := http.NewRequestWithContext(ctx, "GET", "/get/x", nil)
 	if err != nil {
@@ -133,11 +133,11 @@
 	}
 	go func() {
 		defer func() { _ = recover() }() // net/http's abort, which closes the connection
-		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &response{body: []byte("first"), stream: s})
+		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &Response{Body: []byte("first"), Stream: s})
 	}()
 	leave()
 	receive(t, "end of the answer", s.done)
-	if !errors.Is(s.err, errRequestEnded) {
+	if !errors.Is(s.err, ErrRequestEnded) {
 		t.Errorf("the backend is told to have ended it: %v", s.err)
 	}
 }
--- a/internal/agent/trackedconn.go
+++ b/internal/agent/trackedconn.go
@@ -55,8 +55,8 @@
 	return tracked
 }
 
-// startRequest prepares the connection for the next request. Nothing of it is written if checkSendable returns an error,
-// nor after writeBy. lastByteNext reports whether the next write carries the request's last byte; nil for a request
+// startRequest prepares the connection for the next request. Nothing of it is written if CheckSendable returns an error,
+// nor after WriteBy. lastByteNext reports whether the next write carries the request's last byte; nil for a request
 // that net/http writes at once.
 func (c *trackedConn) startRequest(checkSendable func() error, writeBy time.Time, lastByteNext func() bool) {
 	c.writeMu.Lock()
--- a/internal/agent/upload.go
+++ b/internal/agent/upload.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// upload is the remainder of a large body, on its way from its client to one backend.
-type upload struct {
+// Upload is the remainder of a large body, on its way from its client to one backend.
+type Upload struct {
 	length        int64 // bytes of the complete body; -1: unknown
 	pipeWriter    *io.PipeWriter
 	pipeReader    *io.PipeReader
@@ -21,14 +21,14 @@
 	err           error         // the reason; valid once failed is closed
 }
 
-func newUpload(length int64) *upload {
-	u := &upload{length: length, completed: make(chan struct{}), failed: make(chan struct{})}
+func NewUpload(length int64) *Upload {
+	u := &Upload{length: length, completed: make(chan struct{}), failed: make(chan struct{})}
 	u.pipeReader, u.pipeWriter = io.Pipe()
 	return u
 }
 
-// complete reports whether the last byte has arrived.
-func (u *upload) complete() bool {
+// IsComplete reports whether the last byte has arrived.
+func (u *Upload) IsComplete() bool {
 	select {
 	case <-u.completed:
 		return true
@@ -37,10 +37,10 @@
 	}
 }
 
-// pump copies the body from the client to the attempt, no faster than the attempt reads. If the client fails, only the
+// Pump copies the body from the client to the attempt, no faster than the attempt reads. If the client fails, only the
 // frontend is notified; the event loop then cancels the attempt, since the backend is not to blame.
-func (u *upload) pump(body *minThroughputReader, b *bufferBudget) {
-	buf, free := b.get()
+func (u *Upload) Pump(body *minThroughputReader, b *Buffers) {
+	buf, free := b.Get()
 	defer free()
 	for {
 		n, err := body.Read(buf)
@@ -66,37 +66,37 @@
 }
 
 // forward waits until the attempt has read p. It returns false if no attempt will.
-func (u *upload) forward(p []byte) bool {
-	stalled := time.AfterFunc(streamStallTimeout, func() { u.stop(errStalled) })
+func (u *Upload) forward(p []byte) bool {
+	stalled := time.AfterFunc(StallTimeout, func() { u.Stop(ErrStalled) })
 	defer stalled.Stop()
 	_, err := u.pipeWriter.Write(p)
 	return err == nil
 }
 
-func (u *upload) fail(err error) {
+func (u *Upload) fail(err error) {
 	u.err = err
 	close(u.failed)
 }
 
-// stop makes all further reads and writes of the body fail with err.
-func (u *upload) stop(err error) {
+// Stop makes all further reads and writes of the body fail with err.
+func (u *Upload) Stop(err error) {
 	u.pipeWriter.CloseWithError(err)
 	u.pipeReader.CloseWithError(err)
 }
 
-// requestBody is a streamed body as one attempt reads it: the buffered part, then the upload.
-type requestBody struct {
+// body is a streamed body as one attempt reads it: the buffered part, then the upload.
+type body struct {
 	buffered  []byte
-	upload    *upload
+	upload    *Upload
 	remaining int64       // bytes still to be read; below 0: unknown
 	consumed  atomic.Bool // the last byte was handed out
 }
 
-func (u *upload) newBody(buffered []byte) *requestBody {
-	return &requestBody{buffered: buffered, upload: u, remaining: u.length}
+func (u *Upload) NewBody(buffered []byte) *body {
+	return &body{buffered: buffered, upload: u, remaining: u.length}
 }
 
-func (b *requestBody) Read(p []byte) (n int, err error) {
+func (b *body) Read(p []byte) (n int, err error) {
 	if len(b.buffered) > 0 {
 		n = copy(p, b.buffered)
 		b.buffered = b.buffered[n:]
@@ -110,4 +110,4 @@
 	return n, err
 }
 
-func (b *requestBody) Close() error { return nil } // the upload outlives an attempt that never read from it
+func (b *body) Close() error { return nil } // the upload outlives an attempt that never read from it
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -16,7 +16,7 @@
 func TestLargeBodyIsStreamed(t *testing.T) {
 	began := make(chan bool, 10)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
-		text := make([]byte, maxBufferedBody)
+		text := make([]byte, MaxBufferedBody)
 		_, err := io.ReadFull(hr.Body, text)
 		began <- err == nil
 		rest, err := io.ReadAll(hr.Body)
@@ -26,8 +26,8 @@
 		fmt.Fprint(w, hr.ContentLength, digest(string(text)+string(rest)))
 	})
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
-	text := pattern(5*maxBufferedBody + 7)
-	first, rest := text[:2*maxBufferedBody], text[2*maxBufferedBody:]
+	text := pattern(5*MaxBufferedBody + 7)
+	first, rest := text[:2*MaxBufferedBody], text[2*MaxBufferedBody:]
 	for name, row := range map[string]struct {
 		head, first, rest string
 		length            int
@@ -64,13 +64,13 @@
 			}
 			hr, err := http.ReadRequest(bufio.NewReader(c))
 			if err == nil {
-				_, _ = io.CopyN(io.Discard, hr.Body, 2*maxBufferedBody)
+				_, _ = io.CopyN(io.Discard, hr.Body, 2*MaxBufferedBody)
 				came <- struct{}{}
 			}
 			c.Close() // with the rest unread: a reset
 		}
 	}()
-	text := pattern(64 * maxBufferedBody)
+	text := pattern(64 * MaxBufferedBody)
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
 	c := dialRawClient(t, a)
 	go func() {
@@ -90,7 +90,7 @@
 	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
 	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
 	for range 10 { // some of these try the dead backend first
-		if x := b.do("POST", "/pay/x", text[:3*maxBufferedBody]); x.status != 200 || x.body != digest(text[:3*maxBufferedBody]) {
+		if x := b.do("POST", "/pay/x", text[:3*MaxBufferedBody]); x.status != 200 || x.body != digest(text[:3*MaxBufferedBody]) {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -105,14 +105,14 @@
 			fmt.Fprint(w, "served")
 			return
 		}
-		_, _ = io.CopyN(io.Discard, hr.Body, maxBufferedBody)
+		_, _ = io.CopyN(io.Discard, hr.Body, MaxBufferedBody)
 		close(began)
 		_, err := io.Copy(io.Discard, hr.Body)
 		ended <- err
 	})
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
 	c := dialRawClient(t, a)
-	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*maxBufferedBody))
+	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*MaxBufferedBody))
 	receive(t, "first part", began)
 	c.Close()
 	if err := receive(t, "end at the backend", ended); err == nil {
@@ -129,7 +129,7 @@
 // TestSlowUploadIsServedAndStalledOneEnds: a client may take 2 s for a header and send its body at 64 kB per second. One
 // that stops sending is disconnected; time in which the backend does not read does not count.
 func TestSlowUploadIsServedAndStalledOneEnds(t *testing.T) {
-	const total = 5 * maxBufferedBody
+	const total = 5 * MaxBufferedBody
 	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
 		c := dial()
 		began := time.Now()
@@ -175,7 +175,7 @@
 					go func() {
 						defer close(end)
 						time.Sleep(wait)
-						if _, err := io.Copy(io.Discard, e.upstream.upload.newBody(e.upstream.body)); err == nil {
+						if _, err := io.Copy(io.Discard, e.upstream.Upload.NewBody(e.upstream.Body)); err == nil {
 							e.reply <- reply{rejected: true}
 						}
 					}()
--- a/internal/agent/upstream_race_test.go
+++ b/internal/agent/upstream_race_test.go
@@ -16,27 +16,27 @@
 
 type attemptResult struct {
 	balancer.Result
-	answer *response
+	answer *Response
 }
 
-func (p *upstreamPool) start(tr *attempt) <-chan attemptResult { return p.startAt("s", tr) }
+func (p *Pool) start(tr *Attempt) <-chan attemptResult { return p.startAt("s", tr) }
 
-func (p *upstreamPool) startAt(id string, tr *attempt) <-chan attemptResult {
+func (p *Pool) startAt(id string, tr *Attempt) <-chan attemptResult {
 	done := make(chan attemptResult, 1)
-	tr.backendID, tr.start = id, time.Now()
+	tr.BackendID, tr.Start = id, time.Now()
 	if tr.ctx == nil {
 		tr.ctx = context.Background()
 	}
-	if tr.request == nil {
-		tr.request = &upstreamRequest{method: "GET", url: &url.URL{Path: "/get/x"}, header: http.Header{"X-Trace-Id": {newID()}}}
+	if tr.Request == nil {
+		tr.Request = &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}
 	}
-	go func() { r, a, _ := p.execute(tr); done <- attemptResult{r, a} }()
+	go func() { r, a, _ := p.Execute(tr); done <- attemptResult{r, a} }()
 	return done
 }
 
 func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
-	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.body) != body {
+	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.Body) != body {
 		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
 	}
 }
@@ -63,8 +63,8 @@
 				s := startManualBackend(t)
 				b := poolWithBackend(t, s.addr)
 				keeper := &hookedGate{hook: func() {}}
-				b.residency = keeper
-				first := b.start(&attempt{})
+				b.Residency = keeper
+				first := b.start(&Attempt{})
 				c := receive(t, "connection", s.conns)
 				in := bufio.NewReader(c)
 				readRequest(t, in)
@@ -88,7 +88,7 @@
 						return len(b.idle["s"]) == 1 && b.idle["s"][0].Err() != nil
 					})
 				}
-				second := b.start(&attempt{residencyRule: 1})
+				second := b.start(&Attempt{ResidencyRule: 1})
 				other := receive(t, "second connection", s.conns)
 				readRequest(t, bufio.NewReader(other))
 				writeText(t, other, okResponse("second"))
@@ -112,14 +112,14 @@
 		writeText(t, c, text)
 		receive(t, "answer", done).expect(t, balancer.OK, "hello")
 	}
-	done := b.start(&attempt{})
+	done := b.start(&Attempt{})
 	one := receive(t, "connection", s.conns)
 	inOne := bufio.NewReader(one)
 	serve(one, inOne, done, okResponse("hello"))
-	serve(one, inOne, b.start(&attempt{}), okResponse("hello")) // the only one, and no unsolicited bytes were seen
-	first := b.start(&attempt{})
+	serve(one, inOne, b.start(&Attempt{}), okResponse("hello")) // the only one, and no unsolicited bytes were seen
+	first := b.start(&Attempt{})
 	readRequest(t, inOne)
-	second := b.start(&attempt{})
+	second := b.start(&Attempt{})
 	two := receive(t, "second connection", s.conns)
 	inTwo := bufio.NewReader(two)
 	serve(two, inTwo, second, okResponse("hello"))
@@ -133,10 +133,10 @@
 	if one.RemoteAddr().String() != rested {
 		c, in, other, inOther = two, inTwo, one, inOne
 	}
-	serve(c, in, b.start(&attempt{}), okResponse("hello"))
-	serve(c, in, b.start(&attempt{}), okResponse("hello")) // the most recently used, as none has settled
-	serve(c, in, b.start(&attempt{}), okResponse("hello")+"more")
-	done = b.start(&attempt{})
+	serve(c, in, b.start(&Attempt{}), okResponse("hello"))
+	serve(c, in, b.start(&Attempt{}), okResponse("hello")) // the most recently used, as none has settled
+	serve(c, in, b.start(&Attempt{}), okResponse("hello")+"more")
+	done = b.start(&Attempt{})
 	three := receive(t, "third connection", s.conns)
 	serve(three, bufio.NewReader(three), done, okResponse("hello"))
 	b.mu.Lock()
@@ -145,7 +145,7 @@
 	}
 	b.idle["s"][1].idleSince = time.Now()
 	b.mu.Unlock()
-	serve(other, inOther, b.start(&attempt{}), okResponse("hello")) // settled by now
+	serve(other, inOther, b.start(&Attempt{}), okResponse("hello")) // settled by now
 }
 
 // TestRejectedNewConnectionEvictsIdleOne: if a backend rejects a request on a new connection it has as many connections as
@@ -156,13 +156,13 @@
 	b := poolWithBackend(t, full.addr)
 	applyDelta(b, balancer.Backend{ID: "other"}, other.addr)
 	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result, fresh bool) (net.Conn, *bufio.Reader) {
-		tr := &attempt{}
+		tr := &Attempt{}
 		done := b.startAt(id, tr)
 		conn, in := c()
 		readRequest(t, in)
 		writeText(t, conn, text)
-		if r := receive(t, "result", done); r.Result != want || tr.newConn != fresh {
-			t.Errorf("%s: result %v, new connection: %v", id, r.Result, tr.newConn)
+		if r := receive(t, "result", done); r.Result != want || tr.NewConn != fresh {
+			t.Errorf("%s: result %v, new connection: %v", id, r.Result, tr.NewConn)
 		}
 		return conn, in
 	}
@@ -193,8 +193,8 @@
 	s := startManualBackend(t)
 	b := poolWithBackend(t, s.addr)
 	keeper := &hookedGate{hook: func() {}}
-	b.residency = keeper
-	first := b.start(&attempt{})
+	b.Residency = keeper
+	first := b.start(&Attempt{})
 	c := receive(t, "connection", s.conns)
 	readRequest(t, bufio.NewReader(c))
 	writeText(t, c, okResponse("first"))
@@ -205,7 +205,7 @@
 			c.Close()
 		}
 	}
-	second := b.start(&attempt{residencyRule: 1})
+	second := b.start(&Attempt{ResidencyRule: 1})
 	other := receive(t, "second connection", s.conns)
 	readRequest(t, bufio.NewReader(other))
 	writeText(t, other, okResponse("second"))
@@ -213,7 +213,7 @@
 }
 
 // blockDials makes each dial wait until it is released.
-func blockDials(b *upstreamPool) (dialling chan struct{}, release chan struct{}) {
+func blockDials(b *Pool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -225,12 +225,12 @@
 	return dialling, release
 }
 
-func applyDelta(b *upstreamPool, m balancer.Backend, addr string) {
+func applyDelta(b *Pool, m balancer.Backend, addr string) {
 	u := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
 	if addr != "" {
 		u.Addrs[m.ID] = addr
 	}
-	b.applyUpdate(u)
+	b.ApplyUpdate(u)
 }
 
 // TestUpdateBeforeFirstByteStopsTheAttempt: an update that arrives while a connection is opened, or right before the first
@@ -238,33 +238,33 @@
 // for a request that was answered, and no retry after its window. Nothing was executed, and the request may go elsewhere.
 func TestUpdateBeforeFirstByteStopsTheAttempt(t *testing.T) {
 	for name, row := range map[string]struct {
-		event func(b *upstreamPool, tr *attempt, over chan struct{}, addr string)
+		event func(b *Pool, tr *Attempt, over chan struct{}, addr string)
 		want  balancer.Result
 		kept  int // connections that may serve other requests
 	}{
-		"drains": {func(b *upstreamPool, _ *attempt, _ chan struct{}, addr string) {
+		"drains": {func(b *Pool, _ *Attempt, _ chan struct{}, addr string) {
 			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
 		}, balancer.ConnectFailed, 0},
-		"is gone": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) {
+		"is gone": {func(b *Pool, _ *Attempt, _ chan struct{}, _ string) {
 			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Removed}, "")
 		}, balancer.ConnectFailed, 0},
-		"has moved": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) {
+		"has moved": {func(b *Pool, _ *Attempt, _ chan struct{}, _ string) {
 			applyDelta(b, balancer.Backend{ID: "s"}, "127.0.0.1:1")
 		}, balancer.ConnectFailed, 0},
-		"is in another pod": {func(b *upstreamPool, _ *attempt, _ chan struct{}, addr string) {
+		"is in another pod": {func(b *Pool, _ *Attempt, _ chan struct{}, addr string) {
 			applyDelta(b, balancer.Backend{ID: "s", Cell: 7}, addr)
 		}, balancer.ConnectFailed, 1},
-		"was detached": {func(b *upstreamPool, _ *attempt, _ chan struct{}, _ string) { b.setDisabled("s", true) }, balancer.ConnectFailed, 0},
-		"is over":      {func(_ *upstreamPool, _ *attempt, over chan struct{}, _ string) { close(over) }, balancer.NotSent, 1},
-		"window over":  {func(_ *upstreamPool, tr *attempt, _ chan struct{}, _ string) { tr.writeBy = time.Now() }, balancer.NotSent, 1},
-		"nothing":      {func(*upstreamPool, *attempt, chan struct{}, string) {}, balancer.OK, 1},
+		"was detached": {func(b *Pool, _ *Attempt, _ chan struct{}, _ string) { b.SetDisabled("s", true) }, balancer.ConnectFailed, 0},
+		"is over":      {func(_ *Pool, _ *Attempt, over chan struct{}, _ string) { close(over) }, balancer.NotSent, 1},
+		"window over":  {func(_ *Pool, tr *Attempt, _ chan struct{}, _ string) { tr.WriteBy = time.Now() }, balancer.NotSent, 1},
+		"nothing":      {func(*Pool, *Attempt, chan struct{}, string) {}, balancer.OK, 1},
 	} {
 		t.Run(name+" while dialled", func(t *testing.T) {
 			s := startManualBackend(t)
 			b := poolWithBackend(t, s.addr)
 			dialling, release := blockDials(b)
 			over := make(chan struct{})
-			tr := &attempt{requestDone: over, endpoint: b.endpoint("s")}
+			tr := &Attempt{RequestDone: over, Endpoint: b.Endpoint("s")}
 			done := b.start(tr)
 			receive(t, "dial", dialling)
 			row.event(b, tr, over, s.addr)
@@ -278,9 +278,9 @@
 			s := startManualBackend(t)
 			b := poolWithBackend(t, s.addr)
 			over := make(chan struct{})
-			tr := &attempt{requestDone: over, endpoint: b.endpoint("s"), residencyRule: 1}
+			tr := &Attempt{RequestDone: over, Endpoint: b.Endpoint("s"), ResidencyRule: 1}
 			asked := 0
-			b.residency = &hookedGate{hook: func() {
+			b.Residency = &hookedGate{hook: func() {
 				if asked++; asked == 1 { // the first of two checks passes with this
 					row.event(b, tr, over, s.addr)
 				}
@@ -290,7 +290,7 @@
 	}
 }
 
-func expectNotWritten(t *testing.T, b *upstreamPool, s *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
+func expectNotWritten(t *testing.T, b *Pool, s *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
 	t.Helper()
 	if want == balancer.OK {
 		c := receive(t, "connection", s.conns)
@@ -304,7 +304,7 @@
 	b.mu.Unlock()
 	if want != balancer.OK {
 		c := receive(t, "connection", s.conns)
-		b.close()
+		b.Close()
 		if n, _ := c.Read(make([]byte, 1)); n != 0 {
 			t.Error("a byte went out")
 		}
@@ -315,8 +315,8 @@
 func TestRetryWriteEndsWithItsWindow(t *testing.T) {
 	s := startManualBackend(t)
 	b := poolWithBackend(t, s.addr)
-	tr := &attempt{writeBy: time.Now().Add(100 * time.Millisecond),
-		request: &upstreamRequest{method: "POST", url: &url.URL{Path: "/put/x"}, header: http.Header{}, body: make([]byte, maxBufferedBody)}}
+	tr := &Attempt{WriteBy: time.Now().Add(100 * time.Millisecond),
+		Request: &Request{Method: "POST", URL: &url.URL{Path: "/put/x"}, Header: http.Header{}, Body: make([]byte, MaxBufferedBody)}}
 	dial := b.transport.DialContext
 	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
