--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -101,14 +101,14 @@
 	if action.SendDeadline > 0 {
 		writeBy = l.clock.epoch.Add(action.SendDeadline - clockOffset)
 	}
-	go l.runAttempt(r, index, timer, &Attempt{ctx: ctx, Cancel: cancel, RequestDone: r.done, Shutdown: l.stopped,
+	go l.runAttempt(ctx, r, index, timer, &Attempt{Cancel: cancel, RequestDone: r.done, Shutdown: l.stopped,
 		BackendID: action.Backend, Endpoint: endpoint, WriteBy: writeBy, ResidencyRule: r.residencyRule,
 		Request: r.upstream, Start: start, Deadline: deadline})
 }
 
 // runAttempt makes the attempt and posts what comes of it. It runs in the attempt's goroutine, and reads of r only what does
 // not change.
-func (l *eventLoop) runAttempt(r *request, index int, timer *attemptTimer, att *Attempt) {
+func (l *eventLoop) runAttempt(ctx context.Context, r *request, index int, timer *attemptTimer, att *Attempt) {
 	att.OnStreamStart = func(resp *Response, latency time.Duration) bool {
 		if !timer.disarm() {
 			return false
@@ -116,7 +116,7 @@
 		l.post(responseStarted{r, index, resp})
 		return true
 	}
-	result, resp, load := l.pool.Execute(att)
+	result, resp, load := l.pool.Execute(ctx, att)
 	timer.disarm()
 	att.Cancel(nil)
 	if att.Latency == 0 {
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -122,7 +122,7 @@
 func TestTimedOutAdminCallHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, testSetup{})
-		l, err := newEventLoop(cfg, newClock(), NewPool(cfg, discardLog), discardLog)
+		l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,7 +47,7 @@
 // New opens the agent's sockets and sets it up. Clients are served once Run is called. While another process still
 // holds an address, New retries until ctx ends. An error names the socket or setting that failed.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, pool: NewPool(cfg, log),
+	a := &Agent{cfg: cfg, log: log, pool: NewPool(cfg.poolConfig(), log),
 		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
 		drainTimeout: min(cfg.maxDeadline(), maxDrainDeadline) + drainSlack}
 	clk := newClock()
@@ -184,7 +184,7 @@
 	} else { // the balancer then polls for a list
 		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}})
 	}
-	return len(a.pool.endpoints)
+	return a.pool.EndpointCount()
 }
 
 // startTasks starts the agent's tasks, which run until their context ends.
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -30,10 +30,10 @@
 	Upload *Upload // the body's remainder, after body; nil: body is all of it
 }
 
-// Attempt is one attempt to send a request to one backend: its parameters, and what execute found out about it.
+// Attempt is one attempt to send a request to one backend: its parameters, and what Execute found out about it.
 type Attempt struct {
-	ctx           context.Context
-	Cancel        context.CancelCauseFunc // cancels ctx
+	ctx           context.Context         // of Execute
+	Cancel        context.CancelCauseFunc // cancels the context that is given to Execute
 	RequestDone   <-chan struct{}         // closed when the request has its final reply: nothing more is sent for it
 	Shutdown      <-chan struct{}         // closed when the event loop has stopped: nobody reads a streaming response any more
 	BackendID     string
@@ -42,9 +42,9 @@
 	ResidencyRule int       // residency rule of the request; 0: none
 	Request       *Request
 	Start         time.Time
-	Deadline      time.Time // as the backend is told; zero: the deadline of ctx, if it has one
-	Latency       time.Duration
-	NewConn       bool // set by execute: the connection was opened for this attempt
+	Deadline      time.Time     // as the backend is told; zero: the context's deadline, if it has one
+	Latency       time.Duration // set by Execute for a streaming response: until its first bytes
+	NewConn       bool          // set by Execute: the connection was opened for this attempt
 	// OnStreamStart hands over a streaming response once its first bytes have arrived. It returns false if the
 	// attempt had timed out by then. nil: responses are buffered.
 	OnStreamStart func(*Response, time.Duration) bool
@@ -52,8 +52,8 @@
 
 // Elapsed returns how long ago the backend got the last byte of the request, or the attempt began.
 func (a *Attempt) Elapsed() time.Duration {
-	if u := a.Request.Upload; u != nil && u.IsComplete() && u.completedAt.After(a.Start) {
-		return time.Since(u.completedAt)
+	if u := a.Request.Upload; u != nil && u.IsComplete() && u.CompletedAt().After(a.Start) {
+		return time.Since(u.CompletedAt())
 	}
 	return time.Since(a.Start)
 }
@@ -61,13 +61,15 @@
 // executeBuffered makes an attempt whose response is buffered. It waits until ctx ends at the latest.
 func (p *Pool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string,
 	request *Request) (balancer.Result, *Response, balancer.Load) {
-	return p.Execute(&Attempt{ctx: ctx, RequestDone: requestDone, BackendID: id, Request: request, Start: time.Now()})
+	return p.Execute(ctx, &Attempt{RequestDone: requestDone, BackendID: id, Request: request, Start: time.Now()})
 }
 
 // Execute makes an attempt and returns its result as the protocol's table of outcomes defines it. ConnectFailed and
-// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. With
-// a streaming response execute returns once the response has been passed on, or can't be.
-func (p *Pool) Execute(att *Attempt) (balancer.Result, *Response, balancer.Load) {
+// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. When
+// ctx ends the attempt does too: as Cancelled if the cause is ErrCancelled, otherwise as TimedOut, or as ConnectFailed while
+// it has no connection. With a streaming response Execute returns once the response has been passed on, or can't be.
+func (p *Pool) Execute(ctx context.Context, att *Attempt) (balancer.Result, *Response, balancer.Load) {
+	att.ctx = ctx
 	for {
 		conn, addr, err := p.acquire(att.BackendID)
 		if err == nil && conn == nil {
@@ -138,7 +140,7 @@
 		ProtoMajor: 1, ProtoMinor: 1, Body: http.NoBody}).WithContext(att.ctx)
 	switch {
 	case request.Upload != nil:
-		body := request.Upload.NewBody(request.Body)
+		body := request.Upload.newBody(request.Body)
 		req.Body, req.ContentLength = body, request.Upload.length
 		LimitKernelBuffers(conn.tracked.Conn)
 		return req, body
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -29,7 +29,7 @@
 
 func poolWithBackend(t *testing.T, addr string) *Pool {
 	t.Helper()
-	b := NewPool(testConfig(t, testSetup{}), discardLog)
+	b := NewPool(testConfig(t, testSetup{}).poolConfig(), discardLog)
 	t.Cleanup(b.Close)
 	b.settleTime = 0 // other tests are about unsolicited bytes
 	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
@@ -195,7 +195,7 @@
 	for status, want := range map[string]balancer.Result{"200 OK": balancer.OK, "503 X": balancer.Errored} {
 		s := startRawBackend(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
 		b := poolWithBackend(t, s.addr)
-		b.cfg.Site.LoadProbed = true
+		b.cfg.LoadProbed = true
 		if p := b.Probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
 			t.Errorf("%s: %+v", status, p)
 		}
@@ -213,7 +213,7 @@
 	b := poolWithBackend(t, s.Addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	u, _ := http.NewRequest("GET", "/get/x", nil)
-	tr := &Attempt{ctx: ctx, Cancel: cancel, BackendID: "s", Start: time.Now(), Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
+	tr := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(), Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
 	var told time.Duration
 	tr.OnStreamStart = func(a *Response, took time.Duration) bool {
 		told = took
@@ -227,7 +227,7 @@
 		}()
 		return true
 	}
-	result, a, _ := b.Execute(tr)
+	result, a, _ := b.Execute(ctx, tr)
 	if result != balancer.OK || a.Stream == nil || tr.Latency != told || tr.Latency >= time.Since(tr.Start) {
 		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.Latency, time.Since(tr.Start))
 	}
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -67,7 +67,7 @@
 // TestRequestArrivingWithEOFIsNotForwarded: a request whose client has disconnected is owed nothing.
 func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg, discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -21,6 +21,9 @@
 	received  int64
 }
 
+// ClearDeadline ends the deadline for the client.
+func (r *minThroughputReader) ClearDeadline() error { return r.control.SetReadDeadline(time.Time{}) }
+
 func (r *minThroughputReader) Read(b []byte) (int, error) {
 	readStart := time.Now()
 	remaining := r.allowance + time.Duration(r.received)*time.Second/minClientRate - r.waited
@@ -52,7 +55,7 @@
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
 	body, err := io.ReadAll(io.LimitReader(paced, MaxBufferedBody+1))
 	if more = len(body) > MaxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
-		err = paced.control.SetReadDeadline(time.Time{})
+		err = paced.ClearDeadline()
 	}
 	if err != nil {
 		return nil, false, bodyError(err)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -117,6 +117,13 @@
 	return limit
 }
 
+// poolConfig returns the configuration of the pool of connections to backends.
+func (c *Config) poolConfig() PoolConfig {
+	return PoolConfig{MaxConns: maxUpstreamConns(c.shareableDescriptors()), MemoryMB: c.MemoryMB, DialFrom: c.DialFrom,
+		ConnectTimeout: c.Settings.ConnectTimeout, IdleClose: c.Site.IdleClose, LoadInline: c.Site.LoadInline,
+		LoadProbed: c.Site.LoadProbed}
+}
+
 // maxDeadline returns the longest deadline of any request class.
 func (c *Config) maxDeadline() time.Duration {
 	var d time.Duration
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -29,9 +29,7 @@
 	drained.State = "draining"
 	w.lines <- deltaLine(t, 42, drained, two.member("two"))
 	eventually(t, "the change", func() bool {
-		a.pool.mu.Lock()
-		defer a.pool.mu.Unlock()
-		return a.pool.endpoints["two"] != nil
+		return a.pool.Endpoint("two") != nil
 	})
 	before := len(one.seen)
 	for range 20 {
@@ -81,10 +79,9 @@
 					}
 				})
 				holds := func(state string) bool {
-					a.pool.mu.Lock()
-					defer a.pool.mu.Unlock()
-					at := a.pool.endpoints["x"]
-					return a.pool.endpoints["y"] != nil && (at != nil) == (state != "") && (at == nil || at.Draining == (state == "draining"))
+					listed := a.pool.Endpoint("y") // first: x is then of the same update, or a later one
+					at := a.pool.Endpoint("x")
+					return listed != nil && (at != nil) == (state != "") && (at == nil || at.Draining == (state == "draining"))
 				}
 				old := receive(t, "watch", before.watch)
 				old.sendLine(t, deltaLine(t, 41, x.member("x")))
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -46,9 +46,7 @@
 		t.Errorf("left: %d slots, %d connections, %d requests", n, a.frontend.connCount, a.frontend.openRequests.Load())
 	}
 	eventually(t, "the end of the connections to backends", func() bool {
-		a.pool.mu.Lock()
-		defer a.pool.mu.Unlock()
-		return a.pool.openConns == 0
+		return a.pool.Stats().Open == 0
 	})
 }
 
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -14,7 +14,7 @@
 // TestLoopAnswersWhenBalancerDoesNot: if the balancer does not answer, the loop still gives exactly one final reply.
 func TestLoopAnswersWhenBalancerDoesNot(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg, discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // TestRequestCancelledBeforeFirstStep: a request may be gone before the step that would tell the balancer its time left.
 func TestRequestCancelledBeforeFirstStep(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg, discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -45,7 +45,7 @@
 }
 
 func (e bodyComplete) applyTo(l *eventLoop) {
-	e.deadline = e.upstream.Upload.completedAt.Add(e.timeout)
+	e.deadline = e.upstream.Upload.CompletedAt().Add(e.timeout)
 	for _, timer := range e.attemptTimers {
 		timer.arm(e.deadline.Add(-l.margin))
 	}
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -232,8 +232,8 @@
 	f.finishUpload(w, upload)
 	<-pumped
 	select {
-	case <-upload.failed:
-		failure := bodyError(upload.err)
+	case <-upload.Failed():
+		failure := bodyError(upload.Err())
 		http.Error(w, failure.text, failure.status)
 	default:
 		f.writeReply(w, httpReq, answer)
@@ -279,7 +279,7 @@
 	var bodyCompleted, bodyFailed <-chan struct{}
 	upload := r.upstream.Upload
 	if upload != nil { // its deadline counts from the body's last byte
-		bodyCompleted, bodyFailed = upload.completed, upload.failed
+		bodyCompleted, bodyFailed = upload.Completed(), upload.Failed()
 		deadlineTimer.Stop()
 	}
 	for {
@@ -288,7 +288,7 @@
 			return answer
 		case <-bodyCompleted:
 			f.loop.post(bodyComplete{r})
-			deadlineTimer.Reset(time.Until(upload.completedAt.Add(r.timeout)) + f.cfg.Settings.AnswerGrace/2)
+			deadlineTimer.Reset(time.Until(upload.CompletedAt().Add(r.timeout)) + f.cfg.Settings.AnswerGrace/2)
 			bodyCompleted = nil
 		case <-bodyFailed:
 			f.loop.post(clientDisconnected{r})
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -104,9 +104,7 @@
 	}
 	half := maxUpstreamConns(younger.cfg.halfLimits().shareableDescriptors())
 	eventually(t, "the younger one to use the whole limits", func() bool {
-		younger.pool.mu.Lock()
-		defer younger.pool.mu.Unlock()
-		return younger.pool.maxConns > half
+		return younger.pool.Stats().Limit > half
 	})
 }
 
@@ -193,9 +191,7 @@
 	older := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: []discoveryMember{s.member("s")}}))
 	eventually(t, "clients to be taken", older.frontend.accepting.Load)
 	most := func() int {
-		older.pool.mu.Lock()
-		defer older.pool.mu.Unlock()
-		return older.pool.maxConns
+		return older.pool.Stats().Limit
 	}
 	whole := most()
 	younger := handover.New(dir, discardLog)
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -27,6 +27,9 @@
 	unsolicitedMemory = reuseHalfLife // after the latest unsolicited byte
 )
 
+// maxResponseHeader is in bytes.
+const maxResponseHeader = 32 << 10
+
 var (
 	ErrTimedOut           = errors.New("timed out")
 	ErrCancelled          = errors.New("cancelled")
@@ -41,14 +44,20 @@
 // Pool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
 // request, written at most once on one connection. Its methods may be called from any goroutine.
 type Pool struct {
-	cfg         *Config
+	cfg         PoolConfig
 	log         *slog.Logger
 	transport   *http.Transport
-	Buffers     *Buffers
 	idleTimeout time.Duration
-	maxConns    int // bound on openConns; changed by SetLimit under mu
+
+	// Buffers is the memory for streams, of which the frontend takes its part too.
+	Buffers *Buffers
+	// DialContext opens connections to backends. It may be replaced before the first attempt.
+	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
+	// Residency is the residency policy, set before the first attempt; nil: none.
+	Residency gate.Enforcer
 
 	mu              sync.Mutex
+	maxConns        int                      // bound on openConns
 	endpoints       map[string]*Endpoint     // by backend id
 	disabled        map[string]bool          // backend ids to which operators forbid to send
 	idle            map[string][]*pooledConn // by backend id, the most recently used last
@@ -57,8 +66,17 @@
 	settleTime      time.Duration // idle time after which a connection is preferred; a constant outside tests
 	lastUnsolicited time.Time     // when unsolicited bytes were last found
 	closed          bool          // no connection is kept any more
+}
 
-	Residency gate.Enforcer // nil: no residency policy
+// PoolConfig is what a pool is told at its start.
+type PoolConfig struct {
+	MaxConns       int           // connections that may be open at once
+	MemoryMB       int           // of the process, of which streams get a part; 0: a default
+	DialFrom       string        // local IP address for connections; "": the system chooses
+	ConnectTimeout time.Duration // also of health checks
+	IdleClose      time.Duration // after which backends may close an idle connection
+	LoadInline     bool          // responses carry load reports
+	LoadProbed     bool          // health checks do
 }
 
 // pooledConn is one connection to a backend. It carries one request at a time.
@@ -70,24 +88,24 @@
 	idleFor   time.Duration // how long it was idle before its current use; 0: new
 }
 
-func NewPool(cfg *Config, log *slog.Logger) *Pool {
-	p := &Pool{cfg: cfg, log: log, Buffers: newBuffers(cfg.MemoryMB),
-		maxConns: maxUpstreamConns(cfg.shareableDescriptors()),
+// NewPool returns a pool without endpoints.
+func NewPool(cfg PoolConfig, log *slog.Logger) *Pool {
+	dialer := net.Dialer{KeepAlive: -1}
+	if cfg.DialFrom != "" {
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(cfg.DialFrom)}
+	}
+	p := &Pool{cfg: cfg, log: log, Buffers: newBuffers(cfg.MemoryMB), maxConns: cfg.MaxConns, DialContext: dialer.DialContext,
 		// Backends may close an idle connection after IdleClose. A request that crosses the close is lost as a
 		// reset that may have been executed. A quarter of the time is far more than any network delay.
-		idleTimeout: cfg.Site.IdleClose * 3 / 4,
+		idleTimeout: cfg.IdleClose * 3 / 4,
 		settleTime:  settleTime,
 		endpoints:   map[string]*Endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
 	p.transport = &http.Transport{
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeader,
-		// DialContext hands the tracked connection to dial by the slot in its context.
+		MaxResponseHeaderBytes: maxResponseHeader,
+		// The tracked connection goes to dial by the slot in its context.
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			dialer := net.Dialer{KeepAlive: -1}
-			if cfg.DialFrom != "" {
-				dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(cfg.DialFrom)}
-			}
-			c, err := dialer.DialContext(ctx, network, addr)
+			c, err := p.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
@@ -261,6 +279,31 @@
 	return nil
 }
 
+// EndpointCount returns the number of backends in the list.
+func (p *Pool) EndpointCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.endpoints)
+}
+
+// Stats are numbers of connections.
+type Stats struct {
+	Open  int // idle, in use or being dialled
+	Idle  int
+	Limit int // on Open
+}
+
+// Stats returns the present numbers of connections.
+func (p *Pool) Stats() Stats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	stats := Stats{Open: p.openConns, Limit: p.maxConns}
+	for _, conns := range p.idle {
+		stats.Idle += len(conns)
+	}
+	return stats
+}
+
 // recordReuse records whether the connection broke under its request before a response began.
 func (p *Pool) recordReuse(c *pooledConn, broken bool) {
 	p.mu.Lock()
@@ -348,7 +391,7 @@
 // dial opens a connection within the connect timeout and ctx. acquire has counted it already.
 func (p *Pool) dial(ctx context.Context, addr string) (*pooledConn, error) {
 	slot := &dialSlot{}
-	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.Settings.ConnectTimeout)
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.ConnectTimeout)
 	defer cancel()
 	clientConn, err := p.transport.NewClientConn(ctx, "http", addr)
 	if err != nil {
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -104,8 +104,8 @@
 	if b.idle["s"][0] == old || b.openConns != 1 {
 		t.Error("the old connection was used")
 	}
-	if b.idleTimeout >= b.cfg.Site.IdleClose {
-		t.Errorf("idle connections are kept for %v, backends close at %v", b.idleTimeout, b.cfg.Site.IdleClose)
+	if b.idleTimeout >= b.cfg.IdleClose {
+		t.Errorf("idle connections are kept for %v, backends close at %v", b.idleTimeout, b.cfg.IdleClose)
 	}
 }
 
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -18,14 +18,14 @@
 func (p *Pool) Probe(id string) balancer.ProbeResult {
 	start := time.Now()
 	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/ping"}, Header: http.Header{}}
-	if p.cfg.Site.LoadProbed {
+	if p.cfg.LoadProbed {
 		request.URL.Path = "/_load"
 	}
 	// The settings have no timeout for health checks; one that takes longer than a connect may take is of no use.
-	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.Settings.ConnectTimeout, ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.ConnectTimeout, ErrTimedOut)
 	defer cancel()
 	result, resp, load := p.executeBuffered(ctx, nil, id, request)
-	if resp != nil && p.cfg.Site.LoadProbed {
+	if resp != nil && p.cfg.LoadProbed {
 		load = parseLoad(string(resp.Body))
 	}
 	return balancer.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -4,6 +4,8 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"net/http"
 	"slices"
 	"strconv"
@@ -64,11 +66,59 @@
 	w.WriteHeader(http.StatusOK)
 	buf, free := f.loop.pool.Buffers.Get()
 	defer free()
-	if !stream.relay(httpReq.Context(), w, resp.Body, buf) {
+	if !relay(httpReq.Context(), w, stream, resp.Body, buf) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
+// isTooSlow reports whether a backend sends slower than minUpstreamRate on average, StallTimeout aside: a response
+// that only trickles would never end. The client's deadline does not bound a streaming response: it applies to the first
+// bytes, and what the backend still sends must not be cut off.
+func isTooSlow(waited time.Duration, received int64) bool {
+	return waited > StallTimeout+time.Duration(received)*time.Second/minUpstreamRate
+}
+
+// relay writes first and then what it reads of stream into buf, until the response is complete. It returns false if the
+// connection to the client has to be aborted: the client does not read, the backend failed, or the response is too slow or
+// too large.
+func relay(client context.Context, w http.ResponseWriter, stream *Stream, first, buf []byte) bool {
+	control := http.NewResponseController(w)
+	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
+	for chunk, readErr := first, error(nil); ; {
+		err := control.SetWriteDeadline(time.Now().Add(StallTimeout))
+		if err == nil {
+			_, err = w.Write(chunk)
+		}
+		if err == nil {
+			err = control.Flush()
+		}
+		if err != nil {
+			return false
+		}
+		if readErr != nil {
+			stream.Finish(nil)
+			return true
+		}
+		if passed += int64(len(chunk)); passed > MaxStreamBytes || isTooSlow(waited, passed) {
+			stream.Finish(ErrStalled)
+			return false
+		}
+		stalled := time.AfterFunc(StallTimeout, func() { stream.Cancel(ErrStalled) })
+		readStart := time.Now()
+		n, err := stream.Read(buf)
+		waited += time.Since(readStart)
+		stalled.Stop()
+		if err != nil && !errors.Is(err, io.EOF) {
+			if client.Err() != nil {
+				err = ErrRequestEnded // the client has disconnected: the backend is not to blame
+			}
+			stream.Finish(err)
+			return false
+		}
+		chunk, readErr = buf[:n], err
+	}
+}
+
 // reject replies that a retry is harmless, and when to make it if the site shows that to clients.
 func (f *frontend) reject(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 && f.cfg.Settings.RetryAfter {
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -33,7 +33,7 @@
 		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
 	}
 	load := wire.ParseLoad(nil)
-	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.Site.LoadInline {
+	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.LoadInline {
 		load = parseLoad(text)
 	}
 	if resp.Stream != nil {
@@ -77,8 +77,8 @@
 		return nil, errTooLarge
 	}
 	buf, free := p.Buffers.Get()
-	stream := &Stream{Length: httpResp.ContentLength, source: httpResp.Body, Cancel: att.Cancel,
-		done: make(chan struct{}), free: free}
+	stream := NewStream(httpResp.Body, httpResp.ContentLength, att.Cancel)
+	stream.free = free
 	if httpResp.ContentLength < 0 {
 		buffered := bufferResponse(httpResp.Body, buf, done)
 		body, more, err := buffered.readUpTo(MaxBufferedBody, bufferingTimeout)
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -75,5 +75,5 @@
 	cfg.Site.IdleClose = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	NewPool(cfg, discardLog).CloseExpired(ctx)
+	NewPool(cfg.poolConfig(), discardLog).CloseExpired(ctx)
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -79,9 +79,7 @@
 				t.Errorf("status %d, %v", x.status, x.err)
 			}
 			eventually(t, "the connection to be dropped", func() bool {
-				a.pool.mu.Lock()
-				defer a.pool.mu.Unlock()
-				return a.pool.openConns == 0
+				return a.pool.Stats().Open == 0
 			})
 			if len(s.seen) != 1 {
 				t.Errorf("%d attempts of a request whose answer had begun", len(s.seen))
@@ -122,10 +120,10 @@
 
 // TestClientDisconnectDuringStreamIsNotBackendsFault: the stream ends, and the backend is not to blame.
 func TestClientDisconnectDuringStreamIsNotBackendsFault(t *testing.T) {
-	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: poolWithBackend(t, "127.0.0.1:1")}, discardLog)
+	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: NewPool(testConfig(t, testSetup{}).poolConfig(), discardLog)}, discardLog)
 	in, out := io.Pipe()
 	defer out.Close()
-	s := &Stream{Length: -1, source: in, Cancel: func(err error) { in.CloseWithError(err) }, done: make(chan struct{})}
+	s := NewStream(in, -1, func(err error) { in.CloseWithError(err) })
 	ctx, leave := context.WithCancel(context.Background())
 	hr, err := http.NewRequestWithContext(ctx, "GET", "/get/x", nil)
 	if err != nil {
@@ -136,9 +134,9 @@
 		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &Response{Body: []byte("first"), Stream: s})
 	}()
 	leave()
-	receive(t, "end of the answer", s.done)
-	if !errors.Is(s.err, ErrRequestEnded) {
-		t.Errorf("the backend is told to have ended it: %v", s.err)
+	receive(t, "end of the answer", s.Done())
+	if !errors.Is(s.Err(), ErrRequestEnded) {
+		t.Errorf("the backend is told to have ended it: %v", s.Err())
 	}
 }
 
@@ -196,9 +194,8 @@
 				t.Errorf("%+v", x)
 			}
 			eventually(t, "the attempt's end", func() bool {
-				a.pool.mu.Lock()
-				defer a.pool.mu.Unlock()
-				return a.pool.openConns == len(a.pool.idle["s"])
+				stats := a.pool.Stats()
+				return stats.Open == stats.Idle
 			})
 		})
 	}
--- a/internal/agent/upload.go
+++ b/internal/agent/upload.go
@@ -21,12 +21,25 @@
 	err           error         // the reason; valid once failed is closed
 }
 
+// NewUpload returns the upload of a body of length bytes; -1: unknown.
 func NewUpload(length int64) *Upload {
 	u := &Upload{length: length, completed: make(chan struct{}), failed: make(chan struct{})}
 	u.pipeReader, u.pipeWriter = io.Pipe()
 	return u
 }
 
+// Completed is closed when the last byte has arrived.
+func (u *Upload) Completed() <-chan struct{} { return u.completed }
+
+// CompletedAt returns when the last byte arrived. It may be called once Completed is closed.
+func (u *Upload) CompletedAt() time.Time { return u.completedAt }
+
+// Failed is closed if the last byte will never arrive.
+func (u *Upload) Failed() <-chan struct{} { return u.failed }
+
+// Err returns why the client failed to send the body. It may be called once Failed is closed.
+func (u *Upload) Err() error { return u.err }
+
 // IsComplete reports whether the last byte has arrived.
 func (u *Upload) IsComplete() bool {
 	select {
@@ -37,15 +50,22 @@
 	}
 }
 
-// Pump copies the body from the client to the attempt, no faster than the attempt reads. If the client fails, only the
-// frontend is notified; the event loop then cancels the attempt, since the backend is not to blame.
-func (u *Upload) Pump(body *minThroughputReader, b *Buffers) {
+// ClientBody is a body as it arrives from its client.
+type ClientBody interface {
+	io.Reader
+	// ClearDeadline ends the deadline for the client, once the body has been read to its end.
+	ClearDeadline() error
+}
+
+// Pump copies the body from the client to the attempt, no faster than the attempt reads, and returns when it is complete, or
+// can't be. If the client fails only Failed tells: whoever waits for it cancels the attempt, since the backend is not to blame.
+func (u *Upload) Pump(body ClientBody, b *Buffers) {
 	buf, free := b.Get()
 	defer free()
 	for {
 		n, err := body.Read(buf)
 		if errors.Is(err, io.EOF) {
-			if err := body.control.SetReadDeadline(time.Time{}); err != nil { // left running it would look like a disconnected client
+			if err := body.ClearDeadline(); err != nil { // left running it would look like a disconnected client
 				u.fail(err)
 				return
 			}
@@ -92,7 +112,10 @@
 	consumed  atomic.Bool // the last byte was handed out
 }
 
-func (u *Upload) NewBody(buffered []byte) *body {
+// NewBody returns the body as one attempt reads it; buffered is its beginning.
+func (u *Upload) NewBody(buffered []byte) io.ReadCloser { return u.newBody(buffered) }
+
+func (u *Upload) newBody(buffered []byte) *body {
 	return &body{buffered: buffered, upload: u, remaining: u.length}
 }
 
--- a/internal/agent/upstream_race_test.go
+++ b/internal/agent/upstream_race_test.go
@@ -24,13 +24,10 @@
 func (p *Pool) startAt(id string, tr *Attempt) <-chan attemptResult {
 	done := make(chan attemptResult, 1)
 	tr.BackendID, tr.Start = id, time.Now()
-	if tr.ctx == nil {
-		tr.ctx = context.Background()
-	}
 	if tr.Request == nil {
 		tr.Request = &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}
 	}
-	go func() { r, a, _ := p.Execute(tr); done <- attemptResult{r, a} }()
+	go func() { r, a, _ := p.Execute(context.Background(), tr); done <- attemptResult{r, a} }()
 	return done
 }
 
@@ -215,8 +212,8 @@
 // blockDials makes each dial wait until it is released.
 func blockDials(b *Pool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
-	dial := b.transport.DialContext
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := b.DialContext
+	b.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		dialling <- struct{}{}
 		<-release
