--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 )
 
 // perform carries out one action of the balancer.
@@ -53,7 +54,7 @@
 func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
 	r := l.requests[action.Request]
 	if r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
-		r.cancels[action.Attempt](ErrCancelled)
+		r.cancels[action.Attempt](upstream.ErrCancelled)
 	}
 }
 
@@ -101,15 +102,15 @@
 	if action.SendDeadline > 0 {
 		writeBy = l.clock.epoch.Add(action.SendDeadline - clockOffset)
 	}
-	go l.runAttempt(ctx, r, index, timer, &Attempt{Cancel: cancel, RequestDone: r.done, Shutdown: l.stopped,
+	go l.runAttempt(ctx, r, index, timer, &upstream.Attempt{Cancel: cancel, RequestDone: r.done, Shutdown: l.stopped,
 		BackendID: action.Backend, Endpoint: endpoint, WriteBy: writeBy, ResidencyRule: r.residencyRule,
 		Request: r.upstream, Start: start, Deadline: deadline})
 }
 
 // runAttempt makes the attempt and posts what comes of it. It runs in the attempt's goroutine, and reads of r only what does
 // not change.
-func (l *eventLoop) runAttempt(ctx context.Context, r *request, index int, timer *attemptTimer, att *Attempt) {
-	att.OnStreamStart = func(resp *Response, latency time.Duration) bool {
+func (l *eventLoop) runAttempt(ctx context.Context, r *request, index int, timer *attemptTimer, att *upstream.Attempt) {
+	att.OnStreamStart = func(resp *upstream.Response, latency time.Duration) bool {
 		if !timer.disarm() {
 			return false
 		}
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"martenbeam/internal/agent/admin"
+	"martenbeam/internal/agent/upstream"
 )
 
 // withAdmin returns a configuration with an admin listener.
@@ -122,7 +123,7 @@
 func TestTimedOutAdminCallHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, testSetup{})
-		l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
+		l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -6,8 +6,7 @@
 //
 //   - the event loop (eventloop.go) owns the balancer, the timers and the open requests;
 //   - the frontend (frontend.go, request.go, reply.go) serves clients over connections of package clientconn;
-//   - the upstream pool (pool.go, attempt.go, trackedconn.go, reuse.go, probe.go) owns the connections to backends;
-//   - stream.go passes bodies and responses through that are too large to be buffered;
+//   - package upstream owns the connections to backends and makes the attempts;
 //   - package discovery watches the endpoint list, peers.go exchanges datagrams with the other agents;
 //   - package admin takes admin calls, hotrestart.go hands state over to the next process of this agent.
 package agent
@@ -24,6 +23,7 @@
 	"martenbeam/internal/agent/admin"
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/agent/listener"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/fleet/source"
 )
 
@@ -33,7 +33,7 @@
 	log            *slog.Logger
 	loop           *eventLoop
 	frontend       *frontend
-	pool           *Pool
+	pool           *upstream.Pool
 	discovery      *discovery.Watcher
 	admin          *admin.Server // nil: no admin listener
 	hotRestart     *hotRestart   // nil: this agent is never replaced by another process while it runs
@@ -47,7 +47,7 @@
 // New opens the agent's sockets and sets it up. Clients are served once Run is called. While another process still
 // holds an address, New retries until ctx ends. An error names the socket or setting that failed.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, pool: NewPool(cfg.poolConfig(), log),
+	a := &Agent{cfg: cfg, log: log, pool: upstream.New(cfg.poolConfig(), log),
 		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
 		drainTimeout: min(cfg.maxDeadline(), maxDrainDeadline) + drainSlack}
 	clk := newClock()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 func TestRequestAndResponsePassUnchanged(t *testing.T) {
@@ -104,7 +106,7 @@
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(wait)); x.status != http.StatusOK {
 		t.Fatalf("%+v", x)
 	}
-	most := wait - (TransitAllowance + a.cfg.Settings.Tick).Seconds()
+	most := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
 	if s, err := strconv.ParseFloat(<-told, 64); err != nil || s <= 0 || s > most {
 		t.Errorf("told of %v s of %v, at most %v may be: %v", s, wait, most, err)
 	}
--- a/internal/agent/attempttimer.go
+++ b/internal/agent/attempttimer.go
@@ -6,6 +6,8 @@
 	"context"
 	"sync"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 // attemptTimer cancels an attempt at its deadline, unless its response has started by then.
@@ -27,7 +29,7 @@
 			defer t.mu.Unlock()
 			if !t.responseStarted {
 				t.expired = true
-				t.cancel(ErrTimedOut)
+				t.cancel(upstream.ErrTimedOut)
 			}
 		})
 	}
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/agent/upstream"
 )
 
 // The tests in this file and in upstream_race_test.go force rare orders of events, those that docs/findings/rare.md lists.
@@ -67,7 +68,7 @@
 // TestRequestArrivingWithEOFIsNotForwarded: a request whose client has disconnected is owed nothing.
 func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +156,7 @@
 			writeText(t, c, getRequest("/get/x", ""))
 			r := nextEvent[requestArrived](t, posts).request
 			writeText(t, c, behind)
-			r.reply <- reply{response: &Response{Header: http.Header{}, Body: []byte("hello")}}
+			r.reply <- reply{response: &upstream.Response{Header: http.Header{}, Body: []byte("hello")}}
 			eventually(t, "the answer to be out", f.noConnections)
 			if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -8,6 +8,14 @@
 	"net/http"
 	"os"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
+)
+
+// How slow a client's body may be.
+const (
+	clientStallTimeout = 1500 * time.Millisecond // without a byte of the body
+	minClientRate      = 48 << 10                // bytes per second; clients send 64 kB
 )
 
 // minThroughputReader reads a client's body and fails if it arrives slower than any proper client sends. Only time spent
@@ -32,8 +40,8 @@
 	}
 	n, err := r.source.Read(b)
 	r.waited += time.Since(readStart)
-	if r.received += int64(n); r.received > MaxStreamBytes {
-		return 0, &http.MaxBytesError{Limit: MaxStreamBytes}
+	if r.received += int64(n); r.received > upstream.MaxStreamBytes {
+		return 0, &http.MaxBytesError{Limit: upstream.MaxStreamBytes}
 	}
 	return n, err
 }
@@ -43,18 +51,18 @@
 	if httpReq.ContentLength == 0 {
 		return nil, false, nil
 	}
-	if httpReq.ContentLength > MaxStreamBytes {
-		return nil, false, bodyError(&http.MaxBytesError{Limit: MaxStreamBytes})
+	if httpReq.ContentLength > upstream.MaxStreamBytes {
+		return nil, false, bodyError(&http.MaxBytesError{Limit: upstream.MaxStreamBytes})
 	}
-	if httpReq.ContentLength > MaxBufferedBody {
+	if httpReq.ContentLength > upstream.MaxBufferedBody {
 		if c := clientConnOf(httpReq); c != nil {
-			LimitKernelBuffers(c.Conn)
+			upstream.LimitKernelBuffers(c.Conn)
 		}
 	}
 	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
-	body, err := io.ReadAll(io.LimitReader(paced, MaxBufferedBody+1))
-	if more = len(body) > MaxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
+	body, err := io.ReadAll(io.LimitReader(paced, upstream.MaxBufferedBody+1))
+	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
 		err = paced.ClearDeadline()
 	}
 	if err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,6 +12,7 @@
 
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/wire"
 )
 
@@ -118,8 +119,8 @@
 }
 
 // poolConfig returns the configuration of the pool of connections to backends.
-func (c *Config) poolConfig() PoolConfig {
-	return PoolConfig{MaxConns: maxUpstreamConns(c.shareableDescriptors()), MemoryMB: c.MemoryMB, DialFrom: c.DialFrom,
+func (c *Config) poolConfig() upstream.Config {
+	return upstream.Config{MaxConns: maxUpstreamConns(c.shareableDescriptors()), MemoryMB: c.MemoryMB, DialFrom: c.DialFrom,
 		ConnectTimeout: c.Settings.ConnectTimeout, IdleClose: c.Site.IdleClose, LoadInline: c.Site.LoadInline,
 		LoadProbed: c.Site.LoadProbed}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -2,12 +2,17 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
+	"net"
+	"net/http"
+	"net/url"
 	"strings"
 	"testing"
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 )
 
 // TestCachedEndpointsServeUntilDiscoveryReturns: an agent that starts while discovery is down serves by its cached list,
@@ -139,7 +144,7 @@
 				eventually(t, "the new list", func() bool { return holds(state) })
 				up := receive(t, "connection", x.conns)
 				if state == "ready" {
-					done := a.pool.startAt("x", &Attempt{Endpoint: a.pool.Endpoint("x")})
+					done := startAttempt(a.pool, "x")
 					readRequest(t, bufio.NewReader(up))
 					writeText(t, up, okResponse("again"))
 					receive(t, "result", done).expect(t, balancer.OK, "again")
@@ -157,3 +162,37 @@
 		}
 	}
 }
+
+// blockDials makes each dial of the pool wait until it is released.
+func blockDials(p *upstream.Pool) (dialling chan struct{}, release chan struct{}) {
+	dialling, release = make(chan struct{}, 16), make(chan struct{})
+	dial := p.DialContext
+	p.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		dialling <- struct{}{}
+		<-release
+		return c, err
+	}
+	return dialling, release
+}
+
+type attemptResult struct {
+	balancer.Result
+	answer *upstream.Response
+}
+
+// startAttempt makes an attempt at a backend, whose endpoint has to stay as it is now.
+func startAttempt(p *upstream.Pool, id string) <-chan attemptResult {
+	done := make(chan attemptResult, 1)
+	att := &upstream.Attempt{BackendID: id, Start: time.Now(), Endpoint: p.Endpoint(id),
+		Request: &upstream.Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}}
+	go func() { r, a, _ := p.Execute(context.Background(), att); done <- attemptResult{r, a} }()
+	return done
+}
+
+func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
+	t.Helper()
+	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.Body) != body {
+		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
+	}
+}
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/residency/gate"
 )
 
@@ -20,7 +21,7 @@
 	log          *slog.Logger
 	clock        clock
 	balancer     *balancer.Balancer
-	pool         *Pool
+	pool         *upstream.Pool
 	peers        *peerTransport
 	subscribe    func()                  // asks discovery for a watch
 	saveSnapshot func(balancer.Snapshot) // hands state to the next process; nil: nobody replaces this one
@@ -48,7 +49,7 @@
 // counts are the counters since the last summary line.
 type counts struct{ requests, served, rejected, failed, disconnected, attempts, overdue, truncated int }
 
-func newEventLoop(cfg *Config, clk clock, pool *Pool, log *slog.Logger) (*eventLoop, error) {
+func newEventLoop(cfg *Config, clk clock, pool *upstream.Pool, log *slog.Logger) (*eventLoop, error) {
 	balancer, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -163,7 +164,7 @@
 	close(l.stopped)
 	for _, r := range l.requests {
 		for _, cancel := range r.cancels {
-			cancel(ErrCancelled)
+			cancel(upstream.ErrCancelled)
 		}
 	}
 }
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -9,12 +9,13 @@
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 )
 
 // TestLoopAnswersWhenBalancerDoesNot: if the balancer does not answer, the loop still gives exactly one final reply.
 func TestLoopAnswersWhenBalancerDoesNot(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +39,7 @@
 // TestRequestCancelledBeforeFirstStep: a request may be gone before the step that would tell the balancer its time left.
 func TestRequestCancelledBeforeFirstStep(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +72,7 @@
 				t.Errorf("in time: %v", !inTime)
 			}
 			time.Sleep(2 * time.Second)
-			if ended := errors.Is(context.Cause(ctx), ErrTimedOut); ended == inTime {
+			if ended := errors.Is(context.Cause(ctx), upstream.ErrTimedOut); ended == inTime {
 				t.Errorf("in time %v: ended %v", inTime, ended)
 			}
 			cancel(nil)
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -5,6 +5,7 @@
 import (
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/upstream"
 )
 
 // event is something that happened outside the event loop, as posted to it.
@@ -21,12 +22,12 @@
 	responseStarted    struct {           // the first bytes of an attempt's streaming response have arrived
 		*request
 		attempt  int
-		response *Response
+		response *upstream.Response
 	}
 	attemptEnded struct { // the attempt has its result
 		*request
 		outcome  balancer.Outcome
-		response *Response
+		response *upstream.Response
 	}
 	endpointsUpdated struct{ discovery.Update }
 	// balancerEvent is an event of the balancer's own, of a health check, a peer or the fleet.
@@ -54,7 +55,7 @@
 
 func (e responseStarted) applyTo(l *eventLoop) {
 	if e.finished {
-		e.response.Stream.Finish(ErrRequestEnded)
+		e.response.Stream.Finish(upstream.ErrRequestEnded)
 		return
 	}
 	l.counts.served++
@@ -89,7 +90,7 @@
 	l.respond(e.request, reply{})
 	if e.upstream.IsStreamed() && !e.upstream.Upload.IsComplete() { // an incomplete upload can't go on, and no backend is to blame
 		for _, cancel := range e.cancels {
-			cancel(ErrCancelled)
+			cancel(upstream.ErrCancelled)
 		}
 	}
 	l.pending = append(l.pending, balancer.Abandoned{Request: e.id})
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/residency/gate"
 )
 
@@ -242,13 +243,13 @@
 
 // finishUpload stops a streamed body that is not complete, and renews the write deadline, of which the upload may have
 // used most.
-func (f *frontend) finishUpload(w http.ResponseWriter, upload *Upload) {
+func (f *frontend) finishUpload(w http.ResponseWriter, upload *upstream.Upload) {
 	control := http.NewResponseController(w)
 	if !upload.IsComplete() {
 		w.Header().Set("Connection", "close")   // the rest of the body is not read
 		_ = control.SetReadDeadline(time.Now()) // fails only on a broken connection
 	}
-	upload.Stop(ErrRequestEnded)
+	upload.Stop(upstream.ErrRequestEnded)
 	_ = control.SetWriteDeadline(time.Now().Add(f.server.WriteTimeout))
 }
 
--- a/internal/agent/frontendharness_test.go
+++ b/internal/agent/frontendharness_test.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 // pipeListener gives the frontend connections in memory, so that its timeouts can run on synctest's clock.
@@ -31,7 +33,7 @@
 // startPipeFrontend runs a frontend without a balancer on synctest's clock, and returns a function that connects to it.
 func startPipeFrontend(t *testing.T, cfg *Config) (*frontend, func() net.Conn) {
 	t.Helper()
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +102,7 @@
 func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan event) {
 	t.Helper()
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), NewPool(cfg.poolConfig(), discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -17,6 +17,7 @@
 
 	"martenbeam/internal/agent/admin"
 	"martenbeam/internal/agent/handover"
+	"martenbeam/internal/agent/upstream"
 )
 
 // inheritedDescriptor returns another descriptor of a socket, as a process inherits it.
@@ -138,12 +139,12 @@
 // platform's kill aborts does not. So it goes on with a large response after the time at which it may be killed.
 func TestDrainingProcessFinishesLargeResponse(t *testing.T) {
 	hold := make(chan struct{})
-	text := pattern(4 * MaxBufferedBody)
+	text := pattern(4 * upstream.MaxBufferedBody)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, text[:MaxBufferedBody+1])
+		_, _ = io.WriteString(w, text[:upstream.MaxBufferedBody+1])
 		_ = http.NewResponseController(w).Flush()
 		<-hold
-		_, _ = io.WriteString(w, text[MaxBufferedBody+1:])
+		_, _ = io.WriteString(w, text[upstream.MaxBufferedBody+1:])
 	})
 	ln := listen(t)
 	a := startAgent(t, hotRestartConfig(t, ln, t.TempDir(), testSetup{servers: []discoveryMember{s}}))
@@ -179,7 +180,7 @@
 	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
-	if err := a.pool.CheckSendable(&Attempt{BackendID: "s"}); !errors.Is(err, ErrBackendDisabled) {
+	if err := a.pool.CheckSendable(&upstream.Attempt{BackendID: "s"}); !errors.Is(err, upstream.ErrBackendDisabled) {
 		t.Errorf("a backend that was called out: %v", err)
 	}
 }
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -5,6 +5,8 @@
 import (
 	"context"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 // request is a client's request from its arrival until the last of its attempts has ended. After it was posted, only the
@@ -12,7 +14,7 @@
 type request struct {
 	id            string
 	class         int
-	upstream      *Request
+	upstream      *upstream.Request
 	deadline      time.Time     // when the client stops waiting
 	timeout       time.Duration // from the last byte to the deadline
 	sizeHint      time.Duration
@@ -35,7 +37,7 @@
 
 // reply is the final reply to a request. At most one of response, rejected, timedOut and duplicate is set; none: failed.
 type reply struct {
-	response   *Response
+	response   *upstream.Response
 	rejected   bool
 	retryAfter time.Duration
 	residency  bool // rejected since no backend is up where the residency policy permits to send
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -10,6 +10,8 @@
 	"slices"
 	"strconv"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 // writeReply writes the final reply. If it can't be written completely, net/http closes the connection short of the
@@ -37,7 +39,7 @@
 	}
 }
 
-func copyHeader(w http.ResponseWriter, resp *Response) {
+func copyHeader(w http.ResponseWriter, resp *upstream.Response) {
 	h := w.Header()
 	for name, values := range resp.Header {
 		if !slices.Contains(hopHeaders, name) {
@@ -51,13 +53,13 @@
 
 // streamResponse passes a streaming response on as it arrives. If it can't be completed, the connection is closed short
 // of its end, which tells the client.
-func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *Response) {
+func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *upstream.Response) {
 	stream := resp.Stream
-	defer stream.Finish(ErrRequestEnded)
-	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.Cancel(ErrCancelled) })
+	defer stream.Finish(upstream.ErrRequestEnded)
+	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.Cancel(upstream.ErrCancelled) })
 	defer stopWatching()
 	if c := clientConnOf(httpReq); c != nil {
-		LimitKernelBuffers(c.Conn)
+		upstream.LimitKernelBuffers(c.Conn)
 	}
 	copyHeader(w, resp)
 	if stream.Length >= 0 {
@@ -71,21 +73,24 @@
 	}
 }
 
+// minUpstreamRate is in bytes per second of a response, far below what any backend sends.
+const minUpstreamRate = 1 << 10
+
 // isTooSlow reports whether a backend sends slower than minUpstreamRate on average, StallTimeout aside: a response
 // that only trickles would never end. The client's deadline does not bound a streaming response: it applies to the first
 // bytes, and what the backend still sends must not be cut off.
 func isTooSlow(waited time.Duration, received int64) bool {
-	return waited > StallTimeout+time.Duration(received)*time.Second/minUpstreamRate
+	return waited > upstream.StallTimeout+time.Duration(received)*time.Second/minUpstreamRate
 }
 
 // relay writes first and then what it reads of stream into buf, until the response is complete. It returns false if the
 // connection to the client has to be aborted: the client does not read, the backend failed, or the response is too slow or
 // too large.
-func relay(client context.Context, w http.ResponseWriter, stream *Stream, first, buf []byte) bool {
+func relay(client context.Context, w http.ResponseWriter, stream *upstream.Stream, first, buf []byte) bool {
 	control := http.NewResponseController(w)
 	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
 	for chunk, readErr := first, error(nil); ; {
-		err := control.SetWriteDeadline(time.Now().Add(StallTimeout))
+		err := control.SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
 		if err == nil {
 			_, err = w.Write(chunk)
 		}
@@ -99,18 +104,18 @@
 			stream.Finish(nil)
 			return true
 		}
-		if passed += int64(len(chunk)); passed > MaxStreamBytes || isTooSlow(waited, passed) {
-			stream.Finish(ErrStalled)
+		if passed += int64(len(chunk)); passed > upstream.MaxStreamBytes || isTooSlow(waited, passed) {
+			stream.Finish(upstream.ErrStalled)
 			return false
 		}
-		stalled := time.AfterFunc(StallTimeout, func() { stream.Cancel(ErrStalled) })
+		stalled := time.AfterFunc(upstream.StallTimeout, func() { stream.Cancel(upstream.ErrStalled) })
 		readStart := time.Now()
 		n, err := stream.Read(buf)
 		waited += time.Since(readStart)
 		stalled.Stop()
 		if err != nil && !errors.Is(err, io.EOF) {
 			if client.Err() != nil {
-				err = ErrRequestEnded // the client has disconnected: the backend is not to blame
+				err = upstream.ErrRequestEnded // the client has disconnected: the backend is not to blame
 			}
 			stream.Finish(err)
 			return false
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/wire"
 )
 
@@ -59,7 +60,7 @@
 	r.deadline = lastByteAt(httpReq).Add(r.timeout)
 	r.upstream = newUpstreamRequest(httpReq, body)
 	if more {
-		r.upstream.Upload = NewUpload(httpReq.ContentLength)
+		r.upstream.Upload = upstream.NewUpload(httpReq.ContentLength)
 	}
 	return r, nil
 }
@@ -118,7 +119,7 @@
 }
 
 // newUpstreamRequest returns a client's request as it is forwarded: without the fields that end at the agent.
-func newUpstreamRequest(httpReq *http.Request, body []byte) *Request {
+func newUpstreamRequest(httpReq *http.Request, body []byte) *upstream.Request {
 	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery,
 		ForceQuery: httpReq.URL.ForceQuery}
 	forwarded := httpReq.Header.Clone()
@@ -133,5 +134,5 @@
 	if _, set := forwarded["User-Agent"]; !set {
 		forwarded["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	return &Request{Method: httpReq.Method, Host: httpReq.Host, URL: &target, Header: forwarded, Body: body}
+	return &upstream.Request{Method: httpReq.Method, Host: httpReq.Host, URL: &target, Header: forwarded, Body: body}
 }
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -12,6 +12,7 @@
 	"testing/synctest"
 	"time"
 
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/wire"
 )
 
@@ -71,7 +72,7 @@
 	for name, text := range map[string]string{
 		"garbage": "\x00\x01\x02\r\n\r\n",
 		// Bodies of up to 32 MB occur. Once a body larger than 64 KiB was rejected.
-		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc", MaxStreamBytes+1),
+		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc", upstream.MaxStreamBytes+1),
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
 		"no host":     "GET /get/x HTTP/1.1\r\nX-Trace-Id: 2\r\n\r\n",
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -10,11 +10,13 @@
 	"strings"
 	"testing"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 // TestLargeResponseIsStreamed: a large response is passed on from its first bytes, unchanged, in whatever form it comes.
 func TestLargeResponseIsStreamed(t *testing.T) {
-	text := pattern(6*MaxBufferedBody + 3)
+	text := pattern(6*upstream.MaxBufferedBody + 3)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n", len(text)),
 		"chunks": "Transfer-Encoding: chunked\r\n",
@@ -120,10 +122,10 @@
 
 // TestClientDisconnectDuringStreamIsNotBackendsFault: the stream ends, and the backend is not to blame.
 func TestClientDisconnectDuringStreamIsNotBackendsFault(t *testing.T) {
-	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: NewPool(testConfig(t, testSetup{}).poolConfig(), discardLog)}, discardLog)
+	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: upstream.New(testConfig(t, testSetup{}).poolConfig(), discardLog)}, discardLog)
 	in, out := io.Pipe()
 	defer out.Close()
-	s := NewStream(in, -1, func(err error) { in.CloseWithError(err) })
+	s := upstream.NewStream(in, -1, func(err error) { in.CloseWithError(err) })
 	ctx, leave := context.WithCancel(context.Background())
 	hr, err := http.NewRequestWithContext(ctx, "GET", "/get/x", nil)
 	if err != nil {
@@ -131,11 +133,11 @@
 	}
 	go func() {
 		defer func() { _ = recover() }() // net/http's abort, which closes the connection
-		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &Response{Body: []byte("first"), Stream: s})
+		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &upstream.Response{Body: []byte("first"), Stream: s})
 	}()
 	leave()
 	receive(t, "end of the answer", s.Done())
-	if !errors.Is(s.Err(), ErrRequestEnded) {
+	if !errors.Is(s.Err(), upstream.ErrRequestEnded) {
 		t.Errorf("the backend is told to have ended it: %v", s.Err())
 	}
 }
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -10,13 +10,15 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
 // TestLargeBodyIsStreamed: a large body is forwarded as it arrives, unchanged, in whatever form it is sent.
 func TestLargeBodyIsStreamed(t *testing.T) {
 	began := make(chan bool, 10)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
-		text := make([]byte, MaxBufferedBody)
+		text := make([]byte, upstream.MaxBufferedBody)
 		_, err := io.ReadFull(hr.Body, text)
 		began <- err == nil
 		rest, err := io.ReadAll(hr.Body)
@@ -26,8 +28,8 @@
 		fmt.Fprint(w, hr.ContentLength, digest(string(text)+string(rest)))
 	})
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
-	text := pattern(5*MaxBufferedBody + 7)
-	first, rest := text[:2*MaxBufferedBody], text[2*MaxBufferedBody:]
+	text := pattern(5*upstream.MaxBufferedBody + 7)
+	first, rest := text[:2*upstream.MaxBufferedBody], text[2*upstream.MaxBufferedBody:]
 	for name, row := range map[string]struct {
 		head, first, rest string
 		length            int
@@ -64,13 +66,13 @@
 			}
 			hr, err := http.ReadRequest(bufio.NewReader(c))
 			if err == nil {
-				_, _ = io.CopyN(io.Discard, hr.Body, 2*MaxBufferedBody)
+				_, _ = io.CopyN(io.Discard, hr.Body, 2*upstream.MaxBufferedBody)
 				came <- struct{}{}
 			}
 			c.Close() // with the rest unread: a reset
 		}
 	}()
-	text := pattern(64 * MaxBufferedBody)
+	text := pattern(64 * upstream.MaxBufferedBody)
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
 	c := dialRawClient(t, a)
 	go func() {
@@ -90,7 +92,7 @@
 	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
 	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
 	for range 10 { // some of these try the dead backend first
-		if x := b.do("POST", "/pay/x", text[:3*MaxBufferedBody]); x.status != 200 || x.body != digest(text[:3*MaxBufferedBody]) {
+		if x := b.do("POST", "/pay/x", text[:3*upstream.MaxBufferedBody]); x.status != 200 || x.body != digest(text[:3*upstream.MaxBufferedBody]) {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -105,14 +107,14 @@
 			fmt.Fprint(w, "served")
 			return
 		}
-		_, _ = io.CopyN(io.Discard, hr.Body, MaxBufferedBody)
+		_, _ = io.CopyN(io.Discard, hr.Body, upstream.MaxBufferedBody)
 		close(began)
 		_, err := io.Copy(io.Discard, hr.Body)
 		ended <- err
 	})
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
 	c := dialRawClient(t, a)
-	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*MaxBufferedBody))
+	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*upstream.MaxBufferedBody))
 	receive(t, "first part", began)
 	c.Close()
 	if err := receive(t, "end at the backend", ended); err == nil {
@@ -129,7 +131,7 @@
 // TestSlowUploadIsServedAndStalledOneEnds: a client may take 2 s for a header and send its body at 64 kB per second. One
 // that stops sending is disconnected; time in which the backend does not read does not count.
 func TestSlowUploadIsServedAndStalledOneEnds(t *testing.T) {
-	const total = 5 * MaxBufferedBody
+	const total = 5 * upstream.MaxBufferedBody
 	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
 		c := dial()
 		began := time.Now()
--- a/internal/agent/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // One attempt: a request on a connection to a backend, and its result.
 
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 
 func poolWithBackend(t *testing.T, addr string) *Pool {
 	t.Helper()
-	b := NewPool(testConfig(t, testSetup{}).poolConfig(), discardLog)
+	b := New(testConfig(), discardLog)
 	t.Cleanup(b.Close)
 	b.settleTime = 0 // other tests are about unsolicited bytes
 	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
@@ -210,7 +210,7 @@
 		_ = http.NewResponseController(w).Flush()
 		<-hold
 	})
-	b := poolWithBackend(t, s.Addr)
+	b := poolWithBackend(t, s)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	u, _ := http.NewRequest("GET", "/get/x", nil)
 	tr := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(), Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
--- a/internal/agent/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // Responses of unknown length, which are streamed only if they turn out large.
 
--- a/internal/agent/buffers.go
+++ b/internal/agent/upstream/buffers.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // The memory for streams, in the process and in the kernel.
 
--- /dev/null
+++ b/internal/agent/upstream/harness_test.go
@@ -0,0 +1,79 @@
+package upstream
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"sync"
+	"testing"
+	"time"
+)
+
+// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
+const testTimeout = 30 * time.Second
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+// testConfig returns a configuration with time limits long enough for a slow machine.
+func testConfig() Config {
+	return Config{MaxConns: 450, MemoryMB: 192, ConnectTimeout: 10 * time.Second, IdleClose: time.Minute, LoadInline: true}
+}
+
+var ids struct {
+	sync.Mutex
+	n int
+}
+
+// unusedAddr returns an address at which nothing listens.
+func unusedAddr(t *testing.T) string {
+	t.Helper()
+	ln := listen(t)
+	ln.Close()
+	return ln.Addr().String()
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+func receive[T any](t *testing.T, what string, ch <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// eventually polls for a condition that no channel announces.
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
+		}
+	}
+}
+
+func newID() string {
+	ids.Lock()
+	defer ids.Unlock()
+	ids.n++
+	return fmt.Sprintf("%016x", ids.n)
+}
+
+func writeText(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/agent/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -1,6 +1,10 @@
-package agent
-
-// The upstream pool: the connections to backends.
+// Package upstream holds the agent's connections to backends and makes attempts on them.
+//
+// A Pool makes exactly the attempts that it is told to make: it neither chooses backends nor retries. Each attempt is one
+// request, written at most once, and its result says for certain whether the backend may have executed it (attempt.go,
+// trackedconn.go). Idle connections are reused while they can be trusted (reuse.go). Bodies and responses that are too large
+// to be buffered are streamed (upload.go, stream.go, bufferedresponse.go), within a budget of memory (buffers.go).
+package upstream
 
 import (
 	"context"
@@ -44,7 +48,7 @@
 // Pool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
 // request, written at most once on one connection. Its methods may be called from any goroutine.
 type Pool struct {
-	cfg         PoolConfig
+	cfg         Config
 	log         *slog.Logger
 	transport   *http.Transport
 	idleTimeout time.Duration
@@ -68,8 +72,8 @@
 	closed          bool          // no connection is kept any more
 }
 
-// PoolConfig is what a pool is told at its start.
-type PoolConfig struct {
+// Config is what a pool is told at its start.
+type Config struct {
 	MaxConns       int           // connections that may be open at once
 	MemoryMB       int           // of the process, of which streams get a part; 0: a default
 	DialFrom       string        // local IP address for connections; "": the system chooses
@@ -88,8 +92,8 @@
 	idleFor   time.Duration // how long it was idle before its current use; 0: new
 }
 
-// NewPool returns a pool without endpoints.
-func NewPool(cfg PoolConfig, log *slog.Logger) *Pool {
+// New returns a pool without endpoints.
+func New(cfg Config, log *slog.Logger) *Pool {
 	dialer := net.Dialer{KeepAlive: -1}
 	if cfg.DialFrom != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(cfg.DialFrom)}
--- a/internal/agent/probe.go
+++ b/internal/agent/upstream/probe.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // Health checks, and the load reports that come with them or with responses.
 
--- a/internal/agent/response.go
+++ b/internal/agent/upstream/response.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // How the response of an attempt is read, buffered or streamed.
 
--- a/internal/agent/reuse.go
+++ b/internal/agent/upstream/reuse.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // How long idle connections to backends can be trusted.
 
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/upstream/reuse_test.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"context"
@@ -71,9 +71,9 @@
 
 // TestCloseExpiredWithMinimalIdleTime: the smallest idle time that the settings allow must not stop the program.
 func TestCloseExpiredWithMinimalIdleTime(t *testing.T) {
-	cfg := testConfig(t, testSetup{})
-	cfg.Site.IdleClose = 1
+	cfg := testConfig()
+	cfg.IdleClose = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	NewPool(cfg.poolConfig(), discardLog).CloseExpired(ctx)
+	New(cfg, discardLog).CloseExpired(ctx)
 }
--- a/internal/agent/responsestream.go
+++ b/internal/agent/upstream/stream.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // Streaming responses.
 
--- a/internal/agent/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // One connection to a backend, and what is certain about each request on it.
 
--- a/internal/agent/upload.go
+++ b/internal/agent/upstream/upload.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 // Streamed request bodies.
 
