--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -62,7 +62,7 @@
 	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
 	body, err := io.ReadAll(io.LimitReader(paced, upstream.MaxBufferedBody+1))
-	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // a deadline left running would look like a disconnected client
+	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // left running it would look like a disconnected client
 		err = paced.ClearDeadline()
 	}
 	if err != nil {
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -2,9 +2,7 @@
 
 // The event loop's clock, and the balancer's timers.
 
-import (
-	"time"
-)
+import "time"
 
 // clock is the agent's monotonic clock. It starts at clockOffset, not zero, so that the start of a backend that is older
 // than the agent has a time too.
--- a/internal/agent/upstream/buffers_test.go
+++ b/internal/agent/upstream/buffers_test.go
@@ -1,8 +1,6 @@
 package upstream
 
-import (
-	"testing"
-)
+import "testing"
 
 // TestBufferSizeFollowsBudget: beyond the budget buffers are small, and buffers that are given back count again.
 func TestBufferSizeFollowsBudget(t *testing.T) {
--- /dev/null
+++ b/internal/agent/upstream/connections.go
@@ -0,0 +1,173 @@
+package upstream
+
+// Connections to backends: how they are opened, reused and closed.
+
+import (
+	"context"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// pooledConn is one connection to a backend. It carries one request at a time.
+type pooledConn struct {
+	*http.ClientConn
+	tracked   *trackedConn
+	addr      string
+	idleSince time.Time     // last time it became idle
+	idleFor   time.Duration // how long it was idle before its current use; 0: new
+}
+
+type (
+	dialSlotKey struct{}
+	dialSlot    struct{ conn *trackedConn }
+)
+
+// closeIdle closes a backend's idle connections. The caller holds mu.
+func (p *Pool) closeIdle(id string) {
+	for _, c := range p.idle[id] {
+		p.discard(c)
+	}
+	delete(p.idle, id)
+}
+
+// discard closes a connection and uncounts it. The caller holds mu; closing a socket does not block.
+func (p *Pool) discard(conn *pooledConn) {
+	p.openConns--
+	if conn.tracked.hasUnsolicited() {
+		p.lastUnsolicited = time.Now()
+	}
+	conn.Close()
+}
+
+// acquire returns an idle connection to a backend, or the address at which to dial a new one, already counted in
+// openConns. It fails with errEndpointChanged, ErrBackendDisabled or errNoDescriptor.
+func (p *Pool) acquire(id string) (*pooledConn, string, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	endpoint := p.endpoints[id]
+	switch {
+	case endpoint == nil:
+		return nil, "", errEndpointChanged
+	case p.disabled[id]:
+		return nil, "", ErrBackendDisabled
+	}
+	p.idle[id] = slices.DeleteFunc(p.idle[id], func(conn *pooledConn) bool {
+		usable := p.isUsable(conn)
+		if !usable {
+			p.discard(conn)
+		}
+		return !usable
+	})
+	if i := p.pickIdle(p.idle[id]); i >= 0 {
+		conn := p.idle[id][i]
+		p.idle[id] = slices.Delete(p.idle[id], i, i+1)
+		conn.idleFor = max(1, time.Since(conn.idleSince))
+		return conn, endpoint.Addr, nil
+	}
+	if p.openConns >= p.maxConns && !p.evictOldest() {
+		return nil, "", errNoDescriptor
+	}
+	p.openConns++
+	return nil, endpoint.Addr, nil
+}
+
+// pickIdle returns the index of the idle connection to use: the most recently used one that has settled, otherwise the
+// most recently used one; below 0: none. The caller holds mu.
+func (p *Pool) pickIdle(idle []*pooledConn) int {
+	for i := len(idle) - 1; i >= 0; i-- {
+		if time.Since(idle[i].idleSince) >= p.settleTime {
+			return i
+		}
+	}
+	if time.Since(p.lastUnsolicited) < unsolicitedMemory {
+		return -1
+	}
+	return len(idle) - 1
+}
+
+// isUsable reports whether an idle connection may carry a request. The caller holds mu.
+func (p *Pool) isUsable(c *pooledConn) bool {
+	idle := time.Since(c.idleSince)
+	return c.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
+}
+
+// recordReuse records whether the connection broke under its request before a response began.
+func (p *Pool) recordReuse(c *pooledConn, broken bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.reuseStats.record(c.idleFor, broken)
+}
+
+// evictOldest closes the connection that has been idle longest, of any backend. The caller holds mu.
+func (p *Pool) evictOldest() bool {
+	var oldest string
+	for id, list := range p.idle {
+		if len(list) > 0 && (oldest == "" || list[0].idleSince.Before(p.idle[oldest][0].idleSince)) {
+			oldest = id
+		}
+	}
+	if oldest == "" {
+		return false
+	}
+	p.discard(p.idle[oldest][0])
+	p.idle[oldest] = p.idle[oldest][1:]
+	return true
+}
+
+// release makes a connection idle, or closes it if it must not be used again.
+func (p *Pool) release(id string, conn *pooledConn, reusable bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	endpoint := p.endpoints[id]
+	if !reusable || p.closed || conn.Err() != nil || endpoint == nil || endpoint.Addr != conn.addr || endpoint.Draining ||
+		p.disabled[id] {
+		p.discard(conn)
+		return
+	}
+	p.idle[id] = append(p.idle[id], conn)
+}
+
+// CloseExpired closes connections that have been idle for too long, until ctx ends.
+func (p *Pool) CloseExpired(ctx context.Context) {
+	interval := max(p.idleTimeout/8, time.Millisecond)
+	tick := time.NewTicker(interval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		p.mu.Lock()
+		p.reuseStats.decay(interval)
+		for id, list := range p.idle {
+			kept := list[:0]
+			for _, c := range list {
+				if p.isUsable(c) {
+					kept = append(kept, c)
+				} else {
+					p.discard(c)
+				}
+			}
+			clear(list[len(kept):])
+			p.idle[id] = kept
+		}
+		p.mu.Unlock()
+	}
+}
+
+// dial opens a connection within the connect timeout and ctx. acquire has counted it already.
+func (p *Pool) dial(ctx context.Context, addr string) (*pooledConn, error) {
+	slot := &dialSlot{}
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.ConnectTimeout)
+	defer cancel()
+	clientConn, err := p.transport.NewClientConn(ctx, "http", addr)
+	if err != nil {
+		p.mu.Lock()
+		p.openConns--
+		p.mu.Unlock()
+		return nil, err
+	}
+	return &pooledConn{ClientConn: clientConn, tracked: slot.conn, addr: addr, idleSince: time.Now()}, nil
+}
--- a/internal/agent/upstream/limits.go
+++ b/internal/agent/upstream/limits.go
@@ -2,13 +2,10 @@
 
 // Limits of size and time for bodies and responses.
 
-import (
-	"errors"
-	"time"
-)
+import "time"
 
 // Bodies and responses up to MaxBufferedBody are buffered whole, and such a body can be sent again. Larger ones are streamed:
-// they are never held completely.
+// they are never held completely. Sizes are in bytes.
 const (
 	MaxBufferedBody  = 64 << 10              // bytes
 	MaxStreamBytes   = 32 << 20              // bytes of a body or response; a larger body is rejected
@@ -18,8 +15,3 @@
 	bufferingTimeout = 50 * time.Millisecond // a response of unknown length is held back this long, as it may turn out small
 	StallTimeout     = 10 * time.Second      // without a byte of a stream, before it is given up
 )
-
-var (
-	ErrStalled      = errors.New("stream stalled")
-	ErrRequestEnded = errors.New("request ended")
-)
--- a/internal/agent/upstream/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -11,12 +11,6 @@
 	"time"
 )
 
-var (
-	errUnsolicitedBytes = errors.New("unsolicited bytes on the connection")
-	errClosedWhileIdle  = errors.New("connection closed by the backend while idle")
-	errRetryWindowOver  = errors.New("the backend no longer deduplicates the retry")
-)
-
 // trackedConn is a connection to a backend below net/http's client. It knows two things about each request for certain:
 // whether the request was written to its last byte, and that the bytes received are not older than the request.
 //
