--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -65,7 +65,8 @@
 		{"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", 200},
 		{putRequest("/_backends/detach", `{"target":"s"}`), 200},
 		{putRequest("/_backends/detach", `{"target":"s"}`), 200},
-		{"PUT /_backends/attach HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{\"target\r\n6\r\n\":\"s\"}\r\n0\r\n\r\n", 200},
+		{"PUT /_backends/attach HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			"8\r\n{\"target\r\n6\r\n\":\"s\"}\r\n0\r\n\r\n", 200},
 		{putRequest("/_lameduck/on", ""), 200},
 		{putRequest("/_lameduck/off", "{}"), 200},
 		{putRequest("/_backends/detach", `{"target":"nobody"}`), 404},
--- a/internal/agent/admincontrol.go
+++ b/internal/agent/admincontrol.go
@@ -17,12 +17,15 @@
 	frontend *frontend
 }
 
+// Ready reports whether clients are served.
 func (o adminControl) Ready() bool { return o.frontend.accepting.Load() }
 
+// SetDisabled disables a backend, or enables it again, and reports whether the balancer has it. It fails when ctx ends.
 func (o adminControl) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
 	return o.loop.submitCall(ctx, &adminCall{backend: backend, detach: detach})
 }
 
+// SetLameDuck drains the agent of clients, or ends that.
 func (o adminControl) SetLameDuck(on bool) { o.frontend.setLameDuck(on) }
 
 // adminCall is an operator's call to disable or enable a backend, on its way to the balancer.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -28,7 +28,8 @@
 	t.Cleanup(func() { server.Close() })
 	b := &fakeBackend{addr: ln.Addr().String()}
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{b.member("s")}}))
-	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1", "Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
+	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1",
+		"Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
 		t.Fatalf("answer %+v", x)
 	}
@@ -74,7 +75,8 @@
 
 // TestUnreachableBackendGivesRejection: a request that was not executed may be rejected, which permits a retry.
 func TestUnreachableBackendGivesRejection(t *testing.T) {
-	cfg := testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{
+		{ID: "s", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := startAgent(t, cfg)
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", x)
@@ -98,7 +100,9 @@
 func TestBackendDeadlineIsShorterThanClients(t *testing.T) {
 	told := make(chan string, 1)
 	ln := listen(t)
-	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { told <- r.Header.Get("X-Expires-In") })}
+	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		told <- r.Header.Get("X-Expires-In")
+	})}
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), State: "ready"}}}))
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -148,7 +148,8 @@
 // TestLastResponseSurvivesUnreadBytes: a client that has sent more behind its request still gets the complete last
 // response. If the connection were closed over unread bytes it would be reset, and the response lost.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 1<<20)} {
+	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""),
+		"more than is kept": strings.Repeat("x", 1<<20)} {
 		t.Run(name, func(t *testing.T) {
 			f, dial, posts := startSocketFrontend(t)
 			f.drainBy(time.Now().Add(testTimeout)) // each reply closes its connection
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -32,6 +32,7 @@
 // ClearDeadline ends the deadline for the client.
 func (r *minThroughputReader) ClearDeadline() error { return r.control.SetReadDeadline(time.Time{}) }
 
+// Read implements io.Reader.
 func (r *minThroughputReader) Read(b []byte) (int, error) {
 	readStart := time.Now()
 	remaining := r.allowance + time.Duration(r.received)*time.Second/minClientRate - r.waited
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -72,7 +72,8 @@
 	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
-	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`, fmt.Sprintf(settings, "subscribe", 1000))
+	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`,
+		fmt.Sprintf(settings, "subscribe", 1000))
 	if err := os.WriteFile(env["PROXY_CONFIG"], []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -75,7 +75,8 @@
 				took, goOn := make(chan int64, 100), make(chan struct{})
 				now := make(chan time.Time)
 				close(now)
-				a := startWithHook(t, testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}}), now, func(a *testAgent) {
+				cfg := testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}})
+				a := startWithHook(t, cfg, now, func(a *testAgent) {
 					dialling, release = blockDials(a.pool)
 					a.discovery.Record = func(_ string, list *discoveryList) { // called by the watcher, which reads nothing in the meantime
 						if took <- list.Version; order == "move, list, old word" && list.Version == 42 {
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -26,7 +26,8 @@
 	t.Helper()
 	s := startRawBackend(t, answer)
 	accept := make(chan time.Time)
-	return &drainingAgent{startWithAcceptWindow(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}), accept), accept}, s
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
+	return &drainingAgent{startWithAcceptWindow(t, cfg, accept), accept}, s
 }
 
 // startDrain stops the agent and returns once it drains.
@@ -220,7 +221,8 @@
 
 // TestAdminCallDuringStopIsAnswered: an admin call that was accepted when the agent stops is answered.
 func TestAdminCallDuringStopIsAnswered(t *testing.T) {
-	a, err := New(t.Context(), withAdmin(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), State: "ready"}}}), discardLog)
+	cfg := withAdmin(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), State: "ready"}}})
+	a, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -30,7 +30,7 @@
 	policyGeneration int           // of the policy table that the balancer knows
 
 	events           chan event
-	calls            chan *adminCall // by operators; taken before events
+	calls            chan *adminCall // by operators; they go to the balancer ahead of events
 	openCalls        map[int64]*adminCall
 	stopped          chan struct{}
 	ready            atomic.Bool
@@ -50,12 +50,13 @@
 type counts struct{ requests, served, rejected, failed, disconnected, attempts, overdue, truncated int }
 
 func newEventLoop(cfg *Config, clk clock, pool *upstream.Pool, log *slog.Logger) (*eventLoop, error) {
-	balancer, err := balancer.New(cfg.Settings, cfg.Seed)
+	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: balancer, pool: pool, subscribe: func() {},
-		events: make(chan event, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{}, stopped: make(chan struct{}),
+	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: b, pool: pool, subscribe: func() {},
+		events: make(chan event, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{},
+		stopped: make(chan struct{}),
 		// An attempt that waits until the client's deadline ends one tick before it, so that the balancer sees the
 		// timeout in time to answer the client.
 		margin:   cfg.Settings.Tick,
--- a/internal/agent/fakediscovery_test.go
+++ b/internal/agent/fakediscovery_test.go
@@ -44,7 +44,8 @@
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
 			t.Errorf("discovery was asked for %s", r.URL)
 		}
-		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}), disconnected: make(chan struct{})}
+		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}),
+			disconnected: make(chan struct{})}
 		defer close(me.disconnected)
 		c.watch <- me
 		for {
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -78,7 +78,7 @@
 	return f
 }
 
-// SetLimit changes how many requests may be open, and how many connections are kept, at once.
+// setLimit changes how many requests may be open, and how many connections are kept, at once.
 func (f *frontend) setLimit(limit int) {
 	if f.cfg.Site.MaxOpen > 0 {
 		limit = min(limit, f.cfg.Site.MaxOpen)
--- a/internal/agent/frontendharness_test.go
+++ b/internal/agent/frontendharness_test.go
@@ -107,7 +107,8 @@
 		t.Fatal(err)
 	}
 	f = newFrontend(cfg, l, discardLog)
-	f.server.ReadHeaderTimeout, f.server.IdleTimeout, f.bodyTimeout, f.maxBodyGap = 2*testTimeout, 2*testTimeout, 2*testTimeout, 2*testTimeout
+	f.server.ReadHeaderTimeout, f.server.IdleTimeout = 2*testTimeout, 2*testTimeout
+	f.bodyTimeout, f.maxBodyGap = 2*testTimeout, 2*testTimeout
 	ln := listen(t)
 	served := make(chan error, 1)
 	go func() { served <- f.serve(ln) }()
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -118,8 +118,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &testAgent{Agent: a, baseURL: "http://" + a.Addr().String(), stop: cancel, ended: make(chan error, 1)}
-	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout              // a slow machine must not look like a dead discovery
-	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout // nor like a slow client
+	// A slow machine must not look like a dead discovery, nor like a slow client.
+	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout
+	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout
 	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	a.drainTimeout = 2 * testTimeout
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -98,8 +98,8 @@
 	if record.List != nil && record.ListSource == a.cfg.Discovery {
 		a.cfg.CachedEndpoints = record.List // newer than the configuration's, which is as old as the first process
 	}
-	a.log.Info("handover", "turn", a.hotRestart.Generation(), "alone", a.hotRestart.StartedAlone(), "calls", len(calls), "lame", lameDuck,
-		"list", record.List != nil)
+	a.log.Info("handover", "turn", a.hotRestart.Generation(), "alone", a.hotRestart.StartedAlone(), "calls", len(calls),
+		"lame", lameDuck, "list", record.List != nil)
 	if record.Snapshot != nil {
 		a.loop.pending = append(a.loop.pending, balancer.Restore{Snapshot: *record.Snapshot})
 	}
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -114,7 +114,8 @@
 	for _, limit := range []int{256, 384, 512, 1024} {
 		for _, mgmt := range []string{"", "127.0.0.1:1"} {
 			half := (&Config{MaxDescriptors: limit, MemoryMB: 64, AdminAddr: mgmt}).halfLimits()
-			sum := 2 * (reservedDescriptors + maxAcceptedConns(half.shareableDescriptors()) + maxUpstreamConns(half.shareableDescriptors()))
+			shareable := half.shareableDescriptors()
+			sum := 2 * (reservedDescriptors + maxAcceptedConns(shareable) + maxUpstreamConns(shareable))
 			if mgmt != "" {
 				sum += 2 * (maxAdminConns + 1)
 			}
@@ -171,7 +172,8 @@
 func TestUnwritableHandoverDirStillServes(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	ln := listen(t)
-	a := startAgent(t, hotRestartConfig(t, ln, filepath.Join(t.TempDir(), "none"), testSetup{servers: []discoveryMember{s.member("s")}}))
+	dir := filepath.Join(t.TempDir(), "none")
+	a := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: []discoveryMember{s.member("s")}}))
 	a.admin.AnswerTimeout = testTimeout
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
@@ -220,7 +222,8 @@
 			watch := receive(t, "watch", c.watch)
 			now := make(chan time.Time)
 			close(now)
-			younger := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(younger *testAgent) { // the successor has read the record once
+			younger := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(younger *testAgent) {
+				// The successor has read the record once.
 				if call {
 					if resp := callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
 						t.Fatalf("%+v", resp)
--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -20,7 +20,8 @@
 	}
 	used := map[string]bool{"agent": true} // set on the logger itself
 	var files []string
-	for _, pattern := range []string{"*.go", "*/*.go", "../fleet/*.go", "../fleet/*/*.go", "../residency/*.go", "../settings/*.go", "../membership/*.go", "../logging/*.go"} {
+	for _, pattern := range []string{"*.go", "*/*.go", "../fleet/*.go", "../fleet/*/*.go", "../residency/*.go",
+		"../settings/*.go", "../membership/*.go", "../logging/*.go"} {
 		found, err := filepath.Glob(pattern)
 		if err != nil || len(found) == 0 {
 			t.Fatal(found, err)
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -72,7 +72,8 @@
 	for name, text := range map[string]string{
 		"garbage": "\x00\x01\x02\r\n\r\n",
 		// Bodies of up to 32 MB occur. Once a body larger than 64 KiB was rejected.
-		"large body":  fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc", upstream.MaxStreamBytes+1),
+		"large body": fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc",
+			upstream.MaxStreamBytes+1),
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
 		"bad version": "GET /get/x HTTP/9.9\r\nHost: a\r\n\r\n",
 		"no host":     "GET /get/x HTTP/1.1\r\nX-Trace-Id: 2\r\n\r\n",
@@ -160,7 +161,8 @@
 	})
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
 	c := dialRawClient(t, a)
-	c.send(postHeader("http://app.svc/put/a?b=c", "Content-Length: 3\r\n") + "one" + postHeader("/put/b", "Content-Length: 3\r\n") + "two" +
+	c.send(postHeader("http://app.svc/put/a?b=c", "Content-Length: 3\r\n") + "one" +
+		postHeader("/put/b", "Content-Length: 3\r\n") + "two" +
 		postHeader("/put/c", "Transfer-Encoding: chunked\r\n") + chunkedBody("th", "ree"))
 	for _, want := range []string{"/put/a?b=c one", "/put/b two", "/put/c three"} {
 		resp := c.readResponse()
@@ -185,7 +187,8 @@
 // TestSessionCookieSetsTheKey: the balancer gets the affinity key from the session cookie.
 func TestSessionCookieSetsTheKey(t *testing.T) {
 	f := newFrontend(testConfig(t, testSetup{}), nil, discardLog)
-	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.AffinityKey("7f3a"), "a=b; sid=7f3a": wire.AffinityKey("7f3a")} {
+	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.AffinityKey("7f3a"),
+		"a=b; sid=7f3a": wire.AffinityKey("7f3a")} {
 		hr := httptest.NewRequest(http.MethodGet, "/get/x", nil)
 		hr.Header.Set("X-Trace-Id", "t1")
 		if cookie != "" {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -49,8 +49,8 @@
 	return a.Run(stop)
 }
 
-// The backoff after a replaced configuration could not be read, doubled from the initial to the maximal one. Discovery's new
-// address has to be in use 4 s after the signal.
+// initialReloadBackoff and maxReloadBackoff are the backoff after a replaced configuration could not be read, doubled from one to
+// the other. Discovery's new address has to be in use 4 s after the signal.
 const initialReloadBackoff, maxReloadBackoff = 20 * time.Millisecond, 250 * time.Millisecond
 
 // reloadOnHangup reads the configuration again at each SIGHUP. Only discovery's address may change while the program runs.
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -49,7 +49,8 @@
 					_, _ = io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 				}
 			}()
-			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
+			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{
+				{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
 			c := dialRawClient(t, a)
 			c.send(fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()))
 			resp := c.readResponse()
@@ -122,7 +123,8 @@
 
 // TestClientDisconnectDuringStreamIsNotBackendsFault: the stream ends, and the backend is not to blame.
 func TestClientDisconnectDuringStreamIsNotBackendsFault(t *testing.T) {
-	f := newFrontend(testConfig(t, testSetup{}), &eventLoop{pool: upstream.New(testConfig(t, testSetup{}).poolConfig(), discardLog)}, discardLog)
+	cfg := testConfig(t, testSetup{})
+	f := newFrontend(cfg, &eventLoop{pool: upstream.New(cfg.poolConfig(), discardLog)}, discardLog)
 	in, out := io.Pipe()
 	defer out.Close()
 	s := upstream.NewStream(in, -1, func(err error) { in.CloseWithError(err) })
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -21,6 +21,7 @@
 	token int64
 }
 
+// timerHeap implements heap.Interface; the timer that is due first is at the root.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -35,7 +35,8 @@
 		length            int
 	}{
 		"length": {fmt.Sprintf("Content-Length: %d\r\n", len(text)), first, rest, len(text)},
-		"chunks": {"Transfer-Encoding: chunked\r\n", strings.TrimSuffix(chunkedBody(first), "0;last\r\nX-Trailer: 1\r\n\r\n"), chunkedBody(rest[:1], rest[1:]), -1},
+		"chunks": {"Transfer-Encoding: chunked\r\n", strings.TrimSuffix(chunkedBody(first), "0;last\r\nX-Trailer: 1\r\n\r\n"),
+			chunkedBody(rest[:1], rest[1:]), -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := dialRawClient(t, a)
@@ -73,7 +74,8 @@
 		}
 	}()
 	text := pattern(64 * upstream.MaxBufferedBody)
-	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{
+		{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready"}}}))
 	c := dialRawClient(t, a)
 	go func() {
 		_, _ = io.WriteString(c, postHeader("/put/x", fmt.Sprintf("Content-Length: %d\r\n", len(text)))+text)
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -27,7 +27,7 @@
 	URL    *url.URL // only path and query are used
 	Header http.Header
 	Body   []byte
-	Upload *Upload // the body's remainder, after body; nil: body is all of it
+	Upload *Upload // the body's remainder, after Body; nil: Body is all of it
 }
 
 // Attempt is one attempt to send a request to one backend: its parameters, and what Execute found out about it.
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -32,8 +32,9 @@
 	b := New(testConfig(), discardLog)
 	t.Cleanup(b.Close)
 	b.settleTime = 0 // other tests are about unsolicited bytes
-	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
-		Addrs: map[string]string{"s": addr}})
+	b.ApplyUpdate(discovery.Update{
+		Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
+		Addrs:     map[string]string{"s": addr}})
 	return b
 }
 
@@ -213,7 +214,8 @@
 	b := poolWithBackend(t, s)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	u, _ := http.NewRequest("GET", "/get/x", nil)
-	tr := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(), Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
+	tr := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(),
+		Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
 	var told time.Duration
 	tr.OnStreamStart = func(a *Response, took time.Duration) bool {
 		told = took
--- a/internal/agent/upstream/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -78,6 +78,7 @@
 	return buffered, true, nil
 }
 
+// Read returns what readUpTo has left.
 func (b *bufferedResponse) Read(p []byte) (int, error) {
 	if len(b.unread.data) == 0 && b.unread.err == nil {
 		select {
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"martenbeam/balancer"
-	"martenbeam/internal/agent/discovery"
 )
 
 // dyingConn breaks while it is idle, unnoticed.
@@ -66,7 +65,8 @@
 	since := b.idle["s"][0].idleSince
 	over := make(chan struct{})
 	close(over)
-	r, _, _ := b.executeBuffered(context.Background(), over, "s", &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
+	r, _, _ := b.executeBuffered(context.Background(), over, "s",
+		&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].idleSince != since {
 		t.Errorf("result %v, %d idle", r, len(b.idle["s"]))
 	}
@@ -120,14 +120,14 @@
 		return ok200
 	})
 	b := poolWithBackend(t, s.addr)
-	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "t"}}},
-		Addrs: map[string]string{"t": s.addr}})
+	applyDelta(b, balancer.Backend{ID: "t"}, s.addr)
 	b.maxConns = 1
 	attemptOn(t, b, context.Background(), "")
 	<-s.seen
 	done := make(chan balancer.Result)
 	go func() {
-		r, _, _ := b.executeBuffered(context.Background(), nil, "t", &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
+		r, _, _ := b.executeBuffered(context.Background(), nil, "t",
+			&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request to t", s.seen)
@@ -149,8 +149,7 @@
 	two := startRawBackend(t, func(int) string { return ok200 })
 	b := poolWithBackend(t, one.addr)
 	attemptOn(t, b, context.Background(), "")
-	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
-		Addrs: map[string]string{"s": two.addr}})
+	applyDelta(b, balancer.Backend{ID: "s"}, two.addr)
 	if b.openConns != 0 {
 		t.Errorf("%d connections to the old address are open", b.openConns)
 	}
@@ -166,12 +165,12 @@
 	b := poolWithBackend(t, one.addr)
 	done := make(chan balancer.Result, 1)
 	go func() {
-		r, _, _ := b.executeBuffered(context.Background(), nil, "s", &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
+		r, _, _ := b.executeBuffered(context.Background(), nil, "s",
+			&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 		done <- r
 	}()
 	receive(t, "request", one.seen)
-	b.ApplyUpdate(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "s"}}},
-		Addrs: map[string]string{"s": unusedAddr(t)}})
+	applyDelta(b, balancer.Backend{ID: "s"}, unusedAddr(t))
 	close(hold)
 	if r := receive(t, "result", done); r != balancer.OK || b.openConns != 0 {
 		t.Errorf("result %v, %d connections kept", r, b.openConns)
--- a/internal/agent/upstream/race_test.go
+++ b/internal/agent/upstream/race_test.go
@@ -55,7 +55,8 @@
 func TestUnsolicitedBytesAreNoResponse(t *testing.T) {
 	for name, stray := range map[string]string{"a whole answer": okResponse("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
 		// Each request is checked twice: before it is handed to net/http, and before its first byte is written.
-		for when, at := range map[string]int{"with the first answer": -1, "while resting": 0, "between taking and handing over": 1, "between handing over and writing": 2} {
+		for when, at := range map[string]int{"with the first answer": -1, "while resting": 0,
+			"between taking and handing over": 1, "between handing over and writing": 2} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				s := startManualBackend(t)
 				b := poolWithBackend(t, s.addr)
@@ -152,7 +153,8 @@
 	full, other := startManualBackend(t), startManualBackend(t)
 	b := poolWithBackend(t, full.addr)
 	applyDelta(b, balancer.Backend{ID: "other"}, other.addr)
-	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result, fresh bool) (net.Conn, *bufio.Reader) {
+	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result,
+		fresh bool) (net.Conn, *bufio.Reader) {
 		tr := &Attempt{}
 		done := b.startAt(id, tr)
 		conn, in := c()
@@ -223,7 +225,8 @@
 }
 
 func applyDelta(b *Pool, m balancer.Backend, addr string) {
-	u := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{m}}, Addrs: map[string]string{}}
+	u := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{m}},
+		Addrs: map[string]string{}}
 	if addr != "" {
 		u.Addrs[m.ID] = addr
 	}
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -16,7 +16,7 @@
 type Response struct {
 	Header http.Header
 	Body   []byte
-	Stream *Stream // the remainder, after body; nil: body is all of it
+	Stream *Stream // the remainder, after Body; nil: Body is all of it
 }
 
 // receive reads a response whose header has arrived, and returns the connection to the pool.
--- a/internal/agent/upstream/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -66,6 +66,7 @@
 	c.mu.Unlock()
 }
 
+// Write writes bytes of the current request, unless something is against its first byte.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -162,6 +163,7 @@
 	return c.blockedReason
 }
 
+// Read reads bytes of a response. It fails once bytes arrived that no request had asked for.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.reading = true
