--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -132,7 +132,7 @@
 }
 
 // newHTTPRequest returns the attempt's request for net/http, and its body if that is streamed.
-func newHTTPRequest(att *Attempt, conn *pooledConn) (*http.Request, *body) {
+func newHTTPRequest(att *Attempt, conn *pooledConn) (*http.Request, *requestBody) {
 	request := att.Request
 	target := *request.URL
 	target.Scheme, target.Host = "http", conn.addr
@@ -163,7 +163,7 @@
 }
 
 // unansweredResult closes the connection of an attempt whose request had no response, and returns the attempt's result.
-func (p *Pool) unansweredResult(att *Attempt, conn *pooledConn, body *body) balancer.Result {
+func (p *Pool) unansweredResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	result := p.failedResult(att, conn, body)
 	if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil &&
 		!errors.Is(reason, errUnsolicitedBytes) && !errors.Is(reason, errClosedWhileIdle) {
@@ -174,7 +174,7 @@
 }
 
 // failedResult closes the connection of an attempt without a complete response, and returns the attempt's result.
-func (p *Pool) failedResult(att *Attempt, conn *pooledConn, body *body) balancer.Result {
+func (p *Pool) failedResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	cause := context.Cause(att.ctx)
 	incomplete := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
 	p.release(att.BackendID, conn, false)
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -20,7 +20,7 @@
 }
 
 // receive reads a response whose header has arrived, and returns the connection to the pool.
-func (p *Pool) receive(att *Attempt, conn *pooledConn, body *body,
+func (p *Pool) receive(att *Attempt, conn *pooledConn, body *requestBody,
 	httpResp *http.Response) (balancer.Result, *Response, balancer.Load) {
 	p.recordReuse(conn, false)
 	defer httpResp.Body.Close()
--- a/internal/agent/upstream/upload.go
+++ b/internal/agent/upstream/upload.go
@@ -104,8 +104,8 @@
 	u.pipeReader.CloseWithError(err)
 }
 
-// body is a streamed body as one attempt reads it: the buffered part, then the upload.
-type body struct {
+// requestBody is a streamed body as one attempt reads it: the buffered part, then the upload.
+type requestBody struct {
 	buffered  []byte
 	upload    *Upload
 	remaining int64       // bytes still to be read; below 0: unknown
@@ -115,11 +115,11 @@
 // NewBody returns the body as one attempt reads it; buffered is its beginning.
 func (u *Upload) NewBody(buffered []byte) io.ReadCloser { return u.newBody(buffered) }
 
-func (u *Upload) newBody(buffered []byte) *body {
-	return &body{buffered: buffered, upload: u, remaining: u.length}
+func (u *Upload) newBody(buffered []byte) *requestBody {
+	return &requestBody{buffered: buffered, upload: u, remaining: u.length}
 }
 
-func (b *body) Read(p []byte) (n int, err error) {
+func (b *requestBody) Read(p []byte) (n int, err error) {
 	if len(b.buffered) > 0 {
 		n = copy(p, b.buffered)
 		b.buffered = b.buffered[n:]
@@ -133,4 +133,4 @@
 	return n, err
 }
 
-func (b *body) Close() error { return nil } // the upload outlives an attempt that never read from it
+func (b *requestBody) Close() error { return nil } // the upload outlives an attempt that never read from it
