--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -8,7 +8,7 @@
 //   - the frontend (frontend.go, request.go, reply.go) serves clients over connections of package clientconn;
 //   - package upstream owns the connections to backends and makes the attempts;
 //   - package discovery watches the endpoint list, peers.go exchanges datagrams with the other agents;
-//   - package admin takes admin calls, hotrestart.go hands state over to the next process of this agent.
+//   - package admin takes admin calls, package hotrestart coordinates this process with the next one of the same agent.
 package agent
 
 import (
@@ -22,6 +22,7 @@
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/admin"
 	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/hotrestart"
 	"martenbeam/internal/agent/listener"
 	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/fleet/source"
@@ -35,9 +36,9 @@
 	frontend       *frontend
 	pool           *upstream.Pool
 	discovery      *discovery.Watcher
-	admin          *admin.Server // nil: no admin listener
-	hotRestart     *hotRestart   // nil: this agent is never replaced by another process while it runs
-	fleet          Fleet         // nil: the agent belongs to no fleet
+	admin          *admin.Server           // nil: no admin listener
+	hotRestart     *hotrestart.Coordinator // nil: this agent is never replaced by another process while it runs
+	fleet          Fleet                   // nil: the agent belongs to no fleet
 	listener       *listener.Limited
 	listenerClosed bool                    // set by closeListener
 	drainTimeout   time.Duration           // from SIGTERM until the last replies have to be out
@@ -149,7 +150,7 @@
 	defer stopPeers()
 	a.startTasks(ctx, peersCtx, &running)
 	if a.hotRestart != nil {
-		running.Go(func() { a.runHotRestart(ctx) })
+		running.Go(func() { a.hotRestart.Run(ctx, restartedProcess{a}) })
 		a.awaitEndpoints(stop)
 	}
 	a.frontend.accepting.Store(true)
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -71,7 +71,10 @@
 	}
 }
 
-const summaryInterval = 10 * time.Second
+const (
+	summaryInterval  = 10 * time.Second
+	snapshotInterval = 500 * time.Millisecond // between snapshots for the next process
+)
 
 // run steps the balancer with the events that have arrived, at most once each tick, until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
--- /dev/null
+++ b/internal/agent/hotrestart/coordinator_test.go
@@ -0,0 +1,110 @@
+package hotrestart
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"martenbeam/internal/agent/handover"
+)
+
+// TestMain checks that no goroutine outlives the tests.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+// fakeProcess records what a Coordinator changes in its process.
+type fakeProcess struct {
+	sharesListener, halved, lameDuck bool
+	overrides                        []string // backends, in order
+}
+
+func (p *fakeProcess) ShareListener(on bool) { p.sharesListener = on }
+func (p *fakeProcess) HalveLimits(on bool)   { p.halved = on }
+func (p *fakeProcess) LameDuck() bool        { return p.lameDuck }
+func (p *fakeProcess) SetLameDuck(on bool)   { p.lameDuck = on }
+func (p *fakeProcess) ApplyOverride(_ context.Context, override handover.Override) error {
+	p.overrides = append(p.overrides, override.Backend)
+	return nil
+}
+
+func (p *fakeProcess) expect(t *testing.T, when string, sharesListener, halved bool) {
+	t.Helper()
+	if p.sharesListener != sharesListener || p.halved != halved {
+		t.Errorf("%s: shares the listener: %v, half of the limits: %v; want %v, %v", when, p.sharesListener, p.halved,
+			sharesListener, halved)
+	}
+}
+
+// TestLimitsFollowTheOtherProcess: two processes use half of the limits each, and the one that is left uses all of them.
+func TestLimitsFollowTheOtherProcess(t *testing.T) {
+	dir := t.TempDir()
+	var first, second fakeProcess
+	older := New(t.Context(), dir, discardLog)
+	older.ShareLimits(&first)
+	first.expect(t, "alone", false, false)
+
+	younger := New(t.Context(), dir, discardLog)
+	younger.ShareLimits(&second)
+	second.expect(t, "beside an older process", true, true)
+	older.syncAdminCalls(t.Context(), &first)
+	older.adjustLimits(&first)
+	first.expect(t, "with a successor", false, true)
+	younger.adjustLimits(&second)
+	second.expect(t, "while the older process runs", true, true)
+
+	older.Close()
+	younger.adjustLimits(&second)
+	second.expect(t, "once the older process has ended", false, false)
+	younger.Close()
+}
+
+// TestLimitsComeBackWhenSuccessorEnds: a successor that ends before it took over leaves all of the limits.
+func TestLimitsComeBackWhenSuccessorEnds(t *testing.T) {
+	dir := t.TempDir()
+	var process fakeProcess
+	older := New(t.Context(), dir, discardLog)
+	defer older.Close()
+	older.ShareLimits(&process)
+	younger := New(t.Context(), dir, discardLog)
+	older.syncAdminCalls(t.Context(), &process)
+	older.adjustLimits(&process)
+	process.expect(t, "with a successor", false, true)
+	younger.Close()
+	older.adjustLimits(&process)
+	process.expect(t, "once the successor has ended", false, false)
+}
+
+// TestAdminCallsApplyInBothProcesses: a call that one process has recorded is applied in the other, once.
+func TestAdminCallsApplyInBothProcesses(t *testing.T) {
+	dir := t.TempDir()
+	older, younger := New(t.Context(), dir, discardLog), New(t.Context(), dir, discardLog)
+	defer older.Close()
+	defer younger.Close()
+	if err := older.SaveOverride(t.Context(), handover.Override{Backend: "s", Disabled: true}); err != nil {
+		t.Fatal(err)
+	}
+	var process fakeProcess
+	for range 3 {
+		younger.syncAdminCalls(t.Context(), &process)
+	}
+	if !slices.Equal(process.overrides, []string{"s"}) {
+		t.Errorf("applied calls: %q", process.overrides)
+	}
+}
+
+// TestAwaitRecordEndsWithStop: a process that is told to stop does not wait for a record that can't be read.
+func TestAwaitRecordEndsWithStop(t *testing.T) {
+	stop, cancel := context.WithCancel(t.Context())
+	cancel()
+	c := New(stop, t.TempDir()+"/none", discardLog)
+	defer c.Close()
+	start := time.Now()
+	if overrides, _ := c.AwaitRecord(stop); len(overrides) != 0 || time.Since(start) > recordTimeout/2 {
+		t.Errorf("%d calls after %v", len(overrides), time.Since(start))
+	}
+}
