--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -37,7 +37,7 @@
 		l.startProbe(action.Backend)
 	case balancer.SendGossip:
 		if l.peers != nil {
-			l.peers.send(action.To, action.Data)
+			l.peers.Send(action.To, action.Data)
 		}
 	case balancer.Subscribe:
 		l.subscribe()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -7,7 +7,7 @@
 //   - the event loop (eventloop.go) owns the balancer, the timers and the open requests;
 //   - the frontend (frontend.go, request.go, reply.go) serves clients over connections of package clientconn;
 //   - package upstream owns the connections to backends and makes the attempts;
-//   - package discovery watches the endpoint list, peers.go exchanges datagrams with the other agents;
+//   - package discovery watches the endpoint list, package peers exchanges datagrams with the other agents;
 //   - package admin takes admin calls, package hotrestart coordinates this process with the next one of the same agent.
 package agent
 
@@ -24,6 +24,7 @@
 	"martenbeam/internal/agent/discovery"
 	"martenbeam/internal/agent/hotrestart"
 	"martenbeam/internal/agent/listener"
+	"martenbeam/internal/agent/peers"
 	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/fleet/source"
 )
@@ -62,7 +63,8 @@
 	a.discovery = a.newWatcher(clk)
 	a.loop.subscribe = a.discovery.Subscribe
 	if cfg.Settings.GossipAllowed {
-		if a.loop.peers, err = newPeerTransport(ctx, cfg, log); err != nil {
+		peersCfg := peers.Config{Listen: cfg.PeerListen, Addrs: cfg.Peers, AwaitAddr: cfg.ListenFD > 0}
+		if a.loop.peers, err = peers.New(ctx, peersCfg, log); err != nil {
 			return nil, err
 		}
 	}
@@ -197,7 +199,7 @@
 		running.Go(func() { a.runFleet(ctx) })
 	}
 	if a.loop.peers != nil {
-		running.Go(func() { a.loop.peers.run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
+		running.Go(func() { a.loop.peers.Run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
 	}
 	if a.admin != nil || a.hotRestart != nil {
 		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/peers"
 	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/residency/gate"
 )
@@ -22,7 +23,7 @@
 	clock        clock
 	balancer     *balancer.Balancer
 	pool         *upstream.Pool
-	peers        *peerTransport
+	peers        *peers.Transport
 	subscribe    func()                  // asks discovery for a watch
 	saveSnapshot func(balancer.Snapshot) // hands state to the next process; nil: nobody replaces this one
 
--- a/internal/agent/peers.go
+++ b/internal/agent/peers/transport.go
@@ -1,6 +1,6 @@
-package agent
-
-// Datagrams between agents, which carry the gossip of the balancer.
+// Package peers exchanges datagrams between the agents of a tier, which carry the gossip of the balancer. Datagrams may be
+// lost, and one that is not from a known agent is ignored.
+package peers
 
 import (
 	"context"
@@ -16,9 +16,17 @@
 
 const maxDatagram = 256 // bytes, the protocol's limit; a longer message is not sent
 
-// peerTransport exchanges datagrams with the other agents of the tier.
-type peerTransport struct {
-	conn        *net.UDPConn // nil until bind has succeeded; used by run alone
+// Config is what a Transport is told at its start.
+type Config struct {
+	Listen string   // UDP address of this agent
+	Addrs  []string // of all agents, by number
+	// AwaitAddr is set if an older process may hold the address: then Run waits for it, otherwise New does.
+	AwaitAddr bool
+}
+
+// Transport sends and receives the datagrams of one agent.
+type Transport struct {
+	conn        *net.UDPConn // nil until bind has succeeded; used by Run alone
 	localAddr   *net.UDPAddr
 	addrs       []netip.AddrPort
 	agentByAddr map[netip.AddrPort]int
@@ -37,9 +45,11 @@
 // readRetryDelay is the pause after a failed read.
 const readRetryDelay = time.Millisecond
 
-func newPeerTransport(ctx context.Context, cfg *Config, log *slog.Logger) (*peerTransport, error) {
-	p := &peerTransport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
-	for i, text := range cfg.Peers {
+// New resolves the addresses and opens the socket, unless Run is to. It retries until ctx ends while the address is in use. An
+// error names the field of the agent's configuration.
+func New(ctx context.Context, cfg Config, log *slog.Logger) (*Transport, error) {
+	p := &Transport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
+	for i, text := range cfg.Addrs {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
@@ -48,10 +58,10 @@
 		p.agentByAddr[addr] = i
 	}
 	var err error
-	if p.localAddr, err = net.ResolveUDPAddr("udp", cfg.PeerListen); err != nil {
+	if p.localAddr, err = net.ResolveUDPAddr("udp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if cfg.ListenFD > 0 { // an older process may hold the address: run waits for it while clients are served
+	if cfg.AwaitAddr {
 		return p, nil
 	}
 	listen := func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }
@@ -62,7 +72,7 @@
 }
 
 // bind waits until the address can be bound. It returns false if ctx ends first.
-func (p *peerTransport) bind(ctx context.Context) bool {
+func (p *Transport) bind(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
 	for p.conn == nil {
@@ -82,8 +92,8 @@
 	return true
 }
 
-// send queues a message. Datagrams may be lost anyway, so a message is dropped if the queue is full.
-func (p *peerTransport) send(to int, data []byte) {
+// Send queues a message. Datagrams may be lost anyway, so a message is dropped if the queue is full.
+func (p *Transport) Send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
 		return
@@ -94,8 +104,8 @@
 	}
 }
 
-// run binds the address, then sends and receives until ctx ends.
-func (p *peerTransport) run(ctx context.Context, post func(balancer.GossipReceived)) {
+// Run binds the address, then sends and receives until ctx ends.
+func (p *Transport) Run(ctx context.Context, receive func(balancer.GossipReceived)) {
 	if !p.bind(ctx) {
 		return
 	}
@@ -128,7 +138,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if sender, known := p.agentByAddr[from]; known && n <= maxDatagram {
-			post(balancer.GossipReceived{From: sender, Data: append([]byte(nil), buf[:n]...)})
+			receive(balancer.GossipReceived{From: sender, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
 }
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers/transport_test.go
@@ -1,32 +1,54 @@
-package agent
+package peers
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"testing"
+	"time"
+
+	"go.uber.org/goleak"
 
 	"martenbeam/balancer"
 )
 
+// TestMain checks that no goroutine outlives the tests.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
+const testTimeout = 30 * time.Second
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+func receive[T any](t *testing.T, what string, ch <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
 // TestPeerMessagesTravelAsDatagrams: the sender of a message is known by its address.
 func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
-	cfg := testConfig(t, testSetup{})
-	cfg.PeerListen = "127.0.0.1:0"
+	cfg := Config{Listen: "127.0.0.1:0"}
 	other, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
-	cfg.Peers = []string{"127.0.0.1:9", other.LocalAddr().String()}
-	p, err := newPeerTransport(t.Context(), cfg, discardLog)
+	cfg.Addrs = []string{"127.0.0.1:9", other.LocalAddr().String()}
+	p, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := make(chan balancer.Event, 1)
-	go p.run(t.Context(), func(m balancer.GossipReceived) { got <- m })
-	p.send(1, []byte("hi"))
-	p.send(5, []byte("nobody"))
-	p.send(1, make([]byte, maxDatagram+1))
+	go p.Run(t.Context(), func(m balancer.GossipReceived) { got <- m })
+	p.Send(1, []byte("hi"))
+	p.Send(5, []byte("nobody"))
+	p.Send(1, make([]byte, maxDatagram+1))
 	buf := make([]byte, 512)
 	n, _, err := other.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != "hi" {
@@ -42,19 +64,18 @@
 
 // TestPeerAddressIsBoundOnceReleased: while an older process holds the peers' address, the successor waits for it.
 func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
-	cfg := testConfig(t, testSetup{})
 	held, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.PeerListen = held.LocalAddr().String()
+	cfg := Config{Listen: held.LocalAddr().String()}
 	over, cancel := context.WithCancel(t.Context())
 	cancel() // nobody waits for the address
-	if _, err := newPeerTransport(over, cfg, discardLog); err == nil {
+	if _, err := New(over, cfg, discardLog); err == nil {
 		t.Error("with no handover a held address is no error")
 	}
-	cfg.ListenFD = 4
-	p, err := newPeerTransport(t.Context(), cfg, discardLog)
+	cfg.AwaitAddr = true
+	p, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
