--- /dev/null
+++ b/internal/agent/actions.go
@@ -0,0 +1,128 @@
+package agent
+
+// The actions of the balancer, carried out by the event loop.
+
+import (
+	"container/heap"
+	"context"
+	"strconv"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
+)
+
+// perform carries out one action of the balancer.
+func (l *eventLoop) perform(action balancer.Action, now time.Duration) {
+	switch action := action.(type) {
+	case balancer.Send:
+		l.startAttempt(action)
+	case balancer.Cancel:
+		l.cancelAttempt(action)
+	case balancer.Refuse:
+		if r := l.requests[action.Request]; r != nil && !r.finished {
+			l.counts.rejected++
+			l.respond(r, reply{rejected: true, retryAfter: action.RetryAfter, residency: action.NoPermittedZone})
+			l.removeIfDone(r)
+		}
+	case balancer.Fail:
+		if r := l.requests[action.Request]; r != nil && !r.finished {
+			l.counts.failed++
+			l.respond(r, reply{timedOut: r.attemptTimedOut})
+			l.removeIfDone(r)
+		}
+	case balancer.SetTimer:
+		heap.Push(&l.timers, timer{now + action.After, action.Token})
+	case balancer.Probe:
+		l.startProbe(action.Backend)
+	case balancer.SendGossip:
+		if l.peers != nil {
+			l.peers.Send(action.To, action.Data)
+		}
+	case balancer.Subscribe:
+		l.subscribe()
+	case balancer.ZoneStateChanged:
+		l.logZoneTurn(action)
+	case balancer.OverrideResult:
+		l.completeCall(action)
+	default:
+		l.log.Error("unknown action", "action", action)
+	}
+}
+
+// cancelAttempt cancels one attempt, where the site permits that.
+func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
+	r := l.requests[action.Request]
+	if r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
+		r.cancels[action.Attempt](upstream.ErrCancelled)
+	}
+}
+
+// startProbe starts a health check, where the site permits that and none of the backend is in flight. Its goroutine ends
+// within the connect timeout.
+func (l *eventLoop) startProbe(backend string) {
+	if l.cfg.Settings.ProbingAllowed && !l.probing[backend] {
+		l.probing[backend] = true
+		go func() { l.post(balancerEvent{l.pool.Probe(backend)}) }()
+	}
+}
+
+// logZoneTurn logs that the balancer has left a zone, or returned to it.
+func (l *eventLoop) logZoneTurn(action balancer.ZoneStateChanged) {
+	name := strconv.Itoa(action.Zone)
+	if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
+		name = zones[action.Zone]
+	}
+	l.log.Warn("zone", "zone", name, "left", action.FailedOver, "told", action.ByGossip)
+}
+
+// startAttempt starts an attempt in its own goroutine, which posts attemptEnded. The goroutine ends by the client's
+// deadline, or with a streamed body or response. At most MaxAttempts of them exist for each open request.
+func (l *eventLoop) startAttempt(action balancer.Send) {
+	r := l.requests[action.Request]
+	if r == nil || r.finished { // nothing is sent after the final reply
+		l.pending = append(l.pending, balancer.Outcome{Request: action.Request, Backend: action.Backend,
+			Result: balancer.NotSent, Done: true})
+		return
+	}
+	start := time.Now()
+	deadline := r.deadline.Add(-l.margin)
+	if action.Timeout > 0 && start.Add(action.Timeout).Before(deadline) {
+		deadline = start.Add(action.Timeout)
+	}
+	ctx, cancel := context.WithCancelCause(context.Background())
+	index, timer := len(r.cancels), &attemptTimer{cancel: cancel}
+	r.cancels, r.attemptTimers = append(r.cancels, cancel), append(r.attemptTimers, timer)
+	if !r.upstream.IsStreamed() || r.upstream.Upload.IsComplete() {
+		timer.arm(deadline)
+	}
+	r.openAttempts++
+	l.counts.attempts++
+	endpoint, writeBy := l.pool.Endpoint(action.Backend), time.Time{}
+	if action.SendDeadline > 0 {
+		writeBy = l.clock.epoch.Add(action.SendDeadline - clockOffset)
+	}
+	go l.runAttempt(ctx, r, index, timer, &upstream.Attempt{Cancel: cancel, RequestDone: r.done, Shutdown: l.stopped,
+		BackendID: action.Backend, Endpoint: endpoint, WriteBy: writeBy, ResidencyRule: r.residencyRule,
+		Request: r.upstream, Start: start, Deadline: deadline})
+}
+
+// runAttempt makes the attempt and posts what comes of it. It runs in the attempt's goroutine, and reads of r only what does
+// not change.
+func (l *eventLoop) runAttempt(ctx context.Context, r *request, index int, timer *attemptTimer, att *upstream.Attempt) {
+	att.OnStreamStart = func(resp *upstream.Response, latency time.Duration) bool {
+		if !timer.disarm() {
+			return false
+		}
+		l.post(responseStarted{r, index, resp})
+		return true
+	}
+	result, resp, load := l.pool.Execute(ctx, att)
+	timer.disarm()
+	att.Cancel(nil)
+	if att.Latency == 0 {
+		att.Latency = att.Elapsed()
+	}
+	l.post(attemptEnded{r, balancer.Outcome{Request: r.id, Attempt: index, Backend: att.BackendID, Result: result,
+		Latency: att.Latency, NewConnection: att.NewConn, Load: load}, resp})
+}
--- a/internal/agent/operated_test.go
+++ b/internal/agent/admin_test.go
@@ -13,18 +13,18 @@
 	"testing/synctest"
 	"time"
 
-	"martenbeam/balancer"
 	"martenbeam/internal/agent/admin"
+	"martenbeam/internal/agent/upstream"
 )
 
-// withAdmin is a configuration whose agent has an operators' door.
+// withAdmin returns a configuration with an admin listener.
 func withAdmin(t *testing.T, s testSetup) *Config {
 	cfg := testConfig(t, s)
 	cfg.AdminAddr = "127.0.0.1:0"
 	return cfg
 }
 
-// callAdmin makes a call as it stands and returns the status and the headers.
+// callAdmin sends a call as it stands and returns the response.
 func callAdmin(t *testing.T, a *testAgent, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", a.admin.Addr().String())
@@ -53,11 +53,11 @@
 	return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// Yes is a 2xx; whatever can't be meant is a 4xx, and nothing else.
+// TestAdminCallStatusCodes: an accepted call is answered with 2xx, an invalid one with 4xx, and nothing else occurs.
 func TestAdminCallStatusCodes(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-	a.admin.AnswerTimeout = testTimeout // a slow machine is no loop that hangs
+	a.admin.AnswerTimeout = testTimeout // a slow machine must not look like a blocked loop
 	for _, row := range []struct {
 		text string
 		want int
@@ -65,7 +65,8 @@
 		{"GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n", 200},
 		{putRequest("/_backends/detach", `{"target":"s"}`), 200},
 		{putRequest("/_backends/detach", `{"target":"s"}`), 200},
-		{"PUT /_backends/attach HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{\"target\r\n6\r\n\":\"s\"}\r\n0\r\n\r\n", 200},
+		{"PUT /_backends/attach HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			"8\r\n{\"target\r\n6\r\n\":\"s\"}\r\n0\r\n\r\n", 200},
 		{putRequest("/_lameduck/on", ""), 200},
 		{putRequest("/_lameduck/off", "{}"), 200},
 		{putRequest("/_backends/detach", `{"target":"nobody"}`), 404},
@@ -93,7 +94,7 @@
 	}
 }
 
-// Half a call does nothing, and callers that say nothing keep nobody out.
+// TestSilentAdminConnectionsBlockNoCall: an incomplete call does nothing, and silent connections keep no caller out.
 func TestSilentAdminConnectionsBlockNoCall(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -119,11 +120,11 @@
 	}
 }
 
-// A call that the module can't take in time is a no, and does not take effect afterwards.
+// TestTimedOutAdminCallHasNoEffect: a call that the balancer can't take in time is refused, and is not applied later.
 func TestTimedOutAdminCallHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, testSetup{})
-		l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
+		l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,40 +140,8 @@
 	})
 }
 
-// What is being dialled when a backend is detached is not sent: nothing has run. Kept connections
-// to it go, and what is out may finish.
-func TestDisabledBackendReceivesNothing(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	if r, _, _ := attemptOn(t, b, context.Background(), "one"); r != balancer.OK {
-		t.Fatal(r)
-	}
-	b.setDisabled("s", true)
-	if b.openConns != 0 {
-		t.Errorf("%d connections to the detached backend are kept", b.openConns)
-	}
-	b.setDisabled("s", false)
-	dial := b.transport.DialContext
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := dial(ctx, network, addr)
-		b.setDisabled("s", true)
-		return c, err
-	}
-	if r, _, _ := attemptOn(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.openConns != 0 {
-		t.Errorf("result %v, %d connections open", r, b.openConns)
-	}
-	if r, _, _ := attemptOn(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
-	}
-	b.setDisabled("s", false)
-	b.transport.DialContext = dial
-	if r, _, _ := attemptOn(t, b, context.Background(), "four"); r != balancer.OK {
-		t.Errorf("after the call back: %v", r)
-	}
-}
-
-// A call that is there before the module's first step is for a backend that the agent knows. Which of two that are ready the
-// loop takes first is chance, so it is tried often.
+// TestDetachBeforeFirstStepKnowsTheBackend: a call that is waiting before the balancer's first step is for a backend that
+// the agent knows. Which of two ready channels the loop takes first is random, so the test repeats.
 func TestDetachBeforeFirstStepKnowsTheBackend(t *testing.T) {
 	for range 20 {
 		one := startRawBackend(t, func(int) string { return ok200 })
@@ -180,7 +149,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
+		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
 		ctx, end := context.WithTimeout(t.Context(), testTimeout)
 		ready, taken := make(chan struct{}), make(chan bool)
 		go func() {
@@ -189,7 +158,7 @@
 			taken <- ok
 		}()
 		<-ready
-		runtime.Gosched() // it is at the loop's door most times
+		runtime.Gosched() // by now the call is usually waiting
 		go a.loop.run(ctx)
 		if !<-taken {
 			t.Error("nobody has the backend")
@@ -197,11 +166,11 @@
 		end()
 		<-a.loop.stopped
 		a.listener.Close()
-		a.pool.close()
+		a.pool.Close()
 	}
 }
 
-// Yes to detach means that nothing goes there any more; the call back ends it.
+// TestDetachAndAttachOverAdminListener: after a detach was accepted nothing is sent to the backend; an attach ends it.
 func TestDetachAndAttachOverAdminListener(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -221,47 +190,14 @@
 		if tries > 80 {
 			t.Fatal("the backend was called back and is not used")
 		}
-		<-two.seen // which holds no more than the test may leave unread
+		<-two.seen // its channel has a bounded buffer
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
 			t.Fatalf("%+v", x)
 		}
 	}
 }
 
-// A lame duck says no to whoever asks after its health, serves what comes, ends each connection with
-// its answer, and closes those that stay idle; afterwards all is as it was.
-func TestLameDuckClosesIdleConnections(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
-		rejectAll(t, f)
-		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
-		go func() { f.closeIdleWhileDraining(ctx); close(ended) }()
-		defer func() { cancel(); <-ended }()
-		idle, used := dial(), dial()
-		expectStatus(t, idle, "/get/x", 503)
-		expectStatus(t, used, "/get/x", 503)
-		f.setLameDuck(true)
-		on := time.Now()
-		expectStatus(t, dial(), "/_health", 503)
-		expectStatus(t, used, "/get/x", 503)
-		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
-			t.Errorf("a connection ended %v after its answer", at.Sub(on))
-		}
-		expectStatus(t, dial(), "/get/x", 503) // the front goes on sending for a while
-		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
-			t.Errorf("the idle connection was closed after %v", at.Sub(on))
-		}
-		f.setLameDuck(false)
-		expectStatus(t, dial(), "/_health", 200)
-		kept := dial()
-		expectStatus(t, kept, "/get/x", 503)
-		time.Sleep(2 * drainIdleTimeout)
-		expectStatus(t, kept, "/get/x", 503)
-	})
-}
-
-// The door's descriptors are nobody else's, and with no door nothing is set aside.
+// TestAdminListenerHasItsOwnDescriptors: its part is not shared, and without an admin listener nothing is reserved.
 func TestAdminListenerHasItsOwnDescriptors(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	cfg.MaxDescriptors = 256
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,11 +1,14 @@
-// Package agent is the real agent around the decision module: it turns what happens on sockets
-// into the module's events and carries out its actions, in order. It decides nothing about
-// requests: it neither picks backends nor retries, holds or refuses.
+// Package agent runs the load balancer against real sockets. It turns what happens on sockets into events for the
+// balancer (package balancer) and performs the actions that the balancer returns, in their order. It makes no
+// decisions about requests: choosing backends, retrying, queueing and shedding load are the balancer's.
 //
-// The loop (loop.go) owns the module. The front (front.go) serves clients: clientconn reads their connections, request.go checks
-// what came, reply.go answers. backends.go holds the connections to backends, attempt.go and probe.go use them, stream.go passes large
-// bodies and answers through. discovery follows the list, peers.go exchanges datagrams with other agents, operations takes operators'
-// calls, and successor.go tells the next process what it must know (handover).
+// The parts, each with one owner for its state:
+//
+//   - the event loop (eventloop.go) owns the balancer, the timers and the open requests;
+//   - the frontend (frontend.go, request.go, reply.go) serves clients over connections of package clientconn;
+//   - package upstream owns the connections to backends and makes the attempts;
+//   - package discovery watches the endpoint list, package peers exchanges datagrams with the other agents;
+//   - package admin takes admin calls, package hotrestart coordinates this process with the next one of the same agent.
 package agent
 
 import (
@@ -19,31 +22,34 @@
 	"martenbeam/balancer"
 	"martenbeam/internal/agent/admin"
 	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/agent/hotrestart"
 	"martenbeam/internal/agent/listener"
+	"martenbeam/internal/agent/peers"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/fleet/source"
 )
 
-// Agent is one agent, ready to run.
+// Agent is one agent process. New sets it up, Run serves; both are called once.
 type Agent struct {
 	cfg            *Config
 	log            *slog.Logger
 	loop           *eventLoop
 	frontend       *frontend
-	pool           *upstreamPool
+	pool           *upstream.Pool
 	discovery      *discovery.Watcher
-	admin          *admin.Server // nil: operators can't call
-	hotRestart     *hotRestart   // nil: no process of this agent replaces another
-	fleet          Fleet         // nil: it has no fleet
+	admin          *admin.Server           // nil: no admin listener
+	hotRestart     *hotrestart.Coordinator // nil: this agent is never replaced by another process while it runs
+	fleet          Fleet                   // nil: the agent belongs to no fleet
 	listener       *listener.Limited
-	listenerClosed bool                    // the listener; stop's
-	drainTimeout   time.Duration           // after a SIGTERM the last answers are out
-	acceptWindow   func() <-chan time.Time // ends the time in which a stopping agent takes connections
+	listenerClosed bool                    // set by closeListener
+	drainTimeout   time.Duration           // from SIGTERM until the last replies have to be out
+	acceptWindow   func() <-chan time.Time // started on drain; fires when new connections need no longer be accepted
 }
 
-// New listens and sets up an agent. Clients are served once Run is called. It waits for an address that another process
-// still has, until ctx ends.
+// New opens the agent's sockets and sets it up. Clients are served once Run is called. While another process still
+// holds an address, New retries until ctx ends. An error names the socket or setting that failed.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, pool: newUpstreamPool(cfg, log),
+	a := &Agent{cfg: cfg, log: log, pool: upstream.New(cfg.poolConfig(), log),
 		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
 		drainTimeout: min(cfg.maxDeadline(), maxDrainDeadline) + drainSlack}
 	clk := newClock()
@@ -54,18 +60,11 @@
 	if err = a.joinFleet(); err != nil {
 		return nil, err
 	}
-	var sources source.Selector
-	if a.fleet != nil && cfg.Settings.Subscribe {
-		sources = a.fleet
-	}
-	a.discovery = discovery.New(discovery.Config{
-		Sources:    sources,
-		Translator: discovery.Translator{Zones: cfg.Site.Zones, Kinds: cfg.Site.Kinds, AgentTime: clk.at, Log: log},
-		Addr:       cfg.Discovery, Polled: cfg.Settings.Subscribe, ConnectTimeout: cfg.Settings.ConnectTimeout,
-		Deliver: func(u discovery.Update) { a.loop.post(u) }})
+	a.discovery = a.newWatcher(clk)
 	a.loop.subscribe = a.discovery.Subscribe
 	if cfg.Settings.GossipAllowed {
-		if a.loop.peers, err = newPeerTransport(ctx, cfg, log); err != nil {
+		peersCfg := peers.Config{Listen: cfg.PeerListen, Addrs: cfg.Peers, AwaitAddr: cfg.ListenFD > 0}
+		if a.loop.peers, err = peers.New(ctx, peersCfg, log); err != nil {
 			return nil, err
 		}
 	}
@@ -76,20 +75,42 @@
 			return nil, err
 		}
 	}
-	ln, err := a.openListener(ctx)
-	if err != nil {
+	if err = a.openListener(ctx); err != nil {
 		return nil, err
 	}
-	a.listener = listener.Limit(ln, maxAcceptedConns(cfg.shareableDescriptors()))
-	a.listener.OnFull, a.listener.OnAcceptError = a.frontend.idleConns.EvictIdle, func(err error) { log.Warn("accepting clients fails", "error", err) }
 	if cfg.ListenFD > 0 {
 		a.prepareHandover(ctx)
 	}
 	return a, nil
 }
 
-// openListener returns where clients connect.
-func (a *Agent) openListener(ctx context.Context) (*net.TCPListener, error) {
+// newWatcher returns the watcher of the endpoint list, which posts its updates to the event loop.
+func (a *Agent) newWatcher(clk clock) *discovery.Watcher {
+	var sources source.Selector
+	if a.fleet != nil && a.cfg.Settings.Subscribe {
+		sources = a.fleet
+	}
+	return discovery.New(discovery.Config{
+		Sources:    sources,
+		Translator: discovery.Translator{Zones: a.cfg.Site.Zones, Kinds: a.cfg.Site.Kinds, AgentTime: clk.at, Log: a.log},
+		Addr:       a.cfg.Discovery, Polled: a.cfg.Settings.Subscribe, ConnectTimeout: a.cfg.Settings.ConnectTimeout,
+		Deliver: func(u discovery.Update) { a.loop.post(endpointsUpdated{u}) }})
+}
+
+// openListener opens the listener for clients, or takes over the inherited one where the platform holds it. At most
+// maxAcceptedConns connections are accepted at once; while more wait, idle ones are closed.
+func (a *Agent) openListener(ctx context.Context) error {
+	ln, err := a.listen(ctx)
+	if err != nil {
+		return err
+	}
+	a.listener = listener.Limit(ln, maxAcceptedConns(a.cfg.shareableDescriptors()))
+	a.listener.OnFull = a.frontend.idleConns.EvictIdle
+	a.listener.OnAcceptError = func(err error) { a.log.Warn("accept failed", "error", err) }
+	return nil
+}
+
+func (a *Agent) listen(ctx context.Context) (*net.TCPListener, error) {
 	if a.cfg.ListenFD > 0 {
 		return listener.Inherited(ctx, a.cfg.ListenFD)
 	}
@@ -100,70 +121,87 @@
 	return ln, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address at which clients connect.
 func (a *Agent) Addr() net.Addr { return a.listener.Addr() }
 
-// SetDiscoveryAddr has the agent watch discovery at another address.
+// SetDiscoveryAddr makes the agent watch discovery at another address. It may be called while the agent runs.
 func (a *Agent) SetDiscoveryAddr(addr string) {
-	a.log.Info("discovery has moved", "address", addr)
+	a.log.Info("discovery address changed", "address", addr)
 	a.discovery.SetAddr(addr)
 }
 
-// Run serves until stop ends, then finishes what was taken and returns.
+// Run serves until stop ends, then answers the accepted requests and returns. It fails only if the listener does; a
+// requested stop is no error. All goroutines that it starts have ended when it returns.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.Background()) // everything goes on through the drain
-	defer a.pool.close()
+	ctx, cancel := context.WithCancel(context.Background()) // outlives stop: everything runs on while the agent drains
+	defer a.pool.Close()
 	if a.hotRestart != nil {
-		defer a.hotRestart.Close() // a younger process is alone then; nothing here looks at its locks any more
+		defer a.hotRestart.Close() // the successor is alone from then on; nothing here uses the handover locks any more
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	if a.admin != nil { // before what may wait: a call has its answer, if only a no
+	if a.admin != nil { // first, since the steps below may wait: an admin call gets its answer in time, at least a negative one
 		running.Go(func() { a.admin.Run(ctx) })
 	}
 	if a.hotRestart != nil {
 		a.restoreState(stop)
 	}
-	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
-		a.loop.apply(a.discovery.Restore(a.cfg.CachedEndpoints))
-	} else {
-		a.loop.apply(discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}) // the module asks after it
-	}
-	endpointCount := len(a.pool.endpoints) // from here on the loop owns the list
-	running.Go(func() { a.loop.run(ctx) })
-	running.Go(func() { a.discovery.Run(ctx) })
-	running.Go(func() { a.pool.closeExpired(ctx) })
-	if a.fleet != nil {
-		running.Go(func() { a.runFleet(ctx) })
-	}
+	endpointCount := a.applyCachedEndpoints()
 	peersCtx, stopPeers := context.WithCancel(ctx)
 	defer stopPeers()
-	if a.loop.peers != nil {
-		running.Go(func() { a.loop.peers.run(peersCtx, a.loop.post) })
-	}
-	if a.admin != nil || a.hotRestart != nil {
-		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
-	}
+	a.startTasks(ctx, peersCtx, &running)
 	if a.hotRestart != nil {
-		running.Go(func() { a.runHotRestart(ctx) })
+		running.Go(func() { a.hotRestart.Run(ctx, restartedProcess{a}) })
 		a.awaitEndpoints(stop)
 	}
 	a.frontend.accepting.Store(true)
 	served := make(chan error, 1)
 	go func() { served <- a.frontend.serve(a.listener) }()
-	if a.fleet != nil && !a.cfg.Settings.Subscribe {
-		a.fleet.Ready()
-	}
-	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", endpointCount)
+	a.announce(endpointCount)
 	select {
 	case err := <-served:
 		return fmt.Errorf("listen: %w", err)
 	case <-stop.Done():
 	}
 	if a.hotRestart != nil {
-		stopPeers() // the peers' address is the successor's
+		stopPeers() // the successor binds the peers' address
 	}
 	a.drain(served)
-	return nil // a stop that was asked for is no failure
+	return nil // a requested stop is no error
+}
+
+// announce publishes and logs that the agent serves.
+func (a *Agent) announce(endpointCount int) {
+	if a.fleet != nil && !a.cfg.Settings.Subscribe {
+		a.fleet.Ready()
+	}
+	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", endpointCount)
+}
+
+// applyCachedEndpoints applies the cached endpoint list, if any, and returns its length. It is called before the event loop
+// runs, which owns the list from then on.
+func (a *Agent) applyCachedEndpoints() int {
+	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
+		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
+	} else { // the balancer then polls for a list
+		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}})
+	}
+	return a.pool.EndpointCount()
+}
+
+// startTasks starts the agent's tasks, which run until their context ends.
+func (a *Agent) startTasks(ctx, peersCtx context.Context, running *sync.WaitGroup) {
+	running.Go(func() { a.loop.run(ctx) })
+	running.Go(func() { a.discovery.Run(ctx) })
+	running.Go(func() { a.pool.CloseExpired(ctx) })
+	if a.fleet != nil {
+		running.Go(func() { a.runFleet(ctx) })
+	}
+	if a.loop.peers != nil {
+		running.Go(func() { a.loop.peers.Run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
+	}
+	if a.admin != nil || a.hotRestart != nil {
+		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
+	}
 }
--- a/internal/agent/rare_front_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,68 +12,14 @@
 	"time"
 
 	"martenbeam/internal/agent/clientconn"
+	"martenbeam/internal/agent/upstream"
 )
 
-// The tests in this file and in rare_backends_test.go force an order of events that is rare: what docs/findings/rare.md
-// lists. None waits for chance.
+// The tests in this file and in upstream_race_test.go force rare orders of events, those that docs/findings/rare.md lists.
+// None of them relies on chance.
 
-// startSocketFrontend runs a front on real sockets with no module behind it. What the front posts comes to the test.
-func startSocketFrontend(t *testing.T) (f *frontend, dial func() *net.TCPConn, posts <-chan any) {
-	t.Helper()
-	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f = newFrontend(cfg, l, discardLog)
-	f.server.ReadHeaderTimeout, f.server.IdleTimeout, f.bodyTimeout, f.maxBodyGap = 2*testTimeout, 2*testTimeout, 2*testTimeout, 2*testTimeout
-	ln := listen(t)
-	served := make(chan error, 1)
-	go func() { served <- f.serve(ln) }()
-	t.Cleanup(func() {
-		close(l.stopped)
-		f.server.Close()
-		<-served
-		f.readers.Wait()
-		if f.connCount != 0 || f.openRequests.Load() != 0 || len(f.idleConns.Conns()) != 0 {
-			t.Errorf("left: %d connections, %d requests, %d waiting", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
-		}
-	})
-	return f, func() *net.TCPConn {
-		c, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c.(*net.TCPConn)
-	}, l.events
-}
-
-func getRequest(path, more string) string {
-	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n%s\r\n", path, newID(), more)
-}
-
-func writeText(t *testing.T, c net.Conn, text string) {
-	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// nextEvent returns the next event that the front posted, which must be of this kind.
-func nextEvent[T any](t *testing.T, posts <-chan any) T {
-	t.Helper()
-	e, ok := receive(t, "event", posts).(T)
-	if !ok {
-		t.Fatalf("another event: %T", e)
-	}
-	return e
-}
-
-func (f *frontend) noConnections() bool { return !f.hasConnections() }
-
-// A client that has gone is known to have, whatever it sent behind its request, and however it went. A byte behind a
-// request ended net/http's watch.
+// TestClientDisconnectIsDetected: a disconnect is noticed whatever the client sent behind its request, and however it
+// disconnected. Bytes behind a request used to end net/http's own detection.
 func TestClientDisconnectIsDetected(t *testing.T) {
 	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
 		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
@@ -88,7 +33,7 @@
 				c := dial()
 				writeText(t, c, getRequest("/get/x", ""))
 				r := nextEvent[requestArrived](t, posts).request
-				writeText(t, c, behind) // a connection's bytes keep their order: its end comes after
+				writeText(t, c, behind) // a connection keeps the order of its bytes, so its end comes after these
 				if err := leave(c); err != nil {
 					t.Fatal(err)
 				}
@@ -105,7 +50,7 @@
 	}
 }
 
-// Of a client that sends several requests at once and goes, none after the first is sent on.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped: of several requests only the first is forwarded.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	f, dial, posts := startSocketFrontend(t)
 	c := dial()
@@ -120,10 +65,10 @@
 	}
 }
 
-// A request that comes with its client's end is owed nothing, and is not sent on.
+// TestRequestArrivingWithEOFIsNotForwarded: a request whose client has disconnected is owed nothing.
 func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
-	l, err := newEventLoop(cfg, newClock(), newUpstreamPool(cfg, discardLog), discardLog)
+	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The order that hurts: the end is known before the server has read the request.
+	// the critical order: the end is known before the server has read the request
 	receive(t, "end", c.(*clientconn.Conn).Context().Done())
 	ln.conns <- c
 	served := make(chan error, 1)
@@ -155,7 +100,7 @@
 	tasks.Wait()
 }
 
-// finalDataConn is a socket that gives all that comes with the end behind it.
+// finalDataConn is a socket whose last bytes arrive together with its end.
 type finalDataConn struct {
 	net.Conn
 	text string
@@ -169,8 +114,8 @@
 	return n, err
 }
 
-// What has come of a request keeps its connection from being closed as idle, wherever it lies: unread, read ahead, or with
-// the server. A connection that was closed all the same sends nothing on.
+// TestPartialRequestKeepsConnectionFromIdleClose: wherever the bytes of a request are (unread, read ahead, or with the
+// server), their connection is not closed as idle. A connection that is closed nonetheless forwards nothing.
 func TestPartialRequestKeepsConnectionFromIdleClose(t *testing.T) {
 	t.Run("closed before its body is whole", func(t *testing.T) {
 		f, dial, posts := startSocketFrontend(t)
@@ -179,20 +124,20 @@
 		eventually(t, "half of the request", func() bool {
 			for _, c := range f.idleConns.Conns() {
 				c := c.(*clientconn.Conn)
-				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that came, and some is to come
+				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that arrived, and is waiting for more
 			}
 			return false
 		})
-		f.idleConns.CloseIdle(0, 0) // leaves it
+		f.idleConns.CloseIdle(0, 0) // must not close it
 		if len(f.idleConns.Conns()) != 1 {
 			t.Error("closed as idle")
 		}
 		eventually(t, "the connection's end", func() bool {
-			f.idleConns.EvictIdle() // once it has waited for long enough
+			f.idleConns.EvictIdle() // closes it once it has waited for long enough
 			return f.noConnections()
 		})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode < 400 {
-			t.Errorf("it was answered: %d", resp.StatusCode) // an error or a close is owed, as it comes
+			t.Errorf("it was answered: %d", resp.StatusCode) // an error or a close is owed, whichever comes first
 		}
 		if len(posts) != 0 {
 			t.Errorf("posted: %T", <-posts)
@@ -200,18 +145,19 @@
 	})
 }
 
-// A last answer is there whole for a client that has sent more behind its request: closed over unread bytes the connection
-// would be reset, and the answer go with it.
+// TestLastResponseSurvivesUnreadBytes: a client that has sent more behind its request still gets the complete last
+// response. If the connection were closed over unread bytes it would be reset, and the response lost.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 1<<20)} {
+	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""),
+		"more than is kept": strings.Repeat("x", 1<<20)} {
 		t.Run(name, func(t *testing.T) {
 			f, dial, posts := startSocketFrontend(t)
-			f.drainBy(time.Now().Add(testTimeout)) // each answer ends its connection
+			f.drainBy(time.Now().Add(testTimeout)) // each reply closes its connection
 			c := dial()
 			writeText(t, c, getRequest("/get/x", ""))
 			r := nextEvent[requestArrived](t, posts).request
 			writeText(t, c, behind)
-			r.reply <- reply{response: &response{header: http.Header{}, body: []byte("hello")}}
+			r.reply <- reply{response: &upstream.Response{Header: http.Header{}, Body: []byte("hello")}}
 			eventually(t, "the answer to be out", f.noConnections)
 			if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -2,66 +2,21 @@
 
 import (
 	"bufio"
-	"bytes"
+	"context"
 	"fmt"
+	"net"
 	"net/http"
-	"runtime"
+	"net/url"
 	"strings"
 	"testing"
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 )
 
-// fakeDiscovery is discovery: it hands each watch to the test, which writes to it line by line.
-type fakeDiscovery struct {
-	addr  string
-	watch chan *fakeWatch
-}
-
-type fakeWatch struct {
-	since        string
-	lines        chan string // closed: the watch ends
-	fail         chan struct{}
-	disconnected chan struct{} // closed with its connection
-}
-
-func startFakeDiscovery(t *testing.T) *fakeDiscovery {
-	t.Helper()
-	ln := listen(t)
-	c := &fakeDiscovery{addr: ln.Addr().String(), watch: make(chan *fakeWatch, 10)}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
-			t.Errorf("discovery was asked for %s", r.URL)
-		}
-		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}), disconnected: make(chan struct{})}
-		defer close(me.disconnected)
-		c.watch <- me
-		for {
-			select {
-			case <-me.fail:
-				http.Error(w, "overloaded", http.StatusServiceUnavailable)
-				return
-			case line, more := <-me.lines:
-				if !more {
-					return
-				}
-				fmt.Fprintln(w, line)
-				if err := http.NewResponseController(w).Flush(); err != nil {
-					return
-				}
-			case <-r.Context().Done():
-				return
-			}
-		}
-	})}
-	go func() { _ = server.Serve(ln) }()
-	t.Cleanup(func() { server.Close() })
-	return c
-}
-
-// An agent that starts while discovery is down serves by its stored list, follows discovery once
-// it is back, and sends nothing new to a backend that then drains.
+// TestCachedEndpointsServeUntilDiscoveryReturns: an agent that starts while discovery is down serves by its cached list,
+// watches discovery once it is back, and sends nothing new to a backend that then drains.
 func TestCachedEndpointsServeUntilDiscoveryReturns(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -79,9 +34,7 @@
 	drained.State = "draining"
 	w.lines <- deltaLine(t, 42, drained, two.member("two"))
 	eventually(t, "the change", func() bool {
-		a.pool.mu.Lock()
-		defer a.pool.mu.Unlock()
-		return a.pool.endpoints["two"] != nil
+		return a.pool.Endpoint("two") != nil
 	})
 	before := len(one.seen)
 	for range 20 {
@@ -89,13 +42,13 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	// One request may have been on its way to a step while the change was booked; none here was.
+	// A request could have been forwarded while the change was applied; none was in flight here.
 	if n := len(one.seen) - before; n != 0 {
 		t.Errorf("%d requests went to the draining backend", n)
 	}
 }
 
-// With no list at all an agent is not ready, and becomes so with the first one.
+// TestAgentIsNotReadyWithoutBackends: without a list an agent is not ready; with the first one it becomes ready.
 func TestAgentIsNotReadyWithoutBackends(t *testing.T) {
 	c := startFakeDiscovery(t)
 	s := startRawBackend(t, func(int) string { return ok200 })
@@ -108,37 +61,12 @@
 	eventually(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
 }
 
-// sendLine has the watch tell a line.
-func (w *fakeWatch) sendLine(t *testing.T, line string) {
-	t.Helper()
-	select {
-	case w.lines <- line:
-	case <-w.disconnected:
-		t.Fatal("the watch is gone")
-	}
-}
-
-// countWatchGoroutines counts the tasks that read from discovery, and those of them that wait for the follower to take what they read.
-func countWatchGoroutines() (all, waiting int) {
-	stacks := make([]byte, 1<<20)
-	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
-		if bytes.Contains(task, []byte("discovery.(*watchStream).run")) {
-			all++
-			if head, _, _ := bytes.Cut(task, []byte("\n")); bytes.Contains(head, []byte("[select")) &&
-				!bytes.Contains(task, []byte("(*Client).")) {
-				waiting++
-			}
-		}
-	}
-	return all, waiting
-}
-
-// A new configuration moves discovery while a backend drains by the old list, with a connection to it coming up for a request.
-// Whether the new whole list leaves it out or says that it drains, and whichever list is told first, nothing goes to it any
-// more, and the request goes elsewhere; what the old address said and nobody has taken by then does not count. Named as ready
-// the backend is used again.
+// TestDiscoveryReloadDuringDrain: a new configuration moves discovery while a backend drains by the old list, and while a
+// connection to it is being opened for a request. Whether the new complete list leaves the backend out or says that it
+// drains, and whichever list arrives first, nothing is sent to it any more, and the request goes elsewhere. What the old
+// address sent and nobody has read by then is ignored. If the new list says that the backend is ready it is used again.
 func TestDiscoveryReloadDuringDrain(t *testing.T) {
-	for _, state := range []string{"", "draining", "ready"} { // in the new whole list; "": it is not named
+	for _, state := range []string{"", "draining", "ready"} { // in the new complete list; "": not listed
 		for _, order := range []string{"drain, move, list", "move, drain, list", "move, list, old word"} {
 			t.Run(fmt.Sprintf("%q: %s", state, order), func(t *testing.T) {
 				x, y := startManualBackend(t), startRawBackend(t, func(int) string { return ok200 })
@@ -147,19 +75,19 @@
 				took, goOn := make(chan int64, 100), make(chan struct{})
 				now := make(chan time.Time)
 				close(now)
-				a := startWithHook(t, testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}}), now, func(a *testAgent) {
+				cfg := testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}})
+				a := startWithHook(t, cfg, now, func(a *testAgent) {
 					dialling, release = blockDials(a.pool)
-					a.discovery.Record = func(_ string, list *discoveryList) { // called by the follower, which takes nothing meanwhile
+					a.discovery.Record = func(_ string, list *discoveryList) { // called by the watcher, which reads nothing in the meantime
 						if took <- list.Version; order == "move, list, old word" && list.Version == 42 {
 							<-goOn
 						}
 					}
 				})
 				holds := func(state string) bool {
-					a.pool.mu.Lock()
-					defer a.pool.mu.Unlock()
-					at := a.pool.endpoints["x"]
-					return a.pool.endpoints["y"] != nil && (at != nil) == (state != "") && (at == nil || at.draining == (state == "draining"))
+					listed := a.pool.Endpoint("y") // first: x is then of the same update, or a later one
+					at := a.pool.Endpoint("x")
+					return listed != nil && (at != nil) == (state != "") && (at == nil || at.Draining == (state == "draining"))
 				}
 				old := receive(t, "watch", before.watch)
 				old.sendLine(t, deltaLine(t, 41, x.member("x")))
@@ -173,7 +101,7 @@
 					list = append(list, named)
 				}
 				whole := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
-				drain := func() { // so long that what follows is read at once
+				drain := func() { // long enough that what follows is read at once
 					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, drains, y.member("y")))
 					receive(t, "drain", took)
 				}
@@ -201,7 +129,7 @@
 					w.sendLine(t, whole)
 					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
 					late := ""
-					for v := range int64(30) { // each has an even chance to be told though its watch has been dropped
+					for v := range int64(30) { // each could be applied with an even chance if its watch were not stopped
 						late += deltaLine(t, 43+v, x.member("x"))
 					}
 					old.sendLine(t, late)
@@ -211,13 +139,13 @@
 				receive(t, "end of the old watch", old.disconnected)
 				eventually(t, "the end of its task", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
-				if e := receive(t, "answer", answer); e.status != 200 || len(y.seen) != 1 { // booked after the lists
+				if e := receive(t, "answer", answer); e.status != 200 || len(y.seen) != 1 { // recorded after the lists
 					t.Errorf("%+v, %d requests at the other backend", e, len(y.seen))
 				}
 				eventually(t, "the new list", func() bool { return holds(state) })
 				up := receive(t, "connection", x.conns)
 				if state == "ready" {
-					done := a.pool.startAt("x", &attempt{endpoint: a.pool.endpoint("x")})
+					done := startAttempt(a.pool, "x")
 					readRequest(t, bufio.NewReader(up))
 					writeText(t, up, okResponse("again"))
 					receive(t, "result", done).expect(t, balancer.OK, "again")
@@ -235,3 +163,37 @@
 		}
 	}
 }
+
+// blockDials makes each dial of the pool wait until it is released.
+func blockDials(p *upstream.Pool) (dialling chan struct{}, release chan struct{}) {
+	dialling, release = make(chan struct{}, 16), make(chan struct{})
+	dial := p.DialContext
+	p.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		dialling <- struct{}{}
+		<-release
+		return c, err
+	}
+	return dialling, release
+}
+
+type attemptResult struct {
+	balancer.Result
+	answer *upstream.Response
+}
+
+// startAttempt makes an attempt at a backend, whose endpoint has to stay as it is now.
+func startAttempt(p *upstream.Pool, id string) <-chan attemptResult {
+	done := make(chan attemptResult, 1)
+	att := &upstream.Attempt{BackendID: id, Start: time.Now(), Endpoint: p.Endpoint(id),
+		Request: &upstream.Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}}
+	go func() { r, a, _ := p.Execute(context.Background(), att); done <- attemptResult{r, a} }()
+	return done
+}
+
+func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
+	t.Helper()
+	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.Body) != body {
+		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
+	}
+}
--- a/internal/agent/rare_stop_test.go
+++ b/internal/agent/drain_test.go
@@ -9,13 +9,14 @@
 	"net"
 	"net/http"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"martenbeam/internal/agent/clientconn"
 	"martenbeam/internal/agent/handover"
 )
 
-// drainingAgent is an agent that has been told to stop, and still accepts until accept is closed.
+// drainingAgent is an agent that accepts connections until accept is closed, once it was told to stop.
 type drainingAgent struct {
 	*testAgent
 	accept chan time.Time
@@ -25,17 +26,18 @@
 	t.Helper()
 	s := startRawBackend(t, answer)
 	accept := make(chan time.Time)
-	return &drainingAgent{startWithAcceptWindow(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}), accept), accept}, s
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
+	return &drainingAgent{startWithAcceptWindow(t, cfg, accept), accept}, s
 }
 
-// startDrain stops the agent and returns once it takes no more than it must.
+// startDrain stops the agent and returns once it drains.
 func (a *drainingAgent) startDrain(t *testing.T) {
 	t.Helper()
 	a.stop()
 	eventually(t, "the stop", func() bool { return a.frontend.drainDeadline.Load() != 0 })
 }
 
-// awaitEnd waits for the agent's end, which leaves nothing behind.
+// awaitEnd waits for the agent's end and checks that nothing is left.
 func (a *drainingAgent) awaitEnd(t *testing.T) {
 	t.Helper()
 	if err := receive(t, "end of the agent", a.ended); err != nil {
@@ -45,9 +47,7 @@
 		t.Errorf("left: %d slots, %d connections, %d requests", n, a.frontend.connCount, a.frontend.openRequests.Load())
 	}
 	eventually(t, "the end of the connections to backends", func() bool {
-		a.pool.mu.Lock()
-		defer a.pool.mu.Unlock()
-		return a.pool.openConns == 0
+		return a.pool.Stats().Open == 0
 	})
 }
 
@@ -79,8 +79,9 @@
 	}
 }
 
-// What of a request has come when the agent is told to stop, and when it stops accepting, changes nothing: the rest comes,
-// and it is answered whole. net/http's own shutdown drops a request whose header comes whole after it.
+// TestPartialRequestIsServedDuringDrain: however much of a request has arrived when the agent is told to stop, and when it
+// stops accepting, the rest is read and the request answered. net/http's Shutdown would drop a request whose header is
+// completed after it.
 func TestPartialRequestIsServedDuringDrain(t *testing.T) {
 	whole := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 4\r\n\r\nbody", newID())
 	for _, part := range []int{1, 20, len(whole) - 5, len(whole) - 2} {
@@ -102,7 +103,7 @@
 	}
 }
 
-// noPartialRequest reports whether no connection has part of a request.
+// noPartialRequest reports whether no connection has an incomplete request.
 func (a *drainingAgent) noPartialRequest() bool {
 	for _, c := range a.frontend.idleConns.Conns() {
 		if c.(*clientconn.Conn).RequestInProgress() {
@@ -112,8 +113,8 @@
 	return true
 }
 
-// A client that connects and is not accepted yet, since all descriptors are in use, has its request taken all the same: what
-// is in the kernel's queue when a listener closes is reset.
+// TestAcceptQueueIsServedBeforeListenerCloses: a client that is not accepted yet, since all descriptors are in use, is still
+// served: closing the listener would reset what is in the kernel's accept queue.
 func TestAcceptQueueIsServedBeforeListenerCloses(t *testing.T) {
 	hold := make(chan struct{})
 	a, s := startDrainable(t, func(n int) string {
@@ -130,7 +131,7 @@
 	queued := a.dial(t)
 	writeText(t, queued, getRequest("/get/x", ""))
 	a.startDrain(t)
-	for range 3 { // each in a step of its own, the first of which would have closed the listener
+	for range 3 { // three steps, of which the first would have closed the listener
 		a.accept <- time.Now()
 	}
 	close(hold)
@@ -140,7 +141,7 @@
 	a.awaitEnd(t)
 }
 
-// A client that rests on its connection until the agent ends it, and one that sends in that moment, come anew.
+// TestIdleClientsReconnectDuringDrain: idle clients, and one whose request crosses the close, connect again.
 func TestIdleClientsReconnectDuringDrain(t *testing.T) {
 	a, s := startDrainable(t, func(int) string { return ok200 })
 	c := a.dial(t)
@@ -156,7 +157,7 @@
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Fatalf("not closed: %v", err)
 	}
-	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: may fail, and is not sent on
+	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: may fail, and is not forwarded
 	anew := a.dial(t)
 	writeText(t, anew, getRequest("/get/x", ""))
 	expectServedAndClosed(t, anew)
@@ -169,7 +170,8 @@
 	}
 }
 
-// With every backend hanging, requests that came before the stop and after it get their answer before the platform kills.
+// TestDrainAnswersInTimeWithHangingBackends: requests that arrive before and after the stop are answered before the platform
+// kills the process, even if every backend hangs.
 func TestDrainAnswersInTimeWithHangingBackends(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -177,7 +179,7 @@
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
 	accept := make(chan time.Time)
 	a := &drainingAgent{startWithAcceptWindow(t, cfg, accept), accept}
-	a.drainTimeout = 500 * time.Millisecond // the platform's time: what comes after the stop waits no longer
+	a.drainTimeout = 500 * time.Millisecond // the platform's bound for requests that arrive after the stop
 	before := a.dial(t)
 	writeText(t, before, getRequest("/get/x", "X-Expires-In: 0.3\r\n"))
 	receive(t, "request", s.seen)
@@ -195,7 +197,7 @@
 	a.awaitEnd(t)
 }
 
-// A second SIGTERM, or one that comes before the agent serves, changes nothing: what was taken is answered.
+// TestStopBeforeServingStillAnswers: a stop before the agent serves changes nothing: accepted requests are answered.
 func TestStopBeforeServingStillAnswers(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
@@ -208,7 +210,7 @@
 	accept := make(chan time.Time)
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	r := &drainingAgent{&testAgent{Agent: a, ended: make(chan error, 1)}, accept}
-	c := r.dial(t) // in the kernel's queue
+	c := r.dial(t) // waits in the kernel's queue
 	writeText(t, c, getRequest("/get/x", ""))
 	go func() { r.ended <- a.Run(stopped) }()
 	expectServedAndClosed(t, c)
@@ -217,9 +219,10 @@
 	r.awaitEnd(t)
 }
 
-// An operators' call that was taken when the agent stops has its answer.
+// TestAdminCallDuringStopIsAnswered: an admin call that was accepted when the agent stops is answered.
 func TestAdminCallDuringStopIsAnswered(t *testing.T) {
-	a, err := New(t.Context(), withAdmin(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), State: "ready"}}}), discardLog)
+	cfg := withAdmin(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), State: "ready"}}})
+	a, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,3 +248,93 @@
 		t.Error(err)
 	}
 }
+
+// TestDrainAnswersAcceptedRequests: on SIGTERM the request in flight is answered, idle connections are closed, and Run
+// returns no error.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
+	hold := make(chan struct{})
+	s := startRawBackend(t, func(n int) string {
+		if n > 0 {
+			<-hold
+		}
+		return ok200
+	})
+	accept := make(chan time.Time)
+	a := startWithAcceptWindow(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}), accept)
+	idle, err := net.Dial("tcp", a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer idle.Close()
+	in := bufio.NewReader(idle)
+	ask := func(c net.Conn) {
+		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()); err != nil {
+			t.Error(err)
+		}
+	}
+	ask(idle)
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil || resp.StatusCode != 200 {
+		t.Fatal(resp, err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatal(err)
+	}
+	<-s.seen
+	inFlight := make(chan exchange, 1)
+	go func() { inFlight <- a.do("GET", "/get/x", "") }()
+	receive(t, "request in flight", s.seen)
+	a.stop()
+	if err := idle.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the idle connection was not closed: %v", err)
+	}
+	lateOne := make(chan exchange, 1)
+	go func() { lateOne <- a.do("GET", "/get/x", "") }()
+	receive(t, "request after the stop", s.seen)
+	close(accept)
+	close(hold)
+	for _, ch := range []chan exchange{inFlight, lateOne} {
+		if x := receive(t, "answer", ch); x.status != 200 {
+			t.Errorf("%+v", x)
+		}
+	}
+	if err := receive(t, "end of the agent", a.ended); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+}
+
+// TestLameDuckClosesIdleConnections: a lame duck fails health checks, serves what arrives, closes each connection with its
+// reply, and closes those that stay idle. When it is switched off all is as before.
+func TestLameDuckClosesIdleConnections(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
+		ctx, cancel := context.WithCancel(context.Background())
+		ended := make(chan struct{})
+		go func() { f.closeIdleWhileDraining(ctx); close(ended) }()
+		defer func() { cancel(); <-ended }()
+		idle, used := dial(), dial()
+		expectStatus(t, idle, "/get/x", 503)
+		expectStatus(t, used, "/get/x", 503)
+		f.setLameDuck(true)
+		on := time.Now()
+		expectStatus(t, dial(), "/_health", 503)
+		expectStatus(t, used, "/get/x", 503)
+		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
+			t.Errorf("a connection ended %v after its answer", at.Sub(on))
+		}
+		expectStatus(t, dial(), "/get/x", 503) // clients go on sending for a while
+		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
+			t.Errorf("the idle connection was closed after %v", at.Sub(on))
+		}
+		f.setLameDuck(false)
+		expectStatus(t, dial(), "/_health", 200)
+		kept := dial()
+		expectStatus(t, kept, "/get/x", 503)
+		time.Sleep(2 * drainIdleTimeout)
+		expectStatus(t, kept, "/get/x", 503)
+	})
+}
--- /dev/null
+++ b/internal/agent/peers/transport.go
@@ -0,0 +1,144 @@
+// Package peers exchanges datagrams between the agents of a tier, which carry the gossip of the balancer. Datagrams may be
+// lost, and one that is not from a known agent is ignored.
+package peers
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/netip"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/listener"
+)
+
+const maxDatagram = 256 // bytes, the protocol's limit; a longer message is not sent
+
+// Config is what a Transport is told at its start.
+type Config struct {
+	Listen string   // UDP address of this agent
+	Addrs  []string // of all agents, by number
+	// AwaitAddr is set if an older process may hold the address: then Run waits for it, otherwise New does.
+	AwaitAddr bool
+}
+
+// Transport sends and receives the datagrams of one agent.
+type Transport struct {
+	conn        *net.UDPConn // nil until bind has succeeded; used by Run alone
+	localAddr   *net.UDPAddr
+	addrs       []netip.AddrPort
+	agentByAddr map[netip.AddrPort]int
+	sendQueue   chan datagram
+	log         *slog.Logger
+}
+
+type datagram struct {
+	to   int
+	data []byte
+}
+
+// bindInterval is the pause between attempts to bind the address while an older process holds it.
+const bindInterval = 50 * time.Millisecond
+
+// readRetryDelay is the pause after a failed read.
+const readRetryDelay = time.Millisecond
+
+// New resolves the addresses and opens the socket, unless Run is to. It retries until ctx ends while the address is in use. An
+// error names the field of the agent's configuration.
+func New(ctx context.Context, cfg Config, log *slog.Logger) (*Transport, error) {
+	p := &Transport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
+	for i, text := range cfg.Addrs {
+		addr, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return nil, fmt.Errorf("peers[%d]: %w", i, err)
+		}
+		p.addrs = append(p.addrs, addr)
+		p.agentByAddr[addr] = i
+	}
+	var err error
+	if p.localAddr, err = net.ResolveUDPAddr("udp", cfg.Listen); err != nil {
+		return nil, fmt.Errorf("peer_listen: %w", err)
+	}
+	if cfg.AwaitAddr {
+		return p, nil
+	}
+	listen := func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }
+	if p.conn, err = listener.Retry(ctx, nil, listen); err != nil {
+		return nil, fmt.Errorf("peer_listen: %w", err)
+	}
+	return p, nil
+}
+
+// bind waits until the address can be bound. It returns false if ctx ends first.
+func (p *Transport) bind(ctx context.Context) bool {
+	tick := time.NewTicker(bindInterval)
+	defer tick.Stop()
+	for p.conn == nil {
+		if ctx.Err() != nil {
+			return false
+		}
+		if c, err := net.ListenUDP("udp", p.localAddr); err == nil {
+			p.conn = c
+			p.log.Info("peer address bound")
+			break
+		}
+		select {
+		case <-ctx.Done():
+		case <-tick.C:
+		}
+	}
+	return true
+}
+
+// Send queues a message. Datagrams may be lost anyway, so a message is dropped if the queue is full.
+func (p *Transport) Send(to int, data []byte) {
+	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
+		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
+		return
+	}
+	select {
+	case p.sendQueue <- datagram{to, data}:
+	default:
+	}
+}
+
+// Run binds the address, then sends and receives until ctx ends.
+func (p *Transport) Run(ctx context.Context, receive func(balancer.GossipReceived)) {
+	if !p.bind(ctx) {
+		return
+	}
+	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+	defer stop()
+	go func() {
+		for {
+			select {
+			case datagram := <-p.sendQueue:
+				if _, err := p.conn.WriteToUDPAddrPort(datagram.data, p.addrs[datagram.to]); err != nil && ctx.Err() == nil {
+					p.log.Debug("peer message lost", "to", datagram.to, "error", err)
+				}
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	buf := make([]byte, maxDatagram+1)
+	for {
+		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil { // the ICMP error of an earlier datagram, or a shortage: the socket itself is intact
+			select {
+			case <-time.After(readRetryDelay):
+			case <-ctx.Done():
+			}
+			continue
+		}
+		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+		if sender, known := p.agentByAddr[from]; known && n <= maxDatagram {
+			receive(balancer.GossipReceived{From: sender, Data: append([]byte(nil), buf[:n]...)})
+		}
+	}
+}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -3,22 +3,20 @@
 // How a client's request is read and checked.
 
 import (
-	"errors"
-	"io"
 	"math"
 	"net/http"
 	"net/url"
-	"os"
 	"strconv"
 	"strings"
 	"time"
 
 	"martenbeam/balancer"
+	"martenbeam/internal/agent/upstream"
 	"martenbeam/internal/wire"
 )
 
-// inputError is an answer to a request that can't be taken. Its status says 'failed', never
-// that another try is harmless.
+// inputError is the reply to a request that can't be forwarded. Its status means 'failed' and never that a retry is
+// harmless.
 type inputError struct {
 	status int
 	text   string
@@ -26,45 +24,75 @@
 
 func badRequest(text string) *inputError { return &inputError{http.StatusBadRequest, text} }
 
-// hopHeaders end at the agent (RFC 9110, 7.6.1), or are set anew.
+// hopHeaders are not forwarded (RFC 9110, 7.6.1), or are set anew.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "X-Expires-In"}
 
-// checkFraming tells requests whose end is in doubt.
+// checkFraming rejects requests whose end is ambiguous.
 func checkFraming(httpReq *http.Request) *inputError {
 	if c := clientConnOf(httpReq); c != nil && c.Ambiguous() {
 		return badRequest("both Content-Length and Transfer-Encoding")
 	}
-	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, whatever body that announces
+	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, so a body would be taken for the next request
 		return &inputError{http.StatusHTTPVersionNotSupported, "this takes HTTP/1.1"}
 	}
 	return nil
 }
 
-// parseRequest reads a request whole and checks it.
+// parseRequest reads and checks a request, with its body or, if that is large, the body's first bytes.
 func (f *frontend) parseRequest(w http.ResponseWriter, httpReq *http.Request) (*request, *inputError) {
+	class, failure := f.findClass(w, httpReq)
+	if failure != nil {
+		return nil, failure
+	}
+	r, failure := f.parseHeader(httpReq, class)
+	if failure != nil {
+		return nil, failure
+	}
+	body, more, failure := f.readBody(w, httpReq)
+	if failure != nil {
+		return nil, failure
+	}
+	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // before the platform kills the process
+		r.timeout = max(0, min(r.timeout, deadline-f.loop.clock.now()))
+	}
+	// A client's time counts from when it sent its request, which ends with the last byte.
+	r.deadline = lastByteAt(httpReq).Add(r.timeout)
+	r.upstream = newUpstreamRequest(httpReq, body)
+	if more {
+		r.upstream.Upload = upstream.NewUpload(httpReq.ContentLength)
+	}
+	return r, nil
+}
+
+// findClass returns the index of the request's class, which the first part of its path names, and checks the method.
+func (f *frontend) findClass(w http.ResponseWriter, httpReq *http.Request) (int, *inputError) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(httpReq.URL.Path, "/"), "/")
 	class, ok := f.classIndex[className]
 	if !ok {
-		return nil, &inputError{http.StatusNotFound, "no such class of requests"}
+		return 0, &inputError{http.StatusNotFound, "no such class of requests"}
 	}
-	settings := f.cfg.Settings.Classes[class]
 	method := http.MethodPost
-	if settings.Idempotency == balancer.Idempotent {
+	if f.cfg.Settings.Classes[class].Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if httpReq.Method != method {
 		w.Header().Set("Allow", method)
-		return nil, &inputError{http.StatusMethodNotAllowed, "this class takes " + method}
+		return 0, &inputError{http.StatusMethodNotAllowed, "this class takes " + method}
 	}
-	header := httpReq.Header
+	return class, nil
+}
+
+// parseHeader returns the request that the header fields describe, without deadline and body.
+func (f *frontend) parseHeader(httpReq *http.Request, class int) (*request, *inputError) {
+	header, settings := httpReq.Header, f.cfg.Settings.Classes[class]
 	r := newRequest(header.Get("X-Trace-Id"), class)
 	r.clientRetry = header.Get("X-Second-Try") == "1"
 	if c, err := httpReq.Cookie("sid"); err == nil {
 		r.key = wire.AffinityKey(c.Value)
 	}
 	if gatekeeper := f.residency; gatekeeper != nil {
-		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), className)
+		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), f.cfg.Site.Classes[class])
 	}
 	if r.id == "" {
 		return nil, badRequest("X-Trace-Id: missing")
@@ -72,13 +100,13 @@
 	if settings.Idempotency == balancer.IdempotencyKey && header.Get("Idempotency-Key") == "" {
 		return nil, badRequest("Idempotency-Key: missing")
 	}
-	timeout := settings.Deadline
+	r.timeout = settings.Deadline
 	if text := header.Get("X-Expires-In"); text != "" {
 		seconds, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
 			return nil, badRequest("X-Expires-In: not a number of seconds above 0")
 		}
-		timeout = min(timeout, time.Duration(min(seconds, timeout.Seconds())*float64(time.Second)))
+		r.timeout = min(r.timeout, time.Duration(min(seconds, r.timeout.Seconds())*float64(time.Second)))
 	}
 	if text := header.Get("X-Size-Hint"); text != "" {
 		micros, err := strconv.ParseFloat(text, 64)
@@ -87,18 +115,15 @@
 		}
 		r.sizeHint = time.Duration(micros * float64(time.Microsecond))
 	}
-	body, more, failure := f.readBody(w, httpReq)
-	if failure != nil {
-		return nil, failure
-	}
-	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // it has to be answered before the platform kills
-		timeout = max(0, min(timeout, deadline-f.loop.clock.now()))
-	}
-	// A client's time runs from when its request was sent, which ends with the last byte.
-	r.deadline, r.timeout = lastByteAt(httpReq).Add(timeout), timeout
-	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery, ForceQuery: httpReq.URL.ForceQuery}
-	forwarded := header.Clone()
-	for _, connection := range header["Connection"] {
+	return r, nil
+}
+
+// newUpstreamRequest returns a client's request as it is forwarded: without the fields that end at the agent.
+func newUpstreamRequest(httpReq *http.Request, body []byte) *upstream.Request {
+	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery,
+		ForceQuery: httpReq.URL.ForceQuery}
+	forwarded := httpReq.Header.Clone()
+	for _, connection := range httpReq.Header["Connection"] {
 		for name := range strings.SplitSeq(connection, ",") {
 			forwarded.Del(strings.TrimSpace(name))
 		}
@@ -109,44 +134,5 @@
 	if _, set := forwarded["User-Agent"]; !set {
 		forwarded["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	r.upstream = &upstreamRequest{method: method, host: httpReq.Host, url: &target, header: forwarded, body: body}
-	if more {
-		r.upstream.upload = newUpload(httpReq.ContentLength)
-	}
-	return r, nil
-}
-
-// readBody reads a body, or the first bytes of one that is large: more tells that there are others.
-func (f *frontend) readBody(w http.ResponseWriter, httpReq *http.Request) (body []byte, more bool, failure *inputError) {
-	if httpReq.ContentLength == 0 {
-		return nil, false, nil
-	}
-	if httpReq.ContentLength > maxStreamBytes {
-		return nil, false, bodyError(&http.MaxBytesError{Limit: maxStreamBytes})
-	}
-	if httpReq.ContentLength > maxBufferedBody {
-		if c := clientConnOf(httpReq); c != nil {
-			limitKernelBuffers(c.Conn)
-		}
-	}
-	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w), allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
-	body, err := io.ReadAll(io.LimitReader(paced, maxBufferedBody+1))
-	if more = len(body) > maxBufferedBody; err == nil && !more { // a deadline that runs on would pass for a hang-up
-		err = paced.control.SetReadDeadline(time.Time{})
-	}
-	if err != nil {
-		return nil, false, bodyError(err)
-	}
-	return body, more, nil
-}
-
-func bodyError(err error) *inputError {
-	var tooLarge *http.MaxBytesError
-	switch {
-	case errors.As(err, &tooLarge):
-		return &inputError{http.StatusRequestEntityTooLarge, "the body is larger than 32 MiB"}
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &inputError{http.StatusRequestTimeout, "the body comes too slowly"}
-	}
-	return badRequest("the body can't be read")
+	return &upstream.Request{Method: httpReq.Method, Host: httpReq.Host, URL: &target, Header: forwarded, Body: body}
 }
