--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -106,7 +106,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer cmd.Process.Kill()
+	defer func() { _ = cmd.Process.Kill() }()
 	lines := bufio.NewScanner(out)
 	url := ""
 	for url == "" && lines.Scan() {
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -112,7 +112,7 @@
 // readOutput handles the lines that the process writes, until it ends, and then closes done.
 func (p *hubProcess) readOutput(m *monitor, stdout io.Reader) {
 	defer close(p.done)
-	defer p.cmd.Wait() //nolint:errcheck // it was killed
+	defer func() { _ = p.cmd.Wait() }() // it was killed
 	for r := bufio.NewReader(stdout); ; {
 		data, err := r.ReadBytes('\n')
 		if err != nil {
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.members.Abort()
+		defer func() { _ = f.members.Abort() }()
 		row := func(us int) []byte {
 			type entry struct {
 				Site   string `cbor:"1,keyasint"`
--- a/internal/lab/addresses_test.go
+++ b/internal/lab/addresses_test.go
@@ -104,7 +104,7 @@
 			t.Errorf("block %d is claimed, in which a socket is bound", b.number)
 		}
 		other.close()
-		s.Close()
+		_ = s.Close()
 	}
 }
 
--- a/internal/lab/process_test.go
+++ b/internal/lab/process_test.go
@@ -73,7 +73,9 @@
 		for _, a := range l.agents {
 			fmt.Println(a.cmd.Process.Pid, dir)
 		}
-		l.agents[1].cmd.Process.Signal(syscall.SIGSTOP)
+		if err := l.agents[1].cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+			panic(err)
+		}
 		fmt.Println("ready")
 	}})
 	if err != nil {
@@ -109,7 +111,7 @@
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait() // killed
 	if dir != "" {
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }()
 	}
 	if len(pids) != 3 {
 		t.Fatalf("%d agents", len(pids))
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -48,7 +48,7 @@
 		panic(err)
 	}
 	code := m.Run()
-	os.RemoveAll(scratchDir)
+	_ = os.RemoveAll(scratchDir)
 	os.Exit(code)
 }
 
