--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -108,7 +108,7 @@
 			s.server.Close()
 		}
 	}()
-	if err := s.server.Serve(clientconn.Listener{Listener: s.listener, Tasks: &s.readers}); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.server.Serve(clientconn.Listener{Listener: s.listener, Readers: &s.readers}); !errors.Is(err, http.ErrServerClosed) {
 		s.log.Error("admin server stopped", "error", err)
 	}
 	<-closed
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	// The read loop has the call, and the server does not read it yet.
-	conn, err := clientconn.Listener{Listener: s.listener, Tasks: &s.readers}.Accept()
+	conn, err := clientconn.Listener{Listener: s.listener, Readers: &s.readers}.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -78,7 +78,7 @@
 	ln := &pipeListener{conns: make(chan net.Conn, 1), done: make(chan struct{})}
 	ln.conns <- &finalDataConn{Conn: far, text: getRequest("/get/x", "")}
 	var tasks sync.WaitGroup
-	c, err := clientconn.Listener{Listener: ln, Tasks: &tasks}.Accept()
+	c, err := clientconn.Listener{Listener: ln, Readers: &tasks}.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -68,7 +68,7 @@
 // Listener accepts clients' connections and starts the read loop of each.
 type Listener struct {
 	net.Listener
-	Tasks *sync.WaitGroup // of the read loops. Whoever serves the listener waits for them
+	Readers *sync.WaitGroup // of the read loops. Whoever serves the listener waits for them
 }
 
 // Accept returns the next connection, a *Conn, or the error of the listener below.
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	c := New(socket)
-	l.Tasks.Go(c.readLoop)
+	l.Readers.Go(c.readLoop)
 	return c, nil
 }
 
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -104,7 +104,7 @@
 
 // serve accepts connections until the listener is closed. It always returns an error, as http.Server.Serve does.
 func (f *frontend) serve(l net.Listener) error {
-	return f.server.Serve(clientconn.Listener{Listener: l, Tasks: &f.readers})
+	return f.server.Serve(clientconn.Listener{Listener: l, Readers: &f.readers})
 }
 
 // trackConn counts open connections and keeps the set of those that may be closed as idle.
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -18,8 +18,8 @@
 	maxDocumentPeers = 4                      // members that are asked for a document, the publisher of its version first
 )
 
-// PolicyReplicator returns the residency policy of a holder as a document that a fleet replicates.
-func PolicyReplicator(holder *residency.Holder) *documents.Document {
+// PolicyDocument returns the residency policy of a holder as a document that a fleet replicates.
+func PolicyDocument(holder *residency.Holder) *documents.Document {
 	return &documents.Document{GossipKind: gossip.ResidencyVersion, Subject: "policy", Path: "/residency/",
 		MaxBytes: residency.MaxText, Holder: holder, Digest: residency.Digest, Confirm: holder.Confirm,
 		Applied: func() documents.AppliedVersion {
@@ -39,7 +39,7 @@
 // process that holds them.
 func (c *Config) sharedDocuments() (list []sharedDocument) {
 	if c.Residency != nil {
-		list = append(list, sharedDocument{PolicyReplicator(c.Residency), c.PolicySource})
+		list = append(list, sharedDocument{PolicyDocument(c.Residency), c.PolicySource})
 	}
 	if c.Settings != nil {
 		list = append(list, sharedDocument{c.Settings, true})
--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -96,7 +96,7 @@
 	if a.stateAt.IsZero() {
 		return nil
 	}
-	return &frame.Echo{Seq: a.state.Seq, HoldTime: min(time.Since(a.stateAt), maxEchoDelay)}
+	return &frame.Echo{Seq: a.state.Seq, ProcessingDelay: min(time.Since(a.stateAt), maxEchoDelay)}
 }
 
 // readLoop reads frames until the stream ends, and reports whether the agent left for good. An agent that sends more
--- a/internal/fleet/hub/frame/frame.go
+++ b/internal/fleet/hub/frame/frame.go
@@ -77,10 +77,10 @@
 	Reason  string `cbor:"3,keyasint,omitempty"` // why a later version is not applied, or what is wrong with this one
 }
 
-// Echo answers a State. The agent's round trip to the hub is the time between the two, less HoldTime.
+// Echo answers a State. The agent's round trip to the hub is the time between the two, less ProcessingDelay.
 type Echo struct {
-	Seq      uint32        `cbor:"1,keyasint"` // of the State
-	HoldTime time.Duration `cbor:"2,keyasint"` // from the arrival of the State to the writing of the Echo
+	Seq             uint32        `cbor:"1,keyasint"` // of the State
+	ProcessingDelay time.Duration `cbor:"2,keyasint"` // from the arrival of the State to the writing of the Echo
 }
 
 var errNoVersion = errors.New("frame without a version")
@@ -164,8 +164,8 @@
 			}
 		}
 	}
-	if e := f.Echo; e != nil && (e.HoldTime < 0 || e.HoldTime > maxWait) {
-		return fmt.Errorf("echo: a hold time of %v", e.HoldTime)
+	if e := f.Echo; e != nil && (e.ProcessingDelay < 0 || e.ProcessingDelay > maxWait) {
+		return fmt.Errorf("echo: a hold time of %v", e.ProcessingDelay)
 	}
 	return nil
 }
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -49,7 +49,7 @@
 	for _, x := range []Frame{
 		{Hello: &Hello{Label: "l", Name: "n", Site: "z"}},
 		{State: &State{Seq: 3, Settings: AppliedVersion{2, "d", "w"}}},
-		{Gossip: []byte{1, 2}, Echo: &Echo{Seq: 1, HoldTime: 5}, QuotaConfirmed: true},
+		{Gossip: []byte{1, 2}, Echo: &Echo{Seq: 1, ProcessingDelay: 5}, QuotaConfirmed: true},
 		{Busy: &Busy{RetryAfter: 1}},
 		{Leave: true},
 	} {
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -202,7 +202,7 @@
 		return
 	}
 	sentAt := a.sentAt[echo.Seq%maxStatesInFlight]
-	if rtt := now.Sub(sentAt) - echo.HoldTime; rtt >= 0 {
+	if rtt := now.Sub(sentAt) - echo.ProcessingDelay; rtt >= 0 {
 		a.echoedStateSentAt = sentAt
 		a.client.store.ObserveRTT(a.hubName, rtt)
 	}
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -77,8 +77,8 @@
 	MaxAgents                   int    // agents that the fleet may have; the quota is derived from it
 	AwaitAddress                bool   // an older process of this agent may still listen at Listen: wait for it to close
 	Incarnations                incarnation.Allocator
-	Bounds                      gossip.AgeBounds  // maximum age of an entry in use, by kind; nil: gossip.DefaultAgeBounds
-	Relayed                     bool              // endpoint lists are requested from the hub rather than from the list service
+	AgeBounds                   gossip.AgeBounds  // maximum age of an entry in use, by kind; nil: gossip.DefaultAgeBounds
+	RelayedLists                bool              // endpoint lists are requested from the hub rather than from the list service
 	ListRate                    float64           // requests per second that the list service is assumed to sustain at first
 	Residency                   *residency.Holder // nil: the agent has no residency policy
 	Settings                    *settings.Holder  // nil: the agent takes no settings from hubs
@@ -147,8 +147,8 @@
 	if len(cfg.Hubs) == 0 {
 		return nil, errors.New("fleet.hubs: none")
 	}
-	if cfg.Bounds == nil {
-		cfg.Bounds = gossip.DefaultAgeBounds
+	if cfg.AgeBounds == nil {
+		cfg.AgeBounds = gossip.DefaultAgeBounds
 	}
 	now := time.Now()
 	c := &Client{cfg: cfg, callbacks: callbacks, zones: zones, hubs: preferenceOrder(cfg.Name, cfg.Site, cfg.Region, cfg.Hubs),
@@ -159,7 +159,7 @@
 		c.dial = dialer.DialContext
 	}
 	c.selector = newHubSelector(len(c.hubs), xxhash.Sum64String(cfg.Name)^c.incarnation)
-	c.store = gossip.New(cfg.Name, c.incarnation, cfg.Bounds, gossip.Trace{W: cfg.Trace}.Use)
+	c.store = gossip.New(cfg.Name, c.incarnation, cfg.AgeBounds, gossip.Trace{W: cfg.Trace}.Use)
 	c.pacer = startup.New(startup.Config{Rate: cfg.ListRate, HasPeers: c.fleetSizeReceived, Store: c.store})
 	c.setUpDocuments()
 	if c.listener, err = newAddressListener(listen, cfg.AwaitAddress); err != nil {
--- a/internal/fleet/hubclient/documents.go
+++ b/internal/fleet/hubclient/documents.go
@@ -69,12 +69,12 @@
 // setUpDocuments creates the documents that this agent follows.
 func (c *Client) setUpDocuments() {
 	if h := c.cfg.Residency; h != nil {
-		document := fleet.PolicyReplicator(h)
+		document := fleet.PolicyDocument(h)
 		document.FetchJitter = fetchJitter
 		c.documents = append(c.documents, document)
 	}
 	if h := c.cfg.Settings; h != nil {
-		document := settings.DocumentKind(h)
+		document := settings.Document(h)
 		document.FetchJitter = fetchJitter
 		c.documents = append(c.documents, document)
 	}
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -25,7 +25,7 @@
 	if mesh := c.mesh.Load(); mesh != nil {
 		return mesh.Next(ctx, failures)
 	}
-	if !c.cfg.Relayed || failures%2 == 1 {
+	if !c.cfg.RelayedLists || failures%2 == 1 {
 		return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount)
 	}
 	c.mu.Lock()
@@ -67,7 +67,7 @@
 		c.mu.Unlock()
 	}
 	n := max(1, int(size.Starting))
-	if c.cfg.Relayed {
+	if c.cfg.RelayedLists {
 		n = max(n, int(size.Attached)/len(c.hubs))
 	}
 	return n
--- a/internal/fleet/hubclient/entries_test.go
+++ b/internal/fleet/hubclient/entries_test.go
@@ -20,7 +20,7 @@
 	proxy := newCuttableProxy(t, a.addr)
 	agent := newTestAgent(t, func(c *Config) {
 		c.Hubs[0].Addr = proxy.addr
-		c.Bounds = gossip.AgeBounds{gossip.FleetSize: 700 * time.Millisecond}
+		c.AgeBounds = gossip.AgeBounds{gossip.FleetSize: 700 * time.Millisecond}
 	}, a)
 	waitFor(t, "an even quota", agent.hasQuota(1./10))
 	waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -94,14 +94,14 @@
 	p.settings = settings.NewHolder(settings.Config{Log: log})
 	p.policy = residency.NewHolder(zones, time.Minute, p.spec.Source, log, nil)
 	p.network = &cuttableNetwork{report: p.output.writeLine, sendBuffer: p.spec.SendBuffer, cut: map[string]uint8{}}
-	kind := settings.DocumentKind(p.settings)
+	kind := settings.Document(p.settings)
 	var trace io.Writer = p.output
 	if p.spec.Untraced {
 		trace = nil
 	}
 	server := hub.New(hub.Config{Name: p.spec.Name, Label: p.spec.Label, ProgramVersion: "test",
 		Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: p.spec.MaxAgents, Settings: kind,
-		Policy: fleet.PolicyReplicator(p.policy), PolicyAge: p.policy.ConfirmedAge, Log: log, Trace: trace})
+		Policy: fleet.PolicyDocument(p.policy), PolicyAge: p.policy.ConfirmedAge, Log: log, Trace: trace})
 	cfg := fleet.Config{Name: p.spec.Name, Site: p.spec.Site, Version: "test", Listen: p.spec.Listen, Seeds: p.spec.Seeds,
 		Label: p.spec.Label, MaxMembers: p.spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log, Trace: trace,
 		Residency: p.policy, PolicySource: p.spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: p.network}
--- a/internal/fleet/hubclient/quota.go
+++ b/internal/fleet/hubclient/quota.go
@@ -48,7 +48,7 @@
 // agents than members of the mesh do, and the sum must stay within the limit.
 func (c *Client) recomputeQuota() {
 	size, fresh := c.fleetSize()
-	confirmed := c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.Bounds[gossip.FleetSize]
+	confirmed := c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.AgeBounds[gossip.FleetSize]
 	quota := hubQuota(c.cfg.MaxAgents, size, fresh, confirmed)
 	c.mu.Lock()
 	if c.meshQuota > 0 {
--- a/internal/fleet/hubclient/testagent_test.go
+++ b/internal/fleet/hubclient/testagent_test.go
@@ -27,7 +27,7 @@
 func newTestAgent(t *testing.T, configure func(*Config), hubs ...*fakeHub) *testAgent {
 	t.Helper()
 	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0",
-		MaxAgents: 10, Bounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
+		MaxAgents: 10, AgeBounds: gossip.DefaultAgeBounds, Log: slog.New(slog.DiscardHandler)}
 	for i, h := range hubs {
 		cfg.Hubs = append(cfg.Hubs, Hub{string(rune('a' + i)), "r", h.addr})
 	}
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -60,7 +60,7 @@
 		trace = h.trace
 	}
 	bounds := ageBounds(cfg)
-	document := settings.DocumentKind(h.settings)
+	document := settings.Document(h.settings)
 	incarnations := incarnation.Allocator{
 		Dir:  incarnation.Dir(cfg.Label, cfg.Settings.State, cfg.Residency.State),
 		Name: cfg.Name, Log: log,
@@ -68,7 +68,7 @@
 	h.server = hub.New(hub.Config{
 		Name: cfg.Name, Label: cfg.Label, ProgramVersion: programVersion, Incarnation: incarnations.Next(),
 		MaxAgents: cfg.MaxAgents, AdmitRate: cfg.AdmitRate, AgeBounds: bounds,
-		Settings: document, Policy: fleet.PolicyReplicator(h.policy), PolicyAge: h.policy.ConfirmedAge,
+		Settings: document, Policy: fleet.PolicyDocument(h.policy), PolicyAge: h.policy.ConfirmedAge,
 		Log: log, Trace: trace,
 	})
 	var err error
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -27,8 +27,8 @@
 	clientCfg := hubclient.Config{
 		Name: fleetCfg.Name, Site: fleetCfg.Site, Region: region(fleetCfg.Site), Version: fleetCfg.Version, Label: fleetCfg.Label,
 		Listen: fleetCfg.Listen, Advertise: fleetCfg.Advertise, AwaitAddress: fleetCfg.AwaitAddress,
-		MaxAgents: fleetCfg.MaxMembers, Incarnations: fleetCfg.Incarnations, Bounds: fleetCfg.AgeBounds,
-		Relayed: fleetCfg.RelayedLists, ListRate: fleetCfg.ListRate, Residency: fleetCfg.Residency,
+		MaxAgents: fleetCfg.MaxMembers, Incarnations: fleetCfg.Incarnations, AgeBounds: fleetCfg.AgeBounds,
+		RelayedLists: fleetCfg.RelayedLists, ListRate: fleetCfg.ListRate, Residency: fleetCfg.Residency,
 		Log: fleetCfg.Log, Trace: fleetCfg.Trace,
 	}
 	for zone, addr := range hubs {
--- a/internal/scale/simagent/hub.go
+++ b/internal/scale/simagent/hub.go
@@ -23,7 +23,7 @@
 	}})
 	a.hubClient, err = hubclient.New(hubclient.Config{
 		Name: spec.Name, Site: spec.Zone, Region: spec.Region, Version: announcedVersion, Label: spec.Label, Listen: spec.Listen,
-		Hubs: spec.Hubs, MaxAgents: spec.MaxMembers, AwaitAddress: !strings.HasSuffix(spec.Listen, ":0"), Relayed: true,
+		Hubs: spec.Hubs, MaxAgents: spec.MaxMembers, AwaitAddress: !strings.HasSuffix(spec.Listen, ":0"), RelayedLists: true,
 		ListRate: listRate, Residency: a.policyHolder, Settings: settingsHolder, Log: log,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return a.wire.Dial(ctx, &net.Dialer{KeepAlive: -1}, addr)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -5,8 +5,8 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// DocumentKind returns the settings of a holder as a document that is replicated in a fleet.
-func DocumentKind(h *Holder) *documents.Document {
+// Document returns the settings of a holder as a document that is replicated in a fleet.
+func Document(h *Holder) *documents.Document {
 	return &documents.Document{GossipKind: gossip.SettingsVersion, Subject: "settings", Path: "/settings/", MaxBytes: MaxText,
 		Holder: h, Digest: Digest, ShouldFetch: h.ShouldFetch,
 		Applied: func() documents.AppliedVersion {
