--- /dev/null
+++ b/internal/agent/eventloop.go
@@ -0,0 +1,218 @@
+package agent
+
+// The event loop, which owns the balancer.
+
+import (
+	"container/heap"
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/peers"
+	"martenbeam/internal/agent/upstream"
+	"martenbeam/internal/residency/gate"
+)
+
+// eventLoop owns the balancer, its timers and the table of open requests: one goroutine, run, uses them. All others post
+// events to it. It never blocks on any of them.
+type eventLoop struct {
+	cfg          *Config
+	log          *slog.Logger
+	clock        clock
+	balancer     *balancer.Balancer
+	pool         *upstream.Pool
+	peers        *peers.Transport
+	subscribe    func()                  // asks discovery for a watch
+	saveSnapshot func(balancer.Snapshot) // hands state to the next process; nil: nobody replaces this one
+
+	residency        gate.Enforcer // nil: no residency policy
+	policyGeneration int           // of the policy table that the balancer knows
+
+	events           chan event
+	calls            chan *adminCall // by operators; they go to the balancer ahead of events
+	openCalls        map[int64]*adminCall
+	stopped          chan struct{}
+	ready            atomic.Bool
+	lameDuck         atomic.Bool // operators drain the agent ...
+	reportedLameDuck bool        // ... and the balancer knows
+	margin           time.Duration
+	requests         map[string]*request
+	timers           timerHeap
+	pending          []balancer.Event // for the next step
+	lastStep         time.Duration    // when the balancer last made a step
+	probing          map[string]bool  // backends with a health check in flight, at most one each
+	counts           counts
+	lastCallID       int64
+}
+
+// counts are the counters since the last summary line.
+type counts struct{ requests, served, rejected, failed, disconnected, attempts, overdue, truncated int }
+
+func newEventLoop(cfg *Config, clk clock, pool *upstream.Pool, log *slog.Logger) (*eventLoop, error) {
+	b, err := balancer.New(cfg.Settings, cfg.Seed)
+	if err != nil {
+		return nil, err
+	}
+	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: b, pool: pool, subscribe: func() {},
+		events: make(chan event, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{},
+		stopped: make(chan struct{}),
+		// An attempt that waits until the client's deadline ends one tick before it, so that the balancer sees the
+		// timeout in time to answer the client.
+		margin:   cfg.Settings.Tick,
+		requests: map[string]*request{}, probing: map[string]bool{}}, nil
+}
+
+// post hands an event to the loop and blocks while its queue is full. After the loop has stopped the event is dropped.
+func (l *eventLoop) post(e event) {
+	select {
+	case l.events <- e:
+	case <-l.stopped:
+	}
+}
+
+const (
+	summaryInterval  = 10 * time.Second
+	snapshotInterval = 500 * time.Millisecond // between snapshots for the next process
+)
+
+// run steps the balancer with the events that have arrived, at most once each tick, until ctx ends.
+func (l *eventLoop) run(ctx context.Context) {
+	defer l.stop()
+	var calls chan *adminCall // nil until the balancer has the list: before, it would answer that the backend does not exist
+	wake := time.NewTimer(0)
+	summary := time.NewTicker(summaryInterval)
+	defer summary.Stop()
+	var saveTick <-chan time.Time
+	if l.saveSnapshot != nil {
+		tick := time.NewTicker(snapshotInterval)
+		defer tick.Stop()
+		saveTick = tick.C
+	}
+	for {
+		l.scheduleWake(wake)
+		select {
+		case <-ctx.Done():
+			return
+		case call := <-calls:
+			l.enqueueCall(call)
+		case e := <-l.events:
+			l.apply(e)
+			l.applyPosted()
+		case <-wake.C:
+		case <-summary.C:
+			l.logSummary()
+		case <-saveTick:
+			l.saveSnapshot(l.balancer.Snapshot())
+		}
+		l.reportLameDuck()
+		if l.step() {
+			calls = l.calls
+		}
+	}
+}
+
+// scheduleWake sets the timer to the time of the next step: a tick after the last one if events are pending, otherwise when
+// the balancer's next timer is due.
+func (l *eventLoop) scheduleWake(wake *time.Timer) {
+	if len(l.pending) > 0 {
+		wake.Reset(l.lastStep + l.cfg.Settings.Tick - l.clock.now())
+	} else if len(l.timers) > 0 {
+		wake.Reset(max(l.timers[0].at, l.lastStep+l.cfg.Settings.Tick) - l.clock.now())
+	} else {
+		wake.Stop()
+	}
+}
+
+// reportLameDuck tells the balancer when operators have switched the lame duck state.
+func (l *eventLoop) reportLameDuck() {
+	if on := l.lameDuck.Load(); on != l.reportedLameDuck {
+		l.reportedLameDuck = on
+		l.pending = append(l.pending, balancer.Drain{On: on})
+	}
+}
+
+// step passes the pending events to the balancer and performs its actions. It returns false if there was nothing to pass, or
+// the last step was less than a tick ago.
+func (l *eventLoop) step() bool {
+	now := l.clock.now()
+	if now < l.lastStep+l.cfg.Settings.Tick {
+		return false
+	}
+	l.applyPosted()
+	for len(l.timers) > 0 && l.timers[0].at <= now {
+		l.pending = append(l.pending, balancer.TimerFired{Token: heap.Pop(&l.timers).(timer).token})
+	}
+	if len(l.pending) == 0 {
+		return false
+	}
+	l.prependPolicyUpdate()
+	l.lastStep = now
+	events := l.pending
+	l.pending = nil
+	for i, pending := range events {
+		// Time has passed since it arrived. It may be gone from the table: its client may have disconnected.
+		if arrived, ok := pending.(balancer.Request); ok && l.requests[arrived.ID] != nil {
+			arrived.TimeRemaining = l.clock.at(l.requests[arrived.ID].deadline) - l.margin - now
+			events[i] = arrived
+		}
+	}
+	for _, action := range l.balancer.Step(now, events) {
+		l.perform(action, now)
+	}
+	return true
+}
+
+// stop cancels the attempts that are still out: nobody waits for them.
+func (l *eventLoop) stop() {
+	close(l.stopped)
+	for _, r := range l.requests {
+		for _, cancel := range r.cancels {
+			cancel(upstream.ErrCancelled)
+		}
+	}
+}
+
+// applyPosted applies the events that are queued, without waiting.
+func (l *eventLoop) applyPosted() {
+	for range len(l.events) {
+		l.apply(<-l.events)
+	}
+}
+
+// apply books one event.
+func (l *eventLoop) apply(e event) { e.applyTo(l) }
+
+// respond gives a request its final reply. It is called at most once for each.
+func (l *eventLoop) respond(r *request, answer reply) {
+	r.finished = true
+	close(r.done)
+	r.reply <- answer
+}
+
+// removeIfDone drops a request that has its reply and no attempt out. Until then its id stays taken.
+func (l *eventLoop) removeIfDone(r *request) {
+	if r.finished && r.openAttempts == 0 {
+		delete(l.requests, r.id)
+	}
+}
+
+// logSummary logs the counters and resets them.
+func (l *eventLoop) logSummary() {
+	l.log.Info("summary", "requests", l.counts.requests, "served", l.counts.served, "refused", l.counts.rejected,
+		"failed", l.counts.failed, "gone", l.counts.disconnected, "attempts", l.counts.attempts, "late", l.counts.overdue,
+		"cut", l.counts.truncated, "open", len(l.requests))
+	l.counts = counts{}
+}
+
+// prependPolicyUpdate puts a changed residency policy before the pending events: it applies to the requests among them.
+func (l *eventLoop) prependPolicyUpdate() {
+	if l.residency == nil {
+		return
+	}
+	if t := l.residency.Table(); t.Generation != l.policyGeneration {
+		l.policyGeneration = t.Generation
+		l.pending = append([]balancer.Event{balancer.Residency{Table: t}}, l.pending...)
+	}
+}
--- /dev/null
+++ b/internal/agent/peers/transport_test.go
@@ -0,0 +1,95 @@
+package peers
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"martenbeam/balancer"
+)
+
+// TestMain checks that no goroutine outlives the tests.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
+const testTimeout = 30 * time.Second
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+func receive[T any](t *testing.T, what string, ch <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// TestPeerMessagesTravelAsDatagrams: the sender of a message is known by its address.
+func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
+	cfg := Config{Listen: "127.0.0.1:0"}
+	other, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	cfg.Addrs = []string{"127.0.0.1:9", other.LocalAddr().String()}
+	p, err := New(t.Context(), cfg, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := make(chan balancer.Event, 1)
+	go p.Run(t.Context(), func(m balancer.GossipReceived) { got <- m })
+	p.Send(1, []byte("hi"))
+	p.Send(5, []byte("nobody"))
+	p.Send(1, make([]byte, maxDatagram+1))
+	buf := make([]byte, 512)
+	n, _, err := other.ReadFrom(buf)
+	if err != nil || string(buf[:n]) != "hi" {
+		t.Fatalf("%q, %v", buf[:n], err)
+	}
+	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
+		t.Fatal(err)
+	}
+	if m, ok := receive(t, "message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
+		t.Errorf("%+v", m)
+	}
+}
+
+// TestPeerAddressIsBoundOnceReleased: while an older process holds the peers' address, the successor waits for it.
+func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
+	held, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg := Config{Listen: held.LocalAddr().String()}
+	over, cancel := context.WithCancel(t.Context())
+	cancel() // nobody waits for the address
+	if _, err := New(over, cfg, discardLog); err == nil {
+		t.Error("with no handover a held address is no error")
+	}
+	cfg.AwaitAddr = true
+	p, err := New(t.Context(), cfg, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	bound := make(chan bool)
+	go func() { bound <- p.bind(ctx) }()
+	held.Close()
+	if !receive(t, "bind", bound) {
+		t.Error("not bound")
+	}
+	p.conn.Close()
+	cancel()
+	p.conn = nil
+	if p.bind(ctx) {
+		t.Error("bound after the end")
+	}
+}
--- /dev/null
+++ b/internal/agent/upstream/response.go
@@ -0,0 +1,135 @@
+package upstream
+
+// How the response of an attempt is read, buffered or streamed.
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/wire"
+)
+
+// Response is a backend's response with status 200.
+type Response struct {
+	Header http.Header
+	Body   []byte
+	Stream *Stream // the remainder, after Body; nil: Body is all of it
+}
+
+// receive reads a response whose header has arrived, and returns the connection to the pool.
+func (p *Pool) receive(att *Attempt, conn *pooledConn, body *requestBody,
+	httpResp *http.Response) (balancer.Result, *Response, balancer.Load) {
+	p.recordReuse(conn, false)
+	defer httpResp.Body.Close()
+	done := make(chan struct{})
+	defer close(done)
+	resp, err := p.readResponse(att, httpResp, done)
+	early := body != nil && httpResp.StatusCode == http.StatusOK &&
+		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
+	if err != nil || early || endsWithConnection(httpResp) && len(resp.Body) == 0 {
+		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
+	}
+	load := wire.ParseLoad(nil)
+	if text := httpResp.Header.Get("Endpoint-Load-Metrics"); text != "" && p.cfg.LoadInline {
+		load = parseLoad(text)
+	}
+	if resp.Stream != nil {
+		return p.awaitStream(att, conn, httpResp, resp), resp, load
+	}
+	httpResp.Body.Close()
+	complete := len(resp.Body) <= MaxBufferedBody
+	conn.tracked.awaitIdle(!httpResp.Close && complete)
+	conn.idleSince = time.Now()
+	p.release(att.BackendID, conn, !httpResp.Close && complete)
+	switch {
+	case httpResp.StatusCode == http.StatusOK && complete:
+		return balancer.OK, resp, load
+	case neverRan(httpResp):
+		if att.NewConn { // the backend accepts few connections: free an idle one for it
+			p.mu.Lock()
+			p.evictOldest()
+			p.mu.Unlock()
+		}
+		return balancer.Rejected, nil, load
+	}
+	return balancer.Errored, nil, load
+}
+
+// neverRan reports whether a response proves that the backend did not execute the request.
+func neverRan(httpResp *http.Response) bool {
+	return (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
+		httpResp.Header.Get("X-Never-Ran") == "1"
+}
+
+// readResponse reads a response to its end, or the first bytes of a streaming one.
+func (p *Pool) readResponse(att *Attempt, httpResp *http.Response, done <-chan struct{}) (*Response, error) {
+	resp := &Response{Header: httpResp.Header}
+	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= MaxBufferedBody
+	if small || httpResp.StatusCode != http.StatusOK || att.OnStreamStart == nil {
+		var err error
+		resp.Body, err = io.ReadAll(io.LimitReader(httpResp.Body, MaxBufferedBody+1))
+		return resp, err
+	}
+	if httpResp.ContentLength > MaxStreamBytes {
+		return nil, errTooLarge
+	}
+	buf, free := p.Buffers.Get()
+	stream := NewStream(httpResp.Body, httpResp.ContentLength, att.Cancel)
+	stream.free = free
+	if httpResp.ContentLength < 0 {
+		buffered := bufferResponse(httpResp.Body, buf, done)
+		body, more, err := buffered.readUpTo(MaxBufferedBody, bufferingTimeout)
+		if resp.Body = body; err == nil && more {
+			stream.source, resp.Stream = buffered, stream
+		} else {
+			free()
+		}
+		return resp, err
+	}
+	n, err := 0, error(nil)
+	for n == 0 && err == nil {
+		n, err = httpResp.Body.Read(buf)
+	}
+	if n == 0 {
+		free()
+		return nil, err
+	}
+	resp.Body, resp.Stream = buf[:n], stream // a read error is returned again by the next read
+	return resp, nil
+}
+
+// awaitStream hands a streaming response over and waits until it has been passed on, or can't be.
+func (p *Pool) awaitStream(att *Attempt, conn *pooledConn, httpResp *http.Response, resp *Response) balancer.Result {
+	defer resp.Stream.free()
+	att.Latency = att.Elapsed()
+	LimitKernelBuffers(conn.tracked.Conn)
+	if !att.OnStreamStart(resp, att.Latency) {
+		return p.failedResult(att, conn, nil)
+	}
+	select {
+	case <-resp.Stream.done:
+	case <-att.Shutdown:
+		resp.Stream.Finish(ErrRequestEnded)
+	}
+	if resp.Stream.err == nil {
+		conn.tracked.awaitIdle(!httpResp.Close)
+		conn.idleSince = time.Now()
+		p.release(att.BackendID, conn, !httpResp.Close)
+		return balancer.OK
+	}
+	conn.tracked.Close()
+	p.release(att.BackendID, conn, false)
+	if errors.Is(resp.Stream.err, ErrRequestEnded) {
+		return balancer.Cancelled
+	}
+	return balancer.Reset
+}
+
+// endsWithConnection reports whether only the connection's end delimits the response (RFC 9112, 6.3). Such a response
+// with an empty body can't be told from a connection that broke.
+func endsWithConnection(resp *http.Response) bool {
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+}
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -1,52 +1,50 @@
 package fleet
 
+// This file is the HTTP server on the fleet's address, which relays the endpoint list to other members.
+
 import (
 	"context"
 	"io"
 	"log"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
 	"sync"
 	"time"
-
-	"martenbeam/internal/fleet/member"
-	"martenbeam/internal/fleet/source"
 )
 
 const (
-	relayHeartbeatInterval = time.Second             // an empty line to those who follow here
-	relayMaxServiceAge     = 3500 * time.Millisecond // since the list service was last heard by who relays
-	relayTimeout           = 2500 * time.Millisecond // of a relay, after which it counts as dead
-	maxRelayAttempts       = 2                       // relays asked before the service itself is
-	maxRelayDeltas         = 64                      // changes kept for those who are a little behind
-	largeSiteMembers       = 20                      // members from which on a site has two relays
-	relayPeerWait          = time.Second             // until others can have been met: who met nobody asks for itself
+	relayHeartbeatInterval = time.Second             // between two empty lines to followers without news
+	relayMaxServiceAge     = 3500 * time.Millisecond // a relay that received nothing from the list service for so long sends no list
+	maxRelayDeltas         = 64                      // changes kept for followers that lag a little
 )
 
-// relay passes the list of backends on to other members, as discovery writes it, and policies.
+// relay serves HTTP requests of other members: for the endpoint list in the form of the list service, for documents, and what
+// Config.HTTPHandler serves. It relays only lists that this process received from the list service itself, never from
+// another relay, so that each list is at most one step away from the service.
 type relay struct {
 	fleet  *Fleet
 	server *http.Server
-	conns  chan net.Conn
+	conns  chan net.Conn // from serveConn to the server
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu                sync.Mutex
+	mu                sync.Mutex // protects all below
 	version           int64
-	fullList          []byte          // the list, full; nil: none came from the service itself
-	deltas            map[int64]delta // by the version that they start from
-	deltaOrder        []int64
-	serviceReceivedAt time.Time // when the service was last heard, directly
-	changed           chan struct{}
+	fullList          []byte          // JSON of the list at version; nil: none was received from the list service
+	deltas            map[int64]delta // changes by the version that they start from
+	deltaOrder        []int64         // the keys of deltas, oldest first
+	serviceReceivedAt time.Time       // when anything was last received from the list service
+	changed           chan struct{}   // closed and replaced with each update
 }
 
+// delta is a change of the list.
 type delta struct {
-	to   int64
-	line []byte
+	to   int64  // the version that it leads to
+	line []byte // JSON
 }
 
+// newRelay returns a relay without a list.
 func newRelay(fleet *Fleet) *relay {
 	r := &relay{fleet: fleet, conns: make(chan net.Conn), deltas: map[int64]delta{}, changed: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -54,7 +52,7 @@
 	return r
 }
 
-// serveConn takes a connection of the fleet that is an HTTP call.
+// serveConn hands a connection with an HTTP request to the server. It waits until the server takes it or has ended.
 func (r *relay) serveConn(c net.Conn) {
 	select {
 	case r.conns <- c:
@@ -63,8 +61,10 @@
 	}
 }
 
+// connListener is the listener of the server: its connections come from serveConn.
 type connListener struct{ *relay }
 
+// Accept returns the next connection.
 func (l connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -73,24 +73,29 @@
 		return nil, net.ErrClosed
 	}
 }
-func (h connListener) Close() error   { return nil }
-func (h connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
+// Close does nothing: the member list owns the socket.
+func (l connListener) Close() error { return nil }
+
+// Addr returns no address; the server only logs it.
+func (l connListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// run serves until ctx ends.
 func (r *relay) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { r.cancel(); r.server.Close() })
 	defer stop()
-	_ = r.server.Serve(connListener{r}) // ends with ctx
+	_ = r.server.Serve(connListener{r}) // returns an error when it is closed, as it is when ctx ends
 }
 
-// recordLiveness takes that the list service itself was heard. Lists that came by a relay are not passed on: every list here is
-// one step from the service.
+// recordLiveness records that something was received from the list service itself.
 func (r *relay) recordLiveness() {
 	r.mu.Lock()
 	r.serviceReceivedAt = time.Now()
 	r.mu.Unlock()
 }
 
-// recordUpdate takes a message of the service: what changed from a version on, and the list as it stands now.
+// recordUpdate takes an update from the list service: the change between two versions, nil if all was sent, and the full list
+// at the later one. It wakes all followers.
 func (r *relay) recordUpdate(from, to int64, change, fullList []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +112,9 @@
 	r.changed = make(chan struct{})
 }
 
-// changesSince is what to write to one who has a version: nil: nothing new.
+// changesSince returns the lines that lead a follower from its version to the latest one: the changes between or, if these are
+// not all kept, the full list; nil if it has the latest version. fresh reports whether the list service is being received
+// here. changed is closed with the next update.
 func (r *relay) changesSince(version int64) (lines [][]byte, to int64, fresh bool, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,19 +132,28 @@
 	return lines, r.version, fresh, r.changed
 }
 
+// listPath is the path of the endpoint list, as at the list service.
+const listPath = "/catalog/members"
+
+// ServeHTTP serves documents, the endpoint list and Config.HTTPHandler.
 func (r *relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	if r.fleet.serveDocument(w, req) {
-		return
-	}
-	if req.URL.Path != "/catalog/members" {
+	switch {
+	case r.fleet.serveDocument(w, req):
+	case req.URL.Path == listPath:
+		r.serveList(w, req)
+	default:
 		r.fleet.cfg.HTTPHandler.ServeHTTP(w, req)
-		return
 	}
-	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // absent or odd: the whole list
+}
+
+// serveList sends the list and its changes to a follower until the follower disconnects, or nothing was received from the list
+// service for relayMaxServiceAge. A follower that has got nothing by then gets the status 503.
+func (r *relay) serveList(w http.ResponseWriter, req *http.Request) {
+	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // if it is absent or malformed the full list is sent
 	arrivedAt, first := time.Now(), true
 	for {
 		lines, to, fresh, changed := r.changesSince(version)
-		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // who waits here had better ask elsewhere
+		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // the follower had better ask another source
 			if first {
 				http.Error(w, "the list service is not heard here", http.StatusServiceUnavailable)
 			}
@@ -146,15 +162,7 @@
 		if fresh || !first {
 			first = false
 			version = to
-			if len(lines) == 0 {
-				lines = [][]byte{nil}
-			}
-			for _, line := range lines {
-				if _, err := w.Write(append(line[:len(line):len(line)], '\n')); err != nil {
-					return
-				}
-			}
-			if http.NewResponseController(w).Flush() != nil {
+			if writeLines(w, lines) != nil {
 				return
 			}
 		}
@@ -170,93 +178,15 @@
 	}
 }
 
-// relayMembers are the members of this site that ask the service for the others, the same at every member that sees the same.
-func (f *Fleet) relayMembers() (list []member.Member) {
-	site := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()), func(m member.Member) bool { return m.Hub })
-	subject := "relay " + f.cfg.Site
-	for range relayCount(len(site)) {
-		best := -1
-		for i, m := range site {
-			if best < 0 || member.RendezvousScore(subject, m.Name) < member.RendezvousScore(subject, site[best].Name) {
-				best = i
-			}
-		}
-		list = append(list, site[best])
-		site = append(site[:best], site[best+1:]...)
+// writeLines sends lines to a follower, or an empty line as a heartbeat if there are none.
+func writeLines(w http.ResponseWriter, lines [][]byte) error {
+	if len(lines) == 0 {
+		lines = [][]byte{nil}
 	}
-	return list
-}
-
-// Next waits until the list may be asked for, and says where: of a relay first, where lists are relayed and this process
-// is none itself, and of the service in this process's turn. fails counts openings that came to nothing. It reports false
-// once ctx ends.
-func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
-	countStarting := f.startingAgents
-	if f.cfg.RelayedLists {
-		for f.members.PeersMet() == 0 && time.Since(f.startedAt) < relayPeerWait {
-			select {
-			case <-ctx.Done():
-				return source.Source{}, false
-			case <-time.After(20 * time.Millisecond):
-			}
-		}
-		list, isRelay := f.relayMembers(), false
-		for _, m := range list {
-			isRelay = isRelay || m.Name == f.cfg.Name
-		}
-		if turn := failures % (maxRelayAttempts + 1); !isRelay && turn < maxRelayAttempts && len(list) > 0 {
-			m := list[turn%len(list)]
-			return source.Source{Addr: m.Addr.String(), SilenceTimeout: relayTimeout, Relayed: true}, true
-		}
-		if isRelay {
-			countStarting = f.startingRelays
+	for _, line := range lines {
+		if _, err := w.Write(append(line[:len(line):len(line)], '\n')); err != nil {
+			return err
 		}
 	}
-	return source.Source{}, f.pacer.AwaitTurn(ctx, countStarting)
+	return http.NewResponseController(w).Flush()
 }
-
-// startingRelays counts those who ask the service for their sites: the others wait for them, and not in turn.
-func (f *Fleet) startingRelays() (n int) {
-	for _, members := range f.members.View().Sites() {
-		n += relayCount(members.Len())
-	}
-	return max(1, n)
-}
-
-// relayCount is how many relays a site of so many members has.
-func relayCount(members int) int {
-	if members >= largeSiteMembers {
-		return 2
-	}
-	return min(1, members)
-}
-
-// RecordAttempt takes how an opening went: after how long the first word came, or that none did, and from which version on.
-func (f *Fleet) RecordAttempt(s source.Source, waited time.Duration, failed bool, version int64) {
-	if !s.Relayed {
-		f.pacer.RecordAttempt(waited, failed, version)
-	}
-}
-
-// Dial opens a connection to another member.
-func (f *Fleet) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return f.members.Dial(ctx, network, addr)
-}
-
-// RecordLiveness takes a sign of life of a source.
-func (f *Fleet) RecordLiveness(s source.Source) {
-	if !s.Relayed {
-		f.relay.recordLiveness()
-	}
-}
-
-// RecordUpdate takes a message of a source; see relay.listed.
-func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, whole []byte) {
-	if !s.Relayed {
-		f.relay.recordUpdate(from, to, change, whole)
-	}
-	f.Ready()
-}
-
-// Lagging reports whether others have told of a later version of the list than the one known here.
-func (f *Fleet) Lagging(version int64) bool { return f.pacer.LatestVersion() > version }
--- /dev/null
+++ b/internal/scale/overhead/window.go
@@ -0,0 +1,191 @@
+package overhead
+
+// Running agents: all workloads of a window at once, and agents without calls.
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+)
+
+// Window is a span in which several agents are called at once, each by its workload.
+type Window struct {
+	Name           string        // names the table that its rows belong to
+	WarmUp, Length time.Duration // calls within WarmUp are not counted; Length follows it
+	Workloads      []Workload
+}
+
+// Bench is what all windows share. Its methods must not be called at once, but for Idle beside Run.
+type Bench struct {
+	Dir      string   // for the agents' configuration files
+	Command  []string // starts an agent; the path of its configuration file is added as the last argument
+	Env      []string // added to the environment of agents
+	Backends *Backends
+	Seed     uint64 // of the times of calls
+}
+
+// startAgent starts an agent and its list service.
+func (b *Bench) startAgent(ctx context.Context, workload Workload) (*agentRun, error) {
+	listService, err := NewListService(b.Backends.Addrs[:workload.ListSize])
+	if err != nil {
+		return nil, err
+	}
+	process, err := StartAgent(ctx, b.Dir, AgentConfig(listService.Addr, workload.Tick), b.Env, b.Command...)
+	if err != nil {
+		listService.Close()
+		return nil, err
+	}
+	return &agentRun{workload: workload, process: process, listService: listService, client: newClient()}, nil
+}
+
+// stop stops the agent and its list service, and fails if the agent did.
+func (a *agentRun) stop() error {
+	a.client.CloseIdleConnections()
+	err := a.process.Stop()
+	a.listService.Close()
+	return err
+}
+
+// startAgents starts an agent for each workload, all at once. Beside an error it returns those that did start, for the
+// caller to stop.
+func (b *Bench) startAgents(ctx context.Context, workloads []Workload) (agents []*agentRun, err error) {
+	agents, errs := make([]*agentRun, len(workloads)), make([]error, len(workloads))
+	var starts sync.WaitGroup
+	for i, workload := range workloads {
+		starts.Go(func() { agents[i], errs[i] = b.startAgent(ctx, workload) })
+	}
+	starts.Wait()
+	return slices.DeleteFunc(agents, func(a *agentRun) bool { return a == nil }), errors.Join(errs...)
+}
+
+// stopAgents stops agents, all at once, and returns all their errors.
+func stopAgents(agents []*agentRun) error {
+	errs := make([]error, len(agents))
+	var stops sync.WaitGroup
+	for i, agent := range agents {
+		stops.Go(func() { errs[i] = agent.stop() })
+	}
+	stops.Wait()
+	return errors.Join(errs...)
+}
+
+// Run runs a window and returns a row for each workload, in their order.
+func (b *Bench) Run(ctx context.Context, window Window) (rows []Row, err error) {
+	agents, err := b.startAgents(ctx, window.perAgent())
+	defer func() { err = errors.Join(err, stopAgents(agents)) }()
+	if err != nil {
+		return nil, err
+	}
+	direct := newClient()
+	defer direct.CloseIdleConnections()
+	if err := connectAll(direct, b.Backends.Addrs[:window.maxListSize()]); err != nil {
+		return nil, err
+	}
+	changing, stopChanging := context.WithCancel(ctx)
+	defer stopChanging()
+	var changers sync.WaitGroup
+	for _, agent := range agents {
+		if agent.workload.ListChanges != "" {
+			changers.Go(func() { agent.changeListEachSecond(changing) })
+		}
+		if agent.usageBefore, err = agent.process.Usage(); err != nil {
+			return nil, err
+		}
+	}
+	startedAt := sinceBase()
+	drive(agents, direct, b.Backends.Addrs, rand.New(rand.NewPCG(b.Seed, 0)), window.WarmUp, window.Length)
+	took := sinceBase() - startedAt
+	stopChanging()
+	changers.Wait()
+	for _, agent := range agents {
+		if agent.usageAfter, err = agent.process.Usage(); err != nil {
+			return nil, err
+		}
+	}
+	for remaining := agents; len(remaining) > 0; { // the agents of one workload each time
+		n := max(1, remaining[0].workload.Agents)
+		rows = append(rows, newRow(window.Name, remaining[:n], took))
+		remaining = remaining[n:]
+	}
+	return rows, nil
+}
+
+// perAgent returns the workload of each agent of the window.
+func (w *Window) perAgent() (workloads []Workload) {
+	for _, workload := range w.Workloads {
+		for range max(1, workload.Agents) {
+			workloads = append(workloads, workload)
+		}
+	}
+	return workloads
+}
+
+// maxListSize returns the size of the window's longest endpoint list.
+func (w *Window) maxListSize() (size int) {
+	for _, workload := range w.Workloads {
+		size = max(size, workload.ListSize)
+	}
+	return size
+}
+
+// connectAll calls each backend once, and so opens a connection to it, which the client keeps. The address with index i
+// has to be that of backend i.
+func connectAll(client *http.Client, addrs []string) error {
+	for i, addr := range addrs {
+		_, got, err := call(client, addr, sinceBase())
+		if err != nil {
+			return fmt.Errorf("calling backend %d at %s: %w", i, addr, err)
+		}
+		if got != i {
+			return fmt.Errorf("backend %d answers at the address of backend %d, %s", got, i, addr)
+		}
+	}
+	return nil
+}
+
+// Idle measures agents without calls, all at once, one with a list of each size. It waits for settle before it measures
+// for length. The rows are in the order of sizes.
+func (b *Bench) Idle(ctx context.Context, sizes []int, settle, length time.Duration) (rows []IdleRow, err error) {
+	var workloads []Workload
+	for _, n := range sizes {
+		workloads = append(workloads, Workload{ListSize: n, Tick: defaultTick})
+	}
+	agents, err := b.startAgents(ctx, workloads)
+	defer func() { err = errors.Join(err, stopAgents(agents)) }()
+	if err != nil {
+		return nil, err
+	}
+	usageAfter := func(after time.Duration) (list []Usage, err error) {
+		select {
+		case <-time.After(after):
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+		for _, agent := range agents {
+			usage, err := agent.process.Usage()
+			if err != nil {
+				return nil, err
+			}
+			list = append(list, usage)
+		}
+		return list, nil
+	}
+	before, err := usageAfter(settle)
+	if err != nil {
+		return nil, err
+	}
+	after, err := usageAfter(length)
+	if err != nil {
+		return nil, err
+	}
+	for i, n := range sizes {
+		rows = append(rows, IdleRow{ListSize: n, ResidentMB: after[i].ResidentMB,
+			CPUMillisPerSecond: (after[i].CPU - before[i].CPU).Seconds() * 1e3 / length.Seconds()})
+	}
+	return rows, nil
+}
--- /dev/null
+++ b/internal/scale/quota_test.go
@@ -0,0 +1,100 @@
+package scale
+
+// The sum of all agents' quotas, which must never exceed the limit by much.
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"martenbeam/internal/scale/simagent"
+)
+
+// quotaWatch samples how much of the in-flight limit all running agents use together.
+type quotaWatch struct {
+	end    chan struct{}
+	done   sync.WaitGroup
+	maxSum float64
+}
+
+const (
+	sumInterval = 50 * time.Millisecond
+	maxQuotaSum = 1.1 // of the limit: what agents may exceed it by while quotas change
+)
+
+// quotaHolder is an agent, or a fake one, that has a quota.
+type quotaHolder interface{ Quota() float64 }
+
+// sumQuotas returns the sum of all quotas.
+func sumQuotas[U quotaHolder](list []U) (all float64) {
+	for _, u := range list {
+		all += u.Quota()
+	}
+	return all
+}
+
+// watchQuotas starts a quotaWatch, which ends with stop.
+func (f *testFleet) watchQuotas() *quotaWatch {
+	w := &quotaWatch{end: make(chan struct{})}
+	w.done.Go(func() {
+		tick := time.NewTicker(sumInterval)
+		defer tick.Stop()
+		for {
+			select {
+			case <-tick.C:
+			case <-w.end:
+				return
+			}
+			w.maxSum = max(w.maxSum, sumQuotas(f.present()))
+		}
+	})
+	return w
+}
+
+// present returns the agents that were started, of each number the latest.
+func (f *testFleet) present() (list []*simagent.Agent) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, a := range f.agents {
+		if a != nil {
+			list = append(list, a)
+		}
+	}
+	return list
+}
+
+// stop ends the sampling, and fails the test if the sum was ever too large.
+func (w *quotaWatch) stop(t testing.TB) {
+	t.Helper()
+	close(w.end)
+	w.done.Wait()
+	t.Logf("largest sum of the quotas: %.3f of the limit", w.maxSum)
+	if w.maxSum > maxQuotaSum {
+		t.Errorf("the sum of the quotas came to %.3f of the limit", w.maxSum)
+	}
+}
+
+// fakeQuotaHolder is an agent that uses its quota several times.
+type fakeQuotaHolder struct {
+	quota float64
+	times int
+}
+
+func (g fakeQuotaHolder) Quota() float64 { return g.quota * float64(g.times) }
+
+// The check of the quotas' sum finds an agent that uses its quota twice.
+func TestQuotaSumFindsAnAgentThatCountsTwice(t *testing.T) {
+	fair := fakeQuotaHolder{0.2, 1}
+	for _, c := range []struct {
+		list []fakeQuotaHolder
+		bad  bool
+	}{
+		{[]fakeQuotaHolder{fair, fair, fair, fair, fair}, false},
+		{[]fakeQuotaHolder{fair, fair, fair, fair, {0.2, 2}}, true},
+		{nil, false},
+	} {
+		if got := sumQuotas(c.list); got > maxQuotaSum != c.bad {
+			t.Errorf("%v: %v", c.list, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scale/simagent/wire.go
@@ -0,0 +1,155 @@
+package simagent
+
+// A simulated agent's side of the network: its datagrams, and the opening of its streams.
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"martenbeam/internal/fleet/member"
+)
+
+// wire is one agent's access to the network. It counts all traffic, and applies the network's faults and the agent's own
+// pause and kill.
+type wire struct {
+	net  *Network
+	zone string
+
+	in, out        [numTrafficKinds]counter
+	fromRealAgents counter
+
+	dead   atomic.Bool // the agent was killed or has stopped
+	paused atomic.Bool
+	mu     sync.Mutex
+	gate   chan struct{} // of the latest pause; closed when it ends
+}
+
+var _ member.Wire = (*wire)(nil)
+
+func (w *wire) pause() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.paused.Load() {
+		w.gate = make(chan struct{})
+		w.paused.Store(true)
+	}
+}
+
+func (w *wire) resume() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.paused.Swap(false) {
+		close(w.gate)
+	}
+}
+
+func (w *wire) kill() { w.dead.Store(true) }
+
+// waitWhilePaused blocks while the agent is paused, or until done is closed; done may be nil.
+func (w *wire) waitWhilePaused(done <-chan struct{}) {
+	for w.paused.Load() {
+		w.mu.Lock()
+		gate := w.gate
+		w.mu.Unlock()
+		select {
+		case <-gate:
+		case <-done:
+			return
+		}
+	}
+}
+
+func (w *wire) count(kind TrafficKind, size int, out bool) {
+	c := &w.in[kind]
+	if out {
+		c = &w.out[kind]
+	}
+	c.add(size)
+}
+
+func (w *wire) traffic() (t Traffic) {
+	for kind := range numTrafficKinds {
+		t.In[kind], t.Out[kind] = w.in[kind].snapshot(), w.out[kind].snapshot()
+	}
+	t.FromRealAgents = w.fromRealAgents.snapshot()
+	return t
+}
+
+// Packet implements member.Wire: it counts a datagram and reports whether it passes. Losses and partitions apply on the
+// sender's side only, so that a datagram which has been sent arrives.
+func (w *wire) Packet(data []byte, peer netip.AddrPort, out bool) bool {
+	w.waitWhilePaused(nil)
+	if w.dead.Load() {
+		return false
+	}
+	if !out && w.net.zoneOf(peer) == "" {
+		w.fromRealAgents.add(len(data))
+	}
+	if data[0] == member.ProbeByte {
+		w.count(Latencies, len(data), out)
+	} else {
+		gossip := gossipBytes(data)
+		if rest := len(data) - gossip; rest > 0 {
+			w.count(Membership, rest, out)
+		}
+		if gossip > 0 {
+			w.count(Gossip, gossip, out)
+		}
+	}
+	return !out || !w.net.partitioned(w.zone, w.net.zoneOf(peer)) && !w.net.drops()
+}
+
+var errKilled = errors.New("the agent was killed")
+
+// faultPollInterval is how often a blocked operation checks whether its fault has ended.
+const faultPollInterval = 10 * time.Millisecond
+
+// Dial implements member.Wire: it opens a counted stream, once the agent is not paused and its zone not isolated.
+func (w *wire) Dial(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
+	zone := ""
+	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
+		zone = w.net.zoneOf(addrPort)
+	}
+	if dialer.Timeout > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, dialer.Timeout)
+		defer cancel()
+	}
+	w.waitWhilePaused(ctx.Done())
+	for w.net.partitioned(w.zone, zone) {
+		select {
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		case <-time.After(faultPollInterval):
+		}
+	}
+	if w.dead.Load() {
+		return nil, errKilled
+	}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	return w.wrap(conn, zone), nil
+}
+
+// dialService opens a stream to the list service, which is in no zone: an isolated zone doesn't reach it.
+func (w *wire) dialService(ctx context.Context, _, addr string) (net.Conn, error) {
+	return w.Dial(ctx, &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, addr)
+}
+
+// Accepted implements member.Wire: it wraps a stream that another agent opened. That a zone is isolated takes effect at
+// the side that dialled, so this side counts as of the same zone.
+func (w *wire) Accepted(conn net.Conn) net.Conn { return w.wrap(conn, w.zone) }
+
+// wrap returns conn as a counted stream to a peer in a zone.
+func (w *wire) wrap(conn net.Conn, zone string) net.Conn {
+	wrapped := &stream{Conn: conn, wire: w, zone: zone, closed: make(chan struct{})}
+	wrapped.kind.Store(-1)
+	return wrapped
+}
