--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -112,7 +112,7 @@
 			defer printing.Unlock()
 			a, b := pairs[i].A, pairs[i].B
 			fmt.Fprintf(o.stdout, "seed %-3d  served in aim  a %.4f (%s)  b %.4f (%s)   worst 10 s  a %.4f  b %.4f\n", seed,
-				a.ServedInAim, a.Verdict, b.ServedInAim, b.Verdict, a.Worst10s, b.Worst10s)
+				a.ServedInObjective, a.Verdict, b.ServedInObjective, b.Verdict, a.Worst10s, b.Worst10s)
 		})
 	}
 	running.Wait()
--- a/cmd/martenbeam/fleetflags.go
+++ b/cmd/martenbeam/fleetflags.go
@@ -110,7 +110,7 @@
 	defer remove()
 	options.Events = events
 	if progress {
-		options.Second = newProgressTable(o.stdout, false).update
+		options.OnSecond = newProgressTable(o.stdout, false).update
 	}
 	fleet, err := lab.New(options)
 	if err != nil {
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -83,7 +83,7 @@
 // A run that violates only a rule on shared state ends with exit code 3 and names it.
 func TestViolationOfSharedStateIsReported(t *testing.T) {
 	var out, errs bytes.Buffer
-	r := &lab.Report{Verdict: lab.Broken, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
+	r := &lab.Report{Verdict: lab.Violated, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
 	if err := verdictError(&output{&out, &errs}, r); err != exitCodeError(exitViolated) ||
 		!strings.Contains(errs.String(), r.Rules.Shared) {
 		t.Errorf("%v: %s", err, errs.String())
--- a/cmd/martenbeam/progress.go
+++ b/cmd/martenbeam/progress.go
@@ -56,8 +56,8 @@
 	n := float64(window.Offered)
 	return fmt.Sprintf("%5.0fs  %6d %8d  %9d  %5.1f%%  %6.1f%%  %5.1f%%  %3.0f ms %4.0f ms  %10.2f  %3.0f%%  %6d  %s",
 		view.At.Seconds(), view.Agents, view.Backends, window.Offered, 100*ratio(window.WeightInObjective, window.Weight),
-		100*ratio(float64(window.Refused), n), 100*ratio(float64(window.Failed+window.Lost), n), window.P50, window.P99,
-		ratio(float64(window.Attempts), n), 100*window.Used, view.Broken, strings.Join(view.Faults, ", "))
+		100*ratio(float64(window.Rejected), n), 100*ratio(float64(window.Failed+window.Lost), n), window.P50, window.P99,
+		ratio(float64(window.Attempts), n), 100*window.Used, view.Violations, strings.Join(view.Faults, ", "))
 }
 
 // update shows the state of a run. The lab calls it each second.
@@ -74,7 +74,7 @@
 	}
 	text := progressHeading + "\n" + progressRow(view) + "\n\n  zone                 agents  backends  requests held\n"
 	for _, zone := range view.Zones {
-		text += fmt.Sprintf("  %-20s %6d  %8d  %13d\n", zone.Name, zone.Agents, zone.Backends, zone.Held)
+		text += fmt.Sprintf("  %-20s %6d  %8d  %13d\n", zone.Name, zone.Agents, zone.Backends, zone.Requests)
 	}
 	text += "  requests are those of 3 s before: most have ended by then\n"
 	if t.drawnLines > 0 {
--- a/cmd/martenbeam/report.go
+++ b/cmd/martenbeam/report.go
@@ -14,17 +14,17 @@
 // verdictError prints why a run did not pass, and returns the error with its exit code; nil: it passed.
 func verdictError(o *output, report *lab.Report) error {
 	switch report.Verdict {
-	case lab.Void:
+	case lab.Inconclusive:
 		fmt.Fprintf(o.stderr, "void: the lab itself was late, 99th percentile %.1f ms: too little processor time here; no verdict\n",
-			report.Late.P99)
+			report.LabLateness.P99)
 		return exitCodeError(exitInconclusive)
 	case lab.Crashed:
 		fmt.Fprintln(o.stderr, "crashed:", report.Crash)
 		return exitCodeError(exitCrashed)
-	case lab.Broken:
+	case lab.Violated:
 		if violation := report.Rules.First; violation != nil {
 			fmt.Fprintf(o.stderr, "broken %d times, first at %.3f s: %s: %s\n",
-				report.Rules.Broken, violation.At.Seconds(), violation.Rule, violation.Text)
+				report.Rules.Violations, violation.At.Seconds(), violation.Rule, violation.Text)
 		}
 		if report.Rules.Shared != "" {
 			fmt.Fprintln(o.stderr, "broken:", report.Rules.Shared)
@@ -52,12 +52,12 @@
 // printReport prints a report for people to read.
 func printReport(w io.Writer, report *lab.Report) {
 	fmt.Fprintf(w, "\n%s, seed %d: %d agents, %d backends, %d requests in %.0f s (the first %.0f s don't count)\n",
-		report.Scenario, report.Seed, report.Agents, report.Backends, report.Offered, report.For, report.Settle)
+		report.Scenario, report.Seed, report.Agents, report.Backends, report.Offered, report.DurationSeconds, report.WarmUpSeconds)
 	fmt.Fprintf(w, "  served in aim   %6.2f%% of the worth; worst 10 s %.2f%% from %d s\n",
-		100*report.ServedInAim, 100*report.Worst10s, report.Worst10sAt)
+		100*report.ServedInObjective, 100*report.Worst10s, report.Worst10sAt)
 	fmt.Fprintf(w, "  refused %.2f%%, failed %.2f%%, lost %d; %.3f attempts a request, %.1f%% of them to another zone\n",
-		100*report.Refused, 100*report.Failed, report.Lost, report.Attempts, 100*report.CrossZone)
-	switch failOver := report.LeftAfter; {
+		100*report.Rejected, 100*report.Failed, report.Lost, report.Attempts, 100*report.CrossZone)
+	switch failOver := report.AvoidedAfter; {
 	case failOver == nil:
 	case *failOver < 0:
 		fmt.Fprintln(w, "  zones out of reach were sent 1% or more of first attempts until the end")
@@ -74,9 +74,9 @@
 	}
 	if shared := report.Shared; shared != nil && shared.Settings != nil {
 		fmt.Fprintf(w, "  settings: %d given, at the last agent after %.1f s (%.1f s in reach of a hub); behind at the end: %d\n",
-			shared.Settings.Given, shared.Settings.After, shared.Settings.Reach, shared.Settings.Behind)
+			shared.Settings.Published, shared.Settings.SpreadTime, shared.Settings.UnservedTime, shared.Settings.Lagging)
 	}
 	fmt.Fprintf(w, "  lab late by p50 %.2f ms, p99 %.2f ms; cold backends pushed over: %d\n",
-		report.Late.P50, report.Late.P99, report.FallOvers)
+		report.LabLateness.P50, report.LabLateness.P99, report.OverloadedBackends)
 	fmt.Fprintf(w, "  rules: %s\n", report.Verdict)
 }
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -41,8 +41,8 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	table := newProgressTable(o.stdout, isTerminal(o.stdout))
-	options.Visitors, options.Second = true, table.update
-	options.Ready = func(fleet *lab.Lab) { table.header(c.greeting(len(spec.Fleet.Zones), fleet.Addr(0))) }
+	options.AcceptUnknown, options.OnSecond = true, table.update
+	options.OnReady = func(fleet *lab.Lab) { table.header(c.greeting(len(spec.Fleet.Zones), fleet.Addr(0))) }
 	fleet, err := lab.New(options)
 	if err != nil {
 		return usageError{err}
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -23,7 +23,7 @@
 	if lab.Schema != 1 {
 		t.Errorf("schema %d", lab.Schema)
 	}
-	equal(t, "verdicts", []string{lab.Kept, lab.Broken, lab.Crashed, lab.Void}, []string{"kept", "broken", "crashed", "void"})
+	equal(t, "verdicts", []string{lab.Passed, lab.Violated, lab.Crashed, lab.Inconclusive}, []string{"kept", "broken", "crashed", "void"})
 	var measures []string
 	for _, m := range lab.Measures {
 		measures = append(measures, m.Name)
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -153,7 +153,7 @@
 			tally.CountAttempt(o.IntendedAt, i%2 == 0)
 		}
 	}
-	if sum := tally.Total(); sum.Offered != 180 || sum.WeightInObjective != 130 || sum.Refused != 50 {
+	if sum := tally.Total(); sum.Offered != 180 || sum.WeightInObjective != 130 || sum.Rejected != 50 {
 		t.Errorf("sum %+v", sum)
 	}
 	if share, from := tally.Worst(10); share != 0.5 || from != 3 {
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -26,7 +26,7 @@
 type Window struct {
 	Offered           int     `json:"offered"`
 	Served            int     `json:"served"`
-	Refused           int     `json:"refused"`
+	Rejected          int     `json:"refused"`
 	Failed            int     `json:"failed"`
 	Lost              int     `json:"lost"`
 	Weight            float64 `json:"worth"`
@@ -138,7 +138,7 @@
 		window.Served++
 		window.latency = append(window.latency, outcome.FinishedAt-outcome.IntendedAt)
 	case Rejected:
-		window.Refused++
+		window.Rejected++
 	case Failed, Unreachable, Disconnected:
 		window.Failed++
 	default:
@@ -199,7 +199,7 @@
 func (s *Window) add(w Window) {
 	s.Offered += w.Offered
 	s.Served += w.Served
-	s.Refused += w.Refused
+	s.Rejected += w.Rejected
 	s.Failed += w.Failed
 	s.Lost += w.Lost
 	s.Weight += w.Weight
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -9,22 +9,22 @@
 
 // Measure is a figure of a report by which two versions are compared.
 type Measure struct {
-	Name string
-	Of   func(*Report) float64
-	More bool // more is better
+	Name           string
+	Value          func(*Report) float64
+	HigherIsBetter bool // more is better
 }
 
 // Measures lists the figures that are compared, in the order of the output.
 var Measures = []Measure{
-	{"served_in_aim", func(r *Report) float64 { return r.ServedInAim }, true},
+	{"served_in_aim", func(r *Report) float64 { return r.ServedInObjective }, true},
 	{"worst_10s", func(r *Report) float64 { return r.Worst10s }, true},
-	{"refused", func(r *Report) float64 { return r.Refused }, false},
+	{"refused", func(r *Report) float64 { return r.Rejected }, false},
 	{"failed", func(r *Report) float64 { return r.Failed }, false},
 	{"attempts_per_request", func(r *Report) float64 { return r.Attempts }, false},
 	{"left_after_s", avoidedAfterFigure, false},
 	{"cross_zone_share", func(r *Report) float64 { return r.CrossZone }, false},
 	{"recovered_after_s", recoveryFigure, false},
-	{"connections_worst_s", func(r *Report) float64 { return float64(r.Dials) }, false},
+	{"connections_worst_s", func(r *Report) float64 { return float64(r.MaxDialsPerSecond) }, false},
 	{"list_calls_per_start", listCallsFigure, false},
 	{"latency_p50_ms", func(r *Report) float64 { return r.Latency.P50 }, false},
 	{"latency_p99_ms", func(r *Report) float64 { return r.Latency.P99 }, false},
@@ -34,23 +34,23 @@
 // were.
 func avoidedAfterFigure(r *Report) float64 {
 	switch {
-	case r.LeftAfter == nil:
+	case r.AvoidedAfter == nil:
 		return 0
-	case *r.LeftAfter < 0:
-		return r.For
+	case *r.AvoidedAfter < 0:
+		return r.DurationSeconds
 	}
-	return *r.LeftAfter
+	return *r.AvoidedAfter
 }
 
 // recoveryFigure returns the seconds until service had recovered: 0 if it never degraded, the whole run if it did not recover.
 func recoveryFigure(r *Report) float64 {
 	switch {
-	case r.Recovered == nil:
+	case r.RecoveryTime == nil:
 		return 0
-	case *r.Recovered < 0:
-		return r.For
+	case *r.RecoveryTime < 0:
+		return r.DurationSeconds
 	}
-	return *r.Recovered
+	return *r.RecoveryTime
 }
 
 // listCallsFigure returns the calls at the list service for each start of an agent.
@@ -69,7 +69,7 @@
 }
 
 // Counts reports whether both runs are conclusive.
-func (p Pair) Counts() bool { return p.A.Verdict != Void && p.B.Verdict != Void }
+func (p Pair) Counts() bool { return p.A.Verdict != Inconclusive && p.B.Verdict != Inconclusive }
 
 // Difference is the difference of B and A in one measure, over pairs of the same seed.
 type Difference struct {
@@ -91,7 +91,7 @@
 		d := Difference{Measure: m.Name}
 		for _, p := range pairs {
 			if p.Counts() {
-				a, b := m.Of(p.A), m.Of(p.B)
+				a, b := m.Value(p.A), m.Value(p.B)
 				d.A, d.B, d.Each = d.A+a, d.B+b, append(d.Each, b-a)
 			}
 		}
@@ -104,7 +104,7 @@
 		switch {
 		case d.Low <= 0 && d.High >= 0:
 			d.Verdict = "no difference seen"
-		case d.Mean > 0 == m.More:
+		case d.Mean > 0 == m.HigherIsBetter:
 			d.Verdict = "better"
 		default:
 			d.Verdict = "worse"
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -7,7 +7,7 @@
 
 func reports(values ...float64) (list []*Report) {
 	for _, v := range values {
-		list = append(list, &Report{Verdict: Kept, ServedInAim: v})
+		list = append(list, &Report{Verdict: Passed, ServedInObjective: v})
 	}
 	return list
 }
@@ -31,7 +31,7 @@
 		b := reports(c.b...)
 		for i, a := range reports(c.a...) {
 			if i == c.void {
-				b[i].Verdict = Void
+				b[i].Verdict = Inconclusive
 			}
 			pairs = append(pairs, Pair{A: a, B: b[i]})
 		}
@@ -43,7 +43,7 @@
 	if low, high := bootstrap([]float64{1}); !math.IsInf(low, -1) || !math.IsInf(high, 1) {
 		t.Error("one value bounds nothing")
 	}
-	if got := Compare([]Pair{{A: &Report{Verdict: Void}, B: &Report{}}}); got != nil {
+	if got := Compare([]Pair{{A: &Report{Verdict: Inconclusive}, B: &Report{}}}); got != nil {
 		t.Errorf("nothing counts, and yet %+v", got)
 	}
 }
--- a/internal/lab/hubs_test.go
+++ b/internal/lab/hubs_test.go
@@ -23,8 +23,8 @@
 			s.Faults = s.Faults[:1]
 			s.Faults[0].Targets, s.Faults[0].Restart = "hubs", "never"
 		})
-		if r.Shared.Used["gone"] > 0 && r.Shared.Parts > 1.0001 {
-			t.Errorf("parts sum up to %v, and nobody started", r.Shared.Parts)
+		if r.Shared.Used["gone"] > 0 && r.Shared.MaxQuotaSum > 1.0001 {
+			t.Errorf("parts sum up to %v, and nobody started", r.Shared.MaxQuotaSum)
 		}
 	})
 	t.Run("lists and a policy", func(t *testing.T) {
@@ -56,14 +56,14 @@
 	}
 	o.Scenario = s
 	r := runScenario(t, o)
-	if r.Verdict != Kept {
+	if r.Verdict != Passed {
 		t.Fatalf("%s: %+v %s %s; shared %+v, settings %+v", r.Verdict, r.Rules.First, r.Rules.Shared, r.Crash, r.Shared, r.Shared.Settings)
 	}
-	if x := r.Shared.Settings; x.Behind > 0 {
+	if x := r.Shared.Settings; x.Lagging > 0 {
 		t.Errorf("settings: %+v", x)
 	}
-	if r.ServedInAim == 0 || r.Shared.Used["census"] == 0 || r.Shared.Used["settings"] == 0 || r.Shared.Used["distance"] == 0 || r.Hubs.Hubs != 3 {
-		t.Errorf("served %v, used %v, %+v", r.ServedInAim, r.Shared.Used, r.Hubs)
+	if r.ServedInObjective == 0 || r.Shared.Used["census"] == 0 || r.Shared.Used["settings"] == 0 || r.Shared.Used["distance"] == 0 || r.Hubs.Hubs != 3 {
+		t.Errorf("served %v, used %v, %+v", r.ServedInObjective, r.Shared.Used, r.Hubs)
 	}
 	return r
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -24,16 +24,16 @@
 
 // Options describe a run.
 type Options struct {
-	Scenario *scenario.Scenario
-	Seed     uint64
-	Agent    []string // the command line of an agent
-	Hub      []string // that of a hub, without --config and its file; required if the scenario has hubs
-	Env      []string // added to the environment of agents and hubs
-	Dir      string   // where processes have their configuration, logs and state
-	Events   io.Writer
-	Visitors bool                 // requests that do not come from the lab are served, and not checked
-	Ready    func(l *Lab)         // called just before the first request
-	Second   func(l *Lab, s View) // called after each second
+	Scenario      *scenario.Scenario
+	Seed          uint64
+	Agent         []string // the command line of an agent
+	Hub           []string // that of a hub, without --config and its file; required if the scenario has hubs
+	Env           []string // added to the environment of agents and hubs
+	Dir           string   // where processes have their configuration, logs and state
+	Events        io.Writer
+	AcceptUnknown bool                 // requests that do not come from the lab are served, and not checked
+	OnReady       func(l *Lab)         // called just before the first request
+	OnSecond      func(l *Lab, s View) // called after each second
 }
 
 // Lab is one run. It is used once: New, Run, Close.
@@ -141,8 +141,8 @@
 	}
 	l.lateness.Reset()
 	l.mu.Unlock()
-	if l.Ready != nil {
-		l.Ready(l)
+	if l.OnReady != nil {
+		l.OnReady(l)
 	}
 	l.mu.Lock()
 	l.networkChanges = append(l.networkChanges, 0)
--- a/internal/lab/listservice.go
+++ b/internal/lab/listservice.go
@@ -18,12 +18,12 @@
 
 // Lists counts the calls at a polled list service.
 type Lists struct {
-	Calls    int     `json:"calls"`
-	PerAgent float64 `json:"calls_per_start"` // calls for each start of an agent
-	Refused  int     `json:"refused"`
-	Peak     int     `json:"calls_worst_second"`
-	Longest  float64 `json:"longest_wait_s"`
-	Bytes    int     `json:"bytes"`
+	Calls        int     `json:"calls"`
+	PerAgent     float64 `json:"calls_per_start"` // calls for each start of an agent
+	Rejected     int     `json:"refused"`
+	MaxPerSecond int     `json:"calls_worst_second"`
+	MaxWait      float64 `json:"longest_wait_s"`
+	Bytes        int     `json:"bytes"`
 }
 
 // awaitTurn queues a call. It reports false if the call was rejected, or its caller has gone.
@@ -68,9 +68,9 @@
 	for _, a := range l.agents {
 		starts += a.starts
 	}
-	r := &Lists{Calls: q.calls, PerAgent: share(float64(q.calls), float64(starts)), Refused: q.rejected, Longest: q.maxWait.Seconds(), Bytes: q.bytes}
+	r := &Lists{Calls: q.calls, PerAgent: share(float64(q.calls), float64(starts)), Rejected: q.rejected, MaxWait: q.maxWait.Seconds(), Bytes: q.bytes}
 	for _, n := range q.seconds {
-		r.Peak = max(r.Peak, n)
+		r.MaxPerSecond = max(r.MaxPerSecond, n)
 	}
 	return r
 }
--- a/internal/lab/process_test.go
+++ b/internal/lab/process_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			l.Ready = func(*Lab) { time.AfterFunc(time.Second, cancel) }
+			l.OnReady = func(*Lab) { time.AfterFunc(time.Second, cancel) }
 			_, err = l.Run(ctx)
 			l.Close()
 			if err != nil {
@@ -69,7 +69,7 @@
 	if err != nil {
 		panic(err)
 	}
-	l, err := New(Options{Scenario: &s, Seed: 1, Agent: []string{self}, Hub: []string{self, "hub"}, Env: []string{"LAB_TEST_AGENT=real"}, Dir: dir, Ready: func(l *Lab) {
+	l, err := New(Options{Scenario: &s, Seed: 1, Agent: []string{self}, Hub: []string{self, "hub"}, Env: []string{"LAB_TEST_AGENT=real"}, Dir: dir, OnReady: func(l *Lab) {
 		for _, a := range l.agents {
 			fmt.Println(a.cmd.Process.Pid, dir)
 		}
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -21,13 +21,13 @@
 }
 
 // restartTimePercentiles returns percentiles of the time from a restart until clients are accepted. Lab.mu is held.
-func (l *Lab) restartTimePercentiles() P {
+func (l *Lab) restartTimePercentiles() Percentiles {
 	if len(l.restartTimes) == 0 {
-		return P{}
+		return Percentiles{}
 	}
 	list := slices.Sorted(slices.Values(l.restartTimes))
 	at := func(q float64) float64 { return list[int(q*float64(len(list)-1)+0.5)].Seconds() * 1e3 }
-	return P{at(0.5), at(0.99), at(0.999)}
+	return Percentiles{at(0.5), at(0.99), at(0.999)}
 }
 
 // recoveryTime returns the seconds from the first fault until three consecutive seconds were served at 95% or more of the service
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -13,52 +13,52 @@
 
 // Report is the result of a run. Shares are from 0 to 1; the unit of a time is in its key.
 type Report struct {
-	Schema   int     `json:"schema"`
-	Scenario string  `json:"scenario"`
-	Seed     uint64  `json:"seed"`
-	Commit   string  `json:"commit"`
-	Agents   int     `json:"agents"`
-	Backends int     `json:"backends"`
-	For      float64 `json:"for_s"`
-	Settle   float64 `json:"settle_s"`
-	Verdict  string  `json:"verdict"` // "kept", "broken", "crashed", "void", "ended early"
+	Schema          int     `json:"schema"`
+	Scenario        string  `json:"scenario"`
+	Seed            uint64  `json:"seed"`
+	Commit          string  `json:"commit"`
+	Agents          int     `json:"agents"`
+	Backends        int     `json:"backends"`
+	DurationSeconds float64 `json:"for_s"`
+	WarmUpSeconds   float64 `json:"settle_s"`
+	Verdict         string  `json:"verdict"` // "kept", "broken", "crashed", "void", "ended early"
 
-	Offered     int      `json:"offered"` // clients' requests, each with its retries
-	ServedInAim float64  `json:"served_in_aim"`
-	Refused     float64  `json:"refused"`
-	Failed      float64  `json:"failed"`
-	Lost        int      `json:"lost"`
-	Attempts    float64  `json:"attempts_per_request"`
-	CrossZone   float64  `json:"cross_zone_share"`
-	Worst10s    float64  `json:"worst_10s"`
-	Worst10sAt  int      `json:"worst_10s_at_s"`
-	LeftAfter   *float64 `json:"left_after_s"` // see avoidedAfter
-	FallOvers   int      `json:"fall_overs"`
-	Latency     P        `json:"latency_ms"`
-	Rules       Rules    `json:"rules"`
-	Crashes     int      `json:"crashes"`
-	Crash       string   `json:"crash,omitempty"`
-	Late        struct {
+	Offered            int         `json:"offered"` // clients' requests, each with its retries
+	ServedInObjective  float64     `json:"served_in_aim"`
+	Rejected           float64     `json:"refused"`
+	Failed             float64     `json:"failed"`
+	Lost               int         `json:"lost"`
+	Attempts           float64     `json:"attempts_per_request"`
+	CrossZone          float64     `json:"cross_zone_share"`
+	Worst10s           float64     `json:"worst_10s"`
+	Worst10sAt         int         `json:"worst_10s_at_s"`
+	AvoidedAfter       *float64    `json:"left_after_s"` // see avoidedAfter
+	OverloadedBackends int         `json:"fall_overs"`
+	Latency            Percentiles `json:"latency_ms"`
+	Rules              Rules       `json:"rules"`
+	Crashes            int         `json:"crashes"`
+	Crash              string      `json:"crash,omitempty"`
+	LabLateness        struct {
 		P50 float64 `json:"p50"`
 		P99 float64 `json:"p99"`
 	} `json:"lab_late_ms"`
-	Agent     Usage              `json:"agent"`
-	Datagrams float64            `json:"datagrams_per_s"`
-	Dials     int                `json:"connections_busiest_backend_worst_s"` // opened in one second, after the warm-up
-	Ready     P                  `json:"ready_ms"`                            // from a restart until clients are accepted
-	Recovered *float64           `json:"recovered_after_s"`                   // see recoveryTime
-	Lists     *Lists             `json:"list_service,omitempty"`
-	Shared    *Shared            `json:"shared,omitempty"`
-	Hubs      *HubsReport        `json:"hubs,omitempty"`
-	WorkScale float64            `json:"work_scale"`
-	Classes   map[string]float64 `json:"served_in_aim_by_class"`
-	Tenants   map[string]float64 `json:"served_in_aim_by_tenant"`
-	Zones     map[string]float64 `json:"served_in_aim_by_zone"`
-	Windows   []check.Window     `json:"windows"`
+	Agent             Usage              `json:"agent"`
+	Datagrams         float64            `json:"datagrams_per_s"`
+	MaxDialsPerSecond int                `json:"connections_busiest_backend_worst_s"` // opened in one second, after the warm-up
+	RestartTimes      Percentiles        `json:"ready_ms"`                            // from a restart until clients are accepted
+	RecoveryTime      *float64           `json:"recovered_after_s"`                   // see recoveryTime
+	Lists             *Lists             `json:"list_service,omitempty"`
+	Shared            *Shared            `json:"shared,omitempty"`
+	Hubs              *HubsReport        `json:"hubs,omitempty"`
+	WorkScale         float64            `json:"work_scale"`
+	Classes           map[string]float64 `json:"served_in_aim_by_class"`
+	Tenants           map[string]float64 `json:"served_in_aim_by_tenant"`
+	Zones             map[string]float64 `json:"served_in_aim_by_zone"`
+	Windows           []check.Window     `json:"windows"`
 }
 
-// P holds percentiles, in milliseconds.
-type P struct {
+// Percentiles holds percentiles, in milliseconds.
+type Percentiles struct {
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 	P999 float64 `json:"p999"`
@@ -66,19 +66,19 @@
 
 // Rules holds the violations of a run.
 type Rules struct {
-	Broken  int              `json:"broken"`
-	First   *check.Violation `json:"first"`
-	ByRule  map[string]int   `json:"by_rule,omitempty"`
-	History *check.Request   `json:"history,omitempty"` // of the first request that broke a rule
-	Shared  string           `json:"shared,omitempty"`  // the violated bound of what agents share
+	Violations int              `json:"broken"`
+	First      *check.Violation `json:"first"`
+	ByRule     map[string]int   `json:"by_rule,omitempty"`
+	History    *check.Request   `json:"history,omitempty"` // of the first request that broke a rule
+	Shared     string           `json:"shared,omitempty"`  // the violated bound of what agents share
 }
 
 // The verdicts of a run, as in the report.
 const (
-	Kept    = "kept"
-	Broken  = "broken"
-	Crashed = "crashed"
-	Void    = "void"
+	Passed       = "kept"
+	Violated     = "broken"
+	Crashed      = "crashed"
+	Inconclusive = "void"
 )
 
 // worstWindow is the length of the worst span of a report, in seconds.
@@ -88,12 +88,12 @@
 func (l *Lab) report() *Report {
 	s := l.Scenario
 	r := &Report{Schema: Schema, Scenario: s.Name, Seed: l.Seed, Commit: commit(), Agents: len(l.agents), Backends: s.Fleet.Backends,
-		For: s.Duration.Duration().Seconds(), Settle: s.WarmUp.Duration().Seconds(),
-		LeftAfter: l.avoidedAfter(), FallOvers: l.overloadedBackends, Crashes: len(l.crashes), WorkScale: l.scale,
+		DurationSeconds: s.Duration.Duration().Seconds(), WarmUpSeconds: s.WarmUp.Duration().Seconds(),
+		AvoidedAfter: l.avoidedAfter(), OverloadedBackends: l.overloadedBackends, Crashes: len(l.crashes), WorkScale: l.scale,
 		Datagrams: float64(l.datagrams) / max(1, l.now().Seconds())}
 	l.reportService(r)
-	r.Late.P50, r.Late.P99 = float64(l.lateness.ValueAtQuantile(50))/1e3, float64(l.lateness.ValueAtQuantile(99))/1e3
-	r.Dials, r.Ready, r.Recovered = l.maxConnectionsPerSecond(), l.restartTimePercentiles(), l.recoveryTime()
+	r.LabLateness.P50, r.LabLateness.P99 = float64(l.lateness.ValueAtQuantile(50))/1e3, float64(l.lateness.ValueAtQuantile(99))/1e3
+	r.MaxDialsPerSecond, r.RestartTimes, r.RecoveryTime = l.maxConnectionsPerSecond(), l.restartTimePercentiles(), l.recoveryTime()
 	r.Lists, r.Shared, r.Hubs = l.listsReport(), l.sharedReport(), l.hubsReport()
 	for _, a := range l.agents {
 		r.Agent.RSS, r.Agent.FDs = max(r.Agent.RSS, a.usage.RSS), max(r.Agent.FDs, a.usage.FDs)
@@ -109,12 +109,12 @@
 	sum := l.tally.Total()
 	offered, attempts := float64(sum.Offered), float64(l.tally.Attempts)
 	r.Offered, r.Lost, r.Windows = sum.Offered, sum.Lost, l.tally.Windows
-	r.ServedInAim = share(sum.WeightInObjective, sum.Weight)
-	r.Refused, r.Failed = share(float64(sum.Refused), offered), share(float64(sum.Failed), offered)
+	r.ServedInObjective = share(sum.WeightInObjective, sum.Weight)
+	r.Rejected, r.Failed = share(float64(sum.Rejected), offered), share(float64(sum.Failed), offered)
 	r.Attempts, r.CrossZone = share(attempts, offered), share(float64(l.tally.CrossZone), attempts)
 	r.Worst10s, r.Worst10sAt = l.tally.Worst(worstWindow)
 	at := func(q float64) float64 { return float64(l.tally.Latency.ValueAtQuantile(q)) / 1e3 }
-	r.Latency = P{at(50), at(99), at(99.9)}
+	r.Latency = Percentiles{at(50), at(99), at(99.9)}
 	r.Classes, r.Tenants, r.Zones = map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for i, p := range l.tally.Classes {
 		r.Classes[l.classes[i].name] = share(p.WeightInObjective, p.Weight)
@@ -130,7 +130,7 @@
 // reportVerdict reports the violations and the verdict. Lab.mu is held.
 func (l *Lab) reportVerdict(r *Report) {
 	violations, count := l.check.Violations()
-	r.Rules.Broken = count
+	r.Rules.Violations = count
 	if len(violations) > 0 {
 		r.Rules.First, r.Rules.History, r.Rules.ByRule = &violations[0], l.check.FirstViolator(), map[string]int{}
 		for _, v := range violations {
@@ -138,14 +138,14 @@
 		}
 	}
 	switch {
-	case r.Late.P99 > l.Scenario.Limits.MaxLabLatenessMs: // goes before all others: the lab itself may be their cause
-		r.Verdict = Void
+	case r.LabLateness.P99 > l.Scenario.Limits.MaxLabLatenessMs: // goes before all others: the lab itself may be their cause
+		r.Verdict = Inconclusive
 	case r.Crashes > 0:
 		r.Verdict, r.Crash = Crashed, l.crashes[0]
 	case count > 0 || r.Shared.violation() != "":
-		r.Verdict, r.Rules.Shared = Broken, r.Shared.violation()
+		r.Verdict, r.Rules.Shared = Violated, r.Shared.violation()
 	default:
-		r.Verdict = Kept
+		r.Verdict = Passed
 	}
 }
 
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -109,13 +109,13 @@
 
 // SettingsReport holds how versions of the settings spread.
 type SettingsReport struct {
-	Given  int     `json:"given"`         // versions
-	After  float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
-	Reach  float64 `json:"reached_s"`     // longest time for which an agent that was up could reach a hub that had it or could have it, before it applied it
-	Late   int     `json:"past_bound"`    // agents for which that time exceeded the bound
-	Behind int     `json:"behind_at_end"` // agents without the latest version at the end that can reach such a hub
-	Back   int     `json:"went_back"`     // lower versions applied after higher ones
-	First  string  `json:"first,omitempty"`
+	Published    int     `json:"given"`         // versions
+	SpreadTime   float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
+	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent that was up could reach a hub that had it or could have it, before it applied it
+	PastBound    int     `json:"past_bound"`    // agents for which that time exceeded the bound
+	Lagging      int     `json:"behind_at_end"` // agents without the latest version at the end that can reach such a hub
+	Regressions  int     `json:"went_back"`     // lower versions applied after higher ones
+	First        string  `json:"first,omitempty"`
 }
 
 // allAppliedVersions returns the applied versions of all agents and hubs.
@@ -142,7 +142,7 @@
 		l.mu.Lock()
 		r := l.settingsReport(agents, hubs)
 		l.mu.Unlock()
-		if r.Behind == 0 || r.Late > 0 {
+		if r.Lagging == 0 || r.PastBound > 0 {
 			return
 		}
 		select {
@@ -162,7 +162,7 @@
 	if len(l.publishedSettings) == 0 {
 		return nil
 	}
-	r := &SettingsReport{Given: len(l.publishedSettings)}
+	r := &SettingsReport{Published: len(l.publishedSettings)}
 	broken := func(format string, args ...any) {
 		if r.First == "" {
 			r.First = fmt.Sprintf(format, args...)
@@ -172,7 +172,7 @@
 		for n, list := range all {
 			for i := 1; i < len(list); i++ {
 				if list[i].version < list[i-1].version {
-					r.Back++
+					r.Regressions++
 					broken("%s %d went back from settings %d to %d at %v", kind, n, list[i-1].version, list[i].version, list[i].at)
 				}
 			}
@@ -184,15 +184,15 @@
 		for a, list := range agents {
 			got := firstApplied(list, g.version)
 			if got >= 0 {
-				r.After = max(r.After, (got - g.publishedAt).Seconds())
+				r.SpreadTime = max(r.SpreadTime, (got - g.publishedAt).Seconds())
 			}
 			waited, reached := l.maxUnservedTime(&g, a, got, end, hubs)
-			if r.Reach = max(r.Reach, waited.Seconds()); waited > bound+ageSlack {
-				r.Late++
+			if r.UnservedTime = max(r.UnservedTime, waited.Seconds()); waited > bound+ageSlack {
+				r.PastBound++
 				broken("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, waited, bound)
 			}
 			if reached && got < 0 && i == len(l.publishedSettings)-1 {
-				r.Behind++
+				r.Lagging++
 			}
 		}
 	}
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -79,7 +79,7 @@
 	l.addInitialHosts()
 	l.scaleClasses()
 	l.check = check.New(check.Rules{Classes: l.checkClasses(), DrainGrace: drainGrace, AnswerGrace: answerGrace, Slack: socketSlack,
-		AcceptsUnknown: l.Visitors, MaxClosedNewShare: maxClosedNewShare}, l.recorder.request)
+		AcceptsUnknown: l.AcceptUnknown, MaxClosedNewShare: maxClosedNewShare}, l.recorder.request)
 	for n := range l.Scenario.Fleet.Agents {
 		l.agents = append(l.agents, newAgent(l, n))
 	}
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -48,24 +48,24 @@
 	cutShort := "[[fault]]\nat = \"300ms\"\nfor = \"300ms\"\nwhat = \"link\"\nfrom = \"hubs\"\nto = \"agents\"\ncut = true\n"
 	sourceKilled := "[[fault]]\nat = \"400ms\"\nwhat = \"kill\"\nwho = \"hubs n=0\"\nafter = \"300ms\"\nrestart = \"kept\"\n"
 	for _, c := range []struct{ mode, text, verdict, rule string }{
-		{"resides", tighterPolicy(smallScenario) + restart, Kept, ""},
-		{"leaks", tighterPolicy(smallScenario), Broken, check.RuleResidency},
-		{"leaks-on-repeat", tighterPolicy(smallScenario), Broken, check.RuleResidency},
-		{"leaks-after-change", tighterPolicy(smallScenario), Broken, check.RuleResidency},
-		{"leaks-after-restart", tighterPolicy(smallScenario) + restart, Broken, check.RuleResidency},
-		{"honest", smallScenario + sharedScenario, Kept, ""},
-		{"uses-old", smallScenario + sharedScenario, Broken, ""},
-		{"takes-two-parts", smallScenario + sharedScenario, Broken, ""},
-		{"takes-two-parts", smallScenario + hubScenario, Broken, ""},
-		{"settles", smallScenario + hubScenario, Kept, ""},
-		{"settles", smallScenario + hubScenario + cutOff, Kept, ""}, // whom no hub can reach is not late
-		{"settles", smallScenario + hubScenario + restart, Kept, ""},
-		{"settles", smallScenario + hubScenario + sourceKilled, Kept, ""},
-		{"never-settles", smallScenario + hubScenario, Broken, ""},
-		{"never-settles", smallScenario + hubScenario + cutShort, Broken, ""},
-		{"agent-goes-back", smallScenario + hubScenario, Broken, ""},
-		{"hub-goes-back", smallScenario + hubScenario, Broken, ""},
-		{"forgets-settings", smallScenario + hubScenario + restart, Broken, ""},
+		{"resides", tighterPolicy(smallScenario) + restart, Passed, ""},
+		{"leaks", tighterPolicy(smallScenario), Violated, check.RuleResidency},
+		{"leaks-on-repeat", tighterPolicy(smallScenario), Violated, check.RuleResidency},
+		{"leaks-after-change", tighterPolicy(smallScenario), Violated, check.RuleResidency},
+		{"leaks-after-restart", tighterPolicy(smallScenario) + restart, Violated, check.RuleResidency},
+		{"honest", smallScenario + sharedScenario, Passed, ""},
+		{"uses-old", smallScenario + sharedScenario, Violated, ""},
+		{"takes-two-parts", smallScenario + sharedScenario, Violated, ""},
+		{"takes-two-parts", smallScenario + hubScenario, Violated, ""},
+		{"settles", smallScenario + hubScenario, Passed, ""},
+		{"settles", smallScenario + hubScenario + cutOff, Passed, ""}, // whom no hub can reach is not late
+		{"settles", smallScenario + hubScenario + restart, Passed, ""},
+		{"settles", smallScenario + hubScenario + sourceKilled, Passed, ""},
+		{"never-settles", smallScenario + hubScenario, Violated, ""},
+		{"never-settles", smallScenario + hubScenario + cutShort, Violated, ""},
+		{"agent-goes-back", smallScenario + hubScenario, Violated, ""},
+		{"hub-goes-back", smallScenario + hubScenario, Violated, ""},
+		{"forgets-settings", smallScenario + hubScenario + restart, Violated, ""},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
 			t.Parallel()
@@ -76,20 +76,20 @@
 			if c.rule != "" && r.Rules.ByRule[c.rule] == 0 {
 				t.Errorf("broken rules: %v, want %s", r.Rules.ByRule, c.rule)
 			}
-			if broken := c.mode == "uses-old"; broken != (r.Shared.Past > 0) {
-				t.Errorf("%d uses past the bound", r.Shared.Past)
+			if broken := c.mode == "uses-old"; broken != (r.Shared.PastBound > 0) {
+				t.Errorf("%d uses past the bound", r.Shared.PastBound)
 			}
-			if broken := c.mode == "takes-two-parts"; broken != (r.Shared.Parts > maxQuotaSum) {
-				t.Errorf("parts sum up to %v", r.Shared.Parts)
+			if broken := c.mode == "takes-two-parts"; broken != (r.Shared.MaxQuotaSum > maxQuotaSum) {
+				t.Errorf("parts sum up to %v", r.Shared.MaxQuotaSum)
 			}
 			s := r.Shared.Settings
 			if s == nil {
 				return
 			}
-			if broken := strings.HasSuffix(c.mode, "-back") || c.mode == "forgets-settings"; broken != (s.Back > 0) {
+			if broken := strings.HasSuffix(c.mode, "-back") || c.mode == "forgets-settings"; broken != (s.Regressions > 0) {
 				t.Errorf("went back: %+v", s)
 			}
-			if broken := c.mode == "never-settles"; broken != (s.Late > 0) || c.mode == "settles" && s.Behind > 0 {
+			if broken := c.mode == "never-settles"; broken != (s.PastBound > 0) || c.mode == "settles" && s.Lagging > 0 {
 				t.Errorf("past the bound, or behind: %+v", s)
 			}
 		})
@@ -159,10 +159,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := runScenario(t, options(t, "real", c.text))
-			if r.Verdict != Kept {
+			if r.Verdict != Passed {
 				t.Fatalf("%s: %+v %s; shared %+v", r.Verdict, r.Rules.First, r.Crash, r.Shared)
 			}
-			if r.ServedInAim == 0 {
+			if r.ServedInObjective == 0 {
 				t.Error("nothing was served")
 			}
 			if c.also != nil {
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -79,11 +79,11 @@
 func (r *Shared) violation() string {
 	switch {
 	case r == nil:
-	case r.Past > 0:
+	case r.PastBound > 0:
 		return r.First
-	case r.Parts > maxQuotaSum:
-		return fmt.Sprintf("parts of the limit sum up to %.3f, at most %v", r.Parts, maxQuotaSum)
-	case r.Settings != nil && r.Settings.Late+r.Settings.Back > 0:
+	case r.MaxQuotaSum > maxQuotaSum:
+		return fmt.Sprintf("parts of the limit sum up to %.3f, at most %v", r.MaxQuotaSum, maxQuotaSum)
+	case r.Settings != nil && r.Settings.PastBound+r.Settings.Regressions > 0:
 		return r.Settings.First
 	}
 	return ""
@@ -91,15 +91,15 @@
 
 // Shared holds what the agents of a fleet shared.
 type Shared struct {
-	Ages     map[string]P    `json:"age_at_use_ms"`
-	Used     map[string]int  `json:"used"`
-	Past     int             `json:"past_bound"` // uses of entries that were older than their bound
-	First    string          `json:"first,omitempty"`
-	Parts    float64         `json:"parts_most"`            // the largest sum of quotas of the in-flight limit; 1 is the limit
-	Bytes    float64         `json:"bytes_per_s_per_agent"` // sent and received by agents, each message counted once
-	Matrix   *MatrixError    `json:"matrix,omitempty"`
-	Unserved int             `json:"agents_without_part"`
-	Settings *SettingsReport `json:"settings,omitempty"`
+	Ages               map[string]Percentiles `json:"age_at_use_ms"`
+	Used               map[string]int         `json:"used"`
+	PastBound          int                    `json:"past_bound"` // uses of entries that were older than their bound
+	First              string                 `json:"first,omitempty"`
+	MaxQuotaSum        float64                `json:"parts_most"`            // the largest sum of quotas of the in-flight limit; 1 is the limit
+	Bytes              float64                `json:"bytes_per_s_per_agent"` // sent and received by agents, each message counted once
+	Matrix             *MatrixError           `json:"matrix,omitempty"`
+	AgentsWithoutTrace int                    `json:"agents_without_part"`
+	Settings           *SettingsReport        `json:"settings,omitempty"`
 }
 
 // MatrixError is the error of the agents' latency matrices, measured while the network had not changed for some seconds.
@@ -118,7 +118,7 @@
 	Incarnation uint64             `json:"incarnation"`
 	Seq         uint64             `json:"seq"`
 	Age         int64              `json:"age"`
-	Part        *float64           `json:"part"`
+	Quota       *float64           `json:"part"`
 	Matrix      map[string]float64 `json:"matrix"`
 }
 
@@ -148,12 +148,12 @@
 		return nil
 	}
 	all := l.readTraces()
-	r := &Shared{Ages: map[string]P{}, Used: map[string]int{}, Unserved: all.missing}
+	r := &Shared{Ages: map[string]Percentiles{}, Used: map[string]int{}, AgentsWithoutTrace: all.missing}
 	l.fleet.mu.Lock()
 	r.Bytes = float64(l.fleet.bytes) / max(1, l.now().Seconds()) / float64(len(l.agents))
 	l.fleet.mu.Unlock()
 	r.checkAges(all)
-	r.Parts = l.maxSumOfQuotas(all.quotas, l.traceTime(0))
+	r.MaxQuotaSum = l.maxSumOfQuotas(all.quotas, l.traceTime(0))
 	r.Settings = l.settingsReport(l.allAppliedVersions())
 	if errors := all.matrixErrors; len(errors) > 0 {
 		slices.Sort(errors)
@@ -191,9 +191,9 @@
 			continue // a kill has cut the line off
 		}
 		switch {
-		case x.Part != nil:
+		case x.Quota != nil:
 			if agent >= 0 {
-				all.quotas = append(all.quotas, quotaAt{x.At, agent, *x.Part})
+				all.quotas = append(all.quotas, quotaAt{x.At, agent, *x.Quota})
 			}
 		case x.Matrix != nil:
 			all.matrixErrors = append(all.matrixErrors, l.matrixErrors(x.At, x.Matrix)...)
@@ -222,13 +222,13 @@
 		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // less than the histogram's hour
 		r.Used[x.Kind]++
 		if age > factBounds[x.Kind]+ageSlack {
-			if r.Past++; r.First == "" {
+			if r.PastBound++; r.First == "" {
 				r.First = fmt.Sprintf("%s was used %v old, bound %v", x.entryName(), age, factBounds[x.Kind])
 			}
 		}
 	}
 	for kind, h := range ages {
-		r.Ages[kind] = P{float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())}
+		r.Ages[kind] = Percentiles{float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())}
 	}
 }
 
--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -40,7 +40,7 @@
 	}
 	defer l.Close()
 	r, err := l.Run(t.Context())
-	if err != nil || r.Verdict != lab.Kept {
+	if err != nil || r.Verdict != lab.Passed {
 		t.Fatalf("%v, %+v", err, r)
 	}
 	told, used := firstTimes(t, filepath.Join(dir, "n0"), "tell"), firstTimes(t, filepath.Join(dir, "n1"), "use")
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -72,12 +72,12 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	longest := l.LongestDeadline()
+	longest := l.MaxDeadline()
 	r, err := l.Run(t.Context())
 	if err != nil {
 		t.Fatalf("%s: %v", Faults(s), err)
 	}
-	if r.Verdict != lab.Kept {
+	if r.Verdict != lab.Passed {
 		var history bytes.Buffer
 		if r.Rules.History != nil {
 			lab.WriteHistory(&history, r.Rules.History)
--- a/internal/lab/verdict_test.go
+++ b/internal/lab/verdict_test.go
@@ -21,22 +21,22 @@
 	const holdsUp = "\n[[fault]]\nat = \"500ms\"\nfor = \"200ms\"\nwhat = \"link\"\nfrom = \"backends\"\nto = \"agents\"\ncut = true\n"
 	rushed := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
 	for _, c := range []struct{ mode, text, verdict, rule string }{
-		{"honest", smallScenario, Kept, ""},
-		{"probes", smallScenario + holdsUp, Kept, ""}, // an answer that a cut holds up comes once
-		{"repeats-in-pod", smallScenario, Kept, ""},
-		{"sends-twice", smallScenario, Broken, check.RuleDuplicate},
-		{"refuses-what-ran", smallScenario, Broken, check.RuleDuplicate},
-		{"hangs-up", smallScenario, Broken, check.RuleAnswer},
-		{"never-answers", smallScenario, Broken, check.RuleAnswer},
-		{"answers-late", smallScenario, Broken, check.RuleAnswer},
-		{"forges", smallScenario, Broken, check.RuleAnswer},
-		{"reads-and-closes", smallScenario, Broken, check.RuleAnswer},
-		{"sends-after-the-end", smallScenario, Broken, check.RuleCancelled},
-		{"overstates", smallScenario, Broken, check.RuleDeadline},
-		{"invents", smallScenario, Broken, check.RuleUnknown},
-		{"rewrites", smallScenario, Broken, check.RuleUnknown},
-		{"ignores-lists", smallScenario + drains, Broken, check.RuleDrain},
-		{"rushes-the-newest", rushed, Broken, check.RuleSlowStart},
+		{"honest", smallScenario, Passed, ""},
+		{"probes", smallScenario + holdsUp, Passed, ""}, // an answer that a cut holds up comes once
+		{"repeats-in-pod", smallScenario, Passed, ""},
+		{"sends-twice", smallScenario, Violated, check.RuleDuplicate},
+		{"refuses-what-ran", smallScenario, Violated, check.RuleDuplicate},
+		{"hangs-up", smallScenario, Violated, check.RuleAnswer},
+		{"never-answers", smallScenario, Violated, check.RuleAnswer},
+		{"answers-late", smallScenario, Violated, check.RuleAnswer},
+		{"forges", smallScenario, Violated, check.RuleAnswer},
+		{"reads-and-closes", smallScenario, Violated, check.RuleAnswer},
+		{"sends-after-the-end", smallScenario, Violated, check.RuleCancelled},
+		{"overstates", smallScenario, Violated, check.RuleDeadline},
+		{"invents", smallScenario, Violated, check.RuleUnknown},
+		{"rewrites", smallScenario, Violated, check.RuleUnknown},
+		{"ignores-lists", smallScenario + drains, Violated, check.RuleDrain},
+		{"rushes-the-newest", rushed, Violated, check.RuleSlowStart},
 		{"dies", smallScenario, Crashed, ""},
 		{"hoards", smallScenario, Crashed, ""},
 	} {
@@ -78,14 +78,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := runScenario(t, options(t, "real", slowLinkScenario+"[[fault]]\nat = \"1s\"\n"+faults+"\n"))
-			if r.Verdict != Kept {
+			if r.Verdict != Passed {
 				var history bytes.Buffer
 				if r.Rules.History != nil {
 					WriteHistory(&history, r.Rules.History)
 				}
 				t.Errorf("%s: %+v %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
 			}
-			if r.ServedInAim == 0 {
+			if r.ServedInObjective == 0 {
 				t.Error("nothing was served")
 			}
 		})
@@ -135,18 +135,18 @@
 // up; without a fault between zones nothing is told of it.
 func TestUnavoidedZoneIsReported(t *testing.T) {
 	const cut = "[[fault]]\nat = \"500ms\"\nfor = \"2s\"\nwhat = \"zone-cut\"\nwho = \"zone zone=1\"\n"
-	if r := runScenario(t, options(t, "honest", smallScenario+cut)); r.LeftAfter == nil || *r.LeftAfter >= 0 {
-		t.Errorf("left after %v, want never", r.LeftAfter)
+	if r := runScenario(t, options(t, "honest", smallScenario+cut)); r.AvoidedAfter == nil || *r.AvoidedAfter >= 0 {
+		t.Errorf("left after %v, want never", r.AvoidedAfter)
 	}
-	if r := runScenario(t, options(t, "honest", smallScenario)); r.LeftAfter != nil {
-		t.Errorf("left after %v without a fault", *r.LeftAfter)
+	if r := runScenario(t, options(t, "honest", smallScenario)); r.AvoidedAfter != nil {
+		t.Errorf("left after %v without a fault", *r.AvoidedAfter)
 	}
 }
 
 // A lab that is late gives no verdict, whatever it saw.
 func TestLateLabIsInconclusive(t *testing.T) {
 	r := runScenario(t, options(t, "sends-twice", strings.Replace(smallScenario, "late_ms = 60000", "late_ms = 0.0001", 1)))
-	if r.Verdict != Void || r.Rules.Broken == 0 {
-		t.Errorf("%s with %d broken, want a void run of which some are", r.Verdict, r.Rules.Broken)
+	if r.Verdict != Inconclusive || r.Rules.Violations == 0 {
+		t.Errorf("%s with %d broken, want a void run of which some are", r.Verdict, r.Rules.Violations)
 	}
 }
--- a/internal/lab/view.go
+++ b/internal/lab/view.go
@@ -12,28 +12,28 @@
 
 // View is the state of a run after one of its seconds.
 type View struct {
-	At       time.Duration
-	Last     check.Window // the latest second whose requests have had time to end
-	LastAt   int
-	Agents   int
-	Backends int
-	Broken   int
-	Faults   []string
-	Zones    []ZoneView
+	At         time.Duration
+	Last       check.Window // the latest second whose requests have had time to end
+	LastAt     int
+	Agents     int
+	Backends   int
+	Violations int
+	Faults     []string
+	Zones      []ZoneView
 }
 
 // ZoneView is the state of one zone.
 type ZoneView struct {
 	Name             string
 	Agents, Backends int
-	Held             int // requests in service or queued at its backends
+	Requests         int // requests in service or queued at its backends
 }
 
 // scheduleViews schedules the view of each second, from the n-th on. Lab.mu is held.
 func (l *Lab) scheduleViews(n int) {
 	l.scheduleAt(time.Duration(n+1)*time.Second, func(now time.Duration) {
 		v := View{At: now, Faults: append([]string(nil), l.activeFaults...)}
-		_, v.Broken = l.check.Violations()
+		_, v.Violations = l.check.Violations()
 		for _, name := range l.Scenario.Fleet.Zones {
 			v.Zones = append(v.Zones, ZoneView{Name: name})
 		}
@@ -48,7 +48,7 @@
 				v.Backends++
 				z := &v.Zones[h.machine.Zone]
 				z.Backends++
-				z.Held += h.machine.Load().Inflight
+				z.Requests += h.machine.Load().Inflight
 			}
 		}
 		if n < len(l.tally.Windows) {
@@ -59,8 +59,8 @@
 			l.tally.CompleteWindows(max(0, v.LastAt-int(l.maxDeadline()/time.Second)))
 			v.Last = l.tally.Snapshot(v.LastAt)
 		}
-		if l.Second != nil {
-			second := l.Second
+		if l.OnSecond != nil {
+			second := l.OnSecond
 			go second(l, v)
 		}
 		l.scheduleViews(n + 1)
--- a/internal/lab/workload.go
+++ b/internal/lab/workload.go
@@ -61,8 +61,8 @@
 
 func (l *Lab) scaled(d time.Duration) time.Duration { return time.Duration(float64(d) * l.scale) }
 
-// LongestDeadline returns the longest deadline of any class.
-func (l *Lab) LongestDeadline() time.Duration { return l.maxDeadline() }
+// MaxDeadline returns the longest deadline of any class.
+func (l *Lab) MaxDeadline() time.Duration { return l.maxDeadline() }
 
 func (l *Lab) maxDeadline() (d time.Duration) {
 	for _, c := range l.classes {
