--- /dev/null
+++ b/balancer/capacity.go
@@ -0,0 +1,118 @@
+package balancer
+
+// Capacity totals: what there is to use, updated in each step. Nothing is decided here.
+
+// capacityTotals are the usable backends and the attempts outstanding there. In a large fleet most backends are warm,
+// up and in use from one step to the next. These are stable and counted once, by zone; a step only looks at the
+// others.
+type capacityTotals struct {
+	inFlight             int             // attempts that occupy a backend
+	up                   int             // backends in state Up
+	capacity             float64         // their number weighted by warmth, without ejected and dead ones
+	warmCapacity         float64         // the part of capacity that is warm
+	warmOutstanding      int             // attempts outstanding at warm backends
+	uncountedOutstanding int             // attempts outstanding at backends that don't count in capacity
+	unstable             []*backendState // backends to look at in each step, in the order in which they became unstable
+}
+
+// reset empties the totals that each step computes; what is in flight and the unstable backends stay.
+func (t *capacityTotals) reset() {
+	t.up, t.capacity, t.uncountedOutstanding, t.warmCapacity, t.warmOutstanding = 0, 0, 0, 0, 0
+}
+
+// addCapacity adds a number of backends of one warmth, with their outstanding attempts, in a zone with the given share
+// of its usual traffic. warm says that they are not in slow start.
+func (t *capacityTotals) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
+	if share == 0 {
+		t.uncountedOutstanding += outstanding
+		return
+	}
+	t.capacity += float64(backends) * warmth * share
+	if warm {
+		t.warmCapacity += float64(backends) * share
+		t.warmOutstanding += outstanding
+	}
+}
+
+// inUse is the number of attempts that count against the concurrency limit: those at backends that count in capacity.
+func (t *capacityTotals) inUse() int { return t.inFlight - t.uncountedOutstanding }
+
+// stableTotals are the stable backends of one zone.
+type stableTotals struct {
+	stableBackends    int // those that are counted from step to step
+	stableOutstanding int // attempts outstanding at these
+}
+
+// addStable adds backends with their outstanding attempts; negative numbers take them away.
+func (t *stableTotals) addStable(backends, outstanding int) {
+	t.stableBackends += backends
+	t.stableOutstanding += outstanding
+}
+
+// recomputeCapacity updates the totals of the backends that are up and neither ejected nor dead.
+func (b *Balancer) recomputeCapacity() {
+	b.capacityTotals.reset()
+	b.allZonesOpen = true
+	for _, z := range b.zones {
+		share := b.trafficShare(z)
+		z.up = z.stableBackends
+		b.allZonesOpen = b.allZonesOpen && share == 1
+		b.up += z.stableBackends
+		b.addCapacity(z.stableBackends, z.stableOutstanding, 1, share, true)
+	}
+	unstable := b.unstable[:0]
+	for _, backend := range b.unstable {
+		if !b.countUnstable(backend) {
+			unstable = append(unstable, backend)
+		}
+	}
+	clear(b.unstable[len(unstable):])
+	b.unstable = unstable
+	b.throughput.track(b.now, b.up)
+}
+
+// countUnstable adds a backend that is not counted in its zone, and reports whether it is counted there from now on.
+func (b *Balancer) countUnstable(backend *backendState) (stable bool) {
+	warmth, z := b.warmth(backend), b.zone(backend)
+	used := backend.State == Up && backend.usable(b.now)
+	if backend.State == Up {
+		b.up++
+		z.up++
+	}
+	share := 0.0
+	if used {
+		share = b.trafficShare(z)
+	}
+	b.addCapacity(1, len(backend.outstanding), warmth, share, !backend.warmingUp)
+	if !used || backend.warmingUp {
+		return false
+	}
+	backend.stable = true
+	z.addStable(1, len(backend.outstanding))
+	return true
+}
+
+// markUnstable makes each step look at a backend again. It must be called before its state or zone changes.
+func (b *Balancer) markUnstable(backend *backendState) {
+	if !backend.stable {
+		return
+	}
+	backend.stable = false
+	b.zone(backend).addStable(-1, -len(backend.outstanding))
+	b.unstable = append(b.unstable, backend)
+}
+
+// setOutstanding counts an attempt as outstanding at its backend, or no longer.
+func (b *Balancer) setOutstanding(a *attempt, out bool) {
+	backend, delta := a.backend, 1
+	if a.occupying = out; out {
+		backend.outstanding = append(backend.outstanding, a)
+	} else {
+		backend.outstanding = without(backend.outstanding, a)
+		delta = -1
+	}
+	b.inFlight += delta
+	if backend.stable {
+		b.zone(backend).addStable(0, delta)
+	}
+}
--- a/balancer/sums_test.go
+++ b/balancer/capacity_test.go
@@ -1,5 +1,7 @@
 package balancer
 
+// White-box tests of the capacity totals: counting changes gives the same as counting everything.
+
 import (
 	"fmt"
 	"math"
@@ -9,7 +11,7 @@
 	"time"
 )
 
-// countAfresh counts all backends, whatever was counted before.
+// countAfresh computes the totals from all backends, without anything counted before.
 func (b *Balancer) countAfresh() (s capacityTotals) {
 	for _, t := range b.backends {
 		z := b.zone(t)
@@ -29,17 +31,19 @@
 const ms = time.Millisecond
 
 func totalsSettings() Settings {
-	return Settings{Balancers: 3, MaxAttempts: 4, Tick: ms, ConnectTimeout: 100 * ms, DrainGrace: 500 * ms, InitialCapacity: 0.2,
+	return Settings{Balancers: 3, MaxAttempts: 4, Tick: ms, ConnectTimeout: 100 * ms, DrainGrace: 500 * ms,
+		InitialCapacity: 0.2,
 		SlowStartWindow: 2 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second, PollInterval: time.Second, GoalOverall: 1,
 		Classes: []Class{{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
 
-// checkTotals holds what was counted as it changed against counting all.
+// checkTotals compares the incremental totals with a full count.
 func (b *Balancer) checkTotals(t *testing.T, what string) {
 	t.Helper()
 	b.recomputeCapacity()
 	got, want := b.capacityTotals, b.countAfresh()
-	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding || got.warmOutstanding != want.warmOutstanding ||
+	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding ||
+		got.warmOutstanding != want.warmOutstanding ||
 		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warmCapacity-want.warmCapacity) > 1e-6 {
 		t.Fatalf("%s: %+v, want %+v", what, got, want)
 	}
@@ -52,7 +56,7 @@
 	}
 }
 
-// An attempt that was sent before its backend was ejected may tell after that time that it is down.
+// An attempt that was sent before its backend was ejected may show after the ejection that the backend is dead.
 func TestTotalsFollowALateOutcome(t *testing.T) {
 	alone := totalsSettings()
 	alone.Balancers = 1
@@ -61,7 +65,8 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	b.Step(now, []Event{EndpointUpdate{Kind: UpdateFull, Backends: []Backend{{ID: "s"}}}, Request{ID: "a", TimeRemaining: time.Minute},
+	b.Step(now, []Event{EndpointUpdate{Kind: UpdateFull, Backends: []Backend{{ID: "s"}}},
+		Request{ID: "a", TimeRemaining: time.Minute},
 		Request{ID: "b", TimeRemaining: time.Minute}, Request{ID: "c", TimeRemaining: time.Minute}})
 	broke := func(id string) {
 		now += 10 * ms
@@ -83,9 +88,9 @@
 	}
 }
 
-// What is counted as it changes is what counting all anew would find, after any events.
+// The incremental totals equal a full count after any events.
 func TestTotalsFollowEveryChange(t *testing.T) {
-	left := 0 // steps in which a zone was left, or came back
+	left := 0 // steps in which a zone was failed over or recovering
 	results := []Result{OK, OK, OK, OK, Errored, Reset, ConnectFailed, TimedOut, Rejected}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -96,7 +101,8 @@
 		now, seen, out := time.Hour, map[string]int{}, []Send{}
 		some := func(n int) (list []Backend) {
 			for range n {
-				list = append(list, Backend{ID: fmt.Sprint("s", rng.IntN(40)), Zone: rng.IntN(3), State: BackendState(max(0, rng.IntN(6)-3))})
+				list = append(list, Backend{ID: fmt.Sprint("s", rng.IntN(40)), Zone: rng.IntN(3),
+					State: BackendState(max(0, rng.IntN(6)-3))})
 				if rng.IntN(3) == 0 {
 					list[len(list)-1].Started = now
 				}
@@ -114,14 +120,15 @@
 			case 2:
 				events = append(events, Disable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40))})
 			case 3:
-				events = append(events, Enable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)), Inherited: rng.IntN(2) == 0, At: now})
+				events = append(events, Enable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)),
+					Inherited: rng.IntN(2) == 0, At: now})
 			}
 			for len(out) > 0 && rng.IntN(3) > 0 {
 				i := rng.IntN(len(out))
 				o := out[i]
 				out = slices.Delete(out, i, i+1)
 				r := results[rng.IntN(len(results))]
-				if step/100%5 == 4 { // a spell in which all break
+				if step/100%5 == 4 { // a period in which all attempts break
 					r = Reset
 				}
 				events = append(events, Outcome{Request: o.Request, Attempt: seen[o.Request], Backend: o.Backend, Result: r,
--- a/balancer/limits_test.go
+++ b/balancer/policy_test.go
@@ -1,5 +1,7 @@
 package balancer_test
 
+// A test of the source files: the deploy file names those that decide, and they stay short.
+
 import (
 	"os"
 	"path/filepath"
@@ -8,8 +10,9 @@
 	"testing"
 )
 
-// Modules that decide are named in the deploy file, and each stays small enough to be read at once: a larger one has to be parted
-// by what it decides. The others of this package say of themselves that they decide nothing, or hold its interface.
+// The files that make decisions are named in the deploy file, and each stays short enough to be read in one go: a
+// longer one must be split by what it decides. The other files of the package say that they decide nothing, or hold
+// its interface.
 func TestPolicyLimits(t *testing.T) {
 	const most, least, longest = 240, 10, 130
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -43,14 +46,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		decides := !strings.HasSuffix(name, "_test.go") && !slices.Contains(interfaces, name) && !strings.Contains(string(text), "Nothing is decided here.")
+		decides := !strings.HasSuffix(name, "_test.go") && !slices.Contains(interfaces, name) &&
+			!strings.Contains(string(text), "Nothing is decided here.")
 		if decides != policy[name] {
 			t.Errorf("%s: decides %v, named as policy %v", name, decides, policy[name])
 		}
 	}
 }
 
-// countLines counts the lines that are not blank, and fails lines that are too long.
+// countLines counts the lines that are not blank, and fails the test for lines that are too long.
 func countLines(t *testing.T, name string, longest int) (lines int) {
 	t.Helper()
 	text, err := os.ReadFile(name)
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Whether a failed attempt is followed by another, when, and where to.
+// Retries: whether a failed attempt is followed by another, when, and where it may go.
 
 import (
 	"math"
@@ -9,36 +9,30 @@
 )
 
 const (
-	maxRetryTokens  = 100.0    // retry tokens at the most: a quiet balancer funds 20 retries at once, not 100
-	retryCost       = 5.0      // tokens for a retry ...
-	timeoutCost     = 10.0     // ... and for one after a time-out, which may mean a deeper trouble
-	successRefill   = 1.0      // tokens that a served attempt brings back
-	backoffUnit     = 1.0 / 32 // of the class's aim: a one-second unit would outlast most aims
-	maxBackoffUnits = 8.0      // the longest backoff, in units
+	backoffUnit     = 1.0 / 32 // of the class's latency objective: a one-second unit would outlast most objectives
+	maxBackoffUnits = 8.0      // longest backoff, in units
 )
 
-// retry ends a failed attempt's request or schedules the next attempt.
+// retry schedules the next attempt of a request after a failed one, or ends the request.
 func (b *Balancer) retry(req *request, result Result) {
-	cost := retryCost
-	if result == TimedOut {
-		cost = timeoutCost
-	}
+	cost := RetryCost(result)
 	unit := backoffUnit * float64(b.classes[req.class].LatencyObjective)
 	retryAt := b.now + time.Duration(b.rng.Float64()*min(math.Exp2(float64(req.retries)), maxBackoffUnits)*unit)
 	possible := func(backend *backendState) bool {
 		return backend.State == Up && b.mayAttempt(req, backend) && (req.possiblyExecuted == 0 || !b.zone(backend).failedOver)
 	}
-	if !slices.ContainsFunc(b.backends, possible) || b.tokens < cost || retryAt >= req.deadline || result == NotSent {
+	if !slices.ContainsFunc(b.backends, possible) || !b.retryBudget.Covers(cost) || retryAt >= req.deadline || result == NotSent {
 		b.finish(req)
 		return
 	}
-	b.tokens -= cost
+	b.retryBudget.Spend(cost)
 	req.retries++
 	req.inBackoff = true
 	b.setRequestTimer(req, retryAt)
 }
 
-// mayAttempt is the repeat rule: whether a (further) attempt of r may go to t.
+// mayAttempt is the rule for attempts: whether an attempt of the request, the first or a further one, may go to this
+// backend.
 func (b *Balancer) mayAttempt(req *request, backend *backendState) bool {
 	if !b.permits(req, backend.Zone) || req.ended || req.committed || len(req.attempts) >= b.settings.MaxAttempts ||
 		req.openAttempts > 0 && !b.settings.HedgingAllowed {
@@ -48,7 +42,7 @@
 	if class.Idempotency == Idempotent || req.possiblyExecuted == 0 {
 		return true
 	}
-	// A repeat may reach its backend a connect time-out after it is sent: the window must hold then.
+	// A retry may reach its backend a connect timeout after it is sent: the window must still hold then.
 	if class.Idempotency == NonIdempotent || b.now+b.settings.ConnectTimeout >= b.sendDeadline(req) {
 		return false
 	}
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -1,73 +1,72 @@
 package balancer
 
-// What is known of each zone. Nothing is decided here.
+// Zones: the record of each, and how it compares with the others.
 
 import "time"
 
-// zone is what is known of a zone as a whole.
+// zone is what the agent knows about a zone as a whole. The embedded structs own their fields.
 type zone struct {
-	number               int
-	up                   int           // its backends that the list says are up
-	stableBackends       int           // of these, those that are counted here from step to step ...
-	stableOutstanding    int           // ... and the attempts in flight there
-	logLikelihoodRatio   float64       // log odds that it is lost; 0: nothing speaks for that
-	silenceEpisode       int           // counts times at which something began to
-	silenceStartedAt     time.Duration // when the attempt was sent that did
-	silenceRate          float64       // running share of attempts without an answer of any kind
-	lastAnswerAt         time.Duration // latest answer
-	failedOver           bool
-	failedOverAt         time.Duration // left then, the last time
-	backoffExponent      float64       // times left, fading
-	probeTimer           int64         // of the timer of the next probe
-	consecutiveSuccesses int           // probes answered in a row
-	canary               bool          // one request may go there
-	recoveryStartedAt    time.Duration // used again since; 0: it has its full part
-	ownEvidence          bool          // left for what this agent saw itself, not by what it was told
-	reports              []lossReport  // what others told of its loss, a peer once
-	rtt                  time.Duration // round trip from this agent's zone, as steering takes it; 0: not known
-	reservedUntil        time.Duration // until then requests that may go elsewhere keep out of it
-	latencyRatio         float64       // running mean of what its answers take, as a multiple of the expected
+	sequentialTest
+	failoverState
+	stableTotals
+	number        int
+	up            int           // its backends in state Up
+	rtt           time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
+	reservedUntil time.Duration // requests that may go elsewhere avoid the zone until then
+	latencyRatio  float64       // moving average of the latency of its answers, relative to the expected latency
 }
 
-// lossReport is a peer's report that a zone is lost, and when it came.
-type lossReport struct {
-	from       int
-	receivedAt time.Duration
-}
+// recordLatency adds the latency of an answer, relative to the expected latency.
+func (z *zone) recordLatency(ratio float64) { z.latencyRatio = ewma(z.latencyRatio, ratio) }
+
+// crowded reports whether the zone's answers take much longer than expected.
+func (z *zone) crowded() bool { return z.latencyRatio > crowdedLatencyRatio }
+
+// reserve makes requests that may go elsewhere avoid the zone for a while; reserved reports whether they do.
+func (z *zone) reserve(until time.Duration)     { z.reservedUntil = until }
+func (z *zone) reserved(now time.Duration) bool { return now < z.reservedUntil }
+
+// open reports whether the zone has backends and no failover.
+func (z *zone) open() bool { return z.up > 0 && !z.failedOver }
 
-// zone is the zone of a backend. Those that the settings don't know share one.
-func (b *Balancer) zone(backend *backendState) *zone {
-	for len(b.zones) <= max(backend.Zone, 0) {
-		b.zones = append(b.zones, &zone{number: len(b.zones)})
+// zoneTable holds the zones by number.
+type zoneTable []*zone
+
+// of returns the record of a zone, and adds it if it is new. Zones that the settings don't know, with a number below 0,
+// share that of zone 0.
+func (t *zoneTable) of(number int) *zone {
+	for len(*t) <= max(number, 0) {
+		*t = append(*t, &zone{number: len(*t)})
 	}
-	return b.zones[max(backend.Zone, 0)]
+	return (*t)[max(number, 0)]
 }
 
-// zoneByProbeTimer is the left zone whose next probe a timer is for.
-func (b *Balancer) zoneByProbeTimer(token int64) *zone {
-	for _, z := range b.zones {
-		if z.failedOver && z.probeTimer == token {
+// byProbeTimer returns the failed-over zone whose next health check the timer is for, or nil.
+func (t zoneTable) byProbeTimer(token int64) *zone {
+	for _, z := range t {
+		if z.isProbeTimer(token) {
 			return z
 		}
 	}
 	return nil
 }
 
-// recentlyLostZones names the zones that this agent left of late for what it saw itself, a bit each: what peers report is
-// not passed on, and that a zone was lost a while ago says nothing of now, least of all to those who were cut off meanwhile.
-func (b *Balancer) recentlyLostZones() (lost uint16) {
-	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
-		if z.failedOver && z.ownEvidence && b.now-z.failedOverAt < b.maxObjective {
+// recentlyLost returns the zones that this agent failed over from within the span on its own evidence, one bit each.
+// Reports of peers are not passed on. An earlier loss says nothing about the present, least of all to agents that were
+// cut off in the meantime.
+func (t zoneTable) recentlyLost(now, span time.Duration) (lost uint16) {
+	for i, z := range t[:min(len(t), maxLossZones)] {
+		if z.recentOwnLoss(now, span) {
 			lost |= 1 << i
 		}
 	}
 	return lost
 }
 
-// baselineSilence is the share of attempts that the other zones leave without an answer of any kind: what a zone is held against.
-func (b *Balancer) baselineSilence(z *zone) float64 {
+// baselineSilence is the share of attempts without any answer in the other zones, which a zone is compared with.
+func (t zoneTable) baselineSilence(z *zone) float64 {
 	rate := minBaselineSilence
-	for _, other := range b.zones {
+	for _, other := range t {
 		if other != z && !other.failedOver {
 			rate = max(rate, min(other.silenceRate, lostSilenceRate/2))
 		}
@@ -75,34 +74,36 @@
 	return rate
 }
 
-// lowestPriority reports whether no class is worth less.
-func (b *Balancer) lowestPriority(class int) bool {
-	for i := range b.classes {
-		if b.classes[i].PriorityWeight < b.classes[class].PriorityWeight {
-			return false
+// othersAnswer reports whether another zone has answered since this one fell silent. If none has, the silence is that
+// of this agent or its own link, and there is nothing to fail over from.
+func (t zoneTable) othersAnswer(z *zone) bool {
+	for _, other := range t {
+		if other != z && !other.failedOver && other.worksAfter(z.silenceStartedAt) {
+			return true
 		}
 	}
-	return true
-}
-
-// crossingCost is what sending to a zone costs.
-func (b *Balancer) crossingCost(zone int) float64 {
-	switch own, regions := b.settings.Zone, b.settings.Regions; {
-	case zone == own:
-		return 0
-	case zone >= 0 && zone < len(regions) && own >= 0 && own < len(regions) && regions[zone] != regions[own]:
-		return max(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
-	}
-	return b.settings.CrossZoneCost
+	return false
 }
 
-// extraLatency is how much farther a zone is than the nearest one that is in use; 0: that is not known.
-func (b *Balancer) extraLatency(zone *zone) time.Duration {
+// extraLatency is how much farther away a zone is than the nearest one in use. 0 also means unknown.
+func (t zoneTable) extraLatency(zone *zone) time.Duration {
 	nearest := zone.rtt
-	for _, z := range b.zones {
-		if z.rtt > 0 && z.up > 0 && !z.failedOver {
+	for _, z := range t {
+		if z.rtt > 0 && z.open() {
 			nearest = min(nearest, z.rtt)
 		}
 	}
 	return zone.rtt - nearest
 }
+
+// spillover is 0 while answers from the own zone take no longer than those from the other zone, and rises to 1 where
+// they take longer by spilloverAt.
+func (t zoneTable) spillover(own int, z *zone) float64 {
+	if own < 0 || own >= len(t) || t[own].latencyRatio == 0 || z.latencyRatio == 0 {
+		return 0
+	}
+	return min(max((t[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
+}
+
+// zone returns the record of a backend's zone.
+func (b *Balancer) zone(backend *backendState) *zone { return b.zones.of(backend.Zone) }
--- /dev/null
+++ b/internal/agent/frontend_test.go
@@ -0,0 +1,173 @@
+package agent
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"martenbeam/internal/agent/clientconn"
+)
+
+// TestIdleClientConnectionIsClosed: a connection without a request may be closed after 2 s, and has to be soon after, or
+// idle connections would keep other clients out.
+func TestIdleClientConnectionIsClosed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
+		c := dial()
+		expectStatus(t, c, "/get/x", 503)
+		idle := time.Now()
+		_, at := readUntilClosed(c)
+		if kept := at.Sub(idle); kept < 2*time.Second || kept > 3*time.Second {
+			t.Errorf("closed after %v", kept)
+		}
+	})
+}
+
+// TestHealthCheckClosesItsConnection: a health check keeps no connection open.
+func TestHealthCheckClosesItsConnection(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
+		began := time.Now()
+		c := dial()
+		expectStatus(t, c, "/_health", 200)
+		if _, at := readUntilClosed(c); at.Sub(began) > time.Second {
+			t.Errorf("closed after %v", at.Sub(began))
+		}
+	})
+}
+
+// TestIdleEvictionOrder: when clients wait to connect, the connection that has waited longest for its first request is
+// closed, then the one that has been idle longest; never one with an open request or one that has just been accepted.
+func TestIdleEvictionOrder(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
+		rejectAll(t, f)
+		open := func(c net.Conn) bool {
+			err := c.SetReadDeadline(time.Now().Add(time.Nanosecond))
+			if err == nil {
+				_, err = c.Read(make([]byte, 1))
+			}
+			return errors.Is(err, os.ErrDeadlineExceeded)
+		}
+		idle := dial()
+		expectStatus(t, idle, "/get/x", 503)
+		busy, slow := dial(), dial()
+		if _, err := io.WriteString(busy, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.WriteString(slow, "GET /get/x HTTP/1.1\r\n"); err != nil {
+			t.Fatal(err)
+		}
+		synctest.Wait()
+		f.idleConns.EvictIdle()
+		if synctest.Wait(); !open(slow) || !open(idle) {
+			t.Fatal("closed one that has only just come")
+		}
+		time.Sleep(clientconn.MinIdleTime)
+		fresh := dial()
+		synctest.Wait()
+		f.idleConns.EvictIdle()
+		if synctest.Wait(); open(slow) || !open(idle) || !open(busy) || !open(fresh) {
+			t.Error("not the unfinished one was closed")
+		}
+		f.idleConns.EvictIdle()
+		if synctest.Wait(); open(idle) || !open(busy) || !open(fresh) {
+			t.Error("not the idle one was closed, though another had only just come")
+		}
+		time.Sleep(clientconn.MinIdleTime)
+		f.idleConns.EvictIdle()
+		f.idleConns.EvictIdle()
+		if synctest.Wait(); open(fresh) || !open(busy) {
+			t.Error("not the silent one was closed, or one with a request open")
+		}
+	})
+}
+
+func TestRetryAfterHeaderIsCappedAndOptional(t *testing.T) {
+	cfg := testConfig(t, testSetup{})
+	for _, row := range []struct {
+		shown bool
+		after time.Duration
+		want  string
+	}{{true, 250 * time.Millisecond, "0.250"}, {true, time.Minute, "1.500"}, {true, 0, ""}, {false, time.Second, ""}} {
+		cfg.Settings.RetryAfter = row.shown
+		w := newStatusRecorder()
+		(&frontend{cfg: cfg}).writeReply(w, nil, reply{rejected: true, retryAfter: row.after})
+		if w.status != 503 || w.header.Get("Retry-After") != row.want {
+			t.Errorf("%+v: %d %q", row, w.status, w.header.Get("Retry-After"))
+		}
+	}
+}
+
+// TestSilentConnectionsAreClosedWhenIdle: a connection that never sends anything must not delay a planned restart. Those
+// that have sent a request are left alone.
+func TestSilentConnectionsAreClosedWhenIdle(t *testing.T) {
+	hold := make(chan struct{})
+	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
+	busy := make(chan exchange, 1)
+	go func() { busy <- a.do("GET", "/get/x", "") }()
+	receive(t, "request", s.seen)
+	c, err := net.Dial("tcp", a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	eventually(t, "one silent connection", func() bool {
+		a.frontend.mu.Lock()
+		defer a.frontend.mu.Unlock()
+		return len(a.frontend.idleConns.Conns()) == 1 && a.frontend.connCount == 2
+	})
+	a.frontend.idleConns.CloseIdle(0, 0)
+	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the silent connection was not closed: %v", err)
+	}
+	close(hold)
+	if x := receive(t, "answer", busy); x.status != 200 {
+		t.Errorf("%+v", x)
+	}
+}
+
+// TestRequestsOverLimitAreRejected: beyond its part of the descriptors the agent holds no more requests and keeps no more
+// connections. A rejection is safe there, since nothing was executed.
+func TestRequestsOverLimitAreRejected(t *testing.T) {
+	hold := make(chan struct{})
+	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
+	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
+	cfg.Site.MaxOpen = 1
+	a := startAgent(t, cfg)
+	first := make(chan exchange, 1)
+	go func() { first <- a.do("GET", "/get/x", "") }()
+	receive(t, "first request", s.seen)
+	c, err := net.Dial("tcp", a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if _, err := fmt.Fprintf(c, "GET /get/y HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || resp.StatusCode != 503 || !resp.Close {
+		t.Errorf("%+v, %v", resp, err)
+	}
+	close(hold)
+	if x := receive(t, "first answer", first); x.status != 200 {
+		t.Errorf("%+v", x)
+	}
+	if len(s.seen) != 0 {
+		t.Error("the refused request was sent")
+	}
+}
--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -12,15 +12,16 @@
 	"testing"
 )
 
-// Every attribute of a log line stands in docs/logs.md, and every one there is in use.
+// TestLogAttributesAreDocumented: docs/logs.md lists each attribute of a log line, and no others.
 func TestLogAttributesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/logs.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	used := map[string]bool{"agent": true} // given to the logger itself
+	used := map[string]bool{"agent": true} // set on the logger itself
 	var files []string
-	for _, pattern := range []string{"*.go", "*/*.go", "../fleet/*.go", "../fleet/*/*.go", "../residency/*.go", "../settings/*.go", "../membership/*.go", "../logging/*.go"} {
+	for _, pattern := range []string{"*.go", "*/*.go", "../fleet/*.go", "../fleet/*/*.go", "../residency/*.go",
+		"../settings/*.go", "../membership/*.go", "../logging/*.go"} {
 		found, err := filepath.Glob(pattern)
 		if err != nil || len(found) == 0 {
 			t.Fatal(found, err)
@@ -79,13 +80,13 @@
 	}
 }
 
-// isLog reports whether an expression is a logger: one is called log or Log everywhere.
+// isLog reports whether an expression is a logger: the name of each ends in log.
 func isLog(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
-		return x.Name == "log"
+		return strings.HasSuffix(strings.ToLower(x.Name), "log")
 	case *ast.SelectorExpr:
-		return x.Sel.Name == "log" || x.Sel.Name == "Log"
+		return strings.HasSuffix(strings.ToLower(x.Sel.Name), "log")
 	}
 	return false
 }
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -1,6 +1,6 @@
 package agent
 
-// How final answers are written to clients.
+// How replies are written to clients.
 
 import (
 	"context"
@@ -10,19 +10,21 @@
 	"slices"
 	"strconv"
 	"time"
+
+	"martenbeam/internal/agent/upstream"
 )
 
-// writeReply writes a final answer. If it can't be written whole, net/http closes the connection
-// short of its Content-Length, so that the client can tell.
+// writeReply writes the final reply. If it can't be written completely, net/http closes the connection short of the
+// Content-Length, which tells the client.
 func (f *frontend) writeReply(w http.ResponseWriter, httpReq *http.Request, r reply) {
 	switch {
-	case r.response != nil && r.response.stream != nil:
+	case r.response != nil && r.response.Stream != nil:
 		f.streamResponse(w, httpReq, r.response)
 	case r.response != nil:
 		copyHeader(w, r.response)
-		w.Header().Set("Content-Length", strconv.Itoa(len(r.response.body)))
+		w.Header().Set("Content-Length", strconv.Itoa(len(r.response.Body)))
 		w.WriteHeader(http.StatusOK)
-		_, _ = w.Write(r.response.body) // a client that is gone needs no answer
+		_, _ = w.Write(r.response.Body) // fails only if the client has disconnected
 	case r.rejected:
 		if r.residency {
 			w.Header().Set("X-Refused-For", "residency")
@@ -37,38 +39,58 @@
 	}
 }
 
-func copyHeader(w http.ResponseWriter, resp *response) {
+func copyHeader(w http.ResponseWriter, resp *upstream.Response) {
 	h := w.Header()
-	for name, values := range resp.header {
+	for name, values := range resp.Header {
 		if !slices.Contains(hopHeaders, name) {
 			h[name] = values
 		}
 	}
 	if _, set := h["Content-Type"]; !set {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 }
 
-// streamResponse passes a large answer on as it comes. Where it can't be finished the connection ends short of
-// it, so that the client can tell.
-func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *response) {
-	stream, control := resp.stream, http.NewResponseController(w)
-	defer stream.finish(errRequestEnded)
-	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.cancel(errCancelled) })
+// streamResponse passes a streaming response on as it arrives. If it can't be completed, the connection is closed short
+// of its end, which tells the client.
+func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *upstream.Response) {
+	stream := resp.Stream
+	defer stream.Finish(upstream.ErrRequestEnded)
+	stopWatching := context.AfterFunc(httpReq.Context(), func() { stream.Cancel(upstream.ErrCancelled) })
 	defer stopWatching()
 	if c := clientConnOf(httpReq); c != nil {
-		limitKernelBuffers(c.Conn)
+		upstream.LimitKernelBuffers(c.Conn)
 	}
 	copyHeader(w, resp)
-	if stream.length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(stream.length, 10))
+	if stream.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(stream.Length, 10))
 	}
 	w.WriteHeader(http.StatusOK)
-	buf, free := f.loop.pool.bufferBudget.get()
+	buf, free := f.loop.pool.Buffers.Get()
 	defer free()
-	waited, passed := time.Duration(0), int64(0) // for the backend, and from it
-	for chunk, readErr := resp.body, error(nil); ; {
-		err := control.SetWriteDeadline(time.Now().Add(streamStallTimeout))
+	if !relay(httpReq.Context(), w, stream, resp.Body, buf) {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// minUpstreamRate is in bytes per second of a response, far below what any backend sends.
+const minUpstreamRate = 1 << 10
+
+// isTooSlow reports whether a backend sends slower than minUpstreamRate on average, StallTimeout aside: a response
+// that only trickles would never end. The client's deadline does not bound a streaming response: it applies to the first
+// bytes, and what the backend still sends must not be cut off.
+func isTooSlow(waited time.Duration, received int64) bool {
+	return waited > upstream.StallTimeout+time.Duration(received)*time.Second/minUpstreamRate
+}
+
+// relay writes first and then what it reads of stream into buf, until the response is complete. It returns false if the
+// connection to the client has to be aborted: the client does not read, the backend failed, or the response is too slow or
+// too large.
+func relay(client context.Context, w http.ResponseWriter, stream *upstream.Stream, first, buf []byte) bool {
+	control := http.NewResponseController(w)
+	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
+	for chunk, readErr := first, error(nil); ; {
+		err := control.SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
 		if err == nil {
 			_, err = w.Write(chunk)
 		}
@@ -76,33 +98,33 @@
 			err = control.Flush()
 		}
 		if err != nil {
-			panic(http.ErrAbortHandler)
+			return false
 		}
 		if readErr != nil {
-			stream.finish(nil)
-			return
+			stream.Finish(nil)
+			return true
 		}
-		if passed += int64(len(chunk)); passed > maxStreamBytes || isTooSlow(waited, passed) {
-			stream.finish(errStalled)
-			panic(http.ErrAbortHandler)
+		if passed += int64(len(chunk)); passed > upstream.MaxStreamBytes || isTooSlow(waited, passed) {
+			stream.Finish(upstream.ErrStalled)
+			return false
 		}
-		stalled := time.AfterFunc(streamStallTimeout, func() { stream.cancel(errStalled) })
+		stalled := time.AfterFunc(upstream.StallTimeout, func() { stream.Cancel(upstream.ErrStalled) })
 		readStart := time.Now()
-		n, err := stream.source.Read(buf)
+		n, err := stream.Read(buf)
 		waited += time.Since(readStart)
 		stalled.Stop()
 		if err != nil && !errors.Is(err, io.EOF) {
-			if httpReq.Context().Err() != nil {
-				err = errRequestEnded // the client has gone: the backend is not to blame
+			if client.Err() != nil {
+				err = upstream.ErrRequestEnded // the client has disconnected: the backend is not to blame
 			}
-			stream.finish(err)
-			panic(http.ErrAbortHandler)
+			stream.Finish(err)
+			return false
 		}
 		chunk, readErr = buf[:n], err
 	}
 }
 
-// reject says that trying again is harmless, and when to, where clients are shown that.
+// reject replies that a retry is harmless, and when to make it if the site shows that to clients.
 func (f *frontend) reject(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 && f.cfg.Settings.RetryAfter {
 		retryAfter = min(retryAfter, f.cfg.Settings.MaxRetryAfter)
--- /dev/null
+++ b/internal/agent/upstream/attempt.go
@@ -0,0 +1,190 @@
+package upstream
+
+// One attempt: a request on a connection to a backend, and its result.
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/wire"
+)
+
+// TransitAllowance is subtracted from the time that a backend is told (X-Expires-In): the request takes a moment to
+// arrive there, and the backend must not be told more time than the client has left.
+const TransitAllowance = 10 * time.Millisecond
+
+// Request is a client's request as it is forwarded to backends, the same for every attempt.
+type Request struct {
+	Method string
+	Host   string
+	URL    *url.URL // only path and query are used
+	Header http.Header
+	Body   []byte
+	Upload *Upload // the body's remainder, after Body; nil: Body is all of it
+}
+
+// Attempt is one attempt to send a request to one backend: its parameters, and what Execute found out about it.
+type Attempt struct {
+	ctx           context.Context         // of Execute
+	Cancel        context.CancelCauseFunc // cancels the context that is given to Execute
+	RequestDone   <-chan struct{}         // closed when the request has its final reply: nothing more is sent for it
+	Shutdown      <-chan struct{}         // closed when the event loop has stopped: nobody reads a streaming response any more
+	BackendID     string
+	Endpoint      *Endpoint // as it was when the balancer decided; nil: whatever the list says by then
+	WriteBy       time.Time // nothing is written after this; zero: no bound
+	ResidencyRule int       // residency rule of the request; 0: none
+	Request       *Request
+	Start         time.Time
+	Deadline      time.Time     // as the backend is told; zero: the context's deadline, if it has one
+	Latency       time.Duration // set by Execute for a streaming response: until its first bytes
+	NewConn       bool          // set by Execute: the connection was opened for this attempt
+	// OnStreamStart hands over a streaming response once its first bytes have arrived. It returns false if the
+	// attempt had timed out by then. nil: responses are buffered.
+	OnStreamStart func(*Response, time.Duration) bool
+}
+
+// Elapsed returns how long ago the backend got the last byte of the request, or the attempt began.
+func (a *Attempt) Elapsed() time.Duration {
+	if u := a.Request.Upload; u != nil && u.IsComplete() && u.CompletedAt().After(a.Start) {
+		return time.Since(u.CompletedAt())
+	}
+	return time.Since(a.Start)
+}
+
+// executeBuffered makes an attempt whose response is buffered. It waits until ctx ends at the latest.
+func (p *Pool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string,
+	request *Request) (balancer.Result, *Response, balancer.Load) {
+	return p.Execute(ctx, &Attempt{RequestDone: requestDone, BackendID: id, Request: request, Start: time.Now()})
+}
+
+// Execute makes an attempt and returns its result as the protocol's table of outcomes defines it. ConnectFailed and
+// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. When
+// ctx ends the attempt does too: as Cancelled if the cause is ErrCancelled, otherwise as TimedOut, or as ConnectFailed while
+// it has no connection. With a streaming response Execute returns once the response has been passed on, or can't be.
+func (p *Pool) Execute(ctx context.Context, att *Attempt) (balancer.Result, *Response, balancer.Load) {
+	att.ctx = ctx
+	for {
+		conn, addr, err := p.acquire(att.BackendID)
+		if err == nil && conn == nil {
+			conn, err = p.dial(att.ctx, addr)
+		}
+		if err != nil {
+			if errors.Is(err, errNoDescriptor) {
+				p.log.Warn("attempt not sent", "error", err, "backend", att.BackendID)
+			}
+			if errors.Is(context.Cause(att.ctx), ErrCancelled) {
+				return balancer.Cancelled, nil, wire.ParseLoad(nil)
+			}
+			return balancer.ConnectFailed, nil, wire.ParseLoad(nil)
+		}
+		if err := p.CheckSendable(att); err != nil { // something changed while the connection was opened: nothing was written
+			p.release(att.BackendID, conn, true)
+			return unsentResult(err), nil, wire.ParseLoad(nil)
+		}
+		reused := conn.idleFor > 0
+		att.NewConn = !reused
+		result, resp, load := p.roundTrip(att, conn)
+		// An idle connection that had died before the request was complete on it proves nothing about the
+		// backend, and nothing was executed: the attempt is made on another connection.
+		if result != balancer.ConnectFailed || !reused || att.Request.Consumed() {
+			return result, resp, load
+		}
+	}
+}
+
+// unsentResult returns the result of an attempt of which nothing was written for a reason unrelated to the backend.
+func unsentResult(err error) balancer.Result {
+	if errors.Is(err, errAlreadyAnswered) || errors.Is(err, errRetryWindowOver) {
+		return balancer.NotSent // the request needs no further attempt
+	}
+	return balancer.ConnectFailed
+}
+
+// IsStreamed reports whether the body is streamed, not buffered.
+func (r *Request) IsStreamed() bool { return r != nil && r.Upload != nil }
+
+// Consumed reports whether part of a streamed body was handed out, so that no other attempt can send it.
+func (r *Request) Consumed() bool { return r.IsStreamed() && r.Upload.streamStarted.Load() }
+
+// roundTrip writes the request on a connection, once, and waits for the response.
+func (p *Pool) roundTrip(att *Attempt, conn *pooledConn) (balancer.Result, *Response, balancer.Load) {
+	req, body := newHTTPRequest(att, conn)
+	var lastByteNext func() bool
+	if body != nil {
+		lastByteNext = body.consumed.Load
+	}
+	conn.tracked.startRequest(func() error { return p.CheckSendable(att) }, att.WriteBy, lastByteNext)
+	setTimeLeft(req, att)
+	// http.ClientConn sends a request at most once. http.Transport.RoundTrip would send it again on its own on a
+	// stale connection: an attempt that the balancer neither ordered nor counted.
+	httpResp, err := conn.RoundTrip(req)
+	if err != nil {
+		return p.unansweredResult(att, conn, body), nil, wire.ParseLoad(nil)
+	}
+	return p.receive(att, conn, body, httpResp)
+}
+
+// newHTTPRequest returns the attempt's request for net/http, and its body if that is streamed.
+func newHTTPRequest(att *Attempt, conn *pooledConn) (*http.Request, *requestBody) {
+	request := att.Request
+	target := *request.URL
+	target.Scheme, target.Host = "http", conn.addr
+	req := (&http.Request{Method: request.Method, URL: &target, Header: request.Header.Clone(), Host: request.Host,
+		ProtoMajor: 1, ProtoMinor: 1, Body: http.NoBody}).WithContext(att.ctx)
+	switch {
+	case request.Upload != nil:
+		body := request.Upload.newBody(request.Body)
+		req.Body, req.ContentLength = body, request.Upload.length
+		LimitKernelBuffers(conn.tracked.Conn)
+		return req, body
+	case len(request.Body) > 0:
+		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(request.Body)), int64(len(request.Body))
+	}
+	return req, nil
+}
+
+// setTimeLeft tells the backend how many seconds it has, less TransitAllowance.
+func setTimeLeft(req *http.Request, att *Attempt) {
+	deadline, ok := att.Deadline, !att.Deadline.IsZero()
+	if !ok {
+		deadline, ok = att.ctx.Deadline()
+	}
+	if ok {
+		remaining := max(0, time.Until(deadline)-TransitAllowance).Truncate(time.Millisecond)
+		req.Header.Set("X-Expires-In", strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64))
+	}
+}
+
+// unansweredResult closes the connection of an attempt whose request had no response, and returns the attempt's result.
+func (p *Pool) unansweredResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
+	result := p.failedResult(att, conn, body)
+	if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil &&
+		!errors.Is(reason, errUnsolicitedBytes) && !errors.Is(reason, errClosedWhileIdle) {
+		return unsentResult(reason)
+	}
+	p.recordReuse(conn, result == balancer.Reset || result == balancer.ConnectFailed)
+	return result
+}
+
+// failedResult closes the connection of an attempt without a complete response, and returns the attempt's result.
+func (p *Pool) failedResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
+	cause := context.Cause(att.ctx)
+	incomplete := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
+	p.release(att.BackendID, conn, false)
+	switch {
+	case errors.Is(cause, ErrCancelled):
+		return balancer.Cancelled
+	case cause != nil:
+		return balancer.TimedOut
+	case incomplete:
+		return balancer.ConnectFailed
+	}
+	return balancer.Reset
+}
--- /dev/null
+++ b/internal/agent/upstream/trackedconn.go
@@ -0,0 +1,252 @@
+package upstream
+
+// One connection to a backend, and what is certain about each request on it.
+
+import (
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// trackedConn is a connection to a backend below net/http's client. It knows two things about each request for certain:
+// whether the request was written to its last byte, and that the bytes received are not older than the request.
+//
+// net/http can't tell either. Its trace of written bytes may come after RoundTrip has returned, while a count under a
+// lock is exact once the connection is closed, since nothing is written after that. And net/http takes bytes that
+// arrived before the request was written for its response, if it had been handed the request by then.
+type trackedConn struct {
+	net.Conn
+	raw syscall.RawConn // nil: Conn is not a socket
+
+	writeMu     sync.Mutex // held during the write system call
+	written     int        // bytes of the current request
+	writeFailed bool       // a write ended short, so the request's last byte was not written
+	writeBy     time.Time  // no byte of the current request is written after this; zero: no bound
+
+	mu               sync.Mutex
+	stateChanged     sync.Cond    // L is mu; signals reading and closed
+	reading          bool         // net/http waits in Read
+	closed           bool         // by this side
+	remoteClosed     bool         // the backend closed or broke the connection
+	requestStarted   bool         // the first byte of the current request is about to be written, or was
+	unsolicited      bool         // bytes arrived while no request was under way: nothing on this connection can be trusted
+	checkSendable    func() error // called before the first byte; an error keeps the request from being written
+	blockedReason    error        // why the current request was not written
+	lastByteNext     func() bool  // reports whether the next write carries the last byte; nil: not of interest, or already written
+	responseReceived bool         // a byte of a final (not 1xx) response arrived
+	earlyResponse    bool         // one arrived before the request's last byte was written
+}
+
+func newTrackedConn(conn net.Conn) *trackedConn {
+	tracked := &trackedConn{Conn: conn}
+	tracked.stateChanged.L = &tracked.mu
+	if s, ok := conn.(syscall.Conn); ok {
+		tracked.raw, _ = s.SyscallConn() // an error means that the connection is broken, which the first use will tell
+	}
+	return tracked
+}
+
+// startRequest prepares the connection for the next request. Nothing of it is written if CheckSendable returns an error,
+// nor after WriteBy. lastByteNext reports whether the next write carries the request's last byte; nil for a request
+// that net/http writes at once.
+func (c *trackedConn) startRequest(checkSendable func() error, writeBy time.Time, lastByteNext func() bool) {
+	c.writeMu.Lock()
+	c.written, c.writeFailed = 0, false
+	if !writeBy.IsZero() || !c.writeBy.IsZero() {
+		_ = c.Conn.SetWriteDeadline(writeBy) // fails only on a broken connection; a blocked write ends at this time
+	}
+	c.writeBy = writeBy
+	c.writeMu.Unlock()
+	c.mu.Lock()
+	c.requestStarted, c.checkSendable, c.blockedReason = false, checkSendable, nil
+	c.lastByteNext, c.responseReceived, c.earlyResponse = lastByteNext, false, false
+	c.mu.Unlock()
+}
+
+// Write writes bytes of the current request, unless something is against its first byte.
+func (c *trackedConn) Write(p []byte) (int, error) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	err := c.beforeFirstByte()
+	if err == nil && !c.writeBy.IsZero() && !time.Now().Before(c.writeBy) {
+		err = errRetryWindowOver
+	}
+	if err != nil {
+		c.writeFailed = true
+		c.mu.Lock()
+		c.blockedReason = err
+		c.mu.Unlock()
+		return 0, err
+	}
+	c.beforeLastByte()
+	n, err := c.Conn.Write(p)
+	c.written += n
+	c.writeFailed = c.writeFailed || err != nil
+	return n, err
+}
+
+// beforeFirstByte is called before each write and, before the first of a request, returns why it must not be written.
+// Its last check is for bytes that have already arrived: those can't be a response to this request.
+func (c *trackedConn) beforeFirstByte() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestStarted {
+		return nil
+	}
+	if checkSendable := c.checkSendable; checkSendable != nil {
+		c.mu.Unlock() // it takes locks under which connections are closed
+		err := checkSendable()
+		if c.mu.Lock(); err != nil {
+			return err
+		}
+	}
+	if c.closed {
+		return net.ErrClosed
+	}
+	if c.raw != nil && !c.unsolicited { // after all other checks: what arrived before this point is no response to the request
+		var n int
+		var err error
+		p := make([]byte, 1)
+		controlErr := c.raw.Control(func(fd uintptr) { n, err = syscall.Read(int(fd), p) })
+		if controlErr == nil && err == nil && n == 0 {
+			return errClosedWhileIdle
+		}
+		c.unsolicited = n > 0
+	}
+	if c.unsolicited {
+		return errUnsolicitedBytes
+	}
+	c.requestStarted = true
+	return nil
+}
+
+// beforeLastByte notes whether a response has arrived before the request's last byte is written. Backends start a request
+// on its last byte, so such a response is not the outcome of having executed it.
+func (c *trackedConn) beforeLastByte() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lastByteNext == nil || !c.lastByteNext() {
+		return
+	}
+	c.lastByteNext = nil
+	if c.earlyResponse = c.responseReceived; c.earlyResponse || c.raw == nil {
+		return
+	}
+	p := make([]byte, statusOffset+1)
+	_ = c.raw.Control(func(fd uintptr) { // fails only on a broken connection
+		if n, _, err := syscall.Recvfrom(int(fd), p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err == nil {
+			c.earlyResponse = isFinalResponse(p[:max(0, n)])
+		}
+	})
+}
+
+// statusOffset is the index of the status code's first digit in "HTTP/1.1 200".
+const statusOffset = len("HTTP/1.1 ")
+
+// isFinalResponse reports whether p begins a response other than an informational one (RFC 9110, 15.2).
+func isFinalResponse(p []byte) bool { return len(p) > statusOffset && p[statusOffset] != '1' }
+
+// respondedEarly reports whether a final response arrived before the request's last byte was written.
+func (c *trackedConn) respondedEarly() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.earlyResponse
+}
+
+// blocked returns why the current request was not written; nil: it was not held back.
+func (c *trackedConn) blocked() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.blockedReason
+}
+
+// Read reads bytes of a response. It fails once bytes arrived that no request had asked for.
+func (c *trackedConn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	c.reading = true
+	c.stateChanged.Broadcast()
+	c.mu.Unlock()
+	n, err := c.readSocket(p)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reading = false
+	c.remoteClosed = c.remoteClosed || err != nil
+	if c.unsolicited {
+		return 0, errUnsolicitedBytes
+	}
+	return n, err
+}
+
+// readSocket reads and marks bytes that arrived before a request's first byte. On a socket the read system call and the
+// mark are under one lock, so that no write can come between them.
+func (c *trackedConn) readSocket(p []byte) (n int, err error) {
+	if c.raw == nil || len(p) == 0 {
+		n, err = c.Conn.Read(p)
+		c.mu.Lock()
+		c.unsolicited = c.unsolicited || n > 0 && !c.requestStarted
+		c.mu.Unlock()
+		return n, err
+	}
+	waited := c.raw.Read(func(fd uintptr) bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for n, err = syscall.Read(int(fd), p); errors.Is(err, syscall.EINTR); {
+			n, err = syscall.Read(int(fd), p)
+		}
+		if errors.Is(err, syscall.EAGAIN) {
+			return false
+		}
+		c.unsolicited = c.unsolicited || n > 0 && !c.requestStarted
+		c.responseReceived = c.responseReceived || n > 0 && isFinalResponse(p[:n])
+		return true
+	})
+	switch {
+	case waited != nil:
+		return 0, waited
+	case err != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: err}
+	case n == 0:
+		return 0, io.EOF
+	}
+	return n, nil
+}
+
+// Close closes the connection and wakes awaitIdle.
+func (c *trackedConn) Close() error {
+	c.mu.Lock()
+	c.closed = true
+	c.stateChanged.Broadcast()
+	c.mu.Unlock()
+	return c.Conn.Close()
+}
+
+// awaitIdle waits until net/http reads again after a complete response, or has closed the connection. On a reusable
+// connection net/http closes it if more bytes arrived than the response. From here on every byte is unsolicited.
+func (c *trackedConn) awaitIdle(reusable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for !c.reading && !c.closed {
+		c.stateChanged.Wait()
+	}
+	c.requestStarted = false
+	c.unsolicited = c.unsolicited || reusable && c.closed && !c.remoteClosed
+}
+
+// hasUnsolicited reports whether bytes arrived that no request had asked for.
+func (c *trackedConn) hasUnsolicited() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.unsolicited
+}
+
+// closeIncomplete closes the connection and reports whether the request is known not to have been written to its last
+// byte. The writes of one request are in order, and end with the first that fails.
+func (c *trackedConn) closeIncomplete() bool {
+	c.Close() // unblocks a Write that holds the lock
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	return c.written == 0 || c.writeFailed
+}
--- /dev/null
+++ b/internal/fleet/dead.go
@@ -0,0 +1,55 @@
+package fleet
+
+// This file finds out which failed members are dead, and publishes them.
+
+import (
+	"context"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"martenbeam/internal/fleet/gossip"
+)
+
+const (
+	deadCheckInterval = time.Second
+	deadCheckTimeout  = 600 * time.Millisecond
+	deadCheckers      = 2  // members that check each failed one
+	maxNamesPerEntry  = 64 // dead names in one gossip entry: its body is limited
+)
+
+// detectDead checks the failed members that this one is responsible for, once a second until ctx ends, and publishes the names
+// of those whose machine refuses connections. Other members then use their quota; see recomputeQuota.
+func (f *Fleet) detectDead(ctx context.Context) {
+	tick := time.NewTicker(deadCheckInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		failed := f.members.FailedToCheck(deadCheckers)
+		dead := make([]bool, len(failed))
+		var calls sync.WaitGroup
+		for i, m := range failed {
+			calls.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
+		}
+		calls.Wait()
+		var names []string
+		for i, m := range failed {
+			if dead[i] && !m.Hub { // a hub has no quota that others could use
+				names = append(names, m.Name)
+			}
+		}
+		for i := 0; i < len(names); i += maxNamesPerEntry {
+			body, err := cbor.Marshal(names[i:min(len(names), i+maxNamesPerEntry)])
+			if err != nil {
+				panic(err) // strings always encode
+			}
+			f.store.Publish(gossip.DeadProcesses, strconv.Itoa(i), body)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -0,0 +1,131 @@
+// A network of a hub process that can be cut by peer and direction.
+
+package hubclient
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"net/netip"
+	"os"
+	"sync"
+	"time"
+)
+
+const (
+	in  = 1 << iota // cut from peers to the hub
+	out             // cut from the hub to peers
+)
+
+// cuttableNetwork is the network of a hub: a member.Wire. Directions to peers that are cut hold the bytes of streams
+// and lose packets.
+type cuttableNetwork struct {
+	report     func(any)
+	sendBuffer int // bytes of accepted connections, which can't be cut then; 0: the system's default
+	mu         sync.Mutex
+	cut        map[string]uint8 // by IP address: in, out or both
+}
+
+// set replaces all cuts; nil leaves them.
+func (n *cuttableNetwork) set(cut map[string]uint8) {
+	if cut == nil {
+		return
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut = cut
+}
+
+// cutTo returns which directions to a peer are cut.
+func (n *cuttableNetwork) cutTo(peer netip.Addr) uint8 {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.cut[peer.Unmap().String()]
+}
+
+func (n *cuttableNetwork) Packet(_ []byte, peer netip.AddrPort, outgoing bool) bool {
+	if outgoing {
+		return n.cutTo(peer.Addr())&out == 0
+	}
+	return n.cutTo(peer.Addr())&in == 0
+}
+
+func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
+	to, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return nil, err
+	}
+	if n.cutTo(to.Addr()) != 0 {
+		if d.Timeout > 0 {
+			var cancel context.CancelFunc
+			ctx, cancel = context.WithTimeout(ctx, d.Timeout)
+			defer cancel()
+		}
+		<-ctx.Done()
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
+	}
+	conn, err := d.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	return n.wrap(conn), nil
+}
+
+func (n *cuttableNetwork) Accepted(conn net.Conn) net.Conn {
+	if n.sendBuffer > 0 {
+		_ = conn.(*net.TCPConn).SetWriteBuffer(n.sendBuffer)
+		return conn
+	}
+	return n.wrap(conn)
+}
+
+// pipedConn is a connection that a cuttableNetwork forwards, with the addresses of the real one.
+type pipedConn struct {
+	net.Conn
+	real net.Conn
+}
+
+func (c *pipedConn) RemoteAddr() net.Addr { return c.real.RemoteAddr() }
+
+func (c *pipedConn) LocalAddr() net.Addr { return c.real.LocalAddr() }
+
+// wrap returns a connection whose bytes pass through the network.
+func (n *cuttableNetwork) wrap(conn net.Conn) net.Conn {
+	near, far := net.Pipe()
+	peer := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
+	go n.forward(far, conn, peer, in)
+	go n.forward(conn, far, peer, out)
+	return &pipedConn{near, conn}
+}
+
+// forward copies one direction of a connection, and its end, and holds both while the direction is cut.
+func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
+	chunks := make(chan []byte, 1024)
+	go func() {
+		defer close(chunks)
+		for first := true; ; first = false {
+			buf := make([]byte, 4096)
+			size, err := from.Read(buf)
+			if first && direction == in && bytes.HasPrefix(buf[:size], []byte("GET /hub HTTP")) {
+				n.report(hubOutput{Hello: time.Now().UnixMicro()})
+			}
+			if size > 0 {
+				chunks <- buf[:size]
+			}
+			if err != nil {
+				return
+			}
+		}
+	}()
+	waitWhileCut := func() {
+		for n.cutTo(peer)&direction != 0 {
+			time.Sleep(2 * time.Millisecond)
+		}
+	}
+	for b := range chunks { // those that can't be written any more are drained
+		waitWhileCut()
+		_, _ = to.Write(b)
+	}
+	waitWhileCut()
+	to.Close()
+}
--- /dev/null
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -0,0 +1,194 @@
+// Hub processes as the tests see them: start, commands, signals, and what their output says.
+
+package hubclient
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"io"
+	"os"
+	"os/exec"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// hubSpec describes a hub to its process.
+type hubSpec struct {
+	Name, Site, Listen, Label string
+	Seeds                     []string
+	MaxAgents                 int
+	SendBuffer                int  // of agents' connections, in bytes; 0: the system's, and its network can be cut
+	Source                    bool // it is a source of the residency policy
+	Untraced                  bool // it writes no trace
+}
+
+// hubCommand is a command to a hub process, which answers with the same ID.
+type hubCommand struct {
+	ID       int
+	Cut      map[string]uint8 // replaces all cuts, if not nil; see cuttableNetwork
+	Settings string
+	Policy   string
+	Heap     bool // report the size of heap and stacks
+}
+
+// hubOutput is a line that a hub process writes: its address, an answer, an agent's Hello, or a line of its trace.
+type hubOutput struct {
+	Addr  string
+	ID    int
+	Error string
+	Heap  uint64 // bytes
+	Hello int64  // when it came, in microseconds since 1970
+	traceLine
+}
+
+// hubProcess is a running hub process. One goroutine reads its output until it ends.
+type hubProcess struct {
+	hubSpec
+	addr  string
+	cmd   *exec.Cmd
+	stdin io.WriteCloser
+	done  chan struct{}
+
+	mu           sync.Mutex
+	lastID       int
+	answers      map[int]hubOutput
+	hellos       []int64
+	reportedAddr chan string
+}
+
+// startHubProcess starts a hub process, which ends with the test at the latest, and waits until it listens. The
+// monitor gets its trace.
+func startHubProcess(t *testing.T, m *monitor, spec hubSpec) *hubProcess {
+	t.Helper()
+	spec.Label = t.Name()
+	text, err := json.Marshal(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}),
+		answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
+	p.cmd.Env = append(os.Environ(), hubSpecVariable+"="+string(text))
+	p.cmd.Stderr = &processLog{t: t, name: spec.Name}
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
+		t.Fatal(err)
+	}
+	stdout, err := p.cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go p.readOutput(m, stdout)
+	t.Cleanup(p.kill)
+	select {
+	case p.addr = <-p.reportedAddr:
+	case <-time.After(waitTimeout):
+		t.Fatalf("hub %s does not start", spec.Name)
+	}
+	return p
+}
+
+// processLog fails the test for data races and panics that a hub process logs.
+type processLog struct {
+	t    *testing.T
+	name string
+}
+
+func (l *processLog) Write(p []byte) (int, error) {
+	if bytes.Contains(p, []byte("DATA RACE")) || bytes.Contains(p, []byte("panic")) {
+		l.t.Errorf("hub %s: %s", l.name, p)
+	}
+	return len(p), nil
+}
+
+// readOutput handles the lines that the process writes, until it ends, and then closes done.
+func (p *hubProcess) readOutput(m *monitor, stdout io.Reader) {
+	defer close(p.done)
+	defer func() { _ = p.cmd.Wait() }() // it was killed
+	for r := bufio.NewReader(stdout); ; {
+		data, err := r.ReadBytes('\n')
+		if err != nil {
+			return
+		}
+		var output hubOutput
+		if json.Unmarshal(data, &output) == nil {
+			p.handleOutput(m, output)
+		}
+	}
+}
+
+// handleOutput stores a line of output, or passes it to the monitor.
+func (p *hubProcess) handleOutput(m *monitor, output hubOutput) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch {
+	case output.Addr != "":
+		p.reportedAddr <- output.Addr
+	case output.ID > 0:
+		p.answers[output.ID] = output
+	case output.Hello > 0:
+		p.hellos = append(p.hellos, output.Hello)
+	default:
+		m.checkTraceLine(output.traceLine)
+	}
+}
+
+// execute sends a command and returns its answer.
+func (p *hubProcess) execute(t *testing.T, command hubCommand) (answer hubOutput) {
+	t.Helper()
+	p.mu.Lock()
+	p.lastID++
+	command.ID = p.lastID
+	p.mu.Unlock()
+	if err := json.NewEncoder(p.stdin).Encode(&command); err != nil {
+		t.Fatal(err)
+	}
+	waitFor(t, "a hub's answer", func() (known bool) {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		answer, known = p.answers[command.ID]
+		return known
+	})
+	return answer
+}
+
+// kill ends the process by SIGKILL, and waits until its output was read.
+func (p *hubProcess) kill() {
+	_ = p.cmd.Process.Kill() // fails only when the process has ended
+	<-p.done
+}
+
+// signal sends a signal to the process.
+func (p *hubProcess) signal(t *testing.T, s syscall.Signal) {
+	t.Helper()
+	if err := p.cmd.Process.Signal(s); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// helloRate returns how many agents sent a Hello since a point in time: at most within one second, and altogether.
+func (p *hubProcess) helloRate(from time.Time) (peak, all int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var list []int64
+	for _, at := range p.hellos {
+		if at >= from.UnixMicro() {
+			list = append(list, at)
+		}
+	}
+	for i, j := 0, 0; j < len(list); j++ {
+		for list[j]-list[i] >= 1e6 {
+			i++
+		}
+		peak = max(peak, j-i+1)
+	}
+	return peak, len(list)
+}
--- a/internal/fleet/hubclient/flat.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -1,7 +1,10 @@
+// The fallback to the full mesh while no hub accepts the agent.
+
 package hubclient
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"martenbeam/internal/fleet"
@@ -9,11 +12,12 @@
 )
 
 const (
-	meshFallbackDelay = 5 * time.Second // without a hub
-	meshRetryInterval = time.Second     // after it could not be made
+	meshFallbackDelay = 5 * time.Second // without an attachment
+	meshRetryInterval = time.Second     // after an attempt to join failed
 )
 
-// serveAddress has the fleet address be answered until ctx ends: by the door, and while there is no hub by the flat fleet.
+// serveAddress serves the fleet address until ctx ends: by the full mesh while there is no hub, by addressListener
+// otherwise.
 func (c *Client) serveAddress(ctx context.Context) {
 	if !c.listener.awaitAddress(ctx) {
 		return
@@ -22,20 +26,20 @@
 	for ctx.Err() == nil {
 		c.runWhile(ctx, func() bool { return c.cfg.NewMesh == nil || c.disconnectedFor() < meshFallbackDelay }, c.listener.accept)
 		if ctx.Err() == nil && !c.fallBackToMesh(ctx) {
-			c.runWhile(ctx, func() bool { return true }, func(ctx context.Context) {
-				retryCtx, cancel := context.WithTimeout(ctx, meshRetryInterval)
-				defer cancel()
-				c.listener.accept(retryCtx)
-			})
+			retryCtx, cancel := context.WithTimeout(ctx, meshRetryInterval)
+			c.listener.accept(retryCtx)
+			cancel()
 		}
 	}
 }
 
-// runWhile does something until ctx ends, or what it is done for does not hold any more.
+// runWhile calls run with a context that ends with ctx, or within gossip.TickInterval of holds returning false.
 func (c *Client) runWhile(ctx context.Context, holds func() bool, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
 	defer cancel()
-	go func() {
+	watcher.Go(func() {
 		tick := time.NewTicker(gossip.TickInterval)
 		defer tick.Stop()
 		for holds() && ctx.Err() == nil {
@@ -45,43 +49,43 @@
 			}
 		}
 		cancel()
-	}()
+	})
 	run(ctx)
 }
 
-// fallBackToMesh runs the flat fleet until a hub has taken this agent. The lower of both parts holds until the others have heard
-// its goodbye. It reports whether the fleet could be made.
+// fallBackToMesh joins the full mesh and leaves it when a hub has accepted this agent, or ctx ends. The mesh's quota
+// keeps counting until the agent has left. It returns false if the mesh could not be joined.
 func (c *Client) fallBackToMesh(ctx context.Context) bool {
 	listener, err := c.listener.duplicate()
 	if err != nil {
-		c.cfg.Log.Error("no flat fleet without hubs", "error", err)
+		c.cfg.Log.Error("full mesh fallback failed", "error", err)
 		return false
 	}
 	mesh, err := c.cfg.NewMesh(listener, c.startedAt, fleet.Callbacks{Quota: c.setMeshQuota, Latencies: c.callbacks.Latencies})
 	if err != nil {
 		listener.Close()
-		c.cfg.Log.Error("no flat fleet without hubs", "error", err)
+		c.cfg.Log.Error("full mesh fallback failed", "error", err)
 		return false
 	}
-	c.cfg.Log.Warn("no hub: the flat fleet runs")
+	c.cfg.Log.Warn("full mesh fallback started")
 	c.mesh.Store(mesh)
 	if c.serving.Load() {
 		mesh.Ready()
 	}
 	c.runWhile(ctx, func() bool { return c.disconnectedFor() > 0 }, func(ctx context.Context) {
 		if err := mesh.Run(ctx); err != nil {
-			c.cfg.Log.Error("the flat fleet is left", "error", err)
+			c.cfg.Log.Error("full mesh stopped", "error", err)
 		}
 		<-ctx.Done()
 	})
 	c.mesh.Store(nil)
 	c.setMeshQuota(0)
 	c.forgetLatencies()
-	c.cfg.Log.Info("a hub is back: the flat fleet has ended")
+	c.cfg.Log.Info("full mesh fallback ended")
 	return true
 }
 
-// setMeshQuota takes this agent's part by the flat fleet's rule; 0: it does not count any more.
+// setMeshQuota records this agent's quota by the full mesh's rule; 0: it does not count any more.
 func (c *Client) setMeshQuota(quota float64) {
 	c.mu.Lock()
 	c.meshQuota = quota
@@ -89,7 +93,7 @@
 	c.wake()
 }
 
-// forgetLatencies has the distances be told anew: the flat fleet told others.
+// forgetLatencies makes updateLatency report all latencies again, since the mesh reported others in between.
 func (c *Client) forgetLatencies() {
 	c.mu.Lock()
 	c.rtts = nil
--- /dev/null
+++ b/internal/fleet/hubclient/partition_test.go
@@ -0,0 +1,178 @@
+// Tests of cut networks: a hub cut off in one direction, and two regions cut off from each other.
+
+package hubclient
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"martenbeam/internal/settings"
+)
+
+// cutPaths returns a cut to the hubs and the first 20 agents of some zones, each named by one letter.
+func cutPaths(cut uint8, hubs, agents string) map[string]uint8 {
+	m := map[string]uint8{}
+	for _, z := range hubs {
+		m[hubIP(string(z))] = cut
+	}
+	for _, z := range agents {
+		for i := range 20 {
+			m[agentIP(string(z), i)] = cut
+		}
+	}
+	return m
+}
+
+// A hub is cut off in one direction, from all agents or from the other hubs. Its agents move to another hub or stay,
+// nobody is reported as dead, and settings that are applied meanwhile reach everyone, at the latest when the cut
+// ends.
+func TestHubCutInOneDirection(t *testing.T) {
+	for name, test := range map[string]struct {
+		cut   map[string]uint8
+		alone string // zones whose agents receive a fleet size of themselves only; "": none
+	}{
+		"from agents": {cutPaths(in, "", "abc"), ""},
+		"to agents":   {cutPaths(out, "", "abc"), ""},
+		"from hubs":   {cutPaths(in, "bc", ""), "a"},
+		"to hubs":     {cutPaths(out, "bc", ""), "bc"},
+	} {
+		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
+			t.Parallel()
+			testHubCut(t, test.cut, test.alone)
+		})
+	}
+}
+
+// testHubCut applies a cut to hub a, and ends it again. alone names the zones that get a fleet size of their own
+// agents meanwhile.
+func testHubCut(t *testing.T, cut map[string]uint8, alone string) {
+	c := newCluster(t, 6, false, "a", "b", "c")
+	c.preferredCheckInterval = 2 * time.Second
+	defer c.monitor.stopAndCheck(t)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	atA := c.startAgents("a", 2)
+	agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
+	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
+	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./6)))
+	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+	c.monitor.require(1./8, true) // agents that move are counted at two hubs for a moment
+	c.hubs["a"].execute(t, hubCommand{Cut: cut})
+	cutAt := time.Now()
+	c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	if alone != "" {
+		waitFor(t, "the settings at the other agents", allOf(agents[:4], hasSettings(2)))
+		connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[alone]
+		waitFor(t, "a fleet size of these alone",
+			allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
+	} else {
+		waitFor(t, "attachment to another hub", allOf(atA, attachedTo("bc")))
+		waitWithin(t, "the settings at all agents", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
+	}
+	c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
+	waitWithin(t, "the settings at all agents", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
+	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
+}
+
+// firstDigestIs returns the condition that an agent has applied the text with a digest.
+func firstDigestIs(digest string) func(a *clusterAgent) bool {
+	return func(a *clusterAgent) bool { return a.settings.State().Digests[0] == digest }
+}
+
+// Two regions are cut off from each other. Each side gets new settings, one of its agents dies, and another is
+// restarted on the other side. When the cut ends, all apply the higher version, and the quotas of the dead are
+// shared. During a second cut each side gets another text of the same version: each side keeps its own and reports
+// the conflict, until there is a higher version. One sequence of events, longer than 40 lines: each step needs the
+// one before.
+func TestRegionsPartitionedAndRejoined(t *testing.T) {
+	t.Parallel()
+	c := newCluster(t, 12, false, "a", "b", "c", "d")
+	defer c.monitor.stopAndCheck(t)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
+	sides := [2][]*clusterAgent{append(c.startAgents("a", 3), c.startAgents("b", 3)...),
+		append(c.startAgents("c", 3), c.startAgents("d", 3)...)}
+	both := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
+	waitFor(t, "the first settings", allOf(both(), hasSettings(1)))
+	waitFor(t, "an even quota for each", allOf(both(), hasQuota(1./12)))
+	c.partitionRegions(sides)
+	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
+	c.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
+	waitFor(t, "the settings of the first side", allOf(sides[0], hasSettings(2)))
+	waitFor(t, "the settings of the second side", allOf(sides[1], hasSettings(3)))
+	for i, zone := range []string{"c", "b"} {
+		sides[i][0].kill()
+		moving := sides[i][1]
+		moving.kill()
+		sides[i] = sides[i][2:]
+		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
+	}
+	waitFor(t, "an attachment for each", allOf(both(), attachedTo("abcd")))
+	waitFor(t, "a share of the dead agents' quotas", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
+	startedAt := time.Now()
+	c.rejoinRegions(both())
+	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
+	waitFor(t, "a share of the quotas of two dead agents", allOf(both(), hasQuota(1./10)))
+
+	c.partitionRegions(sides)
+	firstText, secondText := settingsText(5, 2), settingsText(5, 6)
+	c.hubs["b"].execute(t, hubCommand{Settings: firstText})
+	c.hubs["d"].execute(t, hubCommand{Settings: secondText})
+	digests := [2]string{settings.Digest(firstText), settings.Digest(secondText)}
+	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
+	c.rejoinRegions(both())
+	waitFor(t, "a report of the conflict by all", func() bool {
+		for _, a := range both() {
+			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
+				return false
+			}
+		}
+		return true
+	})
+	for i, side := range sides {
+		for _, a := range side {
+			if !firstDigestIs(digests[i])(a) {
+				t.Errorf("%s does not have the first text of its side", a.cfg.Name)
+			}
+		}
+	}
+	startedAt = time.Now()
+	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
+	waitWithin(t, "one text at all agents", 14*time.Second, startedAt,
+		allOf(both(), func(status Status) bool { return status.SettingsVersion == 6 }))
+	for _, a := range both() {
+		if reason := a.settings.Status().Reason; reason != "" {
+			t.Errorf("%s: %s", a.cfg.Name, reason)
+		}
+	}
+}
+
+// partitionRegions cuts zones a and b off from c and d, and waits until each side has a fleet size of its own agents.
+func (c *cluster) partitionRegions(sides [2][]*clusterAgent) {
+	t := c.t
+	t.Helper()
+	for z, h := range c.hubs {
+		other := "cd"
+		if z > "b" {
+			other = "ab"
+		}
+		h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
+	}
+	for i, side := range sides {
+		waitFor(t, fmt.Sprint("a fleet size of side ", i, " alone"),
+			allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
+	}
+}
+
+// rejoinRegions ends all cuts, and waits until all agents have a fleet size of all.
+func (c *cluster) rejoinRegions(agents []*clusterAgent) {
+	t := c.t
+	t.Helper()
+	for _, h := range c.hubs {
+		h.execute(t, hubCommand{Cut: map[string]uint8{}})
+	}
+	waitFor(t, "a fleet size of all",
+		allOf(agents, func(status Status) bool { return int(status.FleetSize.Attached) == len(agents) }))
+}
--- /dev/null
+++ b/internal/fleet/lists.go
@@ -0,0 +1,118 @@
+package fleet
+
+// This file implements source.Selector: where and when this process asks for the endpoint list.
+
+import (
+	"context"
+	"net"
+	"slices"
+	"time"
+
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/source"
+)
+
+const (
+	relayTimeout     = 2500 * time.Millisecond // silence of a relay after which it counts as failed
+	maxRelayAttempts = 2                       // relays that are asked before the list service is
+	largeSiteMembers = 20                      // a site with so many members has two relays
+	relayPeerWait    = time.Second             // after its start a process waits so long for peers before it asks the service itself
+)
+
+// startingCount returns the number of agents that are starting, this one included.
+func (f *Fleet) startingCount() int { return max(1, f.members.View().StartingCount()) }
+
+// relayMembers returns the agents of this site that relay the list, first in rendezvous order. Members with the same view
+// choose the same ones.
+func (f *Fleet) relayMembers() (list []member.Member) {
+	site := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()),
+		func(m member.Member) bool { return m.Hub })
+	subject := "relay " + f.cfg.Site
+	for range relayCount(len(site)) {
+		best := -1
+		for i, m := range site {
+			if best < 0 || member.RendezvousScore(subject, m.Name) < member.RendezvousScore(subject, site[best].Name) {
+				best = i
+			}
+		}
+		list = append(list, site[best])
+		site = append(site[:best], site[best+1:]...)
+	}
+	return list
+}
+
+// Next waits until this process may ask for the list, and returns the source to ask. Where lists are relayed and this process
+// is not a relay, that is a relay, and after maxRelayAttempts failures in a row the list service once. The list service is
+// asked only in this process's turn. failures counts attempts that failed in a row. It reports false if ctx ends first.
+func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
+	countStarting := f.startingCount
+	if f.cfg.RelayedLists {
+		for f.members.PeersMet() == 0 && time.Since(f.startedAt) < relayPeerWait {
+			select {
+			case <-ctx.Done():
+				return source.Source{}, false
+			case <-time.After(20 * time.Millisecond):
+			}
+		}
+		list, isRelay := f.relayMembers(), false
+		for _, m := range list {
+			isRelay = isRelay || m.Name == f.cfg.Name
+		}
+		if turn := failures % (maxRelayAttempts + 1); !isRelay && turn < maxRelayAttempts && len(list) > 0 {
+			m := list[turn%len(list)]
+			return source.Source{Addr: m.Addr.String(), SilenceTimeout: relayTimeout, Relayed: true}, true
+		}
+		if isRelay {
+			countStarting = f.startingRelays
+		}
+	}
+	return source.Source{}, f.pacer.AwaitTurn(ctx, countStarting)
+}
+
+// startingRelays returns the number of relays in all sites. Only they ask the list service, so only they wait for turns.
+func (f *Fleet) startingRelays() (n int) {
+	for _, members := range f.members.View().Sites() {
+		n += relayCount(members.Len())
+	}
+	return max(1, n)
+}
+
+// relayCount returns the number of relays in a site with the given number of members.
+func relayCount(members int) int {
+	if members >= largeSiteMembers {
+		return 2
+	}
+	return min(1, members)
+}
+
+// RecordAttempt records the result of asking a source: the wait for the first message or that the attempt failed, and the list
+// version that was received.
+func (f *Fleet) RecordAttempt(s source.Source, waited time.Duration, failed bool, version int64) {
+	if !s.Relayed {
+		f.pacer.RecordAttempt(waited, failed, version)
+	}
+}
+
+// Dial opens a TCP connection to another member, from this member's IP address.
+func (f *Fleet) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	return f.members.Dial(ctx, network, addr)
+}
+
+// RecordLiveness records that something was received from a source.
+func (f *Fleet) RecordLiveness(s source.Source) {
+	if !s.Relayed {
+		f.relay.recordLiveness()
+	}
+}
+
+// RecordUpdate takes a list update from a source, for others to which this process relays lists: the change between two
+// versions, nil for a full list, and the list as it is now, both as JSON. From the first update on this process serves.
+func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, fullList []byte) {
+	if !s.Relayed {
+		f.relay.recordUpdate(from, to, change, fullList)
+	}
+	f.Ready()
+}
+
+// Lagging reports whether another process has published a later version of the list than the given one.
+func (f *Fleet) Lagging(version int64) bool { return f.pacer.LatestVersion() > version }
--- /dev/null
+++ b/internal/fleet/startup/load.go
@@ -0,0 +1,69 @@
+package startup
+
+// This file defines the published load of the list service and its aggregate over many processes.
+
+import (
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"martenbeam/internal/fleet/gossip"
+)
+
+// Subject is the subject of the gossip entries that a Pacer publishes.
+const Subject = subject
+
+// serviceLoad is the load of the list service as one caller observed it: the body of an entry of kind
+// gossip.ListServiceLoad.
+type serviceLoad struct {
+	Rate    float64 `cbor:"1,keyasint"` // calls per second that the service seems to sustain
+	Failed  bool    `cbor:"2,keyasint"` // the call was rejected or failed
+	Version int64   `cbor:"3,keyasint"` // of the list in the answer
+}
+
+// decodeLoad decodes the body of an entry. It is the decode of gossip.DecodeBody for loads.
+func decodeLoad(body []byte) (l serviceLoad, err error) {
+	err = cbor.Unmarshal(body, &l)
+	return l, err
+}
+
+// Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the median
+// rate and the highest version, and is as old as the oldest entry that counts. The second is the most recent failure, if
+// there is one, with its own age, which determines how long others pause. Malformed entries are ignored. Hubs publish the
+// aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
+func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
+	var rates []float64
+	var total, failed serviceLoad
+	oldest, youngest := time.Duration(0), time.Duration(-1)
+	for _, entry := range entries {
+		var load serviceLoad
+		if cbor.Unmarshal(entry.Body, &load) != nil || !(load.Rate > 0) {
+			continue
+		}
+		rates, oldest = append(rates, min(max(load.Rate, minRate), maxRate)), max(oldest, entry.Age)
+		total.Version = max(total.Version, load.Version)
+		if load.Failed && (youngest < 0 || entry.Age < youngest) {
+			failed, youngest = load, entry.Age
+		}
+	}
+	if len(rates) == 0 {
+		return nil
+	}
+	slices.Sort(rates)
+	total.Rate = rates[len(rates)/2]
+	aggregates = []gossip.Entry{aggregateEntry(subject, total, oldest)}
+	if youngest >= 0 {
+		aggregates = append(aggregates, aggregateEntry(subject+" refused", failed, youngest))
+	}
+	return aggregates
+}
+
+// aggregateEntry returns an entry with the given load.
+func aggregateEntry(subject string, load serviceLoad, age time.Duration) gossip.Entry {
+	body, err := cbor.Marshal(load)
+	if err != nil {
+		panic(err) // a load consists of numbers and a bool, which always encode
+	}
+	return gossip.Entry{Kind: gossip.ListServiceLoad, Subject: subject, Age: age, Body: body}
+}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,16 @@
-// Package membership joins an agent with its fleet and its residency policy, as its configuration says. The platform's own
-// program knows nothing of it.
+// Package membership wires an agent to its fleet and to its residency policy, as its configuration says. It makes and connects:
+//
+//   - a residency.Holder, loaded from its state directory and from the policy's file, which it watches;
+//   - without hubs a fleet.Fleet, with hubs a hubclient.Client that can fall back to one;
+//   - a settings.Holder, if there are hubs, whose settings overlay the configuration file;
+//   - callbacks that post quotas and latencies to the decision module.
+//
+// What it makes is owned by the agent as an agent.Fleet, whose Run runs all of it and waits for its goroutines. The package keeps
+// no state of its own. Agents of the platform's own program have neither a fleet nor a policy and do not use it.
 package membership
 
+// This file makes the fleet and the policy of an agent and runs them.
+
 import (
 	"context"
 	"fmt"
@@ -23,144 +32,162 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// JoinFromConfig reads what an agent shares with its fleet out of its configuration.
+// JoinFromConfig reads the sections on the fleet and the residency policy from an agent's configuration in the platform's form.
+// It returns a function that makes both, or nil if the configuration has neither section. It is meant for agent.Source.Join.
 func JoinFromConfig(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, nil) }
 
-func joinFromConfig(raw []byte, g *preparedSettings) (agent.JoinFunc, error) {
-	s, err := config.ReadExtension(raw)
+// joinFromConfig is JoinFromConfig, with settings that were loaded before the configuration was read; nil: there are none.
+func joinFromConfig(raw []byte, prepared *preparedSettings) (agent.JoinFunc, error) {
+	ext, err := config.ReadExtension(raw)
 	if err != nil {
 		return nil, err
 	}
-	if s.Fleet == nil && s.Residency == nil {
+	if ext.Fleet == nil && ext.Residency == nil {
 		return nil, nil
 	}
-	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (agent.Fleet, gate.Enforcer, error) {
-		t := &place{log: log}
-		keeper, err := t.openPolicy(s.Residency, cfg.Site.Zones)
+	return func(cfg *agent.Config, log *slog.Logger, post func(balancer.Event), follow func(discovery string)) (
+		agent.Fleet, gate.Enforcer, error) {
+		joined := &agentFleet{log: log}
+		enforcer, err := joined.openPolicy(ext.Residency, cfg.Site.Zones)
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case s.Fleet == nil:
-			return withoutFleet{t}, keeper, nil
+		case ext.Fleet == nil:
+			return withoutFleet{joined}, enforcer, nil
 		}
-		if err := t.joinFleet(s.Fleet, g, cfg, post, follow); err != nil {
+		if err := joined.joinFleet(ext.Fleet, prepared, cfg, post, follow); err != nil {
 			return nil, nil, err
 		}
-		return t, keeper, nil
+		return joined, enforcer, nil
 	}, nil
 }
 
-// place is an agent's fleet, and the policy's file where it is given here.
-type place struct {
-	agent.Fleet
-	holder         *residency.Holder
-	policyFile     string
-	policyStateDir string // a folder
+// agentFleet is the fleet of an agent with its residency policy.
+type agentFleet struct {
+	agent.Fleet    // a fleet.Fleet or a hubclient.Client
+	policy         *residency.Holder
+	policyFile     string // "": this agent is not given the policy
+	policyStateDir string // "": the policy is not stored
 	traceFile      *os.File
 	log            *slog.Logger
 }
 
-// openPolicy has the agent hold a policy, if it has one.
-func (t *place) openPolicy(r *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
-	if r == nil {
+// openPolicy makes the holder of the residency policy from what is stored and from the policy's file. It returns nil if there
+// is no policy, and an error if the file cannot be read.
+func (a *agentFleet) openPolicy(ext *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
+	if ext == nil {
 		return nil, nil
 	}
-	var keep func(int64, []string) error
-	if r.State != "" {
-		keep = residency.SaveFunc(r.State)
+	var save func(int64, []string) error
+	if ext.State != "" {
+		save = residency.SaveFunc(ext.State)
 	}
-	t.policyFile, t.policyStateDir = r.Policy, r.State
-	t.holder = residency.NewHolder(zones, time.Duration(r.BoundMs*float64(time.Millisecond)), r.Policy != "", t.log, keep)
-	if r.State != "" {
-		if err := t.holder.Load(r.State); err != nil {
-			t.log.Error("residency: what was kept can't be used", "error", err)
+	a.policyFile, a.policyStateDir = ext.Policy, ext.State
+	a.policy = residency.NewHolder(zones, time.Duration(ext.BoundMs*float64(time.Millisecond)), ext.Policy != "", a.log, save)
+	if ext.State != "" {
+		if err := a.policy.Load(ext.State); err != nil {
+			a.log.Error("stored residency policy unusable", "error", err)
 		}
 	}
-	if r.Policy != "" { // before the first request: no agent serves a moment without it
-		p, text, err := residency.ReadFile(r.Policy)
+	if ext.Policy != "" { // it has to be in force before the first request
+		policy, text, err := residency.ReadFile(ext.Policy)
 		if err != nil {
 			return nil, err
 		}
-		if err := t.holder.Apply(p.Version, text); err != nil {
-			t.log.Error("residency: the policy's file is not used", "version", p.Version, "error", err)
+		if err := a.policy.Apply(policy.Version, text); err != nil {
+			a.log.Error("residency policy file rejected", "version", policy.Version, "error", err)
 		}
 	}
-	return t.holder, nil
+	return a.policy, nil
 }
 
-// joinFleet has the agent be in its fleet: by way of a hub, if there are hubs.
-func (t *place) joinFleet(f *config.FleetExtension, g *preparedSettings, cfg *agent.Config, post func(balancer.Event), follow func(discovery string)) (err error) {
-	if f.Trace != "" {
-		if t.traceFile, err = os.OpenFile(f.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+// joinFleet makes the fleet, which posts its events to the decision module: without hubs a full mesh, else a hub client.
+func (a *agentFleet) joinFleet(ext *config.FleetExtension, prepared *preparedSettings, cfg *agent.Config,
+	post func(balancer.Event), follow func(discovery string)) (err error) {
+	if ext.Trace != "" {
+		if a.traceFile, err = os.OpenFile(ext.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
 		}
 	}
-	zones := cfg.Site.Zones
-	site := ""
-	if z := cfg.Settings.Zone; z >= 0 && z < len(zones) {
-		site = zones[z]
-	}
-	c := fleet.Config{Name: cfg.Name, Site: site, Version: Version(), Listen: f.Listen, Advertise: f.Advertise, Seeds: f.Seeds, Label: f.Label,
-		MaxMembers: f.MaxAgents, AwaitAddress: cfg.ListenFD > 0, AgeBounds: ageBounds(f), RelayedLists: f.Lists == "relayed", ListRate: f.ListRate, MeasureLatency: f.Matrix, Log: t.log,
-		Residency: t.holder, PolicySource: t.policyFile != "",
-		Incarnations: incarnation.Allocator{Dir: incarnation.Dir(f.Label, f.Settings, t.policyStateDir), Name: cfg.Name, Log: t.log}}
-	if t.traceFile != nil {
-		c.Trace = t.traceFile
-	}
-	told := fleet.Callbacks{
-		Quota:     func(part float64) { post(balancer.Quota{Share: part}) },
-		Latencies: func(trip []time.Duration, loss []float64) { post(balancer.ZoneLatencies{RTT: trip, Loss: loss}) },
-	}
-	if len(f.Hubs) == 0 {
-		t.Fleet, err = fleet.New(c, zones, told)
+	fleetCfg := a.fleetConfig(ext, cfg)
+	callbacks := fleet.Callbacks{
+		Quota: func(quota float64) { post(balancer.Quota{Share: quota}) },
+		Latencies: func(rtts []time.Duration, lossRates []float64) {
+			post(balancer.ZoneLatencies{RTT: rtts, Loss: lossRates})
+		},
+	}
+	if len(ext.Hubs) == 0 {
+		a.Fleet, err = fleet.New(fleetCfg, cfg.Site.Zones, callbacks)
 		return err
 	}
-	h := hubClientConfig(c, f.Hubs, cfg)
-	if g == nil {
-		h.Settings = platformSettings(f.Settings, cfg, follow, t.log)
+	clientCfg := hubClientConfig(fleetCfg, ext.Hubs, cfg)
+	if prepared == nil {
+		clientCfg.Settings = platformSettings(ext.Settings, cfg, follow, a.log)
 	} else {
-		g.discovery.setFollow(follow)
-		h.Settings = g.holder
+		prepared.discovery.setFollow(follow)
+		clientCfg.Settings = prepared.holder
 	}
-	t.Fleet, err = hubclient.New(h, zones, told)
+	a.Fleet, err = hubclient.New(clientCfg, cfg.Site.Zones, callbacks)
 	return err
 }
 
-// ageBounds are how old facts may be when they are used.
-func ageBounds(f *config.FleetExtension) gossip.AgeBounds {
-	b := gossip.AgeBounds{}
-	for kind, d := range gossip.DefaultAgeBounds {
-		b[kind] = d
-		if ms, said := f.MaxAgeMs[kind.String()]; said {
-			b[kind] = time.Duration(ms * float64(time.Millisecond))
+// fleetConfig returns the configuration of a full mesh, on which that of a hub client is based.
+func (a *agentFleet) fleetConfig(ext *config.FleetExtension, cfg *agent.Config) fleet.Config {
+	site := ""
+	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Site.Zones) {
+		site = cfg.Site.Zones[z]
+	}
+	incarnationDir := incarnation.Dir(ext.Label, ext.Settings, a.policyStateDir)
+	fleetCfg := fleet.Config{
+		Name: cfg.Name, Site: site, Version: Version(), Label: ext.Label,
+		Listen: ext.Listen, Advertise: ext.Advertise, Seeds: ext.Seeds, AwaitAddress: cfg.ListenFD > 0,
+		MaxMembers: ext.MaxAgents, AgeBounds: ageBounds(ext), RelayedLists: ext.Lists == "relayed", ListRate: ext.ListRate,
+		MeasureLatency: ext.Matrix, Residency: a.policy, PolicySource: a.policyFile != "", Log: a.log,
+		Incarnations: incarnation.Allocator{Dir: incarnationDir, Name: cfg.Name, Log: a.log},
+	}
+	if a.traceFile != nil {
+		fleetCfg.Trace = a.traceFile
+	}
+	return fleetCfg
+}
+
+// ageBounds returns the age bounds of gossip entries: those that the configuration sets, in ms, and the defaults for others.
+func ageBounds(ext *config.FleetExtension) gossip.AgeBounds {
+	bounds := gossip.AgeBounds{}
+	for kind, bound := range gossip.DefaultAgeBounds {
+		bounds[kind] = bound
+		if ms, configured := ext.MaxAgeMs[kind.String()]; configured {
+			bounds[kind] = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	return b
+	return bounds
 }
 
-// Run stays in the fleet, and follows the policy's file, until ctx ends.
-func (t *place) Run(ctx context.Context) error {
+// Run runs the fleet and watches the policy's file until ctx ends. It returns after both have ended.
+func (a *agentFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	t.watchPolicyFile(ctx, &tasks)
-	if t.traceFile != nil {
-		defer t.traceFile.Close()
+	a.watchPolicyFile(ctx, &tasks)
+	if a.traceFile != nil {
+		defer a.traceFile.Close()
 	}
-	if err := t.Fleet.Run(ctx); err != nil {
+	if err := a.Fleet.Run(ctx); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
 }
 
-func (t *place) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
-	if t.policyFile != "" {
-		tasks.Go(func() { t.holder.Watch(ctx, t.policyFile, t.log) })
+// watchPolicyFile watches the policy's file in a goroutine of tasks, if there is one.
+func (a *agentFleet) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
+	if a.policyFile != "" {
+		tasks.Go(func() { a.policy.Watch(ctx, a.policyFile, a.log) })
 	}
 }
 
-// withoutFleet is an agent with a policy of its own and without a fleet.
-type withoutFleet struct{ *place }
+// withoutFleet is the agent.Fleet of an agent that has a residency policy but no fleet.
+type withoutFleet struct{ *agentFleet }
 
+// Run watches the policy's file until ctx ends.
 func (a withoutFleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	a.watchPolicyFile(ctx, &tasks)
@@ -169,15 +196,19 @@
 	return nil
 }
 
-// Next asks the list service at once: there is nobody to take turns with.
-func (withoutFleet) Next(context.Context, int) (source.Source, bool)          { return source.Source{}, true }
+// Next returns the list service at once, since there is no fleet to take turns with.
+func (withoutFleet) Next(context.Context, int) (source.Source, bool) { return source.Source{}, true }
+
+// The other methods of agent.Fleet do nothing. Dial is never called, as Next returns no relay.
+
 func (withoutFleet) RecordAttempt(source.Source, time.Duration, bool, int64)  {}
 func (withoutFleet) RecordLiveness(source.Source)                             {}
 func (withoutFleet) RecordUpdate(source.Source, int64, int64, []byte, []byte) {}
 func (withoutFleet) Ready()                                                   {}
 func (withoutFleet) Lagging(int64) bool                                       { return false }
 
-// Version is the program's, as the others see it.
+// Version returns the program's version as published to other members: the first 12 digits of the commit it was built from, or
+// "unknown".
 func Version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/scale/callway/traced.go
+++ b/internal/scale/overhead/trace.go
@@ -1,4 +1,6 @@
-package callway
+package overhead
+
+// An agent under the Go runtime's tracer and profiler.
 
 import (
 	"context"
@@ -15,12 +17,14 @@
 	"martenbeam/internal/membership"
 )
 
-// tracedEnv names the folder in which a program that ends up in ServeTraced leaves what it recorded.
-const tracedEnv = "CALLWAY_TRACED"
+// traceDirEnv is the environment variable that names the folder for ServeTraced. If it is set, the test binary calls
+// ServeTraced instead of running tests.
+const traceDirEnv = "CALLWAY_TRACED"
 
-// Trace plays one cell on an agent that is this very program and calls ServeTraced.
-func (b *Bench) Trace(ctx context.Context, c Cell, length time.Duration, dir string) (Row, error) {
-	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", c.List, c.Rate, c.Tick))
+// Trace runs one workload on an agent that is this very program, started with traceDirEnv. The agent leaves its trace and
+// its profile in a folder of the workload's name within dir.
+func (b *Bench) Trace(ctx context.Context, workload Workload, length time.Duration, dir string) (Row, error) {
+	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", workload.ListSize, workload.Rate, workload.Tick))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return Row{}, err
 	}
@@ -28,15 +32,16 @@
 	if err != nil {
 		return Row{}, err
 	}
-	traced := &Bench{Dir: b.Dir, Command: []string{self}, Env: []string{tracedEnv + "=" + dir}, Backends: b.Backends, Seed: b.Seed}
-	rows, err := traced.Run(ctx, Window{Name: "trace", Warm: time.Second, Length: length, Cells: []Cell{c}})
+	traced := &Bench{Dir: b.Dir, Command: []string{self}, Env: []string{traceDirEnv + "=" + dir}, Backends: b.Backends, Seed: b.Seed}
+	rows, err := traced.Run(ctx, Window{Name: "trace", WarmUp: time.Second, Length: length, Workloads: []Workload{workload}})
 	if err != nil {
 		return Row{}, err
 	}
 	return rows[0], nil
 }
 
-// ServeTraced runs an agent as the program does, and leaves a trace and a profile of the processor's time in a folder.
+// ServeTraced runs an agent as the program does, with this configuration file, until it is terminated. It writes an
+// execution trace (trace.out) and a CPU profile (cpu.pprof) into dir.
 func ServeTraced(file, dir string) error {
 	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: membership.JoinFromConfig,
 		Read: func() ([]byte, error) {
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// A comparison of real agents' processes with the simulated agents of the same fleet.
+
 import (
 	"fmt"
 	"os"
@@ -11,26 +13,28 @@
 	"time"
 
 	"martenbeam/internal/fleet/member"
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
 func realTable(t *testing.T) {
-	program := built(t)
-	for _, n := range sized(t, 16) {
-		for _, run := range ran() {
+	program := builtProgram(t)
+	for _, n := range fleetSizes(t, 16) {
+		for _, run := range runNumbers() {
 			real := 12
 			if !*full {
 				real = 2
 			}
-			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) { keep(t, realAmongHollow(t, program, hollow.Flat, n-real, real, run)) })
+			t.Run(fmt.Sprintf("%d-%d", n, run), func(t *testing.T) {
+				saveRows(t, measureRealAmongSimulated(t, program, simagent.FullMesh, n-real, real, run))
+			})
 		}
 	}
 }
 
-// agentConfig is a real agent's configuration that shares what a hollow one does.
-func (c *crew) agentConfig(i int) string {
+// realAgentConfig returns a real agent's configuration file, with what a simulated agent has, too.
+func (f *testFleet) realAgentConfig(i int) string {
 	var known []string
-	for _, a := range c.agents[:min(seeds, c.n)] {
+	for _, a := range f.agents[:min(numSeeds, f.n)] {
 		known = append(known, strconv.Quote(a.Addr()))
 	}
 	var names []string
@@ -59,11 +63,12 @@
 effect = "safe"
 aim = "1s"
 deadline = "2s"
-`, c.name(i), c.service.addr, strings.Join(names, ", "), zones[i%len(zones)], strings.Join(known, ", "), c.label, c.n+c.others)
+`, f.agentName(i), f.service.addr, strings.Join(names, ", "), zones[i%len(zones)],
+		strings.Join(known, ", "), f.label, f.n+f.realAgents)
 }
 
-// used is the processor time of a process, and its resident memory, kB.
-func used(pid int) (cpu time.Duration, rss float64, err error) {
+// processUsage reads from /proc a process's processor time and its resident memory in kB.
+func processUsage(pid int) (cpu time.Duration, rss float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0, err
@@ -72,7 +77,7 @@
 	if len(fields) < 22 {
 		return 0, 0, fmt.Errorf("a stat of %d fields", len(fields))
 	}
-	const tick = 10 * time.Millisecond // USER_HZ is 100 everywhere
+	const tick = 10 * time.Millisecond // USER_HZ is 100 on all of Linux
 	for _, k := range []int{11, 12} {
 		n, err := strconv.ParseInt(fields[k], 10, 64)
 		if err != nil {
@@ -84,26 +89,63 @@
 	return cpu, pages * float64(os.Getpagesize()) / 1e3, err
 }
 
-// realAmongHollow holds real agents' processes against the hollow ones of the same fleet, idle: what they use, and what one
-// sends to a hollow one.
-func realAmongHollow(t *testing.T, program string, mode hollow.Mode, n, real, run int) row {
-	c := newCrew(t, mode, n, true)
-	c.others = real
-	r := row{Table: "real", Mode: string(mode), N: n + real, Matrix: true, Run: run, Case: fmt.Sprintf("%d real among hollow ones", real)}
-	c.startAll(time.Duration(n) * *pace)
-	var processes []*exec.Cmd
-	dir := t.TempDir()
-	for i := n; i < n+real; i++ {
-		file := filepath.Join(dir, c.name(i)+".toml")
-		if err := os.WriteFile(file, []byte(c.agentConfig(i)), 0o644); err != nil {
+// measureRealAmongSimulated compares real agents with the simulated ones of the same fleet while nothing changes: their
+// processor time, and the bytes that one agent sends to one simulated agent.
+func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, realAgents, run int) row {
+	fleet := newTestFleet(t, mode, n, true)
+	fleet.realAgents = realAgents
+	r := row{Table: "real", Mode: string(mode), N: n + realAgents, Matrix: true, Run: run,
+		Case: fmt.Sprintf("%d real among hollow ones", realAgents)}
+	fleet.startAll(time.Duration(n) * *pace)
+	processes := startRealAgents(t, fleet, program)
+	if reason := fleet.awaitStart(); reason != "" {
+		processes.logOutput()
+		r.Void = reason
+		return r
+	}
+	if !fleet.awaitServing() {
+		r.Void = "not whole: a real agent has no list"
+		return r
+	}
+	settle, measure := 100*time.Millisecond, time.Second
+	if *full {
+		settle, measure = *warm, 2**window // a real agent's time is counted in ticks of 10 ms
+	}
+	time.Sleep(settle) // the start's own work is not an idle agent's
+	before, _ := processes.usage()
+	m := fleet.startMeter(false)
+	time.Sleep(measure) // the span that is measured
+	s := m.end()
+	after, rss := processes.usage()
+	r.Void = s.void
+	r.Values = s.compareRealAgents(t, n, realAgents, after-before)
+	r.Values["resident kB, real"], r.Values["timers late ms p99"] = rss, s.late.Seconds()*1e3
+	return r
+}
+
+// realProcesses are the real agents of a fleet, each a process of its own. They are killed at the test's end.
+type realProcesses struct {
+	t         *testing.T
+	fleet     *testFleet
+	dir       string // of their configuration files and logs
+	processes []*exec.Cmd
+}
+
+// startRealAgents starts the fleet's real agents; their numbers follow those of the simulated ones.
+func startRealAgents(t *testing.T, fleet *testFleet, program string) *realProcesses {
+	t.Helper()
+	a := &realProcesses{t: t, fleet: fleet, dir: t.TempDir()}
+	for i := fleet.n; i < fleet.n+fleet.realAgents; i++ {
+		file := filepath.Join(a.dir, fleet.agentName(i)+".toml")
+		if err := os.WriteFile(file, []byte(fleet.realAgentConfig(i)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		log, err := os.Create(filepath.Join(dir, c.name(i)+".log"))
+		log, err := os.Create(filepath.Join(a.dir, fleet.agentName(i)+".log"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		cmd := exec.Command(program, "agent", "--config", file)
-		cmd.Stdout, cmd.Stderr, cmd.Dir = log, log, dir
+		cmd.Stdout, cmd.Stderr, cmd.Dir = log, log, a.dir
 		err = cmd.Start()
 		log.Close()
 		if err != nil {
@@ -113,74 +155,77 @@
 			_ = cmd.Process.Kill() // ended already if it fails
 			_ = cmd.Wait()         // killed
 		})
-		processes = append(processes, cmd)
+		a.processes = append(a.processes, cmd)
+	}
+	return a
+}
+
+// logOutput logs the begin of each agent's log.
+func (a *realProcesses) logOutput() {
+	for i := a.fleet.n; i < a.fleet.n+a.fleet.realAgents; i++ {
+		name := a.fleet.agentName(i)
+		text, _ := os.ReadFile(filepath.Join(a.dir, name+".log")) // if it can't be read, its log is empty
+		a.t.Logf("%s: %s", name, text[:min(len(text), 1000)])
 	}
-	if why := c.begun(); why != "" {
-		for i := n; i < n+real; i++ {
-			text, _ := os.ReadFile(filepath.Join(dir, c.name(i)+".log")) // "" tells as much
-			t.Logf("%s: %s", c.name(i), text[:min(len(text), 1000)])
+}
+
+// usage returns the processor time that all of them have used, and the mean of their resident memory in kB.
+func (a *realProcesses) usage() (cpu time.Duration, rss float64) {
+	for _, p := range a.processes {
+		one, mem, err := processUsage(p.Process.Pid)
+		if err != nil {
+			a.t.Fatal(err)
 		}
-		r.Void = why
-		return r
+		cpu, rss = cpu+one, rss+mem/float64(a.fleet.realAgents)
 	}
-	serving := func() bool { // the real ones have a list
-		for _, m := range c.agents[0].Members() {
+	return cpu, rss
+}
+
+// awaitServing waits until all members that the first agent knows have an endpoint list; false: they don't in time.
+func (f *testFleet) awaitServing() bool {
+	serving := func() bool {
+		for _, m := range f.agents[0].Members() {
 			if m.Phase != member.Serving {
 				return false
 			}
 		}
 		return true
 	}
-	for end := time.Now().Add(patience); !serving(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(convergenceTimeout); !serving(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			r.Void = "not whole: a real agent has no list"
-			return r
+			return false
 		}
 	}
-	settle, measure := 100*time.Millisecond, time.Second
-	if *full {
-		settle, measure = *warm, 2**window // a real agent's time is counted in ticks of 10 ms
-	}
-	time.Sleep(settle) // what a start leaves is not an idle agent's
-	usage := func() (cpu time.Duration, rss float64) {
-		for _, p := range processes {
-			one, mem, err := used(p.Process.Pid)
-			if err != nil {
-				t.Fatal(err)
-			}
-			cpu, rss = cpu+one, rss+mem/float64(real)
-		}
-		return cpu, rss
-	}
-	before, _ := usage()
-	m := c.measure(false)
-	time.Sleep(measure) // the span that is measured
-	s := m.end()
-	after, rss := usage()
-	r.Void = s.void
-	var came, sent int64 // datagrams and streams
+	return true
+}
+
+// compareRealAgents returns how real agents, which used cpu together, compare with n simulated ones.
+func (s *span) compareRealAgents(t *testing.T, n, realAgents int, cpu time.Duration) map[string]float64 {
+	t.Helper()
+	var received, sent int64 // datagrams and streams
 	for p := range s.traffic.In {
-		came, sent = came+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
-	}
-	took := s.took.Seconds()
-	// Targets are drawn evenly: what one agent sends to one other is what kinds can be held against each other by.
-	fromReal := float64(s.traffic.Strangers.Bytes) / float64(real*n) / took
-	fromHollow := float64(came-s.traffic.Strangers.Bytes) / float64(n*(n-1)) / took
-	r.Values = map[string]float64{
-		"processor us/s, hollow": s.processor.Seconds() * 1e6 / float64(n) / took, "processor us/s, real": (after - before).Seconds() * 1e6 / float64(real) / took,
-		"bytes/s from one to one, hollow": fromHollow, "bytes/s from one to one, real": fromReal, "bytes/s out, hollow": float64(sent) / float64(n) / took,
-		"resident kB, real": rss, "timers late ms p99": s.late.Seconds() * 1e3,
-	}
-	v := r.Values
-	v["processor, real to hollow"] = v["processor us/s, real"] / v["processor us/s, hollow"]
-	v["bytes, real to hollow"] = fromReal / fromHollow
+		received, sent = received+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
+	}
+	took := s.duration.Seconds()
+	// Agents draw their targets evenly: both kinds can be compared by what one agent sends to one other.
+	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(realAgents*n) / took
+	fromSimulated := float64(received-s.traffic.FromRealAgents.Bytes) / float64(n*(n-1)) / took
+	values := map[string]float64{
+		"processor us/s, hollow":          s.cpu.Seconds() * 1e6 / float64(n) / took,
+		"processor us/s, real":            cpu.Seconds() * 1e6 / float64(realAgents) / took,
+		"bytes/s from one to one, hollow": fromSimulated,
+		"bytes/s from one to one, real":   fromReal,
+		"bytes/s out, hollow":             float64(sent) / float64(n) / took,
+	}
+	values["processor, real to hollow"] = values["processor us/s, real"] / values["processor us/s, hollow"]
+	values["bytes, real to hollow"] = fromReal / fromSimulated
 	for _, k := range []string{"processor, real to hollow", "bytes, real to hollow"} {
-		if v[k] < 0.8 || v[k] > 1.2 {
-			t.Logf("n=%d, %s: %.2f, beyond 20%%", n+real, k, v[k])
+		if values[k] < 0.8 || values[k] > 1.2 {
+			t.Logf("n=%d, %s: %.2f, beyond 20%%", n+realAgents, k, values[k])
 		}
 	}
-	if fromReal <= 0 || fromHollow <= 0 {
-		t.Errorf("nothing was heard of real agents (%v) or of hollow ones (%v)", fromReal, fromHollow)
+	if fromReal <= 0 || fromSimulated <= 0 {
+		t.Errorf("nothing was received from real agents (%v) or from simulated ones (%v)", fromReal, fromSimulated)
 	}
-	return r
+	return values
 }
--- /dev/null
+++ b/internal/scale/simagent/agent.go
@@ -0,0 +1,274 @@
+// Package simagent runs many simulated agents of a fleet in one process: the product's own code for what agents share
+// (membership, gossip, startup admission, latencies, endpoint lists, the residency policy) over real loopback sockets,
+// without clients and without backends. It is used to measure what a fleet costs its agents, and how long a change takes
+// to reach all of them.
+package simagent
+
+// The simulated agent: its specification, its start, its state and its end.
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"martenbeam/balancer"
+	"martenbeam/internal/agent/discovery"
+	"martenbeam/internal/fleet"
+	"martenbeam/internal/fleet/hubclient"
+	"martenbeam/internal/fleet/member"
+	"martenbeam/internal/fleet/source"
+	"martenbeam/internal/residency"
+)
+
+// Mode is the topology by which the agents of a fleet share what they know.
+type Mode string
+
+const (
+	FullMesh Mode = "flat" // every agent gossips with every other
+	Hubs     Mode = "hubs" // each agent has one stream to one hub
+)
+
+// Change is a kind of document that an agent receives through its fleet.
+type Change int
+
+const (
+	Policy   Change = iota // the residency policy
+	List                   // the endpoint list
+	Settings               // published by hubs only
+)
+
+// String returns the name that tables use.
+func (c Change) String() string { return [...]string{"policy", "list", "settings"}[c] }
+
+// Spec describes one agent.
+type Spec struct {
+	Mode           Mode
+	Name, Zone     string
+	Zones          []string
+	Listen         string          // host:port; "": any loopback port
+	Seeds          []string        // FullMesh only: addresses of members to join
+	Hubs           []hubclient.Hub // Hubs only
+	Region         string          // Hubs only: while its own hub is unreachable, an agent prefers hubs of its region
+	Label          string          // agents of another label are not members of this fleet
+	MaxMembers     int
+	MeasureLatency bool     // FullMesh only: measure the round trips to all zones
+	ListService    string   // host:port; "": the agent follows no endpoint lists
+	PolicySource   bool     // this agent publishes the residency policy; see ApplyPolicy
+	Network        *Network // nil: a network without faults
+	// OnApplied is called when the agent has applied a version. It may be nil, must not block, and may be called from
+	// several goroutines at once.
+	OnApplied func(what Change, version int64, at time.Time)
+}
+
+// State is what an agent knows.
+type State struct {
+	Members                int     // the agent itself included; with hubs, the fleet size that they publish
+	Quota                  float64 // the agent's share of the in-flight limit; 0: none received yet
+	MeasuredZones          int     // zones to which a round-trip time is known
+	Policy, List, Settings int64   // applied versions; 0: none. Settings is always 0 in a full mesh
+}
+
+// Agent is a simulated agent that runs. Its methods may be called from any goroutine.
+type Agent struct {
+	spec            Spec
+	wire            *wire
+	client          fleetClient
+	fleet           *fleet.Fleet      // nil in mode Hubs
+	hubClient       *hubclient.Client // nil in mode FullMesh
+	policyHolder    *residency.Holder
+	watcher         *discovery.Watcher
+	cancel          context.CancelFunc
+	tasks           sync.WaitGroup
+	quotaBits       atomic.Uint64 // math.Float64bits of the quota
+	measuredZones   atomic.Int32
+	listVersion     atomic.Int64
+	policyVersion   atomic.Int64
+	settingsVersion atomic.Int64
+}
+
+// fleetClient is an agent's connection to its fleet, whichever the mode.
+type fleetClient interface {
+	source.Selector
+	Run(ctx context.Context) error
+	Addr() string
+}
+
+// Values that a real agent takes from its settings.
+const (
+	connectTimeout = time.Second
+	maxPolicyAge   = 10 * time.Second
+	listRate       = 50 // polls of the list service a second, by the whole fleet
+)
+
+// announcedVersion is the program version that simulated agents announce. Its length counts in the measured bytes.
+const announcedVersion = "hollow"
+
+// Start starts an agent. The caller ends it with Stop, or with Kill and Wait.
+func Start(spec Spec) (*Agent, error) {
+	if spec.Mode != FullMesh && spec.Mode != Hubs {
+		return nil, fmt.Errorf("unknown mode %q", spec.Mode)
+	}
+	if spec.Network == nil {
+		spec.Network = NewNetwork()
+	}
+	if spec.Listen == "" {
+		spec.Listen = "127.0.0.1:0"
+	}
+	log := slog.New(slog.DiscardHandler)
+	a := &Agent{spec: spec, wire: &wire{net: spec.Network, zone: spec.Zone}}
+	a.policyHolder = residency.NewHolder(spec.Zones, maxPolicyAge, spec.PolicySource, log, func(version int64, _ []string) error {
+		a.policyVersion.Store(version)
+		a.reportApplied(Policy, version)
+		return nil
+	})
+	callbacks := fleet.Callbacks{
+		Quota:     func(quota float64) { a.quotaBits.Store(math.Float64bits(quota)) },
+		Latencies: a.recordLatencies,
+	}
+	var err error
+	if spec.Mode == Hubs {
+		err = a.attachToHub(log, callbacks)
+	} else {
+		err = a.joinMesh(log, callbacks)
+	}
+	if err != nil {
+		return nil, err
+	}
+	spec.Network.SetZone(a.client.Addr(), spec.Zone)
+	ctx, cancel := context.WithCancel(context.Background())
+	a.cancel = cancel
+	a.tasks.Go(func() { _ = a.client.Run(ctx) }) // Kill closes its sockets: an error is expected
+	if spec.ListService != "" {
+		a.followLists(ctx, log)
+	}
+	return a, nil
+}
+
+// joinMesh makes the agent a member of a fleet without hubs.
+func (a *Agent) joinMesh(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
+	spec := &a.spec
+	a.fleet, err = fleet.New(fleet.Config{
+		Name: spec.Name, Site: spec.Zone, Version: announcedVersion, Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label,
+		MaxMembers: spec.MaxMembers, RelayedLists: true, ListRate: listRate, MeasureLatency: spec.MeasureLatency, Log: log,
+		Residency: a.policyHolder, PolicySource: spec.PolicySource, Wire: a.wire,
+	}, spec.Zones, callbacks)
+	a.client = a.fleet
+	return err
+}
+
+// recordLatencies counts the zones to which a round-trip time is known.
+func (a *Agent) recordLatencies(roundTrips []time.Duration, _ []float64) {
+	measured := int32(0)
+	for _, d := range roundTrips {
+		if d > 0 {
+			measured++
+		}
+	}
+	a.measuredZones.Store(measured)
+}
+
+// followLists follows endpoint lists as the decision module has an agent do it: it subscribes, and again with a growing
+// random backoff after each failure.
+func (a *Agent) followLists(ctx context.Context, log *slog.Logger) {
+	startedAt, failures := time.Now(), 0
+	agentTime := func(t time.Time) time.Duration { return t.Sub(startedAt) }
+	a.watcher = discovery.New(discovery.Config{
+		Translator: discovery.Translator{Zones: a.spec.Zones, AgentTime: agentTime, Log: log},
+		Addr:       a.spec.ListService, Polled: true, ConnectTimeout: connectTimeout, Dial: a.wire.dialService, Sources: a.client,
+		Deliver: func(update discovery.Update) {
+			if update.Endpoints.Kind != balancer.UpdateFailed {
+				failures = 0
+				a.reportApplied(List, a.listVersion.Load())
+				return
+			}
+			backoff := time.Duration(rand.Float64() * float64(min(100*time.Millisecond<<min(failures, 5), 2*time.Second)))
+			failures++
+			time.AfterFunc(backoff, a.watcher.Subscribe)
+		}})
+	a.watcher.Record = func(_ string, list *discovery.EndpointList) { a.listVersion.Store(list.Version) }
+	a.watcher.Subscribe()
+	a.tasks.Go(func() { a.watcher.Run(ctx) })
+}
+
+func (a *Agent) reportApplied(change Change, version int64) {
+	if a.spec.OnApplied != nil {
+		a.spec.OnApplied(change, version, time.Now())
+	}
+}
+
+// Spec returns the specification that the agent was started with, its defaults filled in.
+func (a *Agent) Spec() Spec { return a.spec }
+
+// Addr returns the host:port at which other members reach the agent.
+func (a *Agent) Addr() string { return a.client.Addr() }
+
+// State returns what the agent knows now.
+func (a *Agent) State() State {
+	state := State{
+		Quota: a.Quota(), MeasuredZones: int(a.measuredZones.Load()),
+		Policy: a.policyVersion.Load(), List: a.listVersion.Load(), Settings: a.settingsVersion.Load(),
+	}
+	if a.fleet != nil {
+		state.Members = a.fleet.Count()
+	} else {
+		state.Members = int(a.hubClient.Status().FleetSize.Attached)
+	}
+	return state
+}
+
+// Quota returns the share of the in-flight limit that the agent uses now; 0: none received yet, or the agent has ended.
+func (a *Agent) Quota() float64 {
+	if a.wire.dead.Load() {
+		return 0
+	}
+	return math.Float64frombits(a.quotaBits.Load())
+}
+
+// Members returns the members that the agent knows; nil in mode Hubs.
+func (a *Agent) Members() []member.Member {
+	if a.fleet == nil {
+		return nil
+	}
+	return a.fleet.Members()
+}
+
+// ApplyPolicy applies a version of the residency policy, in TOML, at an agent that is its source.
+func (a *Agent) ApplyPolicy(version int64, text string) error {
+	return a.policyHolder.Apply(version, text)
+}
+
+// Traffic returns what has passed the agent's sockets since its start.
+func (a *Agent) Traffic() Traffic { return a.wire.traffic() }
+
+// Stop has the agent leave its fleet, and returns when it has ended.
+func (a *Agent) Stop() {
+	a.Resume()
+	a.cancel()
+	a.tasks.Wait()
+	a.wire.kill()
+}
+
+// Kill ends the agent without leaving the fleet: its sockets close at once. Wait returns when its goroutines have ended.
+func (a *Agent) Kill() {
+	a.wire.kill()
+	a.Resume()
+	if a.fleet != nil {
+		_ = a.fleet.Abort() // its sockets are closed even if this fails
+	}
+	a.cancel()
+}
+
+// Wait waits until a killed agent's goroutines have ended.
+func (a *Agent) Wait() { a.tasks.Wait() }
+
+// Pause blocks the agent's sockets until Resume: received data waits in the kernel, data to be sent waits in the agent.
+// The agent's timers go on, so that, unlike a stopped process, it cannot notice that it was stopped.
+func (a *Agent) Pause() { a.wire.pause() }
+
+// Resume ends a Pause.
+func (a *Agent) Resume() { a.wire.resume() }
--- /dev/null
+++ b/internal/scale/simagent/agent_test.go
@@ -0,0 +1,11 @@
+package simagent
+
+// Tests of a simulated agent's start.
+
+import "testing"
+
+func TestStartRejectsAnUnknownMode(t *testing.T) {
+	if _, err := Start(Spec{Mode: "ring"}); err == nil {
+		t.Error("an agent started in an unknown mode")
+	}
+}
--- /dev/null
+++ b/internal/scale/simagent/traffic.go
@@ -0,0 +1,87 @@
+package simagent
+
+// Counting of the bytes that pass a simulated agent's sockets, by what they are about.
+
+import (
+	"encoding/binary"
+	"sync/atomic"
+)
+
+// TrafficKind is what bytes on an agent's sockets are for.
+type TrafficKind int
+
+const (
+	Membership        TrafficKind = iota // memberlist's own packets and streams
+	Gossip                               // gossiped entries within memberlist's packets
+	Latencies                            // probes of round trips; the latency rows themselves are Gossip
+	Lists                                // endpoint lists
+	Policies                             // residency policies
+	HubStream                            // states and gossiped entries between an agent and its hub
+	SettingsDocuments                    // settings
+	numTrafficKinds
+)
+
+// TrafficKinds are all kinds, in the order of their constants.
+var TrafficKinds = []TrafficKind{Membership, Gossip, Latencies, Lists, Policies, HubStream, SettingsDocuments}
+
+// String returns the name that tables use.
+func (k TrafficKind) String() string {
+	return [...]string{"members", "facts", "distances", "list", "policy", "hub stream", "settings"}[k]
+}
+
+// Count is a number of payload bytes, and of messages: datagrams, and reads or writes of streams.
+type Count struct{ Bytes, Messages int64 }
+
+// Traffic is what has passed an agent's sockets, indexed by TrafficKind.
+type Traffic struct {
+	In, Out        [numTrafficKinds]Count
+	FromRealAgents Count // those of the received datagrams whose sender is not simulated
+}
+
+// counter is a Count that several goroutines may add to.
+type counter struct{ bytes, messages atomic.Int64 }
+
+func (c *counter) add(n int) {
+	c.bytes.Add(int64(n))
+	c.messages.Add(1)
+}
+
+func (c *counter) snapshot() Count { return Count{c.bytes.Load(), c.messages.Load()} }
+
+// The first byte of memberlist's packets: its message types.
+const (
+	compoundMsg, userMsg, hasCRCMsg, hasLabelMsg = 7, 8, 12, 244
+)
+
+// gossipBytes returns how many bytes of a memberlist packet are gossiped entries: user messages, alone or in a compound.
+// Of a packet that is cut off it counts the messages that are complete.
+func gossipBytes(packet []byte) int {
+	if len(packet) > 2 && packet[0] == hasLabelMsg {
+		packet = packet[min(len(packet), 2+int(packet[1])):]
+	}
+	if len(packet) > 5 && packet[0] == hasCRCMsg {
+		packet = packet[5:]
+	}
+	switch {
+	case len(packet) > 0 && packet[0] == userMsg:
+		return len(packet)
+	case len(packet) < 2 || packet[0] != compoundMsg:
+		return 0
+	}
+	n := int(packet[1])
+	if len(packet) < 2+2*n {
+		return 0
+	}
+	sizes, rest, gossip := packet[2:2+2*n], packet[2+2*n:], 0
+	for i := range n {
+		size := int(binary.BigEndian.Uint16(sizes[2*i:]))
+		if size == 0 || size > len(rest) {
+			return gossip
+		}
+		if rest[0] == userMsg {
+			gossip += size
+		}
+		rest = rest[size:]
+	}
+	return gossip
+}
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -1,5 +1,7 @@
 package scale
 
+// How long a fleet, a zone or restarted agents take to start, and what that costs.
+
 import (
 	"fmt"
 	"strings"
@@ -7,11 +9,11 @@
 	"testing"
 	"time"
 
-	"martenbeam/internal/scale/hollow"
+	"martenbeam/internal/scale/simagent"
 )
 
-// rolled is how many agents are restarted one after another, and pace how far apart.
-func rolled() (n int, pace time.Duration) {
+// rollingRestarts returns how many agents are restarted one after another, and the time between two restarts.
+func rollingRestarts() (n int, pace time.Duration) {
 	if *full {
 		return 10, time.Second
 	}
@@ -19,32 +21,32 @@
 }
 
 func startTable(t *testing.T) {
-	for _, n := range sized(t, 14) {
-		for _, run := range ran() {
+	for _, n := range fleetSizes(t, 14) {
+		for _, run := range runNumbers() {
 			within := []time.Duration{time.Second, 10 * time.Second}
 			if !*full {
 				within = []time.Duration{200 * time.Millisecond}
 			}
-			for _, mode := range joined() {
+			for _, mode := range fleetModes() {
 				for _, d := range within {
-					t.Run(fmt.Sprintf("%s-%d-%v-%d", mode, n, d, run), func(t *testing.T) { keep(t, startAll(t, mode, n, d, run)) })
+					t.Run(fmt.Sprintf("%s-%d-%v-%d", mode, n, d, run), func(t *testing.T) { saveRows(t, measureStart(t, mode, n, d, run)) })
 				}
-				t.Run(fmt.Sprintf("%s-%d-zone-%d", mode, n, run), func(t *testing.T) { keep(t, startZone(t, mode, n, run)...) })
+				t.Run(fmt.Sprintf("%s-%d-zone-%d", mode, n, run), func(t *testing.T) { saveRows(t, measureZoneStart(t, mode, n, run)...) })
 			}
 		}
 	}
 }
 
-// worst follows the fleet's bytes, and finds the second in which most were sent.
-type worst struct {
-	end  chan struct{}
-	done sync.WaitGroup
-	most int64
+// peakTraffic finds the second in which the fleet sent the most bytes.
+type peakTraffic struct {
+	end      chan struct{}
+	done     sync.WaitGroup
+	maxBytes int64
 }
 
-func (c *crew) watchWorst() *worst {
-	w := &worst{end: make(chan struct{})}
-	before := c.sent()
+func (f *testFleet) watchPeakTraffic() *peakTraffic {
+	w := &peakTraffic{end: make(chan struct{})}
+	before := f.bytesSent()
 	w.done.Go(func() {
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
@@ -52,115 +54,127 @@
 			select {
 			case <-tick.C:
 			case <-w.end:
-				ended = true // the rest of a second is no more than one
+				ended = true // what is left is less than a second
 			}
-			now := c.sent()
-			w.most, before = max(w.most, now-before), now
+			now := f.bytesSent()
+			w.maxBytes, before = max(w.maxBytes, now-before), now
 		}
 	})
 	return w
 }
 
-func (w *worst) stop() int64 {
+// stop ends the watch, and returns the bytes sent in the busiest second.
+func (w *peakTraffic) stop() int64 {
 	close(w.end)
 	w.done.Wait()
-	return w.most
+	return w.maxBytes
 }
 
-// sent is how many bytes all agents have sent.
-func (c *crew) sent() (n int64) {
-	t := c.traffic()
+// bytesSent returns how many bytes all agents have sent.
+func (f *testFleet) bytesSent() (n int64) {
+	t := f.traffic()
 	for _, x := range t.Out {
 		n += x.Bytes
 	}
 	return n
 }
 
-// eventful measures what do does to a fleet until all know all they need. of is among how many its cost is divided.
-func (c *crew) eventful(r row, do func(), settled func() bool) row {
-	w, m := c.watchWorst(), c.measure(false)
-	do()
-	asked := time.Now()
-	_, ok, why := c.whole(patience)
-	for ok && settled != nil && !settled() {
-		if ok = time.Since(asked) < patience; !ok {
-			why = "old processes are still known"
+// measureEvent measures an event from its begin until all agents have the expected state and converged, which may be
+// nil, is true. It fills in the row's values, per agent.
+func (f *testFleet) measureEvent(r row, event func(), converged func() bool) row {
+	peak, m := f.watchPeakTraffic(), f.startMeter(false)
+	event()
+	startedAt := time.Now()
+	_, ok, reason := f.awaitConvergence(convergenceTimeout)
+	for ok && converged != nil && !converged() {
+		if ok = time.Since(startedAt) < convergenceTimeout; !ok {
+			reason = "old processes are still known"
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	s := m.end()
 	r.Void = s.void
 	if !ok {
-		r.Void = strings.TrimSuffix("not whole: "+why+", "+s.void, ", ")
+		r.Void = strings.TrimSuffix("not whole: "+reason+", "+s.void, ", ")
 	}
 	var sent int64
 	for _, x := range s.traffic.Out {
 		sent += x.Bytes
 	}
-	each := float64(c.n)
-	r.Values = map[string]float64{"all know all after s": s.took.Seconds(), "after the last start s": time.Since(asked).Seconds(), "bytes out": float64(sent) / each,
-		"processor ms": s.processor.Seconds() * 1e3 / each, "worst second, bytes out": float64(w.stop()) / each, "timers late ms p99": s.late.Seconds() * 1e3}
+	each := float64(f.n)
+	r.Values = map[string]float64{
+		"all know all after s":    s.duration.Seconds(),
+		"after the last start s":  time.Since(startedAt).Seconds(),
+		"bytes out":               float64(sent) / each,
+		"processor ms":            s.cpu.Seconds() * 1e3 / each,
+		"worst second, bytes out": float64(peak.stop()) / each,
+		"timers late ms p99":      s.late.Seconds() * 1e3,
+	}
 	return r
 }
 
-func startAll(t *testing.T, mode hollow.Mode, n int, within time.Duration, run int) row {
-	c := newCrew(t, mode, n, true)
-	return c.eventful(row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run},
-		func() { c.startAll(within) }, nil)
+// measureStart measures the start of a whole fleet, evenly spaced over a time.
+func measureStart(t *testing.T, mode simagent.Mode, n int, within time.Duration, run int) row {
+	fleet := newTestFleet(t, mode, n, true)
+	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run}
+	return fleet.measureEvent(r, func() { fleet.startAll(within) }, nil)
 }
 
-// startZone starts a zone beside the others, and then restarts some agents one after another.
-func startZone(t *testing.T, mode hollow.Mode, n, run int) []row {
-	c := newCrew(t, mode, n, true)
+// measureZoneStart measures the start of a zone's agents while the others run, and then rolling restarts.
+func measureZoneStart(t *testing.T, mode simagent.Mode, n, run int) []row {
+	fleet := newTestFleet(t, mode, n, true)
 	zone := zones[len(zones)-1]
-	start := func(these bool, within time.Duration) {
-		began, k := time.Now(), 0
-		for i := range n {
-			if (zones[i%len(zones)] == zone) != these {
-				continue
-			}
-			c.start(i, "")
-			if d := time.Until(began.Add(within * time.Duration(k) / time.Duration(n))); d > 0 {
-				time.Sleep(d) // the pace is what is asked for
-			}
-			k++
-		}
-	}
-	start(false, time.Duration(n)**pace)
+	fleet.startZone(zone, false, time.Duration(n)**pace)
 	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Run: run}
-	// One zone is not there: round trips to it can't be known yet.
-	c.expect = len(zones) - 1
-	if why := c.begun(); why != "" {
-		r.Case, r.Void = "a zone within 1s", why
+	// The last zone has no agents yet: nobody can know a round trip to it.
+	fleet.expectedZones = len(zones) - 1
+	if reason := fleet.awaitStart(); reason != "" {
+		r.Case, r.Void = "a zone within 1s", reason
 		return []row{r}
 	}
-	c.expect = 0
+	fleet.expectedZones = 0
 	r.Case = "a zone within 1s"
-	rows := []row{c.eventful(r, func() { start(true, time.Second) }, nil)}
-	count, pace := rolled()
+	rows := []row{fleet.measureEvent(r, func() { fleet.startZone(zone, true, time.Second) }, nil)}
+	count, pace := rollingRestarts()
 	r.Case = fmt.Sprintf("%d restarted at 1 each %v", count, pace)
-	return append(rows, c.eventful(r, func() {
+	return append(rows, fleet.measureEvent(r, func() {
 		for i := range count {
-			began := time.Now()
-			c.restart(1 + seeds + i%(n-1-seeds))
+			startedAt := time.Now()
+			fleet.restart(1 + numSeeds + i%(n-1-numSeeds))
 			if i < count-1 {
-				time.Sleep(time.Until(began.Add(pace))) // the pace is what is asked for
+				time.Sleep(time.Until(startedAt.Add(pace))) // keeps the pace, whatever the agents do
 			}
 		}
-	}, c.processesKnown))
+	}, fleet.incarnationsKnown))
+}
+
+// startZone starts the agents of a zone, or with inZone false all others. The pace is that of starting n agents within
+// the time.
+func (f *testFleet) startZone(zone string, inZone bool, within time.Duration) {
+	startedAt, k := time.Now(), 0
+	for i := range f.n {
+		if (zones[i%len(zones)] == zone) != inZone {
+			continue
+		}
+		f.start(i, "")
+		if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(f.n))); d > 0 {
+			time.Sleep(d) // keeps the pace, whatever the agents do
+		}
+		k++
+	}
 }
 
-// processesKnown reports whether everyone knows everyone's latest process.
-func (c *crew) processesKnown() bool {
+// incarnationsKnown reports whether every agent knows the latest incarnation of every other.
+func (f *testFleet) incarnationsKnown() bool {
 	latest := map[string]uint64{}
-	for _, a := range c.agents {
+	for _, a := range f.agents {
 		for _, m := range a.Members() {
 			if m.Name == a.Spec().Name {
 				latest[m.Name] = m.Incarnation
 			}
 		}
 	}
-	for _, a := range c.agents {
+	for _, a := range f.agents {
 		for _, m := range a.Members() {
 			if latest[m.Name] != m.Incarnation {
 				return false
