--- a/internal/lab/agentconfig.go
+++ b/internal/lab/agentconfig.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// agentConfig returns the JSON configuration of an agent's process.
+// agentConfig returns the JSON configuration of an agent's process. It is long since it is one literal, which steps of their own
+// would only scatter.
 func (l *Lab) agentConfig(a *agent, known endpointList) ([]byte, error) {
 	s := l.Scenario
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
