--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -16,6 +16,8 @@
 	listener *net.TCPListener
 	wrap     func(net.Conn) net.Conn
 
+	accepting sync.Mutex // held while the listener accepts; locked after mu, if both are
+
 	mu          sync.Mutex
 	unreachable bool
 	closed      bool
@@ -50,7 +52,9 @@
 // Accept returns the next connection. It blocks while the gate is unreachable.
 func (g *gate) Accept() (net.Conn, error) {
 	for {
+		g.accepting.Lock()
 		c, err := g.listener.Accept()
+		g.accepting.Unlock()
 		g.mu.Lock()
 		if err == nil {
 			// An Accept that was in progress when the gate became unreachable may take the filler: fill the queue again.
@@ -103,6 +107,8 @@
 	if on {
 		g.reachable = make(chan struct{})
 		_ = g.listener.SetDeadline(time.Unix(1, 0))
+		g.accepting.Lock() // an Accept in progress ends first: it would take the filler, and leave its place to another
+		defer g.accepting.Unlock()
 		g.setBacklog(0)
 		g.fillBacklog()
 		return
