--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -42,7 +42,7 @@
 	case balancer.Subscribe:
 		l.subscribe()
 	case balancer.ZoneStateChanged:
-		l.logZoneTurn(action)
+		l.logZoneState(action)
 	case balancer.OverrideResult:
 		l.completeCall(action)
 	default:
@@ -67,8 +67,8 @@
 	}
 }
 
-// logZoneTurn logs that the balancer has left a zone, or returned to it.
-func (l *eventLoop) logZoneTurn(action balancer.ZoneStateChanged) {
+// logZoneState logs that the balancer has left a zone, or returned to it.
+func (l *eventLoop) logZoneState(action balancer.ZoneStateChanged) {
 	name := strconv.Itoa(action.Zone)
 	if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
 		name = zones[action.Zone]
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestSilentAdminConnectionsBlockNoCall: an incomplete call does nothing, and silent connections keep no caller out.
-func TestSilentAdminConnectionsBlockNoCall(t *testing.T) {
+// TestIdleAdminConnectionsDoNotBlockCalls: an incomplete call does nothing, and silent connections keep no caller out.
+func TestIdleAdminConnectionsDoNotBlockCalls(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	a.admin.AnswerTimeout = testTimeout
@@ -140,9 +140,9 @@
 	})
 }
 
-// TestDetachBeforeFirstStepKnowsTheBackend: a call that is waiting before the balancer's first step is for a backend that
+// TestDetachBeforeFirstStepFindsBackend: a call that is waiting before the balancer's first step is for a backend that
 // the agent knows. Which of two ready channels the loop takes first is random, so the test repeats.
-func TestDetachBeforeFirstStepKnowsTheBackend(t *testing.T) {
+func TestDetachBeforeFirstStepFindsBackend(t *testing.T) {
 	for range 20 {
 		one := startRawBackend(t, func(int) string { return ok200 })
 		a, err := New(t.Context(), testConfig(t, testSetup{servers: []discoveryMember{one.member("one")}}), discardLog)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestSilentBackendGivesGatewayTimeout: if its backend is silent, a request is answered before its client stops waiting,
+// TestUnresponsiveBackendGivesGatewayTimeout: if its backend is silent, a request is answered before its client stops waiting,
 // with a status that says 'failed'.
-func TestSilentBackendGivesGatewayTimeout(t *testing.T) {
+func TestUnresponsiveBackendGivesGatewayTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	s := startRawBackend(t, func(int) string { <-hold; return "" })
@@ -95,13 +95,13 @@
 	}
 }
 
-// TestBackendDeadlineIsShorterThanClients: a backend is told less time than the client has left, by the time that the
+// TestBackendDeadlineIsShorterThanClientDeadline: a backend is told less time than the client has left, by the time that the
 // request travels. No delay on a busy machine may make it more.
-func TestBackendDeadlineIsShorterThanClients(t *testing.T) {
-	told := make(chan string, 1)
+func TestBackendDeadlineIsShorterThanClientDeadline(t *testing.T) {
+	advertised := make(chan string, 1)
 	ln := listen(t)
 	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		told <- r.Header.Get("X-Expires-In")
+		advertised <- r.Header.Get("X-Expires-In")
 	})}
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
@@ -111,7 +111,7 @@
 		t.Fatalf("%+v", x)
 	}
 	most := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
-	if s, err := strconv.ParseFloat(<-told, 64); err != nil || s <= 0 || s > most {
+	if s, err := strconv.ParseFloat(<-advertised, 64); err != nil || s <= 0 || s > most {
 		t.Errorf("told of %v s of %v, at most %v may be: %v", s, wait, most, err)
 	}
 }
@@ -141,11 +141,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := make(chan error)
-	go func() { _, err := http.DefaultClient.Do(req); gone <- err }()
+	clientEnded := make(chan error)
+	go func() { _, err := http.DefaultClient.Do(req); clientEnded <- err }()
 	receive(t, "request", s.seen)
 	cancel()
-	if err := receive(t, "end of the client", gone); err == nil {
+	if err := receive(t, "end of the client", clientEnded); err == nil {
 		t.Error("the client got an answer")
 	}
 	eventually(t, "request to be given up", func() bool { return a.frontend.openRequests.Load() == 0 })
--- a/internal/agent/attempttimer.go
+++ b/internal/agent/attempttimer.go
@@ -14,20 +14,20 @@
 type attemptTimer struct {
 	cancel context.CancelCauseFunc
 
-	mu              sync.Mutex
-	timer           *time.Timer
-	responseStarted bool
-	expired         bool
+	mu       sync.Mutex
+	timer    *time.Timer
+	disarmed bool
+	expired  bool
 }
 
 func (t *attemptTimer) arm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.responseStarted && t.timer == nil {
+	if !t.disarmed && t.timer == nil {
 		t.timer = time.AfterFunc(time.Until(at), func() {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			if !t.responseStarted {
+			if !t.disarmed {
 				t.expired = true
 				t.cancel(upstream.ErrTimedOut)
 			}
@@ -42,6 +42,6 @@
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	t.responseStarted = !t.expired
-	return t.responseStarted
+	t.disarmed = !t.expired
+	return t.disarmed
 }
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -60,11 +60,11 @@
 			upstream.LimitKernelBuffers(c.Conn)
 		}
 	}
-	paced := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
+	bodyReader := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
-	body, err := io.ReadAll(io.LimitReader(paced, upstream.MaxBufferedBody+1))
+	body, err := io.ReadAll(io.LimitReader(bodyReader, upstream.MaxBufferedBody+1))
 	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // left running it would look like a disconnected client
-		err = paced.ClearDeadline()
+		err = bodyReader.ClearDeadline()
 	}
 	if err != nil {
 		return nil, false, bodyError(err)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -72,15 +72,15 @@
 				x, y := startManualBackend(t), startRawBackend(t, func(int) string { return ok200 })
 				before, after := startFakeDiscovery(t), startFakeDiscovery(t)
 				var dialling, release chan struct{}
-				took, goOn := make(chan int64, 100), make(chan struct{})
+				recorded, resume := make(chan int64, 100), make(chan struct{})
 				now := make(chan time.Time)
 				close(now)
 				cfg := testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}})
 				a := startWithHook(t, cfg, now, func(a *testAgent) {
 					dialling, release = blockDials(a.pool)
 					a.discovery.Record = func(_ string, list *discoveryList) { // called by the watcher, which reads nothing in the meantime
-						if took <- list.Version; order == "move, list, old word" && list.Version == 42 {
-							<-goOn
+						if recorded <- list.Version; order == "move, list, old word" && list.Version == 42 {
+							<-resume
 						}
 					}
 				})
@@ -91,7 +91,7 @@
 				}
 				old := receive(t, "watch", before.watch)
 				old.sendLine(t, deltaLine(t, 41, x.member("x")))
-				receive(t, "first list", took)
+				receive(t, "first list", recorded)
 				answer := make(chan exchange, 1)
 				go func() { answer <- a.do("GET", "/get/x", "") }()
 				receive(t, "dial", dialling)
@@ -100,10 +100,10 @@
 				if state != "" {
 					list = append(list, named)
 				}
-				whole := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
+				fullList := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
 				drain := func() { // long enough that what follows is read at once
 					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, drains, y.member("y")))
-					receive(t, "drain", took)
+					receive(t, "drain", recorded)
 				}
 				move := func() *fakeWatch {
 					a.SetDiscoveryAddr(after.addr)
@@ -117,16 +117,16 @@
 				case "drain, move, list":
 					drain()
 					eventually(t, "the drain", func() bool { return holds("draining") })
-					move().sendLine(t, whole)
+					move().sendLine(t, fullList)
 				case "move, drain, list":
 					w := move()
 					drain()
 					eventually(t, "the drain", func() bool { return holds("draining") })
-					w.sendLine(t, whole)
+					w.sendLine(t, fullList)
 				default:
 					w := move()
 					drain()
-					w.sendLine(t, whole)
+					w.sendLine(t, fullList)
 					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
 					late := ""
 					for v := range int64(30) { // each could be applied with an even chance if its watch were not stopped
@@ -134,7 +134,7 @@
 					}
 					old.sendLine(t, late)
 					eventually(t, "the old one's words to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 2 })
-					close(goOn)
+					close(resume)
 				}
 				receive(t, "end of the old watch", old.disconnected)
 				eventually(t, "the end of its task", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -10,11 +10,11 @@
 // A planned restart begins with a SIGTERM, of which clients are notified up to 0.4 s late. The platform kills the process
 // 0.7 s after the longest deadline, of which at most 3 s count.
 const (
-	acceptWindowAfterStop = 450 * time.Millisecond // new connections are accepted for at least this long
-	silentConnTimeout     = 250 * time.Millisecond // without a byte, before a new connection is closed after that
-	maxDrainDeadline      = 3 * time.Second        // cap on the longest deadline
-	drainSlack            = 600 * time.Millisecond // after the longest deadline, for the last replies to be out
-	drainPollInterval     = 5 * time.Millisecond
+	acceptWindowAfterStop    = 450 * time.Millisecond // new connections are accepted for at least this long
+	drainFirstRequestTimeout = 250 * time.Millisecond // without a byte, before a new connection is closed after that
+	maxDrainDeadline         = 3 * time.Second        // cap on the longest deadline
+	drainSlack               = 600 * time.Millisecond // after the longest deadline, for the last replies to be out
+	drainPollInterval        = 5 * time.Millisecond
 )
 
 // drain answers the accepted requests and returns once no connection is left. Each reply closes its connection, and idle
@@ -28,10 +28,10 @@
 	f, startedAt, deadline := a.frontend, time.Now(), time.Now().Add(a.drainTimeout)
 	f.accepting.Store(false)
 	f.drainBy(deadline)
-	acceptWindow, windowOver, idleGrace, silentTimeout := a.acceptWindow(), false, time.Duration(0), time.Duration(-1)
+	acceptWindow, windowOver, idleGrace, firstRequestTimeout := a.acceptWindow(), false, time.Duration(0), time.Duration(-1)
 	if a.hotRestart != nil {
 		// A client turned back here could not connect to this process again: each may send one more request.
-		windowOver, idleGrace, silentTimeout = true, drainIdleTimeout, silentConnTimeout
+		windowOver, idleGrace, firstRequestTimeout = true, drainIdleTimeout, drainFirstRequestTimeout
 		a.closeListener(served)
 	}
 	tick := time.NewTicker(drainPollInterval)
@@ -39,11 +39,11 @@
 	for logged := false; !windowOver || !a.listenerClosed || f.hasConnections(); <-tick.C {
 		select {
 		case <-acceptWindow:
-			windowOver, silentTimeout = true, silentConnTimeout
+			windowOver, firstRequestTimeout = true, drainFirstRequestTimeout
 		default:
 		}
 		if time.Since(startedAt) >= idleGrace {
-			f.idleConns.CloseIdle(0, silentTimeout)
+			f.idleConns.CloseIdle(0, firstRequestTimeout)
 		}
 		pastDeadline := time.Now().After(deadline)
 		if windowOver && (pastDeadline || !a.listener.Backlogged()) {
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -83,17 +83,17 @@
 // stops accepting, the rest is read and the request answered. net/http's Shutdown would drop a request whose header is
 // completed after it.
 func TestPartialRequestIsServedDuringDrain(t *testing.T) {
-	whole := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 4\r\n\r\nbody", newID())
-	for _, part := range []int{1, 20, len(whole) - 5, len(whole) - 2} {
+	request := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 4\r\n\r\nbody", newID())
+	for _, part := range []int{1, 20, len(request) - 5, len(request) - 2} {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			a, s := startDrainable(t, func(int) string { return ok200 })
 			c := a.dial(t)
-			writeText(t, c, whole[:part])
+			writeText(t, c, request[:part])
 			eventually(t, "the first part", func() bool { return a.frontend.hasConnections() && !a.noPartialRequest() })
 			a.startDrain(t)
 			close(a.accept)
 			eventually(t, "the listener's close", func() bool { return a.listener.TCPListener.SetDeadline(time.Time{}) != nil })
-			writeText(t, c, whole[part:])
+			writeText(t, c, request[part:])
 			expectServedAndClosed(t, c)
 			if receive(t, "request", s.seen); len(s.seen) != 0 {
 				t.Error("sent on twice")
@@ -267,12 +267,12 @@
 	}
 	defer idle.Close()
 	in := bufio.NewReader(idle)
-	ask := func(c net.Conn) {
+	sendRequest := func(c net.Conn) {
 		if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()); err != nil {
 			t.Error(err)
 		}
 	}
-	ask(idle)
+	sendRequest(idle)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -291,12 +291,12 @@
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection was not closed: %v", err)
 	}
-	lateOne := make(chan exchange, 1)
-	go func() { lateOne <- a.do("GET", "/get/x", "") }()
+	lateRequest := make(chan exchange, 1)
+	go func() { lateRequest <- a.do("GET", "/get/x", "") }()
 	receive(t, "request after the stop", s.seen)
 	close(accept)
 	close(hold)
-	for _, ch := range []chan exchange{inFlight, lateOne} {
+	for _, ch := range []chan exchange{inFlight, lateRequest} {
 		if x := receive(t, "answer", ch); x.status != 200 {
 			t.Errorf("%+v", x)
 		}
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -81,7 +81,7 @@
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.stop()
 	var calls chan *adminCall // nil until the balancer has the list: before, it would answer that the backend does not exist
-	wake := time.NewTimer(0)
+	stepTimer := time.NewTimer(0)
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
 	var saveTick <-chan time.Time
@@ -91,7 +91,7 @@
 		saveTick = tick.C
 	}
 	for {
-		l.scheduleWake(wake)
+		l.scheduleStep(stepTimer)
 		select {
 		case <-ctx.Done():
 			return
@@ -100,7 +100,7 @@
 		case e := <-l.events:
 			l.apply(e)
 			l.applyPosted()
-		case <-wake.C:
+		case <-stepTimer.C:
 		case <-summary.C:
 			l.logSummary()
 		case <-saveTick:
@@ -113,15 +113,15 @@
 	}
 }
 
-// scheduleWake sets the timer to the time of the next step: a tick after the last one if events are pending, otherwise when
+// scheduleStep sets the timer to the time of the next step: a tick after the last one if events are pending, otherwise when
 // the balancer's next timer is due.
-func (l *eventLoop) scheduleWake(wake *time.Timer) {
+func (l *eventLoop) scheduleStep(stepTimer *time.Timer) {
 	if len(l.pending) > 0 {
-		wake.Reset(l.lastStep + l.cfg.Settings.Tick - l.clock.now())
+		stepTimer.Reset(l.lastStep + l.cfg.Settings.Tick - l.clock.now())
 	} else if len(l.timers) > 0 {
-		wake.Reset(max(l.timers[0].at, l.lastStep+l.cfg.Settings.Tick) - l.clock.now())
+		stepTimer.Reset(max(l.timers[0].at, l.lastStep+l.cfg.Settings.Tick) - l.clock.now())
 	} else {
-		wake.Stop()
+		stepTimer.Stop()
 	}
 }
 
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -25,7 +25,7 @@
 // never for long. follow makes the running agent watch discovery at another address, as after SIGHUP. The keeper is the
 // residency policy; nil: none.
 type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event),
-	follow func(discovery string)) (Fleet, gate.Enforcer, error)
+	setDiscoveryAddr func(discovery string)) (Fleet, gate.Enforcer, error)
 
 // joinFleet sets up the membership that the configuration asks for, if any.
 func (a *Agent) joinFleet() error {
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -70,8 +70,8 @@
 			if !ok {
 				return ctx
 			}
-			ctx, end := context.WithCancel(context.WithValue(ctx, clientConnKey{}, client))
-			context.AfterFunc(client.Context(), end)
+			ctx, cancel := context.WithCancel(context.WithValue(ctx, clientConnKey{}, client))
+			context.AfterFunc(client.Context(), cancel)
 			return ctx
 		},
 	}
@@ -221,9 +221,9 @@
 
 // serveUpload serves a request whose body is streamed. The body is read in a goroutine that has ended when this returns.
 func (f *frontend) serveUpload(w http.ResponseWriter, httpReq *http.Request, r *request) {
-	upload, pumped := r.upstream.Upload, make(chan struct{})
+	upload, readerDone := r.upstream.Upload, make(chan struct{})
 	go func() {
-		defer close(pumped)
+		defer close(readerDone)
 		upload.Pump(&minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 			allowance: max(f.maxBodyGap, clientStallTimeout), maxGap: max(f.maxBodyGap, clientStallTimeout),
 			received: int64(len(r.upstream.Body))}, f.loop.pool.Buffers)
@@ -231,7 +231,7 @@
 	answer := f.awaitReply(httpReq, r)
 	f.closeAfterReply(w)
 	f.finishUpload(w, upload)
-	<-pumped
+	<-readerDone
 	select {
 	case <-upload.Failed():
 		failure := bodyError(upload.Err())
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -78,10 +78,10 @@
 	callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`))
 	before := len(one.seen)
 
-	younger := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
-	younger.admin.AnswerTimeout = testTimeout
-	eventually(t, "the younger one to take clients", younger.frontend.accepting.Load)
-	if resp := callAdmin(t, younger, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
+	newer := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
+	newer.admin.AnswerTimeout = testTimeout
+	eventually(t, "the younger one to take clients", newer.frontend.accepting.Load)
+	if resp := callAdmin(t, newer, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("not ready: %+v", resp)
 	}
 	older.stop()
@@ -96,16 +96,16 @@
 		t.Error(err)
 	}
 	for range 20 {
-		if x := younger.do("GET", "/get/x", ""); x.status != 200 {
+		if x := newer.do("GET", "/get/x", ""); x.status != 200 {
 			t.Fatalf("%+v", x)
 		}
 	}
 	if n := len(one.seen); n != before {
 		t.Errorf("%d requests reached a backend that is detached", n-before)
 	}
-	half := maxUpstreamConns(younger.cfg.halfLimits().shareableDescriptors())
+	half := maxUpstreamConns(newer.cfg.halfLimits().shareableDescriptors())
 	eventually(t, "the younger one to use the whole limits", func() bool {
-		return younger.pool.Stats().Limit > half
+		return newer.pool.Stats().Limit > half
 	})
 }
 
@@ -193,17 +193,17 @@
 	ln, dir := listen(t), t.TempDir()
 	older := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: []discoveryMember{s.member("s")}}))
 	eventually(t, "clients to be taken", older.frontend.accepting.Load)
-	most := func() int {
+	connLimit := func() int {
 		return older.pool.Stats().Limit
 	}
-	whole := most()
-	younger := handover.New(dir, discardLog)
-	if err := younger.Register(); err != nil {
+	fullLimit := connLimit()
+	newer := handover.New(dir, discardLog)
+	if err := newer.Register(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the older one to keep to half", func() bool { return most() < whole })
-	younger.Close()
-	eventually(t, "the older one to use all", func() bool { return most() == whole })
+	eventually(t, "the older one to keep to half", func() bool { return connLimit() < fullLimit })
+	newer.Close()
+	eventually(t, "the older one to use all", func() bool { return connLimit() == fullLimit })
 	if x := older.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
@@ -222,7 +222,7 @@
 			watch := receive(t, "watch", c.watch)
 			now := make(chan time.Time)
 			close(now)
-			younger := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(younger *testAgent) {
+			newer := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(newer *testAgent) {
 				// The successor has read the record once.
 				if call {
 					if resp := callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
@@ -239,13 +239,13 @@
 			if w := receive(t, "watch of the younger", c.watch); !call && w.since != "42" {
 				t.Errorf("the younger one asks for what follows %s", w.since)
 			}
-			eventually(t, "the younger one to take clients", younger.frontend.accepting.Load)
+			eventually(t, "the younger one to take clients", newer.frontend.accepting.Load)
 			older.stop()
 			if err := receive(t, "end of the older one", older.ended); err != nil {
 				t.Error(err)
 			}
 			for range 20 {
-				if x := younger.do("GET", "/get/x", ""); x.status != 200 {
+				if x := newer.do("GET", "/get/x", ""); x.status != 200 {
 					t.Fatalf("%+v", x)
 				}
 			}
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -88,7 +88,7 @@
 // too large.
 func relay(client context.Context, w http.ResponseWriter, stream *upstream.Stream, first, buf []byte) bool {
 	control := http.NewResponseController(w)
-	waited, passed := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
+	waited, received := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
 	for chunk, readErr := first, error(nil); ; {
 		err := control.SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
 		if err == nil {
@@ -104,7 +104,7 @@
 			stream.Finish(nil)
 			return true
 		}
-		if passed += int64(len(chunk)); passed > upstream.MaxStreamBytes || isTooSlow(waited, passed) {
+		if received += int64(len(chunk)); received > upstream.MaxStreamBytes || isTooSlow(waited, received) {
 			stream.Finish(upstream.ErrStalled)
 			return false
 		}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -91,8 +91,8 @@
 	if c, err := httpReq.Cookie("sid"); err == nil {
 		r.key = wire.AffinityKey(c.Value)
 	}
-	if gatekeeper := f.residency; gatekeeper != nil {
-		r.residencyRule = gatekeeper.RuleID(header.Get("X-Customer"), f.cfg.Site.Classes[class])
+	if enforcer := f.residency; enforcer != nil {
+		r.residencyRule = enforcer.RuleID(header.Get("X-Customer"), f.cfg.Site.Classes[class])
 	}
 	if r.id == "" {
 		return nil, badRequest("X-Trace-Id: missing")
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestSessionCookieSetsTheKey: the balancer gets the affinity key from the session cookie.
-func TestSessionCookieSetsTheKey(t *testing.T) {
+// TestSessionCookieSetsAffinityKey: the balancer gets the affinity key from the session cookie.
+func TestSessionCookieSetsAffinityKey(t *testing.T) {
 	f := newFrontend(testConfig(t, testSetup{}), nil, discardLog)
 	for cookie, want := range map[string]uint64{"": 0, "a=b": 0, "sid=7f3a": wire.AffinityKey("7f3a"),
 		"a=b; sid=7f3a": wire.AffinityKey("7f3a")} {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestSlowReaderBlocksNoOtherClient: a client that does not read its large response blocks only itself.
-func TestSlowReaderBlocksNoOtherClient(t *testing.T) {
+// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response blocks only itself.
+func TestSlowReaderDoesNotBlockOtherClients(t *testing.T) {
 	text := pattern(8 << 20) // more than any kernel buffers on the way
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/large" {
@@ -121,8 +121,8 @@
 func (disconnectedWriter) SetWriteDeadline(time.Time) error { return nil }
 func (disconnectedWriter) Flush()                           {}
 
-// TestClientDisconnectDuringStreamIsNotBackendsFault: the stream ends, and the backend is not to blame.
-func TestClientDisconnectDuringStreamIsNotBackendsFault(t *testing.T) {
+// TestClientDisconnectDuringStreamIsNotBackendFailure: the stream ends, and the backend is not to blame.
+func TestClientDisconnectDuringStreamIsNotBackendFailure(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	f := newFrontend(cfg, &eventLoop{pool: upstream.New(cfg.poolConfig(), discardLog)}, discardLog)
 	in, out := io.Pipe()
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -57,7 +57,7 @@
 // TestConsumedBodyIsNotRetried: a body of which part was sent is never sent again. If its last byte was not written nothing
 // was executed, and the client may retry; if the connection failed before, the attempt is made elsewhere.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
-	came := make(chan struct{}, 10)
+	received := make(chan struct{}, 10)
 	ln := listen(t)
 	go func() {
 		for {
@@ -68,7 +68,7 @@
 			hr, err := http.ReadRequest(bufio.NewReader(c))
 			if err == nil {
 				_, _ = io.CopyN(io.Discard, hr.Body, 2*upstream.MaxBufferedBody)
-				came <- struct{}{}
+				received <- struct{}{}
 			}
 			c.Close() // with the rest unread: a reset
 		}
@@ -83,8 +83,8 @@
 	if resp := c.readResponse(); resp.StatusCode != 503 {
 		t.Errorf("status %d for a body that broke off on its way", resp.StatusCode)
 	}
-	if len(came) != 1 {
-		t.Errorf("%d attempts", len(came))
+	if len(received) != 1 {
+		t.Errorf("%d attempts", len(received))
 	}
 
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestClientAbortDuringUploadIsNotBackendsFault: if a client disconnects during its upload the backend never gets the last
+// TestClientAbortDuringUploadIsNotBackendFailure: if a client disconnects during its upload the backend never gets the last
 // byte, and is not to blame.
-func TestClientAbortDuringUploadIsNotBackendsFault(t *testing.T) {
+func TestClientAbortDuringUploadIsNotBackendFailure(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan error, 1)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/x" {
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestSlowUploadIsServedAndStalledOneEnds: a client may take 2 s for a header and send its body at 64 kB per second. One
+// TestSlowUploadIsServedAndStalledUploadIsClosed: a client may take 2 s for a header and send its body at 64 kB per second. One
 // that stops sending is disconnected; time in which the backend does not read does not count.
-func TestSlowUploadIsServedAndStalledOneEnds(t *testing.T) {
+func TestSlowUploadIsServedAndStalledUploadIsClosed(t *testing.T) {
 	const total = 5 * upstream.MaxBufferedBody
 	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
 		c := dial()
