--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -1,6 +1,6 @@
 package agent
 
-// The actions of the balancer, carried out by the event loop.
+// How the event loop performs the balancer's actions.
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// perform carries out one action of the balancer.
+// perform performs one action of the balancer. Timers count from now, the time of the step on the event loop's clock.
 func (l *eventLoop) perform(action balancer.Action, now time.Duration) {
 	switch action := action.(type) {
 	case balancer.Send:
@@ -50,7 +50,7 @@
 	}
 }
 
-// cancelAttempt cancels one attempt, where the site permits that.
+// cancelAttempt cancels one attempt if the site permits cancellation.
 func (l *eventLoop) cancelAttempt(action balancer.Cancel) {
 	r := l.requests[action.Request]
 	if r != nil && action.Attempt >= 0 && action.Attempt < len(r.cancels) && l.cfg.Settings.CancelAllowed {
@@ -58,8 +58,8 @@
 	}
 }
 
-// startProbe starts a health check, where the site permits that and none of the backend is in flight. Its goroutine ends
-// within the connect timeout.
+// startProbe starts a health check of a backend, unless the site forbids health checks or one of this backend is in flight.
+// The goroutine of the health check ends within the connect timeout.
 func (l *eventLoop) startProbe(backend string) {
 	if l.cfg.Settings.ProbingAllowed && !l.probing[backend] {
 		l.probing[backend] = true
@@ -67,7 +67,7 @@
 	}
 }
 
-// logZoneState logs that the balancer has left a zone, or returned to it.
+// logZoneState logs that the balancer failed over from a zone, or uses the zone again.
 func (l *eventLoop) logZoneState(action balancer.ZoneStateChanged) {
 	name := strconv.Itoa(action.Zone)
 	if zones := l.cfg.Site.Zones; action.Zone >= 0 && action.Zone < len(zones) {
@@ -77,10 +77,10 @@
 }
 
 // startAttempt starts an attempt in its own goroutine, which posts attemptEnded. The goroutine ends by the client's
-// deadline, or with a streamed body or response. At most MaxAttempts of them exist for each open request.
+// deadline or, if a body or response is streamed, when the stream ends. Each open request has at most MaxAttempts attempts.
 func (l *eventLoop) startAttempt(action balancer.Send) {
 	r := l.requests[action.Request]
-	if r == nil || r.finished { // nothing is sent after the final reply
+	if r == nil || r.finished { // no attempt starts after the final reply
 		l.pending = append(l.pending, balancer.Outcome{Request: action.Request, Backend: action.Backend,
 			Result: balancer.NotSent, Done: true})
 		return
@@ -107,8 +107,8 @@
 		Request: r.upstream, Start: start, Deadline: deadline})
 }
 
-// runAttempt makes the attempt and posts what comes of it. It runs in the attempt's goroutine, and reads of r only what does
-// not change.
+// runAttempt makes the attempt and posts its events. It runs in the attempt's goroutine, so it reads only those fields of r
+// that do not change.
 func (l *eventLoop) runAttempt(ctx context.Context, r *request, index int, timer *attemptTimer, att *upstream.Attempt) {
 	att.OnStreamStart = func(resp *upstream.Response, latency time.Duration) bool {
 		if !timer.disarm() {
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -24,7 +24,7 @@
 	return cfg
 }
 
-// callAdmin sends a call as it stands and returns the response.
+// callAdmin sends text to the admin listener unchanged and returns the response. The agent has to close the connection.
 func callAdmin(t *testing.T, a *testAgent, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", a.admin.Addr().String())
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil || !resp.Close {
-		t.Errorf("close %v, %v", resp.Close, err)
+		t.Errorf("response with Connection: close: %v, reading the body: %v", resp.Close, err)
 	}
 	return resp
 }
@@ -53,11 +53,11 @@
 	return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// TestAdminCallStatusCodes: an accepted call is answered with 2xx, an invalid one with 4xx, and nothing else occurs.
+// TestAdminCallStatusCodes: an accepted call gets a 2xx status, an invalid call 4xx, and no other status occurs.
 func TestAdminCallStatusCodes(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-	a.admin.AnswerTimeout = testTimeout // a slow machine must not look like a blocked loop
+	a.admin.AnswerTimeout = testTimeout // a slow machine must not look like a blocked event loop
 	for _, row := range []struct {
 		text string
 		want int
@@ -86,15 +86,16 @@
 	} {
 		resp := callAdmin(t, a, row.text)
 		if resp.StatusCode != row.want || row.want == 405 && resp.Header.Get("Allow") == "" {
-			t.Errorf("%q: %+v, want %d", row.text, resp, row.want)
+			t.Errorf("call %q: response %+v, want status %d", row.text, resp, row.want)
 		}
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("after all that: %+v", x)
+		t.Errorf("request after the admin calls: %+v", x)
 	}
 }
 
-// TestIdleAdminConnectionsDoNotBlockCalls: an incomplete call does nothing, and silent connections keep no caller out.
+// TestIdleAdminConnectionsDoNotBlockCalls: an incomplete call has no effect, and idle connections do not
+// keep other callers from connecting.
 func TestIdleAdminConnectionsDoNotBlockCalls(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -113,14 +114,14 @@
 		}
 	}
 	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 200 {
-		t.Errorf("%+v", resp)
+		t.Errorf("call beside idle connections: %+v", resp)
 	}
 	if a.loop.lameDuck.Load() {
-		t.Error("half a call was acted upon")
+		t.Error("an incomplete call took effect")
 	}
 }
 
-// TestTimedOutAdminCallHasNoEffect: a call that the balancer can't take in time is refused, and is not applied later.
+// TestTimedOutAdminCallHasNoEffect: a call that the event loop does not receive in time fails and is not applied later.
 func TestTimedOutAdminCallHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, testSetup{})
@@ -132,16 +133,16 @@
 		defer cancel()
 		c := &adminCall{backend: "s", detach: true, replicated: true}
 		if taken, err := l.submitCall(ctx, c); taken || err == nil {
-			t.Errorf("taken %v, %v", taken, err)
+			t.Errorf("accepted %v, error %v; want a timeout", taken, err)
 		}
 		if l.enqueueCall(c); len(l.pending) > 0 {
-			t.Error("it takes effect after its no")
+			t.Error("a call that has failed was queued for the balancer")
 		}
 	})
 }
 
-// TestDetachBeforeFirstStepFindsBackend: a call that is waiting before the balancer's first step is for a backend that
-// the agent knows. Which of two ready channels the loop takes first is random, so the test repeats.
+// TestDetachBeforeFirstStepFindsBackend: a call that waits before the balancer's first step finds a backend of the cached
+// list. The loop selects between two ready channels at random, so the test repeats.
 func TestDetachBeforeFirstStepFindsBackend(t *testing.T) {
 	for range 20 {
 		one := startRawBackend(t, func(int) string { return ok200 })
@@ -158,10 +159,10 @@
 			taken <- ok
 		}()
 		<-ready
-		runtime.Gosched() // by now the call is usually waiting
+		runtime.Gosched() // the call is usually waiting afterwards
 		go a.loop.run(ctx)
 		if !<-taken {
-			t.Error("nobody has the backend")
+			t.Error("the balancer does not list the backend")
 		}
 		end()
 		<-a.loop.stopped
@@ -170,7 +171,7 @@
 	}
 }
 
-// TestDetachAndAttachOverAdminListener: after a detach was accepted nothing is sent to the backend; an attach ends it.
+// TestDetachAndAttachOverAdminListener: a detached backend gets no requests until it is attached again.
 func TestDetachAndAttachOverAdminListener(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -188,7 +189,7 @@
 	callAdmin(t, a, putRequest("/_backends/attach", `{"target":"one"}`))
 	for tries := 0; len(one.seen) == 0; tries++ {
 		if tries > 80 {
-			t.Fatal("the backend was called back and is not used")
+			t.Fatal("the attached backend gets no requests")
 		}
 		<-two.seen // its channel has a bounded buffer
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
@@ -197,15 +198,16 @@
 	}
 }
 
-// TestAdminListenerHasItsOwnDescriptors: its part is not shared, and without an admin listener nothing is reserved.
+// TestAdminListenerHasItsOwnDescriptors: the descriptors of the admin listener are not shared with clients and backends.
+// Without an admin listener none are reserved for it.
 func TestAdminListenerHasItsOwnDescriptors(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	cfg.MaxDescriptors = 256
 	if n := cfg.shareableDescriptors(); n != 256 {
-		t.Errorf("%d descriptors to share out with no door", n)
+		t.Errorf("%d descriptors to share without an admin listener, want 256", n)
 	}
 	cfg.AdminAddr = "127.0.0.1:0"
 	if n := sharedDescriptors(cfg.shareableDescriptors()) + reservedDescriptors + maxAdminConns + 1; n != 256 {
-		t.Errorf("%d descriptors in all parts together, 256 are there", n)
+		t.Errorf("%d descriptors in the sum of all parts, want 256", n)
 	}
 }
--- a/internal/agent/admincontrol.go
+++ b/internal/agent/admincontrol.go
@@ -1,6 +1,6 @@
 package agent
 
-// Admin calls: how they reach the balancer, and how they are answered.
+// How the agent passes admin calls to the balancer and answers them.
 
 import (
 	"context"
@@ -11,36 +11,38 @@
 	"martenbeam/balancer"
 )
 
-// adminControl carries out admin calls on the agent, for admin.Server.
+// adminControl applies the admin calls of an admin.Server to the agent.
 type adminControl struct {
 	loop     *eventLoop
 	frontend *frontend
 }
 
-// Ready reports whether clients are served.
+// Ready reports whether the agent accepts clients' requests.
 func (o adminControl) Ready() bool { return o.frontend.accepting.Load() }
 
-// SetDisabled disables a backend, or enables it again, and reports whether the balancer has it. It fails when ctx ends.
+// SetDisabled disables a backend if detach is true and enables it otherwise. It reports whether the balancer lists the
+// backend, and fails when ctx ends or the event loop stops.
 func (o adminControl) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
 	return o.loop.submitCall(ctx, &adminCall{backend: backend, detach: detach})
 }
 
-// SetLameDuck drains the agent of clients, or ends that.
+// SetLameDuck starts draining clients from the agent, or stops draining them.
 func (o adminControl) SetLameDuck(on bool) { o.frontend.setLameDuck(on) }
 
-// adminCall is an operator's call to disable or enable a backend, on its way to the balancer.
+// adminCall is an operator's call to disable or enable a backend.
 type adminCall struct {
-	ctx        context.Context // ends when the caller has been answered otherwise
+	ctx        context.Context // ends when the caller no longer waits for the result
 	backend    string
 	detach     bool
 	replicated bool          // another process of this agent accepted it
-	madeAt     time.Duration // on the loop's clock; 0: now
+	madeAt     time.Duration // on the event loop's clock; 0: now
 	accepted   chan bool     // buffered, so that the event loop never blocks
 }
 
 var errLoopStopped = errors.New("event loop stopped")
 
-// submitCall passes a call to the balancer and reports whether it accepted it. It fails when ctx ends or the loop stops.
+// submitCall passes a call to the balancer and reports whether the balancer accepted the call. It fails when ctx ends or the
+// event loop stops.
 func (l *eventLoop) submitCall(ctx context.Context, call *adminCall) (bool, error) {
 	call.ctx, call.accepted = ctx, make(chan bool, 1)
 	select {
@@ -60,7 +62,7 @@
 	}
 }
 
-// enqueueCall queues a call for the next step, before the events that are already pending.
+// enqueueCall queues a call ahead of the pending events for the next step. It drops a call whose caller no longer waits.
 func (l *eventLoop) enqueueCall(call *adminCall) {
 	if call.ctx.Err() != nil {
 		return
@@ -76,7 +78,7 @@
 	l.pending = slices.Insert(l.pending, 0, event)
 }
 
-// completeCall answers a call as the balancer decided. The pool applies an accepted call before the caller knows.
+// completeCall returns the balancer's decision to the caller, after the pool has applied an accepted call.
 func (l *eventLoop) completeCall(answer balancer.OverrideResult) {
 	call := l.openCalls[answer.Call]
 	if call == nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,14 +1,14 @@
-// Package agent runs the load balancer against real sockets. It turns what happens on sockets into events for the
-// balancer (package balancer) and performs the actions that the balancer returns, in their order. It makes no
-// decisions about requests: choosing backends, retrying, queueing and shedding load are the balancer's.
+// Package agent runs the load balancer against real sockets. It turns socket activity into events for the balancer
+// (package balancer) and performs the actions that the balancer returns, in their order. It makes no decisions about
+// requests: the balancer chooses backends, retries, queues and sheds load.
 //
-// The parts, each with one owner for its state:
+// Each part owns its state:
 //
 //   - the event loop (eventloop.go) owns the balancer, the timers and the open requests;
 //   - the frontend (frontend.go, request.go, reply.go) serves clients over connections of package clientconn;
 //   - package upstream owns the connections to backends and makes the attempts;
 //   - package discovery watches the endpoint list, package peers exchanges datagrams with the other agents;
-//   - package admin takes admin calls, package hotrestart coordinates this process with the next one of the same agent.
+//   - package admin receives admin calls, package hotrestart coordinates this process with the next one of the same agent.
 package agent
 
 import (
@@ -29,7 +29,7 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// Agent is one agent process. New sets it up, Run serves; both are called once.
+// Agent is one agent process. New sets it up and Run serves clients; a process calls each of them once.
 type Agent struct {
 	cfg            *Config
 	log            *slog.Logger
@@ -38,16 +38,16 @@
 	pool           *upstream.Pool
 	discovery      *discovery.Watcher
 	admin          *admin.Server           // nil: no admin listener
-	hotRestart     *hotrestart.Coordinator // nil: this agent is never replaced by another process while it runs
+	hotRestart     *hotrestart.Coordinator // nil: no other process replaces this one while it runs
 	fleet          Fleet                   // nil: the agent belongs to no fleet
 	listener       *listener.Limited
 	listenerClosed bool                    // set by closeListener
-	drainTimeout   time.Duration           // from SIGTERM until the last replies have to be out
-	acceptWindow   func() <-chan time.Time // started on drain; fires when new connections need no longer be accepted
+	drainTimeout   time.Duration           // from SIGTERM until the last replies have to be written
+	acceptWindow   func() <-chan time.Time // called at the start of a drain; its channel fires when accepting may end
 }
 
-// New opens the agent's sockets and sets it up. Clients are served once Run is called. While another process still
-// holds an address, New retries until ctx ends. An error names the socket or setting that failed.
+// New opens the agent's sockets and sets the agent up; Run then serves clients. While another process still holds an
+// address, New retries until ctx ends. An error names the socket or setting that failed.
 func New(ctx context.Context, cfg *Config, log *slog.Logger) (*Agent, error) {
 	a := &Agent{cfg: cfg, log: log, pool: upstream.New(cfg.poolConfig(), log),
 		acceptWindow: func() <-chan time.Time { return time.After(acceptWindowAfterStop) },
@@ -84,7 +84,7 @@
 	return a, nil
 }
 
-// newWatcher returns the watcher of the endpoint list, which posts its updates to the event loop.
+// newWatcher returns a watcher of the endpoint list that posts its updates to the event loop.
 func (a *Agent) newWatcher(clk clock) *discovery.Watcher {
 	var sources source.Selector
 	if a.fleet != nil && a.cfg.Settings.Subscribe {
@@ -97,8 +97,8 @@
 		Deliver: func(u discovery.Update) { a.loop.post(endpointsUpdated{u}) }})
 }
 
-// openListener opens the listener for clients, or takes over the inherited one where the platform holds it. At most
-// maxAcceptedConns connections are accepted at once; while more wait, idle ones are closed.
+// openListener opens the listener for clients, or uses the inherited one if the platform holds the listening socket. At most
+// maxAcceptedConns accepted connections are open at once; while others wait, the agent closes idle ones.
 func (a *Agent) openListener(ctx context.Context) error {
 	ln, err := a.listen(ctx)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return ln, nil
 }
 
-// Addr returns the address at which clients connect.
+// Addr returns the address to which clients connect.
 func (a *Agent) Addr() net.Addr { return a.listener.Addr() }
 
 // SetDiscoveryAddr makes the agent watch discovery at another address. It may be called while the agent runs.
@@ -130,18 +130,18 @@
 	a.discovery.SetAddr(addr)
 }
 
-// Run serves until stop ends, then answers the accepted requests and returns. It fails only if the listener does; a
-// requested stop is no error. All goroutines that it starts have ended when it returns.
+// Run serves clients until stop ends, then answers the accepted requests and returns nil. It returns an error only if the
+// listener fails. All goroutines that Run starts have ended when it returns.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.Background()) // outlives stop: everything runs on while the agent drains
+	ctx, cancel := context.WithCancel(context.Background()) // outlives stop: all tasks keep running while the agent drains
 	defer a.pool.Close()
 	if a.hotRestart != nil {
-		defer a.hotRestart.Close() // the successor is alone from then on; nothing here uses the handover locks any more
+		defer a.hotRestart.Close() // after all tasks: none uses the handover locks any more
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	if a.admin != nil { // first, since the steps below may wait: an admin call gets its answer in time, at least a negative one
+	if a.admin != nil { // first: the steps below may wait, and an admin call needs a reply in time, if only an error
 		running.Go(func() { a.admin.Run(ctx) })
 	}
 	if a.hotRestart != nil {
@@ -165,13 +165,13 @@
 	case <-stop.Done():
 	}
 	if a.hotRestart != nil {
-		stopPeers() // the successor binds the peers' address
+		stopPeers() // so that the successor can bind the address for peers
 	}
 	a.drain(served)
-	return nil // a requested stop is no error
+	return nil // a requested stop is not an error
 }
 
-// announce publishes and logs that the agent serves.
+// announce notifies the fleet and logs that the agent serves clients.
 func (a *Agent) announce(endpointCount int) {
 	if a.fleet != nil && !a.cfg.Settings.Subscribe {
 		a.fleet.Ready()
@@ -179,18 +179,18 @@
 	a.log.Info("serving", "listen", a.listener.Addr().String(), "backends", endpointCount)
 }
 
-// applyCachedEndpoints applies the cached endpoint list, if any, and returns its length. It is called before the event loop
-// runs, which owns the list from then on.
+// applyCachedEndpoints applies the cached endpoint list, if any, and returns the number of endpoints in the pool. Run calls
+// it before the event loop starts, because the event loop owns the list afterwards.
 func (a *Agent) applyCachedEndpoints() int {
 	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
 		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
-	} else { // the balancer then polls for a list
+	} else { // an empty list, on which the balancer polls for one
 		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}})
 	}
 	return a.pool.EndpointCount()
 }
 
-// startTasks starts the agent's tasks, which run until their context ends.
+// startTasks starts the agent's goroutines. The exchange with peers runs until peersCtx ends, all others until ctx ends.
 func (a *Agent) startTasks(ctx, peersCtx context.Context, running *sync.WaitGroup) {
 	running.Go(func() { a.loop.run(ctx) })
 	running.Go(func() { a.discovery.Run(ctx) })
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -31,37 +31,37 @@
 	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1",
 		"Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
-		t.Fatalf("answer %+v", x)
+		t.Fatalf("response %+v", x)
 	}
 	r := receive(t, "request", got)
 	if r.RequestURI != "/put//x%2Fy?q=1;2&z" || r.Method != "POST" || <-body != "form" {
-		t.Errorf("%s %s", r.Method, r.RequestURI)
+		t.Errorf("the backend got %s %s, or another body", r.Method, r.RequestURI)
 	}
 	h := r.Header
 	if h.Get("Idempotency-Key") != "k1" || h.Get("Cookie") != "sid=1" || h.Get("X-Trace-Id") == "" || h.Get("X-Hop") != "" {
-		t.Errorf("header %v", h)
+		t.Errorf("the backend got header %v", h)
 	}
 	var left float64
 	if _, err := fmt.Sscan(h.Get("X-Expires-In"), &left); err != nil || left <= 0 || left > 40.5 {
-		t.Errorf("X-Expires-In %q", h.Get("X-Expires-In"))
+		t.Errorf("the backend got X-Expires-In %q, want a number above 0 and up to 40.5", h.Get("X-Expires-In"))
 	}
 }
 
-// TestTruncatedResponseIsNeverServed: a truncated response is never passed on as complete. A request that must not be
-// repeated fails; the balancer retries an idempotent one.
+// TestTruncatedResponseIsNeverServed: the agent never forwards a truncated response as complete. A non-idempotent request
+// fails; the balancer retries an idempotent one.
 func TestTruncatedResponseIsNeverServed(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
 	s := startRawBackend(t, func(n int) string { return []string{cut, cut, ok200}[n] })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway || strings.Contains(x.body, "TRUNCATED") {
-		t.Errorf("unsafe: %+v", x)
+		t.Errorf("non-idempotent request: %+v", x)
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.body != "hello" {
-		t.Errorf("safe: %+v", x)
+		t.Errorf("idempotent request: %+v", x)
 	}
 }
 
-// TestNonIdempotentRequestIsNotRetried: such a request that may have been executed is neither sent again nor rejected.
+// TestNonIdempotentRequestIsNotRetried: a non-idempotent request that may have been executed is neither retried nor rejected.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return "" })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -69,7 +69,7 @@
 		t.Errorf("%+v", x)
 	}
 	if len(s.seen) != 1 {
-		t.Errorf("%d attempts", len(s.seen))
+		t.Errorf("%d attempts, want 1", len(s.seen))
 	}
 }
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestUnresponsiveBackendGivesGatewayTimeout: if its backend is silent, a request is answered before its client stops waiting,
-// with a status that says 'failed'.
+// TestUnresponsiveBackendGivesGatewayTimeout: if the backend does not respond, the client still gets a reply before its
+// deadline, with a status that means 'failed'.
 func TestUnresponsiveBackendGivesGatewayTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestBackendDeadlineIsShorterThanClientDeadline: a backend is told less time than the client has left, by the time that the
-// request travels. No delay on a busy machine may make it more.
+// TestBackendDeadlineIsShorterThanClientDeadline: the deadline that a backend gets allows for the time that the request
+// travels. No delay on a busy machine may lengthen this deadline.
 func TestBackendDeadlineIsShorterThanClientDeadline(t *testing.T) {
 	advertised := make(chan string, 1)
 	ln := listen(t)
@@ -112,26 +112,26 @@
 	}
 	most := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
 	if s, err := strconv.ParseFloat(<-advertised, 64); err != nil || s <= 0 || s > most {
-		t.Errorf("told of %v s of %v, at most %v may be: %v", s, wait, most, err)
+		t.Errorf("the backend got a deadline of %v s, the client has %v s; want at most %v s; error %v", s, wait, most, err)
 	}
 }
 
-// TestExpiredRequestIsRejectedNotFailed: a retry of a client may have less time left than the next step is away. The
-// balancer still rejects it, since it was not executed; once the loop failed it first, at the deadline itself.
+// TestExpiredRequestIsRejectedNotFailed: a client's retry may reach its deadline before the balancer's next step. The balancer
+// still has to reject it, because it was not executed. In a past fault the event loop failed it first, at the deadline.
 func TestExpiredRequestIsRejectedNotFailed(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
 	cfg.Settings.Tick, cfg.Settings.AnswerGrace = 100*time.Millisecond, 2*testTimeout
 	a := startAgent(t, cfg)
-	for range 3 { // the first may coincide with a step
+	for range 3 { // the first request may coincide with a step
 		if x := a.do("GET", "/get/x", "", "X-Expires-In", "0.000001"); x.status != http.StatusServiceUnavailable {
 			t.Errorf("%+v", x)
 		}
 	}
 }
 
-// TestClientDisconnectAbandonsRequest: when a client disconnects the balancer is told with Abandoned and the request ends;
-// the outcome of its attempt still follows.
+// TestClientDisconnectAbandonsRequest: when a client disconnects, its request ends with balancer.Abandoned before the attempt
+// has an outcome. The outcome that follows does no harm.
 func TestClientDisconnectAbandonsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -145,17 +145,18 @@
 	go func() { _, err := http.DefaultClient.Do(req); clientEnded <- err }()
 	receive(t, "request", s.seen)
 	cancel()
-	if err := receive(t, "end of the client", clientEnded); err == nil {
-		t.Error("the client got an answer")
+	if err := receive(t, "end of the client's request", clientEnded); err == nil {
+		t.Error("the cancelled request got a response")
 	}
-	eventually(t, "request to be given up", func() bool { return a.frontend.openRequests.Load() == 0 })
+	eventually(t, "the request to be abandoned", func() bool { return a.frontend.openRequests.Load() == 0 })
 	close(hold)
 	if x := a.do("GET", "/get/y", ""); x.status != 200 {
 		t.Errorf("next request: %+v", x)
 	}
 }
 
-// TestDuplicateOpenRequestIDIsConflict: the balancer's actions could not tell two open requests with one id apart.
+// TestDuplicateOpenRequestIDIsConflict: a request whose id is in use gets 409, because the balancer's actions identify an
+// open request by its id.
 func TestDuplicateOpenRequestIDIsConflict(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -164,10 +165,10 @@
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	receive(t, "first request", s.seen)
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "same"); x.status != http.StatusConflict {
-		t.Errorf("second: %+v", x)
+		t.Errorf("second request: %+v", x)
 	}
 	close(hold)
-	if x := receive(t, "first answer", first); x.status != 200 {
-		t.Errorf("first: %+v", x)
+	if x := receive(t, "first response", first); x.status != 200 {
+		t.Errorf("first request: %+v", x)
 	}
 }
--- a/internal/agent/attempttimer.go
+++ b/internal/agent/attempttimer.go
@@ -1,6 +1,6 @@
 package agent
 
-// The deadline of an attempt.
+// The timer for the deadline of an attempt.
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// attemptTimer cancels an attempt at its deadline, unless its response has started by then.
+// attemptTimer cancels an attempt at its deadline, unless the attempt has ended or its response has started by then.
 type attemptTimer struct {
 	cancel context.CancelCauseFunc
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// disarm stops the timer for good. It returns false if the attempt had expired before.
+// disarm stops the timer permanently. It returns false if the timer has already cancelled the attempt.
 func (t *attemptTimer) disarm() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -15,11 +15,11 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// The tests in this file and in upstream_race_test.go force rare orders of events, those that docs/findings/rare.md lists.
-// None of them relies on chance.
+// The tests in this file and in upstream/race_test.go force the rare orders of events that docs/findings/rare.md lists. None
+// of them relies on chance.
 
-// TestClientDisconnectIsDetected: a disconnect is noticed whatever the client sent behind its request, and however it
-// disconnected. Bytes behind a request used to end net/http's own detection.
+// TestClientDisconnectIsDetected: the frontend detects a disconnect whatever bytes follow the request, and however the client
+// disconnects. Bytes behind a request used to end net/http's own detection.
 func TestClientDisconnectIsDetected(t *testing.T) {
 	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
 		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
@@ -38,19 +38,20 @@
 					t.Fatal(err)
 				}
 				if gone := nextEvent[clientDisconnected](t, posts).request; gone != r {
-					t.Error("another request's client is said to have gone")
+					t.Error("the disconnect was posted for another request")
 				}
 				r.reply <- reply{}
-				eventually(t, "the connection's end", f.noConnections)
+				eventually(t, "the connection to end", f.noConnections)
 				if len(posts) != 0 {
-					t.Errorf("posted after the client had gone: %T", <-posts)
+					t.Errorf("posted after the client had disconnected: %T", <-posts)
 				}
 			})
 		}
 	}
 }
 
-// TestPipelinedRequestsOfDisconnectedClientAreDropped: of several requests only the first is forwarded.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped: of several pipelined requests only the first
+// is forwarded if the client disconnects before its response.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	f, dial, posts := startSocketFrontend(t)
 	c := dial()
@@ -59,13 +60,13 @@
 	c.Close()
 	nextEvent[clientDisconnected](t, posts)
 	r.reply <- reply{rejected: true}
-	eventually(t, "the connection's end", f.noConnections)
+	eventually(t, "the connection to end", f.noConnections)
 	if len(posts) != 0 {
-		t.Errorf("posted: %T", <-posts)
+		t.Errorf("posted for a pipelined request: %T", <-posts)
 	}
 }
 
-// TestRequestArrivingWithEOFIsNotForwarded: a request whose client has disconnected is owed nothing.
+// TestRequestArrivingWithEOFIsNotForwarded: a request whose client has already disconnected reaches no backend.
 func TestRequestArrivingWithEOFIsNotForwarded(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
@@ -82,8 +83,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// the critical order: the end is known before the server has read the request
-	receive(t, "end", c.(*clientconn.Conn).Context().Done())
+	// the critical order: the end of the connection is detected before the server has read the request
+	receive(t, "end of the connection", c.(*clientconn.Conn).Context().Done())
 	ln.conns <- c
 	served := make(chan error, 1)
 	go func() { served <- f.server.Serve(ln) }()
@@ -100,7 +101,7 @@
 	tasks.Wait()
 }
 
-// finalDataConn is a socket whose last bytes arrive together with its end.
+// finalDataConn is a connection that returns its last bytes together with io.EOF.
 type finalDataConn struct {
 	net.Conn
 	text string
@@ -114,30 +115,30 @@
 	return n, err
 }
 
-// TestPartialRequestKeepsConnectionFromIdleClose: wherever the bytes of a request are (unread, read ahead, or with the
-// server), their connection is not closed as idle. A connection that is closed nonetheless forwards nothing.
+// TestPartialRequestKeepsConnectionFromIdleClose: a connection with part of a request is not closed as idle, whether the bytes
+// are unread, read ahead or with the server. If the connection is closed later, nothing is forwarded.
 func TestPartialRequestKeepsConnectionFromIdleClose(t *testing.T) {
-	t.Run("closed before its body is whole", func(t *testing.T) {
+	t.Run("closed before its body is complete", func(t *testing.T) {
 		f, dial, posts := startSocketFrontend(t)
 		c := dial()
 		writeText(t, c, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 5\r\n\r\nab")
-		eventually(t, "half of the request", func() bool {
+		eventually(t, "half of the request to arrive", func() bool {
 			for _, c := range f.idleConns.Conns() {
 				c := c.(*clientconn.Conn)
-				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all that arrived, and is waiting for more
+				return c.RequestInProgress() && !c.MayHaveRequest() // the server has all bytes that arrived, and waits for more
 			}
 			return false
 		})
-		f.idleConns.CloseIdle(0, 0) // must not close it
+		f.idleConns.CloseIdle(0, 0) // must not close the connection
 		if len(f.idleConns.Conns()) != 1 {
-			t.Error("closed as idle")
+			t.Error("the connection with part of a request was closed as idle")
 		}
-		eventually(t, "the connection's end", func() bool {
-			f.idleConns.EvictIdle() // closes it once it has waited for long enough
+		eventually(t, "the connection to end", func() bool {
+			f.idleConns.EvictIdle() // closes the connection once it is older than MinIdleTime
 			return f.noConnections()
 		})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode < 400 {
-			t.Errorf("it was answered: %d", resp.StatusCode) // an error or a close is owed, whichever comes first
+			t.Errorf("status %d, want an error or a close", resp.StatusCode) // either may come first
 		}
 		if len(posts) != 0 {
 			t.Errorf("posted: %T", <-posts)
@@ -145,8 +146,8 @@
 	})
 }
 
-// TestLastResponseSurvivesUnreadBytes: a client that has sent more behind its request still gets the complete last
-// response. If the connection were closed over unread bytes it would be reset, and the response lost.
+// TestLastResponseSurvivesUnreadBytes: a client that has sent more bytes behind its request still gets the complete last
+// response. Closing a connection with unread bytes would reset the connection and lose the response.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
 	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""),
 		"more than is kept": strings.Repeat("x", 1<<20)} {
@@ -158,7 +159,7 @@
 			r := nextEvent[requestArrived](t, posts).request
 			writeText(t, c, behind)
 			r.reply <- reply{response: &upstream.Response{Header: http.Header{}, Body: []byte("hello")}}
-			eventually(t, "the answer to be out", f.noConnections)
+			eventually(t, "the response to be written", f.noConnections)
 			if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
@@ -168,10 +169,10 @@
 				t.Fatal(err)
 			}
 			if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "hello" || !resp.Close {
-				t.Errorf("%q, %v, closes: %v", body, err, resp.Close)
+				t.Errorf("body %q, error %v, Connection: close: %v", body, err, resp.Close)
 			}
 			if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("then %v, not the end", err)
+				t.Errorf("after the response: %v, want EOF", err)
 			}
 		})
 	}
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -1,6 +1,6 @@
 package agent
 
-// How a request's body is read from its client.
+// Reads the body of a client's request.
 
 import (
 	"errors"
@@ -12,24 +12,24 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// How slow a client's body may be.
+// Bounds on how slowly a client may send a body.
 const (
 	clientStallTimeout = 1500 * time.Millisecond // without a byte of the body
 	minClientRate      = 48 << 10                // bytes per second; clients send 64 kB
 )
 
-// minThroughputReader reads a client's body and fails if it arrives slower than any proper client sends. Only time spent
-// waiting for the client counts, not time in which the backend does not read.
+// minThroughputReader reads a client's body and fails if the body arrives at less than minClientRate, allowance aside, or if
+// no byte arrives within maxGap. Only time spent waiting for the client counts, not time in which the backend does not read.
 type minThroughputReader struct {
 	source    io.Reader
 	control   *http.ResponseController
 	allowance time.Duration
-	maxGap    time.Duration // for the next byte
+	maxGap    time.Duration // longest wait for the next byte
 	waited    time.Duration
 	received  int64
 }
 
-// ClearDeadline ends the deadline for the client.
+// ClearDeadline removes the read deadline of the client's connection.
 func (r *minThroughputReader) ClearDeadline() error { return r.control.SetReadDeadline(time.Time{}) }
 
 // Read implements io.Reader.
@@ -47,7 +47,8 @@
 	return n, err
 }
 
-// readBody reads a body, or the first bytes of one that is streamed; more reports the latter.
+// readBody reads the complete body if it has at most upstream.MaxBufferedBody bytes, and otherwise its first bytes. more
+// reports that the rest of the body has to be streamed.
 func (f *frontend) readBody(w http.ResponseWriter, httpReq *http.Request) (body []byte, more bool, failure *inputError) {
 	if httpReq.ContentLength == 0 {
 		return nil, false, nil
@@ -63,7 +64,7 @@
 	bodyReader := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
 	body, err := io.ReadAll(io.LimitReader(bodyReader, upstream.MaxBufferedBody+1))
-	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // left running it would look like a disconnected client
+	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // its expiry would look like a disconnect
 		err = bodyReader.ClearDeadline()
 	}
 	if err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,6 +1,6 @@
 package agent
 
-// An agent's configuration, and where it comes from.
+// An agent's configuration and its source.
 
 import (
 	"cmp"
@@ -16,37 +16,37 @@
 	"martenbeam/internal/wire"
 )
 
-// Config is an agent's configuration, as read once at the start.
+// Config is an agent's configuration. The agent reads it once, at the start.
 type Config struct {
 	Name            string
 	Listen          string // address for clients
 	Discovery       string
 	AdminAddr       string // address for admin calls; "": none
-	ListenFD        int    // inherited listening socket that the platform holds; 0: none, the agent listens on Listen
-	HandoverDir     string // directory in which the processes of one agent hand state over
+	ListenFD        int    // descriptor of the listening socket that the platform passes on; 0: none, the agent listens on Listen
+	HandoverDir     string // directory through which the processes of one agent hand over state
 	Seed            uint64
 	Cores           float64
 	MemoryMB        int
-	MaxDescriptors  int    // file descriptors that the process may hold; 0: defaultDescriptors
+	MaxDescriptors  int    // file descriptors that the process may have open; 0: defaultDescriptors
 	DialFrom        string // local IP address for connections to backends; "": the system chooses
 	PeerListen      string
-	Peers           []string                // addresses by agent number
-	CachedEndpoints *discovery.EndpointList // endpoint list as last stored; may be nil
+	Peers           []string                // addresses, indexed by agent number
+	CachedEndpoints *discovery.EndpointList // last stored endpoint list; may be nil
 	Join            JoinFunc                // nil: the agent belongs to no fleet
 
 	Settings balancer.Settings
 	Site     wire.Site
 }
 
-// Source is where a configuration comes from. It is read at the start, and again after each SIGHUP.
+// Source is the source of a configuration. The agent reads it at the start and again after each SIGHUP.
 type Source struct {
 	Name   string
-	Read   func() ([]byte, error)             // returns the text in the platform's form
+	Read   func() ([]byte, error)             // returns the text in the platform's format
 	Getenv func(string) string                // PROXY_ variables that are set take precedence over the text
-	Join   func(raw []byte) (JoinFunc, error) // returns what joins the fleet by the same text; nil: no fleet
+	Join   func(raw []byte) (JoinFunc, error) // returns the function that joins the fleet described in the same text; nil: no fleet
 }
 
-// PlatformSource returns the source of a platform's agent: the file that PROXY_CONFIG names.
+// PlatformSource returns the source for an agent of the platform: the file that PROXY_CONFIG names.
 func PlatformSource(getenv func(string) string) Source {
 	path := getenv("PROXY_CONFIG")
 	return Source{Name: path, Getenv: getenv, Read: func() ([]byte, error) {
@@ -61,7 +61,7 @@
 	}}
 }
 
-// Load reads and checks the configuration. An error names the source and the field that is wrong.
+// Load reads and checks the configuration. An error about its content names the source and the field that is wrong.
 func (s Source) Load() (*Config, error) {
 	raw, err := s.Read()
 	if err != nil {
@@ -77,8 +77,8 @@
 	return c, nil
 }
 
-// ReloadDiscovery reads the configuration again and returns discovery's present address. Here the text takes precedence
-// over PROXY_DISCOVERY, which says what was valid when the process was started.
+// ReloadDiscovery reads the configuration again and returns the current address of discovery. Here the text takes
+// precedence over PROXY_DISCOVERY, which has the address from the start of the process.
 func (s Source) ReloadDiscovery() (string, error) {
 	getenv := s.Getenv
 	s.Getenv = func(name string) string {
@@ -94,7 +94,7 @@
 	return c.Discovery, nil
 }
 
-// halfLimits returns the configuration with half of the limits: for each of two processes of one agent.
+// halfLimits returns a copy of the configuration with half of the limits, for each of two processes of one agent.
 func (c *Config) halfLimits() *Config {
 	half := *c
 	half.MaxDescriptors = cmp.Or(c.MaxDescriptors, defaultDescriptors) / 2
@@ -102,14 +102,14 @@
 	return &half
 }
 
-// LimitMemory makes the garbage collector run well before the memory limit would kill the process.
+// LimitMemory makes the garbage collector run well before the process reaches the memory limit, at which it would be killed.
 func (c *Config) LimitMemory() {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4)
 	}
 }
 
-// shareableDescriptors returns the descriptors that are shared out after the admin listener has its own.
+// shareableDescriptors returns the number of file descriptors without those reserved for the admin listener.
 func (c *Config) shareableDescriptors() int {
 	limit := cmp.Or(c.MaxDescriptors, defaultDescriptors)
 	if c.AdminAddr != "" {
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -35,7 +35,7 @@
 	change := func(old, new string) string {
 		text := strings.Replace(base["settings"], old, new, 1)
 		if text == base["settings"] {
-			t.Fatalf("no %s in the settings", old)
+			t.Fatalf("the settings do not contain %s", old)
 		}
 		return text
 	}
@@ -66,11 +66,11 @@
 	env := map[string]string{}
 	getenv := func(name string) string { return env[name] }
 	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("no file named: %v", err)
+		t.Errorf("without PROXY_CONFIG: error %v does not name it", err)
 	}
 	env["PROXY_CONFIG"] = filepath.Join(t.TempDir(), "config.json")
 	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("with a file that does not exist: error %v does not name PROXY_CONFIG", err)
 	}
 	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`,
 		fmt.Sprintf(settings, "subscribe", 1000))
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestPollIntervalIsCappedByPropagationDeadline: a change in the list has to be applied within 6 s, whatever poll interval
-// the settings allow.
+// TestPollIntervalIsCappedByPropagationDeadline: the agent has to apply a change of the endpoint list within 6 s, whatever
+// poll interval the settings allow.
 func TestPollIntervalIsCappedByPropagationDeadline(t *testing.T) {
 	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
 		text := strings.Replace(fmt.Sprintf(settings, "subscribe", 1000), `"AskWithinMs": 1000`, `"AskWithinMs": `+asked, 1)
@@ -99,7 +99,7 @@
 		}
 		c, err := parseConfig(raw, func(string) string { return "" })
 		if err != nil || c.Settings.PollInterval != want {
-			t.Errorf("%v, %v", c, err)
+			t.Errorf("configuration %v, error %v, want another poll interval", c, err)
 		}
 	}
 }
--- a/internal/agent/descriptors.go
+++ b/internal/agent/descriptors.go
@@ -1,15 +1,15 @@
 package agent
 
-// The descriptor budget: a fixed part for the process's own files, discovery and peers, one for the admin listener, and the
-// rest shared between clients and backends. A client connection carries one request at a time, and a request rarely has
-// more than one attempt out, so clients and backends get equal parts. A tenth is left to accept clients beyond their part,
-// which are rejected and disconnected.
+// The budget of file descriptors has a fixed part for the process's own files, discovery and peers, another for the admin
+// listener, and a part that clients and backends share. A client connection carries one request at a time, and a request
+// rarely has more than one attempt in flight, so clients and backends get equal shares. The remaining tenth of the shared
+// part serves to accept clients beyond their share, in order to reject their requests and disconnect them.
 const (
 	minDescriptors       = 64
 	reservedDescriptors  = 24
 	defaultDescriptors   = 1024
-	minSharedDescriptors = 8  // also if two processes share a small limit
-	maxAdminConns        = 12 // admin calls at once, if there is an admin listener
+	minSharedDescriptors = 8  // lower bound, also when two processes share a small limit
+	maxAdminConns        = 12 // concurrent admin calls, if there is an admin listener
 )
 
 func sharedDescriptors(limit int) int {
@@ -19,11 +19,11 @@
 	return max(minSharedDescriptors, limit-reservedDescriptors)
 }
 
-// maxClientConns returns how many client connections are kept, and how many requests may be open.
+// maxClientConns returns how many client connections the agent keeps open, and how many requests may be open.
 func maxClientConns(limit int) int { return sharedDescriptors(limit) * 45 / 100 }
 
 // maxUpstreamConns returns how many connections to backends may be open.
 func maxUpstreamConns(limit int) int { return sharedDescriptors(limit) * 45 / 100 }
 
-// maxAcceptedConns returns how many client connections may be accepted at once.
+// maxAcceptedConns returns how many accepted client connections may be open at once.
 func maxAcceptedConns(limit int) int { return sharedDescriptors(limit) - maxUpstreamConns(limit) }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// TestCachedEndpointsServeUntilDiscoveryReturns: an agent that starts while discovery is down serves by its cached list,
-// watches discovery once it is back, and sends nothing new to a backend that then drains.
+// TestCachedEndpointsServeUntilDiscoveryReturns: an agent that starts while discovery is down serves from its cached list. Once
+// discovery is up again, the agent watches it and sends no new request to a backend that drains.
 func TestCachedEndpointsServeUntilDiscoveryReturns(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -33,7 +33,7 @@
 	drained := one.member("one")
 	drained.State = "draining"
 	w.lines <- deltaLine(t, 42, drained, two.member("two"))
-	eventually(t, "the change", func() bool {
+	eventually(t, "the endpoint update to be applied", func() bool {
 		return a.pool.Endpoint("two") != nil
 	})
 	before := len(one.seen)
@@ -42,13 +42,13 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	// A request could have been forwarded while the change was applied; none was in flight here.
+	// A request in flight during the update could go to the draining backend, but none was in flight.
 	if n := len(one.seen) - before; n != 0 {
 		t.Errorf("%d requests went to the draining backend", n)
 	}
 }
 
-// TestAgentIsNotReadyWithoutBackends: without a list an agent is not ready; with the first one it becomes ready.
+// TestAgentIsNotReadyWithoutBackends: an agent becomes ready with its first endpoint list.
 func TestAgentIsNotReadyWithoutBackends(t *testing.T) {
 	c := startFakeDiscovery(t)
 	s := startRawBackend(t, func(int) string { return ok200 })
@@ -58,16 +58,16 @@
 		t.Errorf("health %+v", x)
 	}
 	w.lines <- deltaLine(t, 1, s.member("s"))
-	eventually(t, "health", func() bool { return a.do("GET", "/_health", "").status == 200 })
+	eventually(t, "the health check to succeed", func() bool { return a.do("GET", "/_health", "").status == 200 })
 }
 
-// TestDiscoveryReloadDuringDrain: a new configuration moves discovery while a backend drains by the old list, and while a
-// connection to it is being opened for a request. Whether the new complete list leaves the backend out or says that it
-// drains, and whichever list arrives first, nothing is sent to it any more, and the request goes elsewhere. What the old
-// address sent and nobody has read by then is ignored. If the new list says that the backend is ready it is used again.
+// TestDiscoveryReloadDuringDrain: a reload changes the address of discovery while backend x drains according to the old list,
+// and while the agent opens a connection to x for a request. If the new complete list omits x or lists x as draining, nothing
+// is sent to x, whichever list arrives first, and the request goes to another backend. The agent ignores unread updates of
+// the old address. If the new list has x as ready, x is used again.
 func TestDiscoveryReloadDuringDrain(t *testing.T) {
 	for _, state := range []string{"", "draining", "ready"} { // in the new complete list; "": not listed
-		for _, order := range []string{"drain, move, list", "move, drain, list", "move, list, old word"} {
+		for _, order := range []string{"drain, move, list", "move, drain, list", "move, list, stale update"} {
 			t.Run(fmt.Sprintf("%q: %s", state, order), func(t *testing.T) {
 				x, y := startManualBackend(t), startRawBackend(t, func(int) string { return ok200 })
 				before, after := startFakeDiscovery(t), startFakeDiscovery(t)
@@ -78,14 +78,14 @@
 				cfg := testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}})
 				a := startWithHook(t, cfg, now, func(a *testAgent) {
 					dialling, release = blockDials(a.pool)
-					a.discovery.Record = func(_ string, list *discoveryList) { // called by the watcher, which reads nothing in the meantime
-						if recorded <- list.Version; order == "move, list, old word" && list.Version == 42 {
+					a.discovery.Record = func(_ string, list *discoveryList) { // the watcher calls it, and reads nothing until it returns
+						if recorded <- list.Version; order == "move, list, stale update" && list.Version == 42 {
 							<-resume
 						}
 					}
 				})
 				holds := func(state string) bool {
-					listed := a.pool.Endpoint("y") // first: x is then of the same update, or a later one
+					listed := a.pool.Endpoint("y") // read first, so that x is from the same update or a later one
 					at := a.pool.Endpoint("x")
 					return listed != nil && (at != nil) == (state != "") && (at == nil || at.Draining == (state == "draining"))
 				}
@@ -101,7 +101,7 @@
 					list = append(list, named)
 				}
 				fullList := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
-				drain := func() { // long enough that what follows is read at once
+				drain := func() { // long enough that the next line is read at once
 					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, drains, y.member("y")))
 					receive(t, "drain", recorded)
 				}
@@ -109,7 +109,7 @@
 					a.SetDiscoveryAddr(after.addr)
 					w := receive(t, "watch at the new address", after.watch)
 					if w.since != "0" {
-						t.Errorf("asks for what follows %s of another discovery", w.since)
+						t.Errorf("the new watch starts at version %s of the old address, want 0", w.since)
 					}
 					return w
 				}
@@ -129,20 +129,20 @@
 					w.sendLine(t, fullList)
 					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
 					late := ""
-					for v := range int64(30) { // each could be applied with an even chance if its watch were not stopped
+					for v := range int64(30) { // if the old watch still ran, it would apply each with an even chance
 						late += deltaLine(t, 43+v, x.member("x"))
 					}
 					old.sendLine(t, late)
-					eventually(t, "the old one's words to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 2 })
+					eventually(t, "the stale updates to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 2 })
 					close(resume)
 				}
 				receive(t, "end of the old watch", old.disconnected)
-				eventually(t, "the end of its task", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
+				eventually(t, "the end of its goroutine", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
-				if e := receive(t, "answer", answer); e.status != 200 || len(y.seen) != 1 { // recorded after the lists
-					t.Errorf("%+v, %d requests at the other backend", e, len(y.seen))
+				if e := receive(t, "response", answer); e.status != 200 || len(y.seen) != 1 { // y records it after the lists
+					t.Errorf("response %+v, %d requests at the other backend; want status 200 and 1 request", e, len(y.seen))
 				}
-				eventually(t, "the new list", func() bool { return holds(state) })
+				eventually(t, "the new list to be applied", func() bool { return holds(state) })
 				up := receive(t, "connection", x.conns)
 				if state == "ready" {
 					done := startAttempt(a.pool, "x")
@@ -157,14 +157,14 @@
 					}
 				}
 				if n, _ := up.Read(make([]byte, 1)); n != 0 || len(x.conns) != 0 {
-					t.Errorf("%d bytes on the connection that came up, %d further ones", n, len(x.conns))
+					t.Errorf("%d bytes on the connection to x and %d further connections, want none", n, len(x.conns))
 				}
 			})
 		}
 	}
 }
 
-// blockDials makes each dial of the pool wait until it is released.
+// blockDials makes each dial of the pool signal dialling and then wait until release is closed.
 func blockDials(p *upstream.Pool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
 	dial := p.DialContext
@@ -182,7 +182,7 @@
 	answer *upstream.Response
 }
 
-// startAttempt makes an attempt at a backend, whose endpoint has to stay as it is now.
+// startAttempt starts an attempt at the backend's current endpoint and returns the channel of its result.
 func startAttempt(p *upstream.Pool, id string) <-chan attemptResult {
 	done := make(chan attemptResult, 1)
 	att := &upstream.Attempt{BackendID: id, Start: time.Now(), Endpoint: p.Endpoint(id),
@@ -194,6 +194,6 @@
 func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
 	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.Body) != body {
-		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
+		t.Errorf("result %v, response %+v; want %v %q", r.Result, r.answer, want, body)
 	}
 }
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -1,28 +1,28 @@
 package agent
 
-// The drain: how an agent is emptied of clients, by a stop or by an operator.
+// Draining: how the agent closes its client connections before a stop, or when an operator makes it a lame duck.
 
 import (
 	"context"
 	"time"
 )
 
-// A planned restart begins with a SIGTERM, of which clients are notified up to 0.4 s late. The platform kills the process
-// 0.7 s after the longest deadline, of which at most 3 s count.
+// A planned restart begins with a SIGTERM; clients are notified up to 0.4 s later. The platform kills the process 0.7 s after
+// the longest deadline, which counts as 3 s if it is longer.
 const (
-	acceptWindowAfterStop    = 450 * time.Millisecond // new connections are accepted for at least this long
-	drainFirstRequestTimeout = 250 * time.Millisecond // without a byte, before a new connection is closed after that
+	acceptWindowAfterStop    = 450 * time.Millisecond // the agent accepts new connections for at least this time
+	drainFirstRequestTimeout = 250 * time.Millisecond // then, a connection without a byte is closed at this age
 	maxDrainDeadline         = 3 * time.Second        // cap on the longest deadline
-	drainSlack               = 600 * time.Millisecond // after the longest deadline, for the last replies to be out
+	drainSlack               = 600 * time.Millisecond // after the longest deadline, for writing the last replies
 	drainPollInterval        = 5 * time.Millisecond
 )
 
-// drain answers the accepted requests and returns once no connection is left. Each reply closes its connection, and idle
-// connections are closed: a client whose request crosses the close connects anew, and is still accepted. Requests that
-// arrive late get their reply before the platform kills the process. drain itself aborts nothing: a request that the
-// platform's kill aborts does not count against the agent, one that the process aborts does.
+// drain answers the accepted requests and returns once no connection is open. Each reply closes its connection, and drain
+// closes idle connections: a client whose request crosses the close connects again and is accepted. Requests that arrive
+// late get their reply before the platform kills the process. drain aborts no request: a request that the process aborts
+// counts against the agent, one that the platform aborts by killing the process does not.
 //
-// With a successor the listening socket is shared, and new connections are the successor's.
+// In a hot restart the successor shares the listening socket and accepts the new connections.
 func (a *Agent) drain(served <-chan error) {
 	a.log.Info("stopping")
 	f, startedAt, deadline := a.frontend, time.Now(), time.Now().Add(a.drainTimeout)
@@ -30,7 +30,7 @@
 	f.drainBy(deadline)
 	acceptWindow, windowOver, idleGrace, firstRequestTimeout := a.acceptWindow(), false, time.Duration(0), time.Duration(-1)
 	if a.hotRestart != nil {
-		// A client turned back here could not connect to this process again: each may send one more request.
+		// A disconnected client could not connect to this process again, so each client may send one more request.
 		windowOver, idleGrace, firstRequestTimeout = true, drainIdleTimeout, drainFirstRequestTimeout
 		a.closeListener(served)
 	}
@@ -54,15 +54,15 @@
 			a.log.Warn("requests still open at the end of the drain", "open", openRequests)
 		}
 	}
-	f.readers.Wait() // until clients have read the last replies
+	f.readers.Wait() // clients have then read the last replies
 	if err := f.server.Close(); err != nil {
 		a.log.Warn("close failed", "error", err)
 	}
 	a.log.Info("stopped")
 }
 
-// closeListener stops accepting. The connections in the kernel's accept queue would be reset, so the caller keeps the
-// listener open while the queue waits for a descriptor.
+// closeListener closes the listener and waits until the server has stopped accepting. Closing resets the connections in the
+// kernel's accept queue, so the caller keeps the listener open while queued connections wait for a descriptor.
 func (a *Agent) closeListener(served <-chan error) {
 	if a.listenerClosed {
 		return
@@ -74,22 +74,22 @@
 	<-served
 }
 
-// While the agent drains, a connection is closed once it has been idle for drainIdleTimeout: after clients have stopped
-// opening new ones, and well before their next requests would be counted against the agent.
+// While the agent drains, it closes each connection that has been idle for drainIdleTimeout. This time ends after clients have
+// stopped opening connections, and well before their next requests would count against the agent.
 const (
 	drainIdleTimeout   = 600 * time.Millisecond
 	drainCheckInterval = 50 * time.Millisecond
 )
 
-// draining reports whether clients are to be sent elsewhere: each reply then closes its connection.
+// draining reports whether the agent is draining clients. While it does, each reply closes its connection.
 func (f *frontend) draining() bool { return f.loop.lameDuck.Load() || f.drainDeadline.Load() != 0 }
 
-// drainBy starts draining: each reply closes its connection, and is due at the deadline at the latest.
+// drainBy starts a drain in which each reply closes its connection and is due by the deadline.
 func (f *frontend) drainBy(deadline time.Time) {
 	f.drainDeadline.Store(int64(f.loop.clock.at(deadline)))
 }
 
-// setLameDuck drains the agent of clients by an operator's call, or ends that.
+// setLameDuck switches the lame duck state, in which the agent drains clients, on an operator's call.
 func (f *frontend) setLameDuck(on bool) { f.loop.lameDuck.Store(on) }
 
 // closeIdleWhileDraining closes idle connections while the agent is a lame duck, until ctx ends.
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/agent/handover"
 )
 
-// drainingAgent is an agent that accepts connections until accept is closed, once it was told to stop.
+// drainingAgent is an agent that, after a stop, accepts connections until accept is closed.
 type drainingAgent struct {
 	*testAgent
 	accept chan time.Time
@@ -34,19 +34,19 @@
 func (a *drainingAgent) startDrain(t *testing.T) {
 	t.Helper()
 	a.stop()
-	eventually(t, "the stop", func() bool { return a.frontend.drainDeadline.Load() != 0 })
+	eventually(t, "the drain to start", func() bool { return a.frontend.drainDeadline.Load() != 0 })
 }
 
-// awaitEnd waits for the agent's end and checks that nothing is left.
+// awaitEnd waits for the agent's end and checks that no descriptor, connection or request is left.
 func (a *drainingAgent) awaitEnd(t *testing.T) {
 	t.Helper()
 	if err := receive(t, "end of the agent", a.ended); err != nil {
 		t.Error(err)
 	}
 	if n := a.listener.InUse(); n != 0 || a.frontend.connCount != 0 || a.frontend.openRequests.Load() != 0 {
-		t.Errorf("left: %d slots, %d connections, %d requests", n, a.frontend.connCount, a.frontend.openRequests.Load())
+		t.Errorf("left after the end: %d listener slots, %d client connections, %d requests", n, a.frontend.connCount, a.frontend.openRequests.Load())
 	}
-	eventually(t, "the end of the connections to backends", func() bool {
+	eventually(t, "the connections to backends to end", func() bool {
 		return a.pool.Stats().Open == 0
 	})
 }
@@ -72,16 +72,15 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "hello" || !resp.Close {
-		t.Errorf("%d %q, closes: %v, %v", resp.StatusCode, body, resp.Close, err)
+		t.Errorf("status %d, body %q, Connection: close: %v, error %v", resp.StatusCode, body, resp.Close, err)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("then %v, not the end", err)
+		t.Errorf("after the response: %v, want EOF", err)
 	}
 }
 
-// TestPartialRequestIsServedDuringDrain: however much of a request has arrived when the agent is told to stop, and when it
-// stops accepting, the rest is read and the request answered. net/http's Shutdown would drop a request whose header is
-// completed after it.
+// TestPartialRequestIsServedDuringDrain: the agent reads and answers a request of which any part has arrived before the stop
+// and before the listener closes. net/http's Shutdown would drop a request whose header is completed after Shutdown starts.
 func TestPartialRequestIsServedDuringDrain(t *testing.T) {
 	request := fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\nContent-Length: 4\r\n\r\nbody", newID())
 	for _, part := range []int{1, 20, len(request) - 5, len(request) - 2} {
@@ -89,14 +88,14 @@
 			a, s := startDrainable(t, func(int) string { return ok200 })
 			c := a.dial(t)
 			writeText(t, c, request[:part])
-			eventually(t, "the first part", func() bool { return a.frontend.hasConnections() && !a.noPartialRequest() })
+			eventually(t, "the first part to arrive", func() bool { return a.frontend.hasConnections() && !a.noPartialRequest() })
 			a.startDrain(t)
 			close(a.accept)
-			eventually(t, "the listener's close", func() bool { return a.listener.TCPListener.SetDeadline(time.Time{}) != nil })
+			eventually(t, "the listener to close", func() bool { return a.listener.TCPListener.SetDeadline(time.Time{}) != nil })
 			writeText(t, c, request[part:])
 			expectServedAndClosed(t, c)
 			if receive(t, "request", s.seen); len(s.seen) != 0 {
-				t.Error("sent on twice")
+				t.Error("the request was forwarded twice")
 			}
 			a.awaitEnd(t)
 		})
@@ -113,8 +112,8 @@
 	return true
 }
 
-// TestAcceptQueueIsServedBeforeListenerCloses: a client that is not accepted yet, since all descriptors are in use, is still
-// served: closing the listener would reset what is in the kernel's accept queue.
+// TestAcceptQueueIsServedBeforeListenerCloses: a client in the kernel's accept queue is still served when all descriptors are
+// in use at the stop. Closing the listener would reset the connections in the queue.
 func TestAcceptQueueIsServedBeforeListenerCloses(t *testing.T) {
 	hold := make(chan struct{})
 	a, s := startDrainable(t, func(n int) string {
@@ -127,11 +126,11 @@
 	first := a.dial(t)
 	writeText(t, first, getRequest("/get/x", ""))
 	receive(t, "first request", s.seen)
-	eventually(t, "the wait for a descriptor", a.listener.Backlogged)
+	eventually(t, "the listener to wait for a descriptor", a.listener.Backlogged)
 	queued := a.dial(t)
 	writeText(t, queued, getRequest("/get/x", ""))
 	a.startDrain(t)
-	for range 3 { // three steps, of which the first would have closed the listener
+	for range 3 { // three polls of the drain; the first would have closed the listener
 		a.accept <- time.Now()
 	}
 	close(hold)
@@ -141,7 +140,8 @@
 	a.awaitEnd(t)
 }
 
-// TestIdleClientsReconnectDuringDrain: idle clients, and one whose request crosses the close, connect again.
+// TestIdleClientsReconnectDuringDrain: a client whose idle connection was closed, or whose request crosses the close, can
+// connect again.
 func TestIdleClientsReconnectDuringDrain(t *testing.T) {
 	a, s := startDrainable(t, func(int) string { return ok200 })
 	c := a.dial(t)
@@ -155,9 +155,9 @@
 	receive(t, "request", s.seen)
 	a.startDrain(t)
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("not closed: %v", err)
+		t.Fatalf("the idle connection was not closed: %v", err)
 	}
-	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: may fail, and is not forwarded
+	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: the write may fail, and nothing is forwarded
 	anew := a.dial(t)
 	writeText(t, anew, getRequest("/get/x", ""))
 	expectServedAndClosed(t, anew)
@@ -166,11 +166,11 @@
 	c.Close()
 	a.awaitEnd(t)
 	if len(s.seen) != 0 {
-		t.Error("a request that crossed the close was sent on")
+		t.Error("a request that crossed the close was forwarded")
 	}
 }
 
-// TestDrainAnswersInTimeWithHangingBackends: requests that arrive before and after the stop are answered before the platform
+// TestDrainAnswersInTimeWithHangingBackends: the agent answers requests from before and after the stop before the platform
 // kills the process, even if every backend hangs.
 func TestDrainAnswersInTimeWithHangingBackends(t *testing.T) {
 	hold := make(chan struct{})
@@ -197,7 +197,7 @@
 	a.awaitEnd(t)
 }
 
-// TestStopBeforeServingStillAnswers: a stop before the agent serves changes nothing: accepted requests are answered.
+// TestStopBeforeServingStillAnswers: an agent that is stopped before it serves still answers accepted requests.
 func TestStopBeforeServingStillAnswers(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
@@ -206,11 +206,11 @@
 		t.Fatal(err)
 	}
 	stopped, stop := context.WithCancel(t.Context())
-	stop() // before it serves
+	stop() // before the agent serves
 	accept := make(chan time.Time)
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	r := &drainingAgent{&testAgent{Agent: a, ended: make(chan error, 1)}, accept}
-	c := r.dial(t) // waits in the kernel's queue
+	c := r.dial(t) // waits in the kernel's accept queue
 	writeText(t, c, getRequest("/get/x", ""))
 	go func() { r.ended <- a.Run(stopped) }()
 	expectServedAndClosed(t, c)
@@ -219,7 +219,7 @@
 	r.awaitEnd(t)
 }
 
-// TestAdminCallDuringStopIsAnswered: an admin call that was accepted when the agent stops is answered.
+// TestAdminCallDuringStopIsAnswered: an admin call that was accepted before the agent stops still gets its response.
 func TestAdminCallDuringStopIsAnswered(t *testing.T) {
 	cfg := withAdmin(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: unusedAddr(t), State: "ready"}}})
 	a, err := New(t.Context(), cfg, discardLog)
@@ -239,9 +239,9 @@
 	go func() { answered <- callAdmin(t, r, putRequest("/_backends/detach", `{"target":"s"}`)) }()
 	receive(t, "call", entered)
 	stop()
-	receive(t, "end of the loop", a.loop.stopped)
+	receive(t, "end of the event loop", a.loop.stopped)
 	close(release)
-	if resp := receive(t, "answer", answered); resp.StatusCode != 200 {
+	if resp := receive(t, "response", answered); resp.StatusCode != 200 {
 		t.Errorf("%+v", resp)
 	}
 	if err := receive(t, "end of the agent", r.ended); err != nil {
@@ -249,8 +249,8 @@
 	}
 }
 
-// TestDrainAnswersAcceptedRequests: on SIGTERM the request in flight is answered, idle connections are closed, and Run
-// returns no error.
+// TestDrainAnswersAcceptedRequests: after a stop the agent answers the request in flight, closes idle connections, and Run
+// returns nil.
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(n int) string {
@@ -297,17 +297,17 @@
 	close(accept)
 	close(hold)
 	for _, ch := range []chan exchange{inFlight, lateRequest} {
-		if x := receive(t, "answer", ch); x.status != 200 {
+		if x := receive(t, "response", ch); x.status != 200 {
 			t.Errorf("%+v", x)
 		}
 	}
 	if err := receive(t, "end of the agent", a.ended); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 }
 
-// TestLameDuckClosesIdleConnections: a lame duck fails health checks, serves what arrives, closes each connection with its
-// reply, and closes those that stay idle. When it is switched off all is as before.
+// TestLameDuckClosesIdleConnections: a lame duck fails health checks, serves requests that arrive, closes each connection with
+// its reply, and closes idle connections. After the lame duck state is switched off, the agent serves as before.
 func TestLameDuckClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -324,9 +324,9 @@
 		expectStatus(t, dial(), "/_health", 503)
 		expectStatus(t, used, "/get/x", 503)
 		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
-			t.Errorf("a connection ended %v after its answer", at.Sub(on))
+			t.Errorf("a connection ended %v after the lame duck state began, want at most drainIdleTimeout/2", at.Sub(on))
 		}
-		expectStatus(t, dial(), "/get/x", 503) // clients go on sending for a while
+		expectStatus(t, dial(), "/get/x", 503) // clients continue to send for a while
 		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
 			t.Errorf("the idle connection was closed after %v", at.Sub(on))
 		}
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// eventLoop owns the balancer, its timers and the table of open requests: one goroutine, run, uses them. All others post
-// events to it. It never blocks on any of them.
+// eventLoop owns the balancer, its timers and the table of open requests. Only the goroutine of run uses them; all others
+// post events to the loop, which never blocks on another goroutine.
 type eventLoop struct {
 	cfg          *Config
 	log          *slog.Logger
@@ -24,30 +24,30 @@
 	balancer     *balancer.Balancer
 	pool         *upstream.Pool
 	peers        *peers.Transport
-	subscribe    func()                  // asks discovery for a watch
-	saveSnapshot func(balancer.Snapshot) // hands state to the next process; nil: nobody replaces this one
+	subscribe    func()                  // makes discovery open a watch
+	saveSnapshot func(balancer.Snapshot) // passes state to the next process; nil: no process replaces this one
 
 	residency        gate.Enforcer // nil: no residency policy
-	policyGeneration int           // of the policy table that the balancer knows
+	policyGeneration int           // of the policy table that the balancer has
 
 	events           chan event
-	calls            chan *adminCall // by operators; they go to the balancer ahead of events
+	calls            chan *adminCall // by operators; the balancer gets them ahead of events
 	openCalls        map[int64]*adminCall
 	stopped          chan struct{}
 	ready            atomic.Bool
-	lameDuck         atomic.Bool // operators drain the agent ...
-	reportedLameDuck bool        // ... and the balancer knows
-	margin           time.Duration
+	lameDuck         atomic.Bool   // operators drain the agent
+	reportedLameDuck bool          // lameDuck as last passed to the balancer
+	margin           time.Duration // before the client's deadline, at which attempts end
 	requests         map[string]*request
 	timers           timerHeap
 	pending          []balancer.Event // for the next step
-	lastStep         time.Duration    // when the balancer last made a step
-	probing          map[string]bool  // backends with a health check in flight, at most one each
+	lastStep         time.Duration    // start of the balancer's last step
+	probing          map[string]bool  // backends with a health check in flight; each has at most one
 	counts           counts
 	lastCallID       int64
 }
 
-// counts are the counters since the last summary line.
+// counts are the counters since the last summary in the log.
 type counts struct{ requests, served, rejected, failed, disconnected, attempts, overdue, truncated int }
 
 func newEventLoop(cfg *Config, clk clock, pool *upstream.Pool, log *slog.Logger) (*eventLoop, error) {
@@ -58,13 +58,13 @@
 	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: b, pool: pool, subscribe: func() {},
 		events: make(chan event, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{},
 		stopped: make(chan struct{}),
-		// An attempt that waits until the client's deadline ends one tick before it, so that the balancer sees the
-		// timeout in time to answer the client.
+		// An attempt ends at the latest one tick before the client's deadline, so that the balancer gets the timeout in
+		// time to answer the client.
 		margin:   cfg.Settings.Tick,
 		requests: map[string]*request{}, probing: map[string]bool{}}, nil
 }
 
-// post hands an event to the loop and blocks while its queue is full. After the loop has stopped the event is dropped.
+// post queues an event for the loop, and blocks while the queue is full. It drops the event once the loop has stopped.
 func (l *eventLoop) post(e event) {
 	select {
 	case l.events <- e:
@@ -74,13 +74,13 @@
 
 const (
 	summaryInterval  = 10 * time.Second
-	snapshotInterval = 500 * time.Millisecond // between snapshots for the next process
+	snapshotInterval = 500 * time.Millisecond // between two snapshots for the next process
 )
 
-// run steps the balancer with the events that have arrived, at most once each tick, until ctx ends.
+// run passes the events that have arrived to the balancer, in at most one step per tick, until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.stop()
-	var calls chan *adminCall // nil until the balancer has the list: before, it would answer that the backend does not exist
+	var calls chan *adminCall // nil until the balancer has an endpoint list; without one it would report every backend as unknown
 	stepTimer := time.NewTimer(0)
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
@@ -113,8 +113,8 @@
 	}
 }
 
-// scheduleStep sets the timer to the time of the next step: a tick after the last one if events are pending, otherwise when
-// the balancer's next timer is due.
+// scheduleStep sets the timer to the time of the next step: one tick after the last step if events are pending, otherwise when
+// the balancer's next timer is due, but at least one tick after the last step.
 func (l *eventLoop) scheduleStep(stepTimer *time.Timer) {
 	if len(l.pending) > 0 {
 		stepTimer.Reset(l.lastStep + l.cfg.Settings.Tick - l.clock.now())
@@ -125,7 +125,7 @@
 	}
 }
 
-// reportLameDuck tells the balancer when operators have switched the lame duck state.
+// reportLameDuck queues an event for the balancer if operators have switched the lame duck state.
 func (l *eventLoop) reportLameDuck() {
 	if on := l.lameDuck.Load(); on != l.reportedLameDuck {
 		l.reportedLameDuck = on
@@ -133,8 +133,8 @@
 	}
 }
 
-// step passes the pending events to the balancer and performs its actions. It returns false if there was nothing to pass, or
-// the last step was less than a tick ago.
+// step passes the pending events to the balancer and performs the resulting actions. It returns false without a step if no
+// event is pending, or if the last step was less than a tick ago.
 func (l *eventLoop) step() bool {
 	now := l.clock.now()
 	if now < l.lastStep+l.cfg.Settings.Tick {
@@ -152,7 +152,7 @@
 	events := l.pending
 	l.pending = nil
 	for i, pending := range events {
-		// Time has passed since it arrived. It may be gone from the table: its client may have disconnected.
+		// The request has waited since it arrived. It is no longer in the table if its client has disconnected.
 		if arrived, ok := pending.(balancer.Request); ok && l.requests[arrived.ID] != nil {
 			arrived.TimeRemaining = l.clock.at(l.requests[arrived.ID].deadline) - l.margin - now
 			events[i] = arrived
@@ -164,7 +164,7 @@
 	return true
 }
 
-// stop cancels the attempts that are still out: nobody waits for them.
+// stop cancels the attempts in flight: after the loop has stopped, no client waits for them.
 func (l *eventLoop) stop() {
 	close(l.stopped)
 	for _, r := range l.requests {
@@ -174,24 +174,24 @@
 	}
 }
 
-// applyPosted applies the events that are queued, without waiting.
+// applyPosted applies the queued events and does not wait for more.
 func (l *eventLoop) applyPosted() {
 	for range len(l.events) {
 		l.apply(<-l.events)
 	}
 }
 
-// apply books one event.
+// apply applies one event to the loop's state.
 func (l *eventLoop) apply(e event) { e.applyTo(l) }
 
-// respond gives a request its final reply. It is called at most once for each.
+// respond sends the final reply of a request to its handler. It is called at most once for each request.
 func (l *eventLoop) respond(r *request, answer reply) {
 	r.finished = true
 	close(r.done)
 	r.reply <- answer
 }
 
-// removeIfDone drops a request that has its reply and no attempt out. Until then its id stays taken.
+// removeIfDone removes a request that has its reply and no attempt in flight. Until then no other request may use its id.
 func (l *eventLoop) removeIfDone(r *request) {
 	if r.finished && r.openAttempts == 0 {
 		delete(l.requests, r.id)
@@ -206,7 +206,7 @@
 	l.counts = counts{}
 }
 
-// prependPolicyUpdate puts a changed residency policy before the pending events: it applies to the requests among them.
+// prependPolicyUpdate puts a changed residency policy before the pending events, so that it applies to their requests.
 func (l *eventLoop) prependPolicyUpdate() {
 	if l.residency == nil {
 		return
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// TestLoopAnswersWhenBalancerDoesNot: if the balancer does not answer, the loop still gives exactly one final reply.
+// TestLoopAnswersWhenBalancerDoesNot: if the balancer does not answer a request, the loop still sends exactly one final reply.
 func TestLoopAnswersWhenBalancerDoesNot(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
@@ -23,20 +23,21 @@
 	r.deadline = time.Now()
 	l.apply(requestArrived{r})
 	l.apply(deadlineExceeded{r})
-	l.apply(deadlineExceeded{r}) // counts once
+	l.apply(deadlineExceeded{r}) // a second deadline must have no effect
 	l.apply(clientDisconnected{r})
 	if a := receive(t, "final answer", r.reply); !a.timedOut {
 		t.Errorf("%+v", a)
 	}
 	if len(l.requests) != 0 || len(r.reply) != 0 {
-		t.Errorf("%d requests, %d more answers", len(l.requests), len(r.reply))
+		t.Errorf("%d requests and %d further replies left, want none", len(l.requests), len(r.reply))
 	}
 	if want := (balancer.Abandoned{Request: "1"}); !slices.Contains(l.pending, balancer.Event(want)) {
-		t.Error("the module was not told")
+		t.Error("no Abandoned event is pending for the balancer")
 	}
 }
 
-// TestRequestCancelledBeforeFirstStep: a request may be gone before the step that would tell the balancer its time left.
+// TestRequestCancelledBeforeFirstStep: the loop survives that a request is removed before the step that would pass the
+// request's remaining time to the balancer.
 func TestRequestCancelledBeforeFirstStep(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
@@ -53,12 +54,12 @@
 	next := newRequest("2", 0)
 	next.deadline = time.Now().Add(time.Second)
 	l.post(requestArrived{next})
-	receive(t, "answer to the next request", next.reply)
+	receive(t, "reply to the next request", next.reply)
 	cancel()
-	receive(t, "end of the loop", done)
+	receive(t, "end of the event loop", done)
 }
 
-// TestAttemptTimerStopsOnceResponseStarts: the first bytes of the response end the attempt's deadline, and nothing else.
+// TestAttemptTimerStopsOnceResponseStarts: the timer cancels an attempt at its deadline, unless the response has started by then.
 func TestAttemptTimerStopsOnceResponseStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, inTime := range []bool{true, false} {
@@ -69,11 +70,11 @@
 				time.Sleep(2 * time.Second)
 			}
 			if x.disarm() != inTime {
-				t.Errorf("in time: %v", !inTime)
+				t.Errorf("disarm returned %v, want the opposite", !inTime)
 			}
 			time.Sleep(2 * time.Second)
 			if ended := errors.Is(context.Cause(ctx), upstream.ErrTimedOut); ended == inTime {
-				t.Errorf("in time %v: ended %v", inTime, ended)
+				t.Errorf("disarmed in time: %v, attempt timed out: %v", inTime, ended)
 			}
 			cancel(nil)
 		}
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -1,6 +1,6 @@
 package agent
 
-// The events that are posted to the event loop, and what each changes there.
+// The events that other goroutines post to the event loop, and their effects.
 
 import (
 	"martenbeam/balancer"
@@ -8,35 +8,35 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// event is something that happened outside the event loop, as posted to it.
+// event is an event that another goroutine posts to the event loop.
 type event interface {
-	// applyTo books the event and keeps what the balancer has to know for the next step. It runs on the loop's goroutine.
+	// applyTo updates the loop's state and queues the balancer's events for the next step. It runs on the loop's goroutine.
 	applyTo(l *eventLoop)
 }
 
 type (
 	requestArrived     struct{ *request }
-	clientDisconnected struct{ *request } // the client closed, reset or cancelled
-	deadlineExceeded   struct{ *request } // the deadline and half of the grace are over without a reply
-	bodyComplete       struct{ *request } // a streamed body has arrived to its last byte
+	clientDisconnected struct{ *request } // the client closed or reset its connection, or cancelled the request
+	deadlineExceeded   struct{ *request } // no reply by the deadline plus half of the answer grace
+	bodyComplete       struct{ *request } // the last byte of a streamed body has arrived
 	responseStarted    struct {           // the first bytes of an attempt's streaming response have arrived
 		*request
 		attempt  int
 		response *upstream.Response
 	}
-	attemptEnded struct { // the attempt has its result
+	attemptEnded struct { // the attempt has ended
 		*request
 		outcome  balancer.Outcome
 		response *upstream.Response
 	}
 	endpointsUpdated struct{ discovery.Update }
-	// balancerEvent is an event of the balancer's own, of a health check, a peer or the fleet.
+	// balancerEvent is an event that passes to the balancer unchanged: from a health check, a peer or the fleet.
 	balancerEvent struct{ balancer.Event }
 )
 
 func (e requestArrived) applyTo(l *eventLoop) {
 	if l.requests[e.id] != nil {
-		e.reply <- reply{duplicate: true} // not tracked: the id belongs to the other request
+		e.reply <- reply{duplicate: true} // the table keeps the other request with this id
 		return
 	}
 	l.counts.requests++
@@ -63,7 +63,7 @@
 	l.pending = append(l.pending, balancer.ResponseStarted{Request: e.id, Attempt: e.attempt})
 }
 
-// applyTo answers a served request at once, before the step.
+// applyTo passes a successful response to the client at once, before the balancer's step.
 func (e attemptEnded) applyTo(l *eventLoop) {
 	e.openAttempts--
 	e.attemptTimedOut = e.attemptTimedOut || e.outcome.Result == balancer.TimedOut
@@ -88,7 +88,7 @@
 	}
 	l.counts.disconnected++
 	l.respond(e.request, reply{})
-	if e.upstream.IsStreamed() && !e.upstream.Upload.IsComplete() { // an incomplete upload can't go on, and no backend is to blame
+	if e.upstream.IsStreamed() && !e.upstream.Upload.IsComplete() { // the upload can't go on, through no fault of the backend
 		for _, cancel := range e.cancels {
 			cancel(upstream.ErrCancelled)
 		}
@@ -97,8 +97,8 @@
 	l.removeIfDone(e.request)
 }
 
-// applyTo answers a request that the balancer has not answered. The balancer answers every request before its deadline; if it
-// ever did not, the client would still get its reply, and the log says so.
+// applyTo answers a request that the balancer has not answered by its deadline. The balancer should never miss a deadline; if
+// it does, the client still gets a reply, and an error is logged.
 func (e deadlineExceeded) applyTo(l *eventLoop) {
 	if e.finished {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// applyTo passes the event on if it is of a kind that is posted. The loop makes all others itself.
+// applyTo queues the event for the balancer if other goroutines may post its kind; the loop creates all other kinds itself.
 func (e balancerEvent) applyTo(l *eventLoop) {
 	switch posted := e.Event.(type) {
 	case balancer.ProbeResult:
--- a/internal/agent/fakebackend_test.go
+++ b/internal/agent/fakebackend_test.go
@@ -12,14 +12,14 @@
 	"testing"
 )
 
-// fakeBackend is a backend that records the requests which reach it.
+// fakeBackend is a backend that records the requests that it receives.
 type fakeBackend struct {
 	addr string
 	seen chan string // id of each complete request
 }
 
-// startRawBackend runs a backend that reads each request to its end and writes what answer returns, byte for byte. It
-// closes the connection after an empty or truncated answer, and after one that only the connection's end delimits.
+// startRawBackend runs a backend that reads each request to its end and writes the bytes that answer returns for request n,
+// counted from 0. It closes the connection after an empty or truncated response, and after one without a length or chunks.
 func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
@@ -87,7 +87,7 @@
 	return discoveryMember{ID: "s", Addr: ln.Addr().String(), Zone: "a", Kind: "m1", State: "ready", Weight: 1}
 }
 
-// manualBackend hands each accepted connection to the test.
+// manualBackend is a backend that sends each accepted connection to the test.
 type manualBackend struct {
 	addr  string
 	conns chan net.Conn
--- a/internal/agent/fakediscovery_test.go
+++ b/internal/agent/fakediscovery_test.go
@@ -23,7 +23,7 @@
 	return string(raw)
 }
 
-// fakeDiscovery is a discovery server. It hands each watch to the test, which writes to it line by line.
+// fakeDiscovery is a discovery server that sends each watch to the test. The test writes to the watch line by line.
 type fakeDiscovery struct {
 	addr  string
 	watch chan *fakeWatch
@@ -31,9 +31,9 @@
 
 type fakeWatch struct {
 	since        string
-	lines        chan string // closing it ends the watch
+	lines        chan string // closing the channel ends the watch
 	fail         chan struct{}
-	disconnected chan struct{} // closed with its connection
+	disconnected chan struct{} // closed when the connection ends
 }
 
 func startFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -42,7 +42,7 @@
 	c := &fakeDiscovery{addr: ln.Addr().String(), watch: make(chan *fakeWatch, 10)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
-			t.Errorf("discovery was asked for %s", r.URL)
+			t.Errorf("unexpected request to discovery: %s", r.URL)
 		}
 		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}),
 			disconnected: make(chan struct{})}
@@ -77,12 +77,12 @@
 	select {
 	case w.lines <- line:
 	case <-w.disconnected:
-		t.Fatal("the watch is gone")
+		t.Fatal("the watch has disconnected")
 	}
 }
 
-// countWatchGoroutines counts the goroutines that read from discovery, and those of them that wait for the watcher to
-// take what they read.
+// countWatchGoroutines counts the goroutines that read from discovery, and those among them that wait for the watcher to
+// receive a list.
 func countWatchGoroutines() (all, waiting int) {
 	stacks := make([]byte, 1<<20)
 	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -12,22 +12,22 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// Fleet is the agent's membership in a fleet. The platform's agents have none.
+// Fleet is the agent's membership in a fleet. An agent of the platform belongs to no fleet.
 type Fleet interface {
 	source.Selector
-	// Run keeps the membership until ctx ends. If it fails, the agent serves on without a fleet.
+	// Run maintains the membership until ctx ends. If Run fails, the agent continues to serve without a fleet.
 	Run(ctx context.Context) error
-	// Ready publishes that this process serves.
+	// Ready publishes that this process serves clients.
 	Ready()
 }
 
-// JoinFunc sets up the membership before the agent runs. post passes the fleet's events to the balancer; it may block, but
-// never for long. follow makes the running agent watch discovery at another address, as after SIGHUP. The keeper is the
-// residency policy; nil: none.
+// JoinFunc sets up the membership before the agent runs. post passes the fleet's events to the balancer; it may block
+// briefly. setDiscoveryAddr makes the running agent watch discovery at another address, as after SIGHUP. The Enforcer
+// enforces the residency policy; it is nil without a policy.
 type JoinFunc func(cfg *Config, log *slog.Logger, post func(balancer.Event),
 	setDiscoveryAddr func(discovery string)) (Fleet, gate.Enforcer, error)
 
-// joinFleet sets up the membership that the configuration asks for, if any.
+// joinFleet sets up the membership in the configured fleet, if any.
 func (a *Agent) joinFleet() error {
 	if a.cfg.Join == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// runFleet keeps the membership until ctx ends.
+// runFleet maintains the membership until ctx ends.
 func (a *Agent) runFleet(ctx context.Context) {
 	if err := a.fleet.Run(ctx); err != nil {
 		a.log.Error("fleet membership ended, serving without a fleet", "error", err)
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -17,19 +17,19 @@
 )
 
 // frontend is the server for clients: it reads and checks their requests, posts them to the event loop and writes the
-// replies. It decides nothing but which requests it can't take.
+// replies. It rejects only invalid requests and those over the limit; all other decisions are the balancer's.
 type frontend struct {
 	cfg          *Config
 	loop         *eventLoop
 	server       *http.Server
-	maxOpen      atomic.Int64 // bound on open requests; at more connections than this, each reply closes its connection
+	maxOpen      atomic.Int64 // bound on open requests; with more connections than this, each reply closes its connection
 	openRequests atomic.Int64
 	classIndex   map[string]int
-	bodyTimeout  time.Duration // for a small body to arrive, from the request's first byte on; a constant outside tests
-	maxBodyGap   time.Duration // for the body's next byte; a constant outside tests
+	bodyTimeout  time.Duration // for a small body to arrive, counted from the request's first byte; tests change it
+	maxBodyGap   time.Duration // for the body's next byte; tests change it
 
-	accepting     atomic.Bool  // for admin calls: clients are served
-	drainDeadline atomic.Int64 // on the event loop's clock: when all accepted requests have to be answered; 0: not stopping
+	accepting     atomic.Bool  // for admin calls: the agent accepts clients' requests
+	drainDeadline atomic.Int64 // for replies to all accepted requests, on the event loop's clock; 0: not stopping
 
 	residency gate.Enforcer // nil: no residency policy
 
@@ -37,15 +37,15 @@
 
 	mu        sync.Mutex
 	connCount int
-	readers   sync.WaitGroup // a goroutine for each connection, which ends with its socket
+	readers   sync.WaitGroup // one goroutine for each connection, which ends when the socket is closed
 }
 
-// Anyone may connect. A peer that sends no complete request is owed an error or a close within 3 s of connecting. An idle
-// connection may be closed after 2 s; it holds one of few descriptors, so it is closed soon after.
+// Any host may connect. A client that sends no complete request has to get an error or a close within 3 s of connecting. An
+// idle connection may be closed after 2 s, and is closed soon after, because descriptors are few.
 const (
 	headerTimeout = 2200 * time.Millisecond // for the next request's header; also the idle timeout
-	bodyTimeout   = 2700 * time.Millisecond // for a body, from its first byte on, with an allowance for slow clients (minClientRate)
-	maxBodyGap    = 1200 * time.Millisecond // without a byte of the body
+	bodyTimeout   = 2700 * time.Millisecond // for a body, from the request's first byte on, with an allowance (minClientRate)
+	maxBodyGap    = 1200 * time.Millisecond // longest wait for the next byte of the body
 	maxHeader     = 32 << 10
 )
 
@@ -60,7 +60,7 @@
 		Handler:           f,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       headerTimeout,
-		// No ReadTimeout: it would expire while the reply is awaited and look like a disconnected client.
+		// No ReadTimeout: it would expire while the handler waits for the reply and look like a disconnected client.
 		WriteTimeout:   2*cfg.maxDeadline() + headerTimeout,
 		MaxHeaderBytes: maxHeader,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
@@ -78,7 +78,7 @@
 	return f
 }
 
-// setLimit changes how many requests may be open, and how many connections are kept, at once.
+// setLimit sets how many requests may be open at once, and how many connections the frontend keeps open.
 func (f *frontend) setLimit(limit int) {
 	if f.cfg.Site.MaxOpen > 0 {
 		limit = min(limit, f.cfg.Site.MaxOpen)
@@ -88,7 +88,7 @@
 
 type clientConnKey struct{}
 
-// clientConnOf returns the connection on which a request arrived; nil: not one that this frontend accepted.
+// clientConnOf returns the connection on which a request arrived, or nil if this frontend did not accept it.
 func clientConnOf(httpReq *http.Request) *clientconn.Conn {
 	c, _ := httpReq.Context().Value(clientConnKey{}).(*clientconn.Conn)
 	return c
@@ -107,10 +107,10 @@
 	return f.server.Serve(clientconn.Listener{Listener: l, Readers: &f.readers})
 }
 
-// trackConn counts open connections and keeps the set of those that may be closed as idle.
+// trackConn counts open connections and updates the set of those that may be closed as idle.
 func (f *frontend) trackConn(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*clientconn.Conn); ok && state == http.StateIdle {
-		c.MarkResponseComplete() // before it is in the set
+		c.MarkResponseComplete() // before Track adds it to the set
 	}
 	f.idleConns.Track(c, state)
 	f.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// atCapacity reports whether more connections are open than are to be kept.
+// atCapacity reports whether more connections are open than the frontend keeps open.
 func (f *frontend) atCapacity() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,10 +137,10 @@
 	return f.connCount > 0
 }
 
-// ServeHTTP serves one request. There is no http.ServeMux: it would redirect paths that are not clean.
+// ServeHTTP serves one request. The frontend uses no http.ServeMux, which would redirect paths that are not clean.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, httpReq *http.Request) {
 	if httpReq.ContentLength != 0 {
-		// Also for a body that is not read: net/http reads it to its end before it writes the response.
+		// The deadline also applies to a body that the handler ignores: net/http reads it to its end before the response.
 		if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(f.bodyTimeLeft(httpReq))); err != nil {
 			http.Error(w, "can't read the body", http.StatusInternalServerError)
 			return
@@ -159,12 +159,12 @@
 	if client != nil && !f.idleConns.Claim(client) {
 		panic(http.ErrAbortHandler)
 	}
-	// Also for a pipelined request whose client has disconnected since: the context of a request ends a moment later.
+	// Checked here as well, because the context of a pipelined request ends slightly after its client has disconnected.
 	if client != nil && client.Context().Err() != nil {
 		f.writeReply(w, httpReq, reply{})
 		return
 	}
-	// Beyond the limit a request is rejected before anything has been executed.
+	// A request over the limit is rejected before it is executed.
 	if f.openRequests.Add(1) > f.maxOpen.Load() {
 		f.openRequests.Add(-1)
 		f.reject(w, 0)
@@ -178,9 +178,9 @@
 	}
 }
 
-// serveHealth answers a health check: ready if the agent has an endpoint list and does not drain.
+// serveHealth answers a health check with status 200 if the agent has an endpoint list and is not draining, else with 503.
 func (f *frontend) serveHealth(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close") // frequent health checks must not take clients' connections
+	w.Header().Set("Connection", "close") // frequent health checks must not use up the connections for clients
 	status := http.StatusOK
 	if !f.loop.ready.Load() || f.draining() {
 		status = http.StatusServiceUnavailable
@@ -196,7 +196,7 @@
 		r, err = f.parseRequest(w, httpReq)
 	}
 	if err != nil || len(httpReq.TransferEncoding) > 0 {
-		// The end of this request may be ambiguous: what follows on the connection is not read.
+		// The end of this request may be ambiguous, so no further request is read from the connection.
 		w.Header().Set("Connection", "close")
 	}
 	if err != nil {
@@ -206,7 +206,7 @@
 	return r
 }
 
-// serveBuffered serves a request whose body has arrived.
+// serveBuffered serves a request whose body has arrived completely.
 func (f *frontend) serveBuffered(w http.ResponseWriter, httpReq *http.Request, r *request, client *clientconn.Conn) {
 	if client != nil {
 		client.MarkRequestComplete()
@@ -219,7 +219,7 @@
 	f.writeReply(w, httpReq, answer)
 }
 
-// serveUpload serves a request whose body is streamed. The body is read in a goroutine that has ended when this returns.
+// serveUpload serves a request whose body is streamed. A goroutine reads the body; it has ended when serveUpload returns.
 func (f *frontend) serveUpload(w http.ResponseWriter, httpReq *http.Request, r *request) {
 	upload, readerDone := r.upstream.Upload, make(chan struct{})
 	go func() {
@@ -241,8 +241,8 @@
 	}
 }
 
-// finishUpload stops a streamed body that is not complete, and renews the write deadline, of which the upload may have
-// used most.
+// finishUpload stops reading a streamed body that is not complete. It also renews the write deadline, because the upload may
+// have used most of the time.
 func (f *frontend) finishUpload(w http.ResponseWriter, upload *upstream.Upload) {
 	control := http.NewResponseController(w)
 	if !upload.IsComplete() {
@@ -253,8 +253,8 @@
 	_ = control.SetWriteDeadline(time.Now().Add(f.server.WriteTimeout))
 }
 
-// bodyTimeLeft returns the time left for a small body. Clients may take 2 s for a header and split what they send
-// anywhere; a peer that never sends a complete request is disconnected within 3 s of connecting.
+// bodyTimeLeft returns the time left for a small body. A client may take 2 s for a header and split its bytes anywhere; one
+// that never sends a complete request is disconnected within 3 s of connecting.
 func (f *frontend) bodyTimeLeft(httpReq *http.Request) time.Duration {
 	if c := clientConnOf(httpReq); c != nil {
 		return f.bodyTimeout - time.Since(c.RequestStartedAt())
@@ -262,7 +262,7 @@
 	return f.bodyTimeout
 }
 
-// closeAfterReply makes the reply close its connection if too many are open, or the agent drains.
+// closeAfterReply makes the reply close its connection if too many connections are open or the agent is draining.
 func (f *frontend) closeAfterReply(w http.ResponseWriter) {
 	if f.atCapacity() || f.draining() {
 		w.Header().Set("Connection", "close")
@@ -272,14 +272,14 @@
 // awaitReply posts a request to the event loop and waits for the reply.
 func (f *frontend) awaitReply(httpReq *http.Request, r *request) reply {
 	f.loop.post(requestArrived{r})
-	// A request with less than a tick left is answered by the first step that sees it: half of the grace after the
-	// deadline is left for that.
+	// The first step after the arrival answers a request with less than a tick left. Half of the answer grace leaves time
+	// for this step after the deadline.
 	deadlineTimer := time.NewTimer(time.Until(r.deadline) + f.cfg.Settings.AnswerGrace/2)
 	defer deadlineTimer.Stop()
 	disconnected := httpReq.Context().Done()
 	var bodyCompleted, bodyFailed <-chan struct{}
 	upload := r.upstream.Upload
-	if upload != nil { // its deadline counts from the body's last byte
+	if upload != nil { // the deadline counts from the last byte of the body
 		bodyCompleted, bodyFailed = upload.Completed(), upload.Failed()
 		deadlineTimer.Stop()
 	}
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/agent/clientconn"
 )
 
-// TestIdleClientConnectionIsClosed: a connection without a request may be closed after 2 s, and has to be soon after, or
-// idle connections would keep other clients out.
+// TestIdleClientConnectionIsClosed: a connection without a request may be closed after 2 s. It has to be closed soon after, or
+// idle connections would keep other clients from connecting.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -26,12 +26,12 @@
 		idle := time.Now()
 		_, at := readUntilClosed(c)
 		if kept := at.Sub(idle); kept < 2*time.Second || kept > 3*time.Second {
-			t.Errorf("closed after %v", kept)
+			t.Errorf("idle connection closed after %v, want 2 s to 3 s", kept)
 		}
 	})
 }
 
-// TestHealthCheckClosesItsConnection: a health check keeps no connection open.
+// TestHealthCheckClosesItsConnection: the frontend closes a connection after a health check.
 func TestHealthCheckClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -40,13 +40,13 @@
 		c := dial()
 		expectStatus(t, c, "/_health", 200)
 		if _, at := readUntilClosed(c); at.Sub(began) > time.Second {
-			t.Errorf("closed after %v", at.Sub(began))
+			t.Errorf("connection closed after %v, want at most 1 s", at.Sub(began))
 		}
 	})
 }
 
-// TestIdleEvictionOrder: when clients wait to connect, the connection that has waited longest for its first request is
-// closed, then the one that has been idle longest; never one with an open request or one that has just been accepted.
+// TestIdleEvictionOrder: when clients wait to connect, the frontend closes first the connection that has waited longest for its
+// first request, then the one that has been idle longest. It never closes one with an open request or one just accepted.
 func TestIdleEvictionOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -70,24 +70,24 @@
 		synctest.Wait()
 		f.idleConns.EvictIdle()
 		if synctest.Wait(); !open(slow) || !open(idle) {
-			t.Fatal("closed one that has only just come")
+			t.Fatal("closed a connection that was just accepted")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		fresh := dial()
 		synctest.Wait()
 		f.idleConns.EvictIdle()
 		if synctest.Wait(); open(slow) || !open(idle) || !open(busy) || !open(fresh) {
-			t.Error("not the unfinished one was closed")
+			t.Error("did not close the connection with an unfinished request, or closed another")
 		}
 		f.idleConns.EvictIdle()
 		if synctest.Wait(); open(idle) || !open(busy) || !open(fresh) {
-			t.Error("not the idle one was closed, though another had only just come")
+			t.Error("did not close the idle connection, or closed one that was just accepted or busy")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		f.idleConns.EvictIdle()
 		f.idleConns.EvictIdle()
 		if synctest.Wait(); open(fresh) || !open(busy) {
-			t.Error("not the silent one was closed, or one with a request open")
+			t.Error("did not close the connection without a request, or closed one with an open request")
 		}
 	})
 }
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestSilentConnectionsAreClosedWhenIdle: a connection that never sends anything must not delay a planned restart. Those
-// that have sent a request are left alone.
+// TestSilentConnectionsAreClosedWhenIdle: a connection without any request must not delay a planned restart. CloseIdle closes
+// it, and leaves connections with an open request open.
 func TestSilentConnectionsAreClosedWhenIdle(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	eventually(t, "one silent connection", func() bool {
+	eventually(t, "one idle connection", func() bool {
 		a.frontend.mu.Lock()
 		defer a.frontend.mu.Unlock()
 		return len(a.frontend.idleConns.Conns()) == 1 && a.frontend.connCount == 2
@@ -132,16 +132,16 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the silent connection was not closed: %v", err)
+		t.Errorf("the idle connection was not closed: %v", err)
 	}
 	close(hold)
-	if x := receive(t, "answer", busy); x.status != 200 {
+	if x := receive(t, "response", busy); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
 }
 
-// TestRequestsOverLimitAreRejected: beyond its part of the descriptors the agent holds no more requests and keeps no more
-// connections. A rejection is safe there, since nothing was executed.
+// TestRequestsOverLimitAreRejected: at its limit the agent rejects further requests and closes their connections. A rejection
+// permits a retry, which is safe because no backend has executed the request.
 func TestRequestsOverLimitAreRejected(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -164,10 +164,10 @@
 		t.Errorf("%+v, %v", resp, err)
 	}
 	close(hold)
-	if x := receive(t, "first answer", first); x.status != 200 {
+	if x := receive(t, "first response", first); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
 	if len(s.seen) != 0 {
-		t.Error("the refused request was sent")
+		t.Error("the refused request was forwarded")
 	}
 }
--- a/internal/agent/frontendharness_test.go
+++ b/internal/agent/frontendharness_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// pipeListener gives the frontend connections in memory, so that its timeouts can run on synctest's clock.
+// pipeListener accepts in-memory connections, so that the frontend's timeouts can run on synctest's clock.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -50,7 +50,8 @@
 	}
 }
 
-// readUntilClosed returns the status of the response, or 0 without one, and when the far side closed the connection.
+// readUntilClosed returns the status of the response, or 0 without a response, and the time when the frontend closed the
+// connection.
 func readUntilClosed(c net.Conn) (status int, at time.Time) {
 	in := bufio.NewReader(c)
 	if resp, err := http.ReadResponse(in, nil); err == nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// rejectAll replaces the balancer behind a frontend: it rejects all requests but those of the class "pay", which it never
-// answers.
+// rejectAll replaces the balancer behind a frontend: it rejects all requests except those of the class "pay", which get no
+// reply.
 func rejectAll(t *testing.T, f *frontend) {
 	f.loop.ready.Store(true)
 	done := make(chan struct{})
@@ -118,7 +119,7 @@
 		<-served
 		f.readers.Wait()
 		if f.connCount != 0 || f.openRequests.Load() != 0 || len(f.idleConns.Conns()) != 0 {
-			t.Errorf("left: %d connections, %d requests, %d waiting", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
+			t.Errorf("left after the end: %d connections, %d requests, %d idle connections", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
 		}
 	})
 	return f, func() *net.TCPConn {
@@ -136,7 +137,7 @@
 	t.Helper()
 	e, ok := receive(t, "event", posts).(T)
 	if !ok {
-		t.Fatalf("another event: %T", e)
+		t.Fatalf("got an event of another type, want %T", e)
 	}
 	return e
 }
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
+// testTimeout bounds each wait for an expected event. It is far longer than the event takes on any machine.
 const testTimeout = 30 * time.Second
 
 type (
@@ -109,7 +109,7 @@
 	return startWithHook(t, cfg, accept, func(*testAgent) {})
 }
 
-// startWithHook runs an agent and calls before between its set-up and its start.
+// startWithHook sets an agent up, calls before, and runs the agent.
 func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
 	t.Helper()
 	a, err := New(t.Context(), cfg, discardLog)
@@ -118,7 +118,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &testAgent{Agent: a, baseURL: "http://" + a.Addr().String(), stop: cancel, ended: make(chan error, 1)}
-	// A slow machine must not look like a dead discovery, nor like a slow client.
+	// A slow machine must not look like an unresponsive discovery or a slow client.
 	a.discovery.HeartbeatTimeout, a.discovery.OpenTimeout = 2*testTimeout, 2*testTimeout
 	a.frontend.server.ReadHeaderTimeout, a.frontend.server.IdleTimeout = 2*testTimeout, 2*testTimeout
 	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
@@ -143,7 +143,7 @@
 	case v := <-ch:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 		panic("unreachable")
 	}
 }
@@ -153,7 +153,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -1,6 +1,6 @@
 package agent
 
-// Hot restart, as seen by this process: how it takes over from an older process, and what package hotrestart changes in it.
+// How this process takes over from an older one in a hot restart, and what package hotrestart changes in it.
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 
 const (
 	endpointsTimeout      = 3 * time.Second      // for the first endpoint list
-	endpointsPollInterval = 5 * time.Millisecond // between looks whether there is one
+	endpointsPollInterval = 5 * time.Millisecond // between checks for the first endpoint list
 )
 
-// prepareHandover finds out whether an older process of this agent is running. While one is, or may be, the two processes
-// use half of the limits each.
+// prepareHandover sets up the coordination with the other processes of this agent. While an older process runs, or may run,
+// each of the two processes uses half of the limits.
 func (a *Agent) prepareHandover(ctx context.Context) {
 	c := hotrestart.New(ctx, a.cfg.HandoverDir, a.log)
 	a.hotRestart = c
@@ -30,14 +30,14 @@
 	c.ShareLimits(restartedProcess{a})
 }
 
-// restoreState continues from what earlier processes of this agent recorded, before the event loop runs. The admin calls
-// that they accepted apply here too, so clients wait while the record can't be read.
+// restoreState restores the state that earlier processes of this agent recorded. It is called before the event loop runs.
+// The admin calls that earlier processes accepted apply here too, so clients wait while the record can't be read.
 func (a *Agent) restoreState(stop context.Context) {
 	calls, lameDuck := a.hotRestart.AwaitRecord(stop)
-	record := a.hotRestart.LastRecord() // read now: the older process has gone on recording
+	record := a.hotRestart.LastRecord() // read again: the older process may have updated the record
 	a.frontend.setLameDuck(lameDuck)
 	if record.List != nil && record.ListSource == a.cfg.Discovery {
-		a.cfg.CachedEndpoints = record.List // newer than the configuration's, which is as old as the first process
+		a.cfg.CachedEndpoints = record.List // newer than the configured list, which dates from the first process
 	}
 	a.log.Info("handover", "turn", a.hotRestart.Generation(), "alone", a.hotRestart.StartedAlone(), "calls", len(calls),
 		"lame", lameDuck, "list", record.List != nil)
@@ -51,7 +51,7 @@
 	}
 }
 
-// replicatedCall returns a call that another process of this agent accepted, in the form that the event loop takes.
+// replicatedCall returns the event loop's form of a call that another process of this agent accepted.
 func (a *Agent) replicatedCall(recorded handover.Override) *adminCall {
 	replicated := &adminCall{ctx: context.Background(), backend: recorded.Backend, detach: recorded.Disabled, replicated: true}
 	if !recorded.Disabled {
@@ -60,8 +60,8 @@
 	return replicated
 }
 
-// awaitEndpoints waits for the first endpoint list, without which no client could be served. Clients that connect in the
-// meantime are served by the older process.
+// awaitEndpoints waits for the first endpoint list, because no client can be served without one. The older process serves
+// clients that connect during the wait.
 func (a *Agent) awaitEndpoints(stop context.Context) {
 	timeout := time.NewTimer(min(endpointsTimeout, a.hotRestart.TimeLeft()))
 	defer timeout.Stop()
@@ -79,7 +79,7 @@
 	}
 }
 
-// restartedProcess is this process as package hotrestart changes it.
+// restartedProcess lets package hotrestart change this process.
 type restartedProcess struct{ *Agent }
 
 // ShareListener implements hotrestart.Process.
@@ -91,7 +91,7 @@
 	p.listener.Reserve(share)
 }
 
-// HalveLimits implements hotrestart.Process. Idle connections to backends beyond the limits are closed.
+// HalveLimits implements hotrestart.Process. The pool closes idle connections to backends beyond the limits.
 func (p restartedProcess) HalveLimits(on bool) {
 	cfg := p.cfg
 	if on {
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -20,7 +20,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// inheritedDescriptor returns another descriptor of a socket, as a process inherits it.
+// inheritedDescriptor returns a duplicate descriptor of a socket, like one that a process inherits.
 func inheritedDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
@@ -43,8 +43,8 @@
 	return cfg
 }
 
-// TestHotRestartHandsOverClients: a new process takes the clients over from one that serves. The admin calls to the older
-// process apply, no request is rejected, and the older process ends.
+// TestHotRestartHandsOverClients: a new process takes over the clients of an older one. The admin calls to the older process
+// apply in the new one, no request is rejected, and the older process ends.
 func TestHotRestartHandsOverClients(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
@@ -52,7 +52,7 @@
 	ln, dir := listen(t), t.TempDir()
 	older := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
 	older.admin.AnswerTimeout = testTimeout
-	eventually(t, "the older one to take clients", older.frontend.accepting.Load)
+	eventually(t, "the older process to accept clients", older.frontend.accepting.Load)
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -80,19 +80,19 @@
 
 	newer := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
 	newer.admin.AnswerTimeout = testTimeout
-	eventually(t, "the younger one to take clients", newer.frontend.accepting.Load)
+	eventually(t, "the newer process to accept clients", newer.frontend.accepting.Load)
 	if resp := callAdmin(t, newer, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
-		t.Errorf("not ready: %+v", resp)
+		t.Errorf("the newer process is not ready: %+v", resp)
 	}
 	older.stop()
-	eventually(t, "the older one to stop accepting", func() bool { return older.frontend.drainDeadline.Load() != 0 })
+	eventually(t, "the older process to start draining", func() bool { return older.frontend.drainDeadline.Load() != 0 })
 	if resp := callAdmin(t, older, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("the older one says it is ready: %+v", resp)
+		t.Errorf("the older process still reports that it is ready: %+v", resp)
 	}
 	if resp := ask(); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("a request on a kept connection: %+v", resp)
+		t.Errorf("request on the older process's connection: %+v", resp)
 	}
-	if err := receive(t, "end of the older one", older.ended); err != nil {
+	if err := receive(t, "end of the older process", older.ended); err != nil {
 		t.Error(err)
 	}
 	for range 20 {
@@ -101,15 +101,15 @@
 		}
 	}
 	if n := len(one.seen); n != before {
-		t.Errorf("%d requests reached a backend that is detached", n-before)
+		t.Errorf("%d requests reached the detached backend", n-before)
 	}
 	half := maxUpstreamConns(newer.cfg.halfLimits().shareableDescriptors())
-	eventually(t, "the younger one to use the whole limits", func() bool {
+	eventually(t, "the newer process to use the full limits", func() bool {
 		return newer.pool.Stats().Limit > half
 	})
 }
 
-// TestTwoProcessesStayWithinDescriptorLimit: together they use what one may use.
+// TestTwoProcessesStayWithinDescriptorLimit: two processes of one agent together stay within the limits of one process.
 func TestTwoProcessesStayWithinDescriptorLimit(t *testing.T) {
 	for _, limit := range []int{256, 384, 512, 1024} {
 		for _, mgmt := range []string{"", "127.0.0.1:1"} {
@@ -120,7 +120,7 @@
 				sum += 2 * (maxAdminConns + 1)
 			}
 			if sum > limit || half.MemoryMB != 32 {
-				t.Errorf("%d descriptors in two processes, %d are there; %d MB each of 64", sum, limit, half.MemoryMB)
+				t.Errorf("%d descriptors for two processes, want at most %d; %d MB for each, want 32", sum, limit, half.MemoryMB)
 			}
 		}
 	}
@@ -136,8 +136,8 @@
 	return fd, err
 }
 
-// TestDrainingProcessFinishesLargeResponse: a request that the process itself aborts counts against it, one that the
-// platform's kill aborts does not. So it goes on with a large response after the time at which it may be killed.
+// TestDrainingProcessFinishesLargeResponse: a draining process continues a large response after the time at which the platform
+// may kill it. A request that the process aborts counts against the agent, one that the platform's kill aborts does not.
 func TestDrainingProcessFinishesLargeResponse(t *testing.T) {
 	hold := make(chan struct{})
 	text := pattern(4 * upstream.MaxBufferedBody)
@@ -150,12 +150,12 @@
 	ln := listen(t)
 	a := startAgent(t, hotRestartConfig(t, ln, t.TempDir(), testSetup{servers: []discoveryMember{s}}))
 	a.drainTimeout = 0
-	eventually(t, "clients to be taken", a.frontend.accepting.Load)
+	eventually(t, "the process to accept clients", a.frontend.accepting.Load)
 	c := dialRawClient(t, a)
 	c.send(fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()))
 	resp := c.readResponse()
 	a.stop()
-	eventually(t, "the process to leave", func() bool {
+	eventually(t, "the process to close its listener", func() bool {
 		return a.frontend.drainDeadline.Load() != 0 && a.listener.TCPListener.SetDeadline(time.Time{}) != nil
 	})
 	close(hold)
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestUnwritableHandoverDirStillServes: an agent that can't write to its directory still serves. It applies admin calls, but
-// does not confirm them, since a confirmed call has to hold over a hot restart.
+// TestUnwritableHandoverDirStillServes: an agent that can't write to its handover directory still serves. It applies admin
+// calls but does not confirm them, because a confirmed call has to survive a hot restart.
 func TestUnwritableHandoverDirStillServes(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	ln := listen(t)
@@ -183,16 +183,16 @@
 		t.Errorf("%+v", resp)
 	}
 	if err := a.pool.CheckSendable(&upstream.Attempt{BackendID: "s"}); !errors.Is(err, upstream.ErrBackendDisabled) {
-		t.Errorf("a backend that was called out: %v", err)
+		t.Errorf("detached backend: error %v, want ErrBackendDisabled", err)
 	}
 }
 
-// TestOlderProcessRegainsLimitsWhenSuccessorEnds: the older process's part of the limits comes back.
+// TestOlderProcessRegainsLimitsWhenSuccessorEnds: the older process uses its full limits again once the successor ends.
 func TestOlderProcessRegainsLimitsWhenSuccessorEnds(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	ln, dir := listen(t), t.TempDir()
 	older := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: []discoveryMember{s.member("s")}}))
-	eventually(t, "clients to be taken", older.frontend.accepting.Load)
+	eventually(t, "the process to accept clients", older.frontend.accepting.Load)
 	connLimit := func() int {
 		return older.pool.Stats().Limit
 	}
@@ -201,16 +201,16 @@
 	if err := newer.Register(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the older one to keep to half", func() bool { return connLimit() < fullLimit })
+	eventually(t, "the older process to halve its limits", func() bool { return connLimit() < fullLimit })
 	newer.Close()
-	eventually(t, "the older one to use all", func() bool { return connLimit() == fullLimit })
+	eventually(t, "the older process to use its full limits", func() bool { return connLimit() == fullLimit })
 	if x := older.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("%+v", x)
 	}
 }
 
 // TestRecordChangedBetweenFirstReadsIsApplied: a list or an admin call that the older process records between its
-// successor's first two reads applies to the successor from its first request on, without a word from discovery.
+// successor's first two reads applies to the successor from its first request on, without an update from discovery.
 func TestRecordChangedBetweenFirstReadsIsApplied(t *testing.T) {
 	for _, call := range []bool{false, true} {
 		t.Run(fmt.Sprint("call ", call), func(t *testing.T) {
@@ -231,17 +231,17 @@
 					return
 				}
 				watch.lines <- listLine(t, discoveryList{Version: 42, Full: true, Endpoints: []discoveryMember{two.member("two")}})
-				eventually(t, "the list in the record", func() bool {
+				eventually(t, "the list to be recorded", func() bool {
 					list := older.hotRestart.LastRecord().List
 					return list != nil && list.Version == 42
 				})
 			})
-			if w := receive(t, "watch of the younger", c.watch); !call && w.since != "42" {
-				t.Errorf("the younger one asks for what follows %s", w.since)
+			if w := receive(t, "watch of the newer process", c.watch); !call && w.since != "42" {
+				t.Errorf("the newer process watches from version %s, want 42", w.since)
 			}
-			eventually(t, "the younger one to take clients", newer.frontend.accepting.Load)
+			eventually(t, "the newer process to accept clients", newer.frontend.accepting.Load)
 			older.stop()
-			if err := receive(t, "end of the older one", older.ended); err != nil {
+			if err := receive(t, "end of the older process", older.ended); err != nil {
 				t.Error(err)
 			}
 			for range 20 {
@@ -250,7 +250,7 @@
 				}
 			}
 			if n := len(one.seen); n != 0 {
-				t.Errorf("%d of 20 requests reached a backend that the older process was told to leave", n)
+				t.Errorf("%d of 20 requests reached a backend that the recorded state excludes", n)
 			}
 		})
 	}
--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// TestLogAttributesAreDocumented: docs/logs.md lists each attribute of a log line, and no others.
+// TestLogAttributesAreDocumented: docs/logs.md lists exactly the attributes that log lines have.
 func TestLogAttributesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/logs.md")
 	if err != nil {
@@ -67,20 +67,20 @@
 	}
 	for key := range used {
 		if !listed[key] {
-			t.Errorf("%q is logged and not listed", key)
+			t.Errorf("attribute %q is logged but not listed", key)
 		}
 	}
 	for key := range listed {
 		if !used[key] {
-			t.Errorf("%q is listed and never logged", key)
+			t.Errorf("attribute %q is listed but never logged", key)
 		}
 	}
 	if len(used) < 20 {
-		t.Errorf("only %d attributes found: is the search right?", len(used))
+		t.Errorf("found only %d attributes, want at least 20: the search may be wrong", len(used))
 	}
 }
 
-// isLog reports whether an expression is a logger: the name of each ends in log.
+// isLog reports whether an expression is a logger. The name of each logger ends in log.
 func isLog(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
--- a/internal/agent/main_test.go
+++ b/internal/agent/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain checks that no goroutine outlives the tests: each ends with its connection, its request or its agent.
+// TestMain checks that no goroutine outlives the tests. Each goroutine has to end with its connection, request or agent.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/agent/parseconfig.go
+++ b/internal/agent/parseconfig.go
@@ -1,6 +1,6 @@
 package agent
 
-// How a configuration is parsed and checked.
+// Parses and checks a configuration.
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/wire"
 )
 
-// configText is a configuration in the platform's form.
+// configText is a configuration in the platform's format.
 type configText struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -34,7 +34,7 @@
 	Settings   json.RawMessage         `json:"Settings"`
 }
 
-// parseConfig returns the configuration that raw and the PROXY_ variables describe. An error names the field that is wrong.
+// parseConfig returns the configuration described by raw and the PROXY_ variables. An error names the field that is wrong.
 func parseConfig(raw []byte, getenv func(string) string) (*Config, error) {
 	var parsed configText
 	if err := json.Unmarshal(raw, &parsed); err != nil {
@@ -60,7 +60,7 @@
 	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// The balancer spreads its polls over parts of this time.
+	// The balancer spreads its polls over parts of PollInterval.
 	c.Settings.PollInterval = min(c.Settings.PollInterval, discovery.PropagationDeadline)
 	if err := c.checkSettings(); err != nil {
 		return nil, err
@@ -71,13 +71,13 @@
 	return c, nil
 }
 
-// applyEnvironment replaces what the PROXY_ variables set.
+// applyEnvironment replaces the fields whose PROXY_ variables are set.
 func (c *Config) applyEnvironment(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery,
 		"PROXY_MGMT": &c.AdminAddr} {
-		// A process that replaces another is started with the variables of the first. If discovery has moved
-		// since, only the file says so, which was replaced then.
+		// In a hot restart the platform starts the new process with the variables of the first one. If discovery has
+		// moved since, only the configuration file has the new address.
 		if name == "PROXY_DISCOVERY" && getenv("PROXY_FD") != "" && *field != "" {
 			continue
 		}
@@ -98,7 +98,7 @@
 	if text := getenv("PROXY_FD"); text != "" {
 		var err error
 		if c.ListenFD, err = strconv.Atoi(text); err != nil || c.ListenFD < 3 {
-			return fmt.Errorf("PROXY_FD: %q is no descriptor that a process inherits", text)
+			return fmt.Errorf("PROXY_FD: %q is not an inherited file descriptor (a number from 3 on)", text)
 		}
 		c.HandoverDir = cmp.Or(getenv("TMPDIR"), os.TempDir())
 	}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// checkLimits checks the limits of the process; 0 stands for none or a default.
+// checkLimits checks the limits of the process. A limit of 0 means no limit or the default.
 func (c *Config) checkLimits() error {
 	switch {
 	case c.Cores < 0:
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// checkSettings checks what an agent needs of the settings beyond what wire.ParseSettings checks.
+// checkSettings checks the settings that an agent needs and wire.ParseSettings does not check.
 func (c *Config) checkSettings() error {
 	for i, name := range c.Site.Classes {
 		if name == "" {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// checkPeers checks the addresses of the other agents, if the settings let agents exchange messages.
+// checkPeers checks the addresses of the other agents if the settings allow gossip.
 func (c *Config) checkPeers() error {
 	if !c.Settings.GossipAllowed {
 		return nil
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -1,6 +1,6 @@
 package agent
 
-// How replies are written to clients.
+// Writes replies to clients.
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// writeReply writes the final reply. If it can't be written completely, net/http closes the connection short of the
-// Content-Length, which tells the client.
+// writeReply writes the final reply. If it can't write the complete reply, net/http closes the connection before
+// Content-Length bytes are sent, so that the client detects the truncation.
 func (f *frontend) writeReply(w http.ResponseWriter, httpReq *http.Request, r reply) {
 	switch {
 	case r.response != nil && r.response.Stream != nil:
@@ -51,8 +51,8 @@
 	}
 }
 
-// streamResponse passes a streaming response on as it arrives. If it can't be completed, the connection is closed short
-// of its end, which tells the client.
+// streamResponse forwards a streaming response as it arrives. If the response can't be completed, streamResponse closes the
+// connection before the end of the response, so that the client detects the truncation.
 func (f *frontend) streamResponse(w http.ResponseWriter, httpReq *http.Request, resp *upstream.Response) {
 	stream := resp.Stream
 	defer stream.Finish(upstream.ErrRequestEnded)
@@ -73,22 +73,22 @@
 	}
 }
 
-// minUpstreamRate is in bytes per second of a response, far below what any backend sends.
+// minUpstreamRate is the lowest rate of a response in bytes per second. Every working backend sends far faster.
 const minUpstreamRate = 1 << 10
 
-// isTooSlow reports whether a backend sends slower than minUpstreamRate on average, StallTimeout aside: a response
-// that only trickles would never end. The client's deadline does not bound a streaming response: it applies to the first
-// bytes, and what the backend still sends must not be cut off.
+// isTooSlow reports whether a backend sends at less than minUpstreamRate on average, StallTimeout aside. Without this bound
+// a trickling response might never end: the client's deadline applies only to the first bytes of a streaming response, so
+// that a response that still makes progress is not truncated.
 func isTooSlow(waited time.Duration, received int64) bool {
 	return waited > upstream.StallTimeout+time.Duration(received)*time.Second/minUpstreamRate
 }
 
-// relay writes first and then what it reads of stream into buf, until the response is complete. It returns false if the
-// connection to the client has to be aborted: the client does not read, the backend failed, or the response is too slow or
-// too large.
+// relay writes first and then the bytes that it reads from stream into buf, until the response is complete. It returns false
+// if the connection to the client has to be aborted because the client does not read, the backend failed, or the response
+// is too slow or too large.
 func relay(client context.Context, w http.ResponseWriter, stream *upstream.Stream, first, buf []byte) bool {
 	control := http.NewResponseController(w)
-	waited, received := time.Duration(0), int64(0) // time waited for the backend, and bytes from it
+	waited, received := time.Duration(0), int64(0) // time spent waiting for the backend, and bytes received from it
 	for chunk, readErr := first, error(nil); ; {
 		err := control.SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
 		if err == nil {
@@ -115,7 +115,7 @@
 		stalled.Stop()
 		if err != nil && !errors.Is(err, io.EOF) {
 			if client.Err() != nil {
-				err = upstream.ErrRequestEnded // the client has disconnected: the backend is not to blame
+				err = upstream.ErrRequestEnded // the client has disconnected, which is not a failure of the backend
 			}
 			stream.Finish(err)
 			return false
@@ -124,7 +124,7 @@
 	}
 }
 
-// reject replies that a retry is harmless, and when to make it if the site shows that to clients.
+// reject replies with a status that permits a retry, and with Retry-After if the site shows this header to clients.
 func (f *frontend) reject(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 && f.cfg.Settings.RetryAfter {
 		retryAfter = min(retryAfter, f.cfg.Settings.MaxRetryAfter)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -1,6 +1,6 @@
 package agent
 
-// How a client's request is read and checked.
+// Reads and checks a client's request.
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/wire"
 )
 
-// inputError is the reply to a request that can't be forwarded. Its status means 'failed' and never that a retry is
+// inputError is the reply to a request that can't be forwarded. Its status always means 'failed', never that a retry is
 // harmless.
 type inputError struct {
 	status int
@@ -24,7 +24,7 @@
 
 func badRequest(text string) *inputError { return &inputError{http.StatusBadRequest, text} }
 
-// hopHeaders are not forwarded (RFC 9110, 7.6.1), or are set anew.
+// hopHeaders are the fields that the agent does not forward (RFC 9110, 7.6.1) or replaces with its own.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "X-Expires-In"}
 
@@ -33,13 +33,13 @@
 	if c := clientConnOf(httpReq); c != nil && c.Ambiguous() {
 		return badRequest("both Content-Length and Transfer-Encoding")
 	}
-	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores its Transfer-Encoding, so a body would be taken for the next request
+	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding here and would parse the body as a request
 		return &inputError{http.StatusHTTPVersionNotSupported, "this takes HTTP/1.1"}
 	}
 	return nil
 }
 
-// parseRequest reads and checks a request, with its body or, if that is large, the body's first bytes.
+// parseRequest reads and checks a request with its body, or with the first bytes of a large body.
 func (f *frontend) parseRequest(w http.ResponseWriter, httpReq *http.Request) (*request, *inputError) {
 	class, failure := f.findClass(w, httpReq)
 	if failure != nil {
@@ -53,10 +53,10 @@
 	if failure != nil {
 		return nil, failure
 	}
-	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // before the platform kills the process
+	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // reply before the platform kills the process
 		r.timeout = max(0, min(r.timeout, deadline-f.loop.clock.now()))
 	}
-	// A client's time counts from when it sent its request, which ends with the last byte.
+	// A client's deadline counts from the last byte of its request.
 	r.deadline = lastByteAt(httpReq).Add(r.timeout)
 	r.upstream = newUpstreamRequest(httpReq, body)
 	if more {
@@ -65,7 +65,7 @@
 	return r, nil
 }
 
-// findClass returns the index of the request's class, which the first part of its path names, and checks the method.
+// findClass returns the index of the class that the first element of the request's path names, and checks the method.
 func (f *frontend) findClass(w http.ResponseWriter, httpReq *http.Request) (int, *inputError) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(httpReq.URL.Path, "/"), "/")
 	class, ok := f.classIndex[className]
@@ -83,7 +83,7 @@
 	return class, nil
 }
 
-// parseHeader returns the request that the header fields describe, without deadline and body.
+// parseHeader returns the request described by the header fields, without deadline and body.
 func (f *frontend) parseHeader(httpReq *http.Request, class int) (*request, *inputError) {
 	header, settings := httpReq.Header, f.cfg.Settings.Classes[class]
 	r := newRequest(header.Get("X-Trace-Id"), class)
@@ -118,7 +118,7 @@
 	return r, nil
 }
 
-// newUpstreamRequest returns a client's request as it is forwarded: without the fields that end at the agent.
+// newUpstreamRequest returns the request to forward, without the fields that apply only to the client's connection.
 func newUpstreamRequest(httpReq *http.Request, body []byte) *upstream.Request {
 	target := url.URL{Path: httpReq.URL.Path, RawPath: httpReq.URL.RawPath, RawQuery: httpReq.URL.RawQuery,
 		ForceQuery: httpReq.URL.ForceQuery}
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -16,8 +16,8 @@
 	"martenbeam/internal/wire"
 )
 
-// TestIncompleteRequestTimesOut: a peer that sends no complete request is owed an error or a close within 3 s of connecting.
-// Until then it holds a descriptor that clients need.
+// TestIncompleteRequestTimesOut: a client that sends no complete request gets an error or a close within 3 s of connecting.
+// Until then it uses a descriptor that other clients need.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	const within = 3 * time.Second
 	for name, text := range map[string]string{
@@ -36,15 +36,15 @@
 				c := dial()
 				go func() { _, _ = io.WriteString(c, text) }()
 				if status, at := readUntilClosed(c); at.Sub(began) > within || status == 200 || status == 429 || status == 503 {
-					t.Errorf("status %d, closed after %v", status, at.Sub(began))
+					t.Errorf("status %d, closed after %v; want an error or a close within 3 s", status, at.Sub(began))
 				}
 			})
 		})
 	}
 }
 
-// TestInvalidRequestIsAnsweredWithError: an invalid request gets a reply that means 'failed', and reaches no backend. 429 or
-// 503 would mean that a retry is harmless.
+// TestInvalidRequestIsAnsweredWithError: an invalid request gets a reply that means 'failed' and reaches no backend. A status
+// of 429 or 503 would mean that a retry is harmless.
 func TestInvalidRequestIsAnsweredWithError(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -71,7 +71,7 @@
 	}
 	for name, text := range map[string]string{
 		"garbage": "\x00\x01\x02\r\n\r\n",
-		// Bodies of up to 32 MB occur. Once a body larger than 64 KiB was rejected.
+		// Bodies of up to 32 MB occur. In a past fault the agent rejected bodies larger than 64 KiB.
 		"large body": fmt.Sprintf("POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: %d\r\n\r\nabc",
 			upstream.MaxStreamBytes+1),
 		"bad length":  "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: -5\r\n\r\n",
@@ -95,19 +95,19 @@
 		t.Errorf("%d requests reached the backend", len(s.seen))
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("after all that: %+v", x)
+		t.Errorf("valid request after the invalid ones: %+v", x)
 	}
 }
 
-// TestRequestInsideBodyIsNotExecuted: text inside a request's body is never taken for a request of its own, however the
-// body's end is given.
+// TestRequestInsideBodyIsNotExecuted: text in the body of a request is never executed as a separate request, however the
+// request gives the end of its body.
 func TestRequestInsideBodyIsNotExecuted(t *testing.T) {
 	const inner = "POST /pay/inner HTTP/1.1\r\nHost: a\r\nX-Trace-Id: inner%d\r\nContent-Length: 0\r\n\r\n"
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	for i, row := range []struct {
 		head, before string
-		served       bool // the outer request
+		served       bool // whether the outer request is served
 	}{
 		{"HTTP/1.1\r\nContent-Length: 200\r\nTransfer-Encoding: chunked", "0\r\n\r\n", false},
 		{"HTTP/1.1\r\ntransfer-encoding: chunked\r\ncontent-length: 200", "0\r\n\r\n", false},
@@ -135,13 +135,13 @@
 				t.Fatal(err)
 			}
 			if got := resp.StatusCode; row.served && got != 200 || !row.served && (got == 200 || got == 429 || got == 503) {
-				t.Errorf("status %d", got)
+				t.Errorf("status %d for the outer request", got)
 			}
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 				t.Fatal(err)
 			}
 			if next, err := http.ReadResponse(in, nil); err == nil {
-				t.Errorf("a second answer: %+v", next)
+				t.Errorf("a second response: %+v", next)
 			}
 			if row.served {
 				receive(t, "outer request", s.seen)
@@ -153,7 +153,8 @@
 	}
 }
 
-// TestPipelinedAndChunkedRequestsAreServed covers all forms of a request, and pipelined ones.
+// TestPipelinedAndChunkedRequestsAreServed: requests with a length, in chunks, with an absolute URL or with Expect are served,
+// also if they are pipelined.
 func TestPipelinedAndChunkedRequestsAreServed(t *testing.T) {
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		got, _ := io.ReadAll(hr.Body)
@@ -167,7 +168,7 @@
 	for _, want := range []string{"/put/a?b=c one", "/put/b two", "/put/c three"} {
 		resp := c.readResponse()
 		if got, err := io.ReadAll(resp.Body); err != nil || string(got) != want {
-			t.Errorf("%q %v, want %q", got, err, want)
+			t.Errorf("body %q, error %v, want %q", got, err, want)
 		}
 	}
 	c = dialRawClient(t, a)
@@ -180,7 +181,7 @@
 	c.send("ask")
 	resp := c.readResponse()
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "/put/d ask" {
-		t.Errorf("%q %v", got, err)
+		t.Errorf("body %q, error %v", got, err)
 	}
 }
 
@@ -199,12 +200,13 @@
 			t.Fatal(err.text)
 		}
 		if r.key != want || cookie != "" && r.upstream.Header.Get("Cookie") != cookie {
-			t.Errorf("cookie %q: key %x, want %x; passed on: %v", cookie, r.key, want, r.upstream.Header)
+			t.Errorf("cookie %q: affinity key %x, want %x; forwarded header: %v", cookie, r.key, want, r.upstream.Header)
 		}
 	}
 }
 
-// TestPartialHeaderIsNotIdle: a connection on which part of a header has arrived is not idle, though all of it was read.
+// TestPartialHeaderIsNotIdle: a connection on which part of a header has arrived is not idle, though the server has read all
+// bytes that arrived.
 func TestPartialHeaderIsNotIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -220,7 +222,7 @@
 			t.Fatal(err)
 		}
 		if status, _ := readUntilClosed(c); status != 503 {
-			t.Errorf("status %d", status)
+			t.Errorf("status %d, want 503", status)
 		}
 	})
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -1,6 +1,6 @@
 package agent
 
-// The agent as a process: signals and process-wide limits.
+// Signals and process-wide limits of the agent.
 
 import (
 	"context"
@@ -21,10 +21,10 @@
 
 // Serve runs the agent that source describes until SIGTERM or an interrupt. It sets process-wide limits and signals.
 func Serve(log *slog.Logger, source Source) error {
-	// From the start to the end of the program: an unhandled SIGHUP would kill it.
+	// Registered until the program ends, because an unhandled SIGHUP would kill it.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a broken log pipe costs log lines and nothing else
+	signal.Ignore(syscall.SIGPIPE) // a broken log pipe loses only log lines
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	cfg, err := listener.Retry(stop, nil, source.Load)
@@ -34,7 +34,7 @@
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	}
-	// The heap is small: collect rarely, but well before the memory limit kills the process.
+	// The heap is small: collect rarely, but well before the process reaches the memory limit, at which it would be killed.
 	debug.SetGCPercent(400)
 	cfg.LimitMemory()
 	a, err := New(stop, cfg, log.With("agent", cfg.Name))
@@ -49,13 +49,13 @@
 	return a.Run(stop)
 }
 
-// initialReloadBackoff and maxReloadBackoff are the backoff after a replaced configuration could not be read, doubled from one to
-// the other. Discovery's new address has to be in use 4 s after the signal.
+// initialReloadBackoff and maxReloadBackoff bound the backoff after a failed reload of the configuration, which doubles with
+// each failure. The agent has to use the new address of discovery within 4 s of the signal.
 const initialReloadBackoff, maxReloadBackoff = 20 * time.Millisecond, 250 * time.Millisecond
 
-// reloadOnHangup reads the configuration again at each SIGHUP. Only discovery's address may change while the program runs.
-// A configuration that can't be read changes nothing, and is read again until it can be: it may still be being written, or
-// the system may be short of something for a moment.
+// reloadOnHangup reloads the configuration at each SIGHUP until done is closed. Only the address of discovery may change
+// while the program runs. A failed reload changes nothing and is retried until it succeeds: the file may be incomplete while
+// it is being written, or the system may be short of resources for a moment.
 func reloadOnHangup(a *Agent, log *slog.Logger, source Source, hangups <-chan os.Signal, done <-chan struct{}) {
 	var retry <-chan time.Time // nil: no retry is pending
 	delays := backoff.ExponentialBackOff{InitialInterval: initialReloadBackoff, Multiplier: 2, MaxInterval: maxReloadBackoff}
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -14,7 +14,8 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// TestLargeResponseIsStreamed: a large response is passed on from its first bytes, unchanged, in whatever form it comes.
+// TestLargeResponseIsStreamed: the agent forwards a large response from its first bytes on, unchanged, however its end is
+// delimited.
 func TestLargeResponseIsStreamed(t *testing.T) {
 	text := pattern(6*upstream.MaxBufferedBody + 3)
 	for name, head := range map[string]string{
@@ -58,17 +59,17 @@
 			if _, err := io.ReadFull(resp.Body, got); err != nil || resp.StatusCode != 200 || resp.Header.Get("X-Form") != "kept" {
 				t.Fatal(resp, err)
 			}
-			close(more) // the backend goes on only now
+			close(more) // the backend sends the rest only now
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || string(got)+string(rest) != text {
-				t.Errorf("%d bytes and %d, %v", len(got), len(rest), err)
+				t.Errorf("%d first and %d further bytes differ from the response, or error %v", len(got), len(rest), err)
 			}
 		})
 	}
 }
 
-// TestTruncatedLargeResponseIsDetectable: a streaming response that breaks off ends such that the client can tell, and the
-// backend's connection is not used again.
+// TestTruncatedLargeResponseIsDetectable: the client can detect that a streaming response was truncated, and the connection to
+// the backend is not reused.
 func TestTruncatedLargeResponseIsDetectable(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nTRUNCATED" + pattern(70000),
@@ -81,19 +82,20 @@
 			if x.status != 200 || !errors.Is(x.err, io.ErrUnexpectedEOF) {
 				t.Errorf("status %d, %v", x.status, x.err)
 			}
-			eventually(t, "the connection to be dropped", func() bool {
+			eventually(t, "the connection to the backend to be closed", func() bool {
 				return a.pool.Stats().Open == 0
 			})
 			if len(s.seen) != 1 {
-				t.Errorf("%d attempts of a request whose answer had begun", len(s.seen))
+				t.Errorf("%d attempts of a request whose response had started, want 1", len(s.seen))
 			}
 		})
 	}
 }
 
-// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response blocks only itself.
+// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response does not
+// delay other clients.
 func TestSlowReaderDoesNotBlockOtherClients(t *testing.T) {
-	text := pattern(8 << 20) // more than any kernel buffers on the way
+	text := pattern(8 << 20) // more than the kernel buffers of all sockets
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/large" {
 			_, _ = io.WriteString(w, text)
@@ -121,7 +123,8 @@
 func (disconnectedWriter) SetWriteDeadline(time.Time) error { return nil }
 func (disconnectedWriter) Flush()                           {}
 
-// TestClientDisconnectDuringStreamIsNotBackendFailure: the stream ends, and the backend is not to blame.
+// TestClientDisconnectDuringStreamIsNotBackendFailure: if a client disconnects during a stream, the
+// stream ends and does not count as a failure of the backend.
 func TestClientDisconnectDuringStreamIsNotBackendFailure(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	f := newFrontend(cfg, &eventLoop{pool: upstream.New(cfg.poolConfig(), discardLog)}, discardLog)
@@ -134,35 +137,35 @@
 		t.Fatal(err)
 	}
 	go func() {
-		defer func() { _ = recover() }() // net/http's abort, which closes the connection
+		defer func() { _ = recover() }() // http.ErrAbortHandler, on which net/http closes the connection
 		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &upstream.Response{Body: []byte("first"), Stream: s})
 	}()
 	leave()
-	receive(t, "end of the answer", s.Done())
+	receive(t, "end of the stream", s.Done())
 	if !errors.Is(s.Err(), upstream.ErrRequestEnded) {
-		t.Errorf("the backend is told to have ended it: %v", s.Err())
+		t.Errorf("the stream ended with %v, want ErrRequestEnded", s.Err())
 	}
 }
 
-// TestEndlessResponsesAreBounded: a response that never ends is none. The client gets an error in time or, if part of the
-// response was passed on by then, a truncated response once the backend was too slow for too long. The memory is bounded.
+// TestEndlessResponsesAreBounded: the agent aborts a response that never ends. The client gets an error by its deadline or, if
+// the response had started, a truncated response once the backend has been too slow. The agent uses bounded memory.
 func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, row := range map[string]struct {
-		start, more string // more is sent again and again
-		passed      bool   // part of it is passed on
+		start, more string // the backend repeats more
+		passed      bool   // the agent forwards part of the response
 	}{
-		"header":          {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n", false},
-		"a header line":   {"HTTP/1.1 200 OK\r\nX-A: ", "bbbbbbbb", false},
-		"1xx":             {"", "HTTP/1.1 102 Processing\r\n\r\n", false},
-		"length":          {"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n", "b", false},
-		"trailer":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n", "X-A: b\r\n", true},
-		"small length":    {"HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n", "b", false},
-		"chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n", true},
-		"a chunk":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n", "b", true},
-		"two lengths":     {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello", "b", false},
-		"no length":       {"HTTP/1.1 200 OK\r\n\r\n", "b", true},
-		"a silent header": {"HTTP/1.1 200 OK\r\n", "", false},
-		"a silent chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nb", "", true},
+		"header":           {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n", false},
+		"a header line":    {"HTTP/1.1 200 OK\r\nX-A: ", "bbbbbbbb", false},
+		"1xx":              {"", "HTTP/1.1 102 Processing\r\n\r\n", false},
+		"length":           {"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n", "b", false},
+		"trailer":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n", "X-A: b\r\n", true},
+		"small length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n", "b", false},
+		"chunks":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n", true},
+		"a chunk":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n", "b", true},
+		"two lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello", "b", false},
+		"no length":        {"HTTP/1.1 200 OK\r\n\r\n", "b", true},
+		"a stalled header": {"HTTP/1.1 200 OK\r\n", "", false},
+		"a stalled chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nb", "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -197,7 +200,7 @@
 			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
 				t.Errorf("%+v", x)
 			}
-			eventually(t, "the attempt's end", func() bool {
+			eventually(t, "the attempt to end", func() bool {
 				stats := a.pool.Stats()
 				return stats.Open == stats.Idle
 			})
@@ -205,8 +208,8 @@
 	}
 }
 
-// TestStreamingResponseContinuesPastDeadline: a response of unknown length, of which little had arrived by its client's
-// deadline, was once cut off while its backend still sent. The deadline applies to the first bytes; the rest goes on.
+// TestStreamingResponseContinuesPastDeadline: the client's deadline applies only to the first bytes of a streaming response. In
+// a past fault the agent truncated a response of unknown length at the deadline while the backend was still sending.
 func TestStreamingResponseContinuesPastDeadline(t *testing.T) {
 	s := startManualBackend(t)
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
@@ -217,9 +220,9 @@
 	readRequest(t, bufio.NewReader(b))
 	writeText(t, b, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlong\r\n")
 	resp := c.readResponse()
-	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline is over, and the stream continues
+	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline has passed, and the stream continues
 	writeText(t, b, "7\r\n answer\r\n0\r\n\r\n")
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "long answer" {
-		t.Errorf("%d %q, %v", resp.StatusCode, body, err)
+		t.Errorf("status %d, body %q, error %v", resp.StatusCode, body, err)
 	}
 }
--- a/internal/agent/testclient_test.go
+++ b/internal/agent/testclient_test.go
@@ -51,7 +51,7 @@
 	return exchange{resp.StatusCode, resp.Header, string(text), err}
 }
 
-// rawClient is a client's connection, on which a test sends requests byte by byte.
+// rawClient is a client's connection on which a test writes requests as raw bytes.
 type rawClient struct {
 	t *testing.T
 	net.Conn
@@ -111,7 +111,7 @@
 	}
 }
 
-// statusRecorder is a ResponseWriter that records status and header.
+// statusRecorder is a ResponseWriter that records the status and the header.
 type statusRecorder struct {
 	header http.Header
 	status int
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// clock is the agent's monotonic clock. It starts at clockOffset, not zero, so that the start of a backend that is older
-// than the agent has a time too.
+// clock is the agent's monotonic clock. It starts at clockOffset rather than zero, so that the start time of a backend that
+// is older than the agent is positive too.
 type clock struct{ epoch time.Time }
 
 const clockOffset = time.Hour
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -14,7 +14,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// TestLargeBodyIsStreamed: a large body is forwarded as it arrives, unchanged, in whatever form it is sent.
+// TestLargeBodyIsStreamed: the agent forwards a large body unchanged as it arrives, with a Content-Length or in chunks.
 func TestLargeBodyIsStreamed(t *testing.T) {
 	began := make(chan bool, 10)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -41,21 +41,21 @@
 		t.Run(name, func(t *testing.T) {
 			c := dialRawClient(t, a)
 			c.send(postHeader("/pay/x", row.head) + row.first)
-			if !receive(t, "first part at the backend", began) { // the rest has not been written yet
-				t.Fatal("it came short")
+			if !receive(t, "first part at the backend", began) { // the client has not sent the rest yet
+				t.Fatal("the first part was truncated")
 			}
 			c.send(row.rest)
 			resp := c.readResponse()
 			got, err := io.ReadAll(resp.Body)
 			if want := fmt.Sprint(row.length, digest(text)); err != nil || resp.StatusCode != 200 || string(got) != want {
-				t.Errorf("%d %q %v, want %q", resp.StatusCode, got, err, want)
+				t.Errorf("status %d, body %q, error %v, want %q", resp.StatusCode, got, err, want)
 			}
 		})
 	}
 }
 
-// TestConsumedBodyIsNotRetried: a body of which part was sent is never sent again. If its last byte was not written nothing
-// was executed, and the client may retry; if the connection failed before, the attempt is made elsewhere.
+// TestConsumedBodyIsNotRetried: the agent never sends a partly sent body again. If the last byte was not written, the backend
+// executed nothing and the client may retry. If the connection fails before the first byte, another backend gets the request.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	received := make(chan struct{}, 10)
 	ln := listen(t)
@@ -70,7 +70,7 @@
 				_, _ = io.CopyN(io.Discard, hr.Body, 2*upstream.MaxBufferedBody)
 				received <- struct{}{}
 			}
-			c.Close() // with the rest unread: a reset
+			c.Close() // closing with unread bytes resets the connection
 		}
 	}()
 	text := pattern(64 * upstream.MaxBufferedBody)
@@ -81,7 +81,7 @@
 		_, _ = io.WriteString(c, postHeader("/put/x", fmt.Sprintf("Content-Length: %d\r\n", len(text)))+text)
 	}()
 	if resp := c.readResponse(); resp.StatusCode != 503 {
-		t.Errorf("status %d for a body that broke off on its way", resp.StatusCode)
+		t.Errorf("status %d for a partly sent body, want 503", resp.StatusCode)
 	}
 	if len(received) != 1 {
 		t.Errorf("%d attempts", len(received))
@@ -93,15 +93,15 @@
 	})
 	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
 	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
-	for range 10 { // some of these try the dead backend first
+	for range 10 { // some of these go to the unreachable backend first
 		if x := b.do("POST", "/pay/x", text[:3*upstream.MaxBufferedBody]); x.status != 200 || x.body != digest(text[:3*upstream.MaxBufferedBody]) {
 			t.Errorf("%+v", x)
 		}
 	}
 }
 
-// TestClientAbortDuringUploadIsNotBackendFailure: if a client disconnects during its upload the backend never gets the last
-// byte, and is not to blame.
+// TestClientAbortDuringUploadIsNotBackendFailure: if a client disconnects during its upload, the backend never gets the
+// last byte, and the aborted attempt does not count as a failure of the backend.
 func TestClientAbortDuringUploadIsNotBackendFailure(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan error, 1)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -120,18 +120,18 @@
 	receive(t, "first part", began)
 	c.Close()
 	if err := receive(t, "end at the backend", ended); err == nil {
-		t.Error("the backend took it for whole")
+		t.Error("the backend got a complete body")
 	}
 	eventually(t, "the request to end", func() bool { return a.frontend.openRequests.Load() == 0 })
 	for range 5 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
-			t.Errorf("afterwards: %+v", x)
+			t.Errorf("request after the aborted upload: %+v", x)
 		}
 	}
 }
 
-// TestSlowUploadIsServedAndStalledUploadIsClosed: a client may take 2 s for a header and send its body at 64 kB per second. One
-// that stops sending is disconnected; time in which the backend does not read does not count.
+// TestSlowUploadIsServedAndStalledUploadIsClosed: a client may take 2 s for a header and send its body at 64 kB per
+// second. A client that stops sending is disconnected. Time in which the backend does not read does not count.
 func TestSlowUploadIsServedAndStalledUploadIsClosed(t *testing.T) {
 	const total = 5 * upstream.MaxBufferedBody
 	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
@@ -152,17 +152,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
 		rejectUploads(t, f, 3*time.Second)
-		if status, took := upload(t, f, dial, total); status != 503 { // the fake balancer's reply: the body was read to its end
-			t.Errorf("a slow one: status %d after %v", status, took)
+		if status, took := upload(t, f, dial, total); status != 503 { // rejectUploads has read the complete body
+			t.Errorf("slow upload: status %d after %v, want 503", status, took)
 		}
 		if status, took := upload(t, f, dial, total/2); status != 408 || took > 10*time.Second {
-			t.Errorf("one that stopped: status %d after %v", status, took)
+			t.Errorf("stalled upload: status %d after %v, want 408 within 10 s", status, took)
 		}
 	})
 }
 
-// rejectUploads replaces the balancer and an attempt behind a frontend: it waits for a while, reads a large body to its end
-// and rejects the request.
+// rejectUploads replaces the balancer and the attempt behind a frontend: for each request it waits for the given time, reads
+// the large body to its end and rejects the request.
 func rejectUploads(t *testing.T, f *frontend, wait time.Duration) {
 	f.loop.ready.Store(true)
 	var ends []chan struct{}
