--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -132,8 +132,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), admin.DefaultAnswerTimeout)
 		defer cancel()
 		c := &adminCall{backend: "s", detach: true, replicated: true}
-		if taken, err := l.submitCall(ctx, c); taken || err == nil {
-			t.Errorf("accepted %v, error %v; want a timeout", taken, err)
+		if accepted, err := l.submitCall(ctx, c); accepted || err == nil {
+			t.Errorf("accepted %v, error %v; want a timeout", accepted, err)
 		}
 		if l.enqueueCall(c); len(l.pending) > 0 {
 			t.Error("a call that has failed was queued for the balancer")
@@ -152,16 +152,16 @@
 		}
 		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
 		ctx, end := context.WithTimeout(t.Context(), testTimeout)
-		ready, taken := make(chan struct{}), make(chan bool)
+		ready, accepted := make(chan struct{}), make(chan bool)
 		go func() {
 			close(ready)
 			ok, _ := a.loop.submitCall(ctx, &adminCall{backend: "one", detach: true})
-			taken <- ok
+			accepted <- ok
 		}()
 		<-ready
 		runtime.Gosched() // the call is usually waiting afterwards
 		go a.loop.run(ctx)
-		if !<-taken {
+		if !<-accepted {
 			t.Error("the balancer does not list the backend")
 		}
 		end()
--- a/internal/agent/admincontrol.go
+++ b/internal/agent/admincontrol.go
@@ -18,16 +18,16 @@
 }
 
 // Ready reports whether the agent accepts clients' requests.
-func (o adminControl) Ready() bool { return o.frontend.accepting.Load() }
+func (c adminControl) Ready() bool { return c.frontend.accepting.Load() }
 
 // SetDisabled disables a backend if detach is true and enables it otherwise. It reports whether the balancer lists the
 // backend, and fails when ctx ends or the event loop stops.
-func (o adminControl) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
-	return o.loop.submitCall(ctx, &adminCall{backend: backend, detach: detach})
+func (c adminControl) SetDisabled(ctx context.Context, backend string, detach bool) (bool, error) {
+	return c.loop.submitCall(ctx, &adminCall{backend: backend, detach: detach})
 }
 
 // SetLameDuck starts draining clients from the agent, or stops draining them.
-func (o adminControl) SetLameDuck(on bool) { o.frontend.setLameDuck(on) }
+func (c adminControl) SetLameDuck(on bool) { c.frontend.setLameDuck(on) }
 
 // adminCall is an operator's call to disable or enable a backend.
 type adminCall struct {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -110,9 +110,9 @@
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(wait)); x.status != http.StatusOK {
 		t.Fatalf("%+v", x)
 	}
-	most := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
-	if s, err := strconv.ParseFloat(<-advertised, 64); err != nil || s <= 0 || s > most {
-		t.Errorf("the backend got a deadline of %v s, the client has %v s; want at most %v s; error %v", s, wait, most, err)
+	maxDeadline := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
+	if s, err := strconv.ParseFloat(<-advertised, 64); err != nil || s <= 0 || s > maxDeadline {
+		t.Errorf("the backend got a deadline of %v s, the client has %v s; want at most %v s; error %v", s, wait, maxDeadline, err)
 	}
 }
 
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -21,23 +21,23 @@
 // TestClientDisconnectIsDetected: the frontend detects a disconnect whatever bytes follow the request, and however the client
 // disconnects. Bytes behind a request used to end net/http's own detection.
 func TestClientDisconnectIsDetected(t *testing.T) {
-	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
+	for name, extra := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
 		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
-		for how, leave := range map[string]func(*net.TCPConn) error{
+		for action, disconnect := range map[string]func(*net.TCPConn) error{
 			"closes":      func(c *net.TCPConn) error { return c.Close() },
 			"half-closes": func(c *net.TCPConn) error { return c.CloseWrite() },
 			"resets":      func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
 		} {
-			t.Run(name+" "+how, func(t *testing.T) {
+			t.Run(name+" "+action, func(t *testing.T) {
 				f, dial, posts := startSocketFrontend(t)
 				c := dial()
 				writeText(t, c, getRequest("/get/x", ""))
 				r := nextEvent[requestArrived](t, posts).request
-				writeText(t, c, behind) // a connection keeps the order of its bytes, so its end comes after these
-				if err := leave(c); err != nil {
+				writeText(t, c, extra) // a connection keeps the order of its bytes, so its end comes after these
+				if err := disconnect(c); err != nil {
 					t.Fatal(err)
 				}
-				if gone := nextEvent[clientDisconnected](t, posts).request; gone != r {
+				if disconnected := nextEvent[clientDisconnected](t, posts).request; disconnected != r {
 					t.Error("the disconnect was posted for another request")
 				}
 				r.reply <- reply{}
@@ -149,7 +149,7 @@
 // TestLastResponseSurvivesUnreadBytes: a client that has sent more bytes behind its request still gets the complete last
 // response. Closing a connection with unread bytes would reset the connection and lose the response.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""),
+	for name, extra := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""),
 		"more than is kept": strings.Repeat("x", 1<<20)} {
 		t.Run(name, func(t *testing.T) {
 			f, dial, posts := startSocketFrontend(t)
@@ -157,7 +157,7 @@
 			c := dial()
 			writeText(t, c, getRequest("/get/x", ""))
 			r := nextEvent[requestArrived](t, posts).request
-			writeText(t, c, behind)
+			writeText(t, c, extra)
 			r.reply <- reply{response: &upstream.Response{Header: http.Header{}, Body: []byte("hello")}}
 			eventually(t, "the response to be written", f.noConnections)
 			if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -90,8 +90,8 @@
 // TestPollIntervalIsCappedByPropagationDeadline: the agent has to apply a change of the endpoint list within 6 s, whatever
 // poll interval the settings allow.
 func TestPollIntervalIsCappedByPropagationDeadline(t *testing.T) {
-	for asked, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
-		text := strings.Replace(fmt.Sprintf(settings, "subscribe", 1000), `"AskWithinMs": 1000`, `"AskWithinMs": `+asked, 1)
+	for configured, want := range map[string]time.Duration{"1000": time.Second, "60000": discovery.PropagationDeadline} {
+		text := strings.Replace(fmt.Sprintf(settings, "subscribe", 1000), `"AskWithinMs": 1000`, `"AskWithinMs": `+configured, 1)
 		raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
 			"settings": json.RawMessage(text)})
 		if err != nil {
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -85,24 +85,25 @@
 					}
 				})
 				holds := func(state string) bool {
-					listed := a.pool.Endpoint("y") // read first, so that x is from the same update or a later one
-					at := a.pool.Endpoint("x")
-					return listed != nil && (at != nil) == (state != "") && (at == nil || at.Draining == (state == "draining"))
+					endpointY := a.pool.Endpoint("y") // read first, so that x is from the same update or a later one
+					endpointX := a.pool.Endpoint("x")
+					return endpointY != nil && (endpointX != nil) == (state != "") &&
+						(endpointX == nil || endpointX.Draining == (state == "draining"))
 				}
 				old := receive(t, "watch", before.watch)
 				old.sendLine(t, deltaLine(t, 41, x.member("x")))
 				receive(t, "first list", recorded)
-				answer := make(chan exchange, 1)
-				go func() { answer <- a.do("GET", "/get/x", "") }()
+				result := make(chan exchange, 1)
+				go func() { result <- a.do("GET", "/get/x", "") }()
 				receive(t, "dial", dialling)
-				drains, named, list := x.member("x"), x.member("x"), []discoveryMember{y.member("y")}
-				drains.State, named.State = "draining", state
+				draining, listedX, list := x.member("x"), x.member("x"), []discoveryMember{y.member("y")}
+				draining.State, listedX.State = "draining", state
 				if state != "" {
-					list = append(list, named)
+					list = append(list, listedX)
 				}
 				fullList := listLine(t, discoveryList{Version: 7, Full: true, Endpoints: list})
 				drain := func() { // long enough that the next line is read at once
-					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, drains, y.member("y")))
+					old.sendLine(t, strings.Repeat(" ", 1<<14)+deltaLine(t, 42, draining, y.member("y")))
 					receive(t, "drain", recorded)
 				}
 				move := func() *fakeWatch {
@@ -128,18 +129,18 @@
 					drain()
 					w.sendLine(t, fullList)
 					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
-					late := ""
+					staleUpdates := ""
 					for v := range int64(30) { // if the old watch still ran, it would apply each with an even chance
-						late += deltaLine(t, 43+v, x.member("x"))
+						staleUpdates += deltaLine(t, 43+v, x.member("x"))
 					}
-					old.sendLine(t, late)
+					old.sendLine(t, staleUpdates)
 					eventually(t, "the stale updates to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 2 })
 					close(resume)
 				}
 				receive(t, "end of the old watch", old.disconnected)
 				eventually(t, "the end of its goroutine", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
-				if e := receive(t, "response", answer); e.status != 200 || len(y.seen) != 1 { // y records it after the lists
+				if e := receive(t, "response", result); e.status != 200 || len(y.seen) != 1 { // y records it after the lists
 					t.Errorf("response %+v, %d requests at the other backend; want status 200 and 1 request", e, len(y.seen))
 				}
 				eventually(t, "the new list to be applied", func() bool { return holds(state) })
@@ -179,7 +180,7 @@
 
 type attemptResult struct {
 	balancer.Result
-	answer *upstream.Response
+	response *upstream.Response
 }
 
 // startAttempt starts an attempt at the backend's current endpoint and returns the channel of its result.
@@ -193,7 +194,7 @@
 
 func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
-	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.Body) != body {
-		t.Errorf("result %v, response %+v; want %v %q", r.Result, r.answer, want, body)
+	if r.Result != want || (r.response != nil) != (want == balancer.OK) || r.response != nil && string(r.response.Body) != body {
+		t.Errorf("result %v, response %+v; want %v %q", r.Result, r.response, want, body)
 	}
 }
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -158,9 +158,9 @@
 		t.Fatalf("the idle connection was not closed: %v", err)
 	}
 	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: the write may fail, and nothing is forwarded
-	anew := a.dial(t)
-	writeText(t, anew, getRequest("/get/x", ""))
-	expectServedAndClosed(t, anew)
+	reconnected := a.dial(t)
+	writeText(t, reconnected, getRequest("/get/x", ""))
+	expectServedAndClosed(t, reconnected)
 	receive(t, "request", s.seen)
 	close(a.accept)
 	c.Close()
@@ -320,21 +320,21 @@
 		expectStatus(t, idle, "/get/x", 503)
 		expectStatus(t, used, "/get/x", 503)
 		f.setLameDuck(true)
-		on := time.Now()
+		startedAt := time.Now()
 		expectStatus(t, dial(), "/_health", 503)
 		expectStatus(t, used, "/get/x", 503)
-		if _, at := readUntilClosed(used); at.Sub(on) > drainIdleTimeout/2 {
-			t.Errorf("a connection ended %v after the lame duck state began, want at most drainIdleTimeout/2", at.Sub(on))
+		if _, at := readUntilClosed(used); at.Sub(startedAt) > drainIdleTimeout/2 {
+			t.Errorf("a connection ended %v after the lame duck state began, want at most drainIdleTimeout/2", at.Sub(startedAt))
 		}
 		expectStatus(t, dial(), "/get/x", 503) // clients continue to send for a while
-		if _, at := readUntilClosed(idle); at.Sub(on) < drainIdleTimeout || at.Sub(on) > 2*time.Second {
-			t.Errorf("the idle connection was closed after %v", at.Sub(on))
+		if _, at := readUntilClosed(idle); at.Sub(startedAt) < drainIdleTimeout || at.Sub(startedAt) > 2*time.Second {
+			t.Errorf("the idle connection was closed after %v", at.Sub(startedAt))
 		}
 		f.setLameDuck(false)
 		expectStatus(t, dial(), "/_health", 200)
-		kept := dial()
-		expectStatus(t, kept, "/get/x", 503)
+		client := dial()
+		expectStatus(t, client, "/get/x", 503)
 		time.Sleep(2 * drainIdleTimeout)
-		expectStatus(t, kept, "/get/x", 503)
+		expectStatus(t, client, "/get/x", 503)
 	})
 }
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -64,12 +64,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, inTime := range []bool{true, false} {
 			ctx, cancel := context.WithCancelCause(context.Background())
-			x := &attemptTimer{cancel: cancel}
-			x.arm(time.Now().Add(time.Second))
+			timer := &attemptTimer{cancel: cancel}
+			timer.arm(time.Now().Add(time.Second))
 			if !inTime {
 				time.Sleep(2 * time.Second)
 			}
-			if x.disarm() != inTime {
+			if timer.disarm() != inTime {
 				t.Errorf("disarm returned %v, want the opposite", !inTime)
 			}
 			time.Sleep(2 * time.Second)
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -23,10 +23,10 @@
 		rejectAll(t, f)
 		c := dial()
 		expectStatus(t, c, "/get/x", 503)
-		idle := time.Now()
+		idleSince := time.Now()
 		_, at := readUntilClosed(c)
-		if kept := at.Sub(idle); kept < 2*time.Second || kept > 3*time.Second {
-			t.Errorf("idle connection closed after %v, want 2 s to 3 s", kept)
+		if elapsed := at.Sub(idleSince); elapsed < 2*time.Second || elapsed > 3*time.Second {
+			t.Errorf("idle connection closed after %v, want 2 s to 3 s", elapsed)
 		}
 	})
 }
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -59,7 +59,7 @@
 	}
 	defer client.Close()
 	in := bufio.NewReader(client)
-	ask := func() *http.Response {
+	sendRequest := func() *http.Response {
 		if _, err := fmt.Fprintf(client, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", newID()); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 		}
 		return resp
 	}
-	if resp := ask(); resp.StatusCode != 200 || resp.Close {
+	if resp := sendRequest(); resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%+v", resp)
 	}
 	callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`))
@@ -89,7 +89,7 @@
 	if resp := callAdmin(t, older, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 503 {
 		t.Errorf("the older process still reports that it is ready: %+v", resp)
 	}
-	if resp := ask(); resp.StatusCode != 200 || !resp.Close {
+	if resp := sendRequest(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("request on the older process's connection: %+v", resp)
 	}
 	if err := receive(t, "end of the older process", older.ended); err != nil {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -131,7 +131,7 @@
 	in, out := io.Pipe()
 	defer out.Close()
 	s := upstream.NewStream(in, -1, func(err error) { in.CloseWithError(err) })
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	hr, err := http.NewRequestWithContext(ctx, "GET", "/get/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 		defer func() { _ = recover() }() // http.ErrAbortHandler, on which net/http closes the connection
 		f.streamResponse(disconnectedWriter{newStatusRecorder()}, hr, &upstream.Response{Body: []byte("first"), Stream: s})
 	}()
-	leave()
+	cancel()
 	receive(t, "end of the stream", s.Done())
 	if !errors.Is(s.Err(), upstream.ErrRequestEnded) {
 		t.Errorf("the stream ended with %v, want ErrRequestEnded", s.Err())
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -16,11 +16,11 @@
 
 // TestLargeBodyIsStreamed: the agent forwards a large body unchanged as it arrives, with a Content-Length or in chunks.
 func TestLargeBodyIsStreamed(t *testing.T) {
-	began := make(chan bool, 10)
+	firstPartRead := make(chan bool, 10)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		text := make([]byte, upstream.MaxBufferedBody)
 		_, err := io.ReadFull(hr.Body, text)
-		began <- err == nil
+		firstPartRead <- err == nil
 		rest, err := io.ReadAll(hr.Body)
 		if err != nil {
 			return
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := dialRawClient(t, a)
 			c.send(postHeader("/pay/x", row.head) + row.first)
-			if !receive(t, "first part at the backend", began) { // the client has not sent the rest yet
+			if !receive(t, "first part at the backend", firstPartRead) { // the client has not sent the rest yet
 				t.Fatal("the first part was truncated")
 			}
 			c.send(row.rest)
@@ -91,8 +91,8 @@
 		got, _ := io.ReadAll(hr.Body)
 		fmt.Fprint(w, digest(string(got)))
 	})
-	dead := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
-	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{dead, s}}))
+	unreachable := discoveryMember{ID: "dead", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}
+	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{unreachable, s}}))
 	for range 10 { // some of these go to the unreachable backend first
 		if x := b.do("POST", "/pay/x", text[:3*upstream.MaxBufferedBody]); x.status != 200 || x.body != digest(text[:3*upstream.MaxBufferedBody]) {
 			t.Errorf("%+v", x)
@@ -103,21 +103,21 @@
 // TestClientAbortDuringUploadIsNotBackendFailure: if a client disconnects during its upload, the backend never gets the
 // last byte, and the aborted attempt does not count as a failure of the backend.
 func TestClientAbortDuringUploadIsNotBackendFailure(t *testing.T) {
-	began, ended := make(chan struct{}), make(chan error, 1)
+	firstPartRead, ended := make(chan struct{}), make(chan error, 1)
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == "/get/x" {
 			fmt.Fprint(w, "served")
 			return
 		}
 		_, _ = io.CopyN(io.Discard, hr.Body, upstream.MaxBufferedBody)
-		close(began)
+		close(firstPartRead)
 		_, err := io.Copy(io.Discard, hr.Body)
 		ended <- err
 	})
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s}}))
 	c := dialRawClient(t, a)
 	c.send(postHeader("/pay/x", "Content-Length: 300000\r\n") + pattern(2*upstream.MaxBufferedBody))
-	receive(t, "first part", began)
+	receive(t, "first part", firstPartRead)
 	c.Close()
 	if err := receive(t, "end at the backend", ended); err == nil {
 		t.Error("the backend got a complete body")
