--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestIdleAdminConnectionsDoNotBlockCalls: an incomplete call has no effect, and idle connections do not
-// keep other callers from connecting.
+// TestIdleAdminConnectionsDoNotBlockCalls: an incomplete call has no effect, and idle connections do not keep other
+// callers from connecting.
 func TestIdleAdminConnectionsDoNotBlockCalls(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	a := startAgent(t, withAdmin(t, testSetup{servers: []discoveryMember{s.member("s")}}))
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestBackendDeadlineIsShorterThanClientDeadline: the deadline that a backend gets allows for the time that the request
-// travels. No delay on a busy machine may lengthen this deadline.
+// TestBackendDeadlineIsShorterThanClientDeadline: a backend gets a shorter deadline than the client has, by at least
+// upstream.TransitAllowance and one tick, however long a busy machine delays the request.
 func TestBackendDeadlineIsShorterThanClientDeadline(t *testing.T) {
 	advertised := make(chan string, 1)
 	ln := listen(t)
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -22,7 +22,7 @@
 // disconnects. Bytes behind a request used to end net/http's own detection.
 func TestClientDisconnectIsDetected(t *testing.T) {
 	for name, extra := range map[string]string{"nothing": "", "a byte": "G", "half a request": "GET /get/x HT",
-		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is kept": strings.Repeat("x", 64<<10)} {
+		"requests": getRequest("/get/x", "") + getRequest("/get/x", ""), "more than is buffered": strings.Repeat("x", 64<<10)} {
 		for action, disconnect := range map[string]func(*net.TCPConn) error{
 			"closes":      func(c *net.TCPConn) error { return c.Close() },
 			"half-closes": func(c *net.TCPConn) error { return c.CloseWrite() },
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestPipelinedRequestsOfDisconnectedClientAreDropped: of several pipelined requests only the first
-// is forwarded if the client disconnects before its response.
+// TestPipelinedRequestsOfDisconnectedClientAreDropped: of several pipelined requests only the first is forwarded if
+// the client disconnects before its response.
 func TestPipelinedRequestsOfDisconnectedClientAreDropped(t *testing.T) {
 	f, dial, posts := startSocketFrontend(t)
 	c := dial()
@@ -150,7 +150,7 @@
 // response. Closing a connection with unread bytes would reset the connection and lose the response.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
 	for name, extra := range map[string]string{"a byte": "G", "a request": getRequest("/get/x", ""),
-		"more than is kept": strings.Repeat("x", 1<<20)} {
+		"more than is buffered": strings.Repeat("x", 1<<20)} {
 		t.Run(name, func(t *testing.T) {
 			f, dial, posts := startSocketFrontend(t)
 			f.drainBy(time.Now().Add(testTimeout)) // each reply closes its connection
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestRequestCancelledBeforeFirstStep: the loop survives that a request is removed before the step that would pass the
+// TestRequestCancelledBeforeFirstStep: the loop tolerates the removal of a request before the step that would pass the
 // request's remaining time to the balancer.
 func TestRequestCancelledBeforeFirstStep(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
