--- a/internal/agent/attempttimer.go
+++ b/internal/agent/attempttimer.go
@@ -1,6 +1,6 @@
 package agent
 
-// The deadline of an attempt.
+// The timer for the deadline of an attempt.
 
 import (
 	"context"
@@ -10,24 +10,24 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// attemptTimer cancels an attempt at its deadline, unless its response has started by then.
+// attemptTimer cancels an attempt at its deadline, unless the attempt has ended or its response has started by then.
 type attemptTimer struct {
 	cancel context.CancelCauseFunc
 
-	mu              sync.Mutex
-	timer           *time.Timer
-	responseStarted bool
-	expired         bool
+	mu       sync.Mutex
+	timer    *time.Timer
+	disarmed bool
+	expired  bool
 }
 
 func (t *attemptTimer) arm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.responseStarted && t.timer == nil {
+	if !t.disarmed && t.timer == nil {
 		t.timer = time.AfterFunc(time.Until(at), func() {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			if !t.responseStarted {
+			if !t.disarmed {
 				t.expired = true
 				t.cancel(upstream.ErrTimedOut)
 			}
@@ -35,13 +35,13 @@
 	}
 }
 
-// disarm stops the timer for good. It returns false if the attempt had expired before.
+// disarm stops the timer permanently. It returns false if the timer has already cancelled the attempt.
 func (t *attemptTimer) disarm() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	t.responseStarted = !t.expired
-	return t.responseStarted
+	t.disarmed = !t.expired
+	return t.disarmed
 }
