--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file carries out the calls.
+// This file implements the calls.
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"martenbeam/internal/bootclock"
 )
 
-// methodByPath are the calls' paths, with the method of each.
+// methodByPath maps the path of each call to its HTTP method.
 var methodByPath = map[string]string{
 	"/_ready":           http.MethodGet,
 	"/_backends/detach": http.MethodPut,
@@ -23,14 +23,14 @@
 	"/_lameduck/off":    http.MethodPut,
 }
 
-// ServeHTTP answers one call. It acts only once the call has arrived completely.
+// ServeHTTP carries out one call and responds to it. It takes effect only after the call has arrived completely.
 func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	body, ok := readCall(w, request)
 	if !ok {
 		return
 	}
 	if c, ok := request.Context().Value(connKey{}).(net.Conn); ok && !s.idleConns.Claim(c) {
-		panic(http.ErrAbortHandler) // evicted before the call was complete
+		panic(http.ErrAbortHandler) // the connection was evicted before the call was complete
 	}
 	switch path := request.URL.Path; path {
 	case "/_ready":
@@ -46,7 +46,7 @@
 	}
 }
 
-// readCall reads a call's body. It reports false if the call can't be carried out, and has then responded.
+// readCall reads a call's body. If the call can't be carried out, readCall sends the error response and returns false.
 func readCall(w http.ResponseWriter, request *http.Request) (body []byte, ok bool) {
 	method, known := methodByPath[request.URL.Path]
 	if !known {
@@ -71,20 +71,20 @@
 	return body, true
 }
 
-// respondOK says yes.
+// respondOK sends the response of a successful call, with the body "yes".
 func (s *Server) respondOK(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = io.WriteString(w, "yes\n") // a caller that has disconnected needs no response
 }
 
-// setLameDuck makes the agent a lame duck, or ends that, and responds.
+// setLameDuck switches the agent's lame duck state on or off, and responds.
 func (s *Server) setLameDuck(ctx context.Context, w http.ResponseWriter, on bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.AnswerTimeout)
 	defer cancel()
-	// Recorded first: the agent undoes a state that is neither recorded nor waiting to be.
+	// Record first: the agent reverts a lame duck state that is neither recorded nor waiting to be recorded.
 	recorded := s.record(ctx, handover.Override{Disabled: on})
 	s.agent.SetLameDuck(on)
-	s.log.Info("lame duck", "on", on)
+	s.log.Info("lame duck state set", "on", on)
 	s.respond(w, recorded)
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// record keeps a call that is in force for the process that follows this one. It reports false if that has not
-// succeeded by the time that ctx is done.
+// record stores a call that has taken effect, for the successor of this process. It reports false if the call could not
+// be stored before ctx was done.
 func (s *Server) record(ctx context.Context, call handover.Override) bool {
 	if s.Record == nil {
 		return true
@@ -127,8 +127,8 @@
 	return err == nil
 }
 
-// respond says yes to a call that outlasts this process, and no to one that could not be recorded in time. That one
-// stays in force in this process, and is recorded as soon as possible.
+// respond sends a success response if the call was recorded, and an error response if the call could not be recorded in
+// time. In the second case the call stays in effect in this process, and is recorded as soon as possible.
 func (s *Server) respond(w http.ResponseWriter, recorded bool) {
 	if recorded {
 		s.respondOK(w)
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -1,14 +1,14 @@
-// Package admin is the agent's administration server: operators call it over HTTP, at an address of its own. A call
-// asks whether the agent is ready, disables or enables a backend, or makes the agent a lame duck. Its paths, words and
-// JSON keys are an interface to the operators' tools.
+// Package admin is the agent's administration server. Operators call it over HTTP at a separate address. A call checks
+// whether the agent is ready, disables or enables a backend, or switches the lame duck state. The paths, response texts
+// and JSON keys are an interface to the operators' tools.
 //
-// Who owns what: the server owns its listener and its connections, each with a read loop that Run waits for. It has no
-// state of the agent's: a call is carried out by the Agent, and recorded by Record before it is answered with yes.
-// Calls are answered by net/http's goroutines, several at a time; an answer is as of the call, and given within
-// AnswerTimeout of it.
+// Ownership: the server owns its listener and its connections, each with a read loop that Run waits for. It keeps no
+// state of the agent: the Agent carries out a call, and Record records it before the server responds with success.
+// net/http's goroutines serve several calls at the same time. A response reflects the state at the time of the call, and
+// is sent within AnswerTimeout of it.
 package admin
 
-// This file is the server: its listener, its limits and its shutdown.
+// This file implements the server's listener, limits and shutdown.
 
 import (
 	"context"
@@ -25,25 +25,26 @@
 	"martenbeam/internal/agent/listener"
 )
 
-// Agent is what the calls act upon. Its methods may be called from any goroutine.
+// Agent is the agent that the calls query and change. Its methods may be called from any goroutine.
 type Agent interface {
 	// Ready reports whether clients are accepted.
 	Ready() bool
-	// SetDisabled disables a backend, or enables it again, and reports whether there is one of this id. The error is
-	// ctx's.
+	// SetDisabled disables a backend, or enables it again, and reports whether the agent has a backend with this id. The
+	// error is that of ctx.
 	SetDisabled(ctx context.Context, backend string, disabled bool) (found bool, err error)
-	// SetLameDuck drains the agent of clients, or accepts them again.
+	// SetLameDuck starts draining the agent, or makes it accept clients again.
 	SetLameDuck(on bool)
 }
 
-// Server answers operators' calls, one for each connection: a 2xx response is yes, a 4xx or 5xx is no.
+// Server serves operators' calls, one per connection: a 2xx response means success, a 4xx or 5xx response failure.
 type Server struct {
-	// Both are set before Run.
+	// Record and AnswerTimeout must be set before Run.
 
-	// Record keeps a call for the process that follows this one; may be nil. It fails once its context is done.
+	// Record stores a call for the successor of this process; may be nil. It returns an error once its context is
+	// done.
 	Record func(context.Context, handover.Override) error
-	// AnswerTimeout bounds how long a call is carried out and recorded, and how long Run waits for open calls at its
-	// end.
+	// AnswerTimeout bounds the time to carry out and record a call, and how long Run waits for calls in progress during
+	// shutdown.
 	AnswerTimeout time.Duration
 
 	log       *slog.Logger
@@ -51,20 +52,20 @@
 	listener  net.Listener
 	server    *http.Server
 	idleConns *clientconn.IdleConns
-	readers   sync.WaitGroup // the connections' read loops: each ends with its socket
+	readers   sync.WaitGroup // the connections' read loops; each ends when its socket is closed
 }
 
 const (
-	readTimeout     = 5 * time.Second // for a complete call to arrive
-	maxRequestBytes = 4 << 10         // of a call's header, and of its body
+	readTimeout     = 5 * time.Second // limit for a complete call to arrive
+	maxRequestBytes = 4 << 10         // limit for a call's header, and for its body
 
-	// DefaultAnswerTimeout is New's AnswerTimeout. A response is due within a second: the rest is for a record that is
-	// being written when the time is up.
+	// DefaultAnswerTimeout is the AnswerTimeout that New sets. A response is due within a second; the remaining time is
+	// for a record that is being written when AnswerTimeout expires.
 	DefaultAnswerTimeout = 600 * time.Millisecond
 )
 
-// New listens at addr, with at most maxConns connections open at once. While another process has the address it
-// retries, until ctx is done or ListenTCP's limit has passed.
+// New returns a server that listens on addr, with at most maxConns connections open at once. While another process uses
+// the address, New retries until ctx is done or ListenTCP times out.
 func New(ctx context.Context, addr string, maxConns int, agent Agent, log *slog.Logger) (*Server, error) {
 	s := &Server{log: log, agent: agent, idleConns: clientconn.NewIdleConns(), AnswerTimeout: DefaultAnswerTimeout}
 	ln, err := listener.ListenTCP(ctx, addr)
@@ -73,7 +74,7 @@
 	}
 	limited := listener.Limit(ln, maxConns)
 	limited.OnAcceptError = func(err error) { log.Warn("admin accept failed", "error", err) }
-	limited.OnFull = s.idleConns.EvictIdle // a caller that sends nothing must not keep others out
+	limited.OnFull = s.idleConns.EvictIdle // callers that send nothing must not keep other callers from connecting
 	s.listener = limited
 	s.server = &http.Server{
 		Handler:        s,
@@ -90,13 +91,14 @@
 	return s, nil
 }
 
-// Addr is the address that operators call.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the key of the connection in a request's context.
 type connKey struct{}
 
-// Run answers calls until ctx is done, and then those that have arrived completely. It is called once.
+// Run serves calls until ctx is done. It then finishes the calls that have arrived completely, and returns. It may be
+// called only once.
 func (s *Server) Run(ctx context.Context) {
 	closed := make(chan struct{})
 	go func() {
@@ -104,7 +106,7 @@
 		<-ctx.Done()
 		bound, cancel := context.WithTimeout(context.Background(), s.AnswerTimeout)
 		defer cancel()
-		if s.server.Shutdown(bound) != nil { // callers that send nothing are not waited for
+		if s.server.Shutdown(bound) != nil { // timed out: do not wait for callers that send nothing
 			s.server.Close()
 		}
 	}()
--- a/internal/agent/clientconn/close.go
+++ b/internal/agent/clientconn/close.go
@@ -1,14 +1,14 @@
 package clientconn
 
-// This file closes connections, at once or after their client has had time to read the last response.
+// This file closes connections, either at once or after the client has had time to read the last response.
 
 import (
 	"net"
 	"time"
 )
 
-// Close ends the connection. A response that was written can still be read by the client: then the read loop drops what
-// arrives for up to lingerTimeout, and closes the socket.
+// Close closes the connection. If the client may not have read a response yet, Close shuts down only the sending side;
+// the read loop then discards what arrives for up to lingerTimeout, and closes the socket.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	linger := c.shouldLinger()
@@ -17,11 +17,11 @@
 	return c.closeSocket(linger)
 }
 
-// shouldLinger reports whether the client may not have read a response yet. The caller holds mu.
+// shouldLinger reports whether a response was written that the client may not have read yet. The caller holds mu.
 func (c *Conn) shouldLinger() bool { return c.written && !c.readDone && !c.closing }
 
-// closeSocket closes the socket, or leaves that to the read loop where the connection lingers. The caller does not hold
-// mu.
+// closeSocket closes the socket. If linger is set, it shuts down only the sending side and lets the read loop close the
+// socket. The caller does not hold mu.
 func (c *Conn) closeSocket(linger bool) error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); linger && ok && half.CloseWrite() == nil &&
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
@@ -31,7 +31,7 @@
 }
 
 // abortUnlessRequested closes the connection at once, without lingering, unless a complete request may have arrived. It
-// reports whether it has closed it.
+// reports whether it closed the connection.
 func (c *Conn) abortUnlessRequested() bool {
 	c.mu.Lock()
 	if c.mayHaveRequest() {
@@ -44,7 +44,8 @@
 	return true
 }
 
-// closeUnlessInRequest closes the connection unless part of a request has arrived. It reports whether it has closed it.
+// closeUnlessInRequest closes the connection unless part of a request has arrived. It reports whether it closed the
+// connection.
 func (c *Conn) closeUnlessInRequest() bool {
 	c.mu.Lock()
 	if c.requestInProgress() {
@@ -54,11 +55,11 @@
 	linger := c.shouldLinger()
 	c.markClosing()
 	c.mu.Unlock()
-	_ = c.closeSocket(linger) // closed by its client already if it fails
+	_ = c.closeSocket(linger) // an error means that the client has closed the connection already
 	return true
 }
 
-// markClosing ends the server's reads and the connection's context. The caller holds mu.
+// markClosing makes the server's further reads fail and cancels the connection's context. The caller holds mu.
 func (c *Conn) markClosing() {
 	c.closing = true
 	c.stopReading(net.ErrClosed)
@@ -67,7 +68,8 @@
 	}
 }
 
-// CloseWrite ends the sending. net/http calls it before it closes, so that a reset does not overtake the last response.
+// CloseWrite shuts down the sending side. net/http calls it before Close, so that a reset does not overtake the last
+// response.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -1,6 +1,6 @@
 package clientconn
 
-// This file finds the bounds of requests in what the server reads.
+// This file finds the boundaries of requests in the bytes that the server reads.
 
 import (
 	"bytes"
@@ -8,27 +8,28 @@
 	"sync/atomic"
 )
 
-// framing follows what net/http has read: where requests begin and end, and which of them have both a Content-Length
-// and a Transfer-Encoding. net/http obeys the second and silently drops the first, while the sender may have meant the
-// first: what is inside that body would then pass for a request of its own (RFC 9112, 6.3 and 11.2).
+// framing tracks the bytes that net/http has read: where requests begin and end, and whether a request has both a
+// Content-Length and a Transfer-Encoding. net/http applies the Transfer-Encoding and drops the Content-Length without an
+// error, while the sender may have applied the Content-Length: part of the sender's body would then be parsed as a
+// separate request (RFC 9112, 6.3 and 11.2).
 //
-// It is guarded by the mu of its Conn, but for ambiguous, which the request's handler reads without it.
+// The Conn's mu guards all fields except ambiguous, which the request's handler reads without holding mu.
 type framing struct {
 	ambiguous                             atomic.Bool
-	headerLine                            []byte // the present header line, at most maxHeaderPrefix bytes of it
-	hasContentLength, hasTransferEncoding bool   // in the present header
-	contentLength                         int64  // in the present header, in bytes
+	headerLine                            []byte // the current header line, at most maxHeaderPrefix bytes of it
+	hasContentLength, hasTransferEncoding bool   // in the current header
+	contentLength                         int64  // in the current header, in bytes
 	bodyRemaining                         int64  // bytes of body before the next header
-	untracked                             bool   // what follows is not parsed any more
-	headerStarted                         bool   // the present header has a line that is not empty
-	inRequest                             bool   // part of a request has been read, and not all of it
-	requests                              int    // read completely, but for a chunked body
+	untracked                             bool   // the rest of the connection is not parsed
+	headerStarted                         bool   // the current header has a line that is not empty
+	inRequest                             bool   // part of a request has been read, but not all of it
+	requests                              int    // number read completely, except for a chunked body
 }
 
-// maxHeaderPrefix is how much of a header line is kept, in bytes: enough for a Content-Length with its value.
+// maxHeaderPrefix is the number of bytes that are kept of a header line: enough for a Content-Length with its value.
 const maxHeaderPrefix = 64
 
-// observe follows bytes in the order in which the server reads them, in pieces of any size.
+// observe parses p, the bytes that the server reads next. The split into calls may be arbitrary.
 func (f *framing) observe(p []byte) {
 	for len(p) > 0 && !f.untracked {
 		if f.bodyRemaining > 0 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// headerField parses a header line without its line end. An empty one ends the header.
+// headerField parses a header line without its line ending. An empty line ends the header.
 func (f *framing) headerField(line []byte) {
 	if len(line) > 0 {
 		f.headerStarted = true
@@ -76,7 +77,7 @@
 // finishHeader begins the body that the header announces, or ends the request if there is none.
 func (f *framing) finishHeader() {
 	f.bodyRemaining = f.contentLength
-	if f.hasTransferEncoding { // chunks are not parsed: the server closes the connection after this request
+	if f.hasTransferEncoding { // chunks are not parsed, because the server closes the connection after this request
 		f.untracked = true
 		f.ambiguous.Store(f.hasContentLength)
 		f.bodyRemaining = 0
--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -1,6 +1,6 @@
 package clientconn
 
-// This file is the set of idle connections.
+// This file implements the set of idle connections.
 
 import (
 	"maps"
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// IdleConns is the set of a server's connections that wait for a request: without one, or with one whose header is
-// incomplete. Whoever removes a connection owns it: the handler of its next complete request, or the one who closes it.
-// Its methods may be called from any goroutine.
+// IdleConns is the set of a server's connections that wait for a request: no request has arrived, or its header is
+// incomplete. A caller that removes a connection from the set becomes its owner: the handler of the connection's next
+// complete request, or the function that closes the connection. All methods may be called from any goroutine.
 type IdleConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]idleConn
@@ -22,11 +22,11 @@
 // idleConn is the state of one connection in the set.
 type idleConn struct {
 	idleAt             time.Time // when it entered the set
-	beforeFirstRequest bool      // it has had no request yet
+	beforeFirstRequest bool      // no request has been served on it yet
 }
 
-// evictBefore reports whether i is evicted rather than other: one before its first request rather than one that has had
-// any, and then the one that has been idle longer.
+// evictBefore reports whether i is evicted in preference to other. A connection before its first request is evicted
+// first; between two of the same kind, the connection that has been idle longer.
 func (i idleConn) evictBefore(other idleConn) bool {
 	if i.beforeFirstRequest != other.beforeFirstRequest {
 		return i.beforeFirstRequest
@@ -34,14 +34,14 @@
 	return i.idleAt.Before(other.idleAt)
 }
 
-// MinIdleTime is how long a connection is idle before it may be evicted to free its slot. A client that is going to
-// send a request does so sooner.
+// MinIdleTime is how long a connection must have been idle before it may be evicted to free its slot. A client that is
+// going to send a request does so sooner.
 const MinIdleTime = 150 * time.Millisecond
 
 // NewIdleConns returns an empty set.
 func NewIdleConns() *IdleConns { return &IdleConns{conns: map[net.Conn]idleConn{}} }
 
-// Track follows a connection's state. It is, or is called by, the server's ConnState callback.
+// Track updates the set for a connection's new state. The server's ConnState callback is Track, or calls it.
 func (ic *IdleConns) Track(c net.Conn, state http.ConnState) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -55,8 +55,8 @@
 	}
 }
 
-// Claim removes a connection for the complete request that has arrived on it. It reports false if the connection has
-// been closed meanwhile: then the request gets no response, and nothing of it may be forwarded.
+// Claim removes a connection from the set, for the handler of a complete request that has arrived on it. It reports
+// false if the connection has been closed already: the request then gets no response, and must not be forwarded.
 func (ic *IdleConns) Claim(c net.Conn) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -65,9 +65,9 @@
 	return open
 }
 
-// EvictIdle closes one connection that has been idle for MinIdleTime, if there is one, to free its slot for a client
-// that waits: the one that has waited longest for its first request, or else the one that has been idle longest.
-// Clients that connect and send nothing must not keep out those who would.
+// EvictIdle closes one connection that has been idle for at least MinIdleTime, if there is one, to free its slot for a
+// waiting client. It chooses the connection that has waited longest for its first request, or if there is none, the one
+// that has been idle longest. Clients that connect and send nothing must not keep other clients from connecting.
 func (ic *IdleConns) EvictIdle() {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -88,15 +88,15 @@
 	}
 	if c, ok := oldest.(*Conn); !ok {
 		oldest.Close()
-	} else if !c.abortUnlessRequested() { // without lingering, which would hold the slot
-		return // a request has arrived since it was looked at
+	} else if !c.abortUnlessRequested() { // without lingering, which would keep the slot in use
+		return // a request has arrived since the check above
 	}
 	delete(ic.conns, oldest)
 }
 
-// CloseIdle closes the connections that have been idle for idleTimeout, and those that have been open for
-// firstRequestTimeout without a request; below 0 it leaves the latter open. A connection on which part of a request has
-// arrived, or lies unread, stays open: the client would see its request closed without a response.
+// CloseIdle closes the connections that have been idle for idleTimeout, and the connections that have been open for
+// firstRequestTimeout without a request; a firstRequestTimeout below 0 leaves the latter open. A connection on which part
+// of a request has arrived, read or unread, stays open: otherwise the client would get no response to its request.
 func (ic *IdleConns) CloseIdle(idleTimeout, firstRequestTimeout time.Duration) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Conns returns the idle connections, in no order.
+// Conns returns the idle connections, in no particular order.
 func (ic *IdleConns) Conns() []net.Conn {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -12,13 +12,14 @@
 	"martenbeam/internal/tcpinfo"
 )
 
-// errOverflowed is the server's next read error after bytes have been dropped: what follows them can't be parsed.
+// errOverflowed is what the server's next read returns after bytes were discarded: what follows them can't be parsed.
 var errOverflowed = errors.New("the client sends more than one request at a time")
 
-// hangUpCheckInterval is how often the kernel is asked whether a client has disconnected while its bytes lie unread.
+// hangUpCheckInterval is how often the read loop checks whether a client has disconnected while bytes of the client are
+// unread in the kernel.
 const hangUpCheckInterval = 25 * time.Millisecond
 
-// readLoop reads the socket until its end.
+// readLoop reads the socket until a read fails with an error that is not retried.
 func (c *Conn) readLoop() {
 	buffer := make([]byte, readBufferSize)
 	var retry ioRetry
@@ -33,7 +34,8 @@
 	}
 }
 
-// store buffers what one read returned, and waits until there is space for more. It reports false after the last read.
+// store buffers what one read returned, and waits until the buffer has space for another read. It reports false after
+// the last read.
 func (c *Conn) store(p []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,8 +62,8 @@
 	return true
 }
 
-// waitForSpace waits for a change, at most hangUpCheckInterval, and then checks whether the client has disconnected: no
-// read would show it, since the loop does not read meanwhile. The caller holds mu.
+// waitForSpace waits for a change of the connection's state for at most hangUpCheckInterval, and then checks whether the
+// client has disconnected. No read would report a disconnect, because the read loop is paused. The caller holds mu.
 func (c *Conn) waitForSpace() {
 	check := time.AfterFunc(hangUpCheckInterval, func() {
 		c.mu.Lock()
@@ -75,8 +77,8 @@
 	}
 }
 
-// queuedBeforeAccept is how long the connection's first bytes lay in the kernel before it was accepted, as far as that
-// is known; 0 for all later bytes. The caller holds mu.
+// queuedBeforeAccept estimates how long the connection's first bytes were queued in the kernel before the connection was
+// accepted; it returns 0 if it can't, and for all later bytes. The caller holds mu.
 func (c *Conn) queuedBeforeAccept() time.Duration {
 	q, ok := c.Conn.(interface{ Queued() time.Duration })
 	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
@@ -85,14 +87,15 @@
 	return min(q.Queued(), tcpinfo.SinceLastData(c.Conn))
 }
 
-// markRequestStart notes when the first byte of a request arrived. The caller holds mu.
+// markRequestStart records the arrival of the first byte of a request. The caller holds mu.
 func (c *Conn) markRequestStart() {
 	if !c.responsePending && c.firstByteAt.IsZero() {
 		c.firstByteAt = time.Now()
 	}
 }
 
-// stopReading makes err the end of what the server reads, unless there is one already. The caller holds mu.
+// stopReading sets the error that ends the server's reads, unless one is set already, and cancels the connection's
+// context. The caller holds mu.
 func (c *Conn) stopReading(err error) {
 	if c.readErr == nil {
 		c.readErr = err
@@ -101,8 +104,8 @@
 	c.changed.Broadcast()
 }
 
-// Read hands net/http what is buffered, and waits while nothing is. Of a client that has disconnected only a first
-// request is still handed out: nobody would read the response to a later one.
+// Read returns buffered bytes, and waits while there are none. After the client has disconnected, Read still returns the
+// bytes of the connection's first request, but not of a later one, because nobody would read the response.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +131,7 @@
 	}
 }
 
-// SetReadDeadline bounds the server's reads; zero: no bound. The read loop's are not bounded by it.
+// SetReadDeadline sets the deadline of the server's reads; zero: none. It does not apply to the read loop's reads.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,12 +154,12 @@
 	return nil
 }
 
-// SetDeadline bounds the server's reads and writes.
+// SetDeadline sets the deadline of the server's reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// hasUnreadBytes reports whether bytes lie in a connection's receive buffer in the kernel.
+// hasUnreadBytes reports whether the kernel's receive buffer of a connection has unread bytes.
 func hasUnreadBytes(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -167,7 +170,7 @@
 		return false
 	}
 	n := 0
-	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for the read loop, which is in a read of its own
+	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for the read loop's pending read
 		n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
--- a/internal/agent/clientconn/request.go
+++ b/internal/agent/clientconn/request.go
@@ -1,14 +1,15 @@
 package clientconn
 
-// This file is what handlers and the owners of idle connections say and ask about a connection's requests.
+// This file has the methods by which handlers and the owners of idle connections update and query the state of a
+// connection's requests.
 
 import "time"
 
-// Ambiguous reports whether a request had both a Content-Length and a Transfer-Encoding, so that its end is in doubt.
+// Ambiguous reports whether a request had both a Content-Length and a Transfer-Encoding, so that its end is ambiguous.
 func (c *Conn) Ambiguous() bool { return c.ambiguous.Load() }
 
-// MarkRequestComplete says that the present request has arrived completely, with its body. The request's handler calls
-// it.
+// MarkRequestComplete records that the current request has arrived completely, with its body. The request's handler
+// calls it.
 func (c *Conn) MarkRequestComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -16,8 +17,8 @@
 	c.changed.Broadcast()
 }
 
-// MarkResponseComplete says that the present request is answered. It is called before the connection may be closed as
-// idle.
+// MarkResponseComplete records that the current request has been answered. It must be called before the connection may
+// be closed as idle.
 func (c *Conn) MarkResponseComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,15 +29,15 @@
 	}
 }
 
-// Overflowed reports whether the connection has to end with the present response, since bytes that arrived after the
-// request were dropped.
+// Overflowed reports whether bytes that arrived after the current request were discarded, so that the connection must be
+// closed after the current response.
 func (c *Conn) Overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.overflowed
 }
 
-// RequestInProgress reports whether a request, or part of one, has arrived and is unanswered.
+// RequestInProgress reports whether an unanswered request, or part of one, has arrived.
 func (c *Conn) RequestInProgress() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +47,7 @@
 // requestInProgress is RequestInProgress for a caller that holds mu.
 func (c *Conn) requestInProgress() bool { return c.mayHaveRequest() || c.inRequest }
 
-// MayHaveRequest reports whether a complete request may have arrived that is unanswered: one is known, or there are
+// MayHaveRequest reports whether a complete, unanswered request may have arrived: the server has read one, or there are
 // bytes that the server has not read.
 func (c *Conn) MayHaveRequest() bool {
 	c.mu.Lock()
@@ -59,15 +60,15 @@
 	return len(c.readAhead) > 0 || c.requests > c.responses || hasUnreadBytes(c.Conn)
 }
 
-// LastByteAt is when the latest byte arrived that was kept; zero: none has.
+// LastByteAt returns when the latest byte arrived that was buffered; zero if none has arrived.
 func (c *Conn) LastByteAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastByteAt
 }
 
-// RequestStartedAt is when the present request began: the first one with the accepted connection, each later one with
-// its first byte.
+// RequestStartedAt returns when the current request began: the first request when the connection was accepted, each later
+// request when its first byte arrived.
 func (c *Conn) RequestStartedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +76,7 @@
 	case c.responses == 0:
 		return c.acceptedAt
 	case c.firstByteAt.IsZero():
-		return time.Now() // the server had it already: it arrived in one read with the request before
+		return time.Now() // the server has read its first byte already, together with the previous request
 	}
 	return c.firstByteAt
 }
--- a/internal/agent/clientconn/retry.go
+++ b/internal/agent/clientconn/retry.go
@@ -1,6 +1,6 @@
 package clientconn
 
-// This file retries reads and writes whose errors may pass.
+// This file retries reads and writes that fail with transient errors.
 
 import (
 	"errors"
@@ -11,23 +11,23 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// ioRetry is the retry state of one connection's reads, or of one Write. It belongs to one goroutine.
+// ioRetry is the retry state of one connection's reads, or of one Write. Only one goroutine may use it.
 type ioRetry struct {
 	failingSince time.Time // zero: the latest call did not fail
 	backoff      backoff.ExponentialBackOff
 }
 
 const (
-	maxRetryTime               = 3 * time.Second // of failures in a row; after that the connection counts as broken
+	maxRetryTime               = 3 * time.Second // limit for consecutive failures; then the connection is broken
 	initialBackoff, maxBackoff = time.Millisecond, 20 * time.Millisecond
 )
 
 // closedErrnos are the errors that only a closed connection returns.
 var closedErrnos = []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EBADF}
 
-// shouldRetry reports whether a call that returned err is to be made again, and sleeps for the backoff before it
-// returns true. Every error of a system call is retried but those that only a closed connection returns: a shortage may
-// pass, and a broken connection says so again, by its end or by one of those errors.
+// shouldRetry reports whether a call that returned err should be retried, and sleeps for the backoff before it returns
+// true. It retries every system call error except closedErrnos: a resource shortage is transient, and if the connection
+// is broken, a later call returns EOF or one of closedErrnos.
 func (r *ioRetry) shouldRetry(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) || slices.Contains(closedErrnos, errno) {
--- a/internal/agent/handover/file.go
+++ b/internal/agent/handover/file.go
@@ -1,6 +1,6 @@
 package handover
 
-// Reading and writing the record's file.
+// This file reads and writes the record's file.
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 func (s *Store) recordPath() string { return filepath.Join(s.dir, recordName) }
 
-// refresh reads the record if its file has changed. Where that fails the record stays as it was, and the next call tries
-// again. The lock is held.
+// refresh reads the record if its file has changed. If that fails, the record stays as it was, and the next call retries.
+// The caller holds mu.
 func (s *Store) refresh() {
 	info, err := os.Stat(s.recordPath())
 	switch {
@@ -32,23 +32,23 @@
 	}
 }
 
-// unchanged reports whether the file is still the one last read or written. The lock is held.
+// unchanged reports whether the file is still the one that was last read or written. The caller holds mu.
 func (s *Store) unchanged(info os.FileInfo) bool {
 	last := s.recordInfo
 	return last != nil && os.SameFile(info, last) && info.Size() == last.Size() && info.ModTime().Equal(last.ModTime())
 }
 
-// update reads the record, changes it and replaces the file, while no other process does. The overrides that are not in the
-// record yet go in with it. The lock is held.
+// update reads the record, changes it, adds the unsaved overrides, and replaces the file. A lock file keeps other processes
+// from changing the record at the same time. The caller holds mu.
 func (s *Store) update(ctx context.Context, change func(*Record)) error {
 	lock, err := s.lock(ctx, recordLockName)
 	if err != nil {
 		return err
 	}
-	defer lock.Close() // which unlocks it
+	defer lock.Close() // closing the file unlocks it
 	r, err := s.load()
 	if err != nil {
-		return err // never replace what could not be read: it may hold what must not be lost
+		return err // an unreadable file is not replaced: it may have data that must not be lost
 	}
 	change(&r)
 	clocks := readClocks()
@@ -60,11 +60,12 @@
 		return fmt.Errorf("write handover record: %w", err)
 	}
 	s.record, s.unsaved, s.recordKnown = r, nil, true
-	s.recordInfo, _ = os.Stat(s.recordPath()) // where that fails the next refresh reads the file again
+	s.recordInfo, _ = os.Stat(s.recordPath()) // if this fails, the next refresh reads the file again
 	return nil
 }
 
-// write replaces the record's file in one step. A rename without a sync is enough: the record is for processes of one boot.
+// write replaces the record's file atomically. A rename without a sync is enough, because the record is only used until the
+// machine reboots.
 func (s *Store) write(r Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return os.Rename(s.recordPath()+".new", s.recordPath())
 }
 
-// load reads the record from its file. A missing or unusable one is replaced by what this process knew before; a file that
-// can't be read is an error, since it may hold what must not be lost. The lock is held.
+// load reads the record from its file. If the file is missing or unusable, load returns the record that this process last
+// read or wrote. A file that can't be read is an error, because it may have data that must not be lost. The caller holds mu.
 func (s *Store) load() (Record, error) {
 	raw, err := os.ReadFile(s.recordPath())
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/agent/handover/lock.go
+++ b/internal/agent/handover/lock.go
@@ -1,6 +1,6 @@
 package handover
 
-// The lock files that the processes of one agent share.
+// This file implements the lock files that the processes of one agent share.
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 )
 
 const (
-	primaryLockName   = "owner"  // locked by the primary process, until it ends
-	successorLockName = "second" // locked by a successor, until it ends or becomes the primary process
-	recordLockName    = "lock"   // locked while the record is changed
+	primaryLockName   = "owner"  // locked by the primary process until it exits
+	successorLockName = "second" // locked by a successor until it exits or becomes the primary process
+	recordLockName    = "lock"   // locked while a process changes the record
 
-	lockTimeout       = 300 * time.Millisecond // the other process only writes a small file while it holds the lock
+	lockTimeout       = 300 * time.Millisecond // the other process only writes a small file under the lock
 	lockRetryInterval = 5 * time.Millisecond
 )
 
@@ -27,8 +27,8 @@
 	return os.OpenFile(filepath.Join(s.dir, name), os.O_CREATE|os.O_RDWR, 0o600)
 }
 
-// lock opens and locks a lock file. It retries until ctx ends, and no longer than lockTimeout; the error is then an
-// *fs.PathError around errLocked. Closing the file unlocks it.
+// lock opens and locks a lock file. It retries until ctx is done, for up to lockTimeout. If another process still holds the
+// lock then, the error is an *fs.PathError that wraps errLocked. Closing the file unlocks it.
 func (s *Store) lock(ctx context.Context, name string) (*os.File, error) {
 	f, err := s.open(name)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// flock locks a file if it is free, and fails with errLocked if it is not.
+// flock locks a file without waiting. It returns errLocked if the file is locked already.
 func flock(f *os.File) error {
 	for {
 		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
--- a/internal/agent/handover/override.go
+++ b/internal/agent/handover/override.go
@@ -1,21 +1,21 @@
 package handover
 
-// Operators' overrides, and how a record merges them by the time at which they were issued.
+// This file has the operators' overrides, and merges them into a record by the time at which they were issued.
 
 import (
 	"maps"
 	"time"
 )
 
-// Override is an operator's command that holds until the opposite command is issued.
+// Override is an operator's command that stays in effect until the opposite command is issued.
 type Override struct {
 	Backend  string        // the backend's id; "": the agent itself
 	Disabled bool          // the backend is disabled, or the agent drained; false: the opposite
 	IssuedAt time.Duration // since the machine's boot
 }
 
-// apply merges an override into the record, unless the record has a later one for the same backend. It replaces the maps
-// instead of changing them, because copies of the record share them.
+// apply merges an override into the record, unless the record has a later override for the same backend. It replaces the
+// maps instead of changing them, because copies of the record share them.
 func (r *Record) apply(override Override, now clockReading) {
 	id, issuedBootUs := override.Backend, override.IssuedAt.Microseconds()
 	if id == "" {
@@ -42,7 +42,7 @@
 	}
 }
 
-// enabledAt returns when a backend was enabled again, since boot; 0 if it was not.
+// enabledAt returns when a backend was enabled again, as time since boot; 0 if it was not.
 func (r *Record) enabledAt(id string, now clockReading) time.Duration {
 	unixMs, enabled := r.EnabledUnixMs[id]
 	if !enabled {
@@ -73,7 +73,7 @@
 	return changed
 }
 
-// newOverrides returns the overrides of backends that hold in one record and did not in the record before.
+// newOverrides returns the overrides of backends that are in effect in the record after, but not in the record before.
 func newOverrides(before, after *Record, now clockReading) (overrides []Override) {
 	for id, unixMs := range after.DisabledUnixMs {
 		if _, disabled := before.DisabledUnixMs[id]; !disabled {
--- a/internal/agent/handover/record.go
+++ b/internal/agent/handover/record.go
@@ -1,6 +1,6 @@
 package handover
 
-// The stored record, the clocks that its times are read by, and when it is too old to use.
+// This file has the stored record, the clocks for its times, and the check for a stale record.
 
 import (
 	"errors"
@@ -12,16 +12,16 @@
 	"martenbeam/internal/bootclock"
 )
 
-// Record is the content of handover.json, by which the processes of an agent know of each other. The JSON keys are a stored
-// form that other versions of the program read and write.
+// Record is the content of handover.json, which the processes of an agent share. The JSON keys are a stored form that other
+// versions of the program read and write.
 //
-// Each time that matters is stored twice: in microseconds since the machine's boot, and in Unix milliseconds for versions
-// that know the wall clock alone. The Unix time is used only where the boot time is missing, because such a version wrote
-// the record.
+// Each time is stored twice: in microseconds since the machine's boot, and in Unix milliseconds for earlier versions, which
+// use only the wall clock. The Unix time is used only if the boot time is missing because an earlier version wrote the
+// record.
 type Record struct {
 	Format         int              `json:"format"`
-	Generation     int64            `json:"turn"`     // of the youngest process
-	SavedUnixMs    int64            `json:"saved"`    // when the serving process last wrote
+	Generation     int64            `json:"turn"`     // of the newest process
+	SavedUnixMs    int64            `json:"saved"`    // when the serving process last wrote the record
 	DisabledUnixMs map[string]int64 `json:"detached"` // when each disabled backend was disabled, by backend id
 	EnabledUnixMs  map[string]int64 `json:"attached"` // when each backend was enabled again, by backend id
 	SavedBootUs    int64            `json:"saved_us,omitempty"`
@@ -37,13 +37,13 @@
 
 const (
 	recordFormat     = 1
-	maxRecordAge     = 30 * time.Second // older than this, nothing in a record is still valid
-	enabledRetention = 2 * time.Minute  // how long an enabling is remembered; far longer than any backend's slow start
+	maxRecordAge     = 30 * time.Second // an older record is stale
+	enabledRetention = 2 * time.Minute  // how long an enabling is kept; far longer than any backend's slow start
 )
 
 var errUnknownFormat = errors.New("unknown format")
 
-// check returns errUnknownFormat, wrapped, if this program can't use the record.
+// check returns an error that wraps errUnknownFormat if this program can't use the record.
 func (r *Record) check() error {
 	if r.Format != recordFormat {
 		return fmt.Errorf("%w: %d", errUnknownFormat, r.Format)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// clockReading is one reading of both clocks that a record's times are given by.
+// clockReading is one reading of the two clocks that a record's times refer to.
 type clockReading struct {
 	boot time.Duration // since the machine's boot
 	wall time.Time
@@ -60,7 +60,7 @@
 func readClocks() clockReading { return clockReading{bootclock.SinceBoot(), bootclock.Wall()} }
 
 // sinceBoot converts a time of a record to time since boot. The result is never later than the reading, because no time in
-// a record lies in the future.
+// a record is in the future.
 func (c clockReading) sinceBoot(bootUs, unixMs int64) time.Duration {
 	if bootUs > 0 {
 		return min(c.boot, time.Duration(bootUs)*time.Microsecond)
@@ -73,8 +73,8 @@
 	return c.wall.Add(sinceBoot - c.boot).UnixMilli()
 }
 
-// stale returns the record's age, and whether it exceeds maxRecordAge, so that nothing in it is valid any more. A negative
-// age means that the machine has been rebooted since, which makes the record stale too.
+// stale returns the record's age, and whether the record is stale: only its generation is still valid then. A record is
+// stale if its age exceeds maxRecordAge, or is negative because the machine has been rebooted since the last write.
 func (r *Record) stale(now clockReading) (age time.Duration, stale bool) {
 	if r.Generation == 0 {
 		return 0, false
@@ -86,7 +86,7 @@
 	return age, age > maxRecordAge || age < 0
 }
 
-// markSaved sets when the serving process last wrote.
+// markSaved sets the time at which the serving process last wrote the record.
 func (r *Record) markSaved(now clockReading) {
 	r.SavedUnixMs, r.SavedBootUs = now.wall.UnixMilli(), now.boot.Microseconds()
 }
--- a/internal/agent/handover/role.go
+++ b/internal/agent/handover/role.go
@@ -1,14 +1,14 @@
 package handover
 
-// Which processes of the agent run, and which of them is the primary one.
+// This file determines which processes of the agent run, and which of them is the primary process.
 
 import (
 	"context"
 	"errors"
 )
 
-// Register determines this process's role among those of the agent, and has the record count it. After an error it may be
-// called again; once it has succeeded it does nothing.
+// Register determines this process's role among the agent's processes, and adds the process to the record. After an error
+// it may be called again; after it has succeeded, further calls do nothing.
 func (s *Store) Register() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// register counts this process in a record, and discards what is stale. The lock is held.
+// register gives this process the record's next generation, and discards a stale record. The caller holds mu.
 func (s *Store) register(r *Record) {
 	clocks := readClocks()
 	if age, stale := r.stale(clocks); stale && s.startedAlone {
@@ -37,7 +37,7 @@
 	r.markSaved(clocks)
 }
 
-// determineRole finds out whether an older process runs. The lock is held.
+// determineRole determines whether an older process runs. The caller holds mu.
 func (s *Store) determineRole() error {
 	if s.roleKnown {
 		return nil
@@ -52,29 +52,30 @@
 	err := flock(s.primaryLock)
 	s.startedAlone = err == nil
 	if errors.Is(err, errLocked) {
-		// The successor's lock comes before its registration: the primary process takes a registered successor that holds no
-		// lock for one that has ended.
+		// A successor locks the file before it registers, because the primary process treats a registered successor without a
+		// lock as one that has exited.
 		s.successorLock, err = s.lock(context.Background(), successorLockName)
 	}
 	s.roleKnown = err == nil
 	return err
 }
 
-// StartedAlone reports whether no older process ran when this one determined its role; false until it has.
+// StartedAlone reports whether no older process ran when this one determined its role; false until the role is determined.
 func (s *Store) StartedAlone() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startedAlone
 }
 
-// Generation numbers the processes of the agent from 1; 0 until this one has registered.
+// Generation returns the number of this process among the agent's processes, in the order of registration from 1; 0 until
+// this process has registered.
 func (s *Store) Generation() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.generation
 }
 
-// BecomePrimary makes this process the primary one if no older process runs, and reports whether it is.
+// BecomePrimary makes this process the primary process if no older process runs. It reports whether this process is primary.
 func (s *Store) BecomePrimary() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,24 +83,25 @@
 		return false
 	}
 	if s.successorLock != nil {
-		_ = s.successorLock.Close() // the next successor needs it
+		_ = s.successorLock.Close() // unlocks the file for the next successor
 		s.successorLock = nil
 	}
 	return true
 }
 
-// HasSuccessor reports whether a younger process has registered, as of the record last read or written.
+// HasSuccessor reports whether a newer process has registered, according to the record as this process last read or wrote
+// it.
 func (s *Store) HasSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hasSuccessor()
 }
 
-// hasSuccessor is HasSuccessor for callers that hold the lock.
+// hasSuccessor is HasSuccessor for callers that hold mu.
 func (s *Store) hasSuccessor() bool { return s.registered && s.record.Generation > s.generation }
 
-// ReclaimFromSuccessor reports whether the successor has ended while this process serves. If so, the record counts this
-// process as the youngest again.
+// ReclaimFromSuccessor checks whether the successor has exited while this process serves. If so, it makes this process the
+// newest one in the record again. It returns false while the successor runs, and if the record can't be written.
 func (s *Store) ReclaimFromSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -1,25 +1,26 @@
-// Package handover is the hot-restart record: what two processes of one agent tell each other while the platform replaces
-// one by the other. The record holds the operators' overrides, the endpoint list and the decision module's snapshot.
+// Package handover implements the hot-restart record, which the processes of one agent share while the platform replaces
+// one process by another. The record has the operators' overrides, the endpoint list and the decision module's snapshot.
 //
 // # State and owners
 //
 // The record is the file handover.json in a scratch folder that both processes share; the file, not a process, owns its
-// content. It is read and rewritten as one file (to handover.json.new, then renamed) while holding a lock on the file
-// "lock". Two more lock files say which processes run: "owner" is locked by the primary process, which serves, and "second"
-// by a successor that has started beside it. The kernel releases the locks when a process ends, however it ends.
+// content. A change reads the file and replaces it as a whole (writes handover.json.new, then renames it) while holding a
+// lock on the file "lock". Two more lock files show which processes run: "owner" is locked by the primary process, which
+// serves, and "second" by a successor that has started beside it. The kernel releases the locks when a process exits, also
+// after a crash.
 //
-// A Store is one process's view of the record. Its fields belong to Store.mu; all of its methods may be called from any
-// goroutine. The agent polls it every 50 ms, so an override taken by one process reaches the other within about that time.
+// A Store is one process's view of the record. Store.mu guards its fields; all methods may be called from any goroutine. The
+// agent polls the Store every 50 ms, so an override that one process accepts reaches the other within about 50 ms.
 //
-// A record is checked for its format when it is read; an unusable one is logged and treated as if it had not changed. How
-// old a record may be is checked once, when a process registers and no older one runs: after 30 s without a write, or after
-// a reboot, everything but its generation is discarded.
+// The format of a record is checked when the record is read; an unusable record is logged and treated as unchanged. The age
+// of a record is checked once, when a process registers and no older process runs: after 30 s without a write, or after a
+// reboot, everything but its generation is discarded.
 //
-// The folder may fail for a while. Nothing is given up for that: what could not be written goes in with the next write that
-// succeeds, and what could not be read is read again.
+// Reads and writes in the folder may fail temporarily. Overrides that could not be written are added by the next write that
+// succeeds, and a record that could not be read is read again.
 package handover
 
-// The Store, and what a process saves to the record and learns from it.
+// This file implements the Store, and how a process saves to the record and polls it.
 
 import (
 	"context"
@@ -40,42 +41,42 @@
 	dir string
 
 	mu            sync.Mutex
-	primaryLock   *os.File    // the open file; locked only while this process is the primary
-	successorLock *os.File    // locked; nil: this process is the primary, or has no role yet
+	primaryLock   *os.File    // open file; locked only while this process is the primary process
+	successorLock *os.File    // open and locked file; nil: this process is primary, or has no role yet
 	roleKnown     bool        // whether determineRole has succeeded
-	startedAlone  bool        // no older process was there when the role was determined
-	registered    bool        // the record counts this process
-	generation    int64       // of this process; a successor's is higher
+	startedAlone  bool        // no older process ran when the role was determined
+	registered    bool        // Register has added this process to the record
+	generation    int64       // number of this process; a successor has a higher one
 	record        Record      // as last read or written by this process; its maps are never changed in place
-	recordInfo    os.FileInfo // of the file when it was last read or written
-	recordKnown   bool        // the record was read at least once, or is known to be missing
-	applied       Record      // the overrides that Poll has returned, or that this process took
-	unsaved       []Override  // taken by this process, and not in the record yet
+	recordInfo    os.FileInfo // state of the file when it was last read or written
+	recordKnown   bool        // the record was read at least once, or its file was missing
+	applied       Record      // has the overrides that Poll has returned or this process has accepted
+	unsaved       []Override  // accepted by this process, and not in the record yet
 }
 
-// New returns the store of one process in a folder. Register gives the process its role.
+// New returns the store of one process in the folder dir. Register determines the role of the process.
 func New(dir string, log *slog.Logger) *Store { return &Store{log: log, dir: dir} }
 
-// Close releases the locks, as the end of the process does.
+// Close releases the locks, as the exit of the process does.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range []*os.File{s.primaryLock, s.successorLock} {
 		if f != nil {
-			_ = f.Close() // the kernel releases the lock whatever it returns
+			_ = f.Close() // the kernel releases the lock even if Close fails
 		}
 	}
 }
 
-// Poll reads the record if it has changed, and returns the overrides of backends that this process has not applied yet,
-// and whether the agent is drained. ok is false until the record could be read once.
+// Poll reads the record if it has changed. It returns the overrides of backends that this process has not applied yet, and
+// whether the agent is a lame duck. ok is false until the record has been read once.
 func (s *Store) Poll() (overrides []Override, lameDuck, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
 	clocks := readClocks()
 	merged := s.record
-	for _, override := range s.unsaved { // they hold here: that the record lacks them does not take them back
+	for _, override := range s.unsaved { // in effect in this process, even while the record lacks them
 		merged.apply(override, clocks)
 	}
 	overrides = newOverrides(&s.applied, &merged, clocks)
@@ -90,9 +91,9 @@
 	return s.record
 }
 
-// SaveOverride records an override that this process has taken, before the operator gets an answer. It retries until ctx
-// ends, and then returns the last error. An override that could not be recorded holds in this process all the same, and is
-// recorded with the next write that succeeds.
+// SaveOverride records an override that this process has accepted. It is called before the response to the operator. It
+// retries until ctx is done, and then returns the last error. An override that could not be recorded stays in effect in this
+// process, and is recorded by the next write that succeeds.
 func (s *Store) SaveOverride(ctx context.Context, override Override) error {
 	s.mu.Lock()
 	s.unsaved = append(s.unsaved, override)
@@ -121,8 +122,8 @@
 	return s.update(ctx, func(*Record) {})
 }
 
-// SaveSnapshot records the decision module's snapshot, and that this process is running. It does nothing before Register
-// has succeeded, or once a successor has registered: the record is the successor's from then on.
+// SaveSnapshot records the decision module's snapshot and the time of the write. It does nothing before Register has
+// succeeded, or once a successor has registered, because the successor writes the record from then on.
 func (s *Store) SaveSnapshot(snapshot balancer.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,8 +138,8 @@
 	})
 }
 
-// SaveList records the endpoint list as received from the discovery service at the address source. A process that is not
-// the youngest one replaces nothing but an older version from the same source.
+// SaveList records the endpoint list as received from the discovery service at the address source. A process that is not the
+// newest one records it only if the record has no list, or an older version from the same source.
 func (s *Store) SaveList(source string, list *discovery.EndpointList) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/hotrestart/coordinator.go
+++ b/internal/agent/hotrestart/coordinator.go
@@ -1,9 +1,9 @@
-// Package hotrestart coordinates the processes of one agent while the platform replaces one by another: each keeps to half of
-// the limits while the other may be running, applies the admin calls that the other accepts, and records what its successor
-// has to know.
+// Package hotrestart coordinates the processes of one agent while the platform replaces one by another. Each process uses
+// half of the limits while the other may be running, applies the admin calls that the other accepts, and records the state
+// that its successor needs.
 //
-// A Coordinator owns the place of its process in the handover directory. What it changes in the process goes through the
-// Process interface; it knows nothing of sockets and requests.
+// A Coordinator owns the registration of its process in the handover directory. It changes the process only through the
+// Process interface, and does not depend on sockets or requests.
 package hotrestart
 
 import (
@@ -19,19 +19,20 @@
 )
 
 const (
-	pollInterval = 50 * time.Millisecond // between looks at what the other process has recorded
-	// A new process has to be ready within 6 s of its start. Until then it may wait for its place in the handover directory,
-	// for the older process's record and for an endpoint list.
+	pollInterval = 50 * time.Millisecond // between checks of what the other process has recorded
+	// A new process must be ready within 6 s of its start. Until then it may wait for its registration in the handover
+	// directory, for the older process's record and for an endpoint list.
 	claimTimeout  = time.Second
-	recordTimeout = 5 * time.Second // from the start
+	recordTimeout = 5 * time.Second // since the start of the process
 )
 
-// Process is the process of a Coordinator, as far as a hot restart changes it. Only the goroutine that calls ShareLimits or
+// Process is the part of a Coordinator's process that a hot restart changes. Only the goroutine that calls ShareLimits or
 // Run calls its methods.
 type Process interface {
-	// ShareListener leaves half of the accepted connections to the other process on the same listener, or takes them back.
+	// ShareListener lets another process accept half of the connections on the shared listener, or accepts all of them
+	// again.
 	ShareListener(on bool)
-	// HalveLimits keeps the process to half of its limits, or gives it all of them.
+	// HalveLimits reduces the limits of the process to half, or restores them.
 	HalveLimits(on bool)
 	// ApplyOverride applies an admin call that another process accepted.
 	ApplyOverride(ctx context.Context, override handover.Override) error
@@ -39,18 +40,18 @@
 	SetLameDuck(on bool)
 }
 
-// Coordinator is one process's part in hot restarts.
+// Coordinator coordinates the hot restarts of an agent in one of its processes.
 type Coordinator struct {
 	*handover.Store
 	log           *slog.Logger
-	snapshots     chan balancer.Snapshot // the latest, at most one
+	snapshots     chan balancer.Snapshot // the latest snapshot that is not recorded yet, if any
 	startedAt     time.Time
-	reducedLimits bool // another process may be using the other half of the limits
+	reducedLimits bool // this process uses half of the limits, because an older one may be running
 	hasSuccessor  bool
 }
 
-// New takes the process's place in the handover directory. It waits a moment for that, until ctx ends at the latest; if it
-// fails, Run goes on trying.
+// New registers the process in the handover directory dir. It retries after transient errors until claimTimeout or the end
+// of ctx; if the registration fails, Run retries it.
 func New(ctx context.Context, dir string, log *slog.Logger) *Coordinator {
 	c := &Coordinator{Store: handover.New(dir, log), log: log, snapshots: make(chan balancer.Snapshot, 1), startedAt: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -62,8 +63,8 @@
 	return c
 }
 
-// ShareLimits keeps the process to half of the limits if an older one of the same agent is running, or may be. It is called
-// once, before Run.
+// ShareLimits reduces the process to half of the limits if an older process of the same agent may be running. It must be
+// called once, before Run.
 func (c *Coordinator) ShareLimits(p Process) {
 	if c.reducedLimits = !c.StartedAlone(); c.reducedLimits {
 		p.ShareListener(true)
@@ -71,7 +72,8 @@
 	}
 }
 
-// OfferSnapshot replaces the snapshot that is waiting to be recorded. One goroutine calls it; it does not block.
+// OfferSnapshot makes snapshot the next one to be recorded, in place of an earlier one that is not recorded yet. It does not
+// block. Only one goroutine may call it.
 func (c *Coordinator) OfferSnapshot(snapshot balancer.Snapshot) {
 	select {
 	case <-c.snapshots:
@@ -80,15 +82,15 @@
 	c.snapshots <- snapshot
 }
 
-// RecordEndpoints records an endpoint list for the successor, with the discovery address that it is from.
+// RecordEndpoints records an endpoint list for the successor, with the discovery address from which the list was received.
 func (c *Coordinator) RecordEndpoints(from string, list *discovery.EndpointList) {
 	if err := c.SaveList(from, list); err != nil {
 		c.log.Warn("endpoint list not recorded for the successor", "error", err)
 	}
 }
 
-// AwaitRecord waits until the record of earlier processes can be read, for as long as a new process may wait and until stop
-// ends at the latest. It returns the admin calls that they accepted.
+// AwaitRecord waits until the record of earlier processes has been read, but only until TimeLeft is used up or stop is done.
+// It returns the admin calls that the earlier processes accepted.
 func (c *Coordinator) AwaitRecord(stop context.Context) (overrides []handover.Override, lameDuck bool) {
 	overrides, lameDuck, ok := c.Poll()
 	for !ok && c.TimeLeft() > 0 && stop.Err() == nil {
@@ -101,11 +103,11 @@
 	return overrides, lameDuck
 }
 
-// TimeLeft returns how long the process may still wait before it is ready.
+// TimeLeft returns how long the process may still wait for the record and an endpoint list before it must be ready.
 func (c *Coordinator) TimeLeft() time.Duration { return recordTimeout - time.Since(c.startedAt) }
 
-// Run records snapshots, applies the admin calls that another process of this agent accepts, and shares the limits with it
-// while it runs, until ctx ends.
+// Run records snapshots, applies the admin calls that another process of this agent accepts, and shares the limits with the
+// other process while that process runs. It returns when ctx is done.
 func (c *Coordinator) Run(ctx context.Context, p Process) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -125,12 +127,13 @@
 	}
 }
 
-// syncAdminCalls makes the calls to either process apply in both, and in the record.
+// syncAdminCalls applies the admin calls to another process in this one, and records the calls to this process that are not
+// recorded yet.
 func (c *Coordinator) syncAdminCalls(ctx context.Context, p Process) {
 	if err := c.Register(); err != nil {
-		return // logged at the start
+		return // New has logged the first failure
 	}
-	_ = c.Flush(ctx) // logged when the call was accepted, and retried
+	_ = c.Flush(ctx) // a failure was logged when the call was accepted; the next tick retries
 	overrides, lameDuck, _ := c.Poll()
 	for _, override := range overrides {
 		if err := p.ApplyOverride(ctx, override); err != nil {
@@ -143,7 +146,7 @@
 	}
 }
 
-// adjustLimits keeps the process to half of the limits while another may be running.
+// adjustLimits reduces the process to half of the limits while another process may be running.
 func (c *Coordinator) adjustLimits(p Process) {
 	switch {
 	case c.reducedLimits && !c.hasSuccessor && c.BecomePrimary():
--- a/internal/agent/listener/conn.go
+++ b/internal/agent/listener/conn.go
@@ -1,26 +1,26 @@
 package listener
 
-// This file is a connection that Limited has accepted.
+// This file implements the connections that Limited accepts.
 
 import (
 	"net"
 	"time"
 )
 
-// Conn is a TCP connection that holds one of a Limited listener's slots until it is closed. It keeps the methods of a
-// TCP connection: without CloseWrite, net/http would close at once after the last response, and a reset could overtake
-// it.
+// Conn is a TCP connection that uses one of a Limited listener's slots until it is closed. It has all methods of a TCP
+// connection: without CloseWrite, net/http would close the connection right after the last response, and a reset could
+// overtake the response.
 type Conn struct {
 	*net.TCPConn
-	release func()        // gives the slot back; may be called again
+	release func()        // frees the slot; calls after the first do nothing
 	queued  time.Duration // see Queued
 }
 
-// Queued is the longest time for which the connection may have waited in the kernel's accept queue; 0: it was accepted
+// Queued returns the longest time that the connection may have waited in the kernel's accept queue; 0 if it was accepted
 // at once.
 func (c *Conn) Queued() time.Duration { return c.queued }
 
-// Close closes the connection and gives its slot back, once however often it is called.
+// Close closes the connection and frees its slot. It may be called more than once; the slot is freed only once.
 func (c *Conn) Close() error {
 	defer c.release()
 	return c.TCPConn.Close()
--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -1,6 +1,6 @@
 package listener
 
-// This file is a listener with a bounded number of open connections.
+// This file implements a listener with a bounded number of open connections.
 
 import (
 	"errors"
@@ -12,39 +12,41 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Limited is a TCP listener with a fixed number of slots: each open connection holds one. While none is free, clients
-// wait in the kernel's accept queue: a process that runs out of descriptors would fail connections to healthy backends
-// too. A failed accept is retried whatever the error: accept(2) returns errors of the connection that it would have
-// accepted, and shortages that pass.
+// Limited is a TCP listener with a fixed number of slots: each open connection uses one. While no slot is free, clients
+// wait in the kernel's accept queue. Without the limit the process could run out of file descriptors, and its connections
+// to healthy backends would fail too. Limited retries every failed accept, because accept(2) returns errors of the
+// connection that it would have accepted, and of temporary resource shortages.
 //
-// Accept is called by one goroutine. The other methods, and Close of the connections, may be called from any.
+// Only one goroutine may call Accept. The other methods, and Close of the connections, may be called from any goroutine.
 type Limited struct {
 	*net.TCPListener
-	// Both are set before the first Accept, called by Accept's goroutine, and may be nil.
-	OnFull        func()      // called while no slot is free, every slotRetryInterval: it may free one
-	OnAcceptError func(error) // called with the first of failures in a row
+	// OnFull and OnAcceptError must be set before the first Accept; either may be nil. Accept's goroutine calls them.
+	OnFull        func()      // called every slotRetryInterval while no slot is free; it may free one
+	OnAcceptError func(error) // called with the first of consecutive errors
 
 	slots      chan struct{} // holds one value for each slot in use
 	closed     chan struct{} // closed by Close
 	closeOnce  sync.Once
 	backlogged atomic.Bool
-	// backloggedAt is since when connections may be waiting in the accept queue; zero: none is. Accept alone uses it.
+	// backloggedAt is the time since which connections may have been waiting in the accept queue; zero: none is waiting.
+	// Only Accept uses it.
 	backloggedAt time.Time
 }
 
 const (
 	slotRetryInterval = 20 * time.Millisecond // between calls of OnFull
-	emptyQueueWait    = time.Millisecond      // an accept that takes longer found the accept queue empty
-	// Backoff after failed accepts, doubled each time. Clients that connect meanwhile wait in the accept queue.
+	emptyQueueWait    = time.Millisecond      // if an accept takes longer, the accept queue was empty
+	// Backoff after failed accepts, doubled each time. Clients that connect during it wait in the accept queue.
 	initialBackoff, maxBackoff = time.Millisecond, 50 * time.Millisecond
 )
 
-// Limit returns a listener over l that has at most maxConns connections open at once.
+// Limit returns a listener that accepts from l and has at most maxConns connections open at once.
 func Limit(l *net.TCPListener, maxConns int) *Limited {
 	return &Limited{TCPListener: l, slots: make(chan struct{}, maxConns), closed: make(chan struct{})}
 }
 
-// Reserve takes n slots out of use, as far as they are free; a negative n puts -n slots back in use.
+// Reserve takes up to n free slots out of use; slots that are in use are not waited for. A negative n returns -n slots
+// to use.
 func (l *Limited) Reserve(n int) {
 	for ; n > 0; n-- {
 		select {
@@ -57,16 +59,17 @@
 	}
 }
 
-// InUse is the number of slots that are held by connections or reserved.
+// InUse returns the number of slots that are used by connections or reserved.
 func (l *Limited) InUse() int { return len(l.slots) }
 
-// Size is the number of slots.
+// Size returns the number of slots.
 func (l *Limited) Size() int { return cap(l.slots) }
 
 // Backlogged reports whether connections may be waiting in the accept queue, because no slot is free or accepts fail.
 func (l *Limited) Backlogged() bool { return l.backlogged.Load() }
 
-// Accept waits for a slot and a connection, a *Conn. It fails only once the listener is closed, with net.ErrClosed.
+// Accept waits for a free slot and a connection, and returns the connection, a *Conn. It fails only once the listener is
+// closed, with net.ErrClosed.
 func (l *Limited) Accept() (net.Conn, error) {
 	if err := l.acquireSlot(); err != nil {
 		return nil, err
@@ -83,7 +86,7 @@
 	return conn, nil
 }
 
-// markBacklogged notes that connections may be waiting in the accept queue from now on.
+// markBacklogged records that connections may be waiting in the accept queue from now on.
 func (l *Limited) markBacklogged() {
 	l.backlogged.Store(true)
 	if l.backloggedAt.IsZero() {
@@ -91,7 +94,7 @@
 	}
 }
 
-// accept returns the next connection, after as many failed accepts as there are.
+// accept returns the next connection, and retries failed accepts. It fails only once the listener is closed.
 func (l *Limited) accept() (*net.TCPConn, error) {
 	retryBackoff := backoff.ExponentialBackOff{InitialInterval: initialBackoff, Multiplier: 2, MaxInterval: maxBackoff}
 	for first := true; ; first = false {
@@ -119,7 +122,7 @@
 	}
 }
 
-// acquireSlot waits for a free slot and takes it. It fails with net.ErrClosed once the listener is closed.
+// acquireSlot waits for a free slot and takes it. It fails with net.ErrClosed if the listener is closed during the wait.
 func (l *Limited) acquireSlot() error {
 	select {
 	case l.slots <- struct{}{}:
@@ -144,7 +147,7 @@
 	}
 }
 
-// Close ends accepting. Connections that are open stay so.
+// Close stops accepting. Open connections stay open.
 func (l *Limited) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.TCPListener.Close()
--- a/internal/agent/listener/retry.go
+++ b/internal/agent/listener/retry.go
@@ -1,6 +1,6 @@
 package listener
 
-// This file retries what opens a socket or a file at startup, while it fails for reasons that may pass.
+// This file retries functions that open a socket or a file at startup, while they fail with transient errors.
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 )
 
 const (
-	openTimeout       = 8 * time.Second // bounds Retry: a restarted process has to be ready within 10 s
+	openTimeout       = 8 * time.Second // bounds Retry: a restarted process must be ready within 10 s
 	openRetryInterval = 20 * time.Millisecond
 )
 
-// transientErrnos are the errors of system calls that may pass: shortages of the machine, addresses that another
-// process still has, networks that are down and disks that fail. All others are taken for permanent.
+// transientErrnos are the system call errors that may be transient: resource shortages, addresses that another process
+// still uses, networks that are down and disks that fail. All other errors are treated as permanent.
 var transientErrnos = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EBUSY,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOLCK,
@@ -24,15 +24,15 @@
 	syscall.ECONNABORTED, syscall.EPROTO, syscall.ETIMEDOUT, syscall.EIO,
 }
 
-// IsTransient reports whether err holds an error of a system call that may pass.
+// IsTransient reports whether err wraps a system call error that may be transient.
 func IsTransient(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(transientErrnos, errno)
 }
 
-// Retry calls attempt until it succeeds, fails with an error that is not transient, or openTimeout has passed or ctx is
-// done; it returns the latest result. It waits for a value of retryTicks before each further attempt; nil: for
-// openRetryInterval.
+// Retry calls attempt until attempt succeeds or fails with an error that is not transient, openTimeout has passed, or ctx
+// is done. It returns the latest result of attempt. Before each further call it waits for a value of retryTicks, or for
+// openRetryInterval if retryTicks is nil.
 func Retry[T any](ctx context.Context, retryTicks <-chan time.Time, attempt func() (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
--- a/internal/agent/peers/transport.go
+++ b/internal/agent/peers/transport.go
@@ -1,5 +1,5 @@
-// Package peers exchanges datagrams between the agents of a tier, which carry the gossip of the balancer. Datagrams may be
-// lost, and one that is not from a known agent is ignored.
+// Package peers exchanges the datagrams that carry the balancer's gossip between the agents of a tier. Datagrams may be lost.
+// A datagram from an address that is not in Config.Addrs is ignored.
 package peers
 
 import (
@@ -14,13 +14,14 @@
 	"martenbeam/internal/agent/listener"
 )
 
-const maxDatagram = 256 // bytes, the protocol's limit; a longer message is not sent
+const maxDatagram = 256 // in bytes, the protocol's limit; a longer message is not sent
 
-// Config is what a Transport is told at its start.
+// Config is the configuration of a Transport.
 type Config struct {
 	Listen string   // UDP address of this agent
-	Addrs  []string // of all agents, by number
-	// AwaitAddr is set if an older process may hold the address: then Run waits for it, otherwise New does.
+	Addrs  []string // UDP addresses of all agents, by agent number
+	// AwaitAddr is set if an older process may still use the address. Run then binds the address once it is free; otherwise
+	// New does.
 	AwaitAddr bool
 }
 
@@ -39,14 +40,14 @@
 	data []byte
 }
 
-// bindInterval is the pause between attempts to bind the address while an older process holds it.
+// bindInterval is the pause between attempts to bind the address while an older process uses it.
 const bindInterval = 50 * time.Millisecond
 
 // readRetryDelay is the pause after a failed read.
 const readRetryDelay = time.Millisecond
 
-// New resolves the addresses and opens the socket, unless Run is to. It retries until ctx ends while the address is in use. An
-// error names the field of the agent's configuration.
+// New resolves the addresses, and opens the socket unless cfg.AwaitAddr leaves that to Run. While the address is in use it
+// retries until ctx is done or listener.Retry times out. An error names the field of the agent's configuration.
 func New(ctx context.Context, cfg Config, log *slog.Logger) (*Transport, error) {
 	p := &Transport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
 	for i, text := range cfg.Addrs {
@@ -71,7 +72,7 @@
 	return p, nil
 }
 
-// bind waits until the address can be bound. It returns false if ctx ends first.
+// bind binds the address, and retries until that succeeds. It returns false if ctx is done first.
 func (p *Transport) bind(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
@@ -92,7 +93,8 @@
 	return true
 }
 
-// Send queues a message. Datagrams may be lost anyway, so a message is dropped if the queue is full.
+// Send queues a message to the agent with the number to. If the queue is full, Send drops the message, because datagrams may
+// be lost anyway.
 func (p *Transport) Send(to int, data []byte) {
 	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
 		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
@@ -104,7 +106,7 @@
 	}
 }
 
-// Run binds the address, then sends and receives until ctx ends.
+// Run binds the address if New has not, and then sends and receives until ctx is done. It calls receive for each message.
 func (p *Transport) Run(ctx context.Context, receive func(balancer.GossipReceived)) {
 	if !p.bind(ctx) {
 		return
@@ -129,7 +131,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err != nil { // the ICMP error of an earlier datagram, or a shortage: the socket itself is intact
+		if err != nil { // an earlier datagram's ICMP error, or a resource shortage: the socket is still usable
 			select {
 			case <-time.After(readRetryDelay):
 			case <-ctx.Done():
