--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -18,10 +18,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds every wait for something that has to happen: far more than it takes on any machine.
+// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
 const testTimeout = 30 * time.Second
 
-// fakeAgent is an agent that is ready, and has no backend.
+// fakeAgent is a ready agent without backends.
 type fakeAgent struct{}
 
 func (fakeAgent) Ready() bool { return true }
@@ -30,7 +30,7 @@
 }
 func (fakeAgent) SetLameDuck(bool) {}
 
-// A connection on which a complete call has arrived is not evicted, however late the server reads it.
+// A connection on which a complete call has arrived is not evicted, even if the server reads the call late.
 func TestCompleteCallIsNotEvicted(t *testing.T) {
 	s, err := New(t.Context(), "127.0.0.1:0", 1, fakeAgent{}, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -44,24 +44,24 @@
 	if _, err := io.WriteString(c, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	// The read loop has the call, and the server does not read it yet.
+	// The read loop buffers the call, but the server does not read it yet.
 	conn, err := clientconn.Listener{Listener: s.listener, Readers: &s.readers}.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.idleConns.Track(conn, http.StateNew)
 	waitForCall(t, conn.(*clientconn.Conn))
-	time.Sleep(2 * clientconn.MinIdleTime) // it has been idle for long enough to be evicted
+	time.Sleep(2 * clientconn.MinIdleTime) // long enough for an idle connection to be evicted
 	s.idleConns.EvictIdle()
 	if !s.idleConns.Claim(conn) {
-		t.Error("closed to make room")
+		t.Error("connection with a complete call evicted")
 	}
 	served := make(chan error, 1)
 	once := &oneConn{conn: conn, done: make(chan struct{})}
 	s.idleConns.Track(conn, http.StateNew)
 	go func() { served <- s.server.Serve(once) }()
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, error %v, want status 200", resp, err)
 	}
 	c.Close()
 	s.server.Close()
@@ -70,12 +70,12 @@
 	s.readers.Wait()
 }
 
-// waitForCall waits until the read loop has the call.
+// waitForCall waits until the read loop has buffered a call.
 func waitForCall(t *testing.T, conn *clientconn.Conn) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !conn.MayHaveRequest(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the call was not read")
+			t.Fatal("timed out waiting for the read loop to read the call")
 		}
 	}
 }
--- a/internal/agent/clientconn/close_test.go
+++ b/internal/agent/clientconn/close_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A closed connection whose client never closes is read on for lingerTimeout, and no longer.
+// If the client never closes, the read loop reads a closed connection for lingerTimeout, and then closes the socket.
 func TestLingeringConnectionIsClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -18,21 +18,21 @@
 		done := make(chan struct{})
 		go func() { c.readLoop(); close(done) }()
 		go func() { _, _ = io.Copy(io.Discard, near) }()
-		if _, err := c.Write([]byte("answer")); err != nil {
+		if _, err := c.Write([]byte("response")); err != nil {
 			t.Fatal(err)
 		}
 		at := time.Now()
 		c.Close()
 		if <-done; time.Since(at) != lingerTimeout {
-			t.Errorf("closed after %v", time.Since(at))
+			t.Errorf("connection closed after %v, want %v", time.Since(at), lingerTimeout)
 		}
 		if _, err := far.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-			t.Errorf("the socket is open: %v", err)
+			t.Errorf("write after the lingering: error %v, want io.ErrClosedPipe", err)
 		}
 	})
 }
 
-// halfPipe is a pipe that seems to be able to end its sending alone, as a TCP connection is.
+// halfPipe is a pipe with a CloseWrite method, as a TCP connection has. The method does nothing.
 type halfPipe struct{ net.Conn }
 
 func (halfPipe) CloseWrite() error { return nil }
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -13,14 +13,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds every wait for something that has to happen: far more than it takes on any machine.
+// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
 const testTimeout = 30 * time.Second
 
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	return ln
 }
 
-// connect returns both ends of a TCP connection.
+// connect returns the client's and the server's end of a TCP connection.
 func connect(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln := listen(t)
@@ -54,38 +54,38 @@
 // getRequest is a request without a body.
 const getRequest = "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"
 
-// A part of a request counts wherever it is: buffered by the read loop, or read by the server.
+// RequestInProgress detects part of a request both in the read loop's buffer and in what the server has read.
 func TestRequestInProgressSeesBytesWhereverTheyAre(t *testing.T) {
-	t.Run("part read ahead", func(t *testing.T) {
+	t.Run("part of a request read ahead, then read by the server", func(t *testing.T) {
 		c := New(nil)
 		if c.Conn = (&net.TCPConn{}); c.RequestInProgress() {
-			t.Error("a request is seen where none is")
+			t.Error("request in progress before any byte has arrived")
 		}
 		c.store([]byte("G"), nil)
 		if !c.RequestInProgress() {
-			t.Error("what was read ahead is not seen")
+			t.Error("no request in progress after a byte was read ahead")
 		}
 		c.readDeadline = time.Time{}
 		if n, err := c.Read(make([]byte, 10)); n != 1 || err != nil || !c.RequestInProgress() {
-			t.Errorf("%d bytes, %v: what the server has is not seen", n, err)
+			t.Errorf("server read %d bytes, error %v: want 1 byte and a request in progress", n, err)
 		}
 	})
-	t.Run("whole with the server, its answer out, and another with it", func(t *testing.T) {
+	t.Run("two complete requests read by the server", func(t *testing.T) {
 		c := New(&net.TCPConn{})
 		c.store([]byte("\r\n"+getRequest+getRequest), nil)
 		if _, err := c.Read(make([]byte, 4096)); err != nil {
 			t.Fatal(err)
 		}
 		if c.MarkResponseComplete(); !c.RequestInProgress() {
-			t.Error("the second is not seen")
+			t.Error("no request in progress after the first of two responses")
 		}
 		if c.MarkResponseComplete(); c.RequestInProgress() {
-			t.Error("a third is seen")
+			t.Error("request in progress after both responses")
 		}
 	})
 }
 
-// Bytes that lie unread in the kernel are detected on the connections that package listener accepts.
+// Bytes that are unread in the kernel are detected on the connections that package listener accepts.
 func TestUnreadBytesAreDetected(t *testing.T) {
 	ln := listen(t)
 	near, err := net.Dial("tcp", ln.Addr().String())
@@ -99,10 +99,10 @@
 	}
 	defer c.Close()
 	if hasUnreadBytes(c) {
-		t.Error("bytes seen where none are")
+		t.Error("unread bytes detected before any was sent")
 	}
 	if _, err := io.WriteString(near, "P"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the byte to be seen", func() bool { return hasUnreadBytes(c) })
+	waitFor(t, "the unread byte to be detected", func() bool { return hasUnreadBytes(c) })
 }
--- a/internal/agent/clientconn/framing_test.go
+++ b/internal/agent/clientconn/framing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Headers may be read in pieces of any size, and a body that looks like a header is a body.
+// The framing does not depend on the sizes of the reads, and a body that resembles a header is parsed as a body.
 func TestFramingIsIndependentOfReadSizes(t *testing.T) {
 	plain := "\r\nPOST /a HTTP/1.1\r\nContent-Length: 31\r\n\r\nTransfer-Encoding: chunked\r\n\r\nx" +
 		"POST /b HTTP/1.1\r\nX-Long: " + strings.Repeat("Transfer-Encoding:", 40) + "\nContent-Length: 0\n\n"
@@ -17,13 +17,13 @@
 			c.observe(part)
 		}
 		if c.ambiguous.Load() || c.hasTransferEncoding {
-			t.Fatalf("in pieces of %d: taken for ambiguous", size)
+			t.Fatalf("reads of %d bytes: unambiguous requests reported as ambiguous", size)
 		}
 		for part := range slices.Chunk([]byte(both), size) {
 			c.observe(part)
 		}
 		if !c.ambiguous.Load() {
-			t.Fatalf("in pieces of %d: not taken for ambiguous", size)
+			t.Fatalf("reads of %d bytes: ambiguous request not reported", size)
 		}
 	}
 }
--- a/internal/agent/clientconn/idle_test.go
+++ b/internal/agent/clientconn/idle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A connection on which a complete request has arrived is not evicted, whether the server has read it or not.
+// A connection on which a complete request has arrived is not evicted, whether the server has read the request or not.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	for _, seen := range []bool{false, true} {
 		near, far := connect(t)
@@ -19,27 +19,27 @@
 		if _, err := io.WriteString(near, "GET /get/x HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "the request to be read", func() bool { return c.RequestInProgress() && !hasUnreadBytes(c.Conn) })
+		waitFor(t, "the read loop to read the request", func() bool { return c.RequestInProgress() && !hasUnreadBytes(c.Conn) })
 		if seen {
 			if _, err := c.Read(make([]byte, 100)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		// As if the request had arrived after EvictIdle or CloseIdle looked.
+		// The request arrives after EvictIdle or CloseIdle has checked the connection.
 		if c.abortUnlessRequested() || c.closeUnlessInRequest() {
-			t.Errorf("seen by the server %v: closed in the moment in which it came", seen)
+			t.Errorf("request read by the server: %v: connection closed although the request had arrived", seen)
 		}
 		idle, other := net.Pipe()
 		defer other.Close()
 		idleClient := New(idle)
-		// This one is idle for less long, and evicted in the other's place.
+		// This connection has been idle for a shorter time, but it has no request, so it is evicted.
 		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)}
 		idleConns.EvictIdle()
 		if !idleConns.Claim(c) {
-			t.Errorf("seen by the server %v: closed", seen)
+			t.Errorf("request read by the server: %v: connection with the request evicted", seen)
 		}
 		if idleConns.Claim(idleClient) {
-			t.Errorf("seen by the server %v: no other made room", seen)
+			t.Errorf("request read by the server: %v: idle connection not evicted", seen)
 		}
 		c.Close()
 		near.Close()
--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Earlier versions of the program store times by the wall clock alone, and drop keys that they don't know. Their records are
-// read, and those of this version hold whatever the wall clock has been stepped to since.
+// Earlier versions of the program store only wall-clock times, and drop unknown keys. This version reads their records. Times
+// that this version stores are not affected by later steps of the wall clock.
 func TestRecordsOfAnEarlierVersionAreReadByTheWallClock(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	unix := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
 	earlier := Record{Format: 1, Generation: 1, SavedUnixMs: unix(time.Second), DisabledUnixMs: map[string]int64{"out": unix(time.Minute)},
 		EnabledUnixMs: map[string]int64{"back": unix(10 * time.Second)}}
 	if _, stale := earlier.stale(clocks); stale {
-		t.Error("a record of a second ago is stale")
+		t.Error("record written a second ago is stale")
 	}
 	list := newOverrides(&Record{}, &earlier, clocks)
 	disabled := Override{Backend: "out", Disabled: true, IssuedAt: time.Hour - time.Minute}
 	enabled := Override{Backend: "back", IssuedAt: time.Hour - 10*time.Second}
 	if len(list) != 2 || list[0] != disabled || list[1] != enabled {
-		t.Errorf("%+v", list)
+		t.Errorf("overrides %+v, want %+v and %+v", list, disabled, enabled)
 	}
 	earlier.apply(Override{Backend: "out", IssuedAt: time.Hour}, clocks)
 	if at := earlier.enabledAt("out", clocks); at != time.Hour || len(earlier.DisabledUnixMs) != 0 {
-		t.Errorf("enabled again at %v, disabled %v", at, earlier.DisabledUnixMs)
+		t.Errorf("enabled again at %v, want %v; disabled backends %v, want none", at, time.Hour, earlier.DisabledUnixMs)
 	}
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		later := clockReading{boot: clocks.boot + time.Second, wall: clocks.wall.Add(step)}
@@ -31,15 +31,16 @@
 		r.apply(Override{Backend: "out", Disabled: true, IssuedAt: clocks.boot}, clocks)
 		r.apply(Override{Backend: "out", IssuedAt: clocks.boot + time.Millisecond}, later)
 		if _, stale := r.stale(later); stale || r.enabledAt("out", later) != clocks.boot+time.Millisecond {
-			t.Errorf("after a step of %v: stale %v, enabled at %v", step, stale, r.enabledAt("out", later))
+			t.Errorf("after a wall clock step of %v: stale %v, enabled at %v", step, stale, r.enabledAt("out", later))
 		}
 		if earlier.enabledAt("back", later) > later.boot {
-			t.Errorf("after a step of %v a time lies in the future", step)
+			t.Errorf("after a wall clock step of %v: enabled at a time in the future", step)
 		}
 	}
 }
 
-// A record is stale maxRecordAge after the last write, by a clock that no step moves, and after a reboot.
+// A record is stale once its last write is more than maxRecordAge ago, measured since boot, and after a reboot. Steps of the
+// wall clock do not matter.
 func TestRecordIsStaleAfterMaxAgeOrReboot(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	at := func(boot time.Duration, wall time.Duration) Record {
@@ -49,18 +50,18 @@
 		record Record
 		stale  bool
 	}{
-		"fresh":                          {at(time.Hour-time.Second, -time.Second), false},
-		"at the bound":                   {at(time.Hour-maxRecordAge, -maxRecordAge), false},
-		"past it":                        {at(time.Hour-maxRecordAge-time.Second, -maxRecordAge-time.Second), true},
-		"fresh, the wall an hour on":     {at(time.Hour-time.Second, -time.Hour), false},
-		"past it, the wall set back":     {at(time.Hour-maxRecordAge-time.Second, time.Hour), true},
-		"of another start":               {at(2*time.Hour, -time.Second), true},
-		"of a version before, fresh":     {at(0, -time.Second), false},
-		"of a version before, long gone": {at(0, -time.Hour), true},
-		"none":                           {Record{}, false},
+		"fresh":                         {at(time.Hour-time.Second, -time.Second), false},
+		"at the bound":                  {at(time.Hour-maxRecordAge, -maxRecordAge), false},
+		"past the bound":                {at(time.Hour-maxRecordAge-time.Second, -maxRecordAge-time.Second), true},
+		"fresh, wall clock set forward": {at(time.Hour-time.Second, -time.Hour), false},
+		"past the bound, wall set back": {at(time.Hour-maxRecordAge-time.Second, time.Hour), true},
+		"before a reboot":               {at(2*time.Hour, -time.Second), true},
+		"earlier version, fresh":        {at(0, -time.Second), false},
+		"earlier version, an hour old":  {at(0, -time.Hour), true},
+		"empty":                         {Record{}, false},
 	} {
 		if _, stale := c.record.stale(clocks); stale != c.stale {
-			t.Errorf("%s: stale %v", name, stale)
+			t.Errorf("%s: stale %v, want %v", name, stale, c.stale)
 		}
 	}
 }
@@ -73,11 +74,11 @@
 	r.apply(Override{Backend: "s", IssuedAt: 20 * time.Second}, clocks)
 	r.apply(Override{Backend: "s", Disabled: true, IssuedAt: 15 * time.Second}, clocks)
 	if len(r.DisabledUnixMs) != 0 {
-		t.Errorf("disabled by an override older than the enabling: %+v", r)
+		t.Errorf("backend disabled by an override that is older than the enabling: %+v", r)
 	}
 	r.apply(Override{Disabled: true, IssuedAt: 20 * time.Second}, clocks)
 	r.apply(Override{IssuedAt: 10 * time.Second}, clocks)
 	if !r.LameDuck {
-		t.Error("drain ended by an override older than the drain")
+		t.Error("lame duck state ended by an override that is older")
 	}
 }
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -20,7 +20,8 @@
 	return s, s.Register()
 }
 
-// A fresh record of an earlier process is continued; a missing, torn, foreign or old one is ignored without an error.
+// A process uses the fresh record of an earlier process. A missing, truncated or old record, or one in another format, is
+// ignored without an error.
 func TestUnusableRecordIsIgnored(t *testing.T) {
 	now := time.Now().UnixMilli()
 	for name, row := range map[string]struct {
@@ -28,10 +29,10 @@
 		used bool
 	}{
 		"missing":      {"", false},
-		"torn":         {`{"format":1,"turn":3,"saved":`, false},
-		"no record":    {`[1,2]`, false},
+		"truncated":    {`{"format":1,"turn":3,"saved":`, false},
+		"JSON array":   {`[1,2]`, false},
 		"other format": {fmt.Sprintf(`{"format":2,"turn":3,"saved":%d,"detached":{"s":1}}`, now), false},
-		"long gone":    {fmt.Sprintf(`{"format":1,"turn":3,"saved":%d,"detached":{"s":1}}`, now-time.Hour.Milliseconds()), false},
+		"an hour old":  {fmt.Sprintf(`{"format":1,"turn":3,"saved":%d,"detached":{"s":1}}`, now-time.Hour.Milliseconds()), false},
 		"fresh":        {fmt.Sprintf(`{"format":1,"turn":3,"saved":%d,"detached":{"s":1}}`, now), true},
 	} {
 		dir := t.TempDir()
@@ -46,16 +47,16 @@
 			continue
 		}
 		if calls, _, _ := store.Poll(); len(calls) == 1 != row.used {
-			t.Errorf("%s: %d overrides continued", name, len(calls))
+			t.Errorf("%s: %d overrides read, want the record used: %v", name, len(calls), row.used)
 		}
 	}
 	if _, err := newRegistered(filepath.Join(t.TempDir(), "none"), discardLog); err == nil {
-		t.Error("no error without the directory")
+		t.Error("missing directory: no error")
 	}
 }
 
-// An override issued at either process reaches the other, in the order in which they were issued; a process's own overrides
-// do not come back to it.
+// Poll returns the overrides that the other process has accepted, in the order of their issue, but not those that the polling
+// process has accepted itself.
 func TestOverridesReachBothProcesses(t *testing.T) {
 	dir := t.TempDir()
 	older, err := newRegistered(dir, discardLog)
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	if !older.StartedAlone() || younger.StartedAlone() {
-		t.Errorf("alone: %v and %v", older.StartedAlone(), younger.StartedAlone())
+		t.Errorf("started alone: older process %v, want true; newer process %v, want false", older.StartedAlone(), younger.StartedAlone())
 	}
 	at := bootclock.SinceBoot()
 	save := func(s *Store, backend string, disabled bool) {
@@ -86,10 +87,10 @@
 	save(older, "s", true)
 	save(older, "s", true)
 	if got := poll(younger); got != "s true false" {
-		t.Errorf("the younger process polled %q", got)
+		t.Errorf("the newer process polled %q, want \"s true false\"", got)
 	}
 	if got := poll(older); got != "false" {
-		t.Errorf("the older process polled its own override: %q", got)
+		t.Errorf("the older process polled %q, want \"false\" without its own override", got)
 	}
 	save(younger, "", true)
 	save(younger, "s", false)
@@ -97,19 +98,18 @@
 		t.Fatal(err)
 	}
 	if got := poll(older); got != "s false true" {
-		t.Errorf("the older process polled %q", got)
+		t.Errorf("the older process polled %q, want \"s false true\"", got)
 	}
 	if got := poll(younger); got != "true" {
-		t.Errorf("the younger process polled %q", got)
+		t.Errorf("the newer process polled %q, want \"true\"", got)
 	}
-	older.Close() // as the end of its process does
+	older.Close() // as the exit of its process does
 	if !older.HasSuccessor() || !younger.BecomePrimary() || younger.HasSuccessor() {
-		t.Error("the younger process does not become the primary one")
+		t.Error("the newer process does not become primary after the older one has ended")
 	}
 }
 
-// A successor that ends before it has taken over leaves the older process as it was, the one that writes the record; another
-// successor may start.
+// If a successor exits before it has taken over, the older process writes the record again, and another successor may start.
 func TestProcessReclaimsRecordWhenSuccessorExits(t *testing.T) {
 	dir := t.TempDir()
 	start := func() *Store {
@@ -124,34 +124,34 @@
 	for round := range 3 {
 		younger := start()
 		if _, _, _ = older.Poll(); !older.HasSuccessor() || older.ReclaimFromSuccessor() {
-			t.Fatalf("round %d: the successor is not noticed", round)
+			t.Fatalf("round %d: running successor not detected", round)
 		}
-		younger.Close() // killed
+		younger.Close() // as if the successor was killed
 		if !older.ReclaimFromSuccessor() || older.HasSuccessor() {
-			t.Fatalf("round %d: the end of the successor is not noticed", round)
+			t.Fatalf("round %d: exit of the successor not detected", round)
 		}
 		if err := older.SaveSnapshot(balancer.Snapshot{Tokens: float64(round + 1)}); err != nil {
 			t.Fatal(err)
 		}
 		if l := older.LastRecord().Snapshot; l == nil || l.Tokens != float64(round+1) {
-			t.Fatalf("round %d: the older process no longer saves: %+v", round, l)
+			t.Fatalf("round %d: snapshot %+v, want the one that the older process saved", round, l)
 		}
 	}
 	younger := start()
 	older.Close()
 	if !younger.BecomePrimary() || younger.successorLock != nil {
-		t.Error("the younger process is not the primary one now")
+		t.Error("the newer process is not primary after the older one has ended")
 	}
 	third := start()
 	defer third.Close()
 	if _, _, _ = younger.Poll(); !younger.HasSuccessor() || younger.ReclaimFromSuccessor() {
-		t.Error("the third process is not noticed")
+		t.Error("third process not detected as the running successor")
 	}
 	younger.Close()
 }
 
-// A record cut at any byte, or of zeros, or beside a partly written next one, stops no process and is replaced by a complete
-// one.
+// A process starts although the record is truncated at any byte, or consists of zeros, or a new file is left partly written
+// beside it. The process replaces the record with a complete one.
 func TestTornRecordIsIgnoredAndReplaced(t *testing.T) {
 	dir := t.TempDir()
 	older, err := newRegistered(dir, discardLog)
@@ -181,16 +181,16 @@
 			}
 			s, err := newRegistered(dir, discardLog)
 			if err != nil {
-				t.Fatalf("cut at %d: %v", cut, err)
+				t.Fatalf("record truncated to %d bytes: %v", cut, err)
 			}
 			calls, _, ok := s.Poll()
 			if s.Close(); !ok || len(calls) == 1 != (cut == len(complete)) {
-				t.Fatalf("cut at %d, with %q beside it: %v, %v", cut, next, calls, ok)
+				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, record read: %v", cut, next, calls, ok)
 			}
 			again, err := newRegistered(dir, discardLog)
 			known := again.LastRecord()
 			if err != nil || known.check() != nil || again.Generation() < 2 {
-				t.Fatalf("after one cut at %d: %v, turn %d", cut, err, again.Generation())
+				t.Fatalf("after a record truncated to %d bytes: error %v, generation %d", cut, err, again.Generation())
 			}
 			again.Close()
 		}
--- a/internal/agent/hotrestart/coordinator_test.go
+++ b/internal/agent/hotrestart/coordinator_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestLimitsFollowTheOtherProcess: two processes use half of the limits each, and the one that is left uses all of them.
+// TestLimitsFollowTheOtherProcess: two running processes use half of the limits each; a process that runs alone uses all.
 func TestLimitsFollowTheOtherProcess(t *testing.T) {
 	dir := t.TempDir()
 	var first, second fakeProcess
@@ -63,7 +63,8 @@
 	younger.Close()
 }
 
-// TestLimitsComeBackWhenSuccessorEnds: a successor that ends before it took over leaves all of the limits.
+// TestLimitsComeBackWhenSuccessorEnds: a process uses all of its limits again after its successor has exited without taking
+// over.
 func TestLimitsComeBackWhenSuccessorEnds(t *testing.T) {
 	dir := t.TempDir()
 	var process fakeProcess
@@ -79,7 +80,7 @@
 	process.expect(t, "once the successor has ended", false, false)
 }
 
-// TestAdminCallsApplyInBothProcesses: a call that one process has recorded is applied in the other, once.
+// TestAdminCallsApplyInBothProcesses: an admin call that one process has recorded is applied in the other exactly once.
 func TestAdminCallsApplyInBothProcesses(t *testing.T) {
 	dir := t.TempDir()
 	older, younger := New(t.Context(), dir, discardLog), New(t.Context(), dir, discardLog)
@@ -93,11 +94,11 @@
 		younger.syncAdminCalls(t.Context(), &process)
 	}
 	if !slices.Equal(process.overrides, []string{"s"}) {
-		t.Errorf("applied calls: %q", process.overrides)
+		t.Errorf("applied calls: %q, want one for \"s\"", process.overrides)
 	}
 }
 
-// TestAwaitRecordEndsWithStop: a process that is told to stop does not wait for a record that can't be read.
+// TestAwaitRecordEndsWithStop: AwaitRecord returns without waiting for an unreadable record once stop is done.
 func TestAwaitRecordEndsWithStop(t *testing.T) {
 	stop, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -105,6 +106,6 @@
 	defer c.Close()
 	start := time.Now()
 	if overrides, _ := c.AwaitRecord(stop); len(overrides) != 0 || time.Since(start) > recordTimeout/2 {
-		t.Errorf("%d calls after %v", len(overrides), time.Since(start))
+		t.Errorf("%d overrides after %v, want none within %v", len(overrides), time.Since(start), recordTimeout/2)
 	}
 }
--- a/internal/agent/listener/limited_test.go
+++ b/internal/agent/listener/limited_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds every wait for something that has to happen: far more than it takes on any machine.
+// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
 const testTimeout = 30 * time.Second
 
 func listen(t *testing.T) *net.TCPListener {
@@ -24,7 +24,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// dial connects to a listener, until the test ends.
+// dial connects to a listener. The connection is closed when the test ends.
 func dial(t *testing.T, addr net.Addr) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr.String())
@@ -40,12 +40,12 @@
 	select {
 	case x = <-from:
 	case <-time.After(testTimeout):
-		t.Fatalf("%s: nothing came", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return x
 }
 
-// The listener accepts no connection past its limit until another is closed.
+// At its limit the listener accepts a further connection only after an open one is closed.
 func TestLimitedListenerWaitsForAFreeSlot(t *testing.T) {
 	l := Limit(listen(t), 1)
 	full := make(chan struct{}, 1)
@@ -70,16 +70,16 @@
 	for range 2 {
 		dial(t, l.Addr())
 	}
-	first := receive(t, "first connection", accepted)
-	receive(t, "call for room", full)
+	first := receive(t, "the first connection", accepted)
+	receive(t, "a call of OnFull", full)
 	if l.InUse() != 1 || len(accepted) != 0 {
-		t.Errorf("%d connections past the limit", len(accepted))
+		t.Errorf("%d slots in use, want 1; %d connections accepted past the limit", l.InUse(), len(accepted))
 	}
 	first.Close()
-	first.Close() // gives back its slot only once
-	receive(t, "second connection", accepted)
+	first.Close() // frees its slot only once
+	receive(t, "the second connection", accepted)
 	l.Close()
-	if err := receive(t, "end", ended); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v", err)
+	if err := receive(t, "Accept to fail", ended); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Accept after Close: error %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// ListenTCP waits for an address that is still in use, and ends with its context.
+// ListenTCP retries while the address is in use, and stops when its context is done.
 func TestListenTCPWaitsForAddressInUse(t *testing.T) {
 	old := listen(t)
 	type listened struct {
@@ -21,14 +21,14 @@
 	}
 	done, retryTicks := make(chan listened, 1), make(chan time.Time)
 	go func() { ln, err := listenTCP(t.Context(), old.Addr().String(), retryTicks); done <- listened{ln, err} }()
-	retryTicks <- time.Now() // the first attempt has failed
-	retryTicks <- time.Now() // so has the second
+	retryTicks <- time.Now() // received after the first attempt has failed
+	retryTicks <- time.Now() // received after the second attempt has failed
 	old.Close()
 	var l listened
 	select {
 	case retryTicks <- time.Now():
-		l = receive(t, "listener", done)
-	case l = <-done: // the second attempt came after the close
+		l = receive(t, "the listener", done)
+	case l = <-done: // the second attempt was made after the close
 	}
 	if l.err != nil {
 		t.Fatal(l.err)
@@ -37,11 +37,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := listenTCP(ctx, l.ln.Addr().String(), retryTicks); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("an address that is never free: %v", err)
+		t.Errorf("address in use, context cancelled: error %v, want EADDRINUSE", err)
 	}
 }
 
-// dupDescriptor returns a further descriptor of a socket, as a process inherits it.
+// dupDescriptor returns a duplicate descriptor of a socket, as a process would inherit it.
 func dupDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
@@ -55,7 +55,7 @@
 	return keep
 }
 
-// dup returns a further descriptor of f, which no os.File owns, and closes f.
+// dup returns a duplicate descriptor of f, which no os.File owns, and closes f.
 func dup(f *os.File) (int, error) {
 	defer f.Close()
 	fd, err := syscall.Dup(int(f.Fd()))
@@ -65,16 +65,16 @@
 	return fd, err
 }
 
-// The inherited descriptor has to be a listening TCP socket, and the platform's own descriptor of it stays open.
+// Inherited accepts only a listening TCP socket. Closing its listener does not close the platform's descriptor.
 func TestInheritedTakesOnlyListeningTCPSockets(t *testing.T) {
 	ln := listen(t)
 	got, err := Inherited(t.Context(), dupDescriptor(t, ln))
 	if err != nil || got.Addr().String() != ln.Addr().String() {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("listener %v, error %v, want a listener on %v", got, err, ln.Addr())
 	}
 	got.Close()
 	if c, err := net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Errorf("the platform's socket went with the process's: %v", err)
+		t.Errorf("the platform's socket does not accept after the inherited listener was closed: %v", err)
 	} else {
 		c.Close()
 	}
@@ -94,9 +94,9 @@
 		t.Fatal(err)
 	}
 	for name, fd := range map[string]int{"a connection": dupDescriptor(t, c.(*net.TCPConn)),
-		"UDP": dupDescriptor(t, udp.(*net.UDPConn)), "a file": fd, "nothing": 1 << 20} {
+		"UDP": dupDescriptor(t, udp.(*net.UDPConn)), "a file": fd, "no descriptor": 1 << 20} {
 		if _, err := Inherited(t.Context(), fd); err == nil || !strings.Contains(err.Error(), "PROXY_FD") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want one that names PROXY_FD", name, err)
 		}
 	}
 }
--- a/internal/agent/peers/transport_test.go
+++ b/internal/agent/peers/transport_test.go
@@ -15,7 +15,7 @@
 // TestMain checks that no goroutine outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
+// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
 const testTimeout = 30 * time.Second
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -26,12 +26,12 @@
 	case v := <-ch:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// TestPeerMessagesTravelAsDatagrams: the sender of a message is known by its address.
+// TestPeerMessagesTravelAsDatagrams: each message is one datagram, and the sender is identified by its address.
 func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
 	cfg := Config{Listen: "127.0.0.1:0"}
 	other, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -52,17 +52,17 @@
 	buf := make([]byte, 512)
 	n, _, err := other.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != "hi" {
-		t.Fatalf("%q, %v", buf[:n], err)
+		t.Fatalf("first datagram %q, error %v, want \"hi\"", buf[:n], err)
 	}
 	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
 		t.Fatal(err)
 	}
-	if m, ok := receive(t, "message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
-		t.Errorf("%+v", m)
+	if m, ok := receive(t, "a message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
+		t.Errorf("received %+v, want \"yes\" from agent 1", m)
 	}
 }
 
-// TestPeerAddressIsBoundOnceReleased: while an older process holds the peers' address, the successor waits for it.
+// TestPeerAddressIsBoundOnceReleased: a successor binds the peer address once the older process has released it.
 func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
 	held, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -70,9 +70,9 @@
 	}
 	cfg := Config{Listen: held.LocalAddr().String()}
 	over, cancel := context.WithCancel(t.Context())
-	cancel() // nobody waits for the address
+	cancel() // New must not wait for the address
 	if _, err := New(over, cfg, discardLog); err == nil {
-		t.Error("with no handover a held address is no error")
+		t.Error("address in use without AwaitAddr: no error")
 	}
 	cfg.AwaitAddr = true
 	p, err := New(t.Context(), cfg, discardLog)
@@ -83,13 +83,13 @@
 	bound := make(chan bool)
 	go func() { bound <- p.bind(ctx) }()
 	held.Close()
-	if !receive(t, "bind", bound) {
-		t.Error("not bound")
+	if !receive(t, "bind to return", bound) {
+		t.Error("address not bound after its release")
 	}
 	p.conn.Close()
 	cancel()
 	p.conn = nil
 	if p.bind(ctx) {
-		t.Error("bound after the end")
+		t.Error("bind succeeded although its context was cancelled")
 	}
 }
