--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -115,14 +115,14 @@
 
 // record stores a call that has taken effect, for the successor of this process. It reports false if the call could not
 // be stored before ctx was done.
-func (s *Server) record(ctx context.Context, call handover.Override) bool {
+func (s *Server) record(ctx context.Context, override handover.Override) bool {
 	if s.Record == nil {
 		return true
 	}
-	call.IssuedAt = bootclock.SinceBoot()
-	err := s.Record(ctx, call)
+	override.IssuedAt = bootclock.SinceBoot()
+	err := s.Record(ctx, override)
 	if err != nil {
-		s.log.Error("recording an admin call failed", "backend", call.Backend, "out", call.Disabled, "error", err)
+		s.log.Error("recording an admin call failed", "backend", override.Backend, "out", override.Disabled, "error", err)
 	}
 	return err == nil
 }
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -104,9 +104,9 @@
 	go func() {
 		defer close(closed)
 		<-ctx.Done()
-		bound, cancel := context.WithTimeout(context.Background(), s.AnswerTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), s.AnswerTimeout)
 		defer cancel()
-		if s.server.Shutdown(bound) != nil { // timed out: do not wait for callers that send nothing
+		if s.server.Shutdown(shutdownCtx) != nil { // timed out: do not wait for callers that send nothing
 			s.server.Close()
 		}
 	}()
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
+// testTimeout bounds each wait in the tests; every event that a test waits for takes far less time on any machine.
 const testTimeout = 30 * time.Second
 
 // fakeAgent is a ready agent without backends.
--- a/internal/agent/clientconn/close.go
+++ b/internal/agent/clientconn/close.go
@@ -30,9 +30,9 @@
 	return c.Conn.Close()
 }
 
-// abortUnlessRequested closes the connection at once, without lingering, unless a complete request may have arrived. It
+// abortUnlessRequestArrived closes the connection at once, without lingering, unless a complete request may have arrived. It
 // reports whether it closed the connection.
-func (c *Conn) abortUnlessRequested() bool {
+func (c *Conn) abortUnlessRequestArrived() bool {
 	c.mu.Lock()
 	if c.mayHaveRequest() {
 		c.mu.Unlock()
--- a/internal/agent/clientconn/close_test.go
+++ b/internal/agent/clientconn/close_test.go
@@ -12,21 +12,21 @@
 // If the client never closes, the read loop reads a closed connection for lingerTimeout, and then closes the socket.
 func TestLingeringConnectionIsClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		defer near.Close()
-		c := New(&halfPipe{Conn: far})
+		client, server := net.Pipe()
+		defer client.Close()
+		c := New(&halfPipe{Conn: server})
 		done := make(chan struct{})
 		go func() { c.readLoop(); close(done) }()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
+		go func() { _, _ = io.Copy(io.Discard, client) }()
 		if _, err := c.Write([]byte("response")); err != nil {
 			t.Fatal(err)
 		}
-		at := time.Now()
+		closedAt := time.Now()
 		c.Close()
-		if <-done; time.Since(at) != lingerTimeout {
-			t.Errorf("connection closed after %v, want %v", time.Since(at), lingerTimeout)
+		if <-done; time.Since(closedAt) != lingerTimeout {
+			t.Errorf("connection closed after %v, want %v", time.Since(closedAt), lingerTimeout)
 		}
-		if _, err := far.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+		if _, err := server.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 			t.Errorf("write after the lingering: error %v, want io.ErrClosedPipe", err)
 		}
 	})
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -12,7 +12,7 @@
 //     owner: the handler of the next complete request (Claim), or the function that closes it (EvictIdle, CloseIdle).
 //
 // Freshness: what Conn reports about requests includes the bytes that are unread in the kernel at the time of the call.
-// A disconnect behind unread bytes is detected up to hangUpCheckInterval late, any other disconnect by the read that
+// A disconnect behind unread bytes is detected up to disconnectCheckInterval late, any other disconnect by the read that
 // returns it. IdleConns has a connection's state as of net/http's latest ConnState callback, and checks the Conn itself
 // before it closes a connection.
 package clientconn
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
+// testTimeout bounds each wait in the tests; every event that a test waits for takes far less time on any machine.
 const testTimeout = 30 * time.Second
 
 func waitFor(t *testing.T, what string, condition func() bool) {
@@ -36,26 +36,26 @@
 }
 
 // connect returns the client's and the server's end of a TCP connection.
-func connect(t *testing.T) (near, far net.Conn) {
+func connect(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln := listen(t)
-	near, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close() })
-	far, err = ln.Accept()
+	t.Cleanup(func() { client.Close() })
+	server, err = ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return near, far
+	return client, server
 }
 
 // getRequest is a request without a body.
 const getRequest = "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\n\r\n"
 
 // RequestInProgress detects part of a request both in the read loop's buffer and in what the server has read.
-func TestRequestInProgressSeesBytesWhereverTheyAre(t *testing.T) {
+func TestRequestInProgressDetectsBufferedAndReadBytes(t *testing.T) {
 	t.Run("part of a request read ahead, then read by the server", func(t *testing.T) {
 		c := New(nil)
 		if c.Conn = (&net.TCPConn{}); c.RequestInProgress() {
@@ -88,11 +88,11 @@
 // Bytes that are unread in the kernel are detected on the connections that package listener accepts.
 func TestUnreadBytesAreDetected(t *testing.T) {
 	ln := listen(t)
-	near, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
+	defer client.Close()
 	c, err := listener.Limit(ln.(*net.TCPListener), 1).Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	if hasUnreadBytes(c) {
 		t.Error("unread bytes detected before any was sent")
 	}
-	if _, err := io.WriteString(near, "P"); err != nil {
+	if _, err := io.WriteString(client, "P"); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the unread byte to be detected", func() bool { return hasUnreadBytes(c) })
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -44,14 +44,14 @@
 		f.headerLine = append(f.headerLine, part[:min(len(part), maxHeaderPrefix-len(f.headerLine))]...)
 		p = rest
 		if lineComplete {
-			f.headerField(bytes.TrimSuffix(f.headerLine, []byte("\r")))
+			f.parseHeaderLine(bytes.TrimSuffix(f.headerLine, []byte("\r")))
 			f.headerLine = f.headerLine[:0]
 		}
 	}
 }
 
-// headerField parses a header line without its line ending. An empty line ends the header.
-func (f *framing) headerField(line []byte) {
+// parseHeaderLine parses a header line without its line ending. An empty line ends the header.
+func (f *framing) parseHeaderLine(line []byte) {
 	if len(line) > 0 {
 		f.headerStarted = true
 		name, value, _ := bytes.Cut(line, []byte(":"))
--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -88,7 +88,7 @@
 	}
 	if c, ok := oldest.(*Conn); !ok {
 		oldest.Close()
-	} else if !c.abortUnlessRequested() { // without lingering, which would keep the slot in use
+	} else if !c.abortUnlessRequestArrived() { // without lingering, which would keep the slot in use
 		return // a request has arrived since the check above
 	}
 	delete(ic.conns, oldest)
--- a/internal/agent/clientconn/idle_test.go
+++ b/internal/agent/clientconn/idle_test.go
@@ -9,25 +9,25 @@
 
 // A connection on which a complete request has arrived is not evicted, whether the server has read the request or not.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
-	for _, seen := range []bool{false, true} {
-		near, far := connect(t)
-		c := New(far)
-		received := make(chan struct{})
-		go func() { defer close(received); c.readLoop() }()
+	for _, readByServer := range []bool{false, true} {
+		client, server := connect(t)
+		c := New(server)
+		readLoopDone := make(chan struct{})
+		go func() { defer close(readLoopDone); c.readLoop() }()
 		idleConns := NewIdleConns()
 		idleConns.conns[c] = idleConn{idleAt: time.Now().Add(-time.Hour)} // idle longer than any other
-		if _, err := io.WriteString(near, "GET /get/x HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(client, "GET /get/x HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 		waitFor(t, "the read loop to read the request", func() bool { return c.RequestInProgress() && !hasUnreadBytes(c.Conn) })
-		if seen {
+		if readByServer {
 			if _, err := c.Read(make([]byte, 100)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		// The request arrives after EvictIdle or CloseIdle has checked the connection.
-		if c.abortUnlessRequested() || c.closeUnlessInRequest() {
-			t.Errorf("request read by the server: %v: connection closed although the request had arrived", seen)
+		if c.abortUnlessRequestArrived() || c.closeUnlessInRequest() {
+			t.Errorf("request read by the server: %v: connection closed although the request had arrived", readByServer)
 		}
 		idle, other := net.Pipe()
 		defer other.Close()
@@ -36,13 +36,13 @@
 		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)}
 		idleConns.EvictIdle()
 		if !idleConns.Claim(c) {
-			t.Errorf("request read by the server: %v: connection with the request evicted", seen)
+			t.Errorf("request read by the server: %v: connection with the request evicted", readByServer)
 		}
 		if idleConns.Claim(idleClient) {
-			t.Errorf("request read by the server: %v: idle connection not evicted", seen)
+			t.Errorf("request read by the server: %v: idle connection not evicted", readByServer)
 		}
 		c.Close()
-		near.Close()
-		<-received
+		client.Close()
+		<-readLoopDone
 	}
 }
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -15,9 +15,9 @@
 // errOverflowed is what the server's next read returns after bytes were discarded: what follows them can't be parsed.
 var errOverflowed = errors.New("the client sends more than one request at a time")
 
-// hangUpCheckInterval is how often the read loop checks whether a client has disconnected while bytes of the client are
+// disconnectCheckInterval is how often the read loop checks whether a client has disconnected while bytes of the client are
 // unread in the kernel.
-const hangUpCheckInterval = 25 * time.Millisecond
+const disconnectCheckInterval = 25 * time.Millisecond
 
 // readLoop reads the socket until a read fails with an error that is not retried.
 func (c *Conn) readLoop() {
@@ -62,15 +62,15 @@
 	return true
 }
 
-// waitForSpace waits for a change of the connection's state for at most hangUpCheckInterval, and then checks whether the
+// waitForSpace waits for a change of the connection's state for at most disconnectCheckInterval, and then checks whether the
 // client has disconnected. No read would report a disconnect, because the read loop is paused. The caller holds mu.
 func (c *Conn) waitForSpace() {
-	check := time.AfterFunc(hangUpCheckInterval, func() {
+	checkTimer := time.AfterFunc(disconnectCheckInterval, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.changed.Broadcast()
 	})
-	defer check.Stop()
+	defer checkTimer.Stop()
 	c.changed.Wait()
 	if tcpinfo.PeerClosed(c.Conn) {
 		c.cancelCtx()
@@ -80,11 +80,11 @@
 // queuedBeforeAccept estimates how long the connection's first bytes were queued in the kernel before the connection was
 // accepted; it returns 0 if it can't, and for all later bytes. The caller holds mu.
 func (c *Conn) queuedBeforeAccept() time.Duration {
-	q, ok := c.Conn.(interface{ Queued() time.Duration })
-	if !ok || !c.lastByteAt.IsZero() || q.Queued() == 0 {
+	queued, ok := c.Conn.(interface{ Queued() time.Duration })
+	if !ok || !c.lastByteAt.IsZero() || queued.Queued() == 0 {
 		return 0
 	}
-	return min(q.Queued(), tcpinfo.SinceLastData(c.Conn))
+	return min(queued.Queued(), tcpinfo.SinceLastData(c.Conn))
 }
 
 // markRequestStart records the arrival of the first byte of a request. The caller holds mu.
--- a/internal/agent/handover/file.go
+++ b/internal/agent/handover/file.go
@@ -22,13 +22,13 @@
 	info, err := os.Stat(s.recordPath())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		s.recordKnown = true
+		s.recordRead = true
 		return
 	case err != nil || s.unchanged(info):
 		return
 	}
 	if r, err := s.load(); err == nil {
-		s.recordInfo, s.record, s.recordKnown = info, r, true
+		s.recordInfo, s.record, s.recordRead = info, r, true
 	}
 }
 
@@ -59,7 +59,7 @@
 	if err := s.write(r); err != nil {
 		return fmt.Errorf("write handover record: %w", err)
 	}
-	s.record, s.unsaved, s.recordKnown = r, nil, true
+	s.record, s.unsaved, s.recordRead = r, nil, true
 	s.recordInfo, _ = os.Stat(s.recordPath()) // if this fails, the next refresh reads the file again
 	return nil
 }
--- a/internal/agent/handover/override.go
+++ b/internal/agent/handover/override.go
@@ -29,7 +29,7 @@
 	case override.Disabled && !disabled && r.enabledAt(id, now) <= override.IssuedAt:
 		r.DisabledUnixMs = with(r.DisabledUnixMs, id, now.unixMs(override.IssuedAt))
 		r.DisabledBootUs = with(r.DisabledBootUs, id, issuedBootUs)
-		r.forgetEnabled(id)
+		r.removeEnabled(id)
 	case !override.Disabled && disabled && now.sinceBoot(r.DisabledBootUs[id], disabledUnixMs) <= override.IssuedAt:
 		r.DisabledUnixMs, r.DisabledBootUs = without(r.DisabledUnixMs, id), without(r.DisabledBootUs, id)
 		r.EnabledUnixMs = with(r.EnabledUnixMs, id, now.unixMs(override.IssuedAt))
@@ -37,7 +37,7 @@
 	}
 	for id := range r.EnabledUnixMs {
 		if override.IssuedAt-r.enabledAt(id, now) > enabledRetention {
-			r.forgetEnabled(id)
+			r.removeEnabled(id)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	return now.sinceBoot(r.EnabledBootUs[id], unixMs)
 }
 
-func (r *Record) forgetEnabled(id string) {
+func (r *Record) removeEnabled(id string) {
 	r.EnabledUnixMs, r.EnabledBootUs = without(r.EnabledUnixMs, id), without(r.EnabledBootUs, id)
 }
 
--- a/internal/agent/handover/role.go
+++ b/internal/agent/handover/role.go
@@ -39,7 +39,7 @@
 
 // determineRole determines whether an older process runs. The caller holds mu.
 func (s *Store) determineRole() error {
-	if s.roleKnown {
+	if s.roleDetermined {
 		return nil
 	}
 	if s.primaryLock == nil {
@@ -56,7 +56,7 @@
 		// lock as one that has exited.
 		s.successorLock, err = s.lock(context.Background(), successorLockName)
 	}
-	s.roleKnown = err == nil
+	s.roleDetermined = err == nil
 	return err
 }
 
@@ -79,7 +79,7 @@
 func (s *Store) BecomePrimary() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.roleKnown || flock(s.primaryLock) != nil {
+	if !s.roleDetermined || flock(s.primaryLock) != nil {
 		return false
 	}
 	if s.successorLock != nil {
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -40,18 +40,18 @@
 	log *slog.Logger
 	dir string
 
-	mu            sync.Mutex
-	primaryLock   *os.File    // open file; locked only while this process is the primary process
-	successorLock *os.File    // open and locked file; nil: this process is primary, or has no role yet
-	roleKnown     bool        // whether determineRole has succeeded
-	startedAlone  bool        // no older process ran when the role was determined
-	registered    bool        // Register has added this process to the record
-	generation    int64       // number of this process; a successor has a higher one
-	record        Record      // as last read or written by this process; its maps are never changed in place
-	recordInfo    os.FileInfo // state of the file when it was last read or written
-	recordKnown   bool        // the record was read at least once, or its file was missing
-	applied       Record      // has the overrides that Poll has returned or this process has accepted
-	unsaved       []Override  // accepted by this process, and not in the record yet
+	mu             sync.Mutex
+	primaryLock    *os.File    // open file; locked only while this process is the primary process
+	successorLock  *os.File    // open and locked file; nil: this process is primary, or has no role yet
+	roleDetermined bool        // whether determineRole has succeeded
+	startedAlone   bool        // no older process ran when the role was determined
+	registered     bool        // Register has added this process to the record
+	generation     int64       // number of this process; a successor has a higher one
+	record         Record      // as last read or written by this process; its maps are never changed in place
+	recordInfo     os.FileInfo // state of the file when it was last read or written
+	recordRead     bool        // the record was read at least once, or its file was missing
+	applied        Record      // has the overrides that Poll has returned or this process has accepted
+	unsaved        []Override  // accepted by this process, and not in the record yet
 }
 
 // New returns the store of one process in the folder dir. Register determines the role of the process.
@@ -81,7 +81,7 @@
 	}
 	overrides = newOverrides(&s.applied, &merged, clocks)
 	s.applied = merged
-	return overrides, merged.LameDuck, s.recordKnown
+	return overrides, merged.LameDuck, s.recordRead
 }
 
 // LastRecord returns the record as this process last read or wrote it. The caller must not change its maps.
@@ -144,8 +144,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.update(context.Background(), func(r *Record) {
-		isYoungest := s.registered && r.Generation == s.generation
-		if isYoungest || r.List == nil || r.ListSource == source && r.List.Version < list.Version {
+		isNewest := s.registered && r.Generation == s.generation
+		if isNewest || r.List == nil || r.ListSource == source && r.List.Version < list.Version {
 			r.ListSource, r.List = source, list
 		}
 	})
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -46,8 +46,8 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if calls, _, _ := store.Poll(); len(calls) == 1 != row.used {
-			t.Errorf("%s: %d overrides read, want the record used: %v", name, len(calls), row.used)
+		if overrides, _, _ := store.Poll(); len(overrides) == 1 != row.used {
+			t.Errorf("%s: %d overrides read, want the record used: %v", name, len(overrides), row.used)
 		}
 	}
 	if _, err := newRegistered(filepath.Join(t.TempDir(), "none"), discardLog); err == nil {
@@ -63,12 +63,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	younger, err := newRegistered(dir, discardLog)
+	newer, err := newRegistered(dir, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !older.StartedAlone() || younger.StartedAlone() {
-		t.Errorf("started alone: older process %v, want true; newer process %v, want false", older.StartedAlone(), younger.StartedAlone())
+	if !older.StartedAlone() || newer.StartedAlone() {
+		t.Errorf("started alone: older process %v, want true; newer process %v, want false", older.StartedAlone(), newer.StartedAlone())
 	}
 	at := bootclock.SinceBoot()
 	save := func(s *Store, backend string, disabled bool) {
@@ -86,25 +86,25 @@
 	}
 	save(older, "s", true)
 	save(older, "s", true)
-	if got := poll(younger); got != "s true false" {
+	if got := poll(newer); got != "s true false" {
 		t.Errorf("the newer process polled %q, want \"s true false\"", got)
 	}
 	if got := poll(older); got != "false" {
 		t.Errorf("the older process polled %q, want \"false\" without its own override", got)
 	}
-	save(younger, "", true)
-	save(younger, "s", false)
+	save(newer, "", true)
+	save(newer, "s", false)
 	if err := older.SaveSnapshot(balancer.Snapshot{}); err != nil { // reads and writes the record in between
 		t.Fatal(err)
 	}
 	if got := poll(older); got != "s false true" {
 		t.Errorf("the older process polled %q, want \"s false true\"", got)
 	}
-	if got := poll(younger); got != "true" {
+	if got := poll(newer); got != "true" {
 		t.Errorf("the newer process polled %q, want \"true\"", got)
 	}
 	older.Close() // as the exit of its process does
-	if !older.HasSuccessor() || !younger.BecomePrimary() || younger.HasSuccessor() {
+	if !older.HasSuccessor() || !newer.BecomePrimary() || newer.HasSuccessor() {
 		t.Error("the newer process does not become primary after the older one has ended")
 	}
 }
@@ -113,41 +113,41 @@
 func TestProcessReclaimsRecordWhenSuccessorExits(t *testing.T) {
 	dir := t.TempDir()
 	start := func() *Store {
-		h, err := newRegistered(dir, discardLog)
+		s, err := newRegistered(dir, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return h
+		return s
 	}
 	older := start()
 	defer older.Close()
 	for round := range 3 {
-		younger := start()
+		newer := start()
 		if _, _, _ = older.Poll(); !older.HasSuccessor() || older.ReclaimFromSuccessor() {
 			t.Fatalf("round %d: running successor not detected", round)
 		}
-		younger.Close() // as if the successor was killed
+		newer.Close() // as if the successor was killed
 		if !older.ReclaimFromSuccessor() || older.HasSuccessor() {
 			t.Fatalf("round %d: exit of the successor not detected", round)
 		}
 		if err := older.SaveSnapshot(balancer.Snapshot{Tokens: float64(round + 1)}); err != nil {
 			t.Fatal(err)
 		}
-		if l := older.LastRecord().Snapshot; l == nil || l.Tokens != float64(round+1) {
-			t.Fatalf("round %d: snapshot %+v, want the one that the older process saved", round, l)
+		if snapshot := older.LastRecord().Snapshot; snapshot == nil || snapshot.Tokens != float64(round+1) {
+			t.Fatalf("round %d: snapshot %+v, want the one that the older process saved", round, snapshot)
 		}
 	}
-	younger := start()
+	newer := start()
 	older.Close()
-	if !younger.BecomePrimary() || younger.successorLock != nil {
+	if !newer.BecomePrimary() || newer.successorLock != nil {
 		t.Error("the newer process is not primary after the older one has ended")
 	}
 	third := start()
 	defer third.Close()
-	if _, _, _ = younger.Poll(); !younger.HasSuccessor() || younger.ReclaimFromSuccessor() {
+	if _, _, _ = newer.Poll(); !newer.HasSuccessor() || newer.ReclaimFromSuccessor() {
 		t.Error("third process not detected as the running successor")
 	}
-	younger.Close()
+	newer.Close()
 }
 
 // A process starts although the record is truncated at any byte, or consists of zeros, or a new file is left partly written
@@ -162,16 +162,16 @@
 		t.Fatal(err)
 	}
 	older.Close()
-	complete, err := os.ReadFile(filepath.Join(dir, recordName))
+	intact, err := os.ReadFile(filepath.Join(dir, recordName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := range len(complete) + 1 {
-		for _, next := range []string{"", "{", string(complete)} {
+	for cut := range len(intact) + 1 {
+		for _, next := range []string{"", "{", string(intact)} {
 			dir := t.TempDir()
-			text := complete[:cut]
+			text := intact[:cut]
 			if cut == 0 {
-				text = make([]byte, len(complete))
+				text = make([]byte, len(intact))
 			}
 			if err := os.WriteFile(filepath.Join(dir, recordName), text, 0o600); err != nil {
 				t.Fatal(err)
@@ -183,13 +183,13 @@
 			if err != nil {
 				t.Fatalf("record truncated to %d bytes: %v", cut, err)
 			}
-			calls, _, ok := s.Poll()
-			if s.Close(); !ok || len(calls) == 1 != (cut == len(complete)) {
-				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, record read: %v", cut, next, calls, ok)
+			overrides, _, ok := s.Poll()
+			if s.Close(); !ok || len(overrides) == 1 != (cut == len(intact)) {
+				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, record read: %v", cut, next, overrides, ok)
 			}
 			again, err := newRegistered(dir, discardLog)
-			known := again.LastRecord()
-			if err != nil || known.check() != nil || again.Generation() < 2 {
+			record := again.LastRecord()
+			if err != nil || record.check() != nil || again.Generation() < 2 {
 				t.Fatalf("after a record truncated to %d bytes: error %v, generation %d", cut, err, again.Generation())
 			}
 			again.Close()
--- a/internal/agent/hotrestart/coordinator.go
+++ b/internal/agent/hotrestart/coordinator.go
@@ -22,8 +22,8 @@
 	pollInterval = 50 * time.Millisecond // between checks of what the other process has recorded
 	// A new process must be ready within 6 s of its start. Until then it may wait for its registration in the handover
 	// directory, for the older process's record and for an endpoint list.
-	claimTimeout  = time.Second
-	recordTimeout = 5 * time.Second // since the start of the process
+	registerTimeout = time.Second
+	startupTimeout  = 5 * time.Second // since the start of the process
 )
 
 // Process is the part of a Coordinator's process that a hot restart changes. Only the goroutine that calls ShareLimits or
@@ -50,11 +50,11 @@
 	hasSuccessor  bool
 }
 
-// New registers the process in the handover directory dir. It retries after transient errors until claimTimeout or the end
+// New registers the process in the handover directory dir. It retries after transient errors until registerTimeout or the end
 // of ctx; if the registration fails, Run retries it.
 func New(ctx context.Context, dir string, log *slog.Logger) *Coordinator {
 	c := &Coordinator{Store: handover.New(dir, log), log: log, snapshots: make(chan balancer.Snapshot, 1), startedAt: time.Now()}
-	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	_, err := listener.Retry(ctx, nil, func() (struct{}, error) { return struct{}{}, c.Register() })
 	if err != nil {
@@ -83,17 +83,17 @@
 }
 
 // RecordEndpoints records an endpoint list for the successor, with the discovery address from which the list was received.
-func (c *Coordinator) RecordEndpoints(from string, list *discovery.EndpointList) {
-	if err := c.SaveList(from, list); err != nil {
+func (c *Coordinator) RecordEndpoints(source string, list *discovery.EndpointList) {
+	if err := c.SaveList(source, list); err != nil {
 		c.log.Warn("endpoint list not recorded for the successor", "error", err)
 	}
 }
 
-// AwaitRecord waits until the record of earlier processes has been read, but only until TimeLeft is used up or stop is done.
+// AwaitRecord waits until the record of earlier processes has been read, but only until TimeLeft is used up or ctx is done.
 // It returns the admin calls that the earlier processes accepted.
-func (c *Coordinator) AwaitRecord(stop context.Context) (overrides []handover.Override, lameDuck bool) {
+func (c *Coordinator) AwaitRecord(ctx context.Context) (overrides []handover.Override, lameDuck bool) {
 	overrides, lameDuck, ok := c.Poll()
-	for !ok && c.TimeLeft() > 0 && stop.Err() == nil {
+	for !ok && c.TimeLeft() > 0 && ctx.Err() == nil {
 		time.Sleep(pollInterval / 10)
 		overrides, lameDuck, ok = c.Poll()
 	}
@@ -104,13 +104,13 @@
 }
 
 // TimeLeft returns how long the process may still wait for the record and an endpoint list before it must be ready.
-func (c *Coordinator) TimeLeft() time.Duration { return recordTimeout - time.Since(c.startedAt) }
+func (c *Coordinator) TimeLeft() time.Duration { return startupTimeout - time.Since(c.startedAt) }
 
 // Run records snapshots, applies the admin calls that another process of this agent accepts, and shares the limits with the
 // other process while that process runs. It returns when ctx is done.
 func (c *Coordinator) Run(ctx context.Context, p Process) {
-	tick := time.NewTicker(pollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -120,7 +120,7 @@
 				c.log.Warn("snapshot not recorded for the successor", "error", err)
 			}
 			continue
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		c.syncAdminCalls(ctx, p)
 		c.adjustLimits(p)
--- a/internal/agent/hotrestart/coordinator_test.go
+++ b/internal/agent/hotrestart/coordinator_test.go
@@ -40,42 +40,42 @@
 	}
 }
 
-// TestLimitsFollowTheOtherProcess: two running processes use half of the limits each; a process that runs alone uses all.
-func TestLimitsFollowTheOtherProcess(t *testing.T) {
+// TestLimitsAreHalvedWhileBothProcessesRun: two running processes use half of the limits each; a process that runs alone uses all.
+func TestLimitsAreHalvedWhileBothProcessesRun(t *testing.T) {
 	dir := t.TempDir()
-	var first, second fakeProcess
+	var olderProcess, newerProcess fakeProcess
 	older := New(t.Context(), dir, discardLog)
-	older.ShareLimits(&first)
-	first.expect(t, "alone", false, false)
+	older.ShareLimits(&olderProcess)
+	olderProcess.expect(t, "alone", false, false)
 
-	younger := New(t.Context(), dir, discardLog)
-	younger.ShareLimits(&second)
-	second.expect(t, "beside an older process", true, true)
-	older.syncAdminCalls(t.Context(), &first)
-	older.adjustLimits(&first)
-	first.expect(t, "with a successor", false, true)
-	younger.adjustLimits(&second)
-	second.expect(t, "while the older process runs", true, true)
+	newer := New(t.Context(), dir, discardLog)
+	newer.ShareLimits(&newerProcess)
+	newerProcess.expect(t, "beside an older process", true, true)
+	older.syncAdminCalls(t.Context(), &olderProcess)
+	older.adjustLimits(&olderProcess)
+	olderProcess.expect(t, "with a successor", false, true)
+	newer.adjustLimits(&newerProcess)
+	newerProcess.expect(t, "while the older process runs", true, true)
 
 	older.Close()
-	younger.adjustLimits(&second)
-	second.expect(t, "once the older process has ended", false, false)
-	younger.Close()
+	newer.adjustLimits(&newerProcess)
+	newerProcess.expect(t, "once the older process has ended", false, false)
+	newer.Close()
 }
 
-// TestLimitsComeBackWhenSuccessorEnds: a process uses all of its limits again after its successor has exited without taking
+// TestLimitsAreRestoredWhenSuccessorExits: a process uses all of its limits again after its successor has exited without taking
 // over.
-func TestLimitsComeBackWhenSuccessorEnds(t *testing.T) {
+func TestLimitsAreRestoredWhenSuccessorExits(t *testing.T) {
 	dir := t.TempDir()
 	var process fakeProcess
 	older := New(t.Context(), dir, discardLog)
 	defer older.Close()
 	older.ShareLimits(&process)
-	younger := New(t.Context(), dir, discardLog)
+	newer := New(t.Context(), dir, discardLog)
 	older.syncAdminCalls(t.Context(), &process)
 	older.adjustLimits(&process)
 	process.expect(t, "with a successor", false, true)
-	younger.Close()
+	newer.Close()
 	older.adjustLimits(&process)
 	process.expect(t, "once the successor has ended", false, false)
 }
@@ -83,15 +83,15 @@
 // TestAdminCallsApplyInBothProcesses: an admin call that one process has recorded is applied in the other exactly once.
 func TestAdminCallsApplyInBothProcesses(t *testing.T) {
 	dir := t.TempDir()
-	older, younger := New(t.Context(), dir, discardLog), New(t.Context(), dir, discardLog)
+	older, newer := New(t.Context(), dir, discardLog), New(t.Context(), dir, discardLog)
 	defer older.Close()
-	defer younger.Close()
+	defer newer.Close()
 	if err := older.SaveOverride(t.Context(), handover.Override{Backend: "s", Disabled: true}); err != nil {
 		t.Fatal(err)
 	}
 	var process fakeProcess
 	for range 3 {
-		younger.syncAdminCalls(t.Context(), &process)
+		newer.syncAdminCalls(t.Context(), &process)
 	}
 	if !slices.Equal(process.overrides, []string{"s"}) {
 		t.Errorf("applied calls: %q, want one for \"s\"", process.overrides)
@@ -100,12 +100,12 @@
 
 // TestAwaitRecordEndsWithStop: AwaitRecord returns without waiting for an unreadable record once stop is done.
 func TestAwaitRecordEndsWithStop(t *testing.T) {
-	stop, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	c := New(stop, t.TempDir()+"/none", discardLog)
+	c := New(cancelled, t.TempDir()+"/none", discardLog)
 	defer c.Close()
 	start := time.Now()
-	if overrides, _ := c.AwaitRecord(stop); len(overrides) != 0 || time.Since(start) > recordTimeout/2 {
-		t.Errorf("%d overrides after %v, want none within %v", len(overrides), time.Since(start), recordTimeout/2)
+	if overrides, _ := c.AwaitRecord(cancelled); len(overrides) != 0 || time.Since(start) > startupTimeout/2 {
+		t.Errorf("%d overrides after %v, want none within %v", len(overrides), time.Since(start), startupTimeout/2)
 	}
 }
--- a/internal/agent/listener/conn.go
+++ b/internal/agent/listener/conn.go
@@ -12,8 +12,8 @@
 // overtake the response.
 type Conn struct {
 	*net.TCPConn
-	release func()        // frees the slot; calls after the first do nothing
-	queued  time.Duration // see Queued
+	freeSlot func()        // frees the slot; calls after the first do nothing
+	queued   time.Duration // see Queued
 }
 
 // Queued returns the longest time that the connection may have waited in the kernel's accept queue; 0 if it was accepted
@@ -22,6 +22,6 @@
 
 // Close closes the connection and frees its slot. It may be called more than once; the slot is freed only once.
 func (c *Conn) Close() error {
-	defer c.release()
+	defer c.freeSlot()
 	return c.TCPConn.Close()
 }
--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -79,7 +79,7 @@
 		<-l.slots
 		return nil, err
 	}
-	conn := &Conn{TCPConn: c, release: sync.OnceFunc(func() { <-l.slots })}
+	conn := &Conn{TCPConn: c, freeSlot: sync.OnceFunc(func() { <-l.slots })}
 	if !l.backloggedAt.IsZero() {
 		conn.queued = time.Since(l.backloggedAt)
 	}
--- a/internal/agent/listener/limited_test.go
+++ b/internal/agent/listener/limited_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
+// testTimeout bounds each wait in the tests; every event that a test waits for takes far less time on any machine.
 const testTimeout = 30 * time.Second
 
 func listen(t *testing.T) *net.TCPListener {
@@ -56,12 +56,12 @@
 		}
 	}
 	accepted := make(chan net.Conn, 2)
-	ended := make(chan error, 1)
+	acceptErr := make(chan error, 1)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
-				ended <- err
+				acceptErr <- err
 				return
 			}
 			accepted <- c
@@ -79,7 +79,7 @@
 	first.Close() // frees its slot only once
 	receive(t, "the second connection", accepted)
 	l.Close()
-	if err := receive(t, "Accept to fail", ended); !errors.Is(err, net.ErrClosed) {
+	if err := receive(t, "Accept to fail", acceptErr); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept after Close: error %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep, err := dup(f)
+	fd, err := dup(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return keep
+	return fd
 }
 
 // dup returns a duplicate descriptor of f, which no os.File owns, and closes f.
@@ -66,7 +66,7 @@
 }
 
 // Inherited accepts only a listening TCP socket. Closing its listener does not close the platform's descriptor.
-func TestInheritedTakesOnlyListeningTCPSockets(t *testing.T) {
+func TestInheritedAcceptsOnlyListeningTCPSockets(t *testing.T) {
 	ln := listen(t)
 	got, err := Inherited(t.Context(), dupDescriptor(t, ln))
 	if err != nil || got.Addr().String() != ln.Addr().String() {
--- a/internal/agent/peers/transport.go
+++ b/internal/agent/peers/transport.go
@@ -40,8 +40,8 @@
 	data []byte
 }
 
-// bindInterval is the pause between attempts to bind the address while an older process uses it.
-const bindInterval = 50 * time.Millisecond
+// bindRetryInterval is the pause between attempts to bind the address while an older process uses it.
+const bindRetryInterval = 50 * time.Millisecond
 
 // readRetryDelay is the pause after a failed read.
 const readRetryDelay = time.Millisecond
@@ -74,8 +74,8 @@
 
 // bind binds the address, and retries until that succeeds. It returns false if ctx is done first.
 func (p *Transport) bind(ctx context.Context) bool {
-	tick := time.NewTicker(bindInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(bindRetryInterval)
+	defer ticker.Stop()
 	for p.conn == nil {
 		if ctx.Err() != nil {
 			return false
@@ -87,7 +87,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 	return true
--- a/internal/agent/peers/transport_test.go
+++ b/internal/agent/peers/transport_test.go
@@ -15,7 +15,7 @@
 // TestMain checks that no goroutine outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds each wait in the tests. It is far longer than any expected event takes.
+// testTimeout bounds each wait in the tests; every event that a test waits for takes far less time on any machine.
 const testTimeout = 30 * time.Second
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -31,15 +31,15 @@
 	}
 }
 
-// TestPeerMessagesTravelAsDatagrams: each message is one datagram, and the sender is identified by its address.
-func TestPeerMessagesTravelAsDatagrams(t *testing.T) {
+// TestPeerMessagesAreSentAsDatagrams: each message is one datagram, and the sender is identified by its address.
+func TestPeerMessagesAreSentAsDatagrams(t *testing.T) {
 	cfg := Config{Listen: "127.0.0.1:0"}
-	other, err := net.ListenPacket("udp", "127.0.0.1:0")
+	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	cfg.Addrs = []string{"127.0.0.1:9", other.LocalAddr().String()}
+	defer peer.Close()
+	cfg.Addrs = []string{"127.0.0.1:9", peer.LocalAddr().String()}
 	p, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -50,11 +50,11 @@
 	p.Send(5, []byte("nobody"))
 	p.Send(1, make([]byte, maxDatagram+1))
 	buf := make([]byte, 512)
-	n, _, err := other.ReadFrom(buf)
+	n, _, err := peer.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != "hi" {
 		t.Fatalf("first datagram %q, error %v, want \"hi\"", buf[:n], err)
 	}
-	if _, err := other.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
+	if _, err := peer.WriteTo([]byte("yes"), p.conn.LocalAddr()); err != nil {
 		t.Fatal(err)
 	}
 	if m, ok := receive(t, "a message", got).(balancer.GossipReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
@@ -64,14 +64,14 @@
 
 // TestPeerAddressIsBoundOnceReleased: a successor binds the peer address once the older process has released it.
 func TestPeerAddressIsBoundOnceReleased(t *testing.T) {
-	held, err := net.ListenPacket("udp", "127.0.0.1:0")
+	predecessor, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Listen: held.LocalAddr().String()}
-	over, cancel := context.WithCancel(t.Context())
+	cfg := Config{Listen: predecessor.LocalAddr().String()}
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel() // New must not wait for the address
-	if _, err := New(over, cfg, discardLog); err == nil {
+	if _, err := New(cancelled, cfg, discardLog); err == nil {
 		t.Error("address in use without AwaitAddr: no error")
 	}
 	cfg.AwaitAddr = true
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	bound := make(chan bool)
 	go func() { bound <- p.bind(ctx) }()
-	held.Close()
+	predecessor.Close()
 	if !receive(t, "bind to return", bound) {
 		t.Error("address not bound after its release")
 	}
