--- a/internal/agent/clientconn/close_test.go
+++ b/internal/agent/clientconn/close_test.go
@@ -24,7 +24,7 @@
 		closedAt := time.Now()
 		c.Close()
 		if <-done; time.Since(closedAt) != lingerTimeout {
-			t.Errorf("connection closed after %v, want %v", time.Since(closedAt), lingerTimeout)
+			t.Errorf("connection closed after %v, want lingerTimeout", time.Since(closedAt))
 		}
 		if _, err := server.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 			t.Errorf("write after the lingering: error %v, want io.ErrClosedPipe", err)
--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -19,11 +19,11 @@
 	disabled := Override{Backend: "out", Disabled: true, IssuedAt: time.Hour - time.Minute}
 	enabled := Override{Backend: "back", IssuedAt: time.Hour - 10*time.Second}
 	if len(list) != 2 || list[0] != disabled || list[1] != enabled {
-		t.Errorf("overrides %+v, want %+v and %+v", list, disabled, enabled)
+		t.Errorf("overrides %+v, want the disabling of \"out\" and the enabling of \"back\"", list)
 	}
 	earlier.apply(Override{Backend: "out", IssuedAt: time.Hour}, clocks)
 	if at := earlier.enabledAt("out", clocks); at != time.Hour || len(earlier.DisabledUnixMs) != 0 {
-		t.Errorf("enabled again at %v, want %v; disabled backends %v, want none", at, time.Hour, earlier.DisabledUnixMs)
+		t.Errorf("enabled again at %v, want 1h; disabled backends %v, want none", at, earlier.DisabledUnixMs)
 	}
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		later := clockReading{boot: clocks.boot + time.Second, wall: clocks.wall.Add(step)}
@@ -61,7 +61,7 @@
 		"empty":                         {Record{}, false},
 	} {
 		if _, stale := c.record.stale(clocks); stale != c.stale {
-			t.Errorf("%s: stale %v, want %v", name, stale, c.stale)
+			t.Errorf("%s: got stale %v, want the opposite", name, stale)
 		}
 	}
 }
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		if overrides, _, _ := store.Poll(); len(overrides) == 1 != row.used {
-			t.Errorf("%s: %d overrides read, want the record used: %v", name, len(overrides), row.used)
+			t.Errorf("%s: %d overrides read, want one only from a usable record", name, len(overrides))
 		}
 	}
 	if _, err := newRegistered(filepath.Join(t.TempDir(), "none"), discardLog); err == nil {
--- a/internal/agent/hotrestart/coordinator_test.go
+++ b/internal/agent/hotrestart/coordinator_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestAwaitRecordEndsWithStop: AwaitRecord returns without waiting for an unreadable record once stop is done.
+// TestAwaitRecordEndsWithStop: AwaitRecord returns without waiting for an unreadable record once its context is done.
 func TestAwaitRecordEndsWithStop(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -106,6 +106,6 @@
 	defer c.Close()
 	start := time.Now()
 	if overrides, _ := c.AwaitRecord(cancelled); len(overrides) != 0 || time.Since(start) > startupTimeout/2 {
-		t.Errorf("%d overrides after %v, want none within %v", len(overrides), time.Since(start), startupTimeout/2)
+		t.Errorf("%d overrides after %v, want none within half of startupTimeout", len(overrides), time.Since(start))
 	}
 }
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -70,7 +70,7 @@
 	ln := listen(t)
 	got, err := Inherited(t.Context(), dupDescriptor(t, ln))
 	if err != nil || got.Addr().String() != ln.Addr().String() {
-		t.Fatalf("listener %v, error %v, want a listener on %v", got, err, ln.Addr())
+		t.Fatalf("listener %v, error %v, want a listener on the inherited socket", got, err)
 	}
 	got.Close()
 	if c, err := net.Dial("tcp", ln.Addr().String()); err != nil {
