--- a/internal/agent/clientconn/close_test.go
+++ b/internal/agent/clientconn/close_test.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// A closed connection whose client never closes is read on for lingerTimeout, and no longer.
+// If the client never closes, the read loop reads a closed connection for lingerTimeout, and then closes the socket.
 func TestLingeringConnectionIsClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		defer near.Close()
-		c := New(&halfPipe{Conn: far})
+		client, server := net.Pipe()
+		defer client.Close()
+		c := New(&halfPipe{Conn: server})
 		done := make(chan struct{})
 		go func() { c.readLoop(); close(done) }()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
-		if _, err := c.Write([]byte("answer")); err != nil {
+		go func() { _, _ = io.Copy(io.Discard, client) }()
+		if _, err := c.Write([]byte("response")); err != nil {
 			t.Fatal(err)
 		}
-		at := time.Now()
+		closedAt := time.Now()
 		c.Close()
-		if <-done; time.Since(at) != lingerTimeout {
-			t.Errorf("closed after %v", time.Since(at))
+		if <-done; time.Since(closedAt) != lingerTimeout {
+			t.Errorf("connection closed after %v, want lingerTimeout", time.Since(closedAt))
 		}
-		if _, err := far.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
-			t.Errorf("the socket is open: %v", err)
+		if _, err := server.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+			t.Errorf("write after the lingering: error %v, want io.ErrClosedPipe", err)
 		}
 	})
 }
 
-// halfPipe is a pipe that seems to be able to end its sending alone, as a TCP connection is.
+// halfPipe is a pipe with a CloseWrite method, as a TCP connection has. The method does nothing.
 type halfPipe struct{ net.Conn }
 
 func (halfPipe) CloseWrite() error { return nil }
--- a/internal/agent/clientconn/framing_test.go
+++ b/internal/agent/clientconn/framing_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// Headers may be read in pieces of any size, and a body that looks like a header is a body.
+// The framing does not depend on the sizes of the reads, and a body that resembles a header is parsed as a body.
 func TestFramingIsIndependentOfReadSizes(t *testing.T) {
-	plain := "\r\nPOST /a HTTP/1.1\r\nContent-Length: 31\r\n\r\nTransfer-Encoding: chunked\r\n\r\nx" +
+	unambiguousRequests := "\r\nPOST /a HTTP/1.1\r\nContent-Length: 31\r\n\r\nTransfer-Encoding: chunked\r\n\r\nx" +
 		"POST /b HTTP/1.1\r\nX-Long: " + strings.Repeat("Transfer-Encoding:", 40) + "\nContent-Length: 0\n\n"
-	both := "POST /c HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for size := 1; size < len(plain); size++ {
-		var c framing
-		for part := range slices.Chunk([]byte(plain), size) {
-			c.observe(part)
+	ambiguousRequest := "POST /c HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
+	for size := 1; size < len(unambiguousRequests); size++ {
+		var f framing
+		for part := range slices.Chunk([]byte(unambiguousRequests), size) {
+			f.observe(part)
 		}
-		if c.ambiguous.Load() || c.hasTransferEncoding {
-			t.Fatalf("in pieces of %d: taken for ambiguous", size)
+		if f.ambiguous.Load() || f.hasTransferEncoding {
+			t.Fatalf("reads of %d bytes: unambiguous requests reported as ambiguous", size)
 		}
-		for part := range slices.Chunk([]byte(both), size) {
-			c.observe(part)
+		for part := range slices.Chunk([]byte(ambiguousRequest), size) {
+			f.observe(part)
 		}
-		if !c.ambiguous.Load() {
-			t.Fatalf("in pieces of %d: not taken for ambiguous", size)
+		if !f.ambiguous.Load() {
+			t.Fatalf("reads of %d bytes: ambiguous request not reported", size)
 		}
 	}
 }
