--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
 // Command adapter runs balancers for the simulation bench: it reads batches of events from standard input and writes one
-// reply for each to standard output, in the protocol of package wire.
+// reply per batch to standard output, in the protocol of package wire.
 package main
 
 import (
@@ -15,19 +15,19 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // short-lived garbage and a small heap: collect seldom
+	debug.SetGCPercent(800) // most objects are short-lived and the heap is small: collect rarely
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// stepper is one instance: a *balancer.Balancer, or what a test puts in its place.
+// stepper is one instance: a *balancer.Balancer, or a substitute in tests.
 type stepper interface {
 	Step(now time.Duration, events []balancer.Event) []balancer.Action
 }
 
-// run answers batches until the input ends. An error ends it; of the batch that caused it nothing is answered.
+// run replies to batches until the input ends. It stops at the first error, and writes no reply to the batch that caused it.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
 	instances := map[int]stepper{}
@@ -48,8 +48,8 @@
 	}
 }
 
-// processBatch gives each instance its events of the batch in one step, in the order in which the batch first names the
-// instances. It opens and retires instances.
+// processBatch steps each instance once with its events of the batch, in the order in which the batch first names the
+// instances. It also opens and retires instances.
 func processBatch(batch *wire.Batch, instances map[int]stepper, writer *wire.Writer) error {
 	steps := batchSteps{now: batch.Now, instances: instances, writer: writer, pending: map[int][]balancer.Event{}}
 	for _, event := range batch.Events {
@@ -71,11 +71,12 @@
 	instances map[int]stepper
 	writer    *wire.Writer
 
-	order   []int                    // instances as the batch first names them
-	pending map[int][]balancer.Event // of each, since its last step
+	order   []int                    // instances, in the order in which the batch first names them
+	pending map[int][]balancer.Event // events of each instance since its last step
 }
 
-// add takes the next event of the batch. Where an instance starts anew within the batch, the one before has its step first.
+// add adds the next event of the batch. If the event reopens an instance, add first steps the old one with its pending
+// events.
 func (s *batchSteps) add(event wire.Event) error {
 	agent := event.Agent
 	if _, seen := s.pending[agent]; !seen {
@@ -95,7 +96,7 @@
 	case s.instances[agent] == nil:
 		return fmt.Errorf("line %d: instance %d is not open", event.Line, agent)
 	case event.Retire:
-		s.pending[agent] = nil // killed: no process is left to act on what came just before
+		s.pending[agent] = nil // killed: events that the process received just before have no effect
 		delete(s.instances, agent)
 	default:
 		s.pending[agent] = append(s.pending[agent], event.Event)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -17,12 +17,12 @@
 const endpointLists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
 {"msg":"View","Agent":3,"How":"disk","Index":1,"Sheet":0}`
 
-// batchOf returns a batch at a time with some lines.
+// batchOf returns a batch with a clock reading in milliseconds, and lines.
 func batchOf(clock string, lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":" + clock + "}\n" + strings.Join(append(lines, ""), "\n") + "{\"msg\":\"End\"}\n"
 }
 
-// Each batch is answered by the actions of its instances.
+// The reply to each batch consists of the actions of its instances.
 func TestBatchesAreAnswered(t *testing.T) {
 	const submit = `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`
 	const try = `{"msg":"Try","Agent":3,"Job":"d0","Backend":"10.0.0.1:80"}` + "\n"
@@ -32,13 +32,13 @@
 			`","WaitTimeMs":20,"Backend":"10.0.0.1:80","SendNo":0` + done + `}`
 	}
 	tests := []struct{ name, in, want string }{
-		{"nothing", "", ""},
+		{"empty input", "", ""},
 		{"an empty batch", batchOf("1"), eor},
-		{"a request is sent", batchOf("1", openInstance, endpointLists) + batchOf("6", submit), eor + try + eor},
+		{"request sent", batchOf("1", openInstance, endpointLists) + batchOf("6", submit), eor + try + eor},
 		{"served", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("pass", `,"Ended":true`)), try + eor + eor},
 		{"failed", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("fault", "")),
 			try + eor + `{"msg":"DropRequest","Agent":3,"Job":"d0"}` + "\n" + eor},
-		{"killed and started in one batch forgets", batchOf("1", openInstance, endpointLists, submit) +
+		{"instance retired and opened again in one batch has no state", batchOf("1", openInstance, endpointLists, submit) +
 			batchOf("6", `{"msg":"Retire","Agent":3}`, openInstance, endpointLists) + batchOf("26", ended("fault", "")),
 			try + eor + eor + eor},
 	}
@@ -55,29 +55,29 @@
 	}
 }
 
-// Invalid input is an error that names its line, and the batch that holds it is not answered.
+// Invalid input is an error that names its line, and the batch that contains it gets no reply.
 func TestInvalidInputIsRejectedWithoutOutput(t *testing.T) {
-	var many []string // starts of the same instance, each of which ends a step with replies
+	var many []string // requests, each followed by a reopening of the instance, which steps the old one
 	for i := range 2000 {
 		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), openInstance,
 			endpointLists)
 	}
 	tests := []struct{ name, in, want string }{
 		{"instance not open", batchOf("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
-		{"settings make no sense", batchOf("1", strings.Replace(openInstance, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
+		{"invalid settings", batchOf("1", strings.Replace(openInstance, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
 		{"unknown class", batchOf("1", openInstance, endpointLists,
 			`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":700}`),
 			"line 5: Submit: TierClass: unknown class 1"},
-		{"not open, behind one with much to answer", batchOf("1", append([]string{openInstance, endpointLists},
+		{"instance not open, after many actions of another one", batchOf("1", append([]string{openInstance, endpointLists},
 			append(many, `{"msg":"Reminder","Agent":8,"Cookie":1}`)...)...), "instance 8 is not open"},
-		{"broken line", batchOf("1", "{"), "line 2: "},
+		{"malformed line", batchOf("1", "{"), "line 2: "},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := run(strings.NewReader(tt.in), &out)
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one with %q", err, tt.want)
+				t.Errorf("error %v, want one that contains %q", err, tt.want)
 			}
 			if out.Len() > 0 {
 				t.Errorf("wrote %q", out.String())
@@ -86,7 +86,7 @@
 	}
 }
 
-// A panic of the decision code is reported with its text, and the batch is still answered.
+// A panic of the decision code is reported with its text, and the batch still gets a reply.
 func TestPanicIsReportedAsBroken(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
 // Command agent is the platform's program: one agent, configured by PROXY_ environment variables, which serves the clients of one
-// process until SIGTERM. It exits with 1 on an error, which its log names.
+// process until SIGTERM. It logs an error and exits with status 1.
 package main
 
 import (
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -14,20 +14,20 @@
 
 // wallClockFiles are the files that may use the wall clock's time, each with its reason.
 var wallClockFiles = map[string]string{
-	"internal/bootclock/bootclock.go":           "reads it",
-	"internal/agent/discovery/starttime.go":     "discovery gives start times of backends as Unix times; read by every clock that may be right, and bounded",
-	"internal/agent/handover/record.go":         "versions of the program before this one read and write Unix times; used only where theirs stand alone",
-	"internal/fleet/incarnation/incarnation.go": "orders the processes of one name over a restart of the machine, and beside versions that had the clock alone; kept above the one before",
-	"internal/fleet/hubclient/listener.go":      "a deadline that is past at any time",
-	"internal/fleet/hubclient/attachment.go":    "the same",
+	"internal/bootclock/bootclock.go":           "implements Wall",
+	"internal/agent/discovery/starttime.go":     "discovery sends start times of backends as Unix times; converted with each clock that may be right, and bounded",
+	"internal/agent/handover/record.go":         "earlier versions of the program read and write Unix times; used only if a record has no other times",
+	"internal/fleet/incarnation/incarnation.go": "orders processes of one name across a reboot, and relative to versions that used only this clock; above the previous number",
+	"internal/fleet/hubclient/listener.go":      "a deadline that has always passed",
+	"internal/fleet/hubclient/attachment.go":    "a deadline that has always passed",
 }
 
-// wallClockFuncs are the functions and methods that read the wall clock's time, or make a time of it.
+// wallClockFuncs are the functions and methods that read the wall clock's time, or construct a time from it.
 var wallClockFuncs = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "Round": true,
 	"Date": true, "Clock": true, "Format": true, "AppendFormat": true,
 	"Parse": true, "ParseTime": true, "ParseInLocation": true, "Wall": true, "UTC": true}
 
-// Only the listed files work with the wall clock, because it may be stepped at any time.
+// Only the listed files use the wall clock, because it may be stepped at any time.
 func TestOnlyListedFilesUseTheWallClock(t *testing.T) {
 	found := map[string]bool{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -35,7 +35,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (name == "internal/lab" || name == "internal/scale" || name == ".git"): // tests' own
+		case d.IsDir() && (name == "internal/lab" || name == "internal/scale" || name == ".git"): // used only by tests
 			return fs.SkipDir
 		case !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
 			return nil
@@ -44,7 +44,7 @@
 		for _, call := range calls {
 			found[name] = true
 			if wallClockFiles[name] == "" {
-				t.Errorf("%s: %s works with the wall clock, which may be stepped", name, call)
+				t.Errorf("%s: %s uses the wall clock, which may be stepped", name, call)
 			}
 		}
 		return err
@@ -54,7 +54,7 @@
 	}
 	for name := range wallClockFiles {
 		if !found[name] {
-			t.Errorf("%s has nothing to do with the wall clock any more", name)
+			t.Errorf("%s no longer uses the wall clock", name)
 		}
 	}
 }
@@ -90,13 +90,14 @@
 	return false
 }
 
-// inUnrelatedPackage reports whether a function belongs to a package that has nothing to do with time.
+// inUnrelatedPackage reports whether a function belongs to a package that is unrelated to time.
 func inUnrelatedPackage(s *ast.SelectorExpr) bool {
 	pkg, ok := s.X.(*ast.Ident)
 	return ok && slices.Contains([]string{"math", "json", "strconv", "url", "kong", "uuid", "netip", "atomic"}, pkg.Name)
 }
 
-// roundsDuration reports whether a call rounds a duration. Only Round(0) is of a time: it removes the monotonic reading.
+// roundsDuration reports whether a call rounds a duration. Round(0) alone is a call on a time, which removes the monotonic
+// reading.
 func roundsDuration(s *ast.SelectorExpr, call *ast.CallExpr) bool {
 	literal, ok := firstArg(call).(*ast.BasicLit)
 	return s.Sel.Name == "Round" && !(ok && literal.Value == "0")
@@ -108,7 +109,7 @@
 	time.Sleep(time.Millisecond)
 	elapsed, upperBound := SinceBoot()-before, time.Since(start)
 	if elapsed < time.Millisecond || elapsed > upperBound+time.Millisecond {
-		t.Errorf("%v in %v", elapsed, upperBound)
+		t.Errorf("SinceBoot advanced by %v in %v", elapsed, upperBound)
 	}
 }
 
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,8 @@
-// Package logging provides loggers that never block their callers on the output: a pipe may be full, a disk slow.
+// Package logging provides loggers that never block their callers when the output blocks, such as a full pipe or a slow
+// disk.
 //
-// Lines pass in order through a queue of fixed length and are written by one goroutine. Lines that find the queue full are
-// dropped and counted, and a line reports the count as soon as there is room again.
+// Lines pass in order through a queue of fixed length and are written by one goroutine. While the queue is full, new lines
+// are dropped and counted; the count is logged after the next line that is written.
 package logging
 
 import (
@@ -13,7 +14,7 @@
 )
 
 const (
-	queueLength  = 256                   // lines; an agent logs a few a second at its worst
+	queueLength  = 256                   // lines; an agent logs at most a few per second
 	flushTimeout = 50 * time.Millisecond // bounds how long Close waits for the output
 )
 
@@ -24,7 +25,7 @@
 }
 
 // New returns a logger that writes to out in the format of a handler: slog.NewTextHandler or slog.NewJSONHandler. options may be
-// nil. The logger must be closed; until then it owns a goroutine.
+// nil. The caller must call Close, which also stops the logger's goroutine.
 func New[H slog.Handler](out io.Writer, handler func(io.Writer, *slog.HandlerOptions) H, options *slog.HandlerOptions) *Logger {
 	queue := &queue{out: out, log: slog.New(handler(out, options)), lines: make(chan []byte, queueLength),
 		closing: make(chan struct{}),
@@ -33,7 +34,8 @@
 	return &Logger{Logger: slog.New(handler(queue, options)), queue: queue}
 }
 
-// Close writes the queued lines, for 50 ms at most, and drops later ones. It must be called once, at the end of the program.
+// Close waits up to 50 ms for the queued lines to be written. Lines that are logged later are lost. Close must be called
+// once, at the end of the program.
 func (l *Logger) Close() {
 	close(l.queue.closing)
 	select {
@@ -49,13 +51,13 @@
 	lines   chan []byte
 	dropped atomic.Int64
 	closing chan struct{}
-	flushed chan struct{} // closed once all lines are written that were queued before closing
+	flushed chan struct{} // closed once all lines that were queued before Close are written
 }
 
 // Write queues a line. It never blocks and never fails.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
-	case q.lines <- slices.Clone(line): // the handler reuses it
+	case q.lines <- slices.Clone(line): // the handler reuses the buffer
 	default:
 		q.dropped.Add(1)
 	}
@@ -78,7 +80,7 @@
 	}
 }
 
-// write writes a line and then, if lines were dropped since, how many.
+// write writes a line and then, if lines were dropped since the last report, their count.
 func (q *queue) write(line []byte) {
 	_, _ = q.out.Write(line) // a line that can't be written is lost: there is nowhere to report it
 	if n := q.dropped.Swap(0); n > 0 {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,7 +25,7 @@
 	return len(p), b.err
 }
 
-// Lines are written complete and in order, those queued when the logger is closed included.
+// Lines are written unbroken and in order, including those queued when the logger is closed.
 func TestLinesAreWrittenInOrder(t *testing.T) {
 	var out blockedWriter
 	l := New(&out, slog.NewTextHandler, nil)
@@ -35,7 +35,7 @@
 	l.Close()
 	lines := strings.Split(strings.TrimSuffix(out.text.String(), "\n"), "\n")
 	if len(lines) != 200 {
-		t.Fatalf("%d lines", len(lines))
+		t.Fatalf("%d lines written, want 200", len(lines))
 	}
 	for i, line := range lines {
 		if !strings.HasSuffix(line, fmt.Sprint("n=", i)) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// A blocked writer blocks neither logging nor, for long, closing. Dropped lines are counted.
+// Logging does not block while the writer is blocked, and Close returns soon after the writer continues. Dropped lines are
+// counted.
 func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	var out blockedWriter
 	out.mu.Lock()
@@ -54,11 +55,11 @@
 		l.Info("line", "n", i)
 	}
 	startedAt := time.Now()
-	out.err = errors.New("no space left") // an error of the writer changes nothing
+	out.err = errors.New("no space left") // write errors are ignored
 	out.mu.Unlock()
 	l.Close()
 	if elapsed := time.Since(startedAt); elapsed > time.Second {
-		t.Errorf("closed after %v", elapsed)
+		t.Errorf("Close took %v", elapsed)
 	}
 	out.mu.Lock()
 	text := out.text.String()
@@ -66,7 +67,7 @@
 	written := strings.Count(text, `"msg":"line"`)
 	if missing := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, lines-written); written < queueLength ||
 		!strings.Contains(text, missing) {
-		t.Errorf("%d of %d lines, without %s", written, lines, missing)
+		t.Errorf("%d of %d lines written; want at least the queue's length, and %s", written, lines, missing)
 	}
 }
 
@@ -79,7 +80,7 @@
 	startedAt := time.Now()
 	l.Close()
 	if elapsed := time.Since(startedAt); elapsed < flushTimeout || elapsed > 2*time.Second {
-		t.Errorf("closed after %v", elapsed)
+		t.Errorf("Close took %v", elapsed)
 	}
 	out.mu.Unlock()
 	<-l.queue.flushed
--- a/internal/tcpinfo/tcpinfo.go
+++ b/internal/tcpinfo/tcpinfo.go
@@ -1,5 +1,5 @@
-// Package tcpinfo reads the kernel's state of a TCP connection where a read does not show it: that the peer has closed while
-// received data is still unread, and when data arrived that is read later. See tcp(7), TCP_INFO.
+// Package tcpinfo queries the kernel for the state of a TCP connection that a read does not reveal: whether the peer has
+// closed the connection while received data is still unread, and when data last arrived. See tcp(7), TCP_INFO.
 package tcpinfo
 
 import (
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// queryTCPInfo returns the kernel's state of a connection; nil: it is not a TCP socket, or is closed.
+// queryTCPInfo returns the kernel's state of a connection, or nil if conn is not a TCP socket or is closed.
 func queryTCPInfo(conn net.Conn) *unix.TCPInfo {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -36,13 +36,14 @@
 var peerClosedStates = []uint8{unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING}
 
 // PeerClosed reports whether the peer has closed its sending direction or reset the connection, even if received data is still
-// unread. It is false where that is not known.
+// unread. It returns false if the state can't be read.
 func PeerClosed(conn net.Conn) bool {
 	info := queryTCPInfo(conn)
 	return info != nil && slices.Contains(peerClosedStates, info.State)
 }
 
-// SinceLastData returns the time since data last arrived, to a few milliseconds; 0: just now, or it is not known.
+// SinceLastData returns the time since data last arrived, accurate to a few milliseconds. It returns 0 if data has
+// just arrived, or if the time can't be read.
 func SinceLastData(conn net.Conn) time.Duration {
 	info := queryTCPInfo(conn)
 	if info == nil {
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -2,11 +2,11 @@
 // It makes no decisions.
 //
 // The input is a sequence of batches. A batch is a Frame line with the clock, one line for each event or list definition,
-// and an End line; each batch is answered by action lines and an Eor line. The names of messages and fields are the
-// bench's own.
+// and an End line. The reply to a batch consists of action lines and an Eor line. The bench defines the names of messages
+// and fields.
 package wire
 
-// Reading batches: the framing of the input and the instances that are open.
+// Reading batches: the framing of the input, and which instances are open.
 
 import (
 	"bufio"
@@ -19,9 +19,9 @@
 	"martenbeam/balancer"
 )
 
-// OpenInstance says that a balancer instance starts, with no state.
+// OpenInstance starts a balancer instance without any state.
 type OpenInstance struct {
-	Seed     uint64 // of all its random choices
+	Seed     uint64 // of all random choices of the instance
 	Settings balancer.Settings
 }
 
@@ -30,7 +30,7 @@
 	Line   int // line number in the input, from 1
 	Agent  int // number of the instance
 	Open   *OpenInstance
-	Retire bool // the instance ends at once
+	Retire bool // terminates the instance immediately
 	Event  balancer.Event
 }
 
@@ -44,7 +44,7 @@
 type Reader struct {
 	in          *bufio.Reader
 	line        int                        // number of the last line read
-	sheets      map[int][]balancer.Backend // endpoint lists, by the number under which they were defined
+	sheets      map[int][]balancer.Backend // endpoint lists that DefineList messages have defined, by number
 	classCounts map[int]int                // request classes of each open instance
 }
 
@@ -53,8 +53,8 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), sheets: map[int][]balancer.Backend{}, classCounts: map[int]int{}}
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between batches. Any other error names the line, and the
-// Reader can't be used after it.
+// Next reads one batch. It returns io.EOF if the input ends between batches. Any other error names the line, and the
+// Reader must not be used afterwards.
 func (r *Reader) Next() (*Batch, error) {
 	var batch *Batch
 	for {
@@ -84,7 +84,7 @@
 	}
 }
 
-// nextMessage reads the next line that is not blank. It returns io.EOF itself where there is none.
+// nextMessage reads the next line that is not blank. It returns io.EOF, unwrapped, at the end of the input.
 func (r *Reader) nextMessage() (*message, error) {
 	for {
 		line, err := r.in.ReadBytes('\n')
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -10,7 +10,8 @@
 	"martenbeam/balancer"
 )
 
-// decodeEvent adds the event of a message to a batch. A DefineList message is no event: it is kept for later messages.
+// decodeEvent appends the event of a message to a batch. A DefineList message adds no event: its list is stored for later
+// View messages.
 func (r *Reader) decodeEvent(batch *Batch, msg *message) error {
 	if msg.Kind == "DefineList" {
 		return r.defineList(msg)
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// trackInstance notes which instances are open, and rejects a request of a class that its instance does not have.
+// trackInstance records which instances are open, and rejects a request whose class its instance does not have.
 func (r *Reader) trackInstance(event Event) error {
 	classes, known := r.classCounts[event.Agent]
 	request, isRequest := event.Event.(balancer.Request)
@@ -67,7 +68,7 @@
 	return &OpenInstance{Seed: *msg.RandomSeed, Settings: settings}, nil
 }
 
-// decodeInstanceEvent decodes the messages that stand for themselves.
+// decodeInstanceEvent decodes the messages that do not refer to other messages.
 func decodeInstanceEvent(msg *message) (balancer.Event, error) {
 	switch msg.Kind {
 	case "Submit":
@@ -144,7 +145,7 @@
 	return balancer.GossipReceived{From: *msg.From, Data: data}, nil
 }
 
-// defineList keeps an endpoint list under its number, for the View messages that name it.
+// defineList stores an endpoint list under its number, for the View messages that refer to it.
 func (r *Reader) defineList(msg *message) error {
 	if msg.Sheet == nil || msg.Items == nil {
 		return errors.New("missing Sheet or Items")
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// decodeView decodes an update of the endpoint list, which names a list that was defined before.
+// decodeView decodes an endpoint update, which refers by number to a list that was defined before.
 func (r *Reader) decodeView(msg *message) (balancer.Event, error) {
 	if msg.How == nil {
 		return nil, errors.New("missing How")
@@ -182,7 +183,7 @@
 	}
 	backends, ok := r.sheets[*msg.Sheet]
 	if !ok {
-		return nil, fmt.Errorf("Sheet %d was never defined", *msg.Sheet) //lint:ignore ST1005 begins with the name of a field
+		return nil, fmt.Errorf("Sheet %d is not defined", *msg.Sheet) //lint:ignore ST1005 begins with the name of a field
 	}
 	return balancer.EndpointUpdate{Kind: kind, Backends: backends}, nil
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,6 @@
 package wire
 
-// The messages of the input as JSON, and what their words mean to package balancer.
+// The messages of the input as JSON, and the translation of their values to types of package balancer.
 
 import (
 	"encoding/json"
@@ -22,7 +22,7 @@
 	Dc           int     `json:"Dc"`
 }
 
-// message holds the fields of all messages. A field is a pointer where some message requires it.
+// message holds the fields of all messages. A field is a pointer if some message requires it, so that its absence is detected.
 type message struct {
 	Kind       string             `json:"msg"`
 	ClockMs    *float64           `json:"ClockMs"`
@@ -51,8 +51,8 @@
 
 // Bits of message.StateBits.
 const (
-	stateWorkHintValid = 1 // WorkHintMs is known
-	stateClientRetry   = 2 // the client sends the request again
+	stateWorkHintValid = 1 // WorkHintMs is set
+	stateClientRetry   = 2 // the request is a retry by the client
 )
 
 // resultsByOutcome translates message.Outcome.
@@ -73,7 +73,7 @@
 	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Removed,
 }
 
-// AffinityKey hashes what a request concerns. The hash is the same in every process; 0 means that the item is unknown.
+// AffinityKey returns the hash of a request's item, which is the same in every process. It returns 0 for an empty item.
 func AffinityKey(item string) uint64 {
 	if item == "" {
 		return 0
@@ -83,7 +83,8 @@
 	return h.Sum64()
 }
 
-// ParseLoad translates a load report. A nil report is marked as not valid, and each value that is missing as not reported.
+// ParseLoad translates a load report. A nil report results in a Load that is not valid. A missing value becomes -1: not
+// reported.
 func ParseLoad(usage map[string]float64) balancer.Load {
 	load := balancer.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
 	if value, ok := usage["backlog"]; ok {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -1,6 +1,6 @@
 package wire
 
-// The settings object of the start message, which is that of an agent's configuration too.
+// The settings object, which OpenInstance messages and agents' configurations contain.
 
 import (
 	"encoding/json"
@@ -61,7 +61,7 @@
 		CrossZone   float64 `json:"CrossZone"`
 		CrossRegion float64 `json:"CrossRegion"`
 	} `json:"Prices"`
-	Regions []int    `json:"Regions"` // of the zones in Dcs; not on the platform
+	Regions []int    `json:"Regions"` // of the zones in Dcs; the platform does not set them
 	Dcs     []string `json:"Dcs"`
 	Kinds   []string `json:"Kinds"`
 	Report  struct {
@@ -69,18 +69,18 @@
 	} `json:"Report"`
 }
 
-// Site holds the parts of the settings object that an agent needs beside the settings of package balancer.
+// Site holds the parts of the settings object that an agent needs in addition to the settings of package balancer.
 type Site struct {
-	Classes      []string // names, in the order of the module's classes
+	Classes      []string // names, in the order of balancer.Settings.Classes
 	Zones, Kinds []string
 	IdleClose    time.Duration // after which a backend closes an idle connection
 	MaxOpen      int           // requests that may be open at once; 0: no limit
-	LoadInline   bool          // answers carry load reports
-	LoadProbed   bool          // probes bring load reports
+	LoadInline   bool          // responses carry load reports
+	LoadProbed   bool          // responses to probes carry load reports
 }
 
-// ParseSettings translates the settings object. Unknown keys are ignored; an unknown word is an error that names its key.
-// Whether the settings make sense is checked by balancer.New.
+// ParseSettings translates the settings object. Unknown keys are ignored; an unknown enum value is an error that names
+// its key. balancer.New checks the other values.
 func ParseSettings(raw []byte) (balancer.Settings, Site, error) {
 	var doc settingsDoc
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -96,7 +96,7 @@
 	return settings, site, err
 }
 
-// balancerSettings translates what package balancer takes.
+// balancerSettings returns the part of the settings that package balancer uses.
 func (doc *settingsDoc) balancerSettings() (balancer.Settings, error) {
 	settings := balancer.Settings{
 		Balancers:        doc.Balancers,
@@ -140,7 +140,7 @@
 	"": balancer.ScopeAll, "all": balancer.ScopeAll,
 	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 
-// classes translates the profiles.
+// classes translates Profiles.
 func (doc *settingsDoc) classes() (classes []balancer.Class, err error) {
 	for i, profile := range doc.Profiles {
 		idempotency, ok := idempotencies[profile.Semantics]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// batchOf returns a batch with some lines.
+// batchOf returns a batch that contains lines.
 func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
@@ -105,12 +105,12 @@
 		{"unknown message", batchOf(`{"msg":"Nope","Agent":1}`), "line 2: Nope: unknown message"},
 		{"missing field", batchOf(`{"msg":"Submit","Agent":1,"Job":"x"}`), "line 2: Submit: missing"},
 		{"missing instance", batchOf(`{"msg":"Expired","Job":"x"}`), "line 2: Expired: missing Agent"},
-		{"ill-typed field", batchOf(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
-		{"list never defined", batchOf(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), "line 2: View: Sheet 5 was never defined"},
+		{"field of the wrong type", batchOf(`{"msg":"Expired","Agent":"one","Job":"x"}`), "line 2: "},
+		{"undefined list", batchOf(`{"msg":"View","Agent":1,"How":"diff","Sheet":5}`), "line 2: View: Sheet 5 is not defined"},
 		{"unknown outcome", batchOf(`{"msg":"Ended","Agent":1,"Job":"x","Outcome":"huh","WaitTimeMs":1,"Backend":"b","SendNo":0}`), `unknown Outcome "huh"`},
-		{"unknown kind of class", batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Profiles":[{"Semantics":"maybe"}]}}`),
+		{"unknown semantics", batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":1,"Facts":{"Profiles":[{"Semantics":"maybe"}]}}`),
 			`Profiles[0].Semantics: unknown kind "maybe"`},
-		{"ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
+		{"input ends within a batch", "{\"msg\":\"Frame\",\"ClockMs\":1}\n", "line 1: the input ends within a batch"},
 		{"frame without clock", "{\"msg\":\"Frame\"}\n", "line 1: Frame: missing ClockMs"},
 		{"event outside a batch", "{\"msg\":\"Expired\",\"Agent\":1,\"Job\":\"x\"}\n", "outside a batch"},
 	}
@@ -118,13 +118,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(tt.in)).Next()
 			if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one with %q", err, tt.want)
+				t.Errorf("error %v, want one that contains %q", err, tt.want)
 			}
 		})
 	}
 }
 
-// Each action has its message.
+// Each action is encoded as its message.
 func TestActionsAreEncoded(t *testing.T) {
 	tests := []struct {
 		action balancer.Action
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -14,18 +14,18 @@
 	"martenbeam/balancer"
 )
 
-// Writer writes replies. A reply is collected and written at once by End; of one that is not ended nothing is written. A
-// Writer must be used by one goroutine at a time.
+// Writer writes replies. It buffers a reply until End writes the whole reply; without End nothing is written. A Writer must
+// be used by one goroutine at a time.
 type Writer struct {
 	out   io.Writer
-	reply bytes.Buffer // the lines of the present reply
-	buf   []byte       // the line that is being made
+	reply bytes.Buffer // lines of the current reply
+	buf   []byte       // the line being encoded
 }
 
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-// Actions adds the actions of one instance to the reply, in their order. An action without a form in this protocol is an
+// Actions adds the actions of one instance to the reply, in order. An action that has no message in the protocol is an
 // error.
 func (w *Writer) Actions(agent int, actions []balancer.Action) error {
 	for _, action := range actions {
@@ -56,7 +56,7 @@
 			w.beginMessage("KeepInformed", agent)
 			w.buf = append(w.buf, `,"Enable":true`...)
 		default:
-			return fmt.Errorf("no wire form for action %T", action)
+			return fmt.Errorf("action %T has no message in the protocol", action)
 		}
 		w.buf = append(w.buf, "}\n"...)
 		w.reply.Write(w.buf)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// zoneStateText is the text of a Trace message.
+// zoneStateText returns the text of a Trace message.
 func zoneStateText(change balancer.ZoneStateChanged) string {
 	switch {
 	case !change.FailedOver:
@@ -75,14 +75,14 @@
 	return fmt.Sprintf("zone %d is left", change.Zone)
 }
 
-// Broken adds that the decision code of an instance has failed, with a text that says how.
+// Broken adds a message that the decision code of an instance has failed, with a description of the failure.
 func (w *Writer) Broken(agent int, text string) {
 	w.beginMessage("Broken", agent).stringField("Msg", text)
 	w.buf = append(w.buf, "}\n"...)
 	w.reply.Write(w.buf)
 }
 
-// End ends the reply and writes it.
+// End completes the reply and writes it.
 func (w *Writer) End() error {
 	w.reply.WriteString("{\"msg\":\"Eor\"}\n")
 	_, err := w.reply.WriteTo(w.out)
@@ -109,14 +109,14 @@
 	return w
 }
 
-// millisField writes a span in milliseconds.
+// millisField appends a duration in milliseconds.
 func (w *Writer) millisField(name string, d time.Duration) *Writer {
 	w.fieldName(name)
 	w.buf = strconv.AppendFloat(w.buf, float64(d)/1e6, 'f', -1, 64)
 	return w
 }
 
-// stringField writes a string. One of printable ASCII without quotes and backslashes needs no escaping.
+// stringField appends a string. Printable ASCII without quotes and backslashes needs no escaping.
 func (w *Writer) stringField(name, v string) *Writer {
 	w.fieldName(name)
 	for i := range len(v) {
