--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -4,7 +4,7 @@
 
 import "net/netip"
 
-// errorAtFunc returns an error about a key.
+// errorAtFunc returns an error that names a key.
 type errorAtFunc func(key, format string, args ...any) error
 
 // addressKey is a key that holds an IP address and port.
@@ -32,12 +32,12 @@
 func (a addressKey) check(errorAt errorAtFunc) error {
 	if a.value == "" {
 		if a.required {
-			return errorAt(a.key, "is needed: an IP address and port, such as \"127.0.0.1:8500\"")
+			return errorAt(a.key, "is required: an IP address and port, such as \"127.0.0.1:8500\"")
 		}
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(a.value); err != nil {
-		return errorAt(a.key, "%q is no IP address and port, such as \"127.0.0.1:8500\"", a.value)
+		return errorAt(a.key, "%q is not an IP address and port, such as \"127.0.0.1:8500\"", a.value)
 	}
 	return nil
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,6 +1,6 @@
 package config
 
-// The checks of an agent's configuration. Their order decides which of several faults is reported.
+// The checks of an agent's configuration. Only the first error is reported, so their order matters.
 
 import (
 	"fmt"
@@ -28,7 +28,7 @@
 		}
 	}
 	if !slices.Contains(c.Zones.Names, c.Zone) {
-		return c.errorAt("zone", "%q is none of zones", c.Zone)
+		return c.errorAt("zone", "%q is not one of the zones", c.Zone)
 	}
 	return c.checkClasses()
 }
@@ -59,7 +59,7 @@
 		{"prices.cross_region", c.Prices.CrossRegion, 0, 1},
 		{"peers.self", float64(c.Peers.Self), 0, max(0, float64(len(c.Peers.Addresses)-1))},
 	} {
-		if !(number.value >= number.min && number.value <= number.max) { // a NaN is not in the range either
+		if !(number.value >= number.min && number.value <= number.max) { // rejects NaN too
 			return c.errorAt(number.key, "%v is not between %v and %v", number.value, number.min, number.max)
 		}
 	}
@@ -81,7 +81,8 @@
 		{"backends.fall_window", c.Backends.OverloadWindow, 0, maxDuration},
 	} {
 		if span.value < span.min || span.value > span.max {
-			return c.errorAt(span.key, "%v is not between %v and %v", span.value.Duration(), span.min.Duration(), span.max.Duration())
+			return c.errorAt(span.key, "%v is not between %v and %v",
+				span.value.Duration(), span.min.Duration(), span.max.Duration())
 		}
 	}
 	return nil
@@ -92,32 +93,32 @@
 		return c.errorAt("seed", "%q is not a hexadecimal number of up to 16 digits", c.Seed)
 	}
 	if c.Lists != "pushed" && c.Lists != "asked" {
-		return c.errorAt("lists", `%q is none of "pushed", "asked"`, c.Lists)
+		return c.errorAt("lists", `%q is not "pushed" or "asked"`, c.Lists)
 	}
 	if _, err := netip.ParseAddr(c.Attempts.SourceAddr); c.Attempts.SourceAddr != "" && err != nil {
-		return c.errorAt("attempts.from", "%q is no IP address", c.Attempts.SourceAddr)
+		return c.errorAt("attempts.from", "%q is not an IP address", c.Attempts.SourceAddr)
 	}
 	return nil
 }
 
 func (c *Config) checkClasses() error {
 	if len(c.Classes) == 0 {
-		return c.errorAt("class", "at least one [[class]] is needed")
+		return c.errorAt("class", "at least one [[class]] is required")
 	}
 	for i, class := range c.Classes {
 		key := func(name string) string { return fmt.Sprintf("class[%d].%s", i, name) }
 		aim, deadline := class.LatencyObjective, class.Deadline
 		switch {
 		case class.Name == "":
-			return c.errorAt(key("name"), "is needed")
+			return c.errorAt(key("name"), "is required")
 		case semanticsByEffect[class.Idempotency] == "":
-			return c.errorAt(key("effect"), `%q is none of "safe", "keyed", "once"`, class.Idempotency)
+			return c.errorAt(key("effect"), `%q is not "safe", "keyed" or "once"`, class.Idempotency)
 		case wireGroups[class.Group] == "":
-			return c.errorAt(key("group"), `%q is none of "all", "zone", "pod"`, class.Group)
+			return c.errorAt(key("group"), `%q is not "all", "zone" or "pod"`, class.Group)
 		case class.Idempotency == "keyed" && class.DedupWindow <= 0:
-			return c.errorAt(key("window"), "a keyed class needs the time for which repeats are dropped")
+			return c.errorAt(key("window"), "a keyed class needs the time for which backends drop duplicates")
 		case aim <= 0 || deadline < aim || deadline > maxDuration:
-			return c.errorAt(key("deadline"), "aim %v and deadline %v: both above 0, the aim no later",
+			return c.errorAt(key("deadline"), "aim %v and deadline %v: the aim must be above 0, the deadline between the aim and 24h",
 				aim.Duration(), deadline.Duration())
 		case !(class.PriorityWeight >= 0):
 			return c.errorAt(key("worth"), "%v is negative", class.PriorityWeight)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,15 +1,15 @@
-// Package config reads the configuration of an agent and of a hub: one TOML file each, decoded strictly, whose defaults are a
-// file of the same form that anyone can print. It also reads settings, a document that is laid over the files of all agents.
+// Package config reads the configuration of an agent and of a hub: one TOML file each, decoded strictly. The defaults are a
+// file of the same form, which "martenbeam config print" prints. The package also reads settings, a document that overrides
+// keys in the files of all agents.
 //
 // # State and owners
 //
-// The package has no state in memory but its embedded defaults. The files belong to the operator; the package reads one when
-// asked to and never watches or writes it. What Read returns belongs to the caller. How old it may be is the caller's
-// choice: an agent reads its file at the start and at SIGHUP, a hub at the start alone.
+// The only state of the package in memory is its embedded defaults. The files belong to the operator; the package reads a
+// file once per call, and never watches or writes it. The caller owns the result of Read and decides when to read again: an
+// agent reads its file at the start and at SIGHUP, a hub only at the start.
 //
-// A configuration is checked as a whole when it is read, after the defaults, the file and the settings have been laid over
-// each other. Errors are of type *strictconfig.Error and name the text that the value came from, its line and key; or they
-// are those of the file system.
+// Each read checks the merged configuration: the defaults, overridden by the file, overridden by the settings. An error is
+// either of the file system, or a *strictconfig.Error that names the document that set the value, the line and the key.
 package config
 
 // The configuration of an agent, and reading it.
@@ -26,8 +26,8 @@
 //go:embed default.toml
 var Default string
 
-// Config is the configuration of one agent. The keys and their units are explained in Default. The order of the fields is
-// the order in which Diff lists them.
+// Config is the configuration of one agent. Default explains the keys and their units. Diff lists keys in the order of the
+// fields.
 type Config struct {
 	Name      string    `toml:"name"`
 	Listen    string    `toml:"listen"`    // for clients; IP address and port
@@ -43,7 +43,7 @@
 	Fleet     Fleet     `toml:"fleet"`
 	Residency Residency `toml:"residency"`
 	Settings  struct {
-		State string `toml:"state"` // a folder in which settings are saved over restarts; "": nowhere
+		State string `toml:"state"` // folder in which settings are saved across restarts; "": not saved
 	} `toml:"settings"`
 	Attempts   Attempts   `toml:"attempts"`
 	Rejections Rejections `toml:"refusals"`
@@ -52,7 +52,7 @@
 	Classes    []Class    `toml:"class"`
 
 	file, text string
-	overlay    *Settings // laid over the file; nil: none
+	overlay    *Settings // overrides keys of the file; nil: none
 }
 
 // Limits are the resources that an agent may use.
@@ -60,19 +60,19 @@
 	Cores    float64 `toml:"cores"`     // 0: all
 	MemoryMB int     `toml:"memory_mb"` // 0: no limit
 	Sockets  int     `toml:"sockets"`   // file descriptors
-	MaxOpen  int     `toml:"open"`      // requests at a time; 0: as many as the descriptors allow
+	MaxOpen  int     `toml:"open"`      // concurrent requests; 0: as many as the descriptors allow
 }
 
 // Peers are the other agents of a fleet that is configured by addresses.
 type Peers struct {
-	Addresses []string `toml:"addresses"` // in the same order at each agent, this one included
+	Addresses []string `toml:"addresses"` // of all agents, including this one; in the same order at each
 	Self      int      `toml:"self"`      // index of this agent in Addresses
 	Listen    string   `toml:"listen"`
 }
 
-// Attempts says how a request is sent to backends.
+// Attempts configures how a request is sent to backends.
 type Attempts struct {
-	Max            int                   `toml:"most"` // of one request, the first included
+	Max            int                   `toml:"most"` // attempts of one request, including the first
 	ConnectTimeout strictconfig.Duration `toml:"connect_timeout"`
 	IdleClose      strictconfig.Duration `toml:"idle_close"` // after which backends close an idle connection
 	SourceAddr     string                `toml:"from"`       // local IP address; "": the system chooses
@@ -82,35 +82,35 @@
 	Tick           strictconfig.Duration `toml:"tick"` // minimum time between two decisions
 }
 
-// Rejections says how a request that is not served is answered.
+// Rejections configures the responses to requests that are not served.
 type Rejections struct {
 	RetryAfter    bool                  `toml:"retry_after"`
 	MaxRetryAfter strictconfig.Duration `toml:"most_retry_after"`
-	Grace         strictconfig.Duration `toml:"grace"` // past a request's deadline, in which an answer still counts
+	Grace         strictconfig.Duration `toml:"grace"` // after its deadline, in which a final answer still counts
 }
 
-// Backends says how backends start and leave.
+// Backends describes how backends start, drain and become overloaded.
 type Backends struct {
 	DrainGrace       strictconfig.Duration `toml:"drain_grace"`
-	InitialCapacity  float64               `toml:"cold_from"` // share of the capacity, 0 to 1
+	InitialCapacity  float64               `toml:"cold_from"` // fraction of the capacity, 0 to 1
 	SlowStartWindow  strictconfig.Duration `toml:"ramp"`
-	OverloadMultiple float64               `toml:"fall_multiple"` // of the present capacity; 0: never overloaded
+	OverloadMultiple float64               `toml:"fall_multiple"` // of the current capacity; 0: never overloaded
 	OverloadWindow   strictconfig.Duration `toml:"fall_window"`
 	WarmKeys         bool                  `toml:"warm_keys"`
 }
 
-// Prices are the costs of sending to another zone, as shares of a request's value, 0 to 1.
+// Prices are the costs of sending to another zone, as fractions of a request's value, 0 to 1.
 type Prices struct {
 	CrossZone   float64 `toml:"cross_zone"`
 	CrossRegion float64 `toml:"cross_region"`
 }
 
-// Class is a class of requests, by the first part of their path.
+// Class is a class of requests, selected by the first part of the path.
 type Class struct {
 	Name             string                `toml:"name"`
 	Idempotency      string                `toml:"effect"` // "safe", "keyed" or "once"
-	Group            string                `toml:"group"`  // of backends that drop repeats: "all", "zone" or "pod"; "": "all"
-	DedupWindow      strictconfig.Duration `toml:"window"` // for which repeats are dropped, if keyed
+	Group            string                `toml:"group"`  // backends that drop each other's duplicates: "all", "zone" or "pod"; "": "all"
+	DedupWindow      strictconfig.Duration `toml:"window"` // for which backends drop duplicates, if keyed
 	LatencyObjective strictconfig.Duration `toml:"aim"`
 	Deadline         strictconfig.Duration `toml:"deadline"`
 	PriorityWeight   float64               `toml:"worth"`
@@ -119,7 +119,8 @@
 // Read reads and checks an agent's file.
 func Read(file string) (*Config, error) { return ReadWithSettings(file, nil) }
 
-// ReadWithSettings reads an agent's file, lays settings over it and checks the result. overlay may be nil.
+// ReadWithSettings reads an agent's file, overrides its keys with those of overlay, and checks the result. overlay may be
+// nil.
 func ReadWithSettings(file string, overlay *Settings) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -131,8 +132,8 @@
 // Parse checks the text of an agent's file. file names it in errors.
 func Parse(file, text string) (*Config, error) { return parseWithSettings(file, text, nil) }
 
-// parseWithSettings lays the file over the defaults, and the settings over both. It returns a configuration also with the
-// error of a check.
+// parseWithSettings merges the defaults, the file and the settings, of which later ones override earlier ones. If a check
+// fails, it returns the configuration along with the error.
 func parseWithSettings(file, text string, overlay *Settings) (*Config, error) {
 	c := &Config{}
 	if err := strictconfig.Decode("default.toml", Default, c); err != nil {
@@ -150,7 +151,7 @@
 	return c, c.check()
 }
 
-// errorAt returns an error about a key, at the text that its value came from.
+// errorAt returns an error that names a key, and the document and line that set its value.
 func (c *Config) errorAt(key, format string, args ...any) error {
 	if c.overlay != nil && c.overlay.sets(key) {
 		return c.overlay.errorAt(key, format, args...)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/internal/agent"
 )
 
-// classText is the smallest class, and minimalText with it the smallest usable file.
+// classText is a minimal class; minimalText followed by classText is a minimal valid file.
 const classText = `
 [[class]]
 name = "get"
@@ -21,33 +21,33 @@
 
 const minimalText = "discovery = \"127.0.0.1:8500\"\n"
 
-// A fault is reported on one line that names file, line and key.
+// An error is one line that names file, line and key.
 func TestConfigErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{classText, "x.toml: discovery: is needed"},
+		{classText, "x.toml: discovery: is required"},
 		{minimalText, "x.toml: class: at least one [[class]]"},
 		{minimalText + "lsiten = \"127.0.0.1:1\"" + classText, "x.toml:2: lsiten: unknown key"},
 		{minimalText + "listen = 3" + classText, "x.toml:2: listen: incompatible types"},
-		{minimalText + "listen = \"localhost:1\"" + classText, `x.toml:2: listen: "localhost:1" is no IP address and port`},
+		{minimalText + "listen = \"localhost:1\"" + classText, `x.toml:2: listen: "localhost:1" is not an IP address and port`},
 		{minimalText + "seed = \"xyz\"" + classText, "x.toml:2: seed: "},
-		{minimalText + "zone = \"b\"" + classText, `x.toml:2: zone: "b" is none of zones`},
+		{minimalText + "zone = \"b\"" + classText, `x.toml:2: zone: "b" is not one of the zones`},
 		{minimalText + "[limits]\nsockets = 3" + classText, "x.toml:3: limits.sockets: 3 is not between 32 and 1.048576e+06"},
 		{minimalText + "[attempts]\nconnect_timeout = \"soon\"" + classText, "x.toml:3: "},
 		{minimalText + "[attempts]\nconnect_timeout = \"0s\"" + classText, "x.toml:3: attempts.connect_timeout: 0s is not between 1ms and 24h"},
-		{minimalText + "[peers]\naddresses = [\"127.0.0.1:1\"]" + classText, "x.toml: peers.listen: is needed"},
+		{minimalText + "[peers]\naddresses = [\"127.0.0.1:1\"]" + classText, "x.toml: peers.listen: is required"},
 		{minimalText + classText + "effect2 = 1", "x.toml:8: class.effect2: unknown key"},
 		{minimalText + strings.Replace(classText, "safe", "keyed", 1), "x.toml: class[0].window: a keyed class needs"},
 		{minimalText + strings.Replace(classText, "2s", "1ms", 1), "x.toml:7: class[0].deadline: aim 1s and deadline 1ms"},
 		{minimalText + "zones = [1]" + classText, `x.toml:2: zones: `},
 		{minimalText + "zones = \"a\"" + classText, `x.toml:2: zones: `},
 		{minimalText + "zone = \"a\"\n[zones]\na = \"north\"\nb = 3" + classText, `x.toml:5: zones.b: `},
-		{minimalText + "zone = \"c\"\n[zones]\na = \"north\"\nb = \"south\"" + classText, `x.toml:2: zone: "c" is none of zones`},
+		{minimalText + "zone = \"c\"\n[zones]\na = \"north\"\nb = \"south\"" + classText, `x.toml:2: zone: "c" is not one of the zones`},
 		{minimalText + "name = \"a\nb\"" + classText, "x.toml:2: "},
-		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"127.0.0.1:2\"\nb = \"127.0.0.1:3\"", `x.toml:12: fleet.hubs.b: "b" is none of zones`},
-		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"here\"", `x.toml:11: fleet.hubs.a: "here" is no IP address and port`},
-		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\nlabel = \"\"\n[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml:10: fleet.label: is needed where there are hubs"},
-		{minimalText + classText + "[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml: fleet.listen: is needed where there are hubs"},
-		{minimalText + classText + "[settings]\nstate = \"s\"", "x.toml:9: settings.state: is given, and there are no hubs"},
+		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"127.0.0.1:2\"\nb = \"127.0.0.1:3\"", `x.toml:12: fleet.hubs.b: "b" is not one of the zones`},
+		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\n[fleet.hubs]\na = \"here\"", `x.toml:11: fleet.hubs.a: "here" is not an IP address and port`},
+		{minimalText + classText + "[fleet]\nlisten = \"127.0.0.1:1\"\nlabel = \"\"\n[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml:10: fleet.label: is required with hubs"},
+		{minimalText + classText + "[fleet.hubs]\na = \"127.0.0.1:2\"", "x.toml: fleet.listen: is required with hubs"},
+		{minimalText + classText + "[settings]\nstate = \"s\"", "x.toml:9: settings.state: is set, but there are no hubs"},
 	} {
 		_, err := Parse("x.toml", c.text)
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Zones may be mapped to regions, which the agent then gets as numbers.
+// Zones may be mapped to regions, which the agent receives as numbers.
 func TestZonesMapToRegionIDs(t *testing.T) {
 	text := minimalText + "zone = \"riga-b\"\n" + classText + "[prices]\ncross_region = 0.1\n" +
 		"[zones]\nriga-b = \"riga\"\nliepaja = \"kurzeme\"\nriga-a = \"riga\"\n"
@@ -132,7 +132,7 @@
 			return
 		}
 		if _, err := c.Platform(); err != nil {
-			t.Errorf("accepted by Parse, and not by Platform: %v", err)
+			t.Errorf("Parse accepts the text, but Platform fails: %v", err)
 		}
 	})
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -11,7 +11,7 @@
 // Diff returns the keys in which two configurations differ, dotted, in the order of the fields of Config.
 func Diff(a, b *Config) []string { return diff(reflect.ValueOf(*a), reflect.ValueOf(*b), "") }
 
-// diff compares two values of one type, whose key is key. It descends into tables, and into arrays of equally many tables.
+// diff compares two values of one type, whose key is key. It descends into tables, and into arrays of tables of equal length.
 func diff(a, b reflect.Value, key string) (keys []string) {
 	switch t := a.Type(); {
 	case t.Kind() == reflect.Struct && t != reflect.TypeFor[Zones]():
--- a/internal/config/extension.go
+++ b/internal/config/extension.go
@@ -1,10 +1,10 @@
 package config
 
-// What martenbeam adds to the platform's form of a configuration.
+// The sections that martenbeam adds to the platform's form of a configuration.
 
 import "encoding/json"
 
-// Extension is the part of a configuration in the platform's form that says how an agent takes part in a fleet. The
+// Extension is the part of a configuration in the platform's form that configures an agent's part in a fleet. The
 // platform's own program ignores the sections fleet and residency.
 type Extension struct {
 	Fleet     *FleetExtension     `json:"fleet"`     // nil: there is no fleet
@@ -22,7 +22,7 @@
 	Advertise string             `json:"advertise"`
 	Seeds     []string           `json:"seeds"`
 	Hubs      map[string]string  `json:"hubs"`           // addresses, by zone
-	Settings  string             `json:"settings_state"` // a folder; "": nowhere
+	Settings  string             `json:"settings_state"` // a folder; "": not saved
 	Label     string             `json:"label"`
 	MaxAgents int                `json:"most"`
 	Lists     string             `json:"lists"`
@@ -39,7 +39,7 @@
 	State   string  `json:"state"`
 }
 
-// ReadExtension decodes the extension of a configuration in the platform's form. It checks nothing but the form.
+// ReadExtension decodes the extension of a configuration in the platform's form. It does not check the values.
 func ReadExtension(raw []byte) (Extension, error) {
 	var extension Extension
 	err := json.Unmarshal(raw, &extension)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,22 +11,22 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// Fleet says how an agent takes part in a fleet.
+// Fleet configures an agent's part in a fleet.
 type Fleet struct {
 	Listen    string            `toml:"listen"`    // UDP and TCP, IP address and port; "": there is no fleet
-	Advertise string            `toml:"advertise"` // the address that others use; "": Listen
+	Advertise string            `toml:"advertise"` // address that other processes use; "": Listen
 	Seeds     []string          `toml:"seeds"`
 	Hubs      map[string]string `toml:"hubs"` // addresses, by zone; empty: a full mesh
 	Label     string            `toml:"label"`
 	MaxAgents int               `toml:"most"`
 	Lists     string            `toml:"lists"`     // "own" or "relayed"
-	ListRate  float64           `toml:"list_rate"` // calls to the list service per second, of the whole fleet
+	ListRate  float64           `toml:"list_rate"` // calls to the list service per second by the whole fleet
 	Matrix    bool              `toml:"matrix"`    // whether latency between zones is measured and used
 	Trace     string            `toml:"trace"`     // a file; "": none
 	MaxAge    MaxAge            `toml:"max_age"`
 }
 
-// MaxAge says how old each kind of gossip may be when it is used.
+// MaxAge sets the maximum age at which each kind of gossip may be used.
 type MaxAge struct {
 	Service   strictconfig.Duration `toml:"service"`
 	Latency   strictconfig.Duration `toml:"distance"`
@@ -36,12 +36,12 @@
 	FleetSize strictconfig.Duration `toml:"census"`
 }
 
-// Residency says whether a residency policy holds, and where it comes from.
+// Residency configures whether a residency policy is enforced, and its source.
 type Residency struct {
 	On     bool                  `toml:"on"`
-	Policy string                `toml:"policy"` // a file, at a source; "": it comes from the fleet
-	Bound  strictconfig.Duration `toml:"bound"`  // age of the last confirmation at which the policy is stale
-	State  string                `toml:"state"`  // a folder in which versions are saved over restarts; "": nowhere
+	Policy string                `toml:"policy"` // a file, at a source; "": received from the fleet
+	Bound  strictconfig.Duration `toml:"bound"`  // age of the last confirmation at which the policy becomes stale
+	State  string                `toml:"state"`  // folder in which versions are saved across restarts; "": not saved
 }
 
 const (
@@ -64,11 +64,11 @@
 	case f.MaxAgents < 1 || f.MaxAgents > 10000:
 		return c.errorAt("fleet.most", "%d is not between 1 and 10000", f.MaxAgents)
 	case f.Lists != "own" && f.Lists != "relayed":
-		return c.errorAt("fleet.lists", `%q is none of "own", "relayed"`, f.Lists)
+		return c.errorAt("fleet.lists", `%q is not "own" or "relayed"`, f.Lists)
 	case !(f.ListRate >= 0.5 && f.ListRate <= 1000):
 		return c.errorAt("fleet.list_rate", "%v is not between 0.5 and 1000", f.ListRate)
 	case f.Listen != "" && c.Name == "":
-		return c.errorAt("name", "is needed where there is a fleet")
+		return c.errorAt("name", "is required in a fleet")
 	}
 	if err := c.checkHubs(); err != nil {
 		return err
@@ -83,15 +83,15 @@
 	f := &c.Fleet
 	switch {
 	case len(f.Hubs) == 0 && c.Settings.State != "":
-		return c.errorAt("settings.state", "is given, and there are no hubs to have settings from")
+		return c.errorAt("settings.state", "is set, but there are no hubs to receive settings from")
 	case len(f.Hubs) > 0 && f.Listen == "":
-		return c.errorAt("fleet.listen", "is needed where there are hubs: they see there whether this agent has ended")
+		return c.errorAt("fleet.listen", "is required with hubs: they check this address to detect whether this agent has ended")
 	case len(f.Hubs) > 0 && f.Label == "":
-		return c.errorAt("fleet.label", "is needed where there are hubs")
+		return c.errorAt("fleet.label", "is required with hubs")
 	}
 	for _, zone := range slices.Sorted(maps.Keys(f.Hubs)) {
 		if !slices.Contains(c.Zones.Names, zone) {
-			return c.errorAt("fleet.hubs."+zone, "%q is none of zones", zone)
+			return c.errorAt("fleet.hubs."+zone, "%q is not one of the zones", zone)
 		}
 		if err := (addressKey{"fleet.hubs." + zone, f.Hubs[zone], true}).check(c.errorAt); err != nil {
 			return err
@@ -120,14 +120,14 @@
 	return nil
 }
 
-// checkResidency also parses the policy's file, so that an agent does not start with one that can't be used.
+// checkResidency also parses the policy file, so that an agent does not start with an unusable one.
 func (c *Config) checkResidency() error {
 	r := &c.Residency
 	switch {
 	case !r.On && r.Policy != "":
-		return c.errorAt("residency.policy", "is given, and residency.on is false")
+		return c.errorAt("residency.policy", "is set, but residency.on is false")
 	case r.On && r.Policy == "" && c.Fleet.Listen == "":
-		return c.errorAt("residency.policy", "is needed where there is no fleet to have it from")
+		return c.errorAt("residency.policy", "is required without a fleet to receive it from")
 	case r.Policy == "":
 		return nil
 	}
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -16,28 +16,28 @@
 //go:embed hub.toml
 var DefaultHub string
 
-// Hub is the configuration of one hub. The keys and their units are explained in DefaultHub.
+// Hub is the configuration of one hub. DefaultHub explains the keys and their units.
 type Hub struct {
 	Name      string   `toml:"name"`
 	Zones     Zones    `toml:"zones"`
 	Zone      string   `toml:"zone"`
 	Label     string   `toml:"label"`
 	Listen    string   `toml:"listen"`    // UDP and TCP, IP address and port
-	Advertise string   `toml:"advertise"` // the address that others use; "": Listen
+	Advertise string   `toml:"advertise"` // address that other processes use; "": Listen
 	Seeds     []string `toml:"seeds"`
 	MaxAgents int      `toml:"most"` // of the whole fleet
 	Matrix    bool     `toml:"matrix"`
 	Discovery string   `toml:"discovery"`  // "": the hub has no endpoint list
-	ListRate  float64  `toml:"list_rate"`  // calls to the list service per second, of the whole fleet
+	ListRate  float64  `toml:"list_rate"`  // calls to the list service per second by the whole fleet
 	AdmitRate float64  `toml:"admit_rate"` // agents that may attach per second
 	Trace     string   `toml:"trace"`      // a file; "": none
 	Settings  struct {
-		File  string `toml:"file"`  // at a source; "": they come from other hubs
-		State string `toml:"state"` // a folder in which versions are saved over restarts; "": nowhere
+		File  string `toml:"file"`  // at a source; "": received from other hubs
+		State string `toml:"state"` // folder in which versions are saved across restarts; "": not saved
 	} `toml:"settings"`
 	Residency struct {
-		File  string                `toml:"file"`  // at a source; "": it comes from other hubs
-		State string                `toml:"state"` // a folder in which versions are saved over restarts; "": nowhere
+		File  string                `toml:"file"`  // at a source; "": received from other hubs
+		State string                `toml:"state"` // folder in which versions are saved across restarts; "": not saved
 		Bound strictconfig.Duration `toml:"bound"`
 	} `toml:"residency"`
 	MaxAge map[string]strictconfig.Duration `toml:"max_age"` // by the keys of the type MaxAge
@@ -65,8 +65,8 @@
 		return nil, err
 	}
 	h.file, h.text = file, text
-	if len(h.MaxAge) > kinds { // a map has no unknown keys for the decoder
-		return nil, h.errorAt("max_age", "there are service, distance, residency, gone, settings and census alone")
+	if len(h.MaxAge) > kinds { // the decoder accepts any key in a map
+		return nil, h.errorAt("max_age", "the only keys are service, distance, residency, gone, settings and census")
 	}
 	return h, h.check()
 }
@@ -84,11 +84,11 @@
 	case h.Zones.invalidKey != "":
 		return h.errorAt(h.Zones.invalidKey, "%s", h.Zones.reason)
 	case h.Name == "" || len(h.Name) > 64:
-		return h.errorAt("name", "%d bytes: 1 to 64 are needed", len(h.Name))
+		return h.errorAt("name", "%d bytes, must be 1 to 64", len(h.Name))
 	case !slices.Contains(h.Zones.Names, h.Zone):
-		return h.errorAt("zone", "%q is none of zones", h.Zone)
+		return h.errorAt("zone", "%q is not one of the zones", h.Zone)
 	case h.Label == "" || len(h.Label) > maxLabelBytes:
-		return h.errorAt("label", "%d bytes: 1 to 64 are needed", len(h.Label))
+		return h.errorAt("label", "%d bytes, must be 1 to 64", len(h.Label))
 	case h.MaxAgents < 1 || h.MaxAgents > 10000:
 		return h.errorAt("most", "%d is not between 1 and 10000", h.MaxAgents)
 	case !(h.ListRate >= 0.5 && h.ListRate <= 1000):
@@ -106,7 +106,7 @@
 	return h.checkDocuments()
 }
 
-// checkDocuments parses the documents that the hub is a source of, so that it does not start with one that can't be used.
+// checkDocuments parses the documents that a source publishes, so that it does not start with an unusable one.
 func (h *Hub) checkDocuments() error {
 	if h.Residency.File != "" {
 		if _, _, err := residency.ReadFile(h.Residency.File); err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,6 @@
 package config
 
-// The same configuration in the platform's form, JSON that the agent's program reads.
+// The configuration of an agent in the platform's form: JSON that the agent's program reads.
 
 import (
 	"encoding/json"
@@ -12,17 +12,18 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// listPollInterval is how long an agent may go without polling the endpoint list, where it polls.
+// listPollInterval is the maximum time between two polls of the endpoint list by an agent that polls.
 const listPollInterval = 10 * time.Second
 
-// The words of a class in the platform's form, by those of the file.
+// Enum values in the platform's form, by those in the file.
 var (
 	semanticsByEffect = map[string]string{"safe": "repeatable", "keyed": "by_key", "once": "once"}
 	wireGroups        = map[string]string{"": "all", "all": "all", "zone": "zone", "pod": "cell"}
 	membershipModes   = map[string]string{"pushed": "automatic", "asked": "subscribe"}
 )
 
-// Platform returns the configuration in the platform's form. Without a seed in the configuration each call draws another one.
+// Platform returns the configuration in the platform's form. If the configuration has no seed, each call
+// uses a new random one.
 func (c *Config) Platform() ([]byte, error) {
 	seed := c.Seed
 	if seed == "" {
@@ -38,7 +39,7 @@
 	})
 }
 
-// platformSettings is the section of the platform's form that configures the decision module.
+// platformSettings returns the section of the platform's form that configures the decision module.
 func (c *Config) platformSettings() map[string]any {
 	return map[string]any{
 		"Balancers": max(1, len(c.Peers.Addresses)), "Me": c.Peers.Self,
@@ -75,5 +76,5 @@
 	return classes
 }
 
-// millis returns a span in milliseconds.
+// millis converts a duration to milliseconds.
 func millis(d strictconfig.Duration) float64 { return d.Duration().Seconds() * 1e3 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
 package config
 
-// Settings: a document for all agents of a fleet, laid over each agent's own file.
+// Settings: a document for all agents of a fleet, which overrides keys of each agent's own file.
 
 import (
 	"fmt"
@@ -26,13 +26,14 @@
 // perAgentKeys are the keys that settings must not set, with the reason.
 var perAgentKeys = []struct{ key, reason string }{
 	{"name", "each agent has its own"}, {"listen", "each agent has its own"}, {"mgmt", "each agent has its own"},
-	{"seed", "each agent has its own"}, {"zone", "each agent has its own"}, {"peers", "each agent has its own place there"},
-	{"zones", "the numbers of zones must stay while an agent runs, and its hubs are named by them"},
-	{"fleet", "it says how an agent comes by these settings"}, {"settings", "it says how an agent comes by these settings"},
-	{"residency", "the policy travels by itself"}, {"limits", "they are the machine's"}, {"attempts.from", "it is the machine's"},
+	{"seed", "each agent has its own"}, {"zone", "each agent has its own"}, {"peers", "each agent has its own index there"},
+	{"zones", "zone numbers must not change while an agent runs, and its hubs are listed by zone"},
+	{"fleet", "it configures how an agent receives settings"},
+	{"settings", "it configures how an agent receives settings"},
+	{"residency", "the policy is distributed separately"}, {"limits", "they depend on the machine"}, {"attempts.from", "it depends on the machine"},
 }
 
-// minimalAgentConfig is the smallest usable agent's file. Settings are checked over it where no agent's file is at hand.
+// minimalAgentConfig is a minimal valid agent file. Settings are checked on top of it if no agent's file is available.
 const minimalAgentConfig = `discovery = "127.0.0.1:1"
 [[class]]
 name = "any"
@@ -50,7 +51,7 @@
 	if _, err := toml.Decode(text, &s.keys); err == nil { // else the strict decoder reports the error below, with its line
 		for _, perAgent := range perAgentKeys {
 			if s.sets(perAgent.key) {
-				return nil, s.errorAt(perAgent.key, "is not for settings of all agents: %s", perAgent.reason)
+				return nil, s.errorAt(perAgent.key, "can't be set for all agents: %s", perAgent.reason)
 			}
 		}
 	}
@@ -58,13 +59,13 @@
 		return nil, err
 	}
 	if s.Version < 1 {
-		return nil, s.errorAt("version", "%d is not a number from 1: each change has a higher one", s.Version)
+		return nil, s.errorAt("version", "%d is below 1: the first version is 1, and each change needs a higher one", s.Version)
 	}
 	return s, nil
 }
 
-// overlayOn sets in cfg the keys of the document. Its classes replace the agent's as a whole: decoded in place, a class would
-// keep the keys that the document leaves out.
+// overlayOn overrides keys of cfg with those of the document. The document's classes replace the agent's as a whole, because
+// decoding into an existing class would keep the keys that the document omits.
 func (s *Settings) overlayOn(cfg *Config) error {
 	if s.sets("class") {
 		cfg.Classes = nil
@@ -78,7 +79,8 @@
 	return err
 }
 
-// sets reports whether the document sets a key, given as in errors. Of the classes it sets all keys or none.
+// sets reports whether the document sets a key, which has the form used in errors. A document with classes sets all keys of
+// all classes.
 func (s *Settings) sets(key string) bool {
 	if strings.HasPrefix(key, "class") {
 		key = "class"
@@ -103,7 +105,7 @@
 	return true
 }
 
-// errorAt returns an *strictconfig.Error at the line of a key, or else of the innermost table around it that has a line.
+// errorAt returns a *strictconfig.Error with the line of a key, or else of the innermost enclosing table that has a line.
 func (s *Settings) errorAt(key, format string, args ...any) error {
 	located := &strictconfig.Error{File: s.file, Key: key, Message: fmt.Sprintf(format, args...)}
 	for at := key; at != "" && located.Line == 0; {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// A fault of settings is reported on one line that names the document, its line and key.
+// An error in settings is one line that names the document, the line and the key.
 func TestSettingsErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{"", "s.toml: version: 0 is not a number from 1"},
+		{"", "s.toml: version: 0 is below 1"},
 		{"version = \"1\"", "s.toml:1: version: incompatible types"},
 		{"version = 1\nlsits = \"asked\"", "s.toml:2: lsits: unknown key"},
 		{"version = 1\nlists = \"told\"", "s.toml:2: lists: "},
@@ -20,10 +20,10 @@
 		{"version = 1" + strings.Replace(classText, "safe", "keyed", 1), "s.toml:2: class[0].window: a keyed class needs"},
 		{"version = 1" + strings.Replace(classText, "2s", "1ms", 1), "s.toml:6: class[0].deadline: aim 1s"},
 		{"version = 1\n[[class]]\nname = \"x\"", "s.toml:2: class[0].effect: "},
-		{"version = 1\nzone = \"a\"", "s.toml:2: zone: is not for settings of all agents"},
-		{"version = 1\nLISTEN = \"127.0.0.1:1\"", "s.toml: listen: is not for settings"},
-		{"version = 1\n[attempts]\nfrom = \"127.0.0.1\"", "s.toml:3: attempts.from: is not for settings"},
-		{"version = 1\n[settings]\nstate = \"x\"", "s.toml:2: settings: is not for settings"},
+		{"version = 1\nzone = \"a\"", "s.toml:2: zone: can't be set for all agents"},
+		{"version = 1\nLISTEN = \"127.0.0.1:1\"", "s.toml: listen: can't be set for all"},
+		{"version = 1\n[attempts]\nfrom = \"127.0.0.1\"", "s.toml:3: attempts.from: can't be set for all"},
+		{"version = 1\n[settings]\nstate = \"x\"", "s.toml:2: settings: can't be set for all"},
 		{"version = 1\nhalf", "s.toml:2: "},
 		{"version = 1\n#" + strings.Repeat("x", MaxSettingsBytes), "s.toml: 65549 bytes"},
 	} {
@@ -34,14 +34,14 @@
 	}
 	for _, k := range []string{"name", "listen", "mgmt", "seed", "zone", "zones", "peers", "fleet", "residency", "settings", "limits"} {
 		_, err := ParseSettings("s.toml", "version = 1\n["+k+"]\n")
-		if err == nil || !strings.Contains(err.Error(), "s.toml:2: "+k+": is not for") {
+		if err == nil || !strings.Contains(err.Error(), "s.toml:2: "+k+": can't be set for") {
 			t.Errorf("%s: %v", k, err)
 		}
 	}
 }
 
-// Settings take precedence over the agent's file, whose other keys and their errors stay its own. Classes are replaced as a
-// whole.
+// Settings override keys of the agent's file. Errors in keys that they do not set name the agent's file. Classes are replaced
+// as a whole.
 func TestSettingsOverlayTheAgentFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.toml")
 	read := func(own, overlay string) (*Config, error) {
@@ -76,7 +76,7 @@
 		}
 		c, err := parseWithSettings("x.toml", minimalText+classText, s)
 		if err != nil || s.Version < 1 {
-			t.Fatalf("accepted alone, and not over a file, or without a version: %v", err)
+			t.Fatalf("settings accepted alone are rejected with an agent's file, or have no version: %v", err)
 		}
 		own, _ := Parse("x.toml", minimalText+classText)
 		for _, k := range Diff(own, c) {
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -1,6 +1,6 @@
 package config
 
-// The zones of a site, and the regions that they are in.
+// The zones of a site and their regions.
 
 import (
 	"fmt"
@@ -8,15 +8,16 @@
 	"slices"
 )
 
-// Zones are the zones of a site. The key holds a list of names, where no zone has a region, or a table from names to regions.
+// Zones are the zones of a site. The key holds either a list of names, without regions, or a table from names
+// to regions.
 type Zones struct {
 	Names   []string // sorted if they came as a table
 	Regions []string // of each zone; nil: no zone has one
 
-	invalidKey, reason string // what UnmarshalTOML found wrong; check reports it, because it knows the line
+	invalidKey, reason string // an error that UnmarshalTOML found; check reports it with its line
 }
 
-// UnmarshalTOML decodes either form. It never fails; what is wrong is reported by the check of the whole configuration.
+// UnmarshalTOML decodes either form. It never fails: the check of the whole configuration reports invalid data.
 func (z *Zones) UnmarshalTOML(data any) error {
 	*z = Zones{}
 	switch data := data.(type) {
@@ -24,7 +25,7 @@
 		for _, item := range data {
 			name, ok := item.(string)
 			if !ok {
-				z.invalidKey, z.reason = "zones", fmt.Sprintf("%v is no name", item)
+				z.invalidKey, z.reason = "zones", fmt.Sprintf("%v is not a name", item)
 			}
 			z.Names = append(z.Names, name)
 		}
@@ -32,7 +33,7 @@
 		for _, name := range slices.Sorted(maps.Keys(data)) {
 			region, ok := data[name].(string)
 			if !ok {
-				z.invalidKey, z.reason = "zones."+name, fmt.Sprintf("%v is no region's name", data[name])
+				z.invalidKey, z.reason = "zones."+name, fmt.Sprintf("%v is not the name of a region", data[name])
 			}
 			z.Names, z.Regions = append(z.Names, name), append(z.Regions, region)
 		}
--- a/internal/residency/file_test.go
+++ b/internal/residency/file_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A version stays in force over a restart: an older one does not come back, an unusable one still refuses, and after a state
-// file that can't be read nothing is permitted to any tenant.
+// A version stays in force across a restart: an older version does not return, and an unusable one still refuses restricted
+// tenants. If the state file can't be read, no tenant is permitted any zone.
 func TestVersionsSurviveRestart(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	start := func() (*Holder, error) {
@@ -31,28 +31,28 @@
 	}
 	assertPermitted(t, h, "post", "update", "liepaja")
 	if h.Apply(1, policyText(1, `"riga"`, "serve")) == nil {
-		t.Error("an older version is applied after a restart")
+		t.Error("older version applied after a restart")
 	}
 	if h.Apply(3, "version = 3\nhalf") == nil {
-		t.Error("half a policy is applied without an error")
+		t.Error("invalid policy applied without an error")
 	}
 	if h, err = start(); err != nil {
 		t.Fatal(err)
 	}
 	assertPermitted(t, h, "post", "update")
 	if h.Apply(2, policyText(2, `"kurzeme"`, "serve")) == nil {
-		t.Error("the version before an unusable one is applied after a restart")
+		t.Error("the version before an unusable one applied after a restart")
 	}
 	if err := os.WriteFile(filepath.Join(dir, stateFileName), []byte(`{"format":9`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if h, err = start(); err == nil || !strings.Contains(err.Error(), stateFileName) {
-		t.Errorf("the state file is cut off: %v", err)
+		t.Errorf("truncated state file: %v", err)
 	}
 	assertPermitted(t, h, "someone", "update")
 }
 
-// A watched file is applied whenever it changes; one that can't be used, or is gone, changes nothing.
+// A watched file is applied whenever it changes. An unusable or removed file changes nothing.
 func TestWatchAppliesEachUsableChangeOfTheFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "policy.toml")
 	writeFile := func(s string) {
--- a/internal/residency/gate/gate.go
+++ b/internal/residency/gate/gate.go
@@ -1,19 +1,19 @@
-// Package gate is the check between an agent's sends and its residency policy: a table of the zones that each rule permits.
-// It depends on nothing, so that an agent without a policy pays nothing for it.
+// Package gate checks the sends of an agent against its residency policy, with a table of the zones that each rule permits. It
+// has no dependencies, so that it costs an agent without a policy nothing.
 //
-// The package has no state. A Table belongs to the Enforcer that made it, is never changed, and may be used from any
-// goroutine; how old its policy may be is the Enforcer's to check, whenever the table is asked for.
+// The package has no state. A Table belongs to the Enforcer that made it, is immutable, and may be used from any goroutine.
+// The Enforcer checks the age of its policy whenever it returns a table.
 package gate
 
-// Table says which zones each rule permits. Rules and zones are numbers that the Enforcer gives out.
+// Table lists the zones that each rule permits. Rules and zones are numbers that the Enforcer assigns.
 type Table struct {
 	Generation int      // grows with each new table of an Enforcer
 	Permitted  [][]bool // by rule and zone
-	Restricted []bool   // by rule; an unrestricted one permits every zone, unknown ones included
+	Restricted []bool   // by rule; an unrestricted rule permits every zone, including unknown ones
 }
 
 // Permits reports whether a rule permits sending to a zone. Rule 0 stands for no rule, and permits every zone. A rule that
-// is not in the table permits none, and a restricted rule permits no zone that it does not know, -1 included.
+// is not in the table permits none, and a restricted rule permits no unknown zone, which includes -1.
 func (t *Table) Permits(rule, zone int) bool {
 	if rule <= 0 {
 		return true
@@ -27,12 +27,12 @@
 	return zone >= 0 && zone < len(t.Permitted[rule]) && t.Permitted[rule][zone]
 }
 
-// Enforcer decides by the residency policy in force. Its methods may be called from any goroutine.
+// Enforcer applies the residency policy in force. Its methods may be called from any goroutine.
 type Enforcer interface {
 	// RuleID returns the number of the rule for a tenant's requests of a class; it never changes.
 	RuleID(tenant, class string) int
-	// Table returns what is permitted now. It is asked for right before each send.
+	// Table returns the table that is valid now. The agent calls it right before each send.
 	Table() *Table
-	// CountRefusal records that the gate refused an attempt, before its first byte, that the decision module had chosen.
+	// CountRefusal records that the gate refused an attempt of the decision module before sending its first byte.
 	CountRefusal(rule, zone int)
 }
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -1,6 +1,6 @@
 package residency
 
-// The policy in force at one process: which version, and how old the last confirmation of it is.
+// The policy in force at one process: its version, and the age of its last confirmation.
 
 import (
 	"errors"
@@ -13,20 +13,20 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// Holder holds the policy in force at one process, and decides by it. It implements gate.Enforcer. Its methods may be called
-// from any goroutine.
+// Holder holds the policy in force at one process, and decides which zones it permits. It implements gate.Enforcer. Its
+// methods may be called from any goroutine.
 type Holder struct {
 	zones    []string // by number
 	maxAge   time.Duration
-	isSource bool // operators give the policy to this process: it is never stale here
+	isSource bool // operators set the policy at this process, where it is never stale
 	log      *slog.Logger
 	save     func(version int64, documents []string) error // nil: versions are not saved
 
 	mu            sync.Mutex
 	version       int64              // 0: no policy
-	policies      map[string]*Policy // of that version, by digest; nil where the document can't be used
-	lastReadable  *Policy            // the last usable one: says who is restricted while a later one can't be used
-	confirmedAt   time.Time          // when the version was the source's latest, by the latest confirmation
+	policies      map[string]*Policy // of that version, by digest; nil: the document is unusable
+	lastReadable  *Policy            // the last usable policy; determines the restricted tenants while a later one is unusable
+	confirmedAt   time.Time          // when the version was the source's latest, according to the last confirmation
 	everConfirmed bool
 	stale         bool
 	ruleIDs       map[subject]int // from 1; an id is never reused
@@ -35,9 +35,9 @@
 	refusals      map[[2]string]int
 }
 
-// NewHolder returns a holder without a policy: until the first version comes, nothing is permitted to any tenant. zones are
-// the zones' names by number. maxAge is the age of a confirmation at which the policy becomes stale. isSource says that
-// operators give the policy to this process. save stores a version and its documents before they are in force; it may be nil.
+// NewHolder returns a holder without a policy: until the first version arrives, no tenant is permitted any zone. zones are the
+// zones' names by number. maxAge is the age of a confirmation at which the policy becomes stale. isSource means that operators
+// set the policy at this process. save stores a version and its documents before they are in force; it may be nil.
 func NewHolder(zones []string, maxAge time.Duration, isSource bool, log *slog.Logger, save func(int64, []string) error) *Holder {
 	h := &Holder{zones: zones, maxAge: maxAge, isSource: isSource, log: log, save: save, policies: map[string]*Policy{},
 		ruleIDs: map[subject]int{}, subjects: []subject{{}}, refusals: map[[2]string]int{}}
@@ -50,9 +50,9 @@
 	errTooManyDocuments = errors.New("too many texts under one version")
 )
 
-// Apply brings a document into force. A higher version replaces the one in force; another document of the same version holds
-// beside it, so that only what both permit is permitted; a lower version is an error. A document that can't be used is in
-// force too, and its error is returned: restricted tenants are refused until a higher version comes.
+// Apply brings a document into force. A higher version replaces the one in force. Another document of the same version is added
+// to it: only zones that both permit are permitted. A lower version is an error. An unusable document is in force too, and
+// Apply returns its error: restricted tenants are refused until a higher version arrives.
 func (h *Holder) Apply(version int64, text string) error {
 	policy, err := Parse("policy", text)
 	if err == nil && policy.Version != version {
@@ -89,8 +89,8 @@
 	return err
 }
 
-// saveDocuments saves the version and its usable documents. Where that fails they are in force all the same, and an older
-// version may be after a restart. The lock is held.
+// saveDocuments saves the version and its usable documents. If saving fails, they are in force nevertheless, but an older
+// version may be in force after a restart. The caller holds the lock.
 func (h *Holder) saveDocuments() {
 	if h.save == nil {
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-// Confirm records that a document was the source's latest version an age ago. A confirmation of another version, or one
-// older than the last, changes nothing.
+// Confirm records that a document was the source's latest version at a time that is age ago. A confirmation of another
+// version, or one older than the last, has no effect.
 func (h *Holder) Confirm(version int64, digest string, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,8 +120,8 @@
 	h.updateStale()
 }
 
-// ConfirmedAge returns how long ago the version in force was the source's latest, by the last confirmation; 0 at a source. ok
-// is false without a policy or a confirmation.
+// ConfirmedAge returns the time since the version in force was the source's latest, according to the last confirmation; 0 at a
+// source. ok is false without a policy or a confirmation.
 func (h *Holder) ConfirmedAge() (age time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -134,8 +134,8 @@
 	return time.Since(h.confirmedAt), h.everConfirmed
 }
 
-// updateStale compares the age of the last confirmation with maxAge, and rebuilds the table if the outcome has changed. The
-// lock is held.
+// updateStale compares the age of the last confirmation with maxAge, and rebuilds the table if staleness has changed. The
+// caller holds the lock.
 func (h *Holder) updateStale() {
 	if stale := !h.isSource && (!h.everConfirmed || time.Since(h.confirmedAt) > h.maxAge); stale != h.stale {
 		h.stale = stale
@@ -144,22 +144,22 @@
 	}
 }
 
-// State is what is in force, for logs and for other processes of the fleet.
+// State describes the policy in force, for logs and for other processes of the fleet.
 type State struct {
 	Version  int64    // 0: no policy
-	Digests  []string // sorted; more than one are a conflict
+	Digests  []string // sorted; more than one: a conflict
 	Stale    bool
 	Refusals map[[2]string]int // by tenant and zone
 }
 
-// State returns what is in force, and the attempts counted by CountRefusal.
+// State returns a description of the policy in force, and the attempts counted by CountRefusal.
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return State{h.version, slices.Sorted(maps.Keys(h.policies)), h.stale, maps.Clone(h.refusals)}
 }
 
-// Text returns the document with a digest, of the version in force. ok is false if there is none, or it can't be used.
+// Text returns the document with a digest, of the version in force. ok is false if there is none, or if it is unusable.
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -1,19 +1,19 @@
 // Package residency decides in which zones a tenant's requests may be served.
 //
 // A policy is a TOML document with a version. It names regions, the sites (zones) that belong to each, and for each tenant
-// the regions that are permitted. It fails closed: a site in no region, a zone that is not configured, and a policy that
-// can't be used permit nothing to a restricted tenant. Versions only grow, also over restarts; two documents of one version
-// permit what both permit.
+// the regions that are permitted. A policy fails closed: a restricted tenant is permitted no site outside the regions, no
+// zone that is not configured, and no zone at all while the policy is unusable. Versions only grow, also across restarts. Two
+// documents of one version permit only the zones that both permit.
 //
 // # State and owners
 //
-// The file that Watch reads is the operator's; it exists at a source. A Holder owns what is in force at one process, and the
-// state file policy.json in its folder, if it has one. Its fields belong to Holder.mu. The gate.Table that it hands out is
-// never changed, and is replaced whenever the policy, its staleness or the known tenants change.
+// The file that Watch reads belongs to the operator; it exists only at a source. A Holder owns the policy in force at one
+// process, and the state file policy.json in its folder, if it has one. Its fields are guarded by Holder.mu. The gate.Table
+// that it returns is immutable, and is replaced whenever the policy, its staleness or the known tenants change.
 //
-// A policy is checked when it comes (Parse), and enforced twice: by the decision module, and by the gate right before each
-// send. Its age is the time since a source last confirmed the version (Holder.Confirm). It is compared with the holder's
-// maxAge whenever a table is asked for; past it each tenant is served by the old policy or refused, as its rule says.
+// A policy is checked on arrival (Parse), and enforced twice: by the decision module, and by the gate right before each send.
+// Its age is the time since a source last confirmed the version (Holder.Confirm). Each call of Holder.Table compares the age
+// with the holder's maxAge; above it the rule of each tenant decides whether the old policy applies or requests are refused.
 package residency
 
 import (
@@ -34,17 +34,17 @@
 	maxDocuments = 64 // of one version
 )
 
-// Words of a policy document.
+// Values in a policy document.
 const (
 	serveWhenStale  = "serve"
 	refuseWhenStale = "refuse"
 	anyRegion       = "*"
 )
 
-// Policy is a parsed policy document. It is never changed after Parse.
+// Policy is a parsed policy document. It is immutable after Parse.
 type Policy struct {
 	Version     int64               `toml:"version"`
-	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for rules that don't say; "": "serve"
+	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for rules that don't set it; "": "serve"
 	Regions     map[string][]string `toml:"regions"`    // the sites of each region
 	Tenants     map[string]Tenant   `toml:"tenant"`
 	DefaultRule Rule                `toml:"others"` // for tenants that are not named
@@ -52,13 +52,13 @@
 	text string
 }
 
-// Rule is what is permitted to a tenant, or to one class of its requests.
+// Rule sets the regions that are permitted to a tenant, or to one class of its requests.
 type Rule struct {
 	Permitted []string `toml:"permitted"`  // regions; "*" alone: anywhere
-	WhenStale string   `toml:"when_stale"` // "serve" or "refuse"; "": as the tenant or the policy says
+	WhenStale string   `toml:"when_stale"` // "serve" or "refuse"; "": inherited from the tenant or the policy
 }
 
-// Tenant is the rule of a named tenant, and those of its classes that differ from it.
+// Tenant is the rule of a named tenant, and the rules of classes that differ from it.
 type Tenant struct {
 	Rule
 	Classes map[string]Rule `toml:"class"`
@@ -77,7 +77,7 @@
 	return p, p.check(file)
 }
 
-// errorAtFunc returns an error about a key.
+// errorAtFunc returns an error that names a key.
 type errorAtFunc func(key, format string, args ...any) error
 
 func (p *Policy) check(file string) error {
@@ -86,15 +86,15 @@
 	}
 	switch {
 	case p.Version < 1:
-		return errorAt("version", "%d is not a number from 1: each change has a higher one", p.Version)
+		return errorAt("version", "%d is below 1: the first version is 1, and each change needs a higher one", p.Version)
 	case len(p.Regions) == 0:
-		return errorAt("regions", "at least one is needed")
+		return errorAt("regions", "at least one is required")
 	case len(p.Regions) > maxRegions:
-		return errorAt("regions", "%d are more than %d", len(p.Regions), maxRegions)
+		return errorAt("regions", "%d entries, must be at most %d", len(p.Regions), maxRegions)
 	case len(p.Tenants) > maxTenants:
-		return errorAt("tenant", "%d are more than %d", len(p.Tenants), maxTenants)
+		return errorAt("tenant", "%d entries, must be at most %d", len(p.Tenants), maxTenants)
 	case !isWhenStale(p.WhenStale):
-		return errorAt("when_stale", `%q is none of "serve", "refuse"`, p.WhenStale)
+		return errorAt("when_stale", `%q is not "serve" or "refuse"`, p.WhenStale)
 	}
 	if err := p.checkRegions(errorAt); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	for _, region := range slices.Sorted(maps.Keys(p.Regions)) {
 		for _, site := range p.Regions[region] {
 			if other, duplicate := regionOf[site]; duplicate {
-				return errorAt("regions."+region, "site %q is in region %q already", site, other)
+				return errorAt("regions."+region, "site %q is already in region %q", site, other)
 			}
 			regionOf[site] = region
 		}
@@ -141,15 +141,15 @@
 // checkRule checks the rule at a key: its regions exist, or it permits any region.
 func (p *Policy) checkRule(errorAt errorAtFunc, key string, r Rule) error {
 	if len(r.Permitted) == 0 {
-		return errorAt(key, "permitted: regions are needed, or \"*\" alone")
+		return errorAt(key, "permitted: must list regions, or \"*\" alone")
 	}
 	for _, region := range r.Permitted {
 		if _, known := p.Regions[region]; !known && !(region == anyRegion && len(r.Permitted) == 1) {
-			return errorAt(key+".permitted", "%q is no region: there are %v", region, slices.Sorted(maps.Keys(p.Regions)))
+			return errorAt(key+".permitted", "%q is not a region; the regions are %v", region, slices.Sorted(maps.Keys(p.Regions)))
 		}
 	}
 	if !isWhenStale(r.WhenStale) {
-		return errorAt(key+".when_stale", `%q is none of "serve", "refuse"`, r.WhenStale)
+		return errorAt(key+".when_stale", `%q is not "serve" or "refuse"`, r.WhenStale)
 	}
 	return nil
 }
@@ -172,7 +172,8 @@
 	return r
 }
 
-// permittedZones returns which of the zones a rule permits, by number; nil: every zone, unknown ones included.
+// permittedZones returns, by zone number, whether a rule permits the zone. nil means that it permits every zone, including
+// unknown ones.
 func (p *Policy) permittedZones(r Rule, zones []string) []bool {
 	if len(r.Permitted) == 1 && r.Permitted[0] == anyRegion {
 		return nil
@@ -188,5 +189,5 @@
 	return permitted
 }
 
-// Digest returns a hash that tells documents of one version apart.
+// Digest returns a hash that distinguishes documents of one version.
 func Digest(text string) string { return versionedfile.Digest(text) }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -36,7 +36,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// permittedZones returns the names of the zones that are permitted now, "unknown" standing for zone -1.
+// permittedZones returns the names of the zones that are permitted now, with "unknown" for zone -1.
 func permittedZones(h *Holder, tenant, class string) (zoneNames []string) {
 	rule := h.RuleID(tenant, class)
 	t := h.Table()
@@ -60,7 +60,7 @@
 
 func TestRulesPermitTheirZonesAlone(t *testing.T) {
 	h := NewHolder(zones, time.Second, true, discardLog, nil)
-	assertPermitted(t, h, "post", "update") // without a policy nothing is permitted
+	assertPermitted(t, h, "post", "update") // without a policy no zone is permitted
 	if err := h.Apply(1, policyText(1, `"riga"`, "serve")); err != nil {
 		t.Fatal(err)
 	}
@@ -68,15 +68,15 @@
 	assertPermitted(t, h, "post", "route", "liepaja")
 	assertPermitted(t, h, "someone", "update", "riga-a", "riga-b", "liepaja", "nowhere", "unknown")
 	if h.Table().Permits(maxRules, 0) {
-		t.Error("a rule that is not in the table is permitted")
+		t.Error("rule outside the table permits a zone")
 	}
 	if none := (&gate.Table{}); !none.Permits(0, -1) {
 		t.Error("rule 0 does not permit every zone")
 	}
 }
 
-// Versions only grow; two documents of one version permit what both permit; an unusable one refuses the tenants that the one
-// before restricted, until the next usable version.
+// Versions only grow. Two documents of one version permit only the zones that both permit. While a version is unusable, the
+// tenants that the previous version restricts are refused.
 func TestHigherVersionReplacesAndEqualVersionsIntersect(t *testing.T) {
 	var saved []int64
 	h := NewHolder(zones, time.Second, true, discardLog, func(v int64, _ []string) error { saved = append(saved, v); return nil })
@@ -107,7 +107,7 @@
 	}
 }
 
-// Where the last confirmation is older than maxAge, each tenant is served or refused as its rule says.
+// If the last confirmation is older than maxAge, each tenant is served or refused according to its rule.
 func TestStalePolicyRefusesOrServesByRule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHolder(zones, 3*time.Second, false, discardLog, nil)
@@ -118,7 +118,7 @@
 		assertPermitted(t, h, "post", "update") // in force, but not confirmed as the latest
 		h.Confirm(1, Digest(s), time.Second)
 		assertPermitted(t, h, "post", "update", "riga-a", "riga-b")
-		h.Confirm(1, Digest(s), 2*time.Second) // an older confirmation changes nothing
+		h.Confirm(1, Digest(s), 2*time.Second) // an older confirmation has no effect
 		time.Sleep(2*time.Second + time.Millisecond)
 		assertPermitted(t, h, "post", "update")
 		assertPermitted(t, h, "someone", "update", "riga-a", "riga-b", "liepaja", "nowhere", "unknown")
@@ -130,7 +130,8 @@
 	})
 }
 
-// An unusable policy is an error that names file and key. What can't be saved is in force all the same, and logged.
+// The error for an unusable policy names file and key. A policy that can't be saved is in force nevertheless, and the failure
+// is logged.
 func TestPolicyErrorsNameFileAndKey(t *testing.T) {
 	good := policyText(1, `"riga"`, "serve")
 	for _, c := range []struct{ old, new, want string }{
@@ -152,7 +153,7 @@
 		}
 	}
 	if _, err := Parse("p.toml", strings.Repeat("#", MaxText+1)); err == nil {
-		t.Error("a document over MaxText is parsed")
+		t.Error("document above MaxText accepted")
 	}
 	var log bytes.Buffer
 	failingSave := func(int64, []string) error { return errors.New("the disk is full") }
@@ -175,7 +176,7 @@
 	rule := h.RuleID("post", "update")
 	for b.Loop() {
 		if !h.Table().Permits(rule, 1) || h.Table().Permits(rule, 2) {
-			b.Fatal("wrong")
+			b.Fatal("wrong permission")
 		}
 	}
 }
--- a/internal/residency/rules.go
+++ b/internal/residency/rules.go
@@ -1,16 +1,16 @@
 package residency
 
-// The table of what each tenant and class is permitted, as the gate and the decision module use it.
+// The table of the zones that are permitted to each tenant and class, for the gate and the decision module.
 
 import "martenbeam/internal/residency/gate"
 
-// subject is what a rule is for.
+// subject is the tenant and class that a rule applies to.
 type subject struct{ tenant, class string }
 
-// maxRules bounds how many subjects are told apart. Those beyond it share one rule that permits nothing.
+// maxRules bounds the number of subjects with rules of their own. Further subjects share one rule that permits no zone.
 const maxRules = 4096
 
-// RuleID returns the number of the rule for a tenant's requests of a class, from 1. What the rule permits may change; its
+// RuleID returns the number of the rule for a tenant's requests of a class, from 1. The permitted zones may change; the
 // number does not.
 func (h *Holder) RuleID(tenant, class string) int {
 	h.mu.Lock()
@@ -20,7 +20,7 @@
 		return id
 	}
 	if len(h.subjects) >= maxRules {
-		return maxRules // in no table, and so not permitted
+		return maxRules // not in any table, so that no zone is permitted
 	}
 	id := len(h.subjects)
 	h.ruleIDs[s], h.subjects = id, append(h.subjects, s)
@@ -28,7 +28,8 @@
 	return id
 }
 
-// Table returns what is permitted now. It is to be asked for at each send, since a policy becomes stale as time passes.
+// Table returns the table that is valid now. Callers must call Table before each send, because a policy becomes stale as time
+// passes.
 func (h *Holder) Table() *gate.Table {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,8 +37,8 @@
 	return h.table
 }
 
-// CountRefusal counts and logs an attempt that the gate refused. It is an error: the decision module should not have chosen
-// a backend in that zone.
+// CountRefusal counts and logs an attempt that the gate refused. Each refusal is an error of the decision module, which should
+// not have chosen a backend in that zone.
 func (h *Holder) CountRefusal(rule, zone int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +53,7 @@
 	h.log.Error("attempt refused by residency policy", "tenant", tenant, "zone", zoneName, "version", h.version)
 }
 
-// rebuildTable replaces the table by one of the policy in force. The lock is held.
+// rebuildTable replaces the table by one for the policy in force. The caller holds the lock.
 func (h *Holder) rebuildTable() {
 	table := &gate.Table{Generation: 1, Permitted: [][]bool{nil}, Restricted: []bool{false}}
 	if h.table != nil {
@@ -65,15 +66,15 @@
 	h.table = table
 }
 
-// permittedZones returns, by number, the zones that a subject is permitted by all documents of the version in force. Where
-// restricted is false that is every zone. The lock is held.
+// permittedZones returns, by zone number, whether all documents of the version in force permit the zone to a subject. If
+// restricted is false, every zone is permitted. The caller holds the lock.
 func (h *Holder) permittedZones(s subject) (zones []bool, restricted bool) {
 	none := make([]bool, len(h.zones))
 	if len(h.policies) == 0 {
 		return none, true
 	}
 	for _, policy := range h.policies {
-		if policy == nil { // unusable: a subject that was restricted before is refused, since nobody knows to which zones
+		if policy == nil { // unusable: a subject that was restricted before is refused, because its zones are unknown
 			if h.wasRestricted(s) {
 				return none, true
 			}
@@ -98,8 +99,8 @@
 	return zones, restricted
 }
 
-// wasRestricted reports whether the last usable policy restricts a subject; without one everybody is restricted. The lock is
-// held.
+// wasRestricted reports whether the last usable policy restricts a subject. Without such a policy every subject is restricted.
+// The caller holds the lock.
 func (h *Holder) wasRestricted(s subject) bool {
 	last := h.lastReadable
 	return last == nil || last.permittedZones(last.ruleFor(s.tenant, s.class), h.zones) != nil
--- a/internal/settings/agentconfig.go
+++ b/internal/settings/agentconfig.go
@@ -1,6 +1,6 @@
 package settings
 
-// What settings mean to an agent: they are laid over its own file.
+// Settings at an agent, where they override keys of its own file.
 
 import (
 	"sync"
@@ -8,8 +8,8 @@
 	"martenbeam/internal/config"
 )
 
-// AgentConfig is the configuration of a running agent: its own file with the settings in force laid over it. Check and Apply
-// serve as functions of a Holder's Config. Of all keys only discovery takes effect while the agent runs, as after SIGHUP. Its
+// AgentConfig is the configuration of a running agent: its own file, overridden by the settings in force. Check and Apply
+// serve as functions of a Holder's Config. Only the key discovery takes effect while the agent runs, as after SIGHUP. The
 // methods may be called from any goroutine.
 type AgentConfig struct {
 	file              string
@@ -17,16 +17,16 @@
 
 	mu      sync.Mutex
 	overlay *Settings      // nil: none
-	running *config.Config // as the process started with it, with the present discovery; nil before the start
+	running *config.Config // configuration at the start, with the current discovery; nil before the start
 }
 
-// NewAgentConfig returns the configuration of an agent that has its own file. onDiscoveryChange is called, with the lock
-// held, with the address of the discovery service when settings change it.
+// NewAgentConfig returns the configuration of an agent whose own file is file. When settings change the address of the
+// discovery service, onDiscoveryChange is called with the new address while the lock is held.
 func NewAgentConfig(file string, onDiscoveryChange func(discovery string)) *AgentConfig {
 	return &AgentConfig{file: file, onDiscoveryChange: onDiscoveryChange}
 }
 
-// Read reads the agent's file with the settings in force laid over it. The first successful call counts as the start of the
+// Read reads the agent's file, overridden by the settings in force. The first successful call counts as the start of the
 // process, later ones as a reload after SIGHUP.
 func (a *AgentConfig) Read() (*config.Config, error) {
 	a.mu.Lock()
@@ -43,15 +43,15 @@
 	return cfg, err
 }
 
-// Check returns an error if settings can't be used over the agent's file.
+// Check returns an error if the agent's file, overridden by the settings, is not a valid configuration.
 func (a *AgentConfig) Check(s *Settings) error {
 	_, err := config.ReadWithSettings(a.file, s)
 	return err
 }
 
-// Apply brings settings into force as far as that is possible without a restart, and returns the keys that wait for one:
-// those in which the result differs from what the process was started with. A key that was changed and changed back does
-// not wait. After an error nothing has changed.
+// Apply brings settings into force as far as possible without a restart, and returns the keys that wait for a restart: those
+// whose new values differ from the running configuration. A key that was changed and changed back does not wait. After an
+// error the configuration is unchanged.
 func (a *AgentConfig) Apply(s *Settings) (pendingRestart []string, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/settings/apply.go
+++ b/internal/settings/apply.go
@@ -1,6 +1,6 @@
 package settings
 
-// Bringing a version into force: checked, saved, then applied.
+// Bringing a version into force: check, save, then apply.
 
 import (
 	"errors"
@@ -11,22 +11,23 @@
 
 var (
 	errOutdated        = errors.New("a higher version is in force")
-	errConflictingText = errors.New("another text has this version: the first stands until a higher version comes")
+	errConflictingText = errors.New(
+		"another text has this version: the first one received stays in force until a higher version arrives")
 )
 
-// Apply brings a document into force, if its version is higher than the one in force. After an error the document before
-// stays in force; the error is logged, and reported by Status, unless the version is outdated.
+// Apply brings a document into force, if its version is higher than the one in force. After an error the previous document
+// stays in force; the error is logged and reported by Status, unless the version is outdated.
 func (h *Holder) Apply(version int64, text string) error {
 	return h.apply(fmt.Sprintf("settings, version %d", version), version, text)
 }
 
-// apply brings a document into force. file names it in errors. Version 0 stands for the version in the document.
+// apply brings a document into force. file names it in errors. Version 0 means the version in the document.
 func (h *Holder) apply(file string, version int64, text string) error {
 	h.applyMu.Lock()
 	defer h.applyMu.Unlock()
 	parsed, err := Parse(file, text)
 	if err == nil && version != 0 && parsed.Version != version {
-		err = fmt.Errorf("%s: version: the text says %d", file, parsed.Version)
+		err = fmt.Errorf("%s: version: the text has version %d", file, parsed.Version)
 	}
 	if err == nil {
 		version = parsed.Version
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// compare deals with a document whose version is not higher than the one in force; for any other one isNew is true. The
+// compare handles a document whose version is not higher than the one in force. For any other document isNew is true. The
 // caller holds applyMu.
 func (h *Holder) compare(version int64, text string) (isNew bool, err error) {
 	h.mu.Lock()
@@ -79,8 +80,8 @@
 	return errConflictingText
 }
 
-// bringIntoForce saves and applies a document that was checked. Where saving or applying fails the document is in force all
-// the same: the next start applies what was saved. The caller holds applyMu.
+// bringIntoForce saves and applies a document that was checked. If saving or applying fails, the document is in force
+// nevertheless, and the next start applies the saved document. The caller holds applyMu.
 func (h *Holder) bringIntoForce(version int64, text string, parsed *Settings) {
 	saveFailure, applyFailure := h.save(version, []string{text}), ""
 	var pendingRestart []string
@@ -88,7 +89,7 @@
 		var err error
 		if pendingRestart, err = h.cfg.Apply(parsed); err != nil {
 			h.cfg.Log.Error("applying settings failed", "version", version, "error", err)
-			applyFailure = "not all is in force before the next start: " + err.Error()
+			applyFailure = "applying failed, some settings take effect only at the next start: " + err.Error()
 		}
 	}
 	h.cfg.Log.Info("settings", "version", version, "digest", Digest(text), "later", pendingRestart)
@@ -101,14 +102,14 @@
 	})
 }
 
-// save stores documents, if the process has a folder for them. It returns the reason of a failure, "" without one.
+// save stores documents if Config.Save is set. It returns the reason of a failure, or "".
 func (h *Holder) save(version int64, documents []string) (failure string) {
 	if h.cfg.Save == nil {
 		return ""
 	}
 	if err := h.cfg.Save(version, documents); err != nil {
 		h.cfg.Log.Error("saving settings failed", "version", version, "error", err)
-		return "not kept over a restart: " + err.Error()
+		return "saving failed, lost at a restart: " + err.Error()
 	}
 	return ""
 }
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -1,6 +1,6 @@
 package settings
 
-// The state file, which outlives the process, and the operator's file at a source.
+// The state file, which persists across restarts, and the operator's file at a source.
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 const stateFileName = "settings.json"
 
 // SaveFunc returns a function for Config.Save that stores versions in a folder. They are synced to disk before they are in
-// force, so that an older version can't come back after a restart.
+// force, so that an older version can't return after a restart.
 func SaveFunc(dir string) func(version int64, documents []string) error {
 	return versionedfile.SaveFunc(dir, stateFileName)
 }
 
-// Load applies what was saved in a folder. It is called once, before anything else is applied.
+// Load applies the settings that were saved in a folder. It must be called once, before any other settings are applied.
 //
 // A state file that can't be read is an error: the process starts without settings, and applies the first version that
-// comes. Settings that can be read and not used, because the agent's own file has changed, are not in force, and still no
-// lower version is applied; that is logged and reported, and no error.
+// arrives. If the file can be read, but its settings no longer fit the agent's own file, Load logs and reports the problem and
+// returns no error: the settings are not in force, and lower versions are still rejected.
 func (h *Holder) Load(dir string) error {
 	version, documents, err := versionedfile.Load(dir, stateFileName)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// Watch applies the operator's file whenever it changes, and returns when ctx ends. A file that goes away, or can't be used,
-// changes nothing: what is in force stays until a higher version comes.
+// Watch applies the operator's file whenever it changes, and returns when ctx ends. A removed or unusable file changes
+// nothing: the settings in force stay until a higher version arrives.
 func (h *Holder) Watch(ctx context.Context, file string, log *slog.Logger) {
 	versionedfile.Watch(ctx, file, func(text string, err error) {
 		if err != nil {
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -1,17 +1,17 @@
-// Package settings holds the settings that operators give to all agents of a fleet: one TOML document with a version.
+// Package settings manages the settings that operators set for all agents of a fleet: one TOML document with a version.
 //
-// A version is checked and saved before it is in force, and versions only grow, also over restarts. A document that can't be
-// used leaves the one before in force, and the reason is reported to the hubs.
+// A version is checked and saved before it is in force, and versions only grow, also across restarts. After an unusable
+// document the previous one stays in force, and the reason is reported to the hubs.
 //
 // # State and owners
 //
-// The file that Watch reads is the operator's; it exists at a source, which is a hub. A Holder owns what is in force at one
-// process, and the state file settings.json in its folder, if it has one. In memory its fields belong to Holder.mu, and
-// change only while Holder.applyMu is held too. At an agent an AgentConfig owns the agent's configuration as it runs: the
-// agent's own file with the settings laid over it.
+// The file that Watch reads belongs to the operator; it exists only at a source, which is a hub. A Holder owns the settings in
+// force at one process, and the state file settings.json in its folder, if it has one. Its fields in memory are guarded by
+// Holder.mu, and change only while Holder.applyMu is also held. At an agent an AgentConfig owns the running configuration: the
+// agent's own file, overridden by the settings.
 //
-// Settings are checked when they come: against the defaults (Parse), and at an agent against its own file (Config.Check).
-// They have no age limit: the version in force stays until a higher one comes, however long no hub can be reached.
+// Settings are checked on arrival: against the defaults (Parse), and at an agent against its own file (Config.Check). They
+// have no age limit: the version in force stays until a higher one arrives, even if no hub can be reached.
 package settings
 
 import (
@@ -33,22 +33,22 @@
 const MaxText = config.MaxSettingsBytes
 
 const (
-	maxDocuments          = 8                // of one version, the one in force included
-	maxReasonBytes        = 512              // of Status.Reason; what a frame to a hub takes
-	rejectedRetryInterval = 30 * time.Second // until a rejected document is fetched again
+	maxDocuments          = 8                // of one version, including the one in force
+	maxReasonBytes        = 512              // of Status.Reason; the limit in a frame to a hub
+	rejectedRetryInterval = 30 * time.Second // minimum time until a rejected document is fetched again
 )
 
 // Parse parses settings, and checks what can be checked without an agent's file. Errors name file, line and key.
 func Parse(file, text string) (*Settings, error) { return config.ParseSettings(file, text) }
 
-// Digest returns a hash that tells documents of one version apart.
+// Digest returns a hash that distinguishes documents of one version.
 func Digest(text string) string { return versionedfile.Digest(text) }
 
-// Config says what settings mean to the process of a Holder. Each function may be nil; none is called twice at a time.
+// Config configures a Holder for its process. Each function may be nil; the Holder makes no two calls at once.
 type Config struct {
 	// Check returns an error if the settings can't be used by this process.
 	Check func(*Settings) error
-	// Apply brings settings into force, and returns the keys that wait for the next start of the process.
+	// Apply brings settings into force, and returns the keys that take effect only at the next start of the process.
 	Apply func(*Settings) (pendingRestart []string, err error)
 	// Save stores a version and all documents known under it, the one in force first. It is called before Apply.
 	Save func(version int64, documents []string) error
@@ -64,7 +64,7 @@
 	mu             sync.Mutex
 	version        int64
 	documents      []string // of that version; the first is in force
-	minVersion     int64    // saved by the process before, in force or not: lower versions are rejected
+	minVersion     int64    // saved by the previous process, in force or not: lower versions are rejected
 	pendingRestart []string // keys
 	rejected       rejection
 	saveFailure    string        // "": none
@@ -72,7 +72,7 @@
 	changed        chan struct{} // closed and replaced at each change
 }
 
-// rejection is the last rejected document, as long as its version is higher than the one in force.
+// rejection describes the last rejected document, as long as its version is higher than the one in force.
 type rejection struct {
 	version int64
 	digest  string
@@ -80,7 +80,7 @@
 	at      time.Time
 }
 
-// NewHolder returns a holder without settings: the agent's own file holds until the first version comes.
+// NewHolder returns a holder without settings: the agent's own file applies until the first version arrives.
 func NewHolder(cfg Config) *Holder {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -88,7 +88,8 @@
 	return &Holder{cfg: cfg, changed: make(chan struct{})}
 }
 
-// update changes the fields that Status and State report, and wakes those who wait for Changed.
+// update calls change with the lock held, to modify the fields that Status and State report, and notifies the callers of
+// Changed.
 func (h *Holder) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,15 +98,15 @@
 	h.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change of what Status or State report.
+// Changed returns a channel that is closed when the result of Status or State next changes.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// ShouldFetch reports whether a document that others hold is worth fetching. One that was rejected here is, again, after
-// rejectedRetryInterval: the agent's own file, against which it was checked, may have been corrected.
+// ShouldFetch reports whether to fetch a document that another process offers. A rejected document is fetched again after
+// rejectedRetryInterval, because the agent's own file, against which it was checked, may have been corrected.
 func (h *Holder) ShouldFetch(version int64, digest string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,14 +119,14 @@
 	return version > h.version || len(h.documents) < maxDocuments && !slices.ContainsFunc(h.documents, hasDigest)
 }
 
-// State is what is in force, for other processes of the fleet. Version 0 means no settings.
+// State describes the settings in force, for other processes of the fleet. Version 0 means no settings.
 type State struct {
 	Version        int64
-	Digests        []string // the first is in force; the others have its version by mistake
-	PendingRestart []string // keys that wait for the next start of the process
+	Digests        []string // the first is in force; the others have the same version by mistake
+	PendingRestart []string // keys that take effect only at the next start of the process
 }
 
-// State returns what is in force.
+// State returns a description of the settings in force.
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,24 +137,25 @@
 	return state
 }
 
-// Status is what is in force, as reported to the hubs. It converts to frame.AppliedVersion.
+// Status describes the settings in force in reports to the hubs. It converts to frame.AppliedVersion.
 type Status struct {
 	Version int64  // 0: none
 	Digest  string // "": none
-	Reason  string // what is wrong with it, or with a higher version; "": nothing
+	Reason  string // the problem with it, or with a higher version; "": none
 }
 
-// Status returns what is in force, and what is wrong with it or with a higher version.
+// Status returns the version in force, and any problem with it or with a higher version.
 func (h *Holder) Status() Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	status := Status{Version: h.version}
 	var reasons []string
 	if h.rejected.reason != "" {
-		reasons = append(reasons, "not taken: "+h.rejected.reason)
+		reasons = append(reasons, "rejected: "+h.rejected.reason)
 	}
 	if len(h.documents) > 1 {
-		conflict := fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.documents), h.version)
+		conflict := fmt.Sprintf("%d texts have version %d: the first one received stays in force until a higher version arrives",
+			len(h.documents), h.version)
 		reasons = append(reasons, conflict)
 	}
 	for _, reason := range []string{h.saveFailure, h.applyFailure} {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// assertInForce checks that a document is in force, "" for none, and that the reported reason contains a text, "" for no
-// reason.
+// assertInForce checks that text is in force, and that the reported reason contains reason. An empty text or reason means
+// none.
 func assertInForce(t *testing.T, h *Holder, text, reason string) {
 	t.Helper()
 	status := h.Status()
@@ -34,11 +34,12 @@
 		t.Errorf("%+v is in force, want %q", status, text)
 	}
 	if reason == "" && status.Reason != "" || !strings.Contains(status.Reason, reason) || len(status.Reason) > maxReasonBytes {
-		t.Errorf("reported %q, want %q", status.Reason, reason)
+		t.Errorf("reason %q, want %q", status.Reason, reason)
 	}
 }
 
-// Versions only grow, also over restarts; of two documents of one version the same is in force before and after a restart.
+// Versions only grow, also across restarts. If two documents have one version, the same document is in force before and after
+// a restart.
 func TestVersionsSurviveRestart(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	start := func(check func(*Settings) error) *Holder {
@@ -56,23 +57,23 @@
 		}
 	}
 	if !h.ShouldFetch(2, Digest(other)) || h.Apply(2, other) == nil || h.ShouldFetch(2, Digest(other)) {
-		t.Error("a second document of a version is applied, or fetched twice")
+		t.Error("second document of a version applied, or fetched twice")
 	}
 	for range 2 {
 		assertInForce(t, h, first, "2 texts have version 2")
 		if h.Apply(1, settingsText(1, 5)) == nil || h.ShouldFetch(1, "") || h.Apply(2, first) != nil || h.Apply(2, other) == nil {
-			t.Error("an older version, or another document, is applied")
+			t.Error("older version or conflicting document applied")
 		}
 		if _, got, ok := h.Text(Digest(other)); !ok || got != other {
-			t.Error("the conflicting document is not served")
+			t.Error("conflicting document not served")
 		}
 		h = start(nil)
 	}
-	// The agent's own file has changed: nothing saved can be used, and still nothing older is applied.
-	h = start(func(*Settings) error { return errors.New("not over this file") })
-	assertInForce(t, h, "", "not over this file")
+	// The agent's own file has changed: no saved document is usable, but older ones are still rejected.
+	h = start(func(*Settings) error { return errors.New("conflicts with this file") })
+	assertInForce(t, h, "", "conflicts with this file")
 	if err := h.Apply(1, settingsText(1, 5)); !errors.Is(err, errOutdated) {
-		t.Errorf("an older version: %v", err)
+		t.Errorf("applying an older version: %v", err)
 	}
 	h = start(nil)
 	if err := h.Apply(3, settingsText(3, 5)); err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// A document is checked, saved and applied in this order, and those who wait for a change are woken.
+// A document is checked, saved and applied in this order, and the channel of Changed is closed.
 func TestTextIsCheckedAndSavedBeforeItIsApplied(t *testing.T) {
 	var order []string
 	diskFull := false
@@ -105,14 +106,14 @@
 		Check: func(s *Settings) error { order = append(order, "check"); return nil },
 		Apply: func(s *Settings) ([]string, error) { order = append(order, "apply"); return []string{"k"}, nil },
 		Save: func(v int64, documents []string) error {
-			order = append(order, "keep")
+			order = append(order, "save")
 			if diskFull {
 				return errors.New("no space")
 			}
 			return nil
 		}})
 	changed := h.Changed()
-	if err := h.Apply(1, settingsText(1, 5)); err != nil || !slices.Equal(order, []string{"check", "keep", "apply"}) {
+	if err := h.Apply(1, settingsText(1, 5)); err != nil || !slices.Equal(order, []string{"check", "save", "apply"}) {
 		t.Error(err, order)
 	}
 	<-changed
@@ -121,21 +122,22 @@
 	}
 	for _, bad := range []string{settingsText(2, 99), settingsText(3, 5), "version = 2\n\"" + strings.Repeat("ü", 300) + "\" = 1"} {
 		if h.Apply(2, bad) == nil || h.ShouldFetch(2, Digest(bad)) {
-			t.Errorf("%.40q is applied, or fetched again", bad)
+			t.Errorf("%.40q applied, or fetched again", bad)
 		}
-		assertInForce(t, h, settingsText(1, 5), "not taken: settings, version 2")
+		assertInForce(t, h, settingsText(1, 5), "rejected: settings, version 2")
 	}
 	if len(order) != 3 {
-		t.Errorf("a document that can't be parsed gets to %v", order[3:])
+		t.Errorf("steps run for a document that can't be parsed: %v", order[3:])
 	}
 	diskFull = true
 	if err := h.Apply(2, settingsText(2, 5)); err != nil {
 		t.Error(err)
 	}
-	assertInForce(t, h, settingsText(2, 5), "not kept over a restart: no space")
+	assertInForce(t, h, settingsText(2, 5), "saving failed, lost at a restart: no space")
 }
 
-// A watched file is applied whenever it changes; an unusable one changes nothing, and is reported with file, line and key.
+// A watched file is applied whenever it changes. An unusable file changes nothing, and the reported reason names file, line
+// and key.
 func TestWatchAppliesEachUsableChangeOfTheFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	h := NewHolder(Config{})
@@ -150,7 +152,7 @@
 		select {
 		case <-changed:
 		case <-time.After(30 * time.Second):
-			t.Fatal("nothing changes")
+			t.Fatal("no change within 30 s")
 		}
 		changed = h.Changed()
 	}
@@ -159,7 +161,7 @@
 	writeFile(t, file, settingsText(2, 99))
 	awaitChange()
 	assertInForce(t, h, settingsText(1, 5), file+":3: attempts.most: 99 is not between 1 and 20")
-	writeFile(t, file, settingsText(1, 5)) // as it was
+	writeFile(t, file, settingsText(1, 5)) // the version in force again
 	awaitChange()
 	assertInForce(t, h, settingsText(1, 5), "")
 	if err := os.Remove(file); err != nil {
@@ -170,7 +172,7 @@
 	assertInForce(t, h, settingsText(2, 6), "")
 }
 
-// Settings are laid over the agent's own file; discovery changes at once, and the other keys wait for the next start.
+// Settings override keys of the agent's own file. Discovery changes immediately; the other keys wait for the next start.
 func TestDiscoveryAppliesAtOnceAndOtherKeysAwaitRestart(t *testing.T) {
 	own := filepath.Join(t.TempDir(), "agent.toml")
 	writeFile(t, own, "discovery = \"127.0.0.1:1\"\n[attempts]\nmost = 4\n"+
@@ -184,10 +186,10 @@
 			t.Error(err)
 		}
 		if st := h.State(); !slices.Equal(st.PendingRestart, pendingRestart) {
-			t.Errorf("%q: %q wait for a restart, want %q", text, st.PendingRestart, pendingRestart)
+			t.Errorf("%q: keys %q wait for a restart, want %q", text, st.PendingRestart, pendingRestart)
 		}
 	}
-	apply(settingsText(1, 5)) // before the start nothing waits
+	apply(settingsText(1, 5)) // before the start no key waits
 	if c, err := agent.Read(); err != nil || c.Attempts.Max != 5 {
 		t.Fatal(c, err)
 	}
@@ -197,11 +199,11 @@
 	apply("version = 3\ndiscovery = \"127.0.0.1:2\"\n[attempts]\nmost = 5\n"+class+class, "class")
 	apply(settingsText(4, 5))
 	if !slices.Equal(moved, []string{"127.0.0.1:2", "127.0.0.1:1"}) {
-		t.Errorf("discovery moved to %q", moved)
+		t.Errorf("discovery changed to %q", moved)
 	}
 	writeFile(t, own, "discovery = \"no\"\n")
 	if h.Apply(0, settingsText(5, 5)) == nil {
-		t.Error("applied over a file that can't be read")
+		t.Error("settings applied although the agent's file is unusable")
 	}
 	assertInForce(t, h, settingsText(4, 5), own+":1: discovery")
 }
--- a/internal/strictconfig/line.go
+++ b/internal/strictconfig/line.go
@@ -1,17 +1,17 @@
 package strictconfig
 
-// Finding the line of a key in a TOML text, for keys that the decoder has accepted and a later check has not.
+// Finding the line of a key in a TOML text, for keys that the decoder accepts and a later check rejects.
 
 import (
 	"fmt"
 	"strings"
 )
 
-// LineOf returns the line, from 1, on which a dotted key or the header of a table stands; 0 if it is on none, as where the
-// text spells it as an inline table. A key without indexes matches the first of several tables of an array.
+// LineOf returns the line number, from 1, of a dotted key or of a table's header. It returns 0 if no line has the key in this
+// form, for example because the key is in an inline table. A key without indexes matches the first table of an array.
 func LineOf(text, key string) int {
-	counts := map[string]int{} // of arrays of tables, by name
-	table := ""                // the present table's name and a dot
+	counts := map[string]int{} // number of tables so far in each array of tables, by name
+	table := ""                // the current table's name and a dot
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		switch {
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -1,6 +1,6 @@
 // Package strictconfig decodes TOML files strictly: an unknown key is an error, and each error names file, line and key.
 //
-// The package has no state. The caller owns the text and the decoded value; nothing is read again later.
+// The package has no state. The caller owns the text and the decoded value.
 package strictconfig
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is a fault of a configuration file. Decode and ErrorAt return it as *Error, for errors.As.
+// Error is an error in a configuration file. Decode and ErrorAt return it as *Error, for errors.As.
 type Error struct {
 	File    string
-	Line    int    // from 1; 0: the file as a whole, because the key is not in it
-	Key     string // dotted; an element of an array of tables counts from 0, as in fault[2].at
+	Line    int    // from 1; 0: the key is not in the file, or the error concerns the file as a whole
+	Key     string // dotted; elements of an array of tables are numbered from 0, as in fault[2].at
 	Message string
 }
 
-// Error returns the fault on one line, as in "agent.toml:3: attempts.most: 21 is not between 1 and 20".
+// Error returns a one-line message such as "agent.toml:3: attempts.most: 21 is not between 1 and 20".
 func (e *Error) Error() string {
 	location := e.File
 	if e.Line > 0 {
@@ -32,21 +32,21 @@
 	return location + ": " + e.Message
 }
 
-// ErrorAt returns the *Error for a key whose value could be decoded but is not allowed. text is the file's content, from
-// which the line is found.
+// ErrorAt returns the *Error for a key whose value could be decoded but is not allowed. text is the file's content, in
+// which the line is looked up.
 func ErrorAt(file, text, key, format string, args ...any) error {
 	return &Error{file, LineOf(text, key), key, fmt.Sprintf(format, args...)}
 }
 
-// Decode decodes a TOML text into v, a pointer to a struct. file names the text in errors. Keys that the text leaves out
-// keep their values in v. All errors are of type *Error; the first unknown key is one of them.
+// Decode decodes a TOML text into v, a pointer to a struct. file names the text in errors. Keys that the text omits keep
+// their values in v. All errors are of type *Error. An unknown key is an error; the first one is reported.
 func Decode(file, text string, v any) error {
 	meta, err := toml.Decode(text, v)
 	var parseErr toml.ParseError
 	switch {
 	case errors.As(err, &parseErr):
 		return &Error{file, parseErr.Position.Line, parseErr.LastKey, parseErr.Message}
-	case err != nil: // a value of the wrong type: the library names the key in its message alone
+	case err != nil: // a value of the wrong type: the library gives the key only in its message
 		msg := strings.TrimPrefix(err.Error(), "toml: ")
 		key := firstQuoted(msg)
 		if _, rest, hasPosition := strings.Cut(msg, "): "); hasPosition && strings.HasPrefix(msg, "line ") {
--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -17,7 +17,7 @@
 name = "put"
 `
 
-// decoded is what document holds.
+// decoded is the type that document decodes into.
 type decoded struct {
 	Name   string              `toml:"name"`
 	Wait   Duration            `toml:"wait"`
@@ -29,7 +29,7 @@
 func TestDecodeReturnsErrorWithFileLineAndKey(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want Error // without a message
+		want Error // Message is not compared
 	}{
 		{"name = \"a\"\nnmae = \"b\"", Error{File: "f", Line: 2, Key: "nmae"}},
 		{"\nname = 3", Error{File: "f", Line: 2, Key: "name"}},
@@ -67,7 +67,7 @@
 		want string
 	}{
 		{ErrorAt("f", document, "limits.cores", "%v is too much", 1.5), "f:5: limits.cores: 1.5 is too much"},
-		{ErrorAt("f", document, "limits.memory", "is needed"), "f: limits.memory: is needed"},
+		{ErrorAt("f", document, "limits.memory", "is required"), "f: limits.memory: is required"},
 		{&Error{File: "f", Message: "9 bytes"}, "f: 9 bytes"},
 	} {
 		if c.err.Error() != c.want {
--- a/internal/versionedfile/versionedfile.go
+++ b/internal/versionedfile/versionedfile.go
@@ -1,13 +1,13 @@
 // Package versionedfile stores versioned documents on disk, and watches the file in which an operator provides one.
 //
 // A document is a text with a version: the settings of a fleet, or its residency policy. Versions only grow. Several
-// documents may have the same version by mistake, so a stored state holds one version and all documents known under it.
+// documents may have the same version by mistake, so a stored state consists of one version and all of its documents.
 //
 // # State and owners
 //
-// The package has no state in memory. A state file belongs to the one process that was given its folder; nothing locks it.
-// Load checks its format and version, not the documents: their owner parses them. There is no age limit. A watched file
-// belongs to the operator; Watch reads it every 100 ms and never writes it.
+// The package has no state in memory. A state file belongs to the one process that is configured with its folder; it is not
+// locked. Load checks the format and the version; the caller parses the documents. A state file has no age limit. A watched
+// file belongs to the operator; Watch reads it every 100 ms and never writes it.
 package versionedfile
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns a short hash, in hexadecimal, that tells documents of one version apart. It is not cryptographic.
+// Digest returns a short non-cryptographic hash, in hexadecimal, that distinguishes documents of one version.
 func Digest(text string) string { return strconv.FormatUint(xxhash.Sum64String(text), 16) }
 
 // storedState is the form on disk.
@@ -36,10 +36,10 @@
 
 const storedFormat = 1
 
-// SaveFunc returns a function that saves a version and its documents under a name in a folder, which it makes if needed.
-// The state is synced to disk when the function returns without an error; after a crash the file holds either this state
-// or the one before, complete. Its errors are those of the file system, which name the operation and the path. It must not
-// be called twice at a time.
+// SaveFunc returns a function that saves a version and its documents to the file name in the folder dir, which it creates if
+// needed. When the function returns without an error, the state is synced to disk; after a crash the file contains either
+// the new state or the previous one, never a part. Errors are those of the file system, with the operation and the path. The
+// function must not be called concurrently.
 func SaveFunc(dir, name string) func(version int64, documents []string) error {
 	return func(version int64, documents []string) error {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -79,8 +79,8 @@
 	return d.Sync()
 }
 
-// Load reads what SaveFunc's function saved. Version 0 without an error means that nothing was saved. A file that can't be
-// read, or is not in the stored form, is an error that names the file.
+// Load reads the state that a function from SaveFunc has saved. Version 0 without an error means that no state is saved. If
+// the file can't be read or decoded, the error names the file.
 func Load(dir, name string) (version int64, documents []string, err error) {
 	path := filepath.Join(dir, name)
 	data, err := os.ReadFile(path)
@@ -103,8 +103,8 @@
 const pollInterval = 100 * time.Millisecond
 
 // Watch calls onChange with a file's text, at once and whenever the text changes, until ctx ends. It polls the file and
-// returns when ctx ends; onChange runs in its goroutine. A file that goes away, or becomes unreadable, is reported once, as
-// an error with an empty text; one that was never there is not reported.
+// returns when ctx ends; onChange runs in its goroutine. When the file is removed or becomes unreadable, onChange is called
+// once with an empty text and the error; a file that has never existed is not reported.
 func Watch(ctx context.Context, file string, onChange func(text string, err error)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/versionedfile/versionedfile_test.go
+++ b/internal/versionedfile/versionedfile_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The stored form is read by other versions of the program.
+// Other versions of the program read the stored form, so it must not change.
 func TestStoredFormStays(t *testing.T) {
 	dir := t.TempDir()
 	if err := SaveFunc(dir, "state.json")(2, []string{"x"}); err != nil {
@@ -77,7 +77,7 @@
 		case c := <-changes:
 			return c
 		case <-time.After(30 * time.Second):
-			t.Fatal("no change is reported")
+			t.Fatal("no change reported within 30 s")
 			return change{}
 		}
 	}
@@ -93,11 +93,11 @@
 		t.Fatal(err)
 	}
 	if c := next(); c.text != "" || !errors.Is(c.err, fs.ErrNotExist) {
-		t.Errorf("%+v after the loss of the file", c)
+		t.Errorf("%+v after the removal of the file", c)
 	}
 	select {
 	case c := <-changes:
-		t.Errorf("%+v is reported after the loss", c)
+		t.Errorf("%+v reported a second time after the removal", c)
 	case <-time.After(3 * pollInterval):
 	}
 	cancel()
