--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -25,7 +25,7 @@
 // The reply to each batch consists of the actions of its instances.
 func TestBatchesAreAnswered(t *testing.T) {
 	const submit = `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`
-	const try = `{"msg":"Try","Agent":3,"Job":"d0","Backend":"10.0.0.1:80"}` + "\n"
+	const tryMessage = `{"msg":"Try","Agent":3,"Job":"d0","Backend":"10.0.0.1:80"}` + "\n"
 	const eor = "{\"msg\":\"Eor\"}\n"
 	ended := func(outcome, done string) string {
 		return `{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"` + outcome +
@@ -34,13 +34,13 @@
 	tests := []struct{ name, in, want string }{
 		{"empty input", "", ""},
 		{"an empty batch", batchOf("1"), eor},
-		{"request sent", batchOf("1", openInstance, endpointLists) + batchOf("6", submit), eor + try + eor},
-		{"served", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("pass", `,"Ended":true`)), try + eor + eor},
+		{"request sent", batchOf("1", openInstance, endpointLists) + batchOf("6", submit), eor + tryMessage + eor},
+		{"served", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("pass", `,"Ended":true`)), tryMessage + eor + eor},
 		{"failed", batchOf("1", openInstance, endpointLists, submit) + batchOf("26", ended("fault", "")),
-			try + eor + `{"msg":"DropRequest","Agent":3,"Job":"d0"}` + "\n" + eor},
+			tryMessage + eor + `{"msg":"DropRequest","Agent":3,"Job":"d0"}` + "\n" + eor},
 		{"instance retired and opened again in one batch has no state", batchOf("1", openInstance, endpointLists, submit) +
 			batchOf("6", `{"msg":"Retire","Agent":3}`, openInstance, endpointLists) + batchOf("26", ended("fault", "")),
-			try + eor + eor + eor},
+			tryMessage + eor + eor + eor},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -57,9 +57,9 @@
 
 // Invalid input is an error that names its line, and the batch that contains it gets no reply.
 func TestInvalidInputIsRejectedWithoutOutput(t *testing.T) {
-	var many []string // requests, each followed by a reopening of the instance, which steps the old one
+	var reopened []string // requests, each followed by a reopening of the instance, which steps the old one
 	for i := range 2000 {
-		many = append(many, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), openInstance,
+		reopened = append(reopened, fmt.Sprintf(`{"msg":"Submit","Agent":3,"Job":"m%d","TierClass":0,"GraceMs":700}`, i), openInstance,
 			endpointLists)
 	}
 	tests := []struct{ name, in, want string }{
@@ -69,7 +69,7 @@
 			`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":700}`),
 			"line 5: Submit: TierClass: unknown class 1"},
 		{"instance not open, after many actions of another one", batchOf("1", append([]string{openInstance, endpointLists},
-			append(many, `{"msg":"Reminder","Agent":8,"Cookie":1}`)...)...), "instance 8 is not open"},
+			append(reopened, `{"msg":"Reminder","Agent":8,"Cookie":1}`)...)...), "instance 8 is not open"},
 		{"malformed line", batchOf("1", "{"), "line 2: "},
 	}
 	for _, tt := range tests {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -67,22 +67,22 @@
 }
 
 func (c *Config) checkDurations() error {
-	for _, span := range []struct {
+	for _, duration := range []struct {
 		key             string
 		value, min, max strictconfig.Duration
 	}{
 		{"attempts.connect_timeout", c.Attempts.ConnectTimeout, minDuration, maxDuration},
 		{"attempts.idle_close", c.Attempts.IdleClose, minDuration, maxDuration},
 		{"attempts.tick", c.Attempts.Tick, 0, second},
-		{"refusals.grace", c.Rejections.Grace, 0, second},
-		{"refusals.most_retry_after", c.Rejections.MaxRetryAfter, 0, maxDuration},
+		{"refusals.grace", c.Refusals.Grace, 0, second},
+		{"refusals.most_retry_after", c.Refusals.MaxRetryAfter, 0, maxDuration},
 		{"backends.drain_grace", c.Backends.DrainGrace, 0, maxDuration},
 		{"backends.ramp", c.Backends.SlowStartWindow, 0, maxDuration},
 		{"backends.fall_window", c.Backends.OverloadWindow, 0, maxDuration},
 	} {
-		if span.value < span.min || span.value > span.max {
-			return c.errorAt(span.key, "%v is not between %v and %v",
-				span.value.Duration(), span.min.Duration(), span.max.Duration())
+		if duration.value < duration.min || duration.value > duration.max {
+			return c.errorAt(duration.key, "%v is not between %v and %v",
+				duration.value.Duration(), duration.min.Duration(), duration.max.Duration())
 		}
 	}
 	return nil
@@ -107,7 +107,7 @@
 	}
 	for i, class := range c.Classes {
 		key := func(name string) string { return fmt.Sprintf("class[%d].%s", i, name) }
-		aim, deadline := class.LatencyObjective, class.Deadline
+		objective, deadline := class.LatencyObjective, class.Deadline
 		switch {
 		case class.Name == "":
 			return c.errorAt(key("name"), "is required")
@@ -117,9 +117,9 @@
 			return c.errorAt(key("group"), `%q is not "all", "zone" or "pod"`, class.Group)
 		case class.Idempotency == "keyed" && class.DedupWindow <= 0:
 			return c.errorAt(key("window"), "a keyed class needs the time for which backends drop duplicates")
-		case aim <= 0 || deadline < aim || deadline > maxDuration:
+		case objective <= 0 || deadline < objective || deadline > maxDuration:
 			return c.errorAt(key("deadline"), "aim %v and deadline %v: the aim must be above 0, the deadline between the aim and 24h",
-				aim.Duration(), deadline.Duration())
+				objective.Duration(), deadline.Duration())
 		case !(class.PriorityWeight >= 0):
 			return c.errorAt(key("worth"), "%v is negative", class.PriorityWeight)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,11 +45,11 @@
 	Settings  struct {
 		State string `toml:"state"` // folder in which settings are saved across restarts; "": not saved
 	} `toml:"settings"`
-	Attempts   Attempts   `toml:"attempts"`
-	Rejections Rejections `toml:"refusals"`
-	Backends   Backends   `toml:"backends"`
-	Prices     Prices     `toml:"prices"`
-	Classes    []Class    `toml:"class"`
+	Attempts Attempts `toml:"attempts"`
+	Refusals Refusals `toml:"refusals"`
+	Backends Backends `toml:"backends"`
+	Prices   Prices   `toml:"prices"`
+	Classes  []Class  `toml:"class"`
 
 	file, text string
 	overlay    *Settings // overrides keys of the file; nil: none
@@ -82,8 +82,8 @@
 	Tick           strictconfig.Duration `toml:"tick"` // minimum time between two decisions
 }
 
-// Rejections configures the responses to requests that are not served.
-type Rejections struct {
+// Refusals configures the responses to requests that are not served.
+type Refusals struct {
 	RetryAfter    bool                  `toml:"retry_after"`
 	MaxRetryAfter strictconfig.Duration `toml:"most_retry_after"`
 	Grace         strictconfig.Duration `toml:"grace"` // after its deadline, in which a final answer still counts
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -60,12 +60,12 @@
 	if err := strictconfig.Decode("hub.toml", DefaultHub, h); err != nil {
 		panic(err) // the defaults are part of the program
 	}
-	kinds := len(h.MaxAge)
+	knownKeys := len(h.MaxAge)
 	if err := strictconfig.Decode(file, text, h); err != nil {
 		return nil, err
 	}
 	h.file, h.text = file, text
-	if len(h.MaxAge) > kinds { // the decoder accepts any key in a map
+	if len(h.MaxAge) > knownKeys { // the decoder accepts any key in a map
 		return nil, h.errorAt("max_age", "the only keys are service, distance, residency, gone, settings and census")
 	}
 	return h, h.check()
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -48,13 +48,13 @@
 		"Profiles": c.platformClasses(),
 		"PolicyLimits": map[string]any{
 			"TryLimit": c.Attempts.Max, "SecondCopies": c.Attempts.Hedging, "MayProbe": c.Attempts.HealthChecks,
-			"Cancel": c.Attempts.Cancel, "RetryAfter": c.Rejections.RetryAfter, "Peers": len(c.Peers.Addresses) > 1,
-			"MaxRetryAfterMs": millis(c.Rejections.MaxRetryAfter), "ConnectTimeoutMs": millis(c.Attempts.ConnectTimeout),
+			"Cancel": c.Attempts.Cancel, "RetryAfter": c.Refusals.RetryAfter, "Peers": len(c.Peers.Addresses) > 1,
+			"MaxRetryAfterMs": millis(c.Refusals.MaxRetryAfter), "ConnectTimeoutMs": millis(c.Attempts.ConnectTimeout),
 			"IdleCloseMs": millis(c.Attempts.IdleClose), "MaxOpen": c.Limits.MaxOpen,
 		},
 		"Contract": map[string]any{
 			"AskWithinMs": listPollInterval.Seconds() * 1e3, "DrainGraceMs": millis(c.Backends.DrainGrace),
-			"GraceToAnswerMs": millis(c.Rejections.Grace), "ColdFrom": c.Backends.InitialCapacity,
+			"GraceToAnswerMs": millis(c.Refusals.Grace), "ColdFrom": c.Backends.InitialCapacity,
 			"RampTimeMs": millis(c.Backends.SlowStartWindow), "FallMultiple": c.Backends.OverloadMultiple,
 			"FallMs": millis(c.Backends.OverloadWindow),
 		},
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -80,8 +80,8 @@
 		}
 		own, _ := Parse("x.toml", minimalText+classText)
 		for _, k := range Diff(own, c) {
-			for _, one := range perAgentKeys {
-				if k == one.key || strings.HasPrefix(k, one.key+".") {
+			for _, perAgent := range perAgentKeys {
+				if k == perAgent.key || strings.HasPrefix(k, perAgent.key+".") {
 					t.Errorf("%q sets %s", text, k)
 				}
 			}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -65,9 +65,9 @@
 	text := out.text.String()
 	out.mu.Unlock()
 	written := strings.Count(text, `"msg":"line"`)
-	if missing := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, lines-written); written < queueLength ||
-		!strings.Contains(text, missing) {
-		t.Errorf("%d of %d lines written; want at least the queue's length, and %s", written, lines, missing)
+	if droppedReport := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, lines-written); written < queueLength ||
+		!strings.Contains(text, droppedReport) {
+		t.Errorf("%d of %d lines written; want at least the queue's length, and %s", written, lines, droppedReport)
 	}
 }
 
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -25,7 +25,7 @@
 	mu            sync.Mutex
 	version       int64              // 0: no policy
 	policies      map[string]*Policy // of that version, by digest; nil: the document is unusable
-	lastReadable  *Policy            // the last usable policy; determines the restricted tenants while a later one is unusable
+	lastUsable    *Policy            // determines the restricted tenants while a later policy is unusable
 	confirmedAt   time.Time          // when the version was the source's latest, according to the last confirmation
 	everConfirmed bool
 	stale         bool
@@ -77,7 +77,7 @@
 		h.log.Error("residency policy unusable, restricted tenants refused", "version", version, "error", err)
 		policy = nil
 	} else {
-		h.lastReadable = policy
+		h.lastUsable = policy
 	}
 	h.policies[digest] = policy
 	if len(h.policies) > 1 {
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -93,7 +93,7 @@
 		return errorAt("regions", "%d entries, must be at most %d", len(p.Regions), maxRegions)
 	case len(p.Tenants) > maxTenants:
 		return errorAt("tenant", "%d entries, must be at most %d", len(p.Tenants), maxTenants)
-	case !isWhenStale(p.WhenStale):
+	case !isValidWhenStale(p.WhenStale):
 		return errorAt("when_stale", `%q is not "serve" or "refuse"`, p.WhenStale)
 	}
 	if err := p.checkRegions(errorAt); err != nil {
@@ -102,8 +102,8 @@
 	return p.checkRules(errorAt)
 }
 
-func isWhenStale(word string) bool {
-	return word == "" || word == serveWhenStale || word == refuseWhenStale
+func isValidWhenStale(value string) bool {
+	return value == "" || value == serveWhenStale || value == refuseWhenStale
 }
 
 // checkRegions returns an error if a site is in two regions.
@@ -148,7 +148,7 @@
 			return errorAt(key+".permitted", "%q is not a region; the regions are %v", region, slices.Sorted(maps.Keys(p.Regions)))
 		}
 	}
-	if !isWhenStale(r.WhenStale) {
+	if !isValidWhenStale(r.WhenStale) {
 		return errorAt(key+".when_stale", `%q is not "serve" or "refuse"`, r.WhenStale)
 	}
 	return nil
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestRulesPermitTheirZonesAlone(t *testing.T) {
+func TestRulesPermitOnlyTheirZones(t *testing.T) {
 	h := NewHolder(zones, time.Second, true, discardLog, nil)
 	assertPermitted(t, h, "post", "update") // without a policy no zone is permitted
 	if err := h.Apply(1, policyText(1, `"riga"`, "serve")); err != nil {
--- a/internal/residency/rules.go
+++ b/internal/residency/rules.go
@@ -102,6 +102,6 @@
 // wasRestricted reports whether the last usable policy restricts a subject. Without such a policy every subject is restricted.
 // The caller holds the lock.
 func (h *Holder) wasRestricted(s subject) bool {
-	last := h.lastReadable
+	last := h.lastUsable
 	return last == nil || last.permittedZones(last.ruleFor(s.tenant, s.class), h.zones) != nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -83,7 +83,7 @@
 }
 
 // A state file that can't be read is an error, and the next document is applied.
-func TestBrokenStateFileIsAnErrorAndNextTextIsApplied(t *testing.T) {
+func TestBrokenStateFileIsAnErrorAndNextDocumentIsApplied(t *testing.T) {
 	for _, data := range []string{"", "{", `{"format":9,"version":3}`, `{"format":1,"version":0}`, "version = 3"} {
 		dir := t.TempDir()
 		writeFile(t, filepath.Join(dir, stateFileName), data)
@@ -99,7 +99,7 @@
 }
 
 // A document is checked, saved and applied in this order, and the channel of Changed is closed.
-func TestTextIsCheckedAndSavedBeforeItIsApplied(t *testing.T) {
+func TestDocumentIsCheckedAndSavedBeforeItIsApplied(t *testing.T) {
 	var order []string
 	diskFull := false
 	h := NewHolder(Config{
--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestErrorNamesWhatIsKnown(t *testing.T) {
+func TestErrorOmitsUnknownParts(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want string
--- a/internal/versionedfile/versionedfile_test.go
+++ b/internal/versionedfile/versionedfile_test.go
@@ -32,7 +32,7 @@
 }
 
 // Other versions of the program read the stored form, so it must not change.
-func TestStoredFormStays(t *testing.T) {
+func TestStoredFormIsStable(t *testing.T) {
 	dir := t.TempDir()
 	if err := SaveFunc(dir, "state.json")(2, []string{"x"}); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestWatchReportsEachChangeAndTheLossOnce(t *testing.T) {
+func TestWatchReportsEachChangeAndTheRemovalOnce(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "document")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -42,15 +42,15 @@
 
 // Reader reads batches. It must be used by one goroutine at a time.
 type Reader struct {
-	in          *bufio.Reader
-	line        int                        // number of the last line read
-	sheets      map[int][]balancer.Backend // endpoint lists that DefineList messages have defined, by number
-	classCounts map[int]int                // request classes of each open instance
+	in            *bufio.Reader
+	line          int                        // number of the last line read
+	endpointLists map[int][]balancer.Backend // endpoint lists that DefineList messages have defined, by number
+	classCounts   map[int]int                // request classes of each open instance
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), sheets: map[int][]balancer.Backend{}, classCounts: map[int]int{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), endpointLists: map[int][]balancer.Backend{}, classCounts: map[int]int{}}
 }
 
 // Next reads one batch. It returns io.EOF if the input ends between batches. Any other error names the line, and the
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -44,14 +44,14 @@
 
 // trackInstance records which instances are open, and rejects a request whose class its instance does not have.
 func (r *Reader) trackInstance(event Event) error {
-	classes, known := r.classCounts[event.Agent]
+	classes, isOpen := r.classCounts[event.Agent]
 	request, isRequest := event.Event.(balancer.Request)
 	switch {
 	case event.Open != nil:
 		r.classCounts[event.Agent] = len(event.Open.Settings.Classes)
 	case event.Retire:
 		delete(r.classCounts, event.Agent)
-	case isRequest && known && (request.Class < 0 || request.Class >= classes):
+	case isRequest && isOpen && (request.Class < 0 || request.Class >= classes):
 		return fmt.Errorf("TierClass: unknown class %d", request.Class)
 	}
 	return nil
@@ -162,7 +162,7 @@
 		backends = append(backends, balancer.Backend{ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
 			Kind: item.Sku, Weight: item.Rating, Started: fromMillis(item.LaunchedMs)})
 	}
-	r.sheets[*msg.Sheet] = backends
+	r.endpointLists[*msg.Sheet] = backends
 	return nil
 }
 
@@ -181,7 +181,7 @@
 	if msg.Sheet == nil {
 		return nil, errors.New("missing Sheet")
 	}
-	backends, ok := r.sheets[*msg.Sheet]
+	backends, ok := r.endpointLists[*msg.Sheet]
 	if !ok {
 		return nil, fmt.Errorf("Sheet %d is not defined", *msg.Sheet) //lint:ignore ST1005 begins with the name of a field
 	}
