--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,7 +9,7 @@
 // agent reads its file at the start and at SIGHUP, a hub only at the start.
 //
 // Each read checks the merged configuration: the defaults, overridden by the file, overridden by the settings. An error is
-// either of the file system, or a *strictconfig.Error that names the document that set the value, the line and the key.
+// either a file system error or a *strictconfig.Error, which names the document that set the value, the line and the key.
 package config
 
 // The configuration of an agent, and reading it.
@@ -74,7 +74,7 @@
 type Attempts struct {
 	Max            int                   `toml:"most"` // attempts of one request, including the first
 	ConnectTimeout strictconfig.Duration `toml:"connect_timeout"`
-	IdleClose      strictconfig.Duration `toml:"idle_close"` // after which backends close an idle connection
+	IdleClose      strictconfig.Duration `toml:"idle_close"` // idle time after which backends close a connection
 	SourceAddr     string                `toml:"from"`       // local IP address; "": the system chooses
 	Hedging        bool                  `toml:"second_copies"`
 	Cancel         bool                  `toml:"cancel"`
@@ -86,7 +86,7 @@
 type Refusals struct {
 	RetryAfter    bool                  `toml:"retry_after"`
 	MaxRetryAfter strictconfig.Duration `toml:"most_retry_after"`
-	Grace         strictconfig.Duration `toml:"grace"` // after its deadline, in which a final answer still counts
+	Grace         strictconfig.Duration `toml:"grace"` // time after a request's deadline in which a final answer still counts
 }
 
 // Backends describes how backends start, drain and become overloaded.
@@ -110,7 +110,7 @@
 	Name             string                `toml:"name"`
 	Idempotency      string                `toml:"effect"` // "safe", "keyed" or "once"
 	Group            string                `toml:"group"`  // backends that drop each other's duplicates: "all", "zone" or "pod"; "": "all"
-	DedupWindow      strictconfig.Duration `toml:"window"` // for which backends drop duplicates, if keyed
+	DedupWindow      strictconfig.Duration `toml:"window"` // time for which backends drop duplicates, if keyed
 	LatencyObjective strictconfig.Duration `toml:"aim"`
 	Deadline         strictconfig.Duration `toml:"deadline"`
 	PriorityWeight   float64               `toml:"worth"`
@@ -129,7 +129,7 @@
 	return parseWithSettings(file, string(text), overlay)
 }
 
-// Parse checks the text of an agent's file. file names it in errors.
+// Parse parses and checks the text of an agent's file. file names the text in errors.
 func Parse(file, text string) (*Config, error) { return parseWithSettings(file, text, nil) }
 
 // parseWithSettings merges the defaults, the file and the settings, of which later ones override earlier ones. If a check
--- a/internal/config/extension.go
+++ b/internal/config/extension.go
@@ -4,7 +4,7 @@
 
 import "encoding/json"
 
-// Extension is the part of a configuration in the platform's form that configures an agent's part in a fleet. The
+// Extension holds the keys of the platform's form of a configuration that configure an agent's part in a fleet. The
 // platform's own program ignores the sections fleet and residency.
 type Extension struct {
 	Fleet     *FleetExtension     `json:"fleet"`     // nil: there is no fleet
@@ -46,7 +46,7 @@
 	return extension, err
 }
 
-// extensions returns the sections fleet and residency; nil where there is none.
+// extensions returns the sections fleet and residency; nil if there is none.
 func (c *Config) extensions() (fleet *FleetExtension, policy *ResidencyExtension) {
 	if f := &c.Fleet; f.Listen != "" {
 		fleet = &FleetExtension{
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -22,8 +22,8 @@
 	membershipModes   = map[string]string{"pushed": "automatic", "asked": "subscribe"}
 )
 
-// Platform returns the configuration in the platform's form. If the configuration has no seed, each call
-// uses a new random one.
+// Platform returns the configuration in the platform's form. If the configuration has no seed, each call uses a new
+// random one.
 func (c *Config) Platform() ([]byte, error) {
 	seed := c.Seed
 	if seed == "" {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -42,7 +42,7 @@
 deadline = "1s"
 `
 
-// ParseSettings parses settings, and checks what can be checked without an agent's file. file names them in errors.
+// ParseSettings parses settings, and checks what can be checked without an agent's file. file names the document in errors.
 func ParseSettings(file, text string) (*Settings, error) {
 	if len(text) > MaxSettingsBytes {
 		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, at most %d", len(text), MaxSettingsBytes)}
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -11,7 +11,7 @@
 // Zones are the zones of a site. The key holds either a list of names, without regions, or a table from names
 // to regions.
 type Zones struct {
-	Names   []string // sorted if they came as a table
+	Names   []string // sorted if the key is a table
 	Regions []string // of each zone; nil: no zone has one
 
 	invalidKey, reason string // an error that UnmarshalTOML found; check reports it with its line
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -50,8 +50,8 @@
 	errTooManyDocuments = errors.New("too many texts under one version")
 )
 
-// Apply brings a document into force. A higher version replaces the one in force. Another document of the same version is added
-// to it: only zones that both permit are permitted. A lower version is an error. An unusable document is in force too, and
+// Apply brings a document into force. A higher version replaces the one in force. Another document of the same version is in
+// force as well: only zones that both permit are permitted. A lower version is an error. An unusable document is in force too, and
 // Apply returns its error: restricted tenants are refused until a higher version arrives.
 func (h *Holder) Apply(version int64, text string) error {
 	policy, err := Parse("policy", text)
--- a/internal/versionedfile/versionedfile.go
+++ b/internal/versionedfile/versionedfile.go
@@ -102,7 +102,7 @@
 
 const pollInterval = 100 * time.Millisecond
 
-// Watch calls onChange with a file's text, at once and whenever the text changes, until ctx ends. It polls the file and
+// Watch calls onChange with a file's text, immediately and whenever the text changes, until ctx ends. It polls the file and
 // returns when ctx ends; onChange runs in its goroutine. When the file is removed or becomes unreadable, onChange is called
 // once with an empty text and the error; a file that has never existed is not reported.
 func Watch(ctx context.Context, file string, onChange func(text string, err error)) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -73,7 +73,7 @@
 type Site struct {
 	Classes      []string // names, in the order of balancer.Settings.Classes
 	Zones, Kinds []string
-	IdleClose    time.Duration // after which a backend closes an idle connection
+	IdleClose    time.Duration // idle time after which a backend closes a connection
 	MaxOpen      int           // requests that may be open at once; 0: no limit
 	LoadInline   bool          // responses carry load reports
 	LoadProbed   bool          // responses to probes carry load reports
