--- a/internal/config/extension.go
+++ b/internal/config/extension.go
@@ -1,10 +1,10 @@
 package config
 
-// What martenbeam adds to the platform's form of a configuration.
+// The sections that martenbeam adds to the platform's form of a configuration.
 
 import "encoding/json"
 
-// Extension is the part of a configuration in the platform's form that says how an agent takes part in a fleet. The
+// Extension holds the keys of the platform's form of a configuration that configure an agent's part in a fleet. The
 // platform's own program ignores the sections fleet and residency.
 type Extension struct {
 	Fleet     *FleetExtension     `json:"fleet"`     // nil: there is no fleet
@@ -22,7 +22,7 @@
 	Advertise string             `json:"advertise"`
 	Seeds     []string           `json:"seeds"`
 	Hubs      map[string]string  `json:"hubs"`           // addresses, by zone
-	Settings  string             `json:"settings_state"` // a folder; "": nowhere
+	Settings  string             `json:"settings_state"` // a folder; "": not saved
 	Label     string             `json:"label"`
 	MaxAgents int                `json:"most"`
 	Lists     string             `json:"lists"`
@@ -39,14 +39,14 @@
 	State   string  `json:"state"`
 }
 
-// ReadExtension decodes the extension of a configuration in the platform's form. It checks nothing but the form.
+// ReadExtension decodes the extension of a configuration in the platform's form. It does not check the values.
 func ReadExtension(raw []byte) (Extension, error) {
 	var extension Extension
 	err := json.Unmarshal(raw, &extension)
 	return extension, err
 }
 
-// extensions returns the sections fleet and residency; nil where there is none.
+// extensions returns the sections fleet and residency; nil if there is none.
 func (c *Config) extensions() (fleet *FleetExtension, policy *ResidencyExtension) {
 	if f := &c.Fleet; f.Listen != "" {
 		fleet = &FleetExtension{
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,6 @@
 package config
 
-// The same configuration in the platform's form, JSON that the agent's program reads.
+// The configuration of an agent in the platform's form: JSON that the agent's program reads.
 
 import (
 	"encoding/json"
@@ -12,17 +12,18 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// listPollInterval is how long an agent may go without polling the endpoint list, where it polls.
+// listPollInterval is the maximum time between two polls of the endpoint list by an agent that polls.
 const listPollInterval = 10 * time.Second
 
-// The words of a class in the platform's form, by those of the file.
+// Enum values in the platform's form, by those in the file.
 var (
 	semanticsByEffect = map[string]string{"safe": "repeatable", "keyed": "by_key", "once": "once"}
 	wireGroups        = map[string]string{"": "all", "all": "all", "zone": "zone", "pod": "cell"}
 	membershipModes   = map[string]string{"pushed": "automatic", "asked": "subscribe"}
 )
 
-// Platform returns the configuration in the platform's form. Without a seed in the configuration each call draws another one.
+// Platform returns the configuration in the platform's form. If the configuration has no seed, each call uses a new
+// random one.
 func (c *Config) Platform() ([]byte, error) {
 	seed := c.Seed
 	if seed == "" {
@@ -38,7 +39,7 @@
 	})
 }
 
-// platformSettings is the section of the platform's form that configures the decision module.
+// platformSettings returns the section of the platform's form that configures the decision module.
 func (c *Config) platformSettings() map[string]any {
 	return map[string]any{
 		"Balancers": max(1, len(c.Peers.Addresses)), "Me": c.Peers.Self,
@@ -47,13 +48,13 @@
 		"Profiles": c.platformClasses(),
 		"PolicyLimits": map[string]any{
 			"TryLimit": c.Attempts.Max, "SecondCopies": c.Attempts.Hedging, "MayProbe": c.Attempts.HealthChecks,
-			"Cancel": c.Attempts.Cancel, "RetryAfter": c.Rejections.RetryAfter, "Peers": len(c.Peers.Addresses) > 1,
-			"MaxRetryAfterMs": millis(c.Rejections.MaxRetryAfter), "ConnectTimeoutMs": millis(c.Attempts.ConnectTimeout),
+			"Cancel": c.Attempts.Cancel, "RetryAfter": c.Refusals.RetryAfter, "Peers": len(c.Peers.Addresses) > 1,
+			"MaxRetryAfterMs": millis(c.Refusals.MaxRetryAfter), "ConnectTimeoutMs": millis(c.Attempts.ConnectTimeout),
 			"IdleCloseMs": millis(c.Attempts.IdleClose), "MaxOpen": c.Limits.MaxOpen,
 		},
 		"Contract": map[string]any{
 			"AskWithinMs": listPollInterval.Seconds() * 1e3, "DrainGraceMs": millis(c.Backends.DrainGrace),
-			"GraceToAnswerMs": millis(c.Rejections.Grace), "ColdFrom": c.Backends.InitialCapacity,
+			"GraceToAnswerMs": millis(c.Refusals.Grace), "ColdFrom": c.Backends.InitialCapacity,
 			"RampTimeMs": millis(c.Backends.SlowStartWindow), "FallMultiple": c.Backends.OverloadMultiple,
 			"FallMs": millis(c.Backends.OverloadWindow),
 		},
@@ -75,5 +76,5 @@
 	return classes
 }
 
-// millis returns a span in milliseconds.
+// millis converts a duration to milliseconds.
 func millis(d strictconfig.Duration) float64 { return d.Duration().Seconds() * 1e3 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -10,7 +10,8 @@
 	"martenbeam/balancer"
 )
 
-// decodeEvent adds the event of a message to a batch. A DefineList message is no event: it is kept for later messages.
+// decodeEvent appends the event of a message to a batch. A DefineList message adds no event: its list is stored for later
+// View messages.
 func (r *Reader) decodeEvent(batch *Batch, msg *message) error {
 	if msg.Kind == "DefineList" {
 		return r.defineList(msg)
@@ -41,16 +42,16 @@
 	return nil
 }
 
-// trackInstance notes which instances are open, and rejects a request of a class that its instance does not have.
+// trackInstance records which instances are open, and rejects a request whose class its instance does not have.
 func (r *Reader) trackInstance(event Event) error {
-	classes, known := r.classCounts[event.Agent]
+	classes, isOpen := r.classCounts[event.Agent]
 	request, isRequest := event.Event.(balancer.Request)
 	switch {
 	case event.Open != nil:
 		r.classCounts[event.Agent] = len(event.Open.Settings.Classes)
 	case event.Retire:
 		delete(r.classCounts, event.Agent)
-	case isRequest && known && (request.Class < 0 || request.Class >= classes):
+	case isRequest && isOpen && (request.Class < 0 || request.Class >= classes):
 		return fmt.Errorf("TierClass: unknown class %d", request.Class)
 	}
 	return nil
@@ -67,7 +68,7 @@
 	return &OpenInstance{Seed: *msg.RandomSeed, Settings: settings}, nil
 }
 
-// decodeInstanceEvent decodes the messages that stand for themselves.
+// decodeInstanceEvent decodes the messages that do not refer to other messages.
 func decodeInstanceEvent(msg *message) (balancer.Event, error) {
 	switch msg.Kind {
 	case "Submit":
@@ -144,7 +145,7 @@
 	return balancer.GossipReceived{From: *msg.From, Data: data}, nil
 }
 
-// defineList keeps an endpoint list under its number, for the View messages that name it.
+// defineList stores an endpoint list under its number, for the View messages that refer to it.
 func (r *Reader) defineList(msg *message) error {
 	if msg.Sheet == nil || msg.Items == nil {
 		return errors.New("missing Sheet or Items")
@@ -161,11 +162,11 @@
 		backends = append(backends, balancer.Backend{ID: item.Backend, State: state, Zone: item.Dc, Cell: item.Block,
 			Kind: item.Sku, Weight: item.Rating, Started: fromMillis(item.LaunchedMs)})
 	}
-	r.sheets[*msg.Sheet] = backends
+	r.endpointLists[*msg.Sheet] = backends
 	return nil
 }
 
-// decodeView decodes an update of the endpoint list, which names a list that was defined before.
+// decodeView decodes an endpoint update, which refers by number to a list that was defined before.
 func (r *Reader) decodeView(msg *message) (balancer.Event, error) {
 	if msg.How == nil {
 		return nil, errors.New("missing How")
@@ -180,9 +181,9 @@
 	if msg.Sheet == nil {
 		return nil, errors.New("missing Sheet")
 	}
-	backends, ok := r.sheets[*msg.Sheet]
+	backends, ok := r.endpointLists[*msg.Sheet]
 	if !ok {
-		return nil, fmt.Errorf("Sheet %d was never defined", *msg.Sheet) //lint:ignore ST1005 begins with the name of a field
+		return nil, fmt.Errorf("Sheet %d is not defined", *msg.Sheet) //lint:ignore ST1005 begins with the name of a field
 	}
 	return balancer.EndpointUpdate{Kind: kind, Backends: backends}, nil
 }
