--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,21 +1,21 @@
 package balancer
 
-// Admission: the concurrency limit that follows latency, this agent's share of it (quota), and which queued requests
-// are sent, wait or are refused while the limit binds.
+// Admission: which queued requests are sent, wait or are refused, given the concurrency limit, which depends on
+// latency, and this agent's share of it (quota).
 
 import (
 	"time"
 )
 
 const (
-	queueMargin      = 2.0  // a queued request is refused when fewer than so many mean latencies remain
-	maxQueueMargin   = 0.75 // but may always wait until this share of its objective remains
+	queueMargin      = 2.0  // a queued request is refused when fewer than this many mean latencies remain
+	maxQueueMargin   = 0.75 // upper bound of that margin, as a share of the latency objective
 	clientRetryValue = 0.1  // value of a client's retry relative to a first attempt: most of its objective has passed
 )
 
 // admitQueued sends queued requests while there is capacity: first attempts before clients' retries, the class of the
-// highest marginal value first, and in a class the newest first. Waiting here costs the backends nothing. A request is
-// refused when an answer within its objective is out of reach.
+// highest marginal value first, and in a class the newest first. A queued request puts no load on the backends. A
+// request that can no longer be answered within its objective is refused.
 func (b *Balancer) admitQueued() {
 	if b.queue.empty() {
 		return
@@ -36,7 +36,7 @@
 	b.queue.newestFirst(b.waitOrRefuse)
 }
 
-// admissionValue is what sending a queued request now adds to the operator's goal, per unit of work.
+// admissionValue returns what sending a queued request now adds to the operator's goal, per unit of work.
 func (b *Balancer) admissionValue(req *request) float64 {
 	class := &b.classes[req.class]
 	value := class.marginalValue
@@ -53,7 +53,7 @@
 }
 
 // waitOrRefuse refuses a queued request that is a client's retry, can't be answered within its objective, or has no
-// permitted backend. Any other keeps waiting, until its timer at the latest.
+// permitted backend. Other requests keep waiting, until their timer fires at the latest.
 func (b *Balancer) waitOrRefuse(req *request) {
 	margin := min(queueMargin*b.expectedLatency(req), maxQueueMargin*float64(b.classes[req.class].LatencyObjective))
 	giveUpAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
@@ -69,7 +69,7 @@
 }
 
 // hasCapacity reports whether one more attempt may be sent. With a sparse quota there are seldom two requests to
-// choose from, so each class leaves credit for the more valuable ones, in proportion to their share of the arriving
+// choose from, so each class leaves credit for the more valuable classes, in proportion to their share of the arriving
 // work.
 func (b *Balancer) hasCapacity(req *request) bool {
 	if b.sparseQuota() {
@@ -79,17 +79,17 @@
 	return b.limiter.allows(b.inUse(), b.capacity)
 }
 
-// sparseQuota reports whether an even share of the concurrency limit is less than one attempt, so that counting
-// attempts does not work. Departure: many agents with one attempt each have too many together. Such an agent admits by
-// credit instead: each first attempt brings its own work times the square of target latency over present latency, and
-// each attempt sent takes its work. All agents see the latency of one fleet, so all admit the same share of their
-// demand, however high it is.
+// sparseQuota reports whether an even share of the concurrency limit is less than one attempt, so that a limit on the
+// number of attempts does not work. Departure: many agents with one attempt each exceed the limit together. An agent
+// with a sparse quota admits by credit instead: each first attempt adds its own work times the square of target latency
+// over current latency, and each attempt sent subtracts its work. All agents measure the latency of the same fleet, so
+// all admit the same share of their demand, however high the demand is.
 func (b *Balancer) sparseQuota() bool {
 	return b.settings.Balancers > 1 && initialLimitPerBackend*float64(b.up) < float64(b.settings.Balancers)
 }
 
-// gossipsObservations reports whether agents exchange observations: with sparse quotas what one agent saw is known to
-// all soon.
+// gossipsObservations reports whether agents exchange observations, so that all of them soon have the same ones. Only
+// agents with sparse quotas do.
 func (b *Balancer) gossipsObservations() bool { return b.settings.GossipAllowed && b.sparseQuota() }
 
 // recomputeQuota updates this agent's share of the concurrency limit.
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,6 +1,6 @@
 // Package balancer decides, for one client process (an agent), which backend each request goes to, when a failed
 // request is retried, and when a request is refused. It performs no I/O. The embedding agent owns the clock, the
-// timers and the connections: it passes on what happened as events, and carries out the returned actions in order.
+// timers and the connections: it reports what happened as events, and carries out the returned actions in order.
 //
 // A Balancer belongs to one goroutine. All times are durations on the agent's own monotonic clock; its zero is
 // arbitrary, and it must not run backwards. Memory is bounded by the open requests and attempts, the pending timers,
@@ -9,14 +9,14 @@
 // Reading order: this file for the interface; balancer.go for the parts and how events reach them; lifecycle.go for
 // the life of a request, with its records in request.go. Then one part at a time. Which backend a request goes to:
 // picking.go, candidates.go, subset.go, latency.go. Whether it may be sent now: admission.go, queue.go, limiter.go,
-// credit.go, classes.go, capacity.go. Retries: retries.go, retrybudget.go. What attempts teach: outcomes.go,
+// credit.go, classes.go, capacity.go. Retries: retries.go, retrybudget.go. Statistics from attempts: outcomes.go,
 // outliers.go for ejections, slowstart.go, backends.go for the record of a backend. Zones: failover.go,
 // sequentialtest.go, failoverstate.go, zone.go, zonelatency.go, residency.go. Other agents: gossip.go, message.go,
 // observations.go, peers.go, demand.go. The endpoint list and the operators: endpoints.go, operators.go, overrides.go,
 // snapshot.go.
 //
-// Constants are dimensionless: every scale comes from the settings or from what is observed. A comment that starts
-// with "Departure:" gives the reason why the module departs from the published design.
+// Constants are dimensionless: every scale comes from the settings or from measurements. A comment that starts with
+// "Departure:" gives the reason why the module departs from the published design.
 package balancer
 
 import (
@@ -25,7 +25,7 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// Idempotency says whether executing a request twice does harm.
+// Idempotency tells whether a request may be executed more than once.
 type Idempotency uint8
 
 const (
@@ -34,7 +34,7 @@
 	NonIdempotent                     // retried only when no attempt can have executed
 )
 
-// IdempotencyScope says which backends share the memory of idempotency keys, and so drop duplicates.
+// IdempotencyScope is the set of backends that share a store of idempotency keys and so drop each other's duplicates.
 type IdempotencyScope uint8
 
 const (
@@ -45,8 +45,8 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within this time earns the full weight
-	Deadline         time.Duration // how long a client waits, over all its own attempts
+	LatencyObjective time.Duration // a final answer within this time earns the full PriorityWeight
+	Deadline         time.Duration // how long a client waits in total, its own retries included
 	PriorityWeight   float64       // value of a request (of a unit of work with Settings.WeightByWork)
 	LateWeight       float64       // share of PriorityWeight earned between LatencyObjective and Deadline
 	Idempotency      Idempotency
@@ -54,16 +54,16 @@
 	DedupWindow      time.Duration    // for IdempotencyKey: how long duplicates are dropped after the first send
 }
 
-// Settings are fixed for the life of a Balancer. Where a comment gives a meaning for the zero value, the field is
-// optional; the zero value of a cost, a goal or a span switches off what depends on it. Permissions that the module
-// does not use at present (CancelAllowed) are part of the interface all the same.
+// Settings configure a Balancer and stay fixed for its life. Where a comment gives a meaning for the zero value, the
+// field is optional; a cost, goal or duration of zero disables the rule that depends on it. CancelAllowed is reserved:
+// the module does not use it yet.
 type Settings struct {
 	Balancers    int // agents that share these backends, this one included; at least 1
 	Self         int // this agent's number, from 0
 	Zone         int // this agent's zone
 	Classes      []Class
 	WeightByWork bool          // PriorityWeight counts per unit of work, not per request
-	Subscribe    bool          // endpoint updates must be asked for (action Subscribe); otherwise they are pushed
+	Subscribe    bool          // the agent must request endpoint updates (action Subscribe); otherwise they are pushed
 	Tick         time.Duration // shortest interval between two steps; 0: none
 
 	MaxAttempts    int           // attempts per request; 0: 1
@@ -77,16 +77,16 @@
 
 	DrainGrace       time.Duration // how long sends to a draining backend are tolerated
 	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
-	PollInterval     time.Duration // with Subscribe: ask at least this often while not subscribed
-	InitialCapacity  float64       // a starting backend has at least this share of its capacity; 0: 1
-	SlowStartWindow  time.Duration // and all of it no later than this after its start
-	OverloadMultiple float64       // a starting backend that is sent more than this multiple of its capacity
-	OverloadWindow   time.Duration // over this span becomes overloaded and fails
+	PollInterval     time.Duration // with Subscribe: longest time between polls while not subscribed
+	InitialCapacity  float64       // share of its full capacity that a backend has at its start; 0: 1
+	SlowStartWindow  time.Duration // time from its start within which a backend reaches full capacity
+	OverloadMultiple float64       // a starting backend fails when it is sent more than this multiple of its capacity
+	OverloadWindow   time.Duration // span over which OverloadMultiple is measured
 
 	GoalOverall, GoalWorstWindow, GoalWorstClass float64 // weights of: all requests, the worst time window, the worst class
-	CrossZoneCost                                float64 // cost of crossing zones, as a share of the result
+	CrossZoneCost                                float64 // cost of sending to another zone, as a share of the result
 	Regions                                      []int   // region of each zone; empty: all zones are in one region
-	CrossRegionCost                              float64 // cost of crossing regions; at least CrossZoneCost counts
+	CrossRegionCost                              float64 // cost of sending to another region; never less than CrossZoneCost
 	KeyAffinity                                  bool    // a backend needs less work for a key that it served recently
 }
 
@@ -107,53 +107,53 @@
 	Cell    int
 	Kind    int
 	Weight  float64
-	Started time.Duration // when its process last started; 0: long ago
+	Started time.Duration // when its process last started; 0: not in slow start
 }
 
-// Event is something that happened at the time of a Step.
+// Event is an input of Step: something that happened in the agent.
 type Event interface{ event() }
 
-// UpdateKind says how to read an EndpointUpdate.
+// UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind uint8
 
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
 	UpdateFull                     // all entries; a missing backend was removed
 	UpdateCached                   // all entries, from the cache; may be stale
-	UpdateFailed                   // polling failed or the watch broke; the previous list holds
+	UpdateFailed                   // polling failed or the watch broke; the previous list stays in force
 )
 
 type (
-	// EndpointUpdate carries backends, or the failure to get them.
+	// EndpointUpdate carries entries of the endpoint list, or reports that the agent could not get them.
 	EndpointUpdate struct {
 		Kind     UpdateKind
 		Backends []Backend
 	}
-	// Request is a client's request. The balancer owes it exactly one final answer.
+	// Request is a client's request. It gets exactly one final answer.
 	Request struct {
 		ID            string
 		Class         int
 		TimeRemaining time.Duration // until the client stops waiting
 		Work          time.Duration // expected work; 0: unknown
-		ClientRetry   bool          // the client says that this is a retry of its own
+		ClientRetry   bool          // the client marked the request as a retry of its own
 		AffinityKey   uint64        // hash of the object that the request concerns; 0: unknown
 		Streaming     bool          // a large body is still arriving; TimeRemaining runs from BodyComplete
 		ResidencyRule int           // number of the rule for its tenant and class; 0: none
 	}
-	// Quota is this agent's share of the fleet's concurrency limit, as the fleet assigns it. Until the first one
-	// arrives each agent takes an even share.
+	// Quota is this agent's share of the fleet's concurrency limit, as the fleet assigns it. Until the first Quota
+	// arrives, each agent uses an even share.
 	Quota struct{ Share float64 }
 	// ZoneLatencies are the measured round-trip times from this agent's zone to each zone, by zone number. RTT 0 means
-	// unknown or unreachable; Loss tells which.
+	// unknown or unreachable; Loss distinguishes the two.
 	ZoneLatencies struct {
 		RTT  []time.Duration
-		Loss []float64 // share of measurements without an answer
+		Loss []float64 // share of measurements without a response
 	}
-	// Residency is the residency policy in force from now on.
+	// Residency sets the residency policy, which is in force from this step on.
 	Residency struct{ Table *gate.Table }
-	// BodyComplete says that the last byte of a large body has arrived.
+	// BodyComplete reports that the last byte of a large body has arrived.
 	BodyComplete struct{ Request string }
-	// BodyConsumed says that a part of a large body is no longer available: no further attempt is possible.
+	// BodyConsumed reports that part of a large body is no longer available, so that no further attempt is possible.
 	BodyConsumed struct{ Request string }
 	// Outcome ends one attempt. The agent reports exactly one for each Send.
 	Outcome struct {
@@ -162,44 +162,44 @@
 		Backend       string
 		Result        Result
 		Latency       time.Duration // since it was sent
-		Done          bool          // the request has its final answer, by this outcome or before
+		Done          bool          // the client has its final answer, through this outcome or earlier
 		NewConnection bool          // a connection was opened for it
 		Load          Load
 	}
-	// ResponseStarted says that the response of an attempt has begun to reach the client. The Outcome follows at the
-	// end of the response, with the latency of the first byte.
+	// ResponseStarted reports that the response of an attempt has begun to reach the client. The Outcome follows at the
+	// end of the response; its Latency is that of the first byte.
 	ResponseStarted struct {
 		Request string
 		Attempt int
 	}
-	// Abandoned says that the client disconnected or cancelled: no answer is owed any longer.
+	// Abandoned reports that the client disconnected or cancelled. The request gets no final answer.
 	Abandoned struct{ Request string }
-	// ProbeResult answers a Probe.
+	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
 		Backend string
 		Result  Result
 		Latency time.Duration
 		Load    Load
 	}
-	// Disable is an operator's override: no new request goes to this backend until Enable, whatever the endpoint list
-	// says in between. An OverrideResult follows in the same step.
+	// Disable is an operator's override: no new request goes to this backend until Enable, whatever its state in the
+	// endpoint list. An OverrideResult follows in the same step.
 	Disable struct {
 		Call      int64 // identifies the override in the OverrideResult
 		Backend   string
 		Inherited bool // accepted by an earlier process of this agent: the ID need not be listed yet
 	}
-	// Enable reverts any number of Disable. The backend counts as started at that time.
+	// Enable reverts all earlier Disable events of a backend, which then counts as started at that time.
 	Enable struct {
 		Call      int64
 		Backend   string
 		Inherited bool
 		At        time.Duration // when it was accepted; 0: now
 	}
-	// Drain says that operators have moved this agent's clients to other agents (On), or have moved them back.
+	// Drain reports that operators have moved this agent's clients to other agents (On), or have moved them back.
 	Drain struct{ On bool }
 	// Restore is the first event of a process that takes over from another process of the same agent.
 	Restore struct{ Snapshot }
-	// TimerFired says that a SetTimer is due.
+	// TimerFired reports that the delay of a SetTimer has passed.
 	TimerFired struct{ Token int64 }
 	// GossipReceived carries a message from another agent.
 	GossipReceived struct {
@@ -208,7 +208,7 @@
 	}
 )
 
-// Load is a backend's own load report: late and noisy.
+// Load is a backend's own load report. It may be late and imprecise.
 type Load struct {
 	Valid        bool
 	Queue        float64       // requests waiting; negative: not reported
@@ -216,33 +216,33 @@
 	ErrorsPerSec float64       // negative: not reported
 }
 
-// Result says how an attempt or a health check ended.
+// Result is the way in which an attempt or a health check ended.
 type Result uint8
 
 const (
 	OK            Result = iota // answered successfully
 	Errored                     // the backend returned an error; may have executed
 	Rejected                    // rejected by the backend before execution
-	TimedOut                    // no answer in time; may have executed or be executing
+	TimedOut                    // no response in time; may have executed or still be executing
 	ConnectFailed               // no connection; never executed
 	Reset                       // the connection broke; may have executed
-	Cancelled                   // withdrawn; may have executed
+	Cancelled                   // withdrawn by the agent; may have executed
 	NotSent                     // never sent
 )
 
 // NeverRan reports whether the result proves that the attempt was not executed.
 func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// Action is something the agent must do now, in the given order. The module sends no Cancel at present; agents should
-// implement it all the same.
+// Action is an instruction to the agent. The agent carries out the actions of a Step at once, in the given order. The
+// module does not send Cancel yet, but agents should implement it.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request. Timeout 0 means until the client stops waiting.
+	// Send starts the next attempt of a request. With a Timeout of 0 the attempt lasts until the client stops waiting.
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
-		SendDeadline     time.Duration // its last byte must be sent by then, else the attempt must not be made; 0: no bound
+		SendDeadline     time.Duration // the agent sends its last byte by then, or makes no attempt; 0: no bound
 	}
 	// Cancel withdraws an attempt; its Outcome still follows.
 	Cancel struct {
@@ -255,7 +255,7 @@
 		RetryAfter      time.Duration // 0: no advice
 		NoPermittedZone bool          // no permitted zone has a backend that is up
 	}
-	// Fail is a final answer that leaves open whether the request was executed.
+	// Fail is a final answer: the request failed, and may have been executed.
 	Fail struct{ Request string }
 	// SetTimer asks for a TimerFired after a delay. Timers are never cancelled.
 	SetTimer struct {
@@ -269,16 +269,16 @@
 		To   int // that agent's number
 		Data []byte
 	}
-	// Subscribe asks for endpoint updates from now on.
+	// Subscribe requests endpoint updates from now on.
 	Subscribe struct{}
 	// ZoneStateChanged reports that traffic failed over from a zone, or that the zone recovers with a growing share of
 	// its traffic. It is for monitoring; the agent need not act on it.
 	ZoneStateChanged struct {
 		Zone       int
 		FailedOver bool
-		ByGossip   bool // decided on reports of other agents
+		ByGossip   bool // based on reports of other agents
 	}
-	// OverrideResult ends an operator's override: accepted and in force from now on, or rejected.
+	// OverrideResult is the result of an operator's override: accepted and in force from now on, or rejected.
 	OverrideResult struct {
 		Call     int64
 		Accepted bool // false: no backend has that ID
--- a/balancer/average.go
+++ b/balancer/average.go
@@ -9,7 +9,8 @@
 
 const smoothing = 0.1 // weight of a new sample in a moving average: about the last 20 samples count
 
-// ewma adds a sample to an exponentially weighted moving average. The first sample is the average.
+// ewma returns an exponentially weighted moving average with a sample added. A mean of 0 has no samples yet: the first
+// sample becomes the mean.
 func ewma(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
@@ -17,7 +18,8 @@
 	return mean + smoothing*(sample-mean)
 }
 
-// decayingSum is a sum whose parts decay exponentially with a time constant, in ns. The time must not run backwards.
+// decayingSum is a sum whose addends decay exponentially with a time constant, in ns. Times passed to its methods must
+// not run backwards.
 type decayingSum struct {
 	total, timeConstant float64
 	updatedAt           time.Duration
@@ -33,7 +35,7 @@
 // add adds an amount at a time.
 func (d *decayingSum) add(now time.Duration, amount float64) { d.total = d.value(now) + amount }
 
-// shift adds an amount, which may be negative, but leaves no sum below 0.
+// shift adds an amount, which may be negative. The sum does not fall below 0.
 func (d *decayingSum) shift(now time.Duration, amount float64) { d.total = max(0, d.value(now)+amount) }
 
 // raiseTo makes the sum at least the given value.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Balancer decides for one agent. Use New; see the package comment.
+// Balancer makes the decisions of one agent. New returns one; the package comment has the rules for its use.
 type Balancer struct {
 	settings     Settings
 	maxObjective time.Duration // the longest latency objective; also the gossip interval
 	rng          *rand.Rand
-	now          time.Duration // of the present step
-	actions      []Action      // of the present step
+	now          time.Duration // time of the current step
+	actions      []Action      // of the current step
 	lastToken    int64         // last timer token given out
 
 	// Requests.
@@ -22,7 +22,7 @@
 	classes       classTable
 	queue         admissionQueue
 	requestTimers map[int64]*request
-	overdueTimers map[int64]*attempt // by the token of the timer that finds them overdue
+	overdueTimers map[int64]*attempt // attempts by the token of the timer at which they are overdue
 	retryBudget   RetryBudget
 
 	// Backends.
@@ -41,8 +41,8 @@
 	limiter       concurrencyLimiter
 	credit        creditAccount
 	demand        demandEstimate
-	drainedDemand float64 // demand of this agent's clients, which operators moved elsewhere; 0: not drained
-	assignedQuota float64 // assigned by the fleet; 0: none
+	drainedDemand float64 // demand of clients that operators moved to other agents; 0: not drained
+	assignedQuota float64 // quota that the fleet assigned; 0: none
 
 	// Zones and peers.
 	zones        zoneTable
@@ -53,8 +53,8 @@
 	gossipTimer  int64 // token of the timer of the next gossip round; 0: none yet
 }
 
-// New returns a balancer without any state. All its random choices come from seed. The error names the first setting
-// that is out of range, as a *SettingError.
+// New returns a Balancer without backends or requests. Its random choices depend on seed alone. The error is a
+// *SettingError for the first setting that is out of range.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -73,8 +73,8 @@
 	return b, nil
 }
 
-// Step handles what has happened by now, in order, and returns the actions to carry out. It must be called from one
-// goroutine. A time before that of the previous Step counts as that time.
+// Step handles events in the given order, at time now on the agent's clock, and returns the actions to carry out. All
+// calls must come from one goroutine. If now is earlier than in the previous call, Step uses the time of that call.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
 	b.recomputeCapacity()
@@ -89,7 +89,7 @@
 	return b.actions
 }
 
-// handle passes an event to the part that it concerns. Its length is that of the list of events.
+// handle dispatches an event to the method for its type.
 func (b *Balancer) handle(event Event) {
 	switch event := event.(type) {
 	case Request:
@@ -131,7 +131,7 @@
 	}
 }
 
-// onTimer handles a timer by its token. Tokens are never reused, so a stray one does nothing.
+// onTimer handles a timer by its token. Tokens are never reused, so an unknown or outdated one has no effect.
 func (b *Balancer) onTimer(token int64) {
 	a, req := b.overdueTimers[token], b.requestTimers[token]
 	delete(b.overdueTimers, token)
@@ -147,7 +147,7 @@
 	case b.zones.byProbeTimer(token) != nil:
 		b.probeZone(b.zones.byProbeTimer(token))
 	case req != nil && !req.ended && token == req.timer:
-		req.timer = 0 // a queued request may have to wait longer by now: it gets a new timer
+		req.timer = 0 // if the request may wait longer by now, waitOrRefuse sets a new timer
 		if req.inBackoff {
 			req.inBackoff = false
 			b.queue.add(req)
@@ -155,14 +155,14 @@
 	}
 }
 
-// setTimer asks for a timer, and returns its token.
+// setTimer adds an action that requests a timer, and returns its token.
 func (b *Balancer) setTimer(wait time.Duration) int64 {
 	b.lastToken++
 	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastToken})
 	return b.lastToken
 }
 
-// setRequestTimer sets the one timer of a request that counts.
+// setRequestTimer sets the timer of a request. Earlier timers of the request have no effect any more.
 func (b *Balancer) setRequestTimer(req *request, at time.Duration) {
 	req.timer = b.setTimer(at - b.now)
 	b.requestTimers[req.timer] = req
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -1,27 +1,27 @@
 package balancer
 
-// Capacity totals: what there is to use, updated in each step. Nothing is decided here.
+// Capacity totals: the usable backends and their outstanding attempts, updated in each step. Nothing is decided here.
 
 // capacityTotals are the usable backends and the attempts outstanding there. In a large fleet most backends are warm,
-// up and in use from one step to the next. These are stable and counted once, by zone; a step only looks at the
-// others.
+// up and in use from one step to the next. These are stable and counted once, by zone; each step counts only the
+// others again.
 type capacityTotals struct {
 	inFlight             int             // attempts that occupy a backend
 	up                   int             // backends in state Up
-	capacity             float64         // their number weighted by warmth, without ejected and dead ones
-	warmCapacity         float64         // the part of capacity that is warm
+	capacity             float64         // number of usable backends, weighted by warmth; ejected and dead ones don't count
+	warmCapacity         float64         // part of capacity that is at warm backends
 	warmOutstanding      int             // attempts outstanding at warm backends
 	uncountedOutstanding int             // attempts outstanding at backends that don't count in capacity
-	unstable             []*backendState // backends to look at in each step, in the order in which they became unstable
+	unstable             []*backendState // backends that each step counts again, in the order in which they became unstable
 }
 
-// reset empties the totals that each step computes; what is in flight and the unstable backends stay.
+// reset sets the totals that each step computes to 0. It keeps inFlight and unstable.
 func (t *capacityTotals) reset() {
 	t.up, t.capacity, t.uncountedOutstanding, t.warmCapacity, t.warmOutstanding = 0, 0, 0, 0, 0
 }
 
-// addCapacity adds a number of backends of one warmth, with their outstanding attempts, in a zone with the given share
-// of its usual traffic. warm says that they are not in slow start.
+// addCapacity adds a number of backends of equal warmth, with their outstanding attempts, in a zone that gets the given
+// share of its usual traffic. warm is true for backends that are not in slow start.
 func (t *capacityTotals) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
 	if share == 0 {
 		t.uncountedOutstanding += outstanding
@@ -34,16 +34,17 @@
 	}
 }
 
-// inUse is the number of attempts that count against the concurrency limit: those at backends that count in capacity.
+// inUse returns the number of attempts that count against the concurrency limit: the ones at backends that count in
+// capacity.
 func (t *capacityTotals) inUse() int { return t.inFlight - t.uncountedOutstanding }
 
-// stableTotals are the stable backends of one zone.
+// stableTotals counts the stable backends of one zone and their attempts.
 type stableTotals struct {
-	stableBackends    int // those that are counted from step to step
-	stableOutstanding int // attempts outstanding at these
+	stableBackends    int // backends that steps don't count again
+	stableOutstanding int // attempts outstanding at these backends
 }
 
-// addStable adds backends with their outstanding attempts; negative numbers take them away.
+// addStable adds backends with their outstanding attempts; negative numbers subtract.
 func (t *stableTotals) addStable(backends, outstanding int) {
 	t.stableBackends += backends
 	t.stableOutstanding += outstanding
@@ -71,7 +72,7 @@
 	b.throughput.track(b.now, b.up)
 }
 
-// countUnstable adds a backend that is not counted in its zone, and reports whether it is counted there from now on.
+// countUnstable adds an unstable backend to the totals, and reports whether the backend is stable from now on.
 func (b *Balancer) countUnstable(backend *backendState) (stable bool) {
 	warmth, z := b.warmth(backend), b.zone(backend)
 	used := backend.State == Up && backend.usable(b.now)
@@ -92,7 +93,7 @@
 	return true
 }
 
-// markUnstable makes each step look at a backend again. It must be called before its state or zone changes.
+// markUnstable makes each step count a backend again. Call it before the state or zone of the backend changes.
 func (b *Balancer) markUnstable(backend *backendState) {
 	if !backend.stable {
 		return
@@ -102,7 +103,7 @@
 	b.unstable = append(b.unstable, backend)
 }
 
-// setOutstanding counts an attempt as outstanding at its backend, or no longer.
+// setOutstanding adds an attempt to the outstanding ones of its backend, or removes it.
 func (b *Balancer) setOutstanding(a *attempt, out bool) {
 	backend, delta := a.backend, 1
 	if a.occupying = out; out {
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -1,14 +1,14 @@
 package balancer
 
-// Classes of requests: what is learned about each, and what a unit of work spent on it is worth. The structs stand
-// alone.
+// Classes of requests: the statistics of each, and the value of a unit of work spent on it. The structs use no other
+// state.
 
 import (
 	"math"
 	"time"
 )
 
-// classState is what is known about one class of requests.
+// classState is the state of one class of requests.
 type classState struct {
 	Class
 	latency       float64       // moving average of the latency of answers, ns
@@ -19,7 +19,7 @@
 	metObjective  float64       // decayed count of requests answered within the objective
 }
 
-// expectedLatency is the mean latency of a request of the announced work (0: unknown), ns.
+// expectedLatency returns the mean latency, in ns, of a request with the announced work, in ns; 0: unknown.
 func (c *classState) expectedLatency(work float64) float64 {
 	if work > 0 && c.meanWork > 0 {
 		return c.latency * work / c.meanWork
@@ -27,8 +27,8 @@
 	return c.latency
 }
 
-// meanWorkLatency scales the latency of a request of the announced work to mean work: an expensive request does not
-// indicate a queue.
+// meanWorkLatency scales the latency of a request with the announced work to mean work: the long latency of an
+// expensive request does not indicate a queue.
 func (c *classState) meanWorkLatency(latency, work float64) float64 {
 	if work > 0 && c.meanWork > 0 {
 		latency *= c.meanWork / work
@@ -36,26 +36,27 @@
 	return latency
 }
 
-// learnLatency adds the latency of an answer, scaled to mean work, ns.
+// learnLatency updates the mean latency with the latency of a response, scaled to mean work, in ns.
 func (c *classState) learnLatency(latency float64) { c.latency = ewma(c.latency, max(latency, 1)) }
 
-// restore continues from the latency that an earlier process saw, ns. One beyond the objective is ignored.
+// restore sets the mean latency to that of an earlier process, in ns. A value
+// below 1 or above the objective is ignored.
 func (c *classState) restore(latency float64) {
 	if latency >= 1 && latency <= float64(c.LatencyObjective) {
 		c.latency = latency
 	}
 }
 
-// learnWork adds the announced work of a request, ns; 0: unknown.
+// learnWork updates the mean work with the announced work of a request, in ns; 0: unknown.
 func (c *classState) learnWork(work float64) {
 	if work > 0 {
 		c.meanWork = ewma(c.meanWork, work)
 	}
 }
 
-// learnTimeout adds the timeout of a client's attempt, and reports whether it is unusual. Clients give all their
-// attempts one usual timeout, and the last one what is left of their deadline. An attempt with any other timeout is
-// therefore a retry, and the difference tells when the client started.
+// learnTimeout updates the usual timeout with that of a client's attempt, and reports whether the timeout is unusual.
+// Clients use one timeout for all their attempts, except for the last attempt, which has only the rest of the deadline.
+// An attempt with an unusual timeout is therefore a retry, and the difference shows when the client started.
 func (c *classState) learnTimeout(timeout, tick time.Duration, clientRetry bool) (unusual bool) {
 	if c.usualTimeout == 0 {
 		c.usualTimeout = timeout
@@ -67,13 +68,13 @@
 	return offset > 2*tick || offset < -2*tick
 }
 
-// arrive counts a request.
+// arrive counts a request that arrived.
 func (c *classState) arrive() { c.arrivals++ }
 
 // meet counts a request that was answered within its objective.
 func (c *classState) meet() { c.metObjective++ }
 
-// weightUnit is what the priority weight applies to: a request, or the work of a mean request.
+// weightUnit returns the amount that the priority weight applies to: one request, or the work of a mean request in ns.
 func (c *classState) weightUnit(byWork bool) float64 {
 	if byWork {
 		return c.latency
@@ -92,7 +93,7 @@
 	return t
 }
 
-// maxObjective is the longest latency objective of all classes.
+// maxObjective returns the longest latency objective of all classes.
 func (t classTable) maxObjective() (objective time.Duration) {
 	for i := range t {
 		objective = max(objective, t[i].LatencyObjective)
@@ -108,13 +109,14 @@
 	}
 }
 
-// recomputeValues updates what a unit of work spent on each class now adds to the operator's goal.
+// recomputeValues updates the marginal value of each class.
 func (t classTable) recomputeValues(s *Settings) {
 	for i := range t {
 		t[i].marginalValue = t.valueOf(i, s)
 	}
 }
 
+// valueOf returns what a unit of work spent on a class now adds to the operator's goal.
 func (t classTable) valueOf(class int, s *Settings) float64 {
 	total, worst, lowestShare := 0.0, -1, math.Inf(1)
 	for i := range t {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Endpoint updates: polling for them, and how the list of backends follows them.
+// Endpoint updates: when the agent polls for them, and how they change the list of backends.
 
 import (
 	"cmp"
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// endpointPoll spreads in time when this agent polls.
+// endpointPoll schedules this agent's polls, jittered so that agents don't poll all at once.
 type endpointPoll struct {
-	interval time.Duration // longest time between polls, by the settings
-	failures int           // in a row
+	interval time.Duration // longest time between polls, from the settings
+	failures int           // consecutive failures
 	timer    int64         // token of the timer of the next poll; 0: none
 }
 
-// startDelay is the wait before the first poll: jittered, since all agents may start at once. draw is a random number
-// in [0, 1).
+// startDelay returns the wait before the first poll: jittered, since all agents may start at once. draw is a random
+// number in [0, 1).
 func (p *endpointPoll) startDelay(draw float64) time.Duration {
 	return time.Duration(draw * float64(p.interval) / 64)
 }
@@ -30,7 +30,8 @@
 	return time.Duration(draw * unit * math.Exp2(float64(min(p.failures, 4))))
 }
 
-// schedule notes the timer of the next poll; isTimer reports whether a timer is that, and forgets it.
+// schedule sets the timer of the next poll. isTimer reports whether a token is that of the timer, and clears the timer
+// if so.
 func (p *endpointPoll) schedule(token int64) { p.timer = token }
 func (p *endpointPoll) isTimer(token int64) bool {
 	if token != p.timer {
@@ -40,7 +41,7 @@
 	return true
 }
 
-// succeed ends the backoff.
+// succeed resets the backoff after a successful poll.
 func (p *endpointPoll) succeed() { p.failures = 0 }
 
 // onEndpointUpdate applies an endpoint update, or polls again after a failure. A cached list is followed by a poll.
@@ -59,7 +60,7 @@
 	b.mergeEndpoints(event)
 }
 
-// mergeEndpoints applies an endpoint update to the records: new backends, restarted ones, removed ones.
+// mergeEndpoints applies an endpoint update to the records of backends: it adds, updates and removes them.
 func (b *Balancer) mergeEndpoints(update EndpointUpdate) {
 	listed := map[string]bool{}
 	for _, entry := range b.overrides.apply(update.Backends, b.now, b.settings.SlowStartWindow) {
@@ -84,7 +85,8 @@
 		backend.Backend = entry
 	}
 	slices.SortStableFunc(b.backends, func(x, y *backendState) int { return cmp.Compare(x.subsetRank, y.subsetRank) })
-	// A removed backend is kept only while it has attempts outstanding: fleets are replaced again and again.
+	// The record of a removed backend stays only while attempts are outstanding there: with each replacement of the
+	// fleet the records would otherwise grow.
 	b.backends = slices.DeleteFunc(b.backends, func(backend *backendState) bool {
 		if update.Kind != UpdateDelta && !listed[backend.ID] {
 			b.markUnstable(backend)
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The life of a request: onRequest accepts it, send starts attempts, onOutcome ends them, finish gives the answer, close
-// forgets it. The rules for attempts are checked for the last time in send.
+// The life of a request: onRequest accepts it, send starts attempts, onOutcome ends them, finish gives the final
+// answer, close removes the record. send is the last function to check the rules for attempts.
 
 import "time"
 
@@ -32,7 +32,7 @@
 	b.queue.add(req)
 }
 
-// onOutcome ends an attempt, learns from it, and ends or retries its request.
+// onOutcome ends an attempt, records its result, and ends or retries its request.
 func (b *Balancer) onOutcome(event Outcome) {
 	req := b.requests[event.Request]
 	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) || !req.attempts[event.Attempt].open {
@@ -65,7 +65,7 @@
 	}
 }
 
-// send starts an attempt. No other function does, so the rules are checked here for the last time.
+// send starts an attempt. All attempts start here, so send checks the rules for attempts once more.
 func (b *Balancer) send(req *request, backend *backendState) {
 	if backend.State != Up || !b.mayAttempt(req, backend) || b.now >= req.deadline {
 		b.finish(req)
@@ -93,8 +93,8 @@
 	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
 }
 
-// finish gives a request its final answer; no other function does. The answer is a refusal if no attempt can have
-// executed, which makes a retry by any client safe, and a failure otherwise.
+// finish gives a request its final answer, unless the answer is a response. The answer is a refusal if no attempt can
+// have executed, which makes a retry by the client safe, and a failure otherwise.
 func (b *Balancer) finish(req *request) {
 	if req.ended {
 		return
@@ -108,7 +108,7 @@
 	b.close(req)
 }
 
-// close ends a request, and forgets it once all its attempts have their outcome.
+// close ends a request, and removes its record once all its attempts have their outcome.
 func (b *Balancer) close(req *request) {
 	req.ended = true
 	if req.queued {
@@ -119,20 +119,20 @@
 	}
 }
 
-// onAbandoned ends a request whose client has disconnected: nothing is owed any longer.
+// onAbandoned ends a request whose client has disconnected, without a final answer.
 func (b *Balancer) onAbandoned(event Abandoned) {
 	if req := b.requests[event.Request]; req != nil {
 		b.close(req)
 	}
 }
 
-// expectedLatency is the mean latency of a request of this class and announced work, ns.
+// expectedLatency returns the mean latency, in ns, of requests with the class and the announced work of req.
 func (b *Balancer) expectedLatency(req *request) float64 {
 	return b.classes[req.class].expectedLatency(req.work)
 }
 
-// sendDeadline is the time by which the last byte of another attempt must be sent, so that backends still drop it as a
-// duplicate. 0 means no bound.
+// sendDeadline returns the time by which the last byte of another attempt must be sent, so that backends still drop the
+// attempt as a duplicate. 0 means no bound.
 func (b *Balancer) sendDeadline(req *request) time.Duration {
 	class := &b.classes[req.class]
 	if class.Idempotency != IdempotencyKey || req.possiblyExecuted == 0 {
@@ -141,26 +141,28 @@
 	return req.scopeAttempt.sentAt + class.DedupWindow
 }
 
-// occupy counts an attempt as outstanding at its backend. While the body is still arriving the attempt takes no
-// capacity: the backend has nothing to do yet, and no time is measured.
+// occupy adds an attempt to the outstanding ones of its backend. While the body is still arriving, the attempt takes no
+// capacity and its latency is not measured: the backend has nothing to do yet.
 func (b *Balancer) occupy(req *request, a *attempt) {
 	a.untimed = req.streaming
 	if !req.streaming {
 		b.setOutstanding(a, true)
 		if !a.backend.warmingUp {
-			b.warmOutstanding++ // until recomputeCapacity counts anew
+			b.warmOutstanding++ // approximation until recomputeCapacity counts again
 		}
 	}
 }
 
-// vacate ends that, at the outcome or at the start of a large response: what remains then is network transfer.
+// vacate removes an attempt from the outstanding ones of its backend, at the outcome or at the start of a large
+// response: only network transfer remains then.
 func (b *Balancer) vacate(a *attempt) {
 	if a.occupying {
 		b.setOutstanding(a, false)
 	}
 }
 
-// onBodyComplete starts the clock of a request whose body has arrived, and its outstanding attempt occupies its backend.
+// onBodyComplete restarts the deadline and the objective of a request whose body has arrived. Its outstanding attempt
+// occupies its backend from now on.
 func (b *Balancer) onBodyComplete(event BodyComplete) {
 	req := b.requests[event.Request]
 	if req == nil || !req.streaming {
@@ -178,15 +180,15 @@
 	}
 }
 
-// onBodyConsumed marks a request that can't be sent again.
+// onBodyConsumed marks a request as one that can't be sent again.
 func (b *Balancer) onBodyConsumed(event BodyConsumed) {
 	if req := b.requests[event.Request]; req != nil {
 		req.committed = true
 	}
 }
 
-// onResponseStarted marks a request whose response has begun: it gets no other attempt, and this attempt no longer
-// occupies its backend.
+// onResponseStarted handles the start of a response: the request gets no further attempt, and the attempt of the
+// response no longer occupies its backend.
 func (b *Balancer) onResponseStarted(event ResponseStarted) {
 	req := b.requests[event.Request]
 	if req == nil {
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The admission queue: which request waits, and which one is next. The caller gives the values and decides on
-// refusals; the queue alone sets request.queued and request.skipped.
+// The admission queue: which requests wait, and which one is next. The caller supplies the values and decides on
+// refusals. Only the queue sets request.queued and request.skipped.
 
 import "slices"
 
@@ -17,7 +17,7 @@
 	q.requests = append(q.requests, req)
 }
 
-// remove takes a request out, and keeps the order of the others.
+// remove removes a request, and keeps the order of the others.
 func (q *admissionQueue) remove(req *request) {
 	req.queued = false
 	q.requests = without(q.requests, req)
@@ -38,8 +38,8 @@
 	return best
 }
 
-// skip makes next pass over a request that found no backend, and over those that would find none either: the
-// unconstrained ones of its class.
+// skip excludes a request that no backend can take now from next, until the end of the step. If the request is
+// unconstrained, no backend can take the other unconstrained requests of its class either: skip excludes them, too.
 func (q *admissionQueue) skip(req *request) {
 	for _, other := range q.requests {
 		other.skipped = other.skipped || other == req ||
@@ -47,8 +47,8 @@
 	}
 }
 
-// newestFirst calls visit for each request, from the newest to the oldest, and ends its being skipped. The visit may
-// remove that request.
+// newestFirst calls visit for each request, from the newest to the oldest, and lets next return skipped requests again.
+// visit may remove the request that it gets.
 func (q *admissionQueue) newestFirst(visit func(*request)) {
 	for i := len(q.requests) - 1; i >= 0; i-- {
 		req := q.requests[i]
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -9,17 +9,17 @@
 	backend       *backendState
 	zone, cell    int // at the time of sending: a later endpoint update may change them
 	sentAt        time.Duration
-	sendDeadline  time.Duration // its last byte must be sent by then; 0: no bound
+	sendDeadline  time.Duration // its last byte is sent by then; 0: no bound
 	expected      float64       // latency, ns
-	open          bool          // without an outcome
+	open          bool          // has no outcome yet
 	countedLate   bool          // its latency was counted when it became overdue
-	countedSilent bool          // its silence was counted against its zone
+	countedSilent bool          // was counted as unanswered by its zone
 
 	occupying bool // counted in its backend's outstanding attempts
-	untimed   bool // the body arrived after the send, or the response is large: elapsed time tells nothing
+	untimed   bool // latency not measured: the body arrived after the send, or the response is large
 }
 
-// request is a client's request, from its arrival until it has its answer and all its attempts their outcome.
+// request is a client's request, from its arrival until it has ended and all its attempts have their outcome.
 type request struct {
 	id               string
 	class            int
@@ -27,26 +27,26 @@
 	deadline         time.Duration // when the client stops waiting
 	work             float64       // expected work as announced, ns; 0: unknown
 	attempts         []*attempt
-	openAttempts     int           // attempts without an outcome
+	openAttempts     int           // attempts that have no outcome yet
 	possiblyExecuted int           // attempts that may have executed, outstanding ones included
-	scopeAttempt     *attempt      // the first of these: sets the idempotency scope and window
+	scopeAttempt     *attempt      // the first attempt that may have executed: sets the idempotency scope and window
 	retries          int           // attempts after the first
 	lastFailed       *backendState // backend of the latest failed attempt
-	timer            int64         // token of its latest timer; earlier ones are void
+	timer            int64         // token of its latest timer; earlier timers have no effect
 	affinityKey      uint64        // hash of the object it concerns; 0: unknown
 	residencyRule    int           // number of its residency rule; 0: none
 	clientRetry      bool          // a retry by the client: part of its objective has passed
 	skipped          bool          // found no backend in this step
 
-	timedFrom time.Duration // start of its time remaining
+	timedFrom time.Duration // when its time remaining started to run
 
 	inBackoff, queued, ended bool // waiting for a retry; waiting for capacity; closed
-	committed                bool // bound to its only attempt: response started or body consumed
+	committed                bool // gets no further attempt: response started or body consumed
 	streaming                bool // its body is still arriving
 }
 
-// unconstrained reports whether all such requests of a class are alike to the picker: no earlier attempt, no residency
-// rule, no announced work.
+// request is a client's request from its arrival until it has ended and all its attempts have their outcome.
+// that can take one unconstrained request can take all others of the class.
 func (req *request) unconstrained() bool {
 	return len(req.attempts) == 0 && req.residencyRule == 0 && req.work == 0
 }
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	backoffUnit     = 1.0 / 32 // of the class's latency objective: a one-second unit would outlast most objectives
+	backoffUnit     = 1.0 / 32 // share of the class's latency objective: a unit of 1 s would exceed most objectives
 	maxBackoffUnits = 8.0      // longest backoff, in units
 )
 
@@ -31,8 +31,7 @@
 	b.setRequestTimer(req, retryAt)
 }
 
-// mayAttempt is the rule for attempts: whether an attempt of the request, the first or a further one, may go to this
-// backend.
+// mayAttempt reports whether the rules allow an attempt of the request, the first or a further one, at this backend.
 func (b *Balancer) mayAttempt(req *request, backend *backendState) bool {
 	if !b.permits(req, backend.Zone) || req.ended || req.committed || len(req.attempts) >= b.settings.MaxAttempts ||
 		req.openAttempts > 0 && !b.settings.HedgingAllowed {
@@ -42,7 +41,7 @@
 	if class.Idempotency == Idempotent || req.possiblyExecuted == 0 {
 		return true
 	}
-	// A retry may reach its backend a connect timeout after it is sent: the window must still hold then.
+	// A retry may reach its backend up to a connect timeout after its send, and must still be within the window then.
 	if class.Idempotency == NonIdempotent || b.now+b.settings.ConnectTimeout >= b.sendDeadline(req) {
 		return false
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,15 +1,15 @@
 package balancer
 
-// The check of settings, and what follows from them alone. Nothing is decided here.
+// The validation of settings, and values derived from settings alone. Nothing is decided here.
 
 import (
 	"fmt"
 	"time"
 )
 
-// SettingError is the error of New for a value out of range.
+// SettingError is the error that New returns for a setting out of range.
 type SettingError struct {
-	Field string // of Settings, such as "MaxAttempts" or "Classes[2].DedupWindow"
+	Field string // field of Settings, such as "MaxAttempts" or "Classes[2].DedupWindow"
 	Value any
 }
 
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("balancer: settings: %s: %v is out of range", e.Field, e.Value)
 }
 
-// settingError returns the error of a field.
+// settingError returns the error for a field and its value.
 func settingError(field string, value any) error { return &SettingError{field, value} }
 
 // check returns an error that names the first setting that is out of range.
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// checkSpans returns an error for the first span that is negative.
+// checkSpans returns an error for the first negative duration.
 func (s *Settings) checkSpans() error {
 	for _, span := range []struct {
 		field string
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// check returns the first field that is out of range, with its value, or "".
+// check returns the first field that is out of range, with its value. field is "" if all are in range.
 func (c *Class) check() (field string, value any) {
 	switch {
 	case c.LatencyObjective <= 0:
@@ -88,7 +88,7 @@
 	return "", nil
 }
 
-// retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
+// retryAfter returns the Retry-After of a refusal for a wait: at most MaxRetryAfter, and 0 if clients see none.
 func (s *Settings) retryAfter(wait time.Duration) time.Duration {
 	if !s.RetryAfter {
 		return 0
@@ -96,7 +96,7 @@
 	return min(wait, s.MaxRetryAfter)
 }
 
-// crossingCost is the cost of sending to a zone, as a share of the result.
+// crossingCost returns the cost of sending to a zone, as a share of the result.
 func (s *Settings) crossingCost(zone int) float64 {
 	switch own, regions := s.Zone, s.Regions; {
 	case zone == own:
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -4,16 +4,16 @@
 
 import "math"
 
-// Snapshot is the state that a process of an agent hands over to its successor. To the rules and to peers the two
-// processes are one agent.
+// Snapshot is the state that a process of an agent hands over to its successor. For the rules and for peers the
+// two processes are one agent.
 type Snapshot struct {
-	Tokens          float64   `json:"tokens"`   // of the retry budget
+	Tokens          float64   `json:"tokens"`   // tokens of the retry budget
 	LimitPerBackend float64   `json:"per_back"` // concurrency limit of all agents together, per backend
 	LatencyRatio    float64   `json:"delay"`    // mean latency relative to the objective
 	PeakThroughput  float64   `json:"best"`     // requests per ns that a backend served recently
-	Demand          float64   `json:"asked"`    // work that clients ask for, decayed, ns
-	DrainedDemand   float64   `json:"moved"`    // the same of clients that were moved elsewhere; 0: not drained
-	PeerDemand      []float64 `json:"peers"`    // the same by agent number; below 0: unknown
+	Demand          float64   `json:"asked"`    // decayed work that clients request, ns
+	DrainedDemand   float64   `json:"moved"`    // Demand of clients that were moved to other agents; 0: not drained
+	PeerDemand      []float64 `json:"peers"`    // Demand of peers by agent number; below 0: unknown
 	Latency         []float64 `json:"latency"`  // mean latency by class, ns
 }
 
@@ -28,7 +28,7 @@
 	return snapshot
 }
 
-// onRestore continues from a snapshot. Its content is not trusted: what no process can have written is ignored.
+// onRestore restores a snapshot. The content is not trusted: values that no process can have written are ignored.
 func (b *Balancer) onRestore(event Restore) {
 	inRange := func(x, low, high float64) bool { return x >= low && x <= high }
 	b.retryBudget.Restore(event.Tokens)
@@ -40,7 +40,7 @@
 	}
 	b.limiter.restore(event.LimitPerBackend, event.LatencyRatio)
 	b.throughput.restore(b.now, event.PeakThroughput)
-	b.demand.resume(b.now, max(event.Demand, event.DrainedDemand)) // a Drain event follows if the clients are still elsewhere
+	b.demand.resume(b.now, max(event.Demand, event.DrainedDemand)) // a Drain event follows if the agent is still drained
 	b.peers.restore(event.PeerDemand, b.now)
 	for i, latency := range event.Latency {
 		b.classes[i].restore(latency)
