--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -11,7 +11,7 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// A refused client gets a Retry-After, no longer than it honors, where it is shown, and not the same for all.
+// A refusal carries a jittered Retry-After, no longer than clients honor, if the settings allow one.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, shown := range []bool{true, false} {
 		s := settings()
@@ -25,65 +25,65 @@
 				if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 					told[a.RetryAfter] = true
 					if shown != (a.RetryAfter >= 200*ms) || a.RetryAfter > 450*ms {
-						t.Errorf("shown %v: told %v", shown, a.RetryAfter)
+						t.Errorf("with RetryAfter %v: a Retry-After of %v", shown, a.RetryAfter)
 					}
 				}
 			}
 		}
 		if shown && len(told) < 5 || !shown && len(told) != 1 {
-			t.Errorf("shown %v: %d different waits", shown, len(told))
+			t.Errorf("with RetryAfter %v: %d different values", shown, len(told))
 		}
 	}
 }
 
-// With an empty endpoint list requests wait, and are refused in time.
+// With an empty endpoint list requests wait in the queue, and are refused before their objective has passed.
 func TestRequestsWithoutBackendAreRefusedInTime(t *testing.T) {
 	for _, class := range []int{idempotent, nonIdempotent, scopeZone} {
 		r := newRig(t, settings(), 1, nil)
 		acts := r.request("q", class)
 		acts = append(acts, r.advance(399*ms)...)
 		if final("q", acts) != "refuse" {
-			t.Errorf("class %d: %q, want one refusal within the aim", class, final("q", acts))
+			t.Errorf("class %d: %q, want one refusal within the latency objective", class, final("q", acts))
 		}
 	}
-	t.Run("list comes in time", func(t *testing.T) {
+	t.Run("list arrives in time", func(t *testing.T) {
 		r := newRig(t, settings(), 1, nil)
 		r.request("q", idempotent)
 		r.now += 50 * ms
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 		if len(r.sent["q"]) != 1 {
-			t.Error("the waiting request was not sent")
+			t.Error("the queued request was not sent after the endpoint list arrived")
 		}
 	})
 }
 
-// An attempt whose timeout is cut short by the client's deadline is a client's retry: it does not wait for capacity,
-// where a first attempt does.
+// An attempt whose timeout is cut short by the client's deadline is a client's retry: without capacity it is refused at
+// once, while a first attempt waits in the queue.
 func TestShortTimeoutMarksClientRetry(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []balancer.Action {
 		return r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: left})
 	}
-	for i := range 20 { // the usual timeout, give or take
+	for i := range 20 { // within 2 ms of the usual timeout
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
 	}
 	if got := final("first", submit("first", 899*ms)); got != "" {
-		t.Errorf("a first try without room got %q at once, want it to wait", got)
+		t.Errorf("first attempt without capacity: final answer %q at once, want it queued", got)
 	}
 	if got := final("late", submit("late", 700*ms)); got != "refuse" {
-		t.Errorf("a late try without room got %q, want a refusal at once", got)
+		t.Errorf("client's retry without capacity: final answer %q, want a refusal at once", got)
 	}
 }
 
-// Lost requests on satx-returns: a queued request whose timer fired after its time to give up had moved later never
-// got another timer, and no answer.
+// Requests got no answer (scenario satx-returns): the timer of a queued request fired after the time of its refusal had
+// moved later, and the request got no new timer.
 func TestQueuedRequestKeepsATimer(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	var acts []balancer.Action
 	for i := range 40 {
 		acts = append(acts, r.request(fmt.Sprint("q", i), idempotent)...)
 	}
-	for range 10 { // fast answers: less time is needed, so the rest may wait longer
+	for range 10 { // fast responses: mean latency falls, so the other requests may wait longer
 		r.now += ms
 		for i := range 40 {
 			if id := fmt.Sprint("q", i); len(r.sent[id]) == 1 {
@@ -96,15 +96,15 @@
 	acts = append(acts, r.advance(1900*ms)...)
 	for i := range 40 {
 		if id := fmt.Sprint("q", i); len(r.sent[id]) == 0 && final(id, acts) == "" {
-			t.Errorf("%s was held and got no answer", id)
+			t.Errorf("queued request %s got no final answer", id)
 		}
 	}
 }
 
 // During a release the busiest agent spent its processor time on picking a backend for each queued request in each
-// step, and learned of drains a second late. If there is no backend for one request there is none for others like it:
-// ten times as many queued requests take no more picks. Each pick allocates here, for the zones reserved for a bound
-// request.
+// step, and handled drains a second late. If there is no backend for one request there is none for others like it, so
+// ten times as many queued requests must take no more picks. The test counts picks by their allocations: each pick
+// allocates here, for the zones reserved for a bound request.
 func TestQueuedRequestsArePickedForOnce(t *testing.T) {
 	looks := func(held int) float64 {
 		s := settings()
@@ -121,17 +121,17 @@
 			r.request(fmt.Sprint("q", n), idempotent)
 		}
 		if len(r.sent) > 5 {
-			t.Fatalf("%d were sent: too little is held", len(r.sent))
+			t.Fatalf("%d requests were sent, want at most 5 so that the others are queued", len(r.sent))
 		}
 		return testing.AllocsPerRun(20, func() { r.b.Step(r.now, nil) })
 	}
 	if few, many := looks(10), looks(100); few == 0 || many > few+10 {
-		t.Errorf("%.0f looks for 10 held requests, %.0f for 100", few, many)
+		t.Errorf("%.0f allocations for 10 queued requests, %.0f for 100", few, many)
 	}
 }
 
-// Incident ie43f64, dallas big-1: hundreds of agents with one attempt each in flight overload the backends. An agent
-// with a sparse quota admits less of its demand as latency passes the target, and all of it while there is no queue.
+// Hundreds of agents with one attempt in flight each overloaded the backends (incident ie43f64, dallas big-1). An agent
+// with a sparse quota must admit less of its demand as latency passes the target, and all of it without queues.
 func TestSparseQuotaAdmitsByLatency(t *testing.T) {
 	play := func(latency time.Duration) (sent int) {
 		r := newRig(t, sparseSettings(), 1, backends(8))
@@ -149,15 +149,15 @@
 		return sent
 	}
 	if n := play(40 * ms); n < 198 {
-		t.Errorf("without queues %d of 200 were sent, want all", n)
+		t.Errorf("without queues %d of 200 requests were sent, want at least 198", n)
 	}
 	if n := play(320 * ms); n < 20 || n > 90 {
-		t.Errorf("at four fifths of the aim %d of 200 were sent, want about a quarter", n)
+		t.Errorf("at four fifths of the objective %d of 200 requests were sent, want 20 to 90", n)
 	}
 }
 
-// Incident i8cbe41: without gossip nothing limited 893 agents with sparse quotas, and every queue stayed full. An
-// agent that meets rejections only admits less, though no peer tells it anything.
+// Without gossip nothing limited 893 agents with sparse quotas, and every queue stayed full (incident i8cbe41). An
+// agent whose attempts are all rejected must admit less, also without messages from peers.
 func TestSparseQuotaWithoutPeersAdmitsLess(t *testing.T) {
 	s := sparseSettings()
 	s.GossipAllowed, s.MaxAttempts = false, 1
@@ -175,12 +175,12 @@
 		}
 	}
 	if sent > 45 || sent < 10 {
-		t.Errorf("%d of 60 were sent to servers that are all full, want about a third", sent)
+		t.Errorf("%d of 60 requests were sent to backends that reject all, want 10 to 45", sent)
 	}
 }
 
-// Dallas rough-1: in an overloaded fleet answers come after the clients' timeouts. An attempt that is outstanding for
-// most of its objective counts as late at once, and less is admitted before it ends.
+// In an overloaded fleet responses arrive after the clients' timeouts (dallas rough-1). An attempt that is outstanding
+// for most of its objective must count as late at once, so that the agent admits less before the attempt ends.
 func TestOverdueAttemptCountsBeforeItEnds(t *testing.T) {
 	s := sparseSettings()
 	s.Balancers = 1000
@@ -192,7 +192,7 @@
 		r.outcome(id, balancer.OK, 20*ms)
 	}
 	sent := 0
-	for i := range 60 { // nothing is answered any more
+	for i := range 60 { // no backend responds any more
 		id := fmt.Sprint("q", i)
 		r.request(id, idempotent)
 		r.advance(60 * ms)
@@ -201,6 +201,6 @@
 		}
 	}
 	if sent > 15 {
-		t.Errorf("%d of 30 were sent though nothing had come back for seconds", sent)
+		t.Errorf("%d of 30 requests were sent after seconds without a response, want at most 15", sent)
 	}
 }
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// The auditor: an independent check of the rules from events and actions, and a test that each of its checks can fail.
+// The auditor: an independent check of the balancer's rules, and a test that each of its checks can fail.
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"martenbeam/balancer"
 )
 
-// auditor checks the rules from events and actions alone. It models no backend: it only remembers what the balancer
-// was told and what it did.
+// auditor checks the rules from events and actions alone. It models no backend: it only records the events that the
+// balancer received and the actions that it returned.
 type auditor struct {
 	s        balancer.Settings
 	now      time.Duration
@@ -26,7 +26,7 @@
 	deadline    time.Duration
 	sends       []auditedSend
 	ended       bool
-	abandonedAt time.Duration // when the client disconnected; answers in that step do no harm
+	abandonedAt time.Duration // when the client disconnected; a final answer in that step is allowed
 	stream      bool
 }
 
@@ -34,13 +34,13 @@
 	backend          string
 	at               time.Duration
 	out              bool
-	possiblyExecuted bool // also while outstanding
+	possiblyExecuted bool // true also while outstanding
 }
 
 type auditedBackend struct {
 	balancer.Backend
-	unavailableAt time.Duration // when it was first said to be draining or removed
-	started       time.Duration // when it was said to have started; 0: warm
+	unavailableAt time.Duration // when the endpoint list first had it as draining or removed
+	started       time.Duration // its start according to the endpoint list; 0: warm
 	sends         []time.Duration
 }
 
@@ -120,18 +120,18 @@
 			free := r.class.Idempotency == balancer.Idempotent ||
 				r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeAll
 			if (s.possiblyExecuted || s.out) && !free {
-				a.fault("%s refused though an attempt may have run", act.Request)
+				a.fault("%s refused though an attempt may have executed", act.Request)
 			}
 		}
 	case balancer.Fail:
 		a.final(act.Request)
 	case balancer.SetTimer:
 		if act.After < 0 {
-			a.fault("a timer in the past: %v", act.After)
+			a.fault("timer in the past: after %v", act.After)
 		}
 	case balancer.SendGossip:
 		if !a.s.GossipAllowed || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
-			a.fault("%d bytes to peer %d", len(act.Data), act.To)
+			a.fault("message of %d bytes to peer %d is not allowed", len(act.Data), act.To)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	r := a.requests[id]
 	switch {
 	case r == nil:
-		a.fault("answer for the unknown request %s", id)
+		a.fault("final answer for the unknown request %s", id)
 		return nil
 	case r.ended && r.abandonedAt != a.now:
 		a.fault("%s answered twice", id)
@@ -154,23 +154,23 @@
 func (a *auditor) send(act balancer.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
-		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
+		a.fault("send of %q to %q, of which one is unknown", act.Request, act.Backend)
 		return
 	}
 	if r.ended && r.abandonedAt != a.now {
-		a.fault("%s sent after its end", act.Request)
+		a.fault("%s sent after its final answer", act.Request)
 	}
 	if len(r.sends) >= max(1, a.s.MaxAttempts) {
 		a.fault("%s sent past the attempt limit", act.Request)
 	}
 	if b.unavailableAt > 0 && a.now > b.unavailableAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.unavailableAt)
+		a.fault("%s sent to %s, which has been draining or removed for %v", act.Request, act.Backend, a.now-b.unavailableAt)
 	}
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
 		if s.out && !a.s.HedgingAllowed {
-			a.fault("%s has two attempts out", act.Request)
+			a.fault("%s has two outstanding attempts", act.Request)
 		}
 		if anchor == nil && (s.out || s.possiblyExecuted) {
 			anchor = s
@@ -180,12 +180,12 @@
 		from := a.backends[anchor.backend]
 		switch {
 		case r.class.Idempotency == balancer.NonIdempotent:
-			a.fault("%s is unsafe and may have run, sent again", act.Request)
+			a.fault("%s sent again though it is not idempotent and may have executed", act.Request)
 		case r.class.Idempotency == balancer.IdempotencyKey && a.now-anchor.at > r.class.DedupWindow:
-			a.fault("%s sent again after its window", act.Request)
+			a.fault("%s sent again after its deduplication window", act.Request)
 		case r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeZone && from.Zone != b.Zone,
 			r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeCell && from.Cell != b.Cell:
-			a.fault("%s sent again outside its group", act.Request)
+			a.fault("%s sent again outside its idempotency scope", act.Request)
 		}
 	}
 	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
@@ -193,9 +193,9 @@
 	a.checkSlowStart(b)
 }
 
-// checkSlowStart checks this agent's share of the load of a backend in slow start. The capacity of backends is not
-// known. The bound is what the busiest other backend was sent in three times the span, over its own warmth if that is
-// starting, too, times OverloadMultiple and the guaranteed warmth, plus three requests of slack.
+// checkSlowStart checks this agent's share of the load of a backend in slow start. The auditor does not model capacity.
+// The bound is the number of requests that the busiest other backend was sent in three times the span, divided by the
+// warmth of that backend, times OverloadMultiple and the guaranteed warmth, plus three requests.
 func (a *auditor) checkSlowStart(b *auditedBackend) {
 	if b.started == 0 || a.now-b.started >= a.s.SlowStartWindow || a.s.SlowStartWindow == 0 {
 		return
@@ -222,22 +222,22 @@
 		}
 	}
 	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth(b)*most+3 {
-		a.fault("%s is cold (%v) and got %d sends in %v, the busiest other, once warm, %.1f in three times that",
+		a.fault("%s is in slow start for %v and got %d sends in %v; the busiest other backend, scaled to full warmth, %.1f in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
 }
 
-// checkUnanswered checks that no accepted request lacks its answer after its time.
+// checkUnanswered checks that each request got its final answer by its deadline plus AnswerGrace.
 func (a *auditor) checkUnanswered() {
 	for id, r := range a.requests {
 		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
-			a.fault("%s got no answer in time", id)
+			a.fault("%s got no final answer in time", id)
 			r.ended = true
 		}
 	}
 }
 
-// Each check of the auditor must be able to fail: these recorded actions are wrong.
+// Each check of the auditor must be able to fail: each row breaks one rule.
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) balancer.Action { return balancer.Send{Request: "q", Backend: b} }
 	ended := func(n int, res balancer.Result) balancer.Event {
@@ -251,30 +251,34 @@
 	tests := []struct {
 		name  string
 		class int
-		play  []any // events, actions, and durations that pass
+		play  []any // events, actions, and durations by which the clock advances
 		want  string
 	}{
-		{"no answer", idempotent, []any{2021 * ms}, "got no answer in time"},
+		{"no answer", idempotent, []any{2021 * ms}, "got no final answer in time"},
 		{"two answers", idempotent, []any{fail, fail}, "answered twice"},
-		{"answer after being served", idempotent, []any{send("a"), ended(0, balancer.OK), refuse}, "answered twice"},
+		{"refusal after a response", idempotent, []any{send("a"), ended(0, balancer.OK), refuse}, "answered twice"},
 		{"late answer", idempotent, []any{2020*ms + 1, fail}, "answered late"},
-		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its end"},
-		{"unknown backend", idempotent, []any{send("zz")}, "never told"},
-		{"past the limit", idempotent, []any{send("a"), ended(0, balancer.Errored), send("b"), ended(1, balancer.Errored),
+		{"send after the answer", idempotent, []any{fail, send("a")}, "sent after its final answer"},
+		{"unknown backend", idempotent, []any{send("zz")}, "of which one is unknown"},
+		{"past the attempt limit", idempotent, []any{send("a"), ended(0, balancer.Errored), send("b"), ended(1, balancer.Errored),
 			send("a"), ended(2, balancer.Errored), send("b"), ended(3, balancer.Errored), send("a")}, "past the attempt limit"},
-		{"second copy", idempotent, []any{send("a"), send("b")}, "two attempts out"},
-		{"unsafe repeated", nonIdempotent, []any{send("a"), ended(0, balancer.TimedOut), send("b")}, "is unsafe"},
-		{"unsafe refused", nonIdempotent, []any{send("a"), ended(0, balancer.Reset), refuse}, "refused though"},
-		{"unsafe refused while out", nonIdempotent, []any{send("a"), refuse}, "refused though"},
-		{"zone refused", scopeZone, []any{send("a"), ended(0, balancer.Errored), refuse}, "refused though"},
-		{"outside the zone", scopeZone, []any{send("a"), ended(0, balancer.Errored), send("c")}, "outside its group"},
-		{"outside the cell", scopeCell, []any{send("a"), ended(0, balancer.Errored), send("d")}, "outside its group"},
-		{"after the window", scopeAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")}, "after its window"},
-		{"drained", idempotent, []any{off, 501 * ms, send("a")}, "drain or be gone"},
-		{"gone from the list", idempotent, []any{empty, 501 * ms, send("b")}, "drain or be gone"},
-		{"cold", idempotent, []any{cold, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
-			send("a"), ended(2, balancer.Rejected), send("a")}, "is cold"},
-		{"message where none is allowed", idempotent, []any{balancer.SendGossip{To: 1, Data: []byte{1}}}, "bytes to peer"},
+		{"two attempts at once", idempotent, []any{send("a"), send("b")}, "two outstanding attempts"},
+		{"non-idempotent retried", nonIdempotent, []any{send("a"), ended(0, balancer.TimedOut), send("b")},
+			"is not idempotent"},
+		{"non-idempotent refused", nonIdempotent, []any{send("a"), ended(0, balancer.Reset), refuse}, "refused though"},
+		{"non-idempotent refused while outstanding", nonIdempotent, []any{send("a"), refuse}, "refused though"},
+		{"refused with zone scope", scopeZone, []any{send("a"), ended(0, balancer.Errored), refuse}, "refused though"},
+		{"outside the zone", scopeZone, []any{send("a"), ended(0, balancer.Errored), send("c")},
+			"outside its idempotency scope"},
+		{"outside the cell", scopeCell, []any{send("a"), ended(0, balancer.Errored), send("d")},
+			"outside its idempotency scope"},
+		{"after the window", scopeAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")},
+			"after its deduplication window"},
+		{"draining", idempotent, []any{off, 501 * ms, send("a")}, "has been draining or removed"},
+		{"removed from the list", idempotent, []any{empty, 501 * ms, send("b")}, "has been draining or removed"},
+		{"overloaded in slow start", idempotent, []any{cold, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
+			send("a"), ended(2, balancer.Rejected), send("a")}, "is in slow start"},
+		{"message without GossipAllowed", idempotent, []any{balancer.SendGossip{To: 1, Data: []byte{1}}}, "bytes to peer 1 is not allowed"},
 		{"timer in the past", idempotent, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
 	}
 	for _, tt := range tests {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -11,7 +11,7 @@
 	"martenbeam/balancer"
 )
 
-// Events that are late, repeated or about unknown things do nothing.
+// Late and repeated events, and events with unknown names or numbers, cause no action.
 func TestUnknownEventsDoNothing(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("done", idempotent)
@@ -39,14 +39,14 @@
 	}
 	r.now += 10 * ms
 	if acts := r.outcome("open", balancer.Errored, 10*ms); final("open", acts) != "fail" {
-		t.Errorf("the open request: %v, want its one failure", acts)
+		t.Errorf("outcome of the open request: %v, want one failure", acts)
 	}
 	if acts := r.outcome("open", balancer.Errored, 10*ms); len(acts) != 0 {
-		t.Errorf("a repeated outcome: %v, want no action", acts)
+		t.Errorf("repeated outcome: %v, want no action", acts)
 	}
 }
 
-// An abandoned request gets nothing more, though its attempt still counts.
+// A request whose client has disconnected gets no retry and no final answer.
 func TestAbandonedRequestGetsNothingMore(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
@@ -55,11 +55,11 @@
 	acts := r.outcome("q", balancer.Errored, 10*ms)
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 {
-		t.Errorf("after the client left: %v", acts)
+		t.Errorf("after the client disconnected: %v, want no action", acts)
 	}
 }
 
-// Once a response has started to stream nothing is retried.
+// A request whose response has started is not retried.
 func TestStartedResponseEndsRetries(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
@@ -68,7 +68,7 @@
 	acts := r.step(balancer.Outcome{Request: "q", Backend: r.sent["q"][0], Result: balancer.Reset, Done: true})
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 || len(r.sent["q"]) != 1 {
-		t.Errorf("after a broken stream: %v", acts)
+		t.Errorf("after a broken response: %v, want no action", acts)
 	}
 }
 
@@ -88,9 +88,9 @@
 		return log
 	}
 	if !reflect.DeepEqual(play(11), play(11)) {
-		t.Error("two runs with one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 	if reflect.DeepEqual(play(11), play(12)) {
-		t.Error("two seeds give the same run")
+		t.Error("two runs with different seeds are equal")
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -11,8 +11,8 @@
 	"martenbeam/balancer"
 )
 
-// BenchmarkStep plays a request, its outcome and, for one in fifty, an error and a retry. State must not grow with the
-// number of requests: see the heap metric.
+// BenchmarkStep measures a request and its outcome, and for one request in fifty also an error and a retry. The metric
+// heap-growth-B shows whether state grows with the number of requests.
 func BenchmarkStep(b *testing.B) {
 	lb, err := balancer.New(settings(), 1)
 	if err != nil {
@@ -33,7 +33,7 @@
 	runtime.KeepAlive(lb)
 }
 
-// playOne plays request i to its end.
+// playOne runs request i from its arrival to its end.
 func playOne(lb *balancer.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []balancer.Event{balancer.Request{ID: id, Class: idempotent, TimeRemaining: time.Second}}
@@ -79,11 +79,11 @@
 	late := heap(5000, 60000)
 	runtime.KeepAlive(lb)
 	if late > early+256<<10 {
-		t.Errorf("the heap grew from %d to %d bytes over 55,000 requests", early, late)
+		t.Errorf("the heap grew from %d to %d bytes over 55,000 requests, want at most 256 KiB more", early, late)
 	}
 	i := 100000
 	if n := testing.AllocsPerRun(2000, func() { playOne(lb, &now, i); i++ }); n > 25 {
-		t.Errorf("%.1f allocations a request", n)
+		t.Errorf("%.1f allocations per request, want at most 25", n)
 	}
 }
 
@@ -100,7 +100,7 @@
 	return lb
 }
 
-// BenchmarkStepBySize plays requests in fleets of two sizes.
+// BenchmarkStepBySize measures requests in fleets of two sizes.
 func BenchmarkStepBySize(b *testing.B) {
 	for _, size := range []struct{ agents, backends int }{{300, 200}, {900, 3200}} {
 		b.Run(fmt.Sprint(size.backends), func(b *testing.B) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// The cost of a request grows far less than the fleet: it depends on what changes, not on all that exists.
+// The cost of a request must grow far less than the fleet: a step counts only backends whose state changes.
 func TestStepCostsLittleMoreInALargeFleet(t *testing.T) {
 	const rounds, requests, most = 20, 100, 4
 	nowUsual, nowLarge := time.Hour, time.Hour
@@ -127,17 +127,18 @@
 		}
 		return time.Since(began)
 	}
-	least := [2]time.Duration{time.Hour, time.Hour} // over all rounds: other load on the machine only adds time
+	least := [2]time.Duration{time.Hour, time.Hour} // shortest of all rounds: other load on the machine only adds time
 	for round := range rounds {
 		least[0] = min(least[0], took(usual, &nowUsual, round))
 		least[1] = min(least[1], took(large, &nowLarge, round))
 	}
 	if least[1] > most*least[0] {
-		t.Errorf("%d requests took %v with 200 backends, %v with 3200", requests, least[0], least[1])
+		t.Errorf("%d requests took %v with 200 backends and %v with 3200, want at most 4 times as long",
+			requests, least[0], least[1])
 	}
 }
 
-// backendsInThreeZones makes n backends in three zones.
+// backendsInThreeZones returns n backends in three zones.
 func backendsInThreeZones(n int) (list []balancer.Backend) {
 	for i := range n {
 		list = append(list, balancer.Backend{ID: fmt.Sprint("s", i), Zone: i % 3, Cell: i / 4})
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// White-box tests of the capacity totals: counting changes gives the same as counting everything.
+// Tests of the capacity totals: the incremental totals equal a full count.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// countAfresh computes the totals from all backends, without anything counted before.
+// countAfresh computes the totals from all backends, without the incremental ones.
 func (b *Balancer) countAfresh() (s capacityTotals) {
 	for _, t := range b.backends {
 		z := b.zone(t)
@@ -52,11 +52,12 @@
 		up += z.up
 	}
 	if up != want.up || len(got.unstable) > len(b.backends) {
-		t.Fatalf("%s: %d up by zones, want %d; %d looked at of %d", what, up, want.up, len(got.unstable), len(b.backends))
+		t.Fatalf("%s: the zones have %d backends up, want %d; %d of %d backends are unstable",
+			what, up, want.up, len(got.unstable), len(b.backends))
 	}
 }
 
-// An attempt that was sent before its backend was ejected may show after the ejection that the backend is dead.
+// The totals stay right when a backend is presumed dead through an attempt that was sent before its ejection.
 func TestTotalsFollowALateOutcome(t *testing.T) {
 	alone := totalsSettings()
 	alone.Balancers = 1
@@ -76,15 +77,16 @@
 	broke("a")
 	broke("b")
 	if s := b.byID["s"]; s.ejectedUntil <= now || s.presumedDead {
-		t.Fatalf("after two: ejected %v, down %v", s.ejectedUntil > now, s.presumedDead)
+		t.Fatalf("after two resets: ejected %v, presumed dead %v, want ejected only",
+			s.ejectedUntil > now, s.presumedDead)
 	}
 	now = b.byID["s"].ejectedUntil
 	b.Step(now, nil)
 	if !b.byID["s"].stable {
-		t.Fatal("it is looked at in each step still")
+		t.Fatal("the backend is not stable after its ejection")
 	}
 	if broke("c"); !b.byID["s"].presumedDead {
-		t.Fatal("it is not down after three")
+		t.Fatal("the backend is not presumed dead after three resets")
 	}
 }
 
@@ -146,6 +148,6 @@
 		}
 	}
 	if left == 0 {
-		t.Error("no zone was ever left")
+		t.Error("no run had a zone failed over or recovering")
 	}
 }
--- a/balancer/capacity_unit_test.go
+++ b/balancer/capacity_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the capacity totals alone.
+// Unit tests of the capacity totals.
 
 import "testing"
 
@@ -14,11 +14,11 @@
 		t.Errorf("capacity %v, %v of it warm, want 5 and 4.5", totals.capacity, totals.warmCapacity)
 	}
 	if totals.warmOutstanding != 12 || totals.uncountedOutstanding != 5 || totals.inUse() != 15 {
-		t.Errorf("%d outstanding at warm backends, %d not counted, %d in use", totals.warmOutstanding,
+		t.Errorf("%d outstanding at warm backends, %d not counted, %d in use, want 12, 5 and 15", totals.warmOutstanding,
 			totals.uncountedOutstanding, totals.inUse())
 	}
 	if totals.reset(); totals.capacity != 0 || totals.inFlight != 20 || totals.inUse() != 20 {
-		t.Errorf("after a reset: %+v", totals)
+		t.Errorf("after a reset: %+v, want 0 but for 20 in flight", totals)
 	}
 }
 
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of classes alone.
+// Unit tests of classes.
 
 import (
 	"testing"
@@ -16,15 +16,16 @@
 func TestExpectedLatencyScalesWithAnnouncedWork(t *testing.T) {
 	c := &twoClasses()[0]
 	if c.latency != float64(objective)/4 || c.expectedLatency(5) != c.latency {
-		t.Errorf("latency %v at the start, %v for work before any was announced", c.latency, c.expectedLatency(5))
+		t.Errorf("latency %v at the start, %v for announced work without mean work, want a quarter of the objective",
+			c.latency, c.expectedLatency(5))
 	}
 	c.learnWork(0)
 	c.learnWork(10)
 	if got := c.expectedLatency(30); !near(got, 3*c.latency) {
-		t.Errorf("%v for three times the mean work of a latency of %v", got, c.latency)
+		t.Errorf("expected latency %v for three times the mean work, want three times %v", got, c.latency)
 	}
 	if got := c.meanWorkLatency(3*c.latency, 30); !near(got, c.latency) || c.expectedLatency(0) != c.latency {
-		t.Errorf("%v scaled to mean work, want %v", got, c.latency)
+		t.Errorf("latency %v scaled to mean work, want %v", got, c.latency)
 	}
 }
 
@@ -33,13 +34,13 @@
 	c := &twoClasses()[0]
 	for i := range 50 {
 		if c.learnTimeout(900*time.Millisecond+time.Duration(i%3-1)*tick, tick, false) {
-			t.Fatalf("timeout %d within a tick of the usual one is unusual", i)
+			t.Fatalf("timeout %d, within a tick of the usual one, counts as unusual", i)
 		}
 	}
 	for timeout, want := range map[time.Duration]bool{880 * time.Millisecond: true, 900 * time.Millisecond: false,
 		920 * time.Millisecond: true} {
 		if got := c.learnTimeout(timeout, tick, true); got != want {
-			t.Errorf("%v is unusual: %v", timeout, got)
+			t.Errorf("timeout %v: unusual %v, want the opposite", timeout, got)
 		}
 	}
 	before := c.usualTimeout
@@ -47,7 +48,7 @@
 		t.Error("a client's retry moves the usual timeout")
 	}
 	if c.learnTimeout(time.Millisecond, tick, false); c.usualTimeout != before-tick/4 {
-		t.Errorf("one short timeout moves the usual one by %v", before-c.usualTimeout)
+		t.Errorf("one short timeout lowers the usual one by %v, want a quarter of a tick", before-c.usualTimeout)
 	}
 }
 
@@ -62,22 +63,24 @@
 	}
 	s := &Settings{GoalOverall: 1}
 	if classes.recomputeValues(s); !near(classes[1].marginalValue/classes[0].marginalValue, 2) {
-		t.Errorf("values %v and %v, want twice for twice the weight", classes[0].marginalValue, classes[1].marginalValue)
+		t.Errorf("marginal values %v and %v, want twice the value for twice the weight",
+			classes[0].marginalValue, classes[1].marginalValue)
 	}
 	above, total := classes.arrivingWork(0)
 	if !near(above/total, 0.5) {
-		t.Errorf("%v of %v work in more valuable classes, want half", above, total)
+		t.Errorf("%v of %v arriving work in more valuable classes, want half", above, total)
 	}
 	if above, _ := classes.arrivingWork(1); above != 0 {
-		t.Errorf("%v work above the most valuable class", above)
+		t.Errorf("%v arriving work above the most valuable class, want 0", above)
 	}
 	classes[0].metObjective = 10
 	s = &Settings{GoalWorstClass: 1}
 	if classes.recomputeValues(s); classes[0].marginalValue <= 0 || classes[1].marginalValue != 0 {
-		t.Errorf("values %v and %v, want one for the worst class alone", classes[0].marginalValue, classes[1].marginalValue)
+		t.Errorf("marginal values %v and %v, want a positive one for the worst class only",
+			classes[0].marginalValue, classes[1].marginalValue)
 	}
 	if !classes.lowestPriority(0) || classes.lowestPriority(1) || classes.maxObjective() != objective {
-		t.Error("the lowest priority or the longest objective is wrong")
+		t.Error("lowestPriority or maxObjective is wrong")
 	}
 }
 
@@ -88,6 +91,6 @@
 		classes[0].arrive()
 	}
 	if got := classes[0].arrivals; got < 190 || got > 210 {
-		t.Errorf("%v requests count, want about the last 200", got)
+		t.Errorf("%v requests count, want 190 to 210", got)
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -18,17 +18,17 @@
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 			Backends: []balancer.Backend{{ID: "a", State: state}}})
 		if n := r.serve(100, idempotent, 20*ms)["a"]; n > 0 {
-			t.Errorf("state %d: %d requests went there", state, n)
+			t.Errorf("state %d: %d requests were sent to the backend, want none", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(3))
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(3)[1:]})
 		if n := r.serve(100, idempotent, 20*ms)["a"]; n > 0 {
-			t.Errorf("%d requests went there", n)
+			t.Errorf("%d requests were sent to the removed backend, want none", n)
 		}
 	})
-	t.Run("while waiting out a backoff", func(t *testing.T) {
+	t.Run("during a backoff", func(t *testing.T) {
 		for seed := uint64(0); seed < 20; seed++ {
 			r := newRig(t, settings(), seed, backends(2))
 			r.request("q", idempotent)
@@ -40,12 +40,12 @@
 			r.advance(time.Second)
 			for _, b := range r.sent["q"][1:] {
 				if b == other {
-					t.Fatalf("seed %d: a retry went to the draining backend", seed)
+					t.Fatalf("seed %d: a retry was sent to the draining backend", seed)
 				}
 			}
 		}
 	})
-	t.Run("back with the same id", func(t *testing.T) {
+	t.Run("listed again with the same ID", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(2))
 		r.serve(50, idempotent, 20*ms)
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
@@ -55,7 +55,7 @@
 		r.serve(400, idempotent, 20*ms)
 		r.advance(10 * time.Second)
 		if n := r.serve(200, idempotent, 20*ms)["a"]; n < 50 {
-			t.Errorf("warm again it got %d of 200", n)
+			t.Errorf("after its slow start the backend got %d of 200 requests, want at least 50", n)
 		}
 	})
 }
@@ -76,36 +76,36 @@
 		r := newRig(t, s, seed, backends(2))
 		delays[r.timersAt[0]-r.now] = true
 		if n := asks(r.advance(s.PollInterval / 10)); n != 1 {
-			t.Fatalf("asked %d times at the start, want once", n)
+			t.Fatalf("%d polls at the start, want one", n)
 		}
-		for range 8 { // every failure is followed by one more poll, in time
+		for range 8 { // each failure is followed by one poll within half the poll interval
 			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 			if n := asks(r.advance(s.PollInterval / 2)); n != 1 {
-				t.Fatalf("asked %d times after a failure, want once", n)
+				t.Fatalf("%d polls after a failure, want one", n)
 			}
 		}
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 		if n := asks(r.advance(time.Minute)); n != 0 {
-			t.Errorf("asked %d times while subscribed", n)
+			t.Errorf("%d polls while subscribed, want none", n)
 		}
 	}
 	if len(delays) < 9 {
-		t.Errorf("10 agents ask after only %d different waits", len(delays))
+		t.Errorf("10 agents use %d different delays for their first poll, want at least 9", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
 	if n := asks(append(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed}), r.advance(time.Minute)...)); n != 0 {
-		t.Error("asked although the list comes unasked")
+		t.Error("the agent polled though updates are pushed")
 	}
 }
 
-// A fleet that is replaced again and again leaves nothing behind: the cost of a step and the memory depend on the
-// listed backends, not on those that ever existed.
+// When a fleet is replaced many times, the records of its former backends must be removed: memory and the cost of a
+// step depend only on the listed backends.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	var before, after runtime.MemStats
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
 		for i := range 100 {
-			list := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // deltas and full lists in turn
+			list := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // deltas and full lists alternate
 			for k := range 20 {
 				id := fmt.Sprintf("%03d-%03d-%02d-%s", n, i, k, strings.Repeat("x", 1000))
 				list.Backends = append(list.Backends, balancer.Backend{ID: id, State: balancer.BackendState(2 * (k % 2))})
@@ -122,8 +122,8 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 2<<20 { // 20 MB of names were listed
-		t.Errorf("%d bytes are kept of backends that are gone", grown)
+	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 2<<20 { // the lists had 20 MB of names
+		t.Errorf("%d bytes remain of removed backends, want at most 2 MiB", grown)
 	}
 	runtime.KeepAlive(r)
 }
--- a/balancer/endpoints_unit_test.go
+++ b/balancer/endpoints_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the backoff of polls, and of what settings say about zones, alone.
+// Unit tests of the backoff of polls and of the cost of zone crossings.
 
 import (
 	"testing"
@@ -10,18 +10,18 @@
 func TestPollsBackOffAndAreJittered(t *testing.T) {
 	p := endpointPoll{interval: 64 * time.Second}
 	if p.startDelay(0) != 0 || p.startDelay(0.5) != time.Second/2 {
-		t.Errorf("first polls after %v and %v", p.startDelay(0), p.startDelay(0.5))
+		t.Errorf("first polls after %v and %v, want 0s and 500ms", p.startDelay(0), p.startDelay(0.5))
 	}
-	for n, want := range []time.Duration{1, 2, 4, 8, 8} { // seconds at a draw of one half
+	for n, want := range []time.Duration{1, 2, 4, 8, 8} { // seconds, with a draw of 0.5
 		if got := p.retryDelay(0.5); got != want*time.Second {
 			t.Errorf("after %d failures the next poll is in %v, want %v", n+1, got, want*time.Second)
 		}
 	}
 	if p.schedule(7); p.isTimer(6) || !p.isTimer(7) || p.isTimer(7) {
-		t.Error("the timer of a poll is not due once")
+		t.Error("isTimer does not match the scheduled token exactly once")
 	}
 	if p.succeed(); p.retryDelay(0.5) != time.Second {
-		t.Error("a success does not end the backoff")
+		t.Error("a successful poll does not reset the backoff")
 	}
 }
 
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -9,7 +9,7 @@
 	"martenbeam/balancer"
 )
 
-// One balancer through a first attempt, a failure, a retry and an answer. The agent owns the clock, the timers and the
+// A request fails at its first attempt and succeeds at its retry. The agent owns the clock, the timers and the
 // connections.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
@@ -30,10 +30,10 @@
 	step := func(events ...balancer.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
-			case balancer.Send: // start the attempt; pass its Outcome on later
+			case balancer.Send: // start the attempt; report its Outcome later
 				fmt.Println("send", a.Request)
 				backend = a.Backend
-			case balancer.SetTimer: // pass TimerFired on when it is due
+			case balancer.SetTimer: // report TimerFired after the delay
 				fmt.Println("set a timer")
 				timer = a.Token
 			case balancer.Refuse:
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -10,8 +10,8 @@
 	"martenbeam/balancer"
 )
 
-// join+vast: backends get overloaded within two seconds, and with cuts of a tenth per round the limit fell by half in
-// three. It is cut by the excess of latency over the target.
+// Backends were overloaded within two seconds (join+vast), but with cuts of a tenth per round the limit fell by half
+// only in three. Each cut must be in proportion to the excess of latency over the target.
 func TestLimitFallsWithOverload(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	full, jammed := 0, 0
@@ -22,12 +22,13 @@
 		jammed = r.burst(fmt.Sprint("jam", n), 360*ms)
 	}
 	if full < 40 || jammed > full*2/3 {
-		t.Errorf("%d in flight before a jam, %d after three slow rounds", full, jammed)
+		t.Errorf("%d in flight before the overload, %d after three slow rounds, want at least 40 and at most two thirds",
+			full, jammed)
 	}
 }
 
-// join+vast: the limit grew at full speed until latency, which is seen late, had passed the target, and by then the
-// backends were overloaded. It grows by the distance to the target.
+// The limit grew at full speed until latency, which is measured with a delay, had passed the target; by then the
+// backends were overloaded (join+vast). The limit must grow more slowly near the target.
 func TestLimitGrowsSlowerNearTheTarget(t *testing.T) {
 	grown := func(latency time.Duration) int {
 		r := newRig(t, settings(), 1, backends(10))
@@ -40,16 +41,17 @@
 		return last - first
 	}
 	if far, near := grown(30*ms), grown(125*ms); near > far/2 {
-		t.Errorf("the limit grows by %d far below the aimed delay, by %d near it", far, near)
+		t.Errorf("the limit grows by %d far below the target latency and by %d near it, want at most half near it", far, near)
 	}
 }
 
-// Latency above the target cuts the limit. Requests beyond it wait and are refused, a client's retry at once.
+// Latency above the target cuts the limit. Requests beyond the limit are queued and refused later; a client's retry is
+// refused at once.
 func TestInFlightLimitHolds(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
 	r := newRig(t, s, 1, backends(2))
-	for i := range 200 { // slow answers
+	for i := range 200 { // slow responses
 		id := fmt.Sprint("s", i)
 		r.request(id, idempotent)
 		r.now += 350 * ms
@@ -67,7 +69,7 @@
 	}
 	repeat := r.step(balancer.Request{ID: "again", Class: idempotent, TimeRemaining: 2000 * ms, ClientRetry: true})
 	if final("again", repeat) != "refuse" {
-		t.Errorf("a client's repeat: %v, want a refusal at once", repeat)
+		t.Errorf("a client's retry: %v, want a refusal at once", repeat)
 	}
 	all = append(all, r.advance(400*ms)...)
 	for i := range 20 {
@@ -78,7 +80,7 @@
 	}
 }
 
-// Incident i6c6372: with many agents each one's share must shrink, also on idle backends.
+// The share of each agent must shrink as the number of agents grows, also at idle backends (incident i6c6372).
 func TestLimitIsSharedAmongAgents(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := settings()
@@ -92,11 +94,11 @@
 		return n
 	}
 	if one, many := inFlight(1), inFlight(20); many*10 > one {
-		t.Errorf("%d in flight among 20 agents against %d alone", many, one)
+		t.Errorf("%d in flight for one of 20 agents and %d for a single agent, want at most a tenth", many, one)
 	}
 }
 
-// Incident ia38185: the limit follows the endpoint list down.
+// The limit must fall when backends leave the endpoint list (incident ia38185).
 func TestLimitFollowsTheEndpointList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
@@ -107,12 +109,12 @@
 		n += len(r.sent[id])
 	}
 	if n > 12 {
-		t.Errorf("%d in flight on two backends", n)
+		t.Errorf("%d in flight at two backends, want at most 12", n)
 	}
 }
 
-// Incidents idacc77 and i574e74: the load of dead backends must not land on the living ones while the list still names
-// the dead.
+// The load of dead backends must not move to the others while the dead ones are still listed (incidents idacc77 and
+// i574e74).
 func TestLimitExcludesDeadBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	r.serve(50, idempotent, 5*ms)
@@ -135,13 +137,13 @@
 		r.request(id, idempotent)
 		n += len(r.sent[id])
 	}
-	if n > 28 { // six for each of four, and a few for what the outcomes taught
-		t.Errorf("%d in flight on four living backends", n)
+	if n > 28 { // six for each of four, and a few for growth of the limit
+		t.Errorf("%d in flight at the four remaining backends, want at most 28", n)
 	}
 }
 
-// Incident i37feae: a fleet that grows fivefold is cold. What it cannot take yet must not land on the warm backends,
-// nor all on one.
+// When a fleet grows fivefold, most backends are in slow start (incident i37feae). The load beyond their present
+// capacity must not overload the warm backends, nor any one of them.
 func TestFleetGrowthDoesNotLoadWarmBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	r.serve(100, idempotent, 50*ms)
@@ -162,16 +164,16 @@
 	}
 	for id, n := range warm {
 		if n > 18 { // three even shares of six
-			t.Errorf("%s holds %d in flight", id, n)
+			t.Errorf("%s has %d in flight, want at most 18", id, n)
 		}
 	}
 	if sum := warm["a"] + warm["b"] + warm["c"] + warm["d"]; sum > 60 {
-		t.Errorf("the four warm backends hold %d in flight", sum)
+		t.Errorf("the four warm backends have %d in flight, want at most 60", sum)
 	}
 }
 
-// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are well within the objective in the
-// mean but vary a lot.
+// Random variation must not cut the limit of a busy agent whose mean latency is well within the objective (incident
+// ieeee80).
 func TestLimitOfBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
@@ -187,18 +189,18 @@
 		r.now += ms
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
-				// answers in runs, so that twenty in a row can all be slow
+				// latencies in runs of 25, so that twenty slow responses follow each other
 				r.outcome(queue[0], balancer.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 4000 refused", refused)
+		t.Errorf("%d of 4000 requests refused, want none", refused)
 	}
 }
 
-// Incident ieb2a7b: many agents that grow their limits at once must not overshoot together.
+// Many agents that grow their limits at the same time must not overload the backends together (incident ieb2a7b).
 func TestLimitGrowsPerBackend(t *testing.T) {
 	total := func(balancers int) int {
 		s := settings()
@@ -212,10 +214,10 @@
 				}
 			}
 		}
-		for i := range 1000 { // what exceeds the limit is queued
+		for i := range 1000 { // requests beyond the limit are queued
 			sends(r.request(fmt.Sprint("q", i), idempotent))
 		}
-		for i := range 4 * len(out) { // four rounds of fast answers
+		for i := range 4 * len(out) { // four rounds of fast responses
 			sends(r.outcome(out[0], balancer.OK, 20*ms))
 			out = out[1:]
 			sends(r.request(fmt.Sprint("more", i), idempotent))
@@ -223,13 +225,13 @@
 		return len(out) * balancers
 	}
 	if one, many := total(1), total(20); one < 130 || many > one*3/2 {
-		t.Errorf("after four rounds one agent has %d in flight, want growth from 120; 20 agents %d", one, many)
+		t.Errorf("in flight after four rounds: one agent %d, want at least 130; 20 agents %d, want at most half as much again",
+			one, many)
 	}
 }
 
-// Houston big-1: with a noisy neighbour on a third of the backends mean latency passed the target, and 40 of 100
-// requests were refused though the rest had capacity. The latency of a backend known to be slow says little about the
-// rest.
+// A noisy neighbour slowed a third of the backends (houston big-1). Mean latency passed the target, and 40 of 100
+// requests were refused though the other backends had capacity. The latency of slow backends must not cut the limit.
 func TestSlowBackendsDoNotCutTheLimit(t *testing.T) {
 	r := newRig(t, sparseSettings(), 1, backends(8))
 	sent := 0
@@ -250,13 +252,13 @@
 		}
 	}
 	if sent < 195 {
-		t.Errorf("%d of 200 were sent though most servers have no queue", sent)
+		t.Errorf("%d of 200 requests were sent while half of the backends are fast, want at least 195", sent)
 	}
 }
 
-// join+vast: 80 agents switched from counting to credit when a release had taken half of 60 backends, and the credit
-// saved up in quiet times overloaded the rest. Where each may have an attempt or more in flight, attempts are counted
-// however the list changes.
+// When a release had taken half of 60 backends, 80 agents switched from the counted limit to credit, and the credit
+// saved up under low load overloaded the other backends (join+vast). While each agent may have at least one attempt in
+// flight, the counted limit must stay in use however the endpoint list changes.
 func TestRollingReleaseKeepsTheCountedLimit(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 80, true
@@ -268,12 +270,12 @@
 	r.serve(200, idempotent, 40*ms)
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list[:27]})
 	sent := 0
-	for i := range 20 { // nothing is answered
+	for i := range 20 { // no backend responds
 		id := fmt.Sprint("q", i)
 		r.request(id, idempotent)
 		sent += len(r.sent[id])
 	}
 	if sent < 1 || sent > 4 {
-		t.Errorf("%d of 20 were sent at once, want an even part of the limit", sent)
+		t.Errorf("%d of 20 requests were sent at once, want 1 to 4, an even share of the limit", sent)
 	}
 }
--- a/balancer/limiter_unit_test.go
+++ b/balancer/limiter_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the concurrency limiter and of admission by credit alone.
+// Unit tests of the concurrency limiter and of admission by credit.
 
 import (
 	"testing"
@@ -11,27 +11,27 @@
 	l := newConcurrencyLimiter(2)
 	const capacity, cooldown = 10.0, 100 * time.Millisecond
 	if limit := l.limit(capacity); limit != initialLimitPerBackend*capacity/2 {
-		t.Fatalf("the limit starts at %v", limit)
+		t.Fatalf("limit %v at the start, want an even share of the initial limit", limit)
 	}
 	now := time.Second
-	for l.latencyRatio <= targetLatencyRatio { // a cut is made with the sample that passes the target
+	for l.latencyRatio <= targetLatencyRatio { // the sample that passes the target cuts the limit
 		l.adjust(2, now, cooldown, 0, capacity)
 	}
 	first := l.perBackend
 	if first >= initialLimitPerBackend || first < minLimitPerBackend {
-		t.Fatalf("%v per backend after a cut", first)
+		t.Fatalf("limit per backend %v after a cut", first)
 	}
 	if l.adjust(2, now+cooldown, cooldown, 0, capacity); l.perBackend != first {
-		t.Error("cut again within the cooldown")
+		t.Error("the limit was cut again within the cooldown")
 	}
 	if l.adjust(2, now+cooldown+1, cooldown, 0, capacity); l.perBackend >= first {
-		t.Error("not cut again after the cooldown")
+		t.Error("the limit was not cut again after the cooldown")
 	}
 	for n := range 100 {
 		l.adjust(2, now+time.Duration(n+2)*2*cooldown, cooldown, 0, capacity)
 	}
 	if l.perBackend != minLimitPerBackend {
-		t.Errorf("%v per backend after many cuts, want the lower bound", l.perBackend)
+		t.Errorf("limit per backend %v after many cuts, want the lower bound", l.perBackend)
 	}
 }
 
@@ -44,20 +44,20 @@
 	}
 	close.adjust(0.9*targetLatencyRatio, time.Second, 0, 60, 10)
 	if idle.perBackend != initialLimitPerBackend {
-		t.Errorf("grew to %v while it did not bind", idle.perBackend)
+		t.Errorf("the limit grew to %v while it did not bind", idle.perBackend)
 	}
 	if busy.perBackend <= initialLimitPerBackend {
-		t.Error("did not grow while it bound")
+		t.Error("the limit did not grow while it bound")
 	}
 	if grown := close.perBackend - initialLimitPerBackend; grown <= 0 || grown > 0.02*limitIncrease*smoothing {
-		t.Errorf("grew by %v close to the target, want little", grown)
+		t.Errorf("the limit grew by %v close to the target, want a small growth above 0", grown)
 	}
 }
 
 func TestLimiterBoundsEachBackend(t *testing.T) {
 	l := newConcurrencyLimiter(3)
 	if got := l.backendLimit(); got != maxBackendShares*initialLimitPerBackend*l.quota {
-		t.Errorf("a backend may get %v", got)
+		t.Errorf("backendLimit %v, want maxBackendShares even shares", got)
 	}
 	if l.quota = 1e-6; l.backendLimit() != 1 || l.limit(10) != 1 || l.warmLimit(10) != 1 {
 		t.Error("a small quota allows no attempt at all")
@@ -95,11 +95,11 @@
 		account.accrue(mean, 0, mean, true)
 	}
 	if account.credit != creditBurst*mean {
-		t.Fatalf("%v credit after a quiet time, want a burst", account.credit)
+		t.Fatalf("credit %v after 100 first attempts without sends, want a burst", account.credit)
 	}
 	account.spend(2 * mean)
 	if !account.covers(mean, 0, 1e9) || !account.covers(mean, 0.4e9, 1e9) || account.covers(mean, 0.6e9, 1e9) {
-		t.Error("half of the burst should cover a class above which less than half of the work arrives")
+		t.Error("half of the burst should cover a class only if less than half of the work is in more valuable classes")
 	}
 	account.spend(2 * mean)
 	if account.covers(mean, 0, 1e9) {
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// A test of the source files: the deploy file names those that decide, and they stay short.
+// A test of the source files: the deploy file lists the policy files, and they stay short.
 
 import (
 	"os"
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// The files that make decisions are named in the deploy file, and each stays short enough to be read in one go: a
-// longer one must be split by what it decides. The other files of the package say that they decide nothing, or hold
-// its interface.
+// Files that make decisions are listed under policy in the deploy file, and each has at most 240 lines that are not
+// blank: a longer file must be split by what it decides. Each other file contains the sentence "Nothing is decided
+// here.", or is part of the package's interface.
 func TestPolicyLimits(t *testing.T) {
 	const most, least, longest = 240, 10, 130
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -22,18 +22,18 @@
 	_, list, _ := strings.Cut(string(deploy), "policy = [")
 	list, _, ok := strings.Cut(list, "]")
 	if !ok {
-		t.Fatal("the deploy file names no policy files")
+		t.Fatal("the deploy file has no list of policy files")
 	}
 	policy := map[string]bool{}
 	for name := range strings.SplitSeq(list, ",") {
 		name, inside := strings.CutPrefix(strings.Trim(name, ` "`), "balancer/")
 		if !inside {
-			t.Errorf("%s is named as policy, outside the decision module", name)
+			t.Errorf("%s is listed as policy but is outside the decision module", name)
 			continue
 		}
 		policy[name] = true
 		if lines := countLines(t, name, longest); lines < least || lines > most {
-			t.Errorf("%s: %d lines that are not blank, %d at most", name, lines, most)
+			t.Errorf("%s: %d lines that are not blank, want %d at most", name, lines, most)
 		}
 	}
 	files, err := filepath.Glob("*.go")
@@ -49,7 +49,7 @@
 		decides := !strings.HasSuffix(name, "_test.go") && !slices.Contains(interfaces, name) &&
 			!strings.Contains(string(text), "Nothing is decided here.")
 		if decides != policy[name] {
-			t.Errorf("%s: decides %v, named as policy %v", name, decides, policy[name])
+			t.Errorf("%s: makes decisions %v, listed as policy %v, want the same", name, decides, policy[name])
 		}
 	}
 }
@@ -66,7 +66,7 @@
 			lines++
 		}
 		if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > longest {
-			t.Errorf("%s: line %d has %d characters, %d at most", name, i+1, n, longest)
+			t.Errorf("%s: line %d has %d characters, want %d at most", name, i+1, n, longest)
 		}
 	}
 	return lines
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the admission queue alone.
+// Unit tests of the admission queue.
 
 import (
 	"slices"
@@ -61,7 +61,7 @@
 		}
 	})
 	if visited != "3210" || !slices.Equal(q.requests, []*request{all[0], all[1], all[3]}) {
-		t.Errorf("visited %s, %d requests left", visited, len(q.requests))
+		t.Errorf("visited %s, %d requests left, want 3210 and 3", visited, len(q.requests))
 	}
 	if next := q.next(byClass); next != all[1] {
 		t.Errorf("next is %v, want the newest of the higher class: a skip lasts for one step", next)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -45,7 +45,7 @@
 	streaming                bool // its body is still arriving
 }
 
-// request is a client's request from its arrival until it has ended and all its attempts have their outcome.
+// unconstrained reports whether the request has no earlier attempt, no residency rule and no announced work. A backend
 // that can take one unconstrained request can take all others of the class.
 func (req *request) unconstrained() bool {
 	return len(req.attempts) == 0 && req.residencyRule == 0 && req.work == 0
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// What each kind of class may do after an outcome: retry on another backend, or end.
+// Each outcome leads to a retry at another backend or to a final answer, depending on the class.
 func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -70,7 +70,7 @@
 			r.outcome("q", balancer.Errored, 5*ms)
 			r.advance(200 * ms)
 			if s := r.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
-				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
+				t.Errorf("seed %d class %d: attempts at %v, want two in one idempotency scope", seed, class, s)
 			}
 		}
 	}
@@ -80,17 +80,17 @@
 		r.now += 300 * ms
 		acts := r.outcome("q", balancer.Errored, 300*ms)
 		if final("q", acts) != "fail" {
-			t.Errorf("after the window: %v, want a failure", acts)
+			t.Errorf("outcome after the deduplication window: %v, want a failure", acts)
 		}
 	})
-	t.Run("never ran", func(t *testing.T) {
+	t.Run("never executed", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(6))
 		r.request("q", scopeZone)
 		r.now += 400 * ms
 		r.outcome("q", balancer.ConnectFailed, 400*ms)
 		r.advance(200 * ms)
 		if len(r.sent["q"]) != 2 {
-			t.Errorf("attempts %v: one that never ran should not bind the request", r.sent["q"])
+			t.Errorf("attempts at %v, want two: the first was never executed and sets no scope", r.sent["q"])
 		}
 	})
 }
@@ -110,12 +110,12 @@
 		all = append(all, r.advance(150*ms)...)
 	}
 	if len(r.sent["q"]) != 3 || final("q", all) != "fail" {
-		t.Errorf("attempts %v and answer %q, want 3 and one failure", r.sent["q"], final("q", all))
+		t.Errorf("attempts at %v and final answer %q, want 3 and one failure", r.sent["q"], final("q", all))
 	}
 }
 
-// The budget holds 100 tokens: 20 retries at 5, or 10 after time-outs. First attempts are sent when it is empty; each
-// answered request brings one token, up to the capacity.
+// The budget has 100 tokens: 20 retries at 5, or 10 after time-outs. First attempts are also sent when the budget is
+// empty; each answered request adds one token, up to the capacity.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
@@ -126,7 +126,7 @@
 			id := fmt.Sprintf("spend-%d", len(r.sent))
 			r.request(id, idempotent)
 			if len(r.sent[id]) != 1 {
-				t.Fatalf("first attempt of %s did not go out", id)
+				t.Fatalf("first attempt of %s was not sent", id)
 			}
 			r.now += ms
 			r.outcome(id, res, ms)
@@ -136,33 +136,33 @@
 				r.now += ms
 				r.outcome(id, balancer.Errored, ms)
 			}
-			r.advance(30 * time.Second) // lets ejections pass
+			r.advance(30 * time.Second) // until ejections have ended
 		}
 		return retried
 	}
 	tests := []struct {
 		name  string
 		res   balancer.Result
-		serve int // between emptying and trying again
+		serve int // requests answered after the budget is empty
 		first int
 		then  int
 	}{
 		{"errors cost 5", balancer.Errored, 4, 20, 0},
-		{"five served bring one back", balancer.Errored, 5, 20, 1},
+		{"five successes fund one retry", balancer.Errored, 5, 20, 1},
 		{"time-outs cost 10", balancer.TimedOut, 9, 10, 0},
-		{"ten served bring one back after a time-out", balancer.TimedOut, 10, 10, 1},
-		{"the cap holds", balancer.Errored, 500, 20, 20},
+		{"ten successes fund one retry after a time-out", balancer.TimedOut, 10, 10, 1},
+		{"capacity is the upper bound", balancer.Errored, 500, 20, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t, s, 5, backends(6))
 			if got := spend(r, 30, tt.res); got != tt.first {
-				t.Errorf("a full bucket funded %d retries, want %d", got, tt.first)
+				t.Errorf("a full budget funded %d retries, want %d", got, tt.first)
 			}
 			r.serve(tt.serve, idempotent, 20*ms)
 			r.advance(30 * time.Second)
 			if got := spend(r, 30, tt.res); got != tt.then {
-				t.Errorf("then funded %d retries, want %d", got, tt.then)
+				t.Errorf("the refilled budget funded %d retries, want %d", got, tt.then)
 			}
 		})
 	}
@@ -195,7 +195,7 @@
 	for n, got := range longest {
 		bound := unit << min(n, 3)
 		if got > bound+ms || got < bound*8/10 {
-			t.Errorf("retry %d waited up to %v, want close to %v and no more", n, got, bound)
+			t.Errorf("retry %d waited up to %v, want 80%% to 100%% of %v", n, got, bound)
 		}
 		if shortest[n] > bound/10 {
 			t.Errorf("retry %d waited at least %v, want full jitter from 0", n, shortest[n])
@@ -209,13 +209,12 @@
 	r.request("q", idempotent)
 	r.now += 2000 * ms
 	if acts := r.outcome("q", balancer.TimedOut, 2000*ms); final("q", acts) != "fail" {
-		t.Errorf("at the deadline: %v, want the final answer at once", acts)
+		t.Errorf("outcome at the deadline: %v, want the final answer at once", acts)
 	}
 }
 
-// A retry may have to wait for its connection, up to the connect timeout. It must reach the backend while that still
-// remembers the first attempt: on sockets, one sent at the window's last instant could execute twice if its connection
-// had to be opened first.
+// A retry must reach its backend within the deduplication window, also if its connection takes the whole connect
+// timeout to open: a request whose retry was sent at the end of the window could otherwise execute twice.
 func TestRetryReachesBackendInDedupWindow(t *testing.T) {
 	for _, row := range []struct {
 		failed time.Duration
@@ -228,16 +227,16 @@
 		r.now += row.failed
 		acts := append(r.outcome("x", balancer.Errored, row.failed), r.advance(100*ms)...)
 		if n := len(r.sent["x"]); n != row.sends {
-			t.Errorf("failed after %v: %d sends, want %d", row.failed, n, row.sends)
+			t.Errorf("failure after %v: %d sends, want %d", row.failed, n, row.sends)
 		}
 		if got := final("x", acts); (got != "") != (row.sends == 1) {
-			t.Errorf("failed after %v: final answer %q", row.failed, got)
+			t.Errorf("failure after %v: final answer %q, want one only without a retry", row.failed, got)
 		}
 	}
 }
 
-// A retry stays in the cell and the zone where the earlier attempt ran, also if an endpoint update has moved that
-// backend since. Its last byte must be sent within the window, and the agent is told so.
+// A retry stays in the cell or zone of the first attempt, also if an endpoint update has moved that backend since. The
+// SendDeadline of a retry is the end of the deduplication window.
 func TestRetriesStayWhereTheFirstAttemptRan(t *testing.T) {
 	for _, class := range []int{scopeCell, scopeZone} {
 		repeats := 0
@@ -248,7 +247,7 @@
 			r := newRig(t, s, seed, list)
 			began := r.now
 			if a := r.request("q", class); firstSend(t, a).SendDeadline != 0 {
-				t.Fatal("a first attempt is bound")
+				t.Fatal("the first attempt has a SendDeadline")
 			}
 			first := r.sent["q"][0][0] - 'a'
 			moved := list[first]
@@ -259,16 +258,17 @@
 			r.advance(200 * ms)
 			for _, id := range r.sent["q"][1:] {
 				if b := list[id[0]-'a']; b.Cell != list[first].Cell || b.ID == moved.ID {
-					t.Fatalf("class %d, seed %d: repeated at %s after %s, which has moved", class, seed, id, moved.ID)
+					t.Fatalf("class %d, seed %d: retried at %s after %s, which has moved", class, seed, id, moved.ID)
 				}
 				if send := firstSend(t, r.actions); send.SendDeadline != began+s.Classes[class].DedupWindow {
-					t.Fatalf("class %d: bound to %v, %v after the first", class, send.SendDeadline, send.SendDeadline-began)
+					t.Fatalf("class %d: SendDeadline %v, %v after the first attempt",
+						class, send.SendDeadline, send.SendDeadline-began)
 				}
 				repeats++
 			}
 		}
 		if repeats < 10 {
-			t.Errorf("class %d: %d repeats in 30 plays", class, repeats)
+			t.Errorf("class %d: %d retries in 30 runs, want at least 10", class, repeats)
 		}
 	}
 }
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the retry budget alone.
+// Unit tests of the retry budget.
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 		b.Spend(cost)
 	}
 	if spent != 20 || b.Tokens() != 0 {
-		t.Errorf("a full budget covers %d retries and then holds %v, want 20 and 0", spent, b.Tokens())
+		t.Errorf("a full budget covers %d retries and has %v tokens left, want 20 and 0", spent, b.Tokens())
 	}
 	for range 9 {
 		b.Refill()
@@ -23,7 +23,7 @@
 		t.Error("nine successes cover a retry after a time-out")
 	}
 	if b.Refill(); !b.Covers(RetryCost(TimedOut)) || RetryCost(TimedOut) != 2*RetryCost(Reset) {
-		t.Errorf("ten successes give %v tokens, which don't cover a retry after a time-out", b.Tokens())
+		t.Errorf("ten successes give %v tokens, want enough for one retry after a time-out, at twice the usual cost", b.Tokens())
 	}
 	for range 1000 {
 		b.Refill()
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// The rig that drives one balancer in the tests of this package.
+// The test rig that drives one balancer in the tests of this package.
 
 import (
 	"fmt"
@@ -38,14 +38,14 @@
 	}
 }
 
-// sparseSettings make an even share of the concurrency limit smaller than one attempt.
+// sparseSettings returns settings with which an even share of the concurrency limit is smaller than one attempt.
 func sparseSettings() balancer.Settings {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 100, true
 	return s
 }
 
-// backends makes n backends named a, b, c ...; two per zone and cell.
+// backends returns n backends named a, b, c ...; two per zone and cell.
 func backends(n int) []balancer.Backend {
 	var list []balancer.Backend
 	for i := range n {
@@ -54,7 +54,7 @@
 	return list
 }
 
-// rig drives one balancer and keeps what it does.
+// rig drives one balancer and records its sends, timers and latest actions.
 type rig struct {
 	t        *testing.T
 	b        *balancer.Balancer
@@ -133,7 +133,7 @@
 	r.t.Helper()
 	n := len(r.sent[id]) - 1
 	if n < 0 {
-		r.t.Fatalf("%s: nothing was sent", id)
+		r.t.Fatalf("%s: no attempt was sent", id)
 	}
 	return r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
 		Latency: latency, Done: res == balancer.OK})
@@ -154,8 +154,8 @@
 	return counts
 }
 
-// burst sends 150 requests at once and answers those that are sent, also later from the queue, after a latency each.
-// It returns how many were sent at first.
+// burst submits 150 requests at once and answers each one that is sent, at first or later from the queue, after the
+// latency. It returns how many were sent at first.
 func (r *rig) burst(name string, latency time.Duration) (out int) {
 	answered := map[string]bool{}
 	id := func(i int) string { return fmt.Sprint(name, "-", i) }
@@ -176,7 +176,8 @@
 	return out
 }
 
-// final names the final answer for a request among the actions, or returns "".
+// final returns "refuse" or "fail" for a request's final answer among the actions, several in a row if there are more,
+// and "" if there is none.
 func final(id string, actions []balancer.Action) string {
 	found := ""
 	for _, a := range actions {
@@ -201,6 +202,6 @@
 			return a
 		}
 	}
-	t.Fatal("nothing was sent")
+	t.Fatal("the actions contain no Send")
 	panic("unreachable")
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// Tests of the rules under adverse orders of events.
+// Tests of the rules under random, adverse orders of events.
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"martenbeam/balancer"
 )
 
-// playHostile feeds a balancer a legal but adverse order of events and audits it.
+// playHostile plays a legal but adverse sequence of random events against a balancer, and audits its actions.
 func playHostile(t *testing.T, seed uint64, steps int) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -96,7 +96,7 @@
 			}
 			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{*n}})
 		case 1:
-			var full []balancer.Backend // possibly none at all
+			var full []balancer.Backend // may be empty
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = balancer.Up
 				full = append(full, n)
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -11,8 +11,8 @@
 	"martenbeam/balancer"
 )
 
-// The retry budget survives an upgrade: the two processes are one agent. The snapshot may hold nonsense, and gives no
-// more than a full budget.
+// The successor continues with the retry budget of its predecessor. A snapshot with invalid tokens gives a full budget
+// and no more.
 func TestRetryBudgetSurvivesHandover(t *testing.T) {
 	older := newRig(t, settings(), 1, backends(2))
 	for i := range 10 {
@@ -25,15 +25,15 @@
 		r := newRig(t, settings(), 1, backends(2))
 		r.step(balancer.Restore{Snapshot: balancer.Snapshot{Tokens: told}})
 		if got := r.b.Snapshot().Tokens; got != want {
-			t.Errorf("told %v: %v tokens, want %v", told, got, want)
+			t.Errorf("restored from %v: %v tokens, want %v", told, got, want)
 		}
 	}
 	if left > 60 {
-		t.Errorf("%v tokens left after ten retries", left)
+		t.Errorf("%v tokens left after ten retries, want at most 60", left)
 	}
 }
 
-// busyAgent is an agent that has nearly all the traffic of a fleet of twenty.
+// busyAgent returns the rig of one agent in a fleet of twenty.
 func busyAgent(t *testing.T, seed uint64) *rig {
 	t.Helper()
 	s := settings()
@@ -41,15 +41,15 @@
 	return newRig(t, s, seed, backends(4))
 }
 
-// receiveQuietPeers delivers messages of all peers that their clients ask for nothing.
+// receiveQuietPeers delivers a message from each peer that reports no demand.
 func (r *rig) receiveQuietPeers() {
 	for i := range 19 {
 		r.step(balancer.GossipReceived{From: i + 1, Data: make([]byte, 8)})
 	}
 }
 
-// overload plays twenty requests per second for 2 s. Every backend but z, which is in slow start, keeps what it gets.
-// overload returns how many requests z got.
+// overload submits twenty requests per second for 2 s. Only backend z, which is in slow start, responds; the other
+// backends keep all attempts outstanding. overload returns how many requests z got.
 func (r *rig) overload() (n int) {
 	for i := range 40 {
 		id := fmt.Sprint("crowd", len(r.sent), "-", i)
@@ -69,8 +69,8 @@
 	return balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "z", Started: started}}}
 }
 
-// A day of operations (upgrade+hand): while most requests were refused, throughput said little about what a backend
-// can do, and backends in slow start were idle beside overloaded ones.
+// While most requests were refused, throughput was far below the capacity of a backend, so that backends in slow start
+// were idle beside overloaded ones (upgrade+hand).
 func TestSlowStartBudgetSurvivesOverload(t *testing.T) {
 	r := busyAgent(t, 1)
 	for range 50 {
@@ -79,11 +79,11 @@
 	}
 	r.step(backendInSlowStart(r.now))
 	if n := r.overload(); n < 12 { // a fifth of that times the square root of 2.5 is 8 per second
-		t.Errorf("%d requests in 2 s to the one that is idle", n)
+		t.Errorf("%d requests in 2 s to the idle backend, want at least 12", n)
 	}
 }
 
-// The next process continues from what the earlier one learned about rates, latency and peers: its backends in slow
+// The successor continues with its predecessor's rates, latencies and peer demand: the budgets of backends in slow
 // start and its share of the limit are right at once.
 func TestSnapshotIsRestored(t *testing.T) {
 	older := busyAgent(t, 1)
@@ -98,7 +98,7 @@
 			r.step(balancer.Restore{Snapshot: *l})
 			if again := r.b.Snapshot(); again.LatencyRatio != l.LatencyRatio ||
 				again.LimitPerBackend != l.LimitPerBackend || math.Abs(again.Demand/l.Demand-1) > 0.1 {
-				t.Errorf("handed on %+v, gone on from %+v", *l, again)
+				t.Errorf("snapshot %+v, restored as %+v", *l, again)
 			}
 		}
 		r.step(backendInSlowStart(r.now))
@@ -106,12 +106,13 @@
 	}
 	with, without := got(&told), got(nil)
 	if with < 2*without || with < 8 {
-		t.Errorf("%d requests in 2 s to an idle cold backend, %d with nothing handed on", with, without)
+		t.Errorf("%d requests in 2 s to the idle backend in slow start, %d without a snapshot, want at least 8 and twice as many",
+			with, without)
 	}
 	for name, l := range map[string]balancer.Snapshot{
-		"nothing":       {},
+		"empty":         {},
 		"other classes": {LimitPerBackend: 6, Latency: []float64{1}},
-		"no numbers": {LimitPerBackend: math.NaN(), LatencyRatio: math.Inf(1), PeakThroughput: math.NaN(),
+		"not finite": {LimitPerBackend: math.NaN(), LatencyRatio: math.Inf(1), PeakThroughput: math.NaN(),
 			Demand: -1, Latency: told.Latency, PeerDemand: told.PeerDemand},
 		"huge": {LimitPerBackend: 1e300, PeakThroughput: 1e300, Demand: 1e300, Latency: told.Latency,
 			PeerDemand: told.PeerDemand},
@@ -119,7 +120,7 @@
 		r := busyAgent(t, 2)
 		r.step(balancer.Restore{Snapshot: l})
 		if n := r.serve(60, idempotent, 10*ms); len(n) != 4 {
-			t.Errorf("%s: served by %v", name, n)
+			t.Errorf("%s: requests were served by %v, want four backends", name, n)
 		}
 	}
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -10,8 +10,8 @@
 	"martenbeam/balancer"
 )
 
-// A request whose large body is still arriving occupies no backend and takes no capacity: its backend has nothing to
-// do yet. From its last byte on it is an attempt like any other.
+// A request whose large body is still arriving takes no capacity: its backend has nothing to do yet. From the last byte
+// on, its attempt counts like any other.
 func TestStreamingBodyTakesNoCapacity(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	r.serve(20, idempotent, 10*ms)
@@ -19,18 +19,18 @@
 		id := fmt.Sprint("large", i)
 		r.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, Streaming: true})
 		if len(r.sent[id]) != 1 {
-			t.Fatalf("the %dth large body was not sent", i)
+			t.Fatalf("request %d with a large body was not sent", i)
 		}
 	}
 	r.advance(5 * time.Second) // longer than any objective or deadline
 	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
-		t.Errorf("%d of 20 requests served beside bodies on their way", n)
+		t.Errorf("%d of 20 requests served while large bodies were arriving, want all", n)
 	}
 	for i := range 40 {
 		r.step(balancer.BodyComplete{Request: fmt.Sprint("large", i)})
 	}
 	if r.request("late", idempotent); len(r.sent["late"]) > 0 {
-		t.Error("sent past the limit: bodies that are whole don't count")
+		t.Error("a request was sent past the limit: attempts whose body is complete don't count")
 	}
 	for i := range 40 {
 		r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms)
@@ -40,7 +40,8 @@
 	}
 }
 
-// Once a part of the body is consumed nothing can be sent again. If the attempt never ran the client may retry.
+// Once part of the body is consumed, no retry is possible. If the attempt was never executed, the request is refused,
+// so that the client may retry.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for result, want := range map[balancer.Result]string{balancer.ConnectFailed: "refuse", balancer.Reset: "fail"} {
 		r := newRig(t, settings(), 1, backends(3))
@@ -54,7 +55,7 @@
 	}
 }
 
-// An attempt whose response has started occupies no backend: while a slow client reads it the backend is idle.
+// An attempt whose response has started takes no capacity: while a slow client reads the response, the backend is idle.
 func TestStartedResponseTakesNoCapacity(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	r.serve(20, idempotent, 10*ms)
@@ -62,17 +63,17 @@
 		id := fmt.Sprint("large", i)
 		r.request(id, nonIdempotent)
 		if len(r.sent[id]) != 1 {
-			t.Fatalf("the %dth was not sent", i)
+			t.Fatalf("request %d was not sent", i)
 		}
 		r.step(balancer.ResponseStarted{Request: id, Attempt: 0})
 	}
 	r.advance(5 * time.Second)
 	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
-		t.Errorf("%d of 20 requests served beside answers on their way", n)
+		t.Errorf("%d of 20 requests served while responses were in transfer, want all", n)
 	}
 	for i := range 40 {
 		if all := r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms); len(all) > 0 {
-			t.Errorf("%v after an answer that has gone on", all)
+			t.Errorf("%v at the end of a started response, want no action", all)
 		}
 	}
 	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
