--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The candidates of one choice of a backend, and their order. The struct stands alone.
+// The candidates for one request, and the order in which they are preferred. The struct doesn't access the Balancer.
 
 import (
 	"cmp"
@@ -11,11 +11,11 @@
 type candidates struct {
 	remaining                  int           // idle backends that may still be offered
 	idle, busy, ejected        *backendState // the best of each sort; nil: none
-	totalWeight                float64       // of the idle ones
-	lowestScore, lowestPenalty float64       // of the other two
+	totalWeight                float64       // sum over the idle backends offered
+	lowestScore, lowestPenalty float64       // of busy and of ejected
 }
 
-// newCandidates returns none, for a choice among so many idle backends.
+// newCandidates returns an empty set, which accepts up to subset idle backends.
 func newCandidates(subset int) candidates {
 	return candidates{remaining: subset, lowestScore: math.Inf(1), lowestPenalty: math.Inf(1)}
 }
@@ -46,6 +46,6 @@
 	}
 }
 
-// best returns an idle backend if there is one, else the least loaded one, else an ejected one: if all are ejected, a
-// first attempt is sent all the same. nil: there is none.
+// best returns the idle candidate, else the busy one, else the ejected one: a first attempt is sent even if all
+// backends are ejected. It returns nil if no backend was offered.
 func (c *candidates) best() *backendState { return cmp.Or(c.idle, c.busy, c.ejected) }
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -1,27 +1,28 @@
 package balancer
 
-// Zone failover: when traffic leaves a zone as a whole, and how the zone is put back into use. A zone that is lost or
-// cut off is silent. Detected backend by backend, each would take an attempt for as long as its client waits, and
-// these would fill the concurrency limit while the other zones are idle.
+// Zone failover: when all traffic is moved out of a zone, and how the zone is put back into use. The backends of a zone
+// that is lost or partitioned off don't respond. If each backend were detected separately, attempts would wait there
+// until their clients' deadlines and fill the concurrency limit while the other zones are idle.
 
 import "time"
 
-// recordSilence takes an attempt that is outstanding for long, or that got no connection in all its time, as evidence
-// against the zone if no answer at all has come from there since it was sent: a zone that is only slow answers.
+// recordSilence counts an overdue attempt, or one that timed out while connecting, as evidence that its zone is lost.
+// It counts only if no response of any kind has arrived from the zone since the attempt was sent: a zone that is merely
+// slow still responds.
 func (b *Balancer) recordSilence(a *attempt, result Result) {
 	z := b.zone(a.backend)
 	if a.countedSilent || z.failedOver || z.answeredSince(a.sentAt) ||
 		result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
-		return // with queues everywhere a long wait tells nothing
+		return // a wait in proportion to the expected latency can be due to queues
 	}
 	a.countedSilent = true
 	z.recordSilence(a.sentAt, b.zones.baselineSilence(z), &a.backend.silence)
 	b.evaluateZone(z, true)
 }
 
-// evaluateZone fails over from a zone that is lost according to the sequential test and the reports since its last
-// answer. An agent that gets answers often enough to judge by itself learns nothing from reports: its answers are
-// newer.
+// evaluateZone fails over from a zone if the sequential test and the peers' reports since the zone's last response
+// indicate that it is lost. Each response discards the reports, so they have no effect at an agent that frequently gets
+// responses from the zone.
 func (b *Balancer) evaluateZone(z *zone, ownEvidence bool) {
 	validity := time.Duration(reportObjectives * float64(b.maxObjective))
 	if lost := z.lost(b.now, validity); lost && !z.failedOver && b.zones.othersAnswer(z) {
@@ -29,9 +30,9 @@
 	}
 }
 
-// onLossReport applies a peer's report of the zones that it found lost on its own evidence. A peer that reports this
-// agent's own zone is on the other side of a network partition, and its reports say nothing about what can be reached
-// from here.
+// onLossReport applies a peer's report of the zones that the peer found lost on its own evidence. It ignores a report
+// that includes this agent's own zone: the peer is on the other side of a network partition, and its reports don't
+// apply on this side.
 func (b *Balancer) onLossReport(from int, lost uint16) {
 	if lost == 0 || b.settings.Zone < maxLossZones && lost>>max(b.settings.Zone, 0)&1 != 0 {
 		return
@@ -40,16 +41,16 @@
 		if lost>>i&1 == 0 || z.failedOver || z.answeredRecently(b.now, time.Duration(b.classes[0].latency)) {
 			continue
 		}
-		z.recordReport(from, b.now, b.now-b.maxObjective) // another zone must have answered since
+		z.recordReport(from, b.now, b.now-b.maxObjective) // failover requires a response of another zone after that time
 		b.evaluateZone(z, false)
 	}
 }
 
-// recordZoneAnswer takes any answer as evidence for its backend's zone.
+// recordZoneAnswer counts a response of any kind as evidence that its backend's zone is not lost.
 func (b *Balancer) recordZoneAnswer(backend *backendState) {
 	z := b.zone(backend)
 	z.recordAnswer(b.now)
-	if z.failedOver { // the canary's answer, or one that a partition delayed
+	if z.failedOver { // the response to the canary, or one that a partition delayed
 		b.onProbeAnswer(z, true)
 	}
 	if z.suspected() {
@@ -57,7 +58,7 @@
 	}
 }
 
-// failOver takes the traffic of a zone elsewhere, until its health checks succeed.
+// failOver moves the traffic of a zone to the other zones until its health checks succeed.
 func (b *Balancer) failOver(z *zone, ownEvidence bool) {
 	z.failoverState.failOver(b.now, b.settings.SlowStartWindow+1, ownEvidence)
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number, FailedOver: true, ByGossip: !ownEvidence})
@@ -68,8 +69,8 @@
 	}
 }
 
-// probeZone checks the health of one backend of a failed-over zone, or lets one request go there where health checks
-// are not allowed, and schedules the next check.
+// probeZone starts a health check of one random backend of a failed-over zone, or admits one request to the zone if the
+// settings don't allow health checks. It schedules the next check.
 func (b *Balancer) probeZone(z *zone) {
 	interval := z.probeInterval(b.maxObjective, b.settings.Balancers)
 	z.scheduleProbe(b.setTimer(time.Duration(interval * (0.75 + 0.5*b.rng.Float64()))))
@@ -99,8 +100,8 @@
 	b.onProbeAnswer(b.zone(backend), event.Result == OK || event.Result == Rejected || event.Result == Errored)
 }
 
-// onProbeAnswer applies the result of a health check, or an answer to a request. A zone that recovers gets a growing
-// share of its traffic.
+// onProbeAnswer applies the result of a health check, or a response to a request. When the zone recovers, its traffic
+// share grows along a ramp.
 func (b *Balancer) onProbeAnswer(z *zone, ok bool) {
 	if !z.recordProbe(ok, b.now, b.maxObjective) {
 		return
@@ -108,7 +109,7 @@
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number})
 	z.recover(b.now)
 	z.reset(b.now)
-	for _, backend := range b.backends { // what its silence taught about each backend is void
+	for _, backend := range b.backends { // failures and time-outs during the outage were the zone's
 		if b.zone(backend) == z {
 			backend.forgiveSince(z.silenceStartedAt)
 		}
@@ -116,13 +117,13 @@
 	b.recomputeCapacity()
 }
 
-// trafficShare is the share of its usual traffic that a zone may get now.
+// trafficShare returns the share of its usual traffic that a zone may get now, from 0 to 1.
 func (b *Balancer) trafficShare(z *zone) float64 {
 	return z.failoverState.trafficShare(b.now, b.maxObjective)
 }
 
-// closedZones returns the zones that a request may not go to now. nil means none; also where every zone is failed
-// over.
+// closedZones returns, by zone number, which zones are closed to a request. It returns nil if none is, and also if no
+// permitted zone with backends is free of a failover.
 func (b *Balancer) closedZones(req *request) []bool {
 	reserved := b.reservedZones(req)
 	if b.allZonesOpen {
--- a/balancer/failoverstate.go
+++ b/balancer/failoverstate.go
@@ -1,6 +1,7 @@
 package balancer
 
-// The failover of one zone: its length, its health checks and the recovery ramp. The struct stands alone.
+// The failover of one zone: its length, its health checks and the recovery ramp. The struct doesn't access the
+// Balancer.
 
 import (
 	"math"
@@ -8,27 +9,27 @@
 )
 
 const (
-	recoveryProbes        = 2    // health checks answered in a row before the zone recovers
-	minFailOverObjectives = 0.5  // shortest failover in longest objectives; doubles with backoffExponent
-	probesPerObjective    = 50.0 // agents that may check once per longest objective; more agents make as many checks together
-	recoveryObjectives    = 2.0  // length of the recovery ramp in longest objectives
+	recoveryProbes        = 2    // consecutive successful health checks before the zone recovers
+	minFailOverObjectives = 0.5  // shortest failover, in longest objectives; doubles with each step of backoffExponent
+	probesPerObjective    = 50.0 // number of agents above which the interval grows, so that the fleet's check rate doesn't
+	recoveryObjectives    = 2.0  // length of the recovery ramp, in longest objectives
 	initialTrafficShare   = 0.1  // share of its traffic at the start of the recovery ramp
-	maxBackoffExponent    = 4.0  // bound of the doublings for a zone that fails again and again
+	maxBackoffExponent    = 4.0  // bound of backoffExponent for a zone that fails repeatedly
 )
 
-// failoverState says whether traffic has left a zone, and how it comes back.
+// failoverState records whether a zone is failed over, and the progress of its recovery.
 type failoverState struct {
 	failedOver           bool
-	ownEvidence          bool          // failed over on this agent's own evidence, not on reports
+	ownEvidence          bool          // failed over on this agent's own evidence, not on peers' reports
 	failedOverAt         time.Duration // latest failover
-	backoffExponent      float64       // number of failovers, decaying
+	backoffExponent      float64       // decayed number of failovers
 	probeTimer           int64         // token of the timer of the next health check
-	consecutiveSuccesses int           // health checks answered in a row
-	canary               bool          // one request may be sent there in place of a health check
+	consecutiveSuccesses int           // successful health checks since the last failed one
+	canary               bool          // one request may be sent to the zone in place of a health check
 	recoveryStartedAt    time.Duration // 0: the zone has its full share of traffic
 }
 
-// failOver starts a failover. Earlier ones count less the longer ago they were: by half after the given span.
+// failOver starts a failover. The count of earlier failovers decays with the given half-life.
 func (f *failoverState) failOver(now, halfLife time.Duration, ownEvidence bool) {
 	f.failedOver, f.ownEvidence, f.consecutiveSuccesses, f.recoveryStartedAt = true, ownEvidence, 0, 0
 	faded := f.backoffExponent * math.Exp2(-float64(now-f.failedOverAt)/float64(halfLife))
@@ -36,24 +37,25 @@
 	f.failedOverAt = now
 }
 
-// backoff is the factor by which repeated failovers prolong the spans of this one.
+// backoff returns the factor by which earlier failovers lengthen the intervals of the present one.
 func (f *failoverState) backoff() float64 { return math.Exp2(f.backoffExponent - 1) }
 
-// probeInterval is the mean time in ns between two health checks of one of so many agents.
+// probeInterval returns the mean time in ns between two health checks by one agent, in a fleet of the given size.
 func (f *failoverState) probeInterval(maxObjective time.Duration, agents int) float64 {
 	return float64(maxObjective) * f.backoff() / 2 * max(1, float64(agents)/probesPerObjective)
 }
 
-// scheduleProbe notes the timer of the next health check; isProbeTimer reports whether a timer is that.
+// scheduleProbe records the timer of the next health check; isProbeTimer reports whether a token belongs to that timer.
 func (f *failoverState) scheduleProbe(token int64)     { f.probeTimer = token }
 func (f *failoverState) isProbeTimer(token int64) bool { return f.failedOver && f.probeTimer == token }
 
-// allowCanary lets one request go to the zone in place of a health check; takeCanary notes that it was sent.
+// allowCanary admits one request to the zone in place of a health check; takeCanary records that it was sent.
 func (f *failoverState) allowCanary() { f.canary = true }
 func (f *failoverState) takeCanary()  { f.canary = false }
 
-// recordProbe counts a health check, or the answer of a request, and reports whether the zone should recover. Late
-// answers count, too, but a zone that stalls and resumes must not fail over and recover by turns.
+// recordProbe counts a health check, or the response to a request, and reports whether the zone should recover. Late
+// responses count, too. The minimum length of a failover prevents a zone that stalls and resumes from alternating
+// quickly between failover and recovery.
 func (f *failoverState) recordProbe(ok bool, now, maxObjective time.Duration) bool {
 	if f.consecutiveSuccesses++; !ok {
 		f.consecutiveSuccesses = 0
@@ -65,7 +67,8 @@
 // recover starts the recovery ramp.
 func (f *failoverState) recover(now time.Duration) { f.failedOver, f.recoveryStartedAt = false, now }
 
-// trafficShare is the share of its usual traffic that the zone may get now: 0 while failed over, then along a ramp.
+// trafficShare returns the share of its usual traffic that the zone may get now: 0 while failed over, then a growing
+// share until the recovery ramp ends at 1.
 func (f *failoverState) trafficShare(now, maxObjective time.Duration) float64 {
 	switch {
 	case f.failedOver:
@@ -81,7 +84,7 @@
 	return min(share, 1)
 }
 
-// recentOwnLoss reports whether the failover is no older than the span, and on own evidence.
+// recentOwnLoss reports whether the zone is failed over on this agent's own evidence, and since less than the span.
 func (f *failoverState) recentOwnLoss(now, span time.Duration) bool {
 	return f.failedOver && f.ownEvidence && now-f.failedOverAt < span
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,12 +1,12 @@
 package balancer
 
-// Gossip: what agents tell each other, and which peers an agent sends to.
+// Gossip: the messages that agents exchange, and the peers that an agent sends to.
 
-const gossipFanout = 8 // peers per gossip round: all peers at a small site, a random sample at a large one
+const gossipFanout = 8 // most peers per gossip round: all of them at a small site, a random sample at a large one
 
-// onGossip applies a peer's message: the demand of its clients, the latency that it sees, and its observations.
-// Departure: with even quotas a busy agent would refuse at a limit that quiet agents don't use. This has an effect
-// only where agents may exchange messages and their traffic differs.
+// onGossip applies a peer's message: the demand of its clients, its latency ratio, its loss reports and its
+// observations. Departure: with even quotas a busy agent would refuse requests while idle agents don't use their quota.
+// Quotas by demand have an effect only where agents may exchange messages and their traffic differs.
 func (b *Balancer) onGossip(event GossipReceived) {
 	message, ok := decode(event.Data, b.now, b.maxObjective)
 	if !ok || !b.peers.has(event.From) {
@@ -25,9 +25,9 @@
 	}
 }
 
-// gossip tells peers this agent's demand, and recomputes its quota. With more peers than gossipFanout it tells a
-// sample of them, and those heard from recently stand for the rest: messages to all would grow with the square of the
-// number of agents.
+// gossip sends this agent's demand to peers and recomputes its quota. With more peers than gossipFanout it sends to a
+// random sample, and the quota treats the peers that have reported recently as representative of all: the number of
+// messages to all peers would grow with the square of the number of agents.
 func (b *Balancer) gossip() {
 	b.gossipTimer = b.setTimer(b.maxObjective)
 	if !b.gossipsObservations() {
@@ -44,9 +44,9 @@
 	}
 }
 
-// recordObservation keeps an observation for peers. Departure: an agent with a sparse quota meets each backend too
-// seldom to learn its speed or its death by itself. Where agents may exchange messages it passes on what it saw and
-// what it was told for a few objectives, with one message to one peer for every few outcomes.
+// recordObservation adds an observation to the log that is sent to peers. Departure: an agent with a sparse quota sends
+// too few attempts to each backend to measure its speed or detect its death. Where agents may exchange messages, each
+// forwards its own and received observations for a few objectives, in one message to one peer per few outcomes.
 func (b *Balancer) recordObservation(n observation) {
 	if backend := b.byGossipKey[n.key]; backend != nil {
 		backend.observedAt = n.observedAt
@@ -54,14 +54,15 @@
 	b.observations.add(n)
 }
 
-// countOutcome sends the recent observations to a random peer when enough outcomes have come since.
+// countOutcome counts an outcome, and sends the recent observations to a random peer after every outcomesPerGossip.
 func (b *Balancer) countOutcome() {
 	if due := b.observations.countOutcome(); due && b.gossipsObservations() {
 		b.sendGossip(b.observations.recent, 1+b.rng.IntN(b.settings.Balancers-1))
 	}
 }
 
-// sendGossip sends a message with the given observations to the peer whose number is this agent's plus step.
+// sendGossip sends a message with the given observations to the peer whose number is this agent's plus step, modulo the
+// number of agents.
 func (b *Balancer) sendGossip(observations []observation, step int) {
 	message := gossipMessage{demand: b.demand.steady(b.now), latencyRatio: b.limiter.latencyRatio,
 		observations: observations, lostZones: b.zones.recentlyLost(b.now, b.maxObjective)}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -1,43 +1,42 @@
 package balancer
 
-// Latency ratios: how much slower than expected a backend is, and how much slower than others a kind of backend serves a
-// class. The structs stand alone.
+// Latency ratios: the latency of a backend relative to the expected latency, and the latency of a kind of backend in a
+// class relative to the mean. The types don't access the Balancer.
 
 const (
-	priorSamples     = 2.0 // samples that the fleet mean counts for in a new backend's latency ratio
+	priorSamples     = 2.0 // weight of the fleet mean in a new backend's latency ratio, in samples
 	maxLatencyRatio  = 8.0 // bound of one latency sample, relative to the mean
-	lateLatencyRatio = 3.0 // latency ratio that an overdue attempt counts as
+	lateLatencyRatio = 3.0 // sample recorded for an overdue or rejected attempt
 )
 
 // latencyEstimate is the latency of one backend. The zero value must be reset before use.
 type latencyEstimate struct {
 	latencyRatio   float64 // moving average of its latency, relative to the expected latency
-	latencySamples float64 // samples behind latencyRatio
+	latencySamples float64 // number of samples in latencyRatio
 }
 
-// resetLatency forgets all samples: the backend counts as average.
+// resetLatency discards all samples: the backend counts as average.
 func (l *latencyEstimate) resetLatency() { l.latencyRatio, l.latencySamples = 1, 0 }
 
 // learnLatency adds one sample, a multiple of the expected latency. The first few samples weigh more, since an agent
-// with little traffic gets an answer from each backend only now and then.
+// with little traffic seldom gets a response from each backend.
 func (l *latencyEstimate) learnLatency(sample float64) {
 	l.latencySamples++
 	weight := max(smoothing, 1/(l.latencySamples+priorSamples))
 	l.latencyRatio += weight * (min(sample, maxLatencyRatio) - l.latencyRatio)
 }
 
-// kindRatios holds, by class and kind of backend, how much slower than the mean such backends serve the class.
-// Departure: an agent with little traffic has few answers from each backend in each class, so it pools what it learns
-// by kind.
+// kindRatios holds, by class and kind of backend, the latency relative to the mean. Departure: an agent with little
+// traffic has few responses from each backend in each class, so it pools samples by kind.
 type kindRatios [][]float64
 
 // newKindRatios returns ratios of 1 for every kind.
 func newKindRatios(classes int) kindRatios { return make([][]float64, classes) }
 
-// of returns the ratio of a class and a kind. A kind that the settings don't name is −1, and counts as 0.
+// of returns the ratio for a class and a kind. Kind −1, which the settings don't name, counts as kind 0.
 func (k kindRatios) of(class, kind int) float64 { return *k.at(class, kind) }
 
-// learn adds one latency ratio of a backend of the kind.
+// learn adds one latency sample of a backend of the kind, relative to the expected latency.
 func (k kindRatios) learn(class, kind int, ratio float64) {
 	mean := k.at(class, kind)
 	*mean += smoothing * (ratio - *mean)
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The gossip codec: the form of what agents send each other, in at most maxMessageSize bytes. Nothing is decided here.
+// The gossip codec: the wire format of messages between agents, at most maxMessageSize bytes each.
 
 import (
 	"encoding/binary"
@@ -12,21 +12,21 @@
 	maxMessageSize  = 256 // bytes
 	headerSize      = 8   // bytes before the observations
 	observationSize = 5   // bytes: key 3, value 1, age 1
-	drainedFlag     = 1   // in the byte after the observations: the sender's clients were moved elsewhere
-	maxLossZones    = 16  // zones that a message can report as lost, in the two bytes after that
+	drainedFlag     = 1   // value of the byte after the observations: operators have drained the sender
+	maxLossZones    = 16  // zones that a message can report as lost, in the two bytes after drainedFlag
 	ageSteps        = 32  // age steps per unit (the longest objective); an observation expires after eight units
 )
 
-// gossipMessage is what an agent tells its peers about itself and about backends.
+// gossipMessage is one message: an agent's report about itself, about backends and about zones.
 type gossipMessage struct {
 	demand, latencyRatio float64
 	observations         []observation
-	drained              bool   // the demand is of clients that operators have moved elsewhere
+	drained              bool   // operators have drained the sender: demand is that of the clients they moved to other agents
 	lostZones            uint16 // zones that the sender found lost on its own evidence, one bit each
 }
 
-// encode writes the header and as many observations as fit: failures first, and the newest first. Ages are rounded up,
-// so that no observation gets younger on its way.
+// encode returns the header and as many observations as fit, failures before the others, each group newest first. Ages
+// are rounded up, so that no observation gets younger in transit.
 func (m gossipMessage) encode(now, unit time.Duration) []byte {
 	data := binary.BigEndian.AppendUint32(make([]byte, 0, maxMessageSize), math.Float32bits(float32(m.demand)))
 	data = binary.BigEndian.AppendUint32(data, math.Float32bits(float32(m.latencyRatio)))
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	if m.drained || m.lostZones != 0 { // shorter than an observation: receivers that don't know it skip it
+	if m.drained || m.lostZones != 0 { // shorter than an observation: older receivers skip it
 		flags := byte(0)
 		if m.drained {
 			flags = drainedFlag
@@ -53,7 +53,7 @@
 	return data
 }
 
-// decode reads a message. It returns false if the header is short or holds no valid numbers.
+// decode parses a message. It returns false if the header is truncated or its numbers are negative or not finite.
 func decode(data []byte, now, unit time.Duration) (m gossipMessage, ok bool) {
 	if len(data) < headerSize {
 		return m, false
--- a/balancer/observations.go
+++ b/balancer/observations.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Observations: what this agent and its peers lately saw of backends, in the form that they pass on. The structs stand
-// alone.
+// Observations: recent outcomes at backends, measured by this agent or its peers, as agents forward them to each other.
+// The structs don't access the Balancer.
 
 import "time"
 
 const (
 	ratioSteps        = 31.0 // steps per multiple of the expected latency: 8 multiples fit below valueLate
-	valueLate         = 254  // value of an overdue attempt
+	valueLate         = 254  // value of an overdue or timed-out attempt
 	valueFailed       = 255  // value of a failed attempt
 	outcomesPerGossip = 2    // outcomes per message with observations: half the cost of one per request
 	maxObservations   = 96   // about two messages' worth
@@ -21,21 +21,21 @@
 	observedAt time.Duration
 }
 
-// observeLatency returns the observation of an answer with the given latency ratio.
+// observeLatency returns the observation of a response with the given latency ratio.
 func observeLatency(key uint32, ratio float64, now time.Duration) observation {
 	return observation{key, byte(min(ratio, maxLatencyRatio-0.1) * ratioSteps), now}
 }
 
-// ratio is the latency ratio of an answer that was observed.
+// ratio returns the latency ratio of an observed response.
 func (n observation) ratio() float64 { return float64(n.value) / ratioSteps }
 
 // observationLog keeps the latest observations, the newest last.
 type observationLog struct {
 	recent   []observation
-	outcomes int // of this agent's attempts
+	outcomes int // number of outcomes of this agent's attempts
 }
 
-// add keeps an observation, and drops the oldest one if there are too many.
+// add appends an observation, and drops the oldest one above maxObservations.
 func (l *observationLog) add(n observation) {
 	l.recent = append(l.recent[max(0, len(l.recent)+1-maxObservations):], n)
 }
@@ -53,7 +53,7 @@
 	for i := range len(id) {
 		h = (h ^ uint32(id[i])) * 16777619
 	}
-	h = (h ^ h>>16) * 0x85ebca6b // IDs differ in their last bytes: spread that over all bits
+	h = (h ^ h>>16) * 0x85ebca6b // IDs differ mostly in their last bytes: spread the difference over all bits
 	h = (h ^ h>>13) * 0xc2b2ae35
 	return (h ^ h>>16) >> 8
 }
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -1,15 +1,15 @@
 package balancer
 
-// Operators' orders: how a backend is disabled and put back into use, and what a drained agent tells its peers.
+// Operators' requests: how a backend is disabled and re-enabled, and how an agent is drained.
 
 import "time"
 
 const (
-	reinstateDelay      = 3 * time.Second // latest first request of a re-enabled backend: operators expect it within 5 s
-	reinstatePreference = 5 * time.Second // for so long it is preferred over idle backends until it has answered
+	reinstateDelay      = 3 * time.Second // latest first request to a re-enabled backend: operators expect one within 5 s
+	reinstatePreference = 5 * time.Second // how long a re-enabled backend is preferred over idle ones until it responds
 )
 
-// onDisable takes a backend out of use: it gets no new attempts, and the outstanding ones may finish.
+// onDisable stops new attempts to a backend; the outstanding ones may finish.
 func (b *Balancer) onDisable(event Disable) {
 	backend := b.byID[event.Backend]
 	accepted := event.Inherited || backend != nil || b.overrides.knows(event.Backend)
@@ -29,7 +29,7 @@
 	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
 }
 
-// onEnable ends any number of Disable. One that an earlier process accepted counts here as well.
+// onEnable reverts any number of Disable events, including those that an earlier process accepted.
 func (b *Balancer) onEnable(event Enable) {
 	accepted := event.Inherited || b.byID[event.Backend] != nil || b.overrides.knows(event.Backend)
 	if listed, disabled := b.overrides.enable(event.Backend); disabled {
@@ -41,8 +41,8 @@
 }
 
 // reinstate puts a disabled backend back into use, in the state that the endpoint list gives. Operators restart
-// backends while they are disabled, and the list may say so late or never: the backend counts as started now, and
-// everything learned about its earlier process is forgotten.
+// backends while they are disabled, and the list may report the restart late or never. The backend therefore counts as
+// started at the given time (0: now), and the measurements of its earlier process are discarded.
 func (b *Balancer) reinstate(id string, state BackendState, at time.Duration) {
 	if at == 0 {
 		at = b.now
@@ -58,15 +58,15 @@
 	backend.Started = max(backend.Started, at)
 	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
 	backend.forgive()
-	// The budget starts below 0, so that agents called at the same time don't all send at once; but with little
-	// traffic it would take longer to fill than operators wait.
+	// The budget starts below 0, so that agents that get the same order don't all send at once. With little traffic it
+	// would take longer than operators wait to refill, so reinstateDelay bounds it.
 	backend.raiseBudget(-b.slowStartRate(backend) * float64(reinstateDelay) * b.rng.Float64())
 	b.recomputeCapacity()
 }
 
-// onDrain tells the peers at once. Departure: what agents learn about each other's demand lags by seconds. During that
-// time the agents that receive the clients would refuse them at their old quota, and the drained agent would do the
-// same when its clients return.
+// onDrain starts or ends a drain of this agent, and notifies the peers at once. Departure: demand reports lag by
+// seconds. During that time the agents that receive the clients would refuse requests at their old quota, and so would
+// the drained agent when its clients return.
 func (b *Balancer) onDrain(event Drain) {
 	switch {
 	case event.On && b.drainedDemand == 0:
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -1,14 +1,14 @@
 package balancer
 
-// The operators' overrides: which backends are disabled or were re-enabled, by ID. Endpoint updates neither know nor
-// end them. The struct stands alone.
+// The operators' overrides: which backends are disabled or were re-enabled, by ID. Endpoint updates don't change them.
+// The struct doesn't access the Balancer.
 
 import "time"
 
-// overrides are the operators' orders in force. The zero value has none.
+// overrides holds the operators' overrides in force. The zero value has none.
 type overrides struct {
 	disabled    map[string]BackendState  // with the state that the endpoint list last gave
-	reenabledAt map[string]time.Duration // while that still means slow start
+	reenabledAt map[string]time.Duration // kept for the slow-start window
 }
 
 // knows reports whether an override is in force for the ID.
@@ -18,7 +18,8 @@
 	return disabled || reenabled
 }
 
-// disable records that a backend was disabled in the given state. It reports false if it was disabled already.
+// disable records that a backend was disabled, and the state that the endpoint list gives. It returns false if the
+// backend was disabled already.
 func (o *overrides) disable(id string, listed BackendState) bool {
 	if _, disabled := o.disabled[id]; disabled {
 		return false
@@ -30,8 +31,8 @@
 	return true
 }
 
-// enable ends a backend's being disabled, and returns the state that the endpoint list last gave. It reports false if
-// the backend was not disabled.
+// enable removes the override of a disabled backend, and returns the state that the endpoint list last gave. was is
+// false if the backend was not disabled.
 func (o *overrides) enable(id string) (listed BackendState, was bool) {
 	listed, was = o.disabled[id]
 	delete(o.disabled, id)
@@ -46,20 +47,20 @@
 	o.reenabledAt[id] = at
 }
 
-// reenabledBefore reports whether the latest known time at which a backend was re-enabled, if any, is older.
+// reenabledBefore reports whether a backend was last re-enabled before the given time, or never.
 func (o *overrides) reenabledBefore(id string, at time.Duration) bool { return at > o.reenabledAt[id] }
 
-// anyReenabled reports whether a backend was re-enabled lately.
+// anyReenabled reports whether any backend was re-enabled recently.
 func (o *overrides) anyReenabled() bool { return len(o.reenabledAt) > 0 }
 
-// recentlyReenabled reports whether a backend was re-enabled within the span.
+// recentlyReenabled reports whether a backend was re-enabled less than the span ago.
 func (o *overrides) recentlyReenabled(id string, now, span time.Duration) bool {
 	at, reenabled := o.reenabledAt[id]
 	return reenabled && now-at < span
 }
 
-// apply returns an endpoint list with the overrides: a disabled backend drains, whatever the list says, and a
-// re-enabled one started no earlier than it was re-enabled. Times older than the slow-start window are forgotten.
+// apply returns an endpoint list with the overrides applied: a disabled backend is at least draining, and a re-enabled
+// one counts as started no earlier than it was re-enabled. It removes times older than window, the slow-start window.
 func (o *overrides) apply(list []Backend, now, window time.Duration) []Backend {
 	effective := append([]Backend(nil), list...)
 	for i := range effective {
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -1,32 +1,32 @@
 package balancer
 
-// Peers and quota: the demand that other agents reported, and this agent's share of the fleet's concurrency limit.
+// Peers and quota: the demand that other agents report, and this agent's share of the fleet's concurrency limit.
 
 import "time"
 
 const (
-	peerExpiry     = 4.0  // a peer that misses so many rounds has stopped; one never heard from counts as average
-	headcountShare = 0.25 // part of the limit that is shared evenly, the rest by demand
+	peerExpiry     = 4.0  // gossip rounds without a message after which a peer counts as stopped
+	headcountShare = 0.25 // part of the limit that is shared evenly; the rest is shared by demand
 )
 
 // peer is what another agent last reported.
 type peer struct {
 	demand        float64
 	drainedDemand float64       // demand of its clients that operators have moved elsewhere; 0: not drained
-	validUntil    time.Duration // its last message holds until then
+	validUntil    time.Duration // its last message expires then; 0: it never sent one, and counts as average
 }
 
-// active reports whether the peer serves its clients, as far as is known.
+// active reports whether the peer has sent a message recently and is not drained.
 func (p *peer) active(now time.Duration) bool { return now < p.validUntil && p.drainedDemand == 0 }
 
 // peerTable holds the reports of all agents, by agent number.
 type peerTable struct {
 	peers    []peer
 	self     int
-	validity time.Duration // of a report
+	validity time.Duration // how long a report counts
 }
 
-// newPeerTable returns the table of one of so many agents, which exchange messages at an interval.
+// newPeerTable returns the table of agent number self in a fleet that exchanges messages at the given interval.
 func newPeerTable(agents, self int, interval time.Duration) peerTable {
 	return peerTable{peers: make([]peer, agents), self: self, validity: time.Duration(peerExpiry * float64(interval))}
 }
@@ -34,9 +34,9 @@
 // has reports whether an agent number is that of a peer.
 func (t *peerTable) has(from int) bool { return from >= 0 && from < len(t.peers) && from != t.self }
 
-// receive applies a peer's report. When operators drain a peer its demand is distributed evenly over the other agents,
-// and taken back when its clients return; the traffic that really arrives soon outweighs the estimate. receive returns
-// by how much this agent's own demand changes thereby, and whether it does.
+// receive applies a peer's report. When operators drain a peer, its demand is distributed evenly over the other agents,
+// and subtracted again when its clients return; measured traffic soon outweighs the estimate. receive returns the
+// change of this agent's own demand, and whether there is one.
 func (t *peerTable) receive(from int, demand float64, drained bool, now time.Duration) (share float64, changed bool) {
 	sender := &t.peers[from]
 	sender.validUntil = now + t.validity
@@ -65,8 +65,8 @@
 	return share, true
 }
 
-// quota returns this agent's share of the concurrency limit: a part evenly, the rest by its own demand relative to
-// that of all agents heard from. assigned is the even share that the fleet assigns, or 0.
+// quota returns this agent's share of the concurrency limit: one part is shared evenly, the rest in proportion to this
+// agent's demand among all active agents. assigned is the even share that the fleet assigns, or 0.
 func (t *peerTable) quota(own, assigned float64, now time.Duration) float64 {
 	sampled := len(t.peers)-1 > gossipFanout
 	total, known, agents := own, 1.0, float64(len(t.peers))
@@ -75,7 +75,7 @@
 			total += p.demand
 			known++
 		} else if p.validUntil > 0 && !sampled {
-			agents-- // stopped or drained: its clients go elsewhere
+			agents-- // stopped or drained: its clients use other agents
 		}
 	}
 	if assigned > 0 { // the fleet size is known: an even share of it
@@ -87,7 +87,7 @@
 	return 1 / agents
 }
 
-// snapshot returns the peers' demand by agent number; −1 where none is known.
+// snapshot returns the peers' demand by agent number, −1 for an agent without a valid report.
 func (t *peerTable) snapshot(now time.Duration) (demands []float64) {
 	for i := range t.peers {
 		demand := -1.0
@@ -99,7 +99,7 @@
 	return demands
 }
 
-// restore continues from the snapshot of an earlier process. It must have the table's length.
+// restore continues from the snapshot of an earlier process, which must have the table's length.
 func (t *peerTable) restore(demands []float64, now time.Duration) {
 	for i, demand := range demands {
 		if demand >= 0 && i != t.self {
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Data residency: which zones may serve a request under the policy in force, and which zones other requests avoid so
-// that a bound request finds capacity.
+// Data residency: which zones may serve a request under the policy in force, and which zones other requests avoid to
+// leave capacity for restricted requests, those that only some zones may serve.
 
 import (
 	"slices"
@@ -11,12 +11,12 @@
 )
 
 const (
-	crowdedLatencyRatio   = 1.2   // a zone whose answers take so many times the expected latency is crowded
-	boundValueFactor      = 100.0 // value of a bound request in the admission queue, relative to another of its class
-	reservationObjectives = 2.0   // longest objectives for which other requests avoid the zones of a bound request
+	crowdedLatencyRatio   = 1.2   // latency relative to the expected latency above which a zone is congested
+	boundValueFactor      = 100.0 // value of a restricted request in the admission queue, relative to others of its class
+	reservationObjectives = 2.0   // longest objectives for which other requests avoid the zones of a restricted request
 )
 
-// residencyPolicy is the policy in force. The zero value permits nothing to a request with a rule.
+// residencyPolicy is the policy in force. The zero value permits no zone to a request with a rule.
 type residencyPolicy struct {
 	table *gate.Table // nil: no policy received
 }
@@ -26,29 +26,30 @@
 	return rule == 0 || p.table != nil && p.table.Permits(rule, zone)
 }
 
-// binds reports whether requests of a rule (0: none) may be served in some zones only. An unknown rule binds.
+// binds reports whether a rule (0: none) restricts requests to some zones. An unknown rule does.
 func (p residencyPolicy) binds(rule int) bool {
 	return rule != 0 && (p.table == nil || rule >= len(p.table.Permitted) || p.table.Restricted[rule])
 }
 
-// permits is the check that every send passes, through mayAttempt: first attempts, retries and hedged requests alike.
+// permits reports whether a zone may serve a request. mayAttempt calls it before every send: first attempts, retries
+// and hedged requests.
 func (b *Balancer) permits(req *request, zone int) bool {
 	return b.residency.permits(req.residencyRule, zone)
 }
 
-// residencyBound reports whether a request may be served in some zones only.
+// residencyBound reports whether a request may be served only in some zones.
 func (b *Balancer) residencyBound(req *request) bool { return b.residency.binds(req.residencyRule) }
 
-// hasPermittedBackend reports whether a backend that is up may serve the request. A request without one is refused at
-// once.
+// hasPermittedBackend reports whether any backend that is up may serve the request. A request without one is refused
+// at once.
 func (b *Balancer) hasPermittedBackend(req *request) bool {
 	return !b.residencyBound(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool {
 		return backend.State == Up && b.permits(req, backend.Zone)
 	})
 }
 
-// reserveZones makes other requests avoid the zones of a bound request that waits for them, or finds them busy or
-// slow.
+// reserveZones makes other requests avoid the zones that a restricted request may use. It is called when such a request
+// has to wait, or finds its backend busy or its zone congested.
 func (b *Balancer) reserveZones(req *request) {
 	for i, z := range b.zones {
 		if b.permits(req, i) {
@@ -57,8 +58,8 @@
 	}
 }
 
-// reservedZones returns the zones that a request which may go elsewhere avoids. nil means none; also where no other
-// zone is left.
+// reservedZones returns, by zone number, which zones an unrestricted request avoids. It returns nil if there is none,
+// for a restricted request, and if no other zone is open.
 func (b *Balancer) reservedZones(req *request) []bool {
 	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Slow start: how much a backend that has just started may get from all agents together, never more than it can surely
-// bear. The structs here stand alone.
+// Slow start: how much traffic a backend that has just started may get from all agents together, without overload. The
+// structs in this file don't access the Balancer.
 
 import (
 	"math"
@@ -9,33 +9,32 @@
 )
 
 const (
-	warmthTrust      = 0.6 // exponent of OverloadMultiple that bounds the trust in measured warmth
+	warmthTrust      = 0.6 // measured warmth is bounded to OverloadMultiple to this power times guaranteed warmth
 	maxSlowStartWork = 2.0 // most work of a request during slow start, relative to the mean
 )
 
 // slowStartState is the slow start of one backend.
 type slowStartState struct {
-	slowStartAt        time.Duration // when its latest start became known
-	warmingUp          bool          // since then its warmth was never found to be 1
-	answeredSinceStart bool          // has answered this agent since then
-	slowStartBudget    float64       // mean requests that it may still be sent during slow start
+	slowStartAt        time.Duration // when its process last started
+	warmingUp          bool          // in slow start, as of the latest call of guaranteedWarmth
+	answeredSinceStart bool          // has responded to this agent since the start
+	slowStartBudget    float64       // mean requests that it may still be sent now; below 0: none
 	slowStartBudgetAt  time.Duration // when the budget was last refilled
 }
 
-// begin starts a slow start, learned now, of a process that started at the given time. The budget starts at −draw, a
-// random number in [0, 1): if each of many agents sent one request at once, they would overload the backend together.
+// begin starts the slow start of a process that started at the given time. The budget starts at −draw, where draw is a
+// random number in [0, 1): many agents that each send one request at once would together overload the backend.
 func (s *slowStartState) begin(at, now time.Duration, draw float64) {
 	*s = slowStartState{slowStartAt: at, warmingUp: true, slowStartBudget: -draw, slowStartBudgetAt: now}
 }
 
-// startedBefore reports whether the latest known start is older than the given time.
+// startedBefore reports whether the latest start was before the given time.
 func (s *slowStartState) startedBefore(at time.Duration) bool { return s.slowStartAt < at }
 
-// answer notes an answer of the backend.
+// answer records a response of the backend.
 func (s *slowStartState) answer() { s.answeredSinceStart = true }
 
-// refill adds to the budget what the rate, in mean requests per ns, has brought since the last refill. The budget holds
-// no more than one request.
+// refill adds rate, in mean requests per ns, times the time since the last refill to the budget, up to one request.
 func (s *slowStartState) refill(rate float64, now time.Duration) {
 	s.slowStartBudget = min(s.slowStartBudget+rate*float64(now-s.slowStartBudgetAt), 1)
 	s.slowStartBudgetAt = now
@@ -46,33 +45,33 @@
 	s.slowStartBudget = max(s.slowStartBudget, least)
 }
 
-// spendBudget takes an attempt, in mean requests. Outside of slow start it has no effect.
+// spendBudget subtracts an attempt, in mean requests. The budget is not checked outside of slow start.
 func (s *slowStartState) spendBudget(requests float64) { s.slowStartBudget -= requests }
 
-// covers reports whether the budget covers a request of the given work relative to the mean. One expensive request alone
-// could overload the backend.
+// covers reports whether the budget allows a request of the given work, in the same unit as the mean work. Requests far
+// above the mean are not allowed: a single one could overload the backend.
 func (s *slowStartState) covers(work, mean float64) bool {
 	return s.slowStartBudget > 0 && work <= maxSlowStartWork*mean
 }
 
-// slowStartModel says how backends warm up: what the settings guarantee, and what answers have shown.
+// slowStartModel estimates how backends warm up, from the guarantee in the settings and the measured latency.
 type slowStartModel struct {
 	initial         float64       // capacity at the start
 	window          time.Duration // time to full capacity
-	multiple        float64       // load relative to the guaranteed capacity that budgets are based on
-	trustedMultiple float64       // multiple of the guaranteed warmth up to which measured warmth is trusted
-	warmUpRatio     float64       // share of the window that backends seem to need
+	multiple        float64       // factor on the guaranteed warmth in budgets
+	trustedMultiple float64       // multiple of the guaranteed warmth up to which measured warmth is used
+	warmUpRatio     float64       // estimated share of the window that backends need to warm up
 }
 
-// newSlowStartModel returns the model of the settings, before any answer.
+// newSlowStartModel returns the model for the settings, without measurements.
 func newSlowStartModel(s *Settings) slowStartModel {
 	return slowStartModel{initial: s.InitialCapacity, window: s.SlowStartWindow, warmUpRatio: 1,
 		multiple:        math.Sqrt(max(1, s.OverloadMultiple)),
 		trustedMultiple: math.Pow(max(1, s.OverloadMultiple), warmthTrust)}
 }
 
-// guaranteedWarmth is the share of its full capacity that a backend surely has by now. It ends a slow start that is
-// over.
+// guaranteedWarmth returns the share of its full capacity that the settings guarantee for a backend now. It clears
+// warmingUp once the window is over.
 func (m *slowStartModel) guaranteedWarmth(s *slowStartState, now time.Duration) float64 {
 	age := now - s.slowStartAt
 	if s.warmingUp = s.warmingUp && age < m.window; !s.warmingUp {
@@ -81,31 +80,32 @@
 	return m.initial + (1-m.initial)*max(0, float64(age)/float64(m.window))
 }
 
-// warmth is the share of its full capacity that a backend seems to have by now. Departure: the latency of starting
-// backends shows which share of the slow-start window they really need, and capacity beyond the guaranteed share is
-// not left idle; a power of OverloadMultiple bounds how far the measurement is trusted.
+// warmth returns the estimated share of its full capacity that a backend has now. Departure: the latency of starting
+// backends indicates how much of the slow-start window they need, so that capacity beyond the guaranteed share is not
+// left idle. A power of OverloadMultiple bounds the estimate.
 func (m *slowStartModel) warmth(s *slowStartState, now time.Duration) float64 {
 	guaranteed := m.guaranteedWarmth(s, now)
 	return min(1, m.initial+(guaranteed-m.initial)/m.warmUpRatio, guaranteed*m.trustedMultiple)
 }
 
-// learn adds an answer of a backend in slow start: its latency ratio, that of its kind, and the warmth it counted for.
+// learn updates warmUpRatio from a response of a backend in slow start: the latency ratios of the response and of the
+// backend's kind, and the backend's estimated warmth.
 func (m *slowStartModel) learn(ratio, kindRatio, warmth float64) {
 	m.warmUpRatio = min(1, max(1/maxLatencyRatio, m.warmUpRatio*(1+smoothing*(ratio/kindRatio*warmth-1))))
 }
 
-// rate is how many mean requests per ns an agent may send to a backend in slow start: no more than a warm backend
-// serves for that agent, times warmth or guaranteed warmth times the square root of OverloadMultiple. That is as far
-// below the multiple as above the guaranteed capacity, since most backends have more than the guarantee. Requests are
-// counted, not timed: with a queue anywhere each takes longer, which tells nothing about this backend.
+// rate returns how many mean requests per ns an agent may send to a backend in slow start: warmRate, the rate of a warm
+// backend, times the larger of warmth and of guaranteed warmth times the square root of OverloadMultiple. The square
+// root is the geometric middle between the guaranteed capacity and the multiple, since most backends have more than the
+// guarantee. The rate is based on counts of requests and not on their latency, which queues anywhere would increase.
 func (m *slowStartModel) rate(s *slowStartState, now time.Duration, warmRate float64) float64 {
 	return max(m.warmth(s, now), m.guaranteedWarmth(s, now)*m.multiple) * warmRate
 }
 
 // throughput estimates how many requests a warm backend can serve for this agent.
 type throughput struct {
-	served decayingSum // requests of the last OverloadWindow, over the warmth of their backends
-	peak   decayingSum // decayed peak of the mean rate per backend, per ns
+	served decayingSum // requests of the last OverloadWindow, each divided by the warmth of its backend
+	peak   decayingSum // decaying peak of the mean rate per backend, per ns
 }
 
 // newThroughput returns an estimate of 0.
@@ -117,14 +117,14 @@
 // add counts served requests.
 func (t *throughput) add(now time.Duration, requests float64) { t.served.add(now, requests) }
 
-// track updates the peak. While few backends are warm, or they are slow and much is refused, the present throughput
-// says little about what a backend can do.
+// track updates the peak. The peak is used because the present throughput is too low an estimate while few backends are
+// warm, or while they are slow and many requests are refused.
 func (t *throughput) track(now time.Duration, up int) {
 	t.peak.raiseTo(now, t.served.value(now)/t.served.timeConstant/float64(max(up, 1)))
 }
 
-// perBackend is the rate of a warm backend, in mean requests per ns. Where none is warm, the starting ones count.
+// perBackend returns the estimated rate of a warm backend, in mean requests per ns. Starting backends contribute to it.
 func (t *throughput) perBackend(now time.Duration) float64 { return t.peak.value(now) }
 
-// restore continues from the rate that an earlier process saw.
+// restore continues from the rate that an earlier process measured.
 func (t *throughput) restore(now time.Duration, perBackend float64) { t.peak.add(now, perBackend) }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,26 +1,26 @@
 package balancer
 
-// Subsetting: how many backends an agent spreads its traffic over. The struct stands alone.
+// Subsetting: how many backends an agent spreads its traffic over. The struct doesn't access the Balancer.
 
 import "time"
 
 const (
-	revisitObjectives = 4.0   // longest objectives within which a quiet agent revisits each backend of its subset
-	subsetDecrease    = 0.9   // factor of the subset size when a backend rejects a new connection
-	subsetIncrease    = 1.003 // and after each answer
-	minSubset         = 3     // idle backends that a choice is made among, at least
-	subsetBase        = 30.0  // and at most this
-	subsetFraction    = 0.1   // plus this share of all: connections must not grow in step with the fleet
+	revisitObjectives = 4.0   // longest objectives in which an agent with little traffic uses each backend of its subset once
+	subsetDecrease    = 0.9   // factor on the subset size when a backend rejects a new connection
+	subsetIncrease    = 1.003 // factor on the subset size after each response
+	minSubset         = 3     // minimum subset size
+	subsetBase        = 30.0  // maximum subset size without subsetFraction
+	subsetFraction    = 0.1   // share of all backends added to the maximum: limits connections in a large fleet
 )
 
-// subset follows the rate of requests, and the connections that backends have for this agent.
+// subset tracks the rate of requests, and whether backends accept new connections.
 type subset struct {
-	scale            float64       // share of the subset to which connections are possible
+	scale            float64       // factor on the subset size, at most 1; lowered by rejected connections
 	meanInterarrival float64       // moving average of the time between requests, ns; 0: unknown
 	lastArrivalAt    time.Duration // latest request
 }
 
-// newSubset returns the subset of an agent without any request.
+// newSubset returns the subset of an agent that has received no request.
 func newSubset() subset { return subset{scale: 1} }
 
 // arrive counts a request.
@@ -31,16 +31,16 @@
 	s.lastArrivalAt = now
 }
 
-// shrink notes that a backend rejected a new connection.
+// shrink records that a backend rejected a new connection.
 func (s *subset) shrink() { s.scale *= subsetDecrease }
 
-// grow notes an answer.
+// grow records a response.
 func (s *subset) grow() { s.scale = min(1, s.scale*subsetIncrease) }
 
-// size is how many idle backends a choice is made among: the first usable ones in this agent's own order. Departure:
-// an agent with little traffic, spread over all backends, would hear from each once a day and open a connection for
-// nearly every attempt. It keeps to as many as it revisits within a few objectives. This has no effect where
-// observations of peers tell about all backends.
+// size returns how many idle backends a choice is made among: the first usable ones in this agent's order. Departure:
+// an agent with little traffic, spread over all backends, would get one response a day from each and open a connection
+// for nearly every attempt. The subset is limited to the backends that the agent uses every few objectives. If observed
+// is true, observations of peers cover all backends, and size returns their number.
 func (s *subset) size(backends int, maxObjective time.Duration, observed bool) int {
 	if s.meanInterarrival == 0 || observed {
 		return backends
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -1,39 +1,39 @@
 package balancer
 
-// Zones: the record of each, and how it compares with the others.
+// Zones: the state of each zone, and comparisons between zones.
 
 import "time"
 
-// zone is what the agent knows about a zone as a whole. The embedded structs own their fields.
+// zone is the agent's state of one zone. Only the methods of the embedded structs change their fields.
 type zone struct {
 	sequentialTest
 	failoverState
 	stableTotals
 	number        int
 	up            int           // its backends in state Up
-	rtt           time.Duration // round-trip time from this agent's zone, as used for steering; 0: unknown
+	rtt           time.Duration // round-trip time from this agent's zone, as used for picking; 0: unknown
 	reservedUntil time.Duration // requests that may go elsewhere avoid the zone until then
-	latencyRatio  float64       // moving average of the latency of its answers, relative to the expected latency
+	latencyRatio  float64       // moving average of the latency of its responses, relative to the expected latency
 }
 
-// recordLatency adds the latency of an answer, relative to the expected latency.
+// recordLatency adds the latency of a response, relative to the expected latency.
 func (z *zone) recordLatency(ratio float64) { z.latencyRatio = ewma(z.latencyRatio, ratio) }
 
-// crowded reports whether the zone's answers take much longer than expected.
+// crowded reports whether the zone's responses take much longer than expected.
 func (z *zone) crowded() bool { return z.latencyRatio > crowdedLatencyRatio }
 
-// reserve makes requests that may go elsewhere avoid the zone for a while; reserved reports whether they do.
+// reserve makes requests that may go elsewhere avoid the zone until the given time; reserved reports whether they do.
 func (z *zone) reserve(until time.Duration)     { z.reservedUntil = until }
 func (z *zone) reserved(now time.Duration) bool { return now < z.reservedUntil }
 
-// open reports whether the zone has backends and no failover.
+// open reports whether the zone has backends that are up and is not failed over.
 func (z *zone) open() bool { return z.up > 0 && !z.failedOver }
 
 // zoneTable holds the zones by number.
 type zoneTable []*zone
 
-// of returns the record of a zone, and adds it if it is new. Zones that the settings don't know, with a number below 0,
-// share that of zone 0.
+// of returns the state of a zone, and adds it if it is new. A number below 0, for zones that the settings don't list,
+// stands for zone 0.
 func (t *zoneTable) of(number int) *zone {
 	for len(*t) <= max(number, 0) {
 		*t = append(*t, &zone{number: len(*t)})
@@ -41,7 +41,7 @@
 	return (*t)[max(number, 0)]
 }
 
-// byProbeTimer returns the failed-over zone whose next health check the timer is for, or nil.
+// byProbeTimer returns the failed-over zone whose next health check has the given timer, or nil.
 func (t zoneTable) byProbeTimer(token int64) *zone {
 	for _, z := range t {
 		if z.isProbeTimer(token) {
@@ -52,8 +52,8 @@
 }
 
 // recentlyLost returns the zones that this agent failed over from within the span on its own evidence, one bit each.
-// Reports of peers are not passed on. An earlier loss says nothing about the present, least of all to agents that were
-// cut off in the meantime.
+// Reports of peers are not forwarded. Older losses are not reported: they may be out of date, in particular for agents
+// that were partitioned off in between.
 func (t zoneTable) recentlyLost(now, span time.Duration) (lost uint16) {
 	for i, z := range t[:min(len(t), maxLossZones)] {
 		if z.recentOwnLoss(now, span) {
@@ -63,7 +63,8 @@
 	return lost
 }
 
-// baselineSilence is the share of attempts without any answer in the other zones, which a zone is compared with.
+// baselineSilence returns the share of unanswered attempts in normal operation that a zone is compared with: the
+// highest share in the other zones, at least minBaselineSilence and at most half of lostSilenceRate.
 func (t zoneTable) baselineSilence(z *zone) float64 {
 	rate := minBaselineSilence
 	for _, other := range t {
@@ -74,8 +75,8 @@
 	return rate
 }
 
-// othersAnswer reports whether another zone has answered since this one fell silent. If none has, the silence is that
-// of this agent or its own link, and there is nothing to fail over from.
+// othersAnswer reports whether another zone has responded since the first unanswered attempt in this one. If none has,
+// this agent or its own link is the cause, and a failover would not help.
 func (t zoneTable) othersAnswer(z *zone) bool {
 	for _, other := range t {
 		if other != z && !other.failedOver && other.worksAfter(z.silenceStartedAt) {
@@ -85,7 +86,8 @@
 	return false
 }
 
-// extraLatency is how much farther away a zone is than the nearest one in use. 0 also means unknown.
+// extraLatency returns how much longer the round-trip time to a zone is than to the nearest open one. It returns 0 if
+// the zone's round-trip time is unknown.
 func (t zoneTable) extraLatency(zone *zone) time.Duration {
 	nearest := zone.rtt
 	for _, z := range t {
@@ -96,8 +98,8 @@
 	return zone.rtt - nearest
 }
 
-// spillover is 0 while answers from the own zone take no longer than those from the other zone, and rises to 1 where
-// they take longer by spilloverAt.
+// spillover returns 0 while responses from the own zone take no longer than responses from the other zone, and rises to
+// 1 at an excess of spilloverAt.
 func (t zoneTable) spillover(own int, z *zone) float64 {
 	if own < 0 || own >= len(t) || t[own].latencyRatio == 0 || z.latencyRatio == 0 {
 		return 0
@@ -105,5 +107,5 @@
 	return min(max((t[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
 }
 
-// zone returns the record of a backend's zone.
+// zone returns the state of a backend's zone.
 func (b *Balancer) zone(backend *backendState) *zone { return b.zones.of(backend.Zone) }
--- a/balancer/zonelatency.go
+++ b/balancer/zonelatency.go
@@ -1,15 +1,15 @@
 package balancer
 
-// Zone latency: how measured round-trip times between zones steer traffic.
+// Zone latency: how measured round-trip times and loss between zones affect picking and failover.
 
 import "time"
 
 const (
-	rttStep       = 0.25                   // a round-trip time that changed by a smaller share, or by less than
-	minRTTStep    = 300 * time.Microsecond // this keeps its old value: noise must not swing traffic
-	farObjectives = 0.05                   // a zone farther than the nearest by this share of the objective has no idle backends
-	farBias       = 0.2                    // further bias against an idle backend in another zone that is known to be farther
-	lossEvidence  = 0.9                    // a zone with this measured loss counts as reported lost by one peer
+	rttStep       = 0.25                   // relative change up to which a zone keeps its old round-trip time
+	minRTTStep    = 300 * time.Microsecond // the same as a time: noise must not shift traffic
+	farObjectives = 0.05                   // extra latency, as a share of the objective, from which idle backends count as busy
+	farBias       = 0.2                    // further factor on the weight of an idle backend in a zone that is farther
+	lossEvidence  = 0.9                    // measured loss from which a zone counts as reported lost by one peer
 )
 
 // onZoneLatencies applies measured round-trip times. A change is applied at one of the next few events, at random, so
@@ -20,7 +20,7 @@
 		if event.RTT[i] == 0 || change > max(minRTTStep, time.Duration(rttStep*float64(z.rtt))) && b.rng.IntN(2) == 0 {
 			z.rtt = event.RTT[i]
 		}
-		// loss is evidence, and never decides alone
+		// Measured loss counts as one report, and never suffices alone for a failover.
 		if event.RTT[i] == 0 && event.Loss[i] >= lossEvidence && i != b.settings.Zone && i < maxLossZones {
 			b.onLossReport(b.settings.Self, 1<<i)
 		}
