--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -16,8 +16,8 @@
 }
 
 // newCandidates returns an empty set, which accepts up to subset idle backends.
-func newCandidates(subset int) candidates {
-	return candidates{remaining: subset, lowestScore: math.Inf(1), lowestPenalty: math.Inf(1)}
+func newCandidates(maxIdle int) candidates {
+	return candidates{remaining: maxIdle, lowestScore: math.Inf(1), lowestPenalty: math.Inf(1)}
 }
 
 // full reports whether enough idle backends were offered.
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -11,12 +11,12 @@
 // slow still responds.
 func (b *Balancer) recordSilence(a *attempt, result Result) {
 	z := b.zone(a.backend)
-	if a.countedSilent || z.failedOver || z.answeredSince(a.sentAt) ||
+	if a.countedSilent || z.failedOver || z.respondedSince(a.sentAt) ||
 		result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
 		return // a wait in proportion to the expected latency can be due to queues
 	}
 	a.countedSilent = true
-	z.recordSilence(a.sentAt, b.zones.baselineSilence(z), &a.backend.silence)
+	z.recordUnanswered(a.sentAt, b.zones.baselineUnansweredRate(z), &a.backend.silence)
 	b.evaluateZone(z, true)
 }
 
@@ -25,7 +25,7 @@
 // responses from the zone.
 func (b *Balancer) evaluateZone(z *zone, ownEvidence bool) {
 	validity := time.Duration(reportObjectives * float64(b.maxObjective))
-	if lost := z.lost(b.now, validity); lost && !z.failedOver && b.zones.othersAnswer(z) {
+	if lost := z.lost(b.now, validity); lost && !z.failedOver && b.zones.otherZoneHealthy(z) {
 		b.failOver(z, ownEvidence)
 	}
 }
@@ -38,7 +38,7 @@
 		return
 	}
 	for i, z := range b.zones[:min(len(b.zones), maxLossZones)] {
-		if lost>>i&1 == 0 || z.failedOver || z.answeredRecently(b.now, time.Duration(b.classes[0].latency)) {
+		if lost>>i&1 == 0 || z.failedOver || z.respondedRecently(b.now, time.Duration(b.classes[0].latency)) {
 			continue
 		}
 		z.recordReport(from, b.now, b.now-b.maxObjective) // failover requires a response of another zone after that time
@@ -49,12 +49,12 @@
 // recordZoneAnswer counts a response of any kind as evidence that its backend's zone is not lost.
 func (b *Balancer) recordZoneAnswer(backend *backendState) {
 	z := b.zone(backend)
-	z.recordAnswer(b.now)
+	z.recordResponse(b.now)
 	if z.failedOver { // the response to the canary, or one that a partition delayed
-		b.onProbeAnswer(z, true)
+		b.applyProbeResult(z, true)
 	}
 	if z.suspected() {
-		z.refute(b.zones.baselineSilence(z))
+		z.refute(b.zones.baselineUnansweredRate(z))
 	}
 }
 
@@ -74,18 +74,18 @@
 func (b *Balancer) probeZone(z *zone) {
 	interval := z.probeInterval(b.maxObjective, b.settings.Balancers)
 	z.scheduleProbe(b.setTimer(time.Duration(interval * (0.75 + 0.5*b.rng.Float64()))))
-	seen, pick := 0, (*backendState)(nil)
+	seen, target := 0, (*backendState)(nil)
 	for _, backend := range b.backends {
 		if backend.State == Up && b.zone(backend) == z {
 			if seen++; b.rng.IntN(seen) == 0 {
-				pick = backend
+				target = backend
 			}
 		}
 	}
 	switch {
-	case pick == nil:
+	case target == nil:
 	case b.settings.ProbingAllowed:
-		b.actions = append(b.actions, Probe{Backend: pick.ID})
+		b.actions = append(b.actions, Probe{Backend: target.ID})
 	default:
 		z.allowCanary()
 	}
@@ -97,12 +97,12 @@
 	if backend == nil || !b.zone(backend).failedOver {
 		return
 	}
-	b.onProbeAnswer(b.zone(backend), event.Result == OK || event.Result == Rejected || event.Result == Errored)
+	b.applyProbeResult(b.zone(backend), event.Result == OK || event.Result == Rejected || event.Result == Errored)
 }
 
-// onProbeAnswer applies the result of a health check, or a response to a request. When the zone recovers, its traffic
-// share grows along a ramp.
-func (b *Balancer) onProbeAnswer(z *zone, ok bool) {
+// applyProbeResult applies the result of a health check, or a response to a request. When the zone recovers, its
+// traffic share grows along a ramp.
+func (b *Balancer) applyProbeResult(z *zone, ok bool) {
 	if !z.recordProbe(ok, b.now, b.maxObjective) {
 		return
 	}
@@ -111,7 +111,7 @@
 	z.reset(b.now)
 	for _, backend := range b.backends { // failures and time-outs during the outage were the zone's
 		if b.zone(backend) == z {
-			backend.forgiveSince(z.silenceStartedAt)
+			backend.forgiveSince(z.suspectedSince)
 		}
 	}
 	b.recomputeCapacity()
--- a/balancer/failover_unit_test.go
+++ b/balancer/failover_unit_test.go
@@ -27,7 +27,7 @@
 		var test sequentialTest
 		var counts [3]silenceCount
 		for _, backend := range c.attempts {
-			test.recordSilence(time.Hour, minBaselineSilence, &counts[backend])
+			test.recordUnanswered(time.Hour, minUnansweredRate, &counts[backend])
 		}
 		if got := test.lost(time.Hour, validity); got != c.want {
 			t.Errorf("%s: lost %v, ratio %.1f", name, got, test.logLikelihoodRatio)
@@ -38,23 +38,23 @@
 func TestSequentialTestIsRefutedByAnswers(t *testing.T) {
 	var test sequentialTest
 	var count silenceCount
-	test.recordSilence(time.Hour, minBaselineSilence, &count)
-	if !test.suspected() || test.silenceStartedAt != time.Hour || test.silenceEpisode != 1 {
+	test.recordUnanswered(time.Hour, minUnansweredRate, &count)
+	if !test.suspected() || test.suspectedSince != time.Hour || test.suspicionPeriod != 1 {
 		t.Fatalf("after a silent attempt: %+v", test)
 	}
 	for n := 0; test.suspected(); n++ {
 		if n > 2 {
 			t.Fatal("three answers don't refute one silence")
 		}
-		test.recordAnswer(time.Hour + time.Second)
-		test.refute(minBaselineSilence)
+		test.recordResponse(time.Hour + time.Second)
+		test.refute(minUnansweredRate)
 	}
-	if !test.worksAfter(time.Hour) || test.worksAfter(time.Hour+time.Second) {
+	if !test.healthyAfter(time.Hour) || test.healthyAfter(time.Hour+time.Second) {
 		t.Error("an answer should show that the zone worked before it")
 	}
-	test.recordSilence(2*time.Hour, minBaselineSilence, &count)
-	if test.silenceEpisode != 2 || test.silenceStartedAt != 2*time.Hour ||
-		!near(test.logLikelihoodRatio, math.Log(lostSilenceRate/minBaselineSilence)) {
+	test.recordUnanswered(2*time.Hour, minUnansweredRate, &count)
+	if test.suspicionPeriod != 2 || test.suspectedSince != 2*time.Hour ||
+		!near(test.logLikelihoodRatio, math.Log(lostUnansweredRate/minUnansweredRate)) {
 		t.Errorf("the backend's first silence of a new episode does not count in full: %+v", test)
 	}
 }
@@ -69,7 +69,7 @@
 	if test.lost(now, validity) {
 		t.Error("two reporters decide the test")
 	}
-	if test.recordReport(3, now+1, now-objective); !test.lost(now+1, validity) || test.silenceStartedAt != now-objective {
+	if test.recordReport(3, now+1, now-objective); !test.lost(now+1, validity) || test.suspectedSince != now-objective {
 		t.Error("three reporters don't decide the test")
 	}
 	if test.lost(now+validity, validity) {
@@ -78,7 +78,7 @@
 	test.recordReport(1, now, now)
 	test.recordReport(2, now, now)
 	test.recordReport(3, now, now)
-	if test.recordAnswer(now); test.lost(now, validity) {
+	if test.recordResponse(now); test.lost(now, validity) {
 		t.Error("reports count after an answer")
 	}
 }
@@ -144,21 +144,21 @@
 	if zones.of(-1) != a || len(zones) != 3 {
 		t.Fatal("an unknown zone is not that of number 0")
 	}
-	if got := zones.baselineSilence(a); got != minBaselineSilence {
+	if got := zones.baselineUnansweredRate(a); got != minUnansweredRate {
 		t.Errorf("baseline %v in a silent-free fleet", got)
 	}
-	b.silenceRate = 0.2
-	if zones.baselineSilence(a) != 0.2 || zones.baselineSilence(b) != minBaselineSilence {
+	b.unansweredRate = 0.2
+	if zones.baselineUnansweredRate(a) != 0.2 || zones.baselineUnansweredRate(b) != minUnansweredRate {
 		t.Error("the baseline is not that of the other zones")
 	}
-	if b.silenceRate = 0.9; zones.baselineSilence(a) != lostSilenceRate/2 {
+	if b.unansweredRate = 0.9; zones.baselineUnansweredRate(a) != lostUnansweredRate/2 {
 		t.Error("a silent zone makes silence look normal")
 	}
-	a.silenceStartedAt = time.Hour
-	if zones.othersAnswer(a) {
+	a.suspectedSince = time.Hour
+	if zones.otherZoneHealthy(a) {
 		t.Error("silence everywhere counts as one zone's")
 	}
-	if c.recordAnswer(time.Hour + 1); !zones.othersAnswer(a) {
+	if c.recordResponse(time.Hour + 1); !zones.otherZoneHealthy(a) {
 		t.Error("another zone's answer does not count")
 	}
 	a.rtt, b.rtt, c.rtt = time.Millisecond, 3*time.Millisecond, 0
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -12,7 +12,7 @@
 // onDisable stops new attempts to a backend; the outstanding ones may finish.
 func (b *Balancer) onDisable(event Disable) {
 	backend := b.byID[event.Backend]
-	accepted := event.Inherited || backend != nil || b.overrides.knows(event.Backend)
+	accepted := event.Inherited || backend != nil || b.overrides.has(event.Backend)
 	if accepted {
 		listed := Up
 		if backend != nil {
@@ -31,7 +31,7 @@
 
 // onEnable reverts any number of Disable events, including those that an earlier process accepted.
 func (b *Balancer) onEnable(event Enable) {
-	accepted := event.Inherited || b.byID[event.Backend] != nil || b.overrides.knows(event.Backend)
+	accepted := event.Inherited || b.byID[event.Backend] != nil || b.overrides.has(event.Backend)
 	if listed, disabled := b.overrides.enable(event.Backend); disabled {
 		b.reinstate(event.Backend, listed, event.At)
 	} else if event.Inherited && b.overrides.reenabledBefore(event.Backend, event.At) {
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	failureScoreDecay = 0.25 // decrease of the score per success: with one error in five the score still grows
-	maxFailureScore   = 5.0  // longest ejection is 2^(max-1) times the first
-	ejectProbability  = 0.03 // consecutive failures less probable than this by chance eject a backend
-	deadProbability   = 1e-3 // if they are less probable than this, its process is presumed dead
-	baselineResetRate = 0.04 // minimum baseline rate of resets: two in a row eject, three presume the process dead
-	silenceTimeouts   = 8    // consecutive time-outs, own or observed by peers, after which a backend is unresponsive
+	failureScoreDecay    = 0.25 // decrease of the score per success: with one error in five the score still grows
+	maxFailureScore      = 5.0  // longest ejection is 2^(max-1) times the first
+	ejectProbability     = 0.03 // consecutive failures less probable than this by chance eject a backend
+	deadProbability      = 1e-3 // if they are less probable than this, its process is presumed dead
+	baselineResetRate    = 0.04 // minimum baseline rate of resets: two in a row eject, three presume the process dead
+	unresponsiveTimeouts = 8    // consecutive time-outs, own or observed by peers, after which a backend is unresponsive
 )
 
 // outlierState is the failure history of one backend, and its ejection.
@@ -56,7 +56,7 @@
 func (o *outlierState) recordTimeout() { o.consecutiveTimeouts++ }
 
 // silent reports whether there are too many consecutive time-outs to be due to slow responses.
-func (o *outlierState) silent() bool { return o.consecutiveTimeouts >= silenceTimeouts }
+func (o *outlierState) silent() bool { return o.consecutiveTimeouts >= unresponsiveTimeouts }
 
 // answeredSince reports whether a success was recorded at or after the given time.
 func (o *outlierState) answeredSince(at time.Duration) bool { return o.lastSuccessAt >= at }
--- a/balancer/outliers_unit_test.go
+++ b/balancer/outliers_unit_test.go
@@ -106,7 +106,7 @@
 func TestPeerSuccessHealsOnlyAfterTheEjection(t *testing.T) {
 	var o outlierState
 	o.eject(time.Hour, time.Second, 0.5)
-	for range silenceTimeouts {
+	for range unresponsiveTimeouts {
 		o.recordTimeout()
 	}
 	if !o.silent() {
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -11,8 +11,8 @@
 	reenabledAt map[string]time.Duration // kept for the slow-start window
 }
 
-// knows reports whether an override is in force for the ID.
-func (o *overrides) knows(id string) bool {
+// has reports whether an override is in force for the ID.
+func (o *overrides) has(id string) bool {
 	_, disabled := o.disabled[id]
 	_, reenabled := o.reenabledAt[id]
 	return disabled || reenabled
--- a/balancer/overrides_unit_test.go
+++ b/balancer/overrides_unit_test.go
@@ -11,10 +11,10 @@
 func TestOverridesOutliveTheEndpointList(t *testing.T) {
 	const window = 10 * time.Second
 	var o overrides
-	if o.knows("a") || o.anyReenabled() {
+	if o.has("a") || o.anyReenabled() {
 		t.Fatal("overrides at the start")
 	}
-	if !o.disable("a", Up) || o.disable("a", Draining) || !o.knows("a") {
+	if !o.disable("a", Up) || o.disable("a", Draining) || !o.has("a") {
 		t.Fatal("a backend is not disabled once")
 	}
 	listed := []Backend{{ID: "a"}, {ID: "b"}}
@@ -27,7 +27,7 @@
 	if state, was := o.enable("a"); !was || state != Removed {
 		t.Errorf("enabled from state %d, want that of the last list", state)
 	}
-	if _, was := o.enable("a"); was || o.knows("a") {
+	if _, was := o.enable("a"); was || o.has("a") {
 		t.Error("enabled twice")
 	}
 }
@@ -36,7 +36,7 @@
 	const window = 10 * time.Second
 	var o overrides
 	o.reenable("a", time.Hour)
-	if !o.anyReenabled() || !o.knows("a") || o.reenabledBefore("a", time.Hour) ||
+	if !o.anyReenabled() || !o.has("a") || o.reenabledBefore("a", time.Hour) ||
 		!o.reenabledBefore("a", time.Hour+1) || !o.reenabledBefore("b", 1) {
 		t.Error("the time of being re-enabled is not kept")
 	}
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	peerExpiry     = 4.0  // gossip rounds without a message after which a peer counts as stopped
-	headcountShare = 0.25 // part of the limit that is shared evenly; the rest is shared by demand
+	peerExpiry = 4.0  // gossip rounds without a message after which a peer counts as stopped
+	evenShare  = 0.25 // part of the limit that is shared evenly; the rest is shared by demand
 )
 
 // peer is what another agent last reported.
@@ -69,11 +69,11 @@
 // agent's demand among all active agents. assigned is the even share that the fleet assigns, or 0.
 func (t *peerTable) quota(own, assigned float64, now time.Duration) float64 {
 	sampled := len(t.peers)-1 > gossipFanout
-	total, known, agents := own, 1.0, float64(len(t.peers))
+	total, activeAgents, agents := own, 1.0, float64(len(t.peers))
 	for i := range t.peers {
 		if p := &t.peers[i]; p.active(now) {
 			total += p.demand
-			known++
+			activeAgents++
 		} else if p.validUntil > 0 && !sampled {
 			agents-- // stopped or drained: its clients use other agents
 		}
@@ -82,7 +82,7 @@
 		agents = 1 / assigned
 	}
 	if total > 0 {
-		return (headcountShare + (1-headcountShare)*own/total*known) / agents
+		return (evenShare + (1-evenShare)*own/total*activeAgents) / agents
 	}
 	return 1 / agents
 }
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -17,7 +17,7 @@
 	req          *request
 	class        *classState
 	gossiping    bool    // all agents have the same observations
-	uncrowded    bool    // the limit was not cut within the slow-start window
+	limitStable  bool    // the limit was not cut within the slow-start window
 	protectWarm  bool    // warm backends already use their share of the limit
 	backendLimit float64 // attempts that one backend may get
 	closed       []bool  // zones that the request may not go to; nil: none
@@ -30,7 +30,7 @@
 	if b.overrides.anyReenabled() {
 		idempotency := b.classes[req.class].Idempotency
 		for _, backend := range b.backends {
-			if !b.overrides.recentlyReenabled(backend.ID, b.now, reinstatePreference) || backend.answeredSinceStart {
+			if !b.overrides.recentlyReenabled(backend.ID, b.now, reinstatePreference) || backend.respondedSinceStart {
 				continue
 			}
 			if backend.State == Up && backend != req.lastFailed && backend.idle() && !backend.rejecting(b.now) &&
@@ -49,7 +49,7 @@
 func (b *Balancer) pick(req *request) *backendState {
 	gossiping := b.gossipsObservations()
 	ch := choice{req: req, class: &b.classes[req.class], gossiping: gossiping,
-		uncrowded:    b.limiter.sinceCut(b.now) > b.settings.SlowStartWindow,
+		limitStable:  b.limiter.sinceCut(b.now) > b.settings.SlowStartWindow,
 		backendLimit: b.limiter.backendLimit(), closed: b.closedZones(req)}
 	// Backends in slow start use their share of the limit only gradually. The unused part must not go to the warm
 	// backends, which it would overload.
@@ -85,7 +85,7 @@
 // nearest one is offered as busy.
 func (b *Balancer) offer(found *candidates, ch *choice, backend *backendState) {
 	load := float64(len(backend.outstanding))
-	if !backend.answeredSinceStart {
+	if !backend.respondedSinceStart {
 		load = max(load, float64(b.inFlight)/float64(b.up)) // a new backend gets at least the mean load: prevents a rush to it
 	}
 	ratio := backend.effectiveLatencyRatio(b.now) * b.kindRatios.of(ch.req.class, backend.Kind)
@@ -119,7 +119,7 @@
 			weight *= recoveringBias // prevents all agents from sending to it at once
 		}
 	}
-	if ch.uncrowded { // under load the slow-start budget limits a starting backend to its share
+	if ch.limitStable { // under load the slow-start budget limits a starting backend to its share
 		weight *= b.slowStart.guaranteedWarmth(&backend.slowStartState, b.now)
 	}
 	return weight
--- a/balancer/sequentialtest.go
+++ b/balancer/sequentialtest.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	lostSilenceRate    = 0.9  // share of unanswered attempts, those without any response, in a lost zone
-	minBaselineSilence = 0.05 // minimum of the same share in normal operation; see baselineSilence
+	lostUnansweredRate = 0.9  // share of unanswered attempts, those without any response, in a lost zone
+	minUnansweredRate  = 0.05 // minimum of the same share in normal operation; see baselineUnansweredRate
 	// The log-likelihood ratio at which the sequential probability ratio test (Wald) decides that a zone is lost, for a
 	// false-positive rate of one in a thousand; one loss in a hundred is missed at first. Three unresponsive backends
 	// at once, or two that remain unresponsive, reach the threshold; a single backend never does.
@@ -24,10 +24,10 @@
 // evidence.
 type sequentialTest struct {
 	logLikelihoodRatio float64       // of a loss against normal operation; 0: no evidence
-	silenceEpisode     int           // number of the latest period in which the ratio was above 0
-	silenceStartedAt   time.Duration // when the first unanswered attempt of that period was sent
-	silenceRate        float64       // moving average of the share of unanswered attempts
-	lastAnswerAt       time.Duration // latest response of any kind
+	suspicionPeriod    int           // number of the latest period in which the ratio was above 0
+	suspectedSince     time.Duration // when the first unanswered attempt of that period was sent
+	unansweredRate     float64       // moving average of the share of unanswered attempts
+	lastResponseAt     time.Duration // latest response of any kind
 	reports            []lossReport  // from peers that found the zone lost, one per peer
 }
 
@@ -38,49 +38,49 @@
 }
 
 // silenceCount counts the unanswered attempts of one backend in the zone's latest suspicion period.
-type silenceCount struct{ episode, attempts int }
+type silenceCount struct{ period, attempts int }
 
 // weigh counts an attempt and returns its weight: 1 for the first attempt and 0.5 for the second. Further ones get 0,
 // since they are no evidence about the other backends.
-func (c *silenceCount) weigh(episode int) float64 {
-	if c.episode != episode {
-		c.episode, c.attempts = episode, 0
+func (c *silenceCount) weigh(period int) float64 {
+	if c.period != period {
+		c.period, c.attempts = period, 0
 	}
 	weight := [...]float64{1, 0.5, 0}[min(c.attempts, 2)]
 	c.attempts++
 	return weight
 }
 
-// recordSilence adds an unanswered attempt, sent at the given time, as evidence of a loss. baseline is the share of
+// recordUnanswered adds an unanswered attempt, sent at the given time, as evidence of a loss. baseline is the share of
 // unanswered attempts in normal operation.
-func (t *sequentialTest) recordSilence(sentAt time.Duration, baseline float64, backend *silenceCount) {
-	t.silenceRate += smoothing / 2 * (1 - t.silenceRate)
+func (t *sequentialTest) recordUnanswered(sentAt time.Duration, baseline float64, backend *silenceCount) {
+	t.unansweredRate += smoothing / 2 * (1 - t.unansweredRate)
 	if t.logLikelihoodRatio == 0 {
-		t.silenceEpisode++
-		t.silenceStartedAt = sentAt
+		t.suspicionPeriod++
+		t.suspectedSince = sentAt
 	}
-	t.logLikelihoodRatio += math.Log(lostSilenceRate/baseline) * backend.weigh(t.silenceEpisode)
+	t.logLikelihoodRatio += math.Log(lostUnansweredRate/baseline) * backend.weigh(t.suspicionPeriod)
 }
 
-// recordAnswer records a response of any kind, and discards all reports.
-func (t *sequentialTest) recordAnswer(now time.Duration) {
-	t.silenceRate -= smoothing / 2 * t.silenceRate
-	t.lastAnswerAt, t.reports = now, nil
+// recordResponse records a response of any kind, and discards all reports.
+func (t *sequentialTest) recordResponse(now time.Duration) {
+	t.unansweredRate -= smoothing / 2 * t.unansweredRate
+	t.lastResponseAt, t.reports = now, nil
 }
 
 // suspected reports whether this agent has evidence of a loss.
 func (t *sequentialTest) suspected() bool { return t.logLikelihoodRatio > 0 }
 
-// refute counts a response as evidence against a loss. baseline is as in recordSilence.
+// refute counts a response as evidence against a loss. baseline is as in recordUnanswered.
 func (t *sequentialTest) refute(baseline float64) {
-	t.logLikelihoodRatio = max(0, t.logLikelihoodRatio+math.Log((1-lostSilenceRate)/(1-baseline)))
+	t.logLikelihoodRatio = max(0, t.logLikelihoodRatio+math.Log((1-lostUnansweredRate)/(1-baseline)))
 }
 
 // recordReport adds a peer's report, which replaces an earlier one from the same peer. If this agent has no evidence of
 // a loss, the suspicion counts from the given time.
-func (t *sequentialTest) recordReport(from int, now, silentFrom time.Duration) {
+func (t *sequentialTest) recordReport(from int, now, suspectedSince time.Duration) {
 	if t.logLikelihoodRatio == 0 {
-		t.silenceStartedAt = silentFrom
+		t.suspectedSince = suspectedSince
 	}
 	t.reports = slices.DeleteFunc(t.reports, func(report lossReport) bool { return report.from == from })
 	t.reports = append(t.reports, lossReport{from, now})
@@ -92,21 +92,21 @@
 	return t.logLikelihoodRatio+reportWeight*float64(len(t.reports)) >= failOverThreshold
 }
 
-// answeredSince reports whether there was a response at or after the given time.
-func (t *sequentialTest) answeredSince(at time.Duration) bool { return t.lastAnswerAt >= at }
+// respondedSince reports whether there was a response at or after the given time.
+func (t *sequentialTest) respondedSince(at time.Duration) bool { return t.lastResponseAt >= at }
 
-// answeredRecently reports whether the latest response is younger than the span.
-func (t *sequentialTest) answeredRecently(now, span time.Duration) bool {
-	return now-t.lastAnswerAt < span
+// respondedRecently reports whether the latest response is younger than the span.
+func (t *sequentialTest) respondedRecently(now, span time.Duration) bool {
+	return now-t.lastResponseAt < span
 }
 
-// worksAfter reports whether there was a response after the given time, and the evidence of a loss is below half of
+// healthyAfter reports whether there was a response after the given time, and the evidence of a loss is below half of
 // failOverThreshold.
-func (t *sequentialTest) worksAfter(at time.Duration) bool {
-	return t.lastAnswerAt > at && t.logLikelihoodRatio < failOverThreshold/2
+func (t *sequentialTest) healthyAfter(at time.Duration) bool {
+	return t.lastResponseAt > at && t.logLikelihoodRatio < failOverThreshold/2
 }
 
 // reset discards all evidence, and counts the zone as having responded now.
 func (t *sequentialTest) reset(now time.Duration) {
-	t.logLikelihoodRatio, t.lastAnswerAt, t.reports = 0, now, nil
+	t.logLikelihoodRatio, t.lastResponseAt, t.reports = 0, now, nil
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	warmthTrust      = 0.6 // measured warmth is bounded to OverloadMultiple to this power times guaranteed warmth
+	trustExponent    = 0.6 // measured warmth is bounded to OverloadMultiple to this power times guaranteed warmth
 	maxSlowStartWork = 2.0 // most work of a request during slow start, relative to the mean
 )
 
 // slowStartState is the slow start of one backend.
 type slowStartState struct {
-	slowStartAt        time.Duration // when its process last started
-	warmingUp          bool          // in slow start, as of the latest call of guaranteedWarmth
-	answeredSinceStart bool          // has responded to this agent since the start
-	slowStartBudget    float64       // mean requests that it may still be sent now; below 0: none
-	slowStartBudgetAt  time.Duration // when the budget was last refilled
+	slowStartAt         time.Duration // when its process last started
+	warmingUp           bool          // in slow start, as of the latest call of guaranteedWarmth
+	respondedSinceStart bool          // has responded to this agent since the start
+	slowStartBudget     float64       // mean requests that it may still be sent now; below 0: none
+	slowStartBudgetAt   time.Duration // when the budget was last refilled
 }
 
 // begin starts the slow start of a process that started at the given time. The budget starts at −draw, where draw is a
@@ -32,7 +32,7 @@
 func (s *slowStartState) startedBefore(at time.Duration) bool { return s.slowStartAt < at }
 
 // answer records a response of the backend.
-func (s *slowStartState) answer() { s.answeredSinceStart = true }
+func (s *slowStartState) answer() { s.respondedSinceStart = true }
 
 // refill adds rate, in mean requests per ns, times the time since the last refill to the budget, up to one request.
 func (s *slowStartState) refill(rate float64, now time.Duration) {
@@ -41,8 +41,8 @@
 }
 
 // raiseBudget makes the budget at least the given value.
-func (s *slowStartState) raiseBudget(least float64) {
-	s.slowStartBudget = max(s.slowStartBudget, least)
+func (s *slowStartState) raiseBudget(minimum float64) {
+	s.slowStartBudget = max(s.slowStartBudget, minimum)
 }
 
 // spendBudget subtracts an attempt, in mean requests. The budget is not checked outside of slow start.
@@ -67,7 +67,7 @@
 func newSlowStartModel(s *Settings) slowStartModel {
 	return slowStartModel{initial: s.InitialCapacity, window: s.SlowStartWindow, warmUpRatio: 1,
 		multiple:        math.Sqrt(max(1, s.OverloadMultiple)),
-		trustedMultiple: math.Pow(max(1, s.OverloadMultiple), warmthTrust)}
+		trustedMultiple: math.Pow(max(1, s.OverloadMultiple), trustExponent)}
 }
 
 // guaranteedWarmth returns the share of its full capacity that the settings guarantee for a backend now. It clears
--- a/balancer/slowstart_unit_test.go
+++ b/balancer/slowstart_unit_test.go
@@ -46,7 +46,7 @@
 	for range 1000 { // as fast as a warm backend
 		m.learn(guaranteed, 1, guaranteed)
 	}
-	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, warmthTrust); got <= guaranteed || got > most {
+	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, trustExponent); got <= guaranteed || got > most {
 		t.Errorf("after fast answers warmth is %v, guaranteed %v, trusted at most %v", got, guaranteed, most)
 	}
 	for range 1000 { // slower than its warmth explains
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -63,23 +63,23 @@
 	return lost
 }
 
-// baselineSilence returns the share of unanswered attempts in normal operation that a zone is compared with: the
-// highest share in the other zones, at least minBaselineSilence and at most half of lostSilenceRate.
-func (t zoneTable) baselineSilence(z *zone) float64 {
-	rate := minBaselineSilence
+// baselineUnansweredRate returns the share of unanswered attempts in normal operation that a zone is compared with: the
+// highest share in the other zones, at least minUnansweredRate and at most half of lostUnansweredRate.
+func (t zoneTable) baselineUnansweredRate(z *zone) float64 {
+	rate := minUnansweredRate
 	for _, other := range t {
 		if other != z && !other.failedOver {
-			rate = max(rate, min(other.silenceRate, lostSilenceRate/2))
+			rate = max(rate, min(other.unansweredRate, lostUnansweredRate/2))
 		}
 	}
 	return rate
 }
 
-// othersAnswer reports whether another zone has responded since the first unanswered attempt in this one. If none has,
-// this agent or its own link is the cause, and a failover would not help.
-func (t zoneTable) othersAnswer(z *zone) bool {
+// otherZoneHealthy reports whether another zone has responded since the first unanswered attempt in this one. If none
+// has, this agent or its own link is the cause, and a failover would not help.
+func (t zoneTable) otherZoneHealthy(z *zone) bool {
 	for _, other := range t {
-		if other != z && !other.failedOver && other.worksAfter(z.silenceStartedAt) {
+		if other != z && !other.failedOver && other.healthyAfter(z.suspectedSince) {
 			return true
 		}
 	}
--- a/balancer/zonelatency.go
+++ b/balancer/zonelatency.go
@@ -5,11 +5,11 @@
 import "time"
 
 const (
-	rttStep       = 0.25                   // relative change up to which a zone keeps its old round-trip time
-	minRTTStep    = 300 * time.Microsecond // the same as a time: noise must not shift traffic
-	farObjectives = 0.05                   // extra latency, as a share of the objective, from which idle backends count as busy
-	farBias       = 0.2                    // further factor on the weight of an idle backend in a zone that is farther
-	lossEvidence  = 0.9                    // measured loss from which a zone counts as reported lost by one peer
+	rttStep             = 0.25                   // relative change up to which a zone keeps its old round-trip time
+	minRTTStep          = 300 * time.Microsecond // the same as a time: noise must not shift traffic
+	farObjectives       = 0.05                   // extra latency, as a share of the objective, from which idle backends count as busy
+	farBias             = 0.2                    // further factor on the weight of an idle backend in a zone that is farther
+	lossReportThreshold = 0.9                    // measured loss from which a zone counts as reported lost by one peer
 )
 
 // onZoneLatencies applies measured round-trip times. A change is applied at one of the next few events, at random, so
@@ -21,7 +21,7 @@
 			z.rtt = event.RTT[i]
 		}
 		// Measured loss counts as one report, and never suffices alone for a failover.
-		if event.RTT[i] == 0 && event.Loss[i] >= lossEvidence && i != b.settings.Zone && i < maxLossZones {
+		if event.RTT[i] == 0 && event.Loss[i] >= lossReportThreshold && i != b.settings.Zone && i < maxLossZones {
 			b.onLossReport(b.settings.Self, 1<<i)
 		}
 	}
