--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -33,7 +33,7 @@
 			b.queue.skip(req)
 		}
 	}
-	b.queue.newestFirst(b.waitOrRefuse)
+	b.queue.visitNewestFirst(b.waitOrRefuse)
 }
 
 // admissionValue returns what sending a queued request now adds to the operator's goal, per unit of work.
@@ -56,15 +56,15 @@
 // permitted backend. Other requests keep waiting, until their timer fires at the latest.
 func (b *Balancer) waitOrRefuse(req *request) {
 	margin := min(queueMargin*b.expectedLatency(req), maxQueueMargin*float64(b.classes[req.class].LatencyObjective))
-	giveUpAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
+	refuseAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
 	if b.residencyBound(req) {
 		b.reserveZones(req)
 	}
-	if req.clientRetry || giveUpAt <= b.now || !b.hasPermittedBackend(req) {
+	if req.clientRetry || refuseAt <= b.now || !b.hasPermittedBackend(req) {
 		b.queue.remove(req)
 		b.finish(req)
 	} else if req.timer == 0 {
-		b.setRequestTimer(req, giveUpAt)
+		b.setRequestTimer(req, refuseAt)
 	}
 }
 
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -13,25 +13,25 @@
 
 // A refusal carries a jittered Retry-After, no longer than clients honor, if the settings allow one.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
-	for _, shown := range []bool{true, false} {
+	for _, retryAfter := range []bool{true, false} {
 		s := settings()
-		s.RetryAfter, s.MaxRetryAfter = shown, 450*ms
+		s.RetryAfter, s.MaxRetryAfter = retryAfter, 450*ms
 		r := newRig(t, s, 1, nil) // no backend
-		told := map[time.Duration]bool{}
+		delays := map[time.Duration]bool{}
 		for i := range 20 {
 			id := fmt.Sprint("q", i)
 			r.request(id, idempotent)
 			for _, a := range r.advance(500 * ms) {
 				if a, ok := a.(balancer.Refuse); ok && a.Request == id {
-					told[a.RetryAfter] = true
-					if shown != (a.RetryAfter >= 200*ms) || a.RetryAfter > 450*ms {
-						t.Errorf("with RetryAfter %v: a Retry-After of %v", shown, a.RetryAfter)
+					delays[a.RetryAfter] = true
+					if retryAfter != (a.RetryAfter >= 200*ms) || a.RetryAfter > 450*ms {
+						t.Errorf("with RetryAfter %v: a Retry-After of %v", retryAfter, a.RetryAfter)
 					}
 				}
 			}
 		}
-		if shown && len(told) < 5 || !shown && len(told) != 1 {
-			t.Errorf("with RetryAfter %v: %d different values", shown, len(told))
+		if retryAfter && len(delays) < 5 || !retryAfter && len(delays) != 1 {
+			t.Errorf("with RetryAfter %v: %d different values", retryAfter, len(delays))
 		}
 	}
 }
@@ -61,8 +61,8 @@
 // once, while a first attempt waits in the queue.
 func TestShortTimeoutMarksClientRetry(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
-	submit := func(id string, left time.Duration) []balancer.Action {
-		return r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: left})
+	submit := func(id string, timeRemaining time.Duration) []balancer.Action {
+		return r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: timeRemaining})
 	}
 	for i := range 20 { // within 2 ms of the usual timeout
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -106,7 +106,7 @@
 // ten times as many queued requests must take no more picks. The test counts picks by their allocations: each pick
 // allocates here, for the zones reserved for a bound request.
 func TestQueuedRequestsArePickedForOnce(t *testing.T) {
-	looks := func(held int) float64 {
+	allocations := func(queued int) float64 {
 		s := settings()
 		s.OverloadMultiple, s.InitialCapacity, s.SlowStartWindow = 1, 0.01, time.Hour
 		list := backends(6)
@@ -117,7 +117,7 @@
 		r.step(balancer.Residency{Table: &gate.Table{Permitted: [][]bool{nil, {true, false, false}},
 			Restricted: []bool{false, true}}},
 			balancer.Request{ID: "bound", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
-		for n := range held {
+		for n := range queued {
 			r.request(fmt.Sprint("q", n), idempotent)
 		}
 		if len(r.sent) > 5 {
@@ -125,7 +125,7 @@
 		}
 		return testing.AllocsPerRun(20, func() { r.b.Step(r.now, nil) })
 	}
-	if few, many := looks(10), looks(100); few == 0 || many > few+10 {
+	if few, many := allocations(10), allocations(100); few == 0 || many > few+10 {
 		t.Errorf("%.0f allocations for 10 queued requests, %.0f for 100", few, many)
 	}
 }
@@ -133,7 +133,7 @@
 // Hundreds of agents with one attempt in flight each overloaded the backends (incident ie43f64, dallas big-1). An agent
 // with a sparse quota must admit less of its demand as latency passes the target, and all of it without queues.
 func TestSparseQuotaAdmitsByLatency(t *testing.T) {
-	play := func(latency time.Duration) (sent int) {
+	countSent := func(latency time.Duration) (sent int) {
 		r := newRig(t, sparseSettings(), 1, backends(8))
 		for i := range 300 {
 			id := fmt.Sprint("q", i)
@@ -148,10 +148,10 @@
 		}
 		return sent
 	}
-	if n := play(40 * ms); n < 198 {
+	if n := countSent(40 * ms); n < 198 {
 		t.Errorf("without queues %d of 200 requests were sent, want at least 198", n)
 	}
-	if n := play(320 * ms); n < 20 || n > 90 {
+	if n := countSent(320 * ms); n < 20 || n > 90 {
 		t.Errorf("at four fifths of the objective %d of 200 requests were sent, want 20 to 90", n)
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -66,7 +66,7 @@
 	}
 	now := time.Hour
 	lb.Step(now, []balancer.Event{balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(14)}})
-	heap := func(from, to int) uint64 {
+	heapAfter := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
 			playOne(lb, &now, i)
 		}
@@ -75,8 +75,8 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	early := heap(0, 5000)
-	late := heap(5000, 60000)
+	early := heapAfter(0, 5000)
+	late := heapAfter(5000, 60000)
 	runtime.KeepAlive(lb)
 	if late > early+256<<10 {
 		t.Errorf("the heap grew from %d to %d bytes over 55,000 requests, want at most 256 KiB more", early, late)
@@ -116,25 +116,25 @@
 
 // The cost of a request must grow far less than the fleet: a step counts only backends whose state changes.
 func TestStepCostsLittleMoreInALargeFleet(t *testing.T) {
-	const rounds, requests, most = 20, 100, 4
-	nowUsual, nowLarge := time.Hour, time.Hour
-	usual, large := largeFleet(t, 300, 200, nowUsual), largeFleet(t, 900, 3200, nowLarge)
-	took := func(lb *balancer.Balancer, now *time.Duration, round int) time.Duration {
-		began := time.Now()
+	const rounds, requests, maxRatio = 20, 100, 4
+	nowSmall, nowLarge := time.Hour, time.Hour
+	small, large := largeFleet(t, 300, 200, nowSmall), largeFleet(t, 900, 3200, nowLarge)
+	elapsed := func(lb *balancer.Balancer, now *time.Duration, round int) time.Duration {
+		start := time.Now()
 		for i := range requests {
 			*now += 23 * ms
 			playOne(lb, now, round*requests+i)
 		}
-		return time.Since(began)
+		return time.Since(start)
 	}
-	least := [2]time.Duration{time.Hour, time.Hour} // shortest of all rounds: other load on the machine only adds time
+	shortest := [2]time.Duration{time.Hour, time.Hour} // shortest of all rounds: other load on the machine only adds time
 	for round := range rounds {
-		least[0] = min(least[0], took(usual, &nowUsual, round))
-		least[1] = min(least[1], took(large, &nowLarge, round))
+		shortest[0] = min(shortest[0], elapsed(small, &nowSmall, round))
+		shortest[1] = min(shortest[1], elapsed(large, &nowLarge, round))
 	}
-	if least[1] > most*least[0] {
+	if shortest[1] > maxRatio*shortest[0] {
 		t.Errorf("%d requests took %v with 200 backends and %v with 3200, want at most 4 times as long",
-			requests, least[0], least[1])
+			requests, shortest[0], shortest[1])
 	}
 }
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -104,12 +104,12 @@
 }
 
 // setOutstanding adds an attempt to the outstanding ones of its backend, or removes it.
-func (b *Balancer) setOutstanding(a *attempt, out bool) {
+func (b *Balancer) setOutstanding(a *attempt, add bool) {
 	backend, delta := a.backend, 1
-	if a.occupying = out; out {
+	if a.occupying = add; add {
 		backend.outstanding = append(backend.outstanding, a)
 	} else {
-		backend.outstanding = without(backend.outstanding, a)
+		backend.outstanding = removeElement(backend.outstanding, a)
 		delta = -1
 	}
 	b.inFlight += delta
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -12,20 +12,20 @@
 )
 
 // countAfresh computes the totals from all backends, without the incremental ones.
-func (b *Balancer) countAfresh() (s capacityTotals) {
-	for _, t := range b.backends {
-		z := b.zone(t)
-		if t.State == Up {
-			s.up++
+func (b *Balancer) countAfresh() (totals capacityTotals) {
+	for _, backend := range b.backends {
+		z := b.zone(backend)
+		if backend.State == Up {
+			totals.up++
 		}
-		if part := b.trafficShare(z); t.State != Up || t.presumedDead || b.now < t.ejectedUntil || part == 0 {
-			s.uncountedOutstanding += len(t.outstanding)
-		} else if s.capacity += b.warmth(t) * part; !t.warmingUp {
-			s.warmCapacity += part
-			s.warmOutstanding += len(t.outstanding)
+		if share := b.trafficShare(z); backend.State != Up || backend.presumedDead || b.now < backend.ejectedUntil || share == 0 {
+			totals.uncountedOutstanding += len(backend.outstanding)
+		} else if totals.capacity += b.warmth(backend) * share; !backend.warmingUp {
+			totals.warmCapacity += share
+			totals.warmOutstanding += len(backend.outstanding)
 		}
 	}
-	return s
+	return totals
 }
 
 const ms = time.Millisecond
@@ -38,14 +38,14 @@
 }
 
 // checkTotals compares the incremental totals with a full count.
-func (b *Balancer) checkTotals(t *testing.T, what string) {
+func (b *Balancer) checkTotals(t *testing.T, when string) {
 	t.Helper()
 	b.recomputeCapacity()
 	got, want := b.capacityTotals, b.countAfresh()
 	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding ||
 		got.warmOutstanding != want.warmOutstanding ||
 		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warmCapacity-want.warmCapacity) > 1e-6 {
-		t.Fatalf("%s: %+v, want %+v", what, got, want)
+		t.Fatalf("%s: %+v, want %+v", when, got, want)
 	}
 	up := 0
 	for _, z := range b.zones {
@@ -53,15 +53,15 @@
 	}
 	if up != want.up || len(got.unstable) > len(b.backends) {
 		t.Fatalf("%s: the zones have %d backends up, want %d; %d of %d backends are unstable",
-			what, up, want.up, len(got.unstable), len(b.backends))
+			when, up, want.up, len(got.unstable), len(b.backends))
 	}
 }
 
 // The totals stay right when a backend is presumed dead through an attempt that was sent before its ejection.
 func TestTotalsFollowALateOutcome(t *testing.T) {
-	alone := totalsSettings()
-	alone.Balancers = 1
-	b, err := New(alone, 1)
+	settings := totalsSettings()
+	settings.Balancers = 1
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,13 +69,13 @@
 	b.Step(now, []Event{EndpointUpdate{Kind: UpdateFull, Backends: []Backend{{ID: "s"}}},
 		Request{ID: "a", TimeRemaining: time.Minute},
 		Request{ID: "b", TimeRemaining: time.Minute}, Request{ID: "c", TimeRemaining: time.Minute}})
-	broke := func(id string) {
+	reset := func(id string) {
 		now += 10 * ms
 		b.Step(now, []Event{Outcome{Request: id, Backend: "s", Result: Reset, Latency: 10 * ms}})
 		b.checkTotals(t, id)
 	}
-	broke("a")
-	broke("b")
+	reset("a")
+	reset("b")
 	if s := b.byID["s"]; s.ejectedUntil <= now || s.presumedDead {
 		t.Fatalf("after two resets: ejected %v, presumed dead %v, want ejected only",
 			s.ejectedUntil > now, s.presumedDead)
@@ -85,14 +85,14 @@
 	if !b.byID["s"].stable {
 		t.Fatal("the backend is not stable after its ejection")
 	}
-	if broke("c"); !b.byID["s"].presumedDead {
+	if reset("c"); !b.byID["s"].presumedDead {
 		t.Fatal("the backend is not presumed dead after three resets")
 	}
 }
 
 // The incremental totals equal a full count after any events.
 func TestTotalsFollowEveryChange(t *testing.T) {
-	left := 0 // steps in which a zone was failed over or recovering
+	closedSteps := 0 // steps in which a zone was failed over or recovering
 	results := []Result{OK, OK, OK, OK, Errored, Reset, ConnectFailed, TimedOut, Rejected}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -100,8 +100,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, seen, out := time.Hour, map[string]int{}, []Send{}
-		some := func(n int) (list []Backend) {
+		now, attempts, outstanding := time.Hour, map[string]int{}, []Send{}
+		randomBackends := func(n int) (list []Backend) {
 			for range n {
 				list = append(list, Backend{ID: fmt.Sprint("s", rng.IntN(40)), Zone: rng.IntN(3),
 					State: BackendState(max(0, rng.IntN(6)-3))})
@@ -116,38 +116,38 @@
 			events := []Event{Request{ID: fmt.Sprint(step), TimeRemaining: 2 * time.Second}}
 			switch rng.IntN(30) {
 			case 0:
-				events = append(events, EndpointUpdate{Kind: UpdateDelta, Backends: some(4)})
+				events = append(events, EndpointUpdate{Kind: UpdateDelta, Backends: randomBackends(4)})
 			case 1:
-				events = append(events, EndpointUpdate{Kind: UpdateFull, Backends: some(60)})
+				events = append(events, EndpointUpdate{Kind: UpdateFull, Backends: randomBackends(60)})
 			case 2:
 				events = append(events, Disable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40))})
 			case 3:
 				events = append(events, Enable{Call: int64(step), Backend: fmt.Sprint("s", rng.IntN(40)),
 					Inherited: rng.IntN(2) == 0, At: now})
 			}
-			for len(out) > 0 && rng.IntN(3) > 0 {
-				i := rng.IntN(len(out))
-				o := out[i]
-				out = slices.Delete(out, i, i+1)
+			for len(outstanding) > 0 && rng.IntN(3) > 0 {
+				i := rng.IntN(len(outstanding))
+				o := outstanding[i]
+				outstanding = slices.Delete(outstanding, i, i+1)
 				r := results[rng.IntN(len(results))]
 				if step/100%5 == 4 { // a period in which all attempts break
 					r = Reset
 				}
-				events = append(events, Outcome{Request: o.Request, Attempt: seen[o.Request], Backend: o.Backend, Result: r,
+				events = append(events, Outcome{Request: o.Request, Attempt: attempts[o.Request], Backend: o.Backend, Result: r,
 					Latency: time.Duration(1+rng.IntN(300)) * ms, Done: r == OK})
-				seen[o.Request]++
+				attempts[o.Request]++
 			}
 			for _, a := range b.Step(now, events) {
 				if s, ok := a.(Send); ok {
-					out = append(out, s)
+					outstanding = append(outstanding, s)
 				}
 			}
 			if b.checkTotals(t, fmt.Sprintf("seed %d, step %d", seed, step)); !b.allZonesOpen {
-				left++
+				closedSteps++
 			}
 		}
 	}
-	if left == 0 {
+	if closedSteps == 0 {
 		t.Error("no run had a zone failed over or recovering")
 	}
 }
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -36,8 +36,8 @@
 	return latency
 }
 
-// learnLatency updates the mean latency with the latency of a response, scaled to mean work, in ns.
-func (c *classState) learnLatency(latency float64) { c.latency = ewma(c.latency, max(latency, 1)) }
+// updateLatency updates the mean latency with the latency of a response, scaled to mean work, in ns.
+func (c *classState) updateLatency(latency float64) { c.latency = ewma(c.latency, max(latency, 1)) }
 
 // restore sets the mean latency to that of an earlier process, in ns. A value
 // below 1 or above the objective is ignored.
@@ -47,17 +47,17 @@
 	}
 }
 
-// learnWork updates the mean work with the announced work of a request, in ns; 0: unknown.
-func (c *classState) learnWork(work float64) {
+// updateMeanWork updates the mean work with the announced work of a request, in ns; 0: unknown.
+func (c *classState) updateMeanWork(work float64) {
 	if work > 0 {
 		c.meanWork = ewma(c.meanWork, work)
 	}
 }
 
-// learnTimeout updates the usual timeout with that of a client's attempt, and reports whether the timeout is unusual.
+// updateUsualTimeout updates the usual timeout with that of a client's attempt, and reports whether the timeout is unusual.
 // Clients use one timeout for all their attempts, except for the last attempt, which has only the rest of the deadline.
 // An attempt with an unusual timeout is therefore a retry, and the difference shows when the client started.
-func (c *classState) learnTimeout(timeout, tick time.Duration, clientRetry bool) (unusual bool) {
+func (c *classState) updateUsualTimeout(timeout, tick time.Duration, clientRetry bool) (unusual bool) {
 	if c.usualTimeout == 0 {
 		c.usualTimeout = timeout
 	}
@@ -68,11 +68,11 @@
 	return offset > 2*tick || offset < -2*tick
 }
 
-// arrive counts a request that arrived.
-func (c *classState) arrive() { c.arrivals++ }
+// countArrival counts a request that arrived.
+func (c *classState) countArrival() { c.arrivals++ }
 
-// meet counts a request that was answered within its objective.
-func (c *classState) meet() { c.metObjective++ }
+// countMetObjective counts a request that was answered within its objective.
+func (c *classState) countMetObjective() { c.metObjective++ }
 
 // weightUnit returns the amount that the priority weight applies to: one request, or the work of a mean request in ns.
 func (c *classState) weightUnit(byWork bool) float64 {
@@ -112,12 +112,12 @@
 // recomputeValues updates the marginal value of each class.
 func (t classTable) recomputeValues(s *Settings) {
 	for i := range t {
-		t[i].marginalValue = t.valueOf(i, s)
+		t[i].marginalValue = t.marginalValueOf(i, s)
 	}
 }
 
-// valueOf returns what a unit of work spent on a class now adds to the operator's goal.
-func (t classTable) valueOf(class int, s *Settings) float64 {
+// marginalValueOf returns what a unit of work spent on a class now adds to the operator's goal.
+func (t classTable) marginalValueOf(class int, s *Settings) float64 {
 	total, worst, lowestShare := 0.0, -1, math.Inf(1)
 	for i := range t {
 		c := &t[i]
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -19,8 +19,8 @@
 		t.Errorf("latency %v at the start, %v for announced work without mean work, want a quarter of the objective",
 			c.latency, c.expectedLatency(5))
 	}
-	c.learnWork(0)
-	c.learnWork(10)
+	c.updateMeanWork(0)
+	c.updateMeanWork(10)
 	if got := c.expectedLatency(30); !near(got, 3*c.latency) {
 		t.Errorf("expected latency %v for three times the mean work, want three times %v", got, c.latency)
 	}
@@ -33,21 +33,21 @@
 	const tick = 5 * time.Millisecond
 	c := &twoClasses()[0]
 	for i := range 50 {
-		if c.learnTimeout(900*time.Millisecond+time.Duration(i%3-1)*tick, tick, false) {
+		if c.updateUsualTimeout(900*time.Millisecond+time.Duration(i%3-1)*tick, tick, false) {
 			t.Fatalf("timeout %d, within a tick of the usual one, counts as unusual", i)
 		}
 	}
 	for timeout, want := range map[time.Duration]bool{880 * time.Millisecond: true, 900 * time.Millisecond: false,
 		920 * time.Millisecond: true} {
-		if got := c.learnTimeout(timeout, tick, true); got != want {
+		if got := c.updateUsualTimeout(timeout, tick, true); got != want {
 			t.Errorf("timeout %v: unusual %v, want the opposite", timeout, got)
 		}
 	}
 	before := c.usualTimeout
-	if c.learnTimeout(time.Millisecond, tick, true); c.usualTimeout != before {
+	if c.updateUsualTimeout(time.Millisecond, tick, true); c.usualTimeout != before {
 		t.Error("a client's retry moves the usual timeout")
 	}
-	if c.learnTimeout(time.Millisecond, tick, false); c.usualTimeout != before-tick/4 {
+	if c.updateUsualTimeout(time.Millisecond, tick, false); c.usualTimeout != before-tick/4 {
 		t.Errorf("one short timeout lowers the usual one by %v, want a quarter of a tick", before-c.usualTimeout)
 	}
 }
@@ -57,8 +57,8 @@
 	for range 100 {
 		for i := range classes {
 			classes[i].latency = 1e6
-			classes[i].arrive()
-			classes[i].meet()
+			classes[i].countArrival()
+			classes[i].countMetObjective()
 		}
 	}
 	s := &Settings{GoalOverall: 1}
@@ -88,7 +88,7 @@
 	classes := twoClasses()
 	for range 5000 {
 		classes.decay()
-		classes[0].arrive()
+		classes[0].countArrival()
 	}
 	if got := classes[0].arrivals; got < 190 || got > 210 {
 		t.Errorf("%v requests count, want 190 to 210", got)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -92,12 +92,12 @@
 			b.markUnstable(backend)
 			backend.State = Removed
 		}
-		forget := backend.State == Removed && len(backend.outstanding) == 0
-		if forget {
+		remove := backend.State == Removed && len(backend.outstanding) == 0
+		if remove {
 			delete(b.byID, backend.ID)
 			delete(b.byGossipKey, backend.gossipKey)
 		}
-		return forget
+		return remove
 	})
 	b.unstable = slices.DeleteFunc(b.unstable, func(backend *backendState) bool { return b.byID[backend.ID] != backend })
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -63,7 +63,7 @@
 func TestSubscribeIsRetriedWithBackoff(t *testing.T) {
 	s := settings()
 	s.Subscribe = true
-	asks := func(acts []balancer.Action) (n int) {
+	polls := func(acts []balancer.Action) (n int) {
 		for _, a := range acts {
 			if _, ok := a.(balancer.Subscribe); ok {
 				n++
@@ -75,17 +75,17 @@
 	for seed := uint64(0); seed < 10; seed++ {
 		r := newRig(t, s, seed, backends(2))
 		delays[r.timersAt[0]-r.now] = true
-		if n := asks(r.advance(s.PollInterval / 10)); n != 1 {
+		if n := polls(r.advance(s.PollInterval / 10)); n != 1 {
 			t.Fatalf("%d polls at the start, want one", n)
 		}
 		for range 8 { // each failure is followed by one poll within half the poll interval
 			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
-			if n := asks(r.advance(s.PollInterval / 2)); n != 1 {
+			if n := polls(r.advance(s.PollInterval / 2)); n != 1 {
 				t.Fatalf("%d polls after a failure, want one", n)
 			}
 		}
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
-		if n := asks(r.advance(time.Minute)); n != 0 {
+		if n := polls(r.advance(time.Minute)); n != 0 {
 			t.Errorf("%d polls while subscribed, want none", n)
 		}
 	}
@@ -93,7 +93,7 @@
 		t.Errorf("10 agents use %d different delays for their first poll, want at least 9", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	if n := asks(append(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed}), r.advance(time.Minute)...)); n != 0 {
+	if n := polls(append(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed}), r.advance(time.Minute)...)); n != 0 {
 		t.Error("the agent polled though updates are pushed")
 	}
 }
@@ -105,12 +105,12 @@
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
 		for i := range 100 {
-			list := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // deltas and full lists alternate
+			update := balancer.EndpointUpdate{Kind: balancer.UpdateKind(i % 2)} // deltas and full lists alternate
 			for k := range 20 {
 				id := fmt.Sprintf("%03d-%03d-%02d-%s", n, i, k, strings.Repeat("x", 1000))
-				list.Backends = append(list.Backends, balancer.Backend{ID: id, State: balancer.BackendState(2 * (k % 2))})
+				update.Backends = append(update.Backends, balancer.Backend{ID: id, State: balancer.BackendState(2 * (k % 2))})
 			}
-			r.step(list)
+			r.step(update)
 		}
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull})
 	}
@@ -122,8 +122,8 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 2<<20 { // the lists had 20 MB of names
-		t.Errorf("%d bytes remain of removed backends, want at most 2 MiB", grown)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 2<<20 { // the lists had 20 MB of names
+		t.Errorf("%d bytes remain of removed backends, want at most 2 MiB", growth)
 	}
 	runtime.KeepAlive(r)
 }
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -16,13 +16,13 @@
 	req := &request{id: event.ID, class: event.Class, objectiveAt: b.now + min(class.LatencyObjective, event.TimeRemaining),
 		deadline: b.now + event.TimeRemaining, clientRetry: event.ClientRetry, residencyRule: event.ResidencyRule,
 		affinityKey: event.AffinityKey, work: float64(event.Work), timedFrom: b.now, streaming: event.Streaming}
-	if class.learnTimeout(event.TimeRemaining, b.settings.Tick, event.ClientRetry) {
+	if class.updateUsualTimeout(event.TimeRemaining, b.settings.Tick, event.ClientRetry) {
 		req.clientRetry = true
 		req.objectiveAt -= max(0, class.Deadline-event.TimeRemaining)
 	}
-	class.learnWork(req.work)
+	class.updateMeanWork(req.work)
 	b.classes.decay()
-	class.arrive()
+	class.countArrival()
 	b.subset.arrive(b.now)
 	b.requests[event.ID] = req
 	if !req.clientRetry {
@@ -52,7 +52,7 @@
 	if event.Result == OK && !req.ended {
 		b.retryBudget.Refill()
 		if b.now <= req.objectiveAt {
-			b.classes[req.class].meet()
+			b.classes[req.class].countMetObjective()
 		}
 	}
 	if event.Done || event.Result == OK || req.ended {
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -14,23 +14,23 @@
 // only in three. Each cut must be in proportion to the excess of latency over the target.
 func TestLimitFallsWithOverload(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
-	full, jammed := 0, 0
+	before, after := 0, 0
 	for n := range 6 {
-		full = r.burst(fmt.Sprint("calm", n), 60*ms)
+		before = r.burst(fmt.Sprint("calm", n), 60*ms)
 	}
 	for n := range 4 {
-		jammed = r.burst(fmt.Sprint("jam", n), 360*ms)
+		after = r.burst(fmt.Sprint("jam", n), 360*ms)
 	}
-	if full < 40 || jammed > full*2/3 {
+	if before < 40 || after > before*2/3 {
 		t.Errorf("%d in flight before the overload, %d after three slow rounds, want at least 40 and at most two thirds",
-			full, jammed)
+			before, after)
 	}
 }
 
 // The limit grew at full speed until latency, which is measured with a delay, had passed the target; by then the
 // backends were overloaded (join+vast). The limit must grow more slowly near the target.
 func TestLimitGrowsSlowerNearTheTarget(t *testing.T) {
-	grown := func(latency time.Duration) int {
+	growth := func(latency time.Duration) int {
 		r := newRig(t, settings(), 1, backends(10))
 		first, last := 0, 0
 		for n := range 5 {
@@ -40,7 +40,7 @@
 		}
 		return last - first
 	}
-	if far, near := grown(30*ms), grown(125*ms); near > far/2 {
+	if far, near := growth(30*ms), growth(125*ms); near > far/2 {
 		t.Errorf("the limit grows by %d far below the target latency and by %d near it, want at most half near it", far, near)
 	}
 }
@@ -57,19 +57,19 @@
 		r.now += 350 * ms
 		r.outcome(id, balancer.OK, 350*ms)
 	}
-	out := 0
+	inFlight := 0
 	var all []balancer.Action
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
 		all = append(all, r.request(id, idempotent)...)
-		out += len(r.sent[id])
+		inFlight += len(r.sent[id])
 	}
-	if want := 4 * 2 / 2; out != want {
-		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", out, want)
+	if want := 4 * 2 / 2; inFlight != want {
+		t.Errorf("%d in flight, want this agent's share of 4 per backend: %d", inFlight, want)
 	}
-	repeat := r.step(balancer.Request{ID: "again", Class: idempotent, TimeRemaining: 2000 * ms, ClientRetry: true})
-	if final("again", repeat) != "refuse" {
-		t.Errorf("a client's retry: %v, want a refusal at once", repeat)
+	retry := r.step(balancer.Request{ID: "again", Class: idempotent, TimeRemaining: 2000 * ms, ClientRetry: true})
+	if final("again", retry) != "refuse" {
+		t.Errorf("a client's retry: %v, want a refusal at once", retry)
 	}
 	all = append(all, r.advance(400*ms)...)
 	for i := range 20 {
@@ -178,7 +178,7 @@
 	s := settings()
 	s.Balancers = 2
 	r := newRig(t, s, 1, backends(30))
-	seq := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110, objective 400
+	latencies := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110, objective 400
 	refused, queue := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
@@ -190,7 +190,7 @@
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
 				// latencies in runs of 25, so that twenty slow responses follow each other
-				r.outcome(queue[0], balancer.OK, seq[(i/25)%10]*ms)
+				r.outcome(queue[0], balancer.OK, latencies[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
@@ -202,29 +202,29 @@
 
 // Many agents that grow their limits at the same time must not overload the backends together (incident ieb2a7b).
 func TestLimitGrowsPerBackend(t *testing.T) {
-	total := func(balancers int) int {
+	totalInFlight := func(balancers int) int {
 		s := settings()
 		s.Balancers = balancers
 		r := newRig(t, s, 1, backends(20))
-		var out []string // in flight, oldest first
-		sends := func(actions []balancer.Action) {
+		var inFlight []string // in flight, oldest first
+		addSends := func(actions []balancer.Action) {
 			for _, a := range actions {
 				if a, ok := a.(balancer.Send); ok {
-					out = append(out, a.Request)
+					inFlight = append(inFlight, a.Request)
 				}
 			}
 		}
 		for i := range 1000 { // requests beyond the limit are queued
-			sends(r.request(fmt.Sprint("q", i), idempotent))
+			addSends(r.request(fmt.Sprint("q", i), idempotent))
 		}
-		for i := range 4 * len(out) { // four rounds of fast responses
-			sends(r.outcome(out[0], balancer.OK, 20*ms))
-			out = out[1:]
-			sends(r.request(fmt.Sprint("more", i), idempotent))
+		for i := range 4 * len(inFlight) { // four rounds of fast responses
+			addSends(r.outcome(inFlight[0], balancer.OK, 20*ms))
+			inFlight = inFlight[1:]
+			addSends(r.request(fmt.Sprint("more", i), idempotent))
 		}
-		return len(out) * balancers
+		return len(inFlight) * balancers
 	}
-	if one, many := total(1), total(20); one < 130 || many > one*3/2 {
+	if one, many := totalInFlight(1), totalInFlight(20); one < 130 || many > one*3/2 {
 		t.Errorf("in flight after four rounds: one agent %d, want at least 130; 20 agents %d, want at most half as much again",
 			one, many)
 	}
--- a/balancer/limiter_unit_test.go
+++ b/balancer/limiter_unit_test.go
@@ -36,20 +36,20 @@
 }
 
 func TestLimiterGrowsOnlyWhileItBinds(t *testing.T) {
-	idle, busy, close := newConcurrencyLimiter(1), newConcurrencyLimiter(1), newConcurrencyLimiter(1)
-	close.restore(initialLimitPerBackend, 0.9*targetLatencyRatio)
+	idle, busy, nearTarget := newConcurrencyLimiter(1), newConcurrencyLimiter(1), newConcurrencyLimiter(1)
+	nearTarget.restore(initialLimitPerBackend, 0.9*targetLatencyRatio)
 	for range 20 {
 		idle.adjust(0.1, time.Second, 0, 10, 10)
 		busy.adjust(0.1, time.Second, 0, 60, 10)
 	}
-	close.adjust(0.9*targetLatencyRatio, time.Second, 0, 60, 10)
+	nearTarget.adjust(0.9*targetLatencyRatio, time.Second, 0, 60, 10)
 	if idle.perBackend != initialLimitPerBackend {
 		t.Errorf("the limit grew to %v while it did not bind", idle.perBackend)
 	}
 	if busy.perBackend <= initialLimitPerBackend {
 		t.Error("the limit did not grow while it bound")
 	}
-	if grown := close.perBackend - initialLimitPerBackend; grown <= 0 || grown > 0.02*limitIncrease*smoothing {
+	if grown := nearTarget.perBackend - initialLimitPerBackend; grown <= 0 || grown > 0.02*limitIncrease*smoothing {
 		t.Errorf("the limit grew by %v close to the target, want a small growth above 0", grown)
 	}
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -14,7 +14,7 @@
 // blank: a longer file must be split by what it decides. Each other file contains the sentence "Nothing is decided
 // here.", or is part of the package's interface.
 func TestPolicyLimits(t *testing.T) {
-	const most, least, longest = 240, 10, 130
+	const maxLines, minLines, maxLength = 240, 10, 130
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 	}
 	policy := map[string]bool{}
 	for name := range strings.SplitSeq(list, ",") {
-		name, inside := strings.CutPrefix(strings.Trim(name, ` "`), "balancer/")
-		if !inside {
+		name, inModule := strings.CutPrefix(strings.Trim(name, ` "`), "balancer/")
+		if !inModule {
 			t.Errorf("%s is listed as policy but is outside the decision module", name)
 			continue
 		}
 		policy[name] = true
-		if lines := countLines(t, name, longest); lines < least || lines > most {
-			t.Errorf("%s: %d lines that are not blank, want %d at most", name, lines, most)
+		if lines := countLines(t, name, maxLength); lines < minLines || lines > maxLines {
+			t.Errorf("%s: %d lines that are not blank, want %d at most", name, lines, maxLines)
 		}
 	}
 	files, err := filepath.Glob("*.go")
@@ -55,7 +55,7 @@
 }
 
 // countLines counts the lines that are not blank, and fails the test for lines that are too long.
-func countLines(t *testing.T, name string, longest int) (lines int) {
+func countLines(t *testing.T, name string, maxLength int) (lines int) {
 	t.Helper()
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -65,8 +65,8 @@
 		if strings.TrimSpace(line) != "" {
 			lines++
 		}
-		if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > longest {
-			t.Errorf("%s: line %d has %d characters, want %d at most", name, i+1, n, longest)
+		if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > maxLength {
+			t.Errorf("%s: line %d has %d characters, want %d at most", name, i+1, n, maxLength)
 		}
 	}
 	return lines
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -20,7 +20,7 @@
 // remove removes a request, and keeps the order of the others.
 func (q *admissionQueue) remove(req *request) {
 	req.queued = false
-	q.requests = without(q.requests, req)
+	q.requests = removeElement(q.requests, req)
 }
 
 // next returns the request of the highest value, the newest one among equals, or nil if all were skipped.
@@ -47,9 +47,9 @@
 	}
 }
 
-// newestFirst calls visit for each request, from the newest to the oldest, and lets next return skipped requests again.
+// visitNewestFirst calls visit for each request, from the newest to the oldest, and lets next return skipped requests again.
 // visit may remove the request that it gets.
-func (q *admissionQueue) newestFirst(visit func(*request)) {
+func (q *admissionQueue) visitNewestFirst(visit func(*request)) {
 	for i := len(q.requests) - 1; i >= 0; i-- {
 		req := q.requests[i]
 		req.skipped = false
@@ -57,8 +57,8 @@
 	}
 }
 
-// without removes one element, and keeps the order of the others.
-func without[T comparable](list []T, x T) []T {
+// removeElement removes one element, and keeps the order of the others.
+func removeElement[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -54,7 +54,7 @@
 		t.Fatalf("next is %v after all were skipped", next)
 	}
 	visited := ""
-	q.newestFirst(func(req *request) {
+	q.visitNewestFirst(func(req *request) {
 		visited += req.id
 		if req == all[2] {
 			q.remove(req)
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -18,10 +18,10 @@
 	cost := RetryCost(result)
 	unit := backoffUnit * float64(b.classes[req.class].LatencyObjective)
 	retryAt := b.now + time.Duration(b.rng.Float64()*min(math.Exp2(float64(req.retries)), maxBackoffUnits)*unit)
-	possible := func(backend *backendState) bool {
+	allowed := func(backend *backendState) bool {
 		return backend.State == Up && b.mayAttempt(req, backend) && (req.possiblyExecuted == 0 || !b.zone(backend).failedOver)
 	}
-	if !slices.ContainsFunc(b.backends, possible) || !b.retryBudget.Covers(cost) || retryAt >= req.deadline || result == NotSent {
+	if !slices.ContainsFunc(b.backends, allowed) || !b.retryBudget.Covers(cost) || retryAt >= req.deadline || result == NotSent {
 		b.finish(req)
 		return
 	}
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -239,13 +239,13 @@
 // SendDeadline of a retry is the end of the deduplication window.
 func TestRetriesStayWhereTheFirstAttemptRan(t *testing.T) {
 	for _, class := range []int{scopeCell, scopeZone} {
-		repeats := 0
+		retries := 0
 		for seed := range uint64(30) {
 			s := settings()
 			s.ConnectTimeout = 20 * ms
 			list := backends(6)
 			r := newRig(t, s, seed, list)
-			began := r.now
+			start := r.now
 			if a := r.request("q", class); firstSend(t, a).SendDeadline != 0 {
 				t.Fatal("the first attempt has a SendDeadline")
 			}
@@ -260,15 +260,15 @@
 				if b := list[id[0]-'a']; b.Cell != list[first].Cell || b.ID == moved.ID {
 					t.Fatalf("class %d, seed %d: retried at %s after %s, which has moved", class, seed, id, moved.ID)
 				}
-				if send := firstSend(t, r.actions); send.SendDeadline != began+s.Classes[class].DedupWindow {
+				if send := firstSend(t, r.actions); send.SendDeadline != start+s.Classes[class].DedupWindow {
 					t.Fatalf("class %d: SendDeadline %v, %v after the first attempt",
-						class, send.SendDeadline, send.SendDeadline-began)
+						class, send.SendDeadline, send.SendDeadline-start)
 				}
-				repeats++
+				retries++
 			}
 		}
-		if repeats < 10 {
-			t.Errorf("class %d: %d retries in 30 runs, want at least 10", class, repeats)
+		if retries < 10 {
+			t.Errorf("class %d: %d retries in 30 runs, want at least 10", class, retries)
 		}
 	}
 }
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -22,9 +22,9 @@
 )
 
 func settings() balancer.Settings {
-	class := func(e balancer.Idempotency, g balancer.IdempotencyScope) balancer.Class {
-		return balancer.Class{LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: e,
-			Scope: g, DedupWindow: 300 * ms}
+	class := func(idempotency balancer.Idempotency, scope balancer.IdempotencyScope) balancer.Class {
+		return balancer.Class{LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: idempotency,
+			Scope: scope, DedupWindow: 300 * ms}
 	}
 	return balancer.Settings{
 		Balancers: 1, MaxAttempts: 4, Tick: 5 * ms,
@@ -156,24 +156,24 @@
 
 // burst submits 150 requests at once and answers each one that is sent, at first or later from the queue, after the
 // latency. It returns how many were sent at first.
-func (r *rig) burst(name string, latency time.Duration) (out int) {
+func (r *rig) burst(name string, latency time.Duration) (sentAtFirst int) {
 	answered := map[string]bool{}
 	id := func(i int) string { return fmt.Sprint(name, "-", i) }
 	for i := range 150 {
 		r.request(id(i), idempotent)
-		out += len(r.sent[id(i)])
+		sentAtFirst += len(r.sent[id(i)])
 	}
-	for going := true; going; {
-		going = false
+	for progress := true; progress; {
+		progress = false
 		r.advance(latency)
 		for i := range 150 {
 			if len(r.sent[id(i)]) > 0 && !answered[id(i)] {
-				answered[id(i)], going = true, true
+				answered[id(i)], progress = true, true
 				r.outcome(id(i), balancer.OK, latency)
 			}
 		}
 	}
-	return out
+	return sentAtFirst
 }
 
 // final returns "refuse" or "fail" for a request's final answer among the actions, several in a row if there are more,
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -43,40 +43,40 @@
 		token int64
 	}
 	var timers []timer
-	var open []balancer.Outcome // outstanding attempts
-	due := map[string]time.Duration{}
+	var outstanding []balancer.Outcome // outstanding attempts
+	deadlines := map[string]time.Duration{}
 	pool := backends(8)
 	next := 0
 	for range steps {
 		a.now += time.Duration(rng.IntN(30)) * ms / 4
 		var events []balancer.Event
-		keep := timers[:0]
+		pending := timers[:0]
 		for _, tm := range timers {
 			if tm.at <= a.now {
 				events = append(events, balancer.TimerFired{Token: tm.token})
 			} else {
-				keep = append(keep, tm)
+				pending = append(pending, tm)
 			}
 		}
-		timers = keep
+		timers = pending
 		for range rng.IntN(3) {
 			next++
 			id := fmt.Sprint("q", next)
-			left := time.Duration(1+rng.IntN(1500)) * ms
-			due[id] = a.now + left
-			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeRemaining: left,
+			timeRemaining := time.Duration(1+rng.IntN(1500)) * ms
+			deadlines[id] = a.now + timeRemaining
+			events = append(events, balancer.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeRemaining: timeRemaining,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, ClientRetry: rng.IntN(5) == 0})
 		}
 		// Every attempt ends by its request's deadline; some end early, with any result.
-		rest := open[:0]
-		for _, o := range open {
+		remaining := outstanding[:0]
+		for _, o := range outstanding {
 			switch {
-			case due[o.Request] <= a.now:
+			case deadlines[o.Request] <= a.now:
 				o.Result = balancer.TimedOut
 			case rng.IntN(8) == 0:
 				o.Result = balancer.Result(rng.IntN(8))
 			default:
-				rest = append(rest, o)
+				remaining = append(remaining, o)
 				continue
 			}
 			o.Latency = time.Duration(rng.IntN(900)) * ms
@@ -86,7 +86,7 @@
 				events = append(events, o) // reported twice
 			}
 		}
-		open = rest
+		outstanding = remaining
 		switch rng.IntN(25) {
 		case 0:
 			n := &pool[rng.IntN(len(pool))]
@@ -126,7 +126,7 @@
 			case balancer.SetTimer:
 				timers = append(timers, timer{a.now + act.After, act.Token})
 			case balancer.Send:
-				open = append(open, balancer.Outcome{Request: act.Request, Backend: act.Backend,
+				outstanding = append(outstanding, balancer.Outcome{Request: act.Request, Backend: act.Backend,
 					Attempt: len(a.requests[act.Request].sends) - 1})
 			}
 		}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -41,7 +41,7 @@
 	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalWorstClass >= 0):
 		return settingError("Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass})
 	}
-	if err := s.checkSpans(); err != nil {
+	if err := s.checkDurations(); err != nil {
 		return err
 	}
 	for i := range s.Classes {
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// checkSpans returns an error for the first negative duration.
-func (s *Settings) checkSpans() error {
-	for _, span := range []struct {
+// checkDurations returns an error for the first negative duration.
+func (s *Settings) checkDurations() error {
+	for _, duration := range []struct {
 		field string
 		value time.Duration
 	}{
@@ -62,8 +62,8 @@
 		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"PollInterval", s.PollInterval},
 		{"SlowStartWindow", s.SlowStartWindow}, {"OverloadWindow", s.OverloadWindow},
 	} {
-		if span.value < 0 {
-			return settingError(span.field, span.value)
+		if duration.value < 0 {
+			return settingError(duration.field, duration.value)
 		}
 	}
 	return nil
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -14,22 +14,22 @@
 // The successor continues with the retry budget of its predecessor. A snapshot with invalid tokens gives a full budget
 // and no more.
 func TestRetryBudgetSurvivesHandover(t *testing.T) {
-	older := newRig(t, settings(), 1, backends(2))
+	predecessor := newRig(t, settings(), 1, backends(2))
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		older.request(id, idempotent)
-		older.outcome(id, balancer.Errored, 10*ms)
+		predecessor.request(id, idempotent)
+		predecessor.outcome(id, balancer.Errored, 10*ms)
 	}
-	left := older.b.Snapshot().Tokens
-	for told, want := range map[float64]float64{left: left, -1: 100, 1e9: 100, math.NaN(): 100} {
+	remaining := predecessor.b.Snapshot().Tokens
+	for tokens, want := range map[float64]float64{remaining: remaining, -1: 100, 1e9: 100, math.NaN(): 100} {
 		r := newRig(t, settings(), 1, backends(2))
-		r.step(balancer.Restore{Snapshot: balancer.Snapshot{Tokens: told}})
+		r.step(balancer.Restore{Snapshot: balancer.Snapshot{Tokens: tokens}})
 		if got := r.b.Snapshot().Tokens; got != want {
-			t.Errorf("restored from %v: %v tokens, want %v", told, got, want)
+			t.Errorf("restored from %v: %v tokens, want %v", tokens, got, want)
 		}
 	}
-	if left > 60 {
-		t.Errorf("%v tokens left after ten retries, want at most 60", left)
+	if remaining > 60 {
+		t.Errorf("%v tokens left after ten retries, want at most 60", remaining)
 	}
 }
 
@@ -86,39 +86,39 @@
 // The successor continues with its predecessor's rates, latencies and peer demand: the budgets of backends in slow
 // start and its share of the limit are right at once.
 func TestSnapshotIsRestored(t *testing.T) {
-	older := busyAgent(t, 1)
+	predecessor := busyAgent(t, 1)
 	for range 50 {
-		older.receiveQuietPeers()
-		older.serve(10, idempotent, 10*ms)
+		predecessor.receiveQuietPeers()
+		predecessor.serve(10, idempotent, 10*ms)
 	}
-	told := older.b.Snapshot()
-	got := func(l *balancer.Snapshot) int {
+	snapshot := predecessor.b.Snapshot()
+	requestsToIdle := func(restored *balancer.Snapshot) int {
 		r := busyAgent(t, 2)
-		if l != nil {
-			r.step(balancer.Restore{Snapshot: *l})
-			if again := r.b.Snapshot(); again.LatencyRatio != l.LatencyRatio ||
-				again.LimitPerBackend != l.LimitPerBackend || math.Abs(again.Demand/l.Demand-1) > 0.1 {
-				t.Errorf("snapshot %+v, restored as %+v", *l, again)
+		if restored != nil {
+			r.step(balancer.Restore{Snapshot: *restored})
+			if current := r.b.Snapshot(); current.LatencyRatio != restored.LatencyRatio ||
+				current.LimitPerBackend != restored.LimitPerBackend || math.Abs(current.Demand/restored.Demand-1) > 0.1 {
+				t.Errorf("snapshot %+v, restored as %+v", *restored, current)
 			}
 		}
 		r.step(backendInSlowStart(r.now))
 		return r.overload()
 	}
-	with, without := got(&told), got(nil)
+	with, without := requestsToIdle(&snapshot), requestsToIdle(nil)
 	if with < 2*without || with < 8 {
 		t.Errorf("%d requests in 2 s to the idle backend in slow start, %d without a snapshot, want at least 8 and twice as many",
 			with, without)
 	}
-	for name, l := range map[string]balancer.Snapshot{
+	for name, restored := range map[string]balancer.Snapshot{
 		"empty":         {},
 		"other classes": {LimitPerBackend: 6, Latency: []float64{1}},
 		"not finite": {LimitPerBackend: math.NaN(), LatencyRatio: math.Inf(1), PeakThroughput: math.NaN(),
-			Demand: -1, Latency: told.Latency, PeerDemand: told.PeerDemand},
-		"huge": {LimitPerBackend: 1e300, PeakThroughput: 1e300, Demand: 1e300, Latency: told.Latency,
-			PeerDemand: told.PeerDemand},
+			Demand: -1, Latency: snapshot.Latency, PeerDemand: snapshot.PeerDemand},
+		"huge": {LimitPerBackend: 1e300, PeakThroughput: 1e300, Demand: 1e300, Latency: snapshot.Latency,
+			PeerDemand: snapshot.PeerDemand},
 	} {
 		r := busyAgent(t, 2)
-		r.step(balancer.Restore{Snapshot: l})
+		r.step(balancer.Restore{Snapshot: restored})
 		if n := r.serve(60, idempotent, 10*ms); len(n) != 4 {
 			t.Errorf("%s: requests were served by %v, want four backends", name, n)
 		}
