--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -33,7 +33,7 @@
 type auditedSend struct {
 	backend          string
 	at               time.Duration
-	out              bool
+	outstanding      bool
 	possiblyExecuted bool // true also while outstanding
 }
 
@@ -60,10 +60,10 @@
 		}
 	case balancer.Outcome:
 		r := a.requests[e.Request]
-		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].out {
+		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].outstanding {
 			return
 		}
-		r.sends[e.Attempt].out = false
+		r.sends[e.Attempt].outstanding = false
 		r.sends[e.Attempt].possiblyExecuted = !e.Result.NeverRan()
 		r.ended = r.ended || e.Done
 	case balancer.ResponseStarted:
@@ -119,7 +119,7 @@
 		for _, s := range r.sends {
 			free := r.class.Idempotency == balancer.Idempotent ||
 				r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeAll
-			if (s.possiblyExecuted || s.out) && !free {
+			if (s.possiblyExecuted || s.outstanding) && !free {
 				a.fault("%s refused though an attempt may have executed", act.Request)
 			}
 		}
@@ -169,10 +169,10 @@
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !a.s.HedgingAllowed {
+		if s.outstanding && !a.s.HedgingAllowed {
 			a.fault("%s has two outstanding attempts", act.Request)
 		}
-		if anchor == nil && (s.out || s.possiblyExecuted) {
+		if anchor == nil && (s.outstanding || s.possiblyExecuted) {
 			anchor = s
 		}
 	}
@@ -188,7 +188,7 @@
 			a.fault("%s sent again outside its idempotency scope", act.Request)
 		}
 	}
-	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
+	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, outstanding: true})
 	b.sends = append(b.sends, a.now)
 	a.checkSlowStart(b)
 }
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// countAfresh computes the totals from all backends, without the incremental ones.
-func (b *Balancer) countAfresh() (totals capacityTotals) {
+// countAll computes the totals from all backends, without the incremental ones.
+func (b *Balancer) countAll() (totals capacityTotals) {
 	for _, backend := range b.backends {
 		z := b.zone(backend)
 		if backend.State == Up {
@@ -41,7 +41,7 @@
 func (b *Balancer) checkTotals(t *testing.T, when string) {
 	t.Helper()
 	b.recomputeCapacity()
-	got, want := b.capacityTotals, b.countAfresh()
+	got, want := b.capacityTotals, b.countAll()
 	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding ||
 		got.warmOutstanding != want.warmOutstanding ||
 		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warmCapacity-want.warmCapacity) > 1e-6 {
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -36,11 +36,11 @@
 	return latency
 }
 
-// updateLatency updates the mean latency with the latency of a response, scaled to mean work, in ns.
-func (c *classState) updateLatency(latency float64) { c.latency = ewma(c.latency, max(latency, 1)) }
+// recordLatency updates the mean latency with the latency of a response, scaled to mean work, in ns.
+func (c *classState) recordLatency(latency float64) { c.latency = ewma(c.latency, max(latency, 1)) }
 
-// restore sets the mean latency to that of an earlier process, in ns. A value
-// below 1 or above the objective is ignored.
+// restore sets the mean latency to that of an earlier process, in ns. A value below 1 or above the objective is
+// ignored.
 func (c *classState) restore(latency float64) {
 	if latency >= 1 && latency <= float64(c.LatencyObjective) {
 		c.latency = latency
@@ -54,9 +54,9 @@
 	}
 }
 
-// updateUsualTimeout updates the usual timeout with that of a client's attempt, and reports whether the timeout is unusual.
-// Clients use one timeout for all their attempts, except for the last attempt, which has only the rest of the deadline.
-// An attempt with an unusual timeout is therefore a retry, and the difference shows when the client started.
+// updateUsualTimeout updates the usual timeout with that of a client's attempt, and reports whether the timeout is
+// unusual. Clients use one timeout for all their attempts, except for the last attempt, which has only the rest of the
+// deadline. An attempt with an unusual timeout is therefore a retry, and the difference shows when the client started.
 func (c *classState) updateUsualTimeout(timeout, tick time.Duration, clientRetry bool) (unusual bool) {
 	if c.usualTimeout == 0 {
 		c.usualTimeout = timeout
@@ -68,8 +68,8 @@
 	return offset > 2*tick || offset < -2*tick
 }
 
-// countArrival counts a request that arrived.
-func (c *classState) countArrival() { c.arrivals++ }
+// recordArrival counts a request that arrived.
+func (c *classState) recordArrival() { c.arrivals++ }
 
 // countMetObjective counts a request that was answered within its objective.
 func (c *classState) countMetObjective() { c.metObjective++ }
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -57,7 +57,7 @@
 	for range 100 {
 		for i := range classes {
 			classes[i].latency = 1e6
-			classes[i].countArrival()
+			classes[i].recordArrival()
 			classes[i].countMetObjective()
 		}
 	}
@@ -88,7 +88,7 @@
 	classes := twoClasses()
 	for range 5000 {
 		classes.decay()
-		classes[0].countArrival()
+		classes[0].recordArrival()
 	}
 	if got := classes[0].arrivals; got < 190 || got > 210 {
 		t.Errorf("%v requests count, want 190 to 210", got)
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -22,7 +22,7 @@
 	}
 	class.updateMeanWork(req.work)
 	b.classes.decay()
-	class.countArrival()
+	class.recordArrival()
 	b.subset.arrive(b.now)
 	b.requests[event.ID] = req
 	if !req.clientRetry {
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -54,7 +54,7 @@
 	b.zone(backend).recordLatency(min(latency/a.expected, maxLatencyRatio))
 	b.recordObservation(observeLatency(backend.gossipKey, latency/a.expected, b.now))
 	meanWorkLatency := class.meanWorkLatency(latency, req.work)
-	class.updateLatency(meanWorkLatency)
+	class.recordLatency(meanWorkLatency)
 	if !a.countedLate {
 		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // slow start is a cause of this ratio
 			b.slowStart.learn(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestQueueSkipsRequestsAlike(t *testing.T) {
+func TestQueueSkipsUnconstrainedRequestsOfTheClass(t *testing.T) {
 	q, all := queueOf(1, 1, 1, 0)
 	all[1].residencyRule = 1 // may find a backend where the others found none
 	q.skip(all[2])
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -13,8 +13,8 @@
 	"martenbeam/balancer"
 )
 
-// playHostile plays a legal but adverse sequence of random events against a balancer, and audits its actions.
-func playHostile(t *testing.T, seed uint64, steps int) *auditor {
+// playAdverseEvents plays a legal but adverse sequence of random events against a balancer, and audits its actions.
+func playAdverseEvents(t *testing.T, seed uint64, steps int) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
@@ -137,7 +137,7 @@
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := playHostile(t, seed, 600)
+		a := playAdverseEvents(t, seed, 600)
 		if len(a.faults) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
@@ -147,7 +147,7 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := playHostile(t, seed, 400); len(a.faults) > 0 {
+		if a := playAdverseEvents(t, seed, 400); len(a.faults) > 0 {
 			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
 	})
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -41,8 +41,8 @@
 	return newRig(t, s, seed, backends(4))
 }
 
-// receiveQuietPeers delivers a message from each peer that reports no demand.
-func (r *rig) receiveQuietPeers() {
+// receiveIdlePeers delivers a message from each peer that reports no demand.
+func (r *rig) receiveIdlePeers() {
 	for i := range 19 {
 		r.step(balancer.GossipReceived{From: i + 1, Data: make([]byte, 8)})
 	}
@@ -53,7 +53,7 @@
 func (r *rig) overload() (n int) {
 	for i := range 40 {
 		id := fmt.Sprint("crowd", len(r.sent), "-", i)
-		r.receiveQuietPeers()
+		r.receiveIdlePeers()
 		r.request(id, idempotent)
 		r.advance(20 * ms)
 		if len(r.sent[id]) > 0 && r.sent[id][0] == "z" {
@@ -74,7 +74,7 @@
 func TestSlowStartBudgetSurvivesOverload(t *testing.T) {
 	r := busyAgent(t, 1)
 	for range 50 {
-		r.receiveQuietPeers()
+		r.receiveIdlePeers()
 		r.serve(10, idempotent, 10*ms) // 25 per second for each backend
 	}
 	r.step(backendInSlowStart(r.now))
@@ -88,7 +88,7 @@
 func TestSnapshotIsRestored(t *testing.T) {
 	predecessor := busyAgent(t, 1)
 	for range 50 {
-		predecessor.receiveQuietPeers()
+		predecessor.receiveIdlePeers()
 		predecessor.serve(10, idempotent, 10*ms)
 	}
 	snapshot := predecessor.b.Snapshot()
