--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -43,8 +43,8 @@
 	if req.clientRetry {
 		value *= clientRetryValue
 	}
-	if b.residencyBound(req) {
-		value *= boundValueFactor
+	if b.residencyRestricted(req) {
+		value *= restrictedValueFactor
 	}
 	if req.objectiveAt-b.now < time.Duration(b.expectedLatency(req)/2) {
 		value *= class.LateWeight
@@ -57,7 +57,7 @@
 func (b *Balancer) waitOrRefuse(req *request) {
 	margin := min(queueMargin*b.expectedLatency(req), maxQueueMargin*float64(b.classes[req.class].LatencyObjective))
 	giveUpAt := min(req.objectiveAt, req.deadline) - time.Duration(margin)
-	if b.residencyBound(req) {
+	if b.residencyRestricted(req) {
 		b.reserveZones(req)
 	}
 	if req.clientRetry || giveUpAt <= b.now || !b.hasPermittedBackend(req) {
--- a/balancer/backends.go
+++ b/balancer/backends.go
@@ -10,12 +10,12 @@
 	outlierState
 	slowStartState
 	latencyEstimate
-	outstanding []*attempt    // oldest first
-	gossipKey   uint32        // identifies it in observations
-	subsetRank  uint32        // its position in this agent's order of backends
-	observedAt  time.Duration // time of the latest observation
-	stable      bool          // counted in its zone's stableBackends
-	silence     silenceCount  // in its zone
+	outstanding []*attempt      // oldest first
+	gossipKey   uint32          // identifies it in observations
+	subsetRank  uint32          // its position in this agent's order of backends
+	observedAt  time.Duration   // time of the latest observation
+	stable      bool            // counted in its zone's stableBackends
+	unanswered  unansweredCount // in its zone
 }
 
 // idle reports whether the backend has no outstanding attempt of this agent.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -80,7 +80,7 @@
 		b.markUnstable(backend)
 		if entry.Started > backend.Started {
 			b.beginSlowStart(backend, max(entry.Started, backend.slowStartAt))
-			backend.restarted()
+			backend.resetForRestart()
 		}
 		backend.Backend = entry
 	}
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -6,17 +6,17 @@
 
 import "time"
 
-// recordSilence counts an overdue attempt, or one that timed out while connecting, as evidence that its zone is lost.
+// recordUnanswered counts an overdue attempt, or one that timed out while connecting, as evidence that its zone is lost.
 // It counts only if no response of any kind has arrived from the zone since the attempt was sent: a zone that is merely
 // slow still responds.
-func (b *Balancer) recordSilence(a *attempt, result Result) {
+func (b *Balancer) recordUnanswered(a *attempt, result Result) {
 	z := b.zone(a.backend)
-	if a.countedSilent || z.failedOver || z.respondedSince(a.sentAt) ||
+	if a.countedUnanswered || z.failedOver || z.respondedSince(a.sentAt) ||
 		result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
 		return // a wait in proportion to the expected latency can be due to queues
 	}
-	a.countedSilent = true
-	z.recordUnanswered(a.sentAt, b.zones.baselineUnansweredRate(z), &a.backend.silence)
+	a.countedUnanswered = true
+	z.recordUnanswered(a.sentAt, b.zones.baselineUnansweredRate(z), &a.backend.unanswered)
 	b.evaluateZone(z, true)
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// recordZoneAnswer counts a response of any kind as evidence that its backend's zone is not lost.
-func (b *Balancer) recordZoneAnswer(backend *backendState) {
+// recordZoneResponse counts a response of any kind as evidence that its backend's zone is not lost.
+func (b *Balancer) recordZoneResponse(backend *backendState) {
 	z := b.zone(backend)
 	z.recordResponse(b.now)
 	if z.failedOver { // the response to the canary, or one that a partition delayed
@@ -111,7 +111,7 @@
 	z.reset(b.now)
 	for _, backend := range b.backends { // failures and time-outs during the outage were the zone's
 		if b.zone(backend) == z {
-			backend.forgiveSince(z.suspectedSince)
+			backend.clearFailuresSince(z.suspectedSince)
 		}
 	}
 	b.recomputeCapacity()
--- a/balancer/failover_unit_test.go
+++ b/balancer/failover_unit_test.go
@@ -25,7 +25,7 @@
 		"three backends":         {[]int{0, 1, 2}, true},
 	} {
 		var test sequentialTest
-		var counts [3]silenceCount
+		var counts [3]unansweredCount
 		for _, backend := range c.attempts {
 			test.recordUnanswered(time.Hour, minUnansweredRate, &counts[backend])
 		}
@@ -37,7 +37,7 @@
 
 func TestSequentialTestIsRefutedByAnswers(t *testing.T) {
 	var test sequentialTest
-	var count silenceCount
+	var count unansweredCount
 	test.recordUnanswered(time.Hour, minUnansweredRate, &count)
 	if !test.suspected() || test.suspectedSince != time.Hour || test.suspicionPeriod != 1 {
 		t.Fatalf("after a silent attempt: %+v", test)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -18,9 +18,9 @@
 // resetLatency discards all samples: the backend counts as average.
 func (l *latencyEstimate) resetLatency() { l.latencyRatio, l.latencySamples = 1, 0 }
 
-// learnLatency adds one sample, a multiple of the expected latency. The first few samples weigh more, since an agent
+// recordLatency adds one sample, a multiple of the expected latency. The first few samples weigh more, since an agent
 // with little traffic seldom gets a response from each backend.
-func (l *latencyEstimate) learnLatency(sample float64) {
+func (l *latencyEstimate) recordLatency(sample float64) {
 	l.latencySamples++
 	weight := max(smoothing, 1/(l.latencySamples+priorSamples))
 	l.latencyRatio += weight * (min(sample, maxLatencyRatio) - l.latencyRatio)
@@ -36,8 +36,8 @@
 // of returns the ratio for a class and a kind. Kind −1, which the settings don't name, counts as kind 0.
 func (k kindRatios) of(class, kind int) float64 { return *k.at(class, kind) }
 
-// learn adds one latency sample of a backend of the kind, relative to the expected latency.
-func (k kindRatios) learn(class, kind int, ratio float64) {
+// recordLatency adds one latency sample of a backend of the kind, relative to the expected latency.
+func (k kindRatios) recordLatency(class, kind int, ratio float64) {
 	mean := k.at(class, kind)
 	*mean += smoothing * (ratio - *mean)
 }
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -23,7 +23,7 @@
 	class.learnWork(req.work)
 	b.classes.decay()
 	class.arrive()
-	b.subset.arrive(b.now)
+	b.subset.recordArrival(b.now)
 	b.requests[event.ID] = req
 	if !req.clientRetry {
 		b.demand.add(b.now, b.expectedLatency(req))
@@ -71,7 +71,7 @@
 		b.finish(req)
 		return
 	}
-	if b.residencyBound(req) && (!backend.idle() || b.zone(backend).crowded()) {
+	if b.residencyRestricted(req) && (!backend.idle() || b.zone(backend).congested()) {
 		b.reserveZones(req)
 	}
 	a := &attempt{backend: backend, zone: backend.Zone, cell: backend.Cell, sentAt: b.now,
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -57,7 +57,7 @@
 	}
 	backend.Started = max(backend.Started, at)
 	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
-	backend.forgive()
+	backend.clearFailures()
 	// The budget starts below 0, so that agents that get the same order don't all send at once. With little traffic it
 	// would take longer than operators wait to refill, so reinstateDelay bounds it.
 	backend.raiseBudget(-b.slowStartRate(backend) * float64(reinstateDelay) * b.rng.Float64())
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -16,13 +16,13 @@
 	switch outcome.Result {
 	case TimedOut, ConnectFailed:
 		if outcome.Result == TimedOut || outcome.Latency >= b.settings.ConnectTimeout { // a refused connection is a response
-			b.recordSilence(a, outcome.Result)
+			b.recordUnanswered(a, outcome.Result)
 		}
 		if b.zone(backend).failedOver {
 			return // the whole zone is unresponsive, not just this backend
 		}
 	case OK, Rejected, Errored, Reset:
-		b.recordZoneAnswer(backend)
+		b.recordZoneResponse(backend)
 	}
 	switch outcome.Result {
 	case OK:
@@ -44,8 +44,8 @@
 		b.beginSlowStart(backend, b.now)
 	}
 	b.subset.grow()
-	backend.answer()
-	backend.revive()
+	backend.recordResponse()
+	backend.clearPresumedDead()
 	backend.outlierState.recordFailure(0)
 	backend.outlierState.recordSuccess(b.now)
 	warmth, rawLatency := b.warmth(backend), latency
@@ -57,11 +57,11 @@
 	class.learnLatency(meanWorkLatency)
 	if !a.countedLate {
 		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // slow start is a cause of this ratio
-			b.slowStart.learn(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
+			b.slowStart.recordLatency(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
 		} else if !backend.warmingUp {
-			b.kindRatios.learn(req.class, backend.Kind, ratio)
+			b.kindRatios.recordLatency(req.class, backend.Kind, ratio)
 		}
-		backend.learnLatency(latency / a.expected / b.kindRatios.of(req.class, backend.Kind))
+		backend.recordLatency(latency / a.expected / b.kindRatios.of(req.class, backend.Kind))
 		// The latency of a slow backend is scaled down: it shows little about the load of the others.
 		b.adjustLimit(min(latency, meanWorkLatency) / max(1, backend.latencyRatio) / float64(class.LatencyObjective))
 	}
@@ -76,7 +76,7 @@
 		b.subset.shrink()
 		return
 	}
-	backend.learnLatency(lateLatencyRatio) // its queue is longer than the queues of backends that accept
+	backend.recordLatency(lateLatencyRatio) // its queue is longer than the queues of backends that accept
 	b.adjustLimit(1)
 }
 
@@ -89,11 +89,11 @@
 	// If no response at all has arrived since the send, the cause is neither one slow request nor a queue. With gossip,
 	// slow responses that many agents observe add up, so the backend counts as unresponsive only after several
 	// time-outs in a row.
-	if (backend.silent() || !b.gossipsObservations()) && !backend.answeredSince(a.sentAt) {
+	if (backend.unresponsive() || !b.gossipsObservations()) && !backend.succeededSince(a.sentAt) {
 		b.ejectOnFailure(backend, a, class)
 	} else if !a.countedLate {
 		b.adjustLimit(max(1, latency/float64(class.LatencyObjective)))
-		backend.learnLatency(latency / a.expected) // lower bound of its latency
+		backend.recordLatency(latency / a.expected) // lower bound of its latency
 		b.recordObservation(observation{backend.gossipKey, valueLate, b.now})
 	}
 }
@@ -144,11 +144,11 @@
 	if !a.open || a.untimed {
 		return
 	}
-	b.recordSilence(a, TimedOut)
+	b.recordUnanswered(a, TimedOut)
 	if b.zone(a.backend).failedOver {
 		return
 	}
-	a.backend.learnLatency(lateLatencyRatio)
+	a.backend.recordLatency(lateLatencyRatio)
 	if b.sparseQuota() {
 		a.countedLate = true
 		a.backend.outlierState.recordTimeout()
@@ -166,14 +166,14 @@
 	}
 	switch {
 	case n.value == valueFailed:
-		if !backend.answeredSince(n.observedAt) && !backend.ejectedSince(n.observedAt) {
+		if !backend.succeededSince(n.observedAt) && !backend.ejectedSince(n.observedAt) {
 			b.eject(backend, b.maxObjective)
 		}
 	case n.value == valueLate:
 		backend.outlierState.recordTimeout()
-		backend.learnLatency(lateLatencyRatio)
+		backend.recordLatency(lateLatencyRatio)
 	default:
-		backend.learnLatency(n.ratio())
+		backend.recordLatency(n.ratio())
 		backend.recordPeerSuccess(n.observedAt)
 	}
 	b.recordObservation(n)
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -55,11 +55,11 @@
 // recordTimeout counts an attempt without a response.
 func (o *outlierState) recordTimeout() { o.consecutiveTimeouts++ }
 
-// silent reports whether there are too many consecutive time-outs to be due to slow responses.
-func (o *outlierState) silent() bool { return o.consecutiveTimeouts >= unresponsiveTimeouts }
+// unresponsive reports whether there are too many consecutive time-outs to be due to slow responses.
+func (o *outlierState) unresponsive() bool { return o.consecutiveTimeouts >= unresponsiveTimeouts }
 
-// answeredSince reports whether a success was recorded at or after the given time.
-func (o *outlierState) answeredSince(at time.Duration) bool { return o.lastSuccessAt >= at }
+// succeededSince reports whether a success was recorded at or after the given time.
+func (o *outlierState) succeededSince(at time.Duration) bool { return o.lastSuccessAt >= at }
 
 // failsBeyondChance reports whether the consecutive failures are less probable than the given probability at a backend
 // with the baseline failure rate.
@@ -108,19 +108,23 @@
 // rejecting reports whether to avoid the backend because it has rejected an attempt.
 func (o *outlierState) rejecting(now time.Duration) bool { return now < o.rejectingUntil }
 
-// presumeDead records that the backend's process has probably died; revive that the backend has responded since.
-func (o *outlierState) presumeDead() { o.presumedDead = true }
-func (o *outlierState) revive()      { o.presumedDead = false }
+// presumeDead records that the backend's process has probably died; clearPresumedDead that the backend has responded
+// since.
+func (o *outlierState) presumeDead()       { o.presumedDead = true }
+func (o *outlierState) clearPresumedDead() { o.presumedDead = false }
 
-// restarted clears the state that doesn't apply to a new process: the score, the present ejection and a presumed death.
-func (o *outlierState) restarted() { o.failureScore, o.ejectedUntil, o.presumedDead = 0, 0, false }
+// resetForRestart clears the state that doesn't apply to a new process: the score, the present ejection and a presumed
+// death.
+func (o *outlierState) resetForRestart() {
+	o.failureScore, o.ejectedUntil, o.presumedDead = 0, 0, false
+}
 
-// forgive clears everything but the time of the last success.
-func (o *outlierState) forgive() { *o = outlierState{lastSuccessAt: o.lastSuccessAt} }
+// clearFailures clears everything but the time of the last success.
+func (o *outlierState) clearFailures() { *o = outlierState{lastSuccessAt: o.lastSuccessAt} }
 
-// forgiveSince clears all time-outs, and an ejection at or after the given time together with the failures that led to
-// it: an outage of the zone caused them.
-func (o *outlierState) forgiveSince(at time.Duration) {
+// clearFailuresSince clears all time-outs, and an ejection at or after the given time together with the failures that
+// led to it: an outage of the zone caused them.
+func (o *outlierState) clearFailuresSince(at time.Duration) {
 	if o.ejectedSince(at) {
 		o.failureScore, o.ejectedUntil, o.consecutiveFailures, o.failureRate = 0, 0, 0, 0
 	}
--- a/balancer/outliers_unit_test.go
+++ b/balancer/outliers_unit_test.go
@@ -109,17 +109,17 @@
 	for range unresponsiveTimeouts {
 		o.recordTimeout()
 	}
-	if !o.silent() {
+	if !o.unresponsive() {
 		t.Fatal("not silent after time-outs in a row")
 	}
 	o.recordPeerSuccess(time.Hour)
-	if o.failureScore != 1 || o.silent() || !o.answeredSince(time.Hour) || o.answeredSince(time.Hour+1) {
+	if o.failureScore != 1 || o.unresponsive() || !o.succeededSince(time.Hour) || o.succeededSince(time.Hour+1) {
 		t.Errorf("after a success as old as the ejection: %+v", o)
 	}
 	if o.recordPeerSuccess(time.Hour + 1); o.failureScore != 1-failureScoreDecay {
 		t.Errorf("after a newer success the score is %v", o.failureScore)
 	}
-	if o.recordPeerSuccess(time.Minute); !o.answeredSince(time.Hour + 1) {
+	if o.recordPeerSuccess(time.Minute); !o.succeededSince(time.Hour + 1) {
 		t.Error("an old success hides a newer one")
 	}
 }
@@ -134,18 +134,18 @@
 		return o
 	}
 	o := ejected()
-	if o.forgive(); o != (outlierState{}) {
+	if o.clearFailures(); o != (outlierState{}) {
 		t.Errorf("forgiven: %+v", o)
 	}
 	o = ejected()
-	if o.restarted(); o.recovering() || !o.usable(time.Hour) || !o.rejecting(time.Hour) || o.consecutiveFailures != 1 {
+	if o.resetForRestart(); o.recovering() || !o.usable(time.Hour) || !o.rejecting(time.Hour) || o.consecutiveFailures != 1 {
 		t.Errorf("restarted: %+v", o)
 	}
 	o = ejected()
-	if o.forgiveSince(time.Hour + 1); !o.recovering() || o.consecutiveTimeouts != 0 || o.consecutiveFailures != 1 {
+	if o.clearFailuresSince(time.Hour + 1); !o.recovering() || o.consecutiveTimeouts != 0 || o.consecutiveFailures != 1 {
 		t.Errorf("forgiven what is newer than its ejection: %+v", o)
 	}
-	if o.forgiveSince(time.Hour); o.recovering() || o.consecutiveFailures != 0 || o.failureRate != 0 || o.ejectedUntil != 0 {
+	if o.clearFailuresSince(time.Hour); o.recovering() || o.consecutiveFailures != 0 || o.failureRate != 0 || o.ejectedUntil != 0 {
 		t.Errorf("forgiven what is as new as its ejection: %+v", o)
 	}
 }
--- a/balancer/picking_unit_test.go
+++ b/balancer/picking_unit_test.go
@@ -13,8 +13,8 @@
 	if got := s.size(500, objective, false); got != 500 {
 		t.Errorf("%d of 500 before the rate is known", got)
 	}
-	s.arrive(time.Hour)
-	s.arrive(time.Hour + 160*time.Millisecond)
+	s.recordArrival(time.Hour)
+	s.recordArrival(time.Hour + 160*time.Millisecond)
 	if got := s.size(500, objective, false); got != 10 { // four objectives at one request in 0.16 s
 		t.Errorf("%d backends, want 10", got)
 	}
@@ -22,10 +22,10 @@
 		t.Errorf("%d of 500 where observations cover all", got)
 	}
 	slow, fast := newSubset(), newSubset()
-	slow.arrive(time.Hour)
-	slow.arrive(2 * time.Hour)
-	fast.arrive(time.Hour)
-	fast.arrive(time.Hour + time.Microsecond)
+	slow.recordArrival(time.Hour)
+	slow.recordArrival(2 * time.Hour)
+	fast.recordArrival(time.Hour)
+	fast.recordArrival(time.Hour + time.Microsecond)
 	if got := slow.size(500, objective, false); got != minSubset {
 		t.Errorf("%d backends for a request per hour", got)
 	}
@@ -36,8 +36,8 @@
 
 func TestSubsetShrinksWhenConnectionsAreRejected(t *testing.T) {
 	s := newSubset()
-	s.arrive(time.Hour)
-	s.arrive(time.Hour + 16*time.Millisecond)
+	s.recordArrival(time.Hour)
+	s.recordArrival(time.Hour + 16*time.Millisecond)
 	before := s.size(5000, objective, false)
 	for range 7 {
 		s.shrink()
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -6,14 +6,14 @@
 
 // attempt is one send of a request to a backend.
 type attempt struct {
-	backend       *backendState
-	zone, cell    int // at the time of sending: a later endpoint update may change them
-	sentAt        time.Duration
-	sendDeadline  time.Duration // its last byte is sent by then; 0: no bound
-	expected      float64       // latency, ns
-	open          bool          // has no outcome yet
-	countedLate   bool          // its latency was counted when it became overdue
-	countedSilent bool          // was counted as unanswered by its zone
+	backend           *backendState
+	zone, cell        int // at the time of sending: a later endpoint update may change them
+	sentAt            time.Duration
+	sendDeadline      time.Duration // its last byte is sent by then; 0: no bound
+	expected          float64       // latency, ns
+	open              bool          // has no outcome yet
+	countedLate       bool          // its latency was counted when it became overdue
+	countedUnanswered bool          // was counted as unanswered by its zone
 
 	occupying bool // counted in its backend's outstanding attempts
 	untimed   bool // latency not measured: the body arrived after the send, or the response is large
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	crowdedLatencyRatio   = 1.2   // latency relative to the expected latency above which a zone is congested
-	boundValueFactor      = 100.0 // value of a restricted request in the admission queue, relative to others of its class
+	congestedLatencyRatio = 1.2   // latency relative to the expected latency above which a zone is congested
+	restrictedValueFactor = 100.0 // value of a restricted request in the admission queue, relative to others of its class
 	reservationObjectives = 2.0   // longest objectives for which other requests avoid the zones of a restricted request
 )
 
@@ -26,8 +26,8 @@
 	return rule == 0 || p.table != nil && p.table.Permits(rule, zone)
 }
 
-// binds reports whether a rule (0: none) restricts requests to some zones. An unknown rule does.
-func (p residencyPolicy) binds(rule int) bool {
+// restricts reports whether a rule (0: none) restricts requests to some zones. An unknown rule does.
+func (p residencyPolicy) restricts(rule int) bool {
 	return rule != 0 && (p.table == nil || rule >= len(p.table.Permitted) || p.table.Restricted[rule])
 }
 
@@ -37,13 +37,15 @@
 	return b.residency.permits(req.residencyRule, zone)
 }
 
-// residencyBound reports whether a request may be served only in some zones.
-func (b *Balancer) residencyBound(req *request) bool { return b.residency.binds(req.residencyRule) }
+// residencyRestricted reports whether a request may be served only in some zones.
+func (b *Balancer) residencyRestricted(req *request) bool {
+	return b.residency.restricts(req.residencyRule)
+}
 
 // hasPermittedBackend reports whether any backend that is up may serve the request. A request without one is refused
 // at once.
 func (b *Balancer) hasPermittedBackend(req *request) bool {
-	return !b.residencyBound(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool {
+	return !b.residencyRestricted(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool {
 		return backend.State == Up && b.permits(req, backend.Zone)
 	})
 }
@@ -64,7 +66,7 @@
 	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
 		open = open || z.open() && !z.reserved(b.now)
-		if z.reserved(b.now) && !b.residencyBound(req) {
+		if z.reserved(b.now) && !b.residencyRestricted(req) {
 			if reserved == nil {
 				reserved = make([]bool, len(b.zones))
 			}
--- a/balancer/residency_unit_test.go
+++ b/balancer/residency_unit_test.go
@@ -30,7 +30,7 @@
 		if got := c.policy.permits(c.rule, c.zone); got != c.permits {
 			t.Errorf("%s: permitted %v", name, got)
 		}
-		if got := c.policy.binds(c.rule); got != c.binds {
+		if got := c.policy.restricts(c.rule); got != c.binds {
 			t.Errorf("%s: bound %v", name, got)
 		}
 	}
--- a/balancer/sequentialtest.go
+++ b/balancer/sequentialtest.go
@@ -37,12 +37,12 @@
 	receivedAt time.Duration
 }
 
-// silenceCount counts the unanswered attempts of one backend in the zone's latest suspicion period.
-type silenceCount struct{ period, attempts int }
+// unansweredCount counts the unanswered attempts of one backend in the zone's latest suspicion period.
+type unansweredCount struct{ period, attempts int }
 
 // weigh counts an attempt and returns its weight: 1 for the first attempt and 0.5 for the second. Further ones get 0,
 // since they are no evidence about the other backends.
-func (c *silenceCount) weigh(period int) float64 {
+func (c *unansweredCount) weigh(period int) float64 {
 	if c.period != period {
 		c.period, c.attempts = period, 0
 	}
@@ -53,7 +53,7 @@
 
 // recordUnanswered adds an unanswered attempt, sent at the given time, as evidence of a loss. baseline is the share of
 // unanswered attempts in normal operation.
-func (t *sequentialTest) recordUnanswered(sentAt time.Duration, baseline float64, backend *silenceCount) {
+func (t *sequentialTest) recordUnanswered(sentAt time.Duration, baseline float64, backend *unansweredCount) {
 	t.unansweredRate += smoothing / 2 * (1 - t.unansweredRate)
 	if t.logLikelihoodRatio == 0 {
 		t.suspicionPeriod++
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -31,8 +31,8 @@
 // startedBefore reports whether the latest start was before the given time.
 func (s *slowStartState) startedBefore(at time.Duration) bool { return s.slowStartAt < at }
 
-// answer records a response of the backend.
-func (s *slowStartState) answer() { s.respondedSinceStart = true }
+// recordResponse records a response of the backend.
+func (s *slowStartState) recordResponse() { s.respondedSinceStart = true }
 
 // refill adds rate, in mean requests per ns, times the time since the last refill to the budget, up to one request.
 func (s *slowStartState) refill(rate float64, now time.Duration) {
@@ -88,9 +88,9 @@
 	return min(1, m.initial+(guaranteed-m.initial)/m.warmUpRatio, guaranteed*m.trustedMultiple)
 }
 
-// learn updates warmUpRatio from a response of a backend in slow start: the latency ratios of the response and of the
+// recordLatency updates warmUpRatio from a response of a backend in slow start: the latency ratios of the response and of the
 // backend's kind, and the backend's estimated warmth.
-func (m *slowStartModel) learn(ratio, kindRatio, warmth float64) {
+func (m *slowStartModel) recordLatency(ratio, kindRatio, warmth float64) {
 	m.warmUpRatio = min(1, max(1/maxLatencyRatio, m.warmUpRatio*(1+smoothing*(ratio/kindRatio*warmth-1))))
 }
 
--- a/balancer/slowstart_unit_test.go
+++ b/balancer/slowstart_unit_test.go
@@ -44,13 +44,13 @@
 		t.Errorf("before any answer warmth is %v, guaranteed %v", got, guaranteed)
 	}
 	for range 1000 { // as fast as a warm backend
-		m.learn(guaranteed, 1, guaranteed)
+		m.recordLatency(guaranteed, 1, guaranteed)
 	}
 	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, trustExponent); got <= guaranteed || got > most {
 		t.Errorf("after fast answers warmth is %v, guaranteed %v, trusted at most %v", got, guaranteed, most)
 	}
 	for range 1000 { // slower than its warmth explains
-		m.learn(2/guaranteed, 1, guaranteed)
+		m.recordLatency(2/guaranteed, 1, guaranteed)
 	}
 	if got := m.warmth(&s, now); !near(got, guaranteed) {
 		t.Errorf("after slow answers warmth is %v, guaranteed %v", got, guaranteed)
@@ -125,18 +125,18 @@
 func TestLatencyRatioLearnsFastAtFirst(t *testing.T) {
 	var l latencyEstimate
 	l.resetLatency()
-	l.learnLatency(4)
+	l.recordLatency(4)
 	if !near(l.latencyRatio, 2) { // a third of the way
 		t.Errorf("ratio %v after one sample of 4", l.latencyRatio)
 	}
 	for range 1000 {
-		l.learnLatency(100)
+		l.recordLatency(100)
 	}
 	if !near(l.latencyRatio, maxLatencyRatio) {
 		t.Errorf("ratio %v after very slow answers, want the bound", l.latencyRatio)
 	}
 	before := l.latencyRatio
-	if l.learnLatency(0); !near(l.latencyRatio, before*(1-smoothing)) {
+	if l.recordLatency(0); !near(l.latencyRatio, before*(1-smoothing)) {
 		t.Errorf("ratio %v after one fast answer among many slow ones", l.latencyRatio)
 	}
 	if l.resetLatency(); l.latencyRatio != 1 || l.latencySamples != 0 {
@@ -147,7 +147,7 @@
 func TestKindRatiosAreKeptByClassAndKind(t *testing.T) {
 	k := newKindRatios(2)
 	for range 1000 {
-		k.learn(1, 3, 2)
+		k.recordLatency(1, 3, 2)
 	}
 	for _, c := range []struct {
 		class, kind int
@@ -157,7 +157,7 @@
 			t.Errorf("class %d, kind %d: %v, want %v", c.class, c.kind, got, c.want)
 		}
 	}
-	if k.learn(0, -1, 3); k.of(0, 0) != k.of(0, -1) || k.of(0, 0) == 1 {
+	if k.recordLatency(0, -1, 3); k.of(0, 0) != k.of(0, -1) || k.of(0, 0) == 1 {
 		t.Error("an unknown kind does not count as kind 0")
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -23,8 +23,8 @@
 // newSubset returns the subset of an agent that has received no request.
 func newSubset() subset { return subset{scale: 1} }
 
-// arrive counts a request.
-func (s *subset) arrive(now time.Duration) {
+// recordArrival counts a request.
+func (s *subset) recordArrival(now time.Duration) {
 	if s.lastArrivalAt > 0 {
 		s.meanInterarrival = ewma(s.meanInterarrival, float64(now-s.lastArrivalAt))
 	}
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -19,8 +19,8 @@
 // recordLatency adds the latency of a response, relative to the expected latency.
 func (z *zone) recordLatency(ratio float64) { z.latencyRatio = ewma(z.latencyRatio, ratio) }
 
-// crowded reports whether the zone's responses take much longer than expected.
-func (z *zone) crowded() bool { return z.latencyRatio > crowdedLatencyRatio }
+// congested reports whether the zone's responses take much longer than expected.
+func (z *zone) congested() bool { return z.latencyRatio > congestedLatencyRatio }
 
 // reserve makes requests that may go elsewhere avoid the zone until the given time; reserved reports whether they do.
 func (z *zone) reserve(until time.Duration)     { z.reservedUntil = until }
