--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -14,11 +14,11 @@
 // auditor checks the rules from events and actions alone. It models no backend: it only records the events that the
 // balancer received and the actions that it returned.
 type auditor struct {
-	s        balancer.Settings
-	now      time.Duration
-	requests map[string]*audited
-	backends map[string]*auditedBackend
-	faults   []string
+	s          balancer.Settings
+	now        time.Duration
+	requests   map[string]*audited
+	backends   map[string]*auditedBackend
+	violations []string
 }
 
 type audited struct {
@@ -48,8 +48,8 @@
 	return &auditor{s: s, requests: map[string]*audited{}, backends: map[string]*auditedBackend{}}
 }
 
-func (a *auditor) fault(format string, args ...any) {
-	a.faults = append(a.faults, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
+func (a *auditor) violation(format string, args ...any) {
+	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
 func (a *auditor) event(e balancer.Event) {
@@ -120,18 +120,18 @@
 			free := r.class.Idempotency == balancer.Idempotent ||
 				r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeAll
 			if (s.possiblyExecuted || s.outstanding) && !free {
-				a.fault("%s refused though an attempt may have executed", act.Request)
+				a.violation("%s refused though an attempt may have executed", act.Request)
 			}
 		}
 	case balancer.Fail:
 		a.final(act.Request)
 	case balancer.SetTimer:
 		if act.After < 0 {
-			a.fault("timer in the past: after %v", act.After)
+			a.violation("timer in the past: after %v", act.After)
 		}
 	case balancer.SendGossip:
 		if !a.s.GossipAllowed || len(act.Data) > 256 || act.To < 0 || act.To >= a.s.Balancers || act.To == a.s.Self {
-			a.fault("message of %d bytes to peer %d is not allowed", len(act.Data), act.To)
+			a.violation("message of %d bytes to peer %d is not allowed", len(act.Data), act.To)
 		}
 	}
 }
@@ -140,12 +140,12 @@
 	r := a.requests[id]
 	switch {
 	case r == nil:
-		a.fault("final answer for the unknown request %s", id)
+		a.violation("final answer for the unknown request %s", id)
 		return nil
 	case r.ended && r.abandonedAt != a.now:
-		a.fault("%s answered twice", id)
+		a.violation("%s answered twice", id)
 	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
-		a.fault("%s answered late", id)
+		a.violation("%s answered late", id)
 	}
 	r.ended, r.abandonedAt = true, 0
 	return r
@@ -154,23 +154,23 @@
 func (a *auditor) send(act balancer.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
-		a.fault("send of %q to %q, of which one is unknown", act.Request, act.Backend)
+		a.violation("send of %q to %q, of which one is unknown", act.Request, act.Backend)
 		return
 	}
 	if r.ended && r.abandonedAt != a.now {
-		a.fault("%s sent after its final answer", act.Request)
+		a.violation("%s sent after its final answer", act.Request)
 	}
 	if len(r.sends) >= max(1, a.s.MaxAttempts) {
-		a.fault("%s sent past the attempt limit", act.Request)
+		a.violation("%s sent past the attempt limit", act.Request)
 	}
 	if b.unavailableAt > 0 && a.now > b.unavailableAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, which has been draining or removed for %v", act.Request, act.Backend, a.now-b.unavailableAt)
+		a.violation("%s sent to %s, which has been draining or removed for %v", act.Request, act.Backend, a.now-b.unavailableAt)
 	}
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
 		if s.outstanding && !a.s.HedgingAllowed {
-			a.fault("%s has two outstanding attempts", act.Request)
+			a.violation("%s has two outstanding attempts", act.Request)
 		}
 		if anchor == nil && (s.outstanding || s.possiblyExecuted) {
 			anchor = s
@@ -180,12 +180,12 @@
 		from := a.backends[anchor.backend]
 		switch {
 		case r.class.Idempotency == balancer.NonIdempotent:
-			a.fault("%s sent again though it is not idempotent and may have executed", act.Request)
+			a.violation("%s sent again though it is not idempotent and may have executed", act.Request)
 		case r.class.Idempotency == balancer.IdempotencyKey && a.now-anchor.at > r.class.DedupWindow:
-			a.fault("%s sent again after its deduplication window", act.Request)
+			a.violation("%s sent again after its deduplication window", act.Request)
 		case r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeZone && from.Zone != b.Zone,
 			r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeCell && from.Cell != b.Cell:
-			a.fault("%s sent again outside its idempotency scope", act.Request)
+			a.violation("%s sent again outside its idempotency scope", act.Request)
 		}
 	}
 	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, outstanding: true})
@@ -222,7 +222,7 @@
 		}
 	}
 	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth(b)*most+3 {
-		a.fault("%s is in slow start for %v and got %d sends in %v; the busiest other backend, scaled to full warmth, %.1f in three times that",
+		a.violation("%s is in slow start for %v and got %d sends in %v; the busiest other backend, scaled to full warmth, %.1f in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
 }
@@ -231,7 +231,7 @@
 func (a *auditor) checkUnanswered() {
 	for id, r := range a.requests {
 		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
-			a.fault("%s got no final answer in time", id)
+			a.violation("%s got no final answer in time", id)
 			r.ended = true
 		}
 	}
@@ -298,8 +298,8 @@
 				}
 			}
 			a.checkUnanswered()
-			if got := strings.Join(a.faults, "; "); !strings.Contains(got, tt.want) {
-				t.Errorf("faults %q, want one with %q", got, tt.want)
+			if got := strings.Join(a.violations, "; "); !strings.Contains(got, tt.want) {
+				t.Errorf("violations %q, want one that contains %q", got, tt.want)
 			}
 		})
 	}
--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -212,8 +212,8 @@
 			}
 			left[turn.Zone] = turn.at
 		}
-		if len(z.audit.faults) > 0 {
-			rt.Fatalf("rules: %v", z.audit.faults[0])
+		if len(z.audit.violations) > 0 {
+			rt.Fatalf("rules: %v", z.audit.violations[0])
 		}
 	})
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -18,7 +18,7 @@
 	}
 	b.onLossReport(event.From, message.lostZones)
 	if b.gossipsObservations() {
-		b.limiter.learnFromPeer(message.latencyRatio)
+		b.limiter.recordPeerLatency(message.latencyRatio)
 		for _, entry := range message.observations {
 			b.applyObservation(entry)
 		}
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -76,9 +76,9 @@
 // assignQuota sets this agent's share of the limit.
 func (l *concurrencyLimiter) assignQuota(quota float64) { l.quota = quota }
 
-// learnFromPeer updates the latency ratio with that of a peer: an agent with little traffic measures a change of
+// recordPeerLatency updates the latency ratio with that of a peer: an agent with little traffic measures a change of
 // latency too late by itself.
-func (l *concurrencyLimiter) learnFromPeer(ratio float64) {
+func (l *concurrencyLimiter) recordPeerLatency(ratio float64) {
 	l.latencyRatio = ewma(l.latencyRatio, min(ratio, 1))
 }
 
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -138,8 +138,8 @@
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
 		a := playAdverseEvents(t, seed, 600)
-		if len(a.faults) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
+		if len(a.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
 		}
 	}
 }
@@ -147,8 +147,8 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := playAdverseEvents(t, seed, 400); len(a.faults) > 0 {
-			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
+		if a := playAdverseEvents(t, seed, 400); len(a.violations) > 0 {
+			t.Fatal(strings.Join(a.violations[:min(3, len(a.violations))], "\n"))
 		}
 	})
 }
