--- a/balancer/credit.go
+++ b/balancer/credit.go
@@ -3,9 +3,9 @@
 // Admission by credit, for agents whose quota is less than one attempt. The struct uses no other state.
 
 const (
-	targetLatencyRatioAlone = 0.6 // target without gossip: there, chance rejections count as latency
-	creditBurst             = 4.0 // most credit of an account, in mean requests
-	maxCreditPerRequest     = 2.0 // most credit for a first attempt, as a multiple of its work: retries need credit too
+	targetLatencyRatioWithoutGossip = 0.6 // target without gossip: there, chance rejections count as latency
+	creditBurst                     = 4.0 // most credit of an account, in mean requests
+	maxCreditPerRequest             = 2.0 // most credit for a first attempt, as a multiple of its work: retries need credit too
 )
 
 // creditAccount is the work, in ns, that an agent with a sparse quota may still send. It may fall below zero.
@@ -14,9 +14,9 @@
 // accrue adds the credit for a first attempt: its work, in ns, times the square of target latency over current latency.
 // The credit is capped at creditBurst mean requests of the class.
 func (c *creditAccount) accrue(work, latencyRatio, meanLatency float64, gossiping bool) {
-	factor := targetLatencyRatioAlone / max(latencyRatio, 1e-9)
+	factor := targetLatencyRatioWithoutGossip / max(latencyRatio, 1e-9)
 	if gossiping {
-		factor *= targetLatencyRatio / targetLatencyRatioAlone
+		factor *= targetLatencyRatio / targetLatencyRatioWithoutGossip
 	}
 	c.credit = min(c.credit+work*min(factor*factor, maxCreditPerRequest), creditBurst*meanLatency)
 }
--- a/balancer/limiter_unit_test.go
+++ b/balancer/limiter_unit_test.go
@@ -77,8 +77,8 @@
 		"at the target":         {targetLatencyRatio, true, 1},
 		"twice the target":      {2 * targetLatencyRatio, true, 0.25},
 		"far below":             {0, true, maxCreditPerRequest},
-		"without gossip":        {targetLatencyRatioAlone, false, 1},
-		"without gossip, twice": {2 * targetLatencyRatioAlone, false, 0.25},
+		"without gossip":        {targetLatencyRatioWithoutGossip, false, 1},
+		"without gossip, twice": {2 * targetLatencyRatioWithoutGossip, false, 0.25},
 	} {
 		var account creditAccount
 		account.accrue(work, c.ratio, mean, c.gossiping)
