--- a/balancer/backends.go
+++ b/balancer/backends.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// backendState is the record of one backend. Only the file of an embedded struct changes its fields.
+// backendState is the record of one backend. Only the file that defines an embedded struct changes
+// its fields.
 type backendState struct {
 	Backend
 	outlierState
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -68,7 +68,7 @@
 	return offset > 2*tick || offset < -2*tick
 }
 
-// recordArrival counts a request that arrived.
+// recordArrival counts the arrival of a request.
 func (c *classState) recordArrival() { c.arrivals++ }
 
 // countMetObjective counts a request that was answered within its objective.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -85,8 +85,8 @@
 		backend.Backend = entry
 	}
 	slices.SortStableFunc(b.backends, func(x, y *backendState) int { return cmp.Compare(x.subsetRank, y.subsetRank) })
-	// The record of a removed backend stays only while attempts are outstanding there: with each replacement of the
-	// fleet the records would otherwise grow.
+	// The record of a removed backend stays only while attempts are outstanding there. Otherwise the records would
+	// grow with each replacement of the fleet.
 	b.backends = slices.DeleteFunc(b.backends, func(backend *backendState) bool {
 		if update.Kind != UpdateDelta && !listed[backend.ID] {
 			b.markUnstable(backend)
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -93,8 +93,8 @@
 	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
 }
 
-// finish gives a request its final answer, unless the answer is a response. The answer is a refusal if no attempt can
-// have executed, which makes a retry by the client safe, and a failure otherwise.
+// finish gives a request a final answer of the balancer's; no other function does. The answer is a refusal if no
+// attempt can have executed, which makes a retry by any client safe, and a failure otherwise.
 func (b *Balancer) finish(req *request) {
 	if req.ended {
 		return
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -99,7 +99,7 @@
 }
 
 // recordFailure records a failed attempt. It ejects the backend when its consecutive failures are improbable at the
-// failure rate of the other backends. When a process dies, all its outstanding attempts break and new connections are
+// baseline failure rate of the backends. When a process dies, all its outstanding attempts break and new connections are
 // refused; a backend with these signs counts as just started once it responds again.
 func (b *Balancer) recordFailure(a *attempt, class *classState, result Result) {
 	backend := a.backend
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// visitNewestFirst calls visit for each request, from the newest to the oldest, and lets next return skipped requests again.
-// visit may remove the request that it gets.
+// visitNewestFirst calls visit for each request, from the newest to the oldest, and lets next return skipped requests
+// again. visit may remove the request that it gets.
 func (q *admissionQueue) visitNewestFirst(visit func(*request)) {
 	for i := len(q.requests) - 1; i >= 0; i-- {
 		req := q.requests[i]
