--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// Tests of zone failover, and the rig with three zones that they use.
+// Tests of zone failover, and the rig with three zones that the tests use.
 
 import (
 	"encoding/binary"
@@ -15,24 +15,24 @@
 	"martenbeam/balancer"
 )
 
-// The same cases every time; -rapid.seed=0 draws others.
+// Every run draws the same cases; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "1") } // rapid has registered it
 
-// zoneRig is a rig with three zones of three backends, which answer after a while unless their zone is silent.
+// zoneRig is a rig with three zones of three backends, which respond after 20 ms unless they are unresponsive.
 type zoneRig struct {
 	*rig
 	list           []balancer.Backend
 	silent         map[int]bool
-	answerAt       map[string]time.Duration // when each request's answer arrives
+	answerAt       map[string]time.Duration // when the outcome of each request's latest attempt arrives
 	clientDeadline map[string]time.Duration // when each request's client stops waiting
 	first          map[int]int              // first attempts by zone
 	probes         []string
 	requests       int
 	probed         int
-	silentBackends map[string]bool // single backends that are silent
+	silentBackends map[string]bool // unresponsive backends in responsive zones
 	changes        []zoneChange
 	gossip         [][]byte              // messages to peers
-	extraLatency   map[int]time.Duration // additional latency of a zone's answers
+	extraLatency   map[int]time.Duration // additional latency of a zone's responses
 	class          func(n int) int       // of the n-th request; nil: all idempotent
 	settings       balancer.Settings
 }
@@ -62,7 +62,7 @@
 
 func (z *zoneRig) zone(id string) int { return int(id[0]-'a') % 3 }
 
-// record keeps the balancer's actions and schedules answers.
+// record stores the balancer's actions and schedules the outcomes of its attempts.
 func (z *zoneRig) record(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// run lets time pass, with a request every 5 ms.
+// run advances the clock by the span, with a request every 5 ms.
 func (z *zoneRig) run(span time.Duration) {
 	for end := z.now + span; z.now < end; {
 		z.record(z.advance(5 * ms))
@@ -125,31 +125,32 @@
 	}
 }
 
-// A zone that falls silent is failed over, checked by probes, and recovers with a growing share of traffic.
-func TestSilentZoneFailsOverAndRecovers(t *testing.T) {
+// An unresponsive zone is failed over and probed, and gets its share of traffic back after it responds again.
+func TestUnresponsiveZoneFailsOverAndRecovers(t *testing.T) {
 	z := newZoneRig(t, 3)
 	z.run(2 * time.Second)
 	if z.first[1] < 60 {
-		t.Fatalf("before: %v", z.first)
+		t.Fatalf("before the outage: first attempts by zone %v, want at least 60 in zone 1", z.first)
 	}
 	z.silent[1] = true
 	z.run(1500 * ms)
 	clear(z.first)
 	z.run(2 * time.Second)
 	if z.first[1] > 0 || z.first[0]+z.first[2] < 300 {
-		t.Errorf("after it was left: first attempts by zone %v", z.first)
+		t.Errorf("after the failover: first attempts by zone %v, want none in zone 1 and at least 300 in the others", z.first)
 	}
 	z.silent[1] = false
 	z.run(5 * time.Second)
 	clear(z.first)
 	z.run(2 * time.Second)
 	if z.first[1] < 60 {
-		t.Errorf("after its return: %v", z.first)
+		t.Errorf("after the recovery: first attempts by zone %v, want at least 60 in zone 1", z.first)
 	}
 }
 
-// Silence everywhere is this agent's own: it fails over from nothing, and works again as soon as anything answers.
-func TestSilenceEverywhereFailsNothingOver(t *testing.T) {
+// If no zone responds, the agent or its own link is the cause: it doesn't fail over, and uses all zones again when they
+// respond.
+func TestNoFailoverWhenAllZonesAreUnresponsive(t *testing.T) {
 	z := newZoneRig(t, 4)
 	z.run(time.Second)
 	for zone := range 3 {
@@ -157,34 +158,34 @@
 	}
 	z.run(3 * time.Second)
 	if z.probed > 0 {
-		t.Error("a zone was left")
+		t.Error("a zone was failed over")
 	}
 	clear(z.silent)
 	z.run(6 * time.Second)
 	clear(z.first)
 	z.run(2 * time.Second)
 	if z.first[0] < 30 || z.first[1] < 30 || z.first[2] < 30 {
-		t.Errorf("afterwards: %v", z.first)
+		t.Errorf("after the outage: first attempts by zone %v, want at least 30 in each", z.first)
 	}
 }
 
-// A zone in which most backends are silent and one answers is not failed over: its backends are judged one by one.
-func TestAnsweringZoneIsNotFailedOver(t *testing.T) {
+// A zone in which two of three backends are unresponsive is not failed over: its backends are ejected individually.
+func TestPartlyResponsiveZoneIsNotFailedOver(t *testing.T) {
 	z := newZoneRig(t, 5)
 	z.run(time.Second)
 	z.silentBackends = map[string]bool{"e": true, "h": true}
 	z.run(4 * time.Second)
 	if z.probed > 0 {
-		t.Error("the zone was left")
+		t.Error("the zone was failed over")
 	}
 	if z.first[1] == 0 {
-		t.Error("nothing goes there")
+		t.Error("the zone got no first attempts")
 	}
 }
 
-// Whatever zones do: the rules hold, a failover has a minimum length, no zone stays out of use once all answer again,
-// and what goes to the other zones in the meantime stays within their capacity.
-func TestZonesUnderRandomSilence(t *testing.T) {
+// Under random outages of zones the auditor's rules hold, a failover has a minimum length, and every zone is in use
+// again after all zones respond.
+func TestZonesUnderRandomOutages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		z := newZoneRig(t, rapid.Uint64().Draw(rt, "seed"))
 		z.audit = newAuditor(z.settings)
@@ -202,15 +203,15 @@
 		z.run(time.Second)
 		for zone := range 3 {
 			if z.first[zone] == 0 {
-				rt.Fatalf("zone %d is out of use for good: %v", zone, z.first)
+				rt.Fatalf("zone %d is still unused 12 s after all zones respond: first attempts by zone %v", zone, z.first)
 			}
 		}
-		left := map[int]time.Duration{}
-		for _, turn := range z.changes {
-			if at := left[turn.Zone]; !turn.FailedOver && turn.at-at < 200*ms { // half of the longest objective
-				rt.Fatalf("zone %d was left for %v only", turn.Zone, turn.at-at)
+		changedAt := map[int]time.Duration{}
+		for _, change := range z.changes {
+			if at := changedAt[change.Zone]; !change.FailedOver && change.at-at < 200*ms { // half of the longest objective
+				rt.Fatalf("the failover of zone %d lasted only %v", change.Zone, change.at-at)
 			}
-			left[turn.Zone] = turn.at
+			changedAt[change.Zone] = change.at
 		}
 		if len(z.audit.faults) > 0 {
 			rt.Fatalf("rules: %v", z.audit.faults[0])
@@ -218,56 +219,57 @@
 	})
 }
 
-// lossReportData is the message of a peer without demand that found the given zones lost, one bit each.
+// lossReportData returns the message of a peer without demand that found the given zones lost, one bit each.
 func lossReportData(zones uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(make([]byte, 8), 0), zones)
 }
 
-// Reports of three peers, and silence here, make an agent fail over from a zone that it hardly sends to.
+// The reports of three peers make an agent fail over from a zone that it sends nothing to.
 func TestZoneFailsOverOnPeerReports(t *testing.T) {
 	for name, c := range map[string]struct {
-		from  []int
-		lost  uint16
-		every time.Duration
-		loud  bool // the zone goes on answering here
-		burst bool // all at once
-		want  bool
+		from       []int
+		lost       uint16
+		every      time.Duration
+		responsive bool // the zone responds to this agent
+		burst      bool // all reports at once
+		want       bool
 	}{
-		"three":                            {from: []int{1, 2, 3}, lost: 2, want: true},
-		"two":                              {from: []int{1, 2}, lost: 2},
-		"one, again and again":             {from: []int{1, 1, 1, 1}, lost: 2},
-		"three beyond a cut":               {from: []int{1, 2, 3}, lost: 2 | 1},
-		"three, too far apart":             {from: []int{1, 2, 3}, lost: 2, every: 900 * ms},
-		"three, and the zone answers here": {from: []int{1, 2, 3}, lost: 2, loud: true},
-		"three at once":                    {from: []int{1, 2, 3}, lost: 2, burst: true, want: true},
-		"three at once, and it has just answered": {from: []int{1, 2, 3}, lost: 2, burst: true, loud: true},
-		"a peer that there is not":                {from: []int{1, 2, 7}, lost: 2},
-		"three, of a zone that there is not":      {from: []int{1, 2, 3}, lost: 1 << 12},
+		"three peers":                            {from: []int{1, 2, 3}, lost: 2, want: true},
+		"two peers":                              {from: []int{1, 2}, lost: 2},
+		"one peer repeatedly":                    {from: []int{1, 1, 1, 1}, lost: 2},
+		"three partitioned-off peers":            {from: []int{1, 2, 3}, lost: 2 | 1},
+		"three reports, too far apart":           {from: []int{1, 2, 3}, lost: 2, every: 900 * ms},
+		"responsive zone":                        {from: []int{1, 2, 3}, lost: 2, responsive: true},
+		"three reports at once":                  {from: []int{1, 2, 3}, lost: 2, burst: true, want: true},
+		"three reports at once, responsive zone": {from: []int{1, 2, 3}, lost: 2, burst: true, responsive: true},
+		"nonexistent peer":                       {from: []int{1, 2, 7}, lost: 2},
+		"nonexistent zone":                       {from: []int{1, 2, 3}, lost: 1 << 12},
 	} {
 		t.Run(name, func(t *testing.T) {
 			z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 			z.run(time.Second)
-			if !c.loud { // it depends on the reports alone
+			if !c.responsive { // the agent gets no responses from the zone: only the reports count
 				for _, id := range []string{"b", "e", "h"} {
 					z.step(balancer.Disable{Backend: id})
 				}
 			}
-			z.run(100 * ms) // the outstanding attempts are answered
+			z.run(100 * ms) // until the outstanding attempts have ended
 			for _, from := range c.from {
 				if !c.burst {
 					z.run(max(c.every, 50*ms))
 				}
 				z.record(z.step(balancer.GossipReceived{From: from, Data: lossReportData(c.lost)}))
 			}
-			left := len(z.changes) > 0 && z.changes[0].Zone == 1 && z.changes[0].ByGossip
-			if left != c.want || !left && len(z.changes) > 0 {
-				t.Errorf("turns: %+v", z.changes)
+			failedOver := len(z.changes) > 0 && z.changes[0].Zone == 1 && z.changes[0].ByGossip
+			if failedOver != c.want || !failedOver && len(z.changes) > 0 {
+				t.Errorf("unexpected zone state changes: %+v", z.changes)
 			}
 		})
 	}
 }
 
-// An agent that fails over on its own evidence tells its peers at once, but only while that is news.
+// An agent that fails over on its own evidence reports that to its peers at once, and stops reporting it after the
+// longest objective.
 func TestZoneLossIsGossiped(t *testing.T) {
 	z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 	z.run(time.Second)
@@ -275,7 +277,7 @@
 	for len(z.changes) == 0 && z.now < 2*time.Hour {
 		z.run(5 * ms)
 	}
-	tellings := func() (n int) {
+	lossReports := func() (n int) {
 		for _, data := range z.gossip {
 			if len(data) == 11 && data[10] == 2 {
 				n++
@@ -283,19 +285,19 @@
 		}
 		return n
 	}
-	if told := tellings(); told != 3 {
-		t.Errorf("%d of three peers were told", told)
+	if sent := lossReports(); sent != 3 {
+		t.Errorf("%d loss reports sent, want one to each of three peers", sent)
 	}
 	z.run(500 * ms) // more than the longest objective
 	z.gossip = nil
-	if z.run(time.Second); tellings() > 0 {
-		t.Error("old news is told")
+	if z.run(time.Second); lossReports() > 0 {
+		t.Error("the loss is still reported after the longest objective")
 	}
 }
 
-// A zone in slow start is health-checked by the whole fleet, and health checks are work, too. Together they take
-// little of what a backend in slow start may get besides requests.
-func TestFleetProbesAreLittleWork(t *testing.T) {
+// The whole fleet probes a failed-over zone, and probes are work for its backends. All probes together take at most a
+// fifth of the work that a backend in slow start may get beyond its budget.
+func TestFleetProbesTakeLittleCapacity(t *testing.T) {
 	const agents, span = 100, 6 * time.Second
 	const probe, request = 0.72, 84.0 // ms of work: the most expensive health check, the cheapest request of the operators' site
 	probed, perZone := 0, 3
@@ -307,13 +309,13 @@
 		probed += z.probed
 	}
 	if probed < agents {
-		t.Fatalf("%d probes by %d agents: hardly one found the zone lost", probed, agents)
+		t.Fatalf("%d probes by %d agents, want at least one by each", probed, agents)
 	}
-	each := float64(probed) / span.Seconds() / float64(perZone) // per backend, in the window in which it may become overloaded
-	const free = 6.0                                            // requests allowed beyond its budget, at least: 3 x root of N + 3
-	if share := each * probe / (free * request); share > 0.2 {
-		t.Errorf("%.0f probes a second at each backend take %.0f%% of what is free", each, 100*share)
+	perBackend := float64(probed) / span.Seconds() / float64(perZone) // probes per second, the window for overload
+	const free = 6.0                                                  // minimum of requests allowed beyond the budget: 3 x root of N + 3
+	if share := perBackend * probe / (free * request); share > 0.2 {
+		t.Errorf("%.0f probes per second at each backend take %.0f%% of the work allowed beyond the budget", perBackend, 100*share)
 	} else {
-		t.Logf("%.1f probes a second at each backend, %.1f%% of what is free", each, 100*share)
+		t.Logf("%.1f probes per second at each backend take %.1f%% of the work allowed beyond the budget", perBackend, 100*share)
 	}
 }
--- a/balancer/failover_unit_test.go
+++ b/balancer/failover_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the sequential test, of failover state and of the zone table alone.
+// Unit tests of the sequential test, the failover state and the zone table.
 
 import (
 	"math"
@@ -13,16 +13,16 @@
 	validity  = 2 * objective
 )
 
-func TestSequentialTestDecidesOnThreeSilentBackends(t *testing.T) {
+func TestSequentialTestDecidesOnThreeUnresponsiveBackends(t *testing.T) {
 	for name, c := range map[string]struct {
-		attempts []int // the backends whose attempts stay silent, in order
+		attempts []int // the backends of the unanswered attempts, in order
 		want     bool
 	}{
-		"one backend, once":      {[]int{0}, false},
-		"one backend, for ever":  {[]int{0, 0, 0, 0, 0, 0, 0, 0}, false},
-		"two backends":           {[]int{0, 1}, false},
-		"two, which stay silent": {[]int{0, 1, 0, 1}, true},
-		"three backends":         {[]int{0, 1, 2}, true},
+		"one backend, once":        {[]int{0}, false},
+		"one backend, eight times": {[]int{0, 0, 0, 0, 0, 0, 0, 0}, false},
+		"two backends, once each":  {[]int{0, 1}, false},
+		"two backends, twice each": {[]int{0, 1, 0, 1}, true},
+		"three backends":           {[]int{0, 1, 2}, true},
 	} {
 		var test sequentialTest
 		var counts [3]unansweredCount
@@ -30,32 +30,32 @@
 			test.recordUnanswered(time.Hour, minUnansweredRate, &counts[backend])
 		}
 		if got := test.lost(time.Hour, validity); got != c.want {
-			t.Errorf("%s: lost %v, ratio %.1f", name, got, test.logLikelihoodRatio)
+			t.Errorf("%s: unexpected result: lost %v at a log-likelihood ratio of %.1f", name, got, test.logLikelihoodRatio)
 		}
 	}
 }
 
-func TestSequentialTestIsRefutedByAnswers(t *testing.T) {
+func TestSequentialTestIsRefutedByResponses(t *testing.T) {
 	var test sequentialTest
 	var count unansweredCount
 	test.recordUnanswered(time.Hour, minUnansweredRate, &count)
 	if !test.suspected() || test.suspectedSince != time.Hour || test.suspicionPeriod != 1 {
-		t.Fatalf("after a silent attempt: %+v", test)
+		t.Fatalf("after an unanswered attempt: %+v", test)
 	}
 	for n := 0; test.suspected(); n++ {
 		if n > 2 {
-			t.Fatal("three answers don't refute one silence")
+			t.Fatal("three responses don't refute one unanswered attempt")
 		}
 		test.recordResponse(time.Hour + time.Second)
 		test.refute(minUnansweredRate)
 	}
 	if !test.healthyAfter(time.Hour) || test.healthyAfter(time.Hour+time.Second) {
-		t.Error("an answer should show that the zone worked before it")
+		t.Error("a response should count as healthy for times before it, and only for those")
 	}
 	test.recordUnanswered(2*time.Hour, minUnansweredRate, &count)
 	if test.suspicionPeriod != 2 || test.suspectedSince != 2*time.Hour ||
 		!near(test.logLikelihoodRatio, math.Log(lostUnansweredRate/minUnansweredRate)) {
-		t.Errorf("the backend's first silence of a new episode does not count in full: %+v", test)
+		t.Errorf("the backend's first unanswered attempt in a new suspicion period does not count in full: %+v", test)
 	}
 }
 
@@ -67,10 +67,10 @@
 	}
 	test.recordReport(2, now, now-objective)
 	if test.lost(now, validity) {
-		t.Error("two reporters decide the test")
+		t.Error("the reports of two peers indicate a loss")
 	}
 	if test.recordReport(3, now+1, now-objective); !test.lost(now+1, validity) || test.suspectedSince != now-objective {
-		t.Error("three reporters don't decide the test")
+		t.Error("the reports of three peers don't indicate a loss")
 	}
 	if test.lost(now+validity, validity) {
 		t.Error("expired reports count")
@@ -79,51 +79,51 @@
 	test.recordReport(2, now, now)
 	test.recordReport(3, now, now)
 	if test.recordResponse(now); test.lost(now, validity) {
-		t.Error("reports count after an answer")
+		t.Error("reports still count after a response")
 	}
 }
 
-func TestFailoverBacksOffAndForgets(t *testing.T) {
+func TestFailoverBackoffGrowsAndDecays(t *testing.T) {
 	const halfLife = 10 * time.Second
 	var f failoverState
 	f.failOver(time.Hour, halfLife, true)
 	if f.trafficShare(time.Hour, objective) != 0 || f.backoff() != 1 {
-		t.Errorf("a first failover: %+v", f)
+		t.Errorf("after the first failover: %+v", f)
 	}
 	if got := f.probeInterval(objective, 10); got != float64(objective)/2 {
-		t.Errorf("a health check every %v ns", got)
+		t.Errorf("a health check every %v ns for each of 10 agents, want half an objective", got)
 	}
 	if got := f.probeInterval(objective, 100); got != float64(objective) {
-		t.Errorf("a health check every %v ns for each of 100 agents", got)
+		t.Errorf("a health check every %v ns for each of 100 agents, want one objective", got)
 	}
 	for range 10 {
 		f.recover(time.Hour)
 		f.failOver(time.Hour, halfLife, true)
 	}
 	if f.backoffExponent != maxBackoffExponent {
-		t.Errorf("exponent %v after many failovers", f.backoffExponent)
+		t.Errorf("backoff exponent %v after many failovers, want the maximum", f.backoffExponent)
 	}
 	f.recover(time.Hour)
 	if f.failOver(time.Hour+halfLife, halfLife, true); !near(f.backoffExponent, maxBackoffExponent/2+1) {
-		t.Errorf("exponent %v after a half-life", f.backoffExponent)
+		t.Errorf("backoff exponent %v after a half-life and one more failover", f.backoffExponent)
 	}
 }
 
-func TestFailoverLastsAndRecoversAlongARamp(t *testing.T) {
+func TestFailoverHasMinimumLengthAndRecoveryRamp(t *testing.T) {
 	var f failoverState
 	now := time.Hour
 	f.failOver(now, time.Second, false)
 	if f.recordProbe(true, now+objective, objective) {
-		t.Error("recovers after one health check")
+		t.Error("the zone recovers after one health check")
 	}
 	if f.recordProbe(false, now+objective, objective) || f.recordProbe(true, now+objective, objective) {
-		t.Error("recovers though a health check failed in between")
+		t.Error("the zone recovers though a health check failed in between")
 	}
 	if f.recordProbe(true, now+objective/2-1, objective) {
-		t.Error("recovers before the shortest failover is over")
+		t.Error("the zone recovers before the minimum length of a failover")
 	}
 	if !f.recordProbe(true, now+objective/2, objective) {
-		t.Fatal("does not recover")
+		t.Fatal("the zone does not recover after two consecutive health checks and the minimum length")
 	}
 	now += objective
 	f.recover(now)
@@ -142,39 +142,39 @@
 	var zones zoneTable
 	a, b, c := zones.of(0), zones.of(1), zones.of(2)
 	if zones.of(-1) != a || len(zones) != 3 {
-		t.Fatal("an unknown zone is not that of number 0")
+		t.Fatal("zone −1 does not stand for zone 0")
 	}
 	if got := zones.baselineUnansweredRate(a); got != minUnansweredRate {
-		t.Errorf("baseline %v in a silent-free fleet", got)
+		t.Errorf("baseline %v without unanswered attempts, want the minimum", got)
 	}
 	b.unansweredRate = 0.2
 	if zones.baselineUnansweredRate(a) != 0.2 || zones.baselineUnansweredRate(b) != minUnansweredRate {
-		t.Error("the baseline is not that of the other zones")
+		t.Error("the baseline is not the unanswered rate of the other zones")
 	}
 	if b.unansweredRate = 0.9; zones.baselineUnansweredRate(a) != lostUnansweredRate/2 {
-		t.Error("a silent zone makes silence look normal")
+		t.Error("an unresponsive zone raises the baseline of the others above half of lostUnansweredRate")
 	}
 	a.suspectedSince = time.Hour
 	if zones.otherZoneHealthy(a) {
-		t.Error("silence everywhere counts as one zone's")
+		t.Error("another zone counts as healthy though none has responded")
 	}
 	if c.recordResponse(time.Hour + 1); !zones.otherZoneHealthy(a) {
-		t.Error("another zone's answer does not count")
+		t.Error("another zone does not count as healthy after a response")
 	}
 	a.rtt, b.rtt, c.rtt = time.Millisecond, 3*time.Millisecond, 0
 	a.up, b.up = 1, 1
 	if zones.extraLatency(b) != 2*time.Millisecond || zones.extraLatency(a) != 0 || zones.extraLatency(c) != 0 {
-		t.Error("extra latency is not the distance to the nearest zone in use")
+		t.Error("extra latency is not relative to the nearest zone in use")
 	}
 	if a.failOver(time.Hour, time.Second, true); zones.extraLatency(b) != 0 {
 		t.Error("a failed-over zone counts as in use")
 	}
 	b.failOver(time.Hour, time.Second, false)
 	if got := zones.recentlyLost(time.Hour, time.Second); got != 1 {
-		t.Errorf("lost on own evidence: %b, want zone 0", got)
+		t.Errorf("zones lost on own evidence: %b, want only zone 0", got)
 	}
 	if got := zones.recentlyLost(time.Hour+time.Second, time.Second); got != 0 {
-		t.Errorf("lost recently: %b after the span", got)
+		t.Errorf("zones lost recently: %b after the span, want none", got)
 	}
 }
 
@@ -182,7 +182,7 @@
 	var zones zoneTable
 	own, other := zones.of(0), zones.of(1)
 	if zones.spillover(0, other) != 0 || zones.spillover(-1, other) != 0 {
-		t.Error("traffic spills over without any answer")
+		t.Error("traffic spills over before any response")
 	}
 	other.recordLatency(1)
 	for latency, want := range map[float64]float64{0.5: 0, 1: 0, 1 + spilloverAt/2: 0.5, 1 + spilloverAt: 1, 9: 1} {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// Tests of many agents over the same backends: the budgets and limits hold for their sum.
+// Tests of many agents with the same backends: budgets and limits hold for the sum of their traffic.
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"martenbeam/balancer"
 )
 
-// agentFleet is a fleet of agents that exchange no messages, on simulated time. All attempts take the same mean
+// agentFleet is a fleet of agents that exchange no messages, in simulated time. All attempts have the same mean
 // latency.
 type agentFleet struct {
 	rigs       []*rig
@@ -24,7 +24,7 @@
 	requests   int
 	sends      map[string][]sentAttempt // by backend
 	weights    []float64                // cumulative traffic shares of the agents; nil: even shares
-	workSpread float64                  // standard deviation of the logarithm of a request's work; 0: all alike
+	workSpread float64                  // standard deviation of the logarithm of a request's work; 0: all equal
 	rejectRate float64                  // share of attempts that are rejected
 	inFlight   map[string]int           // by backend
 	refused    int
@@ -56,7 +56,8 @@
 	return c
 }
 
-// play has clients send rate requests per second for the span, each to a random agent; an attempt takes the latency.
+// play simulates clients that send rate requests per second for the span, each to a random agent. An attempt takes the
+// latency on average. each, unless nil, is called every 5 ms.
 func (c *agentFleet) play(rate float64, latency, span time.Duration, each func()) {
 	end, next := c.now+span, c.now
 	for c.now < end {
@@ -98,7 +99,7 @@
 	return min(i, len(c.rigs)-1)
 }
 
-// skewTraffic gives some agents several times the mean traffic.
+// skewTraffic draws uneven traffic shares: some agents get several times the mean.
 func (c *agentFleet) skewTraffic() {
 	sum := 0.0
 	c.weights = nil
@@ -110,19 +111,19 @@
 
 // startBackends starts backends now, and updates every agent's endpoint list. It returns the time of the start.
 func (c *agentFleet) startBackends(list []balancer.Backend) time.Duration {
-	var news []balancer.Backend
+	var started []balancer.Backend
 	for _, b := range list {
 		b.Started = c.now
-		news = append(news, b)
+		started = append(started, b)
 	}
 	for _, r := range c.rigs {
 		r.now = max(r.now, c.now)
-		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: news})
+		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: started})
 	}
 	return c.now
 }
 
-// step lets an agent act now, and records what it sends.
+// step calls do on an agent at the present time, and records the attempts that it sends.
 func (c *agentFleet) step(r *rig, do func() []balancer.Action, latency time.Duration) {
 	r.now = max(r.now, c.now-5*ms)
 	if len(r.timersAt) == 0 {
@@ -152,13 +153,13 @@
 	}
 }
 
-// A backend in slow start gets no more work than it can bear from all agents together, though they exchange no
-// messages, in any span of OverloadWindow: N, which the settings allow it at that time, plus two square roots of N
-// plus two for chance. Traffic is skewed, requests are uneven, some attempts are rejected and retried, and agents may
-// start at the same moment as the backends.
+// All agents together, without messages between them, don't overload a backend in slow start. In any OverloadWindow it
+// gets at most N, the work that the settings allow at that time, plus an allowance for chance of two square roots of N
+// plus two. Traffic is skewed, requests are uneven, some attempts are rejected and retried, and agents may start at the
+// same moment as the backends.
 //
-// The demand exceeds the capacity of all, so the budget binds. The agents keep to N: with half as much again they use
-// 0.91 of the allowance for chance, and with three quarters more the test fails.
+// The demand exceeds the total capacity, so the budget binds. The agents keep to N: with budgets half as large again
+// they use 0.91 of the allowance for chance, and with budgets three quarters larger the test fails.
 func TestSlowStartBudgetHoldsAcrossAgents(t *testing.T) {
 	const served, latency = 20.0, 100 * ms // requests per second of a warm backend, and the latency of each
 	most, service := math.Inf(-1), 0
@@ -169,7 +170,7 @@
 				warm, cold := 1+d.IntN(6), 1+d.IntN(10)
 				if agents == 300 {
 					if warm, cold = 4*warm, 4*cold; seed > 0 {
-						break // one play of this size takes as long as all the others
+						break // one simulation of this size takes as long as all the others together
 					}
 				}
 				s := settings()
@@ -195,7 +196,7 @@
 					c.skewTraffic()
 				}
 				clear(c.sends)
-				c.play(2*served*float64(warm+cold), latency, 4*time.Second, nil) // more than all can serve
+				c.play(2*served*float64(warm+cold), latency, 4*time.Second, nil) // twice the capacity of all backends
 				for _, b := range list[warm:] {
 					at, sum := c.sends[b.ID], 0.0
 					service += len(at)
@@ -208,7 +209,7 @@
 						n := s.OverloadMultiple * share * served * s.OverloadWindow.Seconds()
 						most = max(most, (sum-n)/(2*math.Sqrt(n)+2))
 						if sum > n+2*math.Sqrt(n)+2 {
-							t.Fatalf("%d agents, together %v, seed %d: %s got %.1f of mean work within %v, %v after its start: %.1f fells it", agents,
+							t.Fatalf("%d agents, together %v, seed %d: %s got %.1f mean requests within %v, %v after its start, want at most %.1f", agents,
 								together, seed, b.ID, sum, s.OverloadWindow, at[j].at-start, n+2*math.Sqrt(n)+2)
 						}
 					}
@@ -216,11 +217,11 @@
 			}
 		}
 	}
-	t.Logf("the most beyond N: %.2f of what is put down to chance; %d attempts at cold backends", most, service)
+	t.Logf("largest excess over N: %.2f of the allowance for chance; %d attempts at cold backends", most, service)
 }
 
-// While some backends are in slow start, their unused share of the limit is not sent to the warm ones, which would
-// become slow by it.
+// While some backends are in slow start, the unused part of their share of the limit does not go to the warm backends,
+// which it would slow down.
 func TestWarmBackendsKeepTheirLimitShare(t *testing.T) {
 	const warm, cold, latency = 4, 8, 100 * ms
 	s := settings()
@@ -229,7 +230,7 @@
 	c := newAgentFleet(t, s, 10, 3, list)
 	c.play(400, latency, 4*time.Second, nil)
 	c.startBackends(list[warm:])
-	c.play(1500, latency, time.Second, nil) // until the outstanding attempts are answered
+	c.play(1500, latency, time.Second, nil) // until the outstanding attempts have ended
 	most, sum, n := 0, 0, 0
 	c.play(1500, latency, 3*time.Second, func() {
 		now := 0
@@ -238,12 +239,12 @@
 		}
 		most, sum, n = max(most, now), sum+now, n+1
 	})
-	// The limit starts at 6 for each backend and grows with answers this quick. Without a share of their own for warm
-	// backends it is 15.6.
+	// The limit starts at 6 per backend and grows with responses this fast. Without a separate share for warm backends
+	// the mean is 15.6.
 	if mean := float64(sum) / float64(n) / warm; mean < 3 || mean > 14.5 {
-		t.Errorf("%.1f attempts in flight at each warm backend, at most %d at all", mean, most)
+		t.Errorf("mean of %.1f attempts in flight per warm backend, want 3 to 14.5; at most %d at all warm backends", mean, most)
 	}
 	if c.refused == 0 {
-		t.Error("nothing was refused: the limit did not bind")
+		t.Error("no request was refused: the limit did not bind")
 	}
 }
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// Tests of gossip: what agents tell each other, and what it changes.
+// Tests of gossip: the messages between agents and their effects.
 
 import (
 	"encoding/binary"
@@ -12,8 +12,8 @@
 	"martenbeam/balancer"
 )
 
-// Incidents ieeee80 and i24a18c: an agent with most of the traffic gets most of the limit where agents exchange
-// messages. One that hears from nobody keeps its even share.
+// Incidents ieeee80 and i24a18c: where agents exchange messages, an agent with most of the traffic gets most of the
+// limit. An agent that receives no messages keeps its even share.
 func TestPeersShareTheLimit(t *testing.T) {
 	demand := func(busyCores float32) []byte {
 		return binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(busyCores))<<32)
@@ -21,28 +21,28 @@
 	tests := []struct {
 		name  string
 		peers bool
-		data  []byte // from each of the three others; nil: nothing
+		data  []byte // received from each of the three others; nil: none
 		want  func(n int) bool
 	}{
 		{"no messages allowed", false, demand(0), func(n int) bool { return n == 15 }},
-		{"nothing heard", true, nil, func(n int) bool { return n == 15 }},
-		{"quiet peers", true, demand(0), func(n int) bool { return n > 45 }},
+		{"no messages received", true, nil, func(n int) bool { return n == 15 }},
+		{"idle peers", true, demand(0), func(n int) bool { return n > 45 }},
 		{"busy peers", true, demand(math.MaxFloat32), func(n int) bool { return n < 6 }},
 		{"too short", true, []byte{1}, func(n int) bool { return n == 15 }},
 		{"not a number", true, demand(float32(math.NaN())), func(n int) bool { return n == 15 }},
-		{"below zero", true, demand(-1), func(n int) bool { return n == 15 }},
+		{"negative", true, demand(-1), func(n int) bool { return n == 15 }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
 			s.Balancers, s.Self, s.GossipAllowed = 4, 2, tt.peers
 			r := newRig(t, s, 1, backends(10))
-			told := 0
+			messages := 0
 			for range 30 {
 				r.serve(1, idempotent, 20*ms)
 				for _, a := range r.advance(20 * ms) {
 					if _, ok := a.(balancer.SendGossip); ok {
-						told++
+						messages++
 					}
 				}
 				if tt.data == nil {
@@ -52,8 +52,9 @@
 					r.step(balancer.GossipReceived{From: from, Data: tt.data})
 				}
 			}
-			if tt.peers != (told > 0) || told > 4*3 {
-				t.Errorf("told three peers %d times in 1.2 s with aims of 400 ms", told)
+			if tt.peers != (messages > 0) || messages > 4*3 {
+				t.Errorf("sent %d messages to three peers in 1.2 s, want up to 12 with an interval of 400 ms, none if not allowed",
+					messages)
 			}
 			n := 0
 			for i := range 100 {
@@ -62,35 +63,35 @@
 				n += len(r.sent[id])
 			}
 			if !tt.want(n) {
-				t.Errorf("%d in flight", n)
+				t.Errorf("%d requests in flight: not the expected share of the limit of 60", n)
 			}
 		})
 	}
 }
 
-// A restarted agent has seen little of its clients' demand. Beside a peer with as much traffic it must not take itself
-// for a quiet agent and refuse at a small share of the limit.
+// A restarted agent has measured little of its clients' demand. With a peer that has as much traffic, it must not count
+// as nearly idle and refuse requests at a small share of the limit.
 func TestRestartedAgentKeepsItsQuota(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 2, true
-	drive := func(self, n int, heard []byte) (r *rig, told []byte) {
+	drive := func(self, n int, received []byte) (r *rig, message []byte) {
 		s.Self = self
 		r = newRig(t, s, 1, backends(10))
 		for range n {
 			r.serve(1, idempotent, 20*ms)
 			for _, a := range r.advance(0) {
 				if a, ok := a.(balancer.SendGossip); ok {
-					told = a.Data
+					message = a.Data
 				}
 			}
-			if heard != nil {
-				r.step(balancer.GossipReceived{From: 1 - self, Data: heard})
+			if received != nil {
+				r.step(balancer.GossipReceived{From: 1 - self, Data: received})
 			}
 		}
-		return r, told
+		return r, message
 	}
-	_, told := drive(0, 500, nil)
-	r, _ := drive(1, 25, told) // half a second, a little more than a gossip interval
+	_, message := drive(0, 500, nil)
+	r, _ := drive(1, 25, message) // half a second, a little more than a gossip interval
 	n := 0
 	for i := range 100 {
 		id := fmt.Sprint("q", i)
@@ -98,23 +99,23 @@
 		n += len(r.sent[id])
 	}
 	if n < 24 || n > 40 {
-		t.Errorf("%d in flight, half the limit of 60 is its share", n)
+		t.Errorf("%d requests in flight, want about 30, half the limit of 60", n)
 	}
 }
 
-// Incident ie43f64: when every agent sent to every other, messages grew with the square of their number. However many
-// agents there are, one sends to a few, and not always the same ones.
+// Incident ie43f64: when every agent sent to every other, messages grew with the square of the number of agents. Each
+// agent sends to a few random peers, whatever the size of the fleet.
 func TestGossipFanoutIsBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 50, 2000} {
 		s := settings()
 		s.Balancers, s.Self, s.GossipAllowed = n, n/2, true
 		r := newRig(t, s, 1, backends(4))
-		told := map[int]int{}
+		recipients := map[int]int{}
 		total := 0
 		count := func(acts []balancer.Action) {
 			for _, a := range acts {
 				if a, ok := a.(balancer.SendGossip); ok {
-					told[a.To]++
+					recipients[a.To]++
 					total++
 				}
 			}
@@ -126,16 +127,17 @@
 			count(r.advance(s.Classes[0].LatencyObjective / 10))
 		}
 		if most := 11 * min(n-1, 8); total > most || n > 1 && total < 10 {
-			t.Errorf("%d agents: %d messages in ten periods, want up to %d", n, total, most)
+			t.Errorf("%d agents: %d messages in ten gossip intervals, want up to %d, and at least 10 with peers", n, total, most)
 		}
-		if told[s.Self] > 0 || len(told) < min(n-1, 20) {
-			t.Errorf("%d agents: told %d different peers, itself %d times", n, len(told), told[s.Self])
+		if recipients[s.Self] > 0 || len(recipients) < min(n-1, 20) {
+			t.Errorf("%d agents: sent to %d different peers, want 20 or all; sent to itself %d times", n, len(recipients),
+				recipients[s.Self])
 		}
 	}
 }
 
-// Incident i952f82: agents that stop leave their share of the limit to those that get their traffic.
-func TestStoppedPeersLeaveTheirQuota(t *testing.T) {
+// Incident i952f82: the share of agents that have stopped goes to the agents that get their traffic.
+func TestQuotaOfStoppedPeersIsReleased(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 4, true
 	r := newRig(t, s, 1, backends(10))
@@ -160,36 +162,36 @@
 		r.advance(50 * ms)
 	}
 	before := inFlight(0)
-	for range 60 { // three seconds without a message: over four intervals
+	for range 60 { // 4.2 s without a message: longer than four gossip intervals
 		r.serve(1, idempotent, 20*ms)
 		r.advance(50 * ms)
 	}
 	if after := inFlight(1); before > 40 || after < 55 {
-		t.Errorf("%d in flight beside three peers, %d after they stopped, want nearly all 60", before, after)
+		t.Errorf("%d requests in flight with three peers, want up to 40; %d after they stopped, want nearly all 60", before, after)
 	}
 }
 
-// Dallas big-1: an agent with a sparse quota meets a dead backend so seldom that it learns of it too late.
-// Observations carry failures and speed to other agents, and the same observation received again changes nothing.
+// Dallas big-1: an agent with a sparse quota sends too few attempts to a dead backend to detect it in time.
+// Observations report failures and latency to other agents. A duplicate of an observation has no effect.
 func TestObservationsReachPeers(t *testing.T) {
 	s := sparseSettings()
-	teller := newRig(t, s, 1, backends(4))
+	sender := newRig(t, s, 1, backends(4))
 	var data [][]byte
-	for i := range 60 { // a fails at once, b is slow, the others are quick
+	for i := range 60 { // a fails at once, b is slow, the others are fast
 		id := fmt.Sprint("q", i)
-		acts := teller.request(id, nonIdempotent)
-		if len(teller.sent[id]) == 0 {
+		acts := sender.request(id, nonIdempotent)
+		if len(sender.sent[id]) == 0 {
 			continue
 		}
-		switch teller.sent[id][0] {
+		switch sender.sent[id][0] {
 		case "a":
-			acts = append(acts, teller.outcome(id, balancer.Errored, 10*ms)...)
+			acts = append(acts, sender.outcome(id, balancer.Errored, 10*ms)...)
 		case "b":
-			teller.now += 200 * ms
-			acts = append(acts, teller.outcome(id, balancer.OK, 200*ms)...)
+			sender.now += 200 * ms
+			acts = append(acts, sender.outcome(id, balancer.OK, 200*ms)...)
 		default:
-			teller.now += 20 * ms
-			acts = append(acts, teller.outcome(id, balancer.OK, 20*ms)...)
+			sender.now += 20 * ms
+			acts = append(acts, sender.outcome(id, balancer.OK, 20*ms)...)
 		}
 		for _, a := range acts {
 			if a, ok := a.(balancer.SendGossip); ok {
@@ -202,7 +204,7 @@
 		counts := map[string]int{}
 		for seed := range uint64(200) {
 			r := newRig(t, s, seed, backends(4))
-			r.now = teller.now
+			r.now = sender.now
 			for range repeat {
 				for _, d := range data {
 					r.step(balancer.GossipReceived{From: 0, Data: d})
@@ -215,9 +217,9 @@
 	}
 	once, often := count(1), count(20)
 	if once["a"] > 5 || once["b"] > 40 || once["c"] < 40 || once["d"] < 40 {
-		t.Errorf("after the notes an agent sends to %v, want hardly any to a and few to b", once)
+		t.Errorf("after the observations 200 agents send to %v, want up to 5 to a, up to 40 to b, at least 40 to c and d", once)
 	}
 	if !reflect.DeepEqual(once, often) {
-		t.Errorf("told once it sends to %v, told the same twenty times to %v", once, often)
+		t.Errorf("after one copy of the messages agents send to %v, after twenty copies to %v", once, often)
 	}
 }
--- a/balancer/message_forms_test.go
+++ b/balancer/message_forms_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A message to a peer, with all of its parts, keeps its bytes: numbers, a note, and the marks behind the notes.
-func TestPeerMessageKeepsItsBytes(t *testing.T) {
+// The encoding of a message with all parts is pinned: the header, an observation, the drained flag and the lost zones.
+func TestMessageEncodingIsStable(t *testing.T) {
 	m := gossipMessage{demand: 1.5, latencyRatio: 0.25, observations: []observation{{0x010203, 4, time.Hour - time.Second}}, drained: true, lostZones: 0x0506}
 	const want = "3fc00000" + "3e800000" + "0102030421" + "01" + "0506"
 	if got := hex.EncodeToString(m.encode(time.Hour, time.Second)); got != want {
@@ -20,6 +20,6 @@
 	got, ok := decode(data, time.Hour, time.Second)
 	if !ok || got.demand != 1.5 || got.latencyRatio != 0.25 || !got.drained || got.lostZones != 0x0506 || len(got.observations) != 1 || got.observations[0].key != 0x010203 ||
 		got.observations[0].value != 4 || got.observations[0].observedAt != time.Hour-33*time.Second/32 {
-		t.Errorf("read %v %+v", ok, got)
+		t.Errorf("decoded %v %+v", ok, got)
 	}
 }
--- a/balancer/message_test.go
+++ b/balancer/message_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the gossip wire form.
+// Tests of the gossip wire format.
 
 import (
 	"math"
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A message keeps its numbers and observations. Observations get older on the way, never younger; failures go first;
-// what does not fit or is too old is left out.
+// A decoded message has the numbers and observations of the encoded one. Observations may become older in encoding but
+// never younger. Failures come first. Observations that don't fit or are too old are omitted.
 func TestMessageRoundTrip(t *testing.T) {
 	const now, unit = time.Hour, time.Second
 	m := gossipMessage{demand: 12.5, latencyRatio: 0.25}
@@ -20,23 +20,23 @@
 	m.observations = append(m.observations, observation{200, valueLate, now - 9*unit}) // expired
 	data := m.encode(now, unit)
 	if len(data) > maxMessageSize || len(data) < maxMessageSize-observationSize {
-		t.Errorf("%d bytes", len(data))
+		t.Errorf("%d bytes, want a full message", len(data))
 	}
 	got, ok := decode(data, now, unit)
 	if !ok || got.demand != 12.5 || got.latencyRatio != 0.25 || len(got.observations) == 0 || got.observations[0].key != 3 {
-		t.Fatalf("got %v %+v", ok, got)
+		t.Fatalf("decoded %v %+v", ok, got)
 	}
 	m.drained = true
 	if more := m.encode(now, unit); len(more) != len(data)+1 || len(more) > maxMessageSize {
-		t.Errorf("%d bytes", len(more))
+		t.Errorf("%d bytes with the drained flag, want one more than without", len(more))
 	} else if again, ok := decode(more, now, unit); !ok || !again.drained || got.drained ||
 		len(again.observations) != len(got.observations) {
-		t.Errorf("got %v %+v", ok, again)
+		t.Errorf("with the drained flag: decoded %v %+v", ok, again)
 	}
 	for _, n := range got.observations {
-		was := m.observations[n.key]
-		if n.value != was.value || n.observedAt > was.observedAt || n.observedAt < was.observedAt-unit/ageSteps-1 {
-			t.Errorf("note %+v was %+v", n, was)
+		original := m.observations[n.key]
+		if n.value != original.value || n.observedAt > original.observedAt || n.observedAt < original.observedAt-unit/ageSteps-1 {
+			t.Errorf("observation %+v was decoded as %+v", original, n)
 		}
 	}
 }
@@ -46,10 +46,10 @@
 	for _, data := range [][]byte{nil, {1}, make([]byte, headerSize-1), nan,
 		gossipMessage{latencyRatio: -1}.encode(0, time.Second)} {
 		if m, ok := decode(data, 0, time.Second); ok {
-			t.Errorf("%v was read as %+v", data, m)
+			t.Errorf("malformed message %v was decoded as %+v", data, m)
 		}
 	}
 	if m, ok := decode(make([]byte, headerSize+observationSize+2), 0, time.Second); !ok || len(m.observations) != 1 {
-		t.Errorf("a message with a torn note: %v %+v", ok, m)
+		t.Errorf("a message with a truncated observation: decoded %v %+v", ok, m)
 	}
 }
--- a/balancer/observations_test.go
+++ b/balancer/observations_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of observations alone.
+// Unit tests of observations.
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 	"time"
 )
 
-func TestObservedRatioSurvivesItsForm(t *testing.T) {
+func TestObservedRatioRoundTrip(t *testing.T) {
 	for _, ratio := range []float64{0, 0.5, 1, 3.3, 7.9, 8, 1000} {
 		n := observeLatency(7, ratio, time.Hour)
 		if want := min(ratio, maxLatencyRatio-0.1); math.Abs(n.ratio()-want) > 1/ratioSteps || n.value >= valueLate {
-			t.Errorf("ratio %v: value %d, read as %v", ratio, n.value, n.ratio())
+			t.Errorf("ratio %v: value %d, decoded as %v", ratio, n.value, n.ratio())
 		}
 	}
 }
@@ -34,7 +34,7 @@
 		}
 	}
 	if sent != 10 {
-		t.Errorf("%d messages for %d outcomes", sent, 10*outcomesPerGossip)
+		t.Errorf("%d messages for %d outcomes, want 10", sent, 10*outcomesPerGossip)
 	}
 }
 
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -131,7 +131,7 @@
 	o.consecutiveTimeouts = 0
 }
 
-// baselineFailureRate returns the mean failure rate of the backends that are up, without the worst quarter.
+// baselineFailureRate returns the mean failure rate of the best three quarters of the backends that are up.
 func baselineFailureRate(backends []*backendState) float64 {
 	var rates []float64
 	for _, backend := range backends {
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// A backend that fails fast is always idle; it must not attract the traffic.
+// A backend that fails fast is always idle. It must not attract the traffic for that reason.
 func TestBackendThatFailsFastIsEjected(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(6))
 	bad := 0
@@ -26,16 +26,16 @@
 		r.outcome(id, res, lat)
 	}
 	if bad > 6 {
-		t.Errorf("the failing backend got %d of 300", bad)
+		t.Errorf("the failing backend got %d of 300 requests, want up to 6", bad)
 	}
-	// Once it works again it comes back.
+	// The backend gets traffic again after it has recovered.
 	r.advance(20 * time.Second)
 	if counts := r.serve(400, idempotent, 30*ms); counts["a"] < 20 {
-		t.Errorf("after healing it got %d of 400", counts["a"])
+		t.Errorf("the recovered backend got %d of 400 requests, want at least 20", counts["a"])
 	}
 }
 
-// Without any idempotent class an ejected backend must still come back.
+// An ejection ends also where no class is idempotent.
 func TestEjectionEndsWithoutIdempotentClass(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[nonIdempotent : nonIdempotent+1]
@@ -52,13 +52,13 @@
 	}
 	r.advance(5 * time.Second)
 	if counts := r.serve(200, 0, 30*ms); counts["a"] == 0 {
-		t.Error("an ejected backend never got traffic again")
+		t.Error("the backend got no request after its ejection")
 	}
 }
 
-// playWithBaselineFailures drives a fleet of ten with 40 requests in flight, where one attempt in twelve fails to
-// connect or is reset and, if bad, two in three at backend a. It returns the sends of the last half, by backend and in
-// total.
+// playWithBaselineFailures drives a balancer over ten backends with 40 requests in flight. One attempt in twelve fails
+// to connect or is reset; if bad is true, two in three at backend a. It returns the number of attempts in the second
+// half, by backend and in total.
 func playWithBaselineFailures(t *testing.T, bad bool) (counts map[string]int, total int) {
 	t.Helper()
 	r := newRig(t, settings(), 5, backends(10))
@@ -89,17 +89,17 @@
 	return counts, total
 }
 
-// Ticket 8488: where some attempts break everywhere, a broken one says nothing about its backend. If each such backend
-// were ejected or taken for dead, the rest would have to carry everything.
-func TestBaselineFailuresEjectNobody(t *testing.T) {
+// Ticket 8488: where a share of attempts fails at every backend, single failures must not eject a backend or presume
+// its process dead. Otherwise the remaining backends would have to serve all traffic.
+func TestBaselineFailuresDoNotEject(t *testing.T) {
 	if _, total := playWithBaselineFailures(t, false); total < 1950 {
-		t.Errorf("%d of 2000 requests were sent", total)
+		t.Errorf("%d of 2000 requests were sent, want at least 1950", total)
 	}
 }
 
-// A single reset ejects nobody, also before the agent has learned the baseline: with as many backends out as resets in
-// the first seconds, a tenth of the requests was refused. Two in a row eject.
-func TestSingleResetEjectsNobody(t *testing.T) {
+// A single reset doesn't eject a backend, even before the agent has measured the baseline failure rate; two in a row
+// do. When each reset in the first seconds ejected a backend, a tenth of the requests was refused.
+func TestSingleResetDoesNotEject(t *testing.T) {
 	for n, ejected := range map[int]bool{1: false, 2: true} {
 		r := newRig(t, settings(), 1, backends(3))
 		r.serve(30, nonIdempotent, 20*ms)
@@ -115,20 +115,20 @@
 			}
 		}
 		if got := r.serve(20, nonIdempotent, ms)["a"]; (got == 0) != ejected {
-			t.Errorf("it got %d of 20, ejected wanted: %v", got, ejected)
+			t.Errorf("after its resets backend a got %d of 20 requests, want ejected: %v", got, ejected)
 		}
 	}
 }
 
-// A backend that fails far more than the others is still avoided.
+// A backend that fails far more often than the others is ejected also where attempts fail at every backend.
 func TestBackendWorseThanBaselineIsEjected(t *testing.T) {
 	if counts, total := playWithBaselineFailures(t, true); counts["a"] > total/25 {
-		t.Errorf("the failing backend got %d of %d", counts["a"], total)
+		t.Errorf("the failing backend got %d of %d attempts, want up to a 25th", counts["a"], total)
 	}
 }
 
-// When every backend is ejected, first attempts are sent all the same.
-func TestFirstAttemptGoesOutWhenAllAreEjected(t *testing.T) {
+// First attempts are sent even if every backend is ejected.
+func TestFirstAttemptIsSentWhenAllAreEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, 4, backends(2))
@@ -143,8 +143,8 @@
 	}
 }
 
-// Incident ieb2a7b: attempts that hang at a silent backend must not use up the capacity of the others once it is
-// ejected.
+// Incident ieb2a7b: attempts outstanding at an unresponsive backend must not count against the capacity of the other
+// backends after it is ejected.
 func TestHangingAttemptsUseNoCapacity(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -160,7 +160,7 @@
 		}
 	}
 	if len(hung) < 3 {
-		t.Fatalf("only %v hang", hung)
+		t.Fatalf("only requests %v were sent to backend a, want at least 3", hung)
 	}
 	r.now += 20 * ms
 	for i := range 18 {
@@ -176,17 +176,17 @@
 		r.request(id, idempotent)
 		for _, b := range r.sent[id] {
 			if n++; b == "a" {
-				t.Errorf("%s went to the backend that answers nothing", id)
+				t.Errorf("%s went to the unresponsive backend", id)
 			}
 		}
 	}
 	if n < 12 {
-		t.Errorf("%d in flight on the two that answer, want all of their room of 12", n)
+		t.Errorf("%d attempts in flight at the two responsive backends, want their full capacity of 12", n)
 	}
 }
 
-// shareAfterFailures drives a balancer with three backends until a has n requests outstanding, ends these with res in
-// one tick, and returns how many of 200 requests a gets after a while.
+// shareAfterFailures drives a balancer with three backends until backend a has n requests outstanding, and ends these
+// with res at the same time. It returns how many of 200 requests backend a gets 2 s later.
 func shareAfterFailures(t *testing.T, n int, res balancer.Result) int {
 	t.Helper()
 	r := newRig(t, settings(), 3, backends(3))
@@ -217,23 +217,23 @@
 	return r.serve(200, idempotent, 20*ms)["a"]
 }
 
-// A backend that is back before the endpoint list says so counts as in slow start. A process that died refuses
-// connections, or breaks all its outstanding attempts at once.
+// A backend that responds again before the endpoint list reports its restart counts as in slow start. After its process
+// has died, connections are refused, or all outstanding attempts are reset at once.
 func TestRestartedBackendIsInSlowStart(t *testing.T) {
 	for name, seen := range map[string]int{
-		"refused":        shareAfterFailures(t, 1, balancer.ConnectFailed),
-		"all broke once": shareAfterFailures(t, 3, balancer.Reset),
+		"connection refused": shareAfterFailures(t, 1, balancer.ConnectFailed),
+		"all attempts reset": shareAfterFailures(t, 3, balancer.Reset),
 	} {
 		if seen == 0 || seen > 35 {
-			t.Errorf("%s: after its return it got %d of 200, want a cold backend's share", name, seen)
+			t.Errorf("%s: the restarted backend got %d of 200 requests, want 1 to 35", name, seen)
 		}
 	}
 }
 
-// Ticket 397: one reset attempt, or one unreadable answer, does not mean a restart. Backends taken for cold, one after
-// the other, left no capacity within seconds.
-func TestSingleResetIsNoRestart(t *testing.T) {
+// Ticket 397: one reset attempt, or one malformed response, doesn't indicate a restart. When each put its backend into
+// slow start, no capacity was left within seconds.
+func TestSingleResetIsNotARestart(t *testing.T) {
 	if seen := shareAfterFailures(t, 1, balancer.Reset); seen < 45 {
-		t.Errorf("after one broken answer it got %d of 200, want about a third", seen)
+		t.Errorf("after one reset the backend got %d of 200 requests, want about a third", seen)
 	}
 }
--- a/balancer/outliers_unit_test.go
+++ b/balancer/outliers_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of outlier detection alone.
+// Unit tests of outlier detection.
 
 import (
 	"testing"
@@ -17,7 +17,7 @@
 			t.Errorf("ejection %d lasts %v, want %v", n+1, got, want)
 		}
 		if o.usable(now) || o.usable(o.ejectedUntil-1) || !o.usable(o.ejectedUntil) {
-			t.Errorf("ejection %d does not hold from its start to its end", n+1)
+			t.Errorf("ejection %d: the backend is usable before its end, or not usable at its end", n+1)
 		}
 		now = o.ejectedUntil
 	}
@@ -56,35 +56,35 @@
 		{unit, false, NonIdempotent, false},
 	} {
 		if got := o.eligible(end+c.after, c.idle, c.idempotency); got != c.want {
-			t.Errorf("%v after the end, idle %v, idempotency %d: eligible %v", c.after, c.idle, c.idempotency, got)
+			t.Errorf("%v after the end of the ejection, idle %v, idempotency %d: eligible %v", c.after, c.idle, c.idempotency, got)
 		}
 	}
 	for range 4 {
 		o.recordSuccess(end)
 	}
 	if o.recovering() || !o.eligible(end, false, NonIdempotent) {
-		t.Error("four successes don't heal one ejection")
+		t.Error("the backend is still recovering after four successes")
 	}
 }
 
-func TestFailuresAreJudgedByChance(t *testing.T) {
+func TestFailuresAreComparedWithChance(t *testing.T) {
 	var o outlierState
 	o.recordFailure(1)
 	if o.failsBeyondChance(baselineResetRate, ejectProbability) {
-		t.Error("one reset is beyond chance")
+		t.Error("one reset counts as beyond chance")
 	}
 	if !o.failsBeyondChance(0, ejectProbability) {
-		t.Error("one failure is not beyond chance where nothing ever fails")
+		t.Error("one failure does not count as beyond chance at a baseline of 0")
 	}
 	o.recordFailure(1)
 	if !o.failsBeyondChance(baselineResetRate, ejectProbability) || o.failsBeyondChance(baselineResetRate, deadProbability) {
-		t.Error("two resets in a row should eject, and not mean death")
+		t.Error("two resets in a row should eject the backend, but not presume its process dead")
 	}
 	if o.recordFailure(1); !o.failsBeyondChance(baselineResetRate, deadProbability) {
-		t.Error("three resets in a row should mean death")
+		t.Error("three resets in a row should presume the process dead")
 	}
 	if o.recordFailure(0); o.failsBeyondChance(baselineResetRate, ejectProbability) {
-		t.Error("failures before an answer count")
+		t.Error("failures before a response still count as consecutive")
 	}
 }
 
@@ -103,28 +103,28 @@
 	}
 }
 
-func TestPeerSuccessHealsOnlyAfterTheEjection(t *testing.T) {
+func TestPeerSuccessLowersScoreOnlyAfterEjection(t *testing.T) {
 	var o outlierState
 	o.eject(time.Hour, time.Second, 0.5)
 	for range unresponsiveTimeouts {
 		o.recordTimeout()
 	}
 	if !o.unresponsive() {
-		t.Fatal("not silent after time-outs in a row")
+		t.Fatal("not unresponsive after unresponsiveTimeouts consecutive time-outs")
 	}
 	o.recordPeerSuccess(time.Hour)
 	if o.failureScore != 1 || o.unresponsive() || !o.succeededSince(time.Hour) || o.succeededSince(time.Hour+1) {
-		t.Errorf("after a success as old as the ejection: %+v", o)
+		t.Errorf("after a success at the time of the ejection: %+v", o)
 	}
 	if o.recordPeerSuccess(time.Hour + 1); o.failureScore != 1-failureScoreDecay {
 		t.Errorf("after a newer success the score is %v", o.failureScore)
 	}
 	if o.recordPeerSuccess(time.Minute); !o.succeededSince(time.Hour + 1) {
-		t.Error("an old success hides a newer one")
+		t.Error("an older success replaces a newer one")
 	}
 }
 
-func TestForgivenBackendIsHealthy(t *testing.T) {
+func TestClearingFailures(t *testing.T) {
 	ejected := func() (o outlierState) {
 		o.recordFailure(1)
 		o.recordTimeout()
@@ -135,17 +135,17 @@
 	}
 	o := ejected()
 	if o.clearFailures(); o != (outlierState{}) {
-		t.Errorf("forgiven: %+v", o)
+		t.Errorf("after clearFailures: %+v", o)
 	}
 	o = ejected()
 	if o.resetForRestart(); o.recovering() || !o.usable(time.Hour) || !o.rejecting(time.Hour) || o.consecutiveFailures != 1 {
-		t.Errorf("restarted: %+v", o)
+		t.Errorf("after resetForRestart: %+v", o)
 	}
 	o = ejected()
 	if o.clearFailuresSince(time.Hour + 1); !o.recovering() || o.consecutiveTimeouts != 0 || o.consecutiveFailures != 1 {
-		t.Errorf("forgiven what is newer than its ejection: %+v", o)
+		t.Errorf("after clearFailuresSince a time after the ejection: %+v", o)
 	}
 	if o.clearFailuresSince(time.Hour); o.recovering() || o.consecutiveFailures != 0 || o.failureRate != 0 || o.ejectedUntil != 0 {
-		t.Errorf("forgiven what is as new as its ejection: %+v", o)
+		t.Errorf("after clearFailuresSince the time of the ejection: %+v", o)
 	}
 }
--- a/balancer/overrides_test.go
+++ b/balancer/overrides_test.go
@@ -14,57 +14,57 @@
 // override applies an operator's override and reports whether it was accepted.
 func (r *rig) override(e balancer.Event) bool {
 	r.t.Helper()
-	taken, answers := false, 0
+	accepted, results := false, 0
 	for _, a := range r.step(e) {
 		if a, ok := a.(balancer.OverrideResult); ok {
-			taken = a.Accepted
-			answers++
+			accepted = a.Accepted
+			results++
 		}
 	}
-	if answers != 1 {
-		r.t.Fatalf("%d answers to %+v", answers, e)
+	if results != 1 {
+		r.t.Fatalf("%d results of %+v, want 1", results, e)
 	}
-	return taken
+	return accepted
 }
 
-// A disabled backend gets nothing, whatever the endpoint list says, until one Enable reverts any number of Disable.
-func TestDisabledBackendGetsNothing(t *testing.T) {
+// A disabled backend gets no requests, whatever the endpoint updates, until one Enable reverts any number of Disable.
+func TestDisabledBackendGetsNoRequests(t *testing.T) {
 	list := backends(3)
 	started := slices.Clone(list)
 	started[0].Started = time.Hour + 100*ms
-	for name, told := range map[string][]balancer.EndpointUpdate{
-		"no list":       nil,
-		"full list":     {{Kind: balancer.UpdateFull, Backends: list}},
-		"delta":         {{Kind: balancer.UpdateDelta, Backends: list[:1]}},
-		"cached list":   {{Kind: balancer.UpdateCached, Backends: list}},
-		"a restart":     {{Kind: balancer.UpdateDelta, Backends: started}},
-		"gone and back": {{Kind: balancer.UpdateFull, Backends: list[1:]}, {Kind: balancer.UpdateFull, Backends: list}},
+	for name, updates := range map[string][]balancer.EndpointUpdate{
+		"no update":            nil,
+		"full list":            {{Kind: balancer.UpdateFull, Backends: list}},
+		"delta":                {{Kind: balancer.UpdateDelta, Backends: list[:1]}},
+		"cached list":          {{Kind: balancer.UpdateCached, Backends: list}},
+		"restart":              {{Kind: balancer.UpdateDelta, Backends: started}},
+		"removed and relisted": {{Kind: balancer.UpdateFull, Backends: list[1:]}, {Kind: balancer.UpdateFull, Backends: list}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, settings(), 1, list)
 			r.serve(20, idempotent, 10*ms)
 			if !r.override(balancer.Disable{Call: 1, Backend: "a"}) || !r.override(balancer.Disable{Call: 2, Backend: "a"}) {
-				t.Fatal("not taken")
+				t.Fatal("Disable was rejected")
 			}
-			for _, l := range told {
-				r.step(l)
+			for _, update := range updates {
+				r.step(update)
 			}
 			if n := r.serve(60, idempotent, 10*ms)["a"]; n > 0 {
-				t.Errorf("%d requests went to the detached backend", n)
+				t.Errorf("%d requests went to the disabled backend", n)
 			}
 			if !r.override(balancer.Enable{Call: 3, Backend: "a"}) {
-				t.Fatal("the call back was not taken")
+				t.Fatal("Enable was rejected")
 			}
 			r.now += settings().SlowStartWindow
 			if n := r.serve(60, idempotent, 10*ms)["a"]; n == 0 {
-				t.Error("none went to it after the call back")
+				t.Error("the backend got no request after Enable")
 			}
 		})
 	}
 }
 
-// No retry goes to a disabled backend, and with every backend disabled a request gets its answer in the ordinary way.
-func TestNothingIsRetriedAtADisabledBackend(t *testing.T) {
+// No retry goes to a disabled backend. With every backend disabled, a request is refused as usual.
+func TestNoRetryGoesToADisabledBackend(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
 	other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
@@ -72,53 +72,53 @@
 	r.outcome("q", balancer.Errored, 10*ms)
 	r.advance(400 * ms)
 	if slices.Contains(r.sent["q"], other) {
-		t.Errorf("attempts %v, though %s is detached", r.sent["q"], other)
+		t.Errorf("attempts went to %v, though %s is disabled", r.sent["q"], other)
 	}
 	for _, id := range []string{"a", "b"} {
 		r.override(balancer.Disable{Call: 2, Backend: id})
 	}
 	all := r.request("last", idempotent)
 	if all = append(all, r.advance(400*ms)...); len(r.sent["last"]) > 0 || final("last", all) != "refuse" {
-		t.Errorf("sent to %v, final answer %q", r.sent["last"], final("last", all))
+		t.Errorf("with all backends disabled: sent to %v, final answer %q, want refuse", r.sent["last"], final("last", all))
 	}
 }
 
-// An override of an unknown ID is rejected. A backend that left the list while disabled is known.
+// An override of an unknown ID is rejected. Enable is accepted for a backend that left the list while disabled.
 func TestOverridesOfUnknownBackendsAreRejected(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	if r.override(balancer.Disable{Call: 1, Backend: "z"}) || r.override(balancer.Enable{Call: 2, Backend: "z"}) {
-		t.Error("a call for an id that nobody has was taken")
+		t.Error("an override of an unknown ID was accepted")
 	}
 	if !r.override(balancer.Enable{Call: 3, Backend: "a"}) {
-		t.Error("the call back of a backend in use was not taken")
+		t.Error("Enable of a backend in use was rejected")
 	}
 	r.override(balancer.Disable{Call: 4, Backend: "a"})
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)[1:]})
 	if !r.override(balancer.Enable{Call: 5, Backend: "a"}) {
-		t.Error("the call back of a detached backend that has left the list was not taken")
+		t.Error("Enable of a disabled backend that has left the list was rejected")
 	}
 }
 
-// Overrides that an earlier process of the agent accepted hold here, also before the list names the backend.
+// Overrides that an earlier process of the agent accepted stay in force, also before the list contains the backend.
 func TestInheritedOverridesHold(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2)[1:])
 	if !r.override(balancer.Disable{Call: 1, Backend: "a", Inherited: true}) {
-		t.Fatal("not taken")
+		t.Fatal("the inherited Disable was rejected")
 	}
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 	if n := r.serve(60, idempotent, 10*ms)["a"]; n > 0 {
-		t.Errorf("%d requests went to the detached backend", n)
+		t.Errorf("%d requests went to the disabled backend", n)
 	}
-	// Re-enabled a while ago, in the earlier process: its slow start is over.
+	// The earlier process re-enabled the backend one slow-start window ago, so its slow start is over.
 	at := r.now - settings().SlowStartWindow
 	r.override(balancer.Enable{Call: 2, Backend: "a", Inherited: true, At: at})
 	if n := r.serve(90, idempotent, 10*ms)["a"]; n < 20 {
-		t.Errorf("%d of 90 requests went to a backend that has had time to get warm", n)
+		t.Errorf("%d of 90 requests went to a backend whose slow start is over, want at least 20", n)
 	}
 }
 
-// A re-enabled backend is in slow start, and nothing from before is held against it.
-func TestReenabledBackendStartsSlowAndForgiven(t *testing.T) {
+// A re-enabled backend is in slow start, and its earlier failures are cleared.
+func TestReenabledBackendIsInSlowStartWithoutFailures(t *testing.T) {
 	cold := func(attach bool) int {
 		s := settings()
 		s.InitialCapacity = 0.05
@@ -130,11 +130,11 @@
 		}
 		return r.serve(200, idempotent, 10*ms)["a"]
 	}
-	if warm, back := cold(false), cold(true); back == 0 || back > warm/2 {
-		t.Errorf("%d requests to a backend just called back, %d to a warm one", back, warm)
+	if warm, reenabled := cold(false), cold(true); reenabled == 0 || reenabled > warm/2 {
+		t.Errorf("%d requests to a re-enabled backend, %d to a warm one, want some and up to half as many", reenabled, warm)
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	for i := 0; len(r.sent) < 400; i++ { // "a" fails all it gets, and is ejected for longer and longer
+	for i := 0; len(r.sent) < 400; i++ { // all attempts at "a" fail, and its ejections get longer
 		id := fmt.Sprint("f", i)
 		r.request(id, nonIdempotent)
 		result := balancer.OK
@@ -148,19 +148,19 @@
 	r.override(balancer.Enable{Call: 2, Backend: "a"})
 	r.now += settings().SlowStartWindow
 	if n := r.serve(60, nonIdempotent, 10*ms)["a"]; n < 15 {
-		t.Errorf("%d of 60 requests went to a backend that was restarted since it failed", n)
+		t.Errorf("%d of 60 requests went to a backend re-enabled since it failed, want at least 15", n)
 	}
 }
 
-// Operators expect a re-enabled backend to be used within 5 s, also where an agent with little traffic keeps to a
-// small subset, and each key to the few backends closest to it.
+// Operators expect a re-enabled backend to be used within 5 s, also where an agent with little traffic uses a small
+// subset, and key affinity prefers the few backends closest to a key.
 func TestReenabledBackendIsSoonUsed(t *testing.T) {
 	for seed := range uint64(20) {
 		s := settings()
 		s.Balancers = []int{5, 100}[seed%2]
 		s.InitialCapacity, s.SlowStartWindow, s.KeyAffinity, s.CrossZoneCost = 0.12, 24*time.Second, true, 0.03
 		r := newRig(t, s, seed, backends(20))
-		ask := func() string {
+		request := func() string {
 			id := fmt.Sprint("q", len(r.sent))
 			r.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms, AffinityKey: 7})
 			r.now += 20 * ms
@@ -169,12 +169,12 @@
 			return r.sent[id][0]
 		}
 		for range 40 {
-			ask()
+			request()
 		}
-		// One that is late in this agent's own order and not close to the key.
+		// Pick a backend that is late in this agent's own order and not close to the key.
 		used := map[string]bool{}
 		for range 40 {
-			used[ask()] = true
+			used[request()] = true
 		}
 		far := "a"
 		for _, b := range backends(20) {
@@ -187,28 +187,28 @@
 		r.override(balancer.Enable{Call: 2, Backend: far})
 		from, found := r.now, false
 		for r.now < from+4*time.Second && !found {
-			found = ask() == far
+			found = request() == far
 		}
 		if !found {
-			t.Errorf("seed %d: %s was left unused for 4 s after the call back", seed, far)
+			t.Errorf("seed %d: %s got no request within 4 s of Enable", seed, far)
 		}
 	}
 }
 
-// A drained agent hands its share of the limit at once to the agents that get its clients, and gets it back when they
-// return. What agents learn about each other's demand lags by seconds.
-func TestDrainedAgentHandsOverItsQuota(t *testing.T) {
+// The quota of a drained agent moves at once to the agents that get its clients, and back when the clients return.
+// Without the notification, demand reports would lag by seconds.
+func TestQuotaOfADrainedAgentMovesToItsPeers(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 3, true
-	quiet := newRig(t, s, 1, backends(4))
+	idle := newRig(t, s, 1, backends(4))
 	s.Self = 1
 	busy := newRig(t, s, 2, backends(4))
 	s.Self = 2
 	third := newRig(t, s, 3, backends(4))
-	tell := func(from int, actions []balancer.Action) (n int) {
+	deliver := func(from int, actions []balancer.Action) (n int) {
 		for _, a := range actions {
 			if a, ok := a.(balancer.SendGossip); ok && a.To == 0 {
-				quiet.step(balancer.GossipReceived{From: from, Data: a.Data})
+				idle.step(balancer.GossipReceived{From: from, Data: a.Data})
 				n++
 			}
 		}
@@ -216,42 +216,43 @@
 	}
 	for i := range 200 {
 		busy.serve(1, idempotent, 10*ms)
-		tell(1, busy.advance(10*ms))
+		deliver(1, busy.advance(10*ms))
 		if i%4 == 0 {
 			third.serve(1, idempotent, 10*ms)
 			third.now -= 10 * ms
 		}
-		tell(2, third.advance(20*ms))
+		deliver(2, third.advance(20*ms))
 		if i%20 == 0 {
-			quiet.serve(1, idempotent, 10*ms)
-			quiet.now -= 10 * ms
+			idle.serve(1, idempotent, 10*ms)
+			idle.now -= 10 * ms
 		}
-		quiet.advance(20 * ms)
+		idle.advance(20 * ms)
 	}
-	room := func(name string) (n int) {
+	quota := func(name string) (n int) {
 		for i := range 40 {
 			id := fmt.Sprint(name, i)
-			quiet.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms,
+			idle.step(balancer.Request{ID: id, Class: nonIdempotent, TimeRemaining: 2000 * ms,
 				ClientRetry: true}) // adds no demand
-			n += len(quiet.sent[id])
+			n += len(idle.sent[id])
 		}
 		for i := range n {
-			quiet.outcome(fmt.Sprint(name, i), balancer.OK, 10*ms)
+			idle.outcome(fmt.Sprint(name, i), balancer.OK, 10*ms)
 		}
 		return n
 	}
-	before := room("before")
-	if told := tell(1, busy.step(balancer.Drain{On: true})); told != 1 {
-		t.Fatalf("told %d times", told)
+	before := quota("before")
+	if messages := deliver(1, busy.step(balancer.Drain{On: true})); messages != 1 {
+		t.Fatalf("a drain sent %d messages to agent 0, want 1", messages)
 	}
-	emptied := room("emptied")
+	drained := quota("drained")
 	if again := busy.step(balancer.Drain{On: true}); len(again) > 0 {
-		t.Errorf("a second call: %v", again)
+		t.Errorf("a second Drain had the actions %v, want none", again)
 	}
-	tell(1, busy.step(balancer.Drain{On: false}))
-	after := room("after")
-	// The whole limit is 24 or a little more: first hardly any of it, then nearly half.
-	if before > 5 || emptied < 10 || emptied > 14 || after > before+1 {
-		t.Errorf("room for %d before, %d while the other is emptied, %d after", before, emptied, after)
+	deliver(1, busy.step(balancer.Drain{On: false}))
+	after := quota("after")
+	// The limit of the fleet is 24 or a little more. The idle agent first gets hardly any of it, then nearly half.
+	if before > 5 || drained < 10 || drained > 14 || after > before+1 {
+		t.Errorf("quota of %d requests before, %d while the busy peer is drained, %d after, want up to 5, 10 to 14, and about the first",
+			before, drained, after)
 	}
 }
--- a/balancer/overrides_unit_test.go
+++ b/balancer/overrides_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the operators' overrides alone.
+// Unit tests of the operators' overrides.
 
 import (
 	"slices"
@@ -8,49 +8,49 @@
 	"time"
 )
 
-func TestOverridesOutliveTheEndpointList(t *testing.T) {
+func TestOverridesPersistAcrossEndpointUpdates(t *testing.T) {
 	const window = 10 * time.Second
 	var o overrides
 	if o.has("a") || o.anyReenabled() {
-		t.Fatal("overrides at the start")
+		t.Fatal("the zero value has overrides")
 	}
 	if !o.disable("a", Up) || o.disable("a", Draining) || !o.has("a") {
-		t.Fatal("a backend is not disabled once")
+		t.Fatal("the first Disable has no effect, or the second one has")
 	}
 	listed := []Backend{{ID: "a"}, {ID: "b"}}
 	got := o.apply(listed, time.Hour, window)
 	if got[0].State != Draining || got[1].State != Up || listed[0].State != Up {
-		t.Errorf("a disabled backend is listed as %d, another as %d; the list itself says %d", got[0].State,
+		t.Errorf("a disabled backend has state %d, another one %d; the original list has %d", got[0].State,
 			got[1].State, listed[0].State)
 	}
 	o.apply([]Backend{{ID: "a", State: Removed}}, time.Hour, window)
 	if state, was := o.enable("a"); !was || state != Removed {
-		t.Errorf("enabled from state %d, want that of the last list", state)
+		t.Errorf("enable returns state %d, want that of the last list", state)
 	}
 	if _, was := o.enable("a"); was || o.has("a") {
-		t.Error("enabled twice")
+		t.Error("the override is still in force after enable")
 	}
 }
 
-func TestReenabledBackendsAreRememberedForTheWindow(t *testing.T) {
+func TestReenabledTimesAreKeptForTheWindow(t *testing.T) {
 	const window = 10 * time.Second
 	var o overrides
 	o.reenable("a", time.Hour)
 	if !o.anyReenabled() || !o.has("a") || o.reenabledBefore("a", time.Hour) ||
 		!o.reenabledBefore("a", time.Hour+1) || !o.reenabledBefore("b", 1) {
-		t.Error("the time of being re-enabled is not kept")
+		t.Error("the time at which the backend was re-enabled is not kept")
 	}
 	if !o.recentlyReenabled("a", time.Hour+time.Second-1, time.Second) ||
 		o.recentlyReenabled("a", time.Hour+time.Second, time.Second) ||
 		o.recentlyReenabled("b", time.Hour, time.Second) {
-		t.Error("the span does not end when it should")
+		t.Error("recentlyReenabled does not change at the end of the span, or is true for another backend")
 	}
 	got := o.apply([]Backend{{ID: "a", Started: time.Minute}, {ID: "b", Started: time.Minute}}, time.Hour+window, window)
 	if started := []time.Duration{got[0].Started, got[1].Started}; !slices.Equal(started,
 		[]time.Duration{time.Hour, time.Minute}) {
-		t.Errorf("started at %v", started)
+		t.Errorf("backends count as started at %v, want the re-enabled one at one hour", started)
 	}
 	if o.apply(nil, time.Hour+window+1, window); o.anyReenabled() {
-		t.Error("remembered after the window")
+		t.Error("the time is still kept after the window")
 	}
 }
--- a/balancer/peers_unit_test.go
+++ b/balancer/peers_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the demand estimate, and of peers and quota, alone.
+// Unit tests of the demand estimate, and of peers and quota.
 
 import (
 	"math"
@@ -25,10 +25,10 @@
 		now += interval / 20
 	}
 	if got, want := fresh.steady(now), old.steady(now); math.Abs(got/want-1) > 0.1 {
-		t.Errorf("%v after one interval, %v after many", got, want)
+		t.Errorf("estimate of %v after one interval, %v after many", got, want)
 	}
 	if fresh.value(now) > old.value(now)/3 {
-		t.Errorf("the plain sum is %v after one interval, %v after many", fresh.value(now), old.value(now))
+		t.Errorf("the sum without extrapolation is %v after one interval, %v after many", fresh.value(now), old.value(now))
 	}
 }
 
@@ -39,14 +39,14 @@
 		reports       map[int]float64 // of agents 1 to 3
 		want          float64
 	}{
-		"nothing heard":     {100, 0, nil, 0.25},
-		"even":              {100, 0, map[int]float64{1: 100, 2: 100, 3: 100}, 0.25},
-		"quiet peers":       {100, 0, map[int]float64{1: 0, 2: 0, 3: 0}, (0.25 + 0.75*4) / 4},
-		"quiet itself":      {0, 0, map[int]float64{1: 100, 2: 100, 3: 100}, 0.25 / 4},
-		"one known":         {100, 0, map[int]float64{1: 300}, (0.25 + 0.75*100/400*2) / 4},
-		"nothing asked":     {0, 0, map[int]float64{1: 0, 2: 0, 3: 0}, 0.25},
-		"assigned":          {100, 0.5, nil, 0.5},
-		"assigned a little": {100, 0.01, map[int]float64{1: 100}, 0.01},
+		"no reports":        {100, 0, nil, 0.25},
+		"even demand":       {100, 0, map[int]float64{1: 100, 2: 100, 3: 100}, 0.25},
+		"idle peers":        {100, 0, map[int]float64{1: 0, 2: 0, 3: 0}, (0.25 + 0.75*4) / 4},
+		"idle agent":        {0, 0, map[int]float64{1: 100, 2: 100, 3: 100}, 0.25 / 4},
+		"one report":        {100, 0, map[int]float64{1: 300}, (0.25 + 0.75*100/400*2) / 4},
+		"no demand":         {0, 0, map[int]float64{1: 0, 2: 0, 3: 0}, 0.25},
+		"assigned half":     {100, 0.5, nil, 0.5},
+		"assigned 1 in 100": {100, 0.01, map[int]float64{1: 100}, 0.01},
 	} {
 		table := newPeerTable(4, 0, interval)
 		for from, demand := range c.reports {
@@ -58,43 +58,43 @@
 	}
 }
 
-func TestSilentPeersLeaveTheirQuota(t *testing.T) {
+func TestQuotaOfExpiredPeersIsReleased(t *testing.T) {
 	table, now := newPeerTable(3, 0, interval), time.Hour
 	table.receive(1, 100, false, now)
 	table.receive(2, 100, false, now)
 	if got := table.quota(100, 0, now); math.Abs(got-1.0/3) > 1e-12 {
-		t.Errorf("quota %v beside two peers", got)
+		t.Errorf("quota %v with two active peers, want a third", got)
 	}
 	now += time.Duration(peerExpiry * float64(interval))
 	if got := table.quota(100, 0, now); got != 1 {
-		t.Errorf("quota %v after both stopped, want all", got)
+		t.Errorf("quota %v after both stopped, want 1", got)
 	}
-	large := newPeerTable(100, 0, interval) // hears from a sample only: silence means nothing
+	large := newPeerTable(100, 0, interval) // gets messages from a sample of peers: an expired report doesn't mean a stop
 	large.receive(1, 100, false, time.Hour)
 	if got := large.quota(100, 0, now); got != 0.01 {
 		t.Errorf("quota %v in a large fleet, want an even share", got)
 	}
 }
 
-func TestDrainedPeerHandsItsDemandOver(t *testing.T) {
+func TestDemandOfADrainedPeerIsRedistributed(t *testing.T) {
 	table, now := newPeerTable(4, 0, interval), time.Hour
 	for from := 1; from < 4; from++ {
 		table.receive(from, 90, false, now)
 	}
 	if share, changed := table.receive(1, 90, true, now); !changed || share != 30 {
-		t.Fatalf("a drained peer hands over %v, want a third of 90", share)
+		t.Fatalf("share %v of a drained peer's demand, want a third of 90", share)
 	}
 	if share, changed := table.receive(1, 90, true, now); changed {
-		t.Errorf("told again it hands over %v", share)
+		t.Errorf("a second report of the drain changes the demand by %v", share)
 	}
 	if got := table.snapshot(now); !slices.Equal(got, []float64{-1, 0, 120, 120}) {
-		t.Errorf("the peers' demand is %v", got)
+		t.Errorf("the peers' demand during the drain is %v", got)
 	}
 	if share, changed := table.receive(1, 5, false, now); !changed || share != -30 {
-		t.Errorf("a peer that is back takes %v", share)
+		t.Errorf("share %v when the clients return, want −30", share)
 	}
 	if got := table.snapshot(now); !slices.Equal(got, []float64{-1, 5, 90, 90}) {
-		t.Errorf("the peers' demand is %v", got)
+		t.Errorf("the peers' demand after the drain is %v", got)
 	}
 }
 
--- a/balancer/picking_test.go
+++ b/balancer/picking_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// A backend of a kind that the settings don't name is used like any other.
+// A backend of a kind that the settings don't list is used like any other.
 func TestBackendOfUnknownKindIsUsed(t *testing.T) {
 	list := backends(2)
 	for i := range list {
@@ -18,17 +18,17 @@
 	}
 	r := newRig(t, settings(), 1, list)
 	if counts := r.serve(20, idempotent, 50*ms); counts["a"] == 0 || counts["b"] == 0 {
-		t.Errorf("served by %v", counts)
+		t.Errorf("requests by backend %v, want some at each", counts)
 	}
 }
 
 func TestPickPrefersIdleNearFastBackends(t *testing.T) {
-	t.Run("idle ones at random", func(t *testing.T) {
+	t.Run("idle backends at random", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
 		counts := r.serve(400, idempotent, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
 			if counts[id] < 60 || counts[id] > 140 {
-				t.Errorf("%s got %d of 400, want about 100", id, counts[id])
+				t.Errorf("%s got %d of 400 requests, want about 100", id, counts[id])
 			}
 		}
 	})
@@ -56,11 +56,11 @@
 		}
 		for id, n := range counts {
 			if n < 2 || n > 4 {
-				t.Errorf("%s has %d in flight of 12 over 4", id, n)
+				t.Errorf("%s has %d of 12 requests at 4 backends in flight, want 2 to 4", id, n)
 			}
 		}
 	})
-	t.Run("a new one counts at the mean", func(t *testing.T) {
+	t.Run("new backend counts at the mean", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
 		r.serve(80, idempotent, 50*ms)
 		for i := range 8 {
@@ -76,22 +76,22 @@
 			}
 		}
 		if rush > 2 {
-			t.Errorf("the new backend got %d of 4, want no rush", rush)
+			t.Errorf("the new backend got %d of 4 requests, want up to 2", rush)
 		}
 	})
-	t.Run("own zone where crossing is priced", func(t *testing.T) {
+	t.Run("own zone where crossing has a cost", func(t *testing.T) {
 		s := settings()
 		s.CrossZoneCost = 0.02
 		r := newRig(t, s, 2, backends(4))
-		r.now += s.SlowStartWindow + 1 // the limit was not cut for long
+		r.now += s.SlowStartWindow + 1 // proximity counts only some time after a cut of the limit
 		counts := r.serve(400, idempotent, 50*ms)
 		if own := counts["a"] + counts["b"]; own < 280 || own > 380 {
-			t.Errorf("own zone got %d of 400, want most but not all", own)
+			t.Errorf("the own zone got %d of 400 requests, want 280 to 380", own)
 		}
 	})
-	t.Run("slow ones less", func(t *testing.T) {
+	t.Run("slow backends less", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
-		late := 0
+		slow := 0
 		for i := range 600 {
 			id := fmt.Sprint("q", i)
 			r.request(id, idempotent)
@@ -99,23 +99,23 @@
 			if r.sent[id][0] == "a" {
 				lat = 160 * ms
 				if i >= 300 {
-					late++
+					slow++
 				}
 			}
 			r.now += lat
 			r.outcome(id, balancer.OK, lat)
 		}
-		if late > 40 {
-			t.Errorf("a backend four times slower still got %d of 300", late)
+		if slow > 40 {
+			t.Errorf("a backend four times slower got %d of the last 300 requests, want up to 40", slow)
 		}
 	})
 }
 
-// A stalled backend shows in the age of its oldest attempt, before any answer.
+// A stalled backend is avoided because of the age of its oldest outstanding attempt, before any response or time-out.
 func TestStalledBackendIsAvoided(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(3))
 	r.serve(60, idempotent, 20*ms)
-	for i := range 3 { // one on each
+	for i := range 3 { // one at each backend
 		r.request(fmt.Sprint("hang", i), idempotent)
 	}
 	for i := range 3 {
@@ -135,9 +135,9 @@
 	}
 }
 
-// zone+vast: 80 agents spread each key over 60 backends, and nearly all of the work that a backend saves on a recent
-// key was lost. Any two agents prefer the same few idle ones for a key; other keys have others; a busy or ejected one
-// gives way.
+// zone+vast: when 80 agents spread each key over 60 backends, nearly all of the work that a backend saves on a recent
+// key was lost. Any two agents prefer the same few idle backends for a key, and different backends for other keys. A
+// busy backend is passed over.
 func TestKeyAffinityPrefersTheSameBackends(t *testing.T) {
 	play := func(warm bool, seed, key uint64) map[string]int {
 		s := settings()
@@ -153,7 +153,7 @@
 		}
 		return counts
 	}
-	// together is the share of pairs of requests, one of each agent, that go to one backend.
+	// together returns the share of pairs of requests, one of each agent, that go to the same backend.
 	together := func(x, y map[string]int) (share float64) {
 		for id := range x {
 			share += float64(x[id]*y[id]) / 1e4
@@ -171,14 +171,14 @@
 		}
 	}
 	if sum < 40*0.25 {
-		t.Errorf("%.2f of the requests of two agents for one key meet, want far more than one in 20", sum/40)
+		t.Errorf("%.2f of the request pairs of two agents for one key go to the same backend, want at least 0.25", sum/40)
 	}
 	if len(first) < 10 {
-		t.Errorf("the keys keep to %d of 20 backends", len(first))
+		t.Errorf("40 keys prefer %d of 20 backends, want at least 10", len(first))
 	}
 	for _, key := range []uint64{0, 7} {
 		if share := together(play(key == 0, 1, key), play(key == 0, 2, key)); share > 0.1 {
-			t.Errorf("key %d, which is unknown or saves nothing: %.2f meet", key, share)
+			t.Errorf("key %d, no key or no affinity: %.2f of the pairs go to the same backend, want up to 0.1", key, share)
 		}
 	}
 
@@ -187,7 +187,7 @@
 	r := newRig(t, s, 1, backends(8))
 	r.serve(100, idempotent, 20*ms)
 	used := map[string]bool{}
-	for i := range 8 { // nothing is answered
+	for i := range 8 { // no request is answered
 		id := fmt.Sprint("q", i)
 		r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, AffinityKey: 99})
 		used[r.sent[id][0]] = true
@@ -197,15 +197,15 @@
 	}
 }
 
-// Satx rough-1: kinds of machine suit classes differently. What is learned about a kind and a class holds for backends
-// of that kind that the agent has hardly met.
-func TestLatencyRatioIsLearnedByKindAndClass(t *testing.T) {
+// Satx rough-1: kinds of machine differ in which classes they serve fast. The measured ratio of a kind and a class also
+// applies to backends of the kind from which the agent has few responses.
+func TestLatencyRatioIsPooledByKindAndClass(t *testing.T) {
 	list := backends(20)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
 	r := newRig(t, settings(), 4, list)
-	suits := map[int]int{}
+	fast := map[int]int{}
 	for i := range 400 {
 		class := i % 2
 		id := fmt.Sprint("q", i)
@@ -218,19 +218,19 @@
 		r.now += latency
 		r.outcome(id, balancer.OK, latency)
 		if i >= 200 && kind == class {
-			suits[class]++
+			fast[class]++
 		}
 	}
-	if suits[0] < 85 || suits[1] < 85 {
-		t.Errorf("%d and %d of 100 went to the kind that suits the class, want most", suits[0], suits[1])
+	if fast[0] < 85 || fast[1] < 85 {
+		t.Errorf("%d and %d of 100 requests went to the kind that is fast for the class, want at least 85", fast[0], fast[1])
 	}
-	stray := backends(2) // kinds that no list should hold do no harm
-	stray[0].Kind = -3
-	newRig(t, settings(), 1, stray).serve(10, idempotent, 10*ms)
+	invalid := backends(2) // an invalid kind must not panic
+	invalid[0].Kind = -3
+	newRig(t, settings(), 1, invalid).serve(10, idempotent, 10*ms)
 }
 
-// Satx rough-2: a backend that rejects an attempt is overloaded for longer than one latency, but got as many requests
-// as before right after it.
+// Satx rough-2: a backend that rejects an attempt is overloaded for longer than one latency. It must get fewer requests
+// than before for some time.
 func TestRejectingBackendIsChosenLess(t *testing.T) {
 	hits := 0
 	for seed := range uint64(100) {
@@ -246,12 +246,12 @@
 		}
 	}
 	if hits > 18 {
-		t.Errorf("the full one of four servers got %d of 100 soon after", hits)
+		t.Errorf("the rejecting one of four backends got %d of 100 requests 2 s later, want up to 18", hits)
 	}
 }
 
-// A time-out is a lower bound of a backend's latency: one that answers only its cheap requests must not keep the good
-// latency ratio that these give it.
+// A time-out is a lower bound of a backend's latency: a backend that responds only to its cheap requests must not keep
+// the low latency ratio of these responses.
 func TestTimeoutsRaiseLatencyRatio(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -283,6 +283,6 @@
 		r.now += 20 * ms
 	}
 	if got > 90 {
-		t.Errorf("a backend that times out half its requests got %d of 360", got)
+		t.Errorf("a backend that responds to only one request per round got %d of 360, want up to 90", got)
 	}
 }
--- a/balancer/picking_unit_test.go
+++ b/balancer/picking_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of subsetting and of the candidates of a choice alone.
+// Unit tests of subsetting and of the candidates of a choice.
 
 import (
 	"math/rand/v2"
@@ -11,7 +11,7 @@
 func TestSubsetFollowsTheRateOfRequests(t *testing.T) {
 	s := newSubset()
 	if got := s.size(500, objective, false); got != 500 {
-		t.Errorf("%d of 500 before the rate is known", got)
+		t.Errorf("%d of 500 backends before the rate is known, want all", got)
 	}
 	s.recordArrival(time.Hour)
 	s.recordArrival(time.Hour + 160*time.Millisecond)
@@ -19,7 +19,7 @@
 		t.Errorf("%d backends, want 10", got)
 	}
 	if got := s.size(500, objective, true); got != 500 {
-		t.Errorf("%d of 500 where observations cover all", got)
+		t.Errorf("%d of 500 backends where observations cover all, want all", got)
 	}
 	slow, fast := newSubset(), newSubset()
 	slow.recordArrival(time.Hour)
@@ -27,7 +27,7 @@
 	fast.recordArrival(time.Hour)
 	fast.recordArrival(time.Hour + time.Microsecond)
 	if got := slow.size(500, objective, false); got != minSubset {
-		t.Errorf("%d backends for a request per hour", got)
+		t.Errorf("%d backends at one request per hour, want the minimum", got)
 	}
 	if got := fast.size(500, objective, false); got != 80 {
 		t.Errorf("%d backends at a high rate, want 30 and a tenth of 500", got)
@@ -49,7 +49,7 @@
 		s.grow()
 	}
 	if got := s.size(5000, objective, false); got != before {
-		t.Errorf("%d backends after many answers, %d before", got, before)
+		t.Errorf("%d backends after many responses, %d before", got, before)
 	}
 }
 
@@ -57,23 +57,23 @@
 	a, b, c, d := &backendState{}, &backendState{}, &backendState{}, &backendState{}
 	found := newCandidates(2)
 	if found.best() != nil {
-		t.Error("a backend is chosen of none")
+		t.Error("best returns a backend though none was offered")
 	}
 	found.offerEjected(a, 2)
 	found.offerEjected(b, 1)
 	if found.best() != b {
-		t.Error("not the ejected one with the lowest penalty")
+		t.Error("best does not return the ejected backend with the lowest penalty")
 	}
 	found.offerBusy(c, 5)
 	found.offerBusy(d, 6)
 	if found.best() != c {
-		t.Error("not the busy one with the lowest score")
+		t.Error("best does not return the busy backend with the lowest score")
 	}
 	if found.offerIdle(a, 1, 0.999); found.best() != a || found.full() {
-		t.Error("not the idle one")
+		t.Error("best does not return the idle backend, or the candidates are full too early")
 	}
 	if found.offerIdle(b, 1, 0.999); found.best() != a || !found.full() {
-		t.Error("the draw does not decide among idle ones")
+		t.Error("the draw does not decide between idle backends, or the candidates are not full")
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	for i, backend := range backends {
 		if got, want := chosen[backend], 1000*(i+1); got < want*9/10 || got > want*11/10 {
-			t.Errorf("weight %d: chosen %d times of 6000, want about %d", i+1, got, want)
+			t.Errorf("weight %d: chosen %d of 6000 times, want about %d", i+1, got, want)
 		}
 	}
 }
--- a/balancer/proximity_test.go
+++ b/balancer/proximity_test.go
@@ -9,18 +9,18 @@
 	"martenbeam/balancer"
 )
 
-// Where crossing zones has a cost, traffic stays near as long as that is no slower: in its own zone, then in its
-// region.
+// Where crossing zones has a cost, traffic prefers the own zone and then other zones of the region, unless those are
+// slower.
 func TestNearZonesArePreferred(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *balancer.Settings)
 		slow   map[int]time.Duration
 		ok     func(own, near, far float64) bool
 	}{
-		"no price": {func(s *balancer.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
-		"a price": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, nil,
+		"no cost": {func(s *balancer.Settings) {}, nil, func(own, near, far float64) bool { return own < 0.4 && far > 0.25 }},
+		"cost": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, nil,
 			func(own, near, far float64) bool { return own > 0.6 && far > 0.02 }},
-		"a slow zone": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, map[int]time.Duration{0: 8 * ms},
+		"slow own zone": {func(s *balancer.Settings) { s.CrossZoneCost = 0.03 }, map[int]time.Duration{0: 8 * ms},
 			func(own, near, far float64) bool { return own < 0.45 }},
 		"regions": {func(s *balancer.Settings) {
 			s.CrossZoneCost, s.CrossRegionCost, s.Regions = 0.03, 0.12, []int{0, 0, 1}
@@ -35,7 +35,7 @@
 			sum := float64(z.first[0] + z.first[1] + z.first[2])
 			own, near, far := float64(z.first[0])/sum, float64(z.first[1])/sum, float64(z.first[2])/sum
 			if !c.ok(own, near, far) {
-				t.Errorf("own zone %.2f, near %.2f, far %.2f", own, near, far)
+				t.Errorf("unexpected shares of first attempts: own zone %.2f, near %.2f, far %.2f", own, near, far)
 			}
 		})
 	}
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -14,9 +14,9 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// No action sends a request where the policy in force does not permit it: first attempts, retries, hedged requests,
-// what was queued while the policy changed, what goes to a re-enabled backend or to one that has moved to another
-// zone. And every request gets its answer.
+// No attempt goes to a zone that the policy in force does not permit: first attempts, retries, hedged requests,
+// requests queued while the policy changed, attempts at a re-enabled backend or at one that has moved to another zone.
+// Every request is sent or gets its final answer.
 func TestNothingIsSentOutsidePermittedZones(t *testing.T) {
 	const zones, rules = 3, 4
 	rapid.Check(t, func(d *rapid.T) {
@@ -29,7 +29,7 @@
 			zone[b.ID] = b.Zone
 		}
 		table := &gate.Table{Permitted: make([][]bool, rules), Restricted: make([]bool, rules)}
-		rule, answered := map[string]int{}, map[string]bool{}
+		rule, done := map[string]int{}, map[string]bool{}
 		check := func(actions []balancer.Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
@@ -39,9 +39,9 @@
 							zone[a.Backend], table)
 					}
 				case balancer.Refuse:
-					answered[a.Request] = true
+					done[a.Request] = true
 				case balancer.Fail:
-					answered[a.Request] = true
+					done[a.Request] = true
 				}
 			}
 		}
@@ -56,7 +56,7 @@
 			case 4, 5, 6: // an attempt ends, with any result
 				ids := make([]string, 0, len(r.sent))
 				for id := range r.sent {
-					if !answered[id] {
+					if !done[id] {
 						ids = append(ids, id)
 					}
 				}
@@ -64,13 +64,13 @@
 					id := rapid.SampledFrom(ids).Draw(d, "id")
 					n := len(r.sent[id]) - 1
 					res := balancer.Result(rapid.IntRange(0, 5).Draw(d, "result"))
-					answered[id] = answered[id] || res == balancer.OK
+					done[id] = done[id] || res == balancer.OK
 					check(r.step(balancer.Outcome{Request: id, Attempt: n, Backend: r.sent[id][n], Result: res,
 						Latency: 50 * ms, Done: res == balancer.OK}))
 				}
 			case 7:
 				check(r.advance(time.Duration(rapid.IntRange(1, 900).Draw(d, "ms")) * ms))
-			case 8: // another policy
+			case 8: // the policy changes
 				table = &gate.Table{Generation: table.Generation + 1, Permitted: make([][]bool, rules),
 					Restricted: make([]bool, rules)}
 				for n := range rules {
@@ -78,7 +78,7 @@
 					table.Permitted[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
 				}
 				check(r.step(balancer.Residency{Table: table}))
-			case 9: // a backend in another zone, or disabled and enabled again
+			case 9: // a backend moves to another zone, and may be disabled and re-enabled
 				b := rapid.SampledFrom(list).Draw(d, "backend")
 				b.Zone = rapid.IntRange(-1, zones).Draw(d, "zone")
 				b.State = balancer.BackendState(rapid.IntRange(0, 1).Draw(d, "state"))
@@ -92,8 +92,8 @@
 		}
 		check(r.advance(10 * time.Second))
 		for id := range rule {
-			if !answered[id] && len(r.sent[id]) == 0 {
-				d.Fatalf("%s was neither sent nor answered", id)
+			if !done[id] && len(r.sent[id]) == 0 {
+				d.Fatalf("%s was neither sent nor did it get a final answer", id)
 			}
 		}
 	})
@@ -104,7 +104,7 @@
 		Restricted: []bool{false, true}}}
 }
 
-// A bound request without a permitted backend is refused at once, with the reason.
+// A restricted request without a permitted backend is refused at once, with the reason.
 func TestRequestWithoutPermittedBackendIsRefused(t *testing.T) {
 	for name, prepare := range map[string]func(r *rig){
 		"zone without backends": func(r *rig) { r.step(residencyOf(false, false, false)) },
@@ -121,20 +121,21 @@
 		prepare(r)
 		actions := r.step(balancer.Request{ID: "q", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
 		if len(actions) != 1 {
-			t.Fatalf("%s: %v", name, actions)
+			t.Fatalf("%s: actions %v, want one refusal", name, actions)
 		}
 		if a, ok := actions[0].(balancer.Refuse); !ok || !a.NoPermittedZone {
-			t.Errorf("%s: %+v", name, actions[0])
+			t.Errorf("%s: action %+v, want a refusal with NoPermittedZone", name, actions[0])
 		}
 		if a := r.step(balancer.Request{ID: "free", Class: idempotent, TimeRemaining: 2000 * ms}); len(r.sent["free"]) != 1 {
-			t.Errorf("%s: a request that is not bound: %v", name, a)
+			t.Errorf("%s: an unrestricted request was not sent: %v", name, a)
 		}
 	}
 }
 
-// Where a bound tenant's zone is overloaded, requests that may go elsewhere avoid it before a bound one is refused.
-func TestBoundRequestsGoFirstInTheirRegion(t *testing.T) {
-	play := func(rule int) (in, refused int) {
+// If the only zone of restricted requests is overloaded, other requests avoid the zone before a restricted one is
+// refused.
+func TestRestrictedRequestsGoFirstInTheirZone(t *testing.T) {
+	play := func(rule int) (unrestricted, refused int) {
 		r := newRig(t, settings(), 5, backends(6))
 		r.step(residencyOf(true, false, false))
 		var open []string
@@ -156,24 +157,24 @@
 			for len(open) > 20 { // each takes about 80 ms
 				if id := open[0]; len(r.sent[id]) > 0 {
 					if i > 300 && id[0] == 'f' && r.sent[id][0] < "c" {
-						in++
+						unrestricted++
 					}
 					r.outcome(id, balancer.OK, 80*ms)
 				}
 				open = open[1:]
 			}
 		}
-		return in, refused
+		return unrestricted, refused
 	}
-	free, _ := play(0)
-	aside, refused := play(1)
-	if refused > 0 || aside > free {
-		t.Errorf("%d bound requests refused; %d others in their zone, %d where nobody is bound", refused, aside, free)
+	without, _ := play(0)
+	with, refused := play(1)
+	if refused > 0 || with > without {
+		t.Errorf("%d restricted requests refused; %d others in their zone, %d without restricted requests", refused, with, without)
 	}
 }
 
-// A zone known to be far gets only what the near zones have no idle backend for, and is near again once its distance
-// is unknown.
+// A zone with a long round-trip time gets requests only if the near zones have no idle backend. It counts as near again
+// when its round-trip time is unknown.
 func TestFarZonesAreUsedLast(t *testing.T) {
 	far := balancer.ZoneLatencies{RTT: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
 	count := func(r *rig) (n int) {
@@ -193,19 +194,19 @@
 		r.step(far)
 	}
 	if n := count(r); n > 0 {
-		t.Errorf("%d of 90 went to the far zone while others were idle", n)
+		t.Errorf("%d of 90 requests went to the far zone while other backends were idle", n)
 	}
-	for i := range 24 { // and all are busy
+	for i := range 24 { // more than the near zones have idle backends
 		r.request(fmt.Sprint("busy", i), idempotent)
 	}
-	there := 0
+	sentFar := 0
 	for _, at := range r.sent {
 		if at[0] >= "e" {
-			there++
+			sentFar++
 		}
 	}
-	if there == 0 {
-		t.Error("nothing goes far where the near ones are busy")
+	if sentFar == 0 {
+		t.Error("no request went to the far zone while the near backends were busy")
 	}
 	r = newRig(t, settings(), 7, backends(6))
 	for range 20 {
@@ -213,18 +214,18 @@
 	}
 	r.step(balancer.ZoneLatencies{RTT: make([]time.Duration, 3), Loss: make([]float64, 3)})
 	if n := count(r); n < 15 {
-		t.Errorf("%d of 90 went to a zone of which nothing is known any more, want about a third", n)
+		t.Errorf("%d of 90 requests went to a zone whose round-trip time is unknown again, want about a third", n)
 	}
 }
 
 // The quota that the fleet assigns sets this agent's share of the limit.
 func TestAssignedQuotaSetsTheLimit(t *testing.T) {
-	out := func(part float64) (n int) {
+	inFlight := func(share float64) (n int) {
 		s := settings()
 		s.Balancers, s.GossipAllowed = 10, true
 		r := newRig(t, s, 3, backends(6))
-		if part > 0 {
-			r.step(balancer.Quota{Share: part})
+		if share > 0 {
+			r.step(balancer.Quota{Share: share})
 		}
 		for i := range 100 {
 			id := fmt.Sprint("q", i)
@@ -233,8 +234,8 @@
 		}
 		return n
 	}
-	even, more, less := out(0), out(0.5), out(0.01)
+	even, more, less := inFlight(0), inFlight(0.5), inFlight(0.01)
 	if more < 3*even || less >= even || less < 1 {
-		t.Errorf("in flight: %d by the configuration, %d with half of the limit, %d with a hundredth", even, more, less)
+		t.Errorf("in flight: %d without an assigned quota, %d with half of the limit, %d with a hundredth", even, more, less)
 	}
 }
--- a/balancer/residency_unit_test.go
+++ b/balancer/residency_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the residency policy alone.
+// Unit tests of the residency policy.
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	"martenbeam/internal/residency/gate"
 )
 
-func TestResidencyPolicyBindsUnknownRules(t *testing.T) {
+func TestResidencyPolicyRestrictsUnknownRules(t *testing.T) {
 	policy := residencyPolicy{&gate.Table{Permitted: [][]bool{nil, {true, false}, {true, false}},
 		Restricted: []bool{false, true, false}}}
 	for name, c := range map[string]struct {
@@ -28,10 +28,10 @@
 		"an unknown rule":            {policy, 3, 0, false, true},
 	} {
 		if got := c.policy.permits(c.rule, c.zone); got != c.permits {
-			t.Errorf("%s: permitted %v", name, got)
+			t.Errorf("%s: unexpected result: permitted %v", name, got)
 		}
 		if got := c.policy.restricts(c.rule); got != c.binds {
-			t.Errorf("%s: bound %v", name, got)
+			t.Errorf("%s: unexpected result: restricted %v", name, got)
 		}
 	}
 }
--- a/balancer/sequentialtest.go
+++ b/balancer/sequentialtest.go
@@ -78,9 +78,9 @@
 
 // recordReport adds a peer's report, which replaces an earlier one from the same peer. If this agent has no evidence of
 // a loss, the suspicion counts from the given time.
-func (t *sequentialTest) recordReport(from int, now, suspectedSince time.Duration) {
+func (t *sequentialTest) recordReport(from int, now, since time.Duration) {
 	if t.logLikelihoodRatio == 0 {
-		t.suspectedSince = suspectedSince
+		t.suspectedSince = since
 	}
 	t.reports = slices.DeleteFunc(t.reports, func(report lossReport) bool { return report.from == from })
 	t.reports = append(t.reports, lossReport{from, now})
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -1,6 +1,6 @@
 package balancer_test
 
-// Tests of slow start at one agent.
+// Tests of slow start with one agent.
 
 import (
 	"fmt"
@@ -10,27 +10,27 @@
 	"martenbeam/balancer"
 )
 
-// A backend in slow start gets no more than its warmth times what a warm one serves.
+// A backend in slow start gets at most its warmth times the requests of a warm backend.
 func TestSlowStartLimitsShare(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour // the rig's clock starts here
 	r := newRig(t, settings(), 9, list)
 	counts := r.serve(200, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (200 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
-		t.Errorf("the cold backend got %d against %d for a warm one", counts["a"], warm)
+		t.Errorf("the cold backend got %d requests, a warm one %d", counts["a"], warm)
 	}
 	if counts["a"] == 0 {
-		t.Error("the cold backend got nothing")
+		t.Error("the cold backend got no request")
 	}
 	r.advance(10 * time.Second)
 	if n := r.serve(200, idempotent, 20*ms)["a"]; n < 25 {
-		t.Errorf("once warm it got %d of 200", n)
+		t.Errorf("once warm the backend got %d of 200 requests, want at least 25", n)
 	}
 }
 
-// join+vast: the latency of slow start was held against a backend besides its warmth, and an agent that met it seldom
-// left it idle long after it was warm.
-func TestSlowStartLatencyIsForgotten(t *testing.T) {
+// join+vast: when the latency of a backend in slow start also counted in its latency ratio, an agent that seldom used
+// the backend left it idle long after it was warm.
+func TestSlowStartLatencyIsDiscounted(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour
 	r := newRig(t, settings(), 9, list)
@@ -51,13 +51,13 @@
 	serve(200)
 	r.advance(10 * time.Second)
 	if n := serve(60); n < 8 {
-		t.Errorf("once warm it got %d of 60, want about an even part", n)
+		t.Errorf("once warm the backend got %d of 60 requests, want about an even share", n)
 	}
 }
 
-// join+vast: 36 of 60 backends were warm after half of the slow-start window, and the agents refused what those could
-// have served. The answers of starting backends show how warm they are.
-func TestAnswersTeachWarmth(t *testing.T) {
+// join+vast: 36 of 60 backends were warm after half of the slow-start window, and the agents refused requests that
+// those could have served. The latency of starting backends indicates their warmth.
+func TestWarmthIsEstimatedFromLatency(t *testing.T) {
 	play := func(cold time.Duration) (sent int) {
 		list := backends(8)
 		for i := range 6 {
@@ -73,10 +73,10 @@
 			if r.sent[id][0] < "g" {
 				latency = cold
 			}
-			r.now += 100 * ms // both plays last as long
+			r.now += 100 * ms // independent of the latency, so that both runs last equally long
 			r.outcome(id, balancer.OK, latency)
 		}
-		for i := range 100 { // nothing is answered; a starting backend takes up its share gradually
+		for i := range 100 { // no request is answered; a starting backend uses its share gradually
 			r.now += 20 * ms
 			id := fmt.Sprint("all", i)
 			r.request(id, idempotent)
@@ -85,13 +85,13 @@
 		return sent
 	}
 	if fast, slow := play(40*ms), play(300*ms); fast < slow*5/4 {
-		t.Errorf("%d in flight with cold backends as fast as warm ones, %d with slow ones", fast, slow)
+		t.Errorf("%d requests in flight with cold backends as fast as warm ones, %d with slow ones", fast, slow)
 	}
 }
 
-// However often starting backends answered faster than expected, slow ones of a later start are soon taken for cold
-// again.
-func TestLearnedWarmthIsBounded(t *testing.T) {
+// The warmth estimate is bounded: after any number of fast starts, it soon adapts to the slow backends of a later
+// start.
+func TestEstimatedWarmthIsBounded(t *testing.T) {
 	play := func(before int) (sent int) {
 		list := backends(8)
 		s := settings()
@@ -115,7 +115,7 @@
 		}
 		serve(before, 40*ms)
 		serve(300, 300*ms)
-		for i := range 100 { // nothing is answered; a starting backend takes up its share gradually
+		for i := range 100 { // no request is answered; a starting backend uses its share gradually
 			r.now += 20 * ms
 			id := fmt.Sprint("all", i)
 			r.request(id, idempotent)
@@ -124,7 +124,7 @@
 		return sent
 	}
 	if fresh, old := play(0), play(5000); old > fresh*5/4 {
-		t.Errorf("%d in flight at slow cold backends, %d by what was learned from fast ones long ago", fresh, old)
+		t.Errorf("%d requests in flight with slow cold backends, %d if earlier starts were fast", fresh, old)
 	}
 }
 
@@ -133,40 +133,40 @@
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := backends(5)
 	for i := range list {
-		list[i].Zone = 0 // answers arrive one at a time here: a zone of two would be silent for long, and failed over
+		list[i].Zone = 0 // responses arrive one at a time: a zone of two would not respond for long, and be failed over
 	}
 	r := newRig(t, settings(), 9, list)
-	var out []string
+	var open []string
 	counts := map[string]float64{}
 	early := map[string]bool{} // sent before the start
-	answer := func(id string, latency time.Duration) {
+	respond := func(id string, latency time.Duration) {
 		if !early[id] {
 			counts[r.sent[id][0]]++
 		}
 		for _, a := range r.outcome(id, balancer.OK, latency) {
 			if a, ok := a.(balancer.Send); ok {
-				out = append(out, a.Request)
+				open = append(open, a.Request)
 			}
 		}
 	}
-	drive := func(n int) { // every 5 ms: all answers of the starting backend, one of the others, two requests
+	drive := func(n int) { // every 5 ms: all responses of the starting backend, one of the others, two requests
 		for range n {
 			r.advance(5 * ms)
-			was := out
-			out = nil
-			for i, id := range was {
+			previous := open
+			open = nil
+			for i, id := range previous {
 				if r.sent[id][0] == "a" && list[0].Started > 0 {
-					answer(id, 5*ms)
+					respond(id, 5*ms)
 				} else if i == 0 {
-					answer(id, 50*ms)
+					respond(id, 50*ms)
 				} else {
-					out = append(out, id)
+					open = append(open, id)
 				}
 			}
 			for range 2 {
 				id := fmt.Sprint("q", len(r.sent), "-", r.now)
 				if r.request(id, idempotent); len(r.sent[id]) > 0 {
-					out = append(out, id)
+					open = append(open, id)
 				}
 			}
 		}
@@ -174,25 +174,25 @@
 	for i := range 30 {
 		id := fmt.Sprint("first", i)
 		r.request(id, idempotent)
-		out = append(out, id)
+		open = append(open, id)
 	}
 	drive(400)
 	list[0].Started = r.now
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: list[:1]})
 	clear(counts)
-	for _, id := range out {
+	for _, id := range open {
 		early[id] = true
 	}
-	drive(400) // two seconds: warmth 0.2 to 0.36, 0.28 in the mean
+	drive(400) // two seconds: warmth 0.2 to 0.36, with a mean of 0.28
 	warm := (counts["b"] + counts["c"] + counts["d"] + counts["e"]) / 4
 	share := counts["a"] / warm
 	if share < 0.35 || share > 0.28*2.5 {
-		t.Errorf("the cold backend served %.2f of a warm one's work", share)
+		t.Errorf("the cold backend served %.2f of a warm one's requests, want 0.35 to 0.7", share)
 	}
 }
 
-// Ticket 397: where every backend is in slow start, as after a power cut, their own throughput sets the budgets.
-// Budgets from warm backends alone gave them nothing more once that memory had decayed.
+// Ticket 397: where every backend is in slow start, as after a power cut, their own throughput determines the budgets.
+// When only warm backends counted, the budgets fell to 0 as the throughput estimate decayed.
 func TestFleetInSlowStartServes(t *testing.T) {
 	var list []balancer.Backend
 	for _, n := range backends(5) {
@@ -217,11 +217,11 @@
 		}
 	}
 	if served < 400 {
-		t.Errorf("served %d of 500 requests that one backend could serve", served)
+		t.Errorf("served %d of 500 requests at a rate that one backend can serve, want at least 400", served)
 	}
 }
 
-// One expensive request alone could overload a backend in slow start.
+// A backend in slow start gets no expensive request: a single one could overload it.
 func TestSlowStartGetsNoExpensiveRequest(t *testing.T) {
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
@@ -240,7 +240,7 @@
 		send(fmt.Sprint("l", i), 20*ms)
 		if h := fmt.Sprint("h", i); i%10 == 0 {
 			if send(h, 300*ms); r.sent[h][0] == "cold" {
-				t.Fatalf("heavy request %d went to the cold backend", i)
+				t.Fatalf("expensive request %d went to the cold backend", i)
 			}
 		}
 		if r.sent[fmt.Sprint("l", i)][0] == "cold" {
@@ -248,13 +248,13 @@
 		}
 	}
 	if got == 0 {
-		t.Error("the cold backend got no light request either")
+		t.Error("the cold backend got no cheap request either")
 	}
 }
 
-// Dallas rules-3: each of 150 agents sent a starting backend one request at once, and together they overloaded it.
-// Only a part of them may do so right after its start.
-func TestManyAgentsSpareABackendInSlowStart(t *testing.T) {
+// Dallas rules-3: 150 agents overloaded a starting backend when each sent it one request at once. Right after the start
+// only part of the agents may send one.
+func TestManyAgentsDoNotOverloadAStartingBackend(t *testing.T) {
 	sent := 0
 	for seed := range uint64(200) {
 		r := newRig(t, settings(), seed, backends(2))
@@ -266,6 +266,6 @@
 		sent += len(r.sent["q"])
 	}
 	if sent > 60 {
-		t.Errorf("%d of 200 agents sent to a server within 5 ms of its start", sent)
+		t.Errorf("%d of 200 agents sent to a backend within 5 ms of its start, want up to 60", sent)
 	}
 }
--- a/balancer/slowstart_unit_test.go
+++ b/balancer/slowstart_unit_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of slow start and of latency ratios alone.
+// Unit tests of slow start and of latency ratios.
 
 import (
 	"math"
@@ -18,42 +18,42 @@
 	m := newSlowStartModel(slowStartSettings())
 	var s slowStartState
 	if got := m.guaranteedWarmth(&s, time.Hour); got != 1 {
-		t.Errorf("a backend that never started is %v warm", got)
+		t.Errorf("a backend without a slow start has warmth %v, want 1", got)
 	}
 	s.begin(time.Hour, time.Hour, 0)
 	for age, want := range map[time.Duration]float64{-time.Second: 0.2, 0: 0.2, 5 * time.Second: 0.6} {
 		if got := m.guaranteedWarmth(&s, time.Hour+age); !near(got, want) || !s.warmingUp {
-			t.Errorf("%v after its start a backend is %v warm, want %v", age, got, want)
+			t.Errorf("%v after its start a backend has warmth %v, want %v", age, got, want)
 		}
 	}
 	if got := m.guaranteedWarmth(&s, time.Hour+10*time.Second); got != 1 || s.warmingUp {
-		t.Errorf("after the window it is %v warm, still warming up: %v", got, s.warmingUp)
+		t.Errorf("after the window the backend has warmth %v, still warming up: %v", got, s.warmingUp)
 	}
 	if got := m.guaranteedWarmth(&s, time.Hour+time.Second); got != 1 {
-		t.Error("a slow start that was over began again")
+		t.Error("a slow start continues after its end")
 	}
 }
 
-func TestWarmthFollowsAnswersWithinBounds(t *testing.T) {
+func TestWarmthFollowsLatencyWithinBounds(t *testing.T) {
 	m := newSlowStartModel(slowStartSettings())
 	var s slowStartState
 	s.begin(time.Hour, time.Hour, 0)
 	now := time.Hour + time.Second
 	guaranteed := m.guaranteedWarmth(&s, now)
 	if got := m.warmth(&s, now); !near(got, guaranteed) {
-		t.Errorf("before any answer warmth is %v, guaranteed %v", got, guaranteed)
+		t.Errorf("before any response warmth is %v, guaranteed %v", got, guaranteed)
 	}
 	for range 1000 { // as fast as a warm backend
 		m.recordLatency(guaranteed, 1, guaranteed)
 	}
 	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, trustExponent); got <= guaranteed || got > most {
-		t.Errorf("after fast answers warmth is %v, guaranteed %v, trusted at most %v", got, guaranteed, most)
+		t.Errorf("after fast responses warmth is %v, guaranteed %v, bounded to %v", got, guaranteed, most)
 	}
 	for range 1000 { // slower than its warmth explains
 		m.recordLatency(2/guaranteed, 1, guaranteed)
 	}
 	if got := m.warmth(&s, now); !near(got, guaranteed) {
-		t.Errorf("after slow answers warmth is %v, guaranteed %v", got, guaranteed)
+		t.Errorf("after slow responses warmth is %v, guaranteed %v", got, guaranteed)
 	}
 }
 
@@ -62,29 +62,29 @@
 	s.begin(time.Hour, time.Hour, 0.75)
 	now := time.Hour
 	if s.covers(1, 1) {
-		t.Error("covered at the start")
+		t.Error("the budget covers a request at the start")
 	}
 	const rate = 1e-9 // one request per second
 	if s.refill(rate, now+700*time.Millisecond); s.covers(1, 1) {
-		t.Error("covered before the budget is above 0")
+		t.Error("the budget covers a request before it is above 0")
 	}
 	if s.refill(rate, now+800*time.Millisecond); !s.covers(1, 1) {
-		t.Error("not covered once the budget is above 0")
+		t.Error("the budget does not cover a request though it is above 0")
 	}
 	if s.covers(maxSlowStartWork*1.1, 1) {
-		t.Error("an expensive request is covered")
+		t.Error("the budget covers an expensive request")
 	}
 	s.refill(rate, now+time.Hour)
 	if !near(s.slowStartBudget, 1) {
-		t.Errorf("a long pause brings a budget of %v", s.slowStartBudget)
+		t.Errorf("budget %v after a long time without requests, want 1", s.slowStartBudget)
 	}
 	s.spendBudget(1)
 	if s.raiseBudget(-0.5); s.covers(1, 1) || s.slowStartBudget != 0 {
-		t.Errorf("after an attempt the budget is %v", s.slowStartBudget)
+		t.Errorf("budget %v after an attempt, want 0", s.slowStartBudget)
 	}
 	s.spendBudget(3)
 	if s.raiseBudget(-0.5); s.slowStartBudget != -0.5 {
-		t.Errorf("raised to −0.5 the budget is %v", s.slowStartBudget)
+		t.Errorf("budget %v after it was raised to −0.5", s.slowStartBudget)
 	}
 }
 
@@ -107,14 +107,14 @@
 	}
 	peak := p.perBackend(now)
 	if perSecond := peak * 1e9; perSecond < 45 || perSecond > 55 {
-		t.Errorf("%v requests per second and backend, want 50", perSecond)
+		t.Errorf("%v requests per second and backend, want about 50", perSecond)
 	}
-	for range 200 { // nothing is served
+	for range 200 { // 2 s in which no request is served
 		now += 10 * time.Millisecond
 		p.track(now, 2)
 	}
 	if got := p.perBackend(now); got < 0.7*peak || got >= peak {
-		t.Errorf("after 2 s without traffic the peak of %v is %v", peak, got)
+		t.Errorf("after 2 s without traffic the peak has decayed from %v to %v, want at least 0.7 of it", peak, got)
 	}
 	next := newThroughput(slowStartSettings())
 	if next.restore(now, peak); next.perBackend(now) != peak {
@@ -122,25 +122,25 @@
 	}
 }
 
-func TestLatencyRatioLearnsFastAtFirst(t *testing.T) {
+func TestFirstSamplesWeighMoreInLatencyRatio(t *testing.T) {
 	var l latencyEstimate
 	l.resetLatency()
 	l.recordLatency(4)
-	if !near(l.latencyRatio, 2) { // a third of the way
+	if !near(l.latencyRatio, 2) { // the first sample has a weight of a third
 		t.Errorf("ratio %v after one sample of 4", l.latencyRatio)
 	}
 	for range 1000 {
 		l.recordLatency(100)
 	}
 	if !near(l.latencyRatio, maxLatencyRatio) {
-		t.Errorf("ratio %v after very slow answers, want the bound", l.latencyRatio)
+		t.Errorf("ratio %v after very slow responses, want the bound", l.latencyRatio)
 	}
 	before := l.latencyRatio
 	if l.recordLatency(0); !near(l.latencyRatio, before*(1-smoothing)) {
-		t.Errorf("ratio %v after one fast answer among many slow ones", l.latencyRatio)
+		t.Errorf("ratio %v after one fast response following many slow ones", l.latencyRatio)
 	}
 	if l.resetLatency(); l.latencyRatio != 1 || l.latencySamples != 0 {
-		t.Errorf("reset: %+v", l)
+		t.Errorf("after resetLatency: %+v", l)
 	}
 }
 
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -9,12 +9,12 @@
 	"martenbeam/balancer"
 )
 
-// Satx big-1: a quiet agent that spreads over every backend hears from each once a day. It keeps to a subset in an
-// order of its own, other agents to others, and goes further in its order when those fail.
-func TestQuietAgentUsesASubset(t *testing.T) {
+// Satx big-1: an agent with little traffic that spreads it over all backends gets one response a day from each. It uses
+// a subset, the first backends of an order that differs between agents, and the next ones in the order when those fail.
+func TestAgentWithLittleTrafficUsesASubset(t *testing.T) {
 	s := settings()
 	s.Balancers = 500
-	firsts := map[string]int{}
+	agentsByBackend := map[string]int{}
 	for self := range 60 {
 		s.Self = self
 		r := newRig(t, s, uint64(self), backends(40))
@@ -30,50 +30,50 @@
 			r.advance(370 * ms)
 		}
 		if len(used) > 12 {
-			t.Errorf("agent %d used %d servers, want a few", self, len(used))
+			t.Errorf("agent %d used %d backends, want up to 12", self, len(used))
 		}
 		for id := range used {
-			firsts[id]++
+			agentsByBackend[id]++
 		}
-		for id := range used { // all of these die
+		for id := range used { // remove all of the subset
 			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 				Backends: []balancer.Backend{{ID: id, State: balancer.Removed}}})
 		}
 		r.request("next", idempotent)
 		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
-			t.Errorf("agent %d found no further server", self)
+			t.Errorf("agent %d sent to no backend outside of the removed subset", self)
 		}
 	}
-	if len(firsts) < 38 {
-		t.Errorf("60 agents together used %d of 40 servers", len(firsts))
+	if len(agentsByBackend) < 38 {
+		t.Errorf("60 agents together used %d of 40 backends, want at least 38", len(agentsByBackend))
 	}
 }
 
-// Another site's calm day: backends at their connection limit reject new connections. That does not indicate queues:
-// the limit stays, and the agent keeps to fewer backends, to which it has connections.
-func TestRejectedConnectionsAreNoOverload(t *testing.T) {
-	rush := func(fresh bool) (out int, met int) {
+// Backends at their connection limit reject new connections, as seen at a site without overload. Such rejections don't
+// indicate queues: the concurrency limit is unchanged, and the agent uses fewer backends, to which it has connections.
+func TestRejectedConnectionsAreNotOverload(t *testing.T) {
+	play := func(newConnection bool) (inFlight int, used int) {
 		s := settings()
 		s.MaxAttempts = 1
 		r := newRig(t, s, 1, backends(8))
 		for n := range 1 {
-			r.burst(fmt.Sprint("calm", n), 20*ms)
+			r.burst(fmt.Sprint("before", n), 20*ms)
 		}
 		for n := range 60 {
-			id := fmt.Sprint("turned", n)
+			id := fmt.Sprint("rejected", n)
 			r.request(id, idempotent)
 			r.step(balancer.Outcome{Request: id, Backend: r.sent[id][0], Result: balancer.Rejected, Latency: ms,
-				NewConnection: fresh})
+				NewConnection: newConnection})
 			r.advance(100 * ms)
 		}
 		return r.burst("after", 20*ms), len(r.serve(100, idempotent, 20*ms))
 	}
-	queues, all := rush(false)
-	caps, few := rush(true)
-	if caps < queues*3/2 {
-		t.Errorf("%d in flight after connections were turned away, %d after queues were full", caps, queues)
+	afterRequests, allUsed := play(false)
+	afterConnections, fewUsed := play(true)
+	if afterConnections < afterRequests*3/2 {
+		t.Errorf("%d in flight after rejected connections, %d after rejected requests", afterConnections, afterRequests)
 	}
-	if few > all/2 {
-		t.Errorf("%d backends in use after connections were turned away, %d after queues were full", few, all)
+	if fewUsed > allUsed/2 {
+		t.Errorf("%d backends in use after rejected connections, %d after rejected requests", fewUsed, allUsed)
 	}
 }
