--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Tests of the admission queue alone.
+// Unit tests of the admission queue.
 
 import (
 	"slices"
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestQueueSkipsRequestsAlike(t *testing.T) {
+func TestQueueSkipsUnconstrainedRequestsOfTheClass(t *testing.T) {
 	q, all := queueOf(1, 1, 1, 0)
 	all[1].residencyRule = 1 // may find a backend where the others found none
 	q.skip(all[2])
@@ -54,14 +54,14 @@
 		t.Fatalf("next is %v after all were skipped", next)
 	}
 	visited := ""
-	q.newestFirst(func(req *request) {
+	q.visitNewestFirst(func(req *request) {
 		visited += req.id
 		if req == all[2] {
 			q.remove(req)
 		}
 	})
 	if visited != "3210" || !slices.Equal(q.requests, []*request{all[0], all[1], all[3]}) {
-		t.Errorf("visited %s, %d requests left", visited, len(q.requests))
+		t.Errorf("visited %s, %d requests left, want 3210 and 3", visited, len(q.requests))
 	}
 	if next := q.next(byClass); next != all[1] {
 		t.Errorf("next is %v, want the newest of the higher class: a skip lasts for one step", next)
