--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -11,7 +11,7 @@
 // classState is the state of one class of requests.
 type classState struct {
 	Class
-	latency       float64       // moving average of the latency of answers, ns
+	latency       float64       // moving average of the latency of responses, ns
 	marginalValue float64       // what a unit of work adds to the operator's goal, in this step
 	usualTimeout  time.Duration // usual timeout of a client's attempt
 	meanWork      float64       // moving average of the announced work, ns
@@ -39,7 +39,7 @@
 // recordLatency updates the mean latency with the latency of a response, scaled to mean work, in ns.
 func (c *classState) recordLatency(latency float64) { c.latency = ewma(c.latency, max(latency, 1)) }
 
-// restore sets the mean latency to that of an earlier process, in ns. A value below 1 or above the objective is
+// restore sets the mean latency to that of an earlier process, in ns. A value below 1 ns or above the objective is
 // ignored.
 func (c *classState) restore(latency float64) {
 	if latency >= 1 && latency <= float64(c.LatencyObjective) {
