--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -21,20 +21,20 @@
 // zoneRig is a rig with three zones of three backends, which respond after 20 ms unless they are unresponsive.
 type zoneRig struct {
 	*rig
-	list           []balancer.Backend
-	silent         map[int]bool
-	answerAt       map[string]time.Duration // when the outcome of each request's latest attempt arrives
-	clientDeadline map[string]time.Duration // when each request's client stops waiting
-	first          map[int]int              // first attempts by zone
-	probes         []string
-	requests       int
-	probed         int
-	silentBackends map[string]bool // unresponsive backends in responsive zones
-	changes        []zoneChange
-	gossip         [][]byte              // messages to peers
-	extraLatency   map[int]time.Duration // additional latency of a zone's responses
-	class          func(n int) int       // of the n-th request; nil: all idempotent
-	settings       balancer.Settings
+	list                 []balancer.Backend
+	unresponsive         map[int]bool
+	answerAt             map[string]time.Duration // when the outcome of each request's latest attempt arrives
+	clientDeadline       map[string]time.Duration // when each request's client stops waiting
+	firstAttempts        map[int]int              // first attempts by zone
+	probes               []string
+	requests             int
+	probeCount           int
+	unresponsiveBackends map[string]bool // unresponsive backends in responsive zones
+	changes              []zoneChange
+	gossip               [][]byte              // messages to peers
+	extraLatency         map[int]time.Duration // additional latency of a zone's responses
+	class                func(n int) int       // of the n-th request; nil: all idempotent
+	settings             balancer.Settings
 }
 
 // zoneChange is a state change of a zone, and when it happened.
@@ -45,8 +45,8 @@
 
 func newZoneRig(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoneRig {
 	t.Helper()
-	z := &zoneRig{silent: map[int]bool{}, answerAt: map[string]time.Duration{},
-		clientDeadline: map[string]time.Duration{}, first: map[int]int{}}
+	z := &zoneRig{unresponsive: map[int]bool{}, answerAt: map[string]time.Duration{},
+		clientDeadline: map[string]time.Duration{}, firstAttempts: map[int]int{}}
 	for i := range 9 {
 		z.list = append(z.list, balancer.Backend{ID: string(rune('a' + i)), Zone: i % 3, Cell: i % 3})
 	}
@@ -68,10 +68,10 @@
 		switch a := a.(type) {
 		case balancer.Send:
 			if len(z.sent[a.Request]) == 1 {
-				z.first[z.zone(a.Backend)]++
+				z.firstAttempts[z.zone(a.Backend)]++
 			}
 			z.answerAt[a.Request] = z.now + 20*ms + z.extraLatency[z.zone(a.Backend)]
-			if z.silent[z.zone(a.Backend)] || z.silentBackends[a.Backend] {
+			if z.unresponsive[z.zone(a.Backend)] || z.unresponsiveBackends[a.Backend] {
 				z.answerAt[a.Request] = min(z.now+time.Second, z.clientDeadline[a.Request]) // no attempt outlasts its client
 			}
 		case balancer.SendGossip:
@@ -80,7 +80,7 @@
 			z.changes = append(z.changes, zoneChange{a, z.now})
 		case balancer.Probe:
 			z.probes = append(z.probes, a.Backend)
-			z.probed++
+			z.probeCount++
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		for _, id := range over {
 			delete(z.answerAt, id)
 			to := z.sent[id][len(z.sent[id])-1]
-			if z.silent[z.zone(to)] || z.silentBackends[to] {
+			if z.unresponsive[z.zone(to)] || z.unresponsiveBackends[to] {
 				z.record(z.outcome(id, balancer.TimedOut, time.Second))
 			} else {
 				z.record(z.outcome(id, balancer.OK, 20*ms+z.extraLatency[z.zone(to)]))
@@ -109,7 +109,7 @@
 		z.probes = nil
 		for _, id := range probes {
 			result := balancer.OK
-			if z.silent[z.zone(id)] {
+			if z.unresponsive[z.zone(id)] {
 				result = balancer.TimedOut
 			}
 			z.record(z.step(balancer.ProbeResult{Backend: id, Result: result, Latency: ms}))
@@ -129,22 +129,22 @@
 func TestUnresponsiveZoneFailsOverAndRecovers(t *testing.T) {
 	z := newZoneRig(t, 3)
 	z.run(2 * time.Second)
-	if z.first[1] < 60 {
-		t.Fatalf("before the outage: first attempts by zone %v, want at least 60 in zone 1", z.first)
+	if z.firstAttempts[1] < 60 {
+		t.Fatalf("before the outage: first attempts by zone %v, want at least 60 in zone 1", z.firstAttempts)
 	}
-	z.silent[1] = true
+	z.unresponsive[1] = true
 	z.run(1500 * ms)
-	clear(z.first)
+	clear(z.firstAttempts)
 	z.run(2 * time.Second)
-	if z.first[1] > 0 || z.first[0]+z.first[2] < 300 {
-		t.Errorf("after the failover: first attempts by zone %v, want none in zone 1 and at least 300 in the others", z.first)
+	if z.firstAttempts[1] > 0 || z.firstAttempts[0]+z.firstAttempts[2] < 300 {
+		t.Errorf("after the failover: first attempts by zone %v, want none in zone 1 and at least 300 in the others", z.firstAttempts)
 	}
-	z.silent[1] = false
+	z.unresponsive[1] = false
 	z.run(5 * time.Second)
-	clear(z.first)
+	clear(z.firstAttempts)
 	z.run(2 * time.Second)
-	if z.first[1] < 60 {
-		t.Errorf("after the recovery: first attempts by zone %v, want at least 60 in zone 1", z.first)
+	if z.firstAttempts[1] < 60 {
+		t.Errorf("after the recovery: first attempts by zone %v, want at least 60 in zone 1", z.firstAttempts)
 	}
 }
 
@@ -154,18 +154,18 @@
 	z := newZoneRig(t, 4)
 	z.run(time.Second)
 	for zone := range 3 {
-		z.silent[zone] = true
+		z.unresponsive[zone] = true
 	}
 	z.run(3 * time.Second)
-	if z.probed > 0 {
+	if z.probeCount > 0 {
 		t.Error("a zone was failed over")
 	}
-	clear(z.silent)
+	clear(z.unresponsive)
 	z.run(6 * time.Second)
-	clear(z.first)
+	clear(z.firstAttempts)
 	z.run(2 * time.Second)
-	if z.first[0] < 30 || z.first[1] < 30 || z.first[2] < 30 {
-		t.Errorf("after the outage: first attempts by zone %v, want at least 30 in each", z.first)
+	if z.firstAttempts[0] < 30 || z.firstAttempts[1] < 30 || z.firstAttempts[2] < 30 {
+		t.Errorf("after the outage: first attempts by zone %v, want at least 30 in each", z.firstAttempts)
 	}
 }
 
@@ -173,12 +173,12 @@
 func TestPartlyResponsiveZoneIsNotFailedOver(t *testing.T) {
 	z := newZoneRig(t, 5)
 	z.run(time.Second)
-	z.silentBackends = map[string]bool{"e": true, "h": true}
+	z.unresponsiveBackends = map[string]bool{"e": true, "h": true}
 	z.run(4 * time.Second)
-	if z.probed > 0 {
+	if z.probeCount > 0 {
 		t.Error("the zone was failed over")
 	}
-	if z.first[1] == 0 {
+	if z.firstAttempts[1] == 0 {
 		t.Error("the zone got no first attempts")
 	}
 }
@@ -194,16 +194,16 @@
 		z.run(500 * ms)
 		for range rapid.IntRange(1, 6).Draw(rt, "turns") {
 			zone := rapid.IntRange(0, 2).Draw(rt, "zone")
-			z.silent[zone] = !z.silent[zone]
+			z.unresponsive[zone] = !z.unresponsive[zone]
 			z.run(time.Duration(rapid.IntRange(100, 2500).Draw(rt, "ms")) * ms)
 		}
-		clear(z.silent)
+		clear(z.unresponsive)
 		z.run(12 * time.Second)
-		clear(z.first)
+		clear(z.firstAttempts)
 		z.run(time.Second)
 		for zone := range 3 {
-			if z.first[zone] == 0 {
-				rt.Fatalf("zone %d is still unused 12 s after all zones respond: first attempts by zone %v", zone, z.first)
+			if z.firstAttempts[zone] == 0 {
+				rt.Fatalf("zone %d is still unused 12 s after all zones respond: first attempts by zone %v", zone, z.firstAttempts)
 			}
 		}
 		changedAt := map[int]time.Duration{}
@@ -273,7 +273,7 @@
 func TestZoneLossIsGossiped(t *testing.T) {
 	z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
 	z.run(time.Second)
-	z.silent[1] = true
+	z.unresponsive[1] = true
 	for len(z.changes) == 0 && z.now < 2*time.Hour {
 		z.run(5 * ms)
 	}
@@ -304,9 +304,9 @@
 	for n := range uint64(agents) {
 		z := newZoneRig(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
 		z.run(time.Second)
-		z.silent[2] = true
+		z.unresponsive[2] = true
 		z.run(span)
-		probed += z.probed
+		probed += z.probeCount
 	}
 	if probed < agents {
 		t.Fatalf("%d probes by %d agents, want at least one by each", probed, agents)
--- a/balancer/message_test.go
+++ b/balancer/message_test.go
@@ -36,7 +36,7 @@
 	for _, n := range got.observations {
 		original := m.observations[n.key]
 		if n.value != original.value || n.observedAt > original.observedAt || n.observedAt < original.observedAt-unit/ageSteps-1 {
-			t.Errorf("observation %+v was decoded as %+v", original, n)
+			t.Errorf("decoded observation %+v, want %+v, up to one age step older", n, original)
 		}
 	}
 }
--- a/balancer/proximity_test.go
+++ b/balancer/proximity_test.go
@@ -30,10 +30,10 @@
 			z := newZoneRig(t, 4, c.change)
 			z.extraLatency = c.slow
 			z.run(3 * time.Second)
-			clear(z.first)
+			clear(z.firstAttempts)
 			z.run(20 * time.Second)
-			sum := float64(z.first[0] + z.first[1] + z.first[2])
-			own, near, far := float64(z.first[0])/sum, float64(z.first[1])/sum, float64(z.first[2])/sum
+			sum := float64(z.firstAttempts[0] + z.firstAttempts[1] + z.firstAttempts[2])
+			own, near, far := float64(z.firstAttempts[0])/sum, float64(z.firstAttempts[1])/sum, float64(z.firstAttempts[2])/sum
 			if !c.ok(own, near, far) {
 				t.Errorf("unexpected shares of first attempts: own zone %.2f, near %.2f, far %.2f", own, near, far)
 			}
--- a/balancer/residency_unit_test.go
+++ b/balancer/residency_unit_test.go
@@ -15,7 +15,7 @@
 		policy     residencyPolicy
 		rule, zone int
 		permits    bool
-		binds      bool
+		restricts  bool
 	}{
 		"no rule":                    {policy, 0, 1, true, false},
 		"no rule, no policy":         {residencyPolicy{}, 0, 1, true, false},
@@ -30,7 +30,7 @@
 		if got := c.policy.permits(c.rule, c.zone); got != c.permits {
 			t.Errorf("%s: unexpected result: permitted %v", name, got)
 		}
-		if got := c.policy.restricts(c.rule); got != c.binds {
+		if got := c.policy.restricts(c.rule); got != c.restricts {
 			t.Errorf("%s: unexpected result: restricted %v", name, got)
 		}
 	}
--- a/balancer/zonelatency.go
+++ b/balancer/zonelatency.go
@@ -7,7 +7,7 @@
 const (
 	rttStep             = 0.25                   // relative change up to which a zone keeps its old round-trip time
 	minRTTStep          = 300 * time.Microsecond // the same as a time: noise must not shift traffic
-	farObjectives       = 0.05                   // extra latency, as a share of the objective, that makes idle backends count as busy
+	farObjectives       = 0.05                   // extra latency, in objectives, at which idle backends count as busy
 	farBias             = 0.2                    // further factor on the weight of an idle backend in a zone that is farther
 	lossReportThreshold = 0.9                    // measured loss from which a zone counts as reported lost by one peer
 )
