--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -213,8 +213,8 @@
 			}
 			changedAt[change.Zone] = change.at
 		}
-		if len(z.audit.faults) > 0 {
-			rt.Fatalf("rules: %v", z.audit.faults[0])
+		if len(z.audit.violations) > 0 {
+			rt.Fatalf("rules: %v", z.audit.violations[0])
 		}
 	})
 }
