--- a/balancer/failover_unit_test.go
+++ b/balancer/failover_unit_test.go
@@ -184,7 +184,7 @@
 	if zones.spillover(0, other) != 0 || zones.spillover(-1, other) != 0 {
 		t.Error("traffic spills over before any response")
 	}
-	other.recordLatency(1)
+	other.recordLatencyRatio(1)
 	for latency, want := range map[float64]float64{0.5: 0, 1: 0, 1 + spilloverAt/2: 0.5, 1 + spilloverAt: 1, 9: 1} {
 		if own.latencyRatio = latency; !near(zones.spillover(0, other), want) {
 			t.Errorf("own latency %v: spillover %v, want %v", latency, zones.spillover(0, other), want)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -36,8 +36,8 @@
 // of returns the ratio for a class and a kind. Kind −1, which the settings don't name, counts as kind 0.
 func (k kindRatios) of(class, kind int) float64 { return *k.at(class, kind) }
 
-// recordLatency adds one latency sample of a backend of the kind, relative to the expected latency.
-func (k kindRatios) recordLatency(class, kind int, ratio float64) {
+// recordRatio adds one latency sample of a backend of the kind, relative to the expected latency.
+func (k kindRatios) recordRatio(class, kind int, ratio float64) {
 	mean := k.at(class, kind)
 	*mean += smoothing * (ratio - *mean)
 }
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -51,15 +51,15 @@
 	warmth, rawLatency := b.warmth(backend), latency
 	latency = max(latency*warmth, min(latency, a.expected)) // without the effect of slow start: the rest is queueing
 	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
-	b.zone(backend).recordLatency(min(latency/a.expected, maxLatencyRatio))
+	b.zone(backend).recordLatencyRatio(min(latency/a.expected, maxLatencyRatio))
 	b.recordObservation(observeLatency(backend.gossipKey, latency/a.expected, b.now))
 	meanWorkLatency := class.meanWorkLatency(latency, req.work)
 	class.recordLatency(meanWorkLatency)
 	if !a.countedLate {
 		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // slow start is a cause of this ratio
-			b.slowStart.recordLatency(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
+			b.slowStart.recordRatio(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
 		} else if !backend.warmingUp {
-			b.kindRatios.recordLatency(req.class, backend.Kind, ratio)
+			b.kindRatios.recordRatio(req.class, backend.Kind, ratio)
 		}
 		backend.recordLatency(latency / a.expected / b.kindRatios.of(req.class, backend.Kind))
 		// The latency of a slow backend is scaled down: it shows little about the load of the others.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -88,9 +88,9 @@
 	return min(1, m.initial+(guaranteed-m.initial)/m.warmUpRatio, guaranteed*m.trustedMultiple)
 }
 
-// recordLatency updates warmUpRatio from a response of a backend in slow start: the latency ratios of the response and of the
-// backend's kind, and the backend's estimated warmth.
-func (m *slowStartModel) recordLatency(ratio, kindRatio, warmth float64) {
+// recordRatio updates warmUpRatio from a response of a backend in slow start: the latency ratios of the response and of
+// the backend's kind, and the backend's estimated warmth.
+func (m *slowStartModel) recordRatio(ratio, kindRatio, warmth float64) {
 	m.warmUpRatio = min(1, max(1/maxLatencyRatio, m.warmUpRatio*(1+smoothing*(ratio/kindRatio*warmth-1))))
 }
 
--- a/balancer/slowstart_unit_test.go
+++ b/balancer/slowstart_unit_test.go
@@ -44,13 +44,13 @@
 		t.Errorf("before any response warmth is %v, guaranteed %v", got, guaranteed)
 	}
 	for range 1000 { // as fast as a warm backend
-		m.recordLatency(guaranteed, 1, guaranteed)
+		m.recordRatio(guaranteed, 1, guaranteed)
 	}
 	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, trustExponent); got <= guaranteed || got > most {
 		t.Errorf("after fast responses warmth is %v, guaranteed %v, bounded to %v", got, guaranteed, most)
 	}
 	for range 1000 { // slower than its warmth explains
-		m.recordLatency(2/guaranteed, 1, guaranteed)
+		m.recordRatio(2/guaranteed, 1, guaranteed)
 	}
 	if got := m.warmth(&s, now); !near(got, guaranteed) {
 		t.Errorf("after slow responses warmth is %v, guaranteed %v", got, guaranteed)
@@ -147,7 +147,7 @@
 func TestKindRatiosAreKeptByClassAndKind(t *testing.T) {
 	k := newKindRatios(2)
 	for range 1000 {
-		k.recordLatency(1, 3, 2)
+		k.recordRatio(1, 3, 2)
 	}
 	for _, c := range []struct {
 		class, kind int
@@ -157,7 +157,7 @@
 			t.Errorf("class %d, kind %d: %v, want %v", c.class, c.kind, got, c.want)
 		}
 	}
-	if k.recordLatency(0, -1, 3); k.of(0, 0) != k.of(0, -1) || k.of(0, 0) == 1 {
+	if k.recordRatio(0, -1, 3); k.of(0, 0) != k.of(0, -1) || k.of(0, 0) == 1 {
 		t.Error("an unknown kind does not count as kind 0")
 	}
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -16,8 +16,8 @@
 	latencyRatio  float64       // moving average of the latency of its responses, relative to the expected latency
 }
 
-// recordLatency adds the latency of a response, relative to the expected latency.
-func (z *zone) recordLatency(ratio float64) { z.latencyRatio = ewma(z.latencyRatio, ratio) }
+// recordLatencyRatio adds the latency of a response, relative to the expected latency.
+func (z *zone) recordLatencyRatio(ratio float64) { z.latencyRatio = ewma(z.latencyRatio, ratio) }
 
 // congested reports whether the zone's responses take much longer than expected.
 func (z *zone) congested() bool { return z.latencyRatio > congestedLatencyRatio }
