--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -1,28 +1,28 @@
 package balancer
 
-// Learning from attempts: what outcomes, overdue attempts and peers' observations tell about zones, backends, classes
-// and the concurrency limit.
+// Statistics from attempts: how outcomes, overdue attempts and peers' observations change the state of zones, backends,
+// classes and the concurrency limit.
 
 import "time"
 
 const (
 	overdueObjectives = 0.6 // an attempt is overdue after this part of its objective
-	overdueLatencies  = 3.0 // or after so many expected latencies, if that is later
+	overdueLatencies  = 3.0 // or after this many expected latencies, if that is later
 )
 
-// recordOutcome learns from the outcome of an attempt: about the zone first, then about the backend.
+// recordOutcome records the outcome of an attempt, for the zone first and then for the backend.
 func (b *Balancer) recordOutcome(req *request, a *attempt, outcome Outcome) {
 	backend, class, latency := a.backend, &b.classes[req.class], float64(outcome.Latency)
 	switch outcome.Result {
 	case TimedOut, ConnectFailed:
-		if outcome.Result == TimedOut || outcome.Latency >= b.settings.ConnectTimeout { // a refused connection is an answer
-			b.recordSilence(a, outcome.Result)
+		if outcome.Result == TimedOut || outcome.Latency >= b.settings.ConnectTimeout { // a refused connection is a response
+			b.recordUnanswered(a, outcome.Result)
 		}
 		if b.zone(backend).failedOver {
-			return // the silence is the zone's, not this backend's
+			return // the whole zone is unresponsive, not just this backend
 		}
 	case OK, Rejected, Errored, Reset:
-		b.recordZoneAnswer(backend)
+		b.recordZoneResponse(backend)
 	}
 	switch outcome.Result {
 	case OK:
@@ -36,38 +36,38 @@
 	}
 }
 
-// recordSuccess learns from an answer and its latency, in ns.
+// recordSuccess records a successful response and its latency, in ns.
 func (b *Balancer) recordSuccess(req *request, a *attempt, latency float64) {
 	backend, class := a.backend, &b.classes[req.class]
-	// The backend is back before the endpoint list says so: treat it as just started.
+	// The backend responds again before the endpoint list shows its restart: treat it as just started.
 	if backend.presumedDead && backend.startedBefore(a.sentAt) {
 		b.beginSlowStart(backend, b.now)
 	}
 	b.subset.grow()
-	backend.answer()
-	backend.revive()
+	backend.recordResponse()
+	backend.clearPresumedDead()
 	backend.outlierState.recordFailure(0)
 	backend.outlierState.recordSuccess(b.now)
 	warmth, rawLatency := b.warmth(backend), latency
-	latency = max(latency*warmth, min(latency, a.expected)) // discount slow start: the rest is queueing
+	latency = max(latency*warmth, min(latency, a.expected)) // without the effect of slow start: the rest is queueing
 	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
-	b.zone(backend).recordLatency(min(latency/a.expected, maxLatencyRatio))
+	b.zone(backend).recordLatencyRatio(min(latency/a.expected, maxLatencyRatio))
 	b.recordObservation(observeLatency(backend.gossipKey, latency/a.expected, b.now))
 	meanWorkLatency := class.meanWorkLatency(latency, req.work)
-	class.learnLatency(meanWorkLatency)
+	class.recordLatency(meanWorkLatency)
 	if !a.countedLate {
-		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // relative to what warmth explains
-			b.slowStart.learn(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
+		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // slow start is a cause of this ratio
+			b.slowStart.recordRatio(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
 		} else if !backend.warmingUp {
-			b.kindRatios.learn(req.class, backend.Kind, ratio)
+			b.kindRatios.recordRatio(req.class, backend.Kind, ratio)
 		}
-		backend.learnLatency(latency / a.expected / b.kindRatios.of(req.class, backend.Kind))
-		// A backend known to be slow says little about the others.
+		backend.recordLatency(latency / a.expected / b.kindRatios.of(req.class, backend.Kind))
+		// The latency of a slow backend is scaled down: it shows little about the load of the others.
 		b.adjustLimit(min(latency, meanWorkLatency) / max(1, backend.latencyRatio) / float64(class.LatencyObjective))
 	}
 }
 
-// recordRejection learns from a rejected attempt. A rejected connection indicates the backend's connection limit, not a
+// recordRejection records a rejected attempt. A rejected connection indicates the backend's connection limit, not a
 // queue.
 func (b *Balancer) recordRejection(backend *backendState, class *classState, newConnection bool) {
 	backend.outlierState.recordFailure(0)
@@ -76,30 +76,31 @@
 		b.subset.shrink()
 		return
 	}
-	backend.learnLatency(lateLatencyRatio) // its queue is longer than that of backends that accept
+	backend.recordLatency(lateLatencyRatio) // its queue is longer than the queues of backends that accept
 	b.adjustLimit(1)
 }
 
-// recordTimeout learns from an attempt without an answer.
+// recordTimeout records an attempt that timed out.
 func (b *Balancer) recordTimeout(a *attempt, class *classState, latency float64) {
 	backend := a.backend
 	if !a.countedLate {
 		backend.outlierState.recordTimeout()
 	}
-	// No answer since the send: that is more than a slow request, and not a queue. With gossip, slow answers of many
-	// agents add up, so silence takes several time-outs in a row.
-	if (backend.silent() || !b.gossipsObservations()) && !backend.answeredSince(a.sentAt) {
+	// If no response at all has arrived since the send, the cause is neither one slow request nor a queue. With gossip,
+	// slow responses that many agents observe add up, so the backend counts as unresponsive only after several
+	// time-outs in a row.
+	if (backend.unresponsive() || !b.gossipsObservations()) && !backend.succeededSince(a.sentAt) {
 		b.ejectOnFailure(backend, a, class)
 	} else if !a.countedLate {
 		b.adjustLimit(max(1, latency/float64(class.LatencyObjective)))
-		backend.learnLatency(latency / a.expected) // lower bound of its latency
+		backend.recordLatency(latency / a.expected) // lower bound of its latency
 		b.recordObservation(observation{backend.gossipKey, valueLate, b.now})
 	}
 }
 
-// recordFailure judges a failure by its probability among backends that all fail now and then. Consecutive failures
-// that chance does not explain eject the backend. When a process dies, all its outstanding attempts break and new
-// connections are refused; such a backend counts as just started once it answers again.
+// recordFailure records a failed attempt. It ejects the backend when its consecutive failures are improbable at the
+// baseline failure rate of the backends. When a process dies, all its outstanding attempts break and new connections are
+// refused; a backend with these signs counts as just started once it responds again.
 func (b *Balancer) recordFailure(a *attempt, class *classState, result Result) {
 	backend := a.backend
 	backend.outlierState.recordFailure(1)
@@ -116,14 +117,14 @@
 	}
 }
 
-// adjustLimit moves the concurrency limit by one latency sample, relative to the objective.
+// adjustLimit updates the concurrency limit with one latency sample, relative to the objective.
 func (b *Balancer) adjustLimit(sample float64) {
 	b.limiter.adjust(sample, b.now, time.Duration(b.classes[0].latency), b.inUse(), b.capacity)
 }
 
 // ejectOnFailure ejects a backend after a failed attempt. Departure: a backend that fails fast is always idle and would
-// attract all traffic. It acts on the first improbable failure, since errors are rare where nothing is wrong. Attempts
-// that were sent before the latest ejection add nothing.
+// attract all traffic. The first improbable failure ejects, since errors are rare at healthy backends. Attempts sent
+// before the latest ejection have no effect.
 func (b *Balancer) ejectOnFailure(backend *backendState, a *attempt, class *classState) {
 	if !backend.ejectedAfter(a.sentAt) {
 		b.recordObservation(observation{backend.gossipKey, valueFailed, b.now})
@@ -131,23 +132,23 @@
 	}
 }
 
-// eject takes a backend out of ordinary traffic, at first for about the unit.
+// eject takes a backend out of ordinary traffic. The first ejection takes about one unit of time, later ones more.
 func (b *Balancer) eject(backend *backendState, unit time.Duration) {
 	b.markUnstable(backend)
 	backend.outlierState.eject(b.now, unit, b.rng.Float64())
 }
 
 // onOverdue counts an attempt as late when most of its objective has passed. Departure: an agent with a sparse quota
-// gets few answers, and in an overloaded fleet they come after the clients' timeouts, too late to act on.
+// gets few responses, and in an overloaded fleet they arrive after the clients' timeouts, too late to act on.
 func (b *Balancer) onOverdue(a *attempt) {
 	if !a.open || a.untimed {
 		return
 	}
-	b.recordSilence(a, TimedOut)
+	b.recordUnanswered(a, TimedOut)
 	if b.zone(a.backend).failedOver {
 		return
 	}
-	a.backend.learnLatency(lateLatencyRatio)
+	a.backend.recordLatency(lateLatencyRatio)
 	if b.sparseQuota() {
 		a.countedLate = true
 		a.backend.outlierState.recordTimeout()
@@ -156,8 +157,8 @@
 	}
 }
 
-// applyObservation learns from a peer's observation unless a newer one is known. The same observation arrives by many
-// paths, and learning each copy would make every backend look slow.
+// applyObservation records a peer's observation unless it already has a newer one of the backend. The same observation
+// arrives by many paths, and if each copy counted, every backend would seem slow.
 func (b *Balancer) applyObservation(n observation) {
 	backend := b.byGossipKey[n.key]
 	if backend == nil || backend.State != Up || !backend.startedBefore(n.observedAt) || n.observedAt <= backend.observedAt {
@@ -165,14 +166,14 @@
 	}
 	switch {
 	case n.value == valueFailed:
-		if !backend.answeredSince(n.observedAt) && !backend.ejectedSince(n.observedAt) {
+		if !backend.succeededSince(n.observedAt) && !backend.ejectedSince(n.observedAt) {
 			b.eject(backend, b.maxObjective)
 		}
 	case n.value == valueLate:
 		backend.outlierState.recordTimeout()
-		backend.learnLatency(lateLatencyRatio)
+		backend.recordLatency(lateLatencyRatio)
 	default:
-		backend.learnLatency(n.ratio())
+		backend.recordLatency(n.ratio())
 		backend.recordPeerSuccess(n.observedAt)
 	}
 	b.recordObservation(n)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,15 +1,15 @@
 package balancer
 
-// The check of settings, and what follows from them alone. Nothing is decided here.
+// The validation of settings, and values derived from settings alone. Nothing is decided here.
 
 import (
 	"fmt"
 	"time"
 )
 
-// SettingError is the error of New for a value out of range.
+// SettingError is the error that New returns for a setting out of range.
 type SettingError struct {
-	Field string // of Settings, such as "MaxAttempts" or "Classes[2].DedupWindow"
+	Field string // field of Settings, such as "MaxAttempts" or "Classes[2].DedupWindow"
 	Value any
 }
 
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("balancer: settings: %s: %v is out of range", e.Field, e.Value)
 }
 
-// settingError returns the error of a field.
+// settingError returns the error for a field and its value.
 func settingError(field string, value any) error { return &SettingError{field, value} }
 
 // check returns an error that names the first setting that is out of range.
@@ -41,7 +41,7 @@
 	case !(s.GoalOverall >= 0 && s.GoalWorstWindow >= 0 && s.GoalWorstClass >= 0):
 		return settingError("Goal", []float64{s.GoalOverall, s.GoalWorstWindow, s.GoalWorstClass})
 	}
-	if err := s.checkSpans(); err != nil {
+	if err := s.checkDurations(); err != nil {
 		return err
 	}
 	for i := range s.Classes {
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// checkSpans returns an error for the first span that is negative.
-func (s *Settings) checkSpans() error {
-	for _, span := range []struct {
+// checkDurations returns an error for the first negative duration.
+func (s *Settings) checkDurations() error {
+	for _, duration := range []struct {
 		field string
 		value time.Duration
 	}{
@@ -62,14 +62,14 @@
 		{"DrainGrace", s.DrainGrace}, {"AnswerGrace", s.AnswerGrace}, {"PollInterval", s.PollInterval},
 		{"SlowStartWindow", s.SlowStartWindow}, {"OverloadWindow", s.OverloadWindow},
 	} {
-		if span.value < 0 {
-			return settingError(span.field, span.value)
+		if duration.value < 0 {
+			return settingError(duration.field, duration.value)
 		}
 	}
 	return nil
 }
 
-// check returns the first field that is out of range, with its value, or "".
+// check returns the first field that is out of range, with its value. field is "" if all are in range.
 func (c *Class) check() (field string, value any) {
 	switch {
 	case c.LatencyObjective <= 0:
@@ -88,7 +88,7 @@
 	return "", nil
 }
 
-// retryAfter returns a wait as clients are to see it: 0 where they see none, and no longer than they honor.
+// retryAfter returns the Retry-After of a refusal for a wait: at most MaxRetryAfter, and 0 if clients see none.
 func (s *Settings) retryAfter(wait time.Duration) time.Duration {
 	if !s.RetryAfter {
 		return 0
@@ -96,7 +96,7 @@
 	return min(wait, s.MaxRetryAfter)
 }
 
-// crossingCost is the cost of sending to a zone, as a share of the result.
+// crossingCost returns the cost of sending to a zone, as a share of the result.
 func (s *Settings) crossingCost(zone int) float64 {
 	switch own, regions := s.Zone, s.Regions; {
 	case zone == own:
