--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -13,7 +13,7 @@
 	z := b.zone(a.backend)
 	if a.countedUnanswered || z.failedOver || z.respondedSince(a.sentAt) ||
 		result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
-		return // a wait in proportion to the expected latency can be due to queues
+		return // queues everywhere raise the expected latency: a wait below this multiple of it is not evidence
 	}
 	a.countedUnanswered = true
 	z.recordUnanswered(a.sentAt, b.zones.baselineUnansweredRate(z), &a.backend.unanswered)
@@ -109,7 +109,7 @@
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number})
 	z.recover(b.now)
 	z.reset(b.now)
-	for _, backend := range b.backends { // failures and time-outs during the outage were the zone's
+	for _, backend := range b.backends { // the zone's outage caused their failures and time-outs
 		if b.zone(backend) == z {
 			backend.clearFailuresSince(z.suspectedSince)
 		}
--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -23,7 +23,7 @@
 	*rig
 	list                 []balancer.Backend
 	unresponsive         map[int]bool
-	answerAt             map[string]time.Duration // when the outcome of each request's latest attempt arrives
+	outcomeAt            map[string]time.Duration // when the outcome of each request's latest attempt arrives
 	clientDeadline       map[string]time.Duration // when each request's client stops waiting
 	firstAttempts        map[int]int              // first attempts by zone
 	probes               []string
@@ -45,7 +45,7 @@
 
 func newZoneRig(t *testing.T, seed uint64, change ...func(s *balancer.Settings)) *zoneRig {
 	t.Helper()
-	z := &zoneRig{unresponsive: map[int]bool{}, answerAt: map[string]time.Duration{},
+	z := &zoneRig{unresponsive: map[int]bool{}, outcomeAt: map[string]time.Duration{},
 		clientDeadline: map[string]time.Duration{}, firstAttempts: map[int]int{}}
 	for i := range 9 {
 		z.list = append(z.list, balancer.Backend{ID: string(rune('a' + i)), Zone: i % 3, Cell: i % 3})
@@ -70,9 +70,9 @@
 			if len(z.sent[a.Request]) == 1 {
 				z.firstAttempts[z.zone(a.Backend)]++
 			}
-			z.answerAt[a.Request] = z.now + 20*ms + z.extraLatency[z.zone(a.Backend)]
+			z.outcomeAt[a.Request] = z.now + 20*ms + z.extraLatency[z.zone(a.Backend)]
 			if z.unresponsive[z.zone(a.Backend)] || z.unresponsiveBackends[a.Backend] {
-				z.answerAt[a.Request] = min(z.now+time.Second, z.clientDeadline[a.Request]) // no attempt outlasts its client
+				z.outcomeAt[a.Request] = min(z.now+time.Second, z.clientDeadline[a.Request]) // no attempt outlasts its client
 			}
 		case balancer.SendGossip:
 			z.gossip = append(z.gossip, a.Data)
@@ -90,14 +90,14 @@
 	for end := z.now + span; z.now < end; {
 		z.record(z.advance(5 * ms))
 		var over []string
-		for id, at := range z.answerAt {
+		for id, at := range z.outcomeAt {
 			if at <= z.now {
 				over = append(over, id)
 			}
 		}
 		slices.Sort(over)
 		for _, id := range over {
-			delete(z.answerAt, id)
+			delete(z.outcomeAt, id)
 			to := z.sent[id][len(z.sent[id])-1]
 			if z.unresponsive[z.zone(to)] || z.unresponsiveBackends[to] {
 				z.record(z.outcome(id, balancer.TimedOut, time.Second))
@@ -300,19 +300,19 @@
 func TestFleetProbesTakeLittleCapacity(t *testing.T) {
 	const agents, span = 100, 6 * time.Second
 	const probe, request = 0.72, 84.0 // ms of work: the most expensive health check, the cheapest request of the operators' site
-	probed, perZone := 0, 3
+	probeCount, perZone := 0, 3
 	for n := range uint64(agents) {
 		z := newZoneRig(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
 		z.run(time.Second)
 		z.unresponsive[2] = true
 		z.run(span)
-		probed += z.probeCount
+		probeCount += z.probeCount
 	}
-	if probed < agents {
-		t.Fatalf("%d probes by %d agents, want at least one by each", probed, agents)
+	if probeCount < agents {
+		t.Fatalf("%d probes by %d agents, want at least one by each", probeCount, agents)
 	}
-	perBackend := float64(probed) / span.Seconds() / float64(perZone) // probes per second, the window for overload
-	const free = 6.0                                                  // minimum of requests allowed beyond the budget: 3 x root of N + 3
+	perBackend := float64(probeCount) / span.Seconds() / float64(perZone) // probes per second, the window for overload
+	const free = 6.0                                                      // minimum of requests allowed beyond the budget: 3 x root of N + 3
 	if share := perBackend * probe / (free * request); share > 0.2 {
 		t.Errorf("%.0f probes per second at each backend take %.0f%% of the work allowed beyond the budget", perBackend, 100*share)
 	} else {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -20,7 +20,7 @@
 	rigs       []*rig
 	rng        *rand.Rand
 	now        time.Duration
-	answers    []pendingAnswer
+	pending    []pendingOutcome
 	requests   int
 	sends      map[string][]sentAttempt // by backend
 	weights    []float64                // cumulative traffic shares of the agents; nil: even shares
@@ -30,7 +30,7 @@
 	refused    int
 }
 
-type pendingAnswer struct {
+type pendingOutcome struct {
 	dueAt, latency time.Duration
 	rig            *rig
 	id             string
@@ -62,9 +62,9 @@
 	end, next := c.now+span, c.now
 	for c.now < end {
 		c.now += 5 * ms
-		for len(c.answers) > 0 && c.answers[0].dueAt <= c.now {
-			a := c.answers[0]
-			c.answers = c.answers[1:]
+		for len(c.pending) > 0 && c.pending[0].dueAt <= c.now {
+			a := c.pending[0]
+			c.pending = c.pending[1:]
 			to := a.rig.sent[a.id][a.attempt]
 			c.inFlight[to]--
 			c.step(a.rig, func() []balancer.Action {
@@ -136,7 +136,7 @@
 			if c.workSpread > 0 {
 				work = math.Exp(c.workSpread*c.rng.NormFloat64() - c.workSpread*c.workSpread/2)
 			}
-			due := pendingAnswer{latency: time.Duration(work * float64(latency)), rig: r, id: a.Request,
+			due := pendingOutcome{latency: time.Duration(work * float64(latency)), rig: r, id: a.Request,
 				attempt: len(r.sent[a.Request]) - 1, result: balancer.OK}
 			if c.rng.Float64() < c.rejectRate {
 				due.latency, due.result = ms, balancer.Rejected
@@ -144,9 +144,9 @@
 			due.dueAt = c.now + due.latency
 			c.sends[a.Backend] = append(c.sends[a.Backend], sentAttempt{c.now, work})
 			c.inFlight[a.Backend]++
-			i, _ := slices.BinarySearchFunc(c.answers, due,
-				func(x, y pendingAnswer) int { return cmp.Compare(x.dueAt, y.dueAt+1) })
-			c.answers = slices.Insert(c.answers, i, due)
+			i, _ := slices.BinarySearchFunc(c.pending, due,
+				func(x, y pendingOutcome) int { return cmp.Compare(x.dueAt, y.dueAt+1) })
+			c.pending = slices.Insert(c.pending, i, due)
 		case balancer.Refuse:
 			c.refused++
 		}
@@ -162,7 +162,7 @@
 // they use 0.91 of the allowance for chance, and with budgets three quarters larger the test fails.
 func TestSlowStartBudgetHoldsAcrossAgents(t *testing.T) {
 	const served, latency = 20.0, 100 * ms // requests per second of a warm backend, and the latency of each
-	most, service := math.Inf(-1), 0
+	highestExcess, attempts := math.Inf(-1), 0
 	for _, agents := range []int{1, 2, 20, 30, 300} {
 		for _, together := range []bool{false, true} {
 			for seed := range uint64(3) {
@@ -199,7 +199,7 @@
 				c.play(2*served*float64(warm+cold), latency, 4*time.Second, nil) // twice the capacity of all backends
 				for _, b := range list[warm:] {
 					at, sum := c.sends[b.ID], 0.0
-					service += len(at)
+					attempts += len(at)
 					for i, j := 0, 0; j < len(at); j++ {
 						sum += at[j].work
 						for ; at[j].at-at[i].at > s.OverloadWindow; i++ {
@@ -207,7 +207,7 @@
 						}
 						share := s.InitialCapacity + (1-s.InitialCapacity)*(at[j].at-start).Seconds()/s.SlowStartWindow.Seconds()
 						n := s.OverloadMultiple * share * served * s.OverloadWindow.Seconds()
-						most = max(most, (sum-n)/(2*math.Sqrt(n)+2))
+						highestExcess = max(highestExcess, (sum-n)/(2*math.Sqrt(n)+2))
 						if sum > n+2*math.Sqrt(n)+2 {
 							t.Fatalf("%d agents, together %v, seed %d: %s got %.1f mean requests within %v, %v after its start, want at most %.1f", agents,
 								together, seed, b.ID, sum, s.OverloadWindow, at[j].at-start, n+2*math.Sqrt(n)+2)
@@ -217,7 +217,7 @@
 			}
 		}
 	}
-	t.Logf("largest excess over N: %.2f of the allowance for chance; %d attempts at cold backends", most, service)
+	t.Logf("largest excess over N: %.2f of the allowance for chance; %d attempts at cold backends", highestExcess, attempts)
 }
 
 // While some backends are in slow start, the unused part of their share of the limit does not go to the warm backends,
@@ -231,18 +231,18 @@
 	c.play(400, latency, 4*time.Second, nil)
 	c.startBackends(list[warm:])
 	c.play(1500, latency, time.Second, nil) // until the outstanding attempts have ended
-	most, sum, n := 0, 0, 0
+	highest, sum, n := 0, 0, 0
 	c.play(1500, latency, 3*time.Second, func() {
 		now := 0
 		for _, b := range list[:warm] {
 			now += c.inFlight[b.ID]
 		}
-		most, sum, n = max(most, now), sum+now, n+1
+		highest, sum, n = max(highest, now), sum+now, n+1
 	})
 	// The limit starts at 6 per backend and grows with responses this fast. Without a separate share for warm backends
 	// the mean is 15.6.
 	if mean := float64(sum) / float64(n) / warm; mean < 3 || mean > 14.5 {
-		t.Errorf("mean of %.1f attempts in flight per warm backend, want 3 to 14.5; at most %d at all warm backends", mean, most)
+		t.Errorf("mean of %.1f attempts in flight per warm backend, want 3 to 14.5; at most %d at all warm backends", mean, highest)
 	}
 	if c.refused == 0 {
 		t.Error("no request was refused: the limit did not bind")
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -13,20 +13,20 @@
 // A backend that fails fast is always idle. It must not attract the traffic for that reason.
 func TestBackendThatFailsFastIsEjected(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(6))
-	bad := 0
+	failed := 0
 	for i := range 300 {
 		id := fmt.Sprint("q", i)
 		r.request(id, nonIdempotent)
 		res, lat := balancer.OK, 30*ms
 		if r.sent[id][0] == "a" {
 			res, lat = balancer.Errored, ms
-			bad++
+			failed++
 		}
 		r.now += lat
 		r.outcome(id, res, lat)
 	}
-	if bad > 6 {
-		t.Errorf("the failing backend got %d of 300 requests, want up to 6", bad)
+	if failed > 6 {
+		t.Errorf("the failing backend got %d of 300 requests, want up to 6", failed)
 	}
 	// The backend gets traffic again after it has recovered.
 	r.advance(20 * time.Second)
@@ -57,9 +57,9 @@
 }
 
 // playWithBaselineFailures drives a balancer over ten backends with 40 requests in flight. One attempt in twelve fails
-// to connect or is reset; if bad is true, two in three at backend a. It returns the number of attempts in the second
+// to connect or is reset; if aFails is true, two in three at backend a. It returns the number of attempts in the second
 // half, by backend and in total.
-func playWithBaselineFailures(t *testing.T, bad bool) (counts map[string]int, total int) {
+func playWithBaselineFailures(t *testing.T, aFails bool) (counts map[string]int, total int) {
 	t.Helper()
 	r := newRig(t, settings(), 5, backends(10))
 	counts = map[string]int{}
@@ -75,7 +75,7 @@
 			}
 			to := r.sent[id][answered[k]]
 			answered[k]++
-			if at[to]++; at[to]%12 == 0 || bad && to == "a" && at[to]%3 > 0 {
+			if at[to]++; at[to]%12 == 0 || aFails && to == "a" && at[to]%3 > 0 {
 				r.outcome(id, []balancer.Result{balancer.Reset, balancer.ConnectFailed}[at[to]/12%2], ms)
 			} else {
 				r.outcome(id, balancer.OK, 40*ms)
@@ -151,16 +151,16 @@
 	r := newRig(t, s, 1, backends(3))
 	r.serve(60, idempotent, 20*ms)
 	r.now += ms
-	var hung []string
+	var hanging []string
 	for i := range 18 {
 		id := fmt.Sprint("h", i)
 		r.request(id, idempotent)
 		if len(r.sent[id]) == 1 && r.sent[id][0] == "a" {
-			hung = append(hung, id)
+			hanging = append(hanging, id)
 		}
 	}
-	if len(hung) < 3 {
-		t.Fatalf("only requests %v were sent to backend a, want at least 3", hung)
+	if len(hanging) < 3 {
+		t.Fatalf("only requests %v were sent to backend a, want at least 3", hanging)
 	}
 	r.now += 20 * ms
 	for i := range 18 {
@@ -169,7 +169,7 @@
 		}
 	}
 	r.now += 100 * ms
-	r.outcome(hung[0], balancer.TimedOut, 120*ms)
+	r.outcome(hanging[0], balancer.TimedOut, 120*ms)
 	n := 0
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
--- a/balancer/overrides_test.go
+++ b/balancer/overrides_test.go
@@ -119,18 +119,18 @@
 
 // A re-enabled backend is in slow start, and its earlier failures are cleared.
 func TestReenabledBackendIsInSlowStartWithoutFailures(t *testing.T) {
-	cold := func(attach bool) int {
+	requestsToA := func(reenable bool) int {
 		s := settings()
 		s.InitialCapacity = 0.05
 		r := newRig(t, s, 1, backends(4))
 		r.serve(200, idempotent, 10*ms)
-		if attach {
+		if reenable {
 			r.override(balancer.Disable{Call: 1, Backend: "a"})
 			r.override(balancer.Enable{Call: 2, Backend: "a"})
 		}
 		return r.serve(200, idempotent, 10*ms)["a"]
 	}
-	if warm, reenabled := cold(false), cold(true); reenabled == 0 || reenabled > warm/2 {
+	if warm, reenabled := requestsToA(false), requestsToA(true); reenabled == 0 || reenabled > warm/2 {
 		t.Errorf("%d requests to a re-enabled backend, %d to a warm one, want some and up to half as many", reenabled, warm)
 	}
 	r := newRig(t, settings(), 1, backends(2))
