--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -24,15 +24,15 @@
 		stream.requested = true
 		return
 	}
-	previousReceivedAt := w.lastReceivedAt
-	stream.lastAliveAt = time.Now()
-	w.lastReceivedAt = stream.lastAliveAt
-	if stream.firstAliveAt.IsZero() {
-		stream.firstAliveAt, stream.overdue = stream.lastAliveAt, false
+	previousActivityAt := w.lastActivityAt
+	stream.lastActivityAt = time.Now()
+	w.lastActivityAt = stream.lastActivityAt
+	if stream.firstActivityAt.IsZero() {
+		stream.firstActivityAt, stream.overdue = stream.lastActivityAt, false
 	}
 	w.promote(stream, event.list != nil)
 	if event.list != nil {
-		w.applyList(stream, event.list, previousReceivedAt)
+		w.applyList(stream, event.list, previousActivityAt)
 	}
 }
 
@@ -40,7 +40,7 @@
 // then ends the others. A stream is confirmed once it has had a list, or has been alive for so long that there is none
 // to send: until then another one may be the one that answers.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
-	confirmed := hasList || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
+	confirmed := hasList || stream.lastActivityAt.Sub(stream.firstActivityAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
 		w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == stream })
 		if w.current != nil {
@@ -48,8 +48,8 @@
 		}
 		w.current = stream
 	}
-	atPresentAddr := stream.addr == w.presentAddr()
-	if stream == w.current && confirmed && atPresentAddr && !stream.overdue {
+	atDiscoveryAddr := stream.addr == w.discoveryAddr()
+	if stream == w.current && confirmed && atDiscoveryAddr && !stream.overdue {
 		w.cancelStreams(w.opening...)
 		w.opening = nil
 	}
@@ -57,7 +57,7 @@
 
 // applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any
 // stream.
-func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousReceivedAt time.Time) {
+func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousActivityAt time.Time) {
 	w.failures = 0
 	w.backoff.Reset()
 	previousVersion := w.version
@@ -84,7 +84,7 @@
 	}
 	maxAge := time.Duration(0)
 	if w.receivedList { // else nothing is known of how old the list's entries are
-		maxAge = time.Since(previousReceivedAt) + maxAnnounceDelay
+		maxAge = time.Since(previousActivityAt) + maxAnnounceDelay
 	}
 	w.receivedList = true
 	w.cfg.startTimes.measureOffset(stream.dateHeader)
@@ -105,11 +105,11 @@
 
 // encodeList returns a list in discovery's JSON form.
 func encodeList(list *EndpointList) []byte {
-	text, err := json.Marshal(list)
+	encoded, err := json.Marshal(list)
 	if err != nil {
 		panic(err) // impossible: it was decoded from JSON
 	}
-	return text
+	return encoded
 }
 
 // handleEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -27,7 +27,7 @@
 
 // startTimes are the start times of the backends that lists have named, by id.
 type startTimes struct {
-	known map[string]processStart
+	byID map[string]processStart
 	// wallOffset is discovery's wall clock less this machine's, as of the latest list; 0: within clockTolerance, or
 	// unknown.
 	wallOffset time.Duration
@@ -53,8 +53,8 @@
 	if unixMilli <= 0 {
 		return 0
 	}
-	previous, known := s.known[id]
-	if known && previous.unixMilli == unixMilli {
+	previous, recorded := s.byID[id]
+	if recorded && previous.unixMilli == unixMilli {
 		return previous.at
 	}
 	c := readClocks()
@@ -62,14 +62,14 @@
 	if maxAge > 0 && at < c.now-maxAge {
 		at = c.now
 	}
-	if known {
+	if recorded {
 		at = max(at, previous.at+1) // another process, which has started after the previous one
 	}
-	if s.known == nil {
-		s.known = map[string]processStart{}
+	if s.byID == nil {
+		s.byID = map[string]processStart{}
 	}
 	at = max(at, 0)
-	s.known[id] = processStart{unixMilli, at}
+	s.byID[id] = processStart{unixMilli, at}
 	return at
 }
 
@@ -95,12 +95,12 @@
 // unchanged.
 func (s *startTimes) evictUnlisted(listed map[string]string) {
 	const spare = 100
-	if len(s.known) <= 2*len(listed)+spare {
+	if len(s.byID) <= 2*len(listed)+spare {
 		return
 	}
-	for id := range s.known {
-		if _, still := listed[id]; !still {
-			delete(s.known, id)
+	for id := range s.byID {
+		if _, isListed := listed[id]; !isListed {
+			delete(s.byID, id)
 		}
 	}
 }
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	errSilent  = errors.New("no sign of life in time")
-	errEnded   = errors.New("ended by discovery")
-	errTooLong = fmt.Errorf("value longer than %d bytes", maxValueBytes)
+	errStreamTimeout  = errors.New("no sign of life in time")
+	errStreamClosed   = errors.New("ended by discovery")
+	errValueTooLong = fmt.Errorf("value longer than %d bytes", maxValueBytes)
 )
 
 // watchStream is one connection to discovery, and what the watcher knows of it.
@@ -36,8 +36,8 @@
 
 	// Run's goroutine alone uses these.
 	requested    bool      // the request has been sent: before, the stream waits for its turn
-	lastAliveAt  time.Time // its latest sign of life; zero: none
-	firstAliveAt time.Time
+	lastActivityAt  time.Time // its latest sign of life; zero: none
+	firstActivityAt time.Time
 	receivedList bool // it has delivered a list
 	// overdue: it counts as failed. What still arrives by it is applied, but it does not keep others from being opened.
 	overdue bool
@@ -55,19 +55,19 @@
 
 // run sends the request and emits an event for whatever arrives until the connection ends, and for its end. It calls
 // onAlive at each sign of life. emit may block.
-func (s *watchStream) run(ctx context.Context, client *http.Client, onAlive func(), emit func(watchEvent)) {
+func (s *watchStream) run(ctx context.Context, client *http.Client, onActivity func(), emit func(watchEvent)) {
 	emit(watchEvent{stream: s, requested: true})
 	err := s.read(ctx, client,
-		func() { onAlive(); emit(watchEvent{stream: s}) },
-		func(list *EndpointList) { onAlive(); emit(watchEvent{stream: s, list: list}) })
+		func() { onActivity(); emit(watchEvent{stream: s}) },
+		func(list *EndpointList) { onActivity(); emit(watchEvent{stream: s, list: list}) })
 	var syntax *json.SyntaxError
 	var mismatch *json.UnmarshalTypeError
 	emit(watchEvent{stream: s, err: err, malformed: errors.As(err, &syntax) || errors.As(err, &mismatch) ||
-		errors.Is(err, errNoEndpoints) || errors.Is(err, errTooLong)})
+		errors.Is(err, errNoEndpoints) || errors.Is(err, errValueTooLong)})
 }
 
 // read sends the request and reads values until the connection ends. The error says how it ended, and is never nil.
-func (s *watchStream) read(ctx context.Context, client *http.Client, onAlive func(), onList func(*EndpointList)) error {
+func (s *watchStream) read(ctx context.Context, client *http.Client, onHeartbeat func(), onList func(*EndpointList)) error {
 	addr := s.addr
 	if s.source.Relayed {
 		addr = s.source.Addr
@@ -86,12 +86,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
-	reader := &livenessReader{source: resp.Body, onAlive: onAlive, blank: true}
+	reader := &heartbeatReader{source: resp.Body, onHeartbeat: onHeartbeat, whitespaceOnly: true}
 	values := json.NewDecoder(reader)
 	for {
 		var list EndpointList
 		if err := values.Decode(&list); errors.Is(err, io.EOF) {
-			return errEnded
+			return errStreamClosed
 		} else if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -49,7 +49,7 @@
 
 // hasServingStream reports whether there is a stream to the present address that is not overdue, open or being opened.
 func (w *Watcher) hasServingStream() bool {
-	addr := w.presentAddr()
+	addr := w.discoveryAddr()
 	for _, stream := range w.streams() {
 		if stream.addr == addr && !stream.overdue {
 			return true
@@ -72,14 +72,14 @@
 	switch {
 	case stream.overdue || !stream.requested:
 		return time.Time{}
-	case stream.lastAliveAt.IsZero():
+	case stream.lastActivityAt.IsZero():
 		return stream.openedAt.Add(w.OpenTimeout)
 	}
-	return stream.lastAliveAt.Add(cmp.Or(stream.source.SilenceTimeout, w.HeartbeatTimeout))
+	return stream.lastActivityAt.Add(cmp.Or(stream.source.SilenceTimeout, w.HeartbeatTimeout))
 }
 
-// nextWakeAt is when the loop has something to do even if no event arrives; zero: never.
-func (w *Watcher) nextWakeAt() time.Time {
+// nextTimerAt is when the loop has something to do even if no event arrives; zero: never.
+func (w *Watcher) nextTimerAt() time.Time {
 	next := w.nextOpenAt
 	for _, stream := range w.streams() {
 		if at := w.overdueAt(stream); !at.IsZero() && (next.IsZero() || at.Before(next)) {
@@ -96,11 +96,11 @@
 		if at := w.overdueAt(stream); !at.IsZero() && !time.Now().Before(at) {
 			if w.cfg.Sources != nil && (stream == w.current || stream.source.Relayed) {
 				w.cancelStreams(stream)
-				w.handleEnd(watchEvent{stream: stream, err: errSilent})
+				w.handleEnd(watchEvent{stream: stream, err: errStreamTimeout})
 				continue
 			}
 			stream.overdue = true
-			w.reportFailure(errSilent)
+			w.reportFailure(errStreamTimeout)
 			if !w.cfg.Polled {
 				w.nextOpenAt = time.Now()
 			}
@@ -110,7 +110,7 @@
 
 // openStream opens a stream to the present address, from the present version on, with a goroutine of its own.
 func (w *Watcher) openStream(ctx context.Context) {
-	addr := w.presentAddr()
+	addr := w.discoveryAddr()
 	if len(w.opening) == maxOpening {
 		w.evictOpening()
 	}
@@ -146,7 +146,7 @@
 // runStream is a stream's goroutine: it waits for its turn, opens the connection, and sends Run an event for whatever
 // arrives.
 func (w *Watcher) runStream(ctx context.Context, stream *watchStream, failures int) {
-	client, onAlive := w.client, func() {}
+	client, onActivity := w.client, func() {}
 	if sources := w.cfg.Sources; sources != nil {
 		var ok bool
 		if stream.source, ok = sources.Next(ctx, failures); !ok {
@@ -155,10 +155,10 @@
 		if stream.source.Relayed {
 			client = w.relayClient
 		}
-		onAlive = func() { sources.RecordLiveness(stream.source) }
+		onActivity = func() { sources.RecordLiveness(stream.source) }
 	}
 	stream.openedAt = time.Now()
-	stream.run(ctx, client, onAlive, func(event watchEvent) {
+	stream.run(ctx, client, onActivity, func(event watchEvent) {
 		select {
 		case w.events <- event:
 		case <-ctx.Done(): // the stream is cancelled, and its events are ignored
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -104,7 +104,7 @@
 	current        *watchStream // the one that the list comes from; nil: none
 	nextOpenAt     time.Time    // when the watcher opens a stream by itself; zero: not
 	failures       int          // since the latest list
-	lastReceivedAt time.Time    // the latest sign of life of any stream
+	lastActivityAt time.Time    // the latest sign of life of any stream
 	receivedList   bool         // a list has come from discovery
 	laggingChecks  int          // in a row
 	backoff        *backoff.ExponentialBackOff
@@ -169,8 +169,8 @@
 	}
 }
 
-// presentAddr is the address of discovery as last set.
-func (w *Watcher) presentAddr() string {
+// discoveryAddr is the address of discovery as last set.
+func (w *Watcher) discoveryAddr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addr
@@ -189,8 +189,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer w.tasks.Wait()
 	defer cancel()
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	if !w.cfg.Polled {
 		w.nextOpenAt = time.Now()
 	}
@@ -204,10 +204,10 @@
 	for {
 		w.markOverdue()
 		w.openScheduled(ctx)
-		if next := w.nextWakeAt(); next.IsZero() {
-			wake.Stop()
+		if next := w.nextTimerAt(); next.IsZero() {
+			timer.Stop()
 		} else {
-			wake.Reset(time.Until(next))
+			timer.Reset(time.Until(next))
 		}
 		select {
 		case <-ctx.Done():
@@ -218,7 +218,7 @@
 			w.reopen()
 		case <-w.subscribed:
 			w.openUnlessServed(ctx)
-		case <-wake.C:
+		case <-timer.C:
 		case event := <-w.events:
 			w.handleEvent(event)
 		}
