--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file applies what arrives by the streams: signs of life, lists and ends.
+// This file applies the events of the streams: heartbeats, lists and ends of streams.
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 func (w *Watcher) handleEvent(event watchEvent) {
 	stream := event.stream
 	if stream != w.current && !slices.Contains(w.opening, stream) {
-		return // cancelled
+		return // the stream was cancelled
 	}
 	switch {
 	case event.err != nil:
@@ -36,9 +36,10 @@
 	}
 }
 
-// promote makes a stream that has shown a sign of life the current one, if there is none or if it is confirmed, and
-// then ends the others. A stream is confirmed once it has had a list, or has been alive for so long that there is none
-// to send: until then another one may be the one that answers.
+// promote makes an active stream the current one if there is no current stream, or if the active stream is confirmed. A
+// stream is confirmed once it has delivered a list, or has sent heartbeats for HeartbeatTimeout, which shows that
+// discovery has no list to send on it. Before that, another stream may be the one that delivers the list, so promote
+// cancels the other streams only once the current one is confirmed.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
 	confirmed := hasList || stream.lastActivityAt.Sub(stream.firstActivityAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
@@ -55,15 +56,15 @@
 	}
 }
 
-// applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any
-// stream.
+// applyList records, publishes and delivers a list. previousActivityAt is when any stream last received a heartbeat or
+// a list before this one.
 func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousActivityAt time.Time) {
 	w.failures = 0
 	w.backoff.Reset()
 	previousVersion := w.version
 	if !stream.receivedList && !list.Full && stream.addr == w.versionAddr && list.Version < previousVersion {
-		// These are changes up to a version that is already known: the stream before this one went on delivering after
-		// this one was opened. What follows is newer.
+		// The list holds changes up to a version that has already been applied: the previous stream continued to
+		// deliver after this one was opened. Later lists of this stream are newer.
 		stream.receivedList = true
 		return
 	}
@@ -83,7 +84,7 @@
 		kind = balancer.UpdateFull
 	}
 	maxAge := time.Duration(0)
-	if w.receivedList { // else nothing is known of how old the list's entries are
+	if w.receivedList { // before the first list, the age of its entries is unknown
 		maxAge = time.Since(previousActivityAt) + maxAnnounceDelay
 	}
 	w.receivedList = true
@@ -91,7 +92,7 @@
 	w.cfg.Deliver(w.cfg.Translate(list, kind, maxAge))
 }
 
-// publishList hands a list on to the fleet.
+// publishList forwards a list to the fleet.
 func (w *Watcher) publishList(stream *watchStream, list *EndpointList, previousVersion int64) {
 	if !stream.receivedList {
 		w.cfg.Sources.RecordAttempt(stream.source, time.Since(stream.openedAt), false, list.Version)
@@ -107,13 +108,13 @@
 func encodeList(list *EndpointList) []byte {
 	encoded, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // impossible: it was decoded from JSON
+		panic(err) // impossible: the list was decoded from JSON
 	}
 	return encoded
 }
 
-// handleEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
-// watcher does so by itself.
+// handleEnd removes a stream that has ended or failed to open. Where lists are pushed, it schedules the next stream after
+// the backoff.
 func (w *Watcher) handleEnd(event watchEvent) {
 	w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == event.stream })
 	if event.stream == w.current {
@@ -126,7 +127,7 @@
 		w.cfg.Sources.RecordAttempt(event.stream.source, 0, true, w.version)
 	}
 	if event.stream.overdue {
-		return // its failure is already reported
+		return // markOverdue has reported the failure
 	}
 	w.reportFailure(event.err)
 	if !w.cfg.Polled && !w.hasServingStream() {
@@ -134,10 +135,11 @@
 	}
 }
 
-// reportFailure counts, logs and delivers a failure. Where the list is polled, the receiver retries with Subscribe.
+// reportFailure counts, logs and delivers a failure. Where the list is polled, the receiver of the update retries with
+// Subscribe.
 func (w *Watcher) reportFailure(err error) {
 	w.failures++
-	if w.failures == 1 || w.failures%20 == 0 { // not a line for every attempt during an outage
+	if w.failures == 1 || w.failures%20 == 0 { // one line for every 20 failures during an outage
 		w.cfg.Log.Warn("discovery watch ended", "error", err, "failures", w.failures)
 	}
 	w.cfg.Deliver(Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFailed}})
--- a/internal/agent/discovery/heartbeat.go
+++ b/internal/agent/discovery/heartbeat.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file detects signs of life in the bytes of a stream.
+// This file detects heartbeats in the bytes of a stream.
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 // maxValueBytes bounds one JSON value of a stream, in bytes.
 const maxValueBytes = 4 << 20
 
-// heartbeatReader reads a stream and calls onAlive for white space between values, which is discovery's heartbeat. The
-// bytes of a value that is incomplete are no sign of life. Once more than maxValueBytes have been read since the last
-// complete value, Read fails with errTooLong.
+// heartbeatReader reads a stream and calls onHeartbeat for white space between values, which is discovery's heartbeat.
+// The bytes of an incomplete value do not count as a heartbeat. Once more than maxValueBytes have been read since the
+// last complete value, Read fails with errValueTooLong.
 type heartbeatReader struct {
-	source    io.Reader
-	onHeartbeat   func()
-	bytesRead int64
-	valueEnd  int64 // offset of the end of the last complete value
-	whitespaceOnly     bool  // only white space has been read since
+	source         io.Reader
+	onHeartbeat    func()
+	bytesRead      int64
+	valueEnd       int64 // offset of the end of the last complete value
+	whitespaceOnly bool  // only white space has been read since valueEnd
 }
 
 // Read implements io.Reader for the JSON decoder.
@@ -35,7 +35,7 @@
 	return n, err
 }
 
-// valueEnded notes that a value ended at an offset, and that the bytes in buffered have been read after it.
+// valueEnded records that a value ended at offset and that the bytes in buffered have been read after it.
 func (r *heartbeatReader) valueEnded(offset int64, buffered []byte) {
 	r.valueEnd, r.whitespaceOnly = offset, isWhitespace(buffered)
 }
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file is discovery's endpoint list: its JSON form, and the complete list as changes add up to it.
+// This file defines discovery's endpoint list: its JSON form, and the complete list that results from merged changes.
 
 import (
 	"errors"
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// EndpointList is a message of discovery: the complete list of backends, or what changed since the version before. The
-// JSON form is discovery's own, and the form in which lists are recorded and handed on.
+// EndpointList is a message of discovery: the complete list of backends, or the changes since the previous version.
+// Discovery defines the JSON form, and lists are recorded and forwarded in the same form.
 type EndpointList struct {
 	Version   int64      `json:"version"`
-	Full      bool       `json:"full"` // complete; else a change
+	Full      bool       `json:"full"` // the list is complete; false: it holds changes only
 	Endpoints []Endpoint `json:"servers"`
 }
 
@@ -25,16 +25,16 @@
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"` // one of the keys of backendStates
 	Weight    float64 `json:"weight"`
-	StartedAt int64   `json:"started_ms"` // of its process, Unix time in ms by its machine's wall clock; 0: long ago
+	StartedAt int64   `json:"started_ms"` // start of its process, Unix time in ms by its machine's wall clock; 0: long ago
 }
 
-// errNoEndpoints rejects a JSON value that is not a list.
-var errNoEndpoints = errors.New("value without servers")
+// errNoEndpoints is the error for a JSON value that is not a list.
+var errNoEndpoints = errors.New("JSON value has no servers array")
 
-// endpointSet is a complete list, by id. Its zero value knows nothing yet.
+// endpointSet is a complete list, by id. The zero value is an empty list.
 type endpointSet map[string]Endpoint
 
-// merge applies a list: in place of all that was known if it is complete, else as a change.
+// merge applies a list: a complete one replaces the set, any other one is a change to the set.
 func (s *endpointSet) merge(list *EndpointList, complete bool) {
 	if complete || *s == nil {
 		*s = endpointSet{}
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file converts the start times of backends' processes, given by wall clocks, to the agent's clock.
+// This file converts the start times of backends' processes from wall clocks to the agent's clock.
 
 import (
 	"net/http"
@@ -10,34 +10,34 @@
 )
 
 // Discovery gives start times by the wall clocks of the backends' machines, and any machine's wall clock may be
-// stepped. A backend that is taken for warm while it is cold is overloaded; one that is taken for cold gets little
-// traffic for a while. So a start time is read by each clock that may be the right one, and the latest reading counts.
-// A start that is new while lists keep arriving, and reads as long past, was given by a clock that is wrong: it counts
-// as now.
+// stepped. A cold backend that is treated as warm is overloaded; a warm one that is treated as cold gets little traffic
+// for a while. So a start time is converted with each clock that may be right, and the latest result counts. If lists
+// have kept arriving and a new start time is still far in the past, the clock behind it is wrong: the start counts as
+// now.
 const (
-	maxAnnounceDelay = 10 * time.Second // between a start and the list that names it; usually some seconds
+	maxAnnounceDelay = 10 * time.Second // from a start to the list that contains it; usually some seconds
 	clockTolerance   = 2 * time.Second  // the HTTP Date header is in whole seconds
 )
 
 // processStart is when a backend's process started.
 type processStart struct {
-	unixMilli int64         // as discovery gave it
+	unixMilli int64         // as received from discovery
 	at        time.Duration // by the agent's clock
 }
 
-// startTimes are the start times of the backends that lists have named, by id.
+// startTimes holds the start times of the backends that lists have contained, by id.
 type startTimes struct {
 	byID map[string]processStart
-	// wallOffset is discovery's wall clock less this machine's, as of the latest list; 0: within clockTolerance, or
+	// wallOffset is discovery's wall clock minus this machine's at the latest list; 0: within clockTolerance, or
 	// unknown.
 	wallOffset time.Duration
 }
 
-// clockReadings are the clocks of this machine at one moment.
+// clockReadings holds readings of this machine's clocks, all taken at the same moment.
 type clockReadings struct {
 	now  time.Duration // the agent's clock, which is monotonic
 	wall time.Time     // the wall clock
-	// agentTime converts a wall time by the offset of the two clocks at the process's start.
+	// agentTime converts a wall time with the offset that the two clocks had when the agent's process started.
 	agentTime func(wall time.Time) time.Duration
 }
 
@@ -47,8 +47,8 @@
 }
 
 // resolve returns when a backend's process started, by the agent's clock; 0: long ago, or not given. unixMilli is the
-// time that discovery gives. A start that is new has happened at most maxAge ago; 0: at any time. The same start is
-// resolved once.
+// start time from discovery. maxAge bounds the age of a start time that is new for this backend; 0: no bound. A start
+// time that is unchanged keeps its earlier result.
 func (s *startTimes) resolve(id string, unixMilli int64, readClocks func() clockReadings, maxAge time.Duration) time.Duration {
 	if unixMilli <= 0 {
 		return 0
@@ -63,7 +63,7 @@
 		at = c.now
 	}
 	if recorded {
-		at = max(at, previous.at+1) // another process, which has started after the previous one
+		at = max(at, previous.at+1) // a new process, which started after the previous one
 	}
 	if s.byID == nil {
 		s.byID = map[string]processStart{}
@@ -73,7 +73,8 @@
 	return at
 }
 
-// latestReading returns the latest reading of a wall time that is not in the future, or now if all are.
+// latestReading converts a wall time with each clock and returns the latest result that is not in the future, or now if
+// all are.
 func (s *startTimes) latestReading(wall time.Time, c clockReadings) time.Duration {
 	readings := []time.Duration{c.agentTime(wall), c.now - c.wall.Sub(wall)}
 	if s.wallOffset != 0 {
@@ -91,8 +92,8 @@
 	return min(latest, c.now)
 }
 
-// evictUnlisted bounds the memory of backends that are not listed any more. Some are kept, since they may come back
-// unchanged.
+// evictUnlisted bounds how many start times are kept of backends that are no longer listed. Some are kept because a
+// backend may be listed again with the same process.
 func (s *startTimes) evictUnlisted(listed map[string]string) {
 	const spare = 100
 	if len(s.byID) <= 2*len(listed)+spare {
@@ -105,8 +106,8 @@
 	}
 }
 
-// measureOffset compares discovery's wall clock with this machine's, by the Date header of its response. Without one
-// the offset stays as it was.
+// measureOffset sets wallOffset from date, the Date header of discovery's response. Without a valid date the offset is
+// unchanged.
 func (s *startTimes) measureOffset(date string) {
 	discoveryTime, err := http.ParseTime(date)
 	if err != nil {
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file is one connection to discovery, run by a goroutine of its own.
+// This file runs one connection to discovery, in its own goroutine.
 
 import (
 	"context"
@@ -16,45 +16,46 @@
 )
 
 var (
-	errStreamTimeout  = errors.New("no sign of life in time")
-	errStreamClosed   = errors.New("ended by discovery")
-	errValueTooLong = fmt.Errorf("value longer than %d bytes", maxValueBytes)
+	errStreamTimeout = errors.New("no heartbeat or list from discovery before the stream's time-out")
+	errStreamClosed  = errors.New("stream closed by discovery")
+	errValueTooLong  = fmt.Errorf("JSON value longer than %d bytes", maxValueBytes)
 )
 
-// watchStream is one connection to discovery, and what the watcher knows of it.
+// watchStream is one connection to discovery, with the watcher's state of it.
 type watchStream struct {
-	// Set when it is made, and not changed.
+	// Set at creation and not changed.
 	addr         string // of discovery
 	sinceVersion int64  // changes after this version are requested; 0: the complete list
 	cancel       context.CancelFunc
 
-	// Written by the stream's goroutine, and read by Run's only after a later event: dateHeader after a list, the others
-	// after the event requested.
+	// The stream's goroutine writes these fields. Run's goroutine reads dateHeader only after a list event, and the
+	// others only after the requested event.
 	source     source.Source
 	openedAt   time.Time // when the request was sent
 	dateHeader string    // of the response
 
-	// Run's goroutine alone uses these.
-	requested    bool      // the request has been sent: before, the stream waits for its turn
-	lastActivityAt  time.Time // its latest sign of life; zero: none
-	firstActivityAt time.Time
-	receivedList bool // it has delivered a list
-	// overdue: it counts as failed. What still arrives by it is applied, but it does not keep others from being opened.
+	// Only Run's goroutine uses these fields.
+	requested       bool      // the request has been sent; false: the stream waits in Selector.Next
+	lastActivityAt  time.Time // when the latest heartbeat or list arrived; zero: none has
+	firstActivityAt time.Time // when the first one arrived
+	receivedList    bool      // the stream has delivered a list
+	// overdue: the stream counts as failed. Lists that still arrive on it are applied, but it does not prevent other
+	// streams from being opened.
 	overdue bool
 }
 
-// watchEvent is what a stream's goroutine sends to Run: the request has been sent (requested), a list, the end (err),
-// or a sign of life without any of these.
+// watchEvent is sent by a stream's goroutine to Run. It reports that the request has been sent (requested), a list, the
+// end of the stream (err), or a heartbeat if none of these is set.
 type watchEvent struct {
 	stream    *watchStream
 	requested bool
 	list      *EndpointList
 	err       error
-	malformed bool // with err: what arrived is not a list
+	malformed bool // with err: the data received is not a list
 }
 
-// run sends the request and emits an event for whatever arrives until the connection ends, and for its end. It calls
-// onAlive at each sign of life. emit may block.
+// run sends the request and emits an event for each heartbeat and list until the connection ends, and then one for the
+// end. It calls onActivity before it emits a heartbeat or list. emit may block.
 func (s *watchStream) run(ctx context.Context, client *http.Client, onActivity func(), emit func(watchEvent)) {
 	emit(watchEvent{stream: s, requested: true})
 	err := s.read(ctx, client,
@@ -66,7 +67,7 @@
 		errors.Is(err, errNoEndpoints) || errors.Is(err, errValueTooLong)})
 }
 
-// read sends the request and reads values until the connection ends. The error says how it ended, and is never nil.
+// read sends the request and reads values until the connection ends. It returns why the connection ended, never nil.
 func (s *watchStream) read(ctx context.Context, client *http.Client, onHeartbeat func(), onList func(*EndpointList)) error {
 	addr := s.addr
 	if s.source.Relayed {
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file decides which streams are open: when one is opened, when it is overdue, and which one gives way.
+// This file decides when a stream is opened, when it is overdue, and which stream is cancelled in favour of another.
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// openScheduled opens a stream once the time has come at which the watcher does so by itself.
+// openScheduled opens a stream once nextOpenAt has passed.
 func (w *Watcher) openScheduled(ctx context.Context) {
 	if w.nextOpenAt.IsZero() || time.Now().Before(w.nextOpenAt) {
 		return
@@ -18,22 +18,23 @@
 	w.openUnlessServed(ctx)
 }
 
-// openUnlessServed opens a stream unless there is one that serves.
+// openUnlessServed opens a stream unless hasServingStream is true.
 func (w *Watcher) openUnlessServed(ctx context.Context) {
 	if !w.hasServingStream() {
 		w.openStream(ctx)
 	}
 }
 
-// reopen opens a stream to discovery's new address. Nothing has failed. The current stream goes on as long as discovery
-// keeps it open at the old address, until the new one has a list: what arrives by it meanwhile counts as well.
+// reopen schedules a stream to discovery's new address at once. A change of address does not count as a failure. The
+// current stream, to the old address, stays open until the new one has delivered a list or discovery closes it: lists
+// that arrive on it until then are applied as well.
 func (w *Watcher) reopen() {
 	w.cancelStreams(w.opening...)
 	w.opening, w.failures = nil, 0
 	w.nextOpenAt = time.Now()
 }
 
-// checkLag ends the current stream if others have had a later list at several checks in a row.
+// checkLag ends the current stream if other sources have had a later list at maxLaggingChecks checks in a row.
 func (w *Watcher) checkLag() {
 	w.laggingChecks++
 	if w.current == nil || !w.cfg.Sources.Lagging(w.version) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// hasServingStream reports whether there is a stream to the present address that is not overdue, open or being opened.
+// hasServingStream reports whether a stream to discovery's address is open or being opened, and is not overdue.
 func (w *Watcher) hasServingStream() bool {
 	addr := w.discoveryAddr()
 	for _, stream := range w.streams() {
@@ -58,7 +59,7 @@
 	return false
 }
 
-// streams are all streams: those being opened, the oldest first, and the current one.
+// streams returns the streams being opened, the oldest first, and then the current one if there is one.
 func (w *Watcher) streams() []*watchStream {
 	if w.current == nil {
 		return w.opening
@@ -66,8 +67,8 @@
 	return append(slices.Clone(w.opening), w.current)
 }
 
-// overdueAt is when a stream becomes overdue without a further sign of life; zero: it is overdue, or its request is not
-// yet sent.
+// overdueAt returns when a stream becomes overdue unless a heartbeat or list arrives before; zero: the stream is already
+// overdue, or its request has not been sent.
 func (w *Watcher) overdueAt(stream *watchStream) time.Time {
 	switch {
 	case stream.overdue || !stream.requested:
@@ -78,7 +79,7 @@
 	return stream.lastActivityAt.Add(cmp.Or(stream.source.SilenceTimeout, w.HeartbeatTimeout))
 }
 
-// nextTimerAt is when the loop has something to do even if no event arrives; zero: never.
+// nextTimerAt returns when Run has to open a stream or to mark one overdue if no event arrives before; zero: never.
 func (w *Watcher) nextTimerAt() time.Time {
 	next := w.nextOpenAt
 	for _, stream := range w.streams() {
@@ -89,8 +90,9 @@
 	return next
 }
 
-// markOverdue marks the streams that have become overdue. Each counts as failed, and stays open all the same, since it
-// may still be answered; but where there are other sources, a current or relayed one is ended.
+// markOverdue marks the streams that have become overdue. Each counts as failed, but stays open because discovery may
+// still answer it. With Config.Sources, a stream that is the current one or relayed is cancelled instead, since the list
+// can be requested from another source.
 func (w *Watcher) markOverdue() {
 	for _, stream := range w.streams() {
 		if at := w.overdueAt(stream); !at.IsZero() && !time.Now().Before(at) {
@@ -108,7 +110,8 @@
 	}
 }
 
-// openStream opens a stream to the present address, from the present version on, with a goroutine of its own.
+// openStream starts a goroutine that opens a stream to discovery's address and requests the changes since w.version, or
+// the complete list if that version is not from this address.
 func (w *Watcher) openStream(ctx context.Context) {
 	addr := w.discoveryAddr()
 	if len(w.opening) == maxOpening {
@@ -116,7 +119,7 @@
 	}
 	since := w.version
 	if addr != w.versionAddr {
-		since = 0 // the complete list: versions may start anew there, or the latest value was malformed
+		since = 0 // the complete list: the new address may count versions from the start, or the latest value was malformed
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	stream := &watchStream{addr: addr, sinceVersion: since, cancel: cancel}
@@ -128,8 +131,9 @@
 	})
 }
 
-// evictOpening ends one of the streams that are being opened: the oldest if it has been waiting for
-// PropagationDeadline, else the youngest. So one request is always fresh, and one may have waited for its turn.
+// evictOpening cancels one of the streams that are being opened: the oldest if its request was sent PropagationDeadline
+// ago or earlier, otherwise the youngest. So there is always a recent request, and an older one can keep its place in
+// discovery's queue.
 func (w *Watcher) evictOpening() {
 	i := len(w.opening) - 1
 	if oldest := w.opening[0]; oldest.requested && time.Since(oldest.openedAt) >= PropagationDeadline {
@@ -143,8 +147,8 @@
 	}
 }
 
-// runStream is a stream's goroutine: it waits for its turn, opens the connection, and sends Run an event for whatever
-// arrives.
+// runStream is a stream's goroutine: it waits until Sources permits a request, opens the connection, and sends Run an
+// event for each heartbeat, list and end.
 func (w *Watcher) runStream(ctx context.Context, stream *watchStream, failures int) {
 	client, onActivity := w.client, func() {}
 	if sources := w.cfg.Sources; sources != nil {
@@ -166,7 +170,8 @@
 	})
 }
 
-// cancelStreams ends streams. Those that are taken out of opening and current as well have their later events ignored.
+// cancelStreams cancels streams. The caller also removes them from opening or current, so that their later events are
+// ignored.
 func (w *Watcher) cancelStreams(streams ...*watchStream) {
 	for _, stream := range streams {
 		stream.cancel()
--- a/internal/agent/discovery/translate.go
+++ b/internal/agent/discovery/translate.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file translates lists into the decision module's terms.
+// This file translates lists into the types of package balancer, the decision module.
 
 import (
 	"log/slog"
@@ -11,21 +11,21 @@
 	"martenbeam/balancer"
 )
 
-// Update is a list of discovery, or a failure to get one, in the decision module's terms.
+// Update is a list of discovery, or a failure to get one, in the decision module's types.
 type Update struct {
 	Endpoints balancer.EndpointUpdate
-	Addrs     map[string]string // host:port by id; of all backends in Endpoints that are not gone
+	Addrs     map[string]string // host:port by id, of each backend in Endpoints that is not removed
 }
 
-// backendStates are the states of Endpoint.State in the decision module's terms.
+// backendStates maps Endpoint.State to the decision module's states.
 var backendStates = map[string]balancer.BackendState{
 	"ready":    balancer.Up,
 	"draining": balancer.Draining,
 	"gone":     balancer.Removed,
 }
 
-// Translator translates lists. It remembers the start times of backends, and is not safe for concurrent use: a
-// Watcher's belongs to its Run, and to Restore before it.
+// Translator translates lists. It keeps the start times of backends and is not safe for concurrent use: a Watcher's
+// translator is used by Restore and then by Run only.
 type Translator struct {
 	Zones, Kinds []string                      // the names, by the decision module's indexes
 	AgentTime    func(time.Time) time.Duration // converts a time to the agent's clock
@@ -34,9 +34,9 @@
 	startTimes startTimes
 }
 
-// Translate translates a list, as an update of the given kind. Entries without an id, or with an unknown state or
-// address, are logged and left out: the others still count. A process that the list is the first to name has started at
-// most maxAge ago; 0: at any time.
+// Translate translates a list into an update of the given kind. Entries without an id, with an unknown state or with an
+// invalid address are logged and left out; the others are used. maxAge bounds the age of a process whose start time is
+// new in this list; 0: no bound.
 func (t *Translator) Translate(list *EndpointList, kind balancer.UpdateKind, maxAge time.Duration) Update {
 	update := Update{Endpoints: balancer.EndpointUpdate{Kind: kind}, Addrs: map[string]string{}}
 	for _, endpoint := range list.Endpoints {
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -1,21 +1,21 @@
 // Package discovery follows discovery's endpoint list: a stream of JSON values over HTTP, each a complete list or a
 // change.
 //
-// A Watcher supervises the connections to discovery (streams). Who owns what:
-//   - Run's goroutine owns the endpoint list, its version, all streams and the decision which of them is the current
-//     one. It alone calls Config.Deliver, Watcher.Record and the Translator, so that these see lists one at a time, in
-//     the order of arrival.
-//   - Each stream has a goroutine, which runs until its connection ends and is waited for by Run. It hands what arrives
-//     over as events. The fields of a stream that it writes are read by Run only after a later event.
+// A Watcher supervises the connections to discovery (streams). Ownership:
+//   - Run's goroutine owns the endpoint list, its version, all streams and the choice of the current stream. Only this
+//     goroutine calls Config.Deliver, Watcher.Record and the Translator, so that they get lists one at a time, in the
+//     order of arrival.
+//   - Each stream has a goroutine that runs until its connection ends. It sends heartbeats and lists to Run as events,
+//     and Run waits for it. Run reads the fields that this goroutine writes only after a later event.
 //   - The address of discovery is guarded by mu. Subscribe and SetAddr may be called from any goroutine.
 //
-// How old it may be: a change has been delivered at the latest PropagationDeadline and the grace for drains (0.5 s)
-// after discovery had it and could be reached. A stream that shows no sign of life counts as failed after OpenTimeout
-// or HeartbeatTimeout. Where lists come by a fleet (Config.Sources), a source that others are ahead of is left after
+// Bounds on delay: a change is delivered at the latest PropagationDeadline plus the grace for drains (0.5 s) after
+// discovery had it and could be reached. A stream without a heartbeat or list counts as failed after OpenTimeout or
+// HeartbeatTimeout. With Config.Sources, the watcher leaves a source after other sources have had a later list for
 // maxLaggingChecks seconds. Start times of backends are estimates, since wall clocks may be wrong (starttime.go).
 package discovery
 
-// This file is the Watcher: its configuration, its state and its loop.
+// This file defines the Watcher: its configuration, its state and its event loop.
 
 import (
 	"context"
@@ -31,59 +31,62 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// A change counts as received PropagationDeadline after discovery had it and could be reached, whatever was refused,
-// failed, hung or was given up meanwhile, and the grace for drains is half a second: by then a stream has to be open
-// and answered. Discovery sends an empty line every 2 s while nothing changes.
+// A change counts as received PropagationDeadline after discovery had it and could be reached, even if requests were
+// refused, failed, hung or timed out in that time. The grace for drains adds half a second. Within the sum, a stream has
+// to be open and to have delivered the list. Discovery sends an empty line every 2 s while nothing changes.
 const (
-	// PropagationDeadline is when a change counts as received at the latest. It takes precedence over a longer poll
-	// interval of the settings.
+	// PropagationDeadline is the longest time after which a change counts as received. It takes precedence over a longer
+	// poll interval in the settings.
 	PropagationDeadline = 6 * time.Second
-	// One late heartbeat makes a stream overdue, and another is opened beside it. That leaves 3 s, for several
-	// attempts, before the deadline.
+	// One late heartbeat makes a stream overdue, and another stream is opened beside it. That leaves 3 s, enough for
+	// several attempts, before PropagationDeadline.
 	heartbeatTimeout = 3 * time.Second
-	// A stream that is being opened is overdue after this time without an answer. Those 3 s have room for seven
-	// attempts where lists are pushed, which costs nothing, and for two, with the backoff between, where a poll may
-	// wait for its turn and costs the list service work.
+	// A stream that is being opened is overdue after this time without a heartbeat or list. Within the 3 s after a late
+	// heartbeat, a pushed list allows seven attempts, which cost nothing. A polled list allows two with the backoff
+	// between them, since a poll may have to wait for permission and costs the list service work.
 	pushedOpenTimeout, polledOpenTimeout = 400 * time.Millisecond, time.Second
-	// Overdue streams stay open, since they may be answered when an outage ends: so many, besides the current one.
+	// maxOpening bounds the streams besides the current one. Overdue streams stay open because discovery
+	// may answer them when an outage ends.
 	maxOpening = 2
 	// Backoff after a failure where lists are pushed: full jitter below a ceiling that doubles. The highest ceiling is
-	// below the grace for drains, since what discovery holds counts as received the moment it is back.
+	// below the grace for drains, since after an outage discovery's list counts as received as soon as discovery
+	// answers.
 	initialBackoff, maxBackoff = 50 * time.Millisecond, 400 * time.Millisecond
-	// A source is left once others have had a later list at so many checks in a row.
+	// The watcher leaves a source once other sources have had a later list at maxLaggingChecks checks in a row.
 	lagCheckInterval, maxLaggingChecks = time.Second, 3
 )
 
-// errLagging ends a stream whose source others are ahead of.
-var errLagging = errors.New("others have a later list")
+// errLagging is the error that ends a stream whose list is behind that of other sources.
+var errLagging = errors.New("other sources have a later endpoint list")
 
-// Config is what a Watcher needs. It is not changed after New.
+// Config configures a Watcher. It is not changed after New.
 type Config struct {
 	Translator
 	Addr string // of discovery, host:port
-	// Polled: a stream is opened when Subscribe is called. Else lists are pushed, and the watcher opens streams by
-	// itself.
+	// Polled: the watcher opens a stream when Subscribe is called, and after a change of address. Otherwise lists are
+	// pushed, and the watcher keeps a stream open without calls.
 	Polled         bool
 	ConnectTimeout time.Duration
-	// Deliver takes each update, and each failure as an update of kind UpdateFailed. Run's goroutine calls it and waits
-	// for it.
+	// Deliver receives each update, and each failure as an update of kind UpdateFailed. Run's goroutine calls it and
+	// waits for it.
 	Deliver func(Update)
 	// Dial opens connections to discovery; nil: TCP, bounded by ConnectTimeout.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Sources decides from whom and when the list is requested; nil: from discovery, at once.
+	// Sources decides where and when the list is requested; nil: from discovery, without delay.
 	Sources source.Selector
 }
 
-// Watcher follows discovery's endpoint list. Where the list is polled, its user decides when to open a stream and when
-// to retry after a failure (Subscribe); a new address alone is opened at once. Where the list is pushed, the watcher
-// opens streams and backs off by itself.
+// Watcher follows discovery's endpoint list. Where the list is polled, the caller decides when to open a stream and when
+// to retry after a failure (Subscribe); only after a change of address does the watcher open a stream unasked. Where the
+// list is pushed, the watcher opens streams and backs off without calls.
 type Watcher struct {
-	// All three are set before Run.
+	// Record, HeartbeatTimeout and OpenTimeout are set before Run.
 
-	// Record keeps the complete list for the process that follows this one, with the address it is from; may be nil.
-	// Run's goroutine calls it and waits for it.
+	// Record stores the complete list and the address of its source for the successor process; may be nil. Run's
+	// goroutine calls it and waits for it.
 	Record func(from string, list *EndpointList)
-	// A stream is overdue after HeartbeatTimeout without a sign of life, and after OpenTimeout without the first one.
+	// A stream is overdue after OpenTimeout without its first heartbeat or list, and after HeartbeatTimeout without a
+	// further one.
 	HeartbeatTimeout, OpenTimeout time.Duration
 
 	cfg         Config
@@ -95,24 +98,24 @@
 	mu   sync.Mutex
 	addr string // of discovery
 
-	// All that follows but events and tasks is used by Run's goroutine alone, and by Restore before it.
+	// Only Run's goroutine uses the fields below, and Restore before Run; the streams' goroutines use events and tasks.
 
 	version        int64
-	versionAddr    string      // where version is from; "": the complete list has to be requested
+	versionAddr    string      // address that version is from; "": the complete list has to be requested
 	endpoints      endpointSet // the complete list; kept only for Record and Sources
 	opening        []*watchStream
-	current        *watchStream // the one that the list comes from; nil: none
-	nextOpenAt     time.Time    // when the watcher opens a stream by itself; zero: not
-	failures       int          // since the latest list
-	lastActivityAt time.Time    // the latest sign of life of any stream
-	receivedList   bool         // a list has come from discovery
-	laggingChecks  int          // in a row
+	current        *watchStream // the stream that delivers the list; nil: none
+	nextOpenAt     time.Time    // when the watcher opens a stream without a call of Subscribe; zero: not scheduled
+	failures       int          // number since the latest list
+	lastActivityAt time.Time    // the latest heartbeat or list of any stream
+	receivedList   bool         // a list has arrived since New
+	laggingChecks  int          // number of checks in a row that found a later list elsewhere
 	backoff        *backoff.ExponentialBackOff
 	events         chan watchEvent // from the streams' goroutines
 	tasks          sync.WaitGroup  // the streams' goroutines
 }
 
-// New returns a watcher that does nothing before Run.
+// New returns a watcher. It opens no stream before Run.
 func New(cfg Config) *Watcher {
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1}).DialContext
@@ -134,11 +137,11 @@
 	return w
 }
 
-// newClient returns a client that opens a connection for each request and follows no redirects.
+// newClient returns a client that opens a new connection for each request and follows no redirects.
 func newClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DisableKeepAlives:  true, // each stream has its own connection; no request may be repeated on an old one
+			DisableKeepAlives:  true, // each stream has its own connection; no request may be sent again on an earlier one
 			DisableCompression: true,
 			DialContext:        dial,
 		},
@@ -146,8 +149,8 @@
 	}
 }
 
-// Subscribe requests a stream, unless there is one that is not overdue. It returns at once. Calls that Run has not yet
-// taken up count as one.
+// Subscribe requests a stream, unless there is one that is not overdue. It does not block, and may be called from any
+// goroutine. Several calls before Run handles the first count as one.
 func (w *Watcher) Subscribe() {
 	select {
 	case w.subscribed <- struct{}{}:
@@ -155,7 +158,7 @@
 	}
 }
 
-// SetAddr changes the address of discovery. It returns at once.
+// SetAddr changes the address of discovery. It does not wait for a new stream, and may be called from any goroutine.
 func (w *Watcher) SetAddr(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,15 +172,15 @@
 	}
 }
 
-// discoveryAddr is the address of discovery as last set.
+// discoveryAddr returns the address of discovery as last set.
 func (w *Watcher) discoveryAddr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addr
 }
 
-// Restore continues from a complete list that was recorded earlier, and returns it as an update of kind UpdateCached.
-// It may be called before Run, and only then.
+// Restore sets the complete list to one that was recorded earlier, and returns it as an update of kind UpdateCached. It
+// may only be called before Run.
 func (w *Watcher) Restore(list *EndpointList) Update {
 	w.version = list.Version
 	w.endpoints.merge(list, true)
