--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -76,7 +76,7 @@
 			conn, err = p.dial(att.ctx, addr)
 		}
 		if err != nil {
-			if errors.Is(err, errNoDescriptor) {
+			if errors.Is(err, errConnLimit) {
 				p.log.Warn("attempt not sent", "error", err, "backend", att.BackendID)
 			}
 			if errors.Is(context.Cause(att.ctx), ErrCancelled) {
--- a/internal/agent/upstream/connections.go
+++ b/internal/agent/upstream/connections.go
@@ -66,7 +66,7 @@
 		return conn, endpoint.Addr, nil
 	}
 	if p.openConns >= p.maxConns && !p.evictOldest() {
-		return nil, "", errNoDescriptor
+		return nil, "", errConnLimit
 	}
 	p.openConns++
 	return nil, endpoint.Addr, nil
@@ -80,23 +80,23 @@
 			return i
 		}
 	}
-	if time.Since(p.lastUnsolicited) < unsolicitedMemory {
+	if time.Since(p.lastUnsolicited) < unsolicitedWindow {
 		return -1
 	}
 	return len(idle) - 1
 }
 
 // isUsable reports whether an idle connection may carry a request. The caller holds mu.
-func (p *Pool) isUsable(c *pooledConn) bool {
-	idle := time.Since(c.idleSince)
-	return c.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
+func (p *Pool) isUsable(conn *pooledConn) bool {
+	idle := time.Since(conn.idleSince)
+	return conn.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
 }
 
 // recordReuse records whether the connection broke under its request before a response began.
-func (p *Pool) recordReuse(c *pooledConn, broken bool) {
+func (p *Pool) recordReuse(conn *pooledConn, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reuseStats.record(c.idleFor, broken)
+	p.reuseStats.record(conn.idleFor, broken)
 }
 
 // evictOldest closes the connection that has been idle longest, of any backend. The caller holds mu.
--- a/internal/agent/upstream/errors.go
+++ b/internal/agent/upstream/errors.go
@@ -21,7 +21,7 @@
 
 // Why nothing of a request was written, or its connection can't be used.
 var (
-	errNoDescriptor       = errors.New("no file descriptor left for another connection")
+	errConnLimit          = errors.New("no file descriptor left for another connection")
 	errEndpointChanged    = errors.New("endpoint changed")
 	errAlreadyAnswered    = errors.New("request already answered")
 	errRetryWindowOver    = errors.New("the backend no longer deduplicates the retry")
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -20,11 +20,11 @@
 // A backend may send a response twice, the second some milliseconds after the first. On an idle connection the duplicate is
 // recognised as unsolicited and the connection is closed; once the next request is written, it would be taken for that
 // request's response. So connections that have been idle for settleTime are preferred, and while unsolicited bytes were
-// seen within unsolicitedMemory, only those are reused. Requiring it always would cost one more connection for each
+// seen within unsolicitedWindow, only those are reused. Requiring it always would cost one more connection for each
 // backend, and 6% more latency under load, where no duplicates ever come.
 const (
 	settleTime        = 20 * time.Millisecond
-	unsolicitedMemory = reuseHalfLife // after the latest unsolicited byte
+	unsolicitedWindow = reuseHalfLife // after the latest unsolicited byte
 )
 
 // maxResponseHeader is in bytes.
--- a/internal/agent/upstream/probe.go
+++ b/internal/agent/upstream/probe.go
@@ -42,8 +42,8 @@
 	for _, pair := range strings.Split(strings.TrimPrefix(text, "TEXT "), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			if known, ok := loadNames[name]; ok {
-				name = known
+			if settingName, ok := loadNames[name]; ok {
+				name = settingName
 			}
 			usage[name] = v
 		}
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -47,7 +47,7 @@
 	switch {
 	case httpResp.StatusCode == http.StatusOK && complete:
 		return balancer.OK, resp, load
-	case neverRan(httpResp):
+	case provesNotExecuted(httpResp):
 		if att.NewConn { // the backend accepts few connections: free an idle one for it
 			p.mu.Lock()
 			p.evictOldest()
@@ -58,8 +58,8 @@
 	return balancer.Errored, nil, load
 }
 
-// neverRan reports whether a response proves that the backend did not execute the request.
-func neverRan(httpResp *http.Response) bool {
+// provesNotExecuted reports whether a response proves that the backend did not execute the request.
+func provesNotExecuted(httpResp *http.Response) bool {
 	return (httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusGatewayTimeout) &&
 		httpResp.Header.Get("X-Never-Ran") == "1"
 }
@@ -67,8 +67,8 @@
 // readResponse reads a response to its end, or the first bytes of a streaming one.
 func (p *Pool) readResponse(att *Attempt, httpResp *http.Response, done <-chan struct{}) (*Response, error) {
 	resp := &Response{Header: httpResp.Header}
-	small := httpResp.ContentLength >= 0 && httpResp.ContentLength <= MaxBufferedBody
-	if small || httpResp.StatusCode != http.StatusOK || att.OnStreamStart == nil {
+	fitsBuffer := httpResp.ContentLength >= 0 && httpResp.ContentLength <= MaxBufferedBody
+	if fitsBuffer || httpResp.StatusCode != http.StatusOK || att.OnStreamStart == nil {
 		var err error
 		resp.Body, err = io.ReadAll(io.LimitReader(httpResp.Body, MaxBufferedBody+1))
 		return resp, err
--- a/internal/agent/upstream/reuse.go
+++ b/internal/agent/upstream/reuse.go
@@ -53,9 +53,9 @@
 
 // decay ages the counts by a span of time.
 func (r *reuseStats) decay(d time.Duration) {
-	f := math.Exp2(-float64(d) / float64(reuseHalfLife))
+	factor := math.Exp2(-float64(d) / float64(reuseHalfLife))
 	for k := range r.uses {
-		r.uses[k] *= f
-		r.breaks[k] *= f
+		r.uses[k] *= factor
+		r.breaks[k] *= factor
 	}
 }
--- a/internal/agent/upstream/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -190,7 +190,7 @@
 		c.mu.Unlock()
 		return n, err
 	}
-	waited := c.raw.Read(func(fd uintptr) bool {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for n, err = syscall.Read(int(fd), p); errors.Is(err, syscall.EINTR); {
@@ -204,8 +204,8 @@
 		return true
 	})
 	switch {
-	case waited != nil:
-		return 0, waited
+	case waitErr != nil:
+		return 0, waitErr
 	case err != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: err}
 	case n == 0:
--- a/internal/agent/upstream/upload.go
+++ b/internal/agent/upstream/upload.go
@@ -87,8 +87,8 @@
 
 // forward waits until the attempt has read p. It returns false if no attempt will.
 func (u *Upload) forward(p []byte) bool {
-	stalled := time.AfterFunc(StallTimeout, func() { u.Stop(ErrStalled) })
-	defer stalled.Stop()
+	stallTimer := time.AfterFunc(StallTimeout, func() { u.Stop(ErrStalled) })
+	defer stallTimer.Stop()
 	_, err := u.pipeWriter.Write(p)
 	return err == nil
 }
