--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -1,6 +1,6 @@
 package upstream
 
-// One attempt: a request on a connection to a backend, and its result.
+// This file makes one attempt: a request on a connection to a backend, and its result.
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"martenbeam/internal/wire"
 )
 
-// TransitAllowance is subtracted from the time that a backend is told (X-Expires-In): the request takes a moment to
-// arrive there, and the backend must not be told more time than the client has left.
+// TransitAllowance is subtracted from the remaining time that a backend receives (X-Expires-In). The request takes time to
+// arrive, and the backend must not get more time than the client has left.
 const TransitAllowance = 10 * time.Millisecond
 
 // Request is a client's request as it is forwarded to backends, the same for every attempt.
@@ -27,30 +27,31 @@
 	URL    *url.URL // only path and query are used
 	Header http.Header
 	Body   []byte
-	Upload *Upload // the body's remainder, after Body; nil: Body is all of it
+	Upload *Upload // the rest of the body, after Body; nil: Body is complete
 }
 
-// Attempt is one attempt to send a request to one backend: its parameters, and what Execute found out about it.
+// Attempt is one attempt to send a request to one backend: its parameters, and the fields that Execute sets.
 type Attempt struct {
 	ctx           context.Context         // of Execute
-	Cancel        context.CancelCauseFunc // cancels the context that is given to Execute
-	RequestDone   <-chan struct{}         // closed when the request has its final reply: nothing more is sent for it
-	Shutdown      <-chan struct{}         // closed when the event loop has stopped: nobody reads a streaming response any more
+	Cancel        context.CancelCauseFunc // cancels the context that is passed to Execute
+	RequestDone   <-chan struct{}         // closed when the request has its final answer: nothing more is sent for it
+	Shutdown      <-chan struct{}         // closed when the event loop has stopped, after which nothing reads a streaming response
 	BackendID     string
-	Endpoint      *Endpoint // as it was when the balancer decided; nil: whatever the list says by then
+	Endpoint      *Endpoint // as listed when the balancer decided; nil: any listed endpoint of the backend
 	WriteBy       time.Time // nothing is written after this; zero: no bound
 	ResidencyRule int       // residency rule of the request; 0: none
 	Request       *Request
 	Start         time.Time
-	Deadline      time.Time     // as the backend is told; zero: the context's deadline, if it has one
+	Deadline      time.Time     // that the backend receives as remaining time; zero: the context's deadline, if it has one
 	Latency       time.Duration // set by Execute for a streaming response: until its first bytes
 	NewConn       bool          // set by Execute: the connection was opened for this attempt
-	// OnStreamStart hands over a streaming response once its first bytes have arrived. It returns false if the
-	// attempt had timed out by then. nil: responses are buffered.
+	// OnStreamStart receives a streaming response and its latency once the first bytes have arrived. It returns false
+	// if the attempt has already timed out. nil: responses are buffered.
 	OnStreamStart func(*Response, time.Duration) bool
 }
 
-// Elapsed returns how long ago the backend got the last byte of the request, or the attempt began.
+// Elapsed returns the time since the start of the attempt, or since the last byte of a streamed body arrived if that was
+// later.
 func (a *Attempt) Elapsed() time.Duration {
 	if u := a.Request.Upload; u != nil && u.IsComplete() && u.CompletedAt().After(a.Start) {
 		return time.Since(u.CompletedAt())
@@ -58,16 +59,17 @@
 	return time.Since(a.Start)
 }
 
-// executeBuffered makes an attempt whose response is buffered. It waits until ctx ends at the latest.
+// executeBuffered makes an attempt whose response is buffered. It returns when ctx ends, if not before.
 func (p *Pool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string,
 	request *Request) (balancer.Result, *Response, balancer.Load) {
 	return p.Execute(ctx, &Attempt{RequestDone: requestDone, BackendID: id, Request: request, Start: time.Now()})
 }
 
 // Execute makes an attempt and returns its result as the protocol's table of outcomes defines it. ConnectFailed and
-// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. When
-// ctx ends the attempt does too: as Cancelled if the cause is ErrCancelled, otherwise as TimedOut, or as ConnectFailed while
-// it has no connection. With a streaming response Execute returns once the response has been passed on, or can't be.
+// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. The
+// attempt ends with ctx: as Cancelled if the cause is ErrCancelled, otherwise as TimedOut, or as ConnectFailed while it
+// has no connection. A streaming response keeps Execute from returning until the response has been forwarded to its end,
+// or the stream has failed.
 func (p *Pool) Execute(ctx context.Context, att *Attempt) (balancer.Result, *Response, balancer.Load) {
 	att.ctx = ctx
 	for {
@@ -84,22 +86,22 @@
 			}
 			return balancer.ConnectFailed, nil, wire.ParseLoad(nil)
 		}
-		if err := p.CheckSendable(att); err != nil { // something changed while the connection was opened: nothing was written
+		if err := p.CheckSendable(att); err != nil { // the state changed while the connection was opened; nothing has been written
 			p.release(att.BackendID, conn, true)
 			return unsentResult(err), nil, wire.ParseLoad(nil)
 		}
 		reused := conn.idleFor > 0
 		att.NewConn = !reused
 		result, resp, load := p.roundTrip(att, conn)
-		// An idle connection that had died before the request was complete on it proves nothing about the
-		// backend, and nothing was executed: the attempt is made on another connection.
+		// An idle connection that broke before the complete request was written does not show that the backend
+		// failed, and nothing was executed. The attempt is made on another connection.
 		if result != balancer.ConnectFailed || !reused || att.Request.Consumed() {
 			return result, resp, load
 		}
 	}
 }
 
-// unsentResult returns the result of an attempt of which nothing was written for a reason unrelated to the backend.
+// unsentResult returns the result of an attempt that err kept from being written.
 func unsentResult(err error) balancer.Result {
 	if errors.Is(err, errAlreadyAnswered) || errors.Is(err, errRetryWindowOver) {
 		return balancer.NotSent // the request needs no further attempt
@@ -110,10 +112,10 @@
 // IsStreamed reports whether the body is streamed, not buffered.
 func (r *Request) IsStreamed() bool { return r != nil && r.Upload != nil }
 
-// Consumed reports whether part of a streamed body was handed out, so that no other attempt can send it.
+// Consumed reports whether an attempt has read part of the Upload, so that no other attempt can send the body.
 func (r *Request) Consumed() bool { return r.IsStreamed() && r.Upload.streamStarted.Load() }
 
-// roundTrip writes the request on a connection, once, and waits for the response.
+// roundTrip writes the request once on conn and waits for the response.
 func (p *Pool) roundTrip(att *Attempt, conn *pooledConn) (balancer.Result, *Response, balancer.Load) {
 	req, body := newHTTPRequest(att, conn)
 	var lastByteNext func() bool
@@ -122,8 +124,8 @@
 	}
 	conn.tracked.startRequest(func() error { return p.CheckSendable(att) }, att.WriteBy, lastByteNext)
 	setTimeLeft(req, att)
-	// http.ClientConn sends a request at most once. http.Transport.RoundTrip would send it again on its own on a
-	// stale connection: an attempt that the balancer neither ordered nor counted.
+	// http.ClientConn sends a request at most once. After a stale connection, http.Transport.RoundTrip would send the
+	// request again: an attempt that the balancer neither ordered nor counted.
 	httpResp, err := conn.RoundTrip(req)
 	if err != nil {
 		return p.unansweredResult(att, conn, body), nil, wire.ParseLoad(nil)
@@ -131,7 +133,7 @@
 	return p.receive(att, conn, body, httpResp)
 }
 
-// newHTTPRequest returns the attempt's request for net/http, and its body if that is streamed.
+// newHTTPRequest returns the attempt's request for net/http, and its body if the body is streamed.
 func newHTTPRequest(att *Attempt, conn *pooledConn) (*http.Request, *requestBody) {
 	request := att.Request
 	target := *request.URL
@@ -150,7 +152,7 @@
 	return req, nil
 }
 
-// setTimeLeft tells the backend how many seconds it has, less TransitAllowance.
+// setTimeLeft sets the header X-Expires-In to the time until the deadline in seconds, minus TransitAllowance.
 func setTimeLeft(req *http.Request, att *Attempt) {
 	deadline, ok := att.Deadline, !att.Deadline.IsZero()
 	if !ok {
@@ -162,7 +164,7 @@
 	}
 }
 
-// unansweredResult closes the connection of an attempt whose request had no response, and returns the attempt's result.
+// unansweredResult closes the connection of an attempt that received no response, and returns the attempt's result.
 func (p *Pool) unansweredResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	result := p.failedResult(att, conn, body)
 	if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil &&
@@ -173,7 +175,7 @@
 	return result
 }
 
-// failedResult closes the connection of an attempt without a complete response, and returns the attempt's result.
+// failedResult closes the connection of an attempt that received no complete response, and returns the attempt's result.
 func (p *Pool) failedResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	cause := context.Cause(att.ctx)
 	incomplete := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
--- a/internal/agent/upstream/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Responses of unknown length, which are streamed only if they turn out large.
+// This file reads responses of unknown length. They are streamed only if they exceed a size or a time.
 
 import (
 	"errors"
@@ -14,13 +14,13 @@
 	err  error
 }
 
-// bufferedResponse reads a response of unknown length in its own goroutine, so that the bytes that have arrived can be
-// passed on while more are awaited. The goroutine ends with the response, or once done is closed.
+// bufferedResponse reads a response of unknown length in its own goroutine, so that bytes that have arrived can be
+// forwarded while a read is blocked. The goroutine ends with the response, or once done is closed.
 type bufferedResponse struct {
 	results  chan readResult
-	consumed chan struct{} // the last result's data is no longer in use
+	consumed chan struct{} // receives a value when the data of the last result is no longer in use
 	done     <-chan struct{}
-	unread   readResult
+	unread   readResult // rest of the last result, not yet returned by Read
 }
 
 func bufferResponse(r io.Reader, buf []byte, done <-chan struct{}) *bufferedResponse {
@@ -46,8 +46,8 @@
 	return b
 }
 
-// readUpTo returns what arrives until there are more than limit bytes, the response ends, or the timeout is over and
-// there is something. more reports that the response has not ended.
+// readUpTo returns the bytes that arrive until they exceed limit or the response ends. After the timeout it returns as
+// soon as at least one byte has arrived. more reports that the response has not ended.
 func (b *bufferedResponse) readUpTo(limit int, timeout time.Duration) (buffered []byte, more bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -70,7 +70,7 @@
 			if len(buffered) > 0 {
 				return buffered, true, nil
 			}
-			timer.Reset(timeout) // no byte yet: nothing could be passed on
+			timer.Reset(timeout) // no byte has arrived that could be forwarded
 		case <-b.done:
 			return buffered, false, ErrRequestEnded
 		}
@@ -78,7 +78,7 @@
 	return buffered, true, nil
 }
 
-// Read returns what readUpTo has left.
+// Read returns the bytes after those that readUpTo returned.
 func (b *bufferedResponse) Read(p []byte) (int, error) {
 	if len(b.unread.data) == 0 && b.unread.err == nil {
 		select {
--- a/internal/agent/upstream/buffers.go
+++ b/internal/agent/upstream/buffers.go
@@ -1,6 +1,6 @@
 package upstream
 
-// The memory for streams, in the process and in the kernel.
+// This file bounds the memory for streams, in the process and in the kernel.
 
 import (
 	"net"
@@ -10,7 +10,7 @@
 // Buffers bounds the memory for stream buffers.
 type Buffers struct{ remaining atomic.Int64 }
 
-// newBuffers gives streams an eighth of the memory; 0 MB means the default of 64.
+// newBuffers returns a budget of an eighth of memoryMB; 0 means the default of 64 MB.
 func newBuffers(memoryMB int) *Buffers {
 	b := &Buffers{}
 	if memoryMB == 0 {
@@ -20,8 +20,8 @@
 	return b
 }
 
-// Get returns a buffer and the function that gives it back. It never fails: once the budget is used up, buffers are small
-// and not counted.
+// Get returns a buffer and the function that returns it to the budget. It never fails: once the budget is used up,
+// buffers have minBufferSize and are not counted.
 func (b *Buffers) Get() ([]byte, func()) {
 	size := int64(streamBufferSize)
 	if b.remaining.Add(-size) < 0 {
@@ -31,13 +31,14 @@
 	return make([]byte, size), func() { b.remaining.Add(size) }
 }
 
-// LimitKernelBuffers keeps the kernel from buffering megabytes of a stream for a socket.
+// LimitKernelBuffers limits the kernel's send and receive buffers of a socket, which could otherwise hold megabytes of a
+// stream.
 func LimitKernelBuffers(c net.Conn) {
 	if t, ok := c.(interface {
 		SetReadBuffer(int) error
 		SetWriteBuffer(int) error
 	}); ok {
-		// If it is refused, the kernel's own bound applies.
+		// If the kernel rejects the size, its own bound applies.
 		_ = t.SetReadBuffer(kernelBufferSize)
 		_ = t.SetWriteBuffer(kernelBufferSize)
 	}
--- a/internal/agent/upstream/connections.go
+++ b/internal/agent/upstream/connections.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Connections to backends: how they are opened, reused and closed.
+// This file opens, reuses and closes connections to backends.
 
 import (
 	"context"
@@ -14,13 +14,15 @@
 	*http.ClientConn
 	tracked   *trackedConn
 	addr      string
-	idleSince time.Time     // last time it became idle
-	idleFor   time.Duration // how long it was idle before its current use; 0: new
+	idleSince time.Time     // when the connection last became idle
+	idleFor   time.Duration // idle time before the current use; 0: the connection is new
 }
 
 type (
+	// dialSlotKey is the context key of a dialSlot.
 	dialSlotKey struct{}
-	dialSlot    struct{ conn *trackedConn }
+	// dialSlot passes the tracked connection from the transport's DialContext to dial.
+	dialSlot struct{ conn *trackedConn }
 )
 
 // closeIdle closes a backend's idle connections. The caller holds mu.
@@ -31,7 +33,7 @@
 	delete(p.idle, id)
 }
 
-// discard closes a connection and uncounts it. The caller holds mu; closing a socket does not block.
+// discard closes a connection and subtracts it from openConns. The caller holds mu; closing a socket does not block.
 func (p *Pool) discard(conn *pooledConn) {
 	p.openConns--
 	if conn.tracked.hasUnsolicited() {
@@ -40,8 +42,8 @@
 	conn.Close()
 }
 
-// acquire returns an idle connection to a backend, or the address at which to dial a new one, already counted in
-// openConns. It fails with errEndpointChanged, ErrBackendDisabled or errNoDescriptor.
+// acquire returns an idle connection to a backend, or nil and the address to dial. A connection to be dialed is already
+// counted in openConns. The error is errEndpointChanged, ErrBackendDisabled or errConnLimit.
 func (p *Pool) acquire(id string) (*pooledConn, string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,8 +74,9 @@
 	return nil, endpoint.Addr, nil
 }
 
-// pickIdle returns the index of the idle connection to use: the most recently used one that has settled, otherwise the
-// most recently used one; below 0: none. The caller holds mu.
+// pickIdle returns the index of the idle connection to use: the most recently used one of those idle for settleTime,
+// otherwise the most recently used one unless unsolicited bytes arrived within unsolicitedWindow; below 0: none. The
+// caller holds mu.
 func (p *Pool) pickIdle(idle []*pooledConn) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if time.Since(idle[i].idleSince) >= p.settleTime {
@@ -92,14 +95,15 @@
 	return conn.Err() == nil && idle < p.idleTimeout && !p.reuseStats.unreliable(idle)
 }
 
-// recordReuse records whether the connection broke under its request before a response began.
+// recordReuse records a use of the connection, and whether the connection broke before a response began.
 func (p *Pool) recordReuse(conn *pooledConn, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseStats.record(conn.idleFor, broken)
 }
 
-// evictOldest closes the connection that has been idle longest, of any backend. The caller holds mu.
+// evictOldest closes the connection that has been idle longest, of any backend. It returns false if none is idle. The
+// caller holds mu.
 func (p *Pool) evictOldest() bool {
 	var oldest string
 	for id, list := range p.idle {
@@ -115,7 +119,7 @@
 	return true
 }
 
-// release makes a connection idle, or closes it if it must not be used again.
+// release returns a connection to the idle ones, or closes it if reusable is false or the connection must not be reused.
 func (p *Pool) release(id string, conn *pooledConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +132,8 @@
 	p.idle[id] = append(p.idle[id], conn)
 }
 
-// CloseExpired closes connections that have been idle for too long, until ctx ends.
+// CloseExpired closes idle connections that are no longer usable, at intervals of an eighth of the idle time-out, until
+// ctx ends.
 func (p *Pool) CloseExpired(ctx context.Context) {
 	interval := max(p.idleTimeout/8, time.Millisecond)
 	tick := time.NewTicker(interval)
@@ -157,7 +162,8 @@
 	}
 }
 
-// dial opens a connection within the connect timeout and ctx. acquire has counted it already.
+// dial opens a connection within the connect timeout and ctx. acquire has already counted it in openConns; dial subtracts
+// it again on an error.
 func (p *Pool) dial(ctx context.Context, addr string) (*pooledConn, error) {
 	slot := &dialSlot{}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, dialSlotKey{}, slot), p.cfg.ConnectTimeout)
--- a/internal/agent/upstream/endpoints.go
+++ b/internal/agent/upstream/endpoints.go
@@ -1,6 +1,6 @@
 package upstream
 
-// What the list and the operators say about backends, and what that means for an attempt.
+// This file holds the backends' endpoints and operators' overrides, and checks whether an attempt may be written.
 
 import (
 	"time"
@@ -9,16 +9,16 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// Endpoint is what the list says about a backend as far as it matters to an attempt between the balancer's decision and
-// its first byte. It is immutable: a change in the list makes a new one, so pointers can be compared.
+// Endpoint holds the listed properties of a backend that must not change between the balancer's decision and the first
+// byte of an attempt. It is immutable: a change in the list creates a new Endpoint, so pointers can be compared.
 type Endpoint struct {
 	Addr       string
 	Zone, Cell int
 	Draining   bool
 }
 
-// ApplyUpdate applies an update of the list. Idle connections to a backend that is gone, drains or has a new address are
-// closed: another process answers at the new address, and a draining backend wants no new requests.
+// ApplyUpdate applies an update of the list. It closes the idle connections to a backend that is removed, drains or has a
+// new address: the process at the new address is a different one, and a draining backend must get no new requests.
 func (p *Pool) ApplyUpdate(update discovery.Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// SetDisabled forbids to write to a backend, or permits it again. Both close its idle connections: operators restart
-// the backend in between.
+// SetDisabled forbids writing to a backend, or permits it again. Both close its idle connections, since operators restart
+// a backend while it is disabled.
 func (p *Pool) SetDisabled(id string, disabled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,13 +58,13 @@
 	p.closeIdle(id)
 }
 
-// removeEndpoint forgets a backend and closes its idle connections. The caller holds mu.
+// removeEndpoint removes a backend and closes its idle connections. The caller holds mu.
 func (p *Pool) removeEndpoint(id string) {
 	delete(p.endpoints, id)
 	p.closeIdle(id)
 }
 
-// Endpoint returns what the list says about a backend now; nil: nothing.
+// Endpoint returns the current entry of a backend; nil: the backend is not listed.
 func (p *Pool) Endpoint(id string) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,8 +78,9 @@
 	return len(p.endpoints)
 }
 
-// CheckSendable returns why an attempt must not be written now: its request has its reply, the backend left the list,
-// drains, moved or was disabled since the decision, the time for a safe retry is over, or the residency policy forbids it.
+// CheckSendable returns an error if an attempt must not be written now: its request has its final answer; the backend was
+// disabled, or since the decision was removed, started to drain or changed address, zone or pod; WriteBy has passed; or the
+// residency policy forbids the backend.
 func (p *Pool) CheckSendable(att *Attempt) error {
 	select {
 	case <-att.RequestDone:
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// residencyPermits checks right before the network, independently of the balancer, whether a request under a residency
-// rule may go to a backend. A violation is reported to the policy's keeper.
+// residencyPermits reports whether a request under a residency rule may go to a backend. This check is right before the
+// network and independent of the balancer. It counts a violation with Residency.CountRefusal.
 func (p *Pool) residencyPermits(rule int, id string) bool {
 	if p.Residency == nil || rule == 0 {
 		return true
--- a/internal/agent/upstream/errors.go
+++ b/internal/agent/upstream/errors.go
@@ -1,27 +1,27 @@
 package upstream
 
-// Why attempts, uploads and streams end.
+// This file defines the errors with which attempts, uploads and streams end.
 
 import "errors"
 
-// Causes with which the context of an attempt is cancelled, and with which an upload or a stream is ended.
+// Causes for the cancellation of an attempt's context, and errors that end an upload or a stream.
 var (
-	// ErrTimedOut is the cause when the time of an attempt is over.
+	// ErrTimedOut is the cause when an attempt has exceeded its time.
 	ErrTimedOut = errors.New("timed out")
-	// ErrCancelled is the cause when nobody wants the attempt's response any more.
+	// ErrCancelled is the cause when the attempt's response is no longer needed.
 	ErrCancelled = errors.New("cancelled")
-	// ErrRequestEnded ends an upload or a stream that nobody reads any more.
+	// ErrRequestEnded ends an upload or a stream that has no reader any more.
 	ErrRequestEnded = errors.New("request ended")
-	// ErrStalled ends an upload or a stream of which no byte, or too few, passed for too long.
+	// ErrStalled ends an upload or a stream that made no progress, or too little, for too long.
 	ErrStalled = errors.New("stream stalled")
 )
 
-// ErrBackendDisabled is returned by CheckSendable for a backend to which operators forbid to send.
+// ErrBackendDisabled is returned by CheckSendable for a backend that operators have detached.
 var ErrBackendDisabled = errors.New("backend detached by operators")
 
-// Why nothing of a request was written, or its connection can't be used.
+// Reasons why nothing of a request was written, or why its connection can't be used.
 var (
-	errConnLimit          = errors.New("no file descriptor left for another connection")
+	errConnLimit          = errors.New("connection limit reached and no connection is idle")
 	errEndpointChanged    = errors.New("endpoint changed")
 	errAlreadyAnswered    = errors.New("request already answered")
 	errRetryWindowOver    = errors.New("the backend no longer deduplicates the retry")
@@ -30,5 +30,5 @@
 	errClosedWhileIdle    = errors.New("connection closed by the backend while idle")
 )
 
-// errTooLarge is why a response is not read.
+// errTooLarge rejects a response of more than MaxStreamBytes.
 var errTooLarge = errors.New("response too large")
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -1,9 +1,10 @@
 // Package upstream holds the agent's connections to backends and makes attempts on them.
 //
-// A Pool makes exactly the attempts that it is told to make: it neither chooses backends nor retries. Each attempt is one
-// request, written at most once, and its result says for certain whether the backend may have executed it (attempt.go,
-// trackedconn.go). Idle connections are reused while they can be trusted (reuse.go). Bodies and responses that are too large
-// to be buffered are streamed (upload.go, stream.go, bufferedresponse.go), within a budget of memory (buffers.go).
+// A Pool makes exactly the attempts that its caller orders: it neither chooses backends nor retries. Each attempt is one
+// request, written at most once, and its result shows with certainty whether the backend may have executed the request
+// (attempt.go, trackedconn.go). Idle connections are reused while connections of that idle time are reliable (reuse.go).
+// Bodies and responses that are too large to be buffered are streamed (upload.go, stream.go, bufferedresponse.go), within
+// a memory budget (buffers.go).
 package upstream
 
 import (
@@ -17,28 +18,28 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// A backend may send a response twice, the second some milliseconds after the first. On an idle connection the duplicate is
-// recognised as unsolicited and the connection is closed; once the next request is written, it would be taken for that
-// request's response. So connections that have been idle for settleTime are preferred, and while unsolicited bytes were
-// seen within unsolicitedWindow, only those are reused. Requiring it always would cost one more connection for each
-// backend, and 6% more latency under load, where no duplicates ever come.
+// A backend may send a response twice, the second some milliseconds after the first. On an idle connection the pool
+// detects the duplicate as unsolicited bytes and closes the connection. If the next request had already been written, the
+// duplicate would be treated as the response to that request. So connections that have been idle for settleTime are
+// preferred, and for unsolicitedWindow after unsolicited bytes only such connections are reused. Requiring settleTime at
+// all times would cost one more connection for each backend, and 6% more latency under load, without a benefit where
+// backends send no duplicates.
 const (
 	settleTime        = 20 * time.Millisecond
 	unsolicitedWindow = reuseHalfLife // after the latest unsolicited byte
 )
 
-// maxResponseHeader is in bytes.
+// maxResponseHeader bounds the header of a response, in bytes.
 const maxResponseHeader = 32 << 10
 
-// Pool owns the connections to all backends. It makes exactly the attempts that it is told to make; each is one
-// request, written at most once on one connection. Its methods may be called from any goroutine.
+// Pool owns the connections to all backends and makes attempts on them. Its methods may be called from any goroutine.
 type Pool struct {
 	cfg         Config
 	log         *slog.Logger
 	transport   *http.Transport
 	idleTimeout time.Duration
 
-	// Buffers is the memory for streams, of which the frontend takes its part too.
+	// Buffers is the memory budget for streams, which the frontend shares.
 	Buffers *Buffers
 	// DialContext opens connections to backends. It may be replaced before the first attempt.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -48,24 +49,24 @@
 	mu              sync.Mutex
 	maxConns        int                      // bound on openConns
 	endpoints       map[string]*Endpoint     // by backend id
-	disabled        map[string]bool          // backend ids to which operators forbid to send
+	disabled        map[string]bool          // ids of the backends that operators have detached
 	idle            map[string][]*pooledConn // by backend id, the most recently used last
-	openConns       int                      // idle, in use or being dialled
+	openConns       int                      // idle, in use or being dialed
 	reuseStats      reuseStats
 	settleTime      time.Duration // idle time after which a connection is preferred; a constant outside tests
 	lastUnsolicited time.Time     // when unsolicited bytes were last found
-	closed          bool          // no connection is kept any more
+	closed          bool          // connections are closed when they are released
 }
 
-// Config is what a pool is told at its start.
+// Config configures a Pool.
 type Config struct {
 	MaxConns       int           // connections that may be open at once
-	MemoryMB       int           // of the process, of which streams get a part; 0: a default
+	MemoryMB       int           // memory of the process, of which streams get an eighth; 0: 64
 	DialFrom       string        // local IP address for connections; "": the system chooses
 	ConnectTimeout time.Duration // also of health checks
-	IdleClose      time.Duration // after which backends may close an idle connection
+	IdleClose      time.Duration // idle time after which backends may close a connection
 	LoadInline     bool          // responses carry load reports
-	LoadProbed     bool          // health checks do
+	LoadProbed     bool          // responses to health checks carry load reports
 }
 
 // New returns a pool without endpoints.
@@ -75,15 +76,16 @@
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(cfg.DialFrom)}
 	}
 	p := &Pool{cfg: cfg, log: log, Buffers: newBuffers(cfg.MemoryMB), maxConns: cfg.MaxConns, DialContext: dialer.DialContext,
-		// Backends may close an idle connection after IdleClose. A request that crosses the close is lost as a
-		// reset that may have been executed. A quarter of the time is far more than any network delay.
+		// Backends may close an idle connection after IdleClose. A request that is sent while the backend closes
+		// the connection ends as a reset that may have been executed. The margin of a quarter of IdleClose is far
+		// longer than any network delay.
 		idleTimeout: cfg.IdleClose * 3 / 4,
 		settleTime:  settleTime,
 		endpoints:   map[string]*Endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
 	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxResponseHeader,
-		// The tracked connection goes to dial by the slot in its context.
+		// dial gets the tracked connection through the dialSlot in ctx.
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := p.DialContext(ctx, network, addr)
 			if err != nil {
@@ -99,14 +101,14 @@
 	return p
 }
 
-// Stats holds numbers of connections.
+// Stats holds the numbers of connections.
 type Stats struct {
-	Open  int // idle, in use or being dialled
+	Open  int // idle, in use or being dialed
 	Idle  int
 	Limit int // on Open
 }
 
-// Stats returns the present numbers of connections.
+// Stats returns the current numbers of connections.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +119,8 @@
 	return stats
 }
 
-// SetLimit changes how many connections may be open at once. Idle ones beyond it are closed.
+// SetLimit changes how many connections may be open at once. It closes idle connections until the limit is met or none
+// is idle.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/upstream/probe.go
+++ b/internal/agent/upstream/probe.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Health checks, and the load reports that come with them or with responses.
+// This file makes health checks and parses the load reports of health checks and responses.
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 	"martenbeam/internal/wire"
 )
 
-// Probe checks a backend's health, with a load report if the site's health checks carry one.
+// Probe makes a health check. Its result holds a load report if Config.LoadProbed is set.
 func (p *Pool) Probe(id string) balancer.ProbeResult {
 	start := time.Now()
 	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/ping"}, Header: http.Header{}}
 	if p.cfg.LoadProbed {
 		request.URL.Path = "/_load"
 	}
-	// The settings have no timeout for health checks; one that takes longer than a connect may take is of no use.
+	// The settings have no timeout for health checks, so the connect timeout bounds the complete check.
 	ctx, cancel := context.WithTimeoutCause(context.Background(), p.cfg.ConnectTimeout, ErrTimedOut)
 	defer cancel()
 	result, resp, load := p.executeBuffered(ctx, nil, id, request)
@@ -31,10 +31,11 @@
 	return balancer.ProbeResult{Backend: id, Result: result, Latency: time.Since(start), Load: load}
 }
 
-// loadNames maps the names of load values on the wire to those of the settings.
+// loadNames maps the names of load values on the wire to the names in the settings.
 var loadNames = map[string]string{"queue": "backlog", "eps": "errors_per_s", "latency_ms": "recent_ms"}
 
-// parseLoad parses a load report such as "TEXT inflight=7, queue=2". Values that it can't parse are left out.
+// parseLoad parses a load report such as "TEXT inflight=7, queue=2". Values that are not
+// numbers are left out.
 func parseLoad(text string) balancer.Load {
 	usage := map[string]float64{}
 	text = strings.TrimSpace(text)
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -1,6 +1,6 @@
 package upstream
 
-// How the response of an attempt is read, buffered or streamed.
+// This file reads the response of an attempt, buffered or streamed.
 
 import (
 	"errors"
@@ -16,10 +16,10 @@
 type Response struct {
 	Header http.Header
 	Body   []byte
-	Stream *Stream // the remainder, after Body; nil: Body is all of it
+	Stream *Stream // the rest of the body, after Body; nil: Body is complete
 }
 
-// receive reads a response whose header has arrived, and returns the connection to the pool.
+// receive reads a response whose header has arrived, releases the connection and returns the attempt's result.
 func (p *Pool) receive(att *Attempt, conn *pooledConn, body *requestBody,
 	httpResp *http.Response) (balancer.Result, *Response, balancer.Load) {
 	p.recordReuse(conn, false)
@@ -28,7 +28,7 @@
 	defer close(done)
 	resp, err := p.readResponse(att, httpResp, done)
 	early := body != nil && httpResp.StatusCode == http.StatusOK &&
-		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends start a request on its last byte only
+		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends execute a request only after its last byte
 	if err != nil || early || endsWithConnection(httpResp) && len(resp.Body) == 0 {
 		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
 	}
@@ -48,7 +48,7 @@
 	case httpResp.StatusCode == http.StatusOK && complete:
 		return balancer.OK, resp, load
 	case provesNotExecuted(httpResp):
-		if att.NewConn { // the backend accepts few connections: free an idle one for it
+		if att.NewConn { // the backend may have reached its connection limit: close an idle connection
 			p.mu.Lock()
 			p.evictOldest()
 			p.mu.Unlock()
@@ -64,7 +64,8 @@
 		httpResp.Header.Get("X-Never-Ran") == "1"
 }
 
-// readResponse reads a response to its end, or the first bytes of a streaming one.
+// readResponse reads a response to its end, or the first bytes of a streaming one. done ends the goroutine of a response
+// of unknown length.
 func (p *Pool) readResponse(att *Attempt, httpResp *http.Response, done <-chan struct{}) (*Response, error) {
 	resp := &Response{Header: httpResp.Header}
 	fitsBuffer := httpResp.ContentLength >= 0 && httpResp.ContentLength <= MaxBufferedBody
@@ -101,7 +102,8 @@
 	return resp, nil
 }
 
-// awaitStream hands a streaming response over and waits until it has been passed on, or can't be.
+// awaitStream passes a streaming response to OnStreamStart, waits until the stream is finished or the event loop has
+// stopped, and releases the connection.
 func (p *Pool) awaitStream(att *Attempt, conn *pooledConn, httpResp *http.Response, resp *Response) balancer.Result {
 	defer resp.Stream.free()
 	att.Latency = att.Elapsed()
@@ -128,8 +130,8 @@
 	return balancer.Reset
 }
 
-// endsWithConnection reports whether only the connection's end delimits the response (RFC 9112, 6.3). Such a response
-// with an empty body can't be told from a connection that broke.
+// endsWithConnection reports whether only the end of the connection delimits the response (RFC 9112, 6.3). Such a response
+// with an empty body can't be distinguished from a broken connection.
 func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
--- a/internal/agent/upstream/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -1,6 +1,6 @@
 package upstream
 
-// One connection to a backend, and what is certain about each request on it.
+// This file tracks which bytes of each request and response passed on a connection to a backend.
 
 import (
 	"errors"
@@ -11,52 +11,52 @@
 	"time"
 )
 
-// trackedConn is a connection to a backend below net/http's client. It knows two things about each request for certain:
-// whether the request was written to its last byte, and that the bytes received are not older than the request.
+// trackedConn is a connection to a backend below net/http's client. For each request it determines with certainty whether
+// the request was written to its last byte, and whether the bytes received arrived after the request was started.
 //
-// net/http can't tell either. Its trace of written bytes may come after RoundTrip has returned, while a count under a
-// lock is exact once the connection is closed, since nothing is written after that. And net/http takes bytes that
-// arrived before the request was written for its response, if it had been handed the request by then.
+// net/http provides neither. Its trace of written bytes may be called after RoundTrip has returned. A count under a lock
+// is exact once the connection is closed, since nothing is written after the close. And net/http treats bytes that arrived
+// before the request was written as its response if RoundTrip had been called by then.
 type trackedConn struct {
 	net.Conn
 	raw syscall.RawConn // nil: Conn is not a socket
 
 	writeMu     sync.Mutex // held during the write system call
 	written     int        // bytes of the current request
-	writeFailed bool       // a write ended short, so the request's last byte was not written
+	writeFailed bool       // a write failed, so the request's last byte was not written
 	writeBy     time.Time  // no byte of the current request is written after this; zero: no bound
 
 	mu               sync.Mutex
 	stateChanged     sync.Cond    // L is mu; signals reading and closed
 	reading          bool         // net/http waits in Read
-	closed           bool         // by this side
+	closed           bool         // by the agent
 	remoteClosed     bool         // the backend closed or broke the connection
 	requestStarted   bool         // the first byte of the current request is about to be written, or was
-	unsolicited      bool         // bytes arrived while no request was under way: nothing on this connection can be trusted
+	unsolicited      bool         // bytes arrived while no request was in progress: no later byte can be attributed to a request
 	checkSendable    func() error // called before the first byte; an error keeps the request from being written
 	blockedReason    error        // why the current request was not written
-	lastByteNext     func() bool  // reports whether the next write carries the last byte; nil: not of interest, or already written
+	lastByteNext     func() bool  // reports whether the next write carries the last byte; nil: the body is not streamed, or the last byte was written
 	responseReceived bool         // a byte of a final (not 1xx) response arrived
-	earlyResponse    bool         // one arrived before the request's last byte was written
+	earlyResponse    bool         // a byte of a final response arrived before the request's last byte was written
 }
 
 func newTrackedConn(conn net.Conn) *trackedConn {
 	tracked := &trackedConn{Conn: conn}
 	tracked.stateChanged.L = &tracked.mu
 	if s, ok := conn.(syscall.Conn); ok {
-		tracked.raw, _ = s.SyscallConn() // an error means that the connection is broken, which the first use will tell
+		tracked.raw, _ = s.SyscallConn() // an error means that the connection is broken; the first use fails
 	}
 	return tracked
 }
 
-// startRequest prepares the connection for the next request. Nothing of it is written if CheckSendable returns an error,
-// nor after WriteBy. lastByteNext reports whether the next write carries the request's last byte; nil for a request
-// that net/http writes at once.
+// startRequest prepares the connection for the next request. Nothing of the request is written if checkSendable returns an
+// error, and no byte after writeBy. lastByteNext reports whether the next write carries the request's last byte; nil for a
+// request whose body is not streamed.
 func (c *trackedConn) startRequest(checkSendable func() error, writeBy time.Time, lastByteNext func() bool) {
 	c.writeMu.Lock()
 	c.written, c.writeFailed = 0, false
 	if !writeBy.IsZero() || !c.writeBy.IsZero() {
-		_ = c.Conn.SetWriteDeadline(writeBy) // fails only on a broken connection; a blocked write ends at this time
+		_ = c.Conn.SetWriteDeadline(writeBy) // fails only on a broken connection; a blocked write ends at the deadline
 	}
 	c.writeBy = writeBy
 	c.writeMu.Unlock()
@@ -66,7 +66,7 @@
 	c.mu.Unlock()
 }
 
-// Write writes bytes of the current request, unless something is against its first byte.
+// Write writes bytes of the current request, unless beforeFirstByte returns an error or writeBy has passed.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -88,8 +88,8 @@
 	return n, err
 }
 
-// beforeFirstByte is called before each write and, before the first of a request, returns why it must not be written.
-// Its last check is for bytes that have already arrived: those can't be a response to this request.
+// beforeFirstByte is called before each write. Before the first write of a request it returns an error if the request must
+// not be written. Its last check is for bytes that have already arrived, which can't be a response to this request.
 func (c *trackedConn) beforeFirstByte() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,7 @@
 		return nil
 	}
 	if checkSendable := c.checkSendable; checkSendable != nil {
-		c.mu.Unlock() // it takes locks under which connections are closed
+		c.mu.Unlock() // checkSendable takes locks under which connections are closed
 		err := checkSendable()
 		if c.mu.Lock(); err != nil {
 			return err
@@ -106,7 +106,7 @@
 	if c.closed {
 		return net.ErrClosed
 	}
-	if c.raw != nil && !c.unsolicited { // after all other checks: what arrived before this point is no response to the request
+	if c.raw != nil && !c.unsolicited { // after all other checks: bytes that arrived before this point are not a response to the request
 		var n int
 		var err error
 		p := make([]byte, 1)
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// beforeLastByte notes whether a response has arrived before the request's last byte is written. Backends start a request
-// on its last byte, so such a response is not the outcome of having executed it.
+// beforeLastByte records whether a response has arrived before the request's last byte is written. Backends execute a
+// request only after its last byte, so an earlier response does not come from its execution.
 func (c *trackedConn) beforeLastByte() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,14 +156,14 @@
 	return c.earlyResponse
 }
 
-// blocked returns why the current request was not written; nil: it was not held back.
+// blocked returns why Write rejected bytes of the current request; nil: Write rejected none.
 func (c *trackedConn) blocked() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.blockedReason
 }
 
-// Read reads bytes of a response. It fails once bytes arrived that no request had asked for.
+// Read reads bytes of a response. It fails once unsolicited bytes have arrived.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.reading = true
@@ -180,8 +180,8 @@
 	return n, err
 }
 
-// readSocket reads and marks bytes that arrived before a request's first byte. On a socket the read system call and the
-// mark are under one lock, so that no write can come between them.
+// readSocket reads, and sets unsolicited if the bytes arrived before a request's first byte. On a socket the read system
+// call and the assignment are under one lock, so that no request can start between them.
 func (c *trackedConn) readSocket(p []byte) (n int, err error) {
 	if c.raw == nil || len(p) == 0 {
 		n, err = c.Conn.Read(p)
@@ -214,7 +214,7 @@
 	return n, nil
 }
 
-// Close closes the connection and wakes awaitIdle.
+// Close closes the connection and unblocks awaitIdle.
 func (c *trackedConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -223,8 +223,9 @@
 	return c.Conn.Close()
 }
 
-// awaitIdle waits until net/http reads again after a complete response, or has closed the connection. On a reusable
-// connection net/http closes it if more bytes arrived than the response. From here on every byte is unsolicited.
+// awaitIdle waits until net/http reads again after a complete response, or has closed the connection. net/http closes a
+// reusable connection if more bytes arrived than the response. After awaitIdle, bytes are unsolicited until the next
+// request.
 func (c *trackedConn) awaitIdle(reusable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,15 +236,15 @@
 	c.unsolicited = c.unsolicited || reusable && c.closed && !c.remoteClosed
 }
 
-// hasUnsolicited reports whether bytes arrived that no request had asked for.
+// hasUnsolicited reports whether bytes arrived while no request was in progress.
 func (c *trackedConn) hasUnsolicited() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unsolicited
 }
 
-// closeIncomplete closes the connection and reports whether the request is known not to have been written to its last
-// byte. The writes of one request are in order, and end with the first that fails.
+// closeIncomplete closes the connection and reports whether the request was certainly not written to its last byte. The
+// writes of one request are in order and end with the first failure.
 func (c *trackedConn) closeIncomplete() bool {
 	c.Close() // unblocks a Write that holds the lock
 	c.writeMu.Lock()
--- a/internal/agent/upstream/upload.go
+++ b/internal/agent/upstream/upload.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Streamed request bodies.
+// This file streams request bodies.
 
 import (
 	"errors"
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Upload is the remainder of a large body, on its way from its client to one backend.
+// Upload is the rest of a large body that is being forwarded from its client to one backend.
 type Upload struct {
 	length        int64 // bytes of the complete body; -1: unknown
 	pipeWriter    *io.PipeWriter
 	pipeReader    *io.PipeReader
-	streamStarted atomic.Bool   // an attempt has read beyond the buffered part, so that the body can't be sent again
+	streamStarted atomic.Bool   // an attempt has read beyond the buffered part, so the body can't be sent again
 	completed     chan struct{} // closed when the last byte has arrived
 	completedAt   time.Time     // valid once completed is closed
 	failed        chan struct{} // closed if the last byte will never arrive
@@ -31,13 +31,13 @@
 // Completed is closed when the last byte has arrived.
 func (u *Upload) Completed() <-chan struct{} { return u.completed }
 
-// CompletedAt returns when the last byte arrived. It may be called once Completed is closed.
+// CompletedAt returns when the last byte arrived. It may be called only after Completed is closed.
 func (u *Upload) CompletedAt() time.Time { return u.completedAt }
 
 // Failed is closed if the last byte will never arrive.
 func (u *Upload) Failed() <-chan struct{} { return u.failed }
 
-// Err returns why the client failed to send the body. It may be called once Failed is closed.
+// Err returns why the client failed to send the body. It may be called only after Failed is closed.
 func (u *Upload) Err() error { return u.err }
 
 // IsComplete reports whether the last byte has arrived.
@@ -50,22 +50,23 @@
 	}
 }
 
-// ClientBody is a body as it arrives from its client.
+// ClientBody is a body as it is read from its client.
 type ClientBody interface {
 	io.Reader
-	// ClearDeadline ends the deadline for the client, once the body has been read to its end.
+	// ClearDeadline removes the client's read deadline after the body has been read to its end.
 	ClearDeadline() error
 }
 
-// Pump copies the body from the client to the attempt, no faster than the attempt reads, and returns when it is complete, or
-// can't be. If the client fails only Failed tells: whoever waits for it cancels the attempt, since the backend is not to blame.
+// Pump copies the body from the client to the attempt, no faster than the attempt reads. It returns when the body is
+// complete, or the client or the attempt has failed. A failure of the client closes Failed and nothing else: the receiver
+// of Failed cancels the attempt, since the failure must not be attributed to the backend.
 func (u *Upload) Pump(body ClientBody, b *Buffers) {
 	buf, free := b.Get()
 	defer free()
 	for {
 		n, err := body.Read(buf)
 		if errors.Is(err, io.EOF) {
-			if err := body.ClearDeadline(); err != nil { // left running it would look like a disconnected client
+			if err := body.ClearDeadline(); err != nil { // a deadline that expires later would be treated as a disconnect of the client
 				u.fail(err)
 				return
 			}
@@ -85,7 +86,7 @@
 	}
 }
 
-// forward waits until the attempt has read p. It returns false if no attempt will.
+// forward waits until the attempt has read p. It returns false if the upload was stopped, also after StallTimeout.
 func (u *Upload) forward(p []byte) bool {
 	stallTimer := time.AfterFunc(StallTimeout, func() { u.Stop(ErrStalled) })
 	defer stallTimer.Stop()
@@ -93,6 +94,7 @@
 	return err == nil
 }
 
+// fail sets the error of the client and closes Failed.
 func (u *Upload) fail(err error) {
 	u.err = err
 	close(u.failed)
@@ -104,15 +106,15 @@
 	u.pipeReader.CloseWithError(err)
 }
 
-// requestBody is a streamed body as one attempt reads it: the buffered part, then the upload.
+// requestBody is a streamed body for one attempt to read: the buffered part, then the upload.
 type requestBody struct {
 	buffered  []byte
 	upload    *Upload
-	remaining int64       // bytes still to be read; below 0: unknown
-	consumed  atomic.Bool // the last byte was handed out
+	remaining int64       // bytes not yet read; below 0: unknown
+	consumed  atomic.Bool // the last byte has been read
 }
 
-// NewBody returns the body as one attempt reads it; buffered is its beginning.
+// NewBody returns the body for one attempt to read. buffered is the part before the upload.
 func (u *Upload) NewBody(buffered []byte) io.ReadCloser { return u.newBody(buffered) }
 
 func (u *Upload) newBody(buffered []byte) *requestBody {
@@ -133,4 +135,4 @@
 	return n, err
 }
 
-func (b *requestBody) Close() error { return nil } // the upload outlives an attempt that never read from it
+func (b *requestBody) Close() error { return nil } // an attempt that has read nothing of the upload leaves it to the next attempt
