--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -24,9 +24,9 @@
 		stream.requested = true
 		return
 	}
-	previousActivityAt := w.lastActivityAt
+	previousActivityAt := w.latestActivityAt
 	stream.lastActivityAt = time.Now()
-	w.lastActivityAt = stream.lastActivityAt
+	w.latestActivityAt = stream.lastActivityAt
 	if stream.firstActivityAt.IsZero() {
 		stream.firstActivityAt, stream.overdue = stream.lastActivityAt, false
 	}
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -27,7 +27,7 @@
 
 // startTimes holds the start times of the backends that lists have contained, by id.
 type startTimes struct {
-	byID map[string]processStart
+	known map[string]processStart
 	// wallOffset is discovery's wall clock minus this machine's at the latest list; 0: within clockTolerance, or
 	// unknown.
 	wallOffset time.Duration
@@ -53,8 +53,8 @@
 	if unixMilli <= 0 {
 		return 0
 	}
-	previous, recorded := s.byID[id]
-	if recorded && previous.unixMilli == unixMilli {
+	previous, known := s.known[id]
+	if known && previous.unixMilli == unixMilli {
 		return previous.at
 	}
 	c := readClocks()
@@ -62,14 +62,14 @@
 	if maxAge > 0 && at < c.now-maxAge {
 		at = c.now
 	}
-	if recorded {
+	if known {
 		at = max(at, previous.at+1) // a new process, which started after the previous one
 	}
-	if s.byID == nil {
-		s.byID = map[string]processStart{}
+	if s.known == nil {
+		s.known = map[string]processStart{}
 	}
 	at = max(at, 0)
-	s.byID[id] = processStart{unixMilli, at}
+	s.known[id] = processStart{unixMilli, at}
 	return at
 }
 
@@ -96,12 +96,12 @@
 // backend may be listed again with the same process.
 func (s *startTimes) evictUnlisted(listed map[string]string) {
 	const spare = 100
-	if len(s.byID) <= 2*len(listed)+spare {
+	if len(s.known) <= 2*len(listed)+spare {
 		return
 	}
-	for id := range s.byID {
+	for id := range s.known {
 		if _, isListed := listed[id]; !isListed {
-			delete(s.byID, id)
+			delete(s.known, id)
 		}
 	}
 }
--- a/internal/agent/discovery/starttime_test.go
+++ b/internal/agent/discovery/starttime_test.go
@@ -35,7 +35,7 @@
 		readings := steppedReadings(now, wall, c.step)
 		s := startTimes{wallOffset: c.off}
 		if c.before > 0 {
-			s.byID = map[string]processStart{"b": {unix(c.before), now - c.before}}
+			s.known = map[string]processStart{"b": {unix(c.before), now - c.before}}
 		}
 		got := s.resolve("b", c.told, func() clockReadings { return readings }, c.within)
 		if got != c.want {
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -107,7 +107,7 @@
 	current        *watchStream // the stream that delivers the list; nil: none
 	nextOpenAt     time.Time    // when the watcher opens a stream without a call of Subscribe; zero: not scheduled
 	failures       int          // number since the latest list
-	lastActivityAt time.Time    // the latest heartbeat or list of any stream
+	latestActivityAt time.Time    // the latest heartbeat or list of any stream
 	receivedList   bool         // a list has arrived since New
 	laggingChecks  int          // number of checks in a row that found a later list elsewhere
 	backoff        *backoff.ExponentialBackOff
