--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -31,16 +31,16 @@
 				runInBubble(t, func(t *testing.T) {
 					discovery := newFakeDiscovery(t)
 					watcher := startWatcher(t, discovery, polled)
-					watcher.startPolling(steps[0].wait)
+					watcher.startPolling(steps[0].waitPercent)
 					synctest.Wait()
 					for i, s := range steps {
-						watcher.setWait(s.wait)
+						watcher.setWait(s.waitPercent)
 						if failure = s.run(i, discovery, watcher, polled); failure != "" {
 							return
 						}
 					}
-					if len(discovery.silenced) > maxOpening+1 {
-						failure = fmt.Sprintf("%d watches are open", len(discovery.silenced))
+					if len(discovery.streamStalled) > maxOpening+1 {
+						failure = fmt.Sprintf("%d watches are open", len(discovery.streamStalled))
 					}
 				})
 			})
@@ -50,16 +50,16 @@
 
 // step is a fault of discovery, or a change of its address, that ends with a change of the list.
 type step struct {
-	kind int // see begin
-	ms   int // how long it lasts
-	wait int // the watcher's waitPercent meanwhile
+	kind        int // see begin
+	ms          int // how long it lasts
+	waitPercent int // the watcher's waitPercent meanwhile
 }
 
 func drawStep(r *rapid.T) step {
 	return step{
-		kind: rapid.IntRange(0, 6).Draw(r, "kind"),
-		ms:   rapid.IntRange(0, 9000).Draw(r, "ms"),
-		wait: rapid.IntRange(1, 100).Draw(r, "wait"),
+		kind:        rapid.IntRange(0, 6).Draw(r, "kind"),
+		ms:          rapid.IntRange(0, 9000).Draw(r, "ms"),
+		waitPercent: rapid.IntRange(1, 100).Draw(r, "wait"),
 	}
 }
 
@@ -96,20 +96,20 @@
 		discovery.update(func() { discovery.refusing = true })
 	case k <= 3: // open streams get nothing any more, nor do up to two new ones
 		discovery.update(func() {
-			discovery.unansweredCalls = (k - 2) * 2
-			for w := range discovery.silenced {
-				discovery.silenced[w] = true
+			discovery.unansweredRequests = (k - 2) * 2
+			for w := range discovery.streamStalled {
+				discovery.streamStalled[w] = true
 			}
 		})
 	case k == 4: // open streams get a value that never ends
 		discovery.update(func() {
-			for w := range discovery.silenced {
-				discovery.dripping[w] = true
+			for w := range discovery.streamStalled {
+				discovery.sendingPartial[w] = true
 			}
 		})
 	case k == 5: // the address changes twice
 		watcher.SetAddr(fmt.Sprintf("10.0.1.%d:1", i))
-		discovery.update(func() { discovery.unansweredCalls = s.wait % 3 })
+		discovery.update(func() { discovery.unansweredRequests = s.waitPercent % 3 })
 		watcher.SetAddr(fmt.Sprintf("10.0.2.%d:1", i))
 	}
 }
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -24,22 +24,22 @@
 type fakeDiscovery struct {
 	conns chan net.Conn // dialed, and not yet accepted
 
-	mu              sync.Mutex // guards all that follows; tests change it by update
-	version         int64
-	encode          func(m EndpointList) string
-	changed         chan struct{}          // closed by the next update
-	sinceParams     []string               // since= of each request
-	unresponsive    bool                   // no stream gets anything, also none that is new
-	refusing        bool                   // no connection is made, and open streams end
-	unreachableAddr string                 // no connection is made to this address
-	unansweredCalls int                    // so many of the next requests never get a response
-	silenced        map[*http.Request]bool // open streams; true: it gets nothing any more
-	dripping        map[*http.Request]bool // streams that get a value that never ends, one byte each second
+	mu                 sync.Mutex // guards all that follows; tests change it by update
+	version            int64
+	encode             func(m EndpointList) string
+	changed            chan struct{}          // closed by the next update
+	sinceParams        []string               // since= of each request
+	unresponsive       bool                   // no stream gets anything, also none that is new
+	refusing           bool                   // no connection is made, and open streams end
+	unreachableAddr    string                 // no connection is made to this address
+	unansweredRequests int                    // so many of the next requests never get a response
+	streamStalled      map[*http.Request]bool // open streams; true: it gets nothing any more
+	sendingPartial     map[*http.Request]bool // streams that get a value that never ends, one byte each second
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
 	d := &fakeDiscovery{version: 41, changed: make(chan struct{}), conns: make(chan net.Conn, 64),
-		silenced: map[*http.Request]bool{}, dripping: map[*http.Request]bool{},
+		streamStalled: map[*http.Request]bool{}, sendingPartial: map[*http.Request]bool{},
 		encode: func(m EndpointList) string { raw, _ := json.Marshal(m); return string(raw) }}
 	server := &http.Server{Handler: d}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -70,14 +70,14 @@
 
 func (d *fakeDiscovery) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	d.mu.Lock()
-	refuses := d.refusing || addr == d.unreachableAddr
+	refused := d.refusing || addr == d.unreachableAddr
 	d.mu.Unlock()
-	if refuses {
+	if refused {
 		return nil, fmt.Errorf("refused")
 	}
-	near, far := net.Pipe()
-	d.conns <- far
-	return near, nil
+	clientConn, serverConn := net.Pipe()
+	d.conns <- serverConn
+	return clientConn, nil
 }
 
 // update changes the fake, and wakes its streams.
@@ -94,21 +94,21 @@
 	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	d.mu.Lock()
 	d.sinceParams = append(d.sinceParams, r.URL.Query().Get("since"))
-	d.silenced[r] = d.unansweredCalls > 0
-	d.unansweredCalls = max(0, d.unansweredCalls-1)
+	d.streamStalled[r] = d.unansweredRequests > 0
+	d.unansweredRequests = max(0, d.unansweredRequests-1)
 	d.mu.Unlock()
-	defer func() { d.mu.Lock(); delete(d.silenced, r); delete(d.dripping, r); d.mu.Unlock() }()
-	dripped := 0
+	defer func() { d.mu.Lock(); delete(d.streamStalled, r); delete(d.sendingPartial, r); d.mu.Unlock() }()
+	partialBytes := 0
 	for first := true; ; {
 		d.mu.Lock()
-		response, changed, silenced, interval := "\n", d.changed, d.unresponsive || d.silenced[r], 2*time.Second
+		response, changed, streamStalled, interval := "\n", d.changed, d.unresponsive || d.streamStalled[r], 2*time.Second
 		if first || since != d.version {
 			response = d.encode(d.list(since)) + "\n"
 		}
 		version, refusing := d.version, d.refusing
-		if d.dripping[r] {
+		if d.sendingPartial[r] {
 			response, interval, version = "{", time.Second, since
-			if dripped++; dripped > 1 {
+			if partialBytes++; partialBytes > 1 {
 				response = " "
 			}
 		}
@@ -116,8 +116,8 @@
 		if refusing {
 			return
 		}
-		if !silenced {
-			first, since = first && dripped > 0, version
+		if !streamStalled {
+			first, since = first && partialBytes > 0, version
 			if !send(w, response) {
 				return
 			}
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -14,7 +14,7 @@
 
 // JSON values may be laid out in any way. One that is malformed ends its stream alone, and the next requests the
 // complete list.
-func TestStreamAcceptsAnyLayoutAndRecoversFromBadValues(t *testing.T) {
+func TestStreamAcceptsAnyLayoutAndRecoversFromMalformedValues(t *testing.T) {
 	indented := func(m EndpointList) string {
 		raw, _ := json.MarshalIndent(m, "  ", "\t")
 		return "\n\r\n " + string(raw)
@@ -31,7 +31,7 @@
 			runInBubble(t, func(t *testing.T) { checkLayout(t, form) })
 		})
 	}
-	for name, bad := range map[string]string{
+	for name, malformed := range map[string]string{
 		"cut short":    `{"version":1,"servers":[}`,
 		"no list":      `{"version":7,"full":true}`,
 		"a number":     "17",
@@ -39,7 +39,7 @@
 		"endless":      `{"version":1,"x":"` + strings.Repeat("x", maxValueBytes+1<<17),
 	} {
 		t.Run(name, func(t *testing.T) {
-			runInBubble(t, func(t *testing.T) { checkRecovery(t, bad) })
+			runInBubble(t, func(t *testing.T) { checkRecovery(t, malformed) })
 		})
 	}
 }
@@ -64,13 +64,13 @@
 }
 
 // checkRecovery checks that a bad value in place of a list is a failure, and that the complete list is requested next.
-func checkRecovery(t *testing.T, bad string) {
+func checkRecovery(t *testing.T, malformed string) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
 	watcher := startWatcher(t, discovery, false)
 	synctest.Wait()
 	good := discovery.encode
-	discovery.update(func() { discovery.version, discovery.encode = 42, func(EndpointList) string { return bad } })
+	discovery.update(func() { discovery.version, discovery.encode = 42, func(EndpointList) string { return malformed } })
 	time.Sleep(time.Millisecond)
 	discovery.update(func() { discovery.encode = good })
 	time.Sleep(time.Second)
@@ -81,7 +81,7 @@
 }
 
 // A value that never ends does not keep its stream alive.
-func TestPartialValuesAreNoSignOfLife(t *testing.T) {
+func TestPartialValuesDoNotCountAsHeartbeats(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
 			discovery := newFakeDiscovery(t)
@@ -89,8 +89,8 @@
 			watcher.startPolling(50)
 			synctest.Wait()
 			discovery.update(func() {
-				for stream := range discovery.silenced {
-					discovery.dripping[stream] = true
+				for stream := range discovery.streamStalled {
+					discovery.sendingPartial[stream] = true
 				}
 			})
 			time.Sleep(time.Second)
@@ -106,7 +106,7 @@
 
 // A stream that only shows signs of life does not end an older one that may still be answered, and changes up to a version
 // that is already known are not applied.
-func TestSignOfLifeDoesNotEndOlderStream(t *testing.T) {
+func TestHeartbeatDoesNotEndOlderStream(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		watcher := New(Config{Addr: "10.0.0.1:1", Deliver: func(Update) {},
 			Translator: Translator{Log: slog.New(slog.DiscardHandler)}})
@@ -126,15 +126,15 @@
 		if watcher.version != 50 || watcher.current != older || !cancelled[newer] {
 			t.Errorf("version %d: the list of the older one was not taken", watcher.version)
 		}
-		late := openStream()
-		late.sinceVersion = 40
+		third := openStream()
+		third.sinceVersion = 40
 		watcher.current.overdue = true
-		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 45}})
+		watcher.handleEvent(watchEvent{stream: third, list: &EndpointList{Version: 45}})
 		if watcher.version != 50 {
 			t.Errorf("version %d by changes that are past", watcher.version)
 		}
 		// Within a stream a version may go back.
-		watcher.handleEvent(watchEvent{stream: late, list: &EndpointList{Version: 30}})
+		watcher.handleEvent(watchEvent{stream: third, list: &EndpointList{Version: 30}})
 		if watcher.version != 30 {
 			t.Errorf("version %d", watcher.version)
 		}
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -100,19 +100,19 @@
 
 	// Only Run's goroutine uses the fields below, and Restore before Run; the streams' goroutines use events and tasks.
 
-	version        int64
-	versionAddr    string      // address that version is from; "": the complete list has to be requested
-	endpoints      endpointSet // the complete list; kept only for Record and Sources
-	opening        []*watchStream
-	current        *watchStream // the stream that delivers the list; nil: none
-	nextOpenAt     time.Time    // when the watcher opens a stream without a call of Subscribe; zero: not scheduled
-	failures       int          // number since the latest list
+	version          int64
+	versionAddr      string      // address that version is from; "": the complete list has to be requested
+	endpoints        endpointSet // the complete list; kept only for Record and Sources
+	opening          []*watchStream
+	current          *watchStream // the stream that delivers the list; nil: none
+	nextOpenAt       time.Time    // when the watcher opens a stream without a call of Subscribe; zero: not scheduled
+	failures         int          // number since the latest list
 	latestActivityAt time.Time    // the latest heartbeat or list of any stream
-	receivedList   bool         // a list has arrived since New
-	laggingChecks  int          // number of checks in a row that found a later list elsewhere
-	backoff        *backoff.ExponentialBackOff
-	events         chan watchEvent // from the streams' goroutines
-	tasks          sync.WaitGroup  // the streams' goroutines
+	receivedList     bool         // a list has arrived since New
+	laggingChecks    int          // number of checks in a row that found a later list elsewhere
+	backoff          *backoff.ExponentialBackOff
+	events           chan watchEvent // from the streams' goroutines
+	tasks            sync.WaitGroup  // the streams' goroutines
 }
 
 // New returns a watcher. It opens no stream before Run.
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -19,8 +19,8 @@
 		discovery.update(func() { discovery.refusing = true })
 		watcher.Subscribe()
 		time.Sleep(time.Minute)
-		if k := watcher.kinds(); len(discovery.sinceParams) != 0 || len(k) != 1 || k[0] != balancer.UpdateFailed {
-			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
+		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 0 || len(updateKinds) != 1 || updateKinds[0] != balancer.UpdateFailed {
+			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), updateKinds)
 		}
 		discovery.update(func() { discovery.refusing = false })
 		watcher.Subscribe()
@@ -29,9 +29,9 @@
 		time.Sleep(time.Minute)
 		discovery.update(func() { discovery.unresponsive = true }) // the request may have to wait: it is not made twice
 		time.Sleep(heartbeatTimeout + time.Millisecond)
-		if k := watcher.kinds(); len(discovery.sinceParams) != 1 || len(k) != 3 ||
-			k[1] != balancer.UpdateDelta || k[2] != balancer.UpdateFailed {
-			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), k)
+		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 1 || len(updateKinds) != 3 ||
+			updateKinds[1] != balancer.UpdateDelta || updateKinds[2] != balancer.UpdateFailed {
+			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), updateKinds)
 		}
 	})
 }
@@ -61,8 +61,8 @@
 						t.Errorf("since %s, told %d, posts %v", got, watcher.lastVersion(), watcher.kinds())
 					}
 					time.Sleep(time.Minute)
-					if len(discovery.sinceParams) != 2 || len(discovery.silenced) != 1 {
-						t.Errorf("calls %v, %d of them open", discovery.sinceParams, len(discovery.silenced))
+					if len(discovery.sinceParams) != 2 || len(discovery.streamStalled) != 1 {
+						t.Errorf("calls %v, %d of them open", discovery.sinceParams, len(discovery.streamStalled))
 					}
 				})
 			})
@@ -72,7 +72,7 @@
 
 // After a change of address, lists that arrive from the old one still count until the new one has sent its first; also
 // if the new address is unreachable and is replaced in turn.
-func TestOldWatchServesUntilNewOneHasList(t *testing.T) {
+func TestOldStreamServesUntilNewOneHasList(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
 			discovery := newFakeDiscovery(t)
@@ -86,7 +86,7 @@
 			if synctest.Wait(); watcher.lastVersion() != discovery.version {
 				t.Errorf("asked %v: what the old address told did not count", polled)
 			}
-			discovery.update(func() { discovery.unansweredCalls = 1 })
+			discovery.update(func() { discovery.unansweredRequests = 1 })
 			watcher.SetAddr("10.0.0.3:1")
 			synctest.Wait()
 			discovery.update(func() { discovery.version++ })
@@ -95,8 +95,8 @@
 			}
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
-			if len(discovery.silenced) != 1 || watcher.current.addr != "10.0.0.3:1" {
-				t.Errorf("asked %v: %d watches, at %s", polled, len(discovery.silenced), watcher.current.addr)
+			if len(discovery.streamStalled) != 1 || watcher.current.addr != "10.0.0.3:1" {
+				t.Errorf("asked %v: %d watches, at %s", polled, len(discovery.streamStalled), watcher.current.addr)
 			}
 		})
 	}
