--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// drainGrace is how long after a change counts as received it may be applied.
+// drainGrace bounds the time from when a change counts as received to when it is applied.
 const drainGrace = 500 * time.Millisecond
 
-// Whatever happens to discovery and to the streams, and however often discovery's address changes, a change is
-// delivered within the grace for drains after it counts as received: PropagationDeadline after discovery had it and
-// could be reached, or, where lists are pushed, the moment that discovery answers again. Polls follow a failure after a
-// backoff, as the decision module's do.
+// Under any sequence of faults and address changes, a change is delivered within the grace for drains after it counts as
+// received. A change counts as received PropagationDeadline after discovery had it and could be reached. Where lists are
+// pushed, it counts as received as soon as discovery answers again after an outage. Polls retry after the decision
+// module's backoff.
 func TestChangesArriveByPropagationDeadline(t *testing.T) {
 	for _, polled := range []bool{false, true} {
-		t.Run(fmt.Sprint("asked ", polled), func(t *testing.T) {
+		t.Run(fmt.Sprint("polled ", polled), func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				// Drawn beforehand: rapid may abort a check at a draw, which must not happen inside the bubble.
+				// Steps are drawn here because rapid may abort a check at a draw, which must not happen inside the bubble.
 				steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 12).Draw(r, "steps")
 				failure := ""
 				defer func() {
@@ -40,7 +40,7 @@
 						}
 					}
 					if len(discovery.streamStalled) > maxOpening+1 {
-						failure = fmt.Sprintf("%d watches are open", len(discovery.streamStalled))
+						failure = fmt.Sprintf("%d streams are open", len(discovery.streamStalled))
 					}
 				})
 			})
@@ -48,11 +48,11 @@
 	}
 }
 
-// step is a fault of discovery, or a change of its address, that ends with a change of the list.
+// step is a fault of discovery or a change of its address, followed by a change of the list.
 type step struct {
 	kind        int // see begin
-	ms          int // how long it lasts
-	waitPercent int // the watcher's waitPercent meanwhile
+	ms          int // duration in milliseconds
+	waitPercent int // the watcher's waitPercent during the step
 }
 
 func drawStep(r *rapid.T) step {
@@ -63,7 +63,7 @@
 	}
 }
 
-// run runs the i-th step, and says what was wrong if the change at its end was not delivered in time.
+// run runs the i-th step. It returns a failure message if the change at the end was not delivered in time.
 func (s step) run(i int, discovery *fakeDiscovery, watcher *runningWatcher, polled bool) (failure string) {
 	s.begin(i, discovery, watcher)
 	beganAt := time.Now()
@@ -74,14 +74,14 @@
 	})
 	untilDeadline := time.Until(beganAt.Add(PropagationDeadline))
 	if polled && outage {
-		untilDeadline = PropagationDeadline // from now, when discovery can be reached again
+		untilDeadline = PropagationDeadline // discovery can be reached again from now on
 	} else if outage || untilDeadline < 0 {
 		untilDeadline = 0
 	}
 	time.Sleep(untilDeadline + drainGrace)
 	synctest.Wait()
 	if watcher.lastVersion() != discovery.version {
-		return fmt.Sprintf("step %d: version %d is known, not %d, %v after it counts as told; %s",
+		return fmt.Sprintf("step %d: received version %d, want %d, %v after the change counts as received; log: %s",
 			i, watcher.lastVersion(), discovery.version, drainGrace, watcher.log.String())
 	}
 	return ""
@@ -92,16 +92,16 @@
 	switch k := s.kind; {
 	case k == 0:
 		discovery.update(func() { discovery.unresponsive = true })
-	case k == 1: // all connections end, and none is made
+	case k == 1: // all connections end, and new ones are refused
 		discovery.update(func() { discovery.refusing = true })
-	case k <= 3: // open streams get nothing any more, nor do up to two new ones
+	case k <= 3: // open streams receive nothing from now on, nor do up to two new ones
 		discovery.update(func() {
 			discovery.unansweredRequests = (k - 2) * 2
 			for w := range discovery.streamStalled {
 				discovery.streamStalled[w] = true
 			}
 		})
-	case k == 4: // open streams get a value that never ends
+	case k == 4: // open streams receive a value that never ends
 		discovery.update(func() {
 			for w := range discovery.streamStalled {
 				discovery.sendingPartial[w] = true
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file is a fake of discovery in memory, and a watcher that runs against it.
+// This file defines a fake of discovery in memory, and a watcher that runs against it.
 
 import (
 	"bytes"
@@ -20,21 +20,21 @@
 	"martenbeam/balancer"
 )
 
-// fakeDiscovery serves one backend's list over in-memory connections, and sends each version to all open streams.
+// fakeDiscovery serves a list of one backend over in-memory connections, and sends each version to all open streams.
 type fakeDiscovery struct {
-	conns chan net.Conn // dialed, and not yet accepted
+	conns chan net.Conn // dialed and not yet accepted
 
-	mu                 sync.Mutex // guards all that follows; tests change it by update
+	mu                 sync.Mutex // guards the fields below; tests change them through update
 	version            int64
 	encode             func(m EndpointList) string
 	changed            chan struct{}          // closed by the next update
-	sinceParams        []string               // since= of each request
-	unresponsive       bool                   // no stream gets anything, also none that is new
-	refusing           bool                   // no connection is made, and open streams end
-	unreachableAddr    string                 // no connection is made to this address
-	unansweredRequests int                    // so many of the next requests never get a response
-	streamStalled      map[*http.Request]bool // open streams; true: it gets nothing any more
-	sendingPartial     map[*http.Request]bool // streams that get a value that never ends, one byte each second
+	sinceParams        []string               // query parameter since of each request
+	unresponsive       bool                   // no stream receives anything, open or new
+	refusing           bool                   // connections are refused, and open streams end
+	unreachableAddr    string                 // connections to this address are refused
+	unansweredRequests int                    // number of next requests that get no response
+	streamStalled      map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
+	sendingPartial     map[*http.Request]bool // streams that receive a value that never ends, one byte each second
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
@@ -80,7 +80,7 @@
 	return clientConn, nil
 }
 
-// update changes the fake, and wakes its streams.
+// update changes the fake and notifies its streams.
 func (d *fakeDiscovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// list is what a stream gets that has the list as of a version. The caller holds mu.
+// list returns the next list for a stream that has version since. The caller holds mu.
 func (d *fakeDiscovery) list(since int64) EndpointList {
 	return EndpointList{
 		Version:   d.version,
@@ -140,7 +140,7 @@
 	}
 }
 
-// send writes part of a response, and reports whether the stream goes on.
+// send writes part of a response, and reports whether the stream is still open.
 func send(w http.ResponseWriter, text string) bool {
 	if _, err := io.WriteString(w, text); err != nil {
 		return false
@@ -148,21 +148,21 @@
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// runningWatcher is a watcher that runs, and what it has delivered.
+// runningWatcher is a running watcher with the updates that it has delivered.
 type runningWatcher struct {
 	*Watcher
-	done chan struct{} // closed when Run has returned
+	done chan struct{} // closed when Run returns
 	log  bytes.Buffer  // written by Run's goroutine
 
-	mu           sync.Mutex // guards all that follows
+	mu           sync.Mutex // guards the fields below
 	updates      []Update
-	version      float64 // of the latest list: the fake's only backend has it as its weight
-	waitPercent  int     // of the backoff ceiling, before each poll; below 0: nobody polls
+	version      float64 // of the latest list, which the fake sends as the weight of its only backend
+	waitPercent  int     // wait before each poll, in percent of the backoff ceiling; below 0: no polls
 	pollFailures int     // in a row
 	retryTimer   *time.Timer
 }
 
-// startWatcher runs a watcher of discovery until the test ends. Nobody polls before startPolling.
+// startWatcher runs a watcher of discovery until the test ends. The test doesn't poll before startPolling.
 func startWatcher(t testing.TB, discovery *fakeDiscovery, polled bool) *runningWatcher {
 	w := &runningWatcher{done: make(chan struct{}), waitPercent: -1}
 	w.Watcher = New(Config{
@@ -178,7 +178,7 @@
 	return w
 }
 
-// deliver notes an update, and polls again after a failure.
+// deliver records an update and schedules a poll after a failure.
 func (w *runningWatcher) deliver(u Update, polled bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,7 +191,7 @@
 	}
 }
 
-// kinds are the kinds of all updates so far.
+// kinds returns the kinds of all updates so far.
 func (w *runningWatcher) kinds() (list []balancer.UpdateKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,15 +201,15 @@
 	return list
 }
 
-// lastVersion is the version of the latest list.
+// lastVersion returns the version of the latest list.
 func (w *runningWatcher) lastVersion() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int64(w.version)
 }
 
-// startPolling polls at once, and again after each failure as the decision module does: by its backoff, with each wait
-// at waitPercent of its ceiling.
+// startPolling polls at once, and after each failure with the decision module's backoff, where each wait is waitPercent
+// of the ceiling.
 func (w *runningWatcher) startPolling(waitPercent int) {
 	w.Subscribe()
 	w.waitPercent = waitPercent
@@ -222,7 +222,7 @@
 	w.waitPercent = waitPercent
 }
 
-// scheduleRetry polls after a failure. The caller holds mu.
+// scheduleRetry schedules a poll after a failure. The caller holds mu.
 func (w *runningWatcher) scheduleRetry() {
 	w.pollFailures++
 	ceiling := PropagationDeadline / 64 << min(w.pollFailures, 4)
@@ -233,5 +233,5 @@
 	w.retryTimer = time.AfterFunc(wait, w.Subscribe)
 }
 
-// runInBubble runs a test with a clock of its own, which advances when all goroutines wait.
+// runInBubble runs a test with a fake clock, which advances when all goroutines are blocked.
 func runInBubble(t *testing.T, test func(t *testing.T)) { t.Helper(); synctest.Test(t, test) }
--- a/internal/agent/discovery/starttime_test.go
+++ b/internal/agent/discovery/starttime_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// The latest reading that is not in the future counts, a new start is a recent one, and a further start of a backend is
-// later than the one before.
+// A start time is the latest result of the clocks that is not in the future. It is recent if it is new in a list, and
+// later than the backend's previous start time.
 func TestStartTimeIsTheLatestPlausibleReading(t *testing.T) {
 	const now, second = 2 * time.Hour, time.Second
 	wall := time.UnixMilli(1e12)
 	unixMilliAgo := func(ago time.Duration) int64 { return wall.Add(-ago).UnixMilli() }
 	for name, c := range map[string]struct {
-		wallStep        time.Duration // of this machine's wall clock since the agent's start
-		discoveryOffset time.Duration // of discovery's wall clock, ahead of this machine's
-		previousAge     time.Duration // a known earlier start, so long ago; 0: none
+		wallStep        time.Duration // step of this machine's wall clock since the agent's start
+		discoveryOffset time.Duration // lead of discovery's wall clock over this machine's
+		previousAge     time.Duration // age of a recorded earlier start; 0: none
 		unixMilli       int64
 		maxAge          time.Duration
 		want            time.Duration
 	}{
 		"long ago":                       {unixMilli: 0, want: 0},
-		"as it reads":                    {unixMilli: unixMilliAgo(5 * second), want: now - 5*second},
-		"ahead":                          {unixMilli: unixMilliAgo(-time.Hour), want: now},
-		"stepped back 2 s with all":      {wallStep: -2 * second, unixMilli: unixMilliAgo(3 * second), want: now - 3*second},
-		"stepped back 2 s alone":         {wallStep: -2 * second, unixMilli: unixMilliAgo(5 * second), want: now - 5*second},
-		"stepped ahead an hour alone":    {wallStep: time.Hour, unixMilli: unixMilliAgo(time.Hour + 5*second), want: now - 5*second},
-		"discovery is an hour behind":    {discoveryOffset: -time.Hour, unixMilli: unixMilliAgo(time.Hour + 5*second), want: now - 5*second},
+		"clocks agree":                   {unixMilli: unixMilliAgo(5 * second), want: now - 5*second},
+		"in the future":                  {unixMilli: unixMilliAgo(-time.Hour), want: now},
+		"all clocks stepped back 2 s":    {wallStep: -2 * second, unixMilli: unixMilliAgo(3 * second), want: now - 3*second},
+		"own clock stepped back 2 s":     {wallStep: -2 * second, unixMilli: unixMilliAgo(5 * second), want: now - 5*second},
+		"own clock stepped ahead 1 h":    {wallStep: time.Hour, unixMilli: unixMilliAgo(time.Hour + 5*second), want: now - 5*second},
+		"discovery is 1 h behind":        {discoveryOffset: -time.Hour, unixMilli: unixMilliAgo(time.Hour + 5*second), want: now - 5*second},
 		"old, in a first list":           {unixMilli: unixMilliAgo(time.Minute), want: now - time.Minute},
-		"old, told anew":                 {unixMilli: unixMilliAgo(time.Minute), maxAge: 10 * second, want: now},
-		"another start, set back":        {previousAge: 3 * second, unixMilli: unixMilliAgo(5 * second), maxAge: 10 * second, want: now - 3*second + 1},
-		"another start":                  {previousAge: time.Minute, unixMilli: unixMilliAgo(5 * second), maxAge: 10 * second, want: now - 5*second},
+		"old, new in a later list":       {unixMilli: unixMilliAgo(time.Minute), maxAge: 10 * second, want: now},
+		"later start with earlier time":  {previousAge: 3 * second, unixMilli: unixMilliAgo(5 * second), maxAge: 10 * second, want: now - 3*second + 1},
+		"later start":                    {previousAge: time.Minute, unixMilli: unixMilliAgo(5 * second), maxAge: 10 * second, want: now - 5*second},
 		"before the agent's clock began": {unixMilli: unixMilliAgo(3 * time.Hour), want: 0},
 	} {
 		readings := steppedReadings(now, wall, c.wallStep)
@@ -39,15 +39,15 @@
 		}
 		got := s.resolve("b", c.unixMilli, func() clockReadings { return readings }, c.maxAge)
 		if got != c.want {
-			t.Errorf("%s: %v before now, want %v", name, now-got, now-c.want)
+			t.Errorf("%s: got a start %v ago, want %v", name, now-got, now-c.want)
 		}
 		if again := s.resolve("b", c.unixMilli, nil, c.maxAge); c.unixMilli > 0 && again != got {
-			t.Errorf("%s: the same start is another a moment later", name)
+			t.Errorf("%s: an unchanged start time got another result the second time", name)
 		}
 	}
 }
 
-// steppedReadings are clocks of which the wall clock has been stepped since the agent took its offset.
+// steppedReadings returns clocks whose wall clock has been stepped since the agent's start.
 func steppedReadings(now time.Duration, wall time.Time, step time.Duration) clockReadings {
 	return clockReadings{now: now, wall: wall,
 		agentTime: func(at time.Time) time.Duration { return now - wall.Add(-step).Sub(at) }}
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/balancer"
 )
 
-// JSON values may be laid out in any way. One that is malformed ends its stream alone, and the next requests the
+// A stream accepts any layout of JSON values. A malformed value ends only its stream, and the next stream requests the
 // complete list.
 func TestStreamAcceptsAnyLayoutAndRecoversFromMalformedValues(t *testing.T) {
 	indented := func(m EndpointList) string {
@@ -21,7 +21,7 @@
 	}
 	for name, form := range map[string]func(EndpointList) string{
 		"indented": indented,
-		"two on a line": func(m EndpointList) string {
+		"two values on a line": func(m EndpointList) string {
 			raw, _ := json.Marshal(m)
 			return string(raw) + string(raw)
 		},
@@ -32,11 +32,11 @@
 		})
 	}
 	for name, malformed := range map[string]string{
-		"cut short":    `{"version":1,"servers":[}`,
-		"no list":      `{"version":7,"full":true}`,
-		"a number":     "17",
-		"another kind": `{"version":"x","servers":[]}`,
-		"endless":      `{"version":1,"x":"` + strings.Repeat("x", maxValueBytes+1<<17),
+		"cut short":  `{"version":1,"servers":[}`,
+		"no servers": `{"version":7,"full":true}`,
+		"a number":   "17",
+		"wrong type": `{"version":"x","servers":[]}`,
+		"endless":    `{"version":1,"x":"` + strings.Repeat("x", maxValueBytes+1<<17),
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) { checkRecovery(t, malformed) })
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkLayout checks that lists which form encodes arrive, all by one stream.
+// checkLayout checks that lists encoded by form arrive, all on one stream.
 func checkLayout(t *testing.T, form func(EndpointList) string) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
@@ -54,16 +54,16 @@
 		discovery.update(func() { discovery.version = v })
 		synctest.Wait()
 		if watcher.lastVersion() != v {
-			t.Fatalf("version %d, not %d: %s", watcher.lastVersion(), v, watcher.log.String())
+			t.Fatalf("received version %d, want %d; log: %s", watcher.lastVersion(), v, watcher.log.String())
 		}
 	}
 	time.Sleep(time.Minute) // empty lines are heartbeats
 	if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
-		t.Errorf("%d calls: %s", len(discovery.sinceParams), watcher.log.String())
+		t.Errorf("%d requests, want 1 without failures; log: %s", len(discovery.sinceParams), watcher.log.String())
 	}
 }
 
-// checkRecovery checks that a bad value in place of a list is a failure, and that the complete list is requested next.
+// checkRecovery checks that a malformed value is reported as a failure, and that the complete list is requested next.
 func checkRecovery(t *testing.T, malformed string) {
 	t.Helper()
 	discovery := newFakeDiscovery(t)
@@ -76,11 +76,11 @@
 	time.Sleep(time.Second)
 	if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") ||
 		!slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-		t.Errorf("told %d, calls %v, %s", watcher.lastVersion(), discovery.sinceParams, watcher.log.String())
+		t.Errorf("received version %d, requests since %v; log: %s", watcher.lastVersion(), discovery.sinceParams, watcher.log.String())
 	}
 }
 
-// A value that never ends does not keep its stream alive.
+// The bytes of a value that never ends do not count as heartbeats, so its stream becomes overdue.
 func TestPartialValuesDoNotCountAsHeartbeats(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
@@ -98,14 +98,14 @@
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
 			if watcher.lastVersion() != discovery.version {
-				t.Errorf("asked %v: a value that never ends kept its watch alive: %s", polled, watcher.log.String())
+				t.Errorf("polled %v: a value that never ends kept its stream from becoming overdue; log: %s", polled, watcher.log.String())
 			}
 		})
 	}
 }
 
-// A stream that only shows signs of life does not end an older one that may still be answered, and changes up to a version
-// that is already known are not applied.
+// A stream that has sent only heartbeats does not end an older stream, which may still deliver a list. Changes up to a
+// version that has already been applied are ignored.
 func TestHeartbeatDoesNotEndOlderStream(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		watcher := New(Config{Addr: "10.0.0.1:1", Deliver: func(Update) {},
@@ -120,23 +120,23 @@
 		older, newer := openStream(), openStream()
 		watcher.handleEvent(watchEvent{stream: newer})
 		if cancelled[older] || watcher.current != newer {
-			t.Fatal("a sign of life ended the opening before")
+			t.Fatal("a heartbeat ended the older stream, or its own stream is not the current one")
 		}
 		watcher.handleEvent(watchEvent{stream: older, list: &EndpointList{Version: 50, Full: true}})
 		if watcher.version != 50 || watcher.current != older || !cancelled[newer] {
-			t.Errorf("version %d: the list of the older one was not taken", watcher.version)
+			t.Errorf("version %d: the older stream's list was not applied, or its stream is not the only one", watcher.version)
 		}
 		third := openStream()
 		third.sinceVersion = 40
 		watcher.current.overdue = true
 		watcher.handleEvent(watchEvent{stream: third, list: &EndpointList{Version: 45}})
 		if watcher.version != 50 {
-			t.Errorf("version %d by changes that are past", watcher.version)
+			t.Errorf("version %d: changes up to an earlier version were applied", watcher.version)
 		}
-		// Within a stream a version may go back.
+		// Within a stream, a later list may have a lower version.
 		watcher.handleEvent(watchEvent{stream: third, list: &EndpointList{Version: 30}})
 		if watcher.version != 30 {
-			t.Errorf("version %d", watcher.version)
+			t.Errorf("version %d, want 30", watcher.version)
 		}
 	})
 }
--- a/internal/agent/discovery/translate_test.go
+++ b/internal/agent/discovery/translate_test.go
@@ -9,7 +9,8 @@
 	"martenbeam/balancer"
 )
 
-// Entries that make no sense are left out, and start times are converted to the agent's clock.
+// Entries without an id, or with an invalid address or state, are left out. Start times are converted to the agent's
+// clock.
 func TestTranslateLeavesOutInvalidEntries(t *testing.T) {
 	base := time.UnixMilli(1e12)
 	translator := Translator{Zones: []string{"a"}, Kinds: []string{"k"}, Log: slog.New(slog.DiscardHandler),
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -77,7 +77,7 @@
 }
 
 // Watcher follows discovery's endpoint list. Where the list is polled, the caller decides when to open a stream and when
-// to retry after a failure (Subscribe); only after a change of address does the watcher open a stream unasked. Where the
+// to retry after a failure (Subscribe). After a change of address, the watcher opens a stream without a call. Where the
 // list is pushed, the watcher opens streams and backs off without calls.
 type Watcher struct {
 	// Record, HeartbeatTimeout and OpenTimeout are set before Run.
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// Where the list is polled, a failure is delivered, and the watcher opens no stream by itself.
+// Where the list is polled, a failure is delivered, and the watcher opens a stream only when Subscribe is called.
 func TestPolledWatcherOpensOnlyOnSubscribe(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
@@ -20,49 +20,49 @@
 		watcher.Subscribe()
 		time.Sleep(time.Minute)
 		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 0 || len(updateKinds) != 1 || updateKinds[0] != balancer.UpdateFailed {
-			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), updateKinds)
+			t.Errorf("%d requests, updates %v", len(discovery.sinceParams), updateKinds)
 		}
 		discovery.update(func() { discovery.refusing = false })
 		watcher.Subscribe()
 		synctest.Wait()
-		watcher.Subscribe() // one is open
+		watcher.Subscribe() // no effect: a stream is open
 		time.Sleep(time.Minute)
-		discovery.update(func() { discovery.unresponsive = true }) // the request may have to wait: it is not made twice
+		discovery.update(func() { discovery.unresponsive = true }) // the list service may still answer the request: no second one is sent
 		time.Sleep(heartbeatTimeout + time.Millisecond)
 		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 1 || len(updateKinds) != 3 ||
 			updateKinds[1] != balancer.UpdateDelta || updateKinds[2] != balancer.UpdateFailed {
-			t.Errorf("%d calls, posts %v", len(discovery.sinceParams), updateKinds)
+			t.Errorf("%d requests, updates %v", len(discovery.sinceParams), updateKinds)
 		}
 	})
 }
 
-// When discovery's address changes, a stream to the new one is opened at once, for the complete list, and nothing has
-// failed.
+// When discovery's address changes, the watcher at once requests the complete list at the new address. It reports no
+// failure.
 func TestAddressChangeReopensAtOnceWithoutFailure(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		for _, unresponsive := range []bool{false, true} {
-			t.Run(fmt.Sprint("asked ", polled, " down ", unresponsive), func(t *testing.T) {
+			t.Run(fmt.Sprint("polled ", polled, " unresponsive ", unresponsive), func(t *testing.T) {
 				runInBubble(t, func(t *testing.T) {
 					discovery := newFakeDiscovery(t)
 					discovery.unresponsive = unresponsive
 					watcher := startWatcher(t, discovery, polled)
 					watcher.Subscribe()
 					synctest.Wait()
-					watcher.SetAddr("10.0.0.1:1") // not a change
+					watcher.SetAddr("10.0.0.1:1") // the same address: no effect
 					synctest.Wait()
 					if len(discovery.sinceParams) != 1 {
-						t.Errorf("calls %v", discovery.sinceParams)
+						t.Errorf("requests since %v, want one", discovery.sinceParams)
 					}
 					discovery.update(func() { discovery.unresponsive, discovery.version = false, 7 })
 					watcher.SetAddr("10.0.0.2:1")
 					synctest.Wait()
 					got := discovery.sinceParams[len(discovery.sinceParams)-1]
 					if got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-						t.Errorf("since %s, told %d, posts %v", got, watcher.lastVersion(), watcher.kinds())
+						t.Errorf("last request since %s, received version %d, updates %v", got, watcher.lastVersion(), watcher.kinds())
 					}
 					time.Sleep(time.Minute)
 					if len(discovery.sinceParams) != 2 || len(discovery.streamStalled) != 1 {
-						t.Errorf("calls %v, %d of them open", discovery.sinceParams, len(discovery.streamStalled))
+						t.Errorf("requests since %v, %d streams open; want 2 and 1", discovery.sinceParams, len(discovery.streamStalled))
 					}
 				})
 			})
@@ -70,8 +70,8 @@
 	}
 }
 
-// After a change of address, lists that arrive from the old one still count until the new one has sent its first; also
-// if the new address is unreachable and is replaced in turn.
+// After a change of address, lists from the old address are applied until the new address has sent its first list, also
+// if the new address is unreachable and is changed again.
 func TestOldStreamServesUntilNewOneHasList(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		runInBubble(t, func(t *testing.T) {
@@ -84,25 +84,25 @@
 			time.Sleep(time.Second)
 			discovery.update(func() { discovery.version++ })
 			if synctest.Wait(); watcher.lastVersion() != discovery.version {
-				t.Errorf("asked %v: what the old address told did not count", polled)
+				t.Errorf("polled %v: a list from the old address was not applied", polled)
 			}
 			discovery.update(func() { discovery.unansweredRequests = 1 })
 			watcher.SetAddr("10.0.0.3:1")
 			synctest.Wait()
 			discovery.update(func() { discovery.version++ })
 			if synctest.Wait(); watcher.lastVersion() != discovery.version {
-				t.Errorf("asked %v: what the old address told did not count, the second time", polled)
+				t.Errorf("polled %v: a list from the old address was not applied after the second change", polled)
 			}
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
 			if len(discovery.streamStalled) != 1 || watcher.current.addr != "10.0.0.3:1" {
-				t.Errorf("asked %v: %d watches, at %s", polled, len(discovery.streamStalled), watcher.current.addr)
+				t.Errorf("polled %v: %d streams, the current one to %s", polled, len(discovery.streamStalled), watcher.current.addr)
 			}
 		})
 	}
 }
 
-// A complete list without endpoints is valid: there is no backend any more.
+// A complete list without endpoints is valid: all backends are removed.
 func TestEmptyListIsACompleteList(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		discovery := newFakeDiscovery(t)
