--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -17,33 +17,33 @@
 )
 
 // attemptOn makes one attempt at a backend, without an agent.
-func attemptOn(t *testing.T, b *Pool, ctx context.Context, body string) (balancer.Result, *Response, balancer.Load) {
+func attemptOn(t *testing.T, pool *Pool, ctx context.Context, body string) (balancer.Result, *Response, balancer.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b.executeBuffered(ctx, nil, "s", &Request{Method: http.MethodPost, URL: req.URL, Body: []byte(body),
+	return pool.executeBuffered(ctx, nil, "s", &Request{Method: http.MethodPost, URL: req.URL, Body: []byte(body),
 		Header: http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}})
 }
 
 func poolWithBackend(t *testing.T, addr string) *Pool {
 	t.Helper()
-	b := New(testConfig(), discardLog)
-	t.Cleanup(b.Close)
-	b.settleTime = 0 // other tests are about unsolicited bytes
-	b.ApplyUpdate(discovery.Update{
+	pool := New(testConfig(), discardLog)
+	t.Cleanup(pool.Close)
+	pool.settleTime = 0 // other tests are about unsolicited bytes
+	pool.ApplyUpdate(discovery.Update{
 		Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs:     map[string]string{"s": addr}})
-	return b
+	return pool
 }
 
 // TestAttemptResultFollowsOutcomeTable covers each row of the protocol's table of outcomes. A request whose result says
 // that it was not executed may be sent again or rejected, so a wrong row can execute it twice.
 func TestAttemptResultFollowsOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
-		answer string
-		want   balancer.Result
+		response string
+		want     balancer.Result
 	}{
 		"served":               {ok200, balancer.OK},
 		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balancer.OK},
@@ -63,54 +63,54 @@
 		"no HTTP":              {"TRUNCATED\r\n\r\n", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startRawBackend(t, func(int) string { return row.answer })
+			backend := startRawBackend(t, func(int) string { return row.response })
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			result, a, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, "body")
-			if result != row.want || (a != nil) != (row.want == balancer.OK) {
-				t.Errorf("result %v, answer %v; want %v", result, a, row.want)
+			result, resp, _ := attemptOn(t, poolWithBackend(t, backend.addr), ctx, "body")
+			if result != row.want || (resp != nil) != (row.want == balancer.OK) {
+				t.Errorf("result %v, answer %v; want %v", result, resp, row.want)
 			}
-			if a != nil && string(a.Body) != "hello" {
-				t.Errorf("body %q", a.Body)
+			if resp != nil && string(resp.Body) != "hello" {
+				t.Errorf("body %q", resp.Body)
 			}
 		})
 	}
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	b := poolWithBackend(t, unusedAddr(t))
-	if result, _, _ := attemptOn(t, b, context.Background(), ""); result != balancer.ConnectFailed {
+	pool := poolWithBackend(t, unusedAddr(t))
+	if result, _, _ := attemptOn(t, pool, context.Background(), ""); result != balancer.ConnectFailed {
 		t.Errorf("result %v", result)
 	}
-	if b.openConns != 0 {
-		t.Errorf("%d connections counted as open", b.openConns)
+	if pool.openConns != 0 {
+		t.Errorf("%d connections counted as open", pool.openConns)
 	}
 }
 
 // TestTimedOutAttemptDropsItsConnection: a backend reads the request and stays silent. The request may have been executed,
 // and the connection is not used again.
 func TestTimedOutAttemptDropsItsConnection(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
-	s := startRawBackend(t, func(int) string { <-hold; return "" })
-	b := poolWithBackend(t, s.addr)
+	release := make(chan struct{})
+	defer close(release)
+	backend := startRawBackend(t, func(int) string { <-release; return "" })
+	pool := poolWithBackend(t, backend.addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	go func() { <-s.seen; cancel(ErrTimedOut) }()
-	if result, _, _ := attemptOn(t, b, ctx, ""); result != balancer.TimedOut {
+	go func() { <-backend.seen; cancel(ErrTimedOut) }()
+	if result, _, _ := attemptOn(t, pool, ctx, ""); result != balancer.TimedOut {
 		t.Errorf("result %v", result)
 	}
-	if b.openConns != 0 || len(b.idle["s"]) != 0 {
-		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", b.openConns, len(b.idle["s"]))
+	if pool.openConns != 0 || len(pool.idle["s"]) != 0 {
+		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", pool.openConns, len(pool.idle["s"]))
 	}
 }
 
 func TestCancelledAttemptIsReportedCancelled(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
-	s := startRawBackend(t, func(int) string { <-hold; return "" })
+	release := make(chan struct{})
+	defer close(release)
+	backend := startRawBackend(t, func(int) string { <-release; return "" })
 	ctx, cancel := context.WithCancelCause(context.Background())
-	go func() { <-s.seen; cancel(ErrCancelled) }()
-	if result, _, _ := attemptOn(t, poolWithBackend(t, s.addr), ctx, ""); result != balancer.Cancelled {
+	go func() { <-backend.seen; cancel(ErrCancelled) }()
+	if result, _, _ := attemptOn(t, poolWithBackend(t, backend.addr), ctx, ""); result != balancer.Cancelled {
 		t.Errorf("result %v", result)
 	}
 }
@@ -144,19 +144,19 @@
 			go func() { _, _ = io.Copy(io.Discard, c) }()
 		}
 	}()
-	for _, room := range []int{0, 10, 6000} {
-		b := poolWithBackend(t, ln.Addr().String())
-		dial := b.transport.DialContext
-		b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	for _, limit := range []int{0, 10, 6000} {
+		pool := poolWithBackend(t, ln.Addr().String())
+		dial := pool.transport.DialContext
+		pool.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(ctx, network, addr)
 			if err == nil {
-				counted := c.(*trackedConn)
-				counted.Conn = &limitedWriteConn{counted.Conn, room}
+				tracked := c.(*trackedConn)
+				tracked.Conn = &limitedWriteConn{tracked.Conn, limit}
 			}
 			return c, err
 		}
-		if result, _, _ := attemptOn(t, b, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
-			t.Errorf("broken after %d bytes: result %v", room, result)
+		if result, _, _ := attemptOn(t, pool, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
+			t.Errorf("broken after %d bytes: result %v", limit, result)
 		}
 	}
 }
@@ -164,29 +164,29 @@
 // TestNothingIsSentForAnsweredRequest: a request may end while a connection is opened for it, for instance because its
 // client disconnects. Nothing is sent for it then, and the connection serves the next request.
 func TestNothingIsSentForAnsweredRequest(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	over := make(chan struct{})
-	dial := b.transport.DialContext
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	backend := startRawBackend(t, func(int) string { return ok200 })
+	pool := poolWithBackend(t, backend.addr)
+	requestDone := make(chan struct{})
+	dial := pool.transport.DialContext
+	pool.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		close(over)
+		close(requestDone)
 		return c, err
 	}
-	m := &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}}
-	if r, _, _ := b.executeBuffered(context.Background(), over, "s", m); r != balancer.NotSent {
-		t.Errorf("result %v", r)
+	request := &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}}
+	if result, _, _ := pool.executeBuffered(context.Background(), requestDone, "s", request); result != balancer.NotSent {
+		t.Errorf("result %v", result)
 	}
-	if r, _, _ := b.executeBuffered(context.Background(), nil, "s", m); r != balancer.OK || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	if result, _, _ := pool.executeBuffered(context.Background(), nil, "s", request); result != balancer.OK || len(backend.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the backend", result, len(backend.seen))
 	}
 }
 
 func TestLoadReportIsParsedFromResponseHeader(t *testing.T) {
-	s := startRawBackend(t, func(int) string {
+	backend := startRawBackend(t, func(int) string {
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=2, eps=0.5, util=0.61\r\nContent-Length: 5\r\n\r\nhello"
 	})
-	_, _, load := attemptOn(t, poolWithBackend(t, s.addr), context.Background(), "")
+	_, _, load := attemptOn(t, poolWithBackend(t, backend.addr), context.Background(), "")
 	if want := wire.ParseLoad(map[string]float64{"backlog": 2, "errors_per_s": 0.5}); load != want {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
@@ -194,46 +194,46 @@
 
 func TestProbeReportsResultAndLoad(t *testing.T) {
 	for status, want := range map[string]balancer.Result{"200 OK": balancer.OK, "503 X": balancer.Errored} {
-		s := startRawBackend(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
-		b := poolWithBackend(t, s.addr)
-		b.cfg.LoadProbed = true
-		if p := b.Probe("s"); p.Result != want || p.Result == balancer.OK && p.Load.Queue != 3 {
-			t.Errorf("%s: %+v", status, p)
+		backend := startRawBackend(t, func(int) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 12\r\n\r\nTEXT queue=3" })
+		pool := poolWithBackend(t, backend.addr)
+		pool.cfg.LoadProbed = true
+		if probe := pool.Probe("s"); probe.Result != want || probe.Result == balancer.OK && probe.Load.Queue != 3 {
+			t.Errorf("%s: %+v", status, probe)
 		}
 	}
 }
 
 // TestLargeResponseLatencyIsFirstByte: the reported latency of a streaming response is that of its first bytes.
 func TestLargeResponseLatencyIsFirstByte(t *testing.T) {
-	hold := make(chan struct{})
-	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
+	release := make(chan struct{})
+	addr := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
 		_, _ = io.WriteString(w, pattern(2*MaxBufferedBody))
 		_ = http.NewResponseController(w).Flush()
-		<-hold
+		<-release
 	})
-	b := poolWithBackend(t, s)
+	pool := poolWithBackend(t, addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	u, _ := http.NewRequest("GET", "/get/x", nil)
-	tr := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(),
+	att := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(),
 		Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
-	var told time.Duration
-	tr.OnStreamStart = func(a *Response, took time.Duration) bool {
-		told = took
+	var reported time.Duration
+	att.OnStreamStart = func(resp *Response, latency time.Duration) bool {
+		reported = latency
 		go func() {
-			_, err := io.CopyN(io.Discard, a.Stream.source, 2*MaxBufferedBody-int64(len(a.Body)))
-			close(hold)
+			_, err := io.CopyN(io.Discard, resp.Stream.source, 2*MaxBufferedBody-int64(len(resp.Body)))
+			close(release)
 			if err == nil {
-				_, err = io.Copy(io.Discard, a.Stream.source)
+				_, err = io.Copy(io.Discard, resp.Stream.source)
 			}
-			a.Stream.Finish(err)
+			resp.Stream.Finish(err)
 		}()
 		return true
 	}
-	result, a, _ := b.Execute(ctx, tr)
-	if result != balancer.OK || a.Stream == nil || tr.Latency != told || tr.Latency >= time.Since(tr.Start) {
-		t.Errorf("result %v, told %v, reported %v of %v", result, told, tr.Latency, time.Since(tr.Start))
+	result, resp, _ := pool.Execute(ctx, att)
+	if result != balancer.OK || resp.Stream == nil || att.Latency != reported || att.Latency >= time.Since(att.Start) {
+		t.Errorf("result %v, told %v, reported %v of %v", result, reported, att.Latency, time.Since(att.Start))
 	}
-	if len(b.idle["s"]) != 1 {
+	if len(pool.idle["s"]) != 1 {
 		t.Error("the connection is not kept")
 	}
 }
--- a/internal/agent/upstream/buffers_test.go
+++ b/internal/agent/upstream/buffers_test.go
@@ -4,22 +4,22 @@
 
 // TestBufferSizeFollowsBudget: beyond the budget buffers are small, and buffers that are given back count again.
 func TestBufferSizeFollowsBudget(t *testing.T) {
-	b := newBuffers(1) // MB
-	var free []func()
+	buffers := newBuffers(1) // MB
+	var releases []func()
 	for range 1 << 20 / 8 / streamBufferSize {
-		buf, give := b.Get()
+		buf, release := buffers.Get()
 		if len(buf) != streamBufferSize {
 			t.Fatalf("%d bytes within the budget", len(buf))
 		}
-		free = append(free, give)
+		releases = append(releases, release)
 	}
-	if buf, give := b.Get(); len(buf) != minBufferSize {
+	if buf, release := buffers.Get(); len(buf) != minBufferSize {
 		t.Errorf("%d bytes past the budget", len(buf))
 	} else {
-		give()
+		release()
 	}
-	free[0]()
-	if buf, _ := b.Get(); len(buf) != streamBufferSize {
+	releases[0]()
+	if buf, _ := buffers.Get(); len(buf) != streamBufferSize {
 		t.Errorf("%d bytes after one was given back", len(buf))
 	}
 }
--- a/internal/agent/upstream/fakebackend_test.go
+++ b/internal/agent/upstream/fakebackend_test.go
@@ -19,12 +19,12 @@
 
 // startRawBackend runs a backend that reads each request to its end and writes what answer returns, byte for byte. It
 // closes the connection after an empty or truncated answer, and after one that only the connection's end delimits.
-func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
+func startRawBackend(t *testing.T, respond func(index int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
+	backend := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
 	var mu sync.Mutex
-	n := 0
+	requests := 0
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -43,11 +43,11 @@
 						return
 					}
 					mu.Lock()
-					k := n
-					n++
+					index := requests
+					requests++
 					mu.Unlock()
-					b.seen <- req.Header.Get("X-Trace-Id")
-					text := answer(k)
+					backend.seen <- req.Header.Get("X-Trace-Id")
+					text := respond(index)
 					ends := !strings.Contains(text, "Content-Length") && !strings.Contains(text, "chunked")
 					if _, err := io.WriteString(c, text); err != nil || ends || strings.Contains(text, "TRUNCATED") {
 						return
@@ -56,7 +56,7 @@
 			}()
 		}
 	}()
-	return b
+	return backend
 }
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
@@ -79,7 +79,7 @@
 func startManualBackend(t *testing.T) *manualBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
+	backend := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -87,10 +87,10 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			b.conns <- c
+			backend.conns <- c
 		}
 	}()
-	return b
+	return backend
 }
 
 // readRequest reads one request to its end and returns its id.
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -13,14 +13,14 @@
 	"martenbeam/balancer"
 )
 
-// dyingConn breaks while it is idle, unnoticed.
-type dyingConn struct {
+// breakableConn breaks while it is idle, unnoticed.
+type breakableConn struct {
 	net.Conn
-	dead *atomic.Bool
+	broken *atomic.Bool
 }
 
-func (c dyingConn) Write(p []byte) (int, error) {
-	if c.dead.Load() {
+func (c breakableConn) Write(p []byte) (int, error) {
+	if c.broken.Load() {
 		return 0, syscall.EPIPE
 	}
 	return c.Conn.Write(p)
@@ -29,46 +29,46 @@
 // TestDeadIdleConnectionIsReplacedByNewOne: an idle connection that turns out to be dead before the request is complete is
 // no failed connect (ticket 8488). The attempt is made on a new connection, once.
 func TestDeadIdleConnectionIsReplacedByNewOne(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	var dead atomic.Bool
-	dial, dials := b.transport.DialContext, 0
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	backend := startRawBackend(t, func(int) string { return ok200 })
+	pool := poolWithBackend(t, backend.addr)
+	var broken atomic.Bool
+	dial, dials := pool.transport.DialContext, 0
+	pool.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if dials++; err == nil && dials == 1 {
-			counted := c.(*trackedConn)
-			counted.Conn = dyingConn{counted.Conn, &dead}
+			tracked := c.(*trackedConn)
+			tracked.Conn = breakableConn{tracked.Conn, &broken}
 		}
 		return c, err
 	}
-	if result, _, _ := attemptOn(t, b, context.Background(), "one"); result != balancer.OK {
+	if result, _, _ := attemptOn(t, pool, context.Background(), "one"); result != balancer.OK {
 		t.Fatalf("first: %v", result)
 	}
-	dead.Store(true)
-	if result, _, _ := attemptOn(t, b, context.Background(), "two"); result != balancer.OK || dials != 2 {
+	broken.Store(true)
+	if result, _, _ := attemptOn(t, pool, context.Background(), "two"); result != balancer.OK || dials != 2 {
 		t.Errorf("second: %v after %d dials", result, dials)
 	}
-	if n := len(s.seen); n != 2 {
+	if n := len(backend.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, 2 were asked for", n)
 	}
-	if b.openConns != 1 {
-		t.Errorf("%d connections counted as open", b.openConns)
+	if pool.openConns != 1 {
+		t.Errorf("%d connections counted as open", pool.openConns)
 	}
 }
 
 // TestUnusedConnectionKeepsItsIdleTime: if nothing was sent on a connection it stays as old as it was, since the backend
 // has seen nothing on it.
 func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	attemptOn(t, b, context.Background(), "")
-	since := b.idle["s"][0].idleSince
-	over := make(chan struct{})
-	close(over)
-	r, _, _ := b.executeBuffered(context.Background(), over, "s",
+	backend := startRawBackend(t, func(int) string { return ok200 })
+	pool := poolWithBackend(t, backend.addr)
+	attemptOn(t, pool, context.Background(), "")
+	previousIdleSince := pool.idle["s"][0].idleSince
+	requestDone := make(chan struct{})
+	close(requestDone)
+	result, _, _ := pool.executeBuffered(context.Background(), requestDone, "s",
 		&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
-	if r != balancer.NotSent || len(b.idle["s"]) != 1 || b.idle["s"][0].idleSince != since {
-		t.Errorf("result %v, %d idle", r, len(b.idle["s"]))
+	if result != balancer.NotSent || len(pool.idle["s"]) != 1 || pool.idle["s"][0].idleSince != previousIdleSince {
+		t.Errorf("result %v, %d idle", result, len(pool.idle["s"]))
 	}
 }
 
@@ -76,18 +76,18 @@
 // turns out to be dead, also a POST with an Idempotency-Key. That would be an attempt which the balancer did not order.
 // Here the first request leaves an idle connection, which the backend closes without a response to the second.
 func TestStaleConnectionCausesNoImplicitResend(t *testing.T) {
-	s := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
-	b := poolWithBackend(t, s.addr)
-	if result, _, _ := attemptOn(t, b, context.Background(), "one"); result != balancer.OK {
+	backend := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
+	pool := poolWithBackend(t, backend.addr)
+	if result, _, _ := attemptOn(t, pool, context.Background(), "one"); result != balancer.OK {
 		t.Fatalf("first: %v", result)
 	}
-	if len(b.idle["s"]) != 1 {
-		t.Fatalf("%d idle connections after the first", len(b.idle["s"]))
+	if len(pool.idle["s"]) != 1 {
+		t.Fatalf("%d idle connections after the first", len(pool.idle["s"]))
 	}
-	if result, _, _ := attemptOn(t, b, context.Background(), "two"); result != balancer.Reset {
+	if result, _, _ := attemptOn(t, pool, context.Background(), "two"); result != balancer.Reset {
 		t.Fatalf("second: %v", result)
 	}
-	if n := len(s.seen); n != 2 {
+	if n := len(backend.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, 2 were asked for", n)
 	}
 }
@@ -95,49 +95,49 @@
 // TestExpiredIdleConnectionIsNotReused: on a connection that has been idle for nearly as long as backends allow, a request
 // could cross the close.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	attemptOn(t, b, context.Background(), "")
-	old := b.idle["s"][0]
-	old.idleSince = time.Now().Add(-b.idleTimeout)
-	attemptOn(t, b, context.Background(), "")
-	if b.idle["s"][0] == old || b.openConns != 1 {
+	backend := startRawBackend(t, func(int) string { return ok200 })
+	pool := poolWithBackend(t, backend.addr)
+	attemptOn(t, pool, context.Background(), "")
+	old := pool.idle["s"][0]
+	old.idleSince = time.Now().Add(-pool.idleTimeout)
+	attemptOn(t, pool, context.Background(), "")
+	if pool.idle["s"][0] == old || pool.openConns != 1 {
 		t.Error("the old connection was used")
 	}
-	if b.idleTimeout >= b.cfg.IdleClose {
-		t.Errorf("idle connections are kept for %v, backends close at %v", b.idleTimeout, b.cfg.IdleClose)
+	if pool.idleTimeout >= pool.cfg.IdleClose {
+		t.Errorf("idle connections are kept for %v, backends close at %v", pool.idleTimeout, pool.cfg.IdleClose)
 	}
 }
 
 // TestConnectionLimitEvictsIdleConnection: at the limit the connection that has been idle longest is closed; if none is
 // idle the attempt fails unsent.
 func TestConnectionLimitEvictsIdleConnection(t *testing.T) {
-	hold := make(chan struct{})
-	s := startRawBackend(t, func(n int) string {
+	release := make(chan struct{})
+	backend := startRawBackend(t, func(n int) string {
 		if n == 1 {
-			<-hold
+			<-release
 		}
 		return ok200
 	})
-	b := poolWithBackend(t, s.addr)
-	applyDelta(b, balancer.Backend{ID: "t"}, s.addr)
-	b.maxConns = 1
-	attemptOn(t, b, context.Background(), "")
-	<-s.seen
+	pool := poolWithBackend(t, backend.addr)
+	applyDelta(pool, balancer.Backend{ID: "t"}, backend.addr)
+	pool.maxConns = 1
+	attemptOn(t, pool, context.Background(), "")
+	<-backend.seen
 	done := make(chan balancer.Result)
 	go func() {
-		r, _, _ := b.executeBuffered(context.Background(), nil, "t",
+		r, _, _ := pool.executeBuffered(context.Background(), nil, "t",
 			&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 		done <- r
 	}()
-	receive(t, "request to t", s.seen)
-	if len(b.idle["s"]) != 0 {
+	receive(t, "request to t", backend.seen)
+	if len(pool.idle["s"]) != 0 {
 		t.Error("no idle connection made room")
 	}
-	if r, _, _ := attemptOn(t, b, context.Background(), ""); r != balancer.ConnectFailed {
+	if r, _, _ := attemptOn(t, pool, context.Background(), ""); r != balancer.ConnectFailed {
 		t.Errorf("past the limit: %v", r)
 	}
-	close(hold)
+	close(release)
 	if r := receive(t, "result", done); r != balancer.OK {
 		t.Errorf("held attempt: %v", r)
 	}
@@ -145,66 +145,66 @@
 
 // TestAddressChangeClosesIdleConnections: at a new address another process has the old id.
 func TestAddressChangeClosesIdleConnections(t *testing.T) {
-	one := startRawBackend(t, func(int) string { return ok200 })
-	two := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, one.addr)
-	attemptOn(t, b, context.Background(), "")
-	applyDelta(b, balancer.Backend{ID: "s"}, two.addr)
-	if b.openConns != 0 {
-		t.Errorf("%d connections to the old address are open", b.openConns)
+	oldBackend := startRawBackend(t, func(int) string { return ok200 })
+	newBackend := startRawBackend(t, func(int) string { return ok200 })
+	pool := poolWithBackend(t, oldBackend.addr)
+	attemptOn(t, pool, context.Background(), "")
+	applyDelta(pool, balancer.Backend{ID: "s"}, newBackend.addr)
+	if pool.openConns != 0 {
+		t.Errorf("%d connections to the old address are open", pool.openConns)
 	}
-	if attemptOn(t, b, context.Background(), ""); len(one.seen) != 1 || len(two.seen) != 1 {
-		t.Errorf("%d requests to the old address, %d to the new", len(one.seen), len(two.seen))
+	if attemptOn(t, pool, context.Background(), ""); len(oldBackend.seen) != 1 || len(newBackend.seen) != 1 {
+		t.Errorf("%d requests to the old address, %d to the new", len(oldBackend.seen), len(newBackend.seen))
 	}
 }
 
 // TestConnectionInUseIsClosedAfterAddressChange: a connection in use leads to the old process, so it is not kept.
 func TestConnectionInUseIsClosedAfterAddressChange(t *testing.T) {
-	hold := make(chan struct{})
-	one := startRawBackend(t, func(int) string { <-hold; return ok200 })
-	b := poolWithBackend(t, one.addr)
+	release := make(chan struct{})
+	oldBackend := startRawBackend(t, func(int) string { <-release; return ok200 })
+	pool := poolWithBackend(t, oldBackend.addr)
 	done := make(chan balancer.Result, 1)
 	go func() {
-		r, _, _ := b.executeBuffered(context.Background(), nil, "s",
+		r, _, _ := pool.executeBuffered(context.Background(), nil, "s",
 			&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 		done <- r
 	}()
-	receive(t, "request", one.seen)
-	applyDelta(b, balancer.Backend{ID: "s"}, unusedAddr(t))
-	close(hold)
-	if r := receive(t, "result", done); r != balancer.OK || b.openConns != 0 {
-		t.Errorf("result %v, %d connections kept", r, b.openConns)
+	receive(t, "request", oldBackend.seen)
+	applyDelta(pool, balancer.Backend{ID: "s"}, unusedAddr(t))
+	close(release)
+	if r := receive(t, "result", done); r != balancer.OK || pool.openConns != 0 {
+		t.Errorf("result %v, %d connections kept", r, pool.openConns)
 	}
 }
 
 // TestDisabledBackendReceivesNothing: an attempt that is being dialled when the backend is disabled is not sent. Idle
 // connections are closed, and attempts that were sent may finish.
 func TestDisabledBackendReceivesNothing(t *testing.T) {
-	s := startRawBackend(t, func(int) string { return ok200 })
-	b := poolWithBackend(t, s.addr)
-	if r, _, _ := attemptOn(t, b, context.Background(), "one"); r != balancer.OK {
+	backend := startRawBackend(t, func(int) string { return ok200 })
+	pool := poolWithBackend(t, backend.addr)
+	if r, _, _ := attemptOn(t, pool, context.Background(), "one"); r != balancer.OK {
 		t.Fatal(r)
 	}
-	b.SetDisabled("s", true)
-	if b.openConns != 0 {
-		t.Errorf("%d connections to the detached backend are kept", b.openConns)
+	pool.SetDisabled("s", true)
+	if pool.openConns != 0 {
+		t.Errorf("%d connections to the detached backend are kept", pool.openConns)
 	}
-	b.SetDisabled("s", false)
-	dial := b.transport.DialContext
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	pool.SetDisabled("s", false)
+	dial := pool.transport.DialContext
+	pool.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		b.SetDisabled("s", true)
+		pool.SetDisabled("s", true)
 		return c, err
 	}
-	if r, _, _ := attemptOn(t, b, context.Background(), "two"); r != balancer.ConnectFailed || b.openConns != 0 {
-		t.Errorf("result %v, %d connections open", r, b.openConns)
+	if r, _, _ := attemptOn(t, pool, context.Background(), "two"); r != balancer.ConnectFailed || pool.openConns != 0 {
+		t.Errorf("result %v, %d connections open", r, pool.openConns)
 	}
-	if r, _, _ := attemptOn(t, b, context.Background(), "three"); r != balancer.ConnectFailed || len(s.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(s.seen))
+	if r, _, _ := attemptOn(t, pool, context.Background(), "three"); r != balancer.ConnectFailed || len(backend.seen) != 1 {
+		t.Errorf("result %v, %d requests reached the backend", r, len(backend.seen))
 	}
-	b.SetDisabled("s", false)
-	b.transport.DialContext = dial
-	if r, _, _ := attemptOn(t, b, context.Background(), "four"); r != balancer.OK {
+	pool.SetDisabled("s", false)
+	pool.transport.DialContext = dial
+	if r, _, _ := attemptOn(t, pool, context.Background(), "four"); r != balancer.OK {
 		t.Errorf("after the call back: %v", r)
 	}
 }
--- a/internal/agent/upstream/race_test.go
+++ b/internal/agent/upstream/race_test.go
@@ -16,25 +16,25 @@
 
 type attemptResult struct {
 	balancer.Result
-	answer *Response
+	response *Response
 }
 
-func (p *Pool) start(tr *Attempt) <-chan attemptResult { return p.startAt("s", tr) }
+func (p *Pool) start(att *Attempt) <-chan attemptResult { return p.startAt("s", att) }
 
-func (p *Pool) startAt(id string, tr *Attempt) <-chan attemptResult {
+func (p *Pool) startAt(id string, att *Attempt) <-chan attemptResult {
 	done := make(chan attemptResult, 1)
-	tr.BackendID, tr.Start = id, time.Now()
-	if tr.Request == nil {
-		tr.Request = &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}
+	att.BackendID, att.Start = id, time.Now()
+	if att.Request == nil {
+		att.Request = &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}
 	}
-	go func() { r, a, _ := p.Execute(context.Background(), tr); done <- attemptResult{r, a} }()
+	go func() { r, a, _ := p.Execute(context.Background(), att); done <- attemptResult{r, a} }()
 	return done
 }
 
 func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
-	if r.Result != want || (r.answer != nil) != (want == balancer.OK) || r.answer != nil && string(r.answer.Body) != body {
-		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.answer, want, body)
+	if r.Result != want || (r.response != nil) != (want == balancer.OK) || r.response != nil && string(r.response.Body) != body {
+		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.response, want, body)
 	}
 }
 
@@ -45,53 +45,53 @@
 func (k *hookedGate) RuleID(string, string) int { return 1 }
 func (k *hookedGate) CountRefusal(int, int)     {}
 
-func (k *hookedGate) Table() *gate.Table {
-	k.hook()
+func (g *hookedGate) Table() *gate.Table {
+	g.hook()
 	return &gate.Table{Permitted: [][]bool{nil, nil}, Restricted: []bool{false, false}}
 }
 
 // TestUnsolicitedBytesAreNoResponse: bytes that arrive before a request is written are no response to it, whenever they
 // arrive. They are not served, the backend is not to blame, and the request is sent once, on another connection.
 func TestUnsolicitedBytesAreNoResponse(t *testing.T) {
-	for name, stray := range map[string]string{"a whole answer": okResponse("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
+	for name, unsolicited := range map[string]string{"a whole answer": okResponse("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
 		// Each request is checked twice: before it is handed to net/http, and before its first byte is written.
-		for when, at := range map[string]int{"with the first answer": -1, "while resting": 0,
+		for when, check := range map[string]int{"with the first answer": -1, "while resting": 0,
 			"between taking and handing over": 1, "between handing over and writing": 2} {
 			t.Run(name+" "+when, func(t *testing.T) {
-				s := startManualBackend(t)
-				b := poolWithBackend(t, s.addr)
-				keeper := &hookedGate{hook: func() {}}
-				b.Residency = keeper
-				first := b.start(&Attempt{})
-				c := receive(t, "connection", s.conns)
-				in := bufio.NewReader(c)
-				readRequest(t, in)
-				sent := stray
-				if at >= 0 {
-					sent = ""
+				backend := startManualBackend(t)
+				pool := poolWithBackend(t, backend.addr)
+				hooked := &hookedGate{hook: func() {}}
+				pool.Residency = hooked
+				first := pool.start(&Attempt{})
+				firstConn := receive(t, "connection", backend.conns)
+				firstReader := bufio.NewReader(firstConn)
+				readRequest(t, firstReader)
+				extra := unsolicited
+				if check >= 0 {
+					extra = ""
 				}
-				writeText(t, c, okResponse("first")+sent)
+				writeText(t, firstConn, okResponse("first")+extra)
 				receive(t, "first answer", first).expect(t, balancer.OK, "first")
-				asked := 0
-				keeper.hook = func() {
-					if asked++; asked == at {
-						writeText(t, c, stray)
+				checks := 0
+				hooked.hook = func() {
+					if checks++; checks == check {
+						writeText(t, firstConn, unsolicited)
 					}
 				}
-				if at == 0 {
-					writeText(t, c, stray)
+				if check == 0 {
+					writeText(t, firstConn, unsolicited)
 					eventually(t, "the stray bytes to be seen", func() bool {
-						b.mu.Lock()
-						defer b.mu.Unlock()
-						return len(b.idle["s"]) == 1 && b.idle["s"][0].Err() != nil
+						pool.mu.Lock()
+						defer pool.mu.Unlock()
+						return len(pool.idle["s"]) == 1 && pool.idle["s"][0].Err() != nil
 					})
 				}
-				second := b.start(&Attempt{ResidencyRule: 1})
-				other := receive(t, "second connection", s.conns)
-				readRequest(t, bufio.NewReader(other))
-				writeText(t, other, okResponse("second"))
+				second := pool.start(&Attempt{ResidencyRule: 1})
+				secondConn := receive(t, "second connection", backend.conns)
+				readRequest(t, bufio.NewReader(secondConn))
+				writeText(t, secondConn, okResponse("second"))
 				receive(t, "second answer", second).expect(t, balancer.OK, "second")
-				if _, err := http.ReadRequest(in); err == nil {
+				if _, err := http.ReadRequest(firstReader); err == nil {
 					t.Error("the request went out on the first connection too")
 				}
 			})
@@ -102,120 +102,120 @@
 // TestSettledConnectionIsPreferred: a connection that has been idle for settleTime is preferred. Once unsolicited bytes
 // arrived, with a response or after it, no other is reused before a duplicate response would have arrived.
 func TestSettledConnectionIsPreferred(t *testing.T) {
-	s := startManualBackend(t)
-	b := poolWithBackend(t, s.addr)
-	b.settleTime, b.idleTimeout = 2*testTimeout, 8*testTimeout
+	backend := startManualBackend(t)
+	pool := poolWithBackend(t, backend.addr)
+	pool.settleTime, pool.idleTimeout = 2*testTimeout, 8*testTimeout
 	serve := func(c net.Conn, in *bufio.Reader, done <-chan attemptResult, text string) {
 		readRequest(t, in)
 		writeText(t, c, text)
 		receive(t, "answer", done).expect(t, balancer.OK, "hello")
 	}
-	done := b.start(&Attempt{})
-	one := receive(t, "connection", s.conns)
-	inOne := bufio.NewReader(one)
-	serve(one, inOne, done, okResponse("hello"))
-	serve(one, inOne, b.start(&Attempt{}), okResponse("hello")) // the only one, and no unsolicited bytes were seen
-	first := b.start(&Attempt{})
-	readRequest(t, inOne)
-	second := b.start(&Attempt{})
-	two := receive(t, "second connection", s.conns)
-	inTwo := bufio.NewReader(two)
-	serve(two, inTwo, second, okResponse("hello"))
+	done := pool.start(&Attempt{})
+	one := receive(t, "connection", backend.conns)
+	readerOne := bufio.NewReader(one)
+	serve(one, readerOne, done, okResponse("hello"))
+	serve(one, readerOne, pool.start(&Attempt{}), okResponse("hello")) // the only one, and no unsolicited bytes were seen
+	first := pool.start(&Attempt{})
+	readRequest(t, readerOne)
+	second := pool.start(&Attempt{})
+	two := receive(t, "second connection", backend.conns)
+	readerTwo := bufio.NewReader(two)
+	serve(two, readerTwo, second, okResponse("hello"))
 	writeText(t, one, okResponse("hello"))
 	receive(t, "answer", first).expect(t, balancer.OK, "hello")
-	b.mu.Lock()
-	b.idle["s"][0].idleSince = time.Now().Add(-b.settleTime)
-	rested := b.idle["s"][0].tracked.LocalAddr().String()
-	b.mu.Unlock()
-	c, in, other, inOther := one, inOne, two, inTwo
-	if one.RemoteAddr().String() != rested {
-		c, in, other, inOther = two, inTwo, one, inOne
+	pool.mu.Lock()
+	pool.idle["s"][0].idleSince = time.Now().Add(-pool.settleTime)
+	settledAddr := pool.idle["s"][0].tracked.LocalAddr().String()
+	pool.mu.Unlock()
+	c, in, other, otherReader := one, readerOne, two, readerTwo
+	if one.RemoteAddr().String() != settledAddr {
+		c, in, other, otherReader = two, readerTwo, one, readerOne
 	}
-	serve(c, in, b.start(&Attempt{}), okResponse("hello"))
-	serve(c, in, b.start(&Attempt{}), okResponse("hello")) // the most recently used, as none has settled
-	serve(c, in, b.start(&Attempt{}), okResponse("hello")+"more")
-	done = b.start(&Attempt{})
-	three := receive(t, "third connection", s.conns)
+	serve(c, in, pool.start(&Attempt{}), okResponse("hello"))
+	serve(c, in, pool.start(&Attempt{}), okResponse("hello")) // the most recently used, as none has settled
+	serve(c, in, pool.start(&Attempt{}), okResponse("hello")+"more")
+	done = pool.start(&Attempt{})
+	three := receive(t, "third connection", backend.conns)
 	serve(three, bufio.NewReader(three), done, okResponse("hello"))
-	b.mu.Lock()
-	for _, c := range b.idle["s"] {
-		c.idleSince = time.Now().Add(-b.settleTime)
+	pool.mu.Lock()
+	for _, c := range pool.idle["s"] {
+		c.idleSince = time.Now().Add(-pool.settleTime)
 	}
-	b.idle["s"][1].idleSince = time.Now()
-	b.mu.Unlock()
-	serve(other, inOther, b.start(&Attempt{}), okResponse("hello")) // settled by now
+	pool.idle["s"][1].idleSince = time.Now()
+	pool.mu.Unlock()
+	serve(other, otherReader, pool.start(&Attempt{}), okResponse("hello")) // settled by now
 }
 
 // TestRejectedNewConnectionEvictsIdleOne: if a backend rejects a request on a new connection it has as many connections as
 // it accepts: the balancer is told that the connection was new, and the pool closes the one that was idle longest.
 func TestRejectedNewConnectionEvictsIdleOne(t *testing.T) {
-	const never = "HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+	const rejection = "HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	full, other := startManualBackend(t), startManualBackend(t)
-	b := poolWithBackend(t, full.addr)
-	applyDelta(b, balancer.Backend{ID: "other"}, other.addr)
-	try := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result,
-		fresh bool) (net.Conn, *bufio.Reader) {
-		tr := &Attempt{}
-		done := b.startAt(id, tr)
+	pool := poolWithBackend(t, full.addr)
+	applyDelta(pool, balancer.Backend{ID: "other"}, other.addr)
+	checkAttempt := func(id string, c func() (net.Conn, *bufio.Reader), text string, want balancer.Result,
+		newConn bool) (net.Conn, *bufio.Reader) {
+		att := &Attempt{}
+		done := pool.startAt(id, att)
 		conn, in := c()
 		readRequest(t, in)
 		writeText(t, conn, text)
-		if r := receive(t, "result", done); r.Result != want || tr.NewConn != fresh {
-			t.Errorf("%s: result %v, new connection: %v", id, r.Result, tr.NewConn)
+		if r := receive(t, "result", done); r.Result != want || att.NewConn != newConn {
+			t.Errorf("%s: result %v, new connection: %v", id, r.Result, att.NewConn)
 		}
 		return conn, in
 	}
-	at := func(h *manualBackend) func() (net.Conn, *bufio.Reader) {
+	accept := func(backend *manualBackend) func() (net.Conn, *bufio.Reader) {
 		return func() (net.Conn, *bufio.Reader) {
-			c := receive(t, "connection", h.conns)
+			c := receive(t, "connection", backend.conns)
 			return c, bufio.NewReader(c)
 		}
 	}
-	c, in := try("s", at(full), okResponse("hello"), balancer.OK, true)
-	try("other", at(other), okResponse("hello"), balancer.OK, true)
-	try("s", func() (net.Conn, *bufio.Reader) { return c, in }, never, balancer.Rejected, false) // a full queue
-	if len(b.idle["other"]) != 1 {
+	c, in := checkAttempt("s", accept(full), okResponse("hello"), balancer.OK, true)
+	checkAttempt("other", accept(other), okResponse("hello"), balancer.OK, true)
+	checkAttempt("s", func() (net.Conn, *bufio.Reader) { return c, in }, rejection, balancer.Rejected, false) // a full queue
+	if len(pool.idle["other"]) != 1 {
 		t.Error("a connection was given up for a full queue")
 	}
-	b.mu.Lock()
-	b.closeIdle("s")
-	b.mu.Unlock()
-	try("s", at(full), never, balancer.Rejected, true)
-	if b.mu.Lock(); len(b.idle["other"]) != 0 {
+	pool.mu.Lock()
+	pool.closeIdle("s")
+	pool.mu.Unlock()
+	checkAttempt("s", accept(full), rejection, balancer.Rejected, true)
+	if pool.mu.Lock(); len(pool.idle["other"]) != 0 {
 		t.Error("no connection was given up")
 	}
-	b.mu.Unlock()
+	pool.mu.Unlock()
 }
 
 // TestConnectionClosedBeforeWriteIsReplaced: a connection that its backend closes right before the write is replaced.
 func TestConnectionClosedBeforeWriteIsReplaced(t *testing.T) {
-	s := startManualBackend(t)
-	b := poolWithBackend(t, s.addr)
-	keeper := &hookedGate{hook: func() {}}
-	b.Residency = keeper
-	first := b.start(&Attempt{})
-	c := receive(t, "connection", s.conns)
-	readRequest(t, bufio.NewReader(c))
-	writeText(t, c, okResponse("first"))
+	backend := startManualBackend(t)
+	pool := poolWithBackend(t, backend.addr)
+	hooked := &hookedGate{hook: func() {}}
+	pool.Residency = hooked
+	first := pool.start(&Attempt{})
+	firstConn := receive(t, "connection", backend.conns)
+	readRequest(t, bufio.NewReader(firstConn))
+	writeText(t, firstConn, okResponse("first"))
 	receive(t, "first answer", first).expect(t, balancer.OK, "first")
-	asked := 0
-	keeper.hook = func() {
-		if asked++; asked == 2 {
-			c.Close()
+	checks := 0
+	hooked.hook = func() {
+		if checks++; checks == 2 {
+			firstConn.Close()
 		}
 	}
-	second := b.start(&Attempt{ResidencyRule: 1})
-	other := receive(t, "second connection", s.conns)
-	readRequest(t, bufio.NewReader(other))
-	writeText(t, other, okResponse("second"))
+	second := pool.start(&Attempt{ResidencyRule: 1})
+	secondConn := receive(t, "second connection", backend.conns)
+	readRequest(t, bufio.NewReader(secondConn))
+	writeText(t, secondConn, okResponse("second"))
 	receive(t, "second answer", second).expect(t, balancer.OK, "second")
 }
 
 // blockDials makes each dial wait until it is released.
-func blockDials(b *Pool) (dialling chan struct{}, release chan struct{}) {
+func blockDials(pool *Pool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
-	dial := b.DialContext
-	b.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := pool.DialContext
+	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		dialling <- struct{}{}
 		<-release
@@ -224,13 +224,13 @@
 	return dialling, release
 }
 
-func applyDelta(b *Pool, m balancer.Backend, addr string) {
-	u := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{m}},
+func applyDelta(pool *Pool, backend balancer.Backend, addr string) {
+	update := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{backend}},
 		Addrs: map[string]string{}}
 	if addr != "" {
-		u.Addrs[m.ID] = addr
+		update.Addrs[backend.ID] = addr
 	}
-	b.ApplyUpdate(u)
+	pool.ApplyUpdate(update)
 }
 
 // TestUpdateBeforeFirstByteStopsTheAttempt: an update that arrives while a connection is opened, or right before the first
@@ -238,73 +238,73 @@
 // for a request that was answered, and no retry after its window. Nothing was executed, and the request may go elsewhere.
 func TestUpdateBeforeFirstByteStopsTheAttempt(t *testing.T) {
 	for name, row := range map[string]struct {
-		event func(b *Pool, tr *Attempt, over chan struct{}, addr string)
+		event func(pool *Pool, att *Attempt, requestDone chan struct{}, addr string)
 		want  balancer.Result
 		kept  int // connections that may serve other requests
 	}{
-		"drains": {func(b *Pool, _ *Attempt, _ chan struct{}, addr string) {
-			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
+		"drains": {func(pool *Pool, _ *Attempt, _ chan struct{}, addr string) {
+			applyDelta(pool, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
 		}, balancer.ConnectFailed, 0},
-		"is gone": {func(b *Pool, _ *Attempt, _ chan struct{}, _ string) {
-			applyDelta(b, balancer.Backend{ID: "s", State: balancer.Removed}, "")
+		"is gone": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) {
+			applyDelta(pool, balancer.Backend{ID: "s", State: balancer.Removed}, "")
 		}, balancer.ConnectFailed, 0},
-		"has moved": {func(b *Pool, _ *Attempt, _ chan struct{}, _ string) {
-			applyDelta(b, balancer.Backend{ID: "s"}, "127.0.0.1:1")
+		"has moved": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) {
+			applyDelta(pool, balancer.Backend{ID: "s"}, "127.0.0.1:1")
 		}, balancer.ConnectFailed, 0},
-		"is in another pod": {func(b *Pool, _ *Attempt, _ chan struct{}, addr string) {
-			applyDelta(b, balancer.Backend{ID: "s", Cell: 7}, addr)
+		"is in another pod": {func(pool *Pool, _ *Attempt, _ chan struct{}, addr string) {
+			applyDelta(pool, balancer.Backend{ID: "s", Cell: 7}, addr)
 		}, balancer.ConnectFailed, 1},
-		"was detached": {func(b *Pool, _ *Attempt, _ chan struct{}, _ string) { b.SetDisabled("s", true) }, balancer.ConnectFailed, 0},
-		"is over":      {func(_ *Pool, _ *Attempt, over chan struct{}, _ string) { close(over) }, balancer.NotSent, 1},
-		"window over":  {func(_ *Pool, tr *Attempt, _ chan struct{}, _ string) { tr.WriteBy = time.Now() }, balancer.NotSent, 1},
+		"was detached": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) { pool.SetDisabled("s", true) }, balancer.ConnectFailed, 0},
+		"is over":      {func(_ *Pool, _ *Attempt, requestDone chan struct{}, _ string) { close(requestDone) }, balancer.NotSent, 1},
+		"window over":  {func(_ *Pool, att *Attempt, _ chan struct{}, _ string) { att.WriteBy = time.Now() }, balancer.NotSent, 1},
 		"nothing":      {func(*Pool, *Attempt, chan struct{}, string) {}, balancer.OK, 1},
 	} {
 		t.Run(name+" while dialled", func(t *testing.T) {
-			s := startManualBackend(t)
-			b := poolWithBackend(t, s.addr)
-			dialling, release := blockDials(b)
-			over := make(chan struct{})
-			tr := &Attempt{RequestDone: over, Endpoint: b.Endpoint("s")}
-			done := b.start(tr)
+			backend := startManualBackend(t)
+			pool := poolWithBackend(t, backend.addr)
+			dialling, release := blockDials(pool)
+			requestDone := make(chan struct{})
+			att := &Attempt{RequestDone: requestDone, Endpoint: pool.Endpoint("s")}
+			done := pool.start(att)
 			receive(t, "dial", dialling)
-			row.event(b, tr, over, s.addr)
+			row.event(pool, att, requestDone, backend.addr)
 			close(release)
-			expectNotWritten(t, b, s, done, row.want, row.kept)
+			expectNotWritten(t, pool, backend, done, row.want, row.kept)
 		})
 		if name == "window over" || name == "nothing" {
 			continue // that bound is passed with the request: TestRetryWriteEndsWithItsWindow
 		}
 		t.Run(name+" in the last moment", func(t *testing.T) {
-			s := startManualBackend(t)
-			b := poolWithBackend(t, s.addr)
-			over := make(chan struct{})
-			tr := &Attempt{RequestDone: over, Endpoint: b.Endpoint("s"), ResidencyRule: 1}
-			asked := 0
-			b.Residency = &hookedGate{hook: func() {
-				if asked++; asked == 1 { // the first of two checks passes with this
-					row.event(b, tr, over, s.addr)
+			backend := startManualBackend(t)
+			pool := poolWithBackend(t, backend.addr)
+			requestDone := make(chan struct{})
+			att := &Attempt{RequestDone: requestDone, Endpoint: pool.Endpoint("s"), ResidencyRule: 1}
+			checks := 0
+			pool.Residency = &hookedGate{hook: func() {
+				if checks++; checks == 1 { // the first of two checks passes with this
+					row.event(pool, att, requestDone, backend.addr)
 				}
 			}}
-			expectNotWritten(t, b, s, b.start(tr), row.want, 0)
+			expectNotWritten(t, pool, backend, pool.start(att), row.want, 0)
 		})
 	}
 }
 
-func expectNotWritten(t *testing.T, b *Pool, s *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
+func expectNotWritten(t *testing.T, pool *Pool, backend *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
 	t.Helper()
 	if want == balancer.OK {
-		c := receive(t, "connection", s.conns)
+		c := receive(t, "connection", backend.conns)
 		readRequest(t, bufio.NewReader(c))
 		writeText(t, c, okResponse("hello"))
 	}
 	receive(t, "result", done).expect(t, want, "hello")
-	if b.mu.Lock(); len(b.idle["s"]) != kept || b.openConns != kept {
-		t.Errorf("%d connections kept, %d open", len(b.idle["s"]), b.openConns)
+	if pool.mu.Lock(); len(pool.idle["s"]) != kept || pool.openConns != kept {
+		t.Errorf("%d connections kept, %d open", len(pool.idle["s"]), pool.openConns)
 	}
-	b.mu.Unlock()
+	pool.mu.Unlock()
 	if want != balancer.OK {
-		c := receive(t, "connection", s.conns)
-		b.Close()
+		c := receive(t, "connection", backend.conns)
+		pool.Close()
 		if n, _ := c.Read(make([]byte, 1)); n != 0 {
 			t.Error("a byte went out")
 		}
@@ -313,12 +313,12 @@
 
 // TestRetryWriteEndsWithItsWindow: a retry that its backend does not read is aborted when its window ends, unexecuted.
 func TestRetryWriteEndsWithItsWindow(t *testing.T) {
-	s := startManualBackend(t)
-	b := poolWithBackend(t, s.addr)
-	tr := &Attempt{WriteBy: time.Now().Add(100 * time.Millisecond),
+	backend := startManualBackend(t)
+	pool := poolWithBackend(t, backend.addr)
+	att := &Attempt{WriteBy: time.Now().Add(100 * time.Millisecond),
 		Request: &Request{Method: "POST", URL: &url.URL{Path: "/put/x"}, Header: http.Header{}, Body: make([]byte, MaxBufferedBody)}}
-	dial := b.transport.DialContext
-	b.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := pool.transport.DialContext
+	pool.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil { // the kernel's buffer would take all of it
 			conn := c.(*trackedConn)
@@ -326,7 +326,7 @@
 		}
 		return c, err
 	}
-	receive(t, "result", b.start(tr)).expect(t, balancer.ConnectFailed, "")
+	receive(t, "result", pool.start(att)).expect(t, balancer.ConnectFailed, "")
 }
 
 // blockedWriteConn takes the first part of a request and then blocks until its deadline.
