--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/wire"
 )
 
-// attemptOn makes one attempt at a backend, without an agent.
+// attemptOn makes one attempt on backend s, without an agent.
 func attemptOn(t *testing.T, pool *Pool, ctx context.Context, body string) (balancer.Result, *Response, balancer.Load) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "/put/x?q=1", nil)
@@ -31,36 +31,36 @@
 	t.Helper()
 	pool := New(testConfig(), discardLog)
 	t.Cleanup(pool.Close)
-	pool.settleTime = 0 // other tests are about unsolicited bytes
+	pool.settleTime = 0 // only tests of unsolicited bytes need it
 	pool.ApplyUpdate(discovery.Update{
 		Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: []balancer.Backend{{ID: "s"}}},
 		Addrs:     map[string]string{"s": addr}})
 	return pool
 }
 
-// TestAttemptResultFollowsOutcomeTable covers each row of the protocol's table of outcomes. A request whose result says
-// that it was not executed may be sent again or rejected, so a wrong row can execute it twice.
+// TestAttemptResultFollowsOutcomeTable covers each row of the protocol's table of outcomes. A request that was not executed
+// according to its result may be sent again or refused, so a wrong row can execute a request twice.
 func TestAttemptResultFollowsOutcomeTable(t *testing.T) {
 	for name, row := range map[string]struct {
 		response string
 		want     balancer.Result
 	}{
-		"served":               {ok200, balancer.OK},
-		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balancer.OK},
-		"ended by its close":   {"HTTP/1.1 200 OK\r\n\r\nhello", balancer.OK},
-		"error":                {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		"full":                 {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
-		"already over":         {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
-		"503 without proof":    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		"504 without proof":    {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		"500 is no proof":      {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		"redirect":             {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		"closed unanswered":    {"", balancer.Reset},
-		"broken in the header": {"HTTP/1.1 200 OK\r\nTRUNCATED", balancer.Reset},
-		"truncated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", balancer.Reset},
-		"truncated chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", balancer.Reset},
-		"no length, nothing":   {"HTTP/1.1 200 OK\r\n\r\n", balancer.Reset},
-		"no HTTP":              {"TRUNCATED\r\n\r\n", balancer.Reset},
+		"success":                 {ok200, balancer.OK},
+		"chunked":                 {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balancer.OK},
+		"ended by the close":      {"HTTP/1.1 200 OK\r\n\r\nhello", balancer.OK},
+		"error":                   {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"refused by 503":          {"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"refused by 504":          {"HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		"503 without proof":       {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"504 without proof":       {"HTTP/1.1 504 X\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"500 is no proof":         {"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"redirect":                {"HTTP/1.1 302 X\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		"closed without response": {"", balancer.Reset},
+		"broken in the header":    {"HTTP/1.1 200 OK\r\nTRUNCATED", balancer.Reset},
+		"truncated length":        {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED", balancer.Reset},
+		"truncated chunks":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nTRUNCATED\r\n", balancer.Reset},
+		"no length, no body":      {"HTTP/1.1 200 OK\r\n\r\n", balancer.Reset},
+		"not HTTP":                {"TRUNCATED\r\n\r\n", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend := startRawBackend(t, func(int) string { return row.response })
@@ -68,7 +68,7 @@
 			defer cancel()
 			result, resp, _ := attemptOn(t, poolWithBackend(t, backend.addr), ctx, "body")
 			if result != row.want || (resp != nil) != (row.want == balancer.OK) {
-				t.Errorf("result %v, answer %v; want %v", result, resp, row.want)
+				t.Errorf("result %v, response %v; want %v", result, resp, row.want)
 			}
 			if resp != nil && string(resp.Body) != "hello" {
 				t.Errorf("body %q", resp.Body)
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestTimedOutAttemptDropsItsConnection: a backend reads the request and stays silent. The request may have been executed,
-// and the connection is not used again.
+// TestTimedOutAttemptDropsItsConnection: a backend reads the request and sends no response. The request may have been
+// executed, and the connection must not be reused.
 func TestTimedOutAttemptDropsItsConnection(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -115,7 +115,7 @@
 	}
 }
 
-// limitedWriteConn fails after a number of written bytes.
+// limitedWriteConn fails after remaining bytes have been written.
 type limitedWriteConn struct {
 	net.Conn
 	remaining int
@@ -131,8 +131,8 @@
 	return n, errors.New("broken pipe")
 }
 
-// TestIncompleteWriteIsConnectFailed: a connection that breaks before the request's last byte is written proves that the
-// request was not executed; one byte later it proves nothing.
+// TestIncompleteWriteIsConnectFailed: if a connection breaks before the request's last byte is written, the request was
+// not executed. After the last byte, the request may have been executed.
 func TestIncompleteWriteIsConnectFailed(t *testing.T) {
 	ln := listen(t)
 	go func() {
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestNothingIsSentForAnsweredRequest: a request may end while a connection is opened for it, for instance because its
-// client disconnects. Nothing is sent for it then, and the connection serves the next request.
+// TestNothingIsSentForAnsweredRequest: a request may end while its attempt opens a connection, for instance because the
+// client disconnects. The attempt then sends nothing, and the connection serves the next request.
 func TestNothingIsSentForAnsweredRequest(t *testing.T) {
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestLargeResponseLatencyIsFirstByte: the reported latency of a streaming response is that of its first bytes.
+// TestLargeResponseLatencyIsFirstByte: the latency of a streaming response is the time until its first bytes.
 func TestLargeResponseLatencyIsFirstByte(t *testing.T) {
 	release := make(chan struct{})
 	addr := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -231,9 +231,9 @@
 	}
 	result, resp, _ := pool.Execute(ctx, att)
 	if result != balancer.OK || resp.Stream == nil || att.Latency != reported || att.Latency >= time.Since(att.Start) {
-		t.Errorf("result %v, told %v, reported %v of %v", result, reported, att.Latency, time.Since(att.Start))
+		t.Errorf("result %v, latency passed to OnStreamStart %v, attempt's latency %v, total %v", result, reported, att.Latency, time.Since(att.Start))
 	}
 	if len(pool.idle["s"]) != 1 {
-		t.Error("the connection is not kept")
+		t.Error("the connection was not kept")
 	}
 }
--- a/internal/agent/upstream/buffers_test.go
+++ b/internal/agent/upstream/buffers_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-// TestBufferSizeFollowsBudget: beyond the budget buffers are small, and buffers that are given back count again.
+// TestBufferSizeFollowsBudget: buffers beyond the budget are small, and a released buffer can be allocated again.
 func TestBufferSizeFollowsBudget(t *testing.T) {
 	buffers := newBuffers(1) // MB
 	var releases []func()
 	for range 1 << 20 / 8 / streamBufferSize {
 		buf, release := buffers.Get()
 		if len(buf) != streamBufferSize {
-			t.Fatalf("%d bytes within the budget", len(buf))
+			t.Fatalf("buffer of %d bytes within the budget", len(buf))
 		}
 		releases = append(releases, release)
 	}
 	if buf, release := buffers.Get(); len(buf) != minBufferSize {
-		t.Errorf("%d bytes past the budget", len(buf))
+		t.Errorf("buffer of %d bytes beyond the budget", len(buf))
 	} else {
 		release()
 	}
 	releases[0]()
 	if buf, _ := buffers.Get(); len(buf) != streamBufferSize {
-		t.Errorf("%d bytes after one was given back", len(buf))
+		t.Errorf("buffer of %d bytes after a release", len(buf))
 	}
 }
--- a/internal/agent/upstream/fakebackend_test.go
+++ b/internal/agent/upstream/fakebackend_test.go
@@ -11,20 +11,21 @@
 	"testing"
 )
 
-// fakeBackend is a backend that records the requests which reach it.
+// fakeBackend is a backend that records the requests that reach it.
 type fakeBackend struct {
 	addr string
 	seen chan string // id of each complete request
 }
 
-// startRawBackend runs a backend that reads each request to its end and writes what answer returns, byte for byte. It
-// closes the connection after an empty or truncated answer, and after one that only the connection's end delimits.
-func startRawBackend(t *testing.T, respond func(index int) string) *fakeBackend {
+// startRawBackend runs a backend that reads each request to its end and writes the text that respond returns for the
+// request's index, byte for byte. It closes the connection after an empty or truncated response, and after one that only
+// the end of the connection delimits.
+func startRawBackend(t *testing.T, respond func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
 	backend := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
 	var mu sync.Mutex
-	requests := 0
+	n := 0
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -43,8 +44,8 @@
 						return
 					}
 					mu.Lock()
-					index := requests
-					requests++
+					index := n
+					n++
 					mu.Unlock()
 					backend.seen <- req.Header.Get("X-Trace-Id")
 					text := respond(index)
@@ -61,7 +62,7 @@
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-// pattern returns n bytes without repetition.
+// pattern returns n bytes that do not repeat.
 func pattern(n int) string {
 	var text strings.Builder
 	for i := 0; text.Len() < n; i++ {
@@ -70,7 +71,7 @@
 	return text.String()[:n]
 }
 
-// manualBackend hands each accepted connection to the test.
+// manualBackend passes each accepted connection to the test.
 type manualBackend struct {
 	addr  string
 	conns chan net.Conn
--- a/internal/agent/upstream/harness_test.go
+++ b/internal/agent/upstream/harness_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// testTimeout bounds the wait for anything that has to happen; it is far longer than that takes on any machine.
+// testTimeout bounds each wait of a test. It is far longer than any expected event takes on a slow machine.
 const testTimeout = 30 * time.Second
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -49,17 +49,17 @@
 	case v := <-ch:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// eventually polls for a condition that no channel announces.
+// eventually polls for a condition that no channel reports.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -13,7 +13,7 @@
 	"martenbeam/balancer"
 )
 
-// breakableConn breaks while it is idle, unnoticed.
+// breakableConn fails all writes once broken is set, and no read.
 type breakableConn struct {
 	net.Conn
 	broken *atomic.Bool
@@ -26,8 +26,8 @@
 	return c.Conn.Write(p)
 }
 
-// TestDeadIdleConnectionIsReplacedByNewOne: an idle connection that turns out to be dead before the request is complete is
-// no failed connect (ticket 8488). The attempt is made on a new connection, once.
+// TestDeadIdleConnectionIsReplacedByNewOne: an idle connection that breaks before the complete request is written does not
+// count as a failed connect (ticket 8488). The attempt is made once, on a new connection.
 func TestDeadIdleConnectionIsReplacedByNewOne(t *testing.T) {
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
@@ -49,15 +49,15 @@
 		t.Errorf("second: %v after %d dials", result, dials)
 	}
 	if n := len(backend.seen); n != 2 {
-		t.Errorf("%d requests reached the backend, 2 were asked for", n)
+		t.Errorf("%d requests reached the backend, want 2", n)
 	}
 	if pool.openConns != 1 {
 		t.Errorf("%d connections counted as open", pool.openConns)
 	}
 }
 
-// TestUnusedConnectionKeepsItsIdleTime: if nothing was sent on a connection it stays as old as it was, since the backend
-// has seen nothing on it.
+// TestUnusedConnectionKeepsItsIdleTime: a connection on which nothing was sent keeps its idle time, since for the backend
+// the connection is still idle.
 func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestStaleConnectionCausesNoImplicitResend: net/http's Transport sends a request again on its own if a reused connection
-// turns out to be dead, also a POST with an Idempotency-Key. That would be an attempt which the balancer did not order.
-// Here the first request leaves an idle connection, which the backend closes without a response to the second.
+// TestStaleConnectionCausesNoImplicitResend: if a reused connection is closed, net/http's Transport sends the request
+// again, also a POST with an Idempotency-Key. The second request would be an attempt that the balancer did not order. In
+// the test, the first request leaves an idle connection, which the backend closes without a response to the second.
 func TestStaleConnectionCausesNoImplicitResend(t *testing.T) {
 	backend := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	pool := poolWithBackend(t, backend.addr)
@@ -88,12 +88,12 @@
 		t.Fatalf("second: %v", result)
 	}
 	if n := len(backend.seen); n != 2 {
-		t.Errorf("%d requests reached the backend, 2 were asked for", n)
+		t.Errorf("%d requests reached the backend, want 2", n)
 	}
 }
 
-// TestExpiredIdleConnectionIsNotReused: on a connection that has been idle for nearly as long as backends allow, a request
-// could cross the close.
+// TestExpiredIdleConnectionIsNotReused: if a connection has been idle for nearly as long as backends allow, the backend
+// may close the connection while a request is sent.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestConnectionLimitEvictsIdleConnection: at the limit the connection that has been idle longest is closed; if none is
-// idle the attempt fails unsent.
+// TestConnectionLimitEvictsIdleConnection: at the limit, the pool closes the connection that has been idle longest. If
+// none is idle, the attempt fails unsent.
 func TestConnectionLimitEvictsIdleConnection(t *testing.T) {
 	release := make(chan struct{})
 	backend := startRawBackend(t, func(n int) string {
@@ -132,18 +132,18 @@
 	}()
 	receive(t, "request to t", backend.seen)
 	if len(pool.idle["s"]) != 0 {
-		t.Error("no idle connection made room")
+		t.Error("no idle connection was closed at the limit")
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), ""); r != balancer.ConnectFailed {
-		t.Errorf("past the limit: %v", r)
+		t.Errorf("attempt beyond the limit: %v", r)
 	}
 	close(release)
 	if r := receive(t, "result", done); r != balancer.OK {
-		t.Errorf("held attempt: %v", r)
+		t.Errorf("attempt in flight at the limit: %v", r)
 	}
 }
 
-// TestAddressChangeClosesIdleConnections: at a new address another process has the old id.
+// TestAddressChangeClosesIdleConnections: at a new address, a different process has the backend's id.
 func TestAddressChangeClosesIdleConnections(t *testing.T) {
 	oldBackend := startRawBackend(t, func(int) string { return ok200 })
 	newBackend := startRawBackend(t, func(int) string { return ok200 })
@@ -158,7 +158,8 @@
 	}
 }
 
-// TestConnectionInUseIsClosedAfterAddressChange: a connection in use leads to the old process, so it is not kept.
+// TestConnectionInUseIsClosedAfterAddressChange: a connection in use is to the old process, so the pool closes the
+// connection on release.
 func TestConnectionInUseIsClosedAfterAddressChange(t *testing.T) {
 	release := make(chan struct{})
 	oldBackend := startRawBackend(t, func(int) string { <-release; return ok200 })
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestDisabledBackendReceivesNothing: an attempt that is being dialled when the backend is disabled is not sent. Idle
-// connections are closed, and attempts that were sent may finish.
+// TestDisabledBackendReceivesNothing: an attempt whose connection is being dialed when the backend is disabled is not
+// sent. Disabling a backend closes its idle connections.
 func TestDisabledBackendReceivesNothing(t *testing.T) {
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
@@ -187,7 +188,7 @@
 	}
 	pool.SetDisabled("s", true)
 	if pool.openConns != 0 {
-		t.Errorf("%d connections to the detached backend are kept", pool.openConns)
+		t.Errorf("%d connections to the disabled backend are open", pool.openConns)
 	}
 	pool.SetDisabled("s", false)
 	dial := pool.transport.DialContext
@@ -205,6 +206,6 @@
 	pool.SetDisabled("s", false)
 	pool.transport.DialContext = dial
 	if r, _, _ := attemptOn(t, pool, context.Background(), "four"); r != balancer.OK {
-		t.Errorf("after the call back: %v", r)
+		t.Errorf("after the backend was enabled again: %v", r)
 	}
 }
--- a/internal/agent/upstream/race_test.go
+++ b/internal/agent/upstream/race_test.go
@@ -27,36 +27,37 @@
 	if att.Request == nil {
 		att.Request = &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{"X-Trace-Id": {newID()}}}
 	}
-	go func() { r, a, _ := p.Execute(context.Background(), att); done <- attemptResult{r, a} }()
+	go func() { result, resp, _ := p.Execute(context.Background(), att); done <- attemptResult{result, resp} }()
 	return done
 }
 
 func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
 	if r.Result != want || (r.response != nil) != (want == balancer.OK) || r.response != nil && string(r.response.Body) != body {
-		t.Errorf("result %v, answer %+v; want %v %q", r.Result, r.response, want, body)
+		t.Errorf("result %v, response %+v; want %v %q", r.Result, r.response, want, body)
 	}
 }
 
-// hookedGate is a residency policy that permits everything. The pool asks it right before a request's first byte, which
-// lets a test do something at that moment.
+// hookedGate is a residency policy that permits everything. The pool reads its table right before a request's first byte,
+// and hook lets a test act at that point.
 type hookedGate struct{ hook func() }
 
-func (k *hookedGate) RuleID(string, string) int { return 1 }
-func (k *hookedGate) CountRefusal(int, int)     {}
+func (g *hookedGate) RuleID(string, string) int { return 1 }
+func (g *hookedGate) CountRefusal(int, int)     {}
 
 func (g *hookedGate) Table() *gate.Table {
 	g.hook()
 	return &gate.Table{Permitted: [][]bool{nil, nil}, Restricted: []bool{false, false}}
 }
 
-// TestUnsolicitedBytesAreNoResponse: bytes that arrive before a request is written are no response to it, whenever they
-// arrive. They are not served, the backend is not to blame, and the request is sent once, on another connection.
+// TestUnsolicitedBytesAreNoResponse: bytes that arrive before a request is written are not its response, no matter when
+// they arrive. They are not served and do not count as a failure of the backend, and the request is sent once, on another
+// connection.
 func TestUnsolicitedBytesAreNoResponse(t *testing.T) {
-	for name, unsolicited := range map[string]string{"a whole answer": okResponse("stray"), "half a line": "HTTP/1.", "a byte": "\n"} {
-		// Each request is checked twice: before it is handed to net/http, and before its first byte is written.
-		for when, check := range map[string]int{"with the first answer": -1, "while resting": 0,
-			"between taking and handing over": 1, "between handing over and writing": 2} {
+	for name, unsolicited := range map[string]string{"complete response": okResponse("stray"), "part of a line": "HTTP/1.", "one byte": "\n"} {
+		// Each request is checked twice: before it is passed to net/http, and before its first byte is written.
+		for when, check := range map[string]int{"with the first response": -1, "while idle": 0,
+			"during the check in Execute": 1, "during the check in Write": 2} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				backend := startManualBackend(t)
 				pool := poolWithBackend(t, backend.addr)
@@ -71,7 +72,7 @@
 					extra = ""
 				}
 				writeText(t, firstConn, okResponse("first")+extra)
-				receive(t, "first answer", first).expect(t, balancer.OK, "first")
+				receive(t, "first response", first).expect(t, balancer.OK, "first")
 				checks := 0
 				hooked.hook = func() {
 					if checks++; checks == check {
@@ -80,7 +81,7 @@
 				}
 				if check == 0 {
 					writeText(t, firstConn, unsolicited)
-					eventually(t, "the stray bytes to be seen", func() bool {
+					eventually(t, "the connection to be closed after unsolicited bytes", func() bool {
 						pool.mu.Lock()
 						defer pool.mu.Unlock()
 						return len(pool.idle["s"]) == 1 && pool.idle["s"][0].Err() != nil
@@ -90,17 +91,17 @@
 				secondConn := receive(t, "second connection", backend.conns)
 				readRequest(t, bufio.NewReader(secondConn))
 				writeText(t, secondConn, okResponse("second"))
-				receive(t, "second answer", second).expect(t, balancer.OK, "second")
+				receive(t, "second response", second).expect(t, balancer.OK, "second")
 				if _, err := http.ReadRequest(firstReader); err == nil {
-					t.Error("the request went out on the first connection too")
+					t.Error("the request was also sent on the first connection")
 				}
 			})
 		}
 	}
 }
 
-// TestSettledConnectionIsPreferred: a connection that has been idle for settleTime is preferred. Once unsolicited bytes
-// arrived, with a response or after it, no other is reused before a duplicate response would have arrived.
+// TestSettledConnectionIsPreferred: a connection that has been idle for settleTime is preferred. After unsolicited bytes,
+// with a response or after it, no other connection is reused, since a duplicate response could still arrive on it.
 func TestSettledConnectionIsPreferred(t *testing.T) {
 	backend := startManualBackend(t)
 	pool := poolWithBackend(t, backend.addr)
@@ -108,13 +109,13 @@
 	serve := func(c net.Conn, in *bufio.Reader, done <-chan attemptResult, text string) {
 		readRequest(t, in)
 		writeText(t, c, text)
-		receive(t, "answer", done).expect(t, balancer.OK, "hello")
+		receive(t, "response", done).expect(t, balancer.OK, "hello")
 	}
 	done := pool.start(&Attempt{})
 	one := receive(t, "connection", backend.conns)
 	readerOne := bufio.NewReader(one)
 	serve(one, readerOne, done, okResponse("hello"))
-	serve(one, readerOne, pool.start(&Attempt{}), okResponse("hello")) // the only one, and no unsolicited bytes were seen
+	serve(one, readerOne, pool.start(&Attempt{}), okResponse("hello")) // the only connection; no unsolicited bytes have arrived
 	first := pool.start(&Attempt{})
 	readRequest(t, readerOne)
 	second := pool.start(&Attempt{})
@@ -122,7 +123,7 @@
 	readerTwo := bufio.NewReader(two)
 	serve(two, readerTwo, second, okResponse("hello"))
 	writeText(t, one, okResponse("hello"))
-	receive(t, "answer", first).expect(t, balancer.OK, "hello")
+	receive(t, "response", first).expect(t, balancer.OK, "hello")
 	pool.mu.Lock()
 	pool.idle["s"][0].idleSince = time.Now().Add(-pool.settleTime)
 	settledAddr := pool.idle["s"][0].tracked.LocalAddr().String()
@@ -132,7 +133,7 @@
 		c, in, other, otherReader = two, readerTwo, one, readerOne
 	}
 	serve(c, in, pool.start(&Attempt{}), okResponse("hello"))
-	serve(c, in, pool.start(&Attempt{}), okResponse("hello")) // the most recently used, as none has settled
+	serve(c, in, pool.start(&Attempt{}), okResponse("hello")) // the most recently used one, as none has been idle for settleTime
 	serve(c, in, pool.start(&Attempt{}), okResponse("hello")+"more")
 	done = pool.start(&Attempt{})
 	three := receive(t, "third connection", backend.conns)
@@ -143,11 +144,12 @@
 	}
 	pool.idle["s"][1].idleSince = time.Now()
 	pool.mu.Unlock()
-	serve(other, otherReader, pool.start(&Attempt{}), okResponse("hello")) // settled by now
+	serve(other, otherReader, pool.start(&Attempt{}), okResponse("hello")) // idle for settleTime by now
 }
 
-// TestRejectedNewConnectionEvictsIdleOne: if a backend rejects a request on a new connection it has as many connections as
-// it accepts: the balancer is told that the connection was new, and the pool closes the one that was idle longest.
+// TestRejectedNewConnectionEvictsIdleOne: a backend that has reached its connection limit rejects a request on a new
+// connection. The attempt reports that the connection was new, and the pool closes the connection that has been idle
+// longest.
 func TestRejectedNewConnectionEvictsIdleOne(t *testing.T) {
 	const rejection = "HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	full, other := startManualBackend(t), startManualBackend(t)
@@ -173,21 +175,22 @@
 	}
 	c, in := checkAttempt("s", accept(full), okResponse("hello"), balancer.OK, true)
 	checkAttempt("other", accept(other), okResponse("hello"), balancer.OK, true)
-	checkAttempt("s", func() (net.Conn, *bufio.Reader) { return c, in }, rejection, balancer.Rejected, false) // a full queue
+	checkAttempt("s", func() (net.Conn, *bufio.Reader) { return c, in }, rejection, balancer.Rejected, false) // the backend's queue is full
 	if len(pool.idle["other"]) != 1 {
-		t.Error("a connection was given up for a full queue")
+		t.Error("an idle connection was closed after a rejection on a reused connection")
 	}
 	pool.mu.Lock()
 	pool.closeIdle("s")
 	pool.mu.Unlock()
 	checkAttempt("s", accept(full), rejection, balancer.Rejected, true)
 	if pool.mu.Lock(); len(pool.idle["other"]) != 0 {
-		t.Error("no connection was given up")
+		t.Error("no idle connection was closed after a rejection on a new connection")
 	}
 	pool.mu.Unlock()
 }
 
-// TestConnectionClosedBeforeWriteIsReplaced: a connection that its backend closes right before the write is replaced.
+// TestConnectionClosedBeforeWriteIsReplaced: if the backend closes an idle connection right before the write, the attempt
+// uses a new connection.
 func TestConnectionClosedBeforeWriteIsReplaced(t *testing.T) {
 	backend := startManualBackend(t)
 	pool := poolWithBackend(t, backend.addr)
@@ -197,7 +200,7 @@
 	firstConn := receive(t, "connection", backend.conns)
 	readRequest(t, bufio.NewReader(firstConn))
 	writeText(t, firstConn, okResponse("first"))
-	receive(t, "first answer", first).expect(t, balancer.OK, "first")
+	receive(t, "first response", first).expect(t, balancer.OK, "first")
 	checks := 0
 	hooked.hook = func() {
 		if checks++; checks == 2 {
@@ -208,10 +211,10 @@
 	secondConn := receive(t, "second connection", backend.conns)
 	readRequest(t, bufio.NewReader(secondConn))
 	writeText(t, secondConn, okResponse("second"))
-	receive(t, "second answer", second).expect(t, balancer.OK, "second")
+	receive(t, "second response", second).expect(t, balancer.OK, "second")
 }
 
-// blockDials makes each dial wait until it is released.
+// blockDials blocks each dial until release is closed. dialling receives a value for each dial.
 func blockDials(pool *Pool) (dialling chan struct{}, release chan struct{}) {
 	dialling, release = make(chan struct{}, 16), make(chan struct{})
 	dial := pool.DialContext
@@ -233,33 +236,34 @@
 	pool.ApplyUpdate(update)
 }
 
-// TestUpdateBeforeFirstByteStopsTheAttempt: an update that arrives while a connection is opened, or right before the first
-// byte, applies. Nothing is sent to a backend that drains, is gone, has moved, is in another pod or was disabled; nothing
-// for a request that was answered, and no retry after its window. Nothing was executed, and the request may go elsewhere.
+// TestUpdateBeforeFirstByteStopsTheAttempt: an update applies to an attempt if it arrives while the connection is opened or
+// right before the first byte. Nothing is sent to a backend that drains, was removed, has a new address, is in another pod
+// or was disabled, nothing for a request that has its final answer, and no retry after its window. Nothing was executed,
+// so the request may be sent to another backend.
 func TestUpdateBeforeFirstByteStopsTheAttempt(t *testing.T) {
 	for name, row := range map[string]struct {
 		event func(pool *Pool, att *Attempt, requestDone chan struct{}, addr string)
 		want  balancer.Result
-		kept  int // connections that may serve other requests
+		kept  int // connections that are kept for other requests
 	}{
 		"drains": {func(pool *Pool, _ *Attempt, _ chan struct{}, addr string) {
 			applyDelta(pool, balancer.Backend{ID: "s", State: balancer.Draining}, addr)
 		}, balancer.ConnectFailed, 0},
-		"is gone": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) {
+		"removed": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) {
 			applyDelta(pool, balancer.Backend{ID: "s", State: balancer.Removed}, "")
 		}, balancer.ConnectFailed, 0},
-		"has moved": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) {
+		"has a new address": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) {
 			applyDelta(pool, balancer.Backend{ID: "s"}, "127.0.0.1:1")
 		}, balancer.ConnectFailed, 0},
 		"is in another pod": {func(pool *Pool, _ *Attempt, _ chan struct{}, addr string) {
 			applyDelta(pool, balancer.Backend{ID: "s", Cell: 7}, addr)
 		}, balancer.ConnectFailed, 1},
-		"was detached": {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) { pool.SetDisabled("s", true) }, balancer.ConnectFailed, 0},
-		"is over":      {func(_ *Pool, _ *Attempt, requestDone chan struct{}, _ string) { close(requestDone) }, balancer.NotSent, 1},
-		"window over":  {func(_ *Pool, att *Attempt, _ chan struct{}, _ string) { att.WriteBy = time.Now() }, balancer.NotSent, 1},
-		"nothing":      {func(*Pool, *Attempt, chan struct{}, string) {}, balancer.OK, 1},
+		"disabled":          {func(pool *Pool, _ *Attempt, _ chan struct{}, _ string) { pool.SetDisabled("s", true) }, balancer.ConnectFailed, 0},
+		"answered":          {func(_ *Pool, _ *Attempt, requestDone chan struct{}, _ string) { close(requestDone) }, balancer.NotSent, 1},
+		"retry window over": {func(_ *Pool, att *Attempt, _ chan struct{}, _ string) { att.WriteBy = time.Now() }, balancer.NotSent, 1},
+		"nothing":           {func(*Pool, *Attempt, chan struct{}, string) {}, balancer.OK, 1},
 	} {
-		t.Run(name+" while dialled", func(t *testing.T) {
+		t.Run(name+" during the dial", func(t *testing.T) {
 			backend := startManualBackend(t)
 			pool := poolWithBackend(t, backend.addr)
 			dialling, release := blockDials(pool)
@@ -271,17 +275,17 @@
 			close(release)
 			expectNotWritten(t, pool, backend, done, row.want, row.kept)
 		})
-		if name == "window over" || name == "nothing" {
-			continue // that bound is passed with the request: TestRetryWriteEndsWithItsWindow
+		if name == "retry window over" || name == "nothing" {
+			continue // startRequest sets WriteBy before the last check: see TestRetryWriteEndsWithItsWindow
 		}
-		t.Run(name+" in the last moment", func(t *testing.T) {
+		t.Run(name+" before the first byte", func(t *testing.T) {
 			backend := startManualBackend(t)
 			pool := poolWithBackend(t, backend.addr)
 			requestDone := make(chan struct{})
 			att := &Attempt{RequestDone: requestDone, Endpoint: pool.Endpoint("s"), ResidencyRule: 1}
 			checks := 0
 			pool.Residency = &hookedGate{hook: func() {
-				if checks++; checks == 1 { // the first of two checks passes with this
+				if checks++; checks == 1 { // the check in Execute; only the check in Write fails
 					row.event(pool, att, requestDone, backend.addr)
 				}
 			}}
@@ -299,19 +303,20 @@
 	}
 	receive(t, "result", done).expect(t, want, "hello")
 	if pool.mu.Lock(); len(pool.idle["s"]) != kept || pool.openConns != kept {
-		t.Errorf("%d connections kept, %d open", len(pool.idle["s"]), pool.openConns)
+		t.Errorf("%d connections idle, %d open", len(pool.idle["s"]), pool.openConns)
 	}
 	pool.mu.Unlock()
 	if want != balancer.OK {
 		c := receive(t, "connection", backend.conns)
 		pool.Close()
 		if n, _ := c.Read(make([]byte, 1)); n != 0 {
-			t.Error("a byte went out")
+			t.Error("a byte was sent")
 		}
 	}
 }
 
-// TestRetryWriteEndsWithItsWindow: a retry that its backend does not read is aborted when its window ends, unexecuted.
+// TestRetryWriteEndsWithItsWindow: a retry that the backend does not read is aborted when the retry window ends, and was
+// not executed.
 func TestRetryWriteEndsWithItsWindow(t *testing.T) {
 	backend := startManualBackend(t)
 	pool := poolWithBackend(t, backend.addr)
@@ -320,7 +325,7 @@
 	dial := pool.transport.DialContext
 	pool.transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		if err == nil { // the kernel's buffer would take all of it
+		if err == nil { // on a socket, the kernel's buffer would accept the complete request
 			conn := c.(*trackedConn)
 			conn.Conn = blockedWriteConn{conn.Conn, make(chan time.Time, 4)}
 		}
@@ -329,7 +334,7 @@
 	receive(t, "result", pool.start(att)).expect(t, balancer.ConnectFailed, "")
 }
 
-// blockedWriteConn takes the first part of a request and then blocks until its deadline.
+// blockedWriteConn accepts half of a request and blocks until the write deadline.
 type blockedWriteConn struct {
 	net.Conn
 	deadline chan time.Time
@@ -340,7 +345,7 @@
 func (c blockedWriteConn) Write(p []byte) (int, error) {
 	select {
 	case at := <-c.deadline:
-		time.Sleep(time.Until(at)) // as a socket whose buffer is full
+		time.Sleep(time.Until(at)) // like a socket whose buffer is full
 		return len(p) / 2, context.DeadlineExceeded
 	case <-time.After(2 * testTimeout):
 		return len(p), nil // no deadline was set
--- a/internal/agent/upstream/reuse_test.go
+++ b/internal/agent/upstream/reuse_test.go
@@ -8,9 +8,9 @@
 	"martenbeam/balancer"
 )
 
-// TestIdleTimesThatOftenBreakAreNotReused: some backends drop idle connections long before the settings' time, without a
-// sign (ticket 8488). Once a few requests were lost on connections that had been idle for so long, such connections are
-// closed unused; younger ones are still used.
+// TestIdleTimesThatOftenBreakAreNotReused: some backends drop idle connections long before the idle time in the settings,
+// without closing them (ticket 8488). After a few resets on connections of one idle time, connections that have been idle
+// for this long are closed unused. Connections with shorter idle times are still used.
 func TestIdleTimesThatOftenBreakAreNotReused(t *testing.T) {
 	responses := make(chan string, 100)
 	backend := startRawBackend(t, func(int) string { return <-responses })
@@ -30,10 +30,10 @@
 	resets := 0
 	for ; resets < 20; resets++ {
 		if result, _ := attempt(0, ok200); result != balancer.OK {
-			t.Fatalf("on a new connection: %v", result)
+			t.Fatalf("result on a new connection: %v", result)
 		}
 		if result, c := attempt(young, ok200); result != balancer.OK || pool.idle["s"][0] != c {
-			t.Fatalf("the young connection was not used, or %v", result)
+			t.Fatalf("the young connection was not reused, or its result was not OK: %v", result)
 		}
 		pool.mu.Lock()
 		oldUnreliable := pool.reuseStats.unreliable(old)
@@ -42,22 +42,23 @@
 			break
 		}
 		if result, _ := attempt(old, ""); result != balancer.Reset {
-			t.Fatalf("on the old connection: %v", result)
+			t.Fatalf("result on the old connection: %v", result)
 		}
 	}
 	if resets < 2 || resets > 5 {
-		t.Errorf("%d requests lost before old connections were doubted", resets)
+		t.Errorf("%d resets before old connections became unreliable, want 2 to 5", resets)
 	}
 	if result, c := attempt(old, ok200); result != balancer.OK || c.Err() == nil || pool.idle["s"][0] == c {
-		t.Errorf("an old connection was used again, or %v", result)
+		t.Errorf("an old connection was reused, or the result was not OK: %v", result)
 	}
 	pool.reuseStats.decay(10 * reuseHalfLife)
 	if pool.reuseStats.unreliable(old) {
-		t.Error("doubted for ever")
+		t.Error("old connections are still unreliable after ten half-lives")
 	}
 }
 
-// TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes: if new connections break as often, idle time is not the reason.
+// TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes: if new connections break as often as idle ones, the idle time is
+// not the cause.
 func TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes(t *testing.T) {
 	var stats reuseStats
 	for i := range 400 {
@@ -65,11 +66,11 @@
 		stats.record(100*time.Millisecond, i%5 == 0)
 	}
 	if stats.unreliable(100 * time.Millisecond) {
-		t.Error("idle connections are doubted, though new ones break as often")
+		t.Error("idle connections are unreliable, although new ones break as often")
 	}
 }
 
-// TestCloseExpiredWithMinimalIdleTime: the smallest idle time that the settings allow must not stop the program.
+// TestCloseExpiredWithMinimalIdleTime: the smallest idle time that the settings allow must not cause a panic.
 func TestCloseExpiredWithMinimalIdleTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.IdleClose = 1
