--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -39,7 +39,7 @@
 // promote makes an active stream the current one if there is no current stream, or if the active stream is confirmed. A
 // stream is confirmed once it has delivered a list, or has sent heartbeats for HeartbeatTimeout, which shows that
 // discovery has no list to send on it. Before that, another stream may be the one that delivers the list, so promote
-// cancels the other streams only once the current one is confirmed.
+// cancels the streams being opened only once the current one is confirmed, not overdue and to discovery's address.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
 	confirmed := hasList || stream.lastActivityAt.Sub(stream.firstActivityAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -16,7 +16,7 @@
 )
 
 var (
-	errStreamTimeout = errors.New("no heartbeat or list from discovery before the stream's time-out")
+	errStreamTimeout = errors.New("no heartbeat or list from discovery before the stream's timeout")
 	errStreamClosed  = errors.New("stream closed by discovery")
 	errValueTooLong  = fmt.Errorf("JSON value longer than %d bytes", maxValueBytes)
 )
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -26,8 +26,8 @@
 }
 
 // reopen schedules a stream to discovery's new address at once. A change of address does not count as a failure. The
-// current stream, to the old address, stays open until the new one has delivered a list or discovery closes it: lists
-// that arrive on it until then are applied as well.
+// current stream, to the old address, stays open until promote replaces it or discovery closes it: lists that arrive on
+// the old stream until then are applied as well.
 func (w *Watcher) reopen() {
 	w.cancelStreams(w.opening...)
 	w.opening, w.failures = nil, 0
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -35,7 +35,7 @@
 // refused, failed, hung or timed out in that time. The grace for drains adds half a second. Within the sum, a stream has
 // to be open and to have delivered the list. Discovery sends an empty line every 2 s while nothing changes.
 const (
-	// PropagationDeadline is the longest time after which a change counts as received. It takes precedence over a longer
+	// PropagationDeadline is the time after which a change counts as received. It takes precedence over a longer
 	// poll interval in the settings.
 	PropagationDeadline = 6 * time.Second
 	// One late heartbeat makes a stream overdue, and another stream is opened beside it. That leaves 3 s, enough for
@@ -45,8 +45,8 @@
 	// heartbeat, a pushed list allows seven attempts, which cost nothing. A polled list allows two with the backoff
 	// between them, since a poll may have to wait for permission and costs the list service work.
 	pushedOpenTimeout, polledOpenTimeout = 400 * time.Millisecond, time.Second
-	// maxOpening bounds the streams besides the current one. Overdue streams stay open because discovery
-	// may answer them when an outage ends.
+	// maxOpening bounds the streams besides the current one. Overdue streams stay open because discovery may answer
+	// them when an outage ends.
 	maxOpening = 2
 	// Backoff after a failure where lists are pushed: full jitter below a ceiling that doubles. The highest ceiling is
 	// below the grace for drains, since after an outage discovery's list counts as received as soon as discovery
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -231,7 +231,8 @@
 	}
 	result, resp, _ := pool.Execute(ctx, att)
 	if result != balancer.OK || resp.Stream == nil || att.Latency != reported || att.Latency >= time.Since(att.Start) {
-		t.Errorf("result %v, latency passed to OnStreamStart %v, attempt's latency %v, total %v", result, reported, att.Latency, time.Since(att.Start))
+		t.Errorf("result %v, latency passed to OnStreamStart %v, attempt's latency %v, total %v", result,
+			reported, att.Latency, time.Since(att.Start))
 	}
 	if len(pool.idle["s"]) != 1 {
 		t.Error("the connection was not kept")
--- a/internal/agent/upstream/connections.go
+++ b/internal/agent/upstream/connections.go
@@ -42,7 +42,7 @@
 	conn.Close()
 }
 
-// acquire returns an idle connection to a backend, or nil and the address to dial. A connection to be dialed is already
+// acquire returns an idle connection to a backend, or nil and the address to dial. A connection to be dialled is already
 // counted in openConns. The error is errEndpointChanged, ErrBackendDisabled or errConnLimit.
 func (p *Pool) acquire(id string) (*pooledConn, string, error) {
 	p.mu.Lock()
@@ -132,7 +132,7 @@
 	p.idle[id] = append(p.idle[id], conn)
 }
 
-// CloseExpired closes idle connections that are no longer usable, at intervals of an eighth of the idle time-out, until
+// CloseExpired closes idle connections that are no longer usable, at intervals of an eighth of the idle timeout, until
 // ctx ends.
 func (p *Pool) CloseExpired(ctx context.Context) {
 	interval := max(p.idleTimeout/8, time.Millisecond)
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -51,7 +51,7 @@
 	endpoints       map[string]*Endpoint     // by backend id
 	disabled        map[string]bool          // ids of the backends that operators have detached
 	idle            map[string][]*pooledConn // by backend id, the most recently used last
-	openConns       int                      // idle, in use or being dialed
+	openConns       int                      // idle, in use or being dialled
 	reuseStats      reuseStats
 	settleTime      time.Duration // idle time after which a connection is preferred; a constant outside tests
 	lastUnsolicited time.Time     // when unsolicited bytes were last found
@@ -103,7 +103,7 @@
 
 // Stats holds the numbers of connections.
 type Stats struct {
-	Open  int // idle, in use or being dialed
+	Open  int // idle, in use or being dialled
 	Idle  int
 	Limit int // on Open
 }
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// TestDisabledBackendReceivesNothing: an attempt whose connection is being dialed when the backend is disabled is not
+// TestDisabledBackendReceivesNothing: an attempt whose connection is being dialled when the backend is disabled is not
 // sent. Disabling a backend closes its idle connections.
 func TestDisabledBackendReceivesNothing(t *testing.T) {
 	backend := startRawBackend(t, func(int) string { return ok200 })
