--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -1,6 +1,6 @@
 package discovery
 
-// This file applies what arrives by the streams: signs of life, lists and ends.
+// This file applies the events of the streams: heartbeats, lists and ends of streams.
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 func (w *Watcher) handleEvent(event watchEvent) {
 	stream := event.stream
 	if stream != w.current && !slices.Contains(w.opening, stream) {
-		return // cancelled
+		return // the stream was cancelled
 	}
 	switch {
 	case event.err != nil:
@@ -24,23 +24,24 @@
 		stream.requested = true
 		return
 	}
-	previousReceivedAt := w.lastReceivedAt
-	stream.lastAliveAt = time.Now()
-	w.lastReceivedAt = stream.lastAliveAt
-	if stream.firstAliveAt.IsZero() {
-		stream.firstAliveAt, stream.overdue = stream.lastAliveAt, false
+	previousActivityAt := w.latestActivityAt
+	stream.lastActivityAt = time.Now()
+	w.latestActivityAt = stream.lastActivityAt
+	if stream.firstActivityAt.IsZero() {
+		stream.firstActivityAt, stream.overdue = stream.lastActivityAt, false
 	}
 	w.promote(stream, event.list != nil)
 	if event.list != nil {
-		w.applyList(stream, event.list, previousReceivedAt)
+		w.applyList(stream, event.list, previousActivityAt)
 	}
 }
 
-// promote makes a stream that has shown a sign of life the current one, if there is none or if it is confirmed, and
-// then ends the others. A stream is confirmed once it has had a list, or has been alive for so long that there is none
-// to send: until then another one may be the one that answers.
+// promote makes an active stream the current one if there is no current stream, or if the active stream is confirmed. A
+// stream is confirmed once it has delivered a list, or has sent heartbeats for HeartbeatTimeout, which shows that
+// discovery has no list to send on it. Before that, another stream may be the one that delivers the list, so promote
+// cancels the streams being opened only once the current one is confirmed, not overdue and to discovery's address.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
-	confirmed := hasList || stream.lastAliveAt.Sub(stream.firstAliveAt) >= w.HeartbeatTimeout
+	confirmed := hasList || stream.lastActivityAt.Sub(stream.firstActivityAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
 		w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == stream })
 		if w.current != nil {
@@ -48,22 +49,22 @@
 		}
 		w.current = stream
 	}
-	atPresentAddr := stream.addr == w.presentAddr()
-	if stream == w.current && confirmed && atPresentAddr && !stream.overdue {
+	atDiscoveryAddr := stream.addr == w.discoveryAddr()
+	if stream == w.current && confirmed && atDiscoveryAddr && !stream.overdue {
 		w.cancelStreams(w.opening...)
 		w.opening = nil
 	}
 }
 
-// applyList records, publishes and delivers a list. previousReceivedAt is the latest sign of life before it, of any
-// stream.
-func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousReceivedAt time.Time) {
+// applyList records, publishes and delivers a list. previousActivityAt is when any stream last received a heartbeat or
+// a list before this one.
+func (w *Watcher) applyList(stream *watchStream, list *EndpointList, previousActivityAt time.Time) {
 	w.failures = 0
 	w.backoff.Reset()
 	previousVersion := w.version
 	if !stream.receivedList && !list.Full && stream.addr == w.versionAddr && list.Version < previousVersion {
-		// These are changes up to a version that is already known: the stream before this one went on delivering after
-		// this one was opened. What follows is newer.
+		// The list holds changes up to a version that has already been applied: the previous stream continued to
+		// deliver after this one was opened. Later lists of this stream are newer.
 		stream.receivedList = true
 		return
 	}
@@ -83,15 +84,15 @@
 		kind = balancer.UpdateFull
 	}
 	maxAge := time.Duration(0)
-	if w.receivedList { // else nothing is known of how old the list's entries are
-		maxAge = time.Since(previousReceivedAt) + maxAnnounceDelay
+	if w.receivedList { // before the first list, the age of its entries is unknown
+		maxAge = time.Since(previousActivityAt) + maxAnnounceDelay
 	}
 	w.receivedList = true
 	w.cfg.startTimes.measureOffset(stream.dateHeader)
 	w.cfg.Deliver(w.cfg.Translate(list, kind, maxAge))
 }
 
-// publishList hands a list on to the fleet.
+// publishList forwards a list to the fleet.
 func (w *Watcher) publishList(stream *watchStream, list *EndpointList, previousVersion int64) {
 	if !stream.receivedList {
 		w.cfg.Sources.RecordAttempt(stream.source, time.Since(stream.openedAt), false, list.Version)
@@ -105,15 +106,15 @@
 
 // encodeList returns a list in discovery's JSON form.
 func encodeList(list *EndpointList) []byte {
-	text, err := json.Marshal(list)
+	encoded, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // impossible: it was decoded from JSON
+		panic(err) // impossible: the list was decoded from JSON
 	}
-	return text
+	return encoded
 }
 
-// handleEnd removes a stream that has ended, or failed to open, and has the next one opened after the backoff where the
-// watcher does so by itself.
+// handleEnd removes a stream that has ended or failed to open. Where lists are pushed, it schedules the next stream after
+// the backoff.
 func (w *Watcher) handleEnd(event watchEvent) {
 	w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == event.stream })
 	if event.stream == w.current {
@@ -126,7 +127,7 @@
 		w.cfg.Sources.RecordAttempt(event.stream.source, 0, true, w.version)
 	}
 	if event.stream.overdue {
-		return // its failure is already reported
+		return // markOverdue has reported the failure
 	}
 	w.reportFailure(event.err)
 	if !w.cfg.Polled && !w.hasServingStream() {
@@ -134,10 +135,11 @@
 	}
 }
 
-// reportFailure counts, logs and delivers a failure. Where the list is polled, the receiver retries with Subscribe.
+// reportFailure counts, logs and delivers a failure. Where the list is polled, the receiver of the update retries with
+// Subscribe.
 func (w *Watcher) reportFailure(err error) {
 	w.failures++
-	if w.failures == 1 || w.failures%20 == 0 { // not a line for every attempt during an outage
+	if w.failures == 1 || w.failures%20 == 0 { // one line for every 20 failures during an outage
 		w.cfg.Log.Warn("discovery watch ended", "error", err, "failures", w.failures)
 	}
 	w.cfg.Deliver(Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateFailed}})
--- a/internal/agent/upstream/fakebackend_test.go
+++ b/internal/agent/upstream/fakebackend_test.go
@@ -11,18 +11,19 @@
 	"testing"
 )
 
-// fakeBackend is a backend that records the requests which reach it.
+// fakeBackend is a backend that records the requests that reach it.
 type fakeBackend struct {
 	addr string
 	seen chan string // id of each complete request
 }
 
-// startRawBackend runs a backend that reads each request to its end and writes what answer returns, byte for byte. It
-// closes the connection after an empty or truncated answer, and after one that only the connection's end delimits.
-func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
+// startRawBackend runs a backend that reads each request to its end and writes the text that respond returns for the
+// request's index, byte for byte. It closes the connection after an empty or truncated response, and after one that only
+// the end of the connection delimits.
+func startRawBackend(t *testing.T, respond func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
+	backend := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
 	var mu sync.Mutex
 	n := 0
 	go func() {
@@ -43,11 +44,11 @@
 						return
 					}
 					mu.Lock()
-					k := n
+					index := n
 					n++
 					mu.Unlock()
-					b.seen <- req.Header.Get("X-Trace-Id")
-					text := answer(k)
+					backend.seen <- req.Header.Get("X-Trace-Id")
+					text := respond(index)
 					ends := !strings.Contains(text, "Content-Length") && !strings.Contains(text, "chunked")
 					if _, err := io.WriteString(c, text); err != nil || ends || strings.Contains(text, "TRUNCATED") {
 						return
@@ -56,12 +57,12 @@
 			}()
 		}
 	}()
-	return b
+	return backend
 }
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-// pattern returns n bytes without repetition.
+// pattern returns n bytes that do not repeat.
 func pattern(n int) string {
 	var text strings.Builder
 	for i := 0; text.Len() < n; i++ {
@@ -70,7 +71,7 @@
 	return text.String()[:n]
 }
 
-// manualBackend hands each accepted connection to the test.
+// manualBackend passes each accepted connection to the test.
 type manualBackend struct {
 	addr  string
 	conns chan net.Conn
@@ -79,7 +80,7 @@
 func startManualBackend(t *testing.T) *manualBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
+	backend := &manualBackend{addr: ln.Addr().String(), conns: make(chan net.Conn, 16)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -87,10 +88,10 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			b.conns <- c
+			backend.conns <- c
 		}
 	}()
-	return b
+	return backend
 }
 
 // readRequest reads one request to its end and returns its id.
--- a/internal/agent/upstream/reuse_test.go
+++ b/internal/agent/upstream/reuse_test.go
@@ -8,68 +8,69 @@
 	"martenbeam/balancer"
 )
 
-// TestIdleTimesThatOftenBreakAreNotReused: some backends drop idle connections long before the settings' time, without a
-// sign (ticket 8488). Once a few requests were lost on connections that had been idle for so long, such connections are
-// closed unused; younger ones are still used.
+// TestIdleTimesThatOftenBreakAreNotReused: some backends drop idle connections long before the idle time in the settings,
+// without closing them (ticket 8488). After a few resets on connections of one idle time, connections that have been idle
+// for this long are closed unused. Connections with shorter idle times are still used.
 func TestIdleTimesThatOftenBreakAreNotReused(t *testing.T) {
-	answers := make(chan string, 100)
-	s := startRawBackend(t, func(int) string { return <-answers })
-	b := poolWithBackend(t, s.addr)
-	attempt := func(idle time.Duration, answer string) (balancer.Result, *pooledConn) {
+	responses := make(chan string, 100)
+	backend := startRawBackend(t, func(int) string { return <-responses })
+	pool := poolWithBackend(t, backend.addr)
+	attempt := func(idle time.Duration, response string) (balancer.Result, *pooledConn) {
 		t.Helper()
 		var old *pooledConn
 		if idle > 0 {
-			old = b.idle["s"][0]
+			old = pool.idle["s"][0]
 			old.idleSince = time.Now().Add(-idle)
 		}
-		answers <- answer
-		result, _, _ := attemptOn(t, b, context.Background(), "x")
+		responses <- response
+		result, _, _ := attemptOn(t, pool, context.Background(), "x")
 		return result, old
 	}
 	const old, young = 20 * time.Second, time.Second
-	lost := 0
-	for ; lost < 20; lost++ {
+	resets := 0
+	for ; resets < 20; resets++ {
 		if result, _ := attempt(0, ok200); result != balancer.OK {
-			t.Fatalf("on a new connection: %v", result)
+			t.Fatalf("result on a new connection: %v", result)
 		}
-		if result, c := attempt(young, ok200); result != balancer.OK || b.idle["s"][0] != c {
-			t.Fatalf("the young connection was not used, or %v", result)
+		if result, c := attempt(young, ok200); result != balancer.OK || pool.idle["s"][0] != c {
+			t.Fatalf("the young connection was not reused, or its result was not OK: %v", result)
 		}
-		b.mu.Lock()
-		doubtful := b.reuseStats.unreliable(old)
-		b.mu.Unlock()
-		if doubtful {
+		pool.mu.Lock()
+		oldUnreliable := pool.reuseStats.unreliable(old)
+		pool.mu.Unlock()
+		if oldUnreliable {
 			break
 		}
 		if result, _ := attempt(old, ""); result != balancer.Reset {
-			t.Fatalf("on the old connection: %v", result)
+			t.Fatalf("result on the old connection: %v", result)
 		}
 	}
-	if lost < 2 || lost > 5 {
-		t.Errorf("%d requests lost before old connections were doubted", lost)
+	if resets < 2 || resets > 5 {
+		t.Errorf("%d resets before old connections became unreliable, want 2 to 5", resets)
 	}
-	if result, c := attempt(old, ok200); result != balancer.OK || c.Err() == nil || b.idle["s"][0] == c {
-		t.Errorf("an old connection was used again, or %v", result)
+	if result, c := attempt(old, ok200); result != balancer.OK || c.Err() == nil || pool.idle["s"][0] == c {
+		t.Errorf("an old connection was reused, or the result was not OK: %v", result)
 	}
-	b.reuseStats.decay(10 * reuseHalfLife)
-	if b.reuseStats.unreliable(old) {
-		t.Error("doubted for ever")
+	pool.reuseStats.decay(10 * reuseHalfLife)
+	if pool.reuseStats.unreliable(old) {
+		t.Error("old connections are still unreliable after ten half-lives")
 	}
 }
 
-// TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes: if new connections break as often, idle time is not the reason.
+// TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes: if new connections break as often as idle ones, the idle time is
+// not the cause.
 func TestBreaksOfNewConnectionsDoNotCountAgainstIdleOnes(t *testing.T) {
-	var r reuseStats
+	var stats reuseStats
 	for i := range 400 {
-		r.record(0, i%5 == 0)
-		r.record(100*time.Millisecond, i%5 == 0)
+		stats.record(0, i%5 == 0)
+		stats.record(100*time.Millisecond, i%5 == 0)
 	}
-	if r.unreliable(100 * time.Millisecond) {
-		t.Error("idle connections are doubted, though new ones break as often")
+	if stats.unreliable(100 * time.Millisecond) {
+		t.Error("idle connections are unreliable, although new ones break as often")
 	}
 }
 
-// TestCloseExpiredWithMinimalIdleTime: the smallest idle time that the settings allow must not stop the program.
+// TestCloseExpiredWithMinimalIdleTime: the smallest idle time that the settings allow must not cause a panic.
 func TestCloseExpiredWithMinimalIdleTime(t *testing.T) {
 	cfg := testConfig()
 	cfg.IdleClose = 1
