--- a/internal/agent/admin/calls.go
+++ b/internal/agent/admin/calls.go
@@ -23,7 +23,7 @@
 	"/_lameduck/off":    http.MethodPut,
 }
 
-// ServeHTTP carries out one call and responds to it. It takes effect only after the call has arrived completely.
+// ServeHTTP carries out one call and responds to it. The call takes effect only after it has arrived completely.
 func (s *Server) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	body, ok := readCall(w, request)
 	if !ok {
@@ -113,8 +113,8 @@
 	}
 }
 
-// record stores a call that has taken effect, for the successor of this process. It reports false if the call could not
-// be stored before ctx was done.
+// record stores a call for the successor of this process. It reports false if the call could not be stored before ctx was
+// done.
 func (s *Server) record(ctx context.Context, override handover.Override) bool {
 	if s.Record == nil {
 		return true
@@ -128,7 +128,7 @@
 }
 
 // respond sends a success response if the call was recorded, and an error response if the call could not be recorded in
-// time. In the second case the call stays in effect in this process, and is recorded as soon as possible.
+// time. An unrecorded call stays in effect in this process, and is recorded as soon as possible.
 func (s *Server) respond(w http.ResponseWriter, recorded bool) {
 	if recorded {
 		s.respondOK(w)
--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -4,8 +4,9 @@
 //
 // Ownership: the server owns its listener and its connections, each with a read loop that Run waits for. It keeps no
 // state of the agent: the Agent carries out a call, and Record records it before the server responds with success.
-// net/http's goroutines serve several calls at the same time. A response reflects the state at the time of the call, and
-// is sent within AnswerTimeout of it.
+// net/http's goroutines serve several calls at the same time. A response reflects the state at the time of the call.
+// AnswerTimeout bounds the time between the arrival of a call and its response, except for a write of the record that is in
+// progress when AnswerTimeout expires.
 package admin
 
 // This file implements the server's listener, limits and shutdown.
@@ -97,8 +98,8 @@
 // connKey is the key of the connection in a request's context.
 type connKey struct{}
 
-// Run serves calls until ctx is done. It then finishes the calls that have arrived completely, and returns. It may be
-// called only once.
+// Run serves calls until ctx is done. It then finishes the calls that have arrived completely, for up to
+// AnswerTimeout, closes the remaining connections, and returns. It may be called only once.
 func (s *Server) Run(ctx context.Context) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/agent/clientconn/close.go
+++ b/internal/agent/clientconn/close.go
@@ -17,11 +17,12 @@
 	return c.closeSocket(linger)
 }
 
-// shouldLinger reports whether a response was written that the client may not have read yet. The caller holds mu.
+// shouldLinger reports whether the client may still have to read a response: part of a response was written, the read loop
+// has not ended, and this side has not closed the connection. The caller holds mu.
 func (c *Conn) shouldLinger() bool { return c.written && !c.readDone && !c.closing }
 
-// closeSocket closes the socket. If linger is set, it shuts down only the sending side and lets the read loop close the
-// socket. The caller does not hold mu.
+// closeSocket closes the socket. If linger is set, closeSocket shuts down only the sending side, and the read loop closes
+// the socket later; if the shutdown fails, closeSocket closes the socket at once. The caller does not hold mu.
 func (c *Conn) closeSocket(linger bool) error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); linger && ok && half.CloseWrite() == nil &&
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
--- a/internal/agent/clientconn/close_test.go
+++ b/internal/agent/clientconn/close_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// If the client never closes, the read loop reads a closed connection for lingerTimeout, and then closes the socket.
+// If the client never closes its side, the read loop continues for lingerTimeout after Close, and then closes the socket.
 func TestLingeringConnectionIsClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
@@ -24,7 +24,7 @@
 		closedAt := time.Now()
 		c.Close()
 		if <-done; time.Since(closedAt) != lingerTimeout {
-			t.Errorf("connection closed after %v, want lingerTimeout", time.Since(closedAt))
+			t.Errorf("connection closed after %v, want lingerTimeout (500 ms)", time.Since(closedAt))
 		}
 		if _, err := server.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 			t.Errorf("write after the lingering: error %v, want io.ErrClosedPipe", err)
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -12,9 +12,9 @@
 //     owner: the handler of the next complete request (Claim), or the function that closes it (EvictIdle, CloseIdle).
 //
 // Freshness: what Conn reports about requests includes the bytes that are unread in the kernel at the time of the call.
-// A disconnect behind unread bytes is detected up to disconnectCheckInterval late, any other disconnect by the read that
-// returns it. IdleConns has a connection's state as of net/http's latest ConnState callback, and checks the Conn itself
-// before it closes a connection.
+// The read loop detects a disconnect when its read of the socket fails. While the loop is paused, it checks for a
+// disconnect every disconnectCheckInterval instead. IdleConns has a connection's state as of net/http's latest ConnState
+// callback, and checks the Conn itself before it closes a connection.
 package clientconn
 
 import (
--- a/internal/agent/clientconn/conn_test.go
+++ b/internal/agent/clientconn/conn_test.go
@@ -67,7 +67,7 @@
 		}
 		c.readDeadline = time.Time{}
 		if n, err := c.Read(make([]byte, 10)); n != 1 || err != nil || !c.RequestInProgress() {
-			t.Errorf("server read %d bytes, error %v: want 1 byte and a request in progress", n, err)
+			t.Errorf("server read %d bytes, error %v; want 1 byte, no error and a request that is still in progress", n, err)
 		}
 	})
 	t.Run("two complete requests read by the server", func(t *testing.T) {
--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -21,7 +21,7 @@
 
 // idleConn is the state of one connection in the set.
 type idleConn struct {
-	idleAt             time.Time // when it entered the set
+	idleAt             time.Time // when the connection entered the set
 	beforeFirstRequest bool      // no request has been served on it yet
 }
 
@@ -34,8 +34,8 @@
 	return i.idleAt.Before(other.idleAt)
 }
 
-// MinIdleTime is how long a connection must have been idle before it may be evicted to free its slot. A client that is
-// going to send a request does so sooner.
+// MinIdleTime is how long a connection must have been idle before it may be evicted to free its slot. A client that
+// has a request to send sends it within this time.
 const MinIdleTime = 150 * time.Millisecond
 
 // NewIdleConns returns an empty set.
@@ -94,9 +94,10 @@
 	delete(ic.conns, oldest)
 }
 
-// CloseIdle closes the connections that have been idle for idleTimeout, and the connections that have been open for
-// firstRequestTimeout without a request; a firstRequestTimeout below 0 leaves the latter open. A connection on which part
-// of a request has arrived, read or unread, stays open: otherwise the client would get no response to its request.
+// CloseIdle closes the connections that have been idle for idleTimeout since their latest response, and the connections
+// that have been open for firstRequestTimeout without a request. If firstRequestTimeout is negative, CloseIdle closes no
+// connection that waits for its first request. A connection on which part of a request has arrived, read or unread, stays
+// open: otherwise the client would get no response to its request.
 func (ic *IdleConns) CloseIdle(idleTimeout, firstRequestTimeout time.Duration) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -111,7 +112,7 @@
 		if clientConn, ok := c.(*Conn); !ok {
 			c.Close()
 		} else if !clientConn.closeUnlessInRequest() {
-			continue // net/http reports a request only once its header is complete
+			continue // part of a request has arrived; net/http reports a request only once the header is complete
 		}
 		delete(ic.conns, c)
 	}
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -12,11 +12,12 @@
 	"martenbeam/internal/tcpinfo"
 )
 
-// errOverflowed is what the server's next read returns after bytes were discarded: what follows them can't be parsed.
+// errOverflowed is the error of the server's reads after an overflow: bytes were discarded, so the bytes that follow can't
+// be parsed.
 var errOverflowed = errors.New("the client sends more than one request at a time")
 
-// disconnectCheckInterval is how often the read loop checks whether a client has disconnected while bytes of the client are
-// unread in the kernel.
+// disconnectCheckInterval is how often the read loop checks whether the client has disconnected while the loop is paused
+// because the buffer is full.
 const disconnectCheckInterval = 25 * time.Millisecond
 
 // readLoop reads the socket until a read fails with an error that is not retried.
@@ -78,7 +79,8 @@
 }
 
 // queuedBeforeAccept estimates how long the connection's first bytes were queued in the kernel before the connection was
-// accepted; it returns 0 if it can't, and for all later bytes. The caller holds mu.
+// accepted. It returns 0 if the connection was not queued or the socket does not report its time in the queue, and for all
+// bytes after the first read. The caller holds mu.
 func (c *Conn) queuedBeforeAccept() time.Duration {
 	queued, ok := c.Conn.(interface{ Queued() time.Duration })
 	if !ok || !c.lastByteAt.IsZero() || queued.Queued() == 0 {
--- a/internal/agent/clientconn/request.go
+++ b/internal/agent/clientconn/request.go
@@ -76,7 +76,7 @@
 	case c.responses == 0:
 		return c.acceptedAt
 	case c.firstByteAt.IsZero():
-		return time.Now() // the server has read its first byte already, together with the previous request
+		return time.Now() // the server has read the first byte together with the previous request, so its arrival was not recorded
 	}
 	return c.firstByteAt
 }
--- a/internal/agent/clientconn/retry.go
+++ b/internal/agent/clientconn/retry.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	maxRetryTime               = 3 * time.Second // limit for consecutive failures; then the connection is broken
+	maxRetryTime               = 3 * time.Second // consecutive failures over a longer time mean that the connection is broken
 	initialBackoff, maxBackoff = time.Millisecond, 20 * time.Millisecond
 )
 
--- a/internal/agent/handover/file.go
+++ b/internal/agent/handover/file.go
@@ -16,7 +16,8 @@
 
 func (s *Store) recordPath() string { return filepath.Join(s.dir, recordName) }
 
-// refresh reads the record if its file has changed. If that fails, the record stays as it was, and the next call retries.
+// refresh reads the record if its file has changed. If the read fails, the record in memory stays unchanged, and the next
+// call retries.
 // The caller holds mu.
 func (s *Store) refresh() {
 	info, err := os.Stat(s.recordPath())
--- a/internal/agent/handover/lock.go
+++ b/internal/agent/handover/lock.go
@@ -17,7 +17,7 @@
 	successorLockName = "second" // locked by a successor until it exits or becomes the primary process
 	recordLockName    = "lock"   // locked while a process changes the record
 
-	lockTimeout       = 300 * time.Millisecond // the other process only writes a small file under the lock
+	lockTimeout       = 300 * time.Millisecond // the record's lock is held only while a small file is read and written
 	lockRetryInterval = 5 * time.Millisecond
 )
 
@@ -27,8 +27,8 @@
 	return os.OpenFile(filepath.Join(s.dir, name), os.O_CREATE|os.O_RDWR, 0o600)
 }
 
-// lock opens and locks a lock file. It retries until ctx is done, for up to lockTimeout. If another process still holds the
-// lock then, the error is an *fs.PathError that wraps errLocked. Closing the file unlocks it.
+// lock opens and locks a lock file. It retries until ctx is done, for up to lockTimeout, and then returns an *fs.PathError,
+// which wraps errLocked if another process still holds the lock. Closing the file unlocks it.
 func (s *Store) lock(ctx context.Context, name string) (*os.File, error) {
 	f, err := s.open(name)
 	if err != nil {
--- a/internal/agent/handover/override.go
+++ b/internal/agent/handover/override.go
@@ -10,12 +10,13 @@
 // Override is an operator's command that stays in effect until the opposite command is issued.
 type Override struct {
 	Backend  string        // the backend's id; "": the agent itself
-	Disabled bool          // the backend is disabled, or the agent drained; false: the opposite
+	Disabled bool          // true: disable the backend or drain the agent; false: enable the backend or end the draining
 	IssuedAt time.Duration // since the machine's boot
 }
 
-// apply merges an override into the record, unless the record has a later override for the same backend. It replaces the
-// maps instead of changing them, because copies of the record share them.
+// apply merges an override into the record, unless the record has a later override for the same backend. An override of a
+// backend also removes the enablings that are older than enabledRetention. apply replaces the maps instead of changing them,
+// because copies of the record share the maps.
 func (r *Record) apply(override Override, now clockReading) {
 	id, issuedBootUs := override.Backend, override.IssuedAt.Microseconds()
 	if id == "" {
--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -31,7 +31,7 @@
 		r.apply(Override{Backend: "out", Disabled: true, IssuedAt: clocks.boot}, clocks)
 		r.apply(Override{Backend: "out", IssuedAt: clocks.boot + time.Millisecond}, later)
 		if _, stale := r.stale(later); stale || r.enabledAt("out", later) != clocks.boot+time.Millisecond {
-			t.Errorf("after a wall clock step of %v: stale %v, enabled at %v", step, stale, r.enabledAt("out", later))
+			t.Errorf("after a wall clock step of %v: stale %v, want false; enabled at %v since boot, want 1h0m0.001s", step, stale, r.enabledAt("out", later))
 		}
 		if earlier.enabledAt("back", later) > later.boot {
 			t.Errorf("after a wall clock step of %v: enabled at a time in the future", step)
@@ -39,8 +39,8 @@
 	}
 }
 
-// A record is stale once its last write is more than maxRecordAge ago, measured since boot, and after a reboot. Steps of the
-// wall clock do not matter.
+// A record is stale once its last write is more than maxRecordAge ago, and after a reboot. The age is measured since
+// boot, so steps of the wall clock do not affect it. The age of an earlier version's record is measured by the wall clock.
 func TestRecordIsStaleAfterMaxAgeOrReboot(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	at := func(boot time.Duration, wall time.Duration) Record {
@@ -61,7 +61,7 @@
 		"empty":                         {Record{}, false},
 	} {
 		if _, stale := c.record.stale(clocks); stale != c.stale {
-			t.Errorf("%s: got stale %v, want the opposite", name, stale)
+			t.Errorf("%s: stale returned %v, want the other value", name, stale)
 		}
 	}
 }
--- a/internal/agent/handover/role.go
+++ b/internal/agent/handover/role.go
@@ -37,7 +37,8 @@
 	r.markSaved(clocks)
 }
 
-// determineRole determines whether an older process runs. The caller holds mu.
+// determineRole locks the file of the primary process, or, if an older process holds that lock, the file of the successor.
+// It records whether an older process runs. The caller holds mu.
 func (s *Store) determineRole() error {
 	if s.roleDetermined {
 		return nil
--- a/internal/agent/handover/store.go
+++ b/internal/agent/handover/store.go
@@ -69,7 +69,7 @@
 }
 
 // Poll reads the record if it has changed. It returns the overrides of backends that this process has not applied yet, and
-// whether the agent is a lame duck. ok is false until the record has been read once.
+// whether the agent is a lame duck. ok is false until the record has been read once, or its file has been found missing.
 func (s *Store) Poll() (overrides []Override, lameDuck, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		if overrides, _, _ := store.Poll(); len(overrides) == 1 != row.used {
-			t.Errorf("%s: %d overrides read, want one only from a usable record", name, len(overrides))
+			t.Errorf("%s: %d overrides read, want 1 if the record is fresh and 0 otherwise", name, len(overrides))
 		}
 	}
 	if _, err := newRegistered(filepath.Join(t.TempDir(), "none"), discardLog); err == nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Poll returns the overrides that the other process has accepted, in the order of their issue, but not those that the polling
+// Poll returns the overrides that the other process has accepted since the last Poll, but no override that the polling
 // process has accepted itself.
 func TestOverridesReachBothProcesses(t *testing.T) {
 	dir := t.TempDir()
@@ -185,12 +185,12 @@
 			}
 			overrides, _, ok := s.Poll()
 			if s.Close(); !ok || len(overrides) == 1 != (cut == len(intact)) {
-				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, record read: %v", cut, next, overrides, ok)
+				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, want one only from a complete record; record read: %v, want true", cut, next, overrides, ok)
 			}
 			again, err := newRegistered(dir, discardLog)
 			record := again.LastRecord()
 			if err != nil || record.check() != nil || again.Generation() < 2 {
-				t.Fatalf("after a record truncated to %d bytes: error %v, generation %d", cut, err, again.Generation())
+				t.Fatalf("after a record truncated to %d bytes: error %v, generation %d; want no error, a valid record and at least generation 2", cut, err, again.Generation())
 			}
 			again.Close()
 		}
--- a/internal/agent/hotrestart/coordinator.go
+++ b/internal/agent/hotrestart/coordinator.go
@@ -50,8 +50,8 @@
 	hasSuccessor  bool
 }
 
-// New registers the process in the handover directory dir. It retries after transient errors until registerTimeout or the end
-// of ctx; if the registration fails, Run retries it.
+// New returns a coordinator, and registers the process in the handover directory dir. After transient errors New retries
+// until ctx is done, for up to registerTimeout. If the registration fails, Run retries the registration.
 func New(ctx context.Context, dir string, log *slog.Logger) *Coordinator {
 	c := &Coordinator{Store: handover.New(dir, log), log: log, snapshots: make(chan balancer.Snapshot, 1), startedAt: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
@@ -89,8 +89,8 @@
 	}
 }
 
-// AwaitRecord waits until the record of earlier processes has been read, but only until TimeLeft is used up or ctx is done.
-// It returns the admin calls that the earlier processes accepted.
+// AwaitRecord waits until the record of earlier processes has been read, TimeLeft has reached 0, or ctx is done. It returns
+// the admin calls that the earlier processes accepted, and whether the agent is a lame duck.
 func (c *Coordinator) AwaitRecord(ctx context.Context) (overrides []handover.Override, lameDuck bool) {
 	overrides, lameDuck, ok := c.Poll()
 	for !ok && c.TimeLeft() > 0 && ctx.Err() == nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// syncAdminCalls applies the admin calls to another process in this one, and records the calls to this process that are not
-// recorded yet.
+// syncAdminCalls applies the admin calls that another process has accepted, and records the calls that this process has
+// accepted and not recorded yet.
 func (c *Coordinator) syncAdminCalls(ctx context.Context, p Process) {
 	if err := c.Register(); err != nil {
 		return // New has logged the first failure
@@ -146,7 +146,8 @@
 	}
 }
 
-// adjustLimits reduces the process to half of the limits while another process may be running.
+// adjustLimits halves the limits of the process when a successor has started, and restores the limits when the other process
+// has ended. After the older process has ended, this process accepts all connections on the shared listener.
 func (c *Coordinator) adjustLimits(p Process) {
 	switch {
 	case c.reducedLimits && !c.hasSuccessor && c.BecomePrimary():
--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -45,8 +45,8 @@
 	return &Limited{TCPListener: l, slots: make(chan struct{}, maxConns), closed: make(chan struct{})}
 }
 
-// Reserve takes up to n free slots out of use; slots that are in use are not waited for. A negative n returns -n slots
-// to use.
+// Reserve takes up to n free slots out of use, and does not wait for slots to become free. A negative n frees -n reserved
+// slots.
 func (l *Limited) Reserve(n int) {
 	for ; n > 0; n-- {
 		select {
@@ -69,7 +69,7 @@
 func (l *Limited) Backlogged() bool { return l.backlogged.Load() }
 
 // Accept waits for a free slot and a connection, and returns the connection, a *Conn. It fails only once the listener is
-// closed, with net.ErrClosed.
+// closed; the error then is or wraps net.ErrClosed.
 func (l *Limited) Accept() (net.Conn, error) {
 	if err := l.acquireSlot(); err != nil {
 		return nil, err
--- a/internal/agent/listener/limited_test.go
+++ b/internal/agent/listener/limited_test.go
@@ -73,7 +73,7 @@
 	first := receive(t, "the first connection", accepted)
 	receive(t, "a call of OnFull", full)
 	if l.InUse() != 1 || len(accepted) != 0 {
-		t.Errorf("InUse is not 1, or connections were accepted past the limit: %d of them", len(accepted))
+		t.Errorf("at the limit of 1 connection: InUse is not 1, or %d more connections were accepted, want 0", len(accepted))
 	}
 	first.Close()
 	first.Close() // frees its slot only once
--- a/internal/agent/listener/open.go
+++ b/internal/agent/listener/open.go
@@ -2,7 +2,7 @@
 // accepted connections are open at once.
 //
 // Ownership: a listener belongs to the server that accepts from it; one goroutine calls Accept, and only that goroutine
-// uses Limited's time of the backlog. A slot belongs to the connection that uses it, and is freed when the connection is
+// uses Limited.backloggedAt. A slot belongs to the connection that uses it, and is freed when the connection is
 // closed. The results of InUse and Backlogged are as of the call, and may be out of date when they return.
 package listener
 
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// ListenTCP listens on an address, host:port. While the address is in use it retries, for up to openTimeout: the previous
-// process may still be draining on the address.
+// ListenTCP listens on an address, host:port. After transient errors ListenTCP retries until ctx is done, for up to
+// openTimeout: the address may be in use, because the previous process is still draining on it.
 func ListenTCP(ctx context.Context, address string) (*net.TCPListener, error) {
 	return listenTCP(ctx, address, nil)
 }
@@ -31,8 +31,8 @@
 }
 
 // Inherited returns a listener for the listening TCP socket that the platform keeps open and every process inherits as
-// file descriptor fd, the value of PROXY_FD. The listener uses a duplicate descriptor, and Inherited closes fd. An error
-// names PROXY_FD and states why fd can't be used.
+// file descriptor fd, the value of PROXY_FD. The listener uses a duplicate descriptor, and Inherited closes fd. After
+// transient errors Inherited retries, as Retry does. An error names PROXY_FD and states why fd can't be used.
 func Inherited(ctx context.Context, fd int) (*net.TCPListener, error) {
 	file := os.NewFile(uintptr(fd), "PROXY_FD")
 	if file == nil {
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -65,7 +65,7 @@
 	return fd, err
 }
 
-// Inherited accepts only a listening TCP socket. Closing its listener does not close the platform's descriptor.
+// Inherited accepts only a listening TCP socket. The platform's socket still listens after the returned listener is closed.
 func TestInheritedAcceptsOnlyListeningTCPSockets(t *testing.T) {
 	ln := listen(t)
 	got, err := Inherited(t.Context(), dupDescriptor(t, ln))
--- a/internal/agent/peers/transport.go
+++ b/internal/agent/peers/transport.go
@@ -14,20 +14,20 @@
 	"martenbeam/internal/agent/listener"
 )
 
-const maxDatagram = 256 // in bytes, the protocol's limit; a longer message is not sent
+const maxDatagram = 256 // in bytes, the protocol's limit; longer messages are neither sent nor passed to receive
 
 // Config is the configuration of a Transport.
 type Config struct {
 	Listen string   // UDP address of this agent
 	Addrs  []string // UDP addresses of all agents, by agent number
-	// AwaitAddr is set if an older process may still use the address. Run then binds the address once it is free; otherwise
-	// New does.
+	// AwaitAddr is set if an older process may still use the address. Run then binds the address once it is free. If
+	// AwaitAddr is not set, New binds the address.
 	AwaitAddr bool
 }
 
 // Transport sends and receives the datagrams of one agent.
 type Transport struct {
-	conn        *net.UDPConn // nil until bind has succeeded; used by Run alone
+	conn        *net.UDPConn // nil until New or bind has bound the address; after New, only Run uses it
 	localAddr   *net.UDPAddr
 	addrs       []netip.AddrPort
 	agentByAddr map[netip.AddrPort]int
@@ -36,7 +36,7 @@
 }
 
 type datagram struct {
-	to   int
+	to   int // agent number
 	data []byte
 }
 
@@ -46,8 +46,9 @@
 // readRetryDelay is the pause after a failed read.
 const readRetryDelay = time.Millisecond
 
-// New resolves the addresses, and opens the socket unless cfg.AwaitAddr leaves that to Run. While the address is in use it
-// retries until ctx is done or listener.Retry times out. An error names the field of the agent's configuration.
+// New resolves the addresses, and binds this agent's address unless cfg.AwaitAddr is set. After transient errors, such as an
+// address in use, New retries until ctx is done or listener.Retry times out. An error names the field of the agent's
+// configuration.
 func New(ctx context.Context, cfg Config, log *slog.Logger) (*Transport, error) {
 	p := &Transport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
 	for i, text := range cfg.Addrs {
@@ -106,7 +107,8 @@
 	}
 }
 
-// Run binds the address if New has not, and then sends and receives until ctx is done. It calls receive for each message.
+// Run binds the address if New has not bound it, and then sends and receives until ctx is done. It calls receive for each
+// message of at most maxDatagram bytes from an address in Config.Addrs. It may be called only once.
 func (p *Transport) Run(ctx context.Context, receive func(balancer.GossipReceived)) {
 	if !p.bind(ctx) {
 		return
--- a/internal/agent/peers/transport_test.go
+++ b/internal/agent/peers/transport_test.go
@@ -72,7 +72,7 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel() // New must not wait for the address
 	if _, err := New(cancelled, cfg, discardLog); err == nil {
-		t.Error("address in use without AwaitAddr: no error")
+		t.Error("address in use without AwaitAddr: New returned no error, want one")
 	}
 	cfg.AwaitAddr = true
 	p, err := New(t.Context(), cfg, discardLog)
