--- a/internal/agent/clientconn/idle.go
+++ b/internal/agent/clientconn/idle.go
@@ -95,7 +95,7 @@
 }
 
 // CloseIdle closes the connections that have been idle for idleTimeout since their latest response, and the connections
-// that have been open for firstRequestTimeout without a request. If firstRequestTimeout is negative, CloseIdle closes no
+// that have been open for firstRequestTimeout without a request. If firstRequestTimeout is below 0, CloseIdle closes no
 // connection that waits for its first request. A connection on which part of a request has arrived, read or unread, stays
 // open: otherwise the client would get no response to its request.
 func (ic *IdleConns) CloseIdle(idleTimeout, firstRequestTimeout time.Duration) {
--- a/internal/agent/hotrestart/coordinator.go
+++ b/internal/agent/hotrestart/coordinator.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// adjustLimits halves the limits of the process when a successor has started, and restores the limits when the other process
-// has ended. After the older process has ended, this process accepts all connections on the shared listener.
+// adjustLimits reduces the process to half of the limits when a successor has started, and restores the limits when the other
+// process has ended. After the older process has ended, this process accepts all connections on the shared listener.
 func (c *Coordinator) adjustLimits(p Process) {
 	switch {
 	case c.reducedLimits && !c.hasSuccessor && c.BecomePrimary():
