--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -57,9 +57,9 @@
 		t.Error("connection with a complete call evicted")
 	}
 	served := make(chan error, 1)
-	once := &oneConn{conn: conn, done: make(chan struct{})}
+	ln := &oneConn{conn: conn, done: make(chan struct{})}
 	s.idleConns.Track(conn, http.StateNew)
-	go func() { served <- s.server.Serve(once) }()
+	go func() { served <- s.server.Serve(ln) }()
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("response %+v, error %v, want status 200", resp, err)
 	}
--- a/internal/agent/clientconn/conn.go
+++ b/internal/agent/clientconn/conn.go
@@ -34,21 +34,21 @@
 	ctx        context.Context // cancelled once either side has closed the connection
 	cancelCtx  context.CancelFunc
 
-	mu              sync.Mutex
-	changed         sync.Cond // broadcast when a guarded field changes; Read and the read loop wait on it
-	readAhead       []byte    // read from the socket, but not yet by the server
-	readErr         error     // error for Read to return, normally once readAhead is empty
-	readDone        bool      // the last read from the socket has returned
-	closing         bool      // this side has closed the connection: bytes that still arrive are discarded
-	responsePending bool      // the current request is complete and unanswered: bytes that arrive now belong to a later request
-	overflowed      bool      // more than maxReadAhead arrived while a response was pending; the bytes past it are discarded
-	written         bool      // at least part of a response has been written
-	readDeadline    time.Time // deadline of the server's reads; zero: none
-	deadlineTimer   *time.Timer
-	firstByteAt     time.Time // arrival of the current request's first byte; zero: none has arrived
-	lastByteAt      time.Time // arrival of the latest byte that was buffered
-	responses       int       // number of requests that have been answered
-	framing                   // request boundaries in what the server has read
+	mu               sync.Mutex
+	changed          sync.Cond // broadcast when a guarded field changes; Read and the read loop wait on it
+	readAhead        []byte    // read from the socket, but not yet by the server
+	readErr          error     // error for Read to return, normally once readAhead is empty
+	readDone         bool      // the last read from the socket has returned
+	closing          bool      // this side has closed the connection: bytes that still arrive are discarded
+	responsePending  bool      // the current request is complete and unanswered: bytes that arrive now belong to a later request
+	overflowed       bool      // more than maxReadAhead arrived while a response was pending; the bytes past it are discarded
+	written          bool      // at least part of a response has been written
+	readDeadline     time.Time // deadline of the server's reads; zero: none
+	deadlineTimer    *time.Timer
+	firstByteAt      time.Time // arrival of the current request's first byte; zero: none has arrived
+	lastByteAt       time.Time // arrival of the latest byte that was buffered
+	requestsAnswered int       // number of requests that have been answered
+	framing                    // request boundaries in what the server has read
 }
 
 const (
--- a/internal/agent/clientconn/framing.go
+++ b/internal/agent/clientconn/framing.go
@@ -23,7 +23,7 @@
 	untracked                             bool   // the rest of the connection is not parsed
 	headerStarted                         bool   // the current header has a line that is not empty
 	inRequest                             bool   // part of a request has been read, but not all of it
-	requests                              int    // number read completely, except for a chunked body
+	requestsRead                          int    // number read completely, except for a chunked body
 }
 
 // maxHeaderPrefix is the number of bytes that are kept of a header line: enough for a Content-Length with its value.
@@ -90,6 +90,6 @@
 func (f *framing) finishBody() {
 	if f.bodyRemaining == 0 {
 		f.inRequest = false
-		f.requests++
+		f.requestsRead++
 	}
 }
--- a/internal/agent/clientconn/idle_test.go
+++ b/internal/agent/clientconn/idle_test.go
@@ -31,14 +31,14 @@
 		}
 		idle, other := net.Pipe()
 		defer other.Close()
-		idleClient := New(idle)
+		connWithoutRequest := New(idle)
 		// This connection has been idle for a shorter time, but it has no request, so it is evicted.
-		idleConns.conns[idleClient] = idleConn{idleAt: time.Now().Add(-time.Minute)}
+		idleConns.conns[connWithoutRequest] = idleConn{idleAt: time.Now().Add(-time.Minute)}
 		idleConns.EvictIdle()
 		if !idleConns.Claim(c) {
 			t.Errorf("request read by the server: %v: connection with the request evicted", readByServer)
 		}
-		if idleConns.Claim(idleClient) {
+		if idleConns.Claim(connWithoutRequest) {
 			t.Errorf("request read by the server: %v: idle connection not evicted", readByServer)
 		}
 		c.Close()
--- a/internal/agent/clientconn/read.go
+++ b/internal/agent/clientconn/read.go
@@ -115,7 +115,7 @@
 		switch {
 		case !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
-		case c.readErr != nil && (len(c.readAhead) == 0 || c.responsePending || c.responses > 0 || c.closing):
+		case c.readErr != nil && (len(c.readAhead) == 0 || c.responsePending || c.requestsAnswered > 0 || c.closing):
 			return 0, c.readErr
 		case len(c.readAhead) > 0:
 			n := copy(p, c.readAhead)
--- a/internal/agent/clientconn/request.go
+++ b/internal/agent/clientconn/request.go
@@ -23,7 +23,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responsePending, c.firstByteAt = false, time.Time{}
-	c.responses++
+	c.requestsAnswered++
 	if len(c.readAhead) > 0 {
 		c.markRequestStart()
 	}
@@ -57,7 +57,7 @@
 
 // mayHaveRequest is MayHaveRequest for a caller that holds mu.
 func (c *Conn) mayHaveRequest() bool {
-	return len(c.readAhead) > 0 || c.requests > c.responses || hasUnreadBytes(c.Conn)
+	return len(c.readAhead) > 0 || c.requestsRead > c.requestsAnswered || hasUnreadBytes(c.Conn)
 }
 
 // LastByteAt returns when the latest byte arrived that was buffered; zero if none has arrived.
@@ -73,7 +73,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.responses == 0:
+	case c.requestsAnswered == 0:
 		return c.acceptedAt
 	case c.firstByteAt.IsZero():
 		return time.Now() // the server has read the first byte together with the previous request, so its arrival was not recorded
--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -9,9 +9,10 @@
 // that this version stores are not affected by later steps of the wall clock.
 func TestRecordsOfAnEarlierVersionAreReadByTheWallClock(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
-	unix := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
-	earlier := Record{Format: 1, Generation: 1, SavedUnixMs: unix(time.Second), DisabledUnixMs: map[string]int64{"out": unix(time.Minute)},
-		EnabledUnixMs: map[string]int64{"back": unix(10 * time.Second)}}
+	unixMsBefore := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
+	earlier := Record{Format: 1, Generation: 1, SavedUnixMs: unixMsBefore(time.Second),
+		DisabledUnixMs: map[string]int64{"out": unixMsBefore(time.Minute)},
+		EnabledUnixMs:  map[string]int64{"back": unixMsBefore(10 * time.Second)}}
 	if _, stale := earlier.stale(clocks); stale {
 		t.Error("record written a second ago is stale")
 	}
@@ -27,7 +28,7 @@
 	}
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		later := clockReading{boot: clocks.boot + time.Second, wall: clocks.wall.Add(step)}
-		r := Record{Format: 1, Generation: 1, SavedUnixMs: unix(0), SavedBootUs: clocks.boot.Microseconds()}
+		r := Record{Format: 1, Generation: 1, SavedUnixMs: unixMsBefore(0), SavedBootUs: clocks.boot.Microseconds()}
 		r.apply(Override{Backend: "out", Disabled: true, IssuedAt: clocks.boot}, clocks)
 		r.apply(Override{Backend: "out", IssuedAt: clocks.boot + time.Millisecond}, later)
 		if _, stale := r.stale(later); stale || r.enabledAt("out", later) != clocks.boot+time.Millisecond {
--- a/internal/agent/handover/store_test.go
+++ b/internal/agent/handover/store_test.go
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	for cut := range len(intact) + 1 {
-		for _, next := range []string{"", "{", string(intact)} {
+		for _, newFileText := range []string{"", "{", string(intact)} {
 			dir := t.TempDir()
 			text := intact[:cut]
 			if cut == 0 {
@@ -176,7 +176,7 @@
 			if err := os.WriteFile(filepath.Join(dir, recordName), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(dir, recordName+".new"), []byte(next), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, recordName+".new"), []byte(newFileText), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			s, err := newRegistered(dir, discardLog)
@@ -185,14 +185,14 @@
 			}
 			overrides, _, ok := s.Poll()
 			if s.Close(); !ok || len(overrides) == 1 != (cut == len(intact)) {
-				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, want one only from a complete record; record read: %v, want true", cut, next, overrides, ok)
+				t.Fatalf("record truncated to %d bytes, %q in the new file: overrides %v, want one only at full length; record read: %v, want true", cut, newFileText, overrides, ok)
 			}
-			again, err := newRegistered(dir, discardLog)
-			record := again.LastRecord()
-			if err != nil || record.check() != nil || again.Generation() < 2 {
-				t.Fatalf("after a record truncated to %d bytes: error %v, generation %d; want no error, a valid record and at least generation 2", cut, err, again.Generation())
+			restarted, err := newRegistered(dir, discardLog)
+			record := restarted.LastRecord()
+			if err != nil || record.check() != nil || restarted.Generation() < 2 {
+				t.Fatalf("after a record truncated to %d bytes: error %v, generation %d; want no error and a valid record of generation 2 or later", cut, err, restarted.Generation())
 			}
-			again.Close()
+			restarted.Close()
 		}
 	}
 }
--- a/internal/agent/hotrestart/coordinator_test.go
+++ b/internal/agent/hotrestart/coordinator_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestAwaitRecordEndsWithStop: AwaitRecord returns without waiting for an unreadable record once its context is done.
-func TestAwaitRecordEndsWithStop(t *testing.T) {
+// TestAwaitRecordReturnsWhenCancelled: AwaitRecord returns without waiting for an unreadable record once its context is done.
+func TestAwaitRecordReturnsWhenCancelled(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	c := New(cancelled, t.TempDir()+"/none", discardLog)
--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -28,9 +28,9 @@
 	closed     chan struct{} // closed by Close
 	closeOnce  sync.Once
 	backlogged atomic.Bool
-	// backloggedAt is the time since which connections may have been waiting in the accept queue; zero: none is waiting.
-	// Only Accept uses it.
-	backloggedAt time.Time
+	// backloggedSince is the time since which connections may have been waiting in the accept queue; zero: none is
+	// waiting. Only Accept uses backloggedSince.
+	backloggedSince time.Time
 }
 
 const (
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	conn := &Conn{TCPConn: c, freeSlot: sync.OnceFunc(func() { <-l.slots })}
-	if !l.backloggedAt.IsZero() {
-		conn.queued = time.Since(l.backloggedAt)
+	if !l.backloggedSince.IsZero() {
+		conn.queued = time.Since(l.backloggedSince)
 	}
 	return conn, nil
 }
@@ -89,8 +89,8 @@
 // markBacklogged records that connections may be waiting in the accept queue from now on.
 func (l *Limited) markBacklogged() {
 	l.backlogged.Store(true)
-	if l.backloggedAt.IsZero() {
-		l.backloggedAt = time.Now()
+	if l.backloggedSince.IsZero() {
+		l.backloggedSince = time.Now()
 	}
 }
 
@@ -102,7 +102,7 @@
 		c, err := l.AcceptTCP()
 		if err == nil {
 			if time.Since(startedAt) > emptyQueueWait {
-				l.backloggedAt = time.Time{}
+				l.backloggedSince = time.Time{}
 			}
 			l.backlogged.Store(false)
 			return c, nil
--- a/internal/agent/listener/open.go
+++ b/internal/agent/listener/open.go
@@ -2,7 +2,7 @@
 // accepted connections are open at once.
 //
 // Ownership: a listener belongs to the server that accepts from it; one goroutine calls Accept, and only that goroutine
-// uses Limited.backloggedAt. A slot belongs to the connection that uses it, and is freed when the connection is
+// uses Limited.backloggedSince. A slot belongs to the connection that uses it, and is freed when the connection is
 // closed. The results of InUse and Backlogged are as of the call, and may be out of date when they return.
 package listener
 
--- a/internal/agent/listener/open_test.go
+++ b/internal/agent/listener/open_test.go
@@ -15,16 +15,19 @@
 // ListenTCP retries while the address is in use, and stops when its context is done.
 func TestListenTCPWaitsForAddressInUse(t *testing.T) {
 	old := listen(t)
-	type listened struct {
+	type listenResult struct {
 		ln  *net.TCPListener
 		err error
 	}
-	done, retryTicks := make(chan listened, 1), make(chan time.Time)
-	go func() { ln, err := listenTCP(t.Context(), old.Addr().String(), retryTicks); done <- listened{ln, err} }()
+	done, retryTicks := make(chan listenResult, 1), make(chan time.Time)
+	go func() {
+		ln, err := listenTCP(t.Context(), old.Addr().String(), retryTicks)
+		done <- listenResult{ln, err}
+	}()
 	retryTicks <- time.Now() // received after the first attempt has failed
 	retryTicks <- time.Now() // received after the second attempt has failed
 	old.Close()
-	var l listened
+	var l listenResult
 	select {
 	case retryTicks <- time.Now():
 		l = receive(t, "the listener", done)
--- a/internal/agent/peers/transport.go
+++ b/internal/agent/peers/transport.go
@@ -50,40 +50,40 @@
 // address in use, New retries until ctx is done or listener.Retry times out. An error names the field of the agent's
 // configuration.
 func New(ctx context.Context, cfg Config, log *slog.Logger) (*Transport, error) {
-	p := &Transport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
+	t := &Transport{agentByAddr: map[netip.AddrPort]int{}, sendQueue: make(chan datagram, 64), log: log}
 	for i, text := range cfg.Addrs {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		p.addrs = append(p.addrs, addr)
-		p.agentByAddr[addr] = i
+		t.addrs = append(t.addrs, addr)
+		t.agentByAddr[addr] = i
 	}
 	var err error
-	if p.localAddr, err = net.ResolveUDPAddr("udp", cfg.Listen); err != nil {
+	if t.localAddr, err = net.ResolveUDPAddr("udp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	if cfg.AwaitAddr {
-		return p, nil
+		return t, nil
 	}
-	listen := func() (*net.UDPConn, error) { return net.ListenUDP("udp", p.localAddr) }
-	if p.conn, err = listener.Retry(ctx, nil, listen); err != nil {
+	listen := func() (*net.UDPConn, error) { return net.ListenUDP("udp", t.localAddr) }
+	if t.conn, err = listener.Retry(ctx, nil, listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return p, nil
+	return t, nil
 }
 
 // bind binds the address, and retries until that succeeds. It returns false if ctx is done first.
-func (p *Transport) bind(ctx context.Context) bool {
+func (t *Transport) bind(ctx context.Context) bool {
 	ticker := time.NewTicker(bindRetryInterval)
 	defer ticker.Stop()
-	for p.conn == nil {
+	for t.conn == nil {
 		if ctx.Err() != nil {
 			return false
 		}
-		if c, err := net.ListenUDP("udp", p.localAddr); err == nil {
-			p.conn = c
-			p.log.Info("peer address bound")
+		if c, err := net.ListenUDP("udp", t.localAddr); err == nil {
+			t.conn = c
+			t.log.Info("peer address bound")
 			break
 		}
 		select {
@@ -96,31 +96,31 @@
 
 // Send queues a message to the agent with the number to. If the queue is full, Send drops the message, because datagrams may
 // be lost anyway.
-func (p *Transport) Send(to int, data []byte) {
-	if to < 0 || to >= len(p.addrs) || len(data) > maxDatagram {
-		p.log.Error("peer message not sent", "to", to, "bytes", len(data))
+func (t *Transport) Send(to int, data []byte) {
+	if to < 0 || to >= len(t.addrs) || len(data) > maxDatagram {
+		t.log.Error("peer message not sent", "to", to, "bytes", len(data))
 		return
 	}
 	select {
-	case p.sendQueue <- datagram{to, data}:
+	case t.sendQueue <- datagram{to, data}:
 	default:
 	}
 }
 
 // Run binds the address if New has not bound it, and then sends and receives until ctx is done. It calls receive for each
 // message of at most maxDatagram bytes from an address in Config.Addrs. It may be called only once.
-func (p *Transport) Run(ctx context.Context, receive func(balancer.GossipReceived)) {
-	if !p.bind(ctx) {
+func (t *Transport) Run(ctx context.Context, receive func(balancer.GossipReceived)) {
+	if !t.bind(ctx) {
 		return
 	}
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+	stop := context.AfterFunc(ctx, func() { t.conn.Close() })
 	defer stop()
 	go func() {
 		for {
 			select {
-			case datagram := <-p.sendQueue:
-				if _, err := p.conn.WriteToUDPAddrPort(datagram.data, p.addrs[datagram.to]); err != nil && ctx.Err() == nil {
-					p.log.Debug("peer message lost", "to", datagram.to, "error", err)
+			case datagram := <-t.sendQueue:
+				if _, err := t.conn.WriteToUDPAddrPort(datagram.data, t.addrs[datagram.to]); err != nil && ctx.Err() == nil {
+					t.log.Debug("peer message lost", "to", datagram.to, "error", err)
 				}
 			case <-ctx.Done():
 				return
@@ -129,7 +129,7 @@
 	}()
 	buf := make([]byte, maxDatagram+1)
 	for {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := t.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
 			return
 		}
@@ -141,7 +141,7 @@
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if sender, known := p.agentByAddr[from]; known && n <= maxDatagram {
+		if sender, known := t.agentByAddr[from]; known && n <= maxDatagram {
 			receive(balancer.GossipReceived{From: sender, Data: append([]byte(nil), buf[:n]...)})
 		}
 	}
