--- a/internal/agent/handover/record_test.go
+++ b/internal/agent/handover/record_test.go
@@ -9,9 +9,10 @@
 // that this version stores are not affected by later steps of the wall clock.
 func TestRecordsOfAnEarlierVersionAreReadByTheWallClock(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
-	unix := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
-	earlier := Record{Format: 1, Generation: 1, SavedUnixMs: unix(time.Second), DisabledUnixMs: map[string]int64{"out": unix(time.Minute)},
-		EnabledUnixMs: map[string]int64{"back": unix(10 * time.Second)}}
+	unixMsBefore := func(ago time.Duration) int64 { return clocks.wall.Add(-ago).UnixMilli() }
+	earlier := Record{Format: 1, Generation: 1, SavedUnixMs: unixMsBefore(time.Second),
+		DisabledUnixMs: map[string]int64{"out": unixMsBefore(time.Minute)},
+		EnabledUnixMs:  map[string]int64{"back": unixMsBefore(10 * time.Second)}}
 	if _, stale := earlier.stale(clocks); stale {
 		t.Error("record written a second ago is stale")
 	}
@@ -27,11 +28,11 @@
 	}
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		later := clockReading{boot: clocks.boot + time.Second, wall: clocks.wall.Add(step)}
-		r := Record{Format: 1, Generation: 1, SavedUnixMs: unix(0), SavedBootUs: clocks.boot.Microseconds()}
+		r := Record{Format: 1, Generation: 1, SavedUnixMs: unixMsBefore(0), SavedBootUs: clocks.boot.Microseconds()}
 		r.apply(Override{Backend: "out", Disabled: true, IssuedAt: clocks.boot}, clocks)
 		r.apply(Override{Backend: "out", IssuedAt: clocks.boot + time.Millisecond}, later)
 		if _, stale := r.stale(later); stale || r.enabledAt("out", later) != clocks.boot+time.Millisecond {
-			t.Errorf("after a wall clock step of %v: stale %v, enabled at %v", step, stale, r.enabledAt("out", later))
+			t.Errorf("after a wall clock step of %v: stale %v, want false; enabled at %v since boot, want 1h0m0.001s", step, stale, r.enabledAt("out", later))
 		}
 		if earlier.enabledAt("back", later) > later.boot {
 			t.Errorf("after a wall clock step of %v: enabled at a time in the future", step)
@@ -39,8 +40,8 @@
 	}
 }
 
-// A record is stale once its last write is more than maxRecordAge ago, measured since boot, and after a reboot. Steps of the
-// wall clock do not matter.
+// A record is stale once its last write is more than maxRecordAge ago, and after a reboot. The age is measured since
+// boot, so steps of the wall clock do not affect it. The age of an earlier version's record is measured by the wall clock.
 func TestRecordIsStaleAfterMaxAgeOrReboot(t *testing.T) {
 	clocks := clockReading{boot: time.Hour, wall: time.UnixMilli(1e12)}
 	at := func(boot time.Duration, wall time.Duration) Record {
@@ -61,7 +62,7 @@
 		"empty":                         {Record{}, false},
 	} {
 		if _, stale := c.record.stale(clocks); stale != c.stale {
-			t.Errorf("%s: got stale %v, want the opposite", name, stale)
+			t.Errorf("%s: stale returned %v, want the other value", name, stale)
 		}
 	}
 }
--- a/internal/agent/listener/limited.go
+++ b/internal/agent/listener/limited.go
@@ -28,9 +28,9 @@
 	closed     chan struct{} // closed by Close
 	closeOnce  sync.Once
 	backlogged atomic.Bool
-	// backloggedAt is the time since which connections may have been waiting in the accept queue; zero: none is waiting.
-	// Only Accept uses it.
-	backloggedAt time.Time
+	// backloggedSince is the time since which connections may have been waiting in the accept queue; zero: none is
+	// waiting. Only Accept uses backloggedSince.
+	backloggedSince time.Time
 }
 
 const (
@@ -45,8 +45,8 @@
 	return &Limited{TCPListener: l, slots: make(chan struct{}, maxConns), closed: make(chan struct{})}
 }
 
-// Reserve takes up to n free slots out of use; slots that are in use are not waited for. A negative n returns -n slots
-// to use.
+// Reserve takes up to n free slots out of use, and does not wait for slots to become free. A negative n frees -n reserved
+// slots.
 func (l *Limited) Reserve(n int) {
 	for ; n > 0; n-- {
 		select {
@@ -69,7 +69,7 @@
 func (l *Limited) Backlogged() bool { return l.backlogged.Load() }
 
 // Accept waits for a free slot and a connection, and returns the connection, a *Conn. It fails only once the listener is
-// closed, with net.ErrClosed.
+// closed; the error then is or wraps net.ErrClosed.
 func (l *Limited) Accept() (net.Conn, error) {
 	if err := l.acquireSlot(); err != nil {
 		return nil, err
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	conn := &Conn{TCPConn: c, freeSlot: sync.OnceFunc(func() { <-l.slots })}
-	if !l.backloggedAt.IsZero() {
-		conn.queued = time.Since(l.backloggedAt)
+	if !l.backloggedSince.IsZero() {
+		conn.queued = time.Since(l.backloggedSince)
 	}
 	return conn, nil
 }
@@ -89,8 +89,8 @@
 // markBacklogged records that connections may be waiting in the accept queue from now on.
 func (l *Limited) markBacklogged() {
 	l.backlogged.Store(true)
-	if l.backloggedAt.IsZero() {
-		l.backloggedAt = time.Now()
+	if l.backloggedSince.IsZero() {
+		l.backloggedSince = time.Now()
 	}
 }
 
@@ -102,7 +102,7 @@
 		c, err := l.AcceptTCP()
 		if err == nil {
 			if time.Since(startedAt) > emptyQueueWait {
-				l.backloggedAt = time.Time{}
+				l.backloggedSince = time.Time{}
 			}
 			l.backlogged.Store(false)
 			return c, nil
