--- a/internal/agent/admincontrol.go
+++ b/internal/agent/admincontrol.go
@@ -34,7 +34,7 @@
 	ctx        context.Context // ends when the caller no longer waits for the result
 	backend    string
 	detach     bool
-	replicated bool          // another process of this agent accepted it
+	replicated bool          // another process of this agent accepted the call
 	madeAt     time.Duration // on the event loop's clock; 0: now
 	accepted   chan bool     // buffered, so that the event loop never blocks
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -97,8 +97,9 @@
 		Deliver: func(u discovery.Update) { a.loop.post(endpointsUpdated{u}) }})
 }
 
-// openListener opens the listener for clients, or uses the inherited one if the platform holds the listening socket. At most
-// maxAcceptedConns accepted connections are open at once; while others wait, the agent closes idle ones.
+// openListener opens the listener for clients, or uses the listening socket that the platform passes on. At most
+// maxAcceptedConns accepted connections are open at once; while more connections wait to be accepted, the agent closes idle
+// connections.
 func (a *Agent) openListener(ctx context.Context) error {
 	ln, err := a.listen(ctx)
 	if err != nil {
@@ -133,15 +134,16 @@
 // Run serves clients until stop ends, then answers the accepted requests and returns nil. It returns an error only if the
 // listener fails. All goroutines that Run starts have ended when it returns.
 func (a *Agent) Run(stop context.Context) error {
-	ctx, cancel := context.WithCancel(context.Background()) // outlives stop: all tasks keep running while the agent drains
+	// ctx outlives stop, because the agent's tasks keep running during the drain.
+	ctx, cancel := context.WithCancel(context.Background())
 	defer a.pool.Close()
 	if a.hotRestart != nil {
-		defer a.hotRestart.Close() // after all tasks: none uses the handover locks any more
+		defer a.hotRestart.Close() // after all tasks have ended, because they use the handover locks
 	}
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	if a.admin != nil { // first: the steps below may wait, and an admin call needs a reply in time, if only an error
+	if a.admin != nil { // started first: the steps below may block, but each admin call needs a reply, if only an error
 		running.Go(func() { a.admin.Run(ctx) })
 	}
 	if a.hotRestart != nil {
@@ -184,13 +186,14 @@
 func (a *Agent) applyCachedEndpoints() int {
 	if a.cfg.CachedEndpoints != nil && len(a.cfg.CachedEndpoints.Endpoints) > 0 {
 		a.loop.apply(endpointsUpdated{a.discovery.Restore(a.cfg.CachedEndpoints)})
-	} else { // an empty list, on which the balancer polls for one
+	} else { // with an empty list, the balancer polls for a list if the settings allow a watch
 		a.loop.apply(endpointsUpdated{discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateCached}}})
 	}
 	return a.pool.EndpointCount()
 }
 
-// startTasks starts the agent's goroutines. The exchange with peers runs until peersCtx ends, all others until ctx ends.
+// startTasks starts the agent's goroutines. The exchange with peers runs until peersCtx ends, the other goroutines run until
+// ctx ends.
 func (a *Agent) startTasks(ctx, peersCtx context.Context, running *sync.WaitGroup) {
 	running.Go(func() { a.loop.run(ctx) })
 	running.Go(func() { a.discovery.Run(ctx) })
--- a/internal/agent/attempttimer.go
+++ b/internal/agent/attempttimer.go
@@ -20,6 +20,7 @@
 	expired  bool
 }
 
+// arm starts the timer. It does nothing if the timer has been armed or disarmed before.
 func (t *attemptTimer) arm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/agent/clientbody.go
+++ b/internal/agent/clientbody.go
@@ -14,16 +14,17 @@
 
 // Bounds on how slowly a client may send a body.
 const (
-	clientStallTimeout = 1500 * time.Millisecond // without a byte of the body
-	minClientRate      = 48 << 10                // bytes per second; clients send 64 kB
+	clientStallTimeout = 1500 * time.Millisecond // longest wait for the next byte of a streamed body
+	minClientRate      = 48 << 10                // bytes per second; clients send 64 kB per second
 )
 
-// minThroughputReader reads a client's body and fails if the body arrives at less than minClientRate, allowance aside, or if
-// no byte arrives within maxGap. Only time spent waiting for the client counts, not time in which the backend does not read.
+// minThroughputReader reads a client's body and fails if the body arrives at less than minClientRate, not counting allowance,
+// or if no byte arrives within maxGap. Only time spent waiting for the client counts, not time in which the backend does not
+// read.
 type minThroughputReader struct {
 	source    io.Reader
 	control   *http.ResponseController
-	allowance time.Duration
+	allowance time.Duration // time granted in addition to the time that the body takes at minClientRate
 	maxGap    time.Duration // longest wait for the next byte
 	waited    time.Duration
 	received  int64
@@ -64,7 +65,7 @@
 	bodyReader := &minThroughputReader{source: httpReq.Body, control: http.NewResponseController(w),
 		allowance: f.bodyTimeLeft(httpReq), maxGap: f.maxBodyGap}
 	body, err := io.ReadAll(io.LimitReader(bodyReader, upstream.MaxBufferedBody+1))
-	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // its expiry would look like a disconnect
+	if more = len(body) > upstream.MaxBufferedBody; err == nil && !more { // an expired deadline looks like a disconnect
 		err = bodyReader.ClearDeadline()
 	}
 	if err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -20,13 +20,13 @@
 type Config struct {
 	Name            string
 	Listen          string // address for clients
-	Discovery       string
+	Discovery       string // address of discovery
 	AdminAddr       string // address for admin calls; "": none
 	ListenFD        int    // descriptor of the listening socket that the platform passes on; 0: none, the agent listens on Listen
 	HandoverDir     string // directory through which the processes of one agent hand over state
 	Seed            uint64
 	Cores           float64
-	MemoryMB        int
+	MemoryMB        int    // memory limit in MiB; 0: none
 	MaxDescriptors  int    // file descriptors that the process may have open; 0: defaultDescriptors
 	DialFrom        string // local IP address for connections to backends; "": the system chooses
 	PeerListen      string
@@ -77,8 +77,8 @@
 	return c, nil
 }
 
-// ReloadDiscovery reads the configuration again and returns the current address of discovery. Here the text takes
-// precedence over PROXY_DISCOVERY, which has the address from the start of the process.
+// ReloadDiscovery reads the configuration again and returns the current address of discovery. It takes the address from the
+// text and ignores PROXY_DISCOVERY, which has the address from the start of the process.
 func (s Source) ReloadDiscovery() (string, error) {
 	getenv := s.Getenv
 	s.Getenv = func(name string) string {
@@ -94,7 +94,8 @@
 	return c.Discovery, nil
 }
 
-// halfLimits returns a copy of the configuration with half of the limits, for each of two processes of one agent.
+// halfLimits returns a copy of the configuration with half of the descriptors and of the memory, for each of two processes of
+// one agent.
 func (c *Config) halfLimits() *Config {
 	half := *c
 	half.MaxDescriptors = cmp.Or(c.MaxDescriptors, defaultDescriptors) / 2
@@ -102,7 +103,8 @@
 	return &half
 }
 
-// LimitMemory makes the garbage collector run well before the process reaches the memory limit, at which it would be killed.
+// LimitMemory makes the garbage collector keep the process below three quarters of the memory limit, if it can. At the limit
+// itself the process would be killed.
 func (c *Config) LimitMemory() {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4)
--- a/internal/agent/descriptors.go
+++ b/internal/agent/descriptors.go
@@ -5,13 +5,14 @@
 // rarely has more than one attempt in flight, so clients and backends get equal shares. The remaining tenth of the shared
 // part serves to accept clients beyond their share, in order to reject their requests and disconnect them.
 const (
-	minDescriptors       = 64
-	reservedDescriptors  = 24
-	defaultDescriptors   = 1024
-	minSharedDescriptors = 8  // lower bound, also when two processes share a small limit
-	maxAdminConns        = 12 // concurrent admin calls, if there is an admin listener
+	minDescriptors       = 64   // smallest limit that the configuration may set
+	reservedDescriptors  = 24   // for the process's own files, discovery and peers
+	defaultDescriptors   = 1024 // limit if the configuration sets none
+	minSharedDescriptors = 8    // lower bound, also when two processes share a small limit
+	maxAdminConns        = 12   // concurrent admin calls, if there is an admin listener
 )
 
+// sharedDescriptors returns how many of limit descriptors clients and backends share. A limit of 0 means defaultDescriptors.
 func sharedDescriptors(limit int) int {
 	if limit == 0 {
 		limit = defaultDescriptors
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -11,7 +11,7 @@
 // the longest deadline, which counts as 3 s if it is longer.
 const (
 	acceptWindowAfterStop    = 450 * time.Millisecond // the agent accepts new connections for at least this time
-	drainFirstRequestTimeout = 250 * time.Millisecond // afterwards, a connection without a byte is closed at this age
+	drainFirstRequestTimeout = 250 * time.Millisecond // after the accept window, a connection without a byte is closed at this age
 	maxDrainDeadline         = 3 * time.Second        // cap on the longest deadline
 	drainSlack               = 600 * time.Millisecond // after the longest deadline, for writing the last replies
 	drainPollInterval        = 5 * time.Millisecond
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/residency/gate"
 )
 
-// eventLoop owns the balancer, its timers and the table of open requests. Only the goroutine of run uses them; all others
-// post events to the loop, which never blocks on another goroutine.
+// eventLoop owns the balancer, its timers and the table of open requests. Once run has started, only its goroutine uses these
+// three; other goroutines post events to the loop, which never blocks on another goroutine.
 type eventLoop struct {
 	cfg          *Config
 	log          *slog.Logger
@@ -28,16 +28,16 @@
 	saveSnapshot func(balancer.Snapshot) // passes state to the next process; nil: no process replaces this one
 
 	residency        gate.Enforcer // nil: no residency policy
-	policyGeneration int           // of the policy table that the balancer has
+	policyGeneration int           // generation of the policy table that the balancer has
 
 	events           chan event
-	calls            chan *adminCall // by operators; the balancer gets them ahead of events
+	calls            chan *adminCall // admin calls, which the balancer gets before the pending events
 	openCalls        map[int64]*adminCall
 	stopped          chan struct{}
 	ready            atomic.Bool
 	lameDuck         atomic.Bool   // operators drain the agent
 	reportedLameDuck bool          // lameDuck as last passed to the balancer
-	margin           time.Duration // before the client's deadline, at which attempts end
+	margin           time.Duration // attempts are cancelled this long before the client's deadline
 	requests         map[string]*request
 	timers           timerHeap
 	pending          []balancer.Event // for the next step
@@ -58,8 +58,8 @@
 	return &eventLoop{cfg: cfg, log: log, clock: clk, balancer: b, pool: pool, subscribe: func() {},
 		events: make(chan event, 1024), calls: make(chan *adminCall), openCalls: map[int64]*adminCall{},
 		stopped: make(chan struct{}),
-		// An attempt ends at the latest one tick before the client's deadline, so that the balancer gets the timeout in
-		// time to answer the client.
+		// An attempt whose response has not started is cancelled one tick before the client's deadline, so that the balancer
+		// gets the timeout in time to answer the client.
 		margin:   cfg.Settings.Tick,
 		requests: map[string]*request{}, probing: map[string]bool{}}, nil
 }
@@ -80,7 +80,9 @@
 // run passes the events that have arrived to the balancer, in at most one step per tick, until ctx ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer l.stop()
-	var calls chan *adminCall // nil until the balancer has an endpoint list; without one it would report every backend as unknown
+	// Nil until the first step, which gives the balancer its first endpoint list: without a list no backend is known, and each
+	// call would fail.
+	var calls chan *adminCall
 	stepTimer := time.NewTimer(0)
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
@@ -133,8 +135,8 @@
 	}
 }
 
-// step passes the pending events to the balancer and performs the resulting actions. It returns false without a step if no
-// event is pending, or if the last step was less than a tick ago.
+// step passes the pending events to the balancer, performs the resulting actions and returns true. If no event is pending or
+// the last step was less than a tick ago, it does neither and returns false.
 func (l *eventLoop) step() bool {
 	now := l.clock.now()
 	if now < l.lastStep+l.cfg.Settings.Tick {
@@ -152,7 +154,8 @@
 	events := l.pending
 	l.pending = nil
 	for i, pending := range events {
-		// The request has waited since it arrived. It is no longer in the table if its client has disconnected.
+		// The remaining time is computed at the step, because the request has waited for the step since its arrival. A
+		// request whose client has disconnected is no longer in the table.
 		if arrived, ok := pending.(balancer.Request); ok && l.requests[arrived.ID] != nil {
 			arrived.TimeRemaining = l.clock.at(l.requests[arrived.ID].deadline) - l.margin - now
 			events[i] = arrived
@@ -164,7 +167,7 @@
 	return true
 }
 
-// stop cancels the attempts in flight: after the loop has stopped, no client waits for them.
+// stop closes stopped and cancels the attempts in flight, because no client waits for them after the loop has stopped.
 func (l *eventLoop) stop() {
 	close(l.stopped)
 	for _, r := range l.requests {
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -24,7 +24,7 @@
 		attempt  int
 		response *upstream.Response
 	}
-	attemptEnded struct { // the attempt has ended
+	attemptEnded struct { // an attempt's outcome, and its response if there is one
 		*request
 		outcome  balancer.Outcome
 		response *upstream.Response
@@ -88,7 +88,7 @@
 	}
 	l.counts.disconnected++
 	l.respond(e.request, reply{})
-	if e.upstream.IsStreamed() && !e.upstream.Upload.IsComplete() { // the upload can't go on, through no fault of the backend
+	if e.upstream.IsStreamed() && !e.upstream.Upload.IsComplete() { // the upload can't continue, which is not a failure of the backend
 		for _, cancel := range e.cancels {
 			cancel(upstream.ErrCancelled)
 		}
@@ -97,8 +97,8 @@
 	l.removeIfDone(e.request)
 }
 
-// applyTo answers a request that the balancer has not answered by its deadline. The balancer should never miss a deadline; if
-// it does, the client still gets a reply, and an error is logged.
+// applyTo answers a request that the balancer has not answered by the request's deadline. The balancer should never miss a
+// deadline; if it does, the client still gets a reply, and the loop logs an error.
 func (e deadlineExceeded) applyTo(l *eventLoop) {
 	if e.finished {
 		return
@@ -119,7 +119,8 @@
 	}
 }
 
-// applyTo queues the event for the balancer if other goroutines may post its kind; the loop creates all other kinds itself.
+// applyTo queues the event for the balancer if other goroutines may post its kind. It drops all other kinds, which only the
+// loop creates.
 func (e balancerEvent) applyTo(l *eventLoop) {
 	switch posted := e.Event.(type) {
 	case balancer.ProbeResult:
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -17,19 +17,19 @@
 )
 
 // frontend is the server for clients: it reads and checks their requests, posts them to the event loop and writes the
-// replies. It rejects only invalid requests and those over the limit; all other decisions are the balancer's.
+// replies. It answers only invalid requests and requests over the limit without the balancer, which decides on all others.
 type frontend struct {
 	cfg          *Config
 	loop         *eventLoop
 	server       *http.Server
-	maxOpen      atomic.Int64 // bound on open requests; with more connections than this, each reply closes its connection
+	maxOpen      atomic.Int64 // bound on open requests; with more open connections than maxOpen, each reply closes its connection
 	openRequests atomic.Int64
 	classIndex   map[string]int
-	bodyTimeout  time.Duration // for a small body to arrive, counted from the request's first byte; tests change it
-	maxBodyGap   time.Duration // for the body's next byte; tests change it
+	bodyTimeout  time.Duration // time for a small body to arrive, counted from the request's first byte; tests change it
+	maxBodyGap   time.Duration // longest wait for the body's next byte; tests change it
 
 	accepting     atomic.Bool  // for admin calls: the agent accepts clients' requests
-	drainDeadline atomic.Int64 // for replies to all accepted requests, on the event loop's clock; 0: not stopping
+	drainDeadline atomic.Int64 // when all replies are due, in nanoseconds on the event loop's clock; 0: not stopping
 
 	residency gate.Enforcer // nil: no residency policy
 
@@ -78,7 +78,8 @@
 	return f
 }
 
-// setLimit sets how many requests may be open at once, and how many connections the frontend keeps open.
+// setLimit sets how many requests may be open at once, and how many connections the frontend keeps open after a reply.
+// Site.MaxOpen, if set, caps both.
 func (f *frontend) setLimit(limit int) {
 	if f.cfg.Site.MaxOpen > 0 {
 		limit = min(limit, f.cfg.Site.MaxOpen)
@@ -94,7 +95,8 @@
 	return c
 }
 
-// lastByteAt returns when a request's most recent byte arrived.
+// lastByteAt returns when a request's most recent byte arrived, or the current time if this frontend did not accept its
+// connection.
 func lastByteAt(httpReq *http.Request) time.Time {
 	if c := clientConnOf(httpReq); c != nil {
 		return c.LastByteAt()
@@ -123,7 +125,7 @@
 	}
 }
 
-// atCapacity reports whether more connections are open than the frontend keeps open.
+// atCapacity reports whether more than maxOpen connections are open.
 func (f *frontend) atCapacity() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,9 +159,9 @@
 	}
 	client := clientConnOf(httpReq)
 	if client != nil && !f.idleConns.Claim(client) {
-		panic(http.ErrAbortHandler)
+		panic(http.ErrAbortHandler) // the connection has been closed as idle
 	}
-	// Checked here as well, because the context of a pipelined request ends slightly after its client has disconnected.
+	// This check is needed because the context of a pipelined request ends slightly after its client has disconnected.
 	if client != nil && client.Context().Err() != nil {
 		f.writeReply(w, httpReq, reply{})
 		return
@@ -188,7 +190,7 @@
 	w.WriteHeader(status)
 }
 
-// readRequest reads and checks a request. It answers an invalid one and returns nil.
+// readRequest reads and checks a request. It answers an invalid request with an error and returns nil.
 func (f *frontend) readRequest(w http.ResponseWriter, httpReq *http.Request) *request {
 	err := checkFraming(httpReq)
 	var r *request
@@ -241,8 +243,8 @@
 	}
 }
 
-// finishUpload stops reading a streamed body that is not complete. It also renews the write deadline, because the upload may
-// have used most of the time.
+// finishUpload stops reading a streamed body that is not complete. It also renews the connection's write deadline, because the
+// upload may have used most of the time until the old one.
 func (f *frontend) finishUpload(w http.ResponseWriter, upload *upstream.Upload) {
 	control := http.NewResponseController(w)
 	if !upload.IsComplete() {
@@ -253,8 +255,8 @@
 	_ = control.SetWriteDeadline(time.Now().Add(f.server.WriteTimeout))
 }
 
-// bodyTimeLeft returns the time left for a small body. A client may take 2 s for a header and split its bytes anywhere; one
-// that never sends a complete request is disconnected within 3 s of connecting.
+// bodyTimeLeft returns the time left for a small body. A client may take 2 s for a header and split its bytes anywhere. A
+// client that never sends a complete request is disconnected within 3 s of connecting.
 func (f *frontend) bodyTimeLeft(httpReq *http.Request) time.Duration {
 	if c := clientConnOf(httpReq); c != nil {
 		return f.bodyTimeout - time.Since(c.RequestStartedAt())
@@ -269,11 +271,11 @@
 	}
 }
 
-// awaitReply posts a request to the event loop and waits for the reply.
+// awaitReply posts a request to the event loop and waits for the reply. It returns a failure if the event loop stops first.
 func (f *frontend) awaitReply(httpReq *http.Request, r *request) reply {
 	f.loop.post(requestArrived{r})
-	// The first step after the arrival answers a request with less than a tick left. Half of the answer grace leaves time
-	// for this step after the deadline.
+	// A request that arrives less than a tick before its deadline is answered by the balancer's next step. Half of the
+	// answer grace leaves time for this step after the deadline.
 	deadlineTimer := time.NewTimer(time.Until(r.deadline) + f.cfg.Settings.AnswerGrace/2)
 	defer deadlineTimer.Stop()
 	disconnected := httpReq.Context().Done()
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -30,8 +30,8 @@
 	c.ShareLimits(restartedProcess{a})
 }
 
-// restoreState restores the state that earlier processes of this agent recorded. It is called before the event loop runs.
-// The admin calls that earlier processes accepted apply here too, so clients wait while the record can't be read.
+// restoreState restores the state that earlier processes of this agent recorded. Run calls it before the event loop starts.
+// The admin calls that earlier processes accepted apply to this process too, so clients wait while the record can't be read.
 func (a *Agent) restoreState(stop context.Context) {
 	calls, lameDuck := a.hotRestart.AwaitRecord(stop)
 	record := a.hotRestart.LastRecord() // read again: the older process may have updated the record
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -15,9 +15,9 @@
 	id            string
 	class         int
 	upstream      *upstream.Request
-	deadline      time.Time     // when the client stops waiting
+	deadline      time.Time     // the client's deadline
 	timeout       time.Duration // from the request's last byte to the deadline
-	sizeHint      time.Duration
+	sizeHint      time.Duration // expected work, from X-Size-Hint; 0: unknown
 	clientRetry   bool
 	key           uint64        // hash of the session, for affinity; 0: none
 	residencyRule int           // 0: none
--- a/internal/agent/parseconfig.go
+++ b/internal/agent/parseconfig.go
@@ -60,7 +60,7 @@
 	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// The balancer spreads its polls over parts of PollInterval.
+	// The balancer waits for fractions of PollInterval between polls, so this cap bounds these waits too.
 	c.Settings.PollInterval = min(c.Settings.PollInterval, discovery.PropagationDeadline)
 	if err := c.checkSettings(); err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkAddresses checks the addresses, and reads the inherited listening socket from PROXY_FD.
+// checkAddresses checks the addresses. It also sets ListenFD from PROXY_FD, and HandoverDir if PROXY_FD is set.
 func (c *Config) checkAddresses(getenv func(string) string) error {
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
--- a/internal/agent/reply.go
+++ b/internal/agent/reply.go
@@ -76,9 +76,9 @@
 // minUpstreamRate is the lowest rate of a response in bytes per second. Every working backend sends far faster.
 const minUpstreamRate = 1 << 10
 
-// isTooSlow reports whether a backend sends at less than minUpstreamRate on average, StallTimeout aside. Without this bound
-// a trickling response might never end: the client's deadline applies only to the first bytes of a streaming response, so
-// that a response that still makes progress is not truncated.
+// isTooSlow reports whether a backend sends at less than minUpstreamRate on average, not counting StallTimeout. Without this
+// bound a trickling response might never end, because the client's deadline applies only to the first bytes of a streaming
+// response, so that a response is not truncated while it is still arriving.
 func isTooSlow(waited time.Duration, received int64) bool {
 	return waited > upstream.StallTimeout+time.Duration(received)*time.Second/minUpstreamRate
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/wire"
 )
 
-// inputError is the reply to a request that can't be forwarded. Its status always means 'failed', never that a retry is
-// harmless.
+// inputError is the reply to a request that can't be forwarded. Its status always means 'failed' and gives no permission to
+// retry.
 type inputError struct {
 	status int
 	text   string
@@ -33,7 +33,7 @@
 	if c := clientConnOf(httpReq); c != nil && c.Ambiguous() {
 		return badRequest("both Content-Length and Transfer-Encoding")
 	}
-	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding here and would parse the body as a request
+	if !httpReq.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding in HTTP/1.0 and would parse the body as a request
 		return &inputError{http.StatusHTTPVersionNotSupported, "this takes HTTP/1.1"}
 	}
 	return nil
@@ -53,7 +53,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // reply before the platform kills the process
+	if deadline := time.Duration(f.drainDeadline.Load()); deadline != 0 { // the platform kills the process soon after it
 		r.timeout = max(0, min(r.timeout, deadline-f.loop.clock.now()))
 	}
 	// A client's deadline counts from the last byte of its request.
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -19,9 +19,9 @@
 	"martenbeam/internal/agent/listener"
 )
 
-// Serve runs the agent that source describes until SIGTERM or an interrupt. It sets process-wide limits and signals.
+// Serve runs the agent that source describes until SIGTERM or an interrupt. It sets process-wide limits and signal handlers.
 func Serve(log *slog.Logger, source Source) error {
-	// Registered until the program ends, because an unhandled SIGHUP would kill it.
+	// SIGHUP stays handled until the program ends, because an unhandled SIGHUP would kill the program.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a broken log pipe loses only log lines
