--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil || !resp.Close {
-		t.Errorf("response with Connection: close: %v, reading the body: %v", resp.Close, err)
+		t.Errorf("response: Connection: close is %v, reading the body failed with %v; want true and no error", resp.Close, err)
 	}
 	return resp
 }
@@ -90,7 +90,7 @@
 		}
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("request after the admin calls: %+v", x)
+		t.Errorf("request after the admin calls: %+v, want status 200", x)
 	}
 }
 
@@ -114,7 +114,7 @@
 		}
 	}
 	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 200 {
-		t.Errorf("call beside idle connections: %+v", resp)
+		t.Errorf("call while other connections are idle: %+v, want status 200", resp)
 	}
 	if a.loop.lameDuck.Load() {
 		t.Error("an incomplete call took effect")
@@ -180,26 +180,26 @@
 	callAdmin(t, a, putRequest("/_backends/detach", `{"target":"one"}`))
 	for range 20 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
-			t.Fatalf("%+v", x)
+			t.Fatalf("request while one backend is detached: %+v, want status 200", x)
 		}
 	}
 	if len(one.seen) != 0 {
-		t.Errorf("%d requests reached the detached backend", len(one.seen))
+		t.Errorf("%d requests reached the detached backend, want none", len(one.seen))
 	}
 	callAdmin(t, a, putRequest("/_backends/attach", `{"target":"one"}`))
 	for tries := 0; len(one.seen) == 0; tries++ {
 		if tries > 80 {
 			t.Fatal("the attached backend gets no requests")
 		}
-		<-two.seen // its channel has a bounded buffer
+		<-two.seen // keeps the channel's bounded buffer from filling up
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
-			t.Fatalf("%+v", x)
+			t.Fatalf("request after the backend was attached: %+v, want status 200", x)
 		}
 	}
 }
 
 // TestAdminListenerHasItsOwnDescriptors: the descriptors of the admin listener are not shared with clients and backends.
-// Without an admin listener none are reserved for it.
+// Without an admin listener no descriptors are reserved for it.
 func TestAdminListenerHasItsOwnDescriptors(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	cfg.MaxDescriptors = 256
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -31,15 +31,15 @@
 	x := a.do("POST", "/put//x%2Fy?q=1;2&z", "form", "Idempotency-Key", "k1", "Cookie", "sid=1",
 		"Connection", "X-Hop", "X-Hop", "1", "X-Expires-In", "40.5")
 	if x.status != 200 || x.body != "stored" || x.header.Get("X-Store") != "7" {
-		t.Fatalf("response %+v", x)
+		t.Fatalf("response %+v, want status 200, body \"stored\" and X-Store: 7", x)
 	}
 	r := receive(t, "request", got)
 	if r.RequestURI != "/put//x%2Fy?q=1;2&z" || r.Method != "POST" || <-body != "form" {
-		t.Errorf("the backend got %s %s, or another body", r.Method, r.RequestURI)
+		t.Errorf("the backend got %s %s; want POST /put//x%%2Fy?q=1;2&z with the body \"form\"", r.Method, r.RequestURI)
 	}
 	h := r.Header
 	if h.Get("Idempotency-Key") != "k1" || h.Get("Cookie") != "sid=1" || h.Get("X-Trace-Id") == "" || h.Get("X-Hop") != "" {
-		t.Errorf("the backend got header %v", h)
+		t.Errorf("the backend got header %v; want Idempotency-Key, Cookie and X-Trace-Id, but no X-Hop", h)
 	}
 	var left float64
 	if _, err := fmt.Sscan(h.Get("X-Expires-In"), &left); err != nil || left <= 0 || left > 40.5 {
@@ -54,10 +54,10 @@
 	s := startRawBackend(t, func(n int) string { return []string{cut, cut, ok200}[n] })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway || strings.Contains(x.body, "TRUNCATED") {
-		t.Errorf("non-idempotent request: %+v", x)
+		t.Errorf("non-idempotent request: %+v, want status 502 and no truncated body", x)
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || x.body != "hello" {
-		t.Errorf("idempotent request: %+v", x)
+		t.Errorf("idempotent request: %+v, want status 200 and body \"hello\"", x)
 	}
 }
 
@@ -66,7 +66,7 @@
 	s := startRawBackend(t, func(int) string { return "" })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 502", x)
 	}
 	if len(s.seen) != 1 {
 		t.Errorf("%d attempts, want 1", len(s.seen))
@@ -79,7 +79,7 @@
 		{ID: "s", Addr: unusedAddr(t), Zone: "a", Kind: "m1", State: "ready"}}})
 	a := startAgent(t, cfg)
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusServiceUnavailable {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 503", x)
 	}
 }
 
@@ -91,7 +91,7 @@
 	s := startRawBackend(t, func(int) string { <-hold; return "" })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", "2"); x.status != http.StatusGatewayTimeout {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 504", x)
 	}
 }
 
@@ -108,7 +108,7 @@
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), State: "ready"}}}))
 	const wait = 20.
 	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(wait)); x.status != http.StatusOK {
-		t.Fatalf("%+v", x)
+		t.Fatalf("response %+v, want status 200", x)
 	}
 	maxDeadline := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
 	if s, err := strconv.ParseFloat(<-advertised, 64); err != nil || s <= 0 || s > maxDeadline {
@@ -117,7 +117,8 @@
 }
 
 // TestExpiredRequestIsRejectedNotFailed: a client's retry may reach its deadline before the balancer's next step. The balancer
-// still has to reject it, because it was not executed. In a past fault the event loop failed it first, at the deadline.
+// still has to reject this request, because no backend has executed it. In a past fault the event loop failed such a request
+// at its deadline, before the balancer's step.
 func TestExpiredRequestIsRejectedNotFailed(t *testing.T) {
 	s := startRawBackend(t, func(int) string { return ok200 })
 	cfg := testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}})
@@ -125,13 +126,13 @@
 	a := startAgent(t, cfg)
 	for range 3 { // the first request may coincide with a step
 		if x := a.do("GET", "/get/x", "", "X-Expires-In", "0.000001"); x.status != http.StatusServiceUnavailable {
-			t.Errorf("%+v", x)
+			t.Errorf("response to an expired request: %+v, want status 503", x)
 		}
 	}
 }
 
 // TestClientDisconnectAbandonsRequest: when a client disconnects, its request ends with balancer.Abandoned before the attempt
-// has an outcome. The outcome that follows does no harm.
+// has an outcome. This outcome, which arrives later, does not keep the agent from serving the next request.
 func TestClientDisconnectAbandonsRequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := startRawBackend(t, func(int) string { <-hold; return ok200 })
@@ -151,7 +152,7 @@
 	eventually(t, "the request to be abandoned", func() bool { return a.frontend.openRequests.Load() == 0 })
 	close(hold)
 	if x := a.do("GET", "/get/y", ""); x.status != 200 {
-		t.Errorf("next request: %+v", x)
+		t.Errorf("next request: %+v, want status 200", x)
 	}
 }
 
@@ -165,10 +166,10 @@
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
 	receive(t, "first request", s.seen)
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "same"); x.status != http.StatusConflict {
-		t.Errorf("second request: %+v", x)
+		t.Errorf("second request: %+v, want status 409", x)
 	}
 	close(hold)
 	if x := receive(t, "first response", first); x.status != 200 {
-		t.Errorf("first request: %+v", x)
+		t.Errorf("first request: %+v, want status 200", x)
 	}
 }
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -16,7 +16,7 @@
 )
 
 // The tests in this file and in upstream/race_test.go force the rare orders of events that docs/findings/rare.md lists. None
-// of them relies on chance.
+// of these tests relies on chance.
 
 // TestClientDisconnectIsDetected: the frontend detects a disconnect whatever bytes follow the request, and however the client
 // disconnects. Bytes behind a request used to end net/http's own detection.
@@ -33,7 +33,7 @@
 				c := dial()
 				writeText(t, c, getRequest("/get/x", ""))
 				r := nextEvent[requestArrived](t, posts).request
-				writeText(t, c, extra) // a connection keeps the order of its bytes, so its end comes after these
+				writeText(t, c, extra) // a connection keeps the order of its bytes, so it ends after extra
 				if err := disconnect(c); err != nil {
 					t.Fatal(err)
 				}
@@ -43,7 +43,7 @@
 				r.reply <- reply{}
 				eventually(t, "the connection to end", f.noConnections)
 				if len(posts) != 0 {
-					t.Errorf("posted after the client had disconnected: %T", <-posts)
+					t.Errorf("posted after the client had disconnected: %T, want no event", <-posts)
 				}
 			})
 		}
@@ -62,7 +62,7 @@
 	r.reply <- reply{rejected: true}
 	eventually(t, "the connection to end", f.noConnections)
 	if len(posts) != 0 {
-		t.Errorf("posted for a pipelined request: %T", <-posts)
+		t.Errorf("posted for a pipelined request: %T, want no event", <-posts)
 	}
 }
 
@@ -83,17 +83,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// the critical order: the end of the connection is detected before the server has read the request
+	// in the critical order, the end of the connection is detected before the server has read the request
 	receive(t, "end of the connection", c.(*clientconn.Conn).Context().Done())
 	ln.conns <- c
 	served := make(chan error, 1)
 	go func() { served <- f.server.Serve(ln) }()
 	in := bufio.NewReader(near)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, error %v; want status 502", resp, err)
 	}
 	if len(l.events) != 0 {
-		t.Errorf("posted: %T", <-l.events)
+		t.Errorf("posted: %T, want no event", <-l.events)
 	}
 	_, _ = io.Copy(io.Discard, in)
 	f.server.Close()
@@ -115,8 +115,8 @@
 	return n, err
 }
 
-// TestPartialRequestKeepsConnectionFromIdleClose: a connection with part of a request is not closed as idle, whether the bytes
-// are unread, read ahead or with the server. If the connection is closed later, nothing is forwarded.
+// TestPartialRequestKeepsConnectionFromIdleClose: a connection with part of a request is not closed as idle after the server
+// has read this part. If the connection is closed later, nothing is forwarded.
 func TestPartialRequestKeepsConnectionFromIdleClose(t *testing.T) {
 	t.Run("closed before its body is complete", func(t *testing.T) {
 		f, dial, posts := startSocketFrontend(t)
@@ -141,7 +141,7 @@
 			t.Errorf("status %d, want an error or a close", resp.StatusCode) // either may come first
 		}
 		if len(posts) != 0 {
-			t.Errorf("posted: %T", <-posts)
+			t.Errorf("posted: %T, want no event", <-posts)
 		}
 	})
 }
@@ -169,7 +169,7 @@
 				t.Fatal(err)
 			}
 			if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "hello" || !resp.Close {
-				t.Errorf("body %q, error %v, Connection: close: %v", body, err, resp.Close)
+				t.Errorf("body %q, error %v, Connection: close is %v; want \"hello\", no error, true", body, err, resp.Close)
 			}
 			if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("after the response: %v, want EOF", err)
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -57,7 +57,7 @@
 	} {
 		_, err := parseConfig(build(row.field, row.value), none)
 		if err == nil || !strings.Contains(err.Error(), row.names) {
-			t.Errorf("%s = %s: error %v does not name %s", row.field, row.value, err, row.names)
+			t.Errorf("%s = %s: error %v, want one that names %s", row.field, row.value, err, row.names)
 		}
 	}
 }
@@ -66,11 +66,11 @@
 	env := map[string]string{}
 	getenv := func(name string) string { return env[name] }
 	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("without PROXY_CONFIG: error %v does not name it", err)
+		t.Errorf("without PROXY_CONFIG: error %v, want one that names PROXY_CONFIG", err)
 	}
 	env["PROXY_CONFIG"] = filepath.Join(t.TempDir(), "config.json")
 	if _, err := PlatformSource(getenv).Load(); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("with a file that does not exist: error %v does not name PROXY_CONFIG", err)
+		t.Errorf("with a file that does not exist: error %v, want one that names PROXY_CONFIG", err)
 	}
 	raw := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","settings":%s}`,
 		fmt.Sprintf(settings, "subscribe", 1000))
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Listen != "127.0.0.1:3" || cfg.Discovery != "127.0.0.1:2" || cfg.Seed != 255 || !cfg.Settings.Subscribe {
-		t.Errorf("%+v", cfg)
+		t.Errorf("configuration %+v, want listen 127.0.0.1:3, discovery 127.0.0.1:2, seed 255 and Subscribe", cfg)
 	}
 }
 
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -24,10 +24,10 @@
 	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: c.addr, servers: []discoveryMember{one.member("one")}}))
 	close(receive(t, "watch", c.watch).fail)
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
-		t.Errorf("health %+v", x)
+		t.Errorf("health check: %+v, want status 200", x)
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 || len(one.seen) != 1 {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 200 from the cached backend", x)
 	}
 	w := receive(t, "second watch", c.watch)
 	drained := one.member("one")
@@ -39,12 +39,12 @@
 	before := len(one.seen)
 	for range 20 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
-			t.Errorf("%+v", x)
+			t.Errorf("response %+v, want status 200", x)
 		}
 	}
 	// A request in flight during the update could go to the draining backend, but none was in flight.
 	if n := len(one.seen) - before; n != 0 {
-		t.Errorf("%d requests went to the draining backend", n)
+		t.Errorf("%d requests went to the draining backend, want none", n)
 	}
 }
 
@@ -55,7 +55,7 @@
 	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: c.addr}))
 	w := receive(t, "watch", c.watch)
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
-		t.Errorf("health %+v", x)
+		t.Errorf("health check: %+v, want status 503", x)
 	}
 	w.lines <- deltaLine(t, 1, s.member("s"))
 	eventually(t, "the health check to succeed", func() bool { return a.do("GET", "/_health", "").status == 200 })
@@ -63,8 +63,8 @@
 
 // TestDiscoveryReloadDuringDrain: a reload changes the address of discovery while backend x drains according to the old list,
 // and while the agent opens a connection to x for a request. If the new complete list omits x or lists x as draining, nothing
-// is sent to x, whichever list arrives first, and the request goes to another backend. The agent ignores unread updates of
-// the old address. If the new list has x as ready, x is used again.
+// is sent to x, whichever list arrives first, and the request goes to another backend. The agent ignores updates from the old
+// address that it has not read yet. If the new list has x as ready, x is used again.
 func TestDiscoveryReloadDuringDrain(t *testing.T) {
 	for _, state := range []string{"", "draining", "ready"} { // in the new complete list; "": not listed
 		for _, order := range []string{"drain, move, list", "move, drain, list", "move, list, stale update"} {
@@ -78,7 +78,7 @@
 				cfg := testConfig(t, testSetup{discovery: before.addr, servers: []discoveryMember{x.member("x")}})
 				a := startWithHook(t, cfg, now, func(a *testAgent) {
 					dialling, release = blockDials(a.pool)
-					a.discovery.Record = func(_ string, list *discoveryList) { // the watcher calls it, and reads nothing until it returns
+					a.discovery.Record = func(_ string, list *discoveryList) { // the watcher reads nothing until Record returns
 						if recorded <- list.Version; order == "move, list, stale update" && list.Version == 42 {
 							<-resume
 						}
@@ -130,7 +130,7 @@
 					w.sendLine(t, fullList)
 					eventually(t, "the new list to be read", func() bool { _, waiting := countWatchGoroutines(); return waiting == 1 })
 					staleUpdates := ""
-					for v := range int64(30) { // if the old watch still ran, it would apply each with an even chance
+					for v := range int64(30) { // an old watch that still ran would apply each update with an even chance
 						staleUpdates += deltaLine(t, 43+v, x.member("x"))
 					}
 					old.sendLine(t, staleUpdates)
@@ -140,7 +140,7 @@
 				receive(t, "end of the old watch", old.disconnected)
 				eventually(t, "the end of its goroutine", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
-				if e := receive(t, "response", result); e.status != 200 || len(y.seen) != 1 { // y records it after the lists
+				if e := receive(t, "response", result); e.status != 200 || len(y.seen) != 1 { // the request reaches y after the lists
 					t.Errorf("response %+v, %d requests at the other backend; want status 200 and 1 request", e, len(y.seen))
 				}
 				eventually(t, "the new list to be applied", func() bool { return holds(state) })
@@ -154,7 +154,7 @@
 				}
 				for range 10 {
 					if e := a.do("GET", "/get/x", ""); e.status != 200 {
-						t.Fatalf("%+v", e)
+						t.Fatalf("response %+v, want status 200", e)
 					}
 				}
 				if n, _ := up.Read(make([]byte, 1)); n != 0 || len(x.conns) != 0 {
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -44,7 +44,7 @@
 		t.Error(err)
 	}
 	if n := a.listener.InUse(); n != 0 || a.frontend.connCount != 0 || a.frontend.openRequests.Load() != 0 {
-		t.Errorf("left after the end: %d listener slots, %d client connections, %d requests", n, a.frontend.connCount, a.frontend.openRequests.Load())
+		t.Errorf("open after the agent ended: %d listener slots, %d client connections, %d requests; want none", n, a.frontend.connCount, a.frontend.openRequests.Load())
 	}
 	eventually(t, "the connections to backends to end", func() bool {
 		return a.pool.Stats().Open == 0
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "hello" || !resp.Close {
-		t.Errorf("status %d, body %q, Connection: close: %v, error %v", resp.StatusCode, body, resp.Close, err)
+		t.Errorf("status %d, body %q, Connection: close is %v, error %v; want 200, \"hello\", true, no error", resp.StatusCode, body, resp.Close, err)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the response: %v, want EOF", err)
@@ -130,7 +130,7 @@
 	queued := a.dial(t)
 	writeText(t, queued, getRequest("/get/x", ""))
 	a.startDrain(t)
-	for range 3 { // three polls of the drain; the first would have closed the listener
+	for range 3 { // three polls of the drain, none of which may close the listener
 		a.accept <- time.Now()
 	}
 	close(hold)
@@ -155,9 +155,9 @@
 	receive(t, "request", s.seen)
 	a.startDrain(t)
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("the idle connection was not closed: %v", err)
+		t.Fatalf("read on the idle connection: %v, want EOF", err)
 	}
-	_, _ = io.WriteString(c, getRequest("/get/x", "")) // crosses the close: the write may fail, and nothing is forwarded
+	_, _ = io.WriteString(c, getRequest("/get/x", "")) // this request crosses the close: the write may fail, and nothing is forwarded
 	reconnected := a.dial(t)
 	writeText(t, reconnected, getRequest("/get/x", ""))
 	expectServedAndClosed(t, reconnected)
@@ -185,11 +185,11 @@
 	receive(t, "request", s.seen)
 	a.startDrain(t)
 	after := a.dial(t)
-	writeText(t, after, getRequest("/get/x", "")) // its client would wait for a minute
+	writeText(t, after, getRequest("/get/x", "")) // without X-Expires-In, the request has its class's deadline of 60 s
 	for _, c := range []net.Conn{before, after} {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode < 500 {
-			t.Errorf("%+v, %v", resp, err)
+			t.Errorf("response %+v, error %v; want a 5xx status", resp, err)
 		}
 		c.Close()
 	}
@@ -210,7 +210,7 @@
 	accept := make(chan time.Time)
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	r := &drainingAgent{&testAgent{Agent: a, ended: make(chan error, 1)}, accept}
-	c := r.dial(t) // waits in the kernel's accept queue
+	c := r.dial(t) // this connection waits in the kernel's accept queue
 	writeText(t, c, getRequest("/get/x", ""))
 	go func() { r.ended <- a.Run(stopped) }()
 	expectServedAndClosed(t, c)
@@ -242,7 +242,7 @@
 	receive(t, "end of the event loop", a.loop.stopped)
 	close(release)
 	if resp := receive(t, "response", answered); resp.StatusCode != 200 {
-		t.Errorf("%+v", resp)
+		t.Errorf("response %+v, want status 200", resp)
 	}
 	if err := receive(t, "end of the agent", r.ended); err != nil {
 		t.Error(err)
@@ -289,7 +289,7 @@
 		t.Fatal(err)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection was not closed: %v", err)
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	lateRequest := make(chan exchange, 1)
 	go func() { lateRequest <- a.do("GET", "/get/x", "") }()
@@ -298,11 +298,11 @@
 	close(hold)
 	for _, ch := range []chan exchange{inFlight, lateRequest} {
 		if x := receive(t, "response", ch); x.status != 200 {
-			t.Errorf("%+v", x)
+			t.Errorf("response %+v, want status 200", x)
 		}
 	}
 	if err := receive(t, "end of the agent", a.ended); err != nil {
-		t.Errorf("Run returned %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
 
@@ -328,7 +328,7 @@
 		}
 		expectStatus(t, dial(), "/get/x", 503) // clients continue to send for a while
 		if _, at := readUntilClosed(idle); at.Sub(startedAt) < drainIdleTimeout || at.Sub(startedAt) > 2*time.Second {
-			t.Errorf("the idle connection was closed after %v", at.Sub(startedAt))
+			t.Errorf("the idle connection was closed after %v, want drainIdleTimeout to 2 s", at.Sub(startedAt))
 		}
 		f.setLameDuck(false)
 		expectStatus(t, dial(), "/_health", 200)
--- a/internal/agent/eventloop_test.go
+++ b/internal/agent/eventloop_test.go
@@ -23,10 +23,10 @@
 	r.deadline = time.Now()
 	l.apply(requestArrived{r})
 	l.apply(deadlineExceeded{r})
-	l.apply(deadlineExceeded{r}) // a second deadline must have no effect
+	l.apply(deadlineExceeded{r}) // the second event must have no effect
 	l.apply(clientDisconnected{r})
 	if a := receive(t, "final answer", r.reply); !a.timedOut {
-		t.Errorf("%+v", a)
+		t.Errorf("final answer %+v, want timedOut", a)
 	}
 	if len(l.requests) != 0 || len(r.reply) != 0 {
 		t.Errorf("%d requests and %d further replies left, want none", len(l.requests), len(r.reply))
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestRequestCancelledBeforeFirstStep: the loop tolerates the removal of a request before the step that would pass the
-// request's remaining time to the balancer.
+// TestRequestCancelledBeforeFirstStep: a request that is removed before the step that would pass its remaining time to the
+// balancer does not stop the loop.
 func TestRequestCancelledBeforeFirstStep(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	l, err := newEventLoop(cfg, newClock(), upstream.New(cfg.poolConfig(), discardLog), discardLog)
@@ -74,7 +74,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			if ended := errors.Is(context.Cause(ctx), upstream.ErrTimedOut); ended == inTime {
-				t.Errorf("disarmed in time: %v, attempt timed out: %v", inTime, ended)
+				t.Errorf("disarmed in time: %v, attempt timed out: %v; want exactly one of the two", inTime, ended)
 			}
 			cancel(nil)
 		}
--- a/internal/agent/fakediscovery_test.go
+++ b/internal/agent/fakediscovery_test.go
@@ -29,10 +29,11 @@
 	watch chan *fakeWatch
 }
 
+// fakeWatch is one watch that the agent has opened.
 type fakeWatch struct {
-	since        string
-	lines        chan string // closing the channel ends the watch
-	fail         chan struct{}
+	since        string        // version from which the agent watches
+	lines        chan string   // closing the channel ends the watch
+	fail         chan struct{} // closing the channel fails the watch with status 503
 	disconnected chan struct{} // closed when the connection ends
 }
 
@@ -42,7 +43,7 @@
 	c := &fakeDiscovery{addr: ln.Addr().String(), watch: make(chan *fakeWatch, 10)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
-			t.Errorf("unexpected request to discovery: %s", r.URL)
+			t.Errorf("request to discovery: %s, want /catalog/members with follow=1", r.URL)
 		}
 		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}),
 			disconnected: make(chan struct{})}
@@ -81,8 +82,8 @@
 	}
 }
 
-// countWatchGoroutines counts the goroutines that read from discovery, and those among them that wait for the watcher to
-// receive a list.
+// countWatchGoroutines returns the number of goroutines that read from discovery, and how many of these goroutines wait for the
+// watcher to receive a list.
 func countWatchGoroutines() (all, waiting int) {
 	stacks := make([]byte, 1<<20)
 	for _, task := range bytes.Split(stacks[:runtime.Stack(stacks, true)], []byte("\n\n")) {
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -45,8 +45,9 @@
 	})
 }
 
-// TestIdleEvictionOrder: when clients wait to connect, the frontend closes first the connection that has waited longest for its
-// first request, then the one that has been idle longest. It never closes one with an open request or one just accepted.
+// TestIdleEvictionOrder: when clients wait to connect, the frontend first closes the connection that has waited longest for its
+// first request, then the connection that has been idle longest. It never closes a connection that has an open request or was
+// just accepted.
 func TestIdleEvictionOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
@@ -103,7 +104,7 @@
 		w := newStatusRecorder()
 		(&frontend{cfg: cfg}).writeReply(w, nil, reply{rejected: true, retryAfter: row.after})
 		if w.status != 503 || w.header.Get("Retry-After") != row.want {
-			t.Errorf("%+v: %d %q", row, w.status, w.header.Get("Retry-After"))
+			t.Errorf("%+v: status %d, Retry-After %q; want status 503 and the row's header", row, w.status, w.header.Get("Retry-After"))
 		}
 	}
 }
@@ -132,11 +133,11 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection was not closed: %v", err)
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	close(hold)
 	if x := receive(t, "response", busy); x.status != 200 {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 200", x)
 	}
 }
 
@@ -161,13 +162,13 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, error %v; want status 503 and Connection: close", resp, err)
 	}
 	close(hold)
 	if x := receive(t, "first response", first); x.status != 200 {
-		t.Errorf("%+v", x)
+		t.Errorf("first request: %+v, want status 200", x)
 	}
 	if len(s.seen) != 0 {
-		t.Error("the refused request was forwarded")
+		t.Error("the rejected request was forwarded")
 	}
 }
--- a/internal/agent/frontendharness_test.go
+++ b/internal/agent/frontendharness_test.go
@@ -119,7 +119,7 @@
 		<-served
 		f.readers.Wait()
 		if f.connCount != 0 || f.openRequests.Load() != 0 || len(f.idleConns.Conns()) != 0 {
-			t.Errorf("left after the end: %d connections, %d requests, %d idle connections", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
+			t.Errorf("open after the frontend ended: %d connections, %d requests, %d idle connections; want none", f.connCount, f.openRequests.Load(), len(f.idleConns.Conns()))
 		}
 	})
 	return f, func() *net.TCPConn {
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -109,7 +109,7 @@
 	return startWithHook(t, cfg, accept, func(*testAgent) {})
 }
 
-// startWithHook sets an agent up, calls before, and runs the agent.
+// startWithHook sets an agent up, calls before with it, and runs the agent.
 func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
 	t.Helper()
 	a, err := New(t.Context(), cfg, discardLog)
@@ -137,6 +137,7 @@
 	return r
 }
 
+// receive returns the next value from ch. The test fails after testTimeout.
 func receive[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -148,7 +149,7 @@
 	}
 }
 
-// eventually polls for a condition that no channel announces.
+// eventually polls until ok returns true. The test fails after testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -73,7 +73,7 @@
 		return resp
 	}
 	if resp := sendRequest(); resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("%+v", resp)
+		t.Fatalf("response of the older process: %+v, want status 200 on a connection that stays open", resp)
 	}
 	callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`))
 	before := len(one.seen)
@@ -82,26 +82,26 @@
 	newer.admin.AnswerTimeout = testTimeout
 	eventually(t, "the newer process to accept clients", newer.frontend.accepting.Load)
 	if resp := callAdmin(t, newer, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 200 {
-		t.Errorf("the newer process is not ready: %+v", resp)
+		t.Errorf("readiness of the newer process: %+v, want status 200", resp)
 	}
 	older.stop()
 	eventually(t, "the older process to start draining", func() bool { return older.frontend.drainDeadline.Load() != 0 })
 	if resp := callAdmin(t, older, "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("the older process still reports that it is ready: %+v", resp)
+		t.Errorf("readiness of the older process: %+v, want status 503", resp)
 	}
 	if resp := sendRequest(); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("request on the older process's connection: %+v", resp)
+		t.Errorf("request on the older process's connection: %+v, want status 200 and Connection: close", resp)
 	}
 	if err := receive(t, "end of the older process", older.ended); err != nil {
 		t.Error(err)
 	}
 	for range 20 {
 		if x := newer.do("GET", "/get/x", ""); x.status != 200 {
-			t.Fatalf("%+v", x)
+			t.Fatalf("response of the newer process: %+v, want status 200", x)
 		}
 	}
 	if n := len(one.seen); n != before {
-		t.Errorf("%d requests reached the detached backend", n-before)
+		t.Errorf("%d requests reached the detached backend, want none", n-before)
 	}
 	half := maxUpstreamConns(newer.cfg.halfLimits().shareableDescriptors())
 	eventually(t, "the newer process to use the full limits", func() bool {
@@ -137,7 +137,7 @@
 }
 
 // TestDrainingProcessFinishesLargeResponse: a draining process continues a large response after the time at which the platform
-// may kill it. A request that the process aborts counts against the agent, one that the platform's kill aborts does not.
+// may kill it. A request that the process aborts counts against the agent, a request that the platform's kill aborts does not.
 func TestDrainingProcessFinishesLargeResponse(t *testing.T) {
 	hold := make(chan struct{})
 	text := pattern(4 * upstream.MaxBufferedBody)
@@ -160,7 +160,7 @@
 	})
 	close(hold)
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != text {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("got %d bytes and error %v, want the complete response", len(got), err)
 	}
 	if err := receive(t, "end of the process", a.ended); err != nil {
 		t.Error(err)
@@ -176,11 +176,11 @@
 	a := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: []discoveryMember{s.member("s")}}))
 	a.admin.AnswerTimeout = testTimeout
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 200", x)
 	}
 	a.admin.AnswerTimeout = admin.DefaultAnswerTimeout
 	if resp := callAdmin(t, a, putRequest("/_backends/detach", `{"target":"s"}`)); resp.StatusCode != 503 {
-		t.Errorf("%+v", resp)
+		t.Errorf("admin call: %+v, want status 503", resp)
 	}
 	if err := a.pool.CheckSendable(&upstream.Attempt{BackendID: "s"}); !errors.Is(err, upstream.ErrBackendDisabled) {
 		t.Errorf("detached backend: error %v, want ErrBackendDisabled", err)
@@ -205,7 +205,7 @@
 	newer.Close()
 	eventually(t, "the older process to use its full limits", func() bool { return connLimit() == fullLimit })
 	if x := older.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 200", x)
 	}
 }
 
@@ -226,7 +226,7 @@
 				// The successor has read the record once.
 				if call {
 					if resp := callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
-						t.Fatalf("%+v", resp)
+						t.Fatalf("admin call: %+v, want status 200", resp)
 					}
 					return
 				}
@@ -246,11 +246,11 @@
 			}
 			for range 20 {
 				if x := newer.do("GET", "/get/x", ""); x.status != 200 {
-					t.Fatalf("%+v", x)
+					t.Fatalf("response %+v, want status 200", x)
 				}
 			}
 			if n := len(one.seen); n != 0 {
-				t.Errorf("%d of 20 requests reached a backend that the recorded state excludes", n)
+				t.Errorf("%d of 20 requests reached a backend that the recorded state excludes, want none", n)
 			}
 		})
 	}
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestIncompleteRequestTimesOut: a client that sends no complete request gets an error or a close within 3 s of connecting.
-// Until then it uses a descriptor that other clients need.
+// Until then the client's connection uses a descriptor that other clients need.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	const within = 3 * time.Second
 	for name, text := range map[string]string{
@@ -87,15 +87,15 @@
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode == 503 {
-			t.Errorf("%s: %+v, %v", name, resp, err)
+			t.Errorf("%s: response %+v, error %v; want a 4xx or 5xx status other than 429 and 503", name, resp, err)
 		}
 		c.Close()
 	}
 	if len(s.seen) != 0 {
-		t.Errorf("%d requests reached the backend", len(s.seen))
+		t.Errorf("%d requests reached the backend, want none", len(s.seen))
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
-		t.Errorf("valid request after the invalid ones: %+v", x)
+		t.Errorf("valid request after the invalid requests: %+v, want status 200", x)
 	}
 }
 
@@ -135,19 +135,19 @@
 				t.Fatal(err)
 			}
 			if got := resp.StatusCode; row.served && got != 200 || !row.served && (got == 200 || got == 429 || got == 503) {
-				t.Errorf("status %d for the outer request", got)
+				t.Errorf("status %d for the outer request, want 200 if it is valid and otherwise an error that permits no retry", got)
 			}
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 				t.Fatal(err)
 			}
 			if next, err := http.ReadResponse(in, nil); err == nil {
-				t.Errorf("a second response: %+v", next)
+				t.Errorf("got a second response: %+v, want only one", next)
 			}
 			if row.served {
 				receive(t, "outer request", s.seen)
 			}
 			if len(s.seen) != 0 {
-				t.Errorf("%q reached the backend", <-s.seen)
+				t.Errorf("request %q reached the backend, want none beyond the outer request", <-s.seen)
 			}
 		})
 	}
@@ -181,7 +181,7 @@
 	c.send("ask")
 	resp := c.readResponse()
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != "/put/d ask" {
-		t.Errorf("body %q, error %v", got, err)
+		t.Errorf("body %q, error %v, want \"/put/d ask\"", got, err)
 	}
 }
 
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -62,7 +62,7 @@
 			close(more) // the backend sends the rest only now
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || string(got)+string(rest) != text {
-				t.Errorf("%d first and %d further bytes differ from the response, or error %v", len(got), len(rest), err)
+				t.Errorf("got %d first and %d further bytes and error %v, want the complete response unchanged", len(got), len(rest), err)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 			x := a.do("GET", "/get/x", "")
 			if x.status != 200 || !errors.Is(x.err, io.ErrUnexpectedEOF) {
-				t.Errorf("status %d, %v", x.status, x.err)
+				t.Errorf("status %d, error %v; want status 200 and an unexpected EOF", x.status, x.err)
 			}
 			eventually(t, "the connection to the backend to be closed", func() bool {
 				return a.pool.Stats().Open == 0
@@ -109,11 +109,11 @@
 	resp := slow.readResponse()
 	for range 50 {
 		if x := a.do("GET", "/get/small", ""); x.status != 200 || x.body != "small" {
-			t.Fatalf("%+v", x)
+			t.Fatalf("response %+v, want status 200 and body \"small\"", x)
 		}
 	}
 	if got, err := io.ReadAll(resp.Body); err != nil || digest(string(got)) != digest(text) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("got %d bytes and error %v, want the complete large response", len(got), err)
 	}
 }
 
@@ -198,7 +198,7 @@
 			x := a.do("GET", "/get/x", "", "X-Expires-In", "0.6")
 			broken := x.err != nil && !strings.Contains(x.err.Error(), "deadline") // the test's own deadline
 			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
-				t.Errorf("%+v", x)
+				t.Errorf("response %+v; want a truncated one or a 5xx status if a part was forwarded, otherwise a 5xx status", x)
 			}
 			eventually(t, "the attempt to end", func() bool {
 				stats := a.pool.Stats()
@@ -223,6 +223,6 @@
 	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline has passed, and the stream continues
 	writeText(t, b, "7\r\n answer\r\n0\r\n\r\n")
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "long answer" {
-		t.Errorf("status %d, body %q, error %v", resp.StatusCode, body, err)
+		t.Errorf("status %d, body %q, error %v; want 200 and \"long answer\"", resp.StatusCode, body, err)
 	}
 }
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// TestConsumedBodyIsNotRetried: the agent never sends a partly sent body again. If the last byte was not written, the backend
-// executed nothing and the client may retry. If the connection fails before the first byte, another backend gets the request.
+// TestConsumedBodyIsNotRetried: the agent never sends a partly sent body again. If the agent has not written the last byte, the
+// backend has executed nothing and the client may retry. If the connection fails before the first byte, another backend gets
+// the request.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	received := make(chan struct{}, 10)
 	ln := listen(t)
@@ -84,7 +85,7 @@
 		t.Errorf("status %d for a partly sent body, want 503", resp.StatusCode)
 	}
 	if len(received) != 1 {
-		t.Errorf("%d attempts", len(received))
+		t.Errorf("%d attempts, want 1", len(received))
 	}
 
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -95,7 +96,7 @@
 	b := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{unreachable, s}}))
 	for range 10 { // some of these go to the unreachable backend first
 		if x := b.do("POST", "/pay/x", text[:3*upstream.MaxBufferedBody]); x.status != 200 || x.body != digest(text[:3*upstream.MaxBufferedBody]) {
-			t.Errorf("%+v", x)
+			t.Errorf("response %+v, want status 200 and the digest of the body", x)
 		}
 	}
 }
@@ -125,13 +126,14 @@
 	eventually(t, "the request to end", func() bool { return a.frontend.openRequests.Load() == 0 })
 	for range 5 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
-			t.Errorf("request after the aborted upload: %+v", x)
+			t.Errorf("request after the aborted upload: %+v, want status 200", x)
 		}
 	}
 }
 
 // TestSlowUploadIsServedAndStalledUploadIsClosed: a client may take 2 s for a header and send its body at 64 kB per
-// second. A client that stops sending is disconnected. Time in which the backend does not read does not count.
+// second. A client that stops sending is disconnected. Time in which the backend does not read does not count as slowness of
+// the client.
 func TestSlowUploadIsServedAndStalledUploadIsClosed(t *testing.T) {
 	const total = 5 * upstream.MaxBufferedBody
 	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
