--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -183,15 +183,15 @@
 			t.Fatalf("request while one backend is detached: %+v, want status 200", x)
 		}
 	}
-	if len(one.seen) != 0 {
-		t.Errorf("%d requests reached the detached backend, want none", len(one.seen))
+	if len(one.requestIDs) != 0 {
+		t.Errorf("%d requests reached the detached backend, want none", len(one.requestIDs))
 	}
 	callAdmin(t, a, putRequest("/_backends/attach", `{"target":"one"}`))
-	for tries := 0; len(one.seen) == 0; tries++ {
-		if tries > 80 {
+	for requests := 0; len(one.requestIDs) == 0; requests++ {
+		if requests > 80 {
 			t.Fatal("the attached backend gets no requests")
 		}
-		<-two.seen // keeps the channel's bounded buffer from filling up
+		<-two.requestIDs // keeps the channel's bounded buffer from filling up
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
 			t.Fatalf("request after the backend was attached: %+v, want status 200", x)
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -205,6 +205,6 @@
 		running.Go(func() { a.loop.peers.Run(peersCtx, func(m balancer.GossipReceived) { a.loop.post(balancerEvent{m}) }) })
 	}
 	if a.admin != nil || a.hotRestart != nil {
-		running.Go(func() { a.frontend.closeIdleWhileDraining(ctx) })
+		running.Go(func() { a.frontend.closeIdleWhileLameDuck(ctx) })
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -50,8 +50,8 @@
 // TestTruncatedResponseIsNeverServed: the agent never forwards a truncated response as complete. A non-idempotent request
 // fails; the balancer retries an idempotent one.
 func TestTruncatedResponseIsNeverServed(t *testing.T) {
-	cut := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
-	s := startRawBackend(t, func(n int) string { return []string{cut, cut, ok200}[n] })
+	truncated := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
+	s := startRawBackend(t, func(n int) string { return []string{truncated, truncated, ok200}[n] })
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway || strings.Contains(x.body, "TRUNCATED") {
 		t.Errorf("non-idempotent request: %+v, want status 502 and no truncated body", x)
@@ -68,8 +68,8 @@
 	if x := a.do("POST", "/pay/x", ""); x.status != http.StatusBadGateway {
 		t.Errorf("response %+v, want status 502", x)
 	}
-	if len(s.seen) != 1 {
-		t.Errorf("%d attempts, want 1", len(s.seen))
+	if len(s.requestIDs) != 1 {
+		t.Errorf("%d attempts, want 1", len(s.requestIDs))
 	}
 }
 
@@ -106,13 +106,13 @@
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{{ID: "s", Addr: ln.Addr().String(), State: "ready"}}}))
-	const wait = 20.
-	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(wait)); x.status != http.StatusOK {
+	const clientDeadline = 20.
+	if x := a.do("GET", "/get/x", "", "X-Expires-In", fmt.Sprint(clientDeadline)); x.status != http.StatusOK {
 		t.Fatalf("response %+v, want status 200", x)
 	}
-	maxDeadline := wait - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
+	maxDeadline := clientDeadline - (upstream.TransitAllowance + a.cfg.Settings.Tick).Seconds()
 	if s, err := strconv.ParseFloat(<-advertised, 64); err != nil || s <= 0 || s > maxDeadline {
-		t.Errorf("the backend got a deadline of %v s, the client has %v s; want at most %v s; error %v", s, wait, maxDeadline, err)
+		t.Errorf("the backend got a deadline of %v s, the client has %v s; want at most %v s; error %v", s, clientDeadline, maxDeadline, err)
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	clientEnded := make(chan error)
 	go func() { _, err := http.DefaultClient.Do(req); clientEnded <- err }()
-	receive(t, "request", s.seen)
+	receive(t, "request", s.requestIDs)
 	cancel()
 	if err := receive(t, "end of the client's request", clientEnded); err == nil {
 		t.Error("the cancelled request got a response")
@@ -164,7 +164,7 @@
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "", "X-Trace-Id", "same") }()
-	receive(t, "first request", s.seen)
+	receive(t, "first request", s.requestIDs)
 	if x := a.do("GET", "/get/x", "", "X-Trace-Id", "same"); x.status != http.StatusConflict {
 		t.Errorf("second request: %+v, want status 409", x)
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -20,40 +20,40 @@
 func TestCachedEndpointsServeUntilDiscoveryReturns(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
-	c := startFakeDiscovery(t)
-	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: c.addr, servers: []discoveryMember{one.member("one")}}))
-	close(receive(t, "watch", c.watch).fail)
+	fake := startFakeDiscovery(t)
+	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: fake.addr, servers: []discoveryMember{one.member("one")}}))
+	close(receive(t, "watch", fake.watch).fail)
 	if x := a.do("GET", "/_health", ""); x.status != 200 {
 		t.Errorf("health check: %+v, want status 200", x)
 	}
-	if x := a.do("GET", "/get/x", ""); x.status != 200 || len(one.seen) != 1 {
+	if x := a.do("GET", "/get/x", ""); x.status != 200 || len(one.requestIDs) != 1 {
 		t.Errorf("response %+v, want status 200 from the cached backend", x)
 	}
-	w := receive(t, "second watch", c.watch)
+	w := receive(t, "second watch", fake.watch)
 	drained := one.member("one")
 	drained.State = "draining"
 	w.lines <- deltaLine(t, 42, drained, two.member("two"))
 	eventually(t, "the endpoint update to be applied", func() bool {
 		return a.pool.Endpoint("two") != nil
 	})
-	before := len(one.seen)
+	before := len(one.requestIDs)
 	for range 20 {
 		if x := a.do("GET", "/get/x", ""); x.status != 200 {
 			t.Errorf("response %+v, want status 200", x)
 		}
 	}
 	// A request in flight during the update could go to the draining backend, but none was in flight.
-	if n := len(one.seen) - before; n != 0 {
+	if n := len(one.requestIDs) - before; n != 0 {
 		t.Errorf("%d requests went to the draining backend, want none", n)
 	}
 }
 
 // TestAgentIsNotReadyWithoutBackends: an agent becomes ready with its first endpoint list.
 func TestAgentIsNotReadyWithoutBackends(t *testing.T) {
-	c := startFakeDiscovery(t)
+	fake := startFakeDiscovery(t)
 	s := startRawBackend(t, func(int) string { return ok200 })
-	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: c.addr}))
-	w := receive(t, "watch", c.watch)
+	a := startAgent(t, testConfig(t, testSetup{mode: "subscribe", discovery: fake.addr}))
+	w := receive(t, "watch", fake.watch)
 	if x := a.do("GET", "/_health", ""); x.status != 503 {
 		t.Errorf("health check: %+v, want status 503", x)
 	}
@@ -84,7 +84,7 @@
 						}
 					}
 				})
-				holds := func(state string) bool {
+				poolHas := func(state string) bool {
 					endpointY := a.pool.Endpoint("y") // read first, so that x is from the same update or a later one
 					endpointX := a.pool.Endpoint("x")
 					return endpointY != nil && (endpointX != nil) == (state != "") &&
@@ -117,12 +117,12 @@
 				switch order {
 				case "drain, move, list":
 					drain()
-					eventually(t, "the drain", func() bool { return holds("draining") })
+					eventually(t, "the drain", func() bool { return poolHas("draining") })
 					move().sendLine(t, fullList)
 				case "move, drain, list":
 					w := move()
 					drain()
-					eventually(t, "the drain", func() bool { return holds("draining") })
+					eventually(t, "the drain", func() bool { return poolHas("draining") })
 					w.sendLine(t, fullList)
 				default:
 					w := move()
@@ -140,15 +140,15 @@
 				receive(t, "end of the old watch", old.disconnected)
 				eventually(t, "the end of its goroutine", func() bool { all, _ := countWatchGoroutines(); return all <= 1 })
 				close(release)
-				if e := receive(t, "response", result); e.status != 200 || len(y.seen) != 1 { // the request reaches y after the lists
-					t.Errorf("response %+v, %d requests at the other backend; want status 200 and 1 request", e, len(y.seen))
+				if e := receive(t, "response", result); e.status != 200 || len(y.requestIDs) != 1 { // the request reaches y after the lists
+					t.Errorf("response %+v, %d requests at the other backend; want status 200 and 1 request", e, len(y.requestIDs))
 				}
-				eventually(t, "the new list to be applied", func() bool { return holds(state) })
-				up := receive(t, "connection", x.conns)
+				eventually(t, "the new list to be applied", func() bool { return poolHas(state) })
+				connToX := receive(t, "connection", x.conns)
 				if state == "ready" {
 					done := startAttempt(a.pool, "x")
-					readRequest(t, bufio.NewReader(up))
-					writeText(t, up, okResponse("again"))
+					readRequest(t, bufio.NewReader(connToX))
+					writeText(t, connToX, okResponse("again"))
 					receive(t, "result", done).expect(t, balancer.OK, "again")
 					return
 				}
@@ -157,7 +157,7 @@
 						t.Fatalf("response %+v, want status 200", e)
 					}
 				}
-				if n, _ := up.Read(make([]byte, 1)); n != 0 || len(x.conns) != 0 {
+				if n, _ := connToX.Read(make([]byte, 1)); n != 0 || len(x.conns) != 0 {
 					t.Errorf("%d bytes on the connection to x and %d further connections, want none", n, len(x.conns))
 				}
 			})
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -77,8 +77,8 @@
 // While the agent drains, it closes each connection that has been idle for drainIdleTimeout. This time ends after clients have
 // stopped opening connections, and well before their next requests would count against the agent.
 const (
-	drainIdleTimeout   = 600 * time.Millisecond
-	drainCheckInterval = 50 * time.Millisecond
+	drainIdleTimeout      = 600 * time.Millisecond
+	lameDuckCheckInterval = 50 * time.Millisecond
 )
 
 // draining reports whether the agent is draining clients. While it does, each reply closes its connection.
@@ -92,9 +92,9 @@
 // setLameDuck switches the lame duck state, in which the agent drains clients, on an operator's call.
 func (f *frontend) setLameDuck(on bool) { f.loop.lameDuck.Store(on) }
 
-// closeIdleWhileDraining closes idle connections while the agent is a lame duck, until ctx ends.
-func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
-	tick := time.NewTicker(drainCheckInterval)
+// closeIdleWhileLameDuck closes idle connections while the agent is a lame duck, until ctx ends.
+func (f *frontend) closeIdleWhileLameDuck(ctx context.Context) {
+	tick := time.NewTicker(lameDuckCheckInterval)
 	defer tick.Stop()
 	var drainingSince time.Time
 	for {
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -94,7 +94,7 @@
 			eventually(t, "the listener to close", func() bool { return a.listener.TCPListener.SetDeadline(time.Time{}) != nil })
 			writeText(t, c, request[part:])
 			expectServedAndClosed(t, c)
-			if receive(t, "request", s.seen); len(s.seen) != 0 {
+			if receive(t, "request", s.requestIDs); len(s.requestIDs) != 0 {
 				t.Error("the request was forwarded twice")
 			}
 			a.awaitEnd(t)
@@ -125,7 +125,7 @@
 	a.listener.Reserve(a.listener.Size() - 1)
 	first := a.dial(t)
 	writeText(t, first, getRequest("/get/x", ""))
-	receive(t, "first request", s.seen)
+	receive(t, "first request", s.requestIDs)
 	eventually(t, "the listener to wait for a descriptor", a.listener.Backlogged)
 	queued := a.dial(t)
 	writeText(t, queued, getRequest("/get/x", ""))
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
-	receive(t, "request", s.seen)
+	receive(t, "request", s.requestIDs)
 	a.startDrain(t)
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Fatalf("read on the idle connection: %v, want EOF", err)
@@ -161,11 +161,11 @@
 	reconnected := a.dial(t)
 	writeText(t, reconnected, getRequest("/get/x", ""))
 	expectServedAndClosed(t, reconnected)
-	receive(t, "request", s.seen)
+	receive(t, "request", s.requestIDs)
 	close(a.accept)
 	c.Close()
 	a.awaitEnd(t)
-	if len(s.seen) != 0 {
+	if len(s.requestIDs) != 0 {
 		t.Error("a request that crossed the close was forwarded")
 	}
 }
@@ -182,7 +182,7 @@
 	a.drainTimeout = 500 * time.Millisecond // the platform's bound for requests that arrive after the stop
 	before := a.dial(t)
 	writeText(t, before, getRequest("/get/x", "X-Expires-In: 0.3\r\n"))
-	receive(t, "request", s.seen)
+	receive(t, "request", s.requestIDs)
 	a.startDrain(t)
 	after := a.dial(t)
 	writeText(t, after, getRequest("/get/x", "")) // without X-Expires-In, the request has its class's deadline of 60 s
@@ -280,10 +280,10 @@
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatal(err)
 	}
-	<-s.seen
+	<-s.requestIDs
 	inFlight := make(chan exchange, 1)
 	go func() { inFlight <- a.do("GET", "/get/x", "") }()
-	receive(t, "request in flight", s.seen)
+	receive(t, "request in flight", s.requestIDs)
 	a.stop()
 	if err := idle.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
@@ -293,7 +293,7 @@
 	}
 	lateRequest := make(chan exchange, 1)
 	go func() { lateRequest <- a.do("GET", "/get/x", "") }()
-	receive(t, "request after the stop", s.seen)
+	receive(t, "request after the stop", s.requestIDs)
 	close(accept)
 	close(hold)
 	for _, ch := range []chan exchange{inFlight, lateRequest} {
@@ -314,7 +314,7 @@
 		rejectAll(t, f)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
-		go func() { f.closeIdleWhileDraining(ctx); close(ended) }()
+		go func() { f.closeIdleWhileLameDuck(ctx); close(ended) }()
 		defer func() { cancel(); <-ended }()
 		idle, used := dial(), dial()
 		expectStatus(t, idle, "/get/x", 503)
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -42,7 +42,7 @@
 	l.counts.requests++
 	l.requests[e.id] = e.request
 	l.pending = append(l.pending, balancer.Request{ID: e.id, Class: e.class, Work: e.sizeHint,
-		ClientRetry: e.clientRetry, AffinityKey: e.key, ResidencyRule: e.residencyRule, Streaming: e.upstream.IsStreamed()})
+		ClientRetry: e.clientRetry, AffinityKey: e.affinityKey, ResidencyRule: e.residencyRule, Streaming: e.upstream.IsStreamed()})
 }
 
 func (e bodyComplete) applyTo(l *eventLoop) {
--- a/internal/agent/fakebackend_test.go
+++ b/internal/agent/fakebackend_test.go
@@ -14,16 +14,16 @@
 
 // fakeBackend is a backend that records the requests that it receives.
 type fakeBackend struct {
-	addr string
-	seen chan string // id of each complete request
+	addr       string
+	requestIDs chan string // id of each complete request
 }
 
-// startRawBackend runs a backend that reads each request to its end and writes the bytes that answer returns for request n,
+// startRawBackend runs a backend that reads each request to its end and writes the bytes that respond returns for request n,
 // counted from 0. It closes the connection after an empty or truncated response, and after one without a length or chunks.
-func startRawBackend(t *testing.T, answer func(n int) string) *fakeBackend {
+func startRawBackend(t *testing.T, respond func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
-	b := &fakeBackend{addr: ln.Addr().String(), seen: make(chan string, 100)}
+	b := &fakeBackend{addr: ln.Addr().String(), requestIDs: make(chan string, 100)}
 	var mu sync.Mutex
 	n := 0
 	go func() {
@@ -44,13 +44,13 @@
 						return
 					}
 					mu.Lock()
-					k := n
+					index := n
 					n++
 					mu.Unlock()
-					b.seen <- req.Header.Get("X-Trace-Id")
-					text := answer(k)
-					ends := !strings.Contains(text, "Content-Length") && !strings.Contains(text, "chunked")
-					if _, err := io.WriteString(c, text); err != nil || ends || strings.Contains(text, "TRUNCATED") {
+					b.requestIDs <- req.Header.Get("X-Trace-Id")
+					text := respond(index)
+					closeAfter := !strings.Contains(text, "Content-Length") && !strings.Contains(text, "chunked")
+					if _, err := io.WriteString(c, text); err != nil || closeAfter || strings.Contains(text, "TRUNCATED") {
 						return
 					}
 				}
--- a/internal/agent/fakediscovery_test.go
+++ b/internal/agent/fakediscovery_test.go
@@ -45,16 +45,16 @@
 		if r.URL.Path != "/catalog/members" || r.URL.Query().Get("follow") != "1" {
 			t.Errorf("request to discovery: %s, want /catalog/members with follow=1", r.URL)
 		}
-		me := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}),
+		newWatch := &fakeWatch{since: r.URL.Query().Get("since"), lines: make(chan string), fail: make(chan struct{}),
 			disconnected: make(chan struct{})}
-		defer close(me.disconnected)
-		c.watch <- me
+		defer close(newWatch.disconnected)
+		c.watch <- newWatch
 		for {
 			select {
-			case <-me.fail:
+			case <-newWatch.fail:
 				http.Error(w, "overloaded", http.StatusServiceUnavailable)
 				return
-			case line, more := <-me.lines:
+			case line, more := <-newWatch.lines:
 				if !more {
 					return
 				}
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
 		rejectAll(t, f)
-		open := func(c net.Conn) bool {
+		isOpen := func(c net.Conn) bool {
 			err := c.SetReadDeadline(time.Now().Add(time.Nanosecond))
 			if err == nil {
 				_, err = c.Read(make([]byte, 1))
@@ -70,24 +70,24 @@
 		}
 		synctest.Wait()
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); !open(slow) || !open(idle) {
+		if synctest.Wait(); !isOpen(slow) || !isOpen(idle) {
 			t.Fatal("closed a connection that was just accepted")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		fresh := dial()
 		synctest.Wait()
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); open(slow) || !open(idle) || !open(busy) || !open(fresh) {
+		if synctest.Wait(); isOpen(slow) || !isOpen(idle) || !isOpen(busy) || !isOpen(fresh) {
 			t.Error("did not close the connection with an unfinished request, or closed another")
 		}
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); open(idle) || !open(busy) || !open(fresh) {
+		if synctest.Wait(); isOpen(idle) || !isOpen(busy) || !isOpen(fresh) {
 			t.Error("did not close the idle connection, or closed one that was just accepted or busy")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		f.idleConns.EvictIdle()
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); open(fresh) || !open(busy) {
+		if synctest.Wait(); isOpen(fresh) || !isOpen(busy) {
 			t.Error("did not close the connection without a request, or closed one with an open request")
 		}
 	})
@@ -117,7 +117,7 @@
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	busy := make(chan exchange, 1)
 	go func() { busy <- a.do("GET", "/get/x", "") }()
-	receive(t, "request", s.seen)
+	receive(t, "request", s.requestIDs)
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	a := startAgent(t, cfg)
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "") }()
-	receive(t, "first request", s.seen)
+	receive(t, "first request", s.requestIDs)
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	if x := receive(t, "first response", first); x.status != 200 {
 		t.Errorf("first request: %+v, want status 200", x)
 	}
-	if len(s.seen) != 0 {
+	if len(s.requestIDs) != 0 {
 		t.Error("the rejected request was forwarded")
 	}
 }
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -109,8 +109,8 @@
 	return startWithHook(t, cfg, accept, func(*testAgent) {})
 }
 
-// startWithHook sets an agent up, calls before with it, and runs the agent.
-func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
+// startWithHook sets an agent up, calls beforeRun with it, and runs the agent.
+func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, beforeRun func(*testAgent)) *testAgent {
 	t.Helper()
 	a, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
@@ -124,7 +124,7 @@
 	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	a.drainTimeout = 2 * testTimeout
-	before(r)
+	beforeRun(r)
 	go func() { r.ended <- a.Run(ctx); close(r.ended) }()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -27,11 +27,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep, err := duplicateDescriptor(f)
+	fd, err := duplicateDescriptor(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return keep
+	return fd
 }
 
 // hotRestartConfig returns the configuration of one of an agent's processes, which share a listener and a directory.
@@ -76,7 +76,7 @@
 		t.Fatalf("response of the older process: %+v, want status 200 on a connection that stays open", resp)
 	}
 	callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`))
-	before := len(one.seen)
+	before := len(one.requestIDs)
 
 	newer := startAgent(t, hotRestartConfig(t, ln, dir, testSetup{servers: servers}))
 	newer.admin.AnswerTimeout = testTimeout
@@ -100,7 +100,7 @@
 			t.Fatalf("response of the newer process: %+v, want status 200", x)
 		}
 	}
-	if n := len(one.seen); n != before {
+	if n := len(one.requestIDs); n != before {
 		t.Errorf("%d requests reached the detached backend, want none", n-before)
 	}
 	half := maxUpstreamConns(newer.cfg.halfLimits().shareableDescriptors())
@@ -112,11 +112,11 @@
 // TestTwoProcessesStayWithinDescriptorLimit: two processes of one agent together stay within the limits of one process.
 func TestTwoProcessesStayWithinDescriptorLimit(t *testing.T) {
 	for _, limit := range []int{256, 384, 512, 1024} {
-		for _, mgmt := range []string{"", "127.0.0.1:1"} {
-			half := (&Config{MaxDescriptors: limit, MemoryMB: 64, AdminAddr: mgmt}).halfLimits()
+		for _, adminAddr := range []string{"", "127.0.0.1:1"} {
+			half := (&Config{MaxDescriptors: limit, MemoryMB: 64, AdminAddr: adminAddr}).halfLimits()
 			shareable := half.shareableDescriptors()
 			sum := 2 * (reservedDescriptors + maxAcceptedConns(shareable) + maxUpstreamConns(shareable))
-			if mgmt != "" {
+			if adminAddr != "" {
 				sum += 2 * (maxAdminConns + 1)
 			}
 			if sum > limit || half.MemoryMB != 32 {
@@ -215,14 +215,14 @@
 	for _, call := range []bool{false, true} {
 		t.Run(fmt.Sprint("call ", call), func(t *testing.T) {
 			one, two := startRawBackend(t, func(int) string { return ok200 }), startRawBackend(t, func(int) string { return ok200 })
-			c, ln, dir := startFakeDiscovery(t), listen(t), t.TempDir()
-			set := testSetup{discovery: c.addr, servers: []discoveryMember{one.member("one"), two.member("two")}}
-			older := startAgent(t, hotRestartConfig(t, ln, dir, set))
+			fake, ln, dir := startFakeDiscovery(t), listen(t), t.TempDir()
+			setup := testSetup{discovery: fake.addr, servers: []discoveryMember{one.member("one"), two.member("two")}}
+			older := startAgent(t, hotRestartConfig(t, ln, dir, setup))
 			older.admin.AnswerTimeout = testTimeout
-			watch := receive(t, "watch", c.watch)
+			watch := receive(t, "watch", fake.watch)
 			now := make(chan time.Time)
 			close(now)
-			newer := startWithHook(t, hotRestartConfig(t, ln, dir, set), now, func(newer *testAgent) {
+			newer := startWithHook(t, hotRestartConfig(t, ln, dir, setup), now, func(newer *testAgent) {
 				// The successor has read the record once.
 				if call {
 					if resp := callAdmin(t, older, putRequest("/_backends/detach", `{"target":"one"}`)); resp.StatusCode != 200 {
@@ -236,7 +236,7 @@
 					return list != nil && list.Version == 42
 				})
 			})
-			if w := receive(t, "watch of the newer process", c.watch); !call && w.since != "42" {
+			if w := receive(t, "watch of the newer process", fake.watch); !call && w.since != "42" {
 				t.Errorf("the newer process watches from version %s, want 42", w.since)
 			}
 			eventually(t, "the newer process to accept clients", newer.frontend.accepting.Load)
@@ -249,7 +249,7 @@
 					t.Fatalf("response %+v, want status 200", x)
 				}
 			}
-			if n := len(one.seen); n != 0 {
+			if n := len(one.requestIDs); n != 0 {
 				t.Errorf("%d of 20 requests reached a backend that the recorded state excludes, want none", n)
 			}
 		})
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -19,7 +19,7 @@
 	timeout       time.Duration // from the request's last byte to the deadline
 	sizeHint      time.Duration // expected work, from X-Size-Hint; 0: unknown
 	clientRetry   bool
-	key           uint64        // hash of the session, for affinity; 0: none
+	affinityKey   uint64        // hash of the session, for affinity; 0: none
 	residencyRule int           // 0: none
 	reply         chan reply    // buffered, so that the event loop never blocks
 	done          chan struct{} // closed with the final reply
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -89,7 +89,7 @@
 	r := newRequest(header.Get("X-Trace-Id"), class)
 	r.clientRetry = header.Get("X-Second-Try") == "1"
 	if c, err := httpReq.Cookie("sid"); err == nil {
-		r.key = wire.AffinityKey(c.Value)
+		r.affinityKey = wire.AffinityKey(c.Value)
 	}
 	if enforcer := f.residency; enforcer != nil {
 		r.residencyRule = enforcer.RuleID(header.Get("X-Customer"), f.cfg.Site.Classes[class])
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -91,8 +91,8 @@
 		}
 		c.Close()
 	}
-	if len(s.seen) != 0 {
-		t.Errorf("%d requests reached the backend, want none", len(s.seen))
+	if len(s.requestIDs) != 0 {
+		t.Errorf("%d requests reached the backend, want none", len(s.requestIDs))
 	}
 	if x := a.do("GET", "/get/x", ""); x.status != 200 {
 		t.Errorf("valid request after the invalid requests: %+v, want status 200", x)
@@ -144,10 +144,10 @@
 				t.Errorf("got a second response: %+v, want only one", next)
 			}
 			if row.served {
-				receive(t, "outer request", s.seen)
+				receive(t, "outer request", s.requestIDs)
 			}
-			if len(s.seen) != 0 {
-				t.Errorf("request %q reached the backend, want none beyond the outer request", <-s.seen)
+			if len(s.requestIDs) != 0 {
+				t.Errorf("request %q reached the backend, want none beyond the outer request", <-s.requestIDs)
 			}
 		})
 	}
@@ -199,8 +199,8 @@
 		if err != nil {
 			t.Fatal(err.text)
 		}
-		if r.key != want || cookie != "" && r.upstream.Header.Get("Cookie") != cookie {
-			t.Errorf("cookie %q: affinity key %x, want %x; forwarded header: %v", cookie, r.key, want, r.upstream.Header)
+		if r.affinityKey != want || cookie != "" && r.upstream.Header.Get("Cookie") != cookie {
+			t.Errorf("cookie %q: affinity key %x, want %x; forwarded header: %v", cookie, r.affinityKey, want, r.upstream.Header)
 		}
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -85,8 +85,8 @@
 			eventually(t, "the connection to the backend to be closed", func() bool {
 				return a.pool.Stats().Open == 0
 			})
-			if len(s.seen) != 1 {
-				t.Errorf("%d attempts of a request whose response had started, want 1", len(s.seen))
+			if len(s.requestIDs) != 1 {
+				t.Errorf("%d attempts of a request whose response had started, want 1", len(s.requestIDs))
 			}
 		})
 	}
@@ -151,8 +151,8 @@
 // the response had started, a truncated response once the backend has been too slow. The agent uses bounded memory.
 func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, row := range map[string]struct {
-		start, more string // the backend repeats more
-		passed      bool   // the agent forwards part of the response
+		start, repeated string // the backend sends start, and then repeated without end
+		forwarded       bool   // the agent forwards part of the response
 	}{
 		"header":           {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n", false},
 		"a header line":    {"HTTP/1.1 200 OK\r\nX-A: ", "bbbbbbbb", false},
@@ -171,33 +171,33 @@
 			t.Parallel()
 			s := startManualBackend(t)
 			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-			over := make(chan struct{})
-			defer close(over)
+			testDone := make(chan struct{})
+			defer close(testDone)
 			go func() {
 				for {
 					select {
 					case c := <-s.conns:
 						go func() {
 							_, err := http.ReadRequest(bufio.NewReader(c))
-							for text := row.start; err == nil; text = row.more {
+							for text := row.start; err == nil; text = row.repeated {
 								if _, err = io.WriteString(c, text); err != nil {
 									return
 								}
 								select {
-								case <-over:
+								case <-testDone:
 									return
 								case <-time.After(20 * time.Millisecond):
 								}
 							}
 						}()
-					case <-over:
+					case <-testDone:
 						return
 					}
 				}
 			}()
 			x := a.do("GET", "/get/x", "", "X-Expires-In", "0.6")
 			broken := x.err != nil && !strings.Contains(x.err.Error(), "deadline") // the test's own deadline
-			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
+			if row.forwarded && !(broken || x.status >= 500) || !row.forwarded && (x.err != nil || x.status < 500) {
 				t.Errorf("response %+v; want a truncated one or a 5xx status if a part was forwarded, otherwise a 5xx status", x)
 			}
 			eventually(t, "the attempt to end", func() bool {
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -136,14 +136,14 @@
 // the client.
 func TestSlowUploadIsServedAndStalledUploadIsClosed(t *testing.T) {
 	const total = 5 * upstream.MaxBufferedBody
-	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stop int) (status int, took time.Duration) {
+	upload := func(t *testing.T, f *frontend, dial func() net.Conn, stopAfter int) (status int, took time.Duration) {
 		c := dial()
 		began := time.Now()
 		go func() {
 			text := postHeader("/pay/x", fmt.Sprintf("Content-Length: %d\r\n", total))
 			time.Sleep(2 * time.Second)
 			_, _ = io.WriteString(c, text)
-			for sent := 0; sent < stop; sent += 8000 {
+			for sent := 0; sent < stopAfter; sent += 8000 {
 				time.Sleep(125 * time.Millisecond)
 				_, _ = io.WriteString(c, pattern(min(8000, total-sent)))
 			}
