--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestTruncatedResponseIsNeverServed: the agent never forwards a truncated response as complete. A non-idempotent request
-// fails; the balancer retries an idempotent one.
+// fails; the balancer retries an idempotent request.
 func TestTruncatedResponseIsNeverServed(t *testing.T) {
 	truncated := "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nTRUNCATED"
 	s := startRawBackend(t, func(n int) string { return []string{truncated, truncated, ok200}[n] })
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -74,11 +74,11 @@
 	<-served
 }
 
-// While the agent drains, it closes each connection that has been idle for drainIdleTimeout. This time ends after clients have
-// stopped opening connections, and well before their next requests would count against the agent.
+// While the agent drains, it closes each connection that has been idle for drainIdleTimeout. This timeout expires after clients
+// have stopped opening connections, and well before the clients' next requests would count against the agent.
 const (
 	drainIdleTimeout      = 600 * time.Millisecond
-	lameDuckCheckInterval = 50 * time.Millisecond
+	lameDuckCheckInterval = 50 * time.Millisecond // between checks for idle connections of a lame duck
 )
 
 // draining reports whether the agent is draining clients. While it does, each reply closes its connection.
--- a/internal/agent/fakebackend_test.go
+++ b/internal/agent/fakebackend_test.go
@@ -19,7 +19,7 @@
 }
 
 // startRawBackend runs a backend that reads each request to its end and writes the bytes that respond returns for request n,
-// counted from 0. It closes the connection after an empty or truncated response, and after one without a length or chunks.
+// counted from 0. It closes the connection after an empty or truncated response, and after a response without a length or chunks.
 func startRawBackend(t *testing.T, respond func(n int) string) *fakeBackend {
 	t.Helper()
 	ln := listen(t)
--- a/internal/agent/fakediscovery_test.go
+++ b/internal/agent/fakediscovery_test.go
@@ -78,7 +78,7 @@
 	select {
 	case w.lines <- line:
 	case <-w.disconnected:
-		t.Fatal("the watch has disconnected")
+		t.Fatal("the agent has disconnected the watch, want it to read one more line")
 	}
 }
 
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -131,7 +131,7 @@
 		select {
 		case <-r.ended:
 		case <-time.After(2 * testTimeout):
-			t.Error("the agent did not stop")
+			t.Error("the agent did not stop within twice testTimeout")
 		}
 	})
 	return r
--- a/internal/agent/hotrestart_test.go
+++ b/internal/agent/hotrestart_test.go
@@ -20,7 +20,7 @@
 	"martenbeam/internal/agent/upstream"
 )
 
-// inheritedDescriptor returns a duplicate descriptor of a socket, like one that a process inherits.
+// inheritedDescriptor returns a duplicate of a socket's descriptor, as a process would inherit it.
 func inheritedDescriptor(t *testing.T, socket interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := socket.File()
@@ -43,8 +43,8 @@
 	return cfg
 }
 
-// TestHotRestartHandsOverClients: a new process takes over the clients of an older one. The admin calls to the older process
-// apply in the new one, no request is rejected, and the older process ends.
+// TestHotRestartHandsOverClients: a new process takes over the clients of an older process. The admin calls to the older
+// process apply in the new process, no request is rejected, and the older process ends.
 func TestHotRestartHandsOverClients(t *testing.T) {
 	one := startRawBackend(t, func(int) string { return ok200 })
 	two := startRawBackend(t, func(int) string { return ok200 })
--- a/internal/agent/logs_test.go
+++ b/internal/agent/logs_test.go
@@ -67,12 +67,12 @@
 	}
 	for key := range used {
 		if !listed[key] {
-			t.Errorf("attribute %q is logged but not listed", key)
+			t.Errorf("attribute %q is logged but not listed in docs/logs.md", key)
 		}
 	}
 	for key := range listed {
 		if !used[key] {
-			t.Errorf("attribute %q is listed but never logged", key)
+			t.Errorf("attribute %q is listed in docs/logs.md but never logged", key)
 		}
 	}
 	if len(used) < 20 {
--- a/internal/agent/openrequest.go
+++ b/internal/agent/openrequest.go
@@ -15,7 +15,7 @@
 	id            string
 	class         int
 	upstream      *upstream.Request
-	deadline      time.Time     // the client's deadline
+	deadline      time.Time     // of the client, counted from the request's last byte
 	timeout       time.Duration // from the request's last byte to the deadline
 	sizeHint      time.Duration // expected work, from X-Size-Hint; 0: unknown
 	clientRetry   bool
--- a/internal/agent/parseconfig.go
+++ b/internal/agent/parseconfig.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkAddresses checks the addresses. It also sets ListenFD from PROXY_FD, and HandoverDir if PROXY_FD is set.
+// checkAddresses checks the addresses. If PROXY_FD is set, it also sets ListenFD and HandoverDir.
 func (c *Config) checkAddresses(getenv func(string) string) error {
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -92,8 +92,7 @@
 	}
 }
 
-// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response does not
-// delay other clients.
+// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response does not delay other clients.
 func TestSlowReaderDoesNotBlockOtherClients(t *testing.T) {
 	text := pattern(8 << 20) // more than the kernel buffers of all sockets
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -123,8 +122,8 @@
 func (disconnectedWriter) SetWriteDeadline(time.Time) error { return nil }
 func (disconnectedWriter) Flush()                           {}
 
-// TestClientDisconnectDuringStreamIsNotBackendFailure: if a client disconnects during a stream, the
-// stream ends and does not count as a failure of the backend.
+// TestClientDisconnectDuringStreamIsNotBackendFailure: if a client disconnects during a stream, the stream ends and
+// does not count as a failure of the backend.
 func TestClientDisconnectDuringStreamIsNotBackendFailure(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	f := newFrontend(cfg, &eventLoop{pool: upstream.New(cfg.poolConfig(), discardLog)}, discardLog)
--- a/internal/agent/upload_test.go
+++ b/internal/agent/upload_test.go
@@ -121,7 +121,7 @@
 	receive(t, "first part", firstPartRead)
 	c.Close()
 	if err := receive(t, "end at the backend", ended); err == nil {
-		t.Error("the backend got a complete body")
+		t.Error("the backend got a complete body, want an error")
 	}
 	eventually(t, "the request to end", func() bool { return a.frontend.openRequests.Load() == 0 })
 	for range 5 {
