--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -11,7 +11,7 @@
 // the longest deadline, which counts as 3 s if it is longer.
 const (
 	acceptWindowAfterStop    = 450 * time.Millisecond // the agent accepts new connections for at least this time
-	drainFirstRequestTimeout = 250 * time.Millisecond // afterwards, a connection without a byte is closed at this age
+	drainFirstRequestTimeout = 250 * time.Millisecond // after the accept window, a connection without a byte is closed at this age
 	maxDrainDeadline         = 3 * time.Second        // cap on the longest deadline
 	drainSlack               = 600 * time.Millisecond // after the longest deadline, for writing the last replies
 	drainPollInterval        = 5 * time.Millisecond
@@ -74,11 +74,11 @@
 	<-served
 }
 
-// While the agent drains, it closes each connection that has been idle for drainIdleTimeout. This time ends after clients have
-// stopped opening connections, and well before their next requests would count against the agent.
+// While the agent drains, it closes each connection that has been idle for drainIdleTimeout. This timeout expires after clients
+// have stopped opening connections, and well before the clients' next requests would count against the agent.
 const (
-	drainIdleTimeout   = 600 * time.Millisecond
-	drainCheckInterval = 50 * time.Millisecond
+	drainIdleTimeout      = 600 * time.Millisecond
+	lameDuckCheckInterval = 50 * time.Millisecond // between checks for idle connections of a lame duck
 )
 
 // draining reports whether the agent is draining clients. While it does, each reply closes its connection.
@@ -92,9 +92,9 @@
 // setLameDuck switches the lame duck state, in which the agent drains clients, on an operator's call.
 func (f *frontend) setLameDuck(on bool) { f.loop.lameDuck.Store(on) }
 
-// closeIdleWhileDraining closes idle connections while the agent is a lame duck, until ctx ends.
-func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
-	tick := time.NewTicker(drainCheckInterval)
+// closeIdleWhileLameDuck closes idle connections while the agent is a lame duck, until ctx ends.
+func (f *frontend) closeIdleWhileLameDuck(ctx context.Context) {
+	tick := time.NewTicker(lameDuckCheckInterval)
 	defer tick.Stop()
 	var drainingSince time.Time
 	for {
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -45,13 +45,14 @@
 	})
 }
 
-// TestIdleEvictionOrder: when clients wait to connect, the frontend closes first the connection that has waited longest for its
-// first request, then the one that has been idle longest. It never closes one with an open request or one just accepted.
+// TestIdleEvictionOrder: when clients wait to connect, the frontend first closes the connection that has waited longest for its
+// first request, then the connection that has been idle longest. It never closes a connection that has an open request or was
+// just accepted.
 func TestIdleEvictionOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, dial := startPipeFrontend(t, testConfig(t, testSetup{}))
 		rejectAll(t, f)
-		open := func(c net.Conn) bool {
+		isOpen := func(c net.Conn) bool {
 			err := c.SetReadDeadline(time.Now().Add(time.Nanosecond))
 			if err == nil {
 				_, err = c.Read(make([]byte, 1))
@@ -69,24 +70,24 @@
 		}
 		synctest.Wait()
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); !open(slow) || !open(idle) {
+		if synctest.Wait(); !isOpen(slow) || !isOpen(idle) {
 			t.Fatal("closed a connection that was just accepted")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		fresh := dial()
 		synctest.Wait()
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); open(slow) || !open(idle) || !open(busy) || !open(fresh) {
+		if synctest.Wait(); isOpen(slow) || !isOpen(idle) || !isOpen(busy) || !isOpen(fresh) {
 			t.Error("did not close the connection with an unfinished request, or closed another")
 		}
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); open(idle) || !open(busy) || !open(fresh) {
+		if synctest.Wait(); isOpen(idle) || !isOpen(busy) || !isOpen(fresh) {
 			t.Error("did not close the idle connection, or closed one that was just accepted or busy")
 		}
 		time.Sleep(clientconn.MinIdleTime)
 		f.idleConns.EvictIdle()
 		f.idleConns.EvictIdle()
-		if synctest.Wait(); open(fresh) || !open(busy) {
+		if synctest.Wait(); isOpen(fresh) || !isOpen(busy) {
 			t.Error("did not close the connection without a request, or closed one with an open request")
 		}
 	})
@@ -103,7 +104,7 @@
 		w := newStatusRecorder()
 		(&frontend{cfg: cfg}).writeReply(w, nil, reply{rejected: true, retryAfter: row.after})
 		if w.status != 503 || w.header.Get("Retry-After") != row.want {
-			t.Errorf("%+v: %d %q", row, w.status, w.header.Get("Retry-After"))
+			t.Errorf("%+v: status %d, Retry-After %q; want status 503 and the row's header", row, w.status, w.header.Get("Retry-After"))
 		}
 	}
 }
@@ -116,7 +117,7 @@
 	a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 	busy := make(chan exchange, 1)
 	go func() { busy <- a.do("GET", "/get/x", "") }()
-	receive(t, "request", s.seen)
+	receive(t, "request", s.requestIDs)
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -132,11 +133,11 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection was not closed: %v", err)
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	close(hold)
 	if x := receive(t, "response", busy); x.status != 200 {
-		t.Errorf("%+v", x)
+		t.Errorf("response %+v, want status 200", x)
 	}
 }
 
@@ -150,7 +151,7 @@
 	a := startAgent(t, cfg)
 	first := make(chan exchange, 1)
 	go func() { first <- a.do("GET", "/get/x", "") }()
-	receive(t, "first request", s.seen)
+	receive(t, "first request", s.requestIDs)
 	c, err := net.Dial("tcp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -161,13 +162,13 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, error %v; want status 503 and Connection: close", resp, err)
 	}
 	close(hold)
 	if x := receive(t, "first response", first); x.status != 200 {
-		t.Errorf("%+v", x)
+		t.Errorf("first request: %+v, want status 200", x)
 	}
-	if len(s.seen) != 0 {
-		t.Error("the refused request was forwarded")
+	if len(s.requestIDs) != 0 {
+		t.Error("the rejected request was forwarded")
 	}
 }
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -109,8 +109,8 @@
 	return startWithHook(t, cfg, accept, func(*testAgent) {})
 }
 
-// startWithHook sets an agent up, calls before, and runs the agent.
-func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, before func(*testAgent)) *testAgent {
+// startWithHook sets an agent up, calls beforeRun with it, and runs the agent.
+func startWithHook(t *testing.T, cfg *Config, accept <-chan time.Time, beforeRun func(*testAgent)) *testAgent {
 	t.Helper()
 	a, err := New(t.Context(), cfg, discardLog)
 	if err != nil {
@@ -124,19 +124,20 @@
 	a.frontend.bodyTimeout, a.frontend.maxBodyGap = 2*testTimeout, 2*testTimeout
 	a.acceptWindow = func() <-chan time.Time { return accept }
 	a.drainTimeout = 2 * testTimeout
-	before(r)
+	beforeRun(r)
 	go func() { r.ended <- a.Run(ctx); close(r.ended) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
 		case <-r.ended:
 		case <-time.After(2 * testTimeout):
-			t.Error("the agent did not stop")
+			t.Error("the agent did not stop within twice testTimeout")
 		}
 	})
 	return r
 }
 
+// receive returns the next value from ch. The test fails after testTimeout.
 func receive[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -148,7 +149,7 @@
 	}
 }
 
-// eventually polls for a condition that no channel announces.
+// eventually polls until ok returns true. The test fails after testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -62,7 +62,7 @@
 			close(more) // the backend sends the rest only now
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || string(got)+string(rest) != text {
-				t.Errorf("%d first and %d further bytes differ from the response, or error %v", len(got), len(rest), err)
+				t.Errorf("got %d first and %d further bytes and error %v, want the complete response unchanged", len(got), len(rest), err)
 			}
 		})
 	}
@@ -80,20 +80,19 @@
 			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
 			x := a.do("GET", "/get/x", "")
 			if x.status != 200 || !errors.Is(x.err, io.ErrUnexpectedEOF) {
-				t.Errorf("status %d, %v", x.status, x.err)
+				t.Errorf("status %d, error %v; want status 200 and an unexpected EOF", x.status, x.err)
 			}
 			eventually(t, "the connection to the backend to be closed", func() bool {
 				return a.pool.Stats().Open == 0
 			})
-			if len(s.seen) != 1 {
-				t.Errorf("%d attempts of a request whose response had started, want 1", len(s.seen))
+			if len(s.requestIDs) != 1 {
+				t.Errorf("%d attempts of a request whose response had started, want 1", len(s.requestIDs))
 			}
 		})
 	}
 }
 
-// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response does not
-// delay other clients.
+// TestSlowReaderDoesNotBlockOtherClients: a client that does not read its large response does not delay other clients.
 func TestSlowReaderDoesNotBlockOtherClients(t *testing.T) {
 	text := pattern(8 << 20) // more than the kernel buffers of all sockets
 	s := startHTTPBackend(t, func(w http.ResponseWriter, hr *http.Request) {
@@ -109,11 +108,11 @@
 	resp := slow.readResponse()
 	for range 50 {
 		if x := a.do("GET", "/get/small", ""); x.status != 200 || x.body != "small" {
-			t.Fatalf("%+v", x)
+			t.Fatalf("response %+v, want status 200 and body \"small\"", x)
 		}
 	}
 	if got, err := io.ReadAll(resp.Body); err != nil || digest(string(got)) != digest(text) {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("got %d bytes and error %v, want the complete large response", len(got), err)
 	}
 }
 
@@ -123,8 +122,8 @@
 func (disconnectedWriter) SetWriteDeadline(time.Time) error { return nil }
 func (disconnectedWriter) Flush()                           {}
 
-// TestClientDisconnectDuringStreamIsNotBackendFailure: if a client disconnects during a stream, the
-// stream ends and does not count as a failure of the backend.
+// TestClientDisconnectDuringStreamIsNotBackendFailure: if a client disconnects during a stream, the stream ends and
+// does not count as a failure of the backend.
 func TestClientDisconnectDuringStreamIsNotBackendFailure(t *testing.T) {
 	cfg := testConfig(t, testSetup{})
 	f := newFrontend(cfg, &eventLoop{pool: upstream.New(cfg.poolConfig(), discardLog)}, discardLog)
@@ -151,8 +150,8 @@
 // the response had started, a truncated response once the backend has been too slow. The agent uses bounded memory.
 func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, row := range map[string]struct {
-		start, more string // the backend repeats more
-		passed      bool   // the agent forwards part of the response
+		start, repeated string // the backend sends start, and then repeated without end
+		forwarded       bool   // the agent forwards part of the response
 	}{
 		"header":           {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n", false},
 		"a header line":    {"HTTP/1.1 200 OK\r\nX-A: ", "bbbbbbbb", false},
@@ -171,34 +170,34 @@
 			t.Parallel()
 			s := startManualBackend(t)
 			a := startAgent(t, testConfig(t, testSetup{servers: []discoveryMember{s.member("s")}}))
-			over := make(chan struct{})
-			defer close(over)
+			testDone := make(chan struct{})
+			defer close(testDone)
 			go func() {
 				for {
 					select {
 					case c := <-s.conns:
 						go func() {
 							_, err := http.ReadRequest(bufio.NewReader(c))
-							for text := row.start; err == nil; text = row.more {
+							for text := row.start; err == nil; text = row.repeated {
 								if _, err = io.WriteString(c, text); err != nil {
 									return
 								}
 								select {
-								case <-over:
+								case <-testDone:
 									return
 								case <-time.After(20 * time.Millisecond):
 								}
 							}
 						}()
-					case <-over:
+					case <-testDone:
 						return
 					}
 				}
 			}()
 			x := a.do("GET", "/get/x", "", "X-Expires-In", "0.6")
 			broken := x.err != nil && !strings.Contains(x.err.Error(), "deadline") // the test's own deadline
-			if row.passed && !(broken || x.status >= 500) || !row.passed && (x.err != nil || x.status < 500) {
-				t.Errorf("%+v", x)
+			if row.forwarded && !(broken || x.status >= 500) || !row.forwarded && (x.err != nil || x.status < 500) {
+				t.Errorf("response %+v; want a truncated one or a 5xx status if a part was forwarded, otherwise a 5xx status", x)
 			}
 			eventually(t, "the attempt to end", func() bool {
 				stats := a.pool.Stats()
@@ -223,6 +222,6 @@
 	time.Sleep(time.Until(at.Add(600 * time.Millisecond))) // the deadline has passed, and the stream continues
 	writeText(t, b, "7\r\n answer\r\n0\r\n\r\n")
 	if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || err != nil || string(body) != "long answer" {
-		t.Errorf("status %d, body %q, error %v", resp.StatusCode, body, err)
+		t.Errorf("status %d, body %q, error %v; want 200 and \"long answer\"", resp.StatusCode, body, err)
 	}
 }
