--- a/internal/settings/apply.go
+++ b/internal/settings/apply.go
@@ -89,7 +89,7 @@
 		var err error
 		if pendingRestart, err = h.cfg.Apply(parsed); err != nil {
 			h.cfg.Log.Error("applying settings failed", "version", version, "error", err)
-			applyFailure = "applying failed, some settings take effect only at the next start: " + err.Error()
+			applyFailure = "not all is in force before the next start: " + err.Error()
 		}
 	}
 	h.cfg.Log.Info("settings", "version", version, "digest", Digest(text), "later", pendingRestart)
@@ -109,7 +109,7 @@
 	}
 	if err := h.cfg.Save(version, documents); err != nil {
 		h.cfg.Log.Error("saving settings failed", "version", version, "error", err)
-		return "saving failed, lost at a restart: " + err.Error()
+		return "not kept over a restart: " + err.Error()
 	}
 	return ""
 }
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -151,11 +151,10 @@
 	status := Status{Version: h.version}
 	var reasons []string
 	if h.rejected.reason != "" {
-		reasons = append(reasons, "rejected: "+h.rejected.reason)
+		reasons = append(reasons, "not taken: "+h.rejected.reason)
 	}
 	if len(h.documents) > 1 {
-		conflict := fmt.Sprintf("%d texts have version %d: the first one received stays in force until a higher version arrives",
-			len(h.documents), h.version)
+		conflict := fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.documents), h.version)
 		reasons = append(reasons, conflict)
 	}
 	for _, reason := range []string{h.saveFailure, h.applyFailure} {
