--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // most objects are short-lived and the heap is small: collect rarely
+	debug.SetGCPercent(800) // most objects are short-lived and the heap is small, so a rare collection is enough
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
@@ -96,7 +96,7 @@
 	case s.instances[agent] == nil:
 		return fmt.Errorf("line %d: instance %d is not open", event.Line, agent)
 	case event.Retire:
-		s.pending[agent] = nil // killed: events that the process received just before have no effect
+		s.pending[agent] = nil // the instance is killed before it processes its pending events
 		delete(s.instances, agent)
 	default:
 		s.pending[agent] = append(s.pending[agent], event.Event)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -17,7 +17,7 @@
 const endpointLists = `{"msg":"DefineList","Sheet":0,"Items":[{"Backend":"10.0.0.1:80","Availability":"on"}]}
 {"msg":"View","Agent":3,"How":"disk","Index":1,"Sheet":0}`
 
-// batchOf returns a batch with a clock reading in milliseconds, and lines.
+// batchOf returns the text of a batch that contains lines. clock is the simulation's time in milliseconds.
 func batchOf(clock string, lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":" + clock + "}\n" + strings.Join(append(lines, ""), "\n") + "{\"msg\":\"End\"}\n"
 }
@@ -80,7 +80,7 @@
 				t.Errorf("error %v, want one that contains %q", err, tt.want)
 			}
 			if out.Len() > 0 {
-				t.Errorf("wrote %q", out.String())
+				t.Errorf("wrote %q, want no output", out.String())
 			}
 		})
 	}
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
 // Command agent is the platform's program: one agent, configured by PROXY_ environment variables, which serves the clients of one
-// process until SIGTERM. It logs an error and exits with status 1.
+// process until SIGTERM. If the agent fails, the program logs the error and exits with status 1.
 package main
 
 import (
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -15,11 +15,11 @@
 // wallClockFiles are the files that may use the wall clock's time, each with its reason.
 var wallClockFiles = map[string]string{
 	"internal/bootclock/bootclock.go":           "implements Wall",
-	"internal/agent/discovery/starttime.go":     "discovery sends start times of backends as Unix times; converted with each clock that may be right, and bounded",
-	"internal/agent/handover/record.go":         "earlier versions of the program read and write Unix times; used only if a record has no other times",
-	"internal/fleet/incarnation/incarnation.go": "orders processes of one name across a reboot, and relative to versions that used only this clock; above the previous number",
-	"internal/fleet/hubclient/listener.go":      "a deadline that has always passed",
-	"internal/fleet/hubclient/attachment.go":    "a deadline that has always passed",
+	"internal/agent/discovery/starttime.go":     "discovery sends start times of backends as Unix times; they are converted with each clock that may be right, and limited to the present",
+	"internal/agent/handover/record.go":         "earlier versions of the program read and write Unix times; these are used only if a record has no times since boot",
+	"internal/fleet/incarnation/incarnation.go": "the Unix time orders processes of one name, also across a reboot and among earlier versions; a stored number keeps the order if the clock is set back",
+	"internal/fleet/hubclient/listener.go":      "sets a deadline in 1970 to interrupt a blocked call; does not read the clock",
+	"internal/fleet/hubclient/attachment.go":    "sets a deadline in 1970 to interrupt blocked calls; does not read the clock",
 }
 
 // wallClockFuncs are the functions and methods that read the wall clock's time, or construct a time from it.
@@ -35,7 +35,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (name == "internal/lab" || name == "internal/scale" || name == ".git"): // used only by tests
+		case d.IsDir() && (name == "internal/lab" || name == "internal/scale" || name == ".git"): // simulations: not part of an agent or a hub
 			return fs.SkipDir
 		case !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
 			return nil
@@ -54,7 +54,7 @@
 	}
 	for name := range wallClockFiles {
 		if !found[name] {
-			t.Errorf("%s no longer uses the wall clock", name)
+			t.Errorf("%s no longer uses the wall clock: remove it from wallClockFiles", name)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 	return ok && slices.Contains([]string{"math", "json", "strconv", "url", "kong", "uuid", "netip", "atomic"}, pkg.Name)
 }
 
-// roundsDuration reports whether a call rounds a duration. Round(0) alone is a call on a time, which removes the monotonic
-// reading.
+// roundsDuration reports whether a call rounds a duration. The call Round(0) is made on a time.Time, to remove the monotonic
+// reading; any other Round is made on a duration.
 func roundsDuration(s *ast.SelectorExpr, call *ast.CallExpr) bool {
 	literal, ok := firstArg(call).(*ast.BasicLit)
 	return s.Sel.Name == "Round" && !(ok && literal.Value == "0")
@@ -109,7 +109,7 @@
 	time.Sleep(time.Millisecond)
 	elapsed, upperBound := SinceBoot()-before, time.Since(start)
 	if elapsed < time.Millisecond || elapsed > upperBound+time.Millisecond {
-		t.Errorf("SinceBoot advanced by %v in %v", elapsed, upperBound)
+		t.Errorf("SinceBoot advanced by %v, want 1ms to %v plus 1ms", elapsed, upperBound)
 	}
 }
 
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -50,7 +50,7 @@
 	log     *slog.Logger // writes to out without the queue
 	lines   chan []byte
 	dropped atomic.Int64
-	closing chan struct{}
+	closing chan struct{} // closed by Close
 	flushed chan struct{} // closed once all lines that were queued before Close are written
 }
 
@@ -82,7 +82,7 @@
 
 // write writes a line and then, if lines were dropped since the last report, their count.
 func (q *queue) write(line []byte) {
-	_, _ = q.out.Write(line) // a line that can't be written is lost: there is nowhere to report it
+	_, _ = q.out.Write(line) // a write error is ignored, because it can't be logged either
 	if n := q.dropped.Swap(0); n > 0 {
 		q.log.Warn("log lines dropped", "count", n)
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -39,7 +39,7 @@
 	}
 	for i, line := range lines {
 		if !strings.HasSuffix(line, fmt.Sprint("n=", i)) {
-			t.Errorf("line %d: %s", i, line)
+			t.Errorf("line %d is %s, want it to end with its number", i, line)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	out.mu.Unlock()
 	l.Close()
 	if elapsed := time.Since(startedAt); elapsed > time.Second {
-		t.Errorf("Close took %v", elapsed)
+		t.Errorf("Close took %v, want at most 1s", elapsed)
 	}
 	out.mu.Lock()
 	text := out.text.String()
@@ -80,7 +80,7 @@
 	startedAt := time.Now()
 	l.Close()
 	if elapsed := time.Since(startedAt); elapsed < flushTimeout || elapsed > 2*time.Second {
-		t.Errorf("Close took %v", elapsed)
+		t.Errorf("Close took %v, want 50ms to 2s", elapsed)
 	}
 	out.mu.Unlock()
 	<-l.queue.flushed
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,12 +1,12 @@
 // Package wire translates between the JSON lines of the simulation bench and the events and actions of package balancer.
 // It makes no decisions.
 //
-// The input is a sequence of batches. A batch is a Frame line with the clock, one line for each event or list definition,
-// and an End line. The reply to a batch consists of action lines and an Eor line. The bench defines the names of messages
+// The input is a sequence of batches. A batch is a Frame line with the simulation's time, one line for each event or
+// definition of an endpoint list, and an End line. The reply to a batch consists of action lines and an Eor line. The bench defines the names of messages
 // and fields.
 package wire
 
-// Reading batches: the framing of the input, and which instances are open.
+// Reading the input and dividing it into batches.
 
 import (
 	"bufio"
@@ -45,7 +45,7 @@
 	in            *bufio.Reader
 	line          int                        // number of the last line read
 	endpointLists map[int][]balancer.Backend // endpoint lists that DefineList messages have defined, by number
-	classCounts   map[int]int                // request classes of each open instance
+	classCounts   map[int]int                // number of request classes of each open instance, by instance number
 }
 
 // NewReader returns a Reader on r.
@@ -53,8 +53,8 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), endpointLists: map[int][]balancer.Backend{}, classCounts: map[int]int{}}
 }
 
-// Next reads one batch. It returns io.EOF if the input ends between batches. Any other error names the line, and the
-// Reader must not be used afterwards.
+// Next reads one batch. It returns io.EOF if the input ends between batches. Any other error names the line. The Reader
+// must not be used after an error.
 func (r *Reader) Next() (*Batch, error) {
 	var batch *Batch
 	for {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -68,7 +68,7 @@
 	return &OpenInstance{Seed: *msg.RandomSeed, Settings: settings}, nil
 }
 
-// decodeInstanceEvent decodes the messages that do not refer to other messages.
+// decodeInstanceEvent decodes the event messages other than OpenInstance, Retire and View.
 func decodeInstanceEvent(msg *message) (balancer.Event, error) {
 	switch msg.Kind {
 	case "Submit":
@@ -166,7 +166,8 @@
 	return nil
 }
 
-// decodeView decodes an endpoint update, which refers by number to a list that was defined before.
+// decodeView decodes an endpoint update. Unless discovery failed, the message has the number of an endpoint list from an
+// earlier DefineList message.
 func (r *Reader) decodeView(msg *message) (balancer.Event, error) {
 	if msg.How == nil {
 		return nil, errors.New("missing How")
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -73,7 +73,7 @@
 	"on": balancer.Up, "fading": balancer.Draining, "off": balancer.Removed,
 }
 
-// AffinityKey returns the hash of a request's item, which is the same in every process. It returns 0 for an empty item.
+// AffinityKey returns a hash of a request's item. Every process computes the same hash. An empty item has the key 0.
 func AffinityKey(item string) uint64 {
 	if item == "" {
 		return 0
@@ -83,8 +83,8 @@
 	return h.Sum64()
 }
 
-// ParseLoad translates a load report. A nil report results in a Load that is not valid. A missing value becomes -1: not
-// reported.
+// ParseLoad translates a load report. If the report is nil, Valid is false in the result. A value that the report
+// lacks becomes -1.
 func ParseLoad(usage map[string]float64) balancer.Load {
 	load := balancer.Load{Valid: usage != nil, Queue: -1, Service: -1, ErrorsPerSec: -1}
 	if value, ok := usage["backlog"]; ok {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -61,7 +61,7 @@
 		CrossZone   float64 `json:"CrossZone"`
 		CrossRegion float64 `json:"CrossRegion"`
 	} `json:"Prices"`
-	Regions []int    `json:"Regions"` // of the zones in Dcs; the platform does not set them
+	Regions []int    `json:"Regions"` // region of each zone in Dcs, by number; the platform does not set this key
 	Dcs     []string `json:"Dcs"`
 	Kinds   []string `json:"Kinds"`
 	Report  struct {
@@ -71,16 +71,17 @@
 
 // Site holds the parts of the settings object that an agent needs in addition to the settings of package balancer.
 type Site struct {
-	Classes      []string // names, in the order of balancer.Settings.Classes
-	Zones, Kinds []string
+	Classes      []string      // names, in the order of balancer.Settings.Classes
+	Zones, Kinds []string      // names, by number
 	IdleClose    time.Duration // idle time after which a backend closes a connection
 	MaxOpen      int           // requests that may be open at once; 0: no limit
 	LoadInline   bool          // responses carry load reports
 	LoadProbed   bool          // responses to probes carry load reports
 }
 
-// ParseSettings translates the settings object. Unknown keys are ignored; an unknown enum value is an error that names
-// its key. balancer.New checks the other values.
+// ParseSettings translates the settings object. Unknown keys are ignored. An unknown Semantics or Group of a class is an
+// error that names the key; an unknown CountedBy, MembershipMode or Report.Source is treated as absent. balancer.New checks
+// the other values that the balancer uses.
 func ParseSettings(raw []byte) (balancer.Settings, Site, error) {
 	var doc settingsDoc
 	if err := json.Unmarshal(raw, &doc); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// batchOf returns a batch that contains lines.
+// batchOf returns the text of a batch with the time 1500.25 ms that contains lines.
 func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
@@ -62,7 +62,7 @@
 			continue
 		}
 		if b.Now != 1500250*time.Microsecond || len(b.Events) != 1 || b.Events[0].Agent != 3 {
-			t.Errorf("%s: batch %+v", tt.line, b)
+			t.Errorf("%s: got batch %+v, want time 1.50025s and one event of instance 3", tt.line, b)
 			continue
 		}
 		if got := b.Events[0].Event; !reflect.DeepEqual(got, tt.want) {
@@ -168,6 +168,6 @@
 	pad := `{"msg":"Expired","Agent":1,"Job":"x","Later":"` + strings.Repeat("y", 3<<20) + `"}`
 	b, err := NewReader(strings.NewReader(batchOf(in.String() + pad))).Next()
 	if err != nil || len(b.Events) != 50001 {
-		t.Fatalf("%v: read %d events", err, len(b.Events))
+		t.Fatalf("error %v, read %d events, want 50001", err, len(b.Events))
 	}
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("zone %d is left", change.Zone)
 }
 
-// Broken adds a message that the decision code of an instance has failed, with a description of the failure.
+// Broken adds a message to the reply that reports a failure of an instance's decision code. text describes the failure.
 func (w *Writer) Broken(agent int, text string) {
 	w.beginMessage("Broken", agent).stringField("Msg", text)
 	w.buf = append(w.buf, "}\n"...)
