--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -23,7 +23,7 @@
 }
 
 // The reply to each batch consists of the actions of its instances.
-func TestBatchesAreAnswered(t *testing.T) {
+func TestBatchesGetReplies(t *testing.T) {
 	const submit = `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`
 	const tryMessage = `{"msg":"Try","Agent":3,"Job":"d0","Backend":"10.0.0.1:80"}` + "\n"
 	const eor = "{\"msg\":\"Eor\"}\n"
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -78,7 +78,7 @@
 "Goal":{"Whole":0.55,"WorstClass":0.3,"WorstWindow":0.15},"Prices":{"CrossZone":0.02},"FamilyInfo":{"WarmKeys":true}}`
 
 // The settings object of OpenInstance is translated key by key.
-func TestOpenInstanceCarriesSettings(t *testing.T) {
+func TestOpenInstanceSettingsAreDecoded(t *testing.T) {
 	oneLine := strings.ReplaceAll(settingsJSON, "\n", "")
 	b, err := NewReader(strings.NewReader(batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + oneLine + `}`))).Next()
 	if err != nil {
