--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -15,9 +15,9 @@
 // wallClockFiles are the files that may use the wall clock's time, each with its reason.
 var wallClockFiles = map[string]string{
 	"internal/bootclock/bootclock.go":           "implements Wall",
-	"internal/agent/discovery/starttime.go":     "discovery sends start times of backends as Unix times; they are converted with each clock that may be right, and limited to the present",
-	"internal/agent/handover/record.go":         "earlier versions of the program read and write Unix times; these are used only if a record has no times since boot",
-	"internal/fleet/incarnation/incarnation.go": "the Unix time orders processes of one name, also across a reboot and among earlier versions; a stored number keeps the order if the clock is set back",
+	"internal/agent/discovery/starttime.go":     "discovery sends start times as Unix times; each is converted with several clocks, and is never in the future",
+	"internal/agent/handover/record.go":         "earlier versions read and write Unix times, which are used only if a record has no times since boot",
+	"internal/fleet/incarnation/incarnation.go": "Unix times order processes of one name across reboots and versions; a stored number covers clocks set back",
 	"internal/fleet/hubclient/listener.go":      "sets a deadline in 1970 to interrupt a blocked call; does not read the clock",
 	"internal/fleet/hubclient/attachment.go":    "sets a deadline in 1970 to interrupt blocked calls; does not read the clock",
 }
--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -10,9 +10,10 @@
 // addressKey is a key that holds an IP address and port.
 type addressKey struct {
 	key, value string
-	required   bool
+	required   bool // whether an empty value is an error
 }
 
+// seedKeys returns a required address for each seed.
 func seedKeys(key string, seeds []string) (keys []addressKey) {
 	for _, seed := range seeds {
 		keys = append(keys, addressKey{key, seed, true})
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,6 +1,6 @@
 package config
 
-// The checks of an agent's configuration. Only the first error is reported, so their order matters.
+// The checks of an agent's configuration. Only the first error is reported, so the order of the checks matters.
 
 import (
 	"fmt"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 	Listen    string    `toml:"listen"`    // for clients; IP address and port
 	Discovery string    `toml:"discovery"` // IP address and port
 	Mgmt      string    `toml:"mgmt"`      // for operators; IP address and port, or ""
-	Lists     string    `toml:"lists"`     // "pushed" or "asked"
+	Lists     string    `toml:"lists"`     // how the agent gets endpoint lists: "pushed" or "asked"
 	Seed      string    `toml:"seed"`      // hexadecimal; "": random
 	Zones     Zones     `toml:"zones"`
 	Zone      string    `toml:"zone"`
@@ -65,7 +65,7 @@
 
 // Peers are the other agents of a fleet that is configured by addresses.
 type Peers struct {
-	Addresses []string `toml:"addresses"` // of all agents, including this one; in the same order at each
+	Addresses []string `toml:"addresses"` // of all agents, including this one; in the same order at each agent
 	Self      int      `toml:"self"`      // index of this agent in Addresses
 	Listen    string   `toml:"listen"`
 }
@@ -94,8 +94,8 @@
 	DrainGrace       strictconfig.Duration `toml:"drain_grace"`
 	InitialCapacity  float64               `toml:"cold_from"` // fraction of the capacity, 0 to 1
 	SlowStartWindow  strictconfig.Duration `toml:"ramp"`
-	OverloadMultiple float64               `toml:"fall_multiple"` // of the current capacity; 0: never overloaded
-	OverloadWindow   strictconfig.Duration `toml:"fall_window"`
+	OverloadMultiple float64               `toml:"fall_multiple"` // of its current capacity; a starting backend fails above this load; 0: never
+	OverloadWindow   strictconfig.Duration `toml:"fall_window"`   // time over which load and capacity are compared
 	WarmKeys         bool                  `toml:"warm_keys"`
 }
 
@@ -110,7 +110,7 @@
 	Name             string                `toml:"name"`
 	Idempotency      string                `toml:"effect"` // "safe", "keyed" or "once"
 	Group            string                `toml:"group"`  // backends that drop each other's duplicates: "all", "zone" or "pod"; "": "all"
-	DedupWindow      strictconfig.Duration `toml:"window"` // time for which backends drop duplicates, if keyed
+	DedupWindow      strictconfig.Duration `toml:"window"` // time for which backends drop duplicates; only for "keyed"
 	LatencyObjective strictconfig.Duration `toml:"aim"`
 	Deadline         strictconfig.Duration `toml:"deadline"`
 	PriorityWeight   float64               `toml:"worth"`
@@ -132,8 +132,8 @@
 // Parse parses and checks the text of an agent's file. file names the text in errors.
 func Parse(file, text string) (*Config, error) { return parseWithSettings(file, text, nil) }
 
-// parseWithSettings merges the defaults, the file and the settings, of which later ones override earlier ones. If a check
-// fails, it returns the configuration along with the error.
+// parseWithSettings merges the defaults, the file and the settings: the file overrides the defaults, and the settings override
+// the file. If a check fails, parseWithSettings returns the configuration along with the error.
 func parseWithSettings(file, text string, overlay *Settings) (*Config, error) {
 	c := &Config{}
 	if err := strictconfig.Decode("default.toml", Default, c); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if a.Settings.Self != 1 || a.Settings.Balancers != 2 || len(a.Settings.Classes) != 1 || a.Settings.MaxAttempts != 5 || a.MemoryMB != 128 {
-		t.Errorf("%+v", a)
+		t.Errorf("got %+v, want Self 1, Balancers 2, one class, MaxAttempts 5, and MemoryMB 128", a)
 	}
 }
 
--- a/internal/config/extension.go
+++ b/internal/config/extension.go
@@ -16,7 +16,7 @@
 	} `json:"settings"`
 }
 
-// FleetExtension is the section fleet; its fields are those of Fleet.
+// FleetExtension is the section fleet: the fields of Fleet, and the folder of the settings.
 type FleetExtension struct {
 	Listen    string             `json:"listen"`
 	Advertise string             `json:"advertise"`
@@ -32,7 +32,7 @@
 	MaxAgeMs  map[string]float64 `json:"max_age_ms"` // by the keys of MaxAge
 }
 
-// ResidencyExtension is the section residency; its fields are those of Residency.
+// ResidencyExtension is the section residency: the fields of Residency except On.
 type ResidencyExtension struct {
 	Policy  string  `json:"policy"`
 	BoundMs float64 `json:"bound_ms"`
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -18,7 +18,7 @@
 	Seeds     []string          `toml:"seeds"`
 	Hubs      map[string]string `toml:"hubs"` // addresses, by zone; empty: a full mesh
 	Label     string            `toml:"label"`
-	MaxAgents int               `toml:"most"`
+	MaxAgents int               `toml:"most"`      // maximum number of agents in the fleet
 	Lists     string            `toml:"lists"`     // "own" or "relayed"
 	ListRate  float64           `toml:"list_rate"` // calls to the list service per second by the whole fleet
 	Matrix    bool              `toml:"matrix"`    // whether latency between zones is measured and used
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// checkResidency also parses the policy file, so that an agent does not start with an unusable one.
+// checkResidency also parses the policy file, so that an agent does not start with an unusable policy.
 func (c *Config) checkResidency() error {
 	r := &c.Residency
 	switch {
--- a/internal/config/hub.go
+++ b/internal/config/hub.go
@@ -25,7 +25,7 @@
 	Listen    string   `toml:"listen"`    // UDP and TCP, IP address and port
 	Advertise string   `toml:"advertise"` // address that other processes use; "": Listen
 	Seeds     []string `toml:"seeds"`
-	MaxAgents int      `toml:"most"` // of the whole fleet
+	MaxAgents int      `toml:"most"` // maximum number of agents in the fleet
 	Matrix    bool     `toml:"matrix"`
 	Discovery string   `toml:"discovery"`  // "": the hub has no endpoint list
 	ListRate  float64  `toml:"list_rate"`  // calls to the list service per second by the whole fleet
@@ -54,7 +54,8 @@
 	return ParseHub(file, string(text))
 }
 
-// ParseHub checks the text of a hub's file, and the documents that it names. file names the text in errors.
+// ParseHub parses and checks the text of a hub's file, and checks the documents whose paths the file contains. file names the
+// text in errors.
 func ParseHub(file, text string) (*Hub, error) {
 	h := &Hub{}
 	if err := strictconfig.Decode("hub.toml", DefaultHub, h); err != nil {
@@ -106,7 +107,8 @@
 	return h.checkDocuments()
 }
 
-// checkDocuments parses the documents that a source publishes, so that it does not start with an unusable one.
+// checkDocuments parses the documents that a source publishes, so that a hub does not start with an unusable
+// document.
 func (h *Hub) checkDocuments() error {
 	if h.Residency.File != "" {
 		if _, _, err := residency.ReadFile(h.Residency.File); err != nil {
--- a/internal/config/hub_test.go
+++ b/internal/config/hub_test.go
@@ -33,6 +33,6 @@
 	h, err := ParseHub("x.toml", minimal+"zone = \"b\"\n[zones]\nb = \"north\"\n[max_age]\ncensus = \"2s\"\n")
 	if err != nil || h.AdmitRate != 200 || !h.Matrix ||
 		h.MaxAge["census"].Duration().Seconds() != 2 || h.MaxAge["service"].Duration().Seconds() != 5 {
-		t.Errorf("%+v, %v", h, err)
+		t.Errorf("got %+v, error %v; want AdmitRate 200, Matrix true, and max_age 2s for census and 5s for service", h, err)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -79,8 +79,8 @@
 	return err
 }
 
-// sets reports whether the document sets a key, which has the form used in errors. A document with classes sets all keys of
-// all classes.
+// sets reports whether the document sets a key, given as in errors, such as attempts.most. A document with classes sets all
+// keys of all classes.
 func (s *Settings) sets(key string) bool {
 	if strings.HasPrefix(key, "class") {
 		key = "class"
@@ -105,7 +105,8 @@
 	return true
 }
 
-// errorAt returns a *strictconfig.Error with the line of a key, or else of the innermost enclosing table that has a line.
+// errorAt returns a *strictconfig.Error with the line of a key. If the key has no line, the error has the line of the innermost
+// enclosing table that has one.
 func (s *Settings) errorAt(key, format string, args ...any) error {
 	located := &strictconfig.Error{File: s.file, Key: key, Message: fmt.Sprintf(format, args...)}
 	for at := key; at != "" && located.Line == 0; {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -35,7 +35,7 @@
 	for _, k := range []string{"name", "listen", "mgmt", "seed", "zone", "zones", "peers", "fleet", "residency", "settings", "limits"} {
 		_, err := ParseSettings("s.toml", "version = 1\n["+k+"]\n")
 		if err == nil || !strings.Contains(err.Error(), "s.toml:2: "+k+": can't be set for") {
-			t.Errorf("%s: %v", k, err)
+			t.Errorf("%s: error %v, want that the key can't be set for all agents", k, err)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	c, err := read(own, "version = 1\n[attempts]\nmost = 6\n"+classText)
 	if err != nil || c.Attempts.Max != 6 || c.Attempts.HealthChecks || c.Discovery != "127.0.0.1:8500" || len(c.Classes) != 1 ||
 		c.Classes[0].DedupWindow != 0 || c.Classes[0].Group != "" {
-		t.Errorf("%+v %v", c, err)
+		t.Errorf("got %+v, error %v; want MaxAttempts and the class of the settings, and the other keys of the agent's file", c, err)
 	}
 	_, err = read(strings.Replace(own, "4", "40", 1), "version = 1\n[attempts]\nprobes = true\n")
 	if err == nil || !strings.HasPrefix(err.Error(), file+":11: attempts.most: 40") {
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -8,11 +8,10 @@
 	"slices"
 )
 
-// Zones are the zones of a site. The key holds either a list of names, without regions, or a table from names
-// to regions.
+// Zones are the zones of a site. The key zones has either a list of names, without regions, or a table from names to regions.
 type Zones struct {
 	Names   []string // sorted if the key is a table
-	Regions []string // of each zone; nil: no zone has one
+	Regions []string // of each zone; nil: no zone has a region
 
 	invalidKey, reason string // an error that UnmarshalTOML found; check reports it with its line
 }
--- a/internal/residency/file_test.go
+++ b/internal/residency/file_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if h, err = start(); err == nil || !strings.Contains(err.Error(), stateFileName) {
-		t.Errorf("truncated state file: %v", err)
+		t.Errorf("truncated state file: error %v, want one that names the file", err)
 	}
 	assertPermitted(t, h, "someone", "update")
 }
--- a/internal/residency/gate/gate.go
+++ b/internal/residency/gate/gate.go
@@ -1,5 +1,5 @@
 // Package gate checks the sends of an agent against its residency policy, with a table of the zones that each rule permits. It
-// has no dependencies, so that it costs an agent without a policy nothing.
+// has no dependencies, so that package agent can use it without linking the code that parses policies.
 //
 // The package has no state. A Table belongs to the Enforcer that made it, is immutable, and may be used from any goroutine.
 // The Enforcer checks the age of its policy whenever it returns a table.
@@ -12,8 +12,8 @@
 	Restricted []bool   // by rule; an unrestricted rule permits every zone, including unknown ones
 }
 
-// Permits reports whether a rule permits sending to a zone. Rule 0 stands for no rule, and permits every zone. A rule that
-// is not in the table permits none, and a restricted rule permits no unknown zone, which includes -1.
+// Permits reports whether a rule permits sending to a zone. Rule 0 means that no rule applies, and permits every zone. A rule
+// that is not in the table permits no zone. A restricted rule permits only zones in the table; -1 is never in the table.
 func (t *Table) Permits(rule, zone int) bool {
 	if rule <= 0 {
 		return true
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -24,7 +24,7 @@
 
 	mu            sync.Mutex
 	version       int64              // 0: no policy
-	policies      map[string]*Policy // of that version, by digest; nil: the document is unusable
+	policies      map[string]*Policy // of version, by digest; nil: the document is unusable
 	lastUsable    *Policy            // determines the restricted tenants while a later policy is unusable
 	confirmedAt   time.Time          // when the version was the source's latest, according to the last confirmation
 	everConfirmed bool
@@ -50,9 +50,10 @@
 	errTooManyDocuments = errors.New("too many texts under one version")
 )
 
-// Apply brings a document into force. A higher version replaces the one in force. Another document of the same version is in
-// force as well: only zones that both permit are permitted. A lower version is an error. An unusable document is in force too, and
-// Apply returns its error: restricted tenants are refused until a higher version arrives.
+// Apply brings a document into force. Its version is the higher one of version and the version in the text. A higher version
+// replaces the one in force. Another document of the same version is in force as well: only zones that both permit are
+// permitted. A lower version is an error. An unusable document is in force too, and Apply returns the error of Parse:
+// restricted tenants are refused until a higher version arrives.
 func (h *Holder) Apply(version int64, text string) error {
 	policy, err := Parse("policy", text)
 	if err == nil && policy.Version != version {
@@ -106,8 +107,8 @@
 	}
 }
 
-// Confirm records that a document was the source's latest version at a time that is age ago. A confirmation of another
-// version, or one older than the last, has no effect.
+// Confirm records that a document was the latest of the source at the time now minus age. A confirmation of another version or
+// of an unknown document, or one older than the last confirmation, has no effect.
 func (h *Holder) Confirm(version int64, digest string, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,7 +160,8 @@
 	return State{h.version, slices.Sorted(maps.Keys(h.policies)), h.stale, maps.Clone(h.refusals)}
 }
 
-// Text returns the document with a digest, of the version in force. ok is false if there is none, or if it is unusable.
+// Text returns the document of the version in force that has the digest. ok is false if no document has the digest, or if the
+// document is unusable.
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -1,9 +1,9 @@
 // Package residency decides in which zones a tenant's requests may be served.
 //
 // A policy is a TOML document with a version. It names regions, the sites (zones) that belong to each, and for each tenant
-// the regions that are permitted. A policy fails closed: a restricted tenant is permitted no site outside the regions, no
-// zone that is not configured, and no zone at all while the policy is unusable. Versions only grow, also across restarts. Two
-// documents of one version permit only the zones that both permit.
+// the regions that are permitted. A policy fails closed: a restricted tenant is permitted only configured zones that
+// belong to its regions, and is refused while the policy is unusable. Versions only grow, also across restarts. Two documents
+// of one version permit only the zones that both permit.
 //
 // # State and owners
 //
@@ -12,8 +12,9 @@
 // that it returns is immutable, and is replaced whenever the policy, its staleness or the known tenants change.
 //
 // A policy is checked on arrival (Parse), and enforced twice: by the decision module, and by the gate right before each send.
-// Its age is the time since a source last confirmed the version (Holder.Confirm). Each call of Holder.Table compares the age
-// with the holder's maxAge; above it the rule of each tenant decides whether the old policy applies or requests are refused.
+// The age of a policy is the time since a source last confirmed the version (Holder.Confirm). Each call of Holder.Table
+// compares the age with the holder's maxAge. Above maxAge the rule of each tenant decides whether the old policy applies or
+// requests are refused.
 package residency
 
 import (
@@ -44,7 +45,7 @@
 // Policy is a parsed policy document. It is immutable after Parse.
 type Policy struct {
 	Version     int64               `toml:"version"`
-	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for rules that don't set it; "": "serve"
+	WhenStale   string              `toml:"when_stale"` // "serve" or "refuse", for rules without when_stale; "": "serve"
 	Regions     map[string][]string `toml:"regions"`    // the sites of each region
 	Tenants     map[string]Tenant   `toml:"tenant"`
 	DefaultRule Rule                `toml:"others"` // for tenants that are not named
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -83,7 +83,7 @@
 	apply := func(v int, s string, fails bool) {
 		t.Helper()
 		if err := h.Apply(int64(v), s); (err != nil) != fails {
-			t.Errorf("version %d: %v", v, err)
+			t.Errorf("version %d: error %v is the opposite of the wanted result", v, err)
 		}
 	}
 	apply(2, policyText(2, `"riga", "kurzeme"`, "serve"), false)
@@ -103,7 +103,7 @@
 	apply(6, policyText(6, `"riga"`, "serve"), false)
 	assertPermitted(t, h, "post", "update", "riga-a", "riga-b")
 	if !slices.Equal(saved, []int64{2, 3, 3, 3, 4, 5, 6}) {
-		t.Errorf("saved %v", saved)
+		t.Errorf("saved versions %v, want [2 3 3 3 4 5 6]", saved)
 	}
 }
 
@@ -159,12 +159,12 @@
 	failingSave := func(int64, []string) error { return errors.New("the disk is full") }
 	h := NewHolder(zones, time.Second, true, slog.New(slog.NewTextHandler(&log, nil)), failingSave)
 	if err := h.Apply(1, good); err != nil || !strings.Contains(log.String(), "the disk is full") {
-		t.Errorf("%v: %s", err, log.String())
+		t.Errorf("error %v, log %q; want no error, and the failed save in the log", err, log.String())
 	}
 	h.CountRefusal(h.RuleID("post", "update"), 2)
 	h.CountRefusal(99, -1)
 	if st := h.State(); st.Refusals[[2]string{"post", "liepaja"}] != 1 || st.Refusals[[2]string{"", "unknown"}] != 1 {
-		t.Errorf("%v", st.Refusals)
+		t.Errorf("refusals %v, want one of post in liepaja, and one of no tenant in an unknown zone", st.Refusals)
 	}
 }
 
--- a/internal/residency/rules.go
+++ b/internal/residency/rules.go
@@ -7,7 +7,8 @@
 // subject is the tenant and class that a rule applies to.
 type subject struct{ tenant, class string }
 
-// maxRules bounds the number of subjects with rules of their own. Further subjects share one rule that permits no zone.
+// maxRules bounds the rule numbers: fewer than maxRules subjects have rules of their own. Further subjects share the number
+// maxRules, which no table contains, so that no zone is permitted to them.
 const maxRules = 4096
 
 // RuleID returns the number of the rule for a tenant's requests of a class, from 1. The permitted zones may change; the
@@ -20,7 +21,7 @@
 		return id
 	}
 	if len(h.subjects) >= maxRules {
-		return maxRules // not in any table, so that no zone is permitted
+		return maxRules
 	}
 	id := len(h.subjects)
 	h.ruleIDs[s], h.subjects = id, append(h.subjects, s)
@@ -38,7 +39,7 @@
 }
 
 // CountRefusal counts and logs an attempt that the gate refused. Each refusal is an error of the decision module, which should
-// not have chosen a backend in that zone.
+// not have chosen a backend in the zone.
 func (h *Holder) CountRefusal(rule, zone int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/settings/agentconfig.go
+++ b/internal/settings/agentconfig.go
@@ -9,8 +9,8 @@
 )
 
 // AgentConfig is the configuration of a running agent: its own file, overridden by the settings in force. Check and Apply
-// serve as functions of a Holder's Config. Only the key discovery takes effect while the agent runs, as after SIGHUP. The
-// methods may be called from any goroutine.
+// are functions for the Config of a Holder. While the agent runs, only a change of the key discovery takes effect, as after
+// SIGHUP. The methods may be called from any goroutine.
 type AgentConfig struct {
 	file              string
 	onDiscoveryChange func(discovery string)
@@ -37,7 +37,7 @@
 	case a.running == nil:
 		running := *cfg
 		a.running = &running
-	default: // the caller applies what can change while the agent runs
+	default: // only discovery can change while the agent runs; the caller applies the change
 		a.running.Discovery = cfg.Discovery
 	}
 	return cfg, err
--- a/internal/settings/apply.go
+++ b/internal/settings/apply.go
@@ -69,8 +69,9 @@
 	return true, nil
 }
 
-// addConflictingText records another document of the version in force, and returns errConflictingText. It is saved too, so
-// that the first one stays in force after a restart. The caller holds applyMu.
+// addConflictingText records and saves another document of the version in force, unless maxDocuments are recorded already, and
+// returns errConflictingText. All documents are saved in order, so that the first one stays in force after a restart. The
+// caller holds applyMu.
 func (h *Holder) addConflictingText(version int64, text string) error {
 	h.cfg.Log.Error("settings version conflict", "version", version, "digest", Digest(text))
 	if documents := append(slices.Clone(h.documents), text); len(documents) <= maxDocuments {
@@ -81,7 +82,7 @@
 }
 
 // bringIntoForce saves and applies a document that was checked. If saving or applying fails, the document is in force
-// nevertheless, and the next start applies the saved document. The caller holds applyMu.
+// nevertheless. The next start applies the last version that was saved. The caller holds applyMu.
 func (h *Holder) bringIntoForce(version int64, text string, parsed *Settings) {
 	saveFailure, applyFailure := h.save(version, []string{text}), ""
 	var pendingRestart []string
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -63,7 +63,7 @@
 
 	mu             sync.Mutex
 	version        int64
-	documents      []string // of that version; the first is in force
+	documents      []string // of version; the first is in force
 	minVersion     int64    // saved by the previous process, in force or not: lower versions are rejected
 	pendingRestart []string // keys
 	rejected       rejection
@@ -77,7 +77,7 @@
 	version int64
 	digest  string
 	reason  string
-	at      time.Time
+	at      time.Time // of the rejection
 }
 
 // NewHolder returns a holder without settings: the agent's own file applies until the first version arrives.
@@ -141,7 +141,7 @@
 type Status struct {
 	Version int64  // 0: none
 	Digest  string // "": none
-	Reason  string // the problem with it, or with a higher version; "": none
+	Reason  string // the problem with this version or a higher one; "": none
 }
 
 // Status returns the version in force, and any problem with it or with a higher version.
@@ -166,11 +166,11 @@
 		status.Digest = Digest(h.documents[0])
 	}
 	status.Reason = strings.Join(reasons, "; ")
-	status.Reason = strings.ToValidUTF8(status.Reason[:min(len(status.Reason), maxReasonBytes)], "") // a cut may split a character
+	status.Reason = strings.ToValidUTF8(status.Reason[:min(len(status.Reason), maxReasonBytes)], "") // truncation may split a character
 	return status
 }
 
-// Text returns the document with a digest, of the version in force. ok is false if there is none.
+// Text returns the document of the version in force that has the digest. ok is false if no document has the digest.
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, maxAttempts)
 }
 
-// writeFile replaces a file in one step, as operators do.
+// writeFile replaces a file atomically, as operators do.
 func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := errors.Join(os.WriteFile(file+".w", []byte(text), 0o600), os.Rename(file+".w", file)); err != nil {
@@ -34,7 +34,7 @@
 		t.Errorf("%+v is in force, want %q", status, text)
 	}
 	if reason == "" && status.Reason != "" || !strings.Contains(status.Reason, reason) || len(status.Reason) > maxReasonBytes {
-		t.Errorf("reason %q, want %q", status.Reason, reason)
+		t.Errorf("reason %q, want one of limited length that contains %q", status.Reason, reason)
 	}
 }
 
--- a/internal/strictconfig/line.go
+++ b/internal/strictconfig/line.go
@@ -39,6 +39,7 @@
 	return strings.TrimSpace(strings.Trim(strings.SplitN(header, "]", 2)[0], "["))
 }
 
+// matches reports whether key is full, with or without the indexes of arrays of tables.
 func matches(full, key string) bool { return full == key || withoutIndexes(full) == key }
 
 // withoutIndexes drops the indexes of arrays of tables: class[0].name becomes class.name.
--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -39,14 +39,14 @@
 	} {
 		var got *Error
 		if err := Decode("f", c.text, &decoded{}); !errors.As(err, &got) {
-			t.Errorf("%q: %v", c.text, err)
+			t.Errorf("%q: error %v, want an *Error", c.text, err)
 		} else if got.File != c.want.File || got.Line != c.want.Line || got.Key != c.want.Key || got.Message == "" {
 			t.Errorf("%q: %+v, want %+v", c.text, got, c.want)
 		}
 	}
 	var v decoded
 	if err := Decode("f", document, &v); err != nil || v.Name != "a" || v.Wait.Duration() != 250*time.Millisecond || len(v.Class) != 2 {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("decoded %+v, error %v; want name a, wait 250ms and two classes", v, err)
 	}
 }
 
@@ -79,10 +79,10 @@
 func TestDurationIsReadAndWrittenAsText(t *testing.T) {
 	var d Duration
 	if err := d.UnmarshalText([]byte("1.5s")); err != nil || d.Duration() != 1500*time.Millisecond {
-		t.Errorf("%v, %v", d.Duration(), err)
+		t.Errorf("parsed %v, error %v; want 1.5s", d.Duration(), err)
 	}
 	if text, err := d.MarshalText(); err != nil || string(text) != "1.5s" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("text %q, error %v; want 1.5s", text, err)
 	}
 	if err := d.UnmarshalText([]byte("1.5")); err == nil {
 		t.Error("a number without a unit is accepted")
--- a/internal/versionedfile/versionedfile.go
+++ b/internal/versionedfile/versionedfile.go
@@ -92,7 +92,7 @@
 		err = json.Unmarshal(data, &stored)
 	}
 	if err == nil && (stored.Format != storedFormat || stored.Version < 1) {
-		err = fmt.Errorf("format %d, version %d", stored.Format, stored.Version)
+		err = fmt.Errorf("got format %d and version %d, want format 1 and a version above 0", stored.Format, stored.Version)
 	}
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: %w", path, err)
@@ -102,9 +102,9 @@
 
 const pollInterval = 100 * time.Millisecond
 
-// Watch calls onChange with a file's text, immediately and whenever the text changes, until ctx ends. It polls the file and
-// returns when ctx ends; onChange runs in its goroutine. When the file is removed or becomes unreadable, onChange is called
-// once with an empty text and the error; a file that has never existed is not reported.
+// Watch polls a file until ctx ends. It calls onChange with the first text that is not empty, and whenever the text changes.
+// When the file is removed or becomes unreadable, onChange is called once with an empty text and the error. A file that is
+// missing, unreadable or empty from the start is not reported. onChange runs in the goroutine of Watch.
 func Watch(ctx context.Context, file string, onChange func(text string, err error)) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/versionedfile/versionedfile_test.go
+++ b/internal/versionedfile/versionedfile_test.go
@@ -15,7 +15,7 @@
 func TestLoadReturnsWhatWasSaved(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "by", "save")
 	if version, documents, err := Load(dir, "state.json"); version != 0 || documents != nil || err != nil {
-		t.Errorf("before the first save: %d, %q, %v", version, documents, err)
+		t.Errorf("before the first save: version %d, documents %q, error %v; want none", version, documents, err)
 	}
 	save := SaveFunc(dir, "state.json")
 	for _, want := range []struct {
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if version, documents, err := Load(dir, "state.json"); version != want.version || !slices.Equal(documents, want.documents) || err != nil {
-			t.Errorf("%d, %q, %v, want %+v", version, documents, err, want)
+			t.Errorf("loaded version %d, documents %q, error %v; want %+v", version, documents, err, want)
 		}
 	}
 }
@@ -38,10 +38,10 @@
 		t.Fatal(err)
 	}
 	if data, err := os.ReadFile(filepath.Join(dir, "state.json")); string(data) != `{"format":1,"version":2,"texts":["x"]}` || err != nil {
-		t.Errorf("%s, %v", data, err)
+		t.Errorf("stored %s, error %v; want format 1, version 2 and one text", data, err)
 	}
 	if digest := Digest("x"); digest != "5c80c09683041123" {
-		t.Errorf("digest %s", digest)
+		t.Errorf("digest %s, want 5c80c09683041123", digest)
 	}
 }
 
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if _, _, err := Load(dir, "state.json"); err == nil || !strings.HasPrefix(err.Error(), file+": ") {
-			t.Errorf("%q: %v", data, err)
+			t.Errorf("%q: error %v, want one that begins with the file", data, err)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if c := next(); c.text != "" || !errors.Is(c.err, fs.ErrNotExist) {
-		t.Errorf("%+v after the removal of the file", c)
+		t.Errorf("%+v after the removal of the file, want no text and ErrNotExist", c)
 	}
 	select {
 	case c := <-changes:
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -2,8 +2,8 @@
 // It makes no decisions.
 //
 // The input is a sequence of batches. A batch is a Frame line with the simulation's time, one line for each event or
-// definition of an endpoint list, and an End line. The reply to a batch consists of action lines and an Eor line. The bench defines the names of messages
-// and fields.
+// definition of an endpoint list, and an End line. The reply to a batch consists of action lines and an
+// Eor line. The bench defines the names of messages and fields.
 package wire
 
 // Reading the input and dividing it into batches.
