--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -133,7 +133,7 @@
 // The error for an unusable policy names file and key. A policy that can't be saved is in force nevertheless, and the failure
 // is logged.
 func TestPolicyErrorsNameFileAndKey(t *testing.T) {
-	good := policyText(1, `"riga"`, "serve")
+	validText := policyText(1, `"riga"`, "serve")
 	for _, c := range []struct{ old, new, want string }{
 		{"version = 1", "version = 0", "p.toml:1: version"},
 		{`"riga-b"]`, `"liepaja"]`, "regions.riga"},
@@ -144,10 +144,10 @@
 		{`permitted = ["kurzeme"]`, `permitted = ["kurzeme"]` + "\nspill = true", "spill"},
 		{"[others]", "[other]", "other"},
 	} {
-		if !strings.Contains(good, c.old) {
+		if !strings.Contains(validText, c.old) {
 			t.Fatalf("%q is not in the text", c.old)
 		}
-		_, err := Parse("p.toml", strings.Replace(good, c.old, c.new, 1))
+		_, err := Parse("p.toml", strings.Replace(validText, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "p.toml") {
 			t.Errorf("%q: %v, want %q", c.new, err, c.want)
 		}
@@ -158,7 +158,7 @@
 	var log bytes.Buffer
 	failingSave := func(int64, []string) error { return errors.New("the disk is full") }
 	h := NewHolder(zones, time.Second, true, slog.New(slog.NewTextHandler(&log, nil)), failingSave)
-	if err := h.Apply(1, good); err != nil || !strings.Contains(log.String(), "the disk is full") {
+	if err := h.Apply(1, validText); err != nil || !strings.Contains(log.String(), "the disk is full") {
 		t.Errorf("error %v, log %q; want no error, and the failed save in the log", err, log.String())
 	}
 	h.CountRefusal(h.RuleID("post", "update"), 2)
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -111,8 +111,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.rejected
-	rejectedLately := version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval
-	if version < max(h.version, h.minVersion) || rejectedLately {
+	rejectedRecently := version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval
+	if version < max(h.version, h.minVersion) || rejectedRecently {
 		return false
 	}
 	hasDigest := func(document string) bool { return Digest(document) == digest }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -177,8 +177,8 @@
 	own := filepath.Join(t.TempDir(), "agent.toml")
 	writeFile(t, own, "discovery = \"127.0.0.1:1\"\n[attempts]\nmost = 4\n"+
 		"[[class]]\nname = \"get\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n")
-	var moved []string
-	agent := NewAgentConfig(own, func(to string) { moved = append(moved, to) })
+	var discoveryChanges []string
+	agent := NewAgentConfig(own, func(to string) { discoveryChanges = append(discoveryChanges, to) })
 	h := NewHolder(Config{Check: agent.Check, Apply: agent.Apply})
 	apply := func(text string, pendingRestart ...string) {
 		t.Helper()
@@ -198,8 +198,8 @@
 		"attempts.most", "prices.cross_zone", "class[0].deadline")
 	apply("version = 3\ndiscovery = \"127.0.0.1:2\"\n[attempts]\nmost = 5\n"+class+class, "class")
 	apply(settingsText(4, 5))
-	if !slices.Equal(moved, []string{"127.0.0.1:2", "127.0.0.1:1"}) {
-		t.Errorf("discovery changed to %q", moved)
+	if !slices.Equal(discoveryChanges, []string{"127.0.0.1:2", "127.0.0.1:1"}) {
+		t.Errorf("discovery changed to %q", discoveryChanges)
 	}
 	writeFile(t, own, "discovery = \"no\"\n")
 	if h.Apply(0, settingsText(5, 5)) == nil {
