--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// The agent loads what Parse accepts.
+// The agent loads a configuration that Parse accepts.
 func TestAgentLoadsAnAcceptedConfig(t *testing.T) {
 	c, err := Parse("x.toml", minimalText+classText+"[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n"+
 		"self = 1\nlisten = \"127.0.0.1:3\"\n")
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -18,7 +18,7 @@
 	flushTimeout = 50 * time.Millisecond // bounds how long Close waits for the output
 )
 
-// Logger is a slog.Logger whose lines are queued. It may be used by several goroutines at once.
+// Logger is a slog.Logger whose lines are queued. A Logger may be used by several goroutines at once.
 type Logger struct {
 	*slog.Logger
 	queue *queue
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -8,8 +8,8 @@
 // # State and owners
 //
 // The file that Watch reads belongs to the operator; it exists only at a source. A Holder owns the policy in force at one
-// process, and the state file policy.json in its folder, if it has one. Its fields are guarded by Holder.mu. The gate.Table
-// that it returns is immutable, and is replaced whenever the policy, its staleness or the known tenants change.
+// process, and the state file policy.json in its folder, if it has one. The fields of a Holder are guarded by Holder.mu. The
+// gate.Table that a Holder returns is immutable, and is replaced whenever the policy, its staleness or the known tenants change.
 //
 // A policy is checked on arrival (Parse), and enforced twice: by the decision module, and by the gate right before each send.
 // The age of a policy is the time since a source last confirmed the version (Holder.Confirm). Each call of Holder.Table
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -6,9 +6,9 @@
 // # State and owners
 //
 // The file that Watch reads belongs to the operator; it exists only at a source, which is a hub. A Holder owns the settings in
-// force at one process, and the state file settings.json in its folder, if it has one. Its fields in memory are guarded by
-// Holder.mu, and change only while Holder.applyMu is also held. At an agent an AgentConfig owns the running configuration: the
-// agent's own file, overridden by the settings.
+// force at one process, and the state file settings.json in its folder, if it has one. The fields of a Holder are guarded by
+// Holder.mu, and after Load change only while Holder.applyMu is also held. At an agent an AgentConfig owns the running
+// configuration: the agent's own file, overridden by the settings.
 //
 // Settings are checked on arrival: against the defaults (Parse), and at an agent against its own file (Config.Check). They
 // have no age limit: the version in force stays until a higher one arrives, even if no hub can be reached.
@@ -44,7 +44,7 @@
 // Digest returns a hash that distinguishes documents of one version.
 func Digest(text string) string { return versionedfile.Digest(text) }
 
-// Config configures a Holder for its process. Each function may be nil; the Holder makes no two calls at once.
+// Config configures the Holder of a process. Each function may be nil. The Holder calls the functions one at a time.
 type Config struct {
 	// Check returns an error if the settings can't be used by this process.
 	Check func(*Settings) error
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,5 +1,5 @@
 // Package wire translates between the JSON lines of the simulation bench and the events and actions of package balancer.
-// It makes no decisions.
+// The package makes no decisions.
 //
 // The input is a sequence of batches. A batch is a Frame line with the simulation's time, one line for each event or
 // definition of an endpoint list, and an End line. The reply to a batch consists of action lines and an
@@ -40,7 +40,7 @@
 	Events []Event       // in the order of the input
 }
 
-// Reader reads batches. It must be used by one goroutine at a time.
+// Reader reads batches. A Reader must be used by one goroutine at a time.
 type Reader struct {
 	in            *bufio.Reader
 	line          int                        // number of the last line read
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -14,8 +14,8 @@
 	"martenbeam/balancer"
 )
 
-// Writer writes replies. It buffers a reply until End writes the whole reply; without End nothing is written. A Writer must
-// be used by one goroutine at a time.
+// Writer writes replies. A Writer buffers a reply until End writes the complete reply; without End nothing is written. A Writer
+// must be used by one goroutine at a time.
 type Writer struct {
 	out   io.Writer
 	reply bytes.Buffer // lines of the current reply
