--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -6,9 +6,9 @@
 // # State and owners
 //
 // The file that Watch reads belongs to the operator; it exists only at a source, which is a hub. A Holder owns the settings in
-// force at one process, and the state file settings.json in its folder, if it has one. Its fields in memory are guarded by
-// Holder.mu, and change only while Holder.applyMu is also held. At an agent an AgentConfig owns the running configuration: the
-// agent's own file, overridden by the settings.
+// force at one process, and the state file settings.json in its folder, if it has one. The fields of a Holder are guarded by
+// Holder.mu, and after Load change only while Holder.applyMu is also held. At an agent an AgentConfig owns the running
+// configuration: the agent's own file, overridden by the settings.
 //
 // Settings are checked on arrival: against the defaults (Parse), and at an agent against its own file (Config.Check). They
 // have no age limit: the version in force stays until a higher one arrives, even if no hub can be reached.
@@ -44,7 +44,7 @@
 // Digest returns a hash that distinguishes documents of one version.
 func Digest(text string) string { return versionedfile.Digest(text) }
 
-// Config configures a Holder for its process. Each function may be nil; the Holder makes no two calls at once.
+// Config configures the Holder of a process. Each function may be nil. The Holder calls the functions one at a time.
 type Config struct {
 	// Check returns an error if the settings can't be used by this process.
 	Check func(*Settings) error
@@ -63,7 +63,7 @@
 
 	mu             sync.Mutex
 	version        int64
-	documents      []string // of that version; the first is in force
+	documents      []string // of version; the first is in force
 	minVersion     int64    // saved by the previous process, in force or not: lower versions are rejected
 	pendingRestart []string // keys
 	rejected       rejection
@@ -77,7 +77,7 @@
 	version int64
 	digest  string
 	reason  string
-	at      time.Time
+	at      time.Time // of the rejection
 }
 
 // NewHolder returns a holder without settings: the agent's own file applies until the first version arrives.
@@ -111,8 +111,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.rejected
-	rejectedLately := version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval
-	if version < max(h.version, h.minVersion) || rejectedLately {
+	rejectedRecently := version == r.version && digest == r.digest && time.Since(r.at) < rejectedRetryInterval
+	if version < max(h.version, h.minVersion) || rejectedRecently {
 		return false
 	}
 	hasDigest := func(document string) bool { return Digest(document) == digest }
@@ -141,7 +141,7 @@
 type Status struct {
 	Version int64  // 0: none
 	Digest  string // "": none
-	Reason  string // the problem with it, or with a higher version; "": none
+	Reason  string // the problem with this version or a higher one; "": none
 }
 
 // Status returns the version in force, and any problem with it or with a higher version.
@@ -151,11 +151,10 @@
 	status := Status{Version: h.version}
 	var reasons []string
 	if h.rejected.reason != "" {
-		reasons = append(reasons, "rejected: "+h.rejected.reason)
+		reasons = append(reasons, "not taken: "+h.rejected.reason)
 	}
 	if len(h.documents) > 1 {
-		conflict := fmt.Sprintf("%d texts have version %d: the first one received stays in force until a higher version arrives",
-			len(h.documents), h.version)
+		conflict := fmt.Sprintf("%d texts have version %d: the first stands until a higher version comes", len(h.documents), h.version)
 		reasons = append(reasons, conflict)
 	}
 	for _, reason := range []string{h.saveFailure, h.applyFailure} {
@@ -167,11 +166,11 @@
 		status.Digest = Digest(h.documents[0])
 	}
 	status.Reason = strings.Join(reasons, "; ")
-	status.Reason = strings.ToValidUTF8(status.Reason[:min(len(status.Reason), maxReasonBytes)], "") // a cut may split a character
+	status.Reason = strings.ToValidUTF8(status.Reason[:min(len(status.Reason), maxReasonBytes)], "") // truncation may split a character
 	return status
 }
 
-// Text returns the document with a digest, of the version in force. ok is false if there is none.
+// Text returns the document of the version in force that has the digest. ok is false if no document has the digest.
 func (h *Holder) Text(digest string) (version int64, text string, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, maxAttempts)
 }
 
-// writeFile replaces a file in one step, as operators do.
+// writeFile replaces a file atomically, as operators do.
 func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := errors.Join(os.WriteFile(file+".w", []byte(text), 0o600), os.Rename(file+".w", file)); err != nil {
@@ -34,7 +34,7 @@
 		t.Errorf("%+v is in force, want %q", status, text)
 	}
 	if reason == "" && status.Reason != "" || !strings.Contains(status.Reason, reason) || len(status.Reason) > maxReasonBytes {
-		t.Errorf("reason %q, want %q", status.Reason, reason)
+		t.Errorf("reason %q, want one of limited length that contains %q", status.Reason, reason)
 	}
 }
 
@@ -124,7 +124,7 @@
 		if h.Apply(2, bad) == nil || h.ShouldFetch(2, Digest(bad)) {
 			t.Errorf("%.40q applied, or fetched again", bad)
 		}
-		assertInForce(t, h, settingsText(1, 5), "rejected: settings, version 2")
+		assertInForce(t, h, settingsText(1, 5), "not taken: settings, version 2")
 	}
 	if len(order) != 3 {
 		t.Errorf("steps run for a document that can't be parsed: %v", order[3:])
@@ -133,7 +133,7 @@
 	if err := h.Apply(2, settingsText(2, 5)); err != nil {
 		t.Error(err)
 	}
-	assertInForce(t, h, settingsText(2, 5), "saving failed, lost at a restart: no space")
+	assertInForce(t, h, settingsText(2, 5), "not kept over a restart: no space")
 }
 
 // A watched file is applied whenever it changes. An unusable file changes nothing, and the reported reason names file, line
@@ -177,8 +177,8 @@
 	own := filepath.Join(t.TempDir(), "agent.toml")
 	writeFile(t, own, "discovery = \"127.0.0.1:1\"\n[attempts]\nmost = 4\n"+
 		"[[class]]\nname = \"get\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n")
-	var moved []string
-	agent := NewAgentConfig(own, func(to string) { moved = append(moved, to) })
+	var discoveryChanges []string
+	agent := NewAgentConfig(own, func(to string) { discoveryChanges = append(discoveryChanges, to) })
 	h := NewHolder(Config{Check: agent.Check, Apply: agent.Apply})
 	apply := func(text string, pendingRestart ...string) {
 		t.Helper()
@@ -198,8 +198,8 @@
 		"attempts.most", "prices.cross_zone", "class[0].deadline")
 	apply("version = 3\ndiscovery = \"127.0.0.1:2\"\n[attempts]\nmost = 5\n"+class+class, "class")
 	apply(settingsText(4, 5))
-	if !slices.Equal(moved, []string{"127.0.0.1:2", "127.0.0.1:1"}) {
-		t.Errorf("discovery changed to %q", moved)
+	if !slices.Equal(discoveryChanges, []string{"127.0.0.1:2", "127.0.0.1:1"}) {
+		t.Errorf("discovery changed to %q", discoveryChanges)
 	}
 	writeFile(t, own, "discovery = \"no\"\n")
 	if h.Apply(0, settingsText(5, 5)) == nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// batchOf returns a batch that contains lines.
+// batchOf returns the text of a batch with the time 1500.25 ms that contains lines.
 func batchOf(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
@@ -62,7 +62,7 @@
 			continue
 		}
 		if b.Now != 1500250*time.Microsecond || len(b.Events) != 1 || b.Events[0].Agent != 3 {
-			t.Errorf("%s: batch %+v", tt.line, b)
+			t.Errorf("%s: got batch %+v, want time 1.50025s and one event of instance 3", tt.line, b)
 			continue
 		}
 		if got := b.Events[0].Event; !reflect.DeepEqual(got, tt.want) {
@@ -78,7 +78,7 @@
 "Goal":{"Whole":0.55,"WorstClass":0.3,"WorstWindow":0.15},"Prices":{"CrossZone":0.02},"FamilyInfo":{"WarmKeys":true}}`
 
 // The settings object of OpenInstance is translated key by key.
-func TestOpenInstanceCarriesSettings(t *testing.T) {
+func TestOpenInstanceSettingsAreDecoded(t *testing.T) {
 	oneLine := strings.ReplaceAll(settingsJSON, "\n", "")
 	b, err := NewReader(strings.NewReader(batchOf(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + oneLine + `}`))).Next()
 	if err != nil {
@@ -168,6 +168,6 @@
 	pad := `{"msg":"Expired","Agent":1,"Job":"x","Later":"` + strings.Repeat("y", 3<<20) + `"}`
 	b, err := NewReader(strings.NewReader(batchOf(in.String() + pad))).Next()
 	if err != nil || len(b.Events) != 50001 {
-		t.Fatalf("%v: read %d events", err, len(b.Events))
+		t.Fatalf("error %v, read %d events, want 50001", err, len(b.Events))
 	}
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -14,8 +14,8 @@
 	"martenbeam/balancer"
 )
 
-// Writer writes replies. It buffers a reply until End writes the whole reply; without End nothing is written. A Writer must
-// be used by one goroutine at a time.
+// Writer writes replies. A Writer buffers a reply until End writes the complete reply; without End nothing is written. A Writer
+// must be used by one goroutine at a time.
 type Writer struct {
 	out   io.Writer
 	reply bytes.Buffer // lines of the current reply
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("zone %d is left", change.Zone)
 }
 
-// Broken adds a message that the decision code of an instance has failed, with a description of the failure.
+// Broken adds a message to the reply that reports a failure of an instance's decision code. text describes the failure.
 func (w *Writer) Broken(agent int, text string) {
 	w.beginMessage("Broken", agent).stringField("Msg", text)
 	w.buf = append(w.buf, "}\n"...)
