--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -1,4 +1,4 @@
-// The life of attachments: which hub is tried when, moving to another hub, and returning to the preferred one.
+// The life cycle of attachments: attaching to a hub, moving to another hub, and returning to the preferred hub.
 
 package hubclient
 
@@ -11,8 +11,8 @@
 // startupJitter spreads the first attempts of agents that start at the same time.
 const startupJitter = 300 * time.Millisecond
 
-// maintainAttachment keeps this agent attached to a hub until ctx ends: to the preferred hub when that accepts it, to
-// another otherwise.
+// maintainAttachment keeps this agent attached to a hub until ctx ends: to the preferred hub if that hub accepts the
+// agent, otherwise to another hub.
 func (c *Client) maintainAttachment(ctx context.Context) {
 	wait := time.Duration(c.selector.random.Int64N(int64(startupJitter)))
 	for sleep(ctx, wait) {
@@ -44,9 +44,9 @@
 	}
 }
 
-// stayAttached uses an attachment until it ends, and replaces it by one to the preferred hub as soon as that accepts
-// the agent. The new attachment is open before the old one closes. index is the hub's in Client.hubs. It returns how
-// long to wait before the next attempt.
+// stayAttached uses an attachment until it ends. If the preferred hub accepts the agent before, stayAttached switches
+// to an attachment to that hub, which opens before the old attachment closes. index is the hub's index in Client.hubs.
+// stayAttached returns the wait before the next attempt to attach.
 func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
 	for {
 		attachedAt := time.Now()
@@ -74,9 +74,9 @@
 	}
 }
 
-// awaitEndOrPreferred waits until an attachment ends, and then returns nil. If the attachment is to another hub than
-// the preferred one, it also tries the preferred hub from time to time, and returns an attachment to that one as soon
-// as it has it.
+// awaitEndOrPreferred waits until an attachment ends, and then returns nil. If the attachment is not to the preferred
+// hub, awaitEndOrPreferred also tries to attach to the preferred hub at the intervals of
+// hubSelector.nextPreferredCheck, and returns the new attachment once that succeeds.
 func (c *Client) awaitEndOrPreferred(ctx context.Context, a *attachment, index int) (preferred *attachment) {
 	for wait := c.selector.nextPreferredCheck(); ; {
 		var preferredCheck <-chan time.Time
@@ -100,7 +100,7 @@
 	}
 }
 
-// setAttachment records the current attachment, or nil when it was lost.
+// setAttachment records the current attachment; nil records its loss.
 func (c *Client) setAttachment(a *attachment) {
 	c.mu.Lock()
 	previous := c.attachment
@@ -115,7 +115,8 @@
 	c.wake()
 }
 
-// disconnectedFor returns the time since the last attachment was lost, or since the start; zero while attached.
+// disconnectedFor returns the time since the last attachment was lost, or since the start of the process if there was
+// none. It returns zero while the agent is attached.
 func (c *Client) disconnectedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -1,4 +1,4 @@
-// One attachment to a hub: the handshake, and the two goroutines that read and write its stream.
+// An attachment to a hub: the handshake, and the two goroutines that read and write its stream.
 
 package hubclient
 
@@ -20,54 +20,55 @@
 
 const (
 	attachTimeout     = 2 * time.Second
-	hubTimeout        = 2500 * time.Millisecond // without a frame from a hub, which sends one each second: it counts as failed
+	hubTimeout        = 2500 * time.Millisecond // time without a frame after which a hub counts as failed; hubs send a frame each second
 	stateInterval     = time.Second             // between states, unless the state changes
 	writeTimeout      = 2 * time.Second
 	leaveTimeout      = 500 * time.Millisecond
-	slowTransit       = time.Second     // a message that may have been longer on its way is slow
-	maxSlowMessages   = 3               // consecutive ones: the hub counts as failed
-	maxEchoAge        = 4 * time.Second // since the last echoed state was written: the hub counts as failed
-	maxStatesInFlight = 8               // written and not echoed yet; echoes of older ones are ignored
+	slowTransit       = time.Second     // a message is slow if it may have been in transit for longer
+	maxSlowMessages   = 3               // consecutive slow messages after which a hub counts as failed
+	maxEchoAge        = 4 * time.Second // time since the last echoed state was written after which a hub counts as failed
+	maxStatesInFlight = 8               // written and not echoed yet; echoes of older states are ignored
 )
 
 var (
-	errPreferredHubBack = errors.New("preferred hub accepts the agent")
-	errHubSlow          = errors.New("hub messages too slow")
-	errNoEcho           = errors.New("hub does not echo the agent's state")
+	errPreferredHubBack = errors.New("agent moved to its preferred hub")
+	errHubSlow          = errors.New("hub messages repeatedly exceeded the transit time limit")
+	errNoEcho           = errors.New("hub stopped echoing the agent's states")
 )
 
-// busyError is a hub's reply that it does not accept the agent now, and after what time to retry.
+// busyError reports that a hub does not accept the agent now and asks it to retry after retryAfter.
 type busyError struct{ retryAfter time.Duration }
 
-func (e *busyError) Error() string { return fmt.Sprintf("hub is busy for %v", e.retryAfter) }
+func (e *busyError) Error() string { return fmt.Sprintf("hub is busy, retry after %v", e.retryAfter) }
 
-// halfCloser is a connection whose sending side can be closed alone.
+// halfCloser is a connection whose write side can be closed separately.
 type halfCloser interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// attachment is an agent's stream to one hub. readLoop and writeLoop serve it until either fails, ctx ends or cancel
-// is called; the cause of ctx says why. maintainAttachment owns it: it waits for done and closes conn.
+// attachment is an agent's stream to one hub. readLoop and writeLoop serve the stream until either fails, ctx ends or
+// cancel is called; context.Cause(ctx) is the reason. maintainAttachment owns the attachment, waits for done and closes
+// conn.
 type attachment struct {
 	client       *Client
 	hub          Hub
-	hubName      string // as the hub calls itself
+	hubName      string // from the hub's Welcome
 	conn         halfCloser
 	reader       *bufio.Reader
-	helloSentAt  time.Time // everything received was sent later
+	helloSentAt  time.Time // every message received on the stream was sent later
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	done         chan struct{} // closed when readLoop and writeLoop have ended
-	slowMessages int           // consecutive ones; readLoop alone uses it
+	slowMessages int           // number of consecutive slow messages; only readLoop uses it
 
 	mu                sync.Mutex
-	seq               uint32                       // of the last state
-	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by seq modulo the length
-	echoedStateSentAt time.Time                    // when the last echoed state was written; zero: none was echoed yet
+	seq               uint32                       // sequence number of the last state written
+	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by seq modulo maxStatesInFlight
+	echoedStateSentAt time.Time                    // when the last echoed state was written; zero: no state was echoed yet
 }
 
-// openAttachment attaches to a hub and starts the goroutines of the attachment, which end with ctx. The error is a
+// openAttachment attaches to a hub and starts the goroutines of the attachment, which end with ctx. The error wraps a
 // *busyError if the hub asks the agent to retry later.
 func (c *Client) openAttachment(ctx context.Context, hub Hub) (*attachment, error) {
 	attachCtx, cancel := context.WithTimeout(ctx, attachTimeout)
@@ -89,12 +90,13 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() { a.cancel(a.readLoop()) })
 	tasks.Go(func() { a.cancel(a.writeLoop()) })
-	context.AfterFunc(a.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // unblocks both; fails only on a closed connection
+	context.AfterFunc(a.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // unblocks both loops; fails only on a closed connection
 	go func() { tasks.Wait(); close(a.done) }()
 	return a, nil
 }
 
-// handshake upgrades the connection, sends this agent's Hello and awaits the hub's Welcome.
+// handshake upgrades the connection, sends this agent's Hello and waits for the hub's Welcome. It returns a *busyError
+// if the hub asks the agent to retry later.
 func (a *attachment) handshake() error {
 	req, err := http.NewRequest(http.MethodGet, "http://"+a.hub.Addr+frame.Path, nil)
 	if err != nil {
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// writeFrame encodes and writes a frame. The caller sets the write deadline; writes must not overlap.
+// writeFrame encodes and writes a frame. The caller sets the write deadline. Calls must not overlap.
 func (a *attachment) writeFrame(f *frame.Frame) error {
 	data, err := frame.Encode(f)
 	if err != nil {
@@ -142,11 +144,11 @@
 	return err
 }
 
-// readLoop applies the hub's frames until the attachment ends, and returns why.
+// readLoop applies the hub's frames until the attachment ends, and returns the reason.
 func (a *attachment) readLoop() error {
 	for {
 		_ = a.conn.SetReadDeadline(time.Now().Add(hubTimeout)) // fails only on a closed connection
-		if a.ctx.Err() != nil {                                // ended before: its deadline was overwritten
+		if a.ctx.Err() != nil {                                // the attachment had ended, and the line above replaced the expired deadline
 			return a.ctx.Err()
 		}
 		f, err := frame.Read(a.reader)
@@ -160,8 +162,8 @@
 	}
 }
 
-// handleFrame applies one frame of the hub. An error ends the attachment: the hub does not receive this agent's
-// states, or its messages are repeatedly slow. Malformed gossip is logged and skipped.
+// handleFrame applies one frame from the hub. It returns an error, which ends the attachment, if the hub has stopped
+// echoing this agent's states or if the hub's messages are repeatedly slow. It logs and skips malformed gossip.
 func (a *attachment) handleFrame(f *frame.Frame, now time.Time) error {
 	if f.Echo != nil {
 		a.handleEcho(f.Echo, now)
@@ -178,7 +180,7 @@
 	if len(f.Gossip) == 0 {
 		return nil
 	}
-	if echoedStateSentAt.IsZero() { // no round trip was measured yet, but the message can't be older than the Hello
+	if echoedStateSentAt.IsZero() { // no RTT sample yet: the time since the Hello bounds the message's age
 		a.client.store.ObserveRTT(a.hubName, now.Sub(a.helloSentAt))
 	}
 	transit, err := a.client.store.MergeTimed(f.Gossip)
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// handleEcho records the round trip of a state that the hub echoed, less the time for which the hub held it.
+// handleEcho records the round-trip time of a state that the hub echoed, less the hub's processing delay.
 func (a *attachment) handleEcho(echo *frame.Echo, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -208,7 +210,7 @@
 	}
 }
 
-// writeLoop sends this agent's state each stateInterval, and within gossip.TickInterval of a change, until the
+// writeLoop sends this agent's state every stateInterval, and within gossip.TickInterval of a change, until the
 // attachment ends.
 func (a *attachment) writeLoop() error {
 	tick := time.NewTicker(gossip.TickInterval)
@@ -243,9 +245,9 @@
 	return a.writeFrame(f)
 }
 
-// leave tells the hub that this agent ends for good, and closes the connection. It is called after done is closed.
-// Bytes that the hub still sent are read: unread they would make the close a reset, and the hub might lose the
-// message.
+// leave sends the hub a Leave frame and closes the connection. The caller waits for done first. leave reads all bytes
+// that the hub still sends: closing a connection with unread bytes resets it, and the hub might then lose the Leave
+// frame.
 func (a *attachment) leave() {
 	_ = a.conn.SetDeadline(time.Now().Add(leaveTimeout)) // fails only on a closed connection
 	if a.writeFrame(&frame.Frame{Leave: true}) == nil && a.conn.CloseWrite() == nil {
--- a/internal/fleet/hubclient/cluster_test.go
+++ b/internal/fleet/hubclient/cluster_test.go
@@ -1,4 +1,4 @@
-// A cluster for tests: hubs as processes of their own, agents in the test process, and a monitor of all.
+// A cluster for tests: hubs in separate processes, agents in the test process, and a monitor of both.
 
 package hubclient
 
@@ -15,7 +15,7 @@
 	"martenbeam/internal/settings"
 )
 
-// clusterAgent is a running Client with its documents, which serves no requests.
+// clusterAgent is a running Client with its documents. It serves no requests.
 type clusterAgent struct {
 	*Client
 	monitor  *monitor
@@ -25,21 +25,21 @@
 	done     chan struct{} // closed when Run has returned
 }
 
-// cluster is a fleet of hub processes, one in each of up to four zones, a to d, and of agents that the monitor
-// observes. Zones a and b are one region, c and d another. The hub of the n-th zone has the IP 127.2.0.n, its i-th
-// agent 127.1.n.i.
+// cluster is a fleet of agents and hub processes that the monitor observes, with one hub in each of up to four zones,
+// a to d. Zones a and b form one region, c and d another. The IP address of the hub of the n-th zone is 127.2.0.n, and
+// that of the zone's i-th agent 127.1.n.i.
 type cluster struct {
 	t                      *testing.T
 	monitor                *monitor
 	maxAgents              int
 	hubs                   map[string]*hubProcess
-	stateDir               string        // of the agents' documents, which restarts keep
+	stateDir               string        // directory of the agents' documents, kept over restarts
 	untraced               bool          // hubs and agents write no trace for the monitor
-	preferredCheckInterval time.Duration // of agents at other hubs; 0: the default
-	singleRegion           bool          // all zones are one region
+	preferredCheckInterval time.Duration // interval at which agents at other hubs try their preferred hub; 0: the default
+	singleRegion           bool          // all zones are in one region
 }
 
-// newCluster starts the hubs of some zones.
+// newCluster starts the hubs of zones.
 func newCluster(t *testing.T, maxAgents int, untraced bool, zones ...string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, monitor: newMonitor(), maxAgents: maxAgents, hubs: map[string]*hubProcess{},
@@ -61,7 +61,7 @@
 
 func agentIP(zone string, i int) string { return fmt.Sprintf("127.1.%d.%d", 1+zone[0]-'a', 1+i%250) }
 
-// startHub starts the hub process of a zone, which joins all others.
+// startHub starts the hub process of a zone. The hub joins all other hubs.
 func (c *cluster) startHub(zone, port string) {
 	c.t.Helper()
 	spec := hubSpec{Name: "hub " + zone, Site: zone, Listen: hubIP(zone) + ":" + port, MaxAgents: c.maxAgents,
@@ -128,7 +128,8 @@
 	return list
 }
 
-// kill ends an agent without Leave: its connection is closed first, as the kernel does for a process that is killed.
+// kill ends an agent without a Leave frame. It closes the agent's connection first, as the kernel does when a process
+// is killed.
 func (a *clusterAgent) kill() {
 	a.mu.Lock()
 	if a.attachment != nil {
@@ -140,8 +141,8 @@
 	a.monitor.agentStopped(a.cfg.Name)
 }
 
-// allOf returns the condition that holds is true of all agents. attachedTo, hasSettings and hasQuota are such
-// predicates.
+// allOf returns a condition for waitFor: holds is true for the status of every agent. attachedTo, hasSettings and
+// hasQuota return predicates for it.
 func allOf(list []*clusterAgent, holds func(Status) bool) func() bool {
 	return func() bool {
 		for _, a := range list {
@@ -165,7 +166,7 @@
 	return func(status Status) bool { return status.Quota == quota }
 }
 
-// settingsText returns settings of a version, whose content depends on most.
+// settingsText returns settings of a version. Texts with different values of most differ.
 func settingsText(version int, most int) string {
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, most)
 }
@@ -175,13 +176,13 @@
 	return fmt.Sprintf("version = %d\n[regions]\nr = [\"a\", \"b\"]\n[others]\npermitted = [\"*\"]\n", version)
 }
 
-// waitWithin waits until a condition holds, and fails the test if that is later than limit after since.
+// waitWithin waits until a condition holds, and fails the test if this takes longer than limit, counted from since.
 func waitWithin(t *testing.T, condition string, limit time.Duration, since time.Time, holds func() bool) {
 	t.Helper()
 	waitFor(t, condition, holds)
 	if took := time.Since(since); took > limit {
-		t.Errorf("%s: after %v, not within %v", condition, took, limit)
+		t.Errorf("%s: took %v, limit %v", condition, took, limit)
 	} else {
-		t.Logf("%s: after %v", condition, took)
+		t.Logf("%s: took %v", condition, took)
 	}
 }
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -1,4 +1,4 @@
-// A network of a hub process that can be cut by peer and direction.
+// The network of a hub process, in which tests can cut each direction to each peer.
 
 package hubclient
 
@@ -13,20 +13,20 @@
 )
 
 const (
-	in  = 1 << iota // cut from peers to the hub
-	out             // cut from the hub to peers
+	in  = 1 << iota // from peers to the hub
+	out             // from the hub to peers
 )
 
-// cuttableNetwork is the network of a hub: a member.Wire. Directions to peers that are cut hold the bytes of streams
-// and lose packets.
+// cuttableNetwork is the network of a hub. It implements member.Wire. A direction that is cut delays the bytes of
+// streams until the cut ends, and drops packets.
 type cuttableNetwork struct {
 	report     func(any)
-	sendBuffer int // bytes of accepted connections, which can't be cut then; 0: the system's default
+	sendBuffer int // send buffer of accepted connections in bytes, which disables cuts on them; 0: the system's default
 	mu         sync.Mutex
 	cut        map[string]uint8 // by IP address: in, out or both
 }
 
-// set replaces all cuts; nil leaves them.
+// set replaces all cuts. If cut is nil, the cuts remain unchanged.
 func (n *cuttableNetwork) set(cut map[string]uint8) {
 	if cut == nil {
 		return
@@ -79,7 +79,7 @@
 	return n.wrap(conn)
 }
 
-// pipedConn is a connection that a cuttableNetwork forwards, with the addresses of the real one.
+// pipedConn is one end of a pipe to a real connection. It has the addresses of the real connection.
 type pipedConn struct {
 	net.Conn
 	real net.Conn
@@ -98,7 +98,7 @@
 	return &pipedConn{near, conn}
 }
 
-// forward copies one direction of a connection, and its end, and holds both while the direction is cut.
+// forward copies one direction of a connection and then closes to. It delays both while the direction is cut.
 func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
 	chunks := make(chan []byte, 1024)
 	go func() {
@@ -122,7 +122,7 @@
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	for b := range chunks { // those that can't be written any more are drained
+	for b := range chunks { // after a write error the loop drains the remaining chunks
 		waitWhileCut()
 		_, _ = to.Write(b)
 	}
--- a/internal/fleet/hubclient/cuttableproxy_test.go
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -1,4 +1,4 @@
-// A proxy before a hub whose directions can be cut or held up.
+// A proxy in front of a hub, in which tests can cut or delay each direction.
 
 package hubclient
 
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// cuttableProxy forwards connections to a hub. Each direction forwards bytes, discards them, or holds them until it
-// is set to forward again.
+// cuttableProxy forwards connections to a hub. Each direction forwards bytes, discards them, or delays them until the
+// test sets the direction to forwarding again.
 type cuttableProxy struct {
 	addr           string
 	toHub, fromHub atomic.Int32
@@ -22,7 +22,7 @@
 	holding
 )
 
-// newCuttableProxy listens on a port of its own until the test ends.
+// newCuttableProxy listens on a free port until the test ends.
 func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fleet/hubclient/documents.go
+++ b/internal/fleet/hubclient/documents.go
@@ -1,4 +1,5 @@
-// The documents of this agent, settings and residency policy: what it has applied, and following what hubs have.
+// The documents of this agent, settings and residency policy: reporting applied versions and fetching newer ones from
+// hubs.
 
 package hubclient
 
@@ -16,17 +17,17 @@
 )
 
 const (
-	fetchJitter    = time.Second // all agents of a hub learn of a new document at the same time: spreads their fetches
-	maxReasonBytes = 512         // of an AppliedVersion.Reason; package frame rejects longer ones
+	fetchJitter    = time.Second // spreads the fetches of a hub's agents, which receive a new version at the same time
+	maxReasonBytes = 512         // maximum length of AppliedVersion.Reason; package frame rejects longer reasons
 )
 
-// agentState is the state that this agent reports to its hub. It is comparable: a change is sent at once.
+// agentState is the state that this agent reports to its hub. It is comparable, so that writeLoop detects changes.
 type agentState struct {
 	serving          bool
 	settings, policy frame.AppliedVersion
 }
 
-// currentState returns the state of this agent now.
+// currentState returns the current state of this agent.
 func (c *Client) currentState() agentState {
 	current := agentState{serving: c.serving.Load()}
 	if c.cfg.Settings != nil {
@@ -38,8 +39,8 @@
 	return current
 }
 
-// appliedSettings returns the applied version of the settings. Its reason names what is wrong, and the keys that only
-// the next start of the agent applies.
+// appliedSettings returns the applied version of the settings. Its Reason contains the error in the settings, if any,
+// and the keys that take effect only when the agent restarts.
 func appliedSettings(h *settings.Holder) frame.AppliedVersion {
 	applied := frame.AppliedVersion(h.Status())
 	if pendingRestart := h.State().PendingRestart; len(pendingRestart) > 0 {
@@ -47,13 +48,13 @@
 		if applied.Reason != "" {
 			reason = applied.Reason + "; " + reason
 		}
-		applied.Reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "") // the cut may split a character
+		applied.Reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "") // truncation may split a character
 	}
 	return applied
 }
 
-// appliedPolicy returns the applied version of the residency policy. If several texts have that version, there is a
-// reason and no digest.
+// appliedPolicy returns the applied version of the residency policy. If several texts have that version, Reason reports
+// their number and Digest is empty.
 func appliedPolicy(current residency.State) frame.AppliedVersion {
 	applied := frame.AppliedVersion{Version: current.Version}
 	switch len(current.Digests) {
@@ -80,8 +81,8 @@
 	}
 }
 
-// followDocuments compares the versions that hubs hold with the applied ones, and fetches from this agent's hub what
-// it lacks.
+// followDocuments compares the versions that hubs publish with the applied versions, and fetches newer documents from
+// this agent's hub.
 func (c *Client) followDocuments(ctx context.Context) {
 	for _, document := range c.documents {
 		for _, entry := range c.store.Entries(document.GossipKind) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// documentSources returns this agent's hub as the only source of documents, or none when it is not attached.
+// documentSources returns this agent's hub as the only source of documents, or no source if the agent is not attached.
 func (c *Client) documentSources() documents.Sources {
 	sources := documents.Sources{Dial: c.dial}
 	if addr := c.hubAddr(); addr != "" {
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -1,5 +1,5 @@
-// Where and when the agent asks for endpoint lists: Client implements source.Selector. While the full mesh runs, the
-// mesh decides.
+// The choice of source and time for requests for endpoint lists: Client implements source.Selector. While the full mesh
+// runs, Client delegates to it.
 
 package hubclient
 
@@ -13,14 +13,14 @@
 )
 
 const (
-	hubAttachGrace = time.Second             // after the start, for a hub to accept this agent before it asks the list service
-	relayTimeout   = 2500 * time.Millisecond // without a message from a hub that relays lists, after which it counts as dead
+	hubAttachGrace = time.Second             // after the start, in which the agent waits for a hub rather than ask the list service
+	relayTimeout   = 2500 * time.Millisecond // time without a message after which a hub that relays lists counts as dead
 )
 
-// Next waits until the agent may ask for the endpoint list, and returns where: the hub, if lists are relayed, or the
-// list service when the startup pacer admits this agent. A hub that accepts the agent during that wait takes
-// precedence. failures counts the consecutive attempts that failed: every second one goes to the list service. It
-// returns false once ctx has ended.
+// Next waits until the agent may request the endpoint list, and returns the source: the hub if lists are relayed, or
+// the list service once the startup pacer admits this agent. A hub that accepts the agent during the wait takes
+// precedence. failures is the number of consecutive failed attempts; every second attempt goes to the list service.
+// Next returns false once ctx has ended.
 func (c *Client) Next(ctx context.Context, failures int) (source.Source, bool) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		return mesh.Next(ctx, failures)
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	attached := c.attached
 	c.mu.Unlock()
-	select { // a process that has just started gives its hub time to accept it
+	select { // a process that has just started waits for a hub to accept it
 	case <-attached:
 	case <-ctx.Done():
 	case <-time.After(time.Until(c.startedAt.Add(hubAttachGrace))):
@@ -53,12 +53,12 @@
 	if addr := c.hubAddr(); addr != "" || ctx.Err() != nil {
 		return source.Source{Addr: addr, SilenceTimeout: relayTimeout, Relayed: true}, ctx.Err() == nil
 	}
-	return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount) // the hub was lost again
+	return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount) // the new attachment was lost again
 }
 
-// startingCount returns how many agents may ask the list service at the same time: those that are starting, and,
-// where lists are relayed, all agents of a hub, since an agent that asks the service has lost its hub together with
-// the others.
+// startingCount returns the number of agents that may ask the list service at the same time, at least 1: the starting
+// agents or, if lists are relayed and it is larger, the average number of agents per hub. An agent that asks the
+// service although lists are relayed has lost its hub, and so have the other agents of that hub.
 func (c *Client) startingCount() int {
 	size, fresh := c.fleetSize()
 	if !fresh {
@@ -80,8 +80,8 @@
 	return c.status.FleetSize.Attached > 0
 }
 
-// RecordAttempt records the outcome of an attempt: after what wait the first message came, or that it failed, and the
-// list's version. Attempts at the list service adjust the pacer's rate.
+// RecordAttempt records the outcome of a request for the endpoint list: the time until the first message, whether the
+// request failed, and the version of the list. Requests to the list service adjust the pacer's rate.
 func (c *Client) RecordAttempt(src source.Source, waited time.Duration, failed bool, version int64) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		mesh.RecordAttempt(src, waited, failed, version)
@@ -90,12 +90,12 @@
 	}
 }
 
-// Dial opens a connection to a hub or to another agent, by Config.Dial.
+// Dial opens a connection to a hub or to another agent with Config.Dial.
 func (c *Client) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return c.dial(ctx, network, addr)
 }
 
-// RecordLiveness records that a source is alive. Only the full mesh, whose members relay lists, uses it.
+// RecordLiveness records that a source responds. Only the full mesh, whose members relay lists, uses the record.
 func (c *Client) RecordLiveness(src source.Source) {
 	if mesh := c.mesh.Load(); mesh != nil {
 		mesh.RecordLiveness(src)
@@ -111,8 +111,8 @@
 	c.Ready()
 }
 
-// Ready marks this agent as serving. Hubs learn it with the next state, the full mesh at once. Only the first call is
-// logged.
+// Ready marks this agent as serving. Its hub receives the mark with the next state, the full mesh immediately. Ready
+// logs only the first call.
 func (c *Client) Ready() {
 	if !c.serving.Swap(true) {
 		c.cfg.Log.Info("start", "step", "serving", "hub", c.Status().Hub, "took", time.Since(c.startedAt))
@@ -122,7 +122,7 @@
 	}
 }
 
-// Lagging reports whether others have published a higher version of the endpoint list than this one.
+// Lagging reports whether other agents have published a higher version of the endpoint list than version.
 func (c *Client) Lagging(version int64) bool {
 	if mesh := c.mesh.Load(); mesh != nil {
 		return mesh.Lagging(version)
--- a/internal/fleet/hubclient/entries_test.go
+++ b/internal/fleet/hubclient/entries_test.go
@@ -1,4 +1,4 @@
-// Tests of outdated entries and documents from hubs: the agent uses neither.
+// Tests that the agent uses neither outdated entries nor outdated documents from hubs.
 
 package hubclient
 
@@ -13,7 +13,7 @@
 	"martenbeam/internal/residency"
 )
 
-// Entries that were held up on their way for longer than their age bound, and then arrive together, are not used.
+// The agent does not use entries that were delayed in transit beyond their age bound and then arrive together.
 func TestDelayedEntriesAreNotUsed(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
@@ -23,15 +23,15 @@
 		c.AgeBounds = gossip.AgeBounds{gossip.FleetSize: 700 * time.Millisecond}
 	}, a)
 	waitFor(t, "an even quota", agent.hasQuota(1./10))
-	waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
+	waitFor(t, "an echo of a state", func() bool { return agent.attachment.hasEchoedState() })
 	proxy.fromHub.Store(holding)
 	a.mu.Lock()
-	a.fleetSize.Dead = 5 // in frames that the proxy holds
+	a.fleetSize.Dead = 5 // in frames that the proxy delays
 	a.mu.Unlock()
 	before := a.seq.Load()
-	waitFor(t, "frames held back by the proxy", func() bool { return a.seq.Load() > before+6 })
+	waitFor(t, "frames delayed by the proxy", func() bool { return a.seq.Load() > before+6 })
 	a.withholdsEntries.Store(true)
-	time.Sleep(time.Second) // makes the frames older than the bound; there is no condition to wait for
+	time.Sleep(time.Second) // the frames exceed the bound; there is no condition to wait for
 	proxy.fromHub.Store(forwarding)
 	refusedBefore := agent.store.Stats().Kinds["census"].Rejected
 	waitFor(t, "rejection of the delayed entries", func() bool {
@@ -40,11 +40,11 @@
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if slices.Contains(agent.quotas, 1./5) {
-		t.Errorf("a delayed entry was used: quotas %v", agent.quotas)
+		t.Errorf("the agent used a delayed entry: quotas %v", agent.quotas)
 	}
 }
 
-// Versions never decrease: a hub with an older policy is not asked for its text.
+// The version of a document never decreases: the agent does not fetch an older policy from a hub that publishes one.
 func TestOlderPolicyIsNotFetched(t *testing.T) {
 	t.Parallel()
 	text := func(v string) string {
@@ -75,9 +75,9 @@
 		}
 		return n
 	}
-	// By then the older would have been fetched too.
+	// By the second fetch of the newer text, the agent would have fetched the older text too.
 	waitFor(t, "a second fetch of the newer text", func() bool { return fetches("newer") > 1 })
 	if fetches("older") > 0 || agent.Status().PolicyVersion != 3 {
-		t.Errorf("the older text was fetched %d times, version %d is applied", fetches("older"), agent.Status().PolicyVersion)
+		t.Errorf("the agent fetched the older text %d times and applied version %d, want 0 fetches and version 3", fetches("older"), agent.Status().PolicyVersion)
 	}
 }
--- a/internal/fleet/hubclient/failover_test.go
+++ b/internal/fleet/hubclient/failover_test.go
@@ -1,4 +1,4 @@
-// Tests of attachments to fake hubs: when the agent leaves a hub, where it goes, and when it returns.
+// Tests of failover between fake hubs: when the agent leaves a hub, which hub it attaches to, and when it returns.
 
 package hubclient
 
@@ -9,9 +9,9 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// When its hub is killed, the agent attaches to the next one and follows its entries. When the preferred hub is back,
-// the agent attaches there before it closes the other attachment, to which it sends no Leave. When the agent ends,
-// its hub receives Leave before the end of the stream.
+// When its hub is killed, the agent attaches to the next hub and uses that hub's entries. When the preferred hub is
+// available again, the agent attaches to it before it closes the other attachment, on which it sends no Leave. When the
+// agent ends, its hub receives Leave before the end of the stream.
 func TestAgentFailsOverAndReturnsToPreferredHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
@@ -20,7 +20,7 @@
 	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./8))
 	waitFor(t, "the latency published by a", agent.hasRTT(time.Millisecond))
 	if agent.mu.Lock(); agent.quotas[0] != 0.01 {
-		t.Errorf("startup quota %v", agent.quotas[0])
+		t.Errorf("first quota %v, want the startup quota 0.01", agent.quotas[0])
 	}
 	agent.mu.Unlock()
 	a.expectEvent(t, "hello")
@@ -35,12 +35,13 @@
 	b.expectEvent(t, "end")
 	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	agent.stop()
-	a.expectEvent(t, "bye")
+	a.expectEvent(t, "leave")
 	a.expectEvent(t, "end")
 }
 
-// When a hub sends nothing while its stream stays open, the agent attaches to another, and returns when the hub sends
-// again. Meanwhile the fleet size expires, and the quota is even.
+// When a hub sends nothing while its stream stays open, the agent attaches to another hub, and returns when the first
+// hub sends again. While the agent is at a hub that sends no entries, the fleet size expires and the quota becomes
+// even.
 func TestAgentLeavesUnresponsiveHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
@@ -56,12 +57,12 @@
 	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
 }
 
-// When one direction of the path to a hub is cut, the agent attaches to another hub, though the other direction
+// When one direction of the path to a hub is cut, the agent attaches to another hub, although the other direction still
 // works.
 func TestAgentLeavesHubCutInOneDirection(t *testing.T) {
 	for name, cut := range map[string]func(*cuttableProxy){
-		"up":   func(p *cuttableProxy) { p.toHub.Store(discarding) },
-		"down": func(p *cuttableProxy) { p.fromHub.Store(discarding) },
+		"to hub":   func(p *cuttableProxy) { p.toHub.Store(discarding) },
+		"from hub": func(p *cuttableProxy) { p.fromHub.Store(discarding) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +77,7 @@
 	}
 }
 
-// A hub whose messages are repeatedly slow counts as failed.
+// The agent leaves a hub whose messages are repeatedly slow.
 func TestAgentLeavesSlowHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
@@ -84,12 +85,12 @@
 	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
 	a.mu.Lock()
-	a.startedAt = a.startedAt.Add(1500 * time.Millisecond) // its messages look as if sent so much earlier
+	a.startedAt = a.startedAt.Add(1500 * time.Millisecond) // lowers the clock in its messages, as if they had been in transit for longer
 	a.mu.Unlock()
 	waitFor(t, "attachment to b", agent.attachedTo("b"))
 }
 
-// A busy hub is tried again after the time that it asked for, and no sooner.
+// The agent retries a busy hub no sooner than after the delay that the hub asked for.
 func TestAgentHonoursBusyDelay(t *testing.T) {
 	t.Parallel()
 	const after = 400 * time.Millisecond
@@ -100,12 +101,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if waited := a.helloAt[1].Sub(a.helloAt[0]); waited < after {
-		t.Errorf("the next attempt came after %v", waited)
+		t.Errorf("the agent retried after %v, before the requested delay", waited)
 	}
 }
 
-// The agent stays attached to a hub of an older program, which sends nothing but its name, and takes an even quota
-// once the bound for the fleet size has passed.
+// The agent stays attached to a hub of an older program, which sends only its name, and uses an even quota once the age
+// bound of the fleet size has passed since the start.
 func TestAgentStaysAtOlderHub(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
--- a/internal/fleet/hubclient/fakehub_test.go
+++ b/internal/fleet/hubclient/fakehub_test.go
@@ -1,4 +1,4 @@
-// A hub that tests control: it speaks the protocol and sends what a test sets.
+// A fake hub, which implements the protocol and sends the state that a test sets.
 
 package hubclient
 
@@ -26,22 +26,22 @@
 	messageInterval = 100 * time.Millisecond
 )
 
-// fakeHub behaves to agents as a hub does. Fields below mu need it, but for server, which start and kill use, and
-// seq.
+// fakeHub implements the agents' side of a hub. mu guards the fields below it except server, which only start and kill
+// use, and seq.
 type fakeHub struct {
 	name             string
 	addr             string
 	startedAt        time.Time
-	events           chan string  // "hello", "bye" and "end" of streams, as they happen
-	unresponsive     atomic.Bool  // it sends nothing
-	withholdsEntries atomic.Bool  // it sends neither fleet size nor latencies
-	olderProgram     bool         // it sends only what an older program would
-	busyFor          atomic.Int64 // nanoseconds for which it tells the next agent that it is busy; 0: it accepts
+	events           chan string  // "hello", "leave" and "end" of streams, in the order in which they happen
+	unresponsive     atomic.Bool  // the hub sends nothing
+	withholdsEntries atomic.Bool  // the hub sends neither fleet size nor latencies
+	olderProgram     bool         // the hub sends only the frames of an older program
+	busyFor          atomic.Int64 // retry delay in nanoseconds in one Busy reply to the next agent; 0: accept the agent
 	mu               sync.Mutex
 	fleetSize        hub.FleetSize
 	rttMicros        uint32 // from zone a to zone b
 	policy           documents.AppliedVersion
-	fetched          []string // digests of the policies that agents asked for
+	fetched          []string // digests of the policies that agents requested
 	server           *http.Server
 	conns            map[net.Conn]bool
 	states           []frame.State
@@ -49,7 +49,7 @@
 	seq              atomic.Uint64
 }
 
-// newFakeHub starts a hub on a port of its own, until the test ends.
+// newFakeHub starts a hub on a free port. It runs until the test ends.
 func newFakeHub(t *testing.T, name string) *fakeHub {
 	t.Helper()
 	h := &fakeHub{name: name, startedAt: time.Now(), events: make(chan string, 1000), conns: map[net.Conn]bool{}, rttMicros: 1000}
@@ -57,7 +57,7 @@
 	return h
 }
 
-// start listens at addr, also after kill.
+// start listens on addr. The test may call it again after kill.
 func (h *fakeHub) start(t *testing.T, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", addr)
@@ -70,7 +70,7 @@
 	t.Cleanup(h.kill)
 }
 
-// kill closes the hub's listener and connections, as the end of its process would.
+// kill closes the hub's listener and connections, as the kernel does when a process ends.
 func (h *fakeHub) kill() {
 	h.server.Close()
 	h.mu.Lock()
@@ -132,12 +132,12 @@
 			h.mu.Unlock()
 		}
 		if received.Leave {
-			h.events <- "bye"
+			h.events <- "leave"
 		}
 	}
 }
 
-// sendLoop sends entries and echoes each messageInterval until done is closed.
+// sendLoop sends entries and echoes every messageInterval until done is closed.
 func (h *fakeHub) sendLoop(conn net.Conn, echo *atomic.Pointer[frame.Echo], done chan struct{}) {
 	tick := time.NewTicker(messageInterval)
 	defer tick.Stop()
@@ -158,7 +158,7 @@
 	}
 }
 
-// entries returns the encoded gossip message that the hub sends now.
+// entries returns an encoded gossip message with the current state of the hub.
 func (h *fakeHub) entries() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -179,7 +179,7 @@
 	return data
 }
 
-// expectEvent waits for the next event and compares it.
+// expectEvent waits for the next event and fails the test if it is not want.
 func (h *fakeHub) expectEvent(t *testing.T, want string) {
 	t.Helper()
 	select {
@@ -188,11 +188,11 @@
 			t.Errorf("hub %s: event %q, want %q", h.name, got, want)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatalf("hub %s: no event, want %q", h.name, want)
+		t.Fatalf("hub %s: timed out waiting for event %q", h.name, want)
 	}
 }
 
-// writeFrame writes a frame as a hub or an agent does.
+// writeFrame writes a frame of either side of the protocol.
 func writeFrame(conn net.Conn, f *frame.Frame) {
 	data, _ := frame.Encode(f)
 	_, _ = conn.Write(data) // fails only when the peer has closed
--- a/internal/fleet/hubclient/hubloss_test.go
+++ b/internal/fleet/hubclient/hubloss_test.go
@@ -1,4 +1,4 @@
-// Tests of a hub that is killed: settings still spread, and its agents move without a burst.
+// Tests of a hub that is killed: settings still propagate, and its agents attach to other hubs without a burst.
 
 package hubclient
 
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A hub and two of its agents are killed, and at that moment another hub gets new settings: all living agents apply
-// them within 14 s.
+// A hub and two of its agents are killed while another hub receives new settings: all remaining agents apply the
+// settings within 14 s.
 func TestSettingsSpreadWhileHubIsKilled(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 24, false, "a", "b", "c", "d")
@@ -30,17 +30,17 @@
 	agents[0].kill()
 	agents[1].kill()
 	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(2, 4)})
-	waitWithin(t, "the settings at all living agents", 14*time.Second, killedAt, allOf(agents[2:], hasSettings(2)))
-	waitWithin(t, "an attachment for each", 14*time.Second, killedAt, allOf(agents[2:], attachedTo("bcd")))
+	waitWithin(t, "the new settings at all remaining agents", 14*time.Second, killedAt, allOf(agents[2:], hasSettings(2)))
+	waitWithin(t, "attachment of all remaining agents", 14*time.Second, killedAt, allOf(agents[2:], attachedTo("bcd")))
 	c.restartHub("a")
 	waitFor(t, "rejection of older settings by the restarted hub", func() bool {
 		return c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)}).Error != ""
 	})
 }
 
-// When 257 agents lose their hub at once, no other hub receives more than 100 Hellos in a second, all agents are
-// attached again within 10 s, and each has a quota meanwhile. When the hub is back, they return, at most twice as
-// many in a second as if they were spread evenly.
+// When 257 agents lose their hub at the same time, no other hub receives more than 100 Hellos in any second, all agents
+// are attached again within 10 s, and each agent keeps a quota throughout. When the hub is available again, the agents
+// return, in any second at most twice as many as with an even spread.
 func TestAgentsOfLostHubMoveWithoutBurst(t *testing.T) {
 	t.Parallel()
 	const many = 257
@@ -48,27 +48,27 @@
 	c.singleRegion, c.preferredCheckInterval = true, 6*time.Second
 	defer c.monitor.stopAndCheck(t)
 	agents := c.startAgents("a", many)
-	waitFor(t, "all at their preferred hub", allOf(agents, attachedTo("a")))
+	waitFor(t, "all agents at their preferred hub", allOf(agents, attachedTo("a")))
 	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./many)))
-	c.monitor.require(1./(2*many), true) // agents that move are counted at two hubs for a moment
+	c.monitor.require(1./(2*many), true) // while an agent changes hubs, both hubs may count it
 	startedAt := time.Now()
 	c.hubs["a"].kill()
-	waitFor(t, "loss of the hub", func() bool { return !allOf(agents, attachedTo("a"))() })
-	waitWithin(t, "all at other hubs", 10*time.Second, startedAt, allOf(agents, attachedTo("bcd")))
+	waitFor(t, "loss of an attachment", func() bool { return !allOf(agents, attachedTo("a"))() })
+	waitWithin(t, "all agents at other hubs", 10*time.Second, startedAt, allOf(agents, attachedTo("bcd")))
 	for _, z := range []string{"b", "c", "d"} {
 		peak, hellos := c.hubs[z].helloRate(startedAt)
 		t.Logf("hub %s: %d hellos, %d in the busiest second", z, hellos, peak)
 		if peak > 100 || hellos < many/10 {
-			t.Errorf("hub %s: %d hellos, %d in the busiest second", z, hellos, peak)
+			t.Errorf("hub %s: %d hellos, %d in the busiest second; want a tenth of the agents at least, and 100 a second at most", z, hellos, peak)
 		}
 	}
 	startedAt = time.Now()
 	c.restartHub("a")
-	// Two checks of the preferred hub are at most one and a half intervals apart; on a busy machine one may fail.
-	waitWithin(t, "all back at their preferred hub", 3*c.preferredCheckInterval, startedAt, allOf(agents, attachedTo("a")))
+	// An agent tries the preferred hub again after at most 1.5 intervals. On a busy machine one attempt may fail.
+	waitWithin(t, "all agents at their preferred hub again", 3*c.preferredCheckInterval, startedAt, allOf(agents, attachedTo("a")))
 	peak, hellos := c.hubs["a"].helloRate(startedAt)
 	t.Logf("preferred hub: %d hellos, %d in the busiest second", hellos, peak)
 	if peak > 2*many/int(c.preferredCheckInterval/time.Second) {
-		t.Errorf("%d hellos at the preferred hub in the busiest second", peak)
+		t.Errorf("%d hellos at the preferred hub in the busiest second, want at most twice an even spread", peak)
 	}
 }
--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -1,4 +1,4 @@
-// The program of a hub process: the test binary runs it in place of the tests.
+// The program of a hub process, which the test binary runs in place of the tests.
 
 package hubclient
 
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// lockedWriter writes whole lines from several goroutines.
+// lockedWriter serializes writes from several goroutines, so that lines are not interleaved.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -56,7 +56,7 @@
 	_, _ = l.Write(append(data, '\n'))
 }
 
-// hubProgram is the hub of this process and what commands change.
+// hubProgram is the hub of this process, with the state that commands change.
 type hubProgram struct {
 	spec     hubSpec
 	output   *lockedWriter
@@ -65,8 +65,8 @@
 	policy   *residency.Holder
 }
 
-// runHubProcess runs the hub that a hubSpec describes, and executes commands from stdin until that closes. Its
-// goroutines end with the process.
+// runHubProcess runs the hub that text, an encoded hubSpec, describes, and executes commands from stdin until stdin
+// closes. The hub's goroutines end with the process.
 func runHubProcess(text string) error {
 	var spec hubSpec
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
@@ -106,7 +106,7 @@
 		Label: p.spec.Label, MaxMembers: p.spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log, Trace: trace,
 		Residency: p.policy, PolicySource: p.spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: p.network}
 	node, err := fleet.New(cfg, zones, fleet.Callbacks{})
-	for n := 0; err != nil && n < 50; n++ { // another process has the UDP port, or the hub's former one is still ending
+	for n := 0; err != nil && n < 50; n++ { // another process uses the UDP port, or the hub's previous process has not ended yet
 		time.Sleep(20 * time.Millisecond)
 		node, err = fleet.New(cfg, zones, fleet.Callbacks{})
 	}
@@ -118,7 +118,7 @@
 	return node.Addr(), nil
 }
 
-// execute executes a command and returns the answer.
+// execute executes a command and returns the reply.
 func (p *hubProgram) execute(command hubCommand) hubOutput {
 	answer := hubOutput{ID: command.ID}
 	p.network.set(command.Cut)
@@ -141,7 +141,7 @@
 	return answer
 }
 
-// applyText applies a text with the version that its first line names.
+// applyText passes a text, and the version in its first line, to apply.
 func applyText(text string, apply func(int64, string) error) error {
 	var version int64
 	if _, err := fmt.Sscanf(text, "version = %d", &version); err != nil {
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -1,4 +1,4 @@
-// Hub processes as the tests see them: start, commands, signals, and what their output says.
+// The test's side of a hub process: start, commands, signals, and output.
 
 package hubclient
 
@@ -15,32 +15,32 @@
 	"time"
 )
 
-// hubSpec describes a hub to its process.
+// hubSpec is the configuration of a hub process.
 type hubSpec struct {
 	Name, Site, Listen, Label string
 	Seeds                     []string
 	MaxAgents                 int
-	SendBuffer                int  // of agents' connections, in bytes; 0: the system's, and its network can be cut
-	Source                    bool // it is a source of the residency policy
-	Untraced                  bool // it writes no trace
+	SendBuffer                int  // send buffer of agents' connections in bytes, which disables cuts on them; 0: the system's default
+	Source                    bool // the hub is a source of the residency policy
+	Untraced                  bool // the hub writes no trace
 }
 
-// hubCommand is a command to a hub process, which answers with the same ID.
+// hubCommand is a command to a hub process, which sends a reply with the same ID.
 type hubCommand struct {
 	ID       int
-	Cut      map[string]uint8 // replaces all cuts, if not nil; see cuttableNetwork
+	Cut      map[string]uint8 // replaces all cuts of the cuttableNetwork; nil: no change
 	Settings string
 	Policy   string
 	Heap     bool // report the size of heap and stacks
 }
 
-// hubOutput is a line that a hub process writes: its address, an answer, an agent's Hello, or a line of its trace.
+// hubOutput is a line of a hub process's output: its address, a reply, an agent's Hello, or a line of its trace.
 type hubOutput struct {
 	Addr  string
 	ID    int
 	Error string
 	Heap  uint64 // bytes
-	Hello int64  // when it came, in microseconds since 1970
+	Hello int64  // when the Hello arrived, in microseconds since 1970
 	traceLine
 }
 
@@ -59,8 +59,8 @@
 	reportedAddr chan string
 }
 
-// startHubProcess starts a hub process, which ends with the test at the latest, and waits until it listens. The
-// monitor gets its trace.
+// startHubProcess starts a hub process and waits until it listens. The process ends with the test at the latest. The
+// monitor receives its trace.
 func startHubProcess(t *testing.T, m *monitor, spec hubSpec) *hubProcess {
 	t.Helper()
 	spec.Label = t.Name()
@@ -91,12 +91,12 @@
 	select {
 	case p.addr = <-p.reportedAddr:
 	case <-time.After(waitTimeout):
-		t.Fatalf("hub %s does not start", spec.Name)
+		t.Fatalf("hub %s did not report its address in time", spec.Name)
 	}
 	return p
 }
 
-// processLog fails the test for data races and panics that a hub process logs.
+// processLog fails the test if a hub process logs a data race or a panic.
 type processLog struct {
 	t    *testing.T
 	name string
@@ -109,10 +109,10 @@
 	return len(p), nil
 }
 
-// readOutput handles the lines that the process writes, until it ends, and then closes done.
+// readOutput handles the process's output until the process ends, and then closes done.
 func (p *hubProcess) readOutput(m *monitor, stdout io.Reader) {
 	defer close(p.done)
-	defer func() { _ = p.cmd.Wait() }() // it was killed
+	defer func() { _ = p.cmd.Wait() }() // the error reports that the process was killed
 	for r := bufio.NewReader(stdout); ; {
 		data, err := r.ReadBytes('\n')
 		if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// execute sends a command and returns its answer.
+// execute sends a command and returns the reply.
 func (p *hubProcess) execute(t *testing.T, command hubCommand) (answer hubOutput) {
 	t.Helper()
 	p.mu.Lock()
@@ -151,7 +151,7 @@
 	if err := json.NewEncoder(p.stdin).Encode(&command); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a hub's answer", func() (known bool) {
+	waitFor(t, "a hub's reply", func() (known bool) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		answer, known = p.answers[command.ID]
@@ -160,7 +160,7 @@
 	return answer
 }
 
-// kill ends the process by SIGKILL, and waits until its output was read.
+// kill ends the process with SIGKILL, and waits until readOutput has read its output.
 func (p *hubProcess) kill() {
 	_ = p.cmd.Process.Kill() // fails only when the process has ended
 	<-p.done
@@ -174,7 +174,7 @@
 	}
 }
 
-// helloRate returns how many agents sent a Hello since a point in time: at most within one second, and altogether.
+// helloRate returns the number of Hellos since from: the maximum within one second, and the total.
 func (p *hubProcess) helloRate(from time.Time) (peak, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -1,4 +1,4 @@
-// Test of a hub that is suspended and resumed: it sends nothing stale.
+// Test that a hub sends no stale state after it was suspended and resumed.
 
 package hubclient
 
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// A hub is suspended for 10 s. Meanwhile an agent that it knew to be dead is restarted, another one dies, and there
-// are new settings. When it resumes, it sends nothing outdated: it reports no agent as dead and confirms no quota
-// until it has received from the other hubs for as long as such entries are valid, and it publishes the old settings
-// no longer than it takes to fetch the new ones. One sequence of events, longer than 40 lines: each step needs the one
-// before.
+// A hub is suspended for 10 s. During this time an agent that the hub has recorded as dead is restarted, another agent
+// dies, and the other hubs receive new settings. When the hub resumes, it sends no outdated state: it reports no agent
+// as dead and confirms no quota until it has received entries from the other hubs for the age bound of these entries,
+// and it stops publishing the old settings once it has fetched the new ones. The test is a sequence of dependent
+// steps, and therefore longer than 40 lines.
 func TestResumedHubSendsNothingStale(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 12, false, "a", "b", "c")
@@ -31,14 +31,14 @@
 	go receiveFrom(ctx, cluster.hubs["a"].addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
 	atA[3].kill()
 	waitFor(t, "a share of the dead agent's quota", allOf(agents, hasQuota(1./11)))
-	waitFor(t, "a fleet size without it, which the others use while this hub is unreachable",
+	waitFor(t, "a fleet size without the dead agent, which the agents use while hub a is unreachable",
 		allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 8 }))
 
 	stoppedAt := time.Now()
 	cluster.hubs["a"].signal(t, syscall.SIGSTOP)
 	cluster.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	restarted := cluster.startAgent("a", 3, "a 3")
-	// Also the agent that dies moves before: otherwise only the suspended hub would know it.
+	// The agent that dies moves to another hub first; otherwise only the suspended hub would have an entry for it.
 	waitFor(t, "attachment to another hub", allOf(append(agents[:len(agents):len(agents)], atA[1]), attachedTo("bc")))
 	atA[1].kill()
 	agents = append(agents, restarted)
@@ -46,7 +46,7 @@
 	cluster.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
 	waitFor(t, "the settings without the suspended hub", allOf(agents, hasSettings(3)))
 	waitFor(t, "a share of the other dead agent's quota", allOf(agents, hasQuota(1./11)))
-	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // the minimum suspension
+	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // the duration of the suspension
 	for len(messages) > 0 {
 		<-messages
 	}
@@ -57,7 +57,8 @@
 	waitFor(t, "a share of the dead agent's quota", allOf(agents, hasQuota(1./11)))
 }
 
-// checkResumed checks what a hub sends after it has resumed: for 6 s, and until it publishes settings 3.
+// checkResumed checks the messages of a hub after it has resumed, for at least 6 s and until the hub publishes version
+// 3 of the settings.
 func checkResumed(t *testing.T, messages <-chan receivedMessage, resumedAt time.Time) {
 	t.Helper()
 	var received, withSettings int
@@ -70,24 +71,24 @@
 			if message.settings >= 0 {
 				withSettings++
 				if message.settings < newest {
-					t.Errorf("settings %d after %d", message.settings, newest)
+					t.Errorf("hub published settings %d after %d", message.settings, newest)
 				}
 				if newest = message.settings; newest < 3 {
 					lastOld = since
 				}
 			}
 			if since < 2500*time.Millisecond && (message.dead > 0 || message.quotaConfirmed) {
-				t.Errorf("%v after it resumed: %d dead, quota confirmed %v", since, message.dead, message.quotaConfirmed)
+				t.Errorf("%v after the hub resumed: %d dead, quota confirmed %v; want neither within 2.5 s", since, message.dead, message.quotaConfirmed)
 			}
 			if message.dead > 1 {
-				t.Errorf("%v after it resumed: %d dead, want one at most", since, message.dead)
+				t.Errorf("%v after the hub resumed: %d dead, want 1 at most", since, message.dead)
 			}
 		case <-time.After(waitTimeout):
-			t.Fatal("the hub sends nothing any more")
+			t.Fatal("the hub stopped sending messages")
 		}
 	}
-	t.Logf("%d messages received, %d with settings; the last outdated one after %v", received, withSettings, lastOld)
+	t.Logf("%d messages received, %d with settings; the last outdated settings %v after the hub resumed", received, withSettings, lastOld)
 	if lastOld > 3*time.Second {
-		t.Errorf("outdated settings were sent for %v", lastOld)
+		t.Errorf("the hub published outdated settings for %v, want 3 s at most", lastOld)
 	}
 }
--- a/internal/fleet/hubclient/latency.go
+++ b/internal/fleet/hubclient/latency.go
@@ -10,7 +10,7 @@
 	"martenbeam/internal/fleet/latency"
 )
 
-// updateLatency reports the latency to each zone when any has changed; zero: unknown.
+// updateLatency reports the latencies to all zones if any of them has changed. A zone without a known latency has zero.
 func (c *Client) updateLatency() {
 	row, known := c.latencyRow()
 	rtts, lossRates := make([]time.Duration, len(c.zones)), make([]float64, len(c.zones))
@@ -26,8 +26,8 @@
 	}
 }
 
-// latencyRow returns the latencies from this agent's zone by zone name, from the youngest valid entry. known is false
-// when no entry is within its age bound.
+// latencyRow returns the latencies from this agent's zone by zone name, from the most recent valid entry. known is
+// false if there is no valid entry within its age bound.
 func (c *Client) latencyRow() (row map[string]latency.Estimate, known bool) {
 	var age time.Duration
 	for _, entry := range c.store.Entries(gossip.LatencyRow) {
--- a/internal/fleet/hubclient/listener.go
+++ b/internal/fleet/hubclient/listener.go
@@ -1,4 +1,4 @@
-// The listener at the fleet address while the agent is attached to hubs.
+// The listener at the fleet address while the full mesh is not running.
 
 package hubclient
 
@@ -15,23 +15,23 @@
 
 const (
 	bindRetryInterval = 50 * time.Millisecond
-	maxOpenConns      = 64 // accepted and not closed yet
+	maxOpenConns      = 64 // accepted connections that are not closed yet
 	connTimeout       = time.Second
-	maxDiscardedBytes = 64 << 10 // read from one connection
+	maxDiscardedBytes = 64 << 10 // maximum number of bytes read from a connection
 )
 
-// addressListener holds the fleet address open. It serves nothing: other processes conclude from a refused connection
-// that this process has ended. serveAddress owns it, except for address, which any goroutine may call.
+// addressListener keeps the fleet address open without serving any protocol, because other processes conclude from a
+// refused connection that this process has ended. serveAddress owns the listener; any goroutine may call address.
 type addressListener struct {
 	addr  netip.AddrPort
 	slots chan struct{} // one element for each open connection
 
 	mu sync.Mutex
-	ln *net.TCPListener // nil: an older process has the address still
+	ln *net.TCPListener // nil: a predecessor of this process still uses the address
 }
 
-// newAddressListener listens at addr. If awaitAddress is set, an address in use is no error: awaitAddress has to be
-// called then.
+// newAddressListener listens on addr. If awaitAddress is set and the address is in use, newAddressListener returns a
+// listener that is not open yet, and the caller must call its awaitAddress method.
 func newAddressListener(addr netip.AddrPort, awaitAddress bool) (*addressListener, error) {
 	l := &addressListener{addr: addr, slots: make(chan struct{}, maxOpenConns)}
 	if err := l.bind(); err != nil && !(awaitAddress && errors.Is(err, syscall.EADDRINUSE)) {
@@ -51,34 +51,34 @@
 	return nil
 }
 
-// address returns the IP:port that is listened at, or is to be.
+// address returns the IP:port on which the listener listens, or will listen once the address is free.
 func (l *addressListener) address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr.String()
 }
 
-// awaitAddress retries until an older process of this agent has released the address. It returns false if ctx ends
+// awaitAddress retries until a predecessor of this process has released the address. It returns false if ctx ends
 // first.
 func (l *addressListener) awaitAddress(ctx context.Context) bool {
 	for l.ln == nil {
 		if !sleep(ctx, bindRetryInterval) {
 			return false
 		}
-		_ = l.bind() // on an error the address is still in use: retried
+		_ = l.bind() // an error means that the address is still in use: the loop retries
 	}
 	return true
 }
 
-// accept accepts connections until ctx ends. Later ones wait in the listener's queue and are not refused, since it
-// stays open.
+// accept accepts connections until ctx ends. It leaves the listener open, so that the kernel queues later connections
+// instead of refusing them.
 func (l *addressListener) accept(ctx context.Context) {
 	_ = l.ln.SetDeadline(time.Time{}) // fails only on a closed listener, and then AcceptTCP does too
 	defer context.AfterFunc(ctx, func() { _ = l.ln.SetDeadline(time.Unix(1, 0)) })()
 	for ctx.Err() == nil {
 		conn, err := l.ln.AcceptTCP()
 		if err != nil {
-			sleep(ctx, bindRetryInterval) // for instance, out of file descriptors
+			sleep(ctx, bindRetryInterval) // for instance, if the process has no file descriptors left
 			continue
 		}
 		select {
@@ -90,8 +90,9 @@
 	}
 }
 
-// discardAndClose reads what the peer sends and closes the connection. Unread bytes would make the close a reset,
-// which peers take for a process that has ended. Nobody waits for it: it ends after connTimeout.
+// discardAndClose reads the bytes that the peer sends and closes the connection. Closing a connection with unread bytes
+// resets it, and peers treat a reset as the end of this process. No goroutine waits for discardAndClose, which ends
+// after connTimeout at the latest.
 func (l *addressListener) discardAndClose(conn *net.TCPConn) {
 	defer func() { <-l.slots }()
 	defer conn.Close()
@@ -99,8 +100,7 @@
 	_, _ = io.CopyN(io.Discard, conn, maxDiscardedBytes)
 }
 
-// duplicate returns a second listener on the same socket, for the full mesh, so that the address is open without a
-// gap.
+// duplicate returns a second listener on the same socket for the full mesh, so that the address stays open throughout.
 func (l *addressListener) duplicate() (*net.TCPListener, error) {
 	file, err := l.ln.File()
 	if err != nil {
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	meshFallbackDelay = 5 * time.Second // without an attachment
-	meshRetryInterval = time.Second     // after an attempt to join failed
+	meshFallbackDelay = 5 * time.Second // time without an attachment
+	meshRetryInterval = time.Second     // time after a failed attempt to join
 )
 
-// serveAddress serves the fleet address until ctx ends: by the full mesh while there is no hub, by addressListener
-// otherwise.
+// serveAddress serves the fleet address until ctx ends: with the full mesh once the agent has been without a hub for
+// meshFallbackDelay, otherwise with addressListener.
 func (c *Client) serveAddress(ctx context.Context) {
 	if !c.listener.awaitAddress(ctx) {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// runWhile calls run with a context that ends with ctx, or within gossip.TickInterval of holds returning false.
+// runWhile calls run with a context that ends with ctx, or within gossip.TickInterval after condition becomes false.
 func (c *Client) runWhile(ctx context.Context, holds func() bool, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watcher sync.WaitGroup
@@ -53,8 +53,8 @@
 	run(ctx)
 }
 
-// fallBackToMesh joins the full mesh and leaves it when a hub has accepted this agent, or ctx ends. The mesh's quota
-// keeps counting until the agent has left. It returns false if the mesh could not be joined.
+// fallBackToMesh joins the full mesh and leaves it when a hub has accepted this agent or ctx ends. The mesh's quota
+// applies until the agent has left. fallBackToMesh returns false if the agent can't join the mesh.
 func (c *Client) fallBackToMesh(ctx context.Context) bool {
 	listener, err := c.listener.duplicate()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// setMeshQuota records this agent's quota by the full mesh's rule; 0: it does not count any more.
+// setMeshQuota records this agent's quota by the full mesh's rule; 0 means that this quota no longer applies.
 func (c *Client) setMeshQuota(quota float64) {
 	c.mu.Lock()
 	c.meshQuota = quota
@@ -93,7 +93,8 @@
 	c.wake()
 }
 
-// forgetLatencies makes updateLatency report all latencies again, since the mesh reported others in between.
+// forgetLatencies makes updateLatency report all latencies again, since the mesh has reported different latencies while
+// it ran.
 func (c *Client) forgetLatencies() {
 	c.mu.Lock()
 	c.rtts = nil
--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -1,4 +1,4 @@
-// Test of the fallback to the full mesh.
+// Tests of the fallback to the full mesh.
 
 package hubclient
 
@@ -16,8 +16,8 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// Without hubs the agent falls back to the full mesh, and leaves it when a hub is back. Its address never refuses a
-// connection meanwhile, and no quota is above what either rule gives.
+// Without hubs the agent falls back to the full mesh, and leaves it when a hub is available again. The agent's address
+// never refuses a connection, and no quota exceeds the quota by either rule.
 func TestFallBackToMeshAndReturn(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
@@ -36,20 +36,20 @@
 	a.start(t, a.addr)
 	waitFor(t, "the quota by a's fleet size", agent.hasQuota(1./5))
 	if agent.Status().MeshRunning {
-		t.Error("the full mesh still runs")
+		t.Error("the full mesh still runs after a hub has accepted the agent")
 	}
 	if n := stopDialing(); n > 0 {
-		t.Errorf("%d connections were refused", n)
+		t.Errorf("%d connections were refused or reset, want none", n)
 	}
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if !slices.Equal(agent.quotas, []float64{startupQuota / 10, 1. / 10, 1. / 5}) {
-		t.Errorf("quotas %v", agent.quotas)
+		t.Errorf("quotas %v, want 0.01, 0.1, 0.2", agent.quotas)
 	}
 }
 
-// When the full mesh can't be joined, the agent tries again after meshRetryInterval, and its address accepts connections
-// meanwhile.
+// When the full mesh can't be joined, the agent tries again after meshRetryInterval, and its address accepts
+// connections meanwhile.
 func TestFailedFallBackToMeshIsRetried(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
@@ -64,7 +64,7 @@
 	waitFor(t, "the third attempt", func() bool { return len(attempts) >= 3 })
 	first, second, third := <-attempts, <-attempts, <-attempts
 	if second.Sub(first) < meshRetryInterval || third.Sub(second) < meshRetryInterval {
-		t.Errorf("attempts after %v and %v", second.Sub(first), third.Sub(second))
+		t.Errorf("attempts %v and %v apart, want meshRetryInterval at least", second.Sub(first), third.Sub(second))
 	}
 	conn, err := net.Dial("tcp", agent.listener.address())
 	if err != nil {
@@ -75,16 +75,16 @@
 		t.Fatal(err)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
-	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // accepted, and closed without a reset
+	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the connection was accepted, and closed without a reset
 		t.Errorf("read: %v, want EOF", err)
 	}
 	if agent.Status().MeshRunning {
-		t.Error("the full mesh runs")
+		t.Error("the status reports a running full mesh after failed attempts to join")
 	}
 }
 
-// countRefusals connects to an address again and again. stop ends that and returns how many connections were refused or
-// reset.
+// countRefusals connects to an address repeatedly. stop ends the attempts and returns the number of connections that
+// were refused or reset.
 func countRefusals(addr string) (stop func() int) {
 	refused := make(chan int)
 	done := make(chan struct{})
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -1,4 +1,4 @@
-// Invariants of a fleet that tests check all the time, by samples and traces.
+// A monitor that checks invariants of a fleet throughout a test, by samples and traces.
 
 package hubclient
 
@@ -14,11 +14,11 @@
 
 const (
 	sampleInterval = 50 * time.Millisecond
-	maxQuotaSum    = 1.1                    // agents are sampled one after the other, while their quotas change
-	maxTraceDelay  = 500 * time.Millisecond // between a use and its line, on a busy machine
+	maxQuotaSum    = 1.1                    // the monitor samples agents one after the other, while their quotas change
+	maxTraceDelay  = 500 * time.Millisecond // between the use of an entry and its trace line, on a busy machine
 )
 
-// traceLine is a line of a trace: an entry that was published or used.
+// traceLine is a line of a trace. It records that a process published or used an entry.
 type traceLine struct {
 	What, Kind, Observer, Subject string
 	Incarnation, Seq              uint64
@@ -31,8 +31,8 @@
 }
 
 // monitor checks invariants of a fleet during a test, by samples of all agents' status and by the traces of all
-// processes: the quotas add up to the limit at most, versions never decrease, and no entry is used beyond its age
-// bound.
+// processes: the sum of the quotas does not exceed the limit, versions never decrease, and no agent uses an entry
+// beyond its age bound.
 type monitor struct {
 	bounds map[string]time.Duration
 	stop   chan struct{}
@@ -40,15 +40,15 @@
 
 	mu             sync.Mutex
 	agents         map[string]func() Status
-	newestVersions map[string][2]int64 // of settings and policy, by agent; kept over restarts
+	newestVersions map[string][2]int64 // of settings and policy, by agent; kept when an agent restarts
 	observedAt     map[entryID]int64   // when a published entry was observed, in microseconds since 1970
-	uses           int                 // of entries
-	matched        int                 // uses whose publication is in a trace
+	uses           int                 // uses of entries in traces
+	matched        int                 // uses of entries whose publication is in a trace
 	samples        int
-	minQuota       float64  // of each agent; 0: not checked
-	allAlive       bool     // no agent may be reported as dead
+	minQuota       float64  // lower bound of each agent's quota; 0: not checked
+	allAlive       bool     // hubs must not report any agent as dead
 	maxSum         float64  // the highest sum of quotas in a sample
-	violations     []string // the first ten
+	violations     []string // the first 10
 }
 
 func newMonitor() *monitor {
@@ -86,10 +86,10 @@
 	for _, violation := range m.violations {
 		t.Error(violation)
 	}
-	t.Logf("%d samples, highest sum of quotas %.3f, %d entries published, %d uses checked, %d of them by when they were observed",
+	t.Logf("%d samples, highest sum of quotas %.3f, %d entries published, %d uses checked, %d of them against the time of observation",
 		m.samples, m.maxSum, len(m.observedAt), m.uses, m.matched)
 	if m.samples == 0 {
-		t.Error("no sample was taken")
+		t.Error("the monitor took no sample")
 	}
 }
 
@@ -105,8 +105,8 @@
 	m.agents[name] = status
 }
 
-// require adds invariants from now on: a minimum for each quota, and, if allAlive is set, that no agent is reported
-// as dead.
+// require adds invariants for later samples: a minimum for each quota and, if allAlive is set, that hubs report no
+// agent as dead.
 func (m *monitor) require(minQuota float64, allAlive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,20 +124,20 @@
 	defer m.mu.Unlock()
 	m.samples++
 	sum := 0.0
-	for range 3 { // a change between two agents' samples does not count
+	for range 3 { // samples again, since a quota may change between the samples of two agents
 		sum = 0
 		for name, readStatus := range m.agents {
 			status := readStatus()
 			sum += max(0, status.Quota)
 			if m.minQuota > 0 && status.Quota < m.minQuota {
-				m.violation("%s has a quota of %v", name, status.Quota)
+				m.violation("%s has a quota of %v, below the minimum", name, status.Quota)
 			}
 			if m.allAlive && status.FleetSize.Dead > 0 {
-				m.violation("%s received that %d agents are dead, and all live", name, status.FleetSize.Dead)
+				m.violation("%s received a fleet size with %d dead agents, want none", name, status.FleetSize.Dead)
 			}
 			newest := m.newestVersions[name]
 			if status.SettingsVersion < newest[0] || status.PolicyVersion < newest[1] {
-				m.violation("%s went back from settings %d, policy %d to %d, %d",
+				m.violation("%s returned from settings %d, policy %d to settings %d, policy %d",
 					name, newest[0], newest[1], status.SettingsVersion, status.PolicyVersion)
 			}
 			m.newestVersions[name] = [2]int64{max(newest[0], status.SettingsVersion), max(newest[1], status.PolicyVersion)}
@@ -147,12 +147,12 @@
 		}
 	}
 	if sum > maxQuotaSum+1e-9 {
-		m.violation("the quotas of %d living agents add up to %.3f", len(m.agents), sum)
+		m.violation("the quotas of %d running agents add up to %.3f, above maxQuotaSum", len(m.agents), sum)
 	}
 	m.maxSum = max(m.maxSum, sum)
 }
 
-// Write checks a line of a trace of this process.
+// Write checks a line of the trace of an agent in the test process.
 func (m *monitor) Write(p []byte) (int, error) {
 	var line traceLine
 	if err := json.Unmarshal(p, &line); err == nil {
@@ -175,18 +175,18 @@
 	m.uses++
 	age, bound := time.Duration(line.Age)*time.Microsecond, m.bounds[line.Kind]
 	if age > bound {
-		m.violation("%+v is used past its age bound of %v", line, bound)
+		m.violation("%+v was used beyond its age bound of %v", line, bound)
 	}
 	if observedAt, known := m.observedAt[id]; known {
 		m.matched++
 		if actualAge := time.Duration(line.At-observedAt) * time.Microsecond; actualAge > bound+maxTraceDelay {
-			m.violation("%+v is used, and was observed %v ago: its age bound is %v", line, actualAge, bound)
+			m.violation("%+v was used %v after its observation, beyond its age bound of %v", line, actualAge, bound)
 		}
 	}
 }
 
-// The monitor reports an agent that returns to an older version, one that uses its quota twice, and an entry that is
-// used beyond its age bound, by the age in the trace and by when it was observed.
+// The monitor reports an agent that returns to an older version, quotas whose sum exceeds the limit, and the use of an
+// entry beyond its age bound, both by the age in the trace and by the time of its observation.
 func TestMonitorReportsEachViolation(t *testing.T) {
 	t.Parallel()
 	now := time.Now().UnixMicro()
@@ -222,7 +222,7 @@
 			m.checkTraceLine(line)
 		}
 		if len(m.violations) < test.wrong || test.wrong == 0 && len(m.violations) > 0 {
-			t.Errorf("%s: %q", name, m.violations)
+			t.Errorf("%s: unexpected or missing violations: %q", name, m.violations)
 		}
 	}
 }
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -1,4 +1,5 @@
-// Tests of cut networks: a hub cut off in one direction, and two regions cut off from each other.
+// Tests of network partitions: a hub that is cut off in one direction, and two regions that are cut off from each
+// other.
 
 package hubclient
 
@@ -11,7 +12,8 @@
 	"martenbeam/internal/settings"
 )
 
-// cutPaths returns a cut to the hubs and the first 20 agents of some zones, each named by one letter.
+// cutPaths returns a cut of paths to the hubs of some zones and to the first 20 agents of some zones. Each letter of
+// hubs and agents is a zone.
 func cutPaths(cut uint8, hubs, agents string) map[string]uint8 {
 	m := map[string]uint8{}
 	for _, z := range hubs {
@@ -26,12 +28,12 @@
 }
 
 // A hub is cut off in one direction, from all agents or from the other hubs. Its agents move to another hub or stay,
-// nobody is reported as dead, and settings that are applied meanwhile reach everyone, at the latest when the cut
-// ends.
+// no agent is reported as dead, and settings that are applied during the cut reach all agents within 14 s, or within
+// 14 s of the end of the cut if the hub is cut off from other hubs.
 func TestHubCutInOneDirection(t *testing.T) {
 	for name, test := range map[string]struct {
 		cut   map[string]uint8
-		alone string // zones whose agents receive a fleet size of themselves only; "": none
+		alone string // zones whose agents receive a fleet size without the other zones; "": none
 	}{
 		"from agents": {cutPaths(in, "", "abc"), ""},
 		"to agents":   {cutPaths(out, "", "abc"), ""},
@@ -45,8 +47,8 @@
 	}
 }
 
-// testHubCut applies a cut to hub a, and ends it again. alone names the zones that get a fleet size of their own
-// agents meanwhile.
+// testHubCut applies a cut to hub a and then ends it. During the cut, the agents of the zones in alone receive a fleet
+// size without the other zones.
 func testHubCut(t *testing.T, cut map[string]uint8, alone string) {
 	c := newCluster(t, 6, false, "a", "b", "c")
 	c.preferredCheckInterval = 2 * time.Second
@@ -58,14 +60,14 @@
 	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
 	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./6)))
 	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
-	c.monitor.require(1./8, true) // agents that move are counted at two hubs for a moment
+	c.monitor.require(1./8, true) // while an agent changes hubs, both hubs may count it
 	c.hubs["a"].execute(t, hubCommand{Cut: cut})
 	cutAt := time.Now()
 	c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	if alone != "" {
-		waitFor(t, "the settings at the other agents", allOf(agents[:4], hasSettings(2)))
+		waitFor(t, "the new settings at the agents of the other hubs", allOf(agents[:4], hasSettings(2)))
 		connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[alone]
-		waitFor(t, "a fleet size of these alone",
+		waitFor(t, "a fleet size of the agents of these zones only",
 			allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
 	} else {
 		waitFor(t, "attachment to another hub", allOf(atA, attachedTo("bc")))
@@ -77,16 +79,16 @@
 	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
 }
 
-// firstDigestIs returns the condition that an agent has applied the text with a digest.
+// firstDigestIs returns a condition: the first digest of the agent's settings is digest.
 func firstDigestIs(digest string) func(a *clusterAgent) bool {
 	return func(a *clusterAgent) bool { return a.settings.State().Digests[0] == digest }
 }
 
-// Two regions are cut off from each other. Each side gets new settings, one of its agents dies, and another is
-// restarted on the other side. When the cut ends, all apply the higher version, and the quotas of the dead are
-// shared. During a second cut each side gets another text of the same version: each side keeps its own and reports
-// the conflict, until there is a higher version. One sequence of events, longer than 40 lines: each step needs the
-// one before.
+// Two regions are cut off from each other. Each side receives new settings, one of its agents dies, and another of its
+// agents is restarted on the other side. When the cut ends, all agents apply the higher version, and share the quotas
+// of the dead agents. During a second cut the sides receive different texts of the same version: after the cut each
+// side keeps its own text and reports the conflict until there is a higher version. The test is a sequence of
+// dependent steps, and therefore longer than 40 lines.
 func TestRegionsPartitionedAndRejoined(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 12, false, "a", "b", "c", "d")
@@ -109,11 +111,11 @@
 		sides[i] = sides[i][2:]
 		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
 	}
-	waitFor(t, "an attachment for each", allOf(both(), attachedTo("abcd")))
+	waitFor(t, "attachment of all agents", allOf(both(), attachedTo("abcd")))
 	waitFor(t, "a share of the dead agents' quotas", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
 	startedAt := time.Now()
 	c.rejoinRegions(both())
-	waitWithin(t, "the higher settings everywhere", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
+	waitWithin(t, "the higher version of the settings at all agents", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
 	waitFor(t, "a share of the quotas of two dead agents", allOf(both(), hasQuota(1./10)))
 
 	c.partitionRegions(sides)
@@ -121,9 +123,9 @@
 	c.hubs["b"].execute(t, hubCommand{Settings: firstText})
 	c.hubs["d"].execute(t, hubCommand{Settings: secondText})
 	digests := [2]string{settings.Digest(firstText), settings.Digest(secondText)}
-	waitFor(t, "a text of one version on each side", allOf(both(), hasSettings(5)))
+	waitFor(t, "version 5 of the settings on each side", allOf(both(), hasSettings(5)))
 	c.rejoinRegions(both())
-	waitFor(t, "a report of the conflict by all", func() bool {
+	waitFor(t, "a report of the conflict by all agents", func() bool {
 		for _, a := range both() {
 			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
 				return false
@@ -134,17 +136,17 @@
 	for i, side := range sides {
 		for _, a := range side {
 			if !firstDigestIs(digests[i])(a) {
-				t.Errorf("%s does not have the first text of its side", a.cfg.Name)
+				t.Errorf("%s does not list the text of its side first", a.cfg.Name)
 			}
 		}
 	}
 	startedAt = time.Now()
 	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
-	waitWithin(t, "one text at all agents", 14*time.Second, startedAt,
+	waitWithin(t, "version 6 of the settings at all agents", 14*time.Second, startedAt,
 		allOf(both(), func(status Status) bool { return status.SettingsVersion == 6 }))
 	for _, a := range both() {
 		if reason := a.settings.Status().Reason; reason != "" {
-			t.Errorf("%s: %s", a.cfg.Name, reason)
+			t.Errorf("%s still reports %q, want no reason", a.cfg.Name, reason)
 		}
 	}
 }
@@ -161,12 +163,12 @@
 		h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
 	}
 	for i, side := range sides {
-		waitFor(t, fmt.Sprint("a fleet size of side ", i, " alone"),
+		waitFor(t, fmt.Sprint("a fleet size of side ", i, " without the other side"),
 			allOf(side, func(status Status) bool { return int(status.FleetSize.Attached) == len(side) }))
 	}
 }
 
-// rejoinRegions ends all cuts, and waits until all agents have a fleet size of all.
+// rejoinRegions ends all cuts, and waits until all agents have a fleet size of all agents.
 func (c *cluster) rejoinRegions(agents []*clusterAgent) {
 	t := c.t
 	t.Helper()
--- a/internal/fleet/hubclient/quota.go
+++ b/internal/fleet/hubclient/quota.go
@@ -9,10 +9,10 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-const startupQuota = 0.1 // of an even quota, while another process may still use this one's
+const startupQuota = 0.1 // fraction of an even quota, used while another process may still use this agent's quota
 
-// fleetSize returns the fleet size as published by the hubs, and whether any is within its age bound. When several
-// hubs disagree, each value is the one that gives this agent the smallest quota.
+// fleetSize returns the fleet size that the hubs publish. fresh is false if no fleet size is within its age bound. When
+// several hubs disagree, each value is the one that gives this agent the smallest quota.
 func (c *Client) fleetSize() (size hub.FleetSize, fresh bool) {
 	for _, entry := range c.store.Entries(gossip.FleetSize) {
 		published, err := hub.ParseFleetSize(entry.Body)
@@ -29,9 +29,9 @@
 }
 
 // hubQuota returns an agent's share of the fleet's in-flight limit by the rule of fleets with hubs, from 0 to 1. The
-// limit is divided evenly by the agents that may be alive: an agent that is merely not attached may run beyond a
-// network partition, and its quota belongs to it. fresh says whether size is known; confirmed, whether no other
-// process can still use this quota.
+// limit is divided evenly among the agents that are not confirmed dead: an agent that is not attached may still run on
+// the other side of a network partition and use its quota. fresh reports whether size is within its age bound;
+// confirmed reports whether no other process can still use this agent's quota.
 func hubQuota(maxAgents int, size hub.FleetSize, fresh, confirmed bool) float64 {
 	if !confirmed {
 		return startupQuota / float64(maxAgents)
@@ -43,9 +43,9 @@
 	return 1 / float64(users)
 }
 
-// recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it when it has changed.
-// While the full mesh runs, the lower of both quotas counts: agents that follow hubs may use the quotas of other dead
-// agents than members of the mesh do, and the sum must stay within the limit.
+// recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it if it has changed. While
+// the full mesh runs, the lower of the hub's and the mesh's quota applies: agents with hubs and members of the mesh
+// may share the quotas of different sets of dead agents, and the sum must stay within the limit.
 func (c *Client) recomputeQuota() {
 	size, fresh := c.fleetSize()
 	confirmed := c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.AgeBounds[gossip.FleetSize]
--- a/internal/fleet/hubclient/quota_test.go
+++ b/internal/fleet/hubclient/quota_test.go
@@ -14,13 +14,13 @@
 		fresh, confirmed bool
 		want             float64
 	}{
-		"starting":                     {hub.FleetSize{Attached: 8, Dead: 2}, true, false, startupQuota / 10},
-		"no fleet size":                {hub.FleetSize{}, false, true, 1. / 10},
-		"all may be alive":             {hub.FleetSize{Attached: 3}, true, true, 1. / 10},
-		"two are dead":                 {hub.FleetSize{Attached: 3, Dead: 2}, true, true, 1. / 8},
-		"more attached than left over": {hub.FleetSize{Attached: 9, Dead: 2}, true, true, 1. / 9},
-		"more dead than the fleet has": {hub.FleetSize{Dead: 12}, true, true, 1},
-		"expired fleet size":           {hub.FleetSize{Attached: 3, Dead: 2}, false, true, 1. / 10},
+		"starting":                      {hub.FleetSize{Attached: 8, Dead: 2}, true, false, startupQuota / 10},
+		"no fleet size":                 {hub.FleetSize{}, false, true, 1. / 10},
+		"none confirmed dead":           {hub.FleetSize{Attached: 3}, true, true, 1. / 10},
+		"two confirmed dead":            {hub.FleetSize{Attached: 3, Dead: 2}, true, true, 1. / 8},
+		"more attached than not dead":   {hub.FleetSize{Attached: 9, Dead: 2}, true, true, 1. / 9},
+		"more dead than maximum agents": {hub.FleetSize{Dead: 12}, true, true, 1},
+		"expired fleet size":            {hub.FleetSize{Attached: 3, Dead: 2}, false, true, 1. / 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := hubQuota(10, test.size, test.fresh, test.confirmed); got != test.want {
--- a/internal/fleet/hubclient/rawclient_test.go
+++ b/internal/fleet/hubclient/rawclient_test.go
@@ -1,4 +1,4 @@
-// A minimal client of a hub for tests, which speaks the protocol without Client.
+// A minimal client of a hub for tests, which implements the protocol without Client.
 
 package hubclient
 
@@ -51,7 +51,7 @@
 	return conn, reader, nil
 }
 
-// sendStates sends a state twice a second, until the stream ends.
+// sendStates sends two states a second until the stream ends.
 func sendStates(conn net.Conn) {
 	for n := uint32(1); ; n++ {
 		_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
@@ -66,15 +66,16 @@
 	}
 }
 
-// receivedMessage is what a frame of a hub said, and when it came.
+// receivedMessage is the content of a hub's frame and the time at which it arrived.
 type receivedMessage struct {
 	at             time.Time
-	settings       int64 // version; -1: none in the frame
-	dead           int   // agents; -1: no fleet size in the frame
+	settings       int64 // version of the settings; -1: none in the frame
+	dead           int   // number of dead agents; -1: no fleet size in the frame
 	quotaConfirmed bool
 }
 
-// receiveFrom attaches to a hub, again after each loss, and passes what it receives to handle, until ctx ends.
+// receiveFrom attaches to a hub, attaches again after each loss, and passes the received messages to handle, until ctx
+// ends.
 func receiveFrom(ctx context.Context, addr, label, name string, handle func(receivedMessage)) {
 	for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		c, reader, err := dialHub(addr, label, name, 0)
--- a/internal/fleet/hubclient/realhub_test.go
+++ b/internal/fleet/hubclient/realhub_test.go
@@ -1,4 +1,4 @@
-// Test of agents at real hubs, in one process.
+// Test of agents with real hubs in one process.
 
 package hubclient
 
@@ -13,7 +13,7 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// startRealHub runs a hub.Server in a fleet, and returns its address and a function that ends it.
+// startRealHub runs a hub.Server in a fleet. It returns the hub's address and a function that ends the hub.
 func startRealHub(t *testing.T, name string, seeds ...string) (addr string, stop func()) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -28,13 +28,13 @@
 		var tasks sync.WaitGroup
 		defer tasks.Wait()
 		tasks.Go(func() { server.Run(ctx, node) })
-		_ = node.Run(ctx) // on a busy machine its leave may time out
+		_ = node.Run(ctx) // the error may be a timeout of its departure on a busy machine
 		return nil
 	})
 }
 
-// Two agents are attached to two real hubs. When one agent leaves, the other takes its share of that quota; when its
-// hub ends, it attaches to the other hub.
+// Two agents are attached to two real hubs. When one agent leaves, the other agent receives a share of its quota. When
+// the hub of the remaining agent ends, that agent attaches to the other hub.
 func TestAgentsMoveBetweenRealHubs(t *testing.T) {
 	t.Parallel()
 	a, endA := startRealHub(t, "a")
@@ -47,12 +47,12 @@
 	first, second := startAgent("x", "a"), startAgent("y", "b")
 	waitFor(t, "attachment to a", first.attachedTo("a"))
 	waitFor(t, "attachment to b", second.attachedTo("b"))
-	waitFor(t, "a fleet size of both", func() bool {
+	waitFor(t, "a fleet size of both agents", func() bool {
 		return first.Status().FleetSize.Attached == 2 && second.Status().FleetSize.Attached == 2
 	})
 	waitFor(t, "an even quota", first.hasQuota(1./10))
 	second.stop()
-	waitFor(t, "the quota of the agent that left", first.hasQuota(1./9))
+	waitFor(t, "a share of the quota of the agent that left", first.hasQuota(1./9))
 	endA()
 	waitFor(t, "attachment to b", first.attachedTo("b"))
 }
--- a/internal/fleet/hubclient/reconcile.go
+++ b/internal/fleet/hubclient/reconcile.go
@@ -1,4 +1,4 @@
-// The loop that derives an agent's state from the entries that hubs sent.
+// The loop that derives an agent's state from the entries that hubs send.
 
 package hubclient
 
@@ -11,8 +11,7 @@
 
 const summaryInterval = 10 * time.Second
 
-// runLoop expires old entries and recomputes everything that is derived from entries, at each tick and each wake,
-// until ctx ends.
+// runLoop drops expired entries and recomputes all derived state, at each tick and each call of wake, until ctx ends.
 func (c *Client) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -36,8 +35,8 @@
 	}
 }
 
-// logSummary logs the state of the fleet as known here. The keys flat, part, gone and facts are older than the
-// fields' names.
+// logSummary logs this agent's view of the fleet. The keys flat, part, gone and facts differ from the names of the
+// fields because they are older.
 func (c *Client) logSummary() {
 	stats, status := c.store.Stats(), c.Status()
 	args := []any{"hub", status.Hub, "flat", status.MeshRunning, "part", status.Quota, "attached", status.FleetSize.Attached,
--- a/internal/fleet/hubclient/selector.go
+++ b/internal/fleet/hubclient/selector.go
@@ -1,4 +1,4 @@
-// Which hub is tried next, and when.
+// The choice of the next hub to attach to, and the wait before the attempt.
 
 package hubclient
 
@@ -17,9 +17,9 @@
 // preferredHub is the index of an agent's preferred hub in its order of preference.
 const preferredHub = 0
 
-// preferenceOrder returns the hubs in an agent's order of preference: the hub of its own zone, the others of its
-// region, the rest. Within each group the order differs from agent to agent, so that the agents of a dead hub spread
-// over the others.
+// preferenceOrder returns the hubs in an agent's order of preference: the hub of its own zone, the other hubs of its
+// region, and the hubs of other regions. Within each group the order differs from agent to agent, so that the agents of
+// a failed hub spread over the remaining hubs.
 func preferenceOrder(name, site, region string, hubs []Hub) []Hub {
 	proximity := func(h Hub) int {
 		switch {
@@ -39,21 +39,21 @@
 }
 
 const (
-	initialBackoff                = 2 * time.Second // with full jitter: the agents of a dead hub reach the others spread over it
+	initialBackoff                = 2 * time.Second // with full jitter, which spreads the agents of a failed hub over this time
 	maxBackoff                    = 8 * time.Second
-	stableAfter                   = 10 * time.Second // an attachment that lasted so long resets the backoff
-	maxBusyReplies                = 3                // consecutive ones from a hub, before another is tried
-	defaultPreferredCheckInterval = 30 * time.Second // plus or minus half at random
+	stableAfter                   = 10 * time.Second // minimum duration of an attachment that resets the backoff
+	maxBusyReplies                = 3                // consecutive busy replies of a hub after which the agent tries another hub
+	defaultPreferredCheckInterval = 30 * time.Second // mean; the interval varies at random by up to half of it
 )
 
-// hubSelector decides which hub is tried next and after what wait, from the outcomes of earlier attempts and the
-// current time. It has no lock: maintainAttachment owns it.
+// hubSelector chooses the next hub to try, and the wait before the attempt, from the outcomes of earlier attempts and
+// the current time. It has no lock: only maintainAttachment uses it.
 type hubSelector struct {
 	random                 *rand.Rand
 	current                int           // index of the hub to try, in order of preference
-	consecutiveFailures    int           // failed attempts and lost attachments since one was stable
-	busyReplies            int           // consecutive ones from the current hub
-	busyUntil              []time.Time   // by hub: it asked not to be tried before
+	consecutiveFailures    int           // failed attempts and lost attachments since the last stable attachment
+	busyReplies            int           // consecutive busy replies of the current hub
+	busyUntil              []time.Time   // by hub: the earliest time of the next attempt that the hub permits
 	preferredCheckInterval time.Duration // mean time between attempts to return to the preferred hub
 }
 
@@ -62,13 +62,15 @@
 		preferredCheckInterval: defaultPreferredCheckInterval}
 }
 
-// attachFailed records that an attempt at the current hub failed, and returns the wait before the next attempt.
+// attachFailed records that an attempt at the current hub failed, selects another hub, and returns the wait before the
+// next attempt.
 func (s *hubSelector) attachFailed(now time.Time) time.Duration {
 	return s.selectFrom((s.current+1)%len(s.busyUntil), now)
 }
 
 // attachmentLost records that the attachment to a hub ended after attachedFor, and returns the wait before the next
-// attempt. Next is the preferred hub, or, if that is the one that was lost, the second.
+// attempt. It selects the preferred hub or, if the attachment was to the preferred hub, the second hub in the order of
+// preference.
 func (s *hubSelector) attachmentLost(hub int, attachedFor time.Duration, now time.Time) time.Duration {
 	if attachedFor >= stableAfter {
 		s.consecutiveFailures = 0
@@ -80,8 +82,9 @@
 	return s.selectFrom(next, now)
 }
 
-// hubBusy records that the current hub asked to be tried again after retryAfter, and returns the wait before the next
-// attempt: at the same hub for a few times and short waits, otherwise at another.
+// hubBusy records that the current hub asked the agent to retry after retryAfter, and returns the wait before the next
+// attempt. It selects another hub after maxBusyReplies consecutive busy replies, or if retryAfter exceeds
+// initialBackoff.
 func (s *hubSelector) hubBusy(retryAfter time.Duration, now time.Time) time.Duration {
 	s.busyUntil[s.current] = now.Add(retryAfter)
 	if s.busyReplies++; s.busyReplies >= maxBusyReplies || retryAfter > initialBackoff {
@@ -90,9 +93,9 @@
 	return retryAfter
 }
 
-// selectFrom selects hub first, or the next one after it that may be tried by then, and returns the wait: full jitter
-// within a backoff that doubles from attempt to attempt. If every hub asked for more time, it selects the one that
-// may be tried first.
+// selectFrom selects the first hub, beginning with the hub of index first, that permits an attempt after the wait, and
+// returns the wait: full jitter within a backoff that doubles with each attempt. If no hub permits an attempt by then,
+// selectFrom selects the hub that permits one earliest, and returns the time until then.
 func (s *hubSelector) selectFrom(first int, now time.Time) time.Duration {
 	maxWait := min(initialBackoff<<min(s.consecutiveFailures, 8), maxBackoff)
 	wait := time.Duration(s.random.Int64N(int64(maxWait)))
@@ -112,7 +115,7 @@
 	return s.busyUntil[earliest].Sub(now)
 }
 
-// nextPreferredCheck returns how long an agent stays at another hub before it tries the preferred one.
+// nextPreferredCheck returns the time until an agent that is attached to another hub tries the preferred hub again.
 func (s *hubSelector) nextPreferredCheck() time.Duration {
 	return s.preferredCheckInterval/2 + time.Duration(s.random.Int64N(int64(s.preferredCheckInterval)))
 }
--- a/internal/fleet/hubclient/selector_test.go
+++ b/internal/fleet/hubclient/selector_test.go
@@ -10,7 +10,7 @@
 
 var testHubs = []Hub{{"a1", "a", "1"}, {"a2", "a", "2"}, {"a3", "a", "3"}, {"b1", "b", "4"}, {"b2", "b", "5"}, {"b3", "b", "6"}}
 
-// The 257 agents of a dead hub attach to the two others of its region, and to neither more than 100 within any
+// The 257 agents of a failed hub attach to the two other hubs of its region, at most 100 of them to each hub within any
 // second.
 func TestAgentsOfDeadHubSpreadOverRegion(t *testing.T) {
 	const agents = 257
@@ -20,14 +20,14 @@
 		name := fmt.Sprintf("agent-%d", i)
 		list := preferenceOrder(name, "a1", "a", testHubs)
 		if list[0].Zone != "a1" || list[1].Region != "a" || list[2].Region != "a" {
-			t.Fatalf("order %v", list)
+			t.Fatalf("order of preference %v, want the hub of zone a1, then those of region a", list)
 		}
 		selector := newHubSelector(len(list), uint64(i))
 		wait := selector.attachmentLost(0, time.Minute, start)
 		arrivals[list[selector.current].Zone] = append(arrivals[list[selector.current].Zone], wait)
 	}
 	if len(arrivals["a2"])+len(arrivals["a3"]) != agents {
-		t.Fatalf("the agents went to %d hubs", len(arrivals))
+		t.Fatalf("the agents went to %d hubs, want only a2 and a3", len(arrivals))
 	}
 	for hub, list := range arrivals {
 		for _, from := range list {
@@ -38,14 +38,14 @@
 				}
 			}
 			if n > 100 {
-				t.Errorf("%d agents come to %s within the second from %v", n, hub, from)
+				t.Errorf("%d agents attach to %s within the second from %v, want 100 at most", n, hub, from)
 			}
 		}
 	}
 }
 
-// Failed attempts go round all hubs with growing waits, a busy hub is not tried before it allowed that, and a stable
-// attachment resets the backoff.
+// After failed attempts the selector tries all hubs in turn with growing waits. It does not select a busy hub before
+// that hub's retry time, and a stable attachment resets the backoff.
 func TestBackoffGrowsAndBusyHubsAreHonoured(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	selector := newHubSelector(3, 7)
@@ -53,34 +53,34 @@
 	for range 300 {
 		wait := selector.attachFailed(now)
 		if wait > maxBackoff || selector.consecutiveFailures == 1 && wait > initialBackoff {
-			t.Fatalf("wait %v after %d failures", wait, selector.consecutiveFailures)
+			t.Fatalf("wait of %v after %d failures exceeds the maximum", wait, selector.consecutiveFailures)
 		}
 		tried[selector.current], longest = true, max(longest, wait)
 	}
 	if len(tried) != 3 || longest < maxBackoff*9/10 {
-		t.Errorf("tried %v, longest wait %v", tried, longest)
+		t.Errorf("tried hubs %v, longest wait %v; want 3 hubs and a wait near maxBackoff", tried, longest)
 	}
 	before := selector.current
 	if wait := selector.hubBusy(time.Second, now); wait != time.Second || selector.current != before {
-		t.Errorf("a busy hub is tried again after %v, hub %d", wait, selector.current)
+		t.Errorf("after a busy reply: wait %v, hub %d; want 1 s and the same hub", wait, selector.current)
 	}
 	if selector.hubBusy(time.Minute, now); selector.current == before {
-		t.Error("a hub that is busy for a minute is tried next")
+		t.Error("selected a hub that is busy for a minute")
 	}
 	for range 10 {
 		if selector.attachFailed(now); selector.current == before {
-			t.Error("the busy hub is tried before it allowed that")
+			t.Error("selected a busy hub before its retry time")
 		}
 	}
 	if only := newHubSelector(1, 7); only.hubBusy(time.Minute, now) != time.Minute {
-		t.Error("the only hub is tried before it allowed that")
+		t.Error("selected the only hub before its retry time")
 	}
 	if wait := selector.attachmentLost(1, stableAfter, now.Add(time.Hour)); selector.current != 0 || wait > initialBackoff {
-		t.Errorf("after a stable attachment hub %d is tried after %v", selector.current, wait)
+		t.Errorf("after a stable attachment, selected hub %d after %v, want hub 0 within initialBackoff", selector.current, wait)
 	}
 	for range 1000 {
 		if d := selector.nextPreferredCheck(); d < defaultPreferredCheckInterval/2 || d >= defaultPreferredCheckInterval*3/2 {
-			t.Fatalf("the preferred hub is tried after %v", d)
+			t.Fatalf("interval between attempts at the preferred hub is %v", d)
 		}
 	}
 }
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -1,4 +1,4 @@
-// Test of agents that do not read: they cost their hub little and others nothing.
+// Test that agents which do not read use little memory of their hub and do not delay messages to other agents.
 
 package hubclient
 
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A hundred agents that never read cost their hub little memory each, and the others receive its messages each second
-// meanwhile.
+// With 100 agents that never read, the hub uses at most 64 KiB of memory for each, and still sends messages to the
+// other agents every second.
 func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	const slow = 100
@@ -33,13 +33,13 @@
 	readers := startSlowReaders(ctx, t, hub.addr, slow)
 	versions, maxHeap := readers.awaitDrops(t, hub, slow)
 	longest := longestPause(messages)
-	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between messages %v; %d versions",
+	t.Logf("heap and stacks %d kB before, %d kB at most; the longest interval between messages %v; %d versions",
 		before>>10, maxHeap>>10, longest, versions)
 	if longest > 1500*time.Millisecond {
-		t.Errorf("no message was received for %v", longest)
+		t.Errorf("the listener received no message for %v, want 1.5 s at most", longest)
 	}
 	if maxHeap > before+slow*64<<10 {
-		t.Errorf("%d bytes for each slow reader", (maxHeap-before)/slow)
+		t.Errorf("the hub uses %d bytes for each slow reader, want 64 KiB at most", (maxHeap-before)/slow)
 	}
 	if !allOf(agents, attachedTo("a"))() {
 		t.Error("an agent lost its hub")
@@ -48,9 +48,9 @@
 	readers.tasks.Wait()
 }
 
-// slowReaders are agents that attach again and again, send states and never read.
+// slowReaders are agents that attach repeatedly, send states and never read.
 type slowReaders struct {
-	attached, dropped atomic.Int32 // attached now; streams that the hub ended
+	attached, dropped atomic.Int32 // number of open streams; number of streams that the hub ended
 	tasks             sync.WaitGroup
 }
 
@@ -78,12 +78,13 @@
 	return r
 }
 
-// awaitDrops sends new settings to everyone until the hub has ended count streams. It returns how many versions that
-// took, and the most bytes of heap and stacks that the hub had while more than half of the readers were attached.
+// awaitDrops applies new settings at the hub, which sends them to all agents, until the hub has ended count streams. It
+// returns the number of versions that this took, and the maximum of the hub's heap and stacks in bytes while more than
+// half of the readers were attached.
 func (r *slowReaders) awaitDrops(t *testing.T, hub *hubProcess, count int32) (versions int, maxHeap uint64) {
 	t.Helper()
 	version := 1
-	waitFor(t, "the drop of each slow reader", func() bool {
+	waitFor(t, "a drop for each slow reader", func() bool {
 		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
 		if m := hub.execute(t, hubCommand{Heap: true}).Heap; r.attached.Load() > count/2 {
@@ -94,7 +95,7 @@
 	return version - 1, maxHeap
 }
 
-// longestPause drains messages and returns the longest time between two of them.
+// longestPause drains messages and returns the longest time between two consecutive messages.
 func longestPause(messages <-chan receivedMessage) time.Duration {
 	var longest time.Duration
 	last := time.Time{}
--- a/internal/fleet/hubclient/testagent_test.go
+++ b/internal/fleet/hubclient/testagent_test.go
@@ -1,4 +1,4 @@
-// An agent under test, and waiting for conditions.
+// A Client for tests, and functions that wait for conditions.
 
 package hubclient
 
@@ -13,7 +13,7 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// testAgent is a running Client, and what it reported.
+// testAgent is a running Client with the values that it passed to its callbacks.
 type testAgent struct {
 	*Client
 	stop   func() // ends Run and waits for it
@@ -22,8 +22,8 @@
 	rtts   []time.Duration
 }
 
-// newTestAgent runs a Client of zone a that prefers the first hub. configure, if not nil, changes its configuration
-// before.
+// newTestAgent runs a Client of zone a that prefers the first hub. If configure is not nil, it adjusts the
+// configuration first.
 func newTestAgent(t *testing.T, configure func(*Config), hubs ...*fakeHub) *testAgent {
 	t.Helper()
 	cfg := Config{Name: "x", Site: "a", Region: "r", Listen: "127.0.0.1:0",
@@ -47,7 +47,7 @@
 	return a
 }
 
-// attachedTo, hasQuota and hasRTT return conditions for waitFor; hasRTT is about zone b.
+// attachedTo, hasQuota and hasRTT return conditions for waitFor. hasRTT checks the latency to zone b.
 func (a *testAgent) attachedTo(hub string) func() bool {
 	return func() bool { return a.Status().Hub == hub }
 }
@@ -66,7 +66,7 @@
 	return !a.echoedStateSentAt.IsZero()
 }
 
-// runTask runs task in a goroutine until the test ends. stop ends it earlier, and waits until it has returned.
+// runTask runs task in a goroutine until the test ends. stop ends the task earlier, and waits until it has returned.
 func runTask(t *testing.T, task func(context.Context) error) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -82,8 +82,8 @@
 	return stop
 }
 
-// waitFor waits until a condition holds, and fails the test after waitTimeout. condition completes "timed out waiting
-// for".
+// waitFor waits until a condition holds, and fails the test after waitTimeout. condition is a noun phrase that follows
+// "timed out waiting for" in the message.
 func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
