--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -54,7 +54,7 @@
 		c.cfg.Log.Info("attached to hub", "hub", a.hubName, "zone", a.hub.Zone)
 		preferred := c.awaitEndOrPreferred(ctx, a, index)
 		if preferred != nil {
-			a.cancel(errPreferredHubBack)
+			a.cancel(errMovedToPreferredHub)
 			<-a.done
 			a.conn.Close()
 			a, index = preferred, preferredHub
@@ -112,7 +112,7 @@
 		close(c.attached)
 	}
 	c.mu.Unlock()
-	c.wake()
+	c.requestRecompute()
 }
 
 // disconnectedFor returns the time since the last attachment was lost, or since the start of the process if there was
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -31,9 +31,9 @@
 )
 
 var (
-	errPreferredHubBack = errors.New("agent moved to its preferred hub")
-	errHubSlow          = errors.New("hub messages repeatedly exceeded the transit time limit")
-	errNoEcho           = errors.New("hub stopped echoing the agent's states")
+	errMovedToPreferredHub = errors.New("agent moved to its preferred hub")
+	errHubSlow             = errors.New("hub messages repeatedly exceeded the transit time limit")
+	errNoEcho              = errors.New("hub stopped echoing the agent's states")
 )
 
 // busyError reports that a hub does not accept the agent now and asks it to retry after retryAfter.
@@ -158,7 +158,7 @@
 		if err := a.handleFrame(f, time.Now()); err != nil {
 			return err
 		}
-		a.client.wake()
+		a.client.requestRecompute()
 	}
 }
 
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -102,22 +102,22 @@
 // Client is an agent's membership in a fleet with hubs. The caller must call Run once after New. Any goroutine may call
 // the other methods, before and during Run. The package comment lists which goroutine owns which field.
 type Client struct {
-	cfg            Config
-	callbacks      fleet.Callbacks
-	zones          []string // in the order of rtts and lossRates
-	hubs           []Hub    // in this agent's order of preference, its preferred hub first
-	selector       *hubSelector
-	incarnation    uint64
-	startedAt      time.Time
-	store          *gossip.Store // entries received from hubs, and this agent's own
-	pacer          *startup.Pacer
-	documents      []*documents.Document // settings and policy, as far as configured
-	dial           Dial
-	listener       *addressListener
-	mesh           atomic.Pointer[fleet.Fleet] // the full mesh fallback; nil: not running
-	serving        atomic.Bool                 // the agent has an endpoint list
-	quotaConfirmed atomic.Bool                 // a hub has confirmed that no other agent uses this agent's quota; never unset
-	wakeup         chan struct{}               // requests an immediate pass of runLoop; buffers one request
+	cfg               Config
+	callbacks         fleet.Callbacks
+	zones             []string // in the order of rtts and lossRates
+	hubs              []Hub    // in this agent's order of preference, its preferred hub first
+	selector          *hubSelector
+	incarnation       uint64
+	startedAt         time.Time
+	store             *gossip.Store // entries received from hubs, and this agent's own
+	pacer             *startup.Pacer
+	documents         []*documents.Document // settings and policy, as far as configured
+	dial              Dial
+	listener          *addressListener
+	mesh              atomic.Pointer[fleet.Fleet] // the full mesh fallback; nil: not running
+	serving           atomic.Bool                 // the agent has an endpoint list
+	quotaConfirmed    atomic.Bool                 // a hub has confirmed that no other agent uses this agent's quota; never unset
+	recomputeRequests chan struct{}               // requests an immediate pass of runLoop; buffers one request
 
 	mu             sync.Mutex
 	attachment     *attachment     // nil: not attached
@@ -157,7 +157,7 @@
 	now := time.Now()
 	c := &Client{cfg: cfg, callbacks: callbacks, zones: zones, hubs: preferenceOrder(cfg.Name, cfg.Site, cfg.Region, cfg.Hubs),
 		startedAt: now, disconnectedAt: now, incarnation: cfg.Incarnations.Next(),
-		wakeup: make(chan struct{}, 1), attached: make(chan struct{}), status: Status{Quota: -1}}
+		recomputeRequests: make(chan struct{}, 1), attached: make(chan struct{}), status: Status{Quota: -1}}
 	if c.dial = cfg.Dial; c.dial == nil {
 		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: listen.Addr().AsSlice()}, KeepAlive: -1} // peers see the IP address of Listen
 		c.dial = dialer.DialContext
@@ -198,10 +198,10 @@
 	return c.attachment.hub.Addr
 }
 
-// wake makes runLoop recompute the derived state now rather than at its next tick. It never blocks.
-func (c *Client) wake() {
+// requestRecompute makes runLoop recompute the derived state now rather than at its next tick. It never blocks.
+func (c *Client) requestRecompute() {
 	select {
-	case c.wakeup <- struct{}{}:
+	case c.recomputeRequests <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/hubclient/cluster_test.go
+++ b/internal/fleet/hubclient/cluster_test.go
@@ -166,9 +166,9 @@
 	return func(status Status) bool { return status.Quota == quota }
 }
 
-// settingsText returns settings of a version. Texts with different values of most differ.
-func settingsText(version int, most int) string {
-	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, most)
+// settingsText returns settings of a version. Texts with different values of maxAttempts differ.
+func settingsText(version int, maxAttempts int) string {
+	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, maxAttempts)
 }
 
 // policyText returns a residency policy of a version.
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	in  = 1 << iota // from peers to the hub
-	out             // from the hub to peers
+	cutInbound  = 1 << iota // from peers to the hub
+	cutOutbound             // from the hub to peers
 )
 
 // cuttableNetwork is the network of a hub. It implements member.Wire. A direction that is cut delays the bytes of
@@ -23,7 +23,7 @@
 	report     func(any)
 	sendBuffer int // send buffer of accepted connections in bytes, which disables cuts on them; 0: the system's default
 	mu         sync.Mutex
-	cut        map[string]uint8 // by IP address: in, out or both
+	cut        map[string]uint8 // by IP address: cutInbound, cutOutbound or their union
 }
 
 // set replaces all cuts. If cut is nil, the cuts remain unchanged.
@@ -45,9 +45,9 @@
 
 func (n *cuttableNetwork) Packet(_ []byte, peer netip.AddrPort, outgoing bool) bool {
 	if outgoing {
-		return n.cutTo(peer.Addr())&out == 0
+		return n.cutTo(peer.Addr())&cutOutbound == 0
 	}
-	return n.cutTo(peer.Addr())&in == 0
+	return n.cutTo(peer.Addr())&cutInbound == 0
 }
 
 func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
@@ -82,23 +82,24 @@
 // pipedConn is one end of a pipe to a real connection. It has the addresses of the real connection.
 type pipedConn struct {
 	net.Conn
-	real net.Conn
+	underlying net.Conn
 }
 
-func (c *pipedConn) RemoteAddr() net.Addr { return c.real.RemoteAddr() }
+func (c *pipedConn) RemoteAddr() net.Addr { return c.underlying.RemoteAddr() }
 
-func (c *pipedConn) LocalAddr() net.Addr { return c.real.LocalAddr() }
+func (c *pipedConn) LocalAddr() net.Addr { return c.underlying.LocalAddr() }
 
 // wrap returns a connection whose bytes pass through the network.
 func (n *cuttableNetwork) wrap(conn net.Conn) net.Conn {
-	near, far := net.Pipe()
+	hubEnd, networkEnd := net.Pipe()
 	peer := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
-	go n.forward(far, conn, peer, in)
-	go n.forward(conn, far, peer, out)
-	return &pipedConn{near, conn}
+	go n.forward(networkEnd, conn, peer, cutInbound)
+	go n.forward(conn, networkEnd, peer, cutOutbound)
+	return &pipedConn{hubEnd, conn}
 }
 
-// forward copies one direction of a connection and then closes to. It delays both while the direction is cut.
+// forward copies one direction of a connection, and closes the destination when the source ends. It delays both while
+// the direction is cut.
 func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
 	chunks := make(chan []byte, 1024)
 	go func() {
@@ -106,7 +107,7 @@
 		for first := true; ; first = false {
 			buf := make([]byte, 4096)
 			size, err := from.Read(buf)
-			if first && direction == in && bytes.HasPrefix(buf[:size], []byte("GET /hub HTTP")) {
+			if first && direction == cutInbound && bytes.HasPrefix(buf[:size], []byte("GET /hub HTTP")) {
 				n.report(hubOutput{Hello: time.Now().UnixMicro()})
 			}
 			if size > 0 {
--- a/internal/fleet/hubclient/cuttableproxy_test.go
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -33,13 +33,13 @@
 	p := &cuttableProxy{addr: ln.Addr().String()}
 	go func() {
 		for {
-			near, err := ln.Accept()
+			agentConn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if far, err := net.Dial("tcp", to); err == nil {
-				go p.forward(far, near, &p.toHub)
-				go p.forward(near, far, &p.fromHub)
+			if hubConn, err := net.Dial("tcp", to); err == nil {
+				go p.forward(hubConn, agentConn, &p.toHub)
+				go p.forward(agentConn, hubConn, &p.fromHub)
 			}
 		}
 	}()
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -104,9 +104,9 @@
 
 // RecordUpdate records a list update: the change from version from to version to, and the complete list. It marks the
 // agent as serving.
-func (c *Client) RecordUpdate(src source.Source, from, to int64, change, whole []byte) {
+func (c *Client) RecordUpdate(src source.Source, from, to int64, change, fullList []byte) {
 	if mesh := c.mesh.Load(); mesh != nil {
-		mesh.RecordUpdate(src, from, to, change, whole)
+		mesh.RecordUpdate(src, from, to, change, fullList)
 	}
 	c.Ready()
 }
--- a/internal/fleet/hubclient/failover_test.go
+++ b/internal/fleet/hubclient/failover_test.go
@@ -93,14 +93,14 @@
 // The agent retries a busy hub no sooner than after the delay that the hub asked for.
 func TestAgentHonoursBusyDelay(t *testing.T) {
 	t.Parallel()
-	const after = 400 * time.Millisecond
+	const retryAfter = 400 * time.Millisecond
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
-	a.busyFor.Store(int64(after))
+	a.busyFor.Store(int64(retryAfter))
 	agent := newTestAgent(t, nil, a, b)
 	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if waited := a.helloAt[1].Sub(a.helloAt[0]); waited < after {
+	if waited := a.helloAt[1].Sub(a.helloAt[0]); waited < retryAfter {
 		t.Errorf("the agent retried after %v, before the requested delay", waited)
 	}
 }
--- a/internal/fleet/hubclient/fakehub_test.go
+++ b/internal/fleet/hubclient/fakehub_test.go
@@ -109,8 +109,8 @@
 	h.mu.Lock()
 	h.helloAt = append(h.helloAt, time.Now())
 	h.mu.Unlock()
-	if after := h.busyFor.Swap(0); after > 0 {
-		writeFrame(conn, &frame.Frame{Busy: &frame.Busy{RetryAfter: time.Duration(after)}})
+	if retryAfter := h.busyFor.Swap(0); retryAfter > 0 {
+		writeFrame(conn, &frame.Frame{Busy: &frame.Busy{RetryAfter: time.Duration(retryAfter)}})
 		return
 	}
 	writeFrame(conn, &frame.Frame{Welcome: &frame.Welcome{Hub: h.name}})
--- a/internal/fleet/hubclient/hubloss_test.go
+++ b/internal/fleet/hubclient/hubloss_test.go
@@ -43,14 +43,14 @@
 // return, in any second at most twice as many as with an even spread.
 func TestAgentsOfLostHubMoveWithoutBurst(t *testing.T) {
 	t.Parallel()
-	const many = 257
-	c := newCluster(t, many, true, "a", "b", "c", "d")
+	const agentCount = 257
+	c := newCluster(t, agentCount, true, "a", "b", "c", "d")
 	c.singleRegion, c.preferredCheckInterval = true, 6*time.Second
 	defer c.monitor.stopAndCheck(t)
-	agents := c.startAgents("a", many)
+	agents := c.startAgents("a", agentCount)
 	waitFor(t, "all agents at their preferred hub", allOf(agents, attachedTo("a")))
-	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./many)))
-	c.monitor.require(1./(2*many), true) // while an agent changes hubs, both hubs may count it
+	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./agentCount)))
+	c.monitor.require(1./(2*agentCount), true) // while an agent changes hubs, both hubs may count it
 	startedAt := time.Now()
 	c.hubs["a"].kill()
 	waitFor(t, "loss of an attachment", func() bool { return !allOf(agents, attachedTo("a"))() })
@@ -58,7 +58,7 @@
 	for _, z := range []string{"b", "c", "d"} {
 		peak, hellos := c.hubs[z].helloRate(startedAt)
 		t.Logf("hub %s: %d hellos, %d in the busiest second", z, hellos, peak)
-		if peak > 100 || hellos < many/10 {
+		if peak > 100 || hellos < agentCount/10 {
 			t.Errorf("hub %s: %d hellos, %d in the busiest second; want a tenth of the agents at least, and 100 a second at most", z, hellos, peak)
 		}
 	}
@@ -68,7 +68,7 @@
 	waitWithin(t, "all agents at their preferred hub again", 3*c.preferredCheckInterval, startedAt, allOf(agents, attachedTo("a")))
 	peak, hellos := c.hubs["a"].helloRate(startedAt)
 	t.Logf("preferred hub: %d hellos, %d in the busiest second", hellos, peak)
-	if peak > 2*many/int(c.preferredCheckInterval/time.Second) {
+	if peak > 2*agentCount/int(c.preferredCheckInterval/time.Second) {
 		t.Errorf("%d hellos at the preferred hub in the busiest second, want at most twice an even spread", peak)
 	}
 }
--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -94,17 +94,17 @@
 	p.settings = settings.NewHolder(settings.Config{Log: log})
 	p.policy = residency.NewHolder(zones, time.Minute, p.spec.Source, log, nil)
 	p.network = &cuttableNetwork{report: p.output.writeLine, sendBuffer: p.spec.SendBuffer, cut: map[string]uint8{}}
-	kind := settings.Document(p.settings)
+	settingsDocument := settings.Document(p.settings)
 	var trace io.Writer = p.output
 	if p.spec.Untraced {
 		trace = nil
 	}
 	server := hub.New(hub.Config{Name: p.spec.Name, Label: p.spec.Label, ProgramVersion: "test",
-		Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: p.spec.MaxAgents, Settings: kind,
+		Incarnation: uint64(time.Now().UnixMilli()), MaxAgents: p.spec.MaxAgents, Settings: settingsDocument,
 		Policy: fleet.PolicyDocument(p.policy), PolicyAge: p.policy.ConfirmedAge, Log: log, Trace: trace})
 	cfg := fleet.Config{Name: p.spec.Name, Site: p.spec.Site, Version: "test", Listen: p.spec.Listen, Seeds: p.spec.Seeds,
 		Label: p.spec.Label, MaxMembers: p.spec.MaxAgents, ListRate: 50, MeasureLatency: true, Log: log, Trace: trace,
-		Residency: p.policy, PolicySource: p.spec.Source, Settings: kind, Hub: true, HTTPHandler: server, Wire: p.network}
+		Residency: p.policy, PolicySource: p.spec.Source, Settings: settingsDocument, Hub: true, HTTPHandler: server, Wire: p.network}
 	node, err := fleet.New(cfg, zones, fleet.Callbacks{})
 	for n := 0; err != nil && n < 50; n++ { // another process uses the UDP port, or the hub's previous process has not ended yet
 		time.Sleep(20 * time.Millisecond)
@@ -120,7 +120,7 @@
 
 // execute executes a command and returns the reply.
 func (p *hubProgram) execute(command hubCommand) hubOutput {
-	answer := hubOutput{ID: command.ID}
+	reply := hubOutput{ID: command.ID}
 	p.network.set(command.Cut)
 	var err error
 	if command.Settings != "" {
@@ -130,15 +130,15 @@
 		err = applyText(command.Policy, p.policy.Apply)
 	}
 	if err != nil {
-		answer.Error = err.Error()
+		reply.Error = err.Error()
 	}
 	if command.Heap {
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
-		answer.Heap = m.HeapAlloc + m.StackInuse
+		reply.Heap = m.HeapAlloc + m.StackInuse
 	}
-	return answer
+	return reply
 }
 
 // applyText passes a text, and the version in its first line, to apply.
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -54,7 +54,7 @@
 
 	mu           sync.Mutex
 	lastID       int
-	answers      map[int]hubOutput
+	replies      map[int]hubOutput
 	hellos       []int64
 	reportedAddr chan string
 }
@@ -68,12 +68,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}),
-		answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
+	p := &hubProcess{hubSpec: spec, cmd: exec.Command(executable), done: make(chan struct{}),
+		replies: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
 	p.cmd.Env = append(os.Environ(), hubSpecVariable+"="+string(text))
 	p.cmd.Stderr = &processLog{t: t, name: spec.Name}
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
@@ -133,7 +133,7 @@
 	case output.Addr != "":
 		p.reportedAddr <- output.Addr
 	case output.ID > 0:
-		p.answers[output.ID] = output
+		p.replies[output.ID] = output
 	case output.Hello > 0:
 		p.hellos = append(p.hellos, output.Hello)
 	default:
@@ -142,7 +142,7 @@
 }
 
 // execute sends a command and returns the reply.
-func (p *hubProcess) execute(t *testing.T, command hubCommand) (answer hubOutput) {
+func (p *hubProcess) execute(t *testing.T, command hubCommand) (reply hubOutput) {
 	t.Helper()
 	p.mu.Lock()
 	p.lastID++
@@ -151,13 +151,13 @@
 	if err := json.NewEncoder(p.stdin).Encode(&command); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a hub's reply", func() (known bool) {
+	waitFor(t, "a hub's reply", func() (received bool) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		answer, known = p.answers[command.ID]
-		return known
+		reply, received = p.replies[command.ID]
+		return received
 	})
-	return answer
+	return reply
 }
 
 // kill ends the process with SIGKILL, and waits until readOutput has read its output.
@@ -175,20 +175,20 @@
 }
 
 // helloRate returns the number of Hellos since from: the maximum within one second, and the total.
-func (p *hubProcess) helloRate(from time.Time) (peak, all int) {
+func (p *hubProcess) helloRate(from time.Time) (peak, total int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var list []int64
+	var sentTimes []int64
 	for _, at := range p.hellos {
 		if at >= from.UnixMicro() {
-			list = append(list, at)
+			sentTimes = append(sentTimes, at)
 		}
 	}
-	for i, j := 0, 0; j < len(list); j++ {
-		for list[j]-list[i] >= 1e6 {
+	for i, j := 0, 0; j < len(sentTimes); j++ {
+		for sentTimes[j]-sentTimes[i] >= 1e6 {
 			i++
 		}
 		peak = max(peak, j-i+1)
 	}
-	return peak, len(list)
+	return peak, len(sentTimes)
 }
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -20,16 +20,16 @@
 	cluster.preferredCheckInterval = 2 * time.Second
 	defer cluster.monitor.stopAndCheck(t)
 	cluster.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
-	atA := cluster.startAgents("a", 4)
-	agents := append(append(cluster.startAgents("b", 2), cluster.startAgents("c", 2)...), atA[0], atA[2])
-	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	agentsOfA := cluster.startAgents("a", 4)
+	agents := append(append(cluster.startAgents("b", 2), cluster.startAgents("c", 2)...), agentsOfA[0], agentsOfA[2])
+	waitFor(t, "the agents at their preferred hub", allOf(agentsOfA, attachedTo("a")))
 	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
 	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./12)))
 	messages := make(chan receivedMessage, 100000)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go receiveFrom(ctx, cluster.hubs["a"].addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
-	atA[3].kill()
+	agentsOfA[3].kill()
 	waitFor(t, "a share of the dead agent's quota", allOf(agents, hasQuota(1./11)))
 	waitFor(t, "a fleet size without the dead agent, which the agents use while hub a is unreachable",
 		allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 8 }))
@@ -39,8 +39,8 @@
 	cluster.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	restarted := cluster.startAgent("a", 3, "a 3")
 	// The agent that dies moves to another hub first; otherwise only the suspended hub would have an entry for it.
-	waitFor(t, "attachment to another hub", allOf(append(agents[:len(agents):len(agents)], atA[1]), attachedTo("bc")))
-	atA[1].kill()
+	waitFor(t, "attachment to another hub", allOf(append(agents[:len(agents):len(agents)], agentsOfA[1]), attachedTo("bc")))
+	agentsOfA[1].kill()
 	agents = append(agents, restarted)
 	waitFor(t, "attachment of the restarted agent", allOf(agents, attachedTo("bc")))
 	cluster.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
@@ -53,7 +53,7 @@
 	resumedAt := time.Now()
 	cluster.hubs["a"].signal(t, syscall.SIGCONT)
 	checkResumed(t, messages, resumedAt)
-	waitFor(t, "the agents of a at their preferred hub", allOf([]*clusterAgent{atA[0], atA[2], restarted}, attachedTo("a")))
+	waitFor(t, "the agents of a at their preferred hub", allOf([]*clusterAgent{agentsOfA[0], agentsOfA[2], restarted}, attachedTo("a")))
 	waitFor(t, "a share of the dead agent's quota", allOf(agents, hasQuota(1./11)))
 }
 
@@ -62,7 +62,7 @@
 func checkResumed(t *testing.T, messages <-chan receivedMessage, resumedAt time.Time) {
 	t.Helper()
 	var received, withSettings int
-	var lastOld time.Duration
+	var lastOutdated time.Duration
 	for newest := int64(0); newest < 3 || time.Since(resumedAt) < 6*time.Second; {
 		select {
 		case message := <-messages:
@@ -74,7 +74,7 @@
 					t.Errorf("hub published settings %d after %d", message.settings, newest)
 				}
 				if newest = message.settings; newest < 3 {
-					lastOld = since
+					lastOutdated = since
 				}
 			}
 			if since < 2500*time.Millisecond && (message.dead > 0 || message.quotaConfirmed) {
@@ -87,8 +87,8 @@
 			t.Fatal("the hub stopped sending messages")
 		}
 	}
-	t.Logf("%d messages received, %d with settings; the last outdated settings %v after the hub resumed", received, withSettings, lastOld)
-	if lastOld > 3*time.Second {
-		t.Errorf("the hub published outdated settings for %v, want 3 s at most", lastOld)
+	t.Logf("%d messages received, %d with settings; the last outdated settings %v after the hub resumed", received, withSettings, lastOutdated)
+	if lastOutdated > 3*time.Second {
+		t.Errorf("the hub published outdated settings for %v, want 3 s at most", lastOutdated)
 	}
 }
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -34,7 +34,7 @@
 }
 
 // runWhile calls run with a context that ends with ctx, or within gossip.TickInterval after condition becomes false.
-func (c *Client) runWhile(ctx context.Context, holds func() bool, run func(ctx context.Context)) {
+func (c *Client) runWhile(ctx context.Context, condition func() bool, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watcher sync.WaitGroup
 	defer watcher.Wait()
@@ -42,7 +42,7 @@
 	watcher.Go(func() {
 		tick := time.NewTicker(gossip.TickInterval)
 		defer tick.Stop()
-		for holds() && ctx.Err() == nil {
+		for condition() && ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
 			case <-tick.C:
@@ -80,7 +80,7 @@
 	})
 	c.mesh.Store(nil)
 	c.setMeshQuota(0)
-	c.forgetLatencies()
+	c.resetReportedLatencies()
 	c.cfg.Log.Info("full mesh fallback ended")
 	return true
 }
@@ -90,12 +90,12 @@
 	c.mu.Lock()
 	c.meshQuota = quota
 	c.mu.Unlock()
-	c.wake()
+	c.requestRecompute()
 }
 
-// forgetLatencies makes updateLatency report all latencies again, since the mesh has reported different latencies while
-// it ran.
-func (c *Client) forgetLatencies() {
+// resetReportedLatencies makes updateLatency report all latencies again, since the mesh has reported different
+// latencies while it ran.
+func (c *Client) resetReportedLatencies() {
 	c.mu.Lock()
 	c.rtts = nil
 	c.mu.Unlock()
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -46,7 +46,7 @@
 	matched        int                 // uses of entries whose publication is in a trace
 	samples        int
 	minQuota       float64  // lower bound of each agent's quota; 0: not checked
-	allAlive       bool     // hubs must not report any agent as dead
+	noneDead       bool     // hubs must not report any agent as dead
 	maxSum         float64  // the highest sum of quotas in a sample
 	violations     []string // the first 10
 }
@@ -105,12 +105,12 @@
 	m.agents[name] = status
 }
 
-// require adds invariants for later samples: a minimum for each quota and, if allAlive is set, that hubs report no
+// require adds invariants for later samples: a minimum for each quota and, if noneDead is set, that hubs report no
 // agent as dead.
-func (m *monitor) require(minQuota float64, allAlive bool) {
+func (m *monitor) require(minQuota float64, noneDead bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.minQuota, m.allAlive = minQuota, allAlive
+	m.minQuota, m.noneDead = minQuota, noneDead
 }
 
 func (m *monitor) agentStopped(name string) {
@@ -132,7 +132,7 @@
 			if m.minQuota > 0 && status.Quota < m.minQuota {
 				m.violation("%s has a quota of %v, below the minimum", name, status.Quota)
 			}
-			if m.allAlive && status.FleetSize.Dead > 0 {
+			if m.noneDead && status.FleetSize.Dead > 0 {
 				m.violation("%s received a fleet size with %d dead agents, want none", name, status.FleetSize.Dead)
 			}
 			newest := m.newestVersions[name]
@@ -194,10 +194,10 @@
 	published := used
 	published.What, published.Age, published.At = "tell", 1e6, now-2e6
 	for name, test := range map[string]struct {
-		quota   float64
-		version int64
-		lines   []traceLine
-		wrong   int
+		quota         float64
+		version       int64
+		lines         []traceLine
+		minViolations int
 	}{
 		"no violation":       {1. / 5, 3, []traceLine{published, used}, 0},
 		"an old version":     {1. / 5, 2, nil, 1},
@@ -221,7 +221,7 @@
 		for _, line := range test.lines {
 			m.checkTraceLine(line)
 		}
-		if len(m.violations) < test.wrong || test.wrong == 0 && len(m.violations) > 0 {
+		if len(m.violations) < test.minViolations || test.minViolations == 0 && len(m.violations) > 0 {
 			t.Errorf("%s: unexpected or missing violations: %q", name, m.violations)
 		}
 	}
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -32,31 +32,31 @@
 // 14 s of the end of the cut if the hub is cut off from other hubs.
 func TestHubCutInOneDirection(t *testing.T) {
 	for name, test := range map[string]struct {
-		cut   map[string]uint8
-		alone string // zones whose agents receive a fleet size without the other zones; "": none
+		cut           map[string]uint8
+		isolatedZones string // zones whose agents receive a fleet size without the other zones; "": none
 	}{
-		"from agents": {cutPaths(in, "", "abc"), ""},
-		"to agents":   {cutPaths(out, "", "abc"), ""},
-		"from hubs":   {cutPaths(in, "bc", ""), "a"},
-		"to hubs":     {cutPaths(out, "bc", ""), "bc"},
+		"from agents": {cutPaths(cutInbound, "", "abc"), ""},
+		"to agents":   {cutPaths(cutOutbound, "", "abc"), ""},
+		"from hubs":   {cutPaths(cutInbound, "bc", ""), "a"},
+		"to hubs":     {cutPaths(cutOutbound, "bc", ""), "bc"},
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			testHubCut(t, test.cut, test.alone)
+			testHubCut(t, test.cut, test.isolatedZones)
 		})
 	}
 }
 
-// testHubCut applies a cut to hub a and then ends it. During the cut, the agents of the zones in alone receive a fleet
+// testHubCut applies a cut to hub a and then ends it. During the cut, the agents of isolatedZones receive a fleet
 // size without the other zones.
-func testHubCut(t *testing.T, cut map[string]uint8, alone string) {
+func testHubCut(t *testing.T, cut map[string]uint8, isolatedZones string) {
 	c := newCluster(t, 6, false, "a", "b", "c")
 	c.preferredCheckInterval = 2 * time.Second
 	defer c.monitor.stopAndCheck(t)
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
-	atA := c.startAgents("a", 2)
-	agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), atA...)
-	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	agentsOfA := c.startAgents("a", 2)
+	agents := append(append(c.startAgents("b", 2), c.startAgents("c", 2)...), agentsOfA...)
+	waitFor(t, "the agents at their preferred hub", allOf(agentsOfA, attachedTo("a")))
 	waitFor(t, "the first settings", allOf(agents, hasSettings(1)))
 	waitFor(t, "an even quota for each", allOf(agents, hasQuota(1./6)))
 	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
@@ -64,18 +64,18 @@
 	c.hubs["a"].execute(t, hubCommand{Cut: cut})
 	cutAt := time.Now()
 	c.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
-	if alone != "" {
+	if isolatedZones != "" {
 		waitFor(t, "the new settings at the agents of the other hubs", allOf(agents[:4], hasSettings(2)))
-		connected := map[string][]*clusterAgent{"a": atA, "bc": agents[:4]}[alone]
+		connected := map[string][]*clusterAgent{"a": agentsOfA, "bc": agents[:4]}[isolatedZones]
 		waitFor(t, "a fleet size of the agents of these zones only",
 			allOf(connected, func(status Status) bool { return int(status.FleetSize.Attached) == len(connected) }))
 	} else {
-		waitFor(t, "attachment to another hub", allOf(atA, attachedTo("bc")))
+		waitFor(t, "attachment to another hub", allOf(agentsOfA, attachedTo("bc")))
 		waitWithin(t, "the settings at all agents", 14*time.Second, cutAt, allOf(agents, hasSettings(2)))
 	}
 	c.hubs["a"].execute(t, hubCommand{Cut: map[string]uint8{}})
 	waitWithin(t, "the settings at all agents", 14*time.Second, time.Now(), allOf(agents, hasSettings(2)))
-	waitFor(t, "the agents at their preferred hub", allOf(atA, attachedTo("a")))
+	waitFor(t, "the agents at their preferred hub", allOf(agentsOfA, attachedTo("a")))
 	waitFor(t, "a fleet size of all", allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 6 }))
 }
 
@@ -96,9 +96,9 @@
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(1, 3)})
 	sides := [2][]*clusterAgent{append(c.startAgents("a", 3), c.startAgents("b", 3)...),
 		append(c.startAgents("c", 3), c.startAgents("d", 3)...)}
-	both := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
-	waitFor(t, "the first settings", allOf(both(), hasSettings(1)))
-	waitFor(t, "an even quota for each", allOf(both(), hasQuota(1./12)))
+	allAgents := func() []*clusterAgent { return append(append([]*clusterAgent(nil), sides[0]...), sides[1]...) }
+	waitFor(t, "the first settings", allOf(allAgents(), hasSettings(1)))
+	waitFor(t, "an even quota for each", allOf(allAgents(), hasQuota(1./12)))
 	c.partitionRegions(sides)
 	c.hubs["a"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	c.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
@@ -106,27 +106,27 @@
 	waitFor(t, "the settings of the second side", allOf(sides[1], hasSettings(3)))
 	for i, zone := range []string{"c", "b"} {
 		sides[i][0].kill()
-		moving := sides[i][1]
-		moving.kill()
+		restarted := sides[i][1]
+		restarted.kill()
 		sides[i] = sides[i][2:]
-		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, moving.cfg.Name))
+		sides[1-i] = append(sides[1-i], c.startAgent(zone, 9, restarted.cfg.Name))
 	}
-	waitFor(t, "attachment of all agents", allOf(both(), attachedTo("abcd")))
-	waitFor(t, "a share of the dead agents' quotas", allOf(both(), func(status Status) bool { return status.Quota > 1./12 }))
+	waitFor(t, "attachment of all agents", allOf(allAgents(), attachedTo("abcd")))
+	waitFor(t, "a share of the dead agents' quotas", allOf(allAgents(), func(status Status) bool { return status.Quota > 1./12 }))
 	startedAt := time.Now()
-	c.rejoinRegions(both())
-	waitWithin(t, "the higher version of the settings at all agents", 14*time.Second, startedAt, allOf(both(), hasSettings(3)))
-	waitFor(t, "a share of the quotas of two dead agents", allOf(both(), hasQuota(1./10)))
+	c.rejoinRegions(allAgents())
+	waitWithin(t, "the higher version of the settings at all agents", 14*time.Second, startedAt, allOf(allAgents(), hasSettings(3)))
+	waitFor(t, "a share of the quotas of two dead agents", allOf(allAgents(), hasQuota(1./10)))
 
 	c.partitionRegions(sides)
 	firstText, secondText := settingsText(5, 2), settingsText(5, 6)
 	c.hubs["b"].execute(t, hubCommand{Settings: firstText})
 	c.hubs["d"].execute(t, hubCommand{Settings: secondText})
 	digests := [2]string{settings.Digest(firstText), settings.Digest(secondText)}
-	waitFor(t, "version 5 of the settings on each side", allOf(both(), hasSettings(5)))
-	c.rejoinRegions(both())
+	waitFor(t, "version 5 of the settings on each side", allOf(allAgents(), hasSettings(5)))
+	c.rejoinRegions(allAgents())
 	waitFor(t, "a report of the conflict by all agents", func() bool {
-		for _, a := range both() {
+		for _, a := range allAgents() {
 			if !strings.Contains(a.settings.Status().Reason, "2 texts have version 5") {
 				return false
 			}
@@ -143,8 +143,8 @@
 	startedAt = time.Now()
 	c.hubs["d"].execute(t, hubCommand{Settings: settingsText(6, 2)})
 	waitWithin(t, "version 6 of the settings at all agents", 14*time.Second, startedAt,
-		allOf(both(), func(status Status) bool { return status.SettingsVersion == 6 }))
-	for _, a := range both() {
+		allOf(allAgents(), func(status Status) bool { return status.SettingsVersion == 6 }))
+	for _, a := range allAgents() {
 		if reason := a.settings.Status().Reason; reason != "" {
 			t.Errorf("%s still reports %q, want no reason", a.cfg.Name, reason)
 		}
@@ -160,7 +160,7 @@
 		if z > "b" {
 			other = "ab"
 		}
-		h.execute(t, hubCommand{Cut: cutPaths(in|out, other, other)})
+		h.execute(t, hubCommand{Cut: cutPaths(cutInbound|cutOutbound, other, other)})
 	}
 	for i, side := range sides {
 		waitFor(t, fmt.Sprint("a fleet size of side ", i, " without the other side"),
--- a/internal/fleet/hubclient/quota.go
+++ b/internal/fleet/hubclient/quota.go
@@ -36,11 +36,11 @@
 	if !confirmed {
 		return startupQuota / float64(maxAgents)
 	}
-	users := maxAgents
+	quotaHolders := maxAgents
 	if fresh {
-		users = max(1, maxAgents-int(size.Dead), int(size.Attached))
+		quotaHolders = max(1, maxAgents-int(size.Dead), int(size.Attached))
 	}
-	return 1 / float64(users)
+	return 1 / float64(quotaHolders)
 }
 
 // recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it if it has changed. While
--- a/internal/fleet/hubclient/quota_test.go
+++ b/internal/fleet/hubclient/quota_test.go
@@ -8,7 +8,7 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-func TestHubQuotaIsSharedByAgentsThatMayBeAlive(t *testing.T) {
+func TestHubQuotaIsDividedAmongAgentsNotConfirmedDead(t *testing.T) {
 	for name, test := range map[string]struct {
 		size             hub.FleetSize
 		fresh, confirmed bool
--- a/internal/fleet/hubclient/realhub_test.go
+++ b/internal/fleet/hubclient/realhub_test.go
@@ -37,7 +37,7 @@
 // the hub of the remaining agent ends, that agent attaches to the other hub.
 func TestAgentsMoveBetweenRealHubs(t *testing.T) {
 	t.Parallel()
-	a, endA := startRealHub(t, "a")
+	a, stopA := startRealHub(t, "a")
 	b, _ := startRealHub(t, "b", a)
 	startAgent := func(name, site string) *testAgent {
 		return newTestAgent(t, func(c *Config) {
@@ -53,6 +53,6 @@
 	waitFor(t, "an even quota", first.hasQuota(1./10))
 	second.stop()
 	waitFor(t, "a share of the quota of the agent that left", first.hasQuota(1./9))
-	endA()
+	stopA()
 	waitFor(t, "attachment to b", first.attachedTo("b"))
 }
--- a/internal/fleet/hubclient/reconcile.go
+++ b/internal/fleet/hubclient/reconcile.go
@@ -11,7 +11,8 @@
 
 const summaryInterval = 10 * time.Second
 
-// runLoop drops expired entries and recomputes all derived state, at each tick and each call of wake, until ctx ends.
+// runLoop drops expired entries and recomputes all derived state, at each tick and each call of requestRecompute,
+// until ctx ends.
 func (c *Client) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -23,7 +24,7 @@
 			return
 		case <-summary.C:
 			c.logSummary()
-		case <-c.wakeup:
+		case <-c.recomputeRequests:
 		case <-tick.C:
 		}
 		c.store.Tick()
--- a/internal/fleet/hubclient/selector_test.go
+++ b/internal/fleet/hubclient/selector_test.go
@@ -49,16 +49,16 @@
 func TestBackoffGrowsAndBusyHubsAreHonoured(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	selector := newHubSelector(3, 7)
-	tried, longest := map[int]bool{}, time.Duration(0)
+	triedHubs, longestWait := map[int]bool{}, time.Duration(0)
 	for range 300 {
 		wait := selector.attachFailed(now)
 		if wait > maxBackoff || selector.consecutiveFailures == 1 && wait > initialBackoff {
 			t.Fatalf("wait of %v after %d failures exceeds the maximum", wait, selector.consecutiveFailures)
 		}
-		tried[selector.current], longest = true, max(longest, wait)
+		triedHubs[selector.current], longestWait = true, max(longestWait, wait)
 	}
-	if len(tried) != 3 || longest < maxBackoff*9/10 {
-		t.Errorf("tried hubs %v, longest wait %v; want 3 hubs and a wait near maxBackoff", tried, longest)
+	if len(triedHubs) != 3 || longestWait < maxBackoff*9/10 {
+		t.Errorf("tried hubs %v, longest wait %v; want 3 hubs and a wait near maxBackoff", triedHubs, longestWait)
 	}
 	before := selector.current
 	if wait := selector.hubBusy(time.Second, now); wait != time.Second || selector.current != before {
@@ -72,7 +72,7 @@
 			t.Error("selected a busy hub before its retry time")
 		}
 	}
-	if only := newHubSelector(1, 7); only.hubBusy(time.Minute, now) != time.Minute {
+	if single := newHubSelector(1, 7); single.hubBusy(time.Minute, now) != time.Minute {
 		t.Error("selected the only hub before its retry time")
 	}
 	if wait := selector.attachmentLost(1, stableAfter, now.Add(time.Hour)); selector.current != 0 || wait > initialBackoff {
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -15,9 +15,9 @@
 // other agents every second.
 func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
-	const slow = 100
+	const slowReaderCount = 100
 	m := newMonitor()
-	c := &cluster{t: t, monitor: m, maxAgents: slow + 10, hubs: map[string]*hubProcess{}, stateDir: t.TempDir()}
+	c := &cluster{t: t, monitor: m, maxAgents: slowReaderCount + 10, hubs: map[string]*hubProcess{}, stateDir: t.TempDir()}
 	defer m.stopAndCheck(t)
 	c.hubs["a"] = startHubProcess(t, m, hubSpec{Name: "hub a", Site: "a", Listen: hubIP("a") + ":0",
 		MaxAgents: c.maxAgents, SendBuffer: 4096, Untraced: true})
@@ -30,16 +30,16 @@
 	go receiveFrom(ctx, hub.addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
 	waitFor(t, "messages at the listener", func() bool { return len(messages) > 0 })
 	before := hub.execute(t, hubCommand{Heap: true}).Heap
-	readers := startSlowReaders(ctx, t, hub.addr, slow)
-	versions, maxHeap := readers.awaitDrops(t, hub, slow)
-	longest := longestPause(messages)
+	readers := startSlowReaders(ctx, t, hub.addr, slowReaderCount)
+	versions, maxHeap := readers.awaitDrops(t, hub, slowReaderCount)
+	longest := longestInterval(messages)
 	t.Logf("heap and stacks %d kB before, %d kB at most; the longest interval between messages %v; %d versions",
 		before>>10, maxHeap>>10, longest, versions)
 	if longest > 1500*time.Millisecond {
 		t.Errorf("the listener received no message for %v, want 1.5 s at most", longest)
 	}
-	if maxHeap > before+slow*64<<10 {
-		t.Errorf("the hub uses %d bytes for each slow reader, want 64 KiB at most", (maxHeap-before)/slow)
+	if maxHeap > before+slowReaderCount*64<<10 {
+		t.Errorf("the hub uses %d bytes for each slow reader, want 64 KiB at most", (maxHeap-before)/slowReaderCount)
 	}
 	if !allOf(agents, attachedTo("a"))() {
 		t.Error("an agent lost its hub")
@@ -95,8 +95,8 @@
 	return version - 1, maxHeap
 }
 
-// longestPause drains messages and returns the longest time between two consecutive messages.
-func longestPause(messages <-chan receivedMessage) time.Duration {
+// longestInterval drains messages and returns the longest time between two consecutive messages.
+func longestInterval(messages <-chan receivedMessage) time.Duration {
 	var longest time.Duration
 	last := time.Time{}
 	for len(messages) > 0 {
