--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// stayAttached uses an attachment until it ends. If the preferred hub accepts the agent before, stayAttached switches
+// stayAttached uses an attachment until it ends. If the preferred hub accepts the agent first, stayAttached switches
 // to an attachment to that hub, which opens before the old attachment closes. index is the hub's index in Client.hubs.
 // stayAttached returns the wait before the next attempt to attach.
 func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -84,7 +84,7 @@
 	RelayedLists                bool              // request endpoint lists from the hub rather than from the list service
 	ListRate                    float64           // initial estimate of the list service's capacity in requests per second
 	Residency                   *residency.Holder // nil: the agent has no residency policy
-	Settings                    *settings.Holder  // nil: the agent takes no settings from hubs
+	Settings                    *settings.Holder  // nil: the agent applies no settings from hubs
 	NewMesh                     NewMesh           // nil: the agent does not fall back to the full mesh
 	Log                         *slog.Logger
 	Trace                       io.Writer // receives a line for each entry used and for each new quota; nil: no trace
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	hubAttachGrace = time.Second             // after the start, in which the agent waits for a hub rather than ask the list service
-	relayTimeout   = 2500 * time.Millisecond // time without a message after which a hub that relays lists counts as dead
+	hubAttachGrace = time.Second             // how long after its start the agent waits for a hub before it asks the list service
+	relayTimeout   = 2500 * time.Millisecond // time without a message after which a hub that relays lists counts as failed
 )
 
 // Next waits until the agent may request the endpoint list, and returns the source: the hub if lists are relayed, or
--- a/internal/fleet/hubclient/entries_test.go
+++ b/internal/fleet/hubclient/entries_test.go
@@ -31,7 +31,7 @@
 	before := a.seq.Load()
 	waitFor(t, "frames delayed by the proxy", func() bool { return a.seq.Load() > before+6 })
 	a.withholdsEntries.Store(true)
-	time.Sleep(time.Second) // the frames exceed the bound; there is no condition to wait for
+	time.Sleep(time.Second) // makes the frames exceed their age bound; there is no condition to wait for
 	proxy.fromHub.Store(forwarding)
 	refusedBefore := agent.store.Stats().Kinds["census"].Rejected
 	waitFor(t, "rejection of the delayed entries", func() bool {
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -46,7 +46,7 @@
 	cluster.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
 	waitFor(t, "the settings without the suspended hub", allOf(agents, hasSettings(3)))
 	waitFor(t, "a share of the other dead agent's quota", allOf(agents, hasQuota(1./11)))
-	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // the duration of the suspension
+	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // the minimum duration of the suspension
 	for len(messages) > 0 {
 		<-messages
 	}
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -202,7 +202,7 @@
 		"no violation":       {1. / 5, 3, []traceLine{published, used}, 0},
 		"an old version":     {1. / 5, 2, nil, 1},
 		"a quota used twice": {2. / 5, 3, nil, 1},
-		"an entry too old":   {1. / 5, 3, []traceLine{{What: "use", Kind: "gone", Age: 3000001}}, 1},
+		"an expired entry":   {1. / 5, 3, []traceLine{{What: "use", Kind: "gone", Age: 3000001}}, 1},
 		"an entry observed too long ago": {1. / 5, 3, []traceLine{
 			{What: "tell", Kind: "gone", Observer: "h", Subject: "agents 0", Incarnation: 1, Seq: 1, Age: 2e6, At: now - 2e6}, used}, 1},
 	} {
