--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -178,17 +178,17 @@
 func (p *hubProcess) helloRate(from time.Time) (peak, total int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var sentTimes []int64
+	var arrivals []int64
 	for _, at := range p.hellos {
 		if at >= from.UnixMicro() {
-			sentTimes = append(sentTimes, at)
+			arrivals = append(arrivals, at)
 		}
 	}
-	for i, j := 0, 0; j < len(sentTimes); j++ {
-		for sentTimes[j]-sentTimes[i] >= 1e6 {
+	for i, j := 0, 0; j < len(arrivals); j++ {
+		for arrivals[j]-arrivals[i] >= 1e6 {
 			i++
 		}
 		peak = max(peak, j-i+1)
 	}
-	return peak, len(sentTimes)
+	return peak, len(arrivals)
 }
