--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -1,4 +1,4 @@
-// Hub processes as the tests see them: start, commands, signals, and what their output says.
+// The test's side of a hub process: start, commands, signals, and output.
 
 package hubclient
 
@@ -15,32 +15,32 @@
 	"time"
 )
 
-// hubSpec describes a hub to its process.
+// hubSpec is the configuration of a hub process.
 type hubSpec struct {
 	Name, Site, Listen, Label string
 	Seeds                     []string
 	MaxAgents                 int
-	SendBuffer                int  // of agents' connections, in bytes; 0: the system's, and its network can be cut
-	Source                    bool // it is a source of the residency policy
-	Untraced                  bool // it writes no trace
+	SendBuffer                int  // send buffer of agents' connections in bytes, which disables cuts on them; 0: the system's default
+	Source                    bool // the hub is a source of the residency policy
+	Untraced                  bool // the hub writes no trace
 }
 
-// hubCommand is a command to a hub process, which answers with the same ID.
+// hubCommand is a command to a hub process, which sends a reply with the same ID.
 type hubCommand struct {
 	ID       int
-	Cut      map[string]uint8 // replaces all cuts, if not nil; see cuttableNetwork
+	Cut      map[string]uint8 // replaces all cuts of the cuttableNetwork; nil: no change
 	Settings string
 	Policy   string
 	Heap     bool // report the size of heap and stacks
 }
 
-// hubOutput is a line that a hub process writes: its address, an answer, an agent's Hello, or a line of its trace.
+// hubOutput is a line of a hub process's output: its address, a reply, an agent's Hello, or a line of its trace.
 type hubOutput struct {
 	Addr  string
 	ID    int
 	Error string
 	Heap  uint64 // bytes
-	Hello int64  // when it came, in microseconds since 1970
+	Hello int64  // when the Hello arrived, in microseconds since 1970
 	traceLine
 }
 
@@ -54,13 +54,13 @@
 
 	mu           sync.Mutex
 	lastID       int
-	answers      map[int]hubOutput
+	replies      map[int]hubOutput
 	hellos       []int64
 	reportedAddr chan string
 }
 
-// startHubProcess starts a hub process, which ends with the test at the latest, and waits until it listens. The
-// monitor gets its trace.
+// startHubProcess starts a hub process and waits until it listens. The process ends with the test at the latest. The
+// monitor receives its trace.
 func startHubProcess(t *testing.T, m *monitor, spec hubSpec) *hubProcess {
 	t.Helper()
 	spec.Label = t.Name()
@@ -68,12 +68,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &hubProcess{hubSpec: spec, cmd: exec.Command(self), done: make(chan struct{}),
-		answers: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
+	p := &hubProcess{hubSpec: spec, cmd: exec.Command(executable), done: make(chan struct{}),
+		replies: map[int]hubOutput{}, reportedAddr: make(chan string, 1)}
 	p.cmd.Env = append(os.Environ(), hubSpecVariable+"="+string(text))
 	p.cmd.Stderr = &processLog{t: t, name: spec.Name}
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
@@ -91,12 +91,12 @@
 	select {
 	case p.addr = <-p.reportedAddr:
 	case <-time.After(waitTimeout):
-		t.Fatalf("hub %s does not start", spec.Name)
+		t.Fatalf("hub %s did not report its address in time", spec.Name)
 	}
 	return p
 }
 
-// processLog fails the test for data races and panics that a hub process logs.
+// processLog fails the test if a hub process logs a data race or a panic.
 type processLog struct {
 	t    *testing.T
 	name string
@@ -109,10 +109,10 @@
 	return len(p), nil
 }
 
-// readOutput handles the lines that the process writes, until it ends, and then closes done.
+// readOutput handles the process's output until the process ends, and then closes done.
 func (p *hubProcess) readOutput(m *monitor, stdout io.Reader) {
 	defer close(p.done)
-	defer func() { _ = p.cmd.Wait() }() // it was killed
+	defer func() { _ = p.cmd.Wait() }() // the error reports that the process was killed
 	for r := bufio.NewReader(stdout); ; {
 		data, err := r.ReadBytes('\n')
 		if err != nil {
@@ -133,7 +133,7 @@
 	case output.Addr != "":
 		p.reportedAddr <- output.Addr
 	case output.ID > 0:
-		p.answers[output.ID] = output
+		p.replies[output.ID] = output
 	case output.Hello > 0:
 		p.hellos = append(p.hellos, output.Hello)
 	default:
@@ -141,8 +141,8 @@
 	}
 }
 
-// execute sends a command and returns its answer.
-func (p *hubProcess) execute(t *testing.T, command hubCommand) (answer hubOutput) {
+// execute sends a command and returns the reply.
+func (p *hubProcess) execute(t *testing.T, command hubCommand) (reply hubOutput) {
 	t.Helper()
 	p.mu.Lock()
 	p.lastID++
@@ -151,16 +151,16 @@
 	if err := json.NewEncoder(p.stdin).Encode(&command); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a hub's answer", func() (known bool) {
+	waitFor(t, "a hub's reply", func() (received bool) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		answer, known = p.answers[command.ID]
-		return known
+		reply, received = p.replies[command.ID]
+		return received
 	})
-	return answer
+	return reply
 }
 
-// kill ends the process by SIGKILL, and waits until its output was read.
+// kill ends the process with SIGKILL, and waits until readOutput has read its output.
 func (p *hubProcess) kill() {
 	_ = p.cmd.Process.Kill() // fails only when the process has ended
 	<-p.done
@@ -174,21 +174,21 @@
 	}
 }
 
-// helloRate returns how many agents sent a Hello since a point in time: at most within one second, and altogether.
-func (p *hubProcess) helloRate(from time.Time) (peak, all int) {
+// helloRate returns the number of Hellos since from: the maximum within one second, and the total.
+func (p *hubProcess) helloRate(from time.Time) (peak, total int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var list []int64
+	var arrivals []int64
 	for _, at := range p.hellos {
 		if at >= from.UnixMicro() {
-			list = append(list, at)
+			arrivals = append(arrivals, at)
 		}
 	}
-	for i, j := 0, 0; j < len(list); j++ {
-		for list[j]-list[i] >= 1e6 {
+	for i, j := 0, 0; j < len(arrivals); j++ {
+		for arrivals[j]-arrivals[i] >= 1e6 {
 			i++
 		}
 		peak = max(peak, j-i+1)
 	}
-	return peak, len(list)
+	return peak, len(arrivals)
 }
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -1,4 +1,4 @@
-// Test of agents that do not read: they cost their hub little and others nothing.
+// Test that agents which do not read use little memory of their hub and do not delay messages to other agents.
 
 package hubclient
 
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// A hundred agents that never read cost their hub little memory each, and the others receive its messages each second
-// meanwhile.
+// With 100 agents that never read, the hub uses at most 64 KiB of memory for each, and still sends messages to the
+// other agents every second.
 func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
-	const slow = 100
+	const slowReaderCount = 100
 	m := newMonitor()
-	c := &cluster{t: t, monitor: m, maxAgents: slow + 10, hubs: map[string]*hubProcess{}, stateDir: t.TempDir()}
+	c := &cluster{t: t, monitor: m, maxAgents: slowReaderCount + 10, hubs: map[string]*hubProcess{}, stateDir: t.TempDir()}
 	defer m.stopAndCheck(t)
 	c.hubs["a"] = startHubProcess(t, m, hubSpec{Name: "hub a", Site: "a", Listen: hubIP("a") + ":0",
 		MaxAgents: c.maxAgents, SendBuffer: 4096, Untraced: true})
@@ -30,16 +30,16 @@
 	go receiveFrom(ctx, hub.addr, t.Name(), "listener", func(message receivedMessage) { messages <- message })
 	waitFor(t, "messages at the listener", func() bool { return len(messages) > 0 })
 	before := hub.execute(t, hubCommand{Heap: true}).Heap
-	readers := startSlowReaders(ctx, t, hub.addr, slow)
-	versions, maxHeap := readers.awaitDrops(t, hub, slow)
-	longest := longestPause(messages)
-	t.Logf("heap and stacks %d kB before, %d kB at most; the longest pause between messages %v; %d versions",
+	readers := startSlowReaders(ctx, t, hub.addr, slowReaderCount)
+	versions, maxHeap := readers.awaitDrops(t, hub, slowReaderCount)
+	longest := longestInterval(messages)
+	t.Logf("heap and stacks %d kB before, %d kB at most; the longest interval between messages %v; %d versions",
 		before>>10, maxHeap>>10, longest, versions)
 	if longest > 1500*time.Millisecond {
-		t.Errorf("no message was received for %v", longest)
+		t.Errorf("the listener received no message for %v, want 1.5 s at most", longest)
 	}
-	if maxHeap > before+slow*64<<10 {
-		t.Errorf("%d bytes for each slow reader", (maxHeap-before)/slow)
+	if maxHeap > before+slowReaderCount*64<<10 {
+		t.Errorf("the hub uses %d bytes for each slow reader, want 64 KiB at most", (maxHeap-before)/slowReaderCount)
 	}
 	if !allOf(agents, attachedTo("a"))() {
 		t.Error("an agent lost its hub")
@@ -48,9 +48,9 @@
 	readers.tasks.Wait()
 }
 
-// slowReaders are agents that attach again and again, send states and never read.
+// slowReaders are agents that attach repeatedly, send states and never read.
 type slowReaders struct {
-	attached, dropped atomic.Int32 // attached now; streams that the hub ended
+	attached, dropped atomic.Int32 // number of open streams; number of streams that the hub ended
 	tasks             sync.WaitGroup
 }
 
@@ -78,12 +78,13 @@
 	return r
 }
 
-// awaitDrops sends new settings to everyone until the hub has ended count streams. It returns how many versions that
-// took, and the most bytes of heap and stacks that the hub had while more than half of the readers were attached.
+// awaitDrops applies new settings at the hub, which sends them to all agents, until the hub has ended count streams. It
+// returns the number of versions that this took, and the maximum of the hub's heap and stacks in bytes while more than
+// half of the readers were attached.
 func (r *slowReaders) awaitDrops(t *testing.T, hub *hubProcess, count int32) (versions int, maxHeap uint64) {
 	t.Helper()
 	version := 1
-	waitFor(t, "the drop of each slow reader", func() bool {
+	waitFor(t, "a drop for each slow reader", func() bool {
 		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
 		if m := hub.execute(t, hubCommand{Heap: true}).Heap; r.attached.Load() > count/2 {
@@ -94,8 +95,8 @@
 	return version - 1, maxHeap
 }
 
-// longestPause drains messages and returns the longest time between two of them.
-func longestPause(messages <-chan receivedMessage) time.Duration {
+// longestInterval drains messages and returns the longest time between two consecutive messages.
+func longestInterval(messages <-chan receivedMessage) time.Duration {
 	var longest time.Duration
 	last := time.Time{}
 	for len(messages) > 0 {
