--- a/internal/agent/discovery/event.go
+++ b/internal/agent/discovery/event.go
@@ -36,10 +36,12 @@
 	}
 }
 
-// promote makes an active stream the current one if there is no current stream, or if the active stream is confirmed. A
-// stream is confirmed once it has delivered a list, or has sent heartbeats for HeartbeatTimeout, which shows that
-// discovery has no list to send on it. Before that, another stream may be the one that delivers the list, so promote
-// cancels the streams being opened only once the current one is confirmed, not overdue and to discovery's address.
+// promote is called after a heartbeat or list of stream. It makes stream the current one if there is no current stream,
+// or if the event confirms stream. A list confirms its stream, and so does a heartbeat that arrives at least
+// HeartbeatTimeout after the stream's first heartbeat or list, which shows that discovery has no list to send on the
+// stream. Before a stream is confirmed, another stream may be the one that delivers the list. So promote cancels the
+// streams being opened only if the current stream is confirmed, is not overdue and is connected to discovery's present
+// address.
 func (w *Watcher) promote(stream *watchStream, hasList bool) {
 	confirmed := hasList || stream.lastActivityAt.Sub(stream.firstActivityAt) >= w.HeartbeatTimeout
 	if stream != w.current && (confirmed || w.current == nil) {
@@ -64,7 +66,7 @@
 	previousVersion := w.version
 	if !stream.receivedList && !list.Full && stream.addr == w.versionAddr && list.Version < previousVersion {
 		// The list holds changes up to a version that has already been applied: the previous stream continued to
-		// deliver after this one was opened. Later lists of this stream are newer.
+		// deliver after this one was opened. Later lists of this stream are always applied.
 		stream.receivedList = true
 		return
 	}
@@ -113,8 +115,8 @@
 	return encoded
 }
 
-// handleEnd removes a stream that has ended or failed to open. Where lists are pushed, it schedules the next stream after
-// the backoff.
+// handleEnd removes a stream that has ended or failed to open. Unless markOverdue has already reported the failure,
+// handleEnd reports it, and schedules the next stream after the backoff if lists are pushed and no other stream serves.
 func (w *Watcher) handleEnd(event watchEvent) {
 	w.opening = slices.DeleteFunc(w.opening, func(o *watchStream) bool { return o == event.stream })
 	if event.stream == w.current {
--- a/internal/agent/discovery/heartbeat.go
+++ b/internal/agent/discovery/heartbeat.go
@@ -10,9 +10,10 @@
 // maxValueBytes bounds one JSON value of a stream, in bytes.
 const maxValueBytes = 4 << 20
 
-// heartbeatReader reads a stream and calls onHeartbeat for white space between values, which is discovery's heartbeat.
-// The bytes of an incomplete value do not count as a heartbeat. Once more than maxValueBytes have been read since the
-// last complete value, Read fails with errValueTooLong.
+// heartbeatReader reads a stream and calls onHeartbeat after each read that returns only white space, if no value has
+// begun: discovery sends white space between values as its heartbeat. The bytes of an incomplete value do not count as
+// a heartbeat. Once more than maxValueBytes have been read since the last complete value, Read fails with
+// errValueTooLong.
 type heartbeatReader struct {
 	source         io.Reader
 	onHeartbeat    func()
--- a/internal/agent/discovery/list.go
+++ b/internal/agent/discovery/list.go
@@ -18,14 +18,16 @@
 
 // Endpoint is one backend of a list.
 type Endpoint struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"` // host:port
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // one of the keys of backendStates
-	Weight    float64 `json:"weight"`
-	StartedAt int64   `json:"started_ms"` // start of its process, Unix time in ms by its machine's wall clock; 0: long ago
+	ID     string  `json:"id"`
+	Addr   string  `json:"addr"` // host:port
+	Zone   string  `json:"zone"`
+	Kind   string  `json:"kind"`
+	Cell   int     `json:"cell"`
+	State  string  `json:"state"` // one of the keys of backendStates
+	Weight float64 `json:"weight"`
+	// StartedAt is the start of the backend's process, Unix time in ms by the wall clock of the backend's machine; 0: long
+	// ago, or unknown.
+	StartedAt int64 `json:"started_ms"`
 }
 
 // errNoEndpoints is the error for a JSON value that is not a list.
@@ -34,7 +36,8 @@
 // endpointSet is a complete list, by id. The zero value is an empty list.
 type endpointSet map[string]Endpoint
 
-// merge applies a list: a complete one replaces the set, any other one is a change to the set.
+// merge applies a list. A complete list replaces the set. A list of changes adds or replaces the endpoints that it
+// contains. An endpoint whose state is "gone" is deleted.
 func (s *endpointSet) merge(list *EndpointList, complete bool) {
 	if complete || *s == nil {
 		*s = endpointSet{}
@@ -48,7 +51,7 @@
 	}
 }
 
-// list returns the set as a complete list, ordered by id.
+// list returns the set as a complete list of the given version, ordered by id.
 func (s endpointSet) list(version int64) *EndpointList {
 	list := &EndpointList{Version: version, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(s)) {
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -15,7 +15,7 @@
 // have kept arriving and a new start time is still far in the past, the clock behind it is wrong: the start counts as
 // now.
 const (
-	maxAnnounceDelay = 10 * time.Second // from a start to the list that contains it; usually some seconds
+	maxAnnounceDelay = 10 * time.Second // from the start of a process to the list that contains the start time; usually some seconds
 	clockTolerance   = 2 * time.Second  // the HTTP Date header is in whole seconds
 )
 
@@ -28,8 +28,8 @@
 // startTimes holds the start times of the backends that lists have contained, by id.
 type startTimes struct {
 	known map[string]processStart
-	// wallOffset is discovery's wall clock minus this machine's at the latest list; 0: within clockTolerance, or
-	// unknown.
+	// wallOffset is the Date header of the response that carried the latest list, minus this machine's wall clock when
+	// the list was applied; 0: within clockTolerance, or unknown.
 	wallOffset time.Duration
 }
 
@@ -47,8 +47,9 @@
 }
 
 // resolve returns when a backend's process started, by the agent's clock; 0: long ago, or not given. unixMilli is the
-// start time from discovery. maxAge bounds the age of a start time that is new for this backend; 0: no bound. A start
-// time that is unchanged keeps its earlier result.
+// start time from discovery. An unchanged start time keeps its earlier result. A start time that is new for this
+// backend counts as now if it is more than maxAge ago (maxAge 0: no bound), and its result is always later than the
+// previous one.
 func (s *startTimes) resolve(id string, unixMilli int64, readClocks func() clockReadings, maxAge time.Duration) time.Duration {
 	if unixMilli <= 0 {
 		return 0
@@ -73,8 +74,9 @@
 	return at
 }
 
-// latestReading converts a wall time with each clock and returns the latest result that is not in the future, or now if
-// all are.
+// latestReading converts a wall time with each clock and returns the latest result that is not in the future. A result
+// up to clockTolerance in the future counts as now. If all results are further in the future, latestReading returns
+// now.
 func (s *startTimes) latestReading(wall time.Time, c clockReadings) time.Duration {
 	readings := []time.Duration{c.agentTime(wall), c.now - c.wall.Sub(wall)}
 	if s.wallOffset != 0 {
@@ -92,8 +94,9 @@
 	return min(latest, c.now)
 }
 
-// evictUnlisted bounds how many start times are kept of backends that are no longer listed. Some are kept because a
-// backend may be listed again with the same process.
+// evictUnlisted deletes the start times of backends that are no longer listed, once more than twice the number of
+// listed backends plus spare are kept. Until then they are kept because a backend may be listed again with the same
+// process.
 func (s *startTimes) evictUnlisted(listed map[string]string) {
 	const spare = 100
 	if len(s.known) <= 2*len(listed)+spare {
@@ -106,8 +109,8 @@
 	}
 }
 
-// measureOffset sets wallOffset from date, the Date header of discovery's response. Without a valid date the offset is
-// unchanged.
+// measureOffset sets wallOffset to date, the Date header of a stream's response, minus this machine's wall clock. If
+// date is invalid, wallOffset stays unchanged.
 func (s *startTimes) measureOffset(date string) {
 	discoveryTime, err := http.ParseTime(date)
 	if err != nil {
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -21,7 +21,7 @@
 	errValueTooLong  = fmt.Errorf("JSON value longer than %d bytes", maxValueBytes)
 )
 
-// watchStream is one connection to discovery, with the watcher's state of it.
+// watchStream is one connection to discovery, with the state that the watcher keeps for the connection.
 type watchStream struct {
 	// Set at creation and not changed.
 	addr         string // of discovery
@@ -31,31 +31,31 @@
 	// The stream's goroutine writes these fields. Run's goroutine reads dateHeader only after a list event, and the
 	// others only after the requested event.
 	source     source.Source
-	openedAt   time.Time // when the request was sent
+	openedAt   time.Time // right before the request was sent
 	dateHeader string    // of the response
 
 	// Only Run's goroutine uses these fields.
-	requested       bool      // the request has been sent; false: the stream waits in Selector.Next
-	lastActivityAt  time.Time // when the latest heartbeat or list arrived; zero: none has
-	firstActivityAt time.Time // when the first one arrived
+	requested       bool      // the request is being sent, or was; false: the stream waits in Selector.Next
+	lastActivityAt  time.Time // when the latest heartbeat or list arrived; zero: none has arrived
+	firstActivityAt time.Time // when the first heartbeat or list arrived; zero: none has arrived
 	receivedList    bool      // the stream has delivered a list
 	// overdue: the stream counts as failed. Lists that still arrive on it are applied, but it does not prevent other
-	// streams from being opened.
+	// streams from being opened. The first heartbeat or list of the stream clears overdue.
 	overdue bool
 }
 
-// watchEvent is sent by a stream's goroutine to Run. It reports that the request has been sent (requested), a list, the
-// end of the stream (err), or a heartbeat if none of these is set.
+// watchEvent is sent by a stream's goroutine to Run. It reports that the request is about to be sent (requested), a
+// list, the end of the stream (err), or a heartbeat if none of these is set.
 type watchEvent struct {
 	stream    *watchStream
 	requested bool
 	list      *EndpointList
 	err       error
-	malformed bool // with err: the data received is not a list
+	malformed bool // set together with err if the data received is not a list
 }
 
-// run sends the request and emits an event for each heartbeat and list until the connection ends, and then one for the
-// end. It calls onActivity before it emits a heartbeat or list. emit may block.
+// run emits the requested event, sends the request, emits an event for each heartbeat and list, and emits one more
+// event when the connection ends. It calls onActivity before it emits a heartbeat or list. emit may block.
 func (s *watchStream) run(ctx context.Context, client *http.Client, onActivity func(), emit func(watchEvent)) {
 	emit(watchEvent{stream: s, requested: true})
 	err := s.read(ctx, client,
@@ -85,7 +85,7 @@
 	defer resp.Body.Close()
 	s.dateHeader = resp.Header.Get("Date")
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("endpoint list request failed with status %d", resp.StatusCode)
 	}
 	reader := &heartbeatReader{source: resp.Body, onHeartbeat: onHeartbeat, whitespaceOnly: true}
 	values := json.NewDecoder(reader)
@@ -94,7 +94,7 @@
 		if err := values.Decode(&list); errors.Is(err, io.EOF) {
 			return errStreamClosed
 		} else if err != nil {
-			return fmt.Errorf("list: %w", err)
+			return fmt.Errorf("decoding endpoint list: %w", err)
 		}
 		if list.Endpoints == nil {
 			return errNoEndpoints
--- a/internal/agent/discovery/supervise.go
+++ b/internal/agent/discovery/supervise.go
@@ -18,16 +18,17 @@
 	w.openUnlessServed(ctx)
 }
 
-// openUnlessServed opens a stream unless hasServingStream is true.
+// openUnlessServed opens a stream, unless another stream to discovery's address is open or being opened and not overdue.
 func (w *Watcher) openUnlessServed(ctx context.Context) {
 	if !w.hasServingStream() {
 		w.openStream(ctx)
 	}
 }
 
-// reopen schedules a stream to discovery's new address at once. A change of address does not count as a failure. The
-// current stream, to the old address, stays open until promote replaces it or discovery closes it: lists that arrive on
-// the old stream until then are applied as well.
+// reopen cancels the streams being opened and schedules a stream to discovery's new address without delay. A change of
+// address does not count as a failure, and resets the number of failures. The current stream, to the old address, stays
+// open until promote replaces it or discovery closes it: lists that arrive on the old stream until then are applied as
+// well.
 func (w *Watcher) reopen() {
 	w.cancelStreams(w.opening...)
 	w.opening, w.failures = nil, 0
@@ -67,7 +68,8 @@
 	return append(slices.Clone(w.opening), w.current)
 }
 
-// overdueAt returns when a stream becomes overdue unless a heartbeat or list arrives before; zero: the stream is already
+// overdueAt returns when a stream becomes overdue if no heartbeat or list arrives first: OpenTimeout after the request,
+// or the source's SilenceTimeout (0: HeartbeatTimeout) after the latest heartbeat or list. Zero: the stream is already
 // overdue, or its request has not been sent.
 func (w *Watcher) overdueAt(stream *watchStream) time.Time {
 	switch {
@@ -79,7 +81,7 @@
 	return stream.lastActivityAt.Add(cmp.Or(stream.source.SilenceTimeout, w.HeartbeatTimeout))
 }
 
-// nextTimerAt returns when Run has to open a stream or to mark one overdue if no event arrives before; zero: never.
+// nextTimerAt returns when Run has to open a stream or to mark one overdue if no event arrives first; zero: never.
 func (w *Watcher) nextTimerAt() time.Time {
 	next := w.nextOpenAt
 	for _, stream := range w.streams() {
@@ -91,8 +93,8 @@
 }
 
 // markOverdue marks the streams that have become overdue. Each counts as failed, but stays open because discovery may
-// still answer it. With Config.Sources, a stream that is the current one or relayed is cancelled instead, since the list
-// can be requested from another source.
+// still answer it. Where lists are pushed, markOverdue schedules another stream without delay. With Config.Sources, a
+// stream that is the current one or relayed is cancelled instead, since the list can be requested from another source.
 func (w *Watcher) markOverdue() {
 	for _, stream := range w.streams() {
 		if at := w.overdueAt(stream); !at.IsZero() && !time.Now().Before(at) {
@@ -111,7 +113,8 @@
 }
 
 // openStream starts a goroutine that opens a stream to discovery's address and requests the changes since w.version, or
-// the complete list if that version is not from this address.
+// the complete list if that version is not from this address. If maxOpening streams are being opened, openStream first
+// cancels one of them.
 func (w *Watcher) openStream(ctx context.Context) {
 	addr := w.discoveryAddr()
 	if len(w.opening) == maxOpening {
@@ -147,8 +150,8 @@
 	}
 }
 
-// runStream is a stream's goroutine: it waits until Sources permits a request, opens the connection, and sends Run an
-// event for each heartbeat, list and end.
+// runStream is a stream's goroutine: it waits until Sources permits a request, opens the connection, and sends the
+// stream's events to Run until the connection ends or the stream is cancelled.
 func (w *Watcher) runStream(ctx context.Context, stream *watchStream, failures int) {
 	client, onActivity := w.client, func() {}
 	if sources := w.cfg.Sources; sources != nil {
--- a/internal/agent/discovery/translate.go
+++ b/internal/agent/discovery/translate.go
@@ -35,8 +35,8 @@
 }
 
 // Translate translates a list into an update of the given kind. Entries without an id, with an unknown state or with an
-// invalid address are logged and left out; the others are used. maxAge bounds the age of a process whose start time is
-// new in this list; 0: no bound.
+// invalid address are logged and left out; the others are used. A start time that is new for its backend counts as now
+// if it is more than maxAge ago; maxAge 0: no bound.
 func (t *Translator) Translate(list *EndpointList, kind balancer.UpdateKind, maxAge time.Duration) Update {
 	update := Update{Endpoints: balancer.EndpointUpdate{Kind: kind}, Addrs: map[string]string{}}
 	for _, endpoint := range list.Endpoints {
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -11,8 +11,9 @@
 //
 // Bounds on delay: a change is delivered at the latest PropagationDeadline plus the grace for drains (0.5 s) after
 // discovery had it and could be reached. A stream without a heartbeat or list counts as failed after OpenTimeout or
-// HeartbeatTimeout. With Config.Sources, the watcher leaves a source after other sources have had a later list for
-// maxLaggingChecks seconds. Start times of backends are estimates, since wall clocks may be wrong (starttime.go).
+// HeartbeatTimeout. With Config.Sources, the watcher leaves a source after other sources have had a later list at
+// maxLaggingChecks checks in a row, one every lagCheckInterval. Start times of backends are estimates, since wall
+// clocks may be wrong (starttime.go).
 package discovery
 
 // This file defines the Watcher: its configuration, its state and its event loop.
@@ -38,21 +39,24 @@
 	// PropagationDeadline is the time after which a change counts as received. It takes precedence over a longer
 	// poll interval in the settings.
 	PropagationDeadline = 6 * time.Second
-	// One late heartbeat makes a stream overdue, and another stream is opened beside it. That leaves 3 s, enough for
-	// several attempts, before PropagationDeadline.
+	// heartbeatTimeout is short enough that one late heartbeat makes a stream overdue. Another stream is then opened
+	// beside the overdue one, with 3 s left before PropagationDeadline: enough for several attempts.
 	heartbeatTimeout = 3 * time.Second
-	// A stream that is being opened is overdue after this time without a heartbeat or list. Within the 3 s after a late
-	// heartbeat, a pushed list allows seven attempts, which cost nothing. A polled list allows two with the backoff
-	// between them, since a poll may have to wait for permission and costs the list service work.
+	// pushedOpenTimeout and polledOpenTimeout are the times after which a stream that is being opened is overdue if no
+	// heartbeat or list has arrived. In the 3 s that remain after a late heartbeat, there is time for seven attempts
+	// where lists are pushed, since an attempt costs nothing there. Where the list is polled, there is time for two
+	// attempts with the backoff between them, since a poll may have to wait for permission and costs discovery work.
 	pushedOpenTimeout, polledOpenTimeout = 400 * time.Millisecond, time.Second
 	// maxOpening bounds the streams besides the current one. Overdue streams stay open because discovery may answer
 	// them when an outage ends.
 	maxOpening = 2
-	// Backoff after a failure where lists are pushed: full jitter below a ceiling that doubles. The highest ceiling is
+	// initialBackoff and maxBackoff are the first and the highest ceiling of the backoff after a failure where lists
+	// are pushed. The backoff has full jitter below a ceiling that doubles with each failure. The highest ceiling is
 	// below the grace for drains, since after an outage discovery's list counts as received as soon as discovery
 	// answers.
 	initialBackoff, maxBackoff = 50 * time.Millisecond, 400 * time.Millisecond
-	// The watcher leaves a source once other sources have had a later list at maxLaggingChecks checks in a row.
+	// lagCheckInterval is the time between two checks whether other sources have a later list. The watcher leaves its
+	// source after maxLaggingChecks checks in a row that found one.
 	lagCheckInterval, maxLaggingChecks = time.Second, 3
 )
 
@@ -66,7 +70,7 @@
 	// Polled: the watcher opens a stream when Subscribe is called, and after a change of address. Otherwise lists are
 	// pushed, and the watcher keeps a stream open without calls.
 	Polled         bool
-	ConnectTimeout time.Duration
+	ConnectTimeout time.Duration // bounds the opening of a connection to discovery, unless Dial is set
 	// Deliver receives each update, and each failure as an update of kind UpdateFailed. Run's goroutine calls it and
 	// waits for it.
 	Deliver func(Update)
@@ -98,7 +102,8 @@
 	mu   sync.Mutex
 	addr string // of discovery
 
-	// Only Run's goroutine uses the fields below, and Restore before Run; the streams' goroutines use events and tasks.
+	// Only Run's goroutine uses the fields below, except that New and Restore set some of them before Run, and that the
+	// streams' goroutines use events and tasks.
 
 	version          int64
 	versionAddr      string      // address that version is from; "": the complete list has to be requested
@@ -106,7 +111,7 @@
 	opening          []*watchStream
 	current          *watchStream // the stream that delivers the list; nil: none
 	nextOpenAt       time.Time    // when the watcher opens a stream without a call of Subscribe; zero: not scheduled
-	failures         int          // number since the latest list
+	failures         int          // number since the latest list or change of address
 	latestActivityAt time.Time    // the latest heartbeat or list of any stream
 	receivedList     bool         // a list has arrived since New
 	laggingChecks    int          // number of checks in a row that found a later list elsewhere
@@ -141,7 +146,7 @@
 func newClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DisableKeepAlives:  true, // each stream has its own connection; no request may be sent again on an earlier one
+			DisableKeepAlives:  true, // net/http may resend a request on a reused connection, so none is reused
 			DisableCompression: true,
 			DialContext:        dial,
 		},
@@ -198,7 +203,7 @@
 		w.nextOpenAt = time.Now()
 	}
 	w.backoff.Reset()
-	var lagChecks <-chan time.Time // never, without Sources
+	var lagChecks <-chan time.Time // nil without Sources: no checks
 	if w.cfg.Sources != nil {
 		tick := time.NewTicker(lagCheckInterval)
 		defer tick.Stop()
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -34,24 +34,24 @@
 type Attempt struct {
 	ctx           context.Context         // of Execute
 	Cancel        context.CancelCauseFunc // cancels the context that is passed to Execute
-	RequestDone   <-chan struct{}         // closed when the request has its final answer: nothing more is sent for it
-	Shutdown      <-chan struct{}         // closed when the event loop has stopped, after which nothing reads a streaming response
+	RequestDone   <-chan struct{}         // closed when the request has its final answer, after which nothing of the request is sent
+	Shutdown      <-chan struct{}         // closed when the event loop has stopped: no goroutine reads a streaming response any more
 	BackendID     string
 	Endpoint      *Endpoint // as listed when the balancer decided; nil: any listed endpoint of the backend
-	WriteBy       time.Time // nothing is written after this; zero: no bound
+	WriteBy       time.Time // no byte is written after this time; zero: no bound
 	ResidencyRule int       // residency rule of the request; 0: none
 	Request       *Request
 	Start         time.Time
-	Deadline      time.Time     // that the backend receives as remaining time; zero: the context's deadline, if it has one
-	Latency       time.Duration // set by Execute for a streaming response: until its first bytes
+	Deadline      time.Time     // the backend receives the time that remains until then; zero: until the context's deadline, if any
+	Latency       time.Duration // set by Execute for a streaming response: time until the first bytes, by Elapsed
 	NewConn       bool          // set by Execute: the connection was opened for this attempt
 	// OnStreamStart receives a streaming response and its latency once the first bytes have arrived. It returns false
 	// if the attempt has already timed out. nil: responses are buffered.
 	OnStreamStart func(*Response, time.Duration) bool
 }
 
-// Elapsed returns the time since the start of the attempt, or since the last byte of a streamed body arrived if that was
-// later.
+// Elapsed returns the time since the start of the attempt. If the last byte of a streamed body arrived after the start,
+// Elapsed returns the time since that byte.
 func (a *Attempt) Elapsed() time.Duration {
 	if u := a.Request.Upload; u != nil && u.IsComplete() && u.CompletedAt().After(a.Start) {
 		return time.Since(u.CompletedAt())
@@ -59,17 +59,17 @@
 	return time.Since(a.Start)
 }
 
-// executeBuffered makes an attempt whose response is buffered. It returns when ctx ends, if not before.
+// executeBuffered makes an attempt whose response is buffered. It returns at the latest when ctx ends.
 func (p *Pool) executeBuffered(ctx context.Context, requestDone <-chan struct{}, id string,
 	request *Request) (balancer.Result, *Response, balancer.Load) {
 	return p.Execute(ctx, &Attempt{RequestDone: requestDone, BackendID: id, Request: request, Start: time.Now()})
 }
 
-// Execute makes an attempt and returns its result as the protocol's table of outcomes defines it. ConnectFailed and
-// NotSent mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that it may have. The
-// attempt ends with ctx: as Cancelled if the cause is ErrCancelled, otherwise as TimedOut, or as ConnectFailed while it
-// has no connection. A streaming response keeps Execute from returning until the response has been forwarded to its end,
-// or the stream has failed.
+// Execute makes an attempt and returns its result as the protocol's table of outcomes defines it. ConnectFailed,
+// NotSent and Rejected mean that the backend did not execute the request; Reset, TimedOut and Cancelled mean that the
+// backend may have executed it. The attempt ends when ctx ends: as Cancelled if the cause is ErrCancelled, otherwise as
+// TimedOut, or as ConnectFailed if no connection is open yet. For a streaming response, Execute returns when the
+// response has been forwarded to its end, or the stream has failed.
 func (p *Pool) Execute(ctx context.Context, att *Attempt) (balancer.Result, *Response, balancer.Load) {
 	att.ctx = ctx
 	for {
@@ -164,7 +164,9 @@
 	}
 }
 
-// unansweredResult closes the connection of an attempt that received no response, and returns the attempt's result.
+// unansweredResult closes the connection of an attempt that received no response, and returns the attempt's result. It
+// records the use of the connection in reuseStats, except if Write rejected bytes for a reason other than unsolicited
+// bytes or a close by the backend.
 func (p *Pool) unansweredResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	result := p.failedResult(att, conn, body)
 	if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil &&
--- a/internal/agent/upstream/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -1,6 +1,7 @@
 package upstream
 
-// This file reads responses of unknown length. They are streamed only if they exceed a size or a time.
+// This file reads responses of unknown length. A response is streamed only if it is longer than MaxBufferedBody, or has
+// not ended after bufferingTimeout.
 
 import (
 	"errors"
@@ -23,6 +24,8 @@
 	unread   readResult // rest of the last result, not yet returned by Read
 }
 
+// bufferResponse starts a goroutine that reads r into buf until r ends or done is closed, and returns a reader of the
+// bytes that arrive.
 func bufferResponse(r io.Reader, buf []byte, done <-chan struct{}) *bufferedResponse {
 	b := &bufferedResponse{results: make(chan readResult), consumed: make(chan struct{}), done: done}
 	go func() {
@@ -47,7 +50,8 @@
 }
 
 // readUpTo returns the bytes that arrive until they exceed limit or the response ends. After the timeout it returns as
-// soon as at least one byte has arrived. more reports that the response has not ended.
+// soon as at least one byte has arrived. more reports that the response has not ended. err is the error of a
+// read from the backend, or ErrRequestEnded once done is closed.
 func (b *bufferedResponse) readUpTo(limit int, timeout time.Duration) (buffered []byte, more bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/agent/upstream/connections.go
+++ b/internal/agent/upstream/connections.go
@@ -33,7 +33,8 @@
 	delete(p.idle, id)
 }
 
-// discard closes a connection and subtracts it from openConns. The caller holds mu; closing a socket does not block.
+// discard closes a connection, subtracts it from openConns, and sets lastUnsolicited if unsolicited bytes arrived on
+// it. The caller holds mu; closing a socket does not block.
 func (p *Pool) discard(conn *pooledConn) {
 	p.openConns--
 	if conn.tracked.hasUnsolicited() {
@@ -74,9 +75,9 @@
 	return nil, endpoint.Addr, nil
 }
 
-// pickIdle returns the index of the idle connection to use: the most recently used one of those idle for settleTime,
-// otherwise the most recently used one unless unsolicited bytes arrived within unsolicitedWindow; below 0: none. The
-// caller holds mu.
+// pickIdle returns the index of the idle connection to use; below 0: none. It prefers the most recently used connection
+// among those that have been idle for settleTime. If there is none, it picks the most recently used connection, unless
+// unsolicited bytes were found within the last unsolicitedWindow. The caller holds mu.
 func (p *Pool) pickIdle(idle []*pooledConn) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if time.Since(idle[i].idleSince) >= p.settleTime {
@@ -119,7 +120,8 @@
 	return true
 }
 
-// release returns a connection to the idle ones, or closes it if reusable is false or the connection must not be reused.
+// release adds a connection to the idle ones. It closes the connection instead if reusable is false, the pool is
+// closed, the connection has failed, or the backend is no longer listed, has a new address, is draining or is disabled.
 func (p *Pool) release(id string, conn *pooledConn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,8 +134,8 @@
 	p.idle[id] = append(p.idle[id], conn)
 }
 
-// CloseExpired closes idle connections that are no longer usable, at intervals of an eighth of the idle timeout, until
-// ctx ends.
+// CloseExpired closes idle connections that are no longer usable and decays reuseStats, at intervals of an eighth of
+// the idle timeout, until ctx ends.
 func (p *Pool) CloseExpired(ctx context.Context) {
 	interval := max(p.idleTimeout/8, time.Millisecond)
 	tick := time.NewTicker(interval)
--- a/internal/agent/upstream/endpoints.go
+++ b/internal/agent/upstream/endpoints.go
@@ -78,9 +78,9 @@
 	return len(p.endpoints)
 }
 
-// CheckSendable returns an error if an attempt must not be written now: its request has its final answer; the backend was
-// disabled, or since the decision was removed, started to drain or changed address, zone or pod; WriteBy has passed; or the
-// residency policy forbids the backend.
+// CheckSendable returns an error if an attempt must not be written now: the request has its final answer; the backend
+// is disabled or not listed; the backend started to drain or changed address, zone or pod after the balancer's
+// decision; WriteBy has passed; or the residency policy forbids the backend.
 func (p *Pool) CheckSendable(att *Attempt) error {
 	select {
 	case <-att.RequestDone:
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// residencyPermits reports whether a request under a residency rule may go to a backend. This check is right before the
-// network and independent of the balancer. It counts a violation with Residency.CountRefusal.
+// residencyPermits reports whether a request under a residency rule may go to a backend. The check runs right before
+// the request is sent, and does not depend on the balancer. It counts a violation with Residency.CountRefusal.
 func (p *Pool) residencyPermits(rule int, id string) bool {
 	if p.Residency == nil || rule == 0 {
 		return true
--- a/internal/agent/upstream/errors.go
+++ b/internal/agent/upstream/errors.go
@@ -30,5 +30,5 @@
 	errClosedWhileIdle    = errors.New("connection closed by the backend while idle")
 )
 
-// errTooLarge rejects a response of more than MaxStreamBytes.
+// errTooLarge is the error for a response of more than MaxStreamBytes.
 var errTooLarge = errors.New("response too large")
--- a/internal/agent/upstream/limits.go
+++ b/internal/agent/upstream/limits.go
@@ -13,5 +13,5 @@
 	minBufferSize    = 4 << 10               // bytes of a stream's buffer once the budget is used up
 	kernelBufferSize = 256 << 10             // bytes of a stream that the kernel buffers in each direction of a socket
 	bufferingTimeout = 50 * time.Millisecond // a response of unknown length is buffered this long, as it may end below MaxBufferedBody
-	StallTimeout     = 10 * time.Second      // without a byte of a stream, after which the stream fails
+	StallTimeout     = 10 * time.Second      // a stream fails after this time without a byte
 )
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -39,7 +39,7 @@
 	transport   *http.Transport
 	idleTimeout time.Duration
 
-	// Buffers is the memory budget for streams, which the frontend shares.
+	// Buffers is the memory budget for streams. The pool and the frontend share it.
 	Buffers *Buffers
 	// DialContext opens connections to backends. It may be replaced before the first attempt.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -63,7 +63,7 @@
 	MaxConns       int           // connections that may be open at once
 	MemoryMB       int           // memory of the process, of which streams get an eighth; 0: 64
 	DialFrom       string        // local IP address for connections; "": the system chooses
-	ConnectTimeout time.Duration // also of health checks
+	ConnectTimeout time.Duration // bounds the opening of a connection, and a complete health check
 	IdleClose      time.Duration // idle time after which backends may close a connection
 	LoadInline     bool          // responses carry load reports
 	LoadProbed     bool          // responses to health checks carry load reports
@@ -76,9 +76,9 @@
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(cfg.DialFrom)}
 	}
 	p := &Pool{cfg: cfg, log: log, Buffers: newBuffers(cfg.MemoryMB), maxConns: cfg.MaxConns, DialContext: dialer.DialContext,
-		// Backends may close an idle connection after IdleClose. A request that is sent while the backend closes
-		// the connection ends as a reset that may have been executed. The margin of a quarter of IdleClose is far
-		// longer than any network delay.
+		// Backends may close an idle connection after IdleClose. A request that is sent while the backend closes the
+		// connection ends as a reset, and may have been executed. The margin of a quarter of IdleClose is far longer
+		// than any network delay.
 		idleTimeout: cfg.IdleClose * 3 / 4,
 		settleTime:  settleTime,
 		endpoints:   map[string]*Endpoint{}, disabled: map[string]bool{}, idle: map[string][]*pooledConn{}}
--- a/internal/agent/upstream/reuse.go
+++ b/internal/agent/upstream/reuse.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// reuseStats estimates the idle time up to which connections to backends are reliable. A backend, or a network device, may
-// drop a connection well before the idle time in the settings without closing it. The next request then ends as a reset
-// that may have been executed. Uses and breaks are counted by the idle time before the use, in buckets of powers of two;
-// new connections have a separate bucket. The caller of its methods holds the pool's mu.
+// reuseStats estimates the idle time up to which connections to backends are reliable. A backend, or a network device,
+// may drop a connection well before the idle time in the settings without closing it. The next request then ends as a
+// reset, and may have been executed. Uses and breaks are counted by the idle time before the use, in buckets of powers
+// of two; new connections have a separate bucket. The caller of its methods holds the pool's mu.
 type reuseStats struct {
 	uses, breaks [idleBuckets]float64 // decayed counts, by idleBucket
 }
--- a/internal/agent/upstream/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -14,9 +14,9 @@
 // trackedConn is a connection to a backend below net/http's client. For each request it determines with certainty whether
 // the request was written to its last byte, and whether the bytes received arrived after the request was started.
 //
-// net/http provides neither. Its trace of written bytes may be called after RoundTrip has returned. A count under a lock
-// is exact once the connection is closed, since nothing is written after the close. And net/http treats bytes that arrived
-// before the request was written as its response if RoundTrip had been called by then.
+// net/http reports neither fact. It may call the trace hook for a written request after RoundTrip has returned, while a
+// count under a lock is exact once the connection is closed, since nothing is written after the close. If bytes arrive
+// after RoundTrip is called and before the request is written, net/http treats these bytes as the response.
 type trackedConn struct {
 	net.Conn
 	raw syscall.RawConn // nil: Conn is not a socket
@@ -224,8 +224,8 @@
 }
 
 // awaitIdle waits until net/http reads again after a complete response, or has closed the connection. net/http closes a
-// reusable connection if more bytes arrived than the response. After awaitIdle, bytes are unsolicited until the next
-// request.
+// reusable connection if bytes arrived beyond the end of the response. After awaitIdle, bytes are unsolicited until the
+// next request.
 func (c *trackedConn) awaitIdle(reusable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,7 +246,7 @@
 // closeIncomplete closes the connection and reports whether the request was certainly not written to its last byte. The
 // writes of one request are in order and end with the first failure.
 func (c *trackedConn) closeIncomplete() bool {
-	c.Close() // unblocks a Write that holds the lock
+	c.Close() // unblocks a Write that holds writeMu
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.written == 0 || c.writeFailed
