--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -40,7 +40,7 @@
 						}
 					}
 					if len(discovery.streamStalled) > maxOpening+1 {
-						failure = fmt.Sprintf("%d streams are open", len(discovery.streamStalled))
+						failure = fmt.Sprintf("%d streams are open, want at most %d", len(discovery.streamStalled), maxOpening+1)
 					}
 				})
 			})
@@ -94,7 +94,7 @@
 		discovery.update(func() { discovery.unresponsive = true })
 	case k == 1: // all connections end, and new ones are refused
 		discovery.update(func() { discovery.refusing = true })
-	case k <= 3: // open streams receive nothing from now on, nor do up to two new ones
+	case k <= 3: // open streams receive nothing from now on; for kind 3, the next two requests get no response either
 		discovery.update(func() {
 			discovery.unansweredRequests = (k - 2) * 2
 			for w := range discovery.streamStalled {
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -22,7 +22,7 @@
 
 // fakeDiscovery serves a list of one backend over in-memory connections, and sends each version to all open streams.
 type fakeDiscovery struct {
-	conns chan net.Conn // dialed and not yet accepted
+	conns chan net.Conn // dialled and not yet accepted
 
 	mu                 sync.Mutex // guards the fields below; tests change them through update
 	version            int64
@@ -49,7 +49,7 @@
 	return d
 }
 
-// pipeListener accepts the connections that are dialed to a fakeDiscovery.
+// pipeListener accepts the connections that are dialled to a fakeDiscovery.
 type pipeListener struct {
 	discovery *fakeDiscovery
 	ctx       context.Context
@@ -73,7 +73,7 @@
 	refused := d.refusing || addr == d.unreachableAddr
 	d.mu.Unlock()
 	if refused {
-		return nil, fmt.Errorf("refused")
+		return nil, fmt.Errorf("connection refused by the fake")
 	}
 	clientConn, serverConn := net.Pipe()
 	d.conns <- serverConn
@@ -157,8 +157,8 @@
 	mu           sync.Mutex // guards the fields below
 	updates      []Update
 	version      float64 // of the latest list, which the fake sends as the weight of its only backend
-	waitPercent  int     // wait before each poll, in percent of the backoff ceiling; below 0: no polls
-	pollFailures int     // in a row
+	waitPercent  int     // wait before each retry, in percent of the backoff ceiling; below 0: no retries
+	pollFailures int     // number in a row
 	retryTimer   *time.Timer
 }
 
--- a/internal/agent/discovery/list_test.go
+++ b/internal/agent/discovery/list_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The successor process needs the complete list, although discovery sends changes.
+// Discovery sends changes, and the successor process needs the complete list: a list and its changes merge into one.
 func TestDeltasMergeIntoCompleteList(t *testing.T) {
 	endpoints := endpointSet{}
 	endpoints.merge(&EndpointList{Version: 3, Endpoints: []Endpoint{
@@ -14,6 +14,6 @@
 		text += s.ID + " " + s.State + " "
 	}
 	if got.Version != 4 || !got.Full || text != "b draining c ready d ready " {
-		t.Errorf("version %d, endpoints: %s", got.Version, text)
+		t.Errorf("version %d, complete %v, endpoints %q; want version 4, complete, \"b draining c ready d ready \"", got.Version, got.Full, text)
 	}
 }
--- a/internal/agent/discovery/starttime_test.go
+++ b/internal/agent/discovery/starttime_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A start time is the latest result of the clocks that is not in the future. It is recent if it is new in a list, and
-// later than the backend's previous start time.
+// A start time is the latest result of the clocks that is not in the future. A new start time counts as now if it is more
+// than maxAge ago, and its result is later than that of the backend's previous start time.
 func TestStartTimeIsTheLatestPlausibleReading(t *testing.T) {
 	const now, second = 2 * time.Hour, time.Second
 	wall := time.UnixMilli(1e12)
@@ -42,7 +42,7 @@
 			t.Errorf("%s: got a start %v ago, want %v", name, now-got, now-c.want)
 		}
 		if again := s.resolve("b", c.unixMilli, nil, c.maxAge); c.unixMilli > 0 && again != got {
-			t.Errorf("%s: an unchanged start time got another result the second time", name)
+			t.Errorf("%s: the unchanged start time got a start %v ago the second time, want %v as before", name, now-again, now-got)
 		}
 	}
 }
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -59,7 +59,8 @@
 	}
 	time.Sleep(time.Minute) // empty lines are heartbeats
 	if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
-		t.Errorf("%d requests, want 1 without failures; log: %s", len(discovery.sinceParams), watcher.log.String())
+		t.Errorf("%d requests, updates %v; want 1 request and no %v; log: %s", len(discovery.sinceParams), watcher.kinds(),
+			balancer.UpdateFailed, watcher.log.String())
 	}
 }
 
@@ -76,7 +77,8 @@
 	time.Sleep(time.Second)
 	if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") ||
 		!slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-		t.Errorf("received version %d, requests since %v; log: %s", watcher.lastVersion(), discovery.sinceParams, watcher.log.String())
+		t.Errorf("received version %d, requests since %v, updates %v; want version 42, a request since 0 and a %v; log: %s",
+			watcher.lastVersion(), discovery.sinceParams, watcher.kinds(), balancer.UpdateFailed, watcher.log.String())
 	}
 }
 
@@ -98,7 +100,8 @@
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
 			if watcher.lastVersion() != discovery.version {
-				t.Errorf("polled %v: a value that never ends kept its stream from becoming overdue; log: %s", polled, watcher.log.String())
+				t.Errorf("polled %v: received version %d, want %d: a stream whose value never ends has to become overdue; log: %s",
+					polled, watcher.lastVersion(), discovery.version, watcher.log.String())
 			}
 		})
 	}
@@ -120,23 +123,25 @@
 		older, newer := openStream(), openStream()
 		watcher.handleEvent(watchEvent{stream: newer})
 		if cancelled[older] || watcher.current != newer {
-			t.Fatal("a heartbeat ended the older stream, or its own stream is not the current one")
+			t.Fatalf("after a heartbeat on the newer stream: older stream cancelled %v, newer stream current %v; want false, true",
+				cancelled[older], watcher.current == newer)
 		}
 		watcher.handleEvent(watchEvent{stream: older, list: &EndpointList{Version: 50, Full: true}})
 		if watcher.version != 50 || watcher.current != older || !cancelled[newer] {
-			t.Errorf("version %d: the older stream's list was not applied, or its stream is not the only one", watcher.version)
+			t.Errorf("after a list on the older stream: version %d, older stream current %v, newer stream cancelled %v; want 50, true, true",
+				watcher.version, watcher.current == older, cancelled[newer])
 		}
 		third := openStream()
 		third.sinceVersion = 40
 		watcher.current.overdue = true
 		watcher.handleEvent(watchEvent{stream: third, list: &EndpointList{Version: 45}})
 		if watcher.version != 50 {
-			t.Errorf("version %d: changes up to an earlier version were applied", watcher.version)
+			t.Errorf("version %d after changes up to version 45 on a new stream, want 50", watcher.version)
 		}
 		// Within a stream, a later list may have a lower version.
 		watcher.handleEvent(watchEvent{stream: third, list: &EndpointList{Version: 30}})
 		if watcher.version != 30 {
-			t.Errorf("version %d, want 30", watcher.version)
+			t.Errorf("version %d after a later list of the same stream, want 30", watcher.version)
 		}
 	})
 }
--- a/internal/agent/discovery/translate_test.go
+++ b/internal/agent/discovery/translate_test.go
@@ -18,17 +18,17 @@
 	update := translator.Translate(&EndpointList{Endpoints: []Endpoint{
 		{ID: "new", Addr: "127.0.0.1:9", State: "ready", Zone: "a", Kind: "k", Cell: 3, Weight: 2,
 			StartedAt: base.Add(-3 * time.Second).UnixMilli()},
-		{ID: "old", Addr: "127.0.0.1:9", State: "ready"},
-		{ID: "odd", Addr: "nowhere", State: "ready"},
+		{ID: "no start time", Addr: "127.0.0.1:9", State: "ready"},
+		{ID: "bad address", Addr: "no-port", State: "ready"},
 		{ID: "", Addr: "127.0.0.1:9", State: "ready"},
-		{ID: "what", Addr: "127.0.0.1:9", State: "asleep"},
-		{ID: "off", State: "gone"},
+		{ID: "bad state", Addr: "127.0.0.1:9", State: "unknown"},
+		{ID: "removed", State: "gone"},
 	}}, balancer.UpdateFull, 0)
 	want := []balancer.Backend{
 		{ID: "new", Cell: 3, Weight: 2, Started: time.Hour - 3*time.Second},
-		{ID: "old", Zone: -1, Kind: -1},
-		{ID: "off", State: balancer.Removed, Zone: -1, Kind: -1}}
+		{ID: "no start time", Zone: -1, Kind: -1},
+		{ID: "removed", State: balancer.Removed, Zone: -1, Kind: -1}}
 	if !slices.Equal(update.Endpoints.Backends, want) || len(update.Addrs) != 2 {
-		t.Errorf("%+v", update)
+		t.Errorf("backends %+v, addresses %v; want backends %+v and 2 addresses", update.Endpoints.Backends, update.Addrs, want)
 	}
 }
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -20,18 +20,19 @@
 		watcher.Subscribe()
 		time.Sleep(time.Minute)
 		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 0 || len(updateKinds) != 1 || updateKinds[0] != balancer.UpdateFailed {
-			t.Errorf("%d requests, updates %v", len(discovery.sinceParams), updateKinds)
+			t.Errorf("%d requests, updates %v; want no request and one %v", len(discovery.sinceParams), updateKinds, balancer.UpdateFailed)
 		}
 		discovery.update(func() { discovery.refusing = false })
 		watcher.Subscribe()
 		synctest.Wait()
 		watcher.Subscribe() // no effect: a stream is open
 		time.Sleep(time.Minute)
-		discovery.update(func() { discovery.unresponsive = true }) // the list service may still answer the request: no second one is sent
+		discovery.update(func() { discovery.unresponsive = true }) // discovery may still answer the open request, so no second request is sent
 		time.Sleep(heartbeatTimeout + time.Millisecond)
 		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 1 || len(updateKinds) != 3 ||
 			updateKinds[1] != balancer.UpdateDelta || updateKinds[2] != balancer.UpdateFailed {
-			t.Errorf("%d requests, updates %v", len(discovery.sinceParams), updateKinds)
+			t.Errorf("%d requests, updates %v; want 1 request and, after the first failure, %v and %v", len(discovery.sinceParams), updateKinds,
+				balancer.UpdateDelta, balancer.UpdateFailed)
 		}
 	})
 }
@@ -51,14 +52,15 @@
 					watcher.SetAddr("10.0.0.1:1") // the same address: no effect
 					synctest.Wait()
 					if len(discovery.sinceParams) != 1 {
-						t.Errorf("requests since %v, want one", discovery.sinceParams)
+						t.Errorf("requests since %v, want one request", discovery.sinceParams)
 					}
 					discovery.update(func() { discovery.unresponsive, discovery.version = false, 7 })
 					watcher.SetAddr("10.0.0.2:1")
 					synctest.Wait()
 					got := discovery.sinceParams[len(discovery.sinceParams)-1]
 					if got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-						t.Errorf("last request since %s, received version %d, updates %v", got, watcher.lastVersion(), watcher.kinds())
+						t.Errorf("last request since %s, received version %d, updates %v; want since 0, version 7 and no %v",
+							got, watcher.lastVersion(), watcher.kinds(), balancer.UpdateFailed)
 					}
 					time.Sleep(time.Minute)
 					if len(discovery.sinceParams) != 2 || len(discovery.streamStalled) != 1 {
@@ -84,19 +86,20 @@
 			time.Sleep(time.Second)
 			discovery.update(func() { discovery.version++ })
 			if synctest.Wait(); watcher.lastVersion() != discovery.version {
-				t.Errorf("polled %v: a list from the old address was not applied", polled)
+				t.Errorf("polled %v: version %d, want %d from the old address", polled, watcher.lastVersion(), discovery.version)
 			}
 			discovery.update(func() { discovery.unansweredRequests = 1 })
 			watcher.SetAddr("10.0.0.3:1")
 			synctest.Wait()
 			discovery.update(func() { discovery.version++ })
 			if synctest.Wait(); watcher.lastVersion() != discovery.version {
-				t.Errorf("polled %v: a list from the old address was not applied after the second change", polled)
+				t.Errorf("polled %v: version %d after the second change of address, want %d from the old address",
+					polled, watcher.lastVersion(), discovery.version)
 			}
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
 			if len(discovery.streamStalled) != 1 || watcher.current.addr != "10.0.0.3:1" {
-				t.Errorf("polled %v: %d streams, the current one to %s", polled, len(discovery.streamStalled), watcher.current.addr)
+				t.Errorf("polled %v: %d streams, the current one to %s; want 1, to 10.0.0.3:1", polled, len(discovery.streamStalled), watcher.current.addr)
 			}
 		})
 	}
@@ -117,7 +120,7 @@
 		defer watcher.mu.Unlock()
 		last := watcher.updates[len(watcher.updates)-1]
 		if last.Endpoints.Kind != balancer.UpdateFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
-			t.Errorf("%+v", last)
+			t.Errorf("update %+v; want kind %v without backends and addresses", last, balancer.UpdateFull)
 		}
 	})
 }
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -27,6 +27,7 @@
 		Header: http.Header{"X-Trace-Id": {newID()}, "Idempotency-Key": {"k"}}})
 }
 
+// poolWithBackend returns a pool whose only backend is s at addr.
 func poolWithBackend(t *testing.T, addr string) *Pool {
 	t.Helper()
 	pool := New(testConfig(), discardLog)
@@ -71,7 +72,7 @@
 				t.Errorf("result %v, response %v; want %v", result, resp, row.want)
 			}
 			if resp != nil && string(resp.Body) != "hello" {
-				t.Errorf("body %q", resp.Body)
+				t.Errorf("body %q, want %q", resp.Body, "hello")
 			}
 		})
 	}
@@ -80,10 +81,10 @@
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	pool := poolWithBackend(t, unusedAddr(t))
 	if result, _, _ := attemptOn(t, pool, context.Background(), ""); result != balancer.ConnectFailed {
-		t.Errorf("result %v", result)
+		t.Errorf("result %v, want %v", result, balancer.ConnectFailed)
 	}
 	if pool.openConns != 0 {
-		t.Errorf("%d connections counted as open", pool.openConns)
+		t.Errorf("%d connections counted as open, want 0", pool.openConns)
 	}
 }
 
@@ -97,10 +98,10 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-backend.seen; cancel(ErrTimedOut) }()
 	if result, _, _ := attemptOn(t, pool, ctx, ""); result != balancer.TimedOut {
-		t.Errorf("result %v", result)
+		t.Errorf("result %v, want %v", result, balancer.TimedOut)
 	}
 	if pool.openConns != 0 || len(pool.idle["s"]) != 0 {
-		t.Errorf("%d open, %d idle: the connection of a timed-out attempt was kept", pool.openConns, len(pool.idle["s"]))
+		t.Errorf("%d connections open, %d idle after a timed-out attempt, want 0", pool.openConns, len(pool.idle["s"]))
 	}
 }
 
@@ -111,11 +112,11 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-backend.seen; cancel(ErrCancelled) }()
 	if result, _, _ := attemptOn(t, poolWithBackend(t, backend.addr), ctx, ""); result != balancer.Cancelled {
-		t.Errorf("result %v", result)
+		t.Errorf("result %v, want %v", result, balancer.Cancelled)
 	}
 }
 
-// limitedWriteConn fails after remaining bytes have been written.
+// limitedWriteConn fails each write beyond the remaining bytes.
 type limitedWriteConn struct {
 	net.Conn
 	remaining int
@@ -156,7 +157,7 @@
 			return c, err
 		}
 		if result, _, _ := attemptOn(t, pool, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
-			t.Errorf("broken after %d bytes: result %v", limit, result)
+			t.Errorf("broken after %d bytes: result %v, want %v", limit, result, balancer.ConnectFailed)
 		}
 	}
 }
@@ -175,10 +176,10 @@
 	}
 	request := &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}}
 	if result, _, _ := pool.executeBuffered(context.Background(), requestDone, "s", request); result != balancer.NotSent {
-		t.Errorf("result %v", result)
+		t.Errorf("result %v, want %v", result, balancer.NotSent)
 	}
 	if result, _, _ := pool.executeBuffered(context.Background(), nil, "s", request); result != balancer.OK || len(backend.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", result, len(backend.seen))
+		t.Errorf("result %v, %d requests reached the backend; want %v, 1", result, len(backend.seen), balancer.OK)
 	}
 }
 
@@ -198,7 +199,7 @@
 		pool := poolWithBackend(t, backend.addr)
 		pool.cfg.LoadProbed = true
 		if probe := pool.Probe("s"); probe.Result != want || probe.Result == balancer.OK && probe.Load.Queue != 3 {
-			t.Errorf("%s: %+v", status, probe)
+			t.Errorf("%s: health check %+v; want result %v, and queue 3 if OK", status, probe, want)
 		}
 	}
 }
@@ -231,10 +232,11 @@
 	}
 	result, resp, _ := pool.Execute(ctx, att)
 	if result != balancer.OK || resp.Stream == nil || att.Latency != reported || att.Latency >= time.Since(att.Start) {
-		t.Errorf("result %v, latency passed to OnStreamStart %v, attempt's latency %v, total %v", result,
-			reported, att.Latency, time.Since(att.Start))
+		t.Errorf("result %v, streamed %v, latency passed to OnStreamStart %v, attempt's latency %v, total %v; "+
+			"want %v, true, and equal latencies below the total",
+			result, resp != nil && resp.Stream != nil, reported, att.Latency, time.Since(att.Start), balancer.OK)
 	}
 	if len(pool.idle["s"]) != 1 {
-		t.Error("the connection was not kept")
+		t.Errorf("%d idle connections after the response, want 1", len(pool.idle["s"]))
 	}
 }
--- a/internal/agent/upstream/buffers_test.go
+++ b/internal/agent/upstream/buffers_test.go
@@ -9,17 +9,17 @@
 	for range 1 << 20 / 8 / streamBufferSize {
 		buf, release := buffers.Get()
 		if len(buf) != streamBufferSize {
-			t.Fatalf("buffer of %d bytes within the budget", len(buf))
+			t.Fatalf("buffer of %d bytes within the budget, want %d", len(buf), streamBufferSize)
 		}
 		releases = append(releases, release)
 	}
 	if buf, release := buffers.Get(); len(buf) != minBufferSize {
-		t.Errorf("buffer of %d bytes beyond the budget", len(buf))
+		t.Errorf("buffer of %d bytes beyond the budget, want %d", len(buf), minBufferSize)
 	} else {
 		release()
 	}
 	releases[0]()
 	if buf, _ := buffers.Get(); len(buf) != streamBufferSize {
-		t.Errorf("buffer of %d bytes after a release", len(buf))
+		t.Errorf("buffer of %d bytes after a release, want %d", len(buf), streamBufferSize)
 	}
 }
--- a/internal/agent/upstream/fakebackend_test.go
+++ b/internal/agent/upstream/fakebackend_test.go
@@ -77,6 +77,7 @@
 	conns chan net.Conn
 }
 
+// startManualBackend runs a backend whose connections the test reads and writes.
 func startManualBackend(t *testing.T) *manualBackend {
 	t.Helper()
 	ln := listen(t)
--- a/internal/agent/upstream/harness_test.go
+++ b/internal/agent/upstream/harness_test.go
@@ -20,6 +20,7 @@
 	return Config{MaxConns: 450, MemoryMB: 192, ConnectTimeout: 10 * time.Second, IdleClose: time.Minute, LoadInline: true}
 }
 
+// ids numbers the ids that newID returns.
 var ids struct {
 	sync.Mutex
 	n int
@@ -43,6 +44,7 @@
 	return ln
 }
 
+// receive returns the next value of ch, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -42,17 +42,17 @@
 		return c, err
 	}
 	if result, _, _ := attemptOn(t, pool, context.Background(), "one"); result != balancer.OK {
-		t.Fatalf("first: %v", result)
+		t.Fatalf("first attempt: result %v, want %v", result, balancer.OK)
 	}
 	broken.Store(true)
 	if result, _, _ := attemptOn(t, pool, context.Background(), "two"); result != balancer.OK || dials != 2 {
-		t.Errorf("second: %v after %d dials", result, dials)
+		t.Errorf("second attempt: result %v after %d dials, want %v after 2", result, dials, balancer.OK)
 	}
 	if n := len(backend.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, want 2", n)
 	}
 	if pool.openConns != 1 {
-		t.Errorf("%d connections counted as open", pool.openConns)
+		t.Errorf("%d connections counted as open, want 1", pool.openConns)
 	}
 }
 
@@ -68,7 +68,8 @@
 	result, _, _ := pool.executeBuffered(context.Background(), requestDone, "s",
 		&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 	if result != balancer.NotSent || len(pool.idle["s"]) != 1 || pool.idle["s"][0].idleSince != previousIdleSince {
-		t.Errorf("result %v, %d idle", result, len(pool.idle["s"]))
+		t.Errorf("result %v, %d idle connections; want %v, and one connection idle since %v", result, len(pool.idle["s"]),
+			balancer.NotSent, previousIdleSince)
 	}
 }
 
@@ -79,13 +80,13 @@
 	backend := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	pool := poolWithBackend(t, backend.addr)
 	if result, _, _ := attemptOn(t, pool, context.Background(), "one"); result != balancer.OK {
-		t.Fatalf("first: %v", result)
+		t.Fatalf("first attempt: result %v, want %v", result, balancer.OK)
 	}
 	if len(pool.idle["s"]) != 1 {
-		t.Fatalf("%d idle connections after the first", len(pool.idle["s"]))
+		t.Fatalf("%d idle connections after the first attempt, want 1", len(pool.idle["s"]))
 	}
 	if result, _, _ := attemptOn(t, pool, context.Background(), "two"); result != balancer.Reset {
-		t.Fatalf("second: %v", result)
+		t.Fatalf("second attempt: result %v, want %v", result, balancer.Reset)
 	}
 	if n := len(backend.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, want 2", n)
@@ -102,10 +103,10 @@
 	old.idleSince = time.Now().Add(-pool.idleTimeout)
 	attemptOn(t, pool, context.Background(), "")
 	if pool.idle["s"][0] == old || pool.openConns != 1 {
-		t.Error("the old connection was used")
+		t.Errorf("old connection reused: %v, %d connections open; want false, 1", pool.idle["s"][0] == old, pool.openConns)
 	}
 	if pool.idleTimeout >= pool.cfg.IdleClose {
-		t.Errorf("idle connections are kept for %v, backends close at %v", pool.idleTimeout, pool.cfg.IdleClose)
+		t.Errorf("idle connections are kept for %v, want less than %v, after which backends may close them", pool.idleTimeout, pool.cfg.IdleClose)
 	}
 }
 
@@ -132,14 +133,14 @@
 	}()
 	receive(t, "request to t", backend.seen)
 	if len(pool.idle["s"]) != 0 {
-		t.Error("no idle connection was closed at the limit")
+		t.Errorf("%d idle connections to s at the limit, want 0", len(pool.idle["s"]))
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), ""); r != balancer.ConnectFailed {
-		t.Errorf("attempt beyond the limit: %v", r)
+		t.Errorf("attempt beyond the limit: result %v, want %v", r, balancer.ConnectFailed)
 	}
 	close(release)
 	if r := receive(t, "result", done); r != balancer.OK {
-		t.Errorf("attempt in flight at the limit: %v", r)
+		t.Errorf("attempt in flight at the limit: result %v, want %v", r, balancer.OK)
 	}
 }
 
@@ -151,10 +152,10 @@
 	attemptOn(t, pool, context.Background(), "")
 	applyDelta(pool, balancer.Backend{ID: "s"}, newBackend.addr)
 	if pool.openConns != 0 {
-		t.Errorf("%d connections to the old address are open", pool.openConns)
+		t.Errorf("%d connections to the old address are open, want 0", pool.openConns)
 	}
 	if attemptOn(t, pool, context.Background(), ""); len(oldBackend.seen) != 1 || len(newBackend.seen) != 1 {
-		t.Errorf("%d requests to the old address, %d to the new", len(oldBackend.seen), len(newBackend.seen))
+		t.Errorf("%d requests to the old address, %d to the new one; want 1 each", len(oldBackend.seen), len(newBackend.seen))
 	}
 }
 
@@ -174,7 +175,7 @@
 	applyDelta(pool, balancer.Backend{ID: "s"}, unusedAddr(t))
 	close(release)
 	if r := receive(t, "result", done); r != balancer.OK || pool.openConns != 0 {
-		t.Errorf("result %v, %d connections kept", r, pool.openConns)
+		t.Errorf("result %v, %d connections open; want %v, 0", r, pool.openConns, balancer.OK)
 	}
 }
 
@@ -184,11 +185,11 @@
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
 	if r, _, _ := attemptOn(t, pool, context.Background(), "one"); r != balancer.OK {
-		t.Fatal(r)
+		t.Fatalf("first attempt: result %v, want %v", r, balancer.OK)
 	}
 	pool.SetDisabled("s", true)
 	if pool.openConns != 0 {
-		t.Errorf("%d connections to the disabled backend are open", pool.openConns)
+		t.Errorf("%d connections to the disabled backend are open, want 0", pool.openConns)
 	}
 	pool.SetDisabled("s", false)
 	dial := pool.transport.DialContext
@@ -198,14 +199,15 @@
 		return c, err
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), "two"); r != balancer.ConnectFailed || pool.openConns != 0 {
-		t.Errorf("result %v, %d connections open", r, pool.openConns)
+		t.Errorf("disabled during the dial: result %v, %d connections open; want %v, 0", r, pool.openConns, balancer.ConnectFailed)
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), "three"); r != balancer.ConnectFailed || len(backend.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend", r, len(backend.seen))
+		t.Errorf("disabled before the attempt: result %v, %d requests reached the backend; want %v, 1", r, len(backend.seen),
+			balancer.ConnectFailed)
 	}
 	pool.SetDisabled("s", false)
 	pool.transport.DialContext = dial
 	if r, _, _ := attemptOn(t, pool, context.Background(), "four"); r != balancer.OK {
-		t.Errorf("after the backend was enabled again: %v", r)
+		t.Errorf("enabled again: result %v, want %v", r, balancer.OK)
 	}
 }
--- a/internal/agent/upstream/race_test.go
+++ b/internal/agent/upstream/race_test.go
@@ -19,8 +19,10 @@
 	response *Response
 }
 
+// start executes att on backend s and returns the channel that receives the result.
 func (p *Pool) start(att *Attempt) <-chan attemptResult { return p.startAt("s", att) }
 
+// startAt executes att on the backend id and returns the channel that receives the result.
 func (p *Pool) startAt(id string, att *Attempt) <-chan attemptResult {
 	done := make(chan attemptResult, 1)
 	att.BackendID, att.Start = id, time.Now()
@@ -31,6 +33,7 @@
 	return done
 }
 
+// expect checks the result and, if want is OK, the body of the response.
 func (r attemptResult) expect(t *testing.T, want balancer.Result, body string) {
 	t.Helper()
 	if r.Result != want || (r.response != nil) != (want == balancer.OK) || r.response != nil && string(r.response.Body) != body {
@@ -163,7 +166,7 @@
 		readRequest(t, in)
 		writeText(t, conn, text)
 		if r := receive(t, "result", done); r.Result != want || att.NewConn != newConn {
-			t.Errorf("%s: result %v, new connection: %v", id, r.Result, att.NewConn)
+			t.Errorf("%s: result %v, new connection %v; want %v, %v", id, r.Result, att.NewConn, want, newConn)
 		}
 		return conn, in
 	}
@@ -177,14 +180,14 @@
 	checkAttempt("other", accept(other), okResponse("hello"), balancer.OK, true)
 	checkAttempt("s", func() (net.Conn, *bufio.Reader) { return c, in }, rejection, balancer.Rejected, false) // the backend's queue is full
 	if len(pool.idle["other"]) != 1 {
-		t.Error("an idle connection was closed after a rejection on a reused connection")
+		t.Errorf("%d idle connections to other after a rejection on a reused connection, want 1", len(pool.idle["other"]))
 	}
 	pool.mu.Lock()
 	pool.closeIdle("s")
 	pool.mu.Unlock()
 	checkAttempt("s", accept(full), rejection, balancer.Rejected, true)
 	if pool.mu.Lock(); len(pool.idle["other"]) != 0 {
-		t.Error("no idle connection was closed after a rejection on a new connection")
+		t.Errorf("%d idle connections to other after a rejection on a new connection, want 0", len(pool.idle["other"]))
 	}
 	pool.mu.Unlock()
 }
@@ -227,6 +230,7 @@
 	return dialling, release
 }
 
+// applyDelta applies an update of one backend; addr "": the backend is removed.
 func applyDelta(pool *Pool, backend balancer.Backend, addr string) {
 	update := discovery.Update{Endpoints: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{backend}},
 		Addrs: map[string]string{}}
@@ -294,6 +298,8 @@
 	}
 }
 
+// expectNotWritten checks the result of an attempt and the number of connections kept. Unless want is OK, it also checks
+// that no byte reached the backend; if want is OK, it serves the request.
 func expectNotWritten(t *testing.T, pool *Pool, backend *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
 	t.Helper()
 	if want == balancer.OK {
@@ -303,14 +309,14 @@
 	}
 	receive(t, "result", done).expect(t, want, "hello")
 	if pool.mu.Lock(); len(pool.idle["s"]) != kept || pool.openConns != kept {
-		t.Errorf("%d connections idle, %d open", len(pool.idle["s"]), pool.openConns)
+		t.Errorf("%d connections idle, %d open; want %d of each", len(pool.idle["s"]), pool.openConns, kept)
 	}
 	pool.mu.Unlock()
 	if want != balancer.OK {
 		c := receive(t, "connection", backend.conns)
 		pool.Close()
 		if n, _ := c.Read(make([]byte, 1)); n != 0 {
-			t.Error("a byte was sent")
+			t.Errorf("%d bytes reached the backend, want 0", n)
 		}
 	}
 }
--- a/internal/agent/upstream/reuse_test.go
+++ b/internal/agent/upstream/reuse_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"testing"
 	"time"
 
@@ -30,10 +31,10 @@
 	resets := 0
 	for ; resets < 20; resets++ {
 		if result, _ := attempt(0, ok200); result != balancer.OK {
-			t.Fatalf("result on a new connection: %v", result)
+			t.Fatalf("result on a new connection: %v, want %v", result, balancer.OK)
 		}
 		if result, c := attempt(young, ok200); result != balancer.OK || pool.idle["s"][0] != c {
-			t.Fatalf("the young connection was not reused, or its result was not OK: %v", result)
+			t.Fatalf("young connection: result %v, reused %v; want %v, true", result, slices.Contains(pool.idle["s"], c), balancer.OK)
 		}
 		pool.mu.Lock()
 		oldUnreliable := pool.reuseStats.unreliable(old)
@@ -42,14 +43,15 @@
 			break
 		}
 		if result, _ := attempt(old, ""); result != balancer.Reset {
-			t.Fatalf("result on the old connection: %v", result)
+			t.Fatalf("result on the old connection: %v, want %v", result, balancer.Reset)
 		}
 	}
 	if resets < 2 || resets > 5 {
 		t.Errorf("%d resets before old connections became unreliable, want 2 to 5", resets)
 	}
 	if result, c := attempt(old, ok200); result != balancer.OK || c.Err() == nil || pool.idle["s"][0] == c {
-		t.Errorf("an old connection was reused, or the result was not OK: %v", result)
+		t.Errorf("old connection: result %v, closed %v, reused %v; want %v, true, false", result, c.Err() != nil,
+			slices.Contains(pool.idle["s"], c), balancer.OK)
 	}
 	pool.reuseStats.decay(10 * reuseHalfLife)
 	if pool.reuseStats.unreliable(old) {
