--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -39,8 +39,8 @@
 							return
 						}
 					}
-					if len(discovery.streamStalled) > maxOpening+1 {
-						failure = fmt.Sprintf("%d streams are open, want at most %d", len(discovery.streamStalled), maxOpening+1)
+					if len(discovery.openStreams) > maxOpening+1 {
+						failure = fmt.Sprintf("%d streams are open, want at most %d", len(discovery.openStreams), maxOpening+1)
 					}
 				})
 			})
@@ -97,13 +97,13 @@
 	case k <= 3: // open streams receive nothing from now on; for kind 3, the next two requests get no response either
 		discovery.update(func() {
 			discovery.unansweredRequests = (k - 2) * 2
-			for w := range discovery.streamStalled {
-				discovery.streamStalled[w] = true
+			for w := range discovery.openStreams {
+				discovery.openStreams[w] = true
 			}
 		})
 	case k == 4: // open streams receive a value that never ends
 		discovery.update(func() {
-			for w := range discovery.streamStalled {
+			for w := range discovery.openStreams {
 				discovery.sendingPartial[w] = true
 			}
 		})
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -33,13 +33,13 @@
 	refusing           bool                   // connections are refused, and open streams end
 	unreachableAddr    string                 // connections to this address are refused
 	unansweredRequests int                    // number of next requests that get no response
-	streamStalled      map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
+	openStreams      map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
 	sendingPartial     map[*http.Request]bool // streams that receive a value that never ends, one byte each second
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
 	d := &fakeDiscovery{version: 41, changed: make(chan struct{}), conns: make(chan net.Conn, 64),
-		streamStalled: map[*http.Request]bool{}, sendingPartial: map[*http.Request]bool{},
+		openStreams: map[*http.Request]bool{}, sendingPartial: map[*http.Request]bool{},
 		encode: func(m EndpointList) string { raw, _ := json.Marshal(m); return string(raw) }}
 	server := &http.Server{Handler: d}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -94,14 +94,14 @@
 	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	d.mu.Lock()
 	d.sinceParams = append(d.sinceParams, r.URL.Query().Get("since"))
-	d.streamStalled[r] = d.unansweredRequests > 0
+	d.openStreams[r] = d.unansweredRequests > 0
 	d.unansweredRequests = max(0, d.unansweredRequests-1)
 	d.mu.Unlock()
-	defer func() { d.mu.Lock(); delete(d.streamStalled, r); delete(d.sendingPartial, r); d.mu.Unlock() }()
+	defer func() { d.mu.Lock(); delete(d.openStreams, r); delete(d.sendingPartial, r); d.mu.Unlock() }()
 	partialBytes := 0
 	for first := true; ; {
 		d.mu.Lock()
-		response, changed, streamStalled, interval := "\n", d.changed, d.unresponsive || d.streamStalled[r], 2*time.Second
+		response, changed, stalled, interval := "\n", d.changed, d.unresponsive || d.openStreams[r], 2*time.Second
 		if first || since != d.version {
 			response = d.encode(d.list(since)) + "\n"
 		}
@@ -116,7 +116,7 @@
 		if refusing {
 			return
 		}
-		if !streamStalled {
+		if !stalled {
 			first, since = first && partialBytes > 0, version
 			if !send(w, response) {
 				return
--- a/internal/agent/discovery/starttime.go
+++ b/internal/agent/discovery/starttime.go
@@ -78,14 +78,14 @@
 // up to clockTolerance in the future counts as now. If all results are further in the future, latestReading returns
 // now.
 func (s *startTimes) latestReading(wall time.Time, c clockReadings) time.Duration {
-	readings := []time.Duration{c.agentTime(wall), c.now - c.wall.Sub(wall)}
+	results := []time.Duration{c.agentTime(wall), c.now - c.wall.Sub(wall)}
 	if s.wallOffset != 0 {
-		readings = append(readings, c.now-c.wall.Add(s.wallOffset).Sub(wall))
+		results = append(results, c.now-c.wall.Add(s.wallOffset).Sub(wall))
 	}
 	latest, found := time.Duration(0), false
-	for _, reading := range readings {
-		if reading <= c.now+clockTolerance && (!found || reading > latest) {
-			latest, found = reading, true
+	for _, result := range results {
+		if result <= c.now+clockTolerance && (!found || result > latest) {
+			latest, found = result, true
 		}
 	}
 	if !found {
--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -91,7 +91,7 @@
 			watcher.startPolling(50)
 			synctest.Wait()
 			discovery.update(func() {
-				for stream := range discovery.streamStalled {
+				for stream := range discovery.openStreams {
 					discovery.sendingPartial[stream] = true
 				}
 			})
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -63,8 +63,8 @@
 							got, watcher.lastVersion(), watcher.kinds(), balancer.UpdateFailed)
 					}
 					time.Sleep(time.Minute)
-					if len(discovery.sinceParams) != 2 || len(discovery.streamStalled) != 1 {
-						t.Errorf("requests since %v, %d streams open; want 2 and 1", discovery.sinceParams, len(discovery.streamStalled))
+					if len(discovery.sinceParams) != 2 || len(discovery.openStreams) != 1 {
+						t.Errorf("requests since %v, %d streams open; want 2 and 1", discovery.sinceParams, len(discovery.openStreams))
 					}
 				})
 			})
@@ -98,8 +98,8 @@
 			}
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
-			if len(discovery.streamStalled) != 1 || watcher.current.addr != "10.0.0.3:1" {
-				t.Errorf("polled %v: %d streams, the current one to %s; want 1, to 10.0.0.3:1", polled, len(discovery.streamStalled), watcher.current.addr)
+			if len(discovery.openStreams) != 1 || watcher.current.addr != "10.0.0.3:1" {
+				t.Errorf("polled %v: %d streams, the current one to %s; want 1, to 10.0.0.3:1", polled, len(discovery.openStreams), watcher.current.addr)
 			}
 		})
 	}
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -75,7 +75,7 @@
 	if e.response != nil && e.response.Stream != nil && e.outcome.Result != balancer.OK {
 		l.counts.truncated++
 	}
-	if !e.finished && e.upstream.Consumed() {
+	if !e.finished && e.upstream.UploadStarted() {
 		l.pending = append(l.pending, balancer.BodyConsumed{Request: e.id})
 	}
 	l.pending = append(l.pending, e.outcome)
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -95,7 +95,7 @@
 		result, resp, load := p.roundTrip(att, conn)
 		// An idle connection that broke before the complete request was written does not show that the backend
 		// failed, and nothing was executed. The attempt is made on another connection.
-		if result != balancer.ConnectFailed || !reused || att.Request.Consumed() {
+		if result != balancer.ConnectFailed || !reused || att.Request.UploadStarted() {
 			return result, resp, load
 		}
 	}
@@ -112,15 +112,15 @@
 // IsStreamed reports whether the body is streamed, not buffered.
 func (r *Request) IsStreamed() bool { return r != nil && r.Upload != nil }
 
-// Consumed reports whether an attempt has read part of the Upload, so that no other attempt can send the body.
-func (r *Request) Consumed() bool { return r.IsStreamed() && r.Upload.streamStarted.Load() }
+// UploadStarted reports whether an attempt has read part of the Upload, so that no other attempt can send the body.
+func (r *Request) UploadStarted() bool { return r.IsStreamed() && r.Upload.streamStarted.Load() }
 
 // roundTrip writes the request once on conn and waits for the response.
 func (p *Pool) roundTrip(att *Attempt, conn *pooledConn) (balancer.Result, *Response, balancer.Load) {
 	req, body := newHTTPRequest(att, conn)
 	var lastByteNext func() bool
 	if body != nil {
-		lastByteNext = body.consumed.Load
+		lastByteNext = body.fullyRead.Load
 	}
 	conn.tracked.startRequest(func() error { return p.CheckSendable(att) }, att.WriteBy, lastByteNext)
 	setTimeLeft(req, att)
@@ -169,7 +169,7 @@
 // bytes or a close by the backend.
 func (p *Pool) unansweredResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	result := p.failedResult(att, conn, body)
-	if reason := conn.tracked.blocked(); result == balancer.ConnectFailed && reason != nil &&
+	if reason := conn.tracked.writeRejection(); result == balancer.ConnectFailed && reason != nil &&
 		!errors.Is(reason, errUnsolicitedBytes) && !errors.Is(reason, errClosedWhileIdle) {
 		return unsentResult(reason)
 	}
@@ -180,7 +180,7 @@
 // failedResult closes the connection of an attempt that received no complete response, and returns the attempt's result.
 func (p *Pool) failedResult(att *Attempt, conn *pooledConn, body *requestBody) balancer.Result {
 	cause := context.Cause(att.ctx)
-	incomplete := conn.tracked.closeIncomplete() || body != nil && !body.consumed.Load()
+	incomplete := conn.tracked.closeIncomplete() || body != nil && !body.fullyRead.Load()
 	p.release(att.BackendID, conn, false)
 	switch {
 	case errors.Is(cause, ErrCancelled):
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -214,9 +214,9 @@
 	})
 	pool := poolWithBackend(t, addr)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	u, _ := http.NewRequest("GET", "/get/x", nil)
+	req, _ := http.NewRequest("GET", "/get/x", nil)
 	att := &Attempt{Cancel: cancel, BackendID: "s", Start: time.Now(),
-		Request: &Request{Method: "GET", URL: u.URL, Header: http.Header{}}}
+		Request: &Request{Method: "GET", URL: req.URL, Header: http.Header{}}}
 	var reported time.Duration
 	att.OnStreamStart = func(resp *Response, latency time.Duration) bool {
 		reported = latency
--- a/internal/agent/upstream/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -19,7 +19,7 @@
 // forwarded while a read is blocked. The goroutine ends with the response, or once done is closed.
 type bufferedResponse struct {
 	results  chan readResult
-	consumed chan struct{} // receives a value when the data of the last result is no longer in use
+	bufferFree chan struct{} // receives a value when the data of the last result is no longer in use
 	done     <-chan struct{}
 	unread   readResult // rest of the last result, not yet returned by Read
 }
@@ -27,7 +27,7 @@
 // bufferResponse starts a goroutine that reads r into buf until r ends or done is closed, and returns a reader of the
 // bytes that arrive.
 func bufferResponse(r io.Reader, buf []byte, done <-chan struct{}) *bufferedResponse {
-	b := &bufferedResponse{results: make(chan readResult), consumed: make(chan struct{}), done: done}
+	b := &bufferedResponse{results: make(chan readResult), bufferFree: make(chan struct{}), done: done}
 	go func() {
 		for {
 			n, err := r.Read(buf)
@@ -40,7 +40,7 @@
 				return
 			}
 			select {
-			case <-b.consumed:
+			case <-b.bufferFree:
 			case <-done:
 				return
 			}
@@ -66,7 +66,7 @@
 				return buffered, false, result.err
 			}
 			select {
-			case b.consumed <- struct{}{}:
+			case b.bufferFree <- struct{}{}:
 			case <-b.done:
 				return buffered, false, ErrRequestEnded
 			}
@@ -97,7 +97,7 @@
 	}
 	if b.unread.err == nil {
 		select {
-		case b.consumed <- struct{}{}:
+		case b.bufferFree <- struct{}{}:
 		case <-b.done:
 			return n, ErrRequestEnded
 		}
--- a/internal/agent/upstream/probe.go
+++ b/internal/agent/upstream/probe.go
@@ -37,7 +37,7 @@
 // parseLoad parses a load report such as "TEXT inflight=7, queue=2". Values that are not
 // numbers are left out.
 func parseLoad(text string) balancer.Load {
-	usage := map[string]float64{}
+	values := map[string]float64{}
 	text = strings.TrimSpace(text)
 	text = strings.TrimPrefix(strings.TrimPrefix(text, "Endpoint-Load-Metrics:"), " ")
 	for _, pair := range strings.Split(strings.TrimPrefix(text, "TEXT "), ",") {
@@ -46,8 +46,8 @@
 			if settingName, ok := loadNames[name]; ok {
 				name = settingName
 			}
-			usage[name] = v
+			values[name] = v
 		}
 	}
-	return wire.ParseLoad(usage)
+	return wire.ParseLoad(values)
 }
--- a/internal/agent/upstream/race_test.go
+++ b/internal/agent/upstream/race_test.go
@@ -277,7 +277,7 @@
 			receive(t, "dial", dialling)
 			row.event(pool, att, requestDone, backend.addr)
 			close(release)
-			expectNotWritten(t, pool, backend, done, row.want, row.kept)
+			expectOutcome(t, pool, backend, done, row.want, row.kept)
 		})
 		if name == "retry window over" || name == "nothing" {
 			continue // startRequest sets WriteBy before the last check: see TestRetryWriteEndsWithItsWindow
@@ -293,14 +293,14 @@
 					row.event(pool, att, requestDone, backend.addr)
 				}
 			}}
-			expectNotWritten(t, pool, backend, pool.start(att), row.want, 0)
+			expectOutcome(t, pool, backend, pool.start(att), row.want, 0)
 		})
 	}
 }
 
-// expectNotWritten checks the result of an attempt and the number of connections kept. Unless want is OK, it also checks
+// expectOutcome checks the result of an attempt and the number of connections kept. Unless want is OK, it also checks
 // that no byte reached the backend; if want is OK, it serves the request.
-func expectNotWritten(t *testing.T, pool *Pool, backend *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
+func expectOutcome(t *testing.T, pool *Pool, backend *manualBackend, done <-chan attemptResult, want balancer.Result, kept int) {
 	t.Helper()
 	if want == balancer.OK {
 		c := receive(t, "connection", backend.conns)
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -28,7 +28,7 @@
 	defer close(done)
 	resp, err := p.readResponse(att, httpResp, done)
 	early := body != nil && httpResp.StatusCode == http.StatusOK &&
-		(!body.consumed.Load() || conn.tracked.respondedEarly()) // backends execute a request only after its last byte
+		(!body.fullyRead.Load() || conn.tracked.respondedEarly()) // backends execute a request only after its last byte
 	if err != nil || early || endsWithConnection(httpResp) && len(resp.Body) == 0 {
 		return p.failedResult(att, conn, body), nil, wire.ParseLoad(nil)
 	}
--- a/internal/agent/upstream/trackedconn.go
+++ b/internal/agent/upstream/trackedconn.go
@@ -156,8 +156,8 @@
 	return c.earlyResponse
 }
 
-// blocked returns why Write rejected bytes of the current request; nil: Write rejected none.
-func (c *trackedConn) blocked() error {
+// writeRejection returns why Write rejected bytes of the current request; nil: Write rejected none.
+func (c *trackedConn) writeRejection() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.blockedReason
--- a/internal/agent/upstream/upload.go
+++ b/internal/agent/upstream/upload.go
@@ -111,7 +111,7 @@
 	buffered  []byte
 	upload    *Upload
 	remaining int64       // bytes not yet read; below 0: unknown
-	consumed  atomic.Bool // the last byte has been read
+	fullyRead  atomic.Bool // the last byte has been read
 }
 
 // NewBody returns the body for one attempt to read. buffered is the part before the upload.
@@ -130,7 +130,7 @@
 		n, err = b.upload.pipeReader.Read(p)
 	}
 	if b.remaining -= int64(n); b.remaining == 0 || errors.Is(err, io.EOF) {
-		b.consumed.Store(true)
+		b.fullyRead.Store(true)
 	}
 	return n, err
 }
