--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -33,7 +33,7 @@
 	refusing           bool                   // connections are refused, and open streams end
 	unreachableAddr    string                 // connections to this address are refused
 	unansweredRequests int                    // number of next requests that get no response
-	openStreams      map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
+	openStreams        map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
 	sendingPartial     map[*http.Request]bool // streams that receive a value that never ends, one byte each second
 }
 
--- a/internal/agent/upstream/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -18,10 +18,10 @@
 // bufferedResponse reads a response of unknown length in its own goroutine, so that bytes that have arrived can be
 // forwarded while a read is blocked. The goroutine ends with the response, or once done is closed.
 type bufferedResponse struct {
-	results  chan readResult
+	results    chan readResult
 	bufferFree chan struct{} // receives a value when the data of the last result is no longer in use
-	done     <-chan struct{}
-	unread   readResult // rest of the last result, not yet returned by Read
+	done       <-chan struct{}
+	unread     readResult // rest of the last result, not yet returned by Read
 }
 
 // bufferResponse starts a goroutine that reads r into buf until r ends or done is closed, and returns a reader of the
--- a/internal/agent/upstream/upload.go
+++ b/internal/agent/upstream/upload.go
@@ -111,7 +111,7 @@
 	buffered  []byte
 	upload    *Upload
 	remaining int64       // bytes not yet read; below 0: unknown
-	fullyRead  atomic.Bool // the last byte has been read
+	fullyRead atomic.Bool // the last byte has been read
 }
 
 // NewBody returns the body for one attempt to read. buffered is the part before the upload.
