--- a/internal/agent/discovery/stream_test.go
+++ b/internal/agent/discovery/stream_test.go
@@ -59,8 +59,8 @@
 	}
 	time.Sleep(time.Minute) // empty lines are heartbeats
 	if slices.Contains(watcher.kinds(), balancer.UpdateFailed) || len(discovery.sinceParams) != 1 {
-		t.Errorf("%d requests, updates %v; want 1 request and no %v; log: %s", len(discovery.sinceParams), watcher.kinds(),
-			balancer.UpdateFailed, watcher.log.String())
+		t.Errorf("%d requests, updates %v; want 1 request and no UpdateFailed; log: %s",
+			len(discovery.sinceParams), watcher.kinds(), watcher.log.String())
 	}
 }
 
@@ -77,8 +77,8 @@
 	time.Sleep(time.Second)
 	if watcher.lastVersion() != 42 || !slices.Contains(discovery.sinceParams, "0") ||
 		!slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-		t.Errorf("received version %d, requests since %v, updates %v; want version 42, a request since 0 and a %v; log: %s",
-			watcher.lastVersion(), discovery.sinceParams, watcher.kinds(), balancer.UpdateFailed, watcher.log.String())
+		t.Errorf("received version %d, requests since %v, updates %v; want version 42, a request since 0 and an UpdateFailed; log: %s",
+			watcher.lastVersion(), discovery.sinceParams, watcher.kinds(), watcher.log.String())
 	}
 }
 
--- a/internal/agent/discovery/watcher_test.go
+++ b/internal/agent/discovery/watcher_test.go
@@ -20,7 +20,7 @@
 		watcher.Subscribe()
 		time.Sleep(time.Minute)
 		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 0 || len(updateKinds) != 1 || updateKinds[0] != balancer.UpdateFailed {
-			t.Errorf("%d requests, updates %v; want no request and one %v", len(discovery.sinceParams), updateKinds, balancer.UpdateFailed)
+			t.Errorf("%d requests, updates %v; want no request and one UpdateFailed", len(discovery.sinceParams), updateKinds)
 		}
 		discovery.update(func() { discovery.refusing = false })
 		watcher.Subscribe()
@@ -31,8 +31,8 @@
 		time.Sleep(heartbeatTimeout + time.Millisecond)
 		if updateKinds := watcher.kinds(); len(discovery.sinceParams) != 1 || len(updateKinds) != 3 ||
 			updateKinds[1] != balancer.UpdateDelta || updateKinds[2] != balancer.UpdateFailed {
-			t.Errorf("%d requests, updates %v; want 1 request and, after the first failure, %v and %v", len(discovery.sinceParams), updateKinds,
-				balancer.UpdateDelta, balancer.UpdateFailed)
+			t.Errorf("%d requests, updates %v; want 1 request and, after the first failure, UpdateDelta and UpdateFailed",
+				len(discovery.sinceParams), updateKinds)
 		}
 	})
 }
@@ -59,8 +59,8 @@
 					synctest.Wait()
 					got := discovery.sinceParams[len(discovery.sinceParams)-1]
 					if got != "0" || watcher.lastVersion() != 7 || slices.Contains(watcher.kinds(), balancer.UpdateFailed) {
-						t.Errorf("last request since %s, received version %d, updates %v; want since 0, version 7 and no %v",
-							got, watcher.lastVersion(), watcher.kinds(), balancer.UpdateFailed)
+						t.Errorf("last request since %s, received version %d, updates %v; want since 0, version 7 and no UpdateFailed",
+							got, watcher.lastVersion(), watcher.kinds())
 					}
 					time.Sleep(time.Minute)
 					if len(discovery.sinceParams) != 2 || len(discovery.openStreams) != 1 {
@@ -99,7 +99,8 @@
 			time.Sleep(PropagationDeadline)
 			synctest.Wait()
 			if len(discovery.openStreams) != 1 || watcher.current.addr != "10.0.0.3:1" {
-				t.Errorf("polled %v: %d streams, the current one to %s; want 1, to 10.0.0.3:1", polled, len(discovery.openStreams), watcher.current.addr)
+				t.Errorf("polled %v: %d streams, the current one to %s; want 1, to 10.0.0.3:1",
+					polled, len(discovery.openStreams), watcher.current.addr)
 			}
 		})
 	}
@@ -120,7 +121,7 @@
 		defer watcher.mu.Unlock()
 		last := watcher.updates[len(watcher.updates)-1]
 		if last.Endpoints.Kind != balancer.UpdateFull || len(last.Endpoints.Backends) != 0 || len(last.Addrs) != 0 {
-			t.Errorf("update %+v; want kind %v without backends and addresses", last, balancer.UpdateFull)
+			t.Errorf("update %+v; want kind UpdateFull without backends and addresses", last)
 		}
 	})
 }
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -72,7 +72,7 @@
 				t.Errorf("result %v, response %v; want %v", result, resp, row.want)
 			}
 			if resp != nil && string(resp.Body) != "hello" {
-				t.Errorf("body %q, want %q", resp.Body, "hello")
+				t.Errorf("body %q, want hello", resp.Body)
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	pool := poolWithBackend(t, unusedAddr(t))
 	if result, _, _ := attemptOn(t, pool, context.Background(), ""); result != balancer.ConnectFailed {
-		t.Errorf("result %v, want %v", result, balancer.ConnectFailed)
+		t.Errorf("result %v, want ConnectFailed", result)
 	}
 	if pool.openConns != 0 {
 		t.Errorf("%d connections counted as open, want 0", pool.openConns)
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-backend.seen; cancel(ErrTimedOut) }()
 	if result, _, _ := attemptOn(t, pool, ctx, ""); result != balancer.TimedOut {
-		t.Errorf("result %v, want %v", result, balancer.TimedOut)
+		t.Errorf("result %v, want TimedOut", result)
 	}
 	if pool.openConns != 0 || len(pool.idle["s"]) != 0 {
 		t.Errorf("%d connections open, %d idle after a timed-out attempt, want 0", pool.openConns, len(pool.idle["s"]))
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() { <-backend.seen; cancel(ErrCancelled) }()
 	if result, _, _ := attemptOn(t, poolWithBackend(t, backend.addr), ctx, ""); result != balancer.Cancelled {
-		t.Errorf("result %v, want %v", result, balancer.Cancelled)
+		t.Errorf("result %v, want Cancelled", result)
 	}
 }
 
@@ -157,7 +157,7 @@
 			return c, err
 		}
 		if result, _, _ := attemptOn(t, pool, context.Background(), strings.Repeat("x", 20000)); result != balancer.ConnectFailed {
-			t.Errorf("broken after %d bytes: result %v, want %v", limit, result, balancer.ConnectFailed)
+			t.Errorf("broken after %d bytes: result %v, want ConnectFailed", limit, result)
 		}
 	}
 }
@@ -176,10 +176,10 @@
 	}
 	request := &Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}}
 	if result, _, _ := pool.executeBuffered(context.Background(), requestDone, "s", request); result != balancer.NotSent {
-		t.Errorf("result %v, want %v", result, balancer.NotSent)
+		t.Errorf("result %v, want NotSent", result)
 	}
 	if result, _, _ := pool.executeBuffered(context.Background(), nil, "s", request); result != balancer.OK || len(backend.seen) != 1 {
-		t.Errorf("result %v, %d requests reached the backend; want %v, 1", result, len(backend.seen), balancer.OK)
+		t.Errorf("result %v, %d requests reached the backend; want OK, 1", result, len(backend.seen))
 	}
 }
 
@@ -233,8 +233,8 @@
 	result, resp, _ := pool.Execute(ctx, att)
 	if result != balancer.OK || resp.Stream == nil || att.Latency != reported || att.Latency >= time.Since(att.Start) {
 		t.Errorf("result %v, streamed %v, latency passed to OnStreamStart %v, attempt's latency %v, total %v; "+
-			"want %v, true, and equal latencies below the total",
-			result, resp != nil && resp.Stream != nil, reported, att.Latency, time.Since(att.Start), balancer.OK)
+			"want OK, true, and equal latencies below the total",
+			result, resp != nil && resp.Stream != nil, reported, att.Latency, time.Since(att.Start))
 	}
 	if len(pool.idle["s"]) != 1 {
 		t.Errorf("%d idle connections after the response, want 1", len(pool.idle["s"]))
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -42,11 +42,11 @@
 		return c, err
 	}
 	if result, _, _ := attemptOn(t, pool, context.Background(), "one"); result != balancer.OK {
-		t.Fatalf("first attempt: result %v, want %v", result, balancer.OK)
+		t.Fatalf("first attempt: result %v, want OK", result)
 	}
 	broken.Store(true)
 	if result, _, _ := attemptOn(t, pool, context.Background(), "two"); result != balancer.OK || dials != 2 {
-		t.Errorf("second attempt: result %v after %d dials, want %v after 2", result, dials, balancer.OK)
+		t.Errorf("second attempt: result %v after %d dials, want OK after 2", result, dials)
 	}
 	if n := len(backend.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, want 2", n)
@@ -68,8 +68,7 @@
 	result, _, _ := pool.executeBuffered(context.Background(), requestDone, "s",
 		&Request{Method: "GET", URL: &url.URL{Path: "/get/x"}, Header: http.Header{}})
 	if result != balancer.NotSent || len(pool.idle["s"]) != 1 || pool.idle["s"][0].idleSince != previousIdleSince {
-		t.Errorf("result %v, %d idle connections; want %v, and one connection idle since %v", result, len(pool.idle["s"]),
-			balancer.NotSent, previousIdleSince)
+		t.Errorf("result %v, %d idle connections; want NotSent, and one connection with its earlier idleSince", result, len(pool.idle["s"]))
 	}
 }
 
@@ -80,13 +79,13 @@
 	backend := startRawBackend(t, func(n int) string { return []string{ok200, "", ok200}[n] })
 	pool := poolWithBackend(t, backend.addr)
 	if result, _, _ := attemptOn(t, pool, context.Background(), "one"); result != balancer.OK {
-		t.Fatalf("first attempt: result %v, want %v", result, balancer.OK)
+		t.Fatalf("first attempt: result %v, want OK", result)
 	}
 	if len(pool.idle["s"]) != 1 {
 		t.Fatalf("%d idle connections after the first attempt, want 1", len(pool.idle["s"]))
 	}
 	if result, _, _ := attemptOn(t, pool, context.Background(), "two"); result != balancer.Reset {
-		t.Fatalf("second attempt: result %v, want %v", result, balancer.Reset)
+		t.Fatalf("second attempt: result %v, want Reset", result)
 	}
 	if n := len(backend.seen); n != 2 {
 		t.Errorf("%d requests reached the backend, want 2", n)
@@ -106,7 +105,8 @@
 		t.Errorf("old connection reused: %v, %d connections open; want false, 1", pool.idle["s"][0] == old, pool.openConns)
 	}
 	if pool.idleTimeout >= pool.cfg.IdleClose {
-		t.Errorf("idle connections are kept for %v, want less than %v, after which backends may close them", pool.idleTimeout, pool.cfg.IdleClose)
+		t.Errorf("idle connections are kept for %v, want less than %v, after which backends may close them",
+			pool.idleTimeout, pool.cfg.IdleClose)
 	}
 }
 
@@ -136,11 +136,11 @@
 		t.Errorf("%d idle connections to s at the limit, want 0", len(pool.idle["s"]))
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), ""); r != balancer.ConnectFailed {
-		t.Errorf("attempt beyond the limit: result %v, want %v", r, balancer.ConnectFailed)
+		t.Errorf("attempt beyond the limit: result %v, want ConnectFailed", r)
 	}
 	close(release)
 	if r := receive(t, "result", done); r != balancer.OK {
-		t.Errorf("attempt in flight at the limit: result %v, want %v", r, balancer.OK)
+		t.Errorf("attempt in flight at the limit: result %v, want OK", r)
 	}
 }
 
@@ -175,7 +175,7 @@
 	applyDelta(pool, balancer.Backend{ID: "s"}, unusedAddr(t))
 	close(release)
 	if r := receive(t, "result", done); r != balancer.OK || pool.openConns != 0 {
-		t.Errorf("result %v, %d connections open; want %v, 0", r, pool.openConns, balancer.OK)
+		t.Errorf("result %v, %d connections open; want OK, 0", r, pool.openConns)
 	}
 }
 
@@ -185,7 +185,7 @@
 	backend := startRawBackend(t, func(int) string { return ok200 })
 	pool := poolWithBackend(t, backend.addr)
 	if r, _, _ := attemptOn(t, pool, context.Background(), "one"); r != balancer.OK {
-		t.Fatalf("first attempt: result %v, want %v", r, balancer.OK)
+		t.Fatalf("first attempt: result %v, want OK", r)
 	}
 	pool.SetDisabled("s", true)
 	if pool.openConns != 0 {
@@ -199,15 +199,14 @@
 		return c, err
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), "two"); r != balancer.ConnectFailed || pool.openConns != 0 {
-		t.Errorf("disabled during the dial: result %v, %d connections open; want %v, 0", r, pool.openConns, balancer.ConnectFailed)
+		t.Errorf("disabled during the dial: result %v, %d connections open; want ConnectFailed, 0", r, pool.openConns)
 	}
 	if r, _, _ := attemptOn(t, pool, context.Background(), "three"); r != balancer.ConnectFailed || len(backend.seen) != 1 {
-		t.Errorf("disabled before the attempt: result %v, %d requests reached the backend; want %v, 1", r, len(backend.seen),
-			balancer.ConnectFailed)
+		t.Errorf("disabled before the attempt: result %v, %d requests reached the backend; want ConnectFailed, 1", r, len(backend.seen))
 	}
 	pool.SetDisabled("s", false)
 	pool.transport.DialContext = dial
 	if r, _, _ := attemptOn(t, pool, context.Background(), "four"); r != balancer.OK {
-		t.Errorf("enabled again: result %v, want %v", r, balancer.OK)
+		t.Errorf("enabled again: result %v, want OK", r)
 	}
 }
--- a/internal/agent/upstream/reuse_test.go
+++ b/internal/agent/upstream/reuse_test.go
@@ -31,10 +31,10 @@
 	resets := 0
 	for ; resets < 20; resets++ {
 		if result, _ := attempt(0, ok200); result != balancer.OK {
-			t.Fatalf("result on a new connection: %v, want %v", result, balancer.OK)
+			t.Fatalf("result on a new connection: %v, want OK", result)
 		}
 		if result, c := attempt(young, ok200); result != balancer.OK || pool.idle["s"][0] != c {
-			t.Fatalf("young connection: result %v, reused %v; want %v, true", result, slices.Contains(pool.idle["s"], c), balancer.OK)
+			t.Fatalf("young connection: result %v, reused %v; want OK, true", result, slices.Contains(pool.idle["s"], c))
 		}
 		pool.mu.Lock()
 		oldUnreliable := pool.reuseStats.unreliable(old)
@@ -43,15 +43,15 @@
 			break
 		}
 		if result, _ := attempt(old, ""); result != balancer.Reset {
-			t.Fatalf("result on the old connection: %v, want %v", result, balancer.Reset)
+			t.Fatalf("result on the old connection: %v, want Reset", result)
 		}
 	}
 	if resets < 2 || resets > 5 {
 		t.Errorf("%d resets before old connections became unreliable, want 2 to 5", resets)
 	}
 	if result, c := attempt(old, ok200); result != balancer.OK || c.Err() == nil || pool.idle["s"][0] == c {
-		t.Errorf("old connection: result %v, closed %v, reused %v; want %v, true, false", result, c.Err() != nil,
-			slices.Contains(pool.idle["s"], c), balancer.OK)
+		t.Errorf("old connection: result %v, closed %v, reused %v; want OK, true, false", result, c.Err() != nil,
+			slices.Contains(pool.idle["s"], c))
 	}
 	pool.reuseStats.decay(10 * reuseHalfLife)
 	if pool.reuseStats.unreliable(old) {
