--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drainGrace bounds the time from when a change counts as received to when it is applied.
+// drainGrace is the longest time between the moment at which a change counts as received and its delivery.
 const drainGrace = 500 * time.Millisecond
 
 // Under any sequence of faults and address changes, a change is delivered within the grace for drains after it counts as
@@ -87,7 +87,7 @@
 	return ""
 }
 
-// begin begins the i-th step.
+// begin starts the fault or the change of address of the i-th step.
 func (s step) begin(i int, discovery *fakeDiscovery, watcher *runningWatcher) {
 	switch k := s.kind; {
 	case k == 0:
--- a/internal/agent/discovery/stream.go
+++ b/internal/agent/discovery/stream.go
@@ -24,7 +24,7 @@
 // watchStream is one connection to discovery, with the state that the watcher keeps for the connection.
 type watchStream struct {
 	// Set at creation and not changed.
-	addr         string // of discovery
+	addr         string // of discovery, as set when the stream was opened; a relayed stream connects to source.Addr instead
 	sinceVersion int64  // changes after this version are requested; 0: the complete list
 	cancel       context.CancelFunc
 
--- a/internal/agent/discovery/watcher.go
+++ b/internal/agent/discovery/watcher.go
@@ -5,8 +5,8 @@
 //   - Run's goroutine owns the endpoint list, its version, all streams and the choice of the current stream. Only this
 //     goroutine calls Config.Deliver, Watcher.Record and the Translator, so that they get lists one at a time, in the
 //     order of arrival.
-//   - Each stream has a goroutine that runs until its connection ends. It sends heartbeats and lists to Run as events,
-//     and Run waits for it. Run reads the fields that this goroutine writes only after a later event.
+//   - Each stream has a goroutine that runs until its connection ends. It sends heartbeats and lists to Run as events.
+//     Run reads the fields that this goroutine writes only after a later event, and returns after the goroutine has ended.
 //   - The address of discovery is guarded by mu. Subscribe and SetAddr may be called from any goroutine.
 //
 // Bounds on delay: a change is delivered at the latest PropagationDeadline plus the grace for drains (0.5 s) after
@@ -33,8 +33,8 @@
 )
 
 // A change counts as received PropagationDeadline after discovery had it and could be reached, even if requests were
-// refused, failed, hung or timed out in that time. The grace for drains adds half a second. Within the sum, a stream has
-// to be open and to have delivered the list. Discovery sends an empty line every 2 s while nothing changes.
+// refused, failed, hung or timed out in that time. The grace for drains adds half a second. Within the sum of both times,
+// the watcher has to open a stream and to receive the list. Discovery sends an empty line every 2 s while nothing changes.
 const (
 	// PropagationDeadline is the time after which a change counts as received. It takes precedence over a longer
 	// poll interval in the settings.
--- a/internal/agent/upstream/harness_test.go
+++ b/internal/agent/upstream/harness_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// eventually polls for a condition that no channel reports.
+// eventually polls a condition that no channel reports, and fails the test if it stays false for testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -105,7 +105,7 @@
 type Stats struct {
 	Open  int // idle, in use or being dialled
 	Idle  int
-	Limit int // on Open
+	Limit int // bound on Open
 }
 
 // Stats returns the current numbers of connections.
