--- a/internal/agent/discovery/deadline_test.go
+++ b/internal/agent/discovery/deadline_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drainGrace bounds the time from when a change counts as received to when it is applied.
+// drainGrace is the longest time between the moment at which a change counts as received and its delivery.
 const drainGrace = 500 * time.Millisecond
 
 // Under any sequence of faults and address changes, a change is delivered within the grace for drains after it counts as
@@ -39,8 +39,8 @@
 							return
 						}
 					}
-					if len(discovery.streamStalled) > maxOpening+1 {
-						failure = fmt.Sprintf("%d streams are open", len(discovery.streamStalled))
+					if len(discovery.openStreams) > maxOpening+1 {
+						failure = fmt.Sprintf("%d streams are open, want at most %d", len(discovery.openStreams), maxOpening+1)
 					}
 				})
 			})
@@ -87,23 +87,23 @@
 	return ""
 }
 
-// begin begins the i-th step.
+// begin starts the fault or the change of address of the i-th step.
 func (s step) begin(i int, discovery *fakeDiscovery, watcher *runningWatcher) {
 	switch k := s.kind; {
 	case k == 0:
 		discovery.update(func() { discovery.unresponsive = true })
 	case k == 1: // all connections end, and new ones are refused
 		discovery.update(func() { discovery.refusing = true })
-	case k <= 3: // open streams receive nothing from now on, nor do up to two new ones
+	case k <= 3: // open streams receive nothing from now on; for kind 3, the next two requests get no response either
 		discovery.update(func() {
 			discovery.unansweredRequests = (k - 2) * 2
-			for w := range discovery.streamStalled {
-				discovery.streamStalled[w] = true
+			for w := range discovery.openStreams {
+				discovery.openStreams[w] = true
 			}
 		})
 	case k == 4: // open streams receive a value that never ends
 		discovery.update(func() {
-			for w := range discovery.streamStalled {
+			for w := range discovery.openStreams {
 				discovery.sendingPartial[w] = true
 			}
 		})
--- a/internal/agent/discovery/fake_test.go
+++ b/internal/agent/discovery/fake_test.go
@@ -22,7 +22,7 @@
 
 // fakeDiscovery serves a list of one backend over in-memory connections, and sends each version to all open streams.
 type fakeDiscovery struct {
-	conns chan net.Conn // dialed and not yet accepted
+	conns chan net.Conn // dialled and not yet accepted
 
 	mu                 sync.Mutex // guards the fields below; tests change them through update
 	version            int64
@@ -33,13 +33,13 @@
 	refusing           bool                   // connections are refused, and open streams end
 	unreachableAddr    string                 // connections to this address are refused
 	unansweredRequests int                    // number of next requests that get no response
-	streamStalled      map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
+	openStreams        map[*http.Request]bool // has an entry for each open stream; true: the stream receives nothing
 	sendingPartial     map[*http.Request]bool // streams that receive a value that never ends, one byte each second
 }
 
 func newFakeDiscovery(t testing.TB) *fakeDiscovery {
 	d := &fakeDiscovery{version: 41, changed: make(chan struct{}), conns: make(chan net.Conn, 64),
-		streamStalled: map[*http.Request]bool{}, sendingPartial: map[*http.Request]bool{},
+		openStreams: map[*http.Request]bool{}, sendingPartial: map[*http.Request]bool{},
 		encode: func(m EndpointList) string { raw, _ := json.Marshal(m); return string(raw) }}
 	server := &http.Server{Handler: d}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -49,7 +49,7 @@
 	return d
 }
 
-// pipeListener accepts the connections that are dialed to a fakeDiscovery.
+// pipeListener accepts the connections that are dialled to a fakeDiscovery.
 type pipeListener struct {
 	discovery *fakeDiscovery
 	ctx       context.Context
@@ -73,7 +73,7 @@
 	refused := d.refusing || addr == d.unreachableAddr
 	d.mu.Unlock()
 	if refused {
-		return nil, fmt.Errorf("refused")
+		return nil, fmt.Errorf("connection refused by the fake")
 	}
 	clientConn, serverConn := net.Pipe()
 	d.conns <- serverConn
@@ -94,14 +94,14 @@
 	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	d.mu.Lock()
 	d.sinceParams = append(d.sinceParams, r.URL.Query().Get("since"))
-	d.streamStalled[r] = d.unansweredRequests > 0
+	d.openStreams[r] = d.unansweredRequests > 0
 	d.unansweredRequests = max(0, d.unansweredRequests-1)
 	d.mu.Unlock()
-	defer func() { d.mu.Lock(); delete(d.streamStalled, r); delete(d.sendingPartial, r); d.mu.Unlock() }()
+	defer func() { d.mu.Lock(); delete(d.openStreams, r); delete(d.sendingPartial, r); d.mu.Unlock() }()
 	partialBytes := 0
 	for first := true; ; {
 		d.mu.Lock()
-		response, changed, streamStalled, interval := "\n", d.changed, d.unresponsive || d.streamStalled[r], 2*time.Second
+		response, changed, stalled, interval := "\n", d.changed, d.unresponsive || d.openStreams[r], 2*time.Second
 		if first || since != d.version {
 			response = d.encode(d.list(since)) + "\n"
 		}
@@ -116,7 +116,7 @@
 		if refusing {
 			return
 		}
-		if !streamStalled {
+		if !stalled {
 			first, since = first && partialBytes > 0, version
 			if !send(w, response) {
 				return
@@ -157,8 +157,8 @@
 	mu           sync.Mutex // guards the fields below
 	updates      []Update
 	version      float64 // of the latest list, which the fake sends as the weight of its only backend
-	waitPercent  int     // wait before each poll, in percent of the backoff ceiling; below 0: no polls
-	pollFailures int     // in a row
+	waitPercent  int     // wait before each retry, in percent of the backoff ceiling; below 0: no retries
+	pollFailures int     // number in a row
 	retryTimer   *time.Timer
 }
 
--- a/internal/agent/upstream/bufferedresponse.go
+++ b/internal/agent/upstream/bufferedresponse.go
@@ -1,6 +1,7 @@
 package upstream
 
-// This file reads responses of unknown length. They are streamed only if they exceed a size or a time.
+// This file reads responses of unknown length. A response is streamed only if it is longer than MaxBufferedBody, or has
+// not ended after bufferingTimeout.
 
 import (
 	"errors"
@@ -17,14 +18,16 @@
 // bufferedResponse reads a response of unknown length in its own goroutine, so that bytes that have arrived can be
 // forwarded while a read is blocked. The goroutine ends with the response, or once done is closed.
 type bufferedResponse struct {
-	results  chan readResult
-	consumed chan struct{} // receives a value when the data of the last result is no longer in use
-	done     <-chan struct{}
-	unread   readResult // rest of the last result, not yet returned by Read
+	results    chan readResult
+	bufferFree chan struct{} // receives a value when the data of the last result is no longer in use
+	done       <-chan struct{}
+	unread     readResult // rest of the last result, not yet returned by Read
 }
 
+// bufferResponse starts a goroutine that reads r into buf until r ends or done is closed, and returns a reader of the
+// bytes that arrive.
 func bufferResponse(r io.Reader, buf []byte, done <-chan struct{}) *bufferedResponse {
-	b := &bufferedResponse{results: make(chan readResult), consumed: make(chan struct{}), done: done}
+	b := &bufferedResponse{results: make(chan readResult), bufferFree: make(chan struct{}), done: done}
 	go func() {
 		for {
 			n, err := r.Read(buf)
@@ -37,7 +40,7 @@
 				return
 			}
 			select {
-			case <-b.consumed:
+			case <-b.bufferFree:
 			case <-done:
 				return
 			}
@@ -47,7 +50,8 @@
 }
 
 // readUpTo returns the bytes that arrive until they exceed limit or the response ends. After the timeout it returns as
-// soon as at least one byte has arrived. more reports that the response has not ended.
+// soon as at least one byte has arrived. more reports that the response has not ended. err is the error of a
+// read from the backend, or ErrRequestEnded once done is closed.
 func (b *bufferedResponse) readUpTo(limit int, timeout time.Duration) (buffered []byte, more bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -62,7 +66,7 @@
 				return buffered, false, result.err
 			}
 			select {
-			case b.consumed <- struct{}{}:
+			case b.bufferFree <- struct{}{}:
 			case <-b.done:
 				return buffered, false, ErrRequestEnded
 			}
@@ -93,7 +97,7 @@
 	}
 	if b.unread.err == nil {
 		select {
-		case b.consumed <- struct{}{}:
+		case b.bufferFree <- struct{}{}:
 		case <-b.done:
 			return n, ErrRequestEnded
 		}
--- a/internal/agent/upstream/harness_test.go
+++ b/internal/agent/upstream/harness_test.go
@@ -20,6 +20,7 @@
 	return Config{MaxConns: 450, MemoryMB: 192, ConnectTimeout: 10 * time.Second, IdleClose: time.Minute, LoadInline: true}
 }
 
+// ids numbers the ids that newID returns.
 var ids struct {
 	sync.Mutex
 	n int
@@ -43,6 +44,7 @@
 	return ln
 }
 
+// receive returns the next value of ch, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -54,7 +56,7 @@
 	}
 }
 
-// eventually polls for a condition that no channel reports.
+// eventually polls a condition that no channel reports, and fails the test if it stays false for testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
