--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,9 +2,9 @@
 // request is retried, and when a request is refused. It performs no I/O. The embedding agent owns the clock, the
 // timers and the connections: it reports what happened as events, and carries out the returned actions in order.
 //
-// A Balancer belongs to one goroutine. All times are durations on the agent's own monotonic clock; its zero is
-// arbitrary, and it must not run backwards. Memory is bounded by the open requests and attempts, the pending timers,
-// and the backends that are listed or still have attempts outstanding.
+// A Balancer belongs to one goroutine. All times are durations on the agent's own monotonic clock, whose zero
+// is arbitrary and which must not run backwards. Memory is bounded by the open requests and attempts, the pending
+// timers, and the backends that are listed or still have attempts outstanding.
 //
 // Reading order: this file for the interface; balancer.go for the parts and how events reach them; lifecycle.go for
 // the life of a request, with its records in request.go. Then one part at a time. Which backend a request goes to:
@@ -30,7 +30,7 @@
 
 const (
 	Idempotent     Idempotency = iota // may be executed any number of times
-	IdempotencyKey                    // backends of its scope drop duplicates within a window
+	IdempotencyKey                    // backends in Class.Scope drop duplicates within Class.DedupWindow
 	NonIdempotent                     // retried only when no attempt can have executed
 )
 
@@ -75,11 +75,11 @@
 	MaxRetryAfter  time.Duration // longest Retry-After that clients honor
 	ConnectTimeout time.Duration // a connection not established in this time fails
 
-	DrainGrace       time.Duration // how long sends to a draining backend are tolerated
-	AnswerGrace      time.Duration // how long after its deadline a final answer still counts
+	DrainGrace       time.Duration // sends to a backend are allowed for this time after its drain began
+	AnswerGrace      time.Duration // a final answer counts until this time after the request's deadline
 	PollInterval     time.Duration // with Subscribe: longest time between polls while not subscribed
-	InitialCapacity  float64       // share of its full capacity that a backend has at its start; 0: 1
-	SlowStartWindow  time.Duration // time from its start within which a backend reaches full capacity
+	InitialCapacity  float64       // lower bound: a starting backend has at least this share of its full capacity; 0: 1
+	SlowStartWindow  time.Duration // a backend reaches full capacity within this time after its start
 	OverloadMultiple float64       // a starting backend fails when it is sent more than this multiple of its capacity
 	OverloadWindow   time.Duration // span over which OverloadMultiple is measured
 
@@ -138,7 +138,7 @@
 		ClientRetry   bool          // the client marked the request as a retry of its own
 		AffinityKey   uint64        // hash of the object that the request concerns; 0: unknown
 		Streaming     bool          // a large body is still arriving; TimeRemaining runs from BodyComplete
-		ResidencyRule int           // number of the rule for its tenant and class; 0: none
+		ResidencyRule int           // number of the residency rule for the request's tenant and class; 0: none
 	}
 	// Quota is this agent's share of the fleet's concurrency limit, as the fleet assigns it. Until the first Quota
 	// arrives, each agent uses an even share.
@@ -161,13 +161,13 @@
 		Attempt       int // attempts of a request count from 0 in the order of their Send
 		Backend       string
 		Result        Result
-		Latency       time.Duration // since it was sent
+		Latency       time.Duration // from the send to the outcome
 		Done          bool          // the client has its final answer, through this outcome or earlier
-		NewConnection bool          // a connection was opened for it
+		NewConnection bool          // the agent opened a connection for this attempt
 		Load          Load
 	}
 	// ResponseStarted reports that the response of an attempt has begun to reach the client. The Outcome follows at the
-	// end of the response; its Latency is that of the first byte.
+	// end of the response, and its Latency ends at the first byte.
 	ResponseStarted struct {
 		Request string
 		Attempt int
@@ -188,12 +188,12 @@
 		Backend   string
 		Inherited bool // accepted by an earlier process of this agent: the ID need not be listed yet
 	}
-	// Enable reverts all earlier Disable events of a backend, which then counts as started at that time.
+	// Enable reverts all earlier Disable events of a backend. The backend then counts as started at At.
 	Enable struct {
 		Call      int64
 		Backend   string
 		Inherited bool
-		At        time.Duration // when it was accepted; 0: now
+		At        time.Duration // when the agent accepted the override; 0: now
 	}
 	// Drain reports that operators have moved this agent's clients to other agents (On), or have moved them back.
 	Drain struct{ On bool }
@@ -208,7 +208,7 @@
 	}
 )
 
-// Load is a backend's own load report. It may be late and imprecise.
+// Load is a backend's own load report. The report may be late and imprecise.
 type Load struct {
 	Valid        bool
 	Queue        float64       // requests waiting; negative: not reported
@@ -242,7 +242,7 @@
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
-		SendDeadline     time.Duration // the agent sends its last byte by then, or makes no attempt; 0: no bound
+		SendDeadline     time.Duration // the agent sends the last byte by this time, or does not send; 0: no bound
 	}
 	// Cancel withdraws an attempt; its Outcome still follows.
 	Cancel struct {
@@ -264,9 +264,9 @@
 	}
 	// Probe asks for a health check of a backend, outside any request.
 	Probe struct{ Backend string }
-	// SendGossip sends a message to another agent. It may arrive late or not at all.
+	// SendGossip sends a message to another agent. The message may arrive late or not at all.
 	SendGossip struct {
-		To   int // that agent's number
+		To   int // number of the receiving agent
 		Data []byte
 	}
 	// Subscribe requests endpoint updates from now on.
--- a/balancer/average.go
+++ b/balancer/average.go
@@ -9,8 +9,8 @@
 
 const smoothing = 0.1 // weight of a new sample in a moving average: about the last 20 samples count
 
-// ewma returns an exponentially weighted moving average with a sample added. A mean of 0 has no samples yet: the first
-// sample becomes the mean.
+// ewma returns an exponentially weighted moving average with a sample added. A mean of 0 stands for no samples: the
+// first sample becomes the mean.
 func ewma(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
--- a/balancer/backends.go
+++ b/balancer/backends.go
@@ -12,18 +12,18 @@
 	slowStartState
 	latencyEstimate
 	outstanding []*attempt      // oldest first
-	gossipKey   uint32          // identifies it in observations
+	gossipKey   uint32          // identifies the backend in observations
 	subsetRank  uint32          // its position in this agent's order of backends
 	observedAt  time.Duration   // time of the latest observation
 	stable      bool            // counted in its zone's stableBackends
-	unanswered  unansweredCount // in its zone
+	unanswered  unansweredCount // the backend's unanswered attempts, as counted for its zone
 }
 
 // idle reports whether the backend has no outstanding attempt of this agent.
 func (bs *backendState) idle() bool { return len(bs.outstanding) == 0 }
 
 // effectiveLatencyRatio returns the latency of a backend relative to the mean: by its responses, or by the age of its
-// oldest outstanding attempt if that gives a higher ratio, since a stall shows there before any response.
+// oldest outstanding attempt if the age gives a higher ratio: a stalled backend sends no responses.
 func (bs *backendState) effectiveLatencyRatio(now time.Duration) float64 {
 	if len(bs.outstanding) > 0 {
 		oldest := bs.outstanding[0]
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -15,14 +15,14 @@
 	rng          *rand.Rand
 	now          time.Duration // time of the current step
 	actions      []Action      // of the current step
-	lastToken    int64         // last timer token given out
+	lastToken    int64         // token of the latest timer
 
 	// Requests.
 	requests      map[string]*request
 	classes       classTable
 	queue         admissionQueue
 	requestTimers map[int64]*request
-	overdueTimers map[int64]*attempt // attempts by the token of the timer at which they are overdue
+	overdueTimers map[int64]*attempt // attempts that are overdue once their timer fires, by its token
 	retryBudget   RetryBudget
 
 	// Backends.
@@ -42,7 +42,7 @@
 	credit        creditAccount
 	demand        demandEstimate
 	drainedDemand float64 // demand of clients that operators moved to other agents; 0: not drained
-	assignedQuota float64 // quota that the fleet assigned; 0: none
+	assignedQuota float64 // share of the concurrency limit that the fleet assigned; 0: none
 
 	// Zones and peers.
 	zones        zoneTable
@@ -131,7 +131,7 @@
 	}
 }
 
-// onTimer handles a timer by its token. Tokens are never reused, so an unknown or outdated one has no effect.
+// onTimer handles a timer by its token. Tokens are never reused, so an unknown or outdated token has no effect.
 func (b *Balancer) onTimer(token int64) {
 	a, req := b.overdueTimers[token], b.requestTimers[token]
 	delete(b.overdueTimers, token)
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -8,7 +8,7 @@
 type capacityTotals struct {
 	inFlight             int             // attempts that occupy a backend
 	up                   int             // backends in state Up
-	capacity             float64         // number of usable backends, weighted by warmth; ejected and dead ones don't count
+	capacity             float64         // number of usable backends, weighted by warmth and by their zone's share of traffic
 	warmCapacity         float64         // part of capacity that is at warm backends
 	warmOutstanding      int             // attempts outstanding at warm backends
 	uncountedOutstanding int             // attempts outstanding at backends that don't count in capacity
@@ -21,7 +21,8 @@
 }
 
 // addCapacity adds a number of backends of equal warmth, with their outstanding attempts, in a zone that gets the given
-// share of its usual traffic. warm is true for backends that are not in slow start.
+// share of its usual traffic. A share of 0 also stands for backends that get no ordinary traffic. warm is true for
+// backends that are not in slow start.
 func (t *capacityTotals) addCapacity(backends, outstanding int, warmth, share float64, warm bool) {
 	if share == 0 {
 		t.uncountedOutstanding += outstanding
@@ -34,8 +35,8 @@
 	}
 }
 
-// inUse returns the number of attempts that count against the concurrency limit: the ones at backends that count in
-// capacity.
+// inUse returns the number of attempts that count against the concurrency limit: the attempts at backends that
+// count in capacity.
 func (t *capacityTotals) inUse() int { return t.inFlight - t.uncountedOutstanding }
 
 // stableTotals counts the stable backends of one zone and their attempts.
@@ -50,7 +51,8 @@
 	t.stableOutstanding += outstanding
 }
 
-// recomputeCapacity updates the totals of the backends that are up and neither ejected nor dead.
+// recomputeCapacity updates the capacity totals and the number of backends that are up in each zone. Ejected and dead
+// backends are up but have no capacity.
 func (b *Balancer) recomputeCapacity() {
 	b.capacityTotals.reset()
 	b.allZonesOpen = true
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -56,7 +56,8 @@
 
 // updateUsualTimeout updates the usual timeout with that of a client's attempt, and reports whether the timeout is
 // unusual. Clients use one timeout for all their attempts, except for the last attempt, which has only the rest of the
-// deadline. An attempt with an unusual timeout is therefore a retry, and the difference shows when the client started.
+// deadline. An attempt with an unusual timeout is therefore treated as a retry whose timeout is the rest of the
+// deadline.
 func (c *classState) updateUsualTimeout(timeout, tick time.Duration, clientRetry bool) (unusual bool) {
 	if c.usualTimeout == 0 {
 		c.usualTimeout = timeout
@@ -101,7 +102,8 @@
 	return objective
 }
 
-// decay makes older requests count less. It is called for each request, so that the last few hundred count.
+// decay makes older requests count less. The balancer calls decay for each request, so that about the last 200 requests
+// count.
 func (t classTable) decay() {
 	for i := range t {
 		t[i].arrivals *= 1 - smoothing/20
@@ -134,7 +136,8 @@
 	return value
 }
 
-// arrivingWork returns the arriving work of all classes, and the part of it in classes of a higher marginal value.
+// arrivingWork returns the arriving work, in ns, of the classes with a higher marginal value than the given class
+// (above) and of all classes (total).
 func (t classTable) arrivingWork(class int) (above, total float64) {
 	for i := range t {
 		c := &t[i]
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -14,8 +14,8 @@
 	interval  time.Duration // between two gossip rounds
 }
 
-// newDemandEstimate returns an empty estimate. It decays over peerExpiry gossip intervals, the time in which peers
-// expire.
+// newDemandEstimate returns an empty estimate. The time constant of its decay is peerExpiry gossip intervals, the
+// time in which peers expire.
 func newDemandEstimate(interval time.Duration) demandEstimate {
 	return demandEstimate{decayingSum: decayingSum{timeConstant: peerExpiry * float64(interval)}, interval: interval}
 }
@@ -23,8 +23,8 @@
 // start sets the time from which on work is added.
 func (d *demandEstimate) start(now time.Duration) { d.startedAt = now }
 
-// steady returns the sum, extrapolated to that of an agent that has run for a long time. Without the extrapolation a
-// restarted agent would compute too low a share of the demand for itself.
+// steady returns the sum, in ns, extrapolated to that of an agent that has run for a long time. Without the
+// extrapolation a restarted agent would compute too low a share of the demand for itself.
 func (d *demandEstimate) steady(now time.Duration) float64 {
 	age := max(float64(now-d.startedAt), float64(d.interval)/4)
 	return d.value(now) / (1 - math.Exp(-age/d.timeConstant))
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -30,9 +30,10 @@
 	return time.Duration(draw * unit * math.Exp2(float64(min(p.failures, 4))))
 }
 
-// schedule sets the timer of the next poll. isTimer reports whether a token is that of the timer, and clears the timer
-// if so.
+// schedule sets the token of the timer of the next poll.
 func (p *endpointPoll) schedule(token int64) { p.timer = token }
+
+// isTimer reports whether a token is that of the poll timer. If so, isTimer clears the timer.
 func (p *endpointPoll) isTimer(token int64) bool {
 	if token != p.timer {
 		return false
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-const retryAfterObjectives = 1.0 // mean Retry-After of a refused client, in longest objectives; jittered by half
+const retryAfterObjectives = 1.0 // mean Retry-After, as a multiple of the longest objective; jittered by up to half
 
 // onRequest accepts a request into the admission queue. A client's retry adds no demand.
 func (b *Balancer) onRequest(event Request) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// send starts an attempt. All attempts start here, so send checks the rules for attempts once more.
+// send starts an attempt, or finishes the request if the rules forbid an attempt. All attempts start here, so send
+// checks these rules once more.
 func (b *Balancer) send(req *request, backend *backendState) {
 	if backend.State != Up || !b.mayAttempt(req, backend) || b.now >= req.deadline {
 		b.finish(req)
@@ -93,8 +94,8 @@
 	b.actions = append(b.actions, Send{Request: req.id, Backend: backend.ID, SendDeadline: a.sendDeadline})
 }
 
-// finish gives a request a final answer of the balancer's; no other function does. The answer is a refusal if no
-// attempt can have executed, which makes a retry by any client safe, and a failure otherwise.
+// finish ends a request with a final answer from the balancer; no other function adds such an answer. The answer is a
+// refusal if no attempt can have executed, so that a retry by the client is safe, and a failure otherwise.
 func (b *Balancer) finish(req *request) {
 	if req.ended {
 		return
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -6,12 +6,12 @@
 
 const (
 	targetLatencyRatio     = 0.35 // target for mean latency relative to the objective; above it the limit is cut
-	limitDecrease          = 0.9  // factor of one cut
-	limitIncrease          = 4.0  // attempts per backend that the limit grows by in one span of the average, at zero latency
+	limitDecrease          = 0.9  // a cut multiplies the limit by at most this factor
+	limitIncrease          = 4.0  // growth of the limit over one span of the average at zero latency, in attempts per backend
 	initialLimitPerBackend = 6.0  // limit at the start, for all agents together per backend
 	minLimitPerBackend     = 4.0  // lower bound of the limit: less would leave cores idle
 	maxBackendShares       = 3.0  // limit of one backend, as a multiple of its even share of the limit
-	maxWarmLoad            = 1.1  // limit of the warm backends, in shares of the limit, while others are in slow start
+	maxWarmLoad            = 1.1  // bound for the warm backends while others are in slow start, as a multiple of their share
 )
 
 // concurrencyLimiter adapts the limit per backend of the whole fleet. This agent's share of that limit is its quota.
@@ -52,15 +52,15 @@
 // sinceCut returns the time since the limit was last cut.
 func (l *concurrencyLimiter) sinceCut(now time.Duration) time.Duration { return now - l.cutAt }
 
-// adjust updates the limit with one latency sample, relative to the objective. While the moving average is above the
-// target, the limit is cut once per cooldown. While the limit binds below the target, the limit grows by the square of
-// the distance to the target: when a zone is lost the other zones must take over its share within seconds, but close to
-// the target one step too many overloads the backends. Departure: requests beyond the limit are queued and then
-// refused, since answers from a queue that is longer than the objectives are all late. The lower bound, a few attempts
-// per backend, keeps the backends busy in a fleet that is slow but has no queues.
+// adjust updates the limit with one latency sample, relative to the objective and capped at 2. While the moving average
+// is above the target, the limit is cut once per cooldown. While the average is below the target and the limit binds,
+// the limit grows by the square of the distance to the target: when a zone is lost the other zones must take over its
+// share within seconds, but close to the target one step too many overloads the backends. Departure: requests beyond
+// the limit are queued and then refused, since answers from a queue that is longer than the objectives are all late.
+// The lower bound, a few attempts per backend, keeps the backends busy in a fleet that is slow but has no queues.
 func (l *concurrencyLimiter) adjust(sample float64, now, cooldown time.Duration, inUse int, capacity float64) {
-	// The average spans as many samples as attempts may be in flight: over fewer, chance would cut a busy agent's
-	// limit.
+	// The average spans as many samples as attempts may be in flight: with fewer samples, random variation would cut
+	// the limit of a busy agent.
 	weight := min(smoothing, 1/l.limit(capacity))
 	l.latencyRatio += weight * (min(sample, 2) - l.latencyRatio)
 	switch {
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -49,14 +49,14 @@
 	backend.outlierState.recordFailure(0)
 	backend.outlierState.recordSuccess(b.now)
 	warmth, rawLatency := b.warmth(backend), latency
-	latency = max(latency*warmth, min(latency, a.expected)) // without the effect of slow start: the rest is queueing
+	latency = max(latency*warmth, min(latency, a.expected)) // without slow start: the excess over expected is queueing
 	b.throughput.add(b.now, b.expectedLatency(req)/class.latency/warmth)
 	b.zone(backend).recordLatencyRatio(min(latency/a.expected, maxLatencyRatio))
 	b.recordObservation(observeLatency(backend.gossipKey, latency/a.expected, b.now))
 	meanWorkLatency := class.meanWorkLatency(latency, req.work)
 	class.recordLatency(meanWorkLatency)
 	if !a.countedLate {
-		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // slow start is a cause of this ratio
+		if ratio := min(rawLatency/a.expected, maxLatencyRatio); warmth < 1 { // slow start raises this ratio
 			b.slowStart.recordRatio(ratio, b.kindRatios.of(req.class, backend.Kind), warmth)
 		} else if !backend.warmingUp {
 			b.kindRatios.recordRatio(req.class, backend.Kind, ratio)
@@ -99,8 +99,8 @@
 }
 
 // recordFailure records a failed attempt. It ejects the backend when its consecutive failures are improbable at the
-// baseline failure rate of the backends. When a process dies, all its outstanding attempts break and new connections are
-// refused; a backend with these signs counts as just started once it responds again.
+// baseline failure rate of the backends. When a process dies, all its outstanding attempts break and new connections
+// are refused; a backend with these signs counts as just started once it responds again.
 func (b *Balancer) recordFailure(a *attempt, class *classState, result Result) {
 	backend := a.backend
 	backend.outlierState.recordFailure(1)
@@ -132,13 +132,15 @@
 	}
 }
 
-// eject takes a backend out of ordinary traffic. The first ejection takes about one unit of time, later ones more.
+// eject takes a backend out of ordinary traffic. The first ejection lasts about one unit of time, later ejections last
+// longer.
 func (b *Balancer) eject(backend *backendState, unit time.Duration) {
 	b.markUnstable(backend)
 	backend.outlierState.eject(b.now, unit, b.rng.Float64())
 }
 
-// onOverdue counts an attempt as late when most of its objective has passed. Departure: an agent with a sparse quota
+// onOverdue records an attempt without an outcome as unanswered when its overdue timer fires, and as slow unless its
+// zone is failed over. With a sparse quota, the attempt also counts as late. Departure: an agent with a sparse quota
 // gets few responses, and in an overloaded fleet they arrive after the clients' timeouts, too late to act on.
 func (b *Balancer) onOverdue(a *attempt) {
 	if !a.open || a.untimed {
@@ -157,8 +159,8 @@
 	}
 }
 
-// applyObservation records a peer's observation unless it already has a newer one of the backend. The same observation
-// arrives by many paths, and if each copy counted, every backend would seem slow.
+// applyObservation records a peer's observation, unless the balancer has an observation of the backend that is at least
+// as new. The same observation arrives by many paths, and if each copy counted, every backend would seem slow.
 func (b *Balancer) applyObservation(n observation) {
 	backend := b.byGossipKey[n.key]
 	if backend == nil || backend.State != Up || !backend.startedBefore(n.observedAt) || n.observedAt <= backend.observedAt {
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -38,8 +38,9 @@
 	return best
 }
 
-// skip excludes a request that no backend can take now from next, until the end of the step. If the request is
-// unconstrained, no backend can take the other unconstrained requests of its class either: skip excludes them, too.
+// skip excludes a request, for which no backend was found, from the results of next until the end of the step. If the
+// request is unconstrained, no backend can take the other unconstrained requests of its class either, and skip excludes
+// these requests too.
 func (q *admissionQueue) skip(req *request) {
 	for _, other := range q.requests {
 		other.skipped = other.skipped || other == req ||
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -10,7 +10,7 @@
 	zone, cell        int // at the time of sending: a later endpoint update may change them
 	sentAt            time.Duration
 	sendDeadline      time.Duration // its last byte is sent by then; 0: no bound
-	expected          float64       // latency, ns
+	expected          float64       // expected latency, ns
 	open              bool          // has no outcome yet
 	countedLate       bool          // its latency was counted when it became overdue
 	countedUnanswered bool          // was counted as unanswered by its zone
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -13,7 +13,8 @@
 	maxBackoffUnits = 8.0      // longest backoff, in units
 )
 
-// retry schedules the next attempt of a request after a failed one, or ends the request.
+// retry schedules the next attempt of a request after a failed attempt, or finishes the request if no further attempt
+// is possible.
 func (b *Balancer) retry(req *request, result Result) {
 	cost := RetryCost(result)
 	unit := backoffUnit * float64(b.classes[req.class].LatencyObjective)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -28,7 +28,9 @@
 	return snapshot
 }
 
-// onRestore restores a snapshot. The content is not trusted: values that no process can have written are ignored.
+// onRestore restores a snapshot. The content is not trusted: values out of range are ignored. If the limit, the latency
+// ratio, the throughput or a demand of this agent is out of range, or a length does not match the settings, onRestore
+// restores only the tokens.
 func (b *Balancer) onRestore(event Restore) {
 	inRange := func(x, low, high float64) bool { return x >= low && x <= high }
 	b.retryBudget.Restore(event.Tokens)
