--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -105,7 +105,7 @@
 // step, and handled drains a second late. If there is no backend for one request there is none for others like it, so
 // ten times as many queued requests must take no more picks. The test counts picks by their allocations: each pick
 // allocates here, for the zones reserved for a bound request.
-func TestQueuedRequestsArePickedForOnce(t *testing.T) {
+func TestPicksDoNotGrowWithTheQueue(t *testing.T) {
 	allocations := func(queued int) float64 {
 		s := settings()
 		s.OverloadMultiple, s.InitialCapacity, s.SlowStartWindow = 1, 0.01, time.Hour
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -16,18 +16,18 @@
 type auditor struct {
 	s          balancer.Settings
 	now        time.Duration
-	requests   map[string]*audited
+	requests   map[string]*auditedRequest
 	backends   map[string]*auditedBackend
 	violations []string
 }
 
-type audited struct {
-	class       balancer.Class
-	deadline    time.Duration
-	sends       []auditedSend
-	ended       bool
-	abandonedAt time.Duration // when the client disconnected; a final answer in that step is allowed
-	stream      bool
+type auditedRequest struct {
+	class           balancer.Class
+	deadline        time.Duration
+	sends           []auditedSend
+	ended           bool
+	abandonedAt     time.Duration // when the client disconnected; a final answer in that step is allowed
+	responseStarted bool
 }
 
 type auditedSend struct {
@@ -45,7 +45,7 @@
 }
 
 func newAuditor(s balancer.Settings) *auditor {
-	return &auditor{s: s, requests: map[string]*audited{}, backends: map[string]*auditedBackend{}}
+	return &auditor{s: s, requests: map[string]*auditedRequest{}, backends: map[string]*auditedBackend{}}
 }
 
 func (a *auditor) violation(format string, args ...any) {
@@ -56,7 +56,7 @@
 	switch e := e.(type) {
 	case balancer.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.TimeRemaining}
+			a.requests[e.ID] = &auditedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.TimeRemaining}
 		}
 	case balancer.Outcome:
 		r := a.requests[e.Request]
@@ -68,7 +68,7 @@
 		r.ended = r.ended || e.Done
 	case balancer.ResponseStarted:
 		if r := a.requests[e.Request]; r != nil {
-			r.stream = true
+			r.responseStarted = true
 		}
 	case balancer.Abandoned:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
@@ -117,9 +117,9 @@
 			return
 		}
 		for _, s := range r.sends {
-			free := r.class.Idempotency == balancer.Idempotent ||
+			refusalAllowed := r.class.Idempotency == balancer.Idempotent ||
 				r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeAll
-			if (s.possiblyExecuted || s.outstanding) && !free {
+			if (s.possiblyExecuted || s.outstanding) && !refusalAllowed {
 				a.violation("%s refused though an attempt may have executed", act.Request)
 			}
 		}
@@ -136,7 +136,7 @@
 	}
 }
 
-func (a *auditor) final(id string) *audited {
+func (a *auditor) final(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
 	case r == nil:
@@ -144,7 +144,7 @@
 		return nil
 	case r.ended && r.abandonedAt != a.now:
 		a.violation("%s answered twice", id)
-	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
+	case a.now > r.deadline+a.s.AnswerGrace && !r.responseStarted:
 		a.violation("%s answered late", id)
 	}
 	r.ended, r.abandonedAt = true, 0
@@ -166,25 +166,25 @@
 	if b.unavailableAt > 0 && a.now > b.unavailableAt+a.s.DrainGrace {
 		a.violation("%s sent to %s, which has been draining or removed for %v", act.Request, act.Backend, a.now-b.unavailableAt)
 	}
-	var anchor *auditedSend
+	var firstExecuted *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
 		if s.outstanding && !a.s.HedgingAllowed {
 			a.violation("%s has two outstanding attempts", act.Request)
 		}
-		if anchor == nil && (s.outstanding || s.possiblyExecuted) {
-			anchor = s
+		if firstExecuted == nil && (s.outstanding || s.possiblyExecuted) {
+			firstExecuted = s
 		}
 	}
-	if anchor != nil {
-		from := a.backends[anchor.backend]
+	if firstExecuted != nil {
+		firstBackend := a.backends[firstExecuted.backend]
 		switch {
 		case r.class.Idempotency == balancer.NonIdempotent:
 			a.violation("%s sent again though it is not idempotent and may have executed", act.Request)
-		case r.class.Idempotency == balancer.IdempotencyKey && a.now-anchor.at > r.class.DedupWindow:
+		case r.class.Idempotency == balancer.IdempotencyKey && a.now-firstExecuted.at > r.class.DedupWindow:
 			a.violation("%s sent again after its deduplication window", act.Request)
-		case r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeZone && from.Zone != b.Zone,
-			r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeCell && from.Cell != b.Cell:
+		case r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeZone && firstBackend.Zone != b.Zone,
+			r.class.Idempotency == balancer.IdempotencyKey && r.class.Scope == balancer.ScopeCell && firstBackend.Cell != b.Cell:
 			a.violation("%s sent again outside its idempotency scope", act.Request)
 		}
 	}
@@ -215,22 +215,22 @@
 		}
 		return a.s.InitialCapacity + (1-a.s.InitialCapacity)*max(0, float64(a.now-b.started)/float64(a.s.SlowStartWindow))
 	}
-	most := 0.0
+	busiest := 0.0
 	for _, o := range a.backends {
 		if o != b {
-			most = max(most, float64(count(o, 3*span))/warmth(o))
+			busiest = max(busiest, float64(count(o, 3*span))/warmth(o))
 		}
 	}
-	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth(b)*most+3 {
+	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth(b)*busiest+3 {
 		a.violation("%s is in slow start for %v and got %d sends in %v; the busiest other backend, scaled to full warmth, %.1f in three times that",
-			b.ID, a.now-b.started, got, span, most)
+			b.ID, a.now-b.started, got, span, busiest)
 	}
 }
 
 // checkUnanswered checks that each request got its final answer by its deadline plus AnswerGrace.
 func (a *auditor) checkUnanswered() {
 	for id, r := range a.requests {
-		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
+		if !r.ended && !r.responseStarted && a.now > r.deadline+a.s.AnswerGrace {
 			a.violation("%s got no final answer in time", id)
 			r.ended = true
 		}
@@ -244,14 +244,14 @@
 		return balancer.Outcome{Request: "q", Attempt: n, Result: res, Done: res == balancer.OK}
 	}
 	refuse, fail := balancer.Refuse{Request: "q"}, balancer.Fail{Request: "q"}
-	off := balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
+	drainUpdate := balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 		Backends: []balancer.Backend{{ID: "a", State: balancer.Draining}}}
-	empty := balancer.EndpointUpdate{Kind: balancer.UpdateFull}
-	cold := balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
+	emptyUpdate := balancer.EndpointUpdate{Kind: balancer.UpdateFull}
+	restartUpdate := balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
 		class int
-		play  []any // events, actions, and durations by which the clock advances
+		steps []any // events, actions, and durations by which the clock advances
 		want  string
 	}{
 		{"no answer", idempotent, []any{2021 * ms}, "got no final answer in time"},
@@ -274,9 +274,9 @@
 			"outside its idempotency scope"},
 		{"after the window", scopeAll, []any{send("a"), 301 * ms, ended(0, balancer.Errored), send("b")},
 			"after its deduplication window"},
-		{"draining", idempotent, []any{off, 501 * ms, send("a")}, "has been draining or removed"},
-		{"removed from the list", idempotent, []any{empty, 501 * ms, send("b")}, "has been draining or removed"},
-		{"overloaded in slow start", idempotent, []any{cold, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
+		{"draining", idempotent, []any{drainUpdate, 501 * ms, send("a")}, "has been draining or removed"},
+		{"removed from the list", idempotent, []any{emptyUpdate, 501 * ms, send("b")}, "has been draining or removed"},
+		{"overloaded in slow start", idempotent, []any{restartUpdate, send("a"), ended(0, balancer.Rejected), send("a"), ended(1, balancer.Rejected),
 			send("a"), ended(2, balancer.Rejected), send("a")}, "is in slow start"},
 		{"message without GossipAllowed", idempotent, []any{balancer.SendGossip{To: 1, Data: []byte{1}}}, "bytes to peer 1 is not allowed"},
 		{"timer in the past", idempotent, []any{balancer.SetTimer{After: -1}}, "timer in the past"},
@@ -287,7 +287,7 @@
 			a.now = time.Hour
 			a.event(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(4)})
 			a.event(balancer.Request{ID: "q", Class: tt.class, TimeRemaining: 2000 * ms})
-			for _, p := range tt.play {
+			for _, p := range tt.steps {
 				switch p := p.(type) {
 				case time.Duration:
 					a.now += p
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -138,7 +138,7 @@
 	delete(b.requestTimers, token)
 	switch {
 	case token == 0:
-	case b.poll.isTimer(token):
+	case b.poll.timerFired(token):
 		b.actions = append(b.actions, Subscribe{})
 	case token == b.gossipTimer:
 		b.gossip()
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -47,7 +47,7 @@
 }
 
 // A request whose client has disconnected gets no retry and no final answer.
-func TestAbandonedRequestGetsNothingMore(t *testing.T) {
+func TestAbandonedRequestGetsNoFurtherAction(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
 	r.step(balancer.Abandoned{Request: "q"})
--- a/balancer/capacity_unit_test.go
+++ b/balancer/capacity_unit_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestStableBackendsAreAddedAndTakenAway(t *testing.T) {
+func TestStableBackendsAreAddedAndSubtracted(t *testing.T) {
 	var zone stableTotals
 	zone.addStable(1, 3)
 	zone.addStable(1, 2)
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestUnusualTimeoutsAreFound(t *testing.T) {
+func TestUnusualTimeoutsAreDetected(t *testing.T) {
 	const tick = 5 * time.Millisecond
 	c := &twoClasses()[0]
 	for i := range 50 {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -33,8 +33,8 @@
 // schedule sets the token of the timer of the next poll.
 func (p *endpointPoll) schedule(token int64) { p.timer = token }
 
-// isTimer reports whether a token is that of the poll timer. If so, isTimer clears the timer.
-func (p *endpointPoll) isTimer(token int64) bool {
+// timerFired reports whether a token is that of the poll timer. If so, timerFired clears the timer.
+func (p *endpointPoll) timerFired(token int64) bool {
 	if token != p.timer {
 		return false
 	}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/balancer"
 )
 
-func TestDrainingAndRemovedBackendsGetNothing(t *testing.T) {
+func TestDrainingAndRemovedBackendsGetNoRequests(t *testing.T) {
 	for _, state := range []balancer.BackendState{balancer.Draining, balancer.Removed} {
 		r := newRig(t, settings(), 1, backends(3))
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
@@ -100,7 +100,7 @@
 
 // When a fleet is replaced many times, the records of its former backends must be removed: memory and the cost of a
 // step depend only on the listed backends.
-func TestRemovedBackendsAreForgotten(t *testing.T) {
+func TestRecordsOfRemovedBackendsAreDeleted(t *testing.T) {
 	var before, after runtime.MemStats
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
--- a/balancer/endpoints_unit_test.go
+++ b/balancer/endpoints_unit_test.go
@@ -17,8 +17,8 @@
 			t.Errorf("after %d failures the next poll is in %v, want %v", n+1, got, want*time.Second)
 		}
 	}
-	if p.schedule(7); p.isTimer(6) || !p.isTimer(7) || p.isTimer(7) {
-		t.Error("isTimer does not match the scheduled token exactly once")
+	if p.schedule(7); p.timerFired(6) || !p.timerFired(7) || p.timerFired(7) {
+		t.Error("timerFired does not match the scheduled token exactly once")
 	}
 	if p.succeed(); p.retryDelay(0.5) != time.Second {
 		t.Error("a successful poll does not reset the backoff")
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -144,7 +144,7 @@
 
 // When a fleet grows fivefold, most backends are in slow start (incident i37feae). The load beyond their present
 // capacity must not overload the warm backends, nor any one of them.
-func TestFleetGrowthDoesNotLoadWarmBackends(t *testing.T) {
+func TestFleetGrowthDoesNotOverloadWarmBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	r.serve(100, idempotent, 50*ms)
 	grown := backends(20)
@@ -179,20 +179,20 @@
 	s.Balancers = 2
 	r := newRig(t, s, 1, backends(30))
 	latencies := []time.Duration{30, 40, 300, 20, 60, 380, 50, 90, 30, 100} // ms; mean 110, objective 400
-	refused, queue := 0, []string{}
+	refused, pending := 0, []string{}
 	for i := range 4000 {
 		id := fmt.Sprint("q", i)
 		if final(id, r.request(id, idempotent)) != "" {
 			refused++
 		}
-		queue = append(queue, id)
+		pending = append(pending, id)
 		r.now += ms
-		if len(queue) > 75 {
-			if len(r.sent[queue[0]]) > 0 {
+		if len(pending) > 75 {
+			if len(r.sent[pending[0]]) > 0 {
 				// latencies in runs of 25, so that twenty slow responses follow each other
-				r.outcome(queue[0], balancer.OK, latencies[(i/25)%10]*ms)
+				r.outcome(pending[0], balancer.OK, latencies[(i/25)%10]*ms)
 			}
-			queue = queue[1:]
+			pending = pending[1:]
 		}
 	}
 	if refused > 0 {
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -161,22 +161,22 @@
 
 // applyObservation records a peer's observation, unless the balancer has an observation of the backend that is at least
 // as new. The same observation arrives by many paths, and if each copy counted, every backend would seem slow.
-func (b *Balancer) applyObservation(n observation) {
-	backend := b.byGossipKey[n.key]
-	if backend == nil || backend.State != Up || !backend.startedBefore(n.observedAt) || n.observedAt <= backend.observedAt {
+func (b *Balancer) applyObservation(obs observation) {
+	backend := b.byGossipKey[obs.key]
+	if backend == nil || backend.State != Up || !backend.startedBefore(obs.observedAt) || obs.observedAt <= backend.observedAt {
 		return
 	}
 	switch {
-	case n.value == valueFailed:
-		if !backend.succeededSince(n.observedAt) && !backend.ejectedSince(n.observedAt) {
+	case obs.value == valueFailed:
+		if !backend.succeededSince(obs.observedAt) && !backend.ejectedSince(obs.observedAt) {
 			b.eject(backend, b.maxObjective)
 		}
-	case n.value == valueLate:
+	case obs.value == valueLate:
 		backend.outlierState.recordTimeout()
 		backend.recordLatency(lateLatencyRatio)
 	default:
-		backend.recordLatency(n.ratio())
-		backend.recordPeerSuccess(n.observedAt)
+		backend.recordLatency(obs.ratio())
+		backend.recordPeerSuccess(obs.observedAt)
 	}
-	b.recordObservation(n)
+	b.recordObservation(obs)
 }
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -141,11 +141,11 @@
 		return retried
 	}
 	tests := []struct {
-		name  string
-		res   balancer.Result
-		serve int // requests answered after the budget is empty
-		first int
-		then  int
+		name     string
+		res      balancer.Result
+		serve    int // requests answered after the budget is empty
+		full     int
+		refilled int
 	}{
 		{"errors cost 5", balancer.Errored, 4, 20, 0},
 		{"five successes fund one retry", balancer.Errored, 5, 20, 1},
@@ -156,13 +156,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t, s, 5, backends(6))
-			if got := spend(r, 30, tt.res); got != tt.first {
-				t.Errorf("a full budget funded %d retries, want %d", got, tt.first)
+			if got := spend(r, 30, tt.res); got != tt.full {
+				t.Errorf("a full budget funded %d retries, want %d", got, tt.full)
 			}
 			r.serve(tt.serve, idempotent, 20*ms)
 			r.advance(30 * time.Second)
-			if got := spend(r, 30, tt.res); got != tt.then {
-				t.Errorf("the refilled budget funded %d retries, want %d", got, tt.then)
+			if got := spend(r, 30, tt.res); got != tt.refilled {
+				t.Errorf("the refilled budget funded %d retries, want %d", got, tt.refilled)
 			}
 		})
 	}
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -114,11 +114,11 @@
 		if next < 0 {
 			break
 		}
-		token := r.timers[next]
+		fired := r.timers[next]
 		r.now = max(r.now, r.timersAt[next])
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
 		r.timersAt = append(r.timersAt[:next], r.timersAt[next+1:]...)
-		all = append(all, r.step(token)...)
+		all = append(all, r.step(fired)...)
 	}
 	r.now = end
 	return all
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -89,17 +89,17 @@
 		outstanding = remaining
 		switch rng.IntN(25) {
 		case 0:
-			n := &pool[rng.IntN(len(pool))]
-			n.State = balancer.BackendState(rng.IntN(3))
+			backend := &pool[rng.IntN(len(pool))]
+			backend.State = balancer.BackendState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				n.State, n.Started = balancer.Up, a.now
+				backend.State, backend.Started = balancer.Up, a.now
 			}
-			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{*n}})
+			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{*backend}})
 		case 1:
 			var full []balancer.Backend // may be empty
-			for _, n := range pool[:rng.IntN(len(pool)+1)] {
-				n.State = balancer.Up
-				full = append(full, n)
+			for _, backend := range pool[:rng.IntN(len(pool)+1)] {
+				backend.State = balancer.Up
+				full = append(full, backend)
 			}
 			events = append(events, balancer.EndpointUpdate{Kind: balancer.UpdateKind(1 + rng.IntN(2)), Backends: full})
 		case 2:
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -104,10 +104,10 @@
 		r.step(backendInSlowStart(r.now))
 		return r.overload()
 	}
-	with, without := requestsToIdle(&snapshot), requestsToIdle(nil)
-	if with < 2*without || with < 8 {
+	restoredCount, freshCount := requestsToIdle(&snapshot), requestsToIdle(nil)
+	if restoredCount < 2*freshCount || restoredCount < 8 {
 		t.Errorf("%d requests in 2 s to the idle backend in slow start, %d without a snapshot, want at least 8 and twice as many",
-			with, without)
+			restoredCount, freshCount)
 	}
 	for name, restored := range map[string]balancer.Snapshot{
 		"empty":         {},
