--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -25,13 +25,13 @@
 				if a, ok := a.(balancer.Refuse); ok && a.Request == id {
 					delays[a.RetryAfter] = true
 					if retryAfter != (a.RetryAfter >= 200*ms) || a.RetryAfter > 450*ms {
-						t.Errorf("with RetryAfter %v: a Retry-After of %v", retryAfter, a.RetryAfter)
+						t.Errorf("with RetryAfter %v: Retry-After %v, want 200ms to 450ms if true, less than 200ms if false", retryAfter, a.RetryAfter)
 					}
 				}
 			}
 		}
 		if retryAfter && len(delays) < 5 || !retryAfter && len(delays) != 1 {
-			t.Errorf("with RetryAfter %v: %d different values", retryAfter, len(delays))
+			t.Errorf("with RetryAfter %v: %d different values, want at least 5 if true and 1 if false", retryAfter, len(delays))
 		}
 	}
 }
@@ -102,9 +102,9 @@
 }
 
 // During a release the busiest agent spent its processor time on picking a backend for each queued request in each
-// step, and handled drains a second late. If there is no backend for one request there is none for others like it, so
-// ten times as many queued requests must take no more picks. The test counts picks by their allocations: each pick
-// allocates here, for the zones reserved for a bound request.
+// step, and handled drains a second late. If no backend can take one unconstrained request, no backend can take the
+// others of its class, so ten times as many queued requests must take no more picks. The test counts picks by their
+// allocations: here each pick allocates, for the zones reserved for a restricted request.
 func TestPicksDoNotGrowWithTheQueue(t *testing.T) {
 	allocations := func(queued int) float64 {
 		s := settings()
@@ -116,7 +116,7 @@
 		r := newRig(t, s, 5, list)
 		r.step(balancer.Residency{Table: &gate.Table{Permitted: [][]bool{nil, {true, false, false}},
 			Restricted: []bool{false, true}}},
-			balancer.Request{ID: "bound", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
+			balancer.Request{ID: "restricted", Class: idempotent, TimeRemaining: 2000 * ms, ResidencyRule: 1})
 		for n := range queued {
 			r.request(fmt.Sprint("q", n), idempotent)
 		}
@@ -126,7 +126,7 @@
 		return testing.AllocsPerRun(20, func() { r.b.Step(r.now, nil) })
 	}
 	if few, many := allocations(10), allocations(100); few == 0 || many > few+10 {
-		t.Errorf("%.0f allocations for 10 queued requests, %.0f for 100", few, many)
+		t.Errorf("%.0f allocations for 10 queued requests, want more than 0; %.0f for 100, want at most 10 more", few, many)
 	}
 }
 
@@ -152,7 +152,7 @@
 		t.Errorf("without queues %d of 200 requests were sent, want at least 198", n)
 	}
 	if n := countSent(320 * ms); n < 20 || n > 90 {
-		t.Errorf("at four fifths of the objective %d of 200 requests were sent, want 20 to 90", n)
+		t.Errorf("with a latency of four fifths of the objective %d of 200 requests were sent, want 20 to 90", n)
 	}
 }
 
--- a/balancer/auditor_test.go
+++ b/balancer/auditor_test.go
@@ -21,6 +21,7 @@
 	violations []string
 }
 
+// auditedRequest is the auditor's record of one request.
 type auditedRequest struct {
 	class           balancer.Class
 	deadline        time.Duration
@@ -30,6 +31,7 @@
 	responseStarted bool
 }
 
+// auditedSend is the auditor's record of one attempt.
 type auditedSend struct {
 	backend          string
 	at               time.Duration
@@ -37,6 +39,7 @@
 	possiblyExecuted bool // true also while outstanding
 }
 
+// auditedBackend is the auditor's record of one backend.
 type auditedBackend struct {
 	balancer.Backend
 	unavailableAt time.Duration // when the endpoint list first had it as draining or removed
@@ -48,10 +51,12 @@
 	return &auditor{s: s, requests: map[string]*auditedRequest{}, backends: map[string]*auditedBackend{}}
 }
 
+// violation records that a rule was broken at the present time.
 func (a *auditor) violation(format string, args ...any) {
 	a.violations = append(a.violations, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
+// event records an event that the balancer received.
 func (a *auditor) event(e balancer.Event) {
 	switch e := e.(type) {
 	case balancer.Request:
@@ -107,6 +112,7 @@
 	}
 }
 
+// action checks an action that the balancer returned.
 func (a *auditor) action(act balancer.Action) {
 	switch act := act.(type) {
 	case balancer.Send:
@@ -136,6 +142,7 @@
 	}
 }
 
+// final checks and records a final answer, and returns the record of its request, or nil for an unknown request.
 func (a *auditor) final(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
@@ -151,6 +158,7 @@
 	return r
 }
 
+// send checks and records a Send.
 func (a *auditor) send(act balancer.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
@@ -222,7 +230,7 @@
 		}
 	}
 	if got := count(b, span); float64(got) > a.s.OverloadMultiple*warmth(b)*busiest+3 {
-		a.violation("%s is in slow start for %v and got %d sends in %v; the busiest other backend, scaled to full warmth, %.1f in three times that",
+		a.violation("%s is in slow start for %v and got %d sends in %v; the busiest other backend, scaled to full warmth, got %.1f in three times that span",
 			b.ID, a.now-b.started, got, span, busiest)
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -88,9 +88,9 @@
 		return log
 	}
 	if !reflect.DeepEqual(play(11), play(11)) {
-		t.Error("two runs with the same seed differ")
+		t.Error("two runs with the same seed differ, want the same actions")
 	}
 	if reflect.DeepEqual(play(11), play(12)) {
-		t.Error("two runs with different seeds are equal")
+		t.Error("two runs with different seeds are equal, want different actions")
 	}
 }
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -45,19 +45,19 @@
 	if got.up != want.up || got.uncountedOutstanding != want.uncountedOutstanding ||
 		got.warmOutstanding != want.warmOutstanding ||
 		math.Abs(got.capacity-want.capacity) > 1e-6 || math.Abs(got.warmCapacity-want.warmCapacity) > 1e-6 {
-		t.Fatalf("%s: %+v, want %+v", when, got, want)
+		t.Fatalf("%s: incremental totals %+v, want %+v", when, got, want)
 	}
 	up := 0
 	for _, z := range b.zones {
 		up += z.up
 	}
 	if up != want.up || len(got.unstable) > len(b.backends) {
-		t.Fatalf("%s: the zones have %d backends up, want %d; %d of %d backends are unstable",
+		t.Fatalf("%s: the zones have %d backends up, want %d; %d backends are unstable, want at most %d",
 			when, up, want.up, len(got.unstable), len(b.backends))
 	}
 }
 
-// The totals stay right when a backend is presumed dead through an attempt that was sent before its ejection.
+// The totals stay correct when a backend is presumed dead through an attempt that was sent before its ejection.
 func TestTotalsFollowALateOutcome(t *testing.T) {
 	settings := totalsSettings()
 	settings.Balancers = 1
--- a/balancer/capacity_unit_test.go
+++ b/balancer/capacity_unit_test.go
@@ -18,7 +18,7 @@
 			totals.uncountedOutstanding, totals.inUse())
 	}
 	if totals.reset(); totals.capacity != 0 || totals.inFlight != 20 || totals.inUse() != 20 {
-		t.Errorf("after a reset: %+v, want 0 but for 20 in flight", totals)
+		t.Errorf("after a reset: %+v, want a capacity of 0, 20 attempts in flight and 20 in use", totals)
 	}
 }
 
@@ -29,6 +29,6 @@
 	zone.addStable(0, 1)
 	zone.addStable(-1, -4)
 	if zone.stableBackends != 1 || zone.stableOutstanding != 2 {
-		t.Errorf("%+v, want one backend with 2 attempts", zone)
+		t.Errorf("stable totals %+v, want one backend with 2 attempts", zone)
 	}
 }
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -16,7 +16,7 @@
 func TestExpectedLatencyScalesWithAnnouncedWork(t *testing.T) {
 	c := &twoClasses()[0]
 	if c.latency != float64(objective)/4 || c.expectedLatency(5) != c.latency {
-		t.Errorf("latency %v at the start, %v for announced work without mean work, want a quarter of the objective",
+		t.Errorf("latency %v at the start, %v for announced work without mean work, want a quarter of the objective for both",
 			c.latency, c.expectedLatency(5))
 	}
 	c.updateMeanWork(0)
@@ -25,7 +25,7 @@
 		t.Errorf("expected latency %v for three times the mean work, want three times %v", got, c.latency)
 	}
 	if got := c.meanWorkLatency(3*c.latency, 30); !near(got, c.latency) || c.expectedLatency(0) != c.latency {
-		t.Errorf("latency %v scaled to mean work, want %v", got, c.latency)
+		t.Errorf("latency %v scaled to mean work, want %v, also as the expected latency without announced work", got, c.latency)
 	}
 }
 
@@ -40,15 +40,15 @@
 	for timeout, want := range map[time.Duration]bool{880 * time.Millisecond: true, 900 * time.Millisecond: false,
 		920 * time.Millisecond: true} {
 		if got := c.updateUsualTimeout(timeout, tick, true); got != want {
-			t.Errorf("timeout %v: unusual %v, want the opposite", timeout, got)
+			t.Errorf("timeout %v: unusual %v, want the other value", timeout, got)
 		}
 	}
 	before := c.usualTimeout
 	if c.updateUsualTimeout(time.Millisecond, tick, true); c.usualTimeout != before {
-		t.Error("a client's retry moves the usual timeout")
+		t.Error("the timeout of a client's retry changed the usual timeout, want no change")
 	}
 	if c.updateUsualTimeout(time.Millisecond, tick, false); c.usualTimeout != before-tick/4 {
-		t.Errorf("one short timeout lowers the usual one by %v, want a quarter of a tick", before-c.usualTimeout)
+		t.Errorf("one short timeout lowers the usual timeout by %v, want a quarter of a tick", before-c.usualTimeout)
 	}
 }
 
@@ -80,7 +80,7 @@
 			classes[0].marginalValue, classes[1].marginalValue)
 	}
 	if !classes.lowestPriority(0) || classes.lowestPriority(1) || classes.maxObjective() != objective {
-		t.Error("lowestPriority or maxObjective is wrong")
+		t.Error("lowestPriority or maxObjective is wrong, want class 0 as the lowest priority and the objective of class 0")
 	}
 }
 
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -94,7 +94,7 @@
 	}
 	r := newRig(t, settings(), 1, backends(2))
 	if n := polls(append(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed}), r.advance(time.Minute)...)); n != 0 {
-		t.Error("the agent polled though updates are pushed")
+		t.Error("the agent polled after a failure while updates are pushed, want no poll")
 	}
 }
 
--- a/balancer/endpoints_unit_test.go
+++ b/balancer/endpoints_unit_test.go
@@ -18,10 +18,10 @@
 		}
 	}
 	if p.schedule(7); p.timerFired(6) || !p.timerFired(7) || p.timerFired(7) {
-		t.Error("timerFired does not match the scheduled token exactly once")
+		t.Error("want timerFired to be true once, for the scheduled token 7 only")
 	}
 	if p.succeed(); p.retryDelay(0.5) != time.Second {
-		t.Error("a successful poll does not reset the backoff")
+		t.Error("the delay after a successful poll and one failure is not 1s: want the backoff reset")
 	}
 }
 
@@ -33,6 +33,6 @@
 		}
 	}
 	if s.CrossRegionCost = 0; s.crossingCost(2) != 0.02 {
-		t.Error("another region costs less than another zone")
+		t.Error("another region does not cost 0.02 with a CrossRegionCost of 0, want the CrossZoneCost")
 	}
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -10,19 +10,19 @@
 	"martenbeam/balancer"
 )
 
-// Backends were overloaded within two seconds (join+vast), but with cuts of a tenth per round the limit fell by half
-// only in three. Each cut must be in proportion to the excess of latency over the target.
+// Backends were overloaded within two seconds (join+vast), but with cuts of a tenth per round the limit took three
+// seconds to fall by half. Each cut must be in proportion to the excess of latency over the target.
 func TestLimitFallsWithOverload(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	before, after := 0, 0
 	for n := range 6 {
-		before = r.burst(fmt.Sprint("calm", n), 60*ms)
+		before = r.burst(fmt.Sprint("fast", n), 60*ms)
 	}
 	for n := range 4 {
-		after = r.burst(fmt.Sprint("jam", n), 360*ms)
+		after = r.burst(fmt.Sprint("slow", n), 360*ms)
 	}
 	if before < 40 || after > before*2/3 {
-		t.Errorf("%d in flight before the overload, %d after three slow rounds, want at least 40 and at most two thirds",
+		t.Errorf("%d in flight before the overload, %d after three slow rounds, want at least 40 and at most two thirds of the first",
 			before, after)
 	}
 }
@@ -75,7 +75,7 @@
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
 		if len(r.sent[id]) == 0 && final(id, all) != "refuse" {
-			t.Errorf("%s: %q, want one refusal", id, final(id, all))
+			t.Errorf("%s: final answer %q, want one refusal", id, final(id, all))
 		}
 	}
 }
@@ -94,7 +94,7 @@
 		return n
 	}
 	if one, many := inFlight(1), inFlight(20); many*10 > one {
-		t.Errorf("%d in flight for one of 20 agents and %d for a single agent, want at most a tenth", many, one)
+		t.Errorf("%d in flight for one of 20 agents and %d for a single agent, want at most a tenth of the latter", many, one)
 	}
 }
 
@@ -189,7 +189,7 @@
 		r.now += ms
 		if len(pending) > 75 {
 			if len(r.sent[pending[0]]) > 0 {
-				// latencies in runs of 25, so that twenty slow responses follow each other
+				// each latency applies to 25 requests in a row, so that slow responses follow one another
 				r.outcome(pending[0], balancer.OK, latencies[(i/25)%10]*ms)
 			}
 			pending = pending[1:]
@@ -225,7 +225,7 @@
 		return len(inFlight) * balancers
 	}
 	if one, many := totalInFlight(1), totalInFlight(20); one < 130 || many > one*3/2 {
-		t.Errorf("in flight after four rounds: one agent %d, want at least 130; 20 agents %d, want at most half as much again",
+		t.Errorf("in flight after four rounds: one agent %d, want at least 130; 20 agents %d, want at most 1.5 times as many",
 			one, many)
 	}
 }
--- a/balancer/limiter_unit_test.go
+++ b/balancer/limiter_unit_test.go
@@ -19,7 +19,7 @@
 	}
 	first := l.perBackend
 	if first >= initialLimitPerBackend || first < minLimitPerBackend {
-		t.Fatalf("limit per backend %v after a cut", first)
+		t.Fatalf("limit per backend %v after a cut, want less than initialLimitPerBackend, but at least minLimitPerBackend", first)
 	}
 	if l.adjust(2, now+cooldown, cooldown, 0, capacity); l.perBackend != first {
 		t.Error("the limit was cut again within the cooldown")
@@ -31,7 +31,7 @@
 		l.adjust(2, now+time.Duration(n+2)*2*cooldown, cooldown, 0, capacity)
 	}
 	if l.perBackend != minLimitPerBackend {
-		t.Errorf("limit per backend %v after many cuts, want the lower bound", l.perBackend)
+		t.Errorf("limit per backend %v after many cuts, want minLimitPerBackend", l.perBackend)
 	}
 }
 
@@ -44,26 +44,26 @@
 	}
 	nearTarget.adjust(0.9*targetLatencyRatio, time.Second, 0, 60, 10)
 	if idle.perBackend != initialLimitPerBackend {
-		t.Errorf("the limit grew to %v while it did not bind", idle.perBackend)
+		t.Errorf("limit per backend %v after fast responses while the limit did not bind, want the initial limit", idle.perBackend)
 	}
 	if busy.perBackend <= initialLimitPerBackend {
-		t.Error("the limit did not grow while it bound")
+		t.Error("the limit did not grow while it was binding, want growth after fast responses")
 	}
 	if grown := nearTarget.perBackend - initialLimitPerBackend; grown <= 0 || grown > 0.02*limitIncrease*smoothing {
-		t.Errorf("the limit grew by %v close to the target, want a small growth above 0", grown)
+		t.Errorf("the limit grew by %v close to the target, want more than 0 and at most 2%% of the fastest growth", grown)
 	}
 }
 
 func TestLimiterBoundsEachBackend(t *testing.T) {
 	l := newConcurrencyLimiter(3)
 	if got := l.backendLimit(); got != maxBackendShares*initialLimitPerBackend*l.quota {
-		t.Errorf("backendLimit %v, want maxBackendShares even shares", got)
+		t.Errorf("backendLimit %v, want maxBackendShares times the share of this agent in the initial limit", got)
 	}
 	if l.quota = 1e-6; l.backendLimit() != 1 || l.limit(10) != 1 || l.warmLimit(10) != 1 {
-		t.Error("a small quota allows no attempt at all")
+		t.Error("with a small quota a limit is not 1, want limits of one attempt")
 	}
 	if !l.allows(0, 10) || l.allows(1, 10) {
-		t.Error("a limit of 1 should allow one attempt")
+		t.Error("a limit of 1 does not allow exactly one attempt, want the first allowed and the second not")
 	}
 }
 
@@ -72,7 +72,7 @@
 	for name, c := range map[string]struct {
 		ratio     float64
 		gossiping bool
-		want      float64 // of the work
+		want      float64 // credit, as a multiple of the work
 	}{
 		"at the target":         {targetLatencyRatio, true, 1},
 		"twice the target":      {2 * targetLatencyRatio, true, 0.25},
@@ -83,7 +83,7 @@
 		var account creditAccount
 		account.accrue(work, c.ratio, mean, c.gossiping)
 		if got := account.credit / work; got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("%s: %v of the work, want %v", name, got, c.want)
+			t.Errorf("%s: a credit of %v times the work, want %v", name, got, c.want)
 		}
 	}
 }
@@ -95,14 +95,14 @@
 		account.accrue(mean, 0, mean, true)
 	}
 	if account.credit != creditBurst*mean {
-		t.Fatalf("credit %v after 100 first attempts without sends, want a burst", account.credit)
+		t.Fatalf("credit %v after 100 first attempts without sends, want creditBurst mean requests", account.credit)
 	}
 	account.spend(2 * mean)
 	if !account.covers(mean, 0, 1e9) || !account.covers(mean, 0.4e9, 1e9) || account.covers(mean, 0.6e9, 1e9) {
-		t.Error("half of the burst should cover a class only if less than half of the work is in more valuable classes")
+		t.Error("half of the burst covers the wrong classes, want those below which less than half of the work is more valuable")
 	}
 	account.spend(2 * mean)
 	if account.covers(mean, 0, 1e9) {
-		t.Error("an empty account covers a request")
+		t.Error("an account without credit covers a request, want none covered")
 	}
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Files that make decisions are listed under policy in the deploy file, and each has at most 240 lines that are not
-// blank: a longer file must be split by what it decides. Each other file contains the sentence "Nothing is decided
+// Files that make decisions are listed under policy in the deploy file, and each has 10 to 240 lines that are not blank:
+// a longer file must be split by what it decides. Each other file contains the sentence "Nothing is decided
 // here.", or is part of the package's interface.
 func TestPolicyLimits(t *testing.T) {
 	const maxLines, minLines, maxLength = 240, 10, 130
@@ -33,7 +33,7 @@
 		}
 		policy[name] = true
 		if lines := countLines(t, name, maxLength); lines < minLines || lines > maxLines {
-			t.Errorf("%s: %d lines that are not blank, want %d at most", name, lines, maxLines)
+			t.Errorf("%s: %d lines that are not blank, want 10 to %d", name, lines, maxLines)
 		}
 	}
 	files, err := filepath.Glob("*.go")
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -51,7 +51,7 @@
 	}
 	q.skip(all[3])
 	if next := q.next(byClass); next != nil {
-		t.Fatalf("next is %v after all were skipped", next)
+		t.Fatalf("next is %v after all were skipped, want nil", next)
 	}
 	visited := ""
 	q.visitNewestFirst(func(req *request) {
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -53,7 +53,7 @@
 				}
 			}
 			if got != tt.want {
-				t.Errorf("got %q, want %q", got, tt.want)
+				t.Errorf("after the outcome: %q, want %q", got, tt.want)
 			}
 		})
 	}
@@ -247,7 +247,7 @@
 			r := newRig(t, s, seed, list)
 			start := r.now
 			if a := r.request("q", class); firstSend(t, a).SendDeadline != 0 {
-				t.Fatal("the first attempt has a SendDeadline")
+				t.Fatal("the first attempt has a SendDeadline, want 0")
 			}
 			first := r.sent["q"][0][0] - 'a'
 			moved := list[first]
@@ -258,10 +258,11 @@
 			r.advance(200 * ms)
 			for _, id := range r.sent["q"][1:] {
 				if b := list[id[0]-'a']; b.Cell != list[first].Cell || b.ID == moved.ID {
-					t.Fatalf("class %d, seed %d: retried at %s after %s, which has moved", class, seed, id, moved.ID)
+					t.Fatalf("class %d, seed %d: retry at %s, want another backend of the cell in which %s was at first",
+						class, seed, id, moved.ID)
 				}
 				if send := firstSend(t, r.actions); send.SendDeadline != start+s.Classes[class].DedupWindow {
-					t.Fatalf("class %d: SendDeadline %v, %v after the first attempt",
+					t.Fatalf("class %d: SendDeadline %v, %v after the first attempt, want the deduplication window of 300ms",
 						class, send.SendDeadline, send.SendDeadline-start)
 				}
 				retries++
--- a/balancer/retrybudget_test.go
+++ b/balancer/retrybudget_test.go
@@ -20,7 +20,7 @@
 		b.Refill()
 	}
 	if b.Covers(RetryCost(TimedOut)) {
-		t.Error("nine successes cover a retry after a time-out")
+		t.Error("nine successes cover a retry after a time-out, want ten to be necessary")
 	}
 	if b.Refill(); !b.Covers(RetryCost(TimedOut)) || RetryCost(TimedOut) != 2*RetryCost(Reset) {
 		t.Errorf("ten successes give %v tokens, want enough for one retry after a time-out, at twice the usual cost", b.Tokens())
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -21,6 +21,7 @@
 	scopeCell
 )
 
+// settings returns the test settings: one agent, and classes of equal weight that differ in idempotency.
 func settings() balancer.Settings {
 	class := func(idempotency balancer.Idempotency, scope balancer.IdempotencyScope) balancer.Class {
 		return balancer.Class{LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: idempotency,
@@ -66,6 +67,7 @@
 	audit    *auditor          // checks the rules; may be nil
 }
 
+// newRig returns a rig whose balancer has the listed backends, from a cached endpoint list.
 func newRig(t *testing.T, s balancer.Settings, seed uint64, list []balancer.Backend) *rig {
 	t.Helper()
 	b, err := balancer.New(s, seed)
@@ -77,6 +79,7 @@
 	return r
 }
 
+// step handles the events at the present time, records the actions and returns them.
 func (r *rig) step(events ...balancer.Event) []balancer.Action {
 	r.actions = r.b.Step(r.now, events)
 	if r.audit != nil {
@@ -124,6 +127,7 @@
 	return all
 }
 
+// request submits a request with 2 s until its client stops waiting.
 func (r *rig) request(id string, class int) []balancer.Action {
 	return r.step(balancer.Request{ID: id, Class: class, TimeRemaining: 2000 * ms})
 }
@@ -195,6 +199,7 @@
 	return found
 }
 
+// firstSend returns the first Send among the actions, and fails the test if there is none.
 func firstSend(t *testing.T, actions []balancer.Action) balancer.Send {
 	t.Helper()
 	for _, a := range actions {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -52,7 +52,7 @@
 // backends keep all attempts outstanding. overload returns how many requests z got.
 func (r *rig) overload() (n int) {
 	for i := range 40 {
-		id := fmt.Sprint("crowd", len(r.sent), "-", i)
+		id := fmt.Sprint("overload", len(r.sent), "-", i)
 		r.receiveIdlePeers()
 		r.request(id, idempotent)
 		r.advance(20 * ms)
@@ -78,7 +78,7 @@
 		r.serve(10, idempotent, 10*ms) // 25 per second for each backend
 	}
 	r.step(backendInSlowStart(r.now))
-	if n := r.overload(); n < 12 { // a fifth of that times the square root of 2.5 is 8 per second
+	if n := r.overload(); n < 12 { // 25 per second, times a fifth, times the square root of 2.5: 8 per second
 		t.Errorf("%d requests in 2 s to the idle backend, want at least 12", n)
 	}
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -30,13 +30,13 @@
 		r.step(balancer.BodyComplete{Request: fmt.Sprint("large", i)})
 	}
 	if r.request("late", idempotent); len(r.sent["late"]) > 0 {
-		t.Error("a request was sent past the limit: attempts whose body is complete don't count")
+		t.Error("a request was sent although attempts with complete bodies reach the limit, want it queued")
 	}
 	for i := range 40 {
 		r.outcome(fmt.Sprint("large", i), balancer.OK, 10*ms)
 	}
 	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
-		t.Errorf("%d of 20 requests served afterwards", n)
+		t.Errorf("%d of 20 requests served after the large requests ended, want all", n)
 	}
 }
 
@@ -50,7 +50,7 @@
 		all := r.outcome("q", result, 10*ms)
 		all = append(all, r.advance(2000*ms)...)
 		if len(r.sent["q"]) != 1 || final("q", all) != want {
-			t.Errorf("%v: %d attempts, final answer %q, want %q", result, len(r.sent["q"]), final("q", all), want)
+			t.Errorf("result %v: %d attempts, final answer %q, want 1 and %q", result, len(r.sent["q"]), final("q", all), want)
 		}
 	}
 }
@@ -77,6 +77,6 @@
 		}
 	}
 	if n := r.serve(20, idempotent, 10*ms)["a"]; n != 20 {
-		t.Errorf("%d of 20 requests served afterwards", n)
+		t.Errorf("%d of 20 requests served after the large responses ended, want all", n)
 	}
 }
