--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -9,13 +9,13 @@
 
 // candidates keeps the best backends offered so far.
 type candidates struct {
-	remaining                  int           // idle backends that may still be offered
-	idle, busy, ejected        *backendState // the best of each sort; nil: none
+	remaining                  int           // number of idle backends that may still be offered
+	idle, busy, ejected        *backendState // the backend chosen so far among those offered as such; nil: none
 	totalWeight                float64       // sum over the idle backends offered
-	lowestScore, lowestPenalty float64       // of busy and of ejected
+	lowestScore, lowestPenalty float64       // score of busy, penalty of ejected; infinite: none
 }
 
-// newCandidates returns an empty set, which accepts up to subset idle backends.
+// newCandidates returns an empty set, which is full after maxIdle idle backends.
 func newCandidates(maxIdle int) candidates {
 	return candidates{remaining: maxIdle, lowestScore: math.Inf(1), lowestPenalty: math.Inf(1)}
 }
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -1,19 +1,19 @@
 package balancer
 
 // Zone failover: when all traffic is moved out of a zone, and how the zone is put back into use. The backends of a zone
-// that is lost or partitioned off don't respond. If each backend were detected separately, attempts would wait there
-// until their clients' deadlines and fill the concurrency limit while the other zones are idle.
+// that is lost or partitioned off don't respond. If each backend were detected separately, attempts at these backends
+// would wait until their clients' deadlines and fill the concurrency limit while the other zones are idle.
 
 import "time"
 
 // recordUnanswered counts an overdue attempt, or one that timed out while connecting, as evidence that its zone is lost.
-// It counts only if no response of any kind has arrived from the zone since the attempt was sent: a zone that is merely
-// slow still responds.
+// An attempt counts once, and only if no response of any kind has arrived from the zone since the attempt was sent: a
+// zone that is merely slow still responds.
 func (b *Balancer) recordUnanswered(a *attempt, result Result) {
 	z := b.zone(a.backend)
 	if a.countedUnanswered || z.failedOver || z.respondedSince(a.sentAt) ||
 		result != ConnectFailed && float64(b.now-a.sentAt) < overdueLatencies*a.expected {
-		return // queues everywhere raise the expected latency: a wait below this multiple of it is not evidence
+		return // queues in all zones raise the expected latency, so a shorter wait may be due to queueing
 	}
 	a.countedUnanswered = true
 	z.recordUnanswered(a.sentAt, b.zones.baselineUnansweredRate(z), &a.backend.unanswered)
@@ -21,8 +21,8 @@
 }
 
 // evaluateZone fails over from a zone if the sequential test and the peers' reports since the zone's last response
-// indicate that it is lost. Each response discards the reports, so they have no effect at an agent that frequently gets
-// responses from the zone.
+// indicate that the zone is lost, and another zone is healthy. Each response discards the reports, so reports have no
+// effect at an agent that frequently gets responses from the zone. ownEvidence is false if a report is the occasion.
 func (b *Balancer) evaluateZone(z *zone, ownEvidence bool) {
 	validity := time.Duration(reportObjectives * float64(b.maxObjective))
 	if lost := z.lost(b.now, validity); lost && !z.failedOver && b.zones.otherZoneHealthy(z) {
@@ -30,9 +30,9 @@
 	}
 }
 
-// onLossReport applies a peer's report of the zones that the peer found lost on its own evidence. It ignores a report
-// that includes this agent's own zone: the peer is on the other side of a network partition, and its reports don't
-// apply on this side.
+// onLossReport applies a peer's report of the zones that the peer found lost on its own evidence, except for zones that
+// have recently responded to this agent. It ignores a report that includes this agent's own zone: the peer is on the
+// other side of a network partition, and its reports don't apply on this side.
 func (b *Balancer) onLossReport(from int, lost uint16) {
 	if lost == 0 || b.settings.Zone < maxLossZones && lost>>max(b.settings.Zone, 0)&1 != 0 {
 		return
@@ -41,7 +41,7 @@
 		if lost>>i&1 == 0 || z.failedOver || z.respondedRecently(b.now, time.Duration(b.classes[0].latency)) {
 			continue
 		}
-		z.recordReport(from, b.now, b.now-b.maxObjective) // failover requires a response of another zone after that time
+		z.recordReport(from, b.now, b.now-b.maxObjective) // evaluateZone requires a response from another zone after this time
 		b.evaluateZone(z, false)
 	}
 }
@@ -58,7 +58,8 @@
 	}
 }
 
-// failOver moves the traffic of a zone to the other zones until its health checks succeed.
+// failOver moves the traffic of a zone to the other zones until its health checks succeed. A failover on this agent's
+// own evidence is also reported to peers.
 func (b *Balancer) failOver(z *zone, ownEvidence bool) {
 	z.failoverState.failOver(b.now, b.settings.SlowStartWindow+1, ownEvidence)
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number, FailedOver: true, ByGossip: !ownEvidence})
@@ -109,7 +110,7 @@
 	b.actions = append(b.actions, ZoneStateChanged{Zone: z.number})
 	z.recover(b.now)
 	z.reset(b.now)
-	for _, backend := range b.backends { // the zone's outage caused their failures and time-outs
+	for _, backend := range b.backends { // the zone's outage caused the failures and time-outs of its backends
 		if b.zone(backend) == z {
 			backend.clearFailuresSince(z.suspectedSince)
 		}
@@ -122,8 +123,9 @@
 	return z.failoverState.trafficShare(b.now, b.maxObjective)
 }
 
-// closedZones returns, by zone number, which zones are closed to a request. It returns nil if none is, and also if no
-// permitted zone with backends is free of a failover.
+// closedZones returns, by zone number, which zones a request must avoid: failed-over zones, a random part of recovering
+// zones, and reserved zones. It returns nil, which closes no zone, if every permitted zone that has backends is failed
+// over.
 func (b *Balancer) closedZones(req *request) []bool {
 	reserved := b.reservedZones(req)
 	if b.allZonesOpen {
--- a/balancer/failoverstate.go
+++ b/balancer/failoverstate.go
@@ -10,10 +10,10 @@
 
 const (
 	recoveryProbes        = 2    // consecutive successful health checks before the zone recovers
-	minFailOverObjectives = 0.5  // shortest failover, in longest objectives; doubles with each step of backoffExponent
-	probesPerObjective    = 50.0 // number of agents above which the interval grows, so that the fleet's check rate doesn't
+	minFailOverObjectives = 0.5  // minimum length of a failover, in longest objectives; doubles with each step of backoffExponent
+	probesPerObjective    = 50.0 // fleet size above which the interval grows in proportion, which bounds the fleet's rate
 	recoveryObjectives    = 2.0  // length of the recovery ramp, in longest objectives
-	initialTrafficShare   = 0.1  // share of its traffic at the start of the recovery ramp
+	initialTrafficShare   = 0.1  // share of the zone's usual traffic at the start of the recovery ramp
 	maxBackoffExponent    = 4.0  // bound of backoffExponent for a zone that fails repeatedly
 )
 
@@ -24,7 +24,7 @@
 	failedOverAt         time.Duration // latest failover
 	backoffExponent      float64       // decayed number of failovers
 	probeTimer           int64         // token of the timer of the next health check
-	consecutiveSuccesses int           // successful health checks since the last failed one
+	consecutiveSuccesses int           // successful health checks since the latest failed one
 	canary               bool          // one request may be sent to the zone in place of a health check
 	recoveryStartedAt    time.Duration // 0: the zone has its full share of traffic
 }
@@ -37,7 +37,7 @@
 	f.failedOverAt = now
 }
 
-// backoff returns the factor by which earlier failovers lengthen the intervals of the present one.
+// backoff returns the factor by which earlier failovers lengthen the intervals of the current failover.
 func (f *failoverState) backoff() float64 { return math.Exp2(f.backoffExponent - 1) }
 
 // probeInterval returns the mean time in ns between two health checks by one agent, in a fleet of the given size.
@@ -53,9 +53,9 @@
 func (f *failoverState) allowCanary() { f.canary = true }
 func (f *failoverState) takeCanary()  { f.canary = false }
 
-// recordProbe counts a health check, or the response to a request, and reports whether the zone should recover. Late
-// responses count, too. The minimum length of a failover prevents a zone that stalls and resumes from alternating
-// quickly between failover and recovery.
+// recordProbe counts a health check, or the response to a request, and reports whether the zone should recover.
+// Responses to attempts sent before the failover count, too. The minimum length of a failover prevents a zone that
+// stalls and resumes from alternating quickly between failover and recovery.
 func (f *failoverState) recordProbe(ok bool, now, maxObjective time.Duration) bool {
 	if f.consecutiveSuccesses++; !ok {
 		f.consecutiveSuccesses = 0
@@ -68,7 +68,7 @@
 func (f *failoverState) recover(now time.Duration) { f.failedOver, f.recoveryStartedAt = false, now }
 
 // trafficShare returns the share of its usual traffic that the zone may get now: 0 while failed over, then a growing
-// share until the recovery ramp ends at 1.
+// share until the recovery ramp ends at 1. It clears recoveryStartedAt at the end of the ramp.
 func (f *failoverState) trafficShare(now, maxObjective time.Duration) float64 {
 	switch {
 	case f.failedOver:
@@ -84,7 +84,7 @@
 	return min(share, 1)
 }
 
-// recentOwnLoss reports whether the zone is failed over on this agent's own evidence, and since less than the span.
+// recentOwnLoss reports whether the zone is in a failover that began less than span ago on this agent's own evidence.
 func (f *failoverState) recentOwnLoss(now, span time.Duration) bool {
 	return f.failedOver && f.ownEvidence && now-f.failedOverAt < span
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -25,9 +25,10 @@
 	}
 }
 
-// gossip sends this agent's demand to peers and recomputes its quota. With more peers than gossipFanout it sends to a
-// random sample, and the quota treats the peers that have reported recently as representative of all: the number of
-// messages to all peers would grow with the square of the number of agents.
+// gossip recomputes this agent's quota, sends its demand to peers, and sets the timer of the next gossip round. Agents
+// that gossip observations send their demand in the same messages instead. Messages to all peers would grow with the
+// square of the number of agents. With more peers than gossipFanout, gossip therefore sends to a random sample, and the
+// quota treats the peers that have reported recently as representative of all peers.
 func (b *Balancer) gossip() {
 	b.gossipTimer = b.setTimer(b.maxObjective)
 	if !b.gossipsObservations() {
@@ -36,7 +37,7 @@
 	b.recomputeQuota()
 }
 
-// gossipToSample sends a message to a random sample of the peers.
+// gossipToSample sends a message without observations to a random sample of at most gossipFanout peers.
 func (b *Balancer) gossipToSample() {
 	from, others := b.rng.IntN(b.settings.Balancers), b.settings.Balancers-1
 	for i := 1; i <= min(gossipFanout, others); i++ {
@@ -45,8 +46,9 @@
 }
 
 // recordObservation adds an observation to the log that is sent to peers. Departure: an agent with a sparse quota sends
-// too few attempts to each backend to measure its speed or detect its death. Where agents may exchange messages, each
-// forwards its own and received observations for a few objectives, in one message to one peer per few outcomes.
+// too few attempts to each backend to measure its speed or to detect that its process has died. Where agents may
+// exchange messages, each agent therefore forwards its own and received observations for up to eight longest
+// objectives. It sends one message to one peer after every outcomesPerGossip of its own outcomes.
 func (b *Balancer) recordObservation(n observation) {
 	if backend := b.byGossipKey[n.key]; backend != nil {
 		backend.observedAt = n.observedAt
--- a/balancer/message.go
+++ b/balancer/message.go
@@ -12,7 +12,7 @@
 	maxMessageSize  = 256 // bytes
 	headerSize      = 8   // bytes before the observations
 	observationSize = 5   // bytes: key 3, value 1, age 1
-	drainedFlag     = 1   // value of the byte after the observations: operators have drained the sender
+	drainedFlag     = 1   // value of the byte after the observations if operators have drained the sender
 	maxLossZones    = 16  // zones that a message can report as lost, in the two bytes after drainedFlag
 	ageSteps        = 32  // age steps per unit (the longest objective); an observation expires after eight units
 )
@@ -21,12 +21,13 @@
 type gossipMessage struct {
 	demand, latencyRatio float64
 	observations         []observation
-	drained              bool   // operators have drained the sender: demand is that of the clients they moved to other agents
+	drained              bool   // operators have drained the sender; demand is the demand of its clients before the drain
 	lostZones            uint16 // zones that the sender found lost on its own evidence, one bit each
 }
 
-// encode returns the header and as many observations as fit, failures before the others, each group newest first. Ages
-// are rounded up, so that no observation gets younger in transit.
+// encode returns the message on the wire: the header, the observations, the drained flag and the lost zones. Failures
+// come before other observations, each group newest first. encode omits observations that have expired or don't fit.
+// Ages are rounded up, so that no observation gets younger in transit.
 func (m gossipMessage) encode(now, unit time.Duration) []byte {
 	data := binary.BigEndian.AppendUint32(make([]byte, 0, maxMessageSize), math.Float32bits(float32(m.demand)))
 	data = binary.BigEndian.AppendUint32(data, math.Float32bits(float32(m.latencyRatio)))
@@ -40,7 +41,7 @@
 			}
 		}
 	}
-	if m.drained || m.lostZones != 0 { // shorter than an observation: older receivers skip it
+	if m.drained || m.lostZones != 0 { // these bytes are shorter than an observation, so older receivers skip them
 		flags := byte(0)
 		if m.drained {
 			flags = drainedFlag
--- a/balancer/observations.go
+++ b/balancer/observations.go
@@ -7,10 +7,10 @@
 
 const (
 	ratioSteps        = 31.0 // steps per multiple of the expected latency: 8 multiples fit below valueLate
-	valueLate         = 254  // value of an overdue or timed-out attempt
-	valueFailed       = 255  // value of a failed attempt
-	outcomesPerGossip = 2    // outcomes per message with observations: half the cost of one per request
-	maxObservations   = 96   // about two messages' worth
+	valueLate         = 254  // value that stands for an overdue or timed-out attempt
+	valueFailed       = 255  // value that stands for a failed attempt
+	outcomesPerGossip = 2    // outcomes per message with observations: half the cost of one message per outcome
+	maxObservations   = 96   // about as many as fit in two messages
 )
 
 // observation is one outcome at a backend: its latency as a multiple of the expected one, in steps of 1/ratioSteps, or
@@ -46,8 +46,8 @@
 	return l.outcomes%outcomesPerGossip == 0
 }
 
-// gossipKey is a short hash (FNV-1a with a finalizer) of a backend's ID. Two backends with one key share their
-// observations.
+// gossipKey returns a 24-bit hash (FNV-1a with a finalizer) of a backend's ID. Two backends with the same key share
+// their observations.
 func gossipKey(id string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(id) {
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -5,11 +5,12 @@
 import "time"
 
 const (
-	reinstateDelay      = 3 * time.Second // latest first request to a re-enabled backend: operators expect one within 5 s
-	reinstatePreference = 5 * time.Second // how long a re-enabled backend is preferred over idle ones until it responds
+	reinstateDelay      = 3 * time.Second // bound of the wait for budget after an Enable: operators expect a request within 5 s
+	reinstatePreference = 5 * time.Second // how long a re-enabled backend is preferred if it doesn't respond
 )
 
-// onDisable stops new attempts to a backend; the outstanding ones may finish.
+// onDisable stops new attempts to a backend; outstanding attempts may finish. It rejects a Disable of an unknown ID
+// unless an earlier process accepted the Disable.
 func (b *Balancer) onDisable(event Disable) {
 	backend := b.byID[event.Backend]
 	accepted := event.Inherited || backend != nil || b.overrides.has(event.Backend)
@@ -29,7 +30,8 @@
 	b.actions = append(b.actions, OverrideResult{Call: event.Call, Accepted: accepted})
 }
 
-// onEnable reverts any number of Disable events, including those that an earlier process accepted.
+// onEnable reverts any number of Disable events, including Disable events that an earlier process accepted. It rejects
+// an Enable of an unknown ID unless an earlier process accepted the Enable.
 func (b *Balancer) onEnable(event Enable) {
 	accepted := event.Inherited || b.byID[event.Backend] != nil || b.overrides.has(event.Backend)
 	if listed, disabled := b.overrides.enable(event.Backend); disabled {
@@ -58,8 +60,9 @@
 	backend.Started = max(backend.Started, at)
 	b.beginSlowStart(backend, max(backend.Started, backend.slowStartAt))
 	backend.clearFailures()
-	// The budget starts below 0, so that agents that get the same order don't all send at once. With little traffic it
-	// would take longer than operators wait to refill, so reinstateDelay bounds it.
+	// The budget starts below 0, so that agents that get the same order don't all send at once. At an agent with little
+	// traffic the budget could take longer to refill than operators wait. It is therefore raised to a value that refills
+	// within reinstateDelay.
 	backend.raiseBudget(-b.slowStartRate(backend) * float64(reinstateDelay) * b.rng.Float64())
 	b.recomputeCapacity()
 }
--- a/balancer/outliers.go
+++ b/balancer/outliers.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	failureScoreDecay    = 0.25 // decrease of the score per success: with one error in five the score still grows
-	maxFailureScore      = 5.0  // longest ejection is 2^(max-1) times the first
+	failureScoreDecay    = 0.25 // decrease per success: the score grows if more than one attempt in five causes an ejection
+	maxFailureScore      = 5.0  // the longest ejection is 2^(maxFailureScore-1) times the first
 	ejectProbability     = 0.03 // consecutive failures less probable than this by chance eject a backend
-	deadProbability      = 1e-3 // if they are less probable than this, its process is presumed dead
-	baselineResetRate    = 0.04 // minimum baseline rate of resets: two in a row eject, three presume the process dead
+	deadProbability      = 1e-3 // the same bound for the presumption that its process is dead
+	baselineResetRate    = 0.04 // minimum baseline rate of resets: ejection after two in a row, presumed death after three
 	unresponsiveTimeouts = 8    // consecutive time-outs, own or observed by peers, after which a backend is unresponsive
 )
 
@@ -27,7 +27,7 @@
 	lastSuccessAt       time.Duration // own or observed by peers
 	ejectedAt           time.Duration // latest ejection
 	ejectedUntil        time.Duration // no ordinary traffic before then
-	rejectingUntil      time.Duration // its queue is presumed full until then
+	rejectingUntil      time.Duration // no attempts before then, since it has rejected one
 	presumedDead        bool          // its process has probably died since the last success
 }
 
@@ -55,7 +55,8 @@
 // recordTimeout counts an attempt without a response.
 func (o *outlierState) recordTimeout() { o.consecutiveTimeouts++ }
 
-// unresponsive reports whether there are too many consecutive time-outs to be due to slow responses.
+// unresponsive reports whether at least unresponsiveTimeouts time-outs were recorded since the last success. Slow
+// responses rarely cause so many.
 func (o *outlierState) unresponsive() bool { return o.consecutiveTimeouts >= unresponsiveTimeouts }
 
 // succeededSince reports whether a success was recorded at or after the given time.
@@ -67,8 +68,8 @@
 	return math.Pow(baseline, o.consecutiveFailures) < probability
 }
 
-// eject excludes the backend from ordinary traffic, at first for about the unit. The time doubles with each further
-// ejection, and is jittered by up to a quarter; draw is a random number in [0, 1).
+// eject excludes the backend from ordinary traffic. The first ejection lasts about the given unit; the time doubles with
+// each point of the failure score, and is jittered by up to a quarter. draw is a random number in [0, 1).
 func (o *outlierState) eject(now, unit time.Duration, draw float64) {
 	o.failureScore = min(o.failureScore+1, maxFailureScore)
 	o.ejectedAt = now
@@ -108,8 +109,8 @@
 // rejecting reports whether to avoid the backend because it has rejected an attempt.
 func (o *outlierState) rejecting(now time.Duration) bool { return now < o.rejectingUntil }
 
-// presumeDead records that the backend's process has probably died; clearPresumedDead that the backend has responded
-// since.
+// presumeDead records that the backend's process has probably died; clearPresumedDead records that the backend has
+// responded since then.
 func (o *outlierState) presumeDead()       { o.presumedDead = true }
 func (o *outlierState) clearPresumedDead() { o.presumedDead = false }
 
@@ -131,7 +132,7 @@
 	o.consecutiveTimeouts = 0
 }
 
-// baselineFailureRate returns the mean failure rate of the best three quarters of the backends that are up.
+// baselineFailureRate returns the mean of the lowest three quarters of the failure rates of backends that are up.
 func baselineFailureRate(backends []*backendState) float64 {
 	var rates []float64
 	for _, backend := range backends {
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -8,7 +8,7 @@
 // overrides holds the operators' overrides in force. The zero value has none.
 type overrides struct {
 	disabled    map[string]BackendState  // with the state that the endpoint list last gave
-	reenabledAt map[string]time.Duration // kept for the slow-start window
+	reenabledAt map[string]time.Duration // when backends were re-enabled; apply removes entries older than the slow-start window
 }
 
 // has reports whether an override is in force for the ID.
@@ -31,8 +31,8 @@
 	return true
 }
 
-// enable removes the override of a disabled backend, and returns the state that the endpoint list last gave. was is
-// false if the backend was not disabled.
+// enable removes the override of a disabled backend, and returns the state that the endpoint list last gave. was
+// is false if the backend was not disabled.
 func (o *overrides) enable(id string) (listed BackendState, was bool) {
 	listed, was = o.disabled[id]
 	delete(o.disabled, id)
@@ -60,7 +60,8 @@
 }
 
 // apply returns an endpoint list with the overrides applied: a disabled backend is at least draining, and a re-enabled
-// one counts as started no earlier than it was re-enabled. It removes times older than window, the slow-start window.
+// one counts as started no earlier than it was re-enabled. It removes re-enabled backends from the overrides after
+// window, the slow-start window.
 func (o *overrides) apply(list []Backend, now, window time.Duration) []Backend {
 	effective := append([]Backend(nil), list...)
 	for i := range effective {
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -9,11 +9,11 @@
 	evenShare  = 0.25 // part of the limit that is shared evenly; the rest is shared by demand
 )
 
-// peer is what another agent last reported.
+// peer holds the latest report of another agent.
 type peer struct {
 	demand        float64
-	drainedDemand float64       // demand of its clients that operators have moved elsewhere; 0: not drained
-	validUntil    time.Duration // its last message expires then; 0: it never sent one, and counts as average
+	drainedDemand float64       // demand that moved to other agents when operators drained the peer; 0: not drained
+	validUntil    time.Duration // when its latest message expires; 0: no message received, its demand counts as average
 }
 
 // active reports whether the peer has sent a message recently and is not drained.
@@ -34,9 +34,9 @@
 // has reports whether an agent number is that of a peer.
 func (t *peerTable) has(from int) bool { return from >= 0 && from < len(t.peers) && from != t.self }
 
-// receive applies a peer's report. When operators drain a peer, its demand is distributed evenly over the other agents,
-// and subtracted again when its clients return; measured traffic soon outweighs the estimate. receive returns the
-// change of this agent's own demand, and whether there is one.
+// receive applies a peer's report. When operators drain a peer, receive distributes its demand evenly over the other
+// active agents, and subtracts it again when the clients return; measured traffic soon outweighs this estimate. receive
+// returns the change of this agent's own demand, and whether the demand changed.
 func (t *peerTable) receive(from int, demand float64, drained bool, now time.Duration) (share float64, changed bool) {
 	sender := &t.peers[from]
 	sender.validUntil = now + t.validity
@@ -66,7 +66,7 @@
 }
 
 // quota returns this agent's share of the concurrency limit: one part is shared evenly, the rest in proportion to this
-// agent's demand among all active agents. assigned is the even share that the fleet assigns, or 0.
+// agent's demand among all active agents. assigned is the even share that the fleet assigned; 0: none.
 func (t *peerTable) quota(own, assigned float64, now time.Duration) float64 {
 	sampled := len(t.peers)-1 > gossipFanout
 	total, activeAgents, agents := own, 1.0, float64(len(t.peers))
@@ -78,7 +78,7 @@
 			agents-- // stopped or drained: its clients use other agents
 		}
 	}
-	if assigned > 0 { // the fleet size is known: an even share of it
+	if assigned > 0 { // the assigned share is even, so its inverse is the size of the fleet
 		agents = 1 / assigned
 	}
 	if total > 0 {
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -6,7 +6,7 @@
 import "cmp"
 
 const (
-	crossZoneBias       = 0.1 // relative weight of an idle backend in another zone, if crossing zones has a cost
+	crossZoneBias       = 0.1 // weight of an idle backend in another zone relative to the own zone, if crossing zones has a cost
 	spilloverAt         = 0.3 // relative excess latency of the own zone at which other zones get full weight
 	proximityObjectives = 4.0 // longest objectives after a cut of the limit during which proximity is ignored
 	recoveringBias      = 0.1 // relative weight of an idle backend that still has a failure score
@@ -16,16 +16,17 @@
 type choice struct {
 	req          *request
 	class        *classState
-	gossiping    bool    // all agents have the same observations
+	gossiping    bool    // agents exchange observations, so that all soon have the same ones
 	limitStable  bool    // the limit was not cut within the slow-start window
-	protectWarm  bool    // warm backends already use their share of the limit
-	backendLimit float64 // attempts that one backend may get
-	closed       []bool  // zones that the request may not go to; nil: none
+	protectWarm  bool    // the warm backends use their full share of the limit and must not get the request
+	backendLimit float64 // attempts of this agent that one backend may have in flight
+	closed       []bool  // zones that the request must avoid, by zone number; nil: none
 }
 
-// choose picks a backend for a request, or returns nil if no backend may be used now. Departure: a re-enabled backend
-// is preferred over idle ones until it has responded. An agent with little traffic would otherwise not use a backend in
-// slow start for longer than operators wait. The slow-start budget still applies.
+// choose picks a backend for a request, or returns nil if no backend may be used now. Departure: choose prefers a
+// re-enabled backend over other idle backends until it has responded, for at most reinstatePreference. Without this
+// preference, the backend would often get no request from an agent with little traffic for longer than operators wait.
+// The slow-start budget still applies.
 func (b *Balancer) choose(req *request) *backendState {
 	if b.overrides.anyReenabled() {
 		idempotency := b.classes[req.class].Idempotency
@@ -51,8 +52,8 @@
 	ch := choice{req: req, class: &b.classes[req.class], gossiping: gossiping,
 		limitStable:  b.limiter.sinceCut(b.now) > b.settings.SlowStartWindow,
 		backendLimit: b.limiter.backendLimit(), closed: b.closedZones(req)}
-	// Backends in slow start use their share of the limit only gradually. The unused part must not go to the warm
-	// backends, which it would overload.
+	// Backends in slow start use their share of the limit only gradually. The unused part would overload the warm
+	// backends, so protectWarm withholds it from them.
 	ch.protectWarm = !b.sparseQuota() && b.warmCapacity < b.capacity &&
 		float64(b.warmOutstanding) >= b.limiter.warmLimit(b.warmCapacity)
 	found := newCandidates(b.subset.size(len(b.backends), b.maxObjective, gossiping))
@@ -86,7 +87,7 @@
 func (b *Balancer) offer(found *candidates, ch *choice, backend *backendState) {
 	load := float64(len(backend.outstanding))
 	if !backend.respondedSinceStart {
-		load = max(load, float64(b.inFlight)/float64(b.up)) // a new backend gets at least the mean load: prevents a rush to it
+		load = max(load, float64(b.inFlight)/float64(b.up)) // counting the mean load prevents a rush to a new backend
 	}
 	ratio := backend.effectiveLatencyRatio(b.now) * b.kindRatios.of(ch.req.class, backend.Kind)
 	extra := b.zones.extraLatency(b.zone(backend))
@@ -102,8 +103,8 @@
 
 // idleWeight returns the weight of an idle backend in the random choice.
 func (b *Balancer) idleWeight(ch *choice, backend *backendState, ratio float64) float64 {
-	// Departure: an even choice among idle backends would load slow ones as much as fast ones. Each is weighted by the
-	// inverse cube of its latency ratio, which has an effect when speeds differ.
+	// Departure: an even choice among idle backends would load slow backends as much as fast ones. Each backend is
+	// therefore weighted by the inverse cube of its latency ratio. The weights differ only where speeds differ.
 	weight := 1 / (ratio * ratio * ratio)
 	// Departure: if requests for a key were spread over all backends, most backends would have no cached state for the
 	// key. The few idle backends closest to the key, the same at every agent, serve it with less work.
@@ -111,12 +112,12 @@
 	weight *= proximity
 	if key := ch.req.affinityKey; b.settings.KeyAffinity && key != 0 {
 		distance := backend.keyDistance(key)
-		weight *= proximity / (distance * distance) // proximity twice: else the backend closest to the key wins in any zone
+		weight *= proximity / (distance * distance) // else distance would outweigh proximity
 	}
 	if ch.gossiping {
-		weight *= ratio * ratio // agents share observations: the cube would send all traffic to the same few backends
+		weight *= ratio * ratio // with shared observations, the cube would send all traffic to the same few
 		if backend.recovering() {
-			weight *= recoveringBias // prevents all agents from sending to it at once
+			weight *= recoveringBias // prevents all agents from sending to the backend at once
 		}
 	}
 	if ch.limitStable { // under load the slow-start budget limits a starting backend to its share
@@ -125,8 +126,8 @@
 	return weight
 }
 
-// proximity returns the weight of an idle backend for its location. It falls with the cost of crossing zones, and rises
-// again with the excess latency of the own zone. It is 1 where crossing has no cost. It is also 1 for
+// proximity returns the weight of an idle backend for its location. The weight falls with the cost of crossing
+// zones, and rises again with the excess latency of the own zone. It is 1 where crossing has no cost. It is also 1 for
 // proximityObjectives after a cut of the limit: under overload, key affinity saves more than proximity.
 func (b *Balancer) proximity(backend *backendState) float64 {
 	cost, lowestCost := b.settings.crossingCost(backend.Zone), cmp.Or(b.settings.CrossZoneCost, b.settings.CrossRegionCost)
--- a/balancer/residency.go
+++ b/balancer/residency.go
@@ -26,7 +26,7 @@
 	return rule == 0 || p.table != nil && p.table.Permits(rule, zone)
 }
 
-// restricts reports whether a rule (0: none) restricts requests to some zones. An unknown rule does.
+// restricts reports whether a rule (0: none) restricts requests to some zones. An unknown rule restricts them.
 func (p residencyPolicy) restricts(rule int) bool {
 	return rule != 0 && (p.table == nil || rule >= len(p.table.Permitted) || p.table.Restricted[rule])
 }
@@ -42,8 +42,8 @@
 	return b.residency.restricts(req.residencyRule)
 }
 
-// hasPermittedBackend reports whether any backend that is up may serve the request. A request without one is refused
-// at once.
+// hasPermittedBackend reports whether any backend that is up may serve a restricted request; for other requests it
+// returns true. A request without a permitted backend is refused at once.
 func (b *Balancer) hasPermittedBackend(req *request) bool {
 	return !b.residencyRestricted(req) || slices.ContainsFunc(b.backends, func(backend *backendState) bool {
 		return backend.State == Up && b.permits(req, backend.Zone)
@@ -60,8 +60,8 @@
 	}
 }
 
-// reservedZones returns, by zone number, which zones an unrestricted request avoids. It returns nil if there is none,
-// for a restricted request, and if no other zone is open.
+// reservedZones returns, by zone number, which zones an unrestricted request avoids. It returns nil if no zone is
+// reserved or every open zone is, and for a restricted request.
 func (b *Balancer) reservedZones(req *request) []bool {
 	reserved, open := []bool(nil), false
 	for i, z := range b.zones {
--- a/balancer/sequentialtest.go
+++ b/balancer/sequentialtest.go
@@ -40,8 +40,8 @@
 // unansweredCount counts the unanswered attempts of one backend in the zone's latest suspicion period.
 type unansweredCount struct{ period, attempts int }
 
-// weigh counts an attempt and returns its weight: 1 for the first attempt and 0.5 for the second. Further ones get 0,
-// since they are no evidence about the other backends.
+// weigh counts an unanswered attempt in a suspicion period and returns its weight: 1 for the first attempt, 0.5 for the
+// second, and 0 for further attempts, since one backend shows little about the others.
 func (c *unansweredCount) weigh(period int) float64 {
 	if c.period != period {
 		c.period, c.attempts = period, 0
@@ -77,7 +77,7 @@
 }
 
 // recordReport adds a peer's report, which replaces an earlier one from the same peer. If this agent has no evidence of
-// a loss, the suspicion counts from the given time.
+// a loss, recordReport sets suspectedSince to the given time.
 func (t *sequentialTest) recordReport(from int, now, since time.Duration) {
 	if t.logLikelihoodRatio == 0 {
 		t.suspectedSince = since
@@ -86,7 +86,8 @@
 	t.reports = append(t.reports, lossReport{from, now})
 }
 
-// lost reports whether this agent's evidence and the reports younger than the validity indicate a loss.
+// lost reports whether this agent's evidence and the reports younger than validity indicate a loss. It discards older
+// reports.
 func (t *sequentialTest) lost(now, validity time.Duration) bool {
 	t.reports = slices.DeleteFunc(t.reports, func(report lossReport) bool { return now-report.receivedAt >= validity })
 	return t.logLikelihoodRatio+reportWeight*float64(len(t.reports)) >= failOverThreshold
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	trustExponent    = 0.6 // measured warmth is bounded to OverloadMultiple to this power times guaranteed warmth
+	trustExponent    = 0.6 // measured warmth is at most guaranteed warmth times OverloadMultiple to this power
 	maxSlowStartWork = 2.0 // most work of a request during slow start, relative to the mean
 )
 
@@ -18,7 +18,7 @@
 	slowStartAt         time.Duration // when its process last started
 	warmingUp           bool          // in slow start, as of the latest call of guaranteedWarmth
 	respondedSinceStart bool          // has responded to this agent since the start
-	slowStartBudget     float64       // mean requests that it may still be sent now; below 0: none
+	slowStartBudget     float64       // requests of mean work that this agent may send to it now; none at 0 or below
 	slowStartBudgetAt   time.Duration // when the budget was last refilled
 }
 
@@ -56,9 +56,9 @@
 
 // slowStartModel estimates how backends warm up, from the guarantee in the settings and the measured latency.
 type slowStartModel struct {
-	initial         float64       // capacity at the start
-	window          time.Duration // time to full capacity
-	multiple        float64       // factor on the guaranteed warmth in budgets
+	initial         float64       // share of full capacity that is guaranteed at the start
+	window          time.Duration // time after which full capacity is guaranteed
+	multiple        float64       // factor on the guaranteed warmth in rate: the square root of OverloadMultiple
 	trustedMultiple float64       // multiple of the guaranteed warmth up to which measured warmth is used
 	warmUpRatio     float64       // estimated share of the window that backends need to warm up
 }
@@ -96,8 +96,8 @@
 
 // rate returns how many mean requests per ns an agent may send to a backend in slow start: warmRate, the rate of a warm
 // backend, times the larger of warmth and of guaranteed warmth times the square root of OverloadMultiple. The square
-// root is the geometric middle between the guaranteed capacity and the multiple, since most backends have more than the
-// guarantee. The rate is based on counts of requests and not on their latency, which queues anywhere would increase.
+// root is the geometric mean of 1 and OverloadMultiple: most backends have more capacity than is guaranteed. The rate
+// is based on counts of requests and not on latency, which queues anywhere would increase.
 func (m *slowStartModel) rate(s *slowStartState, now time.Duration, warmRate float64) float64 {
 	return max(m.warmth(s, now), m.guaranteedWarmth(s, now)*m.multiple) * warmRate
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -5,7 +5,7 @@
 import "time"
 
 const (
-	revisitObjectives = 4.0   // longest objectives in which an agent with little traffic uses each backend of its subset once
+	revisitObjectives = 4.0   // time, in longest objectives, in which an agent uses each backend of its subset about once
 	subsetDecrease    = 0.9   // factor on the subset size when a backend rejects a new connection
 	subsetIncrease    = 1.003 // factor on the subset size after each response
 	minSubset         = 3     // minimum subset size
@@ -37,10 +37,11 @@
 // grow records a response.
 func (s *subset) grow() { s.scale = min(1, s.scale*subsetIncrease) }
 
-// size returns how many idle backends a choice is made among: the first usable ones in this agent's order. Departure:
-// an agent with little traffic, spread over all backends, would get one response a day from each and open a connection
-// for nearly every attempt. The subset is limited to the backends that the agent uses every few objectives. If observed
-// is true, observations of peers cover all backends, and size returns their number.
+// size returns the number of idle backends that pick chooses from: the first usable backends in this agent's order.
+// Departure: an agent that spreads little traffic over all backends would get one response a day from each, and open a
+// connection for nearly every attempt. The subset is limited to as many backends as the agent can use once in
+// revisitObjectives. If observed is true, peers' observations cover all backends, and size returns the number of all
+// backends.
 func (s *subset) size(backends int, maxObjective time.Duration, observed bool) int {
 	if s.meanInterarrival == 0 || observed {
 		return backends
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// zone is the agent's state of one zone. Only the methods of the embedded structs change their fields.
+// zone holds what this agent records about one zone. Only the methods of the embedded structs change their fields.
 type zone struct {
 	sequentialTest
 	failoverState
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// recentlyLost returns the zones that this agent failed over from within the span on its own evidence, one bit each.
-// Reports of peers are not forwarded. Older losses are not reported: they may be out of date, in particular for agents
-// that were partitioned off in between.
+// recentlyLost returns the zones in a failover that began less than span ago on this agent's own evidence, one bit each.
+// Losses that peers reported are not forwarded. Older losses are not reported: they may be out of date, in particular
+// for agents that were partitioned off in between.
 func (t zoneTable) recentlyLost(now, span time.Duration) (lost uint16) {
 	for i, z := range t[:min(len(t), maxLossZones)] {
 		if z.recentOwnLoss(now, span) {
@@ -75,8 +75,9 @@
 	return rate
 }
 
-// otherZoneHealthy reports whether another zone has responded since the first unanswered attempt in this one. If none
-// has, this agent or its own link is the cause, and a failover would not help.
+// otherZoneHealthy reports whether another zone that is not failed over has responded since the given zone was first
+// suspected, and is healthy (see healthyAfter). If there is none, this agent or its own link is the cause, and a failover
+// would not help.
 func (t zoneTable) otherZoneHealthy(z *zone) bool {
 	for _, other := range t {
 		if other != z && !other.failedOver && other.healthyAfter(z.suspectedSince) {
@@ -98,8 +99,8 @@
 	return zone.rtt - nearest
 }
 
-// spillover returns 0 while responses from the own zone take no longer than responses from the other zone, and rises to
-// 1 at an excess of spilloverAt.
+// spillover returns 0 while responses from the own zone take no longer than responses from the other zone, or if either
+// latency is unknown. It rises to 1 at an excess of spilloverAt.
 func (t zoneTable) spillover(own int, z *zone) float64 {
 	if own < 0 || own >= len(t) || t[own].latencyRatio == 0 || z.latencyRatio == 0 {
 		return 0
