--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -9,7 +9,7 @@
 
 // candidates keeps the best backends offered so far.
 type candidates struct {
-	remaining                  int           // number of idle backends that may still be offered
+	remainingIdle              int           // number of idle backends that may still be offered
 	idle, busy, ejected        *backendState // the backend chosen so far among those offered as such; nil: none
 	totalWeight                float64       // sum over the idle backends offered
 	lowestScore, lowestPenalty float64       // score of busy, penalty of ejected; infinite: none
@@ -17,16 +17,16 @@
 
 // newCandidates returns an empty set, which is full after maxIdle idle backends.
 func newCandidates(maxIdle int) candidates {
-	return candidates{remaining: maxIdle, lowestScore: math.Inf(1), lowestPenalty: math.Inf(1)}
+	return candidates{remainingIdle: maxIdle, lowestScore: math.Inf(1), lowestPenalty: math.Inf(1)}
 }
 
 // full reports whether enough idle backends were offered.
-func (c *candidates) full() bool { return c.remaining <= 0 }
+func (c *candidates) full() bool { return c.remainingIdle <= 0 }
 
 // offerIdle offers an idle backend. Each is chosen in proportion to its weight (weighted reservoir sampling); draw is a
 // random number in [0, 1).
 func (c *candidates) offerIdle(backend *backendState, weight, draw float64) {
-	c.remaining--
+	c.remainingIdle--
 	if c.totalWeight += weight; draw*c.totalWeight < weight {
 		c.idle = backend
 	}
--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -89,14 +89,14 @@
 func (z *zoneRig) run(span time.Duration) {
 	for end := z.now + span; z.now < end; {
 		z.record(z.advance(5 * ms))
-		var over []string
+		var due []string
 		for id, at := range z.outcomeAt {
 			if at <= z.now {
-				over = append(over, id)
+				due = append(due, id)
 			}
 		}
-		slices.Sort(over)
-		for _, id := range over {
+		slices.Sort(due)
+		for _, id := range due {
 			delete(z.outcomeAt, id)
 			to := z.sent[id][len(z.sent[id])-1]
 			if z.unresponsive[z.zone(to)] || z.unresponsiveBackends[to] {
@@ -312,8 +312,8 @@
 		t.Fatalf("%d probes by %d agents, want at least one by each", probeCount, agents)
 	}
 	perBackend := float64(probeCount) / span.Seconds() / float64(perZone) // probes per second, the window for overload
-	const free = 6.0                                                      // minimum of requests allowed beyond the budget: 3 x root of N + 3
-	if share := perBackend * probe / (free * request); share > 0.2 {
+	const allowed = 6.0                                                   // minimum of requests allowed beyond the budget: 3 x root of N + 3
+	if share := perBackend * probe / (allowed * request); share > 0.2 {
 		t.Errorf("%.0f probes per second at each backend take %.0f%% of the work allowed beyond the budget", perBackend, 100*share)
 	} else {
 		t.Logf("%.1f probes per second at each backend take %.1f%% of the work allowed beyond the budget", perBackend, 100*share)
--- a/balancer/failover_unit_test.go
+++ b/balancer/failover_unit_test.go
@@ -185,7 +185,7 @@
 		t.Error("traffic spills over before any response")
 	}
 	other.recordLatencyRatio(1)
-	for latency, want := range map[float64]float64{0.5: 0, 1: 0, 1 + spilloverAt/2: 0.5, 1 + spilloverAt: 1, 9: 1} {
+	for latency, want := range map[float64]float64{0.5: 0, 1: 0, 1 + fullSpilloverExcess/2: 0.5, 1 + fullSpilloverExcess: 1, 9: 1} {
 		if own.latencyRatio = latency; !near(zones.spillover(0, other), want) {
 			t.Errorf("own latency %v: spillover %v, want %v", latency, zones.spillover(0, other), want)
 		}
--- a/balancer/failoverstate.go
+++ b/balancer/failoverstate.go
@@ -11,7 +11,7 @@
 const (
 	recoveryProbes        = 2    // consecutive successful health checks before the zone recovers
 	minFailOverObjectives = 0.5  // minimum length of a failover, in longest objectives; doubles with each step of backoffExponent
-	probesPerObjective    = 50.0 // fleet size above which the interval grows in proportion, which bounds the fleet's rate
+	agentsAtFullProbeRate = 50.0 // fleet size above which the interval grows in proportion, which bounds the fleet's rate
 	recoveryObjectives    = 2.0  // length of the recovery ramp, in longest objectives
 	initialTrafficShare   = 0.1  // share of the zone's usual traffic at the start of the recovery ramp
 	maxBackoffExponent    = 4.0  // bound of backoffExponent for a zone that fails repeatedly
@@ -32,8 +32,8 @@
 // failOver starts a failover. The count of earlier failovers decays with the given half-life.
 func (f *failoverState) failOver(now, halfLife time.Duration, ownEvidence bool) {
 	f.failedOver, f.ownEvidence, f.consecutiveSuccesses, f.recoveryStartedAt = true, ownEvidence, 0, 0
-	faded := f.backoffExponent * math.Exp2(-float64(now-f.failedOverAt)/float64(halfLife))
-	f.backoffExponent = min(faded+1, maxBackoffExponent)
+	decayed := f.backoffExponent * math.Exp2(-float64(now-f.failedOverAt)/float64(halfLife))
+	f.backoffExponent = min(decayed+1, maxBackoffExponent)
 	f.failedOverAt = now
 }
 
@@ -42,7 +42,7 @@
 
 // probeInterval returns the mean time in ns between two health checks by one agent, in a fleet of the given size.
 func (f *failoverState) probeInterval(maxObjective time.Duration, agents int) float64 {
-	return float64(maxObjective) * f.backoff() / 2 * max(1, float64(agents)/probesPerObjective)
+	return float64(maxObjective) * f.backoff() / 2 * max(1, float64(agents)/agentsAtFullProbeRate)
 }
 
 // scheduleProbe records the timer of the next health check; isProbeTimer reports whether a token belongs to that timer.
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -39,9 +39,9 @@
 
 // gossipToSample sends a message without observations to a random sample of at most gossipFanout peers.
 func (b *Balancer) gossipToSample() {
-	from, others := b.rng.IntN(b.settings.Balancers), b.settings.Balancers-1
+	offset, others := b.rng.IntN(b.settings.Balancers), b.settings.Balancers-1
 	for i := 1; i <= min(gossipFanout, others); i++ {
-		b.sendGossip(nil, 1+(from+i)%others)
+		b.sendGossip(nil, 1+(offset+i)%others)
 	}
 }
 
@@ -49,11 +49,11 @@
 // too few attempts to each backend to measure its speed or to detect that its process has died. Where agents may
 // exchange messages, each agent therefore forwards its own and received observations for up to eight longest
 // objectives. It sends one message to one peer after every outcomesPerGossip of its own outcomes.
-func (b *Balancer) recordObservation(n observation) {
-	if backend := b.byGossipKey[n.key]; backend != nil {
-		backend.observedAt = n.observedAt
+func (b *Balancer) recordObservation(entry observation) {
+	if backend := b.byGossipKey[entry.key]; backend != nil {
+		backend.observedAt = entry.observedAt
 	}
-	b.observations.add(n)
+	b.observations.add(entry)
 }
 
 // countOutcome counts an outcome, and sends the recent observations to a random peer after every outcomesPerGossip.
--- a/balancer/observations.go
+++ b/balancer/observations.go
@@ -27,7 +27,7 @@
 }
 
 // ratio returns the latency ratio of an observed response.
-func (n observation) ratio() float64 { return float64(n.value) / ratioSteps }
+func (o observation) ratio() float64 { return float64(o.value) / ratioSteps }
 
 // observationLog keeps the latest observations, the newest last.
 type observationLog struct {
@@ -36,8 +36,8 @@
 }
 
 // add appends an observation, and drops the oldest one above maxObservations.
-func (l *observationLog) add(n observation) {
-	l.recent = append(l.recent[max(0, len(l.recent)+1-maxObservations):], n)
+func (l *observationLog) add(entry observation) {
+	l.recent = append(l.recent[max(0, len(l.recent)+1-maxObservations):], entry)
 }
 
 // countOutcome counts an outcome of this agent, and reports whether it is time to send a message.
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -191,16 +191,16 @@
 	t.Helper()
 	r := newRig(t, settings(), 3, backends(3))
 	r.serve(60, idempotent, 20*ms)
-	var out []string
-	for i := 0; len(out) < n; i++ {
+	var outstanding []string
+	for i := 0; len(outstanding) < n; i++ {
 		id := fmt.Sprint("d", i)
 		r.request(id, idempotent)
 		if r.sent[id][0] == "a" {
-			out = append(out, id)
+			outstanding = append(outstanding, id)
 		}
 	}
 	r.now += 20 * ms
-	for _, id := range out {
+	for _, id := range outstanding {
 		r.outcome(id, res, 20*ms)
 	}
 	for i := range len(r.sent) {
@@ -209,7 +209,7 @@
 		}
 	}
 	r.advance(2 * time.Second)
-	for _, id := range out { // those that were retried
+	for _, id := range outstanding { // those that were retried
 		if len(r.sent[id]) > 1 {
 			r.outcome(id, balancer.OK, 20*ms)
 		}
@@ -220,12 +220,12 @@
 // A backend that responds again before the endpoint list reports its restart counts as in slow start. After its process
 // has died, connections are refused, or all outstanding attempts are reset at once.
 func TestRestartedBackendIsInSlowStart(t *testing.T) {
-	for name, seen := range map[string]int{
+	for name, got := range map[string]int{
 		"connection refused": shareAfterFailures(t, 1, balancer.ConnectFailed),
 		"all attempts reset": shareAfterFailures(t, 3, balancer.Reset),
 	} {
-		if seen == 0 || seen > 35 {
-			t.Errorf("%s: the restarted backend got %d of 200 requests, want 1 to 35", name, seen)
+		if got == 0 || got > 35 {
+			t.Errorf("%s: the restarted backend got %d of 200 requests, want 1 to 35", name, got)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 // Ticket 397: one reset attempt, or one malformed response, doesn't indicate a restart. When each put its backend into
 // slow start, no capacity was left within seconds.
 func TestSingleResetIsNotARestart(t *testing.T) {
-	if seen := shareAfterFailures(t, 1, balancer.Reset); seen < 45 {
-		t.Errorf("after one reset the backend got %d of 200 requests, want about a third", seen)
+	if got := shareAfterFailures(t, 1, balancer.Reset); got < 45 {
+		t.Errorf("after one reset the backend got %d of 200 requests, want about a third", got)
 	}
 }
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -31,12 +31,12 @@
 	return true
 }
 
-// enable removes the override of a disabled backend, and returns the state that the endpoint list last gave. was
+// enable removes the override of a disabled backend, and returns the state that the endpoint list last gave. wasDisabled
 // is false if the backend was not disabled.
-func (o *overrides) enable(id string) (listed BackendState, was bool) {
-	listed, was = o.disabled[id]
+func (o *overrides) enable(id string) (listed BackendState, wasDisabled bool) {
+	listed, wasDisabled = o.disabled[id]
 	delete(o.disabled, id)
-	return listed, was
+	return listed, wasDisabled
 }
 
 // reenable records that a backend was put back into use at the given time.
--- a/balancer/overrides_unit_test.go
+++ b/balancer/overrides_unit_test.go
@@ -24,10 +24,10 @@
 			got[1].State, listed[0].State)
 	}
 	o.apply([]Backend{{ID: "a", State: Removed}}, time.Hour, window)
-	if state, was := o.enable("a"); !was || state != Removed {
+	if state, wasDisabled := o.enable("a"); !wasDisabled || state != Removed {
 		t.Errorf("enable returns state %d, want that of the last list", state)
 	}
-	if _, was := o.enable("a"); was || o.has("a") {
+	if _, wasDisabled := o.enable("a"); wasDisabled || o.has("a") {
 		t.Error("the override is still in force after enable")
 	}
 }
--- a/balancer/peers_unit_test.go
+++ b/balancer/peers_unit_test.go
@@ -12,23 +12,23 @@
 const interval = 400 * time.Millisecond
 
 func TestDemandIsExtrapolatedAfterAStart(t *testing.T) {
-	fresh, old := newDemandEstimate(interval), newDemandEstimate(interval)
+	fresh, longRunning := newDemandEstimate(interval), newDemandEstimate(interval)
 	now := time.Hour
-	old.start(now)
+	longRunning.start(now)
 	for ; now < time.Hour+100*interval; now += interval / 20 {
-		old.add(now, 1)
+		longRunning.add(now, 1)
 	}
 	fresh.start(now)
 	for range 20 {
-		old.add(now, 1)
+		longRunning.add(now, 1)
 		fresh.add(now, 1)
 		now += interval / 20
 	}
-	if got, want := fresh.steady(now), old.steady(now); math.Abs(got/want-1) > 0.1 {
+	if got, want := fresh.steady(now), longRunning.steady(now); math.Abs(got/want-1) > 0.1 {
 		t.Errorf("estimate of %v after one interval, %v after many", got, want)
 	}
-	if fresh.value(now) > old.value(now)/3 {
-		t.Errorf("the sum without extrapolation is %v after one interval, %v after many", fresh.value(now), old.value(now))
+	if fresh.value(now) > longRunning.value(now)/3 {
+		t.Errorf("the sum without extrapolation is %v after one interval, %v after many", fresh.value(now), longRunning.value(now))
 	}
 }
 
--- a/balancer/picking_test.go
+++ b/balancer/picking_test.go
@@ -67,16 +67,16 @@
 			r.request(fmt.Sprint("q", i), idempotent)
 		}
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{{ID: "new"}}})
-		rush := 0
+		sentToNew := 0
 		for i := range 4 {
 			id := fmt.Sprint("n", i)
 			r.request(id, idempotent)
 			if r.sent[id][0] == "new" {
-				rush++
+				sentToNew++
 			}
 		}
-		if rush > 2 {
-			t.Errorf("the new backend got %d of 4 requests, want up to 2", rush)
+		if sentToNew > 2 {
+			t.Errorf("the new backend got %d of 4 requests, want up to 2", sentToNew)
 		}
 	})
 	t.Run("own zone where crossing has a cost", func(t *testing.T) {
@@ -139,9 +139,9 @@
 // key was lost. Any two agents prefer the same few idle backends for a key, and different backends for other keys. A
 // busy backend is passed over.
 func TestKeyAffinityPrefersTheSameBackends(t *testing.T) {
-	play := func(warm bool, seed, key uint64) map[string]int {
+	play := func(keyAffinity bool, seed, key uint64) map[string]int {
 		s := settings()
-		s.KeyAffinity, s.Balancers, s.Self = warm, 20, int(seed)
+		s.KeyAffinity, s.Balancers, s.Self = keyAffinity, 20, int(seed)
 		r := newRig(t, s, seed, backends(20))
 		counts := map[string]int{}
 		for i := range 100 {
@@ -160,21 +160,21 @@
 		}
 		return share
 	}
-	first, sum := map[string]bool{}, 0.0
+	preferred, sum := map[string]bool{}, 0.0
 	for key := uint64(1); key <= 40; key++ {
 		x, y := play(true, 1, key<<40+key), play(true, 2, key<<40+key)
 		sum += together(x, y)
 		for id, n := range x {
 			if n > 40 {
-				first[id] = true
+				preferred[id] = true
 			}
 		}
 	}
 	if sum < 40*0.25 {
 		t.Errorf("%.2f of the request pairs of two agents for one key go to the same backend, want at least 0.25", sum/40)
 	}
-	if len(first) < 10 {
-		t.Errorf("40 keys prefer %d of 20 backends, want at least 10", len(first))
+	if len(preferred) < 10 {
+		t.Errorf("40 keys prefer %d of 20 backends, want at least 10", len(preferred))
 	}
 	for _, key := range []uint64{0, 7} {
 		if share := together(play(key == 0, 1, key), play(key == 0, 2, key)); share > 0.1 {
@@ -232,21 +232,21 @@
 // Satx rough-2: a backend that rejects an attempt is overloaded for longer than one latency. It must get fewer requests
 // than before for some time.
 func TestRejectingBackendIsChosenLess(t *testing.T) {
-	hits := 0
+	sentToRejecting := 0
 	for seed := range uint64(100) {
 		r := newRig(t, settings(), seed, backends(4))
 		r.serve(20, idempotent, 20*ms)
 		r.request("q", idempotent)
-		full := r.sent["q"][0]
+		rejecting := r.sent["q"][0]
 		r.outcome("q", balancer.Rejected, ms)
 		r.advance(2 * time.Second)
 		r.request("next", idempotent)
-		if r.sent["next"][0] == full {
-			hits++
+		if r.sent["next"][0] == rejecting {
+			sentToRejecting++
 		}
 	}
-	if hits > 18 {
-		t.Errorf("the rejecting one of four backends got %d of 100 requests 2 s later, want up to 18", hits)
+	if sentToRejecting > 18 {
+		t.Errorf("the rejecting one of four backends got %d of 100 requests 2 s later, want up to 18", sentToRejecting)
 	}
 }
 
@@ -259,7 +259,7 @@
 	r.serve(60, idempotent, 20*ms)
 	got := 0
 	for round := range 60 {
-		var hang []string
+		var unanswered []string
 		answered := false
 		for i := range 6 {
 			r.request(fmt.Sprint("q", round, "-", i), idempotent)
@@ -269,7 +269,7 @@
 			id := fmt.Sprint("q", round, "-", i)
 			if r.sent[id][0] == "a" {
 				if got++; answered {
-					hang = append(hang, id)
+					unanswered = append(unanswered, id)
 					continue
 				}
 				answered = true
@@ -277,7 +277,7 @@
 			r.outcome(id, balancer.OK, 20*ms)
 		}
 		r.now += 60 * ms
-		for _, id := range hang {
+		for _, id := range unanswered {
 			r.outcome(id, balancer.TimedOut, 80*ms)
 		}
 		r.now += 20 * ms
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -166,10 +166,10 @@
 		}
 		return unrestricted, refused
 	}
-	without, _ := play(0)
-	with, refused := play(1)
-	if refused > 0 || with > without {
-		t.Errorf("%d restricted requests refused; %d others in their zone, %d without restricted requests", refused, with, without)
+	unrestrictedAlone, _ := play(0)
+	unrestrictedBeside, refused := play(1)
+	if refused > 0 || unrestrictedBeside > unrestrictedAlone {
+		t.Errorf("%d restricted requests refused; %d others in their zone, %d without restricted requests", refused, unrestrictedBeside, unrestrictedAlone)
 	}
 }
 
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -123,8 +123,8 @@
 		}
 		return sent
 	}
-	if fresh, old := play(0), play(5000); old > fresh*5/4 {
-		t.Errorf("%d requests in flight with slow cold backends, %d if earlier starts were fast", fresh, old)
+	if fresh, afterFastStarts := play(0), play(5000); afterFastStarts > fresh*5/4 {
+		t.Errorf("%d requests in flight with slow cold backends, %d if earlier starts were fast", fresh, afterFastStarts)
 	}
 }
 
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -68,12 +68,12 @@
 		}
 		return r.burst("after", 20*ms), len(r.serve(100, idempotent, 20*ms))
 	}
-	afterRequests, allUsed := play(false)
-	afterConnections, fewUsed := play(true)
-	if afterConnections < afterRequests*3/2 {
-		t.Errorf("%d in flight after rejected connections, %d after rejected requests", afterConnections, afterRequests)
+	inFlightAfterRequests, usedAfterRequests := play(false)
+	inFlightAfterConnections, usedAfterConnections := play(true)
+	if inFlightAfterConnections < inFlightAfterRequests*3/2 {
+		t.Errorf("%d in flight after rejected connections, %d after rejected requests", inFlightAfterConnections, inFlightAfterRequests)
 	}
-	if fewUsed > allUsed/2 {
-		t.Errorf("%d backends in use after rejected connections, %d after rejected requests", fewUsed, allUsed)
+	if usedAfterConnections > usedAfterRequests/2 {
+		t.Errorf("%d backends in use after rejected connections, %d after rejected requests", usedAfterConnections, usedAfterRequests)
 	}
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -100,12 +100,12 @@
 }
 
 // spillover returns 0 while responses from the own zone take no longer than responses from the other zone, or if either
-// latency is unknown. It rises to 1 at an excess of spilloverAt.
+// latency is unknown. It rises to 1 at an excess of fullSpilloverExcess.
 func (t zoneTable) spillover(own int, z *zone) float64 {
 	if own < 0 || own >= len(t) || t[own].latencyRatio == 0 || z.latencyRatio == 0 {
 		return 0
 	}
-	return min(max((t[own].latencyRatio/z.latencyRatio-1)/spilloverAt, 0), 1)
+	return min(max((t[own].latencyRatio/z.latencyRatio-1)/fullSpilloverExcess, 0), 1)
 }
 
 // zone returns the state of a backend's zone.
