--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -15,8 +15,9 @@
 	"martenbeam/balancer"
 )
 
-// Every run draws the same cases; -rapid.seed=0 draws others.
-func init() { _ = flag.Set("rapid.seed", "1") } // rapid has registered it
+// The fixed seed makes every run draw the same cases; -rapid.seed=0 draws new ones. The package rapid has registered the
+// flag before init runs.
+func init() { _ = flag.Set("rapid.seed", "1") }
 
 // zoneRig is a rig with three zones of three backends, which respond after 20 ms unless they are unresponsive.
 type zoneRig struct {
@@ -137,7 +138,8 @@
 	clear(z.firstAttempts)
 	z.run(2 * time.Second)
 	if z.firstAttempts[1] > 0 || z.firstAttempts[0]+z.firstAttempts[2] < 300 {
-		t.Errorf("after the failover: first attempts by zone %v, want none in zone 1 and at least 300 in the others", z.firstAttempts)
+		t.Errorf("after the failover: first attempts by zone %v, want none in zone 1 and at least 300 in the others",
+			z.firstAttempts)
 	}
 	z.unresponsive[1] = false
 	z.run(5 * time.Second)
@@ -148,8 +150,8 @@
 	}
 }
 
-// If no zone responds, the agent or its own link is the cause: it doesn't fail over, and uses all zones again when they
-// respond.
+// If no zone responds, the agent or its own link is the cause. The agent doesn't fail over, and uses all zones again
+// when they respond.
 func TestNoFailoverWhenAllZonesAreUnresponsive(t *testing.T) {
 	z := newZoneRig(t, 4)
 	z.run(time.Second)
@@ -158,7 +160,7 @@
 	}
 	z.run(3 * time.Second)
 	if z.probeCount > 0 {
-		t.Error("a zone was failed over")
+		t.Error("health checks were sent, want none, since no zone may be failed over")
 	}
 	clear(z.unresponsive)
 	z.run(6 * time.Second)
@@ -176,10 +178,10 @@
 	z.unresponsiveBackends = map[string]bool{"e": true, "h": true}
 	z.run(4 * time.Second)
 	if z.probeCount > 0 {
-		t.Error("the zone was failed over")
+		t.Error("health checks were sent, want none, since the zone may not be failed over")
 	}
 	if z.firstAttempts[1] == 0 {
-		t.Error("the zone got no first attempts")
+		t.Error("the zone with two unresponsive backends got no first attempt, want some")
 	}
 }
 
@@ -203,18 +205,18 @@
 		z.run(time.Second)
 		for zone := range 3 {
 			if z.firstAttempts[zone] == 0 {
-				rt.Fatalf("zone %d is still unused 12 s after all zones respond: first attempts by zone %v", zone, z.firstAttempts)
+				rt.Fatalf("zone %d has no first attempt 12 s after all zones respond: first attempts by zone %v", zone, z.firstAttempts)
 			}
 		}
 		changedAt := map[int]time.Duration{}
 		for _, change := range z.changes {
 			if at := changedAt[change.Zone]; !change.FailedOver && change.at-at < 200*ms { // half of the longest objective
-				rt.Fatalf("the failover of zone %d lasted only %v", change.Zone, change.at-at)
+				rt.Fatalf("the failover of zone %d lasted %v, want at least 200ms", change.Zone, change.at-at)
 			}
 			changedAt[change.Zone] = change.at
 		}
 		if len(z.audit.violations) > 0 {
-			rt.Fatalf("rules: %v", z.audit.violations[0])
+			rt.Fatalf("first rule violation, want none: %v", z.audit.violations[0])
 		}
 	})
 }
@@ -224,7 +226,7 @@
 	return binary.BigEndian.AppendUint16(append(make([]byte, 8), 0), zones)
 }
 
-// The reports of three peers make an agent fail over from a zone that it sends nothing to.
+// An agent fails over from a zone to which it sends no requests when three peers report the zone lost.
 func TestZoneFailsOverOnPeerReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		from       []int
@@ -262,13 +264,13 @@
 			}
 			failedOver := len(z.changes) > 0 && z.changes[0].Zone == 1 && z.changes[0].ByGossip
 			if failedOver != c.want || !failedOver && len(z.changes) > 0 {
-				t.Errorf("unexpected zone state changes: %+v", z.changes)
+				t.Errorf("zone state changes %+v, want a failover of zone 1 by gossip, or none, as the case says", z.changes)
 			}
 		})
 	}
 }
 
-// An agent that fails over on its own evidence reports that to its peers at once, and stops reporting it after the
+// An agent that fails over on its own evidence reports the loss to its peers at once, and stops reporting it after the
 // longest objective.
 func TestZoneLossIsGossiped(t *testing.T) {
 	z := newZoneRig(t, 3, func(s *balancer.Settings) { s.Balancers, s.GossipAllowed = 4, true })
@@ -291,15 +293,16 @@
 	z.run(500 * ms) // more than the longest objective
 	z.gossip = nil
 	if z.run(time.Second); lossReports() > 0 {
-		t.Error("the loss is still reported after the longest objective")
+		t.Error("loss reports were sent after the longest objective, want none")
 	}
 }
 
-// The whole fleet probes a failed-over zone, and probes are work for its backends. All probes together take at most a
-// fifth of the work that a backend in slow start may get beyond its budget.
+// All agents of a fleet probe a failed-over zone, and probes are work for the zone's backends. All probes together take
+// at most a fifth of the work that a backend in slow start may get beyond its budget.
 func TestFleetProbesTakeLittleCapacity(t *testing.T) {
 	const agents, span = 100, 6 * time.Second
-	const probe, request = 0.72, 84.0 // ms of work: the most expensive health check, the cheapest request of the operators' site
+	// Work of the most expensive health check and of the cheapest request at the operators' site, in ms.
+	const probe, request = 0.72, 84.0
 	probeCount, perZone := 0, 3
 	for n := range uint64(agents) {
 		z := newZoneRig(t, n+1, func(s *balancer.Settings) { s.Balancers = agents })
@@ -309,12 +312,13 @@
 		probeCount += z.probeCount
 	}
 	if probeCount < agents {
-		t.Fatalf("%d probes by %d agents, want at least one by each", probeCount, agents)
+		t.Fatalf("%d probes by %d agents, want at least as many probes as agents", probeCount, agents)
 	}
-	perBackend := float64(probeCount) / span.Seconds() / float64(perZone) // probes per second, the window for overload
-	const allowed = 6.0                                                   // minimum of requests allowed beyond the budget: 3 x root of N + 3
+	perBackend := float64(probeCount) / span.Seconds() / float64(perZone) // probes in an OverloadWindow of 1 s
+	const allowed = 6.0                                                   // minimum number of requests that are allowed beyond a budget of N: 3 x root of N + 3
 	if share := perBackend * probe / (allowed * request); share > 0.2 {
-		t.Errorf("%.0f probes per second at each backend take %.0f%% of the work allowed beyond the budget", perBackend, 100*share)
+		t.Errorf("%.0f probes per second at each backend take %.0f%% of the work allowed beyond the budget, want 20%% at most",
+			perBackend, 100*share)
 	} else {
 		t.Logf("%.1f probes per second at each backend take %.1f%% of the work allowed beyond the budget", perBackend, 100*share)
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -158,8 +158,9 @@
 // plus two. Traffic is skewed, requests are uneven, some attempts are rejected and retried, and agents may start at the
 // same moment as the backends.
 //
-// The demand exceeds the total capacity, so the budget binds. The agents keep to N: with budgets half as large again
-// they use 0.91 of the allowance for chance, and with budgets three quarters larger the test fails.
+// The demand exceeds the total capacity, so the budget limits the attempts. The agents' traffic stays within N. With
+// budgets larger by half, the excess reaches 0.91 of the allowance for chance; with budgets larger by three quarters, the
+// test fails.
 func TestSlowStartBudgetHoldsAcrossAgents(t *testing.T) {
 	const served, latency = 20.0, 100 * ms // requests per second of a warm backend, and the latency of each
 	highestExcess, attempts := math.Inf(-1), 0
@@ -209,8 +210,8 @@
 						n := s.OverloadMultiple * share * served * s.OverloadWindow.Seconds()
 						highestExcess = max(highestExcess, (sum-n)/(2*math.Sqrt(n)+2))
 						if sum > n+2*math.Sqrt(n)+2 {
-							t.Fatalf("%d agents, together %v, seed %d: %s got %.1f mean requests within %v, %v after its start, want at most %.1f", agents,
-								together, seed, b.ID, sum, s.OverloadWindow, at[j].at-start, n+2*math.Sqrt(n)+2)
+							t.Fatalf("%d agents, started together %v, seed %d: %s got %.1f mean requests within %v, %v after its start, want at most %.1f",
+								agents, together, seed, b.ID, sum, s.OverloadWindow, at[j].at-start, n+2*math.Sqrt(n)+2)
 						}
 					}
 				}
@@ -242,9 +243,9 @@
 	// The limit starts at 6 per backend and grows with responses this fast. Without a separate share for warm backends
 	// the mean is 15.6.
 	if mean := float64(sum) / float64(n) / warm; mean < 3 || mean > 14.5 {
-		t.Errorf("mean of %.1f attempts in flight per warm backend, want 3 to 14.5; at most %d at all warm backends", mean, highest)
+		t.Errorf("mean of %.1f attempts in flight per warm backend, want 3 to 14.5; peak of %d at all of them", mean, highest)
 	}
 	if c.refused == 0 {
-		t.Error("no request was refused: the limit did not bind")
+		t.Error("no request was refused, want some: the limit had no effect")
 	}
 }
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -20,8 +20,8 @@
 	}
 	tests := []struct {
 		name  string
-		peers bool
-		data  []byte // received from each of the three others; nil: none
+		peers bool   // whether gossip is allowed
+		data  []byte // message received from each of the three peers; nil: none
 		want  func(n int) bool
 	}{
 		{"no messages allowed", false, demand(0), func(n int) bool { return n == 15 }},
@@ -53,7 +53,7 @@
 				}
 			}
 			if tt.peers != (messages > 0) || messages > 4*3 {
-				t.Errorf("sent %d messages to three peers in 1.2 s, want up to 12 with an interval of 400 ms, none if not allowed",
+				t.Errorf("sent %d messages to three peers in 1.2 s, want 1 to 12 if gossip is allowed, else none",
 					messages)
 			}
 			n := 0
@@ -63,14 +63,14 @@
 				n += len(r.sent[id])
 			}
 			if !tt.want(n) {
-				t.Errorf("%d requests in flight: not the expected share of the limit of 60", n)
+				t.Errorf("%d requests in flight, outside of the wanted share of the limit of 60", n)
 			}
 		})
 	}
 }
 
 // A restarted agent has measured little of its clients' demand. With a peer that has as much traffic, it must not count
-// as nearly idle and refuse requests at a small share of the limit.
+// as nearly idle, which would make it refuse requests at a small share of the limit.
 func TestRestartedAgentKeepsItsQuota(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 2, true
@@ -167,7 +167,8 @@
 		r.advance(50 * ms)
 	}
 	if after := inFlight(1); before > 40 || after < 55 {
-		t.Errorf("%d requests in flight with three peers, want up to 40; %d after they stopped, want nearly all 60", before, after)
+		t.Errorf("%d requests in flight with three peers, want up to 40; %d after the peers stopped, want at least 55", before,
+			after)
 	}
 }
 
@@ -220,6 +221,6 @@
 		t.Errorf("after the observations 200 agents send to %v, want up to 5 to a, up to 40 to b, at least 40 to c and d", once)
 	}
 	if !reflect.DeepEqual(once, often) {
-		t.Errorf("after one copy of the messages agents send to %v, after twenty copies to %v", once, often)
+		t.Errorf("200 agents send to %v after one copy of the messages, to %v after twenty copies, want the same", once, often)
 	}
 }
--- a/balancer/observations_test.go
+++ b/balancer/observations_test.go
@@ -13,7 +13,7 @@
 	for _, ratio := range []float64{0, 0.5, 1, 3.3, 7.9, 8, 1000} {
 		n := observeLatency(7, ratio, time.Hour)
 		if want := min(ratio, maxLatencyRatio-0.1); math.Abs(n.ratio()-want) > 1/ratioSteps || n.value >= valueLate {
-			t.Errorf("ratio %v: value %d, decoded as %v", ratio, n.value, n.ratio())
+			t.Errorf("ratio %v: value %d, decoded as %v, want the ratio within one step, up to 7.9", ratio, n.value, n.ratio())
 		}
 	}
 }
@@ -25,7 +25,8 @@
 	}
 	if len(l.recent) != maxObservations || l.recent[0].key != 2*maxObservations ||
 		l.recent[maxObservations-1].key != 3*maxObservations-1 {
-		t.Errorf("%d observations, from %d to %d", len(l.recent), l.recent[0].key, l.recent[len(l.recent)-1].key)
+		t.Errorf("%d observations with keys %d to %d, want the newest third", len(l.recent), l.recent[0].key,
+			l.recent[len(l.recent)-1].key)
 	}
 	sent := 0
 	for range 10 * outcomesPerGossip {
@@ -48,6 +49,6 @@
 		seen[key] = true
 	}
 	if len(seen) < 2990 {
-		t.Errorf("%d different keys of 3000 IDs", len(seen))
+		t.Errorf("%d different keys of 3000 IDs, want at least 2990", len(seen))
 	}
 }
--- a/balancer/outliers_test.go
+++ b/balancer/outliers_test.go
@@ -10,7 +10,7 @@
 	"martenbeam/balancer"
 )
 
-// A backend that fails fast is always idle. It must not attract the traffic for that reason.
+// A backend that fails fast is always idle, and must not attract traffic because of its idleness.
 func TestBackendThatFailsFastIsEjected(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(6))
 	failed := 0
@@ -35,7 +35,7 @@
 	}
 }
 
-// An ejection ends also where no class is idempotent.
+// An ejection also ends where no class is idempotent.
 func TestEjectionEndsWithoutIdempotentClass(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[nonIdempotent : nonIdempotent+1]
@@ -52,7 +52,7 @@
 	}
 	r.advance(5 * time.Second)
 	if counts := r.serve(200, 0, 30*ms); counts["a"] == 0 {
-		t.Error("the backend got no request after its ejection")
+		t.Error("the backend got no request after its ejection, want some")
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // A single reset doesn't eject a backend, even before the agent has measured the baseline failure rate; two in a row
-// do. When each reset in the first seconds ejected a backend, a tenth of the requests was refused.
+// eject it. When each reset in the first seconds ejected a backend, a tenth of the requests was refused.
 func TestSingleResetDoesNotEject(t *testing.T) {
 	for n, ejected := range map[int]bool{1: false, 2: true} {
 		r := newRig(t, settings(), 1, backends(3))
@@ -120,7 +120,7 @@
 	}
 }
 
-// A backend that fails far more often than the others is ejected also where attempts fail at every backend.
+// A backend that fails far more often than the others is also ejected where attempts fail at every backend.
 func TestBackendWorseThanBaselineIsEjected(t *testing.T) {
 	if counts, total := playWithBaselineFailures(t, true); counts["a"] > total/25 {
 		t.Errorf("the failing backend got %d of %d attempts, want up to a 25th", counts["a"], total)
@@ -185,8 +185,8 @@
 	}
 }
 
-// shareAfterFailures drives a balancer with three backends until backend a has n requests outstanding, and ends these
-// with res at the same time. It returns how many of 200 requests backend a gets 2 s later.
+// shareAfterFailures drives a balancer with three backends until backend a has n outstanding requests, and ends all n
+// with the result res at the same time. It returns how many of 200 requests backend a gets 2 s later.
 func shareAfterFailures(t *testing.T, n int, res balancer.Result) int {
 	t.Helper()
 	r := newRig(t, settings(), 3, backends(3))
@@ -209,7 +209,7 @@
 		}
 	}
 	r.advance(2 * time.Second)
-	for _, id := range outstanding { // those that were retried
+	for _, id := range outstanding { // end the retries
 		if len(r.sent[id]) > 1 {
 			r.outcome(id, balancer.OK, 20*ms)
 		}
@@ -234,6 +234,6 @@
 // slow start, no capacity was left within seconds.
 func TestSingleResetIsNotARestart(t *testing.T) {
 	if got := shareAfterFailures(t, 1, balancer.Reset); got < 45 {
-		t.Errorf("after one reset the backend got %d of 200 requests, want about a third", got)
+		t.Errorf("after one reset the backend got %d of 200 requests, want at least 45", got)
 	}
 }
--- a/balancer/outliers_unit_test.go
+++ b/balancer/outliers_unit_test.go
@@ -25,10 +25,10 @@
 	low.eject(now, unit, 0)
 	high.eject(now, unit, 0.999)
 	if got := low.ejectedUntil - now; got != unit*3/4 {
-		t.Errorf("the shortest first ejection is %v", got)
+		t.Errorf("the shortest first ejection is %v, want three quarters of the unit", got)
 	}
 	if got := high.ejectedUntil - now; got < unit*124/100 || got > unit*125/100 {
-		t.Errorf("the longest first ejection is %v", got)
+		t.Errorf("the longest first ejection is %v, want 1.24 to 1.25 units", got)
 	}
 }
 
@@ -36,7 +36,7 @@
 	const unit = 100 * time.Millisecond
 	var o outlierState
 	if !o.eligible(0, false, NonIdempotent) {
-		t.Fatal("a healthy backend is not eligible")
+		t.Fatal("a healthy backend must be eligible")
 	}
 	o.eject(time.Hour, unit, 0.5)
 	end := time.Hour + unit
@@ -56,14 +56,15 @@
 		{unit, false, NonIdempotent, false},
 	} {
 		if got := o.eligible(end+c.after, c.idle, c.idempotency); got != c.want {
-			t.Errorf("%v after the end of the ejection, idle %v, idempotency %d: eligible %v", c.after, c.idle, c.idempotency, got)
+			t.Errorf("%v after the end of the ejection, idle %v, idempotency %d: eligible %v, want the opposite",
+				c.after, c.idle, c.idempotency, got)
 		}
 	}
 	for range 4 {
 		o.recordSuccess(end)
 	}
 	if o.recovering() || !o.eligible(end, false, NonIdempotent) {
-		t.Error("the backend is still recovering after four successes")
+		t.Error("after four successes the backend is still recovering or not eligible")
 	}
 }
 
@@ -71,20 +72,20 @@
 	var o outlierState
 	o.recordFailure(1)
 	if o.failsBeyondChance(baselineResetRate, ejectProbability) {
-		t.Error("one reset counts as beyond chance")
+		t.Error("one reset must not count as beyond chance")
 	}
 	if !o.failsBeyondChance(0, ejectProbability) {
-		t.Error("one failure does not count as beyond chance at a baseline of 0")
+		t.Error("one failure must count as beyond chance at a baseline of 0")
 	}
 	o.recordFailure(1)
 	if !o.failsBeyondChance(baselineResetRate, ejectProbability) || o.failsBeyondChance(baselineResetRate, deadProbability) {
-		t.Error("two resets in a row should eject the backend, but not presume its process dead")
+		t.Error("two resets in a row must be improbable enough for an ejection, but not for a presumed death")
 	}
 	if o.recordFailure(1); !o.failsBeyondChance(baselineResetRate, deadProbability) {
-		t.Error("three resets in a row should presume the process dead")
+		t.Error("three resets in a row must be improbable enough for a presumed death")
 	}
 	if o.recordFailure(0); o.failsBeyondChance(baselineResetRate, ejectProbability) {
-		t.Error("failures before a response still count as consecutive")
+		t.Error("failures before a response must not count as consecutive")
 	}
 }
 
@@ -99,7 +100,7 @@
 		t.Errorf("baseline %v, want 0.2", got)
 	}
 	if got := baselineFailureRate(nil); got != 0 {
-		t.Errorf("baseline %v without backends", got)
+		t.Errorf("baseline %v without backends, want 0", got)
 	}
 }
 
@@ -114,13 +115,13 @@
 	}
 	o.recordPeerSuccess(time.Hour)
 	if o.failureScore != 1 || o.unresponsive() || !o.succeededSince(time.Hour) || o.succeededSince(time.Hour+1) {
-		t.Errorf("after a success at the time of the ejection: %+v", o)
+		t.Errorf("after a success at the time of the ejection: %+v, want failure score 1 and no time-outs", o)
 	}
 	if o.recordPeerSuccess(time.Hour + 1); o.failureScore != 1-failureScoreDecay {
-		t.Errorf("after a newer success the score is %v", o.failureScore)
+		t.Errorf("after a newer success the score is %v, want 1 - failureScoreDecay", o.failureScore)
 	}
 	if o.recordPeerSuccess(time.Minute); !o.succeededSince(time.Hour + 1) {
-		t.Error("an older success replaces a newer one")
+		t.Error("an older success must not replace a newer one")
 	}
 }
 
@@ -135,17 +136,17 @@
 	}
 	o := ejected()
 	if o.clearFailures(); o != (outlierState{}) {
-		t.Errorf("after clearFailures: %+v", o)
+		t.Errorf("after clearFailures: %+v, want the zero value", o)
 	}
 	o = ejected()
 	if o.resetForRestart(); o.recovering() || !o.usable(time.Hour) || !o.rejecting(time.Hour) || o.consecutiveFailures != 1 {
-		t.Errorf("after resetForRestart: %+v", o)
+		t.Errorf("after resetForRestart: %+v, want no score and no ejection, but the rejection and one failure", o)
 	}
 	o = ejected()
 	if o.clearFailuresSince(time.Hour + 1); !o.recovering() || o.consecutiveTimeouts != 0 || o.consecutiveFailures != 1 {
-		t.Errorf("after clearFailuresSince a time after the ejection: %+v", o)
+		t.Errorf("after clearFailuresSince with a later time: %+v, want the ejection, one failure and no time-outs", o)
 	}
 	if o.clearFailuresSince(time.Hour); o.recovering() || o.consecutiveFailures != 0 || o.failureRate != 0 || o.ejectedUntil != 0 {
-		t.Errorf("after clearFailuresSince the time of the ejection: %+v", o)
+		t.Errorf("after clearFailuresSince with the time of the ejection: %+v, want no ejection and no failures", o)
 	}
 }
--- a/balancer/overrides_test.go
+++ b/balancer/overrides_test.go
@@ -27,7 +27,7 @@
 	return accepted
 }
 
-// A disabled backend gets no requests, whatever the endpoint updates, until one Enable reverts any number of Disable.
+// A disabled backend gets no requests after any endpoint update. One Enable reverts any number of Disable events.
 func TestDisabledBackendGetsNoRequests(t *testing.T) {
 	list := backends(3)
 	started := slices.Clone(list)
@@ -50,14 +50,14 @@
 				r.step(update)
 			}
 			if n := r.serve(60, idempotent, 10*ms)["a"]; n > 0 {
-				t.Errorf("%d requests went to the disabled backend", n)
+				t.Errorf("%d requests went to the disabled backend, want none", n)
 			}
 			if !r.override(balancer.Enable{Call: 3, Backend: "a"}) {
 				t.Fatal("Enable was rejected")
 			}
 			r.now += settings().SlowStartWindow
 			if n := r.serve(60, idempotent, 10*ms)["a"]; n == 0 {
-				t.Error("the backend got no request after Enable")
+				t.Error("the backend got no request after Enable, want some")
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 	r.outcome("q", balancer.Errored, 10*ms)
 	r.advance(400 * ms)
 	if slices.Contains(r.sent["q"], other) {
-		t.Errorf("attempts went to %v, though %s is disabled", r.sent["q"], other)
+		t.Errorf("attempts went to %v, want none at the disabled backend %s", r.sent["q"], other)
 	}
 	for _, id := range []string{"a", "b"} {
 		r.override(balancer.Disable{Call: 2, Backend: id})
@@ -87,15 +87,15 @@
 func TestOverridesOfUnknownBackendsAreRejected(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	if r.override(balancer.Disable{Call: 1, Backend: "z"}) || r.override(balancer.Enable{Call: 2, Backend: "z"}) {
-		t.Error("an override of an unknown ID was accepted")
+		t.Error("an override of an unknown ID was accepted, want it rejected")
 	}
 	if !r.override(balancer.Enable{Call: 3, Backend: "a"}) {
-		t.Error("Enable of a backend in use was rejected")
+		t.Error("Enable of a backend in use was rejected, want it accepted")
 	}
 	r.override(balancer.Disable{Call: 4, Backend: "a"})
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)[1:]})
 	if !r.override(balancer.Enable{Call: 5, Backend: "a"}) {
-		t.Error("Enable of a disabled backend that has left the list was rejected")
+		t.Error("Enable of a disabled backend that has left the list was rejected, want it accepted")
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: backends(2)})
 	if n := r.serve(60, idempotent, 10*ms)["a"]; n > 0 {
-		t.Errorf("%d requests went to the disabled backend", n)
+		t.Errorf("%d requests went to the disabled backend, want none", n)
 	}
 	// The earlier process re-enabled the backend one slow-start window ago, so its slow start is over.
 	at := r.now - settings().SlowStartWindow
@@ -131,10 +131,10 @@
 		return r.serve(200, idempotent, 10*ms)["a"]
 	}
 	if warm, reenabled := requestsToA(false), requestsToA(true); reenabled == 0 || reenabled > warm/2 {
-		t.Errorf("%d requests to a re-enabled backend, %d to a warm one, want some and up to half as many", reenabled, warm)
+		t.Errorf("%d requests to a re-enabled backend, %d to a warm one, want at least 1 and up to half as many", reenabled, warm)
 	}
 	r := newRig(t, settings(), 1, backends(2))
-	for i := 0; len(r.sent) < 400; i++ { // all attempts at "a" fail, and its ejections get longer
+	for i := 0; len(r.sent) < 400; i++ { // all attempts at backend a fail, and its ejections get longer
 		id := fmt.Sprint("f", i)
 		r.request(id, nonIdempotent)
 		result := balancer.OK
@@ -148,7 +148,7 @@
 	r.override(balancer.Enable{Call: 2, Backend: "a"})
 	r.now += settings().SlowStartWindow
 	if n := r.serve(60, nonIdempotent, 10*ms)["a"]; n < 15 {
-		t.Errorf("%d of 60 requests went to a backend re-enabled since it failed, want at least 15", n)
+		t.Errorf("%d of 60 requests went to a backend that was re-enabled after its failures, want at least 15", n)
 	}
 }
 
@@ -196,7 +196,7 @@
 }
 
 // The quota of a drained agent moves at once to the agents that get its clients, and back when the clients return.
-// Without the notification, demand reports would lag by seconds.
+// Without the message that a drain sends, the peers would adapt seconds later.
 func TestQuotaOfADrainedAgentMovesToItsPeers(t *testing.T) {
 	s := settings()
 	s.Balancers, s.GossipAllowed = 3, true
@@ -246,13 +246,13 @@
 	}
 	drained := quota("drained")
 	if again := busy.step(balancer.Drain{On: true}); len(again) > 0 {
-		t.Errorf("a second Drain had the actions %v, want none", again)
+		t.Errorf("a second Drain caused the actions %v, want none", again)
 	}
 	deliver(1, busy.step(balancer.Drain{On: false}))
 	after := quota("after")
-	// The limit of the fleet is 24 or a little more. The idle agent first gets hardly any of it, then nearly half.
+	// The limit of the fleet is 24 or a little more. The idle agent's quota is small at first, then about half of that.
 	if before > 5 || drained < 10 || drained > 14 || after > before+1 {
-		t.Errorf("quota of %d requests before, %d while the busy peer is drained, %d after, want up to 5, 10 to 14, and about the first",
+		t.Errorf("quota of %d requests before, %d while the busy peer is drained, %d after, want up to 5, 10 to 14, and up to 1 more",
 			before, drained, after)
 	}
 }
--- a/balancer/peers_unit_test.go
+++ b/balancer/peers_unit_test.go
@@ -25,10 +25,11 @@
 		now += interval / 20
 	}
 	if got, want := fresh.steady(now), longRunning.steady(now); math.Abs(got/want-1) > 0.1 {
-		t.Errorf("estimate of %v after one interval, %v after many", got, want)
+		t.Errorf("estimate of %v after one interval, %v after many, want a difference of up to a tenth", got, want)
 	}
 	if fresh.value(now) > longRunning.value(now)/3 {
-		t.Errorf("the sum without extrapolation is %v after one interval, %v after many", fresh.value(now), longRunning.value(now))
+		t.Errorf("the sum without extrapolation is %v after one interval, %v after many, want up to a third", fresh.value(now),
+			longRunning.value(now))
 	}
 }
 
@@ -67,9 +68,9 @@
 	}
 	now += time.Duration(peerExpiry * float64(interval))
 	if got := table.quota(100, 0, now); got != 1 {
-		t.Errorf("quota %v after both stopped, want 1", got)
+		t.Errorf("quota %v after both peers stopped, want 1", got)
 	}
-	large := newPeerTable(100, 0, interval) // gets messages from a sample of peers: an expired report doesn't mean a stop
+	large := newPeerTable(100, 0, interval) // receives reports from a sample of peers: an expired one is no sign of a stop
 	large.receive(1, 100, false, time.Hour)
 	if got := large.quota(100, 0, now); got != 0.01 {
 		t.Errorf("quota %v in a large fleet, want an even share", got)
@@ -85,16 +86,16 @@
 		t.Fatalf("share %v of a drained peer's demand, want a third of 90", share)
 	}
 	if share, changed := table.receive(1, 90, true, now); changed {
-		t.Errorf("a second report of the drain changes the demand by %v", share)
+		t.Errorf("a second report of the drain changes the demand by %v, want no change", share)
 	}
 	if got := table.snapshot(now); !slices.Equal(got, []float64{-1, 0, 120, 120}) {
-		t.Errorf("the peers' demand during the drain is %v", got)
+		t.Errorf("the peers' demand during the drain is %v, want -1, 0, 120, 120", got)
 	}
 	if share, changed := table.receive(1, 5, false, now); !changed || share != -30 {
 		t.Errorf("share %v when the clients return, want −30", share)
 	}
 	if got := table.snapshot(now); !slices.Equal(got, []float64{-1, 5, 90, 90}) {
-		t.Errorf("the peers' demand after the drain is %v", got)
+		t.Errorf("the peers' demand after the drain is %v, want -1, 5, 90, 90", got)
 	}
 }
 
@@ -103,11 +104,11 @@
 	demands := []float64{10, 20, -1, 30}
 	table.restore(demands, now)
 	if got := table.snapshot(now); !slices.Equal(got, []float64{10, -1, -1, 30}) {
-		t.Errorf("restored %v from %v", got, demands)
+		t.Errorf("restored %v from %v, want 10, -1, -1, 30", got, demands)
 	}
 	for from, want := range map[int]bool{-1: false, 0: true, 1: false, 3: true, 4: false} {
 		if table.has(from) != want {
-			t.Errorf("agent %d counts as a peer: %v", from, !want)
+			t.Errorf("agent %d counts as a peer: %v, want the opposite", from, !want)
 		}
 	}
 }
--- a/balancer/picking_test.go
+++ b/balancer/picking_test.go
@@ -28,7 +28,7 @@
 		counts := r.serve(400, idempotent, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
 			if counts[id] < 60 || counts[id] > 140 {
-				t.Errorf("%s got %d of 400 requests, want about 100", id, counts[id])
+				t.Errorf("%s got %d of 400 requests, want 60 to 140", id, counts[id])
 			}
 		}
 	})
@@ -130,14 +130,14 @@
 		id := fmt.Sprint("q", i)
 		r.request(id, idempotent)
 		if r.sent[id][0] == "a" {
-			t.Errorf("request %d went to the stalled backend", i)
+			t.Errorf("request %d went to the stalled backend, want another one", i)
 		}
 	}
 }
 
 // zone+vast: when 80 agents spread each key over 60 backends, nearly all of the work that a backend saves on a recent
 // key was lost. Any two agents prefer the same few idle backends for a key, and different backends for other keys. A
-// busy backend is passed over.
+// busy backend is not preferred.
 func TestKeyAffinityPrefersTheSameBackends(t *testing.T) {
 	play := func(keyAffinity bool, seed, key uint64) map[string]int {
 		s := settings()
@@ -178,7 +178,8 @@
 	}
 	for _, key := range []uint64{0, 7} {
 		if share := together(play(key == 0, 1, key), play(key == 0, 2, key)); share > 0.1 {
-			t.Errorf("key %d, no key or no affinity: %.2f of the pairs go to the same backend, want up to 0.1", key, share)
+			t.Errorf("key %d, without a key or without affinity: %.2f of the pairs go to the same backend, want up to 0.1",
+				key, share)
 		}
 	}
 
@@ -187,13 +188,13 @@
 	r := newRig(t, s, 1, backends(8))
 	r.serve(100, idempotent, 20*ms)
 	used := map[string]bool{}
-	for i := range 8 { // no request is answered
+	for i := range 8 { // no request gets a response
 		id := fmt.Sprint("q", i)
 		r.step(balancer.Request{ID: id, Class: idempotent, TimeRemaining: 2000 * ms, AffinityKey: 99})
 		used[r.sent[id][0]] = true
 	}
 	if len(used) != 8 {
-		t.Errorf("8 requests with one key went to %d of 8 idle backends", len(used))
+		t.Errorf("8 requests with one key went to %d of 8 idle backends, want all", len(used))
 	}
 }
 
--- a/balancer/picking_unit_test.go
+++ b/balancer/picking_unit_test.go
@@ -16,7 +16,7 @@
 	s.recordArrival(time.Hour)
 	s.recordArrival(time.Hour + 160*time.Millisecond)
 	if got := s.size(500, objective, false); got != 10 { // four objectives at one request in 0.16 s
-		t.Errorf("%d backends, want 10", got)
+		t.Errorf("%d backends at one request in 0.16 s, want 10", got)
 	}
 	if got := s.size(500, objective, true); got != 500 {
 		t.Errorf("%d of 500 backends where observations cover all, want all", got)
@@ -27,10 +27,10 @@
 	fast.recordArrival(time.Hour)
 	fast.recordArrival(time.Hour + time.Microsecond)
 	if got := slow.size(500, objective, false); got != minSubset {
-		t.Errorf("%d backends at one request per hour, want the minimum", got)
+		t.Errorf("%d backends at one request per hour, want minSubset", got)
 	}
 	if got := fast.size(500, objective, false); got != 80 {
-		t.Errorf("%d backends at a high rate, want 30 and a tenth of 500", got)
+		t.Errorf("%d backends at a high rate, want 80: 30 and a tenth of 500", got)
 	}
 }
 
@@ -43,13 +43,13 @@
 		s.shrink()
 	}
 	if got := s.size(5000, objective, false); got > before/2 || got < before/3 {
-		t.Errorf("%d backends after seven rejections, %d before", got, before)
+		t.Errorf("%d backends after seven rejections, %d before, want a third to a half", got, before)
 	}
 	for range 1000 {
 		s.grow()
 	}
 	if got := s.size(5000, objective, false); got != before {
-		t.Errorf("%d backends after many responses, %d before", got, before)
+		t.Errorf("%d backends after many responses, %d before the rejections, want the same number", got, before)
 	}
 }
 
@@ -57,7 +57,7 @@
 	a, b, c, d := &backendState{}, &backendState{}, &backendState{}, &backendState{}
 	found := newCandidates(2)
 	if found.best() != nil {
-		t.Error("best returns a backend though none was offered")
+		t.Error("best returns a backend though none was offered, want nil")
 	}
 	found.offerEjected(a, 2)
 	found.offerEjected(b, 1)
@@ -90,7 +90,7 @@
 	}
 	for i, backend := range backends {
 		if got, want := chosen[backend], 1000*(i+1); got < want*9/10 || got > want*11/10 {
-			t.Errorf("weight %d: chosen %d of 6000 times, want about %d", i+1, got, want)
+			t.Errorf("weight %d: chosen %d of 6000 times, want %d within a tenth", i+1, got, want)
 		}
 	}
 }
--- a/balancer/proximity_test.go
+++ b/balancer/proximity_test.go
@@ -9,8 +9,8 @@
 	"martenbeam/balancer"
 )
 
-// Where crossing zones has a cost, traffic prefers the own zone and then other zones of the region, unless those are
-// slower.
+// Where crossing zones has a cost, traffic prefers the own zone, and then other zones of the same region, unless the
+// preferred zone is slower.
 func TestNearZonesArePreferred(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(s *balancer.Settings)
@@ -35,7 +35,7 @@
 			sum := float64(z.firstAttempts[0] + z.firstAttempts[1] + z.firstAttempts[2])
 			own, near, far := float64(z.firstAttempts[0])/sum, float64(z.firstAttempts[1])/sum, float64(z.firstAttempts[2])/sum
 			if !c.ok(own, near, far) {
-				t.Errorf("unexpected shares of first attempts: own zone %.2f, near %.2f, far %.2f", own, near, far)
+				t.Errorf("shares of first attempts not in the wanted ranges: own zone %.2f, near %.2f, far %.2f", own, near, far)
 			}
 		})
 	}
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -35,8 +35,8 @@
 				switch a := a.(type) {
 				case balancer.Send:
 					if !table.Permits(rule[a.Request], zone[a.Backend]) {
-						d.Fatalf("%s of rule %d went to %s in zone %d: %v", a.Request, rule[a.Request], a.Backend,
-							zone[a.Backend], table)
+						d.Fatalf("%s of rule %d went to %s in zone %d, which the policy does not permit: %v", a.Request,
+							rule[a.Request], a.Backend, zone[a.Backend], table)
 					}
 				case balancer.Refuse:
 					done[a.Request] = true
@@ -50,7 +50,7 @@
 			switch rapid.IntRange(0, 9).Draw(d, "event") {
 			default:
 				id := fmt.Sprint("q", i)
-				rule[id] = rapid.IntRange(0, rules+1).Draw(d, "rule") // one more than the table has
+				rule[id] = rapid.IntRange(0, rules+1).Draw(d, "rule") // includes two rules that the table doesn't have
 				check(r.step(balancer.Request{ID: id, Class: rapid.IntRange(0, 4).Draw(d, "class"),
 					TimeRemaining: 2000 * ms, ResidencyRule: rule[id]}))
 			case 4, 5, 6: // an attempt ends, with any result
@@ -104,7 +104,7 @@
 		Restricted: []bool{false, true}}}
 }
 
-// A restricted request without a permitted backend is refused at once, with the reason.
+// A restricted request without a permitted backend is refused at once with NoPermittedZone.
 func TestRequestWithoutPermittedBackendIsRefused(t *testing.T) {
 	for name, prepare := range map[string]func(r *rig){
 		"zone without backends": func(r *rig) { r.step(residencyOf(false, false, false)) },
@@ -169,7 +169,8 @@
 	unrestrictedAlone, _ := play(0)
 	unrestrictedBeside, refused := play(1)
 	if refused > 0 || unrestrictedBeside > unrestrictedAlone {
-		t.Errorf("%d restricted requests refused; %d others in their zone, %d without restricted requests", refused, unrestrictedBeside, unrestrictedAlone)
+		t.Errorf("%d restricted requests refused, want none; %d other requests in their zone, want at most the %d without them",
+			refused, unrestrictedBeside, unrestrictedAlone)
 	}
 }
 
@@ -194,7 +195,7 @@
 		r.step(far)
 	}
 	if n := count(r); n > 0 {
-		t.Errorf("%d of 90 requests went to the far zone while other backends were idle", n)
+		t.Errorf("%d of 90 requests went to the far zone while near backends were idle, want none", n)
 	}
 	for i := range 24 { // more than the near zones have idle backends
 		r.request(fmt.Sprint("busy", i), idempotent)
@@ -206,7 +207,7 @@
 		}
 	}
 	if sentFar == 0 {
-		t.Error("no request went to the far zone while the near backends were busy")
+		t.Error("no request went to the far zone while the near backends were busy, want some")
 	}
 	r = newRig(t, settings(), 7, backends(6))
 	for range 20 {
@@ -214,11 +215,11 @@
 	}
 	r.step(balancer.ZoneLatencies{RTT: make([]time.Duration, 3), Loss: make([]float64, 3)})
 	if n := count(r); n < 15 {
-		t.Errorf("%d of 90 requests went to a zone whose round-trip time is unknown again, want about a third", n)
+		t.Errorf("%d of 90 requests went to a zone whose round-trip time is unknown again, want at least 15", n)
 	}
 }
 
-// The quota that the fleet assigns sets this agent's share of the limit.
+// The quota that the fleet assigns determines this agent's share of the limit.
 func TestAssignedQuotaSetsTheLimit(t *testing.T) {
 	inFlight := func(share float64) (n int) {
 		s := settings()
@@ -236,6 +237,7 @@
 	}
 	even, more, less := inFlight(0), inFlight(0.5), inFlight(0.01)
 	if more < 3*even || less >= even || less < 1 {
-		t.Errorf("in flight: %d without an assigned quota, %d with half of the limit, %d with a hundredth", even, more, less)
+		t.Errorf("in flight: %d with an even share, %d with half of the limit (want 3 times as many), %d with a 100th (want fewer)",
+			even, more, less)
 	}
 }
--- a/balancer/residency_unit_test.go
+++ b/balancer/residency_unit_test.go
@@ -28,10 +28,10 @@
 		"an unknown rule":            {policy, 3, 0, false, true},
 	} {
 		if got := c.policy.permits(c.rule, c.zone); got != c.permits {
-			t.Errorf("%s: unexpected result: permitted %v", name, got)
+			t.Errorf("%s: permitted %v, want the opposite", name, got)
 		}
 		if got := c.policy.restricts(c.rule); got != c.restricts {
-			t.Errorf("%s: unexpected result: restricted %v", name, got)
+			t.Errorf("%s: restricted %v, want the opposite", name, got)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -17,14 +17,14 @@
 	r := newRig(t, settings(), 9, list)
 	counts := r.serve(200, idempotent, 20*ms) // the first 4 s of 10: warmth 0.2 to 0.52
 	if warm := (200 - counts["a"]) / 4; float64(counts["a"]) > 0.52*float64(warm)+2 {
-		t.Errorf("the cold backend got %d requests, a warm one %d", counts["a"], warm)
+		t.Errorf("the cold backend got %d requests, a warm one %d, want up to 0.52 times as many and 2", counts["a"], warm)
 	}
 	if counts["a"] == 0 {
-		t.Error("the cold backend got no request")
+		t.Error("the cold backend got no request, want some")
 	}
 	r.advance(10 * time.Second)
 	if n := r.serve(200, idempotent, 20*ms)["a"]; n < 25 {
-		t.Errorf("once warm the backend got %d of 200 requests, want at least 25", n)
+		t.Errorf("after its slow start the backend got %d of 200 requests, want at least 25", n)
 	}
 }
 
@@ -51,12 +51,12 @@
 	serve(200)
 	r.advance(10 * time.Second)
 	if n := serve(60); n < 8 {
-		t.Errorf("once warm the backend got %d of 60 requests, want about an even share", n)
+		t.Errorf("after its slow start the backend got %d of 60 requests, want at least 8", n)
 	}
 }
 
-// join+vast: 36 of 60 backends were warm after half of the slow-start window, and the agents refused requests that
-// those could have served. The latency of starting backends indicates their warmth.
+// join+vast: 36 of 60 backends were warm after half of the slow-start window, and the agents refused requests that these
+// backends could have served. The latency of starting backends indicates their warmth.
 func TestWarmthIsEstimatedFromLatency(t *testing.T) {
 	play := func(cold time.Duration) (sent int) {
 		list := backends(8)
@@ -85,7 +85,7 @@
 		return sent
 	}
 	if fast, slow := play(40*ms), play(300*ms); fast < slow*5/4 {
-		t.Errorf("%d requests in flight with cold backends as fast as warm ones, %d with slow ones", fast, slow)
+		t.Errorf("%d requests in flight with fast cold backends, %d with slow ones, want the first a quarter larger", fast, slow)
 	}
 }
 
@@ -124,7 +124,8 @@
 		return sent
 	}
 	if fresh, afterFastStarts := play(0), play(5000); afterFastStarts > fresh*5/4 {
-		t.Errorf("%d requests in flight with slow cold backends, %d if earlier starts were fast", fresh, afterFastStarts)
+		t.Errorf("%d requests in flight with slow cold backends, %d after fast starts, want up to a quarter more", fresh,
+			afterFastStarts)
 	}
 }
 
@@ -133,7 +134,7 @@
 func TestSlowStartShareUnderOverload(t *testing.T) {
 	list := backends(5)
 	for i := range list {
-		list[i].Zone = 0 // responses arrive one at a time: a zone of two would not respond for long, and be failed over
+		list[i].Zone = 0 // responses arrive one at a time, so a zone of two backends would respond too seldom and be failed over
 	}
 	r := newRig(t, settings(), 9, list)
 	var open []string
@@ -149,7 +150,7 @@
 			}
 		}
 	}
-	drive := func(n int) { // every 5 ms: all responses of the starting backend, one of the others, two requests
+	drive := func(n int) { // every 5 ms: all responses of the starting backend, one response of the others, two requests
 		for range n {
 			r.advance(5 * ms)
 			previous := open
@@ -191,8 +192,8 @@
 	}
 }
 
-// Ticket 397: where every backend is in slow start, as after a power cut, their own throughput determines the budgets.
-// When only warm backends counted, the budgets fell to 0 as the throughput estimate decayed.
+// Ticket 397: where every backend is in slow start, as after a power cut, the throughput of starting backends
+// determines the budgets. When only warm backends counted, the budgets fell to 0 as the throughput estimate decayed.
 func TestFleetInSlowStartServes(t *testing.T) {
 	var list []balancer.Backend
 	for _, n := range backends(5) {
@@ -206,7 +207,7 @@
 	for i := range answered { // 20 s, in which the backends warm up by a quarter
 		r.request(fmt.Sprint("q", i), idempotent)
 		r.advance(20 * ms)
-		for k := max(0, i-50); k <= i; k++ { // queued ones are sent later than they arrived
+		for k := max(0, i-50); k <= i; k++ { // queued requests are sent later than they arrive
 			if id := fmt.Sprint("q", k); len(r.sent[id]) == 1 && !answered[k] {
 				answered[k] = true
 				r.outcome(id, balancer.OK, 20*ms)
@@ -240,7 +241,7 @@
 		send(fmt.Sprint("l", i), 20*ms)
 		if h := fmt.Sprint("h", i); i%10 == 0 {
 			if send(h, 300*ms); r.sent[h][0] == "cold" {
-				t.Fatalf("expensive request %d went to the cold backend", i)
+				t.Fatalf("expensive request %d went to the cold backend, want a warm one", i)
 			}
 		}
 		if r.sent[fmt.Sprint("l", i)][0] == "cold" {
@@ -248,7 +249,7 @@
 		}
 	}
 	if got == 0 {
-		t.Error("the cold backend got no cheap request either")
+		t.Error("the cold backend got no cheap request, want some")
 	}
 }
 
--- a/balancer/slowstart_unit_test.go
+++ b/balancer/slowstart_unit_test.go
@@ -27,10 +27,10 @@
 		}
 	}
 	if got := m.guaranteedWarmth(&s, time.Hour+10*time.Second); got != 1 || s.warmingUp {
-		t.Errorf("after the window the backend has warmth %v, still warming up: %v", got, s.warmingUp)
+		t.Errorf("after the window the backend has warmth %v and warming up %v, want 1 and false", got, s.warmingUp)
 	}
 	if got := m.guaranteedWarmth(&s, time.Hour+time.Second); got != 1 {
-		t.Error("a slow start continues after its end")
+		t.Error("a slow start continues after its end, want warmth 1")
 	}
 }
 
@@ -41,19 +41,19 @@
 	now := time.Hour + time.Second
 	guaranteed := m.guaranteedWarmth(&s, now)
 	if got := m.warmth(&s, now); !near(got, guaranteed) {
-		t.Errorf("before any response warmth is %v, guaranteed %v", got, guaranteed)
+		t.Errorf("before any response warmth is %v, want the guaranteed %v", got, guaranteed)
 	}
 	for range 1000 { // as fast as a warm backend
 		m.recordRatio(guaranteed, 1, guaranteed)
 	}
 	if got, most := m.warmth(&s, now), guaranteed*math.Pow(4, trustExponent); got <= guaranteed || got > most {
-		t.Errorf("after fast responses warmth is %v, guaranteed %v, bounded to %v", got, guaranteed, most)
+		t.Errorf("after fast responses warmth is %v, want more than the guaranteed %v and up to %v", got, guaranteed, most)
 	}
 	for range 1000 { // slower than its warmth explains
 		m.recordRatio(2/guaranteed, 1, guaranteed)
 	}
 	if got := m.warmth(&s, now); !near(got, guaranteed) {
-		t.Errorf("after slow responses warmth is %v, guaranteed %v", got, guaranteed)
+		t.Errorf("after slow responses warmth is %v, want the guaranteed %v", got, guaranteed)
 	}
 }
 
@@ -62,17 +62,17 @@
 	s.begin(time.Hour, time.Hour, 0.75)
 	now := time.Hour
 	if s.covers(1, 1) {
-		t.Error("the budget covers a request at the start")
+		t.Error("the budget must not cover a request at the start")
 	}
 	const rate = 1e-9 // one request per second
 	if s.refill(rate, now+700*time.Millisecond); s.covers(1, 1) {
-		t.Error("the budget covers a request before it is above 0")
+		t.Error("the budget must not cover a request before it is above 0")
 	}
 	if s.refill(rate, now+800*time.Millisecond); !s.covers(1, 1) {
-		t.Error("the budget does not cover a request though it is above 0")
+		t.Error("the budget must cover a request once it is above 0")
 	}
 	if s.covers(maxSlowStartWork*1.1, 1) {
-		t.Error("the budget covers an expensive request")
+		t.Error("the budget must not cover an expensive request")
 	}
 	s.refill(rate, now+time.Hour)
 	if !near(s.slowStartBudget, 1) {
@@ -84,7 +84,7 @@
 	}
 	s.spendBudget(3)
 	if s.raiseBudget(-0.5); s.slowStartBudget != -0.5 {
-		t.Errorf("budget %v after it was raised to −0.5", s.slowStartBudget)
+		t.Errorf("budget %v after it was raised, want −0.5", s.slowStartBudget)
 	}
 }
 
@@ -93,7 +93,7 @@
 	var s slowStartState
 	s.begin(time.Hour, time.Hour, 0)
 	if got := m.rate(&s, time.Hour, 10); !near(got, 0.2*2*10) {
-		t.Errorf("rate %v, want the guaranteed share times the square root of the multiple", got)
+		t.Errorf("rate %v, want 4: the guaranteed share times the square root of the multiple times 10", got)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	next := newThroughput(slowStartSettings())
 	if next.restore(now, peak); next.perBackend(now) != peak {
-		t.Errorf("restored %v from %v", next.perBackend(now), peak)
+		t.Errorf("restored %v, want %v", next.perBackend(now), peak)
 	}
 }
 
@@ -127,20 +127,20 @@
 	l.resetLatency()
 	l.recordLatency(4)
 	if !near(l.latencyRatio, 2) { // the first sample has a weight of a third
-		t.Errorf("ratio %v after one sample of 4", l.latencyRatio)
+		t.Errorf("ratio %v after one sample of 4, want 2", l.latencyRatio)
 	}
 	for range 1000 {
 		l.recordLatency(100)
 	}
 	if !near(l.latencyRatio, maxLatencyRatio) {
-		t.Errorf("ratio %v after very slow responses, want the bound", l.latencyRatio)
+		t.Errorf("ratio %v after very slow responses, want maxLatencyRatio", l.latencyRatio)
 	}
 	before := l.latencyRatio
 	if l.recordLatency(0); !near(l.latencyRatio, before*(1-smoothing)) {
-		t.Errorf("ratio %v after one fast response following many slow ones", l.latencyRatio)
+		t.Errorf("ratio %v after many slow responses and one of latency 0, want 1-smoothing times the earlier one", l.latencyRatio)
 	}
 	if l.resetLatency(); l.latencyRatio != 1 || l.latencySamples != 0 {
-		t.Errorf("after resetLatency: %+v", l)
+		t.Errorf("after resetLatency: %+v, want ratio 1 and no samples", l)
 	}
 }
 
@@ -158,6 +158,6 @@
 		}
 	}
 	if k.recordRatio(0, -1, 3); k.of(0, 0) != k.of(0, -1) || k.of(0, 0) == 1 {
-		t.Error("an unknown kind does not count as kind 0")
+		t.Error("kind −1 does not have the ratio of kind 0, or the ratio is unchanged")
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -9,8 +9,8 @@
 	"martenbeam/balancer"
 )
 
-// Satx big-1: an agent with little traffic that spreads it over all backends gets one response a day from each. It uses
-// a subset, the first backends of an order that differs between agents, and the next ones in the order when those fail.
+// Satx big-1: an agent that spread little traffic over all backends got one response a day from each. An agent uses a
+// subset instead: the first backends of an order that differs between agents. If these are removed, it uses the next.
 func TestAgentWithLittleTrafficUsesASubset(t *testing.T) {
 	s := settings()
 	s.Balancers = 500
@@ -35,13 +35,13 @@
 		for id := range used {
 			agentsByBackend[id]++
 		}
-		for id := range used { // remove all of the subset
+		for id := range used { // remove the complete subset
 			r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
 				Backends: []balancer.Backend{{ID: id, State: balancer.Removed}}})
 		}
 		r.request("next", idempotent)
 		if len(r.sent["next"]) == 0 || used[r.sent["next"][0]] > 0 {
-			t.Errorf("agent %d sent to no backend outside of the removed subset", self)
+			t.Errorf("agent %d sent to no backend outside of the removed subset, want one", self)
 		}
 	}
 	if len(agentsByBackend) < 38 {
@@ -71,9 +71,11 @@
 	inFlightAfterRequests, usedAfterRequests := play(false)
 	inFlightAfterConnections, usedAfterConnections := play(true)
 	if inFlightAfterConnections < inFlightAfterRequests*3/2 {
-		t.Errorf("%d in flight after rejected connections, %d after rejected requests", inFlightAfterConnections, inFlightAfterRequests)
+		t.Errorf("%d in flight after rejected connections, %d after rejected requests, want the first 1.5 times as large",
+			inFlightAfterConnections, inFlightAfterRequests)
 	}
 	if usedAfterConnections > usedAfterRequests/2 {
-		t.Errorf("%d backends in use after rejected connections, %d after rejected requests", usedAfterConnections, usedAfterRequests)
+		t.Errorf("%d backends in use after rejected connections, %d after rejected requests, want the first up to half as large",
+			usedAfterConnections, usedAfterRequests)
 	}
 }
