--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -47,7 +47,7 @@
 }
 
 // A request whose client has disconnected gets no retry and no final answer.
-func TestAbandonedRequestGetsNothingMore(t *testing.T) {
+func TestAbandonedRequestGetsNoFurtherAction(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", idempotent)
 	r.step(balancer.Abandoned{Request: "q"})
@@ -88,9 +88,9 @@
 		return log
 	}
 	if !reflect.DeepEqual(play(11), play(11)) {
-		t.Error("two runs with the same seed differ")
+		t.Error("two runs with the same seed differ, want the same actions")
 	}
 	if reflect.DeepEqual(play(11), play(12)) {
-		t.Error("two runs with different seeds are equal")
+		t.Error("two runs with different seeds are equal, want different actions")
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/balancer"
 )
 
-func TestDrainingAndRemovedBackendsGetNothing(t *testing.T) {
+func TestDrainingAndRemovedBackendsGetNoRequests(t *testing.T) {
 	for _, state := range []balancer.BackendState{balancer.Draining, balancer.Removed} {
 		r := newRig(t, settings(), 1, backends(3))
 		r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta,
@@ -94,13 +94,13 @@
 	}
 	r := newRig(t, settings(), 1, backends(2))
 	if n := polls(append(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateFailed}), r.advance(time.Minute)...)); n != 0 {
-		t.Error("the agent polled though updates are pushed")
+		t.Error("the agent polled after a failure while updates are pushed, want no poll")
 	}
 }
 
 // When a fleet is replaced many times, the records of its former backends must be removed: memory and the cost of a
 // step depend only on the listed backends.
-func TestRemovedBackendsAreForgotten(t *testing.T) {
+func TestRecordsOfRemovedBackendsAreDeleted(t *testing.T) {
 	var before, after runtime.MemStats
 	r := newRig(t, settings(), 1, nil)
 	replace := func(n int) {
--- a/balancer/observations.go
+++ b/balancer/observations.go
@@ -7,10 +7,10 @@
 
 const (
 	ratioSteps        = 31.0 // steps per multiple of the expected latency: 8 multiples fit below valueLate
-	valueLate         = 254  // value of an overdue or timed-out attempt
-	valueFailed       = 255  // value of a failed attempt
-	outcomesPerGossip = 2    // outcomes per message with observations: half the cost of one per request
-	maxObservations   = 96   // about two messages' worth
+	valueLate         = 254  // value that stands for an overdue or timed-out attempt
+	valueFailed       = 255  // value that stands for a failed attempt
+	outcomesPerGossip = 2    // outcomes per message with observations: half the cost of one message per outcome
+	maxObservations   = 96   // about as many as fit in two messages
 )
 
 // observation is one outcome at a backend: its latency as a multiple of the expected one, in steps of 1/ratioSteps, or
@@ -27,7 +27,7 @@
 }
 
 // ratio returns the latency ratio of an observed response.
-func (n observation) ratio() float64 { return float64(n.value) / ratioSteps }
+func (o observation) ratio() float64 { return float64(o.value) / ratioSteps }
 
 // observationLog keeps the latest observations, the newest last.
 type observationLog struct {
@@ -36,8 +36,8 @@
 }
 
 // add appends an observation, and drops the oldest one above maxObservations.
-func (l *observationLog) add(n observation) {
-	l.recent = append(l.recent[max(0, len(l.recent)+1-maxObservations):], n)
+func (l *observationLog) add(entry observation) {
+	l.recent = append(l.recent[max(0, len(l.recent)+1-maxObservations):], entry)
 }
 
 // countOutcome counts an outcome of this agent, and reports whether it is time to send a message.
@@ -46,8 +46,8 @@
 	return l.outcomes%outcomesPerGossip == 0
 }
 
-// gossipKey is a short hash (FNV-1a with a finalizer) of a backend's ID. Two backends with one key share their
-// observations.
+// gossipKey returns a 24-bit hash (FNV-1a with a finalizer) of a backend's ID. Two backends with the same key share
+// their observations.
 func gossipKey(id string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(id) {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -52,7 +52,7 @@
 // backends keep all attempts outstanding. overload returns how many requests z got.
 func (r *rig) overload() (n int) {
 	for i := range 40 {
-		id := fmt.Sprint("crowd", len(r.sent), "-", i)
+		id := fmt.Sprint("overload", len(r.sent), "-", i)
 		r.receiveIdlePeers()
 		r.request(id, idempotent)
 		r.advance(20 * ms)
@@ -78,7 +78,7 @@
 		r.serve(10, idempotent, 10*ms) // 25 per second for each backend
 	}
 	r.step(backendInSlowStart(r.now))
-	if n := r.overload(); n < 12 { // a fifth of that times the square root of 2.5 is 8 per second
+	if n := r.overload(); n < 12 { // 25 per second, times a fifth, times the square root of 2.5: 8 per second
 		t.Errorf("%d requests in 2 s to the idle backend, want at least 12", n)
 	}
 }
@@ -104,10 +104,10 @@
 		r.step(backendInSlowStart(r.now))
 		return r.overload()
 	}
-	with, without := requestsToIdle(&snapshot), requestsToIdle(nil)
-	if with < 2*without || with < 8 {
+	restoredCount, freshCount := requestsToIdle(&snapshot), requestsToIdle(nil)
+	if restoredCount < 2*freshCount || restoredCount < 8 {
 		t.Errorf("%d requests in 2 s to the idle backend in slow start, %d without a snapshot, want at least 8 and twice as many",
-			with, without)
+			restoredCount, freshCount)
 	}
 	for name, restored := range map[string]balancer.Snapshot{
 		"empty":         {},
