--- a/internal/fleet/hub/admission.go
+++ b/internal/fleet/hub/admission.go
@@ -14,24 +14,24 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// admission is a token bucket that admits agents at a rate, with a tenth of a second's tokens (at least one) as its
-// burst. Its methods may be called from any goroutine.
+// admission is a token bucket that limits the rate at which agents attach. Its burst is a tenth of the tokens of one
+// second, at least one token. Its methods may be called from any goroutine.
 type admission struct {
 	rate float64 // agents per second
 
 	mu          sync.Mutex
 	tokens      float64
 	refilledAt  time.Time
-	nextRetryAt time.Time         // when the last of the rejected agents is expected back
-	handshaking map[net.Conn]bool // connections that have not said Hello
+	nextRetryAt time.Time         // when the last of the rejected agents is due to retry
+	handshaking map[net.Conn]bool // connections whose handshake is pending
 }
 
 func newAdmission(rate float64, now time.Time) *admission {
 	return &admission{rate: rate, tokens: max(1, rate/10), refilledAt: now, handshaking: map[net.Conn]bool{}}
 }
 
-// admit reports whether an agent is admitted now, and otherwise how long it should wait before it retries. The
-// retries of rejected agents are spread at the admission rate, each with up to half of its wait as jitter.
+// admit reports whether an agent may attach now. If not, it returns how long the agent should wait before it retries.
+// The waits spread the retries of rejected agents at the admission rate, with jitter of up to half of each wait.
 func (a *admission) admit(now time.Time) (retryAfter time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,7 +48,7 @@
 	return min(retryAfter, maxRetryAfter), false
 }
 
-// trackHandshake adds a connection whose handshake is pending, or removes it.
+// trackHandshake adds conn to the connections whose handshake is pending, or removes it if pending is false.
 func (a *admission) trackHandshake(conn net.Conn, pending bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -1,4 +1,4 @@
-// This file serves one attached agent: its frames are read and written here.
+// This file reads and writes the frames on the stream of an attached agent.
 
 package hub
 
@@ -18,11 +18,11 @@
 )
 
 const (
-	receiveTimeout = 3 * time.Second // an agent that sends nothing for so long is detached
-	writeTimeout   = 2 * time.Second // as is one that takes no bytes for so long
+	receiveTimeout = 3 * time.Second // the hub detaches an agent that sends nothing for this time
+	writeTimeout   = 2 * time.Second // the hub detaches an agent if a write to it takes longer
 	frameRate      = 20.0            // frames per second read from one agent
 	frameBurst     = 40.0            // frames
-	maxEchoDelay   = time.Minute     // in an Echo: the bound of the frame
+	maxEchoDelay   = time.Minute     // the highest Echo.ProcessingDelay that package frame accepts
 )
 
 var errUnexpectedFrame = errors.New("unexpected frame")
@@ -31,19 +31,19 @@
 type attachment struct {
 	name, site  string
 	incarnation uint64
-	serial      uint64         // set by registry.attach: higher than that of each earlier attachment here
-	addr        netip.AddrPort // where a refused connection shows that the process is dead; invalid: not known
+	serial      uint64         // set by registry.attach: higher than that of each earlier attachment to this hub
+	addr        netip.AddrPort // a refused connection to it proves that the process is dead; invalid if the agent sent none
 	attachedAt  time.Time
 	conn        net.Conn
 	reader      *bufio.Reader
-	pending     chan []byte // the frame to write next, at most one
+	pending     chan []byte // the encoded frame to write next, at most one
 	done        chan struct{}
 	closeOnce   sync.Once
 
 	mu           sync.Mutex
 	state        frame.State
-	stateAt      time.Time // when state was received; zero: none was
-	laggingSince time.Time // since when the agent lacks the latest settings; zero: it has them
+	stateAt      time.Time // when state was received; zero before the first State
+	laggingSince time.Time // since when the agent has lacked the latest settings; zero if it has them
 }
 
 // close ends the stream. Its goroutines end soon after. It may be called more than once and from any goroutine.
@@ -54,8 +54,9 @@
 	})
 }
 
-// enqueue has data, an encoded frame, written next. A frame that is still pending is dropped: the newer one replaces
-// all that it says. Only the publishing goroutine may call it, or the send could block.
+// enqueue makes data, an encoded frame, the next frame to write. It drops a frame that is still pending, because data
+// has newer versions of all its entries. Only the publishing goroutine may call enqueue: with two callers the send could
+// block.
 func (a *attachment) enqueue(data []byte) {
 	select {
 	case <-a.pending:
@@ -64,8 +65,8 @@
 	a.pending <- data
 }
 
-// writeLoop writes pending frames until the stream ends. Before each it writes a frame for this agent alone, with the
-// echo of its last State and whether its quota is confirmed: the pending one is shared among agents.
+// writeLoop writes pending frames until the stream ends. Several agents share the encoding of a pending frame, so
+// writeLoop first writes a separate frame with the Echo of this agent's last State and whether its quota is confirmed.
 func (a *attachment) writeLoop(quotaConfirmed func() bool) {
 	defer a.close()
 	for {
@@ -75,7 +76,7 @@
 		case data := <-a.pending:
 			private, err := frame.Encode(&frame.Frame{Echo: a.echo(), QuotaConfirmed: quotaConfirmed()})
 			if err != nil {
-				panic(err) // it holds only numbers, within their bounds
+				panic(err) // cannot happen: the frame contains only numbers within their bounds
 			}
 			if a.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 				return
@@ -89,7 +90,7 @@
 	}
 }
 
-// echo returns the answer to the agent's last State, nil before the first.
+// echo returns the Echo of the agent's last State, or nil before the first State.
 func (a *attachment) echo() *frame.Echo {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,9 +100,9 @@
 	return &frame.Echo{Seq: a.state.Seq, ProcessingDelay: min(time.Since(a.stateAt), maxEchoDelay)}
 }
 
-// readLoop reads frames until the stream ends, and reports whether the agent left for good. An agent that sends more
-// than frameRate is not read from meanwhile, so that its excess waits in its own socket and costs no other agent
-// anything.
+// readLoop reads frames until the stream ends, and reports whether the agent sent Leave. It reads at most frameRate
+// frames per second: the excess of an agent that sends more stays in that agent's socket buffers and does not affect
+// other agents.
 func (a *attachment) readLoop(loadReports *gossip.Store) (left bool, err error) {
 	tokens, refilledAt := frameBurst, time.Now()
 	for {
@@ -132,7 +133,7 @@
 	}
 }
 
-// handleFrame applies a State and load reports. Any error ends the stream.
+// handleFrame stores a State and merges load reports into loadReports. After an error the caller ends the stream.
 func (a *attachment) handleFrame(f *frame.Frame, loadReports *gossip.Store) error {
 	if f.Hello != nil || f.Welcome != nil || f.Busy != nil || f.Echo != nil {
 		return errUnexpectedFrame
@@ -153,7 +154,7 @@
 		return fmt.Errorf("%w: load report of %q", errUnexpectedFrame, m.Sender)
 	}
 	own := m.Entries[:0]
-	for _, entry := range m.Entries { // an agent reports only what it observed; a later version may send further kinds
+	for _, entry := range m.Entries { // keep only the agent's own observations; a later version may send other kinds
 		if entry.Kind == gossip.ListServiceLoad && entry.Observer == a.name && entry.Subject == startup.Subject {
 			own = append(own, entry)
 		}
@@ -166,15 +167,15 @@
 	return loadReports.Merge(data)
 }
 
-// status returns the agent's last State, the zero value before the first.
+// status returns the agent's last State, or the zero value before the first State.
 func (a *attachment) status() frame.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.state
 }
 
-// updateLagging compares the agent's settings with the current version, and returns since when it lags; zero: it does
-// not.
+// updateLagging compares the agent's settings with the current version. It returns since when the agent has lagged
+// behind that version, or the zero time if the agent does not lag.
 func (a *attachment) updateLagging(current documents.AppliedVersion, now time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -12,28 +12,29 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// Of two processes of one name the later one keeps its stream, at one hub and at two.
+// If two processes attach under one name, the process with the higher incarnation keeps its stream, whether they attach
+// to the same hub or to two hubs.
 func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 2, 10)
 	first := attachAgent(t, hubs[0], frame.Hello{Name: "a", Incarnation: 5}, servingState)
 	waitFor(t, "fleet size", func() bool { return first.fleetSize().Attached == 1 })
 	if early := attachAgent(t, hubs[0], frame.Hello{Name: "a", Incarnation: 4}, servingState); true {
-		waitFor(t, "end of the earlier process", early.closed)
+		waitFor(t, "end of the earlier process's stream", early.closed)
 	}
 	early := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 4}, servingState)
-	waitFor(t, "end of the earlier process at another hub", early.closed)
+	waitFor(t, "end of the earlier process's stream to another hub", early.closed)
 	if first.closed() {
 		t.Error("the stream of the later process has ended")
 	}
 	later := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 6}, servingState)
-	waitFor(t, "end of the process that was the latest", first.closed)
+	waitFor(t, "end of the replaced process's stream to another hub", first.closed)
 	last := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 7}, servingState)
-	waitFor(t, "end of the earlier process at the same hub", later.closed)
+	waitFor(t, "end of the replaced process's stream to the same hub", later.closed)
 	waitFor(t, "fleet size of one agent", func() bool { return last.fleetSize().Attached == 1 })
 }
 
-// Malformed frames, a flood of frames, and an agent that does not read cost no other agent anything.
+// An agent that sends malformed frames, sends too many frames or does not read has no effect on other agents.
 func TestMisbehavingAgentDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
@@ -43,11 +44,12 @@
 	sendTooManyFrames(t, hub)
 	stopReading(t, hub)
 	if good.closed() || good.fleetSize().Attached == 0 {
-		t.Error("the well-behaved agent has no stream or no fleet size any more")
+		t.Error("the well-behaved agent has lost its stream or its fleet size")
 	}
 }
 
-// sendMalformedFrames checks that each of some malformed or unexpected frames ends its stream and is counted.
+// sendMalformedFrames checks that a frame that is too long, malformed or unexpected ends its stream and is counted as a
+// protocol error.
 func sendMalformedFrames(t *testing.T, hub *testHub) {
 	t.Helper()
 	for name, text := range map[string]string{
@@ -67,12 +69,12 @@
 	}
 }
 
-// sendTooManyFrames checks that the hub reads frames at its rate, however many an agent sends.
+// sendTooManyFrames checks that the hub reads at most frameRate frames per second from an agent that sends more.
 func sendTooManyFrames(t *testing.T, hub *testHub) {
 	t.Helper()
 	flooding := attachAgent(t, hub, frame.Hello{Name: "flooding", Incarnation: 1}, nil)
 	startedAt := time.Now()
-	_ = flooding.conn.SetWriteDeadline(startedAt.Add(2 * time.Second)) // the hub does not read them in time
+	_ = flooding.conn.SetWriteDeadline(startedAt.Add(2 * time.Second)) // the hub does not read all frames by then
 	for i := range 2000 {
 		applied := frame.AppliedVersion{Version: 1, Reason: strings.Repeat("x", 500)}
 		state := frame.State{Seq: uint32(i), Serving: true, Settings: applied}
@@ -89,11 +91,12 @@
 		return n
 	}
 	if n := applied(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
-		t.Errorf("%d frames read in %v", n, time.Since(startedAt))
+		t.Errorf("the hub read %d frames in %v, more than frameRate and frameBurst allow", n, time.Since(startedAt))
 	}
 }
 
-// stopReading has an agent that does not read. Its stream ends once its buffers are full.
+// stopReading attaches an agent that does not read, and waits until the hub ends its stream because the socket buffers
+// are full.
 func stopReading(t *testing.T, hub *testHub) {
 	t.Helper()
 	unresponsive, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
@@ -108,7 +111,7 @@
 	waitFor(t, "attachment", func() bool { return findAttachment(hub, "unresponsive") != nil })
 	a := findAttachment(hub, "unresponsive")
 	big := make([]byte, 4<<20)
-	for !isClosed(a.done) { // each frame replaces the one before: at most one is pending
+	for !isClosed(a.done) { // each frame replaces the pending one
 		a.enqueue(big)
 		if writeFrame(unresponsive, &frame.Frame{State: servingState}) != nil {
 			break
@@ -117,7 +120,7 @@
 	}
 }
 
-// findAttachment returns the attachment of a name, nil without one.
+// findAttachment returns the attachment of the agent with the given name, or nil if there is none.
 func findAttachment(hub *testHub, name string) *attachment {
 	for _, a := range hub.registry.attachments() {
 		if a.name == name {
@@ -137,7 +140,7 @@
 	}
 }
 
-// Frames and bodies of other program versions are read as far as their fields are known.
+// The hub ignores unknown fields in the frames and bodies of other program versions, and accepts missing ones.
 func TestUnknownFieldsOfOtherVersionsAreIgnored(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
@@ -155,11 +158,11 @@
 	writeRaw(map[int]any{1: 1, 5: map[int]any{1: 3, 2: true}})
 	writeRaw(map[int]any{1: 9, 31: "only what is not known"})
 	waitFor(t, "fleet size", func() bool { return a.fleetSize() == FleetSize{1, 0, 0} })
-	size, err := ParseFleetSize([]byte{0xa2, 0x01, 0x03, 0x18, 0x20, 0x01}) // without some fields, with another
+	size, err := ParseFleetSize([]byte{0xa2, 0x01, 0x03, 0x18, 0x20, 0x01}) // fields 2 and 3 are missing, field 32 is unknown
 	if err != nil || size != (FleetSize{3, 0, 0}) {
-		t.Errorf("%+v, %v", size, err)
+		t.Errorf("fleet size of another version: got %+v, error %v", size, err)
 	}
 	if a.closed() {
-		t.Error("the stream has ended")
+		t.Error("frames with unknown fields ended the stream")
 	}
 }
--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -1,4 +1,4 @@
-// This file exchanges attachment reports between hubs: which agents attached where.
+// This file exchanges attachment reports with other hubs: each hub reports which agents attached to it.
 
 package hub
 
@@ -18,8 +18,8 @@
 	reportContentType = "application/json"
 )
 
-// attachmentReport names the agents that attached to a hub since its last report to the receiver. The answer has the
-// same form, and names those of them that are attached to the receiver with a higher incarnation.
+// attachmentReport lists the agents that attached to a hub since its last report to the receiver. The response has the
+// same form: it lists the reported agents that are attached to the receiver with a higher incarnation.
 type attachmentReport struct {
 	Hub    string          `json:"hub"`
 	Agents []reportedAgent `json:"agents"`
@@ -30,13 +30,13 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// progress is up to which attachment another hub has acknowledged reports: the incarnation of that hub's process, and
+// progress identifies the last attachment that another hub has acknowledged: the incarnation of that hub's process, and
 // the serial of the attachment.
 type progress struct{ incarnation, serial uint64 }
 
-// reportAttachments sends attachment reports to the other hubs until ctx ends, each until it is acknowledged. By them
-// a hub stops checking an agent that has moved, and of two processes of one name the one with the lower incarnation
-// is detached.
+// reportAttachments sends attachment reports to the other hubs until ctx ends, and repeats each report until the hub
+// acknowledges it. A hub that receives a report stops checking the reported agents that disconnected from it. If two
+// processes have one name, the hub of the process with the lower incarnation detaches that process.
 func (s *Server) reportAttachments(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -53,19 +53,20 @@
 		for i, hub := range hubs {
 			last := acknowledged[hub.Name]
 			if last.incarnation != hub.Incarnation {
-				last = progress{hub.Incarnation, 0} // a new process, which knows of no agent
+				last = progress{hub.Incarnation, 0} // a new process, which has received no reports
 			}
 			calls.Go(func() { reached[i] = s.reportTo(ctx, hub, last) })
 		}
 		calls.Wait()
-		clear(acknowledged) // a hub that is missing now receives a full report when it is back
+		clear(acknowledged) // a hub that is missing now receives a full report when it returns
 		for i, hub := range hubs {
 			acknowledged[hub.Name] = reached[i]
 		}
 	}
 }
 
-// reportTo reports to one hub the attachments since last, and returns up to which the hub has acknowledged them.
+// reportTo sends one hub a report of the attachments since last. It returns the new progress of the hub, or last if the
+// call fails.
 func (s *Server) reportTo(ctx context.Context, hub member.Member, last progress) progress {
 	report, lastSerial := attachmentReport{Hub: s.cfg.Name}, last.serial
 	for _, a := range s.registry.attachments() {
@@ -79,7 +80,7 @@
 	}
 	newer, err := s.sendReport(ctx, hub, &report)
 	if err != nil {
-		return last // sent again at the next tick
+		return last // the next tick sends the report again
 	}
 	now := time.Now()
 	for _, agent := range newer.Agents {
@@ -88,8 +89,8 @@
 	return progress{last.incarnation, lastSerial}
 }
 
-// applyRemote applies that a process is attached to another hub: an attachment here with a lower incarnation is
-// closed. If the one here has a higher incarnation, that is returned; otherwise 0.
+// applyRemote records that a process is attached to another hub, and closes an attachment to this hub with a lower
+// incarnation. If the attachment to this hub has a higher incarnation, applyRemote returns that incarnation, otherwise 0.
 func (s *Server) applyRemote(agent reportedAgent, now time.Time) (newer uint64) {
 	replaced, newer := s.registry.applyRemote(agent.Name, agent.Incarnation, now)
 	if replaced != nil {
@@ -99,7 +100,7 @@
 	return newer
 }
 
-// sendReport sends a report to one hub and returns its answer.
+// sendReport sends a report to one hub and returns the response.
 func (s *Server) sendReport(ctx context.Context, hub member.Member, report *attachmentReport) (*attachmentReport, error) {
 	body, err := json.Marshal(report)
 	if err != nil {
@@ -109,12 +110,12 @@
 	return answer, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, answer)
 }
 
-// handleReport serves another hub's attachment report.
+// handleReport handles another hub's attachment report.
 func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
 	var report attachmentReport
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessageSize)).Decode(&report)
 	if r.Method != http.MethodPost || err != nil || len(report.Agents) > maxNames {
-		http.Error(w, "this is no hub's post", http.StatusBadRequest)
+		http.Error(w, "invalid attachment report", http.StatusBadRequest)
 		return
 	}
 	now, answer := time.Now(), attachmentReport{Hub: s.cfg.Name}
@@ -124,5 +125,5 @@
 		}
 	}
 	w.Header().Set("Content-Type", reportContentType)
-	_ = json.NewEncoder(w).Encode(answer) // the caller sees that the answer is cut off
+	_ = json.NewEncoder(w).Encode(answer) // after an error the caller receives a truncated response
 }
--- a/internal/fleet/hub/callhub.go
+++ b/internal/fleet/hub/callhub.go
@@ -1,4 +1,4 @@
-// This file calls other hubs over HTTP.
+// This file sends requests to other hubs over HTTP.
 
 package hub
 
@@ -19,8 +19,8 @@
 	maxMessageSize = 1 << 20 // bytes of a message between hubs
 )
 
-// callHub sends a request to another hub and decodes its JSON answer into answer, all within hubCallTimeout. It does
-// not look at the status: an error has no JSON body and fails to decode.
+// callHub sends a request to another hub and decodes the JSON response into answer, both within hubCallTimeout. It does
+// not check the status code: an error response has no JSON body, so decoding fails.
 func (s *Server) callHub(ctx context.Context, hub member.Member, method, path string, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, hubCallTimeout)
 	defer cancel()
@@ -35,7 +35,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxMessageSize)).Decode(answer); err != nil {
-		return fmt.Errorf("decode answer of hub %s: %w", hub.Name, err)
+		return fmt.Errorf("decode response of hub %s: %w", hub.Name, err)
 	}
 	return nil
 }
--- a/internal/fleet/hub/evidence.go
+++ b/internal/fleet/hub/evidence.go
@@ -1,5 +1,5 @@
-// This file holds what a hub knows of the other hubs and of dead processes. From it follow how many quotas of dead
-// agents the others may use, and whether an agent's own quota is free of other users.
+// This file records the reports about other hubs and dead processes. From these records the hub computes how many quotas
+// of dead agents other agents may use, and whether an agent is the only user of its own quota.
 
 package hub
 
@@ -11,21 +11,20 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// minConfirmDelay is how long an agent has been attached before its quota is confirmed.
+// minConfirmDelay is the minimum time from an agent's attachment to the confirmation of its quota.
 const minConfirmDelay = time.Second
 
-// evidence is what this hub knows of the other hubs and of dead processes. Its methods may be called from any
-// goroutine.
+// evidence records the reports about other hubs and dead processes. Its methods may be called from any goroutine.
 type evidence struct {
-	maxAge    time.Duration // of a report that a process is dead: for so long others may use its quota
-	maxAgents int           // of the fleet
+	maxAge    time.Duration // of a report that a process is dead: until then other agents may use its quota
+	maxAgents int           // Config.MaxAgents
 
 	mu            sync.Mutex
 	resumedAt     time.Time            // the process has run without a suspension since then
-	reportedDead  map[string]time.Time // by name: the latest time at which any hub or member saw the process dead
-	attachedByHub map[string]uint32    // by hub name: its attached agents as last reported, of whatever age
-	hubsDeadAt    map[string]time.Time // by address, of missing hubs that are dead for certain: since when
-	allReportedAt time.Time            // every hub has reported something that it saw at this time or later; zero: not every hub
+	reportedDead  map[string]time.Time // by name: the latest time at which any hub or member found the process dead
+	attachedByHub map[string]uint32    // by hub name: the attached agents in its last report, of any age
+	hubsDeadAt    map[string]time.Time // by address of a missing hub: the first check that confirmed it dead
+	allReportedAt time.Time            // every hub has reported an observation made at this time or later; zero if a hub has not
 }
 
 func newEvidence(maxAge time.Duration, maxAgents int, now time.Time) *evidence {
@@ -33,7 +32,7 @@
 		attachedByHub: map[string]uint32{}, hubsDeadAt: map[string]time.Time{}}
 }
 
-// reset forgets what was known before a suspension of the process.
+// reset clears the reports received before a suspension of the process, and restarts the uptime.
 func (e *evidence) reset(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,8 +49,9 @@
 	e.attachedByHub[hub] = attached
 }
 
-// recordDead records when processes were seen dead, by name, and drops reports past maxAge. It reports whether the
-// dead may be counted: a hub that has started or resumed within maxAge may have missed reports of those that live.
+// recordDead records when processes were found dead, by name, and drops reports older than maxAge. It reports whether
+// the hub may count dead agents: a hub that started or resumed within maxAge may have missed reports that such an agent
+// is running.
 func (e *evidence) recordDead(seenAt map[string]time.Time, now time.Time) (countable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,7 +65,7 @@
 }
 
 // recordDeadHubs records the result of one round of checks: the addresses of the missing hubs that were dead at
-// checkedAt. A hub that is not among them any more counts as alive again.
+// checkedAt. A hub whose address is not in dead no longer counts as dead.
 func (e *evidence) recordDeadHubs(dead map[string]bool, checkedAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,9 +81,9 @@
 	}
 }
 
-// unreachableAgents returns an upper bound of the agents that are attached to hubs without a recent report: as many
-// as each last reported, maxAgents for a hub that never did, none for a hub that is dead for certain. ages holds the
-// ages of the recent reports, by hub name. It also updates allReportedAt.
+// unreachableAgents returns an upper bound of the number of agents attached to hubs without a recent report. Each of
+// these hubs counts with the number that it last reported, with maxAgents if it has never reported, and with none if it
+// is confirmed dead. ages has the ages of the recent reports, by hub name. unreachableAgents also updates allReportedAt.
 func (e *evidence) unreachableAgents(hubs []member.Member, ages map[string]time.Duration, now time.Time) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,7 +96,7 @@
 			continue
 		}
 		deadAt, dead := e.hubsDeadAt[hub.Addr.String()]
-		if !dead || now.Sub(deadAt) <= e.maxAge { // what it reported before may still be in use
+		if !dead || now.Sub(deadAt) <= e.maxAge { // the hub's earlier reports may still be in use
 			e.allReportedAt = time.Time{}
 		}
 		switch attached, known := e.attachedByHub[hub.Name]; {
@@ -110,17 +110,17 @@
 	return n
 }
 
-// uptime returns for how long the process has run without a suspension.
+// uptime returns how long the process has run without a suspension.
 func (e *evidence) uptime(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return now.Sub(e.resumedAt)
 }
 
-// quotaConfirmed reports whether nobody but the agent itself uses the quota of an agent that attached at attachedAt.
-// Someone who counted the agent as dead would have published it by now: every hub has reported something since the
-// agent attached, this hub has been up for longer than a report of a dead process is used, and no report within that
-// time named the agent.
+// quotaConfirmed reports whether an agent that attached at attachedAt is the only user of its quota. It returns
+// true only if every hub has reported since the agent attached, this hub has run for longer than a report of a dead process
+// is valid, and no valid report names the agent: by then a hub that counted the agent as dead would have published the
+// agent's name.
 func (e *evidence) quotaConfirmed(name string, attachedAt, now time.Time) bool {
 	if now.Sub(attachedAt) < minConfirmDelay || e.uptime(now) <= e.maxAge {
 		return false
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -1,4 +1,4 @@
-// This file finds out which disconnected agents are dead, and publishes their names to the other hubs.
+// This file detects which disconnected agents are dead, and publishes their names to the other hubs.
 
 package hub
 
@@ -17,13 +17,14 @@
 const (
 	checkRoundInterval = time.Second
 	checkTimeout       = 600 * time.Millisecond
-	maxChecks          = 256 // in one round, all at once
-	maxDeadNames       = 64  // in one entry
-	maxDeadBytes       = 600 // of names in one entry, so that a datagram between members holds it
+	maxChecks          = 256 // of agents in one round, all concurrent
+	maxDeadNames       = 64  // in one gossip entry
+	maxDeadBytes       = 600 // of names in one gossip entry, so that the entry fits into a datagram between members
 )
 
-// failureDetector checks the disconnected agents and the missing hubs once a second until ctx ends. Only a machine that
-// refuses connections proves that a process is dead: one that does not answer may be alive beyond a partition.
+// failureDetector checks the disconnected agents and the missing hubs once a second until ctx ends. A
+// process is confirmed dead only if its machine refuses connections: a process that does not respond may be running on
+// the other side of a partition.
 func (s *Server) failureDetector(ctx context.Context) {
 	tick := time.NewTicker(checkRoundInterval)
 	defer tick.Stop()
@@ -38,7 +39,7 @@
 	}
 }
 
-// checkDisconnected calls the disconnected agents that are due, and all missing hubs, and records which are dead.
+// checkDisconnected checks the disconnected agents that are due and all missing hubs, and records which are dead.
 func (s *Server) checkDisconnected(ctx context.Context) {
 	startedAt := time.Now()
 	var calls sync.WaitGroup
@@ -63,8 +64,9 @@
 	s.evidence.recordDeadHubs(deadHubs, startedAt)
 }
 
-// publishDead publishes the names of the dead in as many entries as they need, each as old as the oldest check in it,
-// and empties the rest of the entries that the last round published. It returns how many entries hold names.
+// publishDead publishes the names of the dead agents, in as many entries as they need. The age of an entry is that of
+// its oldest check. published is the number of entries with names from the last round: publishDead empties the
+// entries that are no longer needed, and returns the new number.
 func (s *Server) publishDead(published int) (n int) {
 	now := time.Now()
 	for dead := s.registry.confirmedDead(s.maxSourceAge(gossip.DeadProcesses), now); len(dead) > 0; n++ {
@@ -83,7 +85,7 @@
 	return n
 }
 
-// publishDeadNames publishes the i-th entry of names.
+// publishDeadNames publishes names as the i-th entry.
 func (s *Server) publishDeadNames(i int, names []string, age time.Duration) {
 	body, err := cbor.Marshal(names)
 	if err != nil {
--- a/internal/fleet/hub/fleetsize.go
+++ b/internal/fleet/hub/fleetsize.go
@@ -11,16 +11,16 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// FleetSize counts agents: those of one hub, as hubs publish to each other, or those of the fleet, as a hub publishes
-// to its agents.
+// FleetSize counts the agents of one hub, in the entries that hubs publish to each other, or the agents of the fleet, in
+// the entries that a hub publishes to its agents.
 type FleetSize struct {
 	Attached uint32 `cbor:"1,keyasint"`
-	Starting uint32 `cbor:"2,keyasint"` // of Attached: those that do not serve yet
-	Dead     uint32 `cbor:"3,keyasint"` // agents that are dead for certain and whose quota others may use; 0 for one hub
+	Starting uint32 `cbor:"2,keyasint"` // the attached agents that do not serve yet
+	Dead     uint32 `cbor:"3,keyasint"` // agents that are confirmed dead and whose quota others may use; 0 in the size of one hub
 }
 
-// FleetSubject is the subject of the entry that holds the size of the fleet. A hub's own size has the hub's name as its
-// subject.
+// FleetSubject is the subject of the entry with the size of the fleet. The entry with a hub's own size has the hub's name
+// as its subject.
 const FleetSubject = "fleet"
 
 const maxPlausibleAgents = 1 << 20 // a body with a larger count is malformed
@@ -29,7 +29,7 @@
 func (s FleetSize) MarshalBody() []byte {
 	body, err := cbor.Marshal(s)
 	if err != nil {
-		panic(err) // it holds only numbers
+		panic(err) // cannot happen: the size contains only numbers
 	}
 	return body
 }
@@ -47,7 +47,7 @@
 	return size, nil
 }
 
-// localSize counts the agents that are attached here.
+// localSize counts the agents attached to this hub.
 func (s *Server) localSize() (size FleetSize) {
 	for _, a := range s.registry.attachments() {
 		size.Attached++
@@ -58,11 +58,11 @@
 	return size
 }
 
-// fleetSize computes the size of the fleet. Its age is that of the oldest entry that it rests on.
+// fleetSize computes the size of the fleet. age is that of the oldest entry used.
 //
-// The quotas in use must never add up to more than the limit, also when agents are alive beyond a partition. So Dead
-// is at most what MaxAgents leaves after everyone who may be alive: the agents attached anywhere, the agents that are
-// members themselves, and as many as the hubs without a recent report may have.
+// The quotas in use must never add up to more than the limit, even if agents are running on the other side of a
+// partition. Dead is therefore at most MaxAgents less the number of agents that may be running: the agents attached to
+// any hub, the agents that are members themselves, and as many as may be attached to the hubs without a recent report.
 func (s *Server) fleetSize(now time.Time) (size FleetSize, age time.Duration) {
 	size = s.localSize()
 	ageByHub := map[string]time.Duration{}
@@ -87,16 +87,16 @@
 	return size, age
 }
 
-// maxSourceAge returns how old an entry may be that a published sum rests on: two thirds of the age bound of its
-// kind, so that the sum can be used for a while before it reaches the bound.
+// maxSourceAge returns the maximum age of an entry that a published sum includes: two thirds of the age bound of its
+// kind, so that the sum can be used for some time before it reaches the bound.
 func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.AgeBounds[kind] * 2 / 3 }
 
-// deadMaxAge returns for how long a report that a process is dead is used.
+// deadMaxAge returns how long a report that a process is dead is valid.
 func (s *Server) deadMaxAge() time.Duration { return s.cfg.AgeBounds[gossip.DeadProcesses] }
 
-// countDead counts the names that a hub or a member reports as dead, except those of hubs, of agents that are members
-// themselves, and of agents known to be attached to a hub. oldest is the age of the oldest report that counts. A hub
-// that has just started or resumed counts none.
+// countDead counts the names that a hub or a member reports as dead, except the names of hubs, of agents that are members
+// themselves, and of agents attached to a hub. Each name counts with its latest report; oldest is the age of the oldest
+// of these reports. A hub that started or resumed within deadMaxAge counts none.
 func (s *Server) countDead(meshAgents map[string]bool, now time.Time) (n int, oldest time.Duration) {
 	hubs := map[string]bool{}
 	for _, hub := range append(s.fleet.Hubs(), s.fleet.MissingHubs()...) {
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -10,9 +10,9 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// The agents of several hubs are counted together. A dead agent counts once though two hubs lost it, as does one that
-// said Leave, and one that is back counts as dead no more. The steps stand in one function because each starts from
-// the fleet that the one before left.
+// The fleet size includes the agents of all hubs. An agent that dies counts as dead once, even if two hubs had a stream
+// to it, and so does an agent that sends Leave. An agent that returns no longer counts as dead. The steps share one
+// function because each starts from the fleet that the previous one leaves.
 func TestFleetSizeCountsEachAgentOnce(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 3, 10)
@@ -27,7 +27,7 @@
 	waitFor(t, "confirmed quotas", func() bool { return a.isQuotaConfirmed() && d.isQuotaConfirmed() })
 	c2 := attachAgent(t, hubs[2], frame.Hello{Name: "c", Incarnation: 1, Addr: firstProcess.Addr().String()}, servingState)
 	waitFor(t, "fleet size of five streams", func() bool { return a.fleetSize().Attached == 5 })
-	// The process of c is dead, and both hubs have lost its stream.
+	// The process of c dies, and both hubs lose their stream to c.
 	forgetRemote(hubs[1])
 	forgetRemote(hubs[2])
 	firstProcess.Close()
@@ -36,7 +36,7 @@
 	waitFor(t, "dead agent in the fleet size", func() bool {
 		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
 	})
-	// An agent that leaves for good is dead at once.
+	// An agent that sends Leave counts as dead immediately.
 	if err := writeFrame(d.conn, &frame.Frame{Leave: true}); err != nil {
 		t.Fatal(err)
 	}
@@ -45,34 +45,34 @@
 	for _, hub := range hubs[1:] {
 		names := hub.registry.confirmedDead(3*time.Second, time.Now())
 		if len(names) == 0 || len(names) > 2 {
-			t.Errorf("%s holds %d names as dead", hub.cfg.Name, len(names))
+			t.Errorf("%s lists %d agents as dead, want 1 or 2", hub.cfg.Name, len(names))
 		}
 	}
-	// c is back at another hub: soon nobody counts it as dead, and until then its quota is not confirmed.
+	// c returns to another hub: its quota is not confirmed until all hubs have stopped counting c as dead.
 	back := attachAgent(t, hubs[0], frame.Hello{Name: "c", Incarnation: 2, Addr: listenAsProcess(t).Addr().String()}, servingState)
-	waitFor(t, "fleet size with c back", func() bool {
+	waitFor(t, "fleet size after the return of c", func() bool {
 		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
 	})
 	if back.isQuotaConfirmed() {
-		t.Error("its quota is confirmed while others may still use it")
+		t.Error("the quota of c is confirmed while others may still use it")
 	}
 	waitFor(t, "confirmed quota of c", back.isQuotaConfirmed)
 	waitFor(t, "end of the checks of c", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
-// forgetRemote makes a hub forget which agents are attached to other hubs.
+// forgetRemote removes the attachments that other hubs have reported from a hub's registry.
 func forgetRemote(hub *testHub) {
 	hub.registry.mu.Lock()
 	defer hub.registry.mu.Unlock()
 	clear(hub.registry.remote)
 }
 
-// A fleet size is never younger than the oldest report that it rests on.
+// The age of a fleet size is at least the age of the oldest report that the size includes.
 func TestFleetSizeIsAsOldAsItsOldestEntry(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 2, 10)
 	a := attachAgent(t, hubs[0], frame.Hello{Name: "a", Site: "a", Incarnation: 1}, servingState)
-	waitFor(t, "hub that counts the dead", func() bool { return hubs[0].uptime(time.Now()) > hubs[0].deadMaxAge() })
+	waitFor(t, "hub that counts dead agents", func() bool { return hubs[0].uptime(time.Now()) > hubs[0].deadMaxAge() })
 	const old = 1500 * time.Millisecond
 	at := time.Now().Add(-old)
 	hubs[0].fleet.Gossip().PublishAged(gossip.DeadProcesses, "aged", []byte{0x81, 0x61, 'z'}, old)
@@ -80,7 +80,7 @@
 		for _, f := range a.gossip.Entries(gossip.FleetSize) {
 			if c, err := ParseFleetSize(f.Body); err == nil && c.Dead == 1 {
 				if time.Since(at) > f.Age {
-					t.Errorf("the fleet size is %v old, and rests on a report of %v ago", f.Age, time.Since(at))
+					t.Errorf("the age of the fleet size is %v, want at least the age of its report, %v", f.Age, time.Since(at))
 				}
 				return true
 			}
@@ -89,7 +89,7 @@
 	})
 }
 
-// A hub that has just started counts nobody as dead and confirms no quota, whatever others publish.
+// A hub that has just started counts no agent as dead and confirms no quota, whatever other hubs publish.
 func TestNewHubCountsNoDeadAndConfirmsNoQuota(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
@@ -99,16 +99,16 @@
 		hub.fleet.Gossip().Publish(gossip.DeadProcesses, "x", []byte{0x81, 0x61, 'z'})
 		if c := a.fleetSize(); c.Dead != 0 || a.isQuotaConfirmed() {
 			if hub.uptime(time.Now()) < 3*time.Second {
-				t.Fatalf("%+v, quota confirmed: %v", c, a.isQuotaConfirmed())
+				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v", c, a.isQuotaConfirmed())
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	waitFor(t, "confirmed quota", a.isQuotaConfirmed)
-	// As after a suspension: the hub starts anew, and its streams end.
+	// After a suspension the hub clears its reports and ends all streams.
 	hub.resetAfterSuspend(time.Now())
 	waitFor(t, "end of the stream", a.closed)
 	if b := attachAgent(t, hub, frame.Hello{Name: "a", Incarnation: 1}, servingState); b.isQuotaConfirmed() {
-		t.Error("the quota is confirmed at once")
+		t.Error("the quota is confirmed immediately after a suspension")
 	}
 }
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Fields of a later version are skipped, and frames out of bounds are rejected.
+// The decoder ignores fields of a later version, and rejects frames that are out of bounds.
 func TestOutOfBoundFramesAreRejected(t *testing.T) {
 	type later struct {
 		Frame
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if f, err := decode(data); err != nil || f.Version != 7 || f.Hello.Name != "n" {
-		t.Errorf("%+v %v", f, err)
+		t.Errorf("frame of a later version: got %+v, error %v", f, err)
 	}
 	for name, f := range map[string]Frame{
 		"no name":            {Hello: &Hello{}},
@@ -33,18 +33,18 @@
 			t.Fatal(err)
 		}
 		if _, err := Read(bytes.NewReader(data)); err == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("Read accepts a frame with %s", name)
 		}
 	}
 	if _, err := Encode(&Frame{Gossip: make([]byte, maxFrame)}); err == nil {
-		t.Error("a frame is encoded that Read rejects")
+		t.Error("Encode accepts a frame that is too long for Read")
 	}
 	if _, err := Read(bytes.NewReader([]byte{0xff, 0, 0, 0})); err == nil {
-		t.Error("a frame of gigabytes is accepted")
+		t.Error("Read accepts a frame of gigabytes")
 	}
 }
 
-// Whatever is read is an error, or a frame that is encoded as it was read.
+// For any input Read returns an error, or a frame that can be encoded and read again.
 func FuzzRead(f *testing.F) {
 	for _, x := range []Frame{
 		{Hello: &Hello{Label: "l", Name: "n", Site: "z"}},
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -1,4 +1,4 @@
-// This file takes an agent's stream, from the HTTP upgrade to the end of its attachment.
+// This file accepts and serves an agent's stream, from the HTTP upgrade to the end of the attachment.
 
 package hub
 
@@ -18,8 +18,8 @@
 const (
 	pathHub          = frame.Path
 	handshakeTimeout = 2 * time.Second
-	// LabelHeader may name the agent's fleet in the upgrade request. An agent of another fleet is answered 403;
-	// without the header the label in its Hello decides.
+	// LabelHeader is an optional header of the upgrade request with the label of the agent's fleet. The hub rejects
+	// the label of another fleet with status 403. Without the header, the hub relies on the label in the Hello.
 	LabelHeader = "Martenbeam-Label"
 
 	switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + frame.Protocol + "\r\n\r\n"
@@ -28,18 +28,18 @@
 var (
 	errBusy       = errors.New("hub is busy")
 	errOtherFleet = errors.New("agent of another fleet")
-	errNoHello    = errors.New("stream does not begin with a hello")
+	errNoHello    = errors.New("first frame of the stream is not a hello")
 )
 
-// handleUpgrade answers an upgrade request and starts the stream's goroutine.
+// handleUpgrade checks an upgrade request, and starts the stream's goroutine or responds with an error.
 func (s *Server) handleUpgrade(w http.ResponseWriter, r *http.Request) {
 	switch label := r.Header.Get(LabelHeader); {
 	case r.Method != http.MethodGet || r.Header.Get("Upgrade") != frame.Protocol:
 		w.Header().Set("Upgrade", frame.Protocol)
-		http.Error(w, "agents attach here by "+frame.Protocol, http.StatusUpgradeRequired)
+		http.Error(w, "this path requires an upgrade to "+frame.Protocol, http.StatusUpgradeRequired)
 		return
 	case label != "" && label != s.cfg.Label:
-		http.Error(w, "this hub is of another fleet", http.StatusForbidden)
+		http.Error(w, "this hub belongs to another fleet", http.StatusForbidden)
 		return
 	}
 	if open := s.openStreams.Add(1); int(open) > s.cfg.MaxAgents+maxExtraStreams {
@@ -51,7 +51,7 @@
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		s.openStreams.Add(-1)
-		http.Error(w, "no stream can be had of this connection", http.StatusInternalServerError)
+		http.Error(w, "this connection cannot be upgraded", http.StatusInternalServerError)
 		return
 	}
 	s.readyMu.Lock()
@@ -69,8 +69,8 @@
 	})
 }
 
-// serveStream runs the handshake, attaches the agent, and reads its frames until the stream ends. It is the stream's
-// reading goroutine; the caller closes conn.
+// serveStream runs the handshake, attaches the agent, and reads its frames until the stream ends. It runs on
+// the stream's reading goroutine; the caller closes conn.
 func (s *Server) serveStream(conn net.Conn, reader *bufio.Reader) {
 	a, err := s.handshake(conn, reader)
 	s.admission.trackHandshake(conn, false)
@@ -80,13 +80,13 @@
 	}
 	replaced, ok := s.registry.attach(a, time.Now())
 	if !ok {
-		s.cfg.Log.Warn("attachment rejected: newer incarnation known or registry full", "agent", a.name)
+		s.cfg.Log.Warn("attachment rejected: newer incarnation attached or registry full", "agent", a.name)
 		return
 	}
 	if replaced != nil {
 		replaced.close()
 	}
-	if !s.ready.Load() { // Run has ended since, and has closed only the attachments that it saw
+	if !s.ready.Load() { // Run is ending, and may have emptied the registry before this attachment was added
 		a.close()
 	}
 	s.streams.Go(func() {
@@ -98,8 +98,8 @@
 	s.countProtocolError(conn, err)
 }
 
-// countProtocolError counts a stream that ended by a violation of the protocol, rather than by the network or by
-// admission.
+// countProtocolError counts and logs a stream that ended because the agent violated the protocol. It ignores network
+// errors and rejection by the admission rate.
 func (s *Server) countProtocolError(conn net.Conn, err error) {
 	var netErr net.Error
 	if err == nil || errors.Is(err, io.EOF) || errors.As(err, &netErr) || errors.Is(err, errBusy) {
@@ -109,14 +109,14 @@
 	s.cfg.Log.Debug("agent stream failed", "from", conn.RemoteAddr(), "error", err)
 }
 
-// handshake answers the upgrade, reads the agent's Hello and answers it with Welcome, or with Busy and errBusy if the
-// agent is not admitted now.
+// handshake accepts the upgrade, reads the agent's Hello and sends Welcome. If the admission rate is exceeded, it sends
+// Busy and returns errBusy.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader) (*attachment, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
 	}
 	if _, err := conn.Write([]byte(switchingProtocols)); err != nil {
-		return nil, fmt.Errorf("answer upgrade: %w", err)
+		return nil, fmt.Errorf("write upgrade response: %w", err)
 	}
 	f, err := frame.Read(reader)
 	if err != nil {
@@ -138,7 +138,8 @@
 		name: hello.Name, site: hello.Site, incarnation: hello.Incarnation,
 		attachedAt: now, conn: conn, reader: reader, pending: make(chan []byte, 1), done: make(chan struct{}),
 	}
-	a.addr, _ = netip.ParseAddrPort(hello.Addr) // without an address nobody can find the process dead: its quota stays its own
+	// Without a valid address the process is never confirmed dead, and no other agent uses its quota.
+	a.addr, _ = netip.ParseAddrPort(hello.Addr)
 	welcome := frame.Welcome{Hub: s.cfg.Name, Incarnation: s.cfg.Incarnation, ProgramVersion: s.cfg.ProgramVersion}
 	return a, writeFrame(conn, &frame.Frame{Welcome: &welcome})
 }
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -19,10 +19,10 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// waitTimeout is how long a test waits for a condition: far longer than any takes.
+// waitTimeout is how long a test waits for a condition: far longer than any condition takes.
 const waitTimeout = 30 * time.Second
 
-// waitFor waits until holds returns true, and fails the test after waitTimeout.
+// waitFor waits until condition returns true, and fails the test after waitTimeout. what describes the condition.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -32,15 +32,15 @@
 	}
 }
 
-// testHub is a hub and its place among the hubs, run in this process over loopback sockets.
+// testHub is a hub and its membership in the fleet, which run in the test process over loopback sockets.
 type testHub struct {
 	*Server
 	fleet *fleet.Fleet
 	stop  func()
 }
 
-// startHub starts a hub, which joins the seeds. The test's cleanup stops it. tune, which may be nil, changes its
-// configuration.
+// startHub starts a hub, which joins the seeds. The test's cleanup stops the hub. tune, which may be nil, changes the
+// hub's configuration.
 func startHub(t *testing.T, name string, maxAgents int, tune func(*Config), seeds ...*testHub) *testHub {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -70,10 +70,10 @@
 	return hub
 }
 
-// uptime returns for how long the hub has run without a suspension.
+// uptime returns how long the hub has run without a suspension.
 func (h *testHub) uptime(now time.Time) time.Duration { return h.evidence.uptime(now) }
 
-// startHubs starts n hubs that know each other.
+// startHubs starts n hubs, and returns when each of them has the others as members.
 func startHubs(t *testing.T, n, maxAgents int) (hubs []*testHub) {
 	t.Helper()
 	for i := range n {
@@ -85,7 +85,7 @@
 	return hubs
 }
 
-// fakeAgent attaches as an agent does, and keeps what the hub publishes.
+// fakeAgent attaches to a hub like an agent, and stores what the hub publishes.
 type fakeAgent struct {
 	conn      net.Conn
 	gossip    *gossip.Store
@@ -98,7 +98,8 @@
 	busy           *frame.Busy
 }
 
-// listenAsProcess returns a listener on an address that accepts connections while the process of an agent "lives".
+// listenAsProcess returns a listener that stands for the process of an agent: the process counts as running until the
+// listener is closed.
 func listenAsProcess(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +112,7 @@
 
 var errStatus = errors.New("status")
 
-// dialUpgrade connects to a hub and upgrades the connection. The error is errStatus if the hub rejects it.
+// dialUpgrade connects to a hub and upgrades the connection. The error is errStatus if the hub rejects the upgrade.
 func dialUpgrade(addr, label string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -131,8 +132,8 @@
 	return conn, reader, nil
 }
 
-// attachAgent attaches an agent to a hub. Twice a second it sends state, unless that is nil. The test's cleanup
-// closes the stream. The hub may answer Welcome or Busy.
+// attachAgent connects an agent to a hub, which may respond with Welcome or Busy. The agent sends state twice a second
+// unless state is nil. The test's cleanup closes the stream.
 func attachAgent(t *testing.T, hub *testHub, hello frame.Hello, state *frame.State) *fakeAgent {
 	t.Helper()
 	hello.Label = t.Name()
@@ -151,7 +152,7 @@
 	return a
 }
 
-// readLoop keeps what the hub sends until the stream ends.
+// readLoop stores what the hub sends until the stream ends.
 func (a *fakeAgent) readLoop(reader *bufio.Reader) {
 	defer close(a.done)
 	for {
@@ -174,7 +175,7 @@
 	}
 }
 
-// stateLoop sends state, unless that is nil, at every fifth tick until the stream ends.
+// stateLoop sends state at every fifth tick until the stream ends, unless state is nil.
 func (a *fakeAgent) stateLoop(state *frame.State) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -208,14 +209,14 @@
 	}
 }
 
-// isQuotaConfirmed reports whether the hub has confirmed the quota at any time.
+// isQuotaConfirmed reports whether the hub has ever confirmed the agent's quota.
 func (a *fakeAgent) isQuotaConfirmed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.quotaConfirmed
 }
 
-// fleetSize returns the size that the hub published last, if it is not too old to be used.
+// fleetSize returns the size that the hub published last, or the zero value if that size is past its age bound.
 func (a *fakeAgent) fleetSize() (size FleetSize) {
 	for _, f := range a.gossip.Entries(gossip.FleetSize) {
 		size, _ = ParseFleetSize(f.Body)
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -1,4 +1,4 @@
-// This file publishes what the hub knows: sums of its agents to the other hubs, sums of all hubs to its agents.
+// This file publishes sums over this hub's agents to the other hubs, and sums over all hubs to this hub's agents.
 
 package hub
 
@@ -14,13 +14,13 @@
 
 const (
 	publishInterval  = time.Second
-	suspendThreshold = time.Second // between two ticks: the process was suspended meanwhile
+	suspendThreshold = time.Second // a longer time between two ticks shows that the process was suspended
 	summaryInterval  = 10 * time.Second
-	maxLogged        = 20 // lagging agents in a log line
+	maxLogged        = 20 // lagging agents named in a log line
 )
 
-// publishLoop publishes to agents and to the other hubs every second until ctx ends, and to agents at the next tick
-// when something that they have to know at once has changed.
+// publishLoop publishes to the agents and to the other hubs every second until ctx ends. When an entry that agents must
+// receive immediately has changed, publishLoop publishes to the agents at the next tick.
 func (s *Server) publishLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -57,8 +57,8 @@
 	}
 }
 
-// resetAfterSuspend makes the hub start anew after its process was suspended: its agents have moved to other hubs
-// meanwhile, and what lies in their streams is old.
+// resetAfterSuspend closes all streams and clears the registry and the evidence after a suspension of the process. During
+// the suspension the agents have moved to other hubs, and the frames in their streams have become out of date.
 func (s *Server) resetAfterSuspend(now time.Time) {
 	for _, a := range s.registry.clear() {
 		a.close()
@@ -66,7 +66,7 @@
 	s.evidence.reset(now)
 }
 
-// publishToHubs publishes the sums of this hub's agents to the other hubs.
+// publishToHubs publishes the sums over this hub's agents to the other hubs.
 func (s *Server) publishToHubs() {
 	store := s.fleet.Gossip()
 	store.Publish(gossip.FleetSize, s.cfg.Name, s.localSize().MarshalBody())
@@ -75,8 +75,8 @@
 	}
 }
 
-// sharedEntries returns the entries that all agents receive alike: the load of the list service, the fleet size, and
-// the versions of the documents that this hub holds.
+// sharedEntries returns the entries that are the same for all agents: the load of the list service, the fleet size, and
+// the versions of this hub's documents.
 func (s *Server) sharedEntries(now time.Time) []gossip.Entry {
 	entries := startup.Aggregate(s.fleet.Gossip().Entries(gossip.ListServiceLoad))
 	size, age := s.fleetSize(now)
@@ -95,7 +95,7 @@
 	return entries
 }
 
-// latencyRows returns the latency row of each zone that attached agents are in, by zone.
+// latencyRows returns the latency row of each zone with attached agents, by zone.
 func (s *Server) latencyRows() map[string]gossip.Entry {
 	matrix := s.fleet.LatencyMatrix()
 	rows := map[string]gossip.Entry{}
@@ -113,7 +113,7 @@
 // publishToAgents sends each agent the shared entries and the latency row of its zone. Agents with the same row share
 // one encoding.
 func (s *Server) publishToAgents(pub *publisher, entries []gossip.Entry, rows map[string]gossip.Entry, now time.Time) {
-	frames := map[string][]byte{} // by the row's zone; "": without a row
+	frames := map[string][]byte{} // by the row's zone; "" for agents without a row
 	for _, a := range s.registry.attachments() {
 		row, known := rows[a.site]
 		data := frames[row.Subject]
@@ -129,33 +129,34 @@
 	}
 }
 
-// logSummary logs what the hub knows. lagging names agents that lack the latest settings, with the reason.
+// logSummary logs the numbers of agents and of protocol errors. lagging lists the agents that lag behind the current
+// settings, each with the reason.
 func (s *Server) logSummary(now time.Time, lagging []string) {
 	size, _ := s.fleetSize(now)
 	s.cfg.Log.Info("hub summary", "agents", len(s.registry.attachments()), "all", size.Attached, "starting", size.Starting,
 		"gone", size.Dead, "refused", s.protocolErrors.Load())
 	if len(lagging) > 0 {
-		s.cfg.Log.Warn("agents lag behind settings", "version", s.currentSettings().Version, "agents", len(lagging),
+		s.cfg.Log.Warn("agents lag behind the current settings", "version", s.currentSettings().Version, "agents", len(lagging),
 			"some", lagging[:min(len(lagging), maxLogged)])
 	}
 }
 
-// firstAgentSeq is the base of the sequence numbers of entries to agents. It sets them apart from the entries of the
-// same subjects that this process publishes to the other hubs.
+// firstAgentSeq is the base of the sequence numbers of entries to agents. With this base they never equal the sequence
+// numbers of the entries with the same subjects that this process publishes to the other hubs.
 const firstAgentSeq = 1 << 32
 
-// publisher encodes the entries that a hub publishes to its agents. It belongs to one goroutine.
+// publisher encodes the entries that a hub publishes to its agents. It is not safe for concurrent use.
 type publisher struct {
 	name        string
 	incarnation uint64
 	startedAt   time.Time // origin of the clock in each message
 	trace       gossip.Trace
 	seq         uint64
-	lastBodies  map[gossip.Kind][]byte // of the last call of changed
+	lastBodies  map[gossip.Kind][]byte // at the last call of changed
 }
 
-// changed reports whether entries differ from those of the last call in what agents have to know at once: all but the
-// load of the list service, which they may learn at the next interval.
+// changed reports whether entries differ from those of the last call in a kind that agents must receive immediately: any
+// kind except the load of the list service, which can wait for the next interval.
 func (p *publisher) changed(entries []gossip.Entry) bool {
 	bodies := map[gossip.Kind][]byte{}
 	for _, entry := range entries {
@@ -171,7 +172,7 @@
 	return changed
 }
 
-// encode returns a frame with entries as observations of this hub, their ages as of now.
+// encode returns an encoded frame with entries, marked as observations of this hub. The ages of entries are as of now.
 func (p *publisher) encode(entries []gossip.Entry, now time.Time) []byte {
 	message := gossip.Message{Version: gossip.Version, Sender: p.name, Incarnation: p.incarnation, Clock: now.Sub(p.startedAt)}
 	for _, entry := range entries {
@@ -185,7 +186,7 @@
 		data, err = frame.Encode(&frame.Frame{Gossip: data})
 	}
 	if err != nil {
-		panic(err) // the number and the size of the entries are bounded well below that of a frame
+		panic(err) // cannot happen: the entries are bounded to far less than the maximum size of a frame
 	}
 	return data
 }
--- a/internal/fleet/hub/quotas_test.go
+++ b/internal/fleet/hub/quotas_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Whatever happens in whatever order, the quotas of all live agents never add up to more than 1.1 of the limit; and the
-// quotas of dead agents are used once the fleet is quiet.
+// In any sequence of crashes, moves, restarts and partitions the quotas of all running agents never add up to more than
+// 1.1 times the limit. Once the fleet is stable, the running agents use the quotas of the dead ones.
 func TestQuotasStayWithinTheLimit(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			}
 			sim.run(8 * time.Second)
 			if sum := sim.quotaSum(); sum < 0.99 {
-				t.Errorf("seed %d: seven agents are dead, and the quotas of the others add up to %v", seed, sum)
+				t.Errorf("seed %d: after the death of seven agents the quotas of the others add up to %v of the limit, want at least 0.99", seed, sum)
 			}
 		})
 	}
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -1,4 +1,5 @@
-// This file holds the registry of agents: who is attached here or to another hub, and who is disconnected.
+// This file contains the registry of agents: the agents attached to this hub, the agents attached to other
+// hubs, and the disconnected agents.
 
 package hub
 
@@ -14,25 +15,26 @@
 )
 
 const (
-	maxNames             = 4096             // in each map of the registry
-	remoteMaxAge         = 30 * time.Second // of a remote attachment: a move is over by then
+	maxNames             = 4096             // entries in each map of the registry
+	remoteMaxAge         = 30 * time.Second // of a remote attachment: an agent's move to another hub takes less time
 	initialCheckInterval = time.Second      // between two checks whether a disconnected agent is dead
-	maxCheckInterval     = 10 * time.Second // the same, after checks that proved nothing
-	// maxReportDelay is how long after an agent has attached here another hub's report may arrive that it is attached
-	// there, written before it moved here.
+	maxCheckInterval     = 10 * time.Second // the same, after several checks that did not find the agent dead
+	// maxReportDelay bounds how long after an agent has attached to this hub an outdated report may arrive: one that
+	// another hub wrote while the agent was still attached there.
 	maxReportDelay = hubCallTimeout + 2*reportInterval
 )
 
-// registry records where agents are, by name: attached here, attached to another hub as that hub reported, or
-// disconnected. A disconnected agent is not attached here, and no other hub has reported the same or a later process of
-// it since. Processes of one name are distinguished by their incarnation; the one with the higher incarnation replaces
-// the other. Its methods may be called from any goroutine.
+// registry records for each agent, by name, whether the agent is attached to this hub, attached to another hub according
+// to that hub's report, or disconnected. An agent is disconnected if its stream to this hub has ended and no other hub
+// has reported the same or a later process of the agent since. Processes of one name are distinguished by their
+// incarnation; the process with the higher incarnation replaces the other. The methods of registry may be called from
+// any goroutine.
 type registry struct {
 	mu           sync.Mutex
 	attached     map[string]*attachment
 	disconnected map[string]*disconnectedAgent
 	remote       map[string]remoteAttachment
-	lastSerial   uint64 // of attachments here
+	lastSerial   uint64 // of attachments to this hub
 }
 
 // remoteAttachment is an agent's attachment to another hub, as that hub reported it.
@@ -41,21 +43,21 @@
 	reportedAt  time.Time
 }
 
-// supersedes reports whether the agent that is attached here has moved to the other hub: a later process of it is
-// attached there, or the same process, and the report cannot be from before the agent came here.
+// supersedes reports whether the agent of attachment a has moved to the other hub: the report is of a later process, or
+// it is of the same process and arrived too late to have been written before the agent attached to this hub.
 func (r remoteAttachment) supersedes(a *attachment) bool {
 	return r.incarnation > a.incarnation || r.incarnation == a.incarnation && r.reportedAt.Sub(a.attachedAt) >= maxReportDelay
 }
 
-// disconnectedAgent is an agent whose stream to this hub ended, and that no other hub has reported since. Until it is
-// confirmed dead nobody else may use its quota. The registry's mutex guards it, except for name, incarnation and
+// disconnectedAgent is an agent whose stream to this hub has ended and that no other hub has reported since. Other agents
+// may use its quota only after it is confirmed dead. The registry's mutex guards all fields except name, incarnation and
 // addr, which never change.
 type disconnectedAgent struct {
 	name            string
 	incarnation     uint64
 	addr            netip.AddrPort
 	disconnectedAt  time.Time
-	confirmedDeadAt time.Time // the latest time at which its process was dead for certain; zero: never
+	confirmedDeadAt time.Time // the latest time at which its process was confirmed dead; zero: never
 	nextCheckAt     time.Time
 	checkInterval   time.Duration
 	lastStatus      frame.State
@@ -70,7 +72,8 @@
 }
 
 // attach registers an attachment and sets its serial. It returns the attachment of the same name that it replaces, if
-// any, which the caller closes; ok is false if a later process of the name is known, or too many names are.
+// any, which the caller closes. ok is false if a later process of the name is attached to any hub, or if the registry is
+// full.
 func (r *registry) attach(a *attachment, now time.Time) (replaced *attachment, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,14 +92,14 @@
 	return replaced, true
 }
 
-// detach removes an attachment that has ended. Unless another hub has the agent, it becomes disconnected, and is
-// confirmed dead at once if it left for good. An agent without a valid address cannot be checked, and is forgotten:
-// its quota stays unused.
+// detach removes an attachment that has ended. Unless the agent has moved to another hub, detach records the agent as
+// disconnected; left is true if the agent sent Leave, and then the agent is also confirmed dead. An agent without a valid
+// address cannot be checked and is not recorded, so its quota stays unused.
 func (r *registry) detach(a *attachment, left bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attached[a.name] != a {
-		return // replaced meanwhile
+		return // another attachment has replaced it
 	}
 	delete(r.attached, a.name)
 	if remote, known := r.remote[a.name]; known && remote.supersedes(a) && now.Sub(remote.reportedAt) < remoteMaxAge {
@@ -104,7 +107,7 @@
 	}
 	delete(r.remote, a.name)
 	if len(r.disconnected) >= maxNames || !a.addr.IsValid() {
-		return // nobody finds it dead, so nobody uses its quota
+		return // the agent is never confirmed dead, so no other agent uses its quota
 	}
 	agent := &disconnectedAgent{
 		name: a.name, incarnation: a.incarnation, addr: a.addr, disconnectedAt: now,
@@ -116,9 +119,9 @@
 	r.disconnected[a.name] = agent
 }
 
-// applyRemote applies another hub's report that a process is attached there. It returns the attachment here that the
-// report replaces, which the caller closes; or, if the process attached here has a higher incarnation, that
-// incarnation, so that the other hub closes its attachment. newer is 0 otherwise.
+// applyRemote records another hub's report that a process is attached to that hub. It returns the attachment to this hub
+// that the report replaces, if any, which the caller closes. If the process attached to this hub has a higher
+// incarnation, newer is that incarnation, so that the other hub closes its attachment; otherwise newer is 0.
 func (r *registry) applyRemote(name string, incarnation uint64, now time.Time) (replaced *attachment, newer uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,7 +154,7 @@
 	maps.DeleteFunc(r.remote, func(_ string, remote remoteAttachment) bool { return now.Sub(remote.reportedAt) >= remoteMaxAge })
 }
 
-// isPresent reports whether an agent is attached here, or was reported by another hub within maxAge.
+// isPresent reports whether an agent is attached to this hub, or was reported by another hub within maxAge.
 func (r *registry) isPresent(name string, maxAge time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,7 +162,7 @@
 	return r.attached[name] != nil || known && now.Sub(remote.reportedAt) <= maxAge
 }
 
-// attachments returns the attachments here, in no order.
+// attachments returns the attachments to this hub, in no particular order.
 func (r *registry) attachments() []*attachment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,8 +181,8 @@
 	return list
 }
 
-// recordCheck records whether a disconnected agent was dead at the time at, when the check began. The interval
-// doubles from check to check that proves nothing, up to maxCheckInterval.
+// recordCheck records whether a disconnected agent was dead at the time at, when the check began. A check that does not
+// find the agent dead doubles the interval to the next check, up to maxCheckInterval.
 func (r *registry) recordCheck(agent *disconnectedAgent, dead bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,7 +194,7 @@
 	agent.nextCheckAt = at.Add(agent.checkInterval)
 }
 
-// confirmedDead returns copies of the disconnected agents that were dead for certain within maxAge, sorted by name.
+// confirmedDead returns copies of the disconnected agents that were confirmed dead within maxAge, sorted by name.
 func (r *registry) confirmedDead(maxAge time.Duration, now time.Time) (list []disconnectedAgent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,7 +207,7 @@
 	return list
 }
 
-// clear empties the registry and returns the attachments that were in it, which the caller closes.
+// clear empties the registry and returns the removed attachments, which the caller closes.
 func (r *registry) clear() (list []*attachment) {
 	list = r.attachments()
 	r.mu.Lock()
--- a/internal/fleet/hub/registry_test.go
+++ b/internal/fleet/hub/registry_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// An agent that moved here from another hub dies. A report of that hub from before the move, which arrives late, must
-// not pass for a move back: nobody would check whether the agent is dead.
+// An agent moves to this hub from another hub and dies. A late report that the other hub wrote before the move must not
+// count as a move back, because then no hub would check whether the agent is dead.
 func TestAgentThatDiesSoonAfterAMoveIsChecked(t *testing.T) {
 	for _, tt := range []struct {
 		name             string
-		reported, diedAt time.Duration // since the agent attached here
+		reported, diedAt time.Duration // since the agent attached to this hub
 		checked          int           // agents due for a check
 	}{
-		{"the other hub's report crosses the move", 200 * time.Millisecond, 5 * time.Second, 1},
-		{"the report comes as late as it can", hubCallTimeout + 2*reportInterval - time.Millisecond, 5 * time.Second, 1},
-		{"the agent moves on", 4 * time.Second, 4100 * time.Millisecond, 0},
-		{"the agent moves on, and its stream ends late", 4 * time.Second, 6 * time.Second, 0},
+		{"the other hub's report arrives shortly after the move", 200 * time.Millisecond, 5 * time.Second, 1},
+		{"the report arrives with the highest possible delay", hubCallTimeout + 2*reportInterval - time.Millisecond, 5 * time.Second, 1},
+		{"the agent moves back", 4 * time.Second, 4100 * time.Millisecond, 0},
+		{"the agent moves back, and its stream to this hub ends late", 4 * time.Second, 6 * time.Second, 0},
 	} {
 		now, r := time.Now(), newRegistry()
 		a := &attachment{name: "a", incarnation: 1, addr: netip.MustParseAddrPort("127.0.0.1:1"), attachedAt: now}
@@ -36,6 +36,6 @@
 	r.applyRemote("a", 2, now.Add(200*time.Millisecond)) // a later process
 	r.detach(a, false, now.Add(time.Second))
 	if len(r.nextChecks(10, now.Add(time.Second))) > 0 {
-		t.Error("a process is due for a check though a later one has replaced it")
+		t.Error("a process is due for a check although a later process has replaced it")
 	}
 }
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -1,29 +1,30 @@
-// Package hub is the hub's side of a fleet. A hub is a process that carries membership, quotas and versioned
-// documents to the agents attached to it. Agents hold one stream to one hub; hubs exchange what they know through
-// gossip and over HTTP.
+// Package hub implements the hub of a fleet. A hub is a process that distributes membership data, quotas and versioned
+// documents to the agents attached to it. Each agent has one stream to one hub; hubs exchange data through gossip and
+// over HTTP.
 //
 // A hub publishes sums, never single observations: the fleet size, from which each agent computes its quota of the
 // fleet's in-flight limit; the load of the list service; the latency row of the agent's zone; and the versions of the
-// settings and of the residency policy. Each entry is as old as the oldest observation in it.
+// settings and of the residency policy. The age of an entry is that of its oldest observation.
 //
 // State, its owner and its age:
 //
-//   - registry, under its mutex: which agents are attached here, attached to another hub, or disconnected. What other
-//     hubs report arrives every 250 ms and is used for at most 30 s (remoteMaxAge).
+//   - registry, under its mutex: which agents are attached to this hub, attached to another hub, or disconnected. Reports
+//     of other hubs arrive every 250 ms and are used for at most 30 s (remoteMaxAge).
 //   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the
-//     agent's last State, which it sends each second, is under the attachment's mutex. A stream that is silent for
-//     three seconds ends.
-//   - evidence, under its mutex: what is known of other hubs and of dead processes, to count free quotas and to
-//     confirm an agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
-//   - loadReports: the agents' observations of the list service, a gossip.Store that is locked by itself. Its entries
-//     stay in this hub; only aggregates of them leave it. Bounded by the age bound of gossip.ListServiceLoad.
-//   - publisher and the progress of attachment reports: local to the one goroutine that uses each, without a lock.
+//     agent's last State, which it sends each second, is under the attachment's mutex. The hub
+//     ends a stream on which it receives nothing for three seconds.
+//   - evidence, under its mutex: the reports about other hubs and dead processes, from which the hub counts unused quotas
+//     and confirms an agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
+//   - loadReports: the agents' observations of the list service, in a gossip.Store with its own lock. The entries
+//     stay in this hub, which publishes only aggregates of them. Their age is at most the age bound of
+//     gossip.ListServiceLoad.
+//   - publisher and the progress of attachment reports: each local to the one goroutine that uses it, without a lock.
 //   - admission, under its mutex: the rate limit of new streams, and the connections in a handshake.
 //
-// Goroutines: Run starts three and waits for them: publishLoop sums up and publishes, failureDetector finds out which
-// disconnected agents are dead, reportAttachments reports to the other hubs who attached here. Each stream has two, one
-// that reads (from the handshake on) and one that writes; Run waits for these, too. Every handler of ServeHTTP runs
-// on the caller's goroutine and ends with its request, except for an upgraded stream.
+// Goroutines: Run starts three and waits for them: publishLoop computes and publishes sums, failureDetector detects
+// which disconnected agents are dead, and reportAttachments reports to the other hubs which agents attached to this hub.
+// Each stream has two goroutines, one that reads (from the handshake on) and one that writes; Run also waits for these.
+// Every handler of ServeHTTP runs on the caller's goroutine and ends with its request, except for an upgraded stream.
 package hub
 
 import (
@@ -42,23 +43,22 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// Fleet is the hub's own place among the hubs; *fleet.Fleet implements it. Its methods may be called from any
-// goroutine.
+// Fleet is the hub's membership in the fleet; *fleet.Fleet implements it. Its methods may be called from any goroutine.
 type Fleet interface {
 	// Gossip returns the entries that the hubs share.
 	Gossip() *gossip.Store
 	// Hubs returns the other hubs that are members now.
 	Hubs() []member.Member
-	// MissingHubs returns the other hubs that are no members now and may be running.
+	// MissingHubs returns the other hubs that are not members now but may be running.
 	MissingHubs() []member.Member
 	// MeshAgents returns the names of the agents that are members themselves, because they have no hub.
 	MeshAgents() map[string]bool
-	// ConfirmDead reports whether a process is dead for certain: its machine refuses connections to its address. A call
-	// that is not answered within timeout proves nothing.
+	// ConfirmDead reports whether a process is certainly dead, that is, whether its machine refuses connections to its
+	// address. It returns false if the machine does not respond within timeout, because the process may be running.
 	ConfirmDead(ctx context.Context, m member.Member, timeout time.Duration) bool
 	// Dial opens a connection to another hub.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
-	// LatencyMatrix returns the round trips between zones that are known now.
+	// LatencyMatrix returns the current round-trip times between zones.
 	LatencyMatrix() latency.Matrix
 }
 
@@ -67,7 +67,7 @@
 	Name, Label    string // of this hub, and of its fleet
 	ProgramVersion string // sent in each Welcome
 	Incarnation    uint64 // higher than that of each earlier process of the name
-	// MaxAgents is an upper bound of the agents that the fleet has at a time. Quotas are computed from it.
+	// MaxAgents is an upper bound of the number of agents in the fleet at a time. Quotas are computed from it.
 	MaxAgents int
 	AdmitRate float64             // new streams per second; 0: defaultAdmitRate
 	AgeBounds gossip.AgeBounds    // nil: gossip.DefaultAgeBounds
@@ -79,7 +79,7 @@
 	Trace     io.Writer // receives a line for each entry published to agents; nil: none
 }
 
-// Server is a hub. Create it with New; it takes agents in while Run runs.
+// Server is a hub. Create it with New; it accepts agents while Run runs.
 type Server struct {
 	cfg         Config
 	fleet       Fleet         // set by Run before ready
@@ -89,19 +89,19 @@
 	admission   *admission
 	startedAt   time.Time // origin of the clock in messages to agents
 
-	ready          atomic.Bool    // agents are taken in
-	readyMu        sync.Mutex     // held while a stream is added to streams, and while ready is cleared
+	ready          atomic.Bool    // the hub accepts agents
+	readyMu        sync.Mutex     // locked to add a stream to streams, and to clear ready
 	streams        sync.WaitGroup // goroutines of streams
-	openStreams    atomic.Int32   // those in a handshake included
-	protocolErrors atomic.Int64   // streams that ended by a violation of the protocol
+	openStreams    atomic.Int32   // including those in a handshake
+	protocolErrors atomic.Int64   // streams that ended because the agent violated the protocol
 }
 
 const (
 	defaultAdmitRate = 200.0 // new streams per second
-	maxExtraStreams  = 64    // beyond MaxAgents: of agents that move, and of clients that are no agents
+	maxExtraStreams  = 64    // beyond MaxAgents: for agents that move, and for clients that are not agents
 )
 
-// New returns a hub that takes agents in once Run is called.
+// New returns a hub that accepts agents once Run is called.
 func New(cfg Config) *Server {
 	if cfg.AgeBounds == nil {
 		cfg.AgeBounds = gossip.DefaultAgeBounds
@@ -120,8 +120,8 @@
 	}
 }
 
-// Run serves agents until ctx ends, then closes their streams, so that the agents move at once, and waits for all
-// goroutines of the hub. It may be called once.
+// Run serves agents until ctx ends, then closes their streams, so that the agents move to another hub
+// immediately, and waits for all goroutines of the hub. It may be called once.
 func (s *Server) Run(ctx context.Context, fleet Fleet) {
 	s.fleet = fleet
 	ctx, cancel := context.WithCancel(ctx)
@@ -143,7 +143,8 @@
 	loops.Wait()
 }
 
-// ServeHTTP serves agents and other hubs on the hub's fleet address. Before and after Run it answers 503.
+// ServeHTTP serves agents and other hubs on the hub's fleet address. Before and after Run it responds with
+// status 503.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !s.ready.Load() {
 		http.Error(w, "this hub is not ready", http.StatusServiceUnavailable)
--- a/internal/fleet/hub/settingsreport.go
+++ b/internal/fleet/hub/settingsreport.go
@@ -1,4 +1,4 @@
-// This file reports which settings are applied in the fleet, and which agents lag behind.
+// This file reports the current settings of the fleet, and which agents lag behind them.
 
 package hub
 
@@ -18,32 +18,32 @@
 
 const (
 	pathSettings     = "/fleet/settings"
-	maxReported      = 200              // lagging agents in a report
-	laggingThreshold = 14 * time.Second // an agent without the latest settings for longer is logged
+	maxReported      = 200              // lagging agents named in a report
+	laggingThreshold = 14 * time.Second // the hub logs an agent that lags for longer
 	noReason         = "it has not said that it has them"
 )
 
-// SettingsReport says which settings are current in a fleet, and which agents lack them. GET /fleet/settings answers
-// with it.
+// SettingsReport is the response to GET /fleet/settings: the current settings of the fleet, and the agents that have not
+// applied them.
 type SettingsReport struct {
-	Version      int64          `json:"version"` // the current one
+	Version      int64          `json:"version"` // the current version
 	Digest       string         `json:"digest"`
 	Agents       int            `json:"agents"`
-	Applied      int            `json:"in_force"` // agents that have applied it
+	Applied      int            `json:"in_force"` // agents that have applied the current version
 	Lagging      []LaggingAgent `json:"behind"`
-	Omitted      int            `json:"cut,omitempty"`    // lagging agents beyond those named
-	Unresponsive []string       `json:"silent,omitempty"` // hubs that did not answer, by name or address
+	Omitted      int            `json:"cut,omitempty"`    // number of lagging agents that Lagging omits
+	Unresponsive []string       `json:"silent,omitempty"` // hubs that did not respond, by name or address
 }
 
 // LaggingAgent is an agent that has not applied the current settings.
 type LaggingAgent struct {
 	Agent   string `json:"agent"`
 	Hub     string `json:"hub"`
-	Version int64  `json:"version"` // that it has applied
-	Reason  string `json:"why"`     // as the agent says, or why nothing is known
+	Version int64  `json:"version"` // that the agent has applied
+	Reason  string `json:"why"`     // as reported by the agent, or why the agent's state is unknown
 }
 
-// currentSettings returns the version that this hub holds, the zero value without one.
+// currentSettings returns the version of this hub's settings, or the zero value if the hub has none.
 func (s *Server) currentSettings() (current documents.AppliedVersion) {
 	if s.cfg.Settings != nil {
 		current = s.cfg.Settings.Applied()
@@ -51,14 +51,14 @@
 	return current
 }
 
-// hasApplied reports whether applied, an agent's version, is the current one or later. Of several documents under one
-// version the first counts.
+// hasApplied reports whether applied, an agent's version, is the current version or a later one. If several documents
+// have the current version, only the first one counts as applied.
 func hasApplied(current documents.AppliedVersion, applied frame.AppliedVersion) bool {
 	return applied.Version > current.Version ||
 		applied.Version == current.Version && (len(current.Digests) == 0 || applied.Digest == current.Digests[0])
 }
 
-// localReport reports on the agents attached here, and on the disconnected ones that are not known to be dead.
+// localReport reports on the agents attached to this hub, and on the disconnected agents that were never confirmed dead.
 func (s *Server) localReport(current documents.AppliedVersion, now time.Time) SettingsReport {
 	report := SettingsReport{Version: current.Version, Lagging: []LaggingAgent{}}
 	if len(current.Digests) > 0 {
@@ -82,7 +82,7 @@
 	return report
 }
 
-// add adds a lagging agent, of which the report names only so many.
+// add adds a lagging agent. Beyond maxReported agents the report only counts them.
 func (r *SettingsReport) add(agent LaggingAgent) {
 	if len(r.Lagging) < maxReported {
 		r.Lagging = append(r.Lagging, agent)
@@ -99,8 +99,8 @@
 	}
 }
 
-// handleSettings answers with a report over all hubs; or, if the query has a version, as another hub asks, over this
-// hub alone and against that version.
+// handleSettings responds with a report on the agents of all hubs. If the query has a version, as in the requests of
+// other hubs, the report covers only the agents of this hub and compares them with that version.
 func (s *Server) handleSettings(w http.ResponseWriter, req *http.Request) {
 	current, now := s.currentSettings(), time.Now()
 	query := req.URL.Query()
@@ -113,11 +113,11 @@
 	}
 	slices.SortFunc(report.Lagging, func(a, b LaggingAgent) int { return cmp.Compare(a.Agent, b.Agent) })
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(report) // the caller sees that the answer is cut off
+	_ = json.NewEncoder(w).Encode(report) // after an error the caller receives a truncated response
 }
 
-// mergeRemoteReports adds to report those of the other hubs, which it asks all at once, and names the hubs that do
-// not answer and those that are missing.
+// mergeRemoteReports requests the reports of the other hubs concurrently and merges them into report. It adds the hubs
+// that do not respond and the missing hubs to Unresponsive.
 func (s *Server) mergeRemoteReports(req *http.Request, current documents.AppliedVersion, report *SettingsReport) {
 	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(current.Version, 10)}, "digest": current.Digests}.Encode()
 	hubs := s.fleet.Hubs()
@@ -139,7 +139,7 @@
 	}
 }
 
-// laggingAgents updates since when each agent lags, and returns the names and reasons of those that have lagged for
+// laggingAgents updates since when each agent lags. It returns the names and reasons of the agents that have lagged for
 // longer than laggingThreshold, sorted.
 func (s *Server) laggingAgents(now time.Time) (list []string) {
 	current := s.currentSettings()
--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// fakeHolder is a documents.Holder that keeps one text.
+// fakeHolder is a documents.Holder that stores one text.
 type fakeHolder struct {
 	mu      sync.Mutex
 	version int64
@@ -26,7 +26,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version <= h.version {
-		return errors.New("old")
+		return errors.New("version is not higher than the stored one")
 	}
 	h.version, h.text = version, text
 	return nil
@@ -54,7 +54,8 @@
 	}
 }
 
-// Settings that one hub holds are published by all hubs and never go back. Every hub can be asked who lags behind.
+// All hubs publish the settings of one hub, and never a lower version after a higher one. Every hub reports which agents
+// lag behind.
 func TestSettingsReportNamesLaggingAgents(t *testing.T) {
 	t.Parallel()
 	var hubs []*testHub
@@ -79,10 +80,10 @@
 		}
 	}
 	for v, text := range map[int64]string{1: "one", 2: "two"} {
-		_ = holders[0].Apply(v, text) // in either order: a lower version after a higher one is rejected
+		_ = holders[0].Apply(v, text) // in either order: the holder rejects a lower version after a higher one
 	}
-	waitFor(t, "published settings", published(a, 2))
-	waitFor(t, "published settings", published(b, 2))
+	waitFor(t, "settings published to a", published(a, 2))
+	waitFor(t, "settings published to b", published(b, 2))
 	var report SettingsReport
 	waitFor(t, "report on both agents", func() bool {
 		var err error
@@ -90,7 +91,7 @@
 		return err == nil && report.Agents == 2 && report.Applied == 1
 	})
 	if report.Version != 2 || len(report.Lagging) != 1 || report.Lagging[0] != (LaggingAgent{"b", "hub1", 1, "a key is unknown"}) {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want version 2 and only agent b as lagging", report)
 	}
 }
 
--- a/internal/fleet/hub/simagent_test.go
+++ b/internal/fleet/hub/simagent_test.go
@@ -1,4 +1,4 @@
-// This file is an agent of the simulation, with the agent's side of the protocol.
+// This file implements an agent of the simulation, with the agent's side of the protocol.
 
 package hub
 
@@ -25,7 +25,7 @@
 	hub            *simHub
 }
 
-// kill ends a process, with or without Leave. From now on its machine refuses connections.
+// kill ends the process, and sends Leave to its hubs if leave is true. Afterwards its machine refuses connections.
 func (a *simAgent) kill(leave bool) {
 	a.sim.mu.Lock()
 	a.dead = true
@@ -41,7 +41,7 @@
 	}
 }
 
-// attach attaches an agent to a hub that it reaches. An older stream is closed shortly after.
+// attach attaches the agent to a hub that is ready and reachable, and closes the agent's older stream shortly after.
 func (a *simAgent) attach(hub *simHub) {
 	sim := a.sim
 	sim.mu.Lock()
@@ -64,7 +64,7 @@
 	})
 }
 
-// read runs the agent's side of a stream: it sends its state each second and keeps what the hub publishes.
+// read runs the agent's side of a stream: it sends its state each second and stores what the hub publishes.
 func (a *simAgent) read(conn net.Conn, hub *simHub) {
 	defer func() {
 		a.sim.mu.Lock()
@@ -90,7 +90,7 @@
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(2500 * time.Millisecond))
 		f, err := frame.Read(reader)
-		if a.unreachable(hub) { // as beyond a partition: the hub receives nothing, and no reset
+		if a.unreachable(hub) { // as in a partition: the hub receives neither data nor a reset
 			time.Sleep(2500 * time.Millisecond)
 			return
 		}
@@ -113,7 +113,7 @@
 	return a.sim.isPartitioned(hub.n, a.n)
 }
 
-// quota returns the agent's quota by the rule of package hubclient.
+// quota returns the agent's quota, which it computes like package hubclient.
 func (a *simAgent) quota() float64 {
 	a.gossip.Tick()
 	if !a.quotaConfirmed && time.Since(a.startedAt) < 3*time.Second {
--- a/internal/fleet/hub/simhub_test.go
+++ b/internal/fleet/hub/simhub_test.go
@@ -1,4 +1,4 @@
-// This file is the place of a hub in the simulation: its Fleet, its listener and its process.
+// This file implements a hub of the simulation: its Fleet, its listener and its process.
 
 package hub
 
@@ -18,19 +18,19 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// simHub is the place of a hub, with its present process if it runs. It is the hub.Fleet and the listener of that
+// simHub is a hub of the simulation, with its current process if one is running. It is the Fleet and the listener of that
 // process.
 type simHub struct {
 	sim         *simulation
 	n           int
-	server      *Server // nil: none
+	server      *Server // nil if no process is running
 	gossip      *gossip.Store
 	conns       chan net.Conn
 	stopServer  func()
 	incarnation uint64
 }
 
-// member returns this hub as a member. Ports from 1000 on are hubs, those below are agents.
+// member returns this hub as a member. Ports from 1000 on belong to hubs, lower ports to agents.
 func (h *simHub) member() member.Member {
 	return member.Member{
 		Name: fmt.Sprint("hub", h.n),
@@ -39,7 +39,8 @@
 	}
 }
 
-// otherHubs returns the other hubs that are seen as members, or those that are not. A partition is seen 3 s late.
+// otherHubs returns the other hubs that are members in this hub's view if present is true, and otherwise the
+// remaining hubs. The membership changes 3 s after a partition begins.
 func (h *simHub) otherHubs(present bool) (list []member.Member) {
 	h.sim.mu.Lock()
 	defer h.sim.mu.Unlock()
@@ -76,7 +77,7 @@
 		return nil, err
 	}
 	h.sim.mu.Lock()
-	defer h.sim.mu.Unlock() // until the connection is queued: stop closes conns after it has cleared server
+	defer h.sim.mu.Unlock() // keeps the lock until the connection is queued: stop closes conns after it has cleared server
 	target := h.sim.hubs[int(addrPort.Port())-1000]
 	if target.server == nil || h.sim.isPartitioned(target.n, h.n) {
 		return nil, errPartitioned
@@ -102,7 +103,7 @@
 
 func (h *simHub) Addr() net.Addr { return &net.TCPAddr{} }
 
-// start starts a process of the hub, which knows nothing.
+// start starts a process of the hub, which has no state of an earlier process.
 func (h *simHub) start() {
 	h.sim.mu.Lock()
 	defer h.sim.mu.Unlock()
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -1,4 +1,4 @@
-// This file simulates hubs and agents in virtual time: real servers and stores, over connections that can be
+// This file simulates hubs and agents in virtual time, with real servers and gossip stores, over connections that can be
 // partitioned.
 
 package hub
@@ -21,14 +21,14 @@
 	tasks         sync.WaitGroup
 	mu            sync.Mutex
 	hubs          []*simHub
-	agents        []*simAgent // the latest process of each name; nil: none yet
+	agents        []*simAgent // the latest process of each name; nil before the first
 	started       []*simAgent // all processes, in the order of their start
-	incarnations  uint64      // the latest that was given to an agent's process
-	partitioned   bool        // hubs and agents with odd numbers are cut off from those with even ones
+	incarnations  uint64      // the latest incarnation assigned to an agent's process
+	partitioned   bool        // hubs and agents with odd numbers cannot reach those with even numbers
 	partitionedAt time.Time
 }
 
-// startSimulation starts four hubs and ten agents, as many as the fleet may have.
+// startSimulation starts four hubs and ten agents, which is the maximum number of agents in the fleet.
 func startSimulation(t *testing.T, seed uint64) *simulation {
 	t.Helper()
 	const maxAgents = 10
@@ -58,10 +58,10 @@
 	s.tasks.Wait()
 }
 
-// isPartitioned reports whether two places, hubs or agents, cannot reach each other.
+// isPartitioned reports whether a partition separates the hubs or agents with the numbers a and b.
 func (s *simulation) isPartitioned(a, b int) bool { return s.partitioned && a%2 != b%2 }
 
-// gossip passes messages between the hubs, as members do. A quarter of them is lost.
+// gossip passes gossip messages between the hubs, and drops a quarter of them at random.
 func (s *simulation) gossip() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// spawn starts a process of the n-th agent.
+// spawn starts a new process of the n-th agent.
 func (s *simulation) spawn(n int) {
 	s.incarnations++
 	store := gossip.New(fmt.Sprint("agent", n), s.incarnations, gossip.DefaultAgeBounds, nil)
@@ -91,7 +91,7 @@
 	s.mu.Unlock()
 }
 
-// quotaSum returns the sum of the quotas of all live processes, those with a common name included.
+// quotaSum returns the sum of the quotas of all running processes, including processes that share a name.
 func (s *simulation) quotaSum() (sum float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +103,8 @@
 	return sum
 }
 
-// run lets time pass. Agents without a hub attach at random. It fails the test if the quotas add up to more than the
-// limit.
+// run runs the simulation for d of virtual time. Agents without a hub attach to random hubs at random times. run fails the
+// test if the quotas add up to more than 1.1 times the limit.
 func (s *simulation) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		s.gossip()
@@ -117,12 +117,12 @@
 			}
 		}
 		if sum := s.quotaSum(); sum > 1.1+1e-9 {
-			s.t.Fatalf("the quotas add up to %v", sum)
+			s.t.Fatalf("the quotas add up to %v of the limit, want at most 1.1", sum)
 		}
 	}
 }
 
-// step makes a random event happen.
+// step triggers a random event.
 func (s *simulation) step() {
 	n := s.rand.IntN(len(s.agents))
 	agent := s.agents[n]
@@ -133,7 +133,7 @@
 		agent.kill(false)
 	case choice == 3:
 		agent.kill(true)
-	case choice == 4: // restarted at once
+	case choice == 4: // immediate restart
 		agent.kill(false)
 		s.spawn(n)
 	case choice < 7:
@@ -142,7 +142,7 @@
 		s.mu.Lock()
 		s.partitioned, s.partitionedAt = !s.partitioned, time.Now()
 		s.mu.Unlock()
-	case choice == 8: // seven of ten die at once
+	case choice == 8: // seven of ten agents die simultaneously
 		for i, other := range s.agents {
 			if other != nil && !other.dead && i%10 < 7 {
 				other.kill(false)
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -1,18 +1,18 @@
-// Package hubd wires the process of a hub from its configuration:
+// Package hubd assembles the process of a hub from its configuration:
 //
-//   - the settings and the residency policy: a holder of each, which starts with the stored version and, at a source,
-//     watches a file;
+//   - the settings and the residency policy: a holder for each, which loads the stored version and, if a file is
+//     configured, watches the file;
 //   - fleet.Fleet: the hub's membership among the hubs, their gossip, the replication of the two documents, and the
 //     relaying of the endpoint list;
-//   - hub.Server: the agents that attach here. The fleet hands it the HTTP requests that it does not serve itself,
-//     and it reads and publishes through the fleet;
-//   - discovery.Watcher: it watches the list service, if one is configured, for the agents that watch here; the hub
-//     does not use the list itself.
+//   - hub.Server: the agents attached to this hub. The fleet passes the Server the HTTP requests that the fleet does not
+//     serve itself; the Server reads and publishes gossip entries through the fleet;
+//   - discovery.Watcher, if a list service is configured: it watches the list service for the agents that watch this hub;
+//     the hub does not use the list itself.
 //
-// The package keeps no state of its own: the holders own the documents, the Server and the Fleet what their packages
-// say, and all are safe for concurrent use. Settings do not age, and are never replaced by a lower version. The
-// policy's age is the time since a source confirmed it; the Server publishes it up to the age bound of
-// gossip.ResidencyVersion. Hub.Run owns all goroutines and waits for them.
+// The package has no state of its own: the holders own the documents, and the Server and the Fleet own the state that
+// their packages document. All of them are safe for concurrent use. Settings have no age bound, and a lower version never
+// replaces a higher one. The policy's age is the time since a source confirmed it; the Server publishes the policy's
+// version up to the age bound of gossip.ResidencyVersion. Hub.Run owns all goroutines and waits for them.
 package hubd
 
 import (
@@ -46,8 +46,8 @@
 	fleet    *fleet.Fleet
 }
 
-// New loads the stored documents and listens on the hub's fleet address. programVersion is announced to agents and to
-// other hubs. The error is that of an address that cannot be used, or of the trace file.
+// New loads the stored documents and listens on the hub's fleet address. The hub sends programVersion to agents and to
+// other hubs. New returns an error if it cannot use an address or open the trace file.
 func New(cfg *config.Hub, programVersion string, log *slog.Logger) (*Hub, error) {
 	h := &Hub{cfg: cfg, log: log}
 	h.loadDocuments()
@@ -83,7 +83,7 @@
 	return h, err
 }
 
-// ageBounds returns the default age bounds with those that are configured in their place.
+// ageBounds returns the default age bounds, overridden by the configured ones.
 func ageBounds(cfg *config.Hub) gossip.AgeBounds {
 	bounds := gossip.AgeBounds{}
 	for kind, bound := range gossip.DefaultAgeBounds {
@@ -95,8 +95,8 @@
 	return bounds
 }
 
-// loadDocuments creates the holders of the settings and of the policy, each with the stored version if there is one.
-// A stored version that cannot be used is logged, and the hub starts without it: other hubs have it.
+// loadDocuments creates the holders of the settings and of the policy, each with the stored version if there is one. If a
+// stored version is unusable, loadDocuments logs an error and the hub starts without it, because other hubs have it.
 func (h *Hub) loadDocuments() {
 	settingsCfg, residencyCfg := &h.cfg.Settings, &h.cfg.Residency
 	holderCfg := settings.Config{Log: h.log}
@@ -124,8 +124,8 @@
 // Addr returns the address at which agents and other hubs reach this hub.
 func (h *Hub) Addr() string { return h.fleet.Addr() }
 
-// Run serves until ctx ends, then announces to the other hubs that this one leaves, and waits for all goroutines of the
-// process. It may be called once. The error is that of the fleet.
+// Run serves until ctx ends, then notifies the other hubs that this hub leaves, and waits for all goroutines of the hub.
+// It may be called once. It returns the error of the fleet.
 func (h *Hub) Run(ctx context.Context) error {
 	if h.trace != nil {
 		defer h.trace.Close()
@@ -142,7 +142,7 @@
 	}
 	if h.cfg.Discovery == "" {
 		h.fleet.Ready()
-	} else { // the fleet becomes ready with the first list
+	} else { // the fleet becomes ready with the first endpoint list
 		tasks.Go(func() { h.endpointWatcher().Run(ctx) })
 	}
 	tasks.Go(func() { h.server.Run(ctx, h.fleet) })
@@ -152,8 +152,8 @@
 	return err
 }
 
-// endpointWatcher returns the watcher of the list service. It passes the endpoint list to the fleet, which relays it;
-// the hub itself does not use the list, so nothing is delivered or logged.
+// endpointWatcher returns the watcher of the list service. The watcher passes the endpoint list to the fleet, which relays
+// it to agents. The hub itself does not use the list, so the watcher delivers and logs nothing.
 func (h *Hub) endpointWatcher() *discovery.Watcher {
 	startedAt := time.Now()
 	return discovery.New(discovery.Config{
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -21,10 +21,11 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// waitTimeout is how long a test waits for a condition: far longer than any takes.
+// waitTimeout is how long a test waits for a condition: far longer than any condition takes.
 const waitTimeout = 30 * time.Second
 
-// TestMain redirects what hubs store beside the temporary files into a directory that goes with the tests.
+// TestMain redirects the files that hubs store in the temporary directory into a directory that it removes after the
+// tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "hubd-")
 	if err == nil {
@@ -34,11 +35,11 @@
 		panic(err)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(dir) // a temporary directory: what is left does no harm
+	_ = os.RemoveAll(dir) // leftover files in a temporary directory do no harm
 	os.Exit(code)
 }
 
-// waitFor waits until holds returns true, and fails the test after waitTimeout.
+// waitFor waits until condition returns true, and fails the test after waitTimeout. what describes the condition.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// logBuffer keeps what a hub logs. Its methods may be called from any goroutine.
+// logBuffer stores the log of a hub. Its methods may be called from any goroutine.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -66,7 +67,7 @@
 	return strings.Contains(l.buf.String(), text)
 }
 
-// startHub runs a hub with a configuration, beside its address and label, until the test ends.
+// startHub runs a hub until the test ends. Its configuration is toml with a listening address and a label added.
 func startHub(t *testing.T, toml string) (*Hub, *logBuffer) {
 	t.Helper()
 	cfg, err := config.ParseHub("x.toml", "listen = \"127.0.0.1:0\"\nlabel = \""+t.Name()+"\"\n"+toml)
@@ -90,8 +91,8 @@
 	return h, logs
 }
 
-// Settings in the file of one hub reach the next hub and are stored there. Invalid settings go no further than the
-// hub that reads them, and a lower version is applied nowhere.
+// Another hub receives and stores the settings from the file of one hub. The hub that reads invalid settings from its
+// file rejects them and does not pass them on, and no hub applies a lower version.
 func TestSettingsFileReachesOtherHubs(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -112,7 +113,7 @@
 	writeSettings("version = 4\n[attempts]\nmost = 400\n")
 	waitFor(t, "rejection of invalid settings", func() bool { return log.contains("attempts.most") })
 	if v := one.settings.State().Version; v != 3 {
-		t.Errorf("version %d is applied", v)
+		t.Errorf("settings version %d is applied, want 3", v)
 	}
 	writeSettings("version = 2\n")
 	writeSettings("version = 5\n[attempts]\nmost = 3\n")
@@ -122,16 +123,16 @@
 	}
 	again, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
 	if v := again.settings.State().Version; v != 5 {
-		t.Errorf("version %d was stored", v)
+		t.Errorf("settings version %d was stored, want 5", v)
 	}
 	for _, entry := range two.fleet.Gossip().Entries(gossip.SettingsVersion) {
 		if standing, ok := documents.ParseAppliedVersion(entry.Body); !ok || standing.Version > 5 {
-			t.Errorf("published: %+v", standing)
+			t.Errorf("published settings version %+v, want at most 5", standing)
 		}
 	}
 }
 
-// A hub watches the list service and relays its list; a hub without a list service has none to relay.
+// A hub with a list service relays the endpoint list; a hub without a list service relays none.
 func TestEndpointListIsRelayed(t *testing.T) {
 	t.Parallel()
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -160,13 +161,13 @@
 		}
 		defer resp.Body.Close()
 		var m struct{ Version int64 }
-		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // a rejection has no version
+		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // an error response has no version
 		return m.Version
 	}
 	if v := relayedVersion(with); v != 7 {
-		t.Errorf("version %d", v)
+		t.Errorf("relayed list version %d, want 7", v)
 	}
 	if v := relayedVersion(without); v != 0 {
-		t.Errorf("version %d from a hub without a service", v)
+		t.Errorf("list version %d from a hub without a list service, want none", v)
 	}
 }
