--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -74,14 +74,14 @@
 		case <-a.done:
 			return
 		case data := <-a.pending:
-			private, err := frame.Encode(&frame.Frame{Echo: a.echo(), QuotaConfirmed: quotaConfirmed()})
+			agentFrame, err := frame.Encode(&frame.Frame{Echo: a.echo(), QuotaConfirmed: quotaConfirmed()})
 			if err != nil {
 				panic(err) // cannot happen: the frame contains only numbers within their bounds
 			}
 			if a.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 				return
 			}
-			for _, buf := range [][]byte{private, data} {
+			for _, buf := range [][]byte{agentFrame, data} {
 				if _, err := a.conn.Write(buf); err != nil {
 					return
 				}
--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -42,7 +42,7 @@
 	waitFor(t, "fleet size", func() bool { return good.fleetSize().Attached == 1 })
 	sendMalformedFrames(t, hub)
 	sendTooManyFrames(t, hub)
-	stopReading(t, hub)
+	attachWithoutReading(t, hub)
 	if good.closed() || good.fleetSize().Attached == 0 {
 		t.Error("the well-behaved agent has lost its stream or its fleet size")
 	}
@@ -95,9 +95,9 @@
 	}
 }
 
-// stopReading attaches an agent that does not read, and waits until the hub ends its stream because the socket buffers
+// attachWithoutReading attaches an agent that does not read, and waits until the hub ends its stream because the socket buffers
 // are full.
-func stopReading(t *testing.T, hub *testHub) {
+func attachWithoutReading(t *testing.T, hub *testHub) {
 	t.Helper()
 	unresponsive, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
 	if err != nil {
--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -48,19 +48,19 @@
 		case <-tick.C:
 		}
 		hubs := s.fleet.Hubs()
-		reached := make([]progress, len(hubs))
+		newProgress := make([]progress, len(hubs))
 		var calls sync.WaitGroup
 		for i, hub := range hubs {
 			last := acknowledged[hub.Name]
 			if last.incarnation != hub.Incarnation {
 				last = progress{hub.Incarnation, 0} // a new process, which has received no reports
 			}
-			calls.Go(func() { reached[i] = s.reportTo(ctx, hub, last) })
+			calls.Go(func() { newProgress[i] = s.reportTo(ctx, hub, last) })
 		}
 		calls.Wait()
 		clear(acknowledged) // a hub that is missing now receives a full report when it returns
 		for i, hub := range hubs {
-			acknowledged[hub.Name] = reached[i]
+			acknowledged[hub.Name] = newProgress[i]
 		}
 	}
 }
@@ -106,24 +106,24 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := &attachmentReport{}
-	return answer, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, answer)
+	response := &attachmentReport{}
+	return response, s.callHub(ctx, hub, http.MethodPost, pathAttachments, body, response)
 }
 
 // handleReport handles another hub's attachment report.
 func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
 	var report attachmentReport
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessageSize)).Decode(&report)
-	if r.Method != http.MethodPost || err != nil || len(report.Agents) > maxNames {
+	if r.Method != http.MethodPost || err != nil || len(report.Agents) > maxRegistryEntries {
 		http.Error(w, "invalid attachment report", http.StatusBadRequest)
 		return
 	}
-	now, answer := time.Now(), attachmentReport{Hub: s.cfg.Name}
+	now, response := time.Now(), attachmentReport{Hub: s.cfg.Name}
 	for _, agent := range report.Agents {
 		if newer := s.applyRemote(agent, now); newer > 0 {
-			answer.Agents = append(answer.Agents, reportedAgent{agent.Name, newer})
+			response.Agents = append(response.Agents, reportedAgent{agent.Name, newer})
 		}
 	}
 	w.Header().Set("Content-Type", reportContentType)
-	_ = json.NewEncoder(w).Encode(answer) // after an error the caller receives a truncated response
+	_ = json.NewEncoder(w).Encode(response) // after an error the caller receives a truncated response
 }
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -22,10 +22,10 @@
 	maxDeadBytes       = 600 // of names in one gossip entry, so that the entry fits into a datagram between members
 )
 
-// failureDetector checks the disconnected agents and the missing hubs once a second until ctx ends. A
+// detectFailures checks the disconnected agents and the missing hubs once a second until ctx ends. A
 // process is confirmed dead only if its machine refuses connections: a process that does not respond may be running on
 // the other side of a partition.
-func (s *Server) failureDetector(ctx context.Context) {
+func (s *Server) detectFailures(ctx context.Context) {
 	tick := time.NewTicker(checkRoundInterval)
 	defer tick.Stop()
 	for published := 0; ; {
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -28,8 +28,8 @@
 	c2 := attachAgent(t, hubs[2], frame.Hello{Name: "c", Incarnation: 1, Addr: firstProcess.Addr().String()}, servingState)
 	waitFor(t, "fleet size of five streams", func() bool { return a.fleetSize().Attached == 5 })
 	// The process of c dies, and both hubs lose their stream to c.
-	forgetRemote(hubs[1])
-	forgetRemote(hubs[2])
+	clearRemote(hubs[1])
+	clearRemote(hubs[2])
 	firstProcess.Close()
 	c1.close()
 	c2.close()
@@ -60,8 +60,8 @@
 	waitFor(t, "end of the checks of c", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
-// forgetRemote removes the attachments that other hubs have reported from a hub's registry.
-func forgetRemote(hub *testHub) {
+// clearRemote removes the attachments that other hubs have reported from a hub's registry.
+func clearRemote(hub *testHub) {
 	hub.registry.mu.Lock()
 	defer hub.registry.mu.Unlock()
 	clear(hub.registry.remote)
@@ -73,14 +73,14 @@
 	hubs := startHubs(t, 2, 10)
 	a := attachAgent(t, hubs[0], frame.Hello{Name: "a", Site: "a", Incarnation: 1}, servingState)
 	waitFor(t, "hub that counts dead agents", func() bool { return hubs[0].uptime(time.Now()) > hubs[0].deadMaxAge() })
-	const old = 1500 * time.Millisecond
-	at := time.Now().Add(-old)
-	hubs[0].fleet.Gossip().PublishAged(gossip.DeadProcesses, "aged", []byte{0x81, 0x61, 'z'}, old)
+	const reportAge = 1500 * time.Millisecond
+	reportedAt := time.Now().Add(-reportAge)
+	hubs[0].fleet.Gossip().PublishAged(gossip.DeadProcesses, "aged", []byte{0x81, 0x61, 'z'}, reportAge)
 	waitFor(t, "fleet size with the dead agent", func() bool {
-		for _, f := range a.gossip.Entries(gossip.FleetSize) {
-			if c, err := ParseFleetSize(f.Body); err == nil && c.Dead == 1 {
-				if time.Since(at) > f.Age {
-					t.Errorf("the age of the fleet size is %v, want at least the age of its report, %v", f.Age, time.Since(at))
+		for _, entry := range a.gossip.Entries(gossip.FleetSize) {
+			if size, err := ParseFleetSize(entry.Body); err == nil && size.Dead == 1 {
+				if time.Since(reportedAt) > entry.Age {
+					t.Errorf("the age of the fleet size is %v, want at least the age of its report, %v", entry.Age, time.Since(reportedAt))
 				}
 				return true
 			}
@@ -97,9 +97,9 @@
 	waitFor(t, "fleet size", func() bool { return a.fleetSize().Attached == 1 })
 	for hub.uptime(time.Now()) < 2*time.Second {
 		hub.fleet.Gossip().Publish(gossip.DeadProcesses, "x", []byte{0x81, 0x61, 'z'})
-		if c := a.fleetSize(); c.Dead != 0 || a.isQuotaConfirmed() {
+		if size := a.fleetSize(); size.Dead != 0 || a.isQuotaConfirmed() {
 			if hub.uptime(time.Now()) < 3*time.Second {
-				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v", c, a.isQuotaConfirmed())
+				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v", size, a.isQuotaConfirmed())
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -65,11 +65,11 @@
 		if err != nil {
 			return
 		}
-		again, err := Encode(x)
+		reencoded, err := Encode(x)
 		if err != nil {
 			t.Skip("longer than it came: its integers were not in the shortest form")
 		}
-		if _, err := Read(bytes.NewReader(again)); err != nil {
+		if _, err := Read(bytes.NewReader(reencoded)); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -23,9 +23,9 @@
 const waitTimeout = 30 * time.Second
 
 // waitFor waits until condition returns true, and fails the test after waitTimeout. what describes the condition.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no %s within %v", what, waitTimeout)
 		}
@@ -218,8 +218,8 @@
 
 // fleetSize returns the size that the hub published last, or the zero value if that size is past its age bound.
 func (a *fakeAgent) fleetSize() (size FleetSize) {
-	for _, f := range a.gossip.Entries(gossip.FleetSize) {
-		size, _ = ParseFleetSize(f.Body)
+	for _, entry := range a.gossip.Entries(gossip.FleetSize) {
+		size, _ = ParseFleetSize(entry.Body)
 	}
 	return size
 }
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -118,11 +118,11 @@
 		row, known := rows[a.site]
 		data := frames[row.Subject]
 		if data == nil {
-			own := entries[:len(entries):len(entries)]
+			agentEntries := entries[:len(entries):len(entries)]
 			if known {
-				own = append(own, row)
+				agentEntries = append(agentEntries, row)
 			}
-			data = pub.encode(own, now)
+			data = pub.encode(agentEntries, now)
 			frames[row.Subject] = data
 		}
 		a.enqueue(data)
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxNames             = 4096             // entries in each map of the registry
+	maxRegistryEntries   = 4096             // entries in each map of the registry
 	remoteMaxAge         = 30 * time.Second // of a remote attachment: an agent's move to another hub takes less time
 	initialCheckInterval = time.Second      // between two checks whether a disconnected agent is dead
 	maxCheckInterval     = 10 * time.Second // the same, after several checks that did not find the agent dead
@@ -78,7 +78,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	replaced = r.attached[a.name]
-	if replaced == nil && len(r.attached) >= maxNames || replaced != nil && replaced.incarnation > a.incarnation {
+	if replaced == nil && len(r.attached) >= maxRegistryEntries || replaced != nil && replaced.incarnation > a.incarnation {
 		return nil, false
 	}
 	if remote, known := r.remote[a.name]; known && remote.incarnation > a.incarnation && now.Sub(remote.reportedAt) < remoteMaxAge {
@@ -106,7 +106,7 @@
 		return
 	}
 	delete(r.remote, a.name)
-	if len(r.disconnected) >= maxNames || !a.addr.IsValid() {
+	if len(r.disconnected) >= maxRegistryEntries || !a.addr.IsValid() {
 		return // the agent is never confirmed dead, so no other agent uses its quota
 	}
 	agent := &disconnectedAgent{
@@ -130,7 +130,7 @@
 		return nil, a.incarnation
 	}
 	remote, known := r.remote[name]
-	if !known && len(r.remote) >= maxNames {
+	if !known && len(r.remote) >= maxRegistryEntries {
 		return nil, 0
 	}
 	if known && remote.incarnation > incarnation && now.Sub(remote.reportedAt) < remoteMaxAge {
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -21,7 +21,7 @@
 //   - publisher and the progress of attachment reports: each local to the one goroutine that uses it, without a lock.
 //   - admission, under its mutex: the rate limit of new streams, and the connections in a handshake.
 //
-// Goroutines: Run starts three and waits for them: publishLoop computes and publishes sums, failureDetector detects
+// Goroutines: Run starts three and waits for them: publishLoop computes and publishes sums, detectFailures detects
 // which disconnected agents are dead, and reportAttachments reports to the other hubs which agents attached to this hub.
 // Each stream has two goroutines, one that reads (from the handshake on) and one that writes; Run also waits for these.
 // Every handler of ServeHTTP runs on the caller's goroutine and ends with its request, except for an upgraded stream.
@@ -128,7 +128,7 @@
 	defer cancel()
 	var loops sync.WaitGroup
 	loops.Go(func() { s.publishLoop(ctx) })
-	loops.Go(func() { s.failureDetector(ctx) })
+	loops.Go(func() { s.detectFailures(ctx) })
 	loops.Go(func() { s.reportAttachments(ctx) })
 	s.ready.Store(true)
 	<-ctx.Done()
--- a/internal/fleet/hub/settingsreport.go
+++ b/internal/fleet/hub/settingsreport.go
@@ -121,17 +121,17 @@
 func (s *Server) mergeRemoteReports(req *http.Request, current documents.AppliedVersion, report *SettingsReport) {
 	path := pathSettings + "?" + url.Values{"version": {strconv.FormatInt(current.Version, 10)}, "digest": current.Digests}.Encode()
 	hubs := s.fleet.Hubs()
-	answers, errs := make([]SettingsReport, len(hubs)), make([]error, len(hubs))
+	responses, errs := make([]SettingsReport, len(hubs)), make([]error, len(hubs))
 	var calls sync.WaitGroup
 	for i, hub := range hubs {
-		calls.Go(func() { errs[i] = s.callHub(req.Context(), hub, http.MethodGet, path, nil, &answers[i]) })
+		calls.Go(func() { errs[i] = s.callHub(req.Context(), hub, http.MethodGet, path, nil, &responses[i]) })
 	}
 	calls.Wait()
 	for i, hub := range hubs {
 		if errs[i] != nil {
 			report.Unresponsive = append(report.Unresponsive, hub.Name)
 		} else {
-			report.merge(answers[i])
+			report.merge(responses[i])
 		}
 	}
 	for _, hub := range s.fleet.MissingHubs() {
--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -71,8 +71,8 @@
 	b := attachAgent(t, hubs[1], frame.Hello{Name: "b", Incarnation: 1}, &frame.State{Settings: lagging})
 	published := func(agent *fakeAgent, v int64) func() bool {
 		return func() bool {
-			for _, f := range agent.gossip.Entries(gossip.SettingsVersion) {
-				if s, ok := documents.ParseAppliedVersion(f.Body); ok && s.Version == v {
+			for _, entry := range agent.gossip.Entries(gossip.SettingsVersion) {
+				if s, ok := documents.ParseAppliedVersion(entry.Body); ok && s.Version == v {
 					return true
 				}
 			}
--- a/internal/fleet/hub/simagent_test.go
+++ b/internal/fleet/hub/simagent_test.go
@@ -50,12 +50,12 @@
 		sim.mu.Unlock()
 		return
 	}
-	near, far := net.Pipe()
+	agentConn, hubConn := net.Pipe()
 	previous := a.streams
-	a.streams, a.hub = []net.Conn{near}, hub
+	a.streams, a.hub = []net.Conn{agentConn}, hub
 	sim.mu.Unlock()
-	server.streams.Go(func() { server.serveStream(far, bufio.NewReader(far)); far.Close() })
-	sim.tasks.Go(func() { a.read(near, hub) })
+	server.streams.Go(func() { server.serveStream(hubConn, bufio.NewReader(hubConn)); hubConn.Close() })
+	sim.tasks.Go(func() { a.read(agentConn, hub) })
 	sim.tasks.Go(func() {
 		time.Sleep(100 * time.Millisecond)
 		for _, c := range previous {
--- a/internal/fleet/hub/simhub_test.go
+++ b/internal/fleet/hub/simhub_test.go
@@ -82,10 +82,10 @@
 	if target.server == nil || h.sim.isPartitioned(target.n, h.n) {
 		return nil, errPartitioned
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case target.conns <- far:
-		return near, nil
+	case target.conns <- serverConn:
+		return clientConn, nil
 	default: // the queue is full
 		return nil, errPartitioned
 	}
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -110,9 +110,9 @@
 		s.gossip()
 		for _, a := range s.agents {
 			s.mu.Lock()
-			idle := a != nil && !a.dead && a.hub == nil
+			unattached := a != nil && !a.dead && a.hub == nil
 			s.mu.Unlock()
-			if idle && s.rand.IntN(10) == 0 {
+			if unattached && s.rand.IntN(10) == 0 {
 				a.attach(s.hubs[s.rand.IntN(len(s.hubs))])
 			}
 		}
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -40,9 +40,9 @@
 }
 
 // waitFor waits until condition returns true, and fails the test after waitTimeout. what describes the condition.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no %s within %v", what, waitTimeout)
 		}
@@ -106,28 +106,28 @@
 		}
 	}
 	writeSettings("version = 3\n[attempts]\nmost = 4\n")
-	one, log := startHub(t, "name = \"one\"\n[settings]\nfile = \""+file+"\"\n")
-	two, _ := startHub(t, "name = \"two\"\nseeds = [\""+one.Addr()+"\"]\n[settings]\nstate = \""+state+"\"\n")
-	has := func(v int64) func() bool { return func() bool { return two.settings.State().Version == v } }
-	waitFor(t, "first settings", has(3))
+	source, log := startHub(t, "name = \"one\"\n[settings]\nfile = \""+file+"\"\n")
+	replica, _ := startHub(t, "name = \"two\"\nseeds = [\""+source.Addr()+"\"]\n[settings]\nstate = \""+state+"\"\n")
+	hasVersion := func(v int64) func() bool { return func() bool { return replica.settings.State().Version == v } }
+	waitFor(t, "first settings", hasVersion(3))
 	writeSettings("version = 4\n[attempts]\nmost = 400\n")
 	waitFor(t, "rejection of invalid settings", func() bool { return log.contains("attempts.most") })
-	if v := one.settings.State().Version; v != 3 {
+	if v := source.settings.State().Version; v != 3 {
 		t.Errorf("settings version %d is applied, want 3", v)
 	}
 	writeSettings("version = 2\n")
 	writeSettings("version = 5\n[attempts]\nmost = 3\n")
-	waitFor(t, "next settings", has(5))
-	if log.contains("version=2 ") && one.settings.State().Version == 2 {
+	waitFor(t, "next settings", hasVersion(5))
+	if log.contains("version=2 ") && source.settings.State().Version == 2 {
 		t.Error("a lower version is applied")
 	}
-	again, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
-	if v := again.settings.State().Version; v != 5 {
+	restarted, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
+	if v := restarted.settings.State().Version; v != 5 {
 		t.Errorf("settings version %d was stored, want 5", v)
 	}
-	for _, entry := range two.fleet.Gossip().Entries(gossip.SettingsVersion) {
-		if standing, ok := documents.ParseAppliedVersion(entry.Body); !ok || standing.Version > 5 {
-			t.Errorf("published settings version %+v, want at most 5", standing)
+	for _, entry := range replica.fleet.Gossip().Entries(gossip.SettingsVersion) {
+		if applied, ok := documents.ParseAppliedVersion(entry.Body); !ok || applied.Version > 5 {
+			t.Errorf("published settings version %+v, want at most 5", applied)
 		}
 	}
 }
@@ -146,8 +146,8 @@
 		}
 	}))
 	t.Cleanup(service.Close)
-	with, _ := startHub(t, "name = \"with\"\ndiscovery = \""+service.Listener.Addr().String()+"\"\n")
-	without, _ := startHub(t, "name = \"without\"\nseeds = [\""+with.Addr()+"\"]\n")
+	withService, _ := startHub(t, "name = \"with\"\ndiscovery = \""+service.Listener.Addr().String()+"\"\n")
+	withoutService, _ := startHub(t, "name = \"without\"\nseeds = [\""+withService.Addr()+"\"]\n")
 	relayedVersion := func(h *Hub) (version int64) {
 		ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 		defer cancel()
@@ -164,10 +164,10 @@
 		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // an error response has no version
 		return m.Version
 	}
-	if v := relayedVersion(with); v != 7 {
+	if v := relayedVersion(withService); v != 7 {
 		t.Errorf("relayed list version %d, want 7", v)
 	}
-	if v := relayedVersion(without); v != 0 {
+	if v := relayedVersion(withoutService); v != 0 {
 		t.Errorf("list version %d from a hub without a list service, want none", v)
 	}
 }
