--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// attachWithoutReading attaches an agent that does not read, and waits until the hub ends its stream because the socket buffers
-// are full.
+// attachWithoutReading attaches an agent that does not read, and waits until the hub ends its stream because the socket
+// buffers are full.
 func attachWithoutReading(t *testing.T, hub *testHub) {
 	t.Helper()
 	unresponsive, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
--- a/internal/fleet/hub/evidence.go
+++ b/internal/fleet/hub/evidence.go
@@ -16,7 +16,7 @@
 
 // evidence records the reports about other hubs and dead processes. Its methods may be called from any goroutine.
 type evidence struct {
-	maxAge    time.Duration // of a report that a process is dead: until then other agents may use its quota
+	maxAge    time.Duration // of a report that a process is dead: up to this age others may use its quota
 	maxAgents int           // Config.MaxAgents
 
 	mu            sync.Mutex
@@ -117,9 +117,9 @@
 	return now.Sub(e.resumedAt)
 }
 
-// quotaConfirmed reports whether an agent that attached at attachedAt is the only user of its quota. It returns
-// true only if every hub has reported since the agent attached, this hub has run for longer than a report of a dead process
-// is valid, and no valid report names the agent: by then a hub that counted the agent as dead would have published the
+// quotaConfirmed reports whether an agent that attached at attachedAt is the only user of its quota. It returns true
+// only if every hub has reported since the agent attached, this hub has run for longer than a report of a dead process is
+// valid, and no valid report names the agent: by then a hub that counted the agent as dead would have published the
 // agent's name.
 func (e *evidence) quotaConfirmed(name string, attachedAt, now time.Time) bool {
 	if now.Sub(attachedAt) < minConfirmDelay || e.uptime(now) <= e.maxAge {
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -22,9 +22,9 @@
 	maxDeadBytes       = 600 // of names in one gossip entry, so that the entry fits into a datagram between members
 )
 
-// detectFailures checks the disconnected agents and the missing hubs once a second until ctx ends. A
-// process is confirmed dead only if its machine refuses connections: a process that does not respond may be running on
-// the other side of a partition.
+// detectFailures checks the disconnected agents and the missing hubs once a second until ctx ends. A process
+// is confirmed dead only if its machine refuses connections: a process that does not respond may be running on the other
+// side of a partition.
 func (s *Server) detectFailures(ctx context.Context) {
 	tick := time.NewTicker(checkRoundInterval)
 	defer tick.Stop()
--- a/internal/fleet/hub/forms_test.go
+++ b/internal/fleet/hub/forms_test.go
@@ -13,6 +13,6 @@
 		t.Errorf("attachment report: got %s, error %v", got, err)
 	}
 	if pathAttachments != "/hub/names" || pathSettings != "/fleet/settings" {
-		t.Errorf("paths %s, %s", pathAttachments, pathSettings)
+		t.Errorf("paths between hubs: %s, %s", pathAttachments, pathSettings)
 	}
 }
--- a/internal/fleet/hub/frame/frame.go
+++ b/internal/fleet/hub/frame/frame.go
@@ -1,6 +1,6 @@
 // Package frame defines the frames that an agent and its hub exchange on the agent's stream: CBOR maps, each preceded
-// by its length in four bytes, big-endian. Frames have a maximum size and a version; the decoder ignores
-// fields that a later version adds. The package has no state: its functions may be called from any goroutine.
+// by its length in four bytes, big-endian. Frames have a maximum size and a version; the decoder ignores fields that a later
+// version adds. The package has no state: its functions may be called from any goroutine.
 package frame
 
 import (
@@ -44,7 +44,7 @@
 type Hello struct {
 	Label          string `cbor:"1,keyasint"` // of the agent's fleet
 	Name           string `cbor:"2,keyasint"`
-	Incarnation    uint64 `cbor:"3,keyasint"` // of the process; of two with one name the higher one stays attached
+	Incarnation    uint64 `cbor:"3,keyasint"` // of the process; if two have one name, the higher one stays attached
 	Site           string `cbor:"4,keyasint"` // the agent's zone
 	Addr           string `cbor:"5,keyasint"` // a refused connection to it proves that the process is dead
 	ProgramVersion string `cbor:"6,keyasint"`
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -67,7 +67,7 @@
 		}
 		reencoded, err := Encode(x)
 		if err != nil {
-			t.Skip("longer than it came: its integers were not in the shortest form")
+			t.Skip("the encoded frame is too long: Encode also writes fields that the input omits")
 		}
 		if _, err := Read(bytes.NewReader(reencoded)); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// firstAgentSeq is the base of the sequence numbers of entries to agents. With this base they never equal the sequence
-// numbers of the entries with the same subjects that this process publishes to the other hubs.
+// firstAgentSeq is the base of the sequence numbers of entries to agents. The base separates these numbers from the
+// sequence numbers of the entries with the same subjects that this process publishes to the other hubs.
 const firstAgentSeq = 1 << 32
 
 // publisher encodes the entries that a hub publishes to its agents. It is not safe for concurrent use.
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -18,7 +18,7 @@
 	maxRegistryEntries   = 4096             // entries in each map of the registry
 	remoteMaxAge         = 30 * time.Second // of a remote attachment: an agent's move to another hub takes less time
 	initialCheckInterval = time.Second      // between two checks whether a disconnected agent is dead
-	maxCheckInterval     = 10 * time.Second // the same, after several checks that did not find the agent dead
+	maxCheckInterval     = 10 * time.Second // the same, after several checks that did not find it dead
 	// maxReportDelay bounds how long after an agent has attached to this hub an outdated report may arrive: one that
 	// another hub wrote while the agent was still attached there.
 	maxReportDelay = hubCallTimeout + 2*reportInterval
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -11,13 +11,12 @@
 //   - registry, under its mutex: which agents are attached to this hub, attached to another hub, or disconnected. Reports
 //     of other hubs arrive every 250 ms and are used for at most 30 s (remoteMaxAge).
 //   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the
-//     agent's last State, which it sends each second, is under the attachment's mutex. The hub
-//     ends a stream on which it receives nothing for three seconds.
+//     agent's last State, which it sends each second, is under the attachment's mutex. The hub ends a stream
+//     on which it receives nothing for three seconds.
 //   - evidence, under its mutex: the reports about other hubs and dead processes, from which the hub counts unused quotas
 //     and confirms an agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
-//   - loadReports: the agents' observations of the list service, in a gossip.Store with its own lock. The entries
-//     stay in this hub, which publishes only aggregates of them. Their age is at most the age bound of
-//     gossip.ListServiceLoad.
+//   - loadReports: the agents' observations of the list service, in a gossip.Store with its own lock. The entries stay
+//     in this hub, which publishes only aggregates of them. Their age is at most the age bound of gossip.ListServiceLoad.
 //   - publisher and the progress of attachment reports: each local to the one goroutine that uses it, without a lock.
 //   - admission, under its mutex: the rate limit of new streams, and the connections in a handshake.
 //
@@ -120,8 +119,8 @@
 	}
 }
 
-// Run serves agents until ctx ends, then closes their streams, so that the agents move to another hub
-// immediately, and waits for all goroutines of the hub. It may be called once.
+// Run serves agents until ctx ends, then closes their streams, so that the agents move to another hub immediately, and
+// waits for all goroutines of the hub. It may be called once.
 func (s *Server) Run(ctx context.Context, fleet Fleet) {
 	s.fleet = fleet
 	ctx, cancel := context.WithCancel(ctx)
@@ -143,8 +142,8 @@
 	loops.Wait()
 }
 
-// ServeHTTP serves agents and other hubs on the hub's fleet address. Before and after Run it responds with
-// status 503.
+// ServeHTTP serves agents and other hubs on the hub's fleet address. Before and after Run it responds with status
+// 503.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !s.ready.Load() {
 		http.Error(w, "this hub is not ready", http.StatusServiceUnavailable)
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -91,7 +91,7 @@
 	return h, logs
 }
 
-// Another hub receives and stores the settings from the file of one hub. The hub that reads invalid settings from its
+// A hub receives and stores the settings from another hub's file. The hub that reads invalid settings from its
 // file rejects them and does not pass them on, and no hub applies a lower version.
 func TestSettingsFileReachesOtherHubs(t *testing.T) {
 	t.Parallel()
