--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -21,10 +21,11 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// waitTimeout is how long a test waits for a condition: far longer than any takes.
+// waitTimeout is how long a test waits for a condition: far longer than any condition takes.
 const waitTimeout = 30 * time.Second
 
-// TestMain redirects what hubs store beside the temporary files into a directory that goes with the tests.
+// TestMain redirects the files that hubs store in the temporary directory into a directory that it removes after the
+// tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "hubd-")
 	if err == nil {
@@ -34,21 +35,21 @@
 		panic(err)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(dir) // a temporary directory: what is left does no harm
+	_ = os.RemoveAll(dir) // leftover files in a temporary directory do no harm
 	os.Exit(code)
 }
 
-// waitFor waits until holds returns true, and fails the test after waitTimeout.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits until condition returns true, and fails the test after waitTimeout. what describes the condition.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no %s within %v", what, waitTimeout)
 		}
 	}
 }
 
-// logBuffer keeps what a hub logs. Its methods may be called from any goroutine.
+// logBuffer stores the log of a hub. Its methods may be called from any goroutine.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -66,7 +67,7 @@
 	return strings.Contains(l.buf.String(), text)
 }
 
-// startHub runs a hub with a configuration, beside its address and label, until the test ends.
+// startHub runs a hub until the test ends. Its configuration is toml with a listening address and a label added.
 func startHub(t *testing.T, toml string) (*Hub, *logBuffer) {
 	t.Helper()
 	cfg, err := config.ParseHub("x.toml", "listen = \"127.0.0.1:0\"\nlabel = \""+t.Name()+"\"\n"+toml)
@@ -90,8 +91,8 @@
 	return h, logs
 }
 
-// Settings in the file of one hub reach the next hub and are stored there. Invalid settings go no further than the
-// hub that reads them, and a lower version is applied nowhere.
+// A hub receives and stores the settings from another hub's file. The hub that reads invalid settings from its
+// file rejects them and does not pass them on, and no hub applies a lower version.
 func TestSettingsFileReachesOtherHubs(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -105,33 +106,33 @@
 		}
 	}
 	writeSettings("version = 3\n[attempts]\nmost = 4\n")
-	one, log := startHub(t, "name = \"one\"\n[settings]\nfile = \""+file+"\"\n")
-	two, _ := startHub(t, "name = \"two\"\nseeds = [\""+one.Addr()+"\"]\n[settings]\nstate = \""+state+"\"\n")
-	has := func(v int64) func() bool { return func() bool { return two.settings.State().Version == v } }
-	waitFor(t, "first settings", has(3))
+	source, log := startHub(t, "name = \"one\"\n[settings]\nfile = \""+file+"\"\n")
+	replica, _ := startHub(t, "name = \"two\"\nseeds = [\""+source.Addr()+"\"]\n[settings]\nstate = \""+state+"\"\n")
+	hasVersion := func(v int64) func() bool { return func() bool { return replica.settings.State().Version == v } }
+	waitFor(t, "first settings", hasVersion(3))
 	writeSettings("version = 4\n[attempts]\nmost = 400\n")
 	waitFor(t, "rejection of invalid settings", func() bool { return log.contains("attempts.most") })
-	if v := one.settings.State().Version; v != 3 {
-		t.Errorf("version %d is applied", v)
+	if v := source.settings.State().Version; v != 3 {
+		t.Errorf("settings version %d is applied, want 3", v)
 	}
 	writeSettings("version = 2\n")
 	writeSettings("version = 5\n[attempts]\nmost = 3\n")
-	waitFor(t, "next settings", has(5))
-	if log.contains("version=2 ") && one.settings.State().Version == 2 {
+	waitFor(t, "next settings", hasVersion(5))
+	if log.contains("version=2 ") && source.settings.State().Version == 2 {
 		t.Error("a lower version is applied")
 	}
-	again, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
-	if v := again.settings.State().Version; v != 5 {
-		t.Errorf("version %d was stored", v)
+	restarted, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
+	if v := restarted.settings.State().Version; v != 5 {
+		t.Errorf("settings version %d was stored, want 5", v)
 	}
-	for _, entry := range two.fleet.Gossip().Entries(gossip.SettingsVersion) {
-		if standing, ok := documents.ParseAppliedVersion(entry.Body); !ok || standing.Version > 5 {
-			t.Errorf("published: %+v", standing)
+	for _, entry := range replica.fleet.Gossip().Entries(gossip.SettingsVersion) {
+		if applied, ok := documents.ParseAppliedVersion(entry.Body); !ok || applied.Version > 5 {
+			t.Errorf("published settings version %+v, want at most 5", applied)
 		}
 	}
 }
 
-// A hub watches the list service and relays its list; a hub without a list service has none to relay.
+// A hub with a list service relays the endpoint list; a hub without a list service relays none.
 func TestEndpointListIsRelayed(t *testing.T) {
 	t.Parallel()
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -145,8 +146,8 @@
 		}
 	}))
 	t.Cleanup(service.Close)
-	with, _ := startHub(t, "name = \"with\"\ndiscovery = \""+service.Listener.Addr().String()+"\"\n")
-	without, _ := startHub(t, "name = \"without\"\nseeds = [\""+with.Addr()+"\"]\n")
+	withService, _ := startHub(t, "name = \"with\"\ndiscovery = \""+service.Listener.Addr().String()+"\"\n")
+	withoutService, _ := startHub(t, "name = \"without\"\nseeds = [\""+withService.Addr()+"\"]\n")
 	relayedVersion := func(h *Hub) (version int64) {
 		ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 		defer cancel()
@@ -160,13 +161,13 @@
 		}
 		defer resp.Body.Close()
 		var m struct{ Version int64 }
-		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // a rejection has no version
+		_ = json.NewDecoder(bufio.NewReader(resp.Body)).Decode(&m) // an error response has no version
 		return m.Version
 	}
-	if v := relayedVersion(with); v != 7 {
-		t.Errorf("version %d", v)
+	if v := relayedVersion(withService); v != 7 {
+		t.Errorf("relayed list version %d, want 7", v)
 	}
-	if v := relayedVersion(without); v != 0 {
-		t.Errorf("version %d from a hub without a service", v)
+	if v := relayedVersion(withoutService); v != 0 {
+		t.Errorf("list version %d from a hub without a list service, want none", v)
 	}
 }
