--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	attachTimeout     = 2 * time.Second
-	hubTimeout        = 2500 * time.Millisecond // time without a frame after which a hub counts as failed; hubs send a frame each second
-	stateInterval     = time.Second             // between states, unless the state changes
-	writeTimeout      = 2 * time.Second
-	leaveTimeout      = 500 * time.Millisecond
-	slowTransit       = time.Second     // a message is slow if it may have been in transit for longer
-	maxSlowMessages   = 3               // consecutive slow messages after which a hub counts as failed
-	maxEchoAge        = 4 * time.Second // time since the last echoed state was written after which a hub counts as failed
-	maxStatesInFlight = 8               // written and not echoed yet; echoes of older states are ignored
+	attachTimeout    = 2 * time.Second
+	hubTimeout       = 2500 * time.Millisecond // time without a frame after which a hub counts as failed; hubs send a frame each second
+	stateInterval    = time.Second             // between states, unless the state changes
+	writeTimeout     = 2 * time.Second
+	leaveTimeout     = 500 * time.Millisecond
+	slowTransit      = time.Second     // a message is slow if it may have been in transit for longer
+	maxSlowMessages  = 3               // consecutive slow messages after which a hub counts as failed
+	maxEchoAge       = 4 * time.Second // time since the last echoed state was written after which a hub counts as failed
+	maxTrackedStates = 8               // written and not echoed yet; echoes of older states are ignored
 )
 
 var (
@@ -63,9 +63,9 @@
 	slowMessages int           // number of consecutive slow messages; only readLoop uses it
 
 	mu                sync.Mutex
-	seq               uint32                       // sequence number of the last state written
-	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by seq modulo maxStatesInFlight
-	echoedStateSentAt time.Time                    // when the last echoed state was written; zero: no state was echoed yet
+	seq               uint32                      // sequence number of the last state written
+	sentAt            [maxTrackedStates]time.Time // when the last states were written, by seq modulo maxTrackedStates
+	echoedStateSentAt time.Time                   // when the last echoed state was written; zero: no state was echoed yet
 }
 
 // openAttachment attaches to a hub and starts the goroutines of the attachment, which end with ctx. The error wraps a
@@ -200,10 +200,10 @@
 func (a *attachment) handleEcho(echo *frame.Echo, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if echo.Seq == 0 || echo.Seq > a.seq || a.seq-echo.Seq >= maxStatesInFlight {
+	if echo.Seq == 0 || echo.Seq > a.seq || a.seq-echo.Seq >= maxTrackedStates {
 		return
 	}
-	sentAt := a.sentAt[echo.Seq%maxStatesInFlight]
+	sentAt := a.sentAt[echo.Seq%maxTrackedStates]
 	if rtt := now.Sub(sentAt) - echo.ProcessingDelay; rtt >= 0 {
 		a.echoedStateSentAt = sentAt
 		a.client.store.ObserveRTT(a.hubName, rtt)
@@ -238,7 +238,7 @@
 	_ = a.conn.SetWriteDeadline(now.Add(writeTimeout)) // fails only on a closed connection
 	a.mu.Lock()
 	a.seq++
-	a.sentAt[a.seq%maxStatesInFlight] = now
+	a.sentAt[a.seq%maxTrackedStates] = now
 	f := &frame.Frame{State: &frame.State{Seq: a.seq, Serving: current.serving, Settings: current.settings, Policy: current.policy},
 		Gossip: a.client.store.OwnMessage()}
 	a.mu.Unlock()
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -36,8 +36,8 @@
 	n.cut = cut
 }
 
-// cutTo returns which directions to a peer are cut.
-func (n *cuttableNetwork) cutTo(peer netip.Addr) uint8 {
+// cutDirections returns which directions to a peer are cut.
+func (n *cuttableNetwork) cutDirections(peer netip.Addr) uint8 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[peer.Unmap().String()]
@@ -45,9 +45,9 @@
 
 func (n *cuttableNetwork) Packet(_ []byte, peer netip.AddrPort, outgoing bool) bool {
 	if outgoing {
-		return n.cutTo(peer.Addr())&cutOutbound == 0
+		return n.cutDirections(peer.Addr())&cutOutbound == 0
 	}
-	return n.cutTo(peer.Addr())&cutInbound == 0
+	return n.cutDirections(peer.Addr())&cutInbound == 0
 }
 
 func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.cutTo(to.Addr()) != 0 {
+	if n.cutDirections(to.Addr()) != 0 {
 		if d.Timeout > 0 {
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithTimeout(ctx, d.Timeout)
@@ -119,7 +119,7 @@
 		}
 	}()
 	waitWhileCut := func() {
-		for n.cutTo(peer)&direction != 0 {
+		for n.cutDirections(peer)&direction != 0 {
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
--- a/internal/fleet/hubclient/cuttableproxy_test.go
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -19,7 +19,7 @@
 const (
 	forwarding = iota
 	discarding
-	holding
+	delaying
 )
 
 // newCuttableProxy listens on a free port until the test ends.
@@ -54,7 +54,7 @@
 		if err != nil {
 			return
 		}
-		for mode.Load() == holding {
+		for mode.Load() == delaying {
 			time.Sleep(time.Millisecond)
 		}
 		if mode.Load() == forwarding {
--- a/internal/fleet/hubclient/entries_test.go
+++ b/internal/fleet/hubclient/entries_test.go
@@ -24,7 +24,7 @@
 	}, a)
 	waitFor(t, "an even quota", agent.hasQuota(1./10))
 	waitFor(t, "an echo of a state", func() bool { return agent.attachment.hasEchoedState() })
-	proxy.fromHub.Store(holding)
+	proxy.fromHub.Store(delaying)
 	a.mu.Lock()
 	a.fleetSize.Dead = 5 // in frames that the proxy delays
 	a.mu.Unlock()
@@ -33,9 +33,9 @@
 	a.withholdsEntries.Store(true)
 	time.Sleep(time.Second) // makes the frames exceed their age bound; there is no condition to wait for
 	proxy.fromHub.Store(forwarding)
-	refusedBefore := agent.store.Stats().Kinds["census"].Rejected
+	rejectedBefore := agent.store.Stats().Kinds["census"].Rejected
 	waitFor(t, "rejection of the delayed entries", func() bool {
-		return agent.store.Stats().Kinds["census"].Rejected > refusedBefore
+		return agent.store.Stats().Kinds["census"].Rejected > rejectedBefore
 	})
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -34,7 +34,7 @@
 	waitFor(t, "a fleet size without the dead agent, which the agents use while hub a is unreachable",
 		allOf(agents, func(status Status) bool { return status.FleetSize.Attached == 8 }))
 
-	stoppedAt := time.Now()
+	suspendedAt := time.Now()
 	cluster.hubs["a"].signal(t, syscall.SIGSTOP)
 	cluster.hubs["b"].execute(t, hubCommand{Settings: settingsText(2, 4)})
 	restarted := cluster.startAgent("a", 3, "a 3")
@@ -46,7 +46,7 @@
 	cluster.hubs["c"].execute(t, hubCommand{Settings: settingsText(3, 5)})
 	waitFor(t, "the settings without the suspended hub", allOf(agents, hasSettings(3)))
 	waitFor(t, "a share of the other dead agent's quota", allOf(agents, hasQuota(1./11)))
-	time.Sleep(time.Until(stoppedAt.Add(10 * time.Second))) // the minimum duration of the suspension
+	time.Sleep(time.Until(suspendedAt.Add(10 * time.Second))) // the minimum duration of the suspension
 	for len(messages) > 0 {
 		<-messages
 	}
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func (m *monitor) violation(format string, args ...any) {
+func (m *monitor) addViolation(format string, args ...any) {
 	if len(m.violations) < 10 {
 		m.violations = append(m.violations, fmt.Sprintf(format, args...))
 	}
@@ -130,14 +130,14 @@
 			status := readStatus()
 			sum += max(0, status.Quota)
 			if m.minQuota > 0 && status.Quota < m.minQuota {
-				m.violation("%s has a quota of %v, below the minimum", name, status.Quota)
+				m.addViolation("%s has a quota of %v, below the minimum", name, status.Quota)
 			}
 			if m.noneDead && status.FleetSize.Dead > 0 {
-				m.violation("%s received a fleet size with %d dead agents, want none", name, status.FleetSize.Dead)
+				m.addViolation("%s received a fleet size with %d dead agents, want none", name, status.FleetSize.Dead)
 			}
 			newest := m.newestVersions[name]
 			if status.SettingsVersion < newest[0] || status.PolicyVersion < newest[1] {
-				m.violation("%s returned from settings %d, policy %d to settings %d, policy %d",
+				m.addViolation("%s returned from settings %d, policy %d to settings %d, policy %d",
 					name, newest[0], newest[1], status.SettingsVersion, status.PolicyVersion)
 			}
 			m.newestVersions[name] = [2]int64{max(newest[0], status.SettingsVersion), max(newest[1], status.PolicyVersion)}
@@ -147,7 +147,7 @@
 		}
 	}
 	if sum > maxQuotaSum+1e-9 {
-		m.violation("the quotas of %d running agents add up to %.3f, above maxQuotaSum", len(m.agents), sum)
+		m.addViolation("the quotas of %d running agents add up to %.3f, above maxQuotaSum", len(m.agents), sum)
 	}
 	m.maxSum = max(m.maxSum, sum)
 }
@@ -175,12 +175,12 @@
 	m.uses++
 	age, bound := time.Duration(line.Age)*time.Microsecond, m.bounds[line.Kind]
 	if age > bound {
-		m.violation("%+v was used beyond its age bound of %v", line, bound)
+		m.addViolation("%+v was used beyond its age bound of %v", line, bound)
 	}
 	if observedAt, known := m.observedAt[id]; known {
 		m.matched++
 		if actualAge := time.Duration(line.At-observedAt) * time.Microsecond; actualAge > bound+maxTraceDelay {
-			m.violation("%+v was used %v after its observation, beyond its age bound of %v", line, actualAge, bound)
+			m.addViolation("%+v was used %v after its observation, beyond its age bound of %v", line, actualAge, bound)
 		}
 	}
 }
--- a/internal/fleet/hubclient/rawclient_test.go
+++ b/internal/fleet/hubclient/rawclient_test.go
@@ -78,31 +78,31 @@
 // ends.
 func receiveFrom(ctx context.Context, addr, label, name string, handle func(receivedMessage)) {
 	for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		c, reader, err := dialHub(addr, label, name, 0)
+		conn, reader, err := dialHub(addr, label, name, 0)
 		if err != nil {
 			continue
 		}
-		stop := context.AfterFunc(ctx, func() { c.Close() })
-		go sendStates(c)
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
+		go sendStates(conn)
 		for {
 			received, err := frame.Read(reader)
 			if err != nil {
 				break
 			}
 			message := receivedMessage{time.Now(), -1, -1, received.QuotaConfirmed}
-			if m, err := gossip.DecodeMessage(received.Gossip); len(received.Gossip) > 0 && err == nil {
-				for _, entry := range m.Entries {
+			if decoded, err := gossip.DecodeMessage(received.Gossip); len(received.Gossip) > 0 && err == nil {
+				for _, entry := range decoded.Entries {
 					if s, ok := documents.ParseAppliedVersion(entry.Body); entry.Kind == gossip.SettingsVersion && ok {
 						message.settings = s.Version
 					}
-					if c, err := hub.ParseFleetSize(entry.Body); entry.Kind == gossip.FleetSize && err == nil {
-						message.dead = int(c.Dead)
+					if size, err := hub.ParseFleetSize(entry.Body); entry.Kind == gossip.FleetSize && err == nil {
+						message.dead = int(size.Dead)
 					}
 				}
 			}
 			handle(message)
 		}
 		stop()
-		c.Close()
+		conn.Close()
 	}
 }
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -87,8 +87,8 @@
 	waitFor(t, "a drop for each slow reader", func() bool {
 		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
-		if m := hub.execute(t, hubCommand{Heap: true}).Heap; r.attached.Load() > count/2 {
-			maxHeap = max(maxHeap, m)
+		if heap := hub.execute(t, hubCommand{Heap: true}).Heap; r.attached.Load() > count/2 {
+			maxHeap = max(maxHeap, heap)
 		}
 		return r.dropped.Load() >= count
 	})
--- a/internal/fleet/hubclient/testagent_test.go
+++ b/internal/fleet/hubclient/testagent_test.go
@@ -86,8 +86,8 @@
 // "timed out waiting for" in the message.
 func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
