--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// stayAttached uses an attachment until it ends. If the preferred hub accepts the agent first, stayAttached switches
-// to an attachment to that hub, which opens before the old attachment closes. index is the hub's index in Client.hubs.
+// stayAttached uses an attachment until it ends. If the preferred hub accepts the agent before then, stayAttached
+// switches to the attachment to the preferred hub, and closes the old attachment only after the new one is open. index is the hub's index in Client.hubs.
 // stayAttached returns the wait before the next attempt to attach.
 func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
 	for {
@@ -75,8 +75,9 @@
 }
 
 // awaitEndOrPreferred waits until an attachment ends, and then returns nil. If the attachment is not to the preferred
-// hub, awaitEndOrPreferred also tries to attach to the preferred hub at the intervals of
-// hubSelector.nextPreferredCheck, and returns the new attachment once that succeeds.
+// hub, awaitEndOrPreferred also tries to attach to the preferred hub, at the intervals of
+// hubSelector.nextPreferredCheck and not before a busy hub's retry delay has passed. It returns the new attachment once
+// an attempt succeeds.
 func (c *Client) awaitEndOrPreferred(ctx context.Context, a *attachment, index int) (preferred *attachment) {
 	for wait := c.selector.nextPreferredCheck(); ; {
 		var preferredCheck <-chan time.Time
@@ -115,8 +116,8 @@
 	c.requestRecompute()
 }
 
-// disconnectedFor returns the time since the last attachment was lost, or since the start of the process if there was
-// none. It returns zero while the agent is attached.
+// disconnectedFor returns the time since the last attachment was lost or, if the agent has never been attached, since
+// the start of the process. It returns zero while the agent is attached.
 func (c *Client) disconnectedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	attachTimeout    = 2 * time.Second
+	attachTimeout    = 2 * time.Second         // for the connection and the handshake together
 	hubTimeout       = 2500 * time.Millisecond // time without a frame after which a hub counts as failed; hubs send a frame each second
 	stateInterval    = time.Second             // between states, unless the state changes
-	writeTimeout     = 2 * time.Second
-	leaveTimeout     = 500 * time.Millisecond
-	slowTransit      = time.Second     // a message is slow if it may have been in transit for longer
-	maxSlowMessages  = 3               // consecutive slow messages after which a hub counts as failed
-	maxEchoAge       = 4 * time.Second // time since the last echoed state was written after which a hub counts as failed
-	maxTrackedStates = 8               // written and not echoed yet; echoes of older states are ignored
+	writeTimeout     = 2 * time.Second         // for one state
+	leaveTimeout     = 500 * time.Millisecond  // for the Leave frame and the end of the hub's stream
+	slowTransit      = time.Second             // a message is slow if it may have been in transit for longer than this
+	maxSlowMessages  = 3                       // consecutive slow messages after which a hub counts as failed
+	maxEchoAge       = 4 * time.Second         // a hub counts as failed if the last state that it echoed was written longer ago than this
+	maxTrackedStates = 8                       // number of states whose write times are kept; echoes of older states are ignored
 )
 
 var (
@@ -148,7 +148,7 @@
 func (a *attachment) readLoop() error {
 	for {
 		_ = a.conn.SetReadDeadline(time.Now().Add(hubTimeout)) // fails only on a closed connection
-		if a.ctx.Err() != nil {                                // the attachment had ended, and the line above replaced the expired deadline
+		if a.ctx.Err() != nil {                                // the attachment has ended: the line above may have replaced the deadline that ends reads
 			return a.ctx.Err()
 		}
 		f, err := frame.Read(a.reader)
@@ -196,7 +196,9 @@
 	return nil
 }
 
-// handleEcho records the round-trip time of a state that the hub echoed, less the hub's processing delay.
+// handleEcho records the round-trip time of a state that the hub echoed, less the hub's processing delay. It ignores an
+// echo if this agent did not write the state, if the state is older than the last maxTrackedStates, or if the result is
+// negative.
 func (a *attachment) handleEcho(echo *frame.Echo, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -245,7 +247,7 @@
 	return a.writeFrame(f)
 }
 
-// leave sends the hub a Leave frame and closes the connection. The caller waits for done first. leave reads all bytes
+// leave sends the hub a Leave frame and closes the connection. The caller must wait for done first. leave reads all bytes
 // that the hub still sends: closing a connection with unread bytes resets it, and the hub might then lose the Leave
 // frame.
 func (a *attachment) leave() {
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -25,26 +25,28 @@
 // The agent uses an entry from a hub up to the age in Config.AgeBounds: by default 3 s for the fleet size and
 // latencies, 5 s for the list service's load and 10 s for document versions. The age of an entry counts from its
 // observation, over all hops. The store drops older entries, and runLoop recomputes the derived state within
-// gossip.TickInterval (100 ms). A hub counts as failed if it sends nothing for 2.5 s, or if it has not echoed a state
-// written in the last 4 s; the agent then attaches to another hub.
+// gossip.TickInterval (100 ms). A hub counts as failed if it sends nothing for 2.5 s, if its last 3 messages may each
+// have been in transit for more than 1 s, or if it stops echoing the agent's states, so that the last echoed state was
+// written more than 4 s ago. The agent then attaches to another hub.
 //
 // # Quota
 //
 // A new process uses a startup quota, which is a tenth of an even quota, until a hub confirms that no other agent uses
-// its quota, or until every report that an agent of its name is dead has expired. After that, the limit is divided
-// evenly by the larger of two counts: MaxAgents minus the agents that are confirmed dead, and the attached agents. When
-// several hubs disagree, the agent uses the values that give it the smallest quota. Without a fresh fleet size the
-// quota is even: 1/MaxAgents.
+// the process's quota. Without a confirmation, the startup quota ends when the process is as old as the age bound of
+// the fleet size (3 s): every report that an earlier agent of the same name is dead has then expired. After that, the
+// quota is the limit divided by the larger of two counts: MaxAgents minus the agents that are confirmed dead, and the
+// attached agents. When several hubs disagree, the agent uses the values that give it the smallest quota. Without a
+// fresh fleet size the quota is even: 1/MaxAgents.
 //
 // # Loss of all hubs
 //
-// The agent continues to serve with its applied documents and its last endpoint list, and with other state until that
-// state exceeds its age bound: from then on the quota is even, and the agent reports latencies as unknown (zero). The
-// agent retries all hubs with backoff. After 5 s without an attachment it falls back to the full mesh, if
+// The agent continues to serve with its applied documents and its last endpoint list. It uses other state up to the age
+// bound; after that the quota is even, and the agent reports latencies as unknown (zero). The agent retries all hubs
+// with backoff. After 5 s without an attachment it falls back to the full mesh, if
 // Config.NewMesh is set. The mesh uses the same address, which stays open throughout. While the mesh runs, the lower
 // of both quotas applies; latencies, endpoint lists and the residency policy come from the mesh, and settings only
-// from hubs. When a hub accepts the agent again, the agent leaves the mesh; the mesh's quota applies until the agent
-// has left.
+// from hubs. When a hub accepts the agent again, the agent leaves the mesh; the lower of both quotas
+// applies until the agent has left.
 package hubclient
 
 import (
@@ -116,7 +118,7 @@
 	listener          *addressListener
 	mesh              atomic.Pointer[fleet.Fleet] // the full mesh fallback; nil: not running
 	serving           atomic.Bool                 // the agent has an endpoint list
-	quotaConfirmed    atomic.Bool                 // a hub has confirmed that no other agent uses this agent's quota; never unset
+	quotaConfirmed    atomic.Bool                 // a hub has confirmed that no other agent uses this agent's quota; never reset to false
 	recomputeRequests chan struct{}               // requests an immediate pass of runLoop; buffers one request
 
 	mu             sync.Mutex
@@ -134,7 +136,7 @@
 	Hub                            string        // name of the hub that the agent is attached to; "": not attached
 	MeshRunning                    bool          // the agent has fallen back to the full mesh
 	Quota                          float64       // share of the fleet's in-flight limit, 0 to 1; -1: not computed yet
-	FleetSize                      hub.FleetSize // last received, of any age
+	FleetSize                      hub.FleetSize // last fresh one, kept after it expires; see Client.fleetSize
 	LatenciesKnown                 bool          // the agent has a latency row within its age bound
 	PolicyVersion, SettingsVersion int64         // applied versions; 0: none
 }
@@ -173,8 +175,8 @@
 }
 
 // Run keeps the agent attached to a hub until ctx ends, and then sends the hub a Leave frame. The caller may call Run
-// only once. Run waits for all goroutines of the client except document fetches, which end with ctx. It always returns
-// nil.
+// only once. Run waits for the client's goroutines with two exceptions: document fetches end with ctx, and connections
+// accepted at the fleet address close within connTimeout. Run always returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { c.runLoop(ctx) })
@@ -184,8 +186,8 @@
 	return nil
 }
 
-// Addr returns this process's fleet address as IP:port. Other processes conclude from a refused connection to it that
-// this process has ended.
+// Addr returns this process's fleet address as IP:port. Other processes treat a refused connection to this
+// address as the end of this process.
 func (c *Client) Addr() string { return c.listener.address() }
 
 // hubAddr returns the address of the hub that this agent is attached to, or "" when it is not attached.
--- a/internal/fleet/hubclient/cluster_test.go
+++ b/internal/fleet/hubclient/cluster_test.go
@@ -26,14 +26,14 @@
 }
 
 // cluster is a fleet of agents and hub processes that the monitor observes, with one hub in each of up to four zones,
-// a to d. Zones a and b form one region, c and d another. The IP address of the hub of the n-th zone is 127.2.0.n, and
-// that of the zone's i-th agent 127.1.n.i.
+// a to d. Zones a and b form one region, c and d another. The hub of the n-th zone has the IP address 127.2.0.n, and
+// agent i of the zone, counted from 0, has 127.1.n.(i+1).
 type cluster struct {
 	t                      *testing.T
 	monitor                *monitor
 	maxAgents              int
 	hubs                   map[string]*hubProcess
-	stateDir               string        // directory of the agents' documents, kept over restarts
+	stateDir               string        // directory of the agents' stored settings, kept over restarts
 	untraced               bool          // hubs and agents write no trace for the monitor
 	preferredCheckInterval time.Duration // interval at which agents at other hubs try their preferred hub; 0: the default
 	singleRegion           bool          // all zones are in one region
@@ -81,7 +81,7 @@
 	c.startHub(zone, port)
 }
 
-// startAgent runs the i-th agent of a zone, with the documents that an earlier agent of the same name stored.
+// startAgent runs agent i of a zone, with the settings that an earlier agent of the same name stored.
 func (c *cluster) startAgent(zone string, i int, name string) *clusterAgent {
 	c.t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -141,8 +141,8 @@
 	a.monitor.agentStopped(a.cfg.Name)
 }
 
-// allOf returns a condition for waitFor: holds is true for the status of every agent. attachedTo, hasSettings and
-// hasQuota return predicates for it.
+// allOf returns a condition for waitFor: holds returns true for the status of every agent. attachedTo, hasSettings and
+// hasQuota return functions to pass as holds. Each letter of attachedTo's zones is a zone.
 func allOf(list []*clusterAgent, holds func(Status) bool) func() bool {
 	return func() bool {
 		for _, a := range list {
@@ -166,7 +166,7 @@
 	return func(status Status) bool { return status.Quota == quota }
 }
 
-// settingsText returns settings of a version. Texts with different values of maxAttempts differ.
+// settingsText returns settings of a version. Different values of maxAttempts give different texts of that version.
 func settingsText(version int, maxAttempts int) string {
 	return fmt.Sprintf("version = %d\n[attempts]\nmost = %d\n", version, maxAttempts)
 }
@@ -181,7 +181,7 @@
 	t.Helper()
 	waitFor(t, condition, holds)
 	if took := time.Since(since); took > limit {
-		t.Errorf("%s: took %v, limit %v", condition, took, limit)
+		t.Errorf("%s: took %v, want %v at most", condition, took, limit)
 	} else {
 		t.Logf("%s: took %v", condition, took)
 	}
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -20,8 +20,8 @@
 // cuttableNetwork is the network of a hub. It implements member.Wire. A direction that is cut delays the bytes of
 // streams until the cut ends, and drops packets.
 type cuttableNetwork struct {
-	report     func(any)
-	sendBuffer int // send buffer of accepted connections in bytes, which disables cuts on them; 0: the system's default
+	report     func(any) // receives a hubOutput for each agent's Hello
+	sendBuffer int       // send buffer of accepted connections in bytes; if set, these connections can't be cut; 0: the system's default
 	mu         sync.Mutex
 	cut        map[string]uint8 // by IP address: cutInbound, cutOutbound or their union
 }
@@ -50,6 +50,8 @@
 	return n.cutDirections(peer.Addr())&cutInbound == 0
 }
 
+// Dial connects to addr. If either direction is cut when it is called, Dial waits for ctx or the dialer's timeout, and
+// returns a timeout error.
 func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -98,8 +100,8 @@
 	return &pipedConn{hubEnd, conn}
 }
 
-// forward copies one direction of a connection, and closes the destination when the source ends. It delays both while
-// the direction is cut.
+// forward copies one direction of a connection, and closes the destination when the source ends. While the direction is
+// cut, forward delays the bytes and the close. It reports the start of an agent's stream as a Hello.
 func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
 	chunks := make(chan []byte, 1024)
 	go func() {
--- a/internal/fleet/hubclient/cuttableproxy_test.go
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -22,7 +22,7 @@
 	delaying
 )
 
-// newCuttableProxy listens on a free port until the test ends.
+// newCuttableProxy listens on a free port until the test ends, and forwards connections to the hub at address to.
 func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fleet/hubclient/documents.go
+++ b/internal/fleet/hubclient/documents.go
@@ -53,8 +53,8 @@
 	return applied
 }
 
-// appliedPolicy returns the applied version of the residency policy. If several texts have that version, Reason reports
-// their number and Digest is empty.
+// appliedPolicy returns the applied version of the residency policy. If several texts have that version, Reason states
+// the number of texts and Digest is empty.
 func appliedPolicy(current residency.State) frame.AppliedVersion {
 	applied := frame.AppliedVersion{Version: current.Version}
 	switch len(current.Digests) {
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	hubAttachGrace = time.Second             // how long after its start the agent waits for a hub before it asks the list service
+	hubAttachGrace = time.Second             // time after the agent's start during which it waits for a hub before it uses the list service
 	relayTimeout   = 2500 * time.Millisecond // time without a message after which a hub that relays lists counts as failed
 )
 
@@ -56,9 +56,9 @@
 	return source.Source{}, c.pacer.AwaitTurn(ctx, c.startingCount) // the new attachment was lost again
 }
 
-// startingCount returns the number of agents that may ask the list service at the same time, at least 1: the starting
-// agents or, if lists are relayed and it is larger, the average number of agents per hub. An agent that asks the
-// service although lists are relayed has lost its hub, and so have the other agents of that hub.
+// startingCount returns the number of agents that may request lists from the list service at the same time, at least 1.
+// This number is the number of starting agents. If lists are relayed, it is at least the average number of agents per
+// hub: an agent with relayed lists uses the service when it has lost its hub, and the hub's other agents do so too.
 func (c *Client) startingCount() int {
 	size, fresh := c.fleetSize()
 	if !fresh {
@@ -73,7 +73,7 @@
 	return n
 }
 
-// fleetSizeReceived reports whether any hub has ever sent a fleet size.
+// fleetSizeReceived reports whether this agent has ever received a fleet size with at least one attached agent.
 func (c *Client) fleetSizeReceived() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,8 +111,8 @@
 	c.Ready()
 }
 
-// Ready marks this agent as serving. Its hub receives the mark with the next state, the full mesh immediately. Ready
-// logs only the first call.
+// Ready marks this agent as serving. The hub receives the mark with the agent's next state; a running full mesh receives
+// it immediately. Ready logs only the first call.
 func (c *Client) Ready() {
 	if !c.serving.Swap(true) {
 		c.cfg.Log.Info("start", "step", "serving", "hub", c.Status().Hub, "took", time.Since(c.startedAt))
--- a/internal/fleet/hubclient/entries_test.go
+++ b/internal/fleet/hubclient/entries_test.go
@@ -31,7 +31,7 @@
 	before := a.seq.Load()
 	waitFor(t, "frames delayed by the proxy", func() bool { return a.seq.Load() > before+6 })
 	a.withholdsEntries.Store(true)
-	time.Sleep(time.Second) // makes the frames exceed their age bound; there is no condition to wait for
+	time.Sleep(time.Second) // the delayed entries exceed their age bound (700 ms) during this time; there is no condition to wait for
 	proxy.fromHub.Store(forwarding)
 	rejectedBefore := agent.store.Stats().Kinds["census"].Rejected
 	waitFor(t, "rejection of the delayed entries", func() bool {
@@ -40,7 +40,7 @@
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	if slices.Contains(agent.quotas, 1./5) {
-		t.Errorf("the agent used a delayed entry: quotas %v", agent.quotas)
+		t.Errorf("the agent used a delayed entry: quotas %v, want none of 0.2", agent.quotas)
 	}
 }
 
@@ -75,7 +75,7 @@
 		}
 		return n
 	}
-	// By the second fetch of the newer text, the agent would have fetched the older text too.
+	// An agent that fetches older texts requests the older text before its second request for the newer text.
 	waitFor(t, "a second fetch of the newer text", func() bool { return fetches("newer") > 1 })
 	if fetches("older") > 0 || agent.Status().PolicyVersion != 3 {
 		t.Errorf("the agent fetched the older text %d times and applied version %d, want 0 fetches and version 3", fetches("older"), agent.Status().PolicyVersion)
--- a/internal/fleet/hubclient/failover_test.go
+++ b/internal/fleet/hubclient/failover_test.go
@@ -9,9 +9,10 @@
 	"martenbeam/internal/fleet/hub"
 )
 
-// When its hub is killed, the agent attaches to the next hub and uses that hub's entries. When the preferred hub is
-// available again, the agent attaches to it before it closes the other attachment, on which it sends no Leave. When the
-// agent ends, its hub receives Leave before the end of the stream.
+// When an agent's hub is killed, the agent attaches to the next hub and uses the entries of the next hub. When the
+// preferred hub is available again, the agent opens an attachment to the preferred hub before it closes the other
+// attachment, and sends no Leave on the closed attachment. When the agent ends, its hub receives a Leave before the end
+// of the stream.
 func TestAgentFailsOverAndReturnsToPreferredHub(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeHub(t, "a"), newFakeHub(t, "b")
@@ -85,7 +86,7 @@
 	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	waitFor(t, "an echoed state", func() bool { return agent.attachment.hasEchoedState() })
 	a.mu.Lock()
-	a.startedAt = a.startedAt.Add(1500 * time.Millisecond) // lowers the clock in its messages, as if they had been in transit for longer
+	a.startedAt = a.startedAt.Add(1500 * time.Millisecond) // the clock in a's messages falls by 1.5 s, so that their transit appears 1.5 s longer
 	a.mu.Unlock()
 	waitFor(t, "attachment to b", agent.attachedTo("b"))
 }
@@ -101,7 +102,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if waited := a.helloAt[1].Sub(a.helloAt[0]); waited < retryAfter {
-		t.Errorf("the agent retried after %v, before the requested delay", waited)
+		t.Errorf("the agent retried after %v, want the requested 400 ms at least", waited)
 	}
 }
 
@@ -115,6 +116,6 @@
 	waitFor(t, "attachment to a", agent.attachedTo("a"))
 	waitFor(t, "an even quota", agent.hasQuota(1./10))
 	if agent.Status().Hub != "a" {
-		t.Error("the agent did not stay attached")
+		t.Error("the agent is no longer attached to hub a, want a lasting attachment")
 	}
 }
--- a/internal/fleet/hubclient/fakehub_test.go
+++ b/internal/fleet/hubclient/fakehub_test.go
@@ -26,8 +26,8 @@
 	messageInterval = 100 * time.Millisecond
 )
 
-// fakeHub implements the agents' side of a hub. mu guards the fields below it except server, which only start and kill
-// use, and seq.
+// fakeHub implements the side of a hub that serves agents. mu guards the fields below it, with two exceptions: seq is
+// atomic, and only start and kill use server.
 type fakeHub struct {
 	name             string
 	addr             string
@@ -36,7 +36,7 @@
 	unresponsive     atomic.Bool  // the hub sends nothing
 	withholdsEntries atomic.Bool  // the hub sends neither fleet size nor latencies
 	olderProgram     bool         // the hub sends only the frames of an older program
-	busyFor          atomic.Int64 // retry delay in nanoseconds in one Busy reply to the next agent; 0: accept the agent
+	busyFor          atomic.Int64 // retry delay in nanoseconds; the next Hello gets a Busy reply with it and resets it; 0: the hub accepts agents
 	mu               sync.Mutex
 	fleetSize        hub.FleetSize
 	rttMicros        uint32 // from zone a to zone b
--- a/internal/fleet/hubclient/hubloss_test.go
+++ b/internal/fleet/hubclient/hubloss_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A hub and two of its agents are killed while another hub receives new settings: all remaining agents apply the
-// settings within 14 s.
+// A hub and two of its agents are killed while another hub receives new settings. All remaining agents apply the
+// settings and attach to other hubs within 14 s, and the restarted hub rejects older settings.
 func TestSettingsSpreadWhileHubIsKilled(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 24, false, "a", "b", "c", "d")
@@ -39,8 +39,9 @@
 }
 
 // When 257 agents lose their hub at the same time, no other hub receives more than 100 Hellos in any second, all agents
-// are attached again within 10 s, and each agent keeps a quota throughout. When the hub is available again, the agents
-// return, in any second at most twice as many as with an even spread.
+// are attached again within 10 s, and each agent keeps at least half an even quota throughout. When the hub is available
+// again, the agents return. In any second, at most twice as many return as with an even spread over
+// preferredCheckInterval (6 s).
 func TestAgentsOfLostHubMoveWithoutBurst(t *testing.T) {
 	t.Parallel()
 	const agentCount = 257
@@ -69,6 +70,6 @@
 	peak, hellos := c.hubs["a"].helloRate(startedAt)
 	t.Logf("preferred hub: %d hellos, %d in the busiest second", hellos, peak)
 	if peak > 2*agentCount/int(c.preferredCheckInterval/time.Second) {
-		t.Errorf("%d hellos at the preferred hub in the busiest second, want at most twice an even spread", peak)
+		t.Errorf("%d hellos at the preferred hub in the busiest second, want at most twice the number of an even spread over 6 s", peak)
 	}
 }
--- a/internal/fleet/hubclient/hubmain_test.go
+++ b/internal/fleet/hubclient/hubmain_test.go
@@ -65,7 +65,7 @@
 	policy   *residency.Holder
 }
 
-// runHubProcess runs the hub that text, an encoded hubSpec, describes, and executes commands from stdin until stdin
+// runHubProcess runs a hub with the hubSpec that text encodes as JSON, and executes commands from stdin until stdin
 // closes. The hub's goroutines end with the process.
 func runHubProcess(text string) error {
 	var spec hubSpec
--- a/internal/fleet/hubclient/hubprocess_test.go
+++ b/internal/fleet/hubclient/hubprocess_test.go
@@ -20,7 +20,7 @@
 	Name, Site, Listen, Label string
 	Seeds                     []string
 	MaxAgents                 int
-	SendBuffer                int  // send buffer of agents' connections in bytes, which disables cuts on them; 0: the system's default
+	SendBuffer                int  // send buffer of accepted connections in bytes; if set, these connections can't be cut; 0: the system's default
 	Source                    bool // the hub is a source of the residency policy
 	Untraced                  bool // the hub writes no trace
 }
@@ -50,12 +50,12 @@
 	addr  string
 	cmd   *exec.Cmd
 	stdin io.WriteCloser
-	done  chan struct{}
+	done  chan struct{} // closed when the process has ended and readOutput has read its output
 
 	mu           sync.Mutex
 	lastID       int
 	replies      map[int]hubOutput
-	hellos       []int64
+	hellos       []int64 // arrival times of Hellos in microseconds since 1970
 	reportedAddr chan string
 }
 
@@ -91,7 +91,7 @@
 	select {
 	case p.addr = <-p.reportedAddr:
 	case <-time.After(waitTimeout):
-		t.Fatalf("hub %s did not report its address in time", spec.Name)
+		t.Fatalf("hub %s did not report its address within waitTimeout (30 s)", spec.Name)
 	}
 	return p
 }
--- a/internal/fleet/hubclient/hubresume_test.go
+++ b/internal/fleet/hubclient/hubresume_test.go
@@ -71,7 +71,7 @@
 			if message.settings >= 0 {
 				withSettings++
 				if message.settings < newest {
-					t.Errorf("hub published settings %d after %d", message.settings, newest)
+					t.Errorf("hub published version %d of the settings after version %d, want no decrease", message.settings, newest)
 				}
 				if newest = message.settings; newest < 3 {
 					lastOutdated = since
--- a/internal/fleet/hubclient/listener.go
+++ b/internal/fleet/hubclient/listener.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	bindRetryInterval = 50 * time.Millisecond
-	maxOpenConns      = 64 // accepted connections that are not closed yet
-	connTimeout       = time.Second
-	maxDiscardedBytes = 64 << 10 // maximum number of bytes read from a connection
+	bindRetryInterval = 50 * time.Millisecond // between attempts to bind, and after a failed accept
+	maxOpenConns      = 64                    // accepted connections that are not closed yet
+	connTimeout       = time.Second           // maximum time that an accepted connection stays open
+	maxDiscardedBytes = 64 << 10              // maximum number of bytes read from a connection
 )
 
-// addressListener keeps the fleet address open without serving any protocol, because other processes conclude from a
-// refused connection that this process has ended. serveAddress owns the listener; any goroutine may call address.
+// addressListener keeps the fleet address open without serving any protocol, because other processes treat a refused
+// connection as the end of this process. serveAddress owns the listener; any goroutine may call address.
 type addressListener struct {
 	addr  netip.AddrPort
 	slots chan struct{} // one element for each open connection
@@ -65,20 +65,20 @@
 		if !sleep(ctx, bindRetryInterval) {
 			return false
 		}
-		_ = l.bind() // an error means that the address is still in use: the loop retries
+		_ = l.bind() // the loop retries after any error, usually because the address is still in use
 	}
 	return true
 }
 
-// accept accepts connections until ctx ends. It leaves the listener open, so that the kernel queues later connections
-// instead of refusing them.
+// accept accepts connections until ctx ends, and closes each connection above maxOpenConns immediately. It leaves the
+// listener open, so that the kernel queues later connections instead of refusing them.
 func (l *addressListener) accept(ctx context.Context) {
 	_ = l.ln.SetDeadline(time.Time{}) // fails only on a closed listener, and then AcceptTCP does too
 	defer context.AfterFunc(ctx, func() { _ = l.ln.SetDeadline(time.Unix(1, 0)) })()
 	for ctx.Err() == nil {
 		conn, err := l.ln.AcceptTCP()
 		if err != nil {
-			sleep(ctx, bindRetryInterval) // for instance, if the process has no file descriptors left
+			sleep(ctx, bindRetryInterval) // ctx has ended, or accepting failed, for instance because the process has no free file descriptor
 			continue
 		}
 		select {
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	meshFallbackDelay = 5 * time.Second // time without an attachment
-	meshRetryInterval = time.Second     // time after a failed attempt to join
+	meshFallbackDelay = 5 * time.Second // time without an attachment after which the agent joins the full mesh
+	meshRetryInterval = time.Second     // wait after a failed attempt to join the full mesh
 )
 
 // serveAddress serves the fleet address until ctx ends: with the full mesh once the agent has been without a hub for
@@ -93,8 +93,8 @@
 	c.requestRecompute()
 }
 
-// resetReportedLatencies makes updateLatency report all latencies again, since the mesh has reported different
-// latencies while it ran.
+// resetReportedLatencies makes updateLatency report all latencies again, since the mesh may have reported different
+// latencies while the mesh ran.
 func (c *Client) resetReportedLatencies() {
 	c.mu.Lock()
 	c.rtts = nil
--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -64,7 +64,7 @@
 	waitFor(t, "the third attempt", func() bool { return len(attempts) >= 3 })
 	first, second, third := <-attempts, <-attempts, <-attempts
 	if second.Sub(first) < meshRetryInterval || third.Sub(second) < meshRetryInterval {
-		t.Errorf("attempts %v and %v apart, want meshRetryInterval at least", second.Sub(first), third.Sub(second))
+		t.Errorf("attempts %v and %v apart, want meshRetryInterval (1 s) at least", second.Sub(first), third.Sub(second))
 	}
 	conn, err := net.Dial("tcp", agent.listener.address())
 	if err != nil {
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -14,11 +14,11 @@
 
 const (
 	sampleInterval = 50 * time.Millisecond
-	maxQuotaSum    = 1.1                    // the monitor samples agents one after the other, while their quotas change
+	maxQuotaSum    = 1.1                    // the limit of 1 plus a tolerance: quotas change while the monitor samples one agent after the other
 	maxTraceDelay  = 500 * time.Millisecond // between the use of an entry and its trace line, on a busy machine
 )
 
-// traceLine is a line of a trace. It records that a process published or used an entry.
+// traceLine is a line of a trace. It records that a process published (What is "tell") or used ("use") an entry.
 type traceLine struct {
 	What, Kind, Observer, Subject string
 	Incarnation, Seq              uint64
@@ -89,7 +89,7 @@
 	t.Logf("%d samples, highest sum of quotas %.3f, %d entries published, %d uses checked, %d of them against the time of observation",
 		m.samples, m.maxSum, len(m.observedAt), m.uses, m.matched)
 	if m.samples == 0 {
-		t.Error("the monitor took no sample")
+		t.Error("the monitor took no sample, want at least one")
 	}
 }
 
@@ -105,8 +105,8 @@
 	m.agents[name] = status
 }
 
-// require adds invariants for later samples: a minimum for each quota and, if noneDead is set, that hubs report no
-// agent as dead.
+// require sets further invariants for later samples: a minimum for each quota and, if noneDead is set, that hubs report
+// no agent as dead.
 func (m *monitor) require(minQuota float64, noneDead bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,14 +130,14 @@
 			status := readStatus()
 			sum += max(0, status.Quota)
 			if m.minQuota > 0 && status.Quota < m.minQuota {
-				m.addViolation("%s has a quota of %v, below the minimum", name, status.Quota)
+				m.addViolation("%s has a quota of %v, want the required minimum at least", name, status.Quota)
 			}
 			if m.noneDead && status.FleetSize.Dead > 0 {
 				m.addViolation("%s received a fleet size with %d dead agents, want none", name, status.FleetSize.Dead)
 			}
 			newest := m.newestVersions[name]
 			if status.SettingsVersion < newest[0] || status.PolicyVersion < newest[1] {
-				m.addViolation("%s returned from settings %d, policy %d to settings %d, policy %d",
+				m.addViolation("%s returned from settings %d, policy %d to settings %d, policy %d; want no lower version",
 					name, newest[0], newest[1], status.SettingsVersion, status.PolicyVersion)
 			}
 			m.newestVersions[name] = [2]int64{max(newest[0], status.SettingsVersion), max(newest[1], status.PolicyVersion)}
@@ -147,7 +147,7 @@
 		}
 	}
 	if sum > maxQuotaSum+1e-9 {
-		m.addViolation("the quotas of %d running agents add up to %.3f, above maxQuotaSum", len(m.agents), sum)
+		m.addViolation("the quotas of %d running agents add up to %.3f, want 1.1 at most", len(m.agents), sum)
 	}
 	m.maxSum = max(m.maxSum, sum)
 }
@@ -222,7 +222,7 @@
 			m.checkTraceLine(line)
 		}
 		if len(m.violations) < test.minViolations || test.minViolations == 0 && len(m.violations) > 0 {
-			t.Errorf("%s: unexpected or missing violations: %q", name, m.violations)
+			t.Errorf("%s: violations %q, want none in the case without a violation and at least one in any other", name, m.violations)
 		}
 	}
 }
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -12,8 +12,8 @@
 	"martenbeam/internal/settings"
 )
 
-// cutPaths returns a cut of paths to the hubs of some zones and to the first 20 agents of some zones. Each letter of
-// hubs and agents is a zone.
+// cutPaths returns cuts of the paths to hubs and to agents. Each letter of hubs is a zone whose hub is cut off, and each
+// letter of agents is a zone whose first 20 agents are cut off.
 func cutPaths(cut uint8, hubs, agents string) map[string]uint8 {
 	m := map[string]uint8{}
 	for _, z := range hubs {
@@ -27,8 +27,8 @@
 	return m
 }
 
-// A hub is cut off in one direction, from all agents or from the other hubs. Its agents move to another hub or stay,
-// no agent is reported as dead, and settings that are applied during the cut reach all agents within 14 s, or within
+// A hub is cut off in one direction, from all agents or from the other hubs. If it is cut off from agents, its agents
+// move to another hub. No agent is reported as dead, and settings that are applied during the cut reach all agents within 14 s, or within
 // 14 s of the end of the cut if the hub is cut off from other hubs.
 func TestHubCutInOneDirection(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/internal/fleet/hubclient/rawclient_test.go
+++ b/internal/fleet/hubclient/rawclient_test.go
@@ -34,13 +34,13 @@
 	fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: %s\r\n\r\n", frame.Path, frame.Protocol)
 	resp, err := http.ReadResponse(reader, nil)
 	if err == nil && resp.StatusCode != http.StatusSwitchingProtocols {
-		err = fmt.Errorf("status %d", resp.StatusCode)
+		err = fmt.Errorf("hub replied with status %d, want 101", resp.StatusCode)
 	}
 	if err == nil {
 		writeFrame(conn, &frame.Frame{Hello: &frame.Hello{Label: label, Name: name, Incarnation: 1, Site: "a"}})
 		var reply *frame.Frame
 		if reply, err = frame.Read(reader); err == nil && reply.Welcome == nil {
-			err = fmt.Errorf("%+v", reply)
+			err = fmt.Errorf("hub replied with frame %+v, want a Welcome", reply)
 		}
 	}
 	if err != nil {
--- a/internal/fleet/hubclient/realhub_test.go
+++ b/internal/fleet/hubclient/realhub_test.go
@@ -28,13 +28,13 @@
 		var tasks sync.WaitGroup
 		defer tasks.Wait()
 		tasks.Go(func() { server.Run(ctx, node) })
-		_ = node.Run(ctx) // the error may be a timeout of its departure on a busy machine
+		_ = node.Run(ctx) // the error may be a timeout of the node's departure on a busy machine
 		return nil
 	})
 }
 
-// Two agents are attached to two real hubs. When one agent leaves, the other agent receives a share of its quota. When
-// the hub of the remaining agent ends, that agent attaches to the other hub.
+// Two agents are attached to two real hubs. When one agent leaves, the other agent receives a share of the quota that
+// becomes free. When the hub of the remaining agent ends, the agent attaches to the other hub.
 func TestAgentsMoveBetweenRealHubs(t *testing.T) {
 	t.Parallel()
 	a, stopA := startRealHub(t, "a")
--- a/internal/fleet/hubclient/selector.go
+++ b/internal/fleet/hubclient/selector.go
@@ -69,8 +69,9 @@
 }
 
 // attachmentLost records that the attachment to a hub ended after attachedFor, and returns the wait before the next
-// attempt. It selects the preferred hub or, if the attachment was to the preferred hub, the second hub in the order of
-// preference.
+// attempt. The selection starts at the preferred hub or, if the attachment was to the preferred hub, at the second hub
+// in the order of preference. selectFrom skips hubs that are still busy after
+// the wait, if there is another hub.
 func (s *hubSelector) attachmentLost(hub int, attachedFor time.Duration, now time.Time) time.Duration {
 	if attachedFor >= stableAfter {
 		s.consecutiveFailures = 0
@@ -93,9 +94,10 @@
 	return retryAfter
 }
 
-// selectFrom selects the first hub, beginning with the hub of index first, that permits an attempt after the wait, and
-// returns the wait: full jitter within a backoff that doubles with each attempt. If no hub permits an attempt by then,
-// selectFrom selects the hub that permits one earliest, and returns the time until then.
+// selectFrom draws a wait with full jitter from a backoff that doubles with each failure, up to maxBackoff. It selects
+// the first hub from index first onwards that permits an attempt after this wait, and returns the wait. If no hub
+// permits an attempt after the wait, selectFrom selects the hub with the earliest permitted attempt, and returns the
+// time until that attempt.
 func (s *hubSelector) selectFrom(first int, now time.Time) time.Duration {
 	maxWait := min(initialBackoff<<min(s.consecutiveFailures, 8), maxBackoff)
 	wait := time.Duration(s.random.Int64N(int64(maxWait)))
--- a/internal/fleet/hubclient/selector_test.go
+++ b/internal/fleet/hubclient/selector_test.go
@@ -27,7 +27,7 @@
 		arrivals[order[selector.current].Zone] = append(arrivals[order[selector.current].Zone], wait)
 	}
 	if len(arrivals["a2"])+len(arrivals["a3"]) != agents {
-		t.Fatalf("the agents went to %d hubs, want only a2 and a3", len(arrivals))
+		t.Fatalf("the agents selected %d hubs, want only a2 and a3", len(arrivals))
 	}
 	for hub, waits := range arrivals {
 		for _, from := range waits {
@@ -65,22 +65,22 @@
 		t.Errorf("after a busy reply: wait %v, hub %d; want 1 s and the same hub", wait, selector.current)
 	}
 	if selector.hubBusy(time.Minute, now); selector.current == before {
-		t.Error("selected a hub that is busy for a minute")
+		t.Error("selected the hub that is busy for a minute, want another hub")
 	}
 	for range 10 {
 		if selector.attachFailed(now); selector.current == before {
-			t.Error("selected a busy hub before its retry time")
+			t.Error("selected the busy hub before its retry time, want another hub")
 		}
 	}
 	if single := newHubSelector(1, 7); single.hubBusy(time.Minute, now) != time.Minute {
-		t.Error("selected the only hub before its retry time")
+		t.Error("the wait for the only hub does not end at its retry time, want a wait of 1 min")
 	}
 	if wait := selector.attachmentLost(1, stableAfter, now.Add(time.Hour)); selector.current != 0 || wait > initialBackoff {
 		t.Errorf("after a stable attachment, selected hub %d after %v, want hub 0 within initialBackoff", selector.current, wait)
 	}
 	for range 1000 {
 		if d := selector.nextPreferredCheck(); d < defaultPreferredCheckInterval/2 || d >= defaultPreferredCheckInterval*3/2 {
-			t.Fatalf("interval between attempts at the preferred hub is %v", d)
+			t.Fatalf("interval between attempts at the preferred hub is %v, want 15 s to 45 s", d)
 		}
 	}
 }
--- a/internal/fleet/hubclient/slowreader_test.go
+++ b/internal/fleet/hubclient/slowreader_test.go
@@ -33,7 +33,7 @@
 	readers := startSlowReaders(ctx, t, hub.addr, slowReaderCount)
 	versions, maxHeap := readers.awaitDrops(t, hub, slowReaderCount)
 	longest := longestInterval(messages)
-	t.Logf("heap and stacks %d kB before, %d kB at most; the longest interval between messages %v; %d versions",
+	t.Logf("heap and stacks %d KiB before, %d KiB at most; the longest interval between messages %v; %d versions",
 		before>>10, maxHeap>>10, longest, versions)
 	if longest > 1500*time.Millisecond {
 		t.Errorf("the listener received no message for %v, want 1.5 s at most", longest)
@@ -42,7 +42,7 @@
 		t.Errorf("the hub uses %d bytes for each slow reader, want 64 KiB at most", (maxHeap-before)/slowReaderCount)
 	}
 	if !allOf(agents, attachedTo("a"))() {
-		t.Error("an agent lost its hub")
+		t.Error("an agent is not attached to hub a, want all attached")
 	}
 	cancel()
 	readers.tasks.Wait()
@@ -84,7 +84,7 @@
 func (r *slowReaders) awaitDrops(t *testing.T, hub *hubProcess, count int32) (versions int, maxHeap uint64) {
 	t.Helper()
 	version := 1
-	waitFor(t, "a drop for each slow reader", func() bool {
+	waitFor(t, "as many ended streams as slow readers", func() bool {
 		hub.execute(t, hubCommand{Settings: settingsText(version, 3)})
 		version++
 		if heap := hub.execute(t, hubCommand{Heap: true}).Heap; r.attached.Load() > count/2 {
