--- a/internal/fleet/hubclient/rawclient_test.go
+++ b/internal/fleet/hubclient/rawclient_test.go
@@ -78,12 +78,12 @@
 // ends.
 func receiveFrom(ctx context.Context, addr, label, name string, handle func(receivedMessage)) {
 	for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		conn, reader, err := dialHub(addr, label, name, 0)
+		c, reader, err := dialHub(addr, label, name, 0)
 		if err != nil {
 			continue
 		}
-		stop := context.AfterFunc(ctx, func() { conn.Close() })
-		go sendStates(conn)
+		stop := context.AfterFunc(ctx, func() { c.Close() })
+		go sendStates(c)
 		for {
 			received, err := frame.Read(reader)
 			if err != nil {
@@ -95,14 +95,14 @@
 					if s, ok := documents.ParseAppliedVersion(entry.Body); entry.Kind == gossip.SettingsVersion && ok {
 						message.settings = s.Version
 					}
-					if size, err := hub.ParseFleetSize(entry.Body); entry.Kind == gossip.FleetSize && err == nil {
-						message.dead = int(size.Dead)
+					if c, err := hub.ParseFleetSize(entry.Body); entry.Kind == gossip.FleetSize && err == nil {
+						message.dead = int(c.Dead)
 					}
 				}
 			}
 			handle(message)
 		}
 		stop()
-		conn.Close()
+		c.Close()
 	}
 }
--- a/internal/fleet/hubclient/selector_test.go
+++ b/internal/fleet/hubclient/selector_test.go
@@ -18,21 +18,21 @@
 	arrivals := map[string][]time.Duration{}
 	for i := range agents {
 		name := fmt.Sprintf("agent-%d", i)
-		order := preferenceOrder(name, "a1", "a", testHubs)
-		if order[0].Zone != "a1" || order[1].Region != "a" || order[2].Region != "a" {
-			t.Fatalf("order of preference %v, want the hub of zone a1, then those of region a", order)
+		list := preferenceOrder(name, "a1", "a", testHubs)
+		if list[0].Zone != "a1" || list[1].Region != "a" || list[2].Region != "a" {
+			t.Fatalf("order of preference %v, want the hub of zone a1, then those of region a", list)
 		}
-		selector := newHubSelector(len(order), uint64(i))
+		selector := newHubSelector(len(list), uint64(i))
 		wait := selector.attachmentLost(0, time.Minute, start)
-		arrivals[order[selector.current].Zone] = append(arrivals[order[selector.current].Zone], wait)
+		arrivals[list[selector.current].Zone] = append(arrivals[list[selector.current].Zone], wait)
 	}
 	if len(arrivals["a2"])+len(arrivals["a3"]) != agents {
 		t.Fatalf("the agents selected %d hubs, want only a2 and a3", len(arrivals))
 	}
-	for hub, waits := range arrivals {
-		for _, from := range waits {
+	for hub, list := range arrivals {
+		for _, from := range list {
 			n := 0
-			for _, at := range waits {
+			for _, at := range list {
 				if at >= from && at < from+time.Second {
 					n++
 				}
