--- a/internal/fleet/hubclient/attach.go
+++ b/internal/fleet/hubclient/attach.go
@@ -45,8 +45,8 @@
 }
 
 // stayAttached uses an attachment until it ends. If the preferred hub accepts the agent before then, stayAttached
-// switches to the attachment to the preferred hub, and closes the old attachment only after the new one is open. index is the hub's index in Client.hubs.
-// stayAttached returns the wait before the next attempt to attach.
+// switches to the attachment to the preferred hub, and closes the old attachment only after the new one is open. index
+// is the hub's index in Client.hubs. stayAttached returns the wait before the next attempt to attach.
 func (c *Client) stayAttached(ctx context.Context, a *attachment, index int) time.Duration {
 	for {
 		attachedAt := time.Now()
--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -247,9 +247,9 @@
 	return a.writeFrame(f)
 }
 
-// leave sends the hub a Leave frame and closes the connection. The caller must wait for done first. leave reads all bytes
-// that the hub still sends: closing a connection with unread bytes resets it, and the hub might then lose the Leave
-// frame.
+// leave sends the hub a Leave frame and closes the connection. The caller must wait for done first. leave reads all
+// bytes that the hub still sends: closing a connection with unread bytes resets it, and the hub might then lose the
+// Leave frame.
 func (a *attachment) leave() {
 	_ = a.conn.SetDeadline(time.Now().Add(leaveTimeout)) // fails only on a closed connection
 	if a.writeFrame(&frame.Frame{Leave: true}) == nil && a.conn.CloseWrite() == nil {
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -42,11 +42,10 @@
 //
 // The agent continues to serve with its applied documents and its last endpoint list. It uses other state up to the age
 // bound; after that the quota is even, and the agent reports latencies as unknown (zero). The agent retries all hubs
-// with backoff. After 5 s without an attachment it falls back to the full mesh, if
-// Config.NewMesh is set. The mesh uses the same address, which stays open throughout. While the mesh runs, the lower
-// of both quotas applies; latencies, endpoint lists and the residency policy come from the mesh, and settings only
-// from hubs. When a hub accepts the agent again, the agent leaves the mesh; the lower of both quotas
-// applies until the agent has left.
+// with backoff. After 5 s without an attachment it falls back to the full mesh, if Config.NewMesh is set. The mesh uses
+// the same address, which stays open throughout. While the mesh runs, the lower of both quotas applies; latencies,
+// endpoint lists and the residency policy come from the mesh, and settings only from hubs. When a hub accepts the agent
+// again, the agent leaves the mesh; the lower of both quotas applies until the agent has left.
 package hubclient
 
 import (
@@ -89,7 +88,7 @@
 	Settings                    *settings.Holder  // nil: the agent applies no settings from hubs
 	NewMesh                     NewMesh           // nil: the agent does not fall back to the full mesh
 	Log                         *slog.Logger
-	Trace                       io.Writer // receives a line for each entry used and for each new quota; nil: no trace
+	Trace                       io.Writer // receives a line for each entry used or published and for each new quota; nil: no trace
 	Dial                        Dial      // nil: TCP from the IP address of Listen
 }
 
@@ -186,8 +185,8 @@
 	return nil
 }
 
-// Addr returns this process's fleet address as IP:port. Other processes treat a refused connection to this
-// address as the end of this process.
+// Addr returns this process's fleet address as IP:port. Other processes treat a refused connection to this address as
+// the end of this process.
 func (c *Client) Addr() string { return c.listener.address() }
 
 // hubAddr returns the address of the hub that this agent is attached to, or "" when it is not attached.
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -111,8 +111,8 @@
 	c.Ready()
 }
 
-// Ready marks this agent as serving. The hub receives the mark with the agent's next state; a running full mesh receives
-// it immediately. Ready logs only the first call.
+// Ready marks this agent as serving. The hub receives the mark with the agent's next state; a running full mesh
+// receives it immediately. Ready logs only the first call.
 func (c *Client) Ready() {
 	if !c.serving.Swap(true) {
 		c.cfg.Log.Info("start", "step", "serving", "hub", c.Status().Hub, "took", time.Since(c.startedAt))
--- a/internal/fleet/hubclient/monitor_test.go
+++ b/internal/fleet/hubclient/monitor_test.go
@@ -22,7 +22,7 @@
 type traceLine struct {
 	What, Kind, Observer, Subject string
 	Incarnation, Seq              uint64
-	Age, At                       int64 // microseconds; At since 1970
+	Age, At                       int64 // microseconds; At since the machine's start
 }
 
 type entryID struct {
@@ -41,7 +41,7 @@
 	mu             sync.Mutex
 	agents         map[string]func() Status
 	newestVersions map[string][2]int64 // of settings and policy, by agent; kept when an agent restarts
-	observedAt     map[entryID]int64   // when a published entry was observed, in microseconds since 1970
+	observedAt     map[entryID]int64   // when a published entry was observed, in microseconds since the machine's start
 	uses           int                 // uses of entries in traces
 	matched        int                 // uses of entries whose publication is in a trace
 	samples        int
--- a/internal/fleet/hubclient/partition_test.go
+++ b/internal/fleet/hubclient/partition_test.go
@@ -28,8 +28,8 @@
 }
 
 // A hub is cut off in one direction, from all agents or from the other hubs. If it is cut off from agents, its agents
-// move to another hub. No agent is reported as dead, and settings that are applied during the cut reach all agents within 14 s, or within
-// 14 s of the end of the cut if the hub is cut off from other hubs.
+// move to another hub. No agent is reported as dead, and settings that are applied during the cut reach all agents
+// within 14 s, or within 14 s of the end of the cut if the hub is cut off from other hubs.
 func TestHubCutInOneDirection(t *testing.T) {
 	for name, test := range map[string]struct {
 		cut           map[string]uint8
--- a/internal/fleet/hubclient/quota.go
+++ b/internal/fleet/hubclient/quota.go
@@ -31,8 +31,8 @@
 // hubQuota returns an agent's share of the fleet's in-flight limit by the rule of fleets with hubs, from 0 to 1. The
 // limit is divided by the number of agents that are not confirmed dead, because an agent that is not attached may still
 // run on the other side of a network partition and use its quota. The divisor is at least size.Attached and at least 1.
-// Without a fresh size it is maxAgents, and without confirmation the quota is the startup quota. fresh reports whether size is within its age bound;
-// confirmed reports whether no other process can still use this agent's quota.
+// Without a fresh size it is maxAgents, and without confirmation the quota is the startup quota. fresh reports whether
+// size is within its age bound; confirmed reports whether no other process can still use this agent's quota.
 func hubQuota(maxAgents int, size hub.FleetSize, fresh, confirmed bool) float64 {
 	if !confirmed {
 		return startupQuota / float64(maxAgents)
@@ -45,8 +45,8 @@
 }
 
 // recomputeQuota computes this agent's share of the fleet's in-flight limit, and reports it if it has changed. While
-// the full mesh runs, the lower of the hub's and the mesh's quota applies. Attached agents and members of the mesh
-// may have redistributed the quotas of different dead agents; the lower quota keeps the sum within the limit.
+// the full mesh runs, the lower of the hub's and the mesh's quota applies. Attached agents and members of the mesh may
+// have redistributed the quotas of different dead agents; the lower quota keeps the sum within the limit.
 func (c *Client) recomputeQuota() {
 	size, fresh := c.fleetSize()
 	confirmed := c.quotaConfirmed.Load() || time.Since(c.startedAt) >= c.cfg.AgeBounds[gossip.FleetSize]
--- a/internal/fleet/hubclient/reconcile.go
+++ b/internal/fleet/hubclient/reconcile.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// logSummary logs this agent's view of the fleet. The keys flat, part, gone and facts are older than the names of
-// the fields MeshRunning, Quota, Dead and Entries.
+// logSummary logs this agent's view of the fleet. The keys flat, part, gone and facts are older than the names of the
+// fields MeshRunning, Quota, Dead and Entries.
 func (c *Client) logSummary() {
 	stats, status := c.store.Stats(), c.Status()
 	args := []any{"hub", status.Hub, "flat", status.MeshRunning, "part", status.Quota, "attached", status.FleetSize.Attached,
--- a/internal/fleet/hubclient/selector.go
+++ b/internal/fleet/hubclient/selector.go
@@ -70,8 +70,7 @@
 
 // attachmentLost records that the attachment to a hub ended after attachedFor, and returns the wait before the next
 // attempt. The selection starts at the preferred hub or, if the attachment was to the preferred hub, at the second hub
-// in the order of preference. selectFrom skips hubs that are still busy after
-// the wait, if there is another hub.
+// in the order of preference. selectFrom skips hubs that are still busy after the wait, if there is another hub.
 func (s *hubSelector) attachmentLost(hub int, attachedFor time.Duration, now time.Time) time.Duration {
 	if attachedFor >= stableAfter {
 		s.consecutiveFailures = 0
