--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -36,7 +36,7 @@
 	errNoEcho              = errors.New("hub stopped echoing the agent's states")
 )
 
-// busyError reports that a hub does not accept the agent now and asks it to retry after retryAfter.
+// busyError reports that a hub does not accept the agent now and asks the agent to retry after retryAfter.
 type busyError struct{ retryAfter time.Duration }
 
 func (e *busyError) Error() string { return fmt.Sprintf("hub is busy, retry after %v", e.retryAfter) }
--- a/internal/fleet/hubclient/client.go
+++ b/internal/fleet/hubclient/client.go
@@ -40,12 +40,12 @@
 //
 // # Loss of all hubs
 //
-// The agent continues to serve with its applied documents and its last endpoint list. It uses other state up to the age
-// bound; after that the quota is even, and the agent reports latencies as unknown (zero). The agent retries all hubs
-// with backoff. After 5 s without an attachment it falls back to the full mesh, if Config.NewMesh is set. The mesh uses
-// the same address, which stays open throughout. While the mesh runs, the lower of both quotas applies; latencies,
-// endpoint lists and the residency policy come from the mesh, and settings only from hubs. When a hub accepts the agent
-// again, the agent leaves the mesh; the lower of both quotas applies until the agent has left.
+// The agent continues to serve with its applied documents and its last endpoint list. The agent uses other state up to
+// the state's age bound; afterwards the quota is even, and the agent reports latencies as unknown (zero). The agent
+// retries all hubs with backoff. After 5 s without an attachment it falls back to the full mesh, if Config.NewMesh is
+// set. The mesh uses the same address, which stays open throughout. While the mesh runs, the lower of both quotas
+// applies; latencies, endpoint lists and the residency policy come from the mesh, and settings only from hubs. When a
+// hub accepts the agent again, the agent leaves the mesh; the lower of both quotas applies until the agent has left.
 package hubclient
 
 import (
@@ -76,7 +76,7 @@
 type Config struct {
 	Name, Site, Region, Version string // of this agent; Site is its zone
 	Label                       string // of the fleet; hubs reject agents with a different label
-	Listen, Advertise           string // IP:port on which this process listens, and at which others reach it; Advertise "": Listen
+	Listen, Advertise           string // IP:port on which this process listens, and at which other processes reach it; Advertise "": Listen
 	Hubs                        []Hub  // in any order; at least one
 	MaxAgents                   int    // maximum number of agents in the fleet; the quota is derived from it
 	AwaitAddress                bool   // wait while a predecessor of this process still listens at Listen
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -50,8 +50,8 @@
 	return n.cutDirections(peer.Addr())&cutInbound == 0
 }
 
-// Dial connects to addr. If either direction is cut when it is called, Dial waits for ctx or the dialer's timeout, and
-// returns a timeout error.
+// Dial connects to addr. If either direction is cut at the time of the call, Dial waits for ctx or the dialer's
+// timeout, and returns a timeout error.
 func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/fleet/hubclient/endpoints.go
+++ b/internal/fleet/hubclient/endpoints.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	hubAttachGrace = time.Second             // time after the agent's start during which it waits for a hub before it uses the list service
+	hubAttachGrace = time.Second             // time from the agent's start for which the agent waits for a hub before it uses the list service
 	relayTimeout   = 2500 * time.Millisecond // time without a message after which a hub that relays lists counts as failed
 )
 
--- a/internal/fleet/hubclient/failover_test.go
+++ b/internal/fleet/hubclient/failover_test.go
@@ -91,7 +91,7 @@
 	waitFor(t, "attachment to b", agent.attachedTo("b"))
 }
 
-// The agent retries a busy hub no sooner than after the delay that the hub asked for.
+// The agent waits for at least the delay in a hub's Busy reply before it retries this hub.
 func TestAgentHonoursBusyDelay(t *testing.T) {
 	t.Parallel()
 	const retryAfter = 400 * time.Millisecond
@@ -106,8 +106,8 @@
 	}
 }
 
-// The agent stays attached to a hub of an older program, which sends only its name, and uses an even quota once the age
-// bound of the fleet size has passed since the start.
+// The agent stays attached to a hub of an older program, which sends neither echoes, nor a confirmation of the quota,
+// nor a fleet size. The agent uses an even quota once the age bound of the fleet size has passed since the start.
 func TestAgentStaysAtOlderHub(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
--- a/internal/fleet/hubclient/fakehub_test.go
+++ b/internal/fleet/hubclient/fakehub_test.go
@@ -179,7 +179,7 @@
 	return data
 }
 
-// expectEvent waits for the next event and fails the test if it is not want.
+// expectEvent waits for the next event and fails the test if the event is not want.
 func (h *fakeHub) expectEvent(t *testing.T, want string) {
 	t.Helper()
 	select {
--- a/internal/fleet/hubclient/mesh.go
+++ b/internal/fleet/hubclient/mesh.go
@@ -54,7 +54,8 @@
 }
 
 // fallBackToMesh joins the full mesh and leaves it when a hub has accepted this agent or ctx ends. The mesh's quota
-// applies until the agent has left. fallBackToMesh returns false if the agent can't join the mesh.
+// remains an upper bound of the agent's quota until the agent has left the mesh. fallBackToMesh returns false if the
+// agent can't join the mesh.
 func (c *Client) fallBackToMesh(ctx context.Context) bool {
 	listener, err := c.listener.duplicate()
 	if err != nil {
--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// When the full mesh can't be joined, the agent tries again after meshRetryInterval, and its address
-// accepts connections throughout.
+// When the agent can't join the full mesh, it retries after meshRetryInterval, and its address accepts connections
+// throughout.
 func TestFailedFallBackToMeshIsRetried(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
