--- a/internal/fleet/hubclient/attachment.go
+++ b/internal/fleet/hubclient/attachment.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	attachTimeout     = 2 * time.Second
-	hubTimeout        = 2500 * time.Millisecond // time without a frame after which a hub counts as failed; hubs send a frame each second
-	stateInterval     = time.Second             // between states, unless the state changes
-	writeTimeout      = 2 * time.Second
-	leaveTimeout      = 500 * time.Millisecond
-	slowTransit       = time.Second     // a message is slow if it may have been in transit for longer
-	maxSlowMessages   = 3               // consecutive slow messages after which a hub counts as failed
-	maxEchoAge        = 4 * time.Second // time since the last echoed state was written after which a hub counts as failed
-	maxStatesInFlight = 8               // written and not echoed yet; echoes of older states are ignored
+	attachTimeout    = 2 * time.Second         // for the connection and the handshake together
+	hubTimeout       = 2500 * time.Millisecond // time without a frame after which a hub counts as failed; hubs send a frame each second
+	stateInterval    = time.Second             // between states, unless the state changes
+	writeTimeout     = 2 * time.Second         // for one state
+	leaveTimeout     = 500 * time.Millisecond  // for the Leave frame and the end of the hub's stream
+	slowTransit      = time.Second             // a message is slow if it may have been in transit for longer than this
+	maxSlowMessages  = 3                       // consecutive slow messages after which a hub counts as failed
+	maxEchoAge       = 4 * time.Second         // a hub counts as failed if the last state that it echoed was written longer ago than this
+	maxTrackedStates = 8                       // number of states whose write times are kept; echoes of older states are ignored
 )
 
 var (
@@ -36,7 +36,7 @@
 	errNoEcho              = errors.New("hub stopped echoing the agent's states")
 )
 
-// busyError reports that a hub does not accept the agent now and asks it to retry after retryAfter.
+// busyError reports that a hub does not accept the agent now and asks the agent to retry after retryAfter.
 type busyError struct{ retryAfter time.Duration }
 
 func (e *busyError) Error() string { return fmt.Sprintf("hub is busy, retry after %v", e.retryAfter) }
@@ -63,9 +63,9 @@
 	slowMessages int           // number of consecutive slow messages; only readLoop uses it
 
 	mu                sync.Mutex
-	seq               uint32                       // sequence number of the last state written
-	sentAt            [maxStatesInFlight]time.Time // when the last states were written, by seq modulo maxStatesInFlight
-	echoedStateSentAt time.Time                    // when the last echoed state was written; zero: no state was echoed yet
+	seq               uint32                      // sequence number of the last state written
+	sentAt            [maxTrackedStates]time.Time // when the last states were written, by seq modulo maxTrackedStates
+	echoedStateSentAt time.Time                   // when the last echoed state was written; zero: no state was echoed yet
 }
 
 // openAttachment attaches to a hub and starts the goroutines of the attachment, which end with ctx. The error wraps a
@@ -148,7 +148,7 @@
 func (a *attachment) readLoop() error {
 	for {
 		_ = a.conn.SetReadDeadline(time.Now().Add(hubTimeout)) // fails only on a closed connection
-		if a.ctx.Err() != nil {                                // the attachment had ended, and the line above replaced the expired deadline
+		if a.ctx.Err() != nil {                                // the attachment has ended: the line above may have replaced the deadline that ends reads
 			return a.ctx.Err()
 		}
 		f, err := frame.Read(a.reader)
@@ -196,14 +196,16 @@
 	return nil
 }
 
-// handleEcho records the round-trip time of a state that the hub echoed, less the hub's processing delay.
+// handleEcho records the round-trip time of a state that the hub echoed, less the hub's processing delay. It ignores an
+// echo if this agent did not write the state, if the state is older than the last maxTrackedStates, or if the result is
+// negative.
 func (a *attachment) handleEcho(echo *frame.Echo, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if echo.Seq == 0 || echo.Seq > a.seq || a.seq-echo.Seq >= maxStatesInFlight {
+	if echo.Seq == 0 || echo.Seq > a.seq || a.seq-echo.Seq >= maxTrackedStates {
 		return
 	}
-	sentAt := a.sentAt[echo.Seq%maxStatesInFlight]
+	sentAt := a.sentAt[echo.Seq%maxTrackedStates]
 	if rtt := now.Sub(sentAt) - echo.ProcessingDelay; rtt >= 0 {
 		a.echoedStateSentAt = sentAt
 		a.client.store.ObserveRTT(a.hubName, rtt)
@@ -238,16 +240,16 @@
 	_ = a.conn.SetWriteDeadline(now.Add(writeTimeout)) // fails only on a closed connection
 	a.mu.Lock()
 	a.seq++
-	a.sentAt[a.seq%maxStatesInFlight] = now
+	a.sentAt[a.seq%maxTrackedStates] = now
 	f := &frame.Frame{State: &frame.State{Seq: a.seq, Serving: current.serving, Settings: current.settings, Policy: current.policy},
 		Gossip: a.client.store.OwnMessage()}
 	a.mu.Unlock()
 	return a.writeFrame(f)
 }
 
-// leave sends the hub a Leave frame and closes the connection. The caller waits for done first. leave reads all bytes
-// that the hub still sends: closing a connection with unread bytes resets it, and the hub might then lose the Leave
-// frame.
+// leave sends the hub a Leave frame and closes the connection. The caller must wait for done first. leave reads all
+// bytes that the hub still sends: closing a connection with unread bytes resets it, and the hub might then lose the
+// Leave frame.
 func (a *attachment) leave() {
 	_ = a.conn.SetDeadline(time.Now().Add(leaveTimeout)) // fails only on a closed connection
 	if a.writeFrame(&frame.Frame{Leave: true}) == nil && a.conn.CloseWrite() == nil {
--- a/internal/fleet/hubclient/cuttablenetwork_test.go
+++ b/internal/fleet/hubclient/cuttablenetwork_test.go
@@ -20,8 +20,8 @@
 // cuttableNetwork is the network of a hub. It implements member.Wire. A direction that is cut delays the bytes of
 // streams until the cut ends, and drops packets.
 type cuttableNetwork struct {
-	report     func(any)
-	sendBuffer int // send buffer of accepted connections in bytes, which disables cuts on them; 0: the system's default
+	report     func(any) // receives a hubOutput for each agent's Hello
+	sendBuffer int       // send buffer of accepted connections in bytes; if set, these connections can't be cut; 0: the system's default
 	mu         sync.Mutex
 	cut        map[string]uint8 // by IP address: cutInbound, cutOutbound or their union
 }
@@ -36,8 +36,8 @@
 	n.cut = cut
 }
 
-// cutTo returns which directions to a peer are cut.
-func (n *cuttableNetwork) cutTo(peer netip.Addr) uint8 {
+// cutDirections returns which directions to a peer are cut.
+func (n *cuttableNetwork) cutDirections(peer netip.Addr) uint8 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[peer.Unmap().String()]
@@ -45,17 +45,19 @@
 
 func (n *cuttableNetwork) Packet(_ []byte, peer netip.AddrPort, outgoing bool) bool {
 	if outgoing {
-		return n.cutTo(peer.Addr())&cutOutbound == 0
+		return n.cutDirections(peer.Addr())&cutOutbound == 0
 	}
-	return n.cutTo(peer.Addr())&cutInbound == 0
+	return n.cutDirections(peer.Addr())&cutInbound == 0
 }
 
+// Dial connects to addr. If either direction is cut at the time of the call, Dial waits for ctx or the dialer's
+// timeout, and returns a timeout error.
 func (n *cuttableNetwork) Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if n.cutTo(to.Addr()) != 0 {
+	if n.cutDirections(to.Addr()) != 0 {
 		if d.Timeout > 0 {
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithTimeout(ctx, d.Timeout)
@@ -98,8 +100,8 @@
 	return &pipedConn{hubEnd, conn}
 }
 
-// forward copies one direction of a connection, and closes the destination when the source ends. It delays both while
-// the direction is cut.
+// forward copies one direction of a connection, and closes the destination when the source ends. While the direction is
+// cut, forward delays the bytes and the close. It reports the start of an agent's stream as a Hello.
 func (n *cuttableNetwork) forward(to, from net.Conn, peer netip.Addr, direction uint8) {
 	chunks := make(chan []byte, 1024)
 	go func() {
@@ -119,7 +121,7 @@
 		}
 	}()
 	waitWhileCut := func() {
-		for n.cutTo(peer)&direction != 0 {
+		for n.cutDirections(peer)&direction != 0 {
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
--- a/internal/fleet/hubclient/cuttableproxy_test.go
+++ b/internal/fleet/hubclient/cuttableproxy_test.go
@@ -19,10 +19,10 @@
 const (
 	forwarding = iota
 	discarding
-	holding
+	delaying
 )
 
-// newCuttableProxy listens on a free port until the test ends.
+// newCuttableProxy listens on a free port until the test ends, and forwards connections to the hub at address to.
 func newCuttableProxy(t *testing.T, to string) *cuttableProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 		if err != nil {
 			return
 		}
-		for mode.Load() == holding {
+		for mode.Load() == delaying {
 			time.Sleep(time.Millisecond)
 		}
 		if mode.Load() == forwarding {
--- a/internal/fleet/hubclient/mesh_test.go
+++ b/internal/fleet/hubclient/mesh_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// When the full mesh can't be joined, the agent tries again after meshRetryInterval, and its address
-// accepts connections throughout.
+// When the agent can't join the full mesh, it retries after meshRetryInterval, and its address accepts connections
+// throughout.
 func TestFailedFallBackToMeshIsRetried(t *testing.T) {
 	t.Parallel()
 	a := newFakeHub(t, "a")
@@ -64,7 +64,7 @@
 	waitFor(t, "the third attempt", func() bool { return len(attempts) >= 3 })
 	first, second, third := <-attempts, <-attempts, <-attempts
 	if second.Sub(first) < meshRetryInterval || third.Sub(second) < meshRetryInterval {
-		t.Errorf("attempts %v and %v apart, want meshRetryInterval at least", second.Sub(first), third.Sub(second))
+		t.Errorf("attempts %v and %v apart, want meshRetryInterval (1 s) at least", second.Sub(first), third.Sub(second))
 	}
 	conn, err := net.Dial("tcp", agent.listener.address())
 	if err != nil {
