--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -10,7 +10,7 @@
 // candidates keeps the best backends offered so far.
 type candidates struct {
 	remainingIdle              int           // number of idle backends that may still be offered
-	idle, busy, ejected        *backendState // the backend chosen so far among those offered as such; nil: none
+	idle, busy, ejected        *backendState // backend chosen so far in each of these groups; nil: none
 	totalWeight                float64       // sum over the idle backends offered
 	lowestScore, lowestPenalty float64       // score of busy, penalty of ejected; infinite: none
 }
@@ -23,8 +23,8 @@
 // full reports whether enough idle backends were offered.
 func (c *candidates) full() bool { return c.remainingIdle <= 0 }
 
-// offerIdle offers an idle backend. Each is chosen in proportion to its weight (weighted reservoir sampling); draw is a
-// random number in [0, 1).
+// offerIdle offers an idle backend. Each idle backend is chosen with a probability in proportion to its weight (weighted
+// reservoir sampling); draw is a random number in [0, 1).
 func (c *candidates) offerIdle(backend *backendState, weight, draw float64) {
 	c.remainingIdle--
 	if c.totalWeight += weight; draw*c.totalWeight < weight {
--- a/balancer/failover.go
+++ b/balancer/failover.go
@@ -22,7 +22,8 @@
 
 // evaluateZone fails over from a zone if the sequential test and the peers' reports since the zone's last response
 // indicate that the zone is lost, and another zone is healthy. Each response discards the reports, so reports have no
-// effect at an agent that frequently gets responses from the zone. ownEvidence is false if a report is the occasion.
+// effect at an agent that frequently gets responses from the zone. ownEvidence is false if a peer's report caused the
+// call.
 func (b *Balancer) evaluateZone(z *zone, ownEvidence bool) {
 	validity := time.Duration(reportObjectives * float64(b.maxObjective))
 	if lost := z.lost(b.now, validity); lost && !z.failedOver && b.zones.otherZoneHealthy(z) {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -26,9 +26,9 @@
 }
 
 // gossip recomputes this agent's quota, sends its demand to peers, and sets the timer of the next gossip round. Agents
-// that gossip observations send their demand in the same messages instead. Messages to all peers would grow with the
-// square of the number of agents. With more peers than gossipFanout, gossip therefore sends to a random sample, and the
-// quota treats the peers that have reported recently as representative of all peers.
+// that gossip observations send their demand in the same messages instead. The number of messages to all peers would
+// grow with the square of the number of agents. With more peers than gossipFanout, gossip therefore sends to a random
+// sample, and the quota treats the peers that have reported recently as representative of all peers.
 func (b *Balancer) gossip() {
 	b.gossipTimer = b.setTimer(b.maxObjective)
 	if !b.gossipsObservations() {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -4,7 +4,7 @@
 // types don't access the Balancer.
 
 const (
-	priorSamples     = 2.0 // weight of the fleet mean in a new backend's latency ratio, in samples
+	priorSamples     = 2.0 // weight of the initial ratio 1, the fleet mean, in a new backend's latency ratio, in samples
 	maxLatencyRatio  = 8.0 // bound of one latency sample, as a multiple of the expected latency
 	lateLatencyRatio = 3.0 // latency sample that is recorded for an overdue or rejected attempt
 )
--- a/balancer/overrides.go
+++ b/balancer/overrides.go
@@ -8,7 +8,7 @@
 // overrides holds the operators' overrides in force. The zero value has none.
 type overrides struct {
 	disabled    map[string]BackendState  // with the state that the endpoint list last gave
-	reenabledAt map[string]time.Duration // when backends were re-enabled; apply removes entries older than the slow-start window
+	reenabledAt map[string]time.Duration // when each backend was re-enabled; apply removes old entries
 }
 
 // has reports whether an override is in force for the ID.
--- a/balancer/picking.go
+++ b/balancer/picking.go
@@ -6,7 +6,7 @@
 import "cmp"
 
 const (
-	crossZoneBias       = 0.1 // weight of an idle backend in another zone relative to the own zone, if crossing zones has a cost
+	crossZoneBias       = 0.1 // weight of an idle backend in another zone, relative to the own zone, if crossing has a cost
 	fullSpilloverExcess = 0.3 // relative excess latency of the own zone at which other zones get full weight
 	proximityObjectives = 4.0 // longest objectives after a cut of the limit during which proximity is ignored
 	recoveringBias      = 0.1 // relative weight of an idle backend that still has a failure score
--- a/balancer/sequentialtest.go
+++ b/balancer/sequentialtest.go
@@ -25,10 +25,10 @@
 type sequentialTest struct {
 	logLikelihoodRatio float64       // of a loss against normal operation; 0: no evidence
 	suspicionPeriod    int           // number of the latest period in which the ratio was above 0
-	suspectedSince     time.Duration // when the first unanswered attempt of that period was sent
+	suspectedSince     time.Duration // when that period's first unanswered attempt was sent, or as recordReport sets it
 	unansweredRate     float64       // moving average of the share of unanswered attempts
 	lastResponseAt     time.Duration // latest response of any kind
-	reports            []lossReport  // from peers that found the zone lost, one per peer
+	reports            []lossReport  // reports of peers that found the zone lost, one per peer
 }
 
 // lossReport is a peer's report that a zone is lost.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -70,8 +70,8 @@
 		trustedMultiple: math.Pow(max(1, s.OverloadMultiple), trustExponent)}
 }
 
-// guaranteedWarmth returns the share of its full capacity that the settings guarantee for a backend now. It clears
-// warmingUp once the window is over.
+// guaranteedWarmth returns the share of a backend's full capacity that the settings guarantee now. It clears warmingUp
+// once the window is over.
 func (m *slowStartModel) guaranteedWarmth(s *slowStartState, now time.Duration) float64 {
 	age := now - s.slowStartAt
 	if s.warmingUp = s.warmingUp && age < m.window; !s.warmingUp {
@@ -80,9 +80,9 @@
 	return m.initial + (1-m.initial)*max(0, float64(age)/float64(m.window))
 }
 
-// warmth returns the estimated share of its full capacity that a backend has now. Departure: the latency of starting
-// backends indicates how much of the slow-start window they need, so that capacity beyond the guaranteed share is not
-// left idle. A power of OverloadMultiple bounds the estimate.
+// warmth returns the estimated share of a backend's full capacity that is available now. Departure: the latency of
+// starting backends indicates how much of the slow-start window they need, so that capacity beyond the guaranteed share
+// is not left idle. A power of OverloadMultiple bounds the estimate.
 func (m *slowStartModel) warmth(s *slowStartState, now time.Duration) float64 {
 	guaranteed := m.guaranteedWarmth(s, now)
 	return min(1, m.initial+(guaranteed-m.initial)/m.warmUpRatio, guaranteed*m.trustedMultiple)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -9,7 +9,7 @@
 	subsetDecrease    = 0.9   // factor on the subset size when a backend rejects a new connection
 	subsetIncrease    = 1.003 // factor on the subset size after each response
 	minSubset         = 3     // minimum subset size
-	subsetBase        = 30.0  // maximum subset size without subsetFraction
+	subsetBase        = 30.0  // maximum subset size before subsetFraction adds its part
 	subsetFraction    = 0.1   // share of all backends added to the maximum: limits connections in a large fleet
 )
 
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -76,8 +76,8 @@
 }
 
 // otherZoneHealthy reports whether another zone that is not failed over has responded since the given zone was first
-// suspected, and is healthy (see healthyAfter). If there is none, this agent or its own link is the cause, and a failover
-// would not help.
+// suspected, and is healthy (see healthyAfter). If there is none, this agent or its own link is the cause, and a
+// failover would not help.
 func (t zoneTable) otherZoneHealthy(z *zone) bool {
 	for _, other := range t {
 		if other != z && !other.failedOver && other.healthyAfter(z.suspectedSince) {
