--- a/balancer/failover_test.go
+++ b/balancer/failover_test.go
@@ -194,7 +194,7 @@
 		z.audit.event(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: z.list})
 		z.class = func(n int) int { return n % 5 }
 		z.run(500 * ms)
-		for range rapid.IntRange(1, 6).Draw(rt, "turns") {
+		for range rapid.IntRange(1, 6).Draw(rt, "toggles") {
 			zone := rapid.IntRange(0, 2).Draw(rt, "zone")
 			z.unresponsive[zone] = !z.unresponsive[zone]
 			z.run(time.Duration(rapid.IntRange(100, 2500).Draw(rt, "ms")) * ms)
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -167,8 +167,8 @@
 	for _, agents := range []int{1, 2, 20, 30, 300} {
 		for _, together := range []bool{false, true} {
 			for seed := range uint64(3) {
-				d := rand.New(rand.NewPCG(seed, 2))
-				warm, cold := 1+d.IntN(6), 1+d.IntN(10)
+				rng := rand.New(rand.NewPCG(seed, 2))
+				warm, cold := 1+rng.IntN(6), 1+rng.IntN(10)
 				if agents == 300 {
 					if warm, cold = 4*warm, 4*cold; seed > 0 {
 						break // one simulation of this size takes as long as all the others together
@@ -234,11 +234,11 @@
 	c.play(1500, latency, time.Second, nil) // until the outstanding attempts have ended
 	highest, sum, n := 0, 0, 0
 	c.play(1500, latency, 3*time.Second, func() {
-		now := 0
+		inFlight := 0
 		for _, b := range list[:warm] {
-			now += c.inFlight[b.ID]
+			inFlight += c.inFlight[b.ID]
 		}
-		highest, sum, n = max(highest, now), sum+now, n+1
+		highest, sum, n = max(highest, inFlight), sum+inFlight, n+1
 	})
 	// The limit starts at 6 per backend and grows with responses this fast. Without a separate share for warm backends
 	// the mean is 15.6.
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -19,10 +19,10 @@
 		return binary.BigEndian.AppendUint64(nil, uint64(math.Float32bits(busyCores))<<32)
 	}
 	tests := []struct {
-		name  string
-		peers bool   // whether gossip is allowed
-		data  []byte // message received from each of the three peers; nil: none
-		want  func(n int) bool
+		name          string
+		gossipAllowed bool
+		data          []byte // message received from each of the three peers; nil: none
+		want          func(n int) bool
 	}{
 		{"no messages allowed", false, demand(0), func(n int) bool { return n == 15 }},
 		{"no messages received", true, nil, func(n int) bool { return n == 15 }},
@@ -35,7 +35,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
-			s.Balancers, s.Self, s.GossipAllowed = 4, 2, tt.peers
+			s.Balancers, s.Self, s.GossipAllowed = 4, 2, tt.gossipAllowed
 			r := newRig(t, s, 1, backends(10))
 			messages := 0
 			for range 30 {
@@ -52,7 +52,7 @@
 					r.step(balancer.GossipReceived{From: from, Data: tt.data})
 				}
 			}
-			if tt.peers != (messages > 0) || messages > 4*3 {
+			if tt.gossipAllowed != (messages > 0) || messages > 4*3 {
 				t.Errorf("sent %d messages to three peers in 1.2 s, want 1 to 12 if gossip is allowed, else none",
 					messages)
 			}
--- a/balancer/overrides_test.go
+++ b/balancer/overrides_test.go
@@ -176,21 +176,21 @@
 		for range 40 {
 			used[request()] = true
 		}
-		far := "a"
+		unused := "a"
 		for _, b := range backends(20) {
 			if !used[b.ID] {
-				far = b.ID
+				unused = b.ID
 			}
 		}
-		r.override(balancer.Disable{Call: 1, Backend: far})
+		r.override(balancer.Disable{Call: 1, Backend: unused})
 		r.advance(time.Second)
-		r.override(balancer.Enable{Call: 2, Backend: far})
+		r.override(balancer.Enable{Call: 2, Backend: unused})
 		from, found := r.now, false
 		for r.now < from+4*time.Second && !found {
-			found = request() == far
+			found = request() == unused
 		}
 		if !found {
-			t.Errorf("seed %d: %s got no request within 4 s of Enable", seed, far)
+			t.Errorf("seed %d: %s got no request within 4 s of Enable", seed, unused)
 		}
 	}
 }
--- a/balancer/residency_test.go
+++ b/balancer/residency_test.go
@@ -74,7 +74,7 @@
 				table = &gate.Table{Generation: table.Generation + 1, Permitted: make([][]bool, rules),
 					Restricted: make([]bool, rules)}
 				for n := range rules {
-					table.Restricted[n] = rapid.Bool().Draw(d, "bound")
+					table.Restricted[n] = rapid.Bool().Draw(d, "restricted")
 					table.Permitted[n] = rapid.SliceOfN(rapid.Bool(), zones, zones).Draw(d, "zones")
 				}
 				check(r.step(balancer.Residency{Table: table}))
@@ -84,7 +84,7 @@
 				b.State = balancer.BackendState(rapid.IntRange(0, 1).Draw(d, "state"))
 				zone[b.ID] = b.Zone
 				check(r.step(balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Backends: []balancer.Backend{b}}))
-				if rapid.Bool().Draw(d, "called") {
+				if rapid.Bool().Draw(d, "override") {
 					check(r.step(balancer.Disable{Call: int64(i), Backend: b.ID}))
 					check(r.step(balancer.Enable{Call: int64(i), Backend: b.ID}))
 				}
@@ -177,7 +177,7 @@
 // A zone with a long round-trip time gets requests only if the near zones have no idle backend. It counts as near again
 // when its round-trip time is unknown.
 func TestFarZonesAreUsedLast(t *testing.T) {
-	far := balancer.ZoneLatencies{RTT: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
+	farLatencies := balancer.ZoneLatencies{RTT: []time.Duration{ms, ms, 60 * ms}, Loss: []float64{0, 0, 0}}
 	count := func(r *rig) (n int) {
 		for i := range 90 {
 			r.now += 20 * ms
@@ -192,7 +192,7 @@
 	}
 	r := newRig(t, settings(), 7, backends(6))
 	for range 20 { // a change is applied at one of the next few events
-		r.step(far)
+		r.step(farLatencies)
 	}
 	if n := count(r); n > 0 {
 		t.Errorf("%d of 90 requests went to the far zone while near backends were idle, want none", n)
@@ -211,7 +211,7 @@
 	}
 	r = newRig(t, settings(), 7, backends(6))
 	for range 20 {
-		r.step(far)
+		r.step(farLatencies)
 	}
 	r.step(balancer.ZoneLatencies{RTT: make([]time.Duration, 3), Loss: make([]float64, 3)})
 	if n := count(r); n < 15 {
