--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -234,11 +234,11 @@
 	c.play(1500, latency, time.Second, nil) // until the outstanding attempts have ended
 	highest, sum, n := 0, 0, 0
 	c.play(1500, latency, 3*time.Second, func() {
-		inFlight := 0
+		warmInFlight := 0
 		for _, b := range list[:warm] {
-			inFlight += c.inFlight[b.ID]
+			warmInFlight += c.inFlight[b.ID]
 		}
-		highest, sum, n = max(highest, inFlight), sum+inFlight, n+1
+		highest, sum, n = max(highest, warmInFlight), sum+warmInFlight, n+1
 	})
 	// The limit starts at 6 per backend and grows with responses this fast. Without a separate share for warm backends
 	// the mean is 15.6.
