--- a/internal/fleet/documents/documents_test.go
+++ b/internal/fleet/documents/documents_test.go
@@ -112,8 +112,8 @@
 
 func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
@@ -124,18 +124,18 @@
 }
 
 func TestFollowFetchesNewerTextFromNextSourceThatHasIt(t *testing.T) {
-	without, with := startSource(t, newFakeHolder(1, "one")), startSource(t, newFakeHolder(2, "two"))
+	outdatedSource, currentSource := startSource(t, newFakeHolder(1, "one")), startSource(t, newFakeHolder(2, "two"))
 	h := newFakeHolder(1, "one")
-	h.document().Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(without.addr, with.addr))
+	h.document().Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(outdatedSource.addr, currentSource.addr))
 	waitFor(t, "the newer version", func() bool { return h.current().Version == 2 })
-	for _, s := range []*source{without, with} {
+	for _, s := range []*source{outdatedSource, currentSource} {
 		if got := s.requested(); !slices.Equal(got, []string{digestOf("two")}) {
 			t.Errorf("requests %q, want one for the newer text", got)
 		}
 	}
 }
 
-func TestFollowConfirmsWhatIsAppliedAndFetchesNothing(t *testing.T) {
+func TestFollowConfirmsAppliedTextsWithoutFetching(t *testing.T) {
 	s := startSource(t, newFakeHolder(3, "three"))
 	for name, entry := range map[string]gossip.Entry{
 		"same version":  entryOf(3, digestOf("three")),
@@ -171,18 +171,18 @@
 	}
 }
 
-func TestFollowAsksShouldFetch(t *testing.T) {
+func TestFollowSkipsFetchThatShouldFetchRejects(t *testing.T) {
 	s := startSource(t, newFakeHolder(2, "two"))
 	h := newFakeHolder(1, "one")
 	d := h.document()
-	var asked []string
+	var queried []string
 	d.ShouldFetch = func(version int64, digest string) bool {
-		asked = append(asked, digest)
+		queried = append(queried, digest)
 		return false
 	}
 	d.Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(s.addr))
-	if !slices.Equal(asked, []string{digestOf("two")}) || len(d.lastFetch) > 0 {
-		t.Errorf("asked about %q, fetches %v, want none", asked, d.lastFetch)
+	if !slices.Equal(queried, []string{digestOf("two")}) || len(d.lastFetch) > 0 {
+		t.Errorf("asked about %q, fetches %v, want none", queried, d.lastFetch)
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestFetchRejectsAnswersOfOtherDigestOrVersion(t *testing.T) {
+func TestFetchRejectsResponsesWithOtherDigestOrVersion(t *testing.T) {
 	h := newFakeHolder(1, "one")
 	d := h.document()
 	s := startSource(t, newFakeHolder(2, "two"))
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestServeAnswersNotFoundForUnknownDigest(t *testing.T) {
+func TestServeReturnsNotFoundForUnknownDigest(t *testing.T) {
 	d := newFakeHolder(2, "two").document()
 	for digest, want := range map[string]int{digestOf("two"): http.StatusOK, digestOf("one"): http.StatusNotFound} {
 		w := httptest.NewRecorder()
--- a/internal/fleet/gossip/age_test.go
+++ b/internal/fleet/gossip/age_test.go
@@ -35,13 +35,13 @@
 )
 
 // simStep is a step of a simulation: what happens, at or between which stores, and a delay in ms.
-type simStep struct{ from, to, delay, what int }
+type simStep struct{ from, to, delay, action int }
 
 // simulation is a set of stores that send each other messages, and the test's own record of when entries were published.
 type simulation struct {
-	stores  [simStores]*Store
-	met     map[[2]int]bool // by sender and receiver: a message with the shortest transit time was sent
-	stopped [simStores]bool // changed with mu held, by the goroutine of simulate alone
+	stores     [simStores]*Store
+	sentBefore map[[2]int]bool // by sender and receiver: a message with the shortest transit time was sent
+	stopped    [simStores]bool // changed with mu held, by the goroutine of simulate alone
 
 	mu          sync.Mutex           // protects all below
 	publishedAt map[string]time.Time // by entry
@@ -50,7 +50,7 @@
 
 // simulate runs a simulation and returns a failure, or "".
 func simulate(steps []simStep) string {
-	sim := &simulation{met: map[[2]int]bool{}, publishedAt: map[string]time.Time{}}
+	sim := &simulation{sentBefore: map[[2]int]bool{}, publishedAt: map[string]time.Time{}}
 	for i := range simStores {
 		sim.stores[i] = New(fmt.Sprint("p", i), 1, shortBounds, sim.observe)
 	}
@@ -61,7 +61,7 @@
 				sim.stores[i].Tick()
 			}
 		}
-		sim.do(k, s)
+		sim.runStep(k, s)
 	}
 	sim.mu.Lock()
 	sim.stopped = [simStores]bool{}
@@ -95,18 +95,18 @@
 	}
 }
 
-// do takes step k.
-func (sim *simulation) do(k int, s simStep) {
+// runStep takes step k.
+func (sim *simulation) runStep(k int, s simStep) {
 	store := sim.stores[s.from]
 	switch {
-	case s.what == 0: // stopped or resumed
+	case s.action == 0: // stopped or resumed
 		sim.mu.Lock()
 		sim.stopped[s.from] = !sim.stopped[s.from]
 		sim.mu.Unlock()
 	case sim.stopped[s.from]:
-	case s.what <= 3:
+	case s.action <= 3:
 		store.Publish(ListServiceLoad+Kind(k%2), "x", []byte{byte(k)})
-	case s.what <= 8:
+	case s.action <= 8:
 		sim.send(s)
 	default:
 		store.Entries(ListServiceLoad)
@@ -118,16 +118,16 @@
 func (sim *simulation) send(s simStep) {
 	data := sim.stores[s.from].NextMessage(1000, simStores)
 	delay := minTransit
-	if sim.met[[2]int{s.from, s.to}] { // the shortest transit time is known by then
+	if sim.sentBefore[[2]int{s.from, s.to}] { // the shortest transit time is known by then
 		delay += time.Duration(s.delay) * time.Millisecond
 	}
 	if data == nil || s.from == s.to || delay == minTransit && sim.stopped[s.to] {
 		return
 	}
-	sim.met[[2]int{s.from, s.to}] = true
+	sim.sentBefore[[2]int{s.from, s.to}] = true
 	time.AfterFunc(delay, func() {
-		halted := func() bool { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.stopped[s.to] }
-		for delay > minTransit && halted() { // it waits in the receiver's socket buffer
+		receiverStopped := func() bool { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.stopped[s.to] }
+		for delay > minTransit && receiverStopped() { // it waits in the receiver's socket buffer
 			time.Sleep(10 * time.Millisecond)
 		}
 		if err := sim.stores[s.to].Merge(data); err != nil {
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -34,7 +34,7 @@
 		if err := a.Merge(b.NextMessage(1000, 2)); err != nil || len(a.Entries(ListServiceLoad)) != 1 {
 			t.Fatal(err, a.Entries(ListServiceLoad))
 		}
-		time.Sleep(stoppedAfter + time.Millisecond) // nobody has called Tick
+		time.Sleep(stopThreshold + time.Millisecond) // nobody has called Tick
 		if len(a.Entries(ListServiceLoad)) != 0 || a.NextMessage(1000, 2) != nil {
 			t.Error("entries from before the stop are still used or sent")
 		}
@@ -64,8 +64,8 @@
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
 		decodes, errDecode := 0, fmt.Errorf("no")
 		for i, step := range []struct {
-			body          string
-			read, changes int
+			body             string
+			decodes, changes int
 		}{{"x", 1, 1}, {"x", 1, 1}, {"y", 2, 2}, {"y", 2, 2}, {"x", 3, 3}} {
 			time.Sleep(TickInterval)
 			a.Tick()
@@ -81,7 +81,7 @@
 					}
 				}
 			}
-			if n, until := b.Changes(ListServiceLoad); decodes != step.read || int(n) != step.changes || !until.After(time.Now()) {
+			if n, until := b.Changes(ListServiceLoad); decodes != step.decodes || int(n) != step.changes || !until.After(time.Now()) {
 				t.Errorf("step %d: decoded %d times, %d changes", i, decodes, n)
 			}
 		}
@@ -105,7 +105,7 @@
 func TestStoresStoppedTogetherResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stores := []*Store{New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil), New("c", 1, shortBounds, nil)}
-		time.Sleep(stoppedAfter + time.Millisecond)
+		time.Sleep(stopThreshold + time.Millisecond)
 		resumedAt, received := time.Now(), false
 		for !received && time.Since(resumedAt) < time.Minute {
 			time.Sleep(TickInterval)
@@ -170,9 +170,9 @@
 				}
 			}
 		}
-		for kind, k := range missed {
-			if maxMissed := n * 10 * seconds / 100; k > maxMissed {
-				t.Errorf("%v: %d times of %d an entry was missing, at most %d", kind, k, n*10*seconds, maxMissed)
+		for kind, count := range missed {
+			if maxMissed := n * 10 * seconds / 100; count > maxMissed {
+				t.Errorf("%v: %d times of %d an entry was missing, at most %d", kind, count, n*10*seconds, maxMissed)
 			}
 		}
 	})
@@ -180,7 +180,7 @@
 
 // A new entry reaches all members within few rounds and is then no longer sent. The entries of a restarted observer replace
 // those of its predecessor.
-func TestUpdatesReachAllAndThenStop(t *testing.T) {
+func TestEntryReachesAllMembersAndIsThenNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 50
 		rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -16,14 +16,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.active(now) || now.Before(s.silentUntil) {
+	if !s.detectStop(now) || now.Before(s.sendPausedUntil) {
 		return nil
 	}
 	logSize := max(2, int(math.Ceil(math.Log10(float64(members)+1))))
 	// Entries that were sent often enough leave the list, so that later calls do not look at them again.
 	s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool {
 		maxSends := sendsFactor * logSize
-		if e.Kind == LatencyRow && members >= smallFleet {
+		if e.Kind == LatencyRow && members >= smallFleetSize {
 			maxSends = logSize // several observers publish a row every second, so a lost one does no harm
 		}
 		return e.removed || e.sends >= maxSends || e.age(now) > s.bounds[e.Kind]
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.active(now) {
+	if !s.detectStop(now) {
 		return nil
 	}
 	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -26,16 +26,16 @@
 
 const (
 	// A process that did not call Tick for this long was stopped, or had no processor time.
-	stoppedAfter = time.Second
+	stopThreshold = time.Second
 	// After a stop messages are ignored for this long, until the socket buffers are drained.
 	resumeDelay = 500 * time.Millisecond
 	// After a stop nothing is sent until a message was received, but no longer than this: where all processes were stopped
 	// at once, each would wait for the others for ever.
-	maxSilence = 3 * time.Second
+	maxSendPause = 3 * time.Second
 
-	maxEntries  = 20000 // about 4 MB
-	sendsFactor = 3     // an entry is sent at most this many times the logarithm of the fleet's size
-	smallFleet  = 10    // in fleets below this size, as among hubs, a site may have only one observer of its latency
+	maxEntries     = 20000 // about 4 MB
+	sendsFactor    = 3     // an entry is sent at most this many times the logarithm of the fleet's size
+	smallFleetSize = 10    // in fleets below this size, as among hubs, a site may have only one observer of its latency
 )
 
 // Store holds the entries known to one process. Its methods may be called from any goroutine.
@@ -45,20 +45,20 @@
 	bounds      AgeBounds
 	trace       func(Use) // called with the lock held
 
-	mu          sync.Mutex // protects all below
-	startedAt   time.Time
-	lastTick    time.Time
-	resumesAt   time.Time // before it nothing is received or sent
-	silentUntil time.Time // before it nothing is sent, unless something was received
-	sets        map[Kind]*entrySet
-	size        int            // number of entries in all sets
-	outgoing    []*storedEntry // entries that may have to be sent again; removed ones may be among them
-	lastSeq     map[entryKey]uint64
-	transit     transit
-	stops       int                              // see Stats
-	malformed   int                              // see Stats
-	useAges     map[Kind]*hdrhistogram.Histogram // ages at use, in ms
-	rejected    map[Kind]int                     // see KindStats
+	mu              sync.Mutex // protects all below
+	startedAt       time.Time
+	lastTick        time.Time
+	resumesAt       time.Time // before it nothing is received or sent
+	sendPausedUntil time.Time // before it nothing is sent, unless something was received
+	sets            map[Kind]*entrySet
+	size            int            // number of entries in all sets
+	outgoing        []*storedEntry // entries that may have to be sent again; removed ones may be among them
+	lastSeq         map[entryKey]uint64
+	transit         transit
+	stops           int                              // see Stats
+	malformed       int                              // see Stats
+	useAges         map[Kind]*hdrhistogram.Histogram // ages at use, in ms
+	rejected        map[Kind]int                     // see KindStats
 }
 
 // New returns an empty store for the process with the given name and incarnation. It keeps bounds, which must not change
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.active(now)
+	s.detectStop(now)
 	s.lastTick = now
 	for kind, set := range s.sets {
 		if now.Before(set.nextExpiry) {
@@ -153,22 +153,22 @@
 func (s *Store) Changes(kind Kind) (n uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active(time.Now())
+	s.detectStop(time.Now())
 	set := s.set(kind)
 	return set.changes, set.nextExpiry
 }
 
-// active drops all entries if the process was stopped until now. It reports whether messages may be received and entries
+// detectStop drops all entries if the process was stopped until now. It reports whether messages may be received and entries
 // used: not within resumeDelay after a stop. The lock is held.
-func (s *Store) active(now time.Time) bool {
-	if now.Sub(s.lastTick) > stoppedAfter {
+func (s *Store) detectStop(now time.Time) bool {
+	if now.Sub(s.lastTick) > stopThreshold {
 		for _, set := range s.sets {
 			set.entries = nil
 			set.changes++
 		}
 		s.size, s.outgoing = 0, nil
 		s.stops++
-		s.lastTick, s.resumesAt, s.silentUntil = now, now.Add(resumeDelay), now.Add(maxSilence)
+		s.lastTick, s.resumesAt, s.sendPausedUntil = now, now.Add(resumeDelay), now.Add(maxSendPause)
 	}
 	return !now.Before(s.resumesAt)
 }
@@ -197,11 +197,11 @@
 		s.malformed++
 		return 0, err
 	}
-	if !s.active(now) || m.Sender == s.self {
+	if !s.detectStop(now) || m.Sender == s.self {
 		return 0, nil
 	}
 	transit = s.transit.maxTransit(m, now, now.Sub(s.startedAt))
-	s.silentUntil = time.Time{}
+	s.sendPausedUntil = time.Time{}
 	for _, entry := range m.Entries {
 		entry.Age += transit
 		if entry.Observer != s.self {
@@ -240,7 +240,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.active(now) {
+	if !s.detectStop(now) {
 		return nil
 	}
 	for _, stored := range s.set(kind).entries {
@@ -266,7 +266,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.active(now)
+	s.detectStop(now)
 	k := entryKey{kind, subject, s.self}
 	s.lastSeq[k]++
 	entry := Entry{Kind: kind, Subject: subject, Observer: s.self, Incarnation: s.incarnation, Seq: s.lastSeq[k], Age: age,
