--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -1,18 +1,17 @@
-// Package documents distributes versioned documents, texts with a version number and a digest, to all processes of a
-// fleet: the residency policy and the agents' settings. A process that holds a document publishes its version and
-// digest as a gossip entry; a process that does not know the digest fetches the text over HTTP from one that does. A
+// Package documents distributes versioned documents, texts with a version number and a digest, to all processes of a fleet:
+// the residency policy and the agents' settings. A process that holds a document publishes its version and digest as a
+// gossip entry; a process that does not have the text with this digest fetches the text over HTTP from one that does. A
 // version never decreases anywhere: the Holder at each process rejects lower ones.
 //
 // # Ownership of state
 //
-// The applied text belongs to the Holder, which checks, stores and applies it. A Document adds when each digest was
-// last fetched, below a lock; its other fields are constant. The owner of the gossip store calls Follow with each
-// valid entry, several times a second. Each fetch is a goroutine of its own, which nobody waits for: it ends when the
-// context of Follow does.
+// The applied text belongs to the Holder, which checks, stores and applies it. A Document adds when each digest was last
+// fetched, below a lock; its other fields are constant. The owner of the gossip store calls Follow with each valid entry,
+// several times a second. Each fetch runs in its own goroutine, which no caller waits for: it ends when the context passed
+// to Follow ends.
 //
-// What a process has applied does not expire with the gossip entries: when no source can be reached, it serves on
-// with it. Where the age matters, as for the residency policy, Confirm tells the Holder when a source was last known
-// to hold it.
+// An applied text does not expire with the gossip entries: a process that can reach no source keeps using it. Where the age
+// matters, as for the residency policy, Confirm notifies the Holder when a source was last observed to have the text.
 package documents
 
 import (
@@ -36,13 +35,13 @@
 	fetchTimeout       = 2 * time.Second // for all sources of one fetch
 	fetchRetryInterval = time.Second     // between fetches of one digest, on top of the jitter
 	maxDigests         = 64              // in one AppliedVersion
-	maxTrackedFetches  = 256             // digests whose last fetch is remembered
+	maxTrackedFetches  = 256             // digests whose last fetch is recorded
 )
 
 // AppliedVersion is the version of a document that a process has applied, as published in the body of a gossip entry.
 type AppliedVersion struct {
 	Version int64    `cbor:"1,keyasint"` // 0: none
-	Digests []string `cbor:"2,keyasint"` // of all texts known with that version; more than one is an operator's mistake
+	Digests []string `cbor:"2,keyasint"` // of all texts received with that version; more than one is an operator's mistake
 }
 
 // MarshalBody encodes the version as the body of a gossip entry.
@@ -54,8 +53,8 @@
 	return body
 }
 
-// ParseAppliedVersion decodes the body of a gossip entry. ok is false if it is malformed, has no version or no
-// digest, or too many.
+// ParseAppliedVersion decodes the body of a gossip entry. ok is false if the body is malformed, has no version or no digest,
+// or has too many digests.
 func ParseAppliedVersion(body []byte) (v AppliedVersion, ok bool) {
 	if err := cbor.Unmarshal(body, &v); err != nil {
 		return v, false
@@ -65,10 +64,10 @@
 
 // Holder keeps the applied text of a document at one process. Its methods may be called from any goroutine.
 type Holder interface {
-	// Apply checks a text and applies it. A version below the applied one is an error, and so is a text that can't be
-	// used; the Holder logs either.
+	// Apply checks a text and applies it. It returns an error if the version is below the applied one or the text is
+	// invalid. The Holder logs these errors.
 	Apply(version int64, text string) error
-	// Text returns the text with a digest and its version. ok is false if the text is not held here.
+	// Text returns the text with a digest and its version. ok is false if the Holder does not have it.
 	Text(digest string) (version int64, text string, ok bool)
 }
 
@@ -83,26 +82,27 @@
 	Applied    func() AppliedVersion
 	Digest     func(text string) string
 
-	// Confirm, if set, is told that a source held an applied text, and how long ago that was observed.
+	// Confirm, if set, is called when a source has an applied text. age is the time since that was observed.
 	Confirm func(version int64, digest string, age time.Duration)
 	// ShouldFetch decides whether a text that is not applied is fetched; nil: always.
 	ShouldFetch func(version int64, digest string) bool
-	// FetchJitter is the upper bound of a random delay before a fetch, for when many processes learn of a version at once.
+	// FetchJitter is the upper bound of a random delay before a fetch. It spreads the fetches of many processes that receive
+	// a version at the same time.
 	FetchJitter time.Duration
 
 	mu        sync.Mutex
 	lastFetch map[string]time.Time // by digest: when a fetch was last started
 }
 
-// Sources are the processes to fetch a text from, as IP:port and in order, and how to connect to them.
+// Sources lists the processes to fetch a text from, in order and as IP:port, and how to connect to them.
 type Sources struct {
 	Addrs []string
 	Dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Follow compares what a process holds, according to its gossip entry, with the applied version. It confirms what is
-// applied, and starts a goroutine to fetch what is newer, from sources. Malformed entries are ignored. It does not
-// block; a fetch ends with ctx.
+// Follow compares the version that another process published in a gossip entry with the applied version. It confirms texts
+// that are applied, and starts a goroutine to fetch a newer text from sources. It ignores malformed entries. It does not
+// block; a fetch ends when ctx ends.
 func (d *Document) Follow(ctx context.Context, entry gossip.Entry, sources func() Sources) {
 	published, ok := ParseAppliedVersion(entry.Body)
 	if !ok {
@@ -121,7 +121,7 @@
 	}
 }
 
-// fetchAllowed reports whether a fetch of a digest may be started now, and records that it is.
+// fetchAllowed reports whether a fetch of a digest may start now, and if so records its start.
 func (d *Document) fetchAllowed(digest string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,8 +135,8 @@
 	return true
 }
 
-// fetch requests a text from the sources in turn and applies the first answer with the right digest and version. If
-// no source has it, Follow starts another fetch later.
+// fetch requests a text from the sources in turn and applies the first response with the right digest and version. If no
+// source has it, Follow starts another fetch later.
 func (d *Document) fetch(ctx context.Context, digest string, version int64, sources Sources) {
 	if d.FetchJitter > 0 {
 		select {
@@ -157,7 +157,7 @@
 	}
 }
 
-// textResponse is the JSON body of an answer to a fetch.
+// textResponse is the JSON body of a response to a fetch.
 type textResponse struct {
 	Version int64  `json:"version"`
 	Text    string `json:"text"`
@@ -181,7 +181,8 @@
 	return response, json.NewDecoder(io.LimitReader(resp.Body, int64(2*d.MaxBytes))).Decode(&response)
 }
 
-// Serve answers an HTTP request for the text with a digest, as JSON, or with status 404 if it is not held here.
+// Serve responds to an HTTP request for the text with a digest: with the text as JSON, or with status 404 if the Holder does
+// not have it.
 func (d *Document) Serve(w http.ResponseWriter, digest string) {
 	version, text, ok := d.Holder.Text(digest)
 	if !ok {
--- a/internal/fleet/documents/documents_test.go
+++ b/internal/fleet/documents/documents_test.go
@@ -167,7 +167,7 @@
 		return len(s.requested()) == 2
 	})
 	if took := time.Since(startedAt); took <= fetchRetryInterval {
-		t.Errorf("the second fetch came after %v", took)
+		t.Errorf("second fetch started after %v, want a longer interval", took)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	d.Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(s.addr))
 	if !slices.Equal(queried, []string{digestOf("two")}) || len(d.lastFetch) > 0 {
-		t.Errorf("asked about %q, fetches %v, want none", queried, d.lastFetch)
+		t.Errorf("ShouldFetch was called for %q; fetches %v, want none", queried, d.lastFetch)
 	}
 }
 
