--- a/internal/fleet/gossip/age_test.go
+++ b/internal/fleet/gossip/age_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens to messages and processes, no entry is used past its age bound or with too low an age: ages are compared
-// with the test's own clock. Messages are lost, overtake each other and wait in queues for seconds; processes are stopped and
-// resume with the entries they held and the messages that arrived meanwhile.
+// No entry is used past its age bound or with an age that is too low by the test's own clock. Messages are lost, reordered
+// and queued for seconds. Processes are stopped and resume with the entries from before the stop and the messages that
+// arrived during the stop.
 func TestNoEntryIsUsedPastItsAgeBound(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) simStep {
@@ -34,7 +34,7 @@
 	minTransit = time.Millisecond // transit time of the fastest message
 )
 
-// simStep is a step of a simulation: what happens, at or between which stores, and a delay in ms.
+// simStep is a step of a simulation: the action, the stores it concerns, and a delay in ms.
 type simStep struct{ from, to, delay, action int }
 
 // simulation is a set of stores that send each other messages, and the test's own record of when entries were published.
@@ -90,12 +90,12 @@
 	}
 	age := time.Since(sim.publishedAt[name(u.Entry)])
 	if u.AgeAtUse > shortBounds[u.Kind] || u.AgeAtUse < age-n*minTransit || age > shortBounds[u.Kind]+n*minTransit {
-		sim.failure = fmt.Sprintf("entry of kind %v is used at age %v as %v old, bound %v",
+		sim.failure = fmt.Sprintf("entry of kind %v: actual age %v, age at use %v, bound %v",
 			u.Kind, age, u.AgeAtUse, shortBounds[u.Kind])
 	}
 }
 
-// runStep takes step k.
+// runStep performs step k.
 func (sim *simulation) runStep(k int, s simStep) {
 	store := sim.stores[s.from]
 	switch {
@@ -118,7 +118,7 @@
 func (sim *simulation) send(s simStep) {
 	data := sim.stores[s.from].NextMessage(1000, simStores)
 	delay := minTransit
-	if sim.sentBefore[[2]int{s.from, s.to}] { // the shortest transit time is known by then
+	if sim.sentBefore[[2]int{s.from, s.to}] { // the receiver has recorded the shortest transit time
 		delay += time.Duration(s.delay) * time.Millisecond
 	}
 	if data == nil || s.from == s.to || delay == minTransit && sim.stopped[s.to] {
@@ -127,7 +127,7 @@
 	sim.sentBefore[[2]int{s.from, s.to}] = true
 	time.AfterFunc(delay, func() {
 		receiverStopped := func() bool { sim.mu.Lock(); defer sim.mu.Unlock(); return sim.stopped[s.to] }
-		for delay > minTransit && receiverStopped() { // it waits in the receiver's socket buffer
+		for delay > minTransit && receiverStopped() { // the message waits in the receiver's socket buffer
 			time.Sleep(10 * time.Millisecond)
 		}
 		if err := sim.stores[s.to].Merge(data); err != nil {
--- a/internal/fleet/gossip/entry.go
+++ b/internal/fleet/gossip/entry.go
@@ -47,11 +47,11 @@
 	// A service that rejected calls is called again after at most this time. With a longer bound old entries would delay
 	// every agent.
 	ListServiceLoad: 5 * time.Second,
-	// Rows are published every second. A change of latency has to show within 3 s.
+	// Rows are published every second. A change of latency must be visible to others within 3 s.
 	LatencyRow: 3 * time.Second,
 	// The residency policy has a stricter bound of its own. This one limits how long a version may take to spread.
 	ResidencyVersion: 10 * time.Second,
-	// Published every second while it holds. A restarted process gets its quota back at most this much later.
+	// Published every second while the processes are dead. A restarted process gets its quota back at most this much later.
 	DeadProcesses: 3 * time.Second,
 	// Published every second. Versions only rise, so an old entry is harmless; it is merely less informative.
 	SettingsVersion: 10 * time.Second,
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -14,7 +14,8 @@
 
 var shortBounds = AgeBounds{ListServiceLoad: 2 * time.Second, LatencyRow: time.Second}
 
-// A process that was stopped neither uses nor sends the entries it held, and sends nothing before it has received a message.
+// A process that was stopped neither uses nor sends its entries from before the stop, and sends nothing before it has
+// received a message.
 func TestStoppedProcessDropsItsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
@@ -34,7 +35,7 @@
 		if err := a.Merge(b.NextMessage(1000, 2)); err != nil || len(a.Entries(ListServiceLoad)) != 1 {
 			t.Fatal(err, a.Entries(ListServiceLoad))
 		}
-		time.Sleep(stopThreshold + time.Millisecond) // nobody has called Tick
+		time.Sleep(stopThreshold + time.Millisecond) // without a call of Tick
 		if len(a.Entries(ListServiceLoad)) != 0 || a.NextMessage(1000, 2) != nil {
 			t.Error("entries from before the stop are still used or sent")
 		}
@@ -52,7 +53,7 @@
 			t.Error("nothing is sent after a message was received", err)
 		}
 		if a.Stats().Stops != 1 {
-			t.Errorf("%d stops", a.Stats().Stops)
+			t.Errorf("got %d stops, want 1", a.Stats().Stops)
 		}
 	})
 }
@@ -62,7 +63,7 @@
 func TestBodyIsDecodedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
-		decodes, errDecode := 0, fmt.Errorf("no")
+		decodes, errDecode := 0, fmt.Errorf("decoding failed")
 		for i, step := range []struct {
 			body             string
 			decodes, changes int
@@ -90,7 +91,7 @@
 			b.Tick()
 		}
 		if n, _ := b.Changes(ListServiceLoad); n != 4 || b.Stats().Entries != 0 {
-			t.Errorf("past its bound: %d changes, %d held", n, b.Stats().Entries)
+			t.Errorf("past the bound: %d changes, %d entries in the store", n, b.Stats().Entries)
 		}
 		for range 1000 {
 			a.Publish(ListServiceLoad, "s", nil)
@@ -101,7 +102,7 @@
 	})
 }
 
-// Processes that were all stopped at the same time do not wait for each other's messages for ever.
+// Processes that were all stopped at the same time do not wait for each other's messages indefinitely.
 func TestStoresStoppedTogetherResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stores := []*Store{New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil), New("c", 1, shortBounds, nil)}
@@ -121,13 +122,13 @@
 			received = len(stores[1].Entries(ListServiceLoad)) > 1
 		}
 		if took := time.Since(resumedAt); took > 5*time.Second {
-			t.Errorf("silent for %v", took)
+			t.Errorf("no entry was received for %v after the stop", took)
 		}
 	})
 }
 
-// In a small fleet, as among hubs, at least 99 of 100 entries reach every member before they are two thirds of their bound
-// old: there is no second observer that publishes the same.
+// In a small fleet, as among hubs, at least 99 of 100 entries reach every member before their age reaches two thirds of its
+// bound. In such a fleet no second observer publishes the same latencies.
 func TestSmallFleetReceivesNearlyAllUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n, seconds = 7, 200
@@ -172,14 +173,14 @@
 		}
 		for kind, count := range missed {
 			if maxMissed := n * 10 * seconds / 100; count > maxMissed {
-				t.Errorf("%v: %d times of %d an entry was missing, at most %d", kind, count, n*10*seconds, maxMissed)
+				t.Errorf("%v: an entry was missing in %d of %d checks, want at most %d", kind, count, n*10*seconds, maxMissed)
 			}
 		}
 	})
 }
 
-// A new entry reaches all members within few rounds and is then no longer sent. The entries of a restarted observer replace
-// those of its predecessor.
+// A new entry reaches all members within a few rounds and is then not sent again. The entries of a restarted observer
+// replace those of its predecessor.
 func TestEntryReachesAllMembersAndIsThenNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 50
@@ -213,12 +214,12 @@
 			}
 		}
 		if rounds > 20 {
-			t.Errorf("%d rounds until nothing is sent", rounds)
+			t.Errorf("an entry is still sent after %d rounds", rounds)
 		}
 		restarted := New("0", 2, AgeBounds{ListServiceLoad: time.Minute}, nil)
 		restarted.Publish(ListServiceLoad, "x", []byte("two"))
 		if err := stores[1].Merge(restarted.NextMessage(1000, n)); err != nil || string(stores[1].Entries(ListServiceLoad)[0].Body) != "two" {
-			t.Error("the entry of an older process stays", err)
+			t.Error("the predecessor's entry was not replaced", err)
 		}
 	})
 }
@@ -239,7 +240,7 @@
 	}
 }
 
-// Whatever arrives from the network is an error, or a message within its limits that can be encoded and decoded again.
+// DecodeMessage returns an error for any input, or a message within its limits that can be encoded and decoded again.
 func FuzzDecodeMessage(f *testing.F) {
 	s := New("a", 1, shortBounds, nil)
 	s.Publish(ListServiceLoad, "x", []byte("body"))
@@ -262,7 +263,7 @@
 		_ = b.Merge(data)
 		for _, entry := range b.Entries(ListServiceLoad) {
 			if entry.Age > shortBounds[ListServiceLoad] {
-				t.Errorf("%v old", entry.Age)
+				t.Errorf("an entry was returned at age %v, past its bound", entry.Age)
 			}
 		}
 	})
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	logSize := max(2, int(math.Ceil(math.Log10(float64(members)+1))))
-	// Entries that were sent often enough leave the list, so that later calls do not look at them again.
+	// Entries that were sent often enough are removed from the list, so that later calls do not check them again.
 	s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool {
 		maxSends := sendsFactor * logSize
 		if e.Kind == LatencyRow && members >= smallFleetSize {
--- a/internal/fleet/gossip/stats.go
+++ b/internal/fleet/gossip/stats.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Stats are the counters of a store since it was made.
+// Stats are the counters of a store since it was created.
 type Stats struct {
-	Entries   int                  // entries held now
+	Entries   int                  // entries in the store now
 	Stops     int                  // times that the process was found to have been stopped
 	Malformed int                  // messages that could not be decoded
 	Kinds     map[string]KindStats // by Kind.String, one for each kind that has an age bound
@@ -19,7 +19,7 @@
 // KindStats are the counters of one kind of entry.
 type KindStats struct {
 	Used          int64 // entries returned by Store.Entries
-	Rejected      int   // entries past their bound, on arrival or on use, and entries for which the store had no room
+	Rejected      int   // entries past their bound, on arrival or on use, and entries that arrived while the store was full
 	P50, P99, Max int64 // age at use, in ms
 }
 
@@ -38,7 +38,7 @@
 	return st
 }
 
-// String returns the counters in the form in which the summary log line has them.
+// String returns the counters in the form used in the summary log line.
 func (k KindStats) String() string {
 	return fmt.Sprintf("used %d, refused %d, age ms p50 %d p99 %d max %d", k.Used, k.Rejected, k.P50, k.P99, k.Max)
 }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -1,9 +1,9 @@
-// Package gossip is a store of observations that the processes of a fleet share by gossip: entries, each with its observer
-// and its age.
+// Package gossip stores observations that the processes of a fleet share by gossip. Each observation is an entry with its
+// observer and its age.
 //
-// Each process owns one Store. The store holds the entries that this process published and those that it received, and is
-// protected by one lock; any goroutine may use it, and the package starts none of its own. The owner calls Tick every
-// TickInterval, passes received messages to Merge and sends what NextMessage returns.
+// Each process owns one Store. The store contains the entries that this process published or received. One lock protects it,
+// and any goroutine may use it; the package starts no goroutines. The owner calls Tick every TickInterval, passes received
+// messages to Merge and sends what NextMessage returns.
 //
 // An age is the sum of time spans on monotonic clocks: in the observer's store since the observation, in each store on the
 // way, and an upper bound of each message's time in transit (transit.go). Wall clocks are not read. Entries returns an entry
@@ -29,8 +29,8 @@
 	stopThreshold = time.Second
 	// After a stop messages are ignored for this long, until the socket buffers are drained.
 	resumeDelay = 500 * time.Millisecond
-	// After a stop nothing is sent until a message was received, but no longer than this: where all processes were stopped
-	// at once, each would wait for the others for ever.
+	// After a stop nothing is sent until a message was received, but for at most this time: if all processes were stopped at
+	// once, each would otherwise wait for the others indefinitely.
 	maxSendPause = 3 * time.Second
 
 	maxEntries     = 20000 // about 4 MB
@@ -38,7 +38,7 @@
 	smallFleetSize = 10    // in fleets below this size, as among hubs, a site may have only one observer of its latency
 )
 
-// Store holds the entries known to one process. Its methods may be called from any goroutine.
+// Store holds the entries that one process published or received. Its methods may be called from any goroutine.
 type Store struct {
 	self        string // name of this process
 	incarnation uint64
@@ -141,7 +141,7 @@
 	if expiresAt := e.expiresAt(s.bounds); len(set.entries) == 1 || expiresAt.Before(set.nextExpiry) {
 		set.nextExpiry = expiresAt
 	}
-	if len(s.outgoing) > 2*s.size+16 { // no message was requested for long, as without other members
+	if len(s.outgoing) > 2*s.size+16 { // no message was requested for a long time, for example because there are no other members
 		s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool { return e.removed })
 	}
 	s.outgoing = append(s.outgoing, e)
@@ -159,7 +159,7 @@
 }
 
 // detectStop drops all entries if the process was stopped until now. It reports whether messages may be received and entries
-// used: not within resumeDelay after a stop. The lock is held.
+// used, which is false within resumeDelay after a stop. The lock is held.
 func (s *Store) detectStop(now time.Time) bool {
 	if now.Sub(s.lastTick) > stopThreshold {
 		for _, set := range s.sets {
@@ -173,14 +173,14 @@
 	return !now.Before(s.resumesAt)
 }
 
-// Publish stores an observation that this process made just now, and has it sent to others. It copies body.
+// Publish stores an observation that this process made just now, and queues it for sending to others. It copies body.
 func (s *Store) Publish(kind Kind, subject string, body []byte) {
 	s.PublishAged(kind, subject, body, 0)
 }
 
-// Merge stores the entries of a message that was received now, and has them sent on. Entries with this process's name as
-// observer are ignored: they are an echo, or come from another process with the same name. It returns an error if the
-// message is malformed; entries that are too old are counted in Stats.
+// Merge stores the entries of a message that was received now, and queues them for sending to others. It ignores entries
+// with this process's name as observer: they were published here, or come from another process with the same name. It
+// returns an error if the message is malformed; entries that are too old are counted in Stats.
 func (s *Store) Merge(data []byte) error {
 	_, err := s.MergeTimed(data)
 	return err
@@ -211,7 +211,8 @@
 	return transit, nil
 }
 
-// mergeEntry stores an entry from a message, unless it is too old, is already known or there is no room. The lock is held.
+// mergeEntry stores an entry from a message, unless the entry is too old or already stored, or the store is full. The lock
+// is held.
 func (s *Store) mergeEntry(entry Entry, now time.Time) {
 	if entry.Age > s.bounds[entry.Kind] {
 		s.rejected[entry.Kind]++
@@ -261,7 +262,7 @@
 	return list
 }
 
-// PublishAged is like Publish for an entry that was derived from others: age is that of the oldest entry it rests on.
+// PublishAged is like Publish for an entry that was derived from others. age is the age of the oldest of these.
 func (s *Store) PublishAged(kind Kind, subject string, body []byte, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/gossip/trace.go
+++ b/internal/fleet/gossip/trace.go
@@ -15,7 +15,7 @@
 // compared by it. A Trace whose W is nil writes nothing. Its methods may be called from any goroutine.
 type Trace struct{ W io.Writer }
 
-// traceMu keeps the lines of all traces of the process whole: several may share a file.
+// traceMu keeps the lines of this process's traces from being interleaved: several traces may share a file.
 var traceMu sync.Mutex
 
 // Use writes a line for an entry that was used or published.
@@ -47,7 +47,7 @@
 	_, _ = t.W.Write(append(data, '\n'))
 }
 
-// Use says that a process used an entry, or published one.
+// Use describes that this process used or published an entry.
 type Use struct {
 	Entry
 	Published bool          // this process published the entry; false: it used it
--- a/internal/fleet/gossip/transit.go
+++ b/internal/fleet/gossip/transit.go
@@ -6,8 +6,8 @@
 
 // transit computes upper bounds of transit times. The offset between the monotonic clocks of sender and receiver is unknown,
 // but it changes only by drift. So local time minus sender's clock is smallest for the fastest message, and that one took at
-// most a round trip. The bound for any message is the round trip plus what it took beyond the fastest. This also accounts
-// for a message that waited in a queue, or in the socket buffer of a process that was stopped.
+// most a round trip. The bound for any message is the round trip plus the time that the message took longer than the
+// fastest. This bound includes time that a message waited in a queue, or in the socket buffer of a process that was stopped.
 //
 // It is part of a Store and protected by the Store's lock.
 type transit struct {
@@ -26,7 +26,7 @@
 
 const (
 	driftWindow = time.Minute            // two clocks drift apart by less than 10 ms in this time
-	maxSenders  = 4096                   // senders and round trips remembered
+	maxSenders  = 4096                   // greatest number of senders and of round trips that are recorded
 	defaultRTT  = 250 * time.Millisecond // smallest round trip assumed for a sender to which none was measured
 )
 
@@ -42,8 +42,9 @@
 	return longest
 }
 
-// maxTransit returns an upper bound of the time that a message was in transit: a round trip, plus what it took beyond the
-// fastest message from this sender in the last one to two windows. local is the receiver's monotonic time since its start.
+// maxTransit returns an upper bound of the time that a message was in transit: a round trip, plus the time that it took
+// longer than the fastest message from this sender in the last one to two windows. local is the receiver's monotonic time
+// since its start.
 func (t *transit) maxTransit(m *Message, now time.Time, local time.Duration) time.Duration {
 	offset := local - m.Clock
 	o := t.senders[m.Sender]
@@ -67,7 +68,7 @@
 	return offset - minOffset + t.rtt(m.Sender)
 }
 
-// evict forgets the sender from which nothing was received for the longest time.
+// evict removes the sender from which nothing was received for the longest time.
 func (t *transit) evict() {
 	oldest := ""
 	for name, o := range t.senders {
