--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -1,8 +1,7 @@
-// Package incarnation numbers the processes that run under one name, so that a later process has a higher number than
-// an earlier one, also where the machine's clock was set back between them. A number is the wall clock's reading in
-// milliseconds, or one more than the previous number if that is higher. The previous number is stored in a directory,
-// which survives a restart of the machine. Processes of program versions that used the clock's reading alone can be
-// compared, too.
+// Package incarnation numbers the processes that run under one name, so that a later process has a higher number than an
+// earlier one, even if the machine's clock was set back between them. A number is the wall clock's reading in milliseconds,
+// or one more than the previous number if that is higher. The previous number is stored in a directory, which survives a
+// restart of the machine. Processes of program versions that used the clock's reading alone can be compared, too.
 package incarnation
 
 import (
@@ -26,9 +25,9 @@
 // Allocator allocates the incarnations of a name. Its methods may be called from any goroutine. Processes that run at
 // the same time under one name and directory may be given the same number.
 type Allocator struct {
-	Dir  string // holds the latest number; "": none does
+	Dir  string // stores the latest number; "": numbers are not stored
 	Name string
-	Log  *slog.Logger // nil: none
+	Log  *slog.Logger // nil: failures are not logged
 }
 
 // mu serializes the allocators of this process.
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -10,8 +10,8 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Each number is above the stored one, whatever the clock shows. Without a stored number that can be read, or a
-// directory that can be written to, it is the clock's reading.
+// Each number is above the stored one, regardless of the clock. If the stored number cannot be read or the directory cannot
+// be written to, the number is the clock's reading.
 func TestNextIsAboveStoredNumber(t *testing.T) {
 	dir := t.TempDir()
 	a := Allocator{Dir: dir, Name: "n/0"}
@@ -21,11 +21,11 @@
 	}
 	for i := range 3 {
 		if got := a.Next(); got != uint64(ahead)+uint64(i)+1 {
-			t.Errorf("got %d, %d is stored", got, ahead)
+			t.Errorf("got %d after the stored number %d", got, ahead)
 		}
 	}
 	if got := (Allocator{Dir: dir, Name: "n1"}).Next(); got >= uint64(ahead) {
-		t.Errorf("another name got %d, which follows the stored number of this one", got)
+		t.Errorf("another name got %d, which was derived from the number stored for this name", got)
 	}
 	torn := filepath.Join(dir, "incarnation-n2")
 	if err := os.WriteFile(torn, []byte(`{"format":1,"ver`), 0o600); err != nil {
@@ -38,7 +38,7 @@
 		"unusable directory": {Dir: torn, Name: "n4"},
 	} {
 		if got := a.Next(); got < now || got > now+uint64(time.Minute.Milliseconds()) {
-			t.Errorf("%s: %d at %d", name, got, now)
+			t.Errorf("%s: got %d at wall clock %d ms", name, got, now)
 		}
 	}
 }
