--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -16,7 +16,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.detectStop(now) || now.Before(s.sendPausedUntil) {
+	if !s.checkActive(now) || now.Before(s.sendPausedUntil) {
 		return nil
 	}
 	logSize := max(2, int(math.Ceil(math.Log10(float64(members)+1))))
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.detectStop(now) {
+	if !s.checkActive(now) {
 		return nil
 	}
 	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.detectStop(now)
+	s.checkActive(now)
 	s.lastTick = now
 	for kind, set := range s.sets {
 		if now.Before(set.nextExpiry) {
@@ -153,14 +153,14 @@
 func (s *Store) Changes(kind Kind) (n uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.detectStop(time.Now())
+	s.checkActive(time.Now())
 	set := s.set(kind)
 	return set.changes, set.nextExpiry
 }
 
-// detectStop drops all entries if the process was stopped until now. It reports whether messages may be received and entries
+// checkActive drops all entries if the process was stopped until now. It reports whether messages may be received and entries
 // used, which is false within resumeDelay after a stop. The lock is held.
-func (s *Store) detectStop(now time.Time) bool {
+func (s *Store) checkActive(now time.Time) bool {
 	if now.Sub(s.lastTick) > stopThreshold {
 		for _, set := range s.sets {
 			set.entries = nil
@@ -197,7 +197,7 @@
 		s.malformed++
 		return 0, err
 	}
-	if !s.detectStop(now) || m.Sender == s.self {
+	if !s.checkActive(now) || m.Sender == s.self {
 		return 0, nil
 	}
 	transit = s.transit.maxTransit(m, now, now.Sub(s.startedAt))
@@ -241,7 +241,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.detectStop(now) {
+	if !s.checkActive(now) {
 		return nil
 	}
 	for _, stored := range s.set(kind).entries {
@@ -267,7 +267,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.detectStop(now)
+	s.checkActive(now)
 	k := entryKey{kind, subject, s.self}
 	s.lastSeq[k]++
 	entry := Entry{Kind: kind, Subject: subject, Observer: s.self, Incarnation: s.incarnation, Seq: s.lastSeq[k], Age: age,
