--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// locked calls do with the lock held.
-func (n *testNetwork) locked(do func()) {
+// withLock calls do with the lock held.
+func (n *testNetwork) withLock(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
@@ -149,14 +149,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var mu sync.Mutex
-		addedDelay, cut := time.Duration(0), false
+		addedDelay, partitioned := time.Duration(0), false
 		oneWay := func(from, to string) (time.Duration, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			d, ok := uniformDelay(from, to)
 			if from != to && from != "b" && to != "b" {
 				d += addedDelay
-				ok = !cut
+				ok = !partitioned
 			}
 			return d, ok
 		}
@@ -172,13 +172,13 @@
 		time.Sleep(3*time.Second + 500*time.Millisecond)
 		check("slower", "a", "c", 42*time.Millisecond)
 		check("slower", "a", "b", 2*time.Millisecond)
-		network.locked(func() {
+		network.withLock(func() {
 			network.addedDelay["a0"], network.addedDelay["a1"] = 300*time.Millisecond, 300*time.Millisecond
 		})
 		time.Sleep(3 * time.Second)
 		check("with false measurements", "a", "c", 42*time.Millisecond)
 		mu.Lock()
-		cut = true
+		partitioned = true
 		mu.Unlock()
 		time.Sleep(4 * time.Second)
 		for i := range network.members {
@@ -201,7 +201,7 @@
 			defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
 			time.Sleep(10 * time.Second)
 			sum, maxBytes, probes := 0, 0, 0
-			network.locked(func() {
+			network.withLock(func() {
 				for _, b := range network.bytes {
 					sum, maxBytes = sum+b, max(maxBytes, b)
 				}
@@ -222,7 +222,7 @@
 
 // A row counts only if its observer is a member of its site, once for each pair, and only if it is well-formed.
 func TestRowsAreCheckedAgainstMembership(t *testing.T) {
-	alive := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}},
+	view := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}},
 		member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
 	one := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
@@ -239,10 +239,10 @@
 		"a minute":      {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", RTTMicros: 60e6, Count: 1}}})}, 0},
 		"no row":        {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
-		if got := NewMatrix([]gossip.Entry{c.f}, alive); len(got) != c.want {
+		if got := NewMatrix([]gossip.Entry{c.f}, view); len(got) != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
-		if e, known := NewMatrix([]gossip.Entry{c.f}, alive).Between("b", "a"); known && e.Observers != 1 {
+		if e, known := NewMatrix([]gossip.Entry{c.f}, view).Between("b", "a"); known && e.Observers != 1 {
 			t.Errorf("%s: %d observers", name, e.Observers)
 		}
 	}
--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -60,7 +60,7 @@
 	reports := map[Pair][]report{}
 	for _, row := range rows {
 		decoded, err := gossip.DecodeBody(row, unmarshalRow)
-		if m, there := view.ByName(row.Observer); err != nil || row.Subject == "" || !there || m.Site != row.Subject {
+		if m, found := view.ByName(row.Observer); err != nil || row.Subject == "" || !found || m.Site != row.Subject {
 			continue
 		}
 		seen := map[string]bool{}
--- a/internal/fleet/latency/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -122,7 +122,7 @@
 	defer publish.Stop()
 	next := time.NewTimer(0)
 	defer next.Stop()
-	for turn := 0; ; {
+	for probeNumber := 0; ; {
 		select {
 		case <-ctx.Done():
 			return
@@ -131,8 +131,8 @@
 		case <-next.C:
 			sites, interval := p.plan()
 			if len(sites) > 0 {
-				p.sendProbe(sites[turn%len(sites)])
-				turn++
+				p.sendProbe(sites[probeNumber%len(sites)])
+				probeNumber++
 			}
 			next.Reset(time.Duration((0.5 + rand.Float64()) * float64(interval))) // members must not probe in lockstep
 		}
