--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -73,7 +73,7 @@
 // documentPeers returns the members to ask for a document whose version the named one has published: that one first.
 func (f *Fleet) documentPeers(publisher string) documents.Sources {
 	peers, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
-	if m, there := view.ByName(publisher); there {
+	if m, found := view.ByName(publisher); found {
 		peers.Addrs = append(peers.Addrs, m.Addr.String())
 	}
 	for m := range view.All() {
--- a/internal/fleet/documents_test.go
+++ b/internal/fleet/documents_test.go
@@ -35,18 +35,18 @@
 			return true
 		}
 	}
-	give := func(i, version int, region string) {
+	apply := func(i, version int, region string) {
 		if err := holders[i].Apply(int64(version), text(version, region)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	waitFor(t, "a state in which nothing is permitted", holds(false, false))
-	give(0, 1, `"x", "y"`)
+	apply(0, 1, `"x", "y"`)
 	waitFor(t, "the first policy", holds(true, true))
-	give(0, 2, `"x"`)
+	apply(0, 2, `"x"`)
 	waitFor(t, "the second policy", holds(true, false))
-	give(1, 2, `"y"`)
+	apply(1, 2, `"y"`)
 	waitFor(t, "what both permit", holds(false, false))
-	give(1, 3, `"y"`)
+	apply(1, 3, `"y"`)
 	waitFor(t, "the third policy", holds(false, true))
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -92,16 +92,16 @@
 	gossipBytes atomic.Int64 // bytes of gossip messages sent since the last summary
 	documents   []sharedDocument
 
-	mu            sync.Mutex // protects all below
-	peersMetAt    time.Time  // when runLoop first saw that another member had been met
-	quota         float64    // as passed to Callbacks.Quota last; -1 before
-	rtts          []time.Duration
-	lossRates     []float64
-	matrix        latency.Matrix // built for matrixView and matrixChanges
-	matrixView    *member.View
-	matrixChanges uint64 // see gossip.Store.Changes
-	matrixBuilds  int    // for tests
-	ready         bool   // Ready was called
+	mu                sync.Mutex // protects all below
+	firstPeerJoinedAt time.Time  // when runLoop first saw that another member had been met
+	quota             float64    // as passed to Callbacks.Quota last; -1 before
+	rtts              []time.Duration
+	lossRates         []float64
+	matrix            latency.Matrix // built for matrixView and matrixChanges
+	matrixView        *member.View
+	matrixChanges     uint64 // see gossip.Store.Changes
+	matrixBuilds      int    // for tests
+	ready             bool   // Ready was called
 }
 
 // New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies gets them. It returns an error
@@ -128,7 +128,7 @@
 	f.prober = latency.New(latency.Config{Name: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.members.View,
 		Send: f.members.SendProbe, Store: f.store})
 	f.pacer = startup.New(startup.Config{Rate: cfg.ListRate, Store: f.store,
-		HasPeers: func() bool { return f.members.PeersMet() > 0 }})
+		HasPeers: func() bool { return f.members.PeerJoins() > 0 }})
 	return f, nil
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -85,19 +85,19 @@
 // waitFor waits until a condition holds, and fails the test after waitTimeout.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timeout waiting for %s", what)
 		}
 	}
 }
 
 // startFleet starts n processes that know each other, in two sites by turns. tune may change their configuration.
-func startFleet(t *testing.T, n, maxMembers int, tune func(i int, cfg *Config)) (list []*testProcess) {
+func startFleet(t *testing.T, n, maxMembers int, configure func(i int, cfg *Config)) (list []*testProcess) {
 	for i := range n {
 		cfg := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], MaxMembers: maxMembers, MeasureLatency: true}
-		if tune != nil {
-			tune(i, &cfg)
+		if configure != nil {
+			configure(i, &cfg)
 		}
 		list = append(list, startProcess(t, cfg, list[:min(i, 1)]...))
 	}
@@ -160,36 +160,36 @@
 }
 
 // Of two processes with the same name one leaves the fleet and logs it; the other members stay.
-func TestOneOfTwoProcessesWithOneNameLeaves(t *testing.T) {
+func TestOneOfTwoProcessesWithTheSameNameLeaves(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 3, nil)
-	twin := startProcess(t, Config{Name: "n1", Site: "a", MaxMembers: 3}, list[0])
+	duplicate := startProcess(t, Config{Name: "n1", Site: "a", MaxMembers: 3}, list[0])
 	hasLeft := func(process *testProcess) bool {
 		process.mu.Lock()
 		defer process.mu.Unlock()
 		return bytes.Contains(process.log.Bytes(), []byte("leaves the fleet"))
 	}
-	waitFor(t, "one of them to leave", func() bool { return hasLeft(twin) || hasLeft(list[1]) })
+	waitFor(t, "one of them to leave", func() bool { return hasLeft(duplicate) || hasLeft(list[1]) })
 	if hasLeft(list[0]) {
 		t.Error("another one left")
 	}
 }
 
 // Two processes of one agent run at the same time while one replaces the other: the younger waits for the address.
-func TestYoungerProcessTakesOverTheAddress(t *testing.T) {
+func TestSuccessorTakesOverTheAddress(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 2, nil)
-	held := list[1].Addr()
-	if _, err := New(Config{Name: "n1", Listen: held, MaxMembers: 2, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{}); err == nil {
+	addr := list[1].Addr()
+	if _, err := New(Config{Name: "n1", Listen: addr, MaxMembers: 2, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{}); err == nil {
 		t.Error("an address that is in use is no error")
 	}
-	next := startProcess(t, Config{Name: "n1", Site: "b", MaxMembers: 2, Listen: held, AwaitAddress: true}, list[0])
-	if _, err := next.members.SendProbe([]byte("x"), list[0].members.Addr()); err == nil {
+	successor := startProcess(t, Config{Name: "n1", Site: "b", MaxMembers: 2, Listen: addr, AwaitAddress: true}, list[0])
+	if _, err := successor.members.SendProbe([]byte("x"), list[0].members.Addr()); err == nil {
 		t.Error("it sends without an address")
 	}
 	list[1].cancel()
 	<-list[1].done
-	waitFor(t, "the younger process", func() bool { return next.members.View().Len() == 2 && list[0].members.View().Len() == 2 })
+	waitFor(t, "the younger process", func() bool { return successor.members.View().Len() == 2 && list[0].members.View().Len() == 2 })
 }
 
 // Malformed datagrams and connections do not disturb the fleet.
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -16,7 +16,7 @@
 	relayTimeout     = 2500 * time.Millisecond // silence of a relay after which it counts as failed
 	maxRelayAttempts = 2                       // relays that are asked before the list service is
 	largeSiteMembers = 20                      // a site with so many members has two relays
-	relayPeerWait    = time.Second             // after its start a process waits so long for peers before it asks the service itself
+	relayPeerTimeout = time.Second             // after its start a process waits so long for peers before it asks the service itself
 )
 
 // startingCount returns the number of agents that are starting, this one included.
@@ -47,19 +47,19 @@
 func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
 	countStarting := f.startingCount
 	if f.cfg.RelayedLists {
-		for f.members.PeersMet() == 0 && time.Since(f.startedAt) < relayPeerWait {
+		for f.members.PeerJoins() == 0 && time.Since(f.startedAt) < relayPeerTimeout {
 			select {
 			case <-ctx.Done():
 				return source.Source{}, false
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
-		list, isRelay := f.relayMembers(), false
-		for _, m := range list {
+		relays, isRelay := f.relayMembers(), false
+		for _, m := range relays {
 			isRelay = isRelay || m.Name == f.cfg.Name
 		}
-		if turn := failures % (maxRelayAttempts + 1); !isRelay && turn < maxRelayAttempts && len(list) > 0 {
-			m := list[turn%len(list)]
+		if attempt := failures % (maxRelayAttempts + 1); !isRelay && attempt < maxRelayAttempts && len(relays) > 0 {
+			m := relays[attempt%len(relays)]
 			return source.Source{Addr: m.Addr.String(), SilenceTimeout: relayTimeout, Relayed: true}, true
 		}
 		if isRelay {
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -91,7 +91,7 @@
 	l.mu.Lock()
 	l.putLocked(&m)
 	if m.Name != l.cfg.Name {
-		l.peersMet++
+		l.peerJoins++
 	}
 	l.mu.Unlock()
 	l.cfg.Changed()
--- a/internal/fleet/member/failed.go
+++ b/internal/fleet/member/failed.go
@@ -85,8 +85,8 @@
 	return list
 }
 
-// WasHub reports whether a name belongs to a hub that failed.
-func (l *List) WasHub(name string) bool {
+// IsFailedHub reports whether a name belongs to a hub that failed.
+func (l *List) IsFailedHub(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failed[name].Hub
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -57,7 +57,7 @@
 	failed        map[string]Member      // members that stopped answering without leaving, by name
 	toCheck       []Member               // see FailedToCheck
 	toCheckView   *View                  // the view for which toCheck was computed
-	peersMet      int
+	peerJoins     int
 	phase         Phase
 	leaving       bool // leave is closed
 	conflictCount int  // reports of another process with this one's name
@@ -113,7 +113,7 @@
 	if m.Name == l.cfg.Name {
 		m.Phase = l.phase // memberlist may still have an older phase
 	}
-	if i, there := findMember(l.members, m.Name); there {
+	if i, found := findMember(l.members, m.Name); found {
 		l.members[i] = m
 	} else {
 		l.members = slices.Insert(l.members, i, m)
@@ -129,12 +129,12 @@
 	return len(l.members)
 }
 
-// PeersMet returns how many times another member has joined the list since the start. 0 means that this process has never
+// PeerJoins returns how many times another member has joined the list since the start. 0 means that this process has never
 // met another one.
-func (l *List) PeersMet() int {
+func (l *List) PeerJoins() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.peersMet
+	return l.peerJoins
 }
 
 // SetPhase sets this process's phase and publishes it. It does not wait for the others.
@@ -142,7 +142,7 @@
 	l.mu.Lock()
 	memberlist, same := l.memberlist, l.phase == phase
 	l.phase = phase
-	if i, there := findMember(l.members, l.cfg.Name); there && !same {
+	if i, found := findMember(l.members, l.cfg.Name); found && !same {
 		self := *l.members[i]
 		l.putLocked(&self)
 	}
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -16,7 +16,7 @@
 
 // A seed that answers but never becomes a member under its address, as one that is reached through a proxy, is asked less and
 // less often.
-func TestJoinRetriesBackOffThoughTheSeedAnswers(t *testing.T) {
+func TestJoinBacksOffEvenIfTheSeedResponds(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	var tasks sync.WaitGroup
@@ -38,24 +38,24 @@
 		return l
 	}
 	seed := startMember("seed")
-	var asked atomic.Int32
-	first := make(chan struct{})
+	var connections atomic.Int32
+	firstConnection := make(chan struct{})
 	tasks.Go(func() {
 		for {
 			c, err := proxy.Accept()
 			if err != nil {
 				return
 			}
-			if asked.Add(1) == 1 {
-				close(first)
+			if connections.Add(1) == 1 {
+				close(firstConnection)
 			}
 			tasks.Go(func() { forward(&tasks, c, seed.Addr().String()) })
 		}
 	})
 	startMember("other", proxy.Addr().String())
-	<-first
+	<-firstConnection
 	<-time.After(3 * time.Second) // the time in which attempts are counted
-	if n := asked.Load(); n > 14 {
+	if n := connections.Load(); n > 14 {
 		t.Errorf("asked %d times in 3 s", n)
 	} else {
 		t.Logf("asked %d times in 3 s", n)
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -82,18 +82,18 @@
 			return err
 		}
 	}
-	at := t.listen
-	if at.Port() == 0 {
-		at = t.tcp.Addr().(*net.TCPAddr).AddrPort()
+	addr := t.listen
+	if addr.Port() == 0 {
+		addr = t.tcp.Addr().(*net.TCPAddr).AddrPort()
 	}
-	if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+	if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr)); err != nil {
 		t.tcp.Close()
 		t.tcp = nil
 		return err
 	}
 	_ = t.udp.SetReadBuffer(socketBufferBytes) // the system may allow less, which is no error
 	if t.advertise.Port() == 0 {
-		t.advertise = at
+		t.advertise = addr
 	}
 	t.bound.Store(true)
 	return nil
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -75,7 +75,7 @@
 
 // ByName returns the member with the given name, and false if there is none.
 func (v *View) ByName(name string) (Member, bool) {
-	if i, there := findMember(v.list, name); there {
+	if i, found := findMember(v.list, name); found {
 		return *v.list[i], true
 	}
 	return Member{}, false
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -58,11 +58,11 @@
 	}
 	for i, s := range steps {
 		before := l.View()
-		was := names(before)
+		namesBefore := names(before)
 		s.do()
 		v := l.View()
-		if names(v) != s.want || names(before) != was {
-			t.Errorf("step %d: members %s, want %s; the view before is %s and was %s", i, names(v), s.want, names(before), was)
+		if names(v) != s.want || names(before) != namesBefore {
+			t.Errorf("step %d: members %s, want %s; the view before is %s and was %s", i, names(v), s.want, names(before), namesBefore)
 		}
 		if n := testing.AllocsPerRun(10, func() {
 			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
@@ -75,7 +75,7 @@
 	if v := l.View(); v.StartingCount() != 1 || v.InSite("").Len() != 1 || v.InSite("a").Len() != 1 {
 		t.Errorf("%d starting, %d without a site", v.StartingCount(), v.InSite("").Len())
 	}
-	if m, there := l.View().ByName("m"); !there || m.Phase != Serving {
+	if m, found := l.View().ByName("m"); !found || m.Phase != Serving {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -16,8 +16,8 @@
 	// until no other process can be using it. Others use the quota of a process that is published as dead, up to the age bound
 	// of that entry. So the quota is confirmed once the process has run for that long, or has known other members for
 	// peersMetPeriod, in which it would have learnt that it is published as dead.
-	startupQuota   = 0.1
-	peersMetPeriod = 500 * time.Millisecond
+	startupQuota  = 0.1
+	minPeerPeriod = 500 * time.Millisecond
 )
 
 // recomputeQuota computes this process's quota of the in-flight limit and passes it on if it has changed. The limit is divided
@@ -29,11 +29,11 @@
 	dead, selfReportedDead := f.publishedDead(view)
 	now := time.Now()
 	f.mu.Lock()
-	if f.peersMetAt.IsZero() && f.members.PeersMet() > 0 {
-		f.peersMetAt = now
+	if f.firstPeerJoinedAt.IsZero() && f.members.PeerJoins() > 0 {
+		f.firstPeerJoinedAt = now
 	}
 	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] ||
-		!f.peersMetAt.IsZero() && now.Sub(f.peersMetAt) >= peersMetPeriod && !selfReportedDead
+		!f.firstPeerJoinedAt.IsZero() && now.Sub(f.firstPeerJoinedAt) >= minPeerPeriod && !selfReportedDead
 	quota := startupQuota / float64(f.cfg.MaxMembers)
 	if quotaConfirmed {
 		quota = 1 / float64(max(1, view.AgentCount(), f.cfg.MaxMembers-len(dead)))
@@ -62,7 +62,7 @@
 		for _, name := range names {
 			if name == f.cfg.Name {
 				self = true
-			} else if _, alive := view.ByName(name); !alive && !f.members.WasHub(name) {
+			} else if _, isMember := view.ByName(name); !isMember && !f.members.IsFailedHub(name) {
 				dead[name] = true
 			}
 		}
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -150,17 +150,17 @@
 // service for relayMaxServiceAge. A follower that has got nothing by then gets the status 503.
 func (r *relay) serveList(w http.ResponseWriter, req *http.Request) {
 	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // if it is absent or malformed the full list is sent
-	arrivedAt, first := time.Now(), true
+	arrivedAt, nothingSent := time.Now(), true
 	for {
 		lines, to, fresh, changed := r.changesSince(version)
 		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // the follower had better ask another source
-			if first {
+			if nothingSent {
 				http.Error(w, "the list service is not heard here", http.StatusServiceUnavailable)
 			}
 			return
 		}
-		if fresh || !first {
-			first = false
+		if fresh || !nothingSent {
+			nothingSent = false
 			version = to
 			if writeLines(w, lines) != nil {
 				return
--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -15,7 +15,7 @@
 // A relay sends the list of the service: the full list to a new follower and changes to others, but none while it receives
 // nothing from the service, and none that came from another relay. Other members ask a relay first, and the service if no
 // relay answers.
-func TestRelayForwardsTheServicesList(t *testing.T) {
+func TestRelayForwardsListsOfTheListService(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 3, 3, func(_ int, c *Config) { c.Site, c.RelayedLists = "a", true })
 	relays := list[0].relayMembers()
@@ -42,28 +42,28 @@
 	if src, ok := other.Next(ctx, maxRelayAttempts); !ok || src.Relayed {
 		t.Errorf("after its tries another asks %+v", src)
 	}
-	ask := func(since int) (*json.Decoder, func()) { return followList(ctx, t, other, src.Addr, since) }
-	if decoder, end := ask(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
+	follow := func(since int) (*json.Decoder, func()) { return followList(ctx, t, other, src.Addr, since) }
+	if decoder, end := follow(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
 		end()
 		t.Error("a relay without a list answers")
 	}
-	version := func(decoder *json.Decoder) listUpdate { return readUpdate(t, decoder) }
+	nextUpdate := func(decoder *json.Decoder) listUpdate { return readUpdate(t, decoder) }
 	relay.RecordLiveness(source.Source{})
 	relay.RecordUpdate(source.Source{}, 0, 7, nil, []byte(`{"version":7,"full":true}`))
 	relay.RecordUpdate(source.Source{Relayed: true}, 7, 99, []byte(`{"version":99}`), []byte(`{"version":99,"full":true}`))
-	decoder, end := ask(0)
+	decoder, end := follow(0)
 	defer end()
-	if m := version(decoder); m.Version != 7 || !m.Full {
+	if m := nextUpdate(decoder); m.Version != 7 || !m.Full {
 		t.Errorf("%+v", m)
 	}
 	relay.RecordLiveness(source.Source{})
 	relay.RecordUpdate(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
-	if m := version(decoder); m.Version != 8 || m.Full {
+	if m := nextUpdate(decoder); m.Version != 8 || m.Full {
 		t.Errorf("%+v", m)
 	}
 	for since, full := range map[int]bool{7: false, 3: true} {
-		decoder, end := ask(since)
-		if m := version(decoder); m.Version != 8 || m.Full != full {
+		decoder, end := follow(since)
+		if m := nextUpdate(decoder); m.Version != 8 || m.Full != full {
 			t.Errorf("since %d: %+v", since, m)
 		}
 		end()
