--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -34,7 +34,7 @@
 // aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
-	var total, failed serviceLoad
+	var combined, failed serviceLoad
 	oldest, youngest := time.Duration(0), time.Duration(-1)
 	for _, entry := range entries {
 		var load serviceLoad
@@ -42,7 +42,7 @@
 			continue
 		}
 		rates, oldest = append(rates, min(max(load.Rate, minRate), maxRate)), max(oldest, entry.Age)
-		total.Version = max(total.Version, load.Version)
+		combined.Version = max(combined.Version, load.Version)
 		if load.Failed && (youngest < 0 || entry.Age < youngest) {
 			failed, youngest = load, entry.Age
 		}
@@ -51,8 +51,8 @@
 		return nil
 	}
 	slices.Sort(rates)
-	total.Rate = rates[len(rates)/2]
-	aggregates = []gossip.Entry{aggregateEntry(subject, total, oldest)}
+	combined.Rate = rates[len(rates)/2]
+	aggregates = []gossip.Entry{aggregateEntry(subject, combined, oldest)}
 	if youngest >= 0 {
 		aggregates = append(aggregates, aggregateEntry(subject+" refused", failed, youngest))
 	}
--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	gatherPeriod        = 300 * time.Millisecond // no process calls the service earlier after its start: it first has to meet others
+	minStartDelay       = 300 * time.Millisecond // no process calls the service earlier after its start: it first has to meet others
 	checkInterval       = 50 * time.Millisecond  // between two looks at the gossip while a process awaits its turn
 	isolatedWindow      = time.Second            // shortest window of a process that has met no other
 	maxWindow           = 10 * time.Second       // longest window
-	slowAnswer          = 500 * time.Millisecond // a longer wait for the first byte shows that the service is overloaded
+	slowResponse        = 500 * time.Millisecond // a longer wait for the first byte shows that the service is overloaded
 	rateIncrease        = 1.25                   // factor on the rate after a fast answer
 	failureDecrease     = 0.5                    // factor on the rate after a failed call
 	slowDecrease        = 0.9                    // factor on the rate after a slow answer
@@ -95,11 +95,11 @@
 func (p *Pacer) LatestVersion() int64 { _, _, v := p.serviceState(); return v }
 
 // window returns the time in which the given number of processes get their turns at a rate.
-func (p *Pacer) window(starters int, rate float64) time.Duration {
+func (p *Pacer) window(processes int, rate float64) time.Duration {
 	p.mu.Lock()
 	backoff := math.Exp2(float64(min(p.consecutiveFailures, maxDoublings)))
 	p.mu.Unlock()
-	window := time.Duration(float64(starters) / rate * backoff * float64(time.Second))
+	window := time.Duration(float64(processes) / rate * backoff * float64(time.Second))
 	if !p.cfg.HasPeers() {
 		window = max(window, time.Duration(float64(isolatedWindow)*backoff))
 	}
@@ -112,16 +112,16 @@
 func (p *Pacer) AwaitTurn(ctx context.Context, countStarting func() int) bool {
 	check := time.NewTicker(checkInterval)
 	defer check.Stop()
-	windowStart, place := time.Now(), rand.Float64() // full jitter: the relative place stays when the window changes
-	starters := 1
+	windowStart, position := time.Now(), rand.Float64() // full jitter: the relative place stays when the window changes
+	processes := 1
 	for {
 		// The count never falls: if processes that had their turn moved the others forward, all would call at once.
-		starters = max(starters, countStarting())
+		processes = max(processes, countStarting())
 		rate, lastFailure, _ := p.serviceState()
 		now := time.Now()
-		due := windowStart.Add(time.Duration(place * float64(p.window(starters, rate))))
-		if earliest := p.startedAt.Add(gatherPeriod); due.Before(earliest) {
-			due = earliest.Add(time.Duration(place * float64(checkInterval)))
+		due := windowStart.Add(time.Duration(position * float64(p.window(processes, rate))))
+		if earliest := p.startedAt.Add(minStartDelay); due.Before(earliest) {
+			due = earliest.Add(time.Duration(position * float64(checkInterval)))
 		}
 		pause := time.Duration(failurePauseWindows / rate * float64(time.Second))
 		if !now.Before(due) && (lastFailure < 0 || lastFailure > pause) {
@@ -140,14 +140,14 @@
 
 // RecordAttempt records the result of a call: the wait for the first byte of the answer, or that the call failed, and the
 // list version in the answer. It publishes the load if that is news to others.
-func (p *Pacer) RecordAttempt(waited time.Duration, failed bool, version int64) {
+func (p *Pacer) RecordAttempt(delay time.Duration, failed bool, version int64) {
 	rate, _, _ := p.serviceState()
 	p.mu.Lock()
 	switch {
 	case failed:
 		p.consecutiveFailures++
 		rate *= failureDecrease
-	case waited > slowAnswer:
+	case delay > slowResponse:
 		p.consecutiveFailures = 0
 		rate *= slowDecrease
 	default:
@@ -157,13 +157,13 @@
 	p.rate = min(max(rate, minRate), maxRate)
 	load := serviceLoad{Rate: p.rate, Failed: failed, Version: version}
 	// While the service is healthy, the same load from every process would be of no use.
-	worthPublishing := failed || waited > slowAnswer || version != p.published.Version ||
+	shouldPublish := failed || delay > slowResponse || version != p.published.Version ||
 		time.Since(p.publishedAt) > republishInterval
-	if worthPublishing {
+	if shouldPublish {
 		p.published, p.publishedAt = load, time.Now()
 	}
 	p.mu.Unlock()
-	if p.cfg.Store == nil || !worthPublishing {
+	if p.cfg.Store == nil || !shouldPublish {
 		return
 	}
 	body, err := cbor.Marshal(load)
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -17,15 +17,15 @@
 
 // testService is a list service of fixed capacity. Calls queue, and are rejected if they would wait too long.
 type testService struct {
-	rate          float64       // calls per second
-	maxWait       time.Duration // a call that would wait longer is rejected
-	idleAt        time.Time     // when the queue will be empty
-	darkUntil     time.Time     // all calls are rejected before
-	calls         int
-	failed        int
-	peak          int // calls in the worst second
-	startedAt     time.Time
-	callsBySecond map[int]int
+	rate             float64       // calls per second
+	maxWait          time.Duration // a call that would wait longer is rejected
+	idleAt           time.Time     // when the queue will be empty
+	unavailableUntil time.Time     // all calls are rejected before
+	calls            int
+	failed           int
+	peak             int // calls in the worst second
+	startedAt        time.Time
+	callsBySecond    map[int]int
 }
 
 var errBusy = errors.New("busy")
@@ -37,7 +37,7 @@
 	sec := int(now.Sub(s.startedAt) / time.Second)
 	s.callsBySecond[sec]++
 	s.peak = max(s.peak, s.callsBySecond[sec])
-	if now.Before(s.darkUntil) {
+	if now.Before(s.unavailableUntil) {
 		s.failed++
 		return 0, errBusy
 	}
@@ -55,14 +55,14 @@
 
 // startAll starts n processes within a second, with or without gossip between them, and returns the time until all had a
 // list.
-func startAll(t *testing.T, n int, s *testService, fleet bool) (took time.Duration) {
+func startAll(t *testing.T, n int, s *testService, withGossip bool) (took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel() // no process waits any more by then
 		s.startedAt, s.callsBySecond = time.Now(), map[int]int{}
-		if !s.darkUntil.IsZero() {
-			s.darkUntil = s.startedAt.Add(10 * time.Second)
+		if !s.unavailableUntil.IsZero() {
+			s.unavailableUntil = s.startedAt.Add(10 * time.Second)
 		}
 		calls := make(chan func(), n) // one at a time: the service and the counts are shared
 		var stores []*gossip.Store
@@ -70,17 +70,17 @@
 		waiting.Store(int64(n))
 		done := make(chan struct{}, n)
 		for i := range n {
-			starters := func() int { return 1 }
+			countStarting := func() int { return 1 }
 			cfg := Config{Rate: 17, HasPeers: func() bool { return false }}
-			if fleet {
+			if withGossip {
 				store := gossip.New(fmt.Sprint(i), 1, gossip.DefaultAgeBounds, nil)
 				stores = append(stores, store)
-				starters = func() int { return max(1, int(waiting.Load())) }
+				countStarting = func() int { return max(1, int(waiting.Load())) }
 				cfg = Config{Rate: 17, HasPeers: func() bool { return time.Since(s.startedAt) > 200*time.Millisecond }, Store: store}
 			}
 			go func() {
 				time.Sleep(time.Duration(rand.Float64() * float64(time.Second)))
-				if callUntilAnswered(ctx, New(cfg), starters, s, calls) {
+				if callUntilSuccess(ctx, New(cfg), countStarting, s, calls) {
 					done <- struct{}{}
 				}
 			}()
@@ -103,20 +103,20 @@
 	return took
 }
 
-// callUntilAnswered calls the service when it is the process's turn, until it gets a list. The calls are made by whoever
+// callUntilSuccess calls the service when it is the process's turn, until it gets a list. The calls are made by whoever
 // receives from the channel. It reports false if ctx ends first.
-func callUntilAnswered(ctx context.Context, p *Pacer, starters func() int, s *testService, calls chan<- func()) bool {
-	type answer struct {
+func callUntilSuccess(ctx context.Context, p *Pacer, countStarting func() int, s *testService, calls chan<- func()) bool {
+	type callResult struct {
 		took time.Duration
 		err  error
 	}
-	for p.AwaitTurn(ctx, starters) {
-		answers := make(chan answer, 1)
-		calls <- func() { took, err := s.call(); answers <- answer{took, err} }
-		reply := <-answers
-		time.Sleep(reply.took)
-		p.RecordAttempt(reply.took, reply.err != nil, 1)
-		if reply.err == nil {
+	for p.AwaitTurn(ctx, countStarting) {
+		results := make(chan callResult, 1)
+		calls <- func() { took, err := s.call(); results <- callResult{took, err} }
+		result := <-results
+		time.Sleep(result.took)
+		p.RecordAttempt(result.took, result.err != nil, 1)
+		if result.err == nil {
 			return true
 		}
 	}
@@ -142,29 +142,29 @@
 // all get a list in time.
 func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
 	for _, c := range []struct {
-		n     int
-		rate  float64
-		dark  bool
-		fleet bool
-		calls float64 // greatest number of calls per agent
-		slow  float64 // greatest time until all have a list: this times the ideal by capacity, plus 2 s
+		n                int
+		rate             float64
+		unavailable      bool
+		withGossip       bool
+		maxCallsPerAgent float64 // greatest number of calls per agent
+		maxSlowdown      float64 // greatest time until all have a list: this times the ideal by capacity, plus 2 s
 	}{
 		{100, 17, false, true, 1.4, 2}, {100, 67, false, true, 1.1, 4}, {10, 50, false, true, 1.01, 4},
 		{100, 50, true, true, 6, 3}, {100, 50, false, false, 3, 4}, {1, 50, false, true, 1, 50},
 	} {
 		s := &testService{rate: c.rate, maxWait: 2 * time.Second}
-		if c.dark {
-			s.darkUntil = time.Now()
+		if c.unavailable {
+			s.unavailableUntil = time.Now()
 		}
-		all := startAll(t, c.n, s, c.fleet)
-		each, ideal := float64(s.calls)/float64(c.n), float64(c.n)/c.rate
-		if c.dark {
+		took := startAll(t, c.n, s, c.withGossip)
+		callsPerAgent, ideal := float64(s.calls)/float64(c.n), float64(c.n)/c.rate
+		if c.unavailable {
 			ideal += 10
 		}
 		t.Logf("%3d agents, %3.0f/s, dark %v, fleet %v: %.2f calls an agent, %d refused, %d in the worst second, all after %.1f s (%.1f s by capacity)",
-			c.n, c.rate, c.dark, c.fleet, each, s.failed, s.peak, all.Seconds(), ideal)
-		if each > c.calls || all.Seconds() > c.slow*ideal+2 {
-			t.Errorf("%d agents: %.2f calls an agent (at most %.2f), all after %v", c.n, each, c.calls, all)
+			c.n, c.rate, c.unavailable, c.withGossip, callsPerAgent, s.failed, s.peak, took.Seconds(), ideal)
+		if callsPerAgent > c.maxCallsPerAgent || took.Seconds() > c.maxSlowdown*ideal+2 {
+			t.Errorf("%d agents: %.2f calls an agent (at most %.2f), all after %v", c.n, callsPerAgent, c.maxCallsPerAgent, took)
 		}
 	}
 }
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -30,7 +30,7 @@
 `
 
 // Stored settings are in force from the start of an agent, in both forms of its configuration.
-func TestCachedSettingsApplyFromTheStart(t *testing.T) {
+func TestStoredSettingsApplyFromTheStart(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	dir := t.TempDir()
 	if err := settings.SaveFunc(dir)(2, []string{"version = 2\ndiscovery = \"127.0.0.1:9\"\n[attempts]\nmost = 3\n"}); err != nil {
@@ -40,7 +40,7 @@
 	if err := os.WriteFile(path, fmt.Appendf(nil, agentTOML, dir), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	bare, err := config.Read(path)
+	withoutStored, err := config.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,17 +50,17 @@
 	}
 	for name, c := range map[string]struct {
 		agent.Source
-		most int
-	}{"file": {overlaid, 3}, "platform": {agent.Source{Read: bare.Platform, Getenv: func(string) string { return "" }, Join: JoinFromConfig}, 5}} {
+		maxAttempts int
+	}{"file": {overlaid, 3}, "platform": {agent.Source{Read: withoutStored.Platform, Getenv: func(string) string { return "" }, Join: JoinFromConfig}, 5}} {
 		cfg, err := c.Load()
 		if err != nil {
 			t.Fatal(err)
 		}
-		moved := func(addr string) { t.Errorf("%s: discovery moves to %s before the agent runs", name, addr) }
-		if _, _, err := cfg.Join(cfg, log, func(balancer.Event) {}, moved); err != nil {
+		follow := func(addr string) { t.Errorf("%s: discovery moves to %s before the agent runs", name, addr) }
+		if _, _, err := cfg.Join(cfg, log, func(balancer.Event) {}, follow); err != nil {
 			t.Fatal(err)
 		}
-		if cfg.Discovery != "127.0.0.1:9" || cfg.Settings.MaxAttempts != c.most {
+		if cfg.Discovery != "127.0.0.1:9" || cfg.Settings.MaxAttempts != c.maxAttempts {
 			t.Errorf("%s: discovery at %s, %d attempts", name, cfg.Discovery, cfg.Settings.MaxAttempts)
 		}
 	}
