--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -65,8 +65,8 @@
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
 		decodes, errDecode := 0, fmt.Errorf("decoding failed")
 		for i, step := range []struct {
-			body             string
-			decodes, changes int
+			body                 string
+			wantDecodes, changes int
 		}{{"x", 1, 1}, {"x", 1, 1}, {"y", 2, 2}, {"y", 2, 2}, {"x", 3, 3}} {
 			time.Sleep(TickInterval)
 			a.Tick()
@@ -82,7 +82,7 @@
 					}
 				}
 			}
-			if n, until := b.Changes(ListServiceLoad); decodes != step.decodes || int(n) != step.changes || !until.After(time.Now()) {
+			if n, until := b.Changes(ListServiceLoad); decodes != step.wantDecodes || int(n) != step.changes || !until.After(time.Now()) {
 				t.Errorf("step %d: decoded %d times, %d changes", i, decodes, n)
 			}
 		}
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -142,12 +142,12 @@
 // all get a list in time.
 func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
 	for _, c := range []struct {
-		n                int
-		rate             float64
-		unavailable      bool
-		withGossip       bool
-		maxCallsPerAgent float64 // greatest number of calls per agent
-		maxSlowdown      float64 // greatest time until all have a list: this times the ideal by capacity, plus 2 s
+		n           int
+		rate        float64
+		unavailable bool
+		withGossip  bool
+		calls       float64 // greatest number of calls per agent
+		maxSlowdown float64 // greatest time until all have a list: this times the ideal by capacity, plus 2 s
 	}{
 		{100, 17, false, true, 1.4, 2}, {100, 67, false, true, 1.1, 4}, {10, 50, false, true, 1.01, 4},
 		{100, 50, true, true, 6, 3}, {100, 50, false, false, 3, 4}, {1, 50, false, true, 1, 50},
@@ -163,8 +163,8 @@
 		}
 		t.Logf("%3d agents, %3.0f/s, dark %v, fleet %v: %.2f calls an agent, %d refused, %d in the worst second, all after %.1f s (%.1f s by capacity)",
 			c.n, c.rate, c.unavailable, c.withGossip, callsPerAgent, s.failed, s.peak, took.Seconds(), ideal)
-		if callsPerAgent > c.maxCallsPerAgent || took.Seconds() > c.maxSlowdown*ideal+2 {
-			t.Errorf("%d agents: %.2f calls an agent (at most %.2f), all after %v", c.n, callsPerAgent, c.maxCallsPerAgent, took)
+		if callsPerAgent > c.calls || took.Seconds() > c.maxSlowdown*ideal+2 {
+			t.Errorf("%d agents: %.2f calls an agent (at most %.2f), all after %v", c.n, callsPerAgent, c.calls, took)
 		}
 	}
 }
