--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -84,7 +84,7 @@
 
 	// Confirm, if set, is called when a source has an applied text. age is the time since that was observed.
 	Confirm func(version int64, digest string, age time.Duration)
-	// ShouldFetch decides whether a text that is not applied is fetched; nil: always.
+	// ShouldFetch reports whether to fetch a text that is not applied; nil: always.
 	ShouldFetch func(version int64, digest string) bool
 	// FetchJitter is the upper bound of a random delay before a fetch. It spreads the fetches of many processes that receive
 	// a version at the same time.
--- a/internal/fleet/gossip/entryset.go
+++ b/internal/fleet/gossip/entryset.go
@@ -17,7 +17,7 @@
 // storedEntry is an entry with what the store records about it.
 type storedEntry struct {
 	Entry
-	storedAt time.Time // the time at which the entry was as old as Entry.Age says
+	storedAt time.Time // when the age of the entry was Entry.Age
 	sends    int       // how many messages contained it
 	removed  bool      // it was replaced or expired; the outgoing list may still point to it
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -214,7 +214,7 @@
 			}
 		}
 		if rounds > 20 {
-			t.Errorf("an entry is still sent after %d rounds", rounds)
+			t.Errorf("it took %d rounds until no entry was sent, want at most 20", rounds)
 		}
 		restarted := New("0", 2, AgeBounds{ListServiceLoad: time.Minute}, nil)
 		restarted.Publish(ListServiceLoad, "x", []byte("two"))
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -32,7 +32,7 @@
 		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.Kind, b.Kind), a.compareKey(b.Subject, b.Observer))
 	})
 	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
-	size := 40 + len(s.self) // more than the envelope of the message takes
+	size := 40 + len(s.self) // an upper bound of the size of the message's envelope
 	for _, e := range s.outgoing {
 		if size += 48 + len(e.Subject) + len(e.Observer) + len(e.Body); size > limit || len(m.Entries) == maxMessageEntries {
 			break
