--- a/internal/fleet/latency/datagram.go
+++ b/internal/fleet/latency/datagram.go
@@ -35,7 +35,7 @@
 
 // decodeDatagram decodes a datagram without checking its first byte.
 func decodeDatagram(b []byte) (datagram, error) {
-	if len(b) < datagramBytes { // one of a later version may be longer
+	if len(b) < datagramBytes { // a datagram of a later version may be longer
 		return datagram{}, errMalformed
 	}
 	d := datagram{kind: b[1], label: binary.BigEndian.Uint64(b[2:]), nonce: binary.BigEndian.Uint64(b[10:]),
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -112,7 +112,7 @@
 	do()
 }
 
-// matrixAt returns the matrix as member i knows it now.
+// matrixAt returns the matrix that member i computes now.
 func (n *testNetwork) matrixAt(i int) Matrix {
 	return NewMatrix(n.stores[i].Entries(gossip.LatencyRow), n.view)
 }
@@ -125,7 +125,8 @@
 	return time.Millisecond, true
 }
 
-// checkRTT checks that all members but two have about the wanted round trip between two sites, from at least two observers.
+// checkRTT checks that all members except at most two have approximately the expected round trip between two sites, from at
+// least two observers.
 func (n *testNetwork) checkRTT(t *testing.T, when, a, b string, want time.Duration) {
 	t.Helper()
 	wrong := 0
@@ -134,17 +135,18 @@
 		low, high := want*85/100-300*time.Microsecond, want*130/100+300*time.Microsecond
 		if !known || e.RTT < low || e.RTT > high || e.Observers < 2 {
 			if wrong++; wrong == 1 {
-				t.Logf("%s: %s %s at %s: %+v, want %v", when, a, b, n.members[i].Name, e, want)
+				t.Logf("%s: %s to %s at %s: got %+v, want round trip %v", when, a, b, n.members[i].Name, e, want)
 			}
 		}
 	}
 	if wrong > 2 { // a member that missed a few rows may have other values
-		t.Errorf("%s: %d of %d have %s %s wrong", when, wrong, len(n.members), a, b)
+		t.Errorf("%s: %d of %d members have a wrong round trip from %s to %s", when, wrong, len(n.members), a, b)
 	}
 }
 
-// A change of latency is known to nearly all members within 3 s and about right. Members with false measurements have little
-// effect. A partitioned pair becomes unknown, with its loss, and other pairs are not affected.
+// Within 3 s of a change of latency nearly all members have approximately the new round trip. Members with false
+// measurements have little effect. The round trip of a partitioned pair of sites becomes unknown and its loss is reported;
+// other pairs are not affected.
 func TestMatrixFollowsLatencyAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -170,8 +172,8 @@
 		addedDelay = 20 * time.Millisecond
 		mu.Unlock()
 		time.Sleep(3*time.Second + 500*time.Millisecond)
-		check("slower", "a", "c", 42*time.Millisecond)
-		check("slower", "a", "b", 2*time.Millisecond)
+		check("after latency rose", "a", "c", 42*time.Millisecond)
+		check("after latency of another pair rose", "a", "b", 2*time.Millisecond)
 		network.withLock(func() {
 			network.addedDelay["a0"], network.addedDelay["a1"] = 300*time.Millisecond, 300*time.Millisecond
 		})
@@ -184,11 +186,11 @@
 		for i := range network.members {
 			e, _ := network.matrixAt(i).Between("a", "c")
 			if e.RTT != 0 || e.Loss < 0.9 {
-				t.Errorf("cut: %+v at %s", e, network.members[i].Name)
+				t.Errorf("partitioned pair: got %+v at %s, want no round trip and a loss of at least 0.9", e, network.members[i].Name)
 				break
 			}
 		}
-		check("beside the cut", "a", "b", 2*time.Millisecond)
+		check("other pair during the partition", "a", "b", 2*time.Millisecond)
 	})
 }
 
@@ -211,10 +213,10 @@
 				probes += p.sent
 				p.mu.Unlock()
 			}
-			t.Logf("%d members: %.0f B/s each, %d B/s at the most, %.1f probes/s a pair",
+			t.Logf("%d members: mean %.0f B/s, maximum %d B/s, %.1f probes/s per pair",
 				n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
-				t.Errorf("%.1f probes a second for a pair", rate)
+				t.Errorf("%.1f probes per second for a pair of sites", rate)
 			}
 		})
 	}
@@ -230,17 +232,17 @@
 		f    gossip.Entry
 		want int
 	}{
-		"sound":         {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 1},
-		"another site":  {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 0},
-		"not a member":  {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{one}})}, 0},
-		"twice":         {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one, one}})}, 1},
-		"no site":       {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{RTTMicros: 1, Count: 1}}})}, 0},
-		"loss over 100": {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", LossPercent: 200}}})}, 0},
-		"a minute":      {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", RTTMicros: 60e6, Count: 1}}})}, 0},
-		"no row":        {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
+		"valid":                    {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 1},
+		"observer of another site": {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 0},
+		"not a member":             {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{one}})}, 0},
+		"duplicate entry":          {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one, one}})}, 1},
+		"no site":                  {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{RTTMicros: 1, Count: 1}}})}, 0},
+		"loss over 100":            {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", LossPercent: 200}}})}, 0},
+		"round trip of 60 s":       {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", RTTMicros: 60e6, Count: 1}}})}, 0},
+		"malformed CBOR":           {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
 		if got := NewMatrix([]gossip.Entry{c.f}, view); len(got) != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got matrix %v", name, got)
 		}
 		if e, known := NewMatrix([]gossip.Entry{c.f}, view).Between("b", "a"); known && e.Observers != 1 {
 			t.Errorf("%s: %d observers", name, e.Observers)
@@ -248,16 +250,16 @@
 	}
 }
 
-// Row leaves out estimates that are older than the limit, and its age is that of the others.
+// Row omits estimates that are older than the limit, and its age is that of the others.
 func TestRowLeavesOutOldEstimates(t *testing.T) {
 	m := Matrix{{"a", "b"}: {RTT: 3 * time.Millisecond, Age: time.Second}, {"a", "c"}: {RTT: 4 * time.Millisecond, Age: 2900 * time.Millisecond},
 		{"b", "c"}: {RTT: time.Millisecond}}
 	body, age := m.Row("a", 2*time.Second)
 	if r, err := DecodeRow(body); err != nil || len(r) != 1 || r["b"].RTT != 3*time.Millisecond || age != time.Second {
-		t.Errorf("%v, %v, %v", r, age, err)
+		t.Errorf("got row %v, age %v, error %v", r, age, err)
 	}
 	if body, _ := m.Row("a", time.Millisecond); body != nil {
-		t.Errorf("%x of what is too old", body)
+		t.Errorf("got row %x from estimates that are too old", body)
 	}
 }
 
--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -15,7 +15,7 @@
 	RTT       time.Duration // median round trip; 0: unknown, because most observers got no reply
 	Jitter    time.Duration // how much longer slow round trips take
 	Loss      float64       // fraction of probes without a reply, from 0 to 1
-	Observers int           // rows that the estimate rests on
+	Observers int           // rows from which the estimate was computed
 	Age       time.Duration // of the oldest of these rows
 }
 
@@ -49,13 +49,13 @@
 	return matrix
 }
 
-// report is what one row says of one pair of sites.
+// report is the measurement of one pair of sites in one row.
 type report struct {
 	rowEntry
 	age time.Duration // of the row
 }
 
-// reportsByPair sorts the entries of all valid rows by pair of sites.
+// reportsByPair groups the entries of all valid rows by pair of sites.
 func reportsByPair(rows []gossip.Entry, view *member.View) map[Pair][]report {
 	reports := map[Pair][]report{}
 	for _, row := range rows {
@@ -95,9 +95,9 @@
 	return e
 }
 
-// thirdLowest returns the third lowest value, or the median of fewer than five. Two observers with values that are too low have
-// no effect, and neither have any number with values that are too high, as long as three others remain: an observer's value
-// is too high if it probes a member that is stopped or delays its replies.
+// thirdLowest returns the third lowest value, or the median of fewer than five. Two values that are too low have no effect.
+// Values that are too high have no effect as long as three others remain: an observer measures too high a value if it probes
+// a member that is stopped or delays its replies.
 func thirdLowest(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return list[min(2, (len(list)-1)/2)]
--- a/internal/fleet/latency/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -5,12 +5,12 @@
 // that all members choose the same ones, and each pair of sites is measured at a rate that does not grow with the fleet.
 // An observer publishes a latency row every second: its round trips, jitter and loss to each site in the last 1.5 s.
 //
-// Each process owns one Prober, whose lock protects the measurements; Run is its only goroutine. Rows are held by the
-// process's gossip.Store with the age bound of gossip.LatencyRow. A Matrix is a value that whoever built it owns; it is as
-// old as the rows it was built from, and has to be rebuilt when one of them expires.
+// Each process owns one Prober, whose lock protects the measurements; Run is its only goroutine. Rows are stored in the
+// process's gossip.Store with the age bound of gossip.LatencyRow. The caller of NewMatrix owns the Matrix; it is as old as
+// the rows it was built from, and has to be rebuilt when one of them expires.
 package latency
 
-// This file probes other members, answers their probes and publishes the latency row.
+// This file probes other members, replies to their probes and publishes the latency row.
 
 import (
 	"cmp"
@@ -33,22 +33,22 @@
 	pairRate         = 16.0                    // probes per second between two sites, from both sides together
 	publishInterval  = time.Second             // between two latency rows
 	sampleWindow     = 1500 * time.Millisecond // age up to which a sample counts
-	probeTimeout     = 700 * time.Millisecond  // a probe that is not answered by then is lost
+	probeTimeout     = 700 * time.Millisecond  // a probe without a reply by then is lost
 	maxDwell         = 20 * time.Millisecond   // a peer that took longer was busy: the sample is not used
 	medianQuantile   = 0.5                     // of three samples, one from a peer with a false dwell time has no effect
 	jitterQuantile   = 0.75                    // jitter is the distance from the median to this quantile
-	maxPending       = 1024                    // probes that are not answered yet
+	maxPending       = 1024                    // probes without a reply yet
 )
 
 // Config configures a Prober.
 type Config struct {
 	Name, Site, Label string                                                             // of this process; Label is the fleet's
 	View              func() *member.View                                                // the current members
-	Send              func(data []byte, to netip.AddrPort) (sentAt time.Time, err error) // sends a datagram; must not wait
+	Send              func(data []byte, to netip.AddrPort) (sentAt time.Time, err error) // sends a datagram; must not block
 	Store             *gossip.Store                                                      // where the row is published
 }
 
-// Prober measures round trips to other members, answers their probes, and publishes a latency row.
+// Prober measures round trips to other members, replies to their probes, and publishes a latency row.
 type Prober struct {
 	cfg       Config
 	labelHash uint64
@@ -56,7 +56,7 @@
 	mu        sync.Mutex              // protects the next four
 	pending   map[uint64]pendingProbe // by nonce
 	samples   map[string][]sample     // by site, oldest first
-	malformed int                     // datagrams that were malformed, of another fleet, or no answer to a pending probe
+	malformed int                     // datagrams that were malformed, of another fleet, or no reply to a pending probe
 	sent      int                     // probes
 
 	// The plan, used by Run alone.
@@ -65,7 +65,7 @@
 	probeInterval time.Duration    // average time between two probes
 }
 
-// pendingProbe is a probe that is not answered yet.
+// pendingProbe is a probe without a reply yet.
 type pendingProbe struct {
 	site   string
 	to     netip.AddrPort
@@ -79,14 +79,14 @@
 	lost   bool
 }
 
-// New returns a prober. It answers probes at once, and sends its own while Run runs.
+// New returns a prober. It replies to probes from the start, and sends its own while Run runs.
 func New(cfg Config) *Prober {
 	return &Prober{cfg: cfg, labelHash: xxhash.Sum64String(cfg.Label), pending: map[uint64]pendingProbe{},
 		samples: map[string][]sample{}}
 }
 
-// HandleDatagram takes a datagram and the time at which it was read. A request is answered at once; a reply becomes a sample.
-// It does not keep data, and is called from the goroutine that reads the socket.
+// HandleDatagram processes a datagram that was read at receivedAt. It replies to a request at once and records a reply as a
+// sample. It does not retain data, and is called from the goroutine that reads the socket.
 func (p *Prober) HandleDatagram(data []byte, from netip.AddrPort, receivedAt time.Time) {
 	d, err := decodeDatagram(data)
 	if err != nil || d.label != p.labelHash {
@@ -105,12 +105,13 @@
 	defer p.mu.Unlock()
 	probe, ok := p.pending[d.nonce]
 	if !ok || probe.to != from {
-		p.malformed++ // too late, or forged
+		p.malformed++ // the reply came too late or is forged
 		return
 	}
 	delete(p.pending, d.nonce)
 	dwell := time.Duration(d.dwell) * time.Microsecond
-	// A peer that claims most of the round trip as its own dwell time was busy, or makes the network look faster than it is.
+	// A peer that reports most of the round trip as its own dwell time was busy, or would make the round trip appear shorter
+	// than it is.
 	if rtt := receivedAt.Sub(probe.sentAt); dwell <= maxDwell && 2*dwell < rtt {
 		p.samples[probe.site] = append(p.samples[probe.site], sample{probe.sentAt, rtt - dwell, false})
 	}
@@ -140,7 +141,7 @@
 }
 
 // plan returns the members to probe, by site, and the average time between two probes. A member that is not an observer gets
-// no sites. The plan is made anew when the view has changed.
+// no sites. The plan is recomputed when the view has changed.
 func (p *Prober) plan() ([]member.Members, time.Duration) {
 	view := p.cfg.View()
 	if view == p.planView {
@@ -186,16 +187,16 @@
 	if len(p.pending) >= maxPending {
 		return
 	}
-	// The lock is held while sending, since the answer may arrive before Send returns.
+	// The lock is held while sending, since the reply may arrive before Send returns.
 	sentAt, err := p.cfg.Send(d.encode(member.ProbeByte), m.Addr)
 	if err != nil {
-		sentAt = time.Now() // it will count as lost
+		sentAt = time.Now() // the probe will count as lost
 	}
 	p.sent++
 	p.pending[d.nonce] = pendingProbe{m.Site, m.Addr, sentAt}
 }
 
-// expire turns unanswered probes into lost samples and removes samples that are too old. The lock is held.
+// expire records probes without a reply as lost samples and removes samples that are too old. The lock is held.
 func (p *Prober) expire(now time.Time) {
 	for nonce, probe := range p.pending {
 		if now.Sub(probe.sentAt) > probeTimeout {
--- a/internal/fleet/latency/row.go
+++ b/internal/fleet/latency/row.go
@@ -13,7 +13,7 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// row is what one observer measured from its site. The entry's subject is that site.
+// row holds what one observer measured from its site, which is the subject of the entry.
 type row struct {
 	Entries []rowEntry `cbor:"1,keyasint"`
 }
@@ -83,9 +83,9 @@
 	return row, nil
 }
 
-// Row returns the estimates from one site to the others in the form of a latency row, and the age of the oldest row they rest
-// on. Estimates older than maxAge are left out, since they would make the whole row as old. body is nil if no estimate is
-// left. A hub sends such rows to its agents.
+// Row returns the estimates from one site to the others in the form of a latency row, and the age of the oldest row from
+// which they were computed. Row omits estimates older than maxAge, since they would raise the age of the whole row. body is
+// nil if no estimate is left. A hub sends such rows to its agents.
 func (m Matrix) Row(site string, maxAge time.Duration) (body []byte, age time.Duration) {
 	var r row
 	for p, e := range m {
