--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate implements memberlist's delegate interfaces on a List, whose own method set stays free of them.
+// delegate implements memberlist's delegate interfaces on a List, so that they are not part of List's own method set.
 type delegate List
 
 // maxGossipBytes is the size of a gossip message in one packet. A memberlist packet could hold more, but a larger packet is
@@ -35,7 +35,7 @@
 	return data
 }
 
-// NotifyMsg takes a gossip message.
+// NotifyMsg passes on a received gossip message.
 func (d *delegate) NotifyMsg(data []byte) { d.cfg.Merge(data) }
 
 // GetBroadcasts returns a gossip message for the next packet.
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// AckPayload returns nothing: answers to probes carry no data.
+// AckPayload returns nothing: replies to probes carry no data.
 func (d *delegate) AckPayload() []byte { return nil }
 
-// NotifyPingComplete takes the round trip of a probe by memberlist.
+// NotifyPingComplete passes on the round trip of a memberlist probe.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, rtt time.Duration, _ []byte) {
 	d.cfg.ObserveRTT(n.Name, rtt)
 }
@@ -76,7 +76,7 @@
 	}
 	m.Addr = netip.AddrPortFrom(ip.Unmap(), n.Port)
 	if cbor.Unmarshal(n.Meta, &m.Meta) != nil {
-		m.Meta = Meta{} // of an unknown form: it is a member nevertheless
+		m.Meta = Meta{} // unknown encoding: the node is still a member
 	}
 	return m, true
 }
@@ -97,7 +97,7 @@
 	l.cfg.Changed()
 }
 
-// NotifyUpdate replaces a member whose Meta has changed. The time of joining stays while the process is the same.
+// NotifyUpdate replaces a member whose Meta has changed. JoinedAt stays unchanged while the incarnation is the same.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) {
 	l := (*List)(d)
 	m, ok := l.memberOf(n)
@@ -113,7 +113,7 @@
 	l.cfg.Changed()
 }
 
-// NotifyLeave removes a member, and remembers it as failed unless it left by itself.
+// NotifyLeave removes a member, and records it as failed unless it left the fleet itself.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	l := (*List)(d)
 	l.mu.Lock()
@@ -129,7 +129,8 @@
 }
 
 // NotifyConflict makes this process leave if another one has its name and started earlier. Incarnations depend on wall
-// clocks, and the other process may not learn of the conflict; so after maxConflicts reports this one leaves in any case.
+// clocks, and the other process may not detect the conflict, so this process leaves after maxConflicts reports even if it
+// started first.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	l := (*List)(d)
 	if existing.Name != l.cfg.Name {
--- a/internal/fleet/member/failed.go
+++ b/internal/fleet/member/failed.go
@@ -1,6 +1,6 @@
 package member
 
-// This file finds out which failed members are dead, and which member has to check which.
+// This file determines which failed members are dead, and which member has to check which.
 
 import (
 	"cmp"
@@ -49,7 +49,7 @@
 func RendezvousScore(subject, name string) uint64 { return xxhash.Sum64String(subject + "\x00" + name) }
 
 // ConfirmDead reports whether a member's process has ended for certain: its machine refuses a connection or resets it. A
-// missing answer proves nothing, because the network may be partitioned. It waits for up to timeout.
+// timeout proves nothing, because the network may be partitioned. ConfirmDead waits for up to timeout.
 func (l *List) ConfirmDead(ctx context.Context, m Member, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -62,8 +62,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// MissingHubs returns the hubs that are not in the list but may be alive behind a network partition, with agents attached:
-// hubs that failed, and seeds that this process has never met. The latter have an address and no name.
+// MissingHubs returns the hubs that are not in the list but may still run behind a network partition, with agents attached:
+// hubs that failed, and seeds whose address belongs to no current or failed member. A seed has an address and no name.
 func (l *List) MissingHubs() (list []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -36,9 +36,9 @@
 	return c
 }
 
-// Run joins the fleet and stays in it until ctx ends, and then leaves it. While no other member answers it is the only
-// member and keeps trying to join. It also leaves, without an error, if another process has this one's name. It may be
-// called once, and returns after the transport's goroutines have ended.
+// Run joins the fleet and stays in it until ctx ends, and then leaves it. While no other member responds, this process is
+// the only member and repeats its attempts to join. It also leaves, without an error, if another process has this one's
+// name. It may be called once, and returns after the transport's goroutines have ended.
 func (l *List) Run(ctx context.Context) error {
 	if !l.transport.awaitAddress(ctx) {
 		return l.transport.Shutdown()
@@ -56,8 +56,8 @@
 	retryBackoff.Reset()
 	for leaving := false; !leaving; {
 		if targets := l.joinTargets(); len(targets) > 0 {
-			// A successful join does not reset the backoff. Each join exchanges the complete state of both sides. While
-			// members are suspected because all are slow, more joins made all of them slower still.
+			// A successful join does not reset the backoff. Each join exchanges the complete state of both sides. When all
+			// members are slow and therefore suspected, additional joins make them even slower.
 			if n, err := list.Join(targets); n == 0 && err != nil {
 				l.cfg.Log.Debug("join failed", "asked", targets, "error", err)
 			}
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -1,6 +1,6 @@
 package member
 
-// This file holds the list of members and hands out views of it.
+// This file maintains the list of members and returns views of it.
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 )
 
 // Config configures a List. The functions are called from memberlist's and the transport's goroutines, several at a time,
-// and none of them may wait except ServeConn.
+// and none of them may block except ServeConn.
 type Config struct {
 	Name         string         // unique in the fleet
 	Listen       netip.AddrPort // UDP and TCP
@@ -26,16 +26,16 @@
 	Seeds        []string       // addresses of other members
 	Label        string         // fleets with different labels do not mix
 	MaxMembers   int            // greatest number of members that the fleet may have
-	AwaitAddress bool           // if Listen is in use by an older process of this agent, Run waits for it
+	AwaitAddress bool           // if Listen is in use by this agent's predecessor, Run waits until it is free
 	Meta         Meta
 	Log          *slog.Logger
 
-	Merge       func(data []byte)                  // takes a gossip message from another member
+	Merge       func(data []byte)                  // receives a gossip message from another member
 	NextMessage func(limit, members int) []byte    // returns a gossip message of at most limit bytes; nil: none
-	ObserveRTT  func(name string, d time.Duration) // takes a measured round trip to another member
+	ObserveRTT  func(name string, d time.Duration) // receives a measured round trip to another member
 	Changed     func()                             // the list has changed
-	// HandleProbe takes a datagram of the latency prober and the time at which it was read. It must not keep data. It may be
-	// nil if no other member probes.
+	// HandleProbe receives a datagram of the latency prober and the time at which it was read. It must not retain data. It
+	// may be nil if no other member sends probes.
 	HandleProbe func(data []byte, from netip.AddrPort, at time.Time)
 	// ServeConn takes over a connection that starts with an HTTP request. nil: such connections are closed.
 	ServeConn func(net.Conn)
@@ -44,7 +44,7 @@
 	Wire     Wire             // nil: sockets are used directly
 }
 
-// List is the list of the fleet's members, this process always included. Its methods may be called from any goroutine.
+// List is the list of the fleet's members, which always includes this process. Its methods may be called from any goroutine.
 type List struct {
 	cfg       Config
 	transport *transport
@@ -54,7 +54,7 @@
 	memberlist    *memberlist.Memberlist // nil before Run
 	members       []*Member              // sorted by name; the Members they point to are never changed
 	view          *View                  // of members; nil: members have changed since the last call of View
-	failed        map[string]Member      // members that stopped answering without leaving, by name
+	failed        map[string]Member      // members that stopped responding without leaving, by name
 	toCheck       []Member               // see FailedToCheck
 	toCheckView   *View                  // the view for which toCheck was computed
 	peerJoins     int
@@ -82,7 +82,7 @@
 func (l *List) Addr() netip.AddrPort { return l.transport.advertise }
 
 // SendProbe sends a datagram of the latency prober to another member and returns the time at which it was sent. It returns
-// an error while an older process holds the address.
+// an error while this agent's predecessor still uses the address.
 func (l *List) SendProbe(data []byte, to netip.AddrPort) (time.Time, error) {
 	return l.transport.WriteTo(data, to.String())
 }
@@ -129,15 +129,15 @@
 	return len(l.members)
 }
 
-// PeerJoins returns how many times another member has joined the list since the start. 0 means that this process has never
-// met another one.
+// PeerJoins returns how many times another member has joined the list since the start. 0 means that there has never been
+// another member.
 func (l *List) PeerJoins() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peerJoins
 }
 
-// SetPhase sets this process's phase and publishes it. It does not wait for the others.
+// SetPhase sets this process's phase and publishes it. It does not wait until others have received it.
 func (l *List) SetPhase(phase Phase) {
 	l.mu.Lock()
 	memberlist, same := l.memberlist, l.phase == phase
@@ -148,12 +148,12 @@
 	}
 	l.mu.Unlock()
 	if memberlist != nil && !same {
-		// Run does not wait for this goroutine: it ends by itself after 2 s. If it fails, others learn the phase from the
+		// Run does not wait for this goroutine, which ends within 2 s. If the update fails, others receive the phase in the
 		// next exchange of states.
 		go func() { _ = memberlist.UpdateNode(2 * time.Second) }()
 	}
 }
 
-// Abort closes the sockets without leaving the fleet, as if the process were killed. If Run was called it still has to be
-// ended by its context.
+// Abort closes the sockets without leaving the fleet, as if the process were killed. If Run was called, its context must
+// still be cancelled.
 func (l *List) Abort() error { return l.transport.Shutdown() }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -2,19 +2,19 @@
 // probing, suspicion and refutation. On the same address it carries gossip, latency probes and HTTP calls between members.
 //
 // Each process owns one List. Its Run joins the fleet and waits for the transport's goroutines before it returns; memberlist
-// runs goroutines of its own until then. The list of members is protected by one lock and handed out as immutable Views.
-// It has no age bound: memberlist removes a member that does not answer within some seconds. A removed member may still be
-// alive behind a network partition; only ConfirmDead tells that a process has ended.
+// runs goroutines of its own until then. The list of members is protected by one lock and handed out as immutable Views. It
+// has no age bound: memberlist removes a member that does not respond within some seconds. A removed member may still run
+// behind a network partition; only ConfirmDead establishes that a process has ended.
 package member
 
-// This file defines what is known of one member.
+// This file defines a member and the metadata that it publishes.
 
 import (
 	"net/netip"
 	"time"
 )
 
-// Phase says whether a process serves requests yet.
+// Phase is whether a process serves requests yet.
 type Phase uint8
 
 const (
@@ -33,10 +33,10 @@
 	Hub         bool   `cbor:"5,keyasint,omitempty"` // it serves agents and is not an agent itself: it has no quota
 }
 
-// Member is a member of the fleet as known to this process.
+// Member is a member of the fleet, as recorded by this process.
 type Member struct {
 	Name string
 	Addr netip.AddrPort // UDP and TCP
 	Meta
-	JoinedAt time.Time // when this process learnt of it, with the monotonic clock; zero for itself before Run
+	JoinedAt time.Time // when this process added it to the list, with the monotonic clock; zero for itself before Run
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// A seed that answers but never becomes a member under its address, as one that is reached through a proxy, is asked less and
-// less often.
+// Join attempts back off even if the seed responds but never becomes a member under its configured address, for example
+// because it is reached through a proxy.
 func TestJoinBacksOffEvenIfTheSeedResponds(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -56,14 +56,14 @@
 	<-firstConnection
 	<-time.After(3 * time.Second) // the time in which attempts are counted
 	if n := connections.Load(); n > 14 {
-		t.Errorf("asked %d times in 3 s", n)
+		t.Errorf("got %d connections to the seed in 3 s, want at most 14", n)
 	} else {
-		t.Logf("asked %d times in 3 s", n)
+		t.Logf("%d connections to the seed in 3 s", n)
 	}
 	proxy.Close()
 }
 
-// forward connects a connection to an address and copies both ways until either side closes. It closes the connection.
+// forward dials an address and copies data between it and c in both directions until either side closes. It closes c.
 func forward(tasks *sync.WaitGroup, c net.Conn, addr string) {
 	defer c.Close()
 	s, err := net.Dial("tcp", addr)
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// ProbeByte is the first byte of a datagram of the latency prober. By the first byte other traffic is distinguished from
-	// memberlist's on the same address: its messages begin with small numbers or, if labelled, with 244.
+	// ProbeByte is the first byte of a datagram of the latency prober. It distinguishes these datagrams from memberlist's on
+	// the same address, which begin with a small number or, if labelled, with 244.
 	ProbeByte = 0xd7
 	getByte   = 'G' // first byte of a connection that carries an HTTP request
 	postByte  = 'P' // likewise
 
 	maxDatagramBytes  = 64 << 10
 	maxUnclassified   = 64              // connections whose first byte has not arrived yet
-	firstByteTimeout  = 3 * time.Second // after which such a connection is closed
+	firstByteTimeout  = 3 * time.Second // after which a connection without a first byte is closed
 	socketBufferBytes = 1 << 20
 )
 
 // Wire intercepts the traffic between a member and its sockets. Tests and measurements count or drop traffic with it. Its
-// methods are called from several goroutines and may wait.
+// methods are called from several goroutines and may block.
 type Wire interface {
-	// Packet reports whether a datagram may pass. out says that it is being sent to peer, not received from it.
+	// Packet reports whether a datagram may pass. out is true if the datagram is being sent to peer, and false if it was
+	// received from peer.
 	Packet(data []byte, peer netip.AddrPort, out bool) bool
 	// Dial opens a connection with d.
 	Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error)
@@ -40,9 +41,9 @@
 	Accepted(c net.Conn) net.Conn
 }
 
-// transport implements memberlist.Transport on one address, and passes on what does not belong to memberlist. One goroutine
-// reads datagrams and one accepts connections. Each accepted connection has a goroutine until its first byte tells to whom
-// it belongs. Shutdown waits for all of them.
+// transport implements memberlist.Transport on one address, and passes on traffic that does not belong to memberlist. One
+// goroutine reads datagrams and one accepts connections. Each accepted connection has a goroutine until its first byte shows
+// whether it belongs to memberlist. Shutdown waits for all of them.
 type transport struct {
 	listen       netip.AddrPort
 	advertise    netip.AddrPort
@@ -91,7 +92,7 @@
 		t.tcp = nil
 		return err
 	}
-	_ = t.udp.SetReadBuffer(socketBufferBytes) // the system may allow less, which is no error
+	_ = t.udp.SetReadBuffer(socketBufferBytes) // the system may allow less, which is not an error
 	if t.advertise.Port() == 0 {
 		t.advertise = addr
 	}
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// awaitAddress binds as soon as the address is free: an older process of this agent holds it until it ends. It reports false
-// if ctx ends first.
+// awaitAddress binds as soon as the address is free: this agent's predecessor uses it until it ends. It reports false if ctx
+// ends first.
 func (t *transport) awaitAddress(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
@@ -119,7 +120,7 @@
 const bindInterval = 50 * time.Millisecond
 
 // errNotBound is the error of sending before awaitAddress has succeeded.
-var errNotBound = errors.New("fleet address is still held by an older process")
+var errNotBound = errors.New("fleet address is still in use by this agent's predecessor")
 
 // run reads datagrams and accepts connections until Shutdown.
 func (t *transport) run() {
@@ -241,7 +242,7 @@
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
-// WriteTo sends a datagram and returns the time just before.
+// WriteTo sends a datagram and returns the time just before it was sent.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	if !t.bound.Load() {
 		return time.Time{}, errNotBound
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -28,7 +28,7 @@
 	return &memberlist.Node{Name: name, Addr: []byte{127, 0, 0, 1}, Port: 1}
 }
 
-// One view is shared until a member joins, leaves or changes, and asking for it allocates nothing. Older views stay unchanged.
+// View returns the same view, without an allocation, until a member joins, leaves or changes. Older views stay unchanged.
 func TestViewIsSharedUntilMembershipChanges(t *testing.T) {
 	l := newIdleList(t)
 	d := (*delegate)(l)
@@ -62,11 +62,11 @@
 		s.do()
 		v := l.View()
 		if names(v) != s.want || names(before) != namesBefore {
-			t.Errorf("step %d: members %s, want %s; the view before is %s and was %s", i, names(v), s.want, names(before), namesBefore)
+			t.Errorf("step %d: members %s, want %s; the older view has members %s, want %s", i, names(v), s.want, names(before), namesBefore)
 		}
 		if n := testing.AllocsPerRun(10, func() {
 			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
-				t.Errorf("step %d: another view though nothing changed", i)
+				t.Errorf("step %d: got another view although nothing changed", i)
 			}
 		}); n > 1 { // the slice that FailedToCheck returns
 			t.Errorf("step %d: %v allocations for a view", i, n)
@@ -76,11 +76,11 @@
 		t.Errorf("%d starting, %d without a site", v.StartingCount(), v.InSite("").Len())
 	}
 	if m, found := l.View().ByName("m"); !found || m.Phase != Serving {
-		t.Errorf("%+v", m)
+		t.Errorf("got member %+v, want phase Serving", m)
 	}
 }
 
-// Many members that join at once cost one view, built when it is asked for.
+// Many joins in a row build only one view, on the next call of View.
 func TestManyJoinsBuildOneView(t *testing.T) {
 	l := newIdleList(t)
 	const n = 1800
