--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -17,9 +17,9 @@
 // serviceLoad is the load of the list service as one caller observed it: the body of an entry of kind
 // gossip.ListServiceLoad.
 type serviceLoad struct {
-	Rate    float64 `cbor:"1,keyasint"` // calls per second that the service seems to sustain
+	Rate    float64 `cbor:"1,keyasint"` // estimate of the calls per second that the service sustains
 	Failed  bool    `cbor:"2,keyasint"` // the call was rejected or failed
-	Version int64   `cbor:"3,keyasint"` // of the list in the answer
+	Version int64   `cbor:"3,keyasint"` // of the list in the response
 }
 
 // decodeLoad decodes the body of an entry. It is the decode of gossip.DecodeBody for loads.
@@ -28,8 +28,8 @@
 	return l, err
 }
 
-// Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the median
-// rate and the highest version, and is as old as the oldest entry that counts. The second is the most recent failure, if
+// Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the
+// median rate and the highest version, and is as old as the oldest valid entry. The second is the most recent failure, if
 // there is one, with its own age, which determines how long others pause. Malformed entries are ignored. Hubs publish the
 // aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -1,15 +1,15 @@
 // Package startup limits the rate at which processes that start at the same time call the list service.
 //
-// No process assigns turns. Each process draws a random place in a time window whose length is the number of starting
-// processes divided by the rate that the service is believed to sustain. Processes that called the service publish that rate
-// by gossip (gossip.ListServiceLoad), and lower it when calls fail or are slow. Without gossip the same rule holds with what
-// this process observed alone.
+// No process assigns turns. Each process draws a random position in a time window whose length is the number of starting
+// processes divided by the estimated rate that the service sustains. Processes that called the service publish that rate by
+// gossip (gossip.ListServiceLoad), and lower it when calls fail or are slow. Without gossip a process applies the same rule
+// to its own observations.
 //
-// Each process owns one Pacer, whose lock protects its state; the package starts no goroutines. What others published is used
-// up to the age bound of gossip.ListServiceLoad.
+// Each process owns one Pacer, whose lock protects its state; the package starts no goroutines. Published loads are used up
+// to the age bound of gossip.ListServiceLoad.
 package startup
 
-// This file decides when a process may call the list service.
+// This file determines when a process may call the list service.
 
 import (
 	"context"
@@ -25,30 +25,30 @@
 )
 
 const (
-	minStartDelay       = 300 * time.Millisecond // no process calls the service earlier after its start: it first has to meet others
-	checkInterval       = 50 * time.Millisecond  // between two looks at the gossip while a process awaits its turn
-	isolatedWindow      = time.Second            // shortest window of a process that has met no other
+	minStartDelay       = 300 * time.Millisecond // no process calls the service earlier after its start, so that other members can join first
+	checkInterval       = 50 * time.Millisecond  // between two checks of the published loads while a process awaits its turn
+	isolatedWindow      = time.Second            // shortest window of a process that has had no other member
 	maxWindow           = 10 * time.Second       // longest window
-	slowResponse        = 500 * time.Millisecond // a longer wait for the first byte shows that the service is overloaded
-	rateIncrease        = 1.25                   // factor on the rate after a fast answer
+	slowResponse        = 500 * time.Millisecond // a longer delay until the first byte shows that the service is overloaded
+	rateIncrease        = 1.25                   // factor on the rate after a fast response
 	failureDecrease     = 0.5                    // factor on the rate after a failed call
-	slowDecrease        = 0.9                    // factor on the rate after a slow answer
+	slowDecrease        = 0.9                    // factor on the rate after a slow response
 	minRate             = 0.5                    // calls per second
 	maxRate             = 1000.0                 // calls per second
 	failurePauseWindows = 2.0                    // a failure pauses all processes for this many times 1/rate
 	subject             = "lists"                // see Subject
 	maxDoublings        = 5                      // of the window, one for each consecutive failure
-	republishInterval   = 3 * time.Second        // after which a load is published again though nothing has changed
+	republishInterval   = 3 * time.Second        // after which a load is published again even if nothing has changed
 )
 
 // Config configures a Pacer.
 type Config struct {
 	Rate     float64       // calls per second that the service is assumed to sustain at first, from all processes together
-	HasPeers func() bool   // whether this process has met any other
+	HasPeers func() bool   // whether another member has joined since the start
 	Store    *gossip.Store // nil: no loads are exchanged
 }
 
-// Pacer decides when this process may call the list service. Its methods may be called from any goroutine.
+// Pacer determines when this process may call the list service. Its methods may be called from any goroutine.
 type Pacer struct {
 	cfg       Config
 	startedAt time.Time
@@ -63,7 +63,7 @@
 // New returns a pacer for a process that starts now.
 func New(cfg Config) *Pacer { return &Pacer{cfg: cfg, startedAt: time.Now(), rate: cfg.Rate} }
 
-// serviceState returns what is known of the service now: the sustainable rate, as the median of the published loads or else
+// serviceState returns the current state of the service: the sustainable rate, as the median of the published loads or else
 // this process's own estimate; how long ago a call last failed, or -1; and the highest published list version.
 func (p *Pacer) serviceState() (rate float64, lastFailure time.Duration, version int64) {
 	p.mu.Lock()
@@ -94,7 +94,7 @@
 // LatestVersion returns the highest list version among the published loads, or 0.
 func (p *Pacer) LatestVersion() int64 { _, _, v := p.serviceState(); return v }
 
-// window returns the time in which the given number of processes get their turns at a rate.
+// window returns the time over which the turns of the given number of processes are spread, at a rate in calls per second.
 func (p *Pacer) window(processes int, rate float64) time.Duration {
 	p.mu.Lock()
 	backoff := math.Exp2(float64(min(p.consecutiveFailures, maxDoublings)))
@@ -107,15 +107,15 @@
 }
 
 // AwaitTurn waits for this process's turn among the starting processes, which countStarting counts, this one included. It
-// reports false if ctx ends first. While it waits it follows the gossip: if more processes start or the rate falls, the turn
-// moves back in proportion, and a recent failure pauses every process.
+// reports false if ctx ends first. While it waits it checks the published loads: if more processes start or the rate falls,
+// the turn is postponed in proportion, and a recent failure pauses every process.
 func (p *Pacer) AwaitTurn(ctx context.Context, countStarting func() int) bool {
 	check := time.NewTicker(checkInterval)
 	defer check.Stop()
-	windowStart, position := time.Now(), rand.Float64() // full jitter: the relative place stays when the window changes
+	windowStart, position := time.Now(), rand.Float64() // full jitter: the relative position stays when the window changes
 	processes := 1
 	for {
-		// The count never falls: if processes that had their turn moved the others forward, all would call at once.
+		// The count never falls: if each process that had its turn shortened the window, the others would all call at once.
 		processes = max(processes, countStarting())
 		rate, lastFailure, _ := p.serviceState()
 		now := time.Now()
@@ -127,7 +127,7 @@
 		if !now.Before(due) && (lastFailure < 0 || lastFailure > pause) {
 			return true
 		}
-		if lastFailure >= 0 && lastFailure <= pause && !now.Before(due) { // queue behind those whose calls failed
+		if lastFailure >= 0 && lastFailure <= pause && !now.Before(due) { // queue behind the processes whose calls failed
 			windowStart = now
 		}
 		select {
@@ -138,8 +138,9 @@
 	}
 }
 
-// RecordAttempt records the result of a call: the wait for the first byte of the answer, or that the call failed, and the
-// list version in the answer. It publishes the load if that is news to others.
+// RecordAttempt records the result of a call: the delay until the first byte of the response, or that the call failed, and
+// the list version in the response. It publishes the load after a failed or slow call, when the version has changed, and
+// after republishInterval.
 func (p *Pacer) RecordAttempt(delay time.Duration, failed bool, version int64) {
 	rate, _, _ := p.serviceState()
 	p.mu.Lock()
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -23,14 +23,14 @@
 	unavailableUntil time.Time     // all calls are rejected before
 	calls            int
 	failed           int
-	peak             int // calls in the worst second
+	peak             int // calls in the busiest second
 	startedAt        time.Time
 	callsBySecond    map[int]int
 }
 
 var errBusy = errors.New("busy")
 
-// call returns the time until the answer, or errBusy if the call is rejected.
+// call returns the time until the response, or errBusy if the call is rejected.
 func (s *testService) call() (time.Duration, error) {
 	now := time.Now()
 	s.calls++
@@ -53,13 +53,13 @@
 	return wait + time.Duration(float64(time.Second)/s.rate), nil
 }
 
-// startAll starts n processes within a second, with or without gossip between them, and returns the time until all had a
+// startAll starts n processes within a second, with or without gossip between them, and returns the time until all have a
 // list.
 func startAll(t *testing.T, n int, s *testService, withGossip bool) (took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel() // no process waits any more by then
+		defer cancel() // all processes have a list by then
 		s.startedAt, s.callsBySecond = time.Now(), map[int]int{}
 		if !s.unavailableUntil.IsZero() {
 			s.unavailableUntil = s.startedAt.Add(10 * time.Second)
@@ -103,8 +103,8 @@
 	return took
 }
 
-// callUntilSuccess calls the service when it is the process's turn, until it gets a list. The calls are made by whoever
-// receives from the channel. It reports false if ctx ends first.
+// callUntilSuccess calls the service when it is the process's turn, until it gets a list. The receiver of the channel makes
+// the calls. callUntilSuccess reports false if ctx ends first.
 func callUntilSuccess(ctx context.Context, p *Pacer, countStarting func() int, s *testService, calls chan<- func()) bool {
 	type callResult struct {
 		took time.Duration
@@ -138,8 +138,8 @@
 	}
 }
 
-// Many processes that start at the same time do not overload a service whose capacity they learn only from each other, and
-// all get a list in time.
+// Many processes that start at the same time do not overload a service whose capacity they estimate only from published
+// loads, and all get a list in time.
 func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
 	for _, c := range []struct {
 		n           int
@@ -147,7 +147,7 @@
 		unavailable bool
 		withGossip  bool
 		calls       float64 // greatest number of calls per agent
-		maxSlowdown float64 // greatest time until all have a list: this times the ideal by capacity, plus 2 s
+		maxSlowdown float64 // greatest time until all have a list: this many times the shortest that the capacity allows, plus 2 s
 	}{
 		{100, 17, false, true, 1.4, 2}, {100, 67, false, true, 1.1, 4}, {10, 50, false, true, 1.01, 4},
 		{100, 50, true, true, 6, 3}, {100, 50, false, false, 3, 4}, {1, 50, false, true, 1, 50},
@@ -161,10 +161,10 @@
 		if c.unavailable {
 			ideal += 10
 		}
-		t.Logf("%3d agents, %3.0f/s, dark %v, fleet %v: %.2f calls an agent, %d refused, %d in the worst second, all after %.1f s (%.1f s by capacity)",
+		t.Logf("%3d agents, %3.0f calls/s, unavailable %v, gossip %v: %.2f calls per agent, %d rejected, %d in the busiest second, all have a list after %.1f s (%.1f s by capacity)",
 			c.n, c.rate, c.unavailable, c.withGossip, callsPerAgent, s.failed, s.peak, took.Seconds(), ideal)
 		if callsPerAgent > c.calls || took.Seconds() > c.maxSlowdown*ideal+2 {
-			t.Errorf("%d agents: %.2f calls an agent (at most %.2f), all after %v", c.n, callsPerAgent, c.calls, took)
+			t.Errorf("%d agents: %.2f calls per agent (want at most %.2f), all have a list after %v", c.n, callsPerAgent, c.calls, took)
 		}
 	}
 }
