--- a/internal/fleet/dead.go
+++ b/internal/fleet/dead.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file finds out which failed members are dead, and publishes them.
+// This file checks which failed members are dead, and publishes their names.
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 	maxNamesPerEntry  = 64 // dead names in one gossip entry: its body is limited
 )
 
-// detectDead checks the failed members that this one is responsible for, once a second until ctx ends, and publishes the names
-// of those whose machine refuses connections. Other members then use their quota; see recomputeQuota.
+// detectDead checks the failed members for which this process is responsible, once a second until ctx ends, and publishes
+// the names of those whose machine refuses connections. Other members then use their quota; see recomputeQuota.
 func (f *Fleet) detectDead(ctx context.Context) {
 	tick := time.NewTicker(deadCheckInterval)
 	defer tick.Stop()
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	documentInterval = 250 * time.Millisecond // between two publications of versions and two looks at those of others
-	maxDocumentPeers = 4                      // members that are asked for a document, the publisher of its version first
+	documentInterval = 250 * time.Millisecond // between two publications of versions, and two checks of the versions of others
+	maxDocumentPeers = 4                      // members from which a document is requested, the publisher of its version first
 )
 
 // PolicyDocument returns the residency policy of a holder as a document that a fleet replicates.
@@ -47,7 +47,7 @@
 	return list
 }
 
-// shareDocuments publishes the versions in force here and fetches later versions of others, until ctx ends.
+// shareDocuments publishes the versions in force here and fetches later versions from other members, until ctx ends.
 func (f *Fleet) shareDocuments(ctx context.Context) {
 	tick := time.NewTicker(documentInterval)
 	defer tick.Stop()
@@ -70,7 +70,7 @@
 	}
 }
 
-// documentPeers returns the members to ask for a document whose version the named one has published: that one first.
+// documentPeers returns the members from which to request a document, with the publisher of its version first.
 func (f *Fleet) documentPeers(publisher string) documents.Sources {
 	peers, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
 	if m, found := view.ByName(publisher); found {
@@ -87,7 +87,7 @@
 	return peers
 }
 
-// serveDocument answers a request for a document. It reports false if the request is for something else.
+// serveDocument serves a request for a document. It reports false if the request is for another path.
 func (f *Fleet) serveDocument(w http.ResponseWriter, req *http.Request) bool {
 	for _, document := range f.documents {
 		if digest, ok := strings.CutPrefix(req.URL.Path, document.Path); ok {
--- a/internal/fleet/documents_test.go
+++ b/internal/fleet/documents_test.go
@@ -11,8 +11,8 @@
 	"martenbeam/internal/residency"
 )
 
-// A policy that is given to one process reaches all, a higher version replaces it, and of two policies with one version only
-// what both permit is permitted.
+// A policy that is given to one process reaches all, a higher version replaces it, and of two policies with the same version
+// only what both permit is permitted.
 func TestPolicyReachesAllMembers(t *testing.T) {
 	t.Parallel()
 	text := func(version int, region string) string {
@@ -46,7 +46,7 @@
 	apply(0, 2, `"x"`)
 	waitFor(t, "the second policy", holds(true, false))
 	apply(1, 2, `"y"`)
-	waitFor(t, "what both permit", holds(false, false))
+	waitFor(t, "the intersection of both policies", holds(false, false))
 	apply(1, 3, `"y"`)
 	waitFor(t, "the third policy", holds(false, true))
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -2,7 +2,7 @@
 // derives the process's quota of the fleet's in-flight limit, the latency of the other sites, when the list service may be
 // called, and which residency policy and settings are in force.
 //
-// A Fleet is owned by whoever calls Run, which starts these goroutines and waits for them:
+// The caller of Run owns the Fleet. Run starts these goroutines and waits for them:
 //
 //   - member.List: the list of members, and the sockets. It has no age bound.
 //   - runLoop: ticks the gossip store, recomputes the quota and the latencies, and calls the Callbacks.
@@ -12,7 +12,8 @@
 //   - shareDocuments: publishes the versions of documents and fetches later ones.
 //
 // The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. The fields of Fleet are
-// protected by one lock, those of relay by another. No request path waits here, and an agent serves without a fleet.
+// protected by one lock, those of relay by another. No client request waits for this package, and an agent serves without a
+// fleet.
 package fleet
 
 // This file makes a fleet from its parts and runs it.
@@ -45,19 +46,19 @@
 	Listen, Advertise   string                // IP address and port, for UDP and TCP; Advertise "": Listen
 	Seeds               []string              // addresses of other members, IP and port
 	Label               string                // fleets with different labels do not mix
-	MaxMembers          int                   // greatest number of agents in the fleet: the in-flight limit is divided among so many
-	AwaitAddress        bool                  // if Listen is in use by an older process of this agent, Run waits for it
+	MaxMembers          int                   // greatest number of agents in the fleet: the in-flight limit is divided among this many
+	AwaitAddress        bool                  // if Listen is in use by this agent's predecessor, Run waits until it is free
 	AgeBounds           gossip.AgeBounds      // nil: gossip.DefaultAgeBounds
 	RelayedLists        bool                  // endpoint lists are relayed by a few members of each site
 	ListRate            float64               // calls per second that the list service is assumed to sustain at first
 	MeasureLatency      bool                  // round trips to other sites are measured and published
 	Incarnations        incarnation.Allocator // allocates the incarnation of this process
 	Log                 *slog.Logger
-	Trace               io.Writer // gets a line for each gossip entry used or published and each change of quota; nil: no trace
+	Trace               io.Writer // receives a line for each gossip entry used or published and each change of quota; nil: no trace
 
 	Residency    *residency.Holder   // of the residency policy in force; nil: there is none
 	PolicySource bool                // this process is given the policy and publishes its version
-	Settings     *documents.Document // settings that this process holds for others; nil: none
+	Settings     *documents.Document // settings that this process serves to others; nil: none
 
 	Hub         bool         // this process is a hub, not an agent
 	HTTPHandler http.Handler // serves HTTP requests to the fleet's address, except for documents and endpoint lists; nil: 404
@@ -67,12 +68,12 @@
 	Wire      member.Wire      // intercepts the traffic, for tests; nil: none
 }
 
-// Callbacks receive what a fleet derives for its agent. They are called by the fleet's runLoop, one at a time, and must not
-// wait. Each may be nil.
+// Callbacks receive what a fleet derives for its agent. The fleet's runLoop calls them, one at a time, and they must not
+// block. Each may be nil.
 type Callbacks struct {
-	// Quota takes this process's quota, a fraction of the fleet's in-flight limit from 0 to 1, when it changes.
+	// Quota receives this process's quota, a fraction of the fleet's in-flight limit from 0 to 1, when it changes.
 	Quota func(quota float64)
-	// Latencies takes the round trips from this site to each zone, and the loss from 0 to 1, when any changes. Both are 0
+	// Latencies receives the round trips from this site to each zone, and the loss from 0 to 1, when any changes. Both are 0
 	// where they are unknown. The slices are not changed afterwards.
 	Latencies func(rtts []time.Duration, lossRates []float64)
 }
@@ -87,14 +88,14 @@
 	prober      *latency.Prober
 	pacer       *startup.Pacer
 	relay       *relay
-	changed     chan struct{} // wakes runLoop after a change of the members; holds at most one signal
+	changed     chan struct{} // signals a change of the members to runLoop; buffers at most one signal
 	startedAt   time.Time
 	gossipBytes atomic.Int64 // bytes of gossip messages sent since the last summary
 	documents   []sharedDocument
 
 	mu                sync.Mutex // protects all below
-	firstPeerJoinedAt time.Time  // when runLoop first saw that another member had been met
-	quota             float64    // as passed to Callbacks.Quota last; -1 before
+	firstPeerJoinedAt time.Time  // when runLoop first observed that another member had joined
+	quota             float64    // last passed to Callbacks.Quota; -1 before the first call
 	rtts              []time.Duration
 	lossRates         []float64
 	matrix            latency.Matrix // built for matrixView and matrixChanges
@@ -104,8 +105,8 @@
 	ready             bool   // Ready was called
 }
 
-// New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies gets them. It returns an error
-// if an address is invalid or in use; see member.New. A Fleet that is not run has to be closed by Abort.
+// New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies receives them. It returns an
+// error if an address is invalid or in use; see member.New. A Fleet that is not run has to be closed by Abort.
 func New(cfg Config, zones []string, callbacks Callbacks) (*Fleet, error) {
 	listen, advertise, err := cfg.addresses()
 	if err != nil {
@@ -163,7 +164,7 @@
 	}
 }
 
-// mergeGossip takes a gossip message from another member.
+// mergeGossip stores the entries of a gossip message from another member.
 func (f *Fleet) mergeGossip(data []byte) {
 	if err := f.store.Merge(data); err != nil {
 		f.cfg.Log.Debug("malformed gossip message", "error", err)
@@ -177,7 +178,7 @@
 	return data
 }
 
-// membersChanged wakes runLoop.
+// membersChanged signals runLoop that the members have changed.
 func (f *Fleet) membersChanged() {
 	select {
 	case f.changed <- struct{}{}:
@@ -189,7 +190,7 @@
 func (f *Fleet) Addr() string { return f.members.Addr().String() }
 
 // Run joins the fleet, stays in it until ctx ends, and leaves it. It returns after all its goroutines have ended. If joining
-// fails it returns the error at once. If this process has to leave because another one has its name, Run goes on without
+// fails it returns the error at once. If this process has to leave because another one has its name, Run continues without
 // members until ctx ends. It may be called once.
 func (f *Fleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
@@ -231,7 +232,7 @@
 	defer tick.Stop()
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	rowExpiry := time.NewTimer(0) // a row has expired: the matrix must not rest on it until the next tick
+	rowExpiry := time.NewTimer(0) // fires when a latency row expires, so that the matrix is rebuilt without the row before the next tick
 	defer rowExpiry.Stop()
 	for n := 0; ; n++ {
 		due := n%2 == 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,12 +16,12 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// waitTimeout is how long a test waits for a condition: far longer than it takes on any machine.
+// waitTimeout is how long a test waits for a condition. No condition takes nearly as long, even on a slow machine.
 const waitTimeout = 30 * time.Second
 
 var zones = []string{"a", "b"}
 
-// testProcess is a Fleet that runs in the test's process, with its log and the quotas it got.
+// testProcess is a Fleet that runs in the test's process, with its log and the quotas it received.
 type testProcess struct {
 	*Fleet
 	cancel context.CancelFunc
@@ -31,7 +31,7 @@
 	log    bytes.Buffer
 }
 
-// Write takes log lines.
+// Write appends to the process's log.
 func (p *testProcess) Write(data []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 	return process
 }
 
-// lastQuota returns the quota that the process got last, or -1.
+// lastQuota returns the quota that the process received last, or -1.
 func (p *testProcess) lastQuota() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,8 @@
 	}
 }
 
-// startFleet starts n processes that know each other, in two sites by turns. tune may change their configuration.
+// startFleet starts a fleet of n processes, alternately in two sites, and waits until each lists all others. configure may
+// change their configuration.
 func startFleet(t *testing.T, n, maxMembers int, configure func(i int, cfg *Config)) (list []*testProcess) {
 	for i := range n {
 		cfg := Config{Name: fmt.Sprint("n", i), Site: zones[i%2], MaxMembers: maxMembers, MeasureLatency: true}
@@ -112,8 +113,8 @@
 	return list
 }
 
-// Members meet, share measured latencies, and each gets an even quota. The quota of a killed member goes to the others until
-// it is back.
+// Members join, share measured latencies, and each receives an even quota. The quota of a killed member is divided among the
+// others until that member restarts.
 func TestQuotaFollowsMembership(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 4, 4, nil)
@@ -142,11 +143,12 @@
 		waitFor(t, "an even quota after the restart", func() bool { return process.lastQuota() == 0.25 })
 	}
 	if first := restarted.quotas[0]; first != startupQuota/4 {
-		t.Errorf("its first quota is %v", first)
+		t.Errorf("the first quota of the restarted member is %v", first)
 	}
 }
 
-// A process that meets no other gets its even quota once no other can be using it. Fleets with different labels do not mix.
+// A process without other members receives its even quota once no other process can be using it. Fleets with different
+// labels do not mix.
 func TestLoneProcessGetsItsEvenQuota(t *testing.T) {
 	t.Parallel()
 	a := startProcess(t, Config{Name: "x", Site: "a", MaxMembers: 5, Label: "one"})
@@ -154,7 +156,7 @@
 	for _, process := range []*testProcess{a, b} {
 		waitFor(t, "an even quota", func() bool { return process.lastQuota() == 0.2 })
 		if process.members.View().Len() != 1 {
-			t.Error("processes with different labels have met")
+			t.Error("processes with different labels have joined each other")
 		}
 	}
 }
@@ -171,25 +173,25 @@
 	}
 	waitFor(t, "one of them to leave", func() bool { return hasLeft(duplicate) || hasLeft(list[1]) })
 	if hasLeft(list[0]) {
-		t.Error("another one left")
+		t.Error("the member with another name left")
 	}
 }
 
-// Two processes of one agent run at the same time while one replaces the other: the younger waits for the address.
+// During a hot restart the successor waits until its predecessor releases the fleet address.
 func TestSuccessorTakesOverTheAddress(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 2, nil)
 	addr := list[1].Addr()
 	if _, err := New(Config{Name: "n1", Listen: addr, MaxMembers: 2, Log: slog.New(slog.DiscardHandler)}, zones, Callbacks{}); err == nil {
-		t.Error("an address that is in use is no error")
+		t.Error("New returned no error for an address that is in use")
 	}
 	successor := startProcess(t, Config{Name: "n1", Site: "b", MaxMembers: 2, Listen: addr, AwaitAddress: true}, list[0])
 	if _, err := successor.members.SendProbe([]byte("x"), list[0].members.Addr()); err == nil {
-		t.Error("it sends without an address")
+		t.Error("the successor sent a probe before it had the address")
 	}
 	list[1].cancel()
 	<-list[1].done
-	waitFor(t, "the younger process", func() bool { return successor.members.View().Len() == 2 && list[0].members.View().Len() == 2 })
+	waitFor(t, "the successor to join", func() bool { return successor.members.View().Len() == 2 && list[0].members.View().Len() == 2 })
 }
 
 // Malformed datagrams and connections do not disturb the fleet.
@@ -214,6 +216,6 @@
 	list[0].store.Publish(gossip.ListServiceLoad, "x", nil)
 	waitFor(t, "an entry at the other member", func() bool { return len(list[1].store.Entries(gossip.ListServiceLoad)) > 0 })
 	if list[1].members.View().Len() != 2 || list[0].members.View().At(0).Phase != member.Starting {
-		t.Error("a member has disappeared")
+		t.Error("a member was removed or has another phase")
 	}
 }
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -19,7 +19,7 @@
 	upToDate, matrix := f.matrixView == view && f.matrixChanges == changes, f.matrix
 	f.mu.Unlock()
 	var rows []gossip.Entry
-	if !upToDate || f.cfg.Trace != nil { // keeping the matrix also uses its rows, which the trace has to show
+	if !upToDate || f.cfg.Trace != nil { // keeping the matrix also counts as a use of its rows, which the trace must show
 		rows = f.store.Entries(gossip.LatencyRow)
 	}
 	if f.cfg.Trace != nil {
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// The matrix is kept until the content of a row changes or a row expires. Meanwhile each round traces the use of its rows,
-// within their age bound.
+// The matrix is kept until the content of a row changes or a row expires. Each round that keeps the matrix traces the use of
+// its rows, within their age bound.
 func TestMatrixIsRebuiltOnlyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var trace bytes.Buffer
@@ -51,7 +51,7 @@
 					}
 				}
 				if uses := bytes.Count(trace.Bytes(), []byte(`"use"`)); uses != len(f.matrix) {
-					t.Errorf("step %d: %d uses of a matrix of %d", i, uses, len(f.matrix))
+					t.Errorf("step %d: traced %d uses of a matrix of %d pairs", i, uses, len(f.matrix))
 				}
 			}
 			if f.matrixBuilds != step.builds || len(f.matrix) != step.pairs {
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file implements source.Selector: where and when this process asks for the endpoint list.
+// This file implements source.Selector: where and when this process requests the endpoint list.
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 )
 
 const (
-	relayTimeout     = 2500 * time.Millisecond // silence of a relay after which it counts as failed
-	maxRelayAttempts = 2                       // relays that are asked before the list service is
-	largeSiteMembers = 20                      // a site with so many members has two relays
-	relayPeerTimeout = time.Second             // after its start a process waits so long for peers before it asks the service itself
+	relayTimeout     = 2500 * time.Millisecond // a relay that sends nothing for this time counts as failed
+	maxRelayAttempts = 2                       // attempts at relays before one at the list service
+	largeSiteMembers = 20                      // a site with at least this many members has two relays
+	relayPeerTimeout = time.Second             // how long after its start a process waits for peers before it requests the list from the service itself
 )
 
 // startingCount returns the number of agents that are starting, this one included.
@@ -41,9 +41,10 @@
 	return list
 }
 
-// Next waits until this process may ask for the list, and returns the source to ask. Where lists are relayed and this process
-// is not a relay, that is a relay, and after maxRelayAttempts failures in a row the list service once. The list service is
-// asked only in this process's turn. failures counts attempts that failed in a row. It reports false if ctx ends first.
+// Next waits until this process may request the list, and returns the source to use. Where lists are relayed and this
+// process is not a relay, the source is a relay, and after maxRelayAttempts failures in a row once the list service. Before
+// it returns the list service, Next waits for this process's turn. failures is the number of attempts in a row that failed.
+// Next reports false if ctx ends first.
 func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
 	countStarting := f.startingCount
 	if f.cfg.RelayedLists {
@@ -69,7 +70,8 @@
 	return source.Source{}, f.pacer.AwaitTurn(ctx, countStarting)
 }
 
-// startingRelays returns the number of relays in all sites. Only they ask the list service, so only they wait for turns.
+// startingRelays returns the number of relays in all sites. Only relays call the list service, so only relays wait for
+// turns.
 func (f *Fleet) startingRelays() (n int) {
 	for _, members := range f.members.View().Sites() {
 		n += relayCount(members.Len())
@@ -85,8 +87,8 @@
 	return min(1, members)
 }
 
-// RecordAttempt records the result of asking a source: the wait for the first message or that the attempt failed, and the list
-// version that was received.
+// RecordAttempt records the result of a request to a source: the wait for the first message or that the request failed, and
+// the list version that was received.
 func (f *Fleet) RecordAttempt(s source.Source, waited time.Duration, failed bool, version int64) {
 	if !s.Relayed {
 		f.pacer.RecordAttempt(waited, failed, version)
@@ -105,8 +107,9 @@
 	}
 }
 
-// RecordUpdate takes a list update from a source, for others to which this process relays lists: the change between two
-// versions, nil for a full list, and the list as it is now, both as JSON. From the first update on this process serves.
+// RecordUpdate records a list update from a source, for the members to which this process relays lists: the change between
+// two versions, nil for a full list, and the full list at the later version, both as JSON. From the first update on this
+// process serves.
 func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, fullList []byte) {
 	if !s.Relayed {
 		f.relay.recordUpdate(from, to, change, fullList)
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -18,8 +18,8 @@
 // Count returns the number of members, this one included, without building a list of them.
 func (f *Fleet) Count() int { return f.members.Count() }
 
-// Abort closes the fleet's sockets without leaving the fleet, as if the process were killed. If Run was called it still has to
-// be ended by its context.
+// Abort closes the fleet's sockets without leaving the fleet, as if the process were killed. If Run was called, its context
+// must still be cancelled.
 func (f *Fleet) Abort() error { return f.members.Abort() }
 
 // The methods below, with Dial, implement hub.Fleet.
@@ -37,7 +37,7 @@
 	return list
 }
 
-// MissingHubs returns the hubs that are not members but may be alive; see member.List.MissingHubs.
+// MissingHubs returns the hubs that are not members but may still run; see member.List.MissingHubs.
 func (f *Fleet) MissingHubs() []member.Member { return f.members.MissingHubs() }
 
 // MeshAgents returns the names of the agents that are members themselves, since they are attached to no hub.
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -13,17 +13,18 @@
 
 const (
 	// startupQuota is the fraction of an even quota that a starting process uses until its quota is confirmed, that is,
-	// until no other process can be using it. Others use the quota of a process that is published as dead, up to the age bound
-	// of that entry. So the quota is confirmed once the process has run for that long, or has known other members for
-	// peersMetPeriod, in which it would have learnt that it is published as dead.
+	// until no other process can be using it. Others use the quota of a process that is published as dead, up to the age
+	// bound of that entry. So the quota is confirmed once the process has run for that long or, if it is not published as
+	// dead, once minPeerPeriod has passed since the first other member joined: within that period it would have received
+	// such an entry.
 	startupQuota  = 0.1
 	minPeerPeriod = 500 * time.Millisecond
 )
 
-// recomputeQuota computes this process's quota of the in-flight limit and passes it on if it has changed. The limit is divided
-// evenly among the processes that the fleet may have, less those that are published as dead. A process that merely does not
-// answer keeps its quota, because it may be alive behind a network partition. So the quotas of all processes never exceed
-// the limit.
+// recomputeQuota computes this process's quota of the in-flight limit and passes it on if it has changed. The limit is
+// divided evenly among the processes that the fleet may have, less those that are published as dead. A process that merely
+// does not respond keeps its quota, because it may still run behind a network partition. So the quotas of all processes
+// never exceed the limit.
 func (f *Fleet) recomputeQuota() {
 	view := f.members.View()
 	dead, selfReportedDead := f.publishedDead(view)
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	relayHeartbeatInterval = time.Second             // between two empty lines to followers without news
-	relayMaxServiceAge     = 3500 * time.Millisecond // a relay that received nothing from the list service for so long sends no list
-	maxRelayDeltas         = 64                      // changes kept for followers that lag a little
+	relayHeartbeatInterval = time.Second             // between two empty lines to a follower while the list does not change
+	relayMaxServiceAge     = 3500 * time.Millisecond // a relay that received nothing from the list service for this time sends no list
+	maxRelayDeltas         = 64                      // changes kept for followers that are a few versions behind
 )
 
 // relay serves HTTP requests of other members: for the endpoint list in the form of the list service, for documents, and what
@@ -52,7 +52,8 @@
 	return r
 }
 
-// serveConn hands a connection with an HTTP request to the server. It waits until the server takes it or has ended.
+// serveConn passes a connection with an HTTP request to the server. It waits until the server accepts the connection or has
+// ended.
 func (r *relay) serveConn(c net.Conn) {
 	select {
 	case r.conns <- c:
@@ -94,8 +95,8 @@
 	r.mu.Unlock()
 }
 
-// recordUpdate takes an update from the list service: the change between two versions, nil if all was sent, and the full list
-// at the later one. It wakes all followers.
+// recordUpdate records an update from the list service: the change between two versions, nil if the service sent the full
+// list, and the full list at the later version. It notifies all followers.
 func (r *relay) recordUpdate(from, to int64, change, fullList []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,9 +113,9 @@
 	r.changed = make(chan struct{})
 }
 
-// changesSince returns the lines that lead a follower from its version to the latest one: the changes between or, if these are
-// not all kept, the full list; nil if it has the latest version. fresh reports whether the list service is being received
-// here. changed is closed with the next update.
+// changesSince returns the lines that bring a follower from its version to the latest one: the changes between them or, if
+// not all of these are kept, the full list; nil if the follower has the latest version. fresh reports whether this process
+// has a list and received anything from the list service within relayMaxServiceAge. changed is closed with the next update.
 func (r *relay) changesSince(version int64) (lines [][]byte, to int64, fresh bool, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,14 +147,14 @@
 	}
 }
 
-// serveList sends the list and its changes to a follower until the follower disconnects, or nothing was received from the list
-// service for relayMaxServiceAge. A follower that has got nothing by then gets the status 503.
+// serveList sends the list and its changes to a follower until the follower disconnects, or nothing was received from the
+// list service for relayMaxServiceAge. A follower to which nothing was sent by then receives status 503.
 func (r *relay) serveList(w http.ResponseWriter, req *http.Request) {
 	version, _ := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64) // if it is absent or malformed the full list is sent
 	arrivedAt, nothingSent := time.Now(), true
 	for {
 		lines, to, fresh, changed := r.changesSince(version)
-		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // the follower had better ask another source
+		if !fresh && time.Since(arrivedAt) > relayMaxServiceAge { // the follower should use another source
 			if nothingSent {
 				http.Error(w, "the list service is not heard here", http.StatusServiceUnavailable)
 			}
--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -12,15 +12,15 @@
 	"martenbeam/internal/fleet/source"
 )
 
-// A relay sends the list of the service: the full list to a new follower and changes to others, but none while it receives
-// nothing from the service, and none that came from another relay. Other members ask a relay first, and the service if no
-// relay answers.
+// A relay sends the list of the service: the full list to a new follower and changes to others, but no list while it
+// receives nothing from the service, and no list that came from another relay. Other members request the list from a relay
+// first, and from the service if no relay responds.
 func TestRelayForwardsListsOfTheListService(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 3, 3, func(_ int, c *Config) { c.Site, c.RelayedLists = "a", true })
 	relays := list[0].relayMembers()
 	if len(relays) != 1 {
-		t.Fatalf("%d relays", len(relays))
+		t.Fatalf("got %d relays, want 1", len(relays))
 	}
 	var relay, other *testProcess
 	for _, process := range list {
@@ -33,19 +33,19 @@
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	if src, ok := relay.Next(ctx, 0); !ok || src.Relayed {
-		t.Errorf("the relay asks %+v", src)
+		t.Errorf("the relay's source is %+v, want the list service", src)
 	}
 	src, ok := other.Next(ctx, 0)
 	if !ok || !src.Relayed || src.Addr != relay.Addr() {
-		t.Fatalf("another asks %+v", src)
+		t.Fatalf("another member's source is %+v, want the relay", src)
 	}
 	if src, ok := other.Next(ctx, maxRelayAttempts); !ok || src.Relayed {
-		t.Errorf("after its tries another asks %+v", src)
+		t.Errorf("after failed attempts at relays another member's source is %+v, want the list service", src)
 	}
 	follow := func(since int) (*json.Decoder, func()) { return followList(ctx, t, other, src.Addr, since) }
 	if decoder, end := follow(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
 		end()
-		t.Error("a relay without a list answers")
+		t.Error("a relay without a list sent one")
 	}
 	nextUpdate := func(decoder *json.Decoder) listUpdate { return readUpdate(t, decoder) }
 	relay.RecordLiveness(source.Source{})
@@ -70,8 +70,8 @@
 	}
 }
 
-// followList asks the relay at an address for the list from a version on, over connections of another process. It returns a
-// decoder of the updates and a function that ends the request, or no decoder if the relay has no list.
+// followList requests the list since a version from the relay at an address, over connections of another process. It returns
+// a decoder of the updates and a function that ends the request, or no decoder if the relay has no list.
 func followList(ctx context.Context, t *testing.T, process *testProcess, addr string, since int) (*json.Decoder, func()) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DialContext: process.Dial, DisableKeepAlives: true}}
