--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,5 @@
-// Package membership wires an agent to its fleet and to its residency policy, as its configuration says. It makes and connects:
+// Package membership wires an agent to its fleet and to its residency policy, according to its configuration. It makes and
+// connects:
 //
 //   - a residency.Holder, loaded from its state directory and from the policy's file, which it watches;
 //   - without hubs a fleet.Fleet, with hubs a hubclient.Client that can fall back to one;
@@ -36,7 +37,8 @@
 // It returns a function that makes both, or nil if the configuration has neither section. It is meant for agent.Source.Join.
 func JoinFromConfig(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, nil) }
 
-// joinFromConfig is JoinFromConfig, with settings that were loaded before the configuration was read; nil: there are none.
+// joinFromConfig is like JoinFromConfig, with settings that were loaded before the configuration was read; nil: there are
+// none.
 func joinFromConfig(raw []byte, prepared *preparedSettings) (agent.JoinFunc, error) {
 	ext, err := config.ReadExtension(raw)
 	if err != nil {
@@ -89,7 +91,7 @@
 			a.log.Error("stored residency policy unusable", "error", err)
 		}
 	}
-	if ext.Policy != "" { // it has to be in force before the first request
+	if ext.Policy != "" { // the policy has to be in force before the first request
 		policy, text, err := residency.ReadFile(ext.Policy)
 		if err != nil {
 			return nil, err
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -14,9 +14,9 @@
 	"martenbeam/internal/settings"
 )
 
-// FromFile returns the source of the configuration of an agent that is configured by a martenbeam file. If the file names hubs,
-// the settings from hubs overlay it: from the start those that were stored, and later those that are received. It returns an
-// error if the file cannot be read or is invalid.
+// FromFile returns the source of the configuration of an agent that is configured by a martenbeam file. If the file names
+// hubs, the settings from hubs overlay it: the stored settings from the start, and later the received settings. It returns
+// an error if the file cannot be read or is invalid.
 func FromFile(file string, log *slog.Logger) (agent.Source, error) {
 	own, err := config.Read(file)
 	if err != nil {
@@ -90,7 +90,7 @@
 // Only the address of discovery takes effect; all other keys are reported as pending until a restart.
 func platformSettings(dir string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
 	discovery := &discoverySwitch{}
-	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // until the agent is made
+	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // until the agent is created
 	holder := newSettingsHolder(settings.Config{Apply: discovery.apply, Log: log}, dir)
 	discovery.setFollow(follow)
 	return holder
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -56,12 +56,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		follow := func(addr string) { t.Errorf("%s: discovery moves to %s before the agent runs", name, addr) }
+		follow := func(addr string) { t.Errorf("%s: discovery changed to %s before the agent runs", name, addr) }
 		if _, _, err := cfg.Join(cfg, log, func(balancer.Event) {}, follow); err != nil {
 			t.Fatal(err)
 		}
 		if cfg.Discovery != "127.0.0.1:9" || cfg.Settings.MaxAttempts != c.maxAttempts {
-			t.Errorf("%s: discovery at %s, %d attempts", name, cfg.Discovery, cfg.Settings.MaxAttempts)
+			t.Errorf("%s: got discovery at %s and %d attempts", name, cfg.Discovery, cfg.Settings.MaxAttempts)
 		}
 	}
 }
