--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -1,14 +1,14 @@
 // Package documents distributes versioned documents, texts with a version number and a digest, to all processes of a fleet:
 // the residency policy and the agents' settings. A process that holds a document publishes its version and digest as a
-// gossip entry; a process that does not have the text with this digest fetches the text over HTTP from one that does. A
-// version never decreases anywhere: the Holder at each process rejects lower ones.
+// gossip entry; a process that does not have the text with this digest fetches the text over HTTP from one that does. The
+// version at a process never decreases, because the Holder rejects lower versions.
 //
 // # Ownership of state
 //
-// The applied text belongs to the Holder, which checks, stores and applies it. A Document adds when each digest was last
-// fetched, below a lock; its other fields are constant. The owner of the gossip store calls Follow with each valid entry,
-// several times a second. Each fetch runs in its own goroutine, which no caller waits for: it ends when the context passed
-// to Follow ends.
+// The applied text belongs to the Holder, which checks, stores and applies it. A Document also records when each digest was
+// last fetched, protected by a lock; its other fields are constant. The owner of the gossip store calls Follow with each
+// valid entry, several times a second. Each fetch runs in its own goroutine, which no caller waits for: it ends when the
+// context passed to Follow ends.
 //
 // An applied text does not expire with the gossip entries: a process that can reach no source keeps using it. Where the age
 // matters, as for the residency policy, Confirm notifies the Holder when a source was last observed to have the text.
--- a/internal/fleet/documents/documents_test.go
+++ b/internal/fleet/documents/documents_test.go
@@ -130,7 +130,7 @@
 	waitFor(t, "the newer version", func() bool { return h.current().Version == 2 })
 	for _, s := range []*source{outdatedSource, currentSource} {
 		if got := s.requested(); !slices.Equal(got, []string{digestOf("two")}) {
-			t.Errorf("requests %q, want one for the newer text", got)
+			t.Errorf("got requests %q, want one for the newer text", got)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 	cancel()
 	d.fetch(ctx, digestOf("two"), 2, sourcesAt(s.addr)()) // returns at once
 	if len(s.requested()) > 0 || h.current().Version != 1 {
-		t.Errorf("%d requests, version %d applied", len(s.requested()), h.current().Version)
+		t.Errorf("got %d requests and applied version %d, want no request and version 1", len(s.requested()), h.current().Version)
 	}
 }
 
@@ -207,7 +207,7 @@
 	d.Digest = func(string) string { return "another" }
 	d.fetch(t.Context(), digestOf("two"), 2, sourcesAt(s.addr)())
 	if got := len(s.requested()); got != 2 || h.current().Version != 1 {
-		t.Errorf("%d requests, version %d applied", got, h.current().Version)
+		t.Errorf("got %d requests and applied version %d, want 2 requests and version 1", got, h.current().Version)
 	}
 }
 
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -78,12 +78,12 @@
 			for range 3 {
 				for _, f := range b.Entries(ListServiceLoad) {
 					if v, err := DecodeBody(f, func(body []byte) (string, error) { decodes++; return string(body), errDecode }); v != step.body || err != errDecode {
-						t.Errorf("step %d: %q, %v", i, v, err)
+						t.Errorf("step %d: got body %q, error %v", i, v, err)
 					}
 				}
 			}
 			if n, until := b.Changes(ListServiceLoad); decodes != step.wantDecodes || int(n) != step.changes || !until.After(time.Now()) {
-				t.Errorf("step %d: decoded %d times, %d changes", i, decodes, n)
+				t.Errorf("step %d: decoded %d times, got %d changes", i, decodes, n)
 			}
 		}
 		for range 22 {
@@ -236,7 +236,7 @@
 		t.Fatal(err)
 	}
 	if m, err := DecodeMessage(data); err != nil || m.Version != 7 || len(m.Entries) != 1 {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("got message %+v, error %v", m, err)
 	}
 }
 
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -1,7 +1,8 @@
 // Package incarnation numbers the processes that run under one name, so that a later process has a higher number than an
 // earlier one, even if the machine's clock was set back between them. A number is the wall clock's reading in milliseconds,
 // or one more than the previous number if that is higher. The previous number is stored in a directory, which survives a
-// restart of the machine. Processes of program versions that used the clock's reading alone can be compared, too.
+// restart of the machine. The numbers can also be compared with those of program versions that used the clock's reading
+// alone.
 package incarnation
 
 import (
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -64,8 +64,8 @@
 }
 
 // New opens the sockets. Nothing is sent before Run. If the address is in use it returns an error that wraps
-// syscall.EADDRINUSE, or with AwaitAddress leaves it to Run to wait for the address. A List that is not run has to be closed
-// by Abort.
+// syscall.EADDRINUSE, unless AwaitAddress is set: Run then waits for the address. A List that is not run has to be closed by
+// Abort.
 func New(cfg Config) (*List, error) {
 	t := newTransport(cfg.Listen, cfg.Advertise)
 	t.tcp = cfg.Listener
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -30,7 +30,7 @@
 	Phase       Phase  `cbor:"2,keyasint"`
 	Version     string `cbor:"3,keyasint"`           // of the program
 	Incarnation uint64 `cbor:"4,keyasint"`           // of the process: a later process of the same name has a higher one
-	Hub         bool   `cbor:"5,keyasint,omitempty"` // it serves agents and is not an agent itself: it has no quota
+	Hub         bool   `cbor:"5,keyasint,omitempty"` // the process serves agents and is not itself an agent, so it has no quota
 }
 
 // Member is a member of the fleet, as recorded by this process.
