--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -207,7 +207,7 @@
 		tasks.Go(func() { f.shareDocuments(ctx) })
 	}
 	err := f.members.Run(ctx)
-	if ctx.Err() == nil && err == nil { // it left because of a name conflict
+	if ctx.Err() == nil && err == nil { // the process left because of a name conflict
 		<-ctx.Done()
 	}
 	return err
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -10,8 +10,8 @@
 	"martenbeam/internal/fleet/latency"
 )
 
-// publishLatencies passes the round trips and losses from this site on if any has changed. The matrix is rebuilt only when the
-// content of a latency row has changed, a row has expired, or the members have changed.
+// publishLatencies passes the round trips and losses from this site to Callbacks.Latencies if any has changed. The matrix is
+// rebuilt only when the content of a latency row has changed, a row has expired, or the members have changed.
 func (f *Fleet) publishLatencies() {
 	changes, _ := f.store.Changes(gossip.LatencyRow)
 	view := f.members.View()
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -47,7 +47,7 @@
 				for line := range bytes.Lines(trace.Bytes()) {
 					var use struct{ Age int64 }
 					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultAgeBounds[gossip.LatencyRow] {
-						t.Errorf("step %d: %s", i, line)
+						t.Errorf("step %d: malformed trace line or age past its bound: %s", i, line)
 					}
 				}
 				if uses := bytes.Count(trace.Bytes(), []byte(`"use"`)); uses != len(f.matrix) {
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -22,8 +22,8 @@
 // startingCount returns the number of agents that are starting, this one included.
 func (f *Fleet) startingCount() int { return max(1, f.members.View().StartingCount()) }
 
-// relayMembers returns the agents of this site that relay the list, first in rendezvous order. Members with the same view
-// choose the same ones.
+// relayMembers returns the agents of this site that relay the list: the first ones in rendezvous order. Members with the
+// same view choose the same ones.
 func (f *Fleet) relayMembers() (list []member.Member) {
 	site := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()),
 		func(m member.Member) bool { return m.Hub })
@@ -108,8 +108,8 @@
 }
 
 // RecordUpdate records a list update from a source, for the members to which this process relays lists: the change between
-// two versions, nil for a full list, and the full list at the later version, both as JSON. From the first update on this
-// process serves.
+// two versions, nil for a full list, and the full list at the later version, both as JSON. After the first update this
+// process is in phase Serving.
 func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, fullList []byte) {
 	if !s.Relayed {
 		f.relay.recordUpdate(from, to, change, fullList)
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -21,10 +21,10 @@
 	minPeerPeriod = 500 * time.Millisecond
 )
 
-// recomputeQuota computes this process's quota of the in-flight limit and passes it on if it has changed. The limit is
-// divided evenly among the processes that the fleet may have, less those that are published as dead. A process that merely
-// does not respond keeps its quota, because it may still run behind a network partition. So the quotas of all processes
-// never exceed the limit.
+// recomputeQuota computes this process's quota of the in-flight limit and passes it to Callbacks.Quota if it has changed.
+// The limit is divided evenly among the processes that the fleet may have, less those that are published as dead. A process
+// that merely does not respond keeps its quota, because it may still run behind a network partition. So the quotas of all
+// processes never exceed the limit.
 func (f *Fleet) recomputeQuota() {
 	view := f.members.View()
 	dead, selfReportedDead := f.publishedDead(view)
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -85,7 +85,7 @@
 func (r *relay) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { r.cancel(); r.server.Close() })
 	defer stop()
-	_ = r.server.Serve(connListener{r}) // returns an error when it is closed, as it is when ctx ends
+	_ = r.server.Serve(connListener{r}) // returns an error once the server is closed, which happens when ctx ends
 }
 
 // recordLiveness records that something was received from the list service itself.
--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -54,17 +54,17 @@
 	decoder, end := follow(0)
 	defer end()
 	if m := nextUpdate(decoder); m.Version != 7 || !m.Full {
-		t.Errorf("%+v", m)
+		t.Errorf("got update %+v, want the full list at version 7", m)
 	}
 	relay.RecordLiveness(source.Source{})
 	relay.RecordUpdate(source.Source{}, 7, 8, []byte(`{"version":8}`), []byte(`{"version":8,"full":true}`))
 	if m := nextUpdate(decoder); m.Version != 8 || m.Full {
-		t.Errorf("%+v", m)
+		t.Errorf("got update %+v, want a change to version 8", m)
 	}
 	for since, full := range map[int]bool{7: false, 3: true} {
 		decoder, end := follow(since)
 		if m := nextUpdate(decoder); m.Version != 8 || m.Full != full {
-			t.Errorf("since %d: %+v", since, m)
+			t.Errorf("since version %d: got update %+v", since, m)
 		}
 		end()
 	}
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -10,8 +10,8 @@
 
 const summaryInterval = 10 * time.Second
 
-// logSummary logs the state of the fleet as seen here, and the use of gossip since the start. It is called every
-// summaryInterval.
+// logSummary logs the state of the fleet as observed by this process, and the use of gossip since the start. It is called
+// every summaryInterval.
 func (f *Fleet) logSummary() {
 	stats := f.store.Stats()
 	f.mu.Lock()
