--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -157,7 +157,7 @@
 	}
 	p.rate = min(max(rate, minRate), maxRate)
 	load := serviceLoad{Rate: p.rate, Failed: failed, Version: version}
-	// While the service is healthy, the same load from every process would be of no use.
+	// While the service is healthy, an unchanged load from every process would add no information.
 	shouldPublish := failed || delay > slowResponse || version != p.published.Version ||
 		time.Since(p.publishedAt) > republishInterval
 	if shouldPublish {
