--- a/internal/fleet/documents/documents_test.go
+++ b/internal/fleet/documents/documents_test.go
@@ -112,8 +112,8 @@
 
 func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
@@ -124,18 +124,18 @@
 }
 
 func TestFollowFetchesNewerTextFromNextSourceThatHasIt(t *testing.T) {
-	without, with := startSource(t, newFakeHolder(1, "one")), startSource(t, newFakeHolder(2, "two"))
+	outdatedSource, currentSource := startSource(t, newFakeHolder(1, "one")), startSource(t, newFakeHolder(2, "two"))
 	h := newFakeHolder(1, "one")
-	h.document().Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(without.addr, with.addr))
+	h.document().Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(outdatedSource.addr, currentSource.addr))
 	waitFor(t, "the newer version", func() bool { return h.current().Version == 2 })
-	for _, s := range []*source{without, with} {
+	for _, s := range []*source{outdatedSource, currentSource} {
 		if got := s.requested(); !slices.Equal(got, []string{digestOf("two")}) {
-			t.Errorf("requests %q, want one for the newer text", got)
+			t.Errorf("got requests %q, want one for the newer text", got)
 		}
 	}
 }
 
-func TestFollowConfirmsWhatIsAppliedAndFetchesNothing(t *testing.T) {
+func TestFollowConfirmsAppliedTextsWithoutFetching(t *testing.T) {
 	s := startSource(t, newFakeHolder(3, "three"))
 	for name, entry := range map[string]gossip.Entry{
 		"same version":  entryOf(3, digestOf("three")),
@@ -167,22 +167,22 @@
 		return len(s.requested()) == 2
 	})
 	if took := time.Since(startedAt); took <= fetchRetryInterval {
-		t.Errorf("the second fetch came after %v", took)
+		t.Errorf("second fetch started after %v, want a longer interval", took)
 	}
 }
 
-func TestFollowAsksShouldFetch(t *testing.T) {
+func TestFollowSkipsFetchThatShouldFetchRejects(t *testing.T) {
 	s := startSource(t, newFakeHolder(2, "two"))
 	h := newFakeHolder(1, "one")
 	d := h.document()
-	var asked []string
+	var queried []string
 	d.ShouldFetch = func(version int64, digest string) bool {
-		asked = append(asked, digest)
+		queried = append(queried, digest)
 		return false
 	}
 	d.Follow(t.Context(), entryOf(2, digestOf("two")), sourcesAt(s.addr))
-	if !slices.Equal(asked, []string{digestOf("two")}) || len(d.lastFetch) > 0 {
-		t.Errorf("asked about %q, fetches %v, want none", asked, d.lastFetch)
+	if !slices.Equal(queried, []string{digestOf("two")}) || len(d.lastFetch) > 0 {
+		t.Errorf("ShouldFetch was called for %q; fetches %v, want none", queried, d.lastFetch)
 	}
 }
 
@@ -195,11 +195,11 @@
 	cancel()
 	d.fetch(ctx, digestOf("two"), 2, sourcesAt(s.addr)()) // returns at once
 	if len(s.requested()) > 0 || h.current().Version != 1 {
-		t.Errorf("%d requests, version %d applied", len(s.requested()), h.current().Version)
+		t.Errorf("got %d requests and applied version %d, want no request and version 1", len(s.requested()), h.current().Version)
 	}
 }
 
-func TestFetchRejectsAnswersOfOtherDigestOrVersion(t *testing.T) {
+func TestFetchRejectsResponsesWithOtherDigestOrVersion(t *testing.T) {
 	h := newFakeHolder(1, "one")
 	d := h.document()
 	s := startSource(t, newFakeHolder(2, "two"))
@@ -207,11 +207,11 @@
 	d.Digest = func(string) string { return "another" }
 	d.fetch(t.Context(), digestOf("two"), 2, sourcesAt(s.addr)())
 	if got := len(s.requested()); got != 2 || h.current().Version != 1 {
-		t.Errorf("%d requests, version %d applied", got, h.current().Version)
+		t.Errorf("got %d requests and applied version %d, want 2 requests and version 1", got, h.current().Version)
 	}
 }
 
-func TestServeAnswersNotFoundForUnknownDigest(t *testing.T) {
+func TestServeReturnsNotFoundForUnknownDigest(t *testing.T) {
 	d := newFakeHolder(2, "two").document()
 	for digest, want := range map[string]int{digestOf("two"): http.StatusOK, digestOf("one"): http.StatusNotFound} {
 		w := httptest.NewRecorder()
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -16,14 +16,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.active(now) || now.Before(s.silentUntil) {
+	if !s.checkActive(now) || now.Before(s.sendPausedUntil) {
 		return nil
 	}
 	logSize := max(2, int(math.Ceil(math.Log10(float64(members)+1))))
-	// Entries that were sent often enough leave the list, so that later calls do not look at them again.
+	// Entries that were sent often enough are removed from the list, so that later calls do not check them again.
 	s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool {
 		maxSends := sendsFactor * logSize
-		if e.Kind == LatencyRow && members >= smallFleet {
+		if e.Kind == LatencyRow && members >= smallFleetSize {
 			maxSends = logSize // several observers publish a row every second, so a lost one does no harm
 		}
 		return e.removed || e.sends >= maxSends || e.age(now) > s.bounds[e.Kind]
@@ -32,7 +32,7 @@
 		return cmp.Or(cmp.Compare(a.sends, b.sends), cmp.Compare(a.Kind, b.Kind), a.compareKey(b.Subject, b.Observer))
 	})
 	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
-	size := 40 + len(s.self) // more than the envelope of the message takes
+	size := 40 + len(s.self) // an upper bound of the size of the message's envelope
 	for _, e := range s.outgoing {
 		if size += 48 + len(e.Subject) + len(e.Observer) + len(e.Body); size > limit || len(m.Entries) == maxMessageEntries {
 			break
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.active(now) {
+	if !s.checkActive(now) {
 		return nil
 	}
 	m := Message{Version: Version, Sender: s.self, Incarnation: s.incarnation, Clock: now.Sub(s.startedAt)}
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -10,8 +10,8 @@
 	"martenbeam/internal/fleet/latency"
 )
 
-// publishLatencies passes the round trips and losses from this site on if any has changed. The matrix is rebuilt only when the
-// content of a latency row has changed, a row has expired, or the members have changed.
+// publishLatencies passes the round trips and losses from this site to Callbacks.Latencies if any has changed. The matrix is
+// rebuilt only when the content of a latency row has changed, a row has expired, or the members have changed.
 func (f *Fleet) publishLatencies() {
 	changes, _ := f.store.Changes(gossip.LatencyRow)
 	view := f.members.View()
@@ -19,7 +19,7 @@
 	upToDate, matrix := f.matrixView == view && f.matrixChanges == changes, f.matrix
 	f.mu.Unlock()
 	var rows []gossip.Entry
-	if !upToDate || f.cfg.Trace != nil { // keeping the matrix also uses its rows, which the trace has to show
+	if !upToDate || f.cfg.Trace != nil { // keeping the matrix also counts as a use of its rows, which the trace must show
 		rows = f.store.Entries(gossip.LatencyRow)
 	}
 	if f.cfg.Trace != nil {
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// The matrix is kept until the content of a row changes or a row expires. Meanwhile each round traces the use of its rows,
-// within their age bound.
+// The matrix is kept until the content of a row changes or a row expires. Each round that keeps the matrix traces the use of
+// its rows, within their age bound.
 func TestMatrixIsRebuiltOnlyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var trace bytes.Buffer
@@ -35,7 +35,7 @@
 			body, _ := cbor.Marshal(map[int][]entry{1: {{"b", us, 3}}})
 			return body
 		}
-		for i, step := range []struct{ us, made, known int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
+		for i, step := range []struct{ us, builds, pairs int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
 			if step.us > 0 {
 				f.store.Publish(gossip.LatencyRow, "a", row(step.us))
 			}
@@ -47,14 +47,14 @@
 				for line := range bytes.Lines(trace.Bytes()) {
 					var use struct{ Age int64 }
 					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultAgeBounds[gossip.LatencyRow] {
-						t.Errorf("step %d: %s", i, line)
+						t.Errorf("step %d: malformed trace line or age past its bound: %s", i, line)
 					}
 				}
 				if uses := bytes.Count(trace.Bytes(), []byte(`"use"`)); uses != len(f.matrix) {
-					t.Errorf("step %d: %d uses of a matrix of %d", i, uses, len(f.matrix))
+					t.Errorf("step %d: traced %d uses of a matrix of %d pairs", i, uses, len(f.matrix))
 				}
 			}
-			if f.matrixBuilds != step.made || len(f.matrix) != step.known {
+			if f.matrixBuilds != step.builds || len(f.matrix) != step.pairs {
 				t.Errorf("step %d: built %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
 			}
 		}
