--- a/cmd/martenbeam/agent.go
+++ b/cmd/martenbeam/agent.go
@@ -1,6 +1,6 @@
 package main
 
-// The command that runs one agent, and the flags of its log.
+// The agent command and the logging flags.
 
 import (
 	"fmt"
@@ -19,17 +19,17 @@
 	logFlags
 }
 
-// logFlags are the flags that say how a process logs.
+// logFlags are the logging flags of the agent and hub commands.
 type logFlags struct {
 	LogLevel  string `name:"log-level" help:"Least level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
 	LogFormat string `name:"log-format" help:"Form of the log: text or json." enum:"text,json" default:"text"`
 }
 
-// logger returns a logger that writes to w as the flags say. The caller must close it.
+// logger returns a logger that writes to w with the level and format of the flags. The caller must close it.
 func (f *logFlags) logger(w io.Writer) *logging.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(f.LogLevel)); err != nil {
-		panic(err) // kong accepts the words of the enum alone
+		panic(err) // kong accepts only the values of the enum
 	}
 	options := &slog.HandlerOptions{Level: level}
 	if f.LogFormat == "json" {
@@ -38,7 +38,7 @@
 	return logging.New(w, slog.NewTextHandler, options)
 }
 
-// Run runs an agent until it is told to end. It is configured by a file, or as the platform does.
+// Run runs an agent until SIGTERM. The configuration comes from a file or from the platform's PROXY_ variables.
 func (c *agentCmd) Run(o *output) error {
 	log := c.logger(o.stderr)
 	defer log.Close()
@@ -50,7 +50,7 @@
 			return usageError{err}
 		}
 	} else if os.Getenv("PROXY_CONFIG") == "" {
-		return usageError{fmt.Errorf("no configuration: name a file with --config or MARTENBEAM_CONFIG, or set PROXY_CONFIG as the platform does")}
+		return usageError{fmt.Errorf("no configuration: specify a file with --config or MARTENBEAM_CONFIG, or set PROXY_CONFIG as the platform does")}
 	}
 	return agent.Serve(log.Logger, source)
 }
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -1,6 +1,6 @@
 package main
 
-// The command that compares two versions of the agent over the same seeds.
+// The lab compare command, which runs two versions of the agent with the same seeds.
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 	Rate       float64 `name:"rate" help:"Requests a second. 0: as the scenario says." placeholder:"R"`
 }
 
-// parseSeeds reads a list of seeds and ranges of seeds, such as "1-5" or "1,4,9". Each seed is returned once.
+// parseSeeds parses a list of seeds and ranges of seeds, such as "1-5" or "1,4,9", and returns each seed once.
 func parseSeeds(text string) (list []uint64, err error) {
 	for _, part := range strings.Split(text, ",") {
 		low, high, isRange := strings.Cut(part, "-")
@@ -46,7 +46,7 @@
 		to, err2 := strconv.ParseUint(high, 10, 64)
 		const maxRange = 1000
 		if err1 != nil || err2 != nil || to < from || to-from >= maxRange {
-			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range such as 1-5", part)
+			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range of at most 1000 seeds such as 1-5", part)
 		}
 		for s := from; s <= to; s++ {
 			if !slices.Contains(list, s) {
@@ -57,17 +57,17 @@
 	return list, nil
 }
 
-// Run plays all seeds with both versions, and prints and writes the differences.
+// Run runs the scenario with each seed and both versions, prints the differences, and writes them to the --json file.
 func (c *compareCmd) Run(o *output) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
 		return usageError{err}
 	}
 	if c.AgentA == "" && !c.Isolated && c.Hubs == 0 {
-		return usageError{fmt.Errorf("--a: name a program to compare with, or --apart for this one whose agents share nothing, or --hubs for a flat fleet")}
+		return usageError{fmt.Errorf("--a: nothing to compare with: specify another agent program, or add --apart (the agents of A share nothing) or --hubs (A is a flat fleet)")}
 	}
 	if c.Parallel < 1 {
-		return usageError{fmt.Errorf("--parallel: %d is not at least 1", c.Parallel)}
+		return usageError{fmt.Errorf("--parallel: %d is less than 1", c.Parallel)}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -86,14 +86,14 @@
 	}
 	printDifferences(o.stdout, differences)
 	if len(differences) == 0 {
-		fmt.Fprintln(o.stderr, "void: the lab itself was late in every pair")
+		fmt.Fprintln(o.stderr, "void: the lab itself was late in every pair, so there is no comparison")
 		return exitCodeError(exitInconclusive)
 	}
 	return nil
 }
 
-// runPairs runs the pairs of all seeds, Parallel at a time, and prints a line for each. Of several errors it returns that of
-// the first seed.
+// runPairs runs the pairs of all seeds, Parallel pairs at a time, and prints a line for each pair. If several pairs fail, it
+// returns the error of the first seed in the list.
 func (c *compareCmd) runPairs(ctx context.Context, o *output, seeds []uint64) ([]lab.Pair, error) {
 	pairs := make([]lab.Pair, len(seeds))
 	errs := make([]error, len(seeds))
@@ -124,7 +124,7 @@
 	return pairs, nil
 }
 
-// comparison is the file that --json names.
+// comparison is the content of the --json file.
 type comparison struct {
 	Schema      int               `json:"schema"`
 	Scenario    string            `json:"scenario"`
@@ -132,7 +132,7 @@
 	Differences []json.RawMessage `json:"differences"`
 }
 
-// differencesJSON returns the JSON form of differences. The bounds of an open interval are null, since JSON has no infinity.
+// differencesJSON returns the differences as JSON. The bounds of an infinite interval are null, since JSON has no infinity.
 func differencesJSON(list []lab.Difference) (texts []json.RawMessage) {
 	for _, diff := range list {
 		low, high := &diff.Low, &diff.High
@@ -140,7 +140,7 @@
 			low, high = nil, nil
 			diff.Low, diff.High = 0, 0
 		}
-		text, _ := json.Marshal(struct { // can't fail: numbers and strings alone
+		text, _ := json.Marshal(struct { // can't fail: the struct has only numbers and strings
 			lab.Difference
 			Low  *float64 `json:"low"`
 			High *float64 `json:"high"`
@@ -150,7 +150,7 @@
 	return texts
 }
 
-// runPair runs one seed with both versions. Which of them is first changes with the seed.
+// runPair runs one seed with both versions. A runs first for odd seeds and B for even ones.
 func (c *compareCmd) runPair(ctx context.Context, o *output, seed uint64) (pair lab.Pair, err error) {
 	pair.Seed = seed
 	order := []string{"a", "b"}
@@ -186,7 +186,7 @@
 	return pair, nil
 }
 
-// printDifferences prints a table of differences, with their intervals and verdicts.
+// printDifferences prints a table of the differences with their confidence intervals and verdicts.
 func printDifferences(w io.Writer, list []lab.Difference) {
 	if len(list) == 0 {
 		return
--- a/cmd/martenbeam/config.go
+++ b/cmd/martenbeam/config.go
@@ -1,6 +1,6 @@
 package main
 
-// Commands that check a configuration or print the defaults.
+// The commands that check a configuration or print the defaults.
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 	Hub      string `name:"hub" help:"Check a hub's configuration instead (docs/hub.md)." placeholder:"FILE"`
 }
 
-// Run checks the one configuration that the arguments name.
+// Run checks a hub's configuration, settings or an agent's configuration, in this order of precedence.
 func (c *checkCmd) Run(o *output) error {
 	if c.Hub != "" {
 		return c.checkHub(o)
@@ -36,7 +36,7 @@
 		return c.checkSettings(o)
 	}
 	if c.File == "" || c.With != "" {
-		return usageError{errors.New("name a FILE, settings with --settings FILE [--with FILE], or a hub's with --hub FILE")}
+		return usageError{errors.New("specify a FILE, --settings FILE [--with FILE] or --hub FILE")}
 	}
 	if _, err := config.Read(c.File); err != nil {
 		return usageError{err}
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// checkSettings checks settings of all agents, by themselves or over an agent's file.
+// checkSettings checks the settings for all agents, and with --with also the result of applying them to an agent's
+// configuration.
 func (c *checkCmd) checkSettings(o *output) error {
 	text, err := os.ReadFile(c.Settings)
 	if err != nil {
@@ -76,7 +77,7 @@
 	Hub bool `name:"hub" help:"Of a hub's configuration."`
 }
 
-// Run prints the defaults of an agent or a hub.
+// Run prints the default configuration of an agent or a hub.
 func (c *printCmd) Run(o *output) error {
 	text := config.Default
 	if c.Hub {
--- a/cmd/martenbeam/fleetflags.go
+++ b/cmd/martenbeam/fleetflags.go
@@ -1,6 +1,6 @@
 package main
 
-// Flags that say how large a fleet is and which programs it runs, and running a scenario with them.
+// The flags for the size and the programs of a fleet, and the run of a scenario with these flags.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// fleetFlags are the flags that change the size of a scenario's fleet and load, and name its programs and folder.
+// fleetFlags are the flags that override the size and load of a scenario's fleet and set its agent program and folder.
 type fleetFlags struct {
 	Agents   int           `name:"agents" help:"Agents, each a process. 0: as the scenario says." placeholder:"N"`
 	Backends int           `name:"backends" help:"Backends. 0: as the scenario says." placeholder:"N"`
@@ -27,7 +27,7 @@
 	Dir      string        `name:"dir" help:"Where agents have their files; kept. Default: a temporary folder, removed." placeholder:"DIR"`
 }
 
-// apply changes a scenario as the flags say, and checks it. Where its length changes its faults move in proportion.
+// apply applies the flags to a scenario and checks the result. If the duration changes, the fault times scale with it.
 func (f *fleetFlags) apply(spec *scenario.Scenario) error {
 	if f.Agents != 0 {
 		spec.Fleet.Agents = f.Agents
@@ -53,11 +53,12 @@
 	return spec.Check()
 }
 
-// agentCommand returns the command line of an agent's process: another program, or this one.
+// agentCommand returns the command line of an agent process: the program of --agent-bin, or this program's agent command. It
+// returns an error if the program is not an executable file.
 func (f *fleetFlags) agentCommand() ([]string, error) {
 	if f.AgentBin != "" {
 		if info, err := os.Stat(f.AgentBin); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-			return nil, fmt.Errorf("%s is no program", f.AgentBin)
+			return nil, fmt.Errorf("%s is not an executable file", f.AgentBin)
 		}
 		path, err := filepath.Abs(f.AgentBin)
 		return []string{path}, err
@@ -66,23 +67,23 @@
 	return []string{self, "agent"}, err
 }
 
-// hubCommand returns the command line of a hub's process.
+// hubCommand returns the command line of a hub process.
 func (f *fleetFlags) hubCommand() ([]string, error) {
 	self, err := os.Executable()
 	return []string{self, "hub"}, err
 }
 
-// workDir returns the folder for the files of all processes, and what removes it at the end.
+// workDir returns the folder for the files of all processes, and a function that removes the folder if it is temporary.
 func (f *fleetFlags) workDir() (dir string, remove func(), err error) {
 	if f.Dir != "" {
 		return f.Dir, func() {}, nil
 	}
 	dir, err = os.MkdirTemp("", "martenbeam-lab-")
-	return dir, func() { _ = os.RemoveAll(dir) }, err // a temporary folder: leftovers do no harm
+	return dir, func() { _ = os.RemoveAll(dir) }, err // ignored: a leftover temporary folder is harmless
 }
 
-// labOptions returns what the lab needs to run a scenario: programs and a folder, besides the scenario and its seed. remove
-// removes the folder, if it is a temporary one.
+// labOptions returns the lab's options for a scenario and a seed, with the programs and the folder of the flags. remove removes
+// the folder if it is temporary.
 func (f *fleetFlags) labOptions(spec *scenario.Scenario, seed uint64) (options lab.Options, remove func(), err error) {
 	agent, err := f.agentCommand()
 	if err != nil {
@@ -99,8 +100,8 @@
 	return lab.Options{Scenario: spec, Seed: seed, Agent: agent, Hub: hub, Dir: dir}, remove, nil
 }
 
-// runScenario runs a scenario once and returns its report. events takes the history of each request, unless it is nil;
-// progress asks for a line a second.
+// runScenario runs a scenario once and returns its report. It writes the history of each request to events unless events is
+// nil, and prints a progress line each second if progress is true.
 func (f *fleetFlags) runScenario(ctx context.Context, o *output, spec *scenario.Scenario, seed uint64, events io.Writer,
 	progress bool) (*lab.Report, error) {
 	options, remove, err := f.labOptions(spec, seed)
@@ -124,7 +125,7 @@
 	return report, fleet.Flush()
 }
 
-// runError prints the crash that ended a run without a report, and returns the error with which the command ends.
+// runError returns the error with which the command ends after a run that has no report. It prints err if err is a crash.
 func runError(o *output, err error) error {
 	if errors.Is(err, lab.ErrCrash) {
 		fmt.Fprintln(o.stderr, err)
--- a/cmd/martenbeam/forms_test.go
+++ b/cmd/martenbeam/forms_test.go
@@ -13,15 +13,15 @@
 	"martenbeam/internal/lab"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew; refused where CI is set")
+var update = flag.Bool("update", false, "rewrite the files in testdata; refused if CI is set")
 
-// golden compares text with a file in testdata.
+// golden compares a text with a file in testdata, or rewrites the file with -update.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
 		if os.Getenv("CI") != "" {
-			t.Fatal("-update is refused where CI is set")
+			t.Fatal("-update is refused if CI is set")
 		}
 		if err := os.WriteFile(file, got, 0o644); err != nil {
 			t.Fatal(err)
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed.\ngot:\n%s\nwant:\n%s", name, got, want)
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
 	}
 }
 
-// The whole of each command's help: names of commands, flags and arguments, with their defaults.
+// The complete help of each command is pinned: names of commands, flags and arguments, with their defaults.
 func TestHelpOfEachCommandIsPinned(t *testing.T) {
 	for _, command := range []string{"", "up", "lab", "lab list", "lab run", "lab compare", "lab trace", "agent", "hub",
 		"config", "config check", "config print"} {
@@ -49,7 +49,7 @@
 	}
 }
 
-// What the commands print of defaults and scenarios, and the form of a comparison's file.
+// The printed defaults and scenarios and the format of a comparison file are pinned.
 func TestPrintedTextsArePinned(t *testing.T) {
 	for _, command := range []string{"config print", "config print --hub", "lab list"} {
 		var out, errs bytes.Buffer
--- a/cmd/martenbeam/hub.go
+++ b/cmd/martenbeam/hub.go
@@ -1,6 +1,6 @@
 package main
 
-// The command that runs one hub.
+// The hub command.
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	logFlags
 }
 
-// Run runs a hub until SIGTERM or an interrupt. The files that the configuration names are followed; the configuration itself
-// is read once, and SIGHUP is ignored.
+// Run runs a hub until SIGTERM or an interrupt. The hub follows changes of the files that its configuration names, but reads
+// the configuration itself only once and ignores SIGHUP.
 func (c *hubCmd) Run(o *output) error {
 	cfg, err := config.ReadHub(c.Config)
 	if err != nil {
--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -1,6 +1,6 @@
 package main
 
-// Commands of the lab: the list of scenarios, and one run.
+// The lab list and lab run commands.
 
 import (
 	"context"
--- a/cmd/martenbeam/main.go
+++ b/cmd/martenbeam/main.go
@@ -1,5 +1,5 @@
-// Command martenbeam runs one agent or one hub, checks configurations, and runs whole fleets on one machine: to look at, or
-// as experiments with faults.
+// Command martenbeam runs one agent or one hub, checks configurations, and runs whole fleets on one machine, either for
+// demonstration or as experiments with faults.
 package main
 
 // The command line and exit codes.
@@ -16,21 +16,21 @@
 // Exit codes.
 const (
 	exitFailed       = 1 // any other error
-	exitUsage        = 2 // invalid arguments or an unusable file
+	exitUsage        = 2 // invalid arguments or an invalid file
 	exitViolated     = 3 // an agent violated a rule
 	exitCrashed      = 4 // an agent crashed, did not start or exceeded a limit
 	exitInconclusive = 5 // the lab itself was late, so there is no verdict
 )
 
-// usageError is an error in the arguments, or in a file that they name.
+// usageError is an error in the arguments or in a file that they name. The program exits with exitUsage.
 type usageError struct{ error }
 
-// exitCodeError ends the program with a code. Its reason has been printed already.
+// exitCodeError ends the program with an exit code. The command has already printed the reason.
 type exitCodeError int
 
 func (e exitCodeError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// cli holds the commands. kong reads their names from the tags.
+// cli contains the commands. kong reads their names from the tags.
 type cli struct {
 	Up     upCmd     `name:"up" cmd:"" help:"Start a whole fleet on this machine and watch it: agents, backends, discovery and clients."`
 	Lab    labCmd    `name:"lab" cmd:"" help:"Play scenarios with faults on a fleet of real processes, and compare versions."`
@@ -53,7 +53,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run runs the command that the arguments name, and returns the exit code.
+// run runs the command that the arguments name and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	var c cli
 	exited := -1
@@ -64,7 +64,7 @@
 		return exitFailed
 	}
 	ctx, err := parser.Parse(args)
-	if exited >= 0 { // help was asked for
+	if exited >= 0 { // kong has printed the requested help
 		return exited
 	}
 	if err != nil {
@@ -87,5 +87,5 @@
 	return exitFailed
 }
 
-// output holds the streams that a command writes to.
+// output contains the streams that a command writes to.
 type output struct{ stdout, stderr io.Writer }
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab"
 )
 
-// TestMain runs the program itself where this binary was started as the program or as one of its agents.
+// TestMain runs the program itself if a test has started this binary as the program, or the program has started it as an agent.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARTENBEAM_TEST") == "1" || len(os.Args) == 2 && os.Args[1] == "agent" {
 		main()
@@ -32,7 +32,7 @@
 	return file
 }
 
-// Invalid arguments and files end with one line and exit code 2; help and lists with 0.
+// Invalid arguments and files cause exit code 2 and a one-line error. Help and lists cause exit code 0.
 func TestExitCodesAndMessages(t *testing.T) {
 	bad := writeTempFile(t, "for = \"-3s\"\n")
 	all := writeTempFile(t, "version = 3\nattempts.most = 4\n")
@@ -50,13 +50,13 @@
 		{"lab run " + bad, exitUsage, bad + ":1: for: -3s is not between"},
 		{"lab run calm --agents=-4", exitUsage, "fleet.agents: -4"},
 		{"lab run calm --agents 2000 --backends 4000", exitUsage, "descriptors"},
-		{"lab run calm --agent-bin /nowhere", exitUsage, "/nowhere is no program"},
+		{"lab run calm --agent-bin /nowhere", exitUsage, "/nowhere is not an executable file"},
 		{"lab compare calm --a /nowhere --seeds 5-1", exitUsage, `"5-1" is neither`},
 		{"lab run calm --hubs 9", exitUsage, "shared.hubs: 9 hubs"},
 		{"lab run calm --apart --hubs 2", exitUsage, "--apart, --hubs"},
-		{"lab compare calm", exitUsage, "or --hubs for a flat fleet"},
-		{"lab trace /dev/null 12", exitUsage, "holds no request 12"},
-		{"config check", exitUsage, "name a FILE"},
+		{"lab compare calm", exitUsage, "or --hubs (A is a flat fleet)"},
+		{"lab trace /dev/null 12", exitUsage, "contains no request with id 12"},
+		{"config check", exitUsage, "specify a FILE"},
 		{"config check --settings " + bad, exitUsage, bad + ":1: for: unknown key"},
 		{"config check --settings " + all, 0, all + ": version 3 can be used"},
 		{"config check --settings " + all + " --with " + bad, exitUsage, bad + ":1: for: unknown key"},
@@ -75,12 +75,12 @@
 			t.Errorf("%s: exit %d, want %d with %q:\n%s", c.args, code, c.code, c.want, text)
 		}
 		if code == exitUsage && strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("%s: not one line:\n%s", c.args, errs.String())
+			t.Errorf("%s: stderr is not one line:\n%s", c.args, errs.String())
 		}
 	}
 }
 
-// A run that violates only a rule on shared state ends with exit code 3 and names it.
+// A run that violates only a rule on shared state ends with exit code 3 and prints the violation.
 func TestViolationOfSharedStateIsReported(t *testing.T) {
 	var out, errs bytes.Buffer
 	r := &lab.Report{Verdict: lab.Violated, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
@@ -90,7 +90,7 @@
 	}
 }
 
-// up serves a request that is sent by hand as it suggests, and exits with 0 on an interrupt.
+// The up command serves a request like the one in its printed curl command, and exits with status 0 on an interrupt.
 func TestUpServesRequestsUntilInterrupted(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// The events of a run hold the history of each request, and its report has all sections.
+// The events file of a run contains the history of each request, and the report has all keys.
 func TestTraceFollowsARequestOfARun(t *testing.T) {
 	dir := t.TempDir()
 	s := writeTempFile(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
@@ -166,7 +166,7 @@
 		"refused", "failed", "lost",
 		"attempts_per_request", "cross_zone_share", "worst_10s", "latency_ms", "rules", "crashes", "lab_late_ms", "agent", "windows"} {
 		if !strings.Contains(string(text), "\n \""+key+"\": ") {
-			t.Errorf("the report has no %s", key)
+			t.Errorf("the report has no key %s", key)
 		}
 	}
 	text, err = os.ReadFile(events)
--- a/cmd/martenbeam/progress.go
+++ b/cmd/martenbeam/progress.go
@@ -1,6 +1,6 @@
 package main
 
-// Progress of a run: a line a second, or a table that is drawn in place on a terminal.
+// The progress display of a run.
 
 import (
 	"fmt"
@@ -22,13 +22,14 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// progressTable shows the progress of a run: a line a second, or, in place, a table that is drawn over the one before.
+// progressTable displays the progress of a run: either a line each second or, with inPlace, a table that overwrites the previous
+// one on a terminal.
 type progressTable struct {
 	mu          sync.Mutex
 	w           io.Writer
 	inPlace     bool
-	drawnLines  int // of the table that is to be drawn over
-	printedRows int // lines, where it is not in place
+	drawnLines  int // of the previous table, with inPlace
+	printedRows int // lines printed so far, without inPlace
 }
 
 func newProgressTable(w io.Writer, inPlace bool) *progressTable {
@@ -44,7 +45,7 @@
 
 const progressHeading = "  time  agents backends  offered/s  in aim  refused  failed    p50    p99  attempts/r  used  broken  faults"
 
-// progressRow is the line for a state.
+// progressRow returns the line for a view.
 func progressRow(view lab.View) string {
 	window := view.Last
 	ratio := func(dividend, divisor float64) float64 {
@@ -60,7 +61,7 @@
 		ratio(float64(window.Attempts), n), 100*window.Used, view.Violations, strings.Join(view.Faults, ", "))
 }
 
-// update shows the state of a run. The lab calls it each second.
+// update displays the state of a run. The lab calls it each second.
 func (t *progressTable) update(_ *lab.Lab, view lab.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/martenbeam/report.go
+++ b/cmd/martenbeam/report.go
@@ -1,6 +1,6 @@
 package main
 
-// What a run comes to: its report as text and as a file, and the exit code for its verdict.
+// The result of a run: its report as text and as JSON, and the exit code for its verdict.
 
 import (
 	"encoding/json"
@@ -11,11 +11,11 @@
 	"martenbeam/internal/lab"
 )
 
-// verdictError prints why a run did not pass, and returns the error with its exit code; nil: it passed.
+// verdictError returns nil if a run passed. Otherwise it prints the reason and returns the error with the exit code.
 func verdictError(o *output, report *lab.Report) error {
 	switch report.Verdict {
 	case lab.Inconclusive:
-		fmt.Fprintf(o.stderr, "void: the lab itself was late, 99th percentile %.1f ms: too little processor time here; no verdict\n",
+		fmt.Fprintf(o.stderr, "void: the lab itself was late (99th percentile %.1f ms) because the machine has too little processor time; no verdict\n",
 			report.LabLateness.P99)
 		return exitCodeError(exitInconclusive)
 	case lab.Crashed:
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// writeJSON writes a value to a file, by renaming a complete one over it.
+// writeJSON writes a value to a file as JSON. It writes a temporary file first and renames it, so the file is always complete.
 func writeJSON(file string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return os.Rename(file+".part", file)
 }
 
-// printReport prints a report for people to read.
+// printReport prints a report as text.
 func printReport(w io.Writer, report *lab.Report) {
 	fmt.Fprintf(w, "\n%s, seed %d: %d agents, %d backends, %d requests in %.0f s (the first %.0f s don't count)\n",
 		report.Scenario, report.Seed, report.Agents, report.Backends, report.Offered, report.DurationSeconds, report.WarmUpSeconds)
--- a/cmd/martenbeam/trace.go
+++ b/cmd/martenbeam/trace.go
@@ -1,6 +1,6 @@
 package main
 
-// The command that follows one request through a run.
+// The lab trace command.
 
 import (
 	"bufio"
@@ -20,7 +20,8 @@
 	ID   string `arg:"" name:"request-id" help:"The id of a try, or of a client's first try."`
 }
 
-// Run prints the history of a request: of one attempt of a client, or of all that belong to its first one.
+// Run prints the history of each request whose own id, or whose first request's id, is the given one: a client that repeats a
+// request gives each repetition a new id.
 func (c *traceCmd) Run(o *output) error {
 	file, err := os.Open(c.File)
 	if err != nil {
@@ -50,7 +51,7 @@
 		}
 	}
 	if !found {
-		return usageError{fmt.Errorf("%s holds no request %s", c.File, c.ID)}
+		return usageError{fmt.Errorf("%s contains no request with id %s", c.File, c.ID)}
 	}
 	return nil
 }
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -1,6 +1,6 @@
 package main
 
-// The command that starts a fleet to look at.
+// The up command.
 
 import (
 	"cmp"
@@ -27,7 +27,7 @@
 	AgentBin string        `name:"agent-bin" help:"Another agent's program." placeholder:"PATH"`
 }
 
-// Run starts a fleet, shows its progress until its time is over or it is interrupted, and prints its report.
+// Run starts a fleet, displays its progress until the duration has passed or an interrupt arrives, and prints the report.
 func (c *upCmd) Run(o *output) error {
 	spec, flags, err := c.scenario()
 	if err != nil {
@@ -50,7 +50,7 @@
 	defer fleet.Close()
 	report, err := fleet.Run(ctx)
 	if errors.Is(err, context.Canceled) && ctx.Err() != nil {
-		return nil // interrupted before the whole fleet was there
+		return nil // interrupted before the whole fleet was ready
 	}
 	if err != nil {
 		return runError(o, err)
@@ -59,7 +59,7 @@
 	return verdictError(o, report)
 }
 
-// scenario returns the scenario whose faults are played, without an end, and the flags that changed it.
+// scenario returns the scenario to run, with its faults repeated, and the flags applied to it.
 func (c *upCmd) scenario() (*scenario.Scenario, *fleetFlags, error) {
 	spec, err := scenario.Read(cmp.Or(c.Scenario, "calm"))
 	if err != nil {
@@ -73,7 +73,7 @@
 	return spec, flags, nil
 }
 
-// greeting says what runs, and how to send a request to an agent at an address by hand.
+// greeting returns the text above the table: the size of the fleet, and a curl command that sends a request to the agent at addr.
 func (c *upCmd) greeting(zones int, addr string) string {
 	return fmt.Sprintf(`%d agents, %d backends in %d zones, %.0f requests a second. Ctrl-C ends it. Send one by hand:
 
