--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -42,10 +42,10 @@
 		if !isRange {
 			high = low
 		}
-		from, err1 := strconv.ParseUint(low, 10, 64)
-		to, err2 := strconv.ParseUint(high, 10, 64)
+		from, lowErr := strconv.ParseUint(low, 10, 64)
+		to, highErr := strconv.ParseUint(high, 10, 64)
 		const maxRange = 1000
-		if err1 != nil || err2 != nil || to < from || to-from >= maxRange {
+		if lowErr != nil || highErr != nil || to < from || to-from >= maxRange {
 			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range of at most 1000 seeds such as 1-5", part)
 		}
 		for s := from; s <= to; s++ {
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -34,8 +34,8 @@
 
 // Invalid arguments and files cause exit code 2 and a one-line error. Help and lists cause exit code 0.
 func TestExitCodesAndMessages(t *testing.T) {
-	bad := writeTempFile(t, "for = \"-3s\"\n")
-	all := writeTempFile(t, "version = 3\nattempts.most = 4\n")
+	invalidFile := writeTempFile(t, "for = \"-3s\"\n")
+	settingsFile := writeTempFile(t, "version = 3\nattempts.most = 4\n")
 	for _, c := range []struct {
 		args string
 		code int
@@ -47,7 +47,7 @@
 		{"config print", 0, "[limits]"},
 		{"storm", exitUsage, "unexpected argument storm"},
 		{"lab run storm", exitUsage, `no scenario is called "storm"`},
-		{"lab run " + bad, exitUsage, bad + ":1: for: -3s is not between"},
+		{"lab run " + invalidFile, exitUsage, invalidFile + ":1: for: -3s is not between"},
 		{"lab run calm --agents=-4", exitUsage, "fleet.agents: -4"},
 		{"lab run calm --agents 2000 --backends 4000", exitUsage, "descriptors"},
 		{"lab run calm --agent-bin /nowhere", exitUsage, "/nowhere is not an executable file"},
@@ -57,15 +57,15 @@
 		{"lab compare calm", exitUsage, "or --hubs (A is a flat fleet)"},
 		{"lab trace /dev/null 12", exitUsage, "contains no request with id 12"},
 		{"config check", exitUsage, "specify a FILE"},
-		{"config check --settings " + bad, exitUsage, bad + ":1: for: unknown key"},
-		{"config check --settings " + all, 0, all + ": version 3 can be used"},
-		{"config check --settings " + all + " --with " + bad, exitUsage, bad + ":1: for: unknown key"},
+		{"config check --settings " + invalidFile, exitUsage, invalidFile + ":1: for: unknown key"},
+		{"config check --settings " + settingsFile, 0, settingsFile + ": version 3 can be used"},
+		{"config check --settings " + settingsFile + " --with " + invalidFile, exitUsage, invalidFile + ":1: for: unknown key"},
 		{"config print --hub", 0, "admit_rate"},
-		{"config check --hub " + bad, exitUsage, bad + ":1: for: unknown key"},
-		{"hub --config " + bad, exitUsage, bad + ":1: for: unknown key"},
+		{"config check --hub " + invalidFile, exitUsage, invalidFile + ":1: for: unknown key"},
+		{"hub --config " + invalidFile, exitUsage, invalidFile + ":1: for: unknown key"},
 		{"hub", exitUsage, "--config"},
-		{"config check " + bad, exitUsage, bad + ":1: for: unknown key"},
-		{"agent --config " + bad, exitUsage, bad + ":1: for: unknown key"},
+		{"config check " + invalidFile, exitUsage, invalidFile + ":1: for: unknown key"},
+		{"agent --config " + invalidFile, exitUsage, invalidFile + ":1: for: unknown key"},
 		{"agent --log-level loud", exitUsage, "--log-level"},
 	} {
 		var out, errs bytes.Buffer
@@ -147,13 +147,13 @@
 // The events file of a run contains the history of each request, and the report has all keys.
 func TestTraceFollowsARequestOfARun(t *testing.T) {
 	dir := t.TempDir()
-	s := writeTempFile(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
+	scenarioFile := writeTempFile(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	events, report := filepath.Join(dir, "events"), filepath.Join(dir, "report.json")
-	cmd := exec.Command(self, "lab", "run", s, "--json", report, "--events", events, "-q")
+	cmd := exec.Command(self, "lab", "run", scenarioFile, "--json", report, "--events", events, "-q")
 	cmd.Env = append(os.Environ(), "MARTENBEAM_TEST=1")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
--- a/cmd/martenbeam/report.go
+++ b/cmd/martenbeam/report.go
@@ -57,12 +57,12 @@
 		100*report.ServedInObjective, 100*report.Worst10s, report.Worst10sAt)
 	fmt.Fprintf(w, "  refused %.2f%%, failed %.2f%%, lost %d; %.3f attempts a request, %.1f%% of them to another zone\n",
 		100*report.Rejected, 100*report.Failed, report.Lost, report.Attempts, 100*report.CrossZone)
-	switch failOver := report.AvoidedAfter; {
-	case failOver == nil:
-	case *failOver < 0:
+	switch failoverSeconds := report.AvoidedAfter; {
+	case failoverSeconds == nil:
+	case *failoverSeconds < 0:
 		fmt.Fprintln(w, "  zones out of reach were sent 1% or more of first attempts until the end")
 	default:
-		fmt.Fprintf(w, "  zones out of reach were sent under 1%% of first attempts after %.1f s\n", *failOver)
+		fmt.Fprintf(w, "  zones out of reach were sent under 1%% of first attempts after %.1f s\n", *failoverSeconds)
 	}
 	fmt.Fprintf(w, "  latency of what was served: p50 %.0f ms, p99 %.0f ms, p99.9 %.0f ms\n",
 		report.Latency.P50, report.Latency.P99, report.Latency.P999)
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -42,7 +42,7 @@
 	defer stop()
 	table := newProgressTable(o.stdout, isTerminal(o.stdout))
 	options.AcceptUnknown, options.OnSecond = true, table.update
-	options.OnReady = func(fleet *lab.Lab) { table.header(c.greeting(len(spec.Fleet.Zones), fleet.Addr(0))) }
+	options.OnReady = func(fleet *lab.Lab) { table.header(c.banner(len(spec.Fleet.Zones), fleet.Addr(0))) }
 	fleet, err := lab.New(options)
 	if err != nil {
 		return usageError{err}
@@ -73,8 +73,8 @@
 	return spec, flags, nil
 }
 
-// greeting returns the text above the table: the size of the fleet, and a curl command that sends a request to the agent at addr.
-func (c *upCmd) greeting(zones int, addr string) string {
+// banner returns the text above the table: the size of the fleet, and a curl command that sends a request to the agent at addr.
+func (c *upCmd) banner(zones int, addr string) string {
 	return fmt.Sprintf(`%d agents, %d backends in %d zones, %.0f requests a second. Ctrl-C ends it. Send one by hand:
 
   curl -i -X POST http://%s/stop-update -H "X-Trace-Id: hand-$RANDOM$RANDOM" -H "Idempotency-Key: hand-$RANDOM" \
