--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -1,6 +1,6 @@
 package main
 
-// System calls that fail: accept, the calls of the start, and calls on sockets.
+// Failing system calls: accept, the calls during the start, and calls on sockets.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// acceptErrnos are the transient errors of accept(2), network errors of a pending connection included.
+// acceptErrnos are the transient errors of accept(2), including the network errors of a pending connection.
 var acceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
@@ -35,12 +35,12 @@
 	time.Sleep(2 * time.Second)
 	d.applyPlan(t, faultinject.Plan{})
 	if err := <-answered; err != nil {
-		t.Errorf("a request through 2 s of failing accepts: %v", err)
+		t.Errorf("request sent while accept failed for 2 s: %v", err)
 	}
 }
 
-// Clients and operators are still served when accept fails once, three times in a row or for 2 s, and when epoll can't
-// register a connection.
+// The agent still serves clients and operators when accept fails once, three times in a row or for 2 s, and when epoll_ctl fails
+// to register a connection.
 func TestFailingAcceptsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -49,18 +49,18 @@
 		for _, times := range []int{1, 3} {
 			d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: errno, Times: times}))
 			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-				t.Fatalf("%d x %v: %d, %v", times, errno, status, err)
+				t.Fatalf("%d x %v: status %d, %v", times, errno, status, err)
 			}
 			if status, _ := d.adminCall(t, "/_ready", ""); status != 200 {
-				t.Fatalf("operator's call after %d x %v: %d", times, errno, status)
+				t.Fatalf("admin call after %d x %v: status %d", times, errno, status)
 			}
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 		for _, times := range []int{1, 3} {
 			d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.EpollAdd, Errno: errno, Times: times}))
-			// The client repeats a request whose connection was closed unread.
-			await(t, fmt.Sprintf("an answer after %d x epoll_ctl %v", times, errno), testTimeout, func() bool {
+			// The client retries a request if the agent closes its connection before reading it.
+			await(t, fmt.Sprintf("response after %d x epoll_ctl %v", times, errno), testTimeout, func() bool {
 				status, _ := get(singleUseClient, d.addr, "/get/x")
 				return status == 200
 			})
@@ -73,7 +73,7 @@
 	}
 }
 
-// An agent whose system calls fail transiently during its start still serves.
+// An agent starts and serves requests although system calls fail transiently during its start.
 func TestAgentStartsThroughFailingSystemCalls(t *testing.T) {
 	backend := newFakeBackend(t)
 	discovery := newFakeDiscovery(t, readyEndpoint("s", backend))
@@ -98,15 +98,15 @@
 	}
 }
 
-// peerEdits returns the edits that configure two peers: the agent itself and another.
+// peerEdits returns the configuration edits for startAgent that set two peers: the agent itself and another address.
 func peerEdits(own, other string) []string {
 	peers := fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],`, own, own, other)
 	return []string{`"settings":{"Balancers":1`, peers + `"settings":{"Balancers":2,"Me":0`, `"TryLimit":4`,
 		`"TryLimit":4,"Peers":true`}
 }
 
-// Datagram and socket option calls that fail once, three times in a row or for 2 s lose no request, and retrying them does not
-// use up the processor.
+// No request is lost when datagram or socket option calls fail once, three times in a row or for 2 s, and the agent does not
+// retry them in a busy loop.
 func TestFailingSocketCallsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -129,28 +129,28 @@
 			for _, times := range []int{1, 3} {
 				d.applyPlan(t, failing(faultinject.Failure{Call: call, Errno: errno, Times: times}))
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-					t.Errorf("%d x %s %v: %d, %v", times, call, errno, status, err)
+					t.Errorf("%d x %s %v: status %d, %v", times, call, errno, status, err)
 				}
 			}
 		}
 		d.applyPlan(t, failing(faultinject.Failure{Call: call, Errno: syscall.ENOBUFS}))
-		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // so that there is a datagram to read
+		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // a datagram for the agent to read
 			t.Fatal(err)
 		}
 		before, startedAt := cpuTime(t, d.cmd.Process.Pid), time.Now()
 		for time.Since(startedAt) < 2*time.Second {
 			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-				t.Errorf("%s for 2 s: %d, %v", call, status, err)
+				t.Errorf("%s fails for 2 s: status %d, %v", call, status, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		if used := cpuTime(t, d.cmd.Process.Pid) - before; used > time.Second {
-			t.Errorf("%s for 2 s: %v of processor time", call, used)
+			t.Errorf("%s fails for 2 s: the agent used %v of processor time, want at most 1 s", call, used)
 		}
 	}
 }
 
-// cpuTime returns the processor time that a process has used, user and system together.
+// cpuTime returns the user and system time that a process has used.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -1,6 +1,6 @@
 package main
 
-// What a running agent may touch: its addresses, its files, no other process.
+// The addresses and files that a running agent uses.
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// openFiles returns the targets of a process's descriptors, and whether each is open for writing.
+// openFiles returns the targets of a process's descriptors, each with whether it is open for writing.
 func openFiles(t *testing.T, pid int) (files map[string]bool) {
 	t.Helper()
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -28,7 +28,7 @@
 	for _, link := range links {
 		name, err := os.Readlink(link)
 		if err != nil {
-			continue // closed in the meantime
+			continue // closed since the listing
 		}
 		info, err := os.ReadFile(strings.Replace(link, "/fd/", "/fdinfo/", 1))
 		if err != nil {
@@ -44,7 +44,7 @@
 	return files
 }
 
-// listeners returns the listening addresses of a kernel socket table that belong to some of the open files.
+// listeners returns the listening addresses in a kernel socket table whose sockets are among the open files.
 func listeners(t *testing.T, table string, files map[string]bool) (addrs []string) {
 	t.Helper()
 	const state, listens, inode = 3, "0A", 9
@@ -64,11 +64,11 @@
 		ip, port, _ := strings.Cut(field[1], ":")
 		n, err := strconv.ParseUint(port, 16, 16)
 		if err != nil || len(ip) != 8 {
-			t.Errorf("listens at %s", field[1]) // not IPv4
+			t.Errorf("the agent listens at %s, which is not an IPv4 address", field[1])
 			continue
 		}
 		var b [4]byte
-		for i := range b { // the table holds the address in the byte order of the machine
+		for i := range b { // the table has the address in the byte order of the machine
 			x, err := strconv.ParseUint(ip[6-2*i:8-2*i], 16, 8)
 			if err != nil {
 				t.Fatal(err)
@@ -80,14 +80,14 @@
 	return addrs
 }
 
-// The agent listens at its configured addresses only, starts no processes, and has no file open for writing but its log and
-// files in its scratch folder.
+// The agent listens only at its configured addresses, starts no processes, and has only its log and files in its scratch folder
+// open for writing.
 func TestAgentListensAndWritesOnlyWhereConfigured(t *testing.T) {
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", newFakeBackend(t))).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for range 20 {
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-			t.Fatalf("%d, %v", status, err)
+			t.Fatalf("status %d, %v", status, err)
 		}
 	}
 	d.awaitAdminOK(t, testTimeout, "/_ready", "")
@@ -99,17 +99,17 @@
 	slices.Sort(got)
 	slices.Sort(want)
 	if !slices.Equal(got, want) {
-		t.Errorf("listens at %v, want %v", got, want)
+		t.Errorf("the agent listens at %v, want %v", got, want)
 	}
 	own := filepath.Dir(d.configPath)
 	for name, writable := range files {
 		if writable && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, own) && !strings.HasPrefix(name, "/dev/") {
-			t.Errorf("%s is open for writing", name)
+			t.Errorf("the agent has %s open for writing", name)
 		}
 	}
 	children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/children", pid, pid))
 	if err != nil || len(children) > 0 {
-		t.Errorf("children %q, %v", children, err)
+		t.Errorf("child processes %q, want none; %v", children, err)
 	}
 	d.signal(t, syscall.SIGTERM)
 	if err := d.cmd.Wait(); err != nil {
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Clients that fail, disconnect, stall or leave little time.
+// Clients that disconnect, stall or set short deadlines, and failing calls on their connections.
 
 import (
 	"bufio"
@@ -19,11 +19,11 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// connErrnos are errors that reads and writes of a TCP connection may return while the peer still holds it open.
+// connErrnos are errors that reads and writes of a TCP connection may return while the peer still has it open.
 var connErrnos = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.EINTR, syscall.EIO}
 
-// A request that was accepted is answered although reads of its connection, or the write of its answer, fail transiently.
+// An accepted request is answered although reads from its connection, or the write of its final answer, fail transiently.
 func TestTransientConnectionErrorsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	backend.latency = 100 * time.Millisecond
@@ -43,10 +43,10 @@
 					requestCounter.Add(1)); err != nil {
 					t.Fatal(err)
 				}
-				await(t, "the attempt", testTimeout, func() bool { return backend.requestCount.Load() > before })
+				await(t, "the attempt at the backend", testTimeout, func() bool { return backend.requestCount.Load() > before })
 				d.applyPlan(t, failing(faultinject.Failure{Call: call, Path: "client:" + c.LocalAddr().String(),
 					Errno: errno, Times: times}))
-				if call == faultinject.Read { // so that the agent has something to read
+				if call == faultinject.Read { // a byte for the agent to read
 					if _, err := io.WriteString(c, "G"); err != nil {
 						t.Fatal(err)
 					}
@@ -54,14 +54,15 @@
 				answer, err := io.ReadAll(c)
 				c.Close()
 				if !strings.HasPrefix(string(answer), "HTTP/1.1 200") {
-					t.Errorf("%s: %v, %q", name, err, answer)
+					t.Errorf("%s: error %v, final answer %q", name, err, answer)
 				}
 			}
 		}
 	}
 }
 
-// No attempt starts for a large body whose client disconnected more than 0.1 s ago, even if part of the body is still unread.
+// The agent starts no attempt for a request with a large body if the client disconnected more than 0.1 s ago, even if part of the
+// body is still unread.
 func TestNoAttemptForAnUploadOfADisconnectedClient(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
@@ -69,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := freeAddr(t) // refuses connections: the request waits for a retry
+			backend := freeAddr(t) // refuses connections, so that the request waits for a retry
 			d := startAgent(t, newFakeDiscovery(t, newEndpoint("s", backend, "ready")).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			var begun atomic.Int64
@@ -98,14 +99,15 @@
 				server.Close()
 			}
 			if n := begun.Load(); n > 0 {
-				t.Errorf("%d of 10 attempts began after the client had gone", n)
+				t.Errorf("%d of 10 attempts started after the client disconnected, want none", n)
 			}
 		})
 	}
 }
 
-// A client that stops in the middle of a request without closing gets an error or a close within 3 s. The time runs from the
-// start of its connection, or from the first byte of this request if the connection has served one before.
+// If a client stops sending in the middle of a request and keeps the connection open, the agent sends an error or closes the
+// connection within 3 s. The time starts with the connection, or with the first byte of the request if the connection has served
+// one before.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -120,7 +122,7 @@
 			for _, second := range []bool{false, true} {
 				clients.Go(func() {
 					if elapsed, err := sendPartOfRequest(d.addr, text[:cut], second); elapsed > 3*time.Second+late() || err != nil {
-						t.Errorf("%q of %d, second %v: %v until an error or a close, %v", text[:min(cut, 60)], len(text), second, elapsed, err)
+						t.Errorf("%q of %d bytes, second request %v: %v until an error or a close, want at most 3 s; %v", text[:min(cut, 60)], len(text), second, elapsed, err)
 					}
 				})
 			}
@@ -129,8 +131,8 @@
 	clients.Wait()
 }
 
-// sendPartOfRequest sends the first part of a request, on a new connection or as its second request. It returns how long it
-// takes until the agent answers or closes.
+// sendPartOfRequest sends the first part of a request on a new connection, as its first or second request. It returns the time
+// until the agent answers or closes the connection.
 func sendPartOfRequest(addr, part string, second bool) (time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -150,17 +152,17 @@
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return 0, err
 		}
-		time.Sleep(time.Second) // the connection is idle
+		time.Sleep(time.Second) // leaves the connection idle
 	}
 	startedAt := time.Now()
 	if _, err := io.WriteString(c, part); err != nil {
 		return 0, err
 	}
-	_, _ = in.ReadByte() // an error is a close
+	_, _ = in.ReadByte() // an error means that the agent closed the connection
 	return time.Since(startedAt), nil
 }
 
-// A client that keeps sending single bytes of a small body or a header gets an error or a close just as soon.
+// A client that keeps sending single bytes of a small body or a header gets an error or a close within 3 s too.
 func TestSlowRequestTimesOut(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -184,9 +186,9 @@
 						time.Sleep(every)
 					}
 				}()
-				_, _ = c.Read(make([]byte, 1)) // an error is a close
+				_, _ = c.Read(make([]byte, 1)) // an error means that the agent closed the connection
 				if elapsed := time.Since(startedAt); elapsed > 3*time.Second+late() {
-					t.Errorf("%q, a byte every %v: %v until an error or a close", start[:10], every, elapsed)
+					t.Errorf("%q, one byte every %v: %v until an error or a close, want at most 3 s", start[:10], every, elapsed)
 				}
 			})
 		}
@@ -194,7 +196,7 @@
 	clients.Wait()
 }
 
-// A request with very little time left gets its final answer in that time, even if its backend never answers.
+// A request with a very short deadline gets its final answer within 100 ms of the deadline, even if its backend never responds.
 func TestRequestWithShortDeadlineIsAnsweredInTime(t *testing.T) {
 	unresponsive := newFakeBackend(t)
 	unresponsive.latency = time.Hour
@@ -213,11 +215,11 @@
 			startedAt := time.Now()
 			resp, err := singleUseClient.Do(req)
 			if err != nil {
-				t.Fatalf("%v left: %v", left, err)
+				t.Fatalf("deadline %v: %v", left, err)
 			}
 			resp.Body.Close()
 			if elapsed := time.Since(startedAt); resp.StatusCode == 200 || elapsed > left+100*time.Millisecond+late() {
-				t.Errorf("%v left: %d after %v", left, resp.StatusCode, elapsed)
+				t.Errorf("deadline %v: status %d after %v", left, resp.StatusCode, elapsed)
 			}
 		}
 	}
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The deadline that an agent passes on to backends.
+// The deadline that an agent sends to backends.
 
 import (
 	"fmt"
@@ -17,17 +17,18 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// deadlineChecker compares the deadlines that backends are told with those of the clients.
+// deadlineChecker compares the deadlines that backends receive with the deadlines of the clients.
 type deadlineChecker struct {
-	ends     sync.Map // when the client stops waiting, by request id
+	ends     sync.Map // the client's deadline as a time.Time, by request id
 	attempts atomic.Int64
-	exceeded atomic.Int64  // attempts that were told of more time than slack beyond what the client has
-	worst    atomic.Int64  // by so much, in ns
-	slack    time.Duration // what is allowed, besides late
+	exceeded atomic.Int64  // attempts whose deadline exceeds the client's remaining time by more than slack
+	worst    atomic.Int64  // largest excess, in ns
+	slack    time.Duration // allowed excess, in addition to late
 	late     func() time.Duration
 }
 
-// serve checks an attempt and answers it: not run, late enough for a hedged request, or at once.
+// serve checks the deadline of an attempt. It then responds that the request did not run, responds late enough for a hedged
+// request, or responds at once.
 func (c *deadlineChecker) serve(t *testing.T, w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	c.attempts.Add(1)
@@ -55,7 +56,7 @@
 	}
 }
 
-// send sends one request with a random deadline and waits for its answer.
+// send sends one request with a random deadline and waits for the final answer.
 func (c *deadlineChecker) send(addr string) error {
 	waits := time.Duration(200+rand.IntN(400)) * time.Millisecond
 	id := fmt.Sprintf("%016x", requestCounter.Add(1))
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// The deadline that an attempt passes to its backend exceeds the client's remaining time by 0.15 s at most: for first attempts,
-// retries and hedged requests, and also if the process is stopped for 0.15 s at any moment.
+// The deadline that an attempt sends to its backend exceeds the client's remaining time by at most 0.15 s. The bound applies to
+// first attempts, retries and hedged requests, and also if the process is stopped for 0.15 s at any moment.
 func TestBackendIsToldTheRemainingTime(t *testing.T) {
 	const slack, hold = 150 * time.Millisecond, 150 * time.Millisecond
 	c := &deadlineChecker{slack: slack, late: schedulingDelay(t)}
@@ -101,21 +102,21 @@
 		})
 	}
 	for time.Now().Before(end) {
-		time.Sleep(time.Duration(650+rand.IntN(200)) * time.Millisecond) // no request is delayed twice
+		time.Sleep(time.Duration(650+rand.IntN(200)) * time.Millisecond) // longer than any deadline, so that no request is delayed twice
 		d.signal(t, syscall.SIGSTOP)
 		time.Sleep(hold)
 		d.signal(t, syscall.SIGCONT)
 	}
 	clients.Wait()
 	attempts, exceeded, worst := c.attempts.Load(), c.exceeded.Load(), time.Duration(c.worst.Load())
-	t.Logf("%d attempts, the worst %v beyond, on a machine late by %v", attempts, worst, c.late())
+	t.Logf("%d attempts, largest excess %v, scheduling delay %v", attempts, worst, c.late())
 	if exceeded > 0 {
-		t.Errorf("%d of %d attempts were told of more time than the client has left, by up to %v", exceeded, attempts, worst)
+		t.Errorf("%d of %d attempts had a deadline later than the client's by more than the allowed excess; largest excess %v", exceeded, attempts, worst)
 	}
 }
 
-// The deadline of a request runs from its last byte even while its connection waits to be accepted: here accept fails for a
-// second.
+// The deadline of a request starts with its last byte even while the connection waits in the accept queue. Here accept fails for
+// 1 s.
 func TestDeadlineOfARequestQueuedBeforeAccept(t *testing.T) {
 	stated, late := make(chan string, 1), schedulingDelay(t)
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
@@ -136,6 +137,6 @@
 	}
 	if s, err := strconv.ParseFloat(<-stated, 64); err != nil ||
 		time.Duration(s*float64(time.Second)) > left+150*time.Millisecond+late() {
-		t.Errorf("told of %v s, the client has %v left: %v", s, left, err)
+		t.Errorf("the backend received a deadline of %v s, but the client has %v left; %v", s, left, err)
 	}
 }
--- a/cmd/agent/deployment_test.go
+++ b/cmd/agent/deployment_test.go
@@ -1,6 +1,6 @@
 package main
 
-// No deployment is named in the code.
+// The check that the code contains no names of a deployment.
 
 import (
 	"os"
@@ -43,7 +43,7 @@
 	return names
 }
 
-// namesFoundIn returns the names that occur in a text as whole words.
+// namesFoundIn returns the names that occur in a text as whole words, in any case.
 func namesFoundIn(text string, names []string) (found []string) {
 	for _, name := range names {
 		if regexp.MustCompile(`(?i)(^|[^\w-])` + regexp.QuoteMeta(name) + `($|[^\w-])`).MatchString(text) {
@@ -53,18 +53,18 @@
 	return found
 }
 
-// No code of the agent or the adapter, nor the deploy file, contains a name of a deployment.
+// Neither the code of the agent and the adapter nor deploy/balancer.toml contains a name of a deployment.
 func TestCodeNamesNoDeployment(t *testing.T) {
 	sites, err := filepath.Glob("../../deploy/sites/*/*.toml")
 	if err != nil || len(sites) < 2 {
-		t.Fatalf("%d sites, %v", len(sites), err)
+		t.Fatalf("%d site files, want at least 2; %v", len(sites), err)
 	}
 	var names []string
 	for _, path := range sites {
 		names = append(names, deploymentNames(t, path)...)
 	}
 	if len(names) < 20 || len(namesFoundIn(`case "`+names[0]+`":`, names)) != 1 {
-		t.Fatalf("%d names, of which the first is not found where it stands", len(names))
+		t.Fatalf("%d names, want at least 20, and the first one must be found in a text that contains it", len(names))
 	}
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if .Module}}{{if .Module.Main}}{{.Dir}}{{end}}{{end}}", ".",
 		"../adapter").Output()
@@ -80,7 +80,7 @@
 		files = append(files, list...)
 	}
 	if len(files) < 40 {
-		t.Fatalf("only %d files", len(files))
+		t.Fatalf("%d files, want at least 40", len(files))
 	}
 	for _, path := range files {
 		if strings.HasSuffix(path, "_test.go") {
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		if found := namesFoundIn(string(text), names); len(found) > 0 {
-			t.Errorf("%s knows %v", path, found)
+			t.Errorf("%s contains the deployment names %v", path, found)
 		}
 	}
 }
--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The limit of descriptors under many idle clients.
+// The descriptor limit with many idle clients.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// startLimited starts the program with a limit of descriptors that the system enforces, and returns what reads its log.
+// startLimited starts the program with a descriptor limit that the kernel enforces, and returns a function that reads its log.
 func startLimited(t *testing.T, config string, limit int) (log func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -43,8 +43,8 @@
 	}
 }
 
-// holdIdleConnections has n clients hold idle connections to an agent until stop is closed. Each reconnects when its connection
-// is closed. It returns when all have tried once.
+// holdIdleConnections starts n clients that keep idle connections to an agent open until stop is closed. A client reconnects when
+// its connection is closed. holdIdleConnections returns when each client has tried to connect once.
 func holdIdleConnections(addr string, n int, stop <-chan struct{}) {
 	var tried sync.WaitGroup
 	for range n {
@@ -71,7 +71,7 @@
 	tried.Wait()
 }
 
-// statusOf returns the status of the answer to a request on a connection of its own; 0: there was none.
+// statusOf sends a request on a new connection and returns the status of the final answer, or 0 if there was none.
 func statusOf(t *testing.T, url string) int {
 	t.Helper()
 	req, err := http.NewRequest("GET", url, nil)
@@ -87,9 +87,9 @@
 	return resp.StatusCode
 }
 
-// Idle clients take all the descriptors that they can get while discovery is down. There are still descriptors for the first
-// call to discovery after its return, for backends, for operators and for clients that send requests. The system enforces the
-// limit of the process.
+// While discovery is down, idle clients use all descriptors that the agent gives to clients. The agent must still have descriptors
+// for the first call to discovery after its recovery, for backends, for operators and for clients that send requests. The kernel
+// enforces the descriptor limit of the process.
 func TestIdleClientsLeaveDescriptorsForWork(t *testing.T) {
 	const limit = 64 // the lowest that the program accepts
 	backend := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.URL.Path) })
@@ -100,11 +100,11 @@
 	awaitStatus := func(what, url string, status int) {
 		for end := time.Now().Add(testTimeout); statusOf(t, url) != status; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: never; log %s", what, log())
+				t.Fatalf("%s: the expected status did not arrive in time; log %s", what, log())
 			}
 		}
 	}
-	awaitStatus("the program", "http://"+addr+"/_health", 503) // it has no list
+	awaitStatus("health before the first list", "http://"+addr+"/_health", 503) // there is no endpoint list yet
 	stop := make(chan struct{})
 	defer close(stop)
 	holdIdleConnections(addr, 2*limit, stop)
@@ -119,12 +119,12 @@
 	})}
 	go func() { _ = server.Serve(ln) }()
 	defer server.Close()
-	awaitStatus("a list", "http://"+addr+"/_health", 200)
-	awaitStatus("an operator", "http://"+admin+"/_ready", 200)
+	awaitStatus("health after the first list", "http://"+addr+"/_health", 200)
+	awaitStatus("admin call", "http://"+admin+"/_ready", 200)
 	for i := range 3 {
-		awaitStatus("a client", fmt.Sprintf("http://%s/get/%d", addr, i), 200)
+		awaitStatus("client request", fmt.Sprintf("http://%s/get/%d", addr, i), 200)
 	}
 	if text := log(); strings.Contains(text, "too many open files") {
-		t.Errorf("the limit was met: %s", text)
+		t.Errorf("the agent reached the descriptor limit; log %s", text)
 	}
 }
--- a/cmd/agent/fakes_test.go
+++ b/cmd/agent/fakes_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Fakes of what stands around an agent: backends and discovery.
+// Fake backends and fake discovery services.
 
 import (
 	"encoding/json"
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// fakeBackend is a backend that counts requests and answers each with its path.
+// fakeBackend is a backend that counts requests and responds to each with its path.
 type fakeBackend struct {
 	addr         string
 	requestCount atomic.Int64
 	requestIDs   sync.Map      // values of X-Trace-Id
-	latency      time.Duration // of each answer; set before the first request
+	latency      time.Duration // of each response; set before the first request
 }
 
 func newFakeBackend(t *testing.T) *fakeBackend {
@@ -88,12 +88,12 @@
 	return c
 }
 
-// newEndpoint returns an endpoint of zone a in a state of the list.
+// newEndpoint returns an endpoint in zone a with a state such as ready or draining.
 func newEndpoint(id, addr, state string) endpoint {
 	return endpoint{ID: id, Addr: addr, Zone: "a", Kind: "m", State: state, Weight: 1}
 }
 
-// readyEndpoint returns the endpoint of a backend that is ready.
+// readyEndpoint returns the endpoint of a backend in the state ready.
 func readyEndpoint(id string, b *fakeBackend) endpoint { return newEndpoint(id, b.addr, "ready") }
 
 // publish replaces the list and pushes it.
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -13,28 +13,29 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// Where lists are pushed, discovery's list applies from the start of a new process: a backend that it lists as draining gets no
-// new requests 0.5 s later, even if the list that the process was started with says ready, and whatever call fails meanwhile.
+// With pushed lists, the list from discovery applies from the start of a new process. A backend that discovery lists as draining
+// gets no new requests 0.5 s after the start, even if the configuration's known list has it as ready and even if system calls
+// fail during the start.
 func TestFirstListAppliesFromTheStart(t *testing.T) {
 	const grace, slack = 500 * time.Millisecond, 50 * time.Millisecond
-	if _, err := faultyProgram(); err != nil { // built before time is measured
+	if _, err := faultyProgram(); err != nil { // built here, so that the build time is not measured
 		t.Fatal(err)
 	}
 	for name, failure := range map[string]faultinject.Failure{
-		"nothing fails":          {},
-		"a connect":              {Call: faultinject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
-		"three connects":         {Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
-		"three sockets":          {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // after the two sockets that it listens on
-		"a read of a socket":     {Call: faultinject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
-		"a write to a socket":    {Call: faultinject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
-		"connects are refused":   {Call: faultinject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
-		"connects are aborted":   {Call: faultinject.Connect, Errno: syscall.ECONNABORTED, Times: 3},
-		"connects are timed out": {Call: faultinject.Connect, Errno: syscall.ETIMEDOUT, Times: 2},
+		"no failure":           {},
+		"one connect":          {Call: faultinject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
+		"three connects":       {Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
+		"three sockets":        {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // skips the two listening sockets
+		"one socket read":      {Call: faultinject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
+		"one socket write":     {Call: faultinject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
+		"connects are refused": {Call: faultinject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
+		"connects are aborted": {Call: faultinject.Connect, Errno: syscall.ECONNABORTED, Times: 3},
+		"connects time out":    {Call: faultinject.Connect, Errno: syscall.ETIMEDOUT, Times: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			late := schedulingDelay(t)
-			var latest atomic.Int64 // since the start, in ns
+			var latest atomic.Int64 // time of the latest request since the start, in ns
 			var startedAt time.Time
 			draining := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 				latest.Store(max(latest.Load(), int64(time.Since(startedAt))))
@@ -53,14 +54,14 @@
 			awaitReady(t, d.addr)
 			for time.Since(startedAt) < 2*time.Second {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK && status != http.StatusServiceUnavailable {
-					t.Fatalf("%d, %v", status, err)
+					t.Fatalf("status %d, %v", status, err)
 				}
 			}
 			if at := time.Duration(latest.Load()); at > grace+slack+late() {
-				t.Errorf("the latest request reached the backend that drains %v after the start", at)
+				t.Errorf("the latest request reached the draining backend %v after the start, want at most 550 ms", at)
 			}
 			if good.requestCount.Load() == 0 {
-				t.Error("nothing reached the backend that is ready")
+				t.Error("no request reached the ready backend")
 			}
 		})
 	}
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Upgrades of the process, and admin calls, while the shared folder fails.
+// Process upgrades and admin calls while file operations in the shared folder fail.
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// replaceableAgent is an agent with two backends whose process can be replaced. current is the one that serves.
+// replaceableAgent is an agent with two backends whose process can be replaced. current is the serving process.
 type replaceableAgent struct {
 	one, two  *fakeBackend
 	discovery *fakeDiscovery
@@ -37,7 +37,8 @@
 	return r
 }
 
-// upgrade replaces the process as the platform does, and returns how many of 30 requests reach backend one afterwards.
+// upgrade replaces the process as the platform does: it starts a successor and sends SIGTERM to the predecessor when the successor
+// is ready. It returns how many of 30 subsequent requests reach backend one.
 func (r *replaceableAgent) upgrade(t *testing.T, plan faultinject.Plan) (reached int64) {
 	t.Helper()
 	younger := startAgent(t, r.discovery.addr, plan, r.ln, r.dir)
@@ -50,13 +51,13 @@
 	return r.countReachingOne(t, younger)
 }
 
-// countReachingOne sends 30 requests, and returns how many of them reach backend one.
+// countReachingOne sends 30 requests and returns how many of them reach backend one.
 func (r *replaceableAgent) countReachingOne(t *testing.T, d *agentProcess) int64 {
 	t.Helper()
 	before := r.one.requestCount.Load()
 	for range 30 {
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-			t.Errorf("%d, %v", status, err)
+			t.Errorf("status %d, %v", status, err)
 		}
 	}
 	return r.one.requestCount.Load() - before
@@ -64,7 +65,7 @@
 
 const detachOneBody = `{"target":"one"}`
 
-// A confirmed detach survives an upgrade, whatever failures the shared folder had before.
+// A confirmed detach survives an upgrade, whichever file operations in the shared folder failed before or during the upgrade.
 func TestDetachSurvivesAFailingFolder(t *testing.T) {
 	failingCall := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
 		return failing(faultinject.Failure{Call: call, Path: path, Errno: errno, Times: times})
@@ -73,20 +74,20 @@
 		start, during, younger faultinject.Plan
 	}{
 		"first write fails once":             {start: failingCall(faultinject.Write, "handover.json", syscall.EIO, 1)},
-		"first write fails thrice":           {start: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 3)},
-		"first open of the lock fails":       {start: failingCall(faultinject.Open, "owner", syscall.ENFILE, 1)},
+		"first write fails three times":      {start: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 3)},
+		"first open of the owner file fails": {start: failingCall(faultinject.Open, "owner", syscall.ENFILE, 1)},
 		"first lock fails":                   {start: failingCall(faultinject.Lock, "owner", syscall.ENOLCK, 2)},
 		"rename fails once":                  {during: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 1)},
 		"writes fail for 3 s":                {during: failingCall(faultinject.Write, "handover.json", syscall.EIO, 0)},
 		"opens fail for 3 s":                 {during: failingCall(faultinject.Open, "handover.json", syscall.ENOSPC, 0)},
 		"locks fail for 3 s":                 {during: failingCall(faultinject.Lock, "lock", syscall.ENOLCK, 0)},
-		"the successor's first read":         {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 1)},
-		"the successor's first three":        {younger: failingCall(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
-		"the successor's reads for long":     {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 40)},
-		"the successor's first write":        {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
-		"the successor's owner":              {younger: failingCall(faultinject.Open, "owner", syscall.EIO, 2)},
-		"the successor's writes throughout":  {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
-		"the successor's renames throughout": {younger: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 0)},
+		"successor's first read fails":       {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 1)},
+		"successor's first three opens fail": {younger: failingCall(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
+		"successor's first 40 reads fail":    {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 40)},
+		"successor's first write fails":      {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
+		"successor's opens of owner fail":    {younger: failingCall(faultinject.Open, "owner", syscall.EIO, 2)},
+		"all writes of the successor fail":   {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
+		"all renames of the successor fail":  {younger: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -95,24 +96,24 @@
 			r.current.applyPlan(t, c.during)
 			status, elapsed := r.current.adminCall(t, "/_backends/detach", detachOneBody)
 			if elapsed > time.Second+late() {
-				t.Errorf("answered after %v", elapsed)
+				t.Errorf("the detach call was answered after %v, want at most 1 s", elapsed)
 			}
 			if c.during.Failures == nil && status != 200 {
-				t.Errorf("status %d", status)
+				t.Errorf("detach: status %d, want 200", status)
 			}
 			if c.during.Failures != nil && c.during.Failures[0].Times == 0 {
 				time.Sleep(3*time.Second - elapsed)
 				r.current.applyPlan(t, faultinject.Plan{})
-				time.Sleep(time.Second) // recorded without another call
+				time.Sleep(time.Second) // the agent records the detach without another call
 			}
 			if n := r.upgrade(t, c.younger); n > 0 {
-				t.Errorf("%d of 30 requests reach the detached backend", n)
+				t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 			}
 		})
 	}
 }
 
-// A call that can't be recorded within its time is answered with 503.
+// An admin call that the agent can't record within 1 s is answered with 503.
 func TestCallThatCannotBeRecordedIsRejected(t *testing.T) {
 	late := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
@@ -120,7 +121,7 @@
 	r.current.applyPlan(t, fails)
 	for _, path := range []string{"/_backends/detach", "/_lameduck/on", "/_lameduck/off"} {
 		if status, elapsed := r.current.adminCall(t, path, detachOneBody); status != 503 || elapsed > time.Second+late() {
-			t.Errorf("%s: %d after %v", path, status, elapsed)
+			t.Errorf("%s: status %d after %v, want 503 within 1 s", path, status, elapsed)
 		}
 	}
 }
@@ -134,7 +135,7 @@
 	_ = d.cmd.Wait()
 }
 
-// moveDiscovery has the agent reload its configuration, a text, with another discovery in it.
+// moveDiscovery starts another discovery service, writes the configuration text with its address, and makes the agent reload it.
 func (r *replaceableAgent) moveDiscovery(t *testing.T, text []byte) {
 	t.Helper()
 	moved := newFakeDiscovery(t, r.discovery.list...)
@@ -146,11 +147,11 @@
 	r.discovery = moved
 }
 
-// Confirmed calls survive several upgrades with another fault during each. A process that replaces another follows discovery
-// at the address in the replaced configuration, although its environment is that of the first process. One attach ends two
-// detaches.
+// Confirmed detach calls survive several upgrades with a different fault during each one. A successor uses the discovery address in
+// the replaced configuration, although its environment is the environment of the first process. One attach call cancels two
+// detach calls.
 func TestDetachSurvivesRepeatedUpgrades(t *testing.T) {
-	first := freeAddr(t) // discovery's address in the environment, from when the platform started the agent
+	first := freeAddr(t) // discovery address in the environment since the platform started the agent
 	t.Setenv("PROXY_DISCOVERY", "")
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	text, err := os.ReadFile(r.current.configPath)
@@ -171,12 +172,12 @@
 	} {
 		disturb()
 		if n := r.upgrade(t, faultinject.Plan{}); n > 0 {
-			t.Fatalf("round %d: %d of 30 requests reach the detached backend", round, n)
+			t.Fatalf("round %d: %d of 30 requests reached the detached backend, want none", round, n)
 		}
 	}
 	third := newFakeBackend(t)
 	r.discovery.publish(readyEndpoint("one", r.one), readyEndpoint("three", third))
-	await(t, "the new list", 6*time.Second, func() bool {
+	await(t, "a request to the backend in the new list", 6*time.Second, func() bool {
 		status, _ := get(singleUseClient, r.current.addr, "/get/x")
 		return status == 200 && third.requestCount.Load() > 0
 	})
@@ -184,14 +185,14 @@
 	if status, _ := r.current.adminCall(t, "/_backends/attach", detachOneBody); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	await(t, "the attached backend to be used", 5*time.Second, func() bool {
+	await(t, "a request to the attached backend", 5*time.Second, func() bool {
 		_, _ = get(singleUseClient, r.current.addr, "/get/x")
 		return r.one.requestCount.Load() > before
 	})
 }
 
-// A drained agent reports it at once and keeps reporting it while the call can't be recorded. Once the call is recorded, its
-// successor is drained too.
+// An agent in lame-duck mode fails its health check at once and keeps failing it while the call can't be recorded. Once the call
+// is recorded, the successor's health check fails too.
 func TestDrainSurvivesAFailingFolder(t *testing.T) {
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	r.current.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
@@ -204,11 +205,11 @@
 		return status
 	}
 	if status, _ := r.current.adminCall(t, "/_lameduck/on", ""); status != 503 {
-		t.Errorf("status %d", status)
+		t.Errorf("lameduck call: status %d, want 503", status)
 	}
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if status := health(r.current); status != 503 {
-			t.Fatalf("health says %d after the call", status)
+			t.Fatalf("health check: status %d after the call, want 503", status)
 		}
 	}
 	r.current.applyPlan(t, faultinject.Plan{})
@@ -220,11 +221,11 @@
 		t.Error(err)
 	}
 	if status := health(younger); status != 503 {
-		t.Errorf("the successor's health says %d", status)
+		t.Errorf("successor's health check: status %d, want 503", status)
 	}
 }
 
-// A process that is killed between any two system calls of a recording leaves a record with all calls it had confirmed.
+// If a process is killed at any system call of a recording, the record still contains all calls that it confirmed before.
 func TestKillDuringARecordingLosesNoCall(t *testing.T) {
 	for _, at := range []faultinject.Failure{
 		{Call: faultinject.Open, Path: "lock"},
@@ -235,7 +236,7 @@
 		{Call: faultinject.Write, Path: "handover.json.new"},
 		{Call: faultinject.Rename, Path: "handover.json"},
 	} {
-		for _, younger := range []bool{false, true} { // during the recording of a call, or during the successor's first recording
+		for _, younger := range []bool{false, true} { // false: while the agent records a call; true: during the successor's first recording
 			t.Run(fmt.Sprint(at.Call, " ", at.Path, " ", younger), func(t *testing.T) {
 				t.Parallel()
 				r := newReplaceableAgent(t, faultinject.Plan{})
@@ -250,20 +251,20 @@
 					_ = d.cmd.Wait()
 				} else {
 					r.current.applyPlan(t, plan)
-					_, _ = r.current.adminCall(t, "/_backends/detach", `{"target":"two"}`) // fails: the process is killed here, or by a save before
+					_, _ = r.current.adminCall(t, "/_backends/detach", `{"target":"two"}`) // fails: the process is killed during this recording or an earlier one
 					_ = r.current.cmd.Wait()
 					r.current = startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
 					r.current.awaitAdminOK(t, 6*time.Second, "/_ready", "")
 				}
 				if n := r.upgrade(t, faultinject.Plan{}); n > 0 {
-					t.Errorf("%d of 30 requests reach the detached backend", n)
+					t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 				}
 			})
 		}
 	}
 }
 
-// A successor that can't read the record of the older process takes no clients until it can, for a bounded time.
+// A successor that can't read its predecessor's record is not ready until it can, at most 6 s after its start.
 func TestSuccessorIsNotReadyBeforeItReadsTheRecord(t *testing.T) {
 	late := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
@@ -276,10 +277,10 @@
 	for time.Since(startedAt) < 3*time.Second {
 		status, elapsed := younger.adminCall(t, "/_ready", "")
 		if status == 200 {
-			t.Fatalf("ready after %v, and knows of no call", time.Since(startedAt))
+			t.Fatalf("the successor is ready after %v, before it could read the detach call", time.Since(startedAt))
 		}
 		if status != 0 && elapsed > time.Second+late() { // 0: not listening yet
-			t.Errorf("no answer for %v", elapsed)
+			t.Errorf("the admin call took %v, want at most 1 s", elapsed)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -290,17 +291,17 @@
 		t.Error(err)
 	}
 	if n := r.countReachingOne(t, younger); n > 0 {
-		t.Errorf("%d of 30 requests reach the detached backend", n)
+		t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 	}
 }
 
-// A call to the older of two processes applies to the younger one too, even if the older can't write for a while or a read of
-// the younger fails once.
+// During an upgrade, a call to the predecessor applies to the successor too, even if writes of the predecessor fail for a while
+// or one read of the successor fails.
 func TestCallToTheOlderProcessReachesTheSuccessor(t *testing.T) {
 	for name, c := range map[string]struct{ older, younger faultinject.Plan }{
-		"older can't write": {older: failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
+		"predecessor's writes fail": {older: failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
 			Errno: syscall.EIO})},
-		"younger can't read once": {younger: failing(faultinject.Failure{Call: faultinject.Read,
+		"one read of the successor fails": {younger: failing(faultinject.Failure{Call: faultinject.Read,
 			Path:  "handover.json",
 			Errno: syscall.EIO, Times: 1})},
 	} {
@@ -319,7 +320,7 @@
 				t.Error(err)
 			}
 			if n := r.countReachingOne(t, younger); n > 0 {
-				t.Errorf("%d of 30 requests reach the detached backend", n)
+				t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 			}
 		})
 	}
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Resources of an agent as its fleet grows.
+// The resource usage of an agent in fleets of different sizes.
 
 import (
 	"encoding/json"
@@ -23,29 +23,30 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-var growthDuration = flag.Duration("growth.for", 6*time.Second, "how long agents of two sizes of a fleet are called")
+var growthDuration = flag.Duration("growth.for", 6*time.Second, "how long the load on the agents of each fleet size lasts")
 
-// fleetSize is the size of the fleet that an agent is configured with.
+// fleetSize is the fleet size in an agent's configuration.
 type fleetSize struct{ agents, backends int }
 
-// traffic is the load of one agent. It does not depend on the size of the fleet.
+// traffic is the load on one agent, which does not depend on the fleet size.
 type traffic struct {
-	interval  time.Duration // between two requests
+	interval  time.Duration // between requests
 	objective time.Duration // latency objective of the class
-	latency   time.Duration // of a request
+	latency   time.Duration // of a backend's response
 }
 
-// resourceUsage is what a process used from its start to its end.
+// resourceUsage is the resource usage of an agent process from start to exit, and the share of its requests that were served.
 type resourceUsage struct {
 	cpu         time.Duration
 	peakMB      float64
 	descriptors int
 	connections int64
-	listBytes   int64 // from discovery
+	listBytes   int64 // sent by discovery
 	served      float64
 }
 
-// startBackends starts backends, every eighth of which fails each request. It returns their addresses and counts connections.
+// startBackends starts n backends and returns their addresses. Every eighth backend fails each request. connections counts the
+// connections to all backends.
 func startBackends(t *testing.T, n int, latency time.Duration, connections *atomic.Int64) (addrs []string) {
 	t.Helper()
 	for i := range n {
@@ -72,7 +73,7 @@
 	return addrs
 }
 
-// processUsage returns the peak memory of a process, in MB, and its present number of descriptors.
+// processUsage returns the peak memory of a process in MB and its current number of descriptors.
 func processUsage(t *testing.T, pid int) (mb float64, descriptors int) {
 	t.Helper()
 	proc := "/proc/" + strconv.Itoa(pid)
@@ -82,7 +83,7 @@
 	}
 	for line := range strings.Lines(string(status)) {
 		if kb, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			n, _ := strconv.ParseFloat(strings.Fields(kb)[0], 64) // the kernel writes numbers
+			n, _ := strconv.ParseFloat(strings.Fields(kb)[0], 64) // can't fail: the kernel writes a number
 			mb = n / 1024
 		}
 	}
@@ -93,8 +94,8 @@
 	return mb, len(open)
 }
 
-// sendLoad sends requests to an agent at fixed intervals while one in two hundred backends restarts each second. It returns the
-// share of requests that were served, and the most descriptors that the agent had open.
+// sendLoad sends requests to an agent at fixed intervals while one in 200 backends restarts each second. It returns the share of
+// requests that were served and the maximum number of descriptors that the agent had open.
 func sendLoad(t *testing.T, client *http.Client, d *agentProcess, discovery *deltaDiscovery, backends int,
 	load traffic) (share float64, descriptors int) {
 	t.Helper()
@@ -120,7 +121,7 @@
 	return float64(served.Load()) / float64(sent.Load()), descriptors
 }
 
-// measureUsage runs an agent under load while one in two hundred backends restarts each second, and returns what it used.
+// measureUsage runs an agent under load while one in 200 backends restarts each second, and returns its resource usage.
 func measureUsage(t *testing.T, size fleetSize, load traffic) (usage resourceUsage) {
 	t.Helper()
 	var connections atomic.Int64
@@ -149,15 +150,15 @@
 	return usage
 }
 
-// deltaDiscovery is a discovery service that sends the full list once and then changes.
+// deltaDiscovery is a discovery service that sends the full list once and then only the changes.
 type deltaDiscovery struct {
 	addr        string
 	mu          sync.Mutex
 	list        []endpoint
-	lines       []string      // one for each change
-	changed     chan struct{} // closed when the next line is added
+	lines       []string      // one for each update
+	changed     chan struct{} // closed when a line is appended
 	bytesSent   atomic.Int64
-	nextBackend int // the backend that restarts next
+	nextBackend int // index of the backend that restarts next, modulo the length of the list
 }
 
 func newDeltaDiscovery(t *testing.T, list []endpoint) *deltaDiscovery {
@@ -197,7 +198,7 @@
 	return text + "\n"
 }
 
-// restart publishes that the next n backends have restarted.
+// restart publishes an update in which the next n backends have restarted.
 func (c *deltaDiscovery) restart(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,13 +209,14 @@
 		some = append(some, *s)
 		c.nextBackend += 7
 	}
-	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // can't fail: plain values
+	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // can't fail: the map has only plain values
 	c.lines = append(c.lines, text+"\n")
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// The resources that an agent uses in a fleet with sixteen times the backends stay within bounds of those at the usual size.
+// The resource usage of an agent in a fleet with sixteen times as many backends stays within bounds that follow from its usage in
+// a fleet of the usual size.
 func TestResourcesInALargeFleetAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		usual, large fleetSize
@@ -224,14 +226,14 @@
 			traffic{25 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
 		"few agents": {fleetSize{4, 12}, fleetSize{12, 192},
 			traffic{12 * time.Millisecond, 800 * time.Millisecond, 100 * time.Millisecond}},
-		"a long aim": {fleetSize{250, 50}, fleetSize{750, 800},
+		"long latency objective": {fleetSize{250, 50}, fleetSize{750, 800},
 			traffic{25 * time.Millisecond, 2500 * time.Millisecond, 200 * time.Millisecond}},
-		"little to do": {fleetSize{300, 200}, fleetSize{900, 3200},
+		"low load": {fleetSize{300, 200}, fleetSize{900, 3200},
 			traffic{200 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a, b resourceUsage
-			t.Run("beside each other", func(t *testing.T) { // at the same time, on the same machine
+			t.Run("both sizes", func(t *testing.T) { // both at the same time, so that they run on an equally busy machine
 				for into, size := range map[*resourceUsage]fleetSize{&a: c.usual, &b: c.large} {
 					t.Run(fmt.Sprint(size.backends), func(t *testing.T) {
 						t.Parallel()
@@ -247,26 +249,27 @@
 	}
 }
 
-// checkGrowth compares the usage of an agent in a large fleet with its bounds, which follow from the usage at the usual size.
+// checkGrowth checks the usage of an agent in a large fleet, with so many thousands of backends, against bounds that follow from
+// its usage in a fleet of the usual size.
 func (n resourceUsage) checkGrowth(t *testing.T, usual resourceUsage, thousands float64) {
 	t.Helper()
 	if limit := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); n.cpu > limit {
-		t.Errorf("%v of processor time, %v allowed", n.cpu, limit)
+		t.Errorf("%v of processor time, want at most %v", n.cpu, limit)
 	}
 	if limit := 1.5*usual.peakMB + 8 + 4*thousands; n.peakMB > limit {
-		t.Errorf("%.1f MB, %.1f allowed", n.peakMB, limit)
+		t.Errorf("%.1f MB of memory, want at most %.1f", n.peakMB, limit)
 	}
 	if limit := 2*usual.descriptors + 40; n.descriptors > limit {
-		t.Errorf("%d descriptors, %d allowed", n.descriptors, limit)
+		t.Errorf("%d descriptors, want at most %d", n.descriptors, limit)
 	}
 	if limit := usual.connections*5/2 + 40; n.connections > limit {
-		t.Errorf("%d connections to backends, %d allowed", n.connections, limit)
+		t.Errorf("%d connections to backends, want at most %d", n.connections, limit)
 	}
 	if limit := 2*usual.listBytes + 64<<10 + int64(500e3*thousands); n.listBytes > limit {
-		t.Errorf("%d bytes of lists, %d allowed", n.listBytes, limit)
+		t.Errorf("%d bytes of endpoint lists, want at most %d", n.listBytes, limit)
 	}
 	if minimum := 0.85 * usual.served; n.served < minimum {
-		t.Errorf("%.3f served, %.3f wanted", n.served, minimum)
+		t.Errorf("%.3f of the requests were served, want at least %.3f", n.served, minimum)
 	}
 }
 
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The agent as a process with injected faults, and what tests do with it: signals, requests, admin calls and waiting.
+// The agent as a process with injected faults, and helpers for signals, requests, admin calls and waiting.
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// faultyProgram builds the agent with the fault injection hooks, once, and returns its path.
+// faultyProgram builds the agent with the fault injection hooks on its first call, and returns the path of the program.
 var faultyProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "agent-faulty-")
 	if err != nil {
@@ -34,7 +34,7 @@
 
 var faultyDir atomic.Pointer[string]
 
-// agentProcess is a running agent that faults can be injected into.
+// agentProcess is a running agent with fault injection.
 type agentProcess struct {
 	faultinject.Control
 	cmd             *exec.Cmd
@@ -43,8 +43,8 @@
 	logFile         *os.File
 }
 
-// faultsConfigTemplate is a configuration with a class of idempotent and one of non-idempotent requests, and pushed lists. It takes
-// the addresses of clients and of discovery.
+// faultsConfigTemplate is a configuration with a class of idempotent requests, a class of non-idempotent requests and pushed lists.
+// Its arguments are the agent's address for clients and the address of discovery.
 const faultsConfigTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "settings":{"Balancers":1,"Dcs":["a"],"Kinds":["m"],"MembershipMode":"automatic","TickMs":1,
   "Profiles":[{"Name":"get","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"repeatable"},
@@ -52,8 +52,8 @@
   "PolicyLimits":{"TryLimit":4,"ConnectTimeoutMs":1000,"IdleCloseMs":60000},
   "Contract":{"AskWithinMs":1000,"DrainGraceMs":500,"GraceToAnswerMs":20,"ColdFrom":0.1,"RampTimeMs":20000,"FallMultiple":3,"FallMs":2000}}}`
 
-// startAgent starts an agent with a fault plan in force. With a listener and a folder its process can be replaced. Edits are
-// pairs of old and new texts that are replaced in its configuration.
+// startAgent starts an agent with a fault plan. If ln is not nil, the agent listens on ln and uses sharedDir, so that its process
+// can be replaced. edits are pairs of old and new texts that are replaced in the configuration.
 func startAgent(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, sharedDir string,
 	edits ...string) *agentProcess {
 	t.Helper()
@@ -94,7 +94,7 @@
 	return agent
 }
 
-// kill ends the process, and shows its log if the test has failed.
+// kill kills the process, and logs the agent's log if the test has failed.
 func (d *agentProcess) kill(t *testing.T) {
 	_ = d.cmd.Process.Kill()
 	_ = d.cmd.Wait()
@@ -113,12 +113,12 @@
 	return string(text)
 }
 
-// failing is a fault plan with one failure.
+// failing returns a fault plan with one failure.
 func failing(f faultinject.Failure) faultinject.Plan {
 	return faultinject.Plan{Failures: []faultinject.Failure{f}}
 }
 
-// applyPlan puts a fault plan in force.
+// applyPlan replaces the fault plan of the running process.
 func (d *agentProcess) applyPlan(t *testing.T, p faultinject.Plan) {
 	t.Helper()
 	if err := d.Apply(p); err != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// adminCall calls the admin server. The status is 0 where it did not answer.
+// adminCall calls the admin server. The status is 0 if the server did not answer.
 func (d *agentProcess) adminCall(t *testing.T, path, body string) (status int, elapsed time.Duration) {
 	t.Helper()
 	method, startedAt := http.MethodPut, time.Now()
@@ -158,7 +158,7 @@
 	status, deadline := 0, time.Now().Add(timeout)
 	for status != 200 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: %d after %v", path, status, timeout)
+			t.Fatalf("%s: status %d after %v, want 200", path, status, timeout)
 		}
 		if status, _ = d.adminCall(t, path, body); status != 200 {
 			time.Sleep(10 * time.Millisecond)
@@ -166,12 +166,12 @@
 	}
 }
 
-// singleUseClient is a client that opens a connection for each request.
+// singleUseClient is a client that opens a new connection for each request.
 var singleUseClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 
 var requestCounter atomic.Int64
 
-// get sends a request once, with a new id, and reads its whole answer.
+// get sends a request with a new id once, and reads the whole final answer.
 func get(client *http.Client, addr, path string) (status int, err error) {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
@@ -190,14 +190,14 @@
 // awaitServed waits until a request is answered with 200.
 func awaitServed(t *testing.T, d *agentProcess, timeout time.Duration) {
 	t.Helper()
-	await(t, "an answer", timeout, func() bool {
+	await(t, "final answer with status 200", timeout, func() bool {
 		status, _ := get(singleUseClient, d.addr, "/get/x")
 		return status == 200
 	})
 }
 
-// schedulingDelay measures the longest delay with which the machine has run a timer of this test so far. Tests add it to their
-// bounds of real time, since a busy machine delays the agent as much as the test.
+// schedulingDelay starts a measurement of timer delays on this machine. maxDelay returns the longest delay so far. Tests add this
+// delay to their time bounds, since a busy machine delays the agent as much as the test.
 func schedulingDelay(t *testing.T) (maxDelay func() time.Duration) {
 	t.Helper()
 	const interval = 2 * time.Millisecond
@@ -218,7 +218,7 @@
 	return func() time.Duration { return time.Duration(worst.Load()) }
 }
 
-// await waits until a condition holds.
+// await waits until a condition is true, and fails the test after timeout. what names the condition in the message.
 func await(t *testing.T, what string, timeout time.Duration, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Logs that fail or block.
+// Log streams that fail or block.
 
 import (
 	"net/http"
@@ -13,7 +13,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// restartWithLog kills the process and starts it with another log. This process closes its own end of that log.
+// restartWithLog kills the process and starts it again with log as its standard error. It closes log in the test process, so that
+// only the agent has the file open.
 func (d *agentProcess) restartWithLog(t *testing.T, log *os.File) (cmd *exec.Cmd, exited <-chan error) {
 	t.Helper()
 	d.signal(t, syscall.SIGKILL)
@@ -30,7 +31,7 @@
 	return cmd, done
 }
 
-// The agent goes on when its log has no reader any more or its disk is full.
+// The agent keeps running when the reader of its log has closed the pipe or the log's disk is full.
 func TestFailingLogDoesNotStopTheAgent(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -39,13 +40,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read.Close() // the first line is written to a broken pipe
+	read.Close() // the agent writes its first line to a broken pipe
 	unread, ended := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
 	if err := os.WriteFile(d.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // each is logged
+	for range 3 { // the agent logs each failed reload
 		if err := unread.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
@@ -62,7 +63,7 @@
 	}
 }
 
-// The agent starts, serves and ends although the reader of its log blocks.
+// The agent starts, serves and exits although nothing reads its log and the pipe is full.
 func TestBlockedLogDoesNotStopTheAgent(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -76,7 +77,7 @@
 	unread, ended := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
 	if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
-		t.Errorf("%d, %v", status, err)
+		t.Errorf("status %d, %v", status, err)
 	}
 	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -86,8 +87,8 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(3700 * time.Millisecond): // the platform sends SIGKILL then
-		t.Error("it has not ended when the platform kills")
+	case <-time.After(3700 * time.Millisecond): // the platform sends SIGKILL at this time
+		t.Error("the agent is still running 3.7 s after SIGTERM, when the platform sends SIGKILL")
 	}
 }
 
@@ -102,7 +103,7 @@
 			break
 		}
 	}
-	if err := syscall.SetNonblock(int(pipe.Fd()), false); err != nil { // as a program inherits it
+	if err := syscall.SetNonblock(int(pipe.Fd()), false); err != nil { // a program inherits a blocking pipe
 		t.Fatal(err)
 	}
 }
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The program as a process: starting it, and configurations that it rejects.
+// The program as a process: helpers that start it, and configurations that it rejects.
 
 import (
 	"bytes"
@@ -17,14 +17,14 @@
 	"time"
 )
 
-// testTimeout bounds what should come about at once on any machine.
+// testTimeout bounds the wait for events that a working agent causes at once, even on a slow machine.
 const testTimeout = 30 * time.Second
 
-// TestMain runs the program itself where a test has started this binary as an agent.
+// TestMain runs the program itself if a test has started this binary as an agent.
 func TestMain(m *testing.M) {
 	if os.Getenv("AGENT_TEST_MAIN") == "1" {
 		main()
-		if os.Getenv("AGENT_TEST_SIGHUP_AT_EXIT") == "1" { // a signal just before the program exits
+		if os.Getenv("AGENT_TEST_SIGHUP_AT_EXIT") == "1" { // send a signal just before the program exits
 			_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 			time.Sleep(time.Second)
 		}
@@ -32,12 +32,12 @@
 	}
 	code := m.Run()
 	if dir := faultyDir.Load(); dir != nil {
-		_ = os.RemoveAll(*dir) // a temporary folder: leftovers do no harm
+		_ = os.RemoveAll(*dir) // ignored: a leftover temporary folder is harmless
 	}
 	os.Exit(code)
 }
 
-var hostCounter atomic.Int64 // loopback hosts that freeAddr has given out
+var hostCounter atomic.Int64 // number of loopback hosts that freeAddr has returned
 
 // startProgram starts this binary as an agent with a configuration, and returns its process and its log.
 func startProgram(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
@@ -57,8 +57,8 @@
 	return cmd, log
 }
 
-// freeAddr returns an address at which nothing listens. It is on a loopback host of its own: on a shared one the port could be
-// taken by a connection that is opened in the meantime.
+// freeAddr returns an address at which nothing listens. Each address is on a different loopback host: on a shared host, an outgoing
+// connection could take the port before the test uses it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	n := hostCounter.Add(1)
@@ -70,23 +70,23 @@
 	return ln.Addr().String()
 }
 
-// configTemplate is a configuration with a known list of one backend. It takes three addresses: of clients, of discovery and of
-// the backend.
+// configTemplate is a configuration with a known list of one backend. Its arguments are the agent's address for clients and the
+// addresses of discovery and of the backend.
 const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},
  "settings":{"Balancers":1,"Dcs":["a"],"Kinds":["m"],"MembershipMode":"subscribe","TickMs":1,
   "Profiles":[{"Name":"get","AimMs":5000,"DeadlineMs":20000,"Worth":1,"Semantics":"repeatable"}],
   "PolicyLimits":{"TryLimit":2,"ConnectTimeoutMs":10000,"IdleCloseMs":60000},"Contract":{"AskWithinMs":1000}}}`
 
-// An invalid configuration ends the program with status 1 and a log line that names the key.
+// With an invalid configuration the program exits with status 1 and logs a line that names the key.
 func TestInvalidConfigurationEndsTheProgram(t *testing.T) {
 	cmd, log := startProgram(t, `{"listen":"nowhere"}`)
 	if err := cmd.Wait(); err == nil || cmd.ProcessState.ExitCode() != 1 || !strings.Contains(log.String(), "seed") {
-		t.Errorf("%v, log %q", err, log)
+		t.Errorf("exit error %v, want status 1; log %q", err, log)
 	}
 }
 
-// A descriptor that is not a listening socket ends the program with one log line that names PROXY_FD.
+// If PROXY_FD is not a listening socket, the program exits with status 1 and logs one line that names PROXY_FD.
 func TestInvalidListenDescriptorEndsTheProgram(t *testing.T) {
 	for _, fd := range []string{"none", "2", "77"} {
 		t.Setenv("PROXY_FD", fd)
@@ -94,7 +94,7 @@
 		cmd, log := startProgram(t, fmt.Sprintf(configTemplate, freeAddr(t), freeAddr(t), freeAddr(t)))
 		if err := cmd.Wait(); err == nil || cmd.ProcessState.ExitCode() != 1 || strings.Count(log.String(), "\n") != 1 ||
 			!strings.Contains(log.String(), "PROXY_FD") {
-			t.Errorf("PROXY_FD=%s: %v, log %q", fd, err, log)
+			t.Errorf("PROXY_FD=%s: exit error %v, want status 1 and one log line; log %q", fd, err, log)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("never ready")
+			t.Fatal("the agent is not healthy within the test timeout")
 		}
 	}
 }
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Faults after a quiet period.
+// Faults after an idle period.
 
 import (
 	"flag"
@@ -16,13 +16,14 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-var quietDuration = flag.Duration("quiet.for", 3*time.Second, "how long nothing happens before trouble begins")
+var quietDuration = flag.Duration("quiet.for", 3*time.Second, "length of the idle period before the faults begin")
 
-// Faults after a long quiet period: idle connections have been closed by a backend, one backend drains, one hangs, and many
-// clients send at once. Each request is answered in time, and no rule is violated.
+// After an idle period in which one backend has closed its idle connections, another backend drains, a third one hangs, and many
+// clients send at once. Each request is answered in time, the draining backend gets no late requests, and at least four in five
+// requests are served.
 func TestFaultsAfterAQuietPeriodAreHandled(t *testing.T) {
 	late := schedulingDelay(t)
-	var latest atomic.Int64 // when the draining backend got its latest request, in ns of Unix time
+	var latest atomic.Int64 // arrival of the draining backend's latest request, in ns of Unix time
 	draining := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		latest.Store(time.Now().UnixNano())
 		fmt.Fprint(w, "served")
@@ -42,29 +43,29 @@
 	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "", `"AimMs":5000,"DeadlineMs":5000`,
 		`"AimMs":500,"DeadlineMs":1000`)
 	awaitReady(t, d.addr)
-	for range 60 { // leaves idle connections to all of them
+	for range 60 { // leaves idle connections to all backends
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
-			t.Fatalf("%d, %v", status, err)
+			t.Fatalf("status %d, %v", status, err)
 		}
 	}
 	time.Sleep(*quietDuration)
-	list = slices.Clone(list) // the list before may still be in use by a handler
+	list = slices.Clone(list) // a handler may still be using the previous list
 	list[0].State = "draining"
 	discovery.publish(list...)
 	publishedAt := time.Now()
 	hang.Store(true)
 	served, others, unanswered := sendAtOnce(t, d.addr, publishedAt.Add(2*time.Second), late)
 	if at := time.Unix(0, latest.Load()).Sub(publishedAt); at > 550*time.Millisecond+late() {
-		t.Errorf("the backend that drains got a request %v after it was told", at)
+		t.Errorf("the draining backend got a request %v after the list was published, want at most 550 ms", at)
 	}
 	if served < 4*others || unanswered > 0 {
-		t.Errorf("%d served, %d not, %d of them without an answer in time", served, others, unanswered)
+		t.Errorf("%d requests served, %d not served, %d without a final answer in time", served, others, unanswered)
 	}
-	t.Logf("%d served, %d not", served, others)
+	t.Logf("%d requests served, %d not served", served, others)
 }
 
-// sendAtOnce has 20 clients send requests until a time, and counts those that were served, those that were not, and those without
-// an answer in time.
+// sendAtOnce sends requests from 20 concurrent clients until a time. It returns the numbers of requests that were served, that were
+// not served, and that got no final answer within 1.55 s.
 func sendAtOnce(t *testing.T, addr string, until time.Time, late func() time.Duration) (served, others, unanswered int64) {
 	t.Helper()
 	var counts [3]atomic.Int64
@@ -76,7 +77,7 @@
 				status, err := get(singleUseClient, addr, "/get/x")
 				if elapsed := time.Since(startedAt); err != nil || elapsed > 1550*time.Millisecond+late() {
 					counts[2].Add(1)
-					t.Errorf("%d, %v after %v", status, err, elapsed)
+					t.Errorf("status %d, %v after %v", status, err, elapsed)
 				}
 				if status == http.StatusOK {
 					counts[0].Add(1)
@@ -90,7 +91,7 @@
 	return counts[0].Load(), counts[1].Load(), counts[2].Load()
 }
 
-// backendWithShortIdleTimeout starts a backend that closes idle connections after a second, well before the configured time.
+// backendWithShortIdleTimeout starts a backend that closes idle connections after 1 s, well before the agent's configured timeout.
 func backendWithShortIdleTimeout(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Reloads of the configuration, with faults of its file and of the new discovery.
+// Reloads of the configuration while reading its file or calling the new discovery fails.
 
 import (
 	"encoding/json"
@@ -16,9 +16,9 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// reloadThroughFailures replaces the configuration of an agent by one that names another discovery, while reading it fails. No
-// failures: the configuration is half written at first. twice sends a second SIGHUP at once. After 4 s no request may go to a
-// backend that drains in the new discovery.
+// reloadThroughFailures reloads a configuration with another discovery address while the given failures affect reading the file. If
+// failures is nil, the file is half written at first. If twice is true, a second SIGHUP follows at once. 4 s after the first SIGHUP
+// no request may go to a backend that the new discovery lists as draining.
 func reloadThroughFailures(t *testing.T, old, fresh *fakeBackend, failures []faultinject.Failure, twice bool, path string) {
 	t.Helper()
 	oldDiscovery := newFakeDiscovery(t, readyEndpoint("old", old))
@@ -50,16 +50,16 @@
 	before := fresh.requestCount.Load()
 	for range 10 {
 		if status, err := get(singleUseClient, d.addr, path); status != 200 {
-			t.Fatalf("%d, %v", status, err)
+			t.Fatalf("status %d, %v", status, err)
 		}
 	}
 	if fresh.requestCount.Load() == before {
-		t.Error("requests go to a backend that drains in the new discovery")
+		t.Error("no request reached the ready backend: requests still go to the backend that the new discovery lists as draining")
 	}
 }
 
-// What the new discovery lists applies 4 s after a SIGHUP, also if the configuration can't be read at that moment or is half
-// written, and if several signals follow each other.
+// The list of the new discovery applies 4 s after a SIGHUP, even if the configuration can't be read or is half written at the time
+// of the signal, or if a second signal follows at once.
 func TestReloadIsRetriedAfterAFailure(t *testing.T) {
 	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for name, failures := range map[string][]faultinject.Failure{
@@ -79,8 +79,8 @@
 	}
 }
 
-// reloadToFailingDiscovery has an agent follow another discovery, whose first calls fail. mode says whether lists are pushed or
-// polled. 4.4 s after the signals requests must go where the new discovery says.
+// reloadToFailingDiscovery reloads a configuration with another discovery address, whose first calls fail. mode selects pushed or
+// polled lists. 4.4 s after the signals, requests must go to the backend that is ready in the new discovery's list.
 func reloadToFailingDiscovery(t *testing.T, old, fresh *fakeBackend, mode string, times int64, fail http.HandlerFunc,
 	path string) {
 	t.Helper()
@@ -110,17 +110,17 @@
 	before := fresh.requestCount.Load()
 	for range 5 {
 		if status, err := get(singleUseClient, d.addr, path); status != 200 {
-			t.Fatalf("%d, %v", status, err)
+			t.Fatalf("status %d, %v", status, err)
 		}
 	}
 	if fresh.requestCount.Load()-before < 5 {
-		t.Errorf("only %d of 5 requests go where the new discovery says, after %d calls", fresh.requestCount.Load()-before,
+		t.Errorf("%d of 5 requests went to the backend that is ready in the new discovery's list, want 5; %d calls to discovery", fresh.requestCount.Load()-before,
 			calls.Load())
 	}
 }
 
-// The new discovery may refuse, hang or reset at first, whether lists are pushed or polled, and another SIGHUP may follow at
-// once: its list applies 4 s after the signal, and its drains half a second later.
+// If the new discovery refuses calls, hangs or resets connections at first, its list still applies 4 s after the second of two
+// SIGHUPs, and its draining backends get no requests 0.5 s after that. The test covers pushed and polled lists.
 func TestReloadToAFailingDiscoveryRecovers(t *testing.T) {
 	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for _, mode := range []string{"automatic", "subscribe"} {
@@ -128,7 +128,7 @@
 			"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 			"hangs":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 			"resets":  func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-			"is mute": func(w http.ResponseWriter, r *http.Request) {
+			"sends nothing": func(w http.ResponseWriter, r *http.Request) {
 				_ = http.NewResponseController(w).Flush()
 				<-r.Context().Done()
 			},
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Retries of requests that may have run, and draining backends.
+// Retries of requests that may have run, and retries around draining backends.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// arrivalTimes records when attempts arrived at backends, by request id.
+// arrivalTimes records the arrival times of attempts at backends, by request id.
 type arrivalTimes struct {
 	mu sync.Mutex
 	at map[string][]time.Time
@@ -28,7 +28,7 @@
 	a.at[id] = append(a.at[id], time.Now())
 }
 
-// reset returns the recorded times and forgets them.
+// reset returns the recorded times and clears the record.
 func (a *arrivalTimes) reset() map[string][]time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -37,7 +37,8 @@
 	return recorded
 }
 
-// postRequests sends POST requests from eight concurrent clients, each so many in turn, and returns their statuses by id.
+// postRequests sends POST requests from eight concurrent clients, perClient requests from each one in sequence. It returns the
+// statuses by request id.
 func postRequests(t *testing.T, addr, path string, perClient int) map[string]int {
 	t.Helper()
 	var mu sync.Mutex
@@ -72,7 +73,7 @@
 	return statuses
 }
 
-// stopRepeatedly stops the process for 0.15 s every 0.4 s, until resume is called.
+// stopRepeatedly stops the process for 0.15 s after every 0.4 s of running, until resume is called.
 func (d *agentProcess) stopRepeatedly(t *testing.T) (resume func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -95,7 +96,7 @@
 	}
 }
 
-// servedOf counts the requests that were served.
+// servedOf returns the number of requests that were served.
 func servedOf(statuses ...map[string]int) (served int) {
 	for _, answers := range statuses {
 		for _, status := range answers {
@@ -107,31 +108,33 @@
 	return served
 }
 
-// keyedClass is an edit that adds a class of requests with idempotency keys.
+// keyedClass replaces the start of class pay in a configuration, and adds a class of requests with idempotency keys before it.
 const keyedClass = `{"Name":"put","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":300},
    {"Name":"pay",`
 
-// checkRetries counts retries and checks that each arrived within a time of the first attempt of its request.
+// checkRetries checks that each retry arrived within a time after the first attempt of its request, and returns the number of
+// retries.
 func checkRetries(t *testing.T, arrivals map[string][]time.Time, within time.Duration) (retries int) {
 	t.Helper()
 	for id, at := range arrivals {
 		for _, again := range at[1:] {
 			if retries++; again.Sub(at[0]) > within {
-				t.Errorf("%s came again after %v", id, again.Sub(at[0]))
+				t.Errorf("a retry of %s arrived too late, %v after its first attempt", id, again.Sub(at[0]))
 			}
 		}
 	}
 	return retries
 }
 
-// A keyed request that may have run is retried only within its deduplication window, also if the process is stopped for 0.15 s
-// at any moment. One that must not run twice is neither retried nor refused after its last byte has reached a backend.
+// A request with an idempotency key that may have run is retried only within its deduplication window, even if the process is
+// stopped for 0.15 s at any moment. A request that must not run twice is neither retried nor refused after its last byte has
+// reached a backend.
 func TestRetriesStayWithinTheDedupWindow(t *testing.T) {
 	const window, slack = 300 * time.Millisecond, 50 * time.Millisecond
 	for name, respond := range map[string]func(http.ResponseWriter){
 		"errors": func(w http.ResponseWriter) { w.WriteHeader(http.StatusInternalServerError) },
 		"resets": func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
-		"is mute and resets": func(http.ResponseWriter) {
+		"resets after 100 ms": func(http.ResponseWriter) {
 			time.Sleep(100 * time.Millisecond)
 			panic(http.ErrAbortHandler)
 		},
@@ -151,7 +154,7 @@
 			}
 			d := startAgent(t, newFakeDiscovery(t, list...).addr, faultinject.Plan{}, nil, "",
 				`{"Name":"pay",`, keyedClass, `"TryLimit":4`, `"TryLimit":4,"SecondCopies":true`,
-				// A retry may take the connect timeout to arrive, which must still be within the window.
+				// A retry may arrive as late as the connect timeout after its start, which must still be within the window.
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`)
 			awaitReady(t, d.addr)
 			resume := d.stopRepeatedly(t)
@@ -162,24 +165,25 @@
 			repeated := checkRetries(t, keyed, window+slack+late())
 			for id, at := range arrivals.reset() {
 				if len(at) > 1 || once[id] == http.StatusServiceUnavailable {
-					t.Errorf("%s, which may run once, came %d times and has %d", id, len(at), once[id])
+					t.Errorf("%s, which must not run twice, arrived %d times and its final answer has status %d", id, len(at), once[id])
 				}
 			}
 			if repeated == 0 || servedOf(statuses, once) > 0 {
-				t.Errorf("%d repeats; keyed %v, once %v", repeated, statuses, once)
+				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", repeated, statuses, once)
 			}
 		})
 	}
 }
 
-// drainUnderLoad has a backend that rejects all requests drain, or removes it from the list, while clients send, and checks when
-// its last attempt arrives. hold stops the process for 0.15 s at that moment.
+// drainUnderLoad lists a backend that refuses all requests as draining, or removes it from the list, while clients send requests.
+// It checks when the last attempt arrives at the backend. If hold is true, the process is stopped for 0.15 s after the list is
+// published.
 func drainUnderLoad(t *testing.T, state string, hold bool) {
 	t.Helper()
 	late := schedulingDelay(t)
 	var mu sync.Mutex
 	var latest time.Time
-	rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // each request is retried
+	rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // the agent retries each request
 		mu.Lock()
 		latest = time.Now()
 		mu.Unlock()
@@ -213,14 +217,14 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if latest.IsZero() || latest.Sub(publishedAt) > 550*time.Millisecond+late() {
-		t.Errorf("the latest attempt came %v after the list was told", latest.Sub(publishedAt))
+		t.Errorf("the latest attempt arrived %v after the list was published, want at least one attempt and none after 550 ms", latest.Sub(publishedAt))
 	}
 }
 
-// No attempt arrives at a backend later than 0.5 s after discovery lists it as draining or removes it: neither of new requests,
-// nor as retries of those that wait, also if the process is stopped at that moment.
+// No attempt arrives at a backend later than 0.5 s after discovery lists it as draining or removes it, neither a first attempt nor
+// a retry, even if the process is stopped at that moment.
 func TestNoAttemptsToADrainingBackend(t *testing.T) {
-	for _, state := range []string{"draining", "left out"} {
+	for _, state := range []string{"draining", "removed"} {
 		for _, hold := range []bool{false, true} {
 			t.Run(fmt.Sprint(state, " ", hold), func(t *testing.T) {
 				t.Parallel()
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Shutdown against an early SIGKILL.
+// Shutdown with an early SIGKILL.
 
 import (
 	"bufio"
@@ -18,18 +18,18 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// shutdownClient sends requests one after another on a connection for as long as the agent keeps it open, and reconnects if the
-// agent closes it between two requests.
+// shutdownClient sends requests in sequence on one connection while the agent keeps the connection open, and reconnects if the agent
+// closes the connection between two requests.
 type shutdownClient struct {
 	addr string
 	stop *atomic.Bool
 
 	answered, unanswered *atomic.Int64
-	unreadIDs            *sync.Map // ids of requests that were not answered: none may have reached a backend
+	unreadIDs            *sync.Map // ids of unanswered requests, none of which may have reached a backend
 	t                    *testing.T
 }
 
-// run sends requests until it is told to stop, or the agent accepts no more connections.
+// run sends requests until stop is set or the agent accepts no more connections.
 func (c *shutdownClient) run() {
 	var conn net.Conn
 	var in *bufio.Reader
@@ -56,7 +56,7 @@
 	}
 }
 
-// send sends one request and counts what becomes of it. It returns whether the connection stays open.
+// send sends one request and counts its outcome. It returns whether the connection stays open.
 func (c *shutdownClient) send(conn net.Conn, in *bufio.Reader, used bool) (keep bool, err error) {
 	sent, id := time.Now(), fmt.Sprintf("%016x", requestCounter.Add(1))
 	_, err = fmt.Fprintf(conn, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: %s\r\n\r\n", id)
@@ -68,10 +68,11 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil {
-		// A reset, or a close between two requests: the request was not read, and the next one is sent on a new connection.
+		// A reset, or a close between two requests, means that the agent did not read the request. The client sends the next one on
+		// a new connection.
 		if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 			c.unanswered.Add(1)
-			c.t.Logf("a request has no answer after %v: %v", time.Since(sent), err)
+			c.t.Logf("no final answer after %v: %v", time.Since(sent), err)
 		}
 		c.unreadIDs.Store(id, err)
 		return false, err
@@ -80,7 +81,7 @@
 	return !resp.Close, nil
 }
 
-// killedBy reports whether a signal ended the process, which must have been waited for.
+// killedBy reports whether a signal terminated the process. The caller must have called d.cmd.Wait.
 func (d *agentProcess) killedBy(s syscall.Signal) bool {
 	status, ok := d.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == s
@@ -89,15 +90,15 @@
 // shutdownCase is a shutdown of an agent under load.
 type shutdownCase struct {
 	deadline time.Duration       // of each request
-	hang     bool                // the backend never answers
-	signals  []syscall.Signal    // 60 ms apart, the first at once
+	hang     bool                // the backend never responds
+	signals  []syscall.Signal    // sent 60 ms apart
 	crowd    int                 // idle connections
 	step     time.Duration       // of the wall clock, after the last signal
-	fails    faultinject.Failure // from the last signal on
-	untilEnd bool                // SIGTERM is repeated each millisecond: the last one may kill the process, once nothing is open
+	fails    faultinject.Failure // injected after the last signal
+	untilEnd bool                // SIGTERM is repeated each millisecond; it may kill the process at its end, when nothing is open
 }
 
-// signal sends the signals and then injects the faults. It returns when SIGTERM was first sent.
+// signal sends the signals and then injects the faults. It returns the time of the first SIGTERM.
 func (c *shutdownCase) signal(t *testing.T, d *agentProcess) (terminatedAt time.Time) {
 	t.Helper()
 	for _, s := range c.signals {
@@ -116,7 +117,7 @@
 	return terminatedAt
 }
 
-// awaitExit waits until the process has exited, until the earliest SIGKILL at most.
+// awaitExit waits for the process to exit, and fails the test if it is still running at the earliest SIGKILL.
 func (c *shutdownCase) awaitExit(t *testing.T, d *agentProcess, terminatedAt time.Time, late func() time.Duration) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -131,18 +132,18 @@
 	select {
 	case err := <-ended:
 		if err != nil && !(c.untilEnd && d.killedBy(syscall.SIGTERM)) {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the agent exited with %v", err)
 		}
 	case <-time.After(time.Until(terminatedAt.Add(c.deadline + 700*time.Millisecond))):
 		select {
 		case <-ended:
 		case <-time.After(late()):
-			t.Errorf("it runs still at the kill, on a machine late by %v", late())
+			t.Errorf("the agent is still running at the earliest SIGKILL; scheduling delay %v", late())
 		}
 	}
 }
 
-// run shuts an agent down under load and checks that it loses no request.
+// run shuts an agent down under load and checks that no request is lost.
 func (c *shutdownCase) run(t *testing.T) {
 	backend := newFakeBackend(t)
 	if backend.latency = 5 * time.Millisecond; c.hang {
@@ -172,34 +173,34 @@
 	_ = d.cmd.Process.Kill()
 	clients.Wait()
 	if answered.Load() == before || lost.Load() > 0 {
-		t.Errorf("%d answered since the signal, %d lost", answered.Load()-before, lost.Load())
+		t.Errorf("%d requests answered since the signal, want some; %d lost, want none", answered.Load()-before, lost.Load())
 	}
 	unread.Range(func(id, err any) bool {
 		if _, had := backend.requestIDs.Load(id); had {
-			t.Errorf("%v was read, and closed without an answer: %v", id, err)
+			t.Errorf("request %v reached the backend, but its connection was closed without a final answer: %v", id, err)
 		}
 		return true
 	})
 }
 
-// With short deadlines SIGKILL comes early: 0.7 s plus the longest deadline after SIGTERM. Clients keep sending on every open
-// connection until then, backends hang, and signals come in series. Each request is answered, and the program has exited by
-// itself.
+// With short deadlines the platform sends SIGKILL early: 0.7 s plus the longest deadline after SIGTERM. Although clients keep sending
+// on every open connection until then, backends hang and signals are repeated, the agent must answer each request and exit before
+// the SIGKILL.
 func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
 	sigterm := []syscall.Signal{syscall.SIGTERM}
 	for name, c := range map[string]shutdownCase{
 		"250 ms":          {deadline: 250 * time.Millisecond, signals: sigterm},
 		"250 ms, hanging": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm},
 		"500 ms, hanging": {deadline: 500 * time.Millisecond, hang: true, signals: sigterm},
-		"SIGTERM in series": {deadline: 250 * time.Millisecond, hang: true,
+		"SIGTERM three times": {deadline: 250 * time.Millisecond, hang: true,
 			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}},
 		"SIGTERM until the end": {deadline: 250 * time.Millisecond, signals: sigterm, untilEnd: true},
 		"SIGHUP before and after": {deadline: 300 * time.Millisecond, hang: true,
 			signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}},
-		"a crowd": {deadline: 300 * time.Millisecond, signals: sigterm, crowd: 100},
-		"a crowd, hanging": {deadline: 300 * time.Millisecond, hang: true,
+		"100 idle connections": {deadline: 300 * time.Millisecond, signals: sigterm, crowd: 100},
+		"100 idle connections, hanging": {deadline: 300 * time.Millisecond, hang: true,
 			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
-		"the clock an hour back": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: -time.Hour},
+		"wall clock set back 1 h": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: -time.Hour},
 		"accepts fail": {deadline: 250 * time.Millisecond, signals: sigterm,
 			fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
 		"accepts fail throughout": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm,
@@ -208,9 +209,9 @@
 			fails: faultinject.Failure{Call: faultinject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
 		"reads fail": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm,
 			fails: faultinject.Failure{Call: faultinject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
-		"no sockets": {deadline: 250 * time.Millisecond, signals: sigterm,
+		"socket calls fail": {deadline: 250 * time.Millisecond, signals: sigterm,
 			fails: faultinject.Failure{Call: faultinject.Socket, Errno: syscall.ENFILE}},
-		"the clock two seconds ahead": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: 2 * time.Second},
+		"wall clock set ahead 2 s": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// blockingBackend is a backend that answers its one request "done" once it is released.
+// blockingBackend is a backend that takes one request and responds "done" after release is closed.
 type blockingBackend struct {
 	addr    string
 	arrived chan struct{} // closed when the request has arrived
-	release chan struct{} // to be closed
+	release chan struct{} // closed by the test
 }
 
 func newBlockingBackend(t *testing.T) *blockingBackend {
@@ -33,7 +33,7 @@
 	return b
 }
 
-// answerTo sends a request to an agent, and returns the status, body and error of the answer in one text.
+// answerTo sends a request to an agent and returns the status, body and error of the final answer as one string.
 func answerTo(client *http.Client, addr, path, id string) string {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
@@ -49,29 +49,29 @@
 	return fmt.Sprint(resp.StatusCode, string(text), err)
 }
 
-// inBackground runs what returns a text, and returns where the text will be.
+// inBackground runs a function in a goroutine and returns a channel that delivers the result.
 func inBackground(run func() string) <-chan string {
 	done := make(chan string, 1)
 	go func() { done <- run() }()
 	return done
 }
 
-// awaitArrival waits until a request has arrived.
+// awaitArrival waits until a request has arrived at a backend.
 func awaitArrival(t *testing.T, arrived <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-arrived:
 	case <-time.After(testTimeout):
-		t.Fatal("the request did not arrive")
+		t.Fatal("the request did not arrive at the backend")
 	}
 }
 
-// configPath is the path of the configuration of a program that startProgram has started.
+// configPath returns the path of the configuration of a program that startProgram has started.
 func configPath(cmd *exec.Cmd) string {
 	return strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "PROXY_CONFIG=")
 }
 
-// terminate sends SIGTERM.
+// terminate sends SIGTERM to a process.
 func terminate(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// SIGHUP after the configuration was replaced: the agent follows discovery at its new address, although the environment still
-// names the old one. A configuration that can't be read changes nothing.
+// After its configuration is replaced and SIGHUP is sent, the agent uses discovery at the new address, although the environment
+// still has the old one. A SIGHUP with an invalid configuration changes nothing.
 func TestSighupFollowsDiscoveryToItsNewAddress(t *testing.T) {
 	watched := make(chan struct{}, 10)
 	discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -99,12 +99,12 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		awaitReady(t, addr) // still running
+		awaitReady(t, addr) // the agent is still running
 	}
 	select {
 	case <-watched:
 	case <-time.After(testTimeout):
-		t.Fatal("the new address was not watched")
+		t.Fatal("the agent opened no watch at the new discovery address")
 	}
 	terminate(t, cmd)
 	if err := cmd.Wait(); err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// SIGTERM with a request in flight: the request is answered, and the program ends with status 0.
+// If SIGTERM arrives while a request is in flight, the request is answered and the program exits with status 0.
 func TestSigtermLetsTheRequestInFlightFinish(t *testing.T) {
 	backend, addr := newBlockingBackend(t), freeAddr(t)
 	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr))
@@ -122,19 +122,19 @@
 	terminate(t, cmd)
 	close(backend.release)
 	if got := <-answered; got != "200done<nil>" {
-		t.Errorf("answer %q", got)
+		t.Errorf("final answer %q", got)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("%v; log %q", err, log)
 	}
 }
 
-// openOnRead returns the writing end of a named pipe, once another process has opened it for reading.
+// openOnRead waits until another process has opened a named pipe for reading, and returns the writing end.
 func openOnRead(t *testing.T, path string) *os.File {
 	t.Helper()
 	opened := make(chan *os.File, 1)
 	go func() {
-		f, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the other process reads
+		f, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the other process opens the pipe
 		if err != nil {
 			t.Error(err)
 		}
@@ -144,12 +144,12 @@
 	case f := <-opened:
 		return f
 	case <-time.After(testTimeout):
-		t.Fatal("the configuration is not read")
+		t.Fatal("the agent did not open its configuration")
 		return nil
 	}
 }
 
-// awaitDraining waits until the agent at addr reports that it is not healthy, or accepts no connections.
+// awaitDraining waits until the agent at addr fails its health check or accepts no connections.
 func awaitDraining(t *testing.T, addr string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -161,13 +161,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("SIGTERM has no effect")
+			t.Fatal("the agent is still healthy after SIGTERM")
 		}
 	}
 }
 
-// SIGTERM while a reload waits for its configuration to be written, and another SIGHUP after it: the request in flight is
-// answered meanwhile, and the program ends with status 0 once the configuration is there, valid or not.
+// If SIGTERM, followed by another SIGHUP, arrives while a reload waits for its configuration to be written, the request in flight
+// is answered during the wait, and the program exits with status 0 when the configuration has been written, valid or not.
 func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
 	for _, usable := range []bool{true, false} {
 		backend, addr := newBlockingBackend(t), freeAddr(t)
@@ -190,8 +190,8 @@
 			t.Fatal(err)
 		}
 		close(backend.release)
-		if got := <-answered; got != "200done<nil>" { // although the reload still waits
-			t.Errorf("answer %q", got)
+		if got := <-answered; got != "200done<nil>" { // the reload is still waiting
+			t.Errorf("final answer %q", got)
 		}
 		if !usable {
 			text = "{no configuration"
@@ -206,7 +206,7 @@
 	}
 }
 
-// A SIGHUP just before the program exits after a SIGTERM changes nothing.
+// A SIGHUP just before the program exits after a SIGTERM does not change the exit status.
 func TestSighupAtExitIsIgnored(t *testing.T) {
 	t.Setenv("AGENT_TEST_SIGHUP_AT_EXIT", "1")
 	addr := freeAddr(t)
@@ -218,8 +218,8 @@
 	}
 }
 
-// A process that starts at the address of a draining one, with discovery down and a known list, serves as soon as the address
-// is free. The request of the older process is answered.
+// A new process that starts at the address of a draining one, with discovery down and a known list, serves as soon as the address
+// is free. The request in flight in the draining process is answered.
 func TestNewProcessServesBesideADrainingOne(t *testing.T) {
 	arrived, release := make(chan struct{}, 10), make(chan struct{})
 	backend := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -236,14 +236,14 @@
 	answered := inBackground(func() string { return answerTo(client, addr, "/get/held", "/get/held") })
 	awaitArrival(t, arrived)
 	terminate(t, older)
-	younger, log := startProgram(t, text) // the older one is still listening
-	awaitReady(t, addr)                   // the older one reports that it is not healthy by now
+	younger, log := startProgram(t, text) // the draining process is still listening
+	awaitReady(t, addr)                   // only the new process can pass the health check: the draining one fails it
 	if got := answerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
-		t.Errorf("%q", got)
+		t.Errorf("final answer of the new process: %q", got)
 	}
 	close(release)
 	if got := <-answered; got != "200/get/held<nil>" {
-		t.Errorf("the older one's request: %q", got)
+		t.Errorf("final answer of the draining process: %q", got)
 	}
 	if err := older.Wait(); err != nil {
 		t.Error(err)
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Answers that arrive before the end of a request body.
+// Backend responses that arrive before the end of a request body.
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// earlyBackend starts a backend that answers a POST before it has read the body.
+// earlyBackend starts a backend that responds to a POST before it has read the body.
 func earlyBackend(t *testing.T, answer string) (addr string) {
 	t.Helper()
 	return serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -27,24 +27,24 @@
 			t.Error(err)
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
-		_, _ = io.WriteString(w, answer) // where the agent has closed the connection, the checks below show it
+		_, _ = io.WriteString(w, answer) // ignored: if the agent has closed the connection, the test's checks detect it
 		_ = rc.Flush()
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
 }
 
-// A backend starts a request at its last byte, so an answer before that is no answer to the request, whether the rest of the
+// A backend starts a request at its last byte. The agent must not pass on a response that arrives earlier, whether the rest of the
 // body arrives soon, late or never.
 func TestAnswerBeforeTheLastByteIsNoAnswer(t *testing.T) {
 	const length, first = 200_000, 100_000
 	for name, c := range map[string]struct {
-		answer string // of the backend, before it has read the body
-		rest   time.Duration
+		answer string        // body of the early response
+		rest   time.Duration // delay of the rest of the body; negative if the client never sends it
 	}{
-		"the rest comes soon": {answer: "early", rest: 50 * time.Millisecond},
-		"the rest comes late": {answer: "early", rest: 800 * time.Millisecond},
-		"an empty answer":     {rest: 300 * time.Millisecond},
-		"no rest comes":       {answer: "early", rest: -1},
+		"rest after 50 ms":  {answer: "early", rest: 50 * time.Millisecond},
+		"rest after 800 ms": {answer: "early", rest: 800 * time.Millisecond},
+		"empty response":    {rest: 300 * time.Millisecond},
+		"no rest":           {answer: "early", rest: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -64,18 +64,18 @@
 			}
 			if c.rest >= 0 {
 				time.Sleep(c.rest)
-				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // may fail: the answer may be there already
+				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // may fail: the agent may have sent the final answer already
 			}
 			if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				t.Fatalf("no answer after %v: %v", time.Since(startedAt), err)
+				t.Fatalf("no final answer after %v: %v", time.Since(startedAt), err)
 			}
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				t.Errorf("served after %v", time.Since(startedAt))
+				t.Errorf("status 200 after %v, although the only response was early", time.Since(startedAt))
 			}
 		})
 	}
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -19,7 +19,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// startRequest sends the first part of a request, so that its connection stays open during a shutdown.
+// startRequest sends the first part of a request, so that the connection stays open during a shutdown.
 func startRequest(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -30,11 +30,11 @@
 	if _, err := fmt.Fprintf(c, "GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: half\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // the agent has read it by then
+	time.Sleep(50 * time.Millisecond) // enough time for the agent to read the part
 	return c
 }
 
-// A shutdown is timed by the monotonic clock: steps of the wall clock lose no request.
+// Shutdown uses the monotonic clock, so that no request is lost when the wall clock is stepped.
 func TestWallClockStepsDuringShutdownLoseNoRequest(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second},
 		{time.Hour, -time.Hour}, {-time.Hour, time.Hour}} {
@@ -46,7 +46,7 @@
 			awaitReady(t, d.addr)
 			c := startRequest(t, d.addr)
 			d.signal(t, syscall.SIGTERM)
-			await(t, "the stop", testTimeout, func() bool { return strings.Contains(d.logText(t), "msg=stopping") })
+			await(t, "log line about the shutdown", testTimeout, func() bool { return strings.Contains(d.logText(t), "msg=stopping") })
 			for _, step := range steps {
 				d.applyPlan(t, faultinject.Plan{Wall: step})
 			}
@@ -56,7 +56,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 			var answer bytes.Buffer
 			if _, err := io.Copy(&answer, c); err != nil || !strings.HasPrefix(answer.String(), "HTTP/1.1 200") {
-				t.Errorf("%v, %q", err, answer.String())
+				t.Errorf("error %v, final answer %q", err, answer.String())
 			}
 			if err := d.cmd.Wait(); err != nil {
 				t.Error(err)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A request that no backend answers gets its final answer before the earliest SIGKILL, also if the wall clock is stepped.
+// A request that no backend responds to gets its final answer before the earliest SIGKILL, even if the wall clock is stepped.
 func TestWallClockStepDuringShutdownKeepsItsDeadline(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 2 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -76,8 +76,8 @@
 			awaitReady(t, d.addr)
 			c := startRequest(t, d.addr)
 			d.signal(t, syscall.SIGTERM)
-			kill := time.Now().Add(3700 * time.Millisecond) // the longest deadline counts as 3 s at most
-			await(t, "the stop", testTimeout, func() bool { return strings.Contains(d.logText(t), "msg=stopping") })
+			kill := time.Now().Add(3700 * time.Millisecond) // 0.7 s plus the longest deadline, which counts as 3 s at most
+			await(t, "log line about the shutdown", testTimeout, func() bool { return strings.Contains(d.logText(t), "msg=stopping") })
 			d.applyPlan(t, faultinject.Plan{Wall: step})
 			time.Sleep(time.Second)
 			if _, err := fmt.Fprintf(c, "\r\n"); err != nil {
@@ -85,18 +85,18 @@
 			}
 			_ = c.SetReadDeadline(kill)
 			if _, err := c.Read(make([]byte, 1)); err != nil {
-				t.Errorf("no answer before the kill: %v", err)
+				t.Errorf("no final answer before the earliest SIGKILL: %v", err)
 			}
 		})
 	}
 }
 
-// How much a cold backend may be sent depends on how fast the others are seen to serve. To keep that independent of the
-// machine, requests take a fixed time and come at fixed intervals.
+// The share of requests for a cold backend depends on the measured speed of the other backends. To make the share independent of
+// the machine, requests take a fixed time and are sent at fixed intervals.
 const serviceTime, requestInterval = 20 * time.Millisecond, 5 * time.Millisecond
 
-// sendPaced sends requests at fixed intervals and waits for their answers. It returns how many were served: on a slow machine
-// some are refused.
+// sendPaced sends n requests at fixed intervals and waits for the final answers. It returns the number of served requests, which may
+// be less than n since the agent refuses some requests on a slow machine.
 func sendPaced(t *testing.T, addr string, n int) int64 {
 	t.Helper()
 	tick := time.NewTicker(requestInterval)
@@ -111,27 +111,27 @@
 				count.Add(1)
 			case http.StatusServiceUnavailable:
 			default:
-				t.Errorf("%d, %v", status, err)
+				t.Errorf("status %d, %v", status, err)
 			}
 		})
 	}
 	pending.Wait()
 	if count.Load() < int64(n)/2 {
-		t.Errorf("%d of %d requests were served", count.Load(), n)
+		t.Errorf("%d of %d requests were served, want at least half", count.Load(), n)
 	}
 	return count.Load()
 }
 
-// checkSlowStart checks that a backend that has just started got at most three in ten of the served requests.
+// checkSlowStart checks that a backend that has just started got at most 30% of the served requests.
 func checkSlowStart(t *testing.T, coldRequests, total int64) {
 	t.Helper()
 	if 10*coldRequests > 3*total {
-		t.Errorf("%d of %d requests reach a backend that has just started", coldRequests, total)
+		t.Errorf("%d of %d requests reached a backend that has just started, want at most 30%%", coldRequests, total)
 	}
 }
 
-// A cold backend is recognized in the first list even if the agent's wall clock is wrong from the start, since discovery's
-// answer carries its own time.
+// The agent recognizes a cold backend in the first list even if its wall clock is wrong from the start, since the response from
+// discovery contains the time at discovery.
 func TestColdBackendIsFoundWithAWrongWallClock(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour, 30 * time.Second, -30 * time.Second} {
 		t.Run(off.String(), func(t *testing.T) {
@@ -148,7 +148,7 @@
 	}
 }
 
-// A backend that restarts counts as cold, whichever machine's wall clock was stepped and whatever its start time reads then.
+// The agent treats a restarted backend as cold, whether the wall clock of the agent, of the backend or of both was stepped.
 func TestColdBackendIsFoundAfterWallClockSteps(t *testing.T) {
 	for name, c := range map[string]struct {
 		start, step time.Duration // offsets of the agent's wall clock, at its start and later
@@ -177,7 +177,7 @@
 			d.applyPlan(t, faultinject.Plan{Wall: c.step})
 			again.Started = time.Now().Add(c.stamp).UnixMilli()
 			discovery.publish(warm, again)
-			time.Sleep(300 * time.Millisecond) // the agent has received the list
+			time.Sleep(300 * time.Millisecond) // enough time for the agent to receive the list
 			before := two.requestCount.Load()
 			all := sendPaced(t, d.addr, 200)
 			checkSlowStart(t, two.requestCount.Load()-before, all)
@@ -185,12 +185,12 @@
 	}
 }
 
-// mutableDiscovery is a discovery service that sends its list at the start of each watch, and then an empty line every half
-// second. Watches can be muted.
+// mutableDiscovery is a discovery service that sends its list at the start of each watch and then an empty line every 0.5 s. mute
+// stops the empty lines of open watches.
 type mutableDiscovery struct {
 	addr    string
 	watches atomic.Int64
-	muted   atomic.Int64 // watches up to this one send nothing more
+	muted   atomic.Int64 // watches with a number up to this one send nothing more
 
 	mu   sync.Mutex
 	list []endpoint
@@ -220,17 +220,17 @@
 	return d
 }
 
-// set replaces the list for later watches.
+// set replaces the list for new watches.
 func (d *mutableDiscovery) set(list ...endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list = list
 }
 
-// mute has all present watches send nothing more.
+// mute makes all open watches send nothing more.
 func (d *mutableDiscovery) mute() { d.muted.Store(d.watches.Load()) }
 
-// timeOfRequest returns how long a request with a deadline in seconds takes, during which step is called after half a second.
+// timeOfRequest sends a request with a deadline in seconds, calls step after 0.5 s, and returns how long the request takes.
 func timeOfRequest(t *testing.T, addr, deadline string, step func()) time.Duration {
 	t.Helper()
 	req, err := http.NewRequest("GET", "http://"+addr+"/get/x", nil)
@@ -251,7 +251,7 @@
 	return time.Since(startedAt)
 }
 
-// Deadlines, the silence limit of a watch and the grace for drains do not follow the wall clock.
+// Deadlines, the timeout of a watch that sends nothing and the grace period of draining backends do not follow the wall clock.
 func TestWallClockStepsDoNotChangeTimeouts(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second},
 		{time.Hour, -time.Hour}} {
@@ -270,9 +270,9 @@
 			}
 			if elapsed := timeOfRequest(t, d.addr, "1.5", step); elapsed < 1200*time.Millisecond ||
 				elapsed > 1600*time.Millisecond+late() {
-				t.Errorf("a request with 1.5 s was answered after %v", elapsed)
+				t.Errorf("a request with a deadline of 1.5 s was answered after %v, want 1.2 s to 1.6 s", elapsed)
 			}
-			// The watch falls silent while the list changes, and the wall clock is stepped during that silence.
+			// The watch sends nothing more when the list changes, and the wall clock is stepped before the agent closes the watch.
 			discovery.set(newEndpoint("s", hanging.addr, "draining"), readyEndpoint("t", good))
 			d.applyPlan(t, faultinject.Plan{})
 			discovery.mute()
@@ -283,11 +283,11 @@
 			before := hanging.requestCount.Load()
 			for range 10 {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-					t.Errorf("%d, %v", status, err)
+					t.Errorf("status %d, %v", status, err)
 				}
 			}
 			if n := hanging.requestCount.Load() - before; n > 0 {
-				t.Errorf("%d of 10 requests go to a backend that drains, 6.4 s after the watch fell silent", n)
+				t.Errorf("%d of 10 requests went to a draining backend 6.4 s after the watch stopped sending, want none", n)
 			}
 		})
 	}
