--- a/cmd/martenbeam/main.go
+++ b/cmd/martenbeam/main.go
@@ -1,4 +1,4 @@
-// Command martenbeam runs one agent or one hub, checks configurations, and runs whole fleets on one machine, either for
+// Command martenbeam runs one agent or one hub, checks configurations, and runs complete fleets on one machine, either for
 // demonstration or as experiments with faults.
 package main
 
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -50,7 +50,7 @@
 	defer fleet.Close()
 	report, err := fleet.Run(ctx)
 	if errors.Is(err, context.Canceled) && ctx.Err() != nil {
-		return nil // interrupted before the whole fleet was ready
+		return nil // interrupted before the fleet was ready
 	}
 	if err != nil {
 		return runError(o, err)
