--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -115,7 +115,7 @@
 	}
 	defer peer.Close()
 	own := freeAddr(t)
-	to, err := net.ResolveUDPAddr("udp", own)
+	agentAddr, err := net.ResolveUDPAddr("udp", own)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 			}
 		}
 		d.applyPlan(t, failing(faultinject.Failure{Call: call, Errno: syscall.ENOBUFS}))
-		if _, err := peer.WriteTo([]byte("x"), to); err != nil { // a datagram for the agent to read
+		if _, err := peer.WriteTo([]byte("x"), agentAddr); err != nil { // a datagram for the agent to read
 			t.Fatal(err)
 		}
 		before, startedAt := cpuTime(t, d.cmd.Process.Pid), time.Now()
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -47,7 +47,7 @@
 // listeners returns the listening addresses in a kernel socket table whose sockets are among the open files.
 func listeners(t *testing.T, table string, files map[string]bool) (addrs []string) {
 	t.Helper()
-	const state, listens, inode = 3, "0A", 9
+	const state, listening, inode = 3, "0A", 9
 	f, err := os.Open(table)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		field := strings.Fields(lines.Text())
-		if len(field) <= inode || field[state] != listens {
+		if len(field) <= inode || field[state] != listening {
 			continue
 		}
 		if _, own := files["socket:["+field[inode]+"]"]; !own {
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -64,7 +64,7 @@
 // The agent starts no attempt for a request with a large body if the client disconnected more than 0.1 s ago, even if part of the
 // body is still unread.
 func TestNoAttemptForAnUploadOfADisconnectedClient(t *testing.T) {
-	for name, end := range map[string]func(*net.TCPConn){
+	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
 	} {
@@ -73,8 +73,8 @@
 			backend := freeAddr(t) // refuses connections, so that the request waits for a retry
 			d := startAgent(t, newFakeDiscovery(t, newEndpoint("s", backend, "ready")).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
-			var begun atomic.Int64
-			late := schedulingDelay(t)
+			var attempts atomic.Int64
+			delay := schedulingDelay(t)
 			for round := range 10 {
 				conn, err := net.Dial("tcp", d.addr)
 				if err != nil {
@@ -87,18 +87,18 @@
 					t.Fatal(err)
 				}
 				time.Sleep(20 * time.Millisecond)
-				end(c)
-				time.Sleep(100*time.Millisecond + late())
+				disconnect(c)
+				time.Sleep(100*time.Millisecond + delay())
 				ln, err := net.Listen("tcp", backend)
 				if err != nil {
 					t.Fatalf("round %d: %v", round, err)
 				}
-				server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { begun.Add(1) })}
+				server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { attempts.Add(1) })}
 				go func() { _ = server.Serve(ln) }()
 				time.Sleep(600 * time.Millisecond)
 				server.Close()
 			}
-			if n := begun.Load(); n > 0 {
+			if n := attempts.Load(); n > 0 {
 				t.Errorf("%d of 10 attempts started after the client disconnected, want none", n)
 			}
 		})
@@ -115,13 +115,13 @@
 	complete := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("x", 30)
 	chunked := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 2\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n12345678\r\n0\r\n\r\n"
 	large := "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 3\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000)
-	late := schedulingDelay(t)
+	delay := schedulingDelay(t)
 	var clients sync.WaitGroup
 	for _, text := range []string{complete, chunked, large} {
 		for cut := 1; cut < len(text); cut += max(5, len(text)/15) {
 			for _, second := range []bool{false, true} {
 				clients.Go(func() {
-					if elapsed, err := sendPartOfRequest(d.addr, text[:cut], second); elapsed > 3*time.Second+late() || err != nil {
+					if elapsed, err := sendPartOfRequest(d.addr, text[:cut], second); elapsed > 3*time.Second+delay() || err != nil {
 						t.Errorf("%q of %d bytes, second request %v: %v until an error or a close, want at most 3 s; %v", text[:min(cut, 60)], len(text), second, elapsed, err)
 					}
 				})
@@ -167,11 +167,11 @@
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	late := schedulingDelay(t)
+	delay := schedulingDelay(t)
 	var clients sync.WaitGroup
 	for _, start := range []string{"POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: 1\r\nContent-Length: 30\r\n\r\n",
 		"GET /get/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "} {
-		for _, every := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond} {
+		for _, interval := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond} {
 			clients.Go(func() {
 				c, err := net.Dial("tcp", d.addr)
 				if err != nil {
@@ -183,12 +183,12 @@
 				_ = c.SetDeadline(startedAt.Add(testTimeout))
 				go func() {
 					for _, err := io.WriteString(c, start); err == nil; _, err = io.WriteString(c, "1") {
-						time.Sleep(every)
+						time.Sleep(interval)
 					}
 				}()
 				_, _ = c.Read(make([]byte, 1)) // an error means that the agent closed the connection
-				if elapsed := time.Since(startedAt); elapsed > 3*time.Second+late() {
-					t.Errorf("%q, one byte every %v: %v until an error or a close, want at most 3 s", start[:10], every, elapsed)
+				if elapsed := time.Since(startedAt); elapsed > 3*time.Second+delay() {
+					t.Errorf("%q, one byte every %v: %v until an error or a close, want at most 3 s", start[:10], interval, elapsed)
 				}
 			})
 		}
@@ -202,8 +202,8 @@
 	unresponsive.latency = time.Hour
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", unresponsive)).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
-	late := schedulingDelay(t)
-	for _, left := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond,
+	delay := schedulingDelay(t)
+	for _, deadline := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond,
 		12 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
 		for range 5 {
 			req, err := http.NewRequest("GET", "http://"+d.addr+"/get/x", nil)
@@ -211,15 +211,15 @@
 				t.Fatal(err)
 			}
 			req.Header.Set("X-Trace-Id", fmt.Sprintf("%016x", requestCounter.Add(1)))
-			req.Header.Set("X-Expires-In", fmt.Sprintf("%.4f", left.Seconds()))
+			req.Header.Set("X-Expires-In", fmt.Sprintf("%.4f", deadline.Seconds()))
 			startedAt := time.Now()
 			resp, err := singleUseClient.Do(req)
 			if err != nil {
-				t.Fatalf("deadline %v: %v", left, err)
+				t.Fatalf("deadline %v: %v", deadline, err)
 			}
 			resp.Body.Close()
-			if elapsed := time.Since(startedAt); resp.StatusCode == 200 || elapsed > left+100*time.Millisecond+late() {
-				t.Errorf("deadline %v: status %d after %v", left, resp.StatusCode, elapsed)
+			if elapsed := time.Since(startedAt); resp.StatusCode == 200 || elapsed > deadline+100*time.Millisecond+delay() {
+				t.Errorf("deadline %v: status %d after %v", deadline, resp.StatusCode, elapsed)
 			}
 		}
 	}
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -19,12 +19,12 @@
 
 // deadlineChecker compares the deadlines that backends receive with the deadlines of the clients.
 type deadlineChecker struct {
-	ends     sync.Map // the client's deadline as a time.Time, by request id
-	attempts atomic.Int64
-	exceeded atomic.Int64  // attempts whose deadline exceeds the client's remaining time by more than slack
-	worst    atomic.Int64  // largest excess, in ns
-	slack    time.Duration // allowed excess, in addition to late
-	late     func() time.Duration
+	clientDeadlines sync.Map // the client's deadline as a time.Time, by request id
+	attempts        atomic.Int64
+	exceeded        atomic.Int64  // attempts whose deadline exceeds the client's remaining time by more than slack
+	maxExcess       atomic.Int64  // largest excess, in ns
+	slack           time.Duration // allowed excess, in addition to delay
+	delay           func() time.Duration
 }
 
 // serve checks the deadline of an attempt. It then responds that the request did not run, responds late enough for a hedged
@@ -32,17 +32,17 @@
 func (c *deadlineChecker) serve(t *testing.T, w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	c.attempts.Add(1)
-	end, _ := c.ends.Load(r.Header.Get("X-Trace-Id"))
-	stated, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
+	end, _ := c.clientDeadlines.Load(r.Header.Get("X-Trace-Id"))
+	expiresIn, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
 	if err != nil || end == nil {
 		t.Errorf("X-Expires-In %q: %v", r.Header.Get("X-Expires-In"), err)
 		return
 	}
-	beyond := time.Duration(stated*float64(time.Second)) - end.(time.Time).Sub(now)
-	if beyond > c.slack+c.late() {
+	excess := time.Duration(expiresIn*float64(time.Second)) - end.(time.Time).Sub(now)
+	if excess > c.slack+c.delay() {
 		c.exceeded.Add(1)
 	}
-	for old := c.worst.Load(); int64(beyond) > old && !c.worst.CompareAndSwap(old, int64(beyond)); old = c.worst.Load() {
+	for old := c.maxExcess.Load(); int64(excess) > old && !c.maxExcess.CompareAndSwap(old, int64(excess)); old = c.maxExcess.Load() {
 	}
 	switch rand.IntN(3) {
 	case 0:
@@ -58,15 +58,15 @@
 
 // send sends one request with a random deadline and waits for the final answer.
 func (c *deadlineChecker) send(addr string) error {
-	waits := time.Duration(200+rand.IntN(400)) * time.Millisecond
+	timeout := time.Duration(200+rand.IntN(400)) * time.Millisecond
 	id := fmt.Sprintf("%016x", requestCounter.Add(1))
 	req, err := http.NewRequest("GET", "http://"+addr+"/get/x", nil)
 	if err != nil {
 		return err
 	}
 	req.Header.Set("X-Trace-Id", id)
-	req.Header.Set("X-Expires-In", fmt.Sprintf("%.3f", waits.Seconds()))
-	c.ends.Store(id, time.Now().Add(waits))
+	req.Header.Set("X-Expires-In", fmt.Sprintf("%.3f", timeout.Seconds()))
+	c.clientDeadlines.Store(id, time.Now().Add(timeout))
 	resp, err := singleUseClient.Do(req)
 	if err != nil {
 		return err
@@ -78,9 +78,9 @@
 
 // The deadline that an attempt sends to its backend exceeds the client's remaining time by at most 0.15 s. The bound applies to
 // first attempts, retries and hedged requests, and also if the process is stopped for 0.15 s at any moment.
-func TestBackendIsToldTheRemainingTime(t *testing.T) {
-	const slack, hold = 150 * time.Millisecond, 150 * time.Millisecond
-	c := &deadlineChecker{slack: slack, late: schedulingDelay(t)}
+func TestAttemptsCarryTheRemainingTime(t *testing.T) {
+	const slack, pause = 150 * time.Millisecond, 150 * time.Millisecond
+	c := &deadlineChecker{slack: slack, delay: schedulingDelay(t)}
 	list := []endpoint{}
 	for i := range 3 {
 		addr := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) { c.serve(t, w, r) })
@@ -104,22 +104,22 @@
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(650+rand.IntN(200)) * time.Millisecond) // longer than any deadline, so that no request is delayed twice
 		d.signal(t, syscall.SIGSTOP)
-		time.Sleep(hold)
+		time.Sleep(pause)
 		d.signal(t, syscall.SIGCONT)
 	}
 	clients.Wait()
-	attempts, exceeded, worst := c.attempts.Load(), c.exceeded.Load(), time.Duration(c.worst.Load())
-	t.Logf("%d attempts, largest excess %v, scheduling delay %v", attempts, worst, c.late())
+	attempts, exceeded, maxExcess := c.attempts.Load(), c.exceeded.Load(), time.Duration(c.maxExcess.Load())
+	t.Logf("%d attempts, largest excess %v, scheduling delay %v", attempts, maxExcess, c.delay())
 	if exceeded > 0 {
-		t.Errorf("%d of %d attempts had a deadline later than the client's by more than the allowed excess; largest excess %v", exceeded, attempts, worst)
+		t.Errorf("%d of %d attempts had a deadline later than the client's by more than the allowed excess; largest excess %v", exceeded, attempts, maxExcess)
 	}
 }
 
 // The deadline of a request starts with its last byte even while the connection waits in the accept queue. Here accept fails for
 // 1 s.
 func TestDeadlineOfARequestQueuedBeforeAccept(t *testing.T) {
-	stated, late := make(chan string, 1), schedulingDelay(t)
-	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { stated <- r.Header.Get("X-Expires-In") })
+	received, delay := make(chan string, 1), schedulingDelay(t)
+	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { received <- r.Header.Get("X-Expires-In") })
 	d := startAgent(t, newFakeDiscovery(t, newEndpoint("s", addr, "ready")).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS}))
@@ -135,8 +135,8 @@
 	if status := <-answered; status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if s, err := strconv.ParseFloat(<-stated, 64); err != nil ||
-		time.Duration(s*float64(time.Second)) > left+150*time.Millisecond+late() {
+	if s, err := strconv.ParseFloat(<-received, 64); err != nil ||
+		time.Duration(s*float64(time.Second)) > left+150*time.Millisecond+delay() {
 		t.Errorf("the backend received a deadline of %v s, but the client has %v left; %v", s, left, err)
 	}
 }
--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -24,18 +24,18 @@
 	}
 	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", limit, os.Args[0]))
 	cmd.Env = append(os.Environ(), "AGENT_TEST_MAIN=1", "PROXY_CONFIG="+path)
-	lines, err := os.Create(filepath.Join(t.TempDir(), "log"))
+	logFile, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { lines.Close() })
-	cmd.Stderr = lines
+	t.Cleanup(func() { logFile.Close() })
+	cmd.Stderr = logFile
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = cmd.Process.Kill(); _ = cmd.Wait() })
 	return func() string {
-		text, err := os.ReadFile(lines.Name())
+		text, err := os.ReadFile(logFile.Name())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,14 +46,14 @@
 // holdIdleConnections starts n clients that keep idle connections to an agent open until stop is closed. A client reconnects when
 // its connection is closed. holdIdleConnections returns when each client has tried to connect once.
 func holdIdleConnections(addr string, n int, stop <-chan struct{}) {
-	var tried sync.WaitGroup
+	var firstDials sync.WaitGroup
 	for range n {
-		tried.Add(1)
+		firstDials.Add(1)
 		go func() {
 			for first := true; ; first = false {
 				c, err := net.DialTimeout("tcp", addr, testTimeout)
 				if first {
-					tried.Done()
+					firstDials.Done()
 				}
 				if err == nil {
 					go func() { <-stop; c.Close() }()
@@ -68,7 +68,7 @@
 			}
 		}()
 	}
-	tried.Wait()
+	firstDials.Wait()
 }
 
 // statusOf sends a request on a new connection and returns the status of the final answer, or 0 if there was none.
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late := schedulingDelay(t)
+			delay := schedulingDelay(t)
 			var latest atomic.Int64 // time of the latest request since the start, in ns
 			var startedAt time.Time
 			draining := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -42,13 +42,13 @@
 				fmt.Fprint(w, "served")
 			})
 			good := newFakeBackend(t)
-			now := []endpoint{newEndpoint("s", draining, "draining"), readyEndpoint("t", good)}
+			list := []endpoint{newEndpoint("s", draining, "draining"), readyEndpoint("t", good)}
 			known := fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"zone":"a","kind":"m","state":"ready","weight":1}]},"settings":`, draining)
 			plan := faultinject.Plan{}
 			if failure.Call != "" {
 				plan.Failures = []faultinject.Failure{failure}
 			}
-			discovery := newFakeDiscovery(t, now...)
+			discovery := newFakeDiscovery(t, list...)
 			startedAt = time.Now()
 			d := startAgent(t, discovery.addr, plan, nil, "", `"settings":`, known)
 			awaitReady(t, d.addr)
@@ -57,7 +57,7 @@
 					t.Fatalf("status %d, %v", status, err)
 				}
 			}
-			if at := time.Duration(latest.Load()); at > grace+slack+late() {
+			if at := time.Duration(latest.Load()); at > grace+slack+delay() {
 				t.Errorf("the latest request reached the draining backend %v after the start, want at most 550 ms", at)
 			}
 			if good.requestCount.Load() == 0 {
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -41,14 +41,14 @@
 // is ready. It returns how many of 30 subsequent requests reach backend one.
 func (r *replaceableAgent) upgrade(t *testing.T, plan faultinject.Plan) (reached int64) {
 	t.Helper()
-	younger := startAgent(t, r.discovery.addr, plan, r.ln, r.dir)
-	younger.awaitAdminOK(t, 6*time.Second, "/_ready", "")
+	successor := startAgent(t, r.discovery.addr, plan, r.ln, r.dir)
+	successor.awaitAdminOK(t, 6*time.Second, "/_ready", "")
 	r.current.signal(t, syscall.SIGTERM)
 	if err := r.current.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	r.current = younger
-	return r.countReachingOne(t, younger)
+	r.current = successor
+	return r.countReachingOne(t, successor)
 }
 
 // countReachingOne sends 30 requests and returns how many of them reach backend one.
@@ -71,7 +71,7 @@
 		return failing(faultinject.Failure{Call: call, Path: path, Errno: errno, Times: times})
 	}
 	for name, c := range map[string]struct {
-		start, during, younger faultinject.Plan
+		start, during, successor faultinject.Plan
 	}{
 		"first write fails once":             {start: failingCall(faultinject.Write, "handover.json", syscall.EIO, 1)},
 		"first write fails three times":      {start: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 3)},
@@ -81,21 +81,21 @@
 		"writes fail for 3 s":                {during: failingCall(faultinject.Write, "handover.json", syscall.EIO, 0)},
 		"opens fail for 3 s":                 {during: failingCall(faultinject.Open, "handover.json", syscall.ENOSPC, 0)},
 		"locks fail for 3 s":                 {during: failingCall(faultinject.Lock, "lock", syscall.ENOLCK, 0)},
-		"successor's first read fails":       {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 1)},
-		"successor's first three opens fail": {younger: failingCall(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
-		"successor's first 40 reads fail":    {younger: failingCall(faultinject.Read, "handover.json", syscall.EIO, 40)},
-		"successor's first write fails":      {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
-		"successor's opens of owner fail":    {younger: failingCall(faultinject.Open, "owner", syscall.EIO, 2)},
-		"all writes of the successor fail":   {younger: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
-		"all renames of the successor fail":  {younger: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 0)},
+		"successor's first read fails":       {successor: failingCall(faultinject.Read, "handover.json", syscall.EIO, 1)},
+		"successor's first three opens fail": {successor: failingCall(faultinject.Open, "handover.json", syscall.ENFILE, 3)},
+		"successor's first 40 reads fail":    {successor: failingCall(faultinject.Read, "handover.json", syscall.EIO, 40)},
+		"successor's first write fails":      {successor: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 1)},
+		"successor's opens of owner fail":    {successor: failingCall(faultinject.Open, "owner", syscall.EIO, 2)},
+		"all writes of the successor fail":   {successor: failingCall(faultinject.Write, "handover.json", syscall.ENOSPC, 0)},
+		"all renames of the successor fail":  {successor: failingCall(faultinject.Rename, "handover.json", syscall.EIO, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late := schedulingDelay(t)
+			delay := schedulingDelay(t)
 			r := newReplaceableAgent(t, c.start)
 			r.current.applyPlan(t, c.during)
 			status, elapsed := r.current.adminCall(t, "/_backends/detach", detachOneBody)
-			if elapsed > time.Second+late() {
+			if elapsed > time.Second+delay() {
 				t.Errorf("the detach call was answered after %v, want at most 1 s", elapsed)
 			}
 			if c.during.Failures == nil && status != 200 {
@@ -106,7 +106,7 @@
 				r.current.applyPlan(t, faultinject.Plan{})
 				time.Sleep(time.Second) // the agent records the detach without another call
 			}
-			if n := r.upgrade(t, c.younger); n > 0 {
+			if n := r.upgrade(t, c.successor); n > 0 {
 				t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 			}
 		})
@@ -115,12 +115,12 @@
 
 // An admin call that the agent can't record within 1 s is answered with 503.
 func TestCallThatCannotBeRecordedIsRejected(t *testing.T) {
-	late := schedulingDelay(t)
+	delay := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	fails := failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json", Errno: syscall.EIO})
 	r.current.applyPlan(t, fails)
 	for _, path := range []string{"/_backends/detach", "/_lameduck/on", "/_lameduck/off"} {
-		if status, elapsed := r.current.adminCall(t, path, detachOneBody); status != 503 || elapsed > time.Second+late() {
+		if status, elapsed := r.current.adminCall(t, path, detachOneBody); status != 503 || elapsed > time.Second+delay() {
 			t.Errorf("%s: status %d after %v, want 503 within 1 s", path, status, elapsed)
 		}
 	}
@@ -151,7 +151,7 @@
 // the replaced configuration, although its environment is the environment of the first process. One attach call cancels two
 // detach calls.
 func TestDetachSurvivesRepeatedUpgrades(t *testing.T) {
-	first := freeAddr(t) // discovery address in the environment since the platform started the agent
+	originalDiscovery := freeAddr(t) // discovery address in the environment since the platform started the agent
 	t.Setenv("PROXY_DISCOVERY", "")
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	text, err := os.ReadFile(r.current.configPath)
@@ -163,14 +163,14 @@
 			t.Fatalf("status %d", status)
 		}
 	}
-	t.Setenv("PROXY_DISCOVERY", first)
-	for round, disturb := range []func(){
+	t.Setenv("PROXY_DISCOVERY", originalDiscovery)
+	for round, injectFault := range []func(){
 		func() {},
 		func() { r.startAndKillSuccessor(t) },
 		func() { r.moveDiscovery(t, text) },
 		func() { r.current.applyPlan(t, faultinject.Plan{Wall: -time.Hour}) },
 	} {
-		disturb()
+		injectFault()
 		if n := r.upgrade(t, faultinject.Plan{}); n > 0 {
 			t.Fatalf("round %d: %d of 30 requests reached the detached backend, want none", round, n)
 		}
@@ -214,20 +214,20 @@
 	}
 	r.current.applyPlan(t, faultinject.Plan{})
 	time.Sleep(500 * time.Millisecond)
-	younger := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
-	younger.awaitAdminOK(t, 6*time.Second, "/_ready", "")
+	successor := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
+	successor.awaitAdminOK(t, 6*time.Second, "/_ready", "")
 	r.current.signal(t, syscall.SIGTERM)
 	if err := r.current.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	if status := health(younger); status != 503 {
+	if status := health(successor); status != 503 {
 		t.Errorf("successor's health check: status %d, want 503", status)
 	}
 }
 
 // If a process is killed at any system call of a recording, the record still contains all calls that it confirmed before.
 func TestKillDuringARecordingLosesNoCall(t *testing.T) {
-	for _, at := range []faultinject.Failure{
+	for _, failure := range []faultinject.Failure{
 		{Call: faultinject.Open, Path: "lock"},
 		{Call: faultinject.Lock, Path: "lock"},
 		{Call: faultinject.Open, Path: "handover.json"}, // for reading
@@ -236,17 +236,17 @@
 		{Call: faultinject.Write, Path: "handover.json.new"},
 		{Call: faultinject.Rename, Path: "handover.json"},
 	} {
-		for _, younger := range []bool{false, true} { // false: while the agent records a call; true: during the successor's first recording
-			t.Run(fmt.Sprint(at.Call, " ", at.Path, " ", younger), func(t *testing.T) {
+		for _, successor := range []bool{false, true} { // false: while the agent records a call; true: during the successor's first recording
+			t.Run(fmt.Sprint(failure.Call, " ", failure.Path, " ", successor), func(t *testing.T) {
 				t.Parallel()
 				r := newReplaceableAgent(t, faultinject.Plan{})
 				if status, _ := r.current.adminCall(t, "/_backends/detach", detachOneBody); status != 200 {
 					t.Fatalf("status %d", status)
 				}
-				kill := at
+				kill := failure
 				kill.Kill, kill.Times = true, 1
 				plan := faultinject.Plan{Failures: []faultinject.Failure{kill}}
-				if younger {
+				if successor {
 					d := startAgent(t, r.discovery.addr, plan, r.ln, r.dir)
 					_ = d.cmd.Wait()
 				} else {
@@ -266,52 +266,52 @@
 
 // A successor that can't read its predecessor's record is not ready until it can, at most 6 s after its start.
 func TestSuccessorIsNotReadyBeforeItReadsTheRecord(t *testing.T) {
-	late := schedulingDelay(t)
+	delay := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	if status, _ := r.current.adminCall(t, "/_backends/detach", detachOneBody); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	startedAt := time.Now()
-	younger := startAgent(t, r.discovery.addr, failing(faultinject.Failure{Call: faultinject.Read,
+	successor := startAgent(t, r.discovery.addr, failing(faultinject.Failure{Call: faultinject.Read,
 		Path: "handover.json", Errno: syscall.EIO}), r.ln, r.dir)
 	for time.Since(startedAt) < 3*time.Second {
-		status, elapsed := younger.adminCall(t, "/_ready", "")
+		status, elapsed := successor.adminCall(t, "/_ready", "")
 		if status == 200 {
 			t.Fatalf("the successor is ready after %v, before it could read the detach call", time.Since(startedAt))
 		}
-		if status != 0 && elapsed > time.Second+late() { // 0: not listening yet
+		if status != 0 && elapsed > time.Second+delay() { // 0: not listening yet
 			t.Errorf("the admin call took %v, want at most 1 s", elapsed)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	younger.applyPlan(t, faultinject.Plan{})
-	younger.awaitAdminOK(t, time.Until(startedAt.Add(6*time.Second)), "/_ready", "")
+	successor.applyPlan(t, faultinject.Plan{})
+	successor.awaitAdminOK(t, time.Until(startedAt.Add(6*time.Second)), "/_ready", "")
 	r.current.signal(t, syscall.SIGTERM)
 	if err := r.current.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	if n := r.countReachingOne(t, younger); n > 0 {
+	if n := r.countReachingOne(t, successor); n > 0 {
 		t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 	}
 }
 
 // During an upgrade, a call to the predecessor applies to the successor too, even if writes of the predecessor fail for a while
 // or one read of the successor fails.
-func TestCallToTheOlderProcessReachesTheSuccessor(t *testing.T) {
-	for name, c := range map[string]struct{ older, younger faultinject.Plan }{
-		"predecessor's writes fail": {older: failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
+func TestCallToThePredecessorReachesTheSuccessor(t *testing.T) {
+	for name, c := range map[string]struct{ predecessor, successor faultinject.Plan }{
+		"predecessor's writes fail": {predecessor: failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
 			Errno: syscall.EIO})},
-		"one read of the successor fails": {younger: failing(faultinject.Failure{Call: faultinject.Read,
+		"one read of the successor fails": {successor: failing(faultinject.Failure{Call: faultinject.Read,
 			Path:  "handover.json",
 			Errno: syscall.EIO, Times: 1})},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newReplaceableAgent(t, faultinject.Plan{})
-			younger := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
-			younger.awaitAdminOK(t, 6*time.Second, "/_ready", "")
-			r.current.applyPlan(t, c.older)
-			younger.applyPlan(t, c.younger)
+			successor := startAgent(t, r.discovery.addr, faultinject.Plan{}, r.ln, r.dir)
+			successor.awaitAdminOK(t, 6*time.Second, "/_ready", "")
+			r.current.applyPlan(t, c.predecessor)
+			successor.applyPlan(t, c.successor)
 			_, _ = r.current.adminCall(t, "/_backends/detach", detachOneBody)
 			r.current.applyPlan(t, faultinject.Plan{})
 			time.Sleep(200 * time.Millisecond)
@@ -319,7 +319,7 @@
 			if err := r.current.cmd.Wait(); err != nil {
 				t.Error(err)
 			}
-			if n := r.countReachingOne(t, younger); n > 0 {
+			if n := r.countReachingOne(t, successor); n > 0 {
 				t.Errorf("%d of 30 requests reached the detached backend, want none", n)
 			}
 		})
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -202,14 +202,14 @@
 func (c *deltaDiscovery) restart(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var some []endpoint
+	var restarted []endpoint
 	for range n {
 		s := &c.list[c.nextBackend%len(c.list)]
 		s.Started = time.Now().UnixMilli()
-		some = append(some, *s)
+		restarted = append(restarted, *s)
 		c.nextBackend += 7
 	}
-	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": some}) // can't fail: the map has only plain values
+	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": restarted}) // can't fail: the map has only plain values
 	c.lines = append(c.lines, text+"\n")
 	close(c.changed)
 	c.changed = make(chan struct{})
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -201,7 +201,7 @@
 func schedulingDelay(t *testing.T) (maxDelay func() time.Duration) {
 	t.Helper()
 	const interval = 2 * time.Millisecond
-	var worst atomic.Int64
+	var longest atomic.Int64
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -212,10 +212,10 @@
 				return
 			case <-time.After(interval):
 			}
-			worst.Store(max(worst.Load(), int64(time.Since(startedAt)-interval)))
+			longest.Store(max(longest.Load(), int64(time.Since(startedAt)-interval)))
 		}
 	}()
-	return func() time.Duration { return time.Duration(worst.Load()) }
+	return func() time.Duration { return time.Duration(longest.Load()) }
 }
 
 // await waits until a condition is true, and fails the test after timeout. what names the condition in the message.
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -41,13 +41,13 @@
 		t.Fatal(err)
 	}
 	read.Close() // the agent writes its first line to a broken pipe
-	unread, ended := d.restartWithLog(t, write)
+	restarted, exited := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
 	if err := os.WriteFile(d.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 { // the agent logs each failed reload
-		if err := unread.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := restarted.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -55,10 +55,10 @@
 	d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Write, Path: "pipe:",
 		Errno: syscall.ENOSPC}))
 	awaitServed(t, d, testTimeout)
-	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := restarted.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-exited; err != nil {
 		t.Error(err)
 	}
 }
@@ -74,16 +74,16 @@
 	}
 	defer read.Close()
 	fillPipe(t, write)
-	unread, ended := d.restartWithLog(t, write)
+	restarted, exited := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
 	if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
 		t.Errorf("status %d, %v", status, err)
 	}
-	if err := unread.Process.Signal(syscall.SIGTERM); err != nil {
+	if err := restarted.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
 			t.Error(err)
 		}
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -16,13 +16,13 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-var quietDuration = flag.Duration("quiet.for", 3*time.Second, "length of the idle period before the faults begin")
+var idleDuration = flag.Duration("quiet.for", 3*time.Second, "length of the idle period before the faults begin")
 
 // After an idle period in which one backend has closed its idle connections, another backend drains, a third one hangs, and many
 // clients send at once. Each request is answered in time, the draining backend gets no late requests, and at least four in five
 // requests are served.
-func TestFaultsAfterAQuietPeriodAreHandled(t *testing.T) {
-	late := schedulingDelay(t)
+func TestFaultsAfterAnIdlePeriodAreHandled(t *testing.T) {
+	delay := schedulingDelay(t)
 	var latest atomic.Int64 // arrival of the draining backend's latest request, in ns of Unix time
 	draining := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		latest.Store(time.Now().UnixNano())
@@ -48,25 +48,25 @@
 			t.Fatalf("status %d, %v", status, err)
 		}
 	}
-	time.Sleep(*quietDuration)
+	time.Sleep(*idleDuration)
 	list = slices.Clone(list) // a handler may still be using the previous list
 	list[0].State = "draining"
 	discovery.publish(list...)
 	publishedAt := time.Now()
 	hang.Store(true)
-	served, others, unanswered := sendAtOnce(t, d.addr, publishedAt.Add(2*time.Second), late)
-	if at := time.Unix(0, latest.Load()).Sub(publishedAt); at > 550*time.Millisecond+late() {
+	served, notServed, unanswered := sendAtOnce(t, d.addr, publishedAt.Add(2*time.Second), delay)
+	if at := time.Unix(0, latest.Load()).Sub(publishedAt); at > 550*time.Millisecond+delay() {
 		t.Errorf("the draining backend got a request %v after the list was published, want at most 550 ms", at)
 	}
-	if served < 4*others || unanswered > 0 {
-		t.Errorf("%d requests served, %d not served, %d without a final answer in time", served, others, unanswered)
+	if served < 4*notServed || unanswered > 0 {
+		t.Errorf("%d requests served, %d not served, %d without a final answer in time", served, notServed, unanswered)
 	}
-	t.Logf("%d requests served, %d not served", served, others)
+	t.Logf("%d requests served, %d not served", served, notServed)
 }
 
 // sendAtOnce sends requests from 20 concurrent clients until a time. It returns the numbers of requests that were served, that were
 // not served, and that got no final answer within 1.55 s.
-func sendAtOnce(t *testing.T, addr string, until time.Time, late func() time.Duration) (served, others, unanswered int64) {
+func sendAtOnce(t *testing.T, addr string, until time.Time, delay func() time.Duration) (served, notServed, unanswered int64) {
 	t.Helper()
 	var counts [3]atomic.Int64
 	var clients sync.WaitGroup
@@ -75,7 +75,7 @@
 			for time.Now().Before(until) {
 				startedAt := time.Now()
 				status, err := get(singleUseClient, addr, "/get/x")
-				if elapsed := time.Since(startedAt); err != nil || elapsed > 1550*time.Millisecond+late() {
+				if elapsed := time.Since(startedAt); err != nil || elapsed > 1550*time.Millisecond+delay() {
 					counts[2].Add(1)
 					t.Errorf("status %d, %v after %v", status, err, elapsed)
 				}
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -85,7 +85,7 @@
 	path string) {
 	t.Helper()
 	var calls atomic.Int64
-	after := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	newDiscovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) <= times {
 			fail(w, r)
 			return
@@ -98,8 +98,8 @@
 	oldDiscovery := newFakeDiscovery(t, readyEndpoint("old", old))
 	d := startAgent(t, oldDiscovery.addr, faultinject.Plan{}, nil, "", "automatic", mode)
 	awaitReady(t, d.addr)
-	for _, to := range []string{freeAddr(t), after} { // nothing listens at the first of the two
-		if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, to),
+	for _, discovery := range []string{freeAddr(t), newDiscovery} { // nothing listens at the first of the two
+		if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, discovery),
 			"automatic", mode, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -77,8 +77,8 @@
 func (d *agentProcess) stopRepeatedly(t *testing.T) (resume func()) {
 	t.Helper()
 	done := make(chan struct{})
-	var holds sync.WaitGroup
-	holds.Go(func() {
+	var stopping sync.WaitGroup
+	stopping.Go(func() {
 		for {
 			select {
 			case <-done:
@@ -92,7 +92,7 @@
 	})
 	return func() {
 		close(done)
-		holds.Wait()
+		stopping.Wait()
 	}
 }
 
@@ -117,9 +117,9 @@
 func checkRetries(t *testing.T, arrivals map[string][]time.Time, within time.Duration) (retries int) {
 	t.Helper()
 	for id, at := range arrivals {
-		for _, again := range at[1:] {
-			if retries++; again.Sub(at[0]) > within {
-				t.Errorf("a retry of %s arrived too late, %v after its first attempt", id, again.Sub(at[0]))
+		for _, retryAt := range at[1:] {
+			if retries++; retryAt.Sub(at[0]) > within {
+				t.Errorf("a retry of %s arrived too late, %v after its first attempt", id, retryAt.Sub(at[0]))
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late := schedulingDelay(t)
+			delay := schedulingDelay(t)
 			arrivals := arrivalTimes{at: map[string][]time.Time{}}
 			list := []endpoint{}
 			for i := range 3 {
@@ -162,25 +162,25 @@
 			keyed := arrivals.reset()
 			once := postRequests(t, d.addr, "/pay/x", 4)
 			resume()
-			repeated := checkRetries(t, keyed, window+slack+late())
+			retries := checkRetries(t, keyed, window+slack+delay())
 			for id, at := range arrivals.reset() {
 				if len(at) > 1 || once[id] == http.StatusServiceUnavailable {
 					t.Errorf("%s, which must not run twice, arrived %d times and its final answer has status %d", id, len(at), once[id])
 				}
 			}
-			if repeated == 0 || servedOf(statuses, once) > 0 {
-				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", repeated, statuses, once)
+			if retries == 0 || servedOf(statuses, once) > 0 {
+				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", retries, statuses, once)
 			}
 		})
 	}
 }
 
 // drainUnderLoad lists a backend that refuses all requests as draining, or removes it from the list, while clients send requests.
-// It checks when the last attempt arrives at the backend. If hold is true, the process is stopped for 0.15 s after the list is
+// It checks when the last attempt arrives at the backend. If pause is true, the process is stopped for 0.15 s after the list is
 // published.
-func drainUnderLoad(t *testing.T, state string, hold bool) {
+func drainUnderLoad(t *testing.T, state string, pause bool) {
 	t.Helper()
-	late := schedulingDelay(t)
+	delay := schedulingDelay(t)
 	var mu sync.Mutex
 	var latest time.Time
 	rejecting := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { // the agent retries each request
@@ -202,7 +202,7 @@
 			now = append(now, old[0])
 		}
 		discovery.publish(now...)
-		if hold {
+		if pause {
 			d.signal(t, syscall.SIGSTOP)
 			time.Sleep(150 * time.Millisecond)
 			d.signal(t, syscall.SIGCONT)
@@ -216,7 +216,7 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if latest.IsZero() || latest.Sub(publishedAt) > 550*time.Millisecond+late() {
+	if latest.IsZero() || latest.Sub(publishedAt) > 550*time.Millisecond+delay() {
 		t.Errorf("the latest attempt arrived %v after the list was published, want at least one attempt and none after 550 ms", latest.Sub(publishedAt))
 	}
 }
@@ -225,10 +225,10 @@
 // a retry, even if the process is stopped at that moment.
 func TestNoAttemptsToADrainingBackend(t *testing.T) {
 	for _, state := range []string{"draining", "removed"} {
-		for _, hold := range []bool{false, true} {
-			t.Run(fmt.Sprint(state, " ", hold), func(t *testing.T) {
+		for _, pause := range []bool{false, true} {
+			t.Run(fmt.Sprint(state, " ", pause), func(t *testing.T) {
 				t.Parallel()
-				drainUnderLoad(t, state, hold)
+				drainUnderLoad(t, state, pause)
 			})
 		}
 	}
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -25,7 +25,7 @@
 	stop *atomic.Bool
 
 	answered, unanswered *atomic.Int64
-	unreadIDs            *sync.Map // ids of unanswered requests, none of which may have reached a backend
+	unansweredIDs        *sync.Map // ids of unanswered requests, none of which may have reached a backend
 	t                    *testing.T
 }
 
@@ -74,7 +74,7 @@
 			c.unanswered.Add(1)
 			c.t.Logf("no final answer after %v: %v", time.Since(sent), err)
 		}
-		c.unreadIDs.Store(id, err)
+		c.unansweredIDs.Store(id, err)
 		return false, err
 	}
 	c.answered.Add(1)
@@ -89,13 +89,13 @@
 
 // shutdownCase is a shutdown of an agent under load.
 type shutdownCase struct {
-	deadline time.Duration       // of each request
-	hang     bool                // the backend never responds
-	signals  []syscall.Signal    // sent 60 ms apart
-	crowd    int                 // idle connections
-	step     time.Duration       // of the wall clock, after the last signal
-	fails    faultinject.Failure // injected after the last signal
-	untilEnd bool                // SIGTERM is repeated each millisecond; it may kill the process at its end, when nothing is open
+	deadline        time.Duration       // of each request
+	hang            bool                // the backend never responds
+	signals         []syscall.Signal    // sent 60 ms apart
+	idleConnections int                 // opened before the signals
+	step            time.Duration       // of the wall clock, after the last signal
+	failure         faultinject.Failure // injected after the last signal
+	repeatSigterm   bool                // SIGTERM is repeated each millisecond; it may kill the process at its end, when nothing is open
 }
 
 // signal sends the signals and then injects the faults. It returns the time of the first SIGTERM.
@@ -111,18 +111,18 @@
 	if c.step != 0 {
 		d.applyPlan(t, faultinject.Plan{Wall: c.step})
 	}
-	if c.fails.Call != "" {
-		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{c.fails}})
+	if c.failure.Call != "" {
+		d.applyPlan(t, faultinject.Plan{Failures: []faultinject.Failure{c.failure}})
 	}
 	return terminatedAt
 }
 
 // awaitExit waits for the process to exit, and fails the test if it is still running at the earliest SIGKILL.
-func (c *shutdownCase) awaitExit(t *testing.T, d *agentProcess, terminatedAt time.Time, late func() time.Duration) {
+func (c *shutdownCase) awaitExit(t *testing.T, d *agentProcess, terminatedAt time.Time, delay func() time.Duration) {
 	t.Helper()
-	ended := make(chan error, 1)
-	go func() { ended <- d.cmd.Wait() }()
-	if c.untilEnd {
+	exited := make(chan error, 1)
+	go func() { exited <- d.cmd.Wait() }()
+	if c.repeatSigterm {
 		go func() {
 			for d.cmd.Process.Signal(syscall.SIGTERM) == nil {
 				time.Sleep(time.Millisecond)
@@ -130,15 +130,15 @@
 		}()
 	}
 	select {
-	case err := <-ended:
-		if err != nil && !(c.untilEnd && d.killedBy(syscall.SIGTERM)) {
+	case err := <-exited:
+		if err != nil && !(c.repeatSigterm && d.killedBy(syscall.SIGTERM)) {
 			t.Errorf("the agent exited with %v", err)
 		}
 	case <-time.After(time.Until(terminatedAt.Add(c.deadline + 700*time.Millisecond))):
 		select {
-		case <-ended:
-		case <-time.After(late()):
-			t.Errorf("the agent is still running at the earliest SIGKILL; scheduling delay %v", late())
+		case <-exited:
+		case <-time.After(delay()):
+			t.Errorf("the agent is still running at the earliest SIGKILL; scheduling delay %v", delay())
 		}
 	}
 }
@@ -153,29 +153,29 @@
 		`"DeadlineMs":5000`, fmt.Sprintf(`"DeadlineMs":%d`, c.deadline.Milliseconds()),
 		`"AimMs":5000`, fmt.Sprintf(`"AimMs":%d`, c.deadline.Milliseconds()), `"sockets":1024`, `"sockets":128`)
 	awaitReady(t, d.addr)
-	late := schedulingDelay(t)
+	delay := schedulingDelay(t)
 	var stop atomic.Bool
 	var answered, lost atomic.Int64
-	var unread sync.Map
+	var unansweredIDs sync.Map
 	var clients sync.WaitGroup
 	for range 10 {
-		clients.Go((&shutdownClient{d.addr, &stop, &answered, &lost, &unread, t}).run)
+		clients.Go((&shutdownClient{d.addr, &stop, &answered, &lost, &unansweredIDs, t}).run)
 	}
-	for range c.crowd {
+	for range c.idleConnections {
 		if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
 			defer conn.Close()
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
 	before := answered.Load()
-	c.awaitExit(t, d, c.signal(t, d), late)
+	c.awaitExit(t, d, c.signal(t, d), delay)
 	stop.Store(true)
 	_ = d.cmd.Process.Kill()
 	clients.Wait()
 	if answered.Load() == before || lost.Load() > 0 {
 		t.Errorf("%d requests answered since the signal, want some; %d lost, want none", answered.Load()-before, lost.Load())
 	}
-	unread.Range(func(id, err any) bool {
+	unansweredIDs.Range(func(id, err any) bool {
 		if _, had := backend.requestIDs.Load(id); had {
 			t.Errorf("request %v reached the backend, but its connection was closed without a final answer: %v", id, err)
 		}
@@ -194,23 +194,23 @@
 		"500 ms, hanging": {deadline: 500 * time.Millisecond, hang: true, signals: sigterm},
 		"SIGTERM three times": {deadline: 250 * time.Millisecond, hang: true,
 			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}},
-		"SIGTERM until the end": {deadline: 250 * time.Millisecond, signals: sigterm, untilEnd: true},
+		"SIGTERM until the end": {deadline: 250 * time.Millisecond, signals: sigterm, repeatSigterm: true},
 		"SIGHUP before and after": {deadline: 300 * time.Millisecond, hang: true,
 			signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}},
-		"100 idle connections": {deadline: 300 * time.Millisecond, signals: sigterm, crowd: 100},
+		"100 idle connections": {deadline: 300 * time.Millisecond, signals: sigterm, idleConnections: 100},
 		"100 idle connections, hanging": {deadline: 300 * time.Millisecond, hang: true,
-			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, crowd: 100},
+			signals: []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, idleConnections: 100},
 		"wall clock set back 1 h": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: -time.Hour},
 		"accepts fail": {deadline: 250 * time.Millisecond, signals: sigterm,
-			fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
+			failure: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS, Times: 5}},
 		"accepts fail throughout": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm,
-			fails: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENFILE}},
+			failure: faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENFILE}},
 		"writes fail": {deadline: 250 * time.Millisecond, signals: sigterm,
-			fails: faultinject.Failure{Call: faultinject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
+			failure: faultinject.Failure{Call: faultinject.Write, Errno: syscall.ENOBUFS, Path: "socket:", Times: 3}},
 		"reads fail": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm,
-			fails: faultinject.Failure{Call: faultinject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
+			failure: faultinject.Failure{Call: faultinject.Read, Errno: syscall.ENOMEM, Path: "socket:", Times: 3}},
 		"socket calls fail": {deadline: 250 * time.Millisecond, signals: sigterm,
-			fails: faultinject.Failure{Call: faultinject.Socket, Errno: syscall.ENFILE}},
+			failure: faultinject.Failure{Call: faultinject.Socket, Errno: syscall.ENFILE}},
 		"wall clock set ahead 2 s": {deadline: 250 * time.Millisecond, hang: true, signals: sigterm, step: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -230,14 +230,14 @@
 	})
 	addr := freeAddr(t)
 	text := fmt.Sprintf(configTemplate, addr, freeAddr(t), backend)
-	older, _ := startProgram(t, text)
+	drainingProcess, _ := startProgram(t, text)
 	awaitReady(t, addr)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	answered := inBackground(func() string { return answerTo(client, addr, "/get/held", "/get/held") })
 	awaitArrival(t, arrived)
-	terminate(t, older)
-	younger, log := startProgram(t, text) // the draining process is still listening
-	awaitReady(t, addr)                   // only the new process can pass the health check: the draining one fails it
+	terminate(t, drainingProcess)
+	newProcess, log := startProgram(t, text) // the draining process is still listening
+	awaitReady(t, addr)                      // only the new process can pass the health check: the draining one fails it
 	if got := answerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
 		t.Errorf("final answer of the new process: %q", got)
 	}
@@ -245,11 +245,11 @@
 	if got := <-answered; got != "200/get/held<nil>" {
 		t.Errorf("final answer of the draining process: %q", got)
 	}
-	if err := older.Wait(); err != nil {
+	if err := drainingProcess.Wait(); err != nil {
 		t.Error(err)
 	}
-	terminate(t, younger)
-	if err := younger.Wait(); err != nil {
+	terminate(t, newProcess)
+	if err := newProcess.Wait(); err != nil {
 		t.Errorf("%v; log %q", err, log)
 	}
 }
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -16,7 +16,7 @@
 )
 
 // earlyBackend starts a backend that responds to a POST before it has read the body.
-func earlyBackend(t *testing.T, answer string) (addr string) {
+func earlyBackend(t *testing.T, response string) (addr string) {
 	t.Helper()
 	return serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
@@ -26,8 +26,8 @@
 		if err := rc.EnableFullDuplex(); err != nil {
 			t.Error(err)
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
-		_, _ = io.WriteString(w, answer) // ignored: if the agent has closed the connection, the test's checks detect it
+		w.Header().Set("Content-Length", fmt.Sprint(len(response)))
+		_, _ = io.WriteString(w, response) // ignored: if the agent has closed the connection, the test's checks detect it
 		_ = rc.Flush()
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
@@ -35,20 +35,20 @@
 
 // A backend starts a request at its last byte. The agent must not pass on a response that arrives earlier, whether the rest of the
 // body arrives soon, late or never.
-func TestAnswerBeforeTheLastByteIsNoAnswer(t *testing.T) {
-	const length, first = 200_000, 100_000
+func TestEarlyBackendResponseIsNotPassedOn(t *testing.T) {
+	const bodyLength, firstPart = 200_000, 100_000
 	for name, c := range map[string]struct {
-		answer string        // body of the early response
-		rest   time.Duration // delay of the rest of the body; negative if the client never sends it
+		response  string        // body of the early response
+		restDelay time.Duration // delay of the rest of the body; negative if the client never sends it
 	}{
-		"rest after 50 ms":  {answer: "early", rest: 50 * time.Millisecond},
-		"rest after 800 ms": {answer: "early", rest: 800 * time.Millisecond},
-		"empty response":    {rest: 300 * time.Millisecond},
-		"no rest":           {answer: "early", rest: -1},
+		"rest after 50 ms":  {response: "early", restDelay: 50 * time.Millisecond},
+		"rest after 800 ms": {response: "early", restDelay: 800 * time.Millisecond},
+		"empty response":    {restDelay: 300 * time.Millisecond},
+		"no rest":           {response: "early", restDelay: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			list := newEndpoint("s", earlyBackend(t, c.answer), "ready")
+			list := newEndpoint("s", earlyBackend(t, c.response), "ready")
 			d := startAgent(t, newFakeDiscovery(t, list).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			conn, err := net.Dial("tcp", d.addr)
@@ -58,13 +58,13 @@
 			defer conn.Close()
 			startedAt := time.Now()
 			_, err = fmt.Fprintf(conn, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: early\r\nX-Expires-In: 1\r\nContent-Length: %d\r\n\r\n%s",
-				length, strings.Repeat("x", first))
+				bodyLength, strings.Repeat("x", firstPart))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.rest >= 0 {
-				time.Sleep(c.rest)
-				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // may fail: the agent may have sent the final answer already
+			if c.restDelay >= 0 {
+				time.Sleep(c.restDelay)
+				_, _ = io.WriteString(conn, strings.Repeat("x", bodyLength-firstPart)) // may fail: the agent may have sent the final answer already
 			}
 			if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -133,17 +133,17 @@
 // The agent recognizes a cold backend in the first list even if its wall clock is wrong from the start, since the response from
 // discovery contains the time at discovery.
 func TestColdBackendIsFoundWithAWrongWallClock(t *testing.T) {
-	for _, off := range []time.Duration{time.Hour, -time.Hour, 30 * time.Second, -30 * time.Second} {
-		t.Run(off.String(), func(t *testing.T) {
+	for _, offset := range []time.Duration{time.Hour, -time.Hour, 30 * time.Second, -30 * time.Second} {
+		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
 			one, two := newFakeBackend(t), newFakeBackend(t)
 			one.latency, two.latency = serviceTime, serviceTime
 			cold := readyEndpoint("two", two)
 			cold.Started = time.Now().UnixMilli()
-			d := startAgent(t, newFakeDiscovery(t, readyEndpoint("one", one), cold).addr, faultinject.Plan{Wall: off}, nil, "")
+			d := startAgent(t, newFakeDiscovery(t, readyEndpoint("one", one), cold).addr, faultinject.Plan{Wall: offset}, nil, "")
 			awaitReady(t, d.addr)
-			all := sendPaced(t, d.addr, 200)
-			checkSlowStart(t, two.requestCount.Load(), all)
+			served := sendPaced(t, d.addr, 200)
+			checkSlowStart(t, two.requestCount.Load(), served)
 		})
 	}
 }
@@ -151,36 +151,36 @@
 // The agent treats a restarted backend as cold, whether the wall clock of the agent, of the backend or of both was stepped.
 func TestColdBackendIsFoundAfterWallClockSteps(t *testing.T) {
 	for name, c := range map[string]struct {
-		start, step time.Duration // offsets of the agent's wall clock, at its start and later
-		stamp       time.Duration // offset of the backend's wall clock
+		start, step   time.Duration // offsets of the agent's wall clock, at its start and later
+		backendOffset time.Duration // offset of the backend's wall clock
 	}{
 		"agent forward":         {step: time.Hour},
 		"agent back":            {step: -time.Hour},
 		"agent ahead at start":  {start: time.Hour, step: time.Hour},
 		"agent behind at start": {start: -time.Hour, step: -time.Hour},
-		"all forward":           {step: time.Hour, stamp: time.Hour},
-		"all back":              {step: -time.Hour, stamp: -time.Hour},
-		"all back 2 s":          {step: -2 * time.Second, stamp: -2 * time.Second},
-		"backend forward":       {stamp: time.Hour},
-		"backend back":          {stamp: -time.Hour},
+		"all forward":           {step: time.Hour, backendOffset: time.Hour},
+		"all back":              {step: -time.Hour, backendOffset: -time.Hour},
+		"all back 2 s":          {step: -2 * time.Second, backendOffset: -2 * time.Second},
+		"backend forward":       {backendOffset: time.Hour},
+		"backend back":          {backendOffset: -time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			one, two := newFakeBackend(t), newFakeBackend(t)
 			one.latency, two.latency = serviceTime, serviceTime
-			warm, again := readyEndpoint("one", one), readyEndpoint("two", two)
-			again.Started = time.Now().Add(-30 * time.Minute).UnixMilli()
-			discovery := newFakeDiscovery(t, warm, again)
+			warm, restarted := readyEndpoint("one", one), readyEndpoint("two", two)
+			restarted.Started = time.Now().Add(-30 * time.Minute).UnixMilli()
+			discovery := newFakeDiscovery(t, warm, restarted)
 			d := startAgent(t, discovery.addr, faultinject.Plan{Wall: c.start}, nil, "")
 			awaitReady(t, d.addr)
 			sendPaced(t, d.addr, 40)
 			d.applyPlan(t, faultinject.Plan{Wall: c.step})
-			again.Started = time.Now().Add(c.stamp).UnixMilli()
-			discovery.publish(warm, again)
+			restarted.Started = time.Now().Add(c.backendOffset).UnixMilli()
+			discovery.publish(warm, restarted)
 			time.Sleep(300 * time.Millisecond) // enough time for the agent to receive the list
 			before := two.requestCount.Load()
-			all := sendPaced(t, d.addr, 200)
-			checkSlowStart(t, two.requestCount.Load()-before, all)
+			served := sendPaced(t, d.addr, 200)
+			checkSlowStart(t, two.requestCount.Load()-before, served)
 		})
 	}
 }
@@ -257,7 +257,7 @@
 		{time.Hour, -time.Hour}} {
 		t.Run(fmt.Sprint(steps), func(t *testing.T) {
 			t.Parallel()
-			late := schedulingDelay(t)
+			delay := schedulingDelay(t)
 			hanging, good := newFakeBackend(t), newFakeBackend(t)
 			hanging.latency = time.Hour
 			discovery := newMutableDiscovery(t, readyEndpoint("s", hanging))
@@ -269,17 +269,17 @@
 				}
 			}
 			if elapsed := timeOfRequest(t, d.addr, "1.5", step); elapsed < 1200*time.Millisecond ||
-				elapsed > 1600*time.Millisecond+late() {
+				elapsed > 1600*time.Millisecond+delay() {
 				t.Errorf("a request with a deadline of 1.5 s was answered after %v, want 1.2 s to 1.6 s", elapsed)
 			}
 			// The watch sends nothing more when the list changes, and the wall clock is stepped before the agent closes the watch.
 			discovery.set(newEndpoint("s", hanging.addr, "draining"), readyEndpoint("t", good))
 			d.applyPlan(t, faultinject.Plan{})
 			discovery.mute()
-			silent := time.Now()
+			mutedAt := time.Now()
 			time.Sleep(time.Second)
 			step()
-			time.Sleep(time.Until(silent.Add(6*time.Second + 400*time.Millisecond)))
+			time.Sleep(time.Until(mutedAt.Add(6*time.Second + 400*time.Millisecond)))
 			before := hanging.requestCount.Load()
 			for range 10 {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
