--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Answers that arrive before the end of a request body.
+// Backend responses that arrive before the end of a request body.
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// earlyBackend starts a backend that answers a POST before it has read the body.
-func earlyBackend(t *testing.T, answer string) (addr string) {
+// earlyBackend starts a backend that responds to a POST before it has read the body.
+func earlyBackend(t *testing.T, response string) (addr string) {
 	t.Helper()
 	return serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
@@ -26,29 +26,29 @@
 		if err := rc.EnableFullDuplex(); err != nil {
 			t.Error(err)
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(len(answer)))
-		_, _ = io.WriteString(w, answer) // where the agent has closed the connection, the checks below show it
+		w.Header().Set("Content-Length", fmt.Sprint(len(response)))
+		_, _ = io.WriteString(w, response) // ignored: if the agent has closed the connection, the test's checks detect it
 		_ = rc.Flush()
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
 }
 
-// A backend starts a request at its last byte, so an answer before that is no answer to the request, whether the rest of the
+// A backend starts a request at its last byte. The agent must not pass on a response that arrives earlier, whether the rest of the
 // body arrives soon, late or never.
-func TestAnswerBeforeTheLastByteIsNoAnswer(t *testing.T) {
-	const length, first = 200_000, 100_000
+func TestEarlyBackendResponseIsNotPassedOn(t *testing.T) {
+	const bodyLength, firstPart = 200_000, 100_000
 	for name, c := range map[string]struct {
-		answer string // of the backend, before it has read the body
-		rest   time.Duration
+		response  string        // body of the early response
+		restDelay time.Duration // delay of the rest of the body; negative if the client never sends it
 	}{
-		"the rest comes soon": {answer: "early", rest: 50 * time.Millisecond},
-		"the rest comes late": {answer: "early", rest: 800 * time.Millisecond},
-		"an empty answer":     {rest: 300 * time.Millisecond},
-		"no rest comes":       {answer: "early", rest: -1},
+		"rest after 50 ms":  {response: "early", restDelay: 50 * time.Millisecond},
+		"rest after 800 ms": {response: "early", restDelay: 800 * time.Millisecond},
+		"empty response":    {restDelay: 300 * time.Millisecond},
+		"no rest":           {response: "early", restDelay: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			list := newEndpoint("s", earlyBackend(t, c.answer), "ready")
+			list := newEndpoint("s", earlyBackend(t, c.response), "ready")
 			d := startAgent(t, newFakeDiscovery(t, list).addr, faultinject.Plan{}, nil, "")
 			awaitReady(t, d.addr)
 			conn, err := net.Dial("tcp", d.addr)
@@ -58,24 +58,24 @@
 			defer conn.Close()
 			startedAt := time.Now()
 			_, err = fmt.Fprintf(conn, "POST /pay/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: early\r\nX-Expires-In: 1\r\nContent-Length: %d\r\n\r\n%s",
-				length, strings.Repeat("x", first))
+				bodyLength, strings.Repeat("x", firstPart))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.rest >= 0 {
-				time.Sleep(c.rest)
-				_, _ = io.WriteString(conn, strings.Repeat("x", length-first)) // may fail: the answer may be there already
+			if c.restDelay >= 0 {
+				time.Sleep(c.restDelay)
+				_, _ = io.WriteString(conn, strings.Repeat("x", bodyLength-firstPart)) // may fail: the agent may have sent the final answer already
 			}
 			if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				t.Fatalf("no answer after %v: %v", time.Since(startedAt), err)
+				t.Fatalf("no final answer after %v: %v", time.Since(startedAt), err)
 			}
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				t.Errorf("served after %v", time.Since(startedAt))
+				t.Errorf("status 200 after %v, although the only response was early", time.Since(startedAt))
 			}
 		})
 	}
