--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -9,20 +9,20 @@
 	"syscall"
 )
 
-// block is the part of the loopback range that belongs to one lab.
+// block is the part of the loopback address range (127.<number>.0.0/16) that belongs to one lab.
 type block struct {
 	number int
-	claim  net.Listener // held for as long as the process lives
+	claim  net.Listener // open until the lab closes; other labs skip the block meanwhile
 }
 
 const (
 	firstBlock, lastBlock = 60, 249
 	claimPort             = 7900
-	clientPort            = 5000 // of agents
+	clientPort            = 5000 // on which agents accept clients
 	peerPort              = 7946
 )
 
-// claimBlock claims a free block. It fails if there is none.
+// claimBlock claims a free block. It returns an error if other labs have claimed all blocks.
 func claimBlock() (*block, error) {
 	start := os.Getpid()
 	for i := range lastBlock - firstBlock + 1 {
@@ -40,16 +40,16 @@
 			return nil, err
 		}
 	}
-	return nil, errors.New("every block of loopback addresses is taken by another lab")
+	return nil, errors.New("every block of loopback addresses is in use by another lab")
 }
 
-// inUse reports whether any other process listens in the block, such as an agent that an earlier lab has left behind.
+// inUse reports whether any process listens in the block, such as an agent that an earlier lab did not stop.
 func (b *block) inUse() bool {
-	const listens, bound = "0A", "07" // states in the kernel's table: TCP sockets and UDP sockets
+	const listens, bound = "0A", "07" // socket states in the kernel's tables: a listening TCP socket, a bound UDP socket
 	for name, state := range map[string]string{"tcp": listens, "udp": bound} {
 		table, err := os.ReadFile("/proc/self/net/" + name)
 		if err != nil {
-			continue // an address in use shows at the first bind
+			continue // the first bind reports an address in use
 		}
 		for line := range strings.Lines(string(table)) {
 			fields := strings.Fields(line)
@@ -72,11 +72,12 @@
 	return fmt.Sprintf("127.%d.%d.%d", b.number, 1+n/250, 1+n%250)
 }
 
-// linkAddr returns the IP address at which agent n reaches all others, who differ by port.
+// linkAddr returns the IP address at which agent n reaches all other processes. They differ by port.
 func (b *block) linkAddr(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.number, 101+n/250, 1+n%250)
 }
 
-// hubAddr returns the IP address of hub n, and hubLinkAddr the one at which it reaches all others and is reached.
+// hubAddr returns the IP address of hub n. hubLinkAddr returns the IP address at which the hub reaches all other processes and
+// at which they reach the hub.
 func (b *block) hubAddr(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.number, 1+n) }
 func (b *block) hubLinkAddr(n int) string { return fmt.Sprintf("127.%d.211.%d", b.number, 1+n) }
--- a/internal/lab/agentconfig.go
+++ b/internal/lab/agentconfig.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// agentConfig returns the JSON configuration of an agent's process. It is long since it is one literal, which steps of their own
-// would only scatter.
+// agentConfig returns the JSON configuration of an agent's process. The configuration is one literal, so that it can be read in
+// one place.
 func (l *Lab) agentConfig(a *agent, known endpointList) ([]byte, error) {
 	s := l.Scenario
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
@@ -39,7 +39,7 @@
 	if s.Discovery.Polled {
 		mode = "subscribe"
 	}
-	from := "" // where backends have one address for all agents, they tell callers apart by the address of the other end
+	from := "" // a backend with one address for all agents identifies an agent by its source address
 	if s.Shared.RelayedLists {
 		from = l.block.agentAddr(a.number)
 	}
--- a/internal/lab/agentprocess.go
+++ b/internal/lab/agentprocess.go
@@ -25,9 +25,9 @@
 
 	// Guarded by Lab.mu.
 	requests     map[string]*clientRequest
-	openRequests int // requests of clients without an answer
+	openRequests int // requests of clients that have no final answer yet
 
-	// Used by runArrivals alone.
+	// Used only by runArrivals.
 	rate                         float64
 	arrivalRandom, requestRandom *rand.Rand
 	keys                         *rng.Zipf
@@ -60,7 +60,7 @@
 // Addr returns the address at which clients connect to agent n.
 func (l *Lab) Addr(n int) string { return l.agents[n].listenAddr }
 
-// start starts the process. Lab.mu is held.
+// start writes the configuration and starts the process. keep preserves the agent's files of its previous run. Lab.mu is held.
 func (a *agent) start(now time.Duration, keep bool) error {
 	l := a.lab
 	a.starts++
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -1,6 +1,6 @@
 package lab
 
-// The arrival of requests: which client sends what, and when.
+// The arrivals of requests: which client sends which request, and when.
 
 import (
 	"container/heap"
@@ -56,8 +56,8 @@
 	}
 }
 
-// loadFactorAt returns the factor by which bursts raise the load at a time. It depends on the scenario alone, so a seed gives
-// the same arrivals whatever the agents do.
+// loadFactorAt returns the factor by which bursts raise the load at a time. The factor depends only on the scenario, so the
+// arrivals of a seed do not depend on what the agents do.
 func (l *Lab) loadFactorAt(at time.Duration) float64 {
 	f := 1.0
 	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
@@ -71,7 +71,7 @@
 	return f
 }
 
-// nextArrival draws the time of the next request: a Poisson process whose rate follows the load in small steps.
+// nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms.
 func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
 	const walk = 10 * time.Millisecond
 	left := a.arrivalRandom.ExpFloat64()
@@ -87,7 +87,8 @@
 	}
 }
 
-// runArrivals starts each request at its time, whatever became of earlier ones (an open-loop load), until the run is over.
+// runArrivals starts each request at its arrival time, whether or not earlier requests have finished (an open-loop load), until
+// the run ends.
 func (l *Lab) runArrivals() {
 	var h arrivalHeap
 	for _, a := range l.agents {
@@ -158,7 +159,7 @@
 	return req
 }
 
-// takeQuota counts a request against the quota of its tenant and reports whether it is within it. Lab.mu is held.
+// takeQuota counts a request against the quota of its tenant and reports whether the request is within the quota. Lab.mu is held.
 func (l *Lab) takeQuota(now time.Duration, tenant int) bool {
 	if l.tenantQuotas == nil {
 		l.tenantQuotas = make([]tokenBucket, len(tenants))
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -1,6 +1,6 @@
 package lab
 
-// The way of an attempt through the network, to a backend and back.
+// The path of an attempt through the network, to a backend and back.
 
 import (
 	"fmt"
@@ -16,18 +16,18 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// attempt is one attempt of an agent at a backend.
+// attempt is one attempt of an agent at a backend, as the backend received it.
 type attempt struct {
 	number        uint64
 	id            string
 	host          *host
 	agent         int
 	conn          *backendConn
-	arrivedAt     time.Duration // when the kernel had its last byte
+	arrivedAt     time.Duration // when the kernel received the last byte of the attempt
 	reply         chan answer
-	statedTimeout time.Duration // how long the agent says that it waits; below 0: it does not say
-	disconnected  bool          // its connection is closed
-	fromLabClient bool          // a client of the lab sent it
+	statedTimeout time.Duration // how long the agent waits for the response, by its header; negative without the header
+	disconnected  bool          // the connection is closed
+	fromLabClient bool          // a client of the lab sent the request
 }
 
 type answer struct {
@@ -43,13 +43,13 @@
 func fingerprint(method, uri, key string, body []byte) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{method, "\x00", uri, "\x00", key, "\x00"} {
-		_, _ = d.WriteString(s) // a hash never fails
+		_, _ = d.WriteString(s) // never returns an error
 	}
 	_, _ = d.Write(body)
 	return d.Sum64()
 }
 
-// deliver carries an attempt, which was sent at a time, over the network to its backend. Lab.mu is held.
+// deliver passes an attempt, sent at sentAt, over the emulated network to its backend. Lab.mu is held.
 func (l *Lab) deliver(now, sentAt time.Duration, a *attempt, fingerprint uint64, probe bool) {
 	h := a.host
 	l.attempts[a.number] = a
@@ -67,7 +67,7 @@
 		return
 	}
 	latency := l.network.Arrivals(a.endpoint(), h.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
-	if newConnection { // a handshake takes a round trip more, and work
+	if newConnection { // the handshake takes another round trip; the backend's work for it is in the job
 		latency += 2 * l.baseLatency(a.endpoint(), h.endpoint())
 	}
 	if probe {
@@ -86,11 +86,11 @@
 	l.scheduleAt(now+latency, func(now time.Duration) { l.completeJobs(h, h.machine.Arrive(now, job)) })
 }
 
-// answerProbe answers a health check, and gives the backend its work. Lab.mu is held.
+// answerProbe answers a health check and adds the work of the check to the backend's load. Lab.mu is held.
 func (l *Lab) answerProbe(now time.Duration, a *attempt) {
 	h := a.host
 	load := h.machine.Load()
-	l.lastAttempt++ // the work has a number of its own: the answer does not wait for it
+	l.lastAttempt++ // the work has a separate attempt number, since the response does not wait for the work
 	l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
 	l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
 		load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
@@ -108,7 +108,7 @@
 		return job
 	}
 	job.Work, job.Key = time.Duration(float64(req.work)*rng.Lognormal(random, 1, 0.3)), req.key
-	if l.isDuplicate(now, req, h) { // the effect has happened already: only the answer is left to do
+	if l.isDuplicate(now, req, h) { // the request already had its effect: the backend only sends the response
 		l.check.Record(now, a.id, h.machine.ID, "its pod has met the key: the repeat is dropped")
 		job.Work, job.Key = h.machine.ProbeWork, 0
 	}
@@ -121,8 +121,8 @@
 	key  string
 }
 
-// isDuplicate reports whether the backends of a cell have seen a request's idempotency key within the deduplication window,
-// and remembers it. Lab.mu is held.
+// isDuplicate reports whether the backends of a cell have seen a request's idempotency key within the deduplication window.
+// If they have not, isDuplicate records the key for the length of the window. Lab.mu is held.
 func (l *Lab) isDuplicate(now time.Duration, p *clientRequest, h *host) bool {
 	if p.idempotencyKey == "" {
 		return false
@@ -149,14 +149,14 @@
 	for _, d := range done {
 		a := l.attempts[d.Attempt]
 		if a == nil {
-			continue // the work of a health check, or an attempt that is answered
+			continue // the work of a health check, or an attempt that already has a response
 		}
 		what := d.Result.String()
 		if d.QueuedFor > 0 {
 			what += fmt.Sprintf(" after %v in the waiting room", d.QueuedFor.Round(100*time.Microsecond))
 		}
 		switch d.Result {
-		case model.Lost, model.Dropped: // there is no answer
+		case model.Lost, model.Dropped: // the backend sends no response
 			l.check.Record(d.At, a.id, h.machine.ID, what)
 			delete(l.attempts, d.Attempt)
 		case model.Rejected:
@@ -176,13 +176,13 @@
 	}
 }
 
-// servedBody returns the body of a backend's answer to a request.
+// servedBody returns the body of a backend's successful response to a request.
 func servedBody(id, backend string) string { return "served " + id + " by " + backend }
 
-// isServedBody reports whether a body is a backend's answer to a request.
+// isServedBody reports whether a body is that of a backend's successful response to a request.
 func isServedBody(body, id string) bool { return strings.HasPrefix(body, "served "+id+" by s-") }
 
-// reply carries a backend's answer back over the network. Lab.mu is held.
+// reply sends a backend's response back over the emulated network. Lab.mu is held.
 func (l *Lab) reply(now time.Duration, a *attempt, answer answer, what string) {
 	h := a.host
 	if l.network.Fault(h.endpoint(), a.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
@@ -196,7 +196,7 @@
 	l.scheduleAt(now+latency, func(time.Duration) {
 		select {
 		case a.reply <- answer:
-		default: // nothing may block while Lab.mu is held
+		default: // a second response would block while Lab.mu is held
 			l.fail(fmt.Errorf("the lab answered attempt %d of %s twice", a.number, a.id))
 		}
 	})
@@ -208,12 +208,12 @@
 	send     func(now time.Duration)
 }
 
-// queueUntilReachable keeps a message until the network changes. Lab.mu is held.
+// queueUntilReachable queues a message until the network changes. Lab.mu is held.
 func (l *Lab) queueUntilReachable(from, to netfault.Endpoint, send func(now time.Duration)) {
 	l.partitioned = append(l.partitioned, partitionedMessage{from, to, send})
 }
 
-// retryPartitioned sends the queued messages again; those that are still partitioned queue themselves anew. Lab.mu is held.
+// retryPartitioned sends the queued messages again. A message that is still partitioned is queued again. Lab.mu is held.
 func (l *Lab) retryPartitioned(now time.Duration) {
 	list := l.partitioned
 	l.partitioned = nil
--- a/internal/lab/backendfaults.go
+++ b/internal/lab/backendfaults.go
@@ -11,7 +11,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// loseZone makes the backends of a zone fall silent, and restart when the fault ends. Lab.mu is held.
+// loseZone makes the backends of a zone unresponsive, and restarts them when the fault ends. Lab.mu is held.
 func (l *Lab) loseZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	var lost []*host
@@ -35,8 +35,8 @@
 	})
 }
 
-// failZonePower ends the hub, the agents and the backends of a zone at once, and restarts them together, without the state they
-// had. Lab.mu is held.
+// failZonePower ends the hub, the agents and the backends of a zone at once, and restarts them together without their previous
+// state. Lab.mu is held.
 func (l *Lab) failZonePower(i int, f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	l.loseZone(f, now)
@@ -61,12 +61,12 @@
 	}
 }
 
-// drainHost drains a backend and ends it; a new one may replace it. Lab.mu is held.
+// drainHost drains a backend and then ends it. With replace, it also starts a new backend in the same cell. Lab.mu is held.
 func (l *Lab) drainHost(h *host, now time.Duration, replace bool) {
 	if h.ended || h.machine.State != model.Up {
 		return
 	}
-	const drainTime = 5 * time.Second // longer than a drain takes to be published
+	const drainTime = 5 * time.Second // longer than discovery takes to publish the drain
 	l.completeJobs(h, h.machine.Drain(now))
 	l.discovery.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
 	l.scheduleAt(now+drainTime, func(now time.Duration) {
@@ -88,7 +88,7 @@
 	l.discovery.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
 }
 
-// setBackendFault makes backends fail a share of requests at once, or takes a share of their capacity. Lab.mu is held.
+// setBackendFault makes backends fail a share of requests immediately, or removes a share of their capacity. Lab.mu is held.
 func (l *Lab) setBackendFault(list []*host, f *scenario.Fault, now time.Duration, failureShare, stolenShare float64) {
 	for _, h := range list {
 		l.completeJobs(h, h.machine.SetFault(now, failureShare, stolenShare))
@@ -100,7 +100,8 @@
 	})
 }
 
-// runNoisyNeighbour takes a share of the capacity of backends on and off, at times of their own. Lab.mu is held.
+// runNoisyNeighbour removes a share of the capacity of backends and restores it, again and again, at random times for each
+// backend. Lab.mu is held.
 func (l *Lab) runNoisyNeighbour(i int, f *scenario.Fault, now time.Duration) {
 	end := l.Scenario.Duration.Duration()
 	if f.Duration > 0 {
@@ -125,7 +126,7 @@
 	}
 }
 
-// endHost ends the process of a backend: connections are reset, and new ones refused. Lab.mu is held.
+// endHost ends a backend: it resets open connections and refuses new ones. Lab.mu is held.
 func (l *Lab) endHost(h *host) {
 	h.ended = true
 	l.running.Go(func() { h.close(true) })
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -24,9 +24,9 @@
 	machine *model.Machine
 	server  *http.Server
 	gates   []*gate // by agent
-	ended   bool    // its process has ended
+	ended   bool    // the backend has ended
 
-	lastChange uint64 // number of its latest change
+	lastChange uint64 // sequence number of the latest change that discovery was notified of
 
 	mu     sync.Mutex
 	conns  map[*backendConn]bool
@@ -42,8 +42,8 @@
 	net.Conn
 	host      *host
 	agent     int
-	used      bool // used by the goroutine of its request alone
-	overLimit bool // above the connection limit of the backend
+	used      bool // the connection has carried an attempt; accessed only by the goroutine of its request
+	overLimit bool // the connection exceeds the connection limit of the backend
 }
 
 func (c *backendConn) Close() error {
@@ -55,10 +55,10 @@
 
 type connKey struct{}
 
-// listen opens the listeners and serves on them until close.
+// listen opens a listener for each agent and serves requests on them until close is called.
 func (h *host) listen() error {
 	h.server = &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, IdleTimeout: idleClose,
-		ErrorLog: log.New(io.Discard, "", 0), // clients that disconnect are expected
+		ErrorLog: log.New(io.Discard, "", 0), // agents are expected to disconnect
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// agentCalling returns the agent whose own address a connection comes from, or nil.
+// agentCalling returns the agent whose address is the source address of a connection, or nil if there is none.
 func (l *Lab) agentCalling(c net.Conn) *agent {
 	if l.fleet == nil {
 		return nil
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// close stops accepting connections, and resets open ones if wanted.
+// close stops accepting connections and closes open ones. With resets, it closes them with a TCP reset.
 func (h *host) close(resets bool) {
 	if h.server == nil {
 		return
@@ -115,7 +115,7 @@
 	h.server.Close()
 }
 
-// reset resets the connections of some agents, or of all if of is nil.
+// reset closes the connections of the agents for which of returns true with a TCP reset; of all agents if of is nil.
 func (h *host) reset(of func(agent int) bool) {
 	h.mu.Lock()
 	var list []*backendConn
@@ -135,19 +135,19 @@
 
 const maxBodyBytes = 1 << 20
 
-// ServeHTTP receives an attempt or a health check, and waits for its answer.
+// ServeHTTP receives an attempt or a health check, and waits until the emulation has its response.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*backendConn)
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // the connection ended before the last byte: the attempt does not count
+		return // the connection ended before the last byte, so the attempt does not count
 	}
 	a := &attempt{id: r.Header.Get("X-Trace-Id"), host: h, agent: c.agent, conn: c, reply: make(chan answer, 1), statedTimeout: -1}
 	if s, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64); err == nil {
 		a.statedTimeout = seconds(s)
 	}
 	l := h.lab
-	a.arrivedAt = l.now() - tcpinfo.SinceLastData(c.Conn) // right also if this goroutine runs late
+	a.arrivedAt = l.now() - tcpinfo.SinceLastData(c.Conn) // correct even if this goroutine runs late
 	l.mu.Lock()
 	now := l.now()
 	if l.closing {
@@ -174,7 +174,7 @@
 	}
 }
 
-// write writes an answer, after which the connection may be closed.
+// write writes a response. With closes, the response announces the end of the connection.
 func (ans answer) write(w http.ResponseWriter, closes bool) {
 	if ans.neverRan {
 		w.Header().Set("X-Never-Ran", "1")
@@ -186,7 +186,7 @@
 	_, _ = io.WriteString(w, ans.body) // fails only if the agent has disconnected
 }
 
-// countAttempt counts an attempt that has reached its backend, and checks its residency. Lab.mu is held.
+// countAttempt counts an attempt that has reached its backend, and checks it against the residency policy. Lab.mu is held.
 func (l *Lab) countAttempt(now time.Duration, a *attempt) {
 	h := a.host
 	l.tally.CountAttempt(now, l.zone(a.endpoint()) != h.machine.Zone)
--- a/internal/lab/clientconn.go
+++ b/internal/lab/clientconn.go
@@ -26,8 +26,8 @@
 
 var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// sendAndReceive writes a request and reads the answer. It returns the wait that the answer asks for, and whether the connection
-// can be reused.
+// sendAndReceive writes a request and reads the final answer. It returns the wait that Retry-After requests, and whether the
+// connection can be reused.
 func (l *Lab) sendAndReceive(c *clientConn, req *clientRequest, id string) (answer check.Answer, wait time.Duration, reusable bool) {
 	buf := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(buf)
@@ -39,7 +39,7 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection, which the write reports
 	if _, err := c.Write(*buf); err != nil {
-		return check.ClosedNew, 0, false // not written in full
+		return check.ClosedNew, 0, false // the request was not written completely
 	}
 	accepted := l.now()
 	l.mu.Lock()
@@ -62,7 +62,7 @@
 	return answer, wait, !resp.Close
 }
 
-// encode appends the request in HTTP/1.1 form to a buffer.
+// encode appends the request in HTTP/1.1 form to b.
 func (req *clientRequest) encode(b []byte, id string) []byte {
 	b = append(b, "POST "...)
 	b = append(b, req.uri...)
@@ -78,7 +78,7 @@
 	return append(b, req.body...)
 }
 
-// classify returns what a complete answer means, and the wait that it asks for.
+// classify returns the outcome that a complete final answer stands for, and the wait that Retry-After requests.
 func classify(resp *http.Response, body, id string) (check.Answer, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -87,13 +87,13 @@
 		}
 		return check.Served, 0
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		wait, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // 0 if it is absent
+		wait, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // 0 if the header is absent
 		return check.Rejected, seconds(wait)
 	}
 	return check.Failed, 0
 }
 
-// readErrorAnswer returns how a request ended whose answer could not be read.
+// readErrorAnswer returns the outcome of a request whose final answer could not be read because of err.
 func readErrorAnswer(err error, cancels bool, closed check.Answer) check.Answer {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -104,10 +104,10 @@
 	return check.Unanswered
 }
 
-// getConn returns an idle connection, or a new one; always a new one if fresh.
+// getConn returns an idle connection to the agent, or a new one if none is idle. With fresh, it always opens a new one.
 func (a *agent) getConn(fresh bool) (*clientConn, error) {
 	a.mu.Lock()
-	if a.closed { // another lab may use the address by now
+	if a.closed { // another lab may already use the address
 		a.mu.Unlock()
 		return nil, net.ErrClosed
 	}
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -28,7 +28,7 @@
 	cancelsAfter      time.Duration // after which the client disconnects; 0: never
 	honoursRetryAfter bool
 	attempts          int
-	attemptSeenFor    string // the id of its latest attempt that reached a backend
+	attemptSeenFor    string // the id of the client's latest attempt that the agent forwarded to a backend
 	random            *rand.Rand
 	uri               string
 	idempotencyKey    string
@@ -72,7 +72,7 @@
 		Weight: req.weight, Class: req.class, Tenant: req.tenant, Zone: req.agent.number % len(l.Scenario.Fleet.Zones), ClientAttempts: req.attempts})
 }
 
-// attemptRequest sends a request once. It returns how that ended, and the wait that Retry-After asks for.
+// attemptRequest sends a request once. It returns the outcome, and the wait that Retry-After requests.
 func (l *Lab) attemptRequest(req *clientRequest, id string) (check.Answer, time.Duration) {
 	agent := req.agent
 	clientEnd, agentEnd := endpointOf(netfault.Client, agent.number), endpointOf(netfault.Agent, agent.number)
@@ -99,13 +99,13 @@
 	finishedAt := l.now()
 	l.mu.Lock()
 	l.check.Finish(finishedAt, id, answer)
-	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // until then a late attempt of the agent still finds it
+	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // a late attempt of the agent still finds the request until then
 	l.mu.Unlock()
 	return answer, wait
 }
 
-// exchange sends a request and returns the answer. A request that crosses with the agent closing an idle connection is sent
-// again on a new one.
+// exchange sends a request and returns the outcome. If the agent closes an idle connection while the request is on its way,
+// exchange sends the request again on a new connection.
 func (l *Lab) exchange(req *clientRequest, id string) (check.Answer, time.Duration) {
 	for fresh := false; ; fresh = true {
 		c, err := req.agent.getConn(fresh)
@@ -123,13 +123,13 @@
 			continue // the agent closed the idle connection
 		}
 		if answer == check.ClosedNew && l.reachedBackend(id) {
-			answer = check.Closed // the agent has read the request, so it owes an answer
+			answer = check.Closed // the agent has read the request, so it must answer
 		}
 		return answer, wait
 	}
 }
 
-// reachedBackend reports whether an attempt of a request has reached a backend, so the agent has read it.
+// reachedBackend reports whether an attempt of a request has reached a backend, which shows that the agent has read the request.
 func (l *Lab) reachedBackend(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -11,7 +11,7 @@
 type Measure struct {
 	Name           string
 	Value          func(*Report) float64
-	HigherIsBetter bool // more is better
+	HigherIsBetter bool
 }
 
 // Measures lists the figures that are compared, in the order of the output.
@@ -30,8 +30,8 @@
 	{"latency_p99_ms", func(r *Report) float64 { return r.Latency.P99 }, false},
 }
 
-// avoidedAfterFigure returns the seconds until unreachable zones were avoided: 0 if there were none, the whole run if they never
-// were.
+// avoidedAfterFigure returns the seconds until agents avoided unreachable zones: 0 if no zone was unreachable, the duration of
+// the run if agents never avoided them.
 func avoidedAfterFigure(r *Report) float64 {
 	switch {
 	case r.AvoidedAfter == nil:
@@ -42,7 +42,8 @@
 	return *r.AvoidedAfter
 }
 
-// recoveryFigure returns the seconds until service had recovered: 0 if it never degraded, the whole run if it did not recover.
+// recoveryFigure returns the seconds until service had recovered: 0 if it never degraded, the duration of the run if it did not
+// recover.
 func recoveryFigure(r *Report) float64 {
 	switch {
 	case r.RecoveryTime == nil:
@@ -53,7 +54,7 @@
 	return *r.RecoveryTime
 }
 
-// listCallsFigure returns the calls at the list service for each start of an agent.
+// listCallsFigure returns the number of calls to the list service for each start of an agent.
 func listCallsFigure(r *Report) float64 {
 	if r.Lists == nil {
 		return 0
@@ -71,10 +72,10 @@
 // Counts reports whether both runs are conclusive.
 func (p Pair) Counts() bool { return p.A.Verdict != Inconclusive && p.B.Verdict != Inconclusive }
 
-// Difference is the difference of B and A in one measure, over pairs of the same seed.
+// Difference is the difference between B and A in one measure, over the pairs in which both runs are conclusive.
 type Difference struct {
 	Measure string    `json:"measure"`
-	A       float64   `json:"a"` // means
+	A       float64   `json:"a"` // A and B are means
 	B       float64   `json:"b"`
 	Mean    float64   `json:"difference"`
 	Low     float64   `json:"low"` // bootstrap 95% interval of the mean difference
@@ -85,7 +86,7 @@
 
 const resamples = 10000
 
-// Compare returns the differences over the pairs that count; nil if there is none.
+// Compare returns the difference in each measure over the pairs that count; nil if no pair counts.
 func Compare(pairs []Pair) (list []Difference) {
 	for _, m := range Measures {
 		d := Difference{Measure: m.Name}
@@ -121,7 +122,7 @@
 	return m
 }
 
-// bootstrap returns the 95% confidence interval of the mean by resampling. For a single value it is unbounded.
+// bootstrap returns the 95% confidence interval of the mean by resampling. The interval of a single value is unbounded.
 func bootstrap(list []float64) (low, high float64) {
 	if len(list) < 2 {
 		return math.Inf(-1), math.Inf(1)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// fakeDiscovery emulates the discovery service: changes are published with a delay, and reach each caller a little later.
+// fakeDiscovery emulates the discovery service. It publishes changes with a delay, and each caller receives them a little later.
 type fakeDiscovery struct {
 	lab            *Lab
 	servers        []*http.Server
@@ -25,7 +25,7 @@
 	baseVersion    int64
 	silent         bool
 	unavailable    bool
-	disruptedUntil time.Duration // until then it was not working as it should
+	disruptedUntil time.Duration // end of the latest disruption; negative if there was none
 	epoch          int           // number of restarts
 	listService    listServiceQueue
 	changed        chan struct{} // closed, and replaced, at each change
@@ -54,7 +54,7 @@
 	return d, nil
 }
 
-// listen opens the listener of a caller, which has a number among all callers.
+// listen opens the listener of a caller. n is the number of the caller among all callers.
 func (d *fakeDiscovery) listen(ip string, caller netfault.Endpoint, n int) error {
 	g, err := newGate(ip, func(c net.Conn) net.Conn { return c })
 	if err != nil {
@@ -64,12 +64,12 @@
 		d.serveList(w, r, caller, n)
 	})}
 	d.gates, d.servers = append(d.gates, g), append(d.servers, s)
-	d.lab.running.Go(func() { _ = s.Serve(g) }) // returns after close
+	d.lab.running.Go(func() { _ = s.Serve(g) }) // returns an error after close
 	return nil
 }
 
-// moveAgent moves an agent's discovery to another address. The old one accepts no new connection, and closes open ones after a
-// grace. Lab.mu is held.
+// moveAgent moves an agent's discovery to another address. The old listener accepts no new connection, and closes open ones
+// after oldAddressGrace. Lab.mu is held.
 func (d *fakeDiscovery) moveAgent(n int, now time.Duration) error {
 	gate, server := d.gates[n], d.servers[n]
 	if err := d.listen(d.lab.block.linkAddr(n), endpointOf(netfault.Agent, n), n); err != nil {
@@ -77,7 +77,7 @@
 	}
 	last := len(d.gates) - 1
 	d.gates[n], d.servers[n] = d.gates[last], d.servers[last]
-	d.gates[last], d.servers[last] = gate, server // closed with the lab in any case
+	d.gates[last], d.servers[last] = gate, server // close closes them with the lab at the latest
 	d.lab.running.Go(func() { gate.Close() })
 	d.lab.scheduleAt(now+oldAddressGrace, func(time.Duration) { d.lab.running.Go(func() { server.Close() }) })
 	return nil
@@ -86,10 +86,11 @@
 const (
 	oldAddressGrace = 1500 * time.Millisecond
 	reloadDeadline  = 4 * time.Second // after which the list at the new address counts as delivered
-	minReloadAge    = time.Second     // of a process: a younger one gets no SIGHUP
+	minReloadAge    = time.Second     // a process that became ready more recently is sent no SIGHUP
 )
 
-// notifyAfterReload counts a version of the list as delivered, except for backends that have changed since.
+// notifyAfterReload reports a version of the list to the checker as delivered to agent n, except for backends that have changed
+// since.
 func (d *fakeDiscovery) notifyAfterReload(n int, upTo int64, now time.Duration) {
 	latest := map[*host]int{}
 	for i, c := range d.changes {
@@ -111,7 +112,7 @@
 	}
 }
 
-// learn publishes a change of a backend after a delay. Lab.mu is held.
+// learn publishes a change of a backend after a delay drawn from the range late, in seconds. Lab.mu is held.
 func (d *fakeDiscovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
 	l := d.lab
 	l.lastSeq++
@@ -133,7 +134,8 @@
 	})
 }
 
-// notifyAtDeadline counts a change as delivered at the propagation deadline, if discovery worked all the time.
+// notifyAtDeadline reports a change to the checker as delivered at the propagation deadline, if discovery was not disrupted
+// since the change.
 func (d *fakeDiscovery) notifyAtDeadline(happened time.Duration, h *host, state string, started time.Duration) {
 	if d.disruptedUntil >= happened {
 		return
@@ -145,13 +147,13 @@
 	}
 }
 
-// wakeWatches wakes all open watches. Lab.mu is held.
+// wakeWatches makes all open watches check for an update. Lab.mu is held.
 func (d *fakeDiscovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// notify reports to the checker what is written to a caller. Hubs send nothing to backends, so they are left out.
+// notify reports the changes that are written to a caller to the checker. Hubs send nothing to backends, so notify ignores them.
 func (d *fakeDiscovery) notify(n int, from, to int64, now time.Duration) {
 	if n >= len(d.lab.agents) {
 		return
@@ -165,9 +167,9 @@
 type listCall struct {
 	caller   netfault.Endpoint
 	number   int   // of the caller among all callers
-	watching bool  // the answer goes on with changes
-	version  int64 // that was sent last, or that the caller has; 0: none
-	epoch    int   // of discovery at the first answer; -1: nothing was answered yet
+	watching bool  // the response continues with changes
+	version  int64 // the version that was sent last, or that the caller stated; 0 for none
+	epoch    int   // the epoch of discovery at the first update; -1 before it
 }
 
 // serveList answers a poll or a watch of one caller.
@@ -207,16 +209,16 @@
 	}
 }
 
-// listUpdate is what a call is answered at one time.
+// listUpdate is one step of the response to a call.
 type listUpdate struct {
-	line    []byte          // the list or its changes; nil: there is nothing new
-	silent  bool            // nothing is written at all
-	ended   bool            // the call breaks off
-	wait    time.Duration   // until the next update, unless there is a change before
+	line    []byte          // the list or its changes; nil if there is nothing new
+	silent  bool            // nothing is written, not even a heartbeat
+	ended   bool            // the connection is aborted
+	wait    time.Duration   // until the next update, unless a change comes first
 	changed <-chan struct{} // closed at a change
 }
 
-// nextUpdate returns what a call is answered now, and counts that as delivered. Lab.mu is held.
+// nextUpdate returns the update that a call is sent now, and reports its changes to the checker as delivered. Lab.mu is held.
 func (d *fakeDiscovery) nextUpdate(call *listCall) listUpdate {
 	l, now := d.lab, d.lab.now()
 	u := listUpdate{changed: d.changed, wait: heartbeatInterval}
@@ -237,8 +239,8 @@
 	return u
 }
 
-// deltaStart returns the version from which a call is sent changes up to another one: the first of all if the caller has
-// a version that discovery does not know.
+// deltaStart returns the version after which the changes sent to a call begin. It returns the base version if discovery does
+// not have the version of the caller.
 func (d *fakeDiscovery) deltaStart(call *listCall, version int64) int64 {
 	if call.version < d.baseVersion || call.version > version {
 		return d.baseVersion
@@ -259,7 +261,7 @@
 	return line
 }
 
-// write writes an update, or a heartbeat where there is nothing new. It reports false once the call is over.
+// write writes an update, or a heartbeat if there is nothing new. It reports false if the call has ended.
 func (c *listCall) write(w http.ResponseWriter, u listUpdate) bool {
 	if u.line != nil {
 		if _, err := w.Write(append(u.line, '\n')); err != nil {
@@ -280,7 +282,7 @@
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// waitFor waits for a time or a change. It reports false once ctx has ended.
+// waitFor waits for d or until changed is closed. It reports false if ctx ends first.
 func waitFor(ctx context.Context, d time.Duration, changed <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -293,7 +295,7 @@
 	return true
 }
 
-// rewind restarts discovery with an old version; later changes are published once more. Lab.mu is held.
+// rewind restarts discovery with an old version, and publishes later changes again. Lab.mu is held.
 func (d *fakeDiscovery) rewind(now time.Duration) {
 	first := len(d.lab.hosts)
 	for i, c := range d.changes {
@@ -307,7 +309,7 @@
 	}
 	later := slices.Clone(d.changes[first:])
 	d.changes = d.changes[:first]
-	d.baseVersion -= 10 // versions go back, too
+	d.baseVersion -= 10 // version numbers decrease, too
 	d.epoch++
 	d.disruptedUntil = now
 	for _, c := range later {
--- a/internal/lab/endpointlist.go
+++ b/internal/lab/endpointlist.go
@@ -1,6 +1,6 @@
 package lab
 
-// The endpoint list, as discovery has it for one caller.
+// The endpoint list that discovery sends to a caller.
 
 import (
 	"slices"
@@ -29,17 +29,18 @@
 type endpointChange struct {
 	host      *host
 	state     string
-	started   time.Duration // negative: long ago
+	started   time.Duration // negative: long before the run
 	learnedAt time.Duration
 }
 
-// propagationDelay returns how much later than published a caller receives changes.
+// propagationDelay returns the time from the publication of a change until a caller can receive it.
 func (d *fakeDiscovery) propagationDelay(caller int) time.Duration {
 	r := d.lab.rng.Of("spread", caller)
 	return time.Duration((16 + 80*r.Float64()) * float64(time.Millisecond))
 }
 
-// visible returns the version that a caller can receive by now, and when it can receive the next; negative if there is none.
+// visible returns the version that a caller can receive at a time, and when the caller can receive the next version; negative if
+// there is none yet.
 func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
 	spread := d.propagationDelay(caller)
 	for i, c := range d.changes {
@@ -74,8 +75,8 @@
 	return m
 }
 
-// addr returns the address of the backend for an agent. Each agent has one of its own, so that the network can tell agents
-// apart, except where agents relay lists to each other.
+// addr returns the address of the backend for an agent. Each agent has a separate address, by which the network identifies the
+// agent, except where agents relay lists to each other.
 func (h *host) addr(agent int) string {
 	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // hubs send nothing to backends
 		agent = 0
@@ -83,13 +84,14 @@
 	return h.gates[agent].Addr().String()
 }
 
-// cachedList returns the list in the configuration of an agent that starts, and counts it as delivered. Lab.mu is held.
+// cachedList returns the list for the configuration of an agent that starts, and reports it to the checker as delivered. Lab.mu
+// is held.
 func (d *fakeDiscovery) cachedList(a *agent, now time.Duration) endpointList {
 	v, _ := d.visible(a.number, now)
 	switch d.lab.Scenario.Discovery.CachedList {
 	case "none":
 		return endpointList{Servers: []endpoint{}}
-	case "first": // the list of the start of the run
+	case "first": // the list at the start of the run
 		v = d.baseVersion
 		for _, c := range d.changes {
 			if c.learnedAt < 0 {
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -1,6 +1,6 @@
 package lab
 
-// The history of requests, as a file.
+// The file of the histories of requests.
 
 import (
 	"bufio"
@@ -12,7 +12,8 @@
 	"martenbeam/internal/lab/check"
 )
 
-// recorder writes the history of finished requests as lines of JSON. Its first error is kept and ends the writing.
+// recorder writes the histories of finished requests as lines of JSON. After its first error, which flush returns, it writes
+// nothing more.
 type recorder struct {
 	w   *bufio.Writer
 	enc *json.Encoder
@@ -33,7 +34,7 @@
 	}
 }
 
-// flush writes what is buffered, and returns the first error.
+// flush writes the buffered data, and returns the first error of the recorder.
 func (r *recorder) flush() error {
 	if r.w == nil || r.err != nil {
 		return r.err
@@ -41,7 +42,7 @@
 	return r.w.Flush()
 }
 
-// Flush writes the rest of the history of requests, and returns the first error of writing it.
+// Flush writes the buffered histories of requests, and returns the first error of writing them.
 func (l *Lab) Flush() error { return l.recorder.flush() }
 
 // WriteHistory prints the history of a request, one event a line.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// scheduleEnd schedules the end of a fault; one without a duration lasts until the end of the run. Lab.mu is held.
+// scheduleEnd schedules the end of a fault. A fault without a duration lasts until the end of the run. Lab.mu is held.
 func (l *Lab) scheduleEnd(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
 	if f.Duration > 0 {
 		l.scheduleAt(now+f.Duration.Duration(), end)
@@ -67,7 +67,7 @@
 	}
 }
 
-// showActive lists a fault in the view of the run for as long as it lasts. Lab.mu is held.
+// showActive lists a fault in the view of the run until the fault ends. Lab.mu is held.
 func (l *Lab) showActive(fault *scenario.Fault, now time.Duration) {
 	lasting := fault.Duration > 0 || fault.Kind == scenario.Link || fault.Kind == scenario.FailingBackends || fault.Kind == scenario.NoisyNeighbour
 	if !lasting {
@@ -85,7 +85,7 @@
 	})
 }
 
-// disruptDiscovery makes discovery silent, unavailable, or go back to an old version. Lab.mu is held.
+// disruptDiscovery makes discovery unresponsive or unavailable, or makes it return to an old version. Lab.mu is held.
 func (l *Lab) disruptDiscovery(fault *scenario.Fault, now time.Duration) {
 	d := l.discovery
 	switch fault.Kind {
@@ -110,7 +110,7 @@
 	}
 }
 
-// stepDelay returns when, after its start, a fault reaches the k-th of n targets.
+// stepDelay returns the time from the start of a fault until it applies to the k-th of n targets.
 func stepDelay(f *scenario.Fault, k, n int) time.Duration {
 	if f.Steps <= 1 {
 		return 0
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -17,8 +17,8 @@
 // fleetPort is the port of agents and hubs for their fleet, and of the lab's links to them.
 const fleetPort = 7947
 
-// fleetLinks relay the UDP and TCP traffic of a fleet. A process is reached through its link, which identifies the caller by
-// its address, so the faults of the network apply to processes that know nothing of the lab.
+// fleetLinks relays the UDP and TCP traffic of a fleet. Other processes reach a process through its link, which identifies them
+// by their source address. So the faults of the network apply to processes that are not aware of the lab.
 type fleetLinks struct {
 	lab           *Lab
 	ends          []*fleetEndpoint
@@ -26,15 +26,15 @@
 
 	mu           sync.Mutex
 	bytes        int // sent or received by agents
-	hubBytes     int // sent or received by hubs: traffic between two of them counts twice
+	hubBytes     int // sent or received by hubs; traffic between two hubs counts twice
 	conns        map[net.Conn]bool
-	transitTimes map[transitKey][]time.Duration // of datagrams through the lab, at most maxTransitTimes each
+	transitTimes map[transitKey][]time.Duration // of datagrams through the lab, at most maxTransitTimes for each key
 }
 
 // fleetEndpoint is a process of the fleet and its link.
 type fleetEndpoint struct {
 	netfault.Endpoint
-	name        string // in the names of random streams
+	name        string // part of the names of random streams
 	processAddr netip.AddrPort
 	udp         *net.UDPConn
 	tcp         *net.TCPListener
@@ -64,7 +64,7 @@
 	return f, nil
 }
 
-// listen opens the link of a process, which has one address and is reached at another.
+// listen opens the link of a process. The process listens on the IP address at, and others reach it at the IP address reached.
 func (f *fleetLinks) listen(p netfault.Endpoint, name, at, reached string) error {
 	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
@@ -92,7 +92,7 @@
 	}
 }
 
-// countBytes counts traffic between two processes.
+// countBytes counts n bytes of traffic between two processes.
 func (f *fleetLinks) countBytes(from, to *fleetEndpoint, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// fleetAddr returns the fleet address of an agent's process, and fleetLink the one at which others reach it.
+// fleetAddr returns the fleet address on which agent n listens. fleetLink returns the address at which others reach it.
 func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
 func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-// recordTransit records how long a datagram took, the lateness of the lab included.
+// recordTransit records the transit time of a datagram, including the lateness of the lab.
 func (f *fleetLinks) recordTransit(k transitKey, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,8 +149,8 @@
 	}
 }
 
-// recentTransit returns the lower quartile of the transit times between two zones in the two seconds before a time. It reports
-// false if there were too few.
+// recentTransit returns the lower quartile of the transit times between two zones in the two full seconds before a time. It
+// reports false if there are too few transit times.
 func (f *fleetLinks) recentTransit(from, to int, at time.Duration) (time.Duration, bool) {
 	second := int(at / time.Second)
 	f.mu.Lock()
@@ -196,7 +196,7 @@
 	}
 }
 
-// linkState returns the present fault and latency from one process to another.
+// linkState returns the current fault and the current latency from one process to another.
 func (f *fleetLinks) linkState(from, to *fleetEndpoint) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
@@ -204,8 +204,8 @@
 	return x, f.lab.baseLatency(from.Endpoint, to.Endpoint) + x.Delay
 }
 
-// carryStream relays one TCP connection. During a partition it hangs, as its SYN would; if the other process has ended it is
-// reset, in place of being refused.
+// carryStream relays one TCP connection. During a partition the connection hangs, as if its SYN were lost. If the other process
+// has ended, carryStream resets the connection, since it can no longer refuse it.
 func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
@@ -237,8 +237,8 @@
 	both.Wait()
 }
 
-// copy relays one direction. Data that meets a partition waits until it heals, as TCP retransmits. So does the end of the
-// connection, unless both sides have ended.
+// copy relays one direction. During a partition, copy delays data until the partition heals, as TCP would retransmit the data.
+// It delays the end of the direction likewise, unless both directions have ended.
 func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEndpoint, ended *atomic.Int32) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -277,7 +277,7 @@
 	}
 }
 
-// wait waits for a time. It reports false once the lab ends.
+// wait waits for d. It reports false if the lab ends first.
 func (f *fleetLinks) wait(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -1,6 +1,6 @@
 package lab
 
-// Listeners that can refuse connections, or leave them hanging.
+// Listeners that can leave new connections hanging.
 
 import (
 	"errors"
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// gate is a listener that can be made unreachable: new connections then hang, as if the network dropped the SYN.
+// gate is a listener that can be made unreachable. New connections then hang, as if the network dropped the SYN.
 type gate struct {
 	listener *net.TCPListener
 	wrap     func(net.Conn) net.Conn
 
-	accepting sync.Mutex // held while the listener accepts; locked after mu, if both are
+	accepting sync.Mutex // held while the listener accepts; a goroutine that needs both locks mu first
 
 	mu          sync.Mutex
 	unreachable bool
 	closed      bool
-	reachable   chan struct{} // closed once connections are accepted again; nil: they are
-	filler      net.Conn
+	reachable   chan struct{} // closed once the gate is reachable again; nil while it is reachable
+	filler      net.Conn      // occupies the accept queue while the gate is unreachable
 }
 
 func newGate(ip string, wrap func(net.Conn) net.Conn) (*gate, error) {
@@ -57,7 +57,7 @@
 		g.accepting.Unlock()
 		g.mu.Lock()
 		if err == nil {
-			// An Accept that was in progress when the gate became unreachable may take the filler: fill the queue again.
+			// An Accept that was in progress when the gate became unreachable may return the filler: fill the queue again.
 			ours := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
 			if ours {
 				c.Close()
@@ -87,16 +87,16 @@
 	}
 }
 
-// fillBacklog takes the only place of the accept queue with a connection of the lab. g.mu is held.
+// fillBacklog occupies the only place of the accept queue with a connection of the lab. g.mu is held.
 func (g *gate) fillBacklog() {
 	if g.filler != nil {
 		g.filler.Close()
 	}
-	g.filler, _ = net.DialTimeout("tcp4", g.listener.Addr().String(), 250*time.Millisecond) // if it fails, the queue is full already
+	g.filler, _ = net.DialTimeout("tcp4", g.listener.Addr().String(), 250*time.Millisecond) // fails if the queue is already full
 }
 
-// setUnreachable makes the gate unreachable or reachable. While it is unreachable nothing is accepted and the accept queue is
-// full, so the kernel answers no further SYN.
+// setUnreachable makes the gate unreachable or reachable. An unreachable gate accepts nothing and its accept queue is full, so
+// the kernel answers no further SYN.
 func (g *gate) setUnreachable(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,7 +107,7 @@
 	if on {
 		g.reachable = make(chan struct{})
 		_ = g.listener.SetDeadline(time.Unix(1, 0))
-		g.accepting.Lock() // an Accept in progress ends first: it would take the filler, and leave its place to another
+		g.accepting.Lock() // waits for an Accept in progress, which would otherwise remove the filler from the queue
 		defer g.accepting.Unlock()
 		g.setBacklog(0)
 		g.fillBacklog()
@@ -117,7 +117,7 @@
 		g.filler.Close()
 		g.filler = nil
 	}
-	// Whatever got into the queue meanwhile would not have got through a network: reset it.
+	// A real network would not have passed the connections that entered the queue while the gate was unreachable: reset them.
 	_ = g.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
 	for {
 		c, err := g.listener.Accept()
--- a/internal/lab/hosts.go
+++ b/internal/lab/hosts.go
@@ -22,7 +22,7 @@
 
 const cores = 4
 
-// addInitialHosts adds the backends that are there at the start.
+// addInitialHosts adds the backends that are up at the start of the run.
 func (l *Lab) addInitialHosts() {
 	s := l.Scenario
 	for n := range s.Fleet.Backends {
@@ -37,7 +37,7 @@
 	}
 }
 
-// addHost adds a backend with properties drawn from the seed. A negative start time means long ago.
+// addHost adds a backend with properties drawn from the seed. A negative start time means that it started long before the run.
 func (l *Lab) addHost(zone int, started time.Duration) *host {
 	n := len(l.hosts)
 	ranges, r := &l.Scenario.Model, l.rng.Of("machine", n)
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -38,7 +38,7 @@
 	return list
 }
 
-// hubAddr returns the fleet address of a hub's process, and hubLinkAddr the one at which others reach it.
+// hubAddr returns the fleet address on which hub n listens. hubLink returns the address at which others reach it.
 func (l *Lab) hubAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.hubAddr(n), fleetPort) }
 func (l *Lab) hubLink(n int) string { return fmt.Sprintf("%s:%d", l.block.hubLinkAddr(n), fleetPort) }
 
@@ -48,7 +48,7 @@
 func (h *hub) policyFile() string   { return filepath.Join(h.dir, "policy.toml") }
 func (h *hub) settingsFile() string { return filepath.Join(h.dir, "settings.toml") }
 
-// start starts the process. Its state survives a restart unless the restart is to be empty. Lab.mu is held.
+// start writes the configuration and starts the process. keep preserves the hub's state of its previous run. Lab.mu is held.
 func (h *hub) start(_ time.Duration, keep bool) error {
 	l := h.lab
 	h.starts++
@@ -74,7 +74,7 @@
 func (w *tomlWriter) table(name string) { w.WriteString("[" + name + "]\n") }
 
 func (w *tomlWriter) set(key string, value any) {
-	text, _ := json.Marshal(value) // JSON and TOML write names, numbers and lists of them alike
+	text, _ := json.Marshal(value) // strings, numbers and lists of them have the same form in JSON and TOML
 	fmt.Fprintf(w, "%s = %s\n", key, text)
 }
 
@@ -115,7 +115,7 @@
 	return seeds
 }
 
-// writeZones writes the zones, with their regions if there are any.
+// writeZones writes the zones, with their regions if the scenario has regions.
 func (h *hub) writeZones(w *tomlWriter) {
 	fleet := &h.lab.Scenario.Fleet
 	if len(fleet.Regions) == 0 {
@@ -128,7 +128,7 @@
 	}
 }
 
-// writeDocuments writes where settings and the residency policy come from and are kept.
+// writeDocuments writes the source files and the state files of the settings and of the residency policy.
 func (h *hub) writeDocuments(w *tomlWriter, stateDir string) {
 	shared := &h.lab.Scenario.Shared
 	w.table("settings")
@@ -152,7 +152,7 @@
 	return awaitOK(ctx, ended, "http://"+h.lab.hubAddr(h.number)+"/fleet/settings")
 }
 
-// HubsReport holds the resources used by all hubs together.
+// HubsReport holds the resources that the hubs used.
 type HubsReport struct {
 	Hubs int `json:"hubs"`
 	Usage
@@ -160,7 +160,7 @@
 	Bytes   float64 `json:"bytes_per_s_per_hub"` // sent and received
 }
 
-// hubsReport returns nil where there are no hubs. Lab.mu is held.
+// hubsReport returns the resources that the hubs used, or nil if the run has no hubs. Lab.mu is held.
 func (l *Lab) hubsReport() *HubsReport {
 	if len(l.hubs) == 0 {
 		return nil
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,8 +1,8 @@
-// Package lab emulates a whole fleet on one machine: real processes of agents and hubs, and around them clients, backends,
-// discovery and a network with faults, all in this process.
+// Package lab emulates a fleet on one machine. Agents and hubs are real processes; the lab's process emulates the clients, the
+// backends, discovery and a network with faults around them.
 //
-// One mutex guards the state of a run (Lab.mu). Timed events go through an event queue that one goroutine works off; the other
-// goroutines wait for sockets. The lateness of events and arrivals is measured, and a lab that was too late gives no verdict.
+// One mutex, Lab.mu, guards the state of a run. One goroutine runs timed events from an event queue; the other goroutines wait
+// for sockets. The lab measures the lateness of events and arrivals, and gives no verdict if it was too late.
 package lab
 
 import (
@@ -27,22 +27,22 @@
 	Scenario      *scenario.Scenario
 	Seed          uint64
 	Agent         []string // the command line of an agent
-	Hub           []string // that of a hub, without --config and its file; required if the scenario has hubs
+	Hub           []string // the command line of a hub, without --config and its file; required if the scenario has hubs
 	Env           []string // added to the environment of agents and hubs
-	Dir           string   // where processes have their configuration, logs and state
+	Dir           string   // the directory for the configuration, logs and state of processes
 	Events        io.Writer
-	AcceptUnknown bool                 // requests that do not come from the lab are served, and not checked
+	AcceptUnknown bool                 // backends serve requests that do not come from the lab; the checker ignores them
 	OnReady       func(l *Lab)         // called just before the first request
 	OnSecond      func(l *Lab, s View) // called after each second
 }
 
-// Lab is one run. It is used once: New, Run, Close.
+// Lab is one run. It is used once: call New, Run and Close in this order.
 type Lab struct {
 	Options
 	block            *block
 	createdAt        time.Time     // by the monotonic clock
-	createdSinceBoot time.Duration // the same moment, since the machine's start
-	startOffset      atomic.Int64  // start of the run's time after createdAt, in ns
+	createdSinceBoot time.Duration // createdAt as the time since the machine's boot
+	startOffset      atomic.Int64  // from createdAt until time 0 of the run, in ns
 	rng              rng.Source
 	scale            float64 // factor of the work of requests, and of their objectives and deadlines
 	classes          []class
@@ -54,33 +54,33 @@
 	network            *netfault.Network
 	check              *check.Checker
 	tally              *check.Tally
-	lateness           *hdrhistogram.Histogram // us
+	lateness           *hdrhistogram.Histogram // in microseconds
 	hosts              []*host
 	agents             []*agent
 	hubs               []*hub
 	discovery          *fakeDiscovery
-	fleet              *fleetLinks        // nil: agents are not a fleet
-	residency          *check.Residency   // nil: no policy is in force
+	fleet              *fleetLinks        // nil if agents are not a fleet
+	residency          *check.Residency   // nil if no policy is in force
 	processEnds        []processEnd       // of agents
 	publishedSettings  []publishedVersion // in order
 	reachability       []reachable        // a new entry at each change
-	networkChanges     []time.Duration    // when faults of the network began and ended
-	restartTimes       []time.Duration    // from a process's restart until it accepted clients
+	networkChanges     []time.Duration    // times at which faults of the network began or ended
+	restartTimes       []time.Duration    // from the restart of an agent until it accepted clients
 	attempts           map[uint64]*attempt
 	servedKeys         map[cellKey]bool // idempotency keys within their window
-	lastAttempt        uint64           // its number
+	lastAttempt        uint64           // number of the latest attempt
 	partitioned        []partitionedMessage
 	loadFactor         float64
 	activeFaults       []string // as shown in a View
 	crashes            []string
-	overloadedBackends int          // crashed by overload in slow start
+	overloadedBackends int          // backends that crashed by overload in slow start
 	unreachableSpans   []check.Span // in which whole zones are unreachable
 	watchUntil         time.Duration
-	watching           bool                           // for SYNs without an answer
+	watching           bool                           // a goroutine counts connections whose SYN is unanswered
 	backendAddrs       map[netip.AddrPort]backendAddr // by the address of a listener
 	tenantQuotas       []tokenBucket
 	gateMu             sync.Mutex // serialises updateGates
-	datagrams          int        // exchanged by agents
+	datagrams          int        // datagrams that agents exchanged
 	err                error
 	closing            bool
 
@@ -94,14 +94,14 @@
 // The bounds of the rules.
 const (
 	drainGrace          = 500 * time.Millisecond
-	answerGrace         = 500 * time.Millisecond // after the deadline, in which an answer counts as late but not as lost
+	answerGrace         = 500 * time.Millisecond // after the deadline: an answer within it counts as late, not as lost
 	socketSlack         = 50 * time.Millisecond
 	propagationDeadline = 6 * time.Second // after which a change counts as delivered to an agent
-	maxClosedNewShare   = 1. / 200        // of requests that may be closed unanswered as the first on their connection
+	maxClosedNewShare   = 1. / 200        // of requests: the agent may close the connection before it answers the first request on it
 )
 
-// Run plays the scenario and reports the result. If ctx ends first, the report covers the run until then. The error is a failure
-// of the lab itself, or ErrCrash if a process did not start.
+// Run plays the scenario and returns the report. If ctx ends first, the report covers the run until then. The error is a failure
+// of the lab itself, or wraps ErrCrash if a process did not start.
 func (l *Lab) Run(ctx context.Context) (*Report, error) {
 	l.running.Go(l.runSchedule)
 	go l.startProcesses()
@@ -130,10 +130,10 @@
 	return l.report(), l.err
 }
 
-// startClock starts the time of the run, with its faults and views. What happened before does not count.
+// startClock sets time 0 of the run and schedules its faults and views. It discards earlier events and measurements.
 func (l *Lab) startClock() {
 	l.mu.Lock()
-	l.startOffset.Store(int64(time.Since(l.createdAt))) // the time of the run starts with its clients
+	l.startOffset.Store(int64(time.Since(l.createdAt))) // time 0 of the run is when its clients start
 	l.schedule, l.lastSeq = nil, 0
 	for _, a := range l.agents {
 		l.check.ForgetEndpoints(a.number)
@@ -153,7 +153,7 @@
 	l.wake()
 }
 
-// awaitOpenRequests waits until all requests have ended, at most for the longest deadline.
+// awaitOpenRequests waits until all requests have ended, for at most the longest deadline, answerGrace and one second.
 func (l *Lab) awaitOpenRequests(ctx context.Context) {
 	limit := time.After(l.maxDeadline() + answerGrace + time.Second)
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -178,7 +178,7 @@
 	}
 }
 
-// fail ends the run for an error of the lab itself. Lab.mu is held.
+// fail ends the run because of an error of the lab itself. Only the first error counts. Lab.mu is held.
 func (l *Lab) fail(err error) {
 	if l.err == nil && !l.closing {
 		l.err = err
@@ -186,7 +186,7 @@
 	}
 }
 
-// Close kills all processes and closes all sockets of the lab, and waits for its goroutines.
+// Close kills all processes, closes all sockets of the lab and waits for its goroutines.
 func (l *Lab) Close() {
 	l.mu.Lock()
 	l.closing = true
@@ -221,5 +221,5 @@
 	return part / whole
 }
 
-// quietLog discards the log of product code that the lab itself calls.
+// quietLog discards the log lines of product code that the lab calls in its own process.
 var quietLog = slog.New(slog.DiscardHandler)
--- a/internal/lab/listservice.go
+++ b/internal/lab/listservice.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// listServiceQueue models the limited capacity of a polled list service: calls are queued, and fail if they would wait too long.
-// Changes sent on an open watch cost nothing. Guarded by Lab.mu.
+// listServiceQueue models the limited capacity of a polled list service. It queues calls, and rejects a call that would wait too
+// long. Changes sent on an open watch cost nothing. Lab.mu guards it.
 type listServiceQueue struct {
 	idleAt   time.Duration // when the queue will be empty
 	seconds  []int         // calls, by second of the run
 	calls    int
 	rejected int
 	bytes    int
-	maxWait  time.Duration // of a call
+	maxWait  time.Duration // longest wait of a call
 }
 
-// Lists counts the calls at a polled list service.
+// Lists reports the calls to a polled list service.
 type Lists struct {
 	Calls        int     `json:"calls"`
 	PerAgent     float64 `json:"calls_per_start"` // calls for each start of an agent
@@ -26,7 +26,7 @@
 	Bytes        int     `json:"bytes"`
 }
 
-// awaitTurn queues a call. It reports false if the call was rejected, or its caller has gone.
+// awaitTurn queues a call until its turn. It reports false if the call was rejected or its caller has disconnected.
 func (d *fakeDiscovery) awaitTurn(w http.ResponseWriter, r *http.Request, whole bool) bool {
 	l := d.lab
 	s := &l.Scenario.Discovery
@@ -59,7 +59,7 @@
 	return waitFor(r.Context(), wait+cost, nil)
 }
 
-// listsReport returns nil where lists are pushed. Lab.mu is held.
+// listsReport returns the calls to the list service, or nil if the list service is not polled. Lab.mu is held.
 func (l *Lab) listsReport() *Lists {
 	if !l.Scenario.Discovery.Polled {
 		return nil
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -11,8 +11,9 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// addNetworkRules adds rules to the network for the duration of a fault. Agents that are cut off from their clients or from
-// discovery are excused meanwhile. Lab.mu is held.
+// addNetworkRules adds rules to the network for the duration of a fault. The checker excuses agents that have a fault between
+// them and their clients, and an agent or hub that is cut off from discovery counts as a disruption of discovery. Lab.mu is
+// held.
 func (l *Lab) addNetworkRules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
@@ -64,7 +65,7 @@
 		case netfault.Hub:
 			n = len(l.hubs)
 		case netfault.Discovery:
-			n += len(l.hubs) // each hub has a discovery listener of its own
+			n += len(l.hubs) // each hub has a separate discovery listener
 		}
 		picked := map[int]bool{}
 		for _, k := range l.pickFrom(i, set, n, func(k int) int { return l.zone(endpointOf(role, k)) }) {
@@ -91,8 +92,8 @@
 	}
 }
 
-// updateGates makes listeners reachable or unreachable by the present state of the network. Lab.mu is held; the listeners
-// change soon after, by a goroutine.
+// updateGates makes listeners reachable or unreachable according to the current state of the network. A goroutine changes the
+// listeners soon after updateGates returns. Lab.mu is held.
 func (l *Lab) updateGates() {
 	type job struct {
 		g    *gate
@@ -122,8 +123,8 @@
 	})
 }
 
-// partitionZone partitions a zone from the others, in both directions or in the incoming one. Discovery is outside of each zone.
-// Lab.mu is held.
+// partitionZone partitions a zone from the others, in both directions or only in the incoming direction. Discovery is outside
+// every zone. Lab.mu is held.
 func (l *Lab) partitionZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	inside := func(p netfault.Endpoint) bool {
--- a/internal/lab/openings.go
+++ b/internal/lab/openings.go
@@ -14,8 +14,8 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// Attempts at unreachable backends. On an established connection the lab reads the attempt and holds it back. A connection that
-// is not established shows only in the kernel's table of sockets, in state SYN_SENT.
+// Attempts at unreachable backends. On an established connection the lab reads the attempt and queues it. A connection that is
+// not established appears only in the kernel's table of sockets, in state SYN_SENT.
 
 const openingInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
 
@@ -30,7 +30,8 @@
 	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
 
-// watchOpenings counts connections that are not established while a fault makes zones unreachable. Lab.mu is held.
+// watchOpenings starts to count connections that cannot be established, until the end of a fault that makes zones unreachable.
+// Lab.mu is held.
 func (l *Lab) watchOpenings(f *scenario.Fault, now time.Duration) {
 	if !zoneFault(f) {
 		return
@@ -52,7 +53,7 @@
 				return
 			}
 			table, err := os.ReadFile("/proc/self/net/tcp")
-			list := openings(table) // before locking: a machine may have many thousands of sockets
+			list := openings(table) // parsed before locking, since a machine may have many thousands of sockets
 			l.mu.Lock()
 			if err != nil {
 				l.fail(err)
@@ -73,7 +74,7 @@
 
 // openings returns the connections in state SYN_SENT of the kernel's table.
 func openings(table []byte) (list []opening) {
-	// Most lines are of sockets in TIME_WAIT: the state at its fixed place is compared before the line is split.
+	// Most sockets are in state TIME_WAIT, so the state, at its fixed position, is compared before the line is split.
 	const synSent, state = "02", len("0100007F:1F90 00000000:0000 ")
 	lines := bufio.NewScanner(bytes.NewReader(table))
 	for lines.Scan() {
@@ -91,7 +92,8 @@
 	return list
 }
 
-// kernelAddress parses an IPv4 address and port of the kernel's table, which has the address in little-endian byte order.
+// kernelAddress parses an IPv4 address and port in the form of the kernel's table, which has the address in little-endian byte
+// order.
 func kernelAddress(text []byte) (a netip.AddrPort, ok bool) {
 	ip, port, found := bytes.Cut(text, []byte(":"))
 	var b [6]byte
@@ -107,9 +109,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{b[3], b[2], b[1], b[0]}), uint16(b[4])<<8|uint16(b[5])), true
 }
 
-// countOpenings counts the connections to unreachable backends that are new since the call before, and returns those that are
-// open now. One at a time for each agent and zone may be a health check, which looks the same from outside, and is left out.
-// Lab.mu is held.
+// countOpenings counts the connections to unreachable backends that are new since the previous call, and returns the connections
+// that are in state SYN_SENT now. For each agent and zone it leaves out one connection at a time, which may be a health check:
+// the table does not tell health checks from attempts. Lab.mu is held.
 func (l *Lab) countOpenings(now time.Duration, list []opening, before map[opening]bool) map[opening]bool {
 	if l.backendAddrs == nil {
 		l.backendAddrs = map[netip.AddrPort]backendAddr{}
@@ -150,8 +152,9 @@
 	host  *host
 }
 
-// avoidedAfter returns the longest time, in seconds, from the start of a fault of zones until fewer than 1% of first attempts
-// went to unreachable backends; nil without such a fault, -1 if that never came.
+// avoidedAfter returns the longest time, in seconds, from the start of a fault that makes zones unreachable until fewer than 1%
+// of first attempts went to unreachable backends. It returns nil if there was no fault of this kind, and -1 if the share of
+// attempts never fell below 1%.
 func (l *Lab) avoidedAfter() *float64 {
 	var worst *float64
 	for _, s := range l.unreachableSpans {
@@ -167,7 +170,7 @@
 	return worst
 }
 
-// usedCapacity returns the share of the present capacity of all available backends that is in use. Lab.mu is held.
+// usedCapacity returns the share of the current capacity of all available backends that is in use. Lab.mu is held.
 func (l *Lab) usedCapacity(now time.Duration) float64 {
 	work, all := 0.0, 0.0
 	for _, h := range l.hosts {
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -13,7 +13,7 @@
 
 func (l *Lab) policyFile(a *agent) string { return filepath.Join(a.dir, "policy.toml") }
 
-// publishInitialPolicy gives the policy of the start to its sources.
+// publishInitialPolicy writes the initial policy to its sources and reports it to the checker.
 func (l *Lab) publishInitialPolicy() error {
 	s := &l.Scenario.Shared
 	if s.Policy == "" {
@@ -47,13 +47,13 @@
 		return err
 	}
 	l.residency.Publish(now, p.Version, func(tenant, class, zone int) bool {
-		rule := h.RuleID(tenants[tenant].name, classes[class].name) // registers the rule, so it has to come before the table
+		rule := h.RuleID(tenants[tenant].name, classes[class].name) // registers the rule, so the call has to come before Table
 		return h.Table().Permits(rule, zone)
 	})
 	return nil
 }
 
-// applyPolicyFault gives a new policy to sources. Lab.mu is held.
+// applyPolicyFault writes a new policy to sources and reports it to the checker. Lab.mu is held.
 func (l *Lab) applyPolicyFault(i int, f *scenario.Fault, now time.Duration) {
 	var files []string
 	if len(l.hubs) > 0 {
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -25,27 +25,27 @@
 	// Guarded by Lab.mu.
 	cmd          *exec.Cmd
 	starts       int
-	faultControl faultinject.Control // of a program built by package faultinject
-	faultPlan    faultinject.Plan    // in force
-	up           bool                // it is ready
-	readyAt      time.Duration       // when it became ready
-	endExpected  bool                // the lab has asked it to end
-	ended        chan struct{}       // closed once it has ended
+	faultControl faultinject.Control // for a program built by package faultinject
+	faultPlan    faultinject.Plan    // the plan in force
+	up           bool                // the process is ready
+	readyAt      time.Duration       // when the process last became ready
+	endExpected  bool                // the lab has signalled the process to end
+	ended        chan struct{}       // closed once the process has ended
 	usage        Usage
 }
 
-// role is what differs between agents and hubs. Lab.mu is held by the caller of each method but awaitReady.
+// role is the behaviour that differs between agents and hubs. The caller of each method except awaitReady holds Lab.mu.
 type role interface {
 	start(now time.Duration, keep bool) error
-	awaitReady(ctx context.Context, ended <-chan struct{}) error // waits until it works
-	onReady(now time.Duration)                                   // it is ready again
-	onKilled(now time.Duration)                                  // it was killed
-	onPaused(from, to time.Duration)                             // it is paused for that time
-	onExit(now time.Duration)                                    // its process has ended, for any reason
+	awaitReady(ctx context.Context, ended <-chan struct{}) error // waits until the process is ready
+	onReady(now time.Duration)                                   // the process is ready again
+	onKilled(now time.Duration)                                  // the process was killed
+	onPaused(from, to time.Duration)                             // the process is paused between two times
+	onExit(now time.Duration)                                    // the process has ended, for any reason
 }
 
-// startProcesses starts processes on request, from one thread that lives as long as the lab: by Pdeathsig the kernel kills a child
-// when the thread that started it ends, and so with the lab, however that ends.
+// startProcesses starts processes on request, from one thread that ends with the lab. By Pdeathsig the kernel kills a child when
+// the thread that started it ends, so no child outlives the lab, even if the lab is killed.
 func (l *Lab) startProcesses() {
 	runtime.LockOSThread()
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-// launch starts a command line as the process, with a minimal environment and env. Lab.mu is held.
+// launch starts a command line as the process. Its environment is PATH, HOME and env. Lab.mu is held.
 func (p *process) launch(command, env []string) error {
 	l := p.lab
 	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// awaitExit waits for the end of the process. One that the lab has not asked for is a crash.
+// awaitExit waits for the end of the process. An end that the lab did not request is a crash.
 func (p *process) awaitExit(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	l := p.lab
@@ -119,13 +119,13 @@
 func (p *process) kill() {
 	p.endExpected = true
 	if p.cmd != nil {
-		_ = p.cmd.Process.Kill() // fails only if it has ended
+		_ = p.cmd.Process.Kill() // fails only if the process has ended
 	}
 }
 
 const startTimeout = 30 * time.Second
 
-// awaitOK waits until a URL is answered with 200, at most for startTimeout.
+// awaitOK waits until a GET of url returns status 200, for at most startTimeout.
 func awaitOK(ctx context.Context, ended <-chan struct{}, url string) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	limit := time.Now().Add(startTimeout)
@@ -151,7 +151,8 @@
 // allProcesses returns all processes, hubs first.
 func (l *Lab) allProcesses() []*process { return append(l.hubProcesses(), l.agentProcesses()...) }
 
-// startAll starts processes and waits until all are ready. It returns the first error.
+// startAll starts processes and waits until all are ready. It returns the first error, which wraps ErrCrash if a process did not
+// become ready.
 func (l *Lab) startAll(ctx context.Context, list []*process) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -187,7 +188,7 @@
 // ErrCrash is the error of a process that did not start.
 var ErrCrash = errors.New("a process has crashed")
 
-// restart starts a process that has ended, and marks it as up once it is ready. Lab.mu is held.
+// restart starts a process that has ended, and marks the process as up once it is ready. Lab.mu is held.
 func (p *process) restart(now time.Duration, keep bool) {
 	l := p.lab
 	if l.closing {
@@ -202,7 +203,7 @@
 		err := p.role.awaitReady(l.ctx, ended)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if p.cmd != cmd || p.endExpected { // it was asked to end meanwhile: whoever did so restarts it
+		if p.cmd != cmd || p.endExpected { // another fault ended the process before it was ready, and restarts it
 			return
 		}
 		if err == nil {
--- a/internal/lab/processfaults.go
+++ b/internal/lab/processfaults.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// pauseProcess stops a process for a time. The kernel still accepts connections for it. Lab.mu is held.
+// pauseProcess stops a process for the duration of a fault. The kernel still accepts connections for it. Lab.mu is held.
 func (l *Lab) pauseProcess(p *process, f *scenario.Fault, now time.Duration) {
 	cmd := p.cmd
 	p.role.onPaused(now, now+f.Duration.Duration()+pauseSlack)
@@ -43,18 +43,19 @@
 		if p.cmd != cmd {
 			return
 		}
-		_ = cmd.Process.Signal(syscall.SIGCONT) // also if it was asked to end meanwhile; fails only if it has ended
+		_ = cmd.Process.Signal(syscall.SIGCONT) // also to a process that was sent SIGTERM; fails only if it has ended
 		p.up = !p.endExpected
 	})
 }
 
-// pauseSlack is the time that a process needs after a pause to answer what has arrived meanwhile.
+// pauseSlack is the time that a process needs after a pause to answer the requests that arrived during the pause.
 const pauseSlack = 200 * time.Millisecond
 
-// The platform kills a process killDelay after its SIGTERM and the longest deadline, of which maxCountedDeadline counts at most.
+// The platform sends SIGKILL after SIGTERM. The time between the two signals is the longest deadline, limited to
+// maxCountedDeadline, plus killDelay.
 const killDelay, maxCountedDeadline = 700 * time.Millisecond, 3 * time.Second
 
-// endProcess sends a signal that ends a process, and restarts it if wanted. Lab.mu is held.
+// endProcess sends a signal that ends a process, and restarts the process unless the fault's restart is "never". Lab.mu is held.
 func (l *Lab) endProcess(p *process, f *scenario.Fault, now time.Duration, signal syscall.Signal) {
 	cmd, ended := p.cmd, p.ended
 	p.endExpected, p.up = true, false
@@ -64,7 +65,7 @@
 	}
 	if signal == syscall.SIGTERM {
 		l.scheduleAt(now+min(l.maxDeadline(), maxCountedDeadline)+killDelay, func(time.Duration) {
-			_ = cmd.Process.Kill() // fails only if it has ended
+			_ = cmd.Process.Kill() // fails only if the process has ended
 		})
 		l.scheduleSignals(cmd, now, f.ExtraSignals)
 	}
--- a/internal/lab/reachability.go
+++ b/internal/lab/reachability.go
@@ -9,7 +9,7 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// reachable says which processes are up from a time on, and which pairs can reach each other.
+// reachable records which processes are up from a time on, and which pairs can reach each other.
 type reachable struct {
 	at                   time.Duration
 	agents, hubs         []bool
@@ -18,7 +18,7 @@
 
 const reachabilityInterval = 20 * time.Millisecond
 
-// watchReachability records the reachability of the fleet from a time on. Lab.mu is held.
+// watchReachability records the reachability of the fleet every reachabilityInterval from a time on. Lab.mu is held.
 func (l *Lab) watchReachability(at time.Duration) {
 	if len(l.publishedSettings) == 0 {
 		return
@@ -49,7 +49,7 @@
 	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.agentToHub, o.agentToHub) && slices.Equal(r.hubToHub, o.hubToHub)
 }
 
-// spread returns the hubs that can have what some hubs have: those that they can reach, directly or through others.
+// spread returns the hubs that data of some hubs can reach, directly or through other hubs.
 func (r *reachable) spread(some []bool) []bool {
 	list := make([]bool, len(r.hubs))
 	for h := range list {
@@ -68,7 +68,7 @@
 	return list
 }
 
-// agentReaches reports whether an agent is up and can reach one of some hubs.
+// agentReaches reports whether an agent is up and can reach at least one of some hubs.
 func (r *reachable) agentReaches(agent int, some []bool) bool {
 	for h, has := range some {
 		if has && r.agents[agent] && r.agentToHub[agent*len(some)+h] {
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxConnectionsPerSecond returns the most connections opened to one backend in one second. Lab.mu is held.
+// maxConnectionsPerSecond returns the maximum number of connections opened to one backend in one second after the warm-up.
+// Lab.mu is held.
 func (l *Lab) maxConnectionsPerSecond() (most int) {
 	settle := l.Scenario.WarmUp.Duration() / time.Second
 	for _, h := range l.hosts {
@@ -20,7 +21,7 @@
 	return most
 }
 
-// restartTimePercentiles returns percentiles of the time from a restart until clients are accepted. Lab.mu is held.
+// restartTimePercentiles returns percentiles of the time from the restart of an agent until it accepts clients. Lab.mu is held.
 func (l *Lab) restartTimePercentiles() Percentiles {
 	if len(l.restartTimes) == 0 {
 		return Percentiles{}
@@ -30,8 +31,9 @@
 	return Percentiles{at(0.5), at(0.99), at(0.999)}
 }
 
-// recoveryTime returns the seconds from the first fault until three consecutive seconds were served at 95% or more of the service
-// before it; nil if there is no fault or nothing before it, -1 if that never came. Lab.mu is held.
+// recoveryTime returns the seconds from the first fault until the service recovered: after a second below 95% of the service
+// before the fault, three consecutive seconds reached 95% of it again. It returns nil if there is no fault or no full second
+// between the warm-up and the first fault, 0 if no second was below 95%, and -1 if the service did not recover. Lab.mu is held.
 func (l *Lab) recoveryTime() *float64 {
 	if len(l.Scenario.Faults) == 0 {
 		return nil
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -10,8 +10,9 @@
 
 const maxDatagramBytes = 2048
 
-// openRelays starts the relays of datagrams between agents. A datagram for agent k is sent to the relay of k, which identifies the
-// sender by its address, and reaches k from the sender's relay. So each agent has one address, the same for all.
+// openRelays starts the relays of datagrams between agents. Agents send a datagram for agent k to the relay of k. The relay
+// identifies the sender by its address, and k receives the datagram from the sender's relay. So every agent sees a peer at the
+// same address.
 func (l *Lab) openRelays() error {
 	for _, a := range l.agents {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.linkAddr(a.number))})
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -11,7 +11,7 @@
 // Schema is the version of the JSON form of Report.
 const Schema = 1
 
-// Report is the result of a run. Shares are from 0 to 1; the unit of a time is in its key.
+// Report is the result of a run. Shares are from 0 to 1; the JSON key of a time names its unit.
 type Report struct {
 	Schema          int     `json:"schema"`
 	Scenario        string  `json:"scenario"`
@@ -23,7 +23,7 @@
 	WarmUpSeconds   float64 `json:"settle_s"`
 	Verdict         string  `json:"verdict"` // "kept", "broken", "crashed", "void", "ended early"
 
-	Offered            int         `json:"offered"` // clients' requests, each with its retries
+	Offered            int         `json:"offered"` // requests of clients; a request and its retries count once
 	ServedInObjective  float64     `json:"served_in_aim"`
 	Rejected           float64     `json:"refused"`
 	Failed             float64     `json:"failed"`
@@ -45,7 +45,7 @@
 	Agent             Usage              `json:"agent"`
 	Datagrams         float64            `json:"datagrams_per_s"`
 	MaxDialsPerSecond int                `json:"connections_busiest_backend_worst_s"` // opened in one second, after the warm-up
-	RestartTimes      Percentiles        `json:"ready_ms"`                            // from a restart until clients are accepted
+	RestartTimes      Percentiles        `json:"ready_ms"`                            // from the restart of an agent until it accepts clients
 	RecoveryTime      *float64           `json:"recovered_after_s"`                   // see recoveryTime
 	Lists             *Lists             `json:"list_service,omitempty"`
 	Shared            *Shared            `json:"shared,omitempty"`
@@ -70,10 +70,10 @@
 	First      *check.Violation `json:"first"`
 	ByRule     map[string]int   `json:"by_rule,omitempty"`
 	History    *check.Request   `json:"history,omitempty"` // of the first request that broke a rule
-	Shared     string           `json:"shared,omitempty"`  // the violated bound of what agents share
+	Shared     string           `json:"shared,omitempty"`  // the first violated bound of the state that agents share
 }
 
-// The verdicts of a run, as in the report.
+// The verdicts of a run, as the report has them.
 const (
 	Passed       = "kept"
 	Violated     = "broken"
@@ -103,7 +103,7 @@
 	return r
 }
 
-// reportService reports the service that clients got. Lab.mu is held.
+// reportService fills in the outcomes and latencies of the clients' requests. Lab.mu is held.
 func (l *Lab) reportService(r *Report) {
 	l.tally.CompleteWindows(len(l.tally.Windows))
 	sum := l.tally.Total()
@@ -127,7 +127,7 @@
 	}
 }
 
-// reportVerdict reports the violations and the verdict. Lab.mu is held.
+// reportVerdict fills in the violations and the verdict. Lab.mu is held.
 func (l *Lab) reportVerdict(r *Report) {
 	violations, count := l.check.Violations()
 	r.Rules.Violations = count
@@ -138,7 +138,7 @@
 		}
 	}
 	switch {
-	case r.LabLateness.P99 > l.Scenario.Limits.MaxLabLatenessMs: // goes before all others: the lab itself may be their cause
+	case r.LabLateness.P99 > l.Scenario.Limits.MaxLabLatenessMs: // checked first, since a late lab may itself cause a crash or a violation
 		r.Verdict = Inconclusive
 	case r.Crashes > 0:
 		r.Verdict, r.Crash = Crashed, l.crashes[0]
@@ -149,7 +149,7 @@
 	}
 }
 
-// commit returns the commit that this program was built from, "unknown" if nothing tells.
+// commit returns the commit that this program was built from, or "unknown" if neither the build information nor git has it.
 func commit() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		rev, dirty := "", ""
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -1,6 +1,6 @@
 package lab
 
-// The event queue: what happens at which time of the run.
+// The queue of timed events of the run.
 
 import (
 	"container/heap"
@@ -45,7 +45,7 @@
 	return l.createdAt.Add(time.Duration(l.startOffset.Load()) + t)
 }
 
-// traceTime returns a time of the run as agents and hubs trace it: in microseconds since the machine's start.
+// traceTime returns a time of the run as agents and hubs trace it: in microseconds since the machine's boot.
 func (l *Lab) traceTime(t time.Duration) int64 {
 	return (l.createdSinceBoot + time.Duration(l.startOffset.Load()) + t).Microseconds()
 }
@@ -66,7 +66,8 @@
 	}
 }
 
-// runPending runs all events that are due, in order, each at its own time, and returns the time of the next. Lab.mu is held.
+// runPending runs all events that are due, in order of time, and returns the time of the next event. Each event is passed the
+// time at which it was due. Lab.mu is held.
 func (l *Lab) runPending(now time.Duration) (next time.Duration) {
 	for {
 		nextAt, host := time.Duration(1<<62), (*host)(nil)
@@ -91,12 +92,12 @@
 }
 
 func (l *Lab) recordLateness(d time.Duration) {
-	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // the value is within the range
+	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // fails only outside the histogram's range
 }
 
 const maxLateness = int64(time.Minute / time.Microsecond)
 
-// runSchedule runs events at their time until the run ends.
+// runSchedule runs events when they are due until the run ends.
 func (l *Lab) runSchedule() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -17,17 +17,17 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// The distribution of settings is checked from outside: each agent and hub logs a line when it applies a version, and the lab knows
-// which processes were up and could reach each other.
+// The lab checks the distribution of settings from outside: each agent and hub logs a line when it applies a version, and the lab
+// records which processes were up and could reach each other.
 
-// publishedVersion is a version of the settings that was given to hubs.
+// publishedVersion is a version of the settings that the lab wrote to hubs.
 type publishedVersion struct {
 	publishedAt time.Duration
 	version     int64
-	hubs        []int // the hubs that were given it
+	hubs        []int // the hubs whose settings file was replaced
 }
 
-// publishInitialSettings gives the settings of the start to their sources.
+// publishInitialSettings writes the initial settings to their sources.
 func (l *Lab) publishInitialSettings() error {
 	s := &l.Scenario.Shared
 	if s.Settings == "" {
@@ -36,7 +36,7 @@
 	return l.publishSettings(0, s.Settings, l.hubs[:s.Sources])
 }
 
-// applySettingsFault gives new settings to sources. Lab.mu is held.
+// applySettingsFault writes new settings to sources. Lab.mu is held.
 func (l *Lab) applySettingsFault(i int, f *scenario.Fault, now time.Duration) {
 	sources := slices.DeleteFunc(l.pickHubs(i, f.Targets), func(h *hub) bool { return !h.isSource() })
 	if err := l.publishSettings(now, f.Document, sources); err != nil {
@@ -52,7 +52,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(hubs) == 0 {
-		return errors.New("settings are given to hubs of which none is a source")
+		return errors.New("settings are published to hubs, but none of these hubs is a source")
 	}
 	g := publishedVersion{publishedAt: now, version: head.Version}
 	for _, h := range hubs {
@@ -86,7 +86,7 @@
 func (l *Lab) appliedVersions(p *process) (list []appliedVersion) {
 	f, err := os.Open(filepath.Join(p.dir, "log"))
 	if err != nil {
-		return nil // there is no log before the first start
+		return nil // the process has no log before its first start
 	}
 	defer f.Close()
 	lines := bufio.NewScanner(f)
@@ -99,7 +99,7 @@
 		at, err := time.Parse(time.RFC3339, strings.TrimPrefix(words[0], "time="))
 		for _, w := range words[3:] {
 			text, is := strings.CutPrefix(w, "version=")
-			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // otherwise a kill has cut the line off
+			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // a kill may have truncated the line
 				list = append(list, appliedVersion{at.Sub(l.wallTime(0)), version})
 			}
 		}
@@ -107,13 +107,13 @@
 	return list
 }
 
-// SettingsReport holds how versions of the settings spread.
+// SettingsReport reports how versions of the settings spread. Times are in seconds.
 type SettingsReport struct {
 	Published    int     `json:"given"`         // versions
 	SpreadTime   float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
-	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent that was up could reach a hub that had it or could have it, before it applied it
-	PastBound    int     `json:"past_bound"`    // agents for which that time exceeded the bound
-	Lagging      int     `json:"behind_at_end"` // agents without the latest version at the end that can reach such a hub
+	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent was up and could reach a hub that had a version or could have it, before the agent applied the version
+	PastBound    int     `json:"past_bound"`    // versions and agents for which this time exceeded the bound
+	Lagging      int     `json:"behind_at_end"` // agents that do not have the latest version at the end, though they can reach a hub that has it or could have it
 	Regressions  int     `json:"went_back"`     // lower versions applied after higher ones
 	First        string  `json:"first,omitempty"`
 }
@@ -129,8 +129,8 @@
 	return agents, hubs
 }
 
-// awaitSettings continues the run without clients until all agents that can reach a hub have the latest settings, or one exceeds
-// the bound. So a scenario that is shorter than the bound can be judged.
+// awaitSettings continues the run without clients until all agents that can reach a hub have the latest settings, or one agent
+// exceeds the bound. So a scenario that is shorter than the bound still gets a verdict.
 func (l *Lab) awaitSettings(ctx context.Context) {
 	if l.Scenario.Shared.Settings == "" {
 		return
@@ -147,7 +147,7 @@
 		}
 		select {
 		case <-tick.C:
-		case <-limit: // an agent became reachable and unreachable in turn
+		case <-limit: // an agent alternated between reachable and unreachable
 			return
 		case <-ctx.Done():
 			return
@@ -157,7 +157,7 @@
 	}
 }
 
-// settingsReport checks the applied versions; nil where there are no settings. Lab.mu is held.
+// settingsReport checks the applied versions. It returns nil if no settings were published. Lab.mu is held.
 func (l *Lab) settingsReport(agents, hubs [][]appliedVersion) *SettingsReport {
 	if len(l.publishedSettings) == 0 {
 		return nil
@@ -199,7 +199,7 @@
 	return r
 }
 
-// firstApplied returns when a version or a later one was first applied; negative if it never was.
+// firstApplied returns when a version or a later one was first applied; a negative time if neither was.
 func firstApplied(list []appliedVersion, version int64) time.Duration {
 	for _, x := range list {
 		if x.version >= version {
@@ -209,10 +209,10 @@
 	return -1
 }
 
-// availabilityChange is a time at which it changes which agents can have a version of the settings.
+// availabilityChange is a time at which the set of agents that can receive a version of the settings may change.
 type availabilityChange struct {
 	at  time.Duration
-	hub int // that has applied the version; -1: none, reachability has changed
+	hub int // the hub that has applied the version; -1 at the publication and at a change of reachability
 }
 
 // availabilityChanges returns the changes for a version, in order of time.
@@ -230,8 +230,9 @@
 	return changes
 }
 
-// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have it,
-// from its publication until the agent applied it, and whether it could at that end.
+// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have
+// it, from the publication of the version until the agent applied it. It also reports whether the agent could reach such a hub
+// at the end of this time.
 func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, got, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
 	if got >= 0 {
 		end = min(end, got)
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -1,6 +1,6 @@
 package lab
 
-// Setting up everything but the processes of a run.
+// The setup of a run, without its processes.
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// New prepares a run: it checks the limits of the machine, claims addresses and opens all sockets but those of processes.
+// New prepares a run: it checks the machine's limit on descriptors, claims a block of addresses and opens the sockets of the lab.
 func New(o Options) (*Lab, error) {
 	s := o.Scenario
 	if err := checkDescriptors(s); err != nil {
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	// A listener and a connection for each agent at each backend, client connections, and a few more.
+	// Each agent needs a listener and a connection at each backend, connections of clients, and a few other descriptors.
 	perAgent := 2*hosts + 40
 	if need := uint64(100 + s.Fleet.Agents*perAgent); need > limit.Max {
 		return fmt.Errorf("%d agents and %d backends need about %d descriptors and the limit is %d: at most %d agents here (ulimit -n)",
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// setUp creates everything but the processes of agents and hubs.
+// setUp creates everything except the processes of agents and hubs.
 func (l *Lab) setUp() error {
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return err
@@ -87,7 +87,7 @@
 		l.hubs = append(l.hubs, newHub(l, n))
 	}
 	if len(l.hubs) > 0 && len(l.Hub) == 0 {
-		return errors.New("hubs are to be started, and nothing says how")
+		return errors.New("the scenario has hubs, but no command line for hubs is configured")
 	}
 	l.distributeLoad()
 	if err := l.openNetwork(); err != nil {
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -15,8 +15,8 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// What agents share is checked from outside: each process traces the gossip entries that it publishes and uses and the quotas that it
-// takes, with times since the machine's start, which are comparable here.
+// The lab checks the state that agents share from outside. Each process traces the gossip entries that it publishes and uses,
+// and the quotas that it takes. Times are since the machine's boot, so the lab can compare times of different processes.
 
 const (
 	traceName    = "fleet.trace"
@@ -29,10 +29,11 @@
 
 const (
 	ageSlack    = 50 * time.Millisecond // for writing the trace, and for the first message between two processes
-	maxQuotaSum = 1.1                   // of the in-flight limit, for all agents together
+	maxQuotaSum = 1.1                   // bound on the sum of all agents' quotas, as a multiple of the in-flight limit
 )
 
-// fleetConfig returns the parts of an agent's configuration that concern its fleet and the residency policy; nil for none.
+// fleetConfig returns the parts of an agent's configuration for its fleet and for the residency policy. A part that the scenario
+// does not use is nil.
 func (l *Lab) fleetConfig(a *agent) (fleet, policy map[string]any) {
 	s := &l.Scenario.Shared
 	if !s.Enabled {
@@ -89,22 +90,23 @@
 	return ""
 }
 
-// Shared holds what the agents of a fleet shared.
+// Shared reports the state that the agents of a fleet shared.
 type Shared struct {
 	Ages               map[string]Percentiles `json:"age_at_use_ms"`
 	Used               map[string]int         `json:"used"`
 	PastBound          int                    `json:"past_bound"` // uses of entries that were older than their bound
 	First              string                 `json:"first,omitempty"`
-	MaxQuotaSum        float64                `json:"parts_most"`            // the largest sum of quotas of the in-flight limit; 1 is the limit
+	MaxQuotaSum        float64                `json:"parts_most"`            // the largest sum of the agents' quotas, as a multiple of the in-flight limit
 	Bytes              float64                `json:"bytes_per_s_per_agent"` // sent and received by agents, each message counted once
 	Matrix             *MatrixError           `json:"matrix,omitempty"`
 	AgentsWithoutTrace int                    `json:"agents_without_part"`
 	Settings           *SettingsReport        `json:"settings,omitempty"`
 }
 
-// MatrixError is the error of the agents' latency matrices, measured while the network had not changed for some seconds.
+// MatrixError is the relative error of the agents' latency matrices. It covers only times at which the network had not changed
+// for stableNetworkTime.
 type MatrixError struct {
-	P50     float64 `json:"p50"` // as a share of the true round trip, or of 2 ms if that is shorter
+	P50     float64 `json:"p50"` // as a share of the measured round trip, or of 2 ms if the round trip is shorter
 	P99     float64 `json:"p99"`
 	Entries int     `json:"entries"`
 }
@@ -128,9 +130,9 @@
 	quota float64
 }
 
-// traces is what the processes of a fleet have traced.
+// traces holds the traces of all processes of a fleet.
 type traces struct {
-	publishedAt  map[string]int64 // when each entry was published, by name: in microseconds, less its age then
+	publishedAt  map[string]int64 // by entry name: the time of publication less the entry's age then, in microseconds
 	uses         []traceLine
 	quotas       []quotaAt
 	matrixErrors []float64
@@ -142,7 +144,7 @@
 	return fmt.Sprint(x.Kind, " ", x.Observer, " ", x.Subject, " ", x.Incarnation, " ", x.Seq)
 }
 
-// sharedReport evaluates the traces of all processes; nil where there is no fleet. Lab.mu is held.
+// sharedReport evaluates the traces of all processes. It returns nil if agents are not a fleet. Lab.mu is held.
 func (l *Lab) sharedReport() *Shared {
 	if !l.Scenario.Shared.Enabled {
 		return nil
@@ -188,7 +190,7 @@
 	for lines.Scan() {
 		var x traceLine
 		if json.Unmarshal(lines.Bytes(), &x) != nil {
-			continue // a kill has cut the line off
+			continue // a kill truncated the line
 		}
 		switch {
 		case x.Quota != nil:
@@ -198,7 +200,7 @@
 		case x.Matrix != nil:
 			all.matrixErrors = append(all.matrixErrors, l.matrixErrors(x.At, x.Matrix)...)
 		case x.What == "tell":
-			all.publishedAt[x.entryName()] = x.At - x.Age // a sum is as old as the oldest entry in it
+			all.publishedAt[x.entryName()] = x.At - x.Age // an aggregate is as old as its oldest input
 		case x.What == "use":
 			all.uses = append(all.uses, x)
 		}
@@ -213,13 +215,13 @@
 		x := &all.uses[i]
 		at, known := all.publishedAt[x.entryName()]
 		if !known {
-			continue // the line of its publication was lost with a kill
+			continue // a kill lost the trace line of the publication
 		}
 		age := time.Duration(x.At-at) * time.Microsecond
 		if ages[x.Kind] == nil {
 			ages[x.Kind] = hdrhistogram.New(1, 3600e3, 3)
 		}
-		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // less than the histogram's hour
+		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // fails only above the histogram's maximum of one hour
 		r.Used[x.Kind]++
 		if age > factBounds[x.Kind]+ageSlack {
 			if r.PastBound++; r.First == "" {
@@ -241,7 +243,7 @@
 	now, sum := map[int]float64{}, 0.0
 	for _, p := range quotas {
 		if p.at >= begin {
-			maxSum = max(maxSum, sum) // the sum until then
+			maxSum = max(maxSum, sum) // the sum before this change
 		}
 		sum += p.quota - now[p.agent]
 		now[p.agent] = p.quota
@@ -254,11 +256,12 @@
 	agent int
 }
 
-// stableNetworkTime is how long the network must not have changed before a latency matrix is compared with it.
+// stableNetworkTime is the time since the latest change of the network after which latency matrices are compared with it.
 const stableNetworkTime = 3500 * time.Millisecond
 
-// matrixErrors compares a latency matrix with the recent transit times of datagrams: errors as a share of the round trip, or of 2 ms
-// if that is shorter. It returns none if the network has changed lately. Lab.mu is held.
+// matrixErrors compares a latency matrix with the recent transit times of datagrams. It returns each error as a share of the
+// measured round trip, or of 2 ms if the round trip is shorter; nil if the network changed within stableNetworkTime. Lab.mu is
+// held.
 func (l *Lab) matrixErrors(at int64, m map[string]float64) (list []float64) {
 	t := time.Duration(at-l.traceTime(0)) * time.Microsecond
 	for _, c := range l.networkChanges {
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -15,18 +15,18 @@
 // signalInterval is the time between two signals of a series.
 const signalInterval = 60 * time.Millisecond
 
-// scheduleSignals schedules further signals to a process that was sent SIGTERM. Lab.mu is held.
+// scheduleSignals schedules further signals, SIGHUP and SIGTERM alternately, to a process that was sent SIGTERM. Lab.mu is held.
 func (l *Lab) scheduleSignals(cmd *exec.Cmd, now time.Duration, series int) {
 	for n := range series {
 		s := syscall.SIGHUP
 		if n%2 == 1 {
 			s = syscall.SIGTERM
 		}
-		l.scheduleAt(now+time.Duration(n+1)*signalInterval, func(time.Duration) { _ = cmd.Process.Signal(s) }) // fails only if it has ended
+		l.scheduleAt(now+time.Duration(n+1)*signalInterval, func(time.Duration) { _ = cmd.Process.Signal(s) }) // fails only if the process has ended
 	}
 }
 
-// applyReload moves the discovery address of agents. Lab.mu is held.
+// applyReload moves the discovery address of agents and makes them reload their configuration. Lab.mu is held.
 func (l *Lab) applyReload(i int, f *scenario.Fault, now time.Duration) {
 	list := l.pickAgents(i, f.Targets)
 	for k, a := range list {
@@ -54,7 +54,7 @@
 	if err := os.WriteFile(a.configFile(), config, 0o644); err != nil {
 		return err
 	}
-	_ = a.cmd.Process.Signal(syscall.SIGHUP) // fails only if it has ended
+	_ = a.cmd.Process.Signal(syscall.SIGHUP) // fails only if the process has ended
 	starts := a.starts
 	l.scheduleAt(now+reloadDeadline, func(now time.Duration) {
 		if a.starts == starts && a.up {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// applyInjection injects clock steps and failing system calls into agents. Lab.mu is held.
+// applyInjection injects clock steps or failing system calls into agents. Lab.mu is held.
 func (l *Lab) applyInjection(i int, f *scenario.Fault, now time.Duration) {
 	failure := faultinject.Failure{Call: f.Call, Errno: syscall.Errno(f.Errno), Path: f.Path, Times: f.Count}
 	for _, a := range l.pickAgents(i, f.Targets) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// writePlan puts the fault plan of an agent in force. Lab.mu is held.
+// writePlan writes the fault plan of an agent to its control file. Lab.mu is held.
 func (l *Lab) writePlan(a *agent) {
 	if err := a.faultControl.Write(a.faultPlan); err != nil {
 		l.fail(err)
@@ -98,7 +98,7 @@
 
 const idleClientInterval = 10 * time.Millisecond
 
-// idleClient holds a connection without a request until a time, and reconnects when it is closed.
+// idleClient keeps a connection open without a request until a time, and reconnects if the agent closes the connection.
 func (l *Lab) idleClient(addr string, end time.Duration) {
 	for l.ctx.Err() == nil && l.now() < end {
 		c, err := net.DialTimeout("tcp4", addr, connectTimeout)
--- a/internal/lab/targets.go
+++ b/internal/lab/targets.go
@@ -1,6 +1,6 @@
 package lab
 
-// Which processes a fault falls on.
+// The processes and backends that a fault applies to.
 
 import (
 	"fmt"
@@ -12,7 +12,8 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// pickFrom returns which of n processes are in a set. A share is drawn from the random stream of the fault.
+// pickFrom returns the numbers of those of n processes that are in a set. If the set is a share, the random stream of the fault
+// determines the choice.
 func (l *Lab) pickFrom(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
 	for i := range n {
 		if set.Contains(i, zone(i)) {
@@ -63,7 +64,7 @@
 	return list
 }
 
-// pickHosts returns the backends in a set, of those that are up.
+// pickHosts returns the backends in a set, considering only backends that are up.
 func (l *Lab) pickHosts(fault int, text string) (list []*host) {
 	set, _ := scenario.ParseSet(text)
 	var use []*host
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -1,6 +1,6 @@
 package lab
 
-// Where everything is: zones, regions and the latency between them.
+// Zones, regions and the latency between them.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"martenbeam/internal/lab/netfault"
 )
 
-// zone returns the zone of a process; -1 for discovery.
+// zone returns the zone of a process, or -1 for discovery.
 func (l *Lab) zone(p netfault.Endpoint) int {
 	switch p.Role {
 	case netfault.Backend:
@@ -19,7 +19,7 @@
 	return p.Number % len(l.Scenario.Fleet.Zones)
 }
 
-// region returns the region of a zone; "" where there are no regions.
+// region returns the region of a zone, or "" if the scenario has no regions.
 func (l *Lab) region(zone int) string {
 	if regions := l.Scenario.Fleet.Regions; zone >= 0 && len(regions) > 0 {
 		return regions[zone]
@@ -32,7 +32,7 @@
 	latencyMs := l.Scenario.Model.CrossZoneMs
 	switch {
 	case from.Role == netfault.Client || to.Role == netfault.Client || from.Role == netfault.Discovery || to.Role == netfault.Discovery:
-		return 0 // on the same machine
+		return 0 // they run on the machine of the agent
 	case from.Role == netfault.Agent && to.Role == netfault.Agent:
 		latencyMs = l.Scenario.Model.PeerMs
 	case l.zone(from) == l.zone(to): // also between members of a fleet
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -1,6 +1,6 @@
 package lab
 
-// The resources that processes use.
+// The resource usage of processes.
 
 import (
 	"bufio"
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Usage holds the resources that processes have used.
+// Usage is the resource usage of processes.
 type Usage struct {
 	RSS  float64 `json:"rss_mb_max"`
 	FDs  int     `json:"fds_max"`
 	CPU  float64 `json:"cpu_s"`
-	base float64 // of earlier processes
+	base float64 // processor seconds of earlier runs of the process
 }
 
 // sample records the resources that processes use, twice a second, and ends the run if an agent exceeds its limits.
@@ -42,7 +42,7 @@
 			}
 			rss, fds, cpu, err := usage(pid)
 			if err != nil {
-				continue // it has ended
+				continue // the process has ended
 			}
 			l.mu.Lock()
 			u := &p.usage
@@ -57,7 +57,7 @@
 	}
 }
 
-// usage reads the resources of a process: resident memory in MB, descriptors, processor seconds.
+// usage reads the resource usage of a process: resident memory in MB, open descriptors and processor seconds.
 func usage(pid int) (rss float64, fds int, cpu float64, err error) {
 	proc := "/proc/" + strconv.Itoa(pid)
 	entries, err := os.ReadDir(proc + "/fd")
@@ -81,7 +81,7 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
-	const ticks = 100 // clock ticks a second on Linux
+	const ticks = 100 // clock ticks per second on Linux
 	if len(f) > 12 {
 		user, _ := strconv.ParseFloat(f[11], 64)
 		system, _ := strconv.ParseFloat(f[12], 64)
--- a/internal/lab/view.go
+++ b/internal/lab/view.go
@@ -1,6 +1,6 @@
 package lab
 
-// How a run stands, second by second.
+// The state of a run, second by second.
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 // View is the state of a run after one of its seconds.
 type View struct {
 	At         time.Duration
-	Last       check.Window // the latest second whose requests have had time to end
+	Last       check.Window // the latest second of which most requests have ended
 	LastAt     int
 	Agents     int
 	Backends   int
--- a/internal/lab/workload.go
+++ b/internal/lab/workload.go
@@ -8,12 +8,12 @@
 	"martenbeam/internal/lab/check"
 )
 
-// class is a class of requests. Its times are before scaling.
+// class is a class of requests.
 type class struct {
 	name        string
 	share       float64
 	work        time.Duration // mean
-	cv          float64       // of the work
+	cv          float64       // coefficient of variation of the work
 	objective   time.Duration
 	deadline    time.Duration
 	weight      float64
@@ -21,13 +21,13 @@
 	dedupWindow time.Duration
 }
 
-// classes are the classes of requests of the emulated application.
+// classes are the classes of requests of the emulated application, with their times before scaling.
 var classes = []class{
 	{"stop-update", 0.59, 117 * time.Millisecond, 0.5, 600 * time.Millisecond, 2 * time.Second, 5, check.IdempotencyKey, 10 * time.Second},
 	{"route-assign", 0.41, 155 * time.Millisecond, 0.5, 800 * time.Millisecond, 3 * time.Second, 8, check.NonIdempotent, 0},
 }
 
-// tenant is a tenant: its share of the service and its usage of that share.
+// tenant is a tenant with its share of the service. usage is the tenant's load relative to its share.
 type tenant struct {
 	name         string
 	share, usage float64
@@ -35,8 +35,8 @@
 
 var tenants = []tenant{{"state-post", 0.52, 0.85}, {"city-couriers", 0.48, 1.15}}
 
-// scaleClasses scales the work of requests so that the request rate results in the utilization of the scenario. Objectives and
-// deadlines are scaled with it.
+// scaleClasses scales the work of requests so that the request rate results in the utilization of the scenario. It scales
+// objectives and deadlines by the same factor.
 func (l *Lab) scaleClasses() {
 	capacity, mean := 0.0, 0.0
 	for _, h := range l.hosts {
