--- a/internal/lab/addresses_test.go
+++ b/internal/lab/addresses_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 )
 
-// Two labs at once have addresses of their own.
+// Two labs that run at the same time use different addresses.
 func TestLabsUseSeparateAddresses(t *testing.T) {
 	a, err := claimBlock()
 	if err != nil {
@@ -25,12 +25,11 @@
 	}
 	defer b.close()
 	if a.number == b.number || a.agentAddr(3) == b.agentAddr(3) || a.linkAddr(3) == a.agentAddr(3) {
-		t.Errorf("blocks %d and %d", a.number, b.number)
+		t.Errorf("labs in blocks %d and %d share addresses", a.number, b.number)
 	}
 }
 
-// Through a gate that is shut no connection comes up, and none refuses; open again, it takes them, and those who
-// waited in its queue are reset.
+// An unreachable gate neither establishes nor refuses connections. Once it is reachable again, it accepts connections.
 func TestGateBlocksAndReopens(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	g, err := newGate("127.0.0.1", func(c net.Conn) net.Conn { return c })
@@ -62,7 +61,7 @@
 	g.setUnreachable(true)
 	var late net.Error
 	if err := dial(200 * time.Millisecond); !errors.As(err, &late) || !late.Timeout() {
-		t.Fatalf("a shut gate: %v", err)
+		t.Fatalf("dialling an unreachable gate: error %v, want a timeout", err)
 	}
 	g.setUnreachable(false)
 	if err := dial(testTimeout); err != nil {
@@ -73,15 +72,15 @@
 	}
 }
 
-// What needs more descriptors than there are is refused before anything starts.
+// New rejects a scenario that needs more descriptors than the limit, before any process starts.
 func TestScenarioOverTheDescriptorLimitIsRejected(t *testing.T) {
 	o := options(t, "real", strings.Replace(strings.Replace(smallScenario, "agents = 3", "agents = 2000", 1), "backends = 9", "backends = 4000", 1))
 	if _, err := New(o); err == nil || !strings.Contains(err.Error(), "descriptors") {
-		t.Errorf("error %v", err)
+		t.Errorf("New with 2000 agents and 4000 backends: error %v, want one about descriptors", err)
 	}
 }
 
-// A block in which somebody listens is passed over.
+// claimBlock skips a block in which another process has bound a socket.
 func TestBlockInUseIsNotClaimed(t *testing.T) {
 	b, err := claimBlock()
 	if err != nil {
@@ -101,14 +100,14 @@
 			t.Fatal(err)
 		}
 		if other.number == b.number {
-			t.Errorf("block %d is claimed, in which a socket is bound", b.number)
+			t.Errorf("claimed block %d, in which a socket is bound", b.number)
 		}
 		other.close()
 		_ = s.Close()
 	}
 }
 
-// The kernel's table is read as it is written.
+// openings returns the connections in state SYN_SENT of a kernel table, and skips other states and malformed lines.
 func TestOpeningsAreReadFromKernelTable(t *testing.T) {
 	table := `  sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode
    0: 0100007F:1F90 00000000:0000 0A 00000000:00000000 00:00000000 00000000     0        0 1
@@ -118,6 +117,6 @@
 `
 	got := openings([]byte(table))
 	if len(got) != 1 || got[0].from.String() != "127.165.3.2:50000" || got[0].to.String() != "127.165.101.4:80" {
-		t.Errorf("%v", got)
+		t.Errorf("openings %v, want only 127.165.3.2:50000 to 127.165.101.4:80", got)
 	}
 }
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -20,8 +20,8 @@
 	"martenbeam/internal/membership"
 )
 
-// TestMain lets the test binary stand in for an agent's program: the real agent, or one that is broken in a
-// stated way.
+// TestMain lets the test binary run as an agent or a hub, real or fake, as LAB_TEST_AGENT selects. A fake has one fault, which
+// its mode names.
 func TestMain(m *testing.M) {
 	mode := os.Getenv("LAB_TEST_AGENT")
 	if len(os.Args) == 4 && os.Args[1] == "hub" {
@@ -50,16 +50,16 @@
 	os.Exit(0)
 }
 
-// brokenAgent sends each request to one backend, once, but for what its mode gets wrong.
+// brokenAgent sends each request to one backend, once, except for the fault that its mode names.
 type brokenAgent struct {
 	mode string
 	mu   sync.Mutex
 	list map[string]endpoint
 	n    int
-	kept bool // it has run before, with the same files
+	kept bool // the agent was restarted with the files of its previous run
 }
 
-// runFakeAgent runs such an agent, configured as the platform does.
+// runFakeAgent runs a brokenAgent with the configuration that PROXY_CONFIG names.
 func runFakeAgent(mode string) {
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
@@ -81,7 +81,7 @@
 	before := filepath.Join(os.Getenv("TMPDIR"), "before")
 	_, err = os.Stat(before)
 	a.kept = err == nil
-	_ = os.WriteFile(before, nil, 0o600) // only whether it is there matters
+	_ = os.WriteFile(before, nil, 0o600) // only its existence matters
 	if config.Fleet.Trace != "" {
 		go a.writeTrace(config.Fleet.Trace)
 	}
@@ -129,7 +129,8 @@
 	}
 }
 
-// writeTrace writes what an agent shares: that it used what was told 4 s before, or took half of the limit, as its mode says.
+// writeTrace writes a trace of the use of a gossip entry and of a quota. In mode "uses-old" the entry is 4 s old, past its bound;
+// in mode "takes-two-parts" the quota is half of the in-flight limit.
 func (a *brokenAgent) writeTrace(file string) {
 	born := bootclock.SinceBoot()
 	fact := func(what string, at time.Duration) string {
@@ -149,19 +150,20 @@
 	}
 }
 
-// inHomeZone reports whether a zone is one of those that the tests' policy permits, as the mode has it.
+// inHomeZone reports whether the agent may use a zone: the zone that the tests' policy permits, or another one if the mode
+// violates the policy.
 func (a *brokenAgent) inHomeZone(zone string, repeat bool) bool {
 	first := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
 	switch {
 	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.kept:
 		return !first
-	case a.mode == "leaks-after-change": // it never hears of the second policy
+	case a.mode == "leaks-after-change": // the agent never receives the second policy
 		return first
 	}
 	return zone == "riga-ziepniekkalns"
 }
 
-// pickInHomeZone is a backend where it may be served, or, as the mode has it, may not.
+// pickInHomeZone returns a backend in a zone for which inHomeZone reports true.
 func (a *brokenAgent) pickInHomeZone(repeat bool) endpoint {
 	for {
 		if s, _ := a.pick(); a.inHomeZone(s.Zone, repeat) {
@@ -170,7 +172,7 @@
 	}
 }
 
-// probeAll asks backends for their load all the time, and waits for none of them for long.
+// probeAll sends a load probe to a backend every 5 ms, with a timeout of 50 ms.
 func (a *brokenAgent) probeAll() {
 	client := &http.Client{Timeout: 50 * time.Millisecond}
 	for range time.Tick(5 * time.Millisecond) {
@@ -183,13 +185,13 @@
 	}
 }
 
-// pick is a backend: by turns, or always the newest.
+// pick returns a random backend, or the newest one in mode "rushes-the-newest", and the number of calls so far.
 func (a *brokenAgent) pick() (best endpoint, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.n++
 	i := a.n
-	for _, s := range a.list { // map order serves as chance
+	for _, s := range a.list { // the random order of maps makes the choice
 		if best.ID == "" || a.mode == "rushes-the-newest" && s.Started > best.Started {
 			best = s
 		}
@@ -220,7 +222,7 @@
 		}
 		out.Header = r.Header.Clone()
 		out.Header.Set("X-Trace-Id", id)
-		out.Header.Del("X-Expires-In") // it may wait for a connection, and does not reckon with that
+		out.Header.Del("X-Expires-In") // the fake does not deduct the time that it waits for a connection
 		if a.mode == "overstates" {
 			out.Header.Set("X-Expires-In", "60")
 		}
@@ -229,7 +231,7 @@
 			return http.StatusBadGateway, nil
 		}
 		defer resp.Body.Close()
-		text, _ := io.ReadAll(resp.Body) // cut off: it fails below
+		text, _ := io.ReadAll(resp.Body) // the client detects a truncated body
 		if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("X-Never-Ran") == "" {
 			return http.StatusBadGateway, nil
 		}
@@ -240,7 +242,7 @@
 	case a.mode == "hangs-up" && odd:
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
-		_ = http.NewResponseController(w).Flush() // the client sees it or the end
+		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
 		panic(http.ErrAbortHandler)
 	case a.mode == "never-answers" && odd:
 		<-r.Context().Done()
@@ -255,7 +257,7 @@
 	case a.mode == "dies" && n == 20: // in the middle of an answer
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
-		_ = http.NewResponseController(w).Flush() // the client sees it or the end
+		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
 		os.Exit(7)
 	case a.mode == "hoards" && n == 20:
 		retained = bytes.Repeat([]byte{1}, 256<<20)
@@ -279,7 +281,7 @@
 		time.Sleep(3 * time.Second)
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(text) // the client's going away shows elsewhere
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
 
 var retained []byte
--- a/internal/lab/fakehub_test.go
+++ b/internal/lab/fakehub_test.go
@@ -23,7 +23,7 @@
 	"martenbeam/internal/hubd"
 )
 
-// runRealHub is a hub as its command runs it.
+// runRealHub runs a real hub as the hub command does.
 func runRealHub(file string) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := config.ReadHub(file)
@@ -41,8 +41,8 @@
 	}
 }
 
-// runFakeHub stands in for a hub's program: it takes settings from its file, or from other hubs, and tells their version to
-// who asks. What it gets wrong its mode says.
+// runFakeHub runs a fake hub. It gets settings from its file or from other hubs, and serves their version. Its mode names its
+// fault.
 func runFakeHub(mode, file string) {
 	var config struct {
 		Listen, Trace string
@@ -54,7 +54,7 @@
 	}
 	own := func() (v struct{ Version int64 }) {
 		if config.Settings.File != "" {
-			_, _ = toml.DecodeFile(config.Settings.File, &v) // the next look finds it
+			_, _ = toml.DecodeFile(config.Settings.File, &v) // the next call reads the file again
 		}
 		return v
 	}
@@ -68,16 +68,16 @@
 	})))
 }
 
-// applySettings asks others which version of settings they have, all the time, and logs the highest once it is in force here. hub
-// is what a hub has of its own beside, nil at an agent.
+// applySettings polls other processes for the versions of their settings, applies the highest and logs it. hub returns the higher
+// of a version and the version of the hub's own file; it is nil for an agent.
 func applySettings(mode, listen, state string, others []string, hub func(v int64) int64) {
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // agents say their name there
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // real agents log their name under this key
 	keep := filepath.Join(state, "version")
 	var version int64
 	have := func(v int64) {
 		version = v
 		log.Info("settings", "version", v)
-		_ = os.MkdirAll(state, 0o755) // what is not kept shows as a version that went back
+		_ = os.MkdirAll(state, 0o755) // a version that is not stored shows as a regression after a restart
 		_ = os.WriteFile(keep, []byte(strconv.FormatInt(v, 10)), 0o600)
 	}
 	if text, err := os.ReadFile(keep); err == nil {
@@ -110,7 +110,7 @@
 			have(best)
 			if goes := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[hub != nil]; mode == goes && best > 1 {
 				have(best - 1)
-				time.Sleep(time.Hour) // it has done its part
+				time.Sleep(time.Hour) // the fault has occurred: do nothing more
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/lab/harness_test.go
+++ b/internal/lab/harness_test.go
@@ -13,11 +13,11 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// testTimeout is how long a test waits for what must come: far more than it takes anywhere.
+// testTimeout is how long a test waits for an expected event, far longer than the event takes on any machine.
 const testTimeout = 30 * time.Second
 
-// smallScenario is a fleet that any machine bears, with times short enough for a test and no bound on the lab's lateness:
-// the verdicts asked for here don't hang on it.
+// smallScenario is a fleet small enough for any machine, with times short enough for a test. Its bound on the lab's lateness is
+// one minute, so that a slow machine does not make a run inconclusive.
 const smallScenario = `
 for = "3s"
 settle = "100ms"
@@ -38,7 +38,7 @@
 late_ms = 60000
 `
 
-// slow has requests take long enough that faults fall on them.
+// slowLinkScenario has requests that take long enough for faults to occur while they are in progress.
 const slowLinkScenario = `
 for = "4s"
 settle = "100ms"
@@ -93,7 +93,7 @@
 	return r
 }
 
-// processExists reports whether a process runs; one that has ended and that nobody has waited for does not.
+// processExists reports whether a process runs. A zombie, which has ended but was not waited for, does not run.
 func processExists(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/lab/hubs_test.go
+++ b/internal/lab/hubs_test.go
@@ -6,9 +6,9 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// Real agents that hold to real hubs keep every rule while a hub is killed, cut off or stopped for longer than it may be
-// silent, and comes back: nothing is used past its bound, the parts of the limit are never more than it, and what settings are
-// given meanwhile come to every agent and never go back.
+// Real agents with real hubs keep every rule while a hub is killed, partitioned, or paused for longer than its failure timeout,
+// and returns. No gossip entry is used past its age bound, the quotas never sum up to more than the limit, and settings that are
+// published during the fault reach every agent and never revert to an older version.
 func TestRealHubs(t *testing.T) {
 	for _, name := range []string{"hub-kill", "hub-cut", "hub-pause"} {
 		t.Run(name, func(t *testing.T) {
@@ -16,7 +16,7 @@
 			runWithHubs(t, name, func(*scenario.Scenario) {})
 		})
 	}
-	t.Run("all gone", func(t *testing.T) { // and a flat fleet to fall back to
+	t.Run("all gone", func(t *testing.T) { // all hubs end, and agents fall back to a full mesh
 		t.Parallel()
 		r := runWithHubs(t, "hub-kill", func(s *scenario.Scenario) {
 			s.Shared.MeshFallback = true
@@ -24,7 +24,7 @@
 			s.Faults[0].Targets, s.Faults[0].Restart = "hubs", "never"
 		})
 		if r.Shared.Used["gone"] > 0 && r.Shared.MaxQuotaSum > 1.0001 {
-			t.Errorf("parts sum up to %v, and nobody started", r.Shared.MaxQuotaSum)
+			t.Errorf("quotas sum up to %v of the limit although no agent started, want at most 1.0001", r.Shared.MaxQuotaSum)
 		}
 	})
 	t.Run("lists and a policy", func(t *testing.T) {
@@ -36,12 +36,12 @@
 				Document: "version = 2\n[regions]\nriga = [\"riga-ziepniekkalns\", \"riga-purvciems\"]\nsecond = [\"marupe\"]\n[others]\npermitted = [\"riga\"]\nwhen_stale = \"refuse\"\n"})
 		})
 		if r.Lists.Calls == 0 || r.Shared.Used["residency"] == 0 {
-			t.Errorf("%d calls for lists, %v", r.Lists.Calls, r.Shared.Used)
+			t.Errorf("%d list calls, entries used by kind: %v; want list calls and used residency entries", r.Lists.Calls, r.Shared.Used)
 		}
 	})
 }
 
-// runWithHubs plays a built-in scenario, changed, and asks for what has to hold in all of them.
+// runWithHubs plays a built-in scenario with changes, and checks the requirements that all scenarios with hubs share.
 func runWithHubs(t *testing.T, name string, change func(*scenario.Scenario)) *Report {
 	t.Helper()
 	o := options(t, "real", smallScenario)
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Limits.MaxLabLatenessMs = 60000 // the verdict does not hang on it
+	s.Limits.MaxLabLatenessMs = 60000 // a slow machine must not make the run inconclusive
 	change(s)
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
@@ -60,10 +60,11 @@
 		t.Fatalf("%s: %+v %s %s; shared %+v, settings %+v", r.Verdict, r.Rules.First, r.Rules.Shared, r.Crash, r.Shared, r.Shared.Settings)
 	}
 	if x := r.Shared.Settings; x.Lagging > 0 {
-		t.Errorf("settings: %+v", x)
+		t.Errorf("agents without the latest settings at the end: %+v", x)
 	}
 	if r.ServedInObjective == 0 || r.Shared.Used["census"] == 0 || r.Shared.Used["settings"] == 0 || r.Shared.Used["distance"] == 0 || r.Hubs.Hubs != 3 {
-		t.Errorf("served %v, used %v, %+v", r.ServedInObjective, r.Shared.Used, r.Hubs)
+		t.Errorf("share served %v, entries used by kind %v, hubs %+v; want requests served, entries of kinds census, settings and distance used, and 3 hubs",
+			r.ServedInObjective, r.Shared.Used, r.Hubs)
 	}
 	return r
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// A machine that falls silent and is back before discovery knows is never told to be gone.
+// Discovery does not publish the removal of a backend that is up again before the removal was due to be published.
 func TestOutdatedChangeIsNotPublished(t *testing.T) {
 	l, err := New(options(t, "real", smallScenario))
 	if err != nil {
@@ -32,10 +32,10 @@
 			return
 		}
 	}
-	t.Error("it is not in the list as ready again")
+	t.Error("the restarted backend is not in the list in state ready")
 }
 
-// The same seed gives the same arrivals and requests; what one agent draws shifts nothing of another's.
+// The same seed gives the same arrivals and requests, and the requests of an agent do not depend on how many agents there are.
 func TestSameSeedSameArrivals(t *testing.T) {
 	draw := func(seed uint64, agents string) map[int][]string {
 		o := options(t, "real", strings.Replace(smallScenario, "agents = 3", agents, 1))
@@ -58,17 +58,17 @@
 	}
 	one, again, other := draw(1, "agents = 3"), draw(1, "agents = 3"), draw(2, "agents = 3")
 	if !reflect.DeepEqual(one, again) {
-		t.Error("the same seed drew something else")
+		t.Error("two runs with the same seed drew different requests")
 	}
 	if reflect.DeepEqual(one, other) {
-		t.Error("another seed drew the same")
+		t.Error("two different seeds drew the same requests")
 	}
 	if more := draw(1, "agents = 4"); !reflect.DeepEqual(one[0], more[0]) {
-		t.Error("a fourth agent changed what the first is asked")
+		t.Error("adding a fourth agent changed the requests of the first")
 	}
 }
 
-// The platform's agent has nothing of the lab in it.
+// The agent program of the platform does not link the lab.
 func TestPlatformAgentHasNoLab(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "martenbeam/cmd/agent").Output()
 	if err != nil {
@@ -76,10 +76,10 @@
 	}
 	for _, p := range strings.Fields(string(out)) {
 		if strings.HasPrefix(p, "martenbeam/internal/lab") || strings.Contains(p, "/kong") || strings.Contains(p, "hdrhistogram") {
-			t.Errorf("it is linked with %s", p)
+			t.Errorf("cmd/agent links %s", p)
 		}
 	}
 	if !strings.Contains(string(out), "martenbeam/internal/agent") {
-		t.Error("it is not linked with the agent")
+		t.Error("cmd/agent does not link internal/agent")
 	}
 }
--- a/internal/lab/process_test.go
+++ b/internal/lab/process_test.go
@@ -1,6 +1,6 @@
 package lab
 
-// Processes of a lab: their start, their end, and what is left of them.
+// Processes of a lab: their start, their end and their cleanup.
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// A process that is told to end while it starts has not crashed, and is started once more.
+// A process that a fault ends while it starts does not count as crashed, and is restarted.
 func TestProcessCanBeEndedWhileItStarts(t *testing.T) {
 	for _, what := range []string{"term", "kill"} {
 		t.Run(what, func(t *testing.T) {
@@ -24,13 +24,13 @@
 			faults := fmt.Sprintf(fault, "500ms", "term") + fmt.Sprintf(fault, "1s", what)
 			r := runScenario(t, options(t, "starts-late", smallScenario+faults))
 			if r.Verdict == Crashed {
-				t.Errorf("%s: %s", r.Verdict, r.Crash)
+				t.Errorf("verdict %s: %s", r.Verdict, r.Crash)
 			}
 		})
 	}
 }
 
-// No client outlives its lab: the next may have the same addresses, and its agents would be sent what their clients never sent.
+// No client outlives its lab. The next lab may use the same addresses, and a remaining client would send requests to its agents.
 func TestClientsEndWithTheirLab(t *testing.T) {
 	for _, mode := range []string{"never-answers", "refuses-what-ran", "hangs-up"} {
 		t.Run(mode, func(t *testing.T) {
@@ -50,14 +50,14 @@
 			defer l.mu.Unlock()
 			for _, a := range l.agents {
 				if a.openRequests > 0 {
-					t.Errorf("%d clients of agent %d are at work", a.openRequests, a.number)
+					t.Errorf("%d requests of clients of agent %d are open after Close", a.openRequests, a.number)
 				}
 			}
 		})
 	}
 }
 
-// runLabUntilKilled is a lab in a process of its own. It prints its agents' process ids.
+// runLabUntilKilled runs a lab in a separate process, pauses one agent, and prints its agents' process ids.
 func runLabUntilKilled() {
 	dir, err := os.MkdirTemp("", "lab-test-")
 	if err != nil {
@@ -81,10 +81,10 @@
 	if err != nil {
 		panic(err)
 	}
-	_, _ = l.Run(context.Background()) // it is killed
+	_, _ = l.Run(context.Background()) // the test kills this process during the run
 }
 
-// A lab that is killed outright leaves no process behind, not even a stopped one.
+// A lab that gets SIGKILL leaves no process behind, not even a paused one.
 func TestKilledLabLeavesNoProcess(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -109,17 +109,17 @@
 		pids = append(pids, pid)
 	}
 	_ = cmd.Process.Kill()
-	_ = cmd.Wait() // killed
+	_ = cmd.Wait() // returns an error, since the process was killed
 	if dir != "" {
 		defer func() { _ = os.RemoveAll(dir) }()
 	}
 	if len(pids) != 3 {
-		t.Fatalf("%d agents", len(pids))
+		t.Fatalf("the lab printed %d process ids, want those of 3 agents", len(pids))
 	}
 	for _, pid := range pids {
 		for end := time.Now().Add(testTimeout); processExists(pid); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("process %d is still there", pid)
+				t.Fatalf("process %d still runs after its lab was killed", pid)
 			}
 		}
 	}
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -7,7 +7,7 @@
 	"martenbeam/internal/lab/check"
 )
 
-// policyDocument is a residency policy in a test scenario: all are bound, at first to two zones, later to one of them.
+// policyDocument returns a residency policy for a test scenario. It binds all requests to the permitted regions.
 func policyDocument(version string, permitted string) string {
 	return "'''\nversion = " + version + `
 [regions]
@@ -29,7 +29,7 @@
 	return text + sharedScenario + "policy = " + policyDocument("1", `"riga", "second"`) + "[[fault]]\nat = \"1s\"\nwhat = \"policy\"\nwho = \"agents n=0\"\ntext = " + policyDocument("2", `"riga"`)
 }
 
-// hubScenario is a fleet with hubs whose settings change once.
+// hubScenario is a fleet with two hubs, in which the settings change once.
 const hubScenario = sharedScenario + `
 hubs = 2
 settings_bound = "1s"
@@ -41,7 +41,7 @@
 text = "version = 2"
 `
 
-// The checkers of what agents share find what they are there for, and nothing where nothing is wrong.
+// Each checker of shared state finds the violation of a fake that violates its rule, and reports nothing about correct fakes.
 func TestCheckersOfSharedState(t *testing.T) {
 	restart := "[[fault]]\nat = \"800ms\"\nwhat = \"kill\"\nwho = \"agents n=1\"\nrestart = \"kept\"\n"
 	cutOff := "[[fault]]\nat = \"300ms\"\nwhat = \"link\"\nfrom = \"hubs\"\nto = \"agents n=1\"\ncut = true\n"
@@ -58,7 +58,7 @@
 		{"takes-two-parts", smallScenario + sharedScenario, Violated, ""},
 		{"takes-two-parts", smallScenario + hubScenario, Violated, ""},
 		{"settles", smallScenario + hubScenario, Passed, ""},
-		{"settles", smallScenario + hubScenario + cutOff, Passed, ""}, // whom no hub can reach is not late
+		{"settles", smallScenario + hubScenario + cutOff, Passed, ""}, // an agent that no hub can reach is not late
 		{"settles", smallScenario + hubScenario + restart, Passed, ""},
 		{"settles", smallScenario + hubScenario + sourceKilled, Passed, ""},
 		{"never-settles", smallScenario + hubScenario, Violated, ""},
@@ -71,32 +71,32 @@
 			t.Parallel()
 			r := runScenario(t, options(t, c.mode, c.text))
 			if r.Verdict != c.verdict {
-				t.Fatalf("%s, want %s; first: %+v, crash: %s, shared %+v", r.Verdict, c.verdict, r.Rules.First, r.Crash, r.Shared)
+				t.Fatalf("verdict %s, want %s; first violation: %+v, crash: %s, shared: %+v", r.Verdict, c.verdict, r.Rules.First, r.Crash, r.Shared)
 			}
 			if c.rule != "" && r.Rules.ByRule[c.rule] == 0 {
-				t.Errorf("broken rules: %v, want %s", r.Rules.ByRule, c.rule)
+				t.Errorf("violations by rule: %v, want one of %s", r.Rules.ByRule, c.rule)
 			}
 			if broken := c.mode == "uses-old"; broken != (r.Shared.PastBound > 0) {
-				t.Errorf("%d uses past the bound", r.Shared.PastBound)
+				t.Errorf("%d uses of entries past their age bound, want some only in mode uses-old", r.Shared.PastBound)
 			}
 			if broken := c.mode == "takes-two-parts"; broken != (r.Shared.MaxQuotaSum > maxQuotaSum) {
-				t.Errorf("parts sum up to %v", r.Shared.MaxQuotaSum)
+				t.Errorf("quotas sum up to %v of the limit, want more than the bound only in mode takes-two-parts", r.Shared.MaxQuotaSum)
 			}
 			s := r.Shared.Settings
 			if s == nil {
 				return
 			}
 			if broken := strings.HasSuffix(c.mode, "-back") || c.mode == "forgets-settings"; broken != (s.Regressions > 0) {
-				t.Errorf("went back: %+v", s)
+				t.Errorf("settings %+v, want regressions only in modes that revert settings", s)
 			}
 			if broken := c.mode == "never-settles"; broken != (s.PastBound > 0) || c.mode == "settles" && s.Lagging > 0 {
-				t.Errorf("past the bound, or behind: %+v", s)
+				t.Errorf("settings %+v, want some past the bound only in mode never-settles, and no lagging agent in mode settles", s)
 			}
 		})
 	}
 }
 
-// sixAgentScenario is a fleet of real agents that share what they know.
+// sixAgentScenario is a scenario for real agents that share state.
 const sixAgentScenario = `
 for = "7s"
 settle = "100ms"
@@ -115,8 +115,8 @@
 late_ms = 60000
 `
 
-// Real agents that share what they know keep every rule, use nothing past its bound and never take more than the limit
-// together, through faults between several processes.
+// Real agents that share state keep every rule during faults between several processes: they use no gossip entry past its age
+// bound, and the sum of their quotas stays within the bound.
 func TestRealAgentsShareSafely(t *testing.T) {
 	asked := strings.Replace(sixAgentScenario, "[lists]", "[lists]\nasked = true\nknown = \"none\"\nrate = 20", 1)
 	relayed := "[shared]\non = true\nrelayed = true\n"
@@ -127,7 +127,7 @@
 	}{
 		"cold start": {asked + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n", func(t *testing.T, r *Report) {
 			if r.Lists.PerAgent > 1.3 || r.Lists.Calls == 0 {
-				t.Errorf("%d calls, %v for each start", r.Lists.Calls, r.Lists.PerAgent)
+				t.Errorf("%d list calls, %v for each start of an agent; want some, and at most 1.3 for each start", r.Lists.Calls, r.Lists.PerAgent)
 			}
 		}},
 		"own lists":    {asked + "[shared]\non = true\n[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents share=0.7\"\nafter = \"100ms\"\n", nil},
@@ -135,17 +135,17 @@
 		"dark service": {strings.Replace(asked, `known = "none"`, `known = "now"`, 1) + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n[[fault]]\nat = \"1s\"\nfor = \"2s\"\nwhat = \"list-silent\"\n", nil},
 		"some stay dead": {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents n=4,5\"\nrestart = \"never\"\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["gone"] == 0 {
-				t.Error("nobody was told to be gone")
+				t.Error("no agent used an entry of kind gone about the agents that stay down")
 			}
 		}},
 		"cut between agents": {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nfor = \"4s\"\nwhat = \"link\"\nfrom = \"agents zone=0\"\nto = \"agents zone=1,2\"\nboth = true\ncut = true\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["distance"] == 0 {
-				t.Error("no round trip was told")
+				t.Error("no agent used a round-trip time of another agent")
 			}
 		}},
 		"datagrams lost": {sixAgentScenario + matrix + "[[fault]]\nat = \"100ms\"\nwhat = \"link\"\nfrom = \"agents\"\nto = \"agents\"\nprotocol = \"udp\"\nlose = 0.3\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["distance"] == 0 {
-				t.Error("no round trip was told")
+				t.Error("no agent used a round-trip time of another agent")
 			}
 		}},
 		"delay one way":  {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"link\"\nfrom = \"agents zone=0\"\nto = \"agents zone=1\"\ndelay = \"60ms\"\n", nil},
@@ -160,10 +160,10 @@
 			t.Parallel()
 			r := runScenario(t, options(t, "real", c.text))
 			if r.Verdict != Passed {
-				t.Fatalf("%s: %+v %s; shared %+v", r.Verdict, r.Rules.First, r.Crash, r.Shared)
+				t.Fatalf("verdict %s; first violation: %+v, crash: %s, shared: %+v", r.Verdict, r.Rules.First, r.Crash, r.Shared)
 			}
 			if r.ServedInObjective == 0 {
-				t.Error("nothing was served")
+				t.Error("no request was served within its latency objective")
 			}
 			if c.also != nil {
 				c.also(t, r)
--- a/internal/lab/verdict_test.go
+++ b/internal/lab/verdict_test.go
@@ -1,6 +1,6 @@
 package lab
 
-// The lab finds what broken agents do, and nothing against real ones.
+// The lab finds the violations of broken agents, and none by real agents.
 
 import (
 	"bytes"
@@ -13,8 +13,7 @@
 	"martenbeam/internal/lab/check"
 )
 
-// Each checker finds what it is there for, in a run with an agent that does just that wrong, and nothing where
-// nothing is wrong.
+// Each checker finds the violation of a fake agent that violates only its rule, and reports nothing about correct fakes.
 func TestCheckersFindBrokenAgents(t *testing.T) {
 	const drains = "\n[[fault]]\nat = \"300ms\"\nwhat = \"drain\"\nwho = \"backends share=0.5\"\n"
 	const replaces = "\n[[fault]]\nat = \"200ms\"\nwhat = \"replace\"\nwho = \"backends n=0\"\n"
@@ -22,7 +21,7 @@
 	rushed := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
 	for _, c := range []struct{ mode, text, verdict, rule string }{
 		{"honest", smallScenario, Passed, ""},
-		{"probes", smallScenario + holdsUp, Passed, ""}, // an answer that a cut holds up comes once
+		{"probes", smallScenario + holdsUp, Passed, ""}, // a response that a partition delays arrives once
 		{"repeats-in-pod", smallScenario, Passed, ""},
 		{"sends-twice", smallScenario, Violated, check.RuleDuplicate},
 		{"refuses-what-ran", smallScenario, Violated, check.RuleDuplicate},
@@ -44,25 +43,25 @@
 			t.Parallel()
 			r := runScenario(t, options(t, c.mode, c.text))
 			if r.Verdict != c.verdict {
-				t.Fatalf("%s, want %s; first: %+v, crash: %s", r.Verdict, c.verdict, r.Rules.First, r.Crash)
+				t.Fatalf("verdict %s, want %s; first violation: %+v, crash: %s", r.Verdict, c.verdict, r.Rules.First, r.Crash)
 			}
 			if c.rule != "" && r.Rules.ByRule[c.rule] == 0 {
-				t.Errorf("broken rules: %v, want %s", r.Rules.ByRule, c.rule)
+				t.Errorf("violations by rule: %v, want one of %s", r.Rules.ByRule, c.rule)
 			}
 			if c.mode == "reads-and-closes" && r.Rules.ByRule[check.RuleDuplicate] > 0 {
-				t.Errorf("the client sends again what the agent has read: %v", r.Rules.ByRule)
+				t.Errorf("the client resent a request that the agent had read; violations by rule: %v", r.Rules.ByRule)
 			}
 			if c.mode == "repeats-in-pod" && r.Attempts <= 1 {
-				t.Errorf("%v attempts a request: nothing was repeated", r.Attempts)
+				t.Errorf("%v attempts per request, want more than 1", r.Attempts)
 			}
 			if c.rule == check.RuleDuplicate && len(r.Rules.History.History) < 4 {
-				t.Errorf("the offender's history has %d lines", len(r.Rules.History.History))
+				t.Errorf("the history of the first violating request has %d events, want at least 4", len(r.Rules.History.History))
 			}
 		})
 	}
 }
 
-// Real agents keep every rule through faults between several processes.
+// Real agents keep every rule during faults that affect several processes.
 func TestRealAgentsKeepTheRules(t *testing.T) {
 	for name, faults := range map[string]string{
 		"killed":     `what = "kill"` + "\n" + `who = "agents share=0.7"` + "\n" + `after = "100ms"`,
@@ -83,16 +82,16 @@
 				if r.Rules.History != nil {
 					WriteHistory(&history, r.Rules.History)
 				}
-				t.Errorf("%s: %+v %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
+				t.Errorf("verdict %s; first violation: %+v, crash: %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
 			}
 			if r.ServedInObjective == 0 {
-				t.Error("nothing was served")
+				t.Error("no request was served within its latency objective")
 			}
 		})
 	}
 }
 
-// An attempt came when the kernel had it: what the lab is busy with itself is not held against the agent.
+// An attempt counts as arrived when the kernel received it, so a delay in the lab does not count against the agent.
 func TestAttemptArrivesWhenTheKernelHasIt(t *testing.T) {
 	l, err := New(options(t, "real", smallScenario))
 	if err != nil {
@@ -117,7 +116,7 @@
 		l.mu.Lock()
 		for _, a := range l.attempts {
 			if took := a.arrivedAt - sent; took > busy/2 {
-				t.Errorf("it came %v after it was sent", took)
+				t.Errorf("the attempt counts as arrived %v after it was sent, though only the lab was late", took)
 			}
 		}
 		seen := len(l.attempts) > 0
@@ -126,27 +125,27 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never came")
+			t.Fatal("the attempt did not arrive")
 		}
 	}
 }
 
-// An agent that goes on sending to a zone it can't reach is seen to, by what waits and by connections that don't come
-// up; without a fault between zones nothing is told of it.
+// The report shows that an agent keeps sending to a zone that it cannot reach: the lab counts queued attempts and connections that
+// cannot be established. Without a fault that makes a zone unreachable, the report has no such figure.
 func TestUnavoidedZoneIsReported(t *testing.T) {
 	const cut = "[[fault]]\nat = \"500ms\"\nfor = \"2s\"\nwhat = \"zone-cut\"\nwho = \"zone zone=1\"\n"
 	if r := runScenario(t, options(t, "honest", smallScenario+cut)); r.AvoidedAfter == nil || *r.AvoidedAfter >= 0 {
-		t.Errorf("left after %v, want never", r.AvoidedAfter)
+		t.Errorf("time until the zone was avoided: %v, want a negative one, for never", r.AvoidedAfter)
 	}
 	if r := runScenario(t, options(t, "honest", smallScenario)); r.AvoidedAfter != nil {
-		t.Errorf("left after %v without a fault", *r.AvoidedAfter)
+		t.Errorf("time until unreachable zones were avoided: %v s without a fault, want nil", *r.AvoidedAfter)
 	}
 }
 
-// A lab that is late gives no verdict, whatever it saw.
+// A run in which the lab was too late is inconclusive, even if the lab found violations.
 func TestLateLabIsInconclusive(t *testing.T) {
 	r := runScenario(t, options(t, "sends-twice", strings.Replace(smallScenario, "late_ms = 60000", "late_ms = 0.0001", 1)))
 	if r.Verdict != Inconclusive || r.Rules.Violations == 0 {
-		t.Errorf("%s with %d broken, want a void run of which some are", r.Verdict, r.Rules.Violations)
+		t.Errorf("verdict %s with %d violations, want an inconclusive run with at least one", r.Verdict, r.Rules.Violations)
 	}
 }
