--- a/internal/lab/addresses_test.go
+++ b/internal/lab/addresses_test.go
@@ -107,16 +107,16 @@
 	}
 }
 
-// openings returns the connections in state SYN_SENT of a kernel table, and skips other states and malformed lines.
-func TestOpeningsAreReadFromKernelTable(t *testing.T) {
+// pendingConnections returns the connections in state SYN_SENT of a kernel table, and skips other states and malformed lines.
+func TestPendingConnectionsAreReadFromKernelTable(t *testing.T) {
 	table := `  sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode
    0: 0100007F:1F90 00000000:0000 0A 00000000:00000000 00:00000000 00000000     0        0 1
    1: 0203A57F:C350 0465A57F:0050 02 00000001:00000000 01:00000064 00000000     0        0 2
    2: 0203A57F:C351 0465A57F:0050 01 00000000:00000000 00:00000000 00000000     0        0 3
    3: 0203A57:C351 zz65A57F:0050 02
 `
-	got := openings([]byte(table))
+	got := pendingConnections([]byte(table))
 	if len(got) != 1 || got[0].from.String() != "127.165.3.2:50000" || got[0].to.String() != "127.165.101.4:80" {
-		t.Errorf("openings %v, want only 127.165.3.2:50000 to 127.165.101.4:80", got)
+		t.Errorf("pending connections %v, want only 127.165.3.2:50000 to 127.165.101.4:80", got)
 	}
 }
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -172,7 +172,7 @@
 		l.check.Overloaded(h.machine.OverloadedAt, h.machine.ID, h.machine.InformedShare)
 		l.overloadedBackends++
 		l.endHost(h)
-		l.discovery.learn(l.now(), h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
+		l.discovery.publish(l.now(), h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
 	}
 }
 
--- a/internal/lab/backendfaults.go
+++ b/internal/lab/backendfaults.go
@@ -19,7 +19,7 @@
 		if set.Contains(h.number, h.machine.Zone) && !h.ended {
 			lost = append(lost, h)
 			l.completeJobs(h, h.machine.Stop(now, model.Silent))
-			l.discovery.learn(now, h, "gone", l.Scenario.Discovery.SilentDelaySeconds)
+			l.discovery.publish(now, h, "gone", l.Scenario.Discovery.SilentDelaySeconds)
 		}
 	}
 	l.updateGates()
@@ -28,7 +28,7 @@
 			h.machine.Restart(now)
 			l.discardMessages(h)
 			l.running.Go(func() { h.reset(nil) })
-			l.discovery.learn(now, h, "ready", l.Scenario.Discovery.AddDelaySeconds)
+			l.discovery.publish(now, h, "ready", l.Scenario.Discovery.AddDelaySeconds)
 		}
 		l.updateGates()
 		l.retryPartitioned(now)
@@ -68,11 +68,11 @@
 	}
 	const drainTime = 5 * time.Second // longer than discovery takes to publish the drain
 	l.completeJobs(h, h.machine.Drain(now))
-	l.discovery.learn(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
+	l.discovery.publish(now, h, "draining", l.Scenario.Discovery.LeaveDelaySeconds)
 	l.scheduleAt(now+drainTime, func(now time.Duration) {
 		l.completeJobs(h, h.machine.Stop(now, model.Removed))
 		l.endHost(h)
-		l.discovery.learn(now, h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
+		l.discovery.publish(now, h, "gone", l.Scenario.Discovery.LeaveDelaySeconds)
 	})
 	if !replace {
 		return
@@ -85,7 +85,7 @@
 		l.fail(err)
 		return
 	}
-	l.discovery.learn(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
+	l.discovery.publish(now, next, "ready", l.Scenario.Discovery.AddDelaySeconds)
 }
 
 // setBackendFault makes backends fail a share of requests immediately, or removes a share of their capacity. Lab.mu is held.
@@ -110,8 +110,8 @@
 	for _, h := range l.pickHosts(i, f.Targets) {
 		r := l.rng.Stream("neighbour/" + h.machine.ID)
 		on := false
-		var turn func(now time.Duration)
-		turn = func(now time.Duration) {
+		var toggle func(now time.Duration)
+		toggle = func(now time.Duration) {
 			if on = !on && now < end; on {
 				l.completeJobs(h, h.machine.SetFault(now, 0, f.Size))
 			} else {
@@ -119,10 +119,10 @@
 			}
 			if now < end {
 				span := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
-				l.scheduleAt(min(end, now+span), turn)
+				l.scheduleAt(min(end, now+span), toggle)
 			}
 		}
-		l.scheduleAt(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), turn)
+		l.scheduleAt(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), toggle)
 	}
 }
 
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -67,7 +67,7 @@
 			n := n
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			if a := h.lab.agentCalling(c); a != nil {
+			if a := h.lab.agentBySource(c); a != nil {
 				n = a.number
 			}
 			b := &backendConn{Conn: c, host: h, agent: n, overLimit: h.machine.MaxConns > 0 && len(h.conns) >= h.machine.MaxConns}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// agentCalling returns the agent whose address is the source address of a connection, or nil if there is none.
-func (l *Lab) agentCalling(c net.Conn) *agent {
+// agentBySource returns the agent whose address is the source address of a connection, or nil if there is none.
+func (l *Lab) agentBySource(c net.Conn) *agent {
 	if l.fleet == nil {
 		return nil
 	}
@@ -115,12 +115,12 @@
 	h.server.Close()
 }
 
-// reset closes the connections of the agents for which of returns true with a TCP reset; of all agents if of is nil.
-func (h *host) reset(of func(agent int) bool) {
+// reset closes the connections of the affected agents with a TCP reset; those of all agents if affected is nil.
+func (h *host) reset(affected func(agent int) bool) {
 	h.mu.Lock()
 	var list []*backendConn
 	for c := range h.conns {
-		if of == nil || of(c.agent) {
+		if affected == nil || affected(c.agent) {
 			list = append(list, c)
 		}
 	}
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -23,7 +23,7 @@
 	gates          []*gate
 	changes        []endpointChange // version v is changes[v-baseVersion-1]
 	baseVersion    int64
-	silent         bool
+	unresponsive   bool
 	unavailable    bool
 	disruptedUntil time.Duration // end of the latest disruption; negative if there was none
 	epoch          int           // number of restarts
@@ -39,7 +39,7 @@
 func newDiscovery(l *Lab) (*fakeDiscovery, error) {
 	d := &fakeDiscovery{lab: l, baseVersion: firstVersion, changed: make(chan struct{}), disruptedUntil: -1}
 	for _, h := range l.hosts {
-		d.changes = append(d.changes, endpointChange{host: h, state: "ready", started: h.machine.StartedAt, learnedAt: -time.Hour})
+		d.changes = append(d.changes, endpointChange{host: h, state: "ready", started: h.machine.StartedAt, publishedAt: -time.Hour})
 	}
 	for n := range l.agents {
 		if err := d.listen(l.block.linkAddr(n), endpointOf(netfault.Agent, n), n); err != nil {
@@ -112,20 +112,20 @@
 	}
 }
 
-// learn publishes a change of a backend after a delay drawn from the range late, in seconds. Lab.mu is held.
-func (d *fakeDiscovery) learn(now time.Duration, h *host, state string, late scenario.Range) {
+// publish publishes a change of a backend after a delay drawn from the range delay, in seconds. Lab.mu is held.
+func (d *fakeDiscovery) publish(now time.Duration, h *host, state string, delay scenario.Range) {
 	l := d.lab
 	l.lastSeq++
 	r := l.rng.Of("notice/"+h.machine.ID, int(l.lastSeq))
 	started := h.machine.StartedAt
 	h.lastChange = l.lastSeq
 	seq := l.lastSeq
-	l.scheduleAt(now+seconds(late[0]+(late[1]-late[0])*r.Float64()), func(t time.Duration) {
+	l.scheduleAt(now+seconds(delay[0]+(delay[1]-delay[0])*r.Float64()), func(t time.Duration) {
 		if h.lastChange != seq {
 			return // the backend has changed again before this was published
 		}
-		d.changes = append(d.changes, endpointChange{host: h, state: state, started: started, learnedAt: t})
-		d.wakeWatches()
+		d.changes = append(d.changes, endpointChange{host: h, state: state, started: started, publishedAt: t})
+		d.updateWatches()
 		l.scheduleAt(now+propagationDeadline, func(t time.Duration) {
 			if h.lastChange == seq {
 				d.notifyAtDeadline(now, h, state, started)
@@ -136,19 +136,19 @@
 
 // notifyAtDeadline reports a change to the checker as delivered at the propagation deadline, if discovery was not disrupted
 // since the change.
-func (d *fakeDiscovery) notifyAtDeadline(happened time.Duration, h *host, state string, started time.Duration) {
-	if d.disruptedUntil >= happened {
+func (d *fakeDiscovery) notifyAtDeadline(changedAt time.Duration, h *host, state string, started time.Duration) {
+	if d.disruptedUntil >= changedAt {
 		return
 	}
 	for _, a := range d.lab.agents {
-		if a.up && a.readyAt <= happened {
+		if a.up && a.readyAt <= changedAt {
 			d.lab.check.Notify(d.lab.now(), a.number, h.machine.ID, state != "ready", started)
 		}
 	}
 }
 
-// wakeWatches makes all open watches check for an update. Lab.mu is held.
-func (d *fakeDiscovery) wakeWatches() {
+// updateWatches makes all open watches send their next update now. Lab.mu is held.
+func (d *fakeDiscovery) updateWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -211,24 +211,24 @@
 
 // listUpdate is one step of the response to a call.
 type listUpdate struct {
-	line    []byte          // the list or its changes; nil if there is nothing new
-	silent  bool            // nothing is written, not even a heartbeat
-	ended   bool            // the connection is aborted
-	wait    time.Duration   // until the next update, unless a change comes first
-	changed <-chan struct{} // closed at a change
+	line         []byte          // the list or its changes; nil if there is nothing new
+	unresponsive bool            // nothing is written, not even a heartbeat
+	ended        bool            // the connection is aborted
+	wait         time.Duration   // until the next update, unless a change comes first
+	changed      <-chan struct{} // closed at a change
 }
 
 // nextUpdate returns the update that a call is sent now, and reports its changes to the checker as delivered. Lab.mu is held.
 func (d *fakeDiscovery) nextUpdate(call *listCall) listUpdate {
 	l, now := d.lab, d.lab.now()
 	u := listUpdate{changed: d.changed, wait: heartbeatInterval}
-	u.silent = d.silent || l.network.Fault(endpointOf(netfault.Discovery, call.number), call.caller, netfault.TCP).Cut
-	if call.epoch == -1 && !u.silent {
+	u.unresponsive = d.unresponsive || l.network.Fault(endpointOf(netfault.Discovery, call.number), call.caller, netfault.TCP).Cut
+	if call.epoch == -1 && !u.unresponsive {
 		call.epoch = d.epoch
 	}
 	u.ended = call.epoch != -1 && call.epoch != d.epoch || l.closing
 	version, next := d.visible(call.number, now)
-	if !u.silent && !u.ended && (version != call.version || call.version == 0) {
+	if !u.unresponsive && !u.ended && (version != call.version || call.version == 0) {
 		u.line = d.encode(call, version)
 		d.notify(call.number, d.deltaStart(call, version), version, now)
 		call.version = version
@@ -268,7 +268,7 @@
 			return false
 		}
 	}
-	if u.silent {
+	if u.unresponsive {
 		return true
 	}
 	if !c.watching {
@@ -299,7 +299,7 @@
 func (d *fakeDiscovery) rewind(now time.Duration) {
 	first := len(d.lab.hosts)
 	for i, c := range d.changes {
-		if c.learnedAt >= 0 {
+		if c.publishedAt >= 0 {
 			first = i
 			break
 		}
@@ -313,7 +313,7 @@
 	d.epoch++
 	d.disruptedUntil = now
 	for _, c := range later {
-		d.learn(now, c.host, c.state, d.lab.Scenario.Discovery.AddDelaySeconds)
+		d.publish(now, c.host, c.state, d.lab.Scenario.Discovery.AddDelaySeconds)
 	}
-	d.wakeWatches()
+	d.updateWatches()
 }
--- a/internal/lab/endpointlist.go
+++ b/internal/lab/endpointlist.go
@@ -27,10 +27,10 @@
 
 // endpointChange is a published change of a backend.
 type endpointChange struct {
-	host      *host
-	state     string
-	started   time.Duration // negative: long before the run
-	learnedAt time.Duration
+	host        *host
+	state       string
+	started     time.Duration // negative: long before the run
+	publishedAt time.Duration
 }
 
 // propagationDelay returns the time from the publication of a change until a caller can receive it.
@@ -42,10 +42,10 @@
 // visible returns the version that a caller can receive at a time, and when the caller can receive the next version; negative if
 // there is none yet.
 func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
-	spread := d.propagationDelay(caller)
+	delay := d.propagationDelay(caller)
 	for i, c := range d.changes {
-		if c.learnedAt+spread > now {
-			return d.baseVersion + int64(i), c.learnedAt + spread
+		if c.publishedAt+delay > now {
+			return d.baseVersion + int64(i), c.publishedAt + delay
 		}
 	}
 	return d.baseVersion + int64(len(d.changes)), -1
@@ -54,7 +54,7 @@
 // list returns the changes between two versions, or the full list.
 func (d *fakeDiscovery) list(caller int, from, to int64, full bool) endpointList {
 	m := endpointList{Version: to, Full: full, Servers: []endpoint{}}
-	at := map[string]int{}
+	indexByID := map[string]int{}
 	for _, c := range d.changes[from-d.baseVersion : to-d.baseVersion] {
 		spec := &c.host.machine.Spec
 		s := endpoint{ID: spec.ID, Addr: c.host.addr(caller), Zone: d.lab.Scenario.Fleet.Zones[spec.Zone],
@@ -62,10 +62,10 @@
 		if c.started >= 0 {
 			s.Started = d.lab.wallTime(c.started).UnixMilli()
 		}
-		if i, known := at[s.ID]; known {
+		if i, known := indexByID[s.ID]; known {
 			m.Servers[i] = s
 		} else {
-			at[s.ID] = len(m.Servers)
+			indexByID[s.ID] = len(m.Servers)
 			m.Servers = append(m.Servers, s)
 		}
 	}
@@ -94,7 +94,7 @@
 	case "first": // the list at the start of the run
 		v = d.baseVersion
 		for _, c := range d.changes {
-			if c.learnedAt < 0 {
+			if c.publishedAt < 0 {
 				v++
 			}
 		}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -32,7 +32,7 @@
 // beginFault starts a fault and schedules its end. Lab.mu is held.
 func (l *Lab) beginFault(index int, fault *scenario.Fault, now time.Duration) {
 	l.showActive(fault, now)
-	l.watchOpenings(fault, now)
+	l.watchPendingConnections(fault, now)
 	switch fault.Kind {
 	case scenario.Link:
 		l.applyLinkFault(index, fault, now)
@@ -90,10 +90,10 @@
 	d := l.discovery
 	switch fault.Kind {
 	case scenario.DiscoverySilent:
-		d.silent, d.disruptedUntil = true, time.Hour
+		d.unresponsive, d.disruptedUntil = true, time.Hour
 		l.scheduleEnd(fault, now, func(now time.Duration) {
-			d.silent, d.disruptedUntil = false, now
-			d.wakeWatches()
+			d.unresponsive, d.disruptedUntil = false, now
+			d.updateWatches()
 		})
 	case scenario.DiscoveryDown:
 		d.unavailable, d.disruptedUntil = true, time.Hour
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -21,7 +21,7 @@
 // by their source address. So the faults of the network apply to processes that are not aware of the lab.
 type fleetLinks struct {
 	lab           *Lab
-	ends          []*fleetEndpoint
+	endpoints     []*fleetEndpoint
 	byProcessAddr map[netip.Addr]*fleetEndpoint // by the address of the process
 
 	mu           sync.Mutex
@@ -57,29 +57,29 @@
 			return nil, err
 		}
 	}
-	for _, e := range f.ends {
-		l.running.Go(func() { f.carryDatagrams(e) })
-		l.running.Go(func() { f.carryStreams(e) })
+	for _, e := range f.endpoints {
+		l.running.Go(func() { f.relayDatagrams(e) })
+		l.running.Go(func() { f.relayStreams(e) })
 	}
 	return f, nil
 }
 
-// listen opens the link of a process. The process listens on the IP address at, and others reach it at the IP address reached.
-func (f *fleetLinks) listen(p netfault.Endpoint, name, at, reached string) error {
-	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
+// listen opens the link of a process. The process listens on listenIP, and others reach it at linkIP.
+func (f *fleetLinks) listen(p netfault.Endpoint, name, listenIP, linkIP string) error {
+	own, ip := netip.MustParseAddr(listenIP), net.ParseIP(linkIP)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
 	_ = u.SetReadBuffer(1 << 20) // the system may allow less
 	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
-	f.ends, f.byProcessAddr[own] = append(f.ends, e), e
+	f.endpoints, f.byProcessAddr[own] = append(f.endpoints, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
 }
 
 func (f *fleetLinks) close() {
-	for _, e := range f.ends {
+	for _, e := range f.endpoints {
 		e.udp.Close()
 		if e.tcp != nil {
 			e.tcp.Close()
@@ -110,12 +110,12 @@
 func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
 func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
-func (f *fleetLinks) carryDatagrams(to *fleetEndpoint) {
+func (f *fleetLinks) relayDatagrams(to *fleetEndpoint) {
 	l := f.lab
 	buf := make([]byte, 64<<10)
 	for n := 0; ; n++ {
 		size, addr, err := to.udp.ReadFromUDPAddrPort(buf)
-		came := time.Now()
+		receivedAt := time.Now()
 		if err != nil {
 			if l.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
@@ -133,7 +133,7 @@
 		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
 			l.scheduleAt(now+d, func(time.Duration) {
 				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // lost if the receiver has ended
-				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
+				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(receivedAt))
 			})
 		}
 		l.mu.Unlock()
@@ -156,18 +156,18 @@
 	f.mu.Lock()
 	list := slices.Concat(f.transitTimes[transitKey{from, to, second - 1}], f.transitTimes[transitKey{from, to, second - 2}])
 	f.mu.Unlock()
-	few := 20
+	minCount := 20
 	if len(f.lab.hubs) > 0 { // only hubs send datagrams
-		few = 6
+		minCount = 6
 	}
-	if len(list) < few {
+	if len(list) < minCount {
 		return 0, false
 	}
 	slices.Sort(list)
 	return list[len(list)/4], true
 }
 
-func (f *fleetLinks) carryStreams(to *fleetEndpoint) {
+func (f *fleetLinks) relayStreams(to *fleetEndpoint) {
 	l := f.lab
 	for {
 		c, err := to.tcp.AcceptTCP()
@@ -182,7 +182,7 @@
 			c.Close()
 			continue
 		}
-		l.running.Go(func() { f.carryStream(c, from, to) })
+		l.running.Go(func() { f.relayStream(c, from, to) })
 	}
 }
 
@@ -200,20 +200,20 @@
 func (f *fleetLinks) linkState(from, to *fleetEndpoint) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
-	x := f.lab.network.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
-	return x, f.lab.baseLatency(from.Endpoint, to.Endpoint) + x.Delay
+	fault := f.lab.network.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
+	return fault, f.lab.baseLatency(from.Endpoint, to.Endpoint) + fault.Delay
 }
 
-// carryStream relays one TCP connection. During a partition the connection hangs, as if its SYN were lost. If the other process
-// has ended, carryStream resets the connection, since it can no longer refuse it.
-func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEndpoint) {
+// relayStream relays one TCP connection. During a partition the connection hangs, as if its SYN were lost. If the other process
+// has ended, relayStream resets the connection, since it can no longer refuse it.
+func (f *fleetLinks) relayStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
 	defer c.Close()
 	for {
-		there, _ := f.linkState(from, to)
-		back, _ := f.linkState(to, from)
-		if !there.Cut && !back.Cut {
+		forward, _ := f.linkState(from, to)
+		backward, _ := f.linkState(to, from)
+		if !forward.Cut && !backward.Cut {
 			break
 		}
 		if !f.wait(50 * time.Millisecond) {
@@ -244,14 +244,14 @@
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			x, way := f.linkState(from, to)
-			for x.Cut {
+			fault, latency := f.linkState(from, to)
+			for fault.Cut {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
-				x, way = f.linkState(from, to)
+				fault, latency = f.linkState(from, to)
 			}
-			if !f.wait(way) {
+			if !f.wait(latency) {
 				return
 			}
 			f.countBytes(from, to, n)
@@ -262,7 +262,7 @@
 		}
 		if err != nil {
 			ended.Add(1)
-			for x, _ := f.linkState(from, to); x.Cut && ended.Load() < 2; x, _ = f.linkState(from, to) {
+			for fault, _ := f.linkState(from, to); fault.Cut && ended.Load() < 2; fault, _ = f.linkState(from, to) {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -50,7 +50,7 @@
 	mu                 sync.Mutex
 	schedule           eventQueue
 	lastSeq            uint64
-	wakeup             chan struct{}
+	scheduleChanged    chan struct{}
 	network            *netfault.Network
 	check              *check.Checker
 	tally              *check.Tally
@@ -112,12 +112,12 @@
 	}
 	l.startClock()
 	l.running.Go(l.sample)
-	played := make(chan struct{})
-	l.running.Go(func() { defer close(played); l.runArrivals() })
+	arrivalsDone := make(chan struct{})
+	l.running.Go(func() { defer close(arrivalsDone); l.runArrivals() })
 	select {
 	case <-ctx.Done():
 	case <-l.ctx.Done():
-	case <-played:
+	case <-arrivalsDone:
 		l.awaitOpenRequests(ctx)
 		l.awaitSettings(ctx)
 	}
@@ -150,7 +150,7 @@
 	l.scheduleViews(0)
 	l.watchReachability(0)
 	l.mu.Unlock()
-	l.wake()
+	l.interruptSchedule()
 }
 
 // awaitOpenRequests waits until all requests have ended, for at most the longest deadline, answerGrace and one second.
@@ -214,12 +214,12 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func share(part, whole float64) float64 {
-	if whole == 0 {
+func share(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return part / whole
+	return part / total
 }
 
-// quietLog discards the log lines of product code that the lab calls in its own process.
-var quietLog = slog.New(slog.DiscardHandler)
+// discardLog discards the log lines of product code that the lab calls in its own process.
+var discardLog = slog.New(slog.DiscardHandler)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -23,9 +23,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h.machine.Stop(0, model.Silent)
-	l.discovery.learn(0, h, "gone", scenario.Range{5, 5})
+	l.discovery.publish(0, h, "gone", scenario.Range{5, 5})
 	h.machine.Restart(time.Second)
-	l.discovery.learn(time.Second, h, "ready", scenario.Range{0.5, 0.5})
+	l.discovery.publish(time.Second, h, "ready", scenario.Range{0.5, 0.5})
 	l.runPending(20 * time.Second)
 	for _, m := range l.discovery.cachedList(l.agents[0], 20*time.Second).Servers {
 		if m.ID == h.machine.ID && m.State == "ready" && m.Started > 0 {
--- a/internal/lab/listservice.go
+++ b/internal/lab/listservice.go
@@ -27,7 +27,7 @@
 }
 
 // awaitTurn queues a call until its turn. It reports false if the call was rejected or its caller has disconnected.
-func (d *fakeDiscovery) awaitTurn(w http.ResponseWriter, r *http.Request, whole bool) bool {
+func (d *fakeDiscovery) awaitTurn(w http.ResponseWriter, r *http.Request, full bool) bool {
 	l := d.lab
 	s := &l.Scenario.Discovery
 	if !s.Polled {
@@ -42,7 +42,7 @@
 	}
 	q.seconds[int(max(0, now)/time.Second)]++
 	cost := seconds(1 / s.Rate)
-	if !whole {
+	if !full {
 		cost = time.Duration(float64(cost) * s.DeltaCost)
 	}
 	q.idleAt = max(q.idleAt, now)
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -26,15 +26,15 @@
 		end = time.Hour
 	}
 	for _, a := range l.agents {
-		me, it := endpointOf(netfault.Client, a.number), endpointOf(netfault.Agent, a.number)
-		for _, d := range []netfault.Fault{l.network.Fault(me, it, netfault.TCP), l.network.Fault(it, me, netfault.TCP)} {
+		clientEnd, agentEnd := endpointOf(netfault.Client, a.number), endpointOf(netfault.Agent, a.number)
+		for _, d := range []netfault.Fault{l.network.Fault(clientEnd, agentEnd, netfault.TCP), l.network.Fault(agentEnd, clientEnd, netfault.TCP)} {
 			if d != (netfault.Fault{}) {
 				l.check.Excuse(a.number, now, end)
 				break
 			}
 		}
 		disc := endpointOf(netfault.Discovery, a.number)
-		if l.network.Unreachable(it, disc) {
+		if l.network.Unreachable(agentEnd, disc) {
 			l.discovery.disruptedUntil = end
 		}
 	}
@@ -50,7 +50,7 @@
 		l.updateGates()
 		l.networkChanges = append(l.networkChanges, now)
 		l.retryPartitioned(now)
-		l.discovery.wakeWatches()
+		l.discovery.updateWatches()
 	})
 }
 
@@ -96,18 +96,18 @@
 // listeners soon after updateGates returns. Lab.mu is held.
 func (l *Lab) updateGates() {
 	type job struct {
-		g    *gate
-		shut bool
+		g           *gate
+		unreachable bool
 	}
 	var jobs []job
 	for _, a := range l.agents {
-		me := endpointOf(netfault.Agent, a.number)
+		agentEnd := endpointOf(netfault.Agent, a.number)
 		for _, h := range l.hosts {
 			if !h.ended && h.gates != nil {
-				jobs = append(jobs, job{h.gates[a.number], h.machine.State == model.Silent || l.network.Unreachable(me, h.endpoint())})
+				jobs = append(jobs, job{h.gates[a.number], h.machine.State == model.Silent || l.network.Unreachable(agentEnd, h.endpoint())})
 			}
 		}
-		jobs = append(jobs, job{l.discovery.gates[a.number], l.network.Unreachable(me, endpointOf(netfault.Discovery, a.number))})
+		jobs = append(jobs, job{l.discovery.gates[a.number], l.network.Unreachable(agentEnd, endpointOf(netfault.Discovery, a.number))})
 	}
 	for _, h := range l.hubs {
 		if n := len(l.agents) + h.number; n < len(l.discovery.gates) {
@@ -118,7 +118,7 @@
 		l.gateMu.Lock()
 		defer l.gateMu.Unlock()
 		for _, j := range jobs {
-			j.g.setUnreachable(j.shut)
+			j.g.setUnreachable(j.unreachable)
 		}
 	})
 }
--- a/internal/lab/openings.go
+++ b/internal/lab/openings.go
@@ -17,12 +17,12 @@
 // Attempts at unreachable backends. On an established connection the lab reads the attempt and queues it. A connection that is
 // not established appears only in the kernel's table of sockets, in state SYN_SENT.
 
-const openingInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
+const pendingConnectionInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
 
 // unreachable reports whether an agent cannot reach a backend, or the backend cannot answer. Lab.mu is held.
 func (l *Lab) unreachable(agent int, h *host) bool {
-	me := endpointOf(netfault.Agent, agent)
-	return h.machine.State == model.Silent || l.network.Fault(me, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), me, netfault.TCP).Cut
+	agentEnd := endpointOf(netfault.Agent, agent)
+	return h.machine.State == model.Silent || l.network.Fault(agentEnd, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), agentEnd, netfault.TCP).Cut
 }
 
 // zoneFault reports whether a fault makes whole zones unreachable for a time.
@@ -30,9 +30,9 @@
 	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
 
-// watchOpenings starts to count connections that cannot be established, until the end of a fault that makes zones unreachable.
-// Lab.mu is held.
-func (l *Lab) watchOpenings(f *scenario.Fault, now time.Duration) {
+// watchPendingConnections starts to count connections that cannot be established, until the end of a fault that makes zones
+// unreachable. Lab.mu is held.
+func (l *Lab) watchPendingConnections(f *scenario.Fault, now time.Duration) {
 	if !zoneFault(f) {
 		return
 	}
@@ -43,9 +43,9 @@
 	}
 	l.watching = true
 	l.running.Go(func() {
-		tick := time.NewTicker(openingInterval)
+		tick := time.NewTicker(pendingConnectionInterval)
 		defer tick.Stop()
-		var before map[opening]bool
+		var before map[pendingConnection]bool
 		for {
 			select {
 			case <-tick.C:
@@ -53,13 +53,13 @@
 				return
 			}
 			table, err := os.ReadFile("/proc/self/net/tcp")
-			list := openings(table) // parsed before locking, since a machine may have many thousands of sockets
+			list := pendingConnections(table) // parsed before locking, since a machine may have many thousands of sockets
 			l.mu.Lock()
 			if err != nil {
 				l.fail(err)
 			}
 			now := l.now()
-			before = l.countOpenings(now, list, before)
+			before = l.countPendingConnections(now, list, before)
 			if l.watching = now < l.watchUntil && err == nil; !l.watching {
 				l.mu.Unlock()
 				return
@@ -69,11 +69,11 @@
 	})
 }
 
-// opening is a connection in state SYN_SENT.
-type opening struct{ from, to netip.AddrPort }
+// pendingConnection is a connection in state SYN_SENT.
+type pendingConnection struct{ from, to netip.AddrPort }
 
-// openings returns the connections in state SYN_SENT of the kernel's table.
-func openings(table []byte) (list []opening) {
+// pendingConnections returns the connections in state SYN_SENT of the kernel's table.
+func pendingConnections(table []byte) (list []pendingConnection) {
 	// Most sockets are in state TIME_WAIT, so the state, at its fixed position, is compared before the line is split.
 	const synSent, state = "02", len("0100007F:1F90 00000000:0000 ")
 	lines := bufio.NewScanner(bytes.NewReader(table))
@@ -83,10 +83,10 @@
 			continue
 		}
 		fields := bytes.Fields(lines.Bytes())
-		from, ok := kernelAddress(fields[1])
-		to, also := kernelAddress(fields[2])
-		if ok && also {
-			list = append(list, opening{from, to})
+		from, fromOK := kernelAddress(fields[1])
+		to, toOK := kernelAddress(fields[2])
+		if fromOK && toOK {
+			list = append(list, pendingConnection{from, to})
 		}
 	}
 	return list
@@ -109,10 +109,10 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{b[3], b[2], b[1], b[0]}), uint16(b[4])<<8|uint16(b[5])), true
 }
 
-// countOpenings counts the connections to unreachable backends that are new since the previous call, and returns the connections
+// countPendingConnections counts the connections to unreachable backends that are new since the previous call, and returns the connections
 // that are in state SYN_SENT now. For each agent and zone it leaves out one connection at a time, which may be a health check:
 // the table does not tell health checks from attempts. Lab.mu is held.
-func (l *Lab) countOpenings(now time.Duration, list []opening, before map[opening]bool) map[opening]bool {
+func (l *Lab) countPendingConnections(now time.Duration, list []pendingConnection, previous map[pendingConnection]bool) map[pendingConnection]bool {
 	if l.backendAddrs == nil {
 		l.backendAddrs = map[netip.AddrPort]backendAddr{}
 	}
@@ -125,25 +125,25 @@
 		}
 	}
 	type group struct{ agent, zone int }
-	open, fresh, still := map[group]int{}, map[group]int{}, map[opening]bool{}
+	open, added, current := map[group]int{}, map[group]int{}, map[pendingConnection]bool{}
 	for _, o := range list {
-		w, ok := l.backendAddrs[o.to]
-		if !ok || !l.unreachable(w.agent, w.host) {
+		backend, ok := l.backendAddrs[o.to]
+		if !ok || !l.unreachable(backend.agent, backend.host) {
 			continue
 		}
-		g := group{w.agent, w.host.machine.Zone}
-		still[o] = true
+		g := group{backend.agent, backend.host.machine.Zone}
+		current[o] = true
 		open[g]++
-		if !before[o] {
-			fresh[g]++
+		if !previous[o] {
+			added[g]++
 		}
 	}
-	for g, n := range fresh {
+	for g, n := range added {
 		for range min(n, open[g]-1) {
 			l.tally.CountFirstAttempt(now, true)
 		}
 	}
-	return still
+	return current
 }
 
 // backendAddr identifies the listener of a backend for an agent.
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	h := residency.NewHolder(l.Scenario.Fleet.Zones, time.Hour, true, quietLog, nil)
+	h := residency.NewHolder(l.Scenario.Fleet.Zones, time.Hour, true, discardLog, nil)
 	if err := h.Apply(p.Version, text); err != nil {
 		return err
 	}
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -7,18 +7,18 @@
 
 // maxConnectionsPerSecond returns the maximum number of connections opened to one backend in one second after the warm-up.
 // Lab.mu is held.
-func (l *Lab) maxConnectionsPerSecond() (most int) {
-	settle := l.Scenario.WarmUp.Duration() / time.Second
+func (l *Lab) maxConnectionsPerSecond() (maxCount int) {
+	warmUp := l.Scenario.WarmUp.Duration() / time.Second
 	for _, h := range l.hosts {
 		h.mu.Lock()
 		for second, n := range h.opened {
-			if second >= settle {
-				most = max(most, n)
+			if second >= warmUp {
+				maxCount = max(maxCount, n)
 			}
 		}
 		h.mu.Unlock()
 	}
-	return most
+	return maxCount
 }
 
 // restartTimePercentiles returns percentiles of the time from the restart of an agent until it accepts clients. Lab.mu is held.
@@ -47,24 +47,24 @@
 		return nil
 	}
 	served := func(a, b int) float64 {
-		worth, in := 0.0, 0.0
+		weight, inObjective := 0.0, 0.0
 		for i := a; i < b && i < len(l.tally.Windows); i++ {
-			worth, in = worth+l.tally.Windows[i].Weight, in+l.tally.Windows[i].WeightInObjective
+			weight, inObjective = weight+l.tally.Windows[i].Weight, inObjective+l.tally.Windows[i].WeightInObjective
 		}
-		return share(in, worth)
+		return share(inObjective, weight)
 	}
-	before, never := served(from, to), -1.0
-	bad := false
+	before, recovery := served(from, to), -1.0
+	degraded := false
 	for i := to; i+3 <= len(l.tally.Windows); i++ {
 		if served(i, i+1) < 0.95*before {
-			bad = true
-		} else if bad && served(i+1, i+2) >= 0.95*before && served(i+2, i+3) >= 0.95*before {
+			degraded = true
+		} else if degraded && served(i+1, i+2) >= 0.95*before && served(i+2, i+3) >= 0.95*before {
 			after := float64(i) - first.Seconds()
 			return &after
 		}
 	}
-	if !bad {
-		never = 0
+	if !degraded {
+		recovery = 0
 	}
-	return &never
+	return &recovery
 }
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -55,13 +55,13 @@
 	l.lastSeq++
 	heap.Push(&l.schedule, event{at, l.lastSeq, run})
 	if l.schedule[0].seq == l.lastSeq {
-		l.wake()
+		l.interruptSchedule()
 	}
 }
 
-func (l *Lab) wake() {
+func (l *Lab) interruptSchedule() {
 	select {
-	case l.wakeup <- struct{}{}:
+	case l.scheduleChanged <- struct{}{}:
 	default:
 	}
 }
@@ -108,7 +108,7 @@
 		timer.Reset(max(0, next-l.now()))
 		select {
 		case <-timer.C:
-		case <-l.wakeup:
+		case <-l.scheduleChanged:
 		case <-l.ctx.Done():
 		}
 	}
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -163,7 +163,7 @@
 		return nil
 	}
 	r := &SettingsReport{Published: len(l.publishedSettings)}
-	broken := func(format string, args ...any) {
+	recordFirst := func(format string, args ...any) {
 		if r.First == "" {
 			r.First = fmt.Sprintf(format, args...)
 		}
@@ -173,7 +173,7 @@
 			for i := 1; i < len(list); i++ {
 				if list[i].version < list[i-1].version {
 					r.Regressions++
-					broken("%s %d went back from settings %d to %d at %v", kind, n, list[i-1].version, list[i].version, list[i].at)
+					recordFirst("%s %d went back from settings %d to %d at %v", kind, n, list[i-1].version, list[i].version, list[i].at)
 				}
 			}
 		}
@@ -182,16 +182,16 @@
 	bound := l.Scenario.Shared.SettingsBound.Duration()
 	for i, g := range l.publishedSettings {
 		for a, list := range agents {
-			got := firstApplied(list, g.version)
-			if got >= 0 {
-				r.SpreadTime = max(r.SpreadTime, (got - g.publishedAt).Seconds())
+			appliedAt := firstApplied(list, g.version)
+			if appliedAt >= 0 {
+				r.SpreadTime = max(r.SpreadTime, (appliedAt - g.publishedAt).Seconds())
 			}
-			waited, reached := l.maxUnservedTime(&g, a, got, end, hubs)
-			if r.UnservedTime = max(r.UnservedTime, waited.Seconds()); waited > bound+ageSlack {
+			unserved, reached := l.maxUnservedTime(&g, a, appliedAt, end, hubs)
+			if r.UnservedTime = max(r.UnservedTime, unserved.Seconds()); unserved > bound+ageSlack {
 				r.PastBound++
-				broken("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, waited, bound)
+				recordFirst("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, unserved, bound)
 			}
-			if reached && got < 0 && i == len(l.publishedSettings)-1 {
+			if reached && appliedAt < 0 && i == len(l.publishedSettings)-1 {
 				r.Lagging++
 			}
 		}
@@ -233,9 +233,9 @@
 // maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have
 // it, from the publication of the version until the agent applied it. It also reports whether the agent could reach such a hub
 // at the end of this time.
-func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, got, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
-	if got >= 0 {
-		end = min(end, got)
+func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, appliedAt, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
+	if appliedAt >= 0 {
+		end = min(end, appliedAt)
 	}
 	has := make([]bool, len(hubs))
 	for _, h := range published.hubs {
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), wakeup: make(chan struct{}, 1), loadFactor: 1,
+	l := &Lab{Options: o, block: b, rng: rng.New(o.Seed), scheduleChanged: make(chan struct{}, 1), loadFactor: 1,
 		lateness: hdrhistogram.New(1, maxLateness, 3), attempts: map[uint64]*attempt{}, servedKeys: map[cellKey]bool{}, startRequests: make(chan func()),
 		tally: check.NewTally(s.WarmUp.Duration()), recorder: newRecorder(o.Events)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
