--- a/internal/lab/agentprocess.go
+++ b/internal/lab/agentprocess.go
@@ -31,7 +31,7 @@
 	rate                         float64
 	arrivalRandom, requestRandom *rand.Rand
 	keys                         *rng.Zipf
-	lastIndex                    int
+	nextIndex                    int
 
 	mu     sync.Mutex
 	idle   []*clientConn
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -60,8 +60,8 @@
 // arrivals of a seed do not depend on what the agents do.
 func (l *Lab) loadFactorAt(at time.Duration) float64 {
 	f := 1.0
-	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
-		at %= again
+	if interval := l.Scenario.RepeatInterval.Duration(); interval > 0 {
+		at %= interval
 	}
 	for _, x := range l.Scenario.Faults {
 		if x.Kind == "burst" && at >= x.At.Duration() && (x.Duration == 0 || at < x.At.Duration()+x.Duration.Duration()) {
@@ -73,15 +73,15 @@
 
 // nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms.
 func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
-	const walk = 10 * time.Millisecond
-	left := a.arrivalRandom.ExpFloat64()
+	const step = 10 * time.Millisecond
+	remaining := a.arrivalRandom.ExpFloat64()
 	for {
 		rate := a.rate * l.loadFactorAt(at)
-		if need := left / rate; need <= walk.Seconds() {
-			return at + seconds(need)
+		if untilNext := remaining / rate; untilNext <= step.Seconds() {
+			return at + seconds(untilNext)
 		}
-		left -= rate * walk.Seconds()
-		if at += walk; at > l.Scenario.Duration.Duration() {
+		remaining -= rate * step.Seconds()
+		if at += step; at > l.Scenario.Duration.Duration() {
 			return math.MaxInt64
 		}
 	}
@@ -132,8 +132,8 @@
 // newRequest draws the next request of an agent's clients.
 func (l *Lab) newRequest(a *agent, at time.Duration) *clientRequest {
 	r := a.requestRandom
-	req := &clientRequest{agent: a, index: a.lastIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.lastIndex))}
-	a.lastIndex++
+	req := &clientRequest{agent: a, index: a.nextIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.nextIndex))}
+	a.nextIndex++
 	req.firstID = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/0", a.number, req.index)))
 	if r.Float64() >= l.classes[0].share {
 		req.class = 1
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -24,13 +24,13 @@
 	agent         int
 	conn          *backendConn
 	arrivedAt     time.Duration // when the kernel received the last byte of the attempt
-	reply         chan answer
+	reply         chan response
 	statedTimeout time.Duration // how long the agent waits for the response, by its header; negative without the header
 	disconnected  bool          // the connection is closed
 	fromLabClient bool          // a client of the lab sent the request
 }
 
-type answer struct {
+type response struct {
 	status   int
 	neverRan bool
 	body     string
@@ -78,7 +78,7 @@
 		Cell: h.machine.Cell, Fingerprint: fingerprint, SentAt: a.arrivedAt, StatedTimeout: a.statedTimeout})
 	if a.conn.overLimit {
 		l.scheduleAt(now+latency, func(now time.Duration) {
-			l.reply(now, a, answer{http.StatusServiceUnavailable, true, "too many connections"}, "turns the attempt away: too many connections")
+			l.reply(now, a, response{http.StatusServiceUnavailable, true, "too many connections"}, "turns the attempt away: too many connections")
 		})
 		return
 	}
@@ -92,7 +92,7 @@
 	load := h.machine.Load()
 	l.lastAttempt++ // the work has a separate attempt number, since the response does not wait for the work
 	l.completeJobs(h, h.machine.Arrive(now, model.Job{Attempt: l.lastAttempt, Work: h.machine.ProbeWork, Agent: a.agent, ErrorDraw: 1}))
-	l.reply(now, a, answer{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
+	l.reply(now, a, response{status: http.StatusOK, body: fmt.Sprintf("TEXT inflight=%d, util=%.3f, latency_ms=%.3f",
 		load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
 }
 
@@ -160,11 +160,11 @@
 			l.check.Record(d.At, a.id, h.machine.ID, what)
 			delete(l.attempts, d.Attempt)
 		case model.Rejected:
-			l.reply(d.At, a, answer{http.StatusServiceUnavailable, true, "full"}, what)
+			l.reply(d.At, a, response{http.StatusServiceUnavailable, true, "full"}, what)
 		case model.Failed:
-			l.reply(d.At, a, answer{http.StatusInternalServerError, false, "failed"}, what)
+			l.reply(d.At, a, response{http.StatusInternalServerError, false, "failed"}, what)
 		case model.Served:
-			l.reply(d.At, a, answer{http.StatusOK, false, servedBody(a.id, h.machine.ID)}, what)
+			l.reply(d.At, a, response{http.StatusOK, false, servedBody(a.id, h.machine.ID)}, what)
 		}
 	}
 	if h.machine.State == model.Overloaded && !h.ended {
@@ -183,19 +183,19 @@
 func isServedBody(body, id string) bool { return strings.HasPrefix(body, "served "+id+" by s-") }
 
 // reply sends a backend's response back over the emulated network. Lab.mu is held.
-func (l *Lab) reply(now time.Duration, a *attempt, answer answer, what string) {
+func (l *Lab) reply(now time.Duration, a *attempt, response response, what string) {
 	h := a.host
 	if l.network.Fault(h.endpoint(), a.endpoint(), netfault.TCP).Cut || h.machine.State == model.Silent {
 		l.check.Record(now, a.id, "network", "the answer of "+h.machine.ID+" ("+what+") does not get through")
-		l.queueUntilReachable(h.endpoint(), a.endpoint(), func(now time.Duration) { l.reply(now, a, answer, what) })
+		l.queueUntilReachable(h.endpoint(), a.endpoint(), func(now time.Duration) { l.reply(now, a, response, what) })
 		return
 	}
 	delete(l.attempts, a.number)
 	latency := l.network.Arrivals(h.endpoint(), a.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
-	l.check.RecordReply(now, a.id, h.machine.ID, what, answer.neverRan)
+	l.check.RecordReply(now, a.id, h.machine.ID, what, response.neverRan)
 	l.scheduleAt(now+latency, func(time.Duration) {
 		select {
-		case a.reply <- answer:
+		case a.reply <- response:
 		default: // a second response would block while Lab.mu is held
 			l.fail(fmt.Errorf("the lab answered attempt %d of %s twice", a.number, a.id))
 		}
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		return // the connection ended before the last byte, so the attempt does not count
 	}
-	a := &attempt{id: r.Header.Get("X-Trace-Id"), host: h, agent: c.agent, conn: c, reply: make(chan answer, 1), statedTimeout: -1}
+	a := &attempt{id: r.Header.Get("X-Trace-Id"), host: h, agent: c.agent, conn: c, reply: make(chan response, 1), statedTimeout: -1}
 	if s, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64); err == nil {
 		a.statedTimeout = seconds(s)
 	}
@@ -163,8 +163,8 @@
 	l.deliver(now, a.arrivedAt, a, fingerprint(r.Method, r.URL.RequestURI(), r.Header.Get("Idempotency-Key"), body), probe)
 	l.mu.Unlock()
 	select {
-	case ans := <-a.reply:
-		ans.write(w, c.overLimit)
+	case resp := <-a.reply:
+		resp.write(w, c.overLimit)
 	case <-r.Context().Done():
 		l.mu.Lock()
 		a.disconnected = true
@@ -175,15 +175,15 @@
 }
 
 // write writes a response. With closes, the response announces the end of the connection.
-func (ans answer) write(w http.ResponseWriter, closes bool) {
-	if ans.neverRan {
+func (resp response) write(w http.ResponseWriter, closes bool) {
+	if resp.neverRan {
 		w.Header().Set("X-Never-Ran", "1")
 	}
 	if closes {
 		w.Header().Set("Connection", "close")
 	}
-	w.WriteHeader(ans.status)
-	_, _ = io.WriteString(w, ans.body) // fails only if the agent has disconnected
+	w.WriteHeader(resp.status)
+	_, _ = io.WriteString(w, resp.body) // fails only if the agent has disconnected
 }
 
 // countAttempt counts an attempt that has reached its backend, and checks it against the residency policy. Lab.mu is held.
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -52,11 +52,11 @@
 
 // brokenAgent sends each request to one backend, once, except for the fault that its mode names.
 type brokenAgent struct {
-	mode string
-	mu   sync.Mutex
-	list map[string]endpoint
-	n    int
-	kept bool // the agent was restarted with the files of its previous run
+	mode      string
+	mu        sync.Mutex
+	list      map[string]endpoint
+	n         int
+	restarted bool // the agent was restarted with the files of its previous run
 }
 
 // runFakeAgent runs a brokenAgent with the configuration that PROXY_CONFIG names.
@@ -80,7 +80,7 @@
 	a := &brokenAgent{mode: mode, list: map[string]endpoint{}}
 	before := filepath.Join(os.Getenv("TMPDIR"), "before")
 	_, err = os.Stat(before)
-	a.kept = err == nil
+	a.restarted = err == nil
 	_ = os.WriteFile(before, nil, 0o600) // only its existence matters
 	if config.Fleet.Trace != "" {
 		go a.writeTrace(config.Fleet.Trace)
@@ -97,7 +97,7 @@
 	if mode == "probes" {
 		go a.probeAll()
 	}
-	if mode == "starts-late" && a.kept {
+	if mode == "starts-late" && a.restarted {
 		time.Sleep(time.Second)
 	}
 	panic(http.ListenAndServe(config.Listen, a))
@@ -150,12 +150,12 @@
 	}
 }
 
-// inHomeZone reports whether the agent may use a zone: the zone that the tests' policy permits, or another one if the mode
+// mayUseZone reports whether the agent may use a zone: the zone that the tests' policy permits, or another one if the mode
 // violates the policy.
-func (a *brokenAgent) inHomeZone(zone string, repeat bool) bool {
+func (a *brokenAgent) mayUseZone(zone string, repeat bool) bool {
 	first := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
 	switch {
-	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.kept:
+	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.restarted:
 		return !first
 	case a.mode == "leaks-after-change": // the agent never receives the second policy
 		return first
@@ -163,10 +163,10 @@
 	return zone == "riga-ziepniekkalns"
 }
 
-// pickInHomeZone returns a backend in a zone for which inHomeZone reports true.
-func (a *brokenAgent) pickInHomeZone(repeat bool) endpoint {
+// pickPermitted returns a backend in a zone for which mayUseZone reports true.
+func (a *brokenAgent) pickPermitted(repeat bool) endpoint {
 	for {
-		if s, _ := a.pick(); a.inHomeZone(s.Zone, repeat) {
+		if s, _ := a.pick(); a.mayUseZone(s.Zone, repeat) {
 			return s
 		}
 	}
@@ -211,9 +211,9 @@
 		return
 	}
 	s, n := a.pick()
-	odd := n%5 == 0
+	faulty := n%5 == 0
 	if strings.HasPrefix(a.mode, "leaks") || a.mode == "resides" {
-		s = a.pickInHomeZone(false)
+		s = a.pickPermitted(false)
 	}
 	send := func(to endpoint, id string, body []byte) (int, []byte) {
 		out, err := http.NewRequest(r.Method, "http://"+to.Addr+r.URL.RequestURI(), bytes.NewReader(body))
@@ -239,20 +239,20 @@
 	}
 	id := r.Header.Get("X-Trace-Id")
 	switch {
-	case a.mode == "hangs-up" && odd:
+	case a.mode == "hangs-up" && faulty:
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
 		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
 		panic(http.ErrAbortHandler)
-	case a.mode == "never-answers" && odd:
+	case a.mode == "never-answers" && faulty:
 		<-r.Context().Done()
 		return
-	case a.mode == "forges" && odd:
+	case a.mode == "forges" && faulty:
 		fmt.Fprint(w, "served "+id)
 		return
-	case a.mode == "invents" && odd:
+	case a.mode == "invents" && faulty:
 		send(s, "feedfacefeedface", body)
-	case a.mode == "rewrites" && odd:
+	case a.mode == "rewrites" && faulty:
 		body = append(body, '!')
 	case a.mode == "dies" && n == 20: // in the middle of an answer
 		w.Header().Set("Content-Length", "1000")
@@ -264,20 +264,20 @@
 	}
 	status, text := send(s, id, body)
 	switch {
-	case a.mode == "reads-and-closes" && odd:
+	case a.mode == "reads-and-closes" && faulty:
 		panic(http.ErrAbortHandler)
-	case a.mode == "sends-after-the-end" && odd:
+	case a.mode == "sends-after-the-end" && faulty:
 		time.AfterFunc(300*time.Millisecond, func() { send(s, id, body) })
-	case a.mode == "repeats-in-pod" && odd && r.Header.Get("Idempotency-Key") != "":
+	case a.mode == "repeats-in-pod" && faulty && r.Header.Get("Idempotency-Key") != "":
 		status, text = send(s, id, body)
-	case a.mode == "leaks-on-repeat" && odd:
-		status, text = send(a.pickInHomeZone(true), id, body)
-	case a.mode == "sends-twice" && odd:
+	case a.mode == "leaks-on-repeat" && faulty:
+		status, text = send(a.pickPermitted(true), id, body)
+	case a.mode == "sends-twice" && faulty:
 		other, _ := a.pick()
 		status, text = send(other, id, body)
-	case a.mode == "refuses-what-ran" && odd:
+	case a.mode == "refuses-what-ran" && faulty:
 		status = http.StatusServiceUnavailable
-	case a.mode == "answers-late" && odd:
+	case a.mode == "answers-late" && faulty:
 		time.Sleep(3 * time.Second)
 	}
 	w.WriteHeader(status)
--- a/internal/lab/fakehub_test.go
+++ b/internal/lab/fakehub_test.go
@@ -72,19 +72,19 @@
 // of a version and the version of the hub's own file; it is nil for an agent.
 func applySettings(mode, listen, state string, others []string, hub func(v int64) int64) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // real agents log their name under this key
-	keep := filepath.Join(state, "version")
+	versionFile := filepath.Join(state, "version")
 	var version int64
-	have := func(v int64) {
+	apply := func(v int64) {
 		version = v
 		log.Info("settings", "version", v)
 		_ = os.MkdirAll(state, 0o755) // a version that is not stored shows as a regression after a restart
-		_ = os.WriteFile(keep, []byte(strconv.FormatInt(v, 10)), 0o600)
+		_ = os.WriteFile(versionFile, []byte(strconv.FormatInt(v, 10)), 0o600)
 	}
-	if text, err := os.ReadFile(keep); err == nil {
+	if text, err := os.ReadFile(versionFile); err == nil {
 		if v, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64); err == nil && mode != "forgets-settings" {
-			have(v)
+			apply(v)
 		} else if hub == nil {
-			have(1)
+			apply(1)
 		}
 	}
 	at := netip.MustParseAddrPort(listen).Addr()
@@ -107,9 +107,9 @@
 			best = hub(best)
 		}
 		if best > version && !(mode == "never-settles" && version > 0 && hub == nil) {
-			have(best)
-			if goes := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[hub != nil]; mode == goes && best > 1 {
-				have(best - 1)
+			apply(best)
+			if revertingMode := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[hub != nil]; mode == revertingMode && best > 1 {
+				apply(best - 1)
 				time.Sleep(time.Hour) // the fault has occurred: do nothing more
 			}
 		}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -11,14 +11,14 @@
 func (l *Lab) scheduleFaults() {
 	for i := range l.Scenario.Faults {
 		f := &l.Scenario.Faults[i]
-		var play func(now time.Duration)
-		play = func(now time.Duration) {
+		var begin func(now time.Duration)
+		begin = func(now time.Duration) {
 			l.beginFault(i, f, now)
-			if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
-				l.scheduleAt(now+again, play)
+			if interval := l.Scenario.RepeatInterval.Duration(); interval > 0 {
+				l.scheduleAt(now+interval, begin)
 			}
 		}
-		l.scheduleAt(f.At.Duration(), play)
+		l.scheduleAt(f.At.Duration(), begin)
 	}
 }
 
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -98,7 +98,7 @@
 	h.writeZones(w)
 	h.writeDocuments(w, stateDir)
 	w.table("max_age")
-	for kind, bound := range factBounds {
+	for kind, bound := range entryAgeBounds {
 		w.set(kind, bound.String())
 	}
 	return w.String()
--- a/internal/lab/reachability.go
+++ b/internal/lab/reachability.go
@@ -49,18 +49,18 @@
 	return slices.Equal(r.agents, o.agents) && slices.Equal(r.hubs, o.hubs) && slices.Equal(r.agentToHub, o.agentToHub) && slices.Equal(r.hubToHub, o.hubToHub)
 }
 
-// spread returns the hubs that data of some hubs can reach, directly or through other hubs.
-func (r *reachable) spread(some []bool) []bool {
+// hubsReachableFrom returns the hubs that are up and that data of the origins can reach, directly or through other hubs.
+func (r *reachable) hubsReachableFrom(origins []bool) []bool {
 	list := make([]bool, len(r.hubs))
 	for h := range list {
-		list[h] = some[h] && r.hubs[h]
+		list[h] = origins[h] && r.hubs[h]
 	}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for h := range list {
 			for other := range list {
 				if list[h] && !list[other] && r.hubs[other] && r.hubToHub[h*len(list)+other] {
-					list[other], again = true, true
+					list[other], changed = true, true
 				}
 			}
 		}
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -256,7 +256,7 @@
 			continue
 		}
 		state := &l.reachability[now]
-		if reached = state.agentReaches(agent, state.spread(has)); !reached {
+		if reached = state.agentReaches(agent, state.hubsReachableFrom(has)); !reached {
 			reachedSince = -1
 			continue
 		}
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -23,8 +23,8 @@
 	maxTraceLine = 1 << 20 // bytes
 )
 
-// factBounds are the configured age bounds of gossip entries, by kind.
-var factBounds = map[string]time.Duration{"service": 5 * time.Second, "distance": 3 * time.Second, "residency": 10 * time.Second, "gone": 3 * time.Second,
+// entryAgeBounds are the configured age bounds of gossip entries, by kind.
+var entryAgeBounds = map[string]time.Duration{"service": 5 * time.Second, "distance": 3 * time.Second, "residency": 10 * time.Second, "gone": 3 * time.Second,
 	"settings": 10 * time.Second, "census": 3 * time.Second}
 
 const (
@@ -44,7 +44,7 @@
 		seeds = append(seeds, l.fleetLink(i*len(l.agents)/3%len(l.agents)))
 	}
 	ages := map[string]any{}
-	for kind, d := range factBounds {
+	for kind, d := range entryAgeBounds {
 		ages[kind] = d.Seconds() * 1e3
 	}
 	lists := "own"
@@ -223,9 +223,9 @@
 		}
 		_ = ages[x.Kind].RecordValue(max(1, age.Milliseconds())) // fails only above the histogram's maximum of one hour
 		r.Used[x.Kind]++
-		if age > factBounds[x.Kind]+ageSlack {
+		if age > entryAgeBounds[x.Kind]+ageSlack {
 			if r.PastBound++; r.First == "" {
-				r.First = fmt.Sprintf("%s was used %v old, bound %v", x.entryName(), age, factBounds[x.Kind])
+				r.First = fmt.Sprintf("%s was used %v old, bound %v", x.entryName(), age, entryAgeBounds[x.Kind])
 			}
 		}
 	}
@@ -272,12 +272,12 @@
 	zones := l.Scenario.Fleet.Zones
 	for i, a := range zones {
 		for j, b := range zones {
-			trip, known := m[a+" "+b]
-			there, one := l.fleet.recentTransit(i, j, t)
-			back, other := l.fleet.recentTransit(j, i, t)
-			if i != j && known && trip > 0 && one && other {
-				want := (there + back).Seconds() * 1e6
-				list = append(list, math.Abs(trip-want)/max(want, 2000))
+			roundTrip, known := m[a+" "+b]
+			forward, forwardOK := l.fleet.recentTransit(i, j, t)
+			backward, backwardOK := l.fleet.recentTransit(j, i, t)
+			if i != j && known && roundTrip > 0 && forwardOK && backwardOK {
+				measured := (forward + backward).Seconds() * 1e6
+				list = append(list, math.Abs(roundTrip-measured)/max(measured, 2000))
 			}
 		}
 	}
