--- a/internal/lab/addresses_test.go
+++ b/internal/lab/addresses_test.go
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	g.setUnreachable(true)
-	var late net.Error
-	if err := dial(200 * time.Millisecond); !errors.As(err, &late) || !late.Timeout() {
+	var netErr net.Error
+	if err := dial(200 * time.Millisecond); !errors.As(err, &netErr) || !netErr.Timeout() {
 		t.Fatalf("dialling an unreachable gate: error %v, want a timeout", err)
 	}
 	g.setUnreachable(false)
@@ -87,11 +87,11 @@
 		t.Fatal(err)
 	}
 	b.close()
-	for _, left := range []func() (interface{ Close() error }, error){
+	for _, bind := range []func() (interface{ Close() error }, error){
 		func() (interface{ Close() error }, error) { return net.Listen("tcp4", b.agentAddr(3)+":0") },
 		func() (interface{ Close() error }, error) { return net.ListenPacket("udp4", b.agentAddr(2)+":0") },
 	} {
-		s, err := left()
+		s, err := bind()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/clientconn.go
+++ b/internal/lab/clientconn.go
@@ -41,9 +41,9 @@
 	if _, err := c.Write(*buf); err != nil {
 		return check.ClosedNew, 0, false // the request was not written completely
 	}
-	accepted := l.now()
+	acceptedAt := l.now()
 	l.mu.Lock()
-	l.check.Accept(accepted, id)
+	l.check.Accept(acceptedAt, id)
 	l.mu.Unlock()
 	c.used = true
 	if _, err := c.read.Peek(1); err != nil {
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -132,19 +132,19 @@
 // writeTrace writes a trace of the use of a gossip entry and of a quota. In mode "uses-old" the entry is 4 s old, past its bound;
 // in mode "takes-two-parts" the quota is half of the in-flight limit.
 func (a *brokenAgent) writeTrace(file string) {
-	born := bootclock.SinceBoot()
-	fact := func(what string, at time.Duration) string {
+	startedAt := bootclock.SinceBoot()
+	traceEntry := func(what string, at time.Duration) string {
 		return fmt.Sprintf(`{"at":%d,"what":%q,"kind":"distance","observer":"x","subject":"y","incarnation":1,"seq":1}`+"\n", at.Microseconds(), what)
 	}
-	text, old := "", time.Second
-	part := 0.3
+	text, age := "", time.Second
+	quota := 0.3
 	switch a.mode {
 	case "uses-old":
-		old = 4 * time.Second
+		age = 4 * time.Second
 	case "takes-two-parts":
-		part = 0.5
+		quota = 0.5
 	}
-	text += fact("tell", born-old) + fact("use", born) + fmt.Sprintf(`{"at":%d,"part":%v}`+"\n", born.Microseconds(), part)
+	text += traceEntry("tell", startedAt-age) + traceEntry("use", startedAt) + fmt.Sprintf(`{"at":%d,"part":%v}`+"\n", startedAt.Microseconds(), quota)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		panic(err)
 	}
@@ -153,12 +153,12 @@
 // mayUseZone reports whether the agent may use a zone: the zone that the tests' policy permits, or another one if the mode
 // violates the policy.
 func (a *brokenAgent) mayUseZone(zone string, repeat bool) bool {
-	first := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
+	initiallyPermitted := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
 	switch {
 	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.restarted:
-		return !first
+		return !initiallyPermitted
 	case a.mode == "leaks-after-change": // the agent never receives the second policy
-		return first
+		return initiallyPermitted
 	}
 	return zone == "riga-ziepniekkalns"
 }
--- a/internal/lab/fakehub_test.go
+++ b/internal/lab/fakehub_test.go
@@ -52,7 +52,7 @@
 	if _, err := toml.DecodeFile(file, &config); err != nil {
 		panic(err)
 	}
-	own := func() (v struct{ Version int64 }) {
+	ownSettings := func() (v struct{ Version int64 }) {
 		if config.Settings.File != "" {
 			_, _ = toml.DecodeFile(config.Settings.File, &v) // the next call reads the file again
 		}
@@ -60,7 +60,7 @@
 	}
 	var version atomic.Int64
 	go applySettings(mode, config.Listen, config.Settings.State, config.Seeds, func(v int64) int64 {
-		version.Store(max(v, own().Version))
+		version.Store(max(v, ownSettings().Version))
 		return version.Load()
 	})
 	panic(http.ListenAndServe(config.Listen, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -68,9 +68,9 @@
 	})))
 }
 
-// applySettings polls other processes for the versions of their settings, applies the highest and logs it. hub returns the higher
-// of a version and the version of the hub's own file; it is nil for an agent.
-func applySettings(mode, listen, state string, others []string, hub func(v int64) int64) {
+// applySettings polls other processes for the versions of their settings, applies the highest and logs it. mergeOwn
+// returns the higher of a version and the highest version of the hub's own file; it is nil for an agent.
+func applySettings(mode, listen, state string, others []string, mergeOwn func(v int64) int64) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // real agents log their name under this key
 	versionFile := filepath.Join(state, "version")
 	var version int64
@@ -83,7 +83,7 @@
 	if text, err := os.ReadFile(versionFile); err == nil {
 		if v, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64); err == nil && mode != "forgets-settings" {
 			apply(v)
-		} else if hub == nil {
+		} else if mergeOwn == nil {
 			apply(1)
 		}
 	}
@@ -91,25 +91,25 @@
 	client := &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: at.AsSlice()}}).DialContext}}
 	for {
-		best := version
+		highest := version
 		for _, addr := range others {
 			resp, err := client.Get("http://" + addr + "/fleet/settings")
 			if err != nil {
 				continue
 			}
 			var v struct{ Version int64 }
-			if json.NewDecoder(resp.Body).Decode(&v) == nil && v.Version > best {
-				best = v.Version
+			if json.NewDecoder(resp.Body).Decode(&v) == nil && v.Version > highest {
+				highest = v.Version
 			}
 			resp.Body.Close()
 		}
-		if hub != nil {
-			best = hub(best)
+		if mergeOwn != nil {
+			highest = mergeOwn(highest)
 		}
-		if best > version && !(mode == "never-settles" && version > 0 && hub == nil) {
-			apply(best)
-			if revertingMode := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[hub != nil]; mode == revertingMode && best > 1 {
-				apply(best - 1)
+		if highest > version && !(mode == "never-settles" && version > 0 && mergeOwn == nil) {
+			apply(highest)
+			if revertingMode := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[mergeOwn != nil]; mode == revertingMode && highest > 1 {
+				apply(highest - 1)
 				time.Sleep(time.Hour) // the fault has occurred: do nothing more
 			}
 		}
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -50,8 +50,8 @@
 	runtime.LockOSThread()
 	for {
 		select {
-		case do := <-l.startRequests:
-			do()
+		case startProcess := <-l.startRequests:
+			startProcess()
 		case <-l.ctx.Done():
 			return // a locked thread ends with its goroutine
 		}
@@ -198,7 +198,7 @@
 		l.fail(err)
 		return
 	}
-	cmd, ended, began := p.cmd, p.ended, l.now()
+	cmd, ended, restartedAt := p.cmd, p.ended, l.now()
 	l.running.Go(func() {
 		err := p.role.awaitReady(l.ctx, ended)
 		l.mu.Lock()
@@ -209,7 +209,7 @@
 		if err == nil {
 			p.up, p.readyAt = true, l.now()
 			if p.kind == "agent" {
-				l.restartTimes = append(l.restartTimes, p.readyAt-began)
+				l.restartTimes = append(l.restartTimes, p.readyAt-restartedAt)
 			}
 			p.role.onReady(p.readyAt)
 		} else if !l.closing && l.ctx.Err() == nil {
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -118,21 +118,21 @@
 // Real agents that share state keep every rule during faults between several processes: they use no gossip entry past its age
 // bound, and the sum of their quotas stays within the bound.
 func TestRealAgentsShareSafely(t *testing.T) {
-	asked := strings.Replace(sixAgentScenario, "[lists]", "[lists]\nasked = true\nknown = \"none\"\nrate = 20", 1)
+	polled := strings.Replace(sixAgentScenario, "[lists]", "[lists]\nasked = true\nknown = \"none\"\nrate = 20", 1)
 	relayed := "[shared]\non = true\nrelayed = true\n"
 	matrix := "[shared]\non = true\nmatrix = true\n"
 	for name, c := range map[string]struct {
-		text string
-		also func(t *testing.T, r *Report)
+		text   string
+		verify func(t *testing.T, r *Report)
 	}{
-		"cold start": {asked + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n", func(t *testing.T, r *Report) {
+		"cold start": {polled + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n", func(t *testing.T, r *Report) {
 			if r.Lists.PerAgent > 1.3 || r.Lists.Calls == 0 {
 				t.Errorf("%d list calls, %v for each start of an agent; want some, and at most 1.3 for each start", r.Lists.Calls, r.Lists.PerAgent)
 			}
 		}},
-		"own lists":    {asked + "[shared]\non = true\n[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents share=0.7\"\nafter = \"100ms\"\n", nil},
-		"relays stop":  {asked + relayed + "[[fault]]\nat = \"1s\"\nfor = \"3s\"\nwhat = \"stop\"\nwho = \"agents n=0,1,2\"\n", nil},
-		"dark service": {strings.Replace(asked, `known = "none"`, `known = "now"`, 1) + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n[[fault]]\nat = \"1s\"\nfor = \"2s\"\nwhat = \"list-silent\"\n", nil},
+		"own lists":    {polled + "[shared]\non = true\n[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents share=0.7\"\nafter = \"100ms\"\n", nil},
+		"relays stop":  {polled + relayed + "[[fault]]\nat = \"1s\"\nfor = \"3s\"\nwhat = \"stop\"\nwho = \"agents n=0,1,2\"\n", nil},
+		"dark service": {strings.Replace(polled, `known = "none"`, `known = "now"`, 1) + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n[[fault]]\nat = \"1s\"\nfor = \"2s\"\nwhat = \"list-silent\"\n", nil},
 		"some stay dead": {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents n=4,5\"\nrestart = \"never\"\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["gone"] == 0 {
 				t.Error("no agent used an entry of kind gone about the agents that stay down")
@@ -151,7 +151,7 @@
 		"delay one way":  {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"link\"\nfrom = \"agents zone=0\"\nto = \"agents zone=1\"\ndelay = \"60ms\"\n", nil},
 		"probes blocked": {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"link\"\nfrom = \"agents zone=0\"\nto = \"agents zone=1\"\nboth = true\nprotocol = \"udp\"\ncut = true\n", nil},
 		"sites of one":   {strings.Replace(sixAgentScenario, "agents = 6", "agents = 3", 1) + matrix, nil},
-		"list again":     {asked + relayed + "[[fault]]\nat = \"2s\"\nwhat = \"list-rewind\"\n", nil},
+		"list again":     {polled + relayed + "[[fault]]\nat = \"2s\"\nwhat = \"list-rewind\"\n", nil},
 		"stopped past the bound": {strings.ReplaceAll(strings.Replace(strings.Replace(tighterPolicy(sixAgentScenario), "of = 0.2", "of = 0.1", 1), `bound = "500ms"`, `bound = "2s"`, 1), "\n[regions]", "\nwhen_stale = \"refuse\"\n[regions]") +
 			"[[fault]]\nat = \"800ms\"\nfor = \"4s\"\nwhat = \"stop\"\nwho = \"agents n=1,4\"\n", nil},
 		"bound tenants": {strings.Replace(strings.Replace(tighterPolicy(sixAgentScenario), "of = 0.2", "of = 0.1", 1), `bound = "500ms"`, `bound = "2s"`, 1) + "[[fault]]\nat = \"2s\"\nwhat = \"kill\"\nwho = \"agents n=0,3\"\nrestart = \"kept\"\n", nil},
@@ -165,8 +165,8 @@
 			if r.ServedInObjective == 0 {
 				t.Error("no request was served within its latency objective")
 			}
-			if c.also != nil {
-				c.also(t, r)
+			if c.verify != nil {
+				c.verify(t, r)
 			}
 		})
 	}
--- a/internal/lab/targets.go
+++ b/internal/lab/targets.go
@@ -67,14 +67,14 @@
 // pickHosts returns the backends in a set, considering only backends that are up.
 func (l *Lab) pickHosts(fault int, text string) (list []*host) {
 	set, _ := scenario.ParseSet(text)
-	var use []*host
+	var available []*host
 	for _, h := range l.hosts {
 		if !h.ended && h.machine.State == model.Up {
-			use = append(use, h)
+			available = append(available, h)
 		}
 	}
-	for _, n := range l.pickFrom(fault, set, len(use), func(n int) int { return use[n].machine.Zone }) {
-		list = append(list, use[n])
+	for _, n := range l.pickFrom(fault, set, len(available), func(n int) int { return available[n].machine.Zone }) {
+		list = append(list, available[n])
 	}
 	return list
 }
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -81,11 +81,11 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
-	const ticks = 100 // clock ticks per second on Linux
+	const ticksPerSecond = 100 // of the kernel's clock on Linux
 	if len(f) > 12 {
 		user, _ := strconv.ParseFloat(f[11], 64)
 		system, _ := strconv.ParseFloat(f[12], 64)
-		cpu = (user + system) / ticks
+		cpu = (user + system) / ticksPerSecond
 	}
 	return rss, len(entries), cpu, nil
 }
