--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -12,7 +12,7 @@
 // block is the part of the loopback address range (127.<number>.0.0/16) that belongs to one lab.
 type block struct {
 	number int
-	claim  net.Listener // open until the lab closes; other labs skip the block meanwhile
+	claim  net.Listener // other labs skip the block while this listener is open
 }
 
 const (
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -74,7 +74,7 @@
 	activeFaults       []string // as shown in a View
 	crashes            []string
 	overloadedBackends int          // backends that crashed by overload in slow start
-	unreachableSpans   []check.Span // in which whole zones are unreachable
+	unreachableSpans   []check.Span // in which zones are unreachable
 	watchUntil         time.Duration
 	watching           bool                           // a goroutine counts connections whose SYN is unanswered
 	backendAddrs       map[netip.AddrPort]backendAddr // by the address of a listener
--- a/internal/lab/pendingconnections.go
+++ b/internal/lab/pendingconnections.go
@@ -25,7 +25,7 @@
 	return h.machine.State == model.Silent || l.network.Fault(agentEnd, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), agentEnd, netfault.TCP).Cut
 }
 
-// zoneFault reports whether a fault makes whole zones unreachable for a time.
+// zoneFault reports whether a fault makes zones unreachable for a limited time.
 func zoneFault(f *scenario.Fault) bool {
 	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
