--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -1,6 +1,6 @@
 package lab
 
-// The arrival of requests: which client sends what, and when.
+// The arrivals of requests: which client sends which request, and when.
 
 import (
 	"container/heap"
@@ -56,12 +56,12 @@
 	}
 }
 
-// loadFactorAt returns the factor by which bursts raise the load at a time. It depends on the scenario alone, so a seed gives
-// the same arrivals whatever the agents do.
+// loadFactorAt returns the factor by which bursts raise the load at a time. The factor depends only on the scenario, so the
+// arrivals of a seed do not depend on what the agents do.
 func (l *Lab) loadFactorAt(at time.Duration) float64 {
 	f := 1.0
-	if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
-		at %= again
+	if interval := l.Scenario.RepeatInterval.Duration(); interval > 0 {
+		at %= interval
 	}
 	for _, x := range l.Scenario.Faults {
 		if x.Kind == "burst" && at >= x.At.Duration() && (x.Duration == 0 || at < x.At.Duration()+x.Duration.Duration()) {
@@ -71,23 +71,24 @@
 	return f
 }
 
-// nextArrival draws the time of the next request: a Poisson process whose rate follows the load in small steps.
+// nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms.
 func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
-	const walk = 10 * time.Millisecond
-	left := a.arrivalRandom.ExpFloat64()
+	const step = 10 * time.Millisecond
+	remaining := a.arrivalRandom.ExpFloat64()
 	for {
 		rate := a.rate * l.loadFactorAt(at)
-		if need := left / rate; need <= walk.Seconds() {
-			return at + seconds(need)
+		if untilNext := remaining / rate; untilNext <= step.Seconds() {
+			return at + seconds(untilNext)
 		}
-		left -= rate * walk.Seconds()
-		if at += walk; at > l.Scenario.Duration.Duration() {
+		remaining -= rate * step.Seconds()
+		if at += step; at > l.Scenario.Duration.Duration() {
 			return math.MaxInt64
 		}
 	}
 }
 
-// runArrivals starts each request at its time, whatever became of earlier ones (an open-loop load), until the run is over.
+// runArrivals starts each request at its arrival time, whether or not earlier requests have finished (an open-loop load), until
+// the run ends.
 func (l *Lab) runArrivals() {
 	var h arrivalHeap
 	for _, a := range l.agents {
@@ -131,8 +132,8 @@
 // newRequest draws the next request of an agent's clients.
 func (l *Lab) newRequest(a *agent, at time.Duration) *clientRequest {
 	r := a.requestRandom
-	req := &clientRequest{agent: a, index: a.lastIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.lastIndex))}
-	a.lastIndex++
+	req := &clientRequest{agent: a, index: a.nextIndex, intendedAt: at, random: l.rng.Stream(fmt.Sprintf("client/%d/%d", a.number, a.nextIndex))}
+	a.nextIndex++
 	req.firstID = fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("request/%d/%d/0", a.number, req.index)))
 	if r.Float64() >= l.classes[0].share {
 		req.class = 1
@@ -158,7 +159,7 @@
 	return req
 }
 
-// takeQuota counts a request against the quota of its tenant and reports whether it is within it. Lab.mu is held.
+// takeQuota counts a request against the quota of its tenant and reports whether the request is within the quota. Lab.mu is held.
 func (l *Lab) takeQuota(now time.Duration, tenant int) bool {
 	if l.tenantQuotas == nil {
 		l.tenantQuotas = make([]tokenBucket, len(tenants))
--- a/internal/lab/endpointlist.go
+++ b/internal/lab/endpointlist.go
@@ -1,6 +1,6 @@
 package lab
 
-// The endpoint list, as discovery has it for one caller.
+// The endpoint list that discovery sends to a caller.
 
 import (
 	"slices"
@@ -27,24 +27,25 @@
 
 // endpointChange is a published change of a backend.
 type endpointChange struct {
-	host      *host
-	state     string
-	started   time.Duration // negative: long ago
-	learnedAt time.Duration
+	host        *host
+	state       string
+	started     time.Duration // negative: long before the run
+	publishedAt time.Duration
 }
 
-// propagationDelay returns how much later than published a caller receives changes.
+// propagationDelay returns the time from the publication of a change until a caller can receive it.
 func (d *fakeDiscovery) propagationDelay(caller int) time.Duration {
 	r := d.lab.rng.Of("spread", caller)
 	return time.Duration((16 + 80*r.Float64()) * float64(time.Millisecond))
 }
 
-// visible returns the version that a caller can receive by now, and when it can receive the next; negative if there is none.
+// visible returns the version that a caller can receive at a time, and when the caller can receive the next version; negative if
+// there is none yet.
 func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
-	spread := d.propagationDelay(caller)
+	delay := d.propagationDelay(caller)
 	for i, c := range d.changes {
-		if c.learnedAt+spread > now {
-			return d.baseVersion + int64(i), c.learnedAt + spread
+		if c.publishedAt+delay > now {
+			return d.baseVersion + int64(i), c.publishedAt + delay
 		}
 	}
 	return d.baseVersion + int64(len(d.changes)), -1
@@ -53,7 +54,7 @@
 // list returns the changes between two versions, or the full list.
 func (d *fakeDiscovery) list(caller int, from, to int64, full bool) endpointList {
 	m := endpointList{Version: to, Full: full, Servers: []endpoint{}}
-	at := map[string]int{}
+	indexByID := map[string]int{}
 	for _, c := range d.changes[from-d.baseVersion : to-d.baseVersion] {
 		spec := &c.host.machine.Spec
 		s := endpoint{ID: spec.ID, Addr: c.host.addr(caller), Zone: d.lab.Scenario.Fleet.Zones[spec.Zone],
@@ -61,10 +62,10 @@
 		if c.started >= 0 {
 			s.Started = d.lab.wallTime(c.started).UnixMilli()
 		}
-		if i, known := at[s.ID]; known {
+		if i, known := indexByID[s.ID]; known {
 			m.Servers[i] = s
 		} else {
-			at[s.ID] = len(m.Servers)
+			indexByID[s.ID] = len(m.Servers)
 			m.Servers = append(m.Servers, s)
 		}
 	}
@@ -74,8 +75,8 @@
 	return m
 }
 
-// addr returns the address of the backend for an agent. Each agent has one of its own, so that the network can tell agents
-// apart, except where agents relay lists to each other.
+// addr returns the address of the backend for an agent. Each agent has a separate address, by which the network identifies the
+// agent, except where agents relay lists to each other.
 func (h *host) addr(agent int) string {
 	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // hubs send nothing to backends
 		agent = 0
@@ -83,16 +84,17 @@
 	return h.gates[agent].Addr().String()
 }
 
-// cachedList returns the list in the configuration of an agent that starts, and counts it as delivered. Lab.mu is held.
+// cachedList returns the list for the configuration of an agent that starts, and reports it to the checker as delivered. Lab.mu
+// is held.
 func (d *fakeDiscovery) cachedList(a *agent, now time.Duration) endpointList {
 	v, _ := d.visible(a.number, now)
 	switch d.lab.Scenario.Discovery.CachedList {
 	case "none":
 		return endpointList{Servers: []endpoint{}}
-	case "first": // the list of the start of the run
+	case "first": // the list at the start of the run
 		v = d.baseVersion
 		for _, c := range d.changes {
-			if c.learnedAt < 0 {
+			if c.publishedAt < 0 {
 				v++
 			}
 		}
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -20,8 +20,8 @@
 	"martenbeam/internal/membership"
 )
 
-// TestMain lets the test binary stand in for an agent's program: the real agent, or one that is broken in a
-// stated way.
+// TestMain lets the test binary run as an agent or a hub, real or fake, as LAB_TEST_AGENT selects. A fake has one fault, which
+// its mode names.
 func TestMain(m *testing.M) {
 	mode := os.Getenv("LAB_TEST_AGENT")
 	if len(os.Args) == 4 && os.Args[1] == "hub" {
@@ -50,16 +50,16 @@
 	os.Exit(0)
 }
 
-// brokenAgent sends each request to one backend, once, but for what its mode gets wrong.
+// brokenAgent sends each request to one backend, once, except for the fault that its mode names.
 type brokenAgent struct {
-	mode string
-	mu   sync.Mutex
-	list map[string]endpoint
-	n    int
-	kept bool // it has run before, with the same files
+	mode      string
+	mu        sync.Mutex
+	list      map[string]endpoint
+	n         int
+	restarted bool // the agent was restarted with the files of its previous run
 }
 
-// runFakeAgent runs such an agent, configured as the platform does.
+// runFakeAgent runs a brokenAgent with the configuration that PROXY_CONFIG names.
 func runFakeAgent(mode string) {
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
@@ -80,8 +80,8 @@
 	a := &brokenAgent{mode: mode, list: map[string]endpoint{}}
 	before := filepath.Join(os.Getenv("TMPDIR"), "before")
 	_, err = os.Stat(before)
-	a.kept = err == nil
-	_ = os.WriteFile(before, nil, 0o600) // only whether it is there matters
+	a.restarted = err == nil
+	_ = os.WriteFile(before, nil, 0o600) // only its existence matters
 	if config.Fleet.Trace != "" {
 		go a.writeTrace(config.Fleet.Trace)
 	}
@@ -97,7 +97,7 @@
 	if mode == "probes" {
 		go a.probeAll()
 	}
-	if mode == "starts-late" && a.kept {
+	if mode == "starts-late" && a.restarted {
 		time.Sleep(time.Second)
 	}
 	panic(http.ListenAndServe(config.Listen, a))
@@ -129,48 +129,50 @@
 	}
 }
 
-// writeTrace writes what an agent shares: that it used what was told 4 s before, or took half of the limit, as its mode says.
+// writeTrace writes a trace of the use of a gossip entry and of a quota. In mode "uses-old" the entry is 4 s old, past its bound;
+// in mode "takes-two-parts" the quota is half of the in-flight limit.
 func (a *brokenAgent) writeTrace(file string) {
-	born := bootclock.SinceBoot()
-	fact := func(what string, at time.Duration) string {
+	startedAt := bootclock.SinceBoot()
+	traceEntry := func(what string, at time.Duration) string {
 		return fmt.Sprintf(`{"at":%d,"what":%q,"kind":"distance","observer":"x","subject":"y","incarnation":1,"seq":1}`+"\n", at.Microseconds(), what)
 	}
-	text, old := "", time.Second
-	part := 0.3
+	text, age := "", time.Second
+	quota := 0.3
 	switch a.mode {
 	case "uses-old":
-		old = 4 * time.Second
+		age = 4 * time.Second
 	case "takes-two-parts":
-		part = 0.5
+		quota = 0.5
 	}
-	text += fact("tell", born-old) + fact("use", born) + fmt.Sprintf(`{"at":%d,"part":%v}`+"\n", born.Microseconds(), part)
+	text += traceEntry("tell", startedAt-age) + traceEntry("use", startedAt) + fmt.Sprintf(`{"at":%d,"part":%v}`+"\n", startedAt.Microseconds(), quota)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		panic(err)
 	}
 }
 
-// inHomeZone reports whether a zone is one of those that the tests' policy permits, as the mode has it.
-func (a *brokenAgent) inHomeZone(zone string, repeat bool) bool {
-	first := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
+// mayUseZone reports whether the agent may use a zone: the zone that the tests' policy permits, or another one if the mode
+// violates the policy.
+func (a *brokenAgent) mayUseZone(zone string, repeat bool) bool {
+	initiallyPermitted := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
 	switch {
-	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.kept:
-		return !first
-	case a.mode == "leaks-after-change": // it never hears of the second policy
-		return first
+	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.restarted:
+		return !initiallyPermitted
+	case a.mode == "leaks-after-change": // the agent never receives the second policy
+		return initiallyPermitted
 	}
 	return zone == "riga-ziepniekkalns"
 }
 
-// pickInHomeZone is a backend where it may be served, or, as the mode has it, may not.
-func (a *brokenAgent) pickInHomeZone(repeat bool) endpoint {
+// pickPermitted returns a backend in a zone for which mayUseZone reports true.
+func (a *brokenAgent) pickPermitted(repeat bool) endpoint {
 	for {
-		if s, _ := a.pick(); a.inHomeZone(s.Zone, repeat) {
+		if s, _ := a.pick(); a.mayUseZone(s.Zone, repeat) {
 			return s
 		}
 	}
 }
 
-// probeAll asks backends for their load all the time, and waits for none of them for long.
+// probeAll sends a load probe to a backend every 5 ms, with a timeout of 50 ms.
 func (a *brokenAgent) probeAll() {
 	client := &http.Client{Timeout: 50 * time.Millisecond}
 	for range time.Tick(5 * time.Millisecond) {
@@ -183,13 +185,13 @@
 	}
 }
 
-// pick is a backend: by turns, or always the newest.
+// pick returns a random backend, or the newest one in mode "rushes-the-newest", and the number of calls so far.
 func (a *brokenAgent) pick() (best endpoint, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.n++
 	i := a.n
-	for _, s := range a.list { // map order serves as chance
+	for _, s := range a.list { // the random order of maps makes the choice
 		if best.ID == "" || a.mode == "rushes-the-newest" && s.Started > best.Started {
 			best = s
 		}
@@ -209,9 +211,9 @@
 		return
 	}
 	s, n := a.pick()
-	odd := n%5 == 0
+	faulty := n%5 == 0
 	if strings.HasPrefix(a.mode, "leaks") || a.mode == "resides" {
-		s = a.pickInHomeZone(false)
+		s = a.pickPermitted(false)
 	}
 	send := func(to endpoint, id string, body []byte) (int, []byte) {
 		out, err := http.NewRequest(r.Method, "http://"+to.Addr+r.URL.RequestURI(), bytes.NewReader(body))
@@ -220,7 +222,7 @@
 		}
 		out.Header = r.Header.Clone()
 		out.Header.Set("X-Trace-Id", id)
-		out.Header.Del("X-Expires-In") // it may wait for a connection, and does not reckon with that
+		out.Header.Del("X-Expires-In") // the fake does not deduct the time that it waits for a connection
 		if a.mode == "overstates" {
 			out.Header.Set("X-Expires-In", "60")
 		}
@@ -229,7 +231,7 @@
 			return http.StatusBadGateway, nil
 		}
 		defer resp.Body.Close()
-		text, _ := io.ReadAll(resp.Body) // cut off: it fails below
+		text, _ := io.ReadAll(resp.Body) // the client detects a truncated body
 		if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("X-Never-Ran") == "" {
 			return http.StatusBadGateway, nil
 		}
@@ -237,49 +239,49 @@
 	}
 	id := r.Header.Get("X-Trace-Id")
 	switch {
-	case a.mode == "hangs-up" && odd:
+	case a.mode == "hangs-up" && faulty:
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
-		_ = http.NewResponseController(w).Flush() // the client sees it or the end
+		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
 		panic(http.ErrAbortHandler)
-	case a.mode == "never-answers" && odd:
+	case a.mode == "never-answers" && faulty:
 		<-r.Context().Done()
 		return
-	case a.mode == "forges" && odd:
+	case a.mode == "forges" && faulty:
 		fmt.Fprint(w, "served "+id)
 		return
-	case a.mode == "invents" && odd:
+	case a.mode == "invents" && faulty:
 		send(s, "feedfacefeedface", body)
-	case a.mode == "rewrites" && odd:
+	case a.mode == "rewrites" && faulty:
 		body = append(body, '!')
 	case a.mode == "dies" && n == 20: // in the middle of an answer
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
-		_ = http.NewResponseController(w).Flush() // the client sees it or the end
+		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
 		os.Exit(7)
 	case a.mode == "hoards" && n == 20:
 		retained = bytes.Repeat([]byte{1}, 256<<20)
 	}
 	status, text := send(s, id, body)
 	switch {
-	case a.mode == "reads-and-closes" && odd:
+	case a.mode == "reads-and-closes" && faulty:
 		panic(http.ErrAbortHandler)
-	case a.mode == "sends-after-the-end" && odd:
+	case a.mode == "sends-after-the-end" && faulty:
 		time.AfterFunc(300*time.Millisecond, func() { send(s, id, body) })
-	case a.mode == "repeats-in-pod" && odd && r.Header.Get("Idempotency-Key") != "":
+	case a.mode == "repeats-in-pod" && faulty && r.Header.Get("Idempotency-Key") != "":
 		status, text = send(s, id, body)
-	case a.mode == "leaks-on-repeat" && odd:
-		status, text = send(a.pickInHomeZone(true), id, body)
-	case a.mode == "sends-twice" && odd:
+	case a.mode == "leaks-on-repeat" && faulty:
+		status, text = send(a.pickPermitted(true), id, body)
+	case a.mode == "sends-twice" && faulty:
 		other, _ := a.pick()
 		status, text = send(other, id, body)
-	case a.mode == "refuses-what-ran" && odd:
+	case a.mode == "refuses-what-ran" && faulty:
 		status = http.StatusServiceUnavailable
-	case a.mode == "answers-late" && odd:
+	case a.mode == "answers-late" && faulty:
 		time.Sleep(3 * time.Second)
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(text) // the client's going away shows elsewhere
+	_, _ = w.Write(text) // fails only if the client has disconnected
 }
 
 var retained []byte
--- a/internal/lab/fakehub_test.go
+++ b/internal/lab/fakehub_test.go
@@ -23,7 +23,7 @@
 	"martenbeam/internal/hubd"
 )
 
-// runRealHub is a hub as its command runs it.
+// runRealHub runs a real hub as the hub command does.
 func runRealHub(file string) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := config.ReadHub(file)
@@ -41,8 +41,8 @@
 	}
 }
 
-// runFakeHub stands in for a hub's program: it takes settings from its file, or from other hubs, and tells their version to
-// who asks. What it gets wrong its mode says.
+// runFakeHub runs a fake hub. It gets settings from its file or from other hubs, and serves their version. Its mode names its
+// fault.
 func runFakeHub(mode, file string) {
 	var config struct {
 		Listen, Trace string
@@ -52,15 +52,15 @@
 	if _, err := toml.DecodeFile(file, &config); err != nil {
 		panic(err)
 	}
-	own := func() (v struct{ Version int64 }) {
+	ownSettings := func() (v struct{ Version int64 }) {
 		if config.Settings.File != "" {
-			_, _ = toml.DecodeFile(config.Settings.File, &v) // the next look finds it
+			_, _ = toml.DecodeFile(config.Settings.File, &v) // the next call reads the file again
 		}
 		return v
 	}
 	var version atomic.Int64
 	go applySettings(mode, config.Listen, config.Settings.State, config.Seeds, func(v int64) int64 {
-		version.Store(max(v, own().Version))
+		version.Store(max(v, ownSettings().Version))
 		return version.Load()
 	})
 	panic(http.ListenAndServe(config.Listen, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -68,49 +68,49 @@
 	})))
 }
 
-// applySettings asks others which version of settings they have, all the time, and logs the highest once it is in force here. hub
-// is what a hub has of its own beside, nil at an agent.
-func applySettings(mode, listen, state string, others []string, hub func(v int64) int64) {
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // agents say their name there
-	keep := filepath.Join(state, "version")
+// applySettings polls other processes for the versions of their settings, applies the highest and logs it. mergeOwn
+// returns the higher of a version and the highest version of the hub's own file; it is nil for an agent.
+func applySettings(mode, listen, state string, others []string, mergeOwn func(v int64) int64) {
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // real agents log their name under this key
+	versionFile := filepath.Join(state, "version")
 	var version int64
-	have := func(v int64) {
+	apply := func(v int64) {
 		version = v
 		log.Info("settings", "version", v)
-		_ = os.MkdirAll(state, 0o755) // what is not kept shows as a version that went back
-		_ = os.WriteFile(keep, []byte(strconv.FormatInt(v, 10)), 0o600)
+		_ = os.MkdirAll(state, 0o755) // a version that is not stored shows as a regression after a restart
+		_ = os.WriteFile(versionFile, []byte(strconv.FormatInt(v, 10)), 0o600)
 	}
-	if text, err := os.ReadFile(keep); err == nil {
+	if text, err := os.ReadFile(versionFile); err == nil {
 		if v, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64); err == nil && mode != "forgets-settings" {
-			have(v)
-		} else if hub == nil {
-			have(1)
+			apply(v)
+		} else if mergeOwn == nil {
+			apply(1)
 		}
 	}
 	at := netip.MustParseAddrPort(listen).Addr()
 	client := &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: (&net.Dialer{LocalAddr: &net.TCPAddr{IP: at.AsSlice()}}).DialContext}}
 	for {
-		best := version
+		highest := version
 		for _, addr := range others {
 			resp, err := client.Get("http://" + addr + "/fleet/settings")
 			if err != nil {
 				continue
 			}
 			var v struct{ Version int64 }
-			if json.NewDecoder(resp.Body).Decode(&v) == nil && v.Version > best {
-				best = v.Version
+			if json.NewDecoder(resp.Body).Decode(&v) == nil && v.Version > highest {
+				highest = v.Version
 			}
 			resp.Body.Close()
 		}
-		if hub != nil {
-			best = hub(best)
+		if mergeOwn != nil {
+			highest = mergeOwn(highest)
 		}
-		if best > version && !(mode == "never-settles" && version > 0 && hub == nil) {
-			have(best)
-			if goes := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[hub != nil]; mode == goes && best > 1 {
-				have(best - 1)
-				time.Sleep(time.Hour) // it has done its part
+		if highest > version && !(mode == "never-settles" && version > 0 && mergeOwn == nil) {
+			apply(highest)
+			if revertingMode := map[bool]string{false: "agent-goes-back", true: "hub-goes-back"}[mergeOwn != nil]; mode == revertingMode && highest > 1 {
+				apply(highest - 1)
+				time.Sleep(time.Hour) // the fault has occurred: do nothing more
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -11,18 +11,18 @@
 func (l *Lab) scheduleFaults() {
 	for i := range l.Scenario.Faults {
 		f := &l.Scenario.Faults[i]
-		var play func(now time.Duration)
-		play = func(now time.Duration) {
+		var begin func(now time.Duration)
+		begin = func(now time.Duration) {
 			l.beginFault(i, f, now)
-			if again := l.Scenario.RepeatInterval.Duration(); again > 0 {
-				l.scheduleAt(now+again, play)
+			if interval := l.Scenario.RepeatInterval.Duration(); interval > 0 {
+				l.scheduleAt(now+interval, begin)
 			}
 		}
-		l.scheduleAt(f.At.Duration(), play)
+		l.scheduleAt(f.At.Duration(), begin)
 	}
 }
 
-// scheduleEnd schedules the end of a fault; one without a duration lasts until the end of the run. Lab.mu is held.
+// scheduleEnd schedules the end of a fault. A fault without a duration lasts until the end of the run. Lab.mu is held.
 func (l *Lab) scheduleEnd(f *scenario.Fault, now time.Duration, end func(now time.Duration)) {
 	if f.Duration > 0 {
 		l.scheduleAt(now+f.Duration.Duration(), end)
@@ -32,7 +32,7 @@
 // beginFault starts a fault and schedules its end. Lab.mu is held.
 func (l *Lab) beginFault(index int, fault *scenario.Fault, now time.Duration) {
 	l.showActive(fault, now)
-	l.watchOpenings(fault, now)
+	l.watchPendingConnections(fault, now)
 	switch fault.Kind {
 	case scenario.Link:
 		l.applyLinkFault(index, fault, now)
@@ -67,7 +67,7 @@
 	}
 }
 
-// showActive lists a fault in the view of the run for as long as it lasts. Lab.mu is held.
+// showActive lists a fault in the view of the run until the fault ends. Lab.mu is held.
 func (l *Lab) showActive(fault *scenario.Fault, now time.Duration) {
 	lasting := fault.Duration > 0 || fault.Kind == scenario.Link || fault.Kind == scenario.FailingBackends || fault.Kind == scenario.NoisyNeighbour
 	if !lasting {
@@ -85,15 +85,15 @@
 	})
 }
 
-// disruptDiscovery makes discovery silent, unavailable, or go back to an old version. Lab.mu is held.
+// disruptDiscovery makes discovery unresponsive or unavailable, or makes it return to an old version. Lab.mu is held.
 func (l *Lab) disruptDiscovery(fault *scenario.Fault, now time.Duration) {
 	d := l.discovery
 	switch fault.Kind {
 	case scenario.DiscoverySilent:
-		d.silent, d.disruptedUntil = true, time.Hour
+		d.unresponsive, d.disruptedUntil = true, time.Hour
 		l.scheduleEnd(fault, now, func(now time.Duration) {
-			d.silent, d.disruptedUntil = false, now
-			d.wakeWatches()
+			d.unresponsive, d.disruptedUntil = false, now
+			d.updateWatches()
 		})
 	case scenario.DiscoveryDown:
 		d.unavailable, d.disruptedUntil = true, time.Hour
@@ -110,7 +110,7 @@
 	}
 }
 
-// stepDelay returns when, after its start, a fault reaches the k-th of n targets.
+// stepDelay returns the time from the start of a fault until it applies to the k-th of n targets.
 func stepDelay(f *scenario.Fault, k, n int) time.Duration {
 	if f.Steps <= 1 {
 		return 0
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -17,24 +17,24 @@
 // fleetPort is the port of agents and hubs for their fleet, and of the lab's links to them.
 const fleetPort = 7947
 
-// fleetLinks relay the UDP and TCP traffic of a fleet. A process is reached through its link, which identifies the caller by
-// its address, so the faults of the network apply to processes that know nothing of the lab.
+// fleetLinks relays the UDP and TCP traffic of a fleet. Other processes reach a process through its link, which identifies them
+// by their source address. So the faults of the network apply to processes that are not aware of the lab.
 type fleetLinks struct {
 	lab           *Lab
-	ends          []*fleetEndpoint
+	endpoints     []*fleetEndpoint
 	byProcessAddr map[netip.Addr]*fleetEndpoint // by the address of the process
 
 	mu           sync.Mutex
 	bytes        int // sent or received by agents
-	hubBytes     int // sent or received by hubs: traffic between two of them counts twice
+	hubBytes     int // sent or received by hubs; traffic between two hubs counts twice
 	conns        map[net.Conn]bool
-	transitTimes map[transitKey][]time.Duration // of datagrams through the lab, at most maxTransitTimes each
+	transitTimes map[transitKey][]time.Duration // of datagrams through the lab, at most maxTransitTimes for each key
 }
 
 // fleetEndpoint is a process of the fleet and its link.
 type fleetEndpoint struct {
 	netfault.Endpoint
-	name        string // in the names of random streams
+	name        string // part of the names of random streams
 	processAddr netip.AddrPort
 	udp         *net.UDPConn
 	tcp         *net.TCPListener
@@ -57,29 +57,29 @@
 			return nil, err
 		}
 	}
-	for _, e := range f.ends {
-		l.running.Go(func() { f.carryDatagrams(e) })
-		l.running.Go(func() { f.carryStreams(e) })
+	for _, e := range f.endpoints {
+		l.running.Go(func() { f.relayDatagrams(e) })
+		l.running.Go(func() { f.relayStreams(e) })
 	}
 	return f, nil
 }
 
-// listen opens the link of a process, which has one address and is reached at another.
-func (f *fleetLinks) listen(p netfault.Endpoint, name, at, reached string) error {
-	own, ip := netip.MustParseAddr(at), net.ParseIP(reached)
+// listen opens the link of a process. The process listens on listenIP, and others reach it at linkIP.
+func (f *fleetLinks) listen(p netfault.Endpoint, name, listenIP, linkIP string) error {
+	own, ip := netip.MustParseAddr(listenIP), net.ParseIP(linkIP)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
 	_ = u.SetReadBuffer(1 << 20) // the system may allow less
 	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
-	f.ends, f.byProcessAddr[own] = append(f.ends, e), e
+	f.endpoints, f.byProcessAddr[own] = append(f.endpoints, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
 }
 
 func (f *fleetLinks) close() {
-	for _, e := range f.ends {
+	for _, e := range f.endpoints {
 		e.udp.Close()
 		if e.tcp != nil {
 			e.tcp.Close()
@@ -92,7 +92,7 @@
 	}
 }
 
-// countBytes counts traffic between two processes.
+// countBytes counts n bytes of traffic between two processes.
 func (f *fleetLinks) countBytes(from, to *fleetEndpoint, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,16 +106,16 @@
 	}
 }
 
-// fleetAddr returns the fleet address of an agent's process, and fleetLink the one at which others reach it.
+// fleetAddr returns the fleet address on which agent n listens. fleetLink returns the address at which others reach it.
 func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
 func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
-func (f *fleetLinks) carryDatagrams(to *fleetEndpoint) {
+func (f *fleetLinks) relayDatagrams(to *fleetEndpoint) {
 	l := f.lab
 	buf := make([]byte, 64<<10)
 	for n := 0; ; n++ {
 		size, addr, err := to.udp.ReadFromUDPAddrPort(buf)
-		came := time.Now()
+		receivedAt := time.Now()
 		if err != nil {
 			if l.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
@@ -133,14 +133,14 @@
 		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
 			l.scheduleAt(now+d, func(time.Duration) {
 				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // lost if the receiver has ended
-				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(came))
+				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(receivedAt))
 			})
 		}
 		l.mu.Unlock()
 	}
 }
 
-// recordTransit records how long a datagram took, the lateness of the lab included.
+// recordTransit records the transit time of a datagram, including the lateness of the lab.
 func (f *fleetLinks) recordTransit(k transitKey, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,25 +149,25 @@
 	}
 }
 
-// recentTransit returns the lower quartile of the transit times between two zones in the two seconds before a time. It reports
-// false if there were too few.
+// recentTransit returns the lower quartile of the transit times between two zones in the two full seconds before a time. It
+// reports false if there are too few transit times.
 func (f *fleetLinks) recentTransit(from, to int, at time.Duration) (time.Duration, bool) {
 	second := int(at / time.Second)
 	f.mu.Lock()
 	list := slices.Concat(f.transitTimes[transitKey{from, to, second - 1}], f.transitTimes[transitKey{from, to, second - 2}])
 	f.mu.Unlock()
-	few := 20
+	minCount := 20
 	if len(f.lab.hubs) > 0 { // only hubs send datagrams
-		few = 6
+		minCount = 6
 	}
-	if len(list) < few {
+	if len(list) < minCount {
 		return 0, false
 	}
 	slices.Sort(list)
 	return list[len(list)/4], true
 }
 
-func (f *fleetLinks) carryStreams(to *fleetEndpoint) {
+func (f *fleetLinks) relayStreams(to *fleetEndpoint) {
 	l := f.lab
 	for {
 		c, err := to.tcp.AcceptTCP()
@@ -182,7 +182,7 @@
 			c.Close()
 			continue
 		}
-		l.running.Go(func() { f.carryStream(c, from, to) })
+		l.running.Go(func() { f.relayStream(c, from, to) })
 	}
 }
 
@@ -196,24 +196,24 @@
 	}
 }
 
-// linkState returns the present fault and latency from one process to another.
+// linkState returns the current fault and the current latency from one process to another.
 func (f *fleetLinks) linkState(from, to *fleetEndpoint) (netfault.Fault, time.Duration) {
 	f.lab.mu.Lock()
 	defer f.lab.mu.Unlock()
-	x := f.lab.network.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
-	return x, f.lab.baseLatency(from.Endpoint, to.Endpoint) + x.Delay
+	fault := f.lab.network.Fault(from.Endpoint, to.Endpoint, netfault.TCP)
+	return fault, f.lab.baseLatency(from.Endpoint, to.Endpoint) + fault.Delay
 }
 
-// carryStream relays one TCP connection. During a partition it hangs, as its SYN would; if the other process has ended it is
-// reset, in place of being refused.
-func (f *fleetLinks) carryStream(c *net.TCPConn, from, to *fleetEndpoint) {
+// relayStream relays one TCP connection. During a partition the connection hangs, as if its SYN were lost. If the other process
+// has ended, relayStream resets the connection, since it can no longer refuse it.
+func (f *fleetLinks) relayStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
 	defer c.Close()
 	for {
-		there, _ := f.linkState(from, to)
-		back, _ := f.linkState(to, from)
-		if !there.Cut && !back.Cut {
+		forward, _ := f.linkState(from, to)
+		backward, _ := f.linkState(to, from)
+		if !forward.Cut && !backward.Cut {
 			break
 		}
 		if !f.wait(50 * time.Millisecond) {
@@ -237,21 +237,21 @@
 	both.Wait()
 }
 
-// copy relays one direction. Data that meets a partition waits until it heals, as TCP retransmits. So does the end of the
-// connection, unless both sides have ended.
+// copy relays one direction. During a partition, copy delays data until the partition heals, as TCP would retransmit the data.
+// It delays the end of the direction likewise, unless both directions have ended.
 func (f *fleetLinks) copy(out, in net.Conn, from, to *fleetEndpoint, ended *atomic.Int32) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			x, way := f.linkState(from, to)
-			for x.Cut {
+			fault, latency := f.linkState(from, to)
+			for fault.Cut {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
-				x, way = f.linkState(from, to)
+				fault, latency = f.linkState(from, to)
 			}
-			if !f.wait(way) {
+			if !f.wait(latency) {
 				return
 			}
 			f.countBytes(from, to, n)
@@ -262,7 +262,7 @@
 		}
 		if err != nil {
 			ended.Add(1)
-			for x, _ := f.linkState(from, to); x.Cut && ended.Load() < 2; x, _ = f.linkState(from, to) {
+			for fault, _ := f.linkState(from, to); fault.Cut && ended.Load() < 2; fault, _ = f.linkState(from, to) {
 				if !f.wait(50 * time.Millisecond) {
 					return
 				}
@@ -277,7 +277,7 @@
 	}
 }
 
-// wait waits for a time. It reports false once the lab ends.
+// wait waits for d. It reports false if the lab ends first.
 func (f *fleetLinks) wait(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -11,8 +11,9 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// addNetworkRules adds rules to the network for the duration of a fault. Agents that are cut off from their clients or from
-// discovery are excused meanwhile. Lab.mu is held.
+// addNetworkRules adds rules to the network for the duration of a fault. The checker excuses agents that have a fault between
+// them and their clients, and an agent or hub that is cut off from discovery counts as a disruption of discovery. Lab.mu is
+// held.
 func (l *Lab) addNetworkRules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
@@ -25,15 +26,15 @@
 		end = time.Hour
 	}
 	for _, a := range l.agents {
-		me, it := endpointOf(netfault.Client, a.number), endpointOf(netfault.Agent, a.number)
-		for _, d := range []netfault.Fault{l.network.Fault(me, it, netfault.TCP), l.network.Fault(it, me, netfault.TCP)} {
+		clientEnd, agentEnd := endpointOf(netfault.Client, a.number), endpointOf(netfault.Agent, a.number)
+		for _, d := range []netfault.Fault{l.network.Fault(clientEnd, agentEnd, netfault.TCP), l.network.Fault(agentEnd, clientEnd, netfault.TCP)} {
 			if d != (netfault.Fault{}) {
 				l.check.Excuse(a.number, now, end)
 				break
 			}
 		}
 		disc := endpointOf(netfault.Discovery, a.number)
-		if l.network.Unreachable(it, disc) {
+		if l.network.Unreachable(agentEnd, disc) {
 			l.discovery.disruptedUntil = end
 		}
 	}
@@ -49,7 +50,7 @@
 		l.updateGates()
 		l.networkChanges = append(l.networkChanges, now)
 		l.retryPartitioned(now)
-		l.discovery.wakeWatches()
+		l.discovery.updateWatches()
 	})
 }
 
@@ -64,7 +65,7 @@
 		case netfault.Hub:
 			n = len(l.hubs)
 		case netfault.Discovery:
-			n += len(l.hubs) // each hub has a discovery listener of its own
+			n += len(l.hubs) // each hub has a separate discovery listener
 		}
 		picked := map[int]bool{}
 		for _, k := range l.pickFrom(i, set, n, func(k int) int { return l.zone(endpointOf(role, k)) }) {
@@ -91,22 +92,22 @@
 	}
 }
 
-// updateGates makes listeners reachable or unreachable by the present state of the network. Lab.mu is held; the listeners
-// change soon after, by a goroutine.
+// updateGates makes listeners reachable or unreachable according to the current state of the network. A goroutine changes the
+// listeners soon after updateGates returns. Lab.mu is held.
 func (l *Lab) updateGates() {
 	type job struct {
-		g    *gate
-		shut bool
+		g           *gate
+		unreachable bool
 	}
 	var jobs []job
 	for _, a := range l.agents {
-		me := endpointOf(netfault.Agent, a.number)
+		agentEnd := endpointOf(netfault.Agent, a.number)
 		for _, h := range l.hosts {
 			if !h.ended && h.gates != nil {
-				jobs = append(jobs, job{h.gates[a.number], h.machine.State == model.Silent || l.network.Unreachable(me, h.endpoint())})
+				jobs = append(jobs, job{h.gates[a.number], h.machine.State == model.Silent || l.network.Unreachable(agentEnd, h.endpoint())})
 			}
 		}
-		jobs = append(jobs, job{l.discovery.gates[a.number], l.network.Unreachable(me, endpointOf(netfault.Discovery, a.number))})
+		jobs = append(jobs, job{l.discovery.gates[a.number], l.network.Unreachable(agentEnd, endpointOf(netfault.Discovery, a.number))})
 	}
 	for _, h := range l.hubs {
 		if n := len(l.agents) + h.number; n < len(l.discovery.gates) {
@@ -117,13 +118,13 @@
 		l.gateMu.Lock()
 		defer l.gateMu.Unlock()
 		for _, j := range jobs {
-			j.g.setUnreachable(j.shut)
+			j.g.setUnreachable(j.unreachable)
 		}
 	})
 }
 
-// partitionZone partitions a zone from the others, in both directions or in the incoming one. Discovery is outside of each zone.
-// Lab.mu is held.
+// partitionZone partitions a zone from the others, in both directions or only in the incoming direction. Discovery is outside
+// every zone. Lab.mu is held.
 func (l *Lab) partitionZone(f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	inside := func(p netfault.Endpoint) bool {
--- a/internal/lab/openings.go
+++ b/internal/lab/pendingconnections.go
@@ -14,24 +14,25 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// Attempts at unreachable backends. On an established connection the lab reads the attempt and holds it back. A connection that
-// is not established shows only in the kernel's table of sockets, in state SYN_SENT.
+// Attempts at unreachable backends. On an established connection the lab reads the attempt and queues it. A connection that is
+// not established appears only in the kernel's table of sockets, in state SYN_SENT.
 
-const openingInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
+const pendingConnectionInterval = 100 * time.Millisecond // shorter than each connect timeout that the lab configures
 
 // unreachable reports whether an agent cannot reach a backend, or the backend cannot answer. Lab.mu is held.
 func (l *Lab) unreachable(agent int, h *host) bool {
-	me := endpointOf(netfault.Agent, agent)
-	return h.machine.State == model.Silent || l.network.Fault(me, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), me, netfault.TCP).Cut
+	agentEnd := endpointOf(netfault.Agent, agent)
+	return h.machine.State == model.Silent || l.network.Fault(agentEnd, h.endpoint(), netfault.TCP).Cut || l.network.Fault(h.endpoint(), agentEnd, netfault.TCP).Cut
 }
 
-// zoneFault reports whether a fault makes whole zones unreachable for a time.
+// zoneFault reports whether a fault makes zones unreachable for a limited time.
 func zoneFault(f *scenario.Fault) bool {
 	return f.Duration > 0 && (f.Kind == scenario.ZoneLost || f.Kind == scenario.ZoneCut || f.Kind == scenario.ZoneReceiveCut)
 }
 
-// watchOpenings counts connections that are not established while a fault makes zones unreachable. Lab.mu is held.
-func (l *Lab) watchOpenings(f *scenario.Fault, now time.Duration) {
+// watchPendingConnections starts to count connections that cannot be established, until the end of a fault that makes zones
+// unreachable. Lab.mu is held.
+func (l *Lab) watchPendingConnections(f *scenario.Fault, now time.Duration) {
 	if !zoneFault(f) {
 		return
 	}
@@ -42,9 +43,9 @@
 	}
 	l.watching = true
 	l.running.Go(func() {
-		tick := time.NewTicker(openingInterval)
+		tick := time.NewTicker(pendingConnectionInterval)
 		defer tick.Stop()
-		var before map[opening]bool
+		var before map[pendingConnection]bool
 		for {
 			select {
 			case <-tick.C:
@@ -52,13 +53,13 @@
 				return
 			}
 			table, err := os.ReadFile("/proc/self/net/tcp")
-			list := openings(table) // before locking: a machine may have many thousands of sockets
+			list := pendingConnections(table) // parsed before locking, since a machine may have many thousands of sockets
 			l.mu.Lock()
 			if err != nil {
 				l.fail(err)
 			}
 			now := l.now()
-			before = l.countOpenings(now, list, before)
+			before = l.countPendingConnections(now, list, before)
 			if l.watching = now < l.watchUntil && err == nil; !l.watching {
 				l.mu.Unlock()
 				return
@@ -68,12 +69,12 @@
 	})
 }
 
-// opening is a connection in state SYN_SENT.
-type opening struct{ from, to netip.AddrPort }
+// pendingConnection is a connection in state SYN_SENT.
+type pendingConnection struct{ from, to netip.AddrPort }
 
-// openings returns the connections in state SYN_SENT of the kernel's table.
-func openings(table []byte) (list []opening) {
-	// Most lines are of sockets in TIME_WAIT: the state at its fixed place is compared before the line is split.
+// pendingConnections returns the connections in state SYN_SENT of the kernel's table.
+func pendingConnections(table []byte) (list []pendingConnection) {
+	// Most sockets are in state TIME_WAIT, so the state, at its fixed position, is compared before the line is split.
 	const synSent, state = "02", len("0100007F:1F90 00000000:0000 ")
 	lines := bufio.NewScanner(bytes.NewReader(table))
 	for lines.Scan() {
@@ -82,16 +83,17 @@
 			continue
 		}
 		fields := bytes.Fields(lines.Bytes())
-		from, ok := kernelAddress(fields[1])
-		to, also := kernelAddress(fields[2])
-		if ok && also {
-			list = append(list, opening{from, to})
+		from, fromOK := kernelAddress(fields[1])
+		to, toOK := kernelAddress(fields[2])
+		if fromOK && toOK {
+			list = append(list, pendingConnection{from, to})
 		}
 	}
 	return list
 }
 
-// kernelAddress parses an IPv4 address and port of the kernel's table, which has the address in little-endian byte order.
+// kernelAddress parses an IPv4 address and port in the form of the kernel's table, which has the address in little-endian byte
+// order.
 func kernelAddress(text []byte) (a netip.AddrPort, ok bool) {
 	ip, port, found := bytes.Cut(text, []byte(":"))
 	var b [6]byte
@@ -107,10 +109,10 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{b[3], b[2], b[1], b[0]}), uint16(b[4])<<8|uint16(b[5])), true
 }
 
-// countOpenings counts the connections to unreachable backends that are new since the call before, and returns those that are
-// open now. One at a time for each agent and zone may be a health check, which looks the same from outside, and is left out.
-// Lab.mu is held.
-func (l *Lab) countOpenings(now time.Duration, list []opening, before map[opening]bool) map[opening]bool {
+// countPendingConnections counts the connections to unreachable backends that are new since the previous call, and returns those
+// that are in state SYN_SENT now. For each agent and zone it leaves out one connection at a time, which may be a health check:
+// the table does not distinguish health checks from attempts. Lab.mu is held.
+func (l *Lab) countPendingConnections(now time.Duration, list []pendingConnection, previous map[pendingConnection]bool) map[pendingConnection]bool {
 	if l.backendAddrs == nil {
 		l.backendAddrs = map[netip.AddrPort]backendAddr{}
 	}
@@ -123,25 +125,25 @@
 		}
 	}
 	type group struct{ agent, zone int }
-	open, fresh, still := map[group]int{}, map[group]int{}, map[opening]bool{}
+	open, added, current := map[group]int{}, map[group]int{}, map[pendingConnection]bool{}
 	for _, o := range list {
-		w, ok := l.backendAddrs[o.to]
-		if !ok || !l.unreachable(w.agent, w.host) {
+		backend, ok := l.backendAddrs[o.to]
+		if !ok || !l.unreachable(backend.agent, backend.host) {
 			continue
 		}
-		g := group{w.agent, w.host.machine.Zone}
-		still[o] = true
+		g := group{backend.agent, backend.host.machine.Zone}
+		current[o] = true
 		open[g]++
-		if !before[o] {
-			fresh[g]++
+		if !previous[o] {
+			added[g]++
 		}
 	}
-	for g, n := range fresh {
+	for g, n := range added {
 		for range min(n, open[g]-1) {
 			l.tally.CountFirstAttempt(now, true)
 		}
 	}
-	return still
+	return current
 }
 
 // backendAddr identifies the listener of a backend for an agent.
@@ -150,8 +152,9 @@
 	host  *host
 }
 
-// avoidedAfter returns the longest time, in seconds, from the start of a fault of zones until fewer than 1% of first attempts
-// went to unreachable backends; nil without such a fault, -1 if that never came.
+// avoidedAfter returns the longest time, in seconds, from the start of a fault that makes zones unreachable until fewer than 1%
+// of first attempts went to unreachable backends. It returns nil if there was no fault of this kind, and -1 if the share of
+// attempts never fell below 1%.
 func (l *Lab) avoidedAfter() *float64 {
 	var worst *float64
 	for _, s := range l.unreachableSpans {
@@ -167,7 +170,7 @@
 	return worst
 }
 
-// usedCapacity returns the share of the present capacity of all available backends that is in use. Lab.mu is held.
+// usedCapacity returns the share of the current capacity of all available backends that is in use. Lab.mu is held.
 func (l *Lab) usedCapacity(now time.Duration) float64 {
 	work, all := 0.0, 0.0
 	for _, h := range l.hosts {
