--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -115,7 +115,7 @@
 	var report attachmentReport
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessageSize)).Decode(&report)
 	if r.Method != http.MethodPost || err != nil || len(report.Agents) > maxRegistryEntries {
-		http.Error(w, "invalid attachment report", http.StatusBadRequest)
+		http.Error(w, "this is no hub's post", http.StatusBadRequest)
 		return
 	}
 	now, response := time.Now(), attachmentReport{Hub: s.cfg.Name}
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -36,10 +36,10 @@
 	switch label := r.Header.Get(LabelHeader); {
 	case r.Method != http.MethodGet || r.Header.Get("Upgrade") != frame.Protocol:
 		w.Header().Set("Upgrade", frame.Protocol)
-		http.Error(w, "this path requires an upgrade to "+frame.Protocol, http.StatusUpgradeRequired)
+		http.Error(w, "agents attach here by "+frame.Protocol, http.StatusUpgradeRequired)
 		return
 	case label != "" && label != s.cfg.Label:
-		http.Error(w, "this hub belongs to another fleet", http.StatusForbidden)
+		http.Error(w, "this hub is of another fleet", http.StatusForbidden)
 		return
 	}
 	if open := s.openStreams.Add(1); int(open) > s.cfg.MaxAgents+maxExtraStreams {
@@ -51,7 +51,7 @@
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		s.openStreams.Add(-1)
-		http.Error(w, "this connection cannot be upgraded", http.StatusInternalServerError)
+		http.Error(w, "no stream can be had of this connection", http.StatusInternalServerError)
 		return
 	}
 	s.readyMu.Lock()
