--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -82,7 +82,7 @@
 			break
 		}
 	}
-	applied := func() (n uint32) {
+	lastSeqRead := func() (n uint32) {
 		for _, a := range hub.registry.attachments() {
 			if a.name == "flooding" {
 				n = a.status().Seq
@@ -90,7 +90,7 @@
 		}
 		return n
 	}
-	if n := applied(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
+	if n := lastSeqRead(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
 		t.Errorf("the hub read %d frames in %v, more than frameRate and frameBurst allow", n, time.Since(startedAt))
 	}
 }
@@ -99,13 +99,13 @@
 // buffers are full.
 func attachWithoutReading(t *testing.T, hub *testHub) {
 	t.Helper()
-	unresponsive, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
+	conn, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unresponsive.Close()
+	defer conn.Close()
 	hello := frame.Hello{Label: t.Name(), Name: "unresponsive", Incarnation: 1}
-	if err := writeFrame(unresponsive, &frame.Frame{Hello: &hello}); err != nil {
+	if err := writeFrame(conn, &frame.Frame{Hello: &hello}); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "attachment", func() bool { return findAttachment(hub, "unresponsive") != nil })
@@ -113,7 +113,7 @@
 	big := make([]byte, 4<<20)
 	for !isClosed(a.done) { // each frame replaces the pending one
 		a.enqueue(big)
-		if writeFrame(unresponsive, &frame.Frame{State: servingState}) != nil {
+		if writeFrame(conn, &frame.Frame{State: servingState}) != nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -43,20 +43,20 @@
 	secondProcess.Close()
 	waitFor(t, "second dead agent in the fleet size", func() bool { return a.fleetSize() == FleetSize{2, 1, 2} })
 	for _, hub := range hubs[1:] {
-		names := hub.registry.confirmedDead(3*time.Second, time.Now())
-		if len(names) == 0 || len(names) > 2 {
-			t.Errorf("%s lists %d agents as dead, want 1 or 2", hub.cfg.Name, len(names))
+		dead := hub.registry.confirmedDead(3*time.Second, time.Now())
+		if len(dead) == 0 || len(dead) > 2 {
+			t.Errorf("%s lists %d agents as dead, want 1 or 2", hub.cfg.Name, len(dead))
 		}
 	}
 	// c returns to another hub: its quota is not confirmed until all hubs have stopped counting c as dead.
-	back := attachAgent(t, hubs[0], frame.Hello{Name: "c", Incarnation: 2, Addr: listenAsProcess(t).Addr().String()}, servingState)
+	returned := attachAgent(t, hubs[0], frame.Hello{Name: "c", Incarnation: 2, Addr: listenAsProcess(t).Addr().String()}, servingState)
 	waitFor(t, "fleet size after the return of c", func() bool {
 		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
 	})
-	if back.isQuotaConfirmed() {
+	if returned.isQuotaConfirmed() {
 		t.Error("the quota of c is confirmed while others may still use it")
 	}
-	waitFor(t, "confirmed quota of c", back.isQuotaConfirmed)
+	waitFor(t, "confirmed quota of c", returned.isQuotaConfirmed)
 	waitFor(t, "end of the checks of c", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
--- a/internal/fleet/hub/forms_test.go
+++ b/internal/fleet/hub/forms_test.go
@@ -6,7 +6,7 @@
 )
 
 // The JSON form of an attachment report and the paths of requests between hubs must not change.
-func TestAttachmentReportKeepsItsForm(t *testing.T) {
+func TestAttachmentReportFormatIsStable(t *testing.T) {
 	const want = `{"hub":"h1","agents":[{"name":"n2","incarnation":3}]}`
 	got, err := json.Marshal(attachmentReport{Hub: "h1", Agents: []reportedAgent{{Name: "n2", Incarnation: 3}}})
 	if err != nil || string(got) != want {
--- a/internal/fleet/hub/simagent_test.go
+++ b/internal/fleet/hub/simagent_test.go
@@ -55,7 +55,7 @@
 	a.streams, a.hub = []net.Conn{agentConn}, hub
 	sim.mu.Unlock()
 	server.streams.Go(func() { server.serveStream(hubConn, bufio.NewReader(hubConn)); hubConn.Close() })
-	sim.tasks.Go(func() { a.read(agentConn, hub) })
+	sim.tasks.Go(func() { a.runStream(agentConn, hub) })
 	sim.tasks.Go(func() {
 		time.Sleep(100 * time.Millisecond)
 		for _, c := range previous {
@@ -64,8 +64,8 @@
 	})
 }
 
-// read runs the agent's side of a stream: it sends its state each second and stores what the hub publishes.
-func (a *simAgent) read(conn net.Conn, hub *simHub) {
+// runStream runs the agent's side of a stream: it sends its state each second and stores what the hub publishes.
+func (a *simAgent) runStream(conn net.Conn, hub *simHub) {
 	defer func() {
 		a.sim.mu.Lock()
 		if len(a.streams) > 0 && a.streams[0] == conn {
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -22,7 +22,7 @@
 	mu            sync.Mutex
 	hubs          []*simHub
 	agents        []*simAgent // the latest process of each name; nil before the first
-	started       []*simAgent // all processes, in the order of their start
+	processes     []*simAgent // all processes, in the order of their start
 	incarnations  uint64      // the latest incarnation assigned to an agent's process
 	partitioned   bool        // hubs and agents with odd numbers cannot reach those with even numbers
 	partitionedAt time.Time
@@ -61,8 +61,8 @@
 // isPartitioned reports whether a partition separates the hubs or agents with the numbers a and b.
 func (s *simulation) isPartitioned(a, b int) bool { return s.partitioned && a%2 != b%2 }
 
-// gossip passes gossip messages between the hubs, and drops a quarter of them at random.
-func (s *simulation) gossip() {
+// exchangeGossip passes gossip messages between the hubs, and drops a quarter of them at random.
+func (s *simulation) exchangeGossip() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, from := range s.hubs {
@@ -87,7 +87,7 @@
 	a := &simAgent{sim: s, n: n, incarnation: s.incarnations, startedAt: time.Now(), gossip: store}
 	s.mu.Lock()
 	s.agents[n] = a
-	s.started = append(s.started, a)
+	s.processes = append(s.processes, a)
 	s.mu.Unlock()
 }
 
@@ -95,7 +95,7 @@
 func (s *simulation) quotaSum() (sum float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.started {
+	for _, a := range s.processes {
 		if !a.dead {
 			sum += a.quota()
 		}
@@ -107,7 +107,7 @@
 // test if the quotas add up to more than 1.1 times the limit.
 func (s *simulation) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		s.gossip()
+		s.exchangeGossip()
 		for _, a := range s.agents {
 			s.mu.Lock()
 			unattached := a != nil && !a.dead && a.hub == nil
