--- a/internal/fleet/hub/admission.go
+++ b/internal/fleet/hub/admission.go
@@ -14,8 +14,8 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// admission is a token bucket that limits the rate at which agents attach. Its burst is a tenth of the tokens of one
-// second, at least one token. Its methods may be called from any goroutine.
+// admission is a token bucket that limits the rate at which agents attach. The bucket holds the tokens of 100 ms, but at
+// least one token. Its methods may be called from any goroutine.
 type admission struct {
 	rate float64 // agents per second
 
@@ -31,7 +31,8 @@
 }
 
 // admit reports whether an agent may attach now. If not, it returns how long the agent should wait before it retries.
-// The waits spread the retries of rejected agents at the admission rate, with jitter of up to half of each wait.
+// The waits spread the retries of rejected agents at the admission rate, with jitter of up to half of each wait, and lie
+// between minRetryAfter and maxRetryAfter.
 func (a *admission) admit(now time.Time) (retryAfter time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/admission_test.go
+++ b/internal/fleet/hub/admission_test.go
@@ -45,7 +45,7 @@
 		})
 	}
 	if limit := 1 + 10*time.Since(startedAt).Seconds(); float64(admitted) > limit || admitted == 0 {
-		t.Errorf("%d agents admitted in %v at a rate of 10 per second", admitted, time.Since(startedAt))
+		t.Errorf("%d agents admitted in %v, want at least 1 and at most 10 per second after a burst of 1", admitted, time.Since(startedAt))
 	}
 	for _, wait := range waits {
 		if wait <= 0 || wait > maxRetryAfter {
--- a/internal/fleet/hub/attachment.go
+++ b/internal/fleet/hub/attachment.go
@@ -31,8 +31,8 @@
 type attachment struct {
 	name, site  string
 	incarnation uint64
-	serial      uint64         // set by registry.attach: higher than that of each earlier attachment to this hub
-	addr        netip.AddrPort // a refused connection to it proves that the process is dead; invalid if the agent sent none
+	serial      uint64         // set by registry.attach: higher than the serial of each earlier attachment to this hub
+	addr        netip.AddrPort // if it refuses a connection, the process is dead; invalid if the agent sent no valid address
 	attachedAt  time.Time
 	conn        net.Conn
 	reader      *bufio.Reader
@@ -43,7 +43,7 @@
 	mu           sync.Mutex
 	state        frame.State
 	stateAt      time.Time // when state was received; zero before the first State
-	laggingSince time.Time // since when the agent has lacked the latest settings; zero if it has them
+	laggingSince time.Time // when the agent began to lag behind the current settings; zero if the agent does not lag
 }
 
 // close ends the stream. Its goroutines end soon after. It may be called more than once and from any goroutine.
@@ -101,8 +101,8 @@
 }
 
 // readLoop reads frames until the stream ends, and reports whether the agent sent Leave. It reads at most frameRate
-// frames per second: the excess of an agent that sends more stays in that agent's socket buffers and does not affect
-// other agents.
+// frames per second, after a burst of up to frameBurst. If an agent sends more, the excess frames stay in the socket
+// buffers of that agent's connection and do not affect other agents.
 func (a *attachment) readLoop(loadReports *gossip.Store) (left bool, err error) {
 	tokens, refilledAt := frameBurst, time.Now()
 	for {
@@ -133,7 +133,8 @@
 	}
 }
 
-// handleFrame stores a State and merges load reports into loadReports. After an error the caller ends the stream.
+// handleFrame stores a State, and merges the agent's own observations of the list service into loadReports. It returns an
+// error for a frame with a Hello, Welcome, Busy or Echo, and for an invalid load report; the caller then ends the stream.
 func (a *attachment) handleFrame(f *frame.Frame, loadReports *gossip.Store) error {
 	if f.Hello != nil || f.Welcome != nil || f.Busy != nil || f.Echo != nil {
 		return errUnexpectedFrame
@@ -174,8 +175,8 @@
 	return a.state
 }
 
-// updateLagging compares the agent's settings with the current version. It returns since when the agent has lagged
-// behind that version, or the zero time if the agent does not lag.
+// updateLagging compares the agent's settings with the current version. It returns the time at which the agent began to
+// lag behind the current settings, or the zero time if the agent does not lag.
 func (a *attachment) updateLagging(current documents.AppliedVersion, now time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/hub/attachment_test.go
+++ b/internal/fleet/hub/attachment_test.go
@@ -25,7 +25,7 @@
 	early := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 4}, servingState)
 	waitFor(t, "end of the earlier process's stream to another hub", early.closed)
 	if first.closed() {
-		t.Error("the stream of the later process has ended")
+		t.Error("the stream of the process with incarnation 5 has ended, want it open")
 	}
 	later := attachAgent(t, hubs[1], frame.Hello{Name: "a", Incarnation: 6}, servingState)
 	waitFor(t, "end of the replaced process's stream to another hub", first.closed)
@@ -44,7 +44,7 @@
 	sendTooManyFrames(t, hub)
 	attachWithoutReading(t, hub)
 	if good.closed() || good.fleetSize().Attached == 0 {
-		t.Error("the well-behaved agent has lost its stream or its fleet size")
+		t.Error("the stream of the well-behaved agent has ended or its fleet size has expired, want neither")
 	}
 }
 
@@ -82,7 +82,7 @@
 			break
 		}
 	}
-	lastSeqRead := func() (n uint32) {
+	applied := func() (n uint32) {
 		for _, a := range hub.registry.attachments() {
 			if a.name == "flooding" {
 				n = a.status().Seq
@@ -90,13 +90,13 @@
 		}
 		return n
 	}
-	if n := lastSeqRead(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
-		t.Errorf("the hub read %d frames in %v, more than frameRate and frameBurst allow", n, time.Since(startedAt))
+	if n := applied(); float64(n) > frameBurst+frameRate*(time.Since(startedAt).Seconds()+1) {
+		t.Errorf("the hub read %d frames in %v, want at most frameBurst, plus frameRate per second", n, time.Since(startedAt))
 	}
 }
 
-// attachWithoutReading attaches an agent that does not read, and waits until the hub ends its stream because the socket
-// buffers are full.
+// attachWithoutReading attaches an agent that does not read, and waits until the hub ends the agent's stream because the
+// socket buffers are full.
 func attachWithoutReading(t *testing.T, hub *testHub) {
 	t.Helper()
 	conn, _, err := dialUpgrade(hub.fleet.Addr(), t.Name())
@@ -140,7 +140,7 @@
 	}
 }
 
-// The hub ignores unknown fields in the frames and bodies of other program versions, and accepts missing ones.
+// The hub ignores unknown fields in the frames and bodies of other program versions, and accepts missing fields.
 func TestUnknownFieldsOfOtherVersionsAreIgnored(t *testing.T) {
 	t.Parallel()
 	hub := startHub(t, "hub", 10, nil)
@@ -160,9 +160,9 @@
 	waitFor(t, "fleet size", func() bool { return a.fleetSize() == FleetSize{1, 0, 0} })
 	size, err := ParseFleetSize([]byte{0xa2, 0x01, 0x03, 0x18, 0x20, 0x01}) // fields 2 and 3 are missing, field 32 is unknown
 	if err != nil || size != (FleetSize{3, 0, 0}) {
-		t.Errorf("fleet size of another version: got %+v, error %v", size, err)
+		t.Errorf("fleet size of another version: got %+v and error %v, want 3 attached agents and no error", size, err)
 	}
 	if a.closed() {
-		t.Error("frames with unknown fields ended the stream")
+		t.Error("the stream ended after frames with unknown fields, want it open")
 	}
 }
--- a/internal/fleet/hub/attachmentreport.go
+++ b/internal/fleet/hub/attachmentreport.go
@@ -18,8 +18,8 @@
 	reportContentType = "application/json"
 )
 
-// attachmentReport lists the agents that attached to a hub since its last report to the receiver. The response has the
-// same form: it lists the reported agents that are attached to the receiver with a higher incarnation.
+// attachmentReport lists the agents that attached to a hub since the last report that the receiver acknowledged. The
+// response has the same format and lists the reported agents that are attached to the receiver with a higher incarnation.
 type attachmentReport struct {
 	Hub    string          `json:"hub"`
 	Agents []reportedAgent `json:"agents"`
@@ -35,8 +35,9 @@
 type progress struct{ incarnation, serial uint64 }
 
 // reportAttachments sends attachment reports to the other hubs until ctx ends, and repeats each report until the hub
-// acknowledges it. A hub that receives a report stops checking the reported agents that disconnected from it. If two
-// processes have one name, the hub of the process with the lower incarnation detaches that process.
+// acknowledges it. The receiver stops checking whether the reported agents that have disconnected from the receiver are
+// dead. If two processes have one name, the hub of the process with the lower incarnation closes the stream of that
+// process.
 func (s *Server) reportAttachments(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
--- a/internal/fleet/hub/evidence.go
+++ b/internal/fleet/hub/evidence.go
@@ -16,15 +16,17 @@
 
 // evidence records the reports about other hubs and dead processes. Its methods may be called from any goroutine.
 type evidence struct {
-	maxAge    time.Duration // of a report that a process is dead: up to this age others may use its quota
+	maxAge    time.Duration // of a report that a process is dead: other agents may use the process's quota until then
 	maxAgents int           // Config.MaxAgents
 
 	mu            sync.Mutex
 	resumedAt     time.Time            // the process has run without a suspension since then
 	reportedDead  map[string]time.Time // by name: the latest time at which any hub or member found the process dead
-	attachedByHub map[string]uint32    // by hub name: the attached agents in its last report, of any age
-	hubsDeadAt    map[string]time.Time // by address of a missing hub: the first check that confirmed it dead
-	allReportedAt time.Time            // every hub has reported an observation made at this time or later; zero if a hub has not
+	attachedByHub map[string]uint32    // by hub name: the number of agents in the hub's last report, of any age
+	hubsDeadAt    map[string]time.Time // by address of a missing hub: since when every check has confirmed the hub dead
+	// allReportedAt is the time of the oldest of the hubs' last reports. It is zero if a hub has no recent report, unless
+	// the hub has been dead for longer than maxAge.
+	allReportedAt time.Time
 }
 
 func newEvidence(maxAge time.Duration, maxAgents int, now time.Time) *evidence {
@@ -50,8 +52,8 @@
 }
 
 // recordDead records when processes were found dead, by name, and drops reports older than maxAge. It reports whether
-// the hub may count dead agents: a hub that started or resumed within maxAge may have missed reports that such an agent
-// is running.
+// the hub may count dead agents. The hub may not count any within maxAge of its start or of a suspension, because it may
+// have missed reports that these agents are running.
 func (e *evidence) recordDead(seenAt map[string]time.Time, now time.Time) (countable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,9 +120,9 @@
 }
 
 // quotaConfirmed reports whether an agent that attached at attachedAt is the only user of its quota. It returns true
-// only if every hub has reported since the agent attached, this hub has run for longer than a report of a dead process is
-// valid, and no valid report names the agent: by then a hub that counted the agent as dead would have published the
-// agent's name.
+// only if the agent attached at least minConfirmDelay ago, every hub has reported since the agent attached, this hub has
+// run for longer than a report of a dead process is valid, and no valid report names the agent. Hubs count dead agents from
+// published reports; by then this hub has received any report that names the agent.
 func (e *evidence) quotaConfirmed(name string, attachedAt, now time.Time) bool {
 	if now.Sub(attachedAt) < minConfirmDelay || e.uptime(now) <= e.maxAge {
 		return false
--- a/internal/fleet/hub/failuredetector.go
+++ b/internal/fleet/hub/failuredetector.go
@@ -17,7 +17,7 @@
 const (
 	checkRoundInterval = time.Second
 	checkTimeout       = 600 * time.Millisecond
-	maxChecks          = 256 // of agents in one round, all concurrent
+	maxChecks          = 256 // agents that one round checks, all concurrently
 	maxDeadNames       = 64  // in one gossip entry
 	maxDeadBytes       = 600 // of names in one gossip entry, so that the entry fits into a datagram between members
 )
@@ -64,9 +64,9 @@
 	s.evidence.recordDeadHubs(deadHubs, startedAt)
 }
 
-// publishDead publishes the names of the dead agents, in as many entries as they need. The age of an entry is that of
-// its oldest check. published is the number of entries with names from the last round: publishDead empties the
-// entries that are no longer needed, and returns the new number.
+// publishDead publishes the names of the dead agents, in as many entries as necessary. The age of an entry is the age of
+// the oldest check in it. published is the number of entries that contained names in the last round: publishDead empties
+// the entries that are no longer needed, and returns the new number.
 func (s *Server) publishDead(published int) (n int) {
 	now := time.Now()
 	for dead := s.registry.confirmedDead(s.maxSourceAge(gossip.DeadProcesses), now); len(dead) > 0; n++ {
@@ -85,7 +85,7 @@
 	return n
 }
 
-// publishDeadNames publishes names as the i-th entry.
+// publishDeadNames publishes names as the i-th entry, with the given age.
 func (s *Server) publishDeadNames(i int, names []string, age time.Duration) {
 	body, err := cbor.Marshal(names)
 	if err != nil {
--- a/internal/fleet/hub/fleetsize.go
+++ b/internal/fleet/hub/fleetsize.go
@@ -58,7 +58,8 @@
 	return size
 }
 
-// fleetSize computes the size of the fleet. age is that of the oldest entry used.
+// fleetSize computes the size of the fleet, and records the reports of other hubs in s.evidence. age is the age of the
+// oldest entry used.
 //
 // The quotas in use must never add up to more than the limit, even if agents are running on the other side of a
 // partition. Dead is therefore at most MaxAgents less the number of agents that may be running: the agents attached to
@@ -87,16 +88,17 @@
 	return size, age
 }
 
-// maxSourceAge returns the maximum age of an entry that a published sum includes: two thirds of the age bound of its
-// kind, so that the sum can be used for some time before it reaches the bound.
+// maxSourceAge returns the maximum age of an entry that a published aggregate includes: two thirds of the age bound of
+// the entry's kind, so that the aggregate can be used for some time before it reaches the bound.
 func (s *Server) maxSourceAge(kind gossip.Kind) time.Duration { return s.cfg.AgeBounds[kind] * 2 / 3 }
 
 // deadMaxAge returns how long a report that a process is dead is valid.
 func (s *Server) deadMaxAge() time.Duration { return s.cfg.AgeBounds[gossip.DeadProcesses] }
 
 // countDead counts the names that a hub or a member reports as dead, except the names of hubs, of agents that are members
-// themselves, and of agents attached to a hub. Each name counts with its latest report; oldest is the age of the oldest
-// of these reports. A hub that started or resumed within deadMaxAge counts none.
+// themselves, and of agents attached to a hub. Each name counts once, with its latest report; reports older than
+// maxSourceAge do not count. oldest is the age of the oldest report that counts. countDead also records all reports in
+// s.evidence. A hub that started or resumed within deadMaxAge counts none.
 func (s *Server) countDead(meshAgents map[string]bool, now time.Time) (n int, oldest time.Duration) {
 	hubs := map[string]bool{}
 	for _, hub := range append(s.fleet.Hubs(), s.fleet.MissingHubs()...) {
--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -11,8 +11,8 @@
 )
 
 // The fleet size includes the agents of all hubs. An agent that dies counts as dead once, even if two hubs had a stream
-// to it, and so does an agent that sends Leave. An agent that returns no longer counts as dead. The steps share one
-// function because each starts from the fleet that the previous one leaves.
+// to it. An agent that sends Leave also counts as dead once. An agent that returns no longer counts as dead. The steps
+// share one function because each step starts from the fleet that the previous step leaves.
 func TestFleetSizeCountsEachAgentOnce(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 3, 10)
@@ -54,10 +54,10 @@
 		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
 	})
 	if returned.isQuotaConfirmed() {
-		t.Error("the quota of c is confirmed while others may still use it")
+		t.Error("the quota of c is confirmed while others may still use it, want it unconfirmed")
 	}
 	waitFor(t, "confirmed quota of c", returned.isQuotaConfirmed)
-	waitFor(t, "end of the checks of c", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
+	waitFor(t, "removal of c from the dead agents of its hub", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
 // clearRemote removes the attachments that other hubs have reported from a hub's registry.
@@ -99,7 +99,7 @@
 		hub.fleet.Gossip().Publish(gossip.DeadProcesses, "x", []byte{0x81, 0x61, 'z'})
 		if size := a.fleetSize(); size.Dead != 0 || a.isQuotaConfirmed() {
 			if hub.uptime(time.Now()) < 3*time.Second {
-				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v", size, a.isQuotaConfirmed())
+				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v; want no dead agents and no confirmed quota", size, a.isQuotaConfirmed())
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -109,6 +109,6 @@
 	hub.resetAfterSuspend(time.Now())
 	waitFor(t, "end of the stream", a.closed)
 	if b := attachAgent(t, hub, frame.Hello{Name: "a", Incarnation: 1}, servingState); b.isQuotaConfirmed() {
-		t.Error("the quota is confirmed immediately after a suspension")
+		t.Error("the quota is confirmed immediately after a suspension, want it unconfirmed")
 	}
 }
--- a/internal/fleet/hub/frame/frame.go
+++ b/internal/fleet/hub/frame/frame.go
@@ -20,13 +20,13 @@
 	// Path is the path of an agent's request to its hub, and Protocol is the protocol of the requested upgrade.
 	Path, Protocol = "/hub", "martenbeam-hub"
 
-	maxFrame  = 16 << 10 // bytes; a gossip message has at most half of that size
-	maxName   = 64       // bytes of a name, a zone, a digest or an address
-	maxReason = 512      // bytes
-	maxWait   = time.Minute
+	maxFrame  = 16 << 10    // bytes; a gossip message has at most half of that size
+	maxName   = 64          // bytes of a name, a zone, a digest or an address
+	maxReason = 512         // bytes
+	maxWait   = time.Minute // of Busy.RetryAfter and of Echo.ProcessingDelay
 )
 
-// Frame is a message from an agent or a hub. At least one field besides Version is set.
+// Frame is a message from an agent or a hub. All fields except Version are optional.
 type Frame struct {
 	Version uint8    `cbor:"1,keyasint"`           // set by Encode
 	Hello   *Hello   `cbor:"2,keyasint,omitempty"` // from the agent: its first frame
@@ -44,9 +44,9 @@
 type Hello struct {
 	Label          string `cbor:"1,keyasint"` // of the agent's fleet
 	Name           string `cbor:"2,keyasint"`
-	Incarnation    uint64 `cbor:"3,keyasint"` // of the process; if two have one name, the higher one stays attached
+	Incarnation    uint64 `cbor:"3,keyasint"` // of two processes with one name, the one with the higher incarnation stays attached
 	Site           string `cbor:"4,keyasint"` // the agent's zone
-	Addr           string `cbor:"5,keyasint"` // a refused connection to it proves that the process is dead
+	Addr           string `cbor:"5,keyasint"` // if this address refuses a connection, the process is dead
 	ProgramVersion string `cbor:"6,keyasint"`
 }
 
--- a/internal/fleet/hub/frame/frame_test.go
+++ b/internal/fleet/hub/frame/frame_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if f, err := decode(data); err != nil || f.Version != 7 || f.Hello.Name != "n" {
-		t.Errorf("frame of a later version: got %+v, error %v", f, err)
+		t.Errorf("frame of a later version: got %+v and error %v, want version 7, the name n and no error", f, err)
 	}
 	for name, f := range map[string]Frame{
 		"no name":            {Hello: &Hello{}},
@@ -33,14 +33,14 @@
 			t.Fatal(err)
 		}
 		if _, err := Read(bytes.NewReader(data)); err == nil {
-			t.Errorf("Read accepts a frame with %s", name)
+			t.Errorf("Read accepted a frame with %s, want an error", name)
 		}
 	}
 	if _, err := Encode(&Frame{Gossip: make([]byte, maxFrame)}); err == nil {
-		t.Error("Encode accepts a frame that is too long for Read")
+		t.Error("Encode accepted a frame that is too long for Read, want an error")
 	}
 	if _, err := Read(bytes.NewReader([]byte{0xff, 0, 0, 0})); err == nil {
-		t.Error("Read accepts a frame of gigabytes")
+		t.Error("Read accepted a frame with a length of about 4 GiB, want an error")
 	}
 }
 
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -17,9 +17,9 @@
 
 const (
 	pathHub          = frame.Path
-	handshakeTimeout = 2 * time.Second
+	handshakeTimeout = 2 * time.Second // from the upgrade response to Welcome or Busy
 	// LabelHeader is an optional header of the upgrade request with the label of the agent's fleet. The hub rejects
-	// the label of another fleet with status 403. Without the header, the hub relies on the label in the Hello.
+	// the label of another fleet with status 403. The hub also checks the label in the Hello, with or without the header.
 	LabelHeader = "Martenbeam-Label"
 
 	switchingProtocols = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + frame.Protocol + "\r\n\r\n"
@@ -31,7 +31,8 @@
 	errNoHello    = errors.New("first frame of the stream is not a hello")
 )
 
-// handleUpgrade checks an upgrade request, and starts the stream's goroutine or responds with an error.
+// handleUpgrade checks an upgrade request and responds with an error, or takes over the connection and starts the
+// goroutine that serves the stream. If the hub stops before the goroutine starts, handleUpgrade closes the connection.
 func (s *Server) handleUpgrade(w http.ResponseWriter, r *http.Request) {
 	switch label := r.Header.Get(LabelHeader); {
 	case r.Method != http.MethodGet || r.Header.Get("Upgrade") != frame.Protocol:
@@ -98,8 +99,8 @@
 	s.countProtocolError(conn, err)
 }
 
-// countProtocolError counts and logs a stream that ended because the agent violated the protocol. It ignores network
-// errors and rejection by the admission rate.
+// countProtocolError counts and logs a stream that ended because the agent violated the protocol. It ignores streams
+// that the agent closed, network errors, and streams that the hub rejected with Busy.
 func (s *Server) countProtocolError(conn net.Conn, err error) {
 	var netErr net.Error
 	if err == nil || errors.Is(err, io.EOF) || errors.As(err, &netErr) || errors.Is(err, errBusy) {
--- a/internal/fleet/hub/harness_test.go
+++ b/internal/fleet/hub/harness_test.go
@@ -112,7 +112,7 @@
 
 var errStatus = errors.New("status")
 
-// dialUpgrade connects to a hub and upgrades the connection. The error is errStatus if the hub rejects the upgrade.
+// dialUpgrade connects to a hub and upgrades the connection. The error wraps errStatus if the hub rejects the upgrade.
 func dialUpgrade(addr, label string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -216,7 +216,7 @@
 	return a.quotaConfirmed
 }
 
-// fleetSize returns the size that the hub published last, or the zero value if that size is past its age bound.
+// fleetSize returns the size that the hub published last, or the zero value if there is none within the age bound.
 func (a *fakeAgent) fleetSize() (size FleetSize) {
 	for _, entry := range a.gossip.Entries(gossip.FleetSize) {
 		size, _ = ParseFleetSize(entry.Body)
--- a/internal/fleet/hub/publish.go
+++ b/internal/fleet/hub/publish.go
@@ -1,4 +1,5 @@
-// This file publishes sums over this hub's agents to the other hubs, and sums over all hubs to this hub's agents.
+// This file publishes aggregates over this hub's agents to the other hubs, and aggregates over all hubs to this hub's
+// agents.
 
 package hub
 
@@ -57,8 +58,8 @@
 	}
 }
 
-// resetAfterSuspend closes all streams and clears the registry and the evidence after a suspension of the process. During
-// the suspension the agents have moved to other hubs, and the frames in their streams have become out of date.
+// resetAfterSuspend closes all streams and clears the registry and the evidence after a suspension of the process. By then
+// the agents may have moved to other hubs, and the frames in their streams are out of date.
 func (s *Server) resetAfterSuspend(now time.Time) {
 	for _, a := range s.registry.clear() {
 		a.close()
@@ -66,7 +67,7 @@
 	s.evidence.reset(now)
 }
 
-// publishToHubs publishes the sums over this hub's agents to the other hubs.
+// publishToHubs publishes the aggregates over this hub's agents to the other hubs.
 func (s *Server) publishToHubs() {
 	store := s.fleet.Gossip()
 	store.Publish(gossip.FleetSize, s.cfg.Name, s.localSize().MarshalBody())
@@ -76,7 +77,8 @@
 }
 
 // sharedEntries returns the entries that are the same for all agents: the load of the list service, the fleet size, and
-// the versions of this hub's documents.
+// the versions of this hub's documents. It omits settings without a version, and a policy that no source has confirmed
+// within the age bound of gossip.ResidencyVersion.
 func (s *Server) sharedEntries(now time.Time) []gossip.Entry {
 	entries := startup.Aggregate(s.fleet.Gossip().Entries(gossip.ListServiceLoad))
 	size, age := s.fleetSize(now)
@@ -155,7 +157,7 @@
 	lastBodies  map[gossip.Kind][]byte // at the last call of changed
 }
 
-// changed reports whether entries differ from those of the last call in a kind that agents must receive immediately: any
+// changed reports whether entries differ from the last call's entries in a kind that agents must receive immediately: any
 // kind except the load of the list service, which can wait for the next interval.
 func (p *publisher) changed(entries []gossip.Entry) bool {
 	bodies := map[gossip.Kind][]byte{}
@@ -172,7 +174,7 @@
 	return changed
 }
 
-// encode returns an encoded frame with entries, marked as observations of this hub. The ages of entries are as of now.
+// encode returns an encoded frame with entries, marked as observations of this hub. The entries have their ages at now.
 func (p *publisher) encode(entries []gossip.Entry, now time.Time) []byte {
 	message := gossip.Message{Version: gossip.Version, Sender: p.name, Incarnation: p.incarnation, Clock: now.Sub(p.startedAt)}
 	for _, entry := range entries {
--- a/internal/fleet/hub/registry.go
+++ b/internal/fleet/hub/registry.go
@@ -19,8 +19,8 @@
 	remoteMaxAge         = 30 * time.Second // of a remote attachment: an agent's move to another hub takes less time
 	initialCheckInterval = time.Second      // between two checks whether a disconnected agent is dead
 	maxCheckInterval     = 10 * time.Second // the same, after several checks that did not find it dead
-	// maxReportDelay bounds how long after an agent has attached to this hub an outdated report may arrive: one that
-	// another hub wrote while the agent was still attached there.
+	// maxReportDelay is the longest time after an agent attaches to this hub within which an outdated report can arrive. A
+	// report is outdated if another hub wrote it while the agent was still attached to that hub.
 	maxReportDelay = hubCallTimeout + 2*reportInterval
 )
 
@@ -44,7 +44,8 @@
 }
 
 // supersedes reports whether the agent of attachment a has moved to the other hub: the report is of a later process, or
-// it is of the same process and arrived too late to have been written before the agent attached to this hub.
+// of the same process and arrived at least maxReportDelay after the agent attached to this hub. An earlier report of the
+// same process may be outdated.
 func (r remoteAttachment) supersedes(a *attachment) bool {
 	return r.incarnation > a.incarnation || r.incarnation == a.incarnation && r.reportedAt.Sub(a.attachedAt) >= maxReportDelay
 }
@@ -93,13 +94,13 @@
 }
 
 // detach removes an attachment that has ended. Unless the agent has moved to another hub, detach records the agent as
-// disconnected; left is true if the agent sent Leave, and then the agent is also confirmed dead. An agent without a valid
-// address cannot be checked and is not recorded, so its quota stays unused.
+// disconnected. If left is true, the agent has sent Leave, and detach also records it as confirmed dead. An agent without
+// a valid address cannot be checked and is not recorded, so its quota stays unused.
 func (r *registry) detach(a *attachment, left bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attached[a.name] != a {
-		return // another attachment has replaced it
+		return // another attachment or a remote one has replaced a, or the registry was cleared
 	}
 	delete(r.attached, a.name)
 	if remote, known := r.remote[a.name]; known && remote.supersedes(a) && now.Sub(remote.reportedAt) < remoteMaxAge {
@@ -121,7 +122,8 @@
 
 // applyRemote records another hub's report that a process is attached to that hub. It returns the attachment to this hub
 // that the report replaces, if any, which the caller closes. If the process attached to this hub has a higher
-// incarnation, newer is that incarnation, so that the other hub closes its attachment; otherwise newer is 0.
+// incarnation, newer is that incarnation, so that the other hub closes its attachment; otherwise newer is 0. applyRemote
+// ignores the report if a later process was reported within remoteMaxAge, or if the registry is full.
 func (r *registry) applyRemote(name string, incarnation uint64, now time.Time) (replaced *attachment, newer uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/hub/registry_test.go
+++ b/internal/fleet/hub/registry_test.go
@@ -36,6 +36,6 @@
 	r.applyRemote("a", 2, now.Add(200*time.Millisecond)) // a later process
 	r.detach(a, false, now.Add(time.Second))
 	if len(r.nextChecks(10, now.Add(time.Second))) > 0 {
-		t.Error("a process is due for a check although a later process has replaced it")
+		t.Error("a process is due for a check although a later process has replaced it, want no check")
 	}
 }
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -2,19 +2,21 @@
 // documents to the agents attached to it. Each agent has one stream to one hub; hubs exchange data through gossip and
 // over HTTP.
 //
-// A hub publishes sums, never single observations: the fleet size, from which each agent computes its quota of the
-// fleet's in-flight limit; the load of the list service; the latency row of the agent's zone; and the versions of the
-// settings and of the residency policy. The age of an entry is that of its oldest observation.
+// A hub publishes aggregates to its agents instead of the observations of each agent: the fleet size, from which each
+// agent computes its quota of the fleet's in-flight limit; the load of the list service; and the latency row of the
+// agent's zone. It also publishes the versions of the settings and of the residency policy. The age of an aggregate is the
+// age of the oldest observation in it.
 //
 // State, its owner and its age:
 //
-//   - registry, under its mutex: which agents are attached to this hub, attached to another hub, or disconnected. Reports
-//     of other hubs arrive every 250 ms and are used for at most 30 s (remoteMaxAge).
-//   - attachment, one per stream: the reading goroutine owns the reader, the writing goroutine the writes; the
-//     agent's last State, which it sends each second, is under the attachment's mutex. The hub ends a stream
-//     on which it receives nothing for three seconds.
+//   - registry, under its mutex: which agents are attached to this hub, attached to another hub, or disconnected. Other
+//     hubs report new attachments every 250 ms; a report is used for at most 30 s (remoteMaxAge).
+//   - attachment, one per stream: one goroutine reads from the connection and another writes to it. The attachment's
+//     mutex guards the last State; the agent sends a State every second. The hub ends a stream on which nothing arrives
+//     for three seconds.
 //   - evidence, under its mutex: the reports about other hubs and dead processes, from which the hub counts unused quotas
-//     and confirms an agent's own. Reports of dead processes are used up to the age bound of gossip.DeadProcesses.
+//     and confirms that an agent is the only user of its quota. Reports of dead processes are used up to the age bound of
+//     gossip.DeadProcesses. The number of agents that a hub last reported has no age bound.
 //   - loadReports: the agents' observations of the list service, in a gossip.Store with its own lock. The entries stay
 //     in this hub, which publishes only aggregates of them. Their age is at most the age bound of gossip.ListServiceLoad.
 //   - publisher and the progress of attachment reports: each local to the one goroutine that uses it, without a lock.
@@ -22,8 +24,9 @@
 //
 // Goroutines: Run starts three and waits for them: publishLoop computes and publishes sums, detectFailures detects
 // which disconnected agents are dead, and reportAttachments reports to the other hubs which agents attached to this hub.
-// Each stream has two goroutines, one that reads (from the handshake on) and one that writes; Run also waits for these.
-// Every handler of ServeHTTP runs on the caller's goroutine and ends with its request, except for an upgraded stream.
+// The last two wait for the goroutines of their calls. Each stream has two goroutines, one that reads (from the handshake
+// on) and one that writes; Run also waits for the goroutines of all streams. ServeHTTP runs on the caller's goroutine. The
+// goroutines of an upgraded stream continue after ServeHTTP returns.
 package hub
 
 import (
@@ -63,10 +66,11 @@
 
 // Config configures a Server. Name, Label, Incarnation, MaxAgents and Log are required.
 type Config struct {
-	Name, Label    string // of this hub, and of its fleet
+	Name, Label    string // the name of this hub, and the label of its fleet
 	ProgramVersion string // sent in each Welcome
-	Incarnation    uint64 // higher than that of each earlier process of the name
-	// MaxAgents is an upper bound of the number of agents in the fleet at a time. Quotas are computed from it.
+	Incarnation    uint64 // higher than the incarnation of each earlier process with this name
+	// MaxAgents is the maximum number of agents in the fleet at a time. Quotas are computed from this number, and it
+	// limits the open streams of the hub.
 	MaxAgents int
 	AdmitRate float64             // new streams per second; 0: defaultAdmitRate
 	AgeBounds gossip.AgeBounds    // nil: gossip.DefaultAgeBounds
@@ -91,13 +95,13 @@
 	ready          atomic.Bool    // the hub accepts agents
 	readyMu        sync.Mutex     // locked to add a stream to streams, and to clear ready
 	streams        sync.WaitGroup // goroutines of streams
-	openStreams    atomic.Int32   // including those in a handshake
+	openStreams    atomic.Int32   // including streams in a handshake
 	protocolErrors atomic.Int64   // streams that ended because the agent violated the protocol
 }
 
 const (
 	defaultAdmitRate = 200.0 // new streams per second
-	maxExtraStreams  = 64    // beyond MaxAgents: for agents that move, and for clients that are not agents
+	maxExtraStreams  = 64    // beyond MaxAgents: for agents that move between hubs, and for clients that are not agents
 )
 
 // New returns a hub that accepts agents once Run is called.
--- a/internal/fleet/hub/settingsreport.go
+++ b/internal/fleet/hub/settingsreport.go
@@ -39,7 +39,7 @@
 type LaggingAgent struct {
 	Agent   string `json:"agent"`
 	Hub     string `json:"hub"`
-	Version int64  `json:"version"` // that the agent has applied
+	Version int64  `json:"version"` // the version that the agent has applied; 0: none
 	Reason  string `json:"why"`     // as reported by the agent, or why the agent's state is unknown
 }
 
@@ -51,14 +51,15 @@
 	return current
 }
 
-// hasApplied reports whether applied, an agent's version, is the current version or a later one. If several documents
-// have the current version, only the first one counts as applied.
+// hasApplied reports whether applied, an agent's version, is the current version or a later one. If several texts have
+// the current version, only the first text counts as applied.
 func hasApplied(current documents.AppliedVersion, applied frame.AppliedVersion) bool {
 	return applied.Version > current.Version ||
 		applied.Version == current.Version && (len(current.Digests) == 0 || applied.Digest == current.Digests[0])
 }
 
-// localReport reports on the agents attached to this hub, and on the disconnected agents that were never confirmed dead.
+// localReport reports on the agents attached to this hub. It also lists the disconnected agents that were never confirmed
+// dead and had not applied the current version.
 func (s *Server) localReport(current documents.AppliedVersion, now time.Time) SettingsReport {
 	report := SettingsReport{Version: current.Version, Lagging: []LaggingAgent{}}
 	if len(current.Digests) > 0 {
@@ -82,7 +83,7 @@
 	return report
 }
 
-// add adds a lagging agent. Beyond maxReported agents the report only counts them.
+// add adds a lagging agent. If the report already lists maxReported agents, add only counts the agent in Omitted.
 func (r *SettingsReport) add(agent LaggingAgent) {
 	if len(r.Lagging) < maxReported {
 		r.Lagging = append(r.Lagging, agent)
@@ -139,8 +140,8 @@
 	}
 }
 
-// laggingAgents updates since when each agent lags. It returns the names and reasons of the agents that have lagged for
-// longer than laggingThreshold, sorted.
+// laggingAgents records for each agent when it began to lag. It returns the names and reasons of the agents that have
+// lagged for longer than laggingThreshold, sorted.
 func (s *Server) laggingAgents(now time.Time) (list []string) {
 	current := s.currentSettings()
 	for _, a := range s.registry.attachments() {
--- a/internal/fleet/hub/settingsreport_test.go
+++ b/internal/fleet/hub/settingsreport_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// All hubs publish the settings of one hub, and never a lower version after a higher one. Every hub reports which agents
-// lag behind.
+// Settings that one hub applies reach the agents of another hub, whether or not a lower version was applied first. The
+// report of a hub includes the lagging agents of other hubs.
 func TestSettingsReportNamesLaggingAgents(t *testing.T) {
 	t.Parallel()
 	var hubs []*testHub
--- a/internal/fleet/hub/simagent_test.go
+++ b/internal/fleet/hub/simagent_test.go
@@ -25,7 +25,8 @@
 	hub            *simHub
 }
 
-// kill ends the process, and sends Leave to its hubs if leave is true. Afterwards its machine refuses connections.
+// kill ends the process, and first sends Leave on its stream if leave is true. Afterwards the
+// agent's machine refuses connections.
 func (a *simAgent) kill(leave bool) {
 	a.sim.mu.Lock()
 	a.dead = true
@@ -41,7 +42,7 @@
 	}
 }
 
-// attach attaches the agent to a hub that is ready and reachable, and closes the agent's older stream shortly after.
+// attach attaches the agent to a hub if the hub is ready and reachable. It closes the agent's older stream 100 ms later.
 func (a *simAgent) attach(hub *simHub) {
 	sim := a.sim
 	sim.mu.Lock()
--- a/internal/fleet/hub/simhub_test.go
+++ b/internal/fleet/hub/simhub_test.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	h.sim.mu.Lock()
-	defer h.sim.mu.Unlock() // not before the connection is queued: stop closes conns after it has cleared server
+	defer h.sim.mu.Unlock() // after the connection is queued, because stop clears server and then closes conns
 	target := h.sim.hubs[int(addrPort.Port())-1000]
 	if target.server == nil || h.sim.isPartitioned(target.n, h.n) {
 		return nil, errPartitioned
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -28,7 +28,7 @@
 	partitionedAt time.Time
 }
 
-// startSimulation starts four hubs and ten agents, which is the maximum number of agents in the fleet.
+// startSimulation starts four hubs and ten agents. Ten is also the maximum number of agents in the fleet.
 func startSimulation(t *testing.T, seed uint64) *simulation {
 	t.Helper()
 	const maxAgents = 10
@@ -61,8 +61,8 @@
 // isPartitioned reports whether a partition separates the hubs or agents with the numbers a and b.
 func (s *simulation) isPartitioned(a, b int) bool { return s.partitioned && a%2 != b%2 }
 
-// exchangeGossip passes gossip messages between the hubs, and drops a quarter of them at random.
-func (s *simulation) exchangeGossip() {
+// gossip passes gossip messages between the hubs, and drops a quarter of them at random.
+func (s *simulation) gossip() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, from := range s.hubs {
@@ -107,7 +107,7 @@
 // test if the quotas add up to more than 1.1 times the limit.
 func (s *simulation) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		s.exchangeGossip()
+		s.gossip()
 		for _, a := range s.agents {
 			s.mu.Lock()
 			unattached := a != nil && !a.dead && a.hub == nil
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -6,10 +6,10 @@
 //     relaying of the endpoint list;
 //   - hub.Server: the agents attached to this hub. The fleet passes the Server the HTTP requests that the fleet does not
 //     serve itself; the Server reads and publishes gossip entries through the fleet;
-//   - discovery.Watcher, if a list service is configured: it watches the list service for the agents that watch this hub;
-//     the hub does not use the list itself.
+//   - discovery.Watcher, if a list service is configured: it watches the list service and passes the endpoint list to the
+//     fleet, which relays it to agents. The hub does not use the list itself.
 //
-// The package has no state of its own: the holders own the documents, and the Server and the Fleet own the state that
+// The package has no state: the holders own the documents, and the Server and the Fleet own the state that
 // their packages document. All of them are safe for concurrent use. Settings have no age bound, and a lower version never
 // replaces a higher one. The policy's age is the time since a source confirmed it; the Server publishes the policy's
 // version up to the age bound of gossip.ResidencyVersion. Hub.Run owns all goroutines and waits for them.
@@ -153,7 +153,7 @@
 }
 
 // endpointWatcher returns the watcher of the list service. The watcher passes the endpoint list to the fleet, which relays
-// it to agents. The hub itself does not use the list, so the watcher delivers and logs nothing.
+// it to agents. The hub itself does not use the list, so Deliver and the log discard what the watcher passes to them.
 func (h *Hub) endpointWatcher() *discovery.Watcher {
 	startedAt := time.Now()
 	return discovery.New(discovery.Config{
--- a/internal/hubd/hubd_test.go
+++ b/internal/hubd/hubd_test.go
@@ -67,7 +67,7 @@
 	return strings.Contains(l.buf.String(), text)
 }
 
-// startHub runs a hub until the test ends. Its configuration is toml with a listening address and a label added.
+// startHub runs a hub until the test ends. The hub's configuration is toml, with a listening address and a label added.
 func startHub(t *testing.T, toml string) (*Hub, *logBuffer) {
 	t.Helper()
 	cfg, err := config.ParseHub("x.toml", "listen = \"127.0.0.1:0\"\nlabel = \""+t.Name()+"\"\n"+toml)
@@ -119,7 +119,7 @@
 	writeSettings("version = 5\n[attempts]\nmost = 3\n")
 	waitFor(t, "next settings", hasVersion(5))
 	if log.contains("version=2 ") && source.settings.State().Version == 2 {
-		t.Error("a lower version is applied")
+		t.Error("settings version 2 is applied after version 3, want it rejected")
 	}
 	restarted, _ := startHub(t, "name = \"three\"\n[settings]\nstate = \""+state+"\"\n")
 	if v := restarted.settings.State().Version; v != 5 {
