--- a/internal/fleet/hub/admission.go
+++ b/internal/fleet/hub/admission.go
@@ -14,8 +14,8 @@
 	maxRetryAfter = 10 * time.Second
 )
 
-// admission is a token bucket that limits the rate at which agents attach. The bucket holds the tokens of 100 ms, but at
-// least one token. Its methods may be called from any goroutine.
+// admission is a token bucket that limits the rate at which agents attach. The bucket holds the tokens of a tenth of a
+// second, but at least one token. Its methods may be called from any goroutine.
 type admission struct {
 	rate float64 // agents per second
 
--- a/internal/fleet/hub/handshake.go
+++ b/internal/fleet/hub/handshake.go
@@ -111,7 +111,8 @@
 }
 
 // handshake accepts the upgrade, reads the agent's Hello and sends Welcome. If the admission rate is exceeded, it sends
-// Busy and returns errBusy.
+// Busy and returns an error that wraps errBusy. It returns errNoHello if the first frame is not a Hello, and errOtherFleet
+// for an agent of another fleet.
 func (s *Server) handshake(conn net.Conn, reader *bufio.Reader) (*attachment, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
--- a/internal/fleet/hub/server.go
+++ b/internal/fleet/hub/server.go
@@ -11,9 +11,9 @@
 //
 //   - registry, under its mutex: which agents are attached to this hub, attached to another hub, or disconnected. Other
 //     hubs report new attachments every 250 ms; a report is used for at most 30 s (remoteMaxAge).
-//   - attachment, one per stream: one goroutine reads from the connection and another writes to it. The attachment's
-//     mutex guards the last State; the agent sends a State every second. The hub ends a stream on which nothing arrives
-//     for three seconds.
+//   - attachment, one per stream: the reading goroutine owns the reader; after the handshake, only the writing
+//     goroutine writes. The attachment's mutex guards the last State; the agent sends a State every second. The hub ends a
+//     stream on which nothing arrives for three seconds.
 //   - evidence, under its mutex: the reports about other hubs and dead processes, from which the hub counts unused quotas
 //     and confirms that an agent is the only user of its quota. Reports of dead processes are used up to the age bound of
 //     gossip.DeadProcesses. The number of agents that a hub last reported has no age bound.
@@ -22,7 +22,7 @@
 //   - publisher and the progress of attachment reports: each local to the one goroutine that uses it, without a lock.
 //   - admission, under its mutex: the rate limit of new streams, and the connections in a handshake.
 //
-// Goroutines: Run starts three and waits for them: publishLoop computes and publishes sums, detectFailures detects
+// Goroutines: Run starts three and waits for them: publishLoop computes and publishes aggregates, detectFailures detects
 // which disconnected agents are dead, and reportAttachments reports to the other hubs which agents attached to this hub.
 // The last two wait for the goroutines of their calls. Each stream has two goroutines, one that reads (from the handshake
 // on) and one that writes; Run also waits for the goroutines of all streams. ServeHTTP runs on the caller's goroutine. The
@@ -55,8 +55,8 @@
 	MissingHubs() []member.Member
 	// MeshAgents returns the names of the agents that are members themselves, because they have no hub.
 	MeshAgents() map[string]bool
-	// ConfirmDead reports whether a process is certainly dead, that is, whether its machine refuses connections to its
-	// address. It returns false if the machine does not respond within timeout, because the process may be running.
+	// ConfirmDead reports whether the process of m is certainly dead, that is, whether the machine refuses connections to
+	// the address of m. It returns false if the machine does not respond within timeout: the process may be running.
 	ConfirmDead(ctx context.Context, m member.Member, timeout time.Duration) bool
 	// Dial opens a connection to another hub.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
--- a/internal/fleet/hub/simagent_test.go
+++ b/internal/fleet/hub/simagent_test.go
@@ -25,8 +25,8 @@
 	hub            *simHub
 }
 
-// kill ends the process, and first sends Leave on its stream if leave is true. Afterwards the
-// agent's machine refuses connections.
+// kill ends the process, and first sends Leave on the agent's stream if leave is true. Afterwards the agent's machine refuses
+// connections.
 func (a *simAgent) kill(leave bool) {
 	a.sim.mu.Lock()
 	a.dead = true
@@ -65,7 +65,7 @@
 	})
 }
 
-// runStream runs the agent's side of a stream: it sends its state each second and stores what the hub publishes.
+// runStream runs the agent's side of a stream: it sends servingState every second and stores what the hub publishes.
 func (a *simAgent) runStream(conn net.Conn, hub *simHub) {
 	defer func() {
 		a.sim.mu.Lock()
--- a/internal/hubd/hubd.go
+++ b/internal/hubd/hubd.go
@@ -9,8 +9,8 @@
 //   - discovery.Watcher, if a list service is configured: it watches the list service and passes the endpoint list to the
 //     fleet, which relays it to agents. The hub does not use the list itself.
 //
-// The package has no state: the holders own the documents, and the Server and the Fleet own the state that
-// their packages document. All of them are safe for concurrent use. Settings have no age bound, and a lower version never
+// The package has no state: the holders own the documents, and the Server and the Fleet own the state that their packages
+// document. All of them are safe for concurrent use. Settings have no age bound, and a lower version never
 // replaces a higher one. The policy's age is the time since a source confirmed it; the Server publishes the policy's
 // version up to the age bound of gossip.ResidencyVersion. Hub.Run owns all goroutines and waits for them.
 package hubd
