--- a/internal/fleet/hub/fleetsize_test.go
+++ b/internal/fleet/hub/fleetsize_test.go
@@ -11,8 +11,8 @@
 )
 
 // The fleet size includes the agents of all hubs. An agent that dies counts as dead once, even if two hubs had a stream
-// to it, and so does an agent that sends Leave. An agent that returns no longer counts as dead. The steps share one
-// function because each starts from the fleet that the previous one leaves.
+// to it. An agent that sends Leave also counts as dead once. An agent that returns no longer counts as dead. The steps
+// share one function because each step starts from the fleet that the previous step leaves.
 func TestFleetSizeCountsEachAgentOnce(t *testing.T) {
 	t.Parallel()
 	hubs := startHubs(t, 3, 10)
@@ -43,21 +43,21 @@
 	secondProcess.Close()
 	waitFor(t, "second dead agent in the fleet size", func() bool { return a.fleetSize() == FleetSize{2, 1, 2} })
 	for _, hub := range hubs[1:] {
-		names := hub.registry.confirmedDead(3*time.Second, time.Now())
-		if len(names) == 0 || len(names) > 2 {
-			t.Errorf("%s lists %d agents as dead, want 1 or 2", hub.cfg.Name, len(names))
+		dead := hub.registry.confirmedDead(3*time.Second, time.Now())
+		if len(dead) == 0 || len(dead) > 2 {
+			t.Errorf("%s lists %d agents as dead, want 1 or 2", hub.cfg.Name, len(dead))
 		}
 	}
 	// c returns to another hub: its quota is not confirmed until all hubs have stopped counting c as dead.
-	back := attachAgent(t, hubs[0], frame.Hello{Name: "c", Incarnation: 2, Addr: listenAsProcess(t).Addr().String()}, servingState)
+	returned := attachAgent(t, hubs[0], frame.Hello{Name: "c", Incarnation: 2, Addr: listenAsProcess(t).Addr().String()}, servingState)
 	waitFor(t, "fleet size after the return of c", func() bool {
 		return a.fleetSize() == FleetSize{3, 1, 1} && b.fleetSize() == FleetSize{3, 1, 1}
 	})
-	if back.isQuotaConfirmed() {
-		t.Error("the quota of c is confirmed while others may still use it")
+	if returned.isQuotaConfirmed() {
+		t.Error("the quota of c is confirmed while others may still use it, want it unconfirmed")
 	}
-	waitFor(t, "confirmed quota of c", back.isQuotaConfirmed)
-	waitFor(t, "end of the checks of c", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
+	waitFor(t, "confirmed quota of c", returned.isQuotaConfirmed)
+	waitFor(t, "removal of c from the dead agents of its hub", func() bool { return len(hubs[1].registry.confirmedDead(time.Hour, time.Now())) == 0 })
 }
 
 // clearRemote removes the attachments that other hubs have reported from a hub's registry.
@@ -99,7 +99,7 @@
 		hub.fleet.Gossip().Publish(gossip.DeadProcesses, "x", []byte{0x81, 0x61, 'z'})
 		if size := a.fleetSize(); size.Dead != 0 || a.isQuotaConfirmed() {
 			if hub.uptime(time.Now()) < 3*time.Second {
-				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v", size, a.isQuotaConfirmed())
+				t.Fatalf("a new hub published the fleet size %+v, quota confirmed: %v; want no dead agents and no confirmed quota", size, a.isQuotaConfirmed())
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -109,6 +109,6 @@
 	hub.resetAfterSuspend(time.Now())
 	waitFor(t, "end of the stream", a.closed)
 	if b := attachAgent(t, hub, frame.Hello{Name: "a", Incarnation: 1}, servingState); b.isQuotaConfirmed() {
-		t.Error("the quota is confirmed immediately after a suspension")
+		t.Error("the quota is confirmed immediately after a suspension, want it unconfirmed")
 	}
 }
--- a/internal/fleet/hub/simagent_test.go
+++ b/internal/fleet/hub/simagent_test.go
@@ -25,7 +25,8 @@
 	hub            *simHub
 }
 
-// kill ends the process, and sends Leave to its hubs if leave is true. Afterwards its machine refuses connections.
+// kill ends the process, and first sends Leave on the agent's stream if leave is true. Afterwards the agent's machine refuses
+// connections.
 func (a *simAgent) kill(leave bool) {
 	a.sim.mu.Lock()
 	a.dead = true
@@ -41,7 +42,7 @@
 	}
 }
 
-// attach attaches the agent to a hub that is ready and reachable, and closes the agent's older stream shortly after.
+// attach attaches the agent to a hub if the hub is ready and reachable. It closes the agent's older stream 100 ms later.
 func (a *simAgent) attach(hub *simHub) {
 	sim := a.sim
 	sim.mu.Lock()
@@ -55,7 +56,7 @@
 	a.streams, a.hub = []net.Conn{agentConn}, hub
 	sim.mu.Unlock()
 	server.streams.Go(func() { server.serveStream(hubConn, bufio.NewReader(hubConn)); hubConn.Close() })
-	sim.tasks.Go(func() { a.read(agentConn, hub) })
+	sim.tasks.Go(func() { a.runStream(agentConn, hub) })
 	sim.tasks.Go(func() {
 		time.Sleep(100 * time.Millisecond)
 		for _, c := range previous {
@@ -64,8 +65,8 @@
 	})
 }
 
-// read runs the agent's side of a stream: it sends its state each second and stores what the hub publishes.
-func (a *simAgent) read(conn net.Conn, hub *simHub) {
+// runStream runs the agent's side of a stream: it sends servingState every second and stores what the hub publishes.
+func (a *simAgent) runStream(conn net.Conn, hub *simHub) {
 	defer func() {
 		a.sim.mu.Lock()
 		if len(a.streams) > 0 && a.streams[0] == conn {
--- a/internal/fleet/hub/simulation_test.go
+++ b/internal/fleet/hub/simulation_test.go
@@ -22,13 +22,13 @@
 	mu            sync.Mutex
 	hubs          []*simHub
 	agents        []*simAgent // the latest process of each name; nil before the first
-	started       []*simAgent // all processes, in the order of their start
+	processes     []*simAgent // all processes, in the order of their start
 	incarnations  uint64      // the latest incarnation assigned to an agent's process
 	partitioned   bool        // hubs and agents with odd numbers cannot reach those with even numbers
 	partitionedAt time.Time
 }
 
-// startSimulation starts four hubs and ten agents, which is the maximum number of agents in the fleet.
+// startSimulation starts four hubs and ten agents. Ten is also the maximum number of agents in the fleet.
 func startSimulation(t *testing.T, seed uint64) *simulation {
 	t.Helper()
 	const maxAgents = 10
@@ -87,7 +87,7 @@
 	a := &simAgent{sim: s, n: n, incarnation: s.incarnations, startedAt: time.Now(), gossip: store}
 	s.mu.Lock()
 	s.agents[n] = a
-	s.started = append(s.started, a)
+	s.processes = append(s.processes, a)
 	s.mu.Unlock()
 }
 
@@ -95,7 +95,7 @@
 func (s *simulation) quotaSum() (sum float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.started {
+	for _, a := range s.processes {
 		if !a.dead {
 			sum += a.quota()
 		}
