--- a/internal/lab/check/arrival.go
+++ b/internal/lab/check/arrival.go
@@ -78,20 +78,20 @@
 // checkDuplicate checks that no effect can happen twice: an earlier attempt that may have run allows another one only as
 // far as the class is idempotent.
 func (c *Checker) checkDuplicate(now time.Duration, r *Request, arrival Arrival) {
-	before := r.firstPossiblyExecuted()
-	if before == nil {
+	earlier := r.firstPossiblyExecuted()
+	if earlier == nil {
 		return
 	}
 	class := c.rules.Classes[r.Class]
 	switch {
 	case class.Idempotency == NonIdempotent:
-		c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s though the attempt at %s may have run", arrival.Backend, before.backend)
-	case class.Idempotency == IdempotencyKey && before.cell != arrival.Cell:
+		c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s though the attempt at %s may have run", arrival.Backend, earlier.backend)
+	case class.Idempotency == IdempotencyKey && earlier.cell != arrival.Cell:
 		c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s in pod %d though the attempt at %s in pod %d may have run",
-			arrival.Backend, arrival.Cell, before.backend, before.cell)
-	case class.Idempotency == IdempotencyKey && now-before.arrivedAt > class.DedupWindow+c.rules.Slack:
+			arrival.Backend, arrival.Cell, earlier.backend, earlier.cell)
+	case class.Idempotency == IdempotencyKey && now-earlier.arrivedAt > class.DedupWindow+c.rules.Slack:
 		c.violate(RuleDuplicate, now, arrival.Agent, r, "sent to %s %v after the attempt at %s, past the window", arrival.Backend,
-			now-before.arrivedAt, before.backend)
+			now-earlier.arrivedAt, earlier.backend)
 	}
 }
 
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -32,20 +32,20 @@
 	}
 }
 
-func stated(at, left time.Duration) step {
+func arriveWithTimeout(at, timeout time.Duration) step {
 	return func(c *Checker) {
-		c.Arrive(at, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 7, SentAt: at, StatedTimeout: left})
+		c.Arrive(at, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 7, SentAt: at, StatedTimeout: timeout})
 	}
 }
 
-func reply(at time.Duration, backend string, never bool) step {
-	return func(c *Checker) { c.RecordReply(at, "r", backend, "answers", never) }
+func reply(at time.Duration, backend string, neverRan bool) step {
+	return func(c *Checker) { c.RecordReply(at, "r", backend, "answers", neverRan) }
 }
 
-func end(at time.Duration, a Answer) step { return func(c *Checker) { c.Finish(at, "r", a) } }
+func finish(at time.Duration, a Answer) step { return func(c *Checker) { c.Finish(at, "r", a) } }
 
-func tell(at time.Duration, away bool) step {
-	return func(c *Checker) { c.Notify(at, 1, "x", away, -1) }
+func notify(at time.Duration, unavailable bool) step {
+	return func(c *Checker) { c.Notify(at, 1, "x", unavailable, -1) }
 }
 
 func excuse(from, to time.Duration) step { return func(c *Checker) { c.Excuse(1, from, to) } }
@@ -57,45 +57,45 @@
 		rule  string
 		steps []step
 	}{
-		{"served", "", []step{open(0, 2), arrive(ms, "x", 0), end(100*ms, Served)}},
-		{"served within the slack", "", []step{open(0, 2), end(time.Second+grace+slack, Served)}},
-		{"served past it", RuleAnswer, []step{open(0, 2), end(time.Second+grace+slack+1, Served)}},
-		{"never answered", RuleAnswer, []step{open(0, 2), end(3*time.Second, Unanswered)}},
+		{"served", "", []step{open(0, 2), arrive(ms, "x", 0), finish(100*ms, Served)}},
+		{"served within the slack", "", []step{open(0, 2), finish(time.Second+grace+slack, Served)}},
+		{"served past it", RuleAnswer, []step{open(0, 2), finish(time.Second+grace+slack+1, Served)}},
+		{"never answered", RuleAnswer, []step{open(0, 2), finish(3*time.Second, Unanswered)}},
 		{"not ended at all", RuleAnswer, []step{open(0, 2)}},
-		{"never answered by a stopped agent", "", []step{open(0, 2), excuse(500*ms, 3*time.Second), end(3*time.Second, Unanswered)}},
-		{"never answered after a stop", RuleAnswer, []step{excuse(0, ms), open(2*ms, 2), end(3*time.Second, Unanswered)}},
-		{"never taken", "", []step{func(c *Checker) { c.Open(0, &Request{ID: "r", Class: 2, Agent: 1}) }, end(3*time.Second, Closed)}},
-		{"closed", RuleAnswer, []step{open(0, 2), end(100*ms, Closed)}},
-		{"closed while its agent is down", "", []step{open(0, 2), func(c *Checker) { c.Down(1, 50*ms) }, end(100*ms, Closed)}},
-		{"closed after it is up again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), end(100*ms, Closed)}},
-		{"closed new, more than few", RuleAnswer, []step{open(0, 2), end(100*ms, ClosedNew)}},
-		{"foreign", RuleAnswer, []step{open(0, 2), end(100*ms, Foreign)}},
-		{"safe twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), end(100*ms, Rejected)}},
+		{"never answered by a stopped agent", "", []step{open(0, 2), excuse(500*ms, 3*time.Second), finish(3*time.Second, Unanswered)}},
+		{"never answered after a stop", RuleAnswer, []step{excuse(0, ms), open(2*ms, 2), finish(3*time.Second, Unanswered)}},
+		{"never taken", "", []step{func(c *Checker) { c.Open(0, &Request{ID: "r", Class: 2, Agent: 1}) }, finish(3*time.Second, Closed)}},
+		{"closed", RuleAnswer, []step{open(0, 2), finish(100*ms, Closed)}},
+		{"closed while its agent is down", "", []step{open(0, 2), func(c *Checker) { c.Down(1, 50*ms) }, finish(100*ms, Closed)}},
+		{"closed after it is up again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), finish(100*ms, Closed)}},
+		{"closed new, more than few", RuleAnswer, []step{open(0, 2), finish(100*ms, ClosedNew)}},
+		{"foreign", RuleAnswer, []step{open(0, 2), finish(100*ms, Foreign)}},
+		{"safe twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), finish(100*ms, Rejected)}},
 		{"once twice", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), arrive(2*ms, "y", 0)}},
-		{"once after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), arrive(3*ms, "x", 0), end(9*ms, Served)}},
+		{"once after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), arrive(3*ms, "x", 0), finish(9*ms, Served)}},
 		{"once after an error", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", false), arrive(3*ms, "y", 0)}},
-		{"keyed in its pod", "", []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 3), end(9*ms, Served)}},
+		{"keyed in its pod", "", []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 3), finish(9*ms, Served)}},
 		{"keyed in another pod", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 4)}},
 		{"keyed past its window", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(10*time.Second+slack+2*ms, "y", 3)}},
-		{"refused though it may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), end(9*ms, Rejected)}},
-		{"refused after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), end(9*ms, Rejected)}},
-		{"failed though it may have run", "", []step{open(0, 2), arrive(ms, "x", 3), end(9*ms, Failed)}},
-		{"to a draining backend in the grace", "", []step{tell(0, true), open(0, 2), arrive(grace+slack, "x", 0), end(grace+60*ms, Served)}},
-		{"past the grace", RuleDrain, []step{tell(0, true), open(0, 2), arrive(grace+slack+2, "x", 0), end(grace+60*ms, Served)}},
-		{"told again changes nothing", RuleDrain, []step{tell(0, true), tell(grace, true), open(0, 2), arrive(grace+slack+2, "x", 0)}},
-		{"ready again", "", []step{tell(0, true), tell(ms, false), open(0, 2), arrive(time.Second, "x", 0), end(time.Second, Served)}},
-		{"stopped in the grace", "", []step{tell(0, true), excuse(ms, time.Second), open(0, 2), arrive(time.Second+grace, "x", 0), end(time.Second+grace, Served)}},
-		{"stopped long after", RuleDrain, []step{tell(0, true), excuse(time.Second, 2*time.Second), open(0, 2), arrive(1500*ms, "x", 0)}},
-		{"held up by the network", "", []step{tell(0, true), open(0, 2), func(c *Checker) {
+		{"refused though it may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), finish(9*ms, Rejected)}},
+		{"refused after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), finish(9*ms, Rejected)}},
+		{"failed though it may have run", "", []step{open(0, 2), arrive(ms, "x", 3), finish(9*ms, Failed)}},
+		{"to a draining backend in the grace", "", []step{notify(0, true), open(0, 2), arrive(grace+slack, "x", 0), finish(grace+60*ms, Served)}},
+		{"past the grace", RuleDrain, []step{notify(0, true), open(0, 2), arrive(grace+slack+2, "x", 0), finish(grace+60*ms, Served)}},
+		{"told again changes nothing", RuleDrain, []step{notify(0, true), notify(grace, true), open(0, 2), arrive(grace+slack+2, "x", 0)}},
+		{"ready again", "", []step{notify(0, true), notify(ms, false), open(0, 2), arrive(time.Second, "x", 0), finish(time.Second, Served)}},
+		{"stopped in the grace", "", []step{notify(0, true), excuse(ms, time.Second), open(0, 2), arrive(time.Second+grace, "x", 0), finish(time.Second+grace, Served)}},
+		{"stopped long after", RuleDrain, []step{notify(0, true), excuse(time.Second, 2*time.Second), open(0, 2), arrive(1500*ms, "x", 0)}},
+		{"held up by the network", "", []step{notify(0, true), open(0, 2), func(c *Checker) {
 			c.Arrive(time.Second, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 7, SentAt: 100 * ms})
-		}, end(time.Second, Served)}},
+		}, finish(time.Second, Served)}},
 		{"that nobody sent", RuleUnknown, []step{arrive(ms, "x", 0)}},
 		{"changed on the way", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 8}) }}},
 		{"through another agent", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 2, Backend: "x", Fingerprint: 7}) }}},
-		{"after its end", RuleCancelled, []step{open(0, 0), end(100*ms, Disconnected), arrive(200*ms+slack+ms, "x", 0)}},
-		{"at its end", "", []step{open(0, 0), end(100*ms, Disconnected), arrive(200*ms+slack, "x", 0)}},
-		{"told of more than is left", RuleDeadline, []step{open(0, 0), stated(500*ms, 500*ms+150*ms+slack+ms)}},
-		{"told of what is left, and the slack", "", []step{open(0, 0), stated(500*ms, 500*ms+150*ms+slack), end(600*ms, Served)}},
+		{"after its end", RuleCancelled, []step{open(0, 0), finish(100*ms, Disconnected), arrive(200*ms+slack+ms, "x", 0)}},
+		{"at its end", "", []step{open(0, 0), finish(100*ms, Disconnected), arrive(200*ms+slack, "x", 0)}},
+		{"told of more than is left", RuleDeadline, []step{open(0, 0), arriveWithTimeout(500*ms, 500*ms+150*ms+slack+ms)}},
+		{"told of what is left, and the slack", "", []step{open(0, 0), arriveWithTimeout(500*ms, 500*ms+150*ms+slack), finish(600*ms, Served)}},
 		{"pushed over", RuleSlowStart, []step{func(c *Checker) { c.Overloaded(ms, "x", 0.7) }}},
 		{"pushed over by agents that could not know", "", []step{func(c *Checker) { c.Overloaded(ms, "x", 0.6) }}},
 	} {
@@ -106,12 +106,12 @@
 		if c.rule == RuleAnswer || c.rule == "" {
 			checker.Close(4 * time.Second)
 		}
-		broken, n := checker.Violations()
+		violations, n := checker.Violations()
 		switch {
 		case c.rule == "" && n > 0:
-			t.Errorf("%s: broken %+v", c.name, broken[0])
-		case c.rule != "" && (n == 0 || broken[0].Rule != c.rule):
-			t.Errorf("%s: %d broken %+v, want %s", c.name, n, broken, c.rule)
+			t.Errorf("%s: broken %+v", c.name, violations[0])
+		case c.rule != "" && (n == 0 || violations[0].Rule != c.rule):
+			t.Errorf("%s: %d broken %+v, want %s", c.name, n, violations, c.rule)
 		}
 	}
 }
@@ -120,8 +120,8 @@
 func TestUnknownRequestsAndRetention(t *testing.T) {
 	r := rules()
 	r.AcceptsUnknown = true
-	recorded := 0
-	c := New(r, func(*Request) { recorded++ })
+	forgotten := 0
+	c := New(r, func(*Request) { forgotten++ })
 	if c.Arrive(0, Arrival{ID: "v", Backend: "x"}) {
 		t.Error("a visitor passes for a client")
 	}
@@ -131,8 +131,8 @@
 		c.Open(at, &Request{ID: id, Agent: 1, Class: 0, SentAt: at, Timeout: time.Second})
 		c.Finish(at+ms, id, Served)
 	}
-	if len(c.requests) > 20 || recorded < 980 {
-		t.Errorf("%d requests kept, %d recorded", len(c.requests), recorded)
+	if len(c.requests) > 20 || forgotten < 980 {
+		t.Errorf("%d requests kept, %d recorded", len(c.requests), forgotten)
 	}
 	if _, n := c.Violations(); n != 0 {
 		t.Errorf("%d broken", n)
@@ -153,8 +153,8 @@
 			tally.CountAttempt(o.IntendedAt, i%2 == 0)
 		}
 	}
-	if sum := tally.Total(); sum.Offered != 180 || sum.WeightInObjective != 130 || sum.Rejected != 50 {
-		t.Errorf("sum %+v", sum)
+	if total := tally.Total(); total.Offered != 180 || total.WeightInObjective != 130 || total.Rejected != 50 {
+		t.Errorf("sum %+v", total)
 	}
 	if share, from := tally.Worst(10); share != 0.5 || from != 3 {
 		t.Errorf("worst 10 s: %v from %d", share, from)
@@ -171,9 +171,9 @@
 func TestAvoidedAfter(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
-		shut  func(at time.Duration) bool
-		after time.Duration
-		ok    bool
+		unreachable func(at time.Duration) bool
+		after       time.Duration
+		ok          bool
 	}{
 		"at once":     {func(at time.Duration) bool { return false }, 0, true},
 		"for a while": {func(at time.Duration) bool { return at < 2300*time.Millisecond }, 1300 * time.Millisecond, true},
@@ -185,7 +185,7 @@
 	} {
 		tally := NewTally(0)
 		for at := time.Duration(0); at < 6*second; at += 10 * time.Millisecond {
-			tally.CountFirstAttempt(at, c.shut(at))
+			tally.CountFirstAttempt(at, c.unreachable(at))
 		}
 		after, ok := tally.AvoidedAfter(Span{second, 5 * second}, 0.01)
 		if after != c.after || ok != c.ok {
--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -123,8 +123,8 @@
 		return
 	}
 	if class := c.rules.Classes[r.Class]; class.Idempotency != Idempotent {
-		if risk := r.firstPossiblyExecuted(); risk != nil {
-			c.violate(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", risk.backend)
+		if executed := r.firstPossiblyExecuted(); executed != nil {
+			c.violate(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", executed.backend)
 		}
 	}
 }
--- a/internal/lab/check/residency.go
+++ b/internal/lab/check/residency.go
@@ -27,8 +27,8 @@
 // Publish adds a policy. Of two with one version, only what both permit is in force.
 func (r *Residency) Publish(now time.Duration, version int64, p Permits) {
 	if n := len(r.policies); n > 0 && r.policies[n-1].version == version {
-		one, other := r.policies[n-1].permits, p
-		p = func(tenant, class, zone int) bool { return one(tenant, class, zone) && other(tenant, class, zone) }
+		previous, added := r.policies[n-1].permits, p
+		p = func(tenant, class, zone int) bool { return previous(tenant, class, zone) && added(tenant, class, zone) }
 	}
 	r.policies = append(r.policies, publishedPolicy{now, version, p})
 }
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -117,13 +117,13 @@
 }
 
 // CountAttempt counts an attempt that reached a backend.
-func (t *Tally) CountAttempt(now time.Duration, cross bool) {
+func (t *Tally) CountAttempt(now time.Duration, crossZone bool) {
 	t.window(now).Attempts++
 	if now < t.countedFrom {
 		return
 	}
 	t.Attempts++
-	if cross {
+	if crossZone {
 		t.CrossZone++
 	}
 }
@@ -228,8 +228,8 @@
 func (t *Tally) Snapshot(n int) Window {
 	w := t.Windows[n]
 	if len(w.latency) > 0 {
-		list := slices.Sorted(slices.Values(w.latency))
-		at := func(q float64) float64 { return list[int(q*float64(len(list)-1))].Seconds() * 1e3 }
+		sorted := slices.Sorted(slices.Values(w.latency))
+		at := func(q float64) float64 { return sorted[int(q*float64(len(sorted)-1))].Seconds() * 1e3 }
 		w.P50, w.P99 = at(0.5), at(0.99)
 	}
 	return w
