--- a/internal/lab/faultinject/faultinject.go
+++ b/internal/lab/faultinject/faultinject.go
@@ -97,8 +97,8 @@
 	return fmt.Errorf("plan %d is not followed within %v", c.number, acknowledgeTimeout)
 }
 
-// hooked are the functions of the standard library that ask before a system call, with what tells the file.
-var hooked = []struct{ call, head, descriptor, path, failed string }{
+// hookedCalls are the functions of the standard library that ask before a system call, with what tells the file.
+var hookedCalls = []struct{ call, signature, descriptor, path, onFailure string }{
 	{Accept, "func accept4(s int, rsa *RawSockaddrAny, addrlen *_Socklen, flags int) (fd int, err error) {", "s", `""`, "fd, err = -1, e"},
 	{Open, "func openat(dirfd int, path string, flags int, mode uint32) (fd int, err error) {", "-1", "path", "fd, err = -1, e"},
 	{Read, "func read(fd int, p []byte) (n int, err error) {", "fd", `""`, "n, err = -1, e"},
@@ -131,14 +131,14 @@
 		return "", fmt.Errorf("go env: %w", err)
 	}
 	std := filepath.Join(strings.TrimSpace(string(out)), "src")
-	var calls []patch
-	for _, h := range hooked {
-		calls = append(calls, patch{h.head, fmt.Sprintf("%s\n\tif f := Fails; f != nil {\n\t\tif e := f(%q, %s, %s); e != 0 {\n\t\t\t%s\n\t\t\treturn\n\t\t}\n\t}",
-			h.head, h.call, h.descriptor, h.path, h.failed)})
+	var hooks []patch
+	for _, h := range hookedCalls {
+		hooks = append(hooks, patch{h.signature, fmt.Sprintf("%s\n\tif f := Fails; f != nil {\n\t\tif e := f(%q, %s, %s); e != 0 {\n\t\t\t%s\n\t\t\treturn\n\t\t}\n\t}",
+			h.signature, h.call, h.descriptor, h.path, h.onFailure)})
 	}
 	patches := map[string][]patch{
 		"time/time.go":                    {{"func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n", "// WallOffset is by how many seconds the wall clock is off.\nvar WallOffset int64\n\nfunc Now() Time {\n\tsec, nsec, mono := runtimeNow()\n\tsec += WallOffset\n"}},
-		"syscall/zsyscall_linux_amd64.go": calls,
+		"syscall/zsyscall_linux_amd64.go": hooks,
 		"internal/runtime/syscall/linux/syscall_linux.go": {{"func EpollCtl(epfd, op, fd int32, event *EpollEvent) (errno uintptr) {\n",
 			"// EpollFailures is how often adding a descriptor fails, with EpollErrno.\nvar EpollFailures int32\nvar EpollErrno uintptr\n\nfunc EpollCtl(epfd, op, fd int32, event *EpollEvent) (errno uintptr) {\n\tif EpollFailures > 0 && op == 1 {\n\t\tEpollFailures--\n\t\treturn EpollErrno\n\t}\n"}},
 		"syscall/syscall_linux.go": {{"func EpollCreate(size int)", "// Fails says why a system call fails; 0: it is made.\nvar Fails func(call string, fd int, path string) Errno\n\n// FailEpoll has adding descriptors fail.\nfunc FailEpoll(times, errno uintptr) { linux.EpollErrno, linux.EpollFailures = errno, int32(times) }\n\nfunc EpollCreate(size int)"}},
@@ -146,7 +146,7 @@
 	replace := map[string]string{}
 	for name, list := range patches {
 		file := filepath.Join(dir, strings.ReplaceAll(name, "/", "_"))
-		if err := patched(filepath.Join(std, name), file, list); err != nil {
+		if err := writePatched(filepath.Join(std, name), file, list); err != nil {
 			return "", err
 		}
 		replace[filepath.Join(std, name)] = file
@@ -163,14 +163,14 @@
 	return link(ctx, root, program, dir, replace)
 }
 
-// patched writes a changed copy of a file.
-func patched(from, to string, list []patch) error {
+// writePatched writes a changed copy of a file.
+func writePatched(from, to string, patches []patch) error {
 	text, err := os.ReadFile(from)
 	if err != nil {
 		return err
 	}
 	changed := string(text)
-	for _, p := range list {
+	for _, p := range patches {
 		if strings.Count(changed, p.old) != 1 {
 			return fmt.Errorf("%w: %s: %q", errUnknownToolchain, from, p.old)
 		}
