--- a/internal/lab/model/degradation.go
+++ b/internal/lab/model/degradation.go
@@ -23,9 +23,9 @@
 	if m.degradedSince == never {
 		return
 	}
-	const mostlyIdle = 0.4 // held requests per core
+	const mostlyIdleLoad = 0.4 // held requests per core
 	switch {
-	case load > mostlyIdle:
+	case load > mostlyIdleLoad:
 		m.idleSince = never
 	case m.idleSince == never:
 		m.idleSince = m.now
--- a/internal/lab/model/keycache.go
+++ b/internal/lab/model/keycache.go
@@ -2,8 +2,8 @@
 
 // The keys that a backend has served lately, and serves again for less work.
 
-// rememberKey caches a key, in place of the one used longest ago if the cache is full.
-func (m *Machine) rememberKey(key uint64) {
+// cacheKey caches a key, in place of the one used longest ago if the cache is full.
+func (m *Machine) cacheKey(key uint64) {
 	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
 		oldest, at := uint64(0), never
 		for k, t := range m.keyCache {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -52,7 +52,7 @@
 	if m.State != Up && m.State != Draining {
 		return 0
 	}
-	capacity := m.Capacity() * m.warmth(now) * (1 - m.stolenShare)
+	capacity := m.Capacity() * m.capacityShare(now) * (1 - m.stolenShare)
 	if m.degradedSince != never {
 		capacity /= m.DegradeFactor
 	}
@@ -105,7 +105,7 @@
 				completion.Result = Failed
 			}
 			if finished.Key != 0 {
-				m.rememberKey(finished.Key)
+				m.cacheKey(finished.Key)
 			}
 			done = append(done, completion)
 			m.startQueued()
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -25,15 +25,15 @@
 		s.OverloadMultiple = rapid.SampledFrom([]float64{3, 1000}).Draw(t, "multiple")
 		m := New(s, rapid.SampledFrom([]time.Duration{-1, 0}).Draw(t, "started"))
 		m.KeySaving = 0 // else served work is more than done work
-		now, last := time.Duration(0), time.Duration(0)
+		now, lastEnd := time.Duration(0), time.Duration(0)
 		ended, work := map[uint64]int{}, map[uint64]time.Duration{}
 		served := time.Duration(0)
-		take := func(list []Completion) {
+		record := func(list []Completion) {
 			for _, d := range list {
-				if d.At < last || d.At > now {
-					t.Fatalf("ended at %v, the one before at %v, now %v", d.At, last, now)
+				if d.At < lastEnd || d.At > now {
+					t.Fatalf("ended at %v, the one before at %v, now %v", d.At, lastEnd, now)
 				}
-				last = d.At
+				lastEnd = d.At
 				ended[d.Attempt]++
 				if d.Result == Served {
 					served += work[d.Attempt]
@@ -45,30 +45,30 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0:
-				take(m.SetFault(now, rapid.Float64Range(0, 1).Draw(t, "bad"), rapid.Float64Range(0, 0.9).Draw(t, "taken")))
+				record(m.SetFault(now, rapid.Float64Range(0, 1).Draw(t, "bad"), rapid.Float64Range(0, 0.9).Draw(t, "taken")))
 			case 1:
-				take(m.Cancel(now, uint64(rapid.IntRange(1, n).Draw(t, "attempt"))))
+				record(m.Cancel(now, uint64(rapid.IntRange(1, n).Draw(t, "attempt"))))
 			case 2:
-				take(m.Stop(now, Silent))
+				record(m.Stop(now, Silent))
 				m.Restart(now)
 			default:
 				j := Job{Attempt: uint64(i + 1), Key: uint64(rapid.IntRange(0, 3).Draw(t, "key")), ErrorDraw: 1,
 					Work: time.Duration(rapid.IntRange(1, 400).Draw(t, "work")) * time.Millisecond}
 				work[j.Attempt] = j.Work
-				take(m.Arrive(now, j))
+				record(m.Arrive(now, j))
 			}
 		}
-		take(m.SetFault(now, 0, 0))
+		record(m.SetFault(now, 0, 0))
 		now += time.Hour
-		take(m.Advance(now))
+		record(m.Advance(now))
 		for id := range work {
 			if ended[id] != 1 {
 				t.Fatalf("attempt %d ended %d times", id, ended[id])
 			}
 		}
 		const slack = time.Millisecond // rounding, over a hundred jobs
-		if busy := time.Duration(m.Capacity() * float64(now)); served > busy+slack {
-			t.Fatalf("%v of work served in %v", served, busy)
+		if maxWork := time.Duration(m.Capacity() * float64(now)); served > maxWork+slack {
+			t.Fatalf("%v of work served in %v", served, maxWork)
 		}
 	})
 }
@@ -80,10 +80,10 @@
 // A cold machine falls over when it is sent more than the multiple of what it can do, and only then.
 func TestOverloadInSlowStartCrashes(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		gap   time.Duration
-		start time.Duration
-		falls bool
+		name    string
+		gap     time.Duration
+		start   time.Duration
+		crashes bool
 	}{
 		{"within the budget", 100 * time.Millisecond, 0, false}, // 1 s of work a second; 2.4 is allowed
 		{"past it", 10 * time.Millisecond, 0, true},             // 10 s a second
@@ -94,9 +94,9 @@
 		for i := range uint64(100) {
 			send(m, time.Duration(i)*c.gap, i, 100*time.Millisecond)
 		}
-		if fell := m.State == Overloaded; fell != c.falls {
-			t.Errorf("%s: fell %v", c.name, fell)
-		} else if fell && m.InformedShare != 1 {
+		if crashed := m.State == Overloaded; crashed != c.crashes {
+			t.Errorf("%s: fell %v", c.name, crashed)
+		} else if crashed && m.InformedShare != 1 {
 			t.Errorf("%s: informed %v", c.name, m.InformedShare)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // What a machine does with single jobs.
 func TestMachineServesSingleJobs(t *testing.T) {
-	end := func(m *Machine, after time.Duration) Completion {
+	onlyCompletion := func(m *Machine, after time.Duration) Completion {
 		done := m.Advance(after)
 		if len(done) != 1 {
 			t.Fatalf("%d jobs have ended", len(done))
@@ -113,12 +113,12 @@
 	}
 	m := New(spec(), -1)
 	send(m, 0, 1, 100*time.Millisecond)
-	if d := end(m, time.Second); d.At != 100*time.Millisecond || d.Result != Served || !d.Ran {
+	if d := onlyCompletion(m, time.Second); d.At != 100*time.Millisecond || d.Result != Served || !d.Ran {
 		t.Errorf("alone: %+v", d)
 	}
 	m.SetFault(time.Second, 0, 0.5)
 	send(m, time.Second, 2, 100*time.Millisecond)
-	if d := end(m, 2*time.Second); d.At != 1200*time.Millisecond {
+	if d := onlyCompletion(m, 2*time.Second); d.At != 1200*time.Millisecond {
 		t.Errorf("beside another program: %+v", d)
 	}
 	m.SetFault(2*time.Second, 1, 0)
@@ -126,10 +126,10 @@
 		t.Errorf("failing at once: %+v", d)
 	}
 	m.SetFault(2*time.Second, 0, 0)
-	for _, k := range []struct{ at, took time.Duration }{ // a key is warm for a second
+	for _, k := range []struct{ at, duration time.Duration }{ // a key is warm for a second
 		{3 * time.Second, 100 * time.Millisecond}, {3500 * time.Millisecond, 50 * time.Millisecond}, {5 * time.Second, 100 * time.Millisecond}} {
 		m.Arrive(k.at, Job{Attempt: 10, Key: 7, Work: 100 * time.Millisecond, ErrorDraw: 1})
-		if d := end(m, k.at+200*time.Millisecond); (d.At - k.at).Round(time.Microsecond) != k.took {
+		if d := onlyCompletion(m, k.at+200*time.Millisecond); (d.At - k.at).Round(time.Microsecond) != k.duration {
 			t.Errorf("a key's request at %v took %v", k.at, d.At-k.at)
 		}
 	}
@@ -142,15 +142,15 @@
 	if d := m.Stop(8*time.Second, Removed); len(d) != 1 || d[0].Result != Lost {
 		t.Errorf("ended under a job: %+v", d)
 	}
-	crowded := New(spec(), -1)
+	overloaded := New(spec(), -1)
 	for i := range uint64(14) {
-		if d := send(crowded, 0, i, 10*time.Second); (len(d) == 1) != (i == 13) {
+		if d := send(overloaded, 0, i, 10*time.Second); (len(d) == 1) != (i == 13) {
 			t.Errorf("job %d of 8 in work and 5 waiting: %+v", i, d)
 		}
 	}
-	before := crowded.PresentCapacity(0)
-	crowded.Advance(1500 * time.Millisecond)
-	if now := crowded.PresentCapacity(1500 * time.Millisecond); now != before/2 {
+	before := overloaded.PresentCapacity(0)
+	overloaded.Advance(1500 * time.Millisecond)
+	if now := overloaded.PresentCapacity(1500 * time.Millisecond); now != before/2 {
 		t.Errorf("crowded for long it does %v, before %v", now, before)
 	}
 }
--- a/internal/lab/model/slowstart.go
+++ b/internal/lab/model/slowstart.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// warmth is the share of its full capacity that a backend has now.
-func (m *Machine) warmth(now time.Duration) float64 {
+// capacityShare is the share of its full capacity that a backend has now.
+func (m *Machine) capacityShare(now time.Duration) float64 {
 	if !m.warmingUp(now) {
 		return 1
 	}
@@ -43,7 +43,7 @@
 	}
 	// The slack keeps a handful of requests that happen to come together from counting as overload.
 	slack := 4 * m.slowStartTotal / float64(len(m.slowStartWork))
-	budget := m.OverloadMultiple * m.Capacity() * m.warmth(now) * m.OverloadWindow.Seconds()
+	budget := m.OverloadMultiple * m.Capacity() * m.capacityShare(now) * m.OverloadWindow.Seconds()
 	if m.slowStartTotal <= budget+slack {
 		return false
 	}
