--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -15,15 +15,15 @@
 	return New(func(_, _ Endpoint) time.Duration { return time.Millisecond }, 0.2, rng.New(1))
 }
 
-func is(list ...Endpoint) func(Endpoint) bool {
+func anyOf(list ...Endpoint) func(Endpoint) bool {
 	return func(p Endpoint) bool { return slices.Contains(list, p) }
 }
 
 // A rule acts on its own pairs, direction and protocol, and is gone once it is taken off.
 func TestRulesApplyToTheirLinks(t *testing.T) {
 	n := network()
-	id := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP, Fault: Fault{Cut: true}})
-	more := n.Add(Rule{From: is(a), To: is(c), Protocols: TCP | UDP, Fault: Fault{Delay: time.Second, LossRate: 0.1}})
+	cutRule := n.Add(Rule{From: anyOf(a), To: anyOf(c), Protocols: TCP, Fault: Fault{Cut: true}})
+	delayRule := n.Add(Rule{From: anyOf(a), To: anyOf(c), Protocols: TCP | UDP, Fault: Fault{Delay: time.Second, LossRate: 0.1}})
 	for _, x := range []struct {
 		from, to Endpoint
 		p        Protocol
@@ -44,8 +44,8 @@
 	if n.Arrivals(a, c, TCP, "x") != nil {
 		t.Error("a cut way let something through")
 	}
-	n.Remove(id)
-	n.Remove(more)
+	n.Remove(cutRule)
+	n.Remove(delayRule)
 	if n.Unreachable(a, c) || n.Fault(a, c, TCP) != (Fault{}) {
 		t.Error("rules outlast their end")
 	}
@@ -54,32 +54,32 @@
 // Shares come out as stated, and a message meets the same fate each time, whatever was sent before it.
 func TestRatesAreMet(t *testing.T) {
 	n := network()
-	n.Add(Rule{From: is(a), To: is(b), Protocols: UDP | TCP, Fault: Fault{LossRate: 0.3, DuplicateRate: 0.2, ReorderRate: 0.1}})
+	n.Add(Rule{From: anyOf(a), To: anyOf(b), Protocols: UDP | TCP, Fault: Fault{LossRate: 0.3, DuplicateRate: 0.2, ReorderRate: 0.1}})
 	const messages = 20000
-	lost, twice, late, resent := 0, 0, 0, 0
+	lost, duplicated, reordered, retransmitted := 0, 0, 0, 0
 	for i := range messages {
 		id := fmt.Sprint(i)
-		ways := n.Arrivals(a, b, UDP, id)
-		if !slices.Equal(ways, n.Arrivals(a, b, UDP, id)) {
+		delays := n.Arrivals(a, b, UDP, id)
+		if !slices.Equal(delays, n.Arrivals(a, b, UDP, id)) {
 			t.Fatal("another fate at the second look")
 		}
 		switch {
-		case len(ways) == 0:
+		case len(delays) == 0:
 			lost++
-		case ways[0] > 2*time.Millisecond:
-			late++
+		case delays[0] > 2*time.Millisecond:
+			reordered++
 		}
-		if len(ways) == 2 {
-			twice++
+		if len(delays) == 2 {
+			duplicated++
 		}
 		if tcp := n.Arrivals(a, b, TCP, id); len(tcp) != 1 {
 			t.Fatalf("over TCP %d copies arrive", len(tcp))
 		} else if tcp[0] >= 200*time.Millisecond {
-			resent++
+			retransmitted++
 		}
 	}
-	for name, x := range map[string][2]float64{"lost": {float64(lost), 0.3}, "twice": {float64(twice), 0.7 * 0.2}, "late": {float64(late), 0.7 * 0.1 * 0.95},
-		"sent again": {float64(resent), 0.3}} {
+	for name, x := range map[string][2]float64{"lost": {float64(lost), 0.3}, "twice": {float64(duplicated), 0.7 * 0.2}, "late": {float64(reordered), 0.7 * 0.1 * 0.95},
+		"sent again": {float64(retransmitted), 0.3}} {
 		if share := x[0] / messages; share < x[1]*0.9 || share > x[1]*1.1 {
 			t.Errorf("%s: %v, want %v", name, share, x[1])
 		}
