--- a/internal/lab/rng/rng.go
+++ b/internal/lab/rng/rng.go
@@ -48,25 +48,25 @@
 
 // Zipf draws ranks below n with weights that fall as rank to the power -s, for any s >= 0
 // (math/rand/v2's own wants s above 1).
-type Zipf struct{ sums []float64 }
+type Zipf struct{ cumulative []float64 }
 
 // NewZipf prepares the draw.
 func NewZipf(n int, s float64) *Zipf {
 	z := &Zipf{make([]float64, n)}
 	sum := 0.0
-	for i := range z.sums {
+	for i := range z.cumulative {
 		sum += math.Pow(float64(i+1), -s)
-		z.sums[i] = sum
+		z.cumulative[i] = sum
 	}
 	return z
 }
 
 // Draw returns a rank, from 0.
 func (z *Zipf) Draw(r *rand.Rand) int {
-	x := r.Float64() * z.sums[len(z.sums)-1]
-	low, high := 0, len(z.sums)-1
+	x := r.Float64() * z.cumulative[len(z.cumulative)-1]
+	low, high := 0, len(z.cumulative)-1
 	for low < high {
-		if mid := (low + high) / 2; z.sums[mid] < x {
+		if mid := (low + high) / 2; z.cumulative[mid] < x {
 			low = mid + 1
 		} else {
 			high = mid
--- a/internal/lab/rng/rng_test.go
+++ b/internal/lab/rng/rng_test.go
@@ -15,18 +15,18 @@
 	for _, seed := range []uint64{0, 1, 2} {
 		for _, purpose := range []string{"", "work", "works", "work/1", "loss"} {
 			x := first(seed, purpose)
-			if other, met := seen[x]; met {
+			if other, collides := seen[x]; collides {
 				t.Errorf("%q and %q draw the same", purpose, other)
 			}
 			seen[x] = purpose
 		}
 	}
 	s := New(1)
-	alone := s.Of("work", 3).Uint64()
+	want := s.Of("work", 3).Uint64()
 	for range 100 {
 		s.Of("work", 2).Uint64()
 	}
-	if s.Of("work", 3).Uint64() != alone {
+	if s.Of("work", 3).Uint64() != want {
 		t.Error("another stream's draws moved this one")
 	}
 }
