--- a/internal/lab/scenario/hubs.go
+++ b/internal/lab/scenario/hubs.go
@@ -35,13 +35,13 @@
 // SetHubs gives the fleet a number of hubs, or makes it a full mesh with 0. In a scenario written for a full mesh, faults on
 // links between agents are extended to the hubs of the same zones, and policies are given to hubs in place of agents.
 func (s *Scenario) SetHubs(hubs int) {
-	before := s.Shared.Hubs
+	previous := s.Shared.Hubs
 	s.Shared.Hubs = hubs
 	switch {
 	case hubs <= 0:
 		s.Shared.Settings = ""
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.needsHubs() })
-	case before == 0:
+	case previous == 0:
 		s.Shared.Enabled, s.Shared.Sources = true, min(s.Shared.Sources, hubs)
 		var additional []Fault // appended, since the place of a fault names its random stream
 		for i := range s.Faults {
@@ -52,9 +52,9 @@
 			if from, to := hubsInZonesOf(f.From), hubsInZonesOf(f.To); f.Kind == Link && from != "" && to != "" {
 				for _, pair := range [][2]string{{from, f.To}, {f.From, to}, {from, to}} {
 					if pair[0] != noHubs && pair[1] != noHubs {
-						also := *f
-						also.From, also.To = pair[0], pair[1]
-						additional = append(additional, also)
+						extra := *f
+						extra.From, extra.To = pair[0], pair[1]
+						additional = append(additional, extra)
 					}
 				}
 			}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if own := s.Shared.Hubs; own > n && n > 0 {
+			if ownHubs := s.Shared.Hubs; ownHubs > n && n > 0 {
 				continue // it names hubs that there would not be
 			}
 			s.SetHubs(n)
@@ -112,13 +112,13 @@
 	if !slices.Equal(links, want) {
 		t.Errorf("links %q", links)
 	}
-	late, err := Read("matrix-liar")
+	singleAgents, err := Read("matrix-liar")
 	if err != nil {
 		t.Fatal(err)
 	}
-	late.SetHubs(3)
-	if n := len(late.Faults); n != 2 || late.Faults[1].From != "agents n=0,3" || late.Faults[1].To != "hubs" {
-		t.Errorf("single agents: %+v", late.Faults)
+	singleAgents.SetHubs(3)
+	if n := len(singleAgents.Faults); n != 2 || singleAgents.Faults[1].From != "agents n=0,3" || singleAgents.Faults[1].To != "hubs" {
+		t.Errorf("single agents: %+v", singleAgents.Faults)
 	}
 }
 
