--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -17,7 +17,7 @@
 // A process that starts after its machine's clock was set back is the later one of its name all the same: the others take what
 // it tells within the time that a fact takes to get round, not only once those of the process before are too old.
 func TestRestartAfterTheClockWasSetBack(t *testing.T) {
-	const getsRound = 1500 * time.Millisecond // a fact is told each second
+	const propagationBound = 1500 * time.Millisecond // a fact is told each second
 	program, err := faultinject.Build(t.Context(), "../../..", "./cmd/martenbeam", t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -43,18 +43,18 @@
 	if err != nil || r.Verdict != lab.Passed {
 		t.Fatalf("%v, %+v", err, r)
 	}
-	told, used := firstTimes(t, filepath.Join(dir, "n0"), "tell"), firstTimes(t, filepath.Join(dir, "n1"), "use")
-	later := uint64(0) // the process that told last
-	for incarnation, at := range told {
-		if later == 0 || at > told[later] {
-			later = incarnation
+	published, used := firstTimes(t, filepath.Join(dir, "n0"), "tell"), firstTimes(t, filepath.Join(dir, "n1"), "use")
+	lastIncarnation := uint64(0) // the process that told last
+	for incarnation, at := range published {
+		if lastIncarnation == 0 || at > published[lastIncarnation] {
+			lastIncarnation = incarnation
 		}
 	}
-	if used[later] == 0 || len(told) < 2 {
-		t.Fatalf("nothing that the process after the restart told was used: told %v, used %v", told, used)
+	if used[lastIncarnation] == 0 || len(published) < 2 {
+		t.Fatalf("nothing that the process after the restart told was used: told %v, used %v", published, used)
 	}
-	if took := time.Duration(used[later]-told[later]) * time.Microsecond; took > getsRound {
-		t.Errorf("what the later process told was first used after %v", took)
+	if delay := time.Duration(used[lastIncarnation]-published[lastIncarnation]) * time.Microsecond; delay > propagationBound {
+		t.Errorf("what the later process told was first used after %v", delay)
 	}
 }
 
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -26,57 +26,57 @@
 // faultGenerators each generate one kind of fault. Their order is part of what a seed stands for.
 var faultGenerators = []func(r *rand.Rand) scenario.Fault{
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: scenario.Terminate, Targets: someAgents(r), Restart: pick(r, "empty", "kept"), ExtraSignals: r.IntN(5), Duration: span(r, 0, 1500)}
+		return scenario.Fault{Kind: scenario.Terminate, Targets: someAgents(r), Restart: pick(r, "empty", "kept"), ExtraSignals: r.IntN(5), Duration: randomDuration(r, 0, 1500)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: scenario.Kill, Targets: someAgents(r), Restart: "empty", RestartDelay: span(r, 0, 500)}
+		return scenario.Fault{Kind: scenario.Kill, Targets: someAgents(r), Restart: "empty", RestartDelay: randomDuration(r, 0, 500)}
 	},
 	func(r *rand.Rand) scenario.Fault { return scenario.Fault{Kind: scenario.Reload, Targets: "agents"} },
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: scenario.WallClock, Targets: someAgents(r), Duration: span(r, 200, 3000),
+		return scenario.Fault{Kind: scenario.WallClock, Targets: someAgents(r), Duration: randomDuration(r, 200, 3000),
 			ClockStep: strictconfig.Duration(pick(r, 2*time.Second, -2*time.Second, time.Hour, -time.Hour))}
 	},
-	failure(faultinject.Accept, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM, syscall.ECONNABORTED, syscall.ENFILE),
-	failure(faultinject.Connect, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR),
-	failure(faultinject.Socket, syscall.ENOBUFS, syscall.ENFILE, syscall.EMFILE),
-	failure(faultinject.Write, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINTR),
-	failure(faultinject.Read, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EIO),
+	syscallFailure(faultinject.Accept, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM, syscall.ECONNABORTED, syscall.ENFILE),
+	syscallFailure(faultinject.Connect, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR),
+	syscallFailure(faultinject.Socket, syscall.ENOBUFS, syscall.ENFILE, syscall.EMFILE),
+	syscallFailure(faultinject.Write, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINTR),
+	syscallFailure(faultinject.Read, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EIO),
 	func(r *rand.Rand) scenario.Fault { // of the configuration, in the moment of a SIGHUP
 		return scenario.Fault{Kind: scenario.SyscallFailure, Targets: "agents", Call: pick(r, faultinject.Open, faultinject.Read), Path: "config.json",
-			Errno: int(pick(r, syscall.ENFILE, syscall.EIO, syscall.EINTR)), Count: 1 + r.IntN(3), Duration: span(r, 500, 2000)}
+			Errno: int(pick(r, syscall.ENFILE, syscall.EIO, syscall.EINTR)), Count: 1 + r.IntN(3), Duration: randomDuration(r, 500, 2000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: scenario.IdleClients, Targets: "agents n=0", Size: float64(50 + r.IntN(100)), Duration: span(r, 1000, 4000)}
+		return scenario.Fault{Kind: scenario.IdleClients, Targets: "agents n=0", Size: float64(50 + r.IntN(100)), Duration: randomDuration(r, 1000, 4000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: pick(r, scenario.Drain, scenario.Replace), Targets: share(r, "backends"), Duration: span(r, 0, 1500), Steps: 1 + r.IntN(3)}
+		return scenario.Fault{Kind: pick(r, scenario.Drain, scenario.Replace), Targets: randomShare(r, "backends"), Duration: randomDuration(r, 0, 1500), Steps: 1 + r.IntN(3)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: pick(r, scenario.DiscoverySilent, scenario.DiscoveryDown), Duration: span(r, 500, 4000)}
+		return scenario.Fault{Kind: pick(r, scenario.DiscoverySilent, scenario.DiscoveryDown), Duration: randomDuration(r, 500, 4000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: scenario.FailingBackends, Targets: share(r, "backends"), Size: 0.3 + 0.6*r.Float64(), Duration: span(r, 500, 3000)}
+		return scenario.Fault{Kind: scenario.FailingBackends, Targets: randomShare(r, "backends"), Size: 0.3 + 0.6*r.Float64(), Duration: randomDuration(r, 500, 3000)}
 	},
 	func(r *rand.Rand) scenario.Fault { // backends that hang
-		return scenario.Fault{Kind: scenario.Link, From: share(r, "backends"), To: "agents", Cut: true, Duration: span(r, 300, 2500)}
+		return scenario.Fault{Kind: scenario.Link, From: randomShare(r, "backends"), To: "agents", Cut: true, Duration: randomDuration(r, 300, 2500)}
 	},
 	func(r *rand.Rand) scenario.Fault {
-		return scenario.Fault{Kind: scenario.Link, From: "agents", To: share(r, "backends"), Bidirectional: true, Reset: true, LossRate: 0.2, Duration: span(r, 300, 2000)}
+		return scenario.Fault{Kind: scenario.Link, From: "agents", To: randomShare(r, "backends"), Bidirectional: true, Reset: true, LossRate: 0.2, Duration: randomDuration(r, 300, 2000)}
 	},
 	func(r *rand.Rand) scenario.Fault {
 		return scenario.Fault{Kind: scenario.Pause, Targets: someAgents(r), Duration: strictconfig.Duration(150 * time.Millisecond)}
 	},
 }
 
-// failure generates failures of a system call: one, three in a row, or all for a moment.
-func failure(call string, errnos ...syscall.Errno) func(r *rand.Rand) scenario.Fault {
+// syscallFailure generates failures of a system call: one, three in a row, or all for a moment.
+func syscallFailure(call string, errnos ...syscall.Errno) func(r *rand.Rand) scenario.Fault {
 	return func(r *rand.Rand) scenario.Fault {
-		f := scenario.Fault{Kind: scenario.SyscallFailure, Targets: someAgents(r), Call: call, Errno: int(pick(r, errnos...)), Count: pick(r, 1, 3, 0), Duration: span(r, 1000, 4000)}
+		f := scenario.Fault{Kind: scenario.SyscallFailure, Targets: someAgents(r), Call: call, Errno: int(pick(r, errnos...)), Count: pick(r, 1, 3, 0), Duration: randomDuration(r, 1000, 4000)}
 		switch {
 		case f.Count == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // it is retried at once, so an endless failure would spin
 			f.Count = 3
 		case f.Count == 0:
-			f.Duration = span(r, 20, 80)
+			f.Duration = randomDuration(r, 20, 80)
 		}
 		return f
 	}
@@ -85,16 +85,16 @@
 // pick returns one of several values.
 func pick[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
 
-// span returns a duration between two bounds in milliseconds, both included.
-func span(r *rand.Rand, minMs, maxMs int) strictconfig.Duration {
+// randomDuration returns a duration between two bounds in milliseconds, both included.
+func randomDuration(r *rand.Rand, minMs, maxMs int) strictconfig.Duration {
 	return strictconfig.Duration(time.Duration(minMs+r.IntN(maxMs-minMs+1)) * time.Millisecond)
 }
 
 // someAgents returns a set of agents.
 func someAgents(r *rand.Rand) string { return pick(r, "agents", "agents n=0", "agents share=0.5") }
 
-// share returns a set of a random share of processes of one kind.
-func share(r *rand.Rand, kind string) string {
+// randomShare returns a set of a random randomShare of processes of one kind.
+func randomShare(r *rand.Rand, kind string) string {
 	return fmt.Sprintf("%s share=%.2f", kind, 0.1+0.3*r.Float64())
 }
 
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	from    = flag.Uint64("soak.from", 1, "the first seed")
-	seeds   = flag.Uint64("soak.seeds", 4, "how many seeds are played; CI plays a few")
-	beside  = flag.Int("soak.beside", 2, "how many runs are played side by side")
-	root    = flag.String("soak.root", "../../..", "the module whose program is played")
-	endless = flag.Duration("soak.for", 0, "play each seed for so long, its faults again and again; 0: once")
-	out     = flag.String("soak.out", "", "a file for a table of the runs")
+	from        = flag.Uint64("soak.from", 1, "the first seed")
+	seeds       = flag.Uint64("soak.seeds", 4, "how many seeds are played; CI plays a few")
+	parallelism = flag.Int("soak.beside", 2, "how many runs are played side by side")
+	root        = flag.String("soak.root", "../../..", "the module whose program is played")
+	repeatFor   = flag.Duration("soak.for", 0, "play each seed for so long, its faults again and again; 0: once")
+	tablePath   = flag.String("soak.out", "", "a file for a table of the runs")
 )
 
 // Agents keep every rule through what seeds draw. A seed that fails is played again by its number.
@@ -30,21 +30,21 @@
 	}
 	var mu sync.Mutex
 	rows := map[uint64]string{}
-	room := make(chan struct{}, *beside)
+	slots := make(chan struct{}, *parallelism)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := *from; seed < *from+*seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				room <- struct{}{}
-				defer func() { <-room }()
-				row := play(t, program, seed)
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				row := runSeed(t, program, seed)
 				mu.Lock()
 				defer mu.Unlock()
 				rows[seed] = row
 			})
 		}
 	})
-	if *out == "" {
+	if *tablePath == "" {
 		return
 	}
 	var table bytes.Buffer
@@ -52,19 +52,19 @@
 	for seed := *from; seed < *from+*seeds; seed++ {
 		table.WriteString(rows[seed])
 	}
-	if err := os.WriteFile(*out, table.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(*tablePath, table.Bytes(), 0o600); err != nil {
 		t.Error(err)
 	}
 }
 
-// play plays one seed, and returns its row of the table.
-func play(t *testing.T, program string, seed uint64) string {
+// runSeed plays one seed, and returns its row of the table.
+func runSeed(t *testing.T, program string, seed uint64) string {
 	s, err := Draw(seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *endless > 0 {
-		s.Repeat(*endless)
+	if *repeatFor > 0 {
+		s.Repeat(*repeatFor)
 	}
 	dir := t.TempDir()
 	l, err := lab.New(lab.Options{Scenario: s, Seed: seed, Agent: []string{program}, Dir: dir})
