--- a/internal/lab/check/arrival.go
+++ b/internal/lab/check/arrival.go
@@ -1,6 +1,6 @@
 package check
 
-// Attempts that reach backends, and what backends answer.
+// Checks of the attempts that reach backends, and the record of the backends' responses.
 
 import (
 	"fmt"
@@ -9,24 +9,24 @@
 
 // Arrival is an attempt that has reached a backend in full.
 type Arrival struct {
-	Attempt       uint64 // its number in the lab, unique in a run
+	Attempt       uint64 // the attempt's number in the lab, unique in a run
 	ID            string // of the request
 	Agent         int
 	Backend       string
 	Cell          int
 	Fingerprint   uint64        // of method, path, key and body
-	SentAt        time.Duration // when the agent sent it; the emulated network may have delayed it since
-	StatedTimeout time.Duration // how long the agent says that it waits; below 0: it does not say
+	SentAt        time.Duration // when the agent sent the attempt; the emulated network may have delayed it since
+	StatedTimeout time.Duration // the time-out that the attempt states to the backend; below 0: none
 }
 
-// Slack that the rules give, besides that of the sockets.
+// Slack of single rules, in addition to Rules.Slack.
 const (
 	cancelSlack   = 100 * time.Millisecond
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// Arrive checks an attempt that reaches its backend now. It reports whether the request is known: the backend serves an
-// unknown one without a record, if at all.
+// Arrive checks an attempt that reaches its backend at the time now. It reports whether the attempt belongs to a request
+// that an emulated client has sent and the checker still has. An attempt of any other request is not recorded.
 func (c *Checker) Arrive(now time.Duration, arrival Arrival) (known bool) {
 	r := c.requests[arrival.ID]
 	c.checkDrain(now, r, arrival)
@@ -49,8 +49,8 @@
 	return true
 }
 
-// checkDrain checks that the agent had not been told, longer ago than its grace, that the backend drains or is gone. The
-// request may be unknown (nil).
+// checkDrain reports a violation if the agent sent the attempt later than the grace after it was notified that the backend
+// drains or is removed. The request is nil if the checker does not have it.
 func (c *Checker) checkDrain(now time.Duration, r *Request, arrival Arrival) {
 	unavailableAt := c.endpoints[endpointKey{arrival.Agent, arrival.Backend}].unavailableAt
 	if unavailableAt > 0 && arrival.SentAt > c.graceEnd(arrival.Agent, unavailableAt) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// checkClientTime checks an attempt against its client: none after the client has gone, and no longer deadline than the
-// client has left.
+// checkClientTime reports a violation if the agent sent the attempt after the request had ended for its client, or stated
+// a longer time-out than the client has left.
 func (c *Checker) checkClientTime(now time.Duration, r *Request, arrival Arrival) {
 	if c.excusedDuring(r.Agent, r.SentAt, arrival.SentAt) {
 		return
@@ -75,8 +75,8 @@
 	}
 }
 
-// checkDuplicate checks that no effect can happen twice: an earlier attempt that may have run allows another one only as
-// far as the class is idempotent.
+// checkDuplicate checks that no effect can happen twice: after an attempt that may have run, another one is allowed only as
+// far as the idempotency of the class permits.
 func (c *Checker) checkDuplicate(now time.Duration, r *Request, arrival Arrival) {
 	earlier := r.firstPossiblyExecuted()
 	if earlier == nil {
@@ -95,7 +95,8 @@
 	}
 }
 
-// RecordReply notes what a backend answers. neverRan says that the answer proves that the attempt had no effect.
+// RecordReply adds a backend's response to the history of a request. neverRan means that the response proves that the
+// attempt had no effect.
 func (c *Checker) RecordReply(now time.Duration, id, backend, what string, neverRan bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -110,7 +111,8 @@
 	}
 }
 
-// Attempts returns how many attempts of a request have reached backends.
+// Attempts returns the number of attempts of a request that have reached backends; 0 for a request that the checker
+// does not have.
 func (c *Checker) Attempts(id string) int {
 	if r := c.requests[id]; r != nil {
 		return len(r.attempts)
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -16,7 +16,7 @@
 		Slack: slack, MaxClosedNewShare: 0.005}
 }
 
-// step is one thing that a checker is told, at a time.
+// step is one call of a checker at a given time.
 type step func(c *Checker)
 
 func open(at time.Duration, class int) step {
@@ -39,7 +39,7 @@
 }
 
 func reply(at time.Duration, backend string, neverRan bool) step {
-	return func(c *Checker) { c.RecordReply(at, "r", backend, "answers", neverRan) }
+	return func(c *Checker) { c.RecordReply(at, "r", backend, "responds", neverRan) }
 }
 
 func finish(at time.Duration, a Answer) step { return func(c *Checker) { c.Finish(at, "r", a) } }
@@ -50,7 +50,7 @@
 
 func excuse(from, to time.Duration) step { return func(c *Checker) { c.Excuse(1, from, to) } }
 
-// What is told, and the rule that this breaks; "": none.
+// Each sequence of reported events violates the given rule, or none if the rule is "".
 func TestRules(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -59,45 +59,45 @@
 	}{
 		{"served", "", []step{open(0, 2), arrive(ms, "x", 0), finish(100*ms, Served)}},
 		{"served within the slack", "", []step{open(0, 2), finish(time.Second+grace+slack, Served)}},
-		{"served past it", RuleAnswer, []step{open(0, 2), finish(time.Second+grace+slack+1, Served)}},
+		{"served past the slack", RuleAnswer, []step{open(0, 2), finish(time.Second+grace+slack+1, Served)}},
 		{"never answered", RuleAnswer, []step{open(0, 2), finish(3*time.Second, Unanswered)}},
-		{"not ended at all", RuleAnswer, []step{open(0, 2)}},
+		{"not finished before Close", RuleAnswer, []step{open(0, 2)}},
 		{"never answered by a stopped agent", "", []step{open(0, 2), excuse(500*ms, 3*time.Second), finish(3*time.Second, Unanswered)}},
 		{"never answered after a stop", RuleAnswer, []step{excuse(0, ms), open(2*ms, 2), finish(3*time.Second, Unanswered)}},
-		{"never taken", "", []step{func(c *Checker) { c.Open(0, &Request{ID: "r", Class: 2, Agent: 1}) }, finish(3*time.Second, Closed)}},
+		{"never accepted", "", []step{func(c *Checker) { c.Open(0, &Request{ID: "r", Class: 2, Agent: 1}) }, finish(3*time.Second, Closed)}},
 		{"closed", RuleAnswer, []step{open(0, 2), finish(100*ms, Closed)}},
 		{"closed while its agent is down", "", []step{open(0, 2), func(c *Checker) { c.Down(1, 50*ms) }, finish(100*ms, Closed)}},
-		{"closed after it is up again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), finish(100*ms, Closed)}},
-		{"closed new, more than few", RuleAnswer, []step{open(0, 2), finish(100*ms, ClosedNew)}},
-		{"foreign", RuleAnswer, []step{open(0, 2), finish(100*ms, Foreign)}},
-		{"safe twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), finish(100*ms, Rejected)}},
-		{"once twice", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), arrive(2*ms, "y", 0)}},
-		{"once after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), arrive(3*ms, "x", 0), finish(9*ms, Served)}},
-		{"once after an error", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", false), arrive(3*ms, "y", 0)}},
-		{"keyed in its pod", "", []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 3), finish(9*ms, Served)}},
-		{"keyed in another pod", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 4)}},
-		{"keyed past its window", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(10*time.Second+slack+2*ms, "y", 3)}},
+		{"closed after its agent runs again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), finish(100*ms, Closed)}},
+		{"closed new, above the allowed share", RuleAnswer, []step{open(0, 2), finish(100*ms, ClosedNew)}},
+		{"answered with a foreign response", RuleAnswer, []step{open(0, 2), finish(100*ms, Foreign)}},
+		{"idempotent, run twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), finish(100*ms, Rejected)}},
+		{"non-idempotent, run twice", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), arrive(2*ms, "y", 0)}},
+		{"non-idempotent, retried after a rejection", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), arrive(3*ms, "x", 0), finish(9*ms, Served)}},
+		{"non-idempotent, retried after an error", RuleDuplicate, []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", false), arrive(3*ms, "y", 0)}},
+		{"idempotency key, retried in the same pod", "", []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 3), finish(9*ms, Served)}},
+		{"idempotency key, retried in another pod", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 4)}},
+		{"idempotency key, retried after the deduplication window", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(10*time.Second+slack+2*ms, "y", 3)}},
 		{"refused though it may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), finish(9*ms, Rejected)}},
-		{"refused after it was turned away", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), finish(9*ms, Rejected)}},
+		{"refused after a rejection by the backend", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), finish(9*ms, Rejected)}},
 		{"failed though it may have run", "", []step{open(0, 2), arrive(ms, "x", 3), finish(9*ms, Failed)}},
-		{"to a draining backend in the grace", "", []step{notify(0, true), open(0, 2), arrive(grace+slack, "x", 0), finish(grace+60*ms, Served)}},
-		{"past the grace", RuleDrain, []step{notify(0, true), open(0, 2), arrive(grace+slack+2, "x", 0), finish(grace+60*ms, Served)}},
-		{"told again changes nothing", RuleDrain, []step{notify(0, true), notify(grace, true), open(0, 2), arrive(grace+slack+2, "x", 0)}},
-		{"ready again", "", []step{notify(0, true), notify(ms, false), open(0, 2), arrive(time.Second, "x", 0), finish(time.Second, Served)}},
-		{"stopped in the grace", "", []step{notify(0, true), excuse(ms, time.Second), open(0, 2), arrive(time.Second+grace, "x", 0), finish(time.Second+grace, Served)}},
-		{"stopped long after", RuleDrain, []step{notify(0, true), excuse(time.Second, 2*time.Second), open(0, 2), arrive(1500*ms, "x", 0)}},
-		{"held up by the network", "", []step{notify(0, true), open(0, 2), func(c *Checker) {
+		{"sent to a draining backend within the grace", "", []step{notify(0, true), open(0, 2), arrive(grace+slack, "x", 0), finish(grace+60*ms, Served)}},
+		{"sent to a draining backend after the grace", RuleDrain, []step{notify(0, true), open(0, 2), arrive(grace+slack+2, "x", 0), finish(grace+60*ms, Served)}},
+		{"a second notice does not extend the grace", RuleDrain, []step{notify(0, true), notify(grace, true), open(0, 2), arrive(grace+slack+2, "x", 0)}},
+		{"sent to a backend that is ready again", "", []step{notify(0, true), notify(ms, false), open(0, 2), arrive(time.Second, "x", 0), finish(time.Second, Served)}},
+		{"agent stopped within the grace", "", []step{notify(0, true), excuse(ms, time.Second), open(0, 2), arrive(time.Second+grace, "x", 0), finish(time.Second+grace, Served)}},
+		{"agent stopped after the grace", RuleDrain, []step{notify(0, true), excuse(time.Second, 2*time.Second), open(0, 2), arrive(1500*ms, "x", 0)}},
+		{"sent before the drain grace ended, delayed by the network", "", []step{notify(0, true), open(0, 2), func(c *Checker) {
 			c.Arrive(time.Second, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 7, SentAt: 100 * ms})
 		}, finish(time.Second, Served)}},
-		{"that nobody sent", RuleUnknown, []step{arrive(ms, "x", 0)}},
-		{"changed on the way", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 8}) }}},
-		{"through another agent", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 2, Backend: "x", Fingerprint: 7}) }}},
-		{"after its end", RuleCancelled, []step{open(0, 0), finish(100*ms, Disconnected), arrive(200*ms+slack+ms, "x", 0)}},
-		{"at its end", "", []step{open(0, 0), finish(100*ms, Disconnected), arrive(200*ms+slack, "x", 0)}},
-		{"told of more than is left", RuleDeadline, []step{open(0, 0), arriveWithTimeout(500*ms, 500*ms+150*ms+slack+ms)}},
-		{"told of what is left, and the slack", "", []step{open(0, 0), arriveWithTimeout(500*ms, 500*ms+150*ms+slack), finish(600*ms, Served)}},
-		{"pushed over", RuleSlowStart, []step{func(c *Checker) { c.Overloaded(ms, "x", 0.7) }}},
-		{"pushed over by agents that could not know", "", []step{func(c *Checker) { c.Overloaded(ms, "x", 0.6) }}},
+		{"a request that no client sent", RuleUnknown, []step{arrive(ms, "x", 0)}},
+		{"a request changed by the agent", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 1, Backend: "x", Fingerprint: 8}) }}},
+		{"sent by another agent", RuleUnknown, []step{open(0, 2), func(c *Checker) { c.Arrive(ms, Arrival{ID: "r", Agent: 2, Backend: "x", Fingerprint: 7}) }}},
+		{"sent after the client disconnected", RuleCancelled, []step{open(0, 0), finish(100*ms, Disconnected), arrive(200*ms+slack+ms, "x", 0)}},
+		{"sent within the slack after the client disconnected", "", []step{open(0, 0), finish(100*ms, Disconnected), arrive(200*ms+slack, "x", 0)}},
+		{"states a longer time-out than the client has left", RuleDeadline, []step{open(0, 0), arriveWithTimeout(500*ms, 500*ms+150*ms+slack+ms)}},
+		{"states the time that the client has left, and the slack", "", []step{open(0, 0), arriveWithTimeout(500*ms, 500*ms+150*ms+slack), finish(600*ms, Served)}},
+		{"overloaded by agents that received the start", RuleSlowStart, []step{func(c *Checker) { c.Overloaded(ms, "x", 0.7) }}},
+		{"overloaded, with too small a share from agents that received the start", "", []step{func(c *Checker) { c.Overloaded(ms, "x", 0.6) }}},
 	} {
 		checker := New(rules(), nil)
 		for _, s := range c.steps {
@@ -109,21 +109,22 @@
 		violations, n := checker.Violations()
 		switch {
 		case c.rule == "" && n > 0:
-			t.Errorf("%s: broken %+v", c.name, violations[0])
+			t.Errorf("%s: violation %+v, want none", c.name, violations[0])
 		case c.rule != "" && (n == 0 || violations[0].Rule != c.rule):
-			t.Errorf("%s: %d broken %+v, want %s", c.name, n, violations, c.rule)
+			t.Errorf("%s: %d violations %+v, want the first of rule %s", c.name, n, violations, c.rule)
 		}
 	}
 }
 
-// A visitor's request is served and not judged; memory is that of the last requests alone.
+// With AcceptsUnknown, a request that no emulated client sent violates no rule. The checker keeps only the requests of the
+// last Retention.
 func TestUnknownRequestsAndRetention(t *testing.T) {
 	r := rules()
 	r.AcceptsUnknown = true
 	forgotten := 0
 	c := New(r, func(*Request) { forgotten++ })
 	if c.Arrive(0, Arrival{ID: "v", Backend: "x"}) {
-		t.Error("a visitor passes for a client")
+		t.Error("Arrive reports a request that no client sent as known")
 	}
 	for i := range 1000 {
 		at := time.Duration(i) * time.Second
@@ -132,14 +133,15 @@
 		c.Finish(at+ms, id, Served)
 	}
 	if len(c.requests) > 20 || forgotten < 980 {
-		t.Errorf("%d requests kept, %d recorded", len(c.requests), forgotten)
+		t.Errorf("%d requests kept, want at most 20; %d dropped, want at least 980", len(c.requests), forgotten)
 	}
 	if _, n := c.Violations(); n != 0 {
-		t.Errorf("%d broken", n)
+		t.Errorf("%d violations, want none", n)
 	}
 }
 
-// The worst ten seconds, shares and parts of a run, by its windows.
+// A tally returns the totals, the worst ten seconds, the attempts and the percentiles of a run, without the warm-up in the
+// totals.
 func TestTallyCountsService(t *testing.T) {
 	tally := NewTally(2 * time.Second)
 	for s := range 20 {
@@ -154,20 +156,21 @@
 		}
 	}
 	if total := tally.Total(); total.Offered != 180 || total.WeightInObjective != 130 || total.Rejected != 50 {
-		t.Errorf("sum %+v", total)
+		t.Errorf("total %+v, want 180 offered, 130 within the objective, 50 rejected", total)
 	}
 	if share, from := tally.Worst(10); share != 0.5 || from != 3 {
-		t.Errorf("worst 10 s: %v from %d", share, from)
+		t.Errorf("worst 10 s: share %v from second %d, want 0.5 from 3", share, from)
 	}
 	if tally.Attempts != 180 || tally.CrossZone != 90 {
-		t.Errorf("%d attempts, %d cross", tally.Attempts, tally.CrossZone)
+		t.Errorf("%d attempts, %d of them to another zone, want 180 and 90", tally.Attempts, tally.CrossZone)
 	}
 	if p := tally.Snapshot(3); p.P50 != 100 || p.P99 != 100 {
-		t.Errorf("percentiles %v %v", p.P50, p.P99)
+		t.Errorf("p50 %v ms, p99 %v ms, want 100 for both", p.P50, p.P99)
 	}
 }
 
-// Zones are left from the time on after which first attempts towards them are few until the span's end.
+// AvoidedAfter returns the time after which the share of first attempts at unreachable backends stays low until the end of
+// the span.
 func TestAvoidedAfter(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
@@ -175,13 +178,13 @@
 		after       time.Duration
 		ok          bool
 	}{
-		"at once":     {func(at time.Duration) bool { return false }, 0, true},
-		"for a while": {func(at time.Duration) bool { return at < 2300*time.Millisecond }, 1300 * time.Millisecond, true},
-		"once more": {func(at time.Duration) bool {
+		"none unreachable":         {func(at time.Duration) bool { return false }, 0, true},
+		"unreachable at the start": {func(at time.Duration) bool { return at < 2300*time.Millisecond }, 1300 * time.Millisecond, true},
+		"unreachable a second time": {func(at time.Duration) bool {
 			return at < 2*second || at > 4500*time.Millisecond && at < 4700*time.Millisecond
 		}, 3700 * time.Millisecond, true},
-		"never":         {func(at time.Duration) bool { return true }, 0, false},
-		"rare ones are": {func(at time.Duration) bool { return at == 4*second }, 0, true},
+		"all unreachable":                     {func(at time.Duration) bool { return true }, 0, false},
+		"single attempts are below the share": {func(at time.Duration) bool { return at == 4*second }, 0, true},
 	} {
 		tally := NewTally(0)
 		for at := time.Duration(0); at < 6*second; at += 10 * time.Millisecond {
@@ -193,6 +196,6 @@
 		}
 	}
 	if _, ok := NewTally(0).AvoidedAfter(Span{second, 2 * second}, 0.01); ok {
-		t.Error("nothing was sent, and a zone was left")
+		t.Error("AvoidedAfter reports a time although there was no first attempt")
 	}
 }
--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -1,8 +1,8 @@
-// Package check decides from outside whether agents keep the rules: it is told what clients sent, what reached backends and
-// what was answered, and reports violations. Tally counts the service that clients got.
+// Package check decides from outside whether agents keep the rules: the caller reports what clients sent, what reached
+// backends and how requests were answered, and a Checker returns the violations. A Tally counts the service that clients got.
 //
-// It has no clock: the caller passes the time, as a span since the start of the run. Memory is bounded by the requests of the
-// last Retention and by the endpoint lists. Nothing here is safe for concurrent use.
+// The package has no clock: the caller passes the time, as a span since the start of the run. Memory is bounded by the
+// requests of the last Retention and by the endpoint lists. No type of the package is safe for concurrent use.
 package check
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Violation is one breach of a rule, as the report has it.
+// Violation is one violation of a rule, as the report contains it.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at_ns"`
@@ -28,26 +28,26 @@
 	endpoints      map[endpointKey]endpointState
 	excuses        map[int][]interval
 	violations     []Violation
-	firstViolator  *Request // with its whole history
+	firstViolator  *Request // with its complete history
 	onForgotten    func(*Request)
 	accepted       int
 	closedNew      []Violation
 	violationCount int
 }
 
-// Retention is how long a finished request is remembered. It exceeds the longest deduplication window, so a late duplicate
+// Retention is how long a finished request is kept. It exceeds the longest deduplication window, so that a late duplicate
 // is still recognised.
 const Retention = 15 * time.Second
 
-// maxViolations bounds the violations that are kept; the rest are counted.
+// maxViolations bounds the violations that are kept; further ones are only counted.
 const maxViolations = 100
 
-// New returns a checker for some rules. onForgotten, if not nil, is called with each request that is forgotten.
+// New returns a checker of the given rules. The checker calls onForgotten, if it is not nil, with each request that it drops.
 func New(r Rules, onForgotten func(*Request)) *Checker {
 	return &Checker{rules: r, requests: map[string]*Request{}, endpoints: map[endpointKey]endpointState{}, excuses: map[int][]interval{}, onForgotten: onForgotten}
 }
 
-// violate reports a violation and notes it in the history of the request, if there is one.
+// violate records a violation, also in the history of the request if r is not nil.
 func (c *Checker) violate(rule string, at time.Duration, agent int, r *Request, format string, args ...any) {
 	violation := Violation{Rule: rule, At: at, Agent: agent, Text: fmt.Sprintf(format, args...)}
 	c.violationCount++
@@ -63,28 +63,28 @@
 	}
 }
 
-// Violations returns the first maxViolations violations, and how many there are in all.
+// Violations returns the violations that are kept, and the number of all violations.
 func (c *Checker) Violations() ([]Violation, int) { return c.violations, c.violationCount }
 
-// FirstViolator returns the first request that broke a rule, or nil.
+// FirstViolator returns the first request that violated a rule, or nil.
 func (c *Checker) FirstViolator() *Request { return c.firstViolator }
 
-// Record adds a line to the history of a request.
+// Record adds an event to the history of a request.
 func (c *Checker) Record(at time.Duration, id, who, what string) {
 	if r := c.requests[id]; r != nil {
 		r.record(at, who, what)
 	}
 }
 
-// Open registers a request. It is called before the first byte is written.
+// Open registers a request. The caller calls it before the client writes the first byte.
 func (c *Checker) Open(now time.Duration, r *Request) {
 	c.forgetOld(now)
 	c.requests[r.ID] = r
 	r.record(now, fmt.Sprintf("client %d", r.Agent), "sends "+c.rules.Classes[r.Class].Name)
 }
 
-// Accept reports that the last byte of a request was written to a connection that the agent has accepted. From then on the
-// agent owes it a final answer.
+// Accept reports that the client wrote the last byte of a request to a connection that the agent has accepted. From then
+// on the agent must give the request a final answer.
 func (c *Checker) Accept(now time.Duration, id string) {
 	if r := c.requests[id]; r != nil {
 		r.SentAt, r.accepted = now, true
@@ -92,7 +92,7 @@
 	}
 }
 
-// Finish reports how a request ended for its client, and checks that.
+// Finish reports how a request ended for its client, and checks this end against the rules.
 func (c *Checker) Finish(now time.Duration, id string, a Answer) {
 	r := c.requests[id]
 	if r == nil || r.finished {
@@ -129,8 +129,9 @@
 	}
 }
 
-// Overloaded reports that a backend in slow start crashed by overload; informed is the share of the work sent by agents that
-// knew of its start. What uninformed agents sent is nobody's fault.
+// Overloaded reports that a backend in slow start crashed by overload. informed is the share of the work, from 0 to 1, that
+// came from agents that had received the backend's start. A crash violates the rule only if this share is at least
+// minInformedShare, since other agents cannot limit what they send.
 func (c *Checker) Overloaded(now time.Duration, backend string, informed float64) {
 	const minInformedShare = 2. / 3
 	if informed >= minInformedShare {
@@ -154,8 +155,8 @@
 	}
 }
 
-// Close checks what is left at the end of a run: open requests count as unanswered, and connections closed on their first
-// request break the rule on answers only above a share.
+// Close ends the checks of a run. It counts open requests as unanswered. Connections closed on their first request violate
+// the rule on answers only if their share of the accepted requests is above MaxClosedNewShare.
 func (c *Checker) Close(now time.Duration) {
 	if share := float64(len(c.closedNew)) / max(1, float64(c.accepted)); share > c.rules.MaxClosedNewShare {
 		c.violationCount += len(c.closedNew)
--- a/internal/lab/check/endpoints.go
+++ b/internal/lab/check/endpoints.go
@@ -1,10 +1,10 @@
 package check
 
-// What discovery has told each agent of backends, and when an agent has to act on it.
+// The backend states that discovery has delivered to each agent, and when an agent must act on them.
 
 import "time"
 
-// endpointKey names what an agent knows of a backend.
+// endpointKey identifies the state of a backend at an agent.
 type endpointKey struct {
 	agent   int
 	backend string
@@ -12,12 +12,12 @@
 
 // endpointState is the latest state of a backend that discovery has delivered to an agent.
 type endpointState struct {
-	unavailableAt time.Duration // since when it drains or is gone; 0: it is ready
-	startedAt     time.Duration // its latest start
+	unavailableAt time.Duration // when discovery delivered that it drains or is removed; 0: it is ready
+	startedAt     time.Duration // the latest start of its process
 }
 
-// Notify reports that discovery has delivered the state of a backend to an agent: unavailable if it drains or is gone, and
-// when it started.
+// Notify reports that discovery has delivered the state of a backend to an agent: whether it is unavailable, which means
+// that it drains or is removed, and when it started.
 func (c *Checker) Notify(now time.Duration, agent int, backend string, unavailable bool, started time.Duration) {
 	key := endpointKey{agent, backend}
 	current := c.endpoints[key]
@@ -31,7 +31,7 @@
 	c.endpoints[key] = current
 }
 
-// ForgetEndpoints drops what an agent knows: its process was replaced.
+// ForgetEndpoints drops the backend states of an agent whose process was replaced.
 func (c *Checker) ForgetEndpoints(agent int) {
 	for key := range c.endpoints {
 		if key.agent == agent {
@@ -40,17 +40,18 @@
 	}
 }
 
-// KnowsStart reports whether discovery has delivered a start of a backend to an agent.
+// KnowsStart reports whether discovery has delivered to an agent that a backend started at the time started, or a later
+// start.
 func (c *Checker) KnowsStart(agent int, backend string, started time.Duration) bool {
 	return started >= 0 && c.endpoints[endpointKey{agent, backend}].startedAt >= started
 }
 
-// graceEnd returns until when an agent that was notified at a time may still act on the state before. Spans for which it is
-// excused do not count.
+// graceEnd returns the time until which an agent that was notified at notifiedAt may still act on the previous state. The
+// grace starts again after each span within it for which the agent is excused.
 func (c *Checker) graceEnd(agent int, notifiedAt time.Duration) time.Duration {
 	grace := c.rules.DrainGrace + c.rules.Slack
 	end := notifiedAt + grace
-	for _, s := range c.excuses[agent] { // in order of their begin
+	for _, s := range c.excuses[agent] { // ordered by their start
 		if s.from <= end && s.to >= notifiedAt {
 			end = max(end, min(s.to, forever-grace)+grace)
 		}
--- a/internal/lab/check/excuses.go
+++ b/internal/lab/check/excuses.go
@@ -1,21 +1,22 @@
 package check
 
-// When an agent could not act.
+// Spans in which an agent could not keep the rules.
 
 import (
 	"slices"
 	"time"
 )
 
-// interval is a span of the run, both ends included.
+// interval is a span of the run, including both ends.
 type interval struct{ from, to time.Duration }
 
-// Excuse reports that an agent could not keep the rules for a span: it was killed, stopped, or partitioned from its client.
+// Excuse reports that an agent could not keep the rules for a span, because it was killed, stopped, or partitioned from its
+// client.
 func (c *Checker) Excuse(agent int, from, to time.Duration) {
 	c.excuses[agent] = append(c.excuses[agent], interval{from, to})
 }
 
-// Down excuses an agent whose process has been ended, until Running.
+// Down excuses an agent whose process was ended, until Running is called.
 func (c *Checker) Down(agent int, from time.Duration) { c.Excuse(agent, from, forever) }
 
 // Running reports that the process of an agent runs again.
--- a/internal/lab/check/request.go
+++ b/internal/lab/check/request.go
@@ -11,15 +11,15 @@
 	What string        `json:"what"`
 }
 
-// Request is one request of a client, with everything that happened to it. A client's retry is a request of its own.
+// Request is one request of a client, with its history. Each retry by a client is a separate Request.
 type Request struct {
 	ID          string        `json:"id"`
-	FirstID     string        `json:"first"` // the id of the request that this one retries, or its own
-	Attempt     int           `json:"try"`   // from 0, counted by the client
+	FirstID     string        `json:"first"` // the ID of the first request, if this one is a retry; else its own ID
+	Attempt     int           `json:"try"`   // 0 for the first request; the client's retries count up
 	Agent       int           `json:"agent"`
 	Class       int           `json:"class"`
 	SentAt      time.Duration `json:"sent_ns"`    // when its last byte was sent; the timeout runs from then
-	Timeout     time.Duration `json:"give_up_ns"` // after Sent
+	Timeout     time.Duration `json:"give_up_ns"` // counts from SentAt
 	Fingerprint uint64        `json:"-"`          // of method, path, key and body
 	History     []Event       `json:"history"`
 
@@ -29,12 +29,12 @@
 	finishedAt time.Duration
 }
 
-// attempt is an attempt that has reached a backend.
+// attempt is one attempt of a request, after it has reached a backend.
 type attempt struct {
 	backend   string
 	cell      int
 	arrivedAt time.Duration
-	neverRan  bool // the answer proves that it had no effect
+	neverRan  bool // the response proves that the attempt had no effect
 }
 
 // record adds an event to the history.
@@ -42,7 +42,7 @@
 	r.History = append(r.History, Event{at, who, what})
 }
 
-// firstPossiblyExecuted returns the first attempt that may have had its effect, or nil.
+// firstPossiblyExecuted returns the first attempt whose effect may have happened, or nil.
 func (r *Request) firstPossiblyExecuted() *attempt {
 	for _, a := range r.attempts {
 		if !a.neverRan {
@@ -62,13 +62,13 @@
 	Failed              // any other answer
 	Closed              // the agent closed the connection without a complete answer
 	ClosedNew           // the agent closed it without a byte, as the connection's first request
-	Unanswered          // nothing came in time
+	Unanswered          // the client got no answer before its time-out
 	Unreachable         // no connection could be established: the request was never accepted
 	Disconnected        // the client closed the connection first
-	Foreign             // served with an answer that no backend made for it
+	Foreign             // answered with a success response that no backend sent for this request
 )
 
-// String returns the answer as the report has it.
+// String returns the answer as the report contains it.
 func (a Answer) String() string {
 	return [...]string{"served", "refused", "failed", "closed without a whole answer",
 		"closed without a byte on a new connection", "no answer", "agent unreachable", "the client left",
--- a/internal/lab/check/residency.go
+++ b/internal/lab/check/residency.go
@@ -10,21 +10,21 @@
 // Permits reports whether a policy permits the requests of a tenant and class in a zone.
 type Permits func(tenant, class, zone int) bool
 
-// Residency knows which policies were in force at a time. A published policy is in force everywhere after PropagationBound;
-// until then earlier ones may still be used, after it none of them.
+// Residency records which policies may be in force at a time. A published policy is in force everywhere once
+// PropagationBound has passed. Until then agents may still use earlier policies, afterwards they must not.
 type Residency struct {
 	PropagationBound time.Duration
 	policies         []publishedPolicy
 }
 
-// publishedPolicy is a policy, with when it was published.
+// publishedPolicy is a policy with the time at which it was published.
 type publishedPolicy struct {
 	publishedAt time.Duration
 	version     int64
 	permits     Permits
 }
 
-// Publish adds a policy. Of two with one version, only what both permit is in force.
+// Publish adds a policy. If the last policy has the same version, a request must be permitted by both.
 func (r *Residency) Publish(now time.Duration, version int64, p Permits) {
 	if n := len(r.policies); n > 0 && r.policies[n-1].version == version {
 		previous, added := r.policies[n-1].permits, p
@@ -33,7 +33,8 @@
 	r.policies = append(r.policies, publishedPolicy{now, version, p})
 }
 
-// permitted reports whether any policy that may be in force at a time permits a request in a zone.
+// permitted reports whether any policy that may be in force at the time now permits a request in a zone. Without a policy
+// every request is permitted.
 func (r *Residency) permitted(now time.Duration, tenant, class, zone int) bool {
 	for i, p := range r.policies {
 		if i+1 < len(r.policies) && now > r.policies[i+1].publishedAt+r.PropagationBound {
@@ -46,9 +47,9 @@
 	return len(r.policies) == 0
 }
 
-// CheckResidency checks an attempt whose first byte arrived at a time.
+// CheckResidency checks that a policy permits the zone of an attempt whose first byte reached the backend at arrivedAt.
 func (c *Checker) CheckResidency(r *Residency, now, arrivedAt time.Duration, id string, agent, tenant, class, zone int, backend string) {
-	// Bytes written before the bound ran out may arrive a little later.
+	// Bytes that the agent wrote just before the bound ended may arrive shortly after it.
 	if r.permitted(arrivedAt-c.rules.Slack, tenant, class, zone) {
 		return
 	}
--- a/internal/lab/check/rules.go
+++ b/internal/lab/check/rules.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// Idempotency says what a repeated request does.
+// Idempotency is what happens when a request of a class runs more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent     Idempotency = iota // may be repeated and rejected at any time
-	IdempotencyKey                    // the backends of one cell drop a repeat within the deduplication window
+	IdempotencyKey                    // the backends of one cell drop a duplicate within the deduplication window
 	NonIdempotent                     // must never run twice
 )
 
@@ -24,18 +24,18 @@
 // Rules holds the bounds of the rules.
 type Rules struct {
 	Classes           []Class
-	DrainGrace        time.Duration // from a notice that a backend drains until nothing new may be sent there
-	AnswerGrace       time.Duration // after the deadline, in which an answer still counts
+	DrainGrace        time.Duration // span after the notice of a drain or a removal in which new attempts may still be sent there
+	AnswerGrace       time.Duration // time after the deadline in which an answer still counts as in time
 	Slack             time.Duration // added to every bound, for delays of sockets and scheduling
-	AcceptsUnknown    bool          // requests that no emulated client sent are served and not checked
-	MaxClosedNewShare float64       // share of all requests that may be closed unanswered as the first on their connection
+	AcceptsUnknown    bool          // requests that no emulated client sent are allowed and not checked
+	MaxClosedNewShare float64       // share of accepted requests that may be closed unanswered as the first on their connection
 }
 
 // The names of the rules, as in the report.
 const (
 	RuleAnswer    = "answer"    // one final answer for each accepted request, in time
 	RuleDuplicate = "duplicate" // no duplicated effect
-	RuleDrain     = "drain"     // no attempt at a backend that drains or is gone, past the grace
+	RuleDrain     = "drain"     // no attempt at a backend that drains or is removed, after the grace
 	RuleSlowStart = "cold"      // no backend in slow start crashed by overload
 	RuleUnknown   = "unsent"    // no attempt without a client's request, or for a changed one
 	RuleCancelled = "gone"      // no attempt for a client that has its answer or has disconnected
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -1,6 +1,6 @@
 package check
 
-// The service that clients got: counted by second, class, tenant and zone.
+// Counts of the service that clients got, by second, class, tenant and zone.
 
 import (
 	"slices"
@@ -9,9 +9,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome says how a client's request ended, with all its retries by the client.
+// Outcome is the end of a client's request, including the client's retries.
 type Outcome struct {
-	IntendedAt     time.Duration // when it was scheduled: latency counts from here, also if the client was late
+	IntendedAt     time.Duration // when the request was scheduled; latency counts from this time even if the client sent it late
 	FinishedAt     time.Duration
 	Answer         Answer
 	InObjective    bool    // served within its latency objective
@@ -22,7 +22,8 @@
 	ClientAttempts int // the first request included
 }
 
-// Window counts one second of a run. A request belongs to the second of its intended time.
+// Window counts one second of a run. A request belongs to the second of its intended time, an attempt to the second in
+// which it reached its backend.
 type Window struct {
 	Offered           int     `json:"offered"`
 	Served            int     `json:"served"`
@@ -34,9 +35,9 @@
 	Attempts          int     `json:"attempts"`
 	P50               float64 `json:"p50_ms"`
 	P99               float64 `json:"p99_ms"`
-	Used              float64 `json:"used"`     // share of the available capacity in use at its end
-	Agents            int     `json:"agents"`   // serving at its end
-	Backends          int     `json:"backends"` // up at its end
+	Used              float64 `json:"used"`     // share of the available capacity in use at the end of the second
+	Agents            int     `json:"agents"`   // serving at the end of the second
+	Backends          int     `json:"backends"` // up at the end of the second
 
 	latency []time.Duration
 }
@@ -52,7 +53,7 @@
 	firstAttempts                       []firstAttemptCounts // by countInterval
 }
 
-// firstAttemptCounts counts first attempts, and those at backends that could not be reached.
+// firstAttemptCounts counts first attempts, and first attempts at unreachable backends.
 type firstAttemptCounts struct{ total, unreachable int }
 
 // countInterval is the resolution of firstAttempts.
@@ -61,7 +62,7 @@
 // Span is a part of a run.
 type Span struct{ From, To time.Duration }
 
-// CountFirstAttempt counts the first attempt of a request. unreachable says that its backend could not be reached.
+// CountFirstAttempt counts the first attempt of a request. unreachable means that its backend could not be reached.
 func (t *Tally) CountFirstAttempt(now time.Duration, unreachable bool) {
 	n := int(max(0, now) / countInterval)
 	for len(t.firstAttempts) <= n {
@@ -73,12 +74,13 @@
 	}
 }
 
-// minReachableSpan is the shortest time before the end of a span over which AvoidedAfter judges: connections are observed about
-// once a countInterval, so a shorter time would show chance.
+// minReachableSpan is the shortest time before the end of a span over which AvoidedAfter takes a share. Connections are
+// observed about once per countInterval, so the share over a shorter time would be random.
 const minReachableSpan = 300 * time.Millisecond
 
-// AvoidedAfter returns the time from the start of a span after which first attempts at unreachable backends stay below a
-// share of all until its end. It reports false if there is no such time, or nothing was sent.
+// AvoidedAfter returns the earliest time, counted from the start of the span, from which on until the end of the span first
+// attempts at unreachable backends are below maxShare of all first attempts. It reports false if there is no such time or no
+// first attempt.
 func (t *Tally) AvoidedAfter(s Span, maxShare float64) (time.Duration, bool) {
 	first, end := int(s.From/countInterval), min(int(s.To/countInterval), len(t.firstAttempts))
 	total, unreachable, at := 0, 0, -1
@@ -101,13 +103,13 @@
 	WeightInObjective float64 `json:"worth_in_aim"`
 }
 
-// NewTally returns an empty tally. The totals leave out what happens before a time.
+// NewTally returns an empty tally. Its totals leave out requests and attempts before the time from.
 func NewTally(from time.Duration) *Tally {
 	return &Tally{Latency: hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3), countedFrom: from,
 		Classes: map[int]*Share{}, Tenants: map[int]*Share{}, Zones: map[int]*Share{}}
 }
 
-// window returns the window of a time, which may be new.
+// window returns the window of a time, and creates it if needed.
 func (t *Tally) window(intended time.Duration) *Window {
 	n := int(intended / time.Second)
 	for len(t.Windows) <= n {
@@ -152,7 +154,7 @@
 	}
 	t.ClientAttempts += outcome.ClientAttempts
 	if outcome.Answer == Served {
-		_ = t.Latency.RecordValue(max(1, (outcome.FinishedAt - outcome.IntendedAt).Microseconds())) // its range holds every deadline
+		_ = t.Latency.RecordValue(max(1, (outcome.FinishedAt - outcome.IntendedAt).Microseconds())) // its range includes every deadline
 	}
 	for _, p := range []*Share{shareOf(t.Classes, outcome.Class), shareOf(t.Tenants, outcome.Tenant), shareOf(t.Zones, outcome.Zone)} {
 		p.Offered++
@@ -163,7 +165,7 @@
 	}
 }
 
-// shareOf returns the share of a class, tenant or zone, which may be new.
+// shareOf returns the share of a class, tenant or zone, and creates it if needed.
 func shareOf(shares map[int]*Share, n int) *Share {
 	p := shares[n]
 	if p == nil {
@@ -173,7 +175,7 @@
 	return p
 }
 
-// CompleteWindows computes the percentiles of the windows before one, and frees the latencies they are computed from.
+// CompleteWindows computes the percentiles of the windows before the given one, and frees their latencies.
 func (t *Tally) CompleteWindows(window int) {
 	for i := range t.Windows[:min(window, len(t.Windows))] {
 		w := &t.Windows[i]
@@ -185,7 +187,7 @@
 	}
 }
 
-// Total returns the sum of the windows that count.
+// Total returns the sum of the windows from the start of the totals on.
 func (t *Tally) Total() (s Window) {
 	for i, w := range t.Windows {
 		if time.Duration(i)*time.Second < t.countedFrom {
@@ -207,8 +209,8 @@
 	s.Attempts += w.Attempts
 }
 
-// Worst returns the lowest share of weight served within the objective over a number of consecutive seconds, and the second
-// that they start with. A shorter run counts as one such span.
+// Worst returns the lowest share of weight served within the objective over a number of consecutive seconds, and the first
+// of these seconds. A shorter run counts as one span.
 func (t *Tally) Worst(seconds int) (share float64, from int) {
 	first := int((t.countedFrom + time.Second - 1) / time.Second)
 	share, from = 1, first
@@ -224,7 +226,7 @@
 	return share, from
 }
 
-// Snapshot returns a copy of a window, with its percentiles so far.
+// Snapshot returns a copy of the n-th window, with its present percentiles.
 func (t *Tally) Snapshot(n int) Window {
 	w := t.Windows[n]
 	if len(w.latency) > 0 {
