--- a/internal/lab/faultinject/faultinject.go
+++ b/internal/lab/faultinject/faultinject.go
@@ -1,8 +1,8 @@
-// Package faultinject builds a program of this module whose wall clock can be stepped and whose system calls can be made to
-// fail, for tests. The program's own sources stay as they are: a build overlay adds hooks to a few functions of the
-// standard library, and to the program a goroutine that follows a control file.
+// Package faultinject builds a program of this module for tests, with a wall clock that can be stepped and system calls that
+// can be made to fail. The program's sources stay unchanged: a build overlay adds hooks to some functions of the standard
+// library, and adds to the program a goroutine that reads a control file.
 //
-// What it can't reach: calls that the runtime makes by itself, but for epoll_ctl, and calls from C.
+// The package cannot make calls from C fail, nor calls by the Go runtime itself, except epoll_ctl.
 package faultinject
 
 import (
@@ -20,10 +20,10 @@
 	"time"
 )
 
-// ControlVariable is the environment variable that names the control file of a program that was built here.
+// ControlVariable is the environment variable with the path of the control file, read by a program that Build has built.
 const ControlVariable = "INJECT_CONTROL"
 
-// Names of system calls that a Failure may name.
+// The system calls that a Failure can make fail.
 const (
 	Accept     = "accept4"
 	Open       = "openat"
@@ -36,37 +36,38 @@
 	Bind       = "bind"
 	Listen     = "listen"
 	Receive    = "recvfrom" // of datagrams
-	Send       = "sendto"   // the same
+	Send       = "sendto"   // of datagrams
 	Option     = "setsockopt"
 	Name       = "getsockname"
 	Descriptor = "fcntl"
-	EpollAdd   = "epoll_ctl" // by count alone
+	EpollAdd   = "epoll_ctl" // adding a descriptor; only Errno and Times apply
 )
 
 // Failure makes a system call fail.
 type Failure struct {
 	Call  string        `json:"call"`
 	Errno syscall.Errno `json:"errno"`
-	Path  string        `json:"path"`  // part of the name of the file; "client:" and an IPv4 address: the other side of a connection; "": any
-	Times int           `json:"times"` // 0: as long as the plan is in force
-	Skip  int           `json:"skip"`  // so many such calls are made before
-	Kill  bool          `json:"kill"`  // in place of the failure the process is killed, with the call not made
+	Path  string        `json:"path"`  // part of the file's name, or "client:" with the IPv4 address and port of a connection's remote end; "": any
+	Times int           `json:"times"` // number of calls that fail; 0: all while the plan is in force
+	Skip  int           `json:"skip"`  // number of matching calls that are made normally first
+	Kill  bool          `json:"kill"`  // kills the process before the call, in place of the failure
 }
 
-// Plan is what a program is to suffer from now on, in place of the plan before.
+// Plan is the set of faults of a program. A new plan replaces the previous one.
 type Plan struct {
 	Number   int           `json:"number"` // set by Apply
-	Wall     time.Duration `json:"wall"`   // by which the wall clock is off, in whole seconds
+	Wall     time.Duration `json:"wall"`   // added to the wall clock; whole seconds only
 	Failures []Failure     `json:"failures"`
 }
 
-// Control steers one program.
+// Control sends plans to one program.
 type Control struct {
-	Path   string // of the control file; ControlVariable names it to the program
+	Path   string // of the control file, which the program finds by ControlVariable
 	number int
 }
 
-// Write puts a plan in force at the program's next start.
+// Write writes a plan to the control file and returns without waiting for the program. A program that is not running puts
+// the plan in force at its next start.
 func (c *Control) Write(p Plan) error {
 	c.number++
 	p.Number = c.number
@@ -80,10 +81,11 @@
 	return os.Rename(c.Path+".next", c.Path)
 }
 
-// acknowledgeTimeout bounds how long a running program may take to follow a plan.
+// acknowledgeTimeout bounds the time until a running program confirms a plan.
 const acknowledgeTimeout = 5 * time.Second
 
-// Apply puts a plan in force in the running program, and returns once it is.
+// Apply puts a plan in force in the running program, and returns once the program confirms it. It returns an error if the
+// program does not confirm the plan within acknowledgeTimeout.
 func (c *Control) Apply(p Plan) error {
 	if err := c.Write(p); err != nil {
 		return err
@@ -94,10 +96,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("plan %d is not followed within %v", c.number, acknowledgeTimeout)
+	return fmt.Errorf("the program did not confirm plan %d within %v", c.number, acknowledgeTimeout)
 }
 
-// hookedCalls are the functions of the standard library that ask before a system call, with what tells the file.
+// hookedCalls are the functions of the standard library that call the hook before a system call, with the expressions for
+// the descriptor and the path, and the statement that sets the results of a failed call.
 var hookedCalls = []struct{ call, signature, descriptor, path, onFailure string }{
 	{Accept, "func accept4(s int, rsa *RawSockaddrAny, addrlen *_Socklen, flags int) (fd int, err error) {", "s", `""`, "fd, err = -1, e"},
 	{Open, "func openat(dirfd int, path string, flags int, mode uint32) (fd int, err error) {", "-1", "path", "fd, err = -1, e"},
@@ -119,12 +122,13 @@
 //go:embed control.go.txt
 var controlSource string
 
-// patch replaces one text of a file of the standard library by another, each time it must be there.
+// patch replaces one text in a file of the standard library. The text must occur exactly once.
 type patch struct{ old, new string }
 
-var errUnknownToolchain = errors.New("the standard library is not the one that this package knows")
+var errUnknownToolchain = errors.New("the standard library's source does not match the patches of this package")
 
-// Build builds a program of the module at root, such as "./cmd/agent", with the hooks, and returns its path in dir.
+// Build builds a program of the module at root, such as "./cmd/agent", with the hooks. It writes to dir and returns the path
+// of the executable there. The error is errUnknownToolchain if a patch does not fit the installed standard library.
 func Build(ctx context.Context, root, program, dir string) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
@@ -137,11 +141,11 @@
 			h.signature, h.call, h.descriptor, h.path, h.onFailure)})
 	}
 	patches := map[string][]patch{
-		"time/time.go":                    {{"func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n", "// WallOffset is by how many seconds the wall clock is off.\nvar WallOffset int64\n\nfunc Now() Time {\n\tsec, nsec, mono := runtimeNow()\n\tsec += WallOffset\n"}},
+		"time/time.go":                    {{"func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n", "// WallOffset is added to the wall clock, in seconds.\nvar WallOffset int64\n\nfunc Now() Time {\n\tsec, nsec, mono := runtimeNow()\n\tsec += WallOffset\n"}},
 		"syscall/zsyscall_linux_amd64.go": hooks,
 		"internal/runtime/syscall/linux/syscall_linux.go": {{"func EpollCtl(epfd, op, fd int32, event *EpollEvent) (errno uintptr) {\n",
-			"// EpollFailures is how often adding a descriptor fails, with EpollErrno.\nvar EpollFailures int32\nvar EpollErrno uintptr\n\nfunc EpollCtl(epfd, op, fd int32, event *EpollEvent) (errno uintptr) {\n\tif EpollFailures > 0 && op == 1 {\n\t\tEpollFailures--\n\t\treturn EpollErrno\n\t}\n"}},
-		"syscall/syscall_linux.go": {{"func EpollCreate(size int)", "// Fails says why a system call fails; 0: it is made.\nvar Fails func(call string, fd int, path string) Errno\n\n// FailEpoll has adding descriptors fail.\nfunc FailEpoll(times, errno uintptr) { linux.EpollErrno, linux.EpollFailures = errno, int32(times) }\n\nfunc EpollCreate(size int)"}},
+			"// EpollFailures is the number of further calls to add a descriptor that fail with EpollErrno.\nvar EpollFailures int32\nvar EpollErrno uintptr\n\nfunc EpollCtl(epfd, op, fd int32, event *EpollEvent) (errno uintptr) {\n\tif EpollFailures > 0 && op == 1 {\n\t\tEpollFailures--\n\t\treturn EpollErrno\n\t}\n"}},
+		"syscall/syscall_linux.go": {{"func EpollCreate(size int)", "// Fails returns the error of a system call that must fail, or 0.\nvar Fails func(call string, fd int, path string) Errno\n\n// FailEpoll makes the next calls that add a descriptor fail.\nfunc FailEpoll(times, errno uintptr) { linux.EpollErrno, linux.EpollFailures = errno, int32(times) }\n\nfunc EpollCreate(size int)"}},
 	}
 	replace := map[string]string{}
 	for name, list := range patches {
@@ -163,7 +167,7 @@
 	return link(ctx, root, program, dir, replace)
 }
 
-// writePatched writes a changed copy of a file.
+// writePatched writes a patched copy of a file. It returns errUnknownToolchain if a patch does not match exactly once.
 func writePatched(from, to string, patches []patch) error {
 	text, err := os.ReadFile(from)
 	if err != nil {
--- a/internal/lab/faultinject/faultinject_test.go
+++ b/internal/lab/faultinject/faultinject_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// A program that is built here fails as planned, and as long as planned.
+// A program that Build has built fails the system calls that its plan names, and no others.
 func TestPlannedFailureIsInjected(t *testing.T) {
 	dir := t.TempDir()
 	program, err := Build(t.Context(), "../../..", "./cmd/agent", dir)
@@ -38,7 +38,7 @@
 		log := &bytes.Buffer{}
 		cmd.Stderr = log
 		if err := cmd.Run(); err == nil || !strings.Contains(log.String(), plan.want) {
-			t.Errorf("%v: %v, log %q", plan.failures, err, log)
+			t.Errorf("plan %v: error %v, log %q", plan.failures, err, log)
 		}
 	}
 }
