--- a/internal/lab/model/degradation.go
+++ b/internal/lab/model/degradation.go
@@ -1,12 +1,12 @@
 package model
 
-// Degradation: a backend that holds too much for too long turns slower until it has recovered.
+// Degradation: a backend that is overloaded for DegradeAfter becomes slower until it recovers.
 
 func (m *Machine) clearDegradation() {
 	m.overloadedSince, m.degradedSince, m.idleSince = never, never, never
 }
 
-// updateDegradation starts and ends the degraded state by the load of this moment.
+// updateDegradation starts or ends the degraded state according to the present load.
 func (m *Machine) updateDegradation() {
 	if m.DegradeAt <= 0 {
 		return
@@ -23,7 +23,7 @@
 	if m.degradedSince == never {
 		return
 	}
-	const mostlyIdleLoad = 0.4 // held requests per core
+	const mostlyIdleLoad = 0.4 // requests per core, running or queued
 	switch {
 	case load > mostlyIdleLoad:
 		m.idleSince = never
--- a/internal/lab/model/keycache.go
+++ b/internal/lab/model/keycache.go
@@ -1,8 +1,8 @@
 package model
 
-// The keys that a backend has served lately, and serves again for less work.
+// The cache of keys: a backend serves a request for a cached key with less work.
 
-// cacheKey caches a key, in place of the one used longest ago if the cache is full.
+// cacheKey caches a key. If the cache is full, the least recently served key is evicted.
 func (m *Machine) cacheKey(key uint64) {
 	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
 		oldest, at := uint64(0), never
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,8 +1,8 @@
 // Package model models the backends of an emulated fleet: cores shared by the requests in service, a bounded queue, slow start
 // and the crash by overload during it, degradation under load, and a cache of keys.
 //
-// It has no clock, sockets or goroutines: the caller says what time it is, and random draws belong to the request. Times are spans
-// since the start of the run. Work is given as time on one reference core. A Machine is not safe for concurrent use.
+// The package has no clock, sockets or goroutines: the caller passes the time, and each Job contains its random draw. Times are
+// spans since the start of the run. Work is given as time on one reference core. A Machine is not safe for concurrent use.
 package model
 
 import (
@@ -11,43 +11,43 @@
 	"time"
 )
 
-// Machine is one backend.
+// Machine is one emulated backend.
 type Machine struct {
 	Spec
 	State         State
-	StartedAt     time.Duration // negative: long ago
-	OverloadedAt  time.Duration // when it crashed by overload
-	InformedShare float64       // of the work that crashed it, the share sent by agents that knew when it had started
+	StartedAt     time.Duration // negative: before the run, so that the slow start is over
+	OverloadedAt  time.Duration // when the backend crashed by overload
+	InformedShare float64       // share of the work that crashed the backend, from agents that had received its start
 
-	failureShare    float64 // share of requests that fail at once, by a fault
-	stolenShare     float64 // share of its capacity that another program uses, by a fault
+	failureShare    float64 // share of requests that fail at once because of a fault
+	stolenShare     float64 // share of the capacity that another program uses because of a fault
 	now             time.Duration
-	serviceReceived float64 // seconds of work that a request running since time 0 would have received
-	serviceRate     float64 // at which serviceReceived grows
+	serviceReceived float64 // seconds of work that a request running since time 0 would have received by now
+	serviceRate     float64 // seconds of work per second that each running request receives
 	running         taskHeap
 	queue           []*task // oldest first
 	keyCache        map[uint64]time.Duration
 	slowStartWork   []sentWork    // within the latest overload window
 	slowStartTotal  float64       // seconds of slowStartWork
-	informedTotal   float64       // of them, by agents that knew when the backend had started
-	overloadedSince time.Duration // never: it is not
-	degradedSince   time.Duration // never: it is not
-	idleSince       time.Duration // mostly idle; never: it is not
+	informedTotal   float64       // seconds of slowStartWork from agents that had received the backend's start
+	overloadedSince time.Duration // never: not overloaded
+	degradedSince   time.Duration // never: not degraded
+	idleSince       time.Duration // never: not mostly idle
 	meanService     float64       // running mean of the service time, in seconds
 }
 
 // never is later than any run lasts.
 const never = time.Duration(math.MaxInt64)
 
-// New returns a backend that started at a time; a negative one means long ago.
+// New returns a backend that started at a time. A negative time means that its slow start is over.
 func New(s Spec, started time.Duration) *Machine {
 	m := &Machine{Spec: s, StartedAt: started, keyCache: map[uint64]time.Duration{}}
 	m.clearDegradation()
 	return m
 }
 
-// PresentCapacity returns the work that it can do in a second in its present state, in seconds of a reference core: what a
-// policy that sees the true state would count on.
+// PresentCapacity returns the work that the backend can do in a second in its present state, in seconds of a reference core.
+// A routing policy that knew the true state would use this value.
 func (m *Machine) PresentCapacity(now time.Duration) float64 {
 	if m.State != Up && m.State != Draining {
 		return 0
@@ -59,7 +59,7 @@
 	return capacity
 }
 
-// updateRate recomputes how fast each running request progresses. It is called after each change of state.
+// updateRate recomputes serviceRate. It is called after each change of state.
 func (m *Machine) updateRate() {
 	running := float64(len(m.running))
 	if running == 0 {
@@ -72,10 +72,10 @@
 	}
 }
 
-// maxStep bounds how long a service rate that changes continuously is taken for constant.
+// maxStep is the longest span over which a continuously changing service rate is treated as constant.
 const maxStep = 50 * time.Millisecond
 
-// NextEvent returns when the backend changes state without input next; never, if it does not.
+// NextEvent returns the next time at which the backend changes state without input, or never.
 func (m *Machine) NextEvent() time.Duration {
 	next := never
 	if len(m.running) > 0 && m.serviceRate > 0 {
@@ -89,7 +89,7 @@
 	return next
 }
 
-// Advance moves the backend to a time and returns what has ended by then, in order.
+// Advance moves the backend to a time and returns the completions until then, ordered by time.
 func (m *Machine) Advance(now time.Duration) (done []Completion) {
 	for m.now < now {
 		until := min(now, m.NextEvent())
@@ -131,7 +131,8 @@
 	heap.Push(&m.running, r)
 }
 
-// Arrive hands a job to the backend. Its completion is returned at once, or by a later Advance.
+// Arrive passes a job to the backend. The job's completion is returned by this call or by a later one that advances the
+// backend or stops it.
 func (m *Machine) Arrive(now time.Duration, job Job) (done []Completion) {
 	done = m.Advance(now)
 	seconds := job.Work.Seconds()
@@ -169,7 +170,8 @@
 	return done
 }
 
-// Cancel reports that an agent has closed the connection of an attempt. A running request goes on.
+// Cancel reports that an agent has closed the connection of an attempt. A queued job is dropped if DropsCancelled is set;
+// a running job continues.
 func (m *Machine) Cancel(now time.Duration, attempt uint64) (done []Completion) {
 	done = m.Advance(now)
 	if !m.DropsCancelled {
@@ -185,7 +187,7 @@
 	return done
 }
 
-// Stop takes the backend out of service and leaves it in the given state. All requests it held are lost.
+// Stop takes the backend out of service and sets the given state. All running and queued jobs are lost.
 func (m *Machine) Stop(now time.Duration, s State) (done []Completion) {
 	done = m.Advance(now)
 	for _, r := range m.running {
@@ -209,7 +211,7 @@
 	m.updateRate()
 }
 
-// Drain lets the backend finish its work and reject new jobs.
+// Drain makes the backend reject new jobs. Running and queued jobs are finished.
 func (m *Machine) Drain(now time.Duration) (done []Completion) {
 	done = m.Advance(now)
 	if m.State == Up {
@@ -218,7 +220,7 @@
 	return done
 }
 
-// SetFault sets the share of requests that fail at once and the share of the capacity used by another program. Zeroes end
+// SetFault sets the share of requests that fail at once and the share of the capacity that another program uses. Zeros end
 // both faults.
 func (m *Machine) SetFault(now time.Duration, failureShare, stolenShare float64) (done []Completion) {
 	done = m.Advance(now)
--- a/internal/lab/model/slowstart.go
+++ b/internal/lab/model/slowstart.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// capacityShare is the share of its full capacity that a backend has now.
+// capacityShare returns the share of its full capacity that a backend has at the time now.
 func (m *Machine) capacityShare(now time.Duration) float64 {
 	if !m.warmingUp(now) {
 		return 1
@@ -16,14 +16,15 @@
 	return m.StartedAt >= 0 && now < m.StartedAt+m.SlowStartWindow
 }
 
-// sentWork is work sent to a backend in slow start.
+// sentWork is the work of one job sent to a backend in slow start.
 type sentWork struct {
 	at       time.Duration
 	seconds  float64
 	informed bool
 }
 
-// recordSlowStartWork counts work sent during slow start, and reports whether it crashes the backend.
+// recordSlowStartWork adds work sent during slow start, and reports whether the work of the latest OverloadWindow crashes
+// the backend.
 func (m *Machine) recordSlowStartWork(now time.Duration, seconds float64, informed bool) bool {
 	if !m.warmingUp(now) || m.OverloadWindow <= 0 {
 		m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, 0, 0
@@ -41,7 +42,7 @@
 		}
 		m.slowStartWork = m.slowStartWork[1:]
 	}
-	// The slack keeps a handful of requests that happen to come together from counting as overload.
+	// The slack, four requests of average work, prevents a few requests that arrive together from counting as overload.
 	slack := 4 * m.slowStartTotal / float64(len(m.slowStartWork))
 	budget := m.OverloadMultiple * m.Capacity() * m.capacityShare(now) * m.OverloadWindow.Seconds()
 	if m.slowStartTotal <= budget+slack {
--- a/internal/lab/model/task.go
+++ b/internal/lab/model/task.go
@@ -1,19 +1,19 @@
 package model
 
-// The requests in progress, ordered by when they finish.
+// The running and queued requests. Running requests are ordered by when they finish.
 
 import "time"
 
-// task is a job that a backend holds.
+// task is a running or queued job.
 type task struct {
 	Job
-	finishAt  float64 // the serviceReceived at which it is done
+	finishAt  float64 // the value of serviceReceived at which the job is done
 	arrivedAt time.Duration
 	startedAt time.Duration
-	seconds   float64 // of work
+	seconds   float64 // of work on one reference core
 }
 
-// taskHeap is a heap of running tasks, the first to finish at the top.
+// taskHeap is a heap of running tasks; the first one to finish is at the top.
 type taskHeap []*task
 
 func (h taskHeap) Len() int { return len(h) }
--- a/internal/lab/model/types.go
+++ b/internal/lab/model/types.go
@@ -1,6 +1,6 @@
 package model
 
-// The properties of an emulated backend, and what reaches and leaves it.
+// The properties of an emulated backend, its jobs and their completions.
 
 import "time"
 
@@ -11,25 +11,25 @@
 	Cores            int
 	Speed            float64       // of one core, as a multiple of the reference core
 	Slots            int           // requests served at once
-	QueueCapacity    int           // requests that wait beyond these
+	QueueCapacity    int           // requests that wait while all slots are in use
 	ThrashLoss       float64       // share of capacity lost when requests per core reach twice ThrashAt
 	ThrashAt         float64       // requests in service per core above which capacity is lost
-	InitialCapacity  float64       // share of its capacity right after a start
+	InitialCapacity  float64       // share of the capacity right after a start
 	SlowStartWindow  time.Duration // from the start until full capacity
-	OverloadMultiple float64       // work sent in slow start above this multiple of the present capacity ...
-	OverloadWindow   time.Duration // ... over this span crashes it; 0: never
-	DegradeAt        float64       // requests per core above which it is overloaded; 0: it never degrades
-	DegradeAfter     time.Duration // span of overload after which it degrades
-	DegradeFactor    float64       // by which it is slower then
-	RecoverAfter     time.Duration // span of being mostly idle after which it recovers
-	MaxDegraded      time.Duration // after which it recovers in any case
-	MaxConns         int           // open connections it accepts; 0: no limit
+	OverloadMultiple float64       // the backend crashes if the work sent in slow start exceeds this multiple of the present capacity
+	OverloadWindow   time.Duration // span over which OverloadMultiple applies; 0: the backend never crashes
+	DegradeAt        float64       // requests per core, running or queued, above which the backend is overloaded; 0: it never degrades
+	DegradeAfter     time.Duration // span of overload after which the backend degrades
+	DegradeFactor    float64       // by which a degraded backend is slower
+	RecoverAfter     time.Duration // mostly idle span after which a degraded backend recovers
+	MaxDegraded      time.Duration // span after which a degraded backend recovers at any load
+	MaxConns         int           // limit on open connections; 0: none
 	Handshake        time.Duration // work of accepting a connection
 	ErrorRate        float64       // share of requests answered with an error
 	KeySaving        float64       // share of the work saved for a cached key
-	KeyTTL           time.Duration // for which a key stays cached
+	KeyTTL           time.Duration // span after its last use for which a key stays cached
 	MaxKeys          int           // keys cached at once
-	DropsCancelled   bool          // queued work is dropped once its agent has cancelled it
+	DropsCancelled   bool          // a queued request is dropped when its agent cancels it
 	ProbeWork        time.Duration // work of a health check
 	Weight           float64       // in the endpoint list
 }
@@ -37,18 +37,18 @@
 // Capacity returns the work done in a second at full capacity, in seconds of a reference core.
 func (s *Spec) Capacity() float64 { return float64(s.Cores) * s.Speed }
 
-// Job is one attempt that has reached a backend.
+// Job is the work of one attempt that has reached a backend.
 type Job struct {
-	Attempt       uint64 // its number in the lab, unique in a run
-	Key           uint64 // a hash of what it concerns; 0: none
+	Attempt       uint64 // the attempt's number in the lab, unique in a run
+	Key           uint64 // a hash of the request's key; 0: none
 	Work          time.Duration
 	Agent         int
-	ErrorDraw     float64 // from 0 to 1: below the error rate the answer is an error
-	NewConnection bool    // a connection was opened for it
-	StartKnown    bool    // its agent knew when the backend had started
+	ErrorDraw     float64 // from 0 to 1; a job whose draw is below the error rate gets an error response
+	NewConnection bool    // a connection was opened for this attempt
+	StartKnown    bool    // the agent had received the backend's start from discovery
 }
 
-// Result says how a job ended.
+// Result is how a job ended.
 type Result uint8
 
 // The results of a job.
@@ -57,15 +57,15 @@
 	Failed          // answered with an error; the effect may have happened
 	Rejected        // before any work was done
 	Dropped         // cancelled by its agent while it was queued
-	Lost            // the backend ended first: there is no answer
+	Lost            // the backend stopped first, and sends no response
 )
 
-// String returns the result as the lab's reports have it.
+// String returns the result as the lab's reports contain it.
 func (r Result) String() string {
 	return [...]string{"served", "failed", "turned away", "dropped", "lost"}[r]
 }
 
-// Completion is the end of a job.
+// Completion describes the end of a job.
 type Completion struct {
 	Job
 	At        time.Duration
@@ -74,7 +74,7 @@
 	QueuedFor time.Duration
 }
 
-// State says how a backend treats what reaches it.
+// State determines how a backend handles new jobs.
 type State uint8
 
 // The states of a backend.
@@ -82,6 +82,6 @@
 	Up State = iota
 	Draining
 	Removed    // its process has ended: connections are refused
-	Silent     // lost, or cut off from everyone: nothing is answered
+	Silent     // lost, or partitioned from all others: it sends no response
 	Overloaded // crashed by too much work during slow start
 )
