--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -1,8 +1,8 @@
-// Package netfault models what an emulated network does to a message between two endpoints: latency, loss, partitions and
-// refused connections, by rules that are added and removed while a scenario runs.
+// Package netfault models the faults of an emulated network: latency, loss, partitions and refused connections between
+// endpoints. Rules for these faults are added and removed while a scenario runs.
 //
-// It has no clock and no sockets. Random draws come from a stream that belongs to the message, so one more message changes
-// no draw of another. A rule acts on one direction: a fault from A to B has no effect from B to A.
+// The package has no clock and no sockets. Each message has its own random stream, so an additional message does not change
+// the draws of others. A rule acts on one direction: a fault from A to B has no effect from B to A.
 package netfault
 
 import (
@@ -20,31 +20,32 @@
 	Agent
 	Backend
 	Discovery
-	Member // an agent at its fleet address
+	Member // an agent, at its fleet address
 	Hub
 )
 
-// String returns the role's name in lower case. It is part of the names of random streams.
+// String returns the role's name in lower case. The names of random streams contain it.
 func (r Role) String() string {
 	return [...]string{"client", "agent", "backend", "discovery", "member", "hub"}[r]
 }
 
-// Endpoint is one end of a link. The client and the discovery service of agent 3 have number 3 too.
+// Endpoint is one end of a link. The client and the discovery service of an agent have the agent's number.
 type Endpoint struct {
 	Role   Role
 	Number int
 }
 
-// Fault is what a rule does to each message of its direction. The zero value is a healthy network. Rates are shares from 0 to 1.
+// Fault is the effect of a rule on each message in its direction. The zero value is a healthy network. Rates are shares from
+// 0 to 1.
 type Fault struct {
-	Cut           bool          // nothing arrives, and the sender gets no error
+	Cut           bool          // no message arrives, and the sender gets no error
 	Refuse        bool          // connections are refused
 	Reset         bool          // established connections are reset when the rule is added
 	Delay         time.Duration // added to the latency
-	Jitter        time.Duration // upper bound of a further, evenly distributed delay
-	LossRate      float64       // lost TCP segments are retransmitted, lost datagrams are not
+	Jitter        time.Duration // upper bound of an additional, evenly distributed delay
+	LossRate      float64       // of TCP segments, which are retransmitted, and of datagrams, which are not
 	DuplicateRate float64       // of datagrams
-	ReorderRate   float64       // of datagrams that are late enough for others to overtake them
+	ReorderRate   float64       // of datagrams that get an additional delay of up to maxReorderDelay
 }
 
 // Protocol is a set of transport protocols.
@@ -72,14 +73,14 @@
 type Network struct {
 	baseLatency func(from, to Endpoint) time.Duration
 	random      rng.Source
-	jitter      float64 // of the base latency, as a share
+	jitter      float64 // share of the base latency
 	rules       map[int]Rule
 	lastRule    int
 	faultCache  map[direction]Fault // cleared when the rules change
 }
 
-// New returns a network without faults. baseLatency is the one-way latency of a healthy link; each message takes up to the
-// share jitter of it longer.
+// New returns a network without faults. baseLatency returns the one-way latency of a healthy link. The latency of each
+// message is longer by a random part of it, up to the share jitter.
 func New(baseLatency func(from, to Endpoint) time.Duration, jitter float64, random rng.Source) *Network {
 	return &Network{baseLatency: baseLatency, random: random, jitter: jitter, rules: map[int]Rule{}, faultCache: map[direction]Fault{}}
 }
@@ -92,13 +93,13 @@
 	return n.lastRule
 }
 
-// Remove takes a rule out of force.
+// Remove removes the rule with the number that Add returned.
 func (n *Network) Remove(rule int) {
 	delete(n.rules, rule)
 	clear(n.faultCache)
 }
 
-// Fault returns the combined fault of all rules for one direction: the worst of each property.
+// Fault returns the combined fault of all rules for one direction, with the worst value of each property.
 func (n *Network) Fault(from, to Endpoint, protocol Protocol) Fault {
 	key := direction{from, to, protocol}
 	fault, ok := n.faultCache[key]
@@ -117,8 +118,8 @@
 	return fault
 }
 
-// Unreachable reports whether no TCP connection can be established between two endpoints. A handshake needs both
-// directions, so a cut in either is enough.
+// Unreachable reports whether a cut prevents TCP connections between two endpoints. A handshake needs both directions, so a
+// cut in either direction prevents it.
 func (n *Network) Unreachable(from, to Endpoint) bool {
 	return n.Fault(from, to, TCP).Cut || n.Fault(to, from, TCP).Cut
 }
@@ -127,14 +128,14 @@
 func (n *Network) Refused(from, to Endpoint) bool { return n.Fault(from, to, TCP).Refuse }
 
 const (
-	retransmitTimeout = 200 * time.Millisecond // before the first retransmission of a TCP segment; it doubles each time
+	retransmitTimeout = 200 * time.Millisecond // before the first retransmission of a TCP segment; doubled for each further one
 	maxRetransmits    = 5
-	maxReorderDelay   = 20 * time.Millisecond // by which a reordered datagram is late
+	maxReorderDelay   = 20 * time.Millisecond // upper bound of the additional delay of a reordered or duplicate datagram
 )
 
-// Arrivals returns the delays after which the copies of one message arrive: one, two if it is duplicated, none if it is lost.
-// message names the random stream. A message in a cut direction is lost; a caller that holds it back until the cut heals asks
-// Fault first.
+// Arrivals returns the delays after which the copies of one message arrive: one delay, two if the message is duplicated, none
+// if it is lost. message names the random stream. A message in a cut direction is lost; a caller that delays messages until
+// the cut ends checks Fault first.
 func (n *Network) Arrivals(from, to Endpoint, protocol Protocol, message string) []time.Duration {
 	fault := n.Fault(from, to, protocol)
 	if fault.Cut {
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -19,7 +19,7 @@
 	return func(p Endpoint) bool { return slices.Contains(list, p) }
 }
 
-// A rule acts on its own pairs, direction and protocol, and is gone once it is taken off.
+// A rule acts on its own links, direction and protocol, and has no effect after its removal.
 func TestRulesApplyToTheirLinks(t *testing.T) {
 	n := network()
 	cutRule := n.Add(Rule{From: anyOf(a), To: anyOf(c), Protocols: TCP, Fault: Fault{Cut: true}})
@@ -35,23 +35,24 @@
 		{b, c, TCP, Fault{}},
 	} {
 		if got := n.Fault(x.from, x.to, x.p); got != x.want {
-			t.Errorf("%v to %v: %+v", x.from, x.to, got)
+			t.Errorf("fault from %v to %v: %+v", x.from, x.to, got)
 		}
 	}
 	if !n.Unreachable(a, c) || !n.Unreachable(c, a) || n.Unreachable(b, c) {
-		t.Error("a connection needs both directions")
+		t.Error("the cut from a to c must make TCP connections impossible between a and c, and only there")
 	}
 	if n.Arrivals(a, c, TCP, "x") != nil {
-		t.Error("a cut way let something through")
+		t.Error("a message arrived in a cut direction")
 	}
 	n.Remove(cutRule)
 	n.Remove(delayRule)
 	if n.Unreachable(a, c) || n.Fault(a, c, TCP) != (Fault{}) {
-		t.Error("rules outlast their end")
+		t.Error("removed rules still have an effect")
 	}
 }
 
-// Shares come out as stated, and a message meets the same fate each time, whatever was sent before it.
+// The shares of lost, duplicated, reordered and retransmitted messages match the rates of the rule. The arrivals of a message
+// do not depend on messages before it.
 func TestRatesAreMet(t *testing.T) {
 	n := network()
 	n.Add(Rule{From: anyOf(a), To: anyOf(b), Protocols: UDP | TCP, Fault: Fault{LossRate: 0.3, DuplicateRate: 0.2, ReorderRate: 0.1}})
@@ -61,7 +62,7 @@
 		id := fmt.Sprint(i)
 		delays := n.Arrivals(a, b, UDP, id)
 		if !slices.Equal(delays, n.Arrivals(a, b, UDP, id)) {
-			t.Fatal("another fate at the second look")
+			t.Fatal("a second call with the same message returned other arrivals")
 		}
 		switch {
 		case len(delays) == 0:
@@ -73,15 +74,15 @@
 			duplicated++
 		}
 		if tcp := n.Arrivals(a, b, TCP, id); len(tcp) != 1 {
-			t.Fatalf("over TCP %d copies arrive", len(tcp))
+			t.Fatalf("%d copies arrive over TCP, want one", len(tcp))
 		} else if tcp[0] >= 200*time.Millisecond {
 			retransmitted++
 		}
 	}
-	for name, x := range map[string][2]float64{"lost": {float64(lost), 0.3}, "twice": {float64(duplicated), 0.7 * 0.2}, "late": {float64(reordered), 0.7 * 0.1 * 0.95},
-		"sent again": {float64(retransmitted), 0.3}} {
+	for name, x := range map[string][2]float64{"lost": {float64(lost), 0.3}, "duplicated": {float64(duplicated), 0.7 * 0.2}, "reordered": {float64(reordered), 0.7 * 0.1 * 0.95},
+		"retransmitted": {float64(retransmitted), 0.3}} {
 		if share := x[0] / messages; share < x[1]*0.9 || share > x[1]*1.1 {
-			t.Errorf("%s: %v, want %v", name, share, x[1])
+			t.Errorf("share %s: %v, want %v", name, share, x[1])
 		}
 	}
 }
