--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -1,6 +1,6 @@
 package scenario
 
-// What a scenario may say. Errors name file, line and key.
+// Checks of the values in a scenario. Errors name file, line and key.
 
 import (
 	"fmt"
@@ -11,12 +11,12 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// errorAt is an error that names the file, and the line of a key.
+// errorAt returns an error with the file, the line of the key, and the key.
 func (s *Scenario) errorAt(key, format string, args ...any) error {
 	return strictconfig.ErrorAt(s.file, s.text, key, format, args...)
 }
 
-// The largest lab that one process emulates.
+// Limits on what one lab process emulates.
 const (
 	MaxAgents   = 2000
 	MaxBackends = 4000
@@ -25,8 +25,8 @@
 	maxHubs = 64
 )
 
-// Check reports the first value that can't be played, naming file, line and key. It sets the number of backends where the
-// sizes of zones are given.
+// Check returns an error for the first invalid value, with file, line and key. If the sizes of zones are given, Check sets
+// the number of backends to their sum.
 func (s *Scenario) Check() error {
 	if len(s.Fleet.ZoneSize) > 0 {
 		s.Fleet.Backends = 0
@@ -65,7 +65,7 @@
 	case s.Fleet.Backends < 1 || s.Fleet.Backends > MaxBackends:
 		return s.errorAt("fleet.backends", "%d is not between 1 and %d", s.Fleet.Backends, MaxBackends)
 	case zones < 1:
-		return s.errorAt("fleet.zones", "at least one is needed")
+		return s.errorAt("fleet.zones", "at least one is required")
 	case len(s.Fleet.ZoneSize) > 0 && len(s.Fleet.ZoneSize) != zones:
 		return s.errorAt("fleet.zone_size", "%d sizes for %d zones", len(s.Fleet.ZoneSize), zones)
 	case len(s.Fleet.Regions) > 0 && len(s.Fleet.Regions) != zones:
@@ -95,9 +95,9 @@
 func (s *Scenario) checkDiscovery() error {
 	switch {
 	case !slices.Contains([]string{"now", "first", "none"}, s.Discovery.CachedList):
-		return s.errorAt("lists.known", "%q is none of now, first, none", s.Discovery.CachedList)
+		return s.errorAt("lists.known", "%q is not one of now, first, none", s.Discovery.CachedList)
 	case !(s.Discovery.Rate > 0 && s.Discovery.MaxQueueSeconds >= 0 && s.Discovery.DeltaCost > 0):
-		return s.errorAt("lists.rate", "rate %v and change %v have to be above 0, queue_s %v not below", s.Discovery.Rate,
+		return s.errorAt("lists.rate", "rate %v and change %v must be above 0, and queue_s %v must be 0 or above", s.Discovery.Rate,
 			s.Discovery.DeltaCost, s.Discovery.MaxQueueSeconds)
 	}
 	return nil
@@ -107,23 +107,23 @@
 	zones, shared := len(s.Fleet.Zones), &s.Shared
 	switch {
 	case shared.Hubs < 0 || shared.Hubs > min(zones, maxHubs) || shared.Hubs > 0 && !shared.Enabled:
-		return s.errorAt("shared.hubs", "%d hubs: they need shared.on, and there is at most one a zone, of which there are %d", shared.Hubs, zones)
+		return s.errorAt("shared.hubs", "%d hubs: hubs require shared.on, and there can be at most one per zone, with %d zones", shared.Hubs, zones)
 	case shared.Policy != "" && (!shared.Enabled || !s.validSources(s.maxPolicySources()) || shared.PolicyBound <= 0):
-		return s.errorAt("shared.policy", "a policy needs shared.on, from 1 to %d sources and a bound", s.maxPolicySources())
+		return s.errorAt("shared.policy", "a policy requires shared.on, from 1 to %d sources, and a bound", s.maxPolicySources())
 	case shared.Settings != "" && (shared.Hubs < 1 || !s.validSources(shared.Hubs) || shared.SettingsBound <= 0):
-		return s.errorAt("shared.settings", "settings need hubs, from 1 to %d sources of them and a bound", shared.Hubs)
+		return s.errorAt("shared.settings", "settings require hubs, from 1 to %d sources among them, and a bound", shared.Hubs)
 	}
 	return nil
 }
 
-// validSources reports whether there are sources, and no more than can be.
+// validSources reports whether the number of sources is from 1 to maxSources.
 func (s *Scenario) validSources(maxSources int) bool {
 	return s.Shared.Sources >= 1 && s.Shared.Sources <= maxSources
 }
 
 func (s *Scenario) checkLimits() error {
 	if s.Limits.Sockets < 64 {
-		return s.errorAt("limits.sockets", "%d is not at least 64", s.Limits.Sockets)
+		return s.errorAt("limits.sockets", "%d is below 64", s.Limits.Sockets)
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 		"lists.add_s":          s.Discovery.AddDelaySeconds,
 	} {
 		if !(r[0] >= 0 && r[1] >= r[0]) {
-			return s.errorAt(key, "%v is not a range of two numbers, the lower first", r)
+			return s.errorAt(key, "%v is not a range of two numbers from 0, the lower one first", r)
 		}
 	}
 	return nil
@@ -157,7 +157,7 @@
 	key := func(name string) string { return faultKey(i, name) }
 	switch {
 	case !slices.Contains(kinds, fault.Kind):
-		return s.errorAt(key("what"), "%q is none of %s", fault.Kind, strings.Join(kinds, ", "))
+		return s.errorAt(key("what"), "%q is not one of %s", fault.Kind, strings.Join(kinds, ", "))
 	case fault.At < 0 || fault.At >= s.Duration:
 		return s.errorAt(key("at"), "%v is not within the run's %v", fault.At.Duration(), s.Duration.Duration())
 	case fault.Duration < 0:
@@ -179,7 +179,7 @@
 	return s.checkSize(key("size"), fault)
 }
 
-// checkSet checks that what a set names is there. An empty one names nothing.
+// checkSet checks the syntax of a set, and that its zones, hubs and numbers exist. An empty set is valid.
 func (s *Scenario) checkSet(key, text string) error {
 	if text == "" {
 		return nil
@@ -205,47 +205,47 @@
 	return nil
 }
 
-// checkTargets checks that a fault is done to what it can be done to.
+// checkTargets checks that the kind of a fault can apply to its targets.
 func (s *Scenario) checkTargets(i int, fault *Fault) error {
 	key := func(name string) string { return faultKey(i, name) }
-	targets, _ := ParseSet(fault.Targets) // of no kind if it can't be read
+	targets, _ := ParseSet(fault.Targets) // for an empty set, Kind is ""
 	switch fault.Kind {
 	case Link:
 		if fault.From == "" || fault.To == "" {
-			return s.errorAt(key("from"), "a link has from and to")
+			return s.errorAt(key("from"), "a link requires from and to")
 		}
 	case Kill, Terminate, Pause:
 		if fault.Restart != "" && !slices.Contains([]string{"empty", "kept", restartNever}, fault.Restart) {
-			return s.errorAt(key("restart"), "%q is none of empty, kept, never", fault.Restart)
+			return s.errorAt(key("restart"), "%q is not one of empty, kept, never", fault.Restart)
 		}
 		if targets.Kind != "agents" && targets.Kind != "hubs" {
-			return s.errorAt(key("who"), "%q is no set of agents or hubs", fault.Targets)
+			return s.errorAt(key("who"), "%q is not a set of agents or hubs", fault.Targets)
 		}
 	case Reload, WallClock, SyscallFailure, IdleClients:
 		if targets.Kind != "agents" {
-			return s.errorAt(key("who"), "%q is no set of agents", fault.Targets)
+			return s.errorAt(key("who"), "%q is not a set of agents", fault.Targets)
 		}
 	case Policy:
 		if s.Shared.Hubs > 0 && targets.Kind != "hubs" {
-			return s.errorAt(key("who"), "%q is no set of hubs, which are a policy's sources where there are any", fault.Targets)
+			return s.errorAt(key("who"), "%q is not a set of hubs, which are the sources of a policy if there are hubs", fault.Targets)
 		}
 	case Settings:
 		if targets.Kind != "hubs" || s.Shared.Settings == "" {
-			return s.errorAt(key("who"), "%q: settings are given to hubs, where shared.settings says what holds at the start", fault.Targets)
+			return s.errorAt(key("who"), "%q: a change of settings requires hubs as targets, and shared.settings for the start", fault.Targets)
 		}
 	case Replace, Drain, FailingBackends, SlowBackends, NoisyNeighbour:
 		if targets.Kind != "backends" {
-			return s.errorAt(key("who"), "%q is no set of backends", fault.Targets)
+			return s.errorAt(key("who"), "%q is not a set of backends", fault.Targets)
 		}
 	case ZoneLost, ZoneCut, ZoneReceiveCut, PowerLoss:
 		if targets.Kind != "zone" {
-			return s.errorAt(key("who"), `%q is no zone, such as "zone zone=1"`, fault.Targets)
+			return s.errorAt(key("who"), `%q is not a zone, such as "zone zone=1"`, fault.Targets)
 		}
 	}
 	return nil
 }
 
-// checkSize checks the size of the kinds of faults that have one.
+// checkSize checks the size of a fault, for the kinds that have a limited size.
 func (s *Scenario) checkSize(key string, fault *Fault) error {
 	maxSize := 0.0
 	switch fault.Kind {
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -7,12 +7,12 @@
 // Fault is one entry of the schedule. Fields that its kind does not use are ignored.
 type Fault struct {
 	At            strictconfig.Duration `toml:"at"`
-	Duration      strictconfig.Duration `toml:"for"` // 0: until the end of the run, or an instant
+	Duration      strictconfig.Duration `toml:"for"` // 0: until the end of the run, or an instantaneous fault
 	Kind          string                `toml:"what"`
-	Targets       string                `toml:"who"` // a set of processes, see ParseSet
+	Targets       string                `toml:"who"` // a set of processes; see ParseSet
 	From          string                `toml:"from"`
 	To            string                `toml:"to"`
-	Bidirectional bool                  `toml:"both"` // of a link: both directions
+	Bidirectional bool                  `toml:"both"` // for a link: in both directions
 
 	Protocol      string                `toml:"protocol"` // "tcp", "udp"; "": both
 	Delay         strictconfig.Duration `toml:"delay"`
@@ -25,16 +25,16 @@
 	Reset         bool                  `toml:"reset"`
 
 	Size         float64               `toml:"size"`    // factor of a burst, share of failures or of the capacity taken, or number of idle clients
-	OnTime       strictconfig.Duration `toml:"on"`      // how long a noisy neighbour is active, and then idle
-	RestartDelay strictconfig.Duration `toml:"after"`   // before the restart
+	OnTime       strictconfig.Duration `toml:"on"`      // length of each active and each idle phase of a noisy neighbour
+	RestartDelay strictconfig.Duration `toml:"after"`   // delay before the restart
 	Restart      string                `toml:"restart"` // "empty", "kept", "never"
-	Steps        int                   `toml:"steps"`   // the targets follow in so many groups, spread over the duration
-	Document     string                `toml:"text"`    // the text of a policy or of settings
-	ExtraSignals int                   `toml:"series"`  // further signals after a SIGTERM: SIGHUP and SIGTERM in turn
-	ClockStep    strictconfig.Duration `toml:"step"`    // in whole seconds; undone after the duration
-	Call         string                `toml:"call"`    // the system call that fails, as package faultinject names it
+	Steps        int                   `toml:"steps"`   // number of groups of targets, which are affected one after the other over the duration
+	Document     string                `toml:"text"`    // text of a policy or of settings
+	ExtraSignals int                   `toml:"series"`  // number of further signals after a SIGTERM, alternately SIGHUP and SIGTERM
+	ClockStep    strictconfig.Duration `toml:"step"`    // in whole seconds; reverted after the duration
+	Call         string                `toml:"call"`    // the system call that fails, by its name in package faultinject
 	Errno        int                   `toml:"errno"`   // its error number
-	Path         string                `toml:"path"`    // for files whose name contains this; "": any
+	Path         string                `toml:"path"`    // only files whose name contains this text; "": any file
 	Count        int                   `toml:"times"`   // number of failures; 0: for the whole duration
 }
 
@@ -44,25 +44,25 @@
 	Kill            = "kill"      // SIGKILL to agents or hubs, and a restart
 	Terminate       = "term"      // SIGTERM, and a restart once they have ended
 	Pause           = "stop"      // SIGSTOP, then SIGCONT after the duration
-	ZoneLost        = "zone-lost" // its backends fall silent, and come back in slow start
+	ZoneLost        = "zone-lost" // the zone's backends stop responding, and return in slow start
 	ZoneCut         = "zone-cut"  // the zone is partitioned from the others
 	ZoneReceiveCut  = "zone-deaf" // only messages into the zone are lost
 	Replace         = "replace"   // backends drain and new ones replace them
 	Drain           = "drain"
 	FailingBackends = "bad"         // backends answer a share of requests with an error at once
 	SlowBackends    = "slow"        // another program takes the share Size of their capacity
-	NoisyNeighbour  = "neighbour"   // the same, on and off
-	Burst           = "burst"       // Size times the load
+	NoisyNeighbour  = "neighbour"   // like SlowBackends, in alternating active and idle phases
+	Burst           = "burst"       // multiplies the load by Size
 	DiscoverySilent = "list-silent" // discovery sends nothing
 	DiscoveryDown   = "list-away"   // discovery refuses connections
 	DiscoveryRewind = "list-rewind" // discovery restarts with an old version of the list
-	PowerLoss       = "power"       // a zone's agents and backends end at once and restart together
-	Policy          = "policy"      // a residency policy is given to those targets that are its sources
-	Settings        = "settings"    // settings are given to those hubs among the targets that are their sources
+	PowerLoss       = "power"       // all agents and backends of a zone end at the same time and restart together
+	Policy          = "policy"      // a residency policy is written to those targets that are its sources
+	Settings        = "settings"    // settings are written to those targeted hubs that are sources of settings
 	Reload          = "reload"      // discovery moves to another address: new configuration and SIGHUP
 	WallClock       = "wall"        // wall clocks are stepped; needs an agent built by package faultinject
-	SyscallFailure  = "fail"        // system calls fail; the same
-	IdleClients     = "crowd"       // Size idle clients at each agent, which reconnect when they are closed
+	SyscallFailure  = "fail"        // system calls fail; needs an agent built by package faultinject
+	IdleClients     = "crowd"       // Size idle clients connect to each agent, and reconnect when it closes their connections
 
 	restartNever = "never" // a value of Fault.Restart
 )
--- a/internal/lab/scenario/hubs.go
+++ b/internal/lab/scenario/hubs.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Variants of a scenario: with or without hubs, and with nothing shared.
+// Variants of a scenario: with hubs, as a full mesh, and without a fleet.
 
 import (
 	"slices"
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// DisableSharing removes the fleet, and the faults that need it: each agent is on its own.
+// DisableSharing removes the fleet and the faults that need it, so that each agent works alone.
 func (s *Scenario) DisableSharing() {
 	s.Shared = Shared{}
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == Policy || f.needsHubs() })
 }
 
-// needsHubs reports whether a fault can be played only where there are hubs.
+// needsHubs reports whether a fault requires hubs.
 func (f *Fault) needsHubs() bool {
 	for _, text := range []string{f.Targets, f.From, f.To} {
 		if strings.HasPrefix(strings.TrimSpace(text), "hubs") {
@@ -24,7 +24,7 @@
 	return f.Kind == Settings
 }
 
-// maxPolicySources is the number of processes that can be a source of the residency policy.
+// maxPolicySources returns the number of processes that can be a source of the residency policy.
 func (s *Scenario) maxPolicySources() int {
 	if s.Shared.Hubs > 0 {
 		return s.Shared.Hubs
@@ -32,8 +32,9 @@
 	return s.Fleet.Agents
 }
 
-// SetHubs gives the fleet a number of hubs, or makes it a full mesh with 0. In a scenario written for a full mesh, faults on
-// links between agents are extended to the hubs of the same zones, and policies are given to hubs in place of agents.
+// SetHubs sets the number of hubs; 0 makes the fleet a full mesh, and removes the faults that require hubs. In a scenario
+// written for a full mesh, faults on links between agents also apply to the hubs of the same zones, and policies are written
+// to hubs in place of agents.
 func (s *Scenario) SetHubs(hubs int) {
 	previous := s.Shared.Hubs
 	s.Shared.Hubs = hubs
@@ -43,7 +44,7 @@
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.needsHubs() })
 	case previous == 0:
 		s.Shared.Enabled, s.Shared.Sources = true, min(s.Shared.Sources, hubs)
-		var additional []Fault // appended, since the place of a fault names its random stream
+		var additional []Fault // appended, because the random stream of a fault is named by its index
 		for i := range s.Faults {
 			f := &s.Faults[i]
 			if f.Kind == Policy {
@@ -63,11 +64,11 @@
 	}
 }
 
-// noHubs marks a set of single agents, which no hubs go with.
+// noHubs is the result of hubsInZonesOf for a set of single agents, to which no hubs correspond.
 const noHubs = "-"
 
-// hubsInZonesOf returns the set of hubs in the zones of a set of agents; noHubs for a set of single agents, "" for a set of
-// other processes.
+// hubsInZonesOf returns the set of hubs in the zones of a set of agents, noHubs for a set of single agents, or "" for a set
+// of other processes.
 func hubsInZonesOf(text string) string {
 	set, err := ParseSet(text)
 	switch {
@@ -79,7 +80,7 @@
 	return "hubs" + strings.TrimPrefix(strings.TrimSpace(text), "agents")
 }
 
-// policyHubs returns the set of hubs that are given a policy in place of a set of agents.
+// policyHubs returns the set of hubs that get a policy in place of a set of agents.
 func policyHubs(text string, hubs int) string {
 	set, err := ParseSet(text)
 	if err != nil || len(set.Numbers) == 0 {
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Reading scenarios from files and from those built in.
+// Reading of built-in scenarios and scenario files.
 
 import (
 	"embed"
@@ -20,7 +20,7 @@
 func Names() (names []string) {
 	entries, err := builtin.ReadDir("builtin")
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the directory is embedded
 	}
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
@@ -28,8 +28,8 @@
 	return names
 }
 
-// Read reads a built-in scenario by name, or a file whose name ends in .toml. Values that it leaves out are those of Default.
-// Errors name file, line and key.
+// Read reads and checks a built-in scenario, given by name, or a file whose name ends in .toml. Default gives the values that
+// the text leaves out. Errors in the text name file, line and key.
 func Read(name string) (*Scenario, error) {
 	file, text := name, []byte(nil)
 	var err error
@@ -39,7 +39,7 @@
 	} else if strings.HasSuffix(name, ".toml") {
 		text, err = os.ReadFile(name)
 	} else {
-		return nil, fmt.Errorf("no scenario is called %q; there are %s, or name a .toml file", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario is called %q: use one of %s, or a .toml file", name, strings.Join(Names(), ", "))
 	}
 	if err != nil {
 		return nil, err
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads the TOML files that say what the lab emulates: a fleet, its load, and a schedule of faults. Keys of a
-// file keep their names when Go fields are renamed.
+// Package scenario reads the TOML files that define what the lab emulates: a fleet, its load, and a schedule of faults. The
+// keys of these files stay the same when Go fields are renamed.
 package scenario
 
 import (
@@ -13,7 +13,7 @@
 	Name      string                `toml:"name"`
 	About     string                `toml:"about"`
 	Duration  strictconfig.Duration `toml:"for"`
-	WarmUp    strictconfig.Duration `toml:"settle"` // at the start, not counted in results
+	WarmUp    strictconfig.Duration `toml:"settle"` // span at the start that results leave out
 	Fleet     Fleet                 `toml:"fleet"`
 	Load      Load                  `toml:"load"`
 	Model     Model                 `toml:"world"`
@@ -22,7 +22,7 @@
 	Shared    Shared                `toml:"shared"`
 	Faults    []Fault               `toml:"fault"`
 
-	RepeatInterval strictconfig.Duration `toml:"-"` // after which the schedule starts over; 0: never
+	RepeatInterval strictconfig.Duration `toml:"-"` // span after which the schedule starts again; 0: never
 
 	file, text string
 }
@@ -32,29 +32,29 @@
 	Agents   int      `toml:"agents"`
 	Backends int      `toml:"backends"`
 	Zones    []string `toml:"zones"`
-	ZoneSize []int    `toml:"zone_size"` // backends of each zone; empty: spread evenly
+	ZoneSize []int    `toml:"zone_size"` // number of backends in each zone; empty: an even spread
 	Regions  []string `toml:"regions"`   // the region of each zone; empty: each zone is a region
-	CellSize int      `toml:"pod"`       // backends of one cell, which drop duplicates together
+	CellSize int      `toml:"pod"`       // number of backends in a cell; these drop duplicates across the whole cell
 }
 
 // Load describes the requests of the emulated clients.
 type Load struct {
-	Rate            float64 `toml:"rate"`       // requests a second, over all agents
-	Utilization     float64 `toml:"of"`         // offered load as a share of the capacity of warm backends; work is scaled to it
+	Rate            float64 `toml:"rate"`       // requests per second, over all agents
+	Utilization     float64 `toml:"of"`         // offered load as a share of the capacity of backends after slow start; the work of requests is scaled to match
 	Skew            float64 `toml:"skew"`       // coefficient of variation of the load of agents
-	Keys            int     `toml:"keys"`       // distinct keys
-	KeySkew         float64 `toml:"key_skew"`   // the exponent of their popularity
-	Retries         int     `toml:"retries"`    // of a client, after a rejection or at an unreachable agent
-	TimeoutShare    float64 `toml:"patience"`   // a request's timeout, as a share of its class's
+	Keys            int     `toml:"keys"`       // number of distinct keys
+	KeySkew         float64 `toml:"key_skew"`   // Zipf exponent of the popularity of keys
+	Retries         int     `toml:"retries"`    // by a client, after a rejection or if the agent is unreachable
+	TimeoutShare    float64 `toml:"patience"`   // timeout of a request, as a share of the timeout of its class
 	CancelShare     float64 `toml:"impatient"`  // share of clients that disconnect within the latency objective
 	RetryAfterShare float64 `toml:"honour"`     // share of clients that honour Retry-After
-	OverQuotaWeight float64 `toml:"over_share"` // priority weight of what a tenant asks beyond its quota
+	OverQuotaWeight float64 `toml:"over_share"` // priority weight of a tenant's requests above its quota
 }
 
 // Range is the lower and the upper bound of an even distribution. Equal bounds give a fixed value.
 type Range [2]float64
 
-// Model describes backends and the network; see package model.
+// Model describes backends and the network. Package model explains the properties of backends.
 type Model struct {
 	SlotsPerCore     Range                 `toml:"slots_per_core"`
 	QueuePerCore     Range                 `toml:"room_per_core"` // length of the queue
@@ -71,41 +71,41 @@
 	KeysPerCore      int                   `toml:"keys_per_core"`
 	MaxConns         Range                 `toml:"conns"`
 	HandshakeMs      Range                 `toml:"handshake_ms"`
-	SameZoneMs       Range                 `toml:"same_ms"` // one-way latencies: within a zone,
-	CrossZoneMs      Range                 `toml:"cross_ms"`
-	CrossRegionMs    Range                 `toml:"far_ms"` // between zones of two regions
+	SameZoneMs       Range                 `toml:"same_ms"`  // one-way latency within a zone
+	CrossZoneMs      Range                 `toml:"cross_ms"` // one-way latency between zones of a region
+	CrossRegionMs    Range                 `toml:"far_ms"`   // one-way latency between zones of two regions
 	PeerMs           Range                 `toml:"peer_ms"`
 	Jitter           float64               `toml:"jitter"`
 }
 
 // Discovery describes the emulated discovery service.
 type Discovery struct {
-	LeaveDelaySeconds  Range `toml:"notice_s"` // until a drain or an end is published
-	SilentDelaySeconds Range `toml:"silent_s"` // until a silent machine is
-	AddDelaySeconds    Range `toml:"add_s"`    // until a new backend is
+	LeaveDelaySeconds  Range `toml:"notice_s"` // delay until a drain or the end of a backend is published
+	SilentDelaySeconds Range `toml:"silent_s"` // delay until an unresponsive machine is published
+	AddDelaySeconds    Range `toml:"add_s"`    // delay until a new backend is published
 
 	Indented        bool    `toml:"indented"` // JSON over several lines
-	Polled          bool    `toml:"asked"`    // lists are polled, at one service of limited capacity
-	Rate            float64 `toml:"rate"`     // full lists a second that it can serve
-	MaxQueueSeconds float64 `toml:"queue_s"`  // a call that would be queued for longer fails
-	DeltaCost       float64 `toml:"change"`   // cost of a delta, as a share of a full list
-	CachedList      string  `toml:"known"`    // list in the configuration of an agent that starts: "now", "first", "none"
+	Polled          bool    `toml:"asked"`    // agents poll their lists from one service of limited capacity
+	Rate            float64 `toml:"rate"`     // full lists per second that the service can serve
+	MaxQueueSeconds float64 `toml:"queue_s"`  // longest time in the service's queue; a call that would wait longer fails
+	DeltaCost       float64 `toml:"change"`   // cost of a delta, as a share of the cost of a full list
+	CachedList      string  `toml:"known"`    // list in the configuration of a starting agent: "now", "first" or "none"
 }
 
-// Shared says what the agents share as a fleet.
+// Shared describes what the agents share as a fleet.
 type Shared struct {
 	Enabled      bool `toml:"on"`      // agents are members of a fleet
-	RelayedLists bool `toml:"relayed"` // lists are relayed by a few members. A backend has one address for all agents then, so the network cannot
-	// separate a single agent from it
-	LatencyMatrix bool                  `toml:"matrix"`  // round trips are measured and used in picking
+	RelayedLists bool `toml:"relayed"` // a few members relay endpoint lists; a backend then has one address for all agents, so the network cannot
+	// separate a single agent from the backend
+	LatencyMatrix bool                  `toml:"matrix"`  // agents measure round trips and use them in picking
 	Policy        string                `toml:"policy"`  // residency policy at the start; "": none
-	PolicyBound   strictconfig.Duration `toml:"bound"`   // within which a stricter policy has to be in force
-	Sources       int                   `toml:"sources"` // number of agents that are given the policy, or of hubs if there are any
+	PolicyBound   strictconfig.Duration `toml:"bound"`   // time within which a stricter policy must be in force
+	Sources       int                   `toml:"sources"` // number of agents that get the policy, or of hubs if there are any
 
-	Hubs          int                   `toml:"hubs"`           // hub processes, hub i in zone i; 0: a full mesh
+	Hubs          int                   `toml:"hubs"`           // number of hub processes, with hub i in zone i; 0: a full mesh
 	MeshFallback  bool                  `toml:"flat"`           // agents without a hub fall back to a full mesh
-	Settings      string                `toml:"settings"`       // settings document at the start, given to hubs; "": none
-	SettingsBound strictconfig.Duration `toml:"settings_bound"` // within which a change has to be applied at every agent that a hub can reach
+	Settings      string                `toml:"settings"`       // settings at the start, which hubs get; "": none
+	SettingsBound strictconfig.Duration `toml:"settings_bound"` // time within which every agent that a hub can reach must have applied a change
 }
 
 // Limits are the resource limits in the configuration of each agent.
@@ -113,10 +113,10 @@
 	Cores            float64 `toml:"cores"`
 	MemoryMB         int     `toml:"memory_mb"`
 	Sockets          int     `toml:"sockets"`
-	MaxLabLatenessMs float64 `toml:"late_ms"` // 99th percentile of the lab's own lateness above which a run is inconclusive
+	MaxLabLatenessMs float64 `toml:"late_ms"` // a run is inconclusive if the 99th percentile of the lab's lateness is above this
 }
 
-// Default returns a run without faults: the values that a scenario file leaves out.
+// Default returns a scenario without faults. Read uses its values for the keys that a file leaves out.
 func Default() Scenario {
 	return Scenario{
 		Duration: strictconfig.Duration(30 * time.Second), WarmUp: strictconfig.Duration(3 * time.Second),
@@ -134,7 +134,7 @@
 	}
 }
 
-// SetDuration changes the length of a run. Faults and warm-up are scaled with it.
+// SetDuration sets the length of a run, and scales the faults and the warm-up with it.
 func (s *Scenario) SetDuration(duration time.Duration) {
 	factor := float64(duration) / float64(s.Duration)
 	scale := func(d *strictconfig.Duration) { *d = strictconfig.Duration(float64(*d) * factor) }
@@ -146,10 +146,10 @@
 	s.Duration = strictconfig.Duration(duration)
 }
 
-// maxRepeatedDuration is longer than anyone watches.
+// maxRepeatedDuration is longer than any repeated run is expected to last.
 const maxRepeatedDuration = 1000 * time.Hour
 
-// Repeat runs the schedule over and over for a time; 0 stands for 1,000 hours.
+// Repeat makes the schedule repeat for a time; 0 means maxRepeatedDuration, 1,000 hours.
 func (s *Scenario) Repeat(length time.Duration) {
 	if length <= 0 {
 		length = maxRepeatedDuration
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Every built-in scenario can be played, and says what it is about.
+// Every built-in scenario is valid and has a description.
 func TestBuiltInScenariosAreValid(t *testing.T) {
 	want := []string{"bad-fast", "burst", "calm", "herd", "join", "list-stale", "lossy", "neighbour", "one-way", "pause", "roll", "split", "zone-cut", "zone-loss"}
 	for _, name := range want {
@@ -21,11 +21,11 @@
 		}
 	}
 	if _, err := Read("storm"); err == nil || !strings.Contains(err.Error(), "calm") {
-		t.Errorf("an unknown one: %v", err)
+		t.Errorf("error for an unknown scenario: %v, want the known ones", err)
 	}
 }
 
-// What can't be played is told in one line, with its place.
+// Each invalid value gives an error of one line, which names its place.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"for = 3", `x.toml:1: for: `},
@@ -35,25 +35,25 @@
 		{"[load]\nrate = \"fast\"", "x.toml:2: "},
 		{"for = \"1s\"\nsettle = \"2s\"", "x.toml:2: settle: "},
 		{"[world]\nramp_s = [9.0, 3.0]", "x.toml:2: world.ramp_s: "},
-		{"[[fault]]\nat = \"1s\"\nwhat = \"flood\"", `x.toml:3: fault[0].what: "flood" is none of link`},
+		{"[[fault]]\nat = \"1s\"\nwhat = \"flood\"", `x.toml:3: fault[0].what: "flood" is not one of link`},
 		{"[[fault]]\nat = \"1s\"\nwhat = \"list-away\"\n[[fault]]\nat = \"90s\"\nwhat = \"list-away\"", "x.toml:5: fault[1].at: 1m30s is not within"},
-		{"[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"backends\"", `x.toml:4: fault[0].who: "backends" is no set of agents`},
+		{"[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"backends\"", `x.toml:4: fault[0].who: "backends" is not a set of agents`},
 		{"[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents n=70\"", "x.toml:4: fault[0].who: number 70 of 24 agents"},
 		{"[[fault]]\nat = \"1s\"\nwhat = \"zone-lost\"\nwho = \"zone zone=7\"", "x.toml:4: fault[0].who: zone 7 of 3"},
 		{"[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents share=2\"", `x.toml:4: fault[0].who: "agents share=2": "2" is not a share`},
-		{"[[fault]]\nat = \"1s\"\nwhat = \"link\"", "fault[0].from: a link has from and to"},
+		{"[[fault]]\nat = \"1s\"\nwhat = \"link\"", "fault[0].from: a link requires from and to"},
 		{"[[fault]]\nat = \"1s\"\nwhat = \"link\"\nfrom = \"agents\"\nto = \"backends\"\nlose = 1.5", "x.toml:6: fault[0].lose: 1.5"},
 		{"[fleet]\nzone_size = [1, 2]", "x.toml:2: fleet.zone_size: 2 sizes for 3 zones"},
 		{"= 4", "x.toml:1: "},
-		{"[shared]\nhubs = 2", "x.toml:2: shared.hubs: 2 hubs: they need shared.on"},
-		{"[shared]\non = true\nhubs = 4", "x.toml:3: shared.hubs: 4 hubs: they need shared.on, and there is at most one a zone, of which there are 3"},
-		{"[shared]\non = true\nsettings = \"version = 1\"", "x.toml:3: shared.settings: settings need hubs"},
-		{"[shared]\non = true\nhubs = 2\nsources = 3\nsettings = \"version = 1\"", "shared.settings: settings need hubs, from 1 to 2 sources"},
+		{"[shared]\nhubs = 2", "x.toml:2: shared.hubs: 2 hubs: hubs require shared.on"},
+		{"[shared]\non = true\nhubs = 4", "x.toml:3: shared.hubs: 4 hubs: hubs require shared.on, and there can be at most one per zone, with 3 zones"},
+		{"[shared]\non = true\nsettings = \"version = 1\"", "x.toml:3: shared.settings: settings require hubs"},
+		{"[shared]\non = true\nhubs = 2\nsources = 3\nsettings = \"version = 1\"", "shared.settings: settings require hubs, from 1 to 2 sources"},
 		{"[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"hubs\"", `x.toml:4: fault[0].who: "hubs": there are no hubs`},
 		{"[shared]\non = true\nhubs = 2\n[[fault]]\nat = \"1s\"\nwhat = \"stop\"\nwho = \"hubs n=2\"", "x.toml:7: fault[0].who: number 2 of 2 hubs"},
-		{"[shared]\non = true\nhubs = 2\n[[fault]]\nat = \"1s\"\nwhat = \"settings\"\nwho = \"hubs\"", `x.toml:7: fault[0].who: "hubs": settings are given to hubs, where`},
-		{"[shared]\non = true\nhubs = 2\nsettings = \"version = 1\"\n[[fault]]\nat = \"1s\"\nwhat = \"settings\"\nwho = \"agents\"", `x.toml:8: fault[0].who: "agents": settings are given to hubs`},
-		{"[shared]\non = true\nhubs = 2\n[[fault]]\nat = \"1s\"\nwhat = \"policy\"\nwho = \"agents\"", `x.toml:7: fault[0].who: "agents" is no set of hubs`},
+		{"[shared]\non = true\nhubs = 2\n[[fault]]\nat = \"1s\"\nwhat = \"settings\"\nwho = \"hubs\"", `x.toml:7: fault[0].who: "hubs": a change of settings requires hubs as targets, and shared.settings`},
+		{"[shared]\non = true\nhubs = 2\nsettings = \"version = 1\"\n[[fault]]\nat = \"1s\"\nwhat = \"settings\"\nwho = \"agents\"", `x.toml:8: fault[0].who: "agents": a change of settings requires hubs`},
+		{"[shared]\non = true\nhubs = 2\n[[fault]]\nat = \"1s\"\nwhat = \"policy\"\nwho = \"agents\"", `x.toml:7: fault[0].who: "agents" is not a set of hubs`},
 	} {
 		_, err := parse("x.toml", c.text)
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) && !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -62,7 +62,7 @@
 	}
 }
 
-// A stretched scenario keeps its faults where they were in it.
+// A scenario with another duration keeps the relative times of its faults.
 func TestSetDurationScalesTheSchedule(t *testing.T) {
 	s, err := Read("zone-loss")
 	if err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Every scenario can be played with hubs and without. What is written for a flat fleet then does the same to hubs: what is
-// between zones of agents is between their hubs, and a hub is a policy's source in an agent's place.
+// Every scenario is valid with hubs and without. In a scenario for a full mesh, link faults between zones of agents also apply
+// to the hubs of these zones, and hubs replace agents as sources of a policy.
 func TestScenariosRunWithAndWithoutHubs(t *testing.T) {
 	for _, name := range Names() {
 		for n := range 4 {
@@ -84,7 +84,7 @@
 				t.Fatal(err)
 			}
 			if ownHubs := s.Shared.Hubs; ownHubs > n && n > 0 {
-				continue // it names hubs that there would not be
+				continue // the scenario names hubs that would not exist
 			}
 			s.SetHubs(n)
 			if err := s.Check(); err != nil || s.Shared.Hubs != n {
@@ -104,13 +104,13 @@
 			links = append(links, f.From+" > "+f.To)
 		case Policy:
 			if f.Targets != "hubs n=0" {
-				t.Errorf("the policy is given to %q", f.Targets)
+				t.Errorf("targets of the policy: %q, want hubs n=0", f.Targets)
 			}
 		}
 	}
 	want := []string{"agents zone=1 > agents zone=0,2", "hubs zone=1 > agents zone=0,2", "agents zone=1 > hubs zone=0,2", "hubs zone=1 > hubs zone=0,2"}
 	if !slices.Equal(links, want) {
-		t.Errorf("links %q", links)
+		t.Errorf("faults on links %q", links)
 	}
 	singleAgents, err := Read("matrix-liar")
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 	singleAgents.SetHubs(3)
 	if n := len(singleAgents.Faults); n != 2 || singleAgents.Faults[1].From != "agents n=0,3" || singleAgents.Faults[1].To != "hubs" {
-		t.Errorf("single agents: %+v", singleAgents.Faults)
+		t.Errorf("faults for single agents: %+v", singleAgents.Faults)
 	}
 }
 
@@ -133,7 +133,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := parse("x.toml", text)
 		if err == nil && (s.Fleet.Agents < 1 || s.Duration <= 0) {
-			t.Errorf("took %+v", s)
+			t.Errorf("parse accepted %+v", s)
 		}
 	})
 }
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Sets of processes, as a schedule names them.
+// Sets of processes in a schedule of faults.
 
 import (
 	"fmt"
@@ -13,10 +13,10 @@
 
 // Set selects processes of one kind.
 type Set struct {
-	Kind    string  // one of setKinds
-	Zones   []int   // in these zones; empty: in any
-	Numbers []int   // with these numbers; empty: all
-	Share   float64 // of those, drawn at random; 1: all
+	Kind    string  // an element of setKinds
+	Zones   []int   // zones of the processes; empty: any
+	Numbers []int   // numbers of the processes; empty: all
+	Share   float64 // share of the processes in Zones with Numbers, drawn at random; 1: all
 }
 
 // setKinds are the kinds of processes that a set may select.
@@ -26,7 +26,7 @@
 func ParseSet(text string) (s Set, err error) {
 	words := strings.Fields(text)
 	if len(words) == 0 || !slices.Contains(setKinds, words[0]) {
-		return s, fmt.Errorf("%q is none of %s", text, strings.Join(setKinds, ", "))
+		return s, fmt.Errorf("%q is not one of %s", text, strings.Join(setKinds, ", "))
 	}
 	s.Kind, s.Share = words[0], 1
 	for _, word := range words[1:] {
@@ -41,7 +41,7 @@
 				err = fmt.Errorf("%q: %q is not a share from 0 to 1", text, value)
 			}
 		default:
-			err = fmt.Errorf("%q: %q is none of zone=, n=, share=", text, word)
+			err = fmt.Errorf("%q: %q is not one of zone=, n=, share=", text, word)
 		}
 		if err != nil {
 			return s, err
@@ -50,19 +50,19 @@
 	return s, nil
 }
 
-// parseNumbers reads a list of numbers, which text holds.
+// parseNumbers reads the list of numbers in a set. text is the complete set, for errors.
 func parseNumbers(text, list string) (numbers []int, err error) {
 	for _, word := range strings.Split(list, ",") {
 		n, err := strconv.Atoi(word)
 		if err != nil || n < 0 {
-			return nil, fmt.Errorf("%q: %q is not a number from 0", text, word)
+			return nil, fmt.Errorf("%q: %q is not a whole number of at least 0", text, word)
 		}
 		numbers = append(numbers, n)
 	}
 	return numbers, nil
 }
 
-// Role returns the role of the processes of a set. It means nothing for a zone.
+// Role returns the role of the processes of a set. The result is undefined for a zone.
 func (s Set) Role() netfault.Role {
 	return map[string]netfault.Role{
 		"agents":    netfault.Agent,
@@ -73,7 +73,7 @@
 	}[s.Kind]
 }
 
-// Contains reports whether a process with a number, in a zone, is in the set. Share is left to the caller.
+// Contains reports whether the set contains the process with the number n in a zone. The caller applies Share.
 func (s Set) Contains(n, zone int) bool {
 	return (len(s.Zones) == 0 || slices.Contains(s.Zones, zone)) && (len(s.Numbers) == 0 || slices.Contains(s.Numbers, n))
 }
