--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -14,10 +14,10 @@
 	"martenbeam/internal/strictconfig"
 )
 
-// A process that starts after its machine's clock was set back is the later one of its name all the same: the others take what
-// it tells within the time that a fact takes to get round, not only once those of the process before are too old.
+// An agent that restarts after its wall clock was set back still counts as the newer incarnation of its name. The other agents
+// must use its entries within propagationBound, and not only when the entries of the previous process have expired.
 func TestRestartAfterTheClockWasSetBack(t *testing.T) {
-	const propagationBound = 1500 * time.Millisecond // a fact is told each second
+	const propagationBound = 1500 * time.Millisecond // an agent publishes each entry once a second
 	program, err := faultinject.Build(t.Context(), "../../..", "./cmd/martenbeam", t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -44,21 +44,22 @@
 		t.Fatalf("%v, %+v", err, r)
 	}
 	published, used := firstTimes(t, filepath.Join(dir, "n0"), "tell"), firstTimes(t, filepath.Join(dir, "n1"), "use")
-	lastIncarnation := uint64(0) // the process that told last
+	lastIncarnation := uint64(0) // the incarnation that first published last
 	for incarnation, at := range published {
 		if lastIncarnation == 0 || at > published[lastIncarnation] {
 			lastIncarnation = incarnation
 		}
 	}
 	if used[lastIncarnation] == 0 || len(published) < 2 {
-		t.Fatalf("nothing that the process after the restart told was used: told %v, used %v", published, used)
+		t.Fatalf("no entry of the restarted process was used; by incarnation, first published %v, first used %v", published, used)
 	}
 	if delay := time.Duration(used[lastIncarnation]-published[lastIncarnation]) * time.Microsecond; delay > propagationBound {
-		t.Errorf("what the later process told was first used after %v", delay)
+		t.Errorf("another agent first used an entry of the restarted process %v after its first publication", delay)
 	}
 }
 
-// firstTimes are when an agent first wrote that it told, or used, what a process named n0 told, by its incarnation.
+// firstTimes returns when the fleet trace in dir first has an event of the given kind about entries of n0, in microseconds,
+// by the incarnation of n0.
 func firstTimes(t *testing.T, dir, what string) map[uint64]int64 {
 	t.Helper()
 	f, err := os.Open(filepath.Join(dir, "fleet.trace"))
@@ -74,7 +75,7 @@
 			Incarnation    uint64
 		}
 		if json.Unmarshal(lines.Bytes(), &line) != nil {
-			continue // cut off by the kill
+			continue // the kill truncated the line
 		}
 		if line.What == what && line.Observer == "n0" && first[line.Incarnation] == 0 {
 			first[line.Incarnation] = line.At
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak generates runs of the lab from seeds: a deployment, and faults of the network, of processes, of system calls and
-// of the wall clock. The agents have to be built by package faultinject.
+// Package soak generates scenarios of the lab from seeds. Each has a deployment, and faults of the network, of processes, of
+// system calls and of the wall clock. Package faultinject must build the agents.
 package soak
 
 import (
@@ -18,12 +18,12 @@
 const (
 	runDuration   = 12 * time.Second
 	earliestFault = 2 * time.Second // the platform sends no signal in a process's first second
-	latestFault   = 9 * time.Second // the earliest kill comes 3.7 s after a SIGTERM at most
+	latestFault   = 9 * time.Second // the platform's earliest SIGKILL comes at most 3.7 s after a SIGTERM
 	minFaults     = 4
 	maxFaults     = 7
 )
 
-// faultGenerators each generate one kind of fault. Their order is part of what a seed stands for.
+// faultGenerators each generate one kind of fault. A change of their order changes the scenario of each seed.
 var faultGenerators = []func(r *rand.Rand) scenario.Fault{
 	func(r *rand.Rand) scenario.Fault {
 		return scenario.Fault{Kind: scenario.Terminate, Targets: someAgents(r), Restart: pick(r, "empty", "kept"), ExtraSignals: r.IntN(5), Duration: randomDuration(r, 0, 1500)}
@@ -41,7 +41,7 @@
 	syscallFailure(faultinject.Socket, syscall.ENOBUFS, syscall.ENFILE, syscall.EMFILE),
 	syscallFailure(faultinject.Write, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINTR),
 	syscallFailure(faultinject.Read, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EIO),
-	func(r *rand.Rand) scenario.Fault { // of the configuration, in the moment of a SIGHUP
+	func(r *rand.Rand) scenario.Fault { // reading the configuration fails during a reload by SIGHUP
 		return scenario.Fault{Kind: scenario.SyscallFailure, Targets: "agents", Call: pick(r, faultinject.Open, faultinject.Read), Path: "config.json",
 			Errno: int(pick(r, syscall.ENFILE, syscall.EIO, syscall.EINTR)), Count: 1 + r.IntN(3), Duration: randomDuration(r, 500, 2000)}
 	},
@@ -68,12 +68,12 @@
 	},
 }
 
-// syscallFailure generates failures of a system call: one, three in a row, or all for a moment.
+// syscallFailure returns a generator of failures of a system call: one call, three calls, or all calls for 20 to 80 ms.
 func syscallFailure(call string, errnos ...syscall.Errno) func(r *rand.Rand) scenario.Fault {
 	return func(r *rand.Rand) scenario.Fault {
 		f := scenario.Fault{Kind: scenario.SyscallFailure, Targets: someAgents(r), Call: call, Errno: int(pick(r, errnos...)), Count: pick(r, 1, 3, 0), Duration: randomDuration(r, 1000, 4000)}
 		switch {
-		case f.Count == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // it is retried at once, so an endless failure would spin
+		case f.Count == 0 && syscall.Errno(f.Errno) == syscall.EINTR: // callers retry the call at once, so endless failures would make them spin
 			f.Count = 3
 		case f.Count == 0:
 			f.Duration = randomDuration(r, 20, 80)
@@ -82,29 +82,29 @@
 	}
 }
 
-// pick returns one of several values.
+// pick returns a random one of several values.
 func pick[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
 
-// randomDuration returns a duration between two bounds in milliseconds, both included.
+// randomDuration returns a random duration between two bounds in milliseconds, both included.
 func randomDuration(r *rand.Rand, minMs, maxMs int) strictconfig.Duration {
 	return strictconfig.Duration(time.Duration(minMs+r.IntN(maxMs-minMs+1)) * time.Millisecond)
 }
 
-// someAgents returns a set of agents.
+// someAgents returns a random set of agents.
 func someAgents(r *rand.Rand) string { return pick(r, "agents", "agents n=0", "agents share=0.5") }
 
-// randomShare returns a set of a random randomShare of processes of one kind.
+// randomShare returns a set with a random share, from 0.1 to 0.4, of the processes of one kind.
 func randomShare(r *rand.Rand, kind string) string {
 	return fmt.Sprintf("%s share=%.2f", kind, 0.1+0.3*r.Float64())
 }
 
-// Draw returns the run that a seed stands for. Its error is that of the scenario's check.
+// Draw returns the scenario of a seed. The error is that of the scenario's Check.
 func Draw(seed uint64) (*scenario.Scenario, error) {
 	r := rng.New(seed).Stream("soak")
 	s := scenario.Default()
 	s.Name, s.Duration, s.WarmUp = fmt.Sprintf("soak-%d", seed), strictconfig.Duration(runDuration), strictconfig.Duration(time.Second)
 	s.Fleet.Agents, s.Fleet.Backends, s.Fleet.CellSize = 2+r.IntN(4), 6+r.IntN(5), 2+r.IntN(3)
-	s.Load.Rate, s.Load.Utilization = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // the work of requests, and so their deadlines, follows from both
+	s.Load.Rate, s.Load.Utilization = float64(60+r.IntN(120)), 0.12+0.4*r.Float64() // both determine the work of requests, and so their deadlines
 	s.Load.CancelShare, s.Load.Retries = 0.1*r.Float64(), r.IntN(3)
 	s.Discovery.Polled, s.Discovery.Indented = r.IntN(3) == 0, r.IntN(2) == 0
 	s.Discovery.SilentDelaySeconds = scenario.Range{1, 3}
@@ -113,7 +113,7 @@
 		f := pick(r, faultGenerators...)(r)
 		f.At = strictconfig.Duration(earliestFault + time.Duration(r.Int64N(int64(latestFault-earliestFault))))
 		s.Faults = append(s.Faults, f)
-		if f.Kind == scenario.SyscallFailure && f.Path != "" || f.Kind == scenario.Reload && r.IntN(2) == 0 { // two in a row
+		if f.Kind == scenario.SyscallFailure && f.Path != "" || f.Kind == scenario.Reload && r.IntN(2) == 0 { // the reload is repeated after 50 ms
 			second := scenario.Fault{Kind: scenario.Reload, Targets: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
 			s.Faults = append(s.Faults, second)
 		}
@@ -121,7 +121,7 @@
 	return &s, s.Check()
 }
 
-// Faults describes the faults of a run in one line.
+// Faults returns a description of the faults of a scenario in one line.
 func Faults(s *scenario.Scenario) string {
 	var list []string
 	for i := range s.Faults {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -15,14 +15,14 @@
 
 var (
 	from        = flag.Uint64("soak.from", 1, "the first seed")
-	seeds       = flag.Uint64("soak.seeds", 4, "how many seeds are played; CI plays a few")
-	parallelism = flag.Int("soak.beside", 2, "how many runs are played side by side")
-	root        = flag.String("soak.root", "../../..", "the module whose program is played")
-	repeatFor   = flag.Duration("soak.for", 0, "play each seed for so long, its faults again and again; 0: once")
-	tablePath   = flag.String("soak.out", "", "a file for a table of the runs")
+	seeds       = flag.Uint64("soak.seeds", 4, "number of seeds; CI runs a few")
+	parallelism = flag.Int("soak.beside", 2, "number of runs in parallel")
+	root        = flag.String("soak.root", "../../..", "root of the module whose agent is built and run")
+	repeatFor   = flag.Duration("soak.for", 0, "duration of the run of each seed, with its faults repeated; 0: one pass")
+	tablePath   = flag.String("soak.out", "", "file for a table of the runs")
 )
 
-// Agents keep every rule through what seeds draw. A seed that fails is played again by its number.
+// Agents keep every rule in the generated scenarios. -soak.from with the number of a failed seed runs its scenario again.
 func TestSoak(t *testing.T) {
 	program, err := faultinject.Build(t.Context(), *root, "./cmd/agent", t.TempDir())
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// runSeed plays one seed, and returns its row of the table.
+// runSeed runs the scenario of one seed, and returns its row of the table.
 func runSeed(t *testing.T, program string, seed uint64) string {
 	s, err := Draw(seed)
 	if err != nil {
