--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -123,8 +123,8 @@
 		return
 	}
 	if class := c.rules.Classes[r.Class]; class.Idempotency != Idempotent {
-		if executed := r.firstPossiblyExecuted(); executed != nil {
-			c.violate(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", executed.backend)
+		if possiblyExecuted := r.firstPossiblyExecuted(); possiblyExecuted != nil {
+			c.violate(RuleDuplicate, now, r.Agent, r, "refused, which says that another try is harmless, though the attempt at %s may have run", possiblyExecuted.backend)
 		}
 	}
 }
