--- a/internal/lab/check/arrival.go
+++ b/internal/lab/check/arrival.go
@@ -16,7 +16,7 @@
 	Cell          int
 	Fingerprint   uint64        // of method, path, key and body
 	SentAt        time.Duration // when the agent sent the attempt; the emulated network may have delayed it since
-	StatedTimeout time.Duration // the time-out that the attempt states to the backend; below 0: none
+	StatedTimeout time.Duration // the time-out that the attempt states to the backend; 0 or below: none
 }
 
 // Slack of single rules, in addition to Rules.Slack.
--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -131,7 +131,7 @@
 
 // Overloaded reports that a backend in slow start crashed by overload. informed is the share of the work, from 0 to 1, that
 // came from agents that had received the backend's start. A crash violates the rule only if this share is at least
-// minInformedShare, since other agents cannot limit what they send.
+// minInformedShare, since an agent that has not received the start cannot limit the work that it sends.
 func (c *Checker) Overloaded(now time.Duration, backend string, informed float64) {
 	const minInformedShare = 2. / 3
 	if informed >= minInformedShare {
