--- a/internal/lab/model/keycache.go
+++ b/internal/lab/model/keycache.go
@@ -1,9 +1,9 @@
 package model
 
-// The keys that a backend has served lately, and serves again for less work.
+// The cache of keys: a backend serves a request for a cached key with less work.
 
-// rememberKey caches a key, in place of the one used longest ago if the cache is full.
-func (m *Machine) rememberKey(key uint64) {
+// cacheKey caches a key. If the cache is full, the least recently served key is evicted.
+func (m *Machine) cacheKey(key uint64) {
 	if _, known := m.keyCache[key]; !known && len(m.keyCache) >= m.MaxKeys {
 		oldest, at := uint64(0), never
 		for k, t := range m.keyCache {
