--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -54,17 +54,17 @@
 	}
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
-		field := strings.Fields(lines.Text())
-		if len(field) <= inode || field[state] != listening {
+		fields := strings.Fields(lines.Text())
+		if len(fields) <= inode || fields[state] != listening {
 			continue
 		}
-		if _, own := files["socket:["+field[inode]+"]"]; !own {
+		if _, own := files["socket:["+fields[inode]+"]"]; !own {
 			continue
 		}
-		ip, port, _ := strings.Cut(field[1], ":")
+		ip, port, _ := strings.Cut(fields[1], ":")
 		n, err := strconv.ParseUint(port, 16, 16)
 		if err != nil || len(ip) != 8 {
-			t.Errorf("the agent listens at %s, which is not an IPv4 address", field[1])
+			t.Errorf("the agent listens at %s, which is not an IPv4 address", fields[1])
 			continue
 		}
 		var b [4]byte
@@ -101,9 +101,9 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("the agent listens at %v, want %v", got, want)
 	}
-	own := filepath.Dir(d.configPath)
+	scratchDir := filepath.Dir(d.configPath)
 	for name, writable := range files {
-		if writable && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, own) && !strings.HasPrefix(name, "/dev/") {
+		if writable && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, scratchDir) && !strings.HasPrefix(name, "/dev/") {
 			t.Errorf("the agent has %s open for writing", name)
 		}
 	}
--- a/cmd/agent/deployment_test.go
+++ b/cmd/agent/deployment_test.go
@@ -43,8 +43,8 @@
 	return names
 }
 
-// namesFoundIn returns the names that occur in a text as whole words, in any case.
-func namesFoundIn(text string, names []string) (found []string) {
+// findNames returns the names that occur in a text as whole words, in any case.
+func findNames(text string, names []string) (found []string) {
 	for _, name := range names {
 		if regexp.MustCompile(`(?i)(^|[^\w-])` + regexp.QuoteMeta(name) + `($|[^\w-])`).MatchString(text) {
 			found = append(found, name)
@@ -63,7 +63,7 @@
 	for _, path := range sites {
 		names = append(names, deploymentNames(t, path)...)
 	}
-	if len(names) < 20 || len(namesFoundIn(`case "`+names[0]+`":`, names)) != 1 {
+	if len(names) < 20 || len(findNames(`case "`+names[0]+`":`, names)) != 1 {
 		t.Fatalf("%d names, want at least 20, and the first one must be found in a text that contains it", len(names))
 	}
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if .Module}}{{if .Module.Main}}{{.Dir}}{{end}}{{end}}", ".",
@@ -90,7 +90,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found := namesFoundIn(string(text), names); len(found) > 0 {
+		if found := findNames(string(text), names); len(found) > 0 {
 			t.Errorf("%s contains the deployment names %v", path, found)
 		}
 	}
--- a/cmd/agent/fakes_test.go
+++ b/cmd/agent/fakes_test.go
@@ -23,17 +23,17 @@
 
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
-	s := &fakeBackend{}
-	s.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		s.requestCount.Add(1)
-		s.requestIDs.Store(r.Header.Get("X-Trace-Id"), nil)
+	b := &fakeBackend{}
+	b.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		b.requestCount.Add(1)
+		b.requestIDs.Store(r.Header.Get("X-Trace-Id"), nil)
 		select {
-		case <-time.After(s.latency):
+		case <-time.After(b.latency):
 		case <-r.Context().Done():
 		}
 		fmt.Fprint(w, r.URL.Path)
 	})
-	return s
+	return b
 }
 
 func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
@@ -70,12 +70,12 @@
 
 func newFakeDiscovery(t *testing.T, endpoints ...endpoint) *fakeDiscovery {
 	t.Helper()
-	c := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
-	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	d := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
+	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for {
-			c.mu.Lock()
-			list, version, changed := c.list, c.version, c.changed
-			c.mu.Unlock()
+			d.mu.Lock()
+			list, version, changed := d.list, d.version, d.changed
+			d.mu.Unlock()
 			_ = json.NewEncoder(w).Encode(map[string]any{"version": version, "full": true, "servers": list})
 			_ = http.NewResponseController(w).Flush()
 			select {
@@ -85,7 +85,7 @@
 			}
 		}
 	})
-	return c
+	return d
 }
 
 // newEndpoint returns an endpoint in zone a with a state such as ready or draining.
@@ -97,10 +97,10 @@
 func readyEndpoint(id string, b *fakeBackend) endpoint { return newEndpoint(id, b.addr, "ready") }
 
 // publish replaces the list and pushes it.
-func (c *fakeDiscovery) publish(list ...endpoint) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.list, c.version = list, c.version+1
-	close(c.changed)
-	c.changed = make(chan struct{})
+func (d *fakeDiscovery) publish(list ...endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list, d.version = list, d.version+1
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -193,7 +193,7 @@
 
 // An agent in lame-duck mode fails its health check at once and keeps failing it while the call can't be recorded. Once the call
 // is recorded, the successor's health check fails too.
-func TestDrainSurvivesAFailingFolder(t *testing.T) {
+func TestLameDuckModeSurvivesAFailingFolder(t *testing.T) {
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	r.current.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Write, Path: "handover.json",
 		Errno: syscall.ENOSPC}))
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -111,7 +111,7 @@
 				served.Add(1)
 			}
 		})
-		if each := int(time.Second / load.interval); i%each == each-1 {
+		if requestsPerSecond := int(time.Second / load.interval); i%requestsPerSecond == requestsPerSecond-1 {
 			discovery.restart(max(1, backends/200))
 			_, open := processUsage(t, d.cmd.Process.Pid)
 			descriptors = max(descriptors, open)
@@ -163,18 +163,18 @@
 
 func newDeltaDiscovery(t *testing.T, list []endpoint) *deltaDiscovery {
 	t.Helper()
-	c := &deltaDiscovery{list: list, changed: make(chan struct{})}
+	d := &deltaDiscovery{list: list, changed: make(chan struct{})}
 	full := listLine(t, 1, true, list)
-	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.WriteString(w, full)
-		c.bytesSent.Add(int64(n))
+		d.bytesSent.Add(int64(n))
 		for sent := 0; ; {
-			c.mu.Lock()
-			lines, more := c.lines[sent:], c.changed
-			sent = len(c.lines)
-			c.mu.Unlock()
+			d.mu.Lock()
+			lines, more := d.lines[sent:], d.changed
+			sent = len(d.lines)
+			d.mu.Unlock()
 			n, err := io.WriteString(w, strings.Join(lines, "")+"\n")
-			c.bytesSent.Add(int64(n))
+			d.bytesSent.Add(int64(n))
 			if err = errors.Join(err, http.NewResponseController(w).Flush()); err != nil {
 				return
 			}
@@ -186,7 +186,7 @@
 			}
 		}
 	})
-	return c
+	return d
 }
 
 func listLine(t *testing.T, version int, full bool, list []endpoint) string {
@@ -199,20 +199,20 @@
 }
 
 // restart publishes an update in which the next n backends have restarted.
-func (c *deltaDiscovery) restart(n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (d *deltaDiscovery) restart(n int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var restarted []endpoint
 	for range n {
-		s := &c.list[c.nextBackend%len(c.list)]
+		s := &d.list[d.nextBackend%len(d.list)]
 		s.Started = time.Now().UnixMilli()
 		restarted = append(restarted, *s)
-		c.nextBackend += 7
+		d.nextBackend += 7
 	}
-	text, _ := toJSON(map[string]any{"version": 2 + len(c.lines), "full": false, "servers": restarted}) // can't fail: the map has only plain values
-	c.lines = append(c.lines, text+"\n")
-	close(c.changed)
-	c.changed = make(chan struct{})
+	text, _ := toJSON(map[string]any{"version": 2 + len(d.lines), "full": false, "servers": restarted}) // can't fail: the map has only plain values
+	d.lines = append(d.lines, text+"\n")
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // The resource usage of an agent in a fleet with sixteen times as many backends stays within bounds that follow from its usage in
@@ -232,18 +232,18 @@
 			traffic{200 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a, b resourceUsage
+			var usual, large resourceUsage
 			t.Run("both sizes", func(t *testing.T) { // both at the same time, so that they run on an equally busy machine
-				for into, size := range map[*resourceUsage]fleetSize{&a: c.usual, &b: c.large} {
+				for result, size := range map[*resourceUsage]fleetSize{&usual: c.usual, &large: c.large} {
 					t.Run(fmt.Sprint(size.backends), func(t *testing.T) {
 						t.Parallel()
-						*into = measureUsage(t, size, c.load)
+						*result = measureUsage(t, size, c.load)
 					})
 				}
 			})
-			t.Logf("usual %+v, large %+v", a, b)
+			t.Logf("usual %+v, large %+v", usual, large)
 			if !t.Failed() {
-				b.checkGrowth(t, a, float64(c.large.backends)/1000)
+				large.checkGrowth(t, usual, float64(c.large.backends)/1000)
 			}
 		})
 	}
@@ -251,25 +251,25 @@
 
 // checkGrowth checks the usage of an agent in a large fleet, with so many thousands of backends, against bounds that follow from
 // its usage in a fleet of the usual size.
-func (n resourceUsage) checkGrowth(t *testing.T, usual resourceUsage, thousands float64) {
+func (u resourceUsage) checkGrowth(t *testing.T, usual resourceUsage, thousands float64) {
 	t.Helper()
-	if limit := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); n.cpu > limit {
-		t.Errorf("%v of processor time, want at most %v", n.cpu, limit)
+	if limit := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); u.cpu > limit {
+		t.Errorf("%v of processor time, want at most %v", u.cpu, limit)
 	}
-	if limit := 1.5*usual.peakMB + 8 + 4*thousands; n.peakMB > limit {
-		t.Errorf("%.1f MB of memory, want at most %.1f", n.peakMB, limit)
+	if limit := 1.5*usual.peakMB + 8 + 4*thousands; u.peakMB > limit {
+		t.Errorf("%.1f MB of memory, want at most %.1f", u.peakMB, limit)
 	}
-	if limit := 2*usual.descriptors + 40; n.descriptors > limit {
-		t.Errorf("%d descriptors, want at most %d", n.descriptors, limit)
+	if limit := 2*usual.descriptors + 40; u.descriptors > limit {
+		t.Errorf("%d descriptors, want at most %d", u.descriptors, limit)
 	}
-	if limit := usual.connections*5/2 + 40; n.connections > limit {
-		t.Errorf("%d connections to backends, want at most %d", n.connections, limit)
+	if limit := usual.connections*5/2 + 40; u.connections > limit {
+		t.Errorf("%d connections to backends, want at most %d", u.connections, limit)
 	}
-	if limit := 2*usual.listBytes + 64<<10 + int64(500e3*thousands); n.listBytes > limit {
-		t.Errorf("%d bytes of endpoint lists, want at most %d", n.listBytes, limit)
+	if limit := 2*usual.listBytes + 64<<10 + int64(500e3*thousands); u.listBytes > limit {
+		t.Errorf("%d bytes of endpoint lists, want at most %d", u.listBytes, limit)
 	}
-	if minimum := 0.85 * usual.served; n.served < minimum {
-		t.Errorf("%.3f of the requests were served, want at least %.3f", n.served, minimum)
+	if minimum := 0.85 * usual.served; u.served < minimum {
+		t.Errorf("%.3f of the requests were served, want at least %.3f", u.served, minimum)
 	}
 }
 
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -54,19 +54,19 @@
 	discovery.publish(list...)
 	publishedAt := time.Now()
 	hang.Store(true)
-	served, notServed, unanswered := sendAtOnce(t, d.addr, publishedAt.Add(2*time.Second), delay)
+	served, notServed, late := sendAtOnce(t, d.addr, publishedAt.Add(2*time.Second), delay)
 	if at := time.Unix(0, latest.Load()).Sub(publishedAt); at > 550*time.Millisecond+delay() {
 		t.Errorf("the draining backend got a request %v after the list was published, want at most 550 ms", at)
 	}
-	if served < 4*notServed || unanswered > 0 {
-		t.Errorf("%d requests served, %d not served, %d without a final answer in time", served, notServed, unanswered)
+	if served < 4*notServed || late > 0 {
+		t.Errorf("%d requests served, %d not served, %d without a final answer in time", served, notServed, late)
 	}
 	t.Logf("%d requests served, %d not served", served, notServed)
 }
 
 // sendAtOnce sends requests from 20 concurrent clients until a time. It returns the numbers of requests that were served, that were
 // not served, and that got no final answer within 1.55 s.
-func sendAtOnce(t *testing.T, addr string, until time.Time, delay func() time.Duration) (served, notServed, unanswered int64) {
+func sendAtOnce(t *testing.T, addr string, until time.Time, delay func() time.Duration) (served, notServed, late int64) {
 	t.Helper()
 	var counts [3]atomic.Int64
 	var clients sync.WaitGroup
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// servedOf returns the number of requests that were served.
-func servedOf(statuses ...map[string]int) (served int) {
+// countServed returns the number of requests that were served.
+func countServed(statuses ...map[string]int) (served int) {
 	for _, answers := range statuses {
 		for _, status := range answers {
 			if status == http.StatusOK {
@@ -158,18 +158,18 @@
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`)
 			awaitReady(t, d.addr)
 			resume := d.stopRepeatedly(t)
-			statuses := postRequests(t, d.addr, "/put/x", 4)
-			keyed := arrivals.reset()
-			once := postRequests(t, d.addr, "/pay/x", 4)
+			keyedStatuses := postRequests(t, d.addr, "/put/x", 4)
+			keyedArrivals := arrivals.reset()
+			onceStatuses := postRequests(t, d.addr, "/pay/x", 4)
 			resume()
-			retries := checkRetries(t, keyed, window+slack+delay())
+			retries := checkRetries(t, keyedArrivals, window+slack+delay())
 			for id, at := range arrivals.reset() {
-				if len(at) > 1 || once[id] == http.StatusServiceUnavailable {
-					t.Errorf("%s, which must not run twice, arrived %d times and its final answer has status %d", id, len(at), once[id])
+				if len(at) > 1 || onceStatuses[id] == http.StatusServiceUnavailable {
+					t.Errorf("%s, which must not run twice, arrived %d times and its final answer has status %d", id, len(at), onceStatuses[id])
 				}
 			}
-			if retries == 0 || servedOf(statuses, once) > 0 {
-				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", retries, statuses, once)
+			if retries == 0 || countServed(keyedStatuses, onceStatuses) > 0 {
+				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", retries, keyedStatuses, onceStatuses)
 			}
 		})
 	}
@@ -196,12 +196,12 @@
 	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	stop := time.AfterFunc(time.Second, func() {
-		now := []endpoint{readyEndpoint("b", good)}
+		list := []endpoint{readyEndpoint("b", good)}
 		if state == "draining" {
 			old[0].State = state
-			now = append(now, old[0])
+			list = append(list, old[0])
 		}
-		discovery.publish(now...)
+		discovery.publish(list...)
 		if pause {
 			d.signal(t, syscall.SIGSTOP)
 			time.Sleep(150 * time.Millisecond)
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -155,11 +155,11 @@
 	awaitReady(t, d.addr)
 	delay := schedulingDelay(t)
 	var stop atomic.Bool
-	var answered, lost atomic.Int64
+	var answered, unanswered atomic.Int64
 	var unansweredIDs sync.Map
 	var clients sync.WaitGroup
 	for range 10 {
-		clients.Go((&shutdownClient{d.addr, &stop, &answered, &lost, &unansweredIDs, t}).run)
+		clients.Go((&shutdownClient{d.addr, &stop, &answered, &unanswered, &unansweredIDs, t}).run)
 	}
 	for range c.idleConnections {
 		if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
@@ -172,11 +172,11 @@
 	stop.Store(true)
 	_ = d.cmd.Process.Kill()
 	clients.Wait()
-	if answered.Load() == before || lost.Load() > 0 {
-		t.Errorf("%d requests answered since the signal, want some; %d lost, want none", answered.Load()-before, lost.Load())
+	if answered.Load() == before || unanswered.Load() > 0 {
+		t.Errorf("%d requests answered since the signal, want some; %d lost, want none", answered.Load()-before, unanswered.Load())
 	}
 	unansweredIDs.Range(func(id, err any) bool {
-		if _, had := backend.requestIDs.Load(id); had {
+		if _, reached := backend.requestIDs.Load(id); reached {
 			t.Errorf("request %v reached the backend, but its connection was closed without a final answer: %v", id, err)
 		}
 		return true
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -33,8 +33,8 @@
 	return b
 }
 
-// answerTo sends a request to an agent and returns the status, body and error of the final answer as one string.
-func answerTo(client *http.Client, addr, path, id string) string {
+// finalAnswerTo sends a request to an agent and returns the status, body and error of the final answer as one string.
+func finalAnswerTo(client *http.Client, addr, path, id string) string {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
 		return err.Error()
@@ -117,7 +117,7 @@
 	backend, addr := newBlockingBackend(t), freeAddr(t)
 	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr))
 	awaitReady(t, addr)
-	answered := inBackground(func() string { return answerTo(http.DefaultClient, addr, "/get/x", "1") })
+	answered := inBackground(func() string { return finalAnswerTo(http.DefaultClient, addr, "/get/x", "1") })
 	awaitArrival(t, backend.arrived)
 	terminate(t, cmd)
 	close(backend.release)
@@ -129,8 +129,8 @@
 	}
 }
 
-// openOnRead waits until another process has opened a named pipe for reading, and returns the writing end.
-func openOnRead(t *testing.T, path string) *os.File {
+// awaitPipeReader waits until another process has opened a named pipe for reading, and returns the writing end.
+func awaitPipeReader(t *testing.T, path string) *os.File {
 	t.Helper()
 	opened := make(chan *os.File, 1)
 	go func() {
@@ -169,18 +169,18 @@
 // If SIGTERM, followed by another SIGHUP, arrives while a reload waits for its configuration to be written, the request in flight
 // is answered during the wait, and the program exits with status 0 when the configuration has been written, valid or not.
 func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
-	for _, usable := range []bool{true, false} {
+	for _, valid := range []bool{true, false} {
 		backend, addr := newBlockingBackend(t), freeAddr(t)
 		text := fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr)
 		cmd, log := startProgram(t, text)
 		awaitReady(t, addr)
-		answered := inBackground(func() string { return answerTo(http.DefaultClient, addr, "/get/x", "1") })
+		answered := inBackground(func() string { return finalAnswerTo(http.DefaultClient, addr, "/get/x", "1") })
 		awaitArrival(t, backend.arrived)
 		path := configPath(cmd)
 		if err := errors.Join(os.Remove(path), syscall.Mkfifo(path, 0o600), cmd.Process.Signal(syscall.SIGHUP)); err != nil {
 			t.Fatal(err)
 		}
-		pipe := openOnRead(t, path)
+		pipe := awaitPipeReader(t, path)
 		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600),
 			cmd.Process.Signal(syscall.SIGTERM)); err != nil {
 			t.Fatal(err)
@@ -193,7 +193,7 @@
 		if got := <-answered; got != "200done<nil>" { // the reload is still waiting
 			t.Errorf("final answer %q", got)
 		}
-		if !usable {
+		if !valid {
 			text = "{no configuration"
 		}
 		if _, err := pipe.WriteString(text); err != nil {
@@ -233,12 +233,12 @@
 	drainingProcess, _ := startProgram(t, text)
 	awaitReady(t, addr)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answered := inBackground(func() string { return answerTo(client, addr, "/get/held", "/get/held") })
+	answered := inBackground(func() string { return finalAnswerTo(client, addr, "/get/held", "/get/held") })
 	awaitArrival(t, arrived)
 	terminate(t, drainingProcess)
 	newProcess, log := startProgram(t, text) // the draining process is still listening
 	awaitReady(t, addr)                      // only the new process can pass the health check: the draining one fails it
-	if got := answerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
+	if got := finalAnswerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
 		t.Errorf("final answer of the new process: %q", got)
 	}
 	close(release)
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -76,14 +76,14 @@
 			awaitReady(t, d.addr)
 			c := startRequest(t, d.addr)
 			d.signal(t, syscall.SIGTERM)
-			kill := time.Now().Add(3700 * time.Millisecond) // 0.7 s plus the longest deadline, which counts as 3 s at most
+			killAt := time.Now().Add(3700 * time.Millisecond) // 0.7 s plus the longest deadline, which counts as 3 s at most
 			await(t, "log line about the shutdown", testTimeout, func() bool { return strings.Contains(d.logText(t), "msg=stopping") })
 			d.applyPlan(t, faultinject.Plan{Wall: step})
 			time.Sleep(time.Second)
 			if _, err := fmt.Fprintf(c, "\r\n"); err != nil {
 				t.Fatal(err)
 			}
-			_ = c.SetReadDeadline(kill)
+			_ = c.SetReadDeadline(killAt)
 			if _, err := c.Read(make([]byte, 1)); err != nil {
 				t.Errorf("no final answer before the earliest SIGKILL: %v", err)
 			}
@@ -202,11 +202,11 @@
 	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		n := d.watches.Add(1)
 		d.mu.Lock()
-		now := d.list
+		list := d.list
 		d.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": now})
-		for flush := http.NewResponseController(w); ; {
-			_ = flush.Flush()
+		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": list})
+		for rc := http.NewResponseController(w); ; {
+			_ = rc.Flush()
 			select {
 			case <-r.Context().Done():
 				return
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -37,8 +37,8 @@
 
 // parseSeeds parses a list of seeds and ranges of seeds, such as "1-5" or "1,4,9", and returns each seed once.
 func parseSeeds(text string) (list []uint64, err error) {
-	for _, part := range strings.Split(text, ",") {
-		low, high, isRange := strings.Cut(part, "-")
+	for _, item := range strings.Split(text, ",") {
+		low, high, isRange := strings.Cut(item, "-")
 		if !isRange {
 			high = low
 		}
@@ -46,7 +46,7 @@
 		to, highErr := strconv.ParseUint(high, 10, 64)
 		const maxRange = 1000
 		if lowErr != nil || highErr != nil || to < from || to-from >= maxRange {
-			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range of at most 1000 seeds such as 1-5", part)
+			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range of at most 1000 seeds such as 1-5", item)
 		}
 		for s := from; s <= to; s++ {
 			if !slices.Contains(list, s) {
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -98,8 +98,8 @@
 	}
 	cmd := exec.Command(self, "up", "--agents", "2", "--backends", "3", "--rate", "20")
 	cmd.Env = append(os.Environ(), "MARTENBEAM_TEST=1")
-	var errs bytes.Buffer
-	cmd.Stderr = &errs
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 	}
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader("done"))
 	if err != nil {
-		t.Fatalf("%v\n%s", err, errs.String())
+		t.Fatalf("%v\n%s", err, stderr.String())
 	}
 	for name, value := range map[string]string{"X-Trace-Id": "hand-1", "Idempotency-Key": "hand-1",
 		"X-Customer": "state-post", "Cookie": "sid=stop-1"} {
@@ -140,7 +140,7 @@
 		rest += lines.Text() + "\n"
 	}
 	if err := cmd.Wait(); err != nil || !strings.Contains(rest, "served in aim") {
-		t.Errorf("%v\n%s%s", err, rest, errs.String())
+		t.Errorf("%v\n%s%s", err, rest, stderr.String())
 	}
 }
 
