--- a/cmd/agent/accept_test.go
+++ b/cmd/agent/accept_test.go
@@ -20,7 +20,7 @@
 	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP}
 
-// requestThroughFailingAccepts sends a request while accept fails for 2 s.
+// requestThroughFailingAccepts sends a request while accept fails for 2 s, and checks that the request is served.
 func requestThroughFailingAccepts(t *testing.T, d *agentProcess) {
 	t.Helper()
 	d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: syscall.ENOBUFS}))
@@ -35,7 +35,7 @@
 	time.Sleep(2 * time.Second)
 	d.applyPlan(t, faultinject.Plan{})
 	if err := <-answered; err != nil {
-		t.Errorf("request sent while accept failed for 2 s: %v", err)
+		t.Errorf("request sent while accept failed for 2 s: %v, want status 200", err)
 	}
 }
 
@@ -49,18 +49,18 @@
 		for _, times := range []int{1, 3} {
 			d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.Accept, Errno: errno, Times: times}))
 			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-				t.Fatalf("%d x %v: status %d, %v", times, errno, status, err)
+				t.Fatalf("accept failed %d times with %v: status %d, error %v, want 200", times, errno, status, err)
 			}
 			if status, _ := d.adminCall(t, "/_ready", ""); status != 200 {
-				t.Fatalf("admin call after %d x %v: status %d", times, errno, status)
+				t.Fatalf("admin call after accept failed %d times with %v: status %d, want 200", times, errno, status)
 			}
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC} {
 		for _, times := range []int{1, 3} {
 			d.applyPlan(t, failing(faultinject.Failure{Call: faultinject.EpollAdd, Errno: errno, Times: times}))
-			// The client retries a request if the agent closes its connection before reading it.
-			await(t, fmt.Sprintf("response after %d x epoll_ctl %v", times, errno), testTimeout, func() bool {
+			// The agent may close an unregistered connection before it reads the request, so the test repeats the request.
+			await(t, fmt.Sprintf("final answer after epoll_ctl failed %d times with %v", times, errno), testTimeout, func() bool {
 				status, _ := get(singleUseClient, d.addr, "/get/x")
 				return status == 200
 			})
@@ -106,7 +106,7 @@
 }
 
 // No request is lost when datagram or socket option calls fail once, three times in a row or for 2 s, and the agent does not
-// retry them in a busy loop.
+// retry the calls in a busy loop.
 func TestFailingSocketCallsLoseNoRequest(t *testing.T) {
 	backend := newFakeBackend(t)
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -129,7 +129,7 @@
 			for _, times := range []int{1, 3} {
 				d.applyPlan(t, failing(faultinject.Failure{Call: call, Errno: errno, Times: times}))
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-					t.Errorf("%d x %s %v: status %d, %v", times, call, errno, status, err)
+					t.Errorf("%d failures of %s with %v: status %d, error %v, want 200", times, call, errno, status, err)
 				}
 			}
 		}
@@ -140,7 +140,7 @@
 		before, startedAt := cpuTime(t, d.cmd.Process.Pid), time.Now()
 		for time.Since(startedAt) < 2*time.Second {
 			if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-				t.Errorf("%s fails for 2 s: status %d, %v", call, status, err)
+				t.Errorf("%s fails for 2 s: status %d, error %v, want 200", call, status, err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -159,7 +159,7 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
-	const user, system, tick = 11, 12, 10 * time.Millisecond
+	const user, system, tick = 11, 12, 10 * time.Millisecond // fields after the command name, and their unit
 	sum := time.Duration(0)
 	for _, i := range []int{user, system} {
 		n, err := strconv.Atoi(fields[i])
--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// openFiles returns the targets of a process's descriptors, each with whether it is open for writing.
+// openFiles returns the targets of a process's descriptors. The value is true if a descriptor is open for writing.
 func openFiles(t *testing.T, pid int) (files map[string]bool) {
 	t.Helper()
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -47,7 +47,7 @@
 // listeners returns the listening addresses in a kernel socket table whose sockets are among the open files.
 func listeners(t *testing.T, table string, files map[string]bool) (addrs []string) {
 	t.Helper()
-	const state, listening, inode = 3, "0A", 9
+	const state, listening, inode = 3, "0A", 9 // two columns and the value of the state column for a listener
 	f, err := os.Open(table)
 	if err != nil {
 		t.Fatal(err)
@@ -80,14 +80,14 @@
 	return addrs
 }
 
-// The agent listens only at its configured addresses, starts no processes, and has only its log and files in its scratch folder
-// open for writing.
+// The agent listens only at its configured addresses, starts no processes, and has no files open for writing except its log,
+// files in its scratch folder and devices.
 func TestAgentListensAndWritesOnlyWhereConfigured(t *testing.T) {
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", newFakeBackend(t))).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for range 20 {
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 	}
 	d.awaitAdminOK(t, testTimeout, "/_ready", "")
--- a/cmd/agent/clients_test.go
+++ b/cmd/agent/clients_test.go
@@ -54,7 +54,7 @@
 				answer, err := io.ReadAll(c)
 				c.Close()
 				if !strings.HasPrefix(string(answer), "HTTP/1.1 200") {
-					t.Errorf("%s: error %v, final answer %q", name, err, answer)
+					t.Errorf("%s: error %v, final answer %q, want status 200", name, err, answer)
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 				server.Close()
 			}
 			if n := attempts.Load(); n > 0 {
-				t.Errorf("%d of 10 attempts started after the client disconnected, want none", n)
+				t.Errorf("%d attempts started for 10 requests after the client disconnected, want none", n)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 
 // If a client stops sending in the middle of a request and keeps the connection open, the agent sends an error or closes the
 // connection within 3 s. The time starts with the connection, or with the first byte of the request if the connection has served
-// one before.
+// another request before.
 func TestIncompleteRequestTimesOut(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -122,7 +122,7 @@
 			for _, second := range []bool{false, true} {
 				clients.Go(func() {
 					if elapsed, err := sendPartOfRequest(d.addr, text[:cut], second); elapsed > 3*time.Second+delay() || err != nil {
-						t.Errorf("%q of %d bytes, second request %v: %v until an error or a close, want at most 3 s; %v", text[:min(cut, 60)], len(text), second, elapsed, err)
+						t.Errorf("%q of %d bytes, second request %v: %v until an error or a close, want at most 3 s; error %v", text[:min(cut, 60)], len(text), second, elapsed, err)
 					}
 				})
 			}
@@ -162,7 +162,7 @@
 	return time.Since(startedAt), nil
 }
 
-// A client that keeps sending single bytes of a small body or a header gets an error or a close within 3 s too.
+// A client that sends a small body or a header one byte at a time gets an error, or its connection is closed, within 3 s.
 func TestSlowRequestTimesOut(t *testing.T) {
 	backend := newFakeBackend(t)
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", backend)).addr, faultinject.Plan{}, nil, "")
@@ -219,7 +219,7 @@
 			}
 			resp.Body.Close()
 			if elapsed := time.Since(startedAt); resp.StatusCode == 200 || elapsed > deadline+100*time.Millisecond+delay() {
-				t.Errorf("deadline %v: status %d after %v", deadline, resp.StatusCode, elapsed)
+				t.Errorf("deadline %v: status %d after %v, want an error status at most 100 ms after the deadline", deadline, resp.StatusCode, elapsed)
 			}
 		}
 	}
--- a/cmd/agent/deadline_test.go
+++ b/cmd/agent/deadline_test.go
@@ -21,10 +21,10 @@
 type deadlineChecker struct {
 	clientDeadlines sync.Map // the client's deadline as a time.Time, by request id
 	attempts        atomic.Int64
-	exceeded        atomic.Int64  // attempts whose deadline exceeds the client's remaining time by more than slack
-	maxExcess       atomic.Int64  // largest excess, in ns
-	slack           time.Duration // allowed excess, in addition to delay
-	delay           func() time.Duration
+	exceeded        atomic.Int64         // attempts whose deadline exceeds the client's remaining time by more than slack
+	maxExcess       atomic.Int64         // largest excess, in ns
+	slack           time.Duration        // allowed excess, in addition to delay
+	delay           func() time.Duration // returns the longest scheduling delay so far
 }
 
 // serve checks the deadline of an attempt. It then responds that the request did not run, responds late enough for a hedged
@@ -35,7 +35,7 @@
 	end, _ := c.clientDeadlines.Load(r.Header.Get("X-Trace-Id"))
 	expiresIn, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
 	if err != nil || end == nil {
-		t.Errorf("X-Expires-In %q: %v", r.Header.Get("X-Expires-In"), err)
+		t.Errorf("X-Expires-In %q: error %v, want a number of seconds and a known request id", r.Header.Get("X-Expires-In"), err)
 		return
 	}
 	excess := time.Duration(expiresIn*float64(time.Second)) - end.(time.Time).Sub(now)
@@ -111,12 +111,12 @@
 	attempts, exceeded, maxExcess := c.attempts.Load(), c.exceeded.Load(), time.Duration(c.maxExcess.Load())
 	t.Logf("%d attempts, largest excess %v, scheduling delay %v", attempts, maxExcess, c.delay())
 	if exceeded > 0 {
-		t.Errorf("%d of %d attempts had a deadline later than the client's by more than the allowed excess; largest excess %v", exceeded, attempts, maxExcess)
+		t.Errorf("%d of %d attempts had a deadline later than the client's by more than the allowed excess, want none; largest excess %v", exceeded, attempts, maxExcess)
 	}
 }
 
-// The deadline of a request starts with its last byte even while the connection waits in the accept queue. Here accept fails for
-// 1 s.
+// The time until the deadline of a request counts from the last byte of the request, even if the connection is still in the accept
+// queue. Here accept fails for 1 s.
 func TestDeadlineOfARequestQueuedBeforeAccept(t *testing.T) {
 	received, delay := make(chan string, 1), schedulingDelay(t)
 	addr := serveHTTP(t, func(_ http.ResponseWriter, r *http.Request) { received <- r.Header.Get("X-Expires-In") })
@@ -133,10 +133,10 @@
 	d.applyPlan(t, faultinject.Plan{})
 	left := 5*time.Second - time.Since(sent)
 	if status := <-answered; status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("status %d, want 200", status)
 	}
 	if s, err := strconv.ParseFloat(<-received, 64); err != nil ||
 		time.Duration(s*float64(time.Second)) > left+150*time.Millisecond+delay() {
-		t.Errorf("the backend received a deadline of %v s, but the client has %v left; %v", s, left, err)
+		t.Errorf("the backend received a deadline of %v s, but the client has %v left, want at most 150 ms more; error %v", s, left, err)
 	}
 }
--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// startLimited starts the program with a descriptor limit that the kernel enforces, and returns a function that reads its log.
+// startLimited starts the program with a descriptor limit that the kernel enforces. The returned function reads the log.
 func startLimited(t *testing.T, config string, limit int) (log func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -100,7 +100,7 @@
 	awaitStatus := func(what, url string, status int) {
 		for end := time.Now().Add(testTimeout); statusOf(t, url) != status; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: the expected status did not arrive in time; log %s", what, log())
+				t.Fatalf("%s: no final answer with the expected status within the test timeout; log %s", what, log())
 			}
 		}
 	}
--- a/cmd/agent/fakes_test.go
+++ b/cmd/agent/fakes_test.go
@@ -36,6 +36,7 @@
 	return b
 }
 
+// serveHTTP starts a server on a free port of 127.0.0.1 and returns its address. The server is closed when the test ends.
 func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,6 +69,7 @@
 	changed chan struct{} // closed when the next list is published
 }
 
+// newFakeDiscovery starts a discovery service that first sends the given endpoints as version 1.
 func newFakeDiscovery(t *testing.T, endpoints ...endpoint) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
@@ -96,7 +98,7 @@
 // readyEndpoint returns the endpoint of a backend in the state ready.
 func readyEndpoint(id string, b *fakeBackend) endpoint { return newEndpoint(id, b.addr, "ready") }
 
-// publish replaces the list and pushes it.
+// publish replaces the list and pushes the new list to all open watches.
 func (d *fakeDiscovery) publish(list ...endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/cmd/agent/firstlist_test.go
+++ b/cmd/agent/firstlist_test.go
@@ -22,15 +22,15 @@
 		t.Fatal(err)
 	}
 	for name, failure := range map[string]faultinject.Failure{
-		"no failure":           {},
-		"one connect":          {Call: faultinject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
-		"three connects":       {Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
-		"three sockets":        {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // skips the two listening sockets
-		"one socket read":      {Call: faultinject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
-		"one socket write":     {Call: faultinject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
-		"connects are refused": {Call: faultinject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
-		"connects are aborted": {Call: faultinject.Connect, Errno: syscall.ECONNABORTED, Times: 3},
-		"connects time out":    {Call: faultinject.Connect, Errno: syscall.ETIMEDOUT, Times: 2},
+		"no failure":              {},
+		"one connect fails":       {Call: faultinject.Connect, Errno: syscall.EADDRNOTAVAIL, Times: 1},
+		"three connects fail":     {Call: faultinject.Connect, Errno: syscall.ENETUNREACH, Times: 3},
+		"three socket calls fail": {Call: faultinject.Socket, Errno: syscall.ENOBUFS, Times: 3, Skip: 2}, // skips the two listening sockets
+		"one socket read fails":   {Call: faultinject.Read, Errno: syscall.ETIMEDOUT, Times: 1, Path: "socket:"},
+		"one socket write fails":  {Call: faultinject.Write, Errno: syscall.EHOSTUNREACH, Times: 1, Path: "socket:"},
+		"connects are refused":    {Call: faultinject.Connect, Errno: syscall.ECONNREFUSED, Times: 2},
+		"connects are aborted":    {Call: faultinject.Connect, Errno: syscall.ECONNABORTED, Times: 3},
+		"connects time out":       {Call: faultinject.Connect, Errno: syscall.ETIMEDOUT, Times: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -54,7 +54,7 @@
 			awaitReady(t, d.addr)
 			for time.Since(startedAt) < 2*time.Second {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK && status != http.StatusServiceUnavailable {
-					t.Fatalf("status %d, %v", status, err)
+					t.Fatalf("status %d, error %v, want 200 or 503", status, err)
 				}
 			}
 			if at := time.Duration(latest.Load()); at > grace+slack+delay() {
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -57,7 +57,7 @@
 	before := r.one.requestCount.Load()
 	for range 30 {
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-			t.Errorf("status %d, %v", status, err)
+			t.Errorf("status %d, error %v, want 200", status, err)
 		}
 	}
 	return r.one.requestCount.Load() - before
@@ -65,7 +65,8 @@
 
 const detachOneBody = `{"target":"one"}`
 
-// A confirmed detach survives an upgrade, whichever file operations in the shared folder failed before or during the upgrade.
+// A detach call applies after an upgrade, whichever file operations in the shared folder fail before or during the upgrade. If the
+// agent cannot record the call at once, it records the call when the failures end.
 func TestDetachSurvivesAFailingFolder(t *testing.T) {
 	failingCall := func(call, path string, errno syscall.Errno, times int) faultinject.Plan {
 		return failing(faultinject.Failure{Call: call, Path: path, Errno: errno, Times: times})
@@ -104,7 +105,7 @@
 			if c.during.Failures != nil && c.during.Failures[0].Times == 0 {
 				time.Sleep(3*time.Second - elapsed)
 				r.current.applyPlan(t, faultinject.Plan{})
-				time.Sleep(time.Second) // the agent records the detach without another call
+				time.Sleep(time.Second) // the agent retries the recording without another call
 			}
 			if n := r.upgrade(t, c.successor); n > 0 {
 				t.Errorf("%d of 30 requests reached the detached backend, want none", n)
@@ -135,7 +136,8 @@
 	_ = d.cmd.Wait()
 }
 
-// moveDiscovery starts another discovery service, writes the configuration text with its address, and makes the agent reload it.
+// moveDiscovery starts another discovery service, writes the configuration text with its address, and makes the agent reload
+// the configuration.
 func (r *replaceableAgent) moveDiscovery(t *testing.T, text []byte) {
 	t.Helper()
 	moved := newFakeDiscovery(t, r.discovery.list...)
@@ -148,10 +150,10 @@
 }
 
 // Confirmed detach calls survive several upgrades with a different fault during each one. A successor uses the discovery address in
-// the replaced configuration, although its environment is the environment of the first process. One attach call cancels two
-// detach calls.
+// the replaced configuration, although PROXY_DISCOVERY in its environment names another address. One attach call cancels
+// two detach calls.
 func TestDetachSurvivesRepeatedUpgrades(t *testing.T) {
-	originalDiscovery := freeAddr(t) // discovery address in the environment since the platform started the agent
+	originalDiscovery := freeAddr(t) // value of PROXY_DISCOVERY for the successors; nothing listens there
 	t.Setenv("PROXY_DISCOVERY", "")
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	text, err := os.ReadFile(r.current.configPath)
@@ -160,7 +162,7 @@
 	}
 	for range 2 {
 		if status, _ := r.current.adminCall(t, "/_backends/detach", detachOneBody); status != 200 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("detach call: status %d, want 200", status)
 		}
 	}
 	t.Setenv("PROXY_DISCOVERY", originalDiscovery)
@@ -183,7 +185,7 @@
 	})
 	before := r.one.requestCount.Load()
 	if status, _ := r.current.adminCall(t, "/_backends/attach", detachOneBody); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("attach call: status %d, want 200", status)
 	}
 	await(t, "a request to the attached backend", 5*time.Second, func() bool {
 		_, _ = get(singleUseClient, r.current.addr, "/get/x")
@@ -209,7 +211,7 @@
 	}
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if status := health(r.current); status != 503 {
-			t.Fatalf("health check: status %d after the call, want 503", status)
+			t.Fatalf("health check: status %d after the lameduck call, want 503", status)
 		}
 	}
 	r.current.applyPlan(t, faultinject.Plan{})
@@ -241,7 +243,7 @@
 				t.Parallel()
 				r := newReplaceableAgent(t, faultinject.Plan{})
 				if status, _ := r.current.adminCall(t, "/_backends/detach", detachOneBody); status != 200 {
-					t.Fatalf("status %d", status)
+					t.Fatalf("detach call: status %d, want 200", status)
 				}
 				kill := failure
 				kill.Kill, kill.Times = true, 1
@@ -264,12 +266,13 @@
 	}
 }
 
-// A successor that can't read its predecessor's record is not ready until it can, at most 6 s after its start.
+// A successor that can't read its predecessor's record is not ready. It becomes ready when reads succeed again, here at most 6 s
+// after its start.
 func TestSuccessorIsNotReadyBeforeItReadsTheRecord(t *testing.T) {
 	delay := schedulingDelay(t)
 	r := newReplaceableAgent(t, faultinject.Plan{})
 	if status, _ := r.current.adminCall(t, "/_backends/detach", detachOneBody); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("detach call: status %d, want 200", status)
 	}
 	startedAt := time.Now()
 	successor := startAgent(t, r.discovery.addr, failing(faultinject.Failure{Call: faultinject.Read,
--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -189,6 +189,7 @@
 	return d
 }
 
+// listLine returns an endpoint update as one line of JSON.
 func listLine(t *testing.T, version int, full bool, list []endpoint) string {
 	t.Helper()
 	text, err := toJSON(map[string]any{"version": version, "full": full, "servers": list})
@@ -249,8 +250,8 @@
 	}
 }
 
-// checkGrowth checks the usage of an agent in a large fleet, with so many thousands of backends, against bounds that follow from
-// its usage in a fleet of the usual size.
+// checkGrowth checks the usage of an agent in a large fleet against bounds that follow from its usage in a fleet of the usual size.
+// thousands is the number of backends in the large fleet, in thousands.
 func (u resourceUsage) checkGrowth(t *testing.T, usual resourceUsage, thousands float64) {
 	t.Helper()
 	if limit := time.Duration(1.4*float64(usual.cpu) + (0.02+0.03*thousands)*float64(time.Second)); u.cpu > limit {
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -32,6 +32,7 @@
 	return faultinject.Build(context.Background(), "../..", "./cmd/agent", dir)
 })
 
+// faultyDir is the folder of the program that faultyProgram has built. TestMain removes the folder.
 var faultyDir atomic.Pointer[string]
 
 // agentProcess is a running agent with fault injection.
@@ -133,7 +134,8 @@
 	}
 }
 
-// adminCall calls the admin server. The status is 0 if the server did not answer.
+// adminCall calls the admin server and returns the status and the time until the answer. The status is 0 if the server did not
+// answer.
 func (d *agentProcess) adminCall(t *testing.T, path, body string) (status int, elapsed time.Duration) {
 	t.Helper()
 	method, startedAt := http.MethodPut, time.Now()
@@ -171,7 +173,7 @@
 
 var requestCounter atomic.Int64
 
-// get sends a request with a new id once, and reads the whole final answer.
+// get sends a GET request with a new id, reads the complete final answer and returns the status.
 func get(client *http.Client, addr, path string) (status int, err error) {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
@@ -223,7 +225,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", what, timeout)
+			t.Fatalf("%s: not observed within %v", what, timeout)
 		}
 	}
 }
--- a/cmd/agent/log_test.go
+++ b/cmd/agent/log_test.go
@@ -77,7 +77,7 @@
 	restarted, exited := d.restartWithLog(t, write)
 	awaitReady(t, d.addr)
 	if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
-		t.Errorf("status %d, %v", status, err)
+		t.Errorf("status %d, error %v, want 200", status, err)
 	}
 	if err := restarted.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -57,8 +57,8 @@
 	return cmd, log
 }
 
-// freeAddr returns an address at which nothing listens. Each address is on a different loopback host: on a shared host, an outgoing
-// connection could take the port before the test uses it.
+// freeAddr returns an address at which nothing listens. Each address is on a different loopback host, so that no outgoing connection takes
+// the port before the test uses it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	n := hostCounter.Add(1)
@@ -82,7 +82,7 @@
 func TestInvalidConfigurationEndsTheProgram(t *testing.T) {
 	cmd, log := startProgram(t, `{"listen":"nowhere"}`)
 	if err := cmd.Wait(); err == nil || cmd.ProcessState.ExitCode() != 1 || !strings.Contains(log.String(), "seed") {
-		t.Errorf("exit error %v, want status 1; log %q", err, log)
+		t.Errorf("exit error %v, want status 1 and a log line that names the key seed; log %q", err, log)
 	}
 }
 
@@ -110,7 +110,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the agent is not healthy within the test timeout")
+			t.Fatal("the agent did not pass its health check within the test timeout")
 		}
 	}
 }
--- a/cmd/agent/quiet_test.go
+++ b/cmd/agent/quiet_test.go
@@ -19,8 +19,8 @@
 var idleDuration = flag.Duration("quiet.for", 3*time.Second, "length of the idle period before the faults begin")
 
 // After an idle period in which one backend has closed its idle connections, another backend drains, a third one hangs, and many
-// clients send at once. Each request is answered in time, the draining backend gets no late requests, and at least four in five
-// requests are served.
+// clients send at once. Each request is answered within 1.55 s, the draining backend gets no requests 0.55 s after the list is
+// published, and at least four in five requests are served.
 func TestFaultsAfterAnIdlePeriodAreHandled(t *testing.T) {
 	delay := schedulingDelay(t)
 	var latest atomic.Int64 // arrival of the draining backend's latest request, in ns of Unix time
@@ -45,7 +45,7 @@
 	awaitReady(t, d.addr)
 	for range 60 { // leaves idle connections to all backends
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != http.StatusOK {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 	}
 	time.Sleep(*idleDuration)
@@ -59,7 +59,7 @@
 		t.Errorf("the draining backend got a request %v after the list was published, want at most 550 ms", at)
 	}
 	if served < 4*notServed || late > 0 {
-		t.Errorf("%d requests served, %d not served, %d without a final answer in time", served, notServed, late)
+		t.Errorf("%d requests served, %d not served, want at least four in five served; %d without a final answer within 1.55 s, want none", served, notServed, late)
 	}
 	t.Logf("%d requests served, %d not served", served, notServed)
 }
@@ -77,7 +77,7 @@
 				status, err := get(singleUseClient, addr, "/get/x")
 				if elapsed := time.Since(startedAt); err != nil || elapsed > 1550*time.Millisecond+delay() {
 					counts[2].Add(1)
-					t.Errorf("status %d, %v after %v", status, err, elapsed)
+					t.Errorf("status %d, error %v after %v, want a final answer within 1.55 s", status, err, elapsed)
 				}
 				if status == http.StatusOK {
 					counts[0].Add(1)
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -18,7 +18,7 @@
 
 // reloadThroughFailures reloads a configuration with another discovery address while the given failures affect reading the file. If
 // failures is nil, the file is half written at first. If twice is true, a second SIGHUP follows at once. 4 s after the first SIGHUP
-// no request may go to a backend that the new discovery lists as draining.
+// requests must reach the backend that the new discovery lists as ready.
 func reloadThroughFailures(t *testing.T, old, fresh *fakeBackend, failures []faultinject.Failure, twice bool, path string) {
 	t.Helper()
 	oldDiscovery := newFakeDiscovery(t, readyEndpoint("old", old))
@@ -50,11 +50,11 @@
 	before := fresh.requestCount.Load()
 	for range 10 {
 		if status, err := get(singleUseClient, d.addr, path); status != 200 {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 	}
 	if fresh.requestCount.Load() == before {
-		t.Error("no request reached the ready backend: requests still go to the backend that the new discovery lists as draining")
+		t.Error("none of 10 requests reached the backend that the new discovery lists as ready, want at least one")
 	}
 }
 
@@ -98,7 +98,7 @@
 	oldDiscovery := newFakeDiscovery(t, readyEndpoint("old", old))
 	d := startAgent(t, oldDiscovery.addr, faultinject.Plan{}, nil, "", "automatic", mode)
 	awaitReady(t, d.addr)
-	for _, discovery := range []string{freeAddr(t), newDiscovery} { // nothing listens at the first of the two
+	for _, discovery := range []string{freeAddr(t), newDiscovery} { // nothing listens at the first address
 		if err := os.WriteFile(d.configPath, []byte(strings.Replace(fmt.Sprintf(faultsConfigTemplate, d.addr, discovery),
 			"automatic", mode, 1)), 0o600); err != nil {
 			t.Fatal(err)
@@ -110,7 +110,7 @@
 	before := fresh.requestCount.Load()
 	for range 5 {
 		if status, err := get(singleUseClient, d.addr, path); status != 200 {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 	}
 	if fresh.requestCount.Load()-before < 5 {
@@ -120,7 +120,8 @@
 }
 
 // If the new discovery refuses calls, hangs or resets connections at first, its list still applies 4 s after the second of two
-// SIGHUPs, and its draining backends get no requests 0.5 s after that. The test covers pushed and polled lists.
+// SIGHUPs. Its draining backends may get requests for up to 0.5 s more; the test sends the checked requests 0.4 s after the 4 s. The
+// test covers pushed and polled lists.
 func TestReloadToAFailingDiscoveryRecovers(t *testing.T) {
 	old, fresh := newFakeBackend(t), newFakeBackend(t)
 	for _, mode := range []string{"automatic", "subscribe"} {
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -112,14 +112,14 @@
 const keyedClass = `{"Name":"put","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":300},
    {"Name":"pay",`
 
-// checkRetries checks that each retry arrived within a time after the first attempt of its request, and returns the number of
-// retries.
+// checkRetries checks that no retry arrived later than within after the first attempt of the same request. It returns the number
+// of retries.
 func checkRetries(t *testing.T, arrivals map[string][]time.Time, within time.Duration) (retries int) {
 	t.Helper()
 	for id, at := range arrivals {
 		for _, retryAt := range at[1:] {
 			if retries++; retryAt.Sub(at[0]) > within {
-				t.Errorf("a retry of %s arrived too late, %v after its first attempt", id, retryAt.Sub(at[0]))
+				t.Errorf("a retry of request %s arrived too late, %v after the first attempt", id, retryAt.Sub(at[0]))
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 			retries := checkRetries(t, keyedArrivals, window+slack+delay())
 			for id, at := range arrivals.reset() {
 				if len(at) > 1 || onceStatuses[id] == http.StatusServiceUnavailable {
-					t.Errorf("%s, which must not run twice, arrived %d times and its final answer has status %d", id, len(at), onceStatuses[id])
+					t.Errorf("%s, which must not run twice, arrived %d times, want at most once, and its final answer has status %d, want any but 503", id, len(at), onceStatuses[id])
 				}
 			}
 			if retries == 0 || countServed(keyedStatuses, onceStatuses) > 0 {
@@ -176,7 +176,7 @@
 }
 
 // drainUnderLoad lists a backend that refuses all requests as draining, or removes it from the list, while clients send requests.
-// It checks when the last attempt arrives at the backend. If pause is true, the process is stopped for 0.15 s after the list is
+// drainUnderLoad checks that the last attempt arrives at the backend at most 550 ms after the list is published. If pause is true, the process is stopped for 0.15 s after the list is
 // published.
 func drainUnderLoad(t *testing.T, state string, pause bool) {
 	t.Helper()
@@ -217,12 +217,12 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if latest.IsZero() || latest.Sub(publishedAt) > 550*time.Millisecond+delay() {
-		t.Errorf("the latest attempt arrived %v after the list was published, want at least one attempt and none after 550 ms", latest.Sub(publishedAt))
+		t.Errorf("the latest attempt arrived %v after the list was published, want one attempt or more, and none later than 550 ms", latest.Sub(publishedAt))
 	}
 }
 
 // No attempt arrives at a backend later than 0.5 s after discovery lists it as draining or removes it, neither a first attempt nor
-// a retry, even if the process is stopped at that moment.
+// a retry, even if the process is stopped for 0.15 s when the list is published.
 func TestNoAttemptsToADrainingBackend(t *testing.T) {
 	for _, state := range []string{"draining", "removed"} {
 		for _, pause := range []bool{false, true} {
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Shutdown with an early SIGKILL.
+// Shutdown before the earliest SIGKILL of the platform.
 
 import (
 	"bufio"
@@ -95,10 +95,10 @@
 	idleConnections int                 // opened before the signals
 	step            time.Duration       // of the wall clock, after the last signal
 	failure         faultinject.Failure // injected after the last signal
-	repeatSigterm   bool                // SIGTERM is repeated each millisecond; it may kill the process at its end, when nothing is open
+	repeatSigterm   bool                // SIGTERM is repeated each millisecond; one may kill the process just before its exit, when nothing is open
 }
 
-// signal sends the signals and then injects the faults. It returns the time of the first SIGTERM.
+// signal sends the signals, then steps the wall clock and injects the failure. It returns the time of the first SIGTERM.
 func (c *shutdownCase) signal(t *testing.T, d *agentProcess) (terminatedAt time.Time) {
 	t.Helper()
 	for _, s := range c.signals {
@@ -132,7 +132,7 @@
 	select {
 	case err := <-exited:
 		if err != nil && !(c.repeatSigterm && d.killedBy(syscall.SIGTERM)) {
-			t.Errorf("the agent exited with %v", err)
+			t.Errorf("the agent exited with %v, want status 0", err)
 		}
 	case <-time.After(time.Until(terminatedAt.Add(c.deadline + 700*time.Millisecond))):
 		select {
@@ -173,7 +173,7 @@
 	_ = d.cmd.Process.Kill()
 	clients.Wait()
 	if answered.Load() == before || unanswered.Load() > 0 {
-		t.Errorf("%d requests answered since the signal, want some; %d lost, want none", answered.Load()-before, unanswered.Load())
+		t.Errorf("%d requests answered since the signal, want some; %d unanswered, want none", answered.Load()-before, unanswered.Load())
 	}
 	unansweredIDs.Range(func(id, err any) bool {
 		if _, reached := backend.requestIDs.Load(id); reached {
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -1,6 +1,6 @@
 package main
 
-// SIGHUP and SIGTERM: alone, together, and while requests are in flight.
+// SIGHUP and SIGTERM, alone and together, also while requests are in flight.
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// blockingBackend is a backend that takes one request and responds "done" after release is closed.
+// blockingBackend is a backend that serves one request: it responds "done" after release is closed.
 type blockingBackend struct {
 	addr    string
 	arrived chan struct{} // closed when the request has arrived
@@ -122,10 +122,10 @@
 	terminate(t, cmd)
 	close(backend.release)
 	if got := <-answered; got != "200done<nil>" {
-		t.Errorf("final answer %q", got)
+		t.Errorf("final answer %q, want status 200 and body done", got)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v; log %q", err, log)
+		t.Errorf("exit error %v, want status 0; log %q", err, log)
 	}
 }
 
@@ -191,7 +191,7 @@
 		}
 		close(backend.release)
 		if got := <-answered; got != "200done<nil>" { // the reload is still waiting
-			t.Errorf("final answer %q", got)
+			t.Errorf("final answer %q, want status 200 and body done", got)
 		}
 		if !valid {
 			text = "{no configuration"
@@ -201,7 +201,7 @@
 		}
 		pipe.Close()
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v; log %q", err, log)
+			t.Errorf("exit error %v, want status 0; log %q", err, log)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	awaitReady(t, addr)
 	terminate(t, cmd)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v; log %q", err, log)
+		t.Errorf("exit error %v, want status 0; log %q", err, log)
 	}
 }
 
@@ -239,17 +239,17 @@
 	newProcess, log := startProgram(t, text) // the draining process is still listening
 	awaitReady(t, addr)                      // only the new process can pass the health check: the draining one fails it
 	if got := finalAnswerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
-		t.Errorf("final answer of the new process: %q", got)
+		t.Errorf("final answer of the new process: %q, want status 200 and the path", got)
 	}
 	close(release)
 	if got := <-answered; got != "200/get/held<nil>" {
-		t.Errorf("final answer of the draining process: %q", got)
+		t.Errorf("final answer of the draining process: %q, want status 200 and the path", got)
 	}
 	if err := drainingProcess.Wait(); err != nil {
 		t.Error(err)
 	}
 	terminate(t, newProcess)
 	if err := newProcess.Wait(); err != nil {
-		t.Errorf("%v; log %q", err, log)
+		t.Errorf("exit error %v, want status 0; log %q", err, log)
 	}
 }
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// A backend starts a request at its last byte. The agent must not pass on a response that arrives earlier, whether the rest of the
+// A backend starts to run a request only when the last byte has arrived. The agent must not pass on a response that arrives earlier, whether the rest of the
 // body arrives soon, late or never.
 func TestEarlyBackendResponseIsNotPassedOn(t *testing.T) {
 	const bodyLength, firstPart = 200_000, 100_000
@@ -75,7 +75,7 @@
 			}
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				t.Errorf("status 200 after %v, although the only response was early", time.Since(startedAt))
+				t.Errorf("status 200 after %v, although the only response was early; want an error status", time.Since(startedAt))
 			}
 		})
 	}
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -19,7 +19,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// startRequest sends the first part of a request, so that the connection stays open during a shutdown.
+// startRequest sends the first part of a request on a new connection and returns the connection, which the agent keeps open during
+// a shutdown.
 func startRequest(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -56,7 +57,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 			var answer bytes.Buffer
 			if _, err := io.Copy(&answer, c); err != nil || !strings.HasPrefix(answer.String(), "HTTP/1.1 200") {
-				t.Errorf("error %v, final answer %q", err, answer.String())
+				t.Errorf("error %v, final answer %q, want status 200", err, answer.String())
 			}
 			if err := d.cmd.Wait(); err != nil {
 				t.Error(err)
@@ -91,8 +92,9 @@
 	}
 }
 
-// The share of requests for a cold backend depends on the measured speed of the other backends. To make the share independent of
-// the machine, requests take a fixed time and are sent at fixed intervals.
+// serviceTime and requestInterval are the fixed time that a request takes and the fixed interval between requests. The share of
+// requests for a cold backend depends on the measured speed of the other backends; fixed times make the share independent of the
+// machine.
 const serviceTime, requestInterval = 20 * time.Millisecond, 5 * time.Millisecond
 
 // sendPaced sends n requests at fixed intervals and waits for the final answers. It returns the number of served requests, which may
@@ -111,7 +113,7 @@
 				count.Add(1)
 			case http.StatusServiceUnavailable:
 			default:
-				t.Errorf("status %d, %v", status, err)
+				t.Errorf("status %d, error %v, want 200 or 503", status, err)
 			}
 		})
 	}
@@ -190,7 +192,7 @@
 type mutableDiscovery struct {
 	addr    string
 	watches atomic.Int64
-	muted   atomic.Int64 // watches with a number up to this one send nothing more
+	muted   atomic.Int64 // number of the last watch that sends no more empty lines
 
 	mu   sync.Mutex
 	list []endpoint
@@ -227,7 +229,7 @@
 	d.list = list
 }
 
-// mute makes all open watches send nothing more.
+// mute makes all open watches send no more empty lines.
 func (d *mutableDiscovery) mute() { d.muted.Store(d.watches.Load()) }
 
 // timeOfRequest sends a request with a deadline in seconds, calls step after 0.5 s, and returns how long the request takes.
@@ -251,7 +253,7 @@
 	return time.Since(startedAt)
 }
 
-// Deadlines, the timeout of a watch that sends nothing and the grace period of draining backends do not follow the wall clock.
+// Deadlines, the timeout of a watch that sends nothing and the grace period of draining backends do not depend on the wall clock.
 func TestWallClockStepsDoNotChangeTimeouts(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second},
 		{time.Hour, -time.Hour}} {
@@ -283,7 +285,7 @@
 			before := hanging.requestCount.Load()
 			for range 10 {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-					t.Errorf("status %d, %v", status, err)
+					t.Errorf("status %d, error %v, want 200", status, err)
 				}
 			}
 			if n := hanging.requestCount.Load() - before; n > 0 {
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -57,7 +57,8 @@
 	return list, nil
 }
 
-// Run runs the scenario with each seed and both versions, prints the differences, and writes them to the --json file.
+// Run runs the scenario with each seed and both versions, prints the differences, and writes the pairs and differences to the --json
+// file. If no pair has a valid result, it returns exitInconclusive.
 func (c *compareCmd) Run(o *output) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// runPairs runs the pairs of all seeds, Parallel pairs at a time, and prints a line for each pair. If several pairs fail, it
-// returns the error of the first seed in the list.
+// runPairs runs the pairs of all seeds, Parallel pairs at a time, and prints a line for each pair without an error. If several pairs
+// fail, runPairs returns the error of the first one in the order of seeds.
 func (c *compareCmd) runPairs(ctx context.Context, o *output, seeds []uint64) ([]lab.Pair, error) {
 	pairs := make([]lab.Pair, len(seeds))
 	errs := make([]error, len(seeds))
@@ -150,7 +151,7 @@
 	return texts
 }
 
-// runPair runs one seed with both versions. A runs first for odd seeds and B for even ones.
+// runPair runs one seed with both versions. A runs first for odd seeds, B for even seeds.
 func (c *compareCmd) runPair(ctx context.Context, o *output, seed uint64) (pair lab.Pair, err error) {
 	pair.Seed = seed
 	order := []string{"a", "b"}
--- a/cmd/martenbeam/config.go
+++ b/cmd/martenbeam/config.go
@@ -27,7 +27,7 @@
 	Hub      string `name:"hub" help:"Check a hub's configuration instead (docs/hub.md)." placeholder:"FILE"`
 }
 
-// Run checks a hub's configuration, settings or an agent's configuration, in this order of precedence.
+// Run checks one file: the hub's configuration of --hub, otherwise the settings of --settings, otherwise the agent's configuration.
 func (c *checkCmd) Run(o *output) error {
 	if c.Hub != "" {
 		return c.checkHub(o)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// checkSettings checks the settings for all agents, and with --with also the result of applying them to an agent's
-// configuration.
+// checkSettings checks the settings for all agents. If --with names an agent's configuration, checkSettings also checks that
+// configuration with the settings applied.
 func (c *checkCmd) checkSettings(o *output) error {
 	text, err := os.ReadFile(c.Settings)
 	if err != nil {
--- a/cmd/martenbeam/fleetflags.go
+++ b/cmd/martenbeam/fleetflags.go
@@ -73,7 +73,8 @@
 	return []string{self, "hub"}, err
 }
 
-// workDir returns the folder for the files of all processes, and a function that removes the folder if it is temporary.
+// workDir returns the folder for the files of all processes: the folder of --dir, or a temporary folder. remove removes a temporary
+// folder and keeps the folder of --dir.
 func (f *fleetFlags) workDir() (dir string, remove func(), err error) {
 	if f.Dir != "" {
 		return f.Dir, func() {}, nil
@@ -125,7 +126,8 @@
 	return report, fleet.Flush()
 }
 
-// runError returns the error with which the command ends after a run that has no report. It prints err if err is a crash.
+// runError converts the error of a run into the error of the command: it prints a crash and returns its exit code, and returns any
+// other error unchanged.
 func runError(o *output, err error) error {
 	if errors.Is(err, lab.ErrCrash) {
 		fmt.Fprintln(o.stderr, err)
--- a/cmd/martenbeam/forms_test.go
+++ b/cmd/martenbeam/forms_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite the files in testdata; refused if CI is set")
 
-// golden compares a text with a file in testdata, or rewrites the file with -update.
+// golden fails the test if a text differs from a file in testdata. With -update it rewrites the file instead.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -43,7 +43,7 @@
 		"config", "config check", "config print"} {
 		var out, errs bytes.Buffer
 		if code := run(append(strings.Fields(command), "--help"), &out, &errs); code != 0 || errs.Len() > 0 {
-			t.Errorf("%q: exit %d, %s", command, code, errs.String())
+			t.Errorf("help of %q: exit %d, want 0 and nothing on stderr; stderr %s", command, code, errs.String())
 		}
 		golden(t, "help"+strings.ReplaceAll(" "+command, " ", "-")+".txt", out.Bytes())
 	}
@@ -54,7 +54,7 @@
 	for _, command := range []string{"config print", "config print --hub", "lab list"} {
 		var out, errs bytes.Buffer
 		if code := run(strings.Fields(command), &out, &errs); code != 0 || errs.Len() > 0 {
-			t.Errorf("%q: exit %d, %s", command, code, errs.String())
+			t.Errorf("%q: exit %d, want 0 and nothing on stderr; stderr %s", command, code, errs.String())
 		}
 		golden(t, "print-"+strings.ReplaceAll(strings.ReplaceAll(command, " --", "-"), " ", "-")+".txt", out.Bytes())
 	}
--- a/cmd/martenbeam/main.go
+++ b/cmd/martenbeam/main.go
@@ -22,7 +22,7 @@
 	exitInconclusive = 5 // the lab itself was late, so there is no verdict
 )
 
-// usageError is an error in the arguments or in a file that they name. The program exits with exitUsage.
+// usageError is an error in the arguments or in a file that the arguments name. The program exits with exitUsage.
 type usageError struct{ error }
 
 // exitCodeError ends the program with an exit code. The command has already printed the reason.
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -32,7 +32,8 @@
 	return file
 }
 
-// Invalid arguments and files cause exit code 2 and a one-line error. Help and lists cause exit code 0.
+// Invalid arguments and files cause exit code 2 and a one-line error. Help, lists, printed defaults and valid settings cause exit
+// code 0.
 func TestExitCodesAndMessages(t *testing.T) {
 	invalidFile := writeTempFile(t, "for = \"-3s\"\n")
 	settingsFile := writeTempFile(t, "version = 3\nattempts.most = 4\n")
@@ -75,7 +76,7 @@
 			t.Errorf("%s: exit %d, want %d with %q:\n%s", c.args, code, c.code, c.want, text)
 		}
 		if code == exitUsage && strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("%s: stderr is not one line:\n%s", c.args, errs.String())
+			t.Errorf("%s: want one line on stderr, got:\n%s", c.args, errs.String())
 		}
 	}
 }
@@ -86,7 +87,7 @@
 	r := &lab.Report{Verdict: lab.Violated, Rules: lab.Rules{Shared: "agent 2 went back from settings 3 to 2 at 4s"}}
 	if err := verdictError(&output{&out, &errs}, r); err != exitCodeError(exitViolated) ||
 		!strings.Contains(errs.String(), r.Rules.Shared) {
-		t.Errorf("%v: %s", err, errs.String())
+		t.Errorf("error %v, want exit code 3 and the violation on stderr; stderr %s", err, errs.String())
 	}
 }
 
@@ -117,7 +118,7 @@
 	}
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader("done"))
 	if err != nil {
-		t.Fatalf("%v\n%s", err, stderr.String())
+		t.Fatalf("request to the address that up prints: %v\nstderr of up:\n%s", err, stderr.String())
 	}
 	for name, value := range map[string]string{"X-Trace-Id": "hand-1", "Idempotency-Key": "hand-1",
 		"X-Customer": "state-post", "Cookie": "sid=stop-1"} {
@@ -130,7 +131,7 @@
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.HasPrefix(string(body), "served hand-1 by s-") {
-		t.Errorf("status %d, %q, %v", resp.StatusCode, body, err)
+		t.Errorf("status %d, body %q, error %v, want 200 and a body that starts with served hand-1 by s-", resp.StatusCode, body, err)
 	}
 	if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
@@ -140,11 +141,11 @@
 		rest += lines.Text() + "\n"
 	}
 	if err := cmd.Wait(); err != nil || !strings.Contains(rest, "served in aim") {
-		t.Errorf("%v\n%s%s", err, rest, stderr.String())
+		t.Errorf("up ended with error %v, want status 0 and a report on stdout; stdout and stderr:\n%s%s", err, rest, stderr.String())
 	}
 }
 
-// The events file of a run contains the history of each request, and the report has all keys.
+// The JSON report of a run has all keys, and lab trace prints the history of a request from the events file of the run.
 func TestTraceFollowsARequestOfARun(t *testing.T) {
 	dir := t.TempDir()
 	scenarioFile := writeTempFile(t, "for = \"2s\"\nsettle = \"0s\"\n[fleet]\nagents = 2\nbackends = 3\n[load]\nrate = 20\nof = 0.1\n[limits]\nlate_ms = 60000\n")
@@ -178,6 +179,6 @@
 	var out, errs bytes.Buffer
 	if code := run([]string{"lab", "trace", events, id}, &out, &errs); code != 0 ||
 		!strings.Contains(out.String(), "attempt 0 arrives from agent") {
-		t.Errorf("exit %d\n%s%s", code, out.String(), errs.String())
+		t.Errorf("lab trace: exit %d, want 0 and the arrival of attempt 0; stdout and stderr:\n%s%s", code, out.String(), errs.String())
 	}
 }
--- a/cmd/martenbeam/progress.go
+++ b/cmd/martenbeam/progress.go
@@ -36,7 +36,7 @@
 	return &progressTable{w: w, inPlace: inPlace}
 }
 
-// header prints a text above the table.
+// header prints a text above the table. It must be called before the first update.
 func (t *progressTable) header(text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,7 @@
 		ratio(float64(window.Attempts), n), 100*window.Used, view.Violations, strings.Join(view.Faults, ", "))
 }
 
-// update displays the state of a run. The lab calls it each second.
+// update displays the state of a run. The lab calls update each second.
 func (t *progressTable) update(_ *lab.Lab, view lab.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/martenbeam/trace.go
+++ b/cmd/martenbeam/trace.go
@@ -20,8 +20,8 @@
 	ID   string `arg:"" name:"request-id" help:"The id of a try, or of a client's first try."`
 }
 
-// Run prints the history of each request whose own id, or whose first request's id, is the given one: a client that repeats a
-// request gives each repetition a new id.
+// Run prints the history of the request with the given id and of each request with which a client retried it. A client gives each
+// retry a new id. If there is no such request, Run returns a usageError.
 func (c *traceCmd) Run(o *output) error {
 	file, err := os.Open(c.File)
 	if err != nil {
--- a/cmd/martenbeam/up.go
+++ b/cmd/martenbeam/up.go
@@ -27,7 +27,8 @@
 	AgentBin string        `name:"agent-bin" help:"Another agent's program." placeholder:"PATH"`
 }
 
-// Run starts a fleet, displays its progress until the duration has passed or an interrupt arrives, and prints the report.
+// Run starts a fleet, displays its progress until the duration has passed or an interrupt arrives, and prints the report. An
+// interrupt before the fleet is ready ends the command without a report.
 func (c *upCmd) Run(o *output) error {
 	spec, flags, err := c.scenario()
 	if err != nil {
@@ -59,7 +60,8 @@
 	return verdictError(o, report)
 }
 
-// scenario returns the scenario to run, with its faults repeated, and the flags applied to it.
+// scenario returns the scenario with the fleet flags applied and its schedule of faults repeated for the duration, and the fleet
+// flags.
 func (c *upCmd) scenario() (*scenario.Scenario, *fleetFlags, error) {
 	spec, err := scenario.Read(cmp.Or(c.Scenario, "calm"))
 	if err != nil {
