--- a/cmd/agent/growth_test.go
+++ b/cmd/agent/growth_test.go
@@ -233,18 +233,18 @@
 			traffic{200 * time.Millisecond, 700 * time.Millisecond, 40 * time.Millisecond}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var usual, large resourceUsage
+			var usualUsage, largeUsage resourceUsage
 			t.Run("both sizes", func(t *testing.T) { // both at the same time, so that they run on an equally busy machine
-				for result, size := range map[*resourceUsage]fleetSize{&usual: c.usual, &large: c.large} {
+				for result, size := range map[*resourceUsage]fleetSize{&usualUsage: c.usual, &largeUsage: c.large} {
 					t.Run(fmt.Sprint(size.backends), func(t *testing.T) {
 						t.Parallel()
 						*result = measureUsage(t, size, c.load)
 					})
 				}
 			})
-			t.Logf("usual %+v, large %+v", usual, large)
+			t.Logf("usual %+v, large %+v", usualUsage, largeUsage)
 			if !t.Failed() {
-				large.checkGrowth(t, usual, float64(c.large.backends)/1000)
+				largeUsage.checkGrowth(t, usualUsage, float64(c.large.backends)/1000)
 			}
 		})
 	}
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -204,9 +204,9 @@
 	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		n := d.watches.Add(1)
 		d.mu.Lock()
-		list := d.list
+		current := d.list
 		d.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": list})
+		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": current})
 		for rc := http.NewResponseController(w); ; {
 			_ = rc.Flush()
 			select {
