--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -88,7 +88,7 @@
 }
 
 // While discovery is down, idle clients use all descriptors that the agent gives to clients. The agent must still have descriptors
-// for the first call to discovery after its recovery, for backends, for operators and for clients that send requests. The kernel
+// for the first call to discovery after discovery recovers, for backends, for operators and for clients that send requests. The kernel
 // enforces the descriptor limit of the process.
 func TestIdleClientsLeaveDescriptorsForWork(t *testing.T) {
 	const limit = 64 // the lowest that the program accepts
--- a/cmd/agent/folder_test.go
+++ b/cmd/agent/folder_test.go
@@ -136,8 +136,8 @@
 	_ = d.cmd.Wait()
 }
 
-// moveDiscovery starts another discovery service, writes the configuration text with its address, and makes the agent reload
-// the configuration.
+// moveDiscovery starts another discovery service, writes the configuration text with its address, and makes the
+// agent reload the configuration.
 func (r *replaceableAgent) moveDiscovery(t *testing.T, text []byte) {
 	t.Helper()
 	moved := newFakeDiscovery(t, r.discovery.list...)
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -54,7 +54,7 @@
   "Contract":{"AskWithinMs":1000,"DrainGraceMs":500,"GraceToAnswerMs":20,"ColdFrom":0.1,"RampTimeMs":20000,"FallMultiple":3,"FallMs":2000}}}`
 
 // startAgent starts an agent with a fault plan. If ln is not nil, the agent listens on ln and uses sharedDir, so that its process
-// can be replaced. edits are pairs of old and new texts that are replaced in the configuration.
+// can be replaced. edits are pairs of a text in the configuration and its replacement.
 func startAgent(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, sharedDir string,
 	edits ...string) *agentProcess {
 	t.Helper()
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -57,8 +57,8 @@
 	return cmd, log
 }
 
-// freeAddr returns an address at which nothing listens. Each address is on a different loopback host, so that no outgoing connection takes
-// the port before the test uses it.
+// freeAddr returns an address at which nothing listens. Each address is on a different loopback host, so that no
+// outgoing connection takes the port before the test uses it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	n := hostCounter.Add(1)
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -176,8 +176,8 @@
 }
 
 // drainUnderLoad lists a backend that refuses all requests as draining, or removes it from the list, while clients send requests.
-// drainUnderLoad checks that the last attempt arrives at the backend at most 550 ms after the list is published. If pause is true, the process is stopped for 0.15 s after the list is
-// published.
+// drainUnderLoad checks that the last attempt arrives at the backend at most 550 ms after the list is published. If pause is true,
+// the process is stopped for 0.15 s after the list is published.
 func drainUnderLoad(t *testing.T, state string, pause bool) {
 	t.Helper()
 	delay := schedulingDelay(t)
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -184,8 +184,8 @@
 }
 
 // With short deadlines the platform sends SIGKILL early: 0.7 s plus the longest deadline after SIGTERM. Although clients keep sending
-// on every open connection until then, backends hang and signals are repeated, the agent must answer each request and exit before
-// the SIGKILL.
+// on every open connection until that time, backends hang and signals are repeated, the agent must answer each request and exit
+// before the SIGKILL.
 func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
 	sigterm := []syscall.Signal{syscall.SIGTERM}
 	for name, c := range map[string]shutdownCase{
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -80,7 +80,7 @@
 }
 
 // After its configuration is replaced and SIGHUP is sent, the agent uses discovery at the new address, although the environment
-// still has the old one. A SIGHUP with an invalid configuration changes nothing.
+// still contains the old address. A SIGHUP with an invalid configuration changes nothing.
 func TestSighupFollowsDiscoveryToItsNewAddress(t *testing.T) {
 	watched := make(chan struct{}, 10)
 	discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// If SIGTERM, followed by another SIGHUP, arrives while a reload waits for its configuration to be written, the request in flight
-// is answered during the wait, and the program exits with status 0 when the configuration has been written, valid or not.
+// SIGTERM and then another SIGHUP arrive while a reload waits for its configuration to be written. The request in flight is answered
+// during the wait. When the configuration has been written, valid or not, the program exits with status 0.
 func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
 	for _, valid := range []bool{true, false} {
 		backend, addr := newBlockingBackend(t), freeAddr(t)
@@ -206,7 +206,7 @@
 	}
 }
 
-// A SIGHUP just before the program exits after a SIGTERM does not change the exit status.
+// A SIGHUP that arrives after a SIGTERM, just before the program exits, does not change the exit status.
 func TestSighupAtExitIsIgnored(t *testing.T) {
 	t.Setenv("AGENT_TEST_SIGHUP_AT_EXIT", "1")
 	addr := freeAddr(t)
@@ -218,8 +218,8 @@
 	}
 }
 
-// A new process that starts at the address of a draining one, with discovery down and a known list, serves as soon as the address
-// is free. The request in flight in the draining process is answered.
+// A new process starts at the address of a draining process, with discovery down and a known list. The new process serves as soon
+// as the address is free, and the request in flight in the draining process is answered.
 func TestNewProcessServesBesideADrainingOne(t *testing.T) {
 	arrived, release := make(chan struct{}, 10), make(chan struct{})
 	backend := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/agent/upload_test.go
+++ b/cmd/agent/upload_test.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// A backend starts to run a request only when the last byte has arrived. The agent must not pass on a response that arrives earlier, whether the rest of the
-// body arrives soon, late or never.
+// A backend starts to run a request only when the last byte has arrived. The agent must not pass on a response that arrives
+// earlier, whether the rest of the body arrives soon, late or never.
 func TestEarlyBackendResponseIsNotPassedOn(t *testing.T) {
 	const bodyLength, firstPart = 200_000, 100_000
 	for name, c := range map[string]struct {
--- a/cmd/martenbeam/fleetflags.go
+++ b/cmd/martenbeam/fleetflags.go
@@ -27,7 +27,7 @@
 	Dir      string        `name:"dir" help:"Where agents have their files; kept. Default: a temporary folder, removed." placeholder:"DIR"`
 }
 
-// apply applies the flags to a scenario and checks the result. If the duration changes, the fault times scale with it.
+// apply applies the flags to a scenario and checks the result. If the duration changes, the fault times scale with the duration.
 func (f *fleetFlags) apply(spec *scenario.Scenario) error {
 	if f.Agents != 0 {
 		spec.Fleet.Agents = f.Agents
--- a/cmd/martenbeam/lab.go
+++ b/cmd/martenbeam/lab.go
@@ -46,7 +46,8 @@
 	fleetFlags
 }
 
-// Run runs a scenario once, and prints its report and verdict.
+// Run runs a scenario once, prints the report, and writes the report and the events to the files that the flags name. The exit code
+// depends on the verdict.
 func (c *runCmd) Run(o *output) error {
 	spec, err := scenario.Read(c.Scenario)
 	if err == nil {
--- a/cmd/martenbeam/main_test.go
+++ b/cmd/martenbeam/main_test.go
@@ -15,7 +15,8 @@
 	"martenbeam/internal/lab"
 )
 
-// TestMain runs the program itself if a test has started this binary as the program, or the program has started it as an agent.
+// TestMain runs the program itself if a test has started this binary as the program, or the program has started
+// this binary as an agent.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARTENBEAM_TEST") == "1" || len(os.Args) == 2 && os.Args[1] == "agent" {
 		main()
