--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -47,7 +47,7 @@
 // listeners returns the listening addresses in a kernel socket table whose sockets are among the open files.
 func listeners(t *testing.T, table string, files map[string]bool) (addrs []string) {
 	t.Helper()
-	const state, listening, inode = 3, "0A", 9 // two columns and the value of the state column for a listener
+	const state, listening, inode = 3, "0A", 9 // state and inode are columns; listening is the state of a listener
 	f, err := os.Open(table)
 	if err != nil {
 		t.Fatal(err)
