--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -68,7 +68,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil {
-		// A reset, or a close between two requests, means that the agent did not read the request. The client sends the next one on
+		// A reset, or a close between two requests, means that the agent did not read the request. The client sends the next request on
 		// a new connection.
 		if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 			c.unanswered.Add(1)
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -94,7 +94,7 @@
 }
 
 // runPairs runs the pairs of all seeds, Parallel pairs at a time, and prints a line for each pair without an error. If several pairs
-// fail, runPairs returns the error of the first one in the order of seeds.
+// fail, runPairs returns the error of the first failed pair in the order of seeds.
 func (c *compareCmd) runPairs(ctx context.Context, o *output, seeds []uint64) ([]lab.Pair, error) {
 	pairs := make([]lab.Pair, len(seeds))
 	errs := make([]error, len(seeds))
