--- a/cmd/agent/bounds_test.go
+++ b/cmd/agent/bounds_test.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// openFiles returns the targets of a process's descriptors, each with whether it is open for writing.
+// openFiles returns the targets of a process's descriptors. The value is true if a descriptor is open for writing.
 func openFiles(t *testing.T, pid int) (files map[string]bool) {
 	t.Helper()
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -47,24 +47,24 @@
 // listeners returns the listening addresses in a kernel socket table whose sockets are among the open files.
 func listeners(t *testing.T, table string, files map[string]bool) (addrs []string) {
 	t.Helper()
-	const state, listening, inode = 3, "0A", 9
+	const state, listening, inode = 3, "0A", 9 // state and inode are columns; listening is the state of a listener
 	f, err := os.Open(table)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
-		field := strings.Fields(lines.Text())
-		if len(field) <= inode || field[state] != listening {
+		fields := strings.Fields(lines.Text())
+		if len(fields) <= inode || fields[state] != listening {
 			continue
 		}
-		if _, own := files["socket:["+field[inode]+"]"]; !own {
+		if _, own := files["socket:["+fields[inode]+"]"]; !own {
 			continue
 		}
-		ip, port, _ := strings.Cut(field[1], ":")
+		ip, port, _ := strings.Cut(fields[1], ":")
 		n, err := strconv.ParseUint(port, 16, 16)
 		if err != nil || len(ip) != 8 {
-			t.Errorf("the agent listens at %s, which is not an IPv4 address", field[1])
+			t.Errorf("the agent listens at %s, which is not an IPv4 address", fields[1])
 			continue
 		}
 		var b [4]byte
@@ -80,14 +80,14 @@
 	return addrs
 }
 
-// The agent listens only at its configured addresses, starts no processes, and has only its log and files in its scratch folder
-// open for writing.
+// The agent listens only at its configured addresses, starts no processes, and has no files open for writing except its log,
+// files in its scratch folder and devices.
 func TestAgentListensAndWritesOnlyWhereConfigured(t *testing.T) {
 	d := startAgent(t, newFakeDiscovery(t, readyEndpoint("s", newFakeBackend(t))).addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	for range 20 {
 		if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 	}
 	d.awaitAdminOK(t, testTimeout, "/_ready", "")
@@ -101,9 +101,9 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("the agent listens at %v, want %v", got, want)
 	}
-	own := filepath.Dir(d.configPath)
+	scratchDir := filepath.Dir(d.configPath)
 	for name, writable := range files {
-		if writable && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, own) && !strings.HasPrefix(name, "/dev/") {
+		if writable && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, scratchDir) && !strings.HasPrefix(name, "/dev/") {
 			t.Errorf("the agent has %s open for writing", name)
 		}
 	}
--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// startLimited starts the program with a descriptor limit that the kernel enforces, and returns a function that reads its log.
+// startLimited starts the program with a descriptor limit that the kernel enforces. The returned function reads the log.
 func startLimited(t *testing.T, config string, limit int) (log func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -88,7 +88,7 @@
 }
 
 // While discovery is down, idle clients use all descriptors that the agent gives to clients. The agent must still have descriptors
-// for the first call to discovery after its recovery, for backends, for operators and for clients that send requests. The kernel
+// for the first call to discovery after discovery recovers, for backends, for operators and for clients that send requests. The kernel
 // enforces the descriptor limit of the process.
 func TestIdleClientsLeaveDescriptorsForWork(t *testing.T) {
 	const limit = 64 // the lowest that the program accepts
@@ -100,7 +100,7 @@
 	awaitStatus := func(what, url string, status int) {
 		for end := time.Now().Add(testTimeout); statusOf(t, url) != status; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: the expected status did not arrive in time; log %s", what, log())
+				t.Fatalf("%s: no final answer with the expected status within the test timeout; log %s", what, log())
 			}
 		}
 	}
--- a/cmd/agent/fakes_test.go
+++ b/cmd/agent/fakes_test.go
@@ -23,19 +23,20 @@
 
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
-	s := &fakeBackend{}
-	s.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-		s.requestCount.Add(1)
-		s.requestIDs.Store(r.Header.Get("X-Trace-Id"), nil)
+	b := &fakeBackend{}
+	b.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		b.requestCount.Add(1)
+		b.requestIDs.Store(r.Header.Get("X-Trace-Id"), nil)
 		select {
-		case <-time.After(s.latency):
+		case <-time.After(b.latency):
 		case <-r.Context().Done():
 		}
 		fmt.Fprint(w, r.URL.Path)
 	})
-	return s
+	return b
 }
 
+// serveHTTP starts a server on a free port of 127.0.0.1 and returns its address. The server is closed when the test ends.
 func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,14 +69,15 @@
 	changed chan struct{} // closed when the next list is published
 }
 
+// newFakeDiscovery starts a discovery service that first sends the given endpoints as version 1.
 func newFakeDiscovery(t *testing.T, endpoints ...endpoint) *fakeDiscovery {
 	t.Helper()
-	c := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
-	c.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	d := &fakeDiscovery{list: endpoints, version: 1, changed: make(chan struct{})}
+	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for {
-			c.mu.Lock()
-			list, version, changed := c.list, c.version, c.changed
-			c.mu.Unlock()
+			d.mu.Lock()
+			list, version, changed := d.list, d.version, d.changed
+			d.mu.Unlock()
 			_ = json.NewEncoder(w).Encode(map[string]any{"version": version, "full": true, "servers": list})
 			_ = http.NewResponseController(w).Flush()
 			select {
@@ -85,7 +87,7 @@
 			}
 		}
 	})
-	return c
+	return d
 }
 
 // newEndpoint returns an endpoint in zone a with a state such as ready or draining.
@@ -96,11 +98,11 @@
 // readyEndpoint returns the endpoint of a backend in the state ready.
 func readyEndpoint(id string, b *fakeBackend) endpoint { return newEndpoint(id, b.addr, "ready") }
 
-// publish replaces the list and pushes it.
-func (c *fakeDiscovery) publish(list ...endpoint) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.list, c.version = list, c.version+1
-	close(c.changed)
-	c.changed = make(chan struct{})
+// publish replaces the list and pushes the new list to all open watches.
+func (d *fakeDiscovery) publish(list ...endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list, d.version = list, d.version+1
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
--- a/cmd/agent/harness_test.go
+++ b/cmd/agent/harness_test.go
@@ -32,6 +32,7 @@
 	return faultinject.Build(context.Background(), "../..", "./cmd/agent", dir)
 })
 
+// faultyDir is the folder of the program that faultyProgram has built. TestMain removes the folder.
 var faultyDir atomic.Pointer[string]
 
 // agentProcess is a running agent with fault injection.
@@ -53,7 +54,7 @@
   "Contract":{"AskWithinMs":1000,"DrainGraceMs":500,"GraceToAnswerMs":20,"ColdFrom":0.1,"RampTimeMs":20000,"FallMultiple":3,"FallMs":2000}}}`
 
 // startAgent starts an agent with a fault plan. If ln is not nil, the agent listens on ln and uses sharedDir, so that its process
-// can be replaced. edits are pairs of old and new texts that are replaced in the configuration.
+// can be replaced. edits are pairs of a text in the configuration and its replacement.
 func startAgent(t *testing.T, discovery string, plan faultinject.Plan, ln *net.TCPListener, sharedDir string,
 	edits ...string) *agentProcess {
 	t.Helper()
@@ -133,7 +134,8 @@
 	}
 }
 
-// adminCall calls the admin server. The status is 0 if the server did not answer.
+// adminCall calls the admin server and returns the status and the time until the answer. The status is 0 if the server did not
+// answer.
 func (d *agentProcess) adminCall(t *testing.T, path, body string) (status int, elapsed time.Duration) {
 	t.Helper()
 	method, startedAt := http.MethodPut, time.Now()
@@ -171,7 +173,7 @@
 
 var requestCounter atomic.Int64
 
-// get sends a request with a new id once, and reads the whole final answer.
+// get sends a GET request with a new id, reads the complete final answer and returns the status.
 func get(client *http.Client, addr, path string) (status int, err error) {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
@@ -223,7 +225,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", what, timeout)
+			t.Fatalf("%s: not observed within %v", what, timeout)
 		}
 	}
 }
--- a/cmd/agent/repeat_test.go
+++ b/cmd/agent/repeat_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// servedOf returns the number of requests that were served.
-func servedOf(statuses ...map[string]int) (served int) {
+// countServed returns the number of requests that were served.
+func countServed(statuses ...map[string]int) (served int) {
 	for _, answers := range statuses {
 		for _, status := range answers {
 			if status == http.StatusOK {
@@ -112,14 +112,14 @@
 const keyedClass = `{"Name":"put","AimMs":5000,"DeadlineMs":5000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":300},
    {"Name":"pay",`
 
-// checkRetries checks that each retry arrived within a time after the first attempt of its request, and returns the number of
-// retries.
+// checkRetries checks that no retry arrived later than within after the first attempt of the same request. It returns the number
+// of retries.
 func checkRetries(t *testing.T, arrivals map[string][]time.Time, within time.Duration) (retries int) {
 	t.Helper()
 	for id, at := range arrivals {
 		for _, retryAt := range at[1:] {
 			if retries++; retryAt.Sub(at[0]) > within {
-				t.Errorf("a retry of %s arrived too late, %v after its first attempt", id, retryAt.Sub(at[0]))
+				t.Errorf("a retry of request %s arrived too late, %v after the first attempt", id, retryAt.Sub(at[0]))
 			}
 		}
 	}
@@ -158,26 +158,26 @@
 				`"ConnectTimeoutMs":1000`, `"ConnectTimeoutMs":100`)
 			awaitReady(t, d.addr)
 			resume := d.stopRepeatedly(t)
-			statuses := postRequests(t, d.addr, "/put/x", 4)
-			keyed := arrivals.reset()
-			once := postRequests(t, d.addr, "/pay/x", 4)
+			keyedStatuses := postRequests(t, d.addr, "/put/x", 4)
+			keyedArrivals := arrivals.reset()
+			onceStatuses := postRequests(t, d.addr, "/pay/x", 4)
 			resume()
-			retries := checkRetries(t, keyed, window+slack+delay())
+			retries := checkRetries(t, keyedArrivals, window+slack+delay())
 			for id, at := range arrivals.reset() {
-				if len(at) > 1 || once[id] == http.StatusServiceUnavailable {
-					t.Errorf("%s, which must not run twice, arrived %d times and its final answer has status %d", id, len(at), once[id])
+				if len(at) > 1 || onceStatuses[id] == http.StatusServiceUnavailable {
+					t.Errorf("%s, which must not run twice, arrived %d times, want at most once, and its final answer has status %d, want any but 503", id, len(at), onceStatuses[id])
 				}
 			}
-			if retries == 0 || servedOf(statuses, once) > 0 {
-				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", retries, statuses, once)
+			if retries == 0 || countServed(keyedStatuses, onceStatuses) > 0 {
+				t.Errorf("%d retries, want some; no request may be served: keyed %v, non-idempotent %v", retries, keyedStatuses, onceStatuses)
 			}
 		})
 	}
 }
 
 // drainUnderLoad lists a backend that refuses all requests as draining, or removes it from the list, while clients send requests.
-// It checks when the last attempt arrives at the backend. If pause is true, the process is stopped for 0.15 s after the list is
-// published.
+// drainUnderLoad checks that the last attempt arrives at the backend at most 550 ms after the list is published. If pause is true,
+// the process is stopped for 0.15 s after the list is published.
 func drainUnderLoad(t *testing.T, state string, pause bool) {
 	t.Helper()
 	delay := schedulingDelay(t)
@@ -196,12 +196,12 @@
 	d := startAgent(t, discovery.addr, faultinject.Plan{}, nil, "")
 	awaitReady(t, d.addr)
 	stop := time.AfterFunc(time.Second, func() {
-		now := []endpoint{readyEndpoint("b", good)}
+		list := []endpoint{readyEndpoint("b", good)}
 		if state == "draining" {
 			old[0].State = state
-			now = append(now, old[0])
+			list = append(list, old[0])
 		}
-		discovery.publish(now...)
+		discovery.publish(list...)
 		if pause {
 			d.signal(t, syscall.SIGSTOP)
 			time.Sleep(150 * time.Millisecond)
@@ -217,12 +217,12 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if latest.IsZero() || latest.Sub(publishedAt) > 550*time.Millisecond+delay() {
-		t.Errorf("the latest attempt arrived %v after the list was published, want at least one attempt and none after 550 ms", latest.Sub(publishedAt))
+		t.Errorf("the latest attempt arrived %v after the list was published, want one attempt or more, and none later than 550 ms", latest.Sub(publishedAt))
 	}
 }
 
 // No attempt arrives at a backend later than 0.5 s after discovery lists it as draining or removes it, neither a first attempt nor
-// a retry, even if the process is stopped at that moment.
+// a retry, even if the process is stopped for 0.15 s when the list is published.
 func TestNoAttemptsToADrainingBackend(t *testing.T) {
 	for _, state := range []string{"draining", "removed"} {
 		for _, pause := range []bool{false, true} {
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -1,6 +1,6 @@
 package main
 
-// Shutdown with an early SIGKILL.
+// Shutdown before the earliest SIGKILL of the platform.
 
 import (
 	"bufio"
@@ -68,7 +68,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil {
-		// A reset, or a close between two requests, means that the agent did not read the request. The client sends the next one on
+		// A reset, or a close between two requests, means that the agent did not read the request. The client sends the next request on
 		// a new connection.
 		if !used && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 			c.unanswered.Add(1)
@@ -95,10 +95,10 @@
 	idleConnections int                 // opened before the signals
 	step            time.Duration       // of the wall clock, after the last signal
 	failure         faultinject.Failure // injected after the last signal
-	repeatSigterm   bool                // SIGTERM is repeated each millisecond; it may kill the process at its end, when nothing is open
+	repeatSigterm   bool                // SIGTERM is repeated each millisecond; one may kill the process just before its exit, when nothing is open
 }
 
-// signal sends the signals and then injects the faults. It returns the time of the first SIGTERM.
+// signal sends the signals, then steps the wall clock and injects the failure. It returns the time of the first SIGTERM.
 func (c *shutdownCase) signal(t *testing.T, d *agentProcess) (terminatedAt time.Time) {
 	t.Helper()
 	for _, s := range c.signals {
@@ -132,7 +132,7 @@
 	select {
 	case err := <-exited:
 		if err != nil && !(c.repeatSigterm && d.killedBy(syscall.SIGTERM)) {
-			t.Errorf("the agent exited with %v", err)
+			t.Errorf("the agent exited with %v, want status 0", err)
 		}
 	case <-time.After(time.Until(terminatedAt.Add(c.deadline + 700*time.Millisecond))):
 		select {
@@ -155,11 +155,11 @@
 	awaitReady(t, d.addr)
 	delay := schedulingDelay(t)
 	var stop atomic.Bool
-	var answered, lost atomic.Int64
+	var answered, unanswered atomic.Int64
 	var unansweredIDs sync.Map
 	var clients sync.WaitGroup
 	for range 10 {
-		clients.Go((&shutdownClient{d.addr, &stop, &answered, &lost, &unansweredIDs, t}).run)
+		clients.Go((&shutdownClient{d.addr, &stop, &answered, &unanswered, &unansweredIDs, t}).run)
 	}
 	for range c.idleConnections {
 		if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
@@ -172,11 +172,11 @@
 	stop.Store(true)
 	_ = d.cmd.Process.Kill()
 	clients.Wait()
-	if answered.Load() == before || lost.Load() > 0 {
-		t.Errorf("%d requests answered since the signal, want some; %d lost, want none", answered.Load()-before, lost.Load())
+	if answered.Load() == before || unanswered.Load() > 0 {
+		t.Errorf("%d requests answered since the signal, want some; %d unanswered, want none", answered.Load()-before, unanswered.Load())
 	}
 	unansweredIDs.Range(func(id, err any) bool {
-		if _, had := backend.requestIDs.Load(id); had {
+		if _, reached := backend.requestIDs.Load(id); reached {
 			t.Errorf("request %v reached the backend, but its connection was closed without a final answer: %v", id, err)
 		}
 		return true
@@ -184,8 +184,8 @@
 }
 
 // With short deadlines the platform sends SIGKILL early: 0.7 s plus the longest deadline after SIGTERM. Although clients keep sending
-// on every open connection until then, backends hang and signals are repeated, the agent must answer each request and exit before
-// the SIGKILL.
+// on every open connection until that time, backends hang and signals are repeated, the agent must answer each request and exit
+// before the SIGKILL.
 func TestAgentEndsBeforeTheEarliestKill(t *testing.T) {
 	sigterm := []syscall.Signal{syscall.SIGTERM}
 	for name, c := range map[string]shutdownCase{
--- a/cmd/agent/signals_test.go
+++ b/cmd/agent/signals_test.go
@@ -1,6 +1,6 @@
 package main
 
-// SIGHUP and SIGTERM: alone, together, and while requests are in flight.
+// SIGHUP and SIGTERM, alone and together, also while requests are in flight.
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// blockingBackend is a backend that takes one request and responds "done" after release is closed.
+// blockingBackend is a backend that serves one request: it responds "done" after release is closed.
 type blockingBackend struct {
 	addr    string
 	arrived chan struct{} // closed when the request has arrived
@@ -33,8 +33,8 @@
 	return b
 }
 
-// answerTo sends a request to an agent and returns the status, body and error of the final answer as one string.
-func answerTo(client *http.Client, addr, path, id string) string {
+// finalAnswerTo sends a request to an agent and returns the status, body and error of the final answer as one string.
+func finalAnswerTo(client *http.Client, addr, path, id string) string {
 	req, err := http.NewRequest("GET", "http://"+addr+path, nil)
 	if err != nil {
 		return err.Error()
@@ -80,7 +80,7 @@
 }
 
 // After its configuration is replaced and SIGHUP is sent, the agent uses discovery at the new address, although the environment
-// still has the old one. A SIGHUP with an invalid configuration changes nothing.
+// still contains the old address. A SIGHUP with an invalid configuration changes nothing.
 func TestSighupFollowsDiscoveryToItsNewAddress(t *testing.T) {
 	watched := make(chan struct{}, 10)
 	discovery := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -117,20 +117,20 @@
 	backend, addr := newBlockingBackend(t), freeAddr(t)
 	cmd, log := startProgram(t, fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr))
 	awaitReady(t, addr)
-	answered := inBackground(func() string { return answerTo(http.DefaultClient, addr, "/get/x", "1") })
+	answered := inBackground(func() string { return finalAnswerTo(http.DefaultClient, addr, "/get/x", "1") })
 	awaitArrival(t, backend.arrived)
 	terminate(t, cmd)
 	close(backend.release)
 	if got := <-answered; got != "200done<nil>" {
-		t.Errorf("final answer %q", got)
+		t.Errorf("final answer %q, want status 200 and body done", got)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v; log %q", err, log)
+		t.Errorf("exit error %v, want status 0; log %q", err, log)
 	}
 }
 
-// openOnRead waits until another process has opened a named pipe for reading, and returns the writing end.
-func openOnRead(t *testing.T, path string) *os.File {
+// awaitPipeReader waits until another process has opened a named pipe for reading, and returns the writing end.
+func awaitPipeReader(t *testing.T, path string) *os.File {
 	t.Helper()
 	opened := make(chan *os.File, 1)
 	go func() {
@@ -166,21 +166,21 @@
 	}
 }
 
-// If SIGTERM, followed by another SIGHUP, arrives while a reload waits for its configuration to be written, the request in flight
-// is answered during the wait, and the program exits with status 0 when the configuration has been written, valid or not.
+// SIGTERM and then another SIGHUP arrive while a reload waits for its configuration to be written. The request in flight is answered
+// during the wait. When the configuration has been written, valid or not, the program exits with status 0.
 func TestSigtermDuringAReloadEndsTheProgram(t *testing.T) {
-	for _, usable := range []bool{true, false} {
+	for _, valid := range []bool{true, false} {
 		backend, addr := newBlockingBackend(t), freeAddr(t)
 		text := fmt.Sprintf(configTemplate, addr, freeAddr(t), backend.addr)
 		cmd, log := startProgram(t, text)
 		awaitReady(t, addr)
-		answered := inBackground(func() string { return answerTo(http.DefaultClient, addr, "/get/x", "1") })
+		answered := inBackground(func() string { return finalAnswerTo(http.DefaultClient, addr, "/get/x", "1") })
 		awaitArrival(t, backend.arrived)
 		path := configPath(cmd)
 		if err := errors.Join(os.Remove(path), syscall.Mkfifo(path, 0o600), cmd.Process.Signal(syscall.SIGHUP)); err != nil {
 			t.Fatal(err)
 		}
-		pipe := openOnRead(t, path)
+		pipe := awaitPipeReader(t, path)
 		if err := errors.Join(os.Remove(path), os.WriteFile(path, []byte(text), 0o600),
 			cmd.Process.Signal(syscall.SIGTERM)); err != nil {
 			t.Fatal(err)
@@ -191,9 +191,9 @@
 		}
 		close(backend.release)
 		if got := <-answered; got != "200done<nil>" { // the reload is still waiting
-			t.Errorf("final answer %q", got)
+			t.Errorf("final answer %q, want status 200 and body done", got)
 		}
-		if !usable {
+		if !valid {
 			text = "{no configuration"
 		}
 		if _, err := pipe.WriteString(text); err != nil {
@@ -201,12 +201,12 @@
 		}
 		pipe.Close()
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v; log %q", err, log)
+			t.Errorf("exit error %v, want status 0; log %q", err, log)
 		}
 	}
 }
 
-// A SIGHUP just before the program exits after a SIGTERM does not change the exit status.
+// A SIGHUP that arrives after a SIGTERM, just before the program exits, does not change the exit status.
 func TestSighupAtExitIsIgnored(t *testing.T) {
 	t.Setenv("AGENT_TEST_SIGHUP_AT_EXIT", "1")
 	addr := freeAddr(t)
@@ -214,12 +214,12 @@
 	awaitReady(t, addr)
 	terminate(t, cmd)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v; log %q", err, log)
+		t.Errorf("exit error %v, want status 0; log %q", err, log)
 	}
 }
 
-// A new process that starts at the address of a draining one, with discovery down and a known list, serves as soon as the address
-// is free. The request in flight in the draining process is answered.
+// A new process starts at the address of a draining process, with discovery down and a known list. The new process serves as soon
+// as the address is free, and the request in flight in the draining process is answered.
 func TestNewProcessServesBesideADrainingOne(t *testing.T) {
 	arrived, release := make(chan struct{}, 10), make(chan struct{})
 	backend := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -233,23 +233,23 @@
 	drainingProcess, _ := startProgram(t, text)
 	awaitReady(t, addr)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answered := inBackground(func() string { return answerTo(client, addr, "/get/held", "/get/held") })
+	answered := inBackground(func() string { return finalAnswerTo(client, addr, "/get/held", "/get/held") })
 	awaitArrival(t, arrived)
 	terminate(t, drainingProcess)
 	newProcess, log := startProgram(t, text) // the draining process is still listening
 	awaitReady(t, addr)                      // only the new process can pass the health check: the draining one fails it
-	if got := answerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
-		t.Errorf("final answer of the new process: %q", got)
+	if got := finalAnswerTo(client, addr, "/get/new", "/get/new"); got != "200/get/new<nil>" {
+		t.Errorf("final answer of the new process: %q, want status 200 and the path", got)
 	}
 	close(release)
 	if got := <-answered; got != "200/get/held<nil>" {
-		t.Errorf("final answer of the draining process: %q", got)
+		t.Errorf("final answer of the draining process: %q, want status 200 and the path", got)
 	}
 	if err := drainingProcess.Wait(); err != nil {
 		t.Error(err)
 	}
 	terminate(t, newProcess)
 	if err := newProcess.Wait(); err != nil {
-		t.Errorf("%v; log %q", err, log)
+		t.Errorf("exit error %v, want status 0; log %q", err, log)
 	}
 }
--- a/cmd/agent/wall_test.go
+++ b/cmd/agent/wall_test.go
@@ -19,7 +19,8 @@
 	"martenbeam/internal/lab/faultinject"
 )
 
-// startRequest sends the first part of a request, so that the connection stays open during a shutdown.
+// startRequest sends the first part of a request on a new connection and returns the connection, which the agent keeps open during
+// a shutdown.
 func startRequest(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -56,7 +57,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 			var answer bytes.Buffer
 			if _, err := io.Copy(&answer, c); err != nil || !strings.HasPrefix(answer.String(), "HTTP/1.1 200") {
-				t.Errorf("error %v, final answer %q", err, answer.String())
+				t.Errorf("error %v, final answer %q, want status 200", err, answer.String())
 			}
 			if err := d.cmd.Wait(); err != nil {
 				t.Error(err)
@@ -76,14 +77,14 @@
 			awaitReady(t, d.addr)
 			c := startRequest(t, d.addr)
 			d.signal(t, syscall.SIGTERM)
-			kill := time.Now().Add(3700 * time.Millisecond) // 0.7 s plus the longest deadline, which counts as 3 s at most
+			killAt := time.Now().Add(3700 * time.Millisecond) // 0.7 s plus the longest deadline, which counts as 3 s at most
 			await(t, "log line about the shutdown", testTimeout, func() bool { return strings.Contains(d.logText(t), "msg=stopping") })
 			d.applyPlan(t, faultinject.Plan{Wall: step})
 			time.Sleep(time.Second)
 			if _, err := fmt.Fprintf(c, "\r\n"); err != nil {
 				t.Fatal(err)
 			}
-			_ = c.SetReadDeadline(kill)
+			_ = c.SetReadDeadline(killAt)
 			if _, err := c.Read(make([]byte, 1)); err != nil {
 				t.Errorf("no final answer before the earliest SIGKILL: %v", err)
 			}
@@ -91,8 +92,9 @@
 	}
 }
 
-// The share of requests for a cold backend depends on the measured speed of the other backends. To make the share independent of
-// the machine, requests take a fixed time and are sent at fixed intervals.
+// serviceTime and requestInterval are the fixed time that a request takes and the fixed interval between requests. The share of
+// requests for a cold backend depends on the measured speed of the other backends; fixed times make the share independent of the
+// machine.
 const serviceTime, requestInterval = 20 * time.Millisecond, 5 * time.Millisecond
 
 // sendPaced sends n requests at fixed intervals and waits for the final answers. It returns the number of served requests, which may
@@ -111,7 +113,7 @@
 				count.Add(1)
 			case http.StatusServiceUnavailable:
 			default:
-				t.Errorf("status %d, %v", status, err)
+				t.Errorf("status %d, error %v, want 200 or 503", status, err)
 			}
 		})
 	}
@@ -190,7 +192,7 @@
 type mutableDiscovery struct {
 	addr    string
 	watches atomic.Int64
-	muted   atomic.Int64 // watches with a number up to this one send nothing more
+	muted   atomic.Int64 // number of the last watch that sends no more empty lines
 
 	mu   sync.Mutex
 	list []endpoint
@@ -202,11 +204,11 @@
 	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		n := d.watches.Add(1)
 		d.mu.Lock()
-		now := d.list
+		current := d.list
 		d.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": now})
-		for flush := http.NewResponseController(w); ; {
-			_ = flush.Flush()
+		_ = json.NewEncoder(w).Encode(map[string]any{"version": n, "full": true, "servers": current})
+		for rc := http.NewResponseController(w); ; {
+			_ = rc.Flush()
 			select {
 			case <-r.Context().Done():
 				return
@@ -227,7 +229,7 @@
 	d.list = list
 }
 
-// mute makes all open watches send nothing more.
+// mute makes all open watches send no more empty lines.
 func (d *mutableDiscovery) mute() { d.muted.Store(d.watches.Load()) }
 
 // timeOfRequest sends a request with a deadline in seconds, calls step after 0.5 s, and returns how long the request takes.
@@ -251,7 +253,7 @@
 	return time.Since(startedAt)
 }
 
-// Deadlines, the timeout of a watch that sends nothing and the grace period of draining backends do not follow the wall clock.
+// Deadlines, the timeout of a watch that sends nothing and the grace period of draining backends do not depend on the wall clock.
 func TestWallClockStepsDoNotChangeTimeouts(t *testing.T) {
 	for _, steps := range [][]time.Duration{{time.Hour}, {-time.Hour}, {2 * time.Second}, {-2 * time.Second},
 		{time.Hour, -time.Hour}} {
@@ -283,7 +285,7 @@
 			before := hanging.requestCount.Load()
 			for range 10 {
 				if status, err := get(singleUseClient, d.addr, "/get/x"); status != 200 {
-					t.Errorf("status %d, %v", status, err)
+					t.Errorf("status %d, error %v, want 200", status, err)
 				}
 			}
 			if n := hanging.requestCount.Load() - before; n > 0 {
--- a/cmd/martenbeam/compare.go
+++ b/cmd/martenbeam/compare.go
@@ -37,8 +37,8 @@
 
 // parseSeeds parses a list of seeds and ranges of seeds, such as "1-5" or "1,4,9", and returns each seed once.
 func parseSeeds(text string) (list []uint64, err error) {
-	for _, part := range strings.Split(text, ",") {
-		low, high, isRange := strings.Cut(part, "-")
+	for _, item := range strings.Split(text, ",") {
+		low, high, isRange := strings.Cut(item, "-")
 		if !isRange {
 			high = low
 		}
@@ -46,7 +46,7 @@
 		to, highErr := strconv.ParseUint(high, 10, 64)
 		const maxRange = 1000
 		if lowErr != nil || highErr != nil || to < from || to-from >= maxRange {
-			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range of at most 1000 seeds such as 1-5", part)
+			return nil, fmt.Errorf("--seeds: %q is neither a seed nor a range of at most 1000 seeds such as 1-5", item)
 		}
 		for s := from; s <= to; s++ {
 			if !slices.Contains(list, s) {
@@ -57,7 +57,8 @@
 	return list, nil
 }
 
-// Run runs the scenario with each seed and both versions, prints the differences, and writes them to the --json file.
+// Run runs the scenario with each seed and both versions, prints the differences, and writes the pairs and differences to the --json
+// file. If no pair has a valid result, it returns exitInconclusive.
 func (c *compareCmd) Run(o *output) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// runPairs runs the pairs of all seeds, Parallel pairs at a time, and prints a line for each pair. If several pairs fail, it
-// returns the error of the first seed in the list.
+// runPairs runs the pairs of all seeds, Parallel pairs at a time, and prints a line for each pair without an error. If several pairs
+// fail, runPairs returns the error of the first failed pair in the order of seeds.
 func (c *compareCmd) runPairs(ctx context.Context, o *output, seeds []uint64) ([]lab.Pair, error) {
 	pairs := make([]lab.Pair, len(seeds))
 	errs := make([]error, len(seeds))
@@ -150,7 +151,7 @@
 	return texts
 }
 
-// runPair runs one seed with both versions. A runs first for odd seeds and B for even ones.
+// runPair runs one seed with both versions. A runs first for odd seeds, B for even seeds.
 func (c *compareCmd) runPair(ctx context.Context, o *output, seed uint64) (pair lab.Pair, err error) {
 	pair.Seed = seed
 	order := []string{"a", "b"}
