--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -15,9 +15,9 @@
 	"martenbeam/internal/wire"
 )
 
-// Configurations: the files that operators write, and the platform's form.
+// Tests of the configuration files that operators write, and of the platform's JSON form.
 
-// The keys of each file, and the defaults as `config print` shows them.
+// Both configuration files keep their keys, and `config print` keeps printing the same defaults.
 func TestConfigurationsKeepTheirKeys(t *testing.T) {
 	goldenKeys[config.Config](t, "agent-keys.txt")
 	goldenKeys[config.Hub](t, "hub-keys.txt")
@@ -25,7 +25,7 @@
 	golden(t, "hub-defaults.toml", []byte(config.DefaultHub))
 }
 
-// A complete file of an agent means the same in the platform's form.
+// A complete agent file converts to the same platform form and to the same shared settings.
 func TestAgentFileMeansTheSameOnThePlatform(t *testing.T) {
 	c, err := config.Parse("agent.toml", string(stored(t, "agent.toml")))
 	if err != nil {
@@ -47,7 +47,7 @@
 	goldenJSON(t, "agent-shared.json", shared)
 }
 
-// A complete file of a hub is read, and no key of it is unknown.
+// ParseHub reads every key of a complete hub file, and rejects an unknown key.
 func TestHubFileIsRead(t *testing.T) {
 	h, err := config.ParseHub("hub.toml", string(stored(t, "hub.toml")))
 	if err != nil {
@@ -63,11 +63,11 @@
 	}
 	if _, err := config.ParseHub("hub.toml", "lable = \"x\"\n"); err == nil ||
 		!strings.Contains(err.Error(), "hub.toml:1: lable: unknown key") {
-		t.Errorf("an unknown key: %v", err)
+		t.Errorf("unknown key: got error %v", err)
 	}
 }
 
-// The platform's configuration is read key by key.
+// Each key of the platform's configuration sets the same field.
 func TestPlatformConfigurationKeepsItsKeys(t *testing.T) {
 	c, err := load(stored(t, "platform.json"))
 	if err != nil {
@@ -87,8 +87,8 @@
 		Read: func() ([]byte, error) { return raw, nil }}.Load()
 }
 
-// Each key of the platform's configuration, the settings' included, changes what is read when its value changes, or can't
-// be read then. A key that was renamed would be ignored.
+// A changed value of any key of the platform's configuration, settings included, changes the loaded configuration or
+// makes Load fail. Load would ignore a key that was renamed in the code.
 func TestNoKeyOfThePlatformIsPassedOver(t *testing.T) {
 	raw := stored(t, "platform.json")
 	before, err := load(raw)
@@ -128,15 +128,15 @@
 			t.Fatal(err)
 		}
 		if after, err := load(text); err == nil && reflect.DeepEqual(before, after) {
-			t.Errorf("%s: another value makes no difference", leaf)
+			t.Errorf("%s: a changed value does not change the loaded configuration", leaf)
 		}
 	}
 	if len(leaves) < 70 {
-		t.Errorf("%d keys", len(leaves))
+		t.Errorf("got %d keys, want at least 70", len(leaves))
 	}
 }
 
-// change gives the leaf of a document another value of its kind.
+// change replaces the value of one leaf of a JSON document by another value of the same type.
 func change(v any, path, leaf string) {
 	other := func(x any) any {
 		switch x := x.(type) {
@@ -169,7 +169,7 @@
 	}
 }
 
-// The settings of the start message mean the same.
+// ParseSettings decodes each field of the start message's settings.
 func TestSettingsOfTheStartMessageKeepTheirMeaning(t *testing.T) {
 	var doc struct {
 		Settings json.RawMessage `json:"settings"`
--- a/internal/forms/doc.go
+++ b/internal/forms/doc.go
@@ -1,7 +1,8 @@
-// Package forms holds tests alone: they pin, as bytes, what this program writes for others and for itself to read later
-// (wire messages, stored files, reports, keys of configurations), and read what an earlier commit has stored.
+// Package forms contains only golden tests of the program's external formats: wire messages, stored files, reports and
+// configuration keys. The tests compare what the program writes byte for byte with the files in testdata, and read files
+// that an earlier commit has written.
 //
-// The files in testdata were written by the program. A change of one is a change of a form that other processes, or a
-// later process, rely on. To write them anew on purpose: go test ./internal/forms -update, which is refused where the
-// environment variable CI is set.
+// A changed file in testdata means a changed format, on which other processes or a later process of this program rely.
+// go test ./internal/forms -update rewrites the files after an intended change; it fails where the environment variable
+// CI is set.
 package forms
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -20,9 +20,9 @@
 	"martenbeam/internal/fleet/startup"
 )
 
-// What processes of a fleet write to each other.
+// Tests of the messages that the processes of a fleet exchange.
 
-// Each kind of frame between an agent and its hub.
+// Each kind of frame between an agent and its hub encodes to the same bytes, and decodes from them.
 func TestHubFramesKeepTheirBytes(t *testing.T) {
 	frames := []struct {
 		name string
@@ -55,7 +55,7 @@
 	equal(t, "path and protocol", []string{frame.Path, frame.Protocol}, []string{"/hub", "martenbeam-hub"})
 }
 
-// A gossip message with one entry of each kind, and the bodies that have an encoding of their own.
+// A gossip message with one entry of each kind, and each body that has its own encoding, keep their bytes.
 func TestGossipedFactsKeepTheirBytes(t *testing.T) {
 	standing := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
 	census := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
@@ -88,15 +88,15 @@
 	}
 	equal(t, "read back", got, m)
 	if s, ok := documents.ParseAppliedVersion(got.Entries[2].Body); !ok {
-		t.Error("the standing can't be read")
+		t.Error("the body of the residency version does not parse")
 	} else {
-		equal(t, "standing", s, standing)
+		equal(t, "applied version", s, standing)
 	}
 	c, err := hub.ParseFleetSize(got.Entries[5].Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equal(t, "census", c, census)
+	equal(t, "fleet size", c, census)
 	var kinds []string
 	for k := gossip.ListServiceLoad; k <= gossip.FleetSize; k++ {
 		kinds = append(kinds, k.String())
@@ -104,14 +104,14 @@
 	equal(t, "kinds", kinds, []string{"service", "distance", "residency", "gone", "settings", "census"})
 }
 
-// The load of the list service, as a caller publishes it and as a hub aggregates it.
+// The list service's load keeps its bytes as an agent publishes it and as a hub aggregates it.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
 	facts := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
 	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: facts})
 	p.RecordAttempt(time.Millisecond, true, 9)
 	entries := facts.Entries(gossip.ListServiceLoad)
 	if len(entries) != 1 {
-		t.Fatalf("%d facts", len(entries))
+		t.Fatalf("got %d entries, want 1", len(entries))
 	}
 	goldenHex(t, "body-service.hex", entries[0].Body)
 	entries[0].Body = storedHex(t, "body-service.hex")
@@ -124,7 +124,7 @@
 	goldenHex(t, "body-service-sum.hex", bytes.Join(sums, nil))
 }
 
-// A row of the latency matrix.
+// A row of the latency matrix encodes to the same bytes, with the age of its oldest pair.
 func TestDistanceRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
 		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5,
@@ -137,7 +137,7 @@
 	equal(t, "age", age, 2*time.Second)
 }
 
-// A latency probe is answered with the same label and nonce.
+// The reply to a latency probe repeats the probe's label and nonce.
 func TestDistanceDatagramKeepsItsBytes(t *testing.T) {
 	var sent []byte
 	write := func(data []byte, _ netip.AddrPort) (time.Time, error) {
@@ -147,11 +147,11 @@
 	p := latency.New(latency.Config{Name: "n1", Site: "a", Label: "fleet", Send: write})
 	ask := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
 	ask = append(ask, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
-	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // held for longer than the field can say
+	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // the processing time exceeds the field's range
 	goldenHex(t, "datagram-reply.hex", sent)
 }
 
-// What a member says of itself with its name.
+// The metadata that a member publishes with its name encodes to the same bytes, and decodes from them.
 func TestMemberMetaKeepsItsBytes(t *testing.T) {
 	data, err := cbor.Marshal(filled[member.Meta]())
 	if err != nil {
@@ -165,7 +165,7 @@
 	equal(t, "read back", got, *filled[member.Meta]())
 }
 
-// The document that a process serves, and a hub's report on settings.
+// The document that a process serves over HTTP and a hub's report on settings keep their JSON form.
 func TestTextsAndReportsOverHTTPKeepTheirForm(t *testing.T) {
 	k := &documents.Document{Holder: holder{}}
 	w := httptest.NewRecorder()
@@ -184,7 +184,7 @@
 func (holder) Apply(int64, string) error         { return nil }
 func (holder) Text(string) (int64, string, bool) { return 12, "version = 12\n", true }
 
-// A line of a fleet's trace, except for its time.
+// A line of a fleet's trace keeps its keys and values; its time differs in each run and is set to 0.
 func TestTraceLinesKeepTheirForm(t *testing.T) {
 	var b bytes.Buffer
 	trace := gossip.Trace{W: &b}
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 		if at, ok := v["at"].(float64); !ok || at <= 0 {
-			t.Errorf("at %v", v["at"])
+			t.Errorf("key at: got %v, want a positive number", v["at"])
 		}
 		v["at"] = 0
 		text, err := json.Marshal(v)
@@ -211,9 +211,9 @@
 	golden(t, "trace.jsonl", out)
 }
 
-// Each kind of entry has a bound.
+// Each of the six kinds of gossip entry has an age bound.
 func TestFactsHaveBounds(t *testing.T) {
 	if n := reflect.ValueOf(gossip.DefaultAgeBounds).Len(); n != 6 {
-		t.Errorf("%d bounds", n)
+		t.Errorf("got %d age bounds, want 6", n)
 	}
 }
--- a/internal/forms/golden_test.go
+++ b/internal/forms/golden_test.go
@@ -17,17 +17,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Comparing with the files in testdata, and values to encode.
+// Helpers that compare values with the files in testdata, and that generate values to encode.
 
-var update = flag.Bool("update", false, "write the files in testdata anew; refused where CI is set")
+var update = flag.Bool("update", false, "rewrite the files in testdata; fails where CI is set")
 
-// golden compares text with a file in testdata.
+// golden compares got with a file in testdata, or writes the file if -update is set.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
 		if os.Getenv("CI") != "" {
-			t.Fatal("-update is refused where CI is set")
+			t.Fatal("-update must not be used where CI is set")
 		}
 		if err := os.WriteFile(file, got, 0o644); err != nil {
 			t.Fatal(err)
@@ -39,11 +39,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed.\ngot:\n%s\nwant:\n%s", name, got, want)
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
 	}
 }
 
-// goldenHex compares bytes with a file that holds them as hexadecimal digits.
+// goldenHex compares bytes with a file of hexadecimal digits, 64 in a line.
 func goldenHex(t *testing.T, name string, got []byte) {
 	t.Helper()
 	var text bytes.Buffer
@@ -55,7 +55,7 @@
 	golden(t, name, text.Bytes())
 }
 
-// goldenJSON compares the JSON form of a value with a file.
+// goldenJSON compares a value's indented JSON with a file.
 func goldenJSON(t *testing.T, name string, v any) {
 	t.Helper()
 	text, err := json.MarshalIndent(v, "", " ")
@@ -65,7 +65,7 @@
 	golden(t, name, append(text, '\n'))
 }
 
-// stored returns a file of testdata.
+// stored returns the contents of a file in testdata.
 func stored(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -75,7 +75,7 @@
 	return text
 }
 
-// storedHex returns the bytes that a file of testdata holds as hexadecimal digits.
+// storedHex returns the bytes in a file that goldenHex has written.
 func storedHex(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := hex.DecodeString(strings.ReplaceAll(string(stored(t, name)), "\n", ""))
@@ -85,7 +85,7 @@
 	return data
 }
 
-// filled returns a value whose fields are all set, each to another value.
+// filled returns a value whose exported fields are all set, numbers and strings each to a different value.
 func filled[T any]() *T {
 	v := new(T)
 	n := 0
@@ -93,6 +93,7 @@
 	return v
 }
 
+// fill sets v and its exported fields. n counts the values that it has visited.
 func fill(v reflect.Value, n *int) {
 	if !v.CanSet() {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-// tomlKeys lists the keys under which TOML reads a type, each with the kind of its value.
+// tomlKeys returns the TOML keys that decode into a type, each with the kind of its value. key is the prefix.
 func tomlKeys(t reflect.Type, key string) (list []string) {
 	decodes := reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]()) ||
 		reflect.PointerTo(t).Implements(reflect.TypeFor[toml.Unmarshaler]())
@@ -167,12 +168,13 @@
 	return list
 }
 
+// goldenKeys compares the TOML keys of a type with a file.
 func goldenKeys[T any](t *testing.T, name string) {
 	t.Helper()
 	golden(t, name, []byte(strings.Join(tomlKeys(reflect.TypeFor[T](), ""), "\n")+"\n"))
 }
 
-// equal compares a decoded value with what is expected.
+// equal fails the test if got and want are not deeply equal.
 func equal(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -12,9 +12,10 @@
 	"martenbeam/internal/scale/overhead"
 )
 
-// What the lab and the measurements write, and the scenarios that the lab reads.
+// Tests of the reports of the lab and of the measurements, and of the scenarios that the lab reads.
 
-// The report of a run, and of a comparison.
+// The reports of a run, of a comparison and of the overhead measurement keep their keys, and verdicts and measures their
+// names.
 func TestReportsKeepTheirForm(t *testing.T) {
 	goldenJSON(t, "report.json", filled[lab.Report]())
 	goldenJSON(t, "pair.json", lab.Pair{Seed: 1})
@@ -31,7 +32,8 @@
 	golden(t, "measures.txt", []byte(strings.Join(measures, "\n")+"\n"))
 }
 
-// The history of a request, as `lab run --events` writes it and `lab trace` reads it.
+// The history of a request, which `lab run --events` writes and `lab trace` reads, keeps its keys; rules and answers keep
+// their names.
 func TestRequestHistoryKeepsItsForm(t *testing.T) {
 	q := check.Request{ID: "r1", FirstID: "r2", Attempt: 3, Agent: 4, Class: 5, SentAt: 6, Timeout: 7,
 		History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
@@ -51,12 +53,12 @@
 	golden(t, "answers.txt", []byte(strings.Join(answers, "\n")+"\n"))
 }
 
-// The plan of faults that the lab injects into a program.
+// The plan of faults that the lab injects into a process keeps its keys.
 func TestInjectedPlanKeepsItsForm(t *testing.T) {
 	goldenJSON(t, "inject-plan.json", filled[faultinject.Plan]())
 }
 
-// The keys of a scenario, the built-in ones and the kinds of fault.
+// The keys of a scenario, the names of the built-in scenarios and the kinds of fault stay the same.
 func TestScenariosKeepTheirNames(t *testing.T) {
 	goldenKeys[scenario.Scenario](t, "scenario-keys.txt")
 	golden(t, "scenarios.txt", []byte(strings.Join(scenario.Names(), "\n")+"\n"))
@@ -74,7 +76,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if s.Name != name {
-			t.Errorf("%s is called %s", name, s.Name)
+			t.Errorf("scenario %s has the name %s", name, s.Name)
 		}
 	}
 }
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -12,9 +12,9 @@
 	"martenbeam/internal/wire"
 )
 
-// The forms of package wire, and what the decision module encodes itself.
+// Tests of the formats of package wire, and of the formats that the decision module encodes itself.
 
-// Each event of a batch, in the form of the bench.
+// Reader decodes each kind of event of a batch in the bench's format.
 func TestEventsOfTheBenchKeepTheirForm(t *testing.T) {
 	const ms = time.Millisecond
 	r := wire.NewReader(bytes.NewReader(stored(t, "batch.jsonl")))
@@ -45,21 +45,21 @@
 		balancer.ResponseStarted{Request: "r1", Attempt: 26}, balancer.Abandoned{Request: "r1"}, balancer.TimerFired{Token: 27},
 		balancer.GossipReceived{From: 28, Data: []byte{29, 30}})
 	if b.Now != 1500250*time.Microsecond || len(b.Events) != len(events)+2 {
-		t.Fatalf("at %v, %d events", b.Now, len(b.Events))
+		t.Fatalf("batch at %v with %d events", b.Now, len(b.Events))
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 99 || o.Settings.Balancers != 3 || len(o.Settings.Classes) != 2 {
-		t.Errorf("opened with %+v", b.Events[0])
+		t.Errorf("the first event opens the agent with %+v", b.Events[0])
 	}
 	for i, e := range events {
 		equal(t, fmt.Sprintf("event %d", i), b.Events[1+i], wire.Event{Line: 4 + i, Agent: 7, Event: e})
 	}
 	if last := b.Events[len(b.Events)-1]; !last.Retire || last.Agent != 7 {
-		t.Errorf("retired with %+v", last)
+		t.Errorf("the last event is %+v, want agent 7 retired", last)
 	}
-	equal(t, "the key of an item", wire.AffinityKey("item22"), uint64(0x6718ec13ab02850a))
+	equal(t, "affinity key of an item", wire.AffinityKey("item22"), uint64(0x6718ec13ab02850a))
 }
 
-// Each action, in the form of the bench.
+// Writer encodes each kind of action in the bench's format.
 func TestActionsOfTheBenchKeepTheirForm(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
@@ -82,8 +82,9 @@
 	golden(t, "actions.jsonl", out.Bytes())
 }
 
-// balancer returns one of many agents with two zones and a fixed seed, after a fixed series of requests, with the
-// messages that it has sent to its peers.
+// newBalancer returns one of 40 agents with two zones and a fixed seed after a fixed series of 60 requests, and the
+// gossip that it has sent. Each message in sent and received follows one byte with the receiver's number. The agent
+// receives the messages in received before request 50.
 func newBalancer(t *testing.T, self int, received [][]byte) (b *balancer.Balancer, sent [][]byte) {
 	t.Helper()
 	const ms = time.Millisecond
@@ -126,7 +127,7 @@
 			now += 20 * ms
 			for i := range answers {
 				o := answers[i].(balancer.Outcome)
-				o.Done = true // a failed attempt ends its request here, so that there are no further ones to number
+				o.Done = true // a failed attempt ends its request: there are no retries, whose attempts would need numbers
 				answers[i] = o
 			}
 			step(answers...)
@@ -135,7 +136,7 @@
 	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list})
 	for range 60 {
 		requests++
-		if requests == 50 { // shortly before the end, since gossip expires
+		if requests == 50 { // late, so that the gossip has not expired at the end
 			for _, data := range received {
 				step(balancer.GossipReceived{From: 0, Data: data[1:]})
 			}
@@ -155,8 +156,8 @@
 	return b, sent
 }
 
-// The messages of agents to their peers: what one agent sends is decoded by another, and changes its state. A change of the
-// module's decisions changes these too.
+// An agent's gossip keeps its bytes, and another agent decodes it into its state. The bytes also change when the module
+// decides differently.
 func TestPeerMessagesKeepTheirBytes(t *testing.T) {
 	b, sent := newBalancer(t, 0, nil)
 	if len(sent) < 3 {
@@ -169,15 +170,15 @@
 	golden(t, "peer-messages.txt", []byte(text.String()))
 	goldenJSON(t, "snapshot-sender.json", b.Snapshot())
 
-	b, _ = newBalancer(t, 1, sent[:len(sent)/2]) // the later ones say that the sender drains
+	b, _ = newBalancer(t, 1, sent[:len(sent)/2]) // the later messages report that the sender is draining
 	s := b.Snapshot()
 	goldenJSON(t, "snapshot-receiver.json", s)
 	if s.PeerDemand[0] <= 0 {
-		t.Errorf("nothing was received: %v", s.PeerDemand)
+		t.Errorf("the receiver has no demand of the sender: %v", s.PeerDemand)
 	}
 }
 
-// The snapshot that one process of an agent leaves to the next has the same keys, and a stored one is restored.
+// The snapshot in a handover record keeps its keys, and Restore applies a stored snapshot.
 func TestSnapshotKeepsItsKeys(t *testing.T) {
 	goldenJSON(t, "snapshot-keys.json", filled[balancer.Snapshot]())
 	var s balancer.Snapshot
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// What a process stores for a later one. The files named stored-... are read as the later process would.
+// Tests of the files that a process stores for its successor. They read the files stored-* as the successor does.
 
 const (
 	settingsText = "version = 3\ndiscovery = \"127.0.0.1:7\"\nattempts.most = 4\n"
@@ -25,7 +25,7 @@
 		"[tenant.t1]\npermitted = [\"north\"]\nwhen_stale = \"serve\"\n[tenant.t1.class.bulk]\npermitted = [\"south\"]\n[others]\npermitted = [\"*\"]\n"
 )
 
-// handoverRecord is what stored-handover.json holds.
+// handoverRecord returns the contents of stored-handover.json.
 func handoverRecord() handover.Record {
 	return handover.Record{Format: 1, Generation: 2, SavedUnixMs: 1700000000003,
 		DisabledUnixMs: map[string]int64{"b1": 1700000000004}, EnabledUnixMs: map[string]int64{"b2": 1700000000005},
@@ -38,7 +38,7 @@
 			PeerDemand: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
-// A handover record is written with the same keys, and one that was stored earlier is read.
+// A handover record is written with the same keys, and Store.Poll reads a stored one.
 func TestHandoverRecordKeepsItsForm(t *testing.T) {
 	r := handoverRecord()
 	text, err := json.Marshal(r)
@@ -54,7 +54,7 @@
 	s := handover.New(dir, slog.New(slog.DiscardHandler))
 	calls, lame, ok := s.Poll()
 	if !ok || !lame {
-		t.Fatalf("read %v, lame duck %v", ok, lame)
+		t.Fatalf("Poll: record read %v, lame duck %v; want both true", ok, lame)
 	}
 	equal(t, "the record", s.LastRecord(), r)
 	for _, c := range calls {
@@ -62,11 +62,11 @@
 		case c.Backend == "b1" && c != want:
 			t.Errorf("got %+v, want %+v", c, want)
 		case c.Backend == "b2" && c != (handover.Override{Backend: "b2", IssuedAt: 8_000_008 * time.Microsecond}):
-			t.Errorf("got %+v", c)
+			t.Errorf("got %+v, want backend b2 enabled at 8000008us", c)
 		}
 	}
 	if len(calls) != 2 {
-		t.Errorf("calls %+v", calls)
+		t.Errorf("got overrides %+v, want 2", calls)
 	}
 	if err := s.Register(); err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	equal(t, "files", names, []string{"handover.json", "lock", "owner"})
 }
 
-// Settings are stored as before, and stored ones are applied.
+// SaveFunc writes settings in the same format, and Load applies stored settings.
 func TestKeptSettingsKeepTheirForm(t *testing.T) {
 	dir := t.TempDir()
 	if err := settings.SaveFunc(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
@@ -106,12 +106,12 @@
 		}
 	}
 	if err := h.Apply(2, "version = 2\n"); err == nil {
-		t.Error("a lower version was taken")
+		t.Error("Apply accepted a lower version")
 	}
 	equal(t, "digest", settings.Digest(settingsText), "da4d8bc885a122dd")
 }
 
-// A residency policy is stored as before, and a stored one is applied.
+// SaveFunc writes a residency policy in the same format, and Load applies a stored policy.
 func TestKeptPolicyKeepsItsForm(t *testing.T) {
 	dir := t.TempDir()
 	if err := residency.SaveFunc(dir)(6, []string{policyText}); err != nil {
@@ -134,7 +134,7 @@
 	equal(t, "zones of others", table.Permitted[other], []bool(nil))
 }
 
-// The documents of settings and of a policy have the same keys.
+// The documents of settings and of a residency policy keep their keys.
 func TestTextsKeepTheirKeys(t *testing.T) {
 	goldenKeys[residency.Policy](t, "policy-keys.txt")
 	p, err := residency.Parse("policy", policyText)
@@ -160,7 +160,7 @@
 	return bytes.Clone(text)
 }
 
-// put returns a folder that holds a file of testdata under a name.
+// put returns a temporary directory with a copy, under name, of the file from in testdata.
 func put(t *testing.T, name, from string) string {
 	t.Helper()
 	dir := t.TempDir()
