--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -26,7 +26,7 @@
 }
 
 // A complete agent file converts to the same platform form and to the same shared settings.
-func TestAgentFileMeansTheSameOnThePlatform(t *testing.T) {
+func TestAgentFileConvertsToThePlatformForm(t *testing.T) {
 	c, err := config.Parse("agent.toml", string(stored(t, "agent.toml")))
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 
 // A changed value of any key of the platform's configuration, settings included, changes the loaded configuration or
 // makes Load fail. Load would ignore a key that was renamed in the code.
-func TestNoKeyOfThePlatformIsPassedOver(t *testing.T) {
+func TestNoPlatformKeyIsIgnored(t *testing.T) {
 	raw := stored(t, "platform.json")
 	before, err := load(raw)
 	if err != nil {
@@ -122,7 +122,7 @@
 		if err := json.Unmarshal(raw, &doc); err != nil {
 			t.Fatal(err)
 		}
-		change(doc, "", leaf)
+		changeLeaf(doc, "", leaf)
 		text, err := json.Marshal(doc)
 		if err != nil {
 			t.Fatal(err)
@@ -136,9 +136,9 @@
 	}
 }
 
-// change replaces the value of one leaf of a JSON document by another value of the same type.
-func change(v any, path, leaf string) {
-	other := func(x any) any {
+// changeLeaf replaces the value of one leaf of a JSON document by another value of the same type.
+func changeLeaf(v any, path, leaf string) {
+	altered := func(x any) any {
 		switch x := x.(type) {
 		case bool:
 			return !x
@@ -153,24 +153,24 @@
 	case map[string]any:
 		for key, child := range v {
 			if path+"."+key == leaf {
-				v[key] = other(child)
+				v[key] = altered(child)
 			} else {
-				change(child, path+"."+key, leaf)
+				changeLeaf(child, path+"."+key, leaf)
 			}
 		}
 	case []any:
 		for i, child := range v {
-			if at := fmt.Sprintf("%s[%d]", path, i); at == leaf {
-				v[i] = other(child)
+			if childPath := fmt.Sprintf("%s[%d]", path, i); childPath == leaf {
+				v[i] = altered(child)
 			} else {
-				change(child, at, leaf)
+				changeLeaf(child, childPath, leaf)
 			}
 		}
 	}
 }
 
 // ParseSettings decodes each field of the start message's settings.
-func TestSettingsOfTheStartMessageKeepTheirMeaning(t *testing.T) {
+func TestStartMessageSettingsAreDecoded(t *testing.T) {
 	var doc struct {
 		Settings json.RawMessage `json:"settings"`
 	}
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -56,9 +56,9 @@
 }
 
 // A gossip message with one entry of each kind, and each body that has its own encoding, keep their bytes.
-func TestGossipedFactsKeepTheirBytes(t *testing.T) {
-	standing := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
-	census := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
+func TestGossipMessageKeepsItsBytes(t *testing.T) {
+	applied := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
+	fleetSize := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
 	names, err := cbor.Marshal([]string{"n1", "n2"})
 	if err != nil {
 		t.Fatal(err)
@@ -70,8 +70,8 @@
 		body []byte
 	}{
 		{gossip.ListServiceLoad, storedHex(t, "body-service.hex")}, {gossip.LatencyRow, storedHex(t, "body-distance.hex")},
-		{gossip.ResidencyVersion, standing.MarshalBody()},
-		{gossip.DeadProcesses, names}, {gossip.SettingsVersion, standing.MarshalBody()}, {gossip.FleetSize, census.MarshalBody()},
+		{gossip.ResidencyVersion, applied.MarshalBody()},
+		{gossip.DeadProcesses, names}, {gossip.SettingsVersion, applied.MarshalBody()}, {gossip.FleetSize, fleetSize.MarshalBody()},
 	} {
 		one := *filled[gossip.Entry]()
 		one.Kind, one.Body, one.Seq = f.kind, f.body, uint64(100+i)
@@ -90,13 +90,13 @@
 	if s, ok := documents.ParseAppliedVersion(got.Entries[2].Body); !ok {
 		t.Error("the body of the residency version does not parse")
 	} else {
-		equal(t, "applied version", s, standing)
+		equal(t, "applied version", s, applied)
 	}
 	c, err := hub.ParseFleetSize(got.Entries[5].Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equal(t, "fleet size", c, census)
+	equal(t, "fleet size", c, fleetSize)
 	var kinds []string
 	for k := gossip.ListServiceLoad; k <= gossip.FleetSize; k++ {
 		kinds = append(kinds, k.String())
@@ -106,10 +106,10 @@
 
 // The list service's load keeps its bytes as an agent publishes it and as a hub aggregates it.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
-	facts := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
-	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: facts})
+	store := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
+	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: store})
 	p.RecordAttempt(time.Millisecond, true, 9)
-	entries := facts.Entries(gossip.ListServiceLoad)
+	entries := store.Entries(gossip.ListServiceLoad)
 	if len(entries) != 1 {
 		t.Fatalf("got %d entries, want 1", len(entries))
 	}
@@ -125,7 +125,7 @@
 }
 
 // A row of the latency matrix encodes to the same bytes, with the age of its oldest pair.
-func TestDistanceRowKeepsItsBytes(t *testing.T) {
+func TestLatencyRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
 		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5,
 			Age: time.Second},
@@ -138,16 +138,16 @@
 }
 
 // The reply to a latency probe repeats the probe's label and nonce.
-func TestDistanceDatagramKeepsItsBytes(t *testing.T) {
+func TestLatencyProbeReplyKeepsItsBytes(t *testing.T) {
 	var sent []byte
 	write := func(data []byte, _ netip.AddrPort) (time.Time, error) {
 		sent = bytes.Clone(data)
 		return time.Now(), nil
 	}
 	p := latency.New(latency.Config{Name: "n1", Site: "a", Label: "fleet", Send: write})
-	ask := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
-	ask = append(ask, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
-	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // the processing time exceeds the field's range
+	probe := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
+	probe = append(probe, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
+	p.HandleDatagram(probe, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // the processing time exceeds the field's range
 	goldenHex(t, "datagram-reply.hex", sent)
 }
 
@@ -166,10 +166,10 @@
 }
 
 // The document that a process serves over HTTP and a hub's report on settings keep their JSON form.
-func TestTextsAndReportsOverHTTPKeepTheirForm(t *testing.T) {
-	k := &documents.Document{Holder: holder{}}
+func TestDocumentsAndReportsOverHTTPKeepTheirFormat(t *testing.T) {
+	document := &documents.Document{Holder: holder{}}
 	w := httptest.NewRecorder()
-	k.Serve(w, "d1")
+	document.Serve(w, "d1")
 	golden(t, "text.json", w.Body.Bytes())
 	goldenJSON(t, "hub-settings-report.json", filled[hub.SettingsReport]())
 	got := &hub.SettingsReport{}
@@ -185,7 +185,7 @@
 func (holder) Text(string) (int64, string, bool) { return 12, "version = 12\n", true }
 
 // A line of a fleet's trace keeps its keys and values; its time differs in each run and is set to 0.
-func TestTraceLinesKeepTheirForm(t *testing.T) {
+func TestTraceLinesKeepTheirFormat(t *testing.T) {
 	var b bytes.Buffer
 	trace := gossip.Trace{W: &b}
 	f := *filled[gossip.Entry]()
@@ -212,7 +212,7 @@
 }
 
 // Each of the six kinds of gossip entry has an age bound.
-func TestFactsHaveBounds(t *testing.T) {
+func TestGossipEntriesHaveAgeBounds(t *testing.T) {
 	if n := reflect.ValueOf(gossip.DefaultAgeBounds).Len(); n != 6 {
 		t.Errorf("got %d age bounds, want 6", n)
 	}
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -16,7 +16,7 @@
 
 // The reports of a run, of a comparison and of the overhead measurement keep their keys, and verdicts and measures their
 // names.
-func TestReportsKeepTheirForm(t *testing.T) {
+func TestReportsKeepTheirFormat(t *testing.T) {
 	goldenJSON(t, "report.json", filled[lab.Report]())
 	goldenJSON(t, "pair.json", lab.Pair{Seed: 1})
 	goldenJSON(t, "difference.json", filled[lab.Difference]())
@@ -34,7 +34,7 @@
 
 // The history of a request, which `lab run --events` writes and `lab trace` reads, keeps its keys; rules and answers keep
 // their names.
-func TestRequestHistoryKeepsItsForm(t *testing.T) {
+func TestRequestHistoryKeepsItsFormat(t *testing.T) {
 	q := check.Request{ID: "r1", FirstID: "r2", Attempt: 3, Agent: 4, Class: 5, SentAt: 6, Timeout: 7,
 		History: []check.Event{{At: 8, Who: "w9", What: "w10"}}}
 	goldenJSON(t, "request.json", q)
@@ -54,7 +54,7 @@
 }
 
 // The plan of faults that the lab injects into a process keeps its keys.
-func TestInjectedPlanKeepsItsForm(t *testing.T) {
+func TestInjectedPlanKeepsItsFormat(t *testing.T) {
 	goldenJSON(t, "inject-plan.json", filled[faultinject.Plan]())
 }
 
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -15,7 +15,7 @@
 // Tests of the formats of package wire, and of the formats that the decision module encodes itself.
 
 // Reader decodes each kind of event of a batch in the bench's format.
-func TestEventsOfTheBenchKeepTheirForm(t *testing.T) {
+func TestBenchEventsKeepTheirFormat(t *testing.T) {
 	const ms = time.Millisecond
 	r := wire.NewReader(bytes.NewReader(stored(t, "batch.jsonl")))
 	b, err := r.Next()
@@ -60,7 +60,7 @@
 }
 
 // Writer encodes each kind of action in the bench's format.
-func TestActionsOfTheBenchKeepTheirForm(t *testing.T) {
+func TestBenchActionsKeepTheirFormat(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
 	const ms = time.Millisecond
@@ -106,7 +106,7 @@
 	requests := 0
 	var step func(events ...balancer.Event)
 	step = func(events ...balancer.Event) {
-		var answers []balancer.Event
+		var outcomes []balancer.Event
 		for _, a := range b.Step(now, events) {
 			switch a := a.(type) {
 			case balancer.Send:
@@ -114,7 +114,7 @@
 				if a.Backend == "b1" || a.Backend >= "b3" && requests%9 == 0 {
 					result = balancer.Errored
 				}
-				answers = append(answers, balancer.Outcome{Request: a.Request, Backend: a.Backend, Result: result, Latency: latency,
+				outcomes = append(outcomes, balancer.Outcome{Request: a.Request, Backend: a.Backend, Result: result, Latency: latency,
 					Done: result == balancer.OK,
 					Load: balancer.Load{Queue: -1, Service: -1, ErrorsPerSec: -1}})
 			case balancer.SetTimer:
@@ -123,14 +123,14 @@
 				sent = append(sent, append([]byte{byte(a.To)}, a.Data...))
 			}
 		}
-		if len(answers) > 0 {
+		if len(outcomes) > 0 {
 			now += 20 * ms
-			for i := range answers {
-				o := answers[i].(balancer.Outcome)
+			for i := range outcomes {
+				o := outcomes[i].(balancer.Outcome)
 				o.Done = true // a failed attempt ends its request: there are no retries, whose attempts would need numbers
-				answers[i] = o
+				outcomes[i] = o
 			}
-			step(answers...)
+			step(outcomes...)
 		}
 	}
 	step(balancer.EndpointUpdate{Kind: balancer.UpdateFull, Backends: list})
@@ -158,7 +158,7 @@
 
 // An agent's gossip keeps its bytes, and another agent decodes it into its state. The bytes also change when the module
 // decides differently.
-func TestPeerMessagesKeepTheirBytes(t *testing.T) {
+func TestGossipBetweenAgentsKeepsItsBytes(t *testing.T) {
 	b, sent := newBalancer(t, 0, nil)
 	if len(sent) < 3 {
 		t.Fatalf("%d messages", len(sent))
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -39,7 +39,7 @@
 }
 
 // A handover record is written with the same keys, and Store.Poll reads a stored one.
-func TestHandoverRecordKeepsItsForm(t *testing.T) {
+func TestHandoverRecordKeepsItsFormat(t *testing.T) {
 	r := handoverRecord()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -52,12 +52,12 @@
 		t.Fatal(err)
 	}
 	s := handover.New(dir, slog.New(slog.DiscardHandler))
-	calls, lame, ok := s.Poll()
-	if !ok || !lame {
-		t.Fatalf("Poll: record read %v, lame duck %v; want both true", ok, lame)
+	overrides, lameDuck, ok := s.Poll()
+	if !ok || !lameDuck {
+		t.Fatalf("Poll: record read %v, lame duck %v; want both true", ok, lameDuck)
 	}
 	equal(t, "the record", s.LastRecord(), r)
-	for _, c := range calls {
+	for _, c := range overrides {
 		switch want := (handover.Override{Backend: "b1", Disabled: true, IssuedAt: 7_000_007 * time.Microsecond}); {
 		case c.Backend == "b1" && c != want:
 			t.Errorf("got %+v, want %+v", c, want)
@@ -65,8 +65,8 @@
 			t.Errorf("got %+v, want backend b2 enabled at 8000008us", c)
 		}
 	}
-	if len(calls) != 2 {
-		t.Errorf("got overrides %+v, want 2", calls)
+	if len(overrides) != 2 {
+		t.Errorf("got overrides %+v, want 2", overrides)
 	}
 	if err := s.Register(); err != nil {
 		t.Fatal(err)
@@ -84,14 +84,14 @@
 }
 
 // SaveFunc writes settings in the same format, and Load applies stored settings.
-func TestKeptSettingsKeepTheirForm(t *testing.T) {
+func TestStoredSettingsKeepTheirFormat(t *testing.T) {
 	dir := t.TempDir()
 	if err := settings.SaveFunc(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-settings.json", read(t, dir, "settings.json"))
+	golden(t, "stored-settings.json", readFile(t, dir, "settings.json"))
 
-	dir = put(t, "settings.json", "stored-settings.json")
+	dir = tempDirWith(t, "settings.json", "stored-settings.json")
 	h := settings.NewHolder(settings.Config{})
 	if err := h.Load(dir); err != nil {
 		t.Fatal(err)
@@ -112,14 +112,14 @@
 }
 
 // SaveFunc writes a residency policy in the same format, and Load applies a stored policy.
-func TestKeptPolicyKeepsItsForm(t *testing.T) {
+func TestStoredPolicyKeepsItsFormat(t *testing.T) {
 	dir := t.TempDir()
 	if err := residency.SaveFunc(dir)(6, []string{policyText}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-policy.json", read(t, dir, "policy.json"))
+	golden(t, "stored-policy.json", readFile(t, dir, "policy.json"))
 
-	dir = put(t, "policy.json", "stored-policy.json")
+	dir = tempDirWith(t, "policy.json", "stored-policy.json")
 	h := residency.NewHolder([]string{"a", "b", "c"}, time.Minute, true, slog.New(slog.DiscardHandler), nil)
 	if err := h.Load(dir); err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 }
 
 // The documents of settings and of a residency policy keep their keys.
-func TestTextsKeepTheirKeys(t *testing.T) {
+func TestDocumentsKeepTheirKeys(t *testing.T) {
 	goldenKeys[residency.Policy](t, "policy-keys.txt")
 	p, err := residency.Parse("policy", policyText)
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func read(t *testing.T, dir, name string) []byte {
+func readFile(t *testing.T, dir, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -160,8 +160,8 @@
 	return bytes.Clone(text)
 }
 
-// put returns a temporary directory with a copy, under name, of the file from in testdata.
-func put(t *testing.T, name, from string) string {
+// tempDirWith returns a temporary directory with a copy, under name, of the file from in testdata.
+func tempDirWith(t *testing.T, name, from string) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, name), stored(t, from), 0o600); err != nil {
