--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -1,10 +1,10 @@
-// Package simagent runs many simulated agents of a fleet in one process: the product's own code for what agents share
-// (membership, gossip, startup admission, latencies, endpoint lists, the residency policy) over real loopback sockets,
-// without clients and without backends. It is used to measure what a fleet costs its agents, and how long a change takes
-// to reach all of them.
+// Package simagent runs many simulated agents of a fleet in one process. A simulated agent runs the product's own code for
+// membership, gossip, startup admission, latencies, endpoint lists and the residency policy over real loopback sockets,
+// but has neither clients nor backends. The measurements use it to find the cost of a fleet to its agents, and the time
+// that a change takes to reach all of them.
 package simagent
 
-// The simulated agent: its specification, its start, its state and its end.
+// Specification, start, state and end of a simulated agent.
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 	"martenbeam/internal/residency"
 )
 
-// Mode is the topology by which the agents of a fleet share what they know.
+// Mode is the topology over which the agents of a fleet share state.
 type Mode string
 
 const (
@@ -54,7 +54,7 @@
 	Seeds          []string        // FullMesh only: addresses of members to join
 	Hubs           []hubclient.Hub // Hubs only
 	Region         string          // Hubs only: while its own hub is unreachable, an agent prefers hubs of its region
-	Label          string          // agents of another label are not members of this fleet
+	Label          string          // an agent with a different label is not a member of the fleet
 	MaxMembers     int
 	MeasureLatency bool     // FullMesh only: measure the round trips to all zones
 	ListService    string   // host:port; "": the agent follows no endpoint lists
@@ -65,15 +65,15 @@
 	OnApplied func(what Change, version int64, at time.Time)
 }
 
-// State is what an agent knows.
+// State is an agent's view of its fleet, and the versions that the agent has applied.
 type State struct {
 	Members                int     // the agent itself included; with hubs, the fleet size that they publish
 	Quota                  float64 // the agent's share of the in-flight limit; 0: none received yet
-	MeasuredZones          int     // zones to which a round-trip time is known
+	MeasuredZones          int     // zones to which the agent has a round-trip time
 	Policy, List, Settings int64   // applied versions; 0: none. Settings is always 0 in a full mesh
 }
 
-// Agent is a simulated agent that runs. Its methods may be called from any goroutine.
+// Agent is a running simulated agent. Its methods may be called from any goroutine.
 type Agent struct {
 	spec            Spec
 	wire            *wire
@@ -91,21 +91,21 @@
 	settingsVersion atomic.Int64
 }
 
-// fleetClient is an agent's connection to its fleet, whichever the mode.
+// fleetClient is an agent's connection to its fleet in either mode.
 type fleetClient interface {
 	source.Selector
 	Run(ctx context.Context) error
 	Addr() string
 }
 
-// Values that a real agent takes from its settings.
+// Values that a real agent reads from its settings.
 const (
 	connectTimeout = time.Second
 	maxPolicyAge   = 10 * time.Second
 	listRate       = 50 // polls of the list service a second, by the whole fleet
 )
 
-// announcedVersion is the program version that simulated agents announce. Its length counts in the measured bytes.
+// announcedVersion is the program version that simulated agents announce. Its length is part of the measured bytes.
 const announcedVersion = "hollow"
 
 // Start starts an agent. The caller ends it with Stop, or with Kill and Wait.
@@ -161,7 +161,7 @@
 	return err
 }
 
-// recordLatencies counts the zones to which a round-trip time is known.
+// recordLatencies counts the zones that have a round-trip time, and stores the count.
 func (a *Agent) recordLatencies(roundTrips []time.Duration, _ []float64) {
 	measured := int32(0)
 	for _, d := range roundTrips {
@@ -172,8 +172,8 @@
 	a.measuredZones.Store(measured)
 }
 
-// followLists follows endpoint lists as the decision module has an agent do it: it subscribes, and again with a growing
-// random backoff after each failure.
+// followLists follows endpoint lists as an agent does under the decision module: it subscribes, and after each failure it
+// subscribes again with exponential backoff and full jitter.
 func (a *Agent) followLists(ctx context.Context, log *slog.Logger) {
 	startedAt, failures := time.Now(), 0
 	agentTime := func(t time.Time) time.Duration { return t.Sub(startedAt) }
@@ -201,13 +201,13 @@
 	}
 }
 
-// Spec returns the specification that the agent was started with, its defaults filled in.
+// Spec returns the agent's specification, with the defaults that Start has filled in.
 func (a *Agent) Spec() Spec { return a.spec }
 
 // Addr returns the host:port at which other members reach the agent.
 func (a *Agent) Addr() string { return a.client.Addr() }
 
-// State returns what the agent knows now.
+// State returns the agent's current state.
 func (a *Agent) State() State {
 	state := State{
 		Quota: a.Quota(), MeasuredZones: int(a.measuredZones.Load()),
@@ -221,7 +221,8 @@
 	return state
 }
 
-// Quota returns the share of the in-flight limit that the agent uses now; 0: none received yet, or the agent has ended.
+// Quota returns the agent's current share of the in-flight limit. It returns 0 before the first quota arrives and after the
+// agent has ended.
 func (a *Agent) Quota() float64 {
 	if a.wire.dead.Load() {
 		return 0
@@ -229,7 +230,7 @@
 	return math.Float64frombits(a.quotaBits.Load())
 }
 
-// Members returns the members that the agent knows; nil in mode Hubs.
+// Members returns the agent's member list; nil in mode Hubs.
 func (a *Agent) Members() []member.Member {
 	if a.fleet == nil {
 		return nil
@@ -237,15 +238,15 @@
 	return a.fleet.Members()
 }
 
-// ApplyPolicy applies a version of the residency policy, in TOML, at an agent that is its source.
+// ApplyPolicy applies a version of the residency policy, in TOML. The agent must have been started with PolicySource.
 func (a *Agent) ApplyPolicy(version int64, text string) error {
 	return a.policyHolder.Apply(version, text)
 }
 
-// Traffic returns what has passed the agent's sockets since its start.
+// Traffic returns the traffic of the agent's sockets since its start.
 func (a *Agent) Traffic() Traffic { return a.wire.traffic() }
 
-// Stop has the agent leave its fleet, and returns when it has ended.
+// Stop makes the agent leave its fleet, and returns when the agent's goroutines have ended.
 func (a *Agent) Stop() {
 	a.Resume()
 	a.cancel()
@@ -267,7 +268,7 @@
 func (a *Agent) Wait() { a.tasks.Wait() }
 
 // Pause blocks the agent's sockets until Resume: received data waits in the kernel, data to be sent waits in the agent.
-// The agent's timers go on, so that, unlike a stopped process, it cannot notice that it was stopped.
+// Unlike a stopped process, a paused agent cannot detect the pause, because its timers continue.
 func (a *Agent) Pause() { a.wire.pause() }
 
 // Resume ends a Pause.
--- a/internal/scale/simagent/hub.go
+++ b/internal/scale/simagent/hub.go
@@ -1,6 +1,6 @@
 package simagent
 
-// A simulated agent's attachment to a hub.
+// Attachment of a simulated agent to a hub.
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"martenbeam/internal/settings"
 )
 
-// attachToHub has the agent attach to one of its hubs, from which it also receives settings.
+// attachToHub creates the client that attaches the agent to one of its hubs and receives settings from the hub.
 func (a *Agent) attachToHub(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
 	spec := &a.spec
 	settingsHolder := settings.NewHolder(settings.Config{Log: log, Apply: func(document *settings.Settings) ([]string, error) {
--- a/internal/scale/simagent/network.go
+++ b/internal/scale/simagent/network.go
@@ -1,6 +1,6 @@
 package simagent
 
-// The network between simulated agents, with the faults that hold for all of them.
+// The network between simulated agents, and its faults.
 
 import (
 	"math/rand/v2"
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Network is the network between simulated agents, with the faults that all of them see. Its methods may be called from
-// any goroutine; a fault applies to connections that are open already, too.
+// Network is the network between simulated agents, and injects faults into it. Its methods may be called from any
+// goroutine. A fault also applies to connections that are already open.
 type Network struct {
 	zones  sync.Map // zone name by netip.AddrPort; the list service and real agents have none
 	faults atomic.Pointer[faults]
@@ -19,11 +19,11 @@
 
 // faults is immutable: each change stores a new one.
 type faults struct {
-	isolated map[string]bool // zones that can send nothing to any other, nor receive from it
+	isolated map[string]bool // zones that cannot exchange data with any other
 	lossRate float64         // 0 to 1
 }
 
-// retransmitDelay is how much later a lost write to a stream arrives, as after one retransmission by TCP.
+// retransmitDelay is the delay of a lost write to a stream. It stands for one retransmission by TCP.
 const retransmitDelay = 200 * time.Millisecond
 
 // NewNetwork returns a network without faults.
@@ -36,8 +36,8 @@
 	}
 }
 
-// Isolate cuts these zones off from all others and from the list service, and ends the isolation of every other zone.
-// Without arguments it ends all of them.
+// Isolate partitions each of these zones from all others and from the list service, and ends the isolation of every other
+// zone. Without arguments it ends all isolation.
 func (n *Network) Isolate(zones ...string) {
 	next := &faults{isolated: map[string]bool{}}
 	if current := n.faults.Load(); current != nil {
@@ -49,8 +49,8 @@
 	n.faults.Store(next)
 }
 
-// SetLoss sets the share of datagrams that are lost, from 0 to 1. The same share of writes to streams is delayed by
-// retransmitDelay.
+// SetLoss sets the share of datagrams that the network drops, from 0 to 1. It delays the same share of writes to streams
+// by retransmitDelay.
 func (n *Network) SetLoss(rate float64) {
 	next := &faults{lossRate: rate}
 	if current := n.faults.Load(); current != nil {
@@ -59,20 +59,20 @@
 	n.faults.Store(next)
 }
 
-// zoneOf returns an address's zone; "": it has none.
+// zoneOf returns the zone of an address; "" if the address has no zone.
 func (n *Network) zoneOf(addr netip.AddrPort) string {
 	zone, _ := n.zones.Load(addr)
 	name, _ := zone.(string)
 	return name
 }
 
-// partitioned reports whether nothing passes between two zones.
+// partitioned reports whether a partition separates two zones.
 func (n *Network) partitioned(a, b string) bool {
 	f := n.faults.Load()
 	return f != nil && a != b && (f.isolated[a] || f.isolated[b])
 }
 
-// drops decides at random whether a datagram or a write is lost.
+// drops draws at random, at the current loss rate, whether the network drops a datagram or a write.
 func (n *Network) drops() bool {
 	f := n.faults.Load()
 	return f != nil && f.lossRate > 0 && rand.Float64() < f.lossRate
--- a/internal/scale/simagent/stream.go
+++ b/internal/scale/simagent/stream.go
@@ -1,6 +1,6 @@
 package simagent
 
-// A simulated agent's TCP connections: counted, delayed and blocked by faults.
+// TCP connections of a simulated agent, with counters and faults.
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"martenbeam/internal/fleet/hub/frame"
 )
 
-// stream counts what passes a TCP connection, and applies the faults to it.
+// stream counts the data on a TCP connection, and applies the network's and the agent's faults to it.
 type stream struct {
 	net.Conn
 	wire          *wire
@@ -25,7 +25,7 @@
 	writeDeadline atomic.Pointer[time.Time]
 }
 
-// Close closes the connection, and ends the waits of Read and Write.
+// Close closes the connection, and unblocks Read and Write.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() { close(s.closed) })
 	return s.Conn.Close()
@@ -50,8 +50,8 @@
 	return s.Conn.SetWriteDeadline(t)
 }
 
-// waitWhileBlocked blocks while a partition or a pause stops the stream's data. It fails at the deadline, once the stream
-// is closed, and if the agent was killed.
+// waitWhileBlocked blocks while a partition or a pause stops the stream's data. It returns an error at the deadline, when
+// the stream is closed, and if the agent was killed.
 func (s *stream) waitWhileBlocked(deadline *atomic.Pointer[time.Time]) error {
 	for s.wire.paused.Load() || s.wire.net.partitioned(s.wire.zone, s.zone) {
 		if t := deadline.Load(); t != nil && !t.IsZero() && time.Now().After(*t) {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// record counts data, and recognizes the stream's kind by its first.
+// record counts data, and determines the stream's kind from the first data.
 func (s *stream) record(data []byte, out bool) {
 	if len(data) == 0 {
 		return
@@ -91,7 +91,7 @@
 	s.wire.count(TrafficKind(s.kind.Load()), len(data), out)
 }
 
-// Read discards what was received if the stream is blocked until its deadline or its end.
+// Read discards the data that it has received if the stream stays blocked until its deadline or until it is closed.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if n > 0 {
@@ -103,7 +103,7 @@
 	return n, err
 }
 
-// Write delays the data while the stream is blocked, and at random as if it had been lost once.
+// Write delays the data while the stream is blocked. It also delays a random share of writes by retransmitDelay.
 func (s *stream) Write(p []byte) (int, error) {
 	if s.wire.net.drops() {
 		select {
--- a/internal/scale/simagent/traffic.go
+++ b/internal/scale/simagent/traffic.go
@@ -1,13 +1,13 @@
 package simagent
 
-// Counting of the bytes that pass a simulated agent's sockets, by what they are about.
+// Counters of the bytes on a simulated agent's sockets, by purpose.
 
 import (
 	"encoding/binary"
 	"sync/atomic"
 )
 
-// TrafficKind is what bytes on an agent's sockets are for.
+// TrafficKind is the purpose of bytes on an agent's sockets.
 type TrafficKind int
 
 const (
@@ -21,7 +21,7 @@
 	numTrafficKinds
 )
 
-// TrafficKinds are all kinds, in the order of their constants.
+// TrafficKinds lists all kinds, in the order of their constants.
 var TrafficKinds = []TrafficKind{Membership, Gossip, Latencies, Lists, Policies, HubStream, SettingsDocuments}
 
 // String returns the name that tables use.
@@ -32,10 +32,10 @@
 // Count is a number of payload bytes, and of messages: datagrams, and reads or writes of streams.
 type Count struct{ Bytes, Messages int64 }
 
-// Traffic is what has passed an agent's sockets, indexed by TrafficKind.
+// Traffic is the traffic of an agent's sockets, indexed by TrafficKind.
 type Traffic struct {
 	In, Out        [numTrafficKinds]Count
-	FromRealAgents Count // those of the received datagrams whose sender is not simulated
+	FromRealAgents Count // received datagrams whose sender is not simulated
 }
 
 // counter is a Count that several goroutines may add to.
@@ -48,13 +48,13 @@
 
 func (c *counter) snapshot() Count { return Count{c.bytes.Load(), c.messages.Load()} }
 
-// The first byte of memberlist's packets: its message types.
+// Message types of memberlist, which are the first byte of its packets.
 const (
 	compoundMsg, userMsg, hasCRCMsg, hasLabelMsg = 7, 8, 12, 244
 )
 
-// gossipBytes returns how many bytes of a memberlist packet are gossiped entries: user messages, alone or in a compound.
-// Of a packet that is cut off it counts the messages that are complete.
+// gossipBytes returns how many bytes of a memberlist packet are gossiped entries: a user message, or the user messages in a
+// compound. In a truncated packet it counts only complete messages.
 func gossipBytes(packet []byte) int {
 	if len(packet) > 2 && packet[0] == hasLabelMsg {
 		packet = packet[min(len(packet), 2+int(packet[1])):]
--- a/internal/scale/simagent/traffic_test.go
+++ b/internal/scale/simagent/traffic_test.go
@@ -1,13 +1,13 @@
 package simagent
 
-// Tests of the counting of traffic.
+// Tests of the traffic counters.
 
 import (
 	"bytes"
 	"testing"
 )
 
-// Gossiped entries are told apart from what else a memberlist packet holds, whether it has a label, a checksum, both or
+// gossipBytes counts only the gossiped entries of a memberlist packet, whether the packet has a label, a checksum, both or
 // neither.
 func TestGossipBytesAreCountedInEveryPacketForm(t *testing.T) {
 	gossip, ping := append([]byte{userMsg}, "12345"...), []byte{0, 1, 2}
@@ -18,14 +18,14 @@
 		packet []byte
 		want   int
 	}{
-		"alone":            {gossip, len(gossip)},
-		"none":             {ping, 0},
-		"among others":     {both, len(gossip)},
-		"labelled":         {append(bytes.Clone(label), both...), len(gossip)},
-		"labelled, summed": {append(append(bytes.Clone(label), sum...), both...), len(gossip)},
-		"cut off":          {both[:len(both)-1], 0},
-		"too short":        {[]byte{compoundMsg, 9, 0}, 0},
-		"label too long":   {[]byte{hasLabelMsg, 200, 1}, 0},
+		"user message only":  {gossip, len(gossip)},
+		"no user message":    {ping, 0},
+		"compound":           {both, len(gossip)},
+		"label":              {append(bytes.Clone(label), both...), len(gossip)},
+		"label and checksum": {append(append(bytes.Clone(label), sum...), both...), len(gossip)},
+		"truncated":          {both[:len(both)-1], 0},
+		"too short":          {[]byte{compoundMsg, 9, 0}, 0},
+		"label too long":     {[]byte{hasLabelMsg, 200, 1}, 0},
 	} {
 		if got := gossipBytes(c.packet); got != c.want {
 			t.Errorf("%s: %d bytes, want %d", name, got, c.want)
--- a/internal/scale/simagent/wire.go
+++ b/internal/scale/simagent/wire.go
@@ -1,6 +1,6 @@
 package simagent
 
-// A simulated agent's side of the network: its datagrams, and the opening of its streams.
+// Datagrams of a simulated agent, and opening of its streams.
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	dead   atomic.Bool // the agent was killed or has stopped
 	paused atomic.Bool
 	mu     sync.Mutex
-	gate   chan struct{} // of the latest pause; closed when it ends
+	gate   chan struct{} // closed when the latest pause ends
 }
 
 var _ member.Wire = (*wire)(nil)
@@ -50,7 +50,7 @@
 
 func (w *wire) kill() { w.dead.Store(true) }
 
-// waitWhilePaused blocks while the agent is paused, or until done is closed; done may be nil.
+// waitWhilePaused blocks until the agent is not paused or done is closed. done may be nil.
 func (w *wire) waitWhilePaused(done <-chan struct{}) {
 	for w.paused.Load() {
 		w.mu.Lock()
@@ -80,8 +80,8 @@
 	return t
 }
 
-// Packet implements member.Wire: it counts a datagram and reports whether it passes. Losses and partitions apply on the
-// sender's side only, so that a datagram which has been sent arrives.
+// Packet implements member.Wire. It counts a datagram and reports whether the datagram passes. Losses and partitions apply
+// only to outgoing datagrams, so that each datagram that passes at its sender arrives.
 func (w *wire) Packet(data []byte, peer netip.AddrPort, out bool) bool {
 	w.waitWhilePaused(nil)
 	if w.dead.Load() {
@@ -106,10 +106,11 @@
 
 var errKilled = errors.New("the agent was killed")
 
-// faultPollInterval is how often a blocked operation checks whether its fault has ended.
+// faultPollInterval is the interval at which a blocked operation checks whether its fault has ended.
 const faultPollInterval = 10 * time.Millisecond
 
-// Dial implements member.Wire: it opens a counted stream, once the agent is not paused and its zone not isolated.
+// Dial implements member.Wire. It opens a counted stream as soon as the agent is not paused and no partition separates it
+// from addr.
 func (w *wire) Dial(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	zone := ""
 	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
@@ -138,13 +139,13 @@
 	return w.wrap(conn, zone), nil
 }
 
-// dialService opens a stream to the list service, which is in no zone: an isolated zone doesn't reach it.
+// dialService opens a stream to the list service. The list service has no zone, so an isolated zone cannot reach it.
 func (w *wire) dialService(ctx context.Context, _, addr string) (net.Conn, error) {
 	return w.Dial(ctx, &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, addr)
 }
 
-// Accepted implements member.Wire: it wraps a stream that another agent opened. That a zone is isolated takes effect at
-// the side that dialled, so this side counts as of the same zone.
+// Accepted implements member.Wire. It wraps a stream that another agent has opened. Only the side that dialled applies
+// partitions, so this side sets the peer's zone to its own.
 func (w *wire) Accepted(conn net.Conn) net.Conn { return w.wrap(conn, w.zone) }
 
 // wrap returns conn as a counted stream to a peer in a zone.
