--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -134,7 +134,7 @@
 	if spec.Mode == Hubs {
 		err = a.attachToHub(log, callbacks)
 	} else {
-		err = a.joinMesh(log, callbacks)
+		err = a.joinFullMesh(log, callbacks)
 	}
 	if err != nil {
 		return nil, err
@@ -149,8 +149,8 @@
 	return a, nil
 }
 
-// joinMesh makes the agent a member of a fleet without hubs.
-func (a *Agent) joinMesh(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
+// joinFullMesh makes the agent a member of a fleet without hubs.
+func (a *Agent) joinFullMesh(log *slog.Logger, callbacks fleet.Callbacks) (err error) {
 	spec := &a.spec
 	a.fleet, err = fleet.New(fleet.Config{
 		Name: spec.Name, Site: spec.Zone, Version: announcedVersion, Listen: spec.Listen, Seeds: spec.Seeds, Label: spec.Label,
@@ -224,7 +224,7 @@
 // Quota returns the agent's current share of the in-flight limit. It returns 0 before the first quota arrives and after the
 // agent has ended.
 func (a *Agent) Quota() float64 {
-	if a.wire.dead.Load() {
+	if a.wire.ended.Load() {
 		return 0
 	}
 	return math.Float64frombits(a.quotaBits.Load())
--- a/internal/scale/simagent/stream.go
+++ b/internal/scale/simagent/stream.go
@@ -63,7 +63,7 @@
 		case <-time.After(faultPollInterval):
 		}
 	}
-	if s.wire.dead.Load() {
+	if s.wire.ended.Load() {
 		return errKilled
 	}
 	return nil
--- a/internal/scale/simagent/traffic.go
+++ b/internal/scale/simagent/traffic.go
@@ -72,16 +72,16 @@
 	if len(packet) < 2+2*n {
 		return 0
 	}
-	sizes, rest, gossip := packet[2:2+2*n], packet[2+2*n:], 0
+	sizes, rest, total := packet[2:2+2*n], packet[2+2*n:], 0
 	for i := range n {
 		size := int(binary.BigEndian.Uint16(sizes[2*i:]))
 		if size == 0 || size > len(rest) {
-			return gossip
+			return total
 		}
 		if rest[0] == userMsg {
-			gossip += size
+			total += size
 		}
 		rest = rest[size:]
 	}
-	return gossip
+	return total
 }
--- a/internal/scale/simagent/traffic_test.go
+++ b/internal/scale/simagent/traffic_test.go
@@ -11,19 +11,19 @@
 // neither.
 func TestGossipBytesAreCountedInEveryPacketForm(t *testing.T) {
 	gossip, ping := append([]byte{userMsg}, "12345"...), []byte{0, 1, 2}
-	both := append([]byte{compoundMsg, 2, 0, byte(len(ping)), 0, byte(len(gossip))}, append(bytes.Clone(ping), gossip...)...)
+	compound := append([]byte{compoundMsg, 2, 0, byte(len(ping)), 0, byte(len(gossip))}, append(bytes.Clone(ping), gossip...)...)
 	label := append([]byte{hasLabelMsg, 2}, "xy"...)
-	sum := []byte{hasCRCMsg, 1, 2, 3, 4}
+	checksum := []byte{hasCRCMsg, 1, 2, 3, 4}
 	for name, c := range map[string]struct {
 		packet []byte
 		want   int
 	}{
 		"user message only":  {gossip, len(gossip)},
 		"no user message":    {ping, 0},
-		"compound":           {both, len(gossip)},
-		"label":              {append(bytes.Clone(label), both...), len(gossip)},
-		"label and checksum": {append(append(bytes.Clone(label), sum...), both...), len(gossip)},
-		"truncated":          {both[:len(both)-1], 0},
+		"compound":           {compound, len(gossip)},
+		"label":              {append(bytes.Clone(label), compound...), len(gossip)},
+		"label and checksum": {append(append(bytes.Clone(label), checksum...), compound...), len(gossip)},
+		"truncated":          {compound[:len(compound)-1], 0},
 		"too short":          {[]byte{compoundMsg, 9, 0}, 0},
 		"label too long":     {[]byte{hasLabelMsg, 200, 1}, 0},
 	} {
--- a/internal/scale/simagent/wire.go
+++ b/internal/scale/simagent/wire.go
@@ -23,10 +23,10 @@
 	in, out        [numTrafficKinds]counter
 	fromRealAgents counter
 
-	dead   atomic.Bool // the agent was killed or has stopped
-	paused atomic.Bool
-	mu     sync.Mutex
-	gate   chan struct{} // closed when the latest pause ends
+	ended   atomic.Bool // the agent was killed or has stopped
+	paused  atomic.Bool
+	mu      sync.Mutex
+	resumed chan struct{} // closed when the latest pause ends
 }
 
 var _ member.Wire = (*wire)(nil)
@@ -35,7 +35,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.paused.Load() {
-		w.gate = make(chan struct{})
+		w.resumed = make(chan struct{})
 		w.paused.Store(true)
 	}
 }
@@ -44,20 +44,20 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.paused.Swap(false) {
-		close(w.gate)
+		close(w.resumed)
 	}
 }
 
-func (w *wire) kill() { w.dead.Store(true) }
+func (w *wire) kill() { w.ended.Store(true) }
 
 // waitWhilePaused blocks until the agent is not paused or done is closed. done may be nil.
 func (w *wire) waitWhilePaused(done <-chan struct{}) {
 	for w.paused.Load() {
 		w.mu.Lock()
-		gate := w.gate
+		resumed := w.resumed
 		w.mu.Unlock()
 		select {
-		case <-gate:
+		case <-resumed:
 		case <-done:
 			return
 		}
@@ -84,7 +84,7 @@
 // only to outgoing datagrams, so that each datagram that passes at its sender arrives.
 func (w *wire) Packet(data []byte, peer netip.AddrPort, out bool) bool {
 	w.waitWhilePaused(nil)
-	if w.dead.Load() {
+	if w.ended.Load() {
 		return false
 	}
 	if !out && w.net.zoneOf(peer) == "" {
@@ -129,7 +129,7 @@
 		case <-time.After(faultPollInterval):
 		}
 	}
-	if w.dead.Load() {
+	if w.ended.Load() {
 		return nil, errKilled
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
