--- a/internal/scale/overhead/backends.go
+++ b/internal/scale/overhead/backends.go
@@ -1,10 +1,10 @@
 // Package overhead measures the latency that a real agent adds to a call, compared with the same call made directly to
-// the same backend, and what an agent costs while nothing calls it.
+// the same backend, and the resources of an agent without calls.
 //
 // Backends (backends.go) and list services (listservice.go) run in this process; agents are processes of the built
-// program (process.go, usage.go). Calls (call.go) through the agents and directly are sent by one plan (drive.go), in
-// windows of several agents at once (window.go, windows.go). Their statistics (summary.go) become a file (report.go) and
-// tables (tables.go). trace.go runs an agent under the Go runtime's tracer and profiler.
+// program (process.go, usage.go). One plan (drive.go) schedules the calls (call.go) through the agents and directly, in
+// windows of several agents at once (window.go, windows.go). The statistics of the calls (summary.go) are saved as a file
+// (report.go) and as tables (tables.go). trace.go runs an agent under the Go runtime's tracer and profiler.
 package overhead
 
 // The backends, and the clock that they share with the callers.
@@ -25,20 +25,20 @@
 // Headers of a backend's response, which agents forward.
 const (
 	headerBackend       = "X-Backend" // the backend's number
-	headerArrivedAt     = "X-Came"    // when the request reached the handler, ns since base
-	headerFinishedAt    = "X-Left"    // when the handler was done, ns since base
+	headerArrivedAt     = "X-Came"    // time at which the request reached the handler, ns since base
+	headerFinishedAt    = "X-Left"    // time at which the handler finished, ns since base
 	headerRequestNumber = "X-Nth"     // the request's number on its connection, from 1
 )
 
-// base is the origin of all points in time, which backends and callers share: they run in one process.
+// base is the origin of all points in time. Backends and callers share it, since they run in one process.
 var base = time.Now()
 
 // sinceBase returns the time since base.
 func sinceBase() time.Duration { return time.Since(base) }
 
-// Backends are HTTP servers in this process, each with an address of its own, that answer at once.
+// Backends are HTTP servers in this process that respond immediately, each at its own address.
 type Backends struct {
-	Addrs   []string // host:port, by the backend's number
+	Addrs   []string // host:port, indexed by the backend's number
 	server  *http.Server
 	serving sync.WaitGroup
 }
@@ -51,13 +51,13 @@
 	requests atomic.Int64
 }
 
-// numberedListener is a backend's listener, whose connections know the backend's number.
+// numberedListener is a backend's listener. Its connections carry the backend's number.
 type numberedListener struct {
 	net.Listener
 	backend int
 }
 
-// numberedConn is a connection to a backend.
+// numberedConn is a connection to a backend, with the backend's number.
 type numberedConn struct {
 	net.Conn
 	backend int
@@ -72,7 +72,7 @@
 	return numberedConn{conn, l.backend}, nil
 }
 
-// StartBackends starts n backends, each at an address of 127.0.0.0/8. The caller closes them.
+// StartBackends starts n backends, each at its own address in 127.0.0.0/8. The caller closes them.
 func StartBackends(n int) (*Backends, error) {
 	backends := &Backends{}
 	backends.server = &http.Server{Handler: http.HandlerFunc(serveBackend), ErrorLog: log.New(io.Discard, "", 0),
@@ -97,7 +97,7 @@
 	b.serving.Wait()
 }
 
-// serveBackend answers a request with the headers that tell when and by whom it was served.
+// serveBackend responds with the headers that hold the backend's number, the request's number and the handler's times.
 func serveBackend(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := sinceBase()
 	conn := r.Context().Value(connKey{}).(*backendConn)
@@ -106,5 +106,5 @@
 	header.Set(headerRequestNumber, strconv.FormatInt(conn.requests.Add(1), 10))
 	header.Set(headerArrivedAt, strconv.FormatInt(int64(arrivedAt), 10))
 	header.Set(headerFinishedAt, strconv.FormatInt(int64(sinceBase()), 10))
-	_, _ = io.WriteString(w, "ok") // a caller that has disconnected needs no answer
+	_, _ = io.WriteString(w, "ok") // fails only if the caller has disconnected
 }
--- a/internal/scale/overhead/call.go
+++ b/internal/scale/overhead/call.go
@@ -1,6 +1,6 @@
 package overhead
 
-// One HTTP call to a backend, through an agent or directly, and the samples of all calls of one path.
+// An HTTP call to a backend, through an agent or directly, and the samples of all calls on one path.
 
 import (
 	"cmp"
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// sample is one call that was answered. Points in time count from base.
+// sample is a call that succeeded. Points in time count from base.
 type sample struct {
-	plannedAt         time.Duration // when it was to be sent
-	lateness          time.Duration // how much later than that it was sent
-	total             time.Duration // from when it was to be sent until its answer was read
-	inbound, outbound time.Duration // from its sending to the backend's handler; from the handler's end to the read answer
-	newConnection     bool          // it was the first call of its connection to the backend
+	plannedAt         time.Duration // planned time of sending
+	lateness          time.Duration // from the planned time until the call was sent
+	total             time.Duration // from the planned time until the response was read
+	inbound, outbound time.Duration // from sending to the backend's handler; from the handler's end until the response was read
+	newConnection     bool          // the call was the first on its connection to the backend
 }
 
-// callPath collects the calls of one of the two paths, through an agent or directly. Calls planned for a time before
-// countedFrom are not counted: they open connections and run code for the first time.
+// callPath collects the calls on one of the two paths, through an agent or directly. It does not count calls that were
+// planned before countedFrom, since these open connections and run code for the first time.
 type callPath struct {
 	countedFrom time.Duration // since base
 
@@ -35,7 +35,7 @@
 	firstError string // of the first call that failed
 }
 
-// add records a call; err tells that it failed.
+// add records a call, which has failed if err is not nil.
 func (p *callPath) add(s sample, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// newClient returns a client that keeps every connection open.
+// newClient returns a client that keeps up to 1,000 idle connections to each host open.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true,
 		DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}
@@ -58,8 +58,8 @@
 
 var lastCallID atomic.Int64
 
-// call makes one call, planned for a time since base, and returns the number of the backend that answered. A status
-// other than 200 is an error.
+// call makes one call, which was planned for the time at since base, and returns the number of the backend that responded.
+// A status other than 200 is an error.
 func call(client *http.Client, addr string, at time.Duration) (s sample, backend int, err error) {
 	sentAt := sinceBase()
 	s.plannedAt, s.lateness = at, sentAt-at
--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -1,6 +1,6 @@
 package overhead
 
-// The workload of an agent, the plan of its calls and their sending.
+// The workload of an agent, and the plan and sending of its calls.
 
 import (
 	"cmp"
@@ -18,16 +18,16 @@
 // Workload is an agent's endpoint list and the calls through the agent, in one window.
 type Workload struct {
 	ListSize     int     `json:"List"`             // backends in the endpoint list
-	Rate         float64 `json:"Rate"`             // calls a second through each agent, and as many directly
+	Rate         float64 `json:"Rate"`             // calls a second through each agent, and the same number directly
 	Tick         string  `json:"Tick"`             // the agent's setting attempts.tick
-	EvenlySpaced bool    `json:"Even,omitempty"`   // evenly spaced calls; else a Poisson process, as from many callers
-	Agents       int     `json:"Agents,omitempty"` // agents whose calls make one row, each called at Rate; 0: one
-	// ListChanges is how the list service publishes a change each second: "" (no changes), "entries" (the changed
-	// endpoints) or "whole" (the complete list).
+	EvenlySpaced bool    `json:"Even,omitempty"`   // evenly spaced calls; otherwise a Poisson process, as from many callers
+	Agents       int     `json:"Agents,omitempty"` // agents whose calls are one row, each called at Rate; 0: one agent
+	// ListChanges is the form in which the list service publishes a change each second: "" (no changes), "entries" (the
+	// changed endpoints) or "whole" (the complete list).
 	ListChanges string `json:"Turns,omitempty"`
 }
 
-// agentRun is an agent with a workload, while it runs.
+// agentRun is a running agent with its workload.
 type agentRun struct {
 	workload                Workload
 	process                 *AgentProcess
@@ -35,19 +35,19 @@
 	client                  *http.Client
 	through, direct         callPath
 	lastBackend             atomic.Int64    // number of the backend that served the latest call through the agent
-	changedAt               []time.Duration // when the list changed, since base
+	changedAt               []time.Duration // times of the list's changes, since base
 	usageBefore, usageAfter Usage
 }
 
-// plannedCall is a call that is to be made.
+// plannedCall is a scheduled call.
 type plannedCall struct {
 	sendAt time.Duration // since base
 	run    *agentRun
-	direct bool // to the backend that served the run's latest call, not through the agent
+	direct bool // sent directly to the backend that served the run's latest call through the agent
 }
 
-// plan returns an agent's calls between two points in time, through the agent and directly in turn, each direct one
-// halfway to the next through the agent.
+// plan returns an agent's calls between two points in time. Calls through the agent and direct calls alternate; each direct
+// call is halfway between two calls through the agent.
 func (a *agentRun) plan(rng *rand.Rand, from, until time.Duration) (calls []plannedCall) {
 	gap := func() time.Duration {
 		x := 1.0
@@ -64,8 +64,9 @@
 	return calls
 }
 
-// drive makes the calls of all agents by one plan, each at its time even if earlier ones are not answered yet, and waits
-// for the answers. It sleeps by a system call on a thread of its own, since Go's timers are up to a millisecond late.
+// drive makes the calls of all agents by one plan, and waits for all responses. It makes each call at its planned time even
+// if earlier calls are still in flight. It sleeps by a system call on a locked thread, since Go's timers are up to a
+// millisecond late.
 func drive(agents []*agentRun, direct *http.Client, addrs []string, rng *rand.Rand, warmUp, length time.Duration) {
 	start := sinceBase() + 10*time.Millisecond
 	var plan []plannedCall
@@ -98,7 +99,7 @@
 	calls.Wait()
 }
 
-// changeListEachSecond changes the agent's endpoint list each second, until ctx ends.
+// changeListEachSecond changes the agent's endpoint list each second until ctx ends, and records the times in changedAt.
 func (a *agentRun) changeListEachSecond(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/scale/overhead/listservice.go
+++ b/internal/scale/overhead/listservice.go
@@ -1,6 +1,6 @@
 package overhead
 
-// A list service that streams its endpoint list and the changes of it.
+// A fake list service that streams an endpoint list and its changes.
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// ListService is a fake list service: it streams the complete endpoint list, then each change, and an empty line as a
-// heartbeat while there is none.
+// ListService is a fake list service. It streams the complete endpoint list, then each change, and an empty line as a
+// heartbeat while nothing changes.
 type ListService struct {
 	Addr string // host:port
 
@@ -30,17 +30,17 @@
 	updates   []discovery.EndpointList // version v is updates[v-firstVersion-1]
 	changed   chan struct{}            // closed at each change, and replaced
 	closed    bool
-	draining  int // the number of the draining backend; below 0: none
+	draining  int // number of the draining backend; negative: none
 }
 
 const (
 	firstVersion      = 41
 	heartbeatInterval = 2 * time.Second
 	zoneName          = "a"
-	kindName          = "k" // agents know it by AgentConfig: an agent that knows no backend's kind ends with its first call
+	kindName          = "k" // must be the kind in AgentConfig: an agent without a backend of a configured kind ends at its first call
 )
 
-// NewListService starts a service whose list has the backends at these addresses. The caller closes it.
+// NewListService starts a service whose list contains the backends at addrs. The caller closes it.
 func NewListService(addrs []string) (*ListService, error) {
 	service := &ListService{changed: make(chan struct{}), draining: -1}
 	for i, addr := range addrs {
@@ -67,14 +67,14 @@
 	s.serving.Wait()
 }
 
-// notifyWatchers wakes all streams; s.mu is held.
+// notifyWatchers notifies all streams of a change. The caller holds s.mu.
 func (s *ListService) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ChangeList sets the next backend to draining and the one that was draining back to ready, publishes this as the two
-// entries or as the complete list, and returns when it did, since base.
+// ChangeList sets the next backend to draining and the backend that was draining back to ready. It publishes the two
+// entries, or the complete list if full is set, and returns the time of the change since base.
 func (s *ListService) ChangeList(full bool) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return sinceBase()
 }
 
-// serveWatch streams the list to one agent, until the agent disconnects or the service is closed.
+// serveWatch streams the list to one agent until the agent disconnects or the service is closed.
 func (s *ListService) serveWatch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
@@ -111,7 +111,7 @@
 		for _, update := range updates {
 			line, err := json.Marshal(update)
 			if err != nil {
-				panic(err) // it holds nothing that can't be written
+				panic(err) // an endpoint list always encodes
 			}
 			text = append(append(text, line...), '\n')
 		}
@@ -128,8 +128,9 @@
 	}
 }
 
-// updatesSince returns what an agent with a version has to receive, the version that it has then, and a channel that the
-// next change closes; nil: the service is closed. An agent with an unknown version receives the complete list.
+// updatesSince returns the updates for an agent that has the given version, the version after these updates, and a channel
+// that is closed at the next change. The channel is nil if the service is closed. For an unknown version the update is the
+// complete list.
 func (s *ListService) updatesSince(version int64) (updates []discovery.EndpointList, latest int64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +145,7 @@
 	return []discovery.EndpointList{complete}, latest, s.changed
 }
 
-// waitForChange waits for a change or until a heartbeat is due, and reports false once ctx has ended.
+// waitForChange waits for a change or until a heartbeat is due. It returns false if ctx has ended.
 func waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
--- a/internal/scale/overhead/overhead_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -1,6 +1,6 @@
 package overhead
 
-// The measurement itself, small by default and in full with -scale.full, and tests of its parts.
+// The measurement, small by default and full with -scale.full, and tests of its parts.
 
 import (
 	"flag"
@@ -14,14 +14,14 @@
 )
 
 var (
-	full       = flag.Bool("scale.full", false, "make full runs and write the tables; else a small run")
+	full       = flag.Bool("scale.full", false, "make full runs and write the tables; otherwise make one small run")
 	runs       = flag.Int("scale.runs", 3, "number of full runs")
-	appendRuns = flag.Bool("scale.append", false, "add the runs to those of the file; with no runs the tables are written anew")
-	outFile    = flag.String("scale.out", "../../../docs/capacity/callway", "where full runs are written, without .json and .md")
-	traceDir   = flag.String("scale.trace", "", "a folder for traces of agents; none are made without it")
+	appendRuns = flag.Bool("scale.append", false, "add the runs to those in the file; with -scale.runs=0, only rewrite the tables")
+	outFile    = flag.String("scale.out", "../../../docs/capacity/callway", "path of the results of full runs, without .json and .md")
+	traceDir   = flag.String("scale.trace", "", "directory for traces of agents; empty: no traces")
 )
 
-// TestMain makes the test binary run as a traced agent if traceDirEnv is set.
+// TestMain runs a traced agent instead of the tests if traceDirEnv is set.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(traceDirEnv); dir != "" {
 		if err := ServeTraced(os.Args[len(os.Args)-1], dir); err != nil {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// newBench builds the program and starts backends, for one test.
+// newBench builds the program and starts backends for one test.
 func newBench(t *testing.T, backends int) *Bench {
 	t.Helper()
 	backendSet, err := StartBackends(backends)
@@ -48,21 +48,21 @@
 	return &Bench{Dir: dir, Command: command, Backends: backendSet, Seed: uint64(time.Now().UnixNano())}
 }
 
-// measurement is what a run measures.
+// measurement describes what a run measures.
 type measurement struct {
-	command      string // that makes it
+	command      string // the command that makes the measurement
 	windows      []Window
 	idleSizes    []int         // list sizes of agents without calls
-	settle, idle time.Duration // how long these settle, and are measured for
+	settle, idle time.Duration // time for which these settle, then are measured
 }
 
-// fullMeasurement is what -scale.full measures.
+// fullMeasurement returns the measurement for -scale.full.
 func fullMeasurement() measurement {
 	return measurement{"go test ./internal/scale/overhead -run Table -scale.full -timeout 20m",
 		FullWindows(), []int{8, 60, 100, 1800}, time.Second, 7 * time.Second}
 }
 
-// smallMeasurement is a small one, for a test.
+// smallMeasurement returns the measurement for a run without -scale.full.
 func smallMeasurement() measurement {
 	calls := Workload{ListSize: 8, Rate: 72, Tick: defaultTick}
 	changes := calls
@@ -73,8 +73,8 @@
 	}, []int{8}, 0, 100 * time.Millisecond}
 }
 
-// All calls are answered, through agents and directly, also while the list changes, and the saved tables are those of the
-// saved rows. With -scale.full it makes the full measurement.
+// All calls succeed, through agents and directly, also while the list changes, and the saved tables match the saved rows.
+// With -scale.full the test makes the full measurement.
 func TestTableOfCallsThroughAgentsAndDirectly(t *testing.T) {
 	measured := fullMeasurement()
 	if !*full {
@@ -111,12 +111,12 @@
 	}
 	got := saved.Markdown()
 	if got != string(text) || strings.Count(got, "\n| 5ms | 72 |") < 3 || !strings.Contains(got, "\n| 8 | ") {
-		t.Errorf("the tables are not those of the saved runs:\n%s", got)
+		t.Errorf("the saved tables differ from the tables of the saved runs, or lack rows:\n%s", got)
 	}
 }
 
-// measureRun makes one run of all windows; agents without calls run beside the first of them. After each window it saves
-// the rows with the earlier runs, so that a run that is cut off is kept.
+// measureRun makes one run of all windows, and measures agents without calls at the same time. After each window it saves
+// the rows with the earlier runs, so that the rows of an interrupted run are kept.
 func measureRun(t *testing.T, bench *Bench, measured measurement, earlier *Result) Run {
 	t.Helper()
 	run := Run{At: time.Now().UTC().Truncate(time.Second)}
@@ -157,19 +157,19 @@
 	return run
 }
 
-// checkRow fails the test on a row with failed or missing calls.
+// checkRow fails the test if a row has failed or missing calls.
 func checkRow(t *testing.T, r Row) {
 	t.Helper()
 	if r.Failed+r.FailedDirect > 0 {
-		t.Errorf("%+v: %d failed through the agent, %d directly: %s", r.Workload, r.Failed, r.FailedDirect, r.FirstError)
+		t.Errorf("%+v: %d calls through the agent and %d direct calls failed: %s", r.Workload, r.Failed, r.FailedDirect, r.FirstError)
 	}
 	if r.Through.N == 0 || r.Direct.N == 0 || r.Window == "changes" && (r.Changes == 0 || r.OtherTimes.N == 0) {
-		t.Errorf("%+v: calls are missing: %d, %d, %d after %d changes",
+		t.Errorf("%+v: calls are missing: got %d through the agent, %d direct, %d after one of %d changes",
 			r.Workload, r.Through.N, r.Direct.N, r.AfterChange.N, r.Changes)
 	}
 }
 
-// Every entry of a list of 1,800 can be called at an address of its own.
+// Each of 1,800 backends responds at its own address.
 func TestEveryEntryOfALongListAnswers(t *testing.T) {
 	b, err := StartBackends(1800)
 	if err != nil {
@@ -180,16 +180,16 @@
 	defer client.CloseIdleConnections()
 	for i, addr := range b.Addrs {
 		if _, got, err := call(client, addr, sinceBase()); err != nil || got != i || seen[addr] {
-			t.Fatalf("entry %d at %s: backend %d, %v", i, addr, got, err)
+			t.Fatalf("backend %d at %s: got a response from backend %d, error %v", i, addr, got, err)
 		}
 		seen[addr] = true
 	}
 }
 
-// With -scale.trace: an agent with a long list under the runtime's instruments.
+// With -scale.trace, an agent with a long list runs under the Go runtime's tracer and profiler.
 func TestTraceOfAnAgentWithALongList(t *testing.T) {
 	if *traceDir == "" {
-		t.Skip("no folder for traces was named")
+		t.Skip("-scale.trace is not set")
 	}
 	b := newBench(t, 1800)
 	for _, c := range []Workload{
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -1,6 +1,6 @@
 package overhead
 
-// Building, starting and stopping the program as an agent.
+// Building, starting and stopping an agent's process.
 
 import (
 	"bufio"
@@ -18,11 +18,11 @@
 	"time"
 )
 
-// Class is the one request class that agents are configured with: an idempotent read.
+// Class is the only request class in the agents' configuration, an idempotent read.
 const Class = "lookup"
 
-// AgentConfig returns an agent's configuration file: the defaults, with this list service (host:port) and this value of
-// attempts.tick.
+// AgentConfig returns an agent's configuration file: the defaults, with the given list service (host:port) and the given
+// value of attempts.tick.
 func AgentConfig(listService, tick string) string {
 	return fmt.Sprintf(`listen = "127.0.0.1:0"
 discovery = %q
@@ -42,16 +42,16 @@
 `, listService, zoneName, zoneName, kindName, tick, Class)
 }
 
-// AgentProcess is an agent in a process of its own.
+// AgentProcess is an agent that runs in a separate process.
 type AgentProcess struct {
 	Addr    string // host:port where clients connect
 	cmd     *exec.Cmd
-	logDone chan struct{} // closed once its log has ended
-	logTail []string      // the last lines of its log; may be read once logDone is closed
+	logDone chan struct{} // closed when the log has ended
+	logTail []string      // last lines of the log; may be read after logDone is closed
 }
 
-// BuildAgent builds the program into a folder and returns the command that starts an agent, without its last argument:
-// the path of the configuration file.
+// BuildAgent builds the program into dir and returns the command that starts an agent. The caller appends the path of the
+// configuration file as the last argument.
 func BuildAgent(dir string) ([]string, error) {
 	program := filepath.Join(dir, "martenbeam")
 	cmd := exec.Command("go", "build", "-buildvcs=false", "-o", program, "martenbeam/cmd/martenbeam")
@@ -61,9 +61,8 @@
 	return []string{program, "agent", "--log-format", "json", "--config"}, nil
 }
 
-// StartAgent starts an agent and waits until it accepts clients and has an endpoint list. The path of its configuration
-// file, which is written into dir, becomes the command's last argument; env is added to the environment. The caller
-// ends the agent with Stop.
+// StartAgent starts an agent and waits until it accepts clients and has an endpoint list. It writes the configuration file
+// into dir, appends the file's path to the command, and adds env to the environment. The caller ends the agent with Stop.
 func StartAgent(ctx context.Context, dir, config string, env []string, command ...string) (*AgentProcess, error) {
 	file, err := os.CreateTemp(dir, "agent-*.toml")
 	if err != nil {
@@ -96,15 +95,15 @@
 		err = ctx.Err()
 	}
 	if err != nil {
-		_ = process.cmd.Process.Kill() // ended already if it fails
+		_ = process.cmd.Process.Kill() // fails only if the process has already ended
 		<-process.logDone
-		_ = process.cmd.Wait() // it was killed
+		_ = process.cmd.Wait() // the error reports the kill
 		return nil, err
 	}
 	return process, nil
 }
 
-// readLog reads the log until it ends, keeps its last lines, and sends the address at which the agent listens.
+// readLog reads the log until its end, keeps the last 20 lines, and sends the agent's address to serving.
 func (p *AgentProcess) readLog(log io.Reader, serving chan<- string) {
 	defer close(p.logDone)
 	for lines := bufio.NewScanner(log); lines.Scan(); {
@@ -123,7 +122,7 @@
 
 const readyTimeout = 20 * time.Second
 
-// waitReady waits until the agent's health check succeeds: it has an endpoint list.
+// waitReady waits until the agent's health check succeeds, which requires an endpoint list.
 func (p *AgentProcess) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
@@ -140,13 +139,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not ready: %w", ctx.Err())
+			return fmt.Errorf("waiting for the agent's health check: %w", ctx.Err())
 		case <-retry.C:
 		}
 	}
 }
 
-// Stop ends the agent by SIGTERM, and waits until it has shut down. A status other than 0 is an error.
+// Stop sends SIGTERM to the agent, and waits until the process has ended. An exit status other than 0 is an error.
 func (p *AgentProcess) Stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
--- a/internal/scale/overhead/report.go
+++ b/internal/scale/overhead/report.go
@@ -1,7 +1,7 @@
 package overhead
 
-// The result of measurements, and its file. The JSON keys are those of files that are kept: they stay when a field is
-// renamed.
+// The result of measurements, and its file. The JSON keys must not change when a field is renamed, since saved files
+// contain them.
 
 import (
 	"encoding/json"
@@ -21,47 +21,48 @@
 	Max                float64 `json:"Most"`
 	NewConnectionShare float64 `json:"FreshShare"` // share of calls on a new connection to the backend
 	InboundP99         float64 `json:"In99"`       // from sending to the backend's handler
-	OutboundP99        float64 `json:"Out99"`      // from the backend's handler to the read answer
+	OutboundP99        float64 `json:"Out99"`      // from the backend's handler until the response was read
 }
 
-// Row is what one workload showed in one run.
+// Row is the result of one workload in one run.
 type Row struct {
 	Window string `json:"Window"`
 	Workload
 	Direct             Quantiles `json:"Direct"`
 	Through            Quantiles `json:"Through"`              // calls through the agent
-	AfterChange        Quantiles `json:"After,omitzero"`       // of Through, those soon after a change of the list
-	OtherTimes         Quantiles `json:"Rest,omitzero"`        // of Through, the others
-	AfterChangeDirect  Quantiles `json:"AfterDirect,omitzero"` // of Direct, those soon after a change of the list
-	OtherTimesDirect   Quantiles `json:"RestDirect,omitzero"`  // of Direct, the others
+	AfterChange        Quantiles `json:"After,omitzero"`       // of Through, the calls soon after a change of the list
+	OtherTimes         Quantiles `json:"Rest,omitzero"`        // of Through, all other calls
+	AfterChangeDirect  Quantiles `json:"AfterDirect,omitzero"` // of Direct, the calls soon after a change of the list
+	OtherTimesDirect   Quantiles `json:"RestDirect,omitzero"`  // of Direct, all other calls
 	Changes            int       `json:"Changes,omitempty"`    // changes of the list
 	Failed             int       `json:"Failed"`               // failed calls through the agent
 	FailedDirect       int       `json:"FailedDirect"`         // failed direct calls
 	FirstError         string    `json:"Why,omitempty"`        // of a failed call
-	LatenessP99        float64   `json:"LateP99"`              // how late the caller sent calls, ms
+	LatenessP99        float64   `json:"LateP99"`              // delay from a call's planned time to its sending, ms
 	ResidentMB         float64   `json:"ResidentMB"`           // of one agent: the largest
 	CPUMillisPerSecond float64   `json:"CPUms"`                // processor time of one agent: the mean
 	Slowest            Slowest   `json:"Slowest"`
 }
 
-// Slowest is the mean over the slowest hundredth of the calls through the agent, in ms: from sending to the backend's
-// handler, and from there to the read answer; and the share of them that used a new connection to the backend.
+// Slowest holds means over the slowest 1% of the calls through the agent, in ms: the time from sending to the backend's
+// handler, and the time from there until the response was read. NewConnectionShare is the share of these calls on a new
+// connection to the backend.
 type Slowest struct {
 	Inbound            float64 `json:"In"`
 	Outbound           float64 `json:"Out"`
 	NewConnectionShare float64 `json:"FreshShare"`
 }
 
-// IdleRow is what an agent without calls uses.
+// IdleRow is the resource usage of an agent without calls.
 type IdleRow struct {
 	ListSize           int     `json:"List"` // backends in the endpoint list
 	ResidentMB         float64 `json:"ResidentMB"`
 	CPUMillisPerSecond float64 `json:"CPUms"` // processor time
 }
 
-// Result is all runs of a measurement.
+// Result holds all runs of a measurement.
 type Result struct {
-	How  string `json:"How"` // the command that makes it
+	How  string `json:"How"` // the command that makes the measurement
 	Runs []Run  `json:"Runs"`
 }
 
@@ -70,8 +71,8 @@
 	At   time.Time `json:"At"` // its start, in UTC
 	Rows []Row     `json:"Rows"`
 	Idle []IdleRow `json:"Idle"`
-	// Stolen is the share of the cores' time that the machine's host gave to other machines meanwhile; 0: none, or not
-	// measured.
+	// Stolen is the share of the cores' time that the machine's host gave to other machines during the run; 0: none, or
+	// not measured.
 	Stolen float64 `json:"Stolen"`
 }
 
@@ -91,7 +92,7 @@
 	return r, nil
 }
 
-// Save writes the result to FILE.json and its tables to FILE.md, in place of what is there.
+// Save writes the result to FILE.json and its tables to FILE.md. It overwrites existing files.
 func (r *Result) Save(file string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/internal/scale/overhead/summary.go
+++ b/internal/scale/overhead/summary.go
@@ -1,6 +1,6 @@
 package overhead
 
-// The statistics of the calls of one workload.
+// Statistics of the calls of one workload.
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newRow summarizes the agents of one workload, which ran for a time.
+// newRow summarizes the agents of one workload, which ran for the time took.
 func newRow(window string, agents []*agentRun, took time.Duration) Row {
 	row := Row{Window: window, Workload: agents[0].workload}
 	var through, direct []sample
@@ -43,15 +43,15 @@
 	return row
 }
 
-// afterChangeSpan is how long after a change of the list a call counts as made after it.
+// afterChangeSpan is the time after a change of the list within which a call counts as made after the change.
 const afterChangeSpan = 100 * time.Millisecond
 
-// afterChange reports whether a time since base is at most afterChangeSpan after a change of the list.
+// afterChange reports whether a time since base is less than afterChangeSpan after a change of the list.
 func (a *agentRun) afterChange(at time.Duration) bool {
 	return slices.ContainsFunc(a.changedAt, func(t time.Duration) bool { return at >= t && at < t+afterChangeSpan })
 }
 
-// partition splits samples into those for which by is true and the rest, in their order.
+// partition splits samples into the samples for which by returns true and all others, and keeps their order.
 func partition(list []sample, by func(sample) bool) (yes, no []sample) {
 	for _, s := range list {
 		if by(s) {
@@ -63,7 +63,7 @@
 	return yes, no
 }
 
-// summarize returns the quantiles of calls; all are 0 without calls.
+// summarize returns the quantiles of calls, which are all 0 for an empty list.
 func summarize(list []sample) (s Quantiles) {
 	if len(list) == 0 {
 		return s
@@ -98,7 +98,7 @@
 	}
 }
 
-// quantile returns the least value that at least the share q of a sorted list does not exceed; 0 for an empty list.
+// quantile returns the q-quantile of a sorted list by the nearest-rank method; 0 for an empty list.
 func quantile(list []float64, q float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -1,6 +1,6 @@
 package overhead
 
-// The tables of a result, in Markdown.
+// Tables of a result, in Markdown.
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// group is the rows of one workload, over the runs.
+// group holds the rows of one workload from all runs.
 type group []Row
 
-// summary formats a value's median over the runs, and its range.
+// summary formats the median and the range of a value over the runs.
 func (g group) summary(value func(Row) float64) string {
 	var list []float64
 	for _, r := range g {
@@ -22,7 +22,7 @@
 	return medianAndRange(list)
 }
 
-// failed counts the failed calls.
+// failed returns the number of failed calls, through the agent and directly.
 func (g group) failed() (n int) {
 	for _, r := range g {
 		n += r.Failed + r.FailedDirect
@@ -30,7 +30,7 @@
 	return n
 }
 
-// medianAndRange formats a list's median, and if it has several values the least and the greatest.
+// medianAndRange formats the median of a list and, if it has several values, the minimum and the maximum.
 func medianAndRange(list []float64) string {
 	list = slices.Sorted(slices.Values(list))
 	middle := list[len(list)/2]
@@ -43,7 +43,8 @@
 	return fmt.Sprintf("%.2f (%.2f-%.2f)", middle, list[0], list[len(list)-1])
 }
 
-// groupsOf returns the workloads of the windows of a name, sorted by tick, rate, list size and kind of list changes.
+// groupsOf returns a group for each workload of the windows with a name, sorted by tick in descending order, rate, list
+// size and form of list changes.
 func (r *Result) groupsOf(window string) (list []group) {
 	for _, run := range r.Runs {
 		for _, row := range run.Rows {
@@ -66,7 +67,7 @@
 	return list
 }
 
-// arrivals names how calls are spaced, as the tables do.
+// arrivals returns the tables' term for the spacing of calls.
 func (w Workload) arrivals() string {
 	if w.EvenlySpaced {
 		return "evenly"
@@ -74,17 +75,17 @@
 	return "at random"
 }
 
-// lineWriter writes one line, by a format.
+// lineWriter formats and writes one line.
 type lineWriter func(format string, args ...any)
 
-// The rows of some tables, by their columns.
+// Formats of the rows of three tables.
 const (
 	latencyFormat = "| %s | %v | %s | %d | %d | %s | %s | %s | %s | %s | %s | %s | %s | %d |"
 	slowestFormat = "| %s | %v | %s | %d | %s | %s | %s | %s | %s | %s | %s |"
 	changesFormat = "| %s | %v | %d | %s | %d | %s | %s | %s | %s | %s | %s | %d |"
 )
 
-// writeCalls writes the tables of the windows of a name; none if there are no such windows.
+// writeCalls writes the tables of the windows with a name. It writes nothing if there are no such windows.
 func (r *Result) writeCalls(line lineWriter, title, window string) {
 	list := r.groupsOf(window)
 	if len(list) == 0 {
@@ -120,7 +121,7 @@
 	}
 }
 
-// writeChanges writes the table of the windows in which lists change; none if there are no such windows.
+// writeChanges writes the table of the windows in which lists change. It writes nothing if there are no such windows.
 func (r *Result) writeChanges(line lineWriter) {
 	list := r.groupsOf("changes")
 	if len(list) == 0 {
@@ -167,7 +168,7 @@
 	}
 }
 
-// Markdown returns the tables of all runs. Their texts stay as they are: saved tables are compared with them.
+// Markdown returns the tables of all runs. Their texts must not change, since saved tables are compared with them.
 func (r *Result) Markdown() string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
--- a/internal/scale/overhead/trace.go
+++ b/internal/scale/overhead/trace.go
@@ -17,12 +17,12 @@
 	"martenbeam/internal/membership"
 )
 
-// traceDirEnv is the environment variable that names the folder for ServeTraced. If it is set, the test binary calls
+// traceDirEnv is the environment variable with the directory for ServeTraced. If it is set, the test binary calls
 // ServeTraced instead of running tests.
 const traceDirEnv = "CALLWAY_TRACED"
 
-// Trace runs one workload on an agent that is this very program, started with traceDirEnv. The agent leaves its trace and
-// its profile in a folder of the workload's name within dir.
+// Trace runs one workload on an agent that is this executable, started with traceDirEnv. The agent writes its trace and its
+// profile into a subdirectory of dir that is named after the workload.
 func (b *Bench) Trace(ctx context.Context, workload Workload, length time.Duration, dir string) (Row, error) {
 	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", workload.ListSize, workload.Rate, workload.Tick))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -40,7 +40,7 @@
 	return rows[0], nil
 }
 
-// ServeTraced runs an agent as the program does, with this configuration file, until it is terminated. It writes an
+// ServeTraced runs an agent with the given configuration file, as the program does, until it is terminated. It writes an
 // execution trace (trace.out) and a CPU profile (cpu.pprof) into dir.
 func ServeTraced(file, dir string) error {
 	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: membership.JoinFromConfig,
--- a/internal/scale/overhead/usage.go
+++ b/internal/scale/overhead/usage.go
@@ -1,6 +1,6 @@
 package overhead
 
-// Memory and processor time, of an agent's process and of the machine.
+// Memory and processor time of an agent's process, and processor time of the machine.
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Usage is the resources that a process uses.
+// Usage is the resource usage of a process.
 type Usage struct {
 	ResidentMB float64       // MiB
-	CPU        time.Duration // processor time since the start, of the threads that still exist
+	CPU        time.Duration // processor time since the start of the process, only of threads that still exist
 }
 
-// Usage reads from /proc what the agent uses now. It fails once the agent has ended.
+// Usage reads the agent's current usage from /proc. It returns an error if the agent has ended.
 func (p *AgentProcess) Usage() (usage Usage, err error) {
 	proc := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	status, err := os.ReadFile(proc + "/status")
@@ -47,8 +47,8 @@
 	return usage, nil
 }
 
-// StolenTime reads from /proc/stat the processor time of all cores since the system's start, in clock ticks, and how
-// much of it the machine's host gave to other machines.
+// StolenTime reads from /proc/stat the processor time of all cores since the system's start, and the part of it that the
+// machine's host gave to other machines, both in clock ticks.
 func StolenTime() (stolen, total float64, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, f := range strings.Fields(line) {
-		n, _ := strconv.ParseFloat(f, 64) // the first is the line's name
+		n, _ := strconv.ParseFloat(f, 64) // the first field is the line's name and counts as 0
 		if total += n; i == 8 {
 			stolen = n
 		}
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -1,6 +1,6 @@
 package overhead
 
-// Running agents: all workloads of a window at once, and agents without calls.
+// Windows, which run several workloads at once, and agents without calls.
 
 import (
 	"context"
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// Window is a span in which several agents are called at once, each by its workload.
+// Window is a span in which several agents receive calls at the same time, each by its own workload.
 type Window struct {
-	Name           string        // names the table that its rows belong to
+	Name           string        // name of the table that its rows belong to
 	WarmUp, Length time.Duration // calls within WarmUp are not counted; Length follows it
 	Workloads      []Workload
 }
 
-// Bench is what all windows share. Its methods must not be called at once, but for Idle beside Run.
+// Bench holds what all windows share. Its methods must not be called concurrently, except that Idle may run during Run.
 type Bench struct {
-	Dir      string   // for the agents' configuration files
-	Command  []string // starts an agent; the path of its configuration file is added as the last argument
+	Dir      string   // directory of the agents' configuration files
+	Command  []string // command that starts an agent, without its last argument, the path of the configuration file
 	Env      []string // added to the environment of agents
 	Backends *Backends
-	Seed     uint64 // of the times of calls
+	Seed     uint64 // seed of the calls' times
 }
 
 // startAgent starts an agent and its list service.
@@ -43,7 +43,7 @@
 	return &agentRun{workload: workload, process: process, listService: listService, client: newClient()}, nil
 }
 
-// stop stops the agent and its list service, and fails if the agent did.
+// stop stops the agent and its list service, and returns the agent's error.
 func (a *agentRun) stop() error {
 	a.client.CloseIdleConnections()
 	err := a.process.Stop()
@@ -51,8 +51,8 @@
 	return err
 }
 
-// startAgents starts an agent for each workload, all at once. Beside an error it returns those that did start, for the
-// caller to stop.
+// startAgents starts an agent for each workload, all at the same time. With an error it also returns the agents that have
+// started, which the caller has to stop.
 func (b *Bench) startAgents(ctx context.Context, workloads []Workload) (agents []*agentRun, err error) {
 	agents, errs := make([]*agentRun, len(workloads)), make([]error, len(workloads))
 	var starts sync.WaitGroup
@@ -63,7 +63,7 @@
 	return slices.DeleteFunc(agents, func(a *agentRun) bool { return a == nil }), errors.Join(errs...)
 }
 
-// stopAgents stops agents, all at once, and returns all their errors.
+// stopAgents stops all agents at the same time, and returns their joined errors.
 func stopAgents(agents []*agentRun) error {
 	errs := make([]error, len(agents))
 	var stops sync.WaitGroup
@@ -107,7 +107,7 @@
 			return nil, err
 		}
 	}
-	for remaining := agents; len(remaining) > 0; { // the agents of one workload each time
+	for remaining := agents; len(remaining) > 0; { // one workload's agents in each iteration
 		n := max(1, remaining[0].workload.Agents)
 		rows = append(rows, newRow(window.Name, remaining[:n], took))
 		remaining = remaining[n:]
@@ -133,8 +133,8 @@
 	return size
 }
 
-// connectAll calls each backend once, and so opens a connection to it, which the client keeps. The address with index i
-// has to be that of backend i.
+// connectAll opens a connection from client to each backend by one call, and the client keeps it. It returns an error if
+// backend i is not at addrs[i].
 func connectAll(client *http.Client, addrs []string) error {
 	for i, addr := range addrs {
 		_, got, err := call(client, addr, sinceBase())
@@ -142,14 +142,14 @@
 			return fmt.Errorf("calling backend %d at %s: %w", i, addr, err)
 		}
 		if got != i {
-			return fmt.Errorf("backend %d answers at the address of backend %d, %s", got, i, addr)
+			return fmt.Errorf("backend %d responded at the address of backend %d, %s", got, i, addr)
 		}
 	}
 	return nil
 }
 
-// Idle measures agents without calls, all at once, one with a list of each size. It waits for settle before it measures
-// for length. The rows are in the order of sizes.
+// Idle measures agents without calls, one for each list size, all at the same time. It waits for settle, then measures for
+// length. The rows are in the order of sizes.
 func (b *Bench) Idle(ctx context.Context, sizes []int, settle, length time.Duration) (rows []IdleRow, err error) {
 	var workloads []Workload
 	for _, n := range sizes {
--- a/internal/scale/overhead/windows.go
+++ b/internal/scale/overhead/windows.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// defaultTick is an agent's default of attempts.tick.
+// defaultTick is the default value of attempts.tick.
 const defaultTick = "5ms"
 
 // FullWindows returns the windows of a full run, in the order in which they run.
@@ -16,7 +16,7 @@
 	return append(windows, listChanges(sizes))
 }
 
-// fewAgents returns three equal windows with few agents each, which disturb each other little.
+// fewAgents returns three equal windows with four agents each. So few agents hardly slow each other down.
 func fewAgents(ticks []string) (windows []Window) {
 	for range 3 {
 		w := Window{Name: "few", WarmUp: time.Second, Length: 5 * time.Second}
@@ -30,7 +30,7 @@
 	return windows
 }
 
-// lowRates returns a window at 10 and 72 calls a second, the latter also evenly spaced.
+// lowRates returns a window with workloads of 10 and 72 calls a second, some at 72 evenly spaced.
 func lowRates(sizes []int, ticks []string) Window {
 	w := Window{Name: "calls", WarmUp: time.Second, Length: 8 * time.Second}
 	for _, n := range sizes {
