--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -79,8 +79,8 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for _, planned := range plan {
-		for left := planned.sendAt - sinceBase(); left > 0; left = planned.sendAt - sinceBase() {
-			t := syscall.NsecToTimespec(int64(left))
+		for remaining := planned.sendAt - sinceBase(); remaining > 0; remaining = planned.sendAt - sinceBase() {
+			t := syscall.NsecToTimespec(int64(remaining))
 			_ = syscall.Nanosleep(&t, nil) // a signal may end it early: the loop sleeps again
 		}
 		calls.Go(func() {
--- a/internal/scale/overhead/overhead_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -170,7 +170,7 @@
 }
 
 // Each of 1,800 backends responds at its own address.
-func TestEveryEntryOfALongListAnswers(t *testing.T) {
+func TestEachBackendRespondsAtItsOwnAddress(t *testing.T) {
 	b, err := StartBackends(1800)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/overhead/summary.go
+++ b/internal/scale/overhead/summary.go
@@ -51,16 +51,16 @@
 	return slices.ContainsFunc(a.changedAt, func(t time.Duration) bool { return at >= t && at < t+afterChangeSpan })
 }
 
-// partition splits samples into the samples for which by returns true and all others, and keeps their order.
-func partition(list []sample, by func(sample) bool) (yes, no []sample) {
+// partition splits samples into the samples for which match returns true and all others, and keeps their order.
+func partition(list []sample, match func(sample) bool) (matching, others []sample) {
 	for _, s := range list {
-		if by(s) {
-			yes = append(yes, s)
+		if match(s) {
+			matching = append(matching, s)
 		} else {
-			no = append(no, s)
+			others = append(others, s)
 		}
 	}
-	return yes, no
+	return matching, others
 }
 
 // summarize returns the quantiles of calls, which are all 0 for an empty list.
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -33,14 +33,14 @@
 // medianAndRange formats the median of a list and, if it has several values, the minimum and the maximum.
 func medianAndRange(list []float64) string {
 	list = slices.Sorted(slices.Values(list))
-	middle := list[len(list)/2]
+	median := list[len(list)/2]
 	if len(list)%2 == 0 {
-		middle = (middle + list[len(list)/2-1]) / 2
+		median = (median + list[len(list)/2-1]) / 2
 	}
 	if len(list) == 1 {
-		return fmt.Sprintf("%.2f", middle)
+		return fmt.Sprintf("%.2f", median)
 	}
-	return fmt.Sprintf("%.2f (%.2f-%.2f)", middle, list[0], list[len(list)-1])
+	return fmt.Sprintf("%.2f (%.2f-%.2f)", median, list[0], list[len(list)-1])
 }
 
 // groupsOf returns a group for each workload of the windows with a name, sorted by tick in descending order, rate, list
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -86,12 +86,12 @@
 	if err := connectAll(direct, b.Backends.Addrs[:window.maxListSize()]); err != nil {
 		return nil, err
 	}
-	changing, stopChanging := context.WithCancel(ctx)
+	changeCtx, stopChanging := context.WithCancel(ctx)
 	defer stopChanging()
 	var changers sync.WaitGroup
 	for _, agent := range agents {
 		if agent.workload.ListChanges != "" {
-			changers.Go(func() { agent.changeListEachSecond(changing) })
+			changers.Go(func() { agent.changeListEachSecond(changeCtx) })
 		}
 		if agent.usageBefore, err = agent.process.Usage(); err != nil {
 			return nil, err
