--- a/internal/scale/applied_test.go
+++ b/internal/scale/applied_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// When each agent applied each change.
+// Record of the times at which agents applied changes.
 
 import (
 	"sync"
@@ -9,10 +9,10 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// appliedVersions records when agents applied versions. Its methods may be called from any goroutine.
+// appliedVersions records the time at which each agent applied each version. Its methods may be called from any goroutine.
 type appliedVersions struct {
 	mu    sync.Mutex
-	byKey map[appliedKey][]appliedVersion // in the order of their arrival
+	byKey map[appliedKey][]appliedVersion // in the order of recording
 }
 
 type appliedKey struct {
@@ -32,7 +32,7 @@
 	a.byKey[k] = append(a.byKey[k], appliedVersion{version, at})
 }
 
-// appliedAt returns when an agent first applied a version or a later one; false: not yet.
+// appliedAt returns the time at which an agent first applied a version or a later one; false if it has not yet.
 func (a *appliedVersions) appliedAt(name string, what simagent.Change, version int64) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// How long a change takes to reach all agents, undisturbed and under faults, and what it costs.
+// Measurement of the time that a change takes to reach all agents, without faults and under faults, and of its cost.
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// changeTimeout is how long after a change agents have to have applied it.
+// changeTimeout is the time within which agents have to apply a change.
 const changeTimeout = 30 * time.Second
 
 func changeTable(t *testing.T) {
 	for _, n := range fleetSizes(t, 14) {
 		for _, run := range runNumbers() {
-			if *full { // one fleet for all kinds of change
+			if *full { // use one fleet for all kinds of change
 				for _, mode := range fleetModes() {
 					t.Run(fmt.Sprintf("%s-%d-%d", mode, n, run), func(t *testing.T) { measureChanges(t, mode, n, run, measuredChanges(mode)) })
 				}
@@ -35,7 +35,7 @@
 	}
 }
 
-// measuredChanges returns the kinds of change that are measured. Only hubs publish settings.
+// measuredChanges returns the kinds of change to measure in a mode. Only hubs publish settings.
 func measuredChanges(mode simagent.Mode) []simagent.Change {
 	list := []simagent.Change{simagent.Policy, simagent.List}
 	if mode == simagent.Hubs {
@@ -44,7 +44,7 @@
 	return list
 }
 
-// makeChange makes a change at its source, and returns the new version and when it was made.
+// makeChange makes a change at its source, and returns the new version and the time of the change.
 func (f *testFleet) makeChange(what simagent.Change) (version int64, at time.Time) {
 	switch what {
 	case simagent.Policy:
@@ -55,14 +55,14 @@
 	return f.service.change()
 }
 
-// propagation is how long a change took to reach agents.
+// propagation holds the times that a change took to reach agents.
 type propagation struct {
 	durations []time.Duration
-	unreached int // agents that it did not reach in time
+	unreached int // agents that the change did not reach within changeTimeout
 }
 
-// measurePropagation waits until the selected agents have applied a version, for changeTimeout after at. Each agent's
-// duration counts from at, when the change was made, or from the agent's own start if that was later.
+// measurePropagation waits until the selected agents have applied a version, at most until changeTimeout after at, the time
+// of the change. An agent's duration counts from at, or from the agent's time in started if that is later.
 func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time,
 	selected func(i int) bool, started map[int]time.Time) (result propagation) {
 	limit := at.Add(changeTimeout)
@@ -90,6 +90,7 @@
 	return result
 }
 
+// addValues adds the quantiles in ms and the number of unreached agents to a row's values.
 func (p propagation) addValues(values map[string]float64, prefix string) {
 	values[prefix+"ms p50"] = quantile(p.durations, 0.5).Seconds() * 1e3
 	values[prefix+"ms p99"] = quantile(p.durations, 0.99).Seconds() * 1e3
@@ -99,8 +100,8 @@
 
 func everyone(int) bool { return true }
 
-// measureChanges measures how long changes take to reach all agents of one fleet, undisturbed and under faults, and what
-// they cost.
+// measureChanges measures the time that changes take to reach all agents of one fleet, without faults and under faults, and
+// the cost of changes.
 func measureChanges(t *testing.T, mode simagent.Mode, n, run int, kinds []simagent.Change) {
 	fleet := newTestFleet(t, mode, n, true)
 	fleet.startAll(time.Duration(n) * *pace)
@@ -114,14 +115,14 @@
 	if *full {
 		repeats, settle = 5, 2*time.Second
 	}
-	time.Sleep(settle) // until the start's own work is done
+	time.Sleep(settle) // until the work of the start is done
 	draw := rand.New(rand.NewPCG(uint64(n), uint64(run)))
 	for _, what := range kinds {
 		saveRows(t, fleet.undisturbedChanges(base, what, repeats, settle))
 	}
 	for _, what := range kinds {
 		saveRows(t, fleet.changeWhilePaused(base, what, draw, settle), fleet.changeUnderLoss(base, what, settle))
-		if fleet.hubs == nil { // hubs are real processes, which a simulated network can't cut off
+		if fleet.hubs == nil { // hubs are real processes, which the simulated network cannot partition
 			saveRows(t, fleet.changeDuringPartition(base, what, settle))
 		} else {
 			saveRows(t, fleet.changeWithDeadHub(base, what, draw))
@@ -130,8 +131,8 @@
 	}
 }
 
-// undisturbedChanges measures repeated changes of a kind: how long they take, and their cost, which is what a span with
-// changes takes beyond one without.
+// undisturbedChanges measures the duration and the cost of repeated changes of a kind without faults. The cost is the usage
+// in a span with changes less the usage in a span without changes.
 func (f *testFleet) undisturbedChanges(r row, what simagent.Change, repeats int, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", undisturbed", map[string]float64{}
 	idle := f.startMeter(false)
@@ -159,7 +160,7 @@
 	return r
 }
 
-// trafficOf returns the kind of traffic by which a kind of change reaches agents.
+// trafficOf returns the kind of traffic that carries a kind of change to agents.
 func trafficOf(what simagent.Change) simagent.TrafficKind {
 	switch what {
 	case simagent.List:
@@ -170,15 +171,16 @@
 	return simagent.Policies
 }
 
-// changeWhilePaused measures a change while 2% of the agents are paused, and how long these take once resumed.
+// changeWhilePaused measures a change while 2% of the agents are paused, and the time that these agents take after they
+// resume.
 func (f *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
 	stopped := map[int]bool{}
 	for _, i := range draw.Perm(f.n - 1)[:max(1, f.n/50)] {
-		stopped[i+1] = true // not the policy's source
+		stopped[i+1] = true // agent 0 is the policy's source
 		f.agents[i+1].Pause()
 	}
-	time.Sleep(settle / 4) // how long they have been paused for when the change is made
+	time.Sleep(settle / 4) // the agents have been paused for a while when the change is made
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, func(i int) bool { return !stopped[i] }, nil).addValues(r.Values, "")
@@ -197,7 +199,7 @@
 func (f *testFleet) changeUnderLoss(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 10% lost", map[string]float64{}
 	f.net.SetLoss(0.1)
-	time.Sleep(settle) // until losses have taken effect
+	time.Sleep(settle) // until the agents have noticed losses
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
@@ -206,27 +208,28 @@
 	return f.awaitRecovery(r)
 }
 
-// changeDuringPartition measures a change while a zone is isolated from all others and from the list service, which it
-// must not reach before the partition ends.
+// changeDuringPartition measures a change while a zone is isolated from all others and from the list service. It fails the
+// test if the change reaches the zone before the partition ends.
 func (f *testFleet) changeDuringPartition(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", a zone cut", map[string]float64{}
 	isolated := len(zones) - 1
 	inside := func(i int) bool { return i%len(zones) == isolated }
 	f.net.Isolate(zones[isolated])
-	time.Sleep(settle) // how long the zone has been isolated for when the change is made
+	time.Sleep(settle) // the zone has been isolated for a while when the change is made
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	if _, reached := f.applied.appliedAt(f.agentName(isolated), what, version); reached {
-		f.t.Errorf("%v: the change reached an isolated zone", what)
+		f.t.Errorf("%v: the change reached an agent in the isolated zone", what)
 	}
 	f.net.Isolate()
 	f.measurePropagation(what, version, time.Now(), inside, nil).addValues(r.Values, "cut ones, once healed: ")
 	return f.awaitRecovery(r)
 }
 
-// changeDuringRestarts measures a change while a third of the agents are down, which start within the next two seconds.
+// changeDuringRestarts measures a change while a third of the agents are down. These agents start within the two seconds
+// after the change, or within 100 ms without -scale.full.
 func (f *testFleet) changeDuringRestarts(r row, what simagent.Change) row {
 	r.Case, r.Values = what.String()+", a third restarting", map[string]float64{}
 	third := func(i int) bool { return i%3 == 1 }
@@ -247,7 +250,7 @@
 			continue
 		}
 		if d := time.Until(at.Add(within * time.Duration(k*3) / time.Duration(f.n))); d > 0 {
-			time.Sleep(d) // keeps the pace, whatever the agents do
+			time.Sleep(d) // keeps the starts evenly spaced, however long each start takes
 		}
 		started[i] = time.Now()
 		f.start(i, a.Addr())
@@ -259,12 +262,13 @@
 	return f.awaitRecovery(r)
 }
 
-// awaitRecovery waits until all agents have the expected state again, so that no fault is measured on what another left.
+// awaitRecovery waits until all agents have the expected state again, so that one fault does not affect the measurement of
+// the next.
 func (f *testFleet) awaitRecovery(r row) row {
 	took, ok, reason := f.awaitConvergence(convergenceTimeout)
 	r.Values["all know all again after s"] = took.Seconds()
 	if !ok {
-		f.t.Errorf("%s: not whole again: %s", r.Case, reason)
+		f.t.Errorf("%s: the fleet did not recover: %s", r.Case, reason)
 		r.Void = "not whole again: " + reason
 	}
 	return r
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -1,13 +1,13 @@
 package scale
 
-// Fits of how a value grows with the fleet's size, and their extrapolation to 1,800 agents.
+// Fits of a value's growth with the fleet's size, extrapolated to 1,800 agents.
 
 import (
 	"math"
 	"testing"
 )
 
-// form is a function by which a value may grow with the fleet's size.
+// form is a candidate function for the growth of a value with the fleet's size n.
 type form struct {
 	name string
 	of   func(n float64) float64
@@ -43,6 +43,7 @@
 	return 1.96 + 2.4/float64(df) // accurate to 1% above the table
 }
 
+// fitTo returns the fit of one form. At least three points and two sizes are required.
 func fitTo(f form, n, y []float64) fit {
 	m := float64(len(n))
 	var mx, my float64
@@ -73,7 +74,7 @@
 	return r
 }
 
-// bestFit returns the fit whose form has the least residual; false if there are fewer than three points or two sizes.
+// bestFit returns the fit with the least residual of all forms. It returns false for fewer than three points or two sizes.
 func bestFit(n, y []float64) (b fit, ok bool) {
 	sizes := map[float64]bool{}
 	for _, x := range n {
@@ -90,7 +91,7 @@
 	return b, true
 }
 
-// A fit finds the form, the slope and the slope's standard error, and refuses points of one size.
+// bestFit finds the form, the slope and the slope's standard error, and rejects points of a single size.
 func TestFitFindsTheFormAndItsSlope(t *testing.T) {
 	var n, y []float64
 	noise := []float64{0.3, -0.1, -0.2}
@@ -104,7 +105,7 @@
 		t.Errorf("%+v", b)
 	}
 	if b.At1800 < b.Low || b.At1800 > b.High || b.Low > 41 || b.High < 41 {
-		t.Errorf("at 1800: %+v", b)
+		t.Errorf("extrapolation to 1,800: %+v, want an interval around 41", b)
 	}
 	for i := range y {
 		y[i] = 1 + 1e-4*n[i]*n[i]
@@ -113,6 +114,6 @@
 		t.Errorf("%+v", b)
 	}
 	if _, ok := bestFit(n[:3], y[:3]); ok {
-		t.Error("one size has a slope")
+		t.Error("bestFit accepted points of a single size")
 	}
 }
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -1,9 +1,9 @@
-// Package scale measures what a fleet costs its agents, how long it takes to start, and how long a change takes to reach
-// the last agent, on simulated agents in one process. Its tests run small fleets by default; with -scale.full they make
-// the tables.
+// Package scale measures the cost of a fleet to its agents, the time that a fleet takes to start, and the time that a
+// change takes to reach the last agent, on simulated agents in one process. Its tests run small fleets by default; with
+// -scale.full they make the tables.
 package scale
 
-// The fleet that is measured: its start, its changes and its end.
+// The measured fleet: its start, its changes and its end.
 
 import (
 	"fmt"
@@ -19,10 +19,10 @@
 // zones are seven zones; the first letter is the region's name.
 var zones = []string{"a1", "a2", "a3", "a4", "b1", "b2", "b3"}
 
-// convergenceTimeout bounds the wait for anything that must happen.
+// convergenceTimeout bounds each wait for a fleet's convergence and for a process's start.
 const convergenceTimeout = 30 * time.Second
 
-// policyText returns a residency policy of a version, of about a kilobyte.
+// policyText returns a residency policy of about 1 kB with the given version.
 func policyText(version int64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version = %d\nwhen_stale = \"serve\"\n"+
@@ -38,27 +38,27 @@
 	t       testing.TB
 	mode    simagent.Mode
 	n       int  // simulated agents
-	matrix  bool // round trips between zones are measured
+	matrix  bool // agents measure round trips between zones
 	net     *simagent.Network
 	service *fakeListService
 	applied *appliedVersions
 	label   string
 	policy  int64 // the latest version of the residency policy
 
-	realAgents    int // agents in processes of their own, beside the simulated ones
-	expectedZones int // zones to which agents have to know round trips; 0: all
+	realAgents    int // agents in separate processes, in addition to the simulated ones
+	expectedZones int // zones to which agents must have a round-trip time; 0: all
 
 	mu     sync.Mutex        // guards agents and killed
 	agents []*simagent.Agent // by number; nil: not started. In a full mesh the first is the policy's source
 	killed []*simagent.Agent
 
 	hubs         *hubProcesses // nil: a full mesh
-	firstHubOnly bool          // all agents know the first hub only
+	firstHubOnly bool          // agents are configured with the first hub only
 	quotaSums    *quotaWatch
 }
 
-// newTestFleet returns a fleet whose agents are not started yet; in mode Hubs its hubs are. It ends with the test, which
-// fails if the sum of all quotas was ever too large.
+// newTestFleet returns a fleet without running agents. In mode Hubs it starts the hubs. The fleet ends with the test, and
+// fails the test if the sum of all quotas has exceeded maxQuotaSum.
 func newTestFleet(t testing.TB, mode simagent.Mode, n int, matrix bool) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, mode: mode, n: n, matrix: matrix, net: simagent.NewNetwork(), service: startListService(t),
@@ -78,7 +78,8 @@
 
 func (f *testFleet) agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// start starts agent i, at its former address or, for "", at any. The seeds are those of the first agents that run.
+// start starts agent i at the address listen, or at any address if listen is "". The seeds are the running agents among
+// the first numSeeds.
 func (f *testFleet) start(i int, listen string) {
 	s := simagent.Spec{Mode: f.mode, Name: f.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen,
 		Label: f.label, MaxMembers: f.n + f.realAgents, MeasureLatency: f.matrix, ListService: f.service.addr,
@@ -107,18 +108,18 @@
 	}
 }
 
-// startAll starts all agents, evenly spaced over a time.
+// startAll starts all agents, evenly spaced over the time within.
 func (f *testFleet) startAll(within time.Duration) {
 	startedAt := time.Now()
 	for i := range f.n {
 		f.start(i, "")
 		if d := time.Until(startedAt.Add(within * time.Duration(i) / time.Duration(f.n))); d > 0 {
-			time.Sleep(d) // keeps the pace, whatever the agents do
+			time.Sleep(d) // keeps the starts evenly spaced, however long each start takes
 		}
 	}
 }
 
-// publishPolicy publishes the next version of the policy at its source, and returns when it did.
+// publishPolicy publishes the next version of the policy at its source, and returns the version and the time.
 func (f *testFleet) publishPolicy() (version int64, at time.Time) {
 	f.policy++
 	at = time.Now()
@@ -132,7 +133,7 @@
 	return f.policy, at
 }
 
-// running counts the agents that were started.
+// running returns the number of agents that were started.
 func (f *testFleet) running() (n int) {
 	for _, a := range f.agents {
 		if a != nil {
@@ -142,14 +143,14 @@
 	return n
 }
 
-// pollInterval is how often a wait checks its condition.
+// pollInterval is the interval at which a wait checks its condition.
 const pollInterval = 10 * time.Millisecond
 
-// awaitConvergence waits until every agent has the expected state, and returns how long it took, or what the first agent
-// without it lacks at the limit.
+// awaitConvergence waits until every agent has the expected state, and returns the time that this took. If the limit passes
+// first, ok is false and reason names the first lagging agent and what it lacks.
 func (f *testFleet) awaitConvergence(limit time.Duration) (took time.Duration, ok bool, reason string) {
 	startedAt := time.Now()
-	for next := 0; ; { // an agent that had the state is not checked again before all others have it
+	for next := 0; ; { // an agent that has reached the state is checked again only after all others have reached it
 		want := f.expectedState()
 		for next < f.n && (f.agents[next] == nil || missing(f.agents[next], want) == "") {
 			next++
@@ -169,8 +170,8 @@
 	}
 }
 
-// awaitStart waits until a fleet that starts has converged. It returns "", or why it has not and whether the machine was
-// too busy.
+// awaitStart waits until a starting fleet has converged, and returns "". If the fleet does not converge in time, it returns
+// the reason, with a note if the machine was too busy.
 func (f *testFleet) awaitStart() string {
 	m := f.startMeter(false)
 	_, ok, reason := f.awaitConvergence(convergenceTimeout)
@@ -181,7 +182,7 @@
 	return strings.TrimSuffix("not whole: "+reason+", "+s.void, ", ")
 }
 
-// traffic returns the sum of what has passed the sockets of all agents, including those that were killed.
+// traffic returns the total traffic of all agents, including killed agents.
 func (f *testFleet) traffic() (sum simagent.Traffic) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,12 +203,12 @@
 	return sum
 }
 
-// restart kills agent i, and starts a new one at its address.
+// restart kills agent i, and starts a new agent at its address.
 func (f *testFleet) restart(i int) {
 	f.start(i, f.kill(i))
 }
 
-// kill kills agent i without its leaving the fleet, and returns its address.
+// kill ends agent i without a leave message, and returns its address.
 func (f *testFleet) kill(i int) string {
 	a := f.agents[i]
 	a.Kill()
@@ -217,12 +218,13 @@
 	return a.Addr()
 }
 
+// close ends the fleet's agents, and checks the sum of quotas.
 func (f *testFleet) close() {
 	f.quotaSums.stop(f.t)
 	var all sync.WaitGroup
 	for _, a := range f.agents {
 		if a != nil {
-			a.Kill() // leaving would only cost time: all agents end
+			a.Kill() // the whole fleet ends, so no agent needs to leave gracefully
 			all.Go(a.Wait)
 		}
 	}
--- a/internal/scale/hubmeter_test.go
+++ b/internal/scale/hubmeter_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// What the hubs' processes use.
+// Measurement of the resources that the hubs' processes use.
 
 import (
 	"testing"
@@ -14,7 +14,7 @@
 	cpuBefore []time.Duration
 }
 
-// meter begins a span. Without hubs (h is nil) it measures nothing.
+// meter begins a span. For a fleet without hubs (h is nil) the meter has no values.
 func (h *hubProcesses) meter(t testing.TB) *hubMeter {
 	m := &hubMeter{t: t, hubs: h}
 	if h != nil {
@@ -26,6 +26,7 @@
 	return m
 }
 
+// read returns the processor time of hub i since its start, and its resident memory in kB.
 func (m *hubMeter) read(i int) (time.Duration, float64) {
 	cpu, rss, err := processUsage(m.hubs.processes[i].Process.Pid)
 	if err != nil {
@@ -34,8 +35,8 @@
 	return cpu, rss
 }
 
-// end returns what one hub used in a span: the mean over all hubs, and the first. Bytes are those of the agents'
-// connections to it: traffic between hubs is not counted.
+// end returns the usage of one hub in a span, as the mean over all hubs, and the usage of the first hub. Bytes include only
+// the agents' connections to hubs, not traffic between hubs.
 func (m *hubMeter) end(s span) map[string]float64 {
 	v := map[string]float64{}
 	for i, before := range m.cpuBefore {
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The hubs of a fleet, in processes of their own.
+// The hubs of a fleet, each in a separate process.
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// builtProgram returns the path of the program, which is built once for all tests.
+// builtProgram returns the path of the built program. It builds the program once for all tests.
 func builtProgram(t testing.TB) string {
 	program, err := buildProgram()
 	if err != nil {
@@ -37,14 +37,14 @@
 	return program, nil
 })
 
-var scratchDir string // a temporary folder for all tests, set by TestMain
+var scratchDir string // temporary directory for all tests, set by TestMain
 
 func TestMain(m *testing.M) {
 	var err error
 	if scratchDir, err = os.MkdirTemp("", "scale"); err != nil {
 		panic(err) // no test can run
 	}
-	if err := os.Setenv("TMPDIR", scratchDir); err != nil { // for the files of processes
+	if err := os.Setenv("TMPDIR", scratchDir); err != nil { // so that child processes put their files into scratchDir
 		panic(err)
 	}
 	code := m.Run()
@@ -52,7 +52,7 @@
 	os.Exit(code)
 }
 
-// hubProcesses are the hubs of a fleet, one per zone, each a process of its own. The first is the source of the
+// hubProcesses holds the hubs of a fleet, one per zone, each in a separate process. The first hub is the source of the
 // residency policy and the settings.
 type hubProcesses struct {
 	program, dir    string
@@ -66,7 +66,7 @@
 	processes []*exec.Cmd
 }
 
-// startHubs starts a hub in each zone, the first with a policy and settings. They are killed at the test's end.
+// startHubs starts a hub in each zone, the first with a policy and settings. The test's cleanup kills the hubs.
 func startHubs(t testing.TB, fleet *testFleet) *hubProcesses {
 	t.Helper()
 	h := &hubProcesses{program: builtProgram(t), dir: t.TempDir(), label: fleet.label, service: fleet.service.addr,
@@ -115,7 +115,7 @@
 
 var listeningLine = regexp.MustCompile(`listening.*address=(\S+)`)
 
-// start starts a hub's process, at its former address if it had one, and waits until it listens.
+// start starts the process of hub i, at its former address if it had one, and waits until the hub listens.
 func (h *hubProcesses) start(t testing.TB, i int) {
 	t.Helper()
 	name := h.file(zones[i])
@@ -143,21 +143,21 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("a hub does not listen: %s", text)
+			t.Fatalf("the hub did not listen in time; its log: %s", text)
 		}
 	}
 }
 
-// kill kills a hub's process, if it runs.
+// kill kills the process of hub i if it is running.
 func (h *hubProcesses) kill(i int) {
 	if cmd := h.processes[i]; cmd != nil {
-		_ = cmd.Process.Kill() // ended already if it fails
-		_ = cmd.Wait()         // killed
+		_ = cmd.Process.Kill() // fails only if the process has already ended
+		_ = cmd.Wait()         // the error reports the kill
 		h.processes[i] = nil
 	}
 }
 
-// configured returns the hubs that agents are configured with: all, or the first only.
+// configured returns the hubs in the agents' configuration: all hubs, or only the first if one is set.
 func (h *hubProcesses) configured(one bool) (list []hubclient.Hub) {
 	for i, addr := range h.addrs {
 		if i == 0 || !one {
@@ -184,7 +184,7 @@
 	h.replaceFile(t, "policy.toml", policyText(version))
 }
 
-// writeSettings publishes the next version of the settings at the first hub, and returns it and when it did.
+// writeSettings publishes the next version of the settings at the first hub, and returns the version and the time.
 func (h *hubProcesses) writeSettings(t testing.TB) (version int64, at time.Time) {
 	h.settingsVersion++
 	at = time.Now()
@@ -192,7 +192,7 @@
 	return h.settingsVersion, at
 }
 
-// changeWithDeadHub measures a change that is made when one of the hubs has just died; it is never the change's source.
+// changeWithDeadHub measures a change immediately after one hub was killed. The killed hub is never the change's source.
 func (f *testFleet) changeWithDeadHub(r row, what simagent.Change, draw *rand.Rand) row {
 	r.Case, r.Values = what.String()+", one of seven hubs dead", map[string]float64{}
 	dead := 1 + draw.IntN(len(zones)-1)
@@ -205,8 +205,8 @@
 	return f.awaitRecovery(r)
 }
 
-// The first hub alone is configured with documents, every hub with the addresses of the others, and the address at which
-// a hub listens is found in its log.
+// Only the first hub's configuration names documents, every hub's configuration names the other hubs as seeds, and
+// listeningLine finds a hub's address in its log.
 func TestHubConfigNamesItsSeedsAndAddress(t *testing.T) {
 	h := &hubProcesses{label: "x", maxMembers: 3, dir: "/d", addrs: make([]string, len(zones))}
 	h.addrs[0] = "127.0.0.1:7"
@@ -217,6 +217,6 @@
 	}
 	line := []byte("level=INFO msg=hub step=listening name=h address=127.0.0.1:9\n")
 	if m := listeningLine.FindSubmatch(line); !bytes.Equal(m[1], []byte("127.0.0.1:9")) {
-		t.Errorf("%s", m)
+		t.Errorf("address in the log line: %s", m)
 	}
 }
--- a/internal/scale/idle_test.go
+++ b/internal/scale/idle_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// What agents cost while nothing happens.
+// Measurement of the cost of agents while nothing changes.
 
 import (
 	"fmt"
@@ -27,7 +27,7 @@
 	}
 }
 
-// measureIdle measures what a fleet costs while nothing changes.
+// measureIdle measures the cost of a fleet while nothing changes.
 func measureIdle(t *testing.T, mode simagent.Mode, n int, matrix bool, run int) row {
 	heap0, rss0 := memory()
 	goroutines0 := runtime.NumGoroutine()
@@ -42,10 +42,10 @@
 	if *full {
 		settle, measure = *warm, *window
 	}
-	time.Sleep(settle) // the start's own work is not an idle agent's
+	time.Sleep(settle) // so that the work of the start is not measured
 	hubs := fleet.hubs.meter(t)
 	m := fleet.startMeter(true)
-	time.Sleep(measure) // the span that is measured
+	time.Sleep(measure) // the measured span
 	s := m.end()
 	hubValues := hubs.end(s)
 	goroutines := runtime.NumGoroutine()
@@ -62,8 +62,8 @@
 	return r
 }
 
-// addCPU adds the processor time of each of n agents, in all and by part. That of the list service and the harness is
-// not the agents'.
+// addCPU adds the mean processor time of n agents, in total and by part. The total excludes the time of the harness, which
+// includes the list service.
 func (s *span) addCPU(values map[string]float64, n int) {
 	each := float64(n) * s.duration.Seconds()
 	profiled := 0.
@@ -80,7 +80,7 @@
 	values["processor us/s"] = cpu * 1e6 / each
 }
 
-// addTraffic adds the traffic of each of n agents, in all and by kind.
+// addTraffic adds the mean traffic of n agents, in total and by kind.
 func (s *span) addTraffic(values map[string]float64, n int) {
 	each := float64(n) * s.duration.Seconds()
 	for _, p := range simagent.TrafficKinds {
--- a/internal/scale/listservice_test.go
+++ b/internal/scale/listservice_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// A fake list service, which streams a list of backends and its changes.
+// A fake list service, which streams an endpoint list and its changes.
 
 import (
 	"encoding/json"
@@ -28,6 +28,7 @@
 	calls   int
 }
 
+// startListService starts the service, which ends with the test.
 func startListService(t testing.TB) *fakeListService {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,12 +45,13 @@
 	return s
 }
 
+// endpointAt returns endpoint i of the list.
 func endpointAt(i int) discovery.Endpoint {
 	return discovery.Endpoint{ID: fmt.Sprintf("s-%08x", i*2654435761), Addr: fmt.Sprintf("127.0.0.1:%d", 20000+i),
 		Zone: zones[i%len(zones)], State: "ready", Weight: 4}
 }
 
-// change changes the weight of one backend, and returns the list's new version and when it was published.
+// change changes the weight of one backend, and returns the list's new version and the time of the change.
 func (s *fakeListService) change() (version int64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +61,9 @@
 	return s.version, time.Now()
 }
 
+// ServeHTTP streams the list to one agent until the agent disconnects.
 func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: the complete list
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: 0, for the complete list
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
@@ -82,7 +85,7 @@
 					update.Endpoints = append(update.Endpoints, endpoint)
 				}
 			}
-			line, _ = json.Marshal(update) // names and numbers alone
+			line, _ = json.Marshal(update) // an endpoint list always encodes
 			sentVersion = version
 		}
 		if _, err := w.Write(append(line, '\n')); err != nil || http.NewResponseController(w).Flush() != nil {
--- a/internal/scale/load_test.go
+++ b/internal/scale/load_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// What a hub with many agents costs, as when other hubs are lost.
+// Measurement of the cost of a hub that has all agents, as after the failure of the other hubs.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// loadTable measures one hub with all agents, at the sizes of the largest fleets.
+// loadTable measures one hub with all agents of a large fleet.
 func loadTable(t *testing.T) {
 	list := []int{257, 600}
 	if !*full {
@@ -23,7 +23,7 @@
 	}
 }
 
-// measureLoad measures what the first hub costs while it has all agents and nothing changes.
+// measureLoad measures the cost of the first hub while all agents are attached to it and nothing changes.
 func measureLoad(t *testing.T, n, run int) row {
 	fleet := newTestFleet(t, simagent.Hubs, n, true)
 	fleet.firstHubOnly = true
@@ -34,11 +34,11 @@
 	}
 	settle, measure := 100*time.Millisecond, 500*time.Millisecond
 	if *full {
-		settle, measure = *warm, 2**window // a hub's processor time is counted in ticks of 10 ms
+		settle, measure = *warm, 2**window // longer, since a hub's processor time has a resolution of 10 ms
 	}
-	time.Sleep(settle) // the start's own work is not an idle hub's
+	time.Sleep(settle) // so that the work of the start is not measured
 	hubs, m := fleet.hubs.meter(t), fleet.startMeter(false)
-	time.Sleep(measure) // the span that is measured
+	time.Sleep(measure) // the measured span
 	s := m.end()
 	all := hubs.end(s)
 	r.Void = s.void
--- a/internal/scale/machine_test.go
+++ b/internal/scale/machine_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// What this process uses, and whether the machine keeps up.
+// Resource usage of this process, and checks that the machine keeps up.
 
 import (
 	"math"
@@ -24,8 +24,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// stolenTime returns how much processor time the machine's host has given to other machines, and the total, in clock
-// ticks since the system's start; 0, 0 if it is not known.
+// stolenTime returns the processor time that the machine's host has given to other machines and the total processor time,
+// in clock ticks since the system's start. It returns 0, 0 if /proc/stat cannot be read.
 func stolenTime() (steal, total float64) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -34,7 +34,7 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, field := range strings.Fields(line)[1:] {
 		n, _ := strconv.ParseFloat(field, 64) // the kernel writes numbers
-		if i < 8 {                            // user time already includes guests' time
+		if i < 8 {                            // user time already includes guest time
 			total += n
 		}
 		if i == 7 {
@@ -44,7 +44,7 @@
 	return steal, total
 }
 
-// residentBytes returns this process's resident memory; 0 if it is not known.
+// residentBytes returns this process's resident memory in bytes; 0 if /proc/self/statm cannot be read.
 func residentBytes() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -66,7 +66,8 @@
 	return float64(m.HeapAlloc), residentBytes()
 }
 
-// lateness tells whether the machine keeps up with a run: how late a timer of beatInterval fires.
+// lateness records the delays with which a timer of beatInterval fires. Long delays show that the machine is too busy for
+// a run.
 type lateness struct {
 	end  chan struct{}
 	done sync.WaitGroup
@@ -75,6 +76,7 @@
 
 const beatInterval = 10 * time.Millisecond
 
+// watchLateness starts the timer, which runs until stop.
 func watchLateness() *lateness {
 	l := &lateness{end: make(chan struct{})}
 	l.done.Go(func() {
@@ -92,13 +94,14 @@
 	return l
 }
 
-// stop ends the timer, and returns the 99th percentile and the maximum of its lateness.
+// stop ends the timer, and returns the 99th percentile and the maximum of its delays.
 func (l *lateness) stop() (p99, most time.Duration) {
 	close(l.end)
 	l.done.Wait()
 	return quantile(l.late, 0.99), quantile(l.late, 1)
 }
 
+// quantile returns the q-quantile of an unsorted list; 0 for an empty list.
 func quantile(list []time.Duration, q float64) time.Duration {
 	if len(list) == 0 {
 		return 0
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The measurement of a span of a fleet's run.
+// Measurement of a span of a fleet's run.
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// A run counts only if the machine kept up with it.
+// A run is void if it exceeds one of these limits, since the machine did not keep up.
 const (
 	maxLateP99 = 20 * time.Millisecond // 99th percentile of the timers' lateness
 	maxBusy    = 0.85                  // share of all cores' time
 )
 
-// span is what all agents of a fleet together used in a measured span.
+// span is the total usage of all agents of a fleet in a measured span.
 type span struct {
 	duration  time.Duration
 	cpu       time.Duration
@@ -27,7 +27,7 @@
 	late      time.Duration            // 99th percentile of the timers' lateness
 	maxLate   time.Duration
 	steal     float64 // share of the processors' time that the machine's host gave to other machines
-	void      string
+	void      string  // reason why the span does not count; "": it counts
 }
 
 // meter measures a span, from startMeter to end.
@@ -56,7 +56,7 @@
 	return m
 }
 
-// end ends the span; its void tells why it does not count, if so.
+// end ends the span and returns its usage.
 func (m *meter) end() span {
 	s := span{duration: time.Since(m.startedAt), cpu: processCPU() - m.cpu}
 	now := m.fleet.traffic()
@@ -87,7 +87,7 @@
 	return s
 }
 
-// countSince returns what was counted between two counts.
+// countSince returns the difference of two counts.
 func countSince(before, now simagent.Count) simagent.Count {
 	return simagent.Count{Bytes: now.Bytes - before.Bytes, Messages: now.Messages - before.Messages}
 }
--- a/internal/scale/profile_test.go
+++ b/internal/scale/profile_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// Attribution of a processor profile to the parts of the product.
+// Attribution of a CPU profile to the parts of the product.
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"github.com/google/pprof/profile"
 )
 
-// profileRules attribute a sample to a part by substrings of the functions on its stack. The first rule that matches any
-// function decides.
+// profileRules attribute a sample to a part by substrings of the function names on its stack. The first rule that matches
+// any function applies.
 var profileRules = []struct {
 	part string
 	in   []string
@@ -39,8 +39,8 @@
 	{"collector", []string{"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcStart"}},
 }
 
-// partOf returns the part that a stack, given by its functions' names, belongs to. What no rule matches belongs to the
-// runtime: its scheduler and its timers.
+// partOf returns the part to which a stack, a list of function names, is attributed. A stack that no rule matches belongs
+// to the Go runtime's scheduler and timers.
 func partOf(stack []string) string {
 	for _, r := range profileRules {
 		for _, f := range stack {
@@ -54,7 +54,7 @@
 	return "runtime"
 }
 
-// cpuByPart sums up a CPU profile by part.
+// cpuByPart returns the sampled processor time in a CPU profile by part.
 func cpuByPart(data *bytes.Buffer) (map[string]time.Duration, error) {
 	p, err := profile.Parse(data)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return parts, nil
 }
 
-// A stack is attributed to the part that asked for the work, not to the package that does it in the end.
+// A stack is attributed to the part that initiated the work, not to the package at the top of the stack.
 func TestStackIsAttributedToWhatAskedForTheWork(t *testing.T) {
 	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
@@ -93,21 +93,22 @@
 		"runtime":   {"runtime.findRunnable", "runtime.schedule"},
 	} {
 		if got := partOf(stack); got != want {
-			t.Errorf("%v: %s, want %s", stack, got, want)
+			t.Errorf("stack %v: attributed to %s, want %s", stack, got, want)
 		}
 	}
 }
 
-// Every function and package of this module that a rule names exists, so that a rename does not silence the rule.
+// Every function and package of this module that a rule names exists. After a rename, a rule with the old name would match
+// nothing.
 func TestProfileRulesNameFunctionsThatExist(t *testing.T) {
 	functions := moduleFunctions(t)
 	if len(functions) < 100 {
-		t.Fatalf("only %d functions were found", len(functions))
+		t.Fatalf("found %d functions, want at least 100", len(functions))
 	}
 	for _, rule := range profileRules {
 		for _, pattern := range rule.in {
 			if strings.HasPrefix(pattern, "net/http") || strings.HasPrefix(pattern, "runtime.") || pattern == "hashicorp/memberlist" {
-				continue // not of this module
+				continue // outside this module
 			}
 			if !slices.ContainsFunc(functions, func(f string) bool { return strings.Contains(f, pattern) }) {
 				t.Errorf("%s: no function matches %q", rule.part, pattern)
@@ -116,7 +117,7 @@
 	}
 }
 
-// moduleFunctions returns the functions of the module's internal packages by the names that stacks give them.
+// moduleFunctions returns the functions of the module's internal packages, named as on stacks.
 func moduleFunctions(t *testing.T) (names []string) {
 	t.Helper()
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The sum of all agents' quotas, which must never exceed the limit by much.
+// Check that the sum of all agents' quotas never exceeds the in-flight limit by more than 10%.
 
 import (
 	"sync"
@@ -10,7 +10,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// quotaWatch samples how much of the in-flight limit all running agents use together.
+// quotaWatch samples the sum of all running agents' quotas, as a share of the in-flight limit.
 type quotaWatch struct {
 	end    chan struct{}
 	done   sync.WaitGroup
@@ -19,10 +19,10 @@
 
 const (
 	sumInterval = 50 * time.Millisecond
-	maxQuotaSum = 1.1 // of the limit: what agents may exceed it by while quotas change
+	maxQuotaSum = 1.1 // of the limit: agents may exceed it by 10% while quotas change
 )
 
-// quotaHolder is an agent, or a fake one, that has a quota.
+// quotaHolder is an agent or a fake agent with a quota.
 type quotaHolder interface{ Quota() float64 }
 
 // sumQuotas returns the sum of all quotas.
@@ -51,7 +51,7 @@
 	return w
 }
 
-// present returns the agents that were started, of each number the latest.
+// present returns the latest started agent of each number.
 func (f *testFleet) present() (list []*simagent.Agent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,18 +63,18 @@
 	return list
 }
 
-// stop ends the sampling, and fails the test if the sum was ever too large.
+// stop ends the sampling, and fails the test if the sum has exceeded maxQuotaSum.
 func (w *quotaWatch) stop(t testing.TB) {
 	t.Helper()
 	close(w.end)
 	w.done.Wait()
 	t.Logf("largest sum of the quotas: %.3f of the limit", w.maxSum)
 	if w.maxSum > maxQuotaSum {
-		t.Errorf("the sum of the quotas came to %.3f of the limit", w.maxSum)
+		t.Errorf("the sum of the quotas reached %.3f of the limit", w.maxSum)
 	}
 }
 
-// fakeQuotaHolder is an agent that uses its quota several times.
+// fakeQuotaHolder is a fake agent that uses its quota several times.
 type fakeQuotaHolder struct {
 	quota float64
 	times int
@@ -82,7 +82,7 @@
 
 func (g fakeQuotaHolder) Quota() float64 { return g.quota * float64(g.times) }
 
-// The check of the quotas' sum finds an agent that uses its quota twice.
+// The sum of quotas exceeds its bound if one of five agents uses its quota twice.
 func TestQuotaSumFindsAnAgentThatCountsTwice(t *testing.T) {
 	fair := fakeQuotaHolder{0.2, 1}
 	for _, c := range []struct {
@@ -94,7 +94,7 @@
 		{nil, false},
 	} {
 		if got := sumQuotas(c.list); got > maxQuotaSum != c.bad {
-			t.Errorf("%v: %v", c.list, got)
+			t.Errorf("quotas %v: sum %v", c.list, got)
 		}
 	}
 }
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// A comparison of real agents' processes with the simulated agents of the same fleet.
+// Comparison of real agents, in separate processes, with the simulated agents of the same fleet.
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 	}
 }
 
-// realAgentConfig returns a real agent's configuration file, with what a simulated agent has, too.
+// realAgentConfig returns a real agent's configuration file, with the same fleet options as a simulated agent.
 func (f *testFleet) realAgentConfig(i int) string {
 	var known []string
 	for _, a := range f.agents[:min(numSeeds, f.n)] {
@@ -67,7 +67,7 @@
 		strings.Join(known, ", "), f.label, f.n+f.realAgents)
 }
 
-// processUsage reads from /proc a process's processor time and its resident memory in kB.
+// processUsage reads a process's processor time and its resident memory in kB from /proc.
 func processUsage(pid int) (cpu time.Duration, rss float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(fields) < 22 {
-		return 0, 0, fmt.Errorf("a stat of %d fields", len(fields))
+		return 0, 0, fmt.Errorf("process stat has only %d fields", len(fields))
 	}
 	const tick = 10 * time.Millisecond // USER_HZ is 100 on all of Linux
 	for _, k := range []int{11, 12} {
@@ -89,8 +89,8 @@
 	return cpu, pages * float64(os.Getpagesize()) / 1e3, err
 }
 
-// measureRealAmongSimulated compares real agents with the simulated ones of the same fleet while nothing changes: their
-// processor time, and the bytes that one agent sends to one simulated agent.
+// measureRealAmongSimulated compares real agents with the simulated agents of the same fleet while nothing changes, by
+// processor time and by the bytes that one agent sends to one simulated agent.
 func measureRealAmongSimulated(t *testing.T, program string, mode simagent.Mode, n, realAgents, run int) row {
 	fleet := newTestFleet(t, mode, n, true)
 	fleet.realAgents = realAgents
@@ -109,12 +109,12 @@
 	}
 	settle, measure := 100*time.Millisecond, time.Second
 	if *full {
-		settle, measure = *warm, 2**window // a real agent's time is counted in ticks of 10 ms
+		settle, measure = *warm, 2**window // longer, since a real agent's processor time has a resolution of 10 ms
 	}
-	time.Sleep(settle) // the start's own work is not an idle agent's
+	time.Sleep(settle) // so that the work of the start is not measured
 	before, _ := processes.usage()
 	m := fleet.startMeter(false)
-	time.Sleep(measure) // the span that is measured
+	time.Sleep(measure) // the measured span
 	s := m.end()
 	after, rss := processes.usage()
 	r.Void = s.void
@@ -123,15 +123,15 @@
 	return r
 }
 
-// realProcesses are the real agents of a fleet, each a process of its own. They are killed at the test's end.
+// realProcesses holds the real agents of a fleet, each in a separate process. The test's cleanup kills them.
 type realProcesses struct {
 	t         *testing.T
 	fleet     *testFleet
-	dir       string // of their configuration files and logs
+	dir       string // directory of the configuration files and logs
 	processes []*exec.Cmd
 }
 
-// startRealAgents starts the fleet's real agents; their numbers follow those of the simulated ones.
+// startRealAgents starts the fleet's real agents. Their numbers follow the numbers of the simulated agents.
 func startRealAgents(t *testing.T, fleet *testFleet, program string) *realProcesses {
 	t.Helper()
 	a := &realProcesses{t: t, fleet: fleet, dir: t.TempDir()}
@@ -152,24 +152,24 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
-			_ = cmd.Process.Kill() // ended already if it fails
-			_ = cmd.Wait()         // killed
+			_ = cmd.Process.Kill() // fails only if the process has already ended
+			_ = cmd.Wait()         // the error reports the kill
 		})
 		a.processes = append(a.processes, cmd)
 	}
 	return a
 }
 
-// logOutput logs the begin of each agent's log.
+// logOutput writes the first 1,000 bytes of each agent's log to the test's log.
 func (a *realProcesses) logOutput() {
 	for i := a.fleet.n; i < a.fleet.n+a.fleet.realAgents; i++ {
 		name := a.fleet.agentName(i)
-		text, _ := os.ReadFile(filepath.Join(a.dir, name+".log")) // if it can't be read, its log is empty
+		text, _ := os.ReadFile(filepath.Join(a.dir, name+".log")) // an unreadable log counts as empty
 		a.t.Logf("%s: %s", name, text[:min(len(text), 1000)])
 	}
 }
 
-// usage returns the processor time that all of them have used, and the mean of their resident memory in kB.
+// usage returns the total processor time of all real agents, and the mean of their resident memory in kB.
 func (a *realProcesses) usage() (cpu time.Duration, rss float64) {
 	for _, p := range a.processes {
 		one, mem, err := processUsage(p.Process.Pid)
@@ -181,7 +181,8 @@
 	return cpu, rss
 }
 
-// awaitServing waits until all members that the first agent knows have an endpoint list; false: they don't in time.
+// awaitServing waits until all members in the first agent's member list have an endpoint list. It returns false after
+// convergenceTimeout.
 func (f *testFleet) awaitServing() bool {
 	serving := func() bool {
 		for _, m := range f.agents[0].Members() {
@@ -199,7 +200,7 @@
 	return true
 }
 
-// compareRealAgents returns how real agents, which used cpu together, compare with n simulated ones.
+// compareRealAgents compares real agents, which used cpu in total, with n simulated agents, and returns a row's values.
 func (s *span) compareRealAgents(t *testing.T, n, realAgents int, cpu time.Duration) map[string]float64 {
 	t.Helper()
 	var received, sent int64 // datagrams and streams
@@ -207,7 +208,7 @@
 		received, sent = received+s.traffic.In[p].Bytes, sent+s.traffic.Out[p].Bytes
 	}
 	took := s.duration.Seconds()
-	// Agents draw their targets evenly: both kinds can be compared by what one agent sends to one other.
+	// Agents choose their targets uniformly, so the bytes from one agent to one other are comparable for both kinds of agent.
 	fromReal := float64(s.traffic.FromRealAgents.Bytes) / float64(realAgents*n) / took
 	fromSimulated := float64(received-s.traffic.FromRealAgents.Bytes) / float64(n*(n-1)) / took
 	values := map[string]float64{
@@ -221,11 +222,11 @@
 	values["bytes, real to hollow"] = fromReal / fromSimulated
 	for _, k := range []string{"processor, real to hollow", "bytes, real to hollow"} {
 		if values[k] < 0.8 || values[k] > 1.2 {
-			t.Logf("n=%d, %s: %.2f, beyond 20%%", n+realAgents, k, values[k])
+			t.Logf("n=%d, %s: %.2f differs from 1 by more than 20%%", n+realAgents, k, values[k])
 		}
 	}
 	if fromReal <= 0 || fromSimulated <= 0 {
-		t.Errorf("nothing was received from real agents (%v) or from simulated ones (%v)", fromReal, fromSimulated)
+		t.Errorf("bytes/s received: %v from a real agent, %v from a simulated agent; want both positive", fromReal, fromSimulated)
 	}
 	return values
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The file of measured rows, and its tables.
+// The file of measured rows, and the tables made from it.
 
 import (
 	"encoding/json"
@@ -15,8 +15,8 @@
 	"testing"
 )
 
-// row is one run of one table. The JSON keys, and the names of cases and values, are those of files that are kept.
-// Rates are per agent and second.
+// row is the result of one run for one table. The JSON keys and the names of cases and values must not change, since saved
+// files contain them. Rates are per agent and second.
 type row struct {
 	Table  string             `json:"table"` // idle, start, change, real or load
 	Mode   string             `json:"mode"`
@@ -24,11 +24,11 @@
 	Matrix bool               `json:"matrix"`
 	Case   string             `json:"case,omitempty"`
 	Run    int                `json:"run"`
-	Void   string             `json:"void,omitempty"` // why the run does not count
+	Void   string             `json:"void,omitempty"` // reason why the run does not count; "": it counts
 	Values map[string]float64 `json:"values"`
 }
 
-// report is the content of a file of rows.
+// report is the contents of a file of rows.
 type report struct {
 	Cores int            `json:"cores"`
 	Rows  []row          `json:"rows"`
@@ -37,15 +37,15 @@
 
 var reportMu sync.Mutex
 
-// saveRows logs rows, adds them to the file that -scale.out names, and writes the tables beside it. Without -scale.full
-// it fails the test on a row whose fleet did not converge.
+// saveRows logs rows, adds them to the file in -scale.out, and writes the tables beside the file. Without -scale.full it
+// fails the test on a row whose fleet did not converge.
 func saveRows(t testing.TB, rows ...row) {
 	for _, r := range rows {
 		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v",
 			r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
-		// A small run is a test that everything arrives. How late it is on a busy machine doesn't count.
+		// A small run tests only that all changes arrive. Their delay on a busy machine is no failure.
 		if !*full && (strings.HasPrefix(r.Void, "not whole") || r.Values["agents never"] > 0) {
-			t.Errorf("%s, %s: %s, %v agents never", r.Table, r.Case, r.Void, r.Values["agents never"])
+			t.Errorf("table %s, case %s: %s; %v agents did not receive the change", r.Table, r.Case, r.Void, r.Values["agents never"])
 		}
 	}
 	if *out == "" {
@@ -84,7 +84,7 @@
 
 func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
-// group names the rows that differ in size and run only.
+// group returns the name of the row's group. Rows of a group differ only in size and run.
 func (r *row) group() string {
 	g := r.Table + " " + r.Mode
 	if r.Matrix {
@@ -98,6 +98,7 @@
 	return g
 }
 
+// groupRows returns the rows of each group, and the groups' names in order.
 func groupRows(rows []row) (names []string, groups map[string][]row) {
 	groups = map[string][]row{}
 	for _, r := range rows {
@@ -111,7 +112,7 @@
 	return names, groups
 }
 
-// fitAll fits every value of every group, over the runs that count.
+// fitAll fits every value of every group over the runs that are not void.
 func fitAll(rows []row) map[string]fit {
 	list := map[string]fit{}
 	names, groups := groupRows(rows)
@@ -133,8 +134,8 @@
 	return list
 }
 
-// markdown returns a table for each group: a line per value and a column per size with the median, the least and the
-// greatest of the runs that count, and the fit.
+// markdown returns a table for each group. A table has a line per value, a column per size with the median, minimum and
+// maximum of the runs that are not void, and columns for the fit.
 func markdown(rep *report) string {
 	var b strings.Builder
 	names, groups := groupRows(rep.Rows)
@@ -145,7 +146,7 @@
 	return b.String()
 }
 
-// writeGroup writes one group's table, and below it why runs don't count.
+// writeGroup writes one group's table, and below the table the reasons of void runs.
 func writeGroup(b *strings.Builder, name string, rows []row, fits map[string]fit) {
 	values, sizes := map[string]bool{}, map[int]bool{}
 	for _, r := range rows {
@@ -177,7 +178,7 @@
 	}
 }
 
-// formatRange formats a value's median and range at a size, over the runs that count; "-": there are none.
+// formatRange formats a value's median and range at a size, over the runs that are not void; "-" if all are void.
 func formatRange(rows []row, value string, n int) string {
 	var list []float64
 	for _, r := range rows {
@@ -196,7 +197,7 @@
 	return fmt.Sprintf("%s (%s to %s)", formatNumber(median), formatNumber(least), formatNumber(greatest))
 }
 
-// writeVoid writes why runs at a size don't count, if there are such.
+// writeVoid writes the number and the reasons of the void runs at a size. It writes nothing if there are none.
 func writeVoid(b *strings.Builder, rows []row, n int) {
 	var reasons []string
 	count := 0
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// How long a fleet, a zone or restarted agents take to start, and what that costs.
+// Measurement of the time and the cost of starting a fleet, a zone or restarted agents.
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// rollingRestarts returns how many agents are restarted one after another, and the time between two restarts.
+// rollingRestarts returns the number of agents to restart one after another, and the time between two restarts.
 func rollingRestarts() (n int, pace time.Duration) {
 	if *full {
 		return 10, time.Second
@@ -37,13 +37,14 @@
 	}
 }
 
-// peakTraffic finds the second in which the fleet sent the most bytes.
+// peakTraffic finds the largest number of bytes that the fleet sends in one second.
 type peakTraffic struct {
 	end      chan struct{}
 	done     sync.WaitGroup
 	maxBytes int64
 }
 
+// watchPeakTraffic starts the watch, which ends with stop.
 func (f *testFleet) watchPeakTraffic() *peakTraffic {
 	w := &peakTraffic{end: make(chan struct{})}
 	before := f.bytesSent()
@@ -54,7 +55,7 @@
 			select {
 			case <-tick.C:
 			case <-w.end:
-				ended = true // what is left is less than a second
+				ended = true // the remaining span is shorter than a second
 			}
 			now := f.bytesSent()
 			w.maxBytes, before = max(w.maxBytes, now-before), now
@@ -70,7 +71,7 @@
 	return w.maxBytes
 }
 
-// bytesSent returns how many bytes all agents have sent.
+// bytesSent returns the number of bytes that all agents have sent.
 func (f *testFleet) bytesSent() (n int64) {
 	t := f.traffic()
 	for _, x := range t.Out {
@@ -79,8 +80,8 @@
 	return n
 }
 
-// measureEvent measures an event from its begin until all agents have the expected state and converged, which may be
-// nil, is true. It fills in the row's values, per agent.
+// measureEvent measures an event from its begin until all agents have the expected state and converged returns true.
+// converged may be nil. The returned row has values per agent.
 func (f *testFleet) measureEvent(r row, event func(), converged func() bool) row {
 	peak, m := f.watchPeakTraffic(), f.startMeter(false)
 	event()
@@ -113,7 +114,7 @@
 	return r
 }
 
-// measureStart measures the start of a whole fleet, evenly spaced over a time.
+// measureStart measures the start of all agents of a fleet, evenly spaced over the time within.
 func measureStart(t *testing.T, mode simagent.Mode, n int, within time.Duration, run int) row {
 	fleet := newTestFleet(t, mode, n, true)
 	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Case: fmt.Sprintf("all within %v", within), Run: run}
@@ -126,7 +127,7 @@
 	zone := zones[len(zones)-1]
 	fleet.startZone(zone, false, time.Duration(n)**pace)
 	r := row{Table: "start", Mode: string(mode), N: n, Matrix: true, Run: run}
-	// The last zone has no agents yet: nobody can know a round trip to it.
+	// The last zone has no agents yet, so no agent can measure a round trip to it.
 	fleet.expectedZones = len(zones) - 1
 	if reason := fleet.awaitStart(); reason != "" {
 		r.Case, r.Void = "a zone within 1s", reason
@@ -142,14 +143,14 @@
 			startedAt := time.Now()
 			fleet.restart(1 + numSeeds + i%(n-1-numSeeds))
 			if i < count-1 {
-				time.Sleep(time.Until(startedAt.Add(pace))) // keeps the pace, whatever the agents do
+				time.Sleep(time.Until(startedAt.Add(pace))) // keeps the restarts evenly spaced, however long each restart takes
 			}
 		}
 	}, fleet.incarnationsKnown))
 }
 
-// startZone starts the agents of a zone, or with inZone false all others. The pace is that of starting n agents within
-// the time.
+// startZone starts the agents of a zone, or all other agents if inZone is false. It spaces the starts as if it started all
+// agents of the fleet within the given time.
 func (f *testFleet) startZone(zone string, inZone bool, within time.Duration) {
 	startedAt, k := time.Now(), 0
 	for i := range f.n {
@@ -158,13 +159,13 @@
 		}
 		f.start(i, "")
 		if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(f.n))); d > 0 {
-			time.Sleep(d) // keeps the pace, whatever the agents do
+			time.Sleep(d) // keeps the starts evenly spaced, however long each start takes
 		}
 		k++
 	}
 }
 
-// incarnationsKnown reports whether every agent knows the latest incarnation of every other.
+// incarnationsKnown reports whether every agent's member list has the latest incarnation of every other agent.
 func (f *testFleet) incarnationsKnown() bool {
 	latest := map[string]uint64{}
 	for _, a := range f.agents {
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The check that every agent knows what it has to know.
+// Check that every agent has the expected state.
 
 import (
 	"cmp"
@@ -11,10 +11,10 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// stateReporter is an agent, or a fake one, whose state is checked.
+// stateReporter is an agent or a fake agent with a state.
 type stateReporter interface{ State() simagent.State }
 
-// missing tells what an agent does not know yet of the wanted state; "": it knows all of it.
+// missing describes the first difference between an agent's state and the wanted state; "" if there is none.
 func missing(reporter stateReporter, want simagent.State) string {
 	state := reporter.State()
 	switch {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// laggards counts the agents that don't have the wanted state, and tells what the first of them lacks.
+// laggards returns the number of agents without the wanted state, and what the first of these agents lacks.
 func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
 	for i, reporter := range list {
 		if reason := missing(reporter, want); reason != "" {
@@ -51,11 +51,12 @@
 
 func (s fixedState) State() simagent.State { return simagent.State(s) }
 
-// The check of agents' states finds one with an old version of a document, or with anything else missing.
+// laggards finds an agent with an old version of a document or with any other difference from the wanted state, and names
+// the difference.
 func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
 	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
 	if n, reason := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
-		t.Errorf("%d lag: %s", n, reason)
+		t.Errorf("got %d lagging agents, want none: %s", n, reason)
 	}
 	for name, spoil := range map[string]func(*simagent.State){
 		"policy 1, not 2":             func(s *simagent.State) { s.Policy = 1 },
@@ -70,12 +71,12 @@
 		spoil(&lagging)
 		n, reason := laggards([]fixedState{fixedState(want), fixedState(lagging)}, want)
 		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+name) {
-			t.Errorf("%s: %d lag: %q", name, n, reason)
+			t.Errorf("%s: got %d lagging agents, reason %q; want 1", name, n, reason)
 		}
 	}
 }
 
-// expectedState returns the state that each agent has to reach.
+// expectedState returns the state that each running agent has to reach.
 func (f *testFleet) expectedState() simagent.State {
 	f.service.mu.Lock()
 	defer f.service.mu.Unlock()
@@ -87,7 +88,7 @@
 	if f.matrix {
 		s.MeasuredZones = cmp.Or(f.expectedZones, len(zones))
 		if f.hubs != nil {
-			s.MeasuredZones = len(zones) - 1 // a zone's only hub has no round trip within its own zone
+			s.MeasuredZones = len(zones) - 1 // a zone has only one hub, which measures no round trip within the zone
 		}
 	}
 	return s
--- a/internal/scale/tables_test.go
+++ b/internal/scale/tables_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The flags, and the test that makes all tables.
+// Flags, and the test that makes all tables.
 
 import (
 	"flag"
@@ -13,20 +13,20 @@
 )
 
 var (
-	full   = flag.Bool("scale.full", false, "measure at the sizes of scale.sizes, as long as tables need")
+	full   = flag.Bool("scale.full", false, "measure at the sizes in -scale.sizes, for as long as the tables need")
 	sizes  = flag.String("scale.sizes", "30,100,300,600", "sizes of the fleets, with scale.full")
 	runs   = flag.Int("scale.runs", 3, "runs at each size, with scale.full")
-	out    = flag.String("scale.out", "", "a JSON file that the rows are added to; beside it the tables, as .md")
+	out    = flag.String("scale.out", "", "JSON file to which rows are added; the tables are written beside it, as .md")
 	only   = flag.String("scale.only", "idle,start,change,real,load", "which tables to make")
-	modes  = flag.String("scale.modes", "flat,hubs", "how the agents are joined; at each size the modes take turns")
-	first  = flag.Int("scale.first", 0, "the first run's number, with scale.full: runs are added to those that the file holds")
-	matrix = flag.String("scale.matrix", "on,off", "whether round trips are measured, for idle agents")
-	pace   = flag.Duration("scale.pace", 10*time.Millisecond, "between two starts, where the start is not what is measured")
-	warm   = flag.Duration("scale.warm", 5*time.Second, "left out before an idle agent is measured, with scale.full")
-	window = flag.Duration("scale.window", 5*time.Second, "for which an idle agent is measured, with scale.full")
+	modes  = flag.String("scale.modes", "flat,hubs", "topologies of the fleet; the modes alternate at each size")
+	first  = flag.Int("scale.first", 0, "number of the first run, with scale.full, for adding runs to those in the file")
+	matrix = flag.String("scale.matrix", "on,off", "whether idle agents measure round trips")
+	pace   = flag.Duration("scale.pace", 10*time.Millisecond, "time between two starts, except where the start is measured")
+	warm   = flag.Duration("scale.warm", 5*time.Second, "time before the measurement of idle agents, with scale.full")
+	window = flag.Duration("scale.window", 5*time.Second, "duration of the measurement of idle agents, with scale.full")
 )
 
-// fleetSizes returns the sizes to measure at: small, but with -scale.full those of -scale.sizes.
+// fleetSizes returns the sizes to measure at: small, or the sizes in -scale.sizes with -scale.full.
 func fleetSizes(t testing.TB, small ...int) (list []int) {
 	if !*full {
 		return small
@@ -52,7 +52,7 @@
 	return list
 }
 
-// fleetModes returns the modes to measure, in turns.
+// fleetModes returns the modes to measure, in the order of -scale.modes.
 func fleetModes() (list []simagent.Mode) {
 	for _, m := range strings.Split(*modes, ",") {
 		list = append(list, simagent.Mode(m))
@@ -60,19 +60,19 @@
 	return list
 }
 
-// TestTables makes the tables. Without -scale.full it only shows that everything arrives and that they can be made.
+// TestTables makes the tables. Without -scale.full it only checks that all changes arrive and that the tables can be made.
 func TestTables(t *testing.T) {
 	tables := map[string]func(*testing.T){
 		"idle": idleTable, "start": startTable, "change": changeTable, "real": realTable, "load": loadTable}
 	for _, name := range strings.Split(*only, ",") {
 		table := tables[name]
 		if table == nil {
-			t.Errorf("there is no table %q", name)
+			t.Errorf("-scale.only: unknown table %q", name)
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			if !*full {
-				t.Parallel() // the figures of small runs don't count
+				t.Parallel() // the figures of small runs are not used
 			}
 			table(t)
 		})
