--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -65,7 +65,7 @@
 // of the change. An agent's duration counts from at, or from the agent's time in started if that is later.
 func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time,
 	selected func(i int) bool, started map[int]time.Time) (result propagation) {
-	limit := at.Add(changeTimeout)
+	deadline := at.Add(changeTimeout)
 	for i := range f.n {
 		if !selected(i) {
 			continue
@@ -80,7 +80,7 @@
 				result.durations = append(result.durations, max(0, appliedAt.Sub(from)))
 				break
 			}
-			if time.Now().After(limit) {
+			if time.Now().After(deadline) {
 				result.unreached++
 				break
 			}
@@ -98,7 +98,7 @@
 	values[prefix+"agents never"] = float64(p.unreached)
 }
 
-func everyone(int) bool { return true }
+func allAgents(int) bool { return true }
 
 // measureChanges measures the time that changes take to reach all agents of one fleet, without faults and under faults, and
 // the cost of changes.
@@ -116,16 +116,16 @@
 		repeats, settle = 5, 2*time.Second
 	}
 	time.Sleep(settle) // until the work of the start is done
-	draw := rand.New(rand.NewPCG(uint64(n), uint64(run)))
+	rng := rand.New(rand.NewPCG(uint64(n), uint64(run)))
 	for _, what := range kinds {
 		saveRows(t, fleet.undisturbedChanges(base, what, repeats, settle))
 	}
 	for _, what := range kinds {
-		saveRows(t, fleet.changeWhilePaused(base, what, draw, settle), fleet.changeUnderLoss(base, what, settle))
+		saveRows(t, fleet.changeWhilePaused(base, what, rng, settle), fleet.changeUnderLoss(base, what, settle))
 		if fleet.hubs == nil { // hubs are real processes, which the simulated network cannot partition
 			saveRows(t, fleet.changeDuringPartition(base, what, settle))
 		} else {
-			saveRows(t, fleet.changeWithDeadHub(base, what, draw))
+			saveRows(t, fleet.changeWithDeadHub(base, what, rng))
 		}
 		saveRows(t, fleet.changeDuringRestarts(base, what))
 	}
@@ -138,21 +138,21 @@
 	idle := f.startMeter(false)
 	time.Sleep(settle) // the span without changes
 	before := idle.end()
-	m, all := f.startMeter(false), propagation{}
+	m, total := f.startMeter(false), propagation{}
 	for range repeats {
 		version, at := f.makeChange(what)
-		one := f.measurePropagation(what, version, at, everyone, nil)
-		all.durations, all.unreached = append(all.durations, one.durations...), all.unreached+one.unreached
+		result := f.measurePropagation(what, version, at, allAgents, nil)
+		total.durations, total.unreached = append(total.durations, result.durations...), total.unreached+result.unreached
 	}
 	s := m.end()
 	r.Void = s.void
-	all.addValues(r.Values, "")
+	total.addValues(r.Values, "")
 	share := s.duration.Seconds() / before.duration.Seconds()
-	each := float64(f.n * repeats)
+	agentChanges := float64(f.n * repeats)
 	kind := trafficOf(what)
-	r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / each
-	r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / each
-	r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / each
+	r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / agentChanges
+	r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / agentChanges
+	r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / agentChanges
 	for _, daily := range []float64{580, 5800} {
 		r.Values[fmt.Sprintf("%.0f a day: processor s/day", daily)] = r.Values["a change: processor us"] * daily / 1e6
 		r.Values[fmt.Sprintf("%.0f a day: kB in/day", daily)] = r.Values["a change: bytes in"] * daily / 1e3
@@ -173,24 +173,24 @@
 
 // changeWhilePaused measures a change while 2% of the agents are paused, and the time that these agents take after they
 // resume.
-func (f *testFleet) changeWhilePaused(r row, what simagent.Change, draw *rand.Rand, settle time.Duration) row {
+func (f *testFleet) changeWhilePaused(r row, what simagent.Change, rng *rand.Rand, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 2% stopped", map[string]float64{}
-	stopped := map[int]bool{}
-	for _, i := range draw.Perm(f.n - 1)[:max(1, f.n/50)] {
-		stopped[i+1] = true // agent 0 is the policy's source
+	paused := map[int]bool{}
+	for _, i := range rng.Perm(f.n - 1)[:max(1, f.n/50)] {
+		paused[i+1] = true // agent 0 is the policy's source
 		f.agents[i+1].Pause()
 	}
 	time.Sleep(settle / 4) // the agents have been paused for a while when the change is made
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
-	f.measurePropagation(what, version, at, func(i int) bool { return !stopped[i] }, nil).addValues(r.Values, "")
+	f.measurePropagation(what, version, at, func(i int) bool { return !paused[i] }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	resumed, resumedAt := time.Now(), map[int]time.Time{}
-	for i := range stopped {
+	for i := range paused {
 		resumedAt[i] = resumed
 		f.agents[i].Resume()
 	}
-	f.measurePropagation(what, version, resumed, func(i int) bool { return stopped[i] }, resumedAt).
+	f.measurePropagation(what, version, resumed, func(i int) bool { return paused[i] }, resumedAt).
 		addValues(r.Values, "stopped ones, once resumed: ")
 	return f.awaitRecovery(r)
 }
@@ -202,7 +202,7 @@
 	time.Sleep(settle) // until the agents have noticed losses
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
-	f.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
+	f.measurePropagation(what, version, at, allAgents, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	f.net.SetLoss(0)
 	return f.awaitRecovery(r)
@@ -232,32 +232,32 @@
 // after the change, or within 100 ms without -scale.full.
 func (f *testFleet) changeDuringRestarts(r row, what simagent.Change) row {
 	r.Case, r.Values = what.String()+", a third restarting", map[string]float64{}
-	third := func(i int) bool { return i%3 == 1 }
+	restarting := func(i int) bool { return i%3 == 1 }
 	for i := range f.agents {
-		if third(i) {
+		if restarting(i) {
 			f.kill(i)
 		}
 	}
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	started := map[int]time.Time{}
-	within, k := 2*time.Second, 0
+	within, numStarted := 2*time.Second, 0
 	if !*full {
 		within = 100 * time.Millisecond
 	}
 	for i, a := range f.agents {
-		if !third(i) {
+		if !restarting(i) {
 			continue
 		}
-		if d := time.Until(at.Add(within * time.Duration(k*3) / time.Duration(f.n))); d > 0 {
+		if d := time.Until(at.Add(within * time.Duration(numStarted*3) / time.Duration(f.n))); d > 0 {
 			time.Sleep(d) // keeps the starts evenly spaced, however long each start takes
 		}
 		started[i] = time.Now()
 		f.start(i, a.Addr())
-		k++
+		numStarted++
 	}
-	f.measurePropagation(what, version, at, func(i int) bool { return !third(i) }, nil).addValues(r.Values, "")
-	f.measurePropagation(what, version, at, third, started).addValues(r.Values, "restarted ones, from their start: ")
+	f.measurePropagation(what, version, at, func(i int) bool { return !restarting(i) }, nil).addValues(r.Values, "")
+	f.measurePropagation(what, version, at, restarting, started).addValues(r.Values, "restarted ones, from their start: ")
 	r.Void = m.end().void
 	return f.awaitRecovery(r)
 }
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -158,9 +158,9 @@
 }
 
 // configured returns the hubs in the agents' configuration: all hubs, or only the first if one is set.
-func (h *hubProcesses) configured(one bool) (list []hubclient.Hub) {
+func (h *hubProcesses) configured(firstOnly bool) (list []hubclient.Hub) {
 	for i, addr := range h.addrs {
-		if i == 0 || !one {
+		if i == 0 || !firstOnly {
 			list = append(list, hubclient.Hub{Zone: zones[i], Region: zones[i][:1], Addr: addr})
 		}
 	}
@@ -193,13 +193,13 @@
 }
 
 // changeWithDeadHub measures a change immediately after one hub was killed. The killed hub is never the change's source.
-func (f *testFleet) changeWithDeadHub(r row, what simagent.Change, draw *rand.Rand) row {
+func (f *testFleet) changeWithDeadHub(r row, what simagent.Change, rng *rand.Rand) row {
 	r.Case, r.Values = what.String()+", one of seven hubs dead", map[string]float64{}
-	dead := 1 + draw.IntN(len(zones)-1)
+	dead := 1 + rng.IntN(len(zones)-1)
 	m := f.startMeter(false)
 	f.hubs.kill(dead)
 	version, at := f.makeChange(what)
-	f.measurePropagation(what, version, at, everyone, nil).addValues(r.Values, "")
+	f.measurePropagation(what, version, at, allAgents, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	f.hubs.start(f.t, dead)
 	return f.awaitRecovery(r)
--- a/internal/scale/listservice_test.go
+++ b/internal/scale/listservice_test.go
@@ -22,10 +22,10 @@
 	addr   string
 	server *http.Server
 
-	mu      sync.Mutex
-	version int64
-	changed chan struct{}
-	calls   int
+	mu       sync.Mutex
+	version  int64
+	changed  chan struct{}
+	requests int
 }
 
 // startListService starts the service, which ends with the test.
@@ -65,7 +65,7 @@
 func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: 0, for the complete list
 	s.mu.Lock()
-	s.calls++
+	s.requests++
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
--- a/internal/scale/machine_test.go
+++ b/internal/scale/machine_test.go
@@ -26,7 +26,7 @@
 
 // stolenTime returns the processor time that the machine's host has given to other machines and the total processor time,
 // in clock ticks since the system's start. It returns 0, 0 if /proc/stat cannot be read.
-func stolenTime() (steal, total float64) {
+func stolenTime() (stolen, total float64) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0
@@ -38,10 +38,10 @@
 			total += n
 		}
 		if i == 7 {
-			steal = n
+			stolen = n
 		}
 	}
-	return steal, total
+	return stolen, total
 }
 
 // residentBytes returns this process's resident memory in bytes; 0 if /proc/self/statm cannot be read.
@@ -95,7 +95,7 @@
 }
 
 // stop ends the timer, and returns the 99th percentile and the maximum of its delays.
-func (l *lateness) stop() (p99, most time.Duration) {
+func (l *lateness) stop() (p99, maxDelay time.Duration) {
 	close(l.end)
 	l.done.Wait()
 	return quantile(l.late, 0.99), quantile(l.late, 1)
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -76,13 +76,13 @@
 			m.fleet.t.Fatal(err)
 		}
 	}
-	busy := s.cpu.Seconds() / s.duration.Seconds() / float64(runtime.NumCPU())
+	cpuShare := s.cpu.Seconds() / s.duration.Seconds() / float64(runtime.NumCPU())
 	switch {
-	case busy > maxBusy:
-		s.void = fmt.Sprintf("processor %.0f%% busy, %.0f%% stolen by the host", 100*busy, 100*s.steal)
+	case cpuShare > maxBusy:
+		s.void = fmt.Sprintf("processor %.0f%% busy, %.0f%% stolen by the host", 100*cpuShare, 100*s.steal)
 	case s.late > maxLateP99:
 		s.void = fmt.Sprintf("timers late: p99 %v, processor %.0f%% busy, %.0f%% stolen by the host",
-			s.late.Round(time.Millisecond), 100*busy, 100*s.steal)
+			s.late.Round(time.Millisecond), 100*cpuShare, 100*s.steal)
 	}
 	return s
 }
--- a/internal/scale/profile_test.go
+++ b/internal/scale/profile_test.go
@@ -21,8 +21,8 @@
 // profileRules attribute a sample to a part by substrings of the function names on its stack. The first rule that matches
 // any function applies.
 var profileRules = []struct {
-	part string
-	in   []string
+	part       string
+	substrings []string
 }{
 	{"harness", []string{"internal/scale."}},
 	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).publishLatencies"}},
@@ -44,8 +44,8 @@
 func partOf(stack []string) string {
 	for _, r := range profileRules {
 		for _, f := range stack {
-			for _, in := range r.in {
-				if strings.Contains(f, in) {
+			for _, substring := range r.substrings {
+				if strings.Contains(f, substring) {
 					return r.part
 				}
 			}
@@ -76,7 +76,7 @@
 }
 
 // A stack is attributed to the part that initiated the work, not to the package at the top of the stack.
-func TestStackIsAttributedToWhatAskedForTheWork(t *testing.T) {
+func TestStackIsAttributedToThePartThatInitiatedTheWork(t *testing.T) {
 	const p = "martenbeam/internal/"
 	for want, stack := range map[string][]string{
 		"facts": {"github.com/fxamacker/cbor/v2.Marshal", p + "fleet/gossip.EncodeMessage", p + "fleet/gossip.(*Store).NextMessage",
@@ -106,7 +106,7 @@
 		t.Fatalf("found %d functions, want at least 100", len(functions))
 	}
 	for _, rule := range profileRules {
-		for _, pattern := range rule.in {
+		for _, pattern := range rule.substrings {
 			if strings.HasPrefix(pattern, "net/http") || strings.HasPrefix(pattern, "runtime.") || pattern == "hashicorp/memberlist" {
 				continue // outside this module
 			}
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -26,11 +26,11 @@
 type quotaHolder interface{ Quota() float64 }
 
 // sumQuotas returns the sum of all quotas.
-func sumQuotas[U quotaHolder](list []U) (all float64) {
+func sumQuotas[H quotaHolder](list []H) (sum float64) {
 	for _, u := range list {
-		all += u.Quota()
+		sum += u.Quota()
 	}
-	return all
+	return sum
 }
 
 // watchQuotas starts a quotaWatch, which ends with stop.
@@ -83,7 +83,7 @@
 func (g fakeQuotaHolder) Quota() float64 { return g.quota * float64(g.times) }
 
 // The sum of quotas exceeds its bound if one of five agents uses its quota twice.
-func TestQuotaSumFindsAnAgentThatCountsTwice(t *testing.T) {
+func TestQuotaSumDetectsAnAgentThatUsesItsQuotaTwice(t *testing.T) {
 	fair := fakeQuotaHolder{0.2, 1}
 	for _, c := range []struct {
 		list []fakeQuotaHolder
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -33,13 +33,13 @@
 
 // realAgentConfig returns a real agent's configuration file, with the same fleet options as a simulated agent.
 func (f *testFleet) realAgentConfig(i int) string {
-	var known []string
+	var seeds []string
 	for _, a := range f.agents[:min(numSeeds, f.n)] {
-		known = append(known, strconv.Quote(a.Addr()))
+		seeds = append(seeds, strconv.Quote(a.Addr()))
 	}
-	var names []string
+	var zoneNames []string
 	for _, z := range zones {
-		names = append(names, strconv.Quote(z))
+		zoneNames = append(zoneNames, strconv.Quote(z))
 	}
 	return fmt.Sprintf(`name = %q
 listen = "127.0.0.1:0"
@@ -63,8 +63,8 @@
 effect = "safe"
 aim = "1s"
 deadline = "2s"
-`, f.agentName(i), f.service.addr, strings.Join(names, ", "), zones[i%len(zones)],
-		strings.Join(known, ", "), f.label, f.n+f.realAgents)
+`, f.agentName(i), f.service.addr, strings.Join(zoneNames, ", "), zones[i%len(zones)],
+		strings.Join(seeds, ", "), f.label, f.n+f.realAgents)
 }
 
 // processUsage reads a process's processor time and its resident memory in kB from /proc.
@@ -172,11 +172,11 @@
 // usage returns the total processor time of all real agents, and the mean of their resident memory in kB.
 func (a *realProcesses) usage() (cpu time.Duration, rss float64) {
 	for _, p := range a.processes {
-		one, mem, err := processUsage(p.Process.Pid)
+		agentCPU, mem, err := processUsage(p.Process.Pid)
 		if err != nil {
 			a.t.Fatal(err)
 		}
-		cpu, rss = cpu+one, rss+mem/float64(a.fleet.realAgents)
+		cpu, rss = cpu+agentCPU, rss+mem/float64(a.fleet.realAgents)
 	}
 	return cpu, rss
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -193,8 +193,8 @@
 	case 1:
 		return formatNumber(list[0])
 	}
-	median, least, greatest := list[len(list)/2], list[0], list[len(list)-1]
-	return fmt.Sprintf("%s (%s to %s)", formatNumber(median), formatNumber(least), formatNumber(greatest))
+	median, minimum, maximum := list[len(list)/2], list[0], list[len(list)-1]
+	return fmt.Sprintf("%s (%s to %s)", formatNumber(median), formatNumber(minimum), formatNumber(maximum))
 }
 
 // writeVoid writes the number and the reasons of the void runs at a size. It writes nothing if there are none.
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -146,27 +146,27 @@
 				time.Sleep(time.Until(startedAt.Add(pace))) // keeps the restarts evenly spaced, however long each restart takes
 			}
 		}
-	}, fleet.incarnationsKnown))
+	}, fleet.membersUpToDate))
 }
 
 // startZone starts the agents of a zone, or all other agents if inZone is false. It spaces the starts as if it started all
 // agents of the fleet within the given time.
 func (f *testFleet) startZone(zone string, inZone bool, within time.Duration) {
-	startedAt, k := time.Now(), 0
+	startedAt, numStarted := time.Now(), 0
 	for i := range f.n {
 		if (zones[i%len(zones)] == zone) != inZone {
 			continue
 		}
 		f.start(i, "")
-		if d := time.Until(startedAt.Add(within * time.Duration(k) / time.Duration(f.n))); d > 0 {
+		if d := time.Until(startedAt.Add(within * time.Duration(numStarted) / time.Duration(f.n))); d > 0 {
 			time.Sleep(d) // keeps the starts evenly spaced, however long each start takes
 		}
-		k++
+		numStarted++
 	}
 }
 
-// incarnationsKnown reports whether every agent's member list has the latest incarnation of every other agent.
-func (f *testFleet) incarnationsKnown() bool {
+// membersUpToDate reports whether every agent's member list has the latest incarnation of every other agent.
+func (f *testFleet) membersUpToDate() bool {
 	latest := map[string]uint64{}
 	for _, a := range f.agents {
 		for _, m := range a.Members() {
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -58,7 +58,7 @@
 	if n, reason := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
 		t.Errorf("got %d lagging agents, want none: %s", n, reason)
 	}
-	for name, spoil := range map[string]func(*simagent.State){
+	for wantReason, alter := range map[string]func(*simagent.State){
 		"policy 1, not 2":             func(s *simagent.State) { s.Policy = 1 },
 		"list 41, not 42":             func(s *simagent.State) { s.List = 41 },
 		"2 members of 3":              func(s *simagent.State) { s.Members = 2 },
@@ -68,10 +68,10 @@
 		"settings 4, not 5":           func(s *simagent.State) { s.Settings = 4 },
 	} {
 		lagging := want
-		spoil(&lagging)
+		alter(&lagging)
 		n, reason := laggards([]fixedState{fixedState(want), fixedState(lagging)}, want)
-		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+name) {
-			t.Errorf("%s: got %d lagging agents, reason %q; want 1", name, n, reason)
+		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+wantReason) {
+			t.Errorf("%s: got %d lagging agents, reason %q; want 1", wantReason, n, reason)
 		}
 	}
 }
