--- a/internal/scale/overhead/report.go
+++ b/internal/scale/overhead/report.go
@@ -44,7 +44,7 @@
 	Slowest            Slowest   `json:"Slowest"`
 }
 
-// Slowest holds means over the slowest 1% of the calls through the agent, in ms: the time from sending to the backend's
+// Slowest holds means over the slowest hundredth of the calls through the agent, in ms: the time from sending to the backend's
 // handler, and the time from there until the response was read. NewConnectionShare is the share of these calls on a new
 // connection to the backend.
 type Slowest struct {
--- a/internal/scale/profile_test.go
+++ b/internal/scale/profile_test.go
@@ -21,8 +21,8 @@
 // profileRules attribute a sample to a part by substrings of the function names on its stack. The first rule that matches
 // any function applies.
 var profileRules = []struct {
-	part       string
-	substrings []string
+	part  string
+	match []string
 }{
 	{"harness", []string{"internal/scale."}},
 	{"distances", []string{"internal/fleet/latency.", "fleet.(*Fleet).publishLatencies"}},
@@ -44,8 +44,8 @@
 func partOf(stack []string) string {
 	for _, r := range profileRules {
 		for _, f := range stack {
-			for _, substring := range r.substrings {
-				if strings.Contains(f, substring) {
+			for _, match := range r.match {
+				if strings.Contains(f, match) {
 					return r.part
 				}
 			}
@@ -106,7 +106,7 @@
 		t.Fatalf("found %d functions, want at least 100", len(functions))
 	}
 	for _, rule := range profileRules {
-		for _, pattern := range rule.substrings {
+		for _, pattern := range rule.match {
 			if strings.HasPrefix(pattern, "net/http") || strings.HasPrefix(pattern, "runtime.") || pattern == "hashicorp/memberlist" {
 				continue // outside this module
 			}
