--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -157,13 +157,13 @@
 		}
 		running := slices.DeleteFunc(slices.Clone(f.agents), func(a *simagent.Agent) bool { return a == nil })
 		if next == f.n {
-			if n, _ := laggards(running, want); n == 0 {
+			if n, _ := countLagging(running, want); n == 0 {
 				return time.Since(startedAt), true, ""
 			}
 			next = 0
 		}
 		if time.Since(startedAt) > limit {
-			n, first := laggards(running, want)
+			n, first := countLagging(running, want)
 			return limit, false, fmt.Sprintf("%d of %d lag: %s", n, len(running), first)
 		}
 		time.Sleep(pollInterval)
--- a/internal/scale/idle_test.go
+++ b/internal/scale/idle_test.go
@@ -64,8 +64,8 @@
 
 // addCPU adds the mean processor time of n agents, in total and by part. The total excludes the time of the harness, which
 // includes the list service.
-func (s *span) addCPU(values map[string]float64, n int) {
-	each := float64(n) * s.duration.Seconds()
+func (s *span) addCPU(values map[string]float64, numAgents int) {
+	each := float64(numAgents) * s.duration.Seconds()
 	profiled := 0.
 	for _, d := range s.cpuByPart {
 		profiled += d.Seconds()
--- a/internal/scale/measure_test.go
+++ b/internal/scale/measure_test.go
@@ -14,8 +14,8 @@
 
 // A run is void if it exceeds one of these limits, since the machine did not keep up.
 const (
-	maxLateP99 = 20 * time.Millisecond // 99th percentile of the timers' lateness
-	maxBusy    = 0.85                  // share of all cores' time
+	maxLateP99  = 20 * time.Millisecond // 99th percentile of the timers' lateness
+	maxCPUShare = 0.85                  // share of all cores' time
 )
 
 // span is the total usage of all agents of a fleet in a measured span.
@@ -78,7 +78,7 @@
 	}
 	cpuShare := s.cpu.Seconds() / s.duration.Seconds() / float64(runtime.NumCPU())
 	switch {
-	case cpuShare > maxBusy:
+	case cpuShare > maxCPUShare:
 		s.void = fmt.Sprintf("processor %.0f%% busy, %.0f%% stolen by the host", 100*cpuShare, 100*s.steal)
 	case s.late > maxLateP99:
 		s.void = fmt.Sprintf("timers late: p99 %v, processor %.0f%% busy, %.0f%% stolen by the host",
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -45,14 +45,14 @@
 			case <-w.end:
 				return
 			}
-			w.maxSum = max(w.maxSum, sumQuotas(f.present()))
+			w.maxSum = max(w.maxSum, sumQuotas(f.startedAgents()))
 		}
 	})
 	return w
 }
 
-// present returns the latest started agent of each number.
-func (f *testFleet) present() (list []*simagent.Agent) {
+// startedAgents returns the latest started agent of each number.
+func (f *testFleet) startedAgents() (list []*simagent.Agent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range f.agents {
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -34,8 +34,8 @@
 	return ""
 }
 
-// laggards returns the number of agents without the wanted state, and what the first of these agents lacks.
-func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
+// countLagging returns the number of agents without the wanted state, and what the first of these agents lacks.
+func countLagging[K stateReporter](list []K, want simagent.State) (n int, first string) {
 	for i, reporter := range list {
 		if reason := missing(reporter, want); reason != "" {
 			if n++; n == 1 {
@@ -51,11 +51,11 @@
 
 func (s fixedState) State() simagent.State { return simagent.State(s) }
 
-// laggards finds an agent with an old version of a document or with any other difference from the wanted state, and names
+// countLagging finds an agent with an old version of a document or with any other difference from the wanted state, and names
 // the difference.
-func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
+func TestCountLaggingNamesTheFirstDifference(t *testing.T) {
 	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
-	if n, reason := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
+	if n, reason := countLagging([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
 		t.Errorf("got %d lagging agents, want none: %s", n, reason)
 	}
 	for wantReason, alter := range map[string]func(*simagent.State){
@@ -69,7 +69,7 @@
 	} {
 		lagging := want
 		alter(&lagging)
-		n, reason := laggards([]fixedState{fixedState(want), fixedState(lagging)}, want)
+		n, reason := countLagging([]fixedState{fixedState(want), fixedState(lagging)}, want)
 		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+wantReason) {
 			t.Errorf("%s: got %d lagging agents, reason %q; want 1", wantReason, n, reason)
 		}
