--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -147,7 +147,8 @@
 	p := latency.New(latency.Config{Name: "n1", Site: "a", Label: "fleet", Send: write})
 	probe := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
 	probe = append(probe, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
-	p.HandleDatagram(probe, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // the processing time exceeds the field's range
+	// The probe waited for two hours, which exceeds the range of the reply's processing time.
+	p.HandleDatagram(probe, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour))
 	goldenHex(t, "datagram-reply.hex", sent)
 }
 
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -148,11 +148,11 @@
 	r.Void = s.void
 	total.addValues(r.Values, "")
 	share := s.duration.Seconds() / before.duration.Seconds()
-	agentChanges := float64(f.n * repeats)
+	applied := float64(f.n * repeats)
 	kind := trafficOf(what)
-	r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / agentChanges
-	r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / agentChanges
-	r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / agentChanges
+	r.Values["a change: bytes out"] = (float64(s.traffic.Out[kind].Bytes) - share*float64(before.traffic.Out[kind].Bytes)) / applied
+	r.Values["a change: bytes in"] = (float64(s.traffic.In[kind].Bytes) - share*float64(before.traffic.In[kind].Bytes)) / applied
+	r.Values["a change: processor us"] = (s.cpu.Seconds() - share*before.cpu.Seconds()) * 1e6 / applied
 	for _, daily := range []float64{580, 5800} {
 		r.Values[fmt.Sprintf("%.0f a day: processor s/day", daily)] = r.Values["a change: processor us"] * daily / 1e6
 		r.Values[fmt.Sprintf("%.0f a day: kB in/day", daily)] = r.Values["a change: bytes in"] * daily / 1e3
