--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -20,9 +20,9 @@
 	"martenbeam/internal/fleet/startup"
 )
 
-// What processes of a fleet write to each other.
+// Tests of the messages that the processes of a fleet exchange.
 
-// Each kind of frame between an agent and its hub.
+// Each kind of frame between an agent and its hub encodes to the same bytes, and decodes from them.
 func TestHubFramesKeepTheirBytes(t *testing.T) {
 	frames := []struct {
 		name string
@@ -55,10 +55,10 @@
 	equal(t, "path and protocol", []string{frame.Path, frame.Protocol}, []string{"/hub", "martenbeam-hub"})
 }
 
-// A gossip message with one entry of each kind, and the bodies that have an encoding of their own.
-func TestGossipedFactsKeepTheirBytes(t *testing.T) {
-	standing := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
-	census := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
+// A gossip message with one entry of each kind, and each body that has its own encoding, keep their bytes.
+func TestGossipMessageKeepsItsBytes(t *testing.T) {
+	applied := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
+	fleetSize := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
 	names, err := cbor.Marshal([]string{"n1", "n2"})
 	if err != nil {
 		t.Fatal(err)
@@ -70,8 +70,8 @@
 		body []byte
 	}{
 		{gossip.ListServiceLoad, storedHex(t, "body-service.hex")}, {gossip.LatencyRow, storedHex(t, "body-distance.hex")},
-		{gossip.ResidencyVersion, standing.MarshalBody()},
-		{gossip.DeadProcesses, names}, {gossip.SettingsVersion, standing.MarshalBody()}, {gossip.FleetSize, census.MarshalBody()},
+		{gossip.ResidencyVersion, applied.MarshalBody()},
+		{gossip.DeadProcesses, names}, {gossip.SettingsVersion, applied.MarshalBody()}, {gossip.FleetSize, fleetSize.MarshalBody()},
 	} {
 		one := *filled[gossip.Entry]()
 		one.Kind, one.Body, one.Seq = f.kind, f.body, uint64(100+i)
@@ -88,15 +88,15 @@
 	}
 	equal(t, "read back", got, m)
 	if s, ok := documents.ParseAppliedVersion(got.Entries[2].Body); !ok {
-		t.Error("the standing can't be read")
+		t.Error("the body of the residency version does not parse")
 	} else {
-		equal(t, "standing", s, standing)
+		equal(t, "applied version", s, applied)
 	}
 	c, err := hub.ParseFleetSize(got.Entries[5].Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	equal(t, "census", c, census)
+	equal(t, "fleet size", c, fleetSize)
 	var kinds []string
 	for k := gossip.ListServiceLoad; k <= gossip.FleetSize; k++ {
 		kinds = append(kinds, k.String())
@@ -104,14 +104,14 @@
 	equal(t, "kinds", kinds, []string{"service", "distance", "residency", "gone", "settings", "census"})
 }
 
-// The load of the list service, as a caller publishes it and as a hub aggregates it.
+// The list service's load keeps its bytes as an agent publishes it and as a hub aggregates it.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
-	facts := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
-	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: facts})
+	store := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
+	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: store})
 	p.RecordAttempt(time.Millisecond, true, 9)
-	entries := facts.Entries(gossip.ListServiceLoad)
+	entries := store.Entries(gossip.ListServiceLoad)
 	if len(entries) != 1 {
-		t.Fatalf("%d facts", len(entries))
+		t.Fatalf("got %d entries, want 1", len(entries))
 	}
 	goldenHex(t, "body-service.hex", entries[0].Body)
 	entries[0].Body = storedHex(t, "body-service.hex")
@@ -124,8 +124,8 @@
 	goldenHex(t, "body-service-sum.hex", bytes.Join(sums, nil))
 }
 
-// A row of the latency matrix.
-func TestDistanceRowKeepsItsBytes(t *testing.T) {
+// A row of the latency matrix encodes to the same bytes, with the age of its oldest pair.
+func TestLatencyRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
 		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5,
 			Age: time.Second},
@@ -137,21 +137,22 @@
 	equal(t, "age", age, 2*time.Second)
 }
 
-// A latency probe is answered with the same label and nonce.
-func TestDistanceDatagramKeepsItsBytes(t *testing.T) {
+// The reply to a latency probe repeats the probe's label and nonce.
+func TestLatencyProbeReplyKeepsItsBytes(t *testing.T) {
 	var sent []byte
 	write := func(data []byte, _ netip.AddrPort) (time.Time, error) {
 		sent = bytes.Clone(data)
 		return time.Now(), nil
 	}
 	p := latency.New(latency.Config{Name: "n1", Site: "a", Label: "fleet", Send: write})
-	ask := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
-	ask = append(ask, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
-	p.HandleDatagram(ask, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour)) // held for longer than the field can say
+	probe := append([]byte{member.ProbeByte, 1}, storedHex(t, "datagram-label.hex")...)
+	probe = append(probe, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0)
+	// The probe waited for two hours, which exceeds the range of the reply's processing time.
+	p.HandleDatagram(probe, netip.MustParseAddrPort("127.0.0.1:1"), time.Now().Add(-2*time.Hour))
 	goldenHex(t, "datagram-reply.hex", sent)
 }
 
-// What a member says of itself with its name.
+// The metadata that a member publishes with its name encodes to the same bytes, and decodes from them.
 func TestMemberMetaKeepsItsBytes(t *testing.T) {
 	data, err := cbor.Marshal(filled[member.Meta]())
 	if err != nil {
@@ -165,11 +166,11 @@
 	equal(t, "read back", got, *filled[member.Meta]())
 }
 
-// The document that a process serves, and a hub's report on settings.
-func TestTextsAndReportsOverHTTPKeepTheirForm(t *testing.T) {
-	k := &documents.Document{Holder: holder{}}
+// The document that a process serves over HTTP and a hub's report on settings keep their JSON form.
+func TestDocumentsAndReportsOverHTTPKeepTheirFormat(t *testing.T) {
+	document := &documents.Document{Holder: holder{}}
 	w := httptest.NewRecorder()
-	k.Serve(w, "d1")
+	document.Serve(w, "d1")
 	golden(t, "text.json", w.Body.Bytes())
 	goldenJSON(t, "hub-settings-report.json", filled[hub.SettingsReport]())
 	got := &hub.SettingsReport{}
@@ -184,8 +185,8 @@
 func (holder) Apply(int64, string) error         { return nil }
 func (holder) Text(string) (int64, string, bool) { return 12, "version = 12\n", true }
 
-// A line of a fleet's trace, except for its time.
-func TestTraceLinesKeepTheirForm(t *testing.T) {
+// A line of a fleet's trace keeps its keys and values; its time differs in each run and is set to 0.
+func TestTraceLinesKeepTheirFormat(t *testing.T) {
 	var b bytes.Buffer
 	trace := gossip.Trace{W: &b}
 	f := *filled[gossip.Entry]()
@@ -199,7 +200,7 @@
 			t.Fatal(err)
 		}
 		if at, ok := v["at"].(float64); !ok || at <= 0 {
-			t.Errorf("at %v", v["at"])
+			t.Errorf("key at: got %v, want a positive number", v["at"])
 		}
 		v["at"] = 0
 		text, err := json.Marshal(v)
@@ -211,9 +212,9 @@
 	golden(t, "trace.jsonl", out)
 }
 
-// Each kind of entry has a bound.
-func TestFactsHaveBounds(t *testing.T) {
+// Each of the six kinds of gossip entry has an age bound.
+func TestGossipEntriesHaveAgeBounds(t *testing.T) {
 	if n := reflect.ValueOf(gossip.DefaultAgeBounds).Len(); n != 6 {
-		t.Errorf("%d bounds", n)
+		t.Errorf("got %d age bounds, want 6", n)
 	}
 }
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -17,7 +17,7 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// What a process stores for a later one. The files named stored-... are read as the later process would.
+// Tests of the files that a process stores for its successor. They read the files stored-* as the successor does.
 
 const (
 	settingsText = "version = 3\ndiscovery = \"127.0.0.1:7\"\nattempts.most = 4\n"
@@ -25,7 +25,7 @@
 		"[tenant.t1]\npermitted = [\"north\"]\nwhen_stale = \"serve\"\n[tenant.t1.class.bulk]\npermitted = [\"south\"]\n[others]\npermitted = [\"*\"]\n"
 )
 
-// handoverRecord is what stored-handover.json holds.
+// handoverRecord returns the contents of stored-handover.json.
 func handoverRecord() handover.Record {
 	return handover.Record{Format: 1, Generation: 2, SavedUnixMs: 1700000000003,
 		DisabledUnixMs: map[string]int64{"b1": 1700000000004}, EnabledUnixMs: map[string]int64{"b2": 1700000000005},
@@ -38,8 +38,8 @@
 			PeerDemand: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
-// A handover record is written with the same keys, and one that was stored earlier is read.
-func TestHandoverRecordKeepsItsForm(t *testing.T) {
+// A handover record is written with the same keys, and Store.Poll reads a stored one.
+func TestHandoverRecordKeepsItsFormat(t *testing.T) {
 	r := handoverRecord()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -52,21 +52,21 @@
 		t.Fatal(err)
 	}
 	s := handover.New(dir, slog.New(slog.DiscardHandler))
-	calls, lame, ok := s.Poll()
-	if !ok || !lame {
-		t.Fatalf("read %v, lame duck %v", ok, lame)
+	overrides, lameDuck, ok := s.Poll()
+	if !ok || !lameDuck {
+		t.Fatalf("Poll: record read %v, lame duck %v; want both true", ok, lameDuck)
 	}
 	equal(t, "the record", s.LastRecord(), r)
-	for _, c := range calls {
+	for _, c := range overrides {
 		switch want := (handover.Override{Backend: "b1", Disabled: true, IssuedAt: 7_000_007 * time.Microsecond}); {
 		case c.Backend == "b1" && c != want:
 			t.Errorf("got %+v, want %+v", c, want)
 		case c.Backend == "b2" && c != (handover.Override{Backend: "b2", IssuedAt: 8_000_008 * time.Microsecond}):
-			t.Errorf("got %+v", c)
+			t.Errorf("got %+v, want backend b2 enabled at 8000008us", c)
 		}
 	}
-	if len(calls) != 2 {
-		t.Errorf("calls %+v", calls)
+	if len(overrides) != 2 {
+		t.Errorf("got overrides %+v, want 2", overrides)
 	}
 	if err := s.Register(); err != nil {
 		t.Fatal(err)
@@ -83,15 +83,15 @@
 	equal(t, "files", names, []string{"handover.json", "lock", "owner"})
 }
 
-// Settings are stored as before, and stored ones are applied.
-func TestKeptSettingsKeepTheirForm(t *testing.T) {
+// SaveFunc writes settings in the same format, and Load applies stored settings.
+func TestStoredSettingsKeepTheirFormat(t *testing.T) {
 	dir := t.TempDir()
 	if err := settings.SaveFunc(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-settings.json", read(t, dir, "settings.json"))
+	golden(t, "stored-settings.json", readFile(t, dir, "settings.json"))
 
-	dir = put(t, "settings.json", "stored-settings.json")
+	dir = tempDirWith(t, "settings.json", "stored-settings.json")
 	h := settings.NewHolder(settings.Config{})
 	if err := h.Load(dir); err != nil {
 		t.Fatal(err)
@@ -106,20 +106,20 @@
 		}
 	}
 	if err := h.Apply(2, "version = 2\n"); err == nil {
-		t.Error("a lower version was taken")
+		t.Error("Apply accepted a lower version")
 	}
 	equal(t, "digest", settings.Digest(settingsText), "da4d8bc885a122dd")
 }
 
-// A residency policy is stored as before, and a stored one is applied.
-func TestKeptPolicyKeepsItsForm(t *testing.T) {
+// SaveFunc writes a residency policy in the same format, and Load applies a stored policy.
+func TestStoredPolicyKeepsItsFormat(t *testing.T) {
 	dir := t.TempDir()
 	if err := residency.SaveFunc(dir)(6, []string{policyText}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-policy.json", read(t, dir, "policy.json"))
+	golden(t, "stored-policy.json", readFile(t, dir, "policy.json"))
 
-	dir = put(t, "policy.json", "stored-policy.json")
+	dir = tempDirWith(t, "policy.json", "stored-policy.json")
 	h := residency.NewHolder([]string{"a", "b", "c"}, time.Minute, true, slog.New(slog.DiscardHandler), nil)
 	if err := h.Load(dir); err != nil {
 		t.Fatal(err)
@@ -134,8 +134,8 @@
 	equal(t, "zones of others", table.Permitted[other], []bool(nil))
 }
 
-// The documents of settings and of a policy have the same keys.
-func TestTextsKeepTheirKeys(t *testing.T) {
+// The documents of settings and of a residency policy keep their keys.
+func TestDocumentsKeepTheirKeys(t *testing.T) {
 	goldenKeys[residency.Policy](t, "policy-keys.txt")
 	p, err := residency.Parse("policy", policyText)
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func read(t *testing.T, dir, name string) []byte {
+func readFile(t *testing.T, dir, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
@@ -160,8 +160,8 @@
 	return bytes.Clone(text)
 }
 
-// put returns a folder that holds a file of testdata under a name.
-func put(t *testing.T, name, from string) string {
+// tempDirWith returns a temporary directory with a copy, under name, of the file from in testdata.
+func tempDirWith(t *testing.T, name, from string) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, name), stored(t, from), 0o600); err != nil {
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// The check that every agent knows what it has to know.
+// Check that every agent has the expected state.
 
 import (
 	"cmp"
@@ -11,10 +11,10 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// stateReporter is an agent, or a fake one, whose state is checked.
+// stateReporter is an agent or a fake agent with a state.
 type stateReporter interface{ State() simagent.State }
 
-// missing tells what an agent does not know yet of the wanted state; "": it knows all of it.
+// missing describes the first difference between an agent's state and the wanted state; "" if there is none.
 func missing(reporter stateReporter, want simagent.State) string {
 	state := reporter.State()
 	switch {
@@ -34,8 +34,8 @@
 	return ""
 }
 
-// laggards counts the agents that don't have the wanted state, and tells what the first of them lacks.
-func laggards[K stateReporter](list []K, want simagent.State) (n int, first string) {
+// countLagging returns the number of agents without the wanted state, and what the first of these agents lacks.
+func countLagging[K stateReporter](list []K, want simagent.State) (n int, first string) {
 	for i, reporter := range list {
 		if reason := missing(reporter, want); reason != "" {
 			if n++; n == 1 {
@@ -51,13 +51,14 @@
 
 func (s fixedState) State() simagent.State { return simagent.State(s) }
 
-// The check of agents' states finds one with an old version of a document, or with anything else missing.
-func TestLaggardsNamesWhatAnAgentLacks(t *testing.T) {
+// countLagging finds an agent with an old version of a document or with any other difference from the wanted state, and names
+// the difference.
+func TestCountLaggingNamesTheFirstDifference(t *testing.T) {
 	want := simagent.State{Members: 3, Quota: 1. / 3, MeasuredZones: 7, Policy: 2, List: 42, Settings: 5}
-	if n, reason := laggards([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
-		t.Errorf("%d lag: %s", n, reason)
+	if n, reason := countLagging([]fixedState{fixedState(want), fixedState(want)}, want); n != 0 {
+		t.Errorf("got %d lagging agents, want none: %s", n, reason)
 	}
-	for name, spoil := range map[string]func(*simagent.State){
+	for wantReason, alter := range map[string]func(*simagent.State){
 		"policy 1, not 2":             func(s *simagent.State) { s.Policy = 1 },
 		"list 41, not 42":             func(s *simagent.State) { s.List = 41 },
 		"2 members of 3":              func(s *simagent.State) { s.Members = 2 },
@@ -67,15 +68,15 @@
 		"settings 4, not 5":           func(s *simagent.State) { s.Settings = 4 },
 	} {
 		lagging := want
-		spoil(&lagging)
-		n, reason := laggards([]fixedState{fixedState(want), fixedState(lagging)}, want)
-		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+name) {
-			t.Errorf("%s: %d lag: %q", name, n, reason)
+		alter(&lagging)
+		n, reason := countLagging([]fixedState{fixedState(want), fixedState(lagging)}, want)
+		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+wantReason) {
+			t.Errorf("%s: got %d lagging agents, reason %q; want 1", wantReason, n, reason)
 		}
 	}
 }
 
-// expectedState returns the state that each agent has to reach.
+// expectedState returns the state that each running agent has to reach.
 func (f *testFleet) expectedState() simagent.State {
 	f.service.mu.Lock()
 	defer f.service.mu.Unlock()
@@ -87,7 +88,7 @@
 	if f.matrix {
 		s.MeasuredZones = cmp.Or(f.expectedZones, len(zones))
 		if f.hubs != nil {
-			s.MeasuredZones = len(zones) - 1 // a zone's only hub has no round trip within its own zone
+			s.MeasuredZones = len(zones) - 1 // a zone has only one hub, which measures no round trip within the zone
 		}
 	}
 	return s
