--- a/internal/lab/check/arrival.go
+++ b/internal/lab/check/arrival.go
@@ -10,23 +10,24 @@
 // Arrival is an attempt that has reached a backend in full.
 type Arrival struct {
 	Attempt       uint64 // the attempt's number in the lab, unique in a run
-	ID            string // of the request
+	ID            string // the ID of the request
 	Agent         int
 	Backend       string
 	Cell          int
-	Fingerprint   uint64        // of method, path, key and body
+	Fingerprint   uint64        // hash of method, path, key and body
 	SentAt        time.Duration // when the agent sent the attempt; the emulated network may have delayed it since
 	StatedTimeout time.Duration // the time-out that the attempt states to the backend; 0 or below: none
 }
 
-// Slack of single rules, in addition to Rules.Slack.
+// Additional slack of individual rules, on top of Rules.Slack.
 const (
 	cancelSlack   = 100 * time.Millisecond
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// Arrive checks an attempt that reaches its backend at the time now. It reports whether the attempt belongs to a request
-// that an emulated client has sent and the checker still has. An attempt of any other request is not recorded.
+// Arrive checks an attempt that reaches its backend at the time now. It reports whether the checker has the request of the
+// attempt: an emulated client has sent the request, and the request has not been dropped since. Arrive does not record
+// attempts of other requests.
 func (c *Checker) Arrive(now time.Duration, arrival Arrival) (known bool) {
 	r := c.requests[arrival.ID]
 	c.checkDrain(now, r, arrival)
@@ -49,8 +50,8 @@
 	return true
 }
 
-// checkDrain reports a violation if the agent sent the attempt later than the grace after it was notified that the backend
-// drains or is removed. The request is nil if the checker does not have it.
+// checkDrain records a violation if discovery had notified the agent that the backend drains or is removed, and the agent
+// sent the attempt after the end of the grace. r is nil if the checker does not have the request.
 func (c *Checker) checkDrain(now time.Duration, r *Request, arrival Arrival) {
 	unavailableAt := c.endpoints[endpointKey{arrival.Agent, arrival.Backend}].unavailableAt
 	if unavailableAt > 0 && arrival.SentAt > c.graceEnd(arrival.Agent, unavailableAt) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// checkClientTime reports a violation if the agent sent the attempt after the request had ended for its client, or stated
+// checkClientTime records a violation if the agent sent the attempt after the request had ended for its client, or stated
 // a longer time-out than the client has left.
 func (c *Checker) checkClientTime(now time.Duration, r *Request, arrival Arrival) {
 	if c.excusedDuring(r.Agent, r.SentAt, arrival.SentAt) {
@@ -75,8 +76,8 @@
 	}
 }
 
-// checkDuplicate checks that no effect can happen twice: after an attempt that may have run, another one is allowed only as
-// far as the idempotency of the class permits.
+// checkDuplicate checks that no effect can happen twice: after an attempt that may have run, the agent may send another
+// attempt only if the idempotency of the class permits a second run.
 func (c *Checker) checkDuplicate(now time.Duration, r *Request, arrival Arrival) {
 	earlier := r.firstPossiblyExecuted()
 	if earlier == nil {
@@ -96,7 +97,7 @@
 }
 
 // RecordReply adds a backend's response to the history of a request. neverRan means that the response proves that the
-// attempt had no effect.
+// attempt had no effect; the first attempt at the backend without such a proof is then marked accordingly.
 func (c *Checker) RecordReply(now time.Duration, id, backend, what string, neverRan bool) {
 	r := c.requests[id]
 	if r == nil {
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -63,11 +63,11 @@
 		{"never answered", RuleAnswer, []step{open(0, 2), finish(3*time.Second, Unanswered)}},
 		{"not finished before Close", RuleAnswer, []step{open(0, 2)}},
 		{"never answered by a stopped agent", "", []step{open(0, 2), excuse(500*ms, 3*time.Second), finish(3*time.Second, Unanswered)}},
-		{"never answered after a stop", RuleAnswer, []step{excuse(0, ms), open(2*ms, 2), finish(3*time.Second, Unanswered)}},
+		{"never answered, sent after a stop", RuleAnswer, []step{excuse(0, ms), open(2*ms, 2), finish(3*time.Second, Unanswered)}},
 		{"never accepted", "", []step{func(c *Checker) { c.Open(0, &Request{ID: "r", Class: 2, Agent: 1}) }, finish(3*time.Second, Closed)}},
 		{"closed", RuleAnswer, []step{open(0, 2), finish(100*ms, Closed)}},
 		{"closed while its agent is down", "", []step{open(0, 2), func(c *Checker) { c.Down(1, 50*ms) }, finish(100*ms, Closed)}},
-		{"closed after its agent runs again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), finish(100*ms, Closed)}},
+		{"closed, sent after its agent runs again", RuleAnswer, []step{func(c *Checker) { c.Down(1, 0); c.Running(1, ms) }, open(2*ms, 2), finish(100*ms, Closed)}},
 		{"closed new, above the allowed share", RuleAnswer, []step{open(0, 2), finish(100*ms, ClosedNew)}},
 		{"answered with a foreign response", RuleAnswer, []step{open(0, 2), finish(100*ms, Foreign)}},
 		{"idempotent, run twice", "", []step{open(0, 0), arrive(ms, "x", 0), arrive(2*ms, "y", 1), finish(100*ms, Rejected)}},
@@ -77,9 +77,9 @@
 		{"idempotency key, retried in the same pod", "", []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 3), finish(9*ms, Served)}},
 		{"idempotency key, retried in another pod", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(2*ms, "y", 4)}},
 		{"idempotency key, retried after the deduplication window", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), arrive(10*time.Second+slack+2*ms, "y", 3)}},
-		{"refused though it may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), finish(9*ms, Rejected)}},
+		{"refused though an attempt may have run", RuleDuplicate, []step{open(0, 1), arrive(ms, "x", 3), finish(9*ms, Rejected)}},
 		{"refused after a rejection by the backend", "", []step{open(0, 2), arrive(ms, "x", 0), reply(2*ms, "x", true), finish(9*ms, Rejected)}},
-		{"failed though it may have run", "", []step{open(0, 2), arrive(ms, "x", 3), finish(9*ms, Failed)}},
+		{"failed though an attempt may have run", "", []step{open(0, 2), arrive(ms, "x", 3), finish(9*ms, Failed)}},
 		{"sent to a draining backend within the grace", "", []step{notify(0, true), open(0, 2), arrive(grace+slack, "x", 0), finish(grace+60*ms, Served)}},
 		{"sent to a draining backend after the grace", RuleDrain, []step{notify(0, true), open(0, 2), arrive(grace+slack+2, "x", 0), finish(grace+60*ms, Served)}},
 		{"a second notice does not extend the grace", RuleDrain, []step{notify(0, true), notify(grace, true), open(0, 2), arrive(grace+slack+2, "x", 0)}},
@@ -140,8 +140,8 @@
 	}
 }
 
-// A tally returns the totals, the worst ten seconds, the attempts and the percentiles of a run, without the warm-up in the
-// totals.
+// A tally returns the totals, the worst ten seconds, the attempts and the percentiles of a run. The totals leave out the
+// warm-up.
 func TestTallyCountsService(t *testing.T) {
 	tally := NewTally(2 * time.Second)
 	for s := range 20 {
@@ -192,7 +192,7 @@
 		}
 		after, ok := tally.AvoidedAfter(Span{second, 5 * second}, 0.01)
 		if after != c.after || ok != c.ok {
-			t.Errorf("%s: %v, %v, want %v, %v", name, after, ok, c.after, c.ok)
+			t.Errorf("%s: avoided after %v, reported %v, want %v, %v", name, after, ok, c.after, c.ok)
 		}
 	}
 	if _, ok := NewTally(0).AvoidedAfter(Span{second, 2 * second}, 0.01); ok {
--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -1,8 +1,9 @@
 // Package check decides from outside whether agents keep the rules: the caller reports what clients sent, what reached
 // backends and how requests were answered, and a Checker returns the violations. A Tally counts the service that clients got.
 //
-// The package has no clock: the caller passes the time, as a span since the start of the run. Memory is bounded by the
-// requests of the last Retention and by the endpoint lists. No type of the package is safe for concurrent use.
+// The package has no clock: the caller passes the time, as a span since the start of the run. A Checker keeps requests until
+// Retention after their end, and for the complete run the endpoint lists, the excused spans and the answers ClosedNew. No type
+// of the package is safe for concurrent use.
 package check
 
 import (
@@ -20,7 +21,7 @@
 	Text    string        `json:"text"`
 }
 
-// Checker follows each request from its first byte to its answer and reports violations.
+// Checker tracks each request from Open to Finish, and records the violations of the rules.
 type Checker struct {
 	rules          Rules
 	requests       map[string]*Request
@@ -31,15 +32,16 @@
 	firstViolator  *Request // with its complete history
 	onForgotten    func(*Request)
 	accepted       int
-	closedNew      []Violation
+	closedNew      []Violation // ends of requests with the answer ClosedNew; Close decides whether they are violations
 	violationCount int
 }
 
-// Retention is how long a finished request is kept. It exceeds the longest deduplication window, so that a late duplicate
-// is still recognised.
+// Retention is the time for which a Checker keeps a finished request. Retention exceeds the longest deduplication window, so
+// that the checker still recognises a late duplicate.
 const Retention = 15 * time.Second
 
-// maxViolations bounds the violations that are kept; further ones are only counted.
+// maxViolations bounds the violations that a Checker keeps until Close; further ones are only counted. Close can add as
+// many again, for the answers ClosedNew.
 const maxViolations = 100
 
 // New returns a checker of the given rules. The checker calls onForgotten, if it is not nil, with each request that it drops.
@@ -47,7 +49,7 @@
 	return &Checker{rules: r, requests: map[string]*Request{}, endpoints: map[endpointKey]endpointState{}, excuses: map[int][]interval{}, onForgotten: onForgotten}
 }
 
-// violate records a violation, also in the history of the request if r is not nil.
+// violate records a violation. If r is not nil, violate also adds the violation to the history of the request.
 func (c *Checker) violate(rule string, at time.Duration, agent int, r *Request, format string, args ...any) {
 	violation := Violation{Rule: rule, At: at, Agent: agent, Text: fmt.Sprintf(format, args...)}
 	c.violationCount++
@@ -83,8 +85,8 @@
 	r.record(now, fmt.Sprintf("client %d", r.Agent), "sends "+c.rules.Classes[r.Class].Name)
 }
 
-// Accept reports that the client wrote the last byte of a request to a connection that the agent has accepted. From then
-// on the agent must give the request a final answer.
+// Accept reports that the client wrote the last byte of a request to a connection that the agent has accepted. The agent must
+// give an accepted request a final answer.
 func (c *Checker) Accept(now time.Duration, id string) {
 	if r := c.requests[id]; r != nil {
 		r.SentAt, r.accepted = now, true
@@ -129,9 +131,9 @@
 	}
 }
 
-// Overloaded reports that a backend in slow start crashed by overload. informed is the share of the work, from 0 to 1, that
-// came from agents that had received the backend's start. A crash violates the rule only if this share is at least
-// minInformedShare, since an agent that has not received the start cannot limit the work that it sends.
+// Overloaded reports that a backend in slow start crashed by overload. informed is the share of the work, from 0 to 1, sent by
+// agents to which discovery had delivered the backend's start. The crash violates the rule if informed is at least
+// minInformedShare: an agent without this start cannot limit the work that it sends.
 func (c *Checker) Overloaded(now time.Duration, backend string, informed float64) {
 	const minInformedShare = 2. / 3
 	if informed >= minInformedShare {
@@ -155,8 +157,8 @@
 	}
 }
 
-// Close ends the checks of a run. It counts open requests as unanswered. Connections closed on their first request violate
-// the rule on answers only if their share of the accepted requests is above MaxClosedNewShare.
+// Close ends the checks of a run: it finishes open requests as Unanswered, and drops all requests. Accepted requests with the
+// answer ClosedNew violate the rule on answers if their share of the accepted requests is above MaxClosedNewShare.
 func (c *Checker) Close(now time.Duration) {
 	if share := float64(len(c.closedNew)) / max(1, float64(c.accepted)); share > c.rules.MaxClosedNewShare {
 		c.violationCount += len(c.closedNew)
--- a/internal/lab/check/endpoints.go
+++ b/internal/lab/check/endpoints.go
@@ -12,12 +12,12 @@
 
 // endpointState is the latest state of a backend that discovery has delivered to an agent.
 type endpointState struct {
-	unavailableAt time.Duration // when discovery delivered that it drains or is removed; 0: it is ready
-	startedAt     time.Duration // the latest start of its process
+	unavailableAt time.Duration // when discovery first delivered that the backend drains or is removed; 0: the backend is ready
+	startedAt     time.Duration // the latest start of the backend's process
 }
 
-// Notify reports that discovery has delivered the state of a backend to an agent: whether it is unavailable, which means
-// that it drains or is removed, and when it started.
+// Notify reports that discovery has delivered the state of a backend to an agent. unavailable means that the backend drains or
+// is removed, started is the start of the backend's process. A repeated notice does not restart the grace.
 func (c *Checker) Notify(now time.Duration, agent int, backend string, unavailable bool, started time.Duration) {
 	key := endpointKey{agent, backend}
 	current := c.endpoints[key]
@@ -40,14 +40,14 @@
 	}
 }
 
-// KnowsStart reports whether discovery has delivered to an agent that a backend started at the time started, or a later
-// start.
+// KnowsStart reports whether discovery has delivered to an agent the start of a backend at the time started, or a later start.
+// It returns false for a negative time.
 func (c *Checker) KnowsStart(agent int, backend string, started time.Duration) bool {
 	return started >= 0 && c.endpoints[endpointKey{agent, backend}].startedAt >= started
 }
 
-// graceEnd returns the time until which an agent that was notified at notifiedAt may still act on the previous state. The
-// grace starts again after each span within it for which the agent is excused.
+// graceEnd returns the time until which an agent that was notified at notifiedAt may still act on the previous state. Each
+// excused span of the agent that overlaps the grace restarts the grace at the end of the span.
 func (c *Checker) graceEnd(agent int, notifiedAt time.Duration) time.Duration {
 	grace := c.rules.DrainGrace + c.rules.Slack
 	end := notifiedAt + grace
--- a/internal/lab/check/excuses.go
+++ b/internal/lab/check/excuses.go
@@ -1,6 +1,6 @@
 package check
 
-// Spans in which an agent could not keep the rules.
+// Spans in which an agent cannot keep the rules.
 
 import (
 	"slices"
@@ -10,16 +10,16 @@
 // interval is a span of the run, including both ends.
 type interval struct{ from, to time.Duration }
 
-// Excuse reports that an agent could not keep the rules for a span, because it was killed, stopped, or partitioned from its
-// client.
+// Excuse reports that an agent cannot keep the rules from one time to another, because the agent is killed, stopped, or
+// partitioned from its client.
 func (c *Checker) Excuse(agent int, from, to time.Duration) {
 	c.excuses[agent] = append(c.excuses[agent], interval{from, to})
 }
 
-// Down excuses an agent whose process was ended, until Running is called.
+// Down excuses an agent whose process has ended, until the caller reports Running.
 func (c *Checker) Down(agent int, from time.Duration) { c.Excuse(agent, from, forever) }
 
-// Running reports that the process of an agent runs again.
+// Running reports that the process of an agent runs again, which ends the excuse by Down.
 func (c *Checker) Running(agent int, at time.Duration) {
 	for i, s := range c.excuses[agent] {
 		if s.to == forever {
--- a/internal/lab/check/request.go
+++ b/internal/lab/check/request.go
@@ -15,16 +15,16 @@
 type Request struct {
 	ID          string        `json:"id"`
 	FirstID     string        `json:"first"` // the ID of the first request, if this one is a retry; else its own ID
-	Attempt     int           `json:"try"`   // 0 for the first request; the client's retries count up
+	Attempt     int           `json:"try"`   // 0 for the first request, 1 for the client's first retry
 	Agent       int           `json:"agent"`
 	Class       int           `json:"class"`
-	SentAt      time.Duration `json:"sent_ns"`    // when its last byte was sent; the timeout runs from then
+	SentAt      time.Duration `json:"sent_ns"`    // when the client sent the last byte
 	Timeout     time.Duration `json:"give_up_ns"` // counts from SentAt
 	Fingerprint uint64        `json:"-"`          // of method, path, key and body
 	History     []Event       `json:"history"`
 
 	attempts   []*attempt
-	accepted   bool // its last byte was written to a connection that the agent accepted
+	accepted   bool // the client wrote the last byte to a connection that the agent accepted
 	finished   bool
 	finishedAt time.Duration
 }
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Answer says how a request ended for its client.
+// Answer is the way in which a request ended for its client.
 type Answer uint8
 
 // The ways in which a request ends.
@@ -61,11 +61,11 @@
 	Rejected            // 429 or 503
 	Failed              // any other answer
 	Closed              // the agent closed the connection without a complete answer
-	ClosedNew           // the agent closed it without a byte, as the connection's first request
+	ClosedNew           // the agent closed the connection without a byte, on the connection's first request
 	Unanswered          // the client got no answer before its time-out
-	Unreachable         // no connection could be established: the request was never accepted
+	Unreachable         // the client could not establish a connection
 	Disconnected        // the client closed the connection first
-	Foreign             // answered with a success response that no backend sent for this request
+	Foreign             // the answer is a success response that no backend sent for this request
 )
 
 // String returns the answer as the report contains it.
--- a/internal/lab/check/residency.go
+++ b/internal/lab/check/residency.go
@@ -4,14 +4,14 @@
 
 import "time"
 
-// RuleResidency is the rule that no byte of a request reaches a zone that its tenant's policy does not permit.
+// RuleResidency is the rule that the bytes of a request reach only zones that the tenant's policy permits.
 const RuleResidency = "residency"
 
 // Permits reports whether a policy permits the requests of a tenant and class in a zone.
 type Permits func(tenant, class, zone int) bool
 
-// Residency records which policies may be in force at a time. A published policy is in force everywhere once
-// PropagationBound has passed. Until then agents may still use earlier policies, afterwards they must not.
+// Residency records the published residency policies. For PropagationBound after the publication of a policy, agents may
+// still use the previous policy. Later they must use the published policy or a newer one.
 type Residency struct {
 	PropagationBound time.Duration
 	policies         []publishedPolicy
@@ -24,7 +24,7 @@
 	permits     Permits
 }
 
-// Publish adds a policy. If the last policy has the same version, a request must be permitted by both.
+// Publish adds a policy. If the previous policy has the same version, the added policy permits what both permit.
 func (r *Residency) Publish(now time.Duration, version int64, p Permits) {
 	if n := len(r.policies); n > 0 && r.policies[n-1].version == version {
 		previous, added := r.policies[n-1].permits, p
@@ -33,8 +33,8 @@
 	r.policies = append(r.policies, publishedPolicy{now, version, p})
 }
 
-// permitted reports whether any policy that may be in force at the time now permits a request in a zone. Without a policy
-// every request is permitted.
+// permitted reports whether any policy that may be in force at the time now permits a request in a zone. If no policy was
+// published, every request is permitted.
 func (r *Residency) permitted(now time.Duration, tenant, class, zone int) bool {
 	for i, p := range r.policies {
 		if i+1 < len(r.policies) && now > r.policies[i+1].publishedAt+r.PropagationBound {
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -14,12 +14,12 @@
 	IntendedAt     time.Duration // when the request was scheduled; latency counts from this time even if the client sent it late
 	FinishedAt     time.Duration
 	Answer         Answer
-	InObjective    bool    // served within its latency objective
-	Weight         float64 // its priority weight
+	InObjective    bool    // the request was served within its latency objective
+	Weight         float64 // the priority weight of the request
 	Class          int
 	Tenant         int
-	Zone           int // of its agent
-	ClientAttempts int // the first request included
+	Zone           int // the zone of the agent
+	ClientAttempts int // number of requests that the client sent, including the first
 }
 
 // Window counts one second of a run. A request belongs to the second of its intended time, an attempt to the second in
@@ -36,8 +36,8 @@
 	P50               float64 `json:"p50_ms"`
 	P99               float64 `json:"p99_ms"`
 	Used              float64 `json:"used"`     // share of the available capacity in use at the end of the second
-	Agents            int     `json:"agents"`   // serving at the end of the second
-	Backends          int     `json:"backends"` // up at the end of the second
+	Agents            int     `json:"agents"`   // number of agents that serve at the end of the second
+	Backends          int     `json:"backends"` // number of backends that are up at the end of the second
 
 	latency []time.Duration
 }
@@ -45,18 +45,18 @@
 // Tally counts the service of a run. It is not safe for concurrent use.
 type Tally struct {
 	Windows                             []Window
-	Latency                             *hdrhistogram.Histogram // of served requests, from the intended time, us
+	Latency                             *hdrhistogram.Histogram // of served requests, counted from the intended time, in microseconds
 	Attempts, CrossZone, ClientAttempts int
 	Classes, Tenants                    map[int]*Share
 	Zones                               map[int]*Share
 	countedFrom                         time.Duration
-	firstAttempts                       []firstAttemptCounts // by countInterval
+	firstAttempts                       []firstAttemptCounts // one entry for each countInterval
 }
 
 // firstAttemptCounts counts first attempts, and first attempts at unreachable backends.
 type firstAttemptCounts struct{ total, unreachable int }
 
-// countInterval is the resolution of firstAttempts.
+// countInterval is the span of one entry of Tally.firstAttempts.
 const countInterval = 100 * time.Millisecond
 
 // Span is a part of a run.
@@ -74,13 +74,13 @@
 	}
 }
 
-// minReachableSpan is the shortest time before the end of a span over which AvoidedAfter takes a share. Connections are
-// observed about once per countInterval, so the share over a shorter time would be random.
+// minReachableSpan is the shortest span over which AvoidedAfter computes a share. The lab observes connections about once per
+// countInterval, so the share over a shorter span would be random.
 const minReachableSpan = 300 * time.Millisecond
 
-// AvoidedAfter returns the earliest time, counted from the start of the span, from which on until the end of the span first
-// attempts at unreachable backends are below maxShare of all first attempts. It reports false if there is no such time or no
-// first attempt.
+// AvoidedAfter returns the earliest time, counted from the start of the span, after which agents avoid unreachable backends:
+// between this time and the end of the span, the share of first attempts at unreachable backends is below maxShare. The time
+// is at least minReachableSpan before the end of the span. AvoidedAfter returns false if there is no such time.
 func (t *Tally) AvoidedAfter(s Span, maxShare float64) (time.Duration, bool) {
 	first, end := int(s.From/countInterval), min(int(s.To/countInterval), len(t.firstAttempts))
 	total, unreachable, at := 0, 0, -1
@@ -154,7 +154,7 @@
 	}
 	t.ClientAttempts += outcome.ClientAttempts
 	if outcome.Answer == Served {
-		_ = t.Latency.RecordValue(max(1, (outcome.FinishedAt - outcome.IntendedAt).Microseconds())) // its range includes every deadline
+		_ = t.Latency.RecordValue(max(1, (outcome.FinishedAt - outcome.IntendedAt).Microseconds())) // the range of the histogram includes every deadline
 	}
 	for _, p := range []*Share{shareOf(t.Classes, outcome.Class), shareOf(t.Tenants, outcome.Tenant), shareOf(t.Zones, outcome.Zone)} {
 		p.Offered++
@@ -187,7 +187,7 @@
 	}
 }
 
-// Total returns the sum of the windows from the start of the totals on.
+// Total returns the summed counts and weights of the windows that begin at the time given to NewTally or later.
 func (t *Tally) Total() (s Window) {
 	for i, w := range t.Windows {
 		if time.Duration(i)*time.Second < t.countedFrom {
@@ -210,7 +210,7 @@
 }
 
 // Worst returns the lowest share of weight served within the objective over a number of consecutive seconds, and the first
-// of these seconds. A shorter run counts as one span.
+// of these seconds. A run of fewer seconds counts as one span.
 func (t *Tally) Worst(seconds int) (share float64, from int) {
 	first := int((t.countedFrom + time.Second - 1) / time.Second)
 	share, from = 1, first
@@ -226,7 +226,7 @@
 	return share, from
 }
 
-// Snapshot returns a copy of the n-th window, with its present percentiles.
+// Snapshot returns a copy of the n-th window, with the percentiles of its latencies so far.
 func (t *Tally) Snapshot(n int) Window {
 	w := t.Windows[n]
 	if len(w.latency) > 0 {
--- a/internal/lab/model/degradation.go
+++ b/internal/lab/model/degradation.go
@@ -6,7 +6,7 @@
 	m.overloadedSince, m.degradedSince, m.idleSince = never, never, never
 }
 
-// updateDegradation starts or ends the degraded state according to the present load.
+// updateDegradation starts or ends the degraded state according to the present load and its duration.
 func (m *Machine) updateDegradation() {
 	if m.DegradeAt <= 0 {
 		return
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,5 +1,5 @@
-// Package model models the backends of an emulated fleet: cores shared by the requests in service, a bounded queue, slow start
-// and the crash by overload during it, degradation under load, and a cache of keys.
+// Package model models the backends of an emulated fleet: cores shared by the requests in service, a bounded queue, slow start,
+// a crash by overload in slow start, degradation under load, and a cache of keys.
 //
 // The package has no clock, sockets or goroutines: the caller passes the time, and each Job contains its random draw. Times are
 // spans since the start of the run. Work is given as time on one reference core. A Machine is not safe for concurrent use.
@@ -47,7 +47,7 @@
 }
 
 // PresentCapacity returns the work that the backend can do in a second in its present state, in seconds of a reference core.
-// A routing policy that knew the true state would use this value.
+// It is the value that a routing policy with access to the true state would use.
 func (m *Machine) PresentCapacity(now time.Duration) float64 {
 	if m.State != Up && m.State != Draining {
 		return 0
@@ -59,7 +59,7 @@
 	return capacity
 }
 
-// updateRate recomputes serviceRate. It is called after each change of state.
+// updateRate recomputes serviceRate. Callers call it after each change of the running requests or of the capacity.
 func (m *Machine) updateRate() {
 	running := float64(len(m.running))
 	if running == 0 {
@@ -75,7 +75,7 @@
 // maxStep is the longest span over which a continuously changing service rate is treated as constant.
 const maxStep = 50 * time.Millisecond
 
-// NextEvent returns the next time at which the backend changes state without input, or never.
+// NextEvent returns the next time at which a running job may end or the service rate may change without input, or never.
 func (m *Machine) NextEvent() time.Duration {
 	next := never
 	if len(m.running) > 0 && m.serviceRate > 0 {
@@ -95,7 +95,7 @@
 		until := min(now, m.NextEvent())
 		m.serviceReceived += m.serviceRate * (until - m.now).Seconds()
 		m.now = until
-		const slack = 1e-9 // times are rounded to nanoseconds
+		const slack = 1e-9 // in seconds of work; times are rounded to nanoseconds
 		for len(m.running) > 0 && m.running[0].finishAt <= m.serviceReceived+slack {
 			finished := heap.Pop(&m.running).(*task)
 			elapsed := (m.now - finished.startedAt).Seconds()
@@ -202,7 +202,7 @@
 	return done
 }
 
-// Restart starts the process again, in slow start.
+// Restart starts the process again, in slow start. The caller stops the backend first: Restart drops jobs without a completion.
 func (m *Machine) Restart(now time.Duration) {
 	m.now, m.StartedAt, m.State = max(m.now, now), now, Up
 	m.running, m.queue, m.slowStartWork, m.slowStartTotal, m.informedTotal = nil, nil, nil, 0, 0
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Each run draws the same cases; with -rapid.seed=0 each run draws others.
+// Each run draws the same cases; with -rapid.seed=0 each run draws different cases.
 func init() { _ = flag.Set("rapid.seed", "1") } // package rapid registers this flag
 
 func spec() Spec {
@@ -31,7 +31,7 @@
 		record := func(list []Completion) {
 			for _, d := range list {
 				if d.At < lastEnd || d.At > now {
-					t.Fatalf("completion at %v after one at %v; the time is %v", d.At, lastEnd, now)
+					t.Fatalf("completion at %v after one at %v, want ordered completions up to the present time %v", d.At, lastEnd, now)
 				}
 				lastEnd = d.At
 				ended[d.Attempt]++
@@ -77,7 +77,7 @@
 	return m.Arrive(at, Job{Attempt: n, Work: work, ErrorDraw: 1, StartKnown: true})
 }
 
-// A machine in slow start crashes if, and only if, it is sent more work than OverloadMultiple of its present capacity.
+// A machine in slow start crashes if and only if the work that it gets exceeds OverloadMultiple times its present capacity.
 func TestOverloadInSlowStartCrashes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -95,7 +95,7 @@
 			send(m, time.Duration(i)*c.gap, i, 100*time.Millisecond)
 		}
 		if crashed := m.State == Overloaded; crashed != c.crashes {
-			t.Errorf("%s: crashed: %v", c.name, crashed)
+			t.Errorf("%s: crashed is %v, want the opposite", c.name, crashed)
 		} else if crashed && m.InformedShare != 1 {
 			t.Errorf("%s: informed share %v, want 1", c.name, m.InformedShare)
 		}
@@ -123,14 +123,14 @@
 	}
 	m.SetFault(2*time.Second, 1, 0)
 	if d := m.Arrive(2*time.Second, Job{Attempt: 3, ErrorDraw: 0.99}); len(d) != 1 || d[0].Result != Failed || d[0].Ran {
-		t.Errorf("with all requests failing at once: %+v", d)
+		t.Errorf("with all requests failing at once: %+v, want one failed job that did not run", d)
 	}
 	m.SetFault(2*time.Second, 0, 0)
 	for _, k := range []struct{ at, duration time.Duration }{ // a key stays cached for a second
 		{3 * time.Second, 100 * time.Millisecond}, {3500 * time.Millisecond, 50 * time.Millisecond}, {5 * time.Second, 100 * time.Millisecond}} {
 		m.Arrive(k.at, Job{Attempt: 10, Key: 7, Work: 100 * time.Millisecond, ErrorDraw: 1})
 		if d := onlyCompletion(m, k.at+200*time.Millisecond); (d.At - k.at).Round(time.Microsecond) != k.duration {
-			t.Errorf("the request for the key at %v took %v", k.at, d.At-k.at)
+			t.Errorf("the request for the key at %v took %v, want 50 ms if the key is cached, else 100 ms", k.at, d.At-k.at)
 		}
 	}
 	m.Drain(6 * time.Second)
@@ -145,7 +145,7 @@
 	overloaded := New(spec(), -1)
 	for i := range uint64(14) {
 		if d := send(overloaded, 0, i, 10*time.Second); (len(d) == 1) != (i == 13) {
-			t.Errorf("job %d, with 8 slots and a queue of 5: %+v", i, d)
+			t.Errorf("job %d, with 8 slots and a queue of 5: %+v, want only job 13 to end at once", i, d)
 		}
 	}
 	before := overloaded.PresentCapacity(0)
--- a/internal/lab/model/types.go
+++ b/internal/lab/model/types.go
@@ -20,14 +20,14 @@
 	OverloadWindow   time.Duration // span over which OverloadMultiple applies; 0: the backend never crashes
 	DegradeAt        float64       // requests per core, running or queued, above which the backend is overloaded; 0: it never degrades
 	DegradeAfter     time.Duration // span of overload after which the backend degrades
-	DegradeFactor    float64       // by which a degraded backend is slower
+	DegradeFactor    float64       // divides the capacity of a degraded backend
 	RecoverAfter     time.Duration // mostly idle span after which a degraded backend recovers
 	MaxDegraded      time.Duration // span after which a degraded backend recovers at any load
 	MaxConns         int           // limit on open connections; 0: none
 	Handshake        time.Duration // work of accepting a connection
 	ErrorRate        float64       // share of requests answered with an error
 	KeySaving        float64       // share of the work saved for a cached key
-	KeyTTL           time.Duration // span after its last use for which a key stays cached
+	KeyTTL           time.Duration // span for which a key stays cached after its last use
 	MaxKeys          int           // keys cached at once
 	DropsCancelled   bool          // a queued request is dropped when its agent cancels it
 	ProbeWork        time.Duration // work of a health check
@@ -55,7 +55,7 @@
 const (
 	Served   Result = iota
 	Failed          // answered with an error; the effect may have happened
-	Rejected        // before any work was done
+	Rejected        // rejected before any work was done
 	Dropped         // cancelled by its agent while it was queued
 	Lost            // the backend stopped first, and sends no response
 )
