--- a/internal/lab/faultinject/faultinject.go
+++ b/internal/lab/faultinject/faultinject.go
@@ -2,7 +2,7 @@
 // can be made to fail. The program's sources stay unchanged: a build overlay adds hooks to some functions of the standard
 // library, and adds to the program a goroutine that reads a control file.
 //
-// The package cannot make calls from C fail, nor calls by the Go runtime itself, except epoll_ctl.
+// Build supports only Linux on amd64. The hooks do not cover calls from C, nor calls by the Go runtime except epoll_ctl.
 package faultinject
 
 import (
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// ControlVariable is the environment variable with the path of the control file, read by a program that Build has built.
+// ControlVariable is the environment variable from which a program that Build has built reads the path of its control file.
 const ControlVariable = "INJECT_CONTROL"
 
 // The system calls that a Failure can make fail.
@@ -49,8 +49,8 @@
 	Errno syscall.Errno `json:"errno"`
 	Path  string        `json:"path"`  // part of the file's name, or "client:" with the IPv4 address and port of a connection's remote end; "": any
 	Times int           `json:"times"` // number of calls that fail; 0: all while the plan is in force
-	Skip  int           `json:"skip"`  // number of matching calls that are made normally first
-	Kill  bool          `json:"kill"`  // kills the process before the call, in place of the failure
+	Skip  int           `json:"skip"`  // number of matching calls that run normally before the first failure
+	Kill  bool          `json:"kill"`  // the process gets SIGKILL in place of the failure
 }
 
 // Plan is the set of faults of a program. A new plan replaces the previous one.
@@ -62,7 +62,7 @@
 
 // Control sends plans to one program.
 type Control struct {
-	Path   string // of the control file, which the program finds by ControlVariable
+	Path   string // the path in ControlVariable; it must contain "INJECT", so that calls on the control file never fail
 	number int
 }
 
@@ -99,8 +99,8 @@
 	return fmt.Errorf("the program did not confirm plan %d within %v", c.number, acknowledgeTimeout)
 }
 
-// hookedCalls are the functions of the standard library that call the hook before a system call, with the expressions for
-// the descriptor and the path, and the statement that sets the results of a failed call.
+// hookedCalls are the functions of the standard library that call the hook before a system call. For each function,
+// descriptor and path are the hook's arguments, and onFailure is the statement that sets the results of a failed call.
 var hookedCalls = []struct{ call, signature, descriptor, path, onFailure string }{
 	{Accept, "func accept4(s int, rsa *RawSockaddrAny, addrlen *_Socklen, flags int) (fd int, err error) {", "s", `""`, "fd, err = -1, e"},
 	{Open, "func openat(dirfd int, path string, flags int, mode uint32) (fd int, err error) {", "-1", "path", "fd, err = -1, e"},
@@ -128,7 +128,7 @@
 var errUnknownToolchain = errors.New("the standard library's source does not match the patches of this package")
 
 // Build builds a program of the module at root, such as "./cmd/agent", with the hooks. It writes to dir and returns the path
-// of the executable there. The error is errUnknownToolchain if a patch does not fit the installed standard library.
+// of the executable there. The error wraps errUnknownToolchain if a patch does not match the installed standard library.
 func Build(ctx context.Context, root, program, dir string) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
@@ -167,7 +167,7 @@
 	return link(ctx, root, program, dir, replace)
 }
 
-// writePatched writes a patched copy of a file. It returns errUnknownToolchain if a patch does not match exactly once.
+// writePatched writes a patched copy of a file. The error wraps errUnknownToolchain if a patch does not match exactly once.
 func writePatched(from, to string, patches []patch) error {
 	text, err := os.ReadFile(from)
 	if err != nil {
@@ -183,7 +183,7 @@
 	return os.WriteFile(to, []byte(changed), 0o600)
 }
 
-// link builds the program with the overlay.
+// link builds the program with the overlay, and returns the path of the executable.
 func link(ctx context.Context, root, program, dir string, replace map[string]string) (string, error) {
 	text, err := json.Marshal(map[string]any{"Replace": replace})
 	if err != nil {
--- a/internal/lab/faultinject/faultinject_test.go
+++ b/internal/lab/faultinject/faultinject_test.go
@@ -38,7 +38,7 @@
 		log := &bytes.Buffer{}
 		cmd.Stderr = log
 		if err := cmd.Run(); err == nil || !strings.Contains(log.String(), plan.want) {
-			t.Errorf("plan %v: error %v, log %q", plan.failures, err, log)
+			t.Errorf("plan %v: error %v, log %q, want a failed start with the expected text in the log", plan.failures, err, log)
 		}
 	}
 }
--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -79,8 +79,8 @@
 	faultCache  map[direction]Fault // cleared when the rules change
 }
 
-// New returns a network without faults. baseLatency returns the one-way latency of a healthy link. The latency of each
-// message is longer by a random part of it, up to the share jitter.
+// New returns a network without faults. baseLatency returns the one-way latency of a healthy link. Each message gets an
+// additional random latency of up to the share jitter of the base latency.
 func New(baseLatency func(from, to Endpoint) time.Duration, jitter float64, random rng.Source) *Network {
 	return &Network{baseLatency: baseLatency, random: random, jitter: jitter, rules: map[int]Rule{}, faultCache: map[direction]Fault{}}
 }
@@ -99,7 +99,7 @@
 	clear(n.faultCache)
 }
 
-// Fault returns the combined fault of all rules for one direction, with the worst value of each property.
+// Fault returns the combined fault of all rules for one direction, with the highest value of each property.
 func (n *Network) Fault(from, to Endpoint, protocol Protocol) Fault {
 	key := direction{from, to, protocol}
 	fault, ok := n.faultCache[key]
@@ -124,18 +124,18 @@
 	return n.Fault(from, to, TCP).Cut || n.Fault(to, from, TCP).Cut
 }
 
-// Refused reports whether TCP connections are refused with an error.
+// Refused reports whether TCP connections from one endpoint to another are refused with an error.
 func (n *Network) Refused(from, to Endpoint) bool { return n.Fault(from, to, TCP).Refuse }
 
 const (
 	retransmitTimeout = 200 * time.Millisecond // before the first retransmission of a TCP segment; doubled for each further one
-	maxRetransmits    = 5
-	maxReorderDelay   = 20 * time.Millisecond // upper bound of the additional delay of a reordered or duplicate datagram
+	maxRetransmits    = 5                      // per TCP segment; the segment then arrives
+	maxReorderDelay   = 20 * time.Millisecond  // upper bound of the additional delay of a reordered or duplicate datagram
 )
 
 // Arrivals returns the delays after which the copies of one message arrive: one delay, two if the message is duplicated, none
-// if it is lost. message names the random stream. A message in a cut direction is lost; a caller that delays messages until
-// the cut ends checks Fault first.
+// if it is lost. message names the random stream of the message. A message in a cut direction is lost; a caller that delays
+// messages until the cut ends checks Fault first.
 func (n *Network) Arrivals(from, to Endpoint, protocol Protocol, message string) []time.Duration {
 	fault := n.Fault(from, to, protocol)
 	if fault.Cut {
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -35,7 +35,7 @@
 		{b, c, TCP, Fault{}},
 	} {
 		if got := n.Fault(x.from, x.to, x.p); got != x.want {
-			t.Errorf("fault from %v to %v: %+v", x.from, x.to, got)
+			t.Errorf("fault from %v to %v: %+v, want only the rules of this direction and protocol", x.from, x.to, got)
 		}
 	}
 	if !n.Unreachable(a, c) || !n.Unreachable(c, a) || n.Unreachable(b, c) {
@@ -79,10 +79,12 @@
 			retransmitted++
 		}
 	}
+	// Lost datagrams, a share of 0.3, are neither duplicated nor reordered. The reordering of a datagram is visible if its
+	// additional delay, up to 20 ms, exceeds about 1 ms: in 0.95 of the cases.
 	for name, x := range map[string][2]float64{"lost": {float64(lost), 0.3}, "duplicated": {float64(duplicated), 0.7 * 0.2}, "reordered": {float64(reordered), 0.7 * 0.1 * 0.95},
 		"retransmitted": {float64(retransmitted), 0.3}} {
 		if share := x[0] / messages; share < x[1]*0.9 || share > x[1]*1.1 {
-			t.Errorf("share %s: %v, want %v", name, share, x[1])
+			t.Errorf("share %s: %v, want %v within 10%%", name, share, x[1])
 		}
 	}
 }
--- a/internal/lab/rng/rng.go
+++ b/internal/lab/rng/rng.go
@@ -46,8 +46,8 @@
 	return mean * math.Exp(r.NormFloat64()*math.Sqrt(s2)-s2/2)
 }
 
-// Zipf draws ranks from 0 to n-1. The weight of rank i is (i+1) to the power -s, for any s >= 0; the type of math/rand/v2
-// requires s > 1.
+// Zipf draws ranks from 0 to n-1. The weight of rank i is (i+1) to the power -s, for any s >= 0. The Zipf type of
+// math/rand/v2 requires s > 1.
 type Zipf struct{ cumulative []float64 }
 
 // NewZipf returns a distribution over n ranks with the exponent s.
--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -41,10 +41,10 @@
 	defer l.Close()
 	r, err := l.Run(t.Context())
 	if err != nil || r.Verdict != lab.Passed {
-		t.Fatalf("%v, %+v", err, r)
+		t.Fatalf("error %v, report %+v, want a passed run", err, r)
 	}
 	published, used := firstTimes(t, filepath.Join(dir, "n0"), "tell"), firstTimes(t, filepath.Join(dir, "n1"), "use")
-	lastIncarnation := uint64(0) // the incarnation that first published last
+	lastIncarnation := uint64(0) // the incarnation whose first publication is the latest
 	for incarnation, at := range published {
 		if lastIncarnation == 0 || at > published[lastIncarnation] {
 			lastIncarnation = incarnation
@@ -54,12 +54,12 @@
 		t.Fatalf("no entry of the restarted process was used; by incarnation, first published %v, first used %v", published, used)
 	}
 	if delay := time.Duration(used[lastIncarnation]-published[lastIncarnation]) * time.Microsecond; delay > propagationBound {
-		t.Errorf("another agent first used an entry of the restarted process %v after its first publication", delay)
+		t.Errorf("another agent first used an entry of the restarted process %v after its first publication, want at most propagationBound", delay)
 	}
 }
 
-// firstTimes returns when the fleet trace in dir first has an event of the given kind about entries of n0, in microseconds,
-// by the incarnation of n0.
+// firstTimes returns, for each incarnation of n0, the time of the first event of the given kind about its entries in the fleet
+// trace in dir, in microseconds.
 func firstTimes(t *testing.T, dir, what string) map[uint64]int64 {
 	t.Helper()
 	f, err := os.Open(filepath.Join(dir, "fleet.trace"))
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak generates scenarios of the lab from seeds. Each has a deployment, and faults of the network, of processes, of
-// system calls and of the wall clock. Package faultinject must build the agents.
+// Package soak generates scenarios of the lab from seeds. Each scenario has a deployment, and faults of the network, of
+// processes, of system calls and of the wall clock. The agents must be built by package faultinject.
 package soak
 
 import (
@@ -18,12 +18,12 @@
 const (
 	runDuration   = 12 * time.Second
 	earliestFault = 2 * time.Second // the platform sends no signal in a process's first second
-	latestFault   = 9 * time.Second // the platform's earliest SIGKILL comes at most 3.7 s after a SIGTERM
+	latestFault   = 9 * time.Second // the platform sends SIGKILL at most 3.7 s after a SIGTERM
 	minFaults     = 4
 	maxFaults     = 7
 )
 
-// faultGenerators each generate one kind of fault. A change of their order changes the scenario of each seed.
+// faultGenerators are the generators of faults from which Draw picks. A change of their order changes the scenario of each seed.
 var faultGenerators = []func(r *rand.Rand) scenario.Fault{
 	func(r *rand.Rand) scenario.Fault {
 		return scenario.Fault{Kind: scenario.Terminate, Targets: someAgents(r), Restart: pick(r, "empty", "kept"), ExtraSignals: r.IntN(5), Duration: randomDuration(r, 0, 1500)}
@@ -98,7 +98,7 @@
 	return fmt.Sprintf("%s share=%.2f", kind, 0.1+0.3*r.Float64())
 }
 
-// Draw returns the scenario of a seed. The error is that of the scenario's Check.
+// Draw returns the scenario of a seed, and the error of the scenario's Check.
 func Draw(seed uint64) (*scenario.Scenario, error) {
 	r := rng.New(seed).Stream("soak")
 	s := scenario.Default()
@@ -113,7 +113,7 @@
 		f := pick(r, faultGenerators...)(r)
 		f.At = strictconfig.Duration(earliestFault + time.Duration(r.Int64N(int64(latestFault-earliestFault))))
 		s.Faults = append(s.Faults, f)
-		if f.Kind == scenario.SyscallFailure && f.Path != "" || f.Kind == scenario.Reload && r.IntN(2) == 0 { // the reload is repeated after 50 ms
+		if f.Kind == scenario.SyscallFailure && f.Path != "" || f.Kind == scenario.Reload && r.IntN(2) == 0 { // a reload follows after 50 ms
 			second := scenario.Fault{Kind: scenario.Reload, Targets: "agents", At: f.At + strictconfig.Duration(50*time.Millisecond)}
 			s.Faults = append(s.Faults, second)
 		}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -22,7 +22,7 @@
 	tablePath   = flag.String("soak.out", "", "file for a table of the runs")
 )
 
-// Agents keep every rule in the generated scenarios. -soak.from with the number of a failed seed runs its scenario again.
+// Agents keep every rule in the generated scenarios. -soak.from=N -soak.seeds=1 runs the scenario of seed N again.
 func TestSoak(t *testing.T) {
 	program, err := faultinject.Build(t.Context(), *root, "./cmd/agent", t.TempDir())
 	if err != nil {
@@ -82,7 +82,7 @@
 		if r.Rules.History != nil {
 			lab.WriteHistory(&history, r.Rules.History)
 		}
-		t.Errorf("%s: %s: %+v %s\n%s", Faults(s), r.Verdict, r.Rules.First, r.Crash, history.String())
+		t.Errorf("%s: verdict %s, want a passed run: %+v %s\n%s", Faults(s), r.Verdict, r.Rules.First, r.Crash, history.String())
 		logs, _ := filepath.Glob(filepath.Join(dir, "n*", "log"))
 		for _, name := range logs {
 			text, _ := os.ReadFile(name)
