--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -52,7 +52,7 @@
 	case s.Duration <= 0 || s.Duration.Duration() > MaxDuration:
 		return s.errorAt("for", "%v is not between 0 and %v", s.Duration.Duration(), MaxDuration)
 	case s.WarmUp < 0 || s.WarmUp >= s.Duration:
-		return s.errorAt("settle", "%v is not below the run's %v", s.WarmUp.Duration(), s.Duration.Duration())
+		return s.errorAt("settle", "%v is negative or not below the run's %v", s.WarmUp.Duration(), s.Duration.Duration())
 	}
 	return nil
 }
@@ -143,13 +143,13 @@
 		"lists.add_s":          s.Discovery.AddDelaySeconds,
 	} {
 		if !(r[0] >= 0 && r[1] >= r[0]) {
-			return s.errorAt(key, "%v is not a range of two numbers from 0, the lower one first", r)
+			return s.errorAt(key, "%v is not a range of two numbers of at least 0, the lower one first", r)
 		}
 	}
 	return nil
 }
 
-// faultKey is the key of a value of the i-th fault.
+// faultKey returns the key of a value of the i-th fault.
 func faultKey(i int, name string) string { return fmt.Sprintf("fault[%d].%s", i, name) }
 
 func (s *Scenario) checkFault(i int) error {
@@ -257,7 +257,7 @@
 		return nil
 	}
 	if !(fault.Size > 0 && fault.Size <= maxSize) {
-		return s.errorAt(key, "%v is out of range", fault.Size)
+		return s.errorAt(key, "%v is out of range: the size must be above 0, and at most 1, or 20 for a burst", fault.Size)
 	}
 	return nil
 }
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -4,10 +4,10 @@
 
 import "martenbeam/internal/strictconfig"
 
-// Fault is one entry of the schedule. Fields that its kind does not use are ignored.
+// Fault is one entry of the schedule. Fields that the kind of the fault does not use are ignored.
 type Fault struct {
 	At            strictconfig.Duration `toml:"at"`
-	Duration      strictconfig.Duration `toml:"for"` // 0: until the end of the run, or an instantaneous fault
+	Duration      strictconfig.Duration `toml:"for"` // 0: the fault lasts until the end of the run, or is instantaneous
 	Kind          string                `toml:"what"`
 	Targets       string                `toml:"who"` // a set of processes; see ParseSet
 	From          string                `toml:"from"`
@@ -33,7 +33,7 @@
 	ExtraSignals int                   `toml:"series"`  // number of further signals after a SIGTERM, alternately SIGHUP and SIGTERM
 	ClockStep    strictconfig.Duration `toml:"step"`    // in whole seconds; reverted after the duration
 	Call         string                `toml:"call"`    // the system call that fails, by its name in package faultinject
-	Errno        int                   `toml:"errno"`   // its error number
+	Errno        int                   `toml:"errno"`   // the error number of the failed call
 	Path         string                `toml:"path"`    // only files whose name contains this text; "": any file
 	Count        int                   `toml:"times"`   // number of failures; 0: for the whole duration
 }
@@ -42,7 +42,7 @@
 const (
 	Link            = "link"
 	Kill            = "kill"      // SIGKILL to agents or hubs, and a restart
-	Terminate       = "term"      // SIGTERM, and a restart once they have ended
+	Terminate       = "term"      // SIGTERM to agents or hubs, and a restart of each after its end
 	Pause           = "stop"      // SIGSTOP, then SIGCONT after the duration
 	ZoneLost        = "zone-lost" // the zone's backends stop responding, and return in slow start
 	ZoneCut         = "zone-cut"  // the zone is partitioned from the others
@@ -57,11 +57,11 @@
 	DiscoveryDown   = "list-away"   // discovery refuses connections
 	DiscoveryRewind = "list-rewind" // discovery restarts with an old version of the list
 	PowerLoss       = "power"       // all agents and backends of a zone end at the same time and restart together
-	Policy          = "policy"      // a residency policy is written to those targets that are its sources
-	Settings        = "settings"    // settings are written to those targeted hubs that are sources of settings
+	Policy          = "policy"      // the lab writes a residency policy to the targets that are sources of the policy
+	Settings        = "settings"    // the lab writes settings to the targeted hubs that are sources of settings
 	Reload          = "reload"      // discovery moves to another address: new configuration and SIGHUP
-	WallClock       = "wall"        // wall clocks are stepped; needs an agent built by package faultinject
-	SyscallFailure  = "fail"        // system calls fail; needs an agent built by package faultinject
+	WallClock       = "wall"        // wall clocks are stepped; requires agents built by package faultinject
+	SyscallFailure  = "fail"        // system calls fail; requires agents built by package faultinject
 	IdleClients     = "crowd"       // Size idle clients connect to each agent, and reconnect when it closes their connections
 
 	restartNever = "never" // a value of Fault.Restart
--- a/internal/lab/scenario/hubs.go
+++ b/internal/lab/scenario/hubs.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// DisableSharing removes the fleet and the faults that need it, so that each agent works alone.
+// DisableSharing removes the fleet and the faults that require a fleet, so that each agent works alone.
 func (s *Scenario) DisableSharing() {
 	s.Shared = Shared{}
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Kind == Policy || f.needsHubs() })
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -34,7 +34,7 @@
 	Zones    []string `toml:"zones"`
 	ZoneSize []int    `toml:"zone_size"` // number of backends in each zone; empty: an even spread
 	Regions  []string `toml:"regions"`   // the region of each zone; empty: each zone is a region
-	CellSize int      `toml:"pod"`       // number of backends in a cell; these drop duplicates across the whole cell
+	CellSize int      `toml:"pod"`       // number of backends in a cell, which drops duplicates for all of its backends
 }
 
 // Load describes the requests of the emulated clients.
@@ -44,7 +44,7 @@
 	Skew            float64 `toml:"skew"`       // coefficient of variation of the load of agents
 	Keys            int     `toml:"keys"`       // number of distinct keys
 	KeySkew         float64 `toml:"key_skew"`   // Zipf exponent of the popularity of keys
-	Retries         int     `toml:"retries"`    // by a client, after a rejection or if the agent is unreachable
+	Retries         int     `toml:"retries"`    // number of retries by a client, after a rejection or if the agent is unreachable
 	TimeoutShare    float64 `toml:"patience"`   // timeout of a request, as a share of the timeout of its class
 	CancelShare     float64 `toml:"impatient"`  // share of clients that disconnect within the latency objective
 	RetryAfterShare float64 `toml:"honour"`     // share of clients that honour Retry-After
@@ -74,7 +74,7 @@
 	SameZoneMs       Range                 `toml:"same_ms"`  // one-way latency within a zone
 	CrossZoneMs      Range                 `toml:"cross_ms"` // one-way latency between zones of a region
 	CrossRegionMs    Range                 `toml:"far_ms"`   // one-way latency between zones of two regions
-	PeerMs           Range                 `toml:"peer_ms"`
+	PeerMs           Range                 `toml:"peer_ms"`  // one-way latency between two agents, except at their fleet addresses
 	Jitter           float64               `toml:"jitter"`
 }
 
@@ -149,7 +149,8 @@
 // maxRepeatedDuration is longer than any repeated run is expected to last.
 const maxRepeatedDuration = 1000 * time.Hour
 
-// Repeat makes the schedule repeat for a time; 0 means maxRepeatedDuration, 1,000 hours.
+// Repeat starts the schedule again after each present Duration, and sets Duration to length; 0 means maxRepeatedDuration, 1,000
+// hours.
 func (s *Scenario) Repeat(length time.Duration) {
 	if length <= 0 {
 		length = maxRepeatedDuration
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -12,20 +12,20 @@
 	want := []string{"bad-fast", "burst", "calm", "herd", "join", "list-stale", "lossy", "neighbour", "one-way", "pause", "roll", "split", "zone-cut", "zone-loss"}
 	for _, name := range want {
 		if !slices.Contains(Names(), name) {
-			t.Errorf("%s is missing", name)
+			t.Errorf("the built-in scenario %s is missing", name)
 		}
 	}
 	for _, name := range Names() {
 		if s, err := Read(name); err != nil || s.About == "" || s.Name != name {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a valid scenario with this name and a description", name, err)
 		}
 	}
 	if _, err := Read("storm"); err == nil || !strings.Contains(err.Error(), "calm") {
-		t.Errorf("error for an unknown scenario: %v, want the known ones", err)
+		t.Errorf("error for an unknown scenario: %v, want the names of the known scenarios", err)
 	}
 }
 
-// Each invalid value gives an error of one line, which names its place.
+// Each invalid value gives an error of one line with the file and the key, and with the line of the key if the text has it.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"for = 3", `x.toml:1: for: `},
@@ -70,7 +70,7 @@
 	}
 	s.SetDuration(s.Duration.Duration() / 2)
 	if f := s.Faults[0]; f.At.Duration() != 5*time.Second || f.Duration.Duration() != 3*time.Second || s.Check() != nil {
-		t.Errorf("%+v", f)
+		t.Errorf("first fault %+v, want it at 5 s for 3 s in a valid scenario", f)
 	}
 }
 
@@ -88,7 +88,7 @@
 			}
 			s.SetHubs(n)
 			if err := s.Check(); err != nil || s.Shared.Hubs != n {
-				t.Errorf("%s with %d hubs: %v", name, n, err)
+				t.Errorf("%s with %d hubs: error %v, want a valid scenario with this number of hubs", name, n, err)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	want := []string{"agents zone=1 > agents zone=0,2", "hubs zone=1 > agents zone=0,2", "agents zone=1 > hubs zone=0,2", "hubs zone=1 > hubs zone=0,2"}
 	if !slices.Equal(links, want) {
-		t.Errorf("faults on links %q", links)
+		t.Errorf("faults on links %q, want one for each pair of agents and hubs", links)
 	}
 	singleAgents, err := Read("matrix-liar")
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 	singleAgents.SetHubs(3)
 	if n := len(singleAgents.Faults); n != 2 || singleAgents.Faults[1].From != "agents n=0,3" || singleAgents.Faults[1].To != "hubs" {
-		t.Errorf("faults for single agents: %+v", singleAgents.Faults)
+		t.Errorf("faults for single agents: %+v, want two, the second from agents n=0,3 to hubs", singleAgents.Faults)
 	}
 }
 
@@ -133,7 +133,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := parse("x.toml", text)
 		if err == nil && (s.Fleet.Agents < 1 || s.Duration <= 0) {
-			t.Errorf("parse accepted %+v", s)
+			t.Errorf("parse accepted %+v, want an error without agents or duration", s)
 		}
 	})
 }
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -50,7 +50,7 @@
 	return s, nil
 }
 
-// parseNumbers reads the list of numbers in a set. text is the complete set, for errors.
+// parseNumbers reads the list of numbers in a set. text is the complete set, which errors contain.
 func parseNumbers(text, list string) (numbers []int, err error) {
 	for _, word := range strings.Split(list, ",") {
 		n, err := strconv.Atoi(word)
