--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Open registers a request. The caller calls it before the client writes the first byte.
+// Open registers a request. The caller calls Open before the client writes the first byte.
 func (c *Checker) Open(now time.Duration, r *Request) {
 	c.forgetOld(now)
 	c.requests[r.ID] = r
--- a/internal/lab/check/endpoints.go
+++ b/internal/lab/check/endpoints.go
@@ -51,7 +51,7 @@
 func (c *Checker) graceEnd(agent int, notifiedAt time.Duration) time.Duration {
 	grace := c.rules.DrainGrace + c.rules.Slack
 	end := notifiedAt + grace
-	for _, s := range c.excuses[agent] { // ordered by their start
+	for _, s := range c.excuses[agent] { // ordered by from
 		if s.from <= end && s.to >= notifiedAt {
 			end = max(end, min(s.to, forever-grace)+grace)
 		}
--- a/internal/lab/check/tally.go
+++ b/internal/lab/check/tally.go
@@ -62,7 +62,7 @@
 // Span is a part of a run.
 type Span struct{ From, To time.Duration }
 
-// CountFirstAttempt counts the first attempt of a request. unreachable means that its backend could not be reached.
+// CountFirstAttempt counts the first attempt of a request. unreachable means that the agent cannot reach the backend.
 func (t *Tally) CountFirstAttempt(now time.Duration, unreachable bool) {
 	n := int(max(0, now) / countInterval)
 	for len(t.firstAttempts) <= n {
--- a/internal/lab/faultinject/faultinject_test.go
+++ b/internal/lab/faultinject/faultinject_test.go
@@ -26,7 +26,7 @@
 		failures []Failure
 		want     string
 	}{
-		{nil, "seed"},
+		{nil, "seed"}, // the empty configuration is rejected for its seed
 		{[]Failure{{Call: Open, Errno: syscall.ENOTDIR, Path: "config.json"}}, "not a directory"},
 		{[]Failure{{Call: Open, Errno: syscall.ENOTDIR, Path: "another.json"}}, "seed"},
 	} {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -17,7 +17,7 @@
 	State         State
 	StartedAt     time.Duration // negative: before the run, so that the slow start is over
 	OverloadedAt  time.Duration // when the backend crashed by overload
-	InformedShare float64       // share of the work that crashed the backend, from agents that had received its start
+	InformedShare float64       // share of the work that crashed the backend, from agents to which discovery had delivered the backend's start
 
 	failureShare    float64 // share of requests that fail at once because of a fault
 	stolenShare     float64 // share of the capacity that another program uses because of a fault
--- a/internal/lab/model/types.go
+++ b/internal/lab/model/types.go
@@ -18,7 +18,7 @@
 	SlowStartWindow  time.Duration // from the start until full capacity
 	OverloadMultiple float64       // the backend crashes if the work sent in slow start exceeds this multiple of the present capacity
 	OverloadWindow   time.Duration // span over which OverloadMultiple applies; 0: the backend never crashes
-	DegradeAt        float64       // requests per core, running or queued, above which the backend is overloaded; 0: it never degrades
+	DegradeAt        float64       // requests per core, running or queued, above which the backend is overloaded; 0: the backend never degrades
 	DegradeAfter     time.Duration // span of overload after which the backend degrades
 	DegradeFactor    float64       // divides the capacity of a degraded backend
 	RecoverAfter     time.Duration // mostly idle span after which a degraded backend recovers
@@ -29,7 +29,7 @@
 	KeySaving        float64       // share of the work saved for a cached key
 	KeyTTL           time.Duration // span for which a key stays cached after its last use
 	MaxKeys          int           // keys cached at once
-	DropsCancelled   bool          // a queued request is dropped when its agent cancels it
+	DropsCancelled   bool          // the backend drops a queued request when the agent cancels the request
 	ProbeWork        time.Duration // work of a health check
 	Weight           float64       // in the endpoint list
 }
@@ -81,7 +81,7 @@
 const (
 	Up State = iota
 	Draining
-	Removed    // its process has ended: connections are refused
-	Silent     // lost, or partitioned from all others: it sends no response
+	Removed    // the process has ended; new connections are refused
+	Silent     // the machine is lost, or partitioned from all others: the backend sends no response
 	Overloaded // crashed by too much work during slow start
 )
--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -119,7 +119,7 @@
 }
 
 // Unreachable reports whether a cut prevents TCP connections between two endpoints. A handshake needs both directions, so a
-// cut in either direction prevents it.
+// cut in either direction prevents the connection.
 func (n *Network) Unreachable(from, to Endpoint) bool {
 	return n.Fault(from, to, TCP).Cut || n.Fault(to, from, TCP).Cut
 }
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -25,7 +25,7 @@
 	Reset         bool                  `toml:"reset"`
 
 	Size         float64               `toml:"size"`    // factor of a burst, share of failures or of the capacity taken, or number of idle clients
-	OnTime       strictconfig.Duration `toml:"on"`      // length of each active and each idle phase of a noisy neighbour
+	OnTime       strictconfig.Duration `toml:"on"`      // mean length of the active and idle phases of a noisy neighbour; below 100 ms it counts as 100 ms
 	RestartDelay strictconfig.Duration `toml:"after"`   // delay before the restart
 	Restart      string                `toml:"restart"` // "empty", "kept", "never"
 	Steps        int                   `toml:"steps"`   // number of groups of targets, which are affected one after the other over the duration
@@ -47,7 +47,7 @@
 	ZoneLost        = "zone-lost" // the zone's backends stop responding, and return in slow start
 	ZoneCut         = "zone-cut"  // the zone is partitioned from the others
 	ZoneReceiveCut  = "zone-deaf" // only messages into the zone are lost
-	Replace         = "replace"   // backends drain and new ones replace them
+	Replace         = "replace"   // backends drain, and new backends replace them
 	Drain           = "drain"
 	FailingBackends = "bad"         // backends answer a share of requests with an error at once
 	SlowBackends    = "slow"        // another program takes the share Size of their capacity
@@ -62,7 +62,7 @@
 	Reload          = "reload"      // discovery moves to another address: new configuration and SIGHUP
 	WallClock       = "wall"        // wall clocks are stepped; requires agents built by package faultinject
 	SyscallFailure  = "fail"        // system calls fail; requires agents built by package faultinject
-	IdleClients     = "crowd"       // Size idle clients connect to each agent, and reconnect when it closes their connections
+	IdleClients     = "crowd"       // Size idle clients connect to each agent, and reconnect when the agent closes their connections
 
 	restartNever = "never" // a value of Fault.Restart
 )
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -113,7 +113,7 @@
 	Cores            float64 `toml:"cores"`
 	MemoryMB         int     `toml:"memory_mb"`
 	Sockets          int     `toml:"sockets"`
-	MaxLabLatenessMs float64 `toml:"late_ms"` // a run is inconclusive if the 99th percentile of the lab's lateness is above this
+	MaxLabLatenessMs float64 `toml:"late_ms"` // a run is inconclusive if the 99th percentile of the lab's lateness is above this number of milliseconds
 }
 
 // Default returns a scenario without faults. Read uses its values for the keys that a file leaves out.
@@ -134,7 +134,7 @@
 	}
 }
 
-// SetDuration sets the length of a run, and scales the faults and the warm-up with it.
+// SetDuration sets the length of a run, and scales the warm-up and the start and duration of each fault in proportion.
 func (s *Scenario) SetDuration(duration time.Duration) {
 	factor := float64(duration) / float64(s.Duration)
 	scale := func(d *strictconfig.Duration) { *d = strictconfig.Duration(float64(*d) * factor) }
--- a/internal/lab/soak/fleet_test.go
+++ b/internal/lab/soak/fleet_test.go
@@ -15,7 +15,7 @@
 )
 
 // An agent that restarts after its wall clock was set back still counts as the newer incarnation of its name. The other agents
-// must use its entries within propagationBound, and not only when the entries of the previous process have expired.
+// must use the entries of the new process within propagationBound, before the entries of the previous process expire.
 func TestRestartAfterTheClockWasSetBack(t *testing.T) {
 	const propagationBound = 1500 * time.Millisecond // an agent publishes each entry once a second
 	program, err := faultinject.Build(t.Context(), "../../..", "./cmd/martenbeam", t.TempDir())
