--- a/internal/lab/check/checker.go
+++ b/internal/lab/check/checker.go
@@ -2,8 +2,8 @@
 // backends and how requests were answered, and a Checker returns the violations. A Tally counts the service that clients got.
 //
 // The package has no clock: the caller passes the time, as a span since the start of the run. A Checker keeps requests until
-// Retention after their end, and for the complete run the endpoint lists, the excused spans and the answers ClosedNew. No type
-// of the package is safe for concurrent use.
+// Retention after their end, the endpoint states of the current agent processes, and for the complete run the excused spans
+// and the answers ClosedNew. No type of the package is safe for concurrent use.
 package check
 
 import (
@@ -21,7 +21,7 @@
 	Text    string        `json:"text"`
 }
 
-// Checker tracks each request from Open to Finish, and records the violations of the rules.
+// Checker tracks each request from Open until Retention after Finish, and records the violations of the rules.
 type Checker struct {
 	rules          Rules
 	requests       map[string]*Request
