--- a/internal/lab/faultinject/faultinject_test.go
+++ b/internal/lab/faultinject/faultinject_test.go
@@ -26,7 +26,7 @@
 		failures []Failure
 		want     string
 	}{
-		{nil, "seed"},
+		{nil, "seed"}, // the empty configuration is rejected for its seed
 		{[]Failure{{Call: Open, Errno: syscall.ENOTDIR, Path: "config.json"}}, "not a directory"},
 		{[]Failure{{Call: Open, Errno: syscall.ENOTDIR, Path: "another.json"}}, "seed"},
 	} {
@@ -38,7 +38,7 @@
 		log := &bytes.Buffer{}
 		cmd.Stderr = log
 		if err := cmd.Run(); err == nil || !strings.Contains(log.String(), plan.want) {
-			t.Errorf("plan %v: error %v, log %q", plan.failures, err, log)
+			t.Errorf("plan %v: error %v, log %q, want a failed start with the expected text in the log", plan.failures, err, log)
 		}
 	}
 }
--- a/internal/lab/model/types.go
+++ b/internal/lab/model/types.go
@@ -18,18 +18,18 @@
 	SlowStartWindow  time.Duration // from the start until full capacity
 	OverloadMultiple float64       // the backend crashes if the work sent in slow start exceeds this multiple of the present capacity
 	OverloadWindow   time.Duration // span over which OverloadMultiple applies; 0: the backend never crashes
-	DegradeAt        float64       // requests per core, running or queued, above which the backend is overloaded; 0: it never degrades
+	DegradeAt        float64       // requests per core, running or queued, above which the backend is overloaded; 0: the backend never degrades
 	DegradeAfter     time.Duration // span of overload after which the backend degrades
-	DegradeFactor    float64       // by which a degraded backend is slower
+	DegradeFactor    float64       // divides the capacity of a degraded backend
 	RecoverAfter     time.Duration // mostly idle span after which a degraded backend recovers
 	MaxDegraded      time.Duration // span after which a degraded backend recovers at any load
 	MaxConns         int           // limit on open connections; 0: none
 	Handshake        time.Duration // work of accepting a connection
 	ErrorRate        float64       // share of requests answered with an error
 	KeySaving        float64       // share of the work saved for a cached key
-	KeyTTL           time.Duration // span after its last use for which a key stays cached
+	KeyTTL           time.Duration // span for which a key stays cached after its last use
 	MaxKeys          int           // keys cached at once
-	DropsCancelled   bool          // a queued request is dropped when its agent cancels it
+	DropsCancelled   bool          // the backend drops a queued request when the agent cancels the request
 	ProbeWork        time.Duration // work of a health check
 	Weight           float64       // in the endpoint list
 }
@@ -55,7 +55,7 @@
 const (
 	Served   Result = iota
 	Failed          // answered with an error; the effect may have happened
-	Rejected        // before any work was done
+	Rejected        // rejected before any work was done
 	Dropped         // cancelled by its agent while it was queued
 	Lost            // the backend stopped first, and sends no response
 )
@@ -81,7 +81,7 @@
 const (
 	Up State = iota
 	Draining
-	Removed    // its process has ended: connections are refused
-	Silent     // lost, or partitioned from all others: it sends no response
+	Removed    // the process has ended; new connections are refused
+	Silent     // the machine is lost, or partitioned from all others: the backend sends no response
 	Overloaded // crashed by too much work during slow start
 )
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -4,10 +4,10 @@
 
 import "martenbeam/internal/strictconfig"
 
-// Fault is one entry of the schedule. Fields that its kind does not use are ignored.
+// Fault is one entry of the schedule. Fields that the kind of the fault does not use are ignored.
 type Fault struct {
 	At            strictconfig.Duration `toml:"at"`
-	Duration      strictconfig.Duration `toml:"for"` // 0: until the end of the run, or an instantaneous fault
+	Duration      strictconfig.Duration `toml:"for"` // 0: the fault lasts until the end of the run, or is instantaneous
 	Kind          string                `toml:"what"`
 	Targets       string                `toml:"who"` // a set of processes; see ParseSet
 	From          string                `toml:"from"`
@@ -25,7 +25,7 @@
 	Reset         bool                  `toml:"reset"`
 
 	Size         float64               `toml:"size"`    // factor of a burst, share of failures or of the capacity taken, or number of idle clients
-	OnTime       strictconfig.Duration `toml:"on"`      // length of each active and each idle phase of a noisy neighbour
+	OnTime       strictconfig.Duration `toml:"on"`      // mean length of the active and idle phases of a noisy neighbour; below 100 ms it counts as 100 ms
 	RestartDelay strictconfig.Duration `toml:"after"`   // delay before the restart
 	Restart      string                `toml:"restart"` // "empty", "kept", "never"
 	Steps        int                   `toml:"steps"`   // number of groups of targets, which are affected one after the other over the duration
@@ -33,7 +33,7 @@
 	ExtraSignals int                   `toml:"series"`  // number of further signals after a SIGTERM, alternately SIGHUP and SIGTERM
 	ClockStep    strictconfig.Duration `toml:"step"`    // in whole seconds; reverted after the duration
 	Call         string                `toml:"call"`    // the system call that fails, by its name in package faultinject
-	Errno        int                   `toml:"errno"`   // its error number
+	Errno        int                   `toml:"errno"`   // the error number of the failed call
 	Path         string                `toml:"path"`    // only files whose name contains this text; "": any file
 	Count        int                   `toml:"times"`   // number of failures; 0: for the whole duration
 }
@@ -42,12 +42,12 @@
 const (
 	Link            = "link"
 	Kill            = "kill"      // SIGKILL to agents or hubs, and a restart
-	Terminate       = "term"      // SIGTERM, and a restart once they have ended
+	Terminate       = "term"      // SIGTERM to agents or hubs, and a restart of each after its end
 	Pause           = "stop"      // SIGSTOP, then SIGCONT after the duration
 	ZoneLost        = "zone-lost" // the zone's backends stop responding, and return in slow start
 	ZoneCut         = "zone-cut"  // the zone is partitioned from the others
 	ZoneReceiveCut  = "zone-deaf" // only messages into the zone are lost
-	Replace         = "replace"   // backends drain and new ones replace them
+	Replace         = "replace"   // backends drain, and new backends replace them
 	Drain           = "drain"
 	FailingBackends = "bad"         // backends answer a share of requests with an error at once
 	SlowBackends    = "slow"        // another program takes the share Size of their capacity
@@ -57,12 +57,12 @@
 	DiscoveryDown   = "list-away"   // discovery refuses connections
 	DiscoveryRewind = "list-rewind" // discovery restarts with an old version of the list
 	PowerLoss       = "power"       // all agents and backends of a zone end at the same time and restart together
-	Policy          = "policy"      // a residency policy is written to those targets that are its sources
-	Settings        = "settings"    // settings are written to those targeted hubs that are sources of settings
+	Policy          = "policy"      // the lab writes a residency policy to the targets that are sources of the policy
+	Settings        = "settings"    // the lab writes settings to the targeted hubs that are sources of settings
 	Reload          = "reload"      // discovery moves to another address: new configuration and SIGHUP
-	WallClock       = "wall"        // wall clocks are stepped; needs an agent built by package faultinject
-	SyscallFailure  = "fail"        // system calls fail; needs an agent built by package faultinject
-	IdleClients     = "crowd"       // Size idle clients connect to each agent, and reconnect when it closes their connections
+	WallClock       = "wall"        // wall clocks are stepped; requires agents built by package faultinject
+	SyscallFailure  = "fail"        // system calls fail; requires agents built by package faultinject
+	IdleClients     = "crowd"       // Size idle clients connect to each agent, and reconnect when the agent closes their connections
 
 	restartNever = "never" // a value of Fault.Restart
 )
