--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -45,8 +45,8 @@
 
 // inUse reports whether any process listens in the block, such as an agent that an earlier lab did not stop.
 func (b *block) inUse() bool {
-	const listens, bound = "0A", "07" // socket states in the kernel's tables: a listening TCP socket, a bound UDP socket
-	for name, state := range map[string]string{"tcp": listens, "udp": bound} {
+	const listening, bound = "0A", "07" // socket states in the kernel's tables: a listening TCP socket, a bound UDP socket
+	for name, state := range map[string]string{"tcp": listening, "udp": bound} {
 		table, err := os.ReadFile("/proc/self/net/" + name)
 		if err != nil {
 			continue // the first bind reports an address in use
@@ -56,8 +56,8 @@
 			if len(fields) < 4 || fields[3] != state {
 				continue
 			}
-			at, ok := kernelAddress([]byte(fields[1]))
-			if ip := at.Addr().As4(); ok && ip[0] == 127 && int(ip[1]) == b.number && at.Port() != claimPort {
+			addr, ok := kernelAddress([]byte(fields[1]))
+			if ip := addr.Addr().As4(); ok && ip[0] == 127 && int(ip[1]) == b.number && addr.Port() != claimPort {
 				return true
 			}
 		}
--- a/internal/lab/agentconfig.go
+++ b/internal/lab/agentconfig.go
@@ -11,7 +11,7 @@
 
 // agentConfig returns the JSON configuration of an agent's process. The configuration is one literal, so that it can be read in
 // one place.
-func (l *Lab) agentConfig(a *agent, known endpointList) ([]byte, error) {
+func (l *Lab) agentConfig(a *agent, cached endpointList) ([]byte, error) {
 	s := l.Scenario
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
 	var profiles, shares []map[string]any
@@ -39,16 +39,16 @@
 	if s.Discovery.Polled {
 		mode = "subscribe"
 	}
-	from := "" // a backend with one address for all agents identifies an agent by its source address
+	dialFrom := "" // a backend with one address for all agents identifies an agent by its source address
 	if s.Shared.RelayedLists {
-		from = l.block.agentAddr(a.number)
+		dialFrom = l.block.agentAddr(a.number)
 	}
 	fleet, residency := l.fleetConfig(a)
 	return json.MarshalIndent(map[string]any{
 		"fleet": fleet, "residency": residency,
 		"name": a.name, "listen": a.listenAddr, "discovery": l.discovery.addr(a.number), "seed": fmt.Sprintf("%016x", l.rng.Hash(fmt.Sprintf("seed/%d/%d", a.number, a.starts))),
 		"limits":    map[string]any{"cores": s.Limits.Cores, "memory_mb": s.Limits.MemoryMB, "sockets": s.Limits.Sockets},
-		"dial_from": from, "peer_listen": a.peerAddr, "peers": peers, "known": known,
+		"dial_from": dialFrom, "peer_listen": a.peerAddr, "peers": peers, "known": cached,
 		"settings": map[string]any{
 			"Balancers": len(l.agents), "Me": a.number, "Zone": a.number % len(s.Fleet.Zones), "Dcs": s.Fleet.Zones, "Regions": regions, "Kinds": names,
 			"Clients": map[string]any{"MarksRetry": true}, "CountedBy": "request", "FamilyInfo": map[string]any{"WarmKeys": true},
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -100,8 +100,8 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for len(h) > 0 {
-		d := h[0]
-		if wait := d.at - l.now(); wait > 0 {
+		next := h[0]
+		if wait := next.at - l.now(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -110,13 +110,13 @@
 			}
 			continue
 		}
-		p := l.newRequest(d.agent, d.at)
+		req := l.newRequest(next.agent, next.at)
 		l.mu.Lock()
-		l.recordLateness(l.now() - d.at)
-		d.agent.openRequests++
+		l.recordLateness(l.now() - next.at)
+		next.agent.openRequests++
 		l.mu.Unlock()
-		l.running.Go(func() { l.runRequest(p) })
-		if h[0].at = l.nextArrival(d.agent, d.at); h[0].at >= l.Scenario.Duration.Duration() {
+		l.running.Go(func() { l.runRequest(req) })
+		if h[0].at = l.nextArrival(next.agent, next.at); h[0].at >= l.Scenario.Duration.Duration() {
 			heap.Pop(&h)
 		} else {
 			heap.Fix(&h, 0)
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -123,11 +123,11 @@
 
 // isDuplicate reports whether the backends of a cell have seen a request's idempotency key within the deduplication window.
 // If they have not, isDuplicate records the key for the length of the window. Lab.mu is held.
-func (l *Lab) isDuplicate(now time.Duration, p *clientRequest, h *host) bool {
-	if p.idempotencyKey == "" {
+func (l *Lab) isDuplicate(now time.Duration, req *clientRequest, h *host) bool {
+	if req.idempotencyKey == "" {
 		return false
 	}
-	key, window := cellKey{h.machine.Cell, p.idempotencyKey}, l.classes[p.class].dedupWindow
+	key, window := cellKey{h.machine.Cell, req.idempotencyKey}, l.classes[req.class].dedupWindow
 	if l.servedKeys[key] {
 		return true
 	}
@@ -146,25 +146,25 @@
 
 // completeJobs answers the attempts that a backend has completed. Lab.mu is held.
 func (l *Lab) completeJobs(h *host, done []model.Completion) {
-	for _, d := range done {
-		a := l.attempts[d.Attempt]
+	for _, completion := range done {
+		a := l.attempts[completion.Attempt]
 		if a == nil {
 			continue // the work of a health check, or an attempt that already has a response
 		}
-		what := d.Result.String()
-		if d.QueuedFor > 0 {
-			what += fmt.Sprintf(" after %v in the waiting room", d.QueuedFor.Round(100*time.Microsecond))
+		what := completion.Result.String()
+		if completion.QueuedFor > 0 {
+			what += fmt.Sprintf(" after %v in the waiting room", completion.QueuedFor.Round(100*time.Microsecond))
 		}
-		switch d.Result {
+		switch completion.Result {
 		case model.Lost, model.Dropped: // the backend sends no response
-			l.check.Record(d.At, a.id, h.machine.ID, what)
-			delete(l.attempts, d.Attempt)
+			l.check.Record(completion.At, a.id, h.machine.ID, what)
+			delete(l.attempts, completion.Attempt)
 		case model.Rejected:
-			l.reply(d.At, a, response{http.StatusServiceUnavailable, true, "full"}, what)
+			l.reply(completion.At, a, response{http.StatusServiceUnavailable, true, "full"}, what)
 		case model.Failed:
-			l.reply(d.At, a, response{http.StatusInternalServerError, false, "failed"}, what)
+			l.reply(completion.At, a, response{http.StatusInternalServerError, false, "failed"}, what)
 		case model.Served:
-			l.reply(d.At, a, response{http.StatusOK, false, servedBody(a.id, h.machine.ID)}, what)
+			l.reply(completion.At, a, response{http.StatusOK, false, servedBody(a.id, h.machine.ID)}, what)
 		}
 	}
 	if h.machine.State == model.Overloaded && !h.ended {
--- a/internal/lab/backendfaults.go
+++ b/internal/lab/backendfaults.go
@@ -109,17 +109,17 @@
 	}
 	for _, h := range l.pickHosts(i, f.Targets) {
 		r := l.rng.Stream("neighbour/" + h.machine.ID)
-		on := false
+		active := false
 		var toggle func(now time.Duration)
 		toggle = func(now time.Duration) {
-			if on = !on && now < end; on {
+			if active = !active && now < end; active {
 				l.completeJobs(h, h.machine.SetFault(now, 0, f.Size))
 			} else {
 				l.completeJobs(h, h.machine.SetFault(now, 0, 0))
 			}
 			if now < end {
-				span := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
-				l.scheduleAt(min(end, now+span), toggle)
+				delay := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
+				l.scheduleAt(min(end, now+delay), toggle)
 			}
 		}
 		l.scheduleAt(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), toggle)
--- a/internal/lab/clientconn.go
+++ b/internal/lab/clientconn.go
@@ -20,8 +20,8 @@
 // clientConn is a connection of a client to its agent.
 type clientConn struct {
 	net.Conn
-	read *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	used   bool
 }
 
 var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
@@ -46,10 +46,10 @@
 	l.check.Accept(acceptedAt, id)
 	l.mu.Unlock()
 	c.used = true
-	if _, err := c.read.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return readErrorAnswer(err, cancels, check.ClosedNew), 0, false
 	}
-	resp, err := http.ReadResponse(c.read, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return readErrorAnswer(err, cancels, check.Closed), 0, false
 	}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: c, read: bufio.NewReader(c)}, nil
+	return &clientConn{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
 // putIdle keeps a connection for reuse.
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -15,11 +15,11 @@
 // Compare reports a difference only if the seeds agree on it, and ignores pairs with an inconclusive run.
 func TestCompareReportsDifferences(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		a, b    []float64
-		void    int
-		verdict string
-		n       int
+		name         string
+		a, b         []float64
+		inconclusive int
+		verdict      string
+		n            int
 	}{
 		{"better at every seed", []float64{0.8, 0.7, 0.9}, []float64{0.85, 0.76, 0.94}, -1, "better", 3},
 		{"worse at every seed", []float64{0.8, 0.7, 0.9}, []float64{0.75, 0.66, 0.84}, -1, "worse", 3},
@@ -30,7 +30,7 @@
 		var pairs []Pair
 		b := reports(c.b...)
 		for i, a := range reports(c.a...) {
-			if i == c.void {
+			if i == c.inconclusive {
 				b[i].Verdict = Inconclusive
 			}
 			pairs = append(pairs, Pair{A: a, B: b[i]})
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -54,8 +54,8 @@
 type brokenAgent struct {
 	mode      string
 	mu        sync.Mutex
-	list      map[string]endpoint
-	n         int
+	backends  map[string]endpoint
+	picks     int
 	restarted bool // the agent was restarted with the files of its previous run
 }
 
@@ -77,11 +77,11 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		panic(err)
 	}
-	a := &brokenAgent{mode: mode, list: map[string]endpoint{}}
-	before := filepath.Join(os.Getenv("TMPDIR"), "before")
-	_, err = os.Stat(before)
+	a := &brokenAgent{mode: mode, backends: map[string]endpoint{}}
+	marker := filepath.Join(os.Getenv("TMPDIR"), "before")
+	_, err = os.Stat(marker)
 	a.restarted = err == nil
-	_ = os.WriteFile(before, nil, 0o600) // only its existence matters
+	_ = os.WriteFile(marker, nil, 0o600) // only its existence matters
 	if config.Fleet.Trace != "" {
 		go a.writeTrace(config.Fleet.Trace)
 	}
@@ -108,10 +108,10 @@
 	defer a.mu.Unlock()
 	for _, s := range m.Servers {
 		if s.State == "ready" || a.mode != "ignores-lists" && s.State == "draining" {
-			a.list[s.ID] = s
+			a.backends[s.ID] = s
 		}
 		if s.State != "ready" && a.mode != "ignores-lists" {
-			delete(a.list, s.ID)
+			delete(a.backends, s.ID)
 		}
 	}
 }
@@ -152,10 +152,10 @@
 
 // mayUseZone reports whether the agent may use a zone: the zone that the tests' policy permits, or another one if the mode
 // violates the policy.
-func (a *brokenAgent) mayUseZone(zone string, repeat bool) bool {
+func (a *brokenAgent) mayUseZone(zone string, retry bool) bool {
 	initiallyPermitted := zone == "riga-ziepniekkalns" || zone == "riga-purvciems"
 	switch {
-	case a.mode == "leaks", a.mode == "leaks-on-repeat" && repeat, a.mode == "leaks-after-restart" && a.restarted:
+	case a.mode == "leaks", a.mode == "leaks-on-repeat" && retry, a.mode == "leaks-after-restart" && a.restarted:
 		return !initiallyPermitted
 	case a.mode == "leaks-after-change": // the agent never receives the second policy
 		return initiallyPermitted
@@ -164,9 +164,9 @@
 }
 
 // pickPermitted returns a backend in a zone for which mayUseZone reports true.
-func (a *brokenAgent) pickPermitted(repeat bool) endpoint {
+func (a *brokenAgent) pickPermitted(retry bool) endpoint {
 	for {
-		if s, _ := a.pick(); a.mayUseZone(s.Zone, repeat) {
+		if s, _ := a.pick(); a.mayUseZone(s.Zone, retry) {
 			return s
 		}
 	}
@@ -189,9 +189,9 @@
 func (a *brokenAgent) pick() (best endpoint, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.n++
-	i := a.n
-	for _, s := range a.list { // the random order of maps makes the choice
+	a.picks++
+	i := a.picks
+	for _, s := range a.backends { // the random order of maps makes the choice
 		if best.ID == "" || a.mode == "rushes-the-newest" && s.Started > best.Started {
 			best = s
 		}
@@ -199,7 +199,7 @@
 			break
 		}
 	}
-	return best, a.n
+	return best, a.picks
 }
 
 func (a *brokenAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -66,14 +66,14 @@
 
 // listen opens the link of a process. The process listens on listenIP, and others reach it at linkIP.
 func (f *fleetLinks) listen(p netfault.Endpoint, name, listenIP, linkIP string) error {
-	own, ip := netip.MustParseAddr(listenIP), net.ParseIP(linkIP)
+	processIP, ip := netip.MustParseAddr(listenIP), net.ParseIP(linkIP)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
 	_ = u.SetReadBuffer(1 << 20) // the system may allow less
-	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
-	f.endpoints, f.byProcessAddr[own] = append(f.endpoints, e), e
+	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(processIP, fleetPort), udp: u}
+	f.endpoints, f.byProcessAddr[processIP] = append(f.endpoints, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
 }
@@ -130,8 +130,8 @@
 		f.countBytes(from, to, size)
 		l.mu.Lock()
 		now := l.now()
-		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
-			l.scheduleAt(now+d, func(time.Duration) {
+		for _, delay := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
+			l.scheduleAt(now+delay, func(time.Duration) {
 				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // lost if the receiver has ended
 				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(receivedAt))
 			})
@@ -220,20 +220,20 @@
 			return
 		}
 	}
-	d, err := net.DialTimeout("tcp4", to.processAddr.String(), time.Second)
+	out, err := net.DialTimeout("tcp4", to.processAddr.String(), time.Second)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			reset(c)
 		}
 		return
 	}
-	f.track(d, true)
-	defer f.track(d, false)
-	defer d.Close()
+	f.track(out, true)
+	defer f.track(out, false)
+	defer out.Close()
 	var both sync.WaitGroup
 	var ended atomic.Int32 // directions that have ended
-	both.Go(func() { f.copy(d, c, from, to, &ended) })
-	both.Go(func() { f.copy(c, d, to, from, &ended) })
+	both.Go(func() { f.copy(out, c, from, to, &ended) })
+	both.Go(func() { f.copy(c, out, to, from, &ended) })
 	both.Wait()
 }
 
--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -58,24 +58,24 @@
 		g.mu.Lock()
 		if err == nil {
 			// An Accept that was in progress when the gate became unreachable may return the filler: fill the queue again.
-			ours := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
-			if ours {
+			isFiller := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
+			if isFiller {
 				c.Close()
 				g.fillBacklog()
 			}
 			g.mu.Unlock()
-			if ours {
+			if isFiller {
 				continue
 			}
 			return g.wrap(c), nil
 		}
-		opened, closed := g.reachable, g.closed
+		reachable, closed := g.reachable, g.closed
 		g.mu.Unlock()
 		if closed || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if opened != nil {
-			<-opened
+		if reachable != nil {
+			<-reachable
 		}
 	}
 }
--- a/internal/lab/hosts.go
+++ b/internal/lab/hosts.go
@@ -46,15 +46,15 @@
 	if r.Float64() >= machineKinds[0].share {
 		kind = 1
 	}
-	neighbours := 0
+	inZone := 0
 	for _, h := range l.hosts {
 		if h.machine.Zone == zone && started < 0 {
-			neighbours++
+			inZone++
 		}
 	}
 	speed := draw(machineKinds[kind].speed)
 	spec := model.Spec{ID: fmt.Sprintf("s-%08x", uint32(l.rng.Hash("id/"+strconv.Itoa(n)))), Zone: zone,
-		Cell: zone*1000 + neighbours/l.Scenario.Fleet.CellSize, Kind: kind, Cores: cores, Speed: speed,
+		Cell: zone*1000 + inZone/l.Scenario.Fleet.CellSize, Kind: kind, Cores: cores, Speed: speed,
 		Slots: int(math.Round(cores * draw(ranges.SlotsPerCore))), QueueCapacity: int(cores * draw(ranges.QueuePerCore)), ThrashLoss: draw(ranges.ThrashLoss),
 		ThrashAt: draw(ranges.ThrashAt), InitialCapacity: draw(ranges.InitialCapacity), SlowStartWindow: seconds(draw(ranges.SlowStartSeconds)), OverloadMultiple: ranges.OverloadMultiple,
 		OverloadWindow: ranges.OverloadWindow.Duration(), ErrorRate: draw(ranges.ErrorRate), KeySaving: draw(ranges.KeySaving), KeyTTL: seconds(draw(ranges.KeyTTLSeconds)),
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -50,8 +50,8 @@
 			at := time.Duration(0)
 			for range 50 {
 				at = l.nextArrival(a, at)
-				p := l.newRequest(a, at)
-				got[a.number] = append(got[a.number], fmt.Sprint(p.firstID, p.class, p.tenant, p.sid, p.work, p.idempotencyKey, string(p.body)))
+				req := l.newRequest(a, at)
+				got[a.number] = append(got[a.number], fmt.Sprint(req.firstID, req.class, req.tenant, req.sid, req.work, req.idempotencyKey, string(req.body)))
 			}
 		}
 		return got
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -33,8 +33,8 @@
 				break
 			}
 		}
-		disc := endpointOf(netfault.Discovery, a.number)
-		if l.network.Unreachable(agentEnd, disc) {
+		discovery := endpointOf(netfault.Discovery, a.number)
+		if l.network.Unreachable(agentEnd, discovery) {
 			l.discovery.disruptedUntil = end
 		}
 	}
@@ -56,7 +56,7 @@
 
 // applyLinkFault applies a fault to the links between two sets of processes. Lab.mu is held.
 func (l *Lab) applyLinkFault(i int, f *scenario.Fault, now time.Duration) {
-	in := func(text string) func(netfault.Endpoint) bool {
+	inSet := func(text string) func(netfault.Endpoint) bool {
 		set, _ := scenario.ParseSet(text)
 		role, n := set.Role(), len(l.agents)
 		switch role {
@@ -76,7 +76,7 @@
 		}
 	}
 	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
-	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
+	r := netfault.Rule{From: inSet(f.From), To: inSet(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
 		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), LossRate: f.LossRate, DuplicateRate: f.DuplicateRate, ReorderRate: f.ReorderRate}}
 	rules := []netfault.Rule{r}
 	if f.Bidirectional {
@@ -131,10 +131,10 @@
 		return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p))
 	}
 	outside := func(p netfault.Endpoint) bool { return p.Role != netfault.Client && !inside(p) }
-	in := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
-	rules := []netfault.Rule{in}
+	incoming := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
+	rules := []netfault.Rule{incoming}
 	if f.Kind == scenario.ZoneCut {
-		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
+		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: incoming.Protocols, Fault: incoming.Fault})
 	}
 	l.addNetworkRules(f, now, rules...)
 }
--- a/internal/lab/pendingconnections.go
+++ b/internal/lab/pendingconnections.go
@@ -45,7 +45,7 @@
 	l.running.Go(func() {
 		tick := time.NewTicker(pendingConnectionInterval)
 		defer tick.Stop()
-		var before map[pendingConnection]bool
+		var previous map[pendingConnection]bool
 		for {
 			select {
 			case <-tick.C:
@@ -59,7 +59,7 @@
 				l.fail(err)
 			}
 			now := l.now()
-			before = l.countPendingConnections(now, list, before)
+			previous = l.countPendingConnections(now, list, previous)
 			if l.watching = now < l.watchUntil && err == nil; !l.watching {
 				l.mu.Unlock()
 				return
@@ -126,15 +126,15 @@
 	}
 	type group struct{ agent, zone int }
 	open, added, current := map[group]int{}, map[group]int{}, map[pendingConnection]bool{}
-	for _, o := range list {
-		backend, ok := l.backendAddrs[o.to]
+	for _, conn := range list {
+		backend, ok := l.backendAddrs[conn.to]
 		if !ok || !l.unreachable(backend.agent, backend.host) {
 			continue
 		}
 		g := group{backend.agent, backend.host.machine.Zone}
-		current[o] = true
+		current[conn] = true
 		open[g]++
-		if !previous[o] {
+		if !previous[conn] {
 			added[g]++
 		}
 	}
@@ -172,13 +172,13 @@
 
 // usedCapacity returns the share of the current capacity of all available backends that is in use. Lab.mu is held.
 func (l *Lab) usedCapacity(now time.Duration) float64 {
-	work, all := 0.0, 0.0
+	used, total := 0.0, 0.0
 	for _, h := range l.hosts {
 		if h.machine.State == model.Up && !h.ended {
 			p := h.machine.PresentCapacity(now)
-			all += p
-			work += p * h.machine.Load().Util
+			total += p
+			used += p * h.machine.Load().Util
 		}
 	}
-	return share(work, all)
+	return share(used, total)
 }
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -128,8 +128,8 @@
 // awaitOK waits until a GET of url returns status 200, for at most startTimeout.
 func awaitOK(ctx context.Context, ended <-chan struct{}, url string) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	limit := time.Now().Add(startTimeout)
-	for time.Now().Before(limit) {
+	deadline := time.Now().Add(startTimeout)
+	for time.Now().Before(deadline) {
 		resp, err := client.Get(url)
 		if err == nil {
 			resp.Body.Close()
--- a/internal/lab/reachability.go
+++ b/internal/lab/reachability.go
@@ -69,9 +69,9 @@
 }
 
 // agentReaches reports whether an agent is up and can reach at least one of some hubs.
-func (r *reachable) agentReaches(agent int, some []bool) bool {
-	for h, has := range some {
-		if has && r.agents[agent] && r.agentToHub[agent*len(some)+h] {
+func (r *reachable) agentReaches(agent int, hubs []bool) bool {
+	for h, has := range hubs {
+		if has && r.agents[agent] && r.agentToHub[agent*len(hubs)+h] {
 			return true
 		}
 	}
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -46,19 +46,19 @@
 	if to <= from {
 		return nil
 	}
-	served := func(a, b int) float64 {
+	servedShare := func(a, b int) float64 {
 		weight, inObjective := 0.0, 0.0
 		for i := a; i < b && i < len(l.tally.Windows); i++ {
 			weight, inObjective = weight+l.tally.Windows[i].Weight, inObjective+l.tally.Windows[i].WeightInObjective
 		}
 		return share(inObjective, weight)
 	}
-	before, recovery := served(from, to), -1.0
+	before, recovery := servedShare(from, to), -1.0
 	degraded := false
 	for i := to; i+3 <= len(l.tally.Windows); i++ {
-		if served(i, i+1) < 0.95*before {
+		if servedShare(i, i+1) < 0.95*before {
 			degraded = true
-		} else if degraded && served(i+1, i+2) >= 0.95*before && served(i+2, i+3) >= 0.95*before {
+		} else if degraded && servedShare(i+1, i+2) >= 0.95*before && servedShare(i+2, i+3) >= 0.95*before {
 			after := float64(i) - first.Seconds()
 			return &after
 		}
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -53,8 +53,8 @@
 		l.mu.Lock()
 		now := l.now()
 		l.datagrams++
-		for _, d := range l.network.Arrivals(endpointOf(netfault.Agent, from.number), endpointOf(netfault.Agent, to.number), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.number, to.number, n)) {
-			l.scheduleAt(now+d, func(time.Duration) {
+		for _, delay := range l.network.Arrivals(endpointOf(netfault.Agent, from.number), endpointOf(netfault.Agent, to.number), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.number, to.number, n)) {
+			l.scheduleAt(now+delay, func(time.Duration) {
 				_, _ = from.relay.WriteToUDP(data, target) // lost if the receiver has ended
 			})
 		}
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -54,14 +54,14 @@
 	if len(hubs) == 0 {
 		return errors.New("settings are published to hubs, but none of these hubs is a source")
 	}
-	g := publishedVersion{publishedAt: now, version: head.Version}
+	published := publishedVersion{publishedAt: now, version: head.Version}
 	for _, h := range hubs {
 		if err := replaceFile(h.settingsFile(), text); err != nil {
 			return err
 		}
-		g.hubs = append(g.hubs, h.number)
+		published.hubs = append(published.hubs, h.number)
 	}
-	l.publishedSettings = append(l.publishedSettings, g)
+	l.publishedSettings = append(l.publishedSettings, published)
 	return nil
 }
 
@@ -98,8 +98,8 @@
 		}
 		at, err := time.Parse(time.RFC3339, strings.TrimPrefix(words[0], "time="))
 		for _, w := range words[3:] {
-			text, is := strings.CutPrefix(w, "version=")
-			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // a kill may have truncated the line
+			text, found := strings.CutPrefix(w, "version=")
+			if version, versionErr := strconv.ParseInt(text, 10, 64); found && err == nil && versionErr == nil { // a kill may have truncated the line
 				list = append(list, appliedVersion{at.Sub(l.wallTime(0)), version})
 			}
 		}
@@ -180,16 +180,16 @@
 	}
 	end := l.now()
 	bound := l.Scenario.Shared.SettingsBound.Duration()
-	for i, g := range l.publishedSettings {
+	for i, published := range l.publishedSettings {
 		for a, list := range agents {
-			appliedAt := firstApplied(list, g.version)
+			appliedAt := firstApplied(list, published.version)
 			if appliedAt >= 0 {
-				r.SpreadTime = max(r.SpreadTime, (appliedAt - g.publishedAt).Seconds())
+				r.SpreadTime = max(r.SpreadTime, (appliedAt - published.publishedAt).Seconds())
 			}
-			unserved, reached := l.maxUnservedTime(&g, a, appliedAt, end, hubs)
+			unserved, reached := l.maxUnservedTime(&published, a, appliedAt, end, hubs)
 			if r.UnservedTime = max(r.UnservedTime, unserved.Seconds()); unserved > bound+ageSlack {
 				r.PastBound++
-				recordFirst("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, unserved, bound)
+				recordFirst("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, published.version, published.publishedAt, unserved, bound)
 			}
 			if reached && appliedAt < 0 && i == len(l.publishedSettings)-1 {
 				r.Lagging++
@@ -242,20 +242,20 @@
 		has[h] = true
 	}
 	changes := l.availabilityChanges(published, hubs)
-	reachedSince, now := time.Duration(-1), 0
+	reachedSince, current := time.Duration(-1), 0
 	for i, change := range changes {
 		if change.hub >= 0 {
 			has[change.hub] = true
 		}
-		for now+1 < len(l.reachability) && l.reachability[now+1].at <= change.at {
-			now++
+		for current+1 < len(l.reachability) && l.reachability[current+1].at <= change.at {
+			current++
 		}
 		inRange := change.at >= published.publishedAt && change.at < end
 		lastOfItsTime := i+1 == len(changes) || changes[i+1].at != change.at
 		if !inRange || !lastOfItsTime || len(l.reachability) == 0 {
 			continue
 		}
-		state := &l.reachability[now]
+		state := &l.reachability[current]
 		if reached = state.agentReaches(agent, state.hubsReachableFrom(has)); !reached {
 			reachedSince = -1
 			continue
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -44,8 +44,8 @@
 // Each checker of shared state finds the violation of a fake that violates its rule, and reports nothing about correct fakes.
 func TestCheckersOfSharedState(t *testing.T) {
 	restart := "[[fault]]\nat = \"800ms\"\nwhat = \"kill\"\nwho = \"agents n=1\"\nrestart = \"kept\"\n"
-	cutOff := "[[fault]]\nat = \"300ms\"\nwhat = \"link\"\nfrom = \"hubs\"\nto = \"agents n=1\"\ncut = true\n"
-	cutShort := "[[fault]]\nat = \"300ms\"\nfor = \"300ms\"\nwhat = \"link\"\nfrom = \"hubs\"\nto = \"agents\"\ncut = true\n"
+	agentPartitioned := "[[fault]]\nat = \"300ms\"\nwhat = \"link\"\nfrom = \"hubs\"\nto = \"agents n=1\"\ncut = true\n"
+	shortPartition := "[[fault]]\nat = \"300ms\"\nfor = \"300ms\"\nwhat = \"link\"\nfrom = \"hubs\"\nto = \"agents\"\ncut = true\n"
 	sourceKilled := "[[fault]]\nat = \"400ms\"\nwhat = \"kill\"\nwho = \"hubs n=0\"\nafter = \"300ms\"\nrestart = \"kept\"\n"
 	for _, c := range []struct{ mode, text, verdict, rule string }{
 		{"resides", tighterPolicy(smallScenario) + restart, Passed, ""},
@@ -58,11 +58,11 @@
 		{"takes-two-parts", smallScenario + sharedScenario, Violated, ""},
 		{"takes-two-parts", smallScenario + hubScenario, Violated, ""},
 		{"settles", smallScenario + hubScenario, Passed, ""},
-		{"settles", smallScenario + hubScenario + cutOff, Passed, ""}, // an agent that no hub can reach is not late
+		{"settles", smallScenario + hubScenario + agentPartitioned, Passed, ""}, // an agent that no hub can reach is not late
 		{"settles", smallScenario + hubScenario + restart, Passed, ""},
 		{"settles", smallScenario + hubScenario + sourceKilled, Passed, ""},
 		{"never-settles", smallScenario + hubScenario, Violated, ""},
-		{"never-settles", smallScenario + hubScenario + cutShort, Violated, ""},
+		{"never-settles", smallScenario + hubScenario + shortPartition, Violated, ""},
 		{"agent-goes-back", smallScenario + hubScenario, Violated, ""},
 		{"hub-goes-back", smallScenario + hubScenario, Violated, ""},
 		{"forgets-settings", smallScenario + hubScenario + restart, Violated, ""},
@@ -76,20 +76,20 @@
 			if c.rule != "" && r.Rules.ByRule[c.rule] == 0 {
 				t.Errorf("violations by rule: %v, want one of %s", r.Rules.ByRule, c.rule)
 			}
-			if broken := c.mode == "uses-old"; broken != (r.Shared.PastBound > 0) {
+			if want := c.mode == "uses-old"; want != (r.Shared.PastBound > 0) {
 				t.Errorf("%d uses of entries past their age bound, want some only in mode uses-old", r.Shared.PastBound)
 			}
-			if broken := c.mode == "takes-two-parts"; broken != (r.Shared.MaxQuotaSum > maxQuotaSum) {
+			if want := c.mode == "takes-two-parts"; want != (r.Shared.MaxQuotaSum > maxQuotaSum) {
 				t.Errorf("quotas sum up to %v of the limit, want more than the bound only in mode takes-two-parts", r.Shared.MaxQuotaSum)
 			}
 			s := r.Shared.Settings
 			if s == nil {
 				return
 			}
-			if broken := strings.HasSuffix(c.mode, "-back") || c.mode == "forgets-settings"; broken != (s.Regressions > 0) {
+			if want := strings.HasSuffix(c.mode, "-back") || c.mode == "forgets-settings"; want != (s.Regressions > 0) {
 				t.Errorf("settings %+v, want regressions only in modes that revert settings", s)
 			}
-			if broken := c.mode == "never-settles"; broken != (s.PastBound > 0) || c.mode == "settles" && s.Lagging > 0 {
+			if want := c.mode == "never-settles"; want != (s.PastBound > 0) || c.mode == "settles" && s.Lagging > 0 {
 				t.Errorf("settings %+v, want some past the bound only in mode never-settles, and no lagging agent in mode settles", s)
 			}
 		})
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -240,13 +240,13 @@
 		quotas = append(quotas, quotaAt{l.traceTime(d.at), d.agent, 0})
 	}
 	slices.SortStableFunc(quotas, func(a, b quotaAt) int { return int(a.at - b.at) })
-	now, sum := map[int]float64{}, 0.0
-	for _, p := range quotas {
-		if p.at >= begin {
+	current, sum := map[int]float64{}, 0.0
+	for _, change := range quotas {
+		if change.at >= begin {
 			maxSum = max(maxSum, sum) // the sum before this change
 		}
-		sum += p.quota - now[p.agent]
-		now[p.agent] = p.quota
+		sum += change.quota - current[change.agent]
+		current[change.agent] = change.quota
 	}
 	return max(maxSum, sum)
 }
--- a/internal/lab/verdict_test.go
+++ b/internal/lab/verdict_test.go
@@ -17,11 +17,11 @@
 func TestCheckersFindBrokenAgents(t *testing.T) {
 	const drains = "\n[[fault]]\nat = \"300ms\"\nwhat = \"drain\"\nwho = \"backends share=0.5\"\n"
 	const replaces = "\n[[fault]]\nat = \"200ms\"\nwhat = \"replace\"\nwho = \"backends n=0\"\n"
-	const holdsUp = "\n[[fault]]\nat = \"500ms\"\nfor = \"200ms\"\nwhat = \"link\"\nfrom = \"backends\"\nto = \"agents\"\ncut = true\n"
-	rushed := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
+	const partition = "\n[[fault]]\nat = \"500ms\"\nfor = \"200ms\"\nwhat = \"link\"\nfrom = \"backends\"\nto = \"agents\"\ncut = true\n"
+	overloaded := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
 	for _, c := range []struct{ mode, text, verdict, rule string }{
 		{"honest", smallScenario, Passed, ""},
-		{"probes", smallScenario + holdsUp, Passed, ""}, // a response that a partition delays arrives once
+		{"probes", smallScenario + partition, Passed, ""}, // a response that a partition delays arrives once
 		{"repeats-in-pod", smallScenario, Passed, ""},
 		{"sends-twice", smallScenario, Violated, check.RuleDuplicate},
 		{"refuses-what-ran", smallScenario, Violated, check.RuleDuplicate},
@@ -35,7 +35,7 @@
 		{"invents", smallScenario, Violated, check.RuleUnknown},
 		{"rewrites", smallScenario, Violated, check.RuleUnknown},
 		{"ignores-lists", smallScenario + drains, Violated, check.RuleDrain},
-		{"rushes-the-newest", rushed, Violated, check.RuleSlowStart},
+		{"rushes-the-newest", overloaded, Violated, check.RuleSlowStart},
 		{"dies", smallScenario, Crashed, ""},
 		{"hoards", smallScenario, Crashed, ""},
 	} {
@@ -119,9 +119,9 @@
 				t.Errorf("the attempt counts as arrived %v after it was sent, though only the lab was late", took)
 			}
 		}
-		seen := len(l.attempts) > 0
+		arrived := len(l.attempts) > 0
 		l.mu.Unlock()
-		if seen {
+		if arrived {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/lab/view.go
+++ b/internal/lab/view.go
@@ -54,14 +54,14 @@
 		if n < len(l.tally.Windows) {
 			l.tally.Windows[n].Agents, l.tally.Windows[n].Backends, l.tally.Windows[n].Used = v.Agents, v.Backends, l.usedCapacity(now)
 		}
-		const behind = 3 // seconds after which most requests have ended
-		if v.LastAt = n - behind; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
+		const lagSeconds = 3 // seconds after which most requests have ended
+		if v.LastAt = n - lagSeconds; v.LastAt >= 0 && v.LastAt < len(l.tally.Windows) {
 			l.tally.CompleteWindows(max(0, v.LastAt-int(l.maxDeadline()/time.Second)))
 			v.Last = l.tally.Snapshot(v.LastAt)
 		}
 		if l.OnSecond != nil {
-			second := l.OnSecond
-			go second(l, v)
+			onSecond := l.OnSecond
+			go onSecond(l, v)
 		}
 		l.scheduleViews(n + 1)
 	})
