--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -186,7 +186,7 @@
 }
 
 // pick returns a random backend, or the newest one in mode "rushes-the-newest", and the number of calls so far.
-func (a *brokenAgent) pick() (best endpoint, n int) {
+func (a *brokenAgent) pick() (best endpoint, picks int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.picks++
--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -69,13 +69,13 @@
 			}
 			return g.wrap(c), nil
 		}
-		reachable, closed := g.reachable, g.closed
+		reopened, closed := g.reachable, g.closed
 		g.mu.Unlock()
 		if closed || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if reachable != nil {
-			<-reachable
+		if reopened != nil {
+			<-reopened
 		}
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -193,7 +193,7 @@
 	for _, p := range l.allProcesses() {
 		p.kill()
 	}
-	hosts, discovery := l.hosts, l.discovery
+	hosts, disc := l.hosts, l.discovery
 	l.mu.Unlock()
 	l.cancel()
 	for _, a := range l.agents {
@@ -202,8 +202,8 @@
 	for _, h := range hosts {
 		h.close(false)
 	}
-	if discovery != nil {
-		discovery.close()
+	if disc != nil {
+		disc.close()
 	}
 	if l.fleet != nil {
 		l.fleet.close()
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -33,8 +33,8 @@
 				break
 			}
 		}
-		discovery := endpointOf(netfault.Discovery, a.number)
-		if l.network.Unreachable(agentEnd, discovery) {
+		discoveryEnd := endpointOf(netfault.Discovery, a.number)
+		if l.network.Unreachable(agentEnd, discoveryEnd) {
 			l.discovery.disruptedUntil = end
 		}
 	}
