--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -18,11 +18,12 @@
 const (
 	firstBlock, lastBlock = 60, 249
 	claimPort             = 7900
-	clientPort            = 5000 // on which agents accept clients
+	clientPort            = 5000 // agents accept clients on this port
 	peerPort              = 7946
 )
 
-// claimBlock claims a free block. It returns an error if other labs have claimed all blocks.
+// claimBlock claims a free block. It returns an error if every block is in use, or if it cannot listen in a block for another
+// reason.
 func claimBlock() (*block, error) {
 	start := os.Getpid()
 	for i := range lastBlock - firstBlock + 1 {
@@ -40,16 +41,17 @@
 			return nil, err
 		}
 	}
-	return nil, errors.New("every block of loopback addresses is in use by another lab")
+	return nil, errors.New("every block of loopback addresses is in use")
 }
 
-// inUse reports whether any process listens in the block, such as an agent that an earlier lab did not stop.
+// inUse reports whether a process has a listening TCP socket or a bound UDP socket in the block, such as an agent that an
+// earlier lab did not stop.
 func (b *block) inUse() bool {
 	const listening, bound = "0A", "07" // socket states in the kernel's tables: a listening TCP socket, a bound UDP socket
 	for name, state := range map[string]string{"tcp": listening, "udp": bound} {
 		table, err := os.ReadFile("/proc/self/net/" + name)
 		if err != nil {
-			continue // the first bind reports an address in use
+			continue // without the table, the first bind in the block reports an address in use
 		}
 		for line := range strings.Lines(string(table)) {
 			fields := strings.Fields(line)
@@ -72,12 +74,13 @@
 	return fmt.Sprintf("127.%d.%d.%d", b.number, 1+n/250, 1+n%250)
 }
 
-// linkAddr returns the IP address at which agent n reaches all other processes. They differ by port.
+// linkAddr returns the IP address of the lab's listeners for agent n: one for each backend, one for discovery, and the links
+// through which other agents and hubs reach agent n. The listeners have different ports.
 func (b *block) linkAddr(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.number, 101+n/250, 1+n%250)
 }
 
-// hubAddr returns the IP address of hub n. hubLinkAddr returns the IP address at which the hub reaches all other processes and
-// at which they reach the hub.
+// hubAddr returns the IP address of hub n. hubLinkAddr returns the IP address at which the hub reaches discovery, and at which
+// agents and other hubs reach the hub.
 func (b *block) hubAddr(n int) string     { return fmt.Sprintf("127.%d.201.%d", b.number, 1+n) }
 func (b *block) hubLinkAddr(n int) string { return fmt.Sprintf("127.%d.211.%d", b.number, 1+n) }
--- a/internal/lab/addresses_test.go
+++ b/internal/lab/addresses_test.go
@@ -25,7 +25,7 @@
 	}
 	defer b.close()
 	if a.number == b.number || a.agentAddr(3) == b.agentAddr(3) || a.linkAddr(3) == a.agentAddr(3) {
-		t.Errorf("labs in blocks %d and %d share addresses", a.number, b.number)
+		t.Errorf("labs in blocks %d and %d share addresses, or agent and link addresses are equal; want separate addresses", a.number, b.number)
 	}
 }
 
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		if other.number == b.number {
-			t.Errorf("claimed block %d, in which a socket is bound", b.number)
+			t.Errorf("claimed block %d, in which a socket is bound; want another block", b.number)
 		}
 		other.close()
 		_ = s.Close()
--- a/internal/lab/agentprocess.go
+++ b/internal/lab/agentprocess.go
@@ -25,7 +25,7 @@
 
 	// Guarded by Lab.mu.
 	requests     map[string]*clientRequest
-	openRequests int // requests of clients that have no final answer yet
+	openRequests int // client requests that have no final answer yet
 
 	// Used only by runArrivals.
 	rate                         float64
@@ -60,7 +60,8 @@
 // Addr returns the address at which clients connect to agent n.
 func (l *Lab) Addr(n int) string { return l.agents[n].listenAddr }
 
-// start writes the configuration and starts the process. keep preserves the agent's files of its previous run. Lab.mu is held.
+// start writes the configuration and starts the process. Without keep, it first deletes the agent's temporary directory. Lab.mu
+// is held.
 func (a *agent) start(now time.Duration, keep bool) error {
 	l := a.lab
 	a.starts++
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// arrival is the next request of an agent's clients.
+// arrival is the time of the next request of an agent's clients.
 type arrival struct {
 	at    time.Duration
 	agent *agent
@@ -40,7 +40,8 @@
 	return d
 }
 
-// distributeLoad draws the request rate of each agent.
+// distributeLoad draws the request rate of each agent, so that the rates sum up to the rate of the scenario, and creates the
+// random streams of the agent's clients.
 func (l *Lab) distributeLoad() {
 	r, sum := l.rng.Stream("weights"), 0.0
 	for _, a := range l.agents {
@@ -71,7 +72,8 @@
 	return f
 }
 
-// nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms.
+// nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms. A time at
+// or after the end of the run means that the agent's clients send no further request.
 func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	remaining := a.arrivalRandom.ExpFloat64()
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -25,7 +25,7 @@
 	conn          *backendConn
 	arrivedAt     time.Duration // when the kernel received the last byte of the attempt
 	reply         chan response
-	statedTimeout time.Duration // how long the agent waits for the response, by its header; negative without the header
+	statedTimeout time.Duration // how long the agent waits for the response, from X-Expires-In; negative without this header
 	disconnected  bool          // the connection is closed
 	fromLabClient bool          // a client of the lab sent the request
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	latency := l.network.Arrivals(a.endpoint(), h.endpoint(), netfault.TCP, a.id+"/"+h.machine.ID)[0]
-	if newConnection { // the handshake takes another round trip; the backend's work for it is in the job
+	if newConnection { // the handshake takes another round trip; the job includes the backend's work for the handshake
 		latency += 2 * l.baseLatency(a.endpoint(), h.endpoint())
 	}
 	if probe {
@@ -96,7 +96,8 @@
 		load.Inflight, load.Util, load.Service.Seconds()*1e3)}, "probed")
 }
 
-// newJob returns the work of an attempt. A duplicate of an idempotency key costs no more than a health check. Lab.mu is held.
+// newJob returns the work of an attempt. A request whose idempotency key the cell has already seen costs as much as a health
+// check. Lab.mu is held.
 func (l *Lab) newJob(now time.Duration, a *attempt, newConnection bool) model.Job {
 	h := a.host
 	random := l.rng.Stream("attempt/" + a.id + "/" + h.machine.ID)
@@ -144,7 +145,8 @@
 	return l.agents[a.agent].requests[a.id]
 }
 
-// completeJobs answers the attempts that a backend has completed. Lab.mu is held.
+// completeJobs answers the attempts that a backend has completed. If the backend has crashed by overload, completeJobs also ends
+// the backend and publishes its removal. Lab.mu is held.
 func (l *Lab) completeJobs(h *host, done []model.Completion) {
 	for _, completion := range done {
 		a := l.attempts[completion.Attempt]
--- a/internal/lab/backendfaults.go
+++ b/internal/lab/backendfaults.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// failZonePower ends the hub, the agents and the backends of a zone at once, and restarts them together without their previous
-// state. Lab.mu is held.
+// failZonePower kills the hubs and the agents of a zone and makes its backends unresponsive, all at once. When the fault ends,
+// it restarts all of them without their previous state. Lab.mu is held.
 func (l *Lab) failZonePower(i int, f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	l.loseZone(f, now)
@@ -100,7 +100,7 @@
 	})
 }
 
-// runNoisyNeighbour removes a share of the capacity of backends and restores it, again and again, at random times for each
+// runNoisyNeighbour removes a share of the capacity of backends and restores it, repeatedly and at random times for each
 // backend. Lab.mu is held.
 func (l *Lab) runNoisyNeighbour(i int, f *scenario.Fault, now time.Duration) {
 	end := l.Scenario.Duration.Duration()
--- a/internal/lab/backends.go
+++ b/internal/lab/backends.go
@@ -26,7 +26,7 @@
 	gates   []*gate // by agent
 	ended   bool    // the backend has ended
 
-	lastChange uint64 // sequence number of the latest change that discovery was notified of
+	lastChange uint64 // sequence number of the backend's latest change that was passed to discovery
 
 	mu     sync.Mutex
 	conns  map[*backendConn]bool
@@ -42,7 +42,7 @@
 	net.Conn
 	host      *host
 	agent     int
-	used      bool // the connection has carried an attempt; accessed only by the goroutine of its request
+	used      bool // the connection has carried an attempt; guarded by Lab.mu
 	overLimit bool // the connection exceeds the connection limit of the backend
 }
 
@@ -115,7 +115,8 @@
 	h.server.Close()
 }
 
-// reset closes the connections of the affected agents with a TCP reset; those of all agents if affected is nil.
+// reset closes the connections of the affected agents with a TCP reset. If affected is nil, it closes the connections of all
+// agents.
 func (h *host) reset(affected func(agent int) bool) {
 	h.mu.Lock()
 	var list []*backendConn
@@ -135,7 +136,7 @@
 
 const maxBodyBytes = 1 << 20
 
-// ServeHTTP receives an attempt or a health check, and waits until the emulation has its response.
+// ServeHTTP receives an attempt or a health check, and answers once the emulation has a response.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*backendConn)
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
@@ -174,7 +175,7 @@
 	}
 }
 
-// write writes a response. With closes, the response announces the end of the connection.
+// write writes a response. With closes, the response has the header Connection: close.
 func (resp response) write(w http.ResponseWriter, closes bool) {
 	if resp.neverRan {
 		w.Header().Set("X-Never-Ran", "1")
--- a/internal/lab/clientconn.go
+++ b/internal/lab/clientconn.go
@@ -26,8 +26,8 @@
 
 var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// sendAndReceive writes a request and reads the final answer. It returns the wait that Retry-After requests, and whether the
-// connection can be reused.
+// sendAndReceive writes a request and reads the final answer. It returns the outcome, the wait that Retry-After requests, and
+// whether the connection can be reused.
 func (l *Lab) sendAndReceive(c *clientConn, req *clientRequest, id string) (answer check.Answer, wait time.Duration, reusable bool) {
 	buf := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(buf)
@@ -78,7 +78,7 @@
 	return append(b, req.body...)
 }
 
-// classify returns the outcome that a complete final answer stands for, and the wait that Retry-After requests.
+// classify returns the outcome of a request with a complete final answer, and the wait that Retry-After requests.
 func classify(resp *http.Response, body, id string) (check.Answer, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -93,7 +93,8 @@
 	return check.Failed, 0
 }
 
-// readErrorAnswer returns the outcome of a request whose final answer could not be read because of err.
+// readErrorAnswer returns the outcome of a request whose final answer could not be read because of err. closed is the outcome if
+// the connection was closed. cancels reports that the client disconnects at the read deadline.
 func readErrorAnswer(err error, cancels bool, closed check.Answer) check.Answer {
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -43,7 +43,7 @@
 		req.weight *= l.Scenario.Load.OverQuotaWeight
 	}
 	l.mu.Unlock()
-	const minRetryWaitMs, maxRetryWaitMs = 28, 220 // without Retry-After
+	const minRetryWaitMs, maxRetryWaitMs = 28, 220 // of a client without Retry-After, or that ignores it
 	var answer check.Answer
 	for {
 		id := req.firstID
@@ -99,7 +99,7 @@
 	finishedAt := l.now()
 	l.mu.Lock()
 	l.check.Finish(finishedAt, id, answer)
-	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // a late attempt of the agent still finds the request until then
+	l.scheduleAt(l.now()+check.Retention, func(time.Duration) { delete(agent.requests, id) }) // until then, a late attempt of the agent finds its request
 	l.mu.Unlock()
 	return answer, wait
 }
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -25,7 +25,7 @@
 		{"worse at every seed", []float64{0.8, 0.7, 0.9}, []float64{0.75, 0.66, 0.84}, -1, "worse", 3},
 		{"better and worse", []float64{0.8, 0.7, 0.9}, []float64{0.85, 0.6, 0.91}, -1, "no difference seen", 3},
 		{"one seed", []float64{0.8}, []float64{0.9}, -1, "no difference seen", 1},
-		{"one of two is void", []float64{0.8, 0.8}, []float64{0.9, 0.1}, 1, "no difference seen", 1},
+		{"one of two is inconclusive", []float64{0.8, 0.8}, []float64{0.9, 0.1}, 1, "no difference seen", 1},
 	} {
 		var pairs []Pair
 		b := reports(c.b...)
@@ -41,7 +41,7 @@
 		}
 	}
 	if low, high := bootstrap([]float64{1}); !math.IsInf(low, -1) || !math.IsInf(high, 1) {
-		t.Error("the confidence interval of one value is bounded")
+		t.Error("the confidence interval of one value is bounded, want an unbounded one")
 	}
 	if got := Compare([]Pair{{A: &Report{Verdict: Inconclusive}, B: &Report{}}}); got != nil {
 		t.Errorf("Compare without a conclusive pair returned %+v, want nil", got)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -16,7 +16,8 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// fakeDiscovery emulates the discovery service. It publishes changes with a delay, and each caller receives them a little later.
+// fakeDiscovery emulates the discovery service. It publishes a change after a delay, and each caller receives the change after a
+// further propagation delay.
 type fakeDiscovery struct {
 	lab            *Lab
 	servers        []*http.Server
@@ -28,7 +29,7 @@
 	disruptedUntil time.Duration // end of the latest disruption; negative if there was none
 	epoch          int           // number of restarts
 	listService    listServiceQueue
-	changed        chan struct{} // closed, and replaced, at each change
+	changed        chan struct{} // closed and replaced by updateWatches
 }
 
 const (
@@ -77,7 +78,7 @@
 	}
 	last := len(d.gates) - 1
 	d.gates[n], d.servers[n] = d.gates[last], d.servers[last]
-	d.gates[last], d.servers[last] = gate, server // close closes them with the lab at the latest
+	d.gates[last], d.servers[last] = gate, server // the old ones stay in the lists, so that close closes them
 	d.lab.running.Go(func() { gate.Close() })
 	d.lab.scheduleAt(now+oldAddressGrace, func(time.Duration) { d.lab.running.Go(func() { server.Close() }) })
 	return nil
@@ -89,8 +90,8 @@
 	minReloadAge    = time.Second     // a process that became ready more recently is sent no SIGHUP
 )
 
-// notifyAfterReload reports a version of the list to the checker as delivered to agent n, except for backends that have changed
-// since.
+// notifyAfterReload reports a version of the list to the checker as delivered to agent n. It leaves out backends with a change
+// after this version.
 func (d *fakeDiscovery) notifyAfterReload(n int, upTo int64, now time.Duration) {
 	latest := map[*host]int{}
 	for i, c := range d.changes {
@@ -122,7 +123,7 @@
 	seq := l.lastSeq
 	l.scheduleAt(now+seconds(delay[0]+(delay[1]-delay[0])*r.Float64()), func(t time.Duration) {
 		if h.lastChange != seq {
-			return // the backend has changed again before this was published
+			return // the backend has changed again before this change was published
 		}
 		d.changes = append(d.changes, endpointChange{host: h, state: state, started: started, publishedAt: t})
 		d.updateWatches()
@@ -134,8 +135,8 @@
 	})
 }
 
-// notifyAtDeadline reports a change to the checker as delivered at the propagation deadline, if discovery was not disrupted
-// since the change.
+// notifyAtDeadline reports a change to the checker as delivered to all agents that are up and were ready at the change. It
+// reports nothing if discovery was disrupted at the change or later.
 func (d *fakeDiscovery) notifyAtDeadline(changedAt time.Duration, h *host, state string, started time.Duration) {
 	if d.disruptedUntil >= changedAt {
 		return
@@ -153,7 +154,8 @@
 	d.changed = make(chan struct{})
 }
 
-// notify reports the changes that are written to a caller to the checker. Hubs send nothing to backends, so notify ignores them.
+// notify reports to the checker the changes that a caller is sent. It ignores callers that are hubs, since hubs send nothing to
+// backends.
 func (d *fakeDiscovery) notify(n int, from, to int64, now time.Duration) {
 	if n >= len(d.lab.agents) {
 		return
@@ -295,7 +297,7 @@
 	return true
 }
 
-// rewind restarts discovery with an old version, and publishes later changes again. Lab.mu is held.
+// rewind restarts discovery with the list from the start of the run, and publishes all later changes again. Lab.mu is held.
 func (d *fakeDiscovery) rewind(now time.Duration) {
 	first := len(d.lab.hosts)
 	for i, c := range d.changes {
--- a/internal/lab/endpointlist.go
+++ b/internal/lab/endpointlist.go
@@ -39,8 +39,8 @@
 	return time.Duration((16 + 80*r.Float64()) * float64(time.Millisecond))
 }
 
-// visible returns the version that a caller can receive at a time, and when the caller can receive the next version; negative if
-// there is none yet.
+// visible returns the version that a caller can receive at a time, and the time at which the caller can receive the next
+// version. This time is negative if no later version has been published.
 func (d *fakeDiscovery) visible(caller int, now time.Duration) (version int64, next time.Duration) {
 	delay := d.propagationDelay(caller)
 	for i, c := range d.changes {
@@ -76,7 +76,7 @@
 }
 
 // addr returns the address of the backend for an agent. Each agent has a separate address, by which the network identifies the
-// agent, except where agents relay lists to each other.
+// agent. If agents relay lists to each other, all agents use the same address.
 func (h *host) addr(agent int) string {
 	if h.lab.Scenario.Shared.RelayedLists || agent >= len(h.gates) { // hubs send nothing to backends
 		agent = 0
--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// pick returns a random backend, or the newest one in mode "rushes-the-newest", and the number of calls so far.
+// pick returns a random backend, or the newest one in mode "rushes-the-newest", and the number of picks so far.
 func (a *brokenAgent) pick() (best endpoint, picks int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -284,4 +284,5 @@
 	_, _ = w.Write(text) // fails only if the client has disconnected
 }
 
+// retained is the memory that mode "hoards" allocates.
 var retained []byte
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -205,7 +205,7 @@
 }
 
 // relayStream relays one TCP connection. During a partition the connection hangs, as if its SYN were lost. If the other process
-// has ended, relayStream resets the connection, since it can no longer refuse it.
+// has ended, relayStream resets the connection, since the lab has already accepted the connection and can no longer refuse it.
 func (f *fleetLinks) relayStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -16,7 +16,7 @@
 	listener *net.TCPListener
 	wrap     func(net.Conn) net.Conn
 
-	accepting sync.Mutex // held while the listener accepts; a goroutine that needs both locks mu first
+	accepting sync.Mutex // held while the listener accepts; a goroutine that needs both mutexes locks mu first
 
 	mu          sync.Mutex
 	unreachable bool
@@ -117,7 +117,7 @@
 		g.filler.Close()
 		g.filler = nil
 	}
-	// A real network would not have passed the connections that entered the queue while the gate was unreachable: reset them.
+	// Reset the connections that entered the queue while the gate was unreachable: a real network would have dropped their SYN.
 	_ = g.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
 	for {
 		c, err := g.listener.Accept()
--- a/internal/lab/hosts.go
+++ b/internal/lab/hosts.go
@@ -20,7 +20,7 @@
 	speed scenario.Range
 }{{"fast-4core", 0.48, scenario.Range{1.3, 1.7}}, {"std-4core", 0.52, scenario.Range{0.85, 1.1}}}
 
-const cores = 4
+const cores = 4 // of each backend
 
 // addInitialHosts adds the backends that are up at the start of the run.
 func (l *Lab) addInitialHosts() {
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -48,7 +48,8 @@
 func (h *hub) policyFile() string   { return filepath.Join(h.dir, "policy.toml") }
 func (h *hub) settingsFile() string { return filepath.Join(h.dir, "settings.toml") }
 
-// start writes the configuration and starts the process. keep preserves the hub's state of its previous run. Lab.mu is held.
+// start writes the configuration and starts the process. Without keep, it first deletes the hub's state directory. Lab.mu is
+// held.
 func (h *hub) start(_ time.Duration, keep bool) error {
 	l := h.lab
 	h.starts++
--- a/internal/lab/hubs_test.go
+++ b/internal/lab/hubs_test.go
@@ -7,8 +7,8 @@
 )
 
 // Real agents with real hubs keep every rule while a hub is killed, partitioned, or paused for longer than its failure timeout,
-// and returns. No gossip entry is used past its age bound, the quotas never sum up to more than the limit, and settings that are
-// published during the fault reach every agent and never revert to an older version.
+// and after the hub is up again. No gossip entry is used past its age bound, the sum of the quotas stays within its bound, and
+// settings that are published during the fault reach every agent and never revert to an older version.
 func TestRealHubs(t *testing.T) {
 	for _, name := range []string{"hub-kill", "hub-cut", "hub-pause"} {
 		t.Run(name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	})
 }
 
-// runWithHubs plays a built-in scenario with changes, and checks the requirements that all scenarios with hubs share.
+// runWithHubs runs a built-in scenario with changes, and checks the requirements that all scenarios with hubs share.
 func runWithHubs(t *testing.T, name string, change func(*scenario.Scenario)) *Report {
 	t.Helper()
 	o := options(t, "real", smallScenario)
@@ -57,10 +57,10 @@
 	o.Scenario = s
 	r := runScenario(t, o)
 	if r.Verdict != Passed {
-		t.Fatalf("%s: %+v %s %s; shared %+v, settings %+v", r.Verdict, r.Rules.First, r.Rules.Shared, r.Crash, r.Shared, r.Shared.Settings)
+		t.Fatalf("verdict %s, want kept; first violation: %+v, shared violation: %s, crash: %s, shared: %+v, settings: %+v", r.Verdict, r.Rules.First, r.Rules.Shared, r.Crash, r.Shared, r.Shared.Settings)
 	}
 	if x := r.Shared.Settings; x.Lagging > 0 {
-		t.Errorf("agents without the latest settings at the end: %+v", x)
+		t.Errorf("some agents do not have the latest settings at the end, want none: %+v", x)
 	}
 	if r.ServedInObjective == 0 || r.Shared.Used["census"] == 0 || r.Shared.Used["settings"] == 0 || r.Shared.Used["distance"] == 0 || r.Hubs.Hubs != 3 {
 		t.Errorf("share served %v, entries used by kind %v, hubs %+v; want requests served, entries of kinds census, settings and distance used, and 3 hubs",
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -2,7 +2,7 @@
 // backends, discovery and a network with faults around them.
 //
 // One mutex, Lab.mu, guards the state of a run. One goroutine runs timed events from an event queue; the other goroutines wait
-// for sockets. The lab measures the lateness of events and arrivals, and gives no verdict if it was too late.
+// for sockets. The lab measures the lateness of events and arrivals, and a run in which the lab was too late is inconclusive.
 package lab
 
 import (
@@ -26,11 +26,11 @@
 type Options struct {
 	Scenario      *scenario.Scenario
 	Seed          uint64
-	Agent         []string // the command line of an agent
-	Hub           []string // the command line of a hub, without --config and its file; required if the scenario has hubs
-	Env           []string // added to the environment of agents and hubs
-	Dir           string   // the directory for the configuration, logs and state of processes
-	Events        io.Writer
+	Agent         []string             // the command line of an agent
+	Hub           []string             // the command line of a hub, without --config and its file; required if the scenario has hubs
+	Env           []string             // added to the environment of agents and hubs
+	Dir           string               // the directory for the configuration, logs and state of processes
+	Events        io.Writer            // receives the histories of finished requests as lines of JSON; nil: no histories
 	AcceptUnknown bool                 // backends serve requests that do not come from the lab; the checker ignores them
 	OnReady       func(l *Lab)         // called just before the first request
 	OnSecond      func(l *Lab, s View) // called after each second
@@ -94,14 +94,14 @@
 // The bounds of the rules.
 const (
 	drainGrace          = 500 * time.Millisecond
-	answerGrace         = 500 * time.Millisecond // after the deadline: an answer within it counts as late, not as lost
-	socketSlack         = 50 * time.Millisecond
-	propagationDeadline = 6 * time.Second // after which a change counts as delivered to an agent
-	maxClosedNewShare   = 1. / 200        // of requests: the agent may close the connection before it answers the first request on it
+	answerGrace         = 500 * time.Millisecond // after the deadline; an answer within this time counts as late, not as lost
+	socketSlack         = 50 * time.Millisecond  // added to every bound, for delays of sockets and scheduling
+	propagationDeadline = 6 * time.Second        // after which a change counts as delivered to an agent
+	maxClosedNewShare   = 1. / 200               // of requests; an agent may close a new connection before it answers the first request on that connection
 )
 
-// Run plays the scenario and returns the report. If ctx ends first, the report covers the run until then. The error is a failure
-// of the lab itself, or wraps ErrCrash if a process did not start.
+// Run runs the scenario and returns the report. If ctx ends first, the report covers the run until then. The error is a failure
+// of the lab itself, or wraps ErrCrash if a process did not become ready.
 func (l *Lab) Run(ctx context.Context) (*Report, error) {
 	l.running.Go(l.runSchedule)
 	go l.startProcesses()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 	}
-	t.Error("the restarted backend is not in the list in state ready")
+	t.Error("the list does not have the restarted backend in state ready with its start time")
 }
 
 // The same seed gives the same arrivals and requests, and the requests of an agent do not depend on how many agents there are.
@@ -76,7 +76,7 @@
 	}
 	for _, p := range strings.Fields(string(out)) {
 		if strings.HasPrefix(p, "martenbeam/internal/lab") || strings.Contains(p, "/kong") || strings.Contains(p, "hdrhistogram") {
-			t.Errorf("cmd/agent links %s", p)
+			t.Errorf("cmd/agent links %s, want no package of the lab and none of its dependencies", p)
 		}
 	}
 	if !strings.Contains(string(out), "martenbeam/internal/agent") {
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -11,9 +11,8 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// addNetworkRules adds rules to the network for the duration of a fault. The checker excuses agents that have a fault between
-// them and their clients, and an agent or hub that is cut off from discovery counts as a disruption of discovery. Lab.mu is
-// held.
+// addNetworkRules adds rules to the network for the duration of a fault. It excuses agents from the rules if a fault affects
+// the link to their clients, and records a disruption of discovery if an agent or a hub cannot reach discovery. Lab.mu is held.
 func (l *Lab) addNetworkRules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
--- a/internal/lab/pendingconnections.go
+++ b/internal/lab/pendingconnections.go
@@ -109,9 +109,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{b[3], b[2], b[1], b[0]}), uint16(b[4])<<8|uint16(b[5])), true
 }
 
-// countPendingConnections counts the connections to unreachable backends that are new since the previous call, and returns those
-// that are in state SYN_SENT now. For each agent and zone it leaves out one connection at a time, which may be a health check:
-// the table does not distinguish health checks from attempts. Lab.mu is held.
+// countPendingConnections counts the connections to unreachable backends that are new since the previous call. It returns the
+// connections in list that lead to unreachable backends. For each agent and zone, it does not count one of the open connections,
+// which may be a health check: the table does not distinguish health checks from attempts. Lab.mu is held.
 func (l *Lab) countPendingConnections(now time.Duration, list []pendingConnection, previous map[pendingConnection]bool) map[pendingConnection]bool {
 	if l.backendAddrs == nil {
 		l.backendAddrs = map[netip.AddrPort]backendAddr{}
--- a/internal/lab/process_test.go
+++ b/internal/lab/process_test.go
@@ -15,7 +15,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// A process that a fault ends while it starts does not count as crashed, and is restarted.
+// A process that a fault ends during its start does not count as crashed.
 func TestProcessCanBeEndedWhileItStarts(t *testing.T) {
 	for _, what := range []string{"term", "kill"} {
 		t.Run(what, func(t *testing.T) {
@@ -24,7 +24,7 @@
 			faults := fmt.Sprintf(fault, "500ms", "term") + fmt.Sprintf(fault, "1s", what)
 			r := runScenario(t, options(t, "starts-late", smallScenario+faults))
 			if r.Verdict == Crashed {
-				t.Errorf("verdict %s: %s", r.Verdict, r.Crash)
+				t.Errorf("verdict %s, want no crash: %s", r.Verdict, r.Crash)
 			}
 		})
 	}
@@ -50,7 +50,7 @@
 			defer l.mu.Unlock()
 			for _, a := range l.agents {
 				if a.openRequests > 0 {
-					t.Errorf("%d requests of clients of agent %d are open after Close", a.openRequests, a.number)
+					t.Errorf("%d requests of clients of agent %d are open after Close, want none", a.openRequests, a.number)
 				}
 			}
 		})
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -36,7 +36,7 @@
 
 // role is the behaviour that differs between agents and hubs. The caller of each method except awaitReady holds Lab.mu.
 type role interface {
-	start(now time.Duration, keep bool) error
+	start(now time.Duration, keep bool) error                    // starts the process; without keep, deletes its previous state first
 	awaitReady(ctx context.Context, ended <-chan struct{}) error // waits until the process is ready
 	onReady(now time.Duration)                                   // the process is ready again
 	onKilled(now time.Duration)                                  // the process was killed
@@ -44,8 +44,8 @@
 	onExit(now time.Duration)                                    // the process has ended, for any reason
 }
 
-// startProcesses starts processes on request, from one thread that ends with the lab. By Pdeathsig the kernel kills a child when
-// the thread that started it ends, so no child outlives the lab, even if the lab is killed.
+// startProcesses starts processes on request, from one thread that ends with the lab. The kernel kills a child when the thread
+// that started it ends (Pdeathsig), so no child outlives the lab, even if the lab is killed.
 func (l *Lab) startProcesses() {
 	runtime.LockOSThread()
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-// launch starts a command line as the process. Its environment is PATH, HOME and env. Lab.mu is held.
+// launch starts the process with a command line. Its environment is PATH, HOME and env. Lab.mu is held.
 func (p *process) launch(command, env []string) error {
 	l := p.lab
 	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -185,7 +185,7 @@
 	return first
 }
 
-// ErrCrash is the error of a process that did not start.
+// ErrCrash is wrapped by the error of a process that did not become ready.
 var ErrCrash = errors.New("a process has crashed")
 
 // restart starts a process that has ended, and marks the process as up once it is ready. Lab.mu is held.
--- a/internal/lab/reachability.go
+++ b/internal/lab/reachability.go
@@ -68,7 +68,7 @@
 	return list
 }
 
-// agentReaches reports whether an agent is up and can reach at least one of some hubs.
+// agentReaches reports whether an agent is up and can reach at least one of the given hubs.
 func (r *reachable) agentReaches(agent int, hubs []bool) bool {
 	for h, has := range hubs {
 		if has && r.agents[agent] && r.agentToHub[agent*len(hubs)+h] {
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -31,9 +31,10 @@
 	return Percentiles{at(0.5), at(0.99), at(0.999)}
 }
 
-// recoveryTime returns the seconds from the first fault until the service recovered: after a second below 95% of the service
-// before the fault, three consecutive seconds reached 95% of it again. It returns nil if there is no fault or no full second
-// between the warm-up and the first fault, 0 if no second was below 95%, and -1 if the service did not recover. Lab.mu is held.
+// recoveryTime returns the seconds from the first fault until the service recovered. The service is degraded in a second in
+// which the share served within the objective is below 95% of the share before the fault. It recovers at the first of three
+// consecutive seconds that reach 95% again. recoveryTime returns nil if there is no fault or no full second between the warm-up
+// and the first fault, 0 if no second was degraded, and -1 if the service did not recover. Lab.mu is held.
 func (l *Lab) recoveryTime() *float64 {
 	if len(l.Scenario.Faults) == 0 {
 		return nil
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -21,7 +21,7 @@
 	Backends        int     `json:"backends"`
 	DurationSeconds float64 `json:"for_s"`
 	WarmUpSeconds   float64 `json:"settle_s"`
-	Verdict         string  `json:"verdict"` // "kept", "broken", "crashed", "void", "ended early"
+	Verdict         string  `json:"verdict"` // "kept", "broken", "crashed" or "void"
 
 	Offered            int         `json:"offered"` // requests of clients; a request and its retries count once
 	ServedInObjective  float64     `json:"served_in_aim"`
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -36,6 +36,7 @@
 	return e
 }
 
+// now returns the time of the run. Before startClock sets time 0, now counts from createdAt.
 func (l *Lab) now() time.Duration {
 	return time.Since(l.createdAt) - time.Duration(l.startOffset.Load())
 }
@@ -66,7 +67,7 @@
 	}
 }
 
-// runPending runs all events that are due, in order of time, and returns the time of the next event. Each event is passed the
+// runPending runs all events that are due, in order of time, and returns the time of the next event. Each event receives the
 // time at which it was due. Lab.mu is held.
 func (l *Lab) runPending(now time.Duration) (next time.Duration) {
 	for {
@@ -95,7 +96,7 @@
 	_ = l.lateness.RecordValue(min(max(1, d.Microseconds()), maxLateness)) // fails only outside the histogram's range
 }
 
-const maxLateness = int64(time.Minute / time.Microsecond)
+const maxLateness = int64(time.Minute / time.Microsecond) // in microseconds
 
 // runSchedule runs events when they are due until the run ends.
 func (l *Lab) runSchedule() {
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -78,7 +78,7 @@
 
 // appliedVersion is a log line of a process that has applied a version.
 type appliedVersion struct {
-	at      time.Duration // of the run
+	at      time.Duration // time of the run
 	version int64
 }
 
@@ -111,9 +111,9 @@
 type SettingsReport struct {
 	Published    int     `json:"given"`         // versions
 	SpreadTime   float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
-	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent was up and could reach a hub that had a version or could have it, before the agent applied the version
+	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent was up and could reach a hub that had a version or could receive it, before the agent applied the version
 	PastBound    int     `json:"past_bound"`    // versions and agents for which this time exceeded the bound
-	Lagging      int     `json:"behind_at_end"` // agents that do not have the latest version at the end, though they can reach a hub that has it or could have it
+	Lagging      int     `json:"behind_at_end"` // agents that do not have the latest version at the end, though they can reach a hub that has it or could receive it
 	Regressions  int     `json:"went_back"`     // lower versions applied after higher ones
 	First        string  `json:"first,omitempty"`
 }
@@ -199,7 +199,7 @@
 	return r
 }
 
-// firstApplied returns when a version or a later one was first applied; a negative time if neither was.
+// firstApplied returns the time at which a version or a later one was first applied, or a negative time if none was applied.
 func firstApplied(list []appliedVersion, version int64) time.Duration {
 	for _, x := range list {
 		if x.version >= version {
@@ -230,9 +230,9 @@
 	return changes
 }
 
-// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have
-// it, from the publication of the version until the agent applied it. It also reports whether the agent could reach such a hub
-// at the end of this time.
+// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could
+// receive it, from the publication of the version until the agent applied it. It also reports whether the agent could reach such
+// a hub at the end of this time.
 func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, appliedAt, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
 	if appliedAt >= 0 {
 		end = min(end, appliedAt)
--- a/internal/lab/shared_test.go
+++ b/internal/lab/shared_test.go
@@ -135,17 +135,17 @@
 		"dark service": {strings.Replace(polled, `known = "none"`, `known = "now"`, 1) + relayed + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents\"\nafter = \"100ms\"\n[[fault]]\nat = \"1s\"\nfor = \"2s\"\nwhat = \"list-silent\"\n", nil},
 		"some stay dead": {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"kill\"\nwho = \"agents n=4,5\"\nrestart = \"never\"\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["gone"] == 0 {
-				t.Error("no agent used an entry of kind gone about the agents that stay down")
+				t.Error("no agent used an entry of kind gone about the agents that stay down, want at least one use")
 			}
 		}},
 		"cut between agents": {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nfor = \"4s\"\nwhat = \"link\"\nfrom = \"agents zone=0\"\nto = \"agents zone=1,2\"\nboth = true\ncut = true\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["distance"] == 0 {
-				t.Error("no agent used a round-trip time of another agent")
+				t.Error("no agent used a round-trip time of another agent, want at least one use")
 			}
 		}},
 		"datagrams lost": {sixAgentScenario + matrix + "[[fault]]\nat = \"100ms\"\nwhat = \"link\"\nfrom = \"agents\"\nto = \"agents\"\nprotocol = \"udp\"\nlose = 0.3\n", func(t *testing.T, r *Report) {
 			if r.Shared.Used["distance"] == 0 {
-				t.Error("no agent used a round-trip time of another agent")
+				t.Error("no agent used a round-trip time of another agent, want at least one use")
 			}
 		}},
 		"delay one way":  {sixAgentScenario + matrix + "[[fault]]\nat = \"1s\"\nwhat = \"link\"\nfrom = \"agents zone=0\"\nto = \"agents zone=1\"\ndelay = \"60ms\"\n", nil},
@@ -160,7 +160,7 @@
 			t.Parallel()
 			r := runScenario(t, options(t, "real", c.text))
 			if r.Verdict != Passed {
-				t.Fatalf("verdict %s; first violation: %+v, crash: %s, shared: %+v", r.Verdict, r.Rules.First, r.Crash, r.Shared)
+				t.Fatalf("verdict %s, want kept; first violation: %+v, crash: %s, shared: %+v", r.Verdict, r.Rules.First, r.Crash, r.Shared)
 			}
 			if r.ServedInObjective == 0 {
 				t.Error("no request was served within its latency objective")
--- a/internal/lab/sharedreport.go
+++ b/internal/lab/sharedreport.go
@@ -76,7 +76,7 @@
 
 func (l *Lab) label() string { return fmt.Sprintf("lab-%d", l.Seed) }
 
-// violation describes the first violated bound, or returns "".
+// violation returns a description of the first violated bound, or "" if no bound was violated.
 func (r *Shared) violation() string {
 	switch {
 	case r == nil:
@@ -125,14 +125,14 @@
 }
 
 type quotaAt struct {
-	at    int64
+	at    int64 // in microseconds since boot
 	agent int
 	quota float64
 }
 
 // traces holds the traces of all processes of a fleet.
 type traces struct {
-	publishedAt  map[string]int64 // by entry name: the time of publication less the entry's age then, in microseconds
+	publishedAt  map[string]int64 // by entry name: the time of publication minus the entry's age at that time, in microseconds since boot
 	uses         []traceLine
 	quotas       []quotaAt
 	matrixErrors []float64
@@ -256,7 +256,8 @@
 	agent int
 }
 
-// stableNetworkTime is the time since the latest change of the network after which latency matrices are compared with it.
+// stableNetworkTime is the time since the latest change of the network after which latency matrices are compared with the
+// network.
 const stableNetworkTime = 3500 * time.Millisecond
 
 // matrixErrors compares a latency matrix with the recent transit times of datagrams. It returns each error as a share of the
--- a/internal/lab/signals.go
+++ b/internal/lab/signals.go
@@ -96,7 +96,7 @@
 	}
 }
 
-const idleClientInterval = 10 * time.Millisecond
+const idleClientInterval = 10 * time.Millisecond // before an idle client reconnects
 
 // idleClient keeps a connection open without a request until a time, and reconnects if the agent closes the connection.
 func (l *Lab) idleClient(addr string, end time.Duration) {
--- a/internal/lab/targets.go
+++ b/internal/lab/targets.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// pickFrom returns the numbers of those of n processes that are in a set. If the set is a share, the random stream of the fault
+// pickFrom returns the numbers, from 0 to n-1, of the processes in a set. If the set is a share, the random stream of the fault
 // determines the choice.
 func (l *Lab) pickFrom(fault int, set scenario.Set, n int, zone func(int) int) (list []int) {
 	for i := range n {
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -32,7 +32,7 @@
 	latencyMs := l.Scenario.Model.CrossZoneMs
 	switch {
 	case from.Role == netfault.Client || to.Role == netfault.Client || from.Role == netfault.Discovery || to.Role == netfault.Discovery:
-		return 0 // they run on the machine of the agent
+		return 0 // clients and discovery are on the machine of the agent
 	case from.Role == netfault.Agent && to.Role == netfault.Agent:
 		latencyMs = l.Scenario.Model.PeerMs
 	case l.zone(from) == l.zone(to): // also between members of a fleet
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Usage is the resource usage of processes.
+// Usage is the resource usage of one or more processes. RSS, in MB, and FDs are maxima; CPU is a sum, in processor seconds.
 type Usage struct {
 	RSS  float64 `json:"rss_mb_max"`
 	FDs  int     `json:"fds_max"`
@@ -81,7 +81,7 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
-	const ticksPerSecond = 100 // of the kernel's clock on Linux
+	const ticksPerSecond = 100 // unit of the processor times in /proc/<pid>/stat on Linux
 	if len(f) > 12 {
 		user, _ := strconv.ParseFloat(f[11], 64)
 		system, _ := strconv.ParseFloat(f[12], 64)
--- a/internal/lab/verdict_test.go
+++ b/internal/lab/verdict_test.go
@@ -1,6 +1,6 @@
 package lab
 
-// The lab finds the violations of broken agents, and none by real agents.
+// The lab finds the violations of broken agents, and finds none of real agents.
 
 import (
 	"bytes"
@@ -49,7 +49,7 @@
 				t.Errorf("violations by rule: %v, want one of %s", r.Rules.ByRule, c.rule)
 			}
 			if c.mode == "reads-and-closes" && r.Rules.ByRule[check.RuleDuplicate] > 0 {
-				t.Errorf("the client resent a request that the agent had read; violations by rule: %v", r.Rules.ByRule)
+				t.Errorf("the client resent a request that the agent had read, want no duplicate; violations by rule: %v", r.Rules.ByRule)
 			}
 			if c.mode == "repeats-in-pod" && r.Attempts <= 1 {
 				t.Errorf("%v attempts per request, want more than 1", r.Attempts)
@@ -82,7 +82,7 @@
 				if r.Rules.History != nil {
 					WriteHistory(&history, r.Rules.History)
 				}
-				t.Errorf("verdict %s; first violation: %+v, crash: %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
+				t.Errorf("verdict %s, want kept; first violation: %+v, crash: %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
 			}
 			if r.ServedInObjective == 0 {
 				t.Error("no request was served within its latency objective")
@@ -116,7 +116,7 @@
 		l.mu.Lock()
 		for _, a := range l.attempts {
 			if took := a.arrivedAt - sent; took > busy/2 {
-				t.Errorf("the attempt counts as arrived %v after it was sent, though only the lab was late", took)
+				t.Errorf("the attempt counts as arrived %v after it was sent, want less than half of the lab's delay", took)
 			}
 		}
 		arrived := len(l.attempts) > 0
@@ -125,7 +125,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the attempt did not arrive")
+			t.Fatal("the attempt did not arrive at the lab within testTimeout")
 		}
 	}
 }
