--- a/internal/lab/fakeagent_test.go
+++ b/internal/lab/fakeagent_test.go
@@ -242,7 +242,7 @@
 	case a.mode == "hangs-up" && faulty:
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
-		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
+		_ = http.NewResponseController(w).Flush() // on an error, the client detects the end of the connection
 		panic(http.ErrAbortHandler)
 	case a.mode == "never-answers" && faulty:
 		<-r.Context().Done()
@@ -257,7 +257,7 @@
 	case a.mode == "dies" && n == 20: // in the middle of an answer
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "served "+id)
-		_ = http.NewResponseController(w).Flush() // on an error the client sees the end of the connection
+		_ = http.NewResponseController(w).Flush() // on an error, the client detects the end of the connection
 		os.Exit(7)
 	case a.mode == "hoards" && n == 20:
 		retained = bytes.Repeat([]byte{1}, 256<<20)
--- a/internal/lab/fakehub_test.go
+++ b/internal/lab/fakehub_test.go
@@ -69,7 +69,7 @@
 }
 
 // applySettings polls other processes for the versions of their settings, applies the highest and logs it. mergeOwn
-// returns the higher of a version and the highest version of the hub's own file; it is nil for an agent.
+// returns the higher of a version and the highest version of the hub's own file; mergeOwn is nil for an agent.
 func applySettings(mode, listen, state string, others []string, mergeOwn func(v int64) int64) {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("who", mode) // real agents log their name under this key
 	versionFile := filepath.Join(state, "version")
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// fleetAddr returns the fleet address on which agent n listens. fleetLink returns the address at which others reach it.
+// fleetAddr returns the fleet address on which agent n listens. fleetLink returns the address at which others reach the agent.
 func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
 func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -38,7 +38,7 @@
 	return list
 }
 
-// hubAddr returns the fleet address on which hub n listens. hubLink returns the address at which others reach it.
+// hubAddr returns the fleet address on which hub n listens. hubLink returns the address at which others reach the hub.
 func (l *Lab) hubAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.hubAddr(n), fleetPort) }
 func (l *Lab) hubLink(n int) string { return fmt.Sprintf("%s:%d", l.block.hubLinkAddr(n), fleetPort) }
 
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -11,8 +11,8 @@
 const maxDatagramBytes = 2048
 
 // openRelays starts the relays of datagrams between agents. Agents send a datagram for agent k to the relay of k. The relay
-// identifies the sender by its address, and k receives the datagram from the sender's relay. So every agent sees a peer at the
-// same address.
+// identifies the sender by its address, and k receives the datagram from the sender's relay. So all agents have the same
+// address for a peer.
 func (l *Lab) openRelays() error {
 	for _, a := range l.agents {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.linkAddr(a.number))})
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -231,8 +231,8 @@
 }
 
 // maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could
-// receive it, from the publication of the version until the agent applied it. It also reports whether the agent could reach such
-// a hub at the end of this time.
+// receive it, from the publication of the version until the agent applied it. It also reports whether the agent could reach a
+// hub with the version, or one that could receive it, at the end of this time.
 func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, appliedAt, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
 	if appliedAt >= 0 {
 		end = min(end, appliedAt)
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -21,6 +21,7 @@
 )
 
 // New prepares a run: it checks the machine's limit on descriptors, claims a block of addresses and opens the sockets of the lab.
+// It starts no process.
 func New(o Options) (*Lab, error) {
 	s := o.Scenario
 	if err := checkDescriptors(s); err != nil {
--- a/internal/lab/verdict_test.go
+++ b/internal/lab/verdict_test.go
@@ -131,7 +131,7 @@
 }
 
 // The report shows that an agent keeps sending to a zone that it cannot reach: the lab counts queued attempts and connections that
-// cannot be established. Without a fault that makes a zone unreachable, the report has no such figure.
+// cannot be established. Without a fault that makes a zone unreachable, the report has no time until a zone was avoided.
 func TestUnavoidedZoneIsReported(t *testing.T) {
 	const cut = "[[fault]]\nat = \"500ms\"\nfor = \"2s\"\nwhat = \"zone-cut\"\nwho = \"zone zone=1\"\n"
 	if r := runScenario(t, options(t, "honest", smallScenario+cut)); r.AvoidedAfter == nil || *r.AvoidedAfter >= 0 {
