--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -12,7 +12,7 @@
 	"martenbeam/internal/lab/rng"
 )
 
-// arrival is the next request of an agent's clients.
+// arrival is the time of the next request of an agent's clients.
 type arrival struct {
 	at    time.Duration
 	agent *agent
@@ -40,7 +40,8 @@
 	return d
 }
 
-// distributeLoad draws the request rate of each agent.
+// distributeLoad draws the request rate of each agent, so that the rates sum up to the rate of the scenario, and creates the
+// random streams of the agent's clients.
 func (l *Lab) distributeLoad() {
 	r, sum := l.rng.Stream("weights"), 0.0
 	for _, a := range l.agents {
@@ -71,7 +72,8 @@
 	return f
 }
 
-// nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms.
+// nextArrival draws the time of the next request from a Poisson process whose rate follows the load in steps of 10 ms. A time at
+// or after the end of the run means that the agent's clients send no further request.
 func (l *Lab) nextArrival(a *agent, at time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	remaining := a.arrivalRandom.ExpFloat64()
@@ -100,8 +102,8 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for len(h) > 0 {
-		d := h[0]
-		if wait := d.at - l.now(); wait > 0 {
+		next := h[0]
+		if wait := next.at - l.now(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -110,13 +112,13 @@
 			}
 			continue
 		}
-		p := l.newRequest(d.agent, d.at)
+		req := l.newRequest(next.agent, next.at)
 		l.mu.Lock()
-		l.recordLateness(l.now() - d.at)
-		d.agent.openRequests++
+		l.recordLateness(l.now() - next.at)
+		next.agent.openRequests++
 		l.mu.Unlock()
-		l.running.Go(func() { l.runRequest(p) })
-		if h[0].at = l.nextArrival(d.agent, d.at); h[0].at >= l.Scenario.Duration.Duration() {
+		l.running.Go(func() { l.runRequest(req) })
+		if h[0].at = l.nextArrival(next.agent, next.at); h[0].at >= l.Scenario.Duration.Duration() {
 			heap.Pop(&h)
 		} else {
 			heap.Fix(&h, 0)
--- a/internal/lab/backendfaults.go
+++ b/internal/lab/backendfaults.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// failZonePower ends the hub, the agents and the backends of a zone at once, and restarts them together without their previous
-// state. Lab.mu is held.
+// failZonePower kills the hubs and the agents of a zone and makes its backends unresponsive, all at once. When the fault ends,
+// it restarts all of them without their previous state. Lab.mu is held.
 func (l *Lab) failZonePower(i int, f *scenario.Fault, now time.Duration) {
 	set, _ := scenario.ParseSet(f.Targets)
 	l.loseZone(f, now)
@@ -100,7 +100,7 @@
 	})
 }
 
-// runNoisyNeighbour removes a share of the capacity of backends and restores it, again and again, at random times for each
+// runNoisyNeighbour removes a share of the capacity of backends and restores it, repeatedly and at random times for each
 // backend. Lab.mu is held.
 func (l *Lab) runNoisyNeighbour(i int, f *scenario.Fault, now time.Duration) {
 	end := l.Scenario.Duration.Duration()
@@ -109,17 +109,17 @@
 	}
 	for _, h := range l.pickHosts(i, f.Targets) {
 		r := l.rng.Stream("neighbour/" + h.machine.ID)
-		on := false
+		active := false
 		var toggle func(now time.Duration)
 		toggle = func(now time.Duration) {
-			if on = !on && now < end; on {
+			if active = !active && now < end; active {
 				l.completeJobs(h, h.machine.SetFault(now, 0, f.Size))
 			} else {
 				l.completeJobs(h, h.machine.SetFault(now, 0, 0))
 			}
 			if now < end {
-				span := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
-				l.scheduleAt(min(end, now+span), toggle)
+				delay := time.Duration((0.5 + r.Float64()) * float64(max(f.OnTime.Duration(), 100*time.Millisecond)))
+				l.scheduleAt(min(end, now+delay), toggle)
 			}
 		}
 		l.scheduleAt(now+time.Duration(r.Float64()*float64(f.OnTime.Duration())), toggle)
--- a/internal/lab/fleetlinks.go
+++ b/internal/lab/fleetlinks.go
@@ -66,14 +66,14 @@
 
 // listen opens the link of a process. The process listens on listenIP, and others reach it at linkIP.
 func (f *fleetLinks) listen(p netfault.Endpoint, name, listenIP, linkIP string) error {
-	own, ip := netip.MustParseAddr(listenIP), net.ParseIP(linkIP)
+	processIP, ip := netip.MustParseAddr(listenIP), net.ParseIP(linkIP)
 	u, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip, Port: fleetPort})
 	if err != nil {
 		return err
 	}
 	_ = u.SetReadBuffer(1 << 20) // the system may allow less
-	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(own, fleetPort), udp: u}
-	f.endpoints, f.byProcessAddr[own] = append(f.endpoints, e), e
+	e := &fleetEndpoint{Endpoint: p, name: name, processAddr: netip.AddrPortFrom(processIP, fleetPort), udp: u}
+	f.endpoints, f.byProcessAddr[processIP] = append(f.endpoints, e), e
 	e.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: ip, Port: fleetPort})
 	return err
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// fleetAddr returns the fleet address on which agent n listens. fleetLink returns the address at which others reach it.
+// fleetAddr returns the fleet address on which agent n listens. fleetLink returns the address at which others reach the agent.
 func (l *Lab) fleetAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.agentAddr(n), fleetPort) }
 func (l *Lab) fleetLink(n int) string { return fmt.Sprintf("%s:%d", l.block.linkAddr(n), fleetPort) }
 
@@ -130,8 +130,8 @@
 		f.countBytes(from, to, size)
 		l.mu.Lock()
 		now := l.now()
-		for _, d := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
-			l.scheduleAt(now+d, func(time.Duration) {
+		for _, delay := range l.network.Arrivals(from.Endpoint, to.Endpoint, netfault.UDP, fmt.Sprintf("fleet/%s/%s/%d", from.name, to.name, n)) {
+			l.scheduleAt(now+delay, func(time.Duration) {
 				_, _ = from.udp.WriteToUDPAddrPort(data, to.processAddr) // lost if the receiver has ended
 				f.recordTransit(transitKey{l.zone(from.Endpoint), l.zone(to.Endpoint), int(now / time.Second)}, time.Since(receivedAt))
 			})
@@ -205,7 +205,7 @@
 }
 
 // relayStream relays one TCP connection. During a partition the connection hangs, as if its SYN were lost. If the other process
-// has ended, relayStream resets the connection, since it can no longer refuse it.
+// has ended, relayStream resets the connection, since the lab has already accepted the connection and can no longer refuse it.
 func (f *fleetLinks) relayStream(c *net.TCPConn, from, to *fleetEndpoint) {
 	f.track(c, true)
 	defer f.track(c, false)
@@ -220,20 +220,20 @@
 			return
 		}
 	}
-	d, err := net.DialTimeout("tcp4", to.processAddr.String(), time.Second)
+	out, err := net.DialTimeout("tcp4", to.processAddr.String(), time.Second)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			reset(c)
 		}
 		return
 	}
-	f.track(d, true)
-	defer f.track(d, false)
-	defer d.Close()
+	f.track(out, true)
+	defer f.track(out, false)
+	defer out.Close()
 	var both sync.WaitGroup
 	var ended atomic.Int32 // directions that have ended
-	both.Go(func() { f.copy(d, c, from, to, &ended) })
-	both.Go(func() { f.copy(c, d, to, from, &ended) })
+	both.Go(func() { f.copy(out, c, from, to, &ended) })
+	both.Go(func() { f.copy(c, out, to, from, &ended) })
 	both.Wait()
 }
 
--- a/internal/lab/gate.go
+++ b/internal/lab/gate.go
@@ -16,7 +16,7 @@
 	listener *net.TCPListener
 	wrap     func(net.Conn) net.Conn
 
-	accepting sync.Mutex // held while the listener accepts; a goroutine that needs both locks mu first
+	accepting sync.Mutex // held while the listener accepts; a goroutine that needs both mutexes locks mu first
 
 	mu          sync.Mutex
 	unreachable bool
@@ -58,24 +58,24 @@
 		g.mu.Lock()
 		if err == nil {
 			// An Accept that was in progress when the gate became unreachable may return the filler: fill the queue again.
-			ours := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
-			if ours {
+			isFiller := g.filler != nil && c.RemoteAddr().String() == g.filler.LocalAddr().String()
+			if isFiller {
 				c.Close()
 				g.fillBacklog()
 			}
 			g.mu.Unlock()
-			if ours {
+			if isFiller {
 				continue
 			}
 			return g.wrap(c), nil
 		}
-		opened, closed := g.reachable, g.closed
+		reopened, closed := g.reachable, g.closed
 		g.mu.Unlock()
 		if closed || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if opened != nil {
-			<-opened
+		if reopened != nil {
+			<-reopened
 		}
 	}
 }
@@ -117,7 +117,7 @@
 		g.filler.Close()
 		g.filler = nil
 	}
-	// A real network would not have passed the connections that entered the queue while the gate was unreachable: reset them.
+	// Reset the connections that entered the queue while the gate was unreachable: a real network would have dropped their SYN.
 	_ = g.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
 	for {
 		c, err := g.listener.Accept()
--- a/internal/lab/hubs.go
+++ b/internal/lab/hubs.go
@@ -38,7 +38,7 @@
 	return list
 }
 
-// hubAddr returns the fleet address on which hub n listens. hubLink returns the address at which others reach it.
+// hubAddr returns the fleet address on which hub n listens. hubLink returns the address at which others reach the hub.
 func (l *Lab) hubAddr(n int) string { return fmt.Sprintf("%s:%d", l.block.hubAddr(n), fleetPort) }
 func (l *Lab) hubLink(n int) string { return fmt.Sprintf("%s:%d", l.block.hubLinkAddr(n), fleetPort) }
 
@@ -48,7 +48,8 @@
 func (h *hub) policyFile() string   { return filepath.Join(h.dir, "policy.toml") }
 func (h *hub) settingsFile() string { return filepath.Join(h.dir, "settings.toml") }
 
-// start writes the configuration and starts the process. keep preserves the hub's state of its previous run. Lab.mu is held.
+// start writes the configuration and starts the process. Without keep, it first deletes the hub's state directory. Lab.mu is
+// held.
 func (h *hub) start(_ time.Duration, keep bool) error {
 	l := h.lab
 	h.starts++
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 	}
-	t.Error("the restarted backend is not in the list in state ready")
+	t.Error("the list does not have the restarted backend in state ready with its start time")
 }
 
 // The same seed gives the same arrivals and requests, and the requests of an agent do not depend on how many agents there are.
@@ -50,8 +50,8 @@
 			at := time.Duration(0)
 			for range 50 {
 				at = l.nextArrival(a, at)
-				p := l.newRequest(a, at)
-				got[a.number] = append(got[a.number], fmt.Sprint(p.firstID, p.class, p.tenant, p.sid, p.work, p.idempotencyKey, string(p.body)))
+				req := l.newRequest(a, at)
+				got[a.number] = append(got[a.number], fmt.Sprint(req.firstID, req.class, req.tenant, req.sid, req.work, req.idempotencyKey, string(req.body)))
 			}
 		}
 		return got
@@ -76,7 +76,7 @@
 	}
 	for _, p := range strings.Fields(string(out)) {
 		if strings.HasPrefix(p, "martenbeam/internal/lab") || strings.Contains(p, "/kong") || strings.Contains(p, "hdrhistogram") {
-			t.Errorf("cmd/agent links %s", p)
+			t.Errorf("cmd/agent links %s, want no package of the lab and none of its dependencies", p)
 		}
 	}
 	if !strings.Contains(string(out), "martenbeam/internal/agent") {
--- a/internal/lab/networkfaults.go
+++ b/internal/lab/networkfaults.go
@@ -11,9 +11,8 @@
 	"martenbeam/internal/lab/scenario"
 )
 
-// addNetworkRules adds rules to the network for the duration of a fault. The checker excuses agents that have a fault between
-// them and their clients, and an agent or hub that is cut off from discovery counts as a disruption of discovery. Lab.mu is
-// held.
+// addNetworkRules adds rules to the network for the duration of a fault. It excuses agents from the rules if a fault affects
+// the link to their clients, and records a disruption of discovery if an agent or a hub cannot reach discovery. Lab.mu is held.
 func (l *Lab) addNetworkRules(f *scenario.Fault, now time.Duration, rules ...netfault.Rule) {
 	var numbers []int
 	for _, r := range rules {
@@ -33,8 +32,8 @@
 				break
 			}
 		}
-		disc := endpointOf(netfault.Discovery, a.number)
-		if l.network.Unreachable(agentEnd, disc) {
+		discoveryEnd := endpointOf(netfault.Discovery, a.number)
+		if l.network.Unreachable(agentEnd, discoveryEnd) {
 			l.discovery.disruptedUntil = end
 		}
 	}
@@ -56,7 +55,7 @@
 
 // applyLinkFault applies a fault to the links between two sets of processes. Lab.mu is held.
 func (l *Lab) applyLinkFault(i int, f *scenario.Fault, now time.Duration) {
-	in := func(text string) func(netfault.Endpoint) bool {
+	inSet := func(text string) func(netfault.Endpoint) bool {
 		set, _ := scenario.ParseSet(text)
 		role, n := set.Role(), len(l.agents)
 		switch role {
@@ -76,7 +75,7 @@
 		}
 	}
 	protocols := map[string]netfault.Protocol{"": netfault.TCP | netfault.UDP, "tcp": netfault.TCP, "udp": netfault.UDP}[f.Protocol]
-	r := netfault.Rule{From: in(f.From), To: in(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
+	r := netfault.Rule{From: inSet(f.From), To: inSet(f.To), Protocols: protocols, Fault: netfault.Fault{Cut: f.Cut, Refuse: f.Refuse, Reset: f.Reset,
 		Delay: f.Delay.Duration(), Jitter: f.Jitter.Duration(), LossRate: f.LossRate, DuplicateRate: f.DuplicateRate, ReorderRate: f.ReorderRate}}
 	rules := []netfault.Rule{r}
 	if f.Bidirectional {
@@ -131,10 +130,10 @@
 		return p.Role != netfault.Client && slices.Contains(set.Zones, l.zone(p))
 	}
 	outside := func(p netfault.Endpoint) bool { return p.Role != netfault.Client && !inside(p) }
-	in := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
-	rules := []netfault.Rule{in}
+	incoming := netfault.Rule{From: outside, To: inside, Protocols: netfault.TCP | netfault.UDP, Fault: netfault.Fault{Cut: true}}
+	rules := []netfault.Rule{incoming}
 	if f.Kind == scenario.ZoneCut {
-		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: in.Protocols, Fault: in.Fault})
+		rules = append(rules, netfault.Rule{From: inside, To: outside, Protocols: incoming.Protocols, Fault: incoming.Fault})
 	}
 	l.addNetworkRules(f, now, rules...)
 }
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -31,9 +31,10 @@
 	return Percentiles{at(0.5), at(0.99), at(0.999)}
 }
 
-// recoveryTime returns the seconds from the first fault until the service recovered: after a second below 95% of the service
-// before the fault, three consecutive seconds reached 95% of it again. It returns nil if there is no fault or no full second
-// between the warm-up and the first fault, 0 if no second was below 95%, and -1 if the service did not recover. Lab.mu is held.
+// recoveryTime returns the seconds from the first fault until the service recovered. The service is degraded in a second in
+// which the share served within the objective is below 95% of the share before the fault. It recovers at the first of three
+// consecutive seconds that reach 95% again. recoveryTime returns nil if there is no fault or no full second between the warm-up
+// and the first fault, 0 if no second was degraded, and -1 if the service did not recover. Lab.mu is held.
 func (l *Lab) recoveryTime() *float64 {
 	if len(l.Scenario.Faults) == 0 {
 		return nil
@@ -46,19 +47,19 @@
 	if to <= from {
 		return nil
 	}
-	served := func(a, b int) float64 {
+	servedShare := func(a, b int) float64 {
 		weight, inObjective := 0.0, 0.0
 		for i := a; i < b && i < len(l.tally.Windows); i++ {
 			weight, inObjective = weight+l.tally.Windows[i].Weight, inObjective+l.tally.Windows[i].WeightInObjective
 		}
 		return share(inObjective, weight)
 	}
-	before, recovery := served(from, to), -1.0
+	before, recovery := servedShare(from, to), -1.0
 	degraded := false
 	for i := to; i+3 <= len(l.tally.Windows); i++ {
-		if served(i, i+1) < 0.95*before {
+		if servedShare(i, i+1) < 0.95*before {
 			degraded = true
-		} else if degraded && served(i+1, i+2) >= 0.95*before && served(i+2, i+3) >= 0.95*before {
+		} else if degraded && servedShare(i+1, i+2) >= 0.95*before && servedShare(i+2, i+3) >= 0.95*before {
 			after := float64(i) - first.Seconds()
 			return &after
 		}
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -11,8 +11,8 @@
 const maxDatagramBytes = 2048
 
 // openRelays starts the relays of datagrams between agents. Agents send a datagram for agent k to the relay of k. The relay
-// identifies the sender by its address, and k receives the datagram from the sender's relay. So every agent sees a peer at the
-// same address.
+// identifies the sender by its address, and k receives the datagram from the sender's relay. So all agents have the same
+// address for a peer.
 func (l *Lab) openRelays() error {
 	for _, a := range l.agents {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(l.block.linkAddr(a.number))})
@@ -53,8 +53,8 @@
 		l.mu.Lock()
 		now := l.now()
 		l.datagrams++
-		for _, d := range l.network.Arrivals(endpointOf(netfault.Agent, from.number), endpointOf(netfault.Agent, to.number), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.number, to.number, n)) {
-			l.scheduleAt(now+d, func(time.Duration) {
+		for _, delay := range l.network.Arrivals(endpointOf(netfault.Agent, from.number), endpointOf(netfault.Agent, to.number), netfault.UDP, fmt.Sprintf("%d/%d/%d", from.number, to.number, n)) {
+			l.scheduleAt(now+delay, func(time.Duration) {
 				_, _ = from.relay.WriteToUDP(data, target) // lost if the receiver has ended
 			})
 		}
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -54,14 +54,14 @@
 	if len(hubs) == 0 {
 		return errors.New("settings are published to hubs, but none of these hubs is a source")
 	}
-	g := publishedVersion{publishedAt: now, version: head.Version}
+	published := publishedVersion{publishedAt: now, version: head.Version}
 	for _, h := range hubs {
 		if err := replaceFile(h.settingsFile(), text); err != nil {
 			return err
 		}
-		g.hubs = append(g.hubs, h.number)
+		published.hubs = append(published.hubs, h.number)
 	}
-	l.publishedSettings = append(l.publishedSettings, g)
+	l.publishedSettings = append(l.publishedSettings, published)
 	return nil
 }
 
@@ -78,7 +78,7 @@
 
 // appliedVersion is a log line of a process that has applied a version.
 type appliedVersion struct {
-	at      time.Duration // of the run
+	at      time.Duration // time of the run
 	version int64
 }
 
@@ -98,8 +98,8 @@
 		}
 		at, err := time.Parse(time.RFC3339, strings.TrimPrefix(words[0], "time="))
 		for _, w := range words[3:] {
-			text, is := strings.CutPrefix(w, "version=")
-			if version, err2 := strconv.ParseInt(text, 10, 64); is && err == nil && err2 == nil { // a kill may have truncated the line
+			text, found := strings.CutPrefix(w, "version=")
+			if version, versionErr := strconv.ParseInt(text, 10, 64); found && err == nil && versionErr == nil { // a kill may have truncated the line
 				list = append(list, appliedVersion{at.Sub(l.wallTime(0)), version})
 			}
 		}
@@ -111,9 +111,9 @@
 type SettingsReport struct {
 	Published    int     `json:"given"`         // versions
 	SpreadTime   float64 `json:"after_s"`       // longest time from publishing a version until the last agent applied it
-	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent was up and could reach a hub that had a version or could have it, before the agent applied the version
+	UnservedTime float64 `json:"reached_s"`     // longest time for which an agent was up and could reach a hub that had a version or could receive it, before the agent applied the version
 	PastBound    int     `json:"past_bound"`    // versions and agents for which this time exceeded the bound
-	Lagging      int     `json:"behind_at_end"` // agents that do not have the latest version at the end, though they can reach a hub that has it or could have it
+	Lagging      int     `json:"behind_at_end"` // agents that do not have the latest version at the end, though they can reach a hub that has it or could receive it
 	Regressions  int     `json:"went_back"`     // lower versions applied after higher ones
 	First        string  `json:"first,omitempty"`
 }
@@ -180,16 +180,16 @@
 	}
 	end := l.now()
 	bound := l.Scenario.Shared.SettingsBound.Duration()
-	for i, g := range l.publishedSettings {
+	for i, published := range l.publishedSettings {
 		for a, list := range agents {
-			appliedAt := firstApplied(list, g.version)
+			appliedAt := firstApplied(list, published.version)
 			if appliedAt >= 0 {
-				r.SpreadTime = max(r.SpreadTime, (appliedAt - g.publishedAt).Seconds())
+				r.SpreadTime = max(r.SpreadTime, (appliedAt - published.publishedAt).Seconds())
 			}
-			unserved, reached := l.maxUnservedTime(&g, a, appliedAt, end, hubs)
+			unserved, reached := l.maxUnservedTime(&published, a, appliedAt, end, hubs)
 			if r.UnservedTime = max(r.UnservedTime, unserved.Seconds()); unserved > bound+ageSlack {
 				r.PastBound++
-				recordFirst("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, g.version, g.publishedAt, unserved, bound)
+				recordFirst("agent %d did not have settings %d, given at %v, though it could reach a hub for %v, bound %v", a, published.version, published.publishedAt, unserved, bound)
 			}
 			if reached && appliedAt < 0 && i == len(l.publishedSettings)-1 {
 				r.Lagging++
@@ -199,7 +199,7 @@
 	return r
 }
 
-// firstApplied returns when a version or a later one was first applied; a negative time if neither was.
+// firstApplied returns the time at which a version or a later one was first applied, or a negative time if none was applied.
 func firstApplied(list []appliedVersion, version int64) time.Duration {
 	for _, x := range list {
 		if x.version >= version {
@@ -230,9 +230,9 @@
 	return changes
 }
 
-// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could have
-// it, from the publication of the version until the agent applied it. It also reports whether the agent could reach such a hub
-// at the end of this time.
+// maxUnservedTime returns the longest uninterrupted time for which an agent could reach a hub that had a version or could
+// receive it, from the publication of the version until the agent applied it. It also reports whether the agent could reach a
+// hub with the version, or one that could receive it, at the end of this time.
 func (l *Lab) maxUnservedTime(published *publishedVersion, agent int, appliedAt, end time.Duration, hubs [][]appliedVersion) (longest time.Duration, reached bool) {
 	if appliedAt >= 0 {
 		end = min(end, appliedAt)
@@ -242,20 +242,20 @@
 		has[h] = true
 	}
 	changes := l.availabilityChanges(published, hubs)
-	reachedSince, now := time.Duration(-1), 0
+	reachedSince, current := time.Duration(-1), 0
 	for i, change := range changes {
 		if change.hub >= 0 {
 			has[change.hub] = true
 		}
-		for now+1 < len(l.reachability) && l.reachability[now+1].at <= change.at {
-			now++
+		for current+1 < len(l.reachability) && l.reachability[current+1].at <= change.at {
+			current++
 		}
 		inRange := change.at >= published.publishedAt && change.at < end
 		lastOfItsTime := i+1 == len(changes) || changes[i+1].at != change.at
 		if !inRange || !lastOfItsTime || len(l.reachability) == 0 {
 			continue
 		}
-		state := &l.reachability[now]
+		state := &l.reachability[current]
 		if reached = state.agentReaches(agent, state.hubsReachableFrom(has)); !reached {
 			reachedSince = -1
 			continue
--- a/internal/lab/verdict_test.go
+++ b/internal/lab/verdict_test.go
@@ -1,6 +1,6 @@
 package lab
 
-// The lab finds the violations of broken agents, and none by real agents.
+// The lab finds the violations of broken agents, and finds none of real agents.
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 func TestCheckersFindBrokenAgents(t *testing.T) {
 	const drains = "\n[[fault]]\nat = \"300ms\"\nwhat = \"drain\"\nwho = \"backends share=0.5\"\n"
 	const replaces = "\n[[fault]]\nat = \"200ms\"\nwhat = \"replace\"\nwho = \"backends n=0\"\n"
-	const holdsUp = "\n[[fault]]\nat = \"500ms\"\nfor = \"200ms\"\nwhat = \"link\"\nfrom = \"backends\"\nto = \"agents\"\ncut = true\n"
-	rushed := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
+	const partition = "\n[[fault]]\nat = \"500ms\"\nfor = \"200ms\"\nwhat = \"link\"\nfrom = \"backends\"\nto = \"agents\"\ncut = true\n"
+	overloaded := strings.Replace(strings.Replace(smallScenario, "rate = 60", "rate = 150", 1), "of = 0.05", "of = 0.7", 1) + replaces
 	for _, c := range []struct{ mode, text, verdict, rule string }{
 		{"honest", smallScenario, Passed, ""},
-		{"probes", smallScenario + holdsUp, Passed, ""}, // a response that a partition delays arrives once
+		{"probes", smallScenario + partition, Passed, ""}, // a response that a partition delays arrives once
 		{"repeats-in-pod", smallScenario, Passed, ""},
 		{"sends-twice", smallScenario, Violated, check.RuleDuplicate},
 		{"refuses-what-ran", smallScenario, Violated, check.RuleDuplicate},
@@ -35,7 +35,7 @@
 		{"invents", smallScenario, Violated, check.RuleUnknown},
 		{"rewrites", smallScenario, Violated, check.RuleUnknown},
 		{"ignores-lists", smallScenario + drains, Violated, check.RuleDrain},
-		{"rushes-the-newest", rushed, Violated, check.RuleSlowStart},
+		{"rushes-the-newest", overloaded, Violated, check.RuleSlowStart},
 		{"dies", smallScenario, Crashed, ""},
 		{"hoards", smallScenario, Crashed, ""},
 	} {
@@ -49,7 +49,7 @@
 				t.Errorf("violations by rule: %v, want one of %s", r.Rules.ByRule, c.rule)
 			}
 			if c.mode == "reads-and-closes" && r.Rules.ByRule[check.RuleDuplicate] > 0 {
-				t.Errorf("the client resent a request that the agent had read; violations by rule: %v", r.Rules.ByRule)
+				t.Errorf("the client resent a request that the agent had read, want no duplicate; violations by rule: %v", r.Rules.ByRule)
 			}
 			if c.mode == "repeats-in-pod" && r.Attempts <= 1 {
 				t.Errorf("%v attempts per request, want more than 1", r.Attempts)
@@ -82,7 +82,7 @@
 				if r.Rules.History != nil {
 					WriteHistory(&history, r.Rules.History)
 				}
-				t.Errorf("verdict %s; first violation: %+v, crash: %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
+				t.Errorf("verdict %s, want kept; first violation: %+v, crash: %s\n%s", r.Verdict, r.Rules.First, r.Crash, history.String())
 			}
 			if r.ServedInObjective == 0 {
 				t.Error("no request was served within its latency objective")
@@ -116,22 +116,22 @@
 		l.mu.Lock()
 		for _, a := range l.attempts {
 			if took := a.arrivedAt - sent; took > busy/2 {
-				t.Errorf("the attempt counts as arrived %v after it was sent, though only the lab was late", took)
+				t.Errorf("the attempt counts as arrived %v after it was sent, want less than half of the lab's delay", took)
 			}
 		}
-		seen := len(l.attempts) > 0
+		arrived := len(l.attempts) > 0
 		l.mu.Unlock()
-		if seen {
+		if arrived {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the attempt did not arrive")
+			t.Fatal("the attempt did not arrive at the lab within testTimeout")
 		}
 	}
 }
 
 // The report shows that an agent keeps sending to a zone that it cannot reach: the lab counts queued attempts and connections that
-// cannot be established. Without a fault that makes a zone unreachable, the report has no such figure.
+// cannot be established. Without a fault that makes a zone unreachable, the report has no time until a zone was avoided.
 func TestUnavoidedZoneIsReported(t *testing.T) {
 	const cut = "[[fault]]\nat = \"500ms\"\nfor = \"2s\"\nwhat = \"zone-cut\"\nwho = \"zone zone=1\"\n"
 	if r := runScenario(t, options(t, "honest", smallScenario+cut)); r.AvoidedAfter == nil || *r.AvoidedAfter >= 0 {
