--- a/internal/fleet/dead.go
+++ b/internal/fleet/dead.go
@@ -33,11 +33,11 @@
 		}
 		failed := f.members.FailedToCheck(deadCheckers)
 		dead := make([]bool, len(failed))
-		var calls sync.WaitGroup
+		var checks sync.WaitGroup
 		for i, m := range failed {
-			calls.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
+			checks.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
 		}
-		calls.Wait()
+		checks.Wait()
 		var names []string
 		for i, m := range failed {
 			if dead[i] && !m.Hub { // a hub has no quota that others could use
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -72,19 +72,19 @@
 
 // documentPeers returns the members from which to request a document, with the publisher of its version first.
 func (f *Fleet) documentPeers(publisher string) documents.Sources {
-	peers, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
+	sources, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
 	if m, found := view.ByName(publisher); found {
-		peers.Addrs = append(peers.Addrs, m.Addr.String())
+		sources.Addrs = append(sources.Addrs, m.Addr.String())
 	}
 	for m := range view.All() {
-		if len(peers.Addrs) == maxDocumentPeers {
+		if len(sources.Addrs) == maxDocumentPeers {
 			break
 		}
 		if m.Name != f.cfg.Name {
-			peers.Addrs = append(peers.Addrs, m.Addr.String())
+			sources.Addrs = append(sources.Addrs, m.Addr.String())
 		}
 	}
-	return peers
+	return sources
 }
 
 // serveDocument serves a request for a document. It reports false if the request is for another path.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -120,10 +120,10 @@
 	}
 	f := &Fleet{cfg: cfg, documents: cfg.sharedDocuments(), callbacks: callbacks, zones: zones, changed: make(chan struct{}, 1),
 		startedAt: cmp.Or(cfg.StartedAt, time.Now()), quota: -1}
-	processNumber := cfg.Incarnations.Next()
-	f.store = gossip.New(cfg.Name, processNumber, cfg.AgeBounds, f.traceUse)
+	incarnationNumber := cfg.Incarnations.Next()
+	f.store = gossip.New(cfg.Name, incarnationNumber, cfg.AgeBounds, f.traceUse)
 	f.relay = newRelay(f)
-	if f.members, err = member.New(f.memberConfig(listen, advertise, processNumber)); err != nil {
+	if f.members, err = member.New(f.memberConfig(listen, advertise, incarnationNumber)); err != nil {
 		return nil, err
 	}
 	f.prober = latency.New(latency.Config{Name: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.members.View,
@@ -148,12 +148,12 @@
 
 // memberConfig returns the configuration of the member list, which passes what it receives on to the parts of the fleet. The
 // prober is made after the list, but before the list runs and calls it.
-func (f *Fleet) memberConfig(listen, advertise netip.AddrPort, processNumber uint64) member.Config {
+func (f *Fleet) memberConfig(listen, advertise netip.AddrPort, incarnationNumber uint64) member.Config {
 	cfg := &f.cfg
 	return member.Config{
 		Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label,
 		MaxMembers: cfg.MaxMembers, AwaitAddress: cfg.AwaitAddress, Log: cfg.Log, Listener: cfg.Listener, Wire: cfg.Wire,
-		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: processNumber, Hub: cfg.Hub},
+		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: incarnationNumber, Hub: cfg.Hub},
 
 		Merge:       f.mergeGossip,
 		NextMessage: f.nextGossip,
@@ -216,10 +216,10 @@
 // Ready publishes that this process has an endpoint list and serves. Calls after the first have no effect.
 func (f *Fleet) Ready() {
 	f.mu.Lock()
-	before := f.ready
+	wasReady := f.ready
 	f.ready = true
 	f.mu.Unlock()
-	if !before {
+	if !wasReady {
 		f.members.SetPhase(member.Serving)
 		f.cfg.Log.Info("start", "step", "serving", "members", f.members.View().Len(), "took", time.Since(f.startedAt))
 	}
@@ -235,7 +235,7 @@
 	rowExpiry := time.NewTimer(0) // fires when a latency row expires, so that the matrix is rebuilt without the row before the next tick
 	defer rowExpiry.Stop()
 	for n := 0; ; n++ {
-		due := n%2 == 0
+		latenciesDue := n%2 == 0
 		select {
 		case <-ctx.Done():
 			return
@@ -244,11 +244,11 @@
 		case <-f.changed:
 		case <-tick.C:
 		case <-rowExpiry.C:
-			due = true
+			latenciesDue = true
 		}
 		f.store.Tick()
 		f.recomputeQuota()
-		if f.cfg.MeasureLatency && due {
+		if f.cfg.MeasureLatency && latenciesDue {
 			f.publishLatencies()
 			_, until := f.store.Changes(gossip.LatencyRow)
 			rowExpiry.Reset(max(time.Millisecond, time.Until(until)))
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -53,10 +53,10 @@
 	}
 	cfg.Log, cfg.ListRate = slog.New(slog.NewTextHandler(process, nil)), 50
 	var err error
-	if process.Fleet, err = New(cfg, zones, Callbacks{Quota: func(p float64) {
+	if process.Fleet, err = New(cfg, zones, Callbacks{Quota: func(quota float64) {
 		process.mu.Lock()
 		defer process.mu.Unlock()
-		process.quotas = append(process.quotas, p)
+		process.quotas = append(process.quotas, quota)
 	}}); err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 }
 
 // waitFor waits until a condition holds, and fails the test after waitTimeout.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timeout waiting for %s", what)
+			t.Fatalf("timeout waiting for %s", condition)
 		}
 	}
 }
--- a/internal/fleet/gossip/age_test.go
+++ b/internal/fleet/gossip/age_test.go
@@ -52,7 +52,7 @@
 func simulate(steps []simStep) string {
 	sim := &simulation{sentBefore: map[[2]int]bool{}, publishedAt: map[string]time.Time{}}
 	for i := range simStores {
-		sim.stores[i] = New(fmt.Sprint("p", i), 1, shortBounds, sim.observe)
+		sim.stores[i] = New(fmt.Sprint("p", i), 1, shortBounds, sim.checkUse)
 	}
 	for k, s := range steps {
 		time.Sleep(time.Duration(s.delay/20) * time.Millisecond)
@@ -76,19 +76,19 @@
 	return sim.failure
 }
 
-// observe checks the age of each entry that a store uses.
-func (sim *simulation) observe(u Use) {
+// checkUse checks the age of each entry that a store uses.
+func (sim *simulation) checkUse(u Use) {
 	const n = simStores
-	name := func(f Entry) string { return fmt.Sprint(f.Kind, f.Subject, f.Observer, f.Seq) }
+	entryID := func(e Entry) string { return fmt.Sprint(e.Kind, e.Subject, e.Observer, e.Seq) }
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if u.Published {
-		if _, known := sim.publishedAt[name(u.Entry)]; !known {
-			sim.publishedAt[name(u.Entry)] = time.Now()
+		if _, known := sim.publishedAt[entryID(u.Entry)]; !known {
+			sim.publishedAt[entryID(u.Entry)] = time.Now()
 		}
 		return
 	}
-	age := time.Since(sim.publishedAt[name(u.Entry)])
+	age := time.Since(sim.publishedAt[entryID(u.Entry)])
 	if u.AgeAtUse > shortBounds[u.Kind] || u.AgeAtUse < age-n*minTransit || age > shortBounds[u.Kind]+n*minTransit {
 		sim.failure = fmt.Sprintf("entry of kind %v: actual age %v, age at use %v, bound %v",
 			u.Kind, age, u.AgeAtUse, shortBounds[u.Kind])
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -65,8 +65,8 @@
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
 		decodes, errDecode := 0, fmt.Errorf("decoding failed")
 		for i, step := range []struct {
-			body                 string
-			wantDecodes, changes int
+			body                     string
+			wantDecodes, wantChanges int
 		}{{"x", 1, 1}, {"x", 1, 1}, {"y", 2, 2}, {"y", 2, 2}, {"x", 3, 3}} {
 			time.Sleep(TickInterval)
 			a.Tick()
@@ -76,13 +76,13 @@
 				t.Fatal(err)
 			}
 			for range 3 {
-				for _, f := range b.Entries(ListServiceLoad) {
-					if v, err := DecodeBody(f, func(body []byte) (string, error) { decodes++; return string(body), errDecode }); v != step.body || err != errDecode {
+				for _, entry := range b.Entries(ListServiceLoad) {
+					if v, err := DecodeBody(entry, func(body []byte) (string, error) { decodes++; return string(body), errDecode }); v != step.body || err != errDecode {
 						t.Errorf("step %d: got body %q, error %v", i, v, err)
 					}
 				}
 			}
-			if n, until := b.Changes(ListServiceLoad); decodes != step.wantDecodes || int(n) != step.changes || !until.After(time.Now()) {
+			if n, until := b.Changes(ListServiceLoad); decodes != step.wantDecodes || int(n) != step.wantChanges || !until.After(time.Now()) {
 				t.Errorf("step %d: decoded %d times, got %d changes", i, decodes, n)
 			}
 		}
@@ -160,8 +160,8 @@
 			for kind := range bounds {
 				for _, s := range stores {
 					fresh := 0
-					for _, f := range s.Entries(kind) {
-						if f.Age <= 2*time.Second {
+					for _, entry := range s.Entries(kind) {
+						if entry.Age <= 2*time.Second {
 							fresh++
 						}
 					}
@@ -252,11 +252,11 @@
 		if err != nil {
 			return
 		}
-		again, err := EncodeMessage(m)
+		reencoded, err := EncodeMessage(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := DecodeMessage(again); err != nil {
+		if _, err := DecodeMessage(reencoded); err != nil {
 			t.Fatal(err)
 		}
 		b := New("b", 1, shortBounds, nil)
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -202,19 +202,19 @@
 			network := newTestNetwork(ctx, map[string]int{"a": n / 3, "b": n / 3, "c": n / 3}, uniformDelay)
 			defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
 			time.Sleep(10 * time.Second)
-			sum, maxBytes, probes := 0, 0, 0
+			totalBytes, maxBytes, probes := 0, 0, 0
 			network.withLock(func() {
 				for _, b := range network.bytes {
-					sum, maxBytes = sum+b, max(maxBytes, b)
+					totalBytes, maxBytes = totalBytes+b, max(maxBytes, b)
 				}
 			})
 			for _, p := range network.probers {
 				p.mu.Lock()
-				probes += p.sent
+				probes += p.probesSent
 				p.mu.Unlock()
 			}
 			t.Logf("%d members: mean %.0f B/s, maximum %d B/s, %.1f probes/s per pair",
-				n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
+				n, float64(totalBytes)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
 				t.Errorf("%.1f probes per second for a pair of sites", rate)
 			}
@@ -227,24 +227,24 @@
 	view := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}},
 		member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
-	one := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
+	entryToB := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
 	for name, c := range map[string]struct {
-		f    gossip.Entry
-		want int
+		entry gossip.Entry
+		want  int
 	}{
-		"valid":                    {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 1},
-		"observer of another site": {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 0},
-		"not a member":             {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{one}})}, 0},
-		"duplicate entry":          {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one, one}})}, 1},
+		"valid":                    {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{entryToB}})}, 1},
+		"observer of another site": {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{entryToB}})}, 0},
+		"not a member":             {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{entryToB}})}, 0},
+		"duplicate entry":          {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{entryToB, entryToB}})}, 1},
 		"no site":                  {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{RTTMicros: 1, Count: 1}}})}, 0},
 		"loss over 100":            {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", LossPercent: 200}}})}, 0},
 		"round trip of 60 s":       {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", RTTMicros: 60e6, Count: 1}}})}, 0},
 		"malformed CBOR":           {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
-		if got := NewMatrix([]gossip.Entry{c.f}, view); len(got) != c.want {
+		if got := NewMatrix([]gossip.Entry{c.entry}, view); len(got) != c.want {
 			t.Errorf("%s: got matrix %v", name, got)
 		}
-		if e, known := NewMatrix([]gossip.Entry{c.f}, view).Between("b", "a"); known && e.Observers != 1 {
+		if e, known := NewMatrix([]gossip.Entry{c.entry}, view).Between("b", "a"); known && e.Observers != 1 {
 			t.Errorf("%s: %d observers", name, e.Observers)
 		}
 	}
--- a/internal/fleet/latency/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -53,11 +53,11 @@
 	cfg       Config
 	labelHash uint64
 
-	mu        sync.Mutex              // protects the next four
-	pending   map[uint64]pendingProbe // by nonce
-	samples   map[string][]sample     // by site, oldest first
-	malformed int                     // datagrams that were malformed, of another fleet, or no reply to a pending probe
-	sent      int                     // probes
+	mu                sync.Mutex              // protects the next four
+	pending           map[uint64]pendingProbe // by nonce
+	samples           map[string][]sample     // by site, oldest first
+	rejectedDatagrams int                     // datagrams that were malformed, of another fleet, or no reply to a pending probe
+	probesSent        int                     // since the start
 
 	// The plan, used by Run alone.
 	planView      *member.View     // the view for which it was made
@@ -91,7 +91,7 @@
 	d, err := decodeDatagram(data)
 	if err != nil || d.label != p.labelHash {
 		p.mu.Lock()
-		p.malformed++
+		p.rejectedDatagrams++
 		p.mu.Unlock()
 		return
 	}
@@ -105,7 +105,7 @@
 	defer p.mu.Unlock()
 	probe, ok := p.pending[d.nonce]
 	if !ok || probe.to != from {
-		p.malformed++ // the reply came too late or is forged
+		p.rejectedDatagrams++ // the reply came too late or is forged
 		return
 	}
 	delete(p.pending, d.nonce)
@@ -192,7 +192,7 @@
 	if err != nil {
 		sentAt = time.Now() // the probe will count as lost
 	}
-	p.sent++
+	p.probesSent++
 	p.pending[d.nonce] = pendingProbe{m.Site, m.Addr, sentAt}
 }
 
--- a/internal/fleet/latency/row.go
+++ b/internal/fleet/latency/row.go
@@ -71,16 +71,16 @@
 	if err != nil {
 		return nil, err
 	}
-	row := map[string]Estimate{}
+	estimates := map[string]Estimate{}
 	for _, e := range decoded.Entries {
 		estimate := Estimate{Loss: float64(e.LossPercent) / 100}
 		if e.Count > 0 {
 			estimate.RTT = time.Duration(e.RTTMicros) * time.Microsecond
 			estimate.Jitter = time.Duration(e.JitterMicros) * time.Microsecond
 		}
-		row[e.Site] = estimate
+		estimates[e.Site] = estimate
 	}
-	return row, nil
+	return estimates, nil
 }
 
 // Row returns the estimates from one site to the others in the form of a latency row, and the age of the oldest row from
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -35,7 +35,7 @@
 			body, _ := cbor.Marshal(map[int][]entry{1: {{"b", us, 3}}})
 			return body
 		}
-		for i, step := range []struct{ us, builds, pairs int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
+		for i, step := range []struct{ us, wantBuilds, wantPairs int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
 			if step.us > 0 {
 				f.store.Publish(gossip.LatencyRow, "a", row(step.us))
 			}
@@ -54,7 +54,7 @@
 					t.Errorf("step %d: traced %d uses of a matrix of %d pairs", i, uses, len(f.matrix))
 				}
 			}
-			if f.matrixBuilds != step.builds || len(f.matrix) != step.pairs {
+			if f.matrixBuilds != step.wantBuilds || len(f.matrix) != step.wantPairs {
 				t.Errorf("step %d: built %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
 			}
 		}
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -25,18 +25,18 @@
 // relayMembers returns the agents of this site that relay the list: the first ones in rendezvous order. Members with the
 // same view choose the same ones.
 func (f *Fleet) relayMembers() (list []member.Member) {
-	site := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()),
+	candidates := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()),
 		func(m member.Member) bool { return m.Hub })
 	subject := "relay " + f.cfg.Site
-	for range relayCount(len(site)) {
+	for range relayCount(len(candidates)) {
 		best := -1
-		for i, m := range site {
-			if best < 0 || member.RendezvousScore(subject, m.Name) < member.RendezvousScore(subject, site[best].Name) {
+		for i, m := range candidates {
+			if best < 0 || member.RendezvousScore(subject, m.Name) < member.RendezvousScore(subject, candidates[best].Name) {
 				best = i
 			}
 		}
-		list = append(list, site[best])
-		site = append(site[:best], site[best+1:]...)
+		list = append(list, candidates[best])
+		candidates = append(candidates[:best], candidates[best+1:]...)
 	}
 	return list
 }
@@ -64,15 +64,15 @@
 			return source.Source{Addr: m.Addr.String(), SilenceTimeout: relayTimeout, Relayed: true}, true
 		}
 		if isRelay {
-			countStarting = f.startingRelays
+			countStarting = f.totalRelays
 		}
 	}
 	return source.Source{}, f.pacer.AwaitTurn(ctx, countStarting)
 }
 
-// startingRelays returns the number of relays in all sites. Only relays call the list service, so only relays wait for
+// totalRelays returns the number of relays in all sites. Only relays call the list service, so only relays wait for
 // turns.
-func (f *Fleet) startingRelays() (n int) {
+func (f *Fleet) totalRelays() (n int) {
 	for _, members := range f.members.View().Sites() {
 		n += relayCount(members.Len())
 	}
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -140,14 +140,14 @@
 // SetPhase sets this process's phase and publishes it. It does not wait until others have received it.
 func (l *List) SetPhase(phase Phase) {
 	l.mu.Lock()
-	memberlist, same := l.memberlist, l.phase == phase
+	memberlist, unchanged := l.memberlist, l.phase == phase
 	l.phase = phase
-	if i, found := findMember(l.members, l.cfg.Name); found && !same {
+	if i, found := findMember(l.members, l.cfg.Name); found && !unchanged {
 		self := *l.members[i]
 		l.putLocked(&self)
 	}
 	l.mu.Unlock()
-	if memberlist != nil && !same {
+	if memberlist != nil && !unchanged {
 		// Run does not wait for this goroutine, which ends within 2 s. If the update fails, others receive the phase in the
 		// next exchange of states.
 		go func() { _ = memberlist.UpdateNode(2 * time.Second) }()
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -133,7 +133,7 @@
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
-		at := time.Now()
+		receivedAt := time.Now()
 		if t.ctx.Err() != nil {
 			return
 		}
@@ -146,11 +146,11 @@
 		}
 		if buf[0] == ProbeByte {
 			if t.handleProbe != nil {
-				t.handleProbe(buf[:n], from, at)
+				t.handleProbe(buf[:n], from, receivedAt)
 			}
 			continue
 		}
-		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: at}
+		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: receivedAt}
 		select {
 		case t.packets <- p:
 		case <-t.ctx.Done():
@@ -251,12 +251,12 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	at := time.Now()
+	sentAt := time.Now()
 	if t.wire != nil && !t.wire.Packet(b, to, true) {
-		return at, nil
+		return sentAt, nil
 	}
 	_, err = t.udp.WriteToUDPAddrPort(b, to)
-	return at, err
+	return sentAt, err
 }
 
 // PacketCh returns the channel of memberlist's datagrams.
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -57,12 +57,12 @@
 		{func() { d.NotifyUpdate(newNode("b")); l.SetPhase(Serving) }, "bm"},
 	}
 	for i, s := range steps {
-		before := l.View()
-		namesBefore := names(before)
+		older := l.View()
+		namesBefore := names(older)
 		s.do()
 		v := l.View()
-		if names(v) != s.want || names(before) != namesBefore {
-			t.Errorf("step %d: members %s, want %s; the older view has members %s, want %s", i, names(v), s.want, names(before), namesBefore)
+		if names(v) != s.want || names(older) != namesBefore {
+			t.Errorf("step %d: members %s, want %s; the older view has members %s, want %s", i, names(v), s.want, names(older), namesBefore)
 		}
 		if n := testing.AllocsPerRun(10, func() {
 			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -27,14 +27,14 @@
 // processes never exceed the limit.
 func (f *Fleet) recomputeQuota() {
 	view := f.members.View()
-	dead, selfReportedDead := f.publishedDead(view)
+	dead, publishedAsDead := f.publishedDead(view)
 	now := time.Now()
 	f.mu.Lock()
 	if f.firstPeerJoinedAt.IsZero() && f.members.PeerJoins() > 0 {
 		f.firstPeerJoinedAt = now
 	}
 	quotaConfirmed := now.Sub(f.startedAt) >= f.cfg.AgeBounds[gossip.DeadProcesses] ||
-		!f.firstPeerJoinedAt.IsZero() && now.Sub(f.firstPeerJoinedAt) >= minPeerPeriod && !selfReportedDead
+		!f.firstPeerJoinedAt.IsZero() && now.Sub(f.firstPeerJoinedAt) >= minPeerPeriod && !publishedAsDead
 	quota := startupQuota / float64(f.cfg.MaxMembers)
 	if quotaConfirmed {
 		quota = 1 / float64(max(1, view.AgentCount(), f.cfg.MaxMembers-len(dead)))
--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -61,9 +61,9 @@
 	if m := nextUpdate(decoder); m.Version != 8 || m.Full {
 		t.Errorf("got update %+v, want a change to version 8", m)
 	}
-	for since, full := range map[int]bool{7: false, 3: true} {
+	for since, wantFull := range map[int]bool{7: false, 3: true} {
 		decoder, end := follow(since)
-		if m := nextUpdate(decoder); m.Version != 8 || m.Full != full {
+		if m := nextUpdate(decoder); m.Version != 8 || m.Full != wantFull {
 			t.Errorf("since version %d: got update %+v", since, m)
 		}
 		end()
--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -34,8 +34,8 @@
 // aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
-	var combined, failed serviceLoad
-	oldest, youngest := time.Duration(0), time.Duration(-1)
+	var combined, latestFailure serviceLoad
+	oldest, failureAge := time.Duration(0), time.Duration(-1)
 	for _, entry := range entries {
 		var load serviceLoad
 		if cbor.Unmarshal(entry.Body, &load) != nil || !(load.Rate > 0) {
@@ -43,8 +43,8 @@
 		}
 		rates, oldest = append(rates, min(max(load.Rate, minRate), maxRate)), max(oldest, entry.Age)
 		combined.Version = max(combined.Version, load.Version)
-		if load.Failed && (youngest < 0 || entry.Age < youngest) {
-			failed, youngest = load, entry.Age
+		if load.Failed && (failureAge < 0 || entry.Age < failureAge) {
+			latestFailure, failureAge = load, entry.Age
 		}
 	}
 	if len(rates) == 0 {
@@ -53,8 +53,8 @@
 	slices.Sort(rates)
 	combined.Rate = rates[len(rates)/2]
 	aggregates = []gossip.Entry{aggregateEntry(subject, combined, oldest)}
-	if youngest >= 0 {
-		aggregates = append(aggregates, aggregateEntry(subject+" refused", failed, youngest))
+	if failureAge >= 0 {
+		aggregates = append(aggregates, aggregateEntry(subject+" refused", latestFailure, failureAge))
 	}
 	return aggregates
 }
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -22,7 +22,7 @@
 	idleAt           time.Time     // when the queue will be empty
 	unavailableUntil time.Time     // all calls are rejected before
 	calls            int
-	failed           int
+	rejected         int
 	peak             int // calls in the busiest second
 	startedAt        time.Time
 	callsBySecond    map[int]int
@@ -38,7 +38,7 @@
 	s.callsBySecond[sec]++
 	s.peak = max(s.peak, s.callsBySecond[sec])
 	if now.Before(s.unavailableUntil) {
-		s.failed++
+		s.rejected++
 		return 0, errBusy
 	}
 	if s.idleAt.Before(now) {
@@ -46,7 +46,7 @@
 	}
 	wait := s.idleAt.Sub(now)
 	if wait > s.maxWait {
-		s.failed++
+		s.rejected++
 		return 0, errBusy
 	}
 	s.idleAt = s.idleAt.Add(time.Duration(float64(time.Second) / s.rate))
@@ -142,12 +142,12 @@
 // loads, and all get a list in time.
 func TestSimultaneousStartsStayWithinServiceCapacity(t *testing.T) {
 	for _, c := range []struct {
-		n           int
-		rate        float64
-		unavailable bool
-		withGossip  bool
-		calls       float64 // greatest number of calls per agent
-		maxSlowdown float64 // greatest time until all have a list: this many times the shortest that the capacity allows, plus 2 s
+		n                int
+		rate             float64
+		unavailable      bool
+		withGossip       bool
+		maxCallsPerAgent float64 // greatest number of calls per agent
+		maxSlowdown      float64 // greatest time until all have a list: this many times the shortest that the capacity allows, plus 2 s
 	}{
 		{100, 17, false, true, 1.4, 2}, {100, 67, false, true, 1.1, 4}, {10, 50, false, true, 1.01, 4},
 		{100, 50, true, true, 6, 3}, {100, 50, false, false, 3, 4}, {1, 50, false, true, 1, 50},
@@ -162,9 +162,9 @@
 			ideal += 10
 		}
 		t.Logf("%3d agents, %3.0f calls/s, unavailable %v, gossip %v: %.2f calls per agent, %d rejected, %d in the busiest second, all have a list after %.1f s (%.1f s by capacity)",
-			c.n, c.rate, c.unavailable, c.withGossip, callsPerAgent, s.failed, s.peak, took.Seconds(), ideal)
-		if callsPerAgent > c.calls || took.Seconds() > c.maxSlowdown*ideal+2 {
-			t.Errorf("%d agents: %.2f calls per agent (want at most %.2f), all have a list after %v", c.n, callsPerAgent, c.calls, took)
+			c.n, c.rate, c.unavailable, c.withGossip, callsPerAgent, s.rejected, s.peak, took.Seconds(), ideal)
+		if callsPerAgent > c.maxCallsPerAgent || took.Seconds() > c.maxSlowdown*ideal+2 {
+			t.Errorf("%d agents: %.2f calls per agent (want at most %.2f), all have a list after %v", c.n, callsPerAgent, c.maxCallsPerAgent, took)
 		}
 	}
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -18,16 +18,16 @@
 // hubs, the settings from hubs overlay it: the stored settings from the start, and later the received settings. It returns
 // an error if the file cannot be read or is invalid.
 func FromFile(file string, log *slog.Logger) (agent.Source, error) {
-	own, err := config.Read(file)
+	fileConfig, err := config.Read(file)
 	if err != nil {
 		return agent.Source{}, err
 	}
 	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: JoinFromConfig}
 	read := func() (*config.Config, error) { return config.Read(file) }
-	if len(own.Fleet.Hubs) > 0 {
+	if len(fileConfig.Fleet.Hubs) > 0 {
 		discovery := &discoverySwitch{}
 		overlay := settings.NewAgentConfig(file, discovery.switchTo)
-		holder := newSettingsHolder(settings.Config{Check: overlay.Check, Apply: overlay.Apply, Log: log}, own.Settings.State)
+		holder := newSettingsHolder(settings.Config{Check: overlay.Check, Apply: overlay.Apply, Log: log}, fileConfig.Settings.State)
 		read = overlay.Read
 		source.Join = func(raw []byte) (agent.JoinFunc, error) {
 			return joinFromConfig(raw, &preparedSettings{holder, discovery})
