--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -143,7 +143,7 @@
 		waitFor(t, "an even quota after the restart", func() bool { return process.lastQuota() == 0.25 })
 	}
 	if first := restarted.quotas[0]; first != startupQuota/4 {
-		t.Errorf("the first quota of the restarted member is %v", first)
+		t.Errorf("the first quota of the restarted member is %v, want %v", first, startupQuota/4)
 	}
 }
 
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -83,7 +83,7 @@
 				}
 			}
 			if n, until := b.Changes(ListServiceLoad); decodes != step.wantDecodes || int(n) != step.wantChanges || !until.After(time.Now()) {
-				t.Errorf("step %d: decoded %d times, got %d changes", i, decodes, n)
+				t.Errorf("step %d: decoded %d times and counted %d changes until %v, want %d times, %d changes and a later time", i, decodes, n, until, step.wantDecodes, step.wantChanges)
 			}
 		}
 		for range 22 {
@@ -91,7 +91,7 @@
 			b.Tick()
 		}
 		if n, _ := b.Changes(ListServiceLoad); n != 4 || b.Stats().Entries != 0 {
-			t.Errorf("past the bound: %d changes, %d entries in the store", n, b.Stats().Entries)
+			t.Errorf("past the bound: got %d changes and %d entries in the store, want 4 changes and no entry", n, b.Stats().Entries)
 		}
 		for range 1000 {
 			a.Publish(ListServiceLoad, "s", nil)
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -21,7 +21,7 @@
 	}
 	for i := range 3 {
 		if got := a.Next(); got != uint64(ahead)+uint64(i)+1 {
-			t.Errorf("got %d after the stored number %d", got, ahead)
+			t.Errorf("got %d after the stored number %d, want %d", got, ahead, uint64(ahead)+uint64(i)+1)
 		}
 	}
 	if got := (Allocator{Dir: dir, Name: "n1"}).Next(); got >= uint64(ahead) {
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -216,7 +216,7 @@
 			t.Logf("%d members: mean %.0f B/s, maximum %d B/s, %.1f probes/s per pair",
 				n, float64(totalBytes)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
-				t.Errorf("%.1f probes per second for a pair of sites", rate)
+				t.Errorf("%d members: got %.1f probes per second for a pair of sites, want at most %.1f", n, rate, 2*pairRate)
 			}
 		})
 	}
@@ -242,10 +242,10 @@
 		"malformed CBOR":           {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
 		if got := NewMatrix([]gossip.Entry{c.entry}, view); len(got) != c.want {
-			t.Errorf("%s: got matrix %v", name, got)
+			t.Errorf("%s: got matrix %v, want %d pairs", name, got, c.want)
 		}
 		if e, known := NewMatrix([]gossip.Entry{c.entry}, view).Between("b", "a"); known && e.Observers != 1 {
-			t.Errorf("%s: %d observers", name, e.Observers)
+			t.Errorf("%s: got %d observers, want 1", name, e.Observers)
 		}
 	}
 }
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -55,7 +55,7 @@
 				}
 			}
 			if f.matrixBuilds != step.wantBuilds || len(f.matrix) != step.wantPairs {
-				t.Errorf("step %d: built %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
+				t.Errorf("step %d: built %d matrices, the last with %d pairs, want %d with %d", i, f.matrixBuilds, len(f.matrix), step.wantBuilds, step.wantPairs)
 			}
 		}
 		f.cfg.Trace = nil
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if v := l.View(); v.StartingCount() != 1 || v.InSite("").Len() != 1 || v.InSite("a").Len() != 1 {
-		t.Errorf("%d starting, %d without a site", v.StartingCount(), v.InSite("").Len())
+		t.Errorf("got %d starting members, %d without a site and %d in site a, want 1 of each", v.StartingCount(), v.InSite("").Len(), v.InSite("a").Len())
 	}
 	if m, found := l.View().ByName("m"); !found || m.Phase != Serving {
 		t.Errorf("got member %+v, want phase Serving", m)
@@ -91,9 +91,9 @@
 		}
 	}) / n
 	if l.view != nil || allocsPerJoin > 20 {
-		t.Errorf("%v allocations for each member that joins", allocsPerJoin)
+		t.Errorf("got view %p and %v allocations for each member that joins, want no view and at most 20", l.view, allocsPerJoin)
 	}
 	if v := l.View(); v.Len() != n+1 || before.Len() != 1 {
-		t.Errorf("%d members, %d before", v.Len(), before.Len())
+		t.Errorf("got %d members, and %d in the older view, want %d and 1", v.Len(), before.Len(), n+1)
 	}
 }
--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -64,7 +64,7 @@
 	for since, wantFull := range map[int]bool{7: false, 3: true} {
 		decoder, end := follow(since)
 		if m := nextUpdate(decoder); m.Version != 8 || m.Full != wantFull {
-			t.Errorf("since version %d: got update %+v", since, m)
+			t.Errorf("since version %d: got update %+v, want version 8, full %v", since, m, wantFull)
 		}
 		end()
 	}
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -164,7 +164,7 @@
 		t.Logf("%3d agents, %3.0f calls/s, unavailable %v, gossip %v: %.2f calls per agent, %d rejected, %d in the busiest second, all have a list after %.1f s (%.1f s by capacity)",
 			c.n, c.rate, c.unavailable, c.withGossip, callsPerAgent, s.rejected, s.peak, took.Seconds(), ideal)
 		if callsPerAgent > c.maxCallsPerAgent || took.Seconds() > c.maxSlowdown*ideal+2 {
-			t.Errorf("%d agents: %.2f calls per agent (want at most %.2f), all have a list after %v", c.n, callsPerAgent, c.maxCallsPerAgent, took)
+			t.Errorf("%d agents: got %.2f calls per agent and all lists after %.1f s, want at most %.2f calls and %.1f s", c.n, callsPerAgent, took.Seconds(), c.maxCallsPerAgent, c.maxSlowdown*ideal+2)
 		}
 	}
 }
--- a/internal/membership/settings_test.go
+++ b/internal/membership/settings_test.go
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		if cfg.Discovery != "127.0.0.1:9" || cfg.Settings.MaxAttempts != c.maxAttempts {
-			t.Errorf("%s: got discovery at %s and %d attempts", name, cfg.Discovery, cfg.Settings.MaxAttempts)
+			t.Errorf("%s: got discovery at %s and %d attempts, want 127.0.0.1:9 and %d", name, cfg.Discovery, cfg.Settings.MaxAttempts, c.maxAttempts)
 		}
 	}
 }
