--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -159,8 +159,10 @@
 		NextMessage: f.nextGossip,
 		ObserveRTT:  f.store.ObserveRTT,
 		Changed:     f.membersChanged,
-		HandleProbe: func(data []byte, from netip.AddrPort, at time.Time) { f.prober.HandleDatagram(data, from, at) },
-		ServeConn:   f.relay.serveConn,
+		HandleProbe: func(data []byte, from netip.AddrPort, receivedAt time.Time) {
+			f.prober.HandleDatagram(data, from, receivedAt)
+		},
+		ServeConn: f.relay.serveConn,
 	}
 }
 
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -70,13 +70,13 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.bytes[m.Name] += len(data) + 28
-		var site string
+		var targetSite string
 		for _, o := range n.members {
 			if o.Addr == to {
-				site = o.Site
+				targetSite = o.Site
 			}
 		}
-		d, arrives := n.oneWay(m.Site, site)
+		d, arrives := n.oneWay(m.Site, targetSite)
 		if p := n.probers[to]; arrives && p != nil {
 			delay := d + time.Duration(rand.Float64()*0.25*float64(d)) + n.addedDelay[m.Name]
 			time.AfterFunc(delay, func() { p.HandleDatagram(data, m.Addr, time.Now()) })
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -27,11 +27,11 @@
 func (f *Fleet) relayMembers() (list []member.Member) {
 	candidates := slices.DeleteFunc(slices.Collect(f.members.View().InSite(f.cfg.Site).All()),
 		func(m member.Member) bool { return m.Hub })
-	subject := "relay " + f.cfg.Site
+	relaySubject := "relay " + f.cfg.Site
 	for range relayCount(len(candidates)) {
 		best := -1
 		for i, m := range candidates {
-			if best < 0 || member.RendezvousScore(subject, m.Name) < member.RendezvousScore(subject, candidates[best].Name) {
+			if best < 0 || member.RendezvousScore(relaySubject, m.Name) < member.RendezvousScore(relaySubject, candidates[best].Name) {
 				best = i
 			}
 		}
--- a/internal/fleet/member/failed.go
+++ b/internal/fleet/member/failed.go
@@ -67,18 +67,18 @@
 func (l *List) MissingHubs() (list []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := map[netip.AddrPort]bool{l.transport.advertise: true}
+	knownAddrs := map[netip.AddrPort]bool{l.transport.advertise: true}
 	for _, m := range l.members {
-		known[m.Addr] = true
+		knownAddrs[m.Addr] = true
 	}
 	for _, m := range l.failed {
-		if m.Hub && !known[m.Addr] {
+		if m.Hub && !knownAddrs[m.Addr] {
 			list = append(list, m)
 		}
-		known[m.Addr] = true
+		knownAddrs[m.Addr] = true
 	}
 	for _, s := range l.cfg.Seeds {
-		if addr, err := netip.ParseAddrPort(s); err == nil && !known[addr] {
+		if addr, err := netip.ParseAddrPort(s); err == nil && !knownAddrs[addr] {
 			list = append(list, Member{Addr: addr})
 		}
 	}
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -36,7 +36,7 @@
 	Changed     func()                             // the list has changed
 	// HandleProbe receives a datagram of the latency prober and the time at which it was read. It must not retain data. It
 	// may be nil if no other member sends probes.
-	HandleProbe func(data []byte, from netip.AddrPort, at time.Time)
+	HandleProbe func(data []byte, from netip.AddrPort, receivedAt time.Time)
 	// ServeConn takes over a connection that starts with an HTTP request. nil: such connections are closed.
 	ServeConn func(net.Conn)
 
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -53,10 +53,10 @@
 	dialer       net.Dialer
 	packets      chan *memberlist.Packet
 	streams      chan net.Conn
-	handleProbe  func(data []byte, from netip.AddrPort, at time.Time) // runs on the goroutine that reads datagrams; may be nil
-	serveConn    func(net.Conn)                                       // takes over the connection; may be nil
-	wire         Wire                                                 // may be nil
-	unclassified chan struct{}                                        // a semaphore, see maxUnclassified
+	handleProbe  func(data []byte, from netip.AddrPort, receivedAt time.Time) // runs on the goroutine that reads datagrams; may be nil
+	serveConn    func(net.Conn)                                               // takes over the connection; may be nil
+	wire         Wire                                                         // may be nil
+	unclassified chan struct{}                                                // a semaphore, see maxUnclassified
 	tasks        sync.WaitGroup
 	ctx          context.Context
 	cancel       context.CancelFunc
