--- a/internal/fleet/dead.go
+++ b/internal/fleet/dead.go
@@ -17,11 +17,12 @@
 	deadCheckInterval = time.Second
 	deadCheckTimeout  = 600 * time.Millisecond
 	deadCheckers      = 2  // members that check each failed one
-	maxNamesPerEntry  = 64 // dead names in one gossip entry: its body is limited
+	maxNamesPerEntry  = 64 // names in one gossip entry, whose body is limited in size
 )
 
 // detectDead checks the failed members for which this process is responsible, once a second until ctx ends, and publishes
-// the names of those whose machine refuses connections. Other members then use their quota; see recomputeQuota.
+// the names of the agents that ConfirmDead reports as dead. Other members then use the quota of these agents; see
+// recomputeQuota.
 func (f *Fleet) detectDead(ctx context.Context) {
 	tick := time.NewTicker(deadCheckInterval)
 	defer tick.Stop()
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -34,9 +34,9 @@
 	publishes bool // this process publishes the version that it has in force
 }
 
-// sharedDocuments returns the documents that the configuration names. The version of the policy is published only by processes
-// that are given the policy: its age is the time since one of them confirmed it. The version of settings is published by every
-// process that holds them.
+// sharedDocuments returns the documents that the configuration names. Only processes at which operators set the policy
+// publish its version, because the age of the policy at other processes is the time since one of these processes published
+// the version. Every process with settings publishes their version.
 func (c *Config) sharedDocuments() (list []sharedDocument) {
 	if c.Residency != nil {
 		list = append(list, sharedDocument{PolicyDocument(c.Residency), c.PolicySource})
--- a/internal/fleet/documents/documents.go
+++ b/internal/fleet/documents/documents.go
@@ -1,7 +1,7 @@
 // Package documents distributes versioned documents, texts with a version number and a digest, to all processes of a fleet:
-// the residency policy and the agents' settings. A process that holds a document publishes its version and digest as a
-// gossip entry; a process that does not have the text with this digest fetches the text over HTTP from one that does. The
-// version at a process never decreases, because the Holder rejects lower versions.
+// the residency policy and the agents' settings. A process publishes the version and the digests of its applied document as
+// a gossip entry; a process that does not have the text with such a digest fetches the text over HTTP from one that does.
+// The version at a process never decreases, because the Holder rejects lower versions.
 //
 // # Ownership of state
 //
@@ -32,8 +32,8 @@
 )
 
 const (
-	fetchTimeout       = 2 * time.Second // for all sources of one fetch
-	fetchRetryInterval = time.Second     // between fetches of one digest, on top of the jitter
+	fetchTimeout       = 2 * time.Second // limit on the requests of one fetch to all its sources
+	fetchRetryInterval = time.Second     // shortest time between two fetches of one digest, to which FetchJitter is added
 	maxDigests         = 64              // in one AppliedVersion
 	maxTrackedFetches  = 256             // digests whose last fetch is recorded
 )
@@ -82,7 +82,8 @@
 	Applied    func() AppliedVersion
 	Digest     func(text string) string
 
-	// Confirm, if set, is called when a source has an applied text. age is the time since that was observed.
+	// Confirm, if set, is called when another process has published an applied text or an older one. age is the time since
+	// that process published the entry.
 	Confirm func(version int64, digest string, age time.Duration)
 	// ShouldFetch reports whether to fetch a text that is not applied; nil: always.
 	ShouldFetch func(version int64, digest string) bool
@@ -100,8 +101,9 @@
 	Dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Follow compares the version that another process published in a gossip entry with the applied version. It confirms texts
-// that are applied, and starts a goroutine to fetch a newer text from sources. It ignores malformed entries. It does not
+// Follow compares the version that another process published in a gossip entry with the applied version. It calls Confirm
+// for each published text that is applied or older than the applied one. For any other text it starts a goroutine that
+// fetches the text from sources, unless a fetch of the digest started recently. It ignores malformed entries. It does not
 // block; a fetch ends when ctx ends.
 func (d *Document) Follow(ctx context.Context, entry gossip.Entry, sources func() Sources) {
 	published, ok := ParseAppliedVersion(entry.Body)
@@ -136,7 +138,7 @@
 }
 
 // fetch requests a text from the sources in turn and applies the first response with the right digest and version. If no
-// source has it, Follow starts another fetch later.
+// source has the text, a later call of Follow starts another fetch.
 func (d *Document) fetch(ctx context.Context, digest string, version int64, sources Sources) {
 	if d.FetchJitter > 0 {
 		select {
@@ -150,7 +152,7 @@
 	for _, addr := range sources.Addrs {
 		response, err := d.fetchFrom(ctx, sources, addr, digest)
 		if err != nil || d.Digest(response.Text) != digest || response.Version != version {
-			continue // this source does not have it, or has another text by now
+			continue // the source failed, does not have the text, or returned another one
 		}
 		_ = d.Holder.Apply(response.Version, response.Text) // the Holder logs errors
 		return
@@ -181,8 +183,8 @@
 	return response, json.NewDecoder(io.LimitReader(resp.Body, int64(2*d.MaxBytes))).Decode(&response)
 }
 
-// Serve responds to an HTTP request for the text with a digest: with the text as JSON, or with status 404 if the Holder does
-// not have it.
+// Serve responds to an HTTP request for the text with the given digest. The response is the text as JSON, or status 404 if
+// the Holder does not have the text.
 func (d *Document) Serve(w http.ResponseWriter, digest string) {
 	version, text, ok := d.Holder.Text(digest)
 	if !ok {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,19 +1,19 @@
-// Package fleet connects a process, an agent or a hub, with the others of its fleet in a full mesh. From what they share it
+// Package fleet connects a process, an agent or a hub, with the others of its fleet in a full mesh. From the shared state it
 // derives the process's quota of the fleet's in-flight limit, the latency of the other sites, when the list service may be
 // called, and which residency policy and settings are in force.
 //
 // The caller of Run owns the Fleet. Run starts these goroutines and waits for them:
 //
-//   - member.List: the list of members, and the sockets. It has no age bound.
+//   - member.List: maintains the list of members, which has no age bound, and owns the sockets.
 //   - runLoop: ticks the gossip store, recomputes the quota and the latencies, and calls the Callbacks.
 //   - detectDead: checks failed members and publishes the dead ones.
 //   - relay: an HTTP server for other members, with the endpoint list and the documents in force.
 //   - latency.Prober: measures round trips, if MeasureLatency is set.
 //   - shareDocuments: publishes the versions of documents and fetches later ones.
 //
-// The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. The fields of Fleet are
-// protected by one lock, those of relay by another. No client request waits for this package, and an agent serves without a
-// fleet.
+// The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. One lock protects
+// the state in Fleet, and another one the state in relay. No client request waits for this package, and an agent also serves
+// requests without a fleet.
 package fleet
 
 // This file makes a fleet from its parts and runs it.
@@ -54,10 +54,10 @@
 	MeasureLatency      bool                  // round trips to other sites are measured and published
 	Incarnations        incarnation.Allocator // allocates the incarnation of this process
 	Log                 *slog.Logger
-	Trace               io.Writer // receives a line for each gossip entry used or published and each change of quota; nil: no trace
+	Trace               io.Writer // receives a JSON line for each use or publication of a gossip entry, each change of quota and each latency matrix; nil: no trace
 
 	Residency    *residency.Holder   // of the residency policy in force; nil: there is none
-	PolicySource bool                // this process is given the policy and publishes its version
+	PolicySource bool                // operators set the policy at this process, which publishes its version
 	Settings     *documents.Document // settings that this process serves to others; nil: none
 
 	Hub         bool         // this process is a hub, not an agent
@@ -106,7 +106,7 @@
 }
 
 // New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies receives them. It returns an
-// error if an address is invalid or in use; see member.New. A Fleet that is not run has to be closed by Abort.
+// error if an address is invalid or in use; see member.New. Abort has to be called on a Fleet that is not run.
 func New(cfg Config, zones []string, callbacks Callbacks) (*Fleet, error) {
 	listen, advertise, err := cfg.addresses()
 	if err != nil {
@@ -146,8 +146,8 @@
 	return listen, advertise, nil
 }
 
-// memberConfig returns the configuration of the member list, which passes what it receives on to the parts of the fleet. The
-// prober is made after the list, but before the list runs and calls it.
+// memberConfig returns the configuration of the member list, whose callbacks pass received data to the parts of the fleet.
+// HandleProbe reads f.prober when it is called, because New sets f.prober after it has made the list.
 func (f *Fleet) memberConfig(listen, advertise netip.AddrPort, incarnationNumber uint64) member.Config {
 	cfg := &f.cfg
 	return member.Config{
@@ -173,7 +173,7 @@
 	}
 }
 
-// nextGossip returns a gossip message of at most limit bytes for another member, or nil.
+// nextGossip returns a gossip message of at most limit bytes for another member, or nil, and counts its bytes as sent.
 func (f *Fleet) nextGossip(limit, members int) []byte {
 	data := f.store.NextMessage(limit, members)
 	f.gossipBytes.Add(int64(len(data)))
@@ -191,9 +191,9 @@
 // Addr returns the address, IP and port, at which others reach this process.
 func (f *Fleet) Addr() string { return f.members.Addr().String() }
 
-// Run joins the fleet, stays in it until ctx ends, and leaves it. It returns after all its goroutines have ended. If joining
-// fails it returns the error at once. If this process has to leave because another one has its name, Run continues without
-// members until ctx ends. It may be called once.
+// Run joins the fleet, stays in it until ctx ends, and leaves it. It returns after all its goroutines have ended. If the
+// member list cannot be started, Run returns the error without waiting for ctx. If this process has to leave because another
+// process has the same name, Run continues without members until ctx ends. It may be called once.
 func (f *Fleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -227,8 +227,9 @@
 	}
 }
 
-// runLoop ticks the gossip store and recomputes what is derived from it and from the members, until ctx ends. It starts a
-// round on each tick, at once after a change of the members, and when a latency row expires.
+// runLoop ticks the gossip store and recomputes the quota and the latencies, until ctx ends. It starts a round on each tick,
+// at once after a change of the members, and when a latency row expires. The latencies are recomputed in every second round
+// and when a latency row expires.
 func (f *Fleet) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/fleet/member"
 )
 
-// waitTimeout is how long a test waits for a condition. No condition takes nearly as long, even on a slow machine.
+// waitTimeout is how long a test waits for a condition. Even on a slow machine every condition holds much earlier.
 const waitTimeout = 30 * time.Second
 
 var zones = []string{"a", "b"}
@@ -102,7 +102,7 @@
 		}
 		list = append(list, startProcess(t, cfg, list[:min(i, 1)]...))
 	}
-	waitFor(t, "the fleet", func() bool {
+	waitFor(t, "all processes to list each other", func() bool {
 		for _, process := range list {
 			if process.members.View().Len() != n {
 				return false
@@ -121,7 +121,7 @@
 	for _, process := range list {
 		waitFor(t, "an even quota", func() bool { return process.lastQuota() == 0.25 })
 	}
-	waitFor(t, "round trips", func() bool {
+	waitFor(t, "a round trip from a to b below 100 ms", func() bool {
 		f := list[0].Fleet
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -130,12 +130,12 @@
 	})
 	dead := list[3]
 	addr := dead.Addr()
-	// As if it were killed: its sockets close and it does not leave the fleet.
+	// Abort acts as a kill: the sockets close, and the member does not leave the fleet.
 	if err := dead.members.Abort(); err != nil {
 		t.Fatal(err)
 	}
 	for _, process := range list[:3] {
-		waitFor(t, "the quota of the dead member", func() bool { return process.lastQuota() == 1./3 })
+		waitFor(t, "a third of the limit after a member died", func() bool { return process.lastQuota() == 1./3 })
 	}
 	restarted := startProcess(t, Config{Name: "n3", Site: "b", MaxMembers: 4, Listen: addr}, list[0])
 	waitFor(t, "the quota of the restarted member", func() bool { return restarted.lastQuota() == 0.25 })
@@ -156,12 +156,12 @@
 	for _, process := range []*testProcess{a, b} {
 		waitFor(t, "an even quota", func() bool { return process.lastQuota() == 0.2 })
 		if process.members.View().Len() != 1 {
-			t.Error("processes with different labels have joined each other")
+			t.Error("processes with different labels joined each other, want one member in each fleet")
 		}
 	}
 }
 
-// Of two processes with the same name one leaves the fleet and logs it; the other members stay.
+// Of two processes with the same name, one leaves the fleet and logs the conflict. Members with other names stay.
 func TestOneOfTwoProcessesWithTheSameNameLeaves(t *testing.T) {
 	t.Parallel()
 	list := startFleet(t, 2, 3, nil)
@@ -173,7 +173,7 @@
 	}
 	waitFor(t, "one of them to leave", func() bool { return hasLeft(duplicate) || hasLeft(list[1]) })
 	if hasLeft(list[0]) {
-		t.Error("the member with another name left")
+		t.Error("the member with another name left, want only one of the two with the same name to leave")
 	}
 }
 
@@ -216,6 +216,6 @@
 	list[0].store.Publish(gossip.ListServiceLoad, "x", nil)
 	waitFor(t, "an entry at the other member", func() bool { return len(list[1].store.Entries(gossip.ListServiceLoad)) > 0 })
 	if list[1].members.View().Len() != 2 || list[0].members.View().At(0).Phase != member.Starting {
-		t.Error("a member was removed or has another phase")
+		t.Error("malformed input removed a member or changed its phase, want both members, the first in phase Starting")
 	}
 }
--- a/internal/fleet/gossip/age_test.go
+++ b/internal/fleet/gossip/age_test.go
@@ -44,7 +44,7 @@
 	stopped    [simStores]bool // changed with mu held, by the goroutine of simulate alone
 
 	mu          sync.Mutex           // protects all below
-	publishedAt map[string]time.Time // by entry
+	publishedAt map[string]time.Time // by kind, subject, observer and sequence number
 	failure     string               // the last one
 }
 
@@ -76,7 +76,7 @@
 	return sim.failure
 }
 
-// checkUse checks the age of each entry that a store uses.
+// checkUse records when an entry is first published, and checks the age of each entry that a store uses.
 func (sim *simulation) checkUse(u Use) {
 	const n = simStores
 	entryID := func(e Entry) string { return fmt.Sprint(e.Kind, e.Subject, e.Observer, e.Seq) }
--- a/internal/fleet/gossip/entry.go
+++ b/internal/fleet/gossip/entry.go
@@ -14,9 +14,9 @@
 
 // The kinds of entries, each with who publishes it.
 const (
-	ListServiceLoad  Kind = 1 + iota // load of the list service, as a process that called it observed it (package startup)
+	ListServiceLoad  Kind = 1 + iota // load of the list service, as observed by a process that called the service (package startup)
 	LatencyRow                       // round trips from one site to the others, by an observer of that site (package latency)
-	ResidencyVersion                 // the version of the residency policy in force at a process that is given the policy
+	ResidencyVersion                 // the version of the residency policy in force at a process where operators set the policy
 	DeadProcesses                    // names of processes whose machine refuses connections: confirmed dead
 	SettingsVersion                  // the version of the agents' settings in force at a hub
 	FleetSize                        // numbers of attached, starting and dead agents, of one hub or of the whole fleet
@@ -41,21 +41,21 @@
 // map are never used.
 type AgeBounds map[Kind]time.Duration
 
-// DefaultAgeBounds are the bounds where the configuration sets none. An entry that is published every second may be lost
-// twice on its way before its bound is reached. It is shared and must not be changed.
+// DefaultAgeBounds are the bounds where the configuration sets none. Of a kind that is published every
+// second, two updates in a row may be lost before the previous one reaches its bound. The map must not be changed.
 var DefaultAgeBounds = AgeBounds{
 	// A service that rejected calls is called again after at most this time. With a longer bound old entries would delay
 	// every agent.
 	ListServiceLoad: 5 * time.Second,
 	// Rows are published every second. A change of latency must be visible to others within 3 s.
 	LatencyRow: 3 * time.Second,
-	// The residency policy has a stricter bound of its own. This one limits how long a version may take to spread.
+	// Limits how long a version may take to spread. The residency policy has its own, separate bound.
 	ResidencyVersion: 10 * time.Second,
 	// Published every second while the processes are dead. A restarted process gets its quota back at most this much later.
 	DeadProcesses: 3 * time.Second,
 	// Published every second. Versions only rise, so an old entry is harmless; it is merely less informative.
 	SettingsVersion: 10 * time.Second,
-	// Published every second. It contains the number of dead agents and therefore has the bound of DeadProcesses.
+	// Published every second. The entry contains the number of dead agents and therefore has the bound of DeadProcesses.
 	FleetSize: 3 * time.Second,
 }
 
@@ -67,7 +67,7 @@
 	Observer    string        `cbor:"3,keyasint"` // name of the process that published it
 	Incarnation uint64        `cbor:"4,keyasint"` // of the observer's process
 	Seq         uint64        `cbor:"5,keyasint"` // rises with each entry that the observer publishes on the subject
-	Age         time.Duration `cbor:"6,keyasint"` // in a message: when it was written; from Store.Entries: now
+	Age         time.Duration `cbor:"6,keyasint"` // in a message: when the message was written; from Store.Entries: now; inside a store: at storedAt
 	Body        []byte        `cbor:"7,keyasint"` // CBOR whose form depends on the kind; at most MaxBodyBytes
 
 	decoded *decodedBody // nil unless a store holds the entry
@@ -82,7 +82,7 @@
 
 // DecodeBody returns the decoded body of an entry, and the error of decode. Where a store holds the entry, decode runs
 // once for all entries with this body. All callers for one kind must therefore pass the same decode, and must not change
-// what they get. It may be called from any goroutine.
+// the returned value. DecodeBody may be called from any goroutine.
 func DecodeBody[T any](e Entry, decode func(body []byte) (T, error)) (T, error) {
 	if e.decoded == nil {
 		return decode(e.Body)
--- a/internal/fleet/gossip/entryset.go
+++ b/internal/fleet/gossip/entryset.go
@@ -29,7 +29,7 @@
 
 func (e *storedEntry) age(now time.Time) time.Duration { return e.Age + now.Sub(e.storedAt) }
 
-// expiresAt is the time at which the entry reaches its age bound.
+// expiresAt returns the time at which the entry reaches its age bound.
 func (e *storedEntry) expiresAt(bounds AgeBounds) time.Time {
 	return e.storedAt.Add(bounds[e.Kind] - e.Age)
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -37,12 +37,12 @@
 		}
 		time.Sleep(stopThreshold + time.Millisecond) // without a call of Tick
 		if len(a.Entries(ListServiceLoad)) != 0 || a.NextMessage(1000, 2) != nil {
-			t.Error("entries from before the stop are still used or sent")
+			t.Error("entries from before the stop are still used or sent, want neither")
 		}
 		a.Publish(ListServiceLoad, "y", nil)
 		time.Sleep(resumeDelay + time.Millisecond)
 		if a.NextMessage(1000, 2) != nil {
-			t.Error("a message is sent before one was received")
+			t.Error("got a message to send before one was received, want none")
 		}
 		b.Publish(ListServiceLoad, "x", nil)
 		for range 6 {
@@ -50,7 +50,7 @@
 			a.Tick()
 		}
 		if err := a.Merge(b.NextMessage(1000, 2)); err != nil || len(a.Entries(ListServiceLoad)) == 0 || a.NextMessage(1000, 2) == nil {
-			t.Error("nothing is sent after a message was received", err)
+			t.Error("after a message was received: no entry, or nothing to send, want both; error:", err)
 		}
 		if a.Stats().Stops != 1 {
 			t.Errorf("got %d stops, want 1", a.Stats().Stops)
@@ -58,8 +58,8 @@
 	})
 }
 
-// A body is decoded once for as long as it is published again unchanged. Only a new body or an expiry counts as a change, and
-// the outgoing list does not grow without bound while no message is requested.
+// While an entry is published again with the same body, its body is decoded only once. Only a new body or an expiry counts as
+// a change. The outgoing list does not grow without bound while no message is requested.
 func TestBodyIsDecodedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New("a", 1, shortBounds, nil), New("b", 1, shortBounds, nil)
@@ -97,7 +97,7 @@
 			a.Publish(ListServiceLoad, "s", nil)
 		}
 		if len(a.outgoing) > 100 {
-			t.Errorf("%d entries wait to be sent", len(a.outgoing))
+			t.Errorf("got %d entries in the outgoing list, want at most 100", len(a.outgoing))
 		}
 	})
 }
@@ -122,13 +122,13 @@
 			received = len(stores[1].Entries(ListServiceLoad)) > 1
 		}
 		if took := time.Since(resumedAt); took > 5*time.Second {
-			t.Errorf("no entry was received for %v after the stop", took)
+			t.Errorf("no entry was received for %v after the stop, want at most 5s", took)
 		}
 	})
 }
 
 // In a small fleet, as among hubs, at least 99 of 100 entries reach every member before their age reaches two thirds of its
-// bound. In such a fleet no second observer publishes the same latencies.
+// bound. In a fleet of this size a site may have no second observer that publishes the same latencies.
 func TestSmallFleetReceivesNearlyAllUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n, seconds = 7, 200
@@ -219,7 +219,7 @@
 		restarted := New("0", 2, AgeBounds{ListServiceLoad: time.Minute}, nil)
 		restarted.Publish(ListServiceLoad, "x", []byte("two"))
 		if err := stores[1].Merge(restarted.NextMessage(1000, n)); err != nil || string(stores[1].Entries(ListServiceLoad)[0].Body) != "two" {
-			t.Error("the predecessor's entry was not replaced", err)
+			t.Error("the restarted observer's entry did not replace its predecessor's; error:", err)
 		}
 	})
 }
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the version of the wire form that this program writes. Of a message with a later version the fields that are
-// known here are read and the others are skipped.
+// Version is the version of the wire form that this program writes. DecodeMessage accepts messages of later versions and
+// skips their unknown fields.
 const Version = 1
 
 // Limits of what is accepted from the network. DecodeMessage rejects a message that exceeds one.
@@ -46,7 +46,7 @@
 	errVersion = errors.New("message has no version")
 )
 
-// DecodeMessage decodes and checks a message. If any part of it is invalid the whole message is rejected with an error.
+// DecodeMessage decodes and checks a message. It returns an error if any part of the message is invalid.
 func DecodeMessage(data []byte) (*Message, error) {
 	if len(data) > MaxMessageBytes {
 		return nil, errTooLong
@@ -77,5 +77,5 @@
 	return &m, nil
 }
 
-// EncodeMessage encodes a message. It checks no limits.
+// EncodeMessage encodes a message without checking its limits.
 func EncodeMessage(m *Message) ([]byte, error) { return cbor.Marshal(m) }
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -10,8 +10,8 @@
 )
 
 // NextMessage encodes a message of at most limit bytes for any one member of a fleet of the given size, or returns nil if
-// there is nothing to send. Entries that were sent least often go first. Each entry is sent at most a few times the
-// logarithm of the fleet's size, which is enough for it to reach nearly all members.
+// there is nothing to send, or if sending is paused after a stop. Entries that were sent least often go first. Each
+// entry is sent at most a few times the logarithm of the fleet's size, which is enough for it to reach nearly all members.
 func (s *Store) NextMessage(limit, members int) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +52,9 @@
 	return data
 }
 
-// OwnMessage encodes a message of the entries that this process itself published, or returns nil if there are none that may
-// still be used. An agent sends it to its hub, which must not get the entries of others back. It counts no sends.
+// OwnMessage encodes a message of the entries that this process itself published and that are within their age bound, or
+// returns nil if there are none. An agent sends this message to its hub; entries of other processes came from the hub and
+// must not go back. OwnMessage does not count as a send of the entries.
 func (s *Store) OwnMessage() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/gossip/stats.go
+++ b/internal/fleet/gossip/stats.go
@@ -11,7 +11,7 @@
 // Stats are the counters of a store since it was created.
 type Stats struct {
 	Entries   int                  // entries in the store now
-	Stops     int                  // times that the process was found to have been stopped
+	Stops     int                  // detected stops of the process
 	Malformed int                  // messages that could not be decoded
 	Kinds     map[string]KindStats // by Kind.String, one for each kind that has an age bound
 }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -25,7 +25,7 @@
 const TickInterval = 100 * time.Millisecond
 
 const (
-	// A process that did not call Tick for this long was stopped, or had no processor time.
+	// A process that did not call Tick for longer than this is treated as stopped; it may also have had no processor time.
 	stopThreshold = time.Second
 	// After a stop messages are ignored for this long, until the socket buffers are drained.
 	resumeDelay = 500 * time.Millisecond
@@ -84,8 +84,8 @@
 	}
 }
 
-// Tick removes expired entries. It has to be called every TickInterval; from a longer pause the store concludes that the
-// process was stopped.
+// Tick removes expired entries. It has to be called every TickInterval. After a pause of more than stopThreshold the store
+// treats the process as stopped.
 func (s *Store) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,9 +147,9 @@
 	s.outgoing = append(s.outgoing, e)
 }
 
-// Changes returns how often the content of a kind has changed: an entry with a new body arrived, or entries expired. While n
-// stays the same, so does anything derived from the bodies. until is the earliest time at which an entry may expire, unless
-// Tick is called before.
+// Changes returns how often the content of a kind has changed: an entry with a new body was stored, or entries expired or
+// were dropped after a stop. Values derived from the bodies stay valid while n is unchanged. No entry that is stored now
+// expires before until.
 func (s *Store) Changes(kind Kind) (n uint64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +180,8 @@
 
 // Merge stores the entries of a message that was received now, and queues them for sending to others. It ignores entries
 // with this process's name as observer: they were published here, or come from another process with the same name. It
-// returns an error if the message is malformed; entries that are too old are counted in Stats.
+// returns an error if the message is malformed. It drops entries that are too old or exceed the store's capacity, and counts
+// them in Stats.
 func (s *Store) Merge(data []byte) error {
 	_, err := s.MergeTimed(data)
 	return err
@@ -211,8 +212,8 @@
 	return transit, nil
 }
 
-// mergeEntry stores an entry from a message, unless the entry is too old or already stored, or the store is full. The lock
-// is held.
+// mergeEntry stores an entry from a message, unless the entry is too old, the same or a later entry is stored already, or
+// the store is full. The caller holds the lock.
 func (s *Store) mergeEntry(entry Entry, now time.Time) {
 	if entry.Age > s.bounds[entry.Kind] {
 		s.rejected[entry.Kind]++
@@ -236,7 +237,8 @@
 }
 
 // Entries returns the entries of a kind that are within their age bound, sorted by subject and observer, each with its
-// present age. Each one counts as used, in the statistics and in the trace. Bodies are shared and must not be changed.
+// present age. Each one counts as used, in the statistics and in the trace. Bodies are shared and must not be changed. For
+// resumeDelay after a stop Entries returns nil.
 func (s *Store) Entries(kind Kind) (list []Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,7 +264,7 @@
 	return list
 }
 
-// PublishAged is like Publish for an entry that was derived from others. age is the age of the oldest of these.
+// PublishAged is like Publish for an entry that was derived from other entries. age is the age of the oldest of them.
 func (s *Store) PublishAged(kind Kind, subject string, body []byte, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/gossip/trace.go
+++ b/internal/fleet/gossip/trace.go
@@ -11,8 +11,8 @@
 	"martenbeam/internal/bootclock"
 )
 
-// Trace writes JSON lines, each with the time since the machine's start in us as "at". Processes of one machine can be
-// compared by it. A Trace whose W is nil writes nothing. Its methods may be called from any goroutine.
+// Trace writes JSON lines, each with the time since the machine's start in us as "at", by which the lines of all
+// processes of one machine can be compared. A Trace whose W is nil writes nothing. Its methods may be called from any goroutine.
 type Trace struct{ W io.Writer }
 
 // traceMu keeps the lines of this process's traces from being interleaved: several traces may share a file.
@@ -47,7 +47,7 @@
 	_, _ = t.W.Write(append(data, '\n'))
 }
 
-// Use describes that this process used or published an entry.
+// Use is one use or publication of an entry by this process.
 type Use struct {
 	Entry
 	Published bool          // this process published the entry; false: it used it
--- a/internal/fleet/gossip/transit.go
+++ b/internal/fleet/gossip/transit.go
@@ -5,8 +5,8 @@
 import "time"
 
 // transit computes upper bounds of transit times. The offset between the monotonic clocks of sender and receiver is unknown,
-// but it changes only by drift. So local time minus sender's clock is smallest for the fastest message, and that message
-// took at most a round trip. The bound for any message is the round trip plus the time that the message took longer than the
+// but it changes only by drift. So the local time minus the sender's clock is smallest for the fastest message, which
+// takes at most a round trip. The bound for any message is the round trip plus the time that the message took longer than the
 // fastest. This bound includes time that a message waited in a queue, or in the socket buffer of a process that was stopped.
 //
 // It is part of a Store and protected by the Store's lock.
@@ -17,7 +17,7 @@
 
 // clockOffset records the smallest difference between the local clock and a sender's.
 type clockOffset struct {
-	incarnation      uint64        // of the sender's process: another one has another clock
+	incarnation      uint64        // of the sender's process; a restarted process has another clock
 	min, previousMin time.Duration // in the current window and in the one before
 	windowStartedAt  time.Time
 	lastReceivedAt   time.Time
--- a/internal/fleet/incarnation/incarnation.go
+++ b/internal/fleet/incarnation/incarnation.go
@@ -1,8 +1,7 @@
 // Package incarnation numbers the processes that run under one name, so that a later process has a higher number than an
 // earlier one, even if the machine's clock was set back between them. A number is the wall clock's reading in milliseconds,
-// or one more than the previous number if that is higher. The previous number is stored in a directory, which survives a
-// restart of the machine. The numbers can also be compared with those of program versions that used the clock's reading
-// alone.
+// or the previous number plus one, whichever is higher. The previous number is stored in a directory, which survives a
+// restart of the machine. The numbers are comparable with numbers from program versions that used the clock's reading alone.
 package incarnation
 
 import (
@@ -17,8 +16,8 @@
 	"martenbeam/internal/versionedfile"
 )
 
-// Dir returns the directory for stored numbers: the first of candidates that is not empty, otherwise one beside the
-// system's temporary files, which the processes of a fleet on one machine share.
+// Dir returns the directory for stored numbers: the first of candidates that is not empty, otherwise a directory under the
+// system's temporary directory, named after the label, which the processes of a fleet on one machine share.
 func Dir(label string, candidates ...string) string {
 	return cmp.Or(cmp.Or(candidates...), filepath.Join(os.TempDir(), "martenbeam-"+url.PathEscape(label)))
 }
@@ -34,8 +33,8 @@
 // mu serializes the allocators of this process.
 var mu sync.Mutex
 
-// Next returns the number of a process, or of one of its parts, that starts now, and stores it. Without a directory,
-// or if the directory cannot be used, the number is the clock's reading, and the failure is logged.
+// Next returns the number of a process, or of one of its parts, that starts now, and stores the number. Without a directory,
+// or if the stored number cannot be read, the number is the clock's reading. A failure to read or store is logged.
 func (a Allocator) Next() uint64 {
 	now := bootclock.Wall().UnixMilli()
 	if a.Dir == "" {
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -38,7 +38,7 @@
 		"unusable directory": {Dir: torn, Name: "n4"},
 	} {
 		if got := a.Next(); got < now || got > now+uint64(time.Minute.Milliseconds()) {
-			t.Errorf("%s: got %d at wall clock %d ms", name, got, now)
+			t.Errorf("%s: got %d at wall clock %d ms, want the clock's reading", name, got, now)
 		}
 	}
 }
--- a/internal/fleet/latency/datagram.go
+++ b/internal/fleet/latency/datagram.go
@@ -14,11 +14,11 @@
 	datagramBytes            = 1 + 1 + 8 + 8 + 4
 )
 
-// datagram is a request for a round trip or the reply to one.
+// datagram is a probe that measures a round trip, or the reply to a probe.
 type datagram struct {
 	kind  byte   // probeRequest or probeReply
 	label uint64 // hash of the fleet's label
-	nonce uint64 // random; known only to the member that was probed, whose reply repeats it
+	nonce uint64 // random; the reply to a probe repeats the nonce of the probe, so that only a process that saw the probe can reply
 	dwell uint32 // in a reply: time between reading the request and replying, in us
 }
 
@@ -35,7 +35,7 @@
 
 // decodeDatagram decodes a datagram without checking its first byte.
 func decodeDatagram(b []byte) (datagram, error) {
-	if len(b) < datagramBytes { // a datagram of a later version may be longer
+	if len(b) < datagramBytes { // a later program version may send longer datagrams
 		return datagram{}, errMalformed
 	}
 	d := datagram{kind: b[1], label: binary.BigEndian.Uint64(b[2:]), nonce: binary.BigEndian.Uint64(b[10:]),
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -117,7 +117,7 @@
 	return NewMatrix(n.stores[i].Entries(gossip.LatencyRow), n.view)
 }
 
-// uniformDelay is 200 us within a site and 1 ms between two.
+// uniformDelay returns a delay of 200 us within a site and 1 ms between sites. Every datagram arrives.
 func uniformDelay(from, to string) (time.Duration, bool) {
 	if from == to {
 		return 200 * time.Microsecond, true
@@ -140,7 +140,7 @@
 		}
 	}
 	if wrong > 2 { // a member that missed a few rows may have other values
-		t.Errorf("%s: %d of %d members have a wrong round trip from %s to %s", when, wrong, len(n.members), a, b)
+		t.Errorf("%s: %d of %d members have a wrong round trip from %s to %s, want at most 2", when, wrong, len(n.members), a, b)
 	}
 }
 
@@ -256,10 +256,10 @@
 		{"b", "c"}: {RTT: time.Millisecond}}
 	body, age := m.Row("a", 2*time.Second)
 	if r, err := DecodeRow(body); err != nil || len(r) != 1 || r["b"].RTT != 3*time.Millisecond || age != time.Second {
-		t.Errorf("got row %v, age %v, error %v", r, age, err)
+		t.Errorf("got row %v, age %v, error %v, want only site b with a round trip of 3ms, and age 1s", r, age, err)
 	}
 	if body, _ := m.Row("a", time.Millisecond); body != nil {
-		t.Errorf("got row %x from estimates that are too old", body)
+		t.Errorf("got row %x from estimates that are too old, want none", body)
 	}
 }
 
@@ -272,7 +272,7 @@
 			p.HandleDatagram(data, netip.AddrPort{}, time.Now())
 		}
 		if r, err := unmarshalRow(data); err == nil && r.validate() != nil {
-			t.Error("a row that exceeds its limits is accepted")
+			t.Error("unmarshalRow accepted a row that exceeds its limits, want an error")
 		}
 	})
 }
--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -12,9 +12,9 @@
 
 // Estimate is the fleet's estimate for a pair of sites.
 type Estimate struct {
-	RTT       time.Duration // median round trip; 0: unknown, because most observers got no reply
-	Jitter    time.Duration // how much longer slow round trips take
-	Loss      float64       // fraction of probes without a reply, from 0 to 1
+	RTT       time.Duration // third lowest of the observers' median round trips; 0: unknown, as at least half got no reply
+	Jitter    time.Duration // distance from the median round trip to its 0.75 quantile; median of the observers
+	Loss      float64       // fraction of probes without a reply, from 0 to 1; median of the observers
 	Observers int           // rows from which the estimate was computed
 	Age       time.Duration // of the oldest of these rows
 }
@@ -40,7 +40,7 @@
 }
 
 // NewMatrix builds a matrix from the entries of kind gossip.LatencyRow. Each observer counts once for a pair. A row counts only
-// if its observer is a member of that site in the view; malformed rows are ignored.
+// if its observer is a member, in the view, of the site that is the row's subject; malformed rows are ignored.
 func NewMatrix(rows []gossip.Entry, view *member.View) Matrix {
 	matrix := Matrix{}
 	for pair, reports := range reportsByPair(rows, view) {
@@ -95,9 +95,9 @@
 	return e
 }
 
-// thirdLowest returns the third lowest value, or the median of fewer than five. Two values that are too low have no effect.
-// Values that are too high have no effect as long as three others remain: an observer measures too high a value if it probes
-// a member that is stopped or delays its replies.
+// thirdLowest returns the third lowest value, or of fewer than five values the median. It sorts list. Of five or more
+// values, two that are too low cannot make the result too low, and values that are too high cannot make it too high while
+// three others remain. An observer measures too high a value if it probes members that are stopped or delay their replies.
 func thirdLowest(list []time.Duration) time.Duration {
 	slices.Sort(list)
 	return list[min(2, (len(list)-1)/2)]
--- a/internal/fleet/latency/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -35,7 +35,7 @@
 	sampleWindow     = 1500 * time.Millisecond // age up to which a sample counts
 	probeTimeout     = 700 * time.Millisecond  // a probe without a reply by then is lost
 	maxDwell         = 20 * time.Millisecond   // a peer that took longer was busy: the sample is not used
-	medianQuantile   = 0.5                     // of three samples, one from a peer with a false dwell time has no effect
+	medianQuantile   = 0.5                     // of three samples, one with a false dwell time cannot move the result beyond the other two
 	jitterQuantile   = 0.75                    // jitter is the distance from the median to this quantile
 	maxPending       = 1024                    // probes without a reply yet
 )
@@ -56,7 +56,7 @@
 	mu                sync.Mutex              // protects the next four
 	pending           map[uint64]pendingProbe // by nonce
 	samples           map[string][]sample     // by site, oldest first
-	rejectedDatagrams int                     // datagrams that were malformed, of another fleet, or no reply to a pending probe
+	rejectedDatagrams int                     // datagrams that are malformed, from another fleet, or replies to no pending probe
 	probesSent        int                     // since the start
 
 	// The plan, used by Run alone.
@@ -86,7 +86,8 @@
 }
 
 // HandleDatagram processes a datagram that was read at receivedAt. It replies to a request at once and records a reply as a
-// sample. It does not retain data, and is called from the goroutine that reads the socket.
+// sample, unless the peer's dwell time is too long. It counts and drops invalid datagrams. It does not retain data, and is
+// called from the goroutine that reads the socket.
 func (p *Prober) HandleDatagram(data []byte, from netip.AddrPort, receivedAt time.Time) {
 	d, err := decodeDatagram(data)
 	if err != nil || d.label != p.labelHash {
@@ -98,14 +99,14 @@
 	if d.kind == probeRequest {
 		d.kind = probeReply
 		d.dwell = uint32(min(time.Since(receivedAt).Microseconds(), 1<<32-1))
-		_, _ = p.cfg.Send(d.encode(member.ProbeByte), from) // if it fails the probe counts as lost, as if the network had dropped it
+		_, _ = p.cfg.Send(d.encode(member.ProbeByte), from) // if sending fails, the probe counts as lost, as if the network had dropped the reply
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	probe, ok := p.pending[d.nonce]
 	if !ok || probe.to != from {
-		p.rejectedDatagrams++ // the reply came too late or is forged
+		p.rejectedDatagrams++ // the reply is late, repeated or forged
 		return
 	}
 	delete(p.pending, d.nonce)
@@ -196,7 +197,8 @@
 	p.pending[d.nonce] = pendingProbe{m.Site, m.Addr, sentAt}
 }
 
-// expire records probes without a reply as lost samples and removes samples that are too old. The lock is held.
+// expire records probes without a reply within probeTimeout as lost samples and removes samples older than sampleWindow. The
+// caller holds the lock.
 func (p *Prober) expire(now time.Time) {
 	for nonce, probe := range p.pending {
 		if now.Sub(probe.sentAt) > probeTimeout {
--- a/internal/fleet/latency/row.go
+++ b/internal/fleet/latency/row.go
@@ -13,12 +13,12 @@
 	"martenbeam/internal/fleet/gossip"
 )
 
-// row holds what one observer measured from its site, which is the subject of the entry.
+// row holds the measurements of one observer. The subject of its gossip entry is the observer's site.
 type row struct {
 	Entries []rowEntry `cbor:"1,keyasint"`
 }
 
-// rowEntry is the measurement to one site.
+// rowEntry is the measurement from the observer's site to one site.
 type rowEntry struct {
 	Site         string `cbor:"1,keyasint"`
 	RTTMicros    uint32 `cbor:"2,keyasint"` // median round trip
@@ -55,7 +55,7 @@
 	return m
 }()
 
-// unmarshalRow decodes and checks a row. It is the decode of gossip.DecodeBody for rows.
+// unmarshalRow decodes and checks a row. All callers of gossip.DecodeBody for rows pass this function.
 func unmarshalRow(body []byte) (row, error) {
 	var r row
 	if err := rowDecMode.Unmarshal(body, &r); err != nil {
@@ -84,8 +84,8 @@
 }
 
 // Row returns the estimates from one site to the others in the form of a latency row, and the age of the oldest row from
-// which they were computed. Row omits estimates older than maxAge, since they would raise the age of the whole row. body is
-// nil if no estimate is left. A hub sends such rows to its agents.
+// which they were computed. Row omits estimates older than maxAge, since they would raise the age of the row. body is nil if
+// no estimate is left or the row exceeds gossip.MaxBodyBytes. A hub sends these rows to its agents.
 func (m Matrix) Row(site string, maxAge time.Duration) (body []byte, age time.Duration) {
 	var r row
 	for p, e := range m {
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -47,11 +47,11 @@
 				for line := range bytes.Lines(trace.Bytes()) {
 					var use struct{ Age int64 }
 					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultAgeBounds[gossip.LatencyRow] {
-						t.Errorf("step %d: malformed trace line or age past its bound: %s", i, line)
+						t.Errorf("step %d: got a malformed trace line, or an age past the bound of a latency row: %s", i, line)
 					}
 				}
 				if uses := bytes.Count(trace.Bytes(), []byte(`"use"`)); uses != len(f.matrix) {
-					t.Errorf("step %d: traced %d uses of a matrix of %d pairs", i, uses, len(f.matrix))
+					t.Errorf("step %d: got %d traced uses for a matrix of %d pairs, want one for each pair", i, uses, len(f.matrix))
 				}
 			}
 			if f.matrixBuilds != step.wantBuilds || len(f.matrix) != step.wantPairs {
@@ -60,7 +60,7 @@
 		}
 		f.cfg.Trace = nil
 		if n := testing.AllocsPerRun(10, f.publishLatencies); n > 0 {
-			t.Errorf("%v allocations while nothing changes", n)
+			t.Errorf("got %v allocations while nothing changes, want 0", n)
 		}
 	})
 }
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -41,10 +41,10 @@
 	return list
 }
 
-// Next waits until this process may request the list, and returns the source to use. Where lists are relayed and this
-// process is not a relay, the source is a relay, and after maxRelayAttempts failures in a row once the list service. Before
-// it returns the list service, Next waits for this process's turn. failures is the number of attempts in a row that failed.
-// Next reports false if ctx ends first.
+// Next waits until this process may request the list, and returns the source to use. If lists are relayed and this
+// process is not a relay, the source is a relay; after every maxRelayAttempts failures in a row, one attempt goes to the list
+// service. Before it returns the list service, Next waits for this process's turn. failures is the number of attempts in a
+// row that failed. Next reports false if ctx ends first.
 func (f *Fleet) Next(ctx context.Context, failures int) (source.Source, bool) {
 	countStarting := f.startingCount
 	if f.cfg.RelayedLists {
@@ -70,8 +70,9 @@
 	return source.Source{}, f.pacer.AwaitTurn(ctx, countStarting)
 }
 
-// totalRelays returns the number of relays in all sites. Only relays call the list service, so only relays wait for
-// turns.
+// totalRelays returns the number of relays in all sites, at least 1. Relays take turns only with each other, because other
+// processes call the list service only after failed attempts at relays. The number of relays of a site is computed from all
+// its members, hubs included.
 func (f *Fleet) totalRelays() (n int) {
 	for _, members := range f.members.View().Sites() {
 		n += relayCount(members.Len())
@@ -87,8 +88,8 @@
 	return min(1, members)
 }
 
-// RecordAttempt records the result of a request to a source: the wait for the first message or that the request failed, and
-// the list version that was received.
+// RecordAttempt records the result of a request to the list service: the time until the first message or that the request
+// failed, and the list version at this process. It ignores requests to relays.
 func (f *Fleet) RecordAttempt(s source.Source, waited time.Duration, failed bool, version int64) {
 	if !s.Relayed {
 		f.pacer.RecordAttempt(waited, failed, version)
@@ -100,16 +101,16 @@
 	return f.members.Dial(ctx, network, addr)
 }
 
-// RecordLiveness records that something was received from a source.
+// RecordLiveness records that something was received from the list service. It ignores relays.
 func (f *Fleet) RecordLiveness(s source.Source) {
 	if !s.Relayed {
 		f.relay.recordLiveness()
 	}
 }
 
-// RecordUpdate records a list update from a source, for the members to which this process relays lists: the change between
-// two versions, nil for a full list, and the full list at the later version, both as JSON. After the first update this
-// process is in phase Serving.
+// RecordUpdate records a list update for the members to which this process relays lists, if the source is the list service:
+// the change between two versions, nil for a full list, and the full list at the later version, both as JSON. The first
+// update from any source puts this process in phase Serving.
 func (f *Fleet) RecordUpdate(s source.Source, from, to int64, change, fullList []byte) {
 	if !s.Relayed {
 		f.relay.recordUpdate(from, to, change, fullList)
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -11,7 +11,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate implements memberlist's delegate interfaces on a List, so that they are not part of List's own method set.
+// delegate implements memberlist's delegate interfaces for a List. It is a separate type so that List does not export their
+// methods.
 type delegate List
 
 // maxGossipBytes is the size of a gossip message in one packet. A memberlist packet could hold more, but a larger packet is
--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -17,8 +17,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memberlistConfig returns the timing of probes and gossip. Each member probes at the same rate in a fleet of any size, and
-// memberlist gives a suspected member more time in a larger one. State is exchanged less often in a large fleet.
+// memberlistConfig returns the configuration of memberlist. The rate at which a member probes others does not depend on the
+// size of the fleet. In a larger fleet memberlist waits longer before it removes a suspected member, and members exchange
+// state less often.
 func (l *List) memberlistConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.Label = l.cfg.Name, l.transport, l.cfg.Label
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,10 +1,10 @@
 // Package member maintains the list of the fleet's members with hashicorp/memberlist (SWIM with Lifeguard), which does the
 // probing, suspicion and refutation. On the same address it carries gossip, latency probes and HTTP calls between members.
 //
-// Each process owns one List. Its Run joins the fleet and waits for the transport's goroutines before it returns; memberlist
-// runs goroutines of its own until then. The list of members is protected by one lock and handed out as immutable Views. It
-// has no age bound: memberlist removes a member that does not respond within some seconds. A removed member may still run
-// behind a network partition; only ConfirmDead establishes that a process has ended.
+// Each process owns one List. Its Run joins the fleet and waits for the transport's goroutines before it returns.
+// Memberlist also runs goroutines while Run runs. One lock protects the list of members, of which View returns immutable
+// snapshots. The list has no age bound: memberlist removes a member that does not respond within some seconds. A removed
+// member may still run behind a network partition; only ConfirmDead establishes that a process has ended.
 package member
 
 // This file defines a member and the metadata that it publishes.
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Phase is whether a process serves requests yet.
+// Phase states whether a process has an endpoint list and so serves requests.
 type Phase uint8
 
 const (
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -100,8 +100,7 @@
 	return nil
 }
 
-// awaitAddress binds as soon as the address is free: this agent's predecessor uses it until it ends. It reports false if ctx
-// ends first.
+// awaitAddress binds the address as soon as this agent's predecessor has released it. It reports false if ctx ends first.
 func (t *transport) awaitAddress(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
@@ -111,7 +110,7 @@
 			return false
 		case <-tick.C:
 		}
-		_ = t.bind() // if it fails the address is still in use
+		_ = t.bind() // on an error the address is still in use, and the next tick binds again
 	}
 	return true
 }
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -66,10 +66,10 @@
 		}
 		if n := testing.AllocsPerRun(10, func() {
 			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
-				t.Errorf("step %d: got another view although nothing changed", i)
+				t.Errorf("step %d: got another view although nothing changed, or failed members although none failed", i)
 			}
 		}); n > 1 { // the slice that FailedToCheck returns
-			t.Errorf("step %d: %v allocations for a view", i, n)
+			t.Errorf("step %d: got %v allocations for a view, want at most 1", i, n)
 		}
 	}
 	if v := l.View(); v.StartingCount() != 1 || v.InSite("").Len() != 1 || v.InSite("a").Len() != 1 {
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file gives hubs and tests access to the members and to what they share.
+// This file gives hubs and tests access to the members and to the shared state.
 
 import (
 	"context"
@@ -40,7 +40,7 @@
 // MissingHubs returns the hubs that are not members but may still run; see member.List.MissingHubs.
 func (f *Fleet) MissingHubs() []member.Member { return f.members.MissingHubs() }
 
-// MeshAgents returns the names of the agents that are members themselves, since they are attached to no hub.
+// MeshAgents returns the names of the agents that are members of this full mesh, because they are not attached to a hub.
 func (f *Fleet) MeshAgents() map[string]bool {
 	names := map[string]bool{}
 	for m := range f.members.View().All() {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// startupQuota is the fraction of an even quota that a starting process uses until its quota is confirmed, that is,
-	// until no other process can be using it. Others use the quota of a process that is published as dead, up to the age
-	// bound of that entry. So the quota is confirmed once the process has run for that long or, if it is not published as
-	// dead, once minPeerPeriod has passed since the first other member joined: within that period it would have received
-	// such an entry.
+	// startupQuota is the fraction of an even quota that a process uses after its start, until its quota is confirmed. If
+	// the predecessor was published as dead, other processes may use this quota, up to the age bound of the published
+	// entry. The quota is confirmed when the process has run for this age bound. It is confirmed earlier, minPeerPeriod
+	// after the first other member joined, if no received entry publishes this process as dead: an existing entry would
+	// have arrived within minPeerPeriod.
 	startupQuota  = 0.1
 	minPeerPeriod = 500 * time.Millisecond
 )
 
 // recomputeQuota computes this process's quota of the in-flight limit and passes it to Callbacks.Quota if it has changed.
-// The limit is divided evenly among the processes that the fleet may have, less those that are published as dead. A process
-// that merely does not respond keeps its quota, because it may still run behind a network partition. So the quotas of all
-// processes never exceed the limit.
+// The limit is divided evenly among MaxMembers processes, less the processes that are published as dead, or among the agents
+// in the list of members if they are more. A process that does not respond keeps its quota until it is published as dead,
+// because it may still run behind a network partition. The sum of the quotas therefore does not exceed the limit.
 func (f *Fleet) recomputeQuota() {
 	view := f.members.View()
 	dead, publishedAsDead := f.publishedDead(view)
@@ -51,8 +51,8 @@
 	}
 }
 
-// publishedDead returns the names of the processes that are published as dead and have a quota: members and hubs are left out.
-// self reports whether this process is published as dead, because of its predecessor.
+// publishedDead returns the names of the processes that are published as dead and whose quota others may use. It leaves out
+// current members and failed hubs. self reports whether this process is published as dead, because its predecessor died.
 func (f *Fleet) publishedDead(view *member.View) (dead map[string]bool, self bool) {
 	dead = map[string]bool{}
 	for _, entry := range f.store.Entries(gossip.DeadProcesses) {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	relayHeartbeatInterval = time.Second             // between two empty lines to a follower while the list does not change
+	relayHeartbeatInterval = time.Second             // between two empty lines to a follower, a client of the list, while the list does not change
 	relayMaxServiceAge     = 3500 * time.Millisecond // a relay that received nothing from the list service for this time sends no list
 	maxRelayDeltas         = 64                      // changes kept for followers that are a few versions behind
 )
 
-// relay serves HTTP requests of other members: for the endpoint list in the form of the list service, for documents, and what
-// Config.HTTPHandler serves. It relays only lists that this process received from the list service itself, never from
-// another relay, so that each list is at most one step away from the service.
+// relay serves HTTP requests of other members: for the endpoint list, in the format of the list service, for documents, and
+// for all other paths through Config.HTTPHandler. It relays only lists that this process received from the list service
+// itself, never from another relay, so that a list passes through at most one relay.
 type relay struct {
 	fleet  *Fleet
 	server *http.Server
@@ -96,7 +96,8 @@
 }
 
 // recordUpdate records an update from the list service: the change between two versions, nil if the service sent the full
-// list, and the full list at the later version. It notifies all followers.
+// list, and the full list at the later version. It discards the kept changes on a full list, or if there are more than
+// maxRelayDeltas, and notifies all followers.
 func (r *relay) recordUpdate(from, to int64, change, fullList []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,8 +115,9 @@
 }
 
 // changesSince returns the lines that bring a follower from its version to the latest one: the changes between them or, if
-// not all of these are kept, the full list; nil if the follower has the latest version. fresh reports whether this process
-// has a list and received anything from the list service within relayMaxServiceAge. changed is closed with the next update.
+// not all changes are kept, the full list; nil if the follower has the latest version or there is no list. fresh reports
+// whether this process has a list and received anything from the list service within relayMaxServiceAge. changed is closed
+// with the next update.
 func (r *relay) changesSince(version int64) (lines [][]byte, to int64, fresh bool, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/relay_test.go
+++ b/internal/fleet/relay_test.go
@@ -45,7 +45,7 @@
 	follow := func(since int) (*json.Decoder, func()) { return followList(ctx, t, other, src.Addr, since) }
 	if decoder, end := follow(0); decoder != nil { // nothing was received from the service for longer than relayMaxServiceAge
 		end()
-		t.Error("a relay without a list sent one")
+		t.Error("a relay without a list sent a list, want status 503")
 	}
 	nextUpdate := func(decoder *json.Decoder) listUpdate { return readUpdate(t, decoder) }
 	relay.RecordLiveness(source.Source{})
@@ -93,7 +93,7 @@
 	return json.NewDecoder(resp.Body), func() { cancel(); resp.Body.Close() }
 }
 
-// listUpdate is what the test reads of an update.
+// listUpdate holds the fields of an update that the test checks.
 type listUpdate struct {
 	Version int
 	Full    bool
--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -22,7 +22,7 @@
 	Version int64   `cbor:"3,keyasint"` // of the list in the response
 }
 
-// decodeLoad decodes the body of an entry. It is the decode of gossip.DecodeBody for loads.
+// decodeLoad decodes the body of an entry. All callers of gossip.DecodeBody for loads pass this function.
 func decodeLoad(body []byte) (l serviceLoad, err error) {
 	err = cbor.Unmarshal(body, &l)
 	return l, err
--- a/internal/fleet/startup/pacer.go
+++ b/internal/fleet/startup/pacer.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	minStartDelay       = 300 * time.Millisecond // no process calls the service earlier after its start, so that other members can join first
+	minStartDelay       = 300 * time.Millisecond // a process waits this long after its start before it calls the service, so that other members can join first
 	checkInterval       = 50 * time.Millisecond  // between two checks of the published loads while a process awaits its turn
-	isolatedWindow      = time.Second            // shortest window of a process that has had no other member
+	isolatedWindow      = time.Second            // shortest window while no other member has joined
 	maxWindow           = 10 * time.Second       // longest window
 	slowResponse        = 500 * time.Millisecond // a longer delay until the first byte shows that the service is overloaded
 	rateIncrease        = 1.25                   // factor on the rate after a fast response
@@ -127,7 +127,7 @@
 		if !now.Before(due) && (lastFailure < 0 || lastFailure > pause) {
 			return true
 		}
-		if lastFailure >= 0 && lastFailure <= pause && !now.Before(due) { // queue behind the processes whose calls failed
+		if lastFailure >= 0 && lastFailure <= pause && !now.Before(due) { // the turn came during the pause: start the window again
 			windowStart = now
 		}
 		select {
--- a/internal/fleet/startup/pacer_test.go
+++ b/internal/fleet/startup/pacer_test.go
@@ -20,7 +20,7 @@
 	rate             float64       // calls per second
 	maxWait          time.Duration // a call that would wait longer is rejected
 	idleAt           time.Time     // when the queue will be empty
-	unavailableUntil time.Time     // all calls are rejected before
+	unavailableUntil time.Time     // calls before this time are rejected
 	calls            int
 	rejected         int
 	peak             int // calls in the busiest second
@@ -64,7 +64,7 @@
 		if !s.unavailableUntil.IsZero() {
 			s.unavailableUntil = s.startedAt.Add(10 * time.Second)
 		}
-		calls := make(chan func(), n) // one at a time: the service and the counts are shared
+		calls := make(chan func(), n) // executed one at a time, because they share the service and the counts
 		var stores []*gossip.Store
 		var waiting atomic.Int64
 		waiting.Store(int64(n))
@@ -123,7 +123,7 @@
 	return false
 }
 
-// gossipRound has each store send messages to random others.
+// gossipRound sends messages from each store to random other stores.
 func gossipRound(stores []*gossip.Store) {
 	n := len(stores)
 	for i, st := range stores {
--- a/internal/membership/hubs.go
+++ b/internal/membership/hubs.go
@@ -46,8 +46,8 @@
 	return clientCfg
 }
 
-// quotaFilter keeps the quotas of the full mesh out of a trace: the agent uses the lower of the mesh's and the hubs' quota, and
-// only that one may be in the trace.
+// quotaFilter keeps the quotas of the full mesh out of a trace. The agent uses the lower of the mesh's and the hubs' quota, and
+// the trace may contain only the quota in use.
 type quotaFilter struct{ trace io.Writer }
 
 // Write drops a line with a quota and passes on any other.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
 // Package membership wires an agent to its fleet and to its residency policy, according to its configuration. It makes and
 // connects:
 //
-//   - a residency.Holder, loaded from its state directory and from the policy's file, which it watches;
+//   - a residency.Holder, loaded from its state directory and from the policy's file, which the agent watches;
 //   - without hubs a fleet.Fleet, with hubs a hubclient.Client that can fall back to one;
 //   - a settings.Holder, if there are hubs, whose settings overlay the configuration file;
 //   - callbacks that post quotas and latencies to the decision module.
 //
-// What it makes is owned by the agent as an agent.Fleet, whose Run runs all of it and waits for its goroutines. The package keeps
-// no state of its own. Agents of the platform's own program have neither a fleet nor a policy and do not use it.
+// The agent owns the result, an agent.Fleet, whose Run runs these parts and waits for their goroutines. The package keeps no
+// state. Agents of the platform's own program have neither a fleet nor a policy and do not use it.
 package membership
 
 // This file makes the fleet and the policy of an agent and runs them.
@@ -74,8 +74,8 @@
 	log            *slog.Logger
 }
 
-// openPolicy makes the holder of the residency policy from what is stored and from the policy's file. It returns nil if there
-// is no policy, and an error if the file cannot be read.
+// openPolicy makes the holder of the residency policy from the stored policy and the policy's file. It returns nil if no
+// policy is configured, and an error if the file cannot be read. Other failures are logged.
 func (a *agentFleet) openPolicy(ext *config.ResidencyExtension, zones []string) (gate.Enforcer, error) {
 	if ext == nil {
 		return nil, nil
@@ -153,7 +153,7 @@
 	return fleetCfg
 }
 
-// ageBounds returns the age bounds of gossip entries: those that the configuration sets, in ms, and the defaults for others.
+// ageBounds returns the age bounds of gossip entries: the configured bound of a kind, or else its default.
 func ageBounds(ext *config.FleetExtension) gossip.AgeBounds {
 	bounds := gossip.AgeBounds{}
 	for kind, bound := range gossip.DefaultAgeBounds {
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -72,8 +72,8 @@
 	d.follow = follow
 }
 
-// newSettingsHolder returns a holder that stores settings in a directory and has loaded those stored there. With an empty name
-// it stores nothing. Stored settings that cannot be used are logged.
+// newSettingsHolder returns a holder that stores settings in a directory and has loaded those stored there. If dir is
+// empty the holder stores nothing. Stored settings that cannot be used are logged.
 func newSettingsHolder(cfg settings.Config, dir string) *settings.Holder {
 	if dir == "" {
 		return settings.NewHolder(cfg)
@@ -86,8 +86,8 @@
 	return holder
 }
 
-// platformSettings returns the settings of an agent that is configured in the platform's form, which settings cannot overlay.
-// Only the address of discovery takes effect; all other keys are reported as pending until a restart.
+// platformSettings returns the settings holder of an agent whose configuration has the platform's form. Of the settings from
+// hubs only the address of discovery takes effect; all other keys are reported as pending until a restart.
 func platformSettings(dir string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
 	discovery := &discoverySwitch{}
 	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // until the agent is created
@@ -96,7 +96,7 @@
 	return holder
 }
 
-// apply applies the address of discovery and returns the other keys, which wait for a restart.
+// apply applies the address of discovery and returns the other keys, which are pending until a restart.
 func (d *discoverySwitch) apply(received *settings.Settings) (pending []string, err error) {
 	var document struct {
 		Discovery string `toml:"discovery"`
