--- a/internal/fleet/dead.go
+++ b/internal/fleet/dead.go
@@ -16,7 +16,7 @@
 const (
 	deadCheckInterval = time.Second
 	deadCheckTimeout  = 600 * time.Millisecond
-	deadCheckers      = 2  // members that check each failed one
+	deadCheckers      = 2  // members that check each failed member
 	maxNamesPerEntry  = 64 // names in one gossip entry, whose body is limited in size
 )
 
--- a/internal/fleet/documents_test.go
+++ b/internal/fleet/documents_test.go
@@ -11,8 +11,8 @@
 	"martenbeam/internal/residency"
 )
 
-// A policy that is given to one process reaches all, a higher version replaces it, and of two policies with the same version
-// only what both permit is permitted.
+// A policy that operators set at one process reaches all members, and a policy with a higher version replaces it. While two
+// policies have the same version, a zone is permitted only if both permit it.
 func TestPolicyReachesAllMembers(t *testing.T) {
 	t.Parallel()
 	text := func(version int, permitted string) string {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -68,8 +68,8 @@
 	Wire      member.Wire      // intercepts the traffic, for tests; nil: none
 }
 
-// Callbacks receive what a fleet derives for its agent. The fleet's runLoop calls them, one at a time, and they must not
-// block. Each may be nil.
+// Callbacks receive the values that a fleet derives for its agent. The fleet's runLoop calls the functions one at a time.
+// They must not block, and each may be nil.
 type Callbacks struct {
 	// Quota receives this process's quota, a fraction of the fleet's in-flight limit from 0 to 1, when it changes.
 	Quota func(quota float64)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file tests whole fleets over loopback sockets.
+// This file tests complete fleets over loopback sockets.
 
 import (
 	"bytes"
@@ -171,7 +171,7 @@
 		defer process.mu.Unlock()
 		return bytes.Contains(process.log.Bytes(), []byte("leaves the fleet"))
 	}
-	waitFor(t, "one of them to leave", func() bool { return hasLeft(duplicate) || hasLeft(list[1]) })
+	waitFor(t, "one of the two processes with the same name to leave", func() bool { return hasLeft(duplicate) || hasLeft(list[1]) })
 	if hasLeft(list[0]) {
 		t.Error("the member with another name left, want only one of the two with the same name to leave")
 	}
--- a/internal/fleet/gossip/entry.go
+++ b/internal/fleet/gossip/entry.go
@@ -19,7 +19,7 @@
 	ResidencyVersion                 // the version of the residency policy in force at a process where operators set the policy
 	DeadProcesses                    // names of processes whose machine refuses connections: confirmed dead
 	SettingsVersion                  // the version of the agents' settings in force at a hub
-	FleetSize                        // numbers of attached, starting and dead agents, of one hub or of the whole fleet
+	FleetSize                        // numbers of attached, starting and dead agents, of one hub or of the complete fleet
 )
 
 // kindNames are the names in the settings key fleet.max_age, in traces and in log lines.
@@ -53,7 +53,7 @@
 	ResidencyVersion: 10 * time.Second,
 	// Published every second while the processes are dead. A restarted process gets its quota back at most this much later.
 	DeadProcesses: 3 * time.Second,
-	// Published every second. Versions only rise, so an old entry is harmless; it is merely less informative.
+	// Published every second. Versions only rise: an old entry cannot lower the version at another process.
 	SettingsVersion: 10 * time.Second,
 	// Published every second. The entry contains the number of dead agents and therefore has the bound of DeadProcesses.
 	FleetSize: 3 * time.Second,
--- a/internal/fleet/gossip/entryset.go
+++ b/internal/fleet/gossip/entryset.go
@@ -41,7 +41,7 @@
 	nextExpiry time.Time      // no entry expires earlier
 }
 
-// find returns the position of an entry, or the one where it would be inserted.
+// find returns the position of an entry and true, or the position at which to insert the entry and false.
 func (s *entrySet) find(subject, observer string) (int, bool) {
 	return slices.BinarySearchFunc(s.entries, entryKey{0, subject, observer},
 		func(e *storedEntry, k entryKey) int { return e.compareKey(k.subject, k.observer) })
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -14,7 +14,7 @@
 // skips their unknown fields.
 const Version = 1
 
-// Limits of what is accepted from the network. DecodeMessage rejects a message that exceeds one.
+// Limits of messages from the network. DecodeMessage rejects a message that exceeds any of them.
 const (
 	MaxMessageBytes   = 8 << 10   // size of a message
 	maxMessageEntries = 128       // entries in a message
@@ -23,8 +23,8 @@
 	maxAge            = time.Hour // age of an entry
 )
 
-// Message carries entries from one process to another. The receiver derives the time that it was in transit from the
-// sender's clock.
+// Message carries entries from one process to another. The receiver derives the transit time from the sender's
+// clock.
 type Message struct {
 	Version     uint8         `cbor:"1,keyasint"`
 	Sender      string        `cbor:"2,keyasint"` // name of the sender's process
--- a/internal/fleet/gossip/outgoing.go
+++ b/internal/fleet/gossip/outgoing.go
@@ -24,7 +24,7 @@
 	s.outgoing = slices.DeleteFunc(s.outgoing, func(e *storedEntry) bool {
 		maxSends := sendsFactor * logSize
 		if e.Kind == LatencyRow && members >= smallFleetSize {
-			maxSends = logSize // several observers publish a row every second, so a lost one does no harm
+			maxSends = logSize // several observers publish rows every second, which makes up for a lost row
 		}
 		return e.removed || e.sends >= maxSends || e.age(now) > s.bounds[e.Kind]
 	})
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -48,8 +48,8 @@
 	mu              sync.Mutex // protects all below
 	startedAt       time.Time
 	lastTick        time.Time
-	resumesAt       time.Time // before it nothing is received or sent
-	sendPausedUntil time.Time // before it nothing is sent, unless something was received
+	resumesAt       time.Time // until then messages are ignored and none are sent
+	sendPausedUntil time.Time // until then nothing is sent, unless a message is received
 	sets            map[Kind]*entrySet
 	size            int            // number of entries in all sets
 	outgoing        []*storedEntry // entries that may have to be sent again; removed ones may be among them
@@ -112,7 +112,7 @@
 	}
 }
 
-// set returns the entries of a kind. The lock is held.
+// set returns the entries of a kind. The caller holds the lock.
 func (s *Store) set(kind Kind) *entrySet {
 	if s.sets[kind] == nil {
 		s.sets[kind] = &entrySet{}
@@ -121,7 +121,7 @@
 }
 
 // put inserts an entry or replaces an older one. If the bodies are equal it keeps the decoded body, so that readers do not
-// decode it again. The lock is held.
+// decode it again. The caller holds the lock.
 func (s *Store) put(e *storedEntry) {
 	set := s.set(e.Kind)
 	i, known := set.find(e.Subject, e.Observer)
@@ -159,7 +159,7 @@
 }
 
 // checkActive drops all entries if the process was stopped until now. It reports whether messages may be received and entries
-// used, which is false within resumeDelay after a stop. The lock is held.
+// used, which is false within resumeDelay after a stop. The caller holds the lock.
 func (s *Store) checkActive(now time.Time) bool {
 	if now.Sub(s.lastTick) > stopThreshold {
 		for _, set := range s.sets {
--- a/internal/fleet/gossip/transit.go
+++ b/internal/fleet/gossip/transit.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file bounds the time that a message was in transit.
+// This file computes upper bounds of the transit times of messages.
 
 import "time"
 
@@ -18,7 +18,7 @@
 // clockOffset records the smallest difference between the local clock and a sender's.
 type clockOffset struct {
 	incarnation      uint64        // of the sender's process; a restarted process has another clock
-	min, previousMin time.Duration // in the current window and in the one before
+	min, previousMin time.Duration // in the current and in the previous window
 	windowStartedAt  time.Time
 	lastReceivedAt   time.Time
 	hasPrevious      bool // previousMin is valid
--- a/internal/fleet/latency/matrix.go
+++ b/internal/fleet/latency/matrix.go
@@ -75,8 +75,8 @@
 	return reports
 }
 
-// estimateOf combines the reports on a pair. The round trip is the third lowest of those reported, and unknown unless more
-// than half of the observers report one. Jitter and loss are medians.
+// estimateOf combines the reports on a pair. The round trip is the third lowest one reported, or unknown if at most half of
+// the observers report one. Jitter and loss are medians.
 func estimateOf(reports []report) Estimate {
 	var rtts, jitters, losses []time.Duration
 	e := Estimate{Observers: len(reports)}
--- a/internal/fleet/latency/prober.go
+++ b/internal/fleet/latency/prober.go
@@ -178,7 +178,7 @@
 	return names[:min(len(names), observersPerSite)]
 }
 
-// sendProbe probes a random one of the given members, unless too many probes are pending.
+// sendProbe probes one of the given members, chosen at random, unless maxPending probes are pending.
 func (p *Prober) sendProbe(others member.Members) {
 	m := others.At(rand.IntN(others.Len()))
 	d := datagram{kind: probeRequest, label: p.labelHash, nonce: rand.Uint64()}
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -129,7 +129,7 @@
 	l.cfg.Changed()
 }
 
-// NotifyConflict makes this process leave if another one has its name and started earlier. Incarnations depend on wall
+// NotifyConflict makes this process leave if another process has the same name and started earlier. Incarnations depend on wall
 // clocks, and the other process may not detect the conflict, so this process leaves after maxConflicts reports even if it
 // started first.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
--- a/internal/fleet/member/failed.go
+++ b/internal/fleet/member/failed.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FailedToCheck returns the failed members that this one has to check with ConfirmDead, sorted by name. For each failed
+// FailedToCheck returns the failed members that this process has to check with ConfirmDead, sorted by name. For each failed
 // member a few checkers are chosen by rendezvous hashing, so that members with the same view choose the same ones.
 func (l *List) FailedToCheck(checkers int) []Member {
 	l.mu.Lock()
@@ -44,8 +44,8 @@
 	return n
 }
 
-// RendezvousScore returns the hash by which members are ordered for a subject. Those with the lowest scores are chosen; all
-// members compute the same scores.
+// RendezvousScore returns the hash by which members are ordered for a subject. The members with the lowest scores are
+// chosen; all members compute the same scores.
 func RendezvousScore(subject, name string) uint64 { return xxhash.Sum64String(subject + "\x00" + name) }
 
 // ConfirmDead reports whether a member's process has ended for certain: its machine refuses a connection or resets it. A
--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -38,7 +38,7 @@
 }
 
 // Run joins the fleet and stays in it until ctx ends, and then leaves it. While no other member responds, this process is
-// the only member and repeats its attempts to join. It also leaves, without an error, if another process has this one's
+// the only member and repeats its attempts to join. Run also leaves, without an error, if another process has the same
 // name. It may be called once, and returns after the transport's goroutines have ended.
 func (l *List) Run(ctx context.Context) error {
 	if !l.transport.awaitAddress(ctx) {
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -60,7 +60,7 @@
 	peerJoins     int
 	phase         Phase
 	leaving       bool // leave is closed
-	conflictCount int  // reports of another process with this one's name
+	conflictCount int  // reports of another process with the same name
 }
 
 // New opens the sockets. Nothing is sent before Run. If the address is in use it returns an error that wraps
@@ -92,8 +92,8 @@
 	return l.transport.dial(ctx, &l.transport.dialer, addr)
 }
 
-// View returns the current members, this one included. The same View is returned until the list changes. It is built on the
-// first call after a change, so that many changes at once cost one View.
+// View returns the current members, this one included. View returns the same pointer until the list changes. The first
+// call after a change builds a new View, so that many changes at once build only one.
 func (l *List) View() *View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +108,7 @@
 	return l.view
 }
 
-// putLocked inserts or replaces a member, which must not be changed afterwards. The lock is held.
+// putLocked inserts or replaces a member, which must not be changed afterwards. The caller holds the lock.
 func (l *List) putLocked(m *Member) {
 	if m.Name == l.cfg.Name {
 		m.Phase = l.phase // memberlist may still have an older phase
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tasks.Go(func() { _ = l.Run(ctx) }) // it ends with ctx
+		tasks.Go(func() { _ = l.Run(ctx) }) // Run ends with ctx
 		return l
 	}
 	seed := startMember("seed")
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -34,7 +34,7 @@
 }
 
 // View is the list of members at one time, this process included. All callers share one View until a member joins, leaves or
-// changes. So anything derived from a View stays valid while List.View returns the same pointer.
+// changes. Values derived from a View stay valid while List.View returns the same pointer.
 type View struct {
 	Members
 	sites    []string // sorted
@@ -107,7 +107,8 @@
 // byName compares members for sorting.
 func byName(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// findMember returns the position of a member in a sorted list, or the one where it would be inserted.
+// findMember returns the position of a member in a sorted list and true, or the position at which to insert the member and
+// false.
 func findMember(members []*Member, name string) (int, bool) {
 	return slices.BinarySearchFunc(members, name, func(m *Member, name string) int { return cmp.Compare(m.Name, name) })
 }
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Many joins in a row build only one view, on the next call of View.
+// View is built once after many joins in a row, on the next call of View.
 func TestManyJoinsBuildOneView(t *testing.T) {
 	l := newIdleList(t)
 	const n = 1800
--- a/internal/fleet/source/source.go
+++ b/internal/fleet/source/source.go
@@ -30,7 +30,7 @@
 	RecordAttempt(s Source, delay time.Duration, failed bool, version int64)
 	// RecordLiveness records that something arrived from s.
 	RecordLiveness(s Source)
-	// RecordUpdate records a message of s that was applied: the change between two versions, nil if the message contained
+	// RecordUpdate records an applied message from s: the change between two versions, nil if the message contained
 	// the complete list, and the complete list as of version to.
 	RecordUpdate(s Source, from, to int64, change, complete []byte)
 	// Lagging reports whether others have published a version of the list later than version.
--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -14,7 +14,7 @@
 // Subject is the subject of the gossip entries that a Pacer publishes.
 const Subject = subject
 
-// serviceLoad is the load of the list service as one caller observed it: the body of an entry of kind
+// serviceLoad is the load of the list service as observed by one caller. It is the body of an entry of kind
 // gossip.ListServiceLoad.
 type serviceLoad struct {
 	Rate    float64 `cbor:"1,keyasint"` // estimate of the calls per second that the service sustains
@@ -30,7 +30,7 @@
 
 // Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the
 // median rate and the highest version, and is as old as the oldest valid entry. The second is the most recent failure, if
-// there is one, with its own age, which determines how long others pause. Malformed entries are ignored. Hubs publish the
+// there is one, with its own age, which other processes compare with the pause after a failure. Malformed entries are ignored. Hubs publish the
 // aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -37,8 +37,8 @@
 // It returns a function that makes both, or nil if the configuration has neither section. It is meant for agent.Source.Join.
 func JoinFromConfig(raw []byte) (agent.JoinFunc, error) { return joinFromConfig(raw, nil) }
 
-// joinFromConfig is like JoinFromConfig, with settings that were loaded before the configuration was read; nil: there are
-// none.
+// joinFromConfig is like JoinFromConfig, with the settings that were loaded before the configuration was read. prepared is
+// nil if no settings were loaded.
 func joinFromConfig(raw []byte, prepared *preparedSettings) (agent.JoinFunc, error) {
 	ext, err := config.ReadExtension(raw)
 	if err != nil {
@@ -68,7 +68,7 @@
 type agentFleet struct {
 	agent.Fleet    // a fleet.Fleet or a hubclient.Client
 	policy         *residency.Holder
-	policyFile     string // "": this agent is not given the policy
+	policyFile     string // "": operators do not set the policy at this agent
 	policyStateDir string // "": the policy is not stored
 	traceFile      *os.File
 	log            *slog.Logger
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// watchPolicyFile watches the policy's file in a goroutine of tasks, if there is one.
+// watchPolicyFile watches the policy's file, if one is configured, in a goroutine of tasks.
 func (a *agentFleet) watchPolicyFile(ctx context.Context, tasks *sync.WaitGroup) {
 	if a.policyFile != "" {
 		tasks.Go(func() { a.policy.Watch(ctx, a.policyFile, a.log) })
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -52,7 +52,7 @@
 // discoverySwitch passes a changed address of discovery to the agent. Until setFollow is called there is no agent, and changes
 // are ignored. Its methods may be called from any goroutine.
 type discoverySwitch struct {
-	mu     sync.Mutex // protects follow, and is held while it is called
+	mu     sync.Mutex // protects follow, and is locked during calls of follow
 	follow func(discovery string)
 }
 
@@ -72,7 +72,7 @@
 	d.follow = follow
 }
 
-// newSettingsHolder returns a holder that stores settings in a directory and has loaded those stored there. If dir is
+// newSettingsHolder returns a holder that stores settings in dir and has loaded the settings stored there. If dir is
 // empty the holder stores nothing. Stored settings that cannot be used are logged.
 func newSettingsHolder(cfg settings.Config, dir string) *settings.Holder {
 	if dir == "" {
