--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,8 +12,8 @@
 //   - shareDocuments: publishes the versions of documents and fetches later ones.
 //
 // The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. One lock protects
-// the state in Fleet, and another one the state in relay. No client request waits for this package, and an agent also serves
-// requests without a fleet.
+// the state in Fleet and another lock protects the state in relay. No client request waits for this package, and an agent
+// also serves requests without a fleet.
 package fleet
 
 // This file makes a fleet from its parts and runs it.
--- a/internal/fleet/gossip/entry.go
+++ b/internal/fleet/gossip/entry.go
@@ -41,8 +41,8 @@
 // map are never used.
 type AgeBounds map[Kind]time.Duration
 
-// DefaultAgeBounds are the bounds where the configuration sets none. Of a kind that is published every
-// second, two updates in a row may be lost before the previous one reaches its bound. The map must not be changed.
+// DefaultAgeBounds are the bounds where the configuration sets none. If an entry is published every
+// second, two updates in a row may be lost before the last received one reaches its bound. The map must not be changed.
 var DefaultAgeBounds = AgeBounds{
 	// A service that rejected calls is called again after at most this time. With a longer bound old entries would delay
 	// every agent.
--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -30,8 +30,9 @@
 
 // Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the
 // median rate and the highest version, and is as old as the oldest valid entry. The second is the most recent failure, if
-// there is one, with its own age, which other processes compare with the pause after a failure. Malformed entries are ignored. Hubs publish the
-// aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
+// there is one, with its own age, which other processes compare with the pause after a failure. Malformed entries are
+// ignored. Hubs publish the aggregate instead of the loads of all their agents; the caller sets observer, incarnation and
+// sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
 	var combined, latestFailure serviceLoad
