--- a/internal/fleet/dead.go
+++ b/internal/fleet/dead.go
@@ -16,12 +16,13 @@
 const (
 	deadCheckInterval = time.Second
 	deadCheckTimeout  = 600 * time.Millisecond
-	deadCheckers      = 2  // members that check each failed one
-	maxNamesPerEntry  = 64 // dead names in one gossip entry: its body is limited
+	deadCheckers      = 2  // members that check each failed member
+	maxNamesPerEntry  = 64 // names in one gossip entry, whose body is limited in size
 )
 
 // detectDead checks the failed members for which this process is responsible, once a second until ctx ends, and publishes
-// the names of those whose machine refuses connections. Other members then use their quota; see recomputeQuota.
+// the names of the agents that ConfirmDead reports as dead. Other members then use the quota of these agents; see
+// recomputeQuota.
 func (f *Fleet) detectDead(ctx context.Context) {
 	tick := time.NewTicker(deadCheckInterval)
 	defer tick.Stop()
@@ -33,11 +34,11 @@
 		}
 		failed := f.members.FailedToCheck(deadCheckers)
 		dead := make([]bool, len(failed))
-		var calls sync.WaitGroup
+		var checks sync.WaitGroup
 		for i, m := range failed {
-			calls.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
+			checks.Go(func() { dead[i] = f.members.ConfirmDead(ctx, m, deadCheckTimeout) })
 		}
-		calls.Wait()
+		checks.Wait()
 		var names []string
 		for i, m := range failed {
 			if dead[i] && !m.Hub { // a hub has no quota that others could use
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -34,9 +34,9 @@
 	publishes bool // this process publishes the version that it has in force
 }
 
-// sharedDocuments returns the documents that the configuration names. The version of the policy is published only by processes
-// that are given the policy: its age is the time since one of them confirmed it. The version of settings is published by every
-// process that holds them.
+// sharedDocuments returns the documents that the configuration names. Only processes at which operators set the policy
+// publish its version, because the age of the policy at other processes is the time since one of these processes published
+// the version. Every process with settings publishes their version.
 func (c *Config) sharedDocuments() (list []sharedDocument) {
 	if c.Residency != nil {
 		list = append(list, sharedDocument{PolicyDocument(c.Residency), c.PolicySource})
@@ -72,19 +72,19 @@
 
 // documentPeers returns the members from which to request a document, with the publisher of its version first.
 func (f *Fleet) documentPeers(publisher string) documents.Sources {
-	peers, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
+	sources, view := documents.Sources{Dial: f.members.Dial}, f.members.View()
 	if m, found := view.ByName(publisher); found {
-		peers.Addrs = append(peers.Addrs, m.Addr.String())
+		sources.Addrs = append(sources.Addrs, m.Addr.String())
 	}
 	for m := range view.All() {
-		if len(peers.Addrs) == maxDocumentPeers {
+		if len(sources.Addrs) == maxDocumentPeers {
 			break
 		}
 		if m.Name != f.cfg.Name {
-			peers.Addrs = append(peers.Addrs, m.Addr.String())
+			sources.Addrs = append(sources.Addrs, m.Addr.String())
 		}
 	}
-	return peers
+	return sources
 }
 
 // serveDocument serves a request for a document. It reports false if the request is for another path.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,19 +1,19 @@
-// Package fleet connects a process, an agent or a hub, with the others of its fleet in a full mesh. From what they share it
+// Package fleet connects a process, an agent or a hub, with the others of its fleet in a full mesh. From the shared state it
 // derives the process's quota of the fleet's in-flight limit, the latency of the other sites, when the list service may be
 // called, and which residency policy and settings are in force.
 //
 // The caller of Run owns the Fleet. Run starts these goroutines and waits for them:
 //
-//   - member.List: the list of members, and the sockets. It has no age bound.
+//   - member.List: maintains the list of members, which has no age bound, and owns the sockets.
 //   - runLoop: ticks the gossip store, recomputes the quota and the latencies, and calls the Callbacks.
 //   - detectDead: checks failed members and publishes the dead ones.
 //   - relay: an HTTP server for other members, with the endpoint list and the documents in force.
 //   - latency.Prober: measures round trips, if MeasureLatency is set.
 //   - shareDocuments: publishes the versions of documents and fetches later ones.
 //
-// The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. The fields of Fleet are
-// protected by one lock, those of relay by another. No client request waits for this package, and an agent serves without a
-// fleet.
+// The gossip.Store holds what members publish; an entry is used up to the age bound of its kind. One lock protects
+// the state in Fleet and another lock protects the state in relay. No client request waits for this package, and an agent
+// also serves requests without a fleet.
 package fleet
 
 // This file makes a fleet from its parts and runs it.
@@ -54,10 +54,10 @@
 	MeasureLatency      bool                  // round trips to other sites are measured and published
 	Incarnations        incarnation.Allocator // allocates the incarnation of this process
 	Log                 *slog.Logger
-	Trace               io.Writer // receives a line for each gossip entry used or published and each change of quota; nil: no trace
+	Trace               io.Writer // receives a JSON line for each use or publication of a gossip entry, each change of quota and each latency matrix; nil: no trace
 
 	Residency    *residency.Holder   // of the residency policy in force; nil: there is none
-	PolicySource bool                // this process is given the policy and publishes its version
+	PolicySource bool                // operators set the policy at this process, which publishes its version
 	Settings     *documents.Document // settings that this process serves to others; nil: none
 
 	Hub         bool         // this process is a hub, not an agent
@@ -68,8 +68,8 @@
 	Wire      member.Wire      // intercepts the traffic, for tests; nil: none
 }
 
-// Callbacks receive what a fleet derives for its agent. The fleet's runLoop calls them, one at a time, and they must not
-// block. Each may be nil.
+// Callbacks receive the values that a fleet derives for its agent. The fleet's runLoop calls the functions one at a time.
+// They must not block, and each may be nil.
 type Callbacks struct {
 	// Quota receives this process's quota, a fraction of the fleet's in-flight limit from 0 to 1, when it changes.
 	Quota func(quota float64)
@@ -106,7 +106,7 @@
 }
 
 // New opens the fleet's sockets. zones are the sites in the order in which Callbacks.Latencies receives them. It returns an
-// error if an address is invalid or in use; see member.New. A Fleet that is not run has to be closed by Abort.
+// error if an address is invalid or in use; see member.New. Abort has to be called on a Fleet that is not run.
 func New(cfg Config, zones []string, callbacks Callbacks) (*Fleet, error) {
 	listen, advertise, err := cfg.addresses()
 	if err != nil {
@@ -120,10 +120,10 @@
 	}
 	f := &Fleet{cfg: cfg, documents: cfg.sharedDocuments(), callbacks: callbacks, zones: zones, changed: make(chan struct{}, 1),
 		startedAt: cmp.Or(cfg.StartedAt, time.Now()), quota: -1}
-	processNumber := cfg.Incarnations.Next()
-	f.store = gossip.New(cfg.Name, processNumber, cfg.AgeBounds, f.traceUse)
+	incarnationNumber := cfg.Incarnations.Next()
+	f.store = gossip.New(cfg.Name, incarnationNumber, cfg.AgeBounds, f.traceUse)
 	f.relay = newRelay(f)
-	if f.members, err = member.New(f.memberConfig(listen, advertise, processNumber)); err != nil {
+	if f.members, err = member.New(f.memberConfig(listen, advertise, incarnationNumber)); err != nil {
 		return nil, err
 	}
 	f.prober = latency.New(latency.Config{Name: cfg.Name, Site: cfg.Site, Label: cfg.Label, View: f.members.View,
@@ -146,21 +146,23 @@
 	return listen, advertise, nil
 }
 
-// memberConfig returns the configuration of the member list, which passes what it receives on to the parts of the fleet. The
-// prober is made after the list, but before the list runs and calls it.
-func (f *Fleet) memberConfig(listen, advertise netip.AddrPort, processNumber uint64) member.Config {
+// memberConfig returns the configuration of the member list, whose callbacks pass received data to the parts of the fleet.
+// HandleProbe reads f.prober when it is called, because New sets f.prober after it has made the list.
+func (f *Fleet) memberConfig(listen, advertise netip.AddrPort, incarnationNumber uint64) member.Config {
 	cfg := &f.cfg
 	return member.Config{
 		Name: cfg.Name, Listen: listen, Advertise: advertise, Seeds: cfg.Seeds, Label: cfg.Label,
 		MaxMembers: cfg.MaxMembers, AwaitAddress: cfg.AwaitAddress, Log: cfg.Log, Listener: cfg.Listener, Wire: cfg.Wire,
-		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: processNumber, Hub: cfg.Hub},
+		Meta: member.Meta{Site: cfg.Site, Version: cfg.Version, Incarnation: incarnationNumber, Hub: cfg.Hub},
 
 		Merge:       f.mergeGossip,
 		NextMessage: f.nextGossip,
 		ObserveRTT:  f.store.ObserveRTT,
 		Changed:     f.membersChanged,
-		HandleProbe: func(data []byte, from netip.AddrPort, at time.Time) { f.prober.HandleDatagram(data, from, at) },
-		ServeConn:   f.relay.serveConn,
+		HandleProbe: func(data []byte, from netip.AddrPort, receivedAt time.Time) {
+			f.prober.HandleDatagram(data, from, receivedAt)
+		},
+		ServeConn: f.relay.serveConn,
 	}
 }
 
@@ -171,7 +173,7 @@
 	}
 }
 
-// nextGossip returns a gossip message of at most limit bytes for another member, or nil.
+// nextGossip returns a gossip message of at most limit bytes for another member, or nil, and counts its bytes as sent.
 func (f *Fleet) nextGossip(limit, members int) []byte {
 	data := f.store.NextMessage(limit, members)
 	f.gossipBytes.Add(int64(len(data)))
@@ -189,9 +191,9 @@
 // Addr returns the address, IP and port, at which others reach this process.
 func (f *Fleet) Addr() string { return f.members.Addr().String() }
 
-// Run joins the fleet, stays in it until ctx ends, and leaves it. It returns after all its goroutines have ended. If joining
-// fails it returns the error at once. If this process has to leave because another one has its name, Run continues without
-// members until ctx ends. It may be called once.
+// Run joins the fleet, stays in it until ctx ends, and leaves it. It returns after all its goroutines have ended. If the
+// member list cannot be started, Run returns the error without waiting for ctx. If this process has to leave because another
+// process has the same name, Run continues without members until ctx ends. It may be called once.
 func (f *Fleet) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -216,17 +218,18 @@
 // Ready publishes that this process has an endpoint list and serves. Calls after the first have no effect.
 func (f *Fleet) Ready() {
 	f.mu.Lock()
-	before := f.ready
+	wasReady := f.ready
 	f.ready = true
 	f.mu.Unlock()
-	if !before {
+	if !wasReady {
 		f.members.SetPhase(member.Serving)
 		f.cfg.Log.Info("start", "step", "serving", "members", f.members.View().Len(), "took", time.Since(f.startedAt))
 	}
 }
 
-// runLoop ticks the gossip store and recomputes what is derived from it and from the members, until ctx ends. It starts a
-// round on each tick, at once after a change of the members, and when a latency row expires.
+// runLoop ticks the gossip store and recomputes the quota and the latencies, until ctx ends. It starts a round on each tick,
+// at once after a change of the members, and when a latency row expires. The latencies are recomputed in every second round
+// and when a latency row expires.
 func (f *Fleet) runLoop(ctx context.Context) {
 	tick := time.NewTicker(gossip.TickInterval)
 	defer tick.Stop()
@@ -235,7 +238,7 @@
 	rowExpiry := time.NewTimer(0) // fires when a latency row expires, so that the matrix is rebuilt without the row before the next tick
 	defer rowExpiry.Stop()
 	for n := 0; ; n++ {
-		due := n%2 == 0
+		latenciesDue := n%2 == 0
 		select {
 		case <-ctx.Done():
 			return
@@ -244,11 +247,11 @@
 		case <-f.changed:
 		case <-tick.C:
 		case <-rowExpiry.C:
-			due = true
+			latenciesDue = true
 		}
 		f.store.Tick()
 		f.recomputeQuota()
-		if f.cfg.MeasureLatency && due {
+		if f.cfg.MeasureLatency && latenciesDue {
 			f.publishLatencies()
 			_, until := f.store.Changes(gossip.LatencyRow)
 			rowExpiry.Reset(max(time.Millisecond, time.Until(until)))
--- a/internal/fleet/incarnation/incarnation_test.go
+++ b/internal/fleet/incarnation/incarnation_test.go
@@ -21,7 +21,7 @@
 	}
 	for i := range 3 {
 		if got := a.Next(); got != uint64(ahead)+uint64(i)+1 {
-			t.Errorf("got %d after the stored number %d", got, ahead)
+			t.Errorf("got %d after the stored number %d, want %d", got, ahead, uint64(ahead)+uint64(i)+1)
 		}
 	}
 	if got := (Allocator{Dir: dir, Name: "n1"}).Next(); got >= uint64(ahead) {
@@ -38,7 +38,7 @@
 		"unusable directory": {Dir: torn, Name: "n4"},
 	} {
 		if got := a.Next(); got < now || got > now+uint64(time.Minute.Milliseconds()) {
-			t.Errorf("%s: got %d at wall clock %d ms", name, got, now)
+			t.Errorf("%s: got %d at wall clock %d ms, want the clock's reading", name, got, now)
 		}
 	}
 }
--- a/internal/fleet/latency/latency_test.go
+++ b/internal/fleet/latency/latency_test.go
@@ -70,13 +70,13 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.bytes[m.Name] += len(data) + 28
-		var site string
+		var targetSite string
 		for _, o := range n.members {
 			if o.Addr == to {
-				site = o.Site
+				targetSite = o.Site
 			}
 		}
-		d, arrives := n.oneWay(m.Site, site)
+		d, arrives := n.oneWay(m.Site, targetSite)
 		if p := n.probers[to]; arrives && p != nil {
 			delay := d + time.Duration(rand.Float64()*0.25*float64(d)) + n.addedDelay[m.Name]
 			time.AfterFunc(delay, func() { p.HandleDatagram(data, m.Addr, time.Now()) })
@@ -117,7 +117,7 @@
 	return NewMatrix(n.stores[i].Entries(gossip.LatencyRow), n.view)
 }
 
-// uniformDelay is 200 us within a site and 1 ms between two.
+// uniformDelay returns a delay of 200 us within a site and 1 ms between sites. Every datagram arrives.
 func uniformDelay(from, to string) (time.Duration, bool) {
 	if from == to {
 		return 200 * time.Microsecond, true
@@ -140,7 +140,7 @@
 		}
 	}
 	if wrong > 2 { // a member that missed a few rows may have other values
-		t.Errorf("%s: %d of %d members have a wrong round trip from %s to %s", when, wrong, len(n.members), a, b)
+		t.Errorf("%s: %d of %d members have a wrong round trip from %s to %s, want at most 2", when, wrong, len(n.members), a, b)
 	}
 }
 
@@ -202,21 +202,21 @@
 			network := newTestNetwork(ctx, map[string]int{"a": n / 3, "b": n / 3, "c": n / 3}, uniformDelay)
 			defer func() { cancel(); network.tasks.Wait(); time.Sleep(time.Second) }()
 			time.Sleep(10 * time.Second)
-			sum, maxBytes, probes := 0, 0, 0
+			totalBytes, maxBytes, probes := 0, 0, 0
 			network.withLock(func() {
 				for _, b := range network.bytes {
-					sum, maxBytes = sum+b, max(maxBytes, b)
+					totalBytes, maxBytes = totalBytes+b, max(maxBytes, b)
 				}
 			})
 			for _, p := range network.probers {
 				p.mu.Lock()
-				probes += p.sent
+				probes += p.probesSent
 				p.mu.Unlock()
 			}
 			t.Logf("%d members: mean %.0f B/s, maximum %d B/s, %.1f probes/s per pair",
-				n, float64(sum)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
+				n, float64(totalBytes)/float64(n)/10, maxBytes/10, float64(probes)/10/6)
 			if rate := float64(probes) / 10 / 6; rate > 2*pairRate {
-				t.Errorf("%.1f probes per second for a pair of sites", rate)
+				t.Errorf("%d members: got %.1f probes per second for a pair of sites, want at most %.1f", n, rate, 2*pairRate)
 			}
 		})
 	}
@@ -227,25 +227,25 @@
 	view := member.NewView(member.Member{Name: "a0", Meta: member.Meta{Site: "a"}},
 		member.Member{Name: "b0", Meta: member.Meta{Site: "b"}})
 	body := func(r row) []byte { data, _ := cbor.Marshal(r); return data }
-	one := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
+	entryToB := rowEntry{Site: "b", RTTMicros: 1000, Count: 3}
 	for name, c := range map[string]struct {
-		f    gossip.Entry
-		want int
+		entry gossip.Entry
+		want  int
 	}{
-		"valid":                    {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 1},
-		"observer of another site": {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{one}})}, 0},
-		"not a member":             {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{one}})}, 0},
-		"duplicate entry":          {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{one, one}})}, 1},
+		"valid":                    {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{entryToB}})}, 1},
+		"observer of another site": {gossip.Entry{Subject: "b", Observer: "a0", Body: body(row{[]rowEntry{entryToB}})}, 0},
+		"not a member":             {gossip.Entry{Subject: "a", Observer: "z", Body: body(row{[]rowEntry{entryToB}})}, 0},
+		"duplicate entry":          {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{entryToB, entryToB}})}, 1},
 		"no site":                  {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{RTTMicros: 1, Count: 1}}})}, 0},
 		"loss over 100":            {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", LossPercent: 200}}})}, 0},
 		"round trip of 60 s":       {gossip.Entry{Subject: "a", Observer: "a0", Body: body(row{[]rowEntry{{Site: "b", RTTMicros: 60e6, Count: 1}}})}, 0},
 		"malformed CBOR":           {gossip.Entry{Subject: "a", Observer: "a0", Body: []byte{0xff}}, 0},
 	} {
-		if got := NewMatrix([]gossip.Entry{c.f}, view); len(got) != c.want {
-			t.Errorf("%s: got matrix %v", name, got)
+		if got := NewMatrix([]gossip.Entry{c.entry}, view); len(got) != c.want {
+			t.Errorf("%s: got matrix %v, want %d pairs", name, got, c.want)
 		}
-		if e, known := NewMatrix([]gossip.Entry{c.f}, view).Between("b", "a"); known && e.Observers != 1 {
-			t.Errorf("%s: %d observers", name, e.Observers)
+		if e, known := NewMatrix([]gossip.Entry{c.entry}, view).Between("b", "a"); known && e.Observers != 1 {
+			t.Errorf("%s: got %d observers, want 1", name, e.Observers)
 		}
 	}
 }
@@ -256,10 +256,10 @@
 		{"b", "c"}: {RTT: time.Millisecond}}
 	body, age := m.Row("a", 2*time.Second)
 	if r, err := DecodeRow(body); err != nil || len(r) != 1 || r["b"].RTT != 3*time.Millisecond || age != time.Second {
-		t.Errorf("got row %v, age %v, error %v", r, age, err)
+		t.Errorf("got row %v, age %v, error %v, want only site b with a round trip of 3ms, and age 1s", r, age, err)
 	}
 	if body, _ := m.Row("a", time.Millisecond); body != nil {
-		t.Errorf("got row %x from estimates that are too old", body)
+		t.Errorf("got row %x from estimates that are too old, want none", body)
 	}
 }
 
@@ -272,7 +272,7 @@
 			p.HandleDatagram(data, netip.AddrPort{}, time.Now())
 		}
 		if r, err := unmarshalRow(data); err == nil && r.validate() != nil {
-			t.Error("a row that exceeds its limits is accepted")
+			t.Error("unmarshalRow accepted a row that exceeds its limits, want an error")
 		}
 	})
 }
--- a/internal/fleet/latency_test.go
+++ b/internal/fleet/latency_test.go
@@ -35,7 +35,7 @@
 			body, _ := cbor.Marshal(map[int][]entry{1: {{"b", us, 3}}})
 			return body
 		}
-		for i, step := range []struct{ us, builds, pairs int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
+		for i, step := range []struct{ us, wantBuilds, wantPairs int }{{100, 1, 1}, {100, 1, 1}, {200, 2, 1}, {0, 3, 0}} {
 			if step.us > 0 {
 				f.store.Publish(gossip.LatencyRow, "a", row(step.us))
 			}
@@ -47,20 +47,20 @@
 				for line := range bytes.Lines(trace.Bytes()) {
 					var use struct{ Age int64 }
 					if json.Unmarshal(line, &use) != nil || time.Duration(use.Age)*time.Microsecond > gossip.DefaultAgeBounds[gossip.LatencyRow] {
-						t.Errorf("step %d: malformed trace line or age past its bound: %s", i, line)
+						t.Errorf("step %d: got a malformed trace line, or an age past the bound of a latency row: %s", i, line)
 					}
 				}
 				if uses := bytes.Count(trace.Bytes(), []byte(`"use"`)); uses != len(f.matrix) {
-					t.Errorf("step %d: traced %d uses of a matrix of %d pairs", i, uses, len(f.matrix))
+					t.Errorf("step %d: got %d traced uses for a matrix of %d pairs, want one for each pair", i, uses, len(f.matrix))
 				}
 			}
-			if f.matrixBuilds != step.builds || len(f.matrix) != step.pairs {
-				t.Errorf("step %d: built %d times, %d pairs", i, f.matrixBuilds, len(f.matrix))
+			if f.matrixBuilds != step.wantBuilds || len(f.matrix) != step.wantPairs {
+				t.Errorf("step %d: built %d matrices, the last with %d pairs, want %d with %d", i, f.matrixBuilds, len(f.matrix), step.wantBuilds, step.wantPairs)
 			}
 		}
 		f.cfg.Trace = nil
 		if n := testing.AllocsPerRun(10, f.publishLatencies); n > 0 {
-			t.Errorf("%v allocations while nothing changes", n)
+			t.Errorf("got %v allocations while nothing changes, want 0", n)
 		}
 	})
 }
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -11,7 +11,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate implements memberlist's delegate interfaces on a List, so that they are not part of List's own method set.
+// delegate implements memberlist's delegate interfaces for a List. It is a separate type so that List does not export their
+// methods.
 type delegate List
 
 // maxGossipBytes is the size of a gossip message in one packet. A memberlist packet could hold more, but a larger packet is
@@ -128,7 +129,7 @@
 	l.cfg.Changed()
 }
 
-// NotifyConflict makes this process leave if another one has its name and started earlier. Incarnations depend on wall
+// NotifyConflict makes this process leave if another process has the same name and started earlier. Incarnations depend on wall
 // clocks, and the other process may not detect the conflict, so this process leaves after maxConflicts reports even if it
 // started first.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
--- a/internal/fleet/member/list.go
+++ b/internal/fleet/member/list.go
@@ -36,7 +36,7 @@
 	Changed     func()                             // the list has changed
 	// HandleProbe receives a datagram of the latency prober and the time at which it was read. It must not retain data. It
 	// may be nil if no other member sends probes.
-	HandleProbe func(data []byte, from netip.AddrPort, at time.Time)
+	HandleProbe func(data []byte, from netip.AddrPort, receivedAt time.Time)
 	// ServeConn takes over a connection that starts with an HTTP request. nil: such connections are closed.
 	ServeConn func(net.Conn)
 
@@ -60,7 +60,7 @@
 	peerJoins     int
 	phase         Phase
 	leaving       bool // leave is closed
-	conflictCount int  // reports of another process with this one's name
+	conflictCount int  // reports of another process with the same name
 }
 
 // New opens the sockets. Nothing is sent before Run. If the address is in use it returns an error that wraps
@@ -92,8 +92,8 @@
 	return l.transport.dial(ctx, &l.transport.dialer, addr)
 }
 
-// View returns the current members, this one included. The same View is returned until the list changes. It is built on the
-// first call after a change, so that many changes at once cost one View.
+// View returns the current members, this one included. View returns the same pointer until the list changes. The first
+// call after a change builds a new View, so that many changes at once build only one.
 func (l *List) View() *View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +108,7 @@
 	return l.view
 }
 
-// putLocked inserts or replaces a member, which must not be changed afterwards. The lock is held.
+// putLocked inserts or replaces a member, which must not be changed afterwards. The caller holds the lock.
 func (l *List) putLocked(m *Member) {
 	if m.Name == l.cfg.Name {
 		m.Phase = l.phase // memberlist may still have an older phase
@@ -140,14 +140,14 @@
 // SetPhase sets this process's phase and publishes it. It does not wait until others have received it.
 func (l *List) SetPhase(phase Phase) {
 	l.mu.Lock()
-	memberlist, same := l.memberlist, l.phase == phase
+	memberlist, unchanged := l.memberlist, l.phase == phase
 	l.phase = phase
-	if i, found := findMember(l.members, l.cfg.Name); found && !same {
+	if i, found := findMember(l.members, l.cfg.Name); found && !unchanged {
 		self := *l.members[i]
 		l.putLocked(&self)
 	}
 	l.mu.Unlock()
-	if memberlist != nil && !same {
+	if memberlist != nil && !unchanged {
 		// Run does not wait for this goroutine, which ends within 2 s. If the update fails, others receive the phase in the
 		// next exchange of states.
 		go func() { _ = memberlist.UpdateNode(2 * time.Second) }()
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -53,10 +53,10 @@
 	dialer       net.Dialer
 	packets      chan *memberlist.Packet
 	streams      chan net.Conn
-	handleProbe  func(data []byte, from netip.AddrPort, at time.Time) // runs on the goroutine that reads datagrams; may be nil
-	serveConn    func(net.Conn)                                       // takes over the connection; may be nil
-	wire         Wire                                                 // may be nil
-	unclassified chan struct{}                                        // a semaphore, see maxUnclassified
+	handleProbe  func(data []byte, from netip.AddrPort, receivedAt time.Time) // runs on the goroutine that reads datagrams; may be nil
+	serveConn    func(net.Conn)                                               // takes over the connection; may be nil
+	wire         Wire                                                         // may be nil
+	unclassified chan struct{}                                                // a semaphore, see maxUnclassified
 	tasks        sync.WaitGroup
 	ctx          context.Context
 	cancel       context.CancelFunc
@@ -100,8 +100,7 @@
 	return nil
 }
 
-// awaitAddress binds as soon as the address is free: this agent's predecessor uses it until it ends. It reports false if ctx
-// ends first.
+// awaitAddress binds the address as soon as this agent's predecessor has released it. It reports false if ctx ends first.
 func (t *transport) awaitAddress(ctx context.Context) bool {
 	tick := time.NewTicker(bindInterval)
 	defer tick.Stop()
@@ -111,7 +110,7 @@
 			return false
 		case <-tick.C:
 		}
-		_ = t.bind() // if it fails the address is still in use
+		_ = t.bind() // on an error the address is still in use, and the next tick binds again
 	}
 	return true
 }
@@ -133,7 +132,7 @@
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
-		at := time.Now()
+		receivedAt := time.Now()
 		if t.ctx.Err() != nil {
 			return
 		}
@@ -146,11 +145,11 @@
 		}
 		if buf[0] == ProbeByte {
 			if t.handleProbe != nil {
-				t.handleProbe(buf[:n], from, at)
+				t.handleProbe(buf[:n], from, receivedAt)
 			}
 			continue
 		}
-		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: at}
+		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: receivedAt}
 		select {
 		case t.packets <- p:
 		case <-t.ctx.Done():
@@ -251,12 +250,12 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	at := time.Now()
+	sentAt := time.Now()
 	if t.wire != nil && !t.wire.Packet(b, to, true) {
-		return at, nil
+		return sentAt, nil
 	}
 	_, err = t.udp.WriteToUDPAddrPort(b, to)
-	return at, err
+	return sentAt, err
 }
 
 // PacketCh returns the channel of memberlist's datagrams.
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -57,30 +57,30 @@
 		{func() { d.NotifyUpdate(newNode("b")); l.SetPhase(Serving) }, "bm"},
 	}
 	for i, s := range steps {
-		before := l.View()
-		namesBefore := names(before)
+		older := l.View()
+		namesBefore := names(older)
 		s.do()
 		v := l.View()
-		if names(v) != s.want || names(before) != namesBefore {
-			t.Errorf("step %d: members %s, want %s; the older view has members %s, want %s", i, names(v), s.want, names(before), namesBefore)
+		if names(v) != s.want || names(older) != namesBefore {
+			t.Errorf("step %d: members %s, want %s; the older view has members %s, want %s", i, names(v), s.want, names(older), namesBefore)
 		}
 		if n := testing.AllocsPerRun(10, func() {
 			if l.View() != v || l.FailedToCheck(2) != nil && i != 2 && i != 3 && i != 4 {
-				t.Errorf("step %d: got another view although nothing changed", i)
+				t.Errorf("step %d: got another view although nothing changed, or failed members although none failed", i)
 			}
 		}); n > 1 { // the slice that FailedToCheck returns
-			t.Errorf("step %d: %v allocations for a view", i, n)
+			t.Errorf("step %d: got %v allocations for a view, want at most 1", i, n)
 		}
 	}
 	if v := l.View(); v.StartingCount() != 1 || v.InSite("").Len() != 1 || v.InSite("a").Len() != 1 {
-		t.Errorf("%d starting, %d without a site", v.StartingCount(), v.InSite("").Len())
+		t.Errorf("got %d starting members, %d without a site and %d in site a, want 1 of each", v.StartingCount(), v.InSite("").Len(), v.InSite("a").Len())
 	}
 	if m, found := l.View().ByName("m"); !found || m.Phase != Serving {
 		t.Errorf("got member %+v, want phase Serving", m)
 	}
 }
 
-// Many joins in a row build only one view, on the next call of View.
+// View is built once after many joins in a row, on the next call of View.
 func TestManyJoinsBuildOneView(t *testing.T) {
 	l := newIdleList(t)
 	const n = 1800
@@ -91,9 +91,9 @@
 		}
 	}) / n
 	if l.view != nil || allocsPerJoin > 20 {
-		t.Errorf("%v allocations for each member that joins", allocsPerJoin)
+		t.Errorf("got view %p and %v allocations for each member that joins, want no view and at most 20", l.view, allocsPerJoin)
 	}
 	if v := l.View(); v.Len() != n+1 || before.Len() != 1 {
-		t.Errorf("%d members, %d before", v.Len(), before.Len())
+		t.Errorf("got %d members, and %d in the older view, want %d and 1", v.Len(), before.Len(), n+1)
 	}
 }
--- a/internal/fleet/startup/load.go
+++ b/internal/fleet/startup/load.go
@@ -14,7 +14,7 @@
 // Subject is the subject of the gossip entries that a Pacer publishes.
 const Subject = subject
 
-// serviceLoad is the load of the list service as one caller observed it: the body of an entry of kind
+// serviceLoad is the load of the list service as observed by one caller. It is the body of an entry of kind
 // gossip.ListServiceLoad.
 type serviceLoad struct {
 	Rate    float64 `cbor:"1,keyasint"` // estimate of the calls per second that the service sustains
@@ -22,7 +22,7 @@
 	Version int64   `cbor:"3,keyasint"` // of the list in the response
 }
 
-// decodeLoad decodes the body of an entry. It is the decode of gossip.DecodeBody for loads.
+// decodeLoad decodes the body of an entry. All callers of gossip.DecodeBody for loads pass this function.
 func decodeLoad(body []byte) (l serviceLoad, err error) {
 	err = cbor.Unmarshal(body, &l)
 	return l, err
@@ -30,12 +30,13 @@
 
 // Aggregate combines entries of kind gossip.ListServiceLoad into at most two entries of the same form. The first has the
 // median rate and the highest version, and is as old as the oldest valid entry. The second is the most recent failure, if
-// there is one, with its own age, which determines how long others pause. Malformed entries are ignored. Hubs publish the
-// aggregate instead of the loads of all their agents; the caller sets observer, incarnation and sequence number.
+// there is one, with its own age, which other processes compare with the pause after a failure. Malformed entries are
+// ignored. Hubs publish the aggregate instead of the loads of all their agents; the caller sets observer, incarnation and
+// sequence number.
 func Aggregate(entries []gossip.Entry) (aggregates []gossip.Entry) {
 	var rates []float64
-	var combined, failed serviceLoad
-	oldest, youngest := time.Duration(0), time.Duration(-1)
+	var combined, latestFailure serviceLoad
+	oldest, failureAge := time.Duration(0), time.Duration(-1)
 	for _, entry := range entries {
 		var load serviceLoad
 		if cbor.Unmarshal(entry.Body, &load) != nil || !(load.Rate > 0) {
@@ -43,8 +44,8 @@
 		}
 		rates, oldest = append(rates, min(max(load.Rate, minRate), maxRate)), max(oldest, entry.Age)
 		combined.Version = max(combined.Version, load.Version)
-		if load.Failed && (youngest < 0 || entry.Age < youngest) {
-			failed, youngest = load, entry.Age
+		if load.Failed && (failureAge < 0 || entry.Age < failureAge) {
+			latestFailure, failureAge = load, entry.Age
 		}
 	}
 	if len(rates) == 0 {
@@ -53,8 +54,8 @@
 	slices.Sort(rates)
 	combined.Rate = rates[len(rates)/2]
 	aggregates = []gossip.Entry{aggregateEntry(subject, combined, oldest)}
-	if youngest >= 0 {
-		aggregates = append(aggregates, aggregateEntry(subject+" refused", failed, youngest))
+	if failureAge >= 0 {
+		aggregates = append(aggregates, aggregateEntry(subject+" refused", latestFailure, failureAge))
 	}
 	return aggregates
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -18,16 +18,16 @@
 // hubs, the settings from hubs overlay it: the stored settings from the start, and later the received settings. It returns
 // an error if the file cannot be read or is invalid.
 func FromFile(file string, log *slog.Logger) (agent.Source, error) {
-	own, err := config.Read(file)
+	fileConfig, err := config.Read(file)
 	if err != nil {
 		return agent.Source{}, err
 	}
 	source := agent.Source{Name: file, Getenv: func(string) string { return "" }, Join: JoinFromConfig}
 	read := func() (*config.Config, error) { return config.Read(file) }
-	if len(own.Fleet.Hubs) > 0 {
+	if len(fileConfig.Fleet.Hubs) > 0 {
 		discovery := &discoverySwitch{}
 		overlay := settings.NewAgentConfig(file, discovery.switchTo)
-		holder := newSettingsHolder(settings.Config{Check: overlay.Check, Apply: overlay.Apply, Log: log}, own.Settings.State)
+		holder := newSettingsHolder(settings.Config{Check: overlay.Check, Apply: overlay.Apply, Log: log}, fileConfig.Settings.State)
 		read = overlay.Read
 		source.Join = func(raw []byte) (agent.JoinFunc, error) {
 			return joinFromConfig(raw, &preparedSettings{holder, discovery})
@@ -52,7 +52,7 @@
 // discoverySwitch passes a changed address of discovery to the agent. Until setFollow is called there is no agent, and changes
 // are ignored. Its methods may be called from any goroutine.
 type discoverySwitch struct {
-	mu     sync.Mutex // protects follow, and is held while it is called
+	mu     sync.Mutex // protects follow, and is locked during calls of follow
 	follow func(discovery string)
 }
 
@@ -72,8 +72,8 @@
 	d.follow = follow
 }
 
-// newSettingsHolder returns a holder that stores settings in a directory and has loaded those stored there. With an empty name
-// it stores nothing. Stored settings that cannot be used are logged.
+// newSettingsHolder returns a holder that stores settings in dir and has loaded the settings stored there. If dir is
+// empty the holder stores nothing. Stored settings that cannot be used are logged.
 func newSettingsHolder(cfg settings.Config, dir string) *settings.Holder {
 	if dir == "" {
 		return settings.NewHolder(cfg)
@@ -86,8 +86,8 @@
 	return holder
 }
 
-// platformSettings returns the settings of an agent that is configured in the platform's form, which settings cannot overlay.
-// Only the address of discovery takes effect; all other keys are reported as pending until a restart.
+// platformSettings returns the settings holder of an agent whose configuration has the platform's form. Of the settings from
+// hubs only the address of discovery takes effect; all other keys are reported as pending until a restart.
 func platformSettings(dir string, cfg *agent.Config, follow func(discovery string), log *slog.Logger) *settings.Holder {
 	discovery := &discoverySwitch{}
 	discovery.setFollow(func(discovery string) { cfg.Discovery = discovery }) // until the agent is created
@@ -96,7 +96,7 @@
 	return holder
 }
 
-// apply applies the address of discovery and returns the other keys, which wait for a restart.
+// apply applies the address of discovery and returns the other keys, which are pending until a restart.
 func (d *discoverySwitch) apply(received *settings.Settings) (pending []string, err error) {
 	var document struct {
 		Discovery string `toml:"discovery"`
