--- a/internal/forms/config_test.go
+++ b/internal/forms/config_test.go
@@ -17,7 +17,7 @@
 
 // Tests of the configuration files that operators write, and of the platform's JSON form.
 
-// Both configuration files keep their keys, and `config print` keeps printing the same defaults.
+// The configuration files of agents and hubs keep their keys. The defaults that `config print` prints keep their text.
 func TestConfigurationsKeepTheirKeys(t *testing.T) {
 	goldenKeys[config.Config](t, "agent-keys.txt")
 	goldenKeys[config.Hub](t, "hub-keys.txt")
@@ -59,11 +59,11 @@
 		h.Residency.File != "testdata/policy.toml" || h.Residency.State != "state13" ||
 		h.Residency.Bound.Duration() != 14*time.Second ||
 		h.MaxAge["gone"].Duration() != 18*time.Second {
-		t.Errorf("%+v", h)
+		t.Errorf("ParseHub: got %+v, want the values in testdata/hub.toml", h)
 	}
 	if _, err := config.ParseHub("hub.toml", "lable = \"x\"\n"); err == nil ||
 		!strings.Contains(err.Error(), "hub.toml:1: lable: unknown key") {
-		t.Errorf("unknown key: got error %v", err)
+		t.Errorf("unknown key: got error %v, want \"hub.toml:1: lable: unknown key\" in it", err)
 	}
 }
 
@@ -87,8 +87,8 @@
 		Read: func() ([]byte, error) { return raw, nil }}.Load()
 }
 
-// A changed value of any key of the platform's configuration, settings included, changes the loaded configuration or
-// makes Load fail. Load would ignore a key that was renamed in the code.
+// A change to the value of any key in platform.json, settings included, changes the loaded configuration or makes Load
+// fail. The test detects a key that Load ignores because the code has another name for it.
 func TestNoPlatformKeyIsIgnored(t *testing.T) {
 	raw := stored(t, "platform.json")
 	before, err := load(raw)
--- a/internal/forms/fleet_test.go
+++ b/internal/forms/fleet_test.go
@@ -55,7 +55,8 @@
 	equal(t, "path and protocol", []string{frame.Path, frame.Protocol}, []string{"/hub", "martenbeam-hub"})
 }
 
-// A gossip message with one entry of each kind, and each body that has its own encoding, keep their bytes.
+// A gossip message with one entry of each kind encodes to the same bytes, and decodes from them. The bodies with an applied
+// version or a fleet size decode to the same values.
 func TestGossipMessageKeepsItsBytes(t *testing.T) {
 	applied := documents.AppliedVersion{Version: 7, Digests: []string{"d1", "d2"}}
 	fleetSize := hub.FleetSize{Attached: 30, Starting: 20, Dead: 10}
@@ -104,14 +105,14 @@
 	equal(t, "kinds", kinds, []string{"service", "distance", "residency", "gone", "settings", "census"})
 }
 
-// The list service's load keeps its bytes as an agent publishes it and as a hub aggregates it.
+// The entry with which an agent publishes the list service's load, and the aggregate that a hub publishes, keep their bytes.
 func TestServiceLoadKeepsItsBytes(t *testing.T) {
 	store := gossip.New("n1", 5, gossip.DefaultAgeBounds, nil)
 	p := startup.New(startup.Config{Rate: 40, HasPeers: func() bool { return true }, Store: store})
 	p.RecordAttempt(time.Millisecond, true, 9)
 	entries := store.Entries(gossip.ListServiceLoad)
 	if len(entries) != 1 {
-		t.Fatalf("got %d entries, want 1", len(entries))
+		t.Fatalf("got %d entries of the list service's load, want 1", len(entries))
 	}
 	goldenHex(t, "body-service.hex", entries[0].Body)
 	entries[0].Body = storedHex(t, "body-service.hex")
@@ -124,7 +125,7 @@
 	goldenHex(t, "body-service-sum.hex", bytes.Join(sums, nil))
 }
 
-// A row of the latency matrix encodes to the same bytes, with the age of its oldest pair.
+// A row of the latency matrix encodes to the same bytes, and Row returns the age of the oldest pair in the row.
 func TestLatencyRowKeepsItsBytes(t *testing.T) {
 	m := latency.Matrix{
 		latency.Pair{A: "a", B: "b"}: {RTT: 1500 * time.Microsecond, Jitter: 300 * time.Microsecond, Loss: 0.25, Observers: 5,
@@ -185,7 +186,7 @@
 func (holder) Apply(int64, string) error         { return nil }
 func (holder) Text(string) (int64, string, bool) { return 12, "version = 12\n", true }
 
-// A line of a fleet's trace keeps its keys and values; its time differs in each run and is set to 0.
+// A line of a fleet's trace keeps its keys and values. The test sets the time to 0, since it differs in each run.
 func TestTraceLinesKeepTheirFormat(t *testing.T) {
 	var b bytes.Buffer
 	trace := gossip.Trace{W: &b}
--- a/internal/forms/golden_test.go
+++ b/internal/forms/golden_test.go
@@ -21,7 +21,7 @@
 
 var update = flag.Bool("update", false, "rewrite the files in testdata; fails where CI is set")
 
-// golden compares got with a file in testdata, or writes the file if -update is set.
+// golden compares got with a file in testdata, or writes got to the file if -update is set.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -85,7 +85,7 @@
 	return data
 }
 
-// filled returns a value whose exported fields are all set, numbers and strings each to a different value.
+// filled returns a value with all exported fields set. Each number and each string has a different value.
 func filled[T any]() *T {
 	v := new(T)
 	n := 0
@@ -93,7 +93,7 @@
 	return v
 }
 
-// fill sets v and its exported fields. n counts the values that it has visited.
+// fill sets v and its exported fields to values derived from n, which counts the values that fill has visited.
 func fill(v reflect.Value, n *int) {
 	if !v.CanSet() {
 		return
--- a/internal/forms/lab_test.go
+++ b/internal/forms/lab_test.go
@@ -14,7 +14,7 @@
 
 // Tests of the reports of the lab and of the measurements, and of the scenarios that the lab reads.
 
-// The reports of a run, of a comparison and of the overhead measurement keep their keys, and verdicts and measures their
+// The reports of a run, of a comparison and of the overhead measurement keep their keys. Verdicts and measures keep their
 // names.
 func TestReportsKeepTheirFormat(t *testing.T) {
 	goldenJSON(t, "report.json", filled[lab.Report]())
@@ -22,7 +22,7 @@
 	goldenJSON(t, "difference.json", filled[lab.Difference]())
 	goldenJSON(t, "callway.json", filled[overhead.Result]())
 	if lab.Schema != 1 {
-		t.Errorf("schema %d", lab.Schema)
+		t.Errorf("got report schema %d, want 1", lab.Schema)
 	}
 	equal(t, "verdicts", []string{lab.Passed, lab.Violated, lab.Crashed, lab.Inconclusive}, []string{"kept", "broken", "crashed", "void"})
 	var measures []string
@@ -32,7 +32,7 @@
 	golden(t, "measures.txt", []byte(strings.Join(measures, "\n")+"\n"))
 }
 
-// The history of a request, which `lab run --events` writes and `lab trace` reads, keeps its keys; rules and answers keep
+// The history of a request, which `lab run --events` writes and `lab trace` reads, keeps its keys. Rules and answers keep
 // their names.
 func TestRequestHistoryKeepsItsFormat(t *testing.T) {
 	q := check.Request{ID: "r1", FirstID: "r2", Attempt: 3, Agent: 4, Class: 5, SentAt: 6, Timeout: 7,
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if s.Name != name {
-			t.Errorf("scenario %s has the name %s", name, s.Name)
+			t.Errorf("scenario %s: Read returned the name %s, want the same name", name, s.Name)
 		}
 	}
 }
--- a/internal/forms/module_test.go
+++ b/internal/forms/module_test.go
@@ -45,10 +45,10 @@
 		balancer.ResponseStarted{Request: "r1", Attempt: 26}, balancer.Abandoned{Request: "r1"}, balancer.TimerFired{Token: 27},
 		balancer.GossipReceived{From: 28, Data: []byte{29, 30}})
 	if b.Now != 1500250*time.Microsecond || len(b.Events) != len(events)+2 {
-		t.Fatalf("batch at %v with %d events", b.Now, len(b.Events))
+		t.Fatalf("got a batch at %v with %d events, want one at 1.50025s with all events of batch.jsonl", b.Now, len(b.Events))
 	}
 	if o := b.Events[0].Open; o == nil || o.Seed != 99 || o.Settings.Balancers != 3 || len(o.Settings.Classes) != 2 {
-		t.Errorf("the first event opens the agent with %+v", b.Events[0])
+		t.Errorf("the first event opens the agent with %+v, want seed 99, three balancers and two classes", b.Events[0])
 	}
 	for i, e := range events {
 		equal(t, fmt.Sprintf("event %d", i), b.Events[1+i], wire.Event{Line: 4 + i, Agent: 7, Event: e})
@@ -82,9 +82,9 @@
 	golden(t, "actions.jsonl", out.Bytes())
 }
 
-// newBalancer returns one of 40 agents with two zones and a fixed seed after a fixed series of 60 requests, and the
-// gossip that it has sent. Each message in sent and received follows one byte with the receiver's number. The agent
-// receives the messages in received before request 50.
+// newBalancer returns one of 40 agents after a fixed series of 60 requests, and the gossip messages that the agent has
+// sent. The agent has backends in two zones and a fixed seed. One byte with the receiver's number precedes each message in
+// sent and received. The agent receives the messages in received before request 50.
 func newBalancer(t *testing.T, self int, received [][]byte) (b *balancer.Balancer, sent [][]byte) {
 	t.Helper()
 	const ms = time.Millisecond
@@ -127,7 +127,7 @@
 			now += 20 * ms
 			for i := range outcomes {
 				o := outcomes[i].(balancer.Outcome)
-				o.Done = true // a failed attempt ends its request: there are no retries, whose attempts would need numbers
+				o.Done = true // a failed attempt ends its request: the outcomes of retries would need attempt numbers
 				outcomes[i] = o
 			}
 			step(outcomes...)
@@ -156,12 +156,12 @@
 	return b, sent
 }
 
-// An agent's gossip keeps its bytes, and another agent decodes it into its state. The bytes also change when the module
-// decides differently.
+// An agent's gossip keeps its bytes, and another agent decodes these bytes into the same state. The bytes also change with
+// the decisions of the decision module.
 func TestGossipBetweenAgentsKeepsItsBytes(t *testing.T) {
 	b, sent := newBalancer(t, 0, nil)
 	if len(sent) < 3 {
-		t.Fatalf("%d messages", len(sent))
+		t.Fatalf("got %d gossip messages, want at least 3", len(sent))
 	}
 	var text strings.Builder
 	for _, data := range sent {
@@ -174,7 +174,7 @@
 	s := b.Snapshot()
 	goldenJSON(t, "snapshot-receiver.json", s)
 	if s.PeerDemand[0] <= 0 {
-		t.Errorf("the receiver has no demand of the sender: %v", s.PeerDemand)
+		t.Errorf("the receiver has no demand from the sender: got peer demand %v, want a positive first value", s.PeerDemand)
 	}
 }
 
--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -38,7 +38,7 @@
 			PeerDemand: []float64{22.5, -1}, Latency: []float64{23.5, 24.5}}}
 }
 
-// A handover record is written with the same keys, and Store.Poll reads a stored one.
+// A handover record encodes to the same bytes, Store.Poll reads a stored record, and Register adds the files lock and owner.
 func TestHandoverRecordKeepsItsFormat(t *testing.T) {
 	r := handoverRecord()
 	text, err := json.Marshal(r)
@@ -83,7 +83,7 @@
 	equal(t, "files", names, []string{"handover.json", "lock", "owner"})
 }
 
-// SaveFunc writes settings in the same format, and Load applies stored settings.
+// SaveFunc writes settings in the same format, Load applies stored settings, and Apply rejects a lower version.
 func TestStoredSettingsKeepTheirFormat(t *testing.T) {
 	dir := t.TempDir()
 	if err := settings.SaveFunc(dir)(3, []string{settingsText, "version = 3\n"}); err != nil {
@@ -97,12 +97,12 @@
 		t.Fatal(err)
 	}
 	if v := h.State().Version; v != 3 {
-		t.Errorf("version %d", v)
+		t.Errorf("stored settings: got version %d, want 3", v)
 	}
 	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText,
 		versionedfile.Digest("version = 3\n"): "version = 3\n"} {
 		if v, text, ok := h.Text(digest); v != 3 || text != want || !ok {
-			t.Errorf("%s: version %d, %q, %v", digest, v, text, ok)
+			t.Errorf("digest %s: got version %d, text %q, found %v; want version 3 and the text with this digest", digest, v, text, ok)
 		}
 	}
 	if err := h.Apply(2, "version = 2\n"); err == nil {
@@ -125,13 +125,13 @@
 		t.Fatal(err)
 	}
 	if v, text, ok := h.Text(residency.Digest(policyText)); v != 6 || text != policyText || !ok {
-		t.Errorf("version %d, %q, %v", v, text, ok)
+		t.Errorf("stored policy: got version %d, text %q, found %v; want version 6 and the stored text", v, text, ok)
 	}
 	tenant, bulk, other := h.RuleID("t1", "web"), h.RuleID("t1", "bulk"), h.RuleID("t2", "web")
 	table := h.Table()
 	equal(t, "zones of the tenant", table.Permitted[tenant], []bool{true, false, false})
-	equal(t, "zones of its class", table.Permitted[bulk], []bool{false, true, true})
-	equal(t, "zones of others", table.Permitted[other], []bool(nil))
+	equal(t, "zones of the tenant's class bulk", table.Permitted[bulk], []bool{false, true, true})
+	equal(t, "zones of other tenants", table.Permitted[other], []bool(nil))
 }
 
 // The documents of settings and of a residency policy keep their keys.
@@ -143,11 +143,11 @@
 	}
 	if p.Version != 6 || p.WhenStale != "refuse" || len(p.Regions) != 2 || p.Tenants["t1"].WhenStale != "serve" ||
 		p.Tenants["t1"].Classes["bulk"].Permitted[0] != "south" || p.DefaultRule.Permitted[0] != "*" {
-		t.Errorf("%+v", p)
+		t.Errorf("policy: got %+v, want the values in policyText", p)
 	}
 	s, err := settings.Parse("settings", settingsText)
 	if err != nil || s.Version != 3 || s.Text != settingsText {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("settings: got %+v, error %v; want version 3 with its text", s, err)
 	}
 }
 
