--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -39,7 +39,7 @@
 const (
 	Policy   Change = iota // the residency policy
 	List                   // the endpoint list
-	Settings               // published by hubs only
+	Settings               // the settings, which only hubs publish
 )
 
 // String returns the name that tables use.
@@ -53,7 +53,7 @@
 	Listen         string          // host:port; "": any loopback port
 	Seeds          []string        // FullMesh only: addresses of members to join
 	Hubs           []hubclient.Hub // Hubs only
-	Region         string          // Hubs only: while its own hub is unreachable, an agent prefers hubs of its region
+	Region         string          // Hubs only: the region whose hubs the agent prefers while its own hub is unreachable
 	Label          string          // an agent with a different label is not a member of the fleet
 	MaxMembers     int
 	MeasureLatency bool     // FullMesh only: measure the round trips to all zones
@@ -67,7 +67,7 @@
 
 // State is an agent's view of its fleet, and the versions that the agent has applied.
 type State struct {
-	Members                int     // the agent itself included; with hubs, the fleet size that they publish
+	Members                int     // agents in the fleet, this agent included; with hubs, the fleet size that the hubs publish
 	Quota                  float64 // the agent's share of the in-flight limit; 0: none received yet
 	MeasuredZones          int     // zones to which the agent has a round-trip time
 	Policy, List, Settings int64   // applied versions; 0: none. Settings is always 0 in a full mesh
@@ -102,7 +102,7 @@
 const (
 	connectTimeout = time.Second
 	maxPolicyAge   = 10 * time.Second
-	listRate       = 50 // polls of the list service a second, by the whole fleet
+	listRate       = 50 // polls of the list service per second by all agents of the fleet together
 )
 
 // announcedVersion is the program version that simulated agents announce. Its length is part of the measured bytes.
@@ -142,7 +142,7 @@
 	spec.Network.SetZone(a.client.Addr(), spec.Zone)
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
-	a.tasks.Go(func() { _ = a.client.Run(ctx) }) // Kill closes its sockets: an error is expected
+	a.tasks.Go(func() { _ = a.client.Run(ctx) }) // may return an error after Kill, which closes the sockets
 	if spec.ListService != "" {
 		a.followLists(ctx, log)
 	}
@@ -172,7 +172,7 @@
 	a.measuredZones.Store(measured)
 }
 
-// followLists follows endpoint lists as an agent does under the decision module: it subscribes, and after each failure it
+// followLists follows endpoint lists as a real agent does: it subscribes to the list service, and after each failure it
 // subscribes again with exponential backoff and full jitter.
 func (a *Agent) followLists(ctx context.Context, log *slog.Logger) {
 	startedAt, failures := time.Now(), 0
@@ -254,7 +254,7 @@
 	a.wire.kill()
 }
 
-// Kill ends the agent without leaving the fleet: its sockets close at once. Wait returns when its goroutines have ended.
+// Kill ends the agent without a leave message, and closes its sockets. Wait returns when its goroutines have ended.
 func (a *Agent) Kill() {
 	a.wire.kill()
 	a.Resume()
--- a/internal/scale/simagent/agent_test.go
+++ b/internal/scale/simagent/agent_test.go
@@ -6,6 +6,6 @@
 
 func TestStartRejectsAnUnknownMode(t *testing.T) {
 	if _, err := Start(Spec{Mode: "ring"}); err == nil {
-		t.Error("Start accepted an unknown mode")
+		t.Error("Start accepted the unknown mode ring, want an error")
 	}
 }
--- a/internal/scale/simagent/network.go
+++ b/internal/scale/simagent/network.go
@@ -13,14 +13,14 @@
 // Network is the network between simulated agents, and injects faults into it. Its methods may be called from any
 // goroutine. A fault also applies to connections that are already open.
 type Network struct {
-	zones  sync.Map // zone name by netip.AddrPort; the list service and real agents have none
+	zones  sync.Map // zone name by netip.AddrPort; the list service and real agents have no zone
 	faults atomic.Pointer[faults]
 }
 
 // faults is immutable: each change stores a new one.
 type faults struct {
 	isolated map[string]bool // zones that cannot exchange data with any other
-	lossRate float64         // 0 to 1
+	lossRate float64         // share of datagrams that are dropped and of stream writes that are delayed, 0 to 1
 }
 
 // retransmitDelay is the delay of a lost write to a stream. It stands for one retransmission by TCP.
@@ -72,7 +72,8 @@
 	return f != nil && a != b && (f.isolated[a] || f.isolated[b])
 }
 
-// drops draws at random, at the current loss rate, whether the network drops a datagram or a write.
+// drops reports whether the network drops a datagram, or delays a write to a stream. It returns true at random, with the
+// current loss rate as the probability.
 func (n *Network) drops() bool {
 	f := n.faults.Load()
 	return f != nil && f.lossRate > 0 && rand.Float64() < f.lossRate
--- a/internal/scale/simagent/stream.go
+++ b/internal/scale/simagent/stream.go
@@ -17,8 +17,8 @@
 type stream struct {
 	net.Conn
 	wire          *wire
-	zone          string       // the peer's
-	kind          atomic.Int32 // a TrafficKind, recognized by the first bytes; -1: none yet
+	zone          string       // the peer's zone
+	kind          atomic.Int32 // a TrafficKind, determined by the stream's first data; -1: no data yet
 	closeOnce     sync.Once
 	closed        chan struct{}
 	readDeadline  atomic.Pointer[time.Time] // nil: none
@@ -91,7 +91,8 @@
 	s.wire.count(TrafficKind(s.kind.Load()), len(data), out)
 }
 
-// Read discards the data that it has received if the stream stays blocked until its deadline or until it is closed.
+// Read discards data that it has received if the stream stays blocked until the read deadline or until Close, or if the agent
+// was killed.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if n > 0 {
--- a/internal/scale/simagent/traffic.go
+++ b/internal/scale/simagent/traffic.go
@@ -29,7 +29,7 @@
 	return [...]string{"members", "facts", "distances", "list", "policy", "hub stream", "settings"}[k]
 }
 
-// Count is a number of payload bytes, and of messages: datagrams, and reads or writes of streams.
+// Count counts payload bytes and messages. A message is a datagram, or one read or write on a stream.
 type Count struct{ Bytes, Messages int64 }
 
 // Traffic is the traffic of an agent's sockets, indexed by TrafficKind.
--- a/internal/scale/simagent/traffic_test.go
+++ b/internal/scale/simagent/traffic_test.go
@@ -28,7 +28,7 @@
 		"label too long":     {[]byte{hasLabelMsg, 200, 1}, 0},
 	} {
 		if got := gossipBytes(c.packet); got != c.want {
-			t.Errorf("%s: %d bytes, want %d", name, got, c.want)
+			t.Errorf("%s: got %d bytes, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/scale/simagent/wire.go
+++ b/internal/scale/simagent/wire.go
@@ -109,8 +109,8 @@
 // faultPollInterval is the interval at which a blocked operation checks whether its fault has ended.
 const faultPollInterval = 10 * time.Millisecond
 
-// Dial implements member.Wire. It opens a counted stream as soon as the agent is not paused and no partition separates it
-// from addr.
+// Dial implements member.Wire. It opens a counted stream as soon as the agent is not paused and no partition separates the
+// agent from addr.
 func (w *wire) Dial(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	zone := ""
 	if addrPort, err := netip.ParseAddrPort(addr); err == nil {
@@ -145,7 +145,7 @@
 }
 
 // Accepted implements member.Wire. It wraps a stream that another agent has opened. Only the side that dialled applies
-// partitions, so this side sets the peer's zone to its own.
+// partitions, so the accepting side gives the peer its own zone, which no partition separates from itself.
 func (w *wire) Accepted(conn net.Conn) net.Conn { return w.wrap(conn, w.zone) }
 
 // wrap returns conn as a counted stream to a peer in a zone.
