--- a/internal/scale/overhead/call.go
+++ b/internal/scale/overhead/call.go
@@ -24,15 +24,15 @@
 	newConnection     bool          // the call was the first on its connection to the backend
 }
 
-// callPath collects the calls on one of the two paths, through an agent or directly. It does not count calls that were
-// planned before countedFrom, since these open connections and run code for the first time.
+// callPath collects the calls on one of the two paths, through an agent or directly. It omits calls planned before
+// countedFrom, since the first calls open connections and run code for the first time.
 type callPath struct {
 	countedFrom time.Duration // since base
 
 	mu         sync.Mutex
 	samples    []sample
 	failed     int
-	firstError string // of the first call that failed
+	firstError string // the error of the first call that failed
 }
 
 // add records a call, which has failed if err is not nil.
@@ -58,8 +58,8 @@
 
 var lastCallID atomic.Int64
 
-// call makes one call, which was planned for the time at since base, and returns the number of the backend that responded.
-// A status other than 200 is an error.
+// call makes one call, and returns the sample and the number of the backend that responded. at is the planned time of the
+// call, since base. A status other than 200 is an error.
 func call(client *http.Client, addr string, at time.Duration) (s sample, backend int, err error) {
 	sentAt := sinceBase()
 	s.plannedAt, s.lateness = at, sentAt-at
--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -21,7 +21,7 @@
 	Rate         float64 `json:"Rate"`             // calls a second through each agent, and the same number directly
 	Tick         string  `json:"Tick"`             // the agent's setting attempts.tick
 	EvenlySpaced bool    `json:"Even,omitempty"`   // evenly spaced calls; otherwise a Poisson process, as from many callers
-	Agents       int     `json:"Agents,omitempty"` // agents whose calls are one row, each called at Rate; 0: one agent
+	Agents       int     `json:"Agents,omitempty"` // number of agents with this workload, whose calls form one row; 0: one agent
 	// ListChanges is the form in which the list service publishes a change each second: "" (no changes), "entries" (the
 	// changed endpoints) or "whole" (the complete list).
 	ListChanges string `json:"Turns,omitempty"`
@@ -64,9 +64,9 @@
 	return calls
 }
 
-// drive makes the calls of all agents by one plan, and waits for all responses. It makes each call at its planned time even
-// if earlier calls are still in flight. It sleeps by a system call on a locked thread, since Go's timers are up to a
-// millisecond late.
+// drive makes the calls of all agents in the order of one plan, and waits for all responses. Each call starts at its planned
+// time even if earlier calls are still in flight. drive sleeps by a system call on a locked thread, since Go's timers are up to
+// a millisecond late.
 func drive(agents []*agentRun, direct *http.Client, addrs []string, rng *rand.Rand, warmUp, length time.Duration) {
 	start := sinceBase() + 10*time.Millisecond
 	var plan []plannedCall
@@ -81,7 +81,7 @@
 	for _, planned := range plan {
 		for remaining := planned.sendAt - sinceBase(); remaining > 0; remaining = planned.sendAt - sinceBase() {
 			t := syscall.NsecToTimespec(int64(remaining))
-			_ = syscall.Nanosleep(&t, nil) // a signal may end it early: the loop sleeps again
+			_ = syscall.Nanosleep(&t, nil) // a signal may end the sleep early; the loop then sleeps again
 		}
 		calls.Go(func() {
 			if planned.direct {
@@ -99,7 +99,8 @@
 	calls.Wait()
 }
 
-// changeListEachSecond changes the agent's endpoint list each second until ctx ends, and records the times in changedAt.
+// changeListEachSecond changes the agent's endpoint list each second until ctx ends, and records the times of the changes in
+// changedAt.
 func (a *agentRun) changeListEachSecond(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/scale/overhead/listservice.go
+++ b/internal/scale/overhead/listservice.go
@@ -17,8 +17,8 @@
 	"martenbeam/internal/agent/discovery"
 )
 
-// ListService is a fake list service. It streams the complete endpoint list, then each change, and an empty line as a
-// heartbeat while nothing changes.
+// ListService is a fake list service. It streams the complete endpoint list, then each change, both after an empty line.
+// While nothing changes, it sends an empty line as a heartbeat.
 type ListService struct {
 	Addr string // host:port
 
--- a/internal/scale/overhead/overhead_test.go
+++ b/internal/scale/overhead/overhead_test.go
@@ -53,7 +53,7 @@
 	command      string // the command that makes the measurement
 	windows      []Window
 	idleSizes    []int         // list sizes of agents without calls
-	settle, idle time.Duration // time for which these settle, then are measured
+	settle, idle time.Duration // times for which agents without calls settle, and are then measured
 }
 
 // fullMeasurement returns the measurement for -scale.full.
@@ -180,7 +180,8 @@
 	defer client.CloseIdleConnections()
 	for i, addr := range b.Addrs {
 		if _, got, err := call(client, addr, sinceBase()); err != nil || got != i || seen[addr] {
-			t.Fatalf("backend %d at %s: got a response from backend %d, error %v", i, addr, got, err)
+			t.Fatalf("backend %d at %s: got a response from backend %d, error %v; want the same backend and an unused address",
+				i, addr, got, err)
 		}
 		seen[addr] = true
 	}
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -21,8 +21,8 @@
 // Class is the only request class in the agents' configuration, an idempotent read.
 const Class = "lookup"
 
-// AgentConfig returns an agent's configuration file: the defaults, with the given list service (host:port) and the given
-// value of attempts.tick.
+// AgentConfig returns the text of an agent's configuration file, with the given list service (host:port), the given value of
+// attempts.tick, and one zone, kind and class. Other keys have their defaults.
 func AgentConfig(listService, tick string) string {
 	return fmt.Sprintf(`listen = "127.0.0.1:0"
 discovery = %q
@@ -97,7 +97,7 @@
 	if err != nil {
 		_ = process.cmd.Process.Kill() // fails only if the process has already ended
 		<-process.logDone
-		_ = process.cmd.Wait() // the error reports the kill
+		_ = process.cmd.Wait() // returns the kill as an error
 		return nil, err
 	}
 	return process, nil
--- a/internal/scale/overhead/report.go
+++ b/internal/scale/overhead/report.go
@@ -21,7 +21,7 @@
 	Max                float64 `json:"Most"`
 	NewConnectionShare float64 `json:"FreshShare"` // share of calls on a new connection to the backend
 	InboundP99         float64 `json:"In99"`       // from sending to the backend's handler
-	OutboundP99        float64 `json:"Out99"`      // from the backend's handler until the response was read
+	OutboundP99        float64 `json:"Out99"`      // from the end of the backend's handler until the response was read
 }
 
 // Row is the result of one workload in one run.
@@ -37,16 +37,16 @@
 	Changes            int       `json:"Changes,omitempty"`    // changes of the list
 	Failed             int       `json:"Failed"`               // failed calls through the agent
 	FailedDirect       int       `json:"FailedDirect"`         // failed direct calls
-	FirstError         string    `json:"Why,omitempty"`        // of a failed call
+	FirstError         string    `json:"Why,omitempty"`        // the error of a failed call
 	LatenessP99        float64   `json:"LateP99"`              // delay from a call's planned time to its sending, ms
-	ResidentMB         float64   `json:"ResidentMB"`           // of one agent: the largest
-	CPUMillisPerSecond float64   `json:"CPUms"`                // processor time of one agent: the mean
+	ResidentMB         float64   `json:"ResidentMB"`           // largest resident memory of one agent, MiB
+	CPUMillisPerSecond float64   `json:"CPUms"`                // mean processor time of one agent, ms a second
 	Slowest            Slowest   `json:"Slowest"`
 }
 
-// Slowest holds means over the slowest hundredth of the calls through the agent, in ms: the time from sending to the backend's
-// handler, and the time from there until the response was read. NewConnectionShare is the share of these calls on a new
-// connection to the backend.
+// Slowest describes the slowest hundredth of the calls through the agent. Inbound is the mean time from sending to the
+// backend's handler, and Outbound the mean time from the handler's end until the response was read, both in ms.
+// NewConnectionShare is the share of these calls on a new connection to the backend.
 type Slowest struct {
 	Inbound            float64 `json:"In"`
 	Outbound           float64 `json:"Out"`
@@ -68,7 +68,7 @@
 
 // Run is one run of all windows.
 type Run struct {
-	At   time.Time `json:"At"` // its start, in UTC
+	At   time.Time `json:"At"` // start of the run, in UTC
 	Rows []Row     `json:"Rows"`
 	Idle []IdleRow `json:"Idle"`
 	// Stolen is the share of the cores' time that the machine's host gave to other machines during the run; 0: none, or
--- a/internal/scale/overhead/summary.go
+++ b/internal/scale/overhead/summary.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// newRow summarizes the agents of one workload, which ran for the time took.
+// newRow summarizes the calls and the resource usage of all agents with one workload. The workload ran for
+// the time took.
 func newRow(window string, agents []*agentRun, took time.Duration) Row {
 	row := Row{Window: window, Workload: agents[0].workload}
 	var through, direct []sample
@@ -83,7 +84,7 @@
 		newConnections / float64(len(list)), quantile(in, 0.99), quantile(out, 0.99)}
 }
 
-// summarizeSlowest fills in Slowest, from all calls through the agents.
+// summarizeSlowest sets Slowest from all calls through the agents.
 func (r *Row) summarizeSlowest(list []sample) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b sample) int { return cmp.Compare(b.total, a.total) })
--- a/internal/scale/overhead/tables.go
+++ b/internal/scale/overhead/tables.go
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("%.2f (%.2f-%.2f)", median, list[0], list[len(list)-1])
 }
 
-// groupsOf returns a group for each workload of the windows with a name, sorted by tick in descending order, rate, list
-// size and form of list changes.
+// groupsOf returns a group for each workload of the windows with the given name. The groups are sorted by tick in descending
+// order, then by rate, list size and form of list changes in ascending order.
 func (r *Result) groupsOf(window string) (list []group) {
 	for _, run := range r.Runs {
 		for _, row := range run.Rows {
@@ -85,7 +85,7 @@
 	changesFormat = "| %s | %v | %d | %s | %d | %s | %s | %s | %s | %s | %s | %d |"
 )
 
-// writeCalls writes the tables of the windows with a name. It writes nothing if there are no such windows.
+// writeCalls writes the tables of the windows with the given name. It writes nothing if there are no such windows.
 func (r *Result) writeCalls(line lineWriter, title, window string) {
 	list := r.groupsOf(window)
 	if len(list) == 0 {
--- a/internal/scale/overhead/trace.go
+++ b/internal/scale/overhead/trace.go
@@ -21,8 +21,8 @@
 // ServeTraced instead of running tests.
 const traceDirEnv = "CALLWAY_TRACED"
 
-// Trace runs one workload on an agent that is this executable, started with traceDirEnv. The agent writes its trace and its
-// profile into a subdirectory of dir that is named after the workload.
+// Trace runs one workload on an agent. The agent's process runs this executable with traceDirEnv set, and writes a trace and
+// a profile into a subdirectory of dir that is named after the workload.
 func (b *Bench) Trace(ctx context.Context, workload Workload, length time.Duration, dir string) (Row, error) {
 	dir = filepath.Join(dir, fmt.Sprintf("%d-backends-%v-a-second-tick-%s", workload.ListSize, workload.Rate, workload.Tick))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/scale/overhead/window.go
+++ b/internal/scale/overhead/window.go
@@ -15,8 +15,8 @@
 
 // Window is a span in which several agents receive calls at the same time, each by its own workload.
 type Window struct {
-	Name           string        // name of the table that its rows belong to
-	WarmUp, Length time.Duration // calls within WarmUp are not counted; Length follows it
+	Name           string        // name of the table that contains the window's rows
+	WarmUp, Length time.Duration // calls within WarmUp are not counted; Length begins after WarmUp
 	Workloads      []Workload
 }
 
@@ -51,8 +51,8 @@
 	return err
 }
 
-// startAgents starts an agent for each workload, all at the same time. With an error it also returns the agents that have
-// started, which the caller has to stop.
+// startAgents starts an agent for each workload, all at the same time. If some agents fail to start, it returns the started
+// agents with the error, and the caller stops them.
 func (b *Bench) startAgents(ctx context.Context, workloads []Workload) (agents []*agentRun, err error) {
 	agents, errs := make([]*agentRun, len(workloads)), make([]error, len(workloads))
 	var starts sync.WaitGroup
@@ -133,8 +133,8 @@
 	return size
 }
 
-// connectAll opens a connection from client to each backend by one call, and the client keeps it. It returns an error if
-// backend i is not at addrs[i].
+// connectAll makes one call from client to each backend, so that the client has an idle connection to it. It returns an
+// error if a call fails or if backend i does not respond at addrs[i].
 func connectAll(client *http.Client, addrs []string) error {
 	for i, addr := range addrs {
 		_, got, err := call(client, addr, sinceBase())
--- a/internal/scale/overhead/windows.go
+++ b/internal/scale/overhead/windows.go
@@ -16,7 +16,8 @@
 	return append(windows, listChanges(sizes))
 }
 
-// fewAgents returns three equal windows with four agents each. So few agents hardly slow each other down.
+// fewAgents returns three equal windows with four agents each. With only four agents, the calls of one agent hardly delay the
+// calls of another.
 func fewAgents(ticks []string) (windows []Window) {
 	for range 3 {
 		w := Window{Name: "few", WarmUp: time.Second, Length: 5 * time.Second}
@@ -30,7 +31,7 @@
 	return windows
 }
 
-// lowRates returns a window with workloads of 10 and 72 calls a second, some at 72 evenly spaced.
+// lowRates returns a window with workloads of 10 and 72 calls a second. Two of the workloads at 72 are evenly spaced.
 func lowRates(sizes []int, ticks []string) Window {
 	w := Window{Name: "calls", WarmUp: time.Second, Length: 8 * time.Second}
 	for _, n := range sizes {
