--- a/internal/scale/applied_test.go
+++ b/internal/scale/applied_test.go
@@ -32,7 +32,8 @@
 	a.byKey[k] = append(a.byKey[k], appliedVersion{version, at})
 }
 
-// appliedAt returns the time at which an agent first applied a version or a later one; false if it has not yet.
+// appliedAt returns the time at which an agent first applied a version or a later version. It returns false if the agent has
+// applied neither.
 func (a *appliedVersions) appliedAt(name string, what simagent.Change, version int64) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/scale/change_test.go
+++ b/internal/scale/change_test.go
@@ -62,7 +62,7 @@
 }
 
 // measurePropagation waits until the selected agents have applied a version, at most until changeTimeout after at, the time
-// of the change. An agent's duration counts from at, or from the agent's time in started if that is later.
+// of the change. An agent's duration counts from at or from the agent's time in started, whichever is later.
 func (f *testFleet) measurePropagation(what simagent.Change, version int64, at time.Time,
 	selected func(i int) bool, started map[int]time.Time) (result propagation) {
 	deadline := at.Add(changeTimeout)
@@ -199,7 +199,7 @@
 func (f *testFleet) changeUnderLoss(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", 10% lost", map[string]float64{}
 	f.net.SetLoss(0.1)
-	time.Sleep(settle) // until the agents have noticed losses
+	time.Sleep(settle) // until losses have affected the agents
 	m := f.startMeter(false)
 	version, at := f.makeChange(what)
 	f.measurePropagation(what, version, at, allAgents, nil).addValues(r.Values, "")
@@ -209,7 +209,7 @@
 }
 
 // changeDuringPartition measures a change while a zone is isolated from all others and from the list service. It fails the
-// test if the change reaches the zone before the partition ends.
+// test if the change reaches the zone's first agent before the partition ends.
 func (f *testFleet) changeDuringPartition(r row, what simagent.Change, settle time.Duration) row {
 	r.Case, r.Values = what.String()+", a zone cut", map[string]float64{}
 	isolated := len(zones) - 1
@@ -221,7 +221,7 @@
 	f.measurePropagation(what, version, at, func(i int) bool { return !inside(i) }, nil).addValues(r.Values, "")
 	r.Void = m.end().void
 	if _, reached := f.applied.appliedAt(f.agentName(isolated), what, version); reached {
-		f.t.Errorf("%v: the change reached an agent in the isolated zone", what)
+		f.t.Errorf("%v: the change reached an agent in the isolated zone before the partition ended", what)
 	}
 	f.net.Isolate()
 	f.measurePropagation(what, version, time.Now(), inside, nil).addValues(r.Values, "cut ones, once healed: ")
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -28,7 +28,7 @@
 	Error    float64 `json:"slope_standard_error"`
 	Residual float64 `json:"residual"` // standard deviation of the residuals
 	At1800   float64 `json:"at_1800"`
-	Low      float64 `json:"at_1800_low"` // the 95% prediction interval of one more run
+	Low      float64 `json:"at_1800_low"` // lower bound of the 95% prediction interval for one more run
 	High     float64 `json:"at_1800_high"`
 	Points   int     `json:"points"`
 }
@@ -40,7 +40,7 @@
 	if df <= len(table) {
 		return table[df-1]
 	}
-	return 1.96 + 2.4/float64(df) // accurate to 1% above the table
+	return 1.96 + 2.4/float64(df) // accurate to 1% for df above the table
 }
 
 // fitTo returns the fit of one form. At least three points and two sizes are required.
@@ -102,7 +102,7 @@
 	}
 	b, ok := bestFit(n, y)
 	if !ok || b.Form != "n" || math.Abs(b.Slope-0.02) > 2*b.Error || b.Error < 1e-5 || b.Error > 1e-3 {
-		t.Errorf("%+v", b)
+		t.Errorf("values 5 + 0.02 n with noise: got %+v, want form n and a slope within two standard errors of 0.02", b)
 	}
 	if b.At1800 < b.Low || b.At1800 > b.High || b.Low > 41 || b.High < 41 {
 		t.Errorf("extrapolation to 1,800: %+v, want an interval around 41", b)
@@ -111,7 +111,7 @@
 		y[i] = 1 + 1e-4*n[i]*n[i]
 	}
 	if b, _ := bestFit(n, y); b.Form != "n^2" || math.Abs(b.At1800-325) > 1e-6 {
-		t.Errorf("%+v", b)
+		t.Errorf("values 1 + 0.0001 n^2: got %+v, want form n^2 and 325 at 1,800", b)
 	}
 	if _, ok := bestFit(n[:3], y[:3]); ok {
 		t.Error("bestFit accepted points of a single size")
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -16,7 +16,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// zones are seven zones; the first letter is the region's name.
+// zones holds the names of seven zones. The first letter of a zone's name is the name of its region.
 var zones = []string{"a1", "a2", "a3", "a4", "b1", "b2", "b3"}
 
 // convergenceTimeout bounds each wait for a fleet's convergence and for a process's start.
@@ -57,7 +57,7 @@
 	quotaSums    *quotaWatch
 }
 
-// newTestFleet returns a fleet without running agents. In mode Hubs it starts the hubs. The fleet ends with the test, and
+// newTestFleet returns a fleet without running agents. In mode Hubs it starts the hubs. The test's cleanup ends the fleet, and
 // fails the test if the sum of all quotas has exceeded maxQuotaSum.
 func newTestFleet(t testing.TB, mode simagent.Mode, n int, matrix bool) *testFleet {
 	t.Helper()
@@ -78,8 +78,8 @@
 
 func (f *testFleet) agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// start starts agent i at the address listen, or at any address if listen is "". The seeds are the running agents among
-// the first numSeeds.
+// start starts agent i at the address listen, or at any address if listen is "". The seeds are the started agents among
+// the first numSeeds, without agent i.
 func (f *testFleet) start(i int, listen string) {
 	s := simagent.Spec{Mode: f.mode, Name: f.agentName(i), Zone: zones[i%len(zones)], Zones: zones, Listen: listen,
 		Label: f.label, MaxMembers: f.n + f.realAgents, MeasureLatency: f.matrix, ListService: f.service.addr,
@@ -147,10 +147,10 @@
 const pollInterval = 10 * time.Millisecond
 
 // awaitConvergence waits until every agent has the expected state, and returns the time that this took. If the limit passes
-// first, ok is false and reason names the first lagging agent and what it lacks.
+// first, ok is false and reason names the first lagging agent and how its state differs.
 func (f *testFleet) awaitConvergence(limit time.Duration) (took time.Duration, ok bool, reason string) {
 	startedAt := time.Now()
-	for next := 0; ; { // an agent that has reached the state is checked again only after all others have reached it
+	for next := 0; ; { // an agent in the expected state is checked again only after all other agents have reached it
 		want := f.expectedState()
 		for next < f.n && (f.agents[next] == nil || missing(f.agents[next], want) == "") {
 			next++
--- a/internal/scale/hubs_test.go
+++ b/internal/scale/hubs_test.go
@@ -86,9 +86,10 @@
 	return h
 }
 
+// file returns the path of a file in the directory of the hubs.
 func (h *hubProcesses) file(name string) string { return filepath.Join(h.dir, name) }
 
-// config returns a hub's configuration file.
+// config returns the text of hub i's configuration file.
 func (h *hubProcesses) config(i int) string {
 	quoted := func(list []string) string {
 		var b []string
@@ -143,7 +144,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the hub did not listen in time; its log: %s", text)
+			t.Fatalf("the hub did not listen within convergenceTimeout; log of the hub: %s", text)
 		}
 	}
 }
@@ -157,7 +158,7 @@
 	}
 }
 
-// configured returns the hubs in the agents' configuration: all hubs, or only the first if one is set.
+// configured returns the hubs in the agents' configuration: all hubs, or only the first if firstOnly is set.
 func (h *hubProcesses) configured(firstOnly bool) (list []hubclient.Hub) {
 	for i, addr := range h.addrs {
 		if i == 0 || !firstOnly {
@@ -213,10 +214,10 @@
 	if first, third := h.config(0), h.config(2); !strings.Contains(first, "[settings]") || strings.Contains(third, "[settings]") ||
 		!strings.Contains(third, `seeds = ["127.0.0.1:7"]`) || !strings.Contains(third, `zone = "a3"`) ||
 		!strings.Contains(first, `listen = "127.0.0.1:7"`) {
-		t.Errorf("%s\n%s", first, third)
+		t.Errorf("hub configurations lack expected keys, or have other keys.\nfirst hub:\n%s\nthird hub:\n%s", first, third)
 	}
 	line := []byte("level=INFO msg=hub step=listening name=h address=127.0.0.1:9\n")
 	if m := listeningLine.FindSubmatch(line); !bytes.Equal(m[1], []byte("127.0.0.1:9")) {
-		t.Errorf("address in the log line: %s", m)
+		t.Errorf("address in the log line: got %s, want 127.0.0.1:9", m)
 	}
 }
--- a/internal/scale/idle_test.go
+++ b/internal/scale/idle_test.go
@@ -62,8 +62,8 @@
 	return r
 }
 
-// addCPU adds the mean processor time of n agents, in total and by part. The total excludes the time of the harness, which
-// includes the list service.
+// addCPU adds an agent's mean processor time to values, in total and by part, in us a second. If the span was profiled, the
+// total excludes the harness and the list service. Otherwise there are no parts, and the total includes both.
 func (s *span) addCPU(values map[string]float64, numAgents int) {
 	each := float64(numAgents) * s.duration.Seconds()
 	profiled := 0.
@@ -80,7 +80,7 @@
 	values["processor us/s"] = cpu * 1e6 / each
 }
 
-// addTraffic adds the mean traffic of n agents, in total and by kind.
+// addTraffic adds an agent's mean traffic a second to values: in total, and the bytes sent by kind.
 func (s *span) addTraffic(values map[string]float64, n int) {
 	each := float64(n) * s.duration.Seconds()
 	for _, p := range simagent.TrafficKinds {
--- a/internal/scale/listservice_test.go
+++ b/internal/scale/listservice_test.go
@@ -63,7 +63,7 @@
 
 // ServeHTTP streams the list to one agent until the agent disconnects.
 func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // absent: 0, for the complete list
+	sentVersion, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64) // no parameter: 0, for the complete list
 	s.mu.Lock()
 	s.requests++
 	s.mu.Unlock()
--- a/internal/scale/load_test.go
+++ b/internal/scale/load_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// Measurement of the cost of a hub that has all agents, as after the failure of the other hubs.
+// Measurement of the cost of a hub to which all agents are attached, as after the failure of the other hubs.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"martenbeam/internal/scale/simagent"
 )
 
-// loadTable measures one hub with all agents of a large fleet.
+// loadTable measures one hub to which all agents of a large fleet are attached.
 func loadTable(t *testing.T) {
 	list := []int{257, 600}
 	if !*full {
--- a/internal/scale/machine_test.go
+++ b/internal/scale/machine_test.go
@@ -19,7 +19,7 @@
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // its arguments are constants
+		panic(err) // Getrusage does not fail with these constant arguments
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -19,7 +19,7 @@
 
 const (
 	sumInterval = 50 * time.Millisecond
-	maxQuotaSum = 1.1 // of the limit: agents may exceed it by 10% while quotas change
+	maxQuotaSum = 1.1 // share of the in-flight limit: the sum may exceed the limit by 10% while quotas change
 )
 
 // quotaHolder is an agent or a fake agent with a quota.
@@ -70,7 +70,7 @@
 	w.done.Wait()
 	t.Logf("largest sum of the quotas: %.3f of the limit", w.maxSum)
 	if w.maxSum > maxQuotaSum {
-		t.Errorf("the sum of the quotas reached %.3f of the limit", w.maxSum)
+		t.Errorf("the sum of the quotas reached %.3f of the limit, want at most maxQuotaSum", w.maxSum)
 	}
 }
 
@@ -94,7 +94,7 @@
 		{nil, false},
 	} {
 		if got := sumQuotas(c.list); got > maxQuotaSum != c.bad {
-			t.Errorf("quotas %v: sum %v", c.list, got)
+			t.Errorf("quotas %v: the sum %v is on the wrong side of maxQuotaSum", c.list, got)
 		}
 	}
 }
--- a/internal/scale/real_test.go
+++ b/internal/scale/real_test.go
@@ -75,9 +75,9 @@
 	}
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(fields) < 22 {
-		return 0, 0, fmt.Errorf("process stat has only %d fields", len(fields))
+		return 0, 0, fmt.Errorf("process stat has only %d fields after the command, want at least 22", len(fields))
 	}
-	const tick = 10 * time.Millisecond // USER_HZ is 100 on all of Linux
+	const tick = 10 * time.Millisecond // USER_HZ is 100 on Linux
 	for _, k := range []int{11, 12} {
 		n, err := strconv.ParseInt(fields[k], 10, 64)
 		if err != nil {
@@ -200,7 +200,8 @@
 	return true
 }
 
-// compareRealAgents compares real agents, which used cpu in total, with n simulated agents, and returns a row's values.
+// compareRealAgents compares real agents with n simulated agents, and returns a row's values. cpu is the processor time of all
+// real agents together. The test logs ratios that differ from 1 by more than 20%, and fails if no bytes were received.
 func (s *span) compareRealAgents(t *testing.T, n, realAgents int, cpu time.Duration) map[string]float64 {
 	t.Helper()
 	var received, sent int64 // datagrams and streams
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -38,12 +38,12 @@
 var reportMu sync.Mutex
 
 // saveRows logs rows, adds them to the file in -scale.out, and writes the tables beside the file. Without -scale.full it
-// fails the test on a row whose fleet did not converge.
+// fails the test on a row whose fleet did not converge or whose change did not reach all agents.
 func saveRows(t testing.TB, rows ...row) {
 	for _, r := range rows {
 		t.Logf("%s %s n=%d matrix=%t %s run %d void=%q %v",
 			r.Table, r.Mode, r.N, r.Matrix, r.Case, r.Run, r.Void, formatValues(r.Values))
-		// A small run tests only that all changes arrive. Their delay on a busy machine is no failure.
+		// A small run tests only that all changes arrive within changeTimeout. A busy machine may delay them until then.
 		if !*full && (strings.HasPrefix(r.Void, "not whole") || r.Values["agents never"] > 0) {
 			t.Errorf("table %s, case %s: %s; %v agents did not receive the change", r.Table, r.Case, r.Void, r.Values["agents never"])
 		}
@@ -98,7 +98,7 @@
 	return g
 }
 
-// groupRows returns the rows of each group, and the groups' names in order.
+// groupRows returns the rows of each group, and the sorted names of the groups.
 func groupRows(rows []row) (names []string, groups map[string][]row) {
 	groups = map[string][]row{}
 	for _, r := range rows {
--- a/internal/scale/start_test.go
+++ b/internal/scale/start_test.go
@@ -80,7 +80,7 @@
 	return n
 }
 
-// measureEvent measures an event from its begin until all agents have the expected state and converged returns true.
+// measureEvent measures an event from its start until all agents have the expected state and converged returns true.
 // converged may be nil. The returned row has values per agent.
 func (f *testFleet) measureEvent(r row, event func(), converged func() bool) row {
 	peak, m := f.watchPeakTraffic(), f.startMeter(false)
--- a/internal/scale/state_test.go
+++ b/internal/scale/state_test.go
@@ -71,7 +71,7 @@
 		alter(&lagging)
 		n, reason := countLagging([]fixedState{fixedState(want), fixedState(lagging)}, want)
 		if n != 1 || !strings.HasPrefix(reason, "agent 1: "+wantReason) {
-			t.Errorf("%s: got %d lagging agents, reason %q; want 1", wantReason, n, reason)
+			t.Errorf("%s: got %d lagging agents, reason %q; want agent 1 with the reason of this case", wantReason, n, reason)
 		}
 	}
 }
