--- a/internal/forms/stored_test.go
+++ b/internal/forms/stored_test.go
@@ -102,7 +102,7 @@
 	for digest, want := range map[string]string{"da4d8bc885a122dd": settingsText,
 		versionedfile.Digest("version = 3\n"): "version = 3\n"} {
 		if v, text, ok := h.Text(digest); v != 3 || text != want || !ok {
-			t.Errorf("digest %s: got version %d, text %q, found %v; want version 3 and the text with this digest", digest, v, text, ok)
+			t.Errorf("digest %s: got version %d, text %q, found %v; want version 3 and its text", digest, v, text, ok)
 		}
 	}
 	if err := h.Apply(2, "version = 2\n"); err == nil {
--- a/internal/scale/overhead/drive.go
+++ b/internal/scale/overhead/drive.go
@@ -65,8 +65,8 @@
 }
 
 // drive makes the calls of all agents in the order of one plan, and waits for all responses. Each call starts at its planned
-// time even if earlier calls are still in flight. drive sleeps by a system call on a locked thread, since Go's timers are up to
-// a millisecond late.
+// time even if earlier calls are still in flight. drive sleeps by a system call on a locked thread, since Go's timers are
+// up to a millisecond late.
 func drive(agents []*agentRun, direct *http.Client, addrs []string, rng *rand.Rand, warmUp, length time.Duration) {
 	start := sinceBase() + 10*time.Millisecond
 	var plan []plannedCall
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -22,7 +22,7 @@
 const Class = "lookup"
 
 // AgentConfig returns the text of an agent's configuration file, with the given list service (host:port), the given value of
-// attempts.tick, and one zone, kind and class. Other keys have their defaults.
+// attempts.tick, any free port on 127.0.0.1, and one zone, kind and class. Other keys have their defaults.
 func AgentConfig(listService, tick string) string {
 	return fmt.Sprintf(`listen = "127.0.0.1:0"
 discovery = %q
--- a/internal/scale/simagent/stream.go
+++ b/internal/scale/simagent/stream.go
@@ -91,8 +91,8 @@
 	s.wire.count(TrafficKind(s.kind.Load()), len(data), out)
 }
 
-// Read discards data that it has received if the stream stays blocked until the read deadline or until Close, or if the agent
-// was killed.
+// Read discards data that it has received if the stream stays blocked until the read deadline or until Close, or if the
+// agent was killed.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	if n > 0 {
--- a/internal/scale/simagent/wire.go
+++ b/internal/scale/simagent/wire.go
@@ -145,7 +145,7 @@
 }
 
 // Accepted implements member.Wire. It wraps a stream that another agent has opened. Only the side that dialled applies
-// partitions, so the accepting side gives the peer its own zone, which no partition separates from itself.
+// partitions, so the accepting side records the agent's zone as the zone of the peer.
 func (w *wire) Accepted(conn net.Conn) net.Conn { return w.wrap(conn, w.zone) }
 
 // wrap returns conn as a counted stream to a peer in a zone.
