--- a/cmd/martenbeam/fleetflags.go
+++ b/cmd/martenbeam/fleetflags.go
@@ -42,7 +42,7 @@
 		spec.SetDuration(f.Duration)
 	}
 	if f.Isolated && f.Hubs > 0 {
-		return fmt.Errorf("--apart, --hubs: agents that share nothing have no hubs")
+		return fmt.Errorf("--apart and --hubs can't be combined: hubs share state between agents, and with --apart agents share nothing")
 	}
 	if f.Isolated {
 		spec.DisableSharing()
--- a/internal/agent/parseconfig.go
+++ b/internal/agent/parseconfig.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if len(parsed.Settings) == 0 {
-		return nil, errors.New("settings: missing")
+		return nil, errors.New("settings: is required")
 	}
 	if c.Settings, c.Site, err = wire.ParseSettings(parsed.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -119,7 +119,7 @@
 	case c.MemoryMB < 0:
 		return fmt.Errorf("limits.memory_mb: %v is negative", c.MemoryMB)
 	case c.MaxDescriptors < 0 || c.MaxDescriptors > 0 && c.MaxDescriptors < minDescriptors:
-		return fmt.Errorf("limits.sockets: %v is too few, at least %d are needed", c.MaxDescriptors, minDescriptors)
+		return fmt.Errorf("limits.sockets: %v is below the minimum of %d", c.MaxDescriptors, minDescriptors)
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 func (c *Config) checkSettings() error {
 	for i, name := range c.Site.Classes {
 		if name == "" {
-			return fmt.Errorf("settings: Profiles[%d].Name: missing", i)
+			return fmt.Errorf("settings: Profiles[%d].Name: is required", i)
 		}
 	}
 	if c.Settings.ConnectTimeout <= 0 {
@@ -162,11 +162,11 @@
 // checkAddress checks that addr is an IP address with a port. An error names the field.
 func checkAddress(field, addr string) error {
 	if addr == "" {
-		return fmt.Errorf("%s: missing", field)
+		return fmt.Errorf("%s: is required", field)
 	}
 	host, _, err := net.SplitHostPort(addr)
 	if err == nil && net.ParseIP(host) == nil {
-		err = fmt.Errorf("%q is not an IP address (there is no DNS)", host)
+		err = fmt.Errorf("%q is not an IP address (host names are not resolved)", host)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", field, err)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -116,7 +116,7 @@
 		case wireGroups[class.Group] == "":
 			return c.errorAt(key("group"), `%q is not "all", "zone" or "pod"`, class.Group)
 		case class.Idempotency == "keyed" && class.DedupWindow <= 0:
-			return c.errorAt(key("window"), "a keyed class needs the time for which backends drop duplicates")
+			return c.errorAt(key("window"), "is required for a keyed class: the time for which backends drop duplicates")
 		case objective <= 0 || deadline < objective || deadline > maxDuration:
 			return c.errorAt(key("deadline"), "aim %v and deadline %v: the aim must be above 0, the deadline between the aim and 24h",
 				objective.Duration(), deadline.Duration())
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,7 @@
 		{minimalText + "[attempts]\nconnect_timeout = \"0s\"" + classText, "x.toml:3: attempts.connect_timeout: 0s is not between 1ms and 24h"},
 		{minimalText + "[peers]\naddresses = [\"127.0.0.1:1\"]" + classText, "x.toml: peers.listen: is required"},
 		{minimalText + classText + "effect2 = 1", "x.toml:8: class.effect2: unknown key"},
-		{minimalText + strings.Replace(classText, "safe", "keyed", 1), "x.toml: class[0].window: a keyed class needs"},
+		{minimalText + strings.Replace(classText, "safe", "keyed", 1), "x.toml: class[0].window: is required for a keyed class"},
 		{minimalText + strings.Replace(classText, "2s", "1ms", 1), "x.toml:7: class[0].deadline: aim 1s and deadline 1ms"},
 		{minimalText + "zones = [1]" + classText, `x.toml:2: zones: `},
 		{minimalText + "zones = \"a\"" + classText, `x.toml:2: zones: `},
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -60,7 +60,7 @@
 	}
 	switch {
 	case len(f.Label) > maxLabelBytes:
-		return c.errorAt("fleet.label", "%d bytes, at most 64", len(f.Label))
+		return c.errorAt("fleet.label", "%d bytes, must be at most 64", len(f.Label))
 	case f.MaxAgents < 1 || f.MaxAgents > 10000:
 		return c.errorAt("fleet.most", "%d is not between 1 and 10000", f.MaxAgents)
 	case f.Lists != "own" && f.Lists != "relayed":
@@ -127,7 +127,7 @@
 	case !r.On && r.Policy != "":
 		return c.errorAt("residency.policy", "is set, but residency.on is false")
 	case r.On && r.Policy == "" && c.Fleet.Listen == "":
-		return c.errorAt("residency.policy", "is required without a fleet to receive it from")
+		return c.errorAt("residency.policy", "is required if residency.on is true and fleet.listen is not set")
 	case r.Policy == "":
 		return nil
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -45,7 +45,7 @@
 // ParseSettings parses settings, and checks what can be checked without an agent's file. file names the document in errors.
 func ParseSettings(file, text string) (*Settings, error) {
 	if len(text) > MaxSettingsBytes {
-		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, at most %d", len(text), MaxSettingsBytes)}
+		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, must be at most %d", len(text), MaxSettingsBytes)}
 	}
 	s := &Settings{Text: text, file: file}
 	if _, err := toml.Decode(text, &s.keys); err == nil { // else the strict decoder reports the error below, with its line
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -37,7 +37,7 @@
 			z.Names, z.Regions = append(z.Names, name), append(z.Regions, region)
 		}
 	default:
-		z.invalidKey, z.reason = "zones", fmt.Sprintf("%v is neither a list of names nor a table from names to regions", data)
+		z.invalidKey, z.reason = "zones", fmt.Sprintf("%v is neither a list of names nor a table that maps names to regions", data)
 	}
 	return nil
 }
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -59,19 +59,19 @@
 	case m.Version == 0:
 		return nil, errVersion
 	case m.Sender == "" || len(m.Sender) > maxNameBytes:
-		return nil, fmt.Errorf("sender's name has %d bytes", len(m.Sender))
+		return nil, fmt.Errorf("sender's name is empty or too long: %d bytes", len(m.Sender))
 	case m.Clock < 0:
-		return nil, fmt.Errorf("negative clock %v", m.Clock)
+		return nil, fmt.Errorf("message has a negative clock: %v", m.Clock)
 	}
 	for _, e := range m.Entries {
 		switch {
 		case e.Kind == 0 || e.Observer == "" || len(e.Observer) > maxNameBytes || len(e.Subject) > maxNameBytes:
-			return nil, fmt.Errorf("entry of kind %d has a subject of %d bytes and an observer of %d bytes",
+			return nil, fmt.Errorf("entry has a field out of bounds: kind %d, subject of %d bytes, observer of %d bytes",
 				e.Kind, len(e.Subject), len(e.Observer))
 		case e.Age < 0 || e.Age > maxAge:
-			return nil, fmt.Errorf("entry has age %v", e.Age)
+			return nil, fmt.Errorf("entry's age of %v is out of bounds", e.Age)
 		case len(e.Body) > MaxBodyBytes:
-			return nil, fmt.Errorf("entry's body has %d bytes", len(e.Body))
+			return nil, fmt.Errorf("entry's body is too long: %d bytes", len(e.Body))
 		}
 	}
 	return &m, nil
--- a/internal/fleet/hub/frame/frame.go
+++ b/internal/fleet/hub/frame/frame.go
@@ -84,7 +84,7 @@
 	ProcessingDelay time.Duration `cbor:"2,keyasint"` // from the receipt of the State to the sending of the Echo
 }
 
-var errNoVersion = errors.New("frame without a version")
+var errNoVersion = errors.New("frame has no version")
 
 // decoder rejects data that no valid frame contains before it allocates memory for that data.
 var decoder = func() cbor.DecMode {
@@ -119,7 +119,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n == 0 || n > maxFrame {
-		return nil, fmt.Errorf("read frame: frame has %d bytes, want 1 to %d", n, maxFrame)
+		return nil, fmt.Errorf("read frame: frame has %d bytes, must be 1 to %d", n, maxFrame)
 	}
 	data := make([]byte, n)
 	if _, err := io.ReadFull(r, data); err != nil {
@@ -148,14 +148,14 @@
 			}
 		}
 		if hello.Name == "" {
-			return errors.New("hello without a name")
+			return errors.New("hello has no name")
 		}
 	}
 	if w := f.Welcome; w != nil && (w.Hub == "" || len(w.Hub) > maxName || len(w.ProgramVersion) > maxName) {
 		return fmt.Errorf("welcome: field out of bounds: hub name of %d bytes, program version of %d bytes", len(w.Hub), len(w.ProgramVersion))
 	}
 	if b := f.Busy; b != nil && (b.RetryAfter < 0 || b.RetryAfter > maxWait) {
-		return fmt.Errorf("busy: retry after %v is out of bounds", b.RetryAfter)
+		return fmt.Errorf("busy: retry delay of %v is out of bounds", b.RetryAfter)
 	}
 	if state := f.State; state != nil {
 		for _, applied := range []AppliedVersion{state.Settings, state.Policy} {
--- a/internal/fleet/latency/row.go
+++ b/internal/fleet/latency/row.go
@@ -36,7 +36,7 @@
 // validate checks a row against the limits.
 func (r row) validate() error {
 	if len(r.Entries) > maxSites {
-		return fmt.Errorf("latency row has %d sites", len(r.Entries))
+		return fmt.Errorf("latency row has too many sites: %d", len(r.Entries))
 	}
 	for _, e := range r.Entries {
 		if e.Site == "" || e.LossPercent > 100 || time.Duration(e.RTTMicros)*time.Microsecond > maxRTT {
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -141,7 +141,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ended:
-			return errors.New("it ended")
+			return errors.New("the process ended before it was ready")
 		case <-time.After(3 * time.Millisecond):
 		}
 	}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -50,9 +50,9 @@
 func (s *Scenario) checkRun() error {
 	switch {
 	case s.Duration <= 0 || s.Duration.Duration() > MaxDuration:
-		return s.errorAt("for", "%v is not between 0 and %v", s.Duration.Duration(), MaxDuration)
+		return s.errorAt("for", "%v is out of range: must be above 0 and at most %v", s.Duration.Duration(), MaxDuration)
 	case s.WarmUp < 0 || s.WarmUp >= s.Duration:
-		return s.errorAt("settle", "%v is negative or not below the run's %v", s.WarmUp.Duration(), s.Duration.Duration())
+		return s.errorAt("settle", "%v is negative, or not shorter than the run of %v", s.WarmUp.Duration(), s.Duration.Duration())
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 	case len(s.Fleet.Regions) > 0 && len(s.Fleet.Regions) != zones:
 		return s.errorAt("fleet.regions", "%d regions for %d zones", len(s.Fleet.Regions), zones)
 	case s.Fleet.CellSize < 1:
-		return s.errorAt("fleet.pod", "%d is not a number of backends", s.Fleet.CellSize)
+		return s.errorAt("fleet.pod", "%d is below 1", s.Fleet.CellSize)
 	}
 	return nil
 }
@@ -79,15 +79,15 @@
 func (s *Scenario) checkLoad() error {
 	switch {
 	case !(s.Load.Rate > 0 && s.Load.Rate <= 1e5):
-		return s.errorAt("load.rate", "%v is not between 0 and 100000 a second", s.Load.Rate)
+		return s.errorAt("load.rate", "%v is out of range: must be above 0 and at most 100000 a second", s.Load.Rate)
 	case !(s.Load.Utilization > 0 && s.Load.Utilization <= 10):
-		return s.errorAt("load.of", "%v is not between 0 and 10", s.Load.Utilization)
+		return s.errorAt("load.of", "%v is out of range: must be above 0 and at most 10", s.Load.Utilization)
 	case s.Load.Keys < 1:
-		return s.errorAt("load.keys", "%d is not a number of keys", s.Load.Keys)
+		return s.errorAt("load.keys", "%d is below 1", s.Load.Keys)
 	case s.Load.Retries < 0 || s.Load.Retries > 10:
 		return s.errorAt("load.retries", "%d is not between 0 and 10", s.Load.Retries)
 	case !(s.Load.TimeoutShare > 0 && s.Load.TimeoutShare <= 1):
-		return s.errorAt("load.patience", "%v is not between 0 and 1", s.Load.TimeoutShare)
+		return s.errorAt("load.patience", "%v is out of range: must be above 0 and at most 1", s.Load.TimeoutShare)
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	case !slices.Contains(kinds, fault.Kind):
 		return s.errorAt(key("what"), "%q is not one of %s", fault.Kind, strings.Join(kinds, ", "))
 	case fault.At < 0 || fault.At >= s.Duration:
-		return s.errorAt(key("at"), "%v is not within the run's %v", fault.At.Duration(), s.Duration.Duration())
+		return s.errorAt(key("at"), "%v is not within the run of %v", fault.At.Duration(), s.Duration.Duration())
 	case fault.Duration < 0:
 		return s.errorAt(key("for"), "%v is negative", fault.Duration.Duration())
 	}
@@ -190,7 +190,7 @@
 	}
 	for _, zone := range set.Zones {
 		if zone >= len(s.Fleet.Zones) {
-			return s.errorAt(key, "zone %d of %d: zones count from 0", zone, len(s.Fleet.Zones))
+			return s.errorAt(key, "zone %d does not exist: there are %d zones, numbered from 0", zone, len(s.Fleet.Zones))
 		}
 	}
 	if set.Kind == "hubs" && s.Shared.Hubs == 0 {
@@ -199,7 +199,7 @@
 	size := map[string]int{"agents": s.Fleet.Agents, "backends": s.Fleet.Backends, "hubs": s.Shared.Hubs}[set.Kind]
 	for _, n := range set.Numbers {
 		if size > 0 && n >= size {
-			return s.errorAt(key, "number %d of %d %s: they count from 0", n, size, set.Kind)
+			return s.errorAt(key, "number %d does not exist: there are %d %s, numbered from 0", n, size, set.Kind)
 		}
 	}
 	return nil
@@ -227,7 +227,7 @@
 		}
 	case Policy:
 		if s.Shared.Hubs > 0 && targets.Kind != "hubs" {
-			return s.errorAt(key("who"), "%q is not a set of hubs, which are the sources of a policy if there are hubs", fault.Targets)
+			return s.errorAt(key("who"), "%q is not a set of hubs: if there are hubs, they are the sources of a policy", fault.Targets)
 		}
 	case Settings:
 		if targets.Kind != "hubs" || s.Shared.Settings == "" {
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -26,7 +26,7 @@
 func ParseSet(text string) (s Set, err error) {
 	words := strings.Fields(text)
 	if len(words) == 0 || !slices.Contains(setKinds, words[0]) {
-		return s, fmt.Errorf("%q is not one of %s", text, strings.Join(setKinds, ", "))
+		return s, fmt.Errorf("%q does not begin with one of %s", text, strings.Join(setKinds, ", "))
 	}
 	s.Kind, s.Share = words[0], 1
 	for _, word := range words[1:] {
--- a/internal/lab/settingsreport.go
+++ b/internal/lab/settingsreport.go
@@ -52,7 +52,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(hubs) == 0 {
-		return errors.New("settings are published to hubs, but none of these hubs is a source")
+		return errors.New("settings can't be published: none of the selected hubs is a source of settings")
 	}
 	published := publishedVersion{publishedAt: now, version: head.Version}
 	for _, h := range hubs {
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -65,7 +65,7 @@
 	// Each agent needs a listener and a connection at each backend, connections of clients, and a few other descriptors.
 	perAgent := 2*hosts + 40
 	if need := uint64(100 + s.Fleet.Agents*perAgent); need > limit.Max {
-		return fmt.Errorf("%d agents and %d backends need about %d descriptors and the limit is %d: at most %d agents here (ulimit -n)",
+		return fmt.Errorf("%d agents and %d backends need about %d file descriptors, but the limit (ulimit -n) is %d, which allows at most %d agents",
 			s.Fleet.Agents, hosts, need, limit.Max, max(0, (int(limit.Max)-100)/perAgent))
 	}
 	return nil
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -47,7 +47,7 @@
 
 var (
 	errOutdated         = errors.New("a higher version is in force")
-	errTooManyDocuments = errors.New("too many texts under one version")
+	errTooManyDocuments = errors.New("too many policy documents have this version")
 )
 
 // Apply brings a document into force. Its version is the higher one of version and the version in the text. A higher version
--- a/internal/residency/policy.go
+++ b/internal/residency/policy.go
@@ -69,7 +69,7 @@
 // and, where the key is in the text, its line. After an error the policy must not be used.
 func Parse(file, text string) (*Policy, error) {
 	if len(text) > MaxText {
-		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, at most %d", len(text), MaxText)}
+		return nil, &strictconfig.Error{File: file, Message: fmt.Sprintf("%d bytes, must be at most %d", len(text), MaxText)}
 	}
 	p := &Policy{text: text}
 	if err := strictconfig.Decode(file, text, p); err != nil {
--- a/internal/scale/overhead/process.go
+++ b/internal/scale/overhead/process.go
@@ -90,7 +90,7 @@
 	case process.Addr = <-serving:
 		err = process.waitReady(ctx)
 	case <-process.logDone:
-		err = fmt.Errorf("the agent ended: %s", strings.Join(process.logTail, "\n"))
+		err = fmt.Errorf("the agent ended before it was serving: %s", strings.Join(process.logTail, "\n"))
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
@@ -152,7 +152,7 @@
 	}
 	<-p.logDone
 	if err := p.cmd.Wait(); err != nil {
-		return fmt.Errorf("the agent ended: %w: %s", err, strings.Join(p.logTail, "\n"))
+		return fmt.Errorf("the agent exited with an error: %w: %s", err, strings.Join(p.logTail, "\n"))
 	}
 	return nil
 }
--- a/internal/versionedfile/versionedfile.go
+++ b/internal/versionedfile/versionedfile.go
@@ -92,7 +92,7 @@
 		err = json.Unmarshal(data, &stored)
 	}
 	if err == nil && (stored.Format != storedFormat || stored.Version < 1) {
-		err = fmt.Errorf("got format %d and version %d, want format 1 and a version above 0", stored.Format, stored.Version)
+		err = fmt.Errorf("format %d and version %d: the format must be 1 and the version above 0", stored.Format, stored.Version)
 	}
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: %w", path, err)
