--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -17,7 +17,7 @@
 		{"version = 1\n[attempts]\n\nmost = 21", "s.toml:4: attempts.most: 21 is not between"},
 		{"version = 1\nattempts = {most = 21}", "s.toml:2: attempts.most: 21 is not between"},
 		{"version = 1\nAttempts.Most = 21", "s.toml: attempts.most: 21 is not between"},
-		{"version = 1" + strings.Replace(classText, "safe", "keyed", 1), "s.toml:2: class[0].window: a keyed class needs"},
+		{"version = 1" + strings.Replace(classText, "safe", "keyed", 1), "s.toml:2: class[0].window: is required for a keyed class"},
 		{"version = 1" + strings.Replace(classText, "2s", "1ms", 1), "s.toml:6: class[0].deadline: aim 1s"},
 		{"version = 1\n[[class]]\nname = \"x\"", "s.toml:2: class[0].effect: "},
 		{"version = 1\nzone = \"a\"", "s.toml:2: zone: can't be set for all agents"},
